--- a/decisions/src/main/java/saltfield/Balancer.java
+++ b/balancer/src/main/java/dewplank/balancer/Balancer.java
@@ -1,4 +1,4 @@
-package saltfield;
+package dewplank.balancer;
 
 import java.util.List;
 import java.util.function.Consumer;
--- a/decisions/src/main/java/saltfield/Choice.java
+++ b/balancer/src/main/java/dewplank/balancer/Choice.java
@@ -1,4 +1,4 @@
-package saltfield;
+package dewplank.balancer;
 
 import java.util.ArrayList;
 import java.util.Collections;
@@ -11,7 +11,7 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 import java.util.random.RandomGenerator;
-import saltfield.Memory.*;
+import dewplank.balancer.Memory.*;
 
 /**
  * All decisions of one sidecar; the types, events and actions are those of {@link Balancer}. Every send
--- a/decisions/src/main/java/saltfield/ColdBudget.java
+++ b/balancer/src/main/java/dewplank/balancer/ColdBudget.java
@@ -1,9 +1,9 @@
-package saltfield;
+package dewplank.balancer;
 
 import java.util.List;
 import java.util.random.RandomGenerator;
-import saltfield.Balancer.Settings;
-import saltfield.Memory.*;
+import dewplank.balancer.Balancer.Settings;
+import dewplank.balancer.Memory.*;
 
 /** How warm servers are, and this instance's part of what the cold ones may be sent. */
 record ColdBudget(Settings cfg, Fleet fleet, Rate warmRate, RandomGenerator random) {
--- a/decisions/src/main/java/saltfield/LearnedSpeeds.java
+++ b/balancer/src/main/java/dewplank/balancer/LearnedSpeeds.java
@@ -1,7 +1,7 @@
-package saltfield;
+package dewplank.balancer;
 
-import saltfield.Balancer.Settings;
-import saltfield.Memory.*;
+import dewplank.balancer.Balancer.Settings;
+import dewplank.balancer.Memory.*;
 
 /** What servers take: learned from their answers, and expected of the next request by what they hold. */
 record LearnedSpeeds(Settings cfg, Fleet fleet, ColdBudget cold) {
--- a/decisions/src/main/java/saltfield/Memory.java
+++ b/balancer/src/main/java/dewplank/balancer/Memory.java
@@ -1,4 +1,4 @@
-package saltfield;
+package dewplank.balancer;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -7,10 +7,10 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
-import saltfield.Balancer.Arrived;
-import saltfield.Balancer.Entry;
-import saltfield.Balancer.RequestClass;
-import saltfield.Balancer.Tenant;
+import dewplank.balancer.Balancer.Arrived;
+import dewplank.balancer.Balancer.Entry;
+import dewplank.balancer.Balancer.RequestClass;
+import dewplank.balancer.Balancer.Tenant;
 
 /** What {@link Choice} and its parts remember: plain holders and running figures, no decisions. */
 final class Memory {
--- a/decisions/src/main/java/saltfield/ServerHealth.java
+++ b/balancer/src/main/java/dewplank/balancer/ServerHealth.java
@@ -1,8 +1,8 @@
-package saltfield;
+package dewplank.balancer;
 
 import java.util.HashMap;
 import java.util.Map;
-import saltfield.Memory.Window;
+import dewplank.balancer.Memory.Window;
 
 /**
  * What one sidecar has observed of one server: recent outcomes by context, its vote, the weight in draws.
--- a/decisions/src/main/java/saltfield/Summary.java
+++ b/balancer/src/main/java/dewplank/balancer/Summary.java
@@ -1,4 +1,4 @@
-package saltfield;
+package dewplank.balancer;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
--- a/decisions/src/test/java/saltfield/AdmissionTest.java
+++ b/balancer/src/test/java/dewplank/balancer/AdmissionTest.java
@@ -1,16 +1,16 @@
-package saltfield;
+package dewplank.balancer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static saltfield.Host.entry;
-import static saltfield.Host.of;
-import static saltfield.Host.sent;
+import static dewplank.balancer.Host.entry;
+import static dewplank.balancer.Host.of;
+import static dewplank.balancer.Host.sent;
 
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.random.RandomGenerator;
 import org.junit.jupiter.api.Test;
-import saltfield.Balancer.*;
+import dewplank.balancer.Balancer.*;
 
 /** Refusals: the least worth first, only where the fleet is short of room, never for one bad draw. */
 class AdmissionTest {
--- a/decisions/src/test/java/saltfield/EffectTest.java
+++ b/balancer/src/test/java/dewplank/balancer/EffectTest.java
@@ -1,15 +1,15 @@
-package saltfield;
+package dewplank.balancer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static saltfield.Host.entry;
-import static saltfield.Host.of;
-import static saltfield.Host.sent;
+import static dewplank.balancer.Host.entry;
+import static dewplank.balancer.Host.of;
+import static dewplank.balancer.Host.sent;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import saltfield.Balancer.*;
+import dewplank.balancer.Balancer.*;
 
 /** No effect happens twice: what may follow each outcome, by class and scope. */
 class EffectTest {
--- a/decisions/src/test/java/saltfield/Host.java
+++ b/balancer/src/test/java/dewplank/balancer/Host.java
@@ -1,9 +1,9 @@
-package saltfield;
+package dewplank.balancer;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import saltfield.Balancer.*;
+import dewplank.balancer.Balancer.*;
 
 /** Drives one balancer by hand: builds settings, passes events, keeps and answers its actions. */
 final class Host {
--- a/decisions/src/test/java/saltfield/LimitsTest.java
+++ b/balancer/src/test/java/dewplank/balancer/LimitsTest.java
@@ -1,4 +1,4 @@
-package saltfield;
+package dewplank.balancer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -18,7 +18,7 @@
 /** The operators' limits on the decision logic: the files that their settings name as {@code policy}, together. */
 class LimitsTest {
     private static final Path ROOT = Path.of("..");
-    private static final Path MODULE = ROOT.resolve("decisions/src/main/java/saltfield");
+    private static final Path MODULE = ROOT.resolve("balancer/src/main/java/dewplank/balancer");
 
     /** Types and events, plain holders, and a wire format. */
     private static final Set<String> NO_DECISIONS = Set.of("Balancer.java", "Memory.java", "Summary.java");
--- a/decisions/src/test/java/saltfield/PurityTest.java
+++ b/balancer/src/test/java/dewplank/balancer/PurityTest.java
@@ -1,4 +1,4 @@
-package saltfield;
+package dewplank.balancer;
 
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.classes;
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
@@ -11,11 +11,11 @@
 /** Decisions are pure steps: whoever needs I/O, a thread or a clock for one has it in the wrong module. */
 public class PurityTest {
     private static final JavaClasses DECISIONS = new ClassFileImporter()
-        .withImportOption(new ImportOption.DoNotIncludeTests()).importPackages("saltfield");
+        .withImportOption(new ImportOption.DoNotIncludeTests()).importPackages("dewplank.balancer");
 
     @Test
     public void decisionsUseTheJdkAlone() {
-        classes().should().onlyDependOnClassesThat().resideInAnyPackage("saltfield..", "java.lang..", "java.util..",
+        classes().should().onlyDependOnClassesThat().resideInAnyPackage("dewplank.balancer..", "java.lang..", "java.util..",
             "java.nio").check(DECISIONS);
     }
 
--- a/decisions/src/test/java/saltfield/RulesTest.java
+++ b/balancer/src/test/java/dewplank/balancer/RulesTest.java
@@ -1,4 +1,4 @@
-package saltfield;
+package dewplank.balancer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,9 +6,9 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static saltfield.Host.entry;
-import static saltfield.Host.of;
-import static saltfield.Host.sent;
+import static dewplank.balancer.Host.entry;
+import static dewplank.balancer.Host.of;
+import static dewplank.balancer.Host.sent;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -17,7 +17,7 @@
 import java.util.SplittableRandom;
 import java.util.random.RandomGenerator;
 import org.junit.jupiter.api.Test;
-import saltfield.Balancer.*;
+import dewplank.balancer.Balancer.*;
 
 /** Final answers, drains, lists, cold servers, copies and budgets. */
 class RulesTest {
--- a/decisions/src/test/java/saltfield/ScaleTest.java
+++ b/balancer/src/test/java/dewplank/balancer/ScaleTest.java
@@ -1,11 +1,11 @@
-package saltfield;
+package dewplank.balancer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static saltfield.Host.entry;
-import static saltfield.Host.of;
-import static saltfield.Host.sent;
+import static dewplank.balancer.Host.entry;
+import static dewplank.balancer.Host.of;
+import static dewplank.balancer.Host.sent;
 
 import java.util.HashMap;
 import java.util.HashSet;
@@ -13,7 +13,7 @@
 import java.util.Map;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import saltfield.Balancer.*;
+import dewplank.balancer.Balancer.*;
 
 /** Hundreds of sidecars over many servers: working sets, connections, and ways that are slow. */
 class ScaleTest {
--- a/decisions/src/test/java/saltfield/ServerHealthTest.java
+++ b/balancer/src/test/java/dewplank/balancer/ServerHealthTest.java
@@ -1,4 +1,4 @@
-package saltfield;
+package dewplank.balancer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/decisions/src/test/java/saltfield/TraceTest.java
+++ b/balancer/src/test/java/dewplank/balancer/TraceTest.java
@@ -1,4 +1,4 @@
-package saltfield;
+package dewplank.balancer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import saltfield.Balancer.*;
+import dewplank.balancer.Balancer.*;
 
 /**
  * Every action over long random days, to the last bit, is as recorded: a change of form changes no decision. A change
--- a/decisions/src/test/java/saltfield/VerdictTest.java
+++ b/balancer/src/test/java/dewplank/balancer/VerdictTest.java
@@ -1,18 +1,18 @@
-package saltfield;
+package dewplank.balancer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static saltfield.Host.of;
-import static saltfield.Host.sent;
+import static dewplank.balancer.Host.of;
+import static dewplank.balancer.Host.sent;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import saltfield.Balancer.*;
+import dewplank.balancer.Balancer.*;
 
 /** Observations, verdicts, ejection, the half-free floor, trials, peers and the draw. */
 class VerdictTest {
--- a/cli/src/main/java/dewplank/Commands.java
+++ b/cli/src/main/java/dewplank/Commands.java
@@ -1,17 +1,17 @@
 package dewplank;
 
-import dewplank.config.BadInput;
-import dewplank.config.FileWatch;
-import dewplank.config.SidecarConfig;
 import dewplank.discovery.Listing;
+import dewplank.settings.BadInput;
+import dewplank.settings.FileWatch;
 import dewplank.sidecar.Sidecar;
+import dewplank.sidecar.config.SidecarConfig;
+import dewplank.simhost.Wire;
 import java.io.BufferedWriter;
 import java.io.IOException;
 import java.io.InputStreamReader;
 import java.io.OutputStreamWriter;
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.CompletableFuture;
-import saltfield.adapter.Wire;
 
 /** The sub-commands. */
 final class Commands {
--- a/cli/src/main/java/dewplank/FleetCommands.java
+++ b/cli/src/main/java/dewplank/FleetCommands.java
@@ -1,13 +1,13 @@
 package dewplank;
 
-import dewplank.config.BadInput;
-import dewplank.config.FileWatch;
-import dewplank.config.NodeSettings;
 import dewplank.controlplane.ControlPlane;
 import dewplank.dataplane.DataPlane;
 import dewplank.rehearsal.FleetRehearsal;
 import dewplank.routing.Mechanism;
 import dewplank.routing.Policy;
+import dewplank.settings.BadInput;
+import dewplank.settings.FileWatch;
+import dewplank.settings.NodeSettings;
 import dewplank.store.StoreException;
 import java.io.IOException;
 import java.nio.file.Path;
--- a/cli/src/main/java/dewplank/LabCommands.java
+++ b/cli/src/main/java/dewplank/LabCommands.java
@@ -1,6 +1,5 @@
 package dewplank;
 
-import dewplank.config.BadInput;
 import dewplank.emulator.Scenario;
 import dewplank.emulator.ScenarioFile;
 import dewplank.lab.Auditor;
@@ -14,6 +13,7 @@
 import dewplank.lab.Trial;
 import dewplank.lab.bench.DecisionBench;
 import dewplank.lab.policies.Policies;
+import dewplank.settings.BadInput;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/cli/src/main/java/dewplank/LabMain.java
+++ b/cli/src/main/java/dewplank/LabMain.java
@@ -1,6 +1,6 @@
 package dewplank;
 
-import dewplank.config.BadInput;
+import dewplank.settings.BadInput;
 import java.io.IOException;
 import java.util.List;
 import org.kohsuke.args4j.Argument;
--- a/cli/src/main/java/dewplank/LoadCommands.java
+++ b/cli/src/main/java/dewplank/LoadCommands.java
@@ -1,12 +1,12 @@
 package dewplank;
 
-import dewplank.config.BadInput;
 import dewplank.emulator.Scenario.Distribution;
 import dewplank.lab.load.Arrivals;
 import dewplank.lab.load.LoadPlan;
 import dewplank.lab.load.LoadReport;
 import dewplank.lab.load.LoadRun;
 import dewplank.lab.load.StandIn;
+import dewplank.settings.BadInput;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
--- a/cli/src/main/java/dewplank/OperatorMain.java
+++ b/cli/src/main/java/dewplank/OperatorMain.java
@@ -1,7 +1,7 @@
 package dewplank;
 
 import dewplank.client.NoAnswerException;
-import dewplank.config.BadInput;
+import dewplank.settings.BadInput;
 import java.io.IOException;
 import java.util.List;
 import org.kohsuke.args4j.Argument;
--- a/cli/src/main/java/dewplank/SettingsReload.java
+++ b/cli/src/main/java/dewplank/SettingsReload.java
@@ -1,6 +1,6 @@
 package dewplank;
 
-import dewplank.config.FileWatch;
+import dewplank.settings.FileWatch;
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.TimeUnit;
 import sun.misc.Signal;
--- a/cli/src/main/java/dewplank/StartFault.java
+++ b/cli/src/main/java/dewplank/StartFault.java
@@ -1,7 +1,7 @@
 package dewplank;
 
-import dewplank.config.BadInput;
-import dewplank.config.ResultCode;
+import dewplank.settings.BadInput;
+import dewplank.settings.ResultCode;
 import dewplank.store.StoreException;
 import java.net.BindException;
 
--- a/cli/src/main/java/dewplank/rehearsal/FleetRehearsal.java
+++ b/cli/src/main/java/dewplank/rehearsal/FleetRehearsal.java
@@ -1,12 +1,12 @@
 package dewplank.rehearsal;
 
-import dewplank.config.NodeSettings;
 import dewplank.controlplane.ControlPlane;
 import dewplank.dataplane.DataPlane;
 import dewplank.exchange.InboundConnection;
 import dewplank.http.Headers;
 import dewplank.net.EventLoop;
 import dewplank.net.Listener;
+import dewplank.settings.NodeSettings;
 import dewplank.store.StoreException;
 import java.io.IOException;
 import java.net.HttpURLConnection;
--- a/cli/src/test/java/dewplank/ArchitectureTest.java
+++ b/cli/src/test/java/dewplank/ArchitectureTest.java
@@ -12,7 +12,7 @@
 public class ArchitectureTest {
     private static final JavaClasses ALL = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
-            .importPackages("dewplank", "saltfield");
+            .importPackages("dewplank");
 
     @Test
     public void layersUseOnlyWhatIsBelow() {
@@ -25,7 +25,7 @@
                 .layer("emulator")
                 .definedBy("dewplank.emulator..")
                 .layer("sidecar")
-                .definedBy("dewplank.sidecar..", "dewplank.discovery..", "dewplank.peers..", "saltfield.adapter..")
+                .definedBy("dewplank.sidecar..", "dewplank.discovery..", "dewplank.peers..", "dewplank.simhost..")
                 .layer("rehearsal")
                 .definedBy("dewplank.rehearsal..")
                 .layer("control plane")
@@ -43,7 +43,7 @@
                         "dewplank.register..",
                         "dewplank.configuration..",
                         "dewplank.membership..",
-                        "dewplank.duty..",
+                        "dewplank.singleton..",
                         "dewplank.routing..")
                 .layer("exchange")
                 .definedBy("dewplank.exchange..")
@@ -51,10 +51,10 @@
                 .definedBy("dewplank.http..")
                 .layer("net")
                 .definedBy("dewplank.net..")
-                .layer("config")
-                .definedBy("dewplank.config..")
-                .layer("decisions")
-                .definedBy("saltfield")
+                .layer("settings")
+                .definedBy("dewplank.settings..")
+                .layer("balancer")
+                .definedBy("dewplank.balancer..")
                 .whereLayer("cli")
                 .mayNotBeAccessedByAnyLayer()
                 .whereLayer("lab")
@@ -116,7 +116,7 @@
                         "dewplank.register..",
                         "dewplank.configuration..",
                         "dewplank.membership..",
-                        "dewplank.duty..",
+                        "dewplank.singleton..",
                         "dewplank.routing..")
                 .should()
                 .dependOnClassesThat()
@@ -165,7 +165,7 @@
                         "dewplank.http..",
                         "dewplank.discovery..",
                         "dewplank.peers..",
-                        "dewplank.config..")
+                        "dewplank.settings..")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage("dewplank.lab..", "dewplank.emulator..")
--- a/cli/src/test/java/dewplank/OperatorMainTest.java
+++ b/cli/src/test/java/dewplank/OperatorMainTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.sun.net.httpserver.HttpServer;
-import dewplank.config.Json;
-import dewplank.config.NodeSettings;
 import dewplank.controlplane.ControlPlane;
+import dewplank.settings.Json;
+import dewplank.settings.NodeSettings;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
--- a/cli/src/test/java/dewplank/sidecar/VotesTest.java
+++ b/cli/src/test/java/dewplank/sidecar/VotesTest.java
@@ -3,6 +3,7 @@
 import static org.junit.Assert.assertFalse;
 import static org.junit.Assert.assertTrue;
 
+import dewplank.balancer.Summary;
 import dewplank.sidecar.Loopback.Client;
 import dewplank.sidecar.Loopback.Exchange;
 import dewplank.sidecar.Loopback.Peer;
@@ -26,7 +27,6 @@
 import org.junit.After;
 import org.junit.Before;
 import org.junit.Test;
-import saltfield.Summary;
 
 /**
  * Three processes of the program behind a stand-in network for their datagrams, which can lose them. A server fails for
--- a/client/src/main/java/dewplank/client/Answer.java
+++ b/client/src/main/java/dewplank/client/Answer.java
@@ -1,8 +1,8 @@
 package dewplank.client;
 
-import dewplank.config.BadInput;
-import dewplank.config.Json;
-import dewplank.config.ResultCode;
+import dewplank.settings.BadInput;
+import dewplank.settings.Json;
+import dewplank.settings.ResultCode;
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 
--- a/client/src/main/java/dewplank/client/ConfigurationDifference.java
+++ b/client/src/main/java/dewplank/client/ConfigurationDifference.java
@@ -1,7 +1,7 @@
 package dewplank.client;
 
-import dewplank.config.Json;
 import dewplank.configuration.Configuration;
+import dewplank.settings.Json;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
--- a/client/src/main/java/dewplank/client/FleetText.java
+++ b/client/src/main/java/dewplank/client/FleetText.java
@@ -1,8 +1,8 @@
 package dewplank.client;
 
-import dewplank.config.BadInput;
-import dewplank.config.Fields;
-import dewplank.config.ResultCode;
+import dewplank.settings.BadInput;
+import dewplank.settings.Fields;
+import dewplank.settings.ResultCode;
 import java.util.List;
 import java.util.Map;
 import java.util.stream.Collectors;
--- a/client/src/main/java/dewplank/client/NoAnswerException.java
+++ b/client/src/main/java/dewplank/client/NoAnswerException.java
@@ -1,6 +1,6 @@
 package dewplank.client;
 
-import dewplank.config.ResultCode;
+import dewplank.settings.ResultCode;
 import java.io.IOException;
 import java.util.Map;
 import java.util.stream.Collectors;
--- a/client/src/main/java/dewplank/client/RouteExplanation.java
+++ b/client/src/main/java/dewplank/client/RouteExplanation.java
@@ -1,13 +1,13 @@
 package dewplank.client;
 
-import dewplank.config.BadInput;
-import dewplank.config.Fields;
-import dewplank.config.ResultCode;
 import dewplank.configuration.Configuration;
 import dewplank.configuration.Limits;
 import dewplank.configuration.Route;
 import dewplank.configuration.RouteTable;
 import dewplank.configuration.WeightedService;
+import dewplank.settings.BadInput;
+import dewplank.settings.Fields;
+import dewplank.settings.ResultCode;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Locale;
--- a/client/src/main/java/dewplank/client/SettingsCheck.java
+++ b/client/src/main/java/dewplank/client/SettingsCheck.java
@@ -1,8 +1,8 @@
 package dewplank.client;
 
-import dewplank.config.BadInput;
-import dewplank.config.NodeSettings;
-import dewplank.config.ResultCode;
+import dewplank.settings.BadInput;
+import dewplank.settings.NodeSettings;
+import dewplank.settings.ResultCode;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
--- a/client/src/test/java/dewplank/client/ControlClientTest.java
+++ b/client/src/test/java/dewplank/client/ControlClientTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dewplank.config.BadInput;
-import dewplank.config.ResultCode;
+import dewplank.settings.BadInput;
+import dewplank.settings.ResultCode;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
--- a/client/src/test/java/dewplank/client/RouteExplanationTest.java
+++ b/client/src/test/java/dewplank/client/RouteExplanationTest.java
@@ -5,10 +5,10 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dewplank.config.BadInput;
-import dewplank.config.Json;
-import dewplank.config.ResultCode;
 import dewplank.configuration.Configuration;
+import dewplank.settings.BadInput;
+import dewplank.settings.Json;
+import dewplank.settings.ResultCode;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Map;
--- a/fleet/src/main/java/dewplank/duty/Ballot.java
+++ b/consensus/src/main/java/dewplank/singleton/Ballot.java
@@ -1,4 +1,4 @@
-package dewplank.duty;
+package dewplank.singleton;
 
 import dewplank.register.Acceptor;
 import dewplank.register.AcceptorSet;
--- a/fleet/src/main/java/dewplank/duty/Candidate.java
+++ b/consensus/src/main/java/dewplank/singleton/Candidate.java
@@ -1,8 +1,8 @@
-package dewplank.duty;
+package dewplank.singleton;
 
-import dewplank.duty.VoteRequest.Kind;
 import dewplank.register.Acceptor;
 import dewplank.register.AcceptorSet;
+import dewplank.singleton.VoteRequest.Kind;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.List;
--- a/fleet/src/main/java/dewplank/duty/DutyTiming.java
+++ b/consensus/src/main/java/dewplank/singleton/DutyTiming.java
@@ -1,4 +1,4 @@
-package dewplank.duty;
+package dewplank.singleton;
 
 /**
  * The times of a duty's ballots.
--- a/fleet/src/main/java/dewplank/duty/StagePlan.java
+++ b/consensus/src/main/java/dewplank/singleton/StagePlan.java
@@ -1,4 +1,4 @@
-package dewplank.duty;
+package dewplank.singleton;
 
 import java.util.ArrayList;
 import java.util.Comparator;
--- a/fleet/src/main/java/dewplank/duty/VoteReply.java
+++ b/consensus/src/main/java/dewplank/singleton/VoteReply.java
@@ -1,4 +1,4 @@
-package dewplank.duty;
+package dewplank.singleton;
 
 /** A voter's answer. Not a record: messages are filled in field by field. */
 public final class VoteReply {
--- a/fleet/src/main/java/dewplank/duty/VoteRequest.java
+++ b/consensus/src/main/java/dewplank/singleton/VoteRequest.java
@@ -1,4 +1,4 @@
-package dewplank.duty;
+package dewplank.singleton;
 
 /** What a candidate asks of a voter. Not a record: messages are filled in field by field. */
 public final class VoteRequest {
--- a/fleet/src/main/java/dewplank/duty/Voter.java
+++ b/consensus/src/main/java/dewplank/singleton/Voter.java
@@ -1,7 +1,7 @@
-package dewplank.duty;
+package dewplank.singleton;
 
-import dewplank.duty.VoteReply.Standing;
-import dewplank.duty.VoteReply.Verdict;
+import dewplank.singleton.VoteReply.Standing;
+import dewplank.singleton.VoteReply.Verdict;
 import java.util.HashMap;
 import java.util.Map;
 
--- a/fleet/src/main/java/dewplank/duty/VoterOutput.java
+++ b/consensus/src/main/java/dewplank/singleton/VoterOutput.java
@@ -1,4 +1,4 @@
-package dewplank.duty;
+package dewplank.singleton;
 
 /** What a voter wants done. */
 public interface VoterOutput {
--- a/fleet/src/main/java/dewplank/duty/package-info.java
+++ b/consensus/src/main/java/dewplank/singleton/package-info.java
@@ -9,4 +9,4 @@
  * The tests hold these bounds. Delays are drawn, so mostly it is far less: a delay and two round trips after the duty
  * was laid down or the votes have lapsed.
  */
-package dewplank.duty;
+package dewplank.singleton;
--- a/fleet/src/test/java/dewplank/duty/CandidateTest.java
+++ b/consensus/src/test/java/dewplank/singleton/CandidateTest.java
@@ -1,14 +1,14 @@
-package dewplank.duty;
+package dewplank.singleton;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dewplank.duty.VoteReply.Standing;
-import dewplank.duty.VoteReply.Verdict;
-import dewplank.duty.VoteRequest.Kind;
 import dewplank.register.Acceptor;
 import dewplank.register.AcceptorSet;
+import dewplank.singleton.VoteReply.Standing;
+import dewplank.singleton.VoteReply.Verdict;
+import dewplank.singleton.VoteRequest.Kind;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
--- a/fleet/src/test/java/dewplank/duty/DutyPropertyTest.java
+++ b/consensus/src/test/java/dewplank/singleton/DutyPropertyTest.java
@@ -1,10 +1,10 @@
-package dewplank.duty;
+package dewplank.singleton;
 
 import static org.junit.jupiter.api.Assertions.assertSame;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dewplank.duty.DutySimulation.Sidecar;
 import dewplank.register.Acceptor;
+import dewplank.singleton.DutySimulation.Sidecar;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
--- a/fleet/src/test/java/dewplank/duty/DutySuccessionTest.java
+++ b/consensus/src/test/java/dewplank/singleton/DutySuccessionTest.java
@@ -1,10 +1,10 @@
-package dewplank.duty;
+package dewplank.singleton;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 
-import dewplank.duty.DutySimulation.Sidecar;
 import dewplank.register.Acceptor;
+import dewplank.singleton.DutySimulation.Sidecar;
 import java.util.List;
 import java.util.Random;
 import net.jqwik.api.ForAll;
--- a/fleet/src/test/java/dewplank/duty/DutyVacancyTest.java
+++ b/consensus/src/test/java/dewplank/singleton/DutyVacancyTest.java
@@ -1,10 +1,10 @@
-package dewplank.duty;
+package dewplank.singleton;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dewplank.duty.DutySimulation.Sidecar;
-import dewplank.duty.DutySimulation.Times;
+import dewplank.singleton.DutySimulation.Sidecar;
+import dewplank.singleton.DutySimulation.Times;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Collections;
--- a/fleet/src/test/java/dewplank/duty/DutyWipeTest.java
+++ b/consensus/src/test/java/dewplank/singleton/DutyWipeTest.java
@@ -1,7 +1,7 @@
-package dewplank.duty;
+package dewplank.singleton;
 
-import dewplank.duty.DutySimulation.Sidecar;
 import dewplank.register.Acceptor;
+import dewplank.singleton.DutySimulation.Sidecar;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
--- a/fleet/src/test/java/dewplank/duty/StagePlanTest.java
+++ b/consensus/src/test/java/dewplank/singleton/StagePlanTest.java
@@ -1,10 +1,10 @@
-package dewplank.duty;
+package dewplank.singleton;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dewplank.duty.StagePlan.Change;
-import dewplank.duty.StagePlan.Engine;
+import dewplank.singleton.StagePlan.Change;
+import dewplank.singleton.StagePlan.Engine;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
--- a/fleet/src/test/java/dewplank/duty/VoterTest.java
+++ b/consensus/src/test/java/dewplank/singleton/VoterTest.java
@@ -1,10 +1,10 @@
-package dewplank.duty;
+package dewplank.singleton;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
-import dewplank.duty.VoteReply.Verdict;
-import dewplank.duty.VoteRequest.Kind;
+import dewplank.singleton.VoteReply.Verdict;
+import dewplank.singleton.VoteRequest.Kind;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
--- a/controlplane/src/main/java/dewplank/controlplane/ControlPlane.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ControlPlane.java
@@ -1,10 +1,6 @@
 package dewplank.controlplane;
 
-import dewplank.config.NodeSettings;
 import dewplank.configuration.Configuration;
-import dewplank.duty.DutyTiming;
-import dewplank.duty.VoteReply;
-import dewplank.duty.VoteRequest;
 import dewplank.membership.Member;
 import dewplank.membership.SessionTable;
 import dewplank.message.ControlHello;
@@ -22,6 +18,10 @@
 import dewplank.register.Acceptor;
 import dewplank.register.RegisterMessage;
 import dewplank.routing.Policy;
+import dewplank.settings.NodeSettings;
+import dewplank.singleton.DutyTiming;
+import dewplank.singleton.VoteReply;
+import dewplank.singleton.VoteRequest;
 import dewplank.store.StoreException;
 import java.io.IOException;
 import java.util.LinkedHashSet;
--- a/controlplane/src/main/java/dewplank/controlplane/DiskStorage.java
+++ b/controlplane/src/main/java/dewplank/controlplane/DiskStorage.java
@@ -1,10 +1,10 @@
 package dewplank.controlplane;
 
-import dewplank.config.NodeSettings;
 import dewplank.message.BadFrameException;
 import dewplank.message.MessageCodec;
 import dewplank.message.ServerList;
 import dewplank.register.DurableState;
+import dewplank.settings.NodeSettings;
 import dewplank.store.AcceptorStore;
 import dewplank.store.DiskExecutor;
 import dewplank.store.Founders;
--- a/controlplane/src/main/java/dewplank/controlplane/Duties.java
+++ b/controlplane/src/main/java/dewplank/controlplane/Duties.java
@@ -1,15 +1,15 @@
 package dewplank.controlplane;
 
-import dewplank.duty.Candidate;
-import dewplank.duty.CandidateOutput;
-import dewplank.duty.DutyTiming;
-import dewplank.duty.VoteReply;
-import dewplank.duty.VoteRequest;
-import dewplank.duty.Voter;
-import dewplank.duty.VoterOutput;
 import dewplank.net.Scheduler;
 import dewplank.register.Acceptor;
 import dewplank.register.AcceptorSet;
+import dewplank.singleton.Candidate;
+import dewplank.singleton.CandidateOutput;
+import dewplank.singleton.DutyTiming;
+import dewplank.singleton.VoteReply;
+import dewplank.singleton.VoteRequest;
+import dewplank.singleton.Voter;
+import dewplank.singleton.VoterOutput;
 import java.util.random.RandomGenerator;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
--- a/controlplane/src/main/java/dewplank/controlplane/Founding.java
+++ b/controlplane/src/main/java/dewplank/controlplane/Founding.java
@@ -1,8 +1,8 @@
 package dewplank.controlplane;
 
-import dewplank.config.NodeSettings;
 import dewplank.message.MessageCodec;
 import dewplank.register.Acceptor;
+import dewplank.settings.NodeSettings;
 import dewplank.store.StoreException;
 import java.util.List;
 
--- a/controlplane/src/main/java/dewplank/controlplane/OperatorApi.java
+++ b/controlplane/src/main/java/dewplank/controlplane/OperatorApi.java
@@ -1,6 +1,5 @@
 package dewplank.controlplane;
 
-import dewplank.config.ResultCode;
 import dewplank.configuration.ChangeRequest;
 import dewplank.configuration.ChangeResult;
 import dewplank.configuration.ConfigurationDocument;
@@ -11,6 +10,7 @@
 import dewplank.http.Headers;
 import dewplank.net.EventLoop;
 import dewplank.register.Outcome;
+import dewplank.settings.ResultCode;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashSet;
--- a/controlplane/src/main/java/dewplank/controlplane/SystemEnvironment.java
+++ b/controlplane/src/main/java/dewplank/controlplane/SystemEnvironment.java
@@ -1,6 +1,5 @@
 package dewplank.controlplane;
 
-import dewplank.config.NodeSettings;
 import dewplank.message.MessageCodec;
 import dewplank.message.MessageTransport;
 import dewplank.message.TcpTransport;
@@ -8,6 +7,7 @@
 import dewplank.net.Listener;
 import dewplank.net.Scheduler;
 import dewplank.net.ServerEndpoint;
+import dewplank.settings.NodeSettings;
 import dewplank.store.AcceptorStore;
 import dewplank.store.DiskExecutor;
 import dewplank.store.DiskFiles;
--- a/controlplane/src/test/java/dewplank/controlplane/JsonTextTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/JsonTextTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import dewplank.config.Json;
+import dewplank.settings.Json;
 import java.util.Arrays;
 import java.util.List;
 import net.jqwik.api.ForAll;
--- a/controlplane/src/test/java/dewplank/controlplane/OperatorApiTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/OperatorApiTest.java
@@ -3,10 +3,10 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dewplank.config.Json;
-import dewplank.config.ResultCode;
 import dewplank.net.EventLoop;
 import dewplank.net.Listener;
+import dewplank.settings.Json;
+import dewplank.settings.ResultCode;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
--- a/controlplane/src/test/java/dewplank/controlplane/StageKeeperTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/StageKeeperTest.java
@@ -4,7 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dewplank.config.Json;
 import dewplank.exchange.ScriptedServer;
 import dewplank.exchange.ScriptedServer.Call;
 import dewplank.message.ListVersion;
@@ -12,6 +11,7 @@
 import dewplank.message.ServerList;
 import dewplank.net.EventLoop;
 import dewplank.routing.Policy;
+import dewplank.settings.Json;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
--- a/dataplane/src/main/java/dewplank/dataplane/DataPlane.java
+++ b/dataplane/src/main/java/dewplank/dataplane/DataPlane.java
@@ -1,6 +1,5 @@
 package dewplank.dataplane;
 
-import dewplank.config.NodeSettings;
 import dewplank.exchange.InboundConnection;
 import dewplank.membership.Member;
 import dewplank.message.FleetMessages;
@@ -10,6 +9,7 @@
 import dewplank.routing.FleetVotes;
 import dewplank.routing.Policy;
 import dewplank.routing.ServerChoice;
+import dewplank.settings.NodeSettings;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.security.SecureRandom;
--- a/emulator/src/main/java/dewplank/emulator/Clients.java
+++ b/emulator/src/main/java/dewplank/emulator/Clients.java
@@ -1,5 +1,7 @@
 package dewplank.emulator;
 
+import dewplank.balancer.Balancer.Effect;
+import dewplank.balancer.Balancer.Scope;
 import dewplank.emulator.Note.What;
 import dewplank.emulator.Scenario.Kind;
 import dewplank.emulator.Scenario.Load;
@@ -7,8 +9,6 @@
 import java.util.function.DoubleSupplier;
 import java.util.stream.IntStream;
 import org.apache.commons.rng.UniformRandomProvider;
-import saltfield.Balancer.Effect;
-import saltfield.Balancer.Scope;
 
 /**
  * The application copies, one beside each sidecar: open arrivals that wait for nothing, and retries as ordinary clients
--- a/emulator/src/main/java/dewplank/emulator/Faults.java
+++ b/emulator/src/main/java/dewplank/emulator/Faults.java
@@ -1,5 +1,6 @@
 package dewplank.emulator;
 
+import dewplank.balancer.Balancer.Availability;
 import dewplank.emulator.Scenario.Fault;
 import dewplank.emulator.Server.State;
 import java.util.ArrayList;
@@ -8,7 +9,6 @@
 import java.util.Random;
 import java.util.stream.IntStream;
 import org.apache.commons.rng.UniformRandomProvider;
-import saltfield.Balancer.Availability;
 
 /** Plays a scenario's faults on a world. Which servers are hit is settled by the seed and the fault's place alone. */
 public final class Faults {
--- a/emulator/src/main/java/dewplank/emulator/Scenario.java
+++ b/emulator/src/main/java/dewplank/emulator/Scenario.java
@@ -1,15 +1,15 @@
 package dewplank.emulator;
 
+import dewplank.balancer.Balancer;
+import dewplank.balancer.Balancer.Effect;
+import dewplank.balancer.Balancer.Goal;
+import dewplank.balancer.Balancer.Limits;
+import dewplank.balancer.Balancer.Prices;
+import dewplank.balancer.Balancer.RequestClass;
+import dewplank.balancer.Balancer.Safety;
+import dewplank.balancer.Balancer.Scope;
 import java.util.List;
 import java.util.stream.IntStream;
-import saltfield.Balancer;
-import saltfield.Balancer.Effect;
-import saltfield.Balancer.Goal;
-import saltfield.Balancer.Limits;
-import saltfield.Balancer.Prices;
-import saltfield.Balancer.RequestClass;
-import saltfield.Balancer.Safety;
-import saltfield.Balancer.Scope;
 
 /** One world and what happens in it, as a scenario file says. All times in milliseconds. */
 public record Scenario(
--- a/emulator/src/main/java/dewplank/emulator/ScenarioFile.java
+++ b/emulator/src/main/java/dewplank/emulator/ScenarioFile.java
@@ -1,16 +1,16 @@
 package dewplank.emulator;
 
-import dewplank.config.BadInput;
+import dewplank.balancer.Balancer.Effect;
+import dewplank.balancer.Balancer.Scope;
 import dewplank.emulator.Scenario.*;
 import dewplank.emulator.TomlFile.Table;
+import dewplank.settings.BadInput;
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import saltfield.Balancer.Effect;
-import saltfield.Balancer.Scope;
 
 /** Reads a scenario from TOML. docs/laboratory.md lists the keys. */
 public final class ScenarioFile {
--- a/emulator/src/main/java/dewplank/emulator/Server.java
+++ b/emulator/src/main/java/dewplank/emulator/Server.java
@@ -1,5 +1,6 @@
 package dewplank.emulator;
 
+import dewplank.balancer.Balancer.Effect;
 import dewplank.emulator.Note.What;
 import dewplank.emulator.Scenario.Machine;
 import java.util.ArrayDeque;
@@ -13,7 +14,6 @@
 import java.util.Set;
 import java.util.function.DoubleSupplier;
 import org.apache.commons.rng.UniformRandomProvider;
-import saltfield.Balancer.Effect;
 
 /**
  * One server: cores shared by the requests in its slots (processor sharing), a queue beyond them, and refusal beyond
--- a/emulator/src/main/java/dewplank/emulator/ServerList.java
+++ b/emulator/src/main/java/dewplank/emulator/ServerList.java
@@ -1,5 +1,7 @@
 package dewplank.emulator;
 
+import dewplank.balancer.Balancer.Availability;
+import dewplank.balancer.Balancer.Entry;
 import dewplank.emulator.Note.What;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,8 +9,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import saltfield.Balancer.Availability;
-import saltfield.Balancer.Entry;
 
 /**
  * The directory: what it believes of the servers, and what it tells. It notices late, tells each watch now and then, and
--- a/emulator/src/main/java/dewplank/emulator/TomlFile.java
+++ b/emulator/src/main/java/dewplank/emulator/TomlFile.java
@@ -1,6 +1,6 @@
 package dewplank.emulator;
 
-import dewplank.config.BadInput;
+import dewplank.settings.BadInput;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/emulator/src/main/java/dewplank/emulator/fleet/FleetProcess.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/FleetProcess.java
@@ -1,9 +1,9 @@
 package dewplank.emulator.fleet;
 
-import dewplank.config.NodeSettings;
 import dewplank.emulator.fleet.FleetEvent.Trouble;
 import dewplank.emulator.loopback.ProgramProcess;
 import dewplank.net.EventLoop;
+import dewplank.settings.NodeSettings;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
--- a/emulator/src/main/java/dewplank/emulator/loopback/DirectoryEnd.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/DirectoryEnd.java
@@ -2,6 +2,8 @@
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
+import dewplank.balancer.Balancer.Availability;
+import dewplank.balancer.Balancer.Entry;
 import dewplank.emulator.ServerList;
 import dewplank.emulator.World;
 import dewplank.http.MessageWriter;
@@ -14,8 +16,6 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.function.BiFunction;
-import saltfield.Balancer.Availability;
-import saltfield.Balancer.Entry;
 
 /** The model's directory on sockets, for one sidecar: the whole list, and the watch as an endless chunked answer. */
 final class DirectoryEnd {
--- a/emulator/src/main/java/dewplank/emulator/loopback/LoopbackRun.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/LoopbackRun.java
@@ -2,6 +2,7 @@
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
+import dewplank.balancer.Balancer.Effect;
 import dewplank.emulator.Clients;
 import dewplank.emulator.Faults;
 import dewplank.emulator.Note;
@@ -24,7 +25,6 @@
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import saltfield.Balancer.Effect;
 
 /**
  * One run in real time: the scenario's world on loopback sockets, and a sidecar process for each of its sidecars. State
--- a/emulator/src/main/java/dewplank/emulator/loopback/SidecarFile.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/SidecarFile.java
@@ -2,10 +2,10 @@
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
-import saltfield.Balancer.Limits;
-import saltfield.Balancer.RequestClass;
-import saltfield.Balancer.Safety;
-import saltfield.Balancer.Settings;
+import dewplank.balancer.Balancer.Limits;
+import dewplank.balancer.Balancer.RequestClass;
+import dewplank.balancer.Balancer.Safety;
+import dewplank.balancer.Balancer.Settings;
 
 /** The module's settings in the form that a sidecar's configuration has them. */
 final class SidecarFile {
--- a/emulator/src/main/java/dewplank/emulator/virtualtime/EmulatedSidecar.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/EmulatedSidecar.java
@@ -1,5 +1,7 @@
 package dewplank.emulator.virtualtime;
 
+import dewplank.balancer.Balancer;
+import dewplank.balancer.Balancer.*;
 import dewplank.emulator.Note.What;
 import dewplank.emulator.Scenario;
 import dewplank.emulator.Server;
@@ -11,8 +13,6 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import saltfield.Balancer;
-import saltfield.Balancer.*;
 
 /**
  * One sidecar in virtual time: a decision module and what its host does for it. Once a tick the module is told all that
--- a/emulator/src/main/java/dewplank/emulator/virtualtime/VirtualRun.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/VirtualRun.java
@@ -1,5 +1,6 @@
 package dewplank.emulator.virtualtime;
 
+import dewplank.balancer.Balancer;
 import dewplank.emulator.Clients;
 import dewplank.emulator.Draws;
 import dewplank.emulator.Faults;
@@ -12,7 +13,6 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.stream.IntStream;
-import saltfield.Balancer;
 
 /**
  * One run in virtual time. The world is moved by one thread; the modules of one tick decide side by side, each on its
--- a/emulator/src/test/java/dewplank/emulator/ScenarioFileTest.java
+++ b/emulator/src/test/java/dewplank/emulator/ScenarioFileTest.java
@@ -4,7 +4,7 @@
 import static org.junit.Assert.assertThrows;
 import static org.junit.Assert.assertTrue;
 
-import dewplank.config.BadInput;
+import dewplank.settings.BadInput;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/emulator/src/test/java/dewplank/emulator/ServerListTest.java
+++ b/emulator/src/test/java/dewplank/emulator/ServerListTest.java
@@ -3,12 +3,12 @@
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
 
+import dewplank.balancer.Balancer.Availability;
+import dewplank.balancer.Balancer.Entry;
 import dewplank.emulator.Note.What;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.Test;
-import saltfield.Balancer.Availability;
-import saltfield.Balancer.Entry;
 
 public class ServerListTest {
     private final VirtualTime time = new VirtualTime();
--- a/lab/src/main/java/dewplank/lab/Auditor.java
+++ b/lab/src/main/java/dewplank/lab/Auditor.java
@@ -1,5 +1,7 @@
 package dewplank.lab;
 
+import dewplank.balancer.Balancer.Effect;
+import dewplank.balancer.Balancer.Scope;
 import dewplank.emulator.Note;
 import dewplank.emulator.Note.What;
 import dewplank.emulator.Scenario;
@@ -12,8 +14,6 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.stream.Collectors;
-import saltfield.Balancer.Effect;
-import saltfield.Balancer.Scope;
 
 /**
  * Checks the four rules from what clients, servers and the directory recorded. It knows nothing of the decision module
--- a/lab/src/main/java/dewplank/lab/Experiment.java
+++ b/lab/src/main/java/dewplank/lab/Experiment.java
@@ -1,11 +1,11 @@
 package dewplank.lab;
 
-import dewplank.config.BadInput;
 import dewplank.emulator.Scenario;
 import dewplank.emulator.ScenarioFile;
 import dewplank.emulator.TomlFile;
 import dewplank.emulator.TomlFile.Table;
 import dewplank.lab.policies.Policies;
+import dewplank.settings.BadInput;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
--- a/lab/src/main/java/dewplank/lab/Result.java
+++ b/lab/src/main/java/dewplank/lab/Result.java
@@ -1,6 +1,6 @@
 package dewplank.lab;
 
-import dewplank.config.BadInput;
+import dewplank.settings.BadInput;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
--- a/lab/src/main/java/dewplank/lab/Runner.java
+++ b/lab/src/main/java/dewplank/lab/Runner.java
@@ -1,7 +1,7 @@
 package dewplank.lab;
 
-import dewplank.config.BadInput;
 import dewplank.lab.Experiment.Job;
+import dewplank.settings.BadInput;
 import java.io.IOException;
 import java.io.Writer;
 import java.nio.file.Files;
--- a/lab/src/main/java/dewplank/lab/bench/DecisionBench.java
+++ b/lab/src/main/java/dewplank/lab/bench/DecisionBench.java
@@ -1,5 +1,8 @@
 package dewplank.lab.bench;
 
+import dewplank.balancer.Balancer;
+import dewplank.balancer.Balancer.*;
+import dewplank.balancer.Choice;
 import dewplank.emulator.Scenario;
 import dewplank.emulator.ScenarioFile;
 import java.util.ArrayDeque;
@@ -25,9 +28,6 @@
 import org.openjdk.jmh.runner.options.Options;
 import org.openjdk.jmh.runner.options.OptionsBuilder;
 import org.openjdk.jmh.runner.options.TimeValue;
-import saltfield.Balancer;
-import saltfield.Balancer.*;
-import saltfield.Choice;
 
 /**
  * What the decision module costs, without sockets and without a world: one request from its arrival to its served end, with
--- a/lab/src/main/java/dewplank/lab/load/LoadPlan.java
+++ b/lab/src/main/java/dewplank/lab/load/LoadPlan.java
@@ -1,6 +1,6 @@
 package dewplank.lab.load;
 
-import dewplank.config.BadInput;
+import dewplank.settings.BadInput;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
--- a/lab/src/main/java/dewplank/lab/policies/Policies.java
+++ b/lab/src/main/java/dewplank/lab/policies/Policies.java
@@ -1,9 +1,13 @@
 package dewplank.lab.policies;
 
-import dewplank.config.BadInput;
+import dewplank.balancer.Balancer.Outcome;
+import dewplank.balancer.Balancer.RequestClass;
+import dewplank.balancer.Balancer.Settings;
+import dewplank.balancer.Choice;
 import dewplank.emulator.Server;
 import dewplank.emulator.World;
 import dewplank.emulator.virtualtime.VirtualRun.Policy;
+import dewplank.settings.BadInput;
 import java.util.ArrayDeque;
 import java.util.Collections;
 import java.util.HashMap;
@@ -12,10 +16,6 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.WeakHashMap;
-import saltfield.Balancer.Outcome;
-import saltfield.Balancer.RequestClass;
-import saltfield.Balancer.Settings;
-import saltfield.Choice;
 
 /** The policies by name. */
 public final class Policies {
--- a/lab/src/main/java/dewplank/lab/policies/Textbook.java
+++ b/lab/src/main/java/dewplank/lab/policies/Textbook.java
@@ -1,5 +1,6 @@
 package dewplank.lab.policies;
 
+import dewplank.balancer.Balancer;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -9,7 +10,6 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import saltfield.Balancer;
 
 /**
  * What all textbook policies share: the list of servers, retries as the rules allow, slow start for cold servers. The
--- a/lab/src/test/java/dewplank/lab/Broken.java
+++ b/lab/src/test/java/dewplank/lab/Broken.java
@@ -1,5 +1,6 @@
 package dewplank.lab;
 
+import dewplank.balancer.Balancer;
 import dewplank.emulator.Note.What;
 import dewplank.emulator.Try;
 import dewplank.emulator.virtualtime.EmulatedSidecar;
@@ -10,7 +11,6 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import saltfield.Balancer;
 
 /** Balancers and sidecars that each break one rule on purpose. */
 final class Broken {
--- a/lab/src/test/java/dewplank/lab/BuoysTest.java
+++ b/lab/src/test/java/dewplank/lab/BuoysTest.java
@@ -3,6 +3,7 @@
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
 
+import dewplank.balancer.Summary;
 import dewplank.emulator.Scenario;
 import dewplank.emulator.ScenarioFile;
 import dewplank.emulator.World;
@@ -13,7 +14,6 @@
 import java.util.function.ToDoubleFunction;
 import java.util.stream.IntStream;
 import org.junit.Test;
-import saltfield.Summary;
 
 /** The hard cases of a fleet as the buoys' operators have: each by name, several seeds, the auditor on all of them. */
 public class BuoysTest {
--- a/lab/src/test/java/dewplank/lab/RunnerTest.java
+++ b/lab/src/test/java/dewplank/lab/RunnerTest.java
@@ -5,9 +5,9 @@
 import static org.junit.Assert.assertThrows;
 import static org.junit.Assert.assertTrue;
 
-import dewplank.config.BadInput;
 import dewplank.emulator.ScenarioFile;
 import dewplank.emulator.TomlFile;
+import dewplank.settings.BadInput;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
--- a/lab/src/test/java/dewplank/lab/load/LoadRunTest.java
+++ b/lab/src/test/java/dewplank/lab/load/LoadRunTest.java
@@ -6,7 +6,6 @@
 
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
-import dewplank.config.BadInput;
 import dewplank.emulator.Draws;
 import dewplank.emulator.Scenario.Distribution;
 import dewplank.emulator.loopback.HttpEnd;
@@ -16,6 +15,7 @@
 import dewplank.lab.load.Arrivals.Shape;
 import dewplank.net.EventLoop;
 import dewplank.net.Listener;
+import dewplank.settings.BadInput;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
--- a/messages/src/main/java/dewplank/message/FleetMessages.java
+++ b/messages/src/main/java/dewplank/message/FleetMessages.java
@@ -1,8 +1,8 @@
 package dewplank.message;
 
-import dewplank.duty.VoteReply;
-import dewplank.duty.VoteRequest;
 import dewplank.register.RegisterMessages;
+import dewplank.singleton.VoteReply;
+import dewplank.singleton.VoteRequest;
 import java.util.ArrayList;
 import java.util.List;
 
--- a/messages/src/test/java/dewplank/message/MessageCodecTest.java
+++ b/messages/src/test/java/dewplank/message/MessageCodecTest.java
@@ -9,8 +9,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static org.junit.jupiter.api.Assertions.fail;
 
-import dewplank.duty.VoteReply;
-import dewplank.duty.VoteRequest;
 import dewplank.membership.Member;
 import dewplank.register.Acceptor;
 import dewplank.register.AcceptorSet;
@@ -19,6 +17,8 @@
 import dewplank.register.RegisterMessages;
 import dewplank.register.RegisterValue;
 import dewplank.register.Report;
+import dewplank.singleton.VoteReply;
+import dewplank.singleton.VoteRequest;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.Arrays;
--- a/fleet/src/main/java/dewplank/routing/ServerChoice.java
+++ b/routing/src/main/java/dewplank/routing/ServerChoice.java
@@ -1,12 +1,12 @@
 package dewplank.routing;
 
+import dewplank.balancer.WeightedDraw;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.IntSupplier;
 import java.util.function.Predicate;
 import java.util.function.ToDoubleFunction;
 import java.util.random.RandomGenerator;
-import saltfield.WeightedDraw;
 
 /**
  * The pick: two weighted draws among the ready servers that are free of an unhealthy verdict, and of the two the one
--- a/fleet/src/main/java/dewplank/routing/ServerOutcomes.java
+++ b/routing/src/main/java/dewplank/routing/ServerOutcomes.java
@@ -1,9 +1,9 @@
 package dewplank.routing;
 
+import dewplank.balancer.ServerHealth;
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.Map;
-import saltfield.ServerHealth;
 
 /**
  * What this data plane has observed of one server, as it judges by it and as it tells its peers. The tests are those of
--- a/fleet/src/test/java/dewplank/routing/ServerOutcomesTest.java
+++ b/routing/src/test/java/dewplank/routing/ServerOutcomesTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import dewplank.balancer.ServerHealth;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import saltfield.ServerHealth;
 
 class ServerOutcomesTest {
     /** With the design's number of failures the verdict is the decision module's own, on any course of outcomes. */
--- a/shared/src/main/java/dewplank/config/Addresses.java
+++ b/settings/src/main/java/dewplank/settings/Addresses.java
@@ -1,4 +1,4 @@
-package dewplank.config;
+package dewplank.settings;
 
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
--- a/shared/src/main/java/dewplank/config/BadInput.java
+++ b/settings/src/main/java/dewplank/settings/BadInput.java
@@ -1,4 +1,4 @@
-package dewplank.config;
+package dewplank.settings;
 
 /** Input or configuration that cannot be used. The message is for the person who reads standard error. */
 public final class BadInput extends RuntimeException {
--- a/shared/src/main/java/dewplank/config/Fields.java
+++ b/settings/src/main/java/dewplank/settings/Fields.java
@@ -1,4 +1,4 @@
-package dewplank.config;
+package dewplank.settings;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
--- a/shared/src/main/java/dewplank/config/Json.java
+++ b/settings/src/main/java/dewplank/settings/Json.java
@@ -1,4 +1,4 @@
-package dewplank.config;
+package dewplank.settings;
 
 import com.google.gson.Strictness;
 import com.google.gson.stream.JsonReader;
--- a/shared/src/main/java/dewplank/config/NodeSettings.java
+++ b/settings/src/main/java/dewplank/settings/NodeSettings.java
@@ -1,4 +1,4 @@
-package dewplank.config;
+package dewplank.settings;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/shared/src/main/java/dewplank/config/ResultCode.java
+++ b/settings/src/main/java/dewplank/settings/ResultCode.java
@@ -1,4 +1,4 @@
-package dewplank.config;
+package dewplank.settings;
 
 /**
  * Numbered results that operators see: of calls to the operators' interface (with the HTTP status they come with), of a
--- a/shared/src/test/java/dewplank/config/FileWatchTest.java
+++ b/settings/src/test/java/dewplank/settings/FileWatchTest.java
@@ -1,4 +1,4 @@
-package dewplank.config;
+package dewplank.settings;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertFalse;
--- a/shared/src/test/java/dewplank/config/ResultCodeTest.java
+++ b/settings/src/test/java/dewplank/settings/ResultCodeTest.java
@@ -1,4 +1,4 @@
-package dewplank.config;
+package dewplank.settings;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/sidecar/src/main/java/dewplank/discovery/Discovery.java
+++ b/sidecar/src/main/java/dewplank/discovery/Discovery.java
@@ -1,8 +1,11 @@
 package dewplank.discovery;
 
-import dewplank.config.Fields;
-import dewplank.config.Json;
+import dewplank.balancer.Balancer.Availability;
+import dewplank.balancer.Balancer.ListForm;
+import dewplank.balancer.Balancer.ListNews;
 import dewplank.net.EventLoop;
+import dewplank.settings.Fields;
+import dewplank.settings.Json;
 import java.net.InetSocketAddress;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -10,9 +13,6 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import saltfield.Balancer.Availability;
-import saltfield.Balancer.ListForm;
-import saltfield.Balancer.ListNews;
 
 /**
  * This sidecar's copy of discovery: the version it holds, where each server listens, and the watch that
--- a/sidecar/src/main/java/dewplank/discovery/Listing.java
+++ b/sidecar/src/main/java/dewplank/discovery/Listing.java
@@ -1,12 +1,12 @@
 package dewplank.discovery;
 
-import dewplank.config.Addresses;
-import dewplank.config.Fields;
+import dewplank.balancer.Balancer.Availability;
+import dewplank.balancer.Balancer.Entry;
+import dewplank.settings.Addresses;
+import dewplank.settings.Fields;
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.Map;
-import saltfield.Balancer.Availability;
-import saltfield.Balancer.Entry;
 
 /** A list of servers, or the changes to one, in discovery's form. */
 public record Listing(long version, boolean full, List<Member> members) {
--- a/sidecar/src/main/java/dewplank/discovery/Watch.java
+++ b/sidecar/src/main/java/dewplank/discovery/Watch.java
@@ -1,12 +1,12 @@
 package dewplank.discovery;
 
-import dewplank.config.BadInput;
 import dewplank.http.BadMessageException;
 import dewplank.http.MessageWriter;
 import dewplank.http.ResponseParser;
 import dewplank.net.Connection;
 import dewplank.net.EventLoop;
 import dewplank.net.Wheel;
+import dewplank.settings.BadInput;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/sidecar/src/main/java/dewplank/peers/Peers.java
+++ b/sidecar/src/main/java/dewplank/peers/Peers.java
@@ -1,8 +1,8 @@
 package dewplank.peers;
 
-import dewplank.config.BadInput;
-import dewplank.config.PeerAddresses;
 import dewplank.net.EventLoop;
+import dewplank.settings.BadInput;
+import dewplank.sidecar.config.PeerAddresses;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.SocketAddress;
--- a/sidecar/src/main/java/dewplank/sidecar/Attempt.java
+++ b/sidecar/src/main/java/dewplank/sidecar/Attempt.java
@@ -1,5 +1,6 @@
 package dewplank.sidecar;
 
+import dewplank.balancer.Balancer.Outcome;
 import dewplank.exchange.ConnectionPool;
 import dewplank.http.BadMessageException;
 import dewplank.http.Headers;
@@ -13,7 +14,6 @@
 import java.nio.ByteBuffer;
 import java.util.List;
 import java.util.function.BooleanSupplier;
-import saltfield.Balancer.Outcome;
 
 /** One exchange with a server: a connection, a request, an answer. It ends exactly once, with an outcome. */
 final class Attempt implements Connection.Handler {
--- a/sidecar/src/main/java/dewplank/sidecar/ClientConnection.java
+++ b/sidecar/src/main/java/dewplank/sidecar/ClientConnection.java
@@ -1,5 +1,6 @@
 package dewplank.sidecar;
 
+import dewplank.balancer.Balancer.Effect;
 import dewplank.http.BadMessageException;
 import dewplank.http.Headers;
 import dewplank.http.MessageWriter;
@@ -12,7 +13,6 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.regex.Pattern;
-import saltfield.Balancer.Effect;
 
 /** A client's HTTP connection: requests in, one at a time, and their final answers out. */
 final class ClientConnection implements Listener.Accepted, ClientRequest.Answerer {
--- a/sidecar/src/main/java/dewplank/sidecar/Host.java
+++ b/sidecar/src/main/java/dewplank/sidecar/Host.java
@@ -1,12 +1,15 @@
 package dewplank.sidecar;
 
-import dewplank.config.SidecarConfig;
+import dewplank.balancer.Balancer;
+import dewplank.balancer.Balancer.*;
+import dewplank.balancer.Summary;
 import dewplank.discovery.Discovery;
 import dewplank.discovery.Listing;
 import dewplank.exchange.ConnectionPool;
 import dewplank.http.MessageWriter;
 import dewplank.net.EventLoop;
 import dewplank.peers.Peers;
+import dewplank.sidecar.config.SidecarConfig;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -19,9 +22,6 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Collectors;
-import saltfield.Balancer;
-import saltfield.Balancer.*;
-import saltfield.Summary;
 
 /**
  * The module's host on sockets: what happens there goes in as events, and the actions that come out are carried
--- a/sidecar/src/main/java/dewplank/sidecar/Rehearsal.java
+++ b/sidecar/src/main/java/dewplank/sidecar/Rehearsal.java
@@ -1,5 +1,8 @@
 package dewplank.sidecar;
 
+import dewplank.balancer.Balancer;
+import dewplank.balancer.Balancer.*;
+import dewplank.balancer.Choice;
 import dewplank.exchange.ConnectionPool;
 import dewplank.http.MessageWriter;
 import dewplank.net.EventLoop;
@@ -9,9 +12,6 @@
 import java.util.Queue;
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
-import saltfield.Balancer;
-import saltfield.Balancer.*;
-import saltfield.Choice;
 
 /**
  * Runs the code of the common path before clients come. Guards against the first seconds after a start, in which
--- a/sidecar/src/main/java/dewplank/sidecar/Sidecar.java
+++ b/sidecar/src/main/java/dewplank/sidecar/Sidecar.java
@@ -1,9 +1,11 @@
 package dewplank.sidecar;
 
-import dewplank.config.BadInput;
-import dewplank.config.SidecarConfig;
+import dewplank.balancer.Balancer;
+import dewplank.balancer.Choice;
 import dewplank.net.EventLoop;
 import dewplank.net.Listener;
+import dewplank.settings.BadInput;
+import dewplank.sidecar.config.SidecarConfig;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.SocketAddress;
@@ -14,8 +16,6 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import saltfield.Balancer;
-import saltfield.Choice;
 
 /** One real sidecar: its listener, its clients and its host, from start to planned end. */
 public final class Sidecar {
--- a/sidecar/src/main/java/dewplank/config/Params.java
+++ b/sidecar/src/main/java/dewplank/sidecar/config/Params.java
@@ -1,15 +1,16 @@
-package dewplank.config;
+package dewplank.sidecar.config;
 
+import dewplank.balancer.Balancer.Effect;
+import dewplank.balancer.Balancer.Goal;
+import dewplank.balancer.Balancer.Limits;
+import dewplank.balancer.Balancer.Prices;
+import dewplank.balancer.Balancer.RequestClass;
+import dewplank.balancer.Balancer.Safety;
+import dewplank.balancer.Balancer.Scope;
+import dewplank.balancer.Balancer.Settings;
+import dewplank.balancer.Balancer.Tenant;
+import dewplank.settings.Fields;
 import java.util.Map;
-import saltfield.Balancer.Effect;
-import saltfield.Balancer.Goal;
-import saltfield.Balancer.Limits;
-import saltfield.Balancer.Prices;
-import saltfield.Balancer.RequestClass;
-import saltfield.Balancer.Safety;
-import saltfield.Balancer.Scope;
-import saltfield.Balancer.Settings;
-import saltfield.Balancer.Tenant;
 
 /**
  * The module's settings, read alike for the real sidecar and for the simulator. Unknown keys are skipped; a key
--- a/sidecar/src/main/java/dewplank/config/PeerAddresses.java
+++ b/sidecar/src/main/java/dewplank/sidecar/config/PeerAddresses.java
@@ -1,5 +1,7 @@
-package dewplank.config;
+package dewplank.sidecar.config;
 
+import dewplank.settings.Addresses;
+import dewplank.settings.Fields;
 import java.net.InetSocketAddress;
 import java.util.LinkedHashSet;
 import java.util.List;
--- a/sidecar/src/main/java/dewplank/config/SidecarConfig.java
+++ b/sidecar/src/main/java/dewplank/sidecar/config/SidecarConfig.java
@@ -1,5 +1,10 @@
-package dewplank.config;
+package dewplank.sidecar.config;
 
+import dewplank.balancer.Balancer.Settings;
+import dewplank.settings.Addresses;
+import dewplank.settings.BadInput;
+import dewplank.settings.Fields;
+import dewplank.settings.Json;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetSocketAddress;
@@ -10,7 +15,6 @@
 import java.nio.file.Path;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import saltfield.Balancer.Settings;
 
 /**
  * What one real sidecar is told: the one place where its configuration is read, checked and given defaults.
--- a/sidecar/src/main/java/saltfield/adapter/Message.java
+++ b/sidecar/src/main/java/dewplank/simhost/Message.java
@@ -1,7 +1,7 @@
-package saltfield.adapter;
+package dewplank.simhost;
 
-import dewplank.config.BadInput;
-import dewplank.config.Json;
+import dewplank.settings.BadInput;
+import dewplank.settings.Json;
 import java.util.List;
 import java.util.Map;
 
--- a/sidecar/src/main/java/saltfield/adapter/Wire.java
+++ b/sidecar/src/main/java/dewplank/simhost/Wire.java
@@ -1,9 +1,12 @@
-package saltfield.adapter;
+package dewplank.simhost;
 
 import com.google.gson.stream.JsonWriter;
-import dewplank.config.BadInput;
-import dewplank.config.Fields;
-import dewplank.config.Params;
+import dewplank.balancer.Balancer;
+import dewplank.balancer.Balancer.*;
+import dewplank.balancer.Choice;
+import dewplank.settings.BadInput;
+import dewplank.settings.Fields;
+import dewplank.sidecar.config.Params;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.Reader;
@@ -15,9 +18,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import saltfield.Balancer;
-import saltfield.Balancer.*;
-import saltfield.Choice;
 
 /** The process loop and the codec: lines in, events to the instance they name, its actions out as lines. */
 public final class Wire {
--- a/sidecar/src/test/java/dewplank/peers/PeersTest.java
+++ b/sidecar/src/test/java/dewplank/peers/PeersTest.java
@@ -6,9 +6,9 @@
 import static org.junit.Assert.assertThrows;
 import static org.junit.Assert.assertTrue;
 
-import dewplank.config.BadInput;
-import dewplank.config.PeerAddresses;
 import dewplank.net.EventLoop;
+import dewplank.settings.BadInput;
+import dewplank.sidecar.config.PeerAddresses;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
 import java.net.InetAddress;
--- a/sidecar/src/test/java/dewplank/sidecar/DiscoveryTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/DiscoveryTest.java
@@ -5,11 +5,16 @@
 import static org.junit.Assert.assertThrows;
 import static org.junit.Assert.assertTrue;
 
-import dewplank.config.Fields;
-import dewplank.config.Json;
+import dewplank.balancer.Balancer;
+import dewplank.balancer.Balancer.Action;
+import dewplank.balancer.Balancer.ListForm;
+import dewplank.balancer.Balancer.ListNews;
+import dewplank.balancer.Balancer.Subscribe;
 import dewplank.discovery.Discovery;
 import dewplank.discovery.Listing;
 import dewplank.net.EventLoop;
+import dewplank.settings.Fields;
+import dewplank.settings.Json;
 import dewplank.sidecar.Loopback.Client;
 import dewplank.sidecar.Loopback.Exchange;
 import dewplank.sidecar.Loopback.Peer;
@@ -21,11 +26,6 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.UnaryOperator;
 import org.junit.Test;
-import saltfield.Balancer;
-import saltfield.Balancer.Action;
-import saltfield.Balancer.ListForm;
-import saltfield.Balancer.ListNews;
-import saltfield.Balancer.Subscribe;
 
 /** What discovery says, late, twice, in pieces, and from two places at once. */
 public class DiscoveryTest {
--- a/sidecar/src/test/java/dewplank/sidecar/EndingTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/EndingTest.java
@@ -5,6 +5,7 @@
 import static org.junit.Assert.assertThrows;
 import static org.junit.Assert.assertTrue;
 
+import dewplank.balancer.Balancer.Outcome;
 import dewplank.exchange.ConnectionPool;
 import dewplank.net.EventLoop;
 import dewplank.sidecar.Loopback.Client;
@@ -19,7 +20,6 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 import org.junit.Test;
-import saltfield.Balancer.Outcome;
 
 /** Requests that meet their connection's end, and attempts on which two endings meet: each order is brought about. */
 public class EndingTest {
--- a/sidecar/src/test/java/dewplank/sidecar/Gate.java
+++ b/sidecar/src/test/java/dewplank/sidecar/Gate.java
@@ -1,5 +1,7 @@
 package dewplank.sidecar;
 
+import dewplank.balancer.Balancer;
+import dewplank.balancer.Balancer.Event;
 import dewplank.exchange.ConnectionPool;
 import java.io.IOException;
 import java.util.concurrent.CountDownLatch;
@@ -7,8 +9,6 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
 import java.util.function.UnaryOperator;
-import saltfield.Balancer;
-import saltfield.Balancer.Event;
 
 /** Round the module: a test passes it once the module has handled an event of some kind. */
 final class Gate implements UnaryOperator<Balancer> {
--- a/sidecar/src/test/java/dewplank/sidecar/LeavingTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/LeavingTest.java
@@ -3,6 +3,9 @@
 import static org.junit.Assert.assertNull;
 import static org.junit.Assert.assertTrue;
 
+import dewplank.balancer.Balancer;
+import dewplank.balancer.Balancer.Abandoned;
+import dewplank.balancer.Balancer.Ended;
 import dewplank.sidecar.Loopback.Client;
 import dewplank.sidecar.Loopback.Exchange;
 import dewplank.sidecar.Loopback.Peer;
@@ -13,9 +16,6 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.UnaryOperator;
 import org.junit.Test;
-import saltfield.Balancer;
-import saltfield.Balancer.Abandoned;
-import saltfield.Balancer.Ended;
 
 /** A client that leaves, and connections that end while something comes on them. */
 public class LeavingTest {
--- a/sidecar/src/test/java/dewplank/sidecar/Loopback.java
+++ b/sidecar/src/test/java/dewplank/sidecar/Loopback.java
@@ -2,10 +2,13 @@
 
 import static org.junit.Assert.assertNotNull;
 
-import dewplank.config.Fields;
-import dewplank.config.Json;
-import dewplank.config.Params;
-import dewplank.config.SidecarConfig;
+import dewplank.balancer.Balancer;
+import dewplank.balancer.Balancer.Settings;
+import dewplank.balancer.Choice;
+import dewplank.settings.Fields;
+import dewplank.settings.Json;
+import dewplank.sidecar.config.Params;
+import dewplank.sidecar.config.SidecarConfig;
 import java.io.Closeable;
 import java.io.IOException;
 import java.io.InputStream;
@@ -23,9 +26,6 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.UnaryOperator;
-import saltfield.Balancer;
-import saltfield.Balancer.Settings;
-import saltfield.Choice;
 
 /** A sidecar between scripted peers, all on loopback. A test waits for what comes, never for a time to pass. */
 final class Loopback implements Closeable {
--- a/sidecar/src/test/java/dewplank/sidecar/SendingTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/SendingTest.java
@@ -6,6 +6,10 @@
 import static org.junit.Assert.assertSame;
 import static org.junit.Assert.assertTrue;
 
+import dewplank.balancer.Balancer.Abandoned;
+import dewplank.balancer.Balancer.Ended;
+import dewplank.balancer.Balancer.ListNews;
+import dewplank.balancer.Balancer.Outcome;
 import dewplank.exchange.ConnectionPool;
 import dewplank.net.Connection;
 import dewplank.net.EventLoop;
@@ -24,10 +28,6 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.UnaryOperator;
 import org.junit.Test;
-import saltfield.Balancer.Abandoned;
-import saltfield.Balancer.Ended;
-import saltfield.Balancer.ListNews;
-import saltfield.Balancer.Outcome;
 
 /** What may change between the decision to send and the writing: each crossing in the order that does harm. */
 public class SendingTest {
--- a/sidecar/src/test/java/dewplank/sidecar/SidecarTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/SidecarTest.java
@@ -6,6 +6,14 @@
 import static org.junit.Assert.assertSame;
 import static org.junit.Assert.assertTrue;
 
+import dewplank.balancer.Balancer;
+import dewplank.balancer.Balancer.Arrived;
+import dewplank.balancer.Balancer.Ended;
+import dewplank.balancer.Balancer.ListForm;
+import dewplank.balancer.Balancer.ListNews;
+import dewplank.balancer.Balancer.Outcome;
+import dewplank.balancer.Balancer.Refuse;
+import dewplank.balancer.Balancer.Send;
 import dewplank.sidecar.Loopback.Client;
 import dewplank.sidecar.Loopback.Exchange;
 import java.io.IOException;
@@ -16,14 +24,6 @@
 import java.util.concurrent.FutureTask;
 import java.util.function.UnaryOperator;
 import org.junit.Test;
-import saltfield.Balancer;
-import saltfield.Balancer.Arrived;
-import saltfield.Balancer.Ended;
-import saltfield.Balancer.ListForm;
-import saltfield.Balancer.ListNews;
-import saltfield.Balancer.Outcome;
-import saltfield.Balancer.Refuse;
-import saltfield.Balancer.Send;
 
 /** Stories of the sidecar between scripted peers. */
 public class SidecarTest {
--- a/sidecar/src/test/java/dewplank/sidecar/SubjectTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/SubjectTest.java
@@ -4,12 +4,12 @@
 import static org.junit.Assert.assertNull;
 import static org.junit.Assert.assertTrue;
 
+import dewplank.balancer.Balancer.Arrived;
 import dewplank.sidecar.Loopback.Client;
 import dewplank.sidecar.Loopback.Exchange;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import org.junit.Test;
-import saltfield.Balancer.Arrived;
 
 /** Found at Sado: on sockets the module was told neither the tenant nor the key, both null. */
 public class SubjectTest {
--- a/sidecar/src/test/java/dewplank/config/SidecarConfigTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/config/SidecarConfigTest.java
@@ -1,8 +1,11 @@
-package dewplank.config;
+package dewplank.sidecar.config;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertThrows;
 
+import dewplank.settings.BadInput;
+import dewplank.settings.Fields;
+import dewplank.settings.Json;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/sidecar/src/test/java/saltfield/adapter/WireTest.java
+++ b/sidecar/src/test/java/dewplank/simhost/WireTest.java
@@ -1,10 +1,10 @@
-package saltfield.adapter;
+package dewplank.simhost;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dewplank.config.BadInput;
+import dewplank.settings.BadInput;
 import java.io.IOException;
 import java.io.StringReader;
 import java.io.StringWriter;
--- a/simulation/src/test/java/dewplank/controlplane/ControlProcess.java
+++ b/simulation/src/test/java/dewplank/controlplane/ControlProcess.java
@@ -1,6 +1,5 @@
 package dewplank.controlplane;
 
-import dewplank.config.NodeSettings;
 import dewplank.configuration.Configuration;
 import dewplank.exchange.InboundConnection;
 import dewplank.exchange.Responder;
@@ -13,6 +12,7 @@
 import dewplank.net.ServerEndpoint;
 import dewplank.register.AcceptorSet;
 import dewplank.routing.Policy;
+import dewplank.settings.NodeSettings;
 import dewplank.store.DiskExecutor;
 import dewplank.store.StoreException;
 import dewplank.store.StoreFiles;
--- a/simulation/src/test/java/dewplank/simulation/ControlMachine.java
+++ b/simulation/src/test/java/dewplank/simulation/ControlMachine.java
@@ -1,11 +1,11 @@
 package dewplank.simulation;
 
-import dewplank.config.NodeSettings;
 import dewplank.controlplane.ControlProcess;
 import dewplank.message.FleetMessages;
 import dewplank.message.MessageTransport;
 import dewplank.message.ServerEntry;
 import dewplank.net.Scheduler;
+import dewplank.settings.NodeSettings;
 import dewplank.store.DiskExecutor;
 import dewplank.store.StoreException;
 import dewplank.store.StoreFiles;
