--- /dev/null
+++ b/messages/src/test/java/dewplank/message/GoldenFramesTest.java
@@ -0,0 +1,477 @@
+package dewplank.message;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertInstanceOf;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import dewplank.duty.VoteReply;
+import dewplank.duty.VoteRequest;
+import dewplank.membership.Member;
+import dewplank.membership.SessionTable;
+import dewplank.register.Accept;
+import dewplank.register.Accepted;
+import dewplank.register.Acceptor;
+import dewplank.register.AcceptorSet;
+import dewplank.register.Ballot;
+import dewplank.register.Chosen;
+import dewplank.register.Prepare;
+import dewplank.register.Promise;
+import dewplank.register.Query;
+import dewplank.register.Refuse;
+import dewplank.register.RegisterMessage;
+import dewplank.register.RegisterValue;
+import dewplank.register.Report;
+import java.io.IOException;
+import java.io.InputStream;
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.HexFormat;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+
+/**
+ * Frames as an earlier release sent them: each message is encoded to the same bytes, and the bytes are read field by
+ * field. A type goes by its label and its number, so that a class may get another name.
+ */
+class GoldenFramesTest {
+    private static final String RESOURCE = "/golden/frames.txt";
+
+    private static final long MEMBERS_DIGEST = -7046029255861517805L;
+    private static final long MEMBERS_DIGEST_OF_TWO = 6216105177043112590L;
+    private static final String DEFLATED = "7801ab564acecf4bcb4c8f2f4b2d2acecccf53b232adadc622060038df0f0d";
+
+    /** The message types in the order of their numbers. */
+    private static final List<String> TYPES = List.of(
+            "control-hello",
+            "session-open",
+            "session-heartbeat",
+            "heartbeat-ack",
+            "update",
+            "control-heartbeat",
+            "endpoint-list",
+            "vote-request",
+            "vote-reply",
+            "prepare",
+            "promise",
+            "accept",
+            "accepted",
+            "reject",
+            "status-query",
+            "status-report",
+            "chosen");
+
+    private final MessageCodec codec = FleetMessages.codec();
+    private final Map<String, byte[]> frames = frames();
+
+    /** Each line holds a label, the type's number and the frame in hexadecimal digits, apart by tabs. */
+    private static Map<String, byte[]> frames() {
+        Map<String, byte[]> frames = new LinkedHashMap<>();
+        for (String line : lines()) {
+            String[] columns = line.split("\t");
+            byte[] frame = HexFormat.of().parseHex(columns[2]);
+            assertEquals(Integer.parseInt(columns[1]), frame[Integer.BYTES], columns[0]);
+            frames.put(columns[0], frame);
+        }
+        return frames;
+    }
+
+    private static List<String> lines() {
+        try (InputStream in = GoldenFramesTest.class.getResourceAsStream(RESOURCE)) {
+            return new String(in.readAllBytes(), StandardCharsets.US_ASCII)
+                    .lines()
+                    .toList();
+        } catch (IOException e) {
+            throw new IllegalStateException(e);
+        }
+    }
+
+    private <T> T decoded(String label, Class<T> type) throws BadFrameException {
+        ByteBuffer bytes = ByteBuffer.wrap(frames.get(label));
+        Object message = codec.reader().next(bytes);
+        assertFalse(bytes.hasRemaining(), label);
+        return assertInstanceOf(type, message, label);
+    }
+
+    // ---- all types ------------------------------------------------------------------------------------
+
+    @Test
+    void eachMessageIsEncodedToTheSameBytes() {
+        Map<String, Object> messages = GoldenMessages.byLabel();
+        assertEquals(new ArrayList<>(frames.keySet()), new ArrayList<>(messages.keySet()));
+        for (Map.Entry<String, Object> message : messages.entrySet()) {
+            String expected = HexFormat.of().formatHex(frames.get(message.getKey()));
+            ByteBuffer frame = codec.encode(message.getValue());
+            assertEquals(expected, HexFormat.of().formatHex(frame.array(), 0, frame.limit()), message.getKey());
+        }
+    }
+
+    @Test
+    void eachFrameIsDecodedToTheSameMessage() throws Exception {
+        for (Map.Entry<String, Object> message : GoldenMessages.byLabel().entrySet()) {
+            Object back = decoded(message.getKey(), message.getValue().getClass());
+            assertNull(Messages.difference(message.getValue(), back), message.getKey());
+        }
+    }
+
+    @Test
+    void eachTypeHasAFrameUnderItsNumber() {
+        Map<String, Integer> numbers = new LinkedHashMap<>();
+        frames.forEach((label, frame) -> numbers.put(label.split(" ")[0], (int) frame[Integer.BYTES]));
+        Map<String, Integer> expected = new LinkedHashMap<>();
+        TYPES.forEach(type -> expected.put(type, expected.size()));
+        assertEquals(expected, numbers);
+        assertEquals(TYPES.size(), Messages.kinds().size());
+    }
+
+    // ---- sessions -------------------------------------------------------------------------------------
+
+    @Test
+    void hellosOfControlPlanes() throws Exception {
+        ControlHello durable = decoded("control-hello durable", ControlHello.class);
+        assertIsControlPlane(durable.member);
+        assertEquals("founder@10.0.0.1:7600", durable.identity);
+        assertTrue(durable.durable);
+        ControlHello relay = decoded("control-hello relay", ControlHello.class);
+        assertIsControlPlane(relay.member);
+        assertEquals("b91xy", relay.identity);
+        assertFalse(relay.durable);
+    }
+
+    private static void assertIsControlPlane(Member member) {
+        assertEquals("node-1", member.node);
+        assertEquals("control", member.role);
+        assertEquals("10.0.0.1:7600", member.address);
+        assertNull(member.zone);
+        assertEquals(-5, member.incarnation);
+    }
+
+    private static void assertIsDataPlane(Member member) {
+        assertEquals("node-4", member.node);
+        assertEquals("data", member.role);
+        assertEquals("10.0.0.4:7601", member.address);
+        assertEquals("zone-b", member.zone);
+        assertEquals(1_700_000_000_123L, member.incarnation);
+    }
+
+    @Test
+    void sessionsOfDataPlanes() throws Exception {
+        assertIsDataPlane(decoded("session-open", SessionOpen.class).member);
+        SessionQuestion heartbeat = decoded("session-heartbeat", SessionQuestion.class);
+        assertEquals(17, heartbeat.sequence);
+        assertEquals(200, heartbeat.configurationVersion);
+        assertEquals(9, heartbeat.listVersion.fencingNumber);
+        assertEquals(130, heartbeat.listVersion.revision);
+        assertEquals(-2, heartbeat.membersDigest);
+        SessionQuestion emptyHanded = decoded("session-heartbeat empty-handed", SessionQuestion.class);
+        assertEquals(1, emptyHanded.sequence);
+        assertEquals(0, emptyHanded.configurationVersion);
+        assertEquals(0, emptyHanded.listVersion.fencingNumber);
+        assertEquals(0, emptyHanded.listVersion.revision);
+        assertEquals(0, emptyHanded.membersDigest);
+        SessionAnswer quorate = decoded("heartbeat-ack quorate", SessionAnswer.class);
+        assertEquals(17, quorate.sequence);
+        assertTrue(quorate.quorate);
+        assertEquals(List.of("10.0.0.1:7600", "10.0.0.2:7600"), quorate.controlAddresses);
+        SessionAnswer alone = decoded("heartbeat-ack alone", SessionAnswer.class);
+        assertEquals(18, alone.sequence);
+        assertFalse(alone.quorate);
+        assertEquals(List.of(), alone.controlAddresses);
+    }
+
+    /** Both ends of a session work it out by themselves. */
+    @Test
+    void theDigestOfMembers() {
+        assertEquals(MEMBERS_DIGEST, SessionTable.digest(List.of(GoldenMessages.DATA_PLANE)));
+        assertEquals(
+                MEMBERS_DIGEST_OF_TWO,
+                SessionTable.digest(List.of(GoldenMessages.DATA_PLANE, GoldenMessages.CONTROL_PLANE)));
+    }
+
+    // ---- updates --------------------------------------------------------------------------------------
+
+    @Test
+    void updatesOfDataPlanes() throws Exception {
+        Update whole = decoded("update whole", Update.class);
+        assertArrayEquals(new byte[] {120, 1, -1}, whole.configuration);
+        assertEquals(200, whole.configurationVersion);
+        assertEquals(0, whole.baseVersion);
+        assertAreThreeKinds(whole.servers);
+        assertEquals(2, whole.members.size());
+        assertIsDataPlane(whole.members.get(0));
+        assertIsControlPlane(whole.members.get(1));
+        Update delta = decoded("update delta", Update.class);
+        assertArrayEquals(new byte[] {120, 1, 0, 5}, delta.configuration);
+        assertEquals(201, delta.configurationVersion);
+        assertEquals(200, delta.baseVersion);
+        assertNull(delta.servers);
+        assertNull(delta.members);
+        Update endpoints = decoded("update endpoints-only", Update.class);
+        assertNull(endpoints.configuration);
+        assertEquals(0, endpoints.configurationVersion);
+        assertEquals(10, endpoints.servers.version.fencingNumber);
+        assertEquals(1, endpoints.servers.version.revision);
+        assertEquals(List.of(), endpoints.servers.servers);
+        assertNull(endpoints.members);
+        Update members = decoded("update members-only", Update.class);
+        assertNull(members.configuration);
+        assertNull(members.servers);
+        assertEquals(1, members.members.size());
+        assertIsDataPlane(members.members.get(0));
+    }
+
+    @Test
+    void listsOfEndpoints() throws Exception {
+        assertAreThreeKinds(decoded("endpoint-list", ServerList.class));
+        ServerList empty = decoded("endpoint-list empty", ServerList.class);
+        assertEquals(2, empty.version.fencingNumber);
+        assertEquals(3, empty.version.revision);
+        assertEquals(List.of(), empty.servers);
+    }
+
+    private static void assertAreThreeKinds(ServerList list) {
+        assertEquals(9, list.version.fencingNumber);
+        assertEquals(130, list.version.revision);
+        assertEquals(3, list.servers.size());
+        ServerEntry plain = list.servers.get(0);
+        assertEquals("i-1", plain.instanceId);
+        assertEquals("wuno", plain.service);
+        assertEquals("10.1.0.1:8000", plain.address);
+        assertNull(plain.zone);
+        assertEquals(0, plain.slotCount);
+        assertFalse(plain.draining);
+        assertEquals(0, plain.coldRemainingMs);
+        assertNull(plain.stage);
+        ServerEntry prefill = list.servers.get(1);
+        assertEquals("i-2", prefill.instanceId);
+        assertEquals("huvo", prefill.service);
+        assertEquals("10.1.0.2:8001", prefill.address);
+        assertEquals("zone-a", prefill.zone);
+        assertEquals(64, prefill.slotCount);
+        assertTrue(prefill.draining);
+        assertEquals(1_234.5, prefill.coldRemainingMs);
+        assertEquals("prefill", prefill.stage);
+        ServerEntry changing = list.servers.get(2);
+        assertEquals("i-3", changing.instanceId);
+        assertEquals("huvo", changing.service);
+        assertEquals("10.1.0.3:8002", changing.address);
+        assertEquals("zone-b", changing.zone);
+        assertEquals(48, changing.slotCount);
+        assertFalse(changing.draining);
+        assertEquals(0.25, changing.coldRemainingMs);
+        assertEquals(ServerEntry.CHANGING, changing.stage);
+    }
+
+    @Test
+    void heartbeatsOfControlPlanes() throws Exception {
+        SessionsTold heartbeat = decoded("control-heartbeat", SessionsTold.class);
+        assertEquals(77, heartbeat.sequence);
+        assertEquals(2, heartbeat.sessions.size());
+        assertIsDataPlane(heartbeat.sessions.get(0));
+        assertIsControlPlane(heartbeat.sessions.get(1));
+        assertEquals(List.of("10.0.0.1:7600", "10.0.0.3:7600"), heartbeat.controlAddresses);
+        SessionsTold empty = decoded("control-heartbeat empty", SessionsTold.class);
+        assertEquals(78, empty.sequence);
+        assertEquals(List.of(), empty.sessions);
+        assertEquals(List.of(), empty.controlAddresses);
+    }
+
+    /** Configurations in updates are deflated with a zlib head, for the greatest speed. */
+    @Test
+    void deflatedConfigurations() throws Exception {
+        String text = "{\"config_version\":5}{\"config_version\":5}";
+        byte[] plain = text.getBytes(StandardCharsets.US_ASCII);
+        assertArrayEquals(plain, Deflated.plain(HexFormat.of().parseHex(DEFLATED)));
+        byte[] deflated = Deflated.of(plain);
+        assertEquals("7801", HexFormat.of().formatHex(deflated, 0, 2));
+        assertArrayEquals(plain, Deflated.plain(deflated));
+    }
+
+    // ---- votes ----------------------------------------------------------------------------------------
+
+    @Test
+    void requestsForVotes() throws Exception {
+        assertIsRequest(VoteRequest.Kind.PROBE, 21, "vote-request probe");
+        assertIsRequest(VoteRequest.Kind.ASK, 22, "vote-request ask");
+        assertIsRequest(VoteRequest.Kind.RENEW, 23, "vote-request renew");
+        assertIsRequest(VoteRequest.Kind.WITHDRAW, 24, "vote-request withdraw");
+        assertIsRequest(VoteRequest.Kind.RELEASE, 25, "vote-request release");
+    }
+
+    private void assertIsRequest(VoteRequest.Kind kind, long round, String label) throws BadFrameException {
+        VoteRequest request = decoded(label, VoteRequest.class);
+        assertEquals(kind, request.kind());
+        assertEquals("list", request.duty());
+        assertEquals("10.0.0.1:7600#1f", request.candidate());
+        assertEquals("3kq0z", request.voter());
+        assertEquals(round, request.round());
+        assertEquals(6, request.number());
+        assertEquals(3, request.votersVersion());
+    }
+
+    @Test
+    void repliesOfVoters() throws Exception {
+        VoteReply granted = decoded("vote-reply granted", VoteReply.class);
+        assertEquals(VoteReply.Verdict.GRANTED, granted.verdict());
+        assertIsReply(granted, "3kq0z", "10.0.0.1:7600#1f", 22, 6, "10.0.0.1:7600#1f", 3_000);
+        VoteReply refused = decoded("vote-reply refused", VoteReply.class);
+        assertEquals(VoteReply.Verdict.REFUSED, refused.verdict());
+        assertIsReply(refused, "3kq0z", "10.0.0.3:7600#2e", 31, 6, "10.0.0.1:7600#1f", 2_500);
+        VoteReply abstained = decoded("vote-reply abstained", VoteReply.class);
+        assertEquals(VoteReply.Verdict.ABSTAINED, abstained.verdict());
+        assertIsReply(abstained, "3kq0z", "c#3", 40, 0, null, 500);
+        VoteReply other = decoded("vote-reply not-the-one-asked", VoteReply.class);
+        assertEquals(VoteReply.Verdict.NOT_THE_ONE_ASKED, other.verdict());
+        assertIsReply(other, "other", "c#4", 50, 0, null, 0);
+    }
+
+    private static void assertIsReply(
+            VoteReply reply,
+            String voter,
+            String candidate,
+            long round,
+            long number,
+            String holder,
+            double remainingMs) {
+        assertEquals("list", reply.duty());
+        assertEquals(voter, reply.voter());
+        assertEquals("3kq0z", reply.asked());
+        assertEquals(candidate, reply.candidate());
+        assertEquals(round, reply.round());
+        assertEquals(number, reply.number());
+        assertEquals(holder, reply.holder());
+        assertEquals(remainingMs, reply.remainingMs());
+    }
+
+    // ---- register -------------------------------------------------------------------------------------
+
+    @Test
+    void firstPhaseOfTheRegister() throws Exception {
+        Prepare prepare = decoded("prepare", Prepare.class);
+        assertAreParties(prepare, "b91xy");
+        assertIsBallot(prepare.ballot());
+        assertIsEarlierBallot(prepare.known());
+        Promise promise = decoded("promise", Promise.class);
+        assertAreParties(promise, "b91xy");
+        assertIsBallot(promise.ballot());
+        assertIsEarlierBallot(promise.accepted());
+        assertIsJointValue(promise.value());
+        Promise withoutValue = decoded("promise without-value", Promise.class);
+        assertAreParties(withoutValue, "b91xy");
+        assertIsBallot(withoutValue.ballot());
+        assertIsNone(withoutValue.accepted());
+        assertNull(withoutValue.value());
+    }
+
+    @Test
+    void secondPhaseOfTheRegister() throws Exception {
+        Accept accept = decoded("accept", Accept.class);
+        assertAreParties(accept, "b91xy");
+        assertIsBallot(accept.ballot());
+        assertIsJointValue(accept.value());
+        Accept withoutPayload = decoded("accept without-payload", Accept.class);
+        assertAreParties(withoutPayload, "b91xy");
+        assertIsBallot(withoutPayload.ballot());
+        assertIsValueWithoutPayload(withoutPayload.value());
+        Accepted accepted = decoded("accepted", Accepted.class);
+        assertAreParties(accepted, "b91xy");
+        assertIsBallot(accepted.ballot());
+        Refuse reject = decoded("reject", Refuse.class);
+        assertAreParties(reject, "b91xy");
+        assertIsBallot(reject.ballot());
+        assertIsEarlierBallot(reject.promised());
+    }
+
+    @Test
+    void catchingUpOfTheRegister() throws Exception {
+        Query fetching = decoded("status-query fetching", Query.class);
+        assertAreParties(fetching, "");
+        assertEquals(600, fetching.question());
+        assertIsEarlierBallot(fetching.chosen());
+        assertTrue(fetching.fetching());
+        Query query = decoded("status-query", Query.class);
+        assertAreParties(query, "");
+        assertEquals(-601, query.question());
+        assertIsEarlierBallot(query.chosen());
+        assertFalse(query.fetching());
+        Report report = decoded("status-report", Report.class);
+        assertAreParties(report, "b91xy");
+        assertEquals(600, report.question());
+        assertIsBallot(report.accepted());
+        assertIsJointSet(report.acceptors());
+        assertIsEarlierBallot(report.chosen());
+        assertEquals(40, report.revision());
+        assertIsValueWithoutPayload(report.value());
+        Report nothing = decoded("status-report nothing", Report.class);
+        assertAreParties(nothing, "b91xy");
+        assertEquals(5, nothing.question());
+        assertIsNone(nothing.accepted());
+        assertNull(nothing.acceptors());
+        assertIsNone(nothing.chosen());
+        assertEquals(0, nothing.revision());
+        assertNull(nothing.value());
+        Chosen chosen = decoded("chosen", Chosen.class);
+        assertAreParties(chosen, "b91xy");
+        assertIsBallot(chosen.ballot());
+        assertEquals(42, chosen.revision());
+    }
+
+    private static void assertAreParties(RegisterMessage message, String recipientIdentity) {
+        assertEquals("10.0.0.2:7600", message.sender());
+        assertEquals("3kq0z", message.senderIdentity());
+        assertEquals(recipientIdentity, message.recipientIdentity());
+    }
+
+    private static void assertIsBallot(Ballot ballot) {
+        assertEquals(300, ballot.round());
+        assertEquals("3kq0z#a7", ballot.proposer());
+    }
+
+    private static void assertIsEarlierBallot(Ballot ballot) {
+        assertEquals(12, ballot.round());
+        assertEquals("b91xy#05", ballot.proposer());
+    }
+
+    private static void assertIsNone(Ballot ballot) {
+        assertEquals(0, ballot.round());
+        assertEquals("", ballot.proposer());
+    }
+
+    private static void assertIsJointValue(RegisterValue value) {
+        assertIsJointSet(value.acceptors());
+        assertEquals(41, value.revision());
+        assertArrayEquals(new byte[] {64, 0, -1, 127}, value.payload());
+    }
+
+    private static void assertIsJointSet(AcceptorSet set) {
+        assertEquals(7, set.generation());
+        assertEquals(2, set.members().size());
+        assertIsAcceptor("10.0.0.1:7600", "founder@10.0.0.1:7600", set.members().get(0));
+        assertIsAcceptor("10.0.0.2:7600", "3kq0z", set.members().get(1));
+        assertEquals(2, set.joining().size());
+        assertIsAcceptor("10.0.0.2:7600", "3kq0z", set.joining().get(0));
+        assertIsAcceptor("10.0.0.3:7600", "b91xy", set.joining().get(1));
+    }
+
+    private static void assertIsAcceptor(String address, String identity, Acceptor acceptor) {
+        assertEquals(address, acceptor.address());
+        assertEquals(identity, acceptor.identity());
+    }
+
+    private static void assertIsValueWithoutPayload(RegisterValue value) {
+        assertEquals(0, value.acceptors().generation());
+        assertEquals(1, value.acceptors().members().size());
+        assertIsAcceptor(
+                "10.0.0.1:7600",
+                "founder@10.0.0.1:7600",
+                value.acceptors().members().get(0));
+        assertEquals(List.of(), value.acceptors().joining());
+        assertEquals(1, value.revision());
+        assertNull(value.payload());
+    }
+}
--- /dev/null
+++ b/messages/src/test/java/dewplank/message/GoldenMessages.java
@@ -0,0 +1,176 @@
+package dewplank.message;
+
+import dewplank.duty.VoteReply;
+import dewplank.duty.VoteRequest;
+import dewplank.duty.Voter;
+import dewplank.duty.VoterOutput;
+import dewplank.membership.Member;
+import dewplank.register.Accept;
+import dewplank.register.Accepted;
+import dewplank.register.Acceptor;
+import dewplank.register.AcceptorSet;
+import dewplank.register.Ballot;
+import dewplank.register.Chosen;
+import dewplank.register.Prepare;
+import dewplank.register.Promise;
+import dewplank.register.Query;
+import dewplank.register.Refuse;
+import dewplank.register.RegisterValue;
+import dewplank.register.Report;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/** The messages whose frames are kept in {@code golden/frames.txt}, by label; no two fields of one are equal. */
+final class GoldenMessages {
+    static final Member DATA_PLANE = new Member("node-4", Member.DATA, "10.0.0.4:7601", "zone-b", 1_700_000_000_123L);
+    static final Member CONTROL_PLANE = new Member("node-1", Member.CONTROL, "10.0.0.1:7600", null, -5);
+    static final Acceptor FIRST = new Acceptor("10.0.0.1:7600", "founder@10.0.0.1:7600");
+    static final Acceptor SECOND = new Acceptor("10.0.0.2:7600", "3kq0z");
+    static final Acceptor THIRD = new Acceptor("10.0.0.3:7600", "b91xy");
+    static final RegisterValue JOINT_VALUE = new RegisterValue(
+            new AcceptorSet(7, List.of(FIRST, SECOND), List.of(SECOND, THIRD)), 41, new byte[] {64, 0, -1, 127});
+    static final RegisterValue VALUE_WITHOUT_PAYLOAD = new RegisterValue(AcceptorSet.of(List.of(FIRST)), 1, null);
+    static final Ballot BALLOT = new Ballot(300, "3kq0z#a7");
+    static final Ballot EARLIER_BALLOT = new Ballot(12, "b91xy#05");
+    static final ServerList ENDPOINTS = endpoints();
+
+    private static final String SENDER = "10.0.0.2:7600";
+    private static final String SENDER_IDENTITY = "3kq0z";
+    private static final String RECIPIENT_IDENTITY = "b91xy";
+    private static final double LEASE_MS = 3_000;
+
+    private GoldenMessages() {}
+
+    /** A list with a plain server, one for prefill, and one that changes its stage. */
+    private static ServerList endpoints() {
+        return new ServerList(
+                new ListVersion(9, 130),
+                List.of(
+                        new ServerEntry("i-1", "wuno", "10.1.0.1:8000", null, 0, false, 0, null),
+                        new ServerEntry("i-2", "huvo", "10.1.0.2:8001", "zone-a", 64, true, 1_234.5, "prefill"),
+                        new ServerEntry("i-3", "huvo", "10.1.0.3:8002", "zone-b", 48, false, 0.25, "changing")));
+    }
+
+    static Map<String, Object> byLabel() {
+        Map<String, Object> messages = new LinkedHashMap<>();
+        addSessions(messages);
+        addUpdates(messages);
+        addVotes(messages);
+        addRegister(messages);
+        return messages;
+    }
+
+    private static void addSessions(Map<String, Object> messages) {
+        messages.put("control-hello durable", new ControlHello(CONTROL_PLANE, "founder@10.0.0.1:7600", true));
+        messages.put("control-hello relay", new ControlHello(CONTROL_PLANE, "b91xy", false));
+        messages.put("session-open", new SessionOpen(DATA_PLANE));
+        messages.put("session-heartbeat", new SessionQuestion(17, 200, new ListVersion(9, 130), -2));
+        messages.put("session-heartbeat empty-handed", new SessionQuestion(1, 0, ListVersion.NONE, 0));
+        messages.put("heartbeat-ack quorate", new SessionAnswer(17, true, List.of("10.0.0.1:7600", "10.0.0.2:7600")));
+        messages.put("heartbeat-ack alone", new SessionAnswer(18, false, List.of()));
+    }
+
+    private static void addUpdates(Map<String, Object> messages) {
+        List<Member> members = List.of(DATA_PLANE, CONTROL_PLANE);
+        messages.put("update whole", new Update(new byte[] {120, 1, -1}, 200, 0, ENDPOINTS, members));
+        messages.put("update delta", new Update(new byte[] {120, 1, 0, 5}, 201, 200, null, null));
+        messages.put(
+                "update endpoints-only",
+                new Update(null, 0, 0, new ServerList(new ListVersion(10, 1), List.of()), null));
+        messages.put("update members-only", new Update(null, 0, 0, null, List.of(DATA_PLANE)));
+        messages.put(
+                "control-heartbeat",
+                new SessionsTold(77, List.of(DATA_PLANE, CONTROL_PLANE), List.of("10.0.0.1:7600", "10.0.0.3:7600")));
+        messages.put("control-heartbeat empty", new SessionsTold(78, List.of(), List.of()));
+        messages.put("endpoint-list", ENDPOINTS);
+        messages.put("endpoint-list empty", new ServerList(new ListVersion(2, 3), List.of()));
+    }
+
+    private static void addVotes(Map<String, Object> messages) {
+        messages.put("vote-request probe", request(VoteRequest.Kind.PROBE, 21));
+        messages.put("vote-request ask", request(VoteRequest.Kind.ASK, 22));
+        messages.put("vote-request renew", request(VoteRequest.Kind.RENEW, 23));
+        messages.put("vote-request withdraw", request(VoteRequest.Kind.WITHDRAW, 24));
+        messages.put("vote-request release", request(VoteRequest.Kind.RELEASE, 25));
+        messages.put("vote-reply granted", reply(SENDER_IDENTITY, 0, 1_000, List.of(ask("10.0.0.1:7600#1f", 22, 6))));
+        messages.put(
+                "vote-reply refused",
+                reply(
+                        SENDER_IDENTITY,
+                        0,
+                        1_000,
+                        List.of(ask("10.0.0.1:7600#1f", 22, 6), ask("10.0.0.3:7600#2e", 31, 8))));
+        messages.put("vote-reply abstained", reply(SENDER_IDENTITY, 1_500, 1_000, List.of(ask("c#3", 40, 9))));
+        messages.put("vote-reply not-the-one-asked", reply("other", 0, 1_000, List.of(ask("c#4", 50, 10))));
+    }
+
+    private static VoteRequest request(VoteRequest.Kind kind, long round) {
+        return new VoteRequest(kind, "list", "10.0.0.1:7600#1f", SENDER_IDENTITY, round, 6, 3);
+    }
+
+    private static VoteRequest ask(String candidate, long round, long number) {
+        return new VoteRequest(VoteRequest.Kind.ASK, "list", candidate, SENDER_IDENTITY, round, number, 0);
+    }
+
+    /** The last reply of a voter that takes these requests one after another, 500 ms apart. */
+    private static VoteReply reply(String identity, double silentUntil, double now, List<VoteRequest> requests) {
+        List<VoteReply> replies = new ArrayList<>();
+        Voter voter = new Voter(identity, LEASE_MS, silentUntil, Map.of());
+        VoterOutput out = new VoterOutput() {
+            @Override
+            public void persist(VoteRequest request, VoteReply reply) {
+                replies.add(reply);
+            }
+
+            @Override
+            public void send(VoteReply reply) {
+                replies.add(reply);
+            }
+
+            @Override
+            public void vacated(String duty) {}
+        };
+        double at = now;
+        for (VoteRequest request : requests) {
+            voter.vote(at, request, out);
+            at += 500;
+        }
+        return replies.get(replies.size() - 1);
+    }
+
+    private static void addRegister(Map<String, Object> messages) {
+        messages.put("prepare", new Prepare(SENDER, SENDER_IDENTITY, RECIPIENT_IDENTITY, BALLOT, EARLIER_BALLOT));
+        messages.put(
+                "promise",
+                new Promise(SENDER, SENDER_IDENTITY, RECIPIENT_IDENTITY, BALLOT, EARLIER_BALLOT, JOINT_VALUE));
+        messages.put(
+                "promise without-value",
+                new Promise(SENDER, SENDER_IDENTITY, RECIPIENT_IDENTITY, BALLOT, Ballot.NONE, null));
+        messages.put("accept", new Accept(SENDER, SENDER_IDENTITY, RECIPIENT_IDENTITY, BALLOT, JOINT_VALUE));
+        messages.put(
+                "accept without-payload",
+                new Accept(SENDER, SENDER_IDENTITY, RECIPIENT_IDENTITY, BALLOT, VALUE_WITHOUT_PAYLOAD));
+        messages.put("accepted", new Accepted(SENDER, SENDER_IDENTITY, RECIPIENT_IDENTITY, BALLOT));
+        messages.put("reject", new Refuse(SENDER, SENDER_IDENTITY, RECIPIENT_IDENTITY, BALLOT, EARLIER_BALLOT));
+        messages.put("status-query fetching", new Query(SENDER, SENDER_IDENTITY, "", 600, EARLIER_BALLOT, true));
+        messages.put("status-query", new Query(SENDER, SENDER_IDENTITY, "", -601, EARLIER_BALLOT, false));
+        messages.put(
+                "status-report",
+                new Report(
+                        SENDER,
+                        SENDER_IDENTITY,
+                        RECIPIENT_IDENTITY,
+                        600,
+                        BALLOT,
+                        JOINT_VALUE.acceptors(),
+                        EARLIER_BALLOT,
+                        40,
+                        VALUE_WITHOUT_PAYLOAD));
+        messages.put(
+                "status-report nothing",
+                new Report(SENDER, SENDER_IDENTITY, RECIPIENT_IDENTITY, 5, Ballot.NONE, null, Ballot.NONE, 0, null));
+        messages.put("chosen", new Chosen(SENDER, SENDER_IDENTITY, RECIPIENT_IDENTITY, BALLOT, 42));
+    }
+}
