--- a/messages/src/test/java/dewplank/message/GoldenFramesTest.java
+++ b/messages/src/test/java/dewplank/message/GoldenFramesTest.java
@@ -7,8 +7,6 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dewplank.duty.VoteReply;
-import dewplank.duty.VoteRequest;
 import dewplank.membership.Member;
 import dewplank.membership.SessionTable;
 import dewplank.register.Accept;
@@ -24,6 +22,8 @@
 import dewplank.register.RegisterMessage;
 import dewplank.register.RegisterValue;
 import dewplank.register.Report;
+import dewplank.singleton.VoteReply;
+import dewplank.singleton.VoteRequest;
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.ByteBuffer;
--- a/messages/src/test/java/dewplank/message/GoldenMessages.java
+++ b/messages/src/test/java/dewplank/message/GoldenMessages.java
@@ -1,9 +1,5 @@
 package dewplank.message;
 
-import dewplank.duty.VoteReply;
-import dewplank.duty.VoteRequest;
-import dewplank.duty.Voter;
-import dewplank.duty.VoterOutput;
 import dewplank.membership.Member;
 import dewplank.register.Accept;
 import dewplank.register.Accepted;
@@ -17,6 +13,10 @@
 import dewplank.register.Refuse;
 import dewplank.register.RegisterValue;
 import dewplank.register.Report;
+import dewplank.singleton.VoteReply;
+import dewplank.singleton.VoteRequest;
+import dewplank.singleton.Voter;
+import dewplank.singleton.VoterOutput;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
