--- a/client/src/main/java/dewplank/client/ConfigurationText.java
+++ b/client/src/main/java/dewplank/client/ConfigurationText.java
@@ -1,8 +1,8 @@
 package dewplank.client;
 
 import dewplank.configuration.Configuration;
-import dewplank.configuration.Engine;
-import dewplank.configuration.Limits;
+import dewplank.configuration.EngineProfile;
+import dewplank.configuration.RequestLimits;
 import dewplank.configuration.Route;
 import dewplank.configuration.Service;
 import dewplank.configuration.WeightedService;
@@ -57,13 +57,13 @@
                         .collect(Collectors.joining(" "));
     }
 
-    private static String engine(Engine engine) {
+    private static String engine(EngineProfile engine) {
         return engine == null
                 ? ""
                 : engine.slotCount() + " slots, " + engine.kvTokens() + " tokens, " + String.join(" ", engine.models());
     }
 
-    static String limits(Limits limits) {
+    static String limits(RequestLimits limits) {
         return "head up to " + limits.maxHeaderBytes() + " bytes within " + number(limits.headerTimeoutMs())
                 + " ms, body up to " + limits.maxBodyBytes() + " bytes, idle up to "
                 + number(limits.idleTimeoutMs()) + " ms";
--- a/client/src/main/java/dewplank/client/RouteExplanation.java
+++ b/client/src/main/java/dewplank/client/RouteExplanation.java
@@ -1,7 +1,7 @@
 package dewplank.client;
 
 import dewplank.configuration.Configuration;
-import dewplank.configuration.Limits;
+import dewplank.configuration.RequestLimits;
 import dewplank.configuration.Route;
 import dewplank.configuration.RouteTable;
 import dewplank.configuration.WeightedService;
@@ -120,7 +120,7 @@
     }
 
     private Map<String, Object> limitFields() {
-        Limits limits = configuration.limits();
+        RequestLimits limits = configuration.limits();
         Map<String, Object> out = new LinkedHashMap<>();
         out.put("max_header_bytes", limits.maxHeaderBytes());
         out.put("max_body_bytes", limits.maxBodyBytes());
--- a/configuration/src/main/java/dewplank/configuration/Configuration.java
+++ b/configuration/src/main/java/dewplank/configuration/Configuration.java
@@ -1,9 +1,9 @@
 package dewplank.configuration;
 
 import dewplank.configuration.InvalidConfigurationException.Reason;
-import dewplank.configuration.Item.RouteItem;
-import dewplank.configuration.Item.ServiceItem;
 import dewplank.configuration.JsonValue.JsonObject;
+import dewplank.configuration.NamedItem.RouteItem;
+import dewplank.configuration.NamedItem.ServiceItem;
 import dewplank.configuration.Section.ItemList;
 import dewplank.configuration.Section.PlainValue;
 import java.io.ByteArrayOutputStream;
@@ -27,16 +27,16 @@
     private final long version;
     private final List<Route> routes;
     private final Map<String, Service> services;
-    private final Limits limits;
+    private final RequestLimits limits;
 
     /** A configuration of these top-level fields, checked as a whole. */
     Configuration(Map<String, Section> sections) throws InvalidConfigurationException {
         this.sections = Collections.unmodifiableMap(sections);
         this.version = readVersion(sections);
-        this.routes = Collections.unmodifiableList(readRoutes(list(Item.ROUTES)));
-        this.services = Collections.unmodifiableMap(readServices(list(Item.SERVICES)));
+        this.routes = Collections.unmodifiableList(readRoutes(list(NamedItem.ROUTES)));
+        this.services = Collections.unmodifiableMap(readServices(list(NamedItem.SERVICES)));
         this.limits = readLimits(sections);
-        RouteCheck.check(routes, services);
+        RouteValidator.check(routes, services);
     }
 
     /**
@@ -121,7 +121,7 @@
     }
 
     /** Its limits; the defaults where it has none. */
-    public Limits limits() {
+    public RequestLimits limits() {
         return limits;
     }
 
@@ -131,7 +131,7 @@
     }
 
     private static long readVersion(Map<String, Section> sections) throws InvalidConfigurationException {
-        FieldReader fields = plain(sections, VERSION);
+        JsonObjectReader fields = plain(sections, VERSION);
         if (!fields.has(VERSION)) {
             throw new InvalidConfigurationException(Reason.MISSING_VERSION, VERSION, "is absent");
         }
@@ -142,26 +142,27 @@
         return version;
     }
 
-    private static Limits readLimits(Map<String, Section> sections) throws InvalidConfigurationException {
-        FieldReader fields = plain(sections, LIMITS).object(LIMITS);
+    private static RequestLimits readLimits(Map<String, Section> sections) throws InvalidConfigurationException {
+        JsonObjectReader fields = plain(sections, LIMITS).object(LIMITS);
         if (fields == null) {
-            return Limits.DEFAULTS;
+            return RequestLimits.DEFAULTS;
         }
-        Limits absent = Limits.DEFAULTS;
-        return new Limits(
+        RequestLimits absent = RequestLimits.DEFAULTS;
+        return new RequestLimits(
                 fields.whole("max_header_bytes", absent.maxHeaderBytes(), 1),
                 fields.whole("max_body_bytes", absent.maxBodyBytes(), 0),
                 fields.number("header_timeout_ms", absent.headerTimeoutMs(), 0),
                 fields.number("idle_timeout_ms", absent.idleTimeoutMs(), 0));
     }
 
-    private static FieldReader plain(Map<String, Section> sections, String field) throws InvalidConfigurationException {
+    private static JsonObjectReader plain(Map<String, Section> sections, String field)
+            throws InvalidConfigurationException {
         Section section = sections.get(field);
         if (section == null) {
-            return new FieldReader(new JsonObject(Map.of()), "");
+            return new JsonObjectReader(new JsonObject(Map.of()), "");
         }
         if (section instanceof PlainValue plain) {
-            return new FieldReader(new JsonObject(Map.of(field, JsonTextReader.read(plain.json()))), "");
+            return new JsonObjectReader(new JsonObject(Map.of(field, JsonTextReader.read(plain.json()))), "");
         }
         throw new InvalidConfigurationException(Reason.WRONG_TYPE, field, "is a list");
     }
@@ -175,7 +176,7 @@
 
     private static List<Route> readRoutes(ItemList list) {
         List<Route> routes = new ArrayList<>(list.items().size());
-        for (Item item : list.items()) {
+        for (NamedItem item : list.items()) {
             routes.add(((RouteItem) item).route());
         }
         return routes;
@@ -183,7 +184,7 @@
 
     private static Map<String, Service> readServices(ItemList list) {
         Map<String, Service> services = new LinkedHashMap<>();
-        for (Item item : list.items()) {
+        for (NamedItem item : list.items()) {
             services.put(item.name(), ((ServiceItem) item).service());
         }
         return services;
--- a/configuration/src/main/java/dewplank/configuration/ConfigurationDelta.java
+++ b/configuration/src/main/java/dewplank/configuration/ConfigurationDelta.java
@@ -67,7 +67,8 @@
         }
     }
 
-    private static void writeItems(DataOutputStream out, List<Item> before, List<Item> after) throws IOException {
+    private static void writeItems(DataOutputStream out, List<NamedItem> before, List<NamedItem> after)
+            throws IOException {
         Map<String, Integer> places = new HashMap<>();
         for (int index = 0; index < before.size(); index++) {
             places.put(before.get(index).name(), index);
@@ -90,7 +91,7 @@
         out.writeByte(END);
     }
 
-    private static int sameRun(List<Item> before, int first, List<Item> after, int start) {
+    private static int sameRun(List<NamedItem> before, int first, List<NamedItem> after, int start) {
         int longest = Math.min(before.size() - first, after.size() - start);
         int count = 0;
         while (count < longest && after.get(start + count).sameAs(before.get(first + count))) {
--- a/configuration/src/main/java/dewplank/configuration/ConfigurationDocument.java
+++ b/configuration/src/main/java/dewplank/configuration/ConfigurationDocument.java
@@ -144,7 +144,7 @@
         }
         if (configuration == null) {
             throw new InvalidConfigurationException(
-                    Reason.MISSING_FIELD, Item.ROUTES, "there is no configuration to change");
+                    Reason.MISSING_FIELD, NamedItem.ROUTES, "there is no configuration to change");
         }
         return configuration.patched(body);
     }
--- a/configuration/src/main/java/dewplank/configuration/ConfigurationPatch.java
+++ b/configuration/src/main/java/dewplank/configuration/ConfigurationPatch.java
@@ -34,7 +34,7 @@
             }
         }
         for (Map.Entry<String, JsonValue> list : lists(patch, UPSERT).entrySet()) {
-            List<Item> items = Section.items(list.getKey(), list.getValue());
+            List<NamedItem> items = Section.items(list.getKey(), list.getValue());
             change(changed, list.getKey(), items, Set.of());
         }
         for (Map.Entry<String, JsonValue> list : lists(patch, REMOVE).entrySet()) {
@@ -57,7 +57,7 @@
         throw new InvalidConfigurationException(Reason.WRONG_TYPE, field, "is not an object");
     }
 
-    private static void change(Map<String, Section> sections, String field, List<Item> upsert, Set<String> remove)
+    private static void change(Map<String, Section> sections, String field, List<NamedItem> upsert, Set<String> remove)
             throws InvalidConfigurationException {
         Section section = sections.getOrDefault(field, ItemList.EMPTY);
         if (!(section instanceof ItemList list)) {
--- a/configuration/src/main/java/dewplank/configuration/DeltaReader.java
+++ b/configuration/src/main/java/dewplank/configuration/DeltaReader.java
@@ -87,21 +87,22 @@
         return new PlainValue(json);
     }
 
-    private Section list(String field, List<Item> before) throws IOException, InvalidConfigurationException {
-        List<Item> items = new ArrayList<>();
+    private Section list(String field, List<NamedItem> before) throws IOException, InvalidConfigurationException {
+        List<NamedItem> items = new ArrayList<>();
         int kind = in.readByte();
         while (kind != ConfigurationDelta.END) {
             if (kind == ConfigurationDelta.COPY) {
                 items.addAll(run(before, in.readInt(), in.readInt()));
             } else {
-                items.add(Item.read(field, items.size(), JsonTextReader.read(text())));
+                items.add(NamedItem.read(field, items.size(), JsonTextReader.read(text())));
             }
             kind = in.readByte();
         }
         return new ItemList(List.copyOf(items));
     }
 
-    private static List<Item> run(List<Item> before, int first, int count) throws InvalidConfigurationException {
+    private static List<NamedItem> run(List<NamedItem> before, int first, int count)
+            throws InvalidConfigurationException {
         if (first < 0 || count < 0 || first > before.size() - count) {
             throw malformed("items that were not there");
         }
--- a/configuration/src/main/java/dewplank/configuration/Engine.java
+++ b/configuration/src/main/java/dewplank/configuration/EngineProfile.java
@@ -14,7 +14,7 @@
  * @param switchMs how long a change of stage takes
  * @param models names of the models that it serves
  */
-public record Engine(
+public record EngineProfile(
         int slotCount,
         long kvTokens,
         long kvTokenBytes,
@@ -24,7 +24,7 @@
         double switchMs,
         List<String> models) {
     /** Takes a copy of the models. */
-    public Engine {
+    public EngineProfile {
         models = List.copyOf(models);
     }
 }
--- a/configuration/src/main/java/dewplank/configuration/FieldReader.java
+++ b/configuration/src/main/java/dewplank/configuration/JsonObjectReader.java
@@ -10,7 +10,7 @@
 import java.util.List;
 
 /** Typed reading of an object's fields. A field that is null counts as absent; faults name the field's whole path. */
-final class FieldReader {
+final class JsonObjectReader {
     /** Digits beyond which no whole number is expanded: a long has 19, and 1e999999999 must cost nothing. */
     private static final int MAX_WHOLE_DIGITS = 19;
 
@@ -19,12 +19,12 @@
     private final String element;
 
     /** Reads the object found at the path. */
-    FieldReader(JsonObject object, String path) {
+    JsonObjectReader(JsonObject object, String path) {
         this(object, path, null);
     }
 
     /** Reads an element of the list found at the path; the paths are put together where a fault asks for them. */
-    FieldReader(JsonObject object, String path, String element) {
+    JsonObjectReader(JsonObject object, String path, String element) {
         this.object = object;
         this.path = path;
         this.element = element;
@@ -155,7 +155,7 @@
     }
 
     /** An object; null where it is absent. */
-    FieldReader object(String field) throws InvalidConfigurationException {
+    JsonObjectReader object(String field) throws InvalidConfigurationException {
         if (!has(field)) {
             return null;
         }
@@ -163,9 +163,9 @@
     }
 
     /** Reads an element that must be an object. */
-    static FieldReader of(JsonValue value, String path) throws InvalidConfigurationException {
+    static JsonObjectReader of(JsonValue value, String path) throws InvalidConfigurationException {
         if (value instanceof JsonObject object) {
-            return new FieldReader(object, path);
+            return new JsonObjectReader(object, path);
         }
         throw new InvalidConfigurationException(Reason.WRONG_TYPE, path, "is not an object");
     }
--- a/configuration/src/main/java/dewplank/configuration/Item.java
+++ b/configuration/src/main/java/dewplank/configuration/NamedItem.java
@@ -5,20 +5,20 @@
 import java.util.Arrays;
 
 /** An item of a named list: its text, and what it means where the list is known. */
-sealed interface Item {
+sealed interface NamedItem {
     /** The list of routes. */
     String ROUTES = "routes";
     /** The list of services. */
     String SERVICES = "services";
 
     /** A route. */
-    record RouteItem(String name, byte[] json, Route route) implements Item {}
+    record RouteItem(String name, byte[] json, Route route) implements NamedItem {}
 
     /** A service. */
-    record ServiceItem(String name, byte[] json, Service service) implements Item {}
+    record ServiceItem(String name, byte[] json, Service service) implements NamedItem {}
 
     /** An item of a list that this program passes over. */
-    record OtherItem(String name, byte[] json) implements Item {}
+    record OtherItem(String name, byte[] json) implements NamedItem {}
 
     /** Its name, its own within the list. */
     String name();
@@ -27,16 +27,16 @@
     byte[] json();
 
     /** Whether the other has the same text. */
-    default boolean sameAs(Item other) {
+    default boolean sameAs(NamedItem other) {
         return other == this || other != null && Arrays.equals(json(), other.json());
     }
 
     /** The item of a list that a value describes. */
-    static Item read(String list, int index, JsonValue value) throws InvalidConfigurationException {
+    static NamedItem read(String list, int index, JsonValue value) throws InvalidConfigurationException {
         if (!(value instanceof JsonObject object)) {
             throw new InvalidConfigurationException(Reason.WRONG_TYPE, list + "[" + index + "]", "is not an object");
         }
-        String name = new FieldReader(object, list, Integer.toString(index)).name();
+        String name = new JsonObjectReader(object, list, Integer.toString(index)).name();
         byte[] json = JsonTextWriter.write(object);
         return switch (list) {
             case ROUTES -> new RouteItem(name, json, RouteReader.read(name, object));
--- a/configuration/src/main/java/dewplank/configuration/Limits.java
+++ b/configuration/src/main/java/dewplank/configuration/RequestLimits.java
@@ -8,7 +8,7 @@
  * @param headerTimeoutMs how long a head may take to arrive
  * @param idleTimeoutMs how long a connection may stay idle
  */
-public record Limits(int maxHeaderBytes, int maxBodyBytes, double headerTimeoutMs, double idleTimeoutMs) {
+public record RequestLimits(int maxHeaderBytes, int maxBodyBytes, double headerTimeoutMs, double idleTimeoutMs) {
     /** What holds where a configuration is silent: the figures of the operator's own example. */
-    public static final Limits DEFAULTS = new Limits(16_384, 4_194_304, 3_000, 15_000);
+    public static final RequestLimits DEFAULTS = new RequestLimits(16_384, 4_194_304, 3_000, 15_000);
 }
--- a/configuration/src/main/java/dewplank/configuration/RouteReader.java
+++ b/configuration/src/main/java/dewplank/configuration/RouteReader.java
@@ -10,15 +10,15 @@
 final class RouteReader {
     private static final String SLASH = "/";
 
-    private final FieldReader fields;
+    private final JsonObjectReader fields;
 
-    private RouteReader(FieldReader fields) {
+    private RouteReader(JsonObjectReader fields) {
         this.fields = fields;
     }
 
     /** The route of that name that the object describes. */
     static Route read(String name, JsonObject object) throws InvalidConfigurationException {
-        return new RouteReader(new FieldReader(object, Item.ROUTES, name)).route(name);
+        return new RouteReader(new JsonObjectReader(object, NamedItem.ROUTES, name)).route(name);
     }
 
     private Route route(String name) throws InvalidConfigurationException {
@@ -82,7 +82,7 @@
         List<WeightedService> split = new ArrayList<>(parts.size());
         double sum = 0;
         for (JsonValue part : parts) {
-            FieldReader share = FieldReader.of(part, fields.path("weighted_split[" + split.size() + "]"));
+            JsonObjectReader share = JsonObjectReader.of(part, fields.path("weighted_split[" + split.size() + "]"));
             double weight = share.number("weight");
             if (weight < 0) {
                 throw share.fault(Reason.BAD_WEIGHTS, "weight", "is negative");
--- a/configuration/src/main/java/dewplank/configuration/RouteCheck.java
+++ b/configuration/src/main/java/dewplank/configuration/RouteValidator.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 
 /** Checks what routes share: no two with one host and prefix, and every service they name is there. */
-final class RouteCheck {
-    private RouteCheck() {}
+final class RouteValidator {
+    private RouteValidator() {}
 
     /** Throws where the routes do not fit each other or the services. */
     static void check(List<Route> routes, Map<String, Service> services) throws InvalidConfigurationException {
--- a/configuration/src/main/java/dewplank/configuration/Section.java
+++ b/configuration/src/main/java/dewplank/configuration/Section.java
@@ -13,17 +13,17 @@
 /** A top-level field of a configuration. */
 sealed interface Section {
     /** A list of items that are changed by name, in the order in which they are written. */
-    record ItemList(List<Item> items) implements Section {
+    record ItemList(List<NamedItem> items) implements Section {
         /** An empty list. */
         static final ItemList EMPTY = new ItemList(List.of());
 
         /** This list with items replaced or added at the end, and then those of the names taken out. */
-        ItemList changed(List<Item> upsert, Set<String> remove) {
-            Map<String, Item> byName = new LinkedHashMap<>();
-            for (Item item : items) {
+        ItemList changed(List<NamedItem> upsert, Set<String> remove) {
+            Map<String, NamedItem> byName = new LinkedHashMap<>();
+            for (NamedItem item : items) {
                 byName.put(item.name(), item);
             }
-            for (Item item : upsert) {
+            for (NamedItem item : upsert) {
                 byName.put(item.name(), item);
             }
             byName.keySet().removeAll(remove);
@@ -43,14 +43,14 @@
     }
 
     /** The items that a field's value lists; their names are their own. */
-    static List<Item> items(String field, JsonValue value) throws InvalidConfigurationException {
+    static List<NamedItem> items(String field, JsonValue value) throws InvalidConfigurationException {
         if (!(value instanceof JsonArray array)) {
             throw new InvalidConfigurationException(Reason.WRONG_TYPE, field, "is not a list");
         }
-        List<Item> items = new ArrayList<>(array.elements().size());
+        List<NamedItem> items = new ArrayList<>(array.elements().size());
         Set<String> names = new HashSet<>();
         for (JsonValue element : array.elements()) {
-            Item item = Item.read(field, items.size(), element);
+            NamedItem item = NamedItem.read(field, items.size(), element);
             if (!names.add(item.name())) {
                 throw new InvalidConfigurationException(
                         Reason.DUPLICATE_NAME, field + "[" + item.name() + "]", "the name is there twice");
@@ -62,7 +62,7 @@
 
     /** Whether the field is a list whose items this program reads. */
     static boolean isKnownList(String field) {
-        return field.equals(Item.ROUTES) || field.equals(Item.SERVICES);
+        return field.equals(NamedItem.ROUTES) || field.equals(NamedItem.SERVICES);
     }
 
     private static boolean isNamedList(JsonValue value) {
--- a/configuration/src/main/java/dewplank/configuration/Service.java
+++ b/configuration/src/main/java/dewplank/configuration/Service.java
@@ -11,4 +11,4 @@
  * @param engine the model servers' figures; null for a plain service
  */
 public record Service(
-        String name, String healthPath, int maxConnections, String protocol, boolean tls, Engine engine) {}
+        String name, String healthPath, int maxConnections, String protocol, boolean tls, EngineProfile engine) {}
--- a/configuration/src/main/java/dewplank/configuration/ServiceReader.java
+++ b/configuration/src/main/java/dewplank/configuration/ServiceReader.java
@@ -9,15 +9,15 @@
 final class ServiceReader {
     private static final double MS_PER_SECOND = 1_000;
 
-    private final FieldReader fields;
+    private final JsonObjectReader fields;
 
-    private ServiceReader(FieldReader fields) {
+    private ServiceReader(JsonObjectReader fields) {
         this.fields = fields;
     }
 
     /** The service of that name that the object describes. */
     static Service read(String name, JsonObject object) throws InvalidConfigurationException {
-        return new ServiceReader(new FieldReader(object, Item.SERVICES, name)).service(name);
+        return new ServiceReader(new JsonObjectReader(object, NamedItem.SERVICES, name)).service(name);
     }
 
     private Service service(String name) throws InvalidConfigurationException {
@@ -30,11 +30,11 @@
                 engine(fields.object("engine")));
     }
 
-    private static Engine engine(FieldReader engine) throws InvalidConfigurationException {
+    private static EngineProfile engine(JsonObjectReader engine) throws InvalidConfigurationException {
         if (engine == null) {
             return null;
         }
-        return new Engine(
+        return new EngineProfile(
                 engine.whole("slot_count", 1, 1),
                 engine.wholeLong("kv_tokens", 0, 0),
                 engine.wholeLong("kv_token_bytes", 0, 0),
@@ -45,14 +45,14 @@
                 models(engine));
     }
 
-    private static List<String> models(FieldReader engine) throws InvalidConfigurationException {
+    private static List<String> models(JsonObjectReader engine) throws InvalidConfigurationException {
         List<String> models = new ArrayList<>();
         for (JsonValue model : engine.elements("models")) {
             String path = engine.path("models[" + models.size() + "]");
             models.add(
                     model instanceof JsonString name
                             ? name.text()
-                            : FieldReader.of(model, path).name());
+                            : JsonObjectReader.of(model, path).name());
         }
         return models;
     }
--- a/configuration/src/test/java/dewplank/configuration/ConfigurationTest.java
+++ b/configuration/src/test/java/dewplank/configuration/ConfigurationTest.java
@@ -62,10 +62,10 @@
                         370,
                         "h1",
                         false,
-                        new Engine(64, 295_697, 163_840, 1_300_000, 8, 5_000, 1_200, List.of("m"))),
+                        new EngineProfile(64, 295_697, 163_840, 1_300_000, 8, 5_000, 1_200, List.of("m"))),
                 configuration.services().get("huvo"));
         assertNull(configuration.services().get("wuno").engine());
-        assertEquals(new Limits(16_000, 4_000_000, 2_999.5, 15_001), configuration.limits());
+        assertEquals(new RequestLimits(16_000, 4_000_000, 2_999.5, 15_001), configuration.limits());
     }
 
     @Test
@@ -88,7 +88,7 @@
                         false,
                         0)),
                 configuration.routes());
-        assertEquals(Limits.DEFAULTS, configuration.limits());
+        assertEquals(RequestLimits.DEFAULTS, configuration.limits());
         assertEquals(
                 new Service("s", "/health", Integer.MAX_VALUE, "h1", false, null),
                 configuration.services().get("s"));
@@ -162,7 +162,7 @@
                 .replaceAll("}$", ",\"tenants\":[{\"name\":\"t\"}]}");
         assertEquals(expected, text);
         assertEquals(77, next.limits().maxHeaderBytes());
-        assertEquals(Limits.DEFAULTS.maxBodyBytes(), next.limits().maxBodyBytes());
+        assertEquals(RequestLimits.DEFAULTS.maxBodyBytes(), next.limits().maxBodyBytes());
     }
 
     @Test
--- a/controlplane/src/main/java/dewplank/controlplane/ControlPlane.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ControlPlane.java
@@ -74,7 +74,7 @@
 
     /** With the machine's clock, sockets and disk. */
     public ControlPlane(NodeSettings settings) throws IOException, StoreException {
-        this(settings, Policy.WHOLE);
+        this(settings, Policy.ALL_ENABLED);
     }
 
     /** For a trial, with some mechanisms off. */
--- a/controlplane/src/test/java/dewplank/controlplane/StageKeeperTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/StageKeeperTest.java
@@ -79,7 +79,7 @@
 
     private void keep(double leaseMs) {
         StageKeeper keeper =
-                new StageKeeper(loop, "core-1", leaseMs, lister, duty, new HttpServerCalls(loop), Policy.WHOLE);
+                new StageKeeper(loop, "core-1", leaseMs, lister, duty, new HttpServerCalls(loop), Policy.ALL_ENABLED);
         loop.execute(keeper::start);
     }
 
--- a/dataplane/src/main/java/dewplank/dataplane/ClientLimits.java
+++ b/dataplane/src/main/java/dewplank/dataplane/ClientLimits.java
@@ -1,6 +1,6 @@
 package dewplank.dataplane;
 
-import dewplank.configuration.Limits;
+import dewplank.configuration.RequestLimits;
 import dewplank.exchange.InboundConnection;
 
 /**
@@ -11,7 +11,7 @@
  */
 final class ClientLimits {
     private final double applyMs;
-    private Limits current = Limits.DEFAULTS;
+    private RequestLimits current = RequestLimits.DEFAULTS;
     private double idleBeforeMs;
     private double headBeforeMs;
     private double beforeUntil = Double.NEGATIVE_INFINITY;
@@ -22,7 +22,7 @@
     }
 
     /** The newest configuration has these limits. */
-    void inForce(double now, Limits limits) {
+    void inForce(double now, RequestLimits limits) {
         if (limits.equals(current)) {
             return;
         }
--- a/dataplane/src/main/java/dewplank/dataplane/DataPlane.java
+++ b/dataplane/src/main/java/dewplank/dataplane/DataPlane.java
@@ -6,9 +6,9 @@
 import dewplank.message.TcpTransport;
 import dewplank.net.EventLoop;
 import dewplank.net.Listener;
-import dewplank.routing.FleetVotes;
+import dewplank.routing.HealthVotes;
 import dewplank.routing.Policy;
-import dewplank.routing.ServerChoice;
+import dewplank.routing.ServerPicker;
 import dewplank.settings.NodeSettings;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -56,7 +56,7 @@
     private boolean draining;
 
     public DataPlane(NodeSettings settings) throws IOException {
-        this(settings, Policy.WHOLE);
+        this(settings, Policy.ALL_ENABLED);
     }
 
     /** For a trial, with some mechanisms off. */
@@ -66,8 +66,8 @@
         fleet = new FleetView(loop);
         long seed = new SecureRandom().nextLong();
         RandomGenerator random = new SplittableRandom(seed);
-        FleetVotes votes = new FleetVotes(policy);
-        ServerChoice choice = new ServerChoice(settings.zone(), votes, fleet::dataPlanes, random, policy);
+        HealthVotes votes = new HealthVotes(policy);
+        ServerPicker choice = new ServerPicker(settings.zone(), votes, fleet::dataPlanes, random, policy);
         NodeSettings.Bounds bounds = settings.bounds();
         limits = new ClientLimits(bounds.configApplyMs());
         forwarder = new Forwarder(
--- a/dataplane/src/main/java/dewplank/dataplane/DecodeStep.java
+++ b/dataplane/src/main/java/dewplank/dataplane/DecodeStep.java
@@ -6,8 +6,8 @@
 import dewplank.net.Wheel;
 import dewplank.routing.EventSplitter;
 import dewplank.routing.Mechanism;
-import dewplank.routing.PairChoice;
-import dewplank.routing.ServerState;
+import dewplank.routing.PrefillDecodePicker;
+import dewplank.routing.TrackedServer;
 import java.io.ByteArrayOutputStream;
 import java.util.ArrayList;
 import java.util.List;
@@ -72,9 +72,9 @@
 
     private Server choose() {
         Forwarder forwarder = exchange.forwarder;
-        List<ServerState> servers = forwarder.fleet().servers(exchange.service.name(), ServerState.Stage.DECODE);
+        List<TrackedServer> servers = forwarder.fleet().servers(exchange.service.name(), TrackedServer.Stage.DECODE);
         boolean mayTry = exchange.repeatable() && exchange.sends + 1 < exchange.route.maxAttempts();
-        ServerState picked = forwarder
+        TrackedServer picked = forwarder
                 .pairs()
                 .decode(
                         exchange.loop.now(),
@@ -99,7 +99,7 @@
     private void watchSilence() {
         stopPatience();
         if (repeatable() && exchange.forwarder.policy().uses(Mechanism.PATIENCE)) {
-            double expected = begun ? 0 : PATIENCE * PairChoice.readingMs(exchange.prefix.tokens());
+            double expected = begun ? 0 : PATIENCE * PrefillDecodePicker.readingMs(exchange.prefix.tokens());
             patience = exchange.loop.after(SILENCE_MS + expected, this::silent);
         }
     }
--- a/dataplane/src/main/java/dewplank/dataplane/Exchange.java
+++ b/dataplane/src/main/java/dewplank/dataplane/Exchange.java
@@ -10,7 +10,7 @@
 import dewplank.http.MessageWriter;
 import dewplank.net.EventLoop;
 import dewplank.net.Wheel;
-import dewplank.routing.ServerState;
+import dewplank.routing.TrackedServer;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -334,7 +334,7 @@
         }
     }
 
-    final boolean untried(ServerState s) {
+    final boolean untried(TrackedServer s) {
         return !tried.contains(s.instanceId());
     }
 }
--- a/dataplane/src/main/java/dewplank/dataplane/FleetView.java
+++ b/dataplane/src/main/java/dewplank/dataplane/FleetView.java
@@ -8,7 +8,7 @@
 import dewplank.message.ServerEntry;
 import dewplank.message.ServerList;
 import dewplank.net.Scheduler;
-import dewplank.routing.ServerState;
+import dewplank.routing.TrackedServer;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -28,7 +28,7 @@
     private RouteTable routes;
     private ListVersion listVersion = ListVersion.NONE;
     private final Map<String, Server> servers = new LinkedHashMap<>();
-    private final Map<String, List<ServerState>> byService = new HashMap<>();
+    private final Map<String, List<TrackedServer>> byService = new HashMap<>();
     private List<Member> members = List.of();
     private long membersDigest;
     private int dataPlanes;
@@ -90,9 +90,9 @@
 
     private void learn(ServerEntry entry) {
         Server server = servers.get(entry.instanceId);
-        ServerState.Stage stage = stage(entry.stage);
+        TrackedServer.Stage stage = stage(entry.stage);
         if (server == null) {
-            ServerState state = new ServerState(entry.instanceId, entry.service, entry.zone, stage);
+            TrackedServer state = new TrackedServer(entry.instanceId, entry.service, entry.zone, stage);
             server = new Server(loop, state, entry.address);
             servers.put(entry.instanceId, server);
         }
@@ -102,14 +102,14 @@
         }
     }
 
-    private static ServerState.Stage stage(String text) {
+    private static TrackedServer.Stage stage(String text) {
         if (text == null) {
-            return ServerState.Stage.PLAIN;
+            return TrackedServer.Stage.PLAIN;
         }
         return switch (text) {
-            case "prefill" -> ServerState.Stage.PREFILL;
-            case ServerEntry.CHANGING -> ServerState.Stage.CHANGING;
-            default -> ServerState.Stage.DECODE;
+            case "prefill" -> TrackedServer.Stage.PREFILL;
+            case ServerEntry.CHANGING -> TrackedServer.Stage.CHANGING;
+            default -> TrackedServer.Stage.DECODE;
         };
     }
 
@@ -127,16 +127,16 @@
     }
 
     /** All servers of the service that the list names. */
-    List<ServerState> servers(String service) {
+    List<TrackedServer> servers(String service) {
         return byService.getOrDefault(service, List.of());
     }
 
     /** Those of one stage. */
-    List<ServerState> servers(String service, ServerState.Stage stage) {
+    List<TrackedServer> servers(String service, TrackedServer.Stage stage) {
         return servers(service).stream().filter(s -> s.stage() == stage).toList();
     }
 
-    Server server(ServerState state) {
+    Server server(TrackedServer state) {
         return servers.get(state.instanceId());
     }
 
--- a/dataplane/src/main/java/dewplank/dataplane/Forwarder.java
+++ b/dataplane/src/main/java/dewplank/dataplane/Forwarder.java
@@ -1,17 +1,17 @@
 package dewplank.dataplane;
 
-import dewplank.configuration.Limits;
+import dewplank.configuration.RequestLimits;
 import dewplank.configuration.Route;
 import dewplank.configuration.Service;
 import dewplank.configuration.WeightedService;
 import dewplank.exchange.InboundConnection;
 import dewplank.http.Headers;
 import dewplank.net.EventLoop;
-import dewplank.routing.FleetSize;
-import dewplank.routing.PairChoice;
+import dewplank.routing.FleetSizeEstimator;
 import dewplank.routing.Policy;
+import dewplank.routing.PrefillDecodePicker;
 import dewplank.routing.RetryBudget;
-import dewplank.routing.ServerChoice;
+import dewplank.routing.ServerPicker;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -35,8 +35,8 @@
 
     private final EventLoop loop;
     private final FleetView fleet;
-    private final ServerChoice choice;
-    private final PairChoice pairs;
+    private final ServerPicker choice;
+    private final PrefillDecodePicker pairs;
     private final RandomGenerator random;
     private final Counters counters;
     private final RetryLimits limits;
@@ -45,7 +45,7 @@
     private final Map<InboundConnection, Exchange> open = new HashMap<>();
     private final Map<InboundConnection, Held> held = new LinkedHashMap<>();
     private final Set<InboundConnection> connections = new HashSet<>();
-    private final FleetSize size;
+    private final FleetSizeEstimator size;
     private boolean closing;
 
     /** The fleet's budget of repeated sends to a service, of which this sidecar has a part. */
@@ -54,7 +54,7 @@
     Forwarder(
             EventLoop loop,
             FleetView fleet,
-            ServerChoice choice,
+            ServerPicker choice,
             RandomGenerator random,
             Counters counters,
             RetryLimits limits) {
@@ -65,7 +65,7 @@
     Forwarder(
             EventLoop loop,
             FleetView fleet,
-            ServerChoice choice,
+            ServerPicker choice,
             RandomGenerator random,
             Counters counters,
             RetryLimits limits,
@@ -73,12 +73,12 @@
         this.loop = loop;
         this.fleet = fleet;
         this.choice = choice;
-        this.pairs = new PairChoice(choice);
+        this.pairs = new PrefillDecodePicker(choice);
         this.random = random;
         this.counters = counters;
         this.limits = limits;
         this.connectTimeoutMs = connectTimeoutMs;
-        this.size = new FleetSize(limits.windowMs());
+        this.size = new FleetSizeEstimator(limits.windowMs());
     }
 
     /** A new connection of a client. */
@@ -201,9 +201,9 @@
         return (int) Math.min(Integer.MAX_VALUE, (long) fields + FIRST_LINE_BYTES);
     }
 
-    private Limits limits() {
+    private RequestLimits limits() {
         return fleet.configuration() == null
-                ? Limits.DEFAULTS
+                ? RequestLimits.DEFAULTS
                 : fleet.configuration().limits();
     }
 
@@ -245,7 +245,7 @@
         return fleet;
     }
 
-    ServerChoice choice() {
+    ServerPicker choice() {
         return choice;
     }
 
@@ -254,7 +254,7 @@
         return choice.policy();
     }
 
-    PairChoice pairs() {
+    PrefillDecodePicker pairs() {
         return pairs;
     }
 
--- a/dataplane/src/main/java/dewplank/dataplane/GenerationExchange.java
+++ b/dataplane/src/main/java/dewplank/dataplane/GenerationExchange.java
@@ -5,7 +5,7 @@
 import dewplank.exchange.InboundConnection;
 import dewplank.http.Headers;
 import dewplank.routing.Mechanism;
-import dewplank.routing.PairChoice;
+import dewplank.routing.PrefillDecodePicker;
 import dewplank.routing.PromptPrefix;
 
 /**
@@ -73,7 +73,7 @@
      * the pause as the bound was worth less on a busy day with few servers (docs/policy.md, rounds).
      */
     boolean mayBeReadAtDecode() {
-        return route.gapAimMs() == 0 || PairChoice.readingAtDecodeMs(prefix.tokens()) <= route.gapAimMs();
+        return route.gapAimMs() == 0 || PrefillDecodePicker.readingAtDecodeMs(prefix.tokens()) <= route.gapAimMs();
     }
 
     /**
@@ -84,7 +84,7 @@
         double silence = Math.max(
                 LEAST_SILENCE_MS,
                 Math.max(SILENCE_TARGETS * route.targetLatencyMs(), SILENCE_PAUSES * route.gapAimMs()));
-        double needed = READING_SPARE * PairChoice.readingAtDecodeMs(prefix.tokens()) + FIRST_EVENT_MS;
+        double needed = READING_SPARE * PrefillDecodePicker.readingAtDecodeMs(prefix.tokens()) + FIRST_EVENT_MS;
         return Math.min(arrivedAt + silence, deadline) - needed;
     }
 
--- a/dataplane/src/main/java/dewplank/dataplane/HealthExchange.java
+++ b/dataplane/src/main/java/dewplank/dataplane/HealthExchange.java
@@ -2,9 +2,9 @@
 
 import dewplank.membership.Member;
 import dewplank.net.EventLoop;
-import dewplank.routing.FleetVotes;
 import dewplank.routing.HealthSummary;
-import dewplank.routing.ServerOutcomes;
+import dewplank.routing.HealthVotes;
+import dewplank.routing.OutcomeWindow;
 import java.io.IOException;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
@@ -36,7 +36,7 @@
 
     private final EventLoop loop;
     private final FleetView fleet;
-    private final FleetVotes votes;
+    private final HealthVotes votes;
     private final Member self;
     private final Random random;
     private final DatagramSocket socket;
@@ -44,7 +44,7 @@
     private double toldAt = Double.NEGATIVE_INFINITY;
     private Set<Integer> toldSuspected = Set.of();
 
-    HealthExchange(EventLoop loop, FleetView fleet, FleetVotes votes, Member self, Random random) throws IOException {
+    HealthExchange(EventLoop loop, FleetView fleet, HealthVotes votes, Member self, Random random) throws IOException {
         this.loop = loop;
         this.fleet = fleet;
         this.votes = votes;
@@ -106,7 +106,7 @@
         List<HealthSummary.Healthy> healthy = new ArrayList<>();
         for (Server server : fleet.allServers()) {
             int hash = server.state.instanceId().hashCode();
-            ServerOutcomes outcomes = server.state.outcomes();
+            OutcomeWindow outcomes = server.state.outcomes();
             if (outcomes.suspect(now)) {
                 suspected.add(new HealthSummary.Suspected(hash, outcomes.failures(now), now - outcomes.lastFailure()));
             } else if (now - outcomes.lastServed() <= OBSERVED_WITHIN_MS) {
--- a/dataplane/src/main/java/dewplank/dataplane/PlainExchange.java
+++ b/dataplane/src/main/java/dewplank/dataplane/PlainExchange.java
@@ -8,8 +8,8 @@
 import dewplank.http.Headers;
 import dewplank.net.Wheel;
 import dewplank.routing.Mechanism;
-import dewplank.routing.ServerChoice;
-import dewplank.routing.ServerState;
+import dewplank.routing.ServerPicker;
+import dewplank.routing.TrackedServer;
 import java.io.ByteArrayOutputStream;
 import java.util.List;
 
@@ -56,11 +56,11 @@
     }
 
     private Server choose() {
-        List<ServerState> servers = forwarder.fleet().servers(service.name());
-        ServerChoice.Query query = ServerChoice.Query.of(servers, this::untried, repeatable() && sends == 0);
-        ServerState picked = forwarder.choice().pick(loop.now(), query);
+        List<TrackedServer> servers = forwarder.fleet().servers(service.name());
+        ServerPicker.Query query = ServerPicker.Query.of(servers, this::untried, repeatable() && sends == 0);
+        TrackedServer picked = forwarder.choice().pick(loop.now(), query);
         if (picked == null) { // none that is new: again at one that was tried
-            picked = forwarder.choice().pick(loop.now(), ServerChoice.Query.of(servers, s -> true, false));
+            picked = forwarder.choice().pick(loop.now(), ServerPicker.Query.of(servers, s -> true, false));
         }
         return picked == null ? null : forwarder.fleet().server(picked);
     }
--- a/dataplane/src/main/java/dewplank/dataplane/PrefillStep.java
+++ b/dataplane/src/main/java/dewplank/dataplane/PrefillStep.java
@@ -5,8 +5,8 @@
 import dewplank.http.Headers;
 import dewplank.net.Wheel;
 import dewplank.routing.Mechanism;
-import dewplank.routing.PairChoice;
-import dewplank.routing.ServerState;
+import dewplank.routing.PrefillDecodePicker;
+import dewplank.routing.TrackedServer;
 import java.io.ByteArrayOutputStream;
 import java.util.List;
 import java.util.Optional;
@@ -44,7 +44,7 @@
         List<Headers.Field> further = List.of(new Headers.Field(WireNames.STAGE, "prefill"), priority());
         call = exchange.callTo(server, exchange.ownTokens(), further, new Answer(server, free));
         call.start(exchange.forwarder.connectTimeoutMs());
-        double expected = PairChoice.readingMs(exchange.prefix.tokens())
+        double expected = PrefillDecodePicker.readingMs(exchange.prefix.tokens())
                 + exchange.forwarder.pairs().prefillWait(exchange.loop.now(), server.state);
         patience = exchange.loop.after(PATIENCE_MS + PATIENCE * expected, this::overdue);
     }
@@ -55,8 +55,8 @@
 
     private Server choose() {
         Forwarder forwarder = exchange.forwarder;
-        List<ServerState> servers = forwarder.fleet().servers(exchange.service.name(), ServerState.Stage.PREFILL);
-        ServerState picked =
+        List<TrackedServer> servers = forwarder.fleet().servers(exchange.service.name(), TrackedServer.Stage.PREFILL);
+        TrackedServer picked =
                 forwarder.pairs().prefill(exchange.loop.now(), servers, exchange.prefix, exchange::untried);
         return picked == null ? null : forwarder.fleet().server(picked);
     }
@@ -144,7 +144,7 @@
                 again();
                 return;
             }
-            double expected = PairChoice.readingMs(exchange.ownTokens());
+            double expected = PrefillDecodePicker.readingMs(exchange.ownTokens());
             server.state.queued(exchange.loop.now(), call.took() - expected);
             exchange.readAt = exchange.loop.now();
             exchange.forwarder.counters().add(Count.PREFILL_MS, (long) (exchange.readAt - exchange.arrivedAt));
--- a/dataplane/src/main/java/dewplank/dataplane/Server.java
+++ b/dataplane/src/main/java/dewplank/dataplane/Server.java
@@ -2,7 +2,7 @@
 
 import dewplank.exchange.ConnectionPool;
 import dewplank.net.Scheduler;
-import dewplank.routing.ServerState;
+import dewplank.routing.TrackedServer;
 import java.net.InetSocketAddress;
 
 /** A server and the connections to it. */
@@ -10,12 +10,12 @@
     /** Idle connections are closed after this in any case: they count against the server's bound. */
     private static final double MOST_IDLE_MS = 10_000;
 
-    final ServerState state;
+    final TrackedServer state;
     final InetSocketAddress address;
     final String addressText;
     final ConnectionPool pool;
 
-    Server(Scheduler loop, ServerState state, String addressText) {
+    Server(Scheduler loop, TrackedServer state, String addressText) {
         this.state = state;
         this.addressText = addressText;
         this.address = Sockets.address(addressText);
--- a/dataplane/src/main/java/dewplank/dataplane/ServerCall.java
+++ b/dataplane/src/main/java/dewplank/dataplane/ServerCall.java
@@ -3,7 +3,7 @@
 import dewplank.exchange.HttpCall;
 import dewplank.http.Headers;
 import dewplank.net.EventLoop;
-import dewplank.routing.ServerState;
+import dewplank.routing.TrackedServer;
 import java.nio.ByteBuffer;
 
 /** A call to a server that counts as load there from its start to its end, however it ends. */
@@ -13,7 +13,7 @@
     private final EventLoop loop;
     private final Counters counters;
     private final HttpCall call;
-    private ServerState.Flight flight;
+    private TrackedServer.Flight flight;
     private double startedAt;
 
     ServerCall(
--- a/dataplane/src/test/java/dewplank/dataplane/ClientLimitsTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/ClientLimitsTest.java
@@ -8,7 +8,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dewplank.configuration.Configuration;
-import dewplank.configuration.Limits;
+import dewplank.configuration.RequestLimits;
 import dewplank.exchange.InboundConnection;
 import dewplank.exchange.OnLoop;
 import dewplank.exchange.ScriptedServer.Call;
@@ -23,8 +23,8 @@
 
     private final ClientLimits limits = new ClientLimits(APPLY_MS);
 
-    private static Limits limits(double headerMs, double idleMs) {
-        return new Limits(16 * KIB, 1 << 20, headerMs, idleMs);
+    private static RequestLimits limits(double headerMs, double idleMs) {
+        return new RequestLimits(16 * KIB, 1 << 20, headerMs, idleMs);
     }
 
     // ---- changed limits -------------------------------------------------------------------------------
--- a/dataplane/src/test/java/dewplank/dataplane/FleetViewTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/FleetViewTest.java
@@ -21,7 +21,7 @@
 import dewplank.message.ListVersion;
 import dewplank.message.ServerEntry;
 import dewplank.message.ServerList;
-import dewplank.routing.ServerState;
+import dewplank.routing.TrackedServer;
 import java.io.IOException;
 import java.util.Arrays;
 import java.util.List;
@@ -72,7 +72,9 @@
     private List<String> listed(ServerList list) throws Exception {
         return OnLoop.get(net.loop, () -> {
             net.view.listed(list);
-            return net.view.servers(PLAIN).stream().map(ServerState::instanceId).toList();
+            return net.view.servers(PLAIN).stream()
+                    .map(TrackedServer::instanceId)
+                    .toList();
         });
     }
 
@@ -100,7 +102,7 @@
     @Test
     void aServerKeepsItsStateFromListToList() throws Exception {
         listed(list(1, 1, "a", "b"));
-        ServerState a = OnLoop.get(net.loop, () -> net.view.servers(PLAIN).get(0));
+        TrackedServer a = OnLoop.get(net.loop, () -> net.view.servers(PLAIN).get(0));
         listed(list(1, 2, "c", "a"));
         assertTrue(OnLoop.get(net.loop, () -> net.view.servers(PLAIN).contains(a)));
         assertTrue(a.ready());
--- a/dataplane/src/test/java/dewplank/dataplane/TestFleet.java
+++ b/dataplane/src/test/java/dewplank/dataplane/TestFleet.java
@@ -13,8 +13,8 @@
 import dewplank.message.ServerList;
 import dewplank.net.EventLoop;
 import dewplank.net.Listener;
-import dewplank.routing.FleetVotes;
-import dewplank.routing.ServerChoice;
+import dewplank.routing.HealthVotes;
+import dewplank.routing.ServerPicker;
 import java.io.Closeable;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -74,7 +74,7 @@
         forwarder = new Forwarder(
                 loop,
                 view,
-                new ServerChoice(ZONE, new FleetVotes(), random),
+                new ServerPicker(ZONE, new HealthVotes(), random),
                 random,
                 new Counters(),
                 limits,
--- a/routing/src/main/java/dewplank/routing/FleetSize.java
+++ b/routing/src/main/java/dewplank/routing/FleetSizeEstimator.java
@@ -5,7 +5,7 @@
  * are opened anew, after a restart of control planes and on each side of a cut, and whoever is missing from it still
  * sends. Times in milliseconds.
  */
-public final class FleetSize {
+public final class FleetSizeEstimator {
     /**
      * Of the budget's window: within it, after the first list of a life, no part of the slack is used. Sessions that
      * broke off together stand again, and are told, after a dial's time-out, a pause and a beat: 1.5 s of a window of
@@ -27,7 +27,7 @@
     private double largestAt;
 
     /** For a budget over windows of that length. */
-    public FleetSize(double windowMs) {
+    public FleetSizeEstimator(double windowMs) {
         this.settleMs = SETTLE_PART * windowMs;
         this.rememberedMs = REMEMBERED_WINDOWS * windowMs;
     }
--- a/routing/src/main/java/dewplank/routing/FleetVotes.java
+++ b/routing/src/main/java/dewplank/routing/HealthVotes.java
@@ -10,12 +10,12 @@
  * not acquit it. For the same reason the number of failures that a verdict needs is met by all that are told together:
  * of 90 sidecars none sees three of one server within its window.
  */
-public final class FleetVotes {
+public final class HealthVotes {
     private static final double FRESH_MS = 3_000; // a peer's summary counts so long, by this sidecar's clock
     /** Peers remembered: beyond, newcomers are not heard. */
     private static final int MOST_PEERS = 1_024;
     /** Failures, here and at peers together, before any verdict, as the design has it for one sidecar. */
-    private static final int FAILURES_FLOOR = ServerOutcomes.FAILURES_FLOOR;
+    private static final int FAILURES_FLOOR = OutcomeWindow.FAILURES_FLOOR;
     /**
      * A failure that is older than what the server has served since, by more than this, is no vote against it: its
      * latest status is that it serves. Half a second covers the rounding of ages and datagrams that cross.
@@ -31,11 +31,11 @@
     private final Policy policy;
     private final Map<String, Heard> peers = new HashMap<>();
 
-    public FleetVotes() {
-        this(Policy.WHOLE);
+    public HealthVotes() {
+        this(Policy.ALL_ENABLED);
     }
 
-    public FleetVotes(Policy policy) {
+    public HealthVotes(Policy policy) {
         this.policy = policy;
     }
 
@@ -65,7 +65,7 @@
      * Whether a simple majority of those that vote finds the server unhealthy, and enough requests have failed there.
      * A tie goes by own traffic.
      */
-    public boolean condemned(double now, String server, ServerOutcomes own) {
+    public boolean condemned(double now, String server, OutcomeWindow own) {
         if (!policy.uses(Mechanism.CONDEMNATION)) {
             return false;
         }
--- a/routing/src/main/java/dewplank/routing/ServerOutcomes.java
+++ b/routing/src/main/java/dewplank/routing/OutcomeWindow.java
@@ -10,7 +10,7 @@
  * {@link ServerHealth}, which has the weight too; but the number of failures that a verdict needs is the caller's, as
  * where those of the whole fleet are counted.
  */
-public final class ServerOutcomes {
+public final class OutcomeWindow {
     /** Unhealthy ones in the window before any verdict, as the design has it. */
     static final int FAILURES_FLOOR = 3;
 
@@ -55,7 +55,7 @@
     public int failures(double now) {
         forgetOld(now);
         return (int)
-                contexts.values().stream().mapToLong(ServerOutcomes::failures).sum();
+                contexts.values().stream().mapToLong(OutcomeWindow::failures).sum();
     }
 
     private static long failures(ArrayDeque<Outcome> window) {
--- a/routing/src/main/java/dewplank/routing/Policy.java
+++ b/routing/src/main/java/dewplank/routing/Policy.java
@@ -7,7 +7,7 @@
 /** Which mechanisms decide: all of them, but in a trial. */
 public record Policy(Set<Mechanism> off) {
     /** As it is served. */
-    public static final Policy WHOLE = new Policy(EnumSet.noneOf(Mechanism.class));
+    public static final Policy ALL_ENABLED = new Policy(EnumSet.noneOf(Mechanism.class));
 
     public Policy(Set<Mechanism> off) {
         this.off = Set.copyOf(off);
--- a/routing/src/main/java/dewplank/routing/PairChoice.java
+++ b/routing/src/main/java/dewplank/routing/PrefillDecodePicker.java
@@ -11,7 +11,7 @@
  * 800, 2,500 own tokens gave the longer streams 0.88, 0.76, 0.37 of their worth, never 0.91; only where prefill servers
  * are crowded gave 0.60 on a busy day instead of 0.99.
  */
-public final class PairChoice {
+public final class PrefillDecodePicker {
     private static final double TOKENS_PER_MS = 38; // prompt tokens that a prefill server reads
     /**
      * Of the time that a kept prefix spares. Above 1, as reading it elsewhere also displaces what others have kept:
@@ -30,10 +30,10 @@
 
     private static final double AWAY_TOKENS = 400; // what another zone than the prompt's costs, in tokens
 
-    private final ServerChoice choice;
-    private final PrefillLanes lanes = new PrefillLanes();
+    private final ServerPicker choice;
+    private final PrefillQueues lanes = new PrefillQueues();
 
-    public PairChoice(ServerChoice choice) {
+    public PrefillDecodePicker(ServerPicker choice) {
         this.choice = choice;
     }
 
@@ -43,12 +43,13 @@
     }
 
     /** The prefill server: that of the prefix, unless another one is likely sooner by more than it spares. */
-    public ServerState prefill(double now, List<ServerState> all, PromptPrefix prefix, Predicate<ServerState> allowed) {
+    public TrackedServer prefill(
+            double now, List<TrackedServer> all, PromptPrefix prefix, Predicate<TrackedServer> allowed) {
         boolean split = choice.policy().uses(Mechanism.LANES);
-        List<ServerState> servers = split ? lanes.lane(all, prefix.tokens()) : all;
+        List<TrackedServer> servers = split ? lanes.lane(all, prefix.tokens()) : all;
         return choice.pick(
                 now,
-                new ServerChoice.Query(
+                new ServerPicker.Query(
                         servers,
                         allowed,
                         s -> prefillWait(now, s),
@@ -58,7 +59,7 @@
     }
 
     /** Milliseconds until a prompt sent there now is begun: by own requests, by what others met, or by being stuck. */
-    public double prefillWait(double now, ServerState s) {
+    public double prefillWait(double now, TrackedServer s) {
         double told = choice.policy().uses(Mechanism.QUEUE_MEMORY) ? s.queueMs(now) : 0;
         double queue = Math.max(s.tokensInFlight() / TOKENS_PER_MS, told);
         double stuck = choice.policy().uses(Mechanism.STUCK) && s.waitedMs(now) > STUCK_MS + queue ? STUCK_COSTS_MS : 0;
@@ -81,18 +82,18 @@
      * @param zone the zone in which the prompt was read; null: the decode server is to read it
      * @param connected whether a connection to it rests here, so that none has to be opened
      */
-    public ServerState decode(
+    public TrackedServer decode(
             double now,
-            List<ServerState> servers,
+            List<TrackedServer> servers,
             PromptPrefix prefix,
             String zone,
-            Predicate<ServerState> connected,
-            Predicate<ServerState> allowed,
+            Predicate<TrackedServer> connected,
+            Predicate<TrackedServer> allowed,
             boolean mayTry) {
         if (zone == null) {
             return choice.pick(
                     now,
-                    new ServerChoice.Query(
+                    new ServerPicker.Query(
                             servers,
                             allowed,
                             s -> load(now, s),
@@ -102,7 +103,7 @@
         }
         return choice.pick(
                 now,
-                new ServerChoice.Query(
+                new ServerPicker.Query(
                         servers,
                         allowed,
                         s -> load(now, s)
@@ -121,12 +122,12 @@
         return choice.policy().uses(Mechanism.ZONE) ? AWAY_TOKENS : 0;
     }
 
-    private double load(double now, ServerState s) {
+    private double load(double now, TrackedServer s) {
         boolean stuck = choice.policy().uses(Mechanism.STUCK) && s.waitedMs(now) > STUCK_MS;
         return (stuck ? STUCK_COSTS_MS * TOKENS_PER_MS : 0) + s.tokensInFlight() + REQUEST_TOKENS * s.inFlight();
     }
 
-    private ServerState home(double now, List<ServerState> servers, PromptPrefix prefix) {
+    private TrackedServer home(double now, List<TrackedServer> servers, PromptPrefix prefix) {
         String subject = prefix.subject();
         return subject == null || !choice.policy().uses(Mechanism.HOMES)
                 ? null
--- a/routing/src/main/java/dewplank/routing/PrefixAffinity.java
+++ b/routing/src/main/java/dewplank/routing/PrefixAffinity.java
@@ -10,10 +10,10 @@
     private PrefixAffinity() {}
 
     /** The server for that key, or null if there is none. */
-    public static ServerState home(String key, List<ServerState> servers) {
-        ServerState first = null;
+    public static TrackedServer home(String key, List<TrackedServer> servers) {
+        TrackedServer first = null;
         long most = 0;
-        for (ServerState s : servers) {
+        for (TrackedServer s : servers) {
             long rank = mix(s.instanceId().hashCode() * 31L + key.hashCode());
             if (first == null || rank > most) {
                 most = rank;
--- a/routing/src/main/java/dewplank/routing/PromptSizes.java
+++ b/routing/src/main/java/dewplank/routing/PromptLengthEstimator.java
@@ -5,7 +5,7 @@
  * servers can be kept for them, so that they don't wait behind long ones ("size interval task assignment", Crovella,
  * Harchol-Balter and Murta, 1998).
  */
-public final class PromptSizes {
+public final class PromptLengthEstimator {
     /** Weight of a new prompt: some thirty of them are remembered, ten seconds of one data plane's. */
     private static final double STEP = 1 / 32.0;
     /** Prompts seen before anything is said of them. */
--- a/routing/src/main/java/dewplank/routing/ServerChoice.java
+++ b/routing/src/main/java/dewplank/routing/ServerPicker.java
@@ -13,7 +13,7 @@
  * with
  * the lesser load. Times in milliseconds.
  */
-public final class ServerChoice {
+public final class ServerPicker {
     /**
      * Trial sends to a condemned server in a second, by all sidecars together: the design has one of each sidecar, at
      * ninety of which a condemned server would be sent more than a healthy one.
@@ -27,33 +27,34 @@
 
     /** What one pick asks for. */
     public record Query(
-            List<ServerState> servers,
-            Predicate<ServerState> allowed,
-            ToDoubleFunction<ServerState> load,
-            ServerState preferred,
+            List<TrackedServer> servers,
+            Predicate<TrackedServer> allowed,
+            ToDoubleFunction<TrackedServer> load,
+            TrackedServer preferred,
             double preference,
             boolean mayTry) {
         /** Any of the servers, by requests in flight. */
-        public static Query of(List<ServerState> servers, Predicate<ServerState> allowed, boolean mayTry) {
-            return new Query(servers, allowed, ServerState::inFlight, null, 0, mayTry);
+        public static Query of(List<TrackedServer> servers, Predicate<TrackedServer> allowed, boolean mayTry) {
+            return new Query(servers, allowed, TrackedServer::inFlight, null, 0, mayTry);
         }
     }
 
     private final String ownZone;
-    private final FleetVotes votes;
+    private final HealthVotes votes;
     private final IntSupplier sidecars;
     private final RandomGenerator random;
     private final Policy policy;
 
     /** For one sidecar by itself. */
-    public ServerChoice(String ownZone, FleetVotes votes, RandomGenerator random) {
-        this(ownZone, votes, () -> 1, random, Policy.WHOLE);
+    public ServerPicker(String ownZone, HealthVotes votes, RandomGenerator random) {
+        this(ownZone, votes, () -> 1, random, Policy.ALL_ENABLED);
     }
 
     /**
      * @param sidecars how many sidecars send to the same servers, this one among them
      */
-    public ServerChoice(String ownZone, FleetVotes votes, IntSupplier sidecars, RandomGenerator random, Policy policy) {
+    public ServerPicker(
+            String ownZone, HealthVotes votes, IntSupplier sidecars, RandomGenerator random, Policy policy) {
         this.policy = policy;
         this.ownZone = ownZone;
         this.votes = votes;
@@ -67,7 +68,7 @@
     }
 
     /** Whether the votes of this sidecar and its peers find the server unhealthy. */
-    public boolean condemned(double now, ServerState s) {
+    public boolean condemned(double now, TrackedServer s) {
         if (now - s.condemnedCheckedAt() >= VERDICT_FRESH_MS) {
             judge(now, s);
         }
@@ -75,7 +76,7 @@
     }
 
     /** An outcome was observed: the verdict may turn. */
-    public void observe(double now, ServerState s, String context, boolean healthy) {
+    public void observe(double now, TrackedServer s, String context, boolean healthy) {
         s.outcomes().observe(now, context, healthy);
         judge(now, s);
         if (healthy) {
@@ -84,7 +85,7 @@
     }
 
     /** The first trial of a verdict comes at a time of its own at each sidecar, the next ones at the same pace. */
-    private void judge(double now, ServerState s) {
+    private void judge(double now, TrackedServer s) {
         boolean before = s.condemned();
         s.judged(now, votes.condemned(now, s.instanceId(), s.outcomes()));
         if (s.condemned() && !before) {
@@ -98,10 +99,10 @@
     }
 
     /** A server, or null where none may be sent to. */
-    public ServerState pick(double now, Query query) {
-        List<ServerState> ready = new ArrayList<>();
-        List<ServerState> free = new ArrayList<>();
-        for (ServerState s : query.servers()) {
+    public TrackedServer pick(double now, Query query) {
+        List<TrackedServer> ready = new ArrayList<>();
+        List<TrackedServer> free = new ArrayList<>();
+        for (TrackedServer s : query.servers()) {
             if (s.ready()) {
                 ready.add(s);
                 if (!condemned(now, s)) {
@@ -111,7 +112,7 @@
         }
         boolean enoughFree = 2 * free.size() >= ready.size();
         if (enoughFree && query.mayTry()) {
-            ServerState trial = trial(now, ready, query);
+            TrackedServer trial = trial(now, ready, query);
             if (trial != null) {
                 return trial;
             }
@@ -120,14 +121,16 @@
     }
 
     /** The servers among which draws are made now. */
-    public List<ServerState> drawable(double now, List<ServerState> servers) {
-        List<ServerState> ready = servers.stream().filter(ServerState::ready).toList();
-        List<ServerState> free = ready.stream().filter(s -> !condemned(now, s)).toList();
+    public List<TrackedServer> drawable(double now, List<TrackedServer> servers) {
+        List<TrackedServer> ready =
+                servers.stream().filter(TrackedServer::ready).toList();
+        List<TrackedServer> free =
+                ready.stream().filter(s -> !condemned(now, s)).toList();
         return 2 * free.size() >= ready.size() ? free : ready;
     }
 
-    private ServerState trial(double now, List<ServerState> ready, Query query) {
-        for (ServerState s : ready) {
+    private TrackedServer trial(double now, List<TrackedServer> ready, Query query) {
+        for (TrackedServer s : ready) {
             if (s.condemned()
                     && now - s.lastTrialAt() >= trialPauseMs()
                     && query.allowed().test(s)) {
@@ -138,9 +141,9 @@
         return null;
     }
 
-    private ServerState pickTwo(double now, List<ServerState> drawable, Query query) {
-        List<ServerState> fitting = new ArrayList<>();
-        for (ServerState s : drawable) {
+    private TrackedServer pickTwo(double now, List<TrackedServer> drawable, Query query) {
+        List<TrackedServer> fitting = new ArrayList<>();
+        for (TrackedServer s : drawable) {
             if ((!s.resting(now) || !policy.uses(Mechanism.RESTING))
                     && query.allowed().test(s)) {
                 fitting.add(s);
@@ -150,8 +153,8 @@
             return null;
         }
         boolean usePreferred = query.preferred() != null && fitting.contains(query.preferred());
-        ServerState first = usePreferred ? query.preferred() : WeightedDraw.one(fitting, null, this::weight, random);
-        ServerState second = WeightedDraw.one(fitting, first, this::weight, random);
+        TrackedServer first = usePreferred ? query.preferred() : WeightedDraw.one(fitting, null, this::weight, random);
+        TrackedServer second = WeightedDraw.one(fitting, first, this::weight, random);
         if (second == null || !policy.uses(Mechanism.TWO_CHOICES)) {
             return first;
         }
@@ -159,7 +162,7 @@
         return query.load().applyAsDouble(first) - bonus <= query.load().applyAsDouble(second) ? first : second;
     }
 
-    private double weight(ServerState s) {
+    private double weight(TrackedServer s) {
         double health = policy.uses(Mechanism.WEIGHTS) ? s.outcomes().weight() : 1;
         return health * (s.zone().equals(ownZone) || !policy.uses(Mechanism.ZONE) ? 1 : AWAY_WEIGHT);
     }
--- a/routing/src/main/java/dewplank/routing/ServerState.java
+++ b/routing/src/main/java/dewplank/routing/TrackedServer.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 
 /** One incarnation of a server as this sidecar sees it: what the list says, its own load there, and its health. */
-public final class ServerState {
+public final class TrackedServer {
     private static final double QUEUE_STEP = 0.5; // a sample counts half: queues change within a few of them
     private static final double QUEUE_TAU_MS = 400; // and is forgotten at this time scale
 
@@ -21,7 +21,7 @@
     private final String instanceId;
     private final String service;
     private final String zone;
-    private final ServerOutcomes outcomes = new ServerOutcomes();
+    private final OutcomeWindow outcomes = new OutcomeWindow();
     private Stage stage;
     private boolean ready = true;
     private boolean condemned;
@@ -35,7 +35,7 @@
     private double queuedAt = Double.NEGATIVE_INFINITY;
     private long tokensInFlight;
 
-    public ServerState(String instanceId, String service, String zone, Stage stage) {
+    public TrackedServer(String instanceId, String service, String zone, Stage stage) {
         this.instanceId = instanceId;
         this.service = service;
         this.zone = zone;
@@ -58,7 +58,7 @@
         return stage;
     }
 
-    public ServerOutcomes outcomes() {
+    public OutcomeWindow outcomes() {
         return outcomes;
     }
 
--- a/routing/src/test/java/dewplank/routing/FleetSizeTest.java
+++ b/routing/src/test/java/dewplank/routing/FleetSizeEstimatorTest.java
@@ -6,10 +6,10 @@
 
 import org.junit.jupiter.api.Test;
 
-class FleetSizeTest {
+class FleetSizeEstimatorTest {
     private static final double WINDOW_MS = 10_000;
 
-    private final FleetSize size = new FleetSize(WINDOW_MS);
+    private final FleetSizeEstimator size = new FleetSizeEstimator(WINDOW_MS);
 
     @Test
     void nothingIsReliedOnBeforeTheFirstListHasSettled() {
--- a/routing/src/test/java/dewplank/routing/FleetVotesTest.java
+++ b/routing/src/test/java/dewplank/routing/HealthVotesTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Peers' summaries that are late, doubled, of an earlier life, or of another machine at the same address. */
-class FleetVotesTest {
+class HealthVotesTest {
     private static final String SERVER = "i-1";
     private static final String PEER = "10.0.0.1";
     private static final int IT = SERVER.hashCode();
@@ -18,7 +18,7 @@
     private static final long LATER = 2_000;
     private static final double FRESH_MS = 3_000;
 
-    private final FleetVotes votes = new FleetVotes();
+    private final HealthVotes votes = new HealthVotes();
 
     private static HealthSummary unhealthy(long life, int sequence) {
         return new HealthSummary(life, sequence, List.of(new HealthSummary.Suspected(IT, 3, 0)), List.of());
@@ -30,13 +30,13 @@
 
     /** With a failure of its own at that moment. */
     private boolean condemned(double now) {
-        ServerOutcomes own = new ServerOutcomes();
+        OutcomeWindow own = new OutcomeWindow();
         own.observe(now, "class", false);
         return votes.condemned(now, SERVER, own);
     }
 
     private boolean condemnedUnseen(double now) {
-        return votes.condemned(now, SERVER, new ServerOutcomes());
+        return votes.condemned(now, SERVER, new OutcomeWindow());
     }
 
     @Test
--- a/routing/src/test/java/dewplank/routing/ServerOutcomesTest.java
+++ b/routing/src/test/java/dewplank/routing/OutcomeWindowTest.java
@@ -8,7 +8,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-class ServerOutcomesTest {
+class OutcomeWindowTest {
     /** With the design's number of failures the verdict is the decision module's own, on any course of outcomes. */
     @Test
     void agreesWithTheDecisionModule() {
@@ -16,7 +16,7 @@
         int unhealthy = 0;
         for (int course = 0; course < 200; course++) {
             ServerHealth health = new ServerHealth();
-            ServerOutcomes outcomes = new ServerOutcomes();
+            OutcomeWindow outcomes = new OutcomeWindow();
             double failing = random.nextDouble();
             double now = 0;
             for (int i = 0; i < 100; i++) {
@@ -25,7 +25,7 @@
                 boolean healthy = random.nextDouble() >= failing;
                 health.observe(now, context, healthy);
                 outcomes.observe(now, context, healthy);
-                assertEquals(health.unhealthy(now), outcomes.unhealthy(now, ServerOutcomes.FAILURES_FLOOR));
+                assertEquals(health.unhealthy(now), outcomes.unhealthy(now, OutcomeWindow.FAILURES_FLOOR));
                 assertEquals(health.weight(), outcomes.weight());
                 unhealthy += health.unhealthy(now) ? 1 : 0;
             }
@@ -35,7 +35,7 @@
 
     @Test
     void oneFailureIsASuspicionUntilItIsForgottenOrOutdated() {
-        ServerOutcomes outcomes = new ServerOutcomes();
+        OutcomeWindow outcomes = new OutcomeWindow();
         assertFalse(outcomes.suspect(0));
         outcomes.observe(0, "a", false);
         assertTrue(outcomes.suspect(1));
--- a/routing/src/test/java/dewplank/routing/PolicyTest.java
+++ b/routing/src/test/java/dewplank/routing/PolicyTest.java
@@ -13,23 +13,23 @@
 
 /** Each mechanism that is switched off for a trial decides no more. */
 class PolicyTest {
-    private static List<ServerState> servers(String... zones) {
-        List<ServerState> servers = new ArrayList<>();
+    private static List<TrackedServer> servers(String... zones) {
+        List<TrackedServer> servers = new ArrayList<>();
         for (String zone : zones) {
-            servers.add(new ServerState("i-" + servers.size(), "service", zone, ServerState.Stage.PLAIN));
+            servers.add(new TrackedServer("i-" + servers.size(), "service", zone, TrackedServer.Stage.PLAIN));
         }
         return servers;
     }
 
-    private static ServerChoice without(Mechanism... off) {
+    private static ServerPicker without(Mechanism... off) {
         Policy policy = Policy.without(List.of(off));
-        return new ServerChoice("here", new FleetVotes(policy), () -> 90, new SplittableRandom(5), policy);
+        return new ServerPicker("here", new HealthVotes(policy), () -> 90, new SplittableRandom(5), policy);
     }
 
-    private static long picks(ServerChoice choice, double now, List<ServerState> servers, ServerState of) {
+    private static long picks(ServerPicker choice, double now, List<TrackedServer> servers, TrackedServer of) {
         long picks = 0;
         for (int i = 0; i < 1_000; i++) {
-            picks += choice.pick(now, ServerChoice.Query.of(servers, s -> true, false)) == of ? 1 : 0;
+            picks += choice.pick(now, ServerPicker.Query.of(servers, s -> true, false)) == of ? 1 : 0;
         }
         return picks;
     }
@@ -38,7 +38,7 @@
     void namesOnTheCommandLineAreThoseOfTheMechanisms() {
         for (Mechanism mechanism : Mechanism.values()) {
             assertEquals(Optional.of(mechanism), Mechanism.of(mechanism.text()));
-            assertTrue(Policy.WHOLE.uses(mechanism));
+            assertTrue(Policy.ALL_ENABLED.uses(mechanism));
             assertFalse(Policy.without(List.of(mechanism)).uses(mechanism));
         }
         assertEquals(Optional.empty(), Mechanism.of("luck"));
@@ -46,8 +46,8 @@
 
     @Test
     void withoutCondemnationNoServerIsLeftOut() {
-        List<ServerState> servers = servers("here", "here", "here");
-        ServerChoice choice = without(Mechanism.CONDEMNATION, Mechanism.WEIGHTS);
+        List<TrackedServer> servers = servers("here", "here", "here");
+        ServerPicker choice = without(Mechanism.CONDEMNATION, Mechanism.WEIGHTS);
         for (int i = 0; i < 9; i++) {
             choice.observe(0, servers.get(0), "class", false);
         }
@@ -56,19 +56,19 @@
 
     @Test
     void withoutPooledFailuresThreeAreNeededHere() {
-        FleetVotes votes = new FleetVotes(Policy.without(List.of(Mechanism.POOLED_FAILURES)));
+        HealthVotes votes = new HealthVotes(Policy.without(List.of(Mechanism.POOLED_FAILURES)));
         HealthSummary one =
                 new HealthSummary(1, 1, List.of(new HealthSummary.Suspected("i-0".hashCode(), 1, 0)), List.of());
         for (String peer : List.of("a", "b", "c", "d")) {
             votes.hear(0, peer, one);
         }
-        assertFalse(votes.condemned(1, "i-0", new ServerOutcomes()));
+        assertFalse(votes.condemned(1, "i-0", new OutcomeWindow()));
     }
 
     @Test
     void withoutWeightsOneThatFailsIsDrawnAsOften() {
-        List<ServerState> servers = servers("here", "here", "here");
-        ServerChoice choice = without(Mechanism.WEIGHTS);
+        List<TrackedServer> servers = servers("here", "here", "here");
+        ServerPicker choice = without(Mechanism.WEIGHTS);
         choice.observe(0, servers.get(0), "class", false);
         choice.observe(0, servers.get(0), "class", false);
         assertTrue(picks(choice, 1, servers, servers.get(0)) > 250);
@@ -76,7 +76,7 @@
 
     @Test
     void withoutTwoChoicesLoadIsNotCompared() {
-        List<ServerState> servers = servers("here", "here");
+        List<TrackedServer> servers = servers("here", "here");
         servers.get(0).began(0, 0);
         assertEquals(0, picks(without(), 0, servers, servers.get(0)));
         assertTrue(picks(without(Mechanism.TWO_CHOICES), 0, servers, servers.get(0)) > 400);
@@ -84,13 +84,13 @@
 
     @Test
     void withoutZonesAnotherZoneIsDrawnAsOften() {
-        List<ServerState> servers = servers("here", "there", "here");
+        List<TrackedServer> servers = servers("here", "there", "here");
         assertTrue(picks(without(Mechanism.ZONE), 0, servers, servers.get(1)) > 250);
     }
 
     @Test
     void withoutRestingOneThatTurnedARequestAwayIsAskedAgain() {
-        List<ServerState> servers = servers("here", "here");
+        List<TrackedServer> servers = servers("here", "here");
         servers.get(0).rest(0, 1_000, 2_000);
         assertEquals(0, picks(without(), 10, servers, servers.get(0)));
         assertNotEquals(0, picks(without(Mechanism.RESTING), 10, servers, servers.get(0)));
@@ -98,11 +98,11 @@
 
     @Test
     void withoutReuseAServerThatHasToBeConnectedIsTakenAsOften() {
-        List<ServerState> servers = servers("here", "here");
+        List<TrackedServer> servers = servers("here", "here");
         PromptPrefix prompt = PromptPrefix.parse("5c1e07a2:8000,91bd3f06:410");
-        ServerState connected = servers.get(1);
-        PairChoice reusing = new PairChoice(without());
-        PairChoice other = new PairChoice(without(Mechanism.REUSE));
+        TrackedServer connected = servers.get(1);
+        PrefillDecodePicker reusing = new PrefillDecodePicker(without());
+        PrefillDecodePicker other = new PrefillDecodePicker(without(Mechanism.REUSE));
         int fresh = 0;
         for (int i = 0; i < 100; i++) {
             assertEquals(connected, reusing.decode(0, servers, prompt, "here", s -> s == connected, s -> true, false));
@@ -119,11 +119,11 @@
 
     @Test
     void withoutHomesPromptsThatBeginAlikeSpread() {
-        List<ServerState> servers = servers("here", "here", "here", "here");
+        List<TrackedServer> servers = servers("here", "here", "here", "here");
         PromptPrefix prompt = PromptPrefix.parse("5c1e07a2:8000,91bd3f06:410");
-        PairChoice homes = new PairChoice(without());
-        PairChoice spread = new PairChoice(without(Mechanism.HOMES));
-        ServerState home = homes.prefill(0, servers, prompt, s -> true);
+        PrefillDecodePicker homes = new PrefillDecodePicker(without());
+        PrefillDecodePicker spread = new PrefillDecodePicker(without(Mechanism.HOMES));
+        TrackedServer home = homes.prefill(0, servers, prompt, s -> true);
         int away = 0;
         for (int i = 0; i < 100; i++) {
             assertEquals(home, homes.prefill(0, servers, prompt, s -> true));
--- a/routing/src/test/java/dewplank/routing/PrefillLanesTest.java
+++ b/routing/src/test/java/dewplank/routing/PrefillQueuesTest.java
@@ -10,21 +10,21 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-class PrefillLanesTest {
+class PrefillQueuesTest {
     private static final long SHORT = 826;
     private static final long LONG = 9_190;
 
-    private static List<ServerState> servers(int count) {
-        List<ServerState> servers = new ArrayList<>();
+    private static List<TrackedServer> servers(int count) {
+        List<TrackedServer> servers = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            servers.add(new ServerState("i-" + i, "service", "z", ServerState.Stage.PREFILL));
+            servers.add(new TrackedServer("i-" + i, "service", "z", TrackedServer.Stage.PREFILL));
         }
         return servers;
     }
 
-    private static PrefillLanes taught(long seed, int prompts) {
+    private static PrefillQueues taught(long seed, int prompts) {
         SplittableRandom random = new SplittableRandom(seed);
-        PrefillLanes lanes = new PrefillLanes();
+        PrefillQueues lanes = new PrefillQueues();
         for (int i = 0; i < prompts; i++) {
             long mean = random.nextInt(9) < 5 ? SHORT : LONG;
             lanes.saw((long) (mean * (0.5 + random.nextDouble())));
@@ -34,13 +34,13 @@
 
     @Test
     void aFewOfManyServersAreKeptForShortPrompts() {
-        List<ServerState> servers = servers(47);
-        PrefillLanes lanes = taught(1, 200);
-        List<ServerState> forShort = lanes.lane(servers, SHORT);
-        List<ServerState> forLong = lanes.lane(servers, LONG);
+        List<TrackedServer> servers = servers(47);
+        PrefillQueues lanes = taught(1, 200);
+        List<TrackedServer> forShort = lanes.lane(servers, SHORT);
+        List<TrackedServer> forLong = lanes.lane(servers, LONG);
         assertTrue(forShort.size() >= 4 && forShort.size() <= 12, forShort.size() + " for short ones");
         assertEquals(47, forShort.size() + forLong.size());
-        Set<ServerState> both = new HashSet<>(forShort);
+        Set<TrackedServer> both = new HashSet<>(forShort);
         both.retainAll(forLong);
         assertEquals(Set.of(), both);
     }
@@ -48,11 +48,11 @@
     /** Each of them sees prompts of its own; a server of one's long lane may be in another's short one, but few are. */
     @Test
     void dataPlanesMostlyAgree() {
-        List<ServerState> servers = servers(47);
-        Set<ServerState> some = new HashSet<>();
-        Set<ServerState> all = new HashSet<>(servers);
+        List<TrackedServer> servers = servers(47);
+        Set<TrackedServer> some = new HashSet<>();
+        Set<TrackedServer> all = new HashSet<>(servers);
         for (long seed = 0; seed < 90; seed++) {
-            List<ServerState> lane = taught(seed, 60).lane(servers, SHORT);
+            List<TrackedServer> lane = taught(seed, 60).lane(servers, SHORT);
             some.addAll(lane);
             all.retainAll(lane);
         }
@@ -63,7 +63,7 @@
     void fewServersOrPromptsOfOneLengthOrLittleKnownKeepNone() {
         assertEquals(5, taught(1, 200).lane(servers(5), SHORT).size());
         assertEquals(47, taught(1, 5).lane(servers(47), SHORT).size());
-        PrefillLanes alike = new PrefillLanes();
+        PrefillQueues alike = new PrefillQueues();
         for (int i = 0; i < 200; i++) {
             alike.saw(LONG);
         }
@@ -73,10 +73,10 @@
 
     @Test
     void aServerThatIsNotReadyIsInNoLane() {
-        List<ServerState> servers = servers(47);
-        PrefillLanes lanes = taught(1, 200);
-        ServerState leaving = lanes.lane(servers, SHORT).get(0);
-        leaving.listed(false, ServerState.Stage.PREFILL);
+        List<TrackedServer> servers = servers(47);
+        PrefillQueues lanes = taught(1, 200);
+        TrackedServer leaving = lanes.lane(servers, SHORT).get(0);
+        leaving.listed(false, TrackedServer.Stage.PREFILL);
         assertTrue(!lanes.lane(servers, SHORT).contains(leaving));
         assertTrue(!lanes.lane(servers, LONG).contains(leaving));
     }
--- a/routing/src/test/java/dewplank/routing/RetryBudgetTest.java
+++ b/routing/src/test/java/dewplank/routing/RetryBudgetTest.java
@@ -64,10 +64,10 @@
             @ForAll @IntRange(min = 2, max = 12) int sidecars, @ForAll @LongRange long seed) {
         java.util.SplittableRandom random = new java.util.SplittableRandom(seed);
         List<RetryBudget> budgets = new ArrayList<>();
-        List<FleetSize> sizes = new ArrayList<>();
+        List<FleetSizeEstimator> sizes = new ArrayList<>();
         for (int i = 0; i < sidecars; i++) {
             budgets.add(new RetryBudget(RATIO, WINDOW_MS, SLACK));
-            sizes.add(new FleetSize(WINDOW_MS));
+            sizes.add(new FleetSizeEstimator(WINDOW_MS));
         }
         double wholeFrom = 0.2 * WINDOW_MS * random.nextDouble(); // all sessions stand: by then all are told of all
         double cutFrom = WINDOW_MS + 2 * WINDOW_MS * random.nextDouble();
--- a/routing/src/test/java/dewplank/routing/ServerChoiceTest.java
+++ b/routing/src/test/java/dewplank/routing/ServerPickerTest.java
@@ -12,14 +12,14 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-class ServerChoiceTest {
-    private final FleetVotes votes = new FleetVotes();
-    private final ServerChoice choice = new ServerChoice("here", votes, new SplittableRandom(7));
+class ServerPickerTest {
+    private final HealthVotes votes = new HealthVotes();
+    private final ServerPicker choice = new ServerPicker("here", votes, new SplittableRandom(7));
 
-    private static List<ServerState> servers(int count) {
-        List<ServerState> servers = new ArrayList<>();
+    private static List<TrackedServer> servers(int count) {
+        List<TrackedServer> servers = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            servers.add(new ServerState("i-" + i, "service", "here", ServerState.Stage.PLAIN));
+            servers.add(new TrackedServer("i-" + i, "service", "here", TrackedServer.Stage.PLAIN));
         }
         return servers;
     }
@@ -28,7 +28,7 @@
         return new HealthSummary(1, 1, List.of(new HealthSummary.Suspected("i-0".hashCode(), 3, 0)), List.of());
     }
 
-    private void fail(ServerState s, double now, int times) {
+    private void fail(TrackedServer s, double now, int times) {
         for (int i = 0; i < times; i++) {
             choice.observe(now, s, "class", false);
         }
@@ -36,55 +36,55 @@
 
     @Test
     void ofTwoTheOneWithFewerInFlightIsTaken() {
-        List<ServerState> servers = servers(2);
+        List<TrackedServer> servers = servers(2);
         servers.get(0).began(0, 0);
         for (int i = 0; i < 50; i++) {
-            assertEquals(servers.get(1), choice.pick(0, ServerChoice.Query.of(servers, s -> true, false)));
+            assertEquals(servers.get(1), choice.pick(0, ServerPicker.Query.of(servers, s -> true, false)));
         }
     }
 
     @Test
     void aCondemnedServerGetsOneTrialASecondUntilTheVerdictTurns() {
-        List<ServerState> servers = servers(4);
-        ServerState sick = servers.get(0);
+        List<TrackedServer> servers = servers(4);
+        TrackedServer sick = servers.get(0);
         fail(sick, 0, 3);
         int trials = 0;
         for (double now = 10; now < 3_010; now += 10) {
-            trials += choice.pick(now, ServerChoice.Query.of(servers, s -> true, true)) == sick ? 1 : 0;
+            trials += choice.pick(now, ServerPicker.Query.of(servers, s -> true, true)) == sick ? 1 : 0;
         }
         assertEquals(3, trials);
         choice.observe(3_010, sick, "class", true);
-        Map<ServerState, Integer> picked = new HashMap<>();
+        Map<TrackedServer, Integer> picked = new HashMap<>();
         for (int i = 0; i < 200; i++) {
-            picked.merge(choice.pick(13_100, ServerChoice.Query.of(servers, s -> true, false)), 1, Integer::sum);
+            picked.merge(choice.pick(13_100, ServerPicker.Query.of(servers, s -> true, false)), 1, Integer::sum);
         }
         assertTrue(picked.containsKey(sick), "it is drawn again");
     }
 
     @Test
     void trialsGoOnlyWhereARequestMayBeTried() {
-        List<ServerState> servers = servers(4);
+        List<TrackedServer> servers = servers(4);
         fail(servers.get(0), 0, 3);
         for (double now = 10; now < 2_000; now += 10) {
-            assertNotEquals(servers.get(0), choice.pick(now, ServerChoice.Query.of(servers, s -> true, false)));
+            assertNotEquals(servers.get(0), choice.pick(now, ServerPicker.Query.of(servers, s -> true, false)));
         }
     }
 
     @Test
     void whereUnderHalfAreFreeAllReadyOnesAreDrawn() {
-        List<ServerState> servers = servers(3);
+        List<TrackedServer> servers = servers(3);
         fail(servers.get(0), 0, 3);
         fail(servers.get(1), 0, 3);
-        Map<ServerState, Integer> picked = new HashMap<>();
+        Map<TrackedServer, Integer> picked = new HashMap<>();
         for (int i = 0; i < 300; i++) {
-            picked.merge(choice.pick(10, ServerChoice.Query.of(servers, s -> true, true)), 1, Integer::sum);
+            picked.merge(choice.pick(10, ServerPicker.Query.of(servers, s -> true, true)), 1, Integer::sum);
         }
         assertEquals(3, picked.size());
     }
 
     @Test
     void peersVotesCondemnAServerThatWasServedHere() {
-        List<ServerState> servers = servers(3);
+        List<TrackedServer> servers = servers(3);
         choice.observe(0, servers.get(0), "class", true);
         for (String peer : List.of("a", "b", "c")) {
             votes.hear(1, peer, suspecting());
@@ -95,7 +95,7 @@
 
     @Test
     void onlyPeersThatHaveSentThereVote() {
-        List<ServerState> servers = servers(4);
+        List<TrackedServer> servers = servers(4);
         for (int i = 0; i < 20; i++) {
             votes.hear(1, "silent" + i, new HealthSummary(1, 1, List.of(), List.of()));
         }
@@ -108,19 +108,19 @@
 
     @Test
     void drainingOrRestingServersAreNotPicked() {
-        List<ServerState> servers = servers(2);
-        servers.get(0).listed(false, ServerState.Stage.PLAIN);
+        List<TrackedServer> servers = servers(2);
+        servers.get(0).listed(false, TrackedServer.Stage.PLAIN);
         servers.get(1).rest(0, 40, 2_000);
-        assertNull(choice.pick(10, ServerChoice.Query.of(servers, s -> true, true)));
-        assertEquals(servers.get(1), choice.pick(41, ServerChoice.Query.of(servers, s -> true, true)));
+        assertNull(choice.pick(10, ServerPicker.Query.of(servers, s -> true, true)));
+        assertEquals(servers.get(1), choice.pick(41, ServerPicker.Query.of(servers, s -> true, true)));
     }
 
     @Test
     void theHomeOfAPrefixIsTakenUnlessItIsBusierByMoreThanItSpares() {
-        List<ServerState> servers = servers(3);
-        ServerState home = PrefixAffinity.home("5c1e07a2", servers);
-        ServerChoice.Query query =
-                new ServerChoice.Query(servers, s -> true, s -> (double) s.tokensInFlight(), home, 1_000, false);
+        List<TrackedServer> servers = servers(3);
+        TrackedServer home = PrefixAffinity.home("5c1e07a2", servers);
+        ServerPicker.Query query =
+                new ServerPicker.Query(servers, s -> true, s -> (double) s.tokensInFlight(), home, 1_000, false);
         home.began(0, 900);
         assertEquals(home, choice.pick(0, query));
         home.began(0, 200);
@@ -129,12 +129,12 @@
 
     @Test
     void onlyTheKeysOfAServerThatLeavesChangeTheirHome() {
-        List<ServerState> servers = servers(5);
-        List<ServerState> fewer = servers.subList(0, 4);
+        List<TrackedServer> servers = servers(5);
+        List<TrackedServer> fewer = servers.subList(0, 4);
         int moved = 0;
         for (int i = 0; i < 1_000; i++) {
-            ServerState before = PrefixAffinity.home("key" + i, servers);
-            ServerState after = PrefixAffinity.home("key" + i, fewer);
+            TrackedServer before = PrefixAffinity.home("key" + i, servers);
+            TrackedServer after = PrefixAffinity.home("key" + i, fewer);
             if (before == servers.get(4)) {
                 moved++;
             } else {
@@ -149,12 +149,12 @@
     void trialsAreAMatterOfTheFleet() {
         int sidecars = 90;
         SplittableRandom random = new SplittableRandom(3);
-        List<ServerChoice> fleet = new ArrayList<>();
-        List<List<ServerState>> views = new ArrayList<>();
+        List<ServerPicker> fleet = new ArrayList<>();
+        List<List<TrackedServer>> views = new ArrayList<>();
         for (int i = 0; i < sidecars; i++) {
-            ServerChoice each =
-                    new ServerChoice("here", new FleetVotes(), () -> sidecars, random.split(), Policy.WHOLE);
-            List<ServerState> view = servers(4);
+            ServerPicker each =
+                    new ServerPicker("here", new HealthVotes(), () -> sidecars, random.split(), Policy.ALL_ENABLED);
+            List<TrackedServer> view = servers(4);
             for (int failure = 0; failure < 3; failure++) {
                 each.observe(0, view.get(0), "class", false);
             }
@@ -164,7 +164,7 @@
         int trials = 0;
         for (double now = 10; now < 9_000; now += 100) {
             for (int i = 0; i < sidecars; i++) {
-                ServerState picked = fleet.get(i).pick(now, ServerChoice.Query.of(views.get(i), s -> true, true));
+                TrackedServer picked = fleet.get(i).pick(now, ServerPicker.Query.of(views.get(i), s -> true, true));
                 trials += picked == views.get(i).get(0) ? 1 : 0;
             }
         }
--- a/simulation/src/test/java/dewplank/controlplane/ControlProcess.java
+++ b/simulation/src/test/java/dewplank/controlplane/ControlProcess.java
@@ -54,7 +54,7 @@
 
     public ControlProcess(NodeSettings settings, Surroundings surroundings, MessageCodec codec)
             throws IOException, StoreException {
-        plane = new ControlPlane(settings, new Environment(surroundings), codec, Policy.WHOLE);
+        plane = new ControlPlane(settings, new Environment(surroundings), codec, Policy.ALL_ENABLED);
     }
 
     /** Begins as the program does. */
