--- a/configuration/src/test/java/dewplank/configuration/VersionOrderTest.java
+++ b/configuration/src/test/java/dewplank/configuration/VersionOrderTest.java
@@ -1,6 +1,6 @@
 package dewplank.configuration;
 
-import dewplank.register.Acceptor;
+import dewplank.register.AcceptorId;
 import dewplank.register.AcceptorSet;
 import dewplank.register.Decision;
 import dewplank.register.DurableState;
@@ -41,12 +41,12 @@
     private long requests;
 
     /** One process; its disk takes no time. */
-    private final class Node implements Register.Output {
+    private final class Node implements Register.Effects {
         private final Register register;
         private final Map<Long, Long> asked = new HashMap<>();
         private long learnedVersion;
 
-        Node(int index, List<Acceptor> members) {
+        Node(int index, List<AcceptorId> members) {
             register = new Register(
                     new Register.Settings("n" + index, AcceptorSet.of(members), 60, 5, 40, 90),
                     DurableState.fresh("i" + index),
@@ -110,7 +110,7 @@
                     this);
         }
 
-        void replace(List<Acceptor> wanted) {
+        void replace(List<AcceptorId> wanted) {
             register.replaceAcceptors(now, ++requests, register.acceptors().generation(), wanted, now + PATIENCE, this);
         }
     }
@@ -121,9 +121,9 @@
         wire.clear();
         contents.clear();
         refused.clear();
-        List<Acceptor> all = new ArrayList<>();
+        List<AcceptorId> all = new ArrayList<>();
         for (int index = 0; index < 4; index++) {
-            all.add(new Acceptor("n" + index, "i" + index));
+            all.add(new AcceptorId("n" + index, "i" + index));
         }
         for (int index = 0; index < 4; index++) {
             nodes.add(new Node(index, all.subList(0, 3)));
--- a/consensus/src/main/java/dewplank/membership/AcceptorPlan.java
+++ b/consensus/src/main/java/dewplank/membership/AcceptorPlan.java
@@ -1,6 +1,6 @@
 package dewplank.membership;
 
-import dewplank.register.Acceptor;
+import dewplank.register.AcceptorId;
 import dewplank.register.AcceptorSet;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -58,10 +58,10 @@
      * @param heardAt when it was last heard
      * @param since since when that very identity has been heard
      */
-    public record Sighting(Acceptor acceptor, boolean durable, double heardAt, double since) {}
+    public record Sighting(AcceptorId acceptor, boolean durable, double heardAt, double since) {}
 
     private final Timing timing;
-    private final Map<Acceptor, Double> missingSince = new HashMap<>();
+    private final Map<AcceptorId, Double> missingSince = new HashMap<>();
     private double firstLook = Double.NaN;
 
     public AcceptorPlan(Timing timing) {
@@ -77,7 +77,7 @@
      * @param seen control sidecars heard, this one among them
      * @return the acceptors that there should be: those of the set where it is as it should be or half changed
      */
-    public List<Acceptor> wanted(double now, AcceptorSet set, Collection<Sighting> seen) {
+    public List<AcceptorId> wanted(double now, AcceptorSet set, Collection<Sighting> seen) {
         List<Sighting> live =
                 seen.stream().filter(s -> now - s.heardAt() <= timing.liveMs()).toList();
         firstLook = Double.isNaN(firstLook) ? now : firstLook;
@@ -85,20 +85,20 @@
         if (set.isJoint()) {
             return set.members();
         }
-        List<Acceptor> settled = live.stream()
+        List<AcceptorId> settled = live.stream()
                 .filter(s -> s.durable() && now - s.since() >= timing.settledMs())
                 .map(Sighting::acceptor)
                 .toList();
-        List<Acceptor> spare = new ArrayList<>(settled);
+        List<AcceptorId> spare = new ArrayList<>(settled);
         spare.removeAll(set.members());
-        List<Acceptor> volatileMembers = seen.stream()
+        List<AcceptorId> volatileMembers = seen.stream()
                 .filter(s -> !s.durable() && set.members().contains(s.acceptor()))
                 .map(Sighting::acceptor)
                 .toList();
         if (!volatileMembers.isEmpty()) {
             return withoutVolatile(now, set.members(), volatileMembers, spare);
         }
-        List<Acceptor> replaced = replaced(now, set.members(), spare);
+        List<AcceptorId> replaced = replaced(now, set.members(), spare);
         boolean complete = missingSince.isEmpty();
         return complete && replaced.equals(set.members()) ? grown(set.members(), spare) : replaced;
     }
@@ -107,20 +107,20 @@
      * Acceptors without a disk, which the first set may hold where the seeds name such processes, make room one by one
      * for others; where there are no others they leave, once all that started together had the time to be heard.
      */
-    private List<Acceptor> withoutVolatile(
-            double now, List<Acceptor> members, List<Acceptor> volatileMembers, List<Acceptor> spare) {
+    private List<AcceptorId> withoutVolatile(
+            double now, List<AcceptorId> members, List<AcceptorId> volatileMembers, List<AcceptorId> spare) {
         if (!spare.isEmpty()) {
             return replaced(members, volatileMembers.get(0), spare.get(0));
         }
-        List<Acceptor> durable = new ArrayList<>(members);
+        List<AcceptorId> durable = new ArrayList<>(members);
         durable.removeAll(volatileMembers);
         boolean allHeard = now - firstLook >= timing.allHeardMs();
         return allHeard && !durable.isEmpty() ? durable : members;
     }
 
-    private void noteMissing(double now, AcceptorSet set, List<Acceptor> live) {
+    private void noteMissing(double now, AcceptorSet set, List<AcceptorId> live) {
         missingSince.keySet().retainAll(set.members());
-        for (Acceptor member : set.members()) {
+        for (AcceptorId member : set.members()) {
             if (live.contains(member)) {
                 missingSince.remove(member);
             } else {
@@ -130,15 +130,15 @@
     }
 
     /** One replacement: a lost disk's first, as that acceptor is certain not to come back. */
-    private List<Acceptor> replaced(double now, List<Acceptor> members, List<Acceptor> spare) {
-        for (Acceptor member : members) {
-            for (Acceptor other : spare) {
+    private List<AcceptorId> replaced(double now, List<AcceptorId> members, List<AcceptorId> spare) {
+        for (AcceptorId member : members) {
+            for (AcceptorId other : spare) {
                 if (other.address().equals(member.address())) {
                     return replaced(members, member, other);
                 }
             }
         }
-        for (Acceptor member : members) {
+        for (AcceptorId member : members) {
             double since = missingSince.getOrDefault(member, now);
             if (now - since >= timing.goneMs() && !spare.isEmpty()) {
                 return replaced(members, member, spare.get(0));
@@ -147,20 +147,20 @@
         return members;
     }
 
-    private static List<Acceptor> replaced(List<Acceptor> members, Acceptor old, Acceptor by) {
-        List<Acceptor> next = new ArrayList<>(members);
+    private static List<AcceptorId> replaced(List<AcceptorId> members, AcceptorId old, AcceptorId by) {
+        List<AcceptorId> next = new ArrayList<>(members);
         next.set(next.indexOf(old), by);
         return next;
     }
 
     /** Growth by as many as make the number odd; while somebody is missing spares are for that place. */
-    private static List<Acceptor> grown(List<Acceptor> members, List<Acceptor> spare) {
+    private static List<AcceptorId> grown(List<AcceptorId> members, List<AcceptorId> spare) {
         int size = Math.min(MOST_ACCEPTORS, members.size() + spare.size());
         size -= size % 2 == 0 ? 1 : 0;
         if (size <= members.size()) {
             return members;
         }
-        List<Acceptor> more = new ArrayList<>(members);
+        List<AcceptorId> more = new ArrayList<>(members);
         more.addAll(spare.subList(0, size - members.size()));
         return more;
     }
--- a/consensus/src/main/java/dewplank/register/AcceptorSet.java
+++ b/consensus/src/main/java/dewplank/register/AcceptorSet.java
@@ -8,8 +8,8 @@
 /** The acceptors that decide: a majority of the members and, while joint, a majority of those joining as well. */
 public final class AcceptorSet {
     private final long generation;
-    private final List<Acceptor> members;
-    private final List<Acceptor> joining;
+    private final List<AcceptorId> members;
+    private final List<AcceptorId> joining;
 
     /** For Protostuff, which fills the fields and sends nothing for an empty list. */
     private AcceptorSet() {
@@ -19,14 +19,14 @@
     }
 
     /** A set of the given generation; it is joint when {@code joining} is not empty. */
-    public AcceptorSet(long generation, List<Acceptor> members, List<Acceptor> joining) {
+    public AcceptorSet(long generation, List<AcceptorId> members, List<AcceptorId> joining) {
         this.generation = generation;
         this.members = List.copyOf(members);
         this.joining = List.copyOf(joining);
     }
 
     /** The set a fleet begins with: generation 0, not joint. */
-    public static AcceptorSet of(List<Acceptor> members) {
+    public static AcceptorSet of(List<AcceptorId> members) {
         return new AcceptorSet(0, members, List.of());
     }
 
@@ -36,12 +36,12 @@
     }
 
     /** The acceptors in force. */
-    public List<Acceptor> members() {
+    public List<AcceptorId> members() {
         return members;
     }
 
     /** The acceptors that are to replace the members; empty unless the set is joint. */
-    public List<Acceptor> joining() {
+    public List<AcceptorId> joining() {
         return joining;
     }
 
@@ -51,24 +51,24 @@
     }
 
     /** Members and joining acceptors, each once. */
-    public List<Acceptor> all() {
-        Set<Acceptor> union = new LinkedHashSet<>(members);
+    public List<AcceptorId> all() {
+        Set<AcceptorId> union = new LinkedHashSet<>(members);
         union.addAll(joining);
         return new ArrayList<>(union);
     }
 
     /** Whether these acceptors are enough to decide; an empty set never decides. */
-    public boolean isQuorum(Set<Acceptor> acceptors) {
+    public boolean isQuorum(Set<AcceptorId> acceptors) {
         return isMajority(members, acceptors) && (!isJoint() || isMajority(joining, acceptors));
     }
 
     /** Whether the members are those wanted, in whatever order, and no replacement is under way. */
-    public boolean consistsOf(List<Acceptor> wanted) {
+    public boolean consistsOf(List<AcceptorId> wanted) {
         return !isJoint() && Set.copyOf(members).equals(Set.copyOf(wanted));
     }
 
     /** The joint set that leads from this one to the wanted members. */
-    AcceptorSet joinedBy(List<Acceptor> wanted) {
+    AcceptorSet joinedBy(List<AcceptorId> wanted) {
         return new AcceptorSet(generation + 1, members, wanted);
     }
 
@@ -77,9 +77,9 @@
         return new AcceptorSet(generation + 1, joining, List.of());
     }
 
-    private static boolean isMajority(List<Acceptor> whole, Set<Acceptor> part) {
+    private static boolean isMajority(List<AcceptorId> whole, Set<AcceptorId> part) {
         int present = 0;
-        for (Acceptor acceptor : whole) {
+        for (AcceptorId acceptor : whole) {
             if (part.contains(acceptor)) {
                 present++;
             }
--- a/consensus/src/main/java/dewplank/register/Sweep.java
+++ b/consensus/src/main/java/dewplank/register/AntiEntropy.java
@@ -8,7 +8,7 @@
 /**
  * Asks all members from time to time how far they are and tells those that lack the newest chosen value.
  */
-final class Sweep {
+final class AntiEntropy {
     /** The least part of the period between two sweeps; the rest is drawn, lest all processes sweep together. */
     private static final double STEADY_PART = 0.75;
 
@@ -16,13 +16,13 @@
     private static final double DRAWN_PART = 0.5;
 
     private final Register.Settings settings;
-    private final Acceptor self;
+    private final AcceptorId self;
     private final Learner learner;
-    private final Finisher finisher;
-    private final Questions questions;
+    private final RoundCompleter finisher;
+    private final RequestIds questions;
     private final RandomGenerator random;
-    private final Set<Acceptor> answered = new HashSet<>();
-    private long question = Questions.FETCH;
+    private final Set<AcceptorId> answered = new HashSet<>();
+    private long question = RequestIds.FETCH;
     private double askedAt;
     private double nextAt;
     private double lastQuorumAt = Double.NEGATIVE_INFINITY;
@@ -30,17 +30,17 @@
     private Ballot newestOfQuorum = Ballot.NONE;
     private long sweptGeneration;
 
-    Sweep(
+    AntiEntropy(
             Register.Settings settings,
-            Acceptor self,
+            AcceptorId self,
             Learner learner,
             Proposer proposer,
-            Questions questions,
+            RequestIds questions,
             RandomGenerator random) {
         this.settings = settings;
         this.self = self;
         this.learner = learner;
-        this.finisher = new Finisher(settings, learner, proposer, random);
+        this.finisher = new RoundCompleter(settings, learner, proposer, random);
         this.questions = questions;
         this.random = random;
         this.nextAt = Double.NEGATIVE_INFINITY;
@@ -64,7 +64,7 @@
      * the value gets it at once; returns whether it did. A newcomer lacks the value for at most the time to the next
      * tick and two ways, and for one period and three ways when all that is lost.
      */
-    boolean tick(double now, Register.Output out) {
+    boolean tick(double now, Register.Effects out) {
         finisher.tick(now, out);
         long generation = learner.acceptors().generation();
         if (now < nextAt && generation == sweptGeneration) {
@@ -76,7 +76,7 @@
         return true;
     }
 
-    void reported(Report report, Register.Output out) {
+    void reported(StatusReport report, Register.Effects out) {
         boolean member = learner.acceptors().all().contains(report.from());
         if (member && learner.chosenBallot().isAfter(report.chosen())) {
             out.send(
@@ -103,19 +103,19 @@
         return one.isAfter(other) ? one : other;
     }
 
-    private void ask(double now, Register.Output out) {
+    private void ask(double now, Register.Effects out) {
         question = questions.next();
         askedAt = now;
         answered.clear();
         newestReported = Ballot.NONE;
-        Set<Acceptor> members = new LinkedHashSet<>(learner.acceptors().all());
+        Set<AcceptorId> members = new LinkedHashSet<>(learner.acceptors().all());
         if (learner.unfinishedAcceptors() != null) {
             members.addAll(learner.unfinishedAcceptors().all());
         }
-        for (Acceptor acceptor : members) {
+        for (AcceptorId acceptor : members) {
             out.send(
                     acceptor.address(),
-                    new Query(
+                    new StatusQuery(
                             self.address(),
                             self.identity(),
                             RegisterMessage.ANY,
--- a/consensus/src/main/java/dewplank/register/ChangeTask.java
+++ b/consensus/src/main/java/dewplank/register/ChangeTask.java
@@ -37,7 +37,7 @@
     }
 
     @Override
-    public void complete(Outcome outcome, Register.Output out) {
+    public void complete(Outcome outcome, Register.Effects out) {
         out.completed(request, outcome);
     }
 }
--- a/consensus/src/main/java/dewplank/register/FinishTask.java
+++ b/consensus/src/main/java/dewplank/register/CompletionTask.java
@@ -1,10 +1,10 @@
 package dewplank.register;
 
 /** Finishes what others left: a value accepted but not known to be chosen, or the second step of a replacement. */
-final class FinishTask implements Task {
+final class CompletionTask implements Task {
     private final double deadline;
 
-    FinishTask(double deadline) {
+    CompletionTask(double deadline) {
         this.deadline = deadline;
     }
 
@@ -41,7 +41,7 @@
     }
 
     @Override
-    public void complete(Outcome outcome, Register.Output out) {
+    public void complete(Outcome outcome, Register.Effects out) {
         // Nobody asked.
     }
 }
--- a/consensus/src/main/java/dewplank/register/Learner.java
+++ b/consensus/src/main/java/dewplank/register/Learner.java
@@ -11,8 +11,8 @@
  */
 final class Learner {
     private final Register.Settings settings;
-    private final Acceptor self;
-    private final Voter voter;
+    private final AcceptorId self;
+    private final Acceptor voter;
     private Ballot chosenBallot;
     private RegisterValue chosen;
     private Ballot heard = Ballot.NONE;
@@ -22,7 +22,7 @@
     private AcceptorSet newestAcceptors;
     private long highestRound;
 
-    Learner(Register.Settings settings, Acceptor self, Voter voter) {
+    Learner(Register.Settings settings, AcceptorId self, Acceptor voter) {
         this.settings = settings;
         this.self = self;
         this.voter = voter;
@@ -77,7 +77,7 @@
     }
 
     /** Takes a value known to be chosen at this ballot. */
-    void learn(Ballot ballot, RegisterValue value, Register.Output out) {
+    void learn(Ballot ballot, RegisterValue value, Register.Effects out) {
         sawRound(ballot);
         if (!ballot.isAfter(chosenBallot)) {
             return;
@@ -92,7 +92,7 @@
     }
 
     /** Takes the news that a ballot is chosen; the value is fetched from the sender unless it was accepted here. */
-    void hear(double now, RegisterMessage teller, Ballot ballot, Register.Output out) {
+    void hear(double now, RegisterMessage teller, Ballot ballot, Register.Effects out) {
         sawRound(ballot);
         if (!ballot.isAfter(chosenBallot)) {
             return;
@@ -115,7 +115,7 @@
      * A fetch was answered. If that brought a value, what was heard of meanwhile is fetched next; if not, the sender
      * has forgotten what it told, and asking it again at once would go round in circles.
      */
-    void fetched(double now, boolean withValue, Register.Output out) {
+    void fetched(double now, boolean withValue, Register.Effects out) {
         fetchedAt = Double.NEGATIVE_INFINITY;
         if (withValue && heard.isAfter(chosenBallot)) {
             fetch(now, out);
@@ -127,10 +127,11 @@
      * the link with copies of it: each answer is as new as its sender when it is sent. An answer that does not come
      * within the time of a round is not waited for; the next news, at the latest those of the next sweep, fetch anew.
      */
-    private void fetch(double now, Register.Output out) {
+    private void fetch(double now, Register.Effects out) {
         fetchedAt = now;
         out.send(
                 heardFrom,
-                new Query(self.address(), self.identity(), RegisterMessage.ANY, Questions.FETCH, chosenBallot, true));
+                new StatusQuery(
+                        self.address(), self.identity(), RegisterMessage.ANY, RequestIds.FETCH, chosenBallot, true));
     }
 }
--- a/consensus/src/main/java/dewplank/register/Proposer.java
+++ b/consensus/src/main/java/dewplank/register/Proposer.java
@@ -23,7 +23,7 @@
     private static final int MOST_REPAIR_DOUBLINGS = 2;
 
     private final Register.Settings settings;
-    private final Acceptor self;
+    private final AcceptorId self;
     private final Learner learner;
     private final RandomGenerator random;
     private final String name;
@@ -36,7 +36,7 @@
     private double lastQuorumAt = Double.NEGATIVE_INFINITY;
     private double lastChosenAt = Double.NEGATIVE_INFINITY;
 
-    Proposer(Register.Settings settings, Acceptor self, Learner learner, RandomGenerator random) {
+    Proposer(Register.Settings settings, AcceptorId self, Learner learner, RandomGenerator random) {
         this.settings = settings;
         this.self = self;
         this.learner = learner;
@@ -66,12 +66,12 @@
         return lastChosenAt;
     }
 
-    void add(double now, Task task, Register.Output out) {
+    void add(double now, Task task, Register.Effects out) {
         (task.isRepair() ? repairs : orders).add(task);
         startIfIdle(now, out);
     }
 
-    void tick(double now, Register.Output out) {
+    void tick(double now, Register.Effects out) {
         dropLate(now, out);
         if (round != null && now - round.phaseStartedAt() >= timeout()) {
             lose(now);
@@ -83,7 +83,7 @@
         startIfIdle(now, out);
     }
 
-    void promised(double now, Promise message, Register.Output out) {
+    void promised(double now, Promise message, Register.Effects out) {
         learner.sawAccepted(
                 message.accepted(),
                 message.value() == null ? null : message.value().acceptors());
@@ -99,7 +99,7 @@
         }
     }
 
-    void accepted(double now, Accepted message, Register.Output out) {
+    void accepted(double now, Accepted message, Register.Effects out) {
         if (round == null || round.isPreparing() || !message.ballot().equals(round.ballot())) {
             return;
         }
@@ -111,7 +111,7 @@
         }
     }
 
-    void refused(double now, Refuse message) {
+    void refused(double now, Reject message) {
         learner.sawRound(message.promised());
         if (round == null || !message.ballot().equals(round.ballot())) {
             return;
@@ -122,7 +122,7 @@
         }
     }
 
-    private void startIfIdle(double now, Register.Output out) {
+    private void startIfIdle(double now, Register.Effects out) {
         if (active != null || repairs.isEmpty() && orders.isEmpty()) {
             return;
         }
@@ -139,7 +139,7 @@
         }
     }
 
-    private void begin(double now, Register.Output out) {
+    private void begin(double now, Register.Effects out) {
         attempts++;
         Ballot ballot = new Ballot(learner.highestRound() + 1, name);
         learner.sawRound(ballot);
@@ -152,8 +152,8 @@
         }
     }
 
-    private void prepare(AcceptorSet acceptors, Register.Output out) {
-        for (Acceptor acceptor : acceptors.all()) {
+    private void prepare(AcceptorSet acceptors, Register.Effects out) {
+        for (AcceptorId acceptor : acceptors.all()) {
             if (round.asks(acceptor)) {
                 out.send(
                         acceptor.address(),
@@ -163,9 +163,9 @@
         }
     }
 
-    private void secondRound(double now, Register.Output out) {
+    private void secondRound(double now, Register.Effects out) {
         round.propose(active.propose(round.read(), learner.chosen()), now);
-        for (Acceptor acceptor : round.read().acceptors().all()) {
+        for (AcceptorId acceptor : round.read().acceptors().all()) {
             out.send(
                     acceptor.address(),
                     new Accept(
@@ -177,7 +177,7 @@
         }
     }
 
-    private void chosen(double now, Register.Output out) {
+    private void chosen(double now, Register.Effects out) {
         Round done = round;
         Proposal proposal = done.proposal();
         Task task = active;
@@ -194,11 +194,11 @@
         }
     }
 
-    private void tell(Round done, Register.Output out) {
+    private void tell(Round done, Register.Effects out) {
         RegisterValue value = done.proposal().value();
-        Set<Acceptor> told = new LinkedHashSet<>(done.read().acceptors().all());
+        Set<AcceptorId> told = new LinkedHashSet<>(done.read().acceptors().all());
         told.addAll(value.acceptors().all());
-        for (Acceptor acceptor : told) {
+        for (AcceptorId acceptor : told) {
             if (!acceptor.equals(self)) {
                 out.send(
                         acceptor.address(),
@@ -222,7 +222,7 @@
     }
 
     /** Gives up what is late; the callers, who may ask anew at once, hear of it when the queue is in order again. */
-    private void dropLate(double now, Register.Output out) {
+    private void dropLate(double now, Register.Effects out) {
         List<Task> late = new ArrayList<>();
         for (Deque<Task> queue : List.of(repairs, orders)) {
             for (Task task : queue) {
--- a/consensus/src/main/java/dewplank/register/Reader.java
+++ b/consensus/src/main/java/dewplank/register/Reader.java
@@ -16,7 +16,7 @@
         private final long question;
         private final double startedAt;
         private final double deadline;
-        private final Set<Acceptor> answered = new HashSet<>();
+        private final Set<AcceptorId> answered = new HashSet<>();
 
         Read(long request, long question, double startedAt, double deadline) {
             this.request = request;
@@ -27,13 +27,13 @@
     }
 
     private final Register.Settings settings;
-    private final Acceptor self;
+    private final AcceptorId self;
     private final Learner learner;
     private final Proposer proposer;
-    private final Questions questions;
+    private final RequestIds questions;
     private final List<Read> reads = new ArrayList<>();
 
-    Reader(Register.Settings settings, Acceptor self, Learner learner, Proposer proposer, Questions questions) {
+    Reader(Register.Settings settings, AcceptorId self, Learner learner, Proposer proposer, RequestIds questions) {
         this.settings = settings;
         this.self = self;
         this.learner = learner;
@@ -45,13 +45,13 @@
         return reads.size();
     }
 
-    void start(double now, long request, double deadline, Register.Output out) {
+    void start(double now, long request, double deadline, Register.Effects out) {
         Read read = new Read(request, questions.next(), now, deadline);
         reads.add(read);
-        for (Acceptor acceptor : learner.acceptors().all()) {
+        for (AcceptorId acceptor : learner.acceptors().all()) {
             out.send(
                     acceptor.address(),
-                    new Query(
+                    new StatusQuery(
                             self.address(),
                             self.identity(),
                             RegisterMessage.ANY,
@@ -61,7 +61,7 @@
         }
     }
 
-    void reported(double now, Report report, Register.Output out) {
+    void reported(double now, StatusReport report, Register.Effects out) {
         Iterator<Read> iterator = reads.iterator();
         while (iterator.hasNext()) {
             Read read = iterator.next();
@@ -73,7 +73,7 @@
         }
     }
 
-    void tick(double now, Register.Output out) {
+    void tick(double now, Register.Effects out) {
         List<Read> late = new ArrayList<>();
         for (Read read : reads) {
             if (now - read.startedAt >= settings.roundTimeoutMs() || now >= read.deadline) {
@@ -86,7 +86,7 @@
         }
     }
 
-    private void advance(double now, Read read, Report report, Register.Output out) {
+    private void advance(double now, Read read, StatusReport report, Register.Effects out) {
         if (report.accepted().isAfter(learner.chosenBallot())) {
             readByRound(now, read, out);
             return;
@@ -102,7 +102,7 @@
         }
     }
 
-    private void readByRound(double now, Read read, Register.Output out) {
+    private void readByRound(double now, Read read, Register.Effects out) {
         proposer.add(now, ChangeTask.reading(read.request, read.deadline), out);
     }
 }
--- a/consensus/src/main/java/dewplank/register/Replacement.java
+++ b/consensus/src/main/java/dewplank/register/Reconfiguration.java
@@ -1,7 +1,7 @@
 package dewplank.register;
 
 /** What a confirmed request to replace the acceptors came to: the answer of its {@link Outcome.Confirmed}. */
-public enum Replacement {
+public enum Reconfiguration {
     /** The wanted acceptors are in force, by the step from the expected generation. */
     APPLIED,
 
--- a/consensus/src/main/java/dewplank/register/ReplaceTask.java
+++ b/consensus/src/main/java/dewplank/register/ReconfigureTask.java
@@ -10,16 +10,16 @@
  * A caller that was frozen, or one of two callers at once, meets a higher generation than it expects and changes
  * nothing.
  */
-final class ReplaceTask implements Task {
+final class ReconfigureTask implements Task {
     /** A replacement takes two generations: the joint set and the settled one. */
     private static final int GENERATIONS = 2;
 
     private final long request;
     private final long expectedGeneration;
-    private final List<Acceptor> wanted;
+    private final List<AcceptorId> wanted;
     private final double deadline;
 
-    ReplaceTask(long request, long expectedGeneration, List<Acceptor> wanted, double deadline) {
+    ReconfigureTask(long request, long expectedGeneration, List<AcceptorId> wanted, double deadline) {
         this.request = request;
         this.expectedGeneration = expectedGeneration;
         this.wanted = List.copyOf(wanted);
@@ -30,7 +30,7 @@
     public Proposal propose(RegisterValue read, RegisterValue chosen) {
         AcceptorSet set = read.acceptors();
         if (set.isJoint()) {
-            Proposal next = FinishTask.settle(read, chosen);
+            Proposal next = CompletionTask.settle(read, chosen);
             return next.changed() ? answered(next.value(), true) : next;
         }
         if (set.generation() == expectedGeneration && !set.consistsOf(wanted)) {
@@ -55,7 +55,7 @@
     }
 
     @Override
-    public void complete(Outcome outcome, Register.Output out) {
+    public void complete(Outcome outcome, Register.Effects out) {
         out.completed(request, outcome);
     }
 
@@ -63,11 +63,11 @@
         return new Proposal(settled, answer(settled.acceptors()), changed);
     }
 
-    private Replacement answer(AcceptorSet settled) {
+    private Reconfiguration answer(AcceptorSet settled) {
         if (!settled.consistsOf(wanted)) {
-            return Replacement.OVERTAKEN;
+            return Reconfiguration.OVERTAKEN;
         }
         boolean byThisStep = settled.generation() == expectedGeneration + GENERATIONS;
-        return byThisStep ? Replacement.APPLIED : Replacement.FOUND_DONE;
+        return byThisStep ? Reconfiguration.APPLIED : Reconfiguration.FOUND_DONE;
     }
 }
--- a/consensus/src/main/java/dewplank/register/Register.java
+++ b/consensus/src/main/java/dewplank/register/Register.java
@@ -6,7 +6,7 @@
 
 /**
  * One process of the replicated register: acceptor, proposer and learner. Pure steps with the time given; everything
- * it wants done goes to the {@link Output} handed in. It belongs to one thread. The random generator must differ from
+ * it wants done goes to the {@link Effects} handed in. It belongs to one thread. The random generator must differ from
  * life to life of a process: the names of its ballots and questions are drawn from it.
  */
 public final class Register {
@@ -35,7 +35,7 @@
             double sweepMs) {}
 
     /** What a step wants done. */
-    public interface Output {
+    public interface Effects {
         /** Sends a message, also to the own address; it may be lost, delayed or doubled. */
         void send(String address, RegisterMessage message);
 
@@ -49,36 +49,36 @@
         void completed(long request, Outcome outcome);
     }
 
-    private final Acceptor self;
-    private final Voter voter;
+    private final AcceptorId self;
+    private final Acceptor voter;
     private final Learner learner;
     private final Proposer proposer;
     private final Reader reader;
-    private final Sweep sweep;
+    private final AntiEntropy sweep;
 
     /** A process that begins a life with what its disk holds. */
     public Register(Settings settings, DurableState recovered, RandomGenerator random) {
         Objects.requireNonNull(settings.initial());
-        Questions questions = new Questions(random);
-        self = new Acceptor(settings.address(), recovered.identity());
-        voter = new Voter(self, recovered);
+        RequestIds questions = new RequestIds(random);
+        self = new AcceptorId(settings.address(), recovered.identity());
+        voter = new Acceptor(self, recovered);
         learner = new Learner(settings, self, voter);
         proposer = new Proposer(settings, self, learner, random);
         reader = new Reader(settings, self, learner, proposer, questions);
-        sweep = new Sweep(settings, self, learner, proposer, questions, random);
+        sweep = new AntiEntropy(settings, self, learner, proposer, questions, random);
     }
 
     /** Takes a message; one meant for another identity is dropped. */
-    public void received(double now, RegisterMessage message, Output out) {
+    public void received(double now, RegisterMessage message, Effects out) {
         boolean named = message.recipientIdentity().equals(self.identity());
         if (!named && !message.recipientIdentity().isEmpty()) {
             return;
         }
-        if (message instanceof Query) {
-            report((Query) message, out);
-            learner.hear(now, message, ((Query) message).chosen(), out); // who asks may know more
-        } else if (message instanceof Report) {
-            reported(now, (Report) message, out);
+        if (message instanceof StatusQuery) {
+            report((StatusQuery) message, out);
+            learner.hear(now, message, ((StatusQuery) message).chosen(), out); // who asks may know more
+        } else if (message instanceof StatusReport) {
+            reported(now, (StatusReport) message, out);
         } else if (message instanceof Chosen) {
             learner.hear(now, message, ((Chosen) message).ballot(), out);
         } else if (named) {
@@ -87,24 +87,24 @@
     }
 
     /** The store with this ticket is synced. */
-    public void stored(double now, long ticket, Output out) {
+    public void stored(double now, long ticket, Effects out) {
         voter.stored(ticket, out);
     }
 
     /** The store with this ticket failed: its votes are not given. */
-    public void storeFailed(double now, long ticket, Output out) {
+    public void storeFailed(double now, long ticket, Effects out) {
         voter.storeFailed(ticket);
     }
 
     /** Changes the payload by rounds until it is certain or the deadline passes. */
-    public void change(double now, long request, Change change, double deadline, Output out) {
+    public void change(double now, long request, Change change, double deadline, Effects out) {
         if (admits(request, out)) {
             proposer.add(now, new ChangeTask(request, change, deadline), out);
         }
     }
 
     /** Reads the newest chosen value. */
-    public void read(double now, long request, double deadline, Output out) {
+    public void read(double now, long request, double deadline, Effects out) {
         if (admits(request, out)) {
             reader.start(now, request, deadline, out);
         }
@@ -112,32 +112,32 @@
 
     /**
      * Makes the wanted acceptors those that decide, by way of a joint set, if the set in force is still that of the
-     * expected generation; confirmed with a {@link Replacement} as its answer.
+     * expected generation; confirmed with a {@link Reconfiguration} as its answer.
      */
     public void replaceAcceptors(
-            double now, long request, long expectedGeneration, List<Acceptor> wanted, double deadline, Output out) {
+            double now, long request, long expectedGeneration, List<AcceptorId> wanted, double deadline, Effects out) {
         if (wanted.isEmpty()) {
             out.completed(request, new Outcome.Unknown("no acceptors wanted"));
         } else if (admits(proposer.pendingRepairs(), MOST_REPAIRS, request, out)) {
-            proposer.add(now, new ReplaceTask(request, expectedGeneration, wanted, deadline), out);
+            proposer.add(now, new ReconfigureTask(request, expectedGeneration, wanted, deadline), out);
         }
     }
 
     /** Asks a process that may not be a known acceptor for what is chosen. */
-    public void ask(double now, String address, Output out) {
+    public void ask(double now, String address, Effects out) {
         out.send(
                 address,
-                new Query(
+                new StatusQuery(
                         self.address(),
                         self.identity(),
                         RegisterMessage.ANY,
-                        Questions.FETCH,
+                        RequestIds.FETCH,
                         learner.chosenBallot(),
                         true));
     }
 
     /** Time passes: time-outs, retries, sweeps. */
-    public void tick(double now, Output out) {
+    public void tick(double now, Effects out) {
         reader.tick(now, out);
         proposer.tick(now, out);
         if (sweep.tick(now, out)) {
@@ -182,11 +182,11 @@
         return acceptors().all().contains(self);
     }
 
-    private boolean admits(long request, Output out) {
+    private boolean admits(long request, Effects out) {
         return admits(proposer.pendingOrders() + reader.pending(), MOST_PENDING, request, out);
     }
 
-    private static boolean admits(int pending, int most, long request, Output out) {
+    private static boolean admits(int pending, int most, long request, Effects out) {
         if (pending < most) {
             return true;
         }
@@ -194,7 +194,7 @@
         return false;
     }
 
-    private void roundMessage(double now, RegisterMessage message, Output out) {
+    private void roundMessage(double now, RegisterMessage message, Effects out) {
         if (message instanceof Prepare) {
             learner.sawRound(((Prepare) message).ballot());
             voter.prepare((Prepare) message, out);
@@ -205,18 +205,18 @@
             proposer.promised(now, (Promise) message, out);
         } else if (message instanceof Accepted) {
             proposer.accepted(now, (Accepted) message, out);
-        } else if (message instanceof Refuse) {
-            proposer.refused(now, (Refuse) message);
+        } else if (message instanceof Reject) {
+            proposer.refused(now, (Reject) message);
         }
     }
 
-    private void report(Query query, Output out) {
+    private void report(StatusQuery query, Effects out) {
         DurableState kept = voter.durable();
         boolean sends = query.fetching() && learner.chosenBallot().isAfter(query.chosen());
         boolean newer = kept.accepted().isAfter(query.chosen());
         out.send(
                 query.sender(),
-                new Report(
+                new StatusReport(
                         self.address(),
                         self.identity(),
                         query.senderIdentity(),
@@ -228,13 +228,13 @@
                         sends ? learner.chosen() : null));
     }
 
-    private void reported(double now, Report report, Output out) {
+    private void reported(double now, StatusReport report, Effects out) {
         if (report.value() != null) {
             learner.learn(report.chosen(), report.value(), out);
         } else {
             learner.hear(now, report, report.chosen(), out);
         }
-        if (report.question() == Questions.FETCH) {
+        if (report.question() == RequestIds.FETCH) {
             learner.fetched(now, report.value() != null, out);
         }
         learner.sawAccepted(report.accepted(), report.acceptors());
--- a/consensus/src/main/java/dewplank/register/RegisterMessage.java
+++ b/consensus/src/main/java/dewplank/register/RegisterMessage.java
@@ -36,7 +36,7 @@
     }
 
     /** The sender as an acceptor. */
-    Acceptor from() {
-        return new Acceptor(sender, senderIdentity);
+    AcceptorId from() {
+        return new AcceptorId(sender, senderIdentity);
     }
 }
--- a/consensus/src/main/java/dewplank/register/RegisterMessages.java
+++ b/consensus/src/main/java/dewplank/register/RegisterMessages.java
@@ -10,9 +10,9 @@
             Promise.class,
             Accept.class,
             Accepted.class,
-            Refuse.class,
-            Query.class,
-            Report.class,
+            Reject.class,
+            StatusQuery.class,
+            StatusReport.class,
             Chosen.class);
 
     private RegisterMessages() {}
--- a/consensus/src/main/java/dewplank/register/Refuse.java
+++ b/consensus/src/main/java/dewplank/register/Reject.java
@@ -3,12 +3,12 @@
 import java.util.Objects;
 
 /** Answer to {@link Prepare} or {@link Accept}: a higher ballot is promised. */
-public final class Refuse extends RegisterMessage {
+public final class Reject extends RegisterMessage {
     private final Ballot ballot;
     private final Ballot promised;
 
     /** Makes the message. */
-    public Refuse(String sender, String senderIdentity, String recipientIdentity, Ballot ballot, Ballot promised) {
+    public Reject(String sender, String senderIdentity, String recipientIdentity, Ballot ballot, Ballot promised) {
         super(sender, senderIdentity, recipientIdentity);
         this.ballot = Objects.requireNonNull(ballot);
         this.promised = Objects.requireNonNull(promised);
--- a/consensus/src/main/java/dewplank/register/Round.java
+++ b/consensus/src/main/java/dewplank/register/Round.java
@@ -7,10 +7,10 @@
 final class Round {
     private final Ballot ballot;
     private final Ballot known;
-    private final Set<Acceptor> asked = new HashSet<>();
-    private final Set<Acceptor> promised = new HashSet<>();
-    private final Set<Acceptor> accepted = new HashSet<>();
-    private final Set<Acceptor> refused = new HashSet<>();
+    private final Set<AcceptorId> asked = new HashSet<>();
+    private final Set<AcceptorId> promised = new HashSet<>();
+    private final Set<AcceptorId> accepted = new HashSet<>();
+    private final Set<AcceptorId> refused = new HashSet<>();
     private Ballot readBallot;
     private RegisterValue read;
     private Proposal proposal;
@@ -55,11 +55,11 @@
     }
 
     /** Whether the acceptor has not been asked to promise yet; from now on it has. */
-    boolean asks(Acceptor acceptor) {
+    boolean asks(AcceptorId acceptor) {
         return asked.add(acceptor);
     }
 
-    void promise(Acceptor acceptor, Ballot valueBallot, RegisterValue value) {
+    void promise(AcceptorId acceptor, Ballot valueBallot, RegisterValue value) {
         promised.add(acceptor);
         if (value != null && valueBallot.isAfter(readBallot)) {
             readBallot = valueBallot;
@@ -81,7 +81,7 @@
         refused.clear();
     }
 
-    void accept(Acceptor acceptor) {
+    void accept(AcceptorId acceptor) {
         accepted.add(acceptor);
     }
 
@@ -90,13 +90,13 @@
         return read.acceptors().isQuorum(accepted);
     }
 
-    void refuse(Acceptor acceptor) {
+    void refuse(AcceptorId acceptor) {
         refused.add(acceptor);
     }
 
     /** Whether those that did not refuse can no longer decide. */
     boolean isLost() {
-        Set<Acceptor> left = new HashSet<>(read.acceptors().all());
+        Set<AcceptorId> left = new HashSet<>(read.acceptors().all());
         left.removeAll(refused);
         return !read.acceptors().isQuorum(left);
     }
--- a/consensus/src/main/java/dewplank/register/Finisher.java
+++ b/consensus/src/main/java/dewplank/register/RoundCompleter.java
@@ -3,7 +3,7 @@
 import java.util.random.RandomGenerator;
 
 /** Has finished what stays unfinished for longer than a round takes, because whoever began it may be gone. */
-final class Finisher {
+final class RoundCompleter {
     private final Register.Settings settings;
     private final Learner learner;
     private final Proposer proposer;
@@ -11,19 +11,19 @@
     private Object watched;
     private double finishAt;
 
-    Finisher(Register.Settings settings, Learner learner, Proposer proposer, RandomGenerator random) {
+    RoundCompleter(Register.Settings settings, Learner learner, Proposer proposer, RandomGenerator random) {
         this.settings = settings;
         this.learner = learner;
         this.proposer = proposer;
         this.random = random;
     }
 
-    void tick(double now, Register.Output out) {
+    void tick(double now, Register.Effects out) {
         Object stuck = stuck();
         if (stuck == null || !stuck.equals(watched)) {
             watch(now, stuck);
         } else if (now >= finishAt && isIdle()) {
-            proposer.add(now, new FinishTask(now + settings.roundTimeoutMs() * Proposer.LONGEST_ROUND), out);
+            proposer.add(now, new CompletionTask(now + settings.roundTimeoutMs() * Proposer.LONGEST_ROUND), out);
             watch(now, stuck);
         }
     }
--- a/consensus/src/main/java/dewplank/register/Query.java
+++ b/consensus/src/main/java/dewplank/register/StatusQuery.java
@@ -3,13 +3,13 @@
 import java.util.Objects;
 
 /** Asks how far a process is. */
-public final class Query extends RegisterMessage {
+public final class StatusQuery extends RegisterMessage {
     private final long question;
     private final Ballot chosen;
     private final boolean fetching;
 
     /** Makes the message. */
-    public Query(
+    public StatusQuery(
             String sender,
             String senderIdentity,
             String recipientIdentity,
--- a/consensus/src/main/java/dewplank/register/Report.java
+++ b/consensus/src/main/java/dewplank/register/StatusReport.java
@@ -2,8 +2,8 @@
 
 import java.util.Objects;
 
-/** Answer to {@link Query}. */
-public final class Report extends RegisterMessage {
+/** Answer to {@link StatusQuery}. */
+public final class StatusReport extends RegisterMessage {
     private final long question;
     private final Ballot accepted;
     private final AcceptorSet acceptors;
@@ -12,7 +12,7 @@
     private final RegisterValue value;
 
     /** Makes the message. */
-    public Report(
+    public StatusReport(
             String sender,
             String senderIdentity,
             String recipientIdentity,
--- a/consensus/src/main/java/dewplank/register/Task.java
+++ b/consensus/src/main/java/dewplank/register/Task.java
@@ -22,5 +22,5 @@
     double deadline();
 
     /** Tells whoever asked, if anyone. */
-    void complete(Outcome outcome, Register.Output out);
+    void complete(Outcome outcome, Register.Effects out);
 }
--- a/consensus/src/main/java/dewplank/singleton/Ballot.java
+++ b/consensus/src/main/java/dewplank/singleton/Ballot.java
@@ -1,6 +1,6 @@
 package dewplank.singleton;
 
-import dewplank.register.Acceptor;
+import dewplank.register.AcceptorId;
 import dewplank.register.AcceptorSet;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -31,7 +31,7 @@
     }
 
     /** Who was asked. */
-    List<Acceptor> voters() {
+    List<AcceptorId> voters() {
         return voters.all();
     }
 
@@ -64,9 +64,9 @@
         return !voters.isQuorum(granting(true));
     }
 
-    private Set<Acceptor> granting(boolean withSilent) {
-        Set<Acceptor> granting = new HashSet<>();
-        for (Acceptor voter : voters.all()) {
+    private Set<AcceptorId> granting(boolean withSilent) {
+        Set<AcceptorId> granting = new HashSet<>();
+        for (AcceptorId voter : voters.all()) {
             VoteReply reply = replies.get(voter.identity());
             if (reply == null ? withSilent : reply.grants()) {
                 granting.add(voter);
@@ -76,7 +76,7 @@
     }
 
     /** Whether the voter refused, and so is not bound by this round. */
-    boolean isDenied(Acceptor voter) {
+    boolean isDenied(AcceptorId voter) {
         VoteReply reply = replies.get(voter.identity());
         return reply != null && !reply.grants();
     }
@@ -86,13 +86,13 @@
         return Math.max(majorityBoundMs(voters.members()), majorityBoundMs(voters.joining()));
     }
 
-    private double majorityBoundMs(List<Acceptor> part) {
+    private double majorityBoundMs(List<AcceptorId> part) {
         if (part.isEmpty()) {
             return 0;
         }
         double[] bound = new double[part.size()];
         for (int index = 0; index < bound.length; index++) {
-            Acceptor voter = part.get(index);
+            AcceptorId voter = part.get(index);
             bound[index] = isDenied(voter) ? replies.get(voter.identity()).remainingMs() : 0;
         }
         Arrays.sort(bound);
--- a/consensus/src/main/java/dewplank/singleton/Candidate.java
+++ b/consensus/src/main/java/dewplank/singleton/Candidate.java
@@ -1,6 +1,6 @@
 package dewplank.singleton;
 
-import dewplank.register.Acceptor;
+import dewplank.register.AcceptorId;
 import dewplank.register.AcceptorSet;
 import dewplank.singleton.VoteRequest.Kind;
 import java.util.ArrayDeque;
@@ -234,8 +234,8 @@
         sendAll(voters.all(), kind, proposed, out);
     }
 
-    private void sendAll(List<Acceptor> to, Kind kind, long proposed, CandidateOutput out) {
-        for (Acceptor voter : to) {
+    private void sendAll(List<AcceptorId> to, Kind kind, long proposed, CandidateOutput out) {
+        for (AcceptorId voter : to) {
             out.send(voter, new VoteRequest(kind, duty, name, voter.identity(), round, proposed, voters.generation()));
         }
     }
@@ -302,7 +302,7 @@
     }
 
     private void withdraw(Ballot ballot, CandidateOutput out) {
-        List<Acceptor> mayHaveGranted = ballot.voters().stream()
+        List<AcceptorId> mayHaveGranted = ballot.voters().stream()
                 .filter(voter -> !ballot.isDenied(voter))
                 .toList();
         sendAll(mayHaveGranted, Kind.WITHDRAW, ballot.number(), out);
--- a/consensus/src/main/java/dewplank/singleton/CandidateOutput.java
+++ b/consensus/src/main/java/dewplank/singleton/CandidateOutput.java
@@ -1,6 +1,6 @@
 package dewplank.singleton;
 
-import dewplank.register.Acceptor;
+import dewplank.register.AcceptorId;
 
 /** What a candidate wants done. */
 public interface CandidateOutput {
@@ -10,7 +10,7 @@
      * @param voter where the voter is and the identity that the request is meant for
      * @param request the request
      */
-    void send(Acceptor voter, VoteRequest request);
+    void send(AcceptorId voter, VoteRequest request);
 
     /**
      * The duty is held from now on.
--- a/consensus/src/test/java/dewplank/membership/AcceptorPlanTest.java
+++ b/consensus/src/test/java/dewplank/membership/AcceptorPlanTest.java
@@ -5,7 +5,7 @@
 
 import dewplank.membership.AcceptorPlan.Sighting;
 import dewplank.membership.AcceptorPlan.Timing;
-import dewplank.register.Acceptor;
+import dewplank.register.AcceptorId;
 import dewplank.register.AcceptorSet;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -16,25 +16,25 @@
     private static final double CATCH_UP_MS = 4_000;
     private static final double LOOK_MS = 100;
     private static final Timing TIMING = Timing.ofCatchUp(CATCH_UP_MS);
-    private static final Acceptor A = new Acceptor("a:1", "disk-a");
-    private static final Acceptor B = new Acceptor("b:1", "disk-b");
-    private static final Acceptor C = new Acceptor("c:1", "disk-c");
-    private static final Acceptor D = new Acceptor("d:1", "disk-d");
-    private static final Acceptor E = new Acceptor("e:1", "disk-e");
-    private static final Acceptor A_AGAIN = new Acceptor("a:1", "disk-a2");
+    private static final AcceptorId A = new AcceptorId("a:1", "disk-a");
+    private static final AcceptorId B = new AcceptorId("b:1", "disk-b");
+    private static final AcceptorId C = new AcceptorId("c:1", "disk-c");
+    private static final AcceptorId D = new AcceptorId("d:1", "disk-d");
+    private static final AcceptorId E = new AcceptorId("e:1", "disk-e");
+    private static final AcceptorId A_AGAIN = new AcceptorId("a:1", "disk-a2");
 
     private final AcceptorPlan plan = new AcceptorPlan(TIMING);
 
-    private static AcceptorSet set(Acceptor... members) {
+    private static AcceptorSet set(AcceptorId... members) {
         return AcceptorSet.of(List.of(members));
     }
 
     /** Heard at the moment, and for long. */
-    private static Sighting old(double now, Acceptor acceptor) {
+    private static Sighting old(double now, AcceptorId acceptor) {
         return new Sighting(acceptor, true, now, now - 60_000);
     }
 
-    private static List<Sighting> allOld(double now, Acceptor... acceptors) {
+    private static List<Sighting> allOld(double now, AcceptorId... acceptors) {
         return Arrays.stream(acceptors).map(a -> old(now, a)).toList();
     }
 
@@ -67,8 +67,8 @@
     @Test
     void replacesTwoOfFive() {
         AcceptorSet set = set(A, B, C, D, E);
-        Acceptor f = new Acceptor("f:1", "disk-f");
-        Acceptor g = new Acceptor("g:1", "disk-g");
+        AcceptorId f = new AcceptorId("f:1", "disk-f");
+        AcceptorId g = new AcceptorId("g:1", "disk-g");
         assertEquals(set.members(), plan.wanted(0, set, allOld(0, C, D, E, f, g)));
         double gone = TIMING.goneMs();
         assertEquals(List.of(f, B, C, D, E), plan.wanted(gone, set, allOld(gone, C, D, E, f, g)));
@@ -118,9 +118,9 @@
     void growsToAnOddNumber() {
         assertEquals(List.of(A, B, C), plan.wanted(0, set(A, B, C), allOld(0, A, B, C, D)));
         assertEquals(List.of(A, B, C, D, E), plan.wanted(0, set(A, B, C), allOld(0, A, B, C, D, E)));
-        List<Acceptor> many = new ArrayList<>();
+        List<AcceptorId> many = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
-            many.add(new Acceptor("m" + i, "disk-" + i));
+            many.add(new AcceptorId("m" + i, "disk-" + i));
         }
         List<Sighting> seen = many.stream().map(a -> old(0, a)).toList();
         assertEquals(
--- a/consensus/src/test/java/dewplank/register/AcceptorRulesTest.java
+++ b/consensus/src/test/java/dewplank/register/AcceptorRulesTest.java
@@ -8,7 +8,7 @@
 /** What an acceptor may answer, and when. */
 class AcceptorRulesTest {
     private static final AcceptorSet SET = AcceptorSet.of(
-            List.of(new Acceptor("here", "me"), new Acceptor("there", "you"), new Acceptor("far", "she")));
+            List.of(new AcceptorId("here", "me"), new AcceptorId("there", "you"), new AcceptorId("far", "she")));
     private static final Ballot LOW = new Ballot(1, "you.1");
     private static final Ballot HIGH = new Ballot(2, "she.1");
     private static final RegisterValue VALUE = new RegisterValue(SET, 1, new byte[] {1});
@@ -96,7 +96,7 @@
         register.stored(0, out.newestTicket(), out);
         prepare("me", LOW);
         accept(LOW);
-        Assertions.assertEquals(2, out.messages(Refuse.class).size());
+        Assertions.assertEquals(2, out.messages(Reject.class).size());
         Assertions.assertTrue(out.messages(Accepted.class).isEmpty());
     }
 
@@ -116,7 +116,8 @@
     @Test
     void aReportTellsOnlyWhatIsKept() {
         accept(LOW);
-        register.received(0, new Query("there", "you", "", 7, Ballot.NONE, true), out);
-        Assertions.assertEquals(Ballot.NONE, out.messages(Report.class).get(0).accepted());
+        register.received(0, new StatusQuery("there", "you", "", 7, Ballot.NONE, true), out);
+        Assertions.assertEquals(
+                Ballot.NONE, out.messages(StatusReport.class).get(0).accepted());
     }
 }
--- a/consensus/src/test/java/dewplank/register/CalmFleetTest.java
+++ b/consensus/src/test/java/dewplank/register/CalmFleetTest.java
@@ -18,8 +18,8 @@
         return fleet.processes().get(index);
     }
 
-    private List<Acceptor> acceptors(int... indices) {
-        List<Acceptor> acceptors = new ArrayList<>();
+    private List<AcceptorId> acceptors(int... indices) {
+        List<AcceptorId> acceptors = new ArrayList<>();
         for (int index : indices) {
             acceptors.add(process(index).acceptor());
         }
--- a/consensus/src/test/java/dewplank/register/CatchUpTest.java
+++ b/consensus/src/test/java/dewplank/register/CatchUpTest.java
@@ -44,7 +44,7 @@
     private int changers = 2;
 
     /** A process with its disk and the bytes of values sent to it. */
-    private final class Node implements Register.Output {
+    private final class Node implements Register.Effects {
         private final String address;
         private AcceptorSet initial;
         private DurableState disk;
@@ -88,7 +88,7 @@
             Node target = nodes.get(to.charAt(0) - 'a');
             int bytes = bytes(message);
             boolean slow = target.bytesPerMs < BYTES_PER_MS;
-            if (losesValues && message instanceof Report && bytes > 0
+            if (losesValues && message instanceof StatusReport && bytes > 0
                     || losesAccepts && message instanceof Accept && slow) {
                 return;
             }
@@ -138,8 +138,8 @@
             value = ((Accept) message).value();
         } else if (message instanceof Promise) {
             value = ((Promise) message).value();
-        } else if (message instanceof Report) {
-            value = ((Report) message).value();
+        } else if (message instanceof StatusReport) {
+            value = ((StatusReport) message).value();
         }
         return value == null || value.payload() == null ? 0 : value.payload().length;
     }
@@ -150,7 +150,7 @@
 
     private void begin(double everyMs, int changesBefore) {
         changeEveryMs = everyMs;
-        List<Acceptor> members = new ArrayList<>();
+        List<AcceptorId> members = new ArrayList<>();
         for (int index = 0; index < 3; index++) {
             nodes.add(new Node(index));
             members.add(ModelScenario.acceptor(index, 0));
@@ -223,7 +223,7 @@
     @Test
     void anAnswerWithoutAValueIsNotAskedForAtOnce() {
         RecordedOutput out = new RecordedOutput();
-        Acceptor other = new Acceptor("b", "2");
+        AcceptorId other = new AcceptorId("b", "2");
         Register register = new Register(
                 new Register.Settings("a", AcceptorSet.of(List.of(other)), 250, 10, 120, SWEEP_MS),
                 DurableState.fresh("1"),
@@ -231,11 +231,12 @@
         Ballot told = new Ballot(7, "b.1");
         register.received(0, new Chosen("b", "2", "1", told, 3), out);
         for (int answer = 0; answer < 3; answer++) {
-            register.received(1, new Report("b", "2", "1", Questions.FETCH, told, null, Ballot.NONE, 0, null), out);
+            register.received(
+                    1, new StatusReport("b", "2", "1", RequestIds.FETCH, told, null, Ballot.NONE, 0, null), out);
         }
-        Assertions.assertEquals(1, out.messages(Query.class).size());
+        Assertions.assertEquals(1, out.messages(StatusQuery.class).size());
         register.received(2, new Chosen("b", "2", "1", told, 3), out);
-        Assertions.assertEquals(2, out.messages(Query.class).size());
+        Assertions.assertEquals(2, out.messages(StatusQuery.class).size());
     }
 
     @AfterEach
--- a/consensus/src/test/java/dewplank/register/CurrentRulesTest.java
+++ b/consensus/src/test/java/dewplank/register/CurrentRulesTest.java
@@ -7,9 +7,9 @@
 
 /** When a process may say that the value it knows was the newest a moment ago. */
 class CurrentRulesTest {
-    private static final Acceptor A = new Acceptor("a", "1");
-    private static final Acceptor B = new Acceptor("b", "2");
-    private static final Acceptor C = new Acceptor("c", "3");
+    private static final AcceptorId A = new AcceptorId("a", "1");
+    private static final AcceptorId B = new AcceptorId("b", "2");
+    private static final AcceptorId C = new AcceptorId("c", "3");
     private static final AcceptorSet SET = AcceptorSet.of(List.of(A, B, C));
     private static final Ballot OLD = new Ballot(3, "b.1");
     private static final Ballot NEW = new Ballot(4, "c.1");
@@ -27,15 +27,15 @@
     }
 
     /** Answers the newest sweep. */
-    private void report(Acceptor from, Ballot accepted, Ballot chosen) {
-        List<Query> asked = out.messages(Query.class);
+    private void report(AcceptorId from, Ballot accepted, Ballot chosen) {
+        List<StatusQuery> asked = out.messages(StatusQuery.class);
         long question = 0;
-        for (Query query : asked) {
+        for (StatusQuery query : asked) {
             question = query.fetching() ? question : query.question();
         }
         register.received(
                 ASKED,
-                new Report(
+                new StatusReport(
                         from.address(),
                         from.identity(),
                         "1",
@@ -66,7 +66,7 @@
         report(C, NEW, NEW);
         Assertions.assertEquals(ASKED, register.lastQuorumAt());
         Assertions.assertFalse(register.current(ASKED, WITHIN));
-        register.received(ASKED, new Report("b", "2", "1", Questions.FETCH, NEW, null, NEW, 2, value(2)), out);
+        register.received(ASKED, new StatusReport("b", "2", "1", RequestIds.FETCH, NEW, null, NEW, 2, value(2)), out);
         Assertions.assertTrue(register.current(ASKED, WITHIN), "it has caught up");
     }
 
@@ -105,7 +105,7 @@
     void anAnswerFromALostDiskDoesNotCount() {
         register.tick(ASKED, out);
         report(A, OLD, OLD);
-        report(new Acceptor("b", "wiped"), Ballot.NONE, Ballot.NONE);
+        report(new AcceptorId("b", "wiped"), Ballot.NONE, Ballot.NONE);
         Assertions.assertFalse(register.current(ASKED, WITHIN));
     }
 
@@ -113,11 +113,11 @@
     void anOwnChosenRoundCountsFromItsSecondRound() {
         register.change(ASKED, 1, payload -> new Decision(new byte[] {2}, "taken"), ASKED + WITHIN, out);
         Ballot ballot = out.messages(Prepare.class).get(0).ballot();
-        for (Acceptor from : List.of(B, C)) {
+        for (AcceptorId from : List.of(B, C)) {
             register.received(ASKED + 5, new Promise(from.address(), from.identity(), "1", ballot, OLD, null), out);
         }
         Assertions.assertFalse(register.current(ASKED + 5, WITHIN));
-        for (Acceptor from : List.of(B, C)) {
+        for (AcceptorId from : List.of(B, C)) {
             register.received(ASKED + 9, new Accepted(from.address(), from.identity(), "1", ballot), out);
         }
         Assertions.assertTrue(register.current(ASKED + 5 + WITHIN, WITHIN));
--- a/consensus/src/test/java/dewplank/register/EarlierLivesTest.java
+++ b/consensus/src/test/java/dewplank/register/EarlierLivesTest.java
@@ -9,9 +9,9 @@
 
 /** Answers to questions of an earlier life of the process that asked, late on their way: they count for nothing. */
 class EarlierLivesTest {
-    private static final Acceptor A = new Acceptor("a", "1");
-    private static final Acceptor B = new Acceptor("b", "2");
-    private static final Acceptor C = new Acceptor("c", "3");
+    private static final AcceptorId A = new AcceptorId("a", "1");
+    private static final AcceptorId B = new AcceptorId("b", "2");
+    private static final AcceptorId C = new AcceptorId("c", "3");
     private static final AcceptorSet SET = AcceptorSet.of(List.of(A, B, C));
     private static final Change TAKING = payload -> new Decision(new byte[] {9}, "taken");
     private static final int LIVES = 200;
@@ -27,11 +27,11 @@
         return all.get(all.size() - 1);
     }
 
-    private static Promise promise(Acceptor from, Ballot ballot) {
+    private static Promise promise(AcceptorId from, Ballot ballot) {
         return new Promise(from.address(), from.identity(), "1", ballot, Ballot.NONE, null);
     }
 
-    private static Accepted accepted(Acceptor from, Ballot ballot) {
+    private static Accepted accepted(AcceptorId from, Ballot ballot) {
         return new Accepted(from.address(), from.identity(), "1", ballot);
     }
 
@@ -86,15 +86,15 @@
         RecordedOutput out = new RecordedOutput();
         Register present = life(disk, 2);
         present.read(0, 1, 1000, out);
-        long old = last(earlier, Query.class).question();
-        long own = last(out, Query.class).question();
+        long old = last(earlier, StatusQuery.class).question();
+        long own = last(out, StatusQuery.class).question();
         Assertions.assertNotEquals(old, own);
         for (long question : new long[] {old, own}) {
-            for (Acceptor from : List.of(B, C)) {
+            for (AcceptorId from : List.of(B, C)) {
                 Assertions.assertTrue(out.completed.isEmpty());
                 present.received(
                         1,
-                        new Report(from.address(), from.identity(), "1", question, ballot, null, ballot, 1, null),
+                        new StatusReport(from.address(), from.identity(), "1", question, ballot, null, ballot, 1, null),
                         out);
             }
         }
@@ -116,7 +116,7 @@
             life.read(0, 3, 1000, out);
             Assertions.assertTrue(ballots.add(last(out, Prepare.class).ballot()));
             Set<Long> own = new HashSet<>();
-            out.messages(Query.class).forEach(query -> own.add(query.question()));
+            out.messages(StatusQuery.class).forEach(query -> own.add(query.question()));
             own.forEach(question -> Assertions.assertTrue(questions.add(question), "question " + question));
         }
     }
--- a/consensus/src/test/java/dewplank/register/LoadedFleetTest.java
+++ b/consensus/src/test/java/dewplank/register/LoadedFleetTest.java
@@ -109,8 +109,8 @@
     @Test
     void repairsGoBeforeOrdersThatWait() {
         RecordedOutput out = new RecordedOutput();
-        Acceptor self = new Acceptor("a", "1");
-        Acceptor other = new Acceptor("b", "2");
+        AcceptorId self = new AcceptorId("a", "1");
+        AcceptorId other = new AcceptorId("b", "2");
         Register register = new Register(
                 new Register.Settings("a", AcceptorSet.of(List.of(self, other)), 300, 20, 400, 500),
                 DurableState.fresh("1"),
--- a/consensus/src/test/java/dewplank/register/ModelProposal.java
+++ b/consensus/src/test/java/dewplank/register/ModelProposal.java
@@ -11,7 +11,7 @@
  * @param deciders the acceptors of the value that it was built on
  */
 record ModelProposal(Ballot ballot, RegisterValue value, AcceptorSet deciders) {
-    boolean isChosenBy(Set<Acceptor> voters) {
+    boolean isChosenBy(Set<AcceptorId> voters) {
         return deciders.isQuorum(voters);
     }
 
--- a/consensus/src/test/java/dewplank/register/ModelScenario.java
+++ b/consensus/src/test/java/dewplank/register/ModelScenario.java
@@ -22,7 +22,7 @@
     /** Processes {@code 0} to {@code size - 1}; the first {@code members} are the acceptors, the rest know none. */
     ModelScenario(String name, int size, int members, Class<?>... lost) {
         this.name = name;
-        List<Acceptor> first = new ArrayList<>();
+        List<AcceptorId> first = new ArrayList<>();
         for (int index = 0; index < members; index++) {
             first.add(acceptor(index, 0));
         }
@@ -44,15 +44,15 @@
     }
 
     /** The acceptor of a process whose disk was emptied so many times. */
-    static Acceptor acceptor(int index, int wipes) {
-        return new Acceptor(address(index), identity(index, wipes));
+    static AcceptorId acceptor(int index, int wipes) {
+        return new AcceptorId(address(index), identity(index, wipes));
     }
 
     static ModelProcess.Action change(int version, int base) {
         return (register, out) -> register.change(0, version, VersionHistory.change(version, base), NEVER, out);
     }
 
-    static ModelProcess.Action replace(long generation, Acceptor... wanted) {
+    static ModelProcess.Action replace(long generation, AcceptorId... wanted) {
         return (register, out) ->
                 register.replaceAcceptors(0, generation + 1000, generation, List.of(wanted), NEVER, out);
     }
--- a/consensus/src/test/java/dewplank/register/ModelStep.java
+++ b/consensus/src/test/java/dewplank/register/ModelStep.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 
 /** Records what one step of one process sent, asked to store and answered. */
-final class ModelStep implements Register.Output {
+final class ModelStep implements Register.Effects {
     /** An answer for certain. */
     record Answer(long request, Outcome.Confirmed outcome) {}
 
@@ -46,7 +46,7 @@
 
     @Override
     public void send(String to, RegisterMessage message) {
-        boolean sweep = message instanceof Query && !((Query) message).fetching();
+        boolean sweep = message instanceof StatusQuery && !((StatusQuery) message).fetching();
         if (to.equals(address)) {
             own.add(message);
         } else if (!sweep && !lost.contains(message.getClass())) {
--- a/consensus/src/test/java/dewplank/register/NewcomerRulesTest.java
+++ b/consensus/src/test/java/dewplank/register/NewcomerRulesTest.java
@@ -7,8 +7,8 @@
 
 /** How a process that knows no acceptors comes to know the newest value. */
 class NewcomerRulesTest {
-    private static final Acceptor OLD = new Acceptor("a", "1");
-    private static final Acceptor NEWCOMER = new Acceptor("n", "9");
+    private static final AcceptorId OLD = new AcceptorId("a", "1");
+    private static final AcceptorId NEWCOMER = new AcceptorId("n", "9");
     private static final AcceptorSet SET = AcceptorSet.of(List.of(OLD));
     private static final AcceptorSet UNKNOWN = AcceptorSet.of(List.of());
     private static final Ballot BALLOT = new Ballot(3, "1.x");
@@ -19,7 +19,7 @@
     private final Register old = register(OLD, SET, new DurableState("1", BALLOT, BALLOT, VALUE, BALLOT, VALUE));
     private final Register newcomer = register(NEWCOMER, UNKNOWN, DurableState.fresh("9"));
 
-    private static Register register(Acceptor self, AcceptorSet initial, DurableState recovered) {
+    private static Register register(AcceptorId self, AcceptorSet initial, DurableState recovered) {
         return new Register(
                 new Register.Settings(self.address(), initial, 300, 20, 400, 500), recovered, new SplittableRandom(1));
     }
@@ -36,7 +36,7 @@
     void whoIsAskedByOneThatKnowsMoreFetchesIt() {
         old.ask(0, NEWCOMER.address(), olds);
         newcomer.received(1, last(olds), newcomers);
-        Query fetch = newcomers.messages(Query.class).get(0);
+        StatusQuery fetch = newcomers.messages(StatusQuery.class).get(0);
         Assertions.assertTrue(fetch.fetching());
         old.received(2, fetch, olds);
         newcomer.received(3, last(olds), newcomers);
@@ -46,7 +46,7 @@
 
     @Test
     void whoKnowsAsMuchFetchesNothing() {
-        old.received(0, new Query("n", "9", RegisterMessage.ANY, 1, BALLOT, true), olds);
-        Assertions.assertTrue(olds.messages(Query.class).isEmpty());
+        old.received(0, new StatusQuery("n", "9", RegisterMessage.ANY, 1, BALLOT, true), olds);
+        Assertions.assertTrue(olds.messages(StatusQuery.class).isEmpty());
     }
 }
--- a/consensus/src/test/java/dewplank/register/ProposerRulesTest.java
+++ b/consensus/src/test/java/dewplank/register/ProposerRulesTest.java
@@ -12,10 +12,10 @@
 
 /** What a proposer may confirm, and what it may propose. */
 class ProposerRulesTest {
-    private static final Acceptor A = new Acceptor("a", "1");
-    private static final Acceptor B = new Acceptor("b", "2");
-    private static final Acceptor C = new Acceptor("c", "3");
-    private static final Acceptor D = new Acceptor("d", "4");
+    private static final AcceptorId A = new AcceptorId("a", "1");
+    private static final AcceptorId B = new AcceptorId("b", "2");
+    private static final AcceptorId C = new AcceptorId("c", "3");
+    private static final AcceptorId D = new AcceptorId("d", "4");
     private static final AcceptorSet SET = AcceptorSet.of(List.of(A, B, C));
     private static final Change REFUSING = payload -> new Decision(null, "refused");
     private static final Change TAKING = payload -> new Decision(new byte[] {9}, "taken");
@@ -30,14 +30,14 @@
                 new SplittableRandom(seed));
     }
 
-    private void promise(Acceptor from, Ballot accepted, RegisterValue value) {
+    private void promise(AcceptorId from, Ballot accepted, RegisterValue value) {
         Ballot ballot = out.messages(Prepare.class)
                 .get(out.messages(Prepare.class).size() - 1)
                 .ballot();
         register.received(1, new Promise(from.address(), from.identity(), "1", ballot, accepted, value), out);
     }
 
-    private void accepted(Acceptor from) {
+    private void accepted(AcceptorId from) {
         Ballot ballot = out.messages(Accept.class)
                 .get(out.messages(Accept.class).size() - 1)
                 .ballot();
@@ -72,8 +72,8 @@
     @Test
     void aNewDiskAtAMembersAddressIsNotCounted() {
         register.change(0, 1, TAKING, 1000, out);
-        promise(new Acceptor("b", "wiped"), Ballot.NONE, null);
-        promise(new Acceptor("c", "wiped too"), Ballot.NONE, null);
+        promise(new AcceptorId("b", "wiped"), Ballot.NONE, null);
+        promise(new AcceptorId("c", "wiped too"), Ballot.NONE, null);
         promise(A, Ballot.NONE, null);
         Assertions.assertTrue(out.messages(Accept.class).isEmpty());
     }
@@ -93,10 +93,10 @@
     @Test
     void theSecondStepWaitsUntilTheJointSetIsChosen() {
         RegisterValue joint = new RegisterValue(new AcceptorSet(1, SET.members(), List.of(C, D)), 1, null);
-        Assertions.assertEquals(Proposal.keep(joint), FinishTask.settle(joint, null));
+        Assertions.assertEquals(Proposal.keep(joint), CompletionTask.settle(joint, null));
         RegisterValue other = new RegisterValue(new AcceptorSet(1, SET.members(), List.of(B, D)), 1, null);
-        Assertions.assertEquals(Proposal.keep(joint), FinishTask.settle(joint, other));
-        AcceptorSet settled = FinishTask.settle(joint, joint).value().acceptors();
+        Assertions.assertEquals(Proposal.keep(joint), CompletionTask.settle(joint, other));
+        AcceptorSet settled = CompletionTask.settle(joint, joint).value().acceptors();
         Assertions.assertEquals(new AcceptorSet(2, List.of(C, D), List.of()), settled);
     }
 
@@ -105,7 +105,8 @@
         AcceptorSet joint = new AcceptorSet(1, SET.members(), List.of(C, D));
         RegisterValue learned = new RegisterValue(SET, 1, new byte[] {1});
         register.change(0, 1, TAKING, 1000, out);
-        register.received(1, new Report("c", "3", "1", 0, Ballot.NONE, null, new Ballot(1, "x"), 1, learned), out);
+        register.received(
+                1, new StatusReport("c", "3", "1", 0, Ballot.NONE, null, new Ballot(1, "x"), 1, learned), out);
         promise(B, new Ballot(1, "y"), new RegisterValue(joint, 1, null));
         Prepare later = out.messages(Prepare.class).get(3);
         Assertions.assertEquals("4", later.recipientIdentity());
@@ -145,8 +146,8 @@
         register.change(0, 1, TAKING, 1000, out);
         Ballot first = out.messages(Prepare.class).get(0).ballot();
         Ballot other = new Ballot(41, "x");
-        register.received(1, new Refuse("b", "2", "1", first, other), out);
-        register.received(1, new Refuse("c", "3", "1", first, other), out);
+        register.received(1, new Reject("b", "2", "1", first, other), out);
+        register.received(1, new Reject("c", "3", "1", first, other), out);
         register.tick(500, out);
         Assertions.assertEquals(42, out.messages(Prepare.class).get(3).ballot().round());
     }
@@ -156,17 +157,17 @@
             @ForAll @IntRange(min = 0, max = 255) int first, @ForAll @IntRange(min = 0, max = 255) int second) {
         AcceptorSet joint = new AcceptorSet(1, List.of(A, B, C), List.of(B, C, D));
         AcceptorSet settled = joint.settled();
-        Set<Acceptor> one = chosenBy(first);
-        Set<Acceptor> two = chosenBy(second);
+        Set<AcceptorId> one = chosenBy(first);
+        Set<AcceptorId> two = chosenBy(second);
         if (joint.isQuorum(one) && (settled.isQuorum(two) || SET.isQuorum(two))) {
             one.retainAll(two);
             Assertions.assertFalse(one.isEmpty());
         }
     }
 
-    private static Set<Acceptor> chosenBy(int bits) {
-        Set<Acceptor> chosen = new HashSet<>();
-        List<Acceptor> all = List.of(A, B, C, D);
+    private static Set<AcceptorId> chosenBy(int bits) {
+        Set<AcceptorId> chosen = new HashSet<>();
+        List<AcceptorId> all = List.of(A, B, C, D);
         for (int index = 0; index < all.size(); index++) {
             if ((bits >> index & 1) != 0) {
                 chosen.add(all.get(index));
--- a/consensus/src/test/java/dewplank/register/RecordedOutput.java
+++ b/consensus/src/test/java/dewplank/register/RecordedOutput.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /** Keeps what a register wanted done. */
-final class RecordedOutput implements Register.Output {
+final class RecordedOutput implements Register.Effects {
     record Sent(String address, RegisterMessage message) {}
 
     record Stored(long ticket, DurableState state) {}
--- a/consensus/src/test/java/dewplank/register/RegisterImage.java
+++ b/consensus/src/test/java/dewplank/register/RegisterImage.java
@@ -19,24 +19,24 @@
     /** The parts of a register that change; everything else is immutable or a collection. */
     private static final Set<Class<?>> PARTS = Set.of(
             Register.class,
-            Voter.class,
+            Acceptor.class,
             Learner.class,
             Proposer.class,
             Reader.class,
-            Sweep.class,
-            Finisher.class,
-            Questions.class,
+            AntiEntropy.class,
+            RoundCompleter.class,
+            RequestIds.class,
             Round.class);
 
     /** Without influence on messages or votes: the tally of the sweeps, and what only says how to reach the rest. */
     private static final Set<String> LEFT_OUT = Set.of(
-            "Sweep.question",
-            "Sweep.answered",
-            "Sweep.newestReported",
-            "Sweep.newestOfQuorum",
-            "Questions.last",
+            "AntiEntropy.question",
+            "AntiEntropy.answered",
+            "AntiEntropy.newestReported",
+            "AntiEntropy.newestOfQuorum",
+            "RequestIds.last",
             "Proposer.attempts",
-            "Voter.ticket",
+            "Acceptor.ticket",
             "ChangeTask.change");
 
     private static final Map<Class<?>, List<Field>> FIELDS = new HashMap<>();
@@ -85,11 +85,11 @@
             if (field.getType() == double.class) {
                 boolean late = Set.of("nextAt", "fetchedAt").contains(field.getName());
                 set(field, part, late ? Double.NEGATIVE_INFINITY : 0.0);
-            } else if (nameOf(field).equals("Questions.last") || nameOf(field).equals("Sweep.question")) {
+            } else if (nameOf(field).equals("RequestIds.last") || nameOf(field).equals("AntiEntropy.question")) {
                 set(field, part, 0L);
             } else if (nameOf(field).equals("Proposer.attempts")) {
                 set(field, part, 1);
-            } else if (nameOf(field).equals("Sweep.answered")) {
+            } else if (nameOf(field).equals("AntiEntropy.answered")) {
                 ((Collection<?>) value).clear();
             } else if (value != null && PARTS.contains(value.getClass())) {
                 forget(value, seen);
@@ -133,7 +133,7 @@
             text.append(object);
         } else if (object instanceof byte[]) {
             text.append(VersionHistory.read((byte[]) object));
-        } else if (object instanceof Ballot || object instanceof Acceptor || object instanceof Enum) {
+        } else if (object instanceof Ballot || object instanceof AcceptorId || object instanceof Enum) {
             text.append(object);
         } else if (object instanceof Collection) {
             printElements((Collection<?>) object, text);
--- a/consensus/src/test/java/dewplank/register/RegisterModel.java
+++ b/consensus/src/test/java/dewplank/register/RegisterModel.java
@@ -30,7 +30,7 @@
     private final Interner<DurableState> disks = new Interner<>();
     private final Interner<Outgoing> messages = new Interner<>();
     private final Interner<ModelProposal> proposals = new Interner<>();
-    private final Interner<Acceptor> acceptors = new Interner<>();
+    private final Interner<AcceptorId> acceptors = new Interner<>();
     private final Map<Key, Effect> effects = new HashMap<>();
     private final Set<Long> seen = new HashSet<>();
     private List<ModelState> frontier = new ArrayList<>();
@@ -219,7 +219,7 @@
         Set<?> counted = (Set<?>) RegisterImage.at(register, "proposer", "round", tally);
         return counted != null
                 && counted.stream()
-                        .map(each -> ((Acceptor) each).address())
+                        .map(each -> ((AcceptorId) each).address())
                         .anyMatch(address -> !address.equals(ModelScenario.address(process))
                                 && address.compareTo(message.sender()) > 0);
     }
@@ -307,7 +307,7 @@
             next.disks = ModelState.with(next.disks, process, kept);
             next.perhaps = ModelState.with(next.perhaps, process, 0);
             DurableState state = disks.get(kept);
-            vote(next, new Acceptor(ModelScenario.address(process), state.identity()), state);
+            vote(next, new AcceptorId(ModelScenario.address(process), state.identity()), state);
         }
         if (effect.perhaps != 0) {
             next.perhaps = ModelState.with(next.perhaps, process, effect.perhaps);
@@ -320,7 +320,7 @@
         }
     }
 
-    private void vote(ModelState state, Acceptor voter, DurableState kept) {
+    private void vote(ModelState state, AcceptorId voter, DurableState kept) {
         int bit = 1 << acceptors.number(voter.identity(), voter);
         for (int at = 0; at < state.votes.length; at += 2) {
             ModelProposal proposal = proposals.get(state.votes[at]);
@@ -335,8 +335,8 @@
         }
     }
 
-    private Set<Acceptor> voters(int bits) {
-        Set<Acceptor> voters = new HashSet<>();
+    private Set<AcceptorId> voters(int bits) {
+        Set<AcceptorId> voters = new HashSet<>();
         for (int number = 1; number <= acceptors.size(); number++) {
             if ((bits & 1 << number) != 0) {
                 voters.add(acceptors.get(number));
--- a/consensus/src/test/java/dewplank/register/RegisterModelTest.java
+++ b/consensus/src/test/java/dewplank/register/RegisterModelTest.java
@@ -15,14 +15,14 @@
  * nothing else.
  */
 class RegisterModelTest {
-    private static final Acceptor A = ModelScenario.acceptor(0, 0);
-    private static final Acceptor B = ModelScenario.acceptor(1, 0);
-    private static final Acceptor C = ModelScenario.acceptor(2, 0);
-    private static final Acceptor D = ModelScenario.acceptor(3, 0);
-    private static final Acceptor C_WIPED = ModelScenario.acceptor(2, 1);
+    private static final AcceptorId A = ModelScenario.acceptor(0, 0);
+    private static final AcceptorId B = ModelScenario.acceptor(1, 0);
+    private static final AcceptorId C = ModelScenario.acceptor(2, 0);
+    private static final AcceptorId D = ModelScenario.acceptor(3, 0);
+    private static final AcceptorId C_WIPED = ModelScenario.acceptor(2, 1);
 
     /** What only speeds up learning, left out where it would only add states: its loss is among the losses. */
-    private static final Class<?>[] HINTS = {Query.class, Chosen.class, Refuse.class};
+    private static final Class<?>[] HINTS = {StatusQuery.class, Chosen.class, Reject.class};
 
     private static RegisterModel model(ModelScenario scenario) {
         return new RegisterModel(scenario, Boolean.getBoolean("register.model.traced"));
@@ -42,7 +42,7 @@
         return model(scenario).begin(0, ModelScenario.change(1, 0)).begin(1, ModelScenario.change(2, 0));
     }
 
-    private static RegisterModel changeAndReplacement(ModelScenario scenario, Acceptor... wanted) {
+    private static RegisterModel changeAndReplacement(ModelScenario scenario, AcceptorId... wanted) {
         return model(scenario).begin(0, ModelScenario.change(1, 0)).begin(1, ModelScenario.replace(0, wanted));
     }
 
@@ -132,7 +132,7 @@
     @Test
     void aLossRightAfterTheSetSettled() {
         explore(
-                model(new ModelScenario("settled, then a wipe", 4, 3, Query.class, Refuse.class)
+                model(new ModelScenario("settled, then a wipe", 4, 3, StatusQuery.class, Reject.class)
                                 .with(1, 0, 0)
                                 .wiping(2))
                         .begin(1, ModelScenario.change(1, 0))
--- a/consensus/src/test/java/dewplank/register/ReplacementRulesTest.java
+++ b/consensus/src/test/java/dewplank/register/ReplacementRulesTest.java
@@ -19,24 +19,24 @@
         return fleet.processes().get(index);
     }
 
-    private List<Acceptor> acceptors(int... indices) {
-        List<Acceptor> acceptors = new ArrayList<>();
+    private List<AcceptorId> acceptors(int... indices) {
+        List<AcceptorId> acceptors = new ArrayList<>();
         for (int index : indices) {
             acceptors.add(process(index).acceptor());
         }
         return acceptors;
     }
 
-    private void replace(int keeper, long expected, List<Acceptor> wanted) {
+    private void replace(int keeper, long expected, List<AcceptorId> wanted) {
         fleet.replace(process(keeper), expected, wanted, PATIENCE, outcomes::add);
     }
 
-    private Replacement answer(int index) {
-        return (Replacement) Assertions.assertInstanceOf(Outcome.Confirmed.class, outcomes.get(index))
+    private Reconfiguration answer(int index) {
+        return (Reconfiguration) Assertions.assertInstanceOf(Outcome.Confirmed.class, outcomes.get(index))
                 .answer();
     }
 
-    private void assertSet(long generation, List<Acceptor> members) {
+    private void assertSet(long generation, List<AcceptorId> members) {
         for (int index = 0; index < 5; index++) {
             if (process(index).isUp() && members.contains(process(index).acceptor())) {
                 Assertions.assertEquals(
@@ -55,8 +55,8 @@
         // Decided on generation 0, in which 2 was a member: it would bring 2 back and drop 3.
         replace(0, 0, acceptors(0, 4, 2));
         fleet.events().playUntil(3 * SETTLED);
-        Assertions.assertEquals(Replacement.APPLIED, answer(0));
-        Assertions.assertEquals(Replacement.OVERTAKEN, answer(1));
+        Assertions.assertEquals(Reconfiguration.APPLIED, answer(0));
+        Assertions.assertEquals(Reconfiguration.OVERTAKEN, answer(1));
         assertSet(2, acceptors(0, 1, 3));
     }
 
@@ -66,7 +66,7 @@
         fleet.events().playUntil(SETTLED);
         replace(0, 0, acceptors(0, 1, 3));
         fleet.events().playUntil(2 * SETTLED);
-        Assertions.assertEquals(Replacement.OVERTAKEN, answer(1));
+        Assertions.assertEquals(Reconfiguration.OVERTAKEN, answer(1));
         assertSet(2, acceptors(0, 1, 2, 3, 4));
     }
 
@@ -75,9 +75,9 @@
         replace(0, 0, acceptors(0, 1, 3));
         replace(1, 0, acceptors(0, 1, 4));
         fleet.events().playUntil(2 * SETTLED);
-        List<Replacement> answers = new ArrayList<>(List.of(answer(0), answer(1)));
-        Assertions.assertTrue(answers.remove(Replacement.APPLIED), "none was applied");
-        Assertions.assertEquals(List.of(Replacement.OVERTAKEN), answers);
+        List<Reconfiguration> answers = new ArrayList<>(List.of(answer(0), answer(1)));
+        Assertions.assertTrue(answers.remove(Reconfiguration.APPLIED), "none was applied");
+        Assertions.assertEquals(List.of(Reconfiguration.OVERTAKEN), answers);
         Assertions.assertEquals(2, process(0).register().acceptors().generation());
     }
 
@@ -86,8 +86,8 @@
         replace(0, 0, acceptors(0, 1, 3));
         replace(1, 0, acceptors(0, 1, 3));
         fleet.events().playUntil(2 * SETTLED);
-        Assertions.assertEquals(Replacement.APPLIED, answer(0));
-        Assertions.assertEquals(Replacement.APPLIED, answer(1));
+        Assertions.assertEquals(Reconfiguration.APPLIED, answer(0));
+        Assertions.assertEquals(Reconfiguration.APPLIED, answer(1));
         assertSet(2, acceptors(0, 1, 3));
     }
 
@@ -96,8 +96,8 @@
         replace(0, 0, acceptors(2, 0, 1));
         replace(1, 7, acceptors(0, 1, 2));
         fleet.events().playUntil(SETTLED);
-        Assertions.assertEquals(Replacement.FOUND_DONE, answer(0));
-        Assertions.assertEquals(Replacement.FOUND_DONE, answer(1));
+        Assertions.assertEquals(Reconfiguration.FOUND_DONE, answer(0));
+        Assertions.assertEquals(Reconfiguration.FOUND_DONE, answer(1));
         assertSet(0, acceptors(0, 1, 2));
     }
 
@@ -110,7 +110,7 @@
         process(0).kill();
         replace(1, 0, acceptors(1, 2, 4));
         fleet.events().playUntil(2 * SETTLED);
-        Assertions.assertEquals(Replacement.OVERTAKEN, answer(0));
+        Assertions.assertEquals(Reconfiguration.OVERTAKEN, answer(0));
         assertSet(2, acceptors(0, 1, 3));
     }
 
@@ -118,12 +118,12 @@
     void anAcceptedJointSetOfTheSameGenerationIsNotReplacedByAnother() {
         RegisterValue settled = new RegisterValue(AcceptorSet.of(acceptors(0, 1, 2)), 3, null);
         RegisterValue joint = settled.withAcceptors(settled.acceptors().joinedBy(acceptors(0, 1, 3)));
-        ReplaceTask other = new ReplaceTask(1, 0, acceptors(0, 1, 4), PATIENCE);
+        ReconfigureTask other = new ReconfigureTask(1, 0, acceptors(0, 1, 4), PATIENCE);
         Assertions.assertEquals(
                 joint.acceptors(), other.propose(joint, settled).value().acceptors());
         Assertions.assertFalse(other.isDoneWith(other.propose(joint, settled)));
         Proposal second = other.propose(joint, joint);
         Assertions.assertTrue(other.isDoneWith(second));
-        Assertions.assertEquals(Replacement.OVERTAKEN, second.answer());
+        Assertions.assertEquals(Reconfiguration.OVERTAKEN, second.answer());
     }
 }
--- a/consensus/src/test/java/dewplank/register/SimulatedFleet.java
+++ b/consensus/src/test/java/dewplank/register/SimulatedFleet.java
@@ -20,7 +20,7 @@
     SimulatedFleet(int size, int members, SimulationRules rules, SplittableRandom random) {
         this.rules = rules;
         network = new SimulatedNetwork(events, random.split());
-        List<Acceptor> first = new ArrayList<>();
+        List<AcceptorId> first = new ArrayList<>();
         for (int index = 0; index < size; index++) {
             SimulatedProcess process = new SimulatedProcess("10.0.0." + index + ":1", this, random.split());
             processes.add(process);
@@ -109,7 +109,7 @@
     }
 
     /** Replaces acceptors, expecting the set that the process knows. */
-    void replace(SimulatedProcess process, List<Acceptor> wanted, double patience, Consumer<Outcome> listener) {
+    void replace(SimulatedProcess process, List<AcceptorId> wanted, double patience, Consumer<Outcome> listener) {
         long known = process.isUp() ? process.register().acceptors().generation() : 0;
         replace(process, known, wanted, patience, listener);
     }
@@ -117,7 +117,7 @@
     void replace(
             SimulatedProcess process,
             long expected,
-            List<Acceptor> wanted,
+            List<AcceptorId> wanted,
             double patience,
             Consumer<Outcome> listener) {
         long request = expect(process, patience, checked(history.floor(), listener));
--- a/consensus/src/test/java/dewplank/register/SimulatedProcess.java
+++ b/consensus/src/test/java/dewplank/register/SimulatedProcess.java
@@ -5,7 +5,7 @@
 import java.util.SplittableRandom;
 
 /** One process with its disk: it can be killed, lose its disk, freeze; the disk can be full or stall. */
-final class SimulatedProcess implements Register.Output {
+final class SimulatedProcess implements Register.Effects {
     private static final double TICK = 50;
     private static final double SYNC = 3;
 
@@ -35,8 +35,8 @@
         return address;
     }
 
-    Acceptor acceptor() {
-        return new Acceptor(address, disk.identity());
+    AcceptorId acceptor() {
+        return new AcceptorId(address, disk.identity());
     }
 
     boolean isUp() {
--- a/consensus/src/test/java/dewplank/register/SuccessiveLossesTest.java
+++ b/consensus/src/test/java/dewplank/register/SuccessiveLossesTest.java
@@ -51,13 +51,13 @@
     }
 
     /** Puts one acceptor in the place of another, as the keeper would: until it is so. */
-    private void replace(int at, Acceptor old, Acceptor by) {
+    private void replace(int at, AcceptorId old, AcceptorId by) {
         for (int tries = 0; tries < MOST_TRIES; tries++) {
             AcceptorSet set = process(at).register().acceptors();
             if (!set.isJoint() && !set.members().contains(old)) {
                 return;
             }
-            List<Acceptor> wanted = new ArrayList<>(set.isJoint() ? set.joining() : set.members());
+            List<AcceptorId> wanted = new ArrayList<>(set.isJoint() ? set.joining() : set.members());
             wanted.replaceAll(each -> each.equals(old) ? by : each);
             fleet.replace(process(at), set.generation(), wanted, PATIENCE, outcome -> {});
             fleet.events().playUntil(fleet.now() + PAUSE);
@@ -66,8 +66,8 @@
     }
 
     /** Loses a machine with its disk; it is back at once, empty. */
-    private Acceptor lose(int index) {
-        Acceptor lost = process(index).acceptor();
+    private AcceptorId lose(int index) {
+        AcceptorId lost = process(index).acceptor();
         process(index).wipe();
         process(index).start();
         return lost;
@@ -101,7 +101,7 @@
         for (int moment = 0; moment < MOMENTS; moment++) {
             begin(5, 3);
             change(1);
-            Acceptor leaving = process(0).acceptor();
+            AcceptorId leaving = process(0).acceptor();
             fleet.replace(
                     process(1),
                     0,
@@ -113,14 +113,14 @@
                     outcome -> {});
             play(moment);
             checkReach(moment, MOMENTS - 1);
-            Acceptor lost = lose(1);
+            AcceptorId lost = lose(1);
             replace(2, lost, process(4).acceptor());
             replace(2, leaving, process(3).acceptor());
             process(0).kill();
             catchUp();
             change(4);
             catchUp();
-            Acceptor last = lose(2);
+            AcceptorId last = lose(2);
             replace(3, last, process(2).acceptor());
             change(2);
             fleet.history().checkEnd();
@@ -132,7 +132,7 @@
         begin(5, 3);
         change(1);
         for (int index : new int[] {0, 1, 2}) {
-            Acceptor lost = lose(index);
+            AcceptorId lost = lose(index);
             int successor = index < 2 ? index + 3 : index;
             replace(index == 0 ? 2 : 3, lost, process(successor).acceptor());
             catchUp();
@@ -147,16 +147,16 @@
         for (int moment = 0; moment < MOMENTS; moment += 3) {
             begin(7, 5);
             change(1);
-            Acceptor leaving = process(0).acceptor();
-            List<Acceptor> wanted = new ArrayList<>(List.of(process(5).acceptor()));
+            AcceptorId leaving = process(0).acceptor();
+            List<AcceptorId> wanted = new ArrayList<>(List.of(process(5).acceptor()));
             for (int index = 1; index < 5; index++) {
                 wanted.add(process(index).acceptor());
             }
             fleet.replace(process(1), 0, wanted, PATIENCE, outcome -> {});
             play(moment);
             checkReach(moment, MOMENTS - 3);
-            Acceptor first = lose(1);
-            Acceptor second = lose(2);
+            AcceptorId first = lose(1);
+            AcceptorId second = lose(2);
             replace(3, first, process(1).acceptor());
             replace(3, second, process(6).acceptor());
             replace(3, leaving, process(5).acceptor());
@@ -164,8 +164,8 @@
             catchUp();
             change(1);
             catchUp();
-            Acceptor third = lose(3);
-            Acceptor fourth = lose(4);
+            AcceptorId third = lose(3);
+            AcceptorId fourth = lose(4);
             replace(6, third, process(3).acceptor());
             replace(6, fourth, process(2).acceptor());
             change(2);
--- a/consensus/src/test/java/dewplank/register/Troubles.java
+++ b/consensus/src/test/java/dewplank/register/Troubles.java
@@ -13,7 +13,7 @@
     private final SimulatedFleet fleet;
     private final SplittableRandom random;
     private SimulatedProcess wiped;
-    private Acceptor lost;
+    private AcceptorId lost;
     private boolean over;
 
     Troubles(SimulatedFleet fleet, SplittableRandom random) {
@@ -148,9 +148,9 @@
         return newest == null ? known : newest.acceptors();
     }
 
-    private List<Acceptor> withoutLost(AcceptorSet set) {
-        List<Acceptor> wanted = new ArrayList<>();
-        for (Acceptor acceptor : set.isJoint() ? set.joining() : set.members()) {
+    private List<AcceptorId> withoutLost(AcceptorSet set) {
+        List<AcceptorId> wanted = new ArrayList<>();
+        for (AcceptorId acceptor : set.isJoint() ? set.joining() : set.members()) {
             wanted.add(acceptor.equals(lost) ? wiped.acceptor() : acceptor);
         }
         return wanted;
@@ -160,7 +160,7 @@
         if (!fleet.rules().resizes()) {
             return;
         }
-        List<Acceptor> wanted = new ArrayList<>();
+        List<AcceptorId> wanted = new ArrayList<>();
         for (SimulatedProcess process : fleet.processes()) {
             if (random.nextInt(3) != 0) {
                 wanted.add(process.acceptor());
--- a/consensus/src/test/java/dewplank/singleton/CandidateTest.java
+++ b/consensus/src/test/java/dewplank/singleton/CandidateTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dewplank.register.Acceptor;
+import dewplank.register.AcceptorId;
 import dewplank.register.AcceptorSet;
 import dewplank.singleton.VoteReply.Standing;
 import dewplank.singleton.VoteReply.Verdict;
@@ -18,8 +18,8 @@
 class CandidateTest {
     private static final DutyTiming TIMING = new DutyTiming(3_000, 150, 500, 250);
     private static final double HALF = 0.5;
-    private static final List<Acceptor> VOTERS =
-            List.of(new Acceptor("x", "x1"), new Acceptor("y", "y1"), new Acceptor("z", "z1"));
+    private static final List<AcceptorId> VOTERS =
+            List.of(new AcceptorId("x", "x1"), new AcceptorId("y", "y1"), new AcceptorId("z", "z1"));
 
     /** What a candidate asked for. */
     private static final class Seen implements CandidateOutput {
@@ -27,7 +27,7 @@
         private final Map<String, VoteRequest> last = new TreeMap<>();
 
         @Override
-        public void send(Acceptor voter, VoteRequest request) {
+        public void send(AcceptorId voter, VoteRequest request) {
             assertEquals(voter.identity(), request.voter());
             events.add(request.kind() + " " + voter.address());
             last.put(voter.address(), request);
@@ -208,7 +208,7 @@
     @Test
     void repliesToAnotherLifeCountForNothing() {
         candidate.tick(125, seen);
-        for (Acceptor voter : VOTERS) {
+        for (AcceptorId voter : VOTERS) {
             VoteRequest earlier = new VoteRequest(Kind.PROBE, "list", "me before", voter.identity(), 1, 0, 0);
             Standing standing = new Standing(3, null, 0);
             candidate.received(130, new VoteReply(earlier, voter.identity(), Verdict.GRANTED, standing), seen);
@@ -239,7 +239,7 @@
 
     @Test
     void aJointSetNeedsBothMajorities() {
-        List<Acceptor> joining = List.of(VOTERS.get(0), new Acceptor("y", "y2"), new Acceptor("w", "w1"));
+        List<AcceptorId> joining = List.of(VOTERS.get(0), new AcceptorId("y", "y2"), new AcceptorId("w", "w1"));
         candidate.voters(0, new AcceptorSet(1, VOTERS, joining));
         candidate.tick(125, seen);
         reply(150, "x", Verdict.GRANTED, 0, 0);
--- a/consensus/src/test/java/dewplank/singleton/DutyPropertyTest.java
+++ b/consensus/src/test/java/dewplank/singleton/DutyPropertyTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertSame;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dewplank.register.Acceptor;
+import dewplank.register.AcceptorId;
 import dewplank.singleton.DutySimulation.Sidecar;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -62,7 +62,7 @@
     }
 
     private static void repair(DutySimulation world) {
-        List<Acceptor> wiped = world.wipedMembers();
+        List<AcceptorId> wiped = world.wipedMembers();
         if (!wiped.isEmpty() && !world.isChanging()) {
             world.replace(wiped.get(0), world.identityAt(wiped.get(0)));
         }
--- a/consensus/src/test/java/dewplank/singleton/DutySimulation.java
+++ b/consensus/src/test/java/dewplank/singleton/DutySimulation.java
@@ -1,6 +1,6 @@
 package dewplank.singleton;
 
-import dewplank.register.Acceptor;
+import dewplank.register.AcceptorId;
 import dewplank.register.AcceptorSet;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -41,7 +41,7 @@
             new PriorityQueue<>(Comparator.comparingDouble(Event::at).thenComparingLong(Event::order));
     private final Map<String, Sidecar> sidecars = new HashMap<>();
     private final Set<String> cuts = new TreeSet<>();
-    private final Set<Acceptor> acceptedBy = new HashSet<>();
+    private final Set<AcceptorId> acceptedBy = new HashSet<>();
     private AcceptorSet chosen;
     /** Proposed and not chosen yet; null where nothing is under way. */
     private AcceptorSet proposed;
@@ -63,7 +63,7 @@
     DutySimulation(Random random, int count, Times times) {
         this.random = random;
         this.times = times;
-        List<Acceptor> members = new ArrayList<>();
+        List<AcceptorId> members = new ArrayList<>();
         for (int index = 0; index < count; index++) {
             members.add(add().self());
         }
@@ -118,7 +118,7 @@
     }
 
     /** What stands at the address of this member now. */
-    Acceptor identityAt(Acceptor member) {
+    AcceptorId identityAt(AcceptorId member) {
         return sidecars.get(member.address()).self();
     }
 
@@ -127,7 +127,7 @@
     }
 
     /** Members whose disk was wiped: nobody there can vote. */
-    List<Acceptor> wipedMembers() {
+    List<AcceptorId> wipedMembers() {
         return chosen.members().stream()
                 .filter(voter -> !sidecars.get(voter.address()).self().equals(voter))
                 .toList();
@@ -140,7 +140,7 @@
                 && (proposed == null || mayWipe(sidecar, proposed.members()) && mayWipe(sidecar, proposed.joining()));
     }
 
-    private boolean mayWipe(Sidecar sidecar, List<Acceptor> part) {
+    private boolean mayWipe(Sidecar sidecar, List<AcceptorId> part) {
         long left = part.stream()
                 .filter(voter -> !voter.address().equals(sidecar.name)
                         && sidecars.get(voter.address()).self().equals(voter))
@@ -149,15 +149,15 @@
     }
 
     /** Begins to replace one member; the identity that stands there now, where it was wiped. */
-    void replace(Acceptor member, Acceptor by) {
-        List<Acceptor> wanted = new ArrayList<>(chosen.members());
+    void replace(AcceptorId member, AcceptorId by) {
+        List<AcceptorId> wanted = new ArrayList<>(chosen.members());
         wanted.set(wanted.indexOf(member), by);
         change(wanted);
     }
 
     /** Changes the set in a way that is drawn: one out, one in, one for another, or growth by two. */
     void changeVoters() {
-        List<Acceptor> wanted = new ArrayList<>(chosen.members());
+        List<AcceptorId> wanted = new ArrayList<>(chosen.members());
         int kind = random.nextInt(4);
         if (kind == 0 && wanted.size() > 1) {
             wanted.remove(random.nextInt(wanted.size()));
@@ -172,7 +172,7 @@
         change(wanted);
     }
 
-    void change(List<Acceptor> wanted) {
+    void change(List<AcceptorId> wanted) {
         long present =
                 wanted.stream().filter(voter -> identityAt(voter).equals(voter)).count();
         if (!isChanging() && !chosen.consistsOf(wanted) && 2 * present > wanted.size()) {
@@ -195,7 +195,7 @@
         List<Sidecar> up = everyone().stream().filter(Sidecar::isUp).toList();
         if (!up.isEmpty()) {
             Sidecar proposer = up.get(random.nextInt(up.size()));
-            for (Acceptor acceptor : proposed.all()) {
+            for (AcceptorId acceptor : proposed.all()) {
                 Sidecar target = sidecars.get(acceptor.address());
                 deliver(proposer.name, target.name, () -> target.accept(number, acceptor, proposer));
             }
@@ -203,7 +203,7 @@
         at(now + PROPOSE_AGAIN_MS, () -> proposeAgain(number));
     }
 
-    private void accepted(long number, Acceptor by, Sidecar proposer) {
+    private void accepted(long number, AcceptorId by, Sidecar proposer) {
         if (number != proposal || proposed == null) {
             return;
         }
@@ -328,8 +328,8 @@
         }
 
         /** The address and the identity of the disk that is there now. */
-        Acceptor self() {
-            return new Acceptor(name, name + "#" + disks);
+        AcceptorId self() {
+            return new AcceptorId(name, name + "#" + disks);
         }
 
         boolean isUp() {
@@ -369,7 +369,7 @@
         }
 
         /** The acceptance is on disk before it is told. */
-        private void accept(long number, Acceptor as, Sidecar proposer) {
+        private void accept(long number, AcceptorId as, Sidecar proposer) {
             run(life, () -> {
                 if (number == proposal && proposed != null && as.equals(self())) {
                     acceptedGeneration = proposed.generation();
@@ -462,7 +462,7 @@
         /** Sends what the candidate asks for. */
         private final class Candidacy implements CandidateOutput {
             @Override
-            public void send(Acceptor to, VoteRequest request) {
+            public void send(AcceptorId to, VoteRequest request) {
                 String fromLife = life;
                 Sidecar target = sidecars.get(to.address());
                 deliver(name, to.address(), () -> target.take(request, Sidecar.this, fromLife));
--- a/consensus/src/test/java/dewplank/singleton/DutySuccessionTest.java
+++ b/consensus/src/test/java/dewplank/singleton/DutySuccessionTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 
-import dewplank.register.Acceptor;
+import dewplank.register.AcceptorId;
 import dewplank.singleton.DutySimulation.Sidecar;
 import java.util.List;
 import java.util.Random;
@@ -93,7 +93,7 @@
         holder.wipe();
         holder.start(LEASE_MS);
         world.runUntilHeld(holder, LEASE_MS + BALLOTS_MS);
-        Acceptor lost = world.wipedMembers().get(0);
+        AcceptorId lost = world.wipedMembers().get(0);
         world.replace(lost, world.identityAt(lost));
         world.runUntil(world.now() + LEASE_MS);
         assertEquals(List.of(), world.wipedMembers());
--- a/consensus/src/test/java/dewplank/singleton/DutyWipeTest.java
+++ b/consensus/src/test/java/dewplank/singleton/DutyWipeTest.java
@@ -1,6 +1,6 @@
 package dewplank.singleton;
 
-import dewplank.register.Acceptor;
+import dewplank.register.AcceptorId;
 import dewplank.singleton.DutySimulation.Sidecar;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -50,7 +50,7 @@
     }
 
     private static void repair(DutySimulation world) {
-        List<Acceptor> lost = world.wipedMembers();
+        List<AcceptorId> lost = world.wipedMembers();
         if (!lost.isEmpty() && !world.isChanging()) {
             world.replace(lost.get(0), world.identityAt(lost.get(0)));
         }
@@ -73,7 +73,7 @@
     void aSetReplacedWithinALeaseGivesNoSecondHolder(@ForAll long seed) {
         Random random = new Random(seed);
         DutySimulation world = new DutySimulation(random, 3);
-        List<Acceptor> spares = List.of(world.spare().self(), world.spare().self());
+        List<AcceptorId> spares = List.of(world.spare().self(), world.spare().self());
         world.runUntil(3 * LEASE_MS + random.nextDouble() * LEASE_MS);
         for (int cuts = 0; cuts < 2; cuts++) {
             world.cut(
@@ -81,7 +81,7 @@
                     world.all().get(random.nextInt(3)).name());
         }
         world.runUntil(world.now() + random.nextDouble() * LEASE_MS);
-        List<Acceptor> wanted =
+        List<AcceptorId> wanted =
                 new ArrayList<>(world.all().stream().map(Sidecar::self).toList());
         if (random.nextBoolean()) {
             wanted.addAll(spares);
--- a/controlplane/src/main/java/dewplank/controlplane/AcceptorKeeper.java
+++ b/controlplane/src/main/java/dewplank/controlplane/AcceptorKeeper.java
@@ -3,7 +3,7 @@
 import dewplank.membership.AcceptorPlan;
 import dewplank.membership.AcceptorPlan.Sighting;
 import dewplank.net.Scheduler;
-import dewplank.register.Acceptor;
+import dewplank.register.AcceptorId;
 import dewplank.register.AcceptorSet;
 import java.util.ArrayList;
 import java.util.List;
@@ -24,7 +24,7 @@
     private static final double CHANGE_MS = 1_000;
 
     private final Scheduler loop;
-    private final Acceptor self;
+    private final AcceptorId self;
     private final ControlMesh mesh;
     private final ConfigurationStore configuration;
     private final ServerLister.Duty duty;
@@ -33,7 +33,7 @@
 
     AcceptorKeeper(
             Scheduler loop,
-            Acceptor self,
+            AcceptorId self,
             double catchUpMs,
             ControlMesh mesh,
             ConfigurationStore configuration,
@@ -52,7 +52,7 @@
 
     private void look() {
         AcceptorSet set = configuration.acceptors();
-        List<Acceptor> wanted = plan.wanted(loop.now(), set, seen());
+        List<AcceptorId> wanted = plan.wanted(loop.now(), set, seen());
         boolean differs = !set.isJoint() && !wanted.equals(set.members());
         if (differs && !changing && duty.holds() && configuration.quorate(QUORATE_MS)) {
             LOG.info("acceptors {} are to become {}", set.members(), wanted);
@@ -67,7 +67,7 @@
         List<Sighting> seen = new ArrayList<>();
         seen.add(new Sighting(self, true, now, Double.NEGATIVE_INFINITY)); // only who has a disk holds the duty
         for (ControlMesh.Peer p : mesh.peers(Double.POSITIVE_INFINITY)) {
-            Acceptor peer = new Acceptor(p.member().address, p.identity());
+            AcceptorId peer = new AcceptorId(p.member().address, p.identity());
             seen.add(new Sighting(peer, p.durable(), p.heardAt(), p.since()));
         }
         return seen;
--- a/controlplane/src/main/java/dewplank/controlplane/ConfigurationStore.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ConfigurationStore.java
@@ -5,7 +5,7 @@
 import dewplank.configuration.Configuration;
 import dewplank.configuration.ConfigurationDocument;
 import dewplank.net.Scheduler;
-import dewplank.register.Acceptor;
+import dewplank.register.AcceptorId;
 import dewplank.register.AcceptorSet;
 import dewplank.register.Decision;
 import dewplank.register.DurableState;
@@ -22,7 +22,7 @@
 import org.slf4j.LoggerFactory;
 
 /** The configuration in the replicated register: drives the register's steps with messages, the disk and time. */
-final class ConfigurationStore implements Register.Output, OperatorApi.Configurations, Duties.Voters {
+final class ConfigurationStore implements Register.Effects, OperatorApi.Configurations, Duties.Voters {
     private static final Logger LOG = LoggerFactory.getLogger(ConfigurationStore.class);
     private static final double TICK_MS = 25;
     private static final double ROUND_TIMEOUT_MS = 250; // a round takes two ways and two syncs: a few ms when calm
@@ -54,7 +54,7 @@
     ConfigurationStore(
             Scheduler loop,
             String address,
-            List<Acceptor> initial,
+            List<AcceptorId> initial,
             DurableState recovered,
             Disk disk,
             RandomGenerator random,
@@ -155,7 +155,7 @@
      * @param expectedGeneration that of the set on which this was decided; nothing is changed if another is in force
      * @param then runs when the change is done or given up
      */
-    void replaceAcceptors(long expectedGeneration, List<Acceptor> wanted, double withinMs, Runnable then) {
+    void replaceAcceptors(long expectedGeneration, List<AcceptorId> wanted, double withinMs, Runnable then) {
         register.replaceAcceptors(
                 loop.now(),
                 request(outcome -> {
--- a/controlplane/src/main/java/dewplank/controlplane/Confirmation.java
+++ b/controlplane/src/main/java/dewplank/controlplane/Confirmation.java
@@ -1,7 +1,7 @@
 package dewplank.controlplane;
 
 import dewplank.net.Scheduler;
-import dewplank.register.Acceptor;
+import dewplank.register.AcceptorId;
 
 /** Whether operators' calls may be decided here: by a quorum, and one that keeps what it accepts. */
 final class Confirmation {
@@ -49,7 +49,7 @@
      */
     private boolean acceptorsAreDurable() {
         boolean mustBeHeard = history.version() == 0 && loop.now() - startedAt < ALL_HEARD_MS;
-        for (Acceptor acceptor : configuration.acceptors().all()) {
+        for (AcceptorId acceptor : configuration.acceptors().all()) {
             ControlMesh.Peer peer = mesh.peer(acceptor.address());
             boolean heard = peer != null && peer.identity().equals(acceptor.identity());
             if (!acceptor.identity().equals(identity) && (heard ? !peer.durable() : mustBeHeard)) {
--- a/controlplane/src/main/java/dewplank/controlplane/ControlPlane.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ControlPlane.java
@@ -15,7 +15,7 @@
 import dewplank.message.SessionsTold;
 import dewplank.net.Scheduler;
 import dewplank.net.ServerEndpoint;
-import dewplank.register.Acceptor;
+import dewplank.register.AcceptorId;
 import dewplank.register.RegisterMessage;
 import dewplank.routing.Policy;
 import dewplank.settings.NodeSettings;
@@ -133,7 +133,7 @@
     private AcceptorKeeper keeper() {
         return new AcceptorKeeper(
                 loop,
-                new Acceptor(address, storage.identity()),
+                new AcceptorId(address, storage.identity()),
                 settings.bounds().catchUpMs(),
                 mesh,
                 configuration,
@@ -143,7 +143,7 @@
     private Duties duties(NodeSettings.Bounds bounds, RandomGenerator random) {
         return new Duties(
                 loop,
-                new Acceptor(address, storage.identity()),
+                new AcceptorId(address, storage.identity()),
                 DutyTiming.leaseMs(bounds.catchUpMs(), bounds.contactMs(), bounds.drainMs()),
                 storage,
                 random,
@@ -210,8 +210,8 @@
         });
     }
 
-    private static Set<String> addresses(List<Acceptor> acceptors) {
-        return acceptors.stream().map(Acceptor::address).collect(Collectors.toCollection(LinkedHashSet::new));
+    private static Set<String> addresses(List<AcceptorId> acceptors) {
+        return acceptors.stream().map(AcceptorId::address).collect(Collectors.toCollection(LinkedHashSet::new));
     }
 
     /** Called on SIGTERM: duties are handed over, calls under way answered. */
--- a/controlplane/src/main/java/dewplank/controlplane/Duties.java
+++ b/controlplane/src/main/java/dewplank/controlplane/Duties.java
@@ -1,7 +1,7 @@
 package dewplank.controlplane;
 
 import dewplank.net.Scheduler;
-import dewplank.register.Acceptor;
+import dewplank.register.AcceptorId;
 import dewplank.register.AcceptorSet;
 import dewplank.singleton.Candidate;
 import dewplank.singleton.CandidateOutput;
@@ -43,7 +43,7 @@
 
     Duties(
             Scheduler loop,
-            Acceptor self,
+            AcceptorId self,
             double leaseMs,
             Storage storage,
             RandomGenerator random,
@@ -116,7 +116,7 @@
 
     private final class Standing implements CandidateOutput {
         @Override
-        public void send(Acceptor to, VoteRequest request) {
+        public void send(AcceptorId to, VoteRequest request) {
             sending.send(to.address(), request);
         }
 
--- a/controlplane/src/main/java/dewplank/controlplane/Founding.java
+++ b/controlplane/src/main/java/dewplank/controlplane/Founding.java
@@ -1,7 +1,7 @@
 package dewplank.controlplane;
 
 import dewplank.message.MessageCodec;
-import dewplank.register.Acceptor;
+import dewplank.register.AcceptorId;
 import dewplank.settings.NodeSettings;
 import dewplank.store.StoreException;
 import java.util.List;
@@ -22,10 +22,10 @@
     }
 
     /** The acceptors at the very first start, for a process that was there; others learn of them. */
-    static List<Acceptor> initialAcceptors(Storage storage, String address) {
+    static List<AcceptorId> initialAcceptors(Storage storage, String address) {
         return storage.identity().equals(founder(address))
                 ? storage.founders().stream()
-                        .map(a -> new Acceptor(a, founder(a)))
+                        .map(a -> new AcceptorId(a, founder(a)))
                         .toList()
                 : List.of();
     }
--- a/controlplane/src/main/java/dewplank/controlplane/OperatorViews.java
+++ b/controlplane/src/main/java/dewplank/controlplane/OperatorViews.java
@@ -2,7 +2,7 @@
 
 import dewplank.membership.Member;
 import dewplank.message.ServerEntry;
-import dewplank.register.Acceptor;
+import dewplank.register.AcceptorId;
 import java.util.List;
 
 /** What this control sidecar knows, as JSON for the operator's client. */
@@ -104,7 +104,7 @@
                 + "\n";
     }
 
-    private static String acceptor(Acceptor a) {
+    private static String acceptor(AcceptorId a) {
         return JsonText.object(JsonText.field("address", a.address()), JsonText.field("identity", a.identity()));
     }
 }
--- a/messages/src/test/java/dewplank/message/GoldenFramesTest.java
+++ b/messages/src/test/java/dewplank/message/GoldenFramesTest.java
@@ -11,17 +11,17 @@
 import dewplank.membership.SessionTable;
 import dewplank.register.Accept;
 import dewplank.register.Accepted;
-import dewplank.register.Acceptor;
+import dewplank.register.AcceptorId;
 import dewplank.register.AcceptorSet;
 import dewplank.register.Ballot;
 import dewplank.register.Chosen;
 import dewplank.register.Prepare;
 import dewplank.register.Promise;
-import dewplank.register.Query;
-import dewplank.register.Refuse;
 import dewplank.register.RegisterMessage;
 import dewplank.register.RegisterValue;
-import dewplank.register.Report;
+import dewplank.register.Reject;
+import dewplank.register.StatusQuery;
+import dewplank.register.StatusReport;
 import dewplank.singleton.VoteReply;
 import dewplank.singleton.VoteRequest;
 import java.io.IOException;
@@ -381,7 +381,7 @@
         Accepted accepted = decoded("accepted", Accepted.class);
         assertAreParties(accepted, "b91xy");
         assertIsBallot(accepted.ballot());
-        Refuse reject = decoded("reject", Refuse.class);
+        Reject reject = decoded("reject", Reject.class);
         assertAreParties(reject, "b91xy");
         assertIsBallot(reject.ballot());
         assertIsEarlierBallot(reject.promised());
@@ -389,17 +389,17 @@
 
     @Test
     void catchingUpOfTheRegister() throws Exception {
-        Query fetching = decoded("status-query fetching", Query.class);
+        StatusQuery fetching = decoded("status-query fetching", StatusQuery.class);
         assertAreParties(fetching, "");
         assertEquals(600, fetching.question());
         assertIsEarlierBallot(fetching.chosen());
         assertTrue(fetching.fetching());
-        Query query = decoded("status-query", Query.class);
+        StatusQuery query = decoded("status-query", StatusQuery.class);
         assertAreParties(query, "");
         assertEquals(-601, query.question());
         assertIsEarlierBallot(query.chosen());
         assertFalse(query.fetching());
-        Report report = decoded("status-report", Report.class);
+        StatusReport report = decoded("status-report", StatusReport.class);
         assertAreParties(report, "b91xy");
         assertEquals(600, report.question());
         assertIsBallot(report.accepted());
@@ -407,7 +407,7 @@
         assertIsEarlierBallot(report.chosen());
         assertEquals(40, report.revision());
         assertIsValueWithoutPayload(report.value());
-        Report nothing = decoded("status-report nothing", Report.class);
+        StatusReport nothing = decoded("status-report nothing", StatusReport.class);
         assertAreParties(nothing, "b91xy");
         assertEquals(5, nothing.question());
         assertIsNone(nothing.accepted());
@@ -458,7 +458,7 @@
         assertIsAcceptor("10.0.0.3:7600", "b91xy", set.joining().get(1));
     }
 
-    private static void assertIsAcceptor(String address, String identity, Acceptor acceptor) {
+    private static void assertIsAcceptor(String address, String identity, AcceptorId acceptor) {
         assertEquals(address, acceptor.address());
         assertEquals(identity, acceptor.identity());
     }
--- a/messages/src/test/java/dewplank/message/GoldenMessages.java
+++ b/messages/src/test/java/dewplank/message/GoldenMessages.java
@@ -3,16 +3,16 @@
 import dewplank.membership.Member;
 import dewplank.register.Accept;
 import dewplank.register.Accepted;
-import dewplank.register.Acceptor;
+import dewplank.register.AcceptorId;
 import dewplank.register.AcceptorSet;
 import dewplank.register.Ballot;
 import dewplank.register.Chosen;
 import dewplank.register.Prepare;
 import dewplank.register.Promise;
-import dewplank.register.Query;
-import dewplank.register.Refuse;
 import dewplank.register.RegisterValue;
-import dewplank.register.Report;
+import dewplank.register.Reject;
+import dewplank.register.StatusQuery;
+import dewplank.register.StatusReport;
 import dewplank.singleton.VoteReply;
 import dewplank.singleton.VoteRequest;
 import dewplank.singleton.Voter;
@@ -26,9 +26,9 @@
 final class GoldenMessages {
     static final Member DATA_PLANE = new Member("node-4", Member.DATA, "10.0.0.4:7601", "zone-b", 1_700_000_000_123L);
     static final Member CONTROL_PLANE = new Member("node-1", Member.CONTROL, "10.0.0.1:7600", null, -5);
-    static final Acceptor FIRST = new Acceptor("10.0.0.1:7600", "founder@10.0.0.1:7600");
-    static final Acceptor SECOND = new Acceptor("10.0.0.2:7600", "3kq0z");
-    static final Acceptor THIRD = new Acceptor("10.0.0.3:7600", "b91xy");
+    static final AcceptorId FIRST = new AcceptorId("10.0.0.1:7600", "founder@10.0.0.1:7600");
+    static final AcceptorId SECOND = new AcceptorId("10.0.0.2:7600", "3kq0z");
+    static final AcceptorId THIRD = new AcceptorId("10.0.0.3:7600", "b91xy");
     static final RegisterValue JOINT_VALUE = new RegisterValue(
             new AcceptorSet(7, List.of(FIRST, SECOND), List.of(SECOND, THIRD)), 41, new byte[] {64, 0, -1, 127});
     static final RegisterValue VALUE_WITHOUT_PAYLOAD = new RegisterValue(AcceptorSet.of(List.of(FIRST)), 1, null);
@@ -153,12 +153,12 @@
                 "accept without-payload",
                 new Accept(SENDER, SENDER_IDENTITY, RECIPIENT_IDENTITY, BALLOT, VALUE_WITHOUT_PAYLOAD));
         messages.put("accepted", new Accepted(SENDER, SENDER_IDENTITY, RECIPIENT_IDENTITY, BALLOT));
-        messages.put("reject", new Refuse(SENDER, SENDER_IDENTITY, RECIPIENT_IDENTITY, BALLOT, EARLIER_BALLOT));
-        messages.put("status-query fetching", new Query(SENDER, SENDER_IDENTITY, "", 600, EARLIER_BALLOT, true));
-        messages.put("status-query", new Query(SENDER, SENDER_IDENTITY, "", -601, EARLIER_BALLOT, false));
+        messages.put("reject", new Reject(SENDER, SENDER_IDENTITY, RECIPIENT_IDENTITY, BALLOT, EARLIER_BALLOT));
+        messages.put("status-query fetching", new StatusQuery(SENDER, SENDER_IDENTITY, "", 600, EARLIER_BALLOT, true));
+        messages.put("status-query", new StatusQuery(SENDER, SENDER_IDENTITY, "", -601, EARLIER_BALLOT, false));
         messages.put(
                 "status-report",
-                new Report(
+                new StatusReport(
                         SENDER,
                         SENDER_IDENTITY,
                         RECIPIENT_IDENTITY,
@@ -170,7 +170,8 @@
                         VALUE_WITHOUT_PAYLOAD));
         messages.put(
                 "status-report nothing",
-                new Report(SENDER, SENDER_IDENTITY, RECIPIENT_IDENTITY, 5, Ballot.NONE, null, Ballot.NONE, 0, null));
+                new StatusReport(
+                        SENDER, SENDER_IDENTITY, RECIPIENT_IDENTITY, 5, Ballot.NONE, null, Ballot.NONE, 0, null));
         messages.put("chosen", new Chosen(SENDER, SENDER_IDENTITY, RECIPIENT_IDENTITY, BALLOT, 42));
     }
 }
--- a/messages/src/test/java/dewplank/message/MessageCodecTest.java
+++ b/messages/src/test/java/dewplank/message/MessageCodecTest.java
@@ -10,13 +10,13 @@
 import static org.junit.jupiter.api.Assertions.fail;
 
 import dewplank.membership.Member;
-import dewplank.register.Acceptor;
+import dewplank.register.AcceptorId;
 import dewplank.register.AcceptorSet;
 import dewplank.register.Ballot;
 import dewplank.register.Promise;
 import dewplank.register.RegisterMessages;
 import dewplank.register.RegisterValue;
-import dewplank.register.Report;
+import dewplank.register.StatusReport;
 import dewplank.singleton.VoteReply;
 import dewplank.singleton.VoteRequest;
 import java.nio.ByteBuffer;
@@ -83,9 +83,9 @@
                         "Promise",
                         "Accept",
                         "Accepted",
-                        "Refuse",
-                        "Query",
-                        "Report",
+                        "Reject",
+                        "StatusQuery",
+                        "StatusReport",
                         "Chosen"),
                 names.subList(0, 17));
     }
@@ -163,8 +163,8 @@
 
     @Test
     void aRegisterValueComesBackEqual() throws Exception {
-        Acceptor a = new Acceptor("10.0.0.1:1", "founder@10.0.0.1:1");
-        Acceptor b = new Acceptor("10.0.0.2:1", "");
+        AcceptorId a = new AcceptorId("10.0.0.1:1", "founder@10.0.0.1:1");
+        AcceptorId b = new AcceptorId("10.0.0.2:1", "");
         byte[] large = new byte[4 << 20];
         new Random(1).nextBytes(large);
         for (byte[] payload : new byte[][] {null, new byte[0], {0}, large}) {
@@ -181,7 +181,7 @@
                 assertTrue(promise.accepted().isNone());
             }
         }
-        Report report = roundTrip(new Report("s", "si", "", 5, Ballot.NONE, null, Ballot.NONE, 0, null));
+        StatusReport report = roundTrip(new StatusReport("s", "si", "", 5, Ballot.NONE, null, Ballot.NONE, 0, null));
         assertNull(report.value());
         assertNull(report.acceptors());
         assertEquals("", report.recipientIdentity());
--- a/simulation/src/test/java/dewplank/simulation/History.java
+++ b/simulation/src/test/java/dewplank/simulation/History.java
@@ -1,6 +1,6 @@
 package dewplank.simulation;
 
-import dewplank.register.Acceptor;
+import dewplank.register.AcceptorId;
 import dewplank.register.AcceptorSet;
 import java.util.HashSet;
 import java.util.List;
@@ -90,7 +90,7 @@
         if (!operators.open().isEmpty()) {
             return operators.open().get(0) + " is open";
         }
-        Set<Acceptor> live = new HashSet<>();
+        Set<AcceptorId> live = new HashSet<>();
         long newest = world.judge().floor();
         for (ControlMachine c : world.core()) {
             if (!c.runs() || c.process().version() < newest) {
@@ -102,7 +102,7 @@
             if (!c.process().acceptors().equals(set)) {
                 return c.name() + " knows other acceptors";
             }
-            live.add(new Acceptor(
+            live.add(new AcceptorId(
                     c.ip() + ":" + Machine.INTERNAL_PORT, c.process().identity()));
         }
         long alive = set.members().stream().filter(live::contains).count();
--- a/simulation/src/test/java/dewplank/simulation/RelayTest.java
+++ b/simulation/src/test/java/dewplank/simulation/RelayTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dewplank.register.Acceptor;
+import dewplank.register.AcceptorId;
 import java.net.URI;
 import java.util.List;
 import java.util.Set;
@@ -17,8 +17,8 @@
  * former. Seeds of a test vary the delays.
  */
 class RelayTest {
-    private static Set<String> addresses(List<Acceptor> acceptors) {
-        return acceptors.stream().map(Acceptor::address).collect(Collectors.toSet());
+    private static Set<String> addresses(List<AcceptorId> acceptors) {
+        return acceptors.stream().map(AcceptorId::address).collect(Collectors.toSet());
     }
 
     /** Nothing is confirmed before the acceptors are machines with a disk, and they are as many as there can be. */
--- a/store/src/main/java/dewplank/store/StateCodec.java
+++ b/store/src/main/java/dewplank/store/StateCodec.java
@@ -1,6 +1,6 @@
 package dewplank.store;
 
-import dewplank.register.Acceptor;
+import dewplank.register.AcceptorId;
 import dewplank.register.AcceptorSet;
 import dewplank.register.Ballot;
 import dewplank.register.RegisterValue;
@@ -86,19 +86,19 @@
         return new Ballot(in.readLong(), in.readUTF());
     }
 
-    private static void write(DataOutputStream out, List<Acceptor> acceptors) throws IOException {
+    private static void write(DataOutputStream out, List<AcceptorId> acceptors) throws IOException {
         out.writeShort(acceptors.size());
-        for (Acceptor acceptor : acceptors) {
+        for (AcceptorId acceptor : acceptors) {
             out.writeUTF(acceptor.address());
             out.writeUTF(acceptor.identity());
         }
     }
 
-    private static List<Acceptor> readAcceptors(DataInputStream in) throws IOException {
+    private static List<AcceptorId> readAcceptors(DataInputStream in) throws IOException {
         int size = in.readUnsignedShort();
-        List<Acceptor> acceptors = new ArrayList<>(size);
+        List<AcceptorId> acceptors = new ArrayList<>(size);
         for (int index = 0; index < size; index++) {
-            acceptors.add(new Acceptor(in.readUTF(), in.readUTF()));
+            acceptors.add(new AcceptorId(in.readUTF(), in.readUTF()));
         }
         return acceptors;
     }
--- a/store/src/test/java/dewplank/store/AcceptorStoreTest.java
+++ b/store/src/test/java/dewplank/store/AcceptorStoreTest.java
@@ -1,6 +1,6 @@
 package dewplank.store;
 
-import dewplank.register.Acceptor;
+import dewplank.register.AcceptorId;
 import dewplank.register.AcceptorSet;
 import dewplank.register.Ballot;
 import dewplank.register.DurableState;
@@ -39,7 +39,7 @@
     private static RegisterValue value(long revision, int length) {
         byte[] payload = new byte[length];
         new SplittableRandom(revision).nextBytes(payload);
-        List<Acceptor> members = List.of(new Acceptor("10.0.0.1:1", "a"), new Acceptor("10.0.0.2:1", "b"));
+        List<AcceptorId> members = List.of(new AcceptorId("10.0.0.1:1", "a"), new AcceptorId("10.0.0.2:1", "b"));
         return new RegisterValue(new AcceptorSet(revision, members, members), revision, payload);
     }
 
