--- /dev/null
+++ b/controlplane/src/test/java/dewplank/controlplane/GoldenDiskTest.java
@@ -0,0 +1,189 @@
+package dewplank.controlplane;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import dewplank.configuration.ConfigurationDocument;
+import dewplank.message.FleetMessages;
+import dewplank.message.ListVersion;
+import dewplank.message.ServerEntry;
+import dewplank.message.ServerList;
+import dewplank.register.Acceptor;
+import dewplank.register.DurableState;
+import dewplank.register.RegisterValue;
+import dewplank.settings.NodeSettings;
+import dewplank.store.DiskExecutor;
+import dewplank.store.DiskFiles;
+import dewplank.store.StoreException;
+import java.io.IOException;
+import java.io.InputStream;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeSet;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+/** A data directory as an earlier release left it: of one of the first acceptors, after one change. */
+class GoldenDiskTest {
+    private static final List<String> FILES = List.of("acceptor.mv", "founders", "servers");
+    private static final List<String> FOUNDERS = List.of("10.0.0.1:7600", "10.0.0.2:7600", "10.0.0.3:7600");
+    private static final List<String> LATER_SEEDS = List.of("10.0.0.8:7600", "10.0.0.9:7600");
+    private static final long DISK_BYTES = 64L << 20;
+
+    @TempDir
+    private Path directory;
+
+    /** Does all at once, on the caller's thread. */
+    private static final class ImmediateDisk implements DiskExecutor {
+        @Override
+        public void submit(Work work, Runnable done, Runnable failed) {
+            try {
+                work.run();
+            } catch (StoreException e) {
+                failed.run();
+                return;
+            }
+            done.run();
+        }
+
+        @Override
+        public void close() {}
+    }
+
+    private static byte[] resource(String name) throws IOException {
+        try (InputStream in = GoldenDiskTest.class.getResourceAsStream("/golden/" + name)) {
+            return in.readAllBytes();
+        }
+    }
+
+    /** A store writes to its file as soon as it opens it: the directory that is kept is copied first. */
+    private void copy() throws IOException {
+        for (String file : FILES) {
+            Files.write(directory.resolve(file), resource("data/" + file));
+        }
+    }
+
+    private DiskStorage open(List<String> seeds) throws StoreException {
+        NodeSettings settings = new NodeSettings(
+                "node-1",
+                "10.0.0.1",
+                "zone-a",
+                null,
+                null,
+                null,
+                new int[] {7600, 7610},
+                List.of(),
+                true,
+                true,
+                directory,
+                new NodeSettings.Resources(100, DISK_BYTES),
+                null,
+                null);
+        return new DiskStorage(
+                settings, "founder@10.0.0.1:7600", seeds, new DiskFiles(), new ImmediateDisk(), FleetMessages.codec());
+    }
+
+    @Test
+    void theStateOfTheRegister() throws IOException, StoreException {
+        copy();
+        DiskStorage storage = open(LATER_SEEDS);
+        assertFalse(storage.firstStart());
+        assertEquals("founder@10.0.0.1:7600", storage.identity());
+        DurableState state = storage.recovered();
+        assertEquals("4/founder@10.0.0.1:7600#1", state.promised().toString());
+        assertEquals("4/founder@10.0.0.1:7600#1", state.accepted().toString());
+        assertEquals("4/founder@10.0.0.1:7600#1", state.chosenBallot().toString());
+        assertIsValue(state.value());
+        assertIsValue(state.chosen());
+        assertEquals(Map.of("list", 2L), storage.numbers());
+        storage.close();
+    }
+
+    private static void assertIsValue(RegisterValue value) throws IOException {
+        assertEquals(0, value.acceptors().generation());
+        assertEquals(founders(), value.acceptors().members());
+        assertEquals(List.of(), value.acceptors().joining());
+        assertEquals(3, value.revision());
+        assertArrayEquals(resource("compressed.payload"), value.payload());
+        ConfigurationDocument document = ConfigurationDocument.decode(value.payload());
+        assertEquals(12, document.version());
+        assertEquals(40, document.configuration().routes().size());
+        assertEquals("r-39", document.configuration().routes().get(39).name());
+        assertEquals(
+                List.of("huvo", "wuno"),
+                List.copyOf(document.configuration().services().keySet()));
+    }
+
+    private static List<Acceptor> founders() {
+        return List.of(
+                new Acceptor("10.0.0.1:7600", "founder@10.0.0.1:7600"),
+                new Acceptor("10.0.0.2:7600", "founder@10.0.0.2:7600"),
+                new Acceptor("10.0.0.3:7600", "founder@10.0.0.3:7600"));
+    }
+
+    @Test
+    void theFirstAcceptorsWhateverTheSettingsNameNow() throws IOException, StoreException {
+        copy();
+        DiskStorage storage = open(LATER_SEEDS);
+        assertEquals(FOUNDERS, storage.founders());
+        assertEquals(founders(), Founding.initialAcceptors(storage, "10.0.0.1:7600"));
+        assertEquals(List.of(), Founding.initialAcceptors(storage, "10.0.0.2:7600"));
+        storage.close();
+    }
+
+    @Test
+    void theListOfServers() throws IOException, StoreException {
+        copy();
+        DiskStorage storage = open(LATER_SEEDS);
+        ServerList list = storage.savedList().orElseThrow();
+        assertEquals(2, list.version.fencingNumber);
+        assertEquals(17, list.version.revision);
+        assertEquals(2, list.servers.size());
+        ServerEntry plain = list.servers.get(0);
+        assertEquals("i-1", plain.instanceId);
+        assertEquals("wuno", plain.service);
+        assertEquals("10.1.0.1:8000", plain.address);
+        assertNull(plain.zone);
+        assertEquals(0, plain.slotCount);
+        assertFalse(plain.draining);
+        assertEquals(0, plain.coldRemainingMs);
+        assertNull(plain.stage);
+        ServerEntry prefill = list.servers.get(1);
+        assertEquals("i-2", prefill.instanceId);
+        assertEquals("huvo", prefill.service);
+        assertEquals("10.1.0.2:8001", prefill.address);
+        assertEquals("zone-a", prefill.zone);
+        assertEquals(64, prefill.slotCount);
+        assertTrue(prefill.draining);
+        assertEquals(1_234.5, prefill.coldRemainingMs);
+        assertEquals("prefill", prefill.stage);
+        storage.close();
+    }
+
+    /** The same is written on an empty disk: the same files, and the same bytes in those without a store in them. */
+    @Test
+    void theFilesOfAnEmptyDisk() throws IOException, StoreException {
+        DiskStorage storage = open(FOUNDERS);
+        assertTrue(storage.firstStart());
+        assertEquals("founder@10.0.0.1:7600", storage.identity());
+        storage.saveList(new ServerList(
+                new ListVersion(2, 17),
+                List.of(
+                        new ServerEntry("i-1", "wuno", "10.1.0.1:8000", null, 0, false, 0, null),
+                        new ServerEntry("i-2", "huvo", "10.1.0.2:8001", "zone-a", 64, true, 1_234.5, "prefill"))));
+        storage.close();
+        TreeSet<String> names = new TreeSet<>();
+        try (Stream<Path> files = Files.list(directory)) {
+            files.forEach(file -> names.add(file.getFileName().toString()));
+        }
+        assertEquals(FILES, List.copyOf(names));
+        assertArrayEquals(resource("data/founders"), Files.readAllBytes(directory.resolve("founders")));
+        assertArrayEquals(resource("data/servers"), Files.readAllBytes(directory.resolve("servers")));
+    }
+}
--- /dev/null
+++ b/store/src/test/java/dewplank/store/GoldenStoreTest.java
@@ -0,0 +1,223 @@
+package dewplank.store;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNull;
+
+import dewplank.register.Acceptor;
+import dewplank.register.AcceptorSet;
+import dewplank.register.Ballot;
+import dewplank.register.DurableState;
+import dewplank.register.RegisterValue;
+import java.io.IOException;
+import java.io.InputStream;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.HexFormat;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+/** Disks as an earlier release left them, read field by field. */
+class GoldenStoreTest {
+    private static final long DISK_BYTES = 64L << 20;
+    private static final String STORE = "acceptor.mv";
+    private static final String PLAIN_PAYLOAD = "plain-format-2.payload";
+    private static final String COMPRESSED_PAYLOAD = "compressed.payload";
+
+    @TempDir
+    private Path directory;
+
+    private static byte[] resource(String name) throws IOException {
+        try (InputStream in = GoldenStoreTest.class.getResourceAsStream("/golden/" + name)) {
+            return in.readAllBytes();
+        }
+    }
+
+    /** A store writes to its file as soon as it opens it: the disk that is kept is copied first. */
+    private AcceptorStore open(String disk) throws IOException, StoreException {
+        Files.write(directory.resolve(STORE), resource(disk + "/" + STORE));
+        return reopen();
+    }
+
+    private AcceptorStore reopen() throws StoreException {
+        AcceptorStore store = AcceptorStore.open(directory, new DiskFiles(), DISK_BYTES);
+        assertFalse(store.createdNow());
+        return store;
+    }
+
+    private static void assertIsBallot(long round, String proposer, Ballot ballot) {
+        assertEquals(round, ballot.round());
+        assertEquals(proposer, ballot.proposer());
+    }
+
+    private static void assertAre(List<String> expected, List<Acceptor> acceptors) {
+        assertEquals(
+                expected,
+                acceptors.stream().map(a -> a.address() + " " + a.identity()).toList());
+    }
+
+    @Test
+    void aDiskThatNothingHappenedTo() throws IOException, StoreException {
+        try (AcceptorStore store = open("fresh")) {
+            DurableState state = store.recovered();
+            assertEquals("founder@10.0.0.1:7600", state.identity());
+            assertIsBallot(0, "", state.promised());
+            assertIsBallot(0, "", state.accepted());
+            assertNull(state.value());
+            assertIsBallot(0, "", state.chosenBallot());
+            assertNull(state.chosen());
+            assertEquals(Map.of(), store.numbers());
+        }
+    }
+
+    @Test
+    void aValueThatIsAcceptedAndNotChosenAndHasNoPayload() throws IOException, StoreException {
+        try (AcceptorStore store = open("without-payload")) {
+            DurableState state = store.recovered();
+            assertEquals("77zzq", state.identity());
+            assertIsBallot(3, "10.0.0.1#a", state.promised());
+            assertIsBallot(2, "10.0.0.2#b", state.accepted());
+            assertEquals(0, state.value().acceptors().generation());
+            assertAre(
+                    List.of("10.0.0.1:7600 founder@10.0.0.1:7600", "10.0.0.2:7600 3kq0z", "10.0.0.3:7600 b91xy"),
+                    state.value().acceptors().members());
+            assertAre(List.of(), state.value().acceptors().joining());
+            assertEquals(1, state.value().revision());
+            assertNull(state.value().payload());
+            assertIsBallot(0, "", state.chosenBallot());
+            assertNull(state.chosen());
+            assertEquals(Map.of(), store.numbers());
+        }
+    }
+
+    @Test
+    void aChosenValueWithAPlainPayload() throws IOException, StoreException {
+        try (AcceptorStore store = open("plain")) {
+            DurableState state = store.recovered();
+            assertEquals("3kq0z", state.identity());
+            assertIsBallot(300, "3kq0z#a7", state.promised());
+            assertIsBallot(12, "b91xy#05", state.accepted());
+            assertIsSettledValue(state.value());
+            assertIsBallot(12, "b91xy#05", state.chosenBallot());
+            assertIsSettledValue(state.chosen());
+            assertEquals(Map.of("list", 6L), store.numbers());
+        }
+    }
+
+    private static void assertIsSettledValue(RegisterValue value) throws IOException {
+        assertEquals(6, value.acceptors().generation());
+        assertAre(
+                List.of("10.0.0.1:7600 founder@10.0.0.1:7600", "10.0.0.2:7600 3kq0z", "10.0.0.3:7600 b91xy"),
+                value.acceptors().members());
+        assertAre(List.of(), value.acceptors().joining());
+        assertEquals(40, value.revision());
+        assertArrayEquals(resource(PLAIN_PAYLOAD), value.payload());
+    }
+
+    @Test
+    void acceptorsUnderChangeWithACompressedPayload() throws IOException, StoreException {
+        try (AcceptorStore store = open("joint-compressed")) {
+            assertIsUnderChange(store.recovered());
+            assertEquals(Map.of("list", 9L, "other", 1L << 40), store.numbers());
+        }
+    }
+
+    private static void assertIsUnderChange(DurableState state) throws IOException {
+        assertEquals("b91xy", state.identity());
+        assertIsBallot(301, "founder@10.0.0.1:7600#ff", state.promised());
+        assertIsBallot(300, "3kq0z#a7", state.accepted());
+        assertEquals(7, state.value().acceptors().generation());
+        assertAre(
+                List.of("10.0.0.1:7600 founder@10.0.0.1:7600", "10.0.0.2:7600 3kq0z", "10.0.0.3:7600 b91xy"),
+                state.value().acceptors().members());
+        assertAre(
+                List.of("10.0.0.2:7600 3kq0z", "10.0.0.3:7600 b91xy", "10.0.0.4:7600 77zzq"),
+                state.value().acceptors().joining());
+        assertEquals(41, state.value().revision());
+        assertArrayEquals(resource(COMPRESSED_PAYLOAD), state.value().payload());
+        assertIsBallot(12, "b91xy#05", state.chosenBallot());
+        assertIsSettledValue(state.chosen());
+    }
+
+    /** Going on with a disk of an earlier release. */
+    @Test
+    void itIsWrittenOn() throws IOException, StoreException {
+        DurableState next;
+        try (AcceptorStore store = open("joint-compressed")) {
+            DurableState found = store.recovered();
+            next = new DurableState(
+                    found.identity(),
+                    new Ballot(302, "77zzq#1"),
+                    found.accepted(),
+                    found.value(),
+                    found.accepted(),
+                    found.value());
+            store.save(next);
+            store.saveNumber("list", 10);
+        }
+        try (AcceptorStore store = reopen()) {
+            assertEquals(next.identity(), store.recovered().identity());
+            assertEquals(next.promised(), store.recovered().promised());
+            assertEquals(next.accepted(), store.recovered().accepted());
+            assertEquals(next.value(), store.recovered().value());
+            assertEquals(next.chosenBallot(), store.recovered().chosenBallot());
+            assertEquals(next.chosen(), store.recovered().chosen());
+            assertArrayEquals(
+                    resource(COMPRESSED_PAYLOAD), store.recovered().chosen().payload());
+            assertEquals(Map.of("list", 10L, "other", 1L << 40), store.numbers());
+        }
+    }
+
+    // ---- bytes ----------------------------------------------------------------------------------------
+
+    @Test
+    void theBytesOfAValue() throws IOException {
+        RegisterValue value = new RegisterValue(
+                new AcceptorSet(
+                        7,
+                        List.of(new Acceptor("10.0.0.1:7600", "a")),
+                        List.of(new Acceptor("10.0.0.2:7600", "b"), new Acceptor("10.0.0.3:7600", "c"))),
+                41,
+                new byte[] {64, 0, -1});
+        String expected = "01" // version
+                + "0000000000000007"
+                + "0001" + "000d31302e302e302e313a37363030" + "000161"
+                + "0002" + "000d31302e302e302e323a37363030" + "000162" + "000d31302e302e302e333a37363030" + "000163"
+                + "0000000000000029"
+                + "00000003" + "4000ff";
+        assertEquals(expected, HexFormat.of().formatHex(StateCodec.encode(value)));
+        assertEquals(value, StateCodec.decodeValue(HexFormat.of().parseHex(expected)));
+        RegisterValue withoutPayload = new RegisterValue(AcceptorSet.of(List.of()), 2, null);
+        String withoutBytes = "01" + "0000000000000000" + "0000" + "0000" + "0000000000000002" + "ffffffff";
+        assertEquals(withoutBytes, HexFormat.of().formatHex(StateCodec.encode(withoutPayload)));
+        assertEquals(withoutPayload, StateCodec.decodeValue(HexFormat.of().parseHex(withoutBytes)));
+    }
+
+    @Test
+    void theBytesOfBallotsAndKeys() throws IOException {
+        StateCodec.Heads heads = new StateCodec.Heads(new Ballot(3, "p"), new Ballot(2, "q"), 5, new Ballot(1, "r"), 4);
+        String expected = "01" // version
+                + "0000000000000003" + "000170"
+                + "0000000000000002" + "000171"
+                + "0000000000000005"
+                + "0000000000000001" + "000172"
+                + "0000000000000004";
+        assertEquals(expected, HexFormat.of().formatHex(StateCodec.encode(heads)));
+        assertEquals(heads, StateCodec.decodeHeads(HexFormat.of().parseHex(expected)));
+    }
+
+    /** A checksum of eight bytes, then the addresses, one a line. */
+    @Test
+    void theBytesOfTheFirstAcceptors() throws IOException, StoreException {
+        List<String> addresses = List.of("10.0.0.1:7600", "10.0.0.2:7600");
+        byte[] expected = HexFormat.of()
+                .parseHex("000000004f58cc26" + "31302e302e302e313a37363030" + "0a" + "31302e302e302e323a37363030");
+        assertEquals(addresses, new Founders(new DiskFiles(), directory).load(addresses, true));
+        assertArrayEquals(expected, Files.readAllBytes(directory.resolve("founders")));
+        Files.write(directory.resolve("founders"), expected);
+        assertEquals(addresses, new Founders(new DiskFiles(), directory).load(List.of("10.0.0.9:1"), false));
+    }
+}
