--- a/controlplane/src/main/java/dewplank/controlplane/AcceptorKeeper.java
+++ b/controlplane/src/main/java/dewplank/controlplane/AcceptorReconfigurer.java
@@ -15,8 +15,8 @@
  * with the control sidecars that live and asks the register for one change at a time. Every control sidecar notes who
  * is missing, so that a new holder need not begin to wait anew.
  */
-final class AcceptorKeeper {
-    private static final Logger LOG = LoggerFactory.getLogger(AcceptorKeeper.class);
+final class AcceptorReconfigurer {
+    private static final Logger LOG = LoggerFactory.getLogger(AcceptorReconfigurer.class);
     private static final double LOOK_EVERY_MS = 100;
     /** A majority heard within this is taken to stand: more than two sweeps of the register. */
     private static final double QUORATE_MS = 1_000;
@@ -27,17 +27,17 @@
     private final AcceptorId self;
     private final ControlMesh mesh;
     private final ConfigurationStore configuration;
-    private final ServerLister.Duty duty;
+    private final EndpointPoller.Duty duty;
     private final AcceptorPlan plan;
     private boolean changing;
 
-    AcceptorKeeper(
+    AcceptorReconfigurer(
             Scheduler loop,
             AcceptorId self,
             double catchUpMs,
             ControlMesh mesh,
             ConfigurationStore configuration,
-            ServerLister.Duty duty) {
+            EndpointPoller.Duty duty) {
         this.loop = loop;
         this.self = self;
         this.mesh = mesh;
--- a/controlplane/src/main/java/dewplank/controlplane/Founding.java
+++ b/controlplane/src/main/java/dewplank/controlplane/Bootstrap.java
@@ -7,8 +7,8 @@
 import java.util.List;
 
 /** How the first set of acceptors comes about: when nothing is known but the seeds, these are it. */
-final class Founding {
-    private Founding() {}
+final class Bootstrap {
+    private Bootstrap() {}
 
     /** The disk of this process, or its memory where it has none. */
     static Storage storage(NodeSettings settings, ControlEnvironment environment, MessageCodec codec, String address)
--- a/controlplane/src/main/java/dewplank/controlplane/ConfigurationStore.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ConfigurationStore.java
@@ -22,7 +22,7 @@
 import org.slf4j.LoggerFactory;
 
 /** The configuration in the replicated register: drives the register's steps with messages, the disk and time. */
-final class ConfigurationStore implements Register.Effects, OperatorApi.Configurations, Duties.Voters {
+final class ConfigurationStore implements Register.Effects, OperatorApi.Configurations, SingletonRoles.Voters {
     private static final Logger LOG = LoggerFactory.getLogger(ConfigurationStore.class);
     private static final double TICK_MS = 25;
     private static final double ROUND_TIMEOUT_MS = 250; // a round takes two ways and two syncs: a few ms when calm
--- a/controlplane/src/main/java/dewplank/controlplane/ControlEnvironment.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ControlEnvironment.java
@@ -30,9 +30,9 @@
 
     DiskExecutor disk();
 
-    PlatformApi platform();
+    PlatformClient platform();
 
-    ServerCalls serverCalls();
+    ModelServerClient serverCalls();
 
     /** Where operators' calls for this interface come in. */
     ServerEndpoint operators(OperatorApi api) throws IOException;
--- a/controlplane/src/main/java/dewplank/controlplane/ControlMesh.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ControlMesh.java
@@ -74,7 +74,7 @@
         beat();
     }
 
-    /** Addresses of control sidecars, from the seeds or from others. */
+    /** SocketAddresses of control sidecars, from the seeds or from others. */
     void learn(Collection<String> addresses) {
         for (String address : addresses) {
             if (!address.equals(hello.member.address) && !links.containsKey(address) && hasRoom()) {
@@ -233,7 +233,7 @@
         Link(String address) {
             this.address = address;
             this.lastUp = loop.now();
-            this.to = Addresses.socketAddress(address);
+            this.to = SocketAddresses.socketAddress(address);
         }
 
         boolean isUp() {
--- a/controlplane/src/main/java/dewplank/controlplane/ControlPlane.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ControlPlane.java
@@ -55,17 +55,17 @@
     private final String address;
     private final Storage storage;
     private final boolean durable;
-    private final Confirmation confirmation;
+    private final QuorumConfirmation confirmation;
     private final ControlMesh mesh;
     private final ConfigurationStore configuration;
     private final ConfigurationHistory history = new ConfigurationHistory();
     private final SessionTable table = new SessionTable(SESSION_LEASE_MS);
-    private final Sessions sessions;
-    private final PauseWatch pauses;
-    private final Duties duties;
-    private final ServerLister lister;
-    private final AcceptorKeeper keeper;
-    private final StageKeeper stages;
+    private final DataPlaneSessions sessions;
+    private final StallDetector pauses;
+    private final SingletonRoles duties;
+    private final EndpointPoller lister;
+    private final AcceptorReconfigurer keeper;
+    private final StageController stages;
     private final OperatorApi operator;
     private final ServerEndpoint control;
     private final ServerEndpoint internal;
@@ -94,27 +94,27 @@
         address = settings.address() + ":" + settings.internalPorts()[0];
         RandomGenerator random = environment.random();
         durable = settings.dataDirectory() != null;
-        storage = Founding.storage(settings, environment, codec, address);
+        storage = Bootstrap.storage(settings, environment, codec, address);
         Member self = new Member(settings.node(), Member.CONTROL, address, settings.zone(), environment.wallClockMs());
         mesh = new ControlMesh(
                 loop, environment.transport(), new ControlHello(self, storage.identity(), durable), new MeshHandler());
         configuration = new ConfigurationStore(
                 loop,
                 address,
-                Founding.initialAcceptors(storage, address),
+                Bootstrap.initialAcceptors(storage, address),
                 storage.recovered(),
                 storage,
                 random,
                 new RegisterSurroundings());
-        confirmation = new Confirmation(loop, storage.identity(), durable, mesh, configuration, history);
+        confirmation = new QuorumConfirmation(loop, storage.identity(), durable, mesh, configuration, history);
         NodeSettings.Bounds bounds = settings.bounds();
         duties = duties(bounds, random);
-        lister = new ServerLister(loop, environment.platform(), duties.list(), bounds.drainMs(), this::listChanged);
-        sessions =
-                new Sessions(loop, table, new FleetUpdates(loop, durable, configuration, history, lister, table, mesh));
-        pauses = new PauseWatch(loop, this::paused);
+        lister = new EndpointPoller(loop, environment.platform(), duties.list(), bounds.drainMs(), this::listChanged);
+        sessions = new DataPlaneSessions(
+                loop, table, new FleetUpdateSource(loop, durable, configuration, history, lister, table, mesh));
+        pauses = new StallDetector(loop, this::paused);
         keeper = keeper();
-        stages = new StageKeeper(
+        stages = new StageController(
                 loop,
                 settings.node(),
                 settings.bounds().leaseMs(),
@@ -124,14 +124,15 @@
                 policy);
         operator = new OperatorApi(
                 configuration,
-                new OperatorContact(settings.control().getPort(), address, mesh, confirmation::isPossible),
+                new QuorumRedirects(settings.control().getPort(), address, mesh, confirmation::isPossible),
                 new OperatorViews(this));
         control = environment.operators(operator);
-        internal = environment.transport().listen(Addresses.socketAddress(address), MOST_CONNECTIONS, Inbound::new);
+        internal =
+                environment.transport().listen(SocketAddresses.socketAddress(address), MOST_CONNECTIONS, Inbound::new);
     }
 
-    private AcceptorKeeper keeper() {
-        return new AcceptorKeeper(
+    private AcceptorReconfigurer keeper() {
+        return new AcceptorReconfigurer(
                 loop,
                 new AcceptorId(address, storage.identity()),
                 settings.bounds().catchUpMs(),
@@ -140,8 +141,8 @@
                 duties.list());
     }
 
-    private Duties duties(NodeSettings.Bounds bounds, RandomGenerator random) {
-        return new Duties(
+    private SingletonRoles duties(NodeSettings.Bounds bounds, RandomGenerator random) {
+        return new SingletonRoles(
                 loop,
                 new AcceptorId(address, storage.identity()),
                 DutyTiming.leaseMs(bounds.catchUpMs(), bounds.contactMs(), bounds.drainMs()),
@@ -155,7 +156,7 @@
         loop.execute(() -> {
             internal.accept();
             control.accept();
-            seeds = new LinkedHashSet<>(Founding.seeds(settings));
+            seeds = new LinkedHashSet<>(Bootstrap.seeds(settings));
             mesh.learn(seeds);
             storage.savedList().ifPresent(lister::told);
             if (durable) {
@@ -205,7 +206,7 @@
     /** The settings file has changed: new seeds are learned, all else waits for the next start. */
     public void reload(NodeSettings next) {
         loop.execute(() -> {
-            seeds = new LinkedHashSet<>(Founding.seeds(next));
+            seeds = new LinkedHashSet<>(Bootstrap.seeds(next));
             mesh.learn(seeds);
         });
     }
@@ -248,11 +249,11 @@
         return table;
     }
 
-    ServerLister lister() {
+    EndpointPoller lister() {
         return lister;
     }
 
-    Duties duties() {
+    SingletonRoles duties() {
         return duties;
     }
 
@@ -350,7 +351,7 @@
     /** A connection that another process has opened: the first message says which kind it is. */
     private final class Inbound implements MessageLink.Handler {
         private ControlHello peer;
-        private Sessions.Session session;
+        private DataPlaneSessions.Session session;
 
         @Override
         public void received(MessageLink connection, Object message) {
--- a/controlplane/src/main/java/dewplank/controlplane/Sessions.java
+++ b/controlplane/src/main/java/dewplank/controlplane/DataPlaneSessions.java
@@ -16,8 +16,8 @@
 import org.slf4j.LoggerFactory;
 
 /** Data planes' sessions here: their questions are kept, and answered as soon as there is something newer. */
-final class Sessions {
-    private static final Logger LOG = LoggerFactory.getLogger(Sessions.class);
+final class DataPlaneSessions {
+    private static final Logger LOG = LoggerFactory.getLogger(DataPlaneSessions.class);
 
     /** What data planes are told. */
     interface Source {
@@ -41,7 +41,7 @@
     private final Source source;
     private final Set<Session> open = new LinkedHashSet<>(); // told in the order in which they opened
 
-    Sessions(Scheduler loop, SessionTable table, Source source) {
+    DataPlaneSessions(Scheduler loop, SessionTable table, Source source) {
         this.loop = loop;
         this.table = table;
         this.source = source;
--- a/controlplane/src/main/java/dewplank/controlplane/ServerLister.java
+++ b/controlplane/src/main/java/dewplank/controlplane/EndpointPoller.java
@@ -13,8 +13,8 @@
 import org.slf4j.LoggerFactory;
 
 /** The list of servers: the holder of the duty asks the platform, all keep the newest list. */
-final class ServerLister {
-    private static final Logger LOG = LoggerFactory.getLogger(ServerLister.class);
+final class EndpointPoller {
+    private static final Logger LOG = LoggerFactory.getLogger(EndpointPoller.class);
     private static final double ASK_EVERY_MS = 400;
     private static final double LOOK_EVERY_MS = 50;
     /**
@@ -49,7 +49,7 @@
     private record KnownStage(String stage, double until) {}
 
     private final Scheduler loop;
-    private final PlatformApi platform;
+    private final PlatformClient platform;
     private final Duty duty;
     private final double drainMs;
     private final Consumer<ServerList> changed;
@@ -62,7 +62,7 @@
     private double failingSince;
     private double patience = 1;
 
-    ServerLister(Scheduler loop, PlatformApi platform, Duty duty, double drainMs, Consumer<ServerList> changed) {
+    EndpointPoller(Scheduler loop, PlatformClient platform, Duty duty, double drainMs, Consumer<ServerList> changed) {
         this.loop = loop;
         this.platform = platform;
         this.duty = duty;
@@ -155,7 +155,7 @@
      * One reading of the list. It counts under the number alone under which it was asked for: once the lease has
      * lapsed in between, a successor may have told newer ones, also where the duty has been won back here since.
      */
-    private final class Asked implements PlatformApi.Ended {
+    private final class Asked implements PlatformClient.Ended {
         private final long number;
 
         Asked(long number) {
--- a/controlplane/src/main/java/dewplank/controlplane/FleetUpdates.java
+++ b/controlplane/src/main/java/dewplank/controlplane/FleetUpdateSource.java
@@ -8,22 +8,22 @@
 import java.util.List;
 
 /** What data planes are told: of configuration, servers and members that which is newer than what they hold. */
-final class FleetUpdates implements Sessions.Source {
+final class FleetUpdateSource implements DataPlaneSessions.Source {
     private final Scheduler loop;
     private final boolean durable;
     private final ConfigurationStore configuration;
     private final ConfigurationHistory history;
-    private final ServerLister lister;
+    private final EndpointPoller lister;
     private final SessionTable table;
     private final ControlMesh mesh;
 
     /** @param durable whether this process has a disk; one without only tells where others are */
-    FleetUpdates(
+    FleetUpdateSource(
             Scheduler loop,
             boolean durable,
             ConfigurationStore configuration,
             ConfigurationHistory history,
-            ServerLister lister,
+            EndpointPoller lister,
             SessionTable table,
             ControlMesh mesh) {
         this.loop = loop;
@@ -36,7 +36,7 @@
     }
 
     @Override
-    public Update newerThan(Sessions.Held held) {
+    public Update newerThan(DataPlaneSessions.Held held) {
         boolean newerConfiguration = history.version() > held.configurationVersion;
         ServerList servers = lister.newest();
         boolean newerList = servers.version.compareTo(held.listVersion) > 0;
@@ -58,7 +58,7 @@
 
     @Override
     public boolean quorate() {
-        return durable && configuration.current(Confirmation.QUORATE_MS);
+        return durable && configuration.current(QuorumConfirmation.QUORATE_MS);
     }
 
     @Override
--- a/controlplane/src/main/java/dewplank/controlplane/HttpServerCalls.java
+++ b/controlplane/src/main/java/dewplank/controlplane/HttpModelServerClient.java
@@ -16,7 +16,7 @@
 import java.util.function.BooleanSupplier;
 
 /** Calls to model servers over HTTP, on connections that are kept for a while. */
-final class HttpServerCalls implements ServerCalls {
+final class HttpModelServerClient implements ModelServerClient {
     private static final double CALL_TIMEOUT_MS = 600;
     private static final double CONNECT_TIMEOUT_MS = 300;
     /** Whoever else has the address by now answers 421, and neither reports for it nor takes its orders. */
@@ -27,7 +27,7 @@
     private final EventLoop loop;
     private final Map<String, ConnectionPool> pools = new HashMap<>();
 
-    HttpServerCalls(EventLoop loop) {
+    HttpModelServerClient(EventLoop loop) {
         this.loop = loop;
     }
 
@@ -59,7 +59,7 @@
     private record Call(HttpCall http, WholeAnswer answer) {}
 
     private Call call(ServerEntry server, ByteBuffer message, BooleanSupplier onlyIf, Answer answer) {
-        InetSocketAddress to = Addresses.socketAddress(server.address);
+        InetSocketAddress to = SocketAddresses.socketAddress(server.address);
         ConnectionPool pool = pools.computeIfAbsent(server.address, a -> new ConnectionPool(loop, 0, MOST_IDLE_MS));
         WholeAnswer whole = new WholeAnswer(answer);
         return new Call(new HttpCall(loop, to, pool, message, whole).onlyIf(onlyIf), whole);
--- a/controlplane/src/main/java/dewplank/controlplane/PlatformList.java
+++ b/controlplane/src/main/java/dewplank/controlplane/HttpPlatformClient.java
@@ -18,7 +18,7 @@
 import java.util.List;
 
 /** Asks the platform for its list of servers over HTTP, page by page. */
-final class PlatformList implements PlatformApi {
+final class HttpPlatformClient implements PlatformClient {
     private static final double CALL_TIMEOUT_MS = 1_000;
     private static final double CONNECT_TIMEOUT_MS = 500;
     private static final int MOST_PAGES = 1_000;
@@ -34,7 +34,7 @@
     private final ArrayDeque<Double> lately = new ArrayDeque<>();
     private long calls;
 
-    PlatformList(EventLoop loop, InetSocketAddress address, double callsPerSecond) {
+    HttpPlatformClient(EventLoop loop, InetSocketAddress address, double callsPerSecond) {
         this.loop = loop;
         this.address = address;
         this.mostPerSecond = (int) Math.max(1, RATE_PART * callsPerSecond);
--- a/controlplane/src/main/java/dewplank/controlplane/ServerCalls.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ModelServerClient.java
@@ -5,7 +5,7 @@
 import java.util.function.BooleanSupplier;
 
 /** Calls to model servers' own interface. */
-interface ServerCalls {
+interface ModelServerClient {
     /** Takes an answer that came whole; nothing is told of a call that failed. */
     interface Answer {
         void taken(int status, byte[] body);
--- a/controlplane/src/main/java/dewplank/controlplane/OperatorViews.java
+++ b/controlplane/src/main/java/dewplank/controlplane/OperatorViews.java
@@ -41,7 +41,7 @@
 
     @Override
     public String duties() {
-        ServerLister.Duty list = plane.duties().list();
+        EndpointPoller.Duty list = plane.duties().list();
         return JsonText.object(
                         JsonText.field("answered_by", plane.node()),
                         JsonText.plain(
--- a/controlplane/src/main/java/dewplank/controlplane/PlatformApi.java
+++ b/controlplane/src/main/java/dewplank/controlplane/PlatformClient.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /** The platform, which knows what servers there are. */
-interface PlatformApi {
+interface PlatformClient {
     /** How one reading of the list ended. */
     interface Ended {
         void listed(List<ServerEntry> servers);
--- a/controlplane/src/main/java/dewplank/controlplane/Confirmation.java
+++ b/controlplane/src/main/java/dewplank/controlplane/QuorumConfirmation.java
@@ -4,7 +4,7 @@
 import dewplank.register.AcceptorId;
 
 /** Whether operators' calls may be decided here: by a quorum, and one that keeps what it accepts. */
-final class Confirmation {
+final class QuorumConfirmation {
     /** A quorum that answered within this is taken to stand. */
     static final double QUORATE_MS = 1_500;
     /** Whoever started together with this process has said by then whether it has a disk. */
@@ -22,7 +22,7 @@
      * @param identity of the acceptor of this process
      * @param durable whether this process has a disk
      */
-    Confirmation(
+    QuorumConfirmation(
             Scheduler loop,
             String identity,
             boolean durable,
--- a/controlplane/src/main/java/dewplank/controlplane/OperatorContact.java
+++ b/controlplane/src/main/java/dewplank/controlplane/QuorumRedirects.java
@@ -4,7 +4,7 @@
 import java.util.function.BooleanSupplier;
 
 /** Where operators' calls may go instead, by what the links to other control sidecars tell. */
-final class OperatorContact implements OperatorApi.Contact {
+final class QuorumRedirects implements OperatorApi.Contact {
     private final int controlPort;
     private final String self;
     private final ControlMesh mesh;
@@ -17,7 +17,7 @@
      * @param self the own address on the links
      * @param quorate whether a majority was reached lately
      */
-    OperatorContact(int controlPort, String self, ControlMesh mesh, BooleanSupplier quorate) {
+    QuorumRedirects(int controlPort, String self, ControlMesh mesh, BooleanSupplier quorate) {
         this.controlPort = controlPort;
         this.self = self;
         this.mesh = mesh;
--- a/controlplane/src/main/java/dewplank/controlplane/Duties.java
+++ b/controlplane/src/main/java/dewplank/controlplane/SingletonRoles.java
@@ -15,8 +15,8 @@
 import org.slf4j.LoggerFactory;
 
 /** This control sidecar's votes and candidacies for singleton duties. The voters are the register's acceptors. */
-final class Duties {
-    private static final Logger LOG = LoggerFactory.getLogger(Duties.class);
+final class SingletonRoles {
+    private static final Logger LOG = LoggerFactory.getLogger(SingletonRoles.class);
     private static final double TICK_MS = 20;
     private static final String LIST = "list";
 
@@ -41,7 +41,7 @@
     private final Voter voter;
     private final Candidate candidate;
 
-    Duties(
+    SingletonRoles(
             Scheduler loop,
             AcceptorId self,
             double leaseMs,
@@ -95,8 +95,8 @@
     }
 
     /** The duty to ask the platform for its list, and to keep the acceptors what they should be. */
-    ServerLister.Duty list() {
-        return new ServerLister.Duty() {
+    EndpointPoller.Duty list() {
+        return new EndpointPoller.Duty() {
             @Override
             public boolean holds() {
                 return candidate.holds(loop.now());
--- a/controlplane/src/main/java/dewplank/controlplane/Addresses.java
+++ b/controlplane/src/main/java/dewplank/controlplane/SocketAddresses.java
@@ -4,9 +4,9 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Addresses as messages and lists write them. */
-final class Addresses {
-    private Addresses() {}
+/** SocketAddresses as messages and lists write them. */
+final class SocketAddresses {
+    private SocketAddresses() {}
 
     /** Reads an address of the form IP:PORT; never looks a name up. */
     static InetSocketAddress socketAddress(String text) {
--- a/controlplane/src/main/java/dewplank/controlplane/StageKeeper.java
+++ b/controlplane/src/main/java/dewplank/controlplane/StageController.java
@@ -21,8 +21,8 @@
  * Keeps the stages of model servers what they should be: the holder of the duty asks them for their state and orders
  * changes, a few at a time for each service. A new holder waits until no order of its predecessor can arrive any more.
  */
-final class StageKeeper {
-    private static final Logger LOG = LoggerFactory.getLogger(StageKeeper.class);
+final class StageController {
+    private static final Logger LOG = LoggerFactory.getLogger(StageController.class);
     private static final double LOOK_EVERY_MS = 250;
     private static final double ASK_EVERY_MS = 1_200;
     private static final int MOST_ASKED_AT_ONCE = 32; // by turns beyond that: reports are priced, and cost time
@@ -54,9 +54,9 @@
     private final Scheduler loop;
     private final String holder;
     private final double leaseMs;
-    private final ServerLister lister;
-    private final ServerLister.Duty duty;
-    private final ServerCalls calls;
+    private final EndpointPoller lister;
+    private final EndpointPoller.Duty duty;
+    private final ModelServerClient calls;
     private final Policy policy;
     private final Map<String, Reported> reports = new HashMap<>();
     private final Map<String, Pending> pending = new HashMap<>();
@@ -67,13 +67,13 @@
     private int turn;
     private long orders;
 
-    StageKeeper(
+    StageController(
             Scheduler loop,
             String holder,
             double leaseMs,
-            ServerLister lister,
-            ServerLister.Duty duty,
-            ServerCalls calls,
+            EndpointPoller lister,
+            EndpointPoller.Duty duty,
+            ModelServerClient calls,
             Policy policy) {
         this.policy = policy;
         this.loop = loop;
--- a/controlplane/src/main/java/dewplank/controlplane/PauseWatch.java
+++ b/controlplane/src/main/java/dewplank/controlplane/StallDetector.java
@@ -8,7 +8,7 @@
  * their words wait unread meanwhile, and must not cost them their sessions. On a slow machine the reading of a
  * configuration of two thousand routes takes longer than a peer may be silent.
  */
-final class PauseWatch {
+final class StallDetector {
     private static final double LOOK_EVERY_MS = 50;
     /** Two beats of 300 ms may be late by as much without harm. */
     private static final double NOTICED_MS = 250;
@@ -18,7 +18,7 @@
     private double seenAt;
 
     /** @param paused is told of the milliseconds */
-    PauseWatch(Scheduler loop, DoubleConsumer paused) {
+    StallDetector(Scheduler loop, DoubleConsumer paused) {
         this.loop = loop;
         this.paused = paused;
         this.seenAt = loop.now();
--- a/controlplane/src/main/java/dewplank/controlplane/Storage.java
+++ b/controlplane/src/main/java/dewplank/controlplane/Storage.java
@@ -16,7 +16,7 @@
         return recovered().identity();
     }
 
-    /** Addresses of the acceptors that the fleet began with. */
+    /** SocketAddresses of the acceptors that the fleet began with. */
     List<String> founders();
 
     /** Whether the whole system starts for the first time: nothing can have been promised before. */
--- a/controlplane/src/main/java/dewplank/controlplane/SystemEnvironment.java
+++ b/controlplane/src/main/java/dewplank/controlplane/SystemEnvironment.java
@@ -72,14 +72,14 @@
     }
 
     @Override
-    public PlatformApi platform() {
-        return new PlatformList(
+    public PlatformClient platform() {
+        return new HttpPlatformClient(
                 loop, settings.platform().address(), settings.platform().callsPerSecond());
     }
 
     @Override
-    public ServerCalls serverCalls() {
-        return new HttpServerCalls(loop);
+    public ModelServerClient serverCalls() {
+        return new HttpModelServerClient(loop);
     }
 
     @Override
--- a/controlplane/src/test/java/dewplank/controlplane/SessionsTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/DataPlaneSessionsTest.java
@@ -29,8 +29,8 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Sessions of data planes here: what they are told, when, and by what they are known to hold. */
-class SessionsTest {
+/** DataPlaneSessions of data planes here: what they are told, when, and by what they are known to hold. */
+class DataPlaneSessionsTest {
     /** Longer than any test takes. */
     private static final double LEASE_MS = 60_000;
 
@@ -38,7 +38,7 @@
 
     private final EventLoop loop;
     private final SessionTable table = new SessionTable(LEASE_MS);
-    private final Sessions sessions;
+    private final DataPlaneSessions sessions;
     private final Listener listener;
     private final FramedPeer dataPlane;
     /** What the source was asked with: version, list, members; and what it has to say. */
@@ -47,12 +47,12 @@
     private Update news;
     private double ahead;
 
-    SessionsTest() throws IOException {
+    DataPlaneSessionsTest() throws IOException {
         loop = new EventLoop();
         dataPlane = new FramedPeer();
-        sessions = new Sessions(new ShiftedClock(), table, new Sessions.Source() {
+        sessions = new DataPlaneSessions(new ShiftedClock(), table, new DataPlaneSessions.Source() {
             @Override
-            public Update newerThan(Sessions.Held held) {
+            public Update newerThan(DataPlaneSessions.Held held) {
                 asked.add(held.configurationVersion + " " + held.listVersion + " " + held.membersDigest);
                 boolean newer = news != null && news.configurationVersion > held.configurationVersion;
                 return newer ? news : null;
@@ -95,7 +95,7 @@
 
     /** Hands what comes to the sessions, as the control plane does. */
     private final class Serving implements MessageLink.Handler {
-        private Sessions.Session session;
+        private DataPlaneSessions.Session session;
 
         @Override
         public void received(MessageLink connection, Object message) {
--- a/controlplane/src/test/java/dewplank/controlplane/ServerListerTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/EndpointPollerTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Under whose lease the list is told, in virtual time: the platform answers when the test lets it. */
-class ServerListerTest {
+class EndpointPollerTest {
     private static final double DRAIN_MS = 3_000;
     /** The first question under a number and the one that fails last each wait for their turn: 400 ms and a look. */
     private static final double ASKING_MS = 2 * (400 + 50);
@@ -59,7 +59,7 @@
         }
     }
 
-    private static final class Held implements ServerLister.Duty {
+    private static final class Held implements EndpointPoller.Duty {
         private boolean held = true;
         private long number = 7;
         private final List<Double> pauses = new ArrayList<>();
@@ -88,9 +88,9 @@
 
     private final VirtualTime time = new VirtualTime();
     private final Held duty = new Held();
-    private final Deque<PlatformApi.Ended> asked = new ArrayDeque<>();
+    private final Deque<PlatformClient.Ended> asked = new ArrayDeque<>();
     private final List<ServerList> told = new ArrayList<>();
-    private final ServerLister lister = new ServerLister(time, asked::add, duty, DRAIN_MS, told::add);
+    private final EndpointPoller lister = new EndpointPoller(time, asked::add, duty, DRAIN_MS, told::add);
 
     @BeforeEach
     void begin() {
--- a/controlplane/src/test/java/dewplank/controlplane/PlatformListTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/HttpPlatformClientTest.java
@@ -20,19 +20,19 @@
 import org.junit.jupiter.api.Test;
 
 /** The platform's list, page by page, within the rate that the platform allows. */
-class PlatformListTest {
+class HttpPlatformClientTest {
     private static final double RATE = 4; // of which half is used
     private static final double SECOND_MS = 1_000;
 
     private EventLoop loop;
     private ScriptedServer platform;
-    private PlatformList list;
+    private HttpPlatformClient list;
 
     @BeforeEach
     void begin() throws IOException {
         loop = new EventLoop();
         platform = new ScriptedServer();
-        list = new PlatformList(loop, platform.address(), RATE);
+        list = new HttpPlatformClient(loop, platform.address(), RATE);
     }
 
     @AfterEach
@@ -45,7 +45,7 @@
         CompletableFuture<List<ServerEntry>> done = new CompletableFuture<>();
         OnLoop.run(
                 loop,
-                () -> list.ask(new PlatformList.Ended() {
+                () -> list.ask(new HttpPlatformClient.Ended() {
                     @Override
                     public void listed(List<ServerEntry> servers) {
                         done.complete(servers);
--- a/controlplane/src/test/java/dewplank/controlplane/StageKeeperTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/StageControllerTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Reports and orders as model servers see them. */
-class StageKeeperTest {
+class StageControllerTest {
     private static final String TARGET = "X-Dewplank-Target-Instance";
     private static final long NUMBER = 41;
     private static final double SPARE_MS = 700;
@@ -33,11 +33,11 @@
     private final HeldDuty duty = new HeldDuty();
     private EventLoop loop;
     private final BlockingQueue<ServerList> told = new LinkedBlockingQueue<>();
-    private ServerLister lister;
+    private EndpointPoller lister;
     private int active;
 
     /** A duty that is held from the first question on; it notes when that was. */
-    private final class HeldDuty implements ServerLister.Duty {
+    private final class HeldDuty implements EndpointPoller.Duty {
         private double firstAsked = Double.POSITIVE_INFINITY;
 
         @Override
@@ -59,7 +59,7 @@
     @BeforeEach
     void begin() throws IOException {
         loop = new EventLoop();
-        lister = new ServerLister(loop, null, duty, 3_000, told::add);
+        lister = new EndpointPoller(loop, null, duty, 3_000, told::add);
         List<ServerEntry> entries = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
             ScriptedServer server = new ScriptedServer(calls);
@@ -78,8 +78,8 @@
     }
 
     private void keep(double leaseMs) {
-        StageKeeper keeper =
-                new StageKeeper(loop, "core-1", leaseMs, lister, duty, new HttpServerCalls(loop), Policy.ALL_ENABLED);
+        StageController keeper = new StageController(
+                loop, "core-1", leaseMs, lister, duty, new HttpModelServerClient(loop), Policy.ALL_ENABLED);
         loop.execute(keeper::start);
     }
 
--- a/controlplane/src/test/java/dewplank/controlplane/PauseWatchTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/StallDetectorTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class PauseWatchTest {
+class StallDetectorTest {
     /** A clock that is set, and tasks that are run, by the test. */
     private static final class Hand implements Scheduler {
         private double now;
@@ -39,7 +39,7 @@
 
     private final Hand loop = new Hand();
     private final List<Double> pauses = new ArrayList<>();
-    private final PauseWatch watch = new PauseWatch(loop, pauses::add);
+    private final StallDetector watch = new StallDetector(loop, pauses::add);
 
     @Test
     void looksThatComeInTimeNoticeNothing() {
--- a/simulation/src/test/java/dewplank/controlplane/ControlProcess.java
+++ b/simulation/src/test/java/dewplank/controlplane/ControlProcess.java
@@ -181,7 +181,7 @@
         }
 
         @Override
-        public PlatformApi platform() {
+        public PlatformClient platform() {
             return ended -> given.list(servers -> {
                 if (servers == null) {
                     ended.failed("no answer");
@@ -192,7 +192,7 @@
         }
 
         @Override
-        public ServerCalls serverCalls() {
+        public ModelServerClient serverCalls() {
             return new NoServerCalls();
         }
 
@@ -219,7 +219,7 @@
     }
 
     /** Model servers that never answer. */
-    private static final class NoServerCalls implements ServerCalls {
+    private static final class NoServerCalls implements ModelServerClient {
         @Override
         public void report(ServerEntry server, BooleanSupplier onlyIf, Answer answer) {
             // Nothing comes back.
