--- a/cli/src/main/java/dewplank/FleetCommands.java
+++ b/cli/src/main/java/dewplank/FleetCommands.java
@@ -41,10 +41,10 @@
             List<Mechanism> off = new ArrayList<>();
             for (String name : without.split(",")) {
                 if (!name.isBlank()) {
-                    off.add(Mechanism.of(name.strip())
+                    off.add(Mechanism.ofOptionName(name.strip())
                             .orElseThrow(() -> new BadInput("--without " + name + ": there is no such mechanism; "
                                     + Stream.of(Mechanism.values())
-                                            .map(Mechanism::text)
+                                            .map(Mechanism::optionName)
                                             .collect(Collectors.joining(", ")))));
                 }
             }
--- a/client/src/main/java/dewplank/client/RouteExplanation.java
+++ b/client/src/main/java/dewplank/client/RouteExplanation.java
@@ -76,9 +76,9 @@
                 .append(" ms, in time within ")
                 .append(ConfigurationText.number(route.targetLatencyMs()))
                 .append(" ms");
-        if (route.gapAimMs() > 0) {
+        if (route.maxEventGapMs() > 0) {
             out.append(", events at most ")
-                    .append(ConfigurationText.number(route.gapAimMs()))
+                    .append(ConfigurationText.number(route.maxEventGapMs()))
                     .append(" ms apart");
         }
         out.append("\n  clients: ")
@@ -141,7 +141,7 @@
         out.put("max_attempts", route.maxAttempts());
         out.put("sticky", route.sticky());
         out.put("resumable", route.resumable());
-        out.put("gap_aim_ms", route.gapAimMs());
+        out.put("gap_aim_ms", route.maxEventGapMs());
         return out;
     }
 
--- a/configuration/src/main/java/dewplank/configuration/ChangeResult.java
+++ b/configuration/src/main/java/dewplank/configuration/ChangeResult.java
@@ -29,7 +29,7 @@
      *
      * @param oldestBase the oldest version for which that is known
      */
-    record Forgotten(long oldestBase) implements ChangeResult {}
+    record HistoryExpired(long oldestBase) implements ChangeResult {}
 
     /**
      * The change cannot be taken.
--- a/configuration/src/main/java/dewplank/configuration/ConfigurationDocument.java
+++ b/configuration/src/main/java/dewplank/configuration/ConfigurationDocument.java
@@ -2,7 +2,7 @@
 
 import dewplank.configuration.ChangeResult.Accepted;
 import dewplank.configuration.ChangeResult.AlreadyAccepted;
-import dewplank.configuration.ChangeResult.Forgotten;
+import dewplank.configuration.ChangeResult.HistoryExpired;
 import dewplank.configuration.ChangeResult.Invalid;
 import dewplank.configuration.ChangeResult.VersionMismatch;
 import dewplank.configuration.InvalidConfigurationException.Reason;
@@ -20,7 +20,7 @@
     /**
      * Changes that are remembered. At five changes a second 1,024 reach back over three minutes of resends, and take
      * 24 KB of every write, an eighth of a configuration of 600 routes. A resend that they no longer reach gets no
-     * clear answer, see {@link ChangeResult.Forgotten}.
+     * clear answer, see {@link ChangeResult.HistoryExpired}.
      */
     public static final int HISTORY = 1_024;
     /** The longest body of a request that is read. */
@@ -125,7 +125,7 @@
         }
         JsonObject body = JsonTextReader.readObject(request.body());
         if (!history.reaches(request.expectedVersion())) {
-            return new Forgotten(history.oldestBase());
+            return new HistoryExpired(history.oldestBase());
         }
         if (request.expectedVersion() != version()) {
             return new VersionMismatch(version());
--- a/configuration/src/main/java/dewplank/configuration/EngineProfile.java
+++ b/configuration/src/main/java/dewplank/configuration/EngineProfile.java
@@ -9,9 +9,9 @@
  * @param kvTokens tokens that a server's cache holds
  * @param kvTokenBytes bytes that one token of the cache takes on a link
  * @param linkMbps the link over which caches move
- * @param stride tokens that one event of a stream may hold
- * @param contextHoldMs how long a cache that was read ahead is held
- * @param switchMs how long a change of stage takes
+ * @param maxTokensPerEvent tokens that one event of a stream may hold
+ * @param cacheRetentionMs how long a cache that was read ahead is held
+ * @param stageChangeMs how long a change of stage takes
  * @param models names of the models that it serves
  */
 public record EngineProfile(
@@ -19,9 +19,9 @@
         long kvTokens,
         long kvTokenBytes,
         double linkMbps,
-        int stride,
-        double contextHoldMs,
-        double switchMs,
+        int maxTokensPerEvent,
+        double cacheRetentionMs,
+        double stageChangeMs,
         List<String> models) {
     /** Takes a copy of the models. */
     public EngineProfile {
--- a/configuration/src/main/java/dewplank/configuration/Route.java
+++ b/configuration/src/main/java/dewplank/configuration/Route.java
@@ -16,7 +16,7 @@
  * @param maxAttempts the greatest number of servers to which one request may be sent
  * @param sticky whether requests carry parts of prompts that servers keep
  * @param resumable whether a stream may be continued at another server
- * @param gapAimMs the longest pause between events that still keeps an answer in time; 0 where none is stated
+ * @param maxEventGapMs the longest pause between events that still keeps an answer in time; 0 where none is stated
  */
 public record Route(
         String name,
@@ -30,7 +30,7 @@
         int maxAttempts,
         boolean sticky,
         boolean resumable,
-        double gapAimMs) {
+        double maxEventGapMs) {
     /** Takes a copy of the split. */
     public Route {
         split = List.copyOf(split);
--- a/configuration/src/test/java/dewplank/configuration/ConfigurationDocumentTest.java
+++ b/configuration/src/test/java/dewplank/configuration/ConfigurationDocumentTest.java
@@ -9,7 +9,7 @@
 
 import dewplank.configuration.ChangeResult.Accepted;
 import dewplank.configuration.ChangeResult.AlreadyAccepted;
-import dewplank.configuration.ChangeResult.Forgotten;
+import dewplank.configuration.ChangeResult.HistoryExpired;
 import dewplank.configuration.ChangeResult.Invalid;
 import dewplank.configuration.ChangeResult.VersionMismatch;
 import dewplank.configuration.InvalidConfigurationException.Reason;
@@ -120,8 +120,8 @@
             document = accepted(document, patch(version - 1, "{\"config_version\":" + version + "}"));
         }
         document = ConfigurationDocument.decode(document.encode());
-        assertEquals(new Forgotten(1), document.apply(put(0, Samples.whole(1))));
-        assertEquals(new Forgotten(1), document.apply(put(0, Samples.whole(1, "", ""))));
+        assertEquals(new HistoryExpired(1), document.apply(put(0, Samples.whole(1))));
+        assertEquals(new HistoryExpired(1), document.apply(put(0, Samples.whole(1, "", ""))));
         assertEquals(new VersionMismatch(document.version()), document.apply(put(1, Samples.whole(2))));
         assertEquals(
                 new VersionMismatch(document.version()),
--- a/controlplane/src/main/java/dewplank/controlplane/OperatorApi.java
+++ b/controlplane/src/main/java/dewplank/controlplane/OperatorApi.java
@@ -232,7 +232,7 @@
                     ResultCode.VERSION_MISMATCH,
                     "version " + mismatch.current() + " is in place",
                     JsonText.plain("version", mismatch.current()));
-        } else if (result instanceof ChangeResult.Forgotten forgotten) {
+        } else if (result instanceof ChangeResult.HistoryExpired forgotten) {
             result(
                     caller,
                     ResultCode.BEYOND_HISTORY,
--- a/controlplane/src/main/java/dewplank/controlplane/StageController.java
+++ b/controlplane/src/main/java/dewplank/controlplane/StageController.java
@@ -111,7 +111,7 @@
                 askAt = now + ASK_EVERY_MS;
                 askAll();
             }
-            if (now - heldSince >= leaseMs + SPARE_MS && policy.uses(Mechanism.STAGE_ORDERS)) {
+            if (now - heldSince >= leaseMs + SPARE_MS && policy.isEnabled(Mechanism.STAGE_ORDERS)) {
                 servicesWithEngines().forEach(this::change);
             }
         }
@@ -189,7 +189,7 @@
         double pause = idle ? IDLE_ORDER_EVERY_MS : ORDER_EVERY_MS;
         if (known && !ordered && now - orderedAt.getOrDefault(service, Double.NEGATIVE_INFINITY) >= pause) {
             List<StagePlan.Change> changes = StagePlan.changes(engines);
-            boolean several = policy.uses(Mechanism.SEVERAL_ORDERS);
+            boolean several = policy.isEnabled(Mechanism.SEVERAL_ORDERS);
             boolean waits = !several && engines.stream().anyMatch(StagePlan.Engine::busy);
             List<StagePlan.Change> begun = changes.stream()
                     .limit(several ? changes.size() : waits ? 0 : 1)
--- a/dataplane/src/main/java/dewplank/dataplane/DecodeStep.java
+++ b/dataplane/src/main/java/dewplank/dataplane/DecodeStep.java
@@ -61,8 +61,8 @@
         } else {
             exchange.forwarder.counters().add(Count.DIRECT);
         }
-        if (events.lastId() != null) {
-            further.add(new Headers.Field(WireNames.LAST_EVENT_ID, events.lastId()));
+        if (events.lastEventId() != null) {
+            further.add(new Headers.Field(WireNames.LAST_EVENT_ID, events.lastEventId()));
         }
         long tokens = given == null ? exchange.ownTokens() : 0;
         call = exchange.callTo(server, tokens, further, new Stream(server, given != null));
@@ -76,7 +76,7 @@
         boolean mayTry = exchange.repeatable() && exchange.sends + 1 < exchange.route.maxAttempts();
         TrackedServer picked = forwarder
                 .pairs()
-                .decode(
+                .pickDecodeServer(
                         exchange.loop.now(),
                         servers,
                         exchange.prefix,
@@ -89,7 +89,7 @@
 
     /** Whether another server may continue, or begin, the stream. */
     private boolean repeatable() {
-        return exchange.repeatable() && events.resumable();
+        return exchange.repeatable() && events.isResumable();
     }
 
     private boolean mayResume() {
@@ -98,8 +98,8 @@
 
     private void watchSilence() {
         stopPatience();
-        if (repeatable() && exchange.forwarder.policy().uses(Mechanism.PATIENCE)) {
-            double expected = begun ? 0 : PATIENCE * PrefillDecodePicker.readingMs(exchange.prefix.tokens());
+        if (repeatable() && exchange.forwarder.policy().isEnabled(Mechanism.PATIENCE)) {
+            double expected = begun ? 0 : PATIENCE * PrefillDecodePicker.prefillMs(exchange.prefix.tokens());
             patience = exchange.loop.after(SILENCE_MS + expected, this::silent);
         }
     }
@@ -140,7 +140,7 @@
 
     private void restart() {
         exchange.handover.free();
-        events.restart();
+        events.discardIncompleteEvent();
         if (begun) {
             exchange.forwarder.counters().add(Count.STREAMS_RESUMED);
         }
@@ -234,7 +234,7 @@
                 broken();
             } else {
                 exchange.observe(server, true);
-                pieces(events.takeUnfinished());
+                pieces(events.drainIncompleteEvent());
                 endStream();
             }
         }
@@ -245,7 +245,7 @@
          */
         private boolean isCutOff() {
             boolean framed = headers.get("Content-Length") != null || headers.get("Transfer-Encoding") != null;
-            return !framed && !exchange.isHead() && (!begun || events.midEvent());
+            return !framed && !exchange.isHead() && (!begun || events.isMidEvent());
         }
 
         private void failedAnswer() {
--- a/dataplane/src/main/java/dewplank/dataplane/Exchange.java
+++ b/dataplane/src/main/java/dewplank/dataplane/Exchange.java
@@ -301,14 +301,14 @@
     }
 
     final void observe(Server server, boolean healthy) {
-        forwarder.choice().observe(loop.now(), server.state, route.name(), healthy);
+        forwarder.choice().recordOutcome(loop.now(), server.state, route.name(), healthy);
     }
 
     /** The server turned the request away, which says nothing of its health. */
     final void turnedAway(Server server, int status) {
         forwarder.counters().add(Count.TURNED_AWAY);
         if (status != 421) {
-            server.state.rest(loop.now(), REST_FULL_MS, REST_MOST_MS);
+            server.state.backOff(loop.now(), REST_FULL_MS, REST_MOST_MS);
         }
     }
 
@@ -317,13 +317,13 @@
         switch (failure) {
             case NOT_CONNECTED -> {
                 forwarder.counters().add(Count.CONNECT_FAILURES);
-                server.state.rest(loop.now(), REST_UNREACHABLE_MS, REST_MOST_MS);
+                server.state.backOff(loop.now(), REST_UNREACHABLE_MS, REST_MOST_MS);
                 observe(server, false);
                 return false;
             }
             case NOT_SENT -> {
                 forwarder.counters().add(Count.CONNECT_FAILURES);
-                server.state.rest(loop.now(), REST_FULL_MS, REST_MOST_MS);
+                server.state.backOff(loop.now(), REST_FULL_MS, REST_MOST_MS);
                 return false;
             }
             default -> {
--- a/dataplane/src/main/java/dewplank/dataplane/FleetView.java
+++ b/dataplane/src/main/java/dewplank/dataplane/FleetView.java
@@ -96,7 +96,7 @@
             server = new Server(loop, state, entry.address);
             servers.put(entry.instanceId, server);
         }
-        server.state.listed(!entry.draining, stage);
+        server.state.updateListing(!entry.draining, stage);
         if (entry.draining) {
             server.pool.close();
         }
@@ -115,7 +115,7 @@
 
     private void forget(Server server) {
         servers.remove(server.state.instanceId());
-        server.state.listed(false, server.state.stage());
+        server.state.updateListing(false, server.state.stage());
         server.pool.close();
     }
 
--- a/dataplane/src/main/java/dewplank/dataplane/Forwarder.java
+++ b/dataplane/src/main/java/dewplank/dataplane/Forwarder.java
@@ -124,7 +124,7 @@
 
     /** What is known of the fleet has changed: requests that were held go on once it is enough. */
     void fleetChanged() {
-        size.told(loop.now(), fleet.dataPlanes());
+        size.recordMembership(loop.now(), fleet.dataPlanes());
         if (fleet.complete() && !held.isEmpty()) {
             Map<InboundConnection, Held> ready = new LinkedHashMap<>(held);
             held.clear();
@@ -154,7 +154,7 @@
                 ? new PlainExchange(this, request, connection, route, service, arrivedAt)
                 : new GenerationExchange(this, request, connection, route, service, arrivedAt);
         open.put(connection, exchange);
-        budget(serviceName).request(loop.now());
+        budget(serviceName).recordRequest(loop.now());
         exchange.start();
     }
 
@@ -277,13 +277,14 @@
 
     /** Counts a repeated send that has happened already. */
     void countRepeat(String service) {
-        budget(service).charge(loop.now());
+        budget(service).recordRetry(loop.now());
     }
 
     /** Takes one repeated send to the service out of this sidecar's part of the budget. */
     boolean mayRepeat(String service) {
         double now = loop.now();
-        boolean may = budget(service).take(now, size.settled(now) ? size.dataPlanes(now) : RetryBudget.NO_SLACK);
+        boolean may =
+                budget(service).tryAcquire(now, size.isSettled(now) ? size.dataPlanes(now) : RetryBudget.NO_SLACK);
         counters.add(may ? Counters.Count.RETRIES : Counters.Count.RETRIES_OVER_BUDGET);
         return may;
     }
--- a/dataplane/src/main/java/dewplank/dataplane/GenerationExchange.java
+++ b/dataplane/src/main/java/dewplank/dataplane/GenerationExchange.java
@@ -48,7 +48,7 @@
         super(forwarder, request, client, route, service, arrivedAt);
         this.prefix = PromptPrefix.parse(request.headers().get(WireNames.PROMPT_PREFIX));
         if (prefix.tokens() > 0) {
-            forwarder.pairs().saw(prefix);
+            forwarder.pairs().recordPrompt(prefix);
         }
         this.handover = new Handover(forwarder);
         this.readAt = arrivedAt;
@@ -73,7 +73,8 @@
      * the pause as the bound was worth less on a busy day with few servers (docs/policy.md, rounds).
      */
     boolean mayBeReadAtDecode() {
-        return route.gapAimMs() == 0 || PrefillDecodePicker.readingAtDecodeMs(prefix.tokens()) <= route.gapAimMs();
+        return route.maxEventGapMs() == 0
+                || PrefillDecodePicker.prefillAtDecodeServerMs(prefix.tokens()) <= route.maxEventGapMs();
     }
 
     /**
@@ -83,8 +84,8 @@
     double lastResortAt() {
         double silence = Math.max(
                 LEAST_SILENCE_MS,
-                Math.max(SILENCE_TARGETS * route.targetLatencyMs(), SILENCE_PAUSES * route.gapAimMs()));
-        double needed = READING_SPARE * PrefillDecodePicker.readingAtDecodeMs(prefix.tokens()) + FIRST_EVENT_MS;
+                Math.max(SILENCE_TARGETS * route.targetLatencyMs(), SILENCE_PAUSES * route.maxEventGapMs()));
+        double needed = READING_SPARE * PrefillDecodePicker.prefillAtDecodeServerMs(prefix.tokens()) + FIRST_EVENT_MS;
         return Math.min(arrivedAt + silence, deadline) - needed;
     }
 
@@ -94,7 +95,7 @@
     }
 
     Headers.Field priority(int rank) {
-        if (!forwarder.policy().uses(Mechanism.PRIORITY)) {
+        if (!forwarder.policy().isEnabled(Mechanism.PRIORITY)) {
             return new Headers.Field(WireNames.PRIORITY, USUAL_PRIORITY);
         }
         return new Headers.Field(WireNames.PRIORITY, Integer.toString(Math.max(0, Math.min(LEAST_URGENT, rank))));
--- a/dataplane/src/main/java/dewplank/dataplane/HealthExchange.java
+++ b/dataplane/src/main/java/dewplank/dataplane/HealthExchange.java
@@ -74,7 +74,7 @@
     private Set<Integer> suspected(double now) {
         Set<Integer> suspected = new HashSet<>();
         for (Server server : fleet.allServers()) {
-            if (server.state.outcomes().suspect(now)) {
+            if (server.state.outcomes().isSuspect(now)) {
                 suspected.add(server.state.instanceId().hashCode());
             }
         }
@@ -86,13 +86,13 @@
     }
 
     private void tell(double now) {
-        votes.forgetStale(now);
+        votes.evictStale(now);
         HealthSummary summary = summary(now);
         toldAt = now;
         toldSuspected = summary.suspected().stream()
                 .map(HealthSummary.Suspected::server)
                 .collect(Collectors.toSet());
-        byte[] bytes = summary.bytes();
+        byte[] bytes = summary.encode();
         List<Member> peers = new ArrayList<>(fleet.members());
         peers.removeIf(m -> !m.role.equals(Member.DATA) || m.address.equals(self.address));
         Collections.shuffle(peers, random);
@@ -107,10 +107,11 @@
         for (Server server : fleet.allServers()) {
             int hash = server.state.instanceId().hashCode();
             OutcomeWindow outcomes = server.state.outcomes();
-            if (outcomes.suspect(now)) {
-                suspected.add(new HealthSummary.Suspected(hash, outcomes.failures(now), now - outcomes.lastFailure()));
-            } else if (now - outcomes.lastServed() <= OBSERVED_WITHIN_MS) {
-                healthy.add(new HealthSummary.Healthy(hash, now - outcomes.lastServed()));
+            if (outcomes.isSuspect(now)) {
+                suspected.add(new HealthSummary.Suspected(
+                        hash, outcomes.failureCount(now), now - outcomes.lastFailureAtMs()));
+            } else if (now - outcomes.lastSuccessAtMs() <= OBSERVED_WITHIN_MS) {
+                healthy.add(new HealthSummary.Healthy(hash, now - outcomes.lastSuccessAtMs()));
             }
         }
         healthy.sort(Comparator.comparingDouble(HealthSummary.Healthy::ageMs)); // the newest find room
@@ -126,7 +127,7 @@
     }
 
     private void receive() {
-        byte[] buffer = new byte[HealthSummary.MOST_BYTES + 1];
+        byte[] buffer = new byte[HealthSummary.MAX_BYTES + 1];
         while (!socket.isClosed()) {
             DatagramPacket packet = new DatagramPacket(buffer, buffer.length);
             try {
@@ -135,10 +136,10 @@
                 continue; // closed, or a peer's refusal of an earlier datagram
             }
             byte[] bytes = java.util.Arrays.copyOf(buffer, packet.getLength());
-            HealthSummary summary = HealthSummary.of(bytes);
+            HealthSummary summary = HealthSummary.decode(bytes);
             if (summary != null) {
                 String from = packet.getAddress().getHostAddress();
-                loop.execute(() -> votes.hear(loop.now(), from, summary));
+                loop.execute(() -> votes.recordSummary(loop.now(), from, summary));
             }
         }
     }
--- a/dataplane/src/main/java/dewplank/dataplane/PlainExchange.java
+++ b/dataplane/src/main/java/dewplank/dataplane/PlainExchange.java
@@ -50,17 +50,20 @@
         sends++;
         call = callTo(server, 0, List.of(), new Answer(server));
         call.start(forwarder.connectTimeoutMs());
-        if (repeatable() && forwarder.policy().uses(Mechanism.PATIENCE)) {
+        if (repeatable() && forwarder.policy().isEnabled(Mechanism.PATIENCE)) {
             patience = loop.after(PATIENCE * route.targetLatencyMs(), this::overdue);
         }
     }
 
     private Server choose() {
         List<TrackedServer> servers = forwarder.fleet().servers(service.name());
-        ServerPicker.Query query = ServerPicker.Query.of(servers, this::untried, repeatable() && sends == 0);
+        ServerPicker.PickArguments query =
+                ServerPicker.PickArguments.byInFlight(servers, this::untried, repeatable() && sends == 0);
         TrackedServer picked = forwarder.choice().pick(loop.now(), query);
         if (picked == null) { // none that is new: again at one that was tried
-            picked = forwarder.choice().pick(loop.now(), ServerPicker.Query.of(servers, s -> true, false));
+            picked = forwarder
+                    .choice()
+                    .pick(loop.now(), ServerPicker.PickArguments.byInFlight(servers, s -> true, false));
         }
         return picked == null ? null : forwarder.fleet().server(picked);
     }
--- a/dataplane/src/main/java/dewplank/dataplane/PrefillStep.java
+++ b/dataplane/src/main/java/dewplank/dataplane/PrefillStep.java
@@ -44,8 +44,8 @@
         List<Headers.Field> further = List.of(new Headers.Field(WireNames.STAGE, "prefill"), priority());
         call = exchange.callTo(server, exchange.ownTokens(), further, new Answer(server, free));
         call.start(exchange.forwarder.connectTimeoutMs());
-        double expected = PrefillDecodePicker.readingMs(exchange.prefix.tokens())
-                + exchange.forwarder.pairs().prefillWait(exchange.loop.now(), server.state);
+        double expected = PrefillDecodePicker.prefillMs(exchange.prefix.tokens())
+                + exchange.forwarder.pairs().estimatedPrefillWaitMs(exchange.loop.now(), server.state);
         patience = exchange.loop.after(PATIENCE_MS + PATIENCE * expected, this::overdue);
     }
 
@@ -57,7 +57,7 @@
         Forwarder forwarder = exchange.forwarder;
         List<TrackedServer> servers = forwarder.fleet().servers(exchange.service.name(), TrackedServer.Stage.PREFILL);
         TrackedServer picked =
-                forwarder.pairs().prefill(exchange.loop.now(), servers, exchange.prefix, exchange::untried);
+                forwarder.pairs().pickPrefillServer(exchange.loop.now(), servers, exchange.prefix, exchange::untried);
         return picked == null ? null : forwarder.fleet().server(picked);
     }
 
@@ -67,7 +67,7 @@
     }
 
     private void overdue() {
-        if (exchange.over() || call.over() || !exchange.forwarder.policy().uses(Mechanism.PATIENCE)) {
+        if (exchange.over() || call.over() || !exchange.forwarder.policy().isEnabled(Mechanism.PATIENCE)) {
             return;
         }
         Server other = choose();
@@ -77,7 +77,7 @@
             return;
         }
         boolean waits =
-                !exchange.mayBeReadAtDecode() && exchange.forwarder.policy().uses(Mechanism.LONG_WAIT);
+                !exchange.mayBeReadAtDecode() && exchange.forwarder.policy().isEnabled(Mechanism.LONG_WAIT);
         double left = waits ? exchange.lastResortAt() - exchange.loop.now() : 0;
         if (left > 0) { // a decode server would hold its other streams up
             patience = exchange.loop.after(left, this::overdue);
@@ -144,8 +144,8 @@
                 again();
                 return;
             }
-            double expected = PrefillDecodePicker.readingMs(exchange.ownTokens());
-            server.state.queued(exchange.loop.now(), call.took() - expected);
+            double expected = PrefillDecodePicker.prefillMs(exchange.ownTokens());
+            server.state.recordQueueDelay(exchange.loop.now(), call.took() - expected);
             exchange.readAt = exchange.loop.now();
             exchange.forwarder.counters().add(Count.PREFILL_MS, (long) (exchange.readAt - exchange.arrivedAt));
             exchange.handover.keep(new KvHandle(server, answer.get().handle()));
--- a/dataplane/src/main/java/dewplank/dataplane/ServerCall.java
+++ b/dataplane/src/main/java/dewplank/dataplane/ServerCall.java
@@ -13,7 +13,7 @@
     private final EventLoop loop;
     private final Counters counters;
     private final HttpCall call;
-    private TrackedServer.Flight flight;
+    private TrackedServer.InFlightRequest flight;
     private double startedAt;
 
     ServerCall(
@@ -42,7 +42,7 @@
 
     void start(double connectTimeoutMs) {
         startedAt = loop.now();
-        flight = server.state.began(startedAt, tokens);
+        flight = server.state.requestStarted(startedAt, tokens);
         call.start(connectTimeoutMs);
         if (!call.reused()) {
             counters.add(Counters.Count.CONNECTIONS);
@@ -68,7 +68,7 @@
     /** The prompt has been read: its tokens weigh on the server no more. */
     void promptRead() {
         if (flight != null) {
-            server.state.read(flight);
+            server.state.promptPrefilled(flight);
         }
     }
 
@@ -84,7 +84,7 @@
 
     private void release() {
         if (flight != null) {
-            server.state.ended(flight);
+            server.state.requestEnded(flight);
             flight = null;
         }
     }
--- a/dataplane/src/test/java/dewplank/dataplane/FleetViewTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/FleetViewTest.java
@@ -105,9 +105,9 @@
         TrackedServer a = OnLoop.get(net.loop, () -> net.view.servers(PLAIN).get(0));
         listed(list(1, 2, "c", "a"));
         assertTrue(OnLoop.get(net.loop, () -> net.view.servers(PLAIN).contains(a)));
-        assertTrue(a.ready());
+        assertTrue(a.isReady());
         listed(list(1, 3, "c"));
-        assertFalse(a.ready());
+        assertFalse(a.isReady());
         listed(list(1, 4, "a"));
         assertNotSame(a, OnLoop.get(net.loop, () -> net.view.servers(PLAIN).get(0)));
     }
--- a/routing/src/main/java/dewplank/routing/EventSplitter.java
+++ b/routing/src/main/java/dewplank/routing/EventSplitter.java
@@ -10,10 +10,10 @@
  */
 public final class EventSplitter {
     /** An unfinished event beyond this is passed on as it is. */
-    static final int MOST_UNFINISHED = 256 * 1024;
+    static final int MAX_INCOMPLETE_BYTES = 256 * 1024;
 
     private final ByteArrayOutputStream unfinished = new ByteArrayOutputStream();
-    private String lastId;
+    private String lastEventId;
     private String unfinishedId;
     private boolean unfinishedData;
     private boolean beyondId;
@@ -34,9 +34,9 @@
             }
         }
         unfinished.write(bytes, start, bytes.length - start);
-        if (unfinished.size() > MOST_UNFINISHED) {
+        if (unfinished.size() > MAX_INCOMPLETE_BYTES) {
             beyondId = true;
-            whole.writeBytes(takeUnfinished());
+            whole.writeBytes(drainIncompleteEvent());
         }
         return whole.toByteArray();
     }
@@ -60,7 +60,7 @@
 
     private void endEvent() {
         if (unfinishedId != null) {
-            lastId = unfinishedId;
+            lastEventId = unfinishedId;
             beyondId = false;
         } else {
             beyondId |= unfinishedData;
@@ -81,14 +81,14 @@
     }
 
     /** What has come of an event that is not whole; forgotten by this call. */
-    public byte[] takeUnfinished() {
+    public byte[] drainIncompleteEvent() {
         byte[] rest = unfinished.toByteArray();
         unfinished.reset();
         return rest;
     }
 
     /** Drops an unfinished event: another server continues the stream. */
-    public void restart() {
+    public void discardIncompleteEvent() {
         unfinished.reset();
         unfinishedId = null;
         unfinishedData = false;
@@ -98,25 +98,25 @@
     }
 
     /** Whether an event has begun and is not whole. */
-    public boolean midEvent() {
+    public boolean isMidEvent() {
         return unfinished.size() > 0;
     }
 
     /**
-     * Whether the stream can be continued behind {@link #lastId} with nothing repeated: no event without an id, and no
-     * part of one, has been passed on since.
+     * Whether the stream can be continued behind {@link #lastEventId} with nothing repeated: no event without an id,
+     * and no part of one, has been passed on since.
      */
-    public boolean resumable() {
+    public boolean isResumable() {
         return !beyondId;
     }
 
     /** The id of the last whole event, as the server wrote it; null before the first. */
-    public String lastId() {
-        return lastId;
+    public String lastEventId() {
+        return lastEventId;
     }
 
     @Override
     public String toString() {
-        return "after event " + lastId + ", " + new String(unfinished.toByteArray(), StandardCharsets.UTF_8);
+        return "after event " + lastEventId + ", " + new String(unfinished.toByteArray(), StandardCharsets.UTF_8);
     }
 }
--- a/routing/src/main/java/dewplank/routing/FleetSizeEstimator.java
+++ b/routing/src/main/java/dewplank/routing/FleetSizeEstimator.java
@@ -33,7 +33,7 @@
     }
 
     /** The newest list names so many data planes; an empty one says nothing. */
-    public void told(double now, int dataPlanes) {
+    public void recordMembership(double now, int dataPlanes) {
         if (dataPlanes == 0) {
             return;
         }
@@ -47,7 +47,7 @@
     }
 
     /** Whether the number can be relied on: before, no part of what all share may be used. */
-    public boolean settled(double now) {
+    public boolean isSettled(double now) {
         return known && now - knownSince >= settleMs;
     }
 
--- a/routing/src/main/java/dewplank/routing/HealthSummary.java
+++ b/routing/src/main/java/dewplank/routing/HealthSummary.java
@@ -14,7 +14,7 @@
  * ones, as room is left, hash (4) and age (1). Ages are in tenths of a second.
  */
 public record HealthSummary(long incarnation, int sequence, List<Suspected> suspected, List<Healthy> healthy) {
-    public static final int MOST_BYTES = 256;
+    public static final int MAX_BYTES = 256;
     private static final byte VERSION = 2;
     private static final int HEAD_BYTES = 1 + Long.BYTES + Integer.BYTES + 1;
     private static final int SUSPECTED_BYTES = Integer.BYTES + 2;
@@ -38,9 +38,9 @@
     public record Healthy(int server, double ageMs) {}
 
     /** Suspected ones first: with many servers only they find room. */
-    public byte[] bytes() {
-        int sick = Math.min(suspected.size(), (MOST_BYTES - HEAD_BYTES) / SUSPECTED_BYTES);
-        int room = (MOST_BYTES - HEAD_BYTES - sick * SUSPECTED_BYTES) / HEALTHY_BYTES;
+    public byte[] encode() {
+        int sick = Math.min(suspected.size(), (MAX_BYTES - HEAD_BYTES) / SUSPECTED_BYTES);
+        int room = (MAX_BYTES - HEAD_BYTES - sick * SUSPECTED_BYTES) / HEALTHY_BYTES;
         int well = Math.min(healthy.size(), room);
         ByteBuffer out = ByteBuffer.allocate(HEAD_BYTES + SUSPECTED_BYTES * sick + HEALTHY_BYTES * well);
         out.put(VERSION).putLong(incarnation).putInt(sequence).put((byte) sick);
@@ -58,8 +58,8 @@
     }
 
     /** The summary that these bytes hold, or null: torn, foreign or of another version. */
-    public static HealthSummary of(byte[] bytes) {
-        if (bytes.length < HEAD_BYTES || bytes.length > MOST_BYTES) {
+    public static HealthSummary decode(byte[] bytes) {
+        if (bytes.length < HEAD_BYTES || bytes.length > MAX_BYTES) {
             return null;
         }
         ByteBuffer in = ByteBuffer.wrap(bytes);
@@ -87,7 +87,7 @@
     }
 
     /** Whether it is newer than the other one of the same sidecar; incarnations begin with the time of the start. */
-    boolean newerThan(HealthSummary other) {
+    boolean isNewerThan(HealthSummary other) {
         return other == null
                 || incarnation > other.incarnation
                 || incarnation == other.incarnation && sequence > other.sequence;
--- a/routing/src/main/java/dewplank/routing/HealthVotes.java
+++ b/routing/src/main/java/dewplank/routing/HealthVotes.java
@@ -15,7 +15,7 @@
     /** Peers remembered: beyond, newcomers are not heard. */
     private static final int MOST_PEERS = 1_024;
     /** Failures, here and at peers together, before any verdict, as the design has it for one sidecar. */
-    private static final int FAILURES_FLOOR = OutcomeWindow.FAILURES_FLOOR;
+    private static final int FAILURES_FLOOR = OutcomeWindow.MIN_FAILURES;
     /**
      * A failure that is older than what the server has served since, by more than this, is no vote against it: its
      * latest status is that it serves. Half a second covers the rounding of ages and datagrams that cross.
@@ -40,10 +40,10 @@
     }
 
     /** One that comes late, twice or after a newer one changes nothing. */
-    public void hear(double now, String peer, HealthSummary summary) {
+    public void recordSummary(double now, String peer, HealthSummary summary) {
         Heard last = peers.get(peer);
         boolean room = last != null || peers.size() < MOST_PEERS;
-        if (room && summary.newerThan(last == null ? null : last.summary())) {
+        if (room && summary.isNewerThan(last == null ? null : last.summary())) {
             Map<Integer, Suspicion> suspected = new HashMap<>();
             summary.suspected().forEach(s -> suspected.put(s.server(), new Suspicion(s.failures(), now - s.ageMs())));
             Map<Integer, Double> healthyAt = new HashMap<>();
@@ -53,7 +53,7 @@
     }
 
     /** Lets go of what is stale. */
-    public void forgetStale(double now) {
+    public void evictStale(double now) {
         for (Iterator<Heard> i = peers.values().iterator(); i.hasNext(); ) {
             if (now - i.next().at() > FRESH_MS) {
                 i.remove();
@@ -65,20 +65,20 @@
      * Whether a simple majority of those that vote finds the server unhealthy, and enough requests have failed there.
      * A tie goes by own traffic.
      */
-    public boolean condemned(double now, String server, OutcomeWindow own) {
-        if (!policy.uses(Mechanism.CONDEMNATION)) {
+    public boolean isEjected(double now, String server, OutcomeWindow own) {
+        if (!policy.isEnabled(Mechanism.CONDEMNATION)) {
             return false;
         }
-        int floor = policy.uses(Mechanism.POOLED_FAILURES) ? 1 : FAILURES_FLOOR; // of one data plane's
+        int floor = policy.isEnabled(Mechanism.POOLED_FAILURES) ? 1 : FAILURES_FLOOR; // of one data plane's
         Integer hash = server.hashCode();
-        double servedAt = own.lastServed();
+        double servedAt = own.lastSuccessAtMs();
         for (Heard heard : peers.values()) {
             if (now - heard.at() <= FRESH_MS) {
                 servedAt = Math.max(servedAt, heard.healthyAt().getOrDefault(hash, Double.NEGATIVE_INFINITY));
             }
         }
-        boolean ownVote = own.unhealthy(now, floor) && own.lastFailure() >= servedAt - OUTDATED_MS;
-        int failures = ownVote ? own.failures(now) : 0;
+        boolean ownVote = own.isUnhealthy(now, floor) && own.lastFailureAtMs() >= servedAt - OUTDATED_MS;
+        int failures = ownVote ? own.failureCount(now) : 0;
         int votes = ownVote ? 1 : 0;
         int voters = 1;
         for (Heard heard : peers.values()) {
--- a/routing/src/main/java/dewplank/routing/Mechanism.java
+++ b/routing/src/main/java/dewplank/routing/Mechanism.java
@@ -45,12 +45,12 @@
     SEVERAL_ORDERS;
 
     /** The name on the command line. */
-    public String text() {
+    public String optionName() {
         return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
     /** The one of that name. */
-    public static Optional<Mechanism> of(String text) {
-        return Stream.of(values()).filter(m -> m.text().equals(text)).findFirst();
+    public static Optional<Mechanism> ofOptionName(String text) {
+        return Stream.of(values()).filter(m -> m.optionName().equals(text)).findFirst();
     }
 }
--- a/routing/src/main/java/dewplank/routing/OutcomeWindow.java
+++ b/routing/src/main/java/dewplank/routing/OutcomeWindow.java
@@ -12,7 +12,7 @@
  */
 public final class OutcomeWindow {
     /** Unhealthy ones in the window before any verdict, as the design has it. */
-    static final int FAILURES_FLOOR = 3;
+    static final int MIN_FAILURES = 3;
 
     private static final double WINDOW_MS = 10_000; // recent observations, as the design has it
 
@@ -20,25 +20,25 @@
 
     private final ServerHealth health = new ServerHealth();
     private final Map<String, ArrayDeque<Outcome>> contexts = new HashMap<>();
-    private double lastFailure = Double.NEGATIVE_INFINITY;
+    private double lastFailureAtMs = Double.NEGATIVE_INFINITY;
 
     /** Takes the outcome of one request of that context (its class). */
-    public void observe(double now, String context, boolean healthy) {
+    public void record(double now, String context, boolean healthy) {
         health.observe(now, context, healthy);
         contexts.computeIfAbsent(context, c -> new ArrayDeque<>()).addLast(new Outcome(now, healthy));
-        lastFailure = healthy ? lastFailure : now;
+        lastFailureAtMs = healthy ? lastFailureAtMs : now;
     }
 
     /**
      * Whether any context with so many failures or more is unhealthy: by its latest outcome, unless the server served
      * another context since, or as healthy ones lack a majority.
      */
-    boolean unhealthy(double now, int floor) {
+    boolean isUnhealthy(double now, int floor) {
         forgetOld(now);
         for (ArrayDeque<Outcome> window : contexts.values()) {
-            long failures = failures(window);
+            long failures = failureCount(window);
             Outcome latest = window.peekLast();
-            boolean lastFailed = latest != null && !latest.healthy() && latest.at() > lastServed();
+            boolean lastFailed = latest != null && !latest.healthy() && latest.at() > lastSuccessAtMs();
             if (failures >= floor && (lastFailed || 2 * failures >= window.size())) {
                 return true;
             }
@@ -47,18 +47,19 @@
     }
 
     /** The same, however few failures there are. */
-    public boolean suspect(double now) {
-        return lastFailure >= now - WINDOW_MS && unhealthy(now, 1);
+    public boolean isSuspect(double now) {
+        return lastFailureAtMs >= now - WINDOW_MS && isUnhealthy(now, 1);
     }
 
     /** Requests that failed within the window. */
-    public int failures(double now) {
+    public int failureCount(double now) {
         forgetOld(now);
-        return (int)
-                contexts.values().stream().mapToLong(OutcomeWindow::failures).sum();
+        return (int) contexts.values().stream()
+                .mapToLong(OutcomeWindow::failureCount)
+                .sum();
     }
 
-    private static long failures(ArrayDeque<Outcome> window) {
+    private static long failureCount(ArrayDeque<Outcome> window) {
         return window.stream().filter(o -> !o.healthy()).count();
     }
 
@@ -72,12 +73,12 @@
     }
 
     /** When a request last failed, or negative infinity. */
-    public double lastFailure() {
-        return lastFailure;
+    public double lastFailureAtMs() {
+        return lastFailureAtMs;
     }
 
     /** When a request was last served, or negative infinity. */
-    public double lastServed() {
+    public double lastSuccessAtMs() {
         return health.lastHealthy();
     }
 
--- a/routing/src/main/java/dewplank/routing/Policy.java
+++ b/routing/src/main/java/dewplank/routing/Policy.java
@@ -5,12 +5,12 @@
 import java.util.Set;
 
 /** Which mechanisms decide: all of them, but in a trial. */
-public record Policy(Set<Mechanism> off) {
+public record Policy(Set<Mechanism> disabled) {
     /** As it is served. */
     public static final Policy ALL_ENABLED = new Policy(EnumSet.noneOf(Mechanism.class));
 
-    public Policy(Set<Mechanism> off) {
-        this.off = Set.copyOf(off);
+    public Policy(Set<Mechanism> disabled) {
+        this.disabled = Set.copyOf(disabled);
     }
 
     /** For a trial: all mechanisms but these. */
@@ -19,7 +19,7 @@
     }
 
     /** Whether the mechanism decides. */
-    public boolean uses(Mechanism mechanism) {
-        return !off.contains(mechanism);
+    public boolean isEnabled(Mechanism mechanism) {
+        return !disabled.contains(mechanism);
     }
 }
--- a/routing/src/main/java/dewplank/routing/PrefillDecodePicker.java
+++ b/routing/src/main/java/dewplank/routing/PrefillDecodePicker.java
@@ -38,42 +38,44 @@
     }
 
     /** A prompt came: lengths are learned. */
-    public void saw(PromptPrefix prefix) {
-        lanes.saw(prefix.tokens());
+    public void recordPrompt(PromptPrefix prefix) {
+        lanes.recordPrompt(prefix.tokens());
     }
 
     /** The prefill server: that of the prefix, unless another one is likely sooner by more than it spares. */
-    public TrackedServer prefill(
+    public TrackedServer pickPrefillServer(
             double now, List<TrackedServer> all, PromptPrefix prefix, Predicate<TrackedServer> allowed) {
-        boolean split = choice.policy().uses(Mechanism.LANES);
-        List<TrackedServer> servers = split ? lanes.lane(all, prefix.tokens()) : all;
+        boolean split = choice.policy().isEnabled(Mechanism.LANES);
+        List<TrackedServer> servers = split ? lanes.serversFor(all, prefix.tokens()) : all;
         return choice.pick(
                 now,
-                new ServerPicker.Query(
+                new ServerPicker.PickArguments(
                         servers,
                         allowed,
-                        s -> prefillWait(now, s),
+                        s -> estimatedPrefillWaitMs(now, s),
                         home(now, servers, prefix),
                         PREFERENCE * prefix.sharedTokens() / TOKENS_PER_MS,
                         true));
     }
 
     /** Milliseconds until a prompt sent there now is begun: by own requests, by what others met, or by being stuck. */
-    public double prefillWait(double now, TrackedServer s) {
-        double told = choice.policy().uses(Mechanism.QUEUE_MEMORY) ? s.queueMs(now) : 0;
+    public double estimatedPrefillWaitMs(double now, TrackedServer s) {
+        double told = choice.policy().isEnabled(Mechanism.QUEUE_MEMORY) ? s.estimatedQueueDelayMs(now) : 0;
         double queue = Math.max(s.tokensInFlight() / TOKENS_PER_MS, told);
-        double stuck = choice.policy().uses(Mechanism.STUCK) && s.waitedMs(now) > STUCK_MS + queue ? STUCK_COSTS_MS : 0;
+        double stuck = choice.policy().isEnabled(Mechanism.STUCK) && s.oldestPrefillWaitMs(now) > STUCK_MS + queue
+                ? STUCK_COSTS_MS
+                : 0;
         return queue + stuck;
     }
 
     /** What a prompt of so many tokens takes by itself. */
-    public static double readingMs(long tokens) {
+    public static double prefillMs(long tokens) {
         return tokens / TOKENS_PER_MS;
     }
 
     /** What it takes at a decode server, which prefills at half the pace. */
-    public static double readingAtDecodeMs(long tokens) {
-        return 2 * readingMs(tokens);
+    public static double prefillAtDecodeServerMs(long tokens) {
+        return 2 * prefillMs(tokens);
     }
 
     /**
@@ -82,7 +84,7 @@
      * @param zone the zone in which the prompt was read; null: the decode server is to read it
      * @param connected whether a connection to it rests here, so that none has to be opened
      */
-    public TrackedServer decode(
+    public TrackedServer pickDecodeServer(
             double now,
             List<TrackedServer> servers,
             PromptPrefix prefix,
@@ -93,7 +95,7 @@
         if (zone == null) {
             return choice.pick(
                     now,
-                    new ServerPicker.Query(
+                    new ServerPicker.PickArguments(
                             servers,
                             allowed,
                             s -> load(now, s),
@@ -103,7 +105,7 @@
         }
         return choice.pick(
                 now,
-                new ServerPicker.Query(
+                new ServerPicker.PickArguments(
                         servers,
                         allowed,
                         s -> load(now, s)
@@ -115,22 +117,22 @@
     }
 
     private double connectTokens() {
-        return choice.policy().uses(Mechanism.REUSE) ? CONNECT_TOKENS : 0;
+        return choice.policy().isEnabled(Mechanism.REUSE) ? CONNECT_TOKENS : 0;
     }
 
     private double awayTokens() {
-        return choice.policy().uses(Mechanism.ZONE) ? AWAY_TOKENS : 0;
+        return choice.policy().isEnabled(Mechanism.ZONE) ? AWAY_TOKENS : 0;
     }
 
     private double load(double now, TrackedServer s) {
-        boolean stuck = choice.policy().uses(Mechanism.STUCK) && s.waitedMs(now) > STUCK_MS;
+        boolean stuck = choice.policy().isEnabled(Mechanism.STUCK) && s.oldestPrefillWaitMs(now) > STUCK_MS;
         return (stuck ? STUCK_COSTS_MS * TOKENS_PER_MS : 0) + s.tokensInFlight() + REQUEST_TOKENS * s.inFlight();
     }
 
     private TrackedServer home(double now, List<TrackedServer> servers, PromptPrefix prefix) {
-        String subject = prefix.subject();
-        return subject == null || !choice.policy().uses(Mechanism.HOMES)
+        String subject = prefix.affinityKey();
+        return subject == null || !choice.policy().isEnabled(Mechanism.HOMES)
                 ? null
-                : PrefixAffinity.home(subject, choice.drawable(now, servers));
+                : PrefixAffinity.ownerOf(subject, choice.eligibleServers(now, servers));
     }
 }
--- a/routing/src/main/java/dewplank/routing/PrefillQueues.java
+++ b/routing/src/main/java/dewplank/routing/PrefillQueues.java
@@ -14,8 +14,8 @@
     private final PromptLengthEstimator sizes = new PromptLengthEstimator();
 
     /** A prompt of so many tokens came. */
-    public void saw(long tokens) {
-        sizes.saw(tokens);
+    public void recordPrompt(long tokens) {
+        sizes.recordPrompt(tokens);
     }
 
     /**
@@ -24,10 +24,10 @@
      * @param servers all that prefill
      * @param tokens of the prompt
      */
-    public List<TrackedServer> lane(List<TrackedServer> servers, long tokens) {
+    public List<TrackedServer> serversFor(List<TrackedServer> servers, long tokens) {
         List<TrackedServer> ready = new ArrayList<>(servers);
-        ready.removeIf(s -> !s.ready());
-        int kept = (int) Math.round(HEADROOM * sizes.shortShare() * ready.size());
+        ready.removeIf(s -> !s.isReady());
+        int kept = (int) Math.round(HEADROOM * sizes.shortTokenFraction() * ready.size());
         if (kept < LEAST_SERVERS || ready.size() - kept < LEAST_SERVERS) {
             return servers;
         }
--- a/routing/src/main/java/dewplank/routing/PrefixAffinity.java
+++ b/routing/src/main/java/dewplank/routing/PrefixAffinity.java
@@ -10,7 +10,7 @@
     private PrefixAffinity() {}
 
     /** The server for that key, or null if there is none. */
-    public static TrackedServer home(String key, List<TrackedServer> servers) {
+    public static TrackedServer ownerOf(String key, List<TrackedServer> servers) {
         TrackedServer first = null;
         long most = 0;
         for (TrackedServer s : servers) {
--- a/routing/src/main/java/dewplank/routing/PromptLengthEstimator.java
+++ b/routing/src/main/java/dewplank/routing/PromptLengthEstimator.java
@@ -22,7 +22,7 @@
     private int seen;
 
     /** A prompt of so many tokens came. */
-    public void saw(long tokens) {
+    public void recordPrompt(long tokens) {
         double weight = Math.max(STEP, 1.0 / (seen + 1));
         seen = Math.min(seen + 1, Integer.MAX_VALUE - 1);
         meanTokens += (tokens - meanTokens) * weight;
@@ -41,7 +41,7 @@
     }
 
     /** The part of all tokens that short prompts bring; 0 while little is known. */
-    public double shortShare() {
+    public double shortTokenFraction() {
         return seen < LEAST_SEEN ? 0 : toldShare;
     }
 }
--- a/routing/src/main/java/dewplank/routing/RetryBudget.java
+++ b/routing/src/main/java/dewplank/routing/RetryBudget.java
@@ -28,13 +28,13 @@
     }
 
     /** A client's request for the service came. */
-    public void request(double now) {
+    public void recordRequest(double now) {
         requests.addLast(now);
         forget(now);
     }
 
     /** Takes one repeated send out of the budget; false where none is left. */
-    public boolean take(double now, int sidecars) {
+    public boolean tryAcquire(double now, int sidecars) {
         forget(now);
         double allowed = RATIO_USED * ratio * requests.size() + SLACK_USED * slack / Math.max(1, sidecars);
         if (repeats.size() + 1 > allowed) {
@@ -45,7 +45,7 @@
     }
 
     /** A send turned out to be a repeat after it was made. */
-    public void charge(double now) {
+    public void recordRetry(double now) {
         repeats.addLast(now);
     }
 
--- a/routing/src/main/java/dewplank/routing/ServerPicker.java
+++ b/routing/src/main/java/dewplank/routing/ServerPicker.java
@@ -26,16 +26,17 @@
     private static final double AWAY_WEIGHT = 0.25; // of a server in another zone, in draws
 
     /** What one pick asks for. */
-    public record Query(
+    public record PickArguments(
             List<TrackedServer> servers,
             Predicate<TrackedServer> allowed,
             ToDoubleFunction<TrackedServer> load,
             TrackedServer preferred,
             double preference,
-            boolean mayTry) {
+            boolean allowsTrial) {
         /** Any of the servers, by requests in flight. */
-        public static Query of(List<TrackedServer> servers, Predicate<TrackedServer> allowed, boolean mayTry) {
-            return new Query(servers, allowed, TrackedServer::inFlight, null, 0, mayTry);
+        public static PickArguments byInFlight(
+                List<TrackedServer> servers, Predicate<TrackedServer> allowed, boolean mayTry) {
+            return new PickArguments(servers, allowed, TrackedServer::inFlight, null, 0, mayTry);
         }
     }
 
@@ -68,50 +69,50 @@
     }
 
     /** Whether the votes of this sidecar and its peers find the server unhealthy. */
-    public boolean condemned(double now, TrackedServer s) {
-        if (now - s.condemnedCheckedAt() >= VERDICT_FRESH_MS) {
+    public boolean isEjected(double now, TrackedServer s) {
+        if (now - s.verdictAtMs() >= VERDICT_FRESH_MS) {
             judge(now, s);
         }
-        return s.condemned();
+        return s.isEjected();
     }
 
     /** An outcome was observed: the verdict may turn. */
-    public void observe(double now, TrackedServer s, String context, boolean healthy) {
-        s.outcomes().observe(now, context, healthy);
+    public void recordOutcome(double now, TrackedServer s, String context, boolean healthy) {
+        s.outcomes().record(now, context, healthy);
         judge(now, s);
         if (healthy) {
-            s.served();
+            s.resetBackoff();
         }
     }
 
     /** The first trial of a verdict comes at a time of its own at each sidecar, the next ones at the same pace. */
     private void judge(double now, TrackedServer s) {
-        boolean before = s.condemned();
-        s.judged(now, votes.condemned(now, s.instanceId(), s.outcomes()));
-        if (s.condemned() && !before) {
-            s.tried(now - random.nextDouble() * trialPauseMs());
+        boolean before = s.isEjected();
+        s.recordVerdict(now, votes.isEjected(now, s.instanceId(), s.outcomes()));
+        if (s.isEjected() && !before) {
+            s.recordTrial(now - random.nextDouble() * trialPauseMs());
         }
     }
 
     private double trialPauseMs() {
-        double share = policy.uses(Mechanism.FLEET_TRIALS) ? sidecars.getAsInt() / TRIALS_PER_SECOND : 0;
+        double share = policy.isEnabled(Mechanism.FLEET_TRIALS) ? sidecars.getAsInt() / TRIALS_PER_SECOND : 0;
         return Math.max(SHORTEST_TRIAL_PAUSE_MS, MS_PER_SECOND * share);
     }
 
     /** A server, or null where none may be sent to. */
-    public TrackedServer pick(double now, Query query) {
+    public TrackedServer pick(double now, PickArguments query) {
         List<TrackedServer> ready = new ArrayList<>();
         List<TrackedServer> free = new ArrayList<>();
         for (TrackedServer s : query.servers()) {
-            if (s.ready()) {
+            if (s.isReady()) {
                 ready.add(s);
-                if (!condemned(now, s)) {
+                if (!isEjected(now, s)) {
                     free.add(s);
                 }
             }
         }
         boolean enoughFree = 2 * free.size() >= ready.size();
-        if (enoughFree && query.mayTry()) {
+        if (enoughFree && query.allowsTrial()) {
             TrackedServer trial = trial(now, ready, query);
             if (trial != null) {
                 return trial;
@@ -121,30 +122,30 @@
     }
 
     /** The servers among which draws are made now. */
-    public List<TrackedServer> drawable(double now, List<TrackedServer> servers) {
+    public List<TrackedServer> eligibleServers(double now, List<TrackedServer> servers) {
         List<TrackedServer> ready =
-                servers.stream().filter(TrackedServer::ready).toList();
+                servers.stream().filter(TrackedServer::isReady).toList();
         List<TrackedServer> free =
-                ready.stream().filter(s -> !condemned(now, s)).toList();
+                ready.stream().filter(s -> !isEjected(now, s)).toList();
         return 2 * free.size() >= ready.size() ? free : ready;
     }
 
-    private TrackedServer trial(double now, List<TrackedServer> ready, Query query) {
+    private TrackedServer trial(double now, List<TrackedServer> ready, PickArguments query) {
         for (TrackedServer s : ready) {
-            if (s.condemned()
-                    && now - s.lastTrialAt() >= trialPauseMs()
+            if (s.isEjected()
+                    && now - s.lastTrialAtMs() >= trialPauseMs()
                     && query.allowed().test(s)) {
-                s.tried(now);
+                s.recordTrial(now);
                 return s;
             }
         }
         return null;
     }
 
-    private TrackedServer pickTwo(double now, List<TrackedServer> drawable, Query query) {
+    private TrackedServer pickTwo(double now, List<TrackedServer> drawable, PickArguments query) {
         List<TrackedServer> fitting = new ArrayList<>();
         for (TrackedServer s : drawable) {
-            if ((!s.resting(now) || !policy.uses(Mechanism.RESTING))
+            if ((!s.isBackingOff(now) || !policy.isEnabled(Mechanism.RESTING))
                     && query.allowed().test(s)) {
                 fitting.add(s);
             }
@@ -155,7 +156,7 @@
         boolean usePreferred = query.preferred() != null && fitting.contains(query.preferred());
         TrackedServer first = usePreferred ? query.preferred() : WeightedDraw.one(fitting, null, this::weight, random);
         TrackedServer second = WeightedDraw.one(fitting, first, this::weight, random);
-        if (second == null || !policy.uses(Mechanism.TWO_CHOICES)) {
+        if (second == null || !policy.isEnabled(Mechanism.TWO_CHOICES)) {
             return first;
         }
         double bonus = usePreferred ? query.preference() : 0;
@@ -163,7 +164,7 @@
     }
 
     private double weight(TrackedServer s) {
-        double health = policy.uses(Mechanism.WEIGHTS) ? s.outcomes().weight() : 1;
-        return health * (s.zone().equals(ownZone) || !policy.uses(Mechanism.ZONE) ? 1 : AWAY_WEIGHT);
+        double health = policy.isEnabled(Mechanism.WEIGHTS) ? s.outcomes().weight() : 1;
+        return health * (s.zone().equals(ownZone) || !policy.isEnabled(Mechanism.ZONE) ? 1 : AWAY_WEIGHT);
     }
 }
--- a/routing/src/main/java/dewplank/routing/TrackedServer.java
+++ b/routing/src/main/java/dewplank/routing/TrackedServer.java
@@ -23,15 +23,15 @@
     private final String zone;
     private final OutcomeWindow outcomes = new OutcomeWindow();
     private Stage stage;
-    private boolean ready = true;
-    private boolean condemned;
-    private double condemnedCheckedAt = Double.NEGATIVE_INFINITY;
-    private double lastTrialAt = Double.NEGATIVE_INFINITY;
+    private boolean isReady = true;
+    private boolean isEjected;
+    private double verdictAtMs = Double.NEGATIVE_INFINITY;
+    private double lastTrialAtMs = Double.NEGATIVE_INFINITY;
     private double restUntil = Double.NEGATIVE_INFINITY;
     private double restMs;
-    private final Set<Flight> flights = new LinkedHashSet<>();
-    private final Set<Flight> answeredFlights = new HashSet<>();
-    private double queueMs;
+    private final Set<InFlightRequest> flights = new LinkedHashSet<>();
+    private final Set<InFlightRequest> answeredFlights = new HashSet<>();
+    private double estimatedQueueDelayMs;
     private double queuedAt = Double.NEGATIVE_INFINITY;
     private long tokensInFlight;
 
@@ -63,13 +63,13 @@
     }
 
     /** Whether the list names it as ready; requests go to no other. */
-    public boolean ready() {
-        return ready;
+    public boolean isReady() {
+        return isReady;
     }
 
     /** What a newer list says of it. */
-    public void listed(boolean nowReady, Stage nowStage) {
-        ready = nowReady;
+    public void updateListing(boolean nowReady, Stage nowStage) {
+        isReady = nowReady;
         stage = nowStage;
     }
 
@@ -84,38 +84,38 @@
     }
 
     /** One of this sidecar's requests in flight there. */
-    public static final class Flight {
+    public static final class InFlightRequest {
         private final double since;
         private long tokens;
 
-        private Flight(double since, long tokens) {
+        private InFlightRequest(double since, long tokens) {
             this.since = since;
             this.tokens = tokens;
         }
     }
 
     /** A request is sent whose prompt has so many tokens to be read. */
-    public Flight began(double now, long tokens) {
-        Flight flight = new Flight(now, tokens);
+    public InFlightRequest requestStarted(double now, long tokens) {
+        InFlightRequest flight = new InFlightRequest(now, tokens);
         flights.add(flight);
         tokensInFlight += tokens;
         return flight;
     }
 
     /** Its prompt has been read. */
-    public void read(Flight flight) {
+    public void promptPrefilled(InFlightRequest flight) {
         tokensInFlight -= flight.tokens;
         flight.tokens = 0;
         reading(flight);
     }
 
-    public void ended(Flight flight) {
+    public void requestEnded(InFlightRequest flight) {
         if (flights.remove(flight)) {
             tokensInFlight -= flight.tokens;
         }
     }
 
-    private void reading(Flight flight) {
+    private void reading(InFlightRequest flight) {
         flights.remove(flight);
         flights.add(flight); // what has been read is no sign of a server that is stuck
         answeredFlights.add(flight);
@@ -123,8 +123,8 @@
     }
 
     /** How long the oldest request there has waited for its prompt to be read. */
-    public double waitedMs(double now) {
-        for (Flight f : flights) {
+    public double oldestPrefillWaitMs(double now) {
+        for (InFlightRequest f : flights) {
             if (!answeredFlights.contains(f)) {
                 return now - f.since;
             }
@@ -133,49 +133,50 @@
     }
 
     /** A prompt took so much longer than its tokens need: others were before it. */
-    public void queued(double now, double delayMs) {
-        queueMs = queueMs(now) + (Math.max(0, delayMs) - queueMs(now)) * QUEUE_STEP;
+    public void recordQueueDelay(double now, double delayMs) {
+        estimatedQueueDelayMs =
+                estimatedQueueDelayMs(now) + (Math.max(0, delayMs) - estimatedQueueDelayMs(now)) * QUEUE_STEP;
         queuedAt = now;
     }
 
     /** The wait that a prompt will likely meet there, from what others met lately. */
-    public double queueMs(double now) {
-        return queueMs * Math.exp((queuedAt - now) / QUEUE_TAU_MS);
+    public double estimatedQueueDelayMs(double now) {
+        return estimatedQueueDelayMs * Math.exp((queuedAt - now) / QUEUE_TAU_MS);
     }
 
     /** It turned a request away, or let no connection in: it is left alone for a while, longer each time in a row. */
-    public void rest(double now, double firstMs, double mostMs) {
+    public void backOff(double now, double firstMs, double mostMs) {
         restMs = restMs == 0 ? firstMs : Math.min(mostMs, 2 * restMs);
         restUntil = now + restMs;
     }
 
     /** It served a request: the next rest is a short one again. */
-    public void served() {
+    public void resetBackoff() {
         restMs = 0;
     }
 
-    boolean resting(double now) {
+    boolean isBackingOff(double now) {
         return now < restUntil;
     }
 
-    boolean condemned() {
-        return condemned;
+    boolean isEjected() {
+        return isEjected;
     }
 
-    void judged(double now, boolean verdict) {
-        condemned = verdict;
-        condemnedCheckedAt = now;
+    void recordVerdict(double now, boolean verdict) {
+        isEjected = verdict;
+        verdictAtMs = now;
     }
 
-    double condemnedCheckedAt() {
-        return condemnedCheckedAt;
+    double verdictAtMs() {
+        return verdictAtMs;
     }
 
-    double lastTrialAt() {
-        return lastTrialAt;
+    double lastTrialAtMs() {
+        return lastTrialAtMs;
     }
 
-    void tried(double now) {
-        lastTrialAt = now;
+    void recordTrial(double now) {
+        lastTrialAtMs = now;
     }
 }
--- a/routing/src/test/java/dewplank/routing/EventSplitterTest.java
+++ b/routing/src/test/java/dewplank/routing/EventSplitterTest.java
@@ -26,19 +26,19 @@
     void onlyWholeEventsPass() {
         EventSplitter events = new EventSplitter();
         assertEquals("", text(events.feed(bytes("id: 1\ndata: a\n"))));
-        assertNull(events.lastId(), "an event that is not whole has not been passed on");
+        assertNull(events.lastEventId(), "an event that is not whole has not been passed on");
         assertEquals("id: 1\ndata: a\n\n", text(events.feed(bytes("\nid: 2\nda"))));
-        assertEquals("1", events.lastId());
+        assertEquals("1", events.lastEventId());
     }
 
     @Test
     void whatIsUnfinishedIsDroppedWhereAnotherServerContinues() {
         EventSplitter events = new EventSplitter();
         events.feed(bytes("id: 1\ndata: a\n\nid: 2\ndata: b"));
-        events.restart();
-        assertEquals("1", events.lastId());
+        events.discardIncompleteEvent();
+        assertEquals("1", events.lastEventId());
         assertEquals("id:2\ndata: b\n\n", text(events.feed(bytes("id:2\ndata: b\n\n"))));
-        assertEquals("2", events.lastId());
+        assertEquals("2", events.lastEventId());
     }
 
     /** The first line of an event at which the version of the weights changes. */
@@ -47,20 +47,20 @@
         EventSplitter events = new EventSplitter();
         String event = "versions: 3\nid: 4\ndata: a\n\n";
         assertEquals(event, text(events.feed(bytes(event))));
-        assertEquals("4", events.lastId());
+        assertEquals("4", events.lastEventId());
     }
 
     @Test
     void linesMayEndWithCarriageReturns() {
         EventSplitter events = new EventSplitter();
         assertEquals("id: 7\r\ndata: a\r\n\r\n", text(events.feed(bytes("id: 7\r\ndata: a\r\n\r\nda"))));
-        assertEquals("7", events.lastId());
+        assertEquals("7", events.lastEventId());
     }
 
     @Test
     void anEndlessEventIsPassedOnInTheEnd() {
         EventSplitter events = new EventSplitter();
-        byte[] line = new byte[EventSplitter.MOST_UNFINISHED];
+        byte[] line = new byte[EventSplitter.MAX_INCOMPLETE_BYTES];
         java.util.Arrays.fill(line, (byte) 'x');
         assertEquals(0, events.feed(line).length);
         assertEquals(line.length + 1, events.feed(bytes("x")).length);
@@ -70,29 +70,29 @@
     @Test
     void aStreamIsResumableOnlyBehindAllThatWasPassedOn() {
         EventSplitter events = new EventSplitter();
-        assertTrue(events.resumable());
+        assertTrue(events.isResumable());
         events.feed(bytes("id: 1\ndata: a\n\nid: 2\ndata: b"));
-        assertTrue(events.resumable() && events.midEvent(), "what is unfinished has not been passed on");
+        assertTrue(events.isResumable() && events.isMidEvent(), "what is unfinished has not been passed on");
         events.feed(bytes("\n\n: a comment\n\n"));
-        assertTrue(events.resumable() && !events.midEvent());
+        assertTrue(events.isResumable() && !events.isMidEvent());
         events.feed(bytes("data: without an id\n\n"));
-        assertFalse(events.resumable());
-        events.restart();
-        assertFalse(events.resumable());
+        assertFalse(events.isResumable());
+        events.discardIncompleteEvent();
+        assertFalse(events.isResumable());
         events.feed(bytes("id: 3\ndata: c\n\n"));
-        assertTrue(events.resumable());
+        assertTrue(events.isResumable());
     }
 
     @Test
     void aPartOfAnEndlessEventThatWasPassedOnCannotBeRepeated() {
         EventSplitter events = new EventSplitter();
         events.feed(bytes("id: 1\ndata: a\n\n"));
-        byte[] line = new byte[EventSplitter.MOST_UNFINISHED + 1];
+        byte[] line = new byte[EventSplitter.MAX_INCOMPLETE_BYTES + 1];
         java.util.Arrays.fill(line, (byte) 'x');
         events.feed(line);
-        assertFalse(events.resumable());
+        assertFalse(events.isResumable());
         events.feed(bytes("\nid: 2\n\n"));
-        assertTrue(events.resumable());
+        assertTrue(events.isResumable());
     }
 
     /** However a stream is cut into pieces, the same bytes come out in the same order. */
@@ -113,6 +113,6 @@
         }
         out.writeBytes(events.feed(java.util.Arrays.copyOfRange(all, at, all.length)));
         assertEquals(stream.toString(), out.toString(StandardCharsets.UTF_8));
-        assertEquals("20", events.lastId());
+        assertEquals("20", events.lastEventId());
     }
 }
--- a/routing/src/test/java/dewplank/routing/HealthVotesTest.java
+++ b/routing/src/test/java/dewplank/routing/HealthVotesTest.java
@@ -31,36 +31,36 @@
     /** With a failure of its own at that moment. */
     private boolean condemned(double now) {
         OutcomeWindow own = new OutcomeWindow();
-        own.observe(now, "class", false);
-        return votes.condemned(now, SERVER, own);
+        own.record(now, "class", false);
+        return votes.isEjected(now, SERVER, own);
     }
 
     private boolean condemnedUnseen(double now) {
-        return votes.condemned(now, SERVER, new OutcomeWindow());
+        return votes.isEjected(now, SERVER, new OutcomeWindow());
     }
 
     @Test
     void aSummaryOfAnEarlierLifeThatComesLastChangesNothing() {
-        votes.hear(0, PEER, healthy(LATER, 1));
-        votes.hear(1, "10.0.0.2", healthy(LATER, 1));
-        votes.hear(2, PEER, unhealthy(EARLIER, 900));
+        votes.recordSummary(0, PEER, healthy(LATER, 1));
+        votes.recordSummary(1, "10.0.0.2", healthy(LATER, 1));
+        votes.recordSummary(2, PEER, unhealthy(EARLIER, 900));
         assertFalse(condemned(3));
     }
 
     @Test
     void aNewLifeIsHeardFromItsFirstSummary() {
-        votes.hear(0, PEER, healthy(EARLIER, 900));
-        votes.hear(0, "10.0.0.2", healthy(EARLIER, 900));
-        votes.hear(1, PEER, unhealthy(LATER, 1));
-        votes.hear(1, "10.0.0.2", unhealthy(LATER, 1));
+        votes.recordSummary(0, PEER, healthy(EARLIER, 900));
+        votes.recordSummary(0, "10.0.0.2", healthy(EARLIER, 900));
+        votes.recordSummary(1, PEER, unhealthy(LATER, 1));
+        votes.recordSummary(1, "10.0.0.2", unhealthy(LATER, 1));
         assertTrue(condemned(2));
     }
 
     @Test
     void oneThatComesTwiceOrAfterItsSuccessorChangesNothing() {
-        votes.hear(0, PEER, healthy(LATER, 2));
-        votes.hear(1, PEER, unhealthy(LATER, 1));
-        votes.hear(2, PEER, healthy(LATER, 2));
+        votes.recordSummary(0, PEER, healthy(LATER, 2));
+        votes.recordSummary(1, PEER, unhealthy(LATER, 1));
+        votes.recordSummary(2, PEER, healthy(LATER, 2));
         assertFalse(condemnedUnseen(3));
         assertFalse(condemnedUnseen(FRESH_MS + 1), "heard at 0, not again at 2");
     }
@@ -68,18 +68,18 @@
     /** Another machine at the address, its clock behind: it is heard once what the last one said is stale. */
     @Test
     void anotherMachineAtTheAddressIsHeardOnceTheLastOnesWordIsStale() {
-        votes.hear(0, PEER, healthy(LATER, 5));
-        votes.hear(0, "10.0.0.2", healthy(LATER, 5));
-        votes.hear(FRESH_MS, PEER, unhealthy(EARLIER, 1));
+        votes.recordSummary(0, PEER, healthy(LATER, 5));
+        votes.recordSummary(0, "10.0.0.2", healthy(LATER, 5));
+        votes.recordSummary(FRESH_MS, PEER, unhealthy(EARLIER, 1));
         assertFalse(condemned(FRESH_MS));
-        votes.forgetStale(FRESH_MS + 1);
-        votes.hear(FRESH_MS + 2, PEER, unhealthy(EARLIER, 2));
+        votes.evictStale(FRESH_MS + 1);
+        votes.recordSummary(FRESH_MS + 2, PEER, unhealthy(EARLIER, 2));
         assertTrue(condemned(FRESH_MS + 3));
     }
 
     @Test
     void whatNobodyConfirmsIsForgotten() {
-        votes.hear(0, PEER, unhealthy(LATER, 1));
+        votes.recordSummary(0, PEER, unhealthy(LATER, 1));
         assertTrue(condemned(FRESH_MS));
         assertFalse(condemnedUnseen(FRESH_MS + 1));
     }
@@ -91,21 +91,21 @@
     /** At ninety sidecars none sees three failures of one server: one each at three of them are as many. */
     @Test
     void theFailuresThatAVerdictNeedsAreCountedOverAll() {
-        votes.hear(0, "10.0.0.1", failed(1, 0));
+        votes.recordSummary(0, "10.0.0.1", failed(1, 0));
         assertFalse(condemnedUnseen(1));
         assertFalse(condemned(1), "two failures");
-        votes.hear(2, "10.0.0.2", failed(1, 0));
+        votes.recordSummary(2, "10.0.0.2", failed(1, 0));
         assertFalse(condemnedUnseen(3), "two failures");
         assertTrue(condemned(3), "three failures");
-        votes.hear(4, "10.0.0.3", failed(1, 0));
+        votes.recordSummary(4, "10.0.0.3", failed(1, 0));
         assertTrue(condemnedUnseen(5), "three failures, none of them here");
     }
 
     @Test
     void aMajorityOfThoseThatSentThereHasTheSay() {
-        votes.hear(0, "10.0.0.1", failed(3, 0));
-        votes.hear(0, "10.0.0.2", healthy(LATER, 1));
-        votes.hear(0, "10.0.0.3", healthy(LATER, 1));
+        votes.recordSummary(0, "10.0.0.1", failed(3, 0));
+        votes.recordSummary(0, "10.0.0.2", healthy(LATER, 1));
+        votes.recordSummary(0, "10.0.0.3", healthy(LATER, 1));
         assertFalse(condemnedUnseen(1));
         assertTrue(condemned(1), "two of four, and a tie goes by own traffic");
     }
@@ -113,14 +113,15 @@
     /** One success after the failures tells all who hear of it that the server is back. */
     @Test
     void whatWasServedSinceOutdatesFailures() {
-        votes.hear(0, "10.0.0.1", failed(9, 0));
-        votes.hear(0, "10.0.0.2", failed(9, 100));
-        votes.hear(0, "10.0.0.4", failed(9, 0));
-        votes.hear(0, "10.0.0.5", failed(9, 0));
+        votes.recordSummary(0, "10.0.0.1", failed(9, 0));
+        votes.recordSummary(0, "10.0.0.2", failed(9, 100));
+        votes.recordSummary(0, "10.0.0.4", failed(9, 0));
+        votes.recordSummary(0, "10.0.0.5", failed(9, 0));
         assertTrue(condemnedUnseen(1));
-        votes.hear(400, "10.0.0.3", new HealthSummary(LATER, 1, List.of(), List.of(new HealthSummary.Healthy(IT, 0))));
+        votes.recordSummary(
+                400, "10.0.0.3", new HealthSummary(LATER, 1, List.of(), List.of(new HealthSummary.Healthy(IT, 0))));
         assertTrue(condemnedUnseen(401), "served at much the same time as it failed");
-        votes.hear(
+        votes.recordSummary(
                 900, "10.0.0.3", new HealthSummary(LATER, 2, List.of(), List.of(new HealthSummary.Healthy(IT, 100))));
         assertFalse(condemnedUnseen(901));
     }
@@ -132,7 +133,7 @@
                 7,
                 List.of(new HealthSummary.Suspected(IT, 3, 1_200)),
                 List.of(new HealthSummary.Healthy(-IT, 400)));
-        assertEquals(told, HealthSummary.of(told.bytes()));
+        assertEquals(told, HealthSummary.decode(told.encode()));
     }
 
     @Test
@@ -143,15 +144,15 @@
         List<HealthSummary.Healthy> healthy = IntStream.range(100, 200)
                 .mapToObj(i -> new HealthSummary.Healthy(i, 0))
                 .toList();
-        byte[] bytes = new HealthSummary(LATER, 1, suspected, healthy).bytes();
-        assertTrue(bytes.length <= HealthSummary.MOST_BYTES);
-        HealthSummary read = HealthSummary.of(bytes);
+        byte[] bytes = new HealthSummary(LATER, 1, suspected, healthy).encode();
+        assertTrue(bytes.length <= HealthSummary.MAX_BYTES);
+        HealthSummary read = HealthSummary.decode(bytes);
         assertEquals(30, read.suspected().size());
         assertEquals(
                 new HealthSummary.Suspected(0, 255, 25_500), read.suspected().get(0));
         assertTrue(read.healthy().size() >= 10, "healthy " + read.healthy().size());
         for (int length = 0; length < bytes.length; length++) { // torn ones are refused or shorter, never a fault
-            HealthSummary.of(Arrays.copyOf(bytes, length));
+            HealthSummary.decode(Arrays.copyOf(bytes, length));
         }
     }
 }
--- a/routing/src/test/java/dewplank/routing/OutcomeWindowTest.java
+++ b/routing/src/test/java/dewplank/routing/OutcomeWindowTest.java
@@ -24,8 +24,8 @@
                 String context = "class-" + random.nextInt(3);
                 boolean healthy = random.nextDouble() >= failing;
                 health.observe(now, context, healthy);
-                outcomes.observe(now, context, healthy);
-                assertEquals(health.unhealthy(now), outcomes.unhealthy(now, OutcomeWindow.FAILURES_FLOOR));
+                outcomes.record(now, context, healthy);
+                assertEquals(health.unhealthy(now), outcomes.isUnhealthy(now, OutcomeWindow.MIN_FAILURES));
                 assertEquals(health.weight(), outcomes.weight());
                 unhealthy += health.unhealthy(now) ? 1 : 0;
             }
@@ -36,15 +36,15 @@
     @Test
     void oneFailureIsASuspicionUntilItIsForgottenOrOutdated() {
         OutcomeWindow outcomes = new OutcomeWindow();
-        assertFalse(outcomes.suspect(0));
-        outcomes.observe(0, "a", false);
-        assertTrue(outcomes.suspect(1));
-        assertEquals(1, outcomes.failures(10_000));
-        assertEquals(0, outcomes.failures(10_001));
-        assertFalse(outcomes.suspect(10_001));
-        outcomes.observe(20_000, "a", false);
-        outcomes.observe(20_001, "a", true);
-        outcomes.observe(20_002, "a", true);
-        assertFalse(outcomes.suspect(20_003));
+        assertFalse(outcomes.isSuspect(0));
+        outcomes.record(0, "a", false);
+        assertTrue(outcomes.isSuspect(1));
+        assertEquals(1, outcomes.failureCount(10_000));
+        assertEquals(0, outcomes.failureCount(10_001));
+        assertFalse(outcomes.isSuspect(10_001));
+        outcomes.record(20_000, "a", false);
+        outcomes.record(20_001, "a", true);
+        outcomes.record(20_002, "a", true);
+        assertFalse(outcomes.isSuspect(20_003));
     }
 }
--- a/routing/src/test/java/dewplank/routing/PolicyTest.java
+++ b/routing/src/test/java/dewplank/routing/PolicyTest.java
@@ -29,7 +29,7 @@
     private static long picks(ServerPicker choice, double now, List<TrackedServer> servers, TrackedServer of) {
         long picks = 0;
         for (int i = 0; i < 1_000; i++) {
-            picks += choice.pick(now, ServerPicker.Query.of(servers, s -> true, false)) == of ? 1 : 0;
+            picks += choice.pick(now, ServerPicker.PickArguments.byInFlight(servers, s -> true, false)) == of ? 1 : 0;
         }
         return picks;
     }
@@ -37,11 +37,11 @@
     @Test
     void namesOnTheCommandLineAreThoseOfTheMechanisms() {
         for (Mechanism mechanism : Mechanism.values()) {
-            assertEquals(Optional.of(mechanism), Mechanism.of(mechanism.text()));
-            assertTrue(Policy.ALL_ENABLED.uses(mechanism));
-            assertFalse(Policy.without(List.of(mechanism)).uses(mechanism));
+            assertEquals(Optional.of(mechanism), Mechanism.ofOptionName(mechanism.optionName()));
+            assertTrue(Policy.ALL_ENABLED.isEnabled(mechanism));
+            assertFalse(Policy.without(List.of(mechanism)).isEnabled(mechanism));
         }
-        assertEquals(Optional.empty(), Mechanism.of("luck"));
+        assertEquals(Optional.empty(), Mechanism.ofOptionName("luck"));
     }
 
     @Test
@@ -49,7 +49,7 @@
         List<TrackedServer> servers = servers("here", "here", "here");
         ServerPicker choice = without(Mechanism.CONDEMNATION, Mechanism.WEIGHTS);
         for (int i = 0; i < 9; i++) {
-            choice.observe(0, servers.get(0), "class", false);
+            choice.recordOutcome(0, servers.get(0), "class", false);
         }
         assertTrue(picks(choice, 1, servers, servers.get(0)) > 200);
     }
@@ -60,24 +60,24 @@
         HealthSummary one =
                 new HealthSummary(1, 1, List.of(new HealthSummary.Suspected("i-0".hashCode(), 1, 0)), List.of());
         for (String peer : List.of("a", "b", "c", "d")) {
-            votes.hear(0, peer, one);
+            votes.recordSummary(0, peer, one);
         }
-        assertFalse(votes.condemned(1, "i-0", new OutcomeWindow()));
+        assertFalse(votes.isEjected(1, "i-0", new OutcomeWindow()));
     }
 
     @Test
     void withoutWeightsOneThatFailsIsDrawnAsOften() {
         List<TrackedServer> servers = servers("here", "here", "here");
         ServerPicker choice = without(Mechanism.WEIGHTS);
-        choice.observe(0, servers.get(0), "class", false);
-        choice.observe(0, servers.get(0), "class", false);
+        choice.recordOutcome(0, servers.get(0), "class", false);
+        choice.recordOutcome(0, servers.get(0), "class", false);
         assertTrue(picks(choice, 1, servers, servers.get(0)) > 250);
     }
 
     @Test
     void withoutTwoChoicesLoadIsNotCompared() {
         List<TrackedServer> servers = servers("here", "here");
-        servers.get(0).began(0, 0);
+        servers.get(0).requestStarted(0, 0);
         assertEquals(0, picks(without(), 0, servers, servers.get(0)));
         assertTrue(picks(without(Mechanism.TWO_CHOICES), 0, servers, servers.get(0)) > 400);
     }
@@ -91,7 +91,7 @@
     @Test
     void withoutRestingOneThatTurnedARequestAwayIsAskedAgain() {
         List<TrackedServer> servers = servers("here", "here");
-        servers.get(0).rest(0, 1_000, 2_000);
+        servers.get(0).backOff(0, 1_000, 2_000);
         assertEquals(0, picks(without(), 10, servers, servers.get(0)));
         assertNotEquals(0, picks(without(Mechanism.RESTING), 10, servers, servers.get(0)));
     }
@@ -105,16 +105,20 @@
         PrefillDecodePicker other = new PrefillDecodePicker(without(Mechanism.REUSE));
         int fresh = 0;
         for (int i = 0; i < 100; i++) {
-            assertEquals(connected, reusing.decode(0, servers, prompt, "here", s -> s == connected, s -> true, false));
-            fresh += other.decode(0, servers, prompt, "here", s -> s == connected, s -> true, false) == connected
+            assertEquals(
+                    connected,
+                    reusing.pickDecodeServer(0, servers, prompt, "here", s -> s == connected, s -> true, false));
+            fresh += other.pickDecodeServer(0, servers, prompt, "here", s -> s == connected, s -> true, false)
+                            == connected
                     ? 0
                     : 1;
         }
         assertTrue(fresh > 25);
         for (int i = 0; i < 2; i++) { // a little load weighs more than a connection
-            connected.began(0, 0);
+            connected.requestStarted(0, 0);
         }
-        assertNotEquals(connected, reusing.decode(0, servers, prompt, "here", s -> s == connected, s -> true, false));
+        assertNotEquals(
+                connected, reusing.pickDecodeServer(0, servers, prompt, "here", s -> s == connected, s -> true, false));
     }
 
     @Test
@@ -123,11 +127,11 @@
         PromptPrefix prompt = PromptPrefix.parse("5c1e07a2:8000,91bd3f06:410");
         PrefillDecodePicker homes = new PrefillDecodePicker(without());
         PrefillDecodePicker spread = new PrefillDecodePicker(without(Mechanism.HOMES));
-        TrackedServer home = homes.prefill(0, servers, prompt, s -> true);
+        TrackedServer home = homes.pickPrefillServer(0, servers, prompt, s -> true);
         int away = 0;
         for (int i = 0; i < 100; i++) {
-            assertEquals(home, homes.prefill(0, servers, prompt, s -> true));
-            away += spread.prefill(0, servers, prompt, s -> true) == home ? 0 : 1;
+            assertEquals(home, homes.pickPrefillServer(0, servers, prompt, s -> true));
+            away += spread.pickPrefillServer(0, servers, prompt, s -> true) == home ? 0 : 1;
         }
         assertTrue(away > 50);
     }
--- a/routing/src/test/java/dewplank/routing/PrefillQueuesTest.java
+++ b/routing/src/test/java/dewplank/routing/PrefillQueuesTest.java
@@ -27,7 +27,7 @@
         PrefillQueues lanes = new PrefillQueues();
         for (int i = 0; i < prompts; i++) {
             long mean = random.nextInt(9) < 5 ? SHORT : LONG;
-            lanes.saw((long) (mean * (0.5 + random.nextDouble())));
+            lanes.recordPrompt((long) (mean * (0.5 + random.nextDouble())));
         }
         return lanes;
     }
@@ -36,8 +36,8 @@
     void aFewOfManyServersAreKeptForShortPrompts() {
         List<TrackedServer> servers = servers(47);
         PrefillQueues lanes = taught(1, 200);
-        List<TrackedServer> forShort = lanes.lane(servers, SHORT);
-        List<TrackedServer> forLong = lanes.lane(servers, LONG);
+        List<TrackedServer> forShort = lanes.serversFor(servers, SHORT);
+        List<TrackedServer> forLong = lanes.serversFor(servers, LONG);
         assertTrue(forShort.size() >= 4 && forShort.size() <= 12, forShort.size() + " for short ones");
         assertEquals(47, forShort.size() + forLong.size());
         Set<TrackedServer> both = new HashSet<>(forShort);
@@ -52,7 +52,7 @@
         Set<TrackedServer> some = new HashSet<>();
         Set<TrackedServer> all = new HashSet<>(servers);
         for (long seed = 0; seed < 90; seed++) {
-            List<TrackedServer> lane = taught(seed, 60).lane(servers, SHORT);
+            List<TrackedServer> lane = taught(seed, 60).serversFor(servers, SHORT);
             some.addAll(lane);
             all.retainAll(lane);
         }
@@ -61,23 +61,23 @@
 
     @Test
     void fewServersOrPromptsOfOneLengthOrLittleKnownKeepNone() {
-        assertEquals(5, taught(1, 200).lane(servers(5), SHORT).size());
-        assertEquals(47, taught(1, 5).lane(servers(47), SHORT).size());
+        assertEquals(5, taught(1, 200).serversFor(servers(5), SHORT).size());
+        assertEquals(47, taught(1, 5).serversFor(servers(47), SHORT).size());
         PrefillQueues alike = new PrefillQueues();
         for (int i = 0; i < 200; i++) {
-            alike.saw(LONG);
+            alike.recordPrompt(LONG);
         }
-        assertEquals(47, alike.lane(servers(47), LONG).size());
-        assertEquals(47, alike.lane(servers(47), SHORT).size());
+        assertEquals(47, alike.serversFor(servers(47), LONG).size());
+        assertEquals(47, alike.serversFor(servers(47), SHORT).size());
     }
 
     @Test
     void aServerThatIsNotReadyIsInNoLane() {
         List<TrackedServer> servers = servers(47);
         PrefillQueues lanes = taught(1, 200);
-        TrackedServer leaving = lanes.lane(servers, SHORT).get(0);
-        leaving.listed(false, TrackedServer.Stage.PREFILL);
-        assertTrue(!lanes.lane(servers, SHORT).contains(leaving));
-        assertTrue(!lanes.lane(servers, LONG).contains(leaving));
+        TrackedServer leaving = lanes.serversFor(servers, SHORT).get(0);
+        leaving.updateListing(false, TrackedServer.Stage.PREFILL);
+        assertTrue(!lanes.serversFor(servers, SHORT).contains(leaving));
+        assertTrue(!lanes.serversFor(servers, LONG).contains(leaving));
     }
 }
--- a/routing/src/test/java/dewplank/routing/PromptPrefixTest.java
+++ b/routing/src/test/java/dewplank/routing/PromptPrefixTest.java
@@ -11,19 +11,19 @@
         PromptPrefix prefix = PromptPrefix.parse("5c1e07a2:800,91bd3f06:410, e4402b7d:250");
         assertEquals(1_460, prefix.tokens());
         assertEquals(1_210, prefix.sharedTokens());
-        assertEquals("91bd3f06", prefix.subject());
+        assertEquals("91bd3f06", prefix.affinityKey());
     }
 
     @Test
     void whatCannotBeReadDoesNoHarm() {
-        assertNull(PromptPrefix.parse(null).subject());
-        assertNull(PromptPrefix.parse("").subject());
+        assertNull(PromptPrefix.parse(null).affinityKey());
+        assertNull(PromptPrefix.parse("").affinityKey());
         assertEquals(0, PromptPrefix.parse("a:-5,b:x").tokens());
         assertEquals(7, PromptPrefix.parse("a:7,,b:8").tokens());
     }
 
     @Test
     void aChainHasABound() {
-        assertEquals(64, PromptPrefix.parse("a:1,".repeat(1_000)).parts().size());
+        assertEquals(64, PromptPrefix.parse("a:1,".repeat(1_000)).segments().size());
     }
 }
--- a/routing/src/test/java/dewplank/routing/RetryBudgetTest.java
+++ b/routing/src/test/java/dewplank/routing/RetryBudgetTest.java
@@ -20,12 +20,12 @@
     void aSidecarHasItsPartOfTheSlackOnly() {
         RetryBudget budget = new RetryBudget(RATIO, WINDOW_MS, SLACK);
         int taken = 0;
-        while (budget.take(0, 8)) {
+        while (budget.tryAcquire(0, 8)) {
             taken++;
         }
         assertTrue(taken > 0 && taken <= SLACK / 8, "taken " + taken);
-        assertFalse(budget.take(WINDOW_MS, 8), "what was sent still counts");
-        assertTrue(budget.take(1.2 * WINDOW_MS, 8));
+        assertFalse(budget.tryAcquire(WINDOW_MS, 8), "what was sent still counts");
+        assertTrue(budget.tryAcquire(1.2 * WINDOW_MS, 8));
     }
 
     /** The sum over sidecars keeps to the rule in every window, whatever they ask for. */
@@ -41,9 +41,9 @@
         for (double now = 0; now < 30_000; now += random.nextDouble() * 60) {
             RetryBudget budget = budgets.get(random.nextInt(sidecars));
             if (random.nextInt(3) > 0) {
-                budget.request(now);
+                budget.recordRequest(now);
                 requests.add(now);
-            } else if (budget.take(now, sidecars)) {
+            } else if (budget.tryAcquire(now, sidecars)) {
                 repeats.add(now);
             }
         }
@@ -76,9 +76,9 @@
         for (double now = 0; now < 8 * WINDOW_MS; now += 100 * random.nextDouble()) {
             int asking = random.nextInt(sidecars);
             boolean few = now < wholeFrom || now >= cutFrom && now < cutTo;
-            sizes.get(asking).told(now, few ? 1 + random.nextInt(sidecars) : sidecars);
-            int among = sizes.get(asking).settled(now) ? sizes.get(asking).dataPlanes(now) : RetryBudget.NO_SLACK;
-            while (budgets.get(asking).take(now, among)) {
+            sizes.get(asking).recordMembership(now, few ? 1 + random.nextInt(sidecars) : sidecars);
+            int among = sizes.get(asking).isSettled(now) ? sizes.get(asking).dataPlanes(now) : RetryBudget.NO_SLACK;
+            while (budgets.get(asking).tryAcquire(now, among)) {
                 repeats.add(now);
             }
         }
--- a/routing/src/test/java/dewplank/routing/ServerPickerTest.java
+++ b/routing/src/test/java/dewplank/routing/ServerPickerTest.java
@@ -30,16 +30,17 @@
 
     private void fail(TrackedServer s, double now, int times) {
         for (int i = 0; i < times; i++) {
-            choice.observe(now, s, "class", false);
+            choice.recordOutcome(now, s, "class", false);
         }
     }
 
     @Test
     void ofTwoTheOneWithFewerInFlightIsTaken() {
         List<TrackedServer> servers = servers(2);
-        servers.get(0).began(0, 0);
+        servers.get(0).requestStarted(0, 0);
         for (int i = 0; i < 50; i++) {
-            assertEquals(servers.get(1), choice.pick(0, ServerPicker.Query.of(servers, s -> true, false)));
+            assertEquals(
+                    servers.get(1), choice.pick(0, ServerPicker.PickArguments.byInFlight(servers, s -> true, false)));
         }
     }
 
@@ -50,13 +51,16 @@
         fail(sick, 0, 3);
         int trials = 0;
         for (double now = 10; now < 3_010; now += 10) {
-            trials += choice.pick(now, ServerPicker.Query.of(servers, s -> true, true)) == sick ? 1 : 0;
+            trials += choice.pick(now, ServerPicker.PickArguments.byInFlight(servers, s -> true, true)) == sick ? 1 : 0;
         }
         assertEquals(3, trials);
-        choice.observe(3_010, sick, "class", true);
+        choice.recordOutcome(3_010, sick, "class", true);
         Map<TrackedServer, Integer> picked = new HashMap<>();
         for (int i = 0; i < 200; i++) {
-            picked.merge(choice.pick(13_100, ServerPicker.Query.of(servers, s -> true, false)), 1, Integer::sum);
+            picked.merge(
+                    choice.pick(13_100, ServerPicker.PickArguments.byInFlight(servers, s -> true, false)),
+                    1,
+                    Integer::sum);
         }
         assertTrue(picked.containsKey(sick), "it is drawn again");
     }
@@ -66,7 +70,8 @@
         List<TrackedServer> servers = servers(4);
         fail(servers.get(0), 0, 3);
         for (double now = 10; now < 2_000; now += 10) {
-            assertNotEquals(servers.get(0), choice.pick(now, ServerPicker.Query.of(servers, s -> true, false)));
+            assertNotEquals(
+                    servers.get(0), choice.pick(now, ServerPicker.PickArguments.byInFlight(servers, s -> true, false)));
         }
     }
 
@@ -77,7 +82,8 @@
         fail(servers.get(1), 0, 3);
         Map<TrackedServer, Integer> picked = new HashMap<>();
         for (int i = 0; i < 300; i++) {
-            picked.merge(choice.pick(10, ServerPicker.Query.of(servers, s -> true, true)), 1, Integer::sum);
+            picked.merge(
+                    choice.pick(10, ServerPicker.PickArguments.byInFlight(servers, s -> true, true)), 1, Integer::sum);
         }
         assertEquals(3, picked.size());
     }
@@ -85,45 +91,46 @@
     @Test
     void peersVotesCondemnAServerThatWasServedHere() {
         List<TrackedServer> servers = servers(3);
-        choice.observe(0, servers.get(0), "class", true);
+        choice.recordOutcome(0, servers.get(0), "class", true);
         for (String peer : List.of("a", "b", "c")) {
-            votes.hear(1, peer, suspecting());
+            votes.recordSummary(1, peer, suspecting());
         }
-        assertTrue(choice.condemned(200, servers.get(0)));
-        assertTrue(!choice.condemned(4_000, servers.get(0)), "summaries grow stale");
+        assertTrue(choice.isEjected(200, servers.get(0)));
+        assertTrue(!choice.isEjected(4_000, servers.get(0)), "summaries grow stale");
     }
 
     @Test
     void onlyPeersThatHaveSentThereVote() {
         List<TrackedServer> servers = servers(4);
         for (int i = 0; i < 20; i++) {
-            votes.hear(1, "silent" + i, new HealthSummary(1, 1, List.of(), List.of()));
+            votes.recordSummary(1, "silent" + i, new HealthSummary(1, 1, List.of(), List.of()));
         }
-        votes.hear(1, "a", suspecting());
-        votes.hear(1, "b", suspecting());
-        assertTrue(choice.condemned(200, servers.get(0)), "two of the three that vote");
-        votes.hear(1, "c", new HealthSummary(1, 1, List.of(), List.of(new HealthSummary.Healthy("i-0".hashCode(), 0))));
-        assertTrue(!choice.condemned(400, servers.get(0)), "two of four, and own traffic is well");
+        votes.recordSummary(1, "a", suspecting());
+        votes.recordSummary(1, "b", suspecting());
+        assertTrue(choice.isEjected(200, servers.get(0)), "two of the three that vote");
+        votes.recordSummary(
+                1, "c", new HealthSummary(1, 1, List.of(), List.of(new HealthSummary.Healthy("i-0".hashCode(), 0))));
+        assertTrue(!choice.isEjected(400, servers.get(0)), "two of four, and own traffic is well");
     }
 
     @Test
     void drainingOrRestingServersAreNotPicked() {
         List<TrackedServer> servers = servers(2);
-        servers.get(0).listed(false, TrackedServer.Stage.PLAIN);
-        servers.get(1).rest(0, 40, 2_000);
-        assertNull(choice.pick(10, ServerPicker.Query.of(servers, s -> true, true)));
-        assertEquals(servers.get(1), choice.pick(41, ServerPicker.Query.of(servers, s -> true, true)));
+        servers.get(0).updateListing(false, TrackedServer.Stage.PLAIN);
+        servers.get(1).backOff(0, 40, 2_000);
+        assertNull(choice.pick(10, ServerPicker.PickArguments.byInFlight(servers, s -> true, true)));
+        assertEquals(servers.get(1), choice.pick(41, ServerPicker.PickArguments.byInFlight(servers, s -> true, true)));
     }
 
     @Test
     void theHomeOfAPrefixIsTakenUnlessItIsBusierByMoreThanItSpares() {
         List<TrackedServer> servers = servers(3);
-        TrackedServer home = PrefixAffinity.home("5c1e07a2", servers);
-        ServerPicker.Query query =
-                new ServerPicker.Query(servers, s -> true, s -> (double) s.tokensInFlight(), home, 1_000, false);
-        home.began(0, 900);
+        TrackedServer home = PrefixAffinity.ownerOf("5c1e07a2", servers);
+        ServerPicker.PickArguments query = new ServerPicker.PickArguments(
+                servers, s -> true, s -> (double) s.tokensInFlight(), home, 1_000, false);
+        home.requestStarted(0, 900);
         assertEquals(home, choice.pick(0, query));
-        home.began(0, 200);
+        home.requestStarted(0, 200);
         assertNotEquals(home, choice.pick(0, query));
     }
 
@@ -133,8 +140,8 @@
         List<TrackedServer> fewer = servers.subList(0, 4);
         int moved = 0;
         for (int i = 0; i < 1_000; i++) {
-            TrackedServer before = PrefixAffinity.home("key" + i, servers);
-            TrackedServer after = PrefixAffinity.home("key" + i, fewer);
+            TrackedServer before = PrefixAffinity.ownerOf("key" + i, servers);
+            TrackedServer after = PrefixAffinity.ownerOf("key" + i, fewer);
             if (before == servers.get(4)) {
                 moved++;
             } else {
@@ -156,7 +163,7 @@
                     new ServerPicker("here", new HealthVotes(), () -> sidecars, random.split(), Policy.ALL_ENABLED);
             List<TrackedServer> view = servers(4);
             for (int failure = 0; failure < 3; failure++) {
-                each.observe(0, view.get(0), "class", false);
+                each.recordOutcome(0, view.get(0), "class", false);
             }
             fleet.add(each);
             views.add(view);
@@ -164,7 +171,8 @@
         int trials = 0;
         for (double now = 10; now < 9_000; now += 100) {
             for (int i = 0; i < sidecars; i++) {
-                TrackedServer picked = fleet.get(i).pick(now, ServerPicker.Query.of(views.get(i), s -> true, true));
+                TrackedServer picked =
+                        fleet.get(i).pick(now, ServerPicker.PickArguments.byInFlight(views.get(i), s -> true, true));
                 trials += picked == views.get(i).get(0) ? 1 : 0;
             }
         }
