--- a/controlplane/src/test/java/dewplank/controlplane/GoldenDiskTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/GoldenDiskTest.java
@@ -11,7 +11,7 @@
 import dewplank.message.ListVersion;
 import dewplank.message.ServerEntry;
 import dewplank.message.ServerList;
-import dewplank.register.Acceptor;
+import dewplank.register.AcceptorId;
 import dewplank.register.DurableState;
 import dewplank.register.RegisterValue;
 import dewplank.settings.NodeSettings;
@@ -120,11 +120,11 @@
                 List.copyOf(document.configuration().services().keySet()));
     }
 
-    private static List<Acceptor> founders() {
+    private static List<AcceptorId> founders() {
         return List.of(
-                new Acceptor("10.0.0.1:7600", "founder@10.0.0.1:7600"),
-                new Acceptor("10.0.0.2:7600", "founder@10.0.0.2:7600"),
-                new Acceptor("10.0.0.3:7600", "founder@10.0.0.3:7600"));
+                new AcceptorId("10.0.0.1:7600", "founder@10.0.0.1:7600"),
+                new AcceptorId("10.0.0.2:7600", "founder@10.0.0.2:7600"),
+                new AcceptorId("10.0.0.3:7600", "founder@10.0.0.3:7600"));
     }
 
     @Test
@@ -132,8 +132,8 @@
         copy();
         DiskStorage storage = open(LATER_SEEDS);
         assertEquals(FOUNDERS, storage.founders());
-        assertEquals(founders(), Founding.initialAcceptors(storage, "10.0.0.1:7600"));
-        assertEquals(List.of(), Founding.initialAcceptors(storage, "10.0.0.2:7600"));
+        assertEquals(founders(), Bootstrap.initialAcceptors(storage, "10.0.0.1:7600"));
+        assertEquals(List.of(), Bootstrap.initialAcceptors(storage, "10.0.0.2:7600"));
         storage.close();
     }
 
--- a/store/src/test/java/dewplank/store/GoldenStoreTest.java
+++ b/store/src/test/java/dewplank/store/GoldenStoreTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
-import dewplank.register.Acceptor;
+import dewplank.register.AcceptorId;
 import dewplank.register.AcceptorSet;
 import dewplank.register.Ballot;
 import dewplank.register.DurableState;
@@ -53,7 +53,7 @@
         assertEquals(proposer, ballot.proposer());
     }
 
-    private static void assertAre(List<String> expected, List<Acceptor> acceptors) {
+    private static void assertAre(List<String> expected, List<AcceptorId> acceptors) {
         assertEquals(
                 expected,
                 acceptors.stream().map(a -> a.address() + " " + a.identity()).toList());
@@ -178,8 +178,8 @@
         RegisterValue value = new RegisterValue(
                 new AcceptorSet(
                         7,
-                        List.of(new Acceptor("10.0.0.1:7600", "a")),
-                        List.of(new Acceptor("10.0.0.2:7600", "b"), new Acceptor("10.0.0.3:7600", "c"))),
+                        List.of(new AcceptorId("10.0.0.1:7600", "a")),
+                        List.of(new AcceptorId("10.0.0.2:7600", "b"), new AcceptorId("10.0.0.3:7600", "c"))),
                 41,
                 new byte[] {64, 0, -1});
         String expected = "01" // version
