--- a/configuration/src/test/java/dewplank/configuration/GoldenConfigurationTest.java
+++ b/configuration/src/test/java/dewplank/configuration/GoldenConfigurationTest.java
@@ -4,7 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
-import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dewplank.configuration.ChangeResult.AlreadyAccepted;
 import dewplank.configuration.ChangeResult.VersionMismatch;
@@ -140,34 +139,29 @@
     }
 
     private static void assertIsPlainRoute(Route route) {
-        assertEquals("p-1", route.name());
-        assertEquals("ficu.example", route.host());
-        assertEquals("/pufi/", route.pathPrefix());
-        assertEquals(RouteType.SAFE, route.type());
-        assertEquals(2_500, route.timeoutMs());
-        assertEquals(400, route.targetLatencyMs());
-        assertEquals(0, route.priority());
-        assertEquals("wuno", route.split().get(0).service());
-        assertEquals(1, route.split().size());
-        assertEquals(1, route.maxAttempts());
-        assertEquals(false, route.sticky());
-        assertEquals(false, route.resumable());
-        assertEquals(0, route.gapAimMs());
+        List<WeightedService> split = List.of(new WeightedService("wuno", 1));
+        assertEquals(
+                new Route("p-1", "ficu.example", "/pufi/", RouteType.SAFE, 2_500, 400, 0, split, 1, false, false, 0),
+                route);
     }
 
     private static void assertIsSplitRoute(int index, Route route) {
-        assertEquals("r-" + index, route.name());
-        assertEquals("ficu.example", route.host());
-        assertEquals("/lohu" + index + "/", route.pathPrefix());
-        assertEquals(RouteType.STREAMING, route.type());
-        assertEquals(4_000 + index, route.timeoutMs());
-        assertEquals(500, route.targetLatencyMs());
-        assertEquals(1, route.priority());
-        assertEquals(List.of(new WeightedService("huvo", 90), new WeightedService("wuno", 10)), route.split());
-        assertEquals(2, route.maxAttempts());
-        assertTrue(route.sticky());
-        assertTrue(route.resumable());
-        assertEquals(150, route.gapAimMs());
+        List<WeightedService> split = List.of(new WeightedService("huvo", 90), new WeightedService("wuno", 10));
+        assertEquals(
+                new Route(
+                        "r-" + index,
+                        "ficu.example",
+                        "/lohu" + index + "/",
+                        RouteType.STREAMING,
+                        4_000 + index,
+                        500,
+                        1,
+                        split,
+                        2,
+                        true,
+                        true,
+                        150),
+                route);
     }
 
     // ---- differences ----------------------------------------------------------------------------------
