--- a/consensus/src/main/java/dewplank/membership/AcceptorPlan.java
+++ b/consensus/src/main/java/dewplank/membership/AcceptorPlacement.java
@@ -16,19 +16,20 @@
  * <p>An acceptor that fell silent stays where nobody can take its place: a smaller set bears less, and the machine may
  * come back with its disk. Where somebody can, little is lost if it does come back: it takes the next free place.
  */
-public final class AcceptorPlan {
+public final class AcceptorPlacement {
     /** More acceptors than this bear no loss that a deployment asks for, and each change waits for more disks. */
-    public static final int MOST_ACCEPTORS = 9;
+    public static final int MAX_ACCEPTORS = 9;
 
     /**
      * Times in milliseconds.
      *
-     * @param liveMs heard within this: alive
-     * @param settledMs a newcomer heard for so long may take a place
-     * @param goneMs an acceptor that has not been alive for so long gives its place up
-     * @param allHeardMs whoever started together with this process has been heard by then
+     * @param heartbeatTimeoutMs heard within this: alive
+     * @param minUptimeMs a newcomer heard for so long may take a place
+     * @param replaceAfterMs an acceptor that has not been alive for so long gives its place up
+     * @param bootstrapGraceMs whoever started together with this process has been heard by then
      */
-    public record Timing(double liveMs, double settledMs, double goneMs, double allHeardMs) {
+    public record Timing(
+            double heartbeatTimeoutMs, double minUptimeMs, double replaceAfterMs, double bootstrapGraceMs) {
         /** Machines start within 0.3 s of each other, a process takes up to 2 s on a slow one, then it is linked. */
         private static final double ALL_HEARD_MS = 5_000;
 
@@ -55,45 +56,47 @@
      *
      * @param acceptor its address and the identity of its disk
      * @param durable whether it has a disk: one without is an acceptor only until another can take its place
-     * @param heardAt when it was last heard
-     * @param since since when that very identity has been heard
+     * @param lastHeartbeatAtMs when it was last heard
+     * @param firstHeartbeatAtMs since when that very identity has been heard
      */
-    public record Sighting(AcceptorId acceptor, boolean durable, double heardAt, double since) {}
+    public record PeerObservation(
+            AcceptorId acceptor, boolean durable, double lastHeartbeatAtMs, double firstHeartbeatAtMs) {}
 
     private final Timing timing;
     private final Map<AcceptorId, Double> missingSince = new HashMap<>();
     private double firstLook = Double.NaN;
 
-    public AcceptorPlan(Timing timing) {
+    public AcceptorPlacement(Timing timing) {
         this.timing = timing;
     }
 
     /**
-     * Notes who is missing; to be called at least a few times within {@link Timing#goneMs}, also where the answer is
-     * not acted on.
+     * Notes who is missing; to be called at least a few times within {@link Timing#replaceAfterMs}, also where the
+     * answer is not acted on.
      *
      * @param now the time
      * @param set the acceptors in force
      * @param seen control sidecars heard, this one among them
      * @return the acceptors that there should be: those of the set where it is as it should be or half changed
      */
-    public List<AcceptorId> wanted(double now, AcceptorSet set, Collection<Sighting> seen) {
-        List<Sighting> live =
-                seen.stream().filter(s -> now - s.heardAt() <= timing.liveMs()).toList();
+    public List<AcceptorId> targetMembers(double now, AcceptorSet set, Collection<PeerObservation> seen) {
+        List<PeerObservation> live = seen.stream()
+                .filter(s -> now - s.lastHeartbeatAtMs() <= timing.heartbeatTimeoutMs())
+                .toList();
         firstLook = Double.isNaN(firstLook) ? now : firstLook;
-        noteMissing(now, set, live.stream().map(Sighting::acceptor).toList());
+        noteMissing(now, set, live.stream().map(PeerObservation::acceptor).toList());
         if (set.isJoint()) {
             return set.members();
         }
         List<AcceptorId> settled = live.stream()
-                .filter(s -> s.durable() && now - s.since() >= timing.settledMs())
-                .map(Sighting::acceptor)
+                .filter(s -> s.durable() && now - s.firstHeartbeatAtMs() >= timing.minUptimeMs())
+                .map(PeerObservation::acceptor)
                 .toList();
         List<AcceptorId> spare = new ArrayList<>(settled);
         spare.removeAll(set.members());
         List<AcceptorId> volatileMembers = seen.stream()
                 .filter(s -> !s.durable() && set.members().contains(s.acceptor()))
-                .map(Sighting::acceptor)
+                .map(PeerObservation::acceptor)
                 .toList();
         if (!volatileMembers.isEmpty()) {
             return withoutVolatile(now, set.members(), volatileMembers, spare);
@@ -114,7 +117,7 @@
         }
         List<AcceptorId> durable = new ArrayList<>(members);
         durable.removeAll(volatileMembers);
-        boolean allHeard = now - firstLook >= timing.allHeardMs();
+        boolean allHeard = now - firstLook >= timing.bootstrapGraceMs();
         return allHeard && !durable.isEmpty() ? durable : members;
     }
 
@@ -140,7 +143,7 @@
         }
         for (AcceptorId member : members) {
             double since = missingSince.getOrDefault(member, now);
-            if (now - since >= timing.goneMs() && !spare.isEmpty()) {
+            if (now - since >= timing.replaceAfterMs() && !spare.isEmpty()) {
                 return replaced(members, member, spare.get(0));
             }
         }
@@ -155,7 +158,7 @@
 
     /** Growth by as many as make the number odd; while somebody is missing spares are for that place. */
     private static List<AcceptorId> grown(List<AcceptorId> members, List<AcceptorId> spare) {
-        int size = Math.min(MOST_ACCEPTORS, members.size() + spare.size());
+        int size = Math.min(MAX_ACCEPTORS, members.size() + spare.size());
         size -= size % 2 == 0 ? 1 : 0;
         if (size <= members.size()) {
             return members;
--- a/consensus/src/main/java/dewplank/membership/SessionTable.java
+++ b/consensus/src/main/java/dewplank/membership/SessionTable.java
@@ -14,7 +14,7 @@
  */
 public final class SessionTable {
     /** Sessions held, beyond which none is opened: guards the memory of a small machine. */
-    public static final int MOST_SESSIONS = 4_096;
+    public static final int MAX_SESSIONS = 4_096;
 
     private record Told(double at, List<Member> sessions) {}
 
@@ -33,8 +33,8 @@
     }
 
     /** Opens or renews a session here; false where there is no room. */
-    public boolean renew(double now, Member member) {
-        if (own.size() >= MOST_SESSIONS && !own.containsKey(member)) {
+    public boolean tryRenew(double now, Member member) {
+        if (own.size() >= MAX_SESSIONS && !own.containsKey(member)) {
             return false;
         }
         own.put(member, now);
@@ -47,18 +47,18 @@
     }
 
     /** Another control sidecar has told all the sessions that it holds. */
-    public void told(double now, String controlAddress, List<Member> sessions) {
+    public void onSessionsReported(double now, String controlAddress, List<Member> sessions) {
         told.put(controlAddress, new Told(now, List.copyOf(sessions)));
     }
 
     /** Whoever keeps this table heard nobody for so many milliseconds: no lease ran meanwhile. */
-    public void paused(double ms) {
-        own.replaceAll((member, at) -> at + ms);
-        told.replaceAll((address, t) -> new Told(t.at() + ms, t.sessions()));
+    public void extendLeases(double stalledMs) {
+        own.replaceAll((member, at) -> at + stalledMs);
+        told.replaceAll((address, t) -> new Told(t.at() + stalledMs, t.sessions()));
     }
 
     /** The sessions held here. */
-    public List<Member> own(double now) {
+    public List<Member> localSessions(double now) {
         own.values().removeIf(at -> now - at > leaseMs);
         return sorted(own.keySet());
     }
@@ -74,7 +74,7 @@
                 t.sessions().forEach(m -> byNode.merge(m.node, m, SessionTable::newer));
             }
         }
-        own(now).forEach(m -> byNode.merge(m.node, m, SessionTable::newer));
+        localSessions(now).forEach(m -> byNode.merge(m.node, m, SessionTable::newer));
         return sorted(byNode.values());
     }
 
--- a/consensus/src/main/java/dewplank/singleton/Candidate.java
+++ b/consensus/src/main/java/dewplank/singleton/Candidate.java
@@ -17,12 +17,39 @@
  * <p>The voters are the register's acceptors, named by the identity of their disk, and votes are counted by the newest
  * set known to be chosen, as a change of the register is: majorities of sets that follow each other always meet. Sets
  * further apart need not. Their leases are kept apart by the voters, which give no vote to a new holder for a lease
- * after they learn of a set (see {@link Voter}), and by two rules here. A vote counts only within {@link
- * DutyTiming#ballotMs} of the request. And a lease that was last renewed by an older set is renewed by a newer one only
- * if there are as many milliseconds left of it: so an ask under the older set, sent before that change was chosen, has
- * ended before the votes that bind the older set to the holder lapse.
+ * after they learn of a set (see {@link LeaseVoter}), and by two rules here. A vote counts only within {@link
+ * LeaseTiming#ballotMs} of the request. And a lease that was last renewed by an older set is renewed by a newer one
+ * only if there are as many milliseconds left of it: so an ask under the older set, sent before that change was chosen,
+ * has ended before the votes that bind the older set to the holder lapse.
  */
 public final class Candidate {
+    /** What a candidate wants done. */
+    public interface Effects {
+        /**
+         * Send a request to a voter, which may be this sidecar's own.
+         *
+         * @param voter where the voter is and the identity that the request is meant for
+         * @param request the request
+         */
+        void send(AcceptorId voter, VoteRequest request);
+
+        /**
+         * The duty is held from now on.
+         *
+         * @param duty the duty
+         * @param number the fencing number
+         */
+        void leaseAcquired(String duty, long fencingToken);
+
+        /**
+         * The duty is held no more.
+         *
+         * @param duty the duty
+         * @param number the fencing number under which it was held
+         */
+        void leaseLost(String duty, long fencingToken);
+    }
+
     /** Numbers for each set of voters: a ballot every quarter of a second takes three days to use them up. */
     private static final long NUMBERS_PER_SET = 1 << 20;
 
@@ -36,9 +63,9 @@
 
     private final String duty;
     private final String name;
-    private final DutyTiming timing;
+    private final LeaseTiming timing;
     private final DoubleSupplier random;
-    private final Deque<Ballot> ballots = new ArrayDeque<>();
+    private final Deque<VoteRound> ballots = new ArrayDeque<>();
 
     private AcceptorSet voters = AcceptorSet.of(List.of());
     private State state = State.WAITING;
@@ -61,7 +88,7 @@
      * @param random gives numbers from 0 up to 1
      * @param now the time by the candidate's steady clock
      */
-    public Candidate(String duty, String name, DutyTiming timing, DoubleSupplier random, double now) {
+    public Candidate(String duty, String name, LeaseTiming timing, DoubleSupplier random, double now) {
         this.duty = duty;
         this.name = name;
         this.timing = timing;
@@ -75,7 +102,7 @@
      * @param now the time by the candidate's steady clock
      * @param chosen the set
      */
-    public void voters(double now, AcceptorSet chosen) {
+    public void updateVoterSet(double now, AcceptorSet chosen) {
         boolean newer = chosen.generation() > voters.generation();
         if (newer || voters.all().isEmpty()) {
             voters = chosen;
@@ -86,7 +113,7 @@
     }
 
     /** When {@link #tick} is due next. */
-    public double wakeAt() {
+    public double nextTickAtMs() {
         return state == State.HOLDING ? Math.min(wakeAt, heldUntil) : wakeAt;
     }
 
@@ -96,7 +123,7 @@
      * @param now the time by the candidate's steady clock
      * @param out takes what is to be done
      */
-    public void tick(double now, CandidateOutput out) {
+    public void tick(double now, Effects out) {
         noticeLapse(now, out);
         if (now < wakeAt) {
             return;
@@ -116,13 +143,13 @@
      * @param reply the reply
      * @param out takes what is to be done
      */
-    public void received(double now, VoteReply reply, CandidateOutput out) {
+    public void onVoteReply(double now, VoteReply reply, Effects out) {
         noticeLapse(now, out);
         if (!reply.duty().equals(duty) || !reply.candidate().equals(name)) {
             return;
         }
-        highestSeen = Math.max(highestSeen, reply.number());
-        Ballot ballot = ballot(reply.round());
+        highestSeen = Math.max(highestSeen, reply.highestToken());
+        VoteRound ballot = ballot(reply.round());
         if (ballot != null) {
             ballot.record(reply);
             count(now, ballot, out);
@@ -134,7 +161,7 @@
      *
      * @param now the time by the candidate's steady clock
      */
-    public void vacated(double now) {
+    public void onLeaseReleased(double now) {
         if (state == State.WAITING && now >= pausedUntil) {
             wakeAt = Math.min(wakeAt, now + jitter());
         }
@@ -144,15 +171,15 @@
      * Lays the duty down, where it is held, and leaves it to the others for a while: this sidecar can't do it.
      *
      * @param now the time by the candidate's steady clock
-     * @param pauseMs how long it does not stand for the duty
+     * @param backoffMs how long it does not stand for the duty
      * @param out takes what is to be done
      */
-    public void pause(double now, double pauseMs, CandidateOutput out) {
+    public void stepDown(double now, double backoffMs, Effects out) {
         noticeLapse(now, out);
         if (state == State.STOPPED) {
             return;
         }
-        pausedUntil = now + pauseMs;
+        pausedUntil = now + backoffMs;
         resign(now, State.WAITING, out);
         ballots.clear();
         state = State.WAITING;
@@ -165,7 +192,7 @@
      * @param now the time by the candidate's steady clock
      * @param out takes what is to be done
      */
-    public void release(double now, CandidateOutput out) {
+    public void shutDown(double now, Effects out) {
         noticeLapse(now, out);
         resign(now, State.STOPPED, out);
         ballots.clear();
@@ -178,21 +205,21 @@
      *
      * @param now the time by the candidate's steady clock
      */
-    public boolean holds(double now) {
+    public boolean isLeaseHolder(double now) {
         return state == State.HOLDING && now < heldUntil;
     }
 
     /** The number under which the duty is or was last held; 0 where it never was. */
-    public long fencingNumber() {
+    public long fencingToken() {
         return number;
     }
 
     /** When the duty was won: whoever held it before had laid it down, or let it lapse, by then. */
-    public double wonAt() {
+    public double leaseAcquiredAtMs() {
         return wonAt;
     }
 
-    private void resign(double now, State next, CandidateOutput out) {
+    private void resign(double now, State next, Effects out) {
         if (state == State.HOLDING) {
             leave(now, next, out);
         } else if (state == State.ASKING) {
@@ -200,47 +227,47 @@
         }
     }
 
-    private void noticeLapse(double now, CandidateOutput out) {
+    private void noticeLapse(double now, Effects out) {
         if (state == State.HOLDING && now >= heldUntil) {
             leave(now, State.WAITING, out);
         }
     }
 
     /** A holder that hears no voter any more may still bind them by its renewals: it tells them that it is over. */
-    private void leave(double now, State next, CandidateOutput out) {
+    private void leave(double now, State next, Effects out) {
         state = next;
         ballots.clear();
         wakeAt = now + jitter();
-        out.lost(duty, number);
+        out.leaseLost(duty, number);
         sendAll(voters.all(), Kind.RELEASE, number, out);
     }
 
-    private void start(double now, State next, Kind kind, long proposed, CandidateOutput out) {
+    private void start(double now, State next, Kind kind, long proposed, Effects out) {
         state = next;
         ballots.clear();
         wakeAt = now + timing.ballotMs();
         send(now, kind, proposed, out);
     }
 
-    private void renew(double now, CandidateOutput out) {
+    private void renew(double now, Effects out) {
         ballots.removeIf(ballot -> now >= ballot.sentAt() + timing.holdMs());
         wakeAt = now + timing.renewalMs();
         send(now, Kind.RENEW, number, out);
     }
 
-    private void send(double now, Kind kind, long proposed, CandidateOutput out) {
+    private void send(double now, Kind kind, long proposed, Effects out) {
         round++;
-        ballots.add(new Ballot(voters, round, proposed, now));
+        ballots.add(new VoteRound(voters, round, proposed, now));
         sendAll(voters.all(), kind, proposed, out);
     }
 
-    private void sendAll(List<AcceptorId> to, Kind kind, long proposed, CandidateOutput out) {
+    private void sendAll(List<AcceptorId> to, Kind kind, long proposed, Effects out) {
         for (AcceptorId voter : to) {
             out.send(voter, new VoteRequest(kind, duty, name, voter.identity(), round, proposed, voters.generation()));
         }
     }
 
-    private void count(double now, Ballot ballot, CandidateOutput out) {
+    private void count(double now, VoteRound ballot, Effects out) {
         if (ballot.isWon()) {
             majority(now, ballot, out);
         } else if (state != State.HOLDING && ballot.isLost()) {
@@ -248,10 +275,10 @@
         }
     }
 
-    private void majority(double now, Ballot ballot, CandidateOutput out) {
+    private void majority(double now, VoteRound ballot, Effects out) {
         if (state == State.PROBING) {
             highestSeen = nextNumber();
-            start(now, State.ASKING, Kind.ASK, highestSeen, out);
+            start(now, State.ASKING, Kind.REQUEST_VOTE, highestSeen, out);
         } else if (state == State.ASKING && now < ballot.sentAt() + timing.ballotMs()) {
             win(now, ballot, out);
         } else if (state == State.HOLDING && mayExtend(ballot)) {
@@ -260,7 +287,7 @@
         }
     }
 
-    private boolean mayExtend(Ballot ballot) {
+    private boolean mayExtend(VoteRound ballot) {
         return ballot.generation() <= heldGeneration || ballot.sentAt() <= heldUntil - timing.ballotMs();
     }
 
@@ -272,7 +299,7 @@
         return Math.max(highestSeen, voters.generation() * NUMBERS_PER_SET) + 1;
     }
 
-    private void win(double now, Ballot ballot, CandidateOutput out) {
+    private void win(double now, VoteRound ballot, Effects out) {
         state = State.HOLDING;
         failures = 0;
         number = ballot.number();
@@ -280,15 +307,15 @@
         heldUntil = ballot.sentAt() + timing.holdMs();
         heldGeneration = ballot.generation();
         wakeAt = ballot.sentAt() + timing.renewalMs();
-        out.won(duty, number);
+        out.leaseAcquired(duty, number);
     }
 
     /**
      * Gives the round up. After a probe the next try waits until a majority may be free. Votes that were asked for go
      * back; who took the others may be giving them back too, so only the delay parts the two.
      */
-    private void fail(double now, CandidateOutput out) {
-        Ballot ballot = ballots.getLast();
+    private void fail(double now, Effects out) {
+        VoteRound ballot = ballots.getLast();
         double boundMs = 0;
         if (state == State.ASKING) {
             withdraw(ballot, out);
@@ -301,15 +328,15 @@
         wakeAt = now + boundMs + jitter();
     }
 
-    private void withdraw(Ballot ballot, CandidateOutput out) {
+    private void withdraw(VoteRound ballot, Effects out) {
         List<AcceptorId> mayHaveGranted = ballot.voters().stream()
                 .filter(voter -> !ballot.isDenied(voter))
                 .toList();
         sendAll(mayHaveGranted, Kind.WITHDRAW, ballot.number(), out);
     }
 
-    private Ballot ballot(long wanted) {
-        for (Ballot ballot : ballots) {
+    private VoteRound ballot(long wanted) {
+        for (VoteRound ballot : ballots) {
             if (ballot.round() == wanted) {
                 return ballot;
             }
--- a/consensus/src/main/java/dewplank/singleton/DutyTiming.java
+++ b/consensus/src/main/java/dewplank/singleton/LeaseTiming.java
@@ -5,11 +5,11 @@
  *
  * @param leaseMs how long a vote binds its voter; the same at every voter and candidate
  * @param marginMs how much earlier than its voters a holder ends its lease: it covers clocks that run at different
- *        speeds, and the time between a look at {@link Candidate#holds} and the act that rests on it
+ *        speeds, and the time between a look at {@link Candidate#isLeaseHolder} and the act that rests on it
  * @param ballotMs how long a candidate waits for votes
  * @param jitterMs the window from which the delay before a ballot is drawn; it doubles with each ballot that failed
  */
-public record DutyTiming(double leaseMs, double marginMs, double ballotMs, double jitterMs) {
+public record LeaseTiming(double leaseMs, double marginMs, double ballotMs, double jitterMs) {
     /** A twentieth is far beyond the drift of steady clocks, and leaves the holder two tries at every renewal. */
     private static final double MARGIN_PART = 1.0 / 20;
     /**
@@ -56,8 +56,8 @@
      *
      * @param leaseMs how long a vote binds its voter
      */
-    public static DutyTiming ofLease(double leaseMs) {
-        return new DutyTiming(leaseMs, leaseMs * MARGIN_PART, leaseMs * BALLOT_PART, leaseMs * JITTER_PART);
+    public static LeaseTiming ofLease(double leaseMs) {
+        return new LeaseTiming(leaseMs, leaseMs * MARGIN_PART, leaseMs * BALLOT_PART, leaseMs * JITTER_PART);
     }
 
     /** The time from one renewal to the next. */
--- a/consensus/src/main/java/dewplank/singleton/Voter.java
+++ b/consensus/src/main/java/dewplank/singleton/LeaseVoter.java
@@ -1,7 +1,7 @@
 package dewplank.singleton;
 
-import dewplank.singleton.VoteReply.Standing;
 import dewplank.singleton.VoteReply.Verdict;
+import dewplank.singleton.VoteReply.VoteState;
 import java.util.HashMap;
 import java.util.Map;
 
@@ -17,7 +17,34 @@
  * and from then on no majority of the oldest set renews by it: the last lease by that set has lapsed a lease later. The
  * holder itself may renew meanwhile, so that a change of the set does not interrupt it.
  */
-public final class Voter {
+public final class LeaseVoter {
+    /** What a voter wants done. */
+    public interface Effects {
+        /**
+         * Keep the reply's number on disk, and only then tell {@link LeaseVoter#onTokenPersisted} and send the reply.
+         * Where it cannot be kept the reply must not be sent and {@link LeaseVoter#onPersistFailed} is told. Numbers of
+         * one duty are kept in the order in which they are handed over.
+         *
+         * @param request the request that the number is promised to
+         * @param reply what to send afterwards
+         */
+        void persistToken(VoteRequest request, VoteReply reply);
+
+        /**
+         * Send a reply.
+         *
+         * @param reply the reply
+         */
+        void send(VoteReply reply);
+
+        /**
+         * A holder laid the duty down: the sidecar's own candidate may try at once.
+         *
+         * @param duty the duty
+         */
+        void leaseReleased(String duty);
+    }
+
     /** What stands for one duty. */
     private static final class Vote {
         private long number;
@@ -53,7 +80,7 @@
      *        have voted before
      * @param highestNumbers the numbers that it kept, by duty
      */
-    public Voter(String identity, double leaseMs, double silentUntil, Map<String, Long> highestNumbers) {
+    public LeaseVoter(String identity, double leaseMs, double silentUntil, Map<String, Long> highestNumbers) {
         this.identity = identity;
         this.leaseMs = leaseMs;
         this.silentUntil = silentUntil;
@@ -72,7 +99,7 @@
      * @param chosen the generation of the newest set known to be chosen
      * @param accepted the generation of the set accepted last, whether or not it is known to be chosen
      */
-    public void voters(double now, long chosen, long accepted) {
+    public void updateVoterSet(double now, long chosen, long accepted) {
         long before = version();
         chosenVersion = Math.max(chosenVersion, chosen);
         acceptedVersion = accepted;
@@ -92,16 +119,16 @@
      * @param request the request
      * @param out takes what is to be done
      */
-    public void vote(double now, VoteRequest request, VoterOutput out) {
+    public void onVoteRequest(double now, VoteRequest request, Effects out) {
         Vote vote = vote(request.duty());
-        if (!request.voter().equals(identity)) {
+        if (!request.voterIdentity().equals(identity)) {
             answerForAnother(now, request, vote, out);
             return;
         }
-        voters(now, request.votersVersion(), acceptedVersion); // candidates count by chosen sets only
+        updateVoterSet(now, request.voterSetGeneration(), acceptedVersion); // candidates count by chosen sets only
         switch (request.kind()) {
             case PROBE -> reply(now, request, vote, probed(now, request, vote), out);
-            case ASK -> grant(now, request, vote, asked(now, request, vote), out);
+            case REQUEST_VOTE -> grant(now, request, vote, asked(now, request, vote), out);
             case RENEW -> grant(now, request, vote, renewed(now, request, vote), out);
             case WITHDRAW -> takeBack(request, vote);
             case RELEASE -> release(request, vote, out);
@@ -109,9 +136,9 @@
     }
 
     /** The number is on disk, so that votes under it need not wait for the disk any more. */
-    public void persisted(VoteRequest request) {
+    public void onTokenPersisted(VoteRequest request) {
         Vote vote = vote(request.duty());
-        vote.savedNumber = Math.max(vote.savedNumber, request.number());
+        vote.savedNumber = Math.max(vote.savedNumber, request.fencingToken());
     }
 
     /**
@@ -122,26 +149,26 @@
      * @param request the request that the number was promised to
      * @param out takes what is to be done
      */
-    public void notPersisted(double now, VoteRequest request, VoterOutput out) {
+    public void onPersistFailed(double now, VoteRequest request, Effects out) {
         Vote vote = vote(request.duty());
         diskFailsUntil = now + leaseMs * RETRY_PART;
-        if (request.candidate().equals(vote.holder) && request.number() == vote.number) {
+        if (request.candidate().equals(vote.holder) && request.fencingToken() == vote.number) {
             vote.holder = null;
         }
         reply(now, request, vote, Verdict.ABSTAINED, out);
     }
 
     /** A disk that is not a member must neither vote nor leave the candidate waiting. */
-    private void answerForAnother(double now, VoteRequest request, Vote vote, VoterOutput out) {
+    private void answerForAnother(double now, VoteRequest request, Vote vote, Effects out) {
         switch (request.kind()) {
-            case PROBE, ASK, RENEW -> reply(now, request, vote, Verdict.NOT_THE_ONE_ASKED, out);
+            case PROBE, REQUEST_VOTE, RENEW -> reply(now, request, vote, Verdict.WRONG_IDENTITY, out);
             case WITHDRAW, RELEASE -> {}
         }
     }
 
     private Verdict probed(double now, VoteRequest request, Vote vote) {
         if (mayNotVote(now, request, vote)) {
-            return now < silentUntil ? Verdict.ABSTAINED : Verdict.REFUSED;
+            return now < silentUntil ? Verdict.ABSTAINED : Verdict.REJECTED;
         }
         return now < abstainsUntil() ? Verdict.ABSTAINED : Verdict.GRANTED;
     }
@@ -150,8 +177,8 @@
         if (now < silentUntil) {
             return Verdict.ABSTAINED;
         }
-        if (request.number() <= vote.number || mayNotVote(now, request, vote)) {
-            return Verdict.REFUSED;
+        if (request.fencingToken() <= vote.number || mayNotVote(now, request, vote)) {
+            return Verdict.REJECTED;
         }
         return now < abstainsUntil() ? Verdict.ABSTAINED : Verdict.GRANTED;
     }
@@ -161,9 +188,9 @@
             return Verdict.ABSTAINED;
         }
         if (!mayRenew(request, vote) || mayNotVote(now, request, vote)) {
-            return Verdict.REFUSED;
+            return Verdict.REJECTED;
         }
-        boolean needsDisk = request.number() > vote.savedNumber;
+        boolean needsDisk = request.fencingToken() > vote.savedNumber;
         return needsDisk && now < diskFailsUntil ? Verdict.ABSTAINED : Verdict.GRANTED;
     }
 
@@ -172,15 +199,15 @@
     }
 
     private boolean mayNotVote(double now, VoteRequest request, Vote vote) {
-        return request.votersVersion() < version() || vote.bindsToAnother(request.candidate(), now);
+        return request.voterSetGeneration() < version() || vote.bindsToAnother(request.candidate(), now);
     }
 
     /** Only who won a number renews it, so a voter that has forgotten whom it voted for under it may follow. */
     private static boolean mayRenew(VoteRequest request, Vote vote) {
-        return request.number() >= vote.number && request.number() > vote.releasedNumber;
+        return request.fencingToken() >= vote.number && request.fencingToken() > vote.releasedNumber;
     }
 
-    private void grant(double now, VoteRequest request, Vote vote, Verdict verdict, VoterOutput out) {
+    private void grant(double now, VoteRequest request, Vote vote, Verdict verdict, Effects out) {
         if (verdict == Verdict.GRANTED) {
             bind(now, request, vote, out);
         } else {
@@ -188,13 +215,13 @@
         }
     }
 
-    private void bind(double now, VoteRequest request, Vote vote, VoterOutput out) {
-        vote.number = request.number();
+    private void bind(double now, VoteRequest request, Vote vote, Effects out) {
+        vote.number = request.fencingToken();
         vote.holder = request.candidate();
         vote.until = now + leaseMs;
-        VoteReply reply = new VoteReply(request, identity, Verdict.GRANTED, standing(now, vote));
+        VoteReply reply = new VoteReply(request, identity, Verdict.GRANTED, state(now, vote));
         if (vote.number > vote.savedNumber) {
-            out.persist(request, reply);
+            out.persistToken(request, reply);
         } else {
             out.send(reply);
         }
@@ -202,32 +229,32 @@
 
     /** Frees the voter of the candidate; whether it was bound to it under that very number. */
     private static boolean takeBack(VoteRequest request, Vote vote) {
-        boolean bound = request.candidate().equals(vote.holder) && request.number() == vote.number;
+        boolean bound = request.candidate().equals(vote.holder) && request.fencingToken() == vote.number;
         if (bound) {
             vote.holder = null;
-            vote.releasedNumber = request.number();
+            vote.releasedNumber = request.fencingToken();
         }
         return bound;
     }
 
-    private static void release(VoteRequest request, Vote vote, VoterOutput out) {
+    private static void release(VoteRequest request, Vote vote, Effects out) {
         if (takeBack(request, vote)) {
-            out.vacated(request.duty());
+            out.leaseReleased(request.duty());
         }
     }
 
-    private void reply(double now, VoteRequest request, Vote vote, Verdict verdict, VoterOutput out) {
-        out.send(new VoteReply(request, identity, verdict, standing(now, vote)));
+    private void reply(double now, VoteRequest request, Vote vote, Verdict verdict, Effects out) {
+        out.send(new VoteReply(request, identity, verdict, state(now, vote)));
     }
 
     /** Nobody else can have the vote before that is over; a voter that started over does not know whom it bound. */
-    private Standing standing(double now, Vote vote) {
+    private VoteState state(double now, Vote vote) {
         if (now < silentUntil) {
-            return new Standing(vote.number, null, silentUntil - now);
+            return new VoteState(vote.number, null, silentUntil - now);
         }
         boolean bound = vote.holder != null && now < vote.until;
         double until = bound ? Math.max(vote.until, abstainsUntil()) : abstainsUntil();
-        return new Standing(vote.number, bound ? vote.holder : null, Math.max(0, until - now));
+        return new VoteState(vote.number, bound ? vote.holder : null, Math.max(0, until - now));
     }
 
     private Vote vote(String duty) {
--- a/consensus/src/main/java/dewplank/singleton/VoteReply.java
+++ b/consensus/src/main/java/dewplank/singleton/VoteReply.java
@@ -7,45 +7,45 @@
         /** The vote is given, or, to a probe, would be. */
         GRANTED,
         /** Another's lease stands, the number is too low, or the candidate counts by a list that is out of force. */
-        REFUSED,
+        REJECTED,
         /** The voter may have voted before, has just learned of a set of voters, or cannot keep a number on disk. */
         ABSTAINED,
         /** The one that answers has another identity than the one that was asked; it never votes in its place. */
-        NOT_THE_ONE_ASKED
+        WRONG_IDENTITY
     }
 
     private final String duty;
-    private final String voter;
+    private final String voterIdentity;
     private final String candidate;
     private final long round;
     private final Verdict verdict;
-    private final long number;
-    private final String holder;
+    private final long highestToken;
+    private final String grantedTo;
     private final double remainingMs;
-    private final String asked;
+    private final String requestedIdentity;
 
     /**
      * A reply.
      *
      * @param request what was asked
-     * @param voter the identity of the disk that answers
+     * @param voterIdentity the identity of the disk that answers
      * @param verdict the answer
-     * @param standing what stands at the voter after it
+     * @param state what stands at the voter after it
      */
-    VoteReply(VoteRequest request, String voter, Verdict verdict, Standing standing) {
+    VoteReply(VoteRequest request, String voterIdentity, Verdict verdict, VoteState state) {
         this.duty = request.duty();
-        this.voter = voter;
+        this.voterIdentity = voterIdentity;
         this.candidate = request.candidate();
         this.round = request.round();
         this.verdict = verdict;
-        this.number = standing.number();
-        this.holder = standing.holder();
-        this.remainingMs = standing.remainingMs();
-        this.asked = request.voter();
+        this.highestToken = state.highestToken();
+        this.grantedTo = state.grantedTo();
+        this.remainingMs = state.remainingMs();
+        this.requestedIdentity = request.voterIdentity();
     }
 
     /** What stands at a voter: its highest number, whom its lease binds it to (null: nobody), and for how long. */
-    record Standing(long number, String holder, double remainingMs) {}
+    record VoteState(long highestToken, String grantedTo, double remainingMs) {}
 
     /** The duty. */
     public String duty() {
@@ -53,18 +53,18 @@
     }
 
     /** The identity of the disk that answers. */
-    public String voter() {
-        return voter;
+    public String voterIdentity() {
+        return voterIdentity;
     }
 
     /** The identity that was asked. */
-    public String asked() {
-        return asked;
+    public String requestedIdentity() {
+        return requestedIdentity;
     }
 
     /** Whether the vote is given, or to a probe would be, by the very disk that was asked. */
     boolean grants() {
-        return verdict == Verdict.GRANTED && voter.equals(asked);
+        return verdict == Verdict.GRANTED && voterIdentity.equals(requestedIdentity);
     }
 
     /** Who asked. */
@@ -83,13 +83,13 @@
     }
 
     /** The highest number that the voter has promised. */
-    public long number() {
-        return number;
+    public long highestToken() {
+        return highestToken;
     }
 
     /** Whom the voter is bound to; null where to nobody, or where it does not know. */
-    public String holder() {
-        return holder;
+    public String grantedTo() {
+        return grantedTo;
     }
 
     /** How much longer the voter is bound, or abstains. */
@@ -99,7 +99,7 @@
 
     @Override
     public String toString() {
-        return verdict + " " + duty + " " + voter + " to " + candidate + " round " + round + " number " + number
-                + " holder " + holder + " for " + remainingMs + " ms";
+        return verdict + " " + duty + " " + voterIdentity + " to " + candidate + " round " + round + " highest token "
+                + highestToken + " granted to " + grantedTo + " for " + remainingMs + " ms";
     }
 }
--- a/consensus/src/main/java/dewplank/singleton/VoteRequest.java
+++ b/consensus/src/main/java/dewplank/singleton/VoteRequest.java
@@ -7,7 +7,7 @@
         /** Whether the voter is free to vote; binds nobody. */
         PROBE,
         /** A vote under a new number. */
-        ASK,
+        REQUEST_VOTE,
         /** The lease once more, by the holder of the number. */
         RENEW,
         /** The vote back: the ballot failed. */
@@ -20,9 +20,9 @@
     private final String duty;
     private final String candidate;
     private final long round;
-    private final long number;
-    private final long votersVersion;
-    private final String voter;
+    private final long fencingToken;
+    private final long voterSetGeneration;
+    private final String voterIdentity;
 
     /**
      * A request.
@@ -30,20 +30,26 @@
      * @param kind what is asked for
      * @param duty the duty
      * @param candidate who asks; another name in each life of a process
-     * @param voter the identity of the disk whose vote is asked for
+     * @param voterIdentity the identity of the disk whose vote is asked for
      * @param round the candidate's count of its requests, which the reply brings back
-     * @param number the fencing number
-     * @param votersVersion the generation of the set of voters by which the candidate counts
+     * @param fencingToken the fencing token
+     * @param voterSetGeneration the generation of the set of voters by which the candidate counts
      */
     public VoteRequest(
-            Kind kind, String duty, String candidate, String voter, long round, long number, long votersVersion) {
+            Kind kind,
+            String duty,
+            String candidate,
+            String voterIdentity,
+            long round,
+            long fencingToken,
+            long voterSetGeneration) {
         this.kind = kind;
         this.duty = duty;
         this.candidate = candidate;
-        this.voter = voter;
+        this.voterIdentity = voterIdentity;
         this.round = round;
-        this.number = number;
-        this.votersVersion = votersVersion;
+        this.fencingToken = fencingToken;
+        this.voterSetGeneration = voterSetGeneration;
     }
 
     /** What is asked for. */
@@ -62,8 +68,8 @@
     }
 
     /** The identity of the disk whose vote is asked for; another one at the same address must not give it. */
-    public String voter() {
-        return voter;
+    public String voterIdentity() {
+        return voterIdentity;
     }
 
     /** The candidate's count of its requests. */
@@ -71,19 +77,19 @@
         return round;
     }
 
-    /** The fencing number. */
-    public long number() {
-        return number;
+    /** The fencing token. */
+    public long fencingToken() {
+        return fencingToken;
     }
 
     /** The generation of the set of voters by which the candidate counts. */
-    public long votersVersion() {
-        return votersVersion;
+    public long voterSetGeneration() {
+        return voterSetGeneration;
     }
 
     @Override
     public String toString() {
-        return kind + " " + duty + " " + candidate + " of " + voter + " round " + round + " number " + number
-                + " voters " + votersVersion;
+        return kind + " " + duty + " " + candidate + " of " + voterIdentity + " round " + round + " token "
+                + fencingToken + " voters " + voterSetGeneration;
     }
 }
--- a/consensus/src/main/java/dewplank/singleton/Ballot.java
+++ b/consensus/src/main/java/dewplank/singleton/VoteRound.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 
 /** The replies to one round of a candidate's requests, counted by the set of voters that was in force when it began. */
-final class Ballot {
+final class VoteRound {
     private final AcceptorSet voters;
     private final long round;
     private final long number;
@@ -18,7 +18,7 @@
     private final Map<String, VoteReply> replies = new HashMap<>();
 
     /** A round that was sent to these voters at the given time. */
-    Ballot(AcceptorSet voters, long round, long number, double sentAt) {
+    VoteRound(AcceptorSet voters, long round, long number, double sentAt) {
         this.voters = voters;
         this.round = round;
         this.number = number;
@@ -51,7 +51,7 @@
 
     /** Takes a reply; the first for each identity that was asked counts. */
     void record(VoteReply reply) {
-        replies.putIfAbsent(reply.asked(), reply);
+        replies.putIfAbsent(reply.requestedIdentity(), reply);
     }
 
     /** Whether a majority of the voters granted; of both, while the set is joint. */
--- a/consensus/src/test/java/dewplank/membership/AcceptorPlanTest.java
+++ b/consensus/src/test/java/dewplank/membership/AcceptorPlacementTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dewplank.membership.AcceptorPlan.Sighting;
-import dewplank.membership.AcceptorPlan.Timing;
+import dewplank.membership.AcceptorPlacement.PeerObservation;
+import dewplank.membership.AcceptorPlacement.Timing;
 import dewplank.register.AcceptorId;
 import dewplank.register.AcceptorSet;
 import java.util.ArrayList;
@@ -12,7 +12,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class AcceptorPlanTest {
+class AcceptorPlacementTest {
     private static final double CATCH_UP_MS = 4_000;
     private static final double LOOK_MS = 100;
     private static final Timing TIMING = Timing.ofCatchUp(CATCH_UP_MS);
@@ -23,24 +23,24 @@
     private static final AcceptorId E = new AcceptorId("e:1", "disk-e");
     private static final AcceptorId A_AGAIN = new AcceptorId("a:1", "disk-a2");
 
-    private final AcceptorPlan plan = new AcceptorPlan(TIMING);
+    private final AcceptorPlacement plan = new AcceptorPlacement(TIMING);
 
     private static AcceptorSet set(AcceptorId... members) {
         return AcceptorSet.of(List.of(members));
     }
 
     /** Heard at the moment, and for long. */
-    private static Sighting old(double now, AcceptorId acceptor) {
-        return new Sighting(acceptor, true, now, now - 60_000);
+    private static PeerObservation old(double now, AcceptorId acceptor) {
+        return new PeerObservation(acceptor, true, now, now - 60_000);
     }
 
-    private static List<Sighting> allOld(double now, AcceptorId... acceptors) {
+    private static List<PeerObservation> allOld(double now, AcceptorId... acceptors) {
         return Arrays.stream(acceptors).map(a -> old(now, a)).toList();
     }
 
     @Test
     void leavesACompleteSetAlone() {
-        assertEquals(List.of(A, B, C), plan.wanted(0, set(A, B, C), allOld(0, A, B, C)));
+        assertEquals(List.of(A, B, C), plan.targetMembers(0, set(A, B, C), allOld(0, A, B, C)));
     }
 
     /** The bound that a second loss after a replacement rests on: the whole has to fit into catch_up_s. */
@@ -50,13 +50,13 @@
         double linkedAt = startedAt + 1_000;
         double replacedAt = Double.NaN;
         for (double now = 0; now < 10_000 && Double.isNaN(replacedAt); now += LOOK_MS) {
-            List<Sighting> seen = new ArrayList<>(allOld(now, B, C));
-            seen.add(new Sighting(A, true, 0, -60_000));
+            List<PeerObservation> seen = new ArrayList<>(allOld(now, B, C));
+            seen.add(new PeerObservation(A, true, 0, -60_000));
             if (now >= linkedAt) {
-                seen.add(new Sighting(D, true, now, linkedAt));
+                seen.add(new PeerObservation(D, true, now, linkedAt));
             }
-            if (!plan.wanted(now, set(A, B, C), seen).equals(List.of(A, B, C))) {
-                assertEquals(List.of(D, B, C), plan.wanted(now, set(A, B, C), seen));
+            if (!plan.targetMembers(now, set(A, B, C), seen).equals(List.of(A, B, C))) {
+                assertEquals(List.of(D, B, C), plan.targetMembers(now, set(A, B, C), seen));
                 replacedAt = now;
             }
         }
@@ -69,68 +69,69 @@
         AcceptorSet set = set(A, B, C, D, E);
         AcceptorId f = new AcceptorId("f:1", "disk-f");
         AcceptorId g = new AcceptorId("g:1", "disk-g");
-        assertEquals(set.members(), plan.wanted(0, set, allOld(0, C, D, E, f, g)));
-        double gone = TIMING.goneMs();
-        assertEquals(List.of(f, B, C, D, E), plan.wanted(gone, set, allOld(gone, C, D, E, f, g)));
+        assertEquals(set.members(), plan.targetMembers(0, set, allOld(0, C, D, E, f, g)));
+        double gone = TIMING.replaceAfterMs();
+        assertEquals(List.of(f, B, C, D, E), plan.targetMembers(gone, set, allOld(gone, C, D, E, f, g)));
         assertEquals(
-                List.of(f, g, C, D, E), plan.wanted(gone + 1, set(f, B, C, D, E), allOld(gone + 1, C, D, E, f, g)));
+                List.of(f, g, C, D, E),
+                plan.targetMembers(gone + 1, set(f, B, C, D, E), allOld(gone + 1, C, D, E, f, g)));
     }
 
     @Test
     void aLostDiskIsReplacedByWhatLivesAtItsAddressAsSoonAsThatHasSettled() {
-        Sighting again = new Sighting(A_AGAIN, true, 100, 0);
-        assertEquals(List.of(A, B, C), plan.wanted(100, set(A, B, C), List.of(again, old(100, B), old(100, C))));
-        double settled = TIMING.settledMs();
+        PeerObservation again = new PeerObservation(A_AGAIN, true, 100, 0);
+        assertEquals(List.of(A, B, C), plan.targetMembers(100, set(A, B, C), List.of(again, old(100, B), old(100, C))));
+        double settled = TIMING.minUptimeMs();
         assertEquals(
                 List.of(A_AGAIN, B, C),
-                plan.wanted(
+                plan.targetMembers(
                         settled,
                         set(A, B, C),
-                        List.of(new Sighting(A_AGAIN, true, settled, 0), old(settled, B), old(settled, C))));
+                        List.of(new PeerObservation(A_AGAIN, true, settled, 0), old(settled, B), old(settled, C))));
     }
 
     /** Late words of an earlier life at the same address make the identity unsettled, not the other way round. */
     @Test
     void anIdentityThatHasJustChangedDoesNotReplaceAnybody() {
-        Sighting flipped = new Sighting(A, true, 5_000, 4_990);
+        PeerObservation flipped = new PeerObservation(A, true, 5_000, 4_990);
         assertEquals(
                 List.of(A_AGAIN, B, C),
-                plan.wanted(5_000, set(A_AGAIN, B, C), List.of(flipped, old(5_000, B), old(5_000, C))));
+                plan.targetMembers(5_000, set(A_AGAIN, B, C), List.of(flipped, old(5_000, B), old(5_000, C))));
     }
 
     @Test
     void oneThatFellSilentStaysWhereNobodyCanTakeItsPlace() {
         for (double now = 0; now < 60_000; now += LOOK_MS) {
-            assertEquals(List.of(A, B, C), plan.wanted(now, set(A, B, C), allOld(now, B, C)));
+            assertEquals(List.of(A, B, C), plan.targetMembers(now, set(A, B, C), allOld(now, B, C)));
         }
     }
 
     @Test
     void oneThatIsHeardAgainInTimeKeepsItsPlace() {
-        plan.wanted(0, set(A, B, C), allOld(0, B, C, D));
-        double back = TIMING.goneMs() - 1;
-        assertEquals(List.of(A, B, C), plan.wanted(back, set(A, B, C), allOld(back, A, B, C, D)));
-        double later = back + TIMING.goneMs() - 1;
-        assertEquals(List.of(A, B, C), plan.wanted(later, set(A, B, C), allOld(later, B, C, D)));
+        plan.targetMembers(0, set(A, B, C), allOld(0, B, C, D));
+        double back = TIMING.replaceAfterMs() - 1;
+        assertEquals(List.of(A, B, C), plan.targetMembers(back, set(A, B, C), allOld(back, A, B, C, D)));
+        double later = back + TIMING.replaceAfterMs() - 1;
+        assertEquals(List.of(A, B, C), plan.targetMembers(later, set(A, B, C), allOld(later, B, C, D)));
     }
 
     @Test
     void growsToAnOddNumber() {
-        assertEquals(List.of(A, B, C), plan.wanted(0, set(A, B, C), allOld(0, A, B, C, D)));
-        assertEquals(List.of(A, B, C, D, E), plan.wanted(0, set(A, B, C), allOld(0, A, B, C, D, E)));
+        assertEquals(List.of(A, B, C), plan.targetMembers(0, set(A, B, C), allOld(0, A, B, C, D)));
+        assertEquals(List.of(A, B, C, D, E), plan.targetMembers(0, set(A, B, C), allOld(0, A, B, C, D, E)));
         List<AcceptorId> many = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
             many.add(new AcceptorId("m" + i, "disk-" + i));
         }
-        List<Sighting> seen = many.stream().map(a -> old(0, a)).toList();
+        List<PeerObservation> seen = many.stream().map(a -> old(0, a)).toList();
         assertEquals(
-                AcceptorPlan.MOST_ACCEPTORS,
-                plan.wanted(0, AcceptorSet.of(many.subList(0, 3)), seen).size());
+                AcceptorPlacement.MAX_ACCEPTORS,
+                plan.targetMembers(0, AcceptorSet.of(many.subList(0, 3)), seen).size());
     }
 
     @Test
     void aHalfDoneChangeIsFinishedFirst() {
         AcceptorSet joint = new AcceptorSet(1, List.of(A, B, C), List.of(D, B, C));
-        assertEquals(joint.members(), plan.wanted(9_000, joint, allOld(9_000, B, C, D, E)));
+        assertEquals(joint.members(), plan.targetMembers(9_000, joint, allOld(9_000, B, C, D, E)));
     }
 }
--- a/consensus/src/test/java/dewplank/membership/SessionTableTest.java
+++ b/consensus/src/test/java/dewplank/membership/SessionTableTest.java
@@ -17,10 +17,10 @@
 
     @Test
     void aMemberIsOneWhileASessionStandsAnywhere() {
-        table.renew(0, member("a", 1));
-        table.told(0, "other", List.of(member("a", 1), member("b", 1)));
+        table.tryRenew(0, member("a", 1));
+        table.onSessionsReported(0, "other", List.of(member("a", 1), member("b", 1)));
         assertEquals(2, table.members(1_900).size());
-        table.renew(1_900, member("a", 1));
+        table.tryRenew(1_900, member("a", 1));
         assertEquals(List.of(member("a", 1)), table.members(2_100));
         table.close(member("a", 1));
         assertTrue(table.members(2_200).isEmpty());
@@ -28,15 +28,15 @@
 
     @Test
     void whoIsToldOfNoMoreHasLeft() {
-        table.told(0, "other", List.of(member("a", 1)));
-        table.told(300, "other", List.of());
+        table.onSessionsReported(0, "other", List.of(member("a", 1)));
+        table.onSessionsReported(300, "other", List.of());
         assertTrue(table.members(301).isEmpty());
     }
 
     @Test
     void ofTwoIncarnationsTheLaterCounts() {
-        table.told(0, "other", List.of(member("a", 1)));
-        table.renew(0, member("a", 2));
+        table.onSessionsReported(0, "other", List.of(member("a", 1)));
+        table.tryRenew(0, member("a", 2));
         assertEquals(List.of(member("a", 2)), table.members(1));
     }
 
@@ -50,10 +50,10 @@
 
     @Test
     void sessionsAreBounded() {
-        for (int i = 0; i < SessionTable.MOST_SESSIONS; i++) {
-            assertTrue(table.renew(0, member("n" + i, 1)));
+        for (int i = 0; i < SessionTable.MAX_SESSIONS; i++) {
+            assertTrue(table.tryRenew(0, member("n" + i, 1)));
         }
-        assertFalse(table.renew(0, member("one more", 1)));
-        assertTrue(table.renew(0, member("n0", 1)), "one that is there is renewed");
+        assertFalse(table.tryRenew(0, member("one more", 1)));
+        assertTrue(table.tryRenew(0, member("n0", 1)), "one that is there is renewed");
     }
 }
--- a/consensus/src/test/java/dewplank/singleton/DutySimulation.java
+++ b/consensus/src/test/java/dewplank/singleton/DutySimulation.java
@@ -316,7 +316,7 @@
         private int lives;
         private String life;
         private boolean frozen;
-        private Voter voter;
+        private LeaseVoter voter;
         private Candidate candidate;
 
         private Sidecar(String name) {
@@ -337,11 +337,11 @@
         }
 
         boolean holds() {
-            return isUp() && candidate.holds(clock());
+            return isUp() && candidate.isLeaseHolder(clock());
         }
 
         long number() {
-            return candidate.fencingNumber();
+            return candidate.fencingToken();
         }
 
         double clock() {
@@ -354,8 +354,8 @@
             }
             lives++;
             life = name + "/" + lives;
-            voter = new Voter(self().identity(), times.leaseMs(), clock() + silenceMs, disk);
-            candidate = new Candidate(DUTY, life, DutyTiming.ofLease(times.leaseMs()), random::nextDouble, clock());
+            voter = new LeaseVoter(self().identity(), times.leaseMs(), clock() + silenceMs, disk);
+            candidate = new Candidate(DUTY, life, LeaseTiming.ofLease(times.leaseMs()), random::nextDouble, clock());
             tell();
             schedule();
         }
@@ -381,8 +381,8 @@
 
         private void tell() {
             if (isUp()) {
-                voter.voters(clock(), known.generation(), acceptedGeneration);
-                candidate.voters(clock(), known);
+                voter.updateVoterSet(clock(), known.generation(), acceptedGeneration);
+                candidate.updateVoterSet(clock(), known);
             }
         }
 
@@ -400,7 +400,7 @@
         }
 
         void pause(double pauseMs) {
-            run(life, () -> candidate.pause(clock(), pauseMs, new Candidacy()));
+            run(life, () -> candidate.stepDown(clock(), pauseMs, new Candidacy()));
         }
 
         void kill() {
@@ -422,7 +422,7 @@
         }
 
         void release() {
-            run(life, () -> candidate.release(clock(), new Candidacy()));
+            run(life, () -> candidate.shutDown(clock(), new Candidacy()));
         }
 
         /** Runs an action of a life of this sidecar: later where it is frozen, never where that life is over. */
@@ -440,7 +440,7 @@
 
         private void schedule() {
             String ofLife = life;
-            double wakeAt = candidate.wakeAt();
+            double wakeAt = candidate.nextTickAtMs();
             if (wakeAt < Double.POSITIVE_INFINITY) {
                 double time = Math.max(now, (wakeAt - offset) / rate) + random.nextDouble();
                 at(time, () -> wake(ofLife, wakeAt));
@@ -449,18 +449,18 @@
 
         private void wake(String ofLife, double wakeAt) {
             run(ofLife, () -> {
-                if (candidate.wakeAt() == wakeAt) {
+                if (candidate.nextTickAtMs() == wakeAt) {
                     candidate.tick(clock(), new Candidacy());
                 }
             });
         }
 
         private void take(VoteRequest request, Sidecar from, String fromLife) {
-            run(life, () -> voter.vote(clock(), request, new Votes(from, fromLife)));
+            run(life, () -> voter.onVoteRequest(clock(), request, new Votes(from, fromLife)));
         }
 
         /** Sends what the candidate asks for. */
-        private final class Candidacy implements CandidateOutput {
+        private final class Candidacy implements Candidate.Effects {
             @Override
             public void send(AcceptorId to, VoteRequest request) {
                 String fromLife = life;
@@ -469,24 +469,24 @@
             }
 
             @Override
-            public void won(String duty, long number) {
-                if (number <= highestWon) {
-                    throw new AssertionError(life + " won " + number + " after " + highestWon + " at " + now);
+            public void leaseAcquired(String duty, long fencingToken) {
+                if (fencingToken <= highestWon) {
+                    throw new AssertionError(life + " won " + fencingToken + " after " + highestWon + " at " + now);
                 }
-                highestWon = number;
+                highestWon = fencingToken;
                 wins++;
             }
 
             @Override
-            public void lost(String duty, long number) {
-                if (candidate.holds(clock())) {
-                    throw new AssertionError(life + " lost " + number + " and holds it");
+            public void leaseLost(String duty, long fencingToken) {
+                if (candidate.isLeaseHolder(clock())) {
+                    throw new AssertionError(life + " lost " + fencingToken + " and holds it");
                 }
             }
         }
 
         /** Sends what the voter answers. */
-        private final class Votes implements VoterOutput {
+        private final class Votes implements LeaseVoter.Effects {
             private final Sidecar to;
             private final String toLife;
 
@@ -496,7 +496,7 @@
             }
 
             @Override
-            public void persist(VoteRequest request, VoteReply reply) {
+            public void persistToken(VoteRequest request, VoteReply reply) {
                 String ofLife = life;
                 diskDoneAt = Math.max(diskDoneAt, now) + random.nextDouble() * times.diskMs();
                 at(diskDoneAt, () -> run(ofLife, () -> persisted(request, reply)));
@@ -505,15 +505,15 @@
             private void persisted(VoteRequest request, VoteReply reply) {
                 boolean torn = diskFails && random.nextBoolean();
                 if (!diskFails || torn) {
-                    if (reply.number() < disk.getOrDefault(request.duty(), 0L)) {
-                        throw new AssertionError(name + " fell back to " + reply.number());
+                    if (reply.highestToken() < disk.getOrDefault(request.duty(), 0L)) {
+                        throw new AssertionError(name + " fell back to " + reply.highestToken());
                     }
-                    disk.put(request.duty(), reply.number());
+                    disk.put(request.duty(), reply.highestToken());
                 }
                 if (diskFails) {
-                    voter.notPersisted(clock(), request, this);
+                    voter.onPersistFailed(clock(), request, this);
                 } else {
-                    voter.persisted(request);
+                    voter.onTokenPersisted(request);
                     send(reply);
                 }
             }
@@ -523,12 +523,12 @@
                 deliver(
                         name,
                         to.name,
-                        () -> to.run(toLife, () -> to.candidate.received(to.clock(), reply, to.new Candidacy())));
+                        () -> to.run(toLife, () -> to.candidate.onVoteReply(to.clock(), reply, to.new Candidacy())));
             }
 
             @Override
-            public void vacated(String duty) {
-                candidate.vacated(clock());
+            public void leaseReleased(String duty) {
+                candidate.onLeaseReleased(clock());
             }
         }
     }
--- a/consensus/src/test/java/dewplank/singleton/DutyVacancyTest.java
+++ b/consensus/src/test/java/dewplank/singleton/DutyVacancyTest.java
@@ -21,7 +21,7 @@
  */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class DutyVacancyTest {
-    private static final double LEASE_MS = DutyTiming.leaseMs(4_000, 3_000, 3_000);
+    private static final double LEASE_MS = LeaseTiming.leaseMs(4_000, 3_000, 3_000);
     /** Within a region; the sites name 12 ms between regions. */
     private static final Times TIMES = new Times(LEASE_MS, 12, 5);
 
@@ -39,11 +39,11 @@
 
     @Test
     void theLeaseFollowsTheBounds() {
-        assertEquals(1_200, DutyTiming.leaseMs(4_000, 3_000, 3_000));
-        assertEquals(1_200, DutyTiming.leaseMs(6_000, 3_000, 3_000));
-        assertEquals(900, DutyTiming.leaseMs(3_000, 3_000, 3_000));
-        assertEquals(800, DutyTiming.leaseMs(6_000, 2_000, 3_000));
-        assertEquals(600, DutyTiming.leaseMs(1_000, 2_000, 3_000));
+        assertEquals(1_200, LeaseTiming.leaseMs(4_000, 3_000, 3_000));
+        assertEquals(1_200, LeaseTiming.leaseMs(6_000, 3_000, 3_000));
+        assertEquals(900, LeaseTiming.leaseMs(3_000, 3_000, 3_000));
+        assertEquals(800, LeaseTiming.leaseMs(6_000, 2_000, 3_000));
+        assertEquals(600, LeaseTiming.leaseMs(1_000, 2_000, 3_000));
     }
 
     @ParameterizedTest
--- /dev/null
+++ b/consensus/src/test/java/dewplank/singleton/LeaseVoterTest.java
@@ -0,0 +1,232 @@
+package dewplank.singleton;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+
+import dewplank.singleton.VoteReply.Verdict;
+import dewplank.singleton.VoteRequest.Kind;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+
+class LeaseVoterTest {
+    private static final double LEASE_MS = 3_000;
+
+    /** What a voter asked for. */
+    private final class Seen implements LeaseVoter.Effects {
+        private final List<VoteReply> replies = new ArrayList<>();
+        private final List<Long> kept = new ArrayList<>();
+        private final List<String> vacated = new ArrayList<>();
+
+        @Override
+        public void persistToken(VoteRequest request, VoteReply reply) {
+            if (diskFails) {
+                voter.onPersistFailed(failedAt, request, this);
+                return;
+            }
+            kept.add(reply.highestToken());
+            voter.onTokenPersisted(request);
+            replies.add(reply);
+        }
+
+        @Override
+        public void send(VoteReply reply) {
+            replies.add(reply);
+        }
+
+        @Override
+        public void leaseReleased(String duty) {
+            vacated.add(duty);
+        }
+    }
+
+    private final Seen seen = new Seen();
+    private final LeaseVoter voter = new LeaseVoter("v", LEASE_MS, 0, Map.of());
+    private boolean diskFails;
+    private double failedAt;
+
+    private VoteReply vote(LeaseVoter asked, double now, Kind kind, String candidate, long number, long version) {
+        int before = seen.replies.size();
+        asked.onVoteRequest(now, new VoteRequest(kind, "list", candidate, "v", 5, number, version), seen);
+        return seen.replies.size() == before ? null : seen.replies.get(before);
+    }
+
+    private VoteReply vote(double now, Kind kind, String candidate, long number) {
+        return vote(voter, now, kind, candidate, number, 0);
+    }
+
+    @Test
+    void bindsItselfForALease() {
+        assertEquals(Verdict.GRANTED, vote(0, Kind.REQUEST_VOTE, "a", 1).verdict());
+        VoteReply refused = vote(1_000, Kind.REQUEST_VOTE, "b", 2);
+        assertEquals(Verdict.REJECTED, refused.verdict());
+        assertEquals("a", refused.grantedTo());
+        assertEquals(1, refused.highestToken());
+        assertEquals(2_000, refused.remainingMs());
+        assertEquals(5, refused.round());
+        assertEquals(Verdict.REJECTED, vote(2_999, Kind.PROBE, "b", 2).verdict());
+        assertEquals(Verdict.GRANTED, vote(3_000, Kind.REQUEST_VOTE, "b", 2).verdict());
+        assertEquals(List.of(1L, 2L), seen.kept);
+    }
+
+    @Test
+    void neverVotesTwiceUnderOneNumber() {
+        vote(0, Kind.REQUEST_VOTE, "a", 4);
+        assertEquals(Verdict.REJECTED, vote(9_000, Kind.REQUEST_VOTE, "b", 4).verdict());
+        assertEquals(Verdict.REJECTED, vote(9_000, Kind.REQUEST_VOTE, "b", 3).verdict());
+        assertEquals(Verdict.REJECTED, vote(9_000, Kind.REQUEST_VOTE, "a", 4).verdict());
+        assertEquals(4, vote(9_000, Kind.PROBE, "b", 4).highestToken());
+        assertEquals(Verdict.GRANTED, vote(9_000, Kind.REQUEST_VOTE, "b", 5).verdict());
+    }
+
+    @Test
+    void renewsWithoutANewNumberAndWithoutTheDisk() {
+        vote(0, Kind.REQUEST_VOTE, "a", 1);
+        assertEquals(Verdict.GRANTED, vote(2_000, Kind.RENEW, "a", 1).verdict());
+        assertEquals(Verdict.REJECTED, vote(4_999, Kind.REQUEST_VOTE, "b", 2).verdict());
+        assertEquals(Verdict.REJECTED, vote(2_000, Kind.RENEW, "b", 1).verdict());
+        assertEquals(List.of(1L), seen.kept);
+    }
+
+    @Test
+    void probesBindNobody() {
+        assertEquals(Verdict.GRANTED, vote(0, Kind.PROBE, "a", 7).verdict());
+        assertEquals(Verdict.GRANTED, vote(0, Kind.REQUEST_VOTE, "b", 1).verdict());
+    }
+
+    @Test
+    void isFreeAtOnceWhenTheDutyIsLaidDown() {
+        vote(0, Kind.REQUEST_VOTE, "a", 1);
+        assertNull(vote(10, Kind.RELEASE, "b", 1));
+        assertEquals(Verdict.REJECTED, vote(10, Kind.REQUEST_VOTE, "b", 2).verdict());
+        vote(10, Kind.RELEASE, "a", 1);
+        assertEquals(List.of("list"), seen.vacated);
+        assertEquals(Verdict.REJECTED, vote(10, Kind.RENEW, "a", 1).verdict());
+        assertEquals(Verdict.GRANTED, vote(10, Kind.REQUEST_VOTE, "b", 2).verdict());
+    }
+
+    @Test
+    void aVoteGivenBackIsNoSuccession() {
+        vote(0, Kind.REQUEST_VOTE, "a", 1);
+        vote(10, Kind.WITHDRAW, "a", 1);
+        assertEquals(List.of(), seen.vacated);
+        assertEquals(Verdict.GRANTED, vote(10, Kind.REQUEST_VOTE, "b", 2).verdict());
+    }
+
+    @Test
+    void abstainsAfterARestartAndKeepsItsNumbers() {
+        LeaseVoter restarted = new LeaseVoter("v", LEASE_MS, LEASE_MS, Map.of("list", 6L));
+        for (Kind kind : List.of(Kind.PROBE, Kind.REQUEST_VOTE, Kind.RENEW)) {
+            VoteReply reply = vote(restarted, 2_000, kind, "a", 7, 0);
+            assertEquals(Verdict.ABSTAINED, reply.verdict());
+            assertEquals(6, reply.highestToken());
+            assertEquals(1_000, reply.remainingMs());
+        }
+        assertEquals(
+                Verdict.REJECTED,
+                vote(restarted, 3_000, Kind.REQUEST_VOTE, "b", 6, 0).verdict());
+        assertEquals(
+                Verdict.GRANTED, vote(restarted, 3_000, Kind.RENEW, "a", 6, 0).verdict());
+        assertEquals(
+                Verdict.REJECTED,
+                vote(restarted, 3_000, Kind.REQUEST_VOTE, "b", 7, 0).verdict());
+        assertEquals(List.of(), seen.kept);
+    }
+
+    @Test
+    void answersForNoOtherDiskAndIsNotSilent() {
+        VoteRequest request = new VoteRequest(Kind.REQUEST_VOTE, "list", "a", "the disk before", 5, 1, 0);
+        voter.onVoteRequest(0, request, seen);
+        VoteReply reply = seen.replies.get(0);
+        assertEquals(Verdict.WRONG_IDENTITY, reply.verdict());
+        assertEquals("the disk before", reply.requestedIdentity());
+        assertEquals("v", reply.voterIdentity());
+        assertEquals(List.of(), seen.kept);
+        assertEquals(Verdict.GRANTED, vote(0, Kind.REQUEST_VOTE, "b", 1).verdict());
+        voter.onVoteRequest(1, new VoteRequest(Kind.RELEASE, "list", "b", "the disk before", 5, 1, 0), seen);
+        assertEquals(List.of(), seen.vacated);
+        assertEquals(Verdict.REJECTED, vote(1, Kind.REQUEST_VOTE, "c", 2).verdict());
+    }
+
+    @Test
+    void givesNoVoteToANewHolderForALeaseAfterItLearnsOfASet() {
+        vote(0, Kind.REQUEST_VOTE, "a", 1);
+        voter.updateVoterSet(1_000, 0, 1);
+        assertEquals(Verdict.REJECTED, vote(voter, 1_000, Kind.RENEW, "a", 1, 0).verdict());
+        assertEquals(Verdict.GRANTED, vote(voter, 1_000, Kind.RENEW, "a", 1, 1).verdict());
+        vote(voter, 1_100, Kind.RELEASE, "a", 1, 1);
+        VoteReply reply = vote(voter, 3_999, Kind.PROBE, "b", 1, 1);
+        assertEquals(Verdict.ABSTAINED, reply.verdict());
+        assertEquals(1, reply.remainingMs());
+        assertEquals(
+                Verdict.ABSTAINED,
+                vote(voter, 3_999, Kind.REQUEST_VOTE, "b", 2, 1).verdict());
+        assertEquals(
+                Verdict.GRANTED,
+                vote(voter, 4_000, Kind.REQUEST_VOTE, "b", 2, 1).verdict());
+    }
+
+    @Test
+    void learnsOfASetByWhoCountsByIt() {
+        assertEquals(
+                Verdict.ABSTAINED, vote(voter, 0, Kind.REQUEST_VOTE, "a", 1, 2).verdict());
+        assertEquals(
+                Verdict.REJECTED,
+                vote(voter, LEASE_MS, Kind.REQUEST_VOTE, "b", 1, 1).verdict());
+        assertEquals(
+                Verdict.GRANTED,
+                vote(voter, LEASE_MS, Kind.REQUEST_VOTE, "a", 1, 2).verdict());
+    }
+
+    @Test
+    void whatWasAcceptedAndNeverChosenBindsNoLonger() {
+        voter.updateVoterSet(0, 2, 3);
+        assertEquals(
+                Verdict.REJECTED,
+                vote(voter, LEASE_MS, Kind.REQUEST_VOTE, "a", 1, 2).verdict());
+        voter.updateVoterSet(LEASE_MS, 2, 2);
+        assertEquals(
+                Verdict.GRANTED,
+                vote(voter, LEASE_MS, Kind.REQUEST_VOTE, "a", 1, 2).verdict());
+    }
+
+    @Test
+    void aVoterThatCannotKeepANumberGivesNoVoteAndSaysSo() {
+        diskFails = true;
+        VoteReply reply = vote(0, Kind.REQUEST_VOTE, "a", 1);
+        assertEquals(Verdict.ABSTAINED, reply.verdict());
+        assertEquals(LEASE_MS / 4, reply.remainingMs());
+        assertEquals(Verdict.ABSTAINED, vote(1, Kind.PROBE, "b", 1).verdict());
+        assertEquals(Verdict.ABSTAINED, vote(1, Kind.RENEW, "a", 1).verdict());
+        diskFails = false;
+        double later = LEASE_MS / 4;
+        assertEquals(Verdict.REJECTED, vote(later, Kind.REQUEST_VOTE, "b", 1).verdict());
+        assertEquals(List.of(), seen.kept);
+        assertEquals(Verdict.GRANTED, vote(later, Kind.REQUEST_VOTE, "b", 2).verdict());
+        assertEquals(List.of(2L), seen.kept);
+    }
+
+    @Test
+    void aRenewalThatNeedsTheDiskWaitsForItAndNoOther() {
+        diskFails = true;
+        vote(0, Kind.REQUEST_VOTE, "a", 3);
+        diskFails = false;
+        assertEquals(Verdict.GRANTED, vote(LEASE_MS, Kind.RENEW, "a", 3).verdict());
+        assertEquals(List.of(3L), seen.kept);
+        diskFails = true;
+        assertEquals(Verdict.GRANTED, vote(LEASE_MS, Kind.RENEW, "a", 3).verdict());
+        assertEquals(List.of(3L), seen.kept);
+    }
+
+    @Test
+    void refusesCandidatesThatCountByAnOlderList() {
+        voter.updateVoterSet(-LEASE_MS, 3, 0);
+        assertEquals(Verdict.REJECTED, vote(voter, 0, Kind.PROBE, "a", 1, 2).verdict());
+        assertEquals(
+                Verdict.REJECTED, vote(voter, 0, Kind.REQUEST_VOTE, "a", 1, 2).verdict());
+        assertEquals(Verdict.REJECTED, vote(voter, 0, Kind.RENEW, "a", 1, 2).verdict());
+        assertEquals(
+                Verdict.GRANTED, vote(voter, 0, Kind.REQUEST_VOTE, "a", 1, 3).verdict());
+    }
+}
--- a/controlplane/src/main/java/dewplank/controlplane/AcceptorReconfigurer.java
+++ b/controlplane/src/main/java/dewplank/controlplane/AcceptorReconfigurer.java
@@ -1,7 +1,7 @@
 package dewplank.controlplane;
 
-import dewplank.membership.AcceptorPlan;
-import dewplank.membership.AcceptorPlan.Sighting;
+import dewplank.membership.AcceptorPlacement;
+import dewplank.membership.AcceptorPlacement.PeerObservation;
 import dewplank.net.Scheduler;
 import dewplank.register.AcceptorId;
 import dewplank.register.AcceptorSet;
@@ -11,9 +11,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the register's acceptors what {@link AcceptorPlan} says they should be: the holder of the duty compares the set
- * with the control sidecars that live and asks the register for one change at a time. Every control sidecar notes who
- * is missing, so that a new holder need not begin to wait anew.
+ * Keeps the register's acceptors what {@link AcceptorPlacement} says they should be: the holder of the duty compares
+ * the set with the control sidecars that live and asks the register for one change at a time. Every control sidecar
+ * notes who is missing, so that a new holder need not begin to wait anew.
  */
 final class AcceptorReconfigurer {
     private static final Logger LOG = LoggerFactory.getLogger(AcceptorReconfigurer.class);
@@ -28,7 +28,7 @@
     private final ControlMesh mesh;
     private final ConfigurationStore configuration;
     private final EndpointPoller.Duty duty;
-    private final AcceptorPlan plan;
+    private final AcceptorPlacement plan;
     private boolean changing;
 
     AcceptorReconfigurer(
@@ -43,7 +43,7 @@
         this.mesh = mesh;
         this.configuration = configuration;
         this.duty = duty;
-        this.plan = new AcceptorPlan(AcceptorPlan.Timing.ofCatchUp(catchUpMs));
+        this.plan = new AcceptorPlacement(AcceptorPlacement.Timing.ofCatchUp(catchUpMs));
     }
 
     void start() {
@@ -52,7 +52,7 @@
 
     private void look() {
         AcceptorSet set = configuration.acceptors();
-        List<AcceptorId> wanted = plan.wanted(loop.now(), set, seen());
+        List<AcceptorId> wanted = plan.targetMembers(loop.now(), set, seen());
         boolean differs = !set.isJoint() && !wanted.equals(set.members());
         if (differs && !changing && duty.holds() && configuration.quorate(QUORATE_MS)) {
             LOG.info("acceptors {} are to become {}", set.members(), wanted);
@@ -62,13 +62,13 @@
         loop.after(LOOK_EVERY_MS, this::look);
     }
 
-    private List<Sighting> seen() {
+    private List<PeerObservation> seen() {
         double now = loop.now();
-        List<Sighting> seen = new ArrayList<>();
-        seen.add(new Sighting(self, true, now, Double.NEGATIVE_INFINITY)); // only who has a disk holds the duty
+        List<PeerObservation> seen = new ArrayList<>();
+        seen.add(new PeerObservation(self, true, now, Double.NEGATIVE_INFINITY)); // only who has a disk holds the duty
         for (ControlMesh.Peer p : mesh.peers(Double.POSITIVE_INFINITY)) {
             AcceptorId peer = new AcceptorId(p.member().address, p.identity());
-            seen.add(new Sighting(peer, p.durable(), p.heardAt(), p.since()));
+            seen.add(new PeerObservation(peer, p.durable(), p.heardAt(), p.since()));
         }
         return seen;
     }
--- a/controlplane/src/main/java/dewplank/controlplane/ControlPlane.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ControlPlane.java
@@ -19,7 +19,7 @@
 import dewplank.register.RegisterMessage;
 import dewplank.routing.Policy;
 import dewplank.settings.NodeSettings;
-import dewplank.singleton.DutyTiming;
+import dewplank.singleton.LeaseTiming;
 import dewplank.singleton.VoteReply;
 import dewplank.singleton.VoteRequest;
 import dewplank.store.StoreException;
@@ -145,7 +145,7 @@
         return new SingletonRoles(
                 loop,
                 new AcceptorId(address, storage.identity()),
-                DutyTiming.leaseMs(bounds.catchUpMs(), bounds.contactMs(), bounds.drainMs()),
+                LeaseTiming.leaseMs(bounds.catchUpMs(), bounds.contactMs(), bounds.drainMs()),
                 storage,
                 random,
                 configuration,
@@ -288,7 +288,7 @@
         @Override
         public SessionsTold told(long sequence) {
             pauses.look();
-            return new SessionsTold(sequence, table.own(loop.now()), mesh.liveAddresses());
+            return new SessionsTold(sequence, table.localSessions(loop.now()), mesh.liveAddresses());
         }
 
         @Override
@@ -318,7 +318,7 @@
         if (message instanceof RegisterMessage m) {
             configuration.received(m);
         } else if (message instanceof SessionsTold told) {
-            table.told(loop.now(), from, told.sessions);
+            table.onSessionsReported(loop.now(), from, told.sessions);
             mesh.learn(told.controlAddresses);
         } else if (message instanceof ServerList list) {
             if (lister.told(list)) {
--- a/controlplane/src/main/java/dewplank/controlplane/DataPlaneSessions.java
+++ b/controlplane/src/main/java/dewplank/controlplane/DataPlaneSessions.java
@@ -49,7 +49,7 @@
 
     /** A data plane opens its session; null where there is no room. */
     Session open(MessageLink connection, SessionOpen message) {
-        if (!table.renew(loop.now(), message.member)) {
+        if (!table.tryRenew(loop.now(), message.member)) {
             LOG.warn("no room for a session of {}", message.member.node);
             connection.end();
             return null;
@@ -68,7 +68,7 @@
     /** This process heard nobody for so long: no lease ran meanwhile. */
     void paused(double ms) {
         open.forEach(s -> s.askedAt += ms);
-        table.paused(ms);
+        table.extendLeases(ms);
     }
 
     int size() {
@@ -91,7 +91,7 @@
 
         void question(SessionQuestion question) {
             askedAt = loop.now();
-            table.renew(askedAt, member);
+            table.tryRenew(askedAt, member);
             if (!asked) {
                 asked = true;
                 held.configurationVersion = question.configurationVersion;
--- a/controlplane/src/main/java/dewplank/controlplane/SingletonRoles.java
+++ b/controlplane/src/main/java/dewplank/controlplane/SingletonRoles.java
@@ -4,12 +4,10 @@
 import dewplank.register.AcceptorId;
 import dewplank.register.AcceptorSet;
 import dewplank.singleton.Candidate;
-import dewplank.singleton.CandidateOutput;
-import dewplank.singleton.DutyTiming;
+import dewplank.singleton.LeaseTiming;
+import dewplank.singleton.LeaseVoter;
 import dewplank.singleton.VoteReply;
 import dewplank.singleton.VoteRequest;
-import dewplank.singleton.Voter;
-import dewplank.singleton.VoterOutput;
 import java.util.random.RandomGenerator;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -38,7 +36,7 @@
     private final Storage storage;
     private final Voters voters;
     private final Sending sending;
-    private final Voter voter;
+    private final LeaseVoter voter;
     private final Candidate candidate;
 
     SingletonRoles(
@@ -54,11 +52,11 @@
         this.voters = voters;
         this.sending = sending;
         double now = loop.now();
-        voter = new Voter(self.identity(), leaseMs, storage.firstStart() ? 0 : now + leaseMs, storage.numbers());
+        voter = new LeaseVoter(self.identity(), leaseMs, storage.firstStart() ? 0 : now + leaseMs, storage.numbers());
         candidate = new Candidate(
                 LIST,
                 self.address() + "#" + Long.toHexString(random.nextLong()),
-                DutyTiming.ofLease(leaseMs),
+                LeaseTiming.ofLease(leaseMs),
                 random::nextDouble,
                 now);
     }
@@ -75,23 +73,23 @@
 
     /** An acceptance has not left this process before its disk held it, so that it is known here by then. */
     private void learn() {
-        voter.voters(loop.now(), voters.acceptors().generation(), voters.acceptedGeneration());
-        candidate.voters(loop.now(), voters.acceptors());
+        voter.updateVoterSet(loop.now(), voters.acceptors().generation(), voters.acceptedGeneration());
+        candidate.updateVoterSet(loop.now(), voters.acceptors());
     }
 
     /** Another candidate, or this process's own, asks for a vote. */
     void asked(String from, VoteRequest request) {
         learn();
-        voter.vote(loop.now(), request, new Voting(from));
+        voter.onVoteRequest(loop.now(), request, new Voting(from));
     }
 
     void answered(VoteReply reply) {
-        candidate.received(loop.now(), reply, new Standing());
+        candidate.onVoteReply(loop.now(), reply, new Standing());
     }
 
     /** The process ends: the duty is laid down. */
     void release() {
-        candidate.release(loop.now(), new Standing());
+        candidate.shutDown(loop.now(), new Standing());
     }
 
     /** The duty to ask the platform for its list, and to keep the acceptors what they should be. */
@@ -99,39 +97,39 @@
         return new EndpointPoller.Duty() {
             @Override
             public boolean holds() {
-                return candidate.holds(loop.now());
+                return candidate.isLeaseHolder(loop.now());
             }
 
             @Override
             public long fencingNumber() {
-                return candidate.fencingNumber();
+                return candidate.fencingToken();
             }
 
             @Override
             public void pause(double ms) {
-                candidate.pause(loop.now(), ms, new Standing());
+                candidate.stepDown(loop.now(), ms, new Standing());
             }
         };
     }
 
-    private final class Standing implements CandidateOutput {
+    private final class Standing implements Candidate.Effects {
         @Override
         public void send(AcceptorId to, VoteRequest request) {
             sending.send(to.address(), request);
         }
 
         @Override
-        public void won(String duty, long number) {
-            LOG.info("duty {} is held here under number {}", duty, number);
+        public void leaseAcquired(String duty, long fencingToken) {
+            LOG.info("duty {} is held here under number {}", duty, fencingToken);
         }
 
         @Override
-        public void lost(String duty, long number) {
+        public void leaseLost(String duty, long fencingToken) {
             LOG.info("duty {} is held here no more", duty);
         }
     }
 
-    private final class Voting implements VoterOutput {
+    private final class Voting implements LeaseVoter.Effects {
         private final String to;
 
         Voting(String to) {
@@ -139,13 +137,13 @@
         }
 
         @Override
-        public void persist(VoteRequest request, VoteReply reply) {
-            storage.saveNumber(request.duty(), reply.number(), saved -> {
+        public void persistToken(VoteRequest request, VoteReply reply) {
+            storage.saveNumber(request.duty(), reply.highestToken(), saved -> {
                 if (saved) {
-                    voter.persisted(request);
+                    voter.onTokenPersisted(request);
                     sending.send(to, reply);
                 } else {
-                    voter.notPersisted(loop.now(), request, this);
+                    voter.onPersistFailed(loop.now(), request, this);
                 }
             });
         }
@@ -156,8 +154,8 @@
         }
 
         @Override
-        public void vacated(String duty) {
-            candidate.vacated(loop.now());
+        public void leaseReleased(String duty) {
+            candidate.onLeaseReleased(loop.now());
         }
     }
 }
--- a/controlplane/src/main/java/dewplank/controlplane/StageController.java
+++ b/controlplane/src/main/java/dewplank/controlplane/StageController.java
@@ -7,7 +7,7 @@
 import dewplank.net.Scheduler;
 import dewplank.routing.Mechanism;
 import dewplank.routing.Policy;
-import dewplank.singleton.StagePlan;
+import dewplank.routing.StagePlanner;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -46,7 +46,7 @@
      */
     private static final double SPARE_MS = 700;
 
-    private record Reported(StagePlan.Engine engine, double at) {}
+    private record Reported(StagePlanner.Engine engine, double at) {}
 
     /** An order that was sent and that no report has shown to be done. */
     private record Pending(boolean toPrefill, double at) {}
@@ -156,7 +156,7 @@
     private void learn(ServerEntry server, byte[] body) {
         try {
             Any report = JsonIterator.deserialize(body);
-            StagePlan.Engine engine = new StagePlan.Engine(
+            StagePlanner.Engine engine = new StagePlanner.Engine(
                     server.instanceId,
                     server.zone,
                     "prefill".equals(report.toString("stage")),
@@ -174,12 +174,12 @@
 
     private void change(String service, List<ServerEntry> servers) {
         double now = loop.now();
-        List<StagePlan.Engine> engines = new ArrayList<>();
+        List<StagePlanner.Engine> engines = new ArrayList<>();
         boolean ordered = false; // by a holder before, to a stage that is not known here
         for (ServerEntry s : servers) {
             Reported reported = reports.get(s.instanceId);
             if (reported != null && now - reported.at() <= REPORT_FRESH_MS) {
-                StagePlan.Engine engine = planned(reported);
+                StagePlanner.Engine engine = planned(reported);
                 engines.add(engine);
                 ordered |= engine.busy() && !pending.containsKey(s.instanceId);
             }
@@ -188,10 +188,10 @@
         boolean idle = engines.stream().allMatch(e -> e.queued() + e.active() == 0);
         double pause = idle ? IDLE_ORDER_EVERY_MS : ORDER_EVERY_MS;
         if (known && !ordered && now - orderedAt.getOrDefault(service, Double.NEGATIVE_INFINITY) >= pause) {
-            List<StagePlan.Change> changes = StagePlan.changes(engines);
+            List<StagePlanner.Change> changes = StagePlanner.changes(engines);
             boolean several = policy.isEnabled(Mechanism.SEVERAL_ORDERS);
-            boolean waits = !several && engines.stream().anyMatch(StagePlan.Engine::busy);
-            List<StagePlan.Change> begun = changes.stream()
+            boolean waits = !several && engines.stream().anyMatch(StagePlanner.Engine::busy);
+            List<StagePlanner.Change> begun = changes.stream()
                     .limit(several ? changes.size() : waits ? 0 : 1)
                     .toList();
             if (!begun.isEmpty()) {
@@ -202,8 +202,8 @@
     }
 
     /** As it reported itself; one that was ordered here to change counts as it will be until it shows. */
-    private StagePlan.Engine planned(Reported reported) {
-        StagePlan.Engine engine = reported.engine();
+    private StagePlanner.Engine planned(Reported reported) {
+        StagePlanner.Engine engine = reported.engine();
         Pending order = pending.get(engine.instanceId());
         if (order != null) {
             boolean shown = !engine.busy() && engine.prefill() == order.toPrefill() && reported.at() > order.at();
@@ -221,9 +221,9 @@
     }
 
     /** Data planes hear of it before the servers do, but where nothing runs that could be turned away. */
-    private void announce(List<ServerEntry> servers, List<StagePlan.Change> changes, boolean idle) {
+    private void announce(List<ServerEntry> servers, List<StagePlanner.Change> changes, boolean idle) {
         long number = duty.fencingNumber();
-        for (StagePlan.Change change : changes) {
+        for (StagePlanner.Change change : changes) {
             pending.put(change.instanceId(), new Pending(change.toPrefill(), loop.now()));
             lister.stageIs(change.instanceId(), ServerEntry.CHANGING, ORDER_SHOWS_MS);
         }
@@ -239,7 +239,7 @@
         return prefill ? "prefill" : "decode";
     }
 
-    private void order(List<ServerEntry> servers, StagePlan.Change change, long number) {
+    private void order(List<ServerEntry> servers, StagePlanner.Change change, long number) {
         ServerEntry server = servers.stream()
                 .filter(s -> s.instanceId.equals(change.instanceId()))
                 .findFirst()
--- a/controlplane/src/test/java/dewplank/controlplane/DataPlaneSessionsTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/DataPlaneSessionsTest.java
@@ -233,8 +233,8 @@
     @Test
     void whereThereIsNoRoomTheConnectionEnds() throws Exception {
         OnLoop.run(loop, () -> {
-            for (int i = 0; i < SessionTable.MOST_SESSIONS; i++) {
-                table.renew(loop.now(), new Member("other" + i, Member.DATA, "a", "z", 1));
+            for (int i = 0; i < SessionTable.MAX_SESSIONS; i++) {
+                table.tryRenew(loop.now(), new Member("other" + i, Member.DATA, "a", "z", 1));
             }
         });
         MessageLink connection = opened();
--- a/messages/src/test/java/dewplank/message/GoldenFramesTest.java
+++ b/messages/src/test/java/dewplank/message/GoldenFramesTest.java
@@ -297,7 +297,7 @@
     @Test
     void requestsForVotes() throws Exception {
         assertIsRequest(VoteRequest.Kind.PROBE, 21, "vote-request probe");
-        assertIsRequest(VoteRequest.Kind.ASK, 22, "vote-request ask");
+        assertIsRequest(VoteRequest.Kind.REQUEST_VOTE, 22, "vote-request ask");
         assertIsRequest(VoteRequest.Kind.RENEW, 23, "vote-request renew");
         assertIsRequest(VoteRequest.Kind.WITHDRAW, 24, "vote-request withdraw");
         assertIsRequest(VoteRequest.Kind.RELEASE, 25, "vote-request release");
@@ -308,10 +308,10 @@
         assertEquals(kind, request.kind());
         assertEquals("list", request.duty());
         assertEquals("10.0.0.1:7600#1f", request.candidate());
-        assertEquals("3kq0z", request.voter());
+        assertEquals("3kq0z", request.voterIdentity());
         assertEquals(round, request.round());
-        assertEquals(6, request.number());
-        assertEquals(3, request.votersVersion());
+        assertEquals(6, request.fencingToken());
+        assertEquals(3, request.voterSetGeneration());
     }
 
     @Test
@@ -320,13 +320,13 @@
         assertEquals(VoteReply.Verdict.GRANTED, granted.verdict());
         assertIsReply(granted, "3kq0z", "10.0.0.1:7600#1f", 22, 6, "10.0.0.1:7600#1f", 3_000);
         VoteReply refused = decoded("vote-reply refused", VoteReply.class);
-        assertEquals(VoteReply.Verdict.REFUSED, refused.verdict());
+        assertEquals(VoteReply.Verdict.REJECTED, refused.verdict());
         assertIsReply(refused, "3kq0z", "10.0.0.3:7600#2e", 31, 6, "10.0.0.1:7600#1f", 2_500);
         VoteReply abstained = decoded("vote-reply abstained", VoteReply.class);
         assertEquals(VoteReply.Verdict.ABSTAINED, abstained.verdict());
         assertIsReply(abstained, "3kq0z", "c#3", 40, 0, null, 500);
         VoteReply other = decoded("vote-reply not-the-one-asked", VoteReply.class);
-        assertEquals(VoteReply.Verdict.NOT_THE_ONE_ASKED, other.verdict());
+        assertEquals(VoteReply.Verdict.WRONG_IDENTITY, other.verdict());
         assertIsReply(other, "other", "c#4", 50, 0, null, 0);
     }
 
@@ -339,12 +339,12 @@
             String holder,
             double remainingMs) {
         assertEquals("list", reply.duty());
-        assertEquals(voter, reply.voter());
-        assertEquals("3kq0z", reply.asked());
+        assertEquals(voter, reply.voterIdentity());
+        assertEquals("3kq0z", reply.requestedIdentity());
         assertEquals(candidate, reply.candidate());
         assertEquals(round, reply.round());
-        assertEquals(number, reply.number());
-        assertEquals(holder, reply.holder());
+        assertEquals(number, reply.highestToken());
+        assertEquals(holder, reply.grantedTo());
         assertEquals(remainingMs, reply.remainingMs());
     }
 
--- a/messages/src/test/java/dewplank/message/GoldenMessages.java
+++ b/messages/src/test/java/dewplank/message/GoldenMessages.java
@@ -13,10 +13,9 @@
 import dewplank.register.Reject;
 import dewplank.register.StatusQuery;
 import dewplank.register.StatusReport;
+import dewplank.singleton.LeaseVoter;
 import dewplank.singleton.VoteReply;
 import dewplank.singleton.VoteRequest;
-import dewplank.singleton.Voter;
-import dewplank.singleton.VoterOutput;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -90,7 +89,7 @@
 
     private static void addVotes(Map<String, Object> messages) {
         messages.put("vote-request probe", request(VoteRequest.Kind.PROBE, 21));
-        messages.put("vote-request ask", request(VoteRequest.Kind.ASK, 22));
+        messages.put("vote-request ask", request(VoteRequest.Kind.REQUEST_VOTE, 22));
         messages.put("vote-request renew", request(VoteRequest.Kind.RENEW, 23));
         messages.put("vote-request withdraw", request(VoteRequest.Kind.WITHDRAW, 24));
         messages.put("vote-request release", request(VoteRequest.Kind.RELEASE, 25));
@@ -111,16 +110,16 @@
     }
 
     private static VoteRequest ask(String candidate, long round, long number) {
-        return new VoteRequest(VoteRequest.Kind.ASK, "list", candidate, SENDER_IDENTITY, round, number, 0);
+        return new VoteRequest(VoteRequest.Kind.REQUEST_VOTE, "list", candidate, SENDER_IDENTITY, round, number, 0);
     }
 
     /** The last reply of a voter that takes these requests one after another, 500 ms apart. */
     private static VoteReply reply(String identity, double silentUntil, double now, List<VoteRequest> requests) {
         List<VoteReply> replies = new ArrayList<>();
-        Voter voter = new Voter(identity, LEASE_MS, silentUntil, Map.of());
-        VoterOutput out = new VoterOutput() {
+        LeaseVoter voter = new LeaseVoter(identity, LEASE_MS, silentUntil, Map.of());
+        LeaseVoter.Effects out = new LeaseVoter.Effects() {
             @Override
-            public void persist(VoteRequest request, VoteReply reply) {
+            public void persistToken(VoteRequest request, VoteReply reply) {
                 replies.add(reply);
             }
 
@@ -130,11 +129,11 @@
             }
 
             @Override
-            public void vacated(String duty) {}
+            public void leaseReleased(String duty) {}
         };
         double at = now;
         for (VoteRequest request : requests) {
-            voter.vote(at, request, out);
+            voter.onVoteRequest(at, request, out);
             at += 500;
         }
         return replies.get(replies.size() - 1);
--- a/messages/src/test/java/dewplank/message/MessageCodecTest.java
+++ b/messages/src/test/java/dewplank/message/MessageCodecTest.java
@@ -194,10 +194,10 @@
             assertEquals(kind, request.kind());
             assertEquals("list", request.duty());
             assertEquals("n1/5", request.candidate());
-            assertEquals("disk", request.voter());
+            assertEquals("disk", request.voterIdentity());
             assertEquals(17, request.round());
-            assertEquals(4, request.number());
-            assertEquals(3, request.votersVersion());
+            assertEquals(4, request.fencingToken());
+            assertEquals(3, request.voterSetGeneration());
         }
     }
 
--- a/consensus/src/main/java/dewplank/singleton/StagePlan.java
+++ b/routing/src/main/java/dewplank/routing/StagePlanner.java
@@ -1,4 +1,4 @@
-package dewplank.singleton;
+package dewplank.routing;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -11,7 +11,7 @@
  * How many of a service's model servers should prefill and how many decode, and which ones to change next. Prefill is
  * what long prompts wait for; decode servers hold many streams at once, and only as many are kept as these need. Pure.
  */
-public final class StagePlan {
+public final class StagePlanner {
     /** Decode servers are this part of all at the least: streams must not wait for one that has crashed. */
     private static final double LEAST_DECODE_SHARE = 0.25;
     /** Of the places and of the memory of decode servers, beyond which further ones are wanted. */
@@ -55,7 +55,7 @@
     /** A change to be ordered. */
     public record Change(String instanceId, boolean toPrefill) {}
 
-    private StagePlan() {}
+    private StagePlanner() {}
 
     /**
      * The changes that may begin now for the ready servers of one service that have reported; none where all is as it
--- a/consensus/src/test/java/dewplank/singleton/StagePlanTest.java
+++ b/routing/src/test/java/dewplank/routing/StagePlannerTest.java
@@ -1,17 +1,17 @@
-package dewplank.singleton;
+package dewplank.routing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dewplank.singleton.StagePlan.Change;
-import dewplank.singleton.StagePlan.Engine;
+import dewplank.routing.StagePlanner.Change;
+import dewplank.routing.StagePlanner.Engine;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-class StagePlanTest {
+class StagePlannerTest {
     private static final int SLOTS = 48;
     private static final List<String> ZONES = List.of("a", "b", "c");
 
@@ -40,30 +40,30 @@
     @Test
     void whileNothingRunsAllThatDecodeNeedlesslyChangeAtOnceAndZonesKeepEvenShares() {
         List<Engine> engines = engines(63, 26, 0);
-        List<Change> changes = StagePlan.changes(engines);
+        List<Change> changes = StagePlanner.changes(engines);
         assertEquals(21, changes.size()); // a quarter of 63, rounded up, goes on to decode
         List<Engine> then = after(engines, changes);
         Map<String, Long> decode = then.stream()
                 .filter(e -> !e.prefill())
                 .collect(Collectors.groupingBy(Engine::zone, Collectors.counting()));
         assertTrue(decode.values().stream().allMatch(n -> n >= 5 && n <= 6), "decode servers by zone " + decode);
-        assertEquals(List.of(), StagePlan.changes(then), "nothing is ordered twice");
+        assertEquals(List.of(), StagePlanner.changes(then), "nothing is ordered twice");
     }
 
     @Test
     void whileRequestsRunNoMoreThanATenthChangeAtOnce() {
         List<Engine> engines = engines(63, 26, 1);
-        List<Change> first = StagePlan.changes(engines);
+        List<Change> first = StagePlanner.changes(engines);
         assertEquals(6, first.size());
-        assertEquals(List.of(), StagePlan.changes(after(engines, first)), "those under way count");
-        assertEquals(1, StagePlan.changes(engines(8, 3, 1)).size(), "of few servers one");
+        assertEquals(List.of(), StagePlanner.changes(after(engines, first)), "those under way count");
+        assertEquals(1, StagePlanner.changes(engines(8, 3, 1)).size(), "of few servers one");
     }
 
     @Test
     void crowdedDecodeServersGetAsManyMoreAsTheyNeed() {
         List<Engine> engines = new ArrayList<>(engines(40, 30, 1));
         engines.replaceAll(e -> e.prefill() ? e : engine(e.instanceId(), e.zone(), false, 28));
-        List<Change> changes = StagePlan.changes(engines);
+        List<Change> changes = StagePlanner.changes(engines);
         assertEquals(2, changes.size()); // 280 requests, half the places of 10 servers 240, of 12 servers 288
         assertTrue(changes.stream().noneMatch(Change::toPrefill));
         assertEquals(2, changes.stream().map(Change::instanceId).distinct().count());
@@ -71,7 +71,7 @@
 
     @Test
     void aLoneServerIsLeftAsItIs() {
-        assertEquals(List.of(), StagePlan.changes(engines(1, 0, 0)));
-        assertEquals(List.of(), StagePlan.changes(List.of()));
+        assertEquals(List.of(), StagePlanner.changes(engines(1, 0, 0)));
+        assertEquals(List.of(), StagePlanner.changes(List.of()));
     }
 }
