--- a/controlplane/src/main/java/dewplank/controlplane/ControlMesh.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ControlMesh.java
@@ -1,11 +1,11 @@
 package dewplank.controlplane;
 
 import dewplank.membership.Member;
+import dewplank.message.ControlHeartbeat;
 import dewplank.message.ControlHello;
+import dewplank.message.HeartbeatAck;
 import dewplank.message.MessageLink;
 import dewplank.message.MessageTransport;
-import dewplank.message.SessionAnswer;
-import dewplank.message.SessionsTold;
 import dewplank.net.Scheduler;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -44,7 +44,7 @@
 
     /** Tells what others have to know, and takes what they send. */
     interface Handler {
-        SessionsTold told(long sequence);
+        ControlHeartbeat told(long sequence);
 
         void received(String address, Object message);
 
@@ -214,7 +214,7 @@
 
     private void beat() {
         sequence++;
-        SessionsTold told = handler.told(sequence);
+        ControlHeartbeat told = handler.told(sequence);
         links.values().forEach(l -> l.beat(told));
         forget();
         loop.after(BEAT_MS, this::beat);
@@ -275,7 +275,7 @@
 
         @Override
         public void received(MessageLink from, Object message) {
-            if (message instanceof SessionAnswer answer && from == connection) {
+            if (message instanceof HeartbeatAck answer && from == connection) {
                 answeredAt = loop.now();
                 lastUp = answeredAt;
                 quorateAt = answer.quorate ? answeredAt : Double.NEGATIVE_INFINITY;
@@ -291,7 +291,7 @@
             }
         }
 
-        void beat(SessionsTold told) {
+        void beat(ControlHeartbeat told) {
             if (connection == null) {
                 if (loop.now() >= dialAt) {
                     dial();
--- a/controlplane/src/main/java/dewplank/controlplane/ControlPlane.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ControlPlane.java
@@ -5,14 +5,14 @@
 import dewplank.membership.SessionTable;
 import dewplank.message.ControlHello;
 import dewplank.message.FleetMessages;
-import dewplank.message.ListVersion;
+import dewplank.message.EndpointListVersion;
 import dewplank.message.MessageCodec;
 import dewplank.message.MessageLink;
-import dewplank.message.ServerList;
-import dewplank.message.SessionAnswer;
+import dewplank.message.EndpointList;
+import dewplank.message.HeartbeatAck;
 import dewplank.message.SessionOpen;
-import dewplank.message.SessionQuestion;
-import dewplank.message.SessionsTold;
+import dewplank.message.SessionHeartbeat;
+import dewplank.message.ControlHeartbeat;
 import dewplank.net.Scheduler;
 import dewplank.net.ServerEndpoint;
 import dewplank.register.AcceptorId;
@@ -197,7 +197,7 @@
         loop.after(PUSH_MEMBERS_MS, this::pushMembers);
     }
 
-    private void listChanged(ServerList list) {
+    private void listChanged(EndpointList list) {
         mesh.broadcast(list);
         sessions.push();
         storage.saveList(list);
@@ -286,9 +286,9 @@
 
     private final class MeshHandler implements ControlMesh.Handler {
         @Override
-        public SessionsTold told(long sequence) {
+        public ControlHeartbeat told(long sequence) {
             pauses.look();
-            return new SessionsTold(sequence, table.localSessions(loop.now()), mesh.liveAddresses());
+            return new ControlHeartbeat(sequence, table.localSessions(loop.now()), mesh.liveAddresses());
         }
 
         @Override
@@ -298,7 +298,7 @@
 
         @Override
         public void linked(String to) {
-            if (!lister.newest().version.equals(ListVersion.NONE)) {
+            if (!lister.newest().version.equals(EndpointListVersion.NONE)) {
                 mesh.send(to, lister.newest());
             }
             if (durable) {
@@ -317,10 +317,10 @@
     private void take(String from, Object message) {
         if (message instanceof RegisterMessage m) {
             configuration.received(m);
-        } else if (message instanceof SessionsTold told) {
+        } else if (message instanceof ControlHeartbeat told) {
             table.onSessionsReported(loop.now(), from, told.sessions);
             mesh.learn(told.controlAddresses);
-        } else if (message instanceof ServerList list) {
+        } else if (message instanceof EndpointList list) {
             if (lister.told(list)) {
                 storage.saveList(list);
                 sessions.push();
@@ -357,8 +357,8 @@
         public void received(MessageLink connection, Object message) {
             if (peer != null) {
                 mesh.heard(peer);
-                if (message instanceof SessionsTold told) {
-                    connection.send(new SessionAnswer(told.sequence, confirmation.isPossible(), toldTo(peer)));
+                if (message instanceof ControlHeartbeat told) {
+                    connection.send(new HeartbeatAck(told.sequence, confirmation.isPossible(), toldTo(peer)));
                 }
                 take(peer.member.address, message);
             } else if (message instanceof ControlHello hello) {
@@ -366,7 +366,7 @@
                 mesh.greeted(hello);
             } else if (message instanceof SessionOpen opening && session == null) {
                 session = sessions.open(connection, opening);
-            } else if (message instanceof SessionQuestion question && session != null) {
+            } else if (message instanceof SessionHeartbeat question && session != null) {
                 session.question(question);
             } else {
                 connection.end();
--- a/controlplane/src/main/java/dewplank/controlplane/DataPlaneSessions.java
+++ b/controlplane/src/main/java/dewplank/controlplane/DataPlaneSessions.java
@@ -2,12 +2,12 @@
 
 import dewplank.membership.Member;
 import dewplank.membership.SessionTable;
-import dewplank.message.ListVersion;
+import dewplank.message.EndpointListVersion;
+import dewplank.message.FleetUpdate;
+import dewplank.message.HeartbeatAck;
 import dewplank.message.MessageLink;
-import dewplank.message.SessionAnswer;
+import dewplank.message.SessionHeartbeat;
 import dewplank.message.SessionOpen;
-import dewplank.message.SessionQuestion;
-import dewplank.message.Update;
 import dewplank.net.Scheduler;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -22,7 +22,7 @@
     /** What data planes are told. */
     interface Source {
         /** The part of the fleet's state that is newer than what is held; null if nothing is. */
-        Update newerThan(Held held);
+        FleetUpdate newerThan(Held held);
 
         boolean quorate();
 
@@ -32,7 +32,7 @@
     /** What a data plane holds, by its own word and by what was sent to it since. */
     static final class Held {
         long configurationVersion;
-        ListVersion listVersion = ListVersion.NONE;
+        EndpointListVersion listVersion = EndpointListVersion.NONE;
         long membersDigest;
     }
 
@@ -89,7 +89,7 @@
             this.askedAt = loop.now();
         }
 
-        void question(SessionQuestion question) {
+        void question(SessionHeartbeat question) {
             askedAt = loop.now();
             table.tryRenew(askedAt, member);
             if (!asked) {
@@ -98,7 +98,7 @@
                 held.listVersion = question.listVersion;
                 held.membersDigest = question.membersDigest;
             }
-            connection.send(new SessionAnswer(question.sequence, source.quorate(), source.controlAddresses()));
+            connection.send(new HeartbeatAck(question.sequence, source.quorate(), source.controlAddresses()));
             tell();
         }
 
@@ -115,7 +115,7 @@
             if (!asked) {
                 return;
             }
-            Update update = source.newerThan(held);
+            FleetUpdate update = source.newerThan(held);
             if (update == null) {
                 return;
             }
--- a/controlplane/src/main/java/dewplank/controlplane/DiskStorage.java
+++ b/controlplane/src/main/java/dewplank/controlplane/DiskStorage.java
@@ -1,8 +1,8 @@
 package dewplank.controlplane;
 
-import dewplank.message.BadFrameException;
+import dewplank.message.CorruptFrameException;
+import dewplank.message.EndpointList;
 import dewplank.message.MessageCodec;
-import dewplank.message.ServerList;
 import dewplank.register.DurableState;
 import dewplank.settings.NodeSettings;
 import dewplank.store.AcceptorStore;
@@ -25,7 +25,7 @@
     private final MessageCodec codec;
     private final boolean firstStart;
     private final List<String> founders;
-    private ServerList unsaved;
+    private EndpointList unsaved;
     private boolean savingList;
 
     /**
@@ -82,22 +82,22 @@
     }
 
     @Override
-    public Optional<ServerList> savedList() {
+    public Optional<EndpointList> savedList() {
         return serverList.read().flatMap(this::decode);
     }
 
-    private Optional<ServerList> decode(byte[] frame) {
+    private Optional<EndpointList> decode(byte[] frame) {
         try {
-            return codec.reader().next(ByteBuffer.wrap(frame)) instanceof ServerList list
+            return codec.reader().next(ByteBuffer.wrap(frame)) instanceof EndpointList list
                     ? Optional.of(list)
                     : Optional.empty();
-        } catch (BadFrameException e) {
+        } catch (CorruptFrameException e) {
             return Optional.empty();
         }
     }
 
     @Override
-    public void saveList(ServerList list) {
+    public void saveList(EndpointList list) {
         unsaved = list;
         saveNext();
     }
--- a/controlplane/src/main/java/dewplank/controlplane/EndpointPoller.java
+++ b/controlplane/src/main/java/dewplank/controlplane/EndpointPoller.java
@@ -1,8 +1,8 @@
 package dewplank.controlplane;
 
-import dewplank.message.ListVersion;
-import dewplank.message.ServerEntry;
-import dewplank.message.ServerList;
+import dewplank.message.EndpointListVersion;
+import dewplank.message.Endpoint;
+import dewplank.message.EndpointList;
 import dewplank.net.Scheduler;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -52,8 +52,8 @@
     private final PlatformClient platform;
     private final Duty duty;
     private final double drainMs;
-    private final Consumer<ServerList> changed;
-    private ServerList newest = new ServerList(ListVersion.NONE, List.of());
+    private final Consumer<EndpointList> changed;
+    private EndpointList newest = new EndpointList(EndpointListVersion.NONE, List.of());
     private final Map<String, KnownStage> knownStages = new HashMap<>();
     private boolean asking;
     private boolean failing;
@@ -62,7 +62,7 @@
     private double failingSince;
     private double patience = 1;
 
-    EndpointPoller(Scheduler loop, PlatformClient platform, Duty duty, double drainMs, Consumer<ServerList> changed) {
+    EndpointPoller(Scheduler loop, PlatformClient platform, Duty duty, double drainMs, Consumer<EndpointList> changed) {
         this.loop = loop;
         this.platform = platform;
         this.duty = duty;
@@ -74,7 +74,7 @@
         look();
     }
 
-    ServerList newest() {
+    EndpointList newest() {
         return newest;
     }
 
@@ -99,25 +99,25 @@
     /** Tells at once what {@link #stageIs} changed, where this process holds the duty under that number. */
     void tellStages(long number) {
         if (newest.version.fencingNumber == number && duty.holds(number)) {
-            List<ServerEntry> servers = withKnownStages(newest.servers);
+            List<Endpoint> servers = withKnownStages(newest.servers);
             if (differs(servers)) {
                 publish(servers, number);
             }
         }
     }
 
-    private List<ServerEntry> withKnownStages(List<ServerEntry> listed) {
+    private List<Endpoint> withKnownStages(List<Endpoint> listed) {
         knownStages.values().removeIf(k -> k.until() < loop.now());
         return listed.stream().map(this::withKnownStage).toList();
     }
 
-    private ServerEntry withKnownStage(ServerEntry entry) {
+    private Endpoint withKnownStage(Endpoint entry) {
         KnownStage known = knownStages.get(entry.instanceId);
         return known == null ? entry : entry.inStage(known.stage());
     }
 
-    private void forgetListedStages(List<ServerEntry> listed) {
-        for (ServerEntry entry : listed) {
+    private void forgetListedStages(List<Endpoint> listed) {
+        for (Endpoint entry : listed) {
             KnownStage known = knownStages.get(entry.instanceId);
             if (known != null && known.stage().equals(entry.stage)) {
                 knownStages.remove(entry.instanceId);
@@ -126,7 +126,7 @@
     }
 
     /** Another holder's list; whether it is newer. */
-    boolean told(ServerList list) {
+    boolean told(EndpointList list) {
         if (list.version.compareTo(newest.version) <= 0) {
             return false;
         }
@@ -163,7 +163,7 @@
         }
 
         @Override
-        public void listed(List<ServerEntry> servers) {
+        public void listed(List<Endpoint> servers) {
             asking = false;
             if (failing) {
                 failing = false;
@@ -173,7 +173,7 @@
             failingSince = loop.now();
             servers.sort(Comparator.comparing(s -> s.instanceId));
             forgetListedStages(servers);
-            List<ServerEntry> told = withKnownStages(servers);
+            List<Endpoint> told = withKnownStages(servers);
             boolean firstUnderNumber = newest.version.fencingNumber != number;
             if ((firstUnderNumber || differs(told)) && duty.holds(number)) {
                 publish(told, number);
@@ -195,7 +195,7 @@
         }
     }
 
-    private boolean differs(List<ServerEntry> servers) {
+    private boolean differs(List<Endpoint> servers) {
         if (servers.size() != newest.servers.size()) {
             return true;
         }
@@ -208,9 +208,9 @@
     }
 
     /** The first list under a number is told even if it says nothing new: those still under way are older by it. */
-    private void publish(List<ServerEntry> servers, long number) {
+    private void publish(List<Endpoint> servers, long number) {
         long revision = newest.version.fencingNumber == number ? newest.version.revision + 1 : 1;
-        newest = new ServerList(new ListVersion(number, revision), servers);
+        newest = new EndpointList(new EndpointListVersion(number, revision), servers);
         LOG.info("list of servers {}: {} servers", newest.version, servers.size());
         changed.accept(newest);
     }
--- a/controlplane/src/main/java/dewplank/controlplane/FleetUpdateSource.java
+++ b/controlplane/src/main/java/dewplank/controlplane/FleetUpdateSource.java
@@ -2,8 +2,8 @@
 
 import dewplank.membership.Member;
 import dewplank.membership.SessionTable;
-import dewplank.message.ServerList;
-import dewplank.message.Update;
+import dewplank.message.EndpointList;
+import dewplank.message.FleetUpdate;
 import dewplank.net.Scheduler;
 import java.util.List;
 
@@ -36,9 +36,9 @@
     }
 
     @Override
-    public Update newerThan(DataPlaneSessions.Held held) {
+    public FleetUpdate newerThan(DataPlaneSessions.Held held) {
         boolean newerConfiguration = history.version() > held.configurationVersion;
-        ServerList servers = lister.newest();
+        EndpointList servers = lister.newest();
         boolean newerList = servers.version.compareTo(held.listVersion) > 0;
         List<Member> members = table.members(loop.now());
         boolean otherMembers = SessionTable.digest(members) != held.membersDigest;
@@ -48,7 +48,7 @@
         ConfigurationHistory.Encoded update = newerConfiguration
                 ? history.updateFrom(held.configurationVersion)
                 : new ConfigurationHistory.Encoded(null, 0);
-        return new Update(
+        return new FleetUpdate(
                 update.bytes(),
                 newerConfiguration ? history.version() : 0,
                 update.baseVersion(),
--- a/controlplane/src/main/java/dewplank/controlplane/HttpModelServerClient.java
+++ b/controlplane/src/main/java/dewplank/controlplane/HttpModelServerClient.java
@@ -4,7 +4,7 @@
 import dewplank.exchange.HttpCall;
 import dewplank.http.Headers;
 import dewplank.http.MessageWriter;
-import dewplank.message.ServerEntry;
+import dewplank.message.Endpoint;
 import dewplank.net.EventLoop;
 import dewplank.net.Wheel;
 import java.io.ByteArrayOutputStream;
@@ -32,7 +32,7 @@
     }
 
     @Override
-    public void report(ServerEntry server, BooleanSupplier onlyIf, Answer answer) {
+    public void report(Endpoint server, BooleanSupplier onlyIf, Answer answer) {
         ByteBuffer message = MessageWriter.request("GET", "/report", server.address)
                 .header(TARGET_INSTANCE, server.instanceId)
                 .noBody();
@@ -40,7 +40,7 @@
     }
 
     @Override
-    public void order(ServerEntry server, byte[] body, BooleanSupplier onlyIf, Answer answer) {
+    public void order(Endpoint server, byte[] body, BooleanSupplier onlyIf, Answer answer) {
         ByteBuffer message = MessageWriter.request("POST", "/order", server.address)
                 .header("Content-Type", "application/json")
                 .header(TARGET_INSTANCE, server.instanceId)
@@ -58,7 +58,7 @@
     /** A call that has not begun. */
     private record Call(HttpCall http, WholeAnswer answer) {}
 
-    private Call call(ServerEntry server, ByteBuffer message, BooleanSupplier onlyIf, Answer answer) {
+    private Call call(Endpoint server, ByteBuffer message, BooleanSupplier onlyIf, Answer answer) {
         InetSocketAddress to = SocketAddresses.socketAddress(server.address);
         ConnectionPool pool = pools.computeIfAbsent(server.address, a -> new ConnectionPool(loop, 0, MOST_IDLE_MS));
         WholeAnswer whole = new WholeAnswer(answer);
--- a/controlplane/src/main/java/dewplank/controlplane/HttpPlatformClient.java
+++ b/controlplane/src/main/java/dewplank/controlplane/HttpPlatformClient.java
@@ -8,7 +8,7 @@
 import dewplank.exchange.HttpCall;
 import dewplank.http.Headers;
 import dewplank.http.MessageWriter;
-import dewplank.message.ServerEntry;
+import dewplank.message.Endpoint;
 import dewplank.net.EventLoop;
 import dewplank.net.Wheel;
 import java.io.ByteArrayOutputStream;
@@ -53,7 +53,7 @@
     /** One reading of all pages. */
     private final class Reading implements HttpCall.Listener {
         private final Ended ended;
-        private final List<ServerEntry> servers = new ArrayList<>();
+        private final List<Endpoint> servers = new ArrayList<>();
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
         private HttpCall call;
         private Wheel.Timer timeout;
@@ -143,9 +143,9 @@
             return token.valueType() == ValueType.STRING ? token.toString() : null;
         }
 
-        private ServerEntry entry(Any instance) {
+        private Endpoint entry(Any instance) {
             Any stage = instance.get("stage");
-            return new ServerEntry(
+            return new Endpoint(
                     needed(instance, "instance_id"),
                     needed(instance, "service"),
                     needed(instance, "address"),
--- a/controlplane/src/main/java/dewplank/controlplane/MemoryStorage.java
+++ b/controlplane/src/main/java/dewplank/controlplane/MemoryStorage.java
@@ -1,6 +1,6 @@
 package dewplank.controlplane;
 
-import dewplank.message.ServerList;
+import dewplank.message.EndpointList;
 import dewplank.net.Scheduler;
 import dewplank.register.DurableState;
 import java.util.List;
@@ -56,12 +56,12 @@
     }
 
     @Override
-    public Optional<ServerList> savedList() {
+    public Optional<EndpointList> savedList() {
         return Optional.empty();
     }
 
     @Override
-    public void saveList(ServerList list) {} // the next one begins without
+    public void saveList(EndpointList list) {} // the next one begins without
 
     @Override
     public void close() {}
--- a/controlplane/src/main/java/dewplank/controlplane/ModelServerClient.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ModelServerClient.java
@@ -1,6 +1,6 @@
 package dewplank.controlplane;
 
-import dewplank.message.ServerEntry;
+import dewplank.message.Endpoint;
 import java.util.Collection;
 import java.util.function.BooleanSupplier;
 
@@ -12,14 +12,14 @@
     }
 
     /** Asks for a server's state. */
-    void report(ServerEntry server, BooleanSupplier onlyIf, Answer answer);
+    void report(Endpoint server, BooleanSupplier onlyIf, Answer answer);
 
     /**
      * Gives an order.
      *
      * @param onlyIf looked at immediately before the order is written
      */
-    void order(ServerEntry server, byte[] body, BooleanSupplier onlyIf, Answer answer);
+    void order(Endpoint server, byte[] body, BooleanSupplier onlyIf, Answer answer);
 
     /** Forgets all servers at other addresses than these. */
     void keep(Collection<String> addresses);
--- a/controlplane/src/main/java/dewplank/controlplane/OperatorViews.java
+++ b/controlplane/src/main/java/dewplank/controlplane/OperatorViews.java
@@ -1,7 +1,7 @@
 package dewplank.controlplane;
 
 import dewplank.membership.Member;
-import dewplank.message.ServerEntry;
+import dewplank.message.Endpoint;
 import dewplank.register.AcceptorId;
 import java.util.List;
 
@@ -66,7 +66,7 @@
 
     @Override
     public String server(String instanceId) {
-        for (ServerEntry s : plane.lister().newest().servers) {
+        for (Endpoint s : plane.lister().newest().servers) {
             if (s.instanceId.equals(instanceId)) {
                 return server(s) + "\n";
             }
@@ -74,7 +74,7 @@
         return null;
     }
 
-    private static String server(ServerEntry s) {
+    private static String server(Endpoint s) {
         return JsonText.object(
                 JsonText.field("instance_id", s.instanceId),
                 JsonText.field("service", s.service),
--- a/controlplane/src/main/java/dewplank/controlplane/PlatformClient.java
+++ b/controlplane/src/main/java/dewplank/controlplane/PlatformClient.java
@@ -1,13 +1,13 @@
 package dewplank.controlplane;
 
-import dewplank.message.ServerEntry;
+import dewplank.message.Endpoint;
 import java.util.List;
 
 /** The platform, which knows what servers there are. */
 interface PlatformClient {
     /** How one reading of the list ended. */
     interface Ended {
-        void listed(List<ServerEntry> servers);
+        void listed(List<Endpoint> servers);
 
         void failed(String why);
     }
--- a/controlplane/src/main/java/dewplank/controlplane/StageController.java
+++ b/controlplane/src/main/java/dewplank/controlplane/StageController.java
@@ -3,7 +3,7 @@
 import com.jsoniter.JsonIterator;
 import com.jsoniter.any.Any;
 import com.jsoniter.spi.JsonException;
-import dewplank.message.ServerEntry;
+import dewplank.message.Endpoint;
 import dewplank.net.Scheduler;
 import dewplank.routing.Mechanism;
 import dewplank.routing.Policy;
@@ -123,9 +123,9 @@
         lister.stagesAreUnknown();
     }
 
-    private Map<String, List<ServerEntry>> servicesWithEngines() {
-        Map<String, List<ServerEntry>> services = new LinkedHashMap<>();
-        for (ServerEntry s : lister.newest().servers) {
+    private Map<String, List<Endpoint>> servicesWithEngines() {
+        Map<String, List<Endpoint>> services = new LinkedHashMap<>();
+        for (Endpoint s : lister.newest().servers) {
             if (s.stage != null && !s.draining) {
                 services.computeIfAbsent(s.service, k -> new ArrayList<>()).add(s);
             }
@@ -134,7 +134,7 @@
     }
 
     private void askAll() {
-        List<ServerEntry> engines = new ArrayList<>();
+        List<Endpoint> engines = new ArrayList<>();
         servicesWithEngines().values().forEach(engines::addAll);
         pending.keySet().retainAll(engines.stream().map(e -> e.instanceId).toList());
         calls.keep(engines.stream().map(e -> e.address).toList());
@@ -145,7 +145,7 @@
         turn = engines.isEmpty() ? 0 : (turn + count) % engines.size();
     }
 
-    private void ask(ServerEntry server) {
+    private void ask(Endpoint server) {
         calls.report(server, duty::holds, (status, body) -> {
             if (status == 200) {
                 learn(server, body);
@@ -153,7 +153,7 @@
         });
     }
 
-    private void learn(ServerEntry server, byte[] body) {
+    private void learn(Endpoint server, byte[] body) {
         try {
             Any report = JsonIterator.deserialize(body);
             StagePlanner.Engine engine = new StagePlanner.Engine(
@@ -172,11 +172,11 @@
         }
     }
 
-    private void change(String service, List<ServerEntry> servers) {
+    private void change(String service, List<Endpoint> servers) {
         double now = loop.now();
         List<StagePlanner.Engine> engines = new ArrayList<>();
         boolean ordered = false; // by a holder before, to a stage that is not known here
-        for (ServerEntry s : servers) {
+        for (Endpoint s : servers) {
             Reported reported = reports.get(s.instanceId);
             if (reported != null && now - reported.at() <= REPORT_FRESH_MS) {
                 StagePlanner.Engine engine = planned(reported);
@@ -221,11 +221,11 @@
     }
 
     /** Data planes hear of it before the servers do, but where nothing runs that could be turned away. */
-    private void announce(List<ServerEntry> servers, List<StagePlanner.Change> changes, boolean idle) {
+    private void announce(List<Endpoint> servers, List<StagePlanner.Change> changes, boolean idle) {
         long number = duty.fencingNumber();
         for (StagePlanner.Change change : changes) {
             pending.put(change.instanceId(), new Pending(change.toPrefill(), loop.now()));
-            lister.stageIs(change.instanceId(), ServerEntry.CHANGING, ORDER_SHOWS_MS);
+            lister.stageIs(change.instanceId(), Endpoint.CHANGING, ORDER_SHOWS_MS);
         }
         lister.tellStages(number);
         loop.after(idle ? 0 : ANNOUNCED_MS, () -> {
@@ -239,8 +239,8 @@
         return prefill ? "prefill" : "decode";
     }
 
-    private void order(List<ServerEntry> servers, StagePlanner.Change change, long number) {
-        ServerEntry server = servers.stream()
+    private void order(List<Endpoint> servers, StagePlanner.Change change, long number) {
+        Endpoint server = servers.stream()
                 .filter(s -> s.instanceId.equals(change.instanceId()))
                 .findFirst()
                 .orElseThrow();
--- a/controlplane/src/main/java/dewplank/controlplane/Storage.java
+++ b/controlplane/src/main/java/dewplank/controlplane/Storage.java
@@ -1,6 +1,6 @@
 package dewplank.controlplane;
 
-import dewplank.message.ServerList;
+import dewplank.message.EndpointList;
 import dewplank.register.DurableState;
 import java.util.List;
 import java.util.Map;
@@ -28,10 +28,10 @@
     void saveNumber(String name, long number, Consumer<Boolean> done);
 
     /** The list of servers as it was when last saved; empty where there is none. */
-    Optional<ServerList> savedList();
+    Optional<EndpointList> savedList();
 
     /** Saves the newest list, for a quicker start; a failure only costs that. */
-    void saveList(ServerList list);
+    void saveList(EndpointList list);
 
     void close();
 }
--- a/controlplane/src/test/java/dewplank/controlplane/ControlMeshTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/ControlMeshTest.java
@@ -8,10 +8,10 @@
 import dewplank.exchange.OnLoop;
 import dewplank.exchange.Wire;
 import dewplank.membership.Member;
+import dewplank.message.ControlHeartbeat;
 import dewplank.message.ControlHello;
 import dewplank.message.FleetMessages;
 import dewplank.message.MessageLink;
-import dewplank.message.SessionsTold;
 import dewplank.message.TcpTransport;
 import dewplank.net.EventLoop;
 import java.io.IOException;
@@ -47,8 +47,8 @@
                 new ControlHello(SELF, "disk-0", true),
                 new ControlMesh.Handler() {
                     @Override
-                    public SessionsTold told(long sequence) {
-                        return new SessionsTold(sequence, List.of(SELF), mesh.liveAddresses());
+                    public ControlHeartbeat told(long sequence) {
+                        return new ControlHeartbeat(sequence, List.of(SELF), mesh.liveAddresses());
                     }
 
                     @Override
@@ -98,10 +98,10 @@
         ControlHello hello = other.nextIs(ControlHello.class);
         assertEquals(SELF, hello.member);
         assertEquals("disk-0", hello.identity);
-        SessionsTold first = other.message(SessionsTold.class);
+        ControlHeartbeat first = other.message(ControlHeartbeat.class);
         assertEquals(List.of(SELF), first.sessions);
         assertTrue(first.controlAddresses.containsAll(List.of(OWN, other.address())));
-        assertTrue(other.message(SessionsTold.class).sequence > first.sequence);
+        assertTrue(other.message(ControlHeartbeat.class).sequence > first.sequence);
         other.connection();
         assertTrue(other.hasNoFurtherConnection());
         assertEquals(List.of(OWN, other.address()), OnLoop.get(loop, mesh::liveAddresses));
@@ -154,7 +154,7 @@
         FramedPeer other = other().answering();
         start(other.address());
         MessageLink first = other.connection();
-        other.message(SessionsTold.class);
+        other.message(ControlHeartbeat.class);
         other.end(first);
         assertNotSame(first, other.connection());
         assertEquals(other.address(), nextLinked());
--- a/controlplane/src/test/java/dewplank/controlplane/DataPlaneSessionsTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/DataPlaneSessionsTest.java
@@ -10,13 +10,13 @@
 import dewplank.membership.SessionTable;
 import dewplank.message.FleetMessages;
 import dewplank.message.FramedConnection;
-import dewplank.message.ListVersion;
+import dewplank.message.EndpointListVersion;
 import dewplank.message.MessageLink;
-import dewplank.message.ServerList;
-import dewplank.message.SessionAnswer;
+import dewplank.message.EndpointList;
+import dewplank.message.HeartbeatAck;
 import dewplank.message.SessionOpen;
-import dewplank.message.SessionQuestion;
-import dewplank.message.Update;
+import dewplank.message.SessionHeartbeat;
+import dewplank.message.FleetUpdate;
 import dewplank.net.EventLoop;
 import dewplank.net.Listener;
 import dewplank.net.Scheduler;
@@ -44,7 +44,7 @@
     /** What the source was asked with: version, list, members; and what it has to say. */
     private final List<String> asked = new ArrayList<>();
 
-    private Update news;
+    private FleetUpdate news;
     private double ahead;
 
     DataPlaneSessionsTest() throws IOException {
@@ -52,7 +52,7 @@
         dataPlane = new FramedPeer();
         sessions = new DataPlaneSessions(new ShiftedClock(), table, new DataPlaneSessions.Source() {
             @Override
-            public Update newerThan(DataPlaneSessions.Held held) {
+            public FleetUpdate newerThan(DataPlaneSessions.Held held) {
                 asked.add(held.configurationVersion + " " + held.listVersion + " " + held.membersDigest);
                 boolean newer = news != null && news.configurationVersion > held.configurationVersion;
                 return newer ? news : null;
@@ -101,7 +101,7 @@
         public void received(MessageLink connection, Object message) {
             if (message instanceof SessionOpen open) {
                 session = sessions.open(connection, open);
-            } else if (message instanceof SessionQuestion question && session != null) {
+            } else if (message instanceof SessionHeartbeat question && session != null) {
                 session.question(question);
             }
         }
@@ -131,22 +131,22 @@
         return connection;
     }
 
-    private void push(Update update) throws Exception {
+    private void push(FleetUpdate update) throws Exception {
         OnLoop.run(loop, () -> {
             news = update;
             sessions.push();
         });
     }
 
-    private static Update configuration(long version) {
-        return new Update(new byte[] {1}, version, 0, null, null);
+    private static FleetUpdate configuration(long version) {
+        return new FleetUpdate(new byte[] {1}, version, 0, null, null);
     }
 
     @Test
     void aQuestionIsAnsweredAtOnceWhetherOrNotThereIsNews() throws Exception {
         MessageLink connection = opened();
-        dataPlane.send(connection, new SessionQuestion(41, 7, new ListVersion(2, 3), 5));
-        SessionAnswer answer = dataPlane.nextIs(SessionAnswer.class);
+        dataPlane.send(connection, new SessionHeartbeat(41, 7, new EndpointListVersion(2, 3), 5));
+        HeartbeatAck answer = dataPlane.nextIs(HeartbeatAck.class);
         assertEquals(41, answer.sequence);
         assertTrue(answer.quorate);
         assertEquals(List.of("10.0.0.1:1", "10.0.0.2:1"), answer.controlAddresses);
@@ -158,24 +158,24 @@
     @Test
     void newsGoesOutAtOnceAndOnlyOnce() throws Exception {
         MessageLink connection = opened();
-        dataPlane.send(connection, new SessionQuestion(1, 7, ListVersion.NONE, 0));
-        dataPlane.nextIs(SessionAnswer.class);
+        dataPlane.send(connection, new SessionHeartbeat(1, 7, EndpointListVersion.NONE, 0));
+        dataPlane.nextIs(HeartbeatAck.class);
         push(configuration(8));
-        assertEquals(8, dataPlane.nextIs(Update.class).configurationVersion);
+        assertEquals(8, dataPlane.nextIs(FleetUpdate.class).configurationVersion);
         push(news); // the data plane is taken to hold it now, though it has not said so yet
-        dataPlane.send(connection, new SessionQuestion(2, 7, ListVersion.NONE, 0));
-        assertEquals(2, dataPlane.nextIs(SessionAnswer.class).sequence);
+        dataPlane.send(connection, new SessionHeartbeat(2, 7, EndpointListVersion.NONE, 0));
+        assertEquals(2, dataPlane.nextIs(HeartbeatAck.class).sequence);
         push(configuration(9));
-        assertEquals(9, dataPlane.nextIs(Update.class).configurationVersion);
+        assertEquals(9, dataPlane.nextIs(FleetUpdate.class).configurationVersion);
         assertTrue(dataPlane.hasNoFurtherMessage());
     }
 
     @Test
     void newsThatIsThereWhenTheFirstQuestionComesFollowsTheAnswer() throws Exception {
         push(configuration(8));
-        dataPlane.send(opened(), new SessionQuestion(1, 0, ListVersion.NONE, 0));
-        dataPlane.nextIs(SessionAnswer.class);
-        assertEquals(8, dataPlane.nextIs(Update.class).configurationVersion);
+        dataPlane.send(opened(), new SessionHeartbeat(1, 0, EndpointListVersion.NONE, 0));
+        dataPlane.nextIs(HeartbeatAck.class);
+        assertEquals(8, dataPlane.nextIs(FleetUpdate.class).configurationVersion);
     }
 
     /** What it holds is not known before it has asked: a difference could not be told. */
@@ -185,8 +185,8 @@
         OnLoop.await(loop, () -> sessions.size() == 1);
         push(configuration(8));
         assertEquals(List.of(), OnLoop.get(loop, () -> asked));
-        dataPlane.send(connection, new SessionQuestion(1, 8, ListVersion.NONE, 0));
-        dataPlane.nextIs(SessionAnswer.class);
+        dataPlane.send(connection, new SessionHeartbeat(1, 8, EndpointListVersion.NONE, 0));
+        dataPlane.nextIs(HeartbeatAck.class);
         assertEquals(List.of("8 0.0 0"), OnLoop.get(loop, () -> asked));
     }
 
@@ -194,12 +194,12 @@
     void whatWasSentCountsAsHeld() throws Exception {
         List<Member> members = List.of(DATA);
         MessageLink connection = opened();
-        dataPlane.send(connection, new SessionQuestion(1, 7, new ListVersion(1, 1), 0));
-        dataPlane.nextIs(SessionAnswer.class);
-        push(new Update(new byte[] {1}, 8, 7, new ServerList(new ListVersion(1, 2), List.of()), members));
-        assertEquals(7, dataPlane.nextIs(Update.class).baseVersion);
+        dataPlane.send(connection, new SessionHeartbeat(1, 7, new EndpointListVersion(1, 1), 0));
+        dataPlane.nextIs(HeartbeatAck.class);
+        push(new FleetUpdate(new byte[] {1}, 8, 7, new EndpointList(new EndpointListVersion(1, 2), List.of()), members));
+        assertEquals(7, dataPlane.nextIs(FleetUpdate.class).baseVersion);
         push(configuration(9));
-        dataPlane.nextIs(Update.class);
+        dataPlane.nextIs(FleetUpdate.class);
         long digest = SessionTable.digest(members);
         assertEquals(List.of("7 1.1 0", "7 1.1 0", "8 1.2 " + digest), OnLoop.get(loop, () -> asked));
     }
@@ -207,8 +207,8 @@
     @Test
     void aSessionThatHasEndedIsNeitherAMemberNorTold() throws Exception {
         MessageLink connection = opened();
-        dataPlane.send(connection, new SessionQuestion(1, 0, ListVersion.NONE, 0));
-        dataPlane.nextIs(SessionAnswer.class);
+        dataPlane.send(connection, new SessionHeartbeat(1, 0, EndpointListVersion.NONE, 0));
+        dataPlane.nextIs(HeartbeatAck.class);
         dataPlane.end(connection);
         OnLoop.await(loop, () -> sessions.size() == 0);
         assertEquals(List.of(), OnLoop.get(loop, () -> table.members(loop.now())));
@@ -220,10 +220,10 @@
     @Test
     void aSessionWhoseLeaseIsOverEndsInsteadOfBeingTold() throws Exception {
         MessageLink connection = opened();
-        dataPlane.send(connection, new SessionQuestion(1, 0, ListVersion.NONE, 0));
-        dataPlane.nextIs(SessionAnswer.class);
+        dataPlane.send(connection, new SessionHeartbeat(1, 0, EndpointListVersion.NONE, 0));
+        dataPlane.nextIs(HeartbeatAck.class);
         push(configuration(8));
-        dataPlane.nextIs(Update.class);
+        dataPlane.nextIs(FleetUpdate.class);
         OnLoop.run(loop, () -> ahead = LEASE_MS + 1);
         push(configuration(9));
         assertEquals(connection, dataPlane.ended());
--- a/controlplane/src/test/java/dewplank/controlplane/EndpointPollerTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/EndpointPollerTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dewplank.message.ListVersion;
-import dewplank.message.ServerEntry;
-import dewplank.message.ServerList;
+import dewplank.message.EndpointListVersion;
+import dewplank.message.Endpoint;
+import dewplank.message.EndpointList;
 import dewplank.net.Scheduler;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -89,7 +89,7 @@
     private final VirtualTime time = new VirtualTime();
     private final Held duty = new Held();
     private final Deque<PlatformClient.Ended> asked = new ArrayDeque<>();
-    private final List<ServerList> told = new ArrayList<>();
+    private final List<EndpointList> told = new ArrayList<>();
     private final EndpointPoller lister = new EndpointPoller(time, asked::add, duty, DRAIN_MS, told::add);
 
     @BeforeEach
@@ -97,10 +97,10 @@
         lister.start();
     }
 
-    private static List<ServerEntry> servers(int count) {
-        List<ServerEntry> servers = new ArrayList<>();
+    private static List<Endpoint> servers(int count) {
+        List<Endpoint> servers = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            servers.add(new ServerEntry("i-" + i, "s", "10.0.0.1:" + i, "z", 8, false, 0, null));
+            servers.add(new Endpoint("i-" + i, "s", "10.0.0.1:" + i, "z", 8, false, 0, null));
         }
         return servers;
     }
@@ -117,7 +117,7 @@
         time.run(400);
         answer(3);
         assertEquals(
-                List.of(new ListVersion(7, 1), new ListVersion(7, 2)),
+                List.of(new EndpointListVersion(7, 1), new EndpointListVersion(7, 2)),
                 told.stream().map(l -> l.version).toList());
         assertEquals(3, lister.newest().servers.size());
     }
@@ -127,7 +127,7 @@
         duty.held = false;
         answer(2);
         assertEquals(List.of(), told);
-        assertEquals(ListVersion.NONE, lister.newest().version);
+        assertEquals(EndpointListVersion.NONE, lister.newest().version);
     }
 
     /** A successor may have told a newer list between the question and its answer. */
@@ -138,7 +138,7 @@
         assertEquals(List.of(), told);
         time.run(400);
         answer(3);
-        assertEquals(new ListVersion(8, 1), told.get(0).version);
+        assertEquals(new EndpointListVersion(8, 1), told.get(0).version);
     }
 
     /** One that a predecessor told last may still be under way, and must not be taken for newer. */
@@ -148,15 +148,15 @@
         duty.wonAgain();
         time.run(400);
         answer(2);
-        assertEquals(new ListVersion(8, 1), lister.newest().version);
-        assertFalse(lister.told(new ServerList(new ListVersion(7, 9), servers(1))));
+        assertEquals(new EndpointListVersion(8, 1), lister.newest().version);
+        assertFalse(lister.told(new EndpointList(new EndpointListVersion(7, 9), servers(1))));
         assertEquals(2, told.size());
     }
 
-    private static List<ServerEntry> engines(String... stages) {
-        List<ServerEntry> servers = new ArrayList<>();
+    private static List<Endpoint> engines(String... stages) {
+        List<Endpoint> servers = new ArrayList<>();
         for (int i = 0; i < stages.length; i++) {
-            servers.add(new ServerEntry("i-" + i, "s", "10.0.0.1:" + i, "z", 8, false, 0, stages[i]));
+            servers.add(new Endpoint("i-" + i, "s", "10.0.0.1:" + i, "z", 8, false, 0, stages[i]));
         }
         return servers;
     }
@@ -169,9 +169,9 @@
     @Test
     void aStageThatIsKnownBetterIsToldUntilTheListAgrees() {
         asked.remove().listed(engines("decode", "decode"));
-        lister.stageIs("i-1", ServerEntry.CHANGING, 10_000);
+        lister.stageIs("i-1", Endpoint.CHANGING, 10_000);
         lister.tellStages(7);
-        assertEquals(List.of("decode", ServerEntry.CHANGING), stages());
+        assertEquals(List.of("decode", Endpoint.CHANGING), stages());
         assertEquals(2, told.size());
         time.run(400);
         asked.remove().listed(engines("decode", "decode"));
@@ -193,13 +193,13 @@
     void aStageIsNotToldUnderANumberThatIsNotHeldAndNotForEver() {
         asked.remove().listed(engines("decode"));
         duty.wonAgain();
-        lister.stageIs("i-0", ServerEntry.CHANGING, 1_000);
+        lister.stageIs("i-0", Endpoint.CHANGING, 1_000);
         lister.tellStages(7);
         lister.tellStages(8);
         assertEquals(List.of("decode"), stages());
         time.run(400);
         asked.remove().listed(engines("decode"));
-        assertEquals(List.of(ServerEntry.CHANGING), stages());
+        assertEquals(List.of(Endpoint.CHANGING), stages());
         time.run(400);
         asked.remove().listed(engines("decode"));
         time.run(400);
--- a/controlplane/src/test/java/dewplank/controlplane/FramedPeer.java
+++ b/controlplane/src/test/java/dewplank/controlplane/FramedPeer.java
@@ -2,12 +2,12 @@
 
 import dewplank.exchange.OnLoop;
 import dewplank.exchange.Wire;
+import dewplank.message.ControlHeartbeat;
 import dewplank.message.FleetMessages;
 import dewplank.message.FramedConnection;
+import dewplank.message.HeartbeatAck;
 import dewplank.message.MessageCodec;
 import dewplank.message.MessageLink;
-import dewplank.message.SessionAnswer;
-import dewplank.message.SessionsTold;
 import dewplank.net.EventLoop;
 import dewplank.net.Listener;
 import java.io.Closeable;
@@ -51,8 +51,8 @@
     @Override
     public void received(MessageLink connection, Object message) {
         messages.add(message);
-        if (answers && message instanceof SessionsTold told) {
-            connection.send(new SessionAnswer(told.sequence, true, told.controlAddresses));
+        if (answers && message instanceof ControlHeartbeat told) {
+            connection.send(new HeartbeatAck(told.sequence, true, told.controlAddresses));
         }
     }
 
--- a/controlplane/src/test/java/dewplank/controlplane/GoldenDiskTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/GoldenDiskTest.java
@@ -8,9 +8,9 @@
 
 import dewplank.configuration.ConfigurationDocument;
 import dewplank.message.FleetMessages;
-import dewplank.message.ListVersion;
-import dewplank.message.ServerEntry;
-import dewplank.message.ServerList;
+import dewplank.message.EndpointListVersion;
+import dewplank.message.Endpoint;
+import dewplank.message.EndpointList;
 import dewplank.register.AcceptorId;
 import dewplank.register.DurableState;
 import dewplank.register.RegisterValue;
@@ -141,11 +141,11 @@
     void theListOfServers() throws IOException, StoreException {
         copy();
         DiskStorage storage = open(LATER_SEEDS);
-        ServerList list = storage.savedList().orElseThrow();
+        EndpointList list = storage.savedList().orElseThrow();
         assertEquals(2, list.version.fencingNumber);
         assertEquals(17, list.version.revision);
         assertEquals(2, list.servers.size());
-        ServerEntry plain = list.servers.get(0);
+        Endpoint plain = list.servers.get(0);
         assertEquals("i-1", plain.instanceId);
         assertEquals("wuno", plain.service);
         assertEquals("10.1.0.1:8000", plain.address);
@@ -154,7 +154,7 @@
         assertFalse(plain.draining);
         assertEquals(0, plain.coldRemainingMs);
         assertNull(plain.stage);
-        ServerEntry prefill = list.servers.get(1);
+        Endpoint prefill = list.servers.get(1);
         assertEquals("i-2", prefill.instanceId);
         assertEquals("huvo", prefill.service);
         assertEquals("10.1.0.2:8001", prefill.address);
@@ -172,11 +172,11 @@
         DiskStorage storage = open(FOUNDERS);
         assertTrue(storage.firstStart());
         assertEquals("founder@10.0.0.1:7600", storage.identity());
-        storage.saveList(new ServerList(
-                new ListVersion(2, 17),
+        storage.saveList(new EndpointList(
+                new EndpointListVersion(2, 17),
                 List.of(
-                        new ServerEntry("i-1", "wuno", "10.1.0.1:8000", null, 0, false, 0, null),
-                        new ServerEntry("i-2", "huvo", "10.1.0.2:8001", "zone-a", 64, true, 1_234.5, "prefill"))));
+                        new Endpoint("i-1", "wuno", "10.1.0.1:8000", null, 0, false, 0, null),
+                        new Endpoint("i-2", "huvo", "10.1.0.2:8001", "zone-a", 64, true, 1_234.5, "prefill"))));
         storage.close();
         TreeSet<String> names = new TreeSet<>();
         try (Stream<Path> files = Files.list(directory)) {
--- a/controlplane/src/test/java/dewplank/controlplane/HttpPlatformClientTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/HttpPlatformClientTest.java
@@ -8,7 +8,7 @@
 import dewplank.exchange.ScriptedServer;
 import dewplank.exchange.ScriptedServer.Call;
 import dewplank.exchange.Wire;
-import dewplank.message.ServerEntry;
+import dewplank.message.Endpoint;
 import dewplank.net.EventLoop;
 import java.io.IOException;
 import java.util.List;
@@ -41,13 +41,13 @@
         platform.close();
     }
 
-    private CompletableFuture<List<ServerEntry>> ask() throws Exception {
-        CompletableFuture<List<ServerEntry>> done = new CompletableFuture<>();
+    private CompletableFuture<List<Endpoint>> ask() throws Exception {
+        CompletableFuture<List<Endpoint>> done = new CompletableFuture<>();
         OnLoop.run(
                 loop,
                 () -> list.ask(new HttpPlatformClient.Ended() {
                     @Override
-                    public void listed(List<ServerEntry> servers) {
+                    public void listed(List<Endpoint> servers) {
                         done.complete(servers);
                     }
 
@@ -74,7 +74,7 @@
     @Test
     void pagesAreAskedForWithinTheRate() throws Exception {
         double begun = loop.now();
-        CompletableFuture<List<ServerEntry>> servers = ask();
+        CompletableFuture<List<Endpoint>> servers = ask();
         for (int i = 0; i < 5; i++) {
             Call call = platform.next();
             assertEquals(
@@ -95,7 +95,7 @@
     void theNextReadingWaitsForTheRateToo() throws Exception {
         double begun = loop.now();
         for (int i = 0; i < 3; i++) {
-            CompletableFuture<List<ServerEntry>> servers = ask();
+            CompletableFuture<List<Endpoint>> servers = ask();
             page(platform.next(), i, null);
             servers.get(Wire.PATIENCE_S, TimeUnit.SECONDS);
         }
@@ -104,7 +104,7 @@
 
     @Test
     void aRefusalFailsTheReadingAndNamesItsStatus() throws Exception {
-        CompletableFuture<List<ServerEntry>> servers = ask();
+        CompletableFuture<List<Endpoint>> servers = ask();
         platform.next().wire().answer("429 Too Many Requests", "", "");
         String why = null;
         try {
@@ -113,7 +113,7 @@
             why = e.getCause().getMessage();
         }
         assertEquals("status 429", why);
-        CompletableFuture<List<ServerEntry>> again = ask();
+        CompletableFuture<List<Endpoint>> again = ask();
         page(platform.next(), 7, null);
         assertNull(again.get(Wire.PATIENCE_S, TimeUnit.SECONDS).get(0).stage);
     }
--- a/controlplane/src/test/java/dewplank/controlplane/StageControllerTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/StageControllerTest.java
@@ -6,9 +6,9 @@
 
 import dewplank.exchange.ScriptedServer;
 import dewplank.exchange.ScriptedServer.Call;
-import dewplank.message.ListVersion;
-import dewplank.message.ServerEntry;
-import dewplank.message.ServerList;
+import dewplank.message.EndpointListVersion;
+import dewplank.message.Endpoint;
+import dewplank.message.EndpointList;
 import dewplank.net.EventLoop;
 import dewplank.routing.Policy;
 import dewplank.settings.Json;
@@ -32,7 +32,7 @@
     private final List<ScriptedServer> servers = new ArrayList<>();
     private final HeldDuty duty = new HeldDuty();
     private EventLoop loop;
-    private final BlockingQueue<ServerList> told = new LinkedBlockingQueue<>();
+    private final BlockingQueue<EndpointList> told = new LinkedBlockingQueue<>();
     private EndpointPoller lister;
     private int active;
 
@@ -60,13 +60,13 @@
     void begin() throws IOException {
         loop = new EventLoop();
         lister = new EndpointPoller(loop, null, duty, 3_000, told::add);
-        List<ServerEntry> entries = new ArrayList<>();
+        List<Endpoint> entries = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
             ScriptedServer server = new ScriptedServer(calls);
             servers.add(server);
-            entries.add(new ServerEntry("i-" + i, "model", server.addressText(), "z", 64, false, 0, "decode"));
+            entries.add(new Endpoint("i-" + i, "model", server.addressText(), "z", 64, false, 0, "decode"));
         }
-        lister.told(new ServerList(new ListVersion(NUMBER, 1), entries));
+        lister.told(new EndpointList(new EndpointListVersion(NUMBER, 1), entries));
     }
 
     @AfterEach
@@ -129,10 +129,10 @@
         Call order = answerReports(1);
         double orderedAt = loop.now();
         assertEquals("/order", order.message().target());
-        ServerList list = told.remove();
+        EndpointList list = told.remove();
         int index = servers.indexOf(order.server());
         for (int i = 0; i < servers.size(); i++) {
-            assertEquals(i == index ? ServerEntry.CHANGING : "decode", list.servers.get(i).stage);
+            assertEquals(i == index ? Endpoint.CHANGING : "decode", list.servers.get(i).stage);
         }
         assertTrue(orderedAt - duty.since() >= 500, "ordered after " + (orderedAt - duty.since()) + " ms");
         order.wire().answer("409 Conflict", "", "");
--- a/dataplane/src/main/java/dewplank/dataplane/FleetMetadata.java
+++ b/dataplane/src/main/java/dewplank/dataplane/FleetMetadata.java
@@ -4,9 +4,9 @@
 import dewplank.configuration.RouteTable;
 import dewplank.membership.Member;
 import dewplank.membership.SessionTable;
-import dewplank.message.ListVersion;
-import dewplank.message.ServerEntry;
-import dewplank.message.ServerList;
+import dewplank.message.Endpoint;
+import dewplank.message.EndpointList;
+import dewplank.message.EndpointListVersion;
 import dewplank.net.Scheduler;
 import dewplank.routing.TrackedServer;
 import java.util.ArrayList;
@@ -26,7 +26,7 @@
     private final Scheduler loop;
     private Configuration configuration;
     private RouteTable routes;
-    private ListVersion listVersion = ListVersion.NONE;
+    private EndpointListVersion listVersion = EndpointListVersion.NONE;
     private final Map<String, Server> servers = new LinkedHashMap<>();
     private final Map<String, List<TrackedServer>> byService = new HashMap<>();
     private List<Member> members = List.of();
@@ -39,7 +39,7 @@
 
     /** Whether requests can be served: a configuration and a list of servers are there. */
     boolean complete() {
-        return configuration != null && !listVersion.equals(ListVersion.NONE);
+        return configuration != null && !listVersion.equals(EndpointListVersion.NONE);
     }
 
     Configuration configuration() {
@@ -66,18 +66,18 @@
         }
     }
 
-    ListVersion listVersion() {
+    EndpointListVersion listVersion() {
         return listVersion;
     }
 
     /** Takes a newer list of servers. */
-    void listed(ServerList list) {
+    void listed(EndpointList list) {
         if (list.version.compareTo(listVersion) <= 0) {
             return;
         }
         listVersion = list.version;
         Set<String> named = new HashSet<>();
-        for (ServerEntry entry : list.servers) {
+        for (Endpoint entry : list.servers) {
             named.add(entry.instanceId);
             learn(entry);
         }
@@ -88,7 +88,7 @@
         rebuild();
     }
 
-    private void learn(ServerEntry entry) {
+    private void learn(Endpoint entry) {
         Server server = servers.get(entry.instanceId);
         TrackedServer.Stage stage = stage(entry.stage);
         if (server == null) {
@@ -108,7 +108,7 @@
         }
         return switch (text) {
             case "prefill" -> TrackedServer.Stage.PREFILL;
-            case ServerEntry.CHANGING -> TrackedServer.Stage.CHANGING;
+            case Endpoint.CHANGING -> TrackedServer.Stage.CHANGING;
             default -> TrackedServer.Stage.DECODE;
         };
     }
--- a/dataplane/src/main/java/dewplank/dataplane/SessionClient.java
+++ b/dataplane/src/main/java/dewplank/dataplane/SessionClient.java
@@ -4,14 +4,14 @@
 import dewplank.configuration.ConfigurationDelta;
 import dewplank.configuration.InvalidConfigurationException;
 import dewplank.membership.Member;
-import dewplank.message.BadFrameException;
+import dewplank.message.CorruptFrameException;
 import dewplank.message.Deflated;
+import dewplank.message.FleetUpdate;
+import dewplank.message.HeartbeatAck;
 import dewplank.message.MessageLink;
 import dewplank.message.MessageTransport;
-import dewplank.message.SessionAnswer;
+import dewplank.message.SessionHeartbeat;
 import dewplank.message.SessionOpen;
-import dewplank.message.SessionQuestion;
-import dewplank.message.Update;
 import dewplank.net.Scheduler;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
@@ -187,7 +187,7 @@
     private final class Session implements MessageLink.Handler {
         private final String address;
         private final Deque<Asked> asked = new ArrayDeque<>();
-        private final Deque<Update> keptBack = new ArrayDeque<>();
+        private final Deque<FleetUpdate> keptBack = new ArrayDeque<>();
         private MessageLink connection;
         private double answeredAt;
         private double quorateAt;
@@ -218,7 +218,7 @@
             if (asked.size() > MOST_ASKED) {
                 asked.remove();
             }
-            connection.send(new SessionQuestion(
+            connection.send(new SessionHeartbeat(
                     sequence, fleet.configurationVersion(), fleet.listVersion(), fleet.membersDigest()));
         }
 
@@ -249,15 +249,15 @@
         @Override
         public void received(MessageLink from, Object message) {
             answeredAt = loop.now();
-            if (message instanceof SessionAnswer answer) {
+            if (message instanceof HeartbeatAck answer) {
                 answered(answer);
-            } else if (message instanceof Update update) {
+            } else if (message instanceof FleetUpdate update) {
                 keptBack.add(update);
                 takeKeptBack();
             }
         }
 
-        private void answered(SessionAnswer answer) {
+        private void answered(HeartbeatAck answer) {
             answered = true;
             quorate = answer.quorate;
             quorateAt = answer.quorate ? askedAt(answer.sequence) : quorateAt;
@@ -289,7 +289,7 @@
             }
         }
 
-        private void take(Update update) {
+        private void take(FleetUpdate update) {
             if (update.configuration != null && !configured(update)) {
                 connection.end(); // the next session begins with what is held
                 return;
@@ -311,7 +311,7 @@
             }
         }
 
-        private boolean configured(Update update) {
+        private boolean configured(FleetUpdate update) {
             if (update.configurationVersion <= fleet.configurationVersion()) {
                 return true;
             }
@@ -325,7 +325,7 @@
                     return false;
                 }
                 return true;
-            } catch (BadFrameException | InvalidConfigurationException e) {
+            } catch (CorruptFrameException | InvalidConfigurationException e) {
                 LOG.warn("an update of {} can't be used: {}", address, e.getMessage());
                 return false;
             }
--- a/dataplane/src/test/java/dewplank/dataplane/FakeControlPlane.java
+++ b/dataplane/src/test/java/dewplank/dataplane/FakeControlPlane.java
@@ -1,12 +1,12 @@
 package dewplank.dataplane;
 
 import dewplank.exchange.Wire;
-import dewplank.message.BadFrameException;
+import dewplank.message.CorruptFrameException;
 import dewplank.message.FleetMessages;
+import dewplank.message.HeartbeatAck;
 import dewplank.message.MessageCodec;
-import dewplank.message.SessionAnswer;
+import dewplank.message.SessionHeartbeat;
 import dewplank.message.SessionOpen;
-import dewplank.message.SessionQuestion;
 import java.io.Closeable;
 import java.io.IOException;
 import java.io.InputStream;
@@ -49,7 +49,7 @@
         private final Socket socket;
         private final MessageCodec codec = FleetMessages.codec();
         private final BlockingQueue<SessionOpen> opened = new LinkedBlockingQueue<>();
-        private final BlockingQueue<SessionQuestion> questions = new LinkedBlockingQueue<>();
+        private final BlockingQueue<SessionHeartbeat> questions = new LinkedBlockingQueue<>();
         private final CountDownLatch ended = new CountDownLatch(1);
 
         Session(Socket socket) {
@@ -67,7 +67,7 @@
                         take(m);
                     }
                 }
-            } catch (BadFrameException e) {
+            } catch (CorruptFrameException e) {
                 throw new IOException(e);
             } finally {
                 ended.countDown();
@@ -77,10 +77,10 @@
         private void take(Object message) throws IOException {
             if (message instanceof SessionOpen open) {
                 opened.add(open);
-            } else if (message instanceof SessionQuestion question) {
+            } else if (message instanceof SessionHeartbeat question) {
                 questions.add(question);
                 if (answers) {
-                    send(new SessionAnswer(question.sequence, quorate, controlAddresses));
+                    send(new HeartbeatAck(question.sequence, quorate, controlAddresses));
                 }
             }
         }
@@ -109,13 +109,13 @@
             return next(opened);
         }
 
-        SessionQuestion question() throws InterruptedException {
+        SessionHeartbeat question() throws InterruptedException {
             return next(questions);
         }
 
         /** The next question by which that version is held. */
-        SessionQuestion questionHolding(long configurationVersion) throws InterruptedException {
-            SessionQuestion question = question();
+        SessionHeartbeat questionHolding(long configurationVersion) throws InterruptedException {
+            SessionHeartbeat question = question();
             while (question.configurationVersion != configurationVersion) {
                 question = question();
             }
--- a/dataplane/src/test/java/dewplank/dataplane/FleetMetadataTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/FleetMetadataTest.java
@@ -18,9 +18,9 @@
 import dewplank.exchange.ScriptedServer;
 import dewplank.exchange.ScriptedServer.Call;
 import dewplank.exchange.Wire;
-import dewplank.message.ListVersion;
-import dewplank.message.ServerEntry;
-import dewplank.message.ServerList;
+import dewplank.message.EndpointListVersion;
+import dewplank.message.Endpoint;
+import dewplank.message.EndpointList;
 import dewplank.routing.TrackedServer;
 import java.io.IOException;
 import java.util.Arrays;
@@ -62,14 +62,14 @@
         assertEquals(404, net.ask("/new/").read().status());
     }
 
-    private static ServerList list(long number, long revision, String... instances) {
-        List<ServerEntry> entries = Arrays.stream(instances)
-                .map(i -> new ServerEntry(i, PLAIN, "127.0.0.1:9", ForwarderFixture.ZONE, 4, false, 0, null))
+    private static EndpointList list(long number, long revision, String... instances) {
+        List<Endpoint> entries = Arrays.stream(instances)
+                .map(i -> new Endpoint(i, PLAIN, "127.0.0.1:9", ForwarderFixture.ZONE, 4, false, 0, null))
                 .toList();
-        return new ServerList(new ListVersion(number, revision), entries);
+        return new EndpointList(new EndpointListVersion(number, revision), entries);
     }
 
-    private List<String> listed(ServerList list) throws Exception {
+    private List<String> listed(EndpointList list) throws Exception {
         return OnLoop.get(net.loop, () -> {
             net.view.listed(list);
             return net.view.servers(PLAIN).stream()
@@ -84,7 +84,7 @@
         assertEquals(List.of("a"), listed(list(2, 6, "b")));
         assertEquals(List.of("a"), listed(list(2, 7, "b")));
         assertEquals(List.of("a"), listed(list(1, 99, "b")), "a higher count under a lower fencing number is older");
-        assertEquals(new ListVersion(2, 7), net.view.listVersion());
+        assertEquals(new EndpointListVersion(2, 7), net.view.listVersion());
         assertEquals(List.of("b"), listed(list(3, 1, "b")), "a lower count under a higher fencing number is newer");
         assertEquals(List.of(), listed(list(3, 2)));
         assertEquals(List.of(), listed(list(3, 1, "b")));
--- a/dataplane/src/test/java/dewplank/dataplane/ForwarderFixture.java
+++ b/dataplane/src/test/java/dewplank/dataplane/ForwarderFixture.java
@@ -8,9 +8,9 @@
 import dewplank.exchange.ScriptedServer;
 import dewplank.exchange.ScriptedServer.Call;
 import dewplank.exchange.Wire;
-import dewplank.message.ListVersion;
-import dewplank.message.ServerEntry;
-import dewplank.message.ServerList;
+import dewplank.message.Endpoint;
+import dewplank.message.EndpointList;
+import dewplank.message.EndpointListVersion;
 import dewplank.net.EventLoop;
 import dewplank.net.Listener;
 import dewplank.routing.HealthVotes;
@@ -60,7 +60,7 @@
     final Forwarder forwarder;
     private final Listener front;
     private final Map<ScriptedServer, String> instances = new HashMap<>();
-    private final List<ServerEntry> entries = new ArrayList<>();
+    private final List<Endpoint> entries = new ArrayList<>();
     private final List<Wire> clients = new ArrayList<>();
     private long revision;
     private long configurationVersion;
@@ -165,8 +165,8 @@
         return server;
     }
 
-    private static ServerEntry entry(ScriptedServer server, String id, String service, String stage, boolean draining) {
-        return new ServerEntry(id, service, server.addressText(), ZONE, 64, draining, 0, stage);
+    private static Endpoint entry(ScriptedServer server, String id, String service, String stage, boolean draining) {
+        return new Endpoint(id, service, server.addressText(), ZONE, 64, draining, 0, stage);
     }
 
     /** The next list has it as draining. */
@@ -183,7 +183,7 @@
     }
 
     void tell() throws Exception {
-        ServerList next = new ServerList(new ListVersion(1, ++revision), new ArrayList<>(entries));
+        EndpointList next = new EndpointList(new EndpointListVersion(1, ++revision), new ArrayList<>(entries));
         OnLoop.run(loop, () -> view.listed(next));
     }
 
--- a/dataplane/src/test/java/dewplank/dataplane/SessionClientTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/SessionClientTest.java
@@ -14,14 +14,14 @@
 import dewplank.membership.Member;
 import dewplank.membership.SessionTable;
 import dewplank.message.Deflated;
+import dewplank.message.Endpoint;
+import dewplank.message.EndpointList;
+import dewplank.message.EndpointListVersion;
 import dewplank.message.FleetMessages;
-import dewplank.message.ListVersion;
-import dewplank.message.ServerEntry;
-import dewplank.message.ServerList;
-import dewplank.message.SessionAnswer;
-import dewplank.message.SessionQuestion;
+import dewplank.message.FleetUpdate;
+import dewplank.message.HeartbeatAck;
+import dewplank.message.SessionHeartbeat;
 import dewplank.message.TcpTransport;
-import dewplank.message.Update;
 import dewplank.net.EventLoop;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -92,12 +92,13 @@
         return ForwarderFixture.parse(version, 1_000, routes);
     }
 
-    private static Update whole(Configuration c) {
-        return new Update(Deflated.of(c.json()), c.version(), 0, null, null);
+    private static FleetUpdate whole(Configuration c) {
+        return new FleetUpdate(Deflated.of(c.json()), c.version(), 0, null, null);
     }
 
-    private static Update delta(Configuration from, Configuration to) {
-        return new Update(Deflated.of(ConfigurationDelta.between(from, to)), to.version(), from.version(), null, null);
+    private static FleetUpdate delta(Configuration from, Configuration to) {
+        return new FleetUpdate(
+                Deflated.of(ConfigurationDelta.between(from, to)), to.version(), from.version(), null, null);
     }
 
     private void awaitVersion(long version) throws Exception {
@@ -112,18 +113,22 @@
         start(control);
         Session session = control.session();
         assertEquals(SELF, session.open().member);
-        SessionQuestion first = session.question();
+        SessionHeartbeat first = session.question();
         assertEquals(0, first.configurationVersion);
-        assertEquals(ListVersion.NONE, first.listVersion);
+        assertEquals(EndpointListVersion.NONE, first.listVersion);
         assertEquals(0, first.membersDigest);
         List<Member> members = List.of(SELF, new Member("n2", Member.CONTROL, "10.0.0.8:1", "z", 4));
-        ServerEntry entry = new ServerEntry("i", PLAIN, "127.0.0.1:9", "z", 4, false, 0, null);
+        Endpoint entry = new Endpoint("i", PLAIN, "127.0.0.1:9", "z", 4, false, 0, null);
         Configuration config = configuration(7, route("r", "safe", PLAIN, 1));
-        session.send(new Update(
-                Deflated.of(config.json()), 7, 0, new ServerList(new ListVersion(2, 5), List.of(entry)), members));
-        SessionQuestion next = session.questionHolding(7);
+        session.send(new FleetUpdate(
+                Deflated.of(config.json()),
+                7,
+                0,
+                new EndpointList(new EndpointListVersion(2, 5), List.of(entry)),
+                members));
+        SessionHeartbeat next = session.questionHolding(7);
         assertTrue(next.sequence > first.sequence);
-        assertEquals(new ListVersion(2, 5), next.listVersion);
+        assertEquals(new EndpointListVersion(2, 5), next.listVersion);
         assertEquals(SessionTable.digest(members), next.membersDigest);
         assertEquals("r", view.routes().find(ForwarderFixture.HOST, "/r/").name());
         assertEquals(1, OnLoop.get(loop, () -> view.servers(PLAIN).size()));
@@ -139,12 +144,12 @@
         Session session = control.session();
         session.send(whole(configuration(7, route("r", "safe", PLAIN, 1))));
         session.questionHolding(7);
-        session.send(new Update(null, 0, 0, new ServerList(new ListVersion(1, 1), List.of()), null));
+        session.send(new FleetUpdate(null, 0, 0, new EndpointList(new EndpointListVersion(1, 1), List.of()), null));
         OnLoop.await(loop, view::complete);
-        session.send(new Update(null, 0, 0, null, List.of(SELF)));
+        session.send(new FleetUpdate(null, 0, 0, null, List.of(SELF)));
         OnLoop.await(loop, () -> view.members().size() == 1);
         assertEquals(7, view.configurationVersion());
-        assertEquals(new ListVersion(1, 1), view.listVersion());
+        assertEquals(new EndpointListVersion(1, 1), view.listVersion());
     }
 
     @Test
@@ -194,12 +199,12 @@
         session.send(whole(held));
         session.questionHolding(3);
         for (byte[] bad : new byte[][] {{1, 2, 3}, Deflated.of("{}".getBytes())}) {
-            session.send(new Update(bad, 9, 0, null, null));
+            session.send(new FleetUpdate(bad, 9, 0, null, null));
             session.awaitEnd();
             session = control.session();
             assertEquals(3, session.question().configurationVersion);
         }
-        session.send(new Update(Deflated.of(new byte[] {1, 2, 3}), 9, 3, null, null));
+        session.send(new FleetUpdate(Deflated.of(new byte[] {1, 2, 3}), 9, 3, null, null));
         session.awaitEnd();
         assertEquals("a", view.routes().find(ForwarderFixture.HOST, "/a/").name());
     }
@@ -220,7 +225,8 @@
         awaitVersion(8);
         slow.send(delta(first, second));
         slow.send(whole(first));
-        slow.send(new Update(new byte[] {1, 2, 3}, 8, 0, new ServerList(new ListVersion(1, 1), List.of()), null));
+        slow.send(new FleetUpdate(
+                new byte[] {1, 2, 3}, 8, 0, new EndpointList(new EndpointListVersion(1, 1), List.of()), null));
         OnLoop.await(loop, view::complete); // so all before it was looked at
         assertEquals(8, view.configurationVersion());
         assertEquals("b", view.routes().find(ForwarderFixture.HOST, "/b/").name());
@@ -334,7 +340,7 @@
         long first = left.question().sequence;
         for (int beats = 0; !left.isEnded(); beats++) {
             assertTrue(beats < 60, "it is kept by answers to its first question");
-            left.sendIfOpen(new SessionAnswer(first, true, List.of()));
+            left.sendIfOpen(new HeartbeatAck(first, true, List.of()));
             OnLoop.pass(loop, 100);
         }
     }
@@ -387,7 +393,8 @@
         old.question();
         Configuration stale = configuration(3, route("old", "safe", PLAIN, 1));
         old.send(whole(stale));
-        old.send(new Update(null, 0, 0, new ServerList(new ListVersion(1, 1), List.of()), List.of(SELF)));
+        old.send(
+                new FleetUpdate(null, 0, 0, new EndpointList(new EndpointListVersion(1, 1), List.of()), List.of(SELF)));
         old.question();
         old.question();
         assertEquals(0, OnLoop.get(loop, view::configurationVersion));
@@ -397,7 +404,8 @@
         Session session = fresh.session();
         session.send(whole(configuration(7, route("new", "safe", PLAIN, 1))));
         awaitVersion(7);
-        OnLoop.await(loop, () -> view.listVersion().equals(new ListVersion(1, 1))); // the old one's updates follow
+        OnLoop.await(
+                loop, () -> view.listVersion().equals(new EndpointListVersion(1, 1))); // the old one's updates follow
         assertEquals(7, view.configurationVersion());
         assertEquals("new", view.routes().find(ForwarderFixture.HOST, "/new/").name());
     }
@@ -430,11 +438,12 @@
         Session good = quorate.session();
         Session cutOff = lost.session();
         good.send(whole(configuration(7, route("a", "safe", PLAIN, 1))));
-        good.send(new Update(null, 0, 0, null, List.of(SELF, other)));
+        good.send(new FleetUpdate(null, 0, 0, null, List.of(SELF, other)));
         OnLoop.await(loop, () -> view.members().size() == 2);
         cutOff.question();
         cutOff.question();
-        cutOff.send(new Update(null, 0, 0, new ServerList(new ListVersion(1, 1), List.of()), List.of(SELF)));
+        cutOff.send(
+                new FleetUpdate(null, 0, 0, new EndpointList(new EndpointListVersion(1, 1), List.of()), List.of(SELF)));
         OnLoop.await(loop, view::complete); // so its members were looked at
         assertEquals(2, view.members().size());
         good.reset();
--- a/dataplane/src/test/java/dewplank/dataplane/SessionCrossingTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/SessionCrossingTest.java
@@ -11,10 +11,10 @@
 import dewplank.membership.Member;
 import dewplank.message.Deflated;
 import dewplank.message.FleetMessages;
-import dewplank.message.ListVersion;
-import dewplank.message.ServerList;
+import dewplank.message.EndpointListVersion;
+import dewplank.message.EndpointList;
 import dewplank.message.TcpTransport;
-import dewplank.message.Update;
+import dewplank.message.FleetUpdate;
 import dewplank.net.EventLoop;
 import java.io.IOException;
 import java.util.List;
@@ -58,9 +58,9 @@
         control.close();
     }
 
-    private static Update whole(long version, ListVersion list) throws Exception {
+    private static FleetUpdate whole(long version, EndpointListVersion list) throws Exception {
         Configuration c = ForwarderFixture.parse(version, 1_000, route("r" + version, "safe", PLAIN, 1));
-        return new Update(Deflated.of(c.json()), version, 0, new ServerList(list, List.of()), null);
+        return new FleetUpdate(Deflated.of(c.json()), version, 0, new EndpointList(list, List.of()), null);
     }
 
     private void awaitVersion(long version) throws Exception {
@@ -72,16 +72,16 @@
     void anUpdateThatMeetsTheEndOfItsSessionIsNotTaken() throws Exception {
         Session session = control.session();
         session.questionHolding(0);
-        session.send(whole(3, new ListVersion(1, 1)));
+        session.send(whole(3, new EndpointListVersion(1, 1)));
         awaitVersion(3);
         OnLoop.run(loop, () -> {
-            session.send(whole(9, new ListVersion(1, 9)));
+            session.send(whole(9, new EndpointListVersion(1, 9)));
             client.close();
         });
         session.awaitEnd();
         OnLoop.run(loop, () -> {});
         assertEquals(3, view.configurationVersion());
-        assertEquals(new ListVersion(1, 1), view.listVersion());
+        assertEquals(new EndpointListVersion(1, 1), view.listVersion());
     }
 
     /** The connection breaks within an update: the next one's bytes are not taken for the rest of it. */
@@ -89,15 +89,15 @@
     void halfAnUpdateOfAnEarlierConnectionIsForgotten() throws Exception {
         Session first = control.session();
         first.questionHolding(0);
-        first.send(whole(3, new ListVersion(1, 1)));
+        first.send(whole(3, new EndpointListVersion(1, 1)));
         awaitVersion(3);
-        first.sendHalf(whole(9, new ListVersion(1, 9)));
+        first.sendHalf(whole(9, new EndpointListVersion(1, 9)));
         first.reset();
         Session second = control.session();
         assertEquals(3, second.question().configurationVersion, "the session begins with what is held");
-        second.send(whole(4, new ListVersion(1, 2)));
+        second.send(whole(4, new EndpointListVersion(1, 2)));
         awaitVersion(4);
-        assertEquals(new ListVersion(1, 2), OnLoop.get(loop, view::listVersion));
+        assertEquals(new EndpointListVersion(1, 2), OnLoop.get(loop, view::listVersion));
     }
 
     /** A control sidecar that starts again with what its disk held tells older state: nothing goes back. */
@@ -105,17 +105,17 @@
     void theOlderStateOfALaterLifeTakesNothingBack() throws Exception {
         Session first = control.session();
         first.questionHolding(0);
-        first.send(whole(9, new ListVersion(2, 5)));
+        first.send(whole(9, new EndpointListVersion(2, 5)));
         awaitVersion(9);
         first.reset();
         Session second = control.session();
         assertEquals(9, second.question().configurationVersion);
-        second.send(whole(3, new ListVersion(1, 8)));
-        second.send(whole(8, new ListVersion(2, 4)));
-        second.send(new Update(null, 0, 0, null, List.of(SELF))); // a mark behind them
+        second.send(whole(3, new EndpointListVersion(1, 8)));
+        second.send(whole(8, new EndpointListVersion(2, 4)));
+        second.send(new FleetUpdate(null, 0, 0, null, List.of(SELF))); // a mark behind them
         OnLoop.await(loop, () -> view.members().size() == 1);
         assertEquals(9, view.configurationVersion());
-        assertEquals(new ListVersion(2, 5), view.listVersion());
+        assertEquals(new EndpointListVersion(2, 5), view.listVersion());
         assertEquals("r9", view.routes().find(ForwarderFixture.HOST, "/r9/").name());
     }
 
--- a/messages/src/main/java/dewplank/message/SessionsTold.java
+++ b/messages/src/main/java/dewplank/message/ControlHeartbeat.java
@@ -5,19 +5,19 @@
 import java.util.List;
 
 /** A control sidecar tells another the sessions that it holds, and the control sidecars that it knows. */
-public final class SessionsTold {
+public final class ControlHeartbeat {
     public final long sequence;
     public final List<Member> sessions;
     public final List<String> controlAddresses;
 
     /** For Protostuff, which fills the fields and sends nothing for an empty list. */
-    private SessionsTold() {
+    private ControlHeartbeat() {
         this.sequence = 0;
         this.sessions = new ArrayList<>();
         this.controlAddresses = new ArrayList<>();
     }
 
-    public SessionsTold(long sequence, List<Member> sessions, List<String> controlAddresses) {
+    public ControlHeartbeat(long sequence, List<Member> sessions, List<String> controlAddresses) {
         this.sequence = sequence;
         this.sessions = sessions;
         this.controlAddresses = controlAddresses;
--- a/messages/src/main/java/dewplank/message/BadFrameException.java
+++ b/messages/src/main/java/dewplank/message/CorruptFrameException.java
@@ -1,10 +1,10 @@
 package dewplank.message;
 
 /** Bytes from another process that are no message: the connection is of no use any more. */
-public final class BadFrameException extends Exception {
+public final class CorruptFrameException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    public BadFrameException(String message) {
+    public CorruptFrameException(String message) {
         super(message);
     }
 }
--- a/messages/src/main/java/dewplank/message/Deflated.java
+++ b/messages/src/main/java/dewplank/message/Deflated.java
@@ -12,11 +12,11 @@
     }
 
     /** Up to the size of a frame. */
-    public static byte[] plain(byte[] deflated) throws BadFrameException {
+    public static byte[] plain(byte[] deflated) throws CorruptFrameException {
         try {
             return Compressed.plain(deflated, MessageCodec.MOST_BYTES);
         } catch (IOException e) {
-            throw new BadFrameException(e.getMessage());
+            throw new CorruptFrameException(e.getMessage());
         }
     }
 }
--- a/messages/src/main/java/dewplank/message/ServerEntry.java
+++ b/messages/src/main/java/dewplank/message/Endpoint.java
@@ -3,7 +3,7 @@
 import java.util.Objects;
 
 /** One server as the platform lists it. */
-public final class ServerEntry {
+public final class Endpoint {
     public final String instanceId;
     public final String service;
     public final String address;
@@ -17,7 +17,7 @@
     /** prefill, decode, {@link #CHANGING}, or null for a plain server. */
     public final String stage;
 
-    public ServerEntry(
+    public Endpoint(
             String instanceId,
             String service,
             String address,
@@ -37,12 +37,12 @@
     }
 
     /** The same in another stage. */
-    public ServerEntry inStage(String other) {
-        return new ServerEntry(instanceId, service, address, zone, slotCount, draining, coldRemainingMs, other);
+    public Endpoint inStage(String other) {
+        return new Endpoint(instanceId, service, address, zone, slotCount, draining, coldRemainingMs, other);
     }
 
     /** Equal but for the cold time, which counts down by itself. */
-    public boolean sameAs(ServerEntry e) {
+    public boolean sameAs(Endpoint e) {
         return e.instanceId.equals(instanceId)
                 && e.service.equals(service)
                 && e.address.equals(address)
--- a/messages/src/main/java/dewplank/message/ServerList.java
+++ b/messages/src/main/java/dewplank/message/EndpointList.java
@@ -4,17 +4,17 @@
 import java.util.List;
 
 /** All servers as last listed by the platform. */
-public final class ServerList {
-    public final ListVersion version;
-    public final List<ServerEntry> servers;
+public final class EndpointList {
+    public final EndpointListVersion version;
+    public final List<Endpoint> servers;
 
     /** For Protostuff, which fills the fields and sends nothing for an empty list. */
-    private ServerList() {
+    private EndpointList() {
         this.version = null;
         this.servers = new ArrayList<>();
     }
 
-    public ServerList(ListVersion version, List<ServerEntry> servers) {
+    public EndpointList(EndpointListVersion version, List<Endpoint> servers) {
         this.version = version;
         this.servers = servers;
     }
--- a/messages/src/main/java/dewplank/message/FleetMessages.java
+++ b/messages/src/main/java/dewplank/message/FleetMessages.java
@@ -14,11 +14,11 @@
         List<Class<?>> types = new ArrayList<>(List.of(
                 ControlHello.class,
                 SessionOpen.class,
-                SessionQuestion.class,
-                SessionAnswer.class,
-                Update.class,
-                SessionsTold.class,
-                ServerList.class,
+                SessionHeartbeat.class,
+                HeartbeatAck.class,
+                FleetUpdate.class,
+                ControlHeartbeat.class,
+                EndpointList.class,
                 VoteRequest.class,
                 VoteReply.class));
         types.addAll(RegisterMessages.TYPES);
--- a/messages/src/main/java/dewplank/message/Update.java
+++ b/messages/src/main/java/dewplank/message/FleetUpdate.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /** What is newer than a data plane holds; a part that has not changed is null. */
-public final class Update {
+public final class FleetUpdate {
     /** The configuration, deflated: whole, or as a delta on {@link #baseVersion}. */
     public final byte[] configuration;
 
@@ -12,14 +12,14 @@
     /** 0: the configuration is whole. */
     public final long baseVersion;
 
-    public final ServerList servers;
+    public final EndpointList servers;
     public final List<Member> members;
 
-    public Update(
+    public FleetUpdate(
             byte[] configuration,
             long configurationVersion,
             long baseVersion,
-            ServerList servers,
+            EndpointList servers,
             List<Member> members) {
         this.configuration = configuration;
         this.configurationVersion = configurationVersion;
--- a/messages/src/main/java/dewplank/message/FramedConnection.java
+++ b/messages/src/main/java/dewplank/message/FramedConnection.java
@@ -53,7 +53,7 @@
             for (Object message = reader.next(bytes); message != null && !over; message = reader.next(bytes)) {
                 handler.received(this, message);
             }
-        } catch (BadFrameException e) {
+        } catch (CorruptFrameException e) {
             end();
         }
     }
--- a/messages/src/main/java/dewplank/message/SessionAnswer.java
+++ b/messages/src/main/java/dewplank/message/HeartbeatAck.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /** The heartbeat of a session, and of a connection between control sidecars. */
-public final class SessionAnswer {
+public final class HeartbeatAck {
     public final long sequence;
     /** Whether a quorum of the register lately showed that the control sidecar knows the newest configuration. */
     public final boolean quorate;
@@ -12,13 +12,13 @@
     public final List<String> controlAddresses;
 
     /** For Protostuff, which fills the fields and sends nothing for an empty list. */
-    private SessionAnswer() {
+    private HeartbeatAck() {
         this.sequence = 0;
         this.quorate = false;
         this.controlAddresses = new ArrayList<>();
     }
 
-    public SessionAnswer(long sequence, boolean quorate, List<String> controlAddresses) {
+    public HeartbeatAck(long sequence, boolean quorate, List<String> controlAddresses) {
         this.sequence = sequence;
         this.quorate = quorate;
         this.controlAddresses = controlAddresses;
--- a/messages/src/main/java/dewplank/message/MessageCodec.java
+++ b/messages/src/main/java/dewplank/message/MessageCodec.java
@@ -53,9 +53,9 @@
                 .flip();
     }
 
-    private Object decode(int number, byte[] body) throws BadFrameException {
+    private Object decode(int number, byte[] body) throws CorruptFrameException {
         if (number < 0 || number >= schemas.size()) {
-            throw new BadFrameException("no message has the number " + number);
+            throw new CorruptFrameException("no message has the number " + number);
         }
         try {
             Schema<Object> schema = schemas.get(number);
@@ -63,7 +63,7 @@
             ProtostuffIOUtil.mergeFrom(body, message, schema);
             return message;
         } catch (RuntimeException | OutOfMemoryError e) { // a length that no body of this size can hold
-            throw new BadFrameException("a message's body can't be read: " + e);
+            throw new CorruptFrameException("a message's body can't be read: " + e);
         }
     }
 
@@ -74,7 +74,7 @@
         private int filled;
 
         /** Takes bytes until a message is whole; null if more are needed. */
-        public Object next(ByteBuffer in) throws BadFrameException {
+        public Object next(ByteBuffer in) throws CorruptFrameException {
             while (head.hasRemaining() && in.hasRemaining()) {
                 head.put(in.get());
             }
@@ -84,7 +84,7 @@
             if (body == null) {
                 int length = head.getInt(0);
                 if (length < 0 || length > MOST_BYTES) {
-                    throw new BadFrameException("a frame of " + length + " bytes");
+                    throw new CorruptFrameException("a frame of " + length + " bytes");
                 }
                 body = new byte[length];
                 filled = 0;
--- a/messages/src/test/java/dewplank/message/DeflatedTest.java
+++ b/messages/src/test/java/dewplank/message/DeflatedTest.java
@@ -14,12 +14,12 @@
 
 class DeflatedTest {
     @Property(tries = 200)
-    void whatIsDeflatedComesBack(@ForAll @Size(max = 500) byte[] plain) throws BadFrameException {
+    void whatIsDeflatedComesBack(@ForAll @Size(max = 500) byte[] plain) throws CorruptFrameException {
         assertArrayEquals(plain, Deflated.plain(Deflated.of(plain)));
     }
 
     @Test
-    void theLargestConfigurationComesBack() throws BadFrameException {
+    void theLargestConfigurationComesBack() throws CorruptFrameException {
         byte[] noise = new byte[4 << 20];
         new Random(3).nextBytes(noise);
         assertArrayEquals(noise, Deflated.plain(Deflated.of(noise)));
@@ -33,12 +33,12 @@
         byte[] deflated = Deflated.of("a configuration, a configuration".getBytes());
         for (int length = 0; length < deflated.length; length++) {
             byte[] part = Arrays.copyOf(deflated, length);
-            assertThrows(BadFrameException.class, () -> Deflated.plain(part));
+            assertThrows(CorruptFrameException.class, () -> Deflated.plain(part));
         }
         byte[] spoilt = deflated.clone();
         spoilt[spoilt.length - 1] ^= 1; // of the checksum
-        assertThrows(BadFrameException.class, () -> Deflated.plain(spoilt));
-        assertThrows(BadFrameException.class, () -> Deflated.plain(new byte[] {1, 2, 3, 4, 5, 6, 7, 8}));
+        assertThrows(CorruptFrameException.class, () -> Deflated.plain(spoilt));
+        assertThrows(CorruptFrameException.class, () -> Deflated.plain(new byte[] {1, 2, 3, 4, 5, 6, 7, 8}));
     }
 
     @Test
@@ -50,7 +50,7 @@
         byte[] out = new byte[100];
         int length = deflater.deflate(out);
         deflater.end();
-        assertThrows(BadFrameException.class, () -> Deflated.plain(Arrays.copyOf(out, length)));
+        assertThrows(CorruptFrameException.class, () -> Deflated.plain(Arrays.copyOf(out, length)));
     }
 
     /** Less than a hundred kilobytes that would fill 64 megabytes: they are given up at the size of a frame. */
@@ -69,6 +69,6 @@
         deflater.end();
         byte[] whole = Arrays.copyOf(bomb, length);
         assertTrue(whole.length < 100_000);
-        assertThrows(BadFrameException.class, () -> Deflated.plain(whole));
+        assertThrows(CorruptFrameException.class, () -> Deflated.plain(whole));
     }
 }
--- a/messages/src/test/java/dewplank/message/FramedConnectionTest.java
+++ b/messages/src/test/java/dewplank/message/FramedConnectionTest.java
@@ -66,7 +66,7 @@
         }
 
         long nextSequence() throws InterruptedException {
-            return ((SessionQuestion) next(messages)).sequence;
+            return ((SessionHeartbeat) next(messages)).sequence;
         }
     }
 
@@ -94,8 +94,8 @@
         return OnLoop.get(loop, () -> FramedConnection.open(loop, to, timeoutMs, codec, here));
     }
 
-    private static SessionQuestion question(long sequence) {
-        return new SessionQuestion(sequence, 0, ListVersion.NONE, 0);
+    private static SessionHeartbeat question(long sequence) {
+        return new SessionHeartbeat(sequence, 0, EndpointListVersion.NONE, 0);
     }
 
     private String text(Object message) {
@@ -111,12 +111,12 @@
         byte[] large = new byte[1 << 20];
         OnLoop.run(loop, () -> {
             dialled.send(question(1));
-            dialled.send(new Update(large, 7, 0, null, null));
+            dialled.send(new FleetUpdate(large, 7, 0, null, null));
             dialled.send(question(2));
             accepted.send(question(3));
         });
         assertEquals(1, there.nextSequence());
-        assertEquals(large.length, ((Update) Heard.next(there.messages)).configuration.length);
+        assertEquals(large.length, ((FleetUpdate) Heard.next(there.messages)).configuration.length);
         assertEquals(2, there.nextSequence());
         assertEquals(3, here.nextSequence());
         assertTrue(OnLoop.get(loop, () -> dialled.isOpen() && accepted.isOpen()));
@@ -232,7 +232,7 @@
         try (ScriptedServer stuck = ScriptedServer.raw()) {
             FramedConnection dialled = open(stuck.address(), OPEN_MS);
             Heard.next(here.opened);
-            Update large = new Update(new byte[4 << 20], 1, 0, null, null);
+            FleetUpdate large = new FleetUpdate(new byte[4 << 20], 1, 0, null, null);
             for (int i = 0; i < 40 && !OnLoop.get(loop, dialled::isOver); i++) {
                 OnLoop.run(loop, () -> dialled.send(large));
             }
@@ -246,7 +246,7 @@
     void bytesThatHaveGoneOutDoNotCount() throws Exception {
         FramedConnection dialled = open(address(), OPEN_MS);
         Heard.next(here.opened);
-        ByteBuffer frame = codec.encode(new Update(new byte[4 << 20], 1, 0, null, null));
+        ByteBuffer frame = codec.encode(new FleetUpdate(new byte[4 << 20], 1, 0, null, null));
         for (int i = 0; i < 12; i++) { // more than may wait at once
             OnLoop.run(loop, () -> dialled.send(frame.duplicate()));
             Heard.next(there.messages);
--- a/messages/src/test/java/dewplank/message/GoldenFramesTest.java
+++ b/messages/src/test/java/dewplank/message/GoldenFramesTest.java
@@ -91,7 +91,7 @@
         }
     }
 
-    private <T> T decoded(String label, Class<T> type) throws BadFrameException {
+    private <T> T decoded(String label, Class<T> type) throws CorruptFrameException {
         ByteBuffer bytes = ByteBuffer.wrap(frames.get(label));
         Object message = codec.reader().next(bytes);
         assertFalse(bytes.hasRemaining(), label);
@@ -162,23 +162,23 @@
     @Test
     void sessionsOfDataPlanes() throws Exception {
         assertIsDataPlane(decoded("session-open", SessionOpen.class).member);
-        SessionQuestion heartbeat = decoded("session-heartbeat", SessionQuestion.class);
+        SessionHeartbeat heartbeat = decoded("session-heartbeat", SessionHeartbeat.class);
         assertEquals(17, heartbeat.sequence);
         assertEquals(200, heartbeat.configurationVersion);
         assertEquals(9, heartbeat.listVersion.fencingNumber);
         assertEquals(130, heartbeat.listVersion.revision);
         assertEquals(-2, heartbeat.membersDigest);
-        SessionQuestion emptyHanded = decoded("session-heartbeat empty-handed", SessionQuestion.class);
+        SessionHeartbeat emptyHanded = decoded("session-heartbeat empty-handed", SessionHeartbeat.class);
         assertEquals(1, emptyHanded.sequence);
         assertEquals(0, emptyHanded.configurationVersion);
         assertEquals(0, emptyHanded.listVersion.fencingNumber);
         assertEquals(0, emptyHanded.listVersion.revision);
         assertEquals(0, emptyHanded.membersDigest);
-        SessionAnswer quorate = decoded("heartbeat-ack quorate", SessionAnswer.class);
+        HeartbeatAck quorate = decoded("heartbeat-ack quorate", HeartbeatAck.class);
         assertEquals(17, quorate.sequence);
         assertTrue(quorate.quorate);
         assertEquals(List.of("10.0.0.1:7600", "10.0.0.2:7600"), quorate.controlAddresses);
-        SessionAnswer alone = decoded("heartbeat-ack alone", SessionAnswer.class);
+        HeartbeatAck alone = decoded("heartbeat-ack alone", HeartbeatAck.class);
         assertEquals(18, alone.sequence);
         assertFalse(alone.quorate);
         assertEquals(List.of(), alone.controlAddresses);
@@ -197,7 +197,7 @@
 
     @Test
     void updatesOfDataPlanes() throws Exception {
-        Update whole = decoded("update whole", Update.class);
+        FleetUpdate whole = decoded("update whole", FleetUpdate.class);
         assertArrayEquals(new byte[] {120, 1, -1}, whole.configuration);
         assertEquals(200, whole.configurationVersion);
         assertEquals(0, whole.baseVersion);
@@ -205,20 +205,20 @@
         assertEquals(2, whole.members.size());
         assertIsDataPlane(whole.members.get(0));
         assertIsControlPlane(whole.members.get(1));
-        Update delta = decoded("update delta", Update.class);
+        FleetUpdate delta = decoded("update delta", FleetUpdate.class);
         assertArrayEquals(new byte[] {120, 1, 0, 5}, delta.configuration);
         assertEquals(201, delta.configurationVersion);
         assertEquals(200, delta.baseVersion);
         assertNull(delta.servers);
         assertNull(delta.members);
-        Update endpoints = decoded("update endpoints-only", Update.class);
+        FleetUpdate endpoints = decoded("update endpoints-only", FleetUpdate.class);
         assertNull(endpoints.configuration);
         assertEquals(0, endpoints.configurationVersion);
         assertEquals(10, endpoints.servers.version.fencingNumber);
         assertEquals(1, endpoints.servers.version.revision);
         assertEquals(List.of(), endpoints.servers.servers);
         assertNull(endpoints.members);
-        Update members = decoded("update members-only", Update.class);
+        FleetUpdate members = decoded("update members-only", FleetUpdate.class);
         assertNull(members.configuration);
         assertNull(members.servers);
         assertEquals(1, members.members.size());
@@ -227,18 +227,18 @@
 
     @Test
     void listsOfEndpoints() throws Exception {
-        assertAreThreeKinds(decoded("endpoint-list", ServerList.class));
-        ServerList empty = decoded("endpoint-list empty", ServerList.class);
+        assertAreThreeKinds(decoded("endpoint-list", EndpointList.class));
+        EndpointList empty = decoded("endpoint-list empty", EndpointList.class);
         assertEquals(2, empty.version.fencingNumber);
         assertEquals(3, empty.version.revision);
         assertEquals(List.of(), empty.servers);
     }
 
-    private static void assertAreThreeKinds(ServerList list) {
+    private static void assertAreThreeKinds(EndpointList list) {
         assertEquals(9, list.version.fencingNumber);
         assertEquals(130, list.version.revision);
         assertEquals(3, list.servers.size());
-        ServerEntry plain = list.servers.get(0);
+        Endpoint plain = list.servers.get(0);
         assertEquals("i-1", plain.instanceId);
         assertEquals("wuno", plain.service);
         assertEquals("10.1.0.1:8000", plain.address);
@@ -247,7 +247,7 @@
         assertFalse(plain.draining);
         assertEquals(0, plain.coldRemainingMs);
         assertNull(plain.stage);
-        ServerEntry prefill = list.servers.get(1);
+        Endpoint prefill = list.servers.get(1);
         assertEquals("i-2", prefill.instanceId);
         assertEquals("huvo", prefill.service);
         assertEquals("10.1.0.2:8001", prefill.address);
@@ -256,7 +256,7 @@
         assertTrue(prefill.draining);
         assertEquals(1_234.5, prefill.coldRemainingMs);
         assertEquals("prefill", prefill.stage);
-        ServerEntry changing = list.servers.get(2);
+        Endpoint changing = list.servers.get(2);
         assertEquals("i-3", changing.instanceId);
         assertEquals("huvo", changing.service);
         assertEquals("10.1.0.3:8002", changing.address);
@@ -264,18 +264,18 @@
         assertEquals(48, changing.slotCount);
         assertFalse(changing.draining);
         assertEquals(0.25, changing.coldRemainingMs);
-        assertEquals(ServerEntry.CHANGING, changing.stage);
+        assertEquals(Endpoint.CHANGING, changing.stage);
     }
 
     @Test
     void heartbeatsOfControlPlanes() throws Exception {
-        SessionsTold heartbeat = decoded("control-heartbeat", SessionsTold.class);
+        ControlHeartbeat heartbeat = decoded("control-heartbeat", ControlHeartbeat.class);
         assertEquals(77, heartbeat.sequence);
         assertEquals(2, heartbeat.sessions.size());
         assertIsDataPlane(heartbeat.sessions.get(0));
         assertIsControlPlane(heartbeat.sessions.get(1));
         assertEquals(List.of("10.0.0.1:7600", "10.0.0.3:7600"), heartbeat.controlAddresses);
-        SessionsTold empty = decoded("control-heartbeat empty", SessionsTold.class);
+        ControlHeartbeat empty = decoded("control-heartbeat empty", ControlHeartbeat.class);
         assertEquals(78, empty.sequence);
         assertEquals(List.of(), empty.sessions);
         assertEquals(List.of(), empty.controlAddresses);
@@ -303,7 +303,7 @@
         assertIsRequest(VoteRequest.Kind.RELEASE, 25, "vote-request release");
     }
 
-    private void assertIsRequest(VoteRequest.Kind kind, long round, String label) throws BadFrameException {
+    private void assertIsRequest(VoteRequest.Kind kind, long round, String label) throws CorruptFrameException {
         VoteRequest request = decoded(label, VoteRequest.class);
         assertEquals(kind, request.kind());
         assertEquals("list", request.duty());
--- a/messages/src/test/java/dewplank/message/GoldenMessages.java
+++ b/messages/src/test/java/dewplank/message/GoldenMessages.java
@@ -33,7 +33,7 @@
     static final RegisterValue VALUE_WITHOUT_PAYLOAD = new RegisterValue(AcceptorSet.of(List.of(FIRST)), 1, null);
     static final Ballot BALLOT = new Ballot(300, "3kq0z#a7");
     static final Ballot EARLIER_BALLOT = new Ballot(12, "b91xy#05");
-    static final ServerList ENDPOINTS = endpoints();
+    static final EndpointList ENDPOINTS = endpoints();
 
     private static final String SENDER = "10.0.0.2:7600";
     private static final String SENDER_IDENTITY = "3kq0z";
@@ -43,13 +43,13 @@
     private GoldenMessages() {}
 
     /** A list with a plain server, one for prefill, and one that changes its stage. */
-    private static ServerList endpoints() {
-        return new ServerList(
-                new ListVersion(9, 130),
+    private static EndpointList endpoints() {
+        return new EndpointList(
+                new EndpointListVersion(9, 130),
                 List.of(
-                        new ServerEntry("i-1", "wuno", "10.1.0.1:8000", null, 0, false, 0, null),
-                        new ServerEntry("i-2", "huvo", "10.1.0.2:8001", "zone-a", 64, true, 1_234.5, "prefill"),
-                        new ServerEntry("i-3", "huvo", "10.1.0.3:8002", "zone-b", 48, false, 0.25, "changing")));
+                        new Endpoint("i-1", "wuno", "10.1.0.1:8000", null, 0, false, 0, null),
+                        new Endpoint("i-2", "huvo", "10.1.0.2:8001", "zone-a", 64, true, 1_234.5, "prefill"),
+                        new Endpoint("i-3", "huvo", "10.1.0.3:8002", "zone-b", 48, false, 0.25, "changing")));
     }
 
     static Map<String, Object> byLabel() {
@@ -65,26 +65,27 @@
         messages.put("control-hello durable", new ControlHello(CONTROL_PLANE, "founder@10.0.0.1:7600", true));
         messages.put("control-hello relay", new ControlHello(CONTROL_PLANE, "b91xy", false));
         messages.put("session-open", new SessionOpen(DATA_PLANE));
-        messages.put("session-heartbeat", new SessionQuestion(17, 200, new ListVersion(9, 130), -2));
-        messages.put("session-heartbeat empty-handed", new SessionQuestion(1, 0, ListVersion.NONE, 0));
-        messages.put("heartbeat-ack quorate", new SessionAnswer(17, true, List.of("10.0.0.1:7600", "10.0.0.2:7600")));
-        messages.put("heartbeat-ack alone", new SessionAnswer(18, false, List.of()));
+        messages.put("session-heartbeat", new SessionHeartbeat(17, 200, new EndpointListVersion(9, 130), -2));
+        messages.put("session-heartbeat empty-handed", new SessionHeartbeat(1, 0, EndpointListVersion.NONE, 0));
+        messages.put("heartbeat-ack quorate", new HeartbeatAck(17, true, List.of("10.0.0.1:7600", "10.0.0.2:7600")));
+        messages.put("heartbeat-ack alone", new HeartbeatAck(18, false, List.of()));
     }
 
     private static void addUpdates(Map<String, Object> messages) {
         List<Member> members = List.of(DATA_PLANE, CONTROL_PLANE);
-        messages.put("update whole", new Update(new byte[] {120, 1, -1}, 200, 0, ENDPOINTS, members));
-        messages.put("update delta", new Update(new byte[] {120, 1, 0, 5}, 201, 200, null, null));
+        messages.put("update whole", new FleetUpdate(new byte[] {120, 1, -1}, 200, 0, ENDPOINTS, members));
+        messages.put("update delta", new FleetUpdate(new byte[] {120, 1, 0, 5}, 201, 200, null, null));
         messages.put(
                 "update endpoints-only",
-                new Update(null, 0, 0, new ServerList(new ListVersion(10, 1), List.of()), null));
-        messages.put("update members-only", new Update(null, 0, 0, null, List.of(DATA_PLANE)));
+                new FleetUpdate(null, 0, 0, new EndpointList(new EndpointListVersion(10, 1), List.of()), null));
+        messages.put("update members-only", new FleetUpdate(null, 0, 0, null, List.of(DATA_PLANE)));
         messages.put(
                 "control-heartbeat",
-                new SessionsTold(77, List.of(DATA_PLANE, CONTROL_PLANE), List.of("10.0.0.1:7600", "10.0.0.3:7600")));
-        messages.put("control-heartbeat empty", new SessionsTold(78, List.of(), List.of()));
+                new ControlHeartbeat(
+                        77, List.of(DATA_PLANE, CONTROL_PLANE), List.of("10.0.0.1:7600", "10.0.0.3:7600")));
+        messages.put("control-heartbeat empty", new ControlHeartbeat(78, List.of(), List.of()));
         messages.put("endpoint-list", ENDPOINTS);
-        messages.put("endpoint-list empty", new ServerList(new ListVersion(2, 3), List.of()));
+        messages.put("endpoint-list empty", new EndpointList(new EndpointListVersion(2, 3), List.of()));
     }
 
     private static void addVotes(Map<String, Object> messages) {
--- a/messages/src/test/java/dewplank/message/MessageCodecTest.java
+++ b/messages/src/test/java/dewplank/message/MessageCodecTest.java
@@ -37,7 +37,7 @@
 
     private final MessageCodec codec = FleetMessages.codec();
 
-    private <T> T roundTrip(T message) throws BadFrameException {
+    private <T> T roundTrip(T message) throws CorruptFrameException {
         Object back = codec.reader().next(codec.encode(message));
         @SuppressWarnings("unchecked")
         T same = (T) back;
@@ -56,11 +56,11 @@
                 VoteReply.class,
                 ControlHello.class,
                 SessionOpen.class,
-                SessionQuestion.class,
-                SessionAnswer.class,
-                Update.class,
-                SessionsTold.class,
-                ServerList.class)));
+                SessionHeartbeat.class,
+                HeartbeatAck.class,
+                FleetUpdate.class,
+                ControlHeartbeat.class,
+                EndpointList.class)));
     }
 
     /** The numbers on the wire are those of the version before: kinds are added at the end. */
@@ -72,11 +72,11 @@
                 List.of(
                         "ControlHello",
                         "SessionOpen",
-                        "SessionQuestion",
-                        "SessionAnswer",
-                        "Update",
-                        "SessionsTold",
-                        "ServerList",
+                        "SessionHeartbeat",
+                        "HeartbeatAck",
+                        "FleetUpdate",
+                        "ControlHeartbeat",
+                        "EndpointList",
                         "VoteRequest",
                         "VoteReply",
                         "Prepare",
@@ -128,8 +128,8 @@
 
     /** An update's list of members never is empty: it holds at least the data plane that is told. */
     private static Object withoutEmptyMembers(Object message) {
-        if (message instanceof Update u && u.members != null && u.members.isEmpty()) {
-            return new Update(u.configuration, u.configurationVersion, u.baseVersion, u.servers, null);
+        if (message instanceof FleetUpdate u && u.members != null && u.members.isEmpty()) {
+            return new FleetUpdate(u.configuration, u.configurationVersion, u.baseVersion, u.servers, null);
         }
         return message;
     }
@@ -149,14 +149,15 @@
 
     @Test
     void listsThatAreEmptyComeBackEmptyAndNotAsNothing() throws Exception {
-        assertEquals(List.of(), roundTrip(new ServerList(new ListVersion(3, 4), List.of())).servers);
-        assertEquals(List.of(), roundTrip(new SessionAnswer(1, true, List.of())).controlAddresses);
-        SessionsTold told = roundTrip(new SessionsTold(1, List.of(), List.of()));
+        assertEquals(List.of(), roundTrip(new EndpointList(new EndpointListVersion(3, 4), List.of())).servers);
+        assertEquals(List.of(), roundTrip(new HeartbeatAck(1, true, List.of())).controlAddresses);
+        ControlHeartbeat told = roundTrip(new ControlHeartbeat(1, List.of(), List.of()));
         assertEquals(List.of(), told.sessions);
         assertEquals(List.of(), told.controlAddresses);
-        Update update = roundTrip(new Update(null, 0, 0, new ServerList(new ListVersion(3, 4), List.of()), null));
+        FleetUpdate update = roundTrip(
+                new FleetUpdate(null, 0, 0, new EndpointList(new EndpointListVersion(3, 4), List.of()), null));
         assertEquals(List.of(), update.servers.servers);
-        assertEquals(new ListVersion(3, 4), update.servers.version);
+        assertEquals(new EndpointListVersion(3, 4), update.servers.version);
         assertNull(update.configuration);
         assertNull(update.members);
     }
@@ -203,9 +204,9 @@
 
     @Test
     void aListOfThousandsOfServersComesBack() throws Exception {
-        List<ServerEntry> servers = new ArrayList<>();
+        List<Endpoint> servers = new ArrayList<>();
         for (int i = 0; i < 10_000; i++) {
-            servers.add(new ServerEntry(
+            servers.add(new Endpoint(
                     "i-" + i,
                     "s",
                     "10.0.0.1:" + i,
@@ -215,7 +216,7 @@
                     i / 2.0,
                     i % 5 == 0 ? null : "prefill"));
         }
-        ServerList back = roundTrip(new ServerList(new ListVersion(1, 2), servers));
+        EndpointList back = roundTrip(new EndpointList(new EndpointListVersion(1, 2), servers));
         for (int i = 0; i < servers.size(); i++) {
             assertTrue(servers.get(i).sameAs(back.servers.get(i)));
             assertEquals(servers.get(i).coldRemainingMs, back.servers.get(i).coldRemainingMs);
@@ -234,7 +235,7 @@
     @Test
     void aMessageThatCannotBeEncodedSpoilsNoOther() throws Exception {
         assertThrows(RuntimeException.class, () -> codec.encode("no message"));
-        assertEquals(5, roundTrip(new SessionQuestion(5, 0, ListVersion.NONE, 0)).sequence);
+        assertEquals(5, roundTrip(new SessionHeartbeat(5, 0, EndpointListVersion.NONE, 0)).sequence);
     }
 
     // ---- bad frames -----------------------------------------------------------------------------------
@@ -243,12 +244,12 @@
     void framesOfNoUseAreTold() {
         int kinds = Messages.kinds().size();
         for (int number : new int[] {kinds, 127, -1, -128}) {
-            assertThrows(BadFrameException.class, () -> codec.reader().next(Messages.frame(number, new byte[0])));
+            assertThrows(CorruptFrameException.class, () -> codec.reader().next(Messages.frame(number, new byte[0])));
         }
         for (int length : new int[] {-1, Integer.MIN_VALUE, Integer.MAX_VALUE, MORE_THAN_A_FRAME}) {
             ByteBuffer head =
                     ByteBuffer.allocate(5).putInt(length).put((byte) 0).flip();
-            assertThrows(BadFrameException.class, () -> codec.reader().next(head), "length " + length);
+            assertThrows(CorruptFrameException.class, () -> codec.reader().next(head), "length " + length);
         }
     }
 
@@ -263,11 +264,11 @@
 
     @Test
     void aFrameThatIsNotWholeIsNoMessage() throws Exception {
-        ByteBuffer frame = codec.encode(new SessionAnswer(5, true, List.of("a", "b")));
+        ByteBuffer frame = codec.encode(new HeartbeatAck(5, true, List.of("a", "b")));
         for (int length = 0; length < frame.limit(); length++) {
             MessageCodec.Reader reader = codec.reader();
             assertNull(reader.next(frame.duplicate().limit(length)));
-            SessionAnswer answer = (SessionAnswer) reader.next(frame.duplicate().position(length));
+            HeartbeatAck answer = (HeartbeatAck) reader.next(frame.duplicate().position(length));
             assertEquals(List.of("a", "b"), answer.controlAddresses);
         }
     }
@@ -299,7 +300,7 @@
     private void assertIsMessageOrTold(int number, byte[] body) {
         try {
             assertNotNull(codec.reader().next(Messages.frame(number, body)));
-        } catch (BadFrameException e) {
+        } catch (CorruptFrameException e) {
             assertNotNull(e.getMessage());
         } catch (OutOfMemoryError e) { // which would end the whole run
             fail("kind " + number + " asks for memory: " + e.getMessage());
--- a/messages/src/test/java/dewplank/message/Messages.java
+++ b/messages/src/test/java/dewplank/message/Messages.java
@@ -33,7 +33,7 @@
             while (true) {
                 kinds.add(codec.reader().next(frame(kinds.size(), new byte[0])));
             }
-        } catch (BadFrameException e) {
+        } catch (CorruptFrameException e) {
             return kinds; // none has that number
         }
     }
--- a/simulation/src/test/java/dewplank/controlplane/ControlProcess.java
+++ b/simulation/src/test/java/dewplank/controlplane/ControlProcess.java
@@ -5,9 +5,9 @@
 import dewplank.exchange.Responder;
 import dewplank.http.CallHeaders;
 import dewplank.http.Headers;
+import dewplank.message.Endpoint;
 import dewplank.message.MessageCodec;
 import dewplank.message.MessageTransport;
-import dewplank.message.ServerEntry;
 import dewplank.net.Scheduler;
 import dewplank.net.ServerEndpoint;
 import dewplank.register.AcceptorSet;
@@ -42,7 +42,7 @@
         DiskExecutor disk();
 
         /** Asks the platform under a fencing number; null says that it could not be read. */
-        void list(Consumer<List<ServerEntry>> then);
+        void list(Consumer<List<Endpoint>> then);
     }
 
     /** An answer to an operator. */
@@ -221,12 +221,12 @@
     /** Model servers that never answer. */
     private static final class NoServerCalls implements ModelServerClient {
         @Override
-        public void report(ServerEntry server, BooleanSupplier onlyIf, Answer answer) {
+        public void report(Endpoint server, BooleanSupplier onlyIf, Answer answer) {
             // Nothing comes back.
         }
 
         @Override
-        public void order(ServerEntry server, byte[] body, BooleanSupplier onlyIf, Answer answer) {
+        public void order(Endpoint server, byte[] body, BooleanSupplier onlyIf, Answer answer) {
             // Nothing comes back.
         }
 
--- a/simulation/src/test/java/dewplank/simulation/ControlMachine.java
+++ b/simulation/src/test/java/dewplank/simulation/ControlMachine.java
@@ -1,9 +1,9 @@
 package dewplank.simulation;
 
 import dewplank.controlplane.ControlProcess;
+import dewplank.message.Endpoint;
 import dewplank.message.FleetMessages;
 import dewplank.message.MessageTransport;
-import dewplank.message.ServerEntry;
 import dewplank.net.Scheduler;
 import dewplank.settings.NodeSettings;
 import dewplank.store.DiskExecutor;
@@ -173,7 +173,7 @@
         }
 
         @Override
-        public void list(Consumer<List<ServerEntry>> then) {
+        public void list(Consumer<List<Endpoint>> then) {
             world().platform().ask(ControlMachine.this, begun, then);
         }
     }
--- a/simulation/src/test/java/dewplank/simulation/Platform.java
+++ b/simulation/src/test/java/dewplank/simulation/Platform.java
@@ -1,6 +1,6 @@
 package dewplank.simulation;
 
-import dewplank.message.ServerEntry;
+import dewplank.message.Endpoint;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -20,7 +20,7 @@
 
     private final World world;
     private final SplittableRandom random;
-    private final List<ServerEntry> servers = new ArrayList<>();
+    private final List<Endpoint> servers = new ArrayList<>();
     private final List<Change> changes = new ArrayList<>();
     private final Set<String> gone = new TreeSet<>();
     private int named;
@@ -39,8 +39,7 @@
 
     private void add() {
         named++;
-        servers.add(
-                new ServerEntry("i-" + named, "engines", "10.128.0." + named % 250 + ":8080", "z", 8, false, 0, null));
+        servers.add(new Endpoint("i-" + named, "engines", "10.128.0." + named % 250 + ":8080", "z", 8, false, 0, null));
     }
 
     /** Begins to change the list now and then, until that time. */
@@ -58,7 +57,7 @@
         if (adds) {
             add();
         } else {
-            ServerEntry leaving = servers.remove(random.nextInt(servers.size()));
+            Endpoint leaving = servers.remove(random.nextInt(servers.size()));
             gone.add(leaving.instanceId);
         }
         changes.add(new Change(world.time().now(), Set.copyOf(gone)));
@@ -70,13 +69,13 @@
     }
 
     /** One call, which costs one of the platform's few. */
-    void ask(ControlMachine from, Life asking, Consumer<List<ServerEntry>> then) {
+    void ask(ControlMachine from, Life asking, Consumer<List<Endpoint>> then) {
         calls++;
         world.judge().asked(from);
         world.time().after(world.network().delay(), () -> {
             boolean answered =
                     world.time().now() >= downUntil && world.network().reaches(from.ip(), IP);
-            List<ServerEntry> listed = answered ? new ArrayList<>(servers) : null;
+            List<Endpoint> listed = answered ? new ArrayList<>(servers) : null;
             world.time()
                     .after(
                             answered ? world.network().delay() : 1_000,
