--- a/controlplane/src/main/java/dewplank/controlplane/EndpointPoller.java
+++ b/controlplane/src/main/java/dewplank/controlplane/EndpointPoller.java
@@ -1,8 +1,8 @@
 package dewplank.controlplane;
 
-import dewplank.message.EndpointListVersion;
 import dewplank.message.Endpoint;
 import dewplank.message.EndpointList;
+import dewplank.message.EndpointListVersion;
 import dewplank.net.Scheduler;
 import java.util.Comparator;
 import java.util.HashMap;
--- a/controlplane/src/test/java/dewplank/controlplane/EndpointPollerTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/EndpointPollerTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dewplank.message.EndpointListVersion;
 import dewplank.message.Endpoint;
 import dewplank.message.EndpointList;
+import dewplank.message.EndpointListVersion;
 import dewplank.net.Scheduler;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/controlplane/src/test/java/dewplank/controlplane/GoldenDiskTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/GoldenDiskTest.java
@@ -7,10 +7,10 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dewplank.configuration.ConfigurationDocument;
-import dewplank.message.FleetMessages;
-import dewplank.message.EndpointListVersion;
 import dewplank.message.Endpoint;
 import dewplank.message.EndpointList;
+import dewplank.message.EndpointListVersion;
+import dewplank.message.FleetMessages;
 import dewplank.register.AcceptorId;
 import dewplank.register.DurableState;
 import dewplank.register.RegisterValue;
--- a/controlplane/src/test/java/dewplank/controlplane/StageControllerTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/StageControllerTest.java
@@ -6,9 +6,9 @@
 
 import dewplank.exchange.ScriptedServer;
 import dewplank.exchange.ScriptedServer.Call;
-import dewplank.message.EndpointListVersion;
 import dewplank.message.Endpoint;
 import dewplank.message.EndpointList;
+import dewplank.message.EndpointListVersion;
 import dewplank.net.EventLoop;
 import dewplank.routing.Policy;
 import dewplank.settings.Json;
