--- a/controlplane/src/main/java/dewplank/controlplane/AcceptorReconfigurer.java
+++ b/controlplane/src/main/java/dewplank/controlplane/AcceptorReconfigurer.java
@@ -11,25 +11,25 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the register's acceptors what {@link AcceptorPlacement} says they should be: the holder of the duty compares
- * the set with the control sidecars that live and asks the register for one change at a time. Every control sidecar
- * notes who is missing, so that a new holder need not begin to wait anew.
+ * Keeps the register's acceptors what {@link AcceptorPlacement} says they should be: the holder of the duty compares the set
+ * with the control sidecars that live and asks the register for one change at a time. Every control sidecar notes who
+ * is missing, so that a new holder need not begin to wait anew.
  */
 final class AcceptorReconfigurer {
     private static final Logger LOG = LoggerFactory.getLogger(AcceptorReconfigurer.class);
-    private static final double LOOK_EVERY_MS = 100;
+    private static final double CHECK_INTERVAL_MS = 100;
     /** A majority heard within this is taken to stand: more than two sweeps of the register. */
-    private static final double QUORATE_MS = 1_000;
+    private static final double QUORUM_VALIDITY_MS = 1_000;
     /** A change that has not come through by then is worked out again from what is then known. */
-    private static final double CHANGE_MS = 1_000;
+    private static final double CHANGE_TIMEOUT_MS = 1_000;
 
     private final Scheduler loop;
     private final AcceptorId self;
     private final ControlMesh mesh;
     private final ConfigurationStore configuration;
-    private final EndpointPoller.Duty duty;
+    private final SingletonRole duty;
     private final AcceptorPlacement plan;
-    private boolean changing;
+    private boolean changePending;
 
     AcceptorReconfigurer(
             Scheduler loop,
@@ -37,7 +37,7 @@
             double catchUpMs,
             ControlMesh mesh,
             ConfigurationStore configuration,
-            EndpointPoller.Duty duty) {
+            SingletonRole duty) {
         this.loop = loop;
         this.self = self;
         this.mesh = mesh;
@@ -47,29 +47,30 @@
     }
 
     void start() {
-        look();
+        check();
     }
 
-    private void look() {
+    private void check() {
         AcceptorSet set = configuration.acceptors();
-        List<AcceptorId> wanted = plan.targetMembers(loop.now(), set, seen());
+        List<AcceptorId> wanted = plan.targetMembers(loop.now(), set, sightings());
         boolean differs = !set.isJoint() && !wanted.equals(set.members());
-        if (differs && !changing && duty.holds() && configuration.quorate(QUORATE_MS)) {
+        if (differs && !changePending && duty.isHeld() && configuration.hasQuorum(QUORUM_VALIDITY_MS)) {
             LOG.info("acceptors {} are to become {}", set.members(), wanted);
-            changing = true;
-            configuration.replaceAcceptors(set.generation(), wanted, CHANGE_MS, () -> changing = false);
+            changePending = true;
+            configuration.replaceAcceptors(set.generation(), wanted, CHANGE_TIMEOUT_MS, () -> changePending = false);
         }
-        loop.after(LOOK_EVERY_MS, this::look);
+        loop.after(CHECK_INTERVAL_MS, this::check);
     }
 
-    private List<PeerObservation> seen() {
+    private List<PeerObservation> sightings() {
         double now = loop.now();
-        List<PeerObservation> seen = new ArrayList<>();
-        seen.add(new PeerObservation(self, true, now, Double.NEGATIVE_INFINITY)); // only who has a disk holds the duty
+        List<PeerObservation> sightings = new ArrayList<>();
+        sightings.add(
+                new PeerObservation(self, true, now, Double.NEGATIVE_INFINITY)); // only who has a disk holds the duty
         for (ControlMesh.Peer p : mesh.peers(Double.POSITIVE_INFINITY)) {
             AcceptorId peer = new AcceptorId(p.member().address, p.identity());
-            seen.add(new PeerObservation(peer, p.durable(), p.heardAt(), p.since()));
+            sightings.add(new PeerObservation(peer, p.durable(), p.lastReceivedAt(), p.firstReceivedAt()));
         }
-        return seen;
+        return sightings;
     }
 }
--- a/controlplane/src/main/java/dewplank/controlplane/ConfigurationHistory.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ConfigurationHistory.java
@@ -9,47 +9,47 @@
 
 /** The newest configurations known to be chosen, and the updates that lead to the last of them. */
 final class ConfigurationHistory {
-    /** Versions kept to work out differences from; whoever holds an older one gets the whole. */
-    private static final int MOST_KEPT = 8;
+    /** Versions retained to work out differences from; whoever holds an older one gets the whole. */
+    private static final int MAX_VERSIONS = 8;
 
     /** An update as it is sent. */
-    record Encoded(byte[] bytes, long baseVersion) {}
+    record EncodedUpdate(byte[] bytes, long baseVersion) {}
 
-    private final ArrayDeque<Configuration> kept = new ArrayDeque<>();
-    private final Map<Long, Encoded> encoded = new HashMap<>();
+    private final ArrayDeque<Configuration> versions = new ArrayDeque<>();
+    private final Map<Long, EncodedUpdate> encoded = new HashMap<>();
 
     Configuration newest() {
-        return kept.peekLast();
+        return versions.peekLast();
     }
 
     long version() {
-        return kept.isEmpty() ? 0 : newest().version();
+        return versions.isEmpty() ? 0 : newest().version();
     }
 
     /** Takes a newer one; whether it is newer. */
-    boolean learned(Configuration configuration) {
+    boolean add(Configuration configuration) {
         if (configuration == null || configuration.version() <= version()) {
             return false;
         }
-        kept.addLast(configuration);
-        if (kept.size() > MOST_KEPT) {
-            kept.removeFirst();
+        versions.addLast(configuration);
+        if (versions.size() > MAX_VERSIONS) {
+            versions.removeFirst();
         }
         encoded.clear();
         return true;
     }
 
     /** The newest configuration for one who holds that version; 0: none. */
-    Encoded updateFrom(long heldVersion) {
-        return encoded.computeIfAbsent(heldVersion, this::encode);
+    EncodedUpdate updateFrom(long baseVersion) {
+        return encoded.computeIfAbsent(baseVersion, this::encode);
     }
 
-    private Encoded encode(long heldVersion) {
-        for (Configuration from : kept) {
-            if (from.version() == heldVersion) {
-                return new Encoded(Deflated.of(ConfigurationDelta.between(from, newest())), heldVersion);
+    private EncodedUpdate encode(long baseVersion) {
+        for (Configuration from : versions) {
+            if (from.version() == baseVersion) {
+                return new EncodedUpdate(Deflated.of(ConfigurationDelta.between(from, newest())), baseVersion);
             }
         }
-        return new Encoded(Deflated.of(newest().json()), 0);
+        return new EncodedUpdate(Deflated.of(newest().json()), 0);
     }
 }
--- a/controlplane/src/main/java/dewplank/controlplane/ConfigurationStore.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ConfigurationStore.java
@@ -24,11 +24,11 @@
 /** The configuration in the replicated register: drives the register's steps with messages, the disk and time. */
 final class ConfigurationStore implements Register.Effects, OperatorApi.Configurations, SingletonRoles.Voters {
     private static final Logger LOG = LoggerFactory.getLogger(ConfigurationStore.class);
-    private static final double TICK_MS = 25;
+    private static final double TICK_INTERVAL_MS = 25;
     private static final double ROUND_TIMEOUT_MS = 250; // a round takes two ways and two syncs: a few ms when calm
-    private static final double RETRY_MINIMUM_MS = 10;
-    private static final double RETRY_MAXIMUM_MS = 120;
-    private static final double SWEEP_MS = 400;
+    private static final double RETRY_MIN_MS = 10;
+    private static final double RETRY_MAX_MS = 120;
+    private static final double ANTI_ENTROPY_INTERVAL_MS = 400;
 
     /** Where states are kept. */
     interface Disk {
@@ -36,19 +36,19 @@
         void save(DurableState state, Consumer<Boolean> done);
     }
 
-    /** What the register needs of its surroundings. */
-    interface Surroundings {
+    /** What the register needs of its environment. */
+    interface RegisterEnvironment {
         void send(String address, RegisterMessage message);
 
         /** A newer configuration has been chosen. */
-        void learned(Configuration configuration);
+        void chosen(Configuration configuration);
     }
 
     private final Scheduler loop;
     private final Disk disk;
-    private final Surroundings surroundings;
+    private final RegisterEnvironment environment;
     private final Register register;
-    private final Map<Long, Consumer<Outcome>> waiting = new HashMap<>();
+    private final Map<Long, Consumer<Outcome>> pendingRequests = new HashMap<>();
     private long nextRequest;
 
     ConfigurationStore(
@@ -58,18 +58,18 @@
             DurableState recovered,
             Disk disk,
             RandomGenerator random,
-            Surroundings surroundings) {
+            RegisterEnvironment environment) {
         this.loop = loop;
         this.disk = disk;
-        this.surroundings = surroundings;
+        this.environment = environment;
         this.register = new Register(
                 new Register.Settings(
                         address,
                         AcceptorSet.of(initial),
                         ROUND_TIMEOUT_MS,
-                        RETRY_MINIMUM_MS,
-                        RETRY_MAXIMUM_MS,
-                        SWEEP_MS),
+                        RETRY_MIN_MS,
+                        RETRY_MAX_MS,
+                        ANTI_ENTROPY_INTERVAL_MS),
                 recovered,
                 random);
     }
@@ -83,7 +83,7 @@
 
     private void tick() {
         register.tick(loop.now(), this);
-        loop.after(TICK_MS, this::tick);
+        loop.after(TICK_INTERVAL_MS, this::tick);
     }
 
     void received(RegisterMessage message) {
@@ -91,7 +91,7 @@
     }
 
     /** Another control sidecar can be reached, which may know more. */
-    void ask(String address) {
+    void queryPeer(String address) {
         register.ask(loop.now(), address, this);
     }
 
@@ -99,7 +99,7 @@
 
     @Override
     public void send(String address, RegisterMessage message) {
-        surroundings.send(address, message);
+        environment.send(address, message);
     }
 
     @Override
@@ -118,13 +118,13 @@
         Configuration configuration =
                 ConfigurationDocument.decode(value.payload()).configuration();
         if (configuration != null) {
-            surroundings.learned(configuration);
+            environment.chosen(configuration);
         }
     }
 
     @Override
     public void completed(long request, Outcome outcome) {
-        Consumer<Outcome> then = waiting.remove(request);
+        Consumer<Outcome> then = pendingRequests.remove(request);
         if (then != null) {
             then.accept(outcome);
         }
@@ -172,7 +172,7 @@
 
     private long request(Consumer<Outcome> then) {
         long request = ++nextRequest;
-        waiting.put(request, then);
+        pendingRequests.put(request, then);
         return request;
     }
 
@@ -193,12 +193,12 @@
     }
 
     /** Whether a quorum's answer within so many milliseconds shows that nothing newer is chosen than is known here. */
-    boolean current(double within) {
-        return register.current(loop.now(), within);
+    boolean isCurrent(double withinMs) {
+        return register.current(loop.now(), withinMs);
     }
 
     /** Whether a quorum has answered within so many milliseconds. */
-    boolean quorate(double within) {
-        return register.lastQuorumAt() >= loop.now() - within;
+    boolean hasQuorum(double withinMs) {
+        return register.lastQuorumAt() >= loop.now() - withinMs;
     }
 }
--- a/controlplane/src/main/java/dewplank/controlplane/ControlEnvironment.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ControlEnvironment.java
@@ -32,7 +32,7 @@
 
     PlatformClient platform();
 
-    ModelServerClient serverCalls();
+    ModelServerClient modelServers();
 
     /** Where operators' calls for this interface come in. */
     ServerEndpoint operators(OperatorApi api) throws IOException;
--- a/controlplane/src/main/java/dewplank/controlplane/ControlMesh.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ControlMesh.java
@@ -24,35 +24,35 @@
  */
 final class ControlMesh {
     private static final Logger LOG = LoggerFactory.getLogger(ControlMesh.class);
-    private static final double BEAT_MS = 300;
-    private static final double SILENCE_MS = 1_200; // without an answer to a beat a link counts as dead
-    private static final double DIAL_TIMEOUT_MS = 700;
-    private static final double REDIAL_MS = 250;
+    private static final double HEARTBEAT_INTERVAL_MS = 300;
+    private static final double HEARTBEAT_TIMEOUT_MS = 1_200; // without an answer to a beat a link counts as dead
+    private static final double CONNECT_TIMEOUT_MS = 700;
+    private static final double RECONNECT_BACKOFF_MS = 250;
     /** Control sidecars known at once. Beyond, the one that is dead for longest makes room. */
-    static final int MOST_PEERS = 64;
+    static final int MAX_PEERS = 64;
     /** An address that has not answered for so long and that nobody vouches for is forgotten: replaced machines. */
-    static final double FORGET_MS = 60_000;
+    static final double DEAD_PEER_RETENTION_MS = 60_000;
     /** What a peer says of its quorum counts for so long: three beats. */
-    private static final double QUORATE_MS = 1_000;
+    private static final double QUORUM_REPORT_VALIDITY_MS = 1_000;
 
     /**
      * A control sidecar that has said hello and has been heard lately.
      *
      * @param durable whether it has a disk; one without is a relay
      */
-    record Peer(Member member, String identity, boolean durable, double heardAt, double since) {}
+    record Peer(Member member, String identity, boolean durable, double lastReceivedAt, double firstReceivedAt) {}
 
     /** Tells what others have to know, and takes what they send. */
     interface Handler {
-        ControlHeartbeat told(long sequence);
+        ControlHeartbeat heartbeat(long sequence);
 
         void received(String address, Object message);
 
         /** A link of ours is up: what the peer may lack is sent. */
-        void linked(String address);
+        void linkUp(String address);
 
         /** Whether the address is kept however long it is dead: a seed, or an acceptor's. */
-        boolean isKept(String address);
+        boolean isRetained(String address);
     }
 
     private final Scheduler loop;
@@ -71,47 +71,49 @@
     }
 
     void start() {
-        beat();
+        sendHeartbeats();
     }
 
     /** SocketAddresses of control sidecars, from the seeds or from others. */
-    void learn(Collection<String> addresses) {
+    void addAddresses(Collection<String> addresses) {
         for (String address : addresses) {
-            if (!address.equals(hello.member.address) && !links.containsKey(address) && hasRoom()) {
+            if (!address.equals(hello.member.address) && !links.containsKey(address) && ensureCapacity()) {
                 Link link = new Link(address);
                 links.put(address, link);
-                link.dial();
+                link.connect();
             }
         }
     }
 
-    /** Whether one more link fits, after the one that is dead for longest was dropped where need be. */
-    private boolean hasRoom() {
-        if (links.size() < MOST_PEERS) {
+    /** Whether one more link fits, after the one that is dead for longest was removed where need be. */
+    private boolean ensureCapacity() {
+        if (links.size() < MAX_PEERS) {
             return true;
         }
         Link oldest = null;
         for (Link link : links.values()) {
-            if (!link.isUp() && !handler.isKept(link.address) && (oldest == null || link.lastUp < oldest.lastUp)) {
+            if (!link.isUp()
+                    && !handler.isRetained(link.address)
+                    && (oldest == null || link.lastUpAt < oldest.lastUpAt)) {
                 oldest = link;
             }
         }
         if (oldest != null) {
-            oldest.drop();
+            oldest.remove();
         }
         return oldest != null;
     }
 
     /** Drops what has been dead for long and is neither a seed nor an acceptor. */
-    private void forget() {
-        double before = loop.now() - FORGET_MS;
+    private void evictDeadPeers() {
+        double before = loop.now() - DEAD_PEER_RETENTION_MS;
         for (Link link : List.copyOf(links.values())) {
-            if (!link.isUp() && link.lastUp < before && !handler.isKept(link.address)) {
+            if (!link.isUp() && link.lastUpAt < before && !handler.isRetained(link.address)) {
                 LOG.info("control sidecar {} is forgotten", link.address);
-                link.drop();
+                link.remove();
             }
         }
-        peers.values().removeIf(p -> p.heardAt() < before);
+        peers.values().removeIf(p -> p.lastReceivedAt() < before);
     }
 
     /** What is known of the control sidecar at that address; null where none was heard. */
@@ -120,12 +122,12 @@
     }
 
     /** This process heard nobody for so long: nobody was silent to it meanwhile. */
-    void paused(double ms) {
-        links.values().forEach(l -> l.answeredAt += ms);
+    void stalled(double stalledMs) {
+        links.values().forEach(l -> l.lastAckAt += stalledMs);
     }
 
     /** How many addresses are known, the own one not among them. */
-    int known() {
+    int addressCount() {
         return links.size();
     }
 
@@ -154,9 +156,9 @@
 
     /** A control sidecar that lately said that it hears a quorum; null where none did. */
     String quorateAddress() {
-        double since = loop.now() - QUORATE_MS;
+        double since = loop.now() - QUORUM_REPORT_VALIDITY_MS;
         return links.values().stream()
-                .filter(l -> l.isUp() && l.quorateAt >= since)
+                .filter(l -> l.isUp() && l.quorumReportedAt >= since)
                 .map(l -> l.address)
                 .findFirst()
                 .orElse(null);
@@ -165,7 +167,7 @@
     /** Control sidecars heard within so many milliseconds, this one not among them. */
     List<Peer> peers(double within) {
         double since = loop.now() - within;
-        return peers.values().stream().filter(p -> p.heardAt() >= since).toList();
+        return peers.values().stream().filter(p -> p.lastReceivedAt() >= since).toList();
     }
 
     void send(String address, Object message) {
@@ -189,14 +191,14 @@
     }
 
     /** A control sidecar has said hello on a connection of its own. */
-    void greeted(ControlHello from) {
-        heard(from);
+    void helloReceived(ControlHello from) {
+        recordReceived(from);
         if (from.durable) { // a relay asks for what it needs, and is of no use itself
-            learn(List.of(from.member.address));
+            addAddresses(List.of(from.member.address));
         }
         Link link = links.get(from.member.address);
         if (link != null) {
-            link.greeted();
+            link.reconnectNow();
         }
     }
 
@@ -204,35 +206,37 @@
      * Something came on a connection that began with this hello. Late words of an earlier life at the same address
      * show another identity, until the present one speaks again: it then counts as heard from that moment on.
      */
-    void heard(ControlHello from) {
+    void recordReceived(ControlHello from) {
         String address = from.member.address;
-        Peer known = peers.get(address);
-        boolean same = known != null && known.identity().equals(from.identity);
+        Peer lastSeen = peers.get(address);
+        boolean same = lastSeen != null && lastSeen.identity().equals(from.identity);
         double now = loop.now();
-        peers.put(address, new Peer(from.member, from.identity, from.durable, now, same ? known.since() : now));
+        peers.put(
+                address,
+                new Peer(from.member, from.identity, from.durable, now, same ? lastSeen.firstReceivedAt() : now));
     }
 
-    private void beat() {
+    private void sendHeartbeats() {
         sequence++;
-        ControlHeartbeat told = handler.told(sequence);
-        links.values().forEach(l -> l.beat(told));
-        forget();
-        loop.after(BEAT_MS, this::beat);
+        ControlHeartbeat heartbeat = handler.heartbeat(sequence);
+        links.values().forEach(l -> l.sendHeartbeat(heartbeat));
+        evictDeadPeers();
+        loop.after(HEARTBEAT_INTERVAL_MS, this::sendHeartbeats);
     }
 
     private final class Link implements MessageLink.Handler {
         private final String address;
         private final InetSocketAddress to;
         private MessageLink connection;
-        private double answeredAt;
-        private double dialAt;
-        private double lastUp;
-        private double quorateAt = Double.NEGATIVE_INFINITY;
-        private boolean dropped;
+        private double lastAckAt;
+        private double reconnectAt;
+        private double lastUpAt;
+        private double quorumReportedAt = Double.NEGATIVE_INFINITY;
+        private boolean removed;
 
         Link(String address) {
             this.address = address;
-            this.lastUp = loop.now();
+            this.lastUpAt = loop.now();
             this.to = SocketAddresses.socketAddress(address);
         }
 
@@ -241,45 +245,45 @@
         }
 
         /** Ends the link and forgets the address. */
-        void drop() {
-            dropped = true;
+        void remove() {
+            removed = true;
             links.remove(address);
             if (connection != null) {
                 connection.end();
             }
         }
 
-        void dial() {
-            connection = transport.open(to, DIAL_TIMEOUT_MS, this);
+        void connect() {
+            connection = transport.open(to, CONNECT_TIMEOUT_MS, this);
         }
 
         /** It lives: no waiting before the next attempt. */
-        void greeted() {
+        void reconnectNow() {
             if (connection == null) {
-                dialAt = loop.now();
+                reconnectAt = loop.now();
             }
         }
 
         @Override
         public void opened(MessageLink opened) {
-            if (dropped) {
+            if (removed) {
                 opened.end();
                 return;
             }
-            answeredAt = loop.now();
-            lastUp = answeredAt;
+            lastAckAt = loop.now();
+            lastUpAt = lastAckAt;
             opened.send(hello);
             LOG.info("link to control sidecar {} is up", address);
-            handler.linked(address);
+            handler.linkUp(address);
         }
 
         @Override
         public void received(MessageLink from, Object message) {
             if (message instanceof HeartbeatAck answer && from == connection) {
-                answeredAt = loop.now();
-                lastUp = answeredAt;
-                quorateAt = answer.quorate ? answeredAt : Double.NEGATIVE_INFINITY;
-                learn(answer.controlAddresses);
+                lastAckAt = loop.now();
+                lastUpAt = lastAckAt;
+                quorumReportedAt = answer.quorate ? lastAckAt : Double.NEGATIVE_INFINITY;
+                addAddresses(answer.controlAddresses);
             }
         }
 
@@ -287,21 +291,21 @@
         public void closed(MessageLink ended) {
             if (connection == ended) {
                 connection = null;
-                dialAt = loop.now() + REDIAL_MS;
+                reconnectAt = loop.now() + RECONNECT_BACKOFF_MS;
             }
         }
 
-        void beat(ControlHeartbeat told) {
+        void sendHeartbeat(ControlHeartbeat heartbeat) {
             if (connection == null) {
-                if (loop.now() >= dialAt) {
-                    dial();
+                if (loop.now() >= reconnectAt) {
+                    connect();
                 }
             } else if (connection.isOpen()) {
-                if (loop.now() - answeredAt > SILENCE_MS) {
+                if (loop.now() - lastAckAt > HEARTBEAT_TIMEOUT_MS) {
                     LOG.info("link to control sidecar {} is silent", address);
                     connection.end();
                 } else {
-                    connection.send(told);
+                    connection.send(heartbeat);
                 }
             }
         }
--- a/controlplane/src/main/java/dewplank/controlplane/ControlPlane.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ControlPlane.java
@@ -44,10 +44,10 @@
 public final class ControlPlane {
     private static final Logger LOG = LoggerFactory.getLogger(ControlPlane.class);
     private static final double SESSION_LEASE_MS = 2_000;
-    private static final double PUSH_MEMBERS_MS = 250;
-    private static final double LOOK_MS = 20;
-    private static final double END_MS = 1_500;
-    static final int MOST_CONNECTIONS = 1_024;
+    private static final double MEMBERS_CHECK_INTERVAL_MS = 250;
+    private static final double DRAIN_CHECK_INTERVAL_MS = 20;
+    private static final double MAX_DRAIN_MS = 1_500;
+    static final int MAX_CONNECTIONS = 1_024;
 
     private final NodeSettings settings;
     private final ControlEnvironment environment;
@@ -61,15 +61,15 @@
     private final ConfigurationHistory history = new ConfigurationHistory();
     private final SessionTable table = new SessionTable(SESSION_LEASE_MS);
     private final DataPlaneSessions sessions;
-    private final StallDetector pauses;
+    private final StallDetector stallDetector;
     private final SingletonRoles duties;
-    private final EndpointPoller lister;
-    private final AcceptorReconfigurer keeper;
-    private final StageController stages;
+    private final EndpointPoller poller;
+    private final AcceptorReconfigurer reconfigurer;
+    private final StageController stageController;
     private final OperatorApi operator;
     private final ServerEndpoint control;
     private final ServerEndpoint internal;
-    private long pushedMembers;
+    private long pushedMembersDigest;
     private Set<String> seeds = Set.of();
 
     /** With the machine's clock, sockets and disk. */
@@ -105,40 +105,41 @@
                 storage.recovered(),
                 storage,
                 random,
-                new RegisterSurroundings());
+                new RegisterCallbacks());
         confirmation = new QuorumConfirmation(loop, storage.identity(), durable, mesh, configuration, history);
         NodeSettings.Bounds bounds = settings.bounds();
         duties = duties(bounds, random);
-        lister = new EndpointPoller(loop, environment.platform(), duties.list(), bounds.drainMs(), this::listChanged);
+        poller = new EndpointPoller(
+                loop, environment.platform(), duties.endpointList(), bounds.drainMs(), this::listChanged);
         sessions = new DataPlaneSessions(
-                loop, table, new FleetUpdateSource(loop, durable, configuration, history, lister, table, mesh));
-        pauses = new StallDetector(loop, this::paused);
-        keeper = keeper();
-        stages = new StageController(
+                loop, table, new FleetUpdateSource(loop, durable, configuration, history, poller, table, mesh));
+        stallDetector = new StallDetector(loop, this::stalled);
+        reconfigurer = reconfigurer();
+        stageController = new StageController(
                 loop,
                 settings.node(),
                 settings.bounds().leaseMs(),
-                lister,
-                duties.list(),
-                environment.serverCalls(),
+                poller,
+                duties.endpointList(),
+                environment.modelServers(),
                 policy);
         operator = new OperatorApi(
                 configuration,
-                new QuorumRedirects(settings.control().getPort(), address, mesh, confirmation::isPossible),
+                new QuorumRedirects(settings.control().getPort(), address, mesh, confirmation::canConfirm),
                 new OperatorViews(this));
         control = environment.operators(operator);
         internal =
-                environment.transport().listen(SocketAddresses.socketAddress(address), MOST_CONNECTIONS, Inbound::new);
+                environment.transport().listen(SocketAddresses.socketAddress(address), MAX_CONNECTIONS, Inbound::new);
     }
 
-    private AcceptorReconfigurer keeper() {
+    private AcceptorReconfigurer reconfigurer() {
         return new AcceptorReconfigurer(
                 loop,
                 new AcceptorId(address, storage.identity()),
                 settings.bounds().catchUpMs(),
                 mesh,
                 configuration,
-                duties.list());
+                duties.endpointList());
     }
 
     private SingletonRoles duties(NodeSettings.Bounds bounds, RandomGenerator random) {
@@ -157,20 +158,20 @@
             internal.accept();
             control.accept();
             seeds = new LinkedHashSet<>(Bootstrap.seeds(settings));
-            mesh.learn(seeds);
-            storage.savedList().ifPresent(lister::told);
+            mesh.addAddresses(seeds);
+            storage.savedList().ifPresent(poller::receive);
             if (durable) {
                 configuration.start();
             }
-            mesh.learn(addresses(configuration.acceptors().all()));
+            mesh.addAddresses(addresses(configuration.acceptors().all()));
             mesh.start();
             if (durable) {
                 duties.start();
-                lister.start();
-                keeper.start();
-                stages.start();
+                poller.start();
+                reconfigurer.start();
+                stageController.start();
             }
-            pauses.start();
+            stallDetector.start();
             pushMembers();
             LOG.info(
                     "control sidecar {} at {}, acceptor {}{}",
@@ -181,25 +182,25 @@
         });
     }
 
-    private void paused(double ms) {
-        LOG.info("nothing was heard for {} ms: this process was busy, or did not run", Math.round(ms));
-        mesh.paused(ms);
-        sessions.paused(ms);
+    private void stalled(double stalledMs) {
+        LOG.info("nothing was heard for {} ms: this process was busy, or did not run", Math.round(stalledMs));
+        mesh.stalled(stalledMs);
+        sessions.stalled(stalledMs);
     }
 
     private void pushMembers() {
-        pauses.look();
+        stallDetector.check();
         long digest = SessionTable.digest(table.members(loop.now()));
-        if (digest != pushedMembers) {
-            pushedMembers = digest;
-            sessions.push();
+        if (digest != pushedMembersDigest) {
+            pushedMembersDigest = digest;
+            sessions.pushUpdates();
         }
-        loop.after(PUSH_MEMBERS_MS, this::pushMembers);
+        loop.after(MEMBERS_CHECK_INTERVAL_MS, this::pushMembers);
     }
 
     private void listChanged(EndpointList list) {
         mesh.broadcast(list);
-        sessions.push();
+        sessions.pushUpdates();
         storage.saveList(list);
     }
 
@@ -207,7 +208,7 @@
     public void reload(NodeSettings next) {
         loop.execute(() -> {
             seeds = new LinkedHashSet<>(Bootstrap.seeds(next));
-            mesh.learn(seeds);
+            mesh.addAddresses(seeds);
         });
     }
 
@@ -219,7 +220,7 @@
     public void drain() throws InterruptedException {
         CountDownLatch ended = new CountDownLatch(1);
         drain(ended::countDown);
-        ended.await((long) (2 * END_MS), TimeUnit.MILLISECONDS);
+        ended.await((long) (2 * MAX_DRAIN_MS), TimeUnit.MILLISECONDS);
         environment.stop();
         storage.close();
     }
@@ -230,16 +231,16 @@
             LOG.info("ending");
             duties.release();
             control.close();
-            endWhenIdle(loop.now() + END_MS, then);
+            endWhenIdle(loop.now() + MAX_DRAIN_MS, then);
         });
     }
 
     private void endWhenIdle(double until, Runnable then) {
         if (operator.close() || loop.now() >= until) {
             operator.endAll();
-            loop.after(LOOK_MS, then);
+            loop.after(DRAIN_CHECK_INTERVAL_MS, then);
         } else {
-            loop.after(LOOK_MS, () -> endWhenIdle(until, then));
+            loop.after(DRAIN_CHECK_INTERVAL_MS, () -> endWhenIdle(until, then));
         }
     }
 
@@ -249,8 +250,8 @@
         return table;
     }
 
-    EndpointPoller lister() {
-        return lister;
+    EndpointPoller poller() {
+        return poller;
     }
 
     SingletonRoles duties() {
@@ -286,8 +287,8 @@
 
     private final class MeshHandler implements ControlMesh.Handler {
         @Override
-        public ControlHeartbeat told(long sequence) {
-            pauses.look();
+        public ControlHeartbeat heartbeat(long sequence) {
+            stallDetector.check();
             return new ControlHeartbeat(sequence, table.localSessions(loop.now()), mesh.liveAddresses());
         }
 
@@ -297,17 +298,17 @@
         }
 
         @Override
-        public void linked(String to) {
-            if (!lister.newest().version.equals(EndpointListVersion.NONE)) {
-                mesh.send(to, lister.newest());
+        public void linkUp(String to) {
+            if (!poller.newest().version.equals(EndpointListVersion.NONE)) {
+                mesh.send(to, poller.newest());
             }
             if (durable) {
-                configuration.ask(to);
+                configuration.queryPeer(to);
             }
         }
 
         @Override
-        public boolean isKept(String other) {
+        public boolean isRetained(String other) {
             return seeds.contains(other)
                     || configuration.acceptors().all().stream()
                             .anyMatch(a -> a.address().equals(other));
@@ -319,31 +320,31 @@
             configuration.received(m);
         } else if (message instanceof ControlHeartbeat told) {
             table.onSessionsReported(loop.now(), from, told.sessions);
-            mesh.learn(told.controlAddresses);
+            mesh.addAddresses(told.controlAddresses);
         } else if (message instanceof EndpointList list) {
-            if (lister.told(list)) {
+            if (poller.receive(list)) {
                 storage.saveList(list);
-                sessions.push();
+                sessions.pushUpdates();
             }
         } else if (message instanceof VoteRequest request) {
-            duties.asked(from, request);
+            duties.voteRequested(from, request);
         } else if (message instanceof VoteReply reply) {
-            duties.answered(reply);
+            duties.voteReplied(reply);
         }
     }
 
-    private final class RegisterSurroundings implements ConfigurationStore.Surroundings {
+    private final class RegisterCallbacks implements ConfigurationStore.RegisterEnvironment {
         @Override
         public void send(String to, RegisterMessage message) {
             mesh.send(to, message);
         }
 
         @Override
-        public void learned(Configuration newer) {
-            if (history.learned(newer)) {
-                pauses.look();
+        public void chosen(Configuration newer) {
+            if (history.add(newer)) {
+                stallDetector.check();
                 LOG.info("configuration {} is chosen", newer.version());
-                sessions.push();
+                sessions.pushUpdates();
             }
         }
     }
@@ -356,18 +357,18 @@
         @Override
         public void received(MessageLink connection, Object message) {
             if (peer != null) {
-                mesh.heard(peer);
+                mesh.recordReceived(peer);
                 if (message instanceof ControlHeartbeat told) {
-                    connection.send(new HeartbeatAck(told.sequence, confirmation.isPossible(), toldTo(peer)));
+                    connection.send(new HeartbeatAck(told.sequence, confirmation.canConfirm(), toldTo(peer)));
                 }
                 take(peer.member.address, message);
             } else if (message instanceof ControlHello hello) {
                 peer = hello;
-                mesh.greeted(hello);
+                mesh.helloReceived(hello);
             } else if (message instanceof SessionOpen opening && session == null) {
                 session = sessions.open(connection, opening);
-            } else if (message instanceof SessionHeartbeat question && session != null) {
-                session.question(question);
+            } else if (message instanceof SessionHeartbeat heartbeat && session != null) {
+                session.heartbeat(heartbeat);
             } else {
                 connection.end();
             }
--- a/controlplane/src/main/java/dewplank/controlplane/DataPlaneSessions.java
+++ b/controlplane/src/main/java/dewplank/controlplane/DataPlaneSessions.java
@@ -2,7 +2,6 @@
 
 import dewplank.membership.Member;
 import dewplank.membership.SessionTable;
-import dewplank.message.EndpointListVersion;
 import dewplank.message.FleetUpdate;
 import dewplank.message.HeartbeatAck;
 import dewplank.message.MessageLink;
@@ -20,28 +19,21 @@
     private static final Logger LOG = LoggerFactory.getLogger(DataPlaneSessions.class);
 
     /** What data planes are told. */
-    interface Source {
-        /** The part of the fleet's state that is newer than what is held; null if nothing is. */
-        FleetUpdate newerThan(Held held);
+    interface UpdateSource {
+        /** The part of the fleet's state that is newer than these versions; null if nothing is. */
+        FleetUpdate newerThan(DataPlaneVersions versions);
 
         boolean quorate();
 
         List<String> controlAddresses();
     }
 
-    /** What a data plane holds, by its own word and by what was sent to it since. */
-    static final class Held {
-        long configurationVersion;
-        EndpointListVersion listVersion = EndpointListVersion.NONE;
-        long membersDigest;
-    }
-
     private final Scheduler loop;
     private final SessionTable table;
-    private final Source source;
+    private final UpdateSource source;
     private final Set<Session> open = new LinkedHashSet<>(); // told in the order in which they opened
 
-    DataPlaneSessions(Scheduler loop, SessionTable table, Source source) {
+    DataPlaneSessions(Scheduler loop, SessionTable table, UpdateSource source) {
         this.loop = loop;
         this.table = table;
         this.source = source;
@@ -61,14 +53,14 @@
     }
 
     /** Something has changed: whoever holds older is told. */
-    void push() {
-        List.copyOf(open).forEach(Session::tellOrEnd);
+    void pushUpdates() {
+        List.copyOf(open).forEach(Session::sendUpdateOrClose);
     }
 
     /** This process heard nobody for so long: no lease ran meanwhile. */
-    void paused(double ms) {
-        open.forEach(s -> s.askedAt += ms);
-        table.extendLeases(ms);
+    void stalled(double stalledMs) {
+        open.forEach(s -> s.lastHeartbeatAt += stalledMs);
+        table.extendLeases(stalledMs);
     }
 
     int size() {
@@ -79,49 +71,50 @@
     final class Session {
         private final MessageLink connection;
         private final Member member;
-        private final Held held = new Held();
-        private double askedAt;
-        private boolean asked;
+        private final DataPlaneVersions versions = new DataPlaneVersions();
+        private double lastHeartbeatAt;
+        private boolean versionsReported;
 
         Session(MessageLink connection, Member member) {
             this.connection = connection;
             this.member = member;
-            this.askedAt = loop.now();
+            this.lastHeartbeatAt = loop.now();
         }
 
-        void question(SessionHeartbeat question) {
-            askedAt = loop.now();
-            table.tryRenew(askedAt, member);
-            if (!asked) {
-                asked = true;
-                held.configurationVersion = question.configurationVersion;
-                held.listVersion = question.listVersion;
-                held.membersDigest = question.membersDigest;
+        void heartbeat(SessionHeartbeat heartbeat) {
+            lastHeartbeatAt = loop.now();
+            table.tryRenew(lastHeartbeatAt, member);
+            if (!versionsReported) {
+                versionsReported = true;
+                versions.configurationVersion = heartbeat.configurationVersion;
+                versions.listVersion = heartbeat.listVersion;
+                versions.membersDigest = heartbeat.membersDigest;
             }
-            connection.send(new HeartbeatAck(question.sequence, source.quorate(), source.controlAddresses()));
-            tell();
+            connection.send(new HeartbeatAck(heartbeat.sequence, source.quorate(), source.controlAddresses()));
+            sendUpdate();
         }
 
         /** One whose lease is over may be gone for good without a word: what it is told would pile up. */
-        private void tellOrEnd() {
-            if (loop.now() - askedAt > table.leaseMs()) {
+        private void sendUpdateOrClose() {
+            if (loop.now() - lastHeartbeatAt > table.leaseMs()) {
                 connection.end();
             } else {
-                tell();
+                sendUpdate();
             }
         }
 
-        private void tell() {
-            if (!asked) {
+        private void sendUpdate() {
+            if (!versionsReported) {
                 return;
             }
-            FleetUpdate update = source.newerThan(held);
+            FleetUpdate update = source.newerThan(versions);
             if (update == null) {
                 return;
             }
-            held.configurationVersion = Math.max(held.configurationVersion, update.configurationVersion);
-            held.listVersion = update.servers == null ? held.listVersion : update.servers.version;
-            held.membersDigest = update.members == null ? held.membersDigest : SessionTable.digest(update.members);
+            versions.configurationVersion = Math.max(versions.configurationVersion, update.configurationVersion);
+            versions.listVersion = update.servers == null ? versions.listVersion : update.servers.version;
+            versions.membersDigest =
+                    update.members == null ? versions.membersDigest : SessionTable.digest(update.members);
             connection.send(update);
         }
 
--- a/controlplane/src/main/java/dewplank/controlplane/DiskStorage.java
+++ b/controlplane/src/main/java/dewplank/controlplane/DiskStorage.java
@@ -25,8 +25,8 @@
     private final MessageCodec codec;
     private final boolean firstStart;
     private final List<String> founders;
-    private EndpointList unsaved;
-    private boolean savingList;
+    private EndpointList pendingList;
+    private boolean listSavePending;
 
     /**
      * Opens what is there.
@@ -67,7 +67,7 @@
     }
 
     @Override
-    public Map<String, Long> numbers() {
+    public Map<String, Long> fencingTokens() {
         return store.numbers();
     }
 
@@ -77,8 +77,8 @@
     }
 
     @Override
-    public void saveNumber(String name, long number, Consumer<Boolean> done) {
-        executor.submit(() -> store.saveNumber(name, number), () -> done.accept(true), () -> done.accept(false));
+    public void saveFencingToken(String role, long token, Consumer<Boolean> done) {
+        executor.submit(() -> store.saveNumber(role, token), () -> done.accept(true), () -> done.accept(false));
     }
 
     @Override
@@ -98,19 +98,19 @@
 
     @Override
     public void saveList(EndpointList list) {
-        unsaved = list;
+        pendingList = list;
         saveNext();
     }
 
     private void saveNext() {
-        if (savingList || unsaved == null) {
+        if (listSavePending || pendingList == null) {
             return;
         }
-        savingList = true;
-        byte[] frame = codec.encode(unsaved).array();
-        unsaved = null;
+        listSavePending = true;
+        byte[] frame = codec.encode(pendingList).array();
+        pendingList = null;
         Runnable done = () -> {
-            savingList = false;
+            listSavePending = false;
             saveNext();
         };
         executor.submit(() -> serverList.replace(frame), done, done);
--- a/controlplane/src/main/java/dewplank/controlplane/EndpointPoller.java
+++ b/controlplane/src/main/java/dewplank/controlplane/EndpointPoller.java
@@ -15,54 +15,44 @@
 /** The list of servers: the holder of the duty asks the platform, all keep the newest list. */
 final class EndpointPoller {
     private static final Logger LOG = LoggerFactory.getLogger(EndpointPoller.class);
-    private static final double ASK_EVERY_MS = 400;
-    private static final double LOOK_EVERY_MS = 50;
+    private static final double POLL_INTERVAL_MS = 400;
+    private static final double CHECK_INTERVAL_MS = 50;
     /**
      * Without an answer for this part of {@code drain_ms} the duty is laid down: there is as much left for a successor
      * to win it, which takes a few round trips where it is released, and for its first question.
      */
-    private static final double FAILING_PART = 0.5;
+    private static final double MAX_FAILING_FRACTION_OF_DRAIN = 0.5;
     /** Where the platform answers nobody, the duty goes round ever more slowly: 1.5 s, 3 s, up to 24 s by now. */
-    private static final double MOST_PATIENCE = 16;
+    private static final double MAX_BACKOFF_FACTOR = 16;
     /** Long enough for the others to win it, which take a lease at the most where they all live. */
-    private static final double PAUSE_PART = 1;
-
-    /** Whether this process holds the duty, and under which fencing number. */
-    interface Duty {
-        boolean holds();
-
-        long fencingNumber();
-
-        /** Whether it is held without a break since it was won under this number: to be asked right before each act. */
-        default boolean holds(long number) {
-            return holds() && fencingNumber() == number;
-        }
-
-        /** Lays it down for at least so long: another may be able to do what this process can't. */
-        default void pause(double ms) {}
-    }
+    private static final double STEP_DOWN_FRACTION_OF_DRAIN = 1;
 
     /**
      * What is known here better than from the platform, whose list lags: the stage of a server that was ordered to
      * change it.
      */
-    private record KnownStage(String stage, double until) {}
+    private record StageOverride(String stage, double expiresAt) {}
 
     private final Scheduler loop;
     private final PlatformClient platform;
-    private final Duty duty;
+    private final SingletonRole duty;
     private final double drainMs;
     private final Consumer<EndpointList> changed;
     private EndpointList newest = new EndpointList(EndpointListVersion.NONE, List.of());
-    private final Map<String, KnownStage> knownStages = new HashMap<>();
-    private boolean asking;
-    private boolean failing;
-    private double askAt;
-    private long askedUnder;
+    private final Map<String, StageOverride> stageOverrides = new HashMap<>();
+    private boolean pollPending;
+    private boolean platformFailing;
+    private double nextPollAt;
+    private long polledUnderToken;
     private double failingSince;
-    private double patience = 1;
-
-    EndpointPoller(Scheduler loop, PlatformClient platform, Duty duty, double drainMs, Consumer<EndpointList> changed) {
+    private double backoffFactor = 1;
+
+    EndpointPoller(
+            Scheduler loop,
+            PlatformClient platform,
+            SingletonRole duty,
+            double drainMs,
+            Consumer<EndpointList> changed) {
         this.loop = loop;
         this.platform = platform;
         this.duty = duty;
@@ -71,7 +61,7 @@
     }
 
     void start() {
-        look();
+        check();
     }
 
     EndpointList newest() {
@@ -82,51 +72,51 @@
      * Tells the stage of a server from now on, until the platform's list says the same or for so many milliseconds.
      * Counts while this process holds the duty.
      */
-    void stageIs(String instanceId, String stage, double forMs) {
-        knownStages.put(instanceId, new KnownStage(stage, loop.now() + forMs));
+    void overrideStage(String instanceId, String stage, double validMs) {
+        stageOverrides.put(instanceId, new StageOverride(stage, loop.now() + validMs));
     }
 
     /** What was said of servers' stages under another number counts no more. */
-    void stagesAreUnknown() {
-        knownStages.clear();
+    void clearStageOverrides() {
+        stageOverrides.clear();
     }
 
     /** What was said of the server's stage counts no more. */
-    void stageIsUnknown(String instanceId) {
-        knownStages.remove(instanceId);
+    void clearStageOverride(String instanceId) {
+        stageOverrides.remove(instanceId);
     }
 
-    /** Tells at once what {@link #stageIs} changed, where this process holds the duty under that number. */
-    void tellStages(long number) {
-        if (newest.version.fencingNumber == number && duty.holds(number)) {
-            List<Endpoint> servers = withKnownStages(newest.servers);
+    /** Tells at once what {@link #overrideStage} changed, where this process holds the duty under that number. */
+    void publishStageOverrides(long number) {
+        if (newest.version.fencingNumber == number && duty.isHeld(number)) {
+            List<Endpoint> servers = withStageOverrides(newest.servers);
             if (differs(servers)) {
                 publish(servers, number);
             }
         }
     }
 
-    private List<Endpoint> withKnownStages(List<Endpoint> listed) {
-        knownStages.values().removeIf(k -> k.until() < loop.now());
-        return listed.stream().map(this::withKnownStage).toList();
+    private List<Endpoint> withStageOverrides(List<Endpoint> listed) {
+        stageOverrides.values().removeIf(k -> k.expiresAt() < loop.now());
+        return listed.stream().map(this::withStageOverride).toList();
     }
 
-    private Endpoint withKnownStage(Endpoint entry) {
-        KnownStage known = knownStages.get(entry.instanceId);
-        return known == null ? entry : entry.inStage(known.stage());
+    private Endpoint withStageOverride(Endpoint entry) {
+        StageOverride override = stageOverrides.get(entry.instanceId);
+        return override == null ? entry : entry.inStage(override.stage());
     }
 
-    private void forgetListedStages(List<Endpoint> listed) {
+    private void dropConfirmedOverrides(List<Endpoint> listed) {
         for (Endpoint entry : listed) {
-            KnownStage known = knownStages.get(entry.instanceId);
-            if (known != null && known.stage().equals(entry.stage)) {
-                knownStages.remove(entry.instanceId);
+            StageOverride override = stageOverrides.get(entry.instanceId);
+            if (override != null && override.stage().equals(entry.stage)) {
+                stageOverrides.remove(entry.instanceId);
             }
         }
     }
 
     /** Another holder's list; whether it is newer. */
-    boolean told(EndpointList list) {
+    boolean receive(EndpointList list) {
         if (list.version.compareTo(newest.version) <= 0) {
             return false;
         }
@@ -134,19 +124,19 @@
         return true;
     }
 
-    private void look() {
-        if (duty.holds() && !asking && loop.now() >= askAt) {
-            asking = true;
-            askAt = loop.now() + ASK_EVERY_MS;
-            askedUnder(duty.fencingNumber());
-            platform.ask(new Asked(duty.fencingNumber()));
+    private void check() {
+        if (duty.isHeld() && !pollPending && loop.now() >= nextPollAt) {
+            pollPending = true;
+            nextPollAt = loop.now() + POLL_INTERVAL_MS;
+            polledUnderToken(duty.fencingToken());
+            platform.fetchInstances(new PollResult(duty.fencingToken()));
         }
-        loop.after(LOOK_EVERY_MS, this::look);
+        loop.after(CHECK_INTERVAL_MS, this::check);
     }
 
-    private void askedUnder(long number) {
-        if (number != askedUnder) {
-            askedUnder = number;
+    private void polledUnderToken(long number) {
+        if (number != polledUnderToken) {
+            polledUnderToken = number;
             failingSince = loop.now();
         }
     }
@@ -155,42 +145,43 @@
      * One reading of the list. It counts under the number alone under which it was asked for: once the lease has
      * lapsed in between, a successor may have told newer ones, also where the duty has been won back here since.
      */
-    private final class Asked implements PlatformClient.Ended {
+    private final class PollResult implements PlatformClient.Callback {
         private final long number;
 
-        Asked(long number) {
+        PollResult(long number) {
             this.number = number;
         }
 
         @Override
-        public void listed(List<Endpoint> servers) {
-            asking = false;
-            if (failing) {
-                failing = false;
+        public void completed(List<Endpoint> servers) {
+            pollPending = false;
+            if (platformFailing) {
+                platformFailing = false;
                 LOG.info("the platform's list can be read again");
             }
-            patience = 1;
+            backoffFactor = 1;
             failingSince = loop.now();
             servers.sort(Comparator.comparing(s -> s.instanceId));
-            forgetListedStages(servers);
-            List<Endpoint> told = withKnownStages(servers);
+            dropConfirmedOverrides(servers);
+            List<Endpoint> endpoints = withStageOverrides(servers);
             boolean firstUnderNumber = newest.version.fencingNumber != number;
-            if ((firstUnderNumber || differs(told)) && duty.holds(number)) {
-                publish(told, number);
+            if ((firstUnderNumber || differs(endpoints)) && duty.isHeld(number)) {
+                publish(endpoints, number);
             }
         }
 
         @Override
         public void failed(String why) {
-            asking = false;
-            if (!failing) {
-                failing = true;
+            pollPending = false;
+            if (!platformFailing) {
+                platformFailing = true;
                 LOG.warn("the platform's list can't be read: {}", why);
             }
-            if (duty.holds(number) && loop.now() - failingSince >= patience * FAILING_PART * drainMs) {
+            if (duty.isHeld(number)
+                    && loop.now() - failingSince >= backoffFactor * MAX_FAILING_FRACTION_OF_DRAIN * drainMs) {
                 LOG.warn("the duty is laid down here, as the platform's list can't be read");
-                patience = Math.min(2 * patience, MOST_PATIENCE);
-                duty.pause(PAUSE_PART * drainMs);
+                backoffFactor = Math.min(2 * backoffFactor, MAX_BACKOFF_FACTOR);
+                duty.stepDown(STEP_DOWN_FRACTION_OF_DRAIN * drainMs);
             }
         }
     }
--- a/controlplane/src/main/java/dewplank/controlplane/FleetUpdateSource.java
+++ b/controlplane/src/main/java/dewplank/controlplane/FleetUpdateSource.java
@@ -8,12 +8,12 @@
 import java.util.List;
 
 /** What data planes are told: of configuration, servers and members that which is newer than what they hold. */
-final class FleetUpdateSource implements DataPlaneSessions.Source {
+final class FleetUpdateSource implements DataPlaneSessions.UpdateSource {
     private final Scheduler loop;
     private final boolean durable;
     private final ConfigurationStore configuration;
     private final ConfigurationHistory history;
-    private final EndpointPoller lister;
+    private final EndpointPoller poller;
     private final SessionTable table;
     private final ControlMesh mesh;
 
@@ -23,31 +23,31 @@
             boolean durable,
             ConfigurationStore configuration,
             ConfigurationHistory history,
-            EndpointPoller lister,
+            EndpointPoller poller,
             SessionTable table,
             ControlMesh mesh) {
         this.loop = loop;
         this.durable = durable;
         this.configuration = configuration;
         this.history = history;
-        this.lister = lister;
+        this.poller = poller;
         this.table = table;
         this.mesh = mesh;
     }
 
     @Override
-    public FleetUpdate newerThan(DataPlaneSessions.Held held) {
-        boolean newerConfiguration = history.version() > held.configurationVersion;
-        EndpointList servers = lister.newest();
-        boolean newerList = servers.version.compareTo(held.listVersion) > 0;
+    public FleetUpdate newerThan(DataPlaneVersions versions) {
+        boolean newerConfiguration = history.version() > versions.configurationVersion;
+        EndpointList servers = poller.newest();
+        boolean newerList = servers.version.compareTo(versions.listVersion) > 0;
         List<Member> members = table.members(loop.now());
-        boolean otherMembers = SessionTable.digest(members) != held.membersDigest;
+        boolean otherMembers = SessionTable.digest(members) != versions.membersDigest;
         if (!durable || !newerConfiguration && !newerList && !otherMembers) {
             return null;
         }
-        ConfigurationHistory.Encoded update = newerConfiguration
-                ? history.updateFrom(held.configurationVersion)
-                : new ConfigurationHistory.Encoded(null, 0);
+        ConfigurationHistory.EncodedUpdate update = newerConfiguration
+                ? history.updateFrom(versions.configurationVersion)
+                : new ConfigurationHistory.EncodedUpdate(null, 0);
         return new FleetUpdate(
                 update.bytes(),
                 newerConfiguration ? history.version() : 0,
@@ -58,7 +58,7 @@
 
     @Override
     public boolean quorate() {
-        return durable && configuration.current(QuorumConfirmation.QUORATE_MS);
+        return durable && configuration.isCurrent(QuorumConfirmation.QUORUM_VALIDITY_MS);
     }
 
     @Override
--- a/controlplane/src/main/java/dewplank/controlplane/HttpModelServerClient.java
+++ b/controlplane/src/main/java/dewplank/controlplane/HttpModelServerClient.java
@@ -22,7 +22,7 @@
     /** Whoever else has the address by now answers 421, and neither reports for it nor takes its orders. */
     private static final String TARGET_INSTANCE = "X-Dewplank-Target-Instance";
 
-    private static final double MOST_IDLE_MS = 5_000;
+    private static final double MAX_IDLE_MS = 5_000;
 
     private final EventLoop loop;
     private final Map<String, ConnectionPool> pools = new HashMap<>();
@@ -32,52 +32,52 @@
     }
 
     @Override
-    public void report(Endpoint server, BooleanSupplier onlyIf, Answer answer) {
+    public void requestReport(Endpoint server, BooleanSupplier onlyIf, ResponseHandler handler) {
         ByteBuffer message = MessageWriter.request("GET", "/report", server.address)
                 .header(TARGET_INSTANCE, server.instanceId)
                 .noBody();
-        start(call(server, message, onlyIf, answer));
+        start(call(server, message, onlyIf, handler));
     }
 
     @Override
-    public void order(Endpoint server, byte[] body, BooleanSupplier onlyIf, Answer answer) {
+    public void sendOrder(Endpoint server, byte[] body, BooleanSupplier onlyIf, ResponseHandler handler) {
         ByteBuffer message = MessageWriter.request("POST", "/order", server.address)
                 .header("Content-Type", "application/json")
                 .header(TARGET_INSTANCE, server.instanceId)
                 .body(body);
-        Call call = call(server, message, onlyIf, answer);
+        Call call = call(server, message, onlyIf, handler);
         call.http().alone(); // nothing in an answer tells a late one to a report from one to an order
         start(call);
     }
 
     @Override
-    public void keep(Collection<String> addresses) {
+    public void retainOnly(Collection<String> addresses) {
         pools.keySet().retainAll(addresses);
     }
 
     /** A call that has not begun. */
-    private record Call(HttpCall http, WholeAnswer answer) {}
+    private record Call(HttpCall http, ResponseCollector response) {}
 
-    private Call call(Endpoint server, ByteBuffer message, BooleanSupplier onlyIf, Answer answer) {
+    private Call call(Endpoint server, ByteBuffer message, BooleanSupplier onlyIf, ResponseHandler handler) {
         InetSocketAddress to = SocketAddresses.socketAddress(server.address);
-        ConnectionPool pool = pools.computeIfAbsent(server.address, a -> new ConnectionPool(loop, 0, MOST_IDLE_MS));
-        WholeAnswer whole = new WholeAnswer(answer);
-        return new Call(new HttpCall(loop, to, pool, message, whole).onlyIf(onlyIf), whole);
+        ConnectionPool pool = pools.computeIfAbsent(server.address, a -> new ConnectionPool(loop, 0, MAX_IDLE_MS));
+        ResponseCollector response = new ResponseCollector(handler);
+        return new Call(new HttpCall(loop, to, pool, message, response).onlyIf(onlyIf), response);
     }
 
     private void start(Call call) {
-        call.answer().timeout = loop.after(CALL_TIMEOUT_MS, call.http()::cancel);
+        call.response().timeout = loop.after(CALL_TIMEOUT_MS, call.http()::cancel);
         call.http().start(CONNECT_TIMEOUT_MS);
     }
 
-    private static final class WholeAnswer implements HttpCall.Listener {
-        private final Answer then;
+    private static final class ResponseCollector implements HttpCall.Listener {
+        private final ResponseHandler handler;
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
         private Wheel.Timer timeout;
         private int status;
 
-        WholeAnswer(Answer then) {
-            this.then = then;
+        ResponseCollector(ResponseHandler handler) {
+            this.handler = handler;
         }
 
         @Override
@@ -87,14 +87,14 @@
         }
 
         @Override
-        public void body(byte[] piece) {
-            body.writeBytes(piece);
+        public void body(byte[] chunk) {
+            body.writeBytes(chunk);
         }
 
         @Override
         public void complete() {
             timeout.cancel();
-            then.taken(status, body.toByteArray());
+            handler.responded(status, body.toByteArray());
         }
 
         @Override
--- a/controlplane/src/main/java/dewplank/controlplane/HttpPlatformClient.java
+++ b/controlplane/src/main/java/dewplank/controlplane/HttpPlatformClient.java
@@ -21,23 +21,23 @@
 final class HttpPlatformClient implements PlatformClient {
     private static final double CALL_TIMEOUT_MS = 1_000;
     private static final double CONNECT_TIMEOUT_MS = 500;
-    private static final int MOST_PAGES = 1_000;
+    private static final int MAX_PAGES = 1_000;
     /** Of the rate that the platform allows: for a moment two holders may ask, when in doubt. */
-    private static final double RATE_PART = 0.5;
+    private static final double OWN_FRACTION_OF_RATE = 0.5;
 
     private static final double SECOND_MS = 1_000;
 
     private final EventLoop loop;
     private final InetSocketAddress address;
     private final ConnectionPool pool;
-    private final int mostPerSecond;
-    private final ArrayDeque<Double> lately = new ArrayDeque<>();
+    private final int maxCallsPerSecond;
+    private final ArrayDeque<Double> recentCallsAt = new ArrayDeque<>();
     private long calls;
 
     HttpPlatformClient(EventLoop loop, InetSocketAddress address, double callsPerSecond) {
         this.loop = loop;
         this.address = address;
-        this.mostPerSecond = (int) Math.max(1, RATE_PART * callsPerSecond);
+        this.maxCallsPerSecond = (int) Math.max(1, OWN_FRACTION_OF_RATE * callsPerSecond);
         this.pool = new ConnectionPool(loop, 0, Double.POSITIVE_INFINITY);
     }
 
@@ -46,13 +46,13 @@
     }
 
     @Override
-    public void ask(Ended ended) {
-        new Reading(ended).page(null);
+    public void fetchInstances(Callback callback) {
+        new Reading(callback).page(null);
     }
 
     /** One reading of all pages. */
     private final class Reading implements HttpCall.Listener {
-        private final Ended ended;
+        private final Callback callback;
         private final List<Endpoint> servers = new ArrayList<>();
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
         private HttpCall call;
@@ -60,21 +60,21 @@
         private int status;
         private int pages;
 
-        Reading(Ended ended) {
-            this.ended = ended;
+        Reading(Callback callback) {
+            this.callback = callback;
         }
 
         /** Asks for the page as soon as the rate allows: a refused page would cost the whole reading. */
         void page(String token) {
             double now = loop.now();
-            while (!lately.isEmpty() && lately.peekFirst() <= now - SECOND_MS) {
-                lately.removeFirst();
+            while (!recentCallsAt.isEmpty() && recentCallsAt.peekFirst() <= now - SECOND_MS) {
+                recentCallsAt.removeFirst();
             }
-            if (lately.size() >= mostPerSecond) {
-                loop.after(lately.peekFirst() + SECOND_MS - now, () -> page(token));
+            if (recentCallsAt.size() >= maxCallsPerSecond) {
+                loop.after(recentCallsAt.peekFirst() + SECOND_MS - now, () -> page(token));
                 return;
             }
-            lately.addLast(now);
+            recentCallsAt.addLast(now);
             call(token);
         }
 
@@ -92,7 +92,7 @@
                     this);
             timeout = loop.after(CALL_TIMEOUT_MS, () -> {
                 call.cancel();
-                ended.failed("no answer");
+                callback.failed("no answer");
             });
             call.start(CONNECT_TIMEOUT_MS);
         }
@@ -104,28 +104,28 @@
         }
 
         @Override
-        public void body(byte[] piece) {
-            body.writeBytes(piece);
+        public void body(byte[] chunk) {
+            body.writeBytes(chunk);
         }
 
         @Override
         public void complete() {
             timeout.cancel();
             if (status != 200) {
-                ended.failed("status " + status);
+                callback.failed("status " + status);
                 return;
             }
             String next;
             try {
                 next = read(body.toByteArray());
             } catch (JsonException | ArrayIndexOutOfBoundsException e) {
-                ended.failed("an answer that can't be read");
+                callback.failed("an answer that can't be read");
                 return;
             }
             if (next == null) {
-                ended.listed(servers);
-            } else if (pages == MOST_PAGES) {
-                ended.failed("more than " + MOST_PAGES + " pages");
+                callback.completed(servers);
+            } else if (pages == MAX_PAGES) {
+                callback.failed("more than " + MAX_PAGES + " pages");
             } else {
                 page(next);
             }
@@ -146,10 +146,10 @@
         private Endpoint entry(Any instance) {
             Any stage = instance.get("stage");
             return new Endpoint(
-                    needed(instance, "instance_id"),
-                    needed(instance, "service"),
-                    needed(instance, "address"),
-                    needed(instance, "zone"),
+                    requiredText(instance, "instance_id"),
+                    requiredText(instance, "service"),
+                    requiredText(instance, "address"),
+                    requiredText(instance, "zone"),
                     instance.toInt("slot_count"),
                     "draining".equals(instance.toString("state")),
                     instance.get("cold_remaining_ms").valueType() == ValueType.NUMBER
@@ -158,7 +158,7 @@
                     stage.valueType() == ValueType.STRING ? stage.toString() : null);
         }
 
-        private static String needed(Any instance, String key) {
+        private static String requiredText(Any instance, String key) {
             Any value = instance.get(key);
             if (value.valueType() != ValueType.STRING) {
                 throw new JsonException(key + " is missing");
@@ -169,7 +169,7 @@
         @Override
         public void failed(HttpCall.Failure failure) {
             timeout.cancel();
-            ended.failed(failure.toString());
+            callback.failed(failure.toString());
         }
     }
 }
--- a/controlplane/src/main/java/dewplank/controlplane/MemoryStorage.java
+++ b/controlplane/src/main/java/dewplank/controlplane/MemoryStorage.java
@@ -41,7 +41,7 @@
     }
 
     @Override
-    public Map<String, Long> numbers() {
+    public Map<String, Long> fencingTokens() {
         return Map.of();
     }
 
@@ -51,7 +51,7 @@
     }
 
     @Override
-    public void saveNumber(String name, long number, Consumer<Boolean> done) {
+    public void saveFencingToken(String role, long token, Consumer<Boolean> done) {
         loop.execute(() -> done.accept(true));
     }
 
--- a/controlplane/src/main/java/dewplank/controlplane/OperatorApi.java
+++ b/controlplane/src/main/java/dewplank/controlplane/OperatorApi.java
@@ -20,14 +20,14 @@
 
 /** The operator's interface over HTTP. */
 final class OperatorApi implements InboundConnection.Service {
-    private static final double CHANGE_MS = 850; // callers move on after a second of silence
-    private static final double LARGE_CHANGE_MS = 1_500;
-    private static final int LARGE_BYTES = 64 * 1024;
-    private static final double READ_MS = 850;
+    private static final double CHANGE_TIMEOUT_MS = 850; // callers move on after a second of silence
+    private static final double LARGE_CHANGE_TIMEOUT_MS = 1_500;
+    private static final int LARGE_CHANGE_BYTES = 64 * 1024;
+    private static final double READ_TIMEOUT_MS = 850;
     /** Also for a body of 4 MiB over a slow link. */
-    static final double MOST_IDLE_MS = 60_000;
+    static final double MAX_IDLE_MS = 60_000;
 
-    private static final int MOST_BODY_BYTES = 4 * 1024 * 1024 + 64 * 1024;
+    private static final int MAX_BODY_BYTES = 4 * 1024 * 1024 + 64 * 1024;
 
     private interface Call {
         void run(InboundConnection.Request request, Responder caller, List<String> parameters);
@@ -57,28 +57,28 @@
     }
 
     /** What this control sidecar's word on the configuration is worth, and who may know more. */
-    interface Contact {
+    interface Redirects {
         /** Whether a majority of acceptors was reached lately, so that trying makes sense. */
-        boolean isCurrent();
+        boolean hasQuorum();
 
         /** Where a control sidecar that lately had a majority takes operators' calls, as IP:PORT; null if unknown. */
-        String betterPlace();
+        String quorateEndpoint();
 
         /** Where all control sidecars that are known take operators' calls, those that can be reached first. */
-        List<String> otherPlaces();
+        List<String> knownEndpoints();
     }
 
     private final Configurations configuration;
-    private final Contact contact;
+    private final Redirects redirects;
     private final Views views;
     private final CallTree<Call> calls = new CallTree<>();
     private final Set<InboundConnection> connections = new HashSet<>();
     private final Set<Responder> open = new HashSet<>();
     private boolean closing;
 
-    OperatorApi(Configurations configuration, Contact contact, Views views) {
+    OperatorApi(Configurations configuration, Redirects redirects, Views views) {
         this.configuration = configuration;
-        this.contact = contact;
+        this.redirects = redirects;
         this.views = views;
         calls.path("configuration")
                 .on("GET", (request, caller, parameters) -> ifCurrent(request, caller, () -> read(caller)))
@@ -107,7 +107,7 @@
 
     @Override
     public int maxBodyBytes() {
-        return MOST_BODY_BYTES;
+        return MAX_BODY_BYTES;
     }
 
     @Override
@@ -169,11 +169,11 @@
      * majority itself; where none is known, a redirect might lead to a machine that is gone.
      */
     private void ifCurrent(InboundConnection.Request request, Responder caller, Runnable call) {
-        if (contact.isCurrent()) {
+        if (redirects.hasQuorum()) {
             call.run();
             return;
         }
-        String better = contact.betterPlace();
+        String better = redirects.quorateEndpoint();
         if (better != null && request.target().startsWith("/")) {
             answer(
                     caller,
@@ -183,7 +183,7 @@
             return;
         }
         List<String> others =
-                contact.otherPlaces().stream().map(JsonText::quoted).toList();
+                redirects.knownEndpoints().stream().map(JsonText::quoted).toList();
         result(
                 caller,
                 ResultCode.NOT_CURRENT,
@@ -203,7 +203,7 @@
             return;
         }
         ChangeRequest change = new ChangeRequest(patch, expected, request.body());
-        double within = request.body().length > LARGE_BYTES ? LARGE_CHANGE_MS : CHANGE_MS;
+        double within = request.body().length > LARGE_CHANGE_BYTES ? LARGE_CHANGE_TIMEOUT_MS : CHANGE_TIMEOUT_MS;
         configuration.change(change, within, outcome -> changed(caller, outcome));
     }
 
@@ -249,7 +249,7 @@
     }
 
     private void read(Responder caller) {
-        configuration.read(READ_MS, outcome -> {
+        configuration.read(READ_TIMEOUT_MS, outcome -> {
             if (!(outcome instanceof Outcome.Confirmed confirmed)) {
                 result(caller, ResultCode.NO_QUORUM, ((Outcome.Unknown) outcome).reason());
                 return;
@@ -298,7 +298,7 @@
 
     /** Gives up connections whose other end has said nothing for long: behind a cut its close may never come. */
     void sweep() {
-        List.copyOf(connections).forEach(c -> c.giveUpAfter(MOST_IDLE_MS));
+        List.copyOf(connections).forEach(c -> c.giveUpAfter(MAX_IDLE_MS));
     }
 
     /** Takes no further calls; whether none is under way any more. */
--- a/controlplane/src/main/java/dewplank/controlplane/OperatorViews.java
+++ b/controlplane/src/main/java/dewplank/controlplane/OperatorViews.java
@@ -7,7 +7,7 @@
 
 /** What this control sidecar knows, as JSON for the operator's client. */
 final class OperatorViews implements OperatorApi.Views {
-    private static final double QUORATE_MS = 1_500;
+    private static final double QUORUM_VALIDITY_MS = 1_500;
 
     private final ControlPlane plane;
 
@@ -41,32 +41,32 @@
 
     @Override
     public String duties() {
-        EndpointPoller.Duty list = plane.duties().list();
+        SingletonRole list = plane.duties().endpointList();
         return JsonText.object(
                         JsonText.field("answered_by", plane.node()),
                         JsonText.plain(
                                 "list",
                                 JsonText.object(
-                                        JsonText.plain("held_here", list.holds()),
-                                        JsonText.plain("fencing_number", list.fencingNumber()))))
+                                        JsonText.plain("held_here", list.isHeld()),
+                                        JsonText.plain("fencing_number", list.fencingToken()))))
                 + "\n";
     }
 
     @Override
     public String servers() {
-        List<String> servers = plane.lister().newest().servers.stream()
+        List<String> servers = plane.poller().newest().servers.stream()
                 .map(OperatorViews::server)
                 .toList();
         return JsonText.object(
                         JsonText.field(
-                                "version", plane.lister().newest().version.toString()),
+                                "version", plane.poller().newest().version.toString()),
                         JsonText.plain("servers", JsonText.array(servers)))
                 + "\n";
     }
 
     @Override
     public String server(String instanceId) {
-        for (Endpoint s : plane.lister().newest().servers) {
+        for (Endpoint s : plane.poller().newest().servers) {
             if (s.instanceId.equals(instanceId)) {
                 return server(s) + "\n";
             }
@@ -92,10 +92,11 @@
                 .toList();
         return JsonText.object(
                         JsonText.field("node", plane.node()),
-                        JsonText.plain("quorate", plane.configuration().quorate(QUORATE_MS)),
-                        JsonText.plain("current", plane.configuration().current(QUORATE_MS)),
+                        JsonText.plain("quorate", plane.configuration().hasQuorum(QUORUM_VALIDITY_MS)),
+                        JsonText.plain("current", plane.configuration().isCurrent(QUORUM_VALIDITY_MS)),
                         JsonText.plain("quorum_age_ms", plane.configuration().quorumAgeMs()),
-                        JsonText.plain("holds_list_duty", plane.duties().list().holds()),
+                        JsonText.plain(
+                                "holds_list_duty", plane.duties().endpointList().isHeld()),
                         JsonText.plain(
                                 "acceptors_generation",
                                 plane.configuration().acceptors().generation()),
--- a/controlplane/src/main/java/dewplank/controlplane/PlatformClient.java
+++ b/controlplane/src/main/java/dewplank/controlplane/PlatformClient.java
@@ -6,12 +6,12 @@
 /** The platform, which knows what servers there are. */
 interface PlatformClient {
     /** How one reading of the list ended. */
-    interface Ended {
-        void listed(List<Endpoint> servers);
+    interface Callback {
+        void completed(List<Endpoint> servers);
 
         void failed(String why);
     }
 
     /** Reads the whole list; one of the two is told afterwards. */
-    void ask(Ended ended);
+    void fetchInstances(Callback callback);
 }
--- a/controlplane/src/main/java/dewplank/controlplane/QuorumConfirmation.java
+++ b/controlplane/src/main/java/dewplank/controlplane/QuorumConfirmation.java
@@ -6,9 +6,9 @@
 /** Whether operators' calls may be decided here: by a quorum, and one that keeps what it accepts. */
 final class QuorumConfirmation {
     /** A quorum that answered within this is taken to stand. */
-    static final double QUORATE_MS = 1_500;
+    static final double QUORUM_VALIDITY_MS = 1_500;
     /** Whoever started together with this process has said by then whether it has a disk. */
-    private static final double ALL_HEARD_MS = 5_000;
+    private static final double PEER_INTRODUCTION_MS = 5_000;
 
     private final Scheduler loop;
     private final String identity;
@@ -38,8 +38,8 @@
         this.startedAt = loop.now();
     }
 
-    boolean isPossible() {
-        return durable && configuration.quorate(QUORATE_MS) && acceptorsAreDurable();
+    boolean canConfirm() {
+        return durable && configuration.hasQuorum(QUORUM_VALIDITY_MS) && acceptorsAreDurable();
     }
 
     /**
@@ -48,11 +48,11 @@
      * one.
      */
     private boolean acceptorsAreDurable() {
-        boolean mustBeHeard = history.version() == 0 && loop.now() - startedAt < ALL_HEARD_MS;
+        boolean helloRequired = history.version() == 0 && loop.now() - startedAt < PEER_INTRODUCTION_MS;
         for (AcceptorId acceptor : configuration.acceptors().all()) {
             ControlMesh.Peer peer = mesh.peer(acceptor.address());
-            boolean heard = peer != null && peer.identity().equals(acceptor.identity());
-            if (!acceptor.identity().equals(identity) && (heard ? !peer.durable() : mustBeHeard)) {
+            boolean introduced = peer != null && peer.identity().equals(acceptor.identity());
+            if (!acceptor.identity().equals(identity) && (introduced ? !peer.durable() : helloRequired)) {
                 return false;
             }
         }
--- a/controlplane/src/main/java/dewplank/controlplane/QuorumRedirects.java
+++ b/controlplane/src/main/java/dewplank/controlplane/QuorumRedirects.java
@@ -4,7 +4,7 @@
 import java.util.function.BooleanSupplier;
 
 /** Where operators' calls may go instead, by what the links to other control sidecars tell. */
-final class QuorumRedirects implements OperatorApi.Contact {
+final class QuorumRedirects implements OperatorApi.Redirects {
     private final int controlPort;
     private final String self;
     private final ControlMesh mesh;
@@ -25,25 +25,25 @@
     }
 
     @Override
-    public boolean isCurrent() {
+    public boolean hasQuorum() {
         return quorate.getAsBoolean();
     }
 
     @Override
-    public String betterPlace() {
+    public String quorateEndpoint() {
         String better = mesh.quorateAddress();
-        return better == null ? null : operatorPlace(better);
+        return better == null ? null : operatorEndpoint(better);
     }
 
     @Override
-    public List<String> otherPlaces() {
+    public List<String> knownEndpoints() {
         return mesh.addressesLiveFirst().stream()
                 .filter(a -> !a.equals(self))
-                .map(this::operatorPlace)
+                .map(this::operatorEndpoint)
                 .toList();
     }
 
-    private String operatorPlace(String linkAddress) {
+    private String operatorEndpoint(String linkAddress) {
         return linkAddress.substring(0, linkAddress.lastIndexOf(':') + 1) + controlPort;
     }
 }
--- /dev/null
+++ b/controlplane/src/main/java/dewplank/controlplane/SingletonRole.java
@@ -0,0 +1,27 @@
+package dewplank.controlplane;
+
+/**
+ * This process's view of one singleton role of the fleet: whether it holds the lease, and under which fencing token.
+ *
+ * <p>Asked by what may act only for the whole fleet at once ({@link EndpointPoller}, {@link StageController}, {@link
+ * AcceptorReconfigurer}), on the loop's thread only.
+ */
+interface SingletonRole {
+    /** Whether this process holds the lease now. */
+    boolean isHeld();
+
+    /** The token of the lease that was acquired here last; tokens grow from lease to lease over the whole fleet. */
+    long fencingToken();
+
+    /** Whether the lease was held without a break since it was acquired under this token. Checked before each act. */
+    default boolean isHeld(long fencingToken) {
+        return isHeld() && fencingToken() == fencingToken;
+    }
+
+    /**
+     * Releases the lease, so that another process may do what this one can't.
+     *
+     * @param minimumMs no candidacy here for at least so many milliseconds
+     */
+    default void stepDown(double minimumMs) {}
+}
--- a/controlplane/src/main/java/dewplank/controlplane/SingletonRoles.java
+++ b/controlplane/src/main/java/dewplank/controlplane/SingletonRoles.java
@@ -16,10 +16,10 @@
 final class SingletonRoles {
     private static final Logger LOG = LoggerFactory.getLogger(SingletonRoles.class);
     private static final double TICK_MS = 20;
-    private static final String LIST = "list";
+    private static final String ENDPOINT_LIST_ROLE = "list";
 
     /** Sends to a control sidecar. */
-    interface Sending {
+    interface MessageSender {
         void send(String address, Object message);
     }
 
@@ -35,7 +35,7 @@
     private final Scheduler loop;
     private final Storage storage;
     private final Voters voters;
-    private final Sending sending;
+    private final MessageSender sender;
     private final LeaseVoter voter;
     private final Candidate candidate;
 
@@ -46,15 +46,16 @@
             Storage storage,
             RandomGenerator random,
             Voters voters,
-            Sending sending) {
+            MessageSender sender) {
         this.loop = loop;
         this.storage = storage;
         this.voters = voters;
-        this.sending = sending;
+        this.sender = sender;
         double now = loop.now();
-        voter = new LeaseVoter(self.identity(), leaseMs, storage.firstStart() ? 0 : now + leaseMs, storage.numbers());
+        voter = new LeaseVoter(
+                self.identity(), leaseMs, storage.firstStart() ? 0 : now + leaseMs, storage.fencingTokens());
         candidate = new Candidate(
-                LIST,
+                ENDPOINT_LIST_ROLE,
                 self.address() + "#" + Long.toHexString(random.nextLong()),
                 LeaseTiming.ofLease(leaseMs),
                 random::nextDouble,
@@ -66,56 +67,56 @@
     }
 
     private void tick() {
-        learn();
-        candidate.tick(loop.now(), new Standing());
+        updateVoters();
+        candidate.tick(loop.now(), new CandidateActions());
         loop.after(TICK_MS, this::tick);
     }
 
     /** An acceptance has not left this process before its disk held it, so that it is known here by then. */
-    private void learn() {
+    private void updateVoters() {
         voter.updateVoterSet(loop.now(), voters.acceptors().generation(), voters.acceptedGeneration());
         candidate.updateVoterSet(loop.now(), voters.acceptors());
     }
 
     /** Another candidate, or this process's own, asks for a vote. */
-    void asked(String from, VoteRequest request) {
-        learn();
-        voter.onVoteRequest(loop.now(), request, new Voting(from));
+    void voteRequested(String from, VoteRequest request) {
+        updateVoters();
+        voter.onVoteRequest(loop.now(), request, new VoterActions(from));
     }
 
-    void answered(VoteReply reply) {
-        candidate.onVoteReply(loop.now(), reply, new Standing());
+    void voteReplied(VoteReply reply) {
+        candidate.onVoteReply(loop.now(), reply, new CandidateActions());
     }
 
     /** The process ends: the duty is laid down. */
     void release() {
-        candidate.shutDown(loop.now(), new Standing());
+        candidate.shutDown(loop.now(), new CandidateActions());
     }
 
     /** The duty to ask the platform for its list, and to keep the acceptors what they should be. */
-    EndpointPoller.Duty list() {
-        return new EndpointPoller.Duty() {
+    SingletonRole endpointList() {
+        return new SingletonRole() {
             @Override
-            public boolean holds() {
+            public boolean isHeld() {
                 return candidate.isLeaseHolder(loop.now());
             }
 
             @Override
-            public long fencingNumber() {
+            public long fencingToken() {
                 return candidate.fencingToken();
             }
 
             @Override
-            public void pause(double ms) {
-                candidate.stepDown(loop.now(), ms, new Standing());
+            public void stepDown(double minimumMs) {
+                candidate.stepDown(loop.now(), minimumMs, new CandidateActions());
             }
         };
     }
 
-    private final class Standing implements Candidate.Effects {
+    private final class CandidateActions implements Candidate.Effects {
         @Override
         public void send(AcceptorId to, VoteRequest request) {
-            sending.send(to.address(), request);
+            sender.send(to.address(), request);
         }
 
         @Override
@@ -129,19 +130,19 @@
         }
     }
 
-    private final class Voting implements LeaseVoter.Effects {
+    private final class VoterActions implements LeaseVoter.Effects {
         private final String to;
 
-        Voting(String to) {
+        VoterActions(String to) {
             this.to = to;
         }
 
         @Override
         public void persistToken(VoteRequest request, VoteReply reply) {
-            storage.saveNumber(request.duty(), reply.highestToken(), saved -> {
+            storage.saveFencingToken(request.duty(), reply.highestToken(), saved -> {
                 if (saved) {
                     voter.onTokenPersisted(request);
-                    sending.send(to, reply);
+                    sender.send(to, reply);
                 } else {
                     voter.onPersistFailed(loop.now(), request, this);
                 }
@@ -150,7 +151,7 @@
 
         @Override
         public void send(VoteReply reply) {
-            sending.send(to, reply);
+            sender.send(to, reply);
         }
 
         @Override
--- a/controlplane/src/main/java/dewplank/controlplane/StallDetector.java
+++ b/controlplane/src/main/java/dewplank/controlplane/StallDetector.java
@@ -9,33 +9,33 @@
  * configuration of two thousand routes takes longer than a peer may be silent.
  */
 final class StallDetector {
-    private static final double LOOK_EVERY_MS = 50;
+    private static final double CHECK_INTERVAL_MS = 50;
     /** Two beats of 300 ms may be late by as much without harm. */
-    private static final double NOTICED_MS = 250;
+    private static final double STALL_THRESHOLD_MS = 250;
 
     private final Scheduler loop;
-    private final DoubleConsumer paused;
-    private double seenAt;
+    private final DoubleConsumer onStall;
+    private double lastCheckAt;
 
-    /** @param paused is told of the milliseconds */
-    StallDetector(Scheduler loop, DoubleConsumer paused) {
+    /** @param onStall is told of the milliseconds */
+    StallDetector(Scheduler loop, DoubleConsumer onStall) {
         this.loop = loop;
-        this.paused = paused;
-        this.seenAt = loop.now();
+        this.onStall = onStall;
+        this.lastCheckAt = loop.now();
     }
 
     void start() {
-        look();
-        loop.after(LOOK_EVERY_MS, this::start);
+        check();
+        loop.after(CHECK_INTERVAL_MS, this::start);
     }
 
     /** To be called before anybody's silence is held against them. */
-    void look() {
+    void check() {
         double now = loop.now();
-        double gap = now - seenAt;
-        seenAt = now;
-        if (gap > NOTICED_MS) {
-            paused.accept(gap);
+        double gap = now - lastCheckAt;
+        lastCheckAt = now;
+        if (gap > STALL_THRESHOLD_MS) {
+            onStall.accept(gap);
         }
     }
 }
--- a/controlplane/src/main/java/dewplank/controlplane/Storage.java
+++ b/controlplane/src/main/java/dewplank/controlplane/Storage.java
@@ -22,10 +22,10 @@
     /** Whether the whole system starts for the first time: nothing can have been promised before. */
     boolean firstStart();
 
-    Map<String, Long> numbers();
+    Map<String, Long> fencingTokens();
 
     /** Keeps the highest fencing number of a duty; says on the loop whether that worked. */
-    void saveNumber(String name, long number, Consumer<Boolean> done);
+    void saveFencingToken(String role, long token, Consumer<Boolean> done);
 
     /** The list of servers as it was when last saved; empty where there is none. */
     Optional<EndpointList> savedList();
--- a/controlplane/src/main/java/dewplank/controlplane/SystemEnvironment.java
+++ b/controlplane/src/main/java/dewplank/controlplane/SystemEnvironment.java
@@ -20,7 +20,7 @@
 
 /** The machine's own clock, sockets and disk. */
 final class SystemEnvironment implements ControlEnvironment {
-    private static final double SWEEP_MS = 1_000;
+    private static final double IDLE_SWEEP_INTERVAL_MS = 1_000;
 
     private final NodeSettings settings;
     private final EventLoop loop;
@@ -78,19 +78,19 @@
     }
 
     @Override
-    public ModelServerClient serverCalls() {
+    public ModelServerClient modelServers() {
         return new HttpModelServerClient(loop);
     }
 
     @Override
     public ServerEndpoint operators(OperatorApi api) throws IOException {
         loop.execute(() -> sweep(api));
-        return new Listener(loop, settings.control(), ControlPlane.MOST_CONNECTIONS, () -> api.connection(loop));
+        return new Listener(loop, settings.control(), ControlPlane.MAX_CONNECTIONS, () -> api.connection(loop));
     }
 
     private void sweep(OperatorApi api) {
         api.sweep();
-        loop.after(SWEEP_MS, () -> sweep(api));
+        loop.after(IDLE_SWEEP_INTERVAL_MS, () -> sweep(api));
     }
 
     @Override
--- a/controlplane/src/test/java/dewplank/controlplane/ControlMeshTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/ControlMeshTest.java
@@ -47,7 +47,7 @@
                 new ControlHello(SELF, "disk-0", true),
                 new ControlMesh.Handler() {
                     @Override
-                    public ControlHeartbeat told(long sequence) {
+                    public ControlHeartbeat heartbeat(long sequence) {
                         return new ControlHeartbeat(sequence, List.of(SELF), mesh.liveAddresses());
                     }
 
@@ -57,12 +57,12 @@
                     }
 
                     @Override
-                    public void linked(String address) {
+                    public void linkUp(String address) {
                         linked.add(address);
                     }
 
                     @Override
-                    public boolean isKept(String address) {
+                    public boolean isRetained(String address) {
                         return kept.contains(address);
                     }
                 });
@@ -81,7 +81,7 @@
 
     private void start(String... addresses) throws Exception {
         OnLoop.run(loop, () -> {
-            mesh.learn(List.of(addresses));
+            mesh.addAddresses(List.of(addresses));
             mesh.start();
         });
     }
@@ -105,7 +105,7 @@
         other.connection();
         assertTrue(other.hasNoFurtherConnection());
         assertEquals(List.of(OWN, other.address()), OnLoop.get(loop, mesh::liveAddresses));
-        assertEquals(1, OnLoop.get(loop, mesh::known));
+        assertEquals(1, OnLoop.get(loop, mesh::addressCount));
     }
 
     @Test
@@ -166,23 +166,25 @@
         FramedPeer other = other().answering();
         start();
         Member member = new Member("c1", Member.CONTROL, other.address(), "z", 5);
-        OnLoop.run(loop, () -> mesh.greeted(new ControlHello(member, "disk-1", true)));
+        OnLoop.run(loop, () -> mesh.helloReceived(new ControlHello(member, "disk-1", true)));
         assertEquals(other.address(), nextLinked());
         ControlMesh.Peer peer = OnLoop.get(loop, () -> mesh.peers(5_000)).get(0);
         assertEquals(member, peer.member());
         assertEquals("disk-1", peer.identity());
         OnLoop.pass(loop, 20);
-        OnLoop.run(loop, () -> mesh.greeted(new ControlHello(member, "disk-1", true)));
+        OnLoop.run(loop, () -> mesh.helloReceived(new ControlHello(member, "disk-1", true)));
         ControlMesh.Peer again = OnLoop.get(loop, () -> mesh.peers(5_000)).get(0);
-        assertEquals(peer.since(), again.since());
-        assertTrue(again.heardAt() > peer.heardAt());
-        OnLoop.run(loop, () -> mesh.greeted(new ControlHello(member, "disk-2", true))); // it came back without its disk
+        assertEquals(peer.firstReceivedAt(), again.firstReceivedAt());
+        assertTrue(again.lastReceivedAt() > peer.lastReceivedAt());
+        OnLoop.run(
+                loop,
+                () -> mesh.helloReceived(new ControlHello(member, "disk-2", true))); // it came back without its disk
         ControlMesh.Peer changed = OnLoop.get(loop, () -> mesh.peers(5_000)).get(0);
         assertEquals("disk-2", changed.identity());
-        assertTrue(changed.since() > peer.since());
+        assertTrue(changed.firstReceivedAt() > peer.firstReceivedAt());
         OnLoop.pass(loop, 30);
         assertEquals(List.of(), OnLoop.get(loop, () -> mesh.peers(20)));
-        OnLoop.run(loop, () -> mesh.heard(new ControlHello(member, "disk-2", true)));
+        OnLoop.run(loop, () -> mesh.recordReceived(new ControlHello(member, "disk-2", true)));
         assertEquals(1, OnLoop.get(loop, () -> mesh.peers(20)).size());
     }
 
@@ -193,8 +195,8 @@
             for (int i = 0; i < 500; i++) {
                 many.add("127.0.1." + i % 200 + ":" + (1 + i));
             }
-            mesh.learn(many);
-            assertEquals(ControlMesh.MOST_PEERS, mesh.known());
+            mesh.addAddresses(many);
+            assertEquals(ControlMesh.MAX_PEERS, mesh.addressCount());
         });
     }
 
@@ -204,17 +206,17 @@
         OnLoop.run(loop, () -> {
             kept.add("127.0.1.1:1");
             List<String> dead = new ArrayList<>();
-            for (int i = 1; i <= ControlMesh.MOST_PEERS; i++) {
+            for (int i = 1; i <= ControlMesh.MAX_PEERS; i++) {
                 dead.add("127.0.1." + i + ":1");
             }
-            mesh.learn(dead);
-            assertEquals(ControlMesh.MOST_PEERS, mesh.known());
-            mesh.learn(List.of("127.0.2.1:1"));
+            mesh.addAddresses(dead);
+            assertEquals(ControlMesh.MAX_PEERS, mesh.addressCount());
+            mesh.addAddresses(List.of("127.0.2.1:1"));
             List<String> known = mesh.addressesLiveFirst();
             assertTrue(known.contains("127.0.2.1:1"));
             assertTrue(known.contains("127.0.1.1:1"));
             assertFalse(known.contains("127.0.1.2:1"));
-            assertEquals(ControlMesh.MOST_PEERS, mesh.known());
+            assertEquals(ControlMesh.MAX_PEERS, mesh.addressCount());
         });
     }
 }
--- a/controlplane/src/test/java/dewplank/controlplane/DataPlaneSessionsTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/DataPlaneSessionsTest.java
@@ -50,11 +50,11 @@
     DataPlaneSessionsTest() throws IOException {
         loop = new EventLoop();
         dataPlane = new FramedPeer();
-        sessions = new DataPlaneSessions(new ShiftedClock(), table, new DataPlaneSessions.Source() {
+        sessions = new DataPlaneSessions(new ShiftedClock(), table, new DataPlaneSessions.UpdateSource() {
             @Override
-            public FleetUpdate newerThan(DataPlaneSessions.Held held) {
-                asked.add(held.configurationVersion + " " + held.listVersion + " " + held.membersDigest);
-                boolean newer = news != null && news.configurationVersion > held.configurationVersion;
+            public FleetUpdate newerThan(DataPlaneVersions versions) {
+                asked.add(versions.configurationVersion + " " + versions.listVersion + " " + versions.membersDigest);
+                boolean newer = news != null && news.configurationVersion > versions.configurationVersion;
                 return newer ? news : null;
             }
 
@@ -101,8 +101,8 @@
         public void received(MessageLink connection, Object message) {
             if (message instanceof SessionOpen open) {
                 session = sessions.open(connection, open);
-            } else if (message instanceof SessionHeartbeat question && session != null) {
-                session.question(question);
+            } else if (message instanceof SessionHeartbeat heartbeat && session != null) {
+                session.heartbeat(heartbeat);
             }
         }
 
@@ -134,7 +134,7 @@
     private void push(FleetUpdate update) throws Exception {
         OnLoop.run(loop, () -> {
             news = update;
-            sessions.push();
+            sessions.pushUpdates();
         });
     }
 
--- a/controlplane/src/test/java/dewplank/controlplane/EndpointPollerTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/EndpointPollerTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Under whose lease the list is told, in virtual time: the platform answers when the test lets it. */
+/** Under whose lease the list is published, in virtual time: the platform answers when the test lets it. */
 class EndpointPollerTest {
     private static final double DRAIN_MS = 3_000;
     /** The first question under a number and the one that fails last each wait for their turn: 400 ms and a look. */
@@ -59,24 +59,24 @@
         }
     }
 
-    private static final class Held implements EndpointPoller.Duty {
+    private static final class TestRole implements SingletonRole {
         private boolean held = true;
         private long number = 7;
         private final List<Double> pauses = new ArrayList<>();
 
         @Override
-        public boolean holds() {
+        public boolean isHeld() {
             return held;
         }
 
         @Override
-        public long fencingNumber() {
+        public long fencingToken() {
             return number;
         }
 
         @Override
-        public void pause(double ms) {
-            pauses.add(ms);
+        public void stepDown(double minimumMs) {
+            pauses.add(minimumMs);
             held = false;
         }
 
@@ -87,14 +87,14 @@
     }
 
     private final VirtualTime time = new VirtualTime();
-    private final Held duty = new Held();
-    private final Deque<PlatformClient.Ended> asked = new ArrayDeque<>();
-    private final List<EndpointList> told = new ArrayList<>();
-    private final EndpointPoller lister = new EndpointPoller(time, asked::add, duty, DRAIN_MS, told::add);
+    private final TestRole duty = new TestRole();
+    private final Deque<PlatformClient.Callback> polls = new ArrayDeque<>();
+    private final List<EndpointList> published = new ArrayList<>();
+    private final EndpointPoller poller = new EndpointPoller(time, polls::add, duty, DRAIN_MS, published::add);
 
     @BeforeEach
     void begin() {
-        lister.start();
+        poller.start();
     }
 
     private static List<Endpoint> servers(int count) {
@@ -106,7 +106,7 @@
     }
 
     private void answer(int count) {
-        asked.remove().listed(servers(count));
+        polls.remove().completed(servers(count));
     }
 
     @Test
@@ -118,39 +118,39 @@
         answer(3);
         assertEquals(
                 List.of(new EndpointListVersion(7, 1), new EndpointListVersion(7, 2)),
-                told.stream().map(l -> l.version).toList());
-        assertEquals(3, lister.newest().servers.size());
+                published.stream().map(l -> l.version).toList());
+        assertEquals(3, poller.newest().servers.size());
     }
 
     @Test
     void anAnswerUnderALapsedLeaseIsNotTold() {
         duty.held = false;
         answer(2);
-        assertEquals(List.of(), told);
-        assertEquals(EndpointListVersion.NONE, lister.newest().version);
+        assertEquals(List.of(), published);
+        assertEquals(EndpointListVersion.NONE, poller.newest().version);
     }
 
-    /** A successor may have told a newer list between the question and its answer. */
+    /** A successor may have published a newer list between the question and its answer. */
     @Test
     void aListAskedForBeforeTheLeaseLapsedIsNotToldUnderANewNumber() {
         duty.wonAgain();
         answer(2);
-        assertEquals(List.of(), told);
+        assertEquals(List.of(), published);
         time.run(400);
         answer(3);
-        assertEquals(new EndpointListVersion(8, 1), told.get(0).version);
+        assertEquals(new EndpointListVersion(8, 1), published.get(0).version);
     }
 
-    /** One that a predecessor told last may still be under way, and must not be taken for newer. */
+    /** One that a predecessor published last may still be under way, and must not be taken for newer. */
     @Test
     void theFirstListUnderANumberIsToldEvenIfItSaysNothingNew() {
         answer(2);
         duty.wonAgain();
         time.run(400);
         answer(2);
-        assertEquals(new EndpointListVersion(8, 1), lister.newest().version);
-        assertFalse(lister.told(new EndpointList(new EndpointListVersion(7, 9), servers(1))));
-        assertEquals(2, told.size());
+        assertEquals(new EndpointListVersion(8, 1), poller.newest().version);
+        assertFalse(poller.receive(new EndpointList(new EndpointListVersion(7, 9), servers(1))));
+        assertEquals(2, published.size());
     }
 
     private static List<Endpoint> engines(String... stages) {
@@ -162,48 +162,48 @@
     }
 
     private List<String> stages() {
-        return lister.newest().servers.stream().map(s -> s.stage).toList();
+        return poller.newest().servers.stream().map(s -> s.stage).toList();
     }
 
-    /** The platform's list lags: the stage that a server was ordered to is told at once, until the list agrees. */
+    /** The platform's list lags: the stage that a server was ordered to is published at once, until the list agrees. */
     @Test
     void aStageThatIsKnownBetterIsToldUntilTheListAgrees() {
-        asked.remove().listed(engines("decode", "decode"));
-        lister.stageIs("i-1", Endpoint.CHANGING, 10_000);
-        lister.tellStages(7);
+        polls.remove().completed(engines("decode", "decode"));
+        poller.overrideStage("i-1", Endpoint.CHANGING, 10_000);
+        poller.publishStageOverrides(7);
         assertEquals(List.of("decode", Endpoint.CHANGING), stages());
-        assertEquals(2, told.size());
+        assertEquals(2, published.size());
         time.run(400);
-        asked.remove().listed(engines("decode", "decode"));
-        assertEquals(2, told.size(), "nothing new");
-        lister.stageIs("i-1", "prefill", 10_000);
-        lister.tellStages(7);
+        polls.remove().completed(engines("decode", "decode"));
+        assertEquals(2, published.size(), "nothing new");
+        poller.overrideStage("i-1", "prefill", 10_000);
+        poller.publishStageOverrides(7);
         assertEquals(List.of("decode", "prefill"), stages());
         time.run(400);
-        asked.remove().listed(engines("decode", "decode"));
+        polls.remove().completed(engines("decode", "decode"));
         assertEquals(List.of("decode", "prefill"), stages(), "the list lags");
         time.run(400);
-        asked.remove().listed(engines("decode", "prefill"));
+        polls.remove().completed(engines("decode", "prefill"));
         time.run(400);
-        asked.remove().listed(engines("decode", "decode"));
+        polls.remove().completed(engines("decode", "decode"));
         assertEquals(List.of("decode", "decode"), stages(), "the list had agreed: it is believed again");
     }
 
     @Test
     void aStageIsNotToldUnderANumberThatIsNotHeldAndNotForEver() {
-        asked.remove().listed(engines("decode"));
+        polls.remove().completed(engines("decode"));
         duty.wonAgain();
-        lister.stageIs("i-0", Endpoint.CHANGING, 1_000);
-        lister.tellStages(7);
-        lister.tellStages(8);
+        poller.overrideStage("i-0", Endpoint.CHANGING, 1_000);
+        poller.publishStageOverrides(7);
+        poller.publishStageOverrides(8);
         assertEquals(List.of("decode"), stages());
         time.run(400);
-        asked.remove().listed(engines("decode"));
+        polls.remove().completed(engines("decode"));
         assertEquals(List.of(Endpoint.CHANGING), stages());
         time.run(400);
-        asked.remove().listed(engines("decode"));
+        polls.remove().completed(engines("decode"));
         time.run(400);
-        asked.remove().listed(engines("decode"));
+        polls.remove().completed(engines("decode"));
         assertEquals(List.of("decode"), stages(), "it has lapsed");
     }
 
@@ -212,7 +212,7 @@
         answer(2);
         duty.held = false;
         time.run(5_000);
-        assertTrue(asked.isEmpty());
+        assertTrue(polls.isEmpty());
     }
 
     /** Fails every question until the duty is laid down; how long that took. */
@@ -221,8 +221,8 @@
         int before = duty.pauses.size();
         while (duty.pauses.size() == before) {
             assertTrue(time.now() < start + 100_000, "never laid down");
-            while (!asked.isEmpty()) {
-                asked.remove().failed("no answer");
+            while (!polls.isEmpty()) {
+                polls.remove().failed("no answer");
             }
             time.run(50);
         }
@@ -255,9 +255,9 @@
     void failuresNowAndThenDoNotMoveTheDuty() {
         for (int i = 0; i < 100; i++) {
             if (i % 3 == 0) {
-                asked.remove().listed(servers(2));
+                polls.remove().completed(servers(2));
             } else {
-                asked.remove().failed("status 429");
+                polls.remove().failed("status 429");
             }
             time.run(400);
         }
--- a/controlplane/src/test/java/dewplank/controlplane/GoldenDiskTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/GoldenDiskTest.java
@@ -101,7 +101,7 @@
         assertEquals("4/founder@10.0.0.1:7600#1", state.chosenBallot().toString());
         assertIsValue(state.value());
         assertIsValue(state.chosen());
-        assertEquals(Map.of("list", 2L), storage.numbers());
+        assertEquals(Map.of("list", 2L), storage.fencingTokens());
         storage.close();
     }
 
--- a/controlplane/src/test/java/dewplank/controlplane/HttpPlatformClientTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/HttpPlatformClientTest.java
@@ -45,9 +45,9 @@
         CompletableFuture<List<Endpoint>> done = new CompletableFuture<>();
         OnLoop.run(
                 loop,
-                () -> list.ask(new HttpPlatformClient.Ended() {
+                () -> list.fetchInstances(new HttpPlatformClient.Callback() {
                     @Override
-                    public void listed(List<Endpoint> servers) {
+                    public void completed(List<Endpoint> servers) {
                         done.complete(servers);
                     }
 
--- a/controlplane/src/test/java/dewplank/controlplane/OperatorApiTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/OperatorApiTest.java
@@ -32,7 +32,7 @@
     private final StandInRegister register = new StandInRegister();
     private final HttpClient client =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
-    private final StandInContact contact = new StandInContact();
+    private final StandInRedirects redirects = new StandInRedirects();
     private EventLoop loop;
     private OperatorApi api;
     private String base;
@@ -40,7 +40,7 @@
     @BeforeEach
     void start() throws IOException {
         loop = new EventLoop();
-        api = new OperatorApi(register, contact, new FixedViews());
+        api = new OperatorApi(register, redirects, new FixedViews());
         Listener listener = new Listener(
                 loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 16, () -> api.connection(loop));
         base = "http://127.0.0.1:" + ((InetSocketAddress) listener.address()).getPort();
@@ -53,22 +53,22 @@
     }
 
     /** What the control sidecar knows of a majority and of others. */
-    private static final class StandInContact implements OperatorApi.Contact {
+    private static final class StandInRedirects implements OperatorApi.Redirects {
         private volatile boolean current = true;
         private volatile String better;
 
         @Override
-        public boolean isCurrent() {
+        public boolean hasQuorum() {
             return current;
         }
 
         @Override
-        public String betterPlace() {
+        public String quorateEndpoint() {
             return better;
         }
 
         @Override
-        public List<String> otherPlaces() {
+        public List<String> knownEndpoints() {
             return List.of("10.0.0.4:8080", "10.0.0.5:8080");
         }
     }
@@ -195,7 +195,7 @@
     /** Cut off it neither confirms nor refuses, not even what it could tell to be wrong, and asks nobody. */
     @Test
     void saysAtOnceThatItIsCutOffAndWhereToGo() {
-        contact.current = false;
+        redirects.current = false;
         String[] bodies = {whole(3), "{", ""};
         for (String body : bodies) {
             Map<String, Object> fields = result(ResultCode.NOT_CURRENT, call("PUT", "/configuration", "0", body));
@@ -210,8 +210,8 @@
 
     @Test
     void redirectsToOneThatLatelyHadAMajority() {
-        contact.current = false;
-        contact.better = "10.0.0.4:8080";
+        redirects.current = false;
+        redirects.better = "10.0.0.4:8080";
         HttpResponse<String> answer = call("PATCH", "/configuration", "7", "{}");
         result(ResultCode.ELSEWHERE, answer);
         assertEquals(
--- a/controlplane/src/test/java/dewplank/controlplane/OperatorRequestsTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/OperatorRequestsTest.java
@@ -56,19 +56,19 @@
     }
 
     /** A control sidecar that reaches a majority. */
-    private static final class InContact implements OperatorApi.Contact {
+    private static final class WithQuorum implements OperatorApi.Redirects {
         @Override
-        public boolean isCurrent() {
+        public boolean hasQuorum() {
             return true;
         }
 
         @Override
-        public String betterPlace() {
+        public String quorateEndpoint() {
             return null;
         }
 
         @Override
-        public List<String> otherPlaces() {
+        public List<String> knownEndpoints() {
             return List.of();
         }
     }
@@ -76,7 +76,7 @@
     @BeforeEach
     void start() throws IOException {
         loop = new EventLoop();
-        OperatorApi api = new OperatorApi(new StandInRegister(), new InContact(), new NoViews());
+        OperatorApi api = new OperatorApi(new StandInRegister(), new WithQuorum(), new NoViews());
         listener = new Listener(
                 loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 64, () -> api.connection(loop));
         loop.execute(listener::accept);
--- a/controlplane/src/test/java/dewplank/controlplane/StageControllerTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/StageControllerTest.java
@@ -26,22 +26,22 @@
 class StageControllerTest {
     private static final String TARGET = "X-Dewplank-Target-Instance";
     private static final long NUMBER = 41;
-    private static final double SPARE_MS = 700;
+    private static final double LEASE_MARGIN_MS = 700;
 
     private final BlockingQueue<Call> calls = new LinkedBlockingQueue<>();
     private final List<ScriptedServer> servers = new ArrayList<>();
-    private final HeldDuty duty = new HeldDuty();
+    private final TestRole duty = new TestRole();
     private EventLoop loop;
-    private final BlockingQueue<EndpointList> told = new LinkedBlockingQueue<>();
-    private EndpointPoller lister;
+    private final BlockingQueue<EndpointList> published = new LinkedBlockingQueue<>();
+    private EndpointPoller poller;
     private int active;
 
     /** A duty that is held from the first question on; it notes when that was. */
-    private final class HeldDuty implements EndpointPoller.Duty {
+    private final class TestRole implements SingletonRole {
         private double firstAsked = Double.POSITIVE_INFINITY;
 
         @Override
-        public synchronized boolean holds() {
+        public synchronized boolean isHeld() {
             firstAsked = Math.min(firstAsked, loop.now());
             return true;
         }
@@ -51,7 +51,7 @@
         }
 
         @Override
-        public long fencingNumber() {
+        public long fencingToken() {
             return NUMBER;
         }
     }
@@ -59,14 +59,14 @@
     @BeforeEach
     void begin() throws IOException {
         loop = new EventLoop();
-        lister = new EndpointPoller(loop, null, duty, 3_000, told::add);
+        poller = new EndpointPoller(loop, null, duty, 3_000, published::add);
         List<Endpoint> entries = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
             ScriptedServer server = new ScriptedServer(calls);
             servers.add(server);
             entries.add(new Endpoint("i-" + i, "model", server.addressText(), "z", 64, false, 0, "decode"));
         }
-        lister.told(new EndpointList(new EndpointListVersion(NUMBER, 1), entries));
+        poller.receive(new EndpointList(new EndpointListVersion(NUMBER, 1), entries));
     }
 
     @AfterEach
@@ -77,10 +77,10 @@
         }
     }
 
-    private void keep(double leaseMs) {
-        StageController keeper = new StageController(
-                loop, "core-1", leaseMs, lister, duty, new HttpModelServerClient(loop), Policy.ALL_ENABLED);
-        loop.execute(keeper::start);
+    private void control(double leaseMs) {
+        StageController controller = new StageController(
+                loop, "core-1", leaseMs, poller, duty, new HttpModelServerClient(loop), Policy.ALL_ENABLED);
+        loop.execute(controller::start);
     }
 
     /** Answers reports as of servers with so many requests each, until something else comes. */
@@ -109,7 +109,7 @@
 
     @Test
     void anOrderNamesItsHolderItsNumberAndItsInstance() throws Exception {
-        keep(0);
+        control(0);
         Call order = answerReports();
         assertEquals("POST", order.message().method());
         assertEquals("/order", order.message().target());
@@ -125,33 +125,33 @@
     /** What has not begun at a server when the order comes is turned away: data planes hear of it before. */
     @Test
     void whileRequestsRunDataPlanesAreToldBeforeTheServerIs() throws Exception {
-        keep(0);
+        control(0);
         Call order = answerReports(1);
-        double orderedAt = loop.now();
+        double lastOrderAt = loop.now();
         assertEquals("/order", order.message().target());
-        EndpointList list = told.remove();
+        EndpointList list = published.remove();
         int index = servers.indexOf(order.server());
         for (int i = 0; i < servers.size(); i++) {
             assertEquals(i == index ? Endpoint.CHANGING : "decode", list.servers.get(i).stage);
         }
-        assertTrue(orderedAt - duty.since() >= 500, "ordered after " + (orderedAt - duty.since()) + " ms");
+        assertTrue(lastOrderAt - duty.since() >= 500, "orderInProgress after " + (lastOrderAt - duty.since()) + " ms");
         order.wire().answer("409 Conflict", "", "");
     }
 
-    /** What the last holder ordered may still be on its way. */
+    /** What the last holder orderInProgress may still be on its way. */
     @Test
     void aNewHolderWaitsOutTheLeaseAndMore() throws Exception {
-        keep(700);
+        control(700);
         Call order = answerReports();
         double at = loop.now();
         assertEquals("POST", order.message().method());
-        assertTrue(at - duty.since() >= 700 + SPARE_MS, "ordered after " + (at - duty.since()) + " ms");
+        assertTrue(at - duty.since() >= 700 + LEASE_MARGIN_MS, "orderInProgress after " + (at - duty.since()) + " ms");
     }
 
     /** The report of whoever has the address by now is none of the instance that was asked for. */
     @Test
     void noOrderFollowsFromAReportThatWasNotGiven() throws Exception {
-        keep(0);
+        control(0);
         for (int i = 0; i < 6; i++) {
             Call call = ScriptedServer.next(calls);
             assertEquals("/report", call.message().target());
--- a/controlplane/src/test/java/dewplank/controlplane/StallDetectorTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/StallDetectorTest.java
@@ -38,27 +38,27 @@
     }
 
     private final Hand loop = new Hand();
-    private final List<Double> pauses = new ArrayList<>();
-    private final StallDetector watch = new StallDetector(loop, pauses::add);
+    private final List<Double> stalls = new ArrayList<>();
+    private final StallDetector detector = new StallDetector(loop, stalls::add);
 
     @Test
     void looksThatComeInTimeNoticeNothing() {
-        watch.start();
+        detector.start();
         for (double at = 50; at <= 1_000; at += 60) {
             loop.turn(at);
         }
-        assertEquals(List.of(), pauses);
+        assertEquals(List.of(), stalls);
     }
 
     /** Within one long task: before the timer has had a turn, and once only. */
     @Test
     void aLongTaskIsNoticedByWhoeverLooksFirst() {
-        watch.start();
+        detector.start();
         loop.turn(50);
         loop.now = 1_250;
-        watch.look();
-        watch.look();
+        detector.check();
+        detector.check();
         loop.turn(1_260);
-        assertEquals(List.of(1_200.0), pauses);
+        assertEquals(List.of(1_200.0), stalls);
     }
 }
--- a/simulation/src/test/java/dewplank/controlplane/ControlProcess.java
+++ b/simulation/src/test/java/dewplank/controlplane/ControlProcess.java
@@ -94,11 +94,11 @@
     }
 
     public boolean holdsList() {
-        return plane.duties().list().holds();
+        return plane.duties().endpointList().isHeld();
     }
 
-    public long fencingNumber() {
-        return plane.duties().list().fencingNumber();
+    public long fencingToken() {
+        return plane.duties().endpointList().fencingToken();
     }
 
     public AcceptorSet acceptors() {
@@ -182,18 +182,18 @@
 
         @Override
         public PlatformClient platform() {
-            return ended -> given.list(servers -> {
+            return callback -> given.list(servers -> {
                 if (servers == null) {
-                    ended.failed("no answer");
+                    callback.failed("no answer");
                 } else {
-                    ended.listed(servers);
+                    callback.completed(servers);
                 }
             });
         }
 
         @Override
-        public ModelServerClient serverCalls() {
-            return new NoServerCalls();
+        public ModelServerClient modelServers() {
+            return new NoModelServers();
         }
 
         @Override
@@ -219,19 +219,19 @@
     }
 
     /** Model servers that never answer. */
-    private static final class NoServerCalls implements ModelServerClient {
+    private static final class NoModelServers implements ModelServerClient {
         @Override
-        public void report(Endpoint server, BooleanSupplier onlyIf, Answer answer) {
+        public void requestReport(Endpoint server, BooleanSupplier onlyIf, ResponseHandler handler) {
             // Nothing comes back.
         }
 
         @Override
-        public void order(Endpoint server, byte[] body, BooleanSupplier onlyIf, Answer answer) {
+        public void sendOrder(Endpoint server, byte[] body, BooleanSupplier onlyIf, ResponseHandler handler) {
             // Nothing comes back.
         }
 
         @Override
-        public void keep(Collection<String> addresses) {
+        public void retainOnly(Collection<String> addresses) {
             // Nothing is kept.
         }
     }
--- a/simulation/src/test/java/dewplank/simulation/Judge.java
+++ b/simulation/src/test/java/dewplank/simulation/Judge.java
@@ -90,7 +90,7 @@
     }
 
     private void holds(ControlMachine control, String life) {
-        long number = control.process().fencingNumber();
+        long number = control.process().fencingToken();
         String other = holders.putIfAbsent(number, life);
         check(other == null || other.equals(life), "number " + number + " was won by " + other + " and by " + life);
         holding.put(control, life);
