--- a/controlplane/src/main/java/dewplank/controlplane/AcceptorReconfigurer.java
+++ b/controlplane/src/main/java/dewplank/controlplane/AcceptorReconfigurer.java
@@ -55,7 +55,7 @@
         List<AcceptorId> wanted = plan.targetMembers(loop.now(), set, sightings());
         boolean differs = !set.isJoint() && !wanted.equals(set.members());
         if (differs && !changePending && duty.isHeld() && configuration.hasQuorum(QUORUM_VALIDITY_MS)) {
-            LOG.info("acceptors {} are to become {}", set.members(), wanted);
+            LOG.info("acceptor change started from={} to={}", set.members(), wanted);
             changePending = true;
             configuration.replaceAcceptors(set.generation(), wanted, CHANGE_TIMEOUT_MS, () -> changePending = false);
         }
--- a/controlplane/src/main/java/dewplank/controlplane/ConfigurationStore.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ConfigurationStore.java
@@ -161,7 +161,10 @@
                 request(outcome -> {
                     then.run();
                     if (outcome instanceof Outcome.Confirmed c) {
-                        LOG.info("acceptors are {} ({})", c.value().acceptors().members(), c.answer());
+                        LOG.info(
+                                "acceptor change completed acceptors={} result={}",
+                                c.value().acceptors().members(),
+                                c.answer());
                     }
                 }),
                 expectedGeneration,
--- a/controlplane/src/main/java/dewplank/controlplane/ControlMesh.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ControlMesh.java
@@ -109,7 +109,7 @@
         double before = loop.now() - DEAD_PEER_RETENTION_MS;
         for (Link link : List.copyOf(links.values())) {
             if (!link.isUp() && link.lastUpAt < before && !handler.isRetained(link.address)) {
-                LOG.info("control sidecar {} is forgotten", link.address);
+                LOG.info("peer evicted peer={}", link.address);
                 link.remove();
             }
         }
@@ -273,7 +273,7 @@
             lastAckAt = loop.now();
             lastUpAt = lastAckAt;
             opened.send(hello);
-            LOG.info("link to control sidecar {} is up", address);
+            LOG.info("peer link up peer={}", address);
             handler.linkUp(address);
         }
 
@@ -301,8 +301,9 @@
                     connect();
                 }
             } else if (connection.isOpen()) {
-                if (loop.now() - lastAckAt > HEARTBEAT_TIMEOUT_MS) {
-                    LOG.info("link to control sidecar {} is silent", address);
+                double elapsedMs = loop.now() - lastAckAt;
+                if (elapsedMs > HEARTBEAT_TIMEOUT_MS) {
+                    LOG.info("heartbeat timeout peer={} elapsedMs={}", address, Math.round(elapsedMs));
                     connection.end();
                 } else {
                     connection.send(heartbeat);
--- a/controlplane/src/main/java/dewplank/controlplane/ControlPlane.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ControlPlane.java
@@ -174,16 +174,16 @@
             stallDetector.start();
             pushMembers();
             LOG.info(
-                    "control sidecar {} at {}, acceptor {}{}",
+                    "control plane started node={} address={} acceptor={} durable={}",
                     settings.node(),
                     address,
                     storage.identity(),
-                    durable ? "" : ", a relay without a disk");
+                    durable);
         });
     }
 
     private void stalled(double stalledMs) {
-        LOG.info("nothing was heard for {} ms: this process was busy, or did not run", Math.round(stalledMs));
+        LOG.info("event loop stalled stalledMs={}", Math.round(stalledMs));
         mesh.stalled(stalledMs);
         sessions.stalled(stalledMs);
     }
@@ -228,7 +228,7 @@
     /** The same without waiting for it. */
     void drain(Runnable then) {
         loop.execute(() -> {
-            LOG.info("ending");
+            LOG.info("draining");
             duties.release();
             control.close();
             endWhenIdle(loop.now() + MAX_DRAIN_MS, then);
@@ -343,7 +343,7 @@
         public void chosen(Configuration newer) {
             if (history.add(newer)) {
                 stallDetector.check();
-                LOG.info("configuration {} is chosen", newer.version());
+                LOG.info("configuration chosen version={}", newer.version());
                 sessions.pushUpdates();
             }
         }
--- a/controlplane/src/main/java/dewplank/controlplane/DataPlaneSessions.java
+++ b/controlplane/src/main/java/dewplank/controlplane/DataPlaneSessions.java
@@ -42,11 +42,11 @@
     /** A data plane opens its session; null where there is no room. */
     Session open(MessageLink connection, SessionOpen message) {
         if (!table.tryRenew(loop.now(), message.member)) {
-            LOG.warn("no room for a session of {}", message.member.node);
+            LOG.warn("session rejected node={} reason=max-sessions", message.member.node);
             connection.end();
             return null;
         }
-        LOG.info("session of {} opened", message.member.node);
+        LOG.info("session opened node={}", message.member.node);
         Session session = new Session(connection, message.member);
         open.add(session);
         return session;
@@ -121,7 +121,7 @@
         void closed() {
             open.remove(this);
             table.close(member);
-            LOG.info("session of {} ended", member.node);
+            LOG.info("session closed node={}", member.node);
         }
     }
 }
--- a/controlplane/src/main/java/dewplank/controlplane/EndpointPoller.java
+++ b/controlplane/src/main/java/dewplank/controlplane/EndpointPoller.java
@@ -157,7 +157,7 @@
             pollPending = false;
             if (platformFailing) {
                 platformFailing = false;
-                LOG.info("the platform's list can be read again");
+                LOG.info("platform poll recovered failingMs={}", Math.round(loop.now() - failingSince));
             }
             backoffFactor = 1;
             failingSince = loop.now();
@@ -175,11 +175,14 @@
             pollPending = false;
             if (!platformFailing) {
                 platformFailing = true;
-                LOG.warn("the platform's list can't be read: {}", why);
+                LOG.warn("platform poll failed reason={}", why);
             }
             if (duty.isHeld(number)
                     && loop.now() - failingSince >= backoffFactor * MAX_FAILING_FRACTION_OF_DRAIN * drainMs) {
-                LOG.warn("the duty is laid down here, as the platform's list can't be read");
+                LOG.warn(
+                        "lease released duty=list token={} reason=platform-unreachable failingMs={}",
+                        number,
+                        Math.round(loop.now() - failingSince));
                 backoffFactor = Math.min(2 * backoffFactor, MAX_BACKOFF_FACTOR);
                 duty.stepDown(STEP_DOWN_FRACTION_OF_DRAIN * drainMs);
             }
@@ -202,7 +205,7 @@
     private void publish(List<Endpoint> servers, long number) {
         long revision = newest.version.fencingNumber == number ? newest.version.revision + 1 : 1;
         newest = new EndpointList(new EndpointListVersion(number, revision), servers);
-        LOG.info("list of servers {}: {} servers", newest.version, servers.size());
+        LOG.info("endpoint list published version={} endpoints={}", newest.version, servers.size());
         changed.accept(newest);
     }
 }
--- a/controlplane/src/main/java/dewplank/controlplane/SingletonRoles.java
+++ b/controlplane/src/main/java/dewplank/controlplane/SingletonRoles.java
@@ -121,12 +121,12 @@
 
         @Override
         public void leaseAcquired(String duty, long fencingToken) {
-            LOG.info("duty {} is held here under number {}", duty, fencingToken);
+            LOG.info("lease acquired duty={} token={}", duty, fencingToken);
         }
 
         @Override
         public void leaseLost(String duty, long fencingToken) {
-            LOG.info("duty {} is held here no more", duty);
+            LOG.info("lease lost duty={} token={}", duty, fencingToken);
         }
     }
 
--- a/controlplane/src/main/java/dewplank/controlplane/StageController.java
+++ b/controlplane/src/main/java/dewplank/controlplane/StageController.java
@@ -168,7 +168,7 @@
                     report.toLong("kv_capacity"));
             reports.put(server.instanceId, new TimedReport(engine, loop.now()));
         } catch (JsonException | ArrayIndexOutOfBoundsException e) {
-            LOG.debug("a report of {} can't be read", server.instanceId, e);
+            LOG.debug("unreadable report server={}", server.instanceId, e);
         }
     }
 
@@ -248,10 +248,10 @@
         String body = "{\"operation\":\"stage\",\"stage\":\"" + stage + "\",\"holder\":" + JsonText.quoted(holder)
                 + ",\"fence_number\":" + number + "}";
         ordersSent++;
-        LOG.info("server {} is ordered to {} under number {}", server.instanceId, stage, number);
+        LOG.info("stage order sent server={} stage={} token={}", server.instanceId, stage, number);
         client.sendOrder(server, body.getBytes(StandardCharsets.UTF_8), () -> duty.isHeld(number), (status, answer) -> {
             if (status != 200 && status != 202) {
-                LOG.info("server {} answers {} to an order", server.instanceId, status);
+                LOG.info("stage order rejected server={} status={}", server.instanceId, status);
                 pending.remove(server.instanceId);
                 poller.clearStageOverride(server.instanceId);
                 reports.remove(server.instanceId);
