--- a/balancer/src/main/java/dewplank/balancer/WeightedDraw.java
+++ b/balancer/src/main/java/dewplank/balancer/WeightedDraw.java
@@ -9,7 +9,7 @@
     private WeightedDraw() { }
 
     /** One by weight, never {@code but}; null if there is no other. */
-    public static <T> T one(List<T> from, T but, ToDoubleFunction<T> weight, RandomGenerator random) {
+    public static <T> T draw(List<T> from, T but, ToDoubleFunction<T> weight, RandomGenerator random) {
         double total = 0;
         for (T s : from) {
             total += s == but ? 0 : weight.applyAsDouble(s);
--- a/balancer/src/main/java/dewplank/balancer/Choice.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/AdaptiveBalancer.java
@@ -1,5 +1,41 @@
-package dewplank.balancer;
-
+package dewplank.balancer.adaptive;
+
+import dewplank.balancer.Action;
+import dewplank.balancer.Endpoint;
+import dewplank.balancer.Event;
+import dewplank.balancer.Outcome;
+import dewplank.balancer.Settings;
+import dewplank.balancer.WeightedDraw;
+
+import dewplank.balancer.Balancer;
+
+import dewplank.balancer.health.PeerSummary;
+import dewplank.balancer.health.PeerVotes;
+import dewplank.balancer.health.ServerHealth;
+import dewplank.balancer.Action.BroadcastSummary;
+import dewplank.balancer.Action.Cancel;
+import dewplank.balancer.Action.CheckHealth;
+import dewplank.balancer.Action.CloseIdleConnections;
+import dewplank.balancer.Action.Fail;
+import dewplank.balancer.Action.Reject;
+import dewplank.balancer.Action.Send;
+import dewplank.balancer.Action.SetTimer;
+import dewplank.balancer.Action.Subscribe;
+import dewplank.balancer.Endpoint.Availability;
+import dewplank.balancer.Event.AttemptEnded;
+import dewplank.balancer.Event.EndpointUpdate;
+import dewplank.balancer.Event.HealthChecked;
+import dewplank.balancer.Event.PeerSummaryReceived;
+import dewplank.balancer.Event.RequestAbandoned;
+import dewplank.balancer.Event.RequestArrived;
+import dewplank.balancer.Event.StreamStarted;
+import dewplank.balancer.Event.TimerFired;
+import dewplank.balancer.Event.UpdateKind;
+import dewplank.balancer.Settings.DeduplicationScope;
+import dewplank.balancer.Settings.Goal;
+import dewplank.balancer.Settings.Idempotency;
+import dewplank.balancer.Settings.RequestClass;
+import dewplank.balancer.Settings.Tenant;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.Comparator;
@@ -11,13 +47,13 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 import java.util.random.RandomGenerator;
-import dewplank.balancer.Memory.*;
+import dewplank.balancer.adaptive.Memory.*;
 
 /**
  * All decisions of one sidecar; the types, events and actions are those of {@link Balancer}. Every send
  * passes {@link #maySend} and every refusal {@link #mayRefuse}.
  */
-public final class Choice implements Balancer {
+public final class AdaptiveBalancer implements Balancer {
 
     // The list, trials and peers
     private static final double ASK_BACKOFF_MS = 500;    // after a failed call; doubles, with jitter
@@ -64,8 +100,8 @@
     private final Fleet fleet = new Fleet();
     private final Demand demand = new Demand();
     private final Sets sets = new Sets();
-    private final ColdBudget cold;
-    private final LearnedSpeeds speeds;
+    private final SlowStartBudget cold;
+    private final LatencyEstimates speeds;
     final Map<String, Server> servers = new LinkedHashMap<>();
     private final Map<Long, Request> requests = new HashMap<>();
     private final Map<Long, Runnable> timers = new HashMap<>();
@@ -82,14 +118,15 @@
     private double trialTokens;
     private final Rate ownRate = new Rate(SET_RATE_TAU_MS);
 
-    public Choice(Settings settings, RandomGenerator random) {
+    public AdaptiveBalancer(Settings settings, RandomGenerator random) {
         this.cfg = settings;
         this.random = random;
-        this.cold = new ColdBudget(settings, fleet, new Rate(ColdBudget.RATE_TAU_MS), random);
-        this.speeds = new LearnedSpeeds(settings, fleet, cold);
+        this.cold = new SlowStartBudget(settings, fleet, new Rate(SlowStartBudget.RATE_TAU_MS), random);
+        this.speeds = new LatencyEstimates(settings, fleet, cold);
         Goal goal = settings.goal();
         this.strictness = 1 - goal.tail() / Math.max(1e-9, goal.all() + goal.worstClass() + goal.tail());
-        settings.classes().forEach(c -> demand.kinds.put(c.name(), new Kind(c, c.aimMs() * FIRST_GUESS)));
+        settings.classes()
+            .forEach(c -> demand.kinds.put(c.name(), new Kind(c, c.latencyTargetMs() * FIRST_GUESS)));
         settings.tenants().forEach(t -> demand.accounts.put(t.name(), new Account(t, TENANT_TAU_MS)));
     }
 
@@ -97,21 +134,21 @@
     public void handle(double time, Event event, Consumer<Action> actions) {
         fleet.now = time;
         out = actions;
-        if (event instanceof ListNews e) {
+        if (event instanceof EndpointUpdate e) {
             onList(e);
-        } else if (event instanceof Arrived e) {
+        } else if (event instanceof RequestArrived e) {
             onArrival(e);
-        } else if (event instanceof StreamBegan e) {
+        } else if (event instanceof StreamStarted e) {
             onStream(e);
-        } else if (event instanceof Ended e) {
+        } else if (event instanceof AttemptEnded e) {
             onEnded(e);
-        } else if (event instanceof Abandoned e) {
+        } else if (event instanceof RequestAbandoned e) {
             close(requests.get(e.request()));
         } else if (event instanceof TimerFired e) {
             Optional.ofNullable(timers.remove(e.timer())).ifPresent(Runnable::run);
-        } else if (event instanceof Probed e) {
+        } else if (event instanceof HealthChecked e) {
             onProbe(e);
-        } else if (event instanceof PeerSaid e) {
+        } else if (event instanceof PeerSummaryReceived e) {
             onPeer(e);
         }
     }
@@ -123,39 +160,39 @@
 
     // ---- the list of servers --------------------------------------------------------------------------
 
-    private void onList(ListNews news) {
+    private void onList(EndpointUpdate news) {
         reviewAt = fleet.now;
-        if (news.form() == ListForm.BROKEN) {
+        if (news.kind() == UpdateKind.BROKEN) {
             asking = false;
             double wait = askWait * (0.5 + random.nextDouble());
-            askWait = Math.min(askWait * 2, cfg.safety().askWithinMs() / 2);
+            askWait = Math.min(askWait * 2, cfg.safety().maxSubscribeDelayMs() / 2);
             after(wait, this::ask);
             return;
         }
-        if (news.form() != ListForm.CHANGES) {
+        if (news.kind() != UpdateKind.INCREMENTAL) {
             servers.values().forEach(s -> s.gone = true);
         }
-        news.entries().forEach(this::learn);
+        news.endpoints().forEach(this::learn);
         servers.values().removeIf(s -> s.gone && !listed(s) && s.outstanding.isEmpty());   // lest they add up
-        if (news.form() != ListForm.STALE) {
+        if (news.kind() != UpdateKind.CACHED) {
             asking = false;
             askWait = ASK_BACKOFF_MS;
         }
         if (!started) {
             started = true;
             ask();
-            if (cfg.limits().peers()) {
+            if (cfg.limits().exchangesPeerSummaries()) {
                 after(TELL_EVERY_MS * random.nextDouble(), this::tellPeers);
             }
         }
     }
 
-    private void learn(Entry e) {
+    private void learn(Endpoint e) {
         Server s = servers.computeIfAbsent(e.server(), id -> new Server(id, spread(id)));
-        boolean restarted = s.entry != null && e.startedAt() != null
-            && !e.startedAt().equals(s.entry.startedAt());
+        boolean restarted = s.entry != null && e.startedAtMs() != null
+            && !e.startedAtMs().equals(s.entry.startedAtMs());
         if (restarted) {   // a new process: what was seen of the old one says nothing of it
-            s.health.restarted();
+            s.health.reset();
             s.doubts = 0;
             s.restUntil = 0;
             s.sawDraining = false;
@@ -168,7 +205,7 @@
     }
 
     private void ask() {
-        if (!cfg.listPushed() && !asking) {
+        if (!cfg.endpointListIsPushed() && !asking) {
             asking = true;
             out.accept(new Subscribe());
         }
@@ -176,7 +213,7 @@
 
     /** Drains are kept from the moment of being told; one only gone stays in use where the rules say so. */
     private boolean listed(Server s) {
-        return !s.sawDraining && (!s.gone || cfg.safety().onlyDrainingBinds());
+        return !s.sawDraining && (!s.gone || cfg.safety().onlyDrainingIsBinding());
     }
 
     // ---- observations and verdicts --------------------------------------------------------------------
@@ -204,22 +241,22 @@
 
     private void tellPeers() {
         List<Integer> unhealthy = servers.values().stream()
-            .filter(s -> listed(s) && s.health.unhealthy(fleet.now)).map(s -> s.id.hashCode()).toList();
-        out.accept(new TellPeers(new Summary(fleet.now, unhealthy).bytes()));
+            .filter(s -> listed(s) && s.health.isUnhealthy(fleet.now)).map(s -> s.id.hashCode()).toList();
+        out.accept(new BroadcastSummary(new PeerSummary(fleet.now, unhealthy).encode()));
         after(TELL_EVERY_MS, this::tellPeers);
     }
 
-    private void onPeer(PeerSaid e) {
-        Summary said = Summary.of(e.bytes());
-        if (said != null && e.peer() >= 0 && e.peer() < cfg.replicas()) {
-            peers.hear(fleet.now, e.peer(), said);
+    private void onPeer(PeerSummaryReceived e) {
+        PeerSummary said = PeerSummary.decode(e.bytes());
+        if (said != null && e.peer() >= 0 && e.peer() < cfg.replicaCount()) {
+            peers.receive(fleet.now, e.peer(), said);
         }
     }
 
-    private void onProbe(Probed e) {
+    private void onProbe(HealthChecked e) {
         Server s = servers.get(e.server());
         if (s != null) {
-            s.probeServed = e.served();
+            s.probeServed = e.isServing();
         }
     }
 
@@ -227,7 +264,7 @@
 
     /** A number that orders the servers, otherwise for each sidecar: it spreads the working sets evenly. */
     private long spread(String id) {
-        return mix(id.hashCode() + 0x9E3779B97F4A7C15L * (cfg.me() + 1));
+        return mix(id.hashCode() + 0x9E3779B97F4A7C15L * (cfg.replicaIndex() + 1));
     }
 
     private static long mix(long value) {
@@ -248,7 +285,7 @@
         List.of(sets.ready, sets.free, sets.held, sets.working).forEach(List::clear);
         for (Server s : servers.values()) {
             if (listed(s)) {
-                s.condemned = peers.condemned(fleet.now, s.id, s.health.unhealthy(fleet.now));
+                s.condemned = peers.isUnhealthy(fleet.now, s.id, s.health.isUnhealthy(fleet.now));
                 s.inSet = false;
                 if (!s.gone || !s.condemned) {   // one gone and failing does not count for the floor
                     sets.ready.add(s);
@@ -259,7 +296,7 @@
         List<Server> drawable = new ArrayList<>(halfFree() ? sets.free : sets.ready);
         drawable.sort(Comparator.comparingLong(s -> s.order));
         long zoneCount = sets.ready.stream().map(s -> s.entry.zone()).distinct().count();
-        double size = SET_CONNECTIONS * sets.ready.size() / Math.max(1, cfg.replicas())
+        double size = SET_CONNECTIONS * sets.ready.size() / Math.max(1, cfg.replicaCount())
             + ownRate.at(fleet.now) * SET_VISIT_MS;
         double home = Math.max(SET_LEAST, 2 * size / (zoneCount + 1));
         Map<String, Integer> taken = new HashMap<>();
@@ -269,7 +306,7 @@
                 s.inSet = true;
             } else if (s.connections > 0 && s.outstanding.isEmpty() && fleet.now - s.lastUse > SET_CLOSE_MS) {
                 s.connections = 0;   // a full table slows its server, and keeps others out
-                out.accept(new CloseIdle(s.id));
+                out.accept(new CloseIdleConnections(s.id));
             }
         }
     }
@@ -283,7 +320,8 @@
     private Server pick(Request r) {
         review();
         Predicate<Server> fits = s -> maySend(r, s) && fleet.now >= s.restUntil && cold.allows(s, r);
-        if (r.attempts.isEmpty() && r.kind.rules.effect() == Effect.SAFE && halfFree() && trialTokens >= 1) {
+        if (r.attempts.isEmpty() && r.kind.rules.idempotency() == Idempotency.SAFE && halfFree()
+            && trialTokens >= 1) {
             for (Server s : sets.held) {
                 if (trialDue(s) && fits.test(s)) {
                     s.lastTrial = fleet.now;
@@ -298,10 +336,10 @@
             fitting = fitting.isEmpty() ? keep(wider, fits) : fitting;
         }
         fitting = prefer(fitting, s -> r.attempts.stream().noneMatch(a -> a.server == s));
-        if (r.kind.rules.effect() == Effect.UNSAFE) {   // no second chance: only where the last word was good
-            fitting = prefer(fitting, s -> !speeds.doubted(s) && s.health.servedInWindow(fleet.now));
+        if (r.kind.rules.idempotency() == Idempotency.UNSAFE) {   // no retry: only where the latest was good
+            fitting = prefer(fitting, s -> !speeds.doubted(s) && s.health.hasRecentSuccess(fleet.now));
         }
-        r.keyServer = r.key == null || !cfg.warmKeys() ? null : keyServer(r.key);
+        r.keyServer = r.key == null || !cfg.serversCacheKeys() ? null : keyServer(r.key);
         Server home = pickTwo(keep(fitting, s -> s.home), r);
         Server away = pickTwo(keep(fitting, s -> !s.home), r);
         if (home == null || away == null) {
@@ -323,9 +361,9 @@
         if (fleet.now - s.lastTrial < TRIAL_EVERY_MS) {
             return false;
         }
-        if (cfg.limits().mayProbe() && fleet.now - s.lastProbe >= TRIAL_EVERY_MS) {
+        if (cfg.limits().allowsHealthChecks() && fleet.now - s.lastProbe >= TRIAL_EVERY_MS) {
             s.lastProbe = fleet.now;
-            out.accept(new Probe(s.id));
+            out.accept(new CheckHealth(s.id));
         }
         return s.probeServed || fleet.now - s.lastTrial > PROBE_FRESH_MS;
     }
@@ -345,18 +383,18 @@
             return null;
         }
         Server a = from.contains(r.keyServer) ? r.keyServer
-            : WeightedDraw.one(from, null, this::drawWeight, random);
+            : WeightedDraw.draw(from, null, this::drawWeight, random);
         if (from.size() == 1) {
             return a;
         }
-        Server b = WeightedDraw.one(from, a, this::drawWeight, random);
+        Server b = WeightedDraw.draw(from, a, this::drawWeight, random);
         int more = speeds.load(a) - speeds.load(b);
         boolean first = more == 0 ? risk(a, r) <= risk(b, r) : more < 0;
         return first ? a : b;
     }
 
     private double drawWeight(Server s) {
-        double rated = cfg.ratedServers() ? Math.max(s.entry.rating(), ServerHealth.WEIGHT_FLOOR) : 1;
+        double rated = cfg.serversAreRated() ? Math.max(s.entry.rating(), ServerHealth.WEIGHT_FLOOR) : 1;
         double reach = speeds.connects(s) ? Math.max(ServerHealth.WEIGHT_FLOOR, 1 - fleet.connectFailing) : 1;
         return s.health.weight() * rated * reach * cold.likely(s);
     }
@@ -369,7 +407,7 @@
             return false;
         }
         for (Attempt a : r.attempts) {
-            boolean copy = a.state == State.OUT && !cfg.limits().secondCopies();
+            boolean copy = a.state == State.OUT && !cfg.limits().allowsHedging();
             if (copy || a.state != State.NEVER_RAN && !mayRepeat(a, s)) {
                 return false;
             }
@@ -380,13 +418,13 @@
     /** Whether what may have run there can be sent to this server without a second effect. */
     private boolean mayRepeat(Attempt a, Server s) {
         RequestClass c = a.request.kind.rules;
-        boolean sameGroup = switch (c.scope()) {
+        boolean sameGroup = switch (c.deduplicationScope()) {
             case ALL -> true;
             case ZONE -> a.zone.equals(s.entry.zone());
             case CELL -> a.cell == s.entry.cell();
         };
-        boolean dropped = sameGroup && fleet.now - a.sentAt <= c.memoryMs() - cfg.tickMs();
-        return c.effect() == Effect.SAFE || c.effect() == Effect.KEYED && dropped;
+        boolean dropped = sameGroup && fleet.now - a.sentAt <= c.deduplicationWindowMs() - cfg.tickMs();
+        return c.idempotency() == Idempotency.SAFE || c.idempotency() == Idempotency.KEYED && dropped;
     }
 
     /**
@@ -395,7 +433,7 @@
      */
     private double writeWithin(Request r) {
         RequestClass c = r.kind.rules;
-        double memory = c.effect() == Effect.KEYED ? c.memoryMs() - cfg.tickMs() : 0;
+        double memory = c.idempotency() == Idempotency.KEYED ? c.deduplicationWindowMs() - cfg.tickMs() : 0;
         return r.attempts.stream().filter(a -> memory > 0 && a.state != State.NEVER_RAN)
             .mapToDouble(a -> a.sentAt + memory - fleet.now).min().orElse(Double.POSITIVE_INFINITY);
     }
@@ -403,8 +441,9 @@
     /** The one test before every refusal: a refusal promises that trying again is harmless. */
     private boolean mayRefuse(Request r) {
         RequestClass c = r.kind.rules;
-        boolean keyedAnywhere = c.effect() == Effect.KEYED && c.scope() == Scope.ALL;
-        boolean repeatable = c.effect() == Effect.SAFE || keyedAnywhere;
+        boolean keyedAnywhere = c.idempotency() == Idempotency.KEYED
+            && c.deduplicationScope() == DeduplicationScope.ALL;
+        boolean repeatable = c.idempotency() == Idempotency.SAFE || keyedAnywhere;
         return repeatable || r.attempts.stream().allMatch(a -> a.state == State.NEVER_RAN);
     }
 
@@ -416,8 +455,8 @@
         s.connections += a.connects ? 1 : 0;
         cold.countSend(s, r.work(), sets.working);
         double overdueIn = speeds.overdueAfter(r, s);
-        boolean timed = !cfg.limits().mayCancel() && !cfg.limits().secondCopies()
-            && r.kind.rules.effect() != Effect.UNSAFE && speeds.doubted(s);   // else it is long, not stuck
+        boolean timed = !cfg.limits().allowsCancellation() && !cfg.limits().allowsHedging()
+            && r.kind.rules.idempotency() != Idempotency.UNSAFE && speeds.doubted(s);   // else long
         out.accept(new Send(r.id, s.id, timed ? overdueIn : 0, writeWithin(r)));
         if (overdueIn < r.giveUp - fleet.now) {
             after(overdueIn, () -> onOverdue(a));
@@ -435,16 +474,17 @@
         boolean doubt = speeds.doubted(a.server);
         suspect(a, true);
         double more = Math.max(0, fleet.now - a.sentAt - a.server.zone.least);
-        a.server.zone.least += more * LearnedSpeeds.WAY_STEP;
+        a.server.zone.least += more * LatencyEstimates.WAY_STEP;
         if (r.over || fleet.now >= r.aimAt() || !mayTryAgain(r)) {
             return;
         }
-        if (cfg.limits().secondCopies()) {
+        if (cfg.limits().allowsHedging()) {
             Server s = pick(r);
             if (s != null && s != a.server && shed(r, s) <= 0) {   // into a crowd a copy only adds work
                 send(r, s);
             }
-        } else if (doubt && cfg.limits().mayCancel() && r.kind.rules.effect() != Effect.UNSAFE) {
+        } else if (doubt && cfg.limits().allowsCancellation()
+            && r.kind.rules.idempotency() != Idempotency.UNSAFE) {
             out.accept(new Cancel(r.id, a.number));   // the outcome decides on the next attempt
         }
     }
@@ -454,19 +494,19 @@
         return retryTokens >= 1 && risky < RISKY_ATTEMPTS && r.attempts.size() < cfg.limits().maxAttempts();
     }
 
-    private void onStream(StreamBegan e) {
+    private void onStream(StreamStarted e) {
         Request r = requests.get(e.request());
         if (r == null || e.attempt() >= r.attempts.size()) {
             return;
         }
         r.streaming = true;
         Attempt a = r.attempts.get(e.attempt());
-        speeds.learnTime(a, e.tookMs());
+        speeds.learnTime(a, e.elapsedMs());
         observe(a.server, r.kind.rules.name(), true);
         cancelOthers(r, a);
     }
 
-    private void onEnded(Ended e) {
+    private void onEnded(AttemptEnded e) {
         Request r = requests.get(e.request());
         if (r == null || e.attempt() >= r.attempts.size()) {
             return;
@@ -476,15 +516,15 @@
         a.server.lastUse = fleet.now;
         if (a.connects && e.outcome() != Outcome.CANCELLED && e.outcome() != Outcome.NEVER_SENT) {
             double failed = e.outcome() == Outcome.CONNECT_FAILED ? 1 : 0;
-            fleet.connectFailing += (failed - fleet.connectFailing) * LearnedSpeeds.CONNECT_STEP;
+            fleet.connectFailing += (failed - fleet.connectFailing) * LatencyEstimates.CONNECT_STEP;
         }
         a.state = switch (e.outcome()) {
-            case FULL -> cfg.safety().fullMayHaveRun() ? State.MAY_HAVE_RUN : State.NEVER_RAN;
+            case REJECTED -> cfg.safety().rejectedMayHaveRun() ? State.MAY_HAVE_RUN : State.NEVER_RAN;
             case CONNECT_FAILED, NEVER_SENT -> State.NEVER_RAN;
             default -> State.MAY_HAVE_RUN;
         };
         judge(a, e);
-        if (e.over()) {
+        if (e.requestIsOver()) {
             close(r);
         }
         if (!r.over && !r.streaming && !r.anyOut()) {
@@ -495,22 +535,22 @@
         }
     }
 
-    private void judge(Attempt a, Ended e) {
+    private void judge(Attempt a, AttemptEnded e) {
         Server s = a.server;
         switch (e.outcome()) {
             case SERVED -> {
                 s.lastServedSentAt = Math.max(s.lastServedSentAt, a.sentAt);
                 if (!a.request.streaming) {
-                    speeds.learnTime(a, e.tookMs());
+                    speeds.learnTime(a, e.elapsedMs());
                 }
                 Kind kind = a.request.kind;
                 boolean inTime = fleet.now <= a.request.aimAt();
-                kind.worthServed += a.request.worth * (inTime ? 1 : kind.rules.lateWorth());
+                kind.worthServed += a.request.worth * (inTime ? 1 : kind.rules.lateValue());
                 if (!a.overdue) {
                     observe(s, kind.rules.name(), true);
                 } else {
                     s.doubts = 0;   // alive, but its lateness stands as observed
-                    s.health.servedLate(fleet.now);
+                    s.health.recordLateSuccess(fleet.now);
                 }
             }
             case ERROR, RESET -> suspect(a, false);
@@ -518,17 +558,17 @@
                 if (!a.overdue) {
                     suspect(a, true);
                 }
-                speeds.learnLate(a, e.tookMs());
+                speeds.learnLate(a, e.elapsedMs());
             }
             case CONNECT_FAILED -> {
                 // A server that answers on its open connections has a full table; else it may be dead.
                 s.connections = s.outstanding.isEmpty() ? 0 : s.connections;
-                if (fleet.now - s.health.lastHealthy() > 2 * cfg.limits().connectTimeoutMs()) {
+                if (fleet.now - s.health.lastSuccessAtMs() > 2 * cfg.limits().connectTimeoutMs()) {
                     suspect(a, true);
                 }
                 restServer(s, a, CONNECT_PAUSE_MS);
             }
-            case FULL -> restServer(s, a, FULL_PAUSE_MS);
+            case REJECTED -> restServer(s, a, FULL_PAUSE_MS);
             case CANCELLED, NEVER_SENT -> { }
         }
     }
@@ -557,8 +597,8 @@
     private void giveUp(Request r) {
         if (mayRefuse(r)) {
             double usual = fleet.slowness * speeds.cost(r);
-            double wait = cfg.limits().retryAdvice() ? usual * (1 + random.nextDouble()) : 0;
-            out.accept(new Refuse(r.id, Math.min(cfg.limits().maxRetryAdviceMs(), wait)));
+            double wait = cfg.limits().allowsRetryAdvice() ? usual * (1 + random.nextDouble()) : 0;
+            out.accept(new Reject(r.id, Math.min(cfg.limits().maxRetryAdviceMs(), wait)));
         } else {
             out.accept(new Fail(r.id));
         }
@@ -580,7 +620,7 @@
 
     private void cancelOthers(Request r, Attempt but) {
         for (Attempt a : r.attempts) {
-            if (a.state == State.OUT && a != but && cfg.limits().mayCancel()) {
+            if (a.state == State.OUT && a != but && cfg.limits().allowsCancellation()) {
                 out.accept(new Cancel(r.id, a.number));
             }
         }
@@ -588,19 +628,19 @@
 
     // ---- admission ------------------------------------------------------------------------------------
 
-    private void onArrival(Arrived e) {
+    private void onArrival(RequestArrived e) {
         Kind kind = demand.kinds.get(e.requestClass());
         if (kind == null) {
             throw new IllegalArgumentException("unknown class " + e.requestClass());
         }
-        if (e.cost() != null) {
-            kind.work.follow(e.cost(), LearnedSpeeds.FLEET_STEP);
+        if (e.costMs() != null) {
+            kind.work.follow(e.costMs(), LatencyEstimates.FLEET_STEP);
         }
-        double work = e.cost() == null ? kind.work.value : e.cost();
-        double worth = kind.rules.worth() * (cfg.worthByWork() ? work : 1) * withinShare(e.tenant());
+        double work = e.costMs() == null ? kind.work.value : e.costMs();
+        double worth = kind.rules.value() * (cfg.valueIsPerWork() ? work : 1) * withinShare(e.tenant());
         kind.worthAsked += worth;
         Request r = new Request(e, kind, fleet.now, worth, worth * goalWeight(kind) / Math.max(work, 1e-3));
-        double step = demand.meanWorth == 0 ? 1 : LearnedSpeeds.FLEET_STEP;
+        double step = demand.meanWorth == 0 ? 1 : LatencyEstimates.FLEET_STEP;
         demand.meanWorth += (worth - demand.meanWorth) * step;
         retryTokens = Math.min(RETRY_BURST, retryTokens + RETRY_SHARE);
         trialTokens = Math.min(1, trialTokens + TRIAL_SHARE);
@@ -621,7 +661,7 @@
             s = fitting.stream().min(Comparator.comparingDouble(x -> risk(x, r))).orElse(s);
         }
         double late = speeds.queued(s, r);
-        feelPressure(fitting.stream().filter(x -> fleet.now - x.lastSample < LearnedSpeeds.RECENT_MS)
+        feelPressure(fitting.stream().filter(x -> fleet.now - x.lastSample < LatencyEstimates.RECENT_MS)
             .mapToDouble(x -> speeds.queued(x, r)).min().orElse(late));
         double lasting = demand.shortage * Math.exp((fleet.answeredAt - fleet.now) / SHORTAGE_TAU_MS);
         if (shed(r, s) + lasting * Math.min(1, late / SHORTAGE_FROM) > rank) {
@@ -637,7 +677,7 @@
      */
     private double shed(Request r, Server s) {
         double late = speeds.crowded(s, r) / strictness;
-        double fresh = Math.exp((fleet.timedAt - fleet.now) / LearnedSpeeds.RECENT_TOOK_MS);   // news fade
+        double fresh = Math.exp((fleet.timedAt - fleet.now) / LatencyEstimates.RECENT_TOOK_MS);   // news fade
         double times = 1 + (fleet.recentTimes - 1) * fresh;
         double slower = (times - SLOWER_FROM) / (SLOWER_ALL - SLOWER_FROM);
         double queues = Math.min(speeds.queued(s, r), demand.pressure) / strictness;
@@ -671,9 +711,9 @@
     private double withinShare(String tenant) {
         Account mine = tenant == null ? null : demand.accounts.get(tenant);
         if (mine == null && !demand.accounts.isEmpty()) {   // a stranger has no share
-            return cfg.overShareWorth();
+            return cfg.overShareValueFactor();
         }
-        if (mine == null || mine.tenant.allowancePerS() <= 0) {
+        if (mine == null || mine.tenant.allowancePerSecond() <= 0) {
             return 1;
         }
         mine.rate.add(fleet.now, 1000 / TENANT_TAU_MS);
@@ -681,11 +721,11 @@
         double allowances = 0;
         for (Tenant t : cfg.tenants()) {
             rates += demand.accounts.get(t.name()).rate.at(fleet.now);
-            allowances += t.allowancePerS();
+            allowances += t.allowancePerSecond();
         }
-        double fair = rates * mine.tenant.allowancePerS() / allowances;
+        double fair = rates * mine.tenant.allowancePerSecond() / allowances;
         double within = Math.min(1, fair / mine.rate.value);
-        return within + (1 - within) * cfg.overShareWorth();
+        return within + (1 - within) * cfg.overShareValueFactor();
     }
 
     /** Kept only while waiting can help: a list may come, a rest may end, the cold budget refills. */
--- a/balancer/src/main/java/dewplank/balancer/LearnedSpeeds.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/LatencyEstimates.java
@@ -1,10 +1,11 @@
-package dewplank.balancer;
+package dewplank.balancer.adaptive;
 
-import dewplank.balancer.Balancer.Settings;
-import dewplank.balancer.Memory.*;
+import dewplank.balancer.Settings;
+
+import dewplank.balancer.adaptive.Memory.*;
 
 /** What servers take: learned from their answers, and expected of the next request by what they hold. */
-record LearnedSpeeds(Settings cfg, Fleet fleet, ColdBudget cold) {
+record LatencyEstimates(Settings cfg, Fleet fleet, SlowStartBudget cold) {
     private static final int DOUBTS_MOST = 5;            // doubts since the last success, counted as load
     private static final double DOUBT_LASTS_MS = 1_000;  // without a new one; a verdict is what lasts
     private static final double OVERDUE_DEVIATIONS = 4;  // mean deviations over the fleet's usual time
@@ -123,10 +124,10 @@
 
     /** Whether an attempt there now would have to wait for a new connection. */
     boolean connects(Server s) {
-        if (s.outstanding.isEmpty() && fleet.now - s.lastUse > cfg.limits().idleCloseMs()) {
+        if (s.outstanding.isEmpty() && fleet.now - s.lastUse > cfg.limits().idleTimeoutMs()) {
             s.connections = 0;
         }
-        return s.outstanding.size() >= s.connections * cfg.limits().streamsPerConnection();
+        return s.outstanding.size() >= s.connections * cfg.limits().maxStreamsPerConnection();
     }
 
     /** The time the request would likely take there, by learned speed, own load and what is overdue. */
--- a/balancer/src/main/java/dewplank/balancer/Memory.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/Memory.java
@@ -1,18 +1,19 @@
-package dewplank.balancer;
+package dewplank.balancer.adaptive;
 
-import java.util.ArrayDeque;
+import dewplank.balancer.Endpoint;
+
+import dewplank.balancer.health.ServerHealth;
+import dewplank.balancer.Event.RequestArrived;
+import dewplank.balancer.Settings.RequestClass;
+import dewplank.balancer.Settings.Tenant;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
-import dewplank.balancer.Balancer.Arrived;
-import dewplank.balancer.Balancer.Entry;
-import dewplank.balancer.Balancer.RequestClass;
-import dewplank.balancer.Balancer.Tenant;
 
-/** What {@link Choice} and its parts remember: plain holders and running figures, no decisions. */
+/** What {@link AdaptiveBalancer} and its parts remember: plain holders and running figures, no decisions. */
 final class Memory {
     private Memory() { }
 
@@ -153,26 +154,6 @@
         }
     }
 
-    /** What {@link ServerHealth} remembers of one context, newest last. */
-    static final class Window {
-        final ArrayDeque<Double> times = new ArrayDeque<>();
-        final ArrayDeque<Boolean> healthy = new ArrayDeque<>();
-        int unhealthy;
-
-        void add(double at, boolean ok) {
-            times.addLast(at);
-            healthy.addLast(ok);
-            unhealthy += ok ? 0 : 1;
-        }
-
-        void forgetBefore(double since) {
-            while (!times.isEmpty() && times.peekFirst() < since) {
-                times.removeFirst();
-                unhealthy -= healthy.removeFirst() ? 0 : 1;
-            }
-        }
-    }
-
     /** A zone: the least time lately from a send there to its answer. */
     static final class Zone {
         double least;
@@ -182,7 +163,7 @@
     static final class Server {
         final String id;
         final long order;
-        Entry entry;
+        Endpoint entry;
         Zone zone;
         boolean home;
         boolean condemned;
@@ -231,13 +212,13 @@
         boolean over;
         boolean streaming;
 
-        Request(Arrived a, Kind kind, double now, double worth, double density) {
+        Request(RequestArrived a, Kind kind, double now, double worth, double density) {
             this.id = a.request();
             this.kind = kind;
             this.key = a.key();
             this.arrived = now;
             this.giveUp = now + a.budgetMs();
-            this.cost = a.cost();
+            this.cost = a.costMs();
             this.worth = worth;
             this.density = density;
         }
@@ -249,7 +230,7 @@
 
         double aimAt() {
             RequestClass c = kind.rules;
-            double aim = c.aimMs() + c.aimPerWork() * (cost == null ? 0 : cost);
+            double aim = c.latencyTargetMs() + c.latencyTargetPerWork() * (cost == null ? 0 : cost);
             return arrived + Math.min(aim, c.deadlineMs());
         }
 
--- a/balancer/src/main/java/dewplank/balancer/ColdBudget.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/SlowStartBudget.java
@@ -1,24 +1,26 @@
-package dewplank.balancer;
+package dewplank.balancer.adaptive;
+
+import dewplank.balancer.Settings;
 
 import java.util.List;
 import java.util.random.RandomGenerator;
-import dewplank.balancer.Balancer.Settings;
-import dewplank.balancer.Memory.*;
+import dewplank.balancer.adaptive.Memory.*;
 
 /** How warm servers are, and this instance's part of what the cold ones may be sent. */
-record ColdBudget(Settings cfg, Fleet fleet, Rate warmRate, RandomGenerator random) {
+record SlowStartBudget(Settings cfg, Fleet fleet, Rate warmRate, RandomGenerator random) {
     private static final double COLD_OWN_RATE = 0.6;     // of this instance's usual rate to a warm server
     private static final double COLD_FLOOR_CORES = 0.25; // standard cores that even the smallest server has
     static final double RATE_TAU_MS = 3_000;             // averaging time of that rate
 
     /** The part of its capacity that a server surely has by now. */
     double warmth(Server s) {
-        Double at = s.entry.startedAt();
-        if (at == null || at <= 0 || cfg.safety().coldMs() <= 0) {
+        Double at = s.entry.startedAtMs();
+        if (at == null || at <= 0 || cfg.safety().slowStartMs() <= 0) {
             return 1;
         }
-        double age = Math.max(0, fleet.now - at) / cfg.safety().coldMs();
-        return Math.min(1, cfg.safety().coldShare() + (1 - cfg.safety().coldShare()) * age);
+        double age = Math.max(0, fleet.now - at) / cfg.safety().slowStartMs();
+        double initial = cfg.safety().slowStartInitialShare();
+        return Math.min(1, initial + (1 - initial) * age);
     }
 
     /**
@@ -40,13 +42,13 @@
             s.coldAt = 0;
             return true;
         }
-        double perMs = cfg.safety().fallMultiple() * warmth
-            * Math.max(COLD_OWN_RATE * warmRate.value, COLD_FLOOR_CORES / Math.max(1, cfg.replicas()));
+        double perMs = cfg.safety().slowStartOverloadFactor() * warmth
+            * Math.max(COLD_OWN_RATE * warmRate.value, COLD_FLOOR_CORES / Math.max(1, cfg.replicaCount()));
         if (s.coldAt == 0) {
             s.coldAt = fleet.now;
             s.coldSaved = -random.nextDouble() * r.kind.work.value;
         }
-        double most = perMs * cfg.safety().tipAfterMs() / 2;
+        double most = perMs * cfg.safety().slowStartOverloadMs() / 2;
         s.coldSaved = Math.min(most, s.coldSaved + perMs * (fleet.now - s.coldAt));
         s.coldAt = fleet.now;
         return s.inSet && s.coldSaved >= 0;
--- a/balancer/src/main/java/dewplank/balancer/PeerVotes.java
+++ b/balancer/src/main/java/dewplank/balancer/health/PeerVotes.java
@@ -1,4 +1,4 @@
-package dewplank.balancer;
+package dewplank.balancer.health;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -7,17 +7,18 @@
 public final class PeerVotes<P> {
     private static final double FRESH_MS = 3_000;   // a peer's summary counts so long
 
-    private final Map<P, Summary> summaries = new LinkedHashMap<>();
+    private final Map<P, PeerSummary> summaries = new LinkedHashMap<>();
 
     /** One that comes late, twice, after a newer one, or from a time still to come changes nothing. */
-    public void hear(double now, P peer, Summary summary) {
-        if (Math.abs(now - summary.toldAt()) <= FRESH_MS) {
-            summaries.merge(peer, summary, (last, said) -> last.toldAt() < said.toldAt() ? said : last);
+    public void receive(double now, P peer, PeerSummary summary) {
+        if (Math.abs(now - summary.createdAtMs()) <= FRESH_MS) {
+            summaries.merge(peer, summary,
+                (last, received) -> last.createdAtMs() < received.createdAtMs() ? received : last);
         }
     }
 
     /** The peer has left. */
-    public void forget(P peer) {
+    public void remove(P peer) {
         summaries.remove(peer);
     }
 
@@ -25,13 +26,13 @@
      * Whether a simple majority of votes finds the server unhealthy. A tie goes by own traffic: a quiet peer
      * that has seen nothing must not outvote the only other.
      */
-    public boolean condemned(double now, String server, boolean ownVote) {
+    public boolean isUnhealthy(double now, String server, boolean ownVote) {
         int votes = ownVote ? 1 : 0;
         int voters = 1;
-        for (Summary s : summaries.values()) {
-            if (now - s.toldAt() <= FRESH_MS) {
+        for (PeerSummary s : summaries.values()) {
+            if (now - s.createdAtMs() <= FRESH_MS) {
                 voters++;
-                votes += s.unhealthy().contains(server.hashCode()) ? 1 : 0;
+                votes += s.unhealthyServers().contains(server.hashCode()) ? 1 : 0;
             }
         }
         return 2 * votes > voters || 2 * votes == voters && ownVote;
--- a/balancer/src/test/java/dewplank/balancer/LimitsTest.java
+++ b/balancer/src/test/java/dewplank/balancer/LimitsTest.java
@@ -20,8 +20,10 @@
     private static final Path ROOT = Path.of("..");
     private static final Path MODULE = ROOT.resolve("balancer/src/main/java/dewplank/balancer");
 
-    /** Types and events, plain holders, and a wire format. */
-    private static final Set<String> NO_DECISIONS = Set.of("Balancer.java", "Memory.java", "Summary.java");
+    /** Types and events, plain holders, a wire format, and pages on packages. */
+    private static final Set<String> NO_DECISIONS = Set.of("Action.java", "Balancer.java", "Endpoint.java",
+        "Event.java", "Outcome.java", "Settings.java", "adaptive/Memory.java", "health/ObservationWindow.java",
+        "health/PeerSummary.java");
 
     @Test
     void theDecisionLogicStaysReadable() throws IOException {
@@ -38,12 +40,13 @@
     void thePolicyNamesEveryFileOfDecisions() throws IOException {
         Set<String> named = new TreeSet<>();
         for (Path file : policy()) {
-            assertEquals(MODULE, file.getParent());
-            named.add(file.getFileName().toString());
+            assertTrue(file.startsWith(MODULE), file + " is none of the module's");
+            assertTrue(named.add(MODULE.relativize(file).toString()), file + " is named twice");
         }
         Set<String> there = new TreeSet<>();
-        try (Stream<Path> files = Files.list(MODULE)) {
-            files.map(f -> f.getFileName().toString()).filter(f -> !NO_DECISIONS.contains(f)).forEach(there::add);
+        try (Stream<Path> files = Files.walk(MODULE)) {
+            files.filter(Files::isRegularFile).map(f -> MODULE.relativize(f).toString())
+                .filter(f -> !NO_DECISIONS.contains(f) && !f.endsWith("package-info.java")).forEach(there::add);
         }
         assertEquals(there, named);
     }
--- a/balancer/src/test/java/dewplank/balancer/WeightedDrawTest.java
+++ b/balancer/src/test/java/dewplank/balancer/WeightedDrawTest.java
@@ -1,5 +1,6 @@
 package dewplank.balancer;
 
+import dewplank.balancer.adaptive.AdaptiveBalancer;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
@@ -20,7 +21,7 @@
     private Map<String, Integer> draws(List<String> from, String but) {
         Map<String, Integer> drawn = new HashMap<>();
         for (int i = 0; i < DRAWS; i++) {
-            drawn.merge(WeightedDraw.one(from, but, WEIGHTS::get, random), 1, Integer::sum);
+            drawn.merge(WeightedDraw.draw(from, but, WEIGHTS::get, random), 1, Integer::sum);
         }
         return drawn;
     }
@@ -47,20 +48,20 @@
 
     @Test
     void withNoOtherThereIsNoDraw() {
-        assertNull(WeightedDraw.one(List.of(), null, WEIGHTS::get, random));
-        assertNull(WeightedDraw.one(List.of("a"), "a", WEIGHTS::get, random));
+        assertNull(WeightedDraw.draw(List.of(), null, WEIGHTS::get, random));
+        assertNull(WeightedDraw.draw(List.of("a"), "a", WEIGHTS::get, random));
     }
 
     @Test
     void whereAllWeighNothingTheLastIsDrawn() {
-        assertEquals("y", WeightedDraw.one(List.of("x", "y"), null, s -> 0, random));
+        assertEquals("y", WeightedDraw.draw(List.of("x", "y"), null, s -> 0, random));
     }
 
-    /** Choice's decisions are repeated by seed: how many numbers a draw takes is part of what it promises. */
+    /** AdaptiveBalancer's decisions are repeated by seed: how many numbers a draw takes is part of what it promises. */
     @Test
     void oneNumberIsTakenForEachDraw() {
         SplittableRandom other = new SplittableRandom(3);
-        WeightedDraw.one(ALL, "b", WEIGHTS::get, random);
+        WeightedDraw.draw(ALL, "b", WEIGHTS::get, random);
         other.nextDouble();
         assertEquals(other.nextLong(), random.nextLong());
     }
--- a/balancer/src/test/java/dewplank/balancer/AdmissionTest.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/AdmissionTest.java
@@ -1,16 +1,24 @@
-package dewplank.balancer;
+package dewplank.balancer.adaptive;
 
+import dewplank.balancer.Action;
+import dewplank.balancer.Outcome;
+
+import dewplank.balancer.Action.Reject;
+import dewplank.balancer.Action.Send;
+import dewplank.balancer.Endpoint.Availability;
+import dewplank.balancer.Event.RequestArrived;
+import dewplank.balancer.Event.UpdateKind;
+import dewplank.balancer.Settings.Tenant;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static dewplank.balancer.Host.entry;
-import static dewplank.balancer.Host.of;
-import static dewplank.balancer.Host.sent;
+import static dewplank.balancer.adaptive.Host.entry;
+import static dewplank.balancer.adaptive.Host.of;
+import static dewplank.balancer.adaptive.Host.sent;
 
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.random.RandomGenerator;
 import org.junit.jupiter.api.Test;
-import dewplank.balancer.Balancer.*;
 
 /** Refusals: the least worth first, only where the fleet is short of room, never for one bad draw. */
 class AdmissionTest {
@@ -121,10 +129,10 @@
         Host h = Host.with(new Host.Setup(), 4);
         load(h, 100, 20);
         load(h, 300, 250);
-        List<Refuse> refusals = of(h.all, Refuse.class);
+        List<Reject> refusals = of(h.all, Reject.class);
         assertTrue(refusals.size() > 10);
-        for (Refuse r : refusals) {
-            assertTrue(r.retryInMs() > 0 && r.retryInMs() <= 300, "advice " + r.retryInMs());
+        for (Reject r : refusals) {
+            assertTrue(r.retryAfterMs() > 0 && r.retryAfterMs() <= 300, "advice " + r.retryAfterMs());
         }
     }
 
@@ -152,11 +160,11 @@
         Host h = Host.with(new Host.Setup(), 4);
         for (int i = 0; i < 400; i++) {
             double cost = 5 + i % 10;
-            Send s = sent(h.tell(new Arrived(h.nextRequest++, null, null, false, "read", Host.DEADLINE, cost)));
+            Send s = sent(h.tell(new RequestArrived(h.nextRequest++, null, null, false, "read", Host.DEADLINE, cost)));
             h.now += 5;
             h.end(s, 0, Outcome.SERVED, 40 + cost, true);
         }
-        List<Action> heavy = h.tell(new Arrived(h.nextRequest++, null, null, false, "read", Host.DEADLINE, 80.0));
+        List<Action> heavy = h.tell(new RequestArrived(h.nextRequest++, null, null, false, "read", Host.DEADLINE, 80.0));
         assertEquals(1, of(heavy, Send.class).size());
     }
 
@@ -165,7 +173,7 @@
         Host.Setup setup = new Host.Setup();
         setup.crossPrice = crossPrice;
         Host h = new Host(setup);
-        h.list(ListForm.STALE, entry("h", "z1", 0, Availability.UP, null), entry("a", "z2", 1, Availability.UP, null));
+        h.list(UpdateKind.CACHED, entry("h", "z1", 0, Availability.UP, null), entry("a", "z2", 1, Availability.UP, null));
         return h;
     }
 
@@ -202,7 +210,7 @@
         int[] refused = new int[2];
         for (int i = 0; i < 1_500; i++) {
             boolean small = i % 10 == 0;
-            Send s = sent(h.tell(new Arrived(h.nextRequest++, small ? within : over, null, false, "read",
+            Send s = sent(h.tell(new RequestArrived(h.nextRequest++, small ? within : over, null, false, "read",
                 Host.DEADLINE, 20.0)));
             h.now += 5;
             if (s != null) {
--- a/balancer/src/test/java/dewplank/balancer/EffectTest.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/EffectTest.java
@@ -1,15 +1,25 @@
-package dewplank.balancer;
+package dewplank.balancer.adaptive;
 
+import dewplank.balancer.Action;
+
+import dewplank.balancer.Outcome;
+
+import dewplank.balancer.Action.Fail;
+import dewplank.balancer.Action.Reject;
+import dewplank.balancer.Action.Send;
+import dewplank.balancer.Endpoint.Availability;
+import dewplank.balancer.Event.UpdateKind;
+import dewplank.balancer.Settings.DeduplicationScope;
+import dewplank.balancer.Settings.Idempotency;
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static dewplank.balancer.Host.entry;
-import static dewplank.balancer.Host.of;
-import static dewplank.balancer.Host.sent;
+import static dewplank.balancer.adaptive.Host.entry;
+import static dewplank.balancer.adaptive.Host.of;
+import static dewplank.balancer.adaptive.Host.sent;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import dewplank.balancer.Balancer.*;
 
 /** No effect happens twice: what may follow each outcome, by class and scope. */
 class EffectTest {
@@ -24,7 +34,7 @@
         "KEYED, ZONE, ERROR,          10, z1, 1, send",
         "KEYED, ZONE, ERROR,          10, z2, 0, fail",
         "KEYED, ZONE, ERROR,         450, z1, 1, fail",
-        "KEYED, ZONE, FULL,           10, z2, 1, send",
+        "KEYED, ZONE, REJECTED,       10, z2, 1, send",
         "KEYED, ZONE, CONNECT_FAILED, 10, z2, 1, send",
         "KEYED, CELL, RESET,          10, z1, 0, send",
         "KEYED, CELL, RESET,          10, z1, 1, fail",
@@ -32,11 +42,11 @@
         "UNSAFE, ALL, RESET,          10, z1, 0, fail",
         "UNSAFE, ALL, TIMED_OUT,      10, z1, 0, fail",
         "UNSAFE, ALL, CANCELLED,      10, z1, 0, fail",
-        "UNSAFE, ALL, FULL,           10, z2, 1, send",
+        "UNSAFE, ALL, REJECTED,       10, z2, 1, send",
         "UNSAFE, ALL, CONNECT_FAILED, 10, z2, 1, send",
         "UNSAFE, ALL, NEVER_SENT,     10, z2, 1, refuse",
     })
-    void afterOneAttempt(Effect effect, Scope scope, Outcome outcome, double ms, String zone, long cell,
+    void afterOneAttempt(Idempotency effect, DeduplicationScope scope, Outcome outcome, double ms, String zone, long cell,
                          String expected) {
         Host.Setup setup = new Host.Setup();
         assertEquals(expected, after(setup, effect, scope, outcome, ms, zone, cell));
@@ -45,34 +55,34 @@
     /** The same, where a server may turn away what it had begun: full proves nothing, the rest is as before. */
     @ParameterizedTest(name = "full may have run: {0} {1}, {2} after {3} ms, other server in {4} cell {5}: {6}")
     @CsvSource({
-        "SAFE,  ALL,  FULL,           10, z2, 1, send",
-        "KEYED, ALL,  FULL,           10, z2, 1, send",
-        "KEYED, ALL,  FULL,          450, z2, 1, refuse",
-        "KEYED, ZONE, FULL,           10, z1, 1, send",
-        "KEYED, ZONE, FULL,           10, z2, 0, fail",
-        "KEYED, ZONE, FULL,          450, z1, 0, fail",
-        "KEYED, CELL, FULL,           10, z2, 0, send",
-        "KEYED, CELL, FULL,           10, z1, 1, fail",
+        "SAFE,  ALL,  REJECTED,       10, z2, 1, send",
+        "KEYED, ALL,  REJECTED,       10, z2, 1, send",
+        "KEYED, ALL,  REJECTED,          450, z2, 1, refuse",
+        "KEYED, ZONE, REJECTED,       10, z1, 1, send",
+        "KEYED, ZONE, REJECTED,       10, z2, 0, fail",
+        "KEYED, ZONE, REJECTED,          450, z1, 0, fail",
+        "KEYED, CELL, REJECTED,       10, z2, 0, send",
+        "KEYED, CELL, REJECTED,       10, z1, 1, fail",
         "KEYED, CELL, CONNECT_FAILED, 10, z2, 1, send",
-        "UNSAFE, ALL, FULL,           10, z1, 0, fail",
+        "UNSAFE, ALL, REJECTED,       10, z1, 0, fail",
         "UNSAFE, ALL, CONNECT_FAILED, 10, z2, 1, send",
         "UNSAFE, ALL, NEVER_SENT,     10, z2, 1, refuse",
     })
-    void afterOneAttemptWhereFullIsNoProof(Effect effect, Scope scope, Outcome outcome, double ms, String zone,
+    void afterOneAttemptWhereFullIsNoProof(Idempotency effect, DeduplicationScope scope, Outcome outcome, double ms, String zone,
                                            long cell, String expected) {
         Host.Setup setup = new Host.Setup();
         setup.fullMayHaveRun = true;
         assertEquals(expected, after(setup, effect, scope, outcome, ms, zone, cell));
     }
 
-    private static String after(Host.Setup setup, Effect effect, Scope scope, Outcome outcome, double ms,
+    private static String after(Host.Setup setup, Idempotency effect, DeduplicationScope scope, Outcome outcome, double ms,
                                 String zone, long cell) {
         setup.effect = effect;
         setup.scope = scope;
         Host h = new Host(setup);
-        h.list(ListForm.STALE, entry("a", "z1", 0, Availability.UP, null));
+        h.list(UpdateKind.CACHED, entry("a", "z1", 0, Availability.UP, null));
         Send first = sent(h.arrive("act"));
-        h.list(ListForm.WHOLE, entry("b", zone, cell, Availability.UP, null));   // a is gone, b is new
+        h.list(UpdateKind.FULL, entry("b", zone, cell, Availability.UP, null));   // a is gone, b is new
         h.now += ms;
         List<Action> then = h.end(first, 0, outcome, ms, false);
         return what(then);
@@ -82,7 +92,7 @@
         if (!of(actions, Send.class).isEmpty()) {
             return "send";
         }
-        if (!of(actions, Refuse.class).isEmpty()) {
+        if (!of(actions, Reject.class).isEmpty()) {
             return "refuse";
         }
         return of(actions, Fail.class).isEmpty() ? "nothing" : "fail";
@@ -92,7 +102,7 @@
     @Test
     void aKeyedRepeatIsWrittenWithinTheWindowOfTheFirst() {
         Host.Setup setup = new Host.Setup();
-        setup.effect = Effect.KEYED;
+        setup.effect = Idempotency.KEYED;
         Host h = Host.with(setup, 2);
         Send first = sent(h.arrive("act"));
         assertEquals(399, first.writeWithinMs());
--- a/balancer/src/test/java/dewplank/balancer/Host.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/Host.java
@@ -1,9 +1,31 @@
-package dewplank.balancer;
-
+package dewplank.balancer.adaptive;
+
+import dewplank.balancer.Action;
+import dewplank.balancer.Balancer;
+import dewplank.balancer.Endpoint;
+import dewplank.balancer.Event;
+import dewplank.balancer.Outcome;
+import dewplank.balancer.Settings;
+
+import dewplank.balancer.Action.Send;
+import dewplank.balancer.Action.SetTimer;
+import dewplank.balancer.Endpoint.Availability;
+import dewplank.balancer.Event.AttemptEnded;
+import dewplank.balancer.Event.EndpointUpdate;
+import dewplank.balancer.Event.RequestArrived;
+import dewplank.balancer.Event.TimerFired;
+import dewplank.balancer.Event.UpdateKind;
+import dewplank.balancer.Settings.DeduplicationScope;
+import dewplank.balancer.Settings.Goal;
+import dewplank.balancer.Settings.Idempotency;
+import dewplank.balancer.Settings.Limits;
+import dewplank.balancer.Settings.Prices;
+import dewplank.balancer.Settings.RequestClass;
+import dewplank.balancer.Settings.Safety;
+import dewplank.balancer.Settings.Tenant;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import dewplank.balancer.Balancer.*;
 
 /** Drives one balancer by hand: builds settings, passes events, keeps and answers its actions. */
 final class Host {
@@ -30,8 +52,8 @@
         int me;
         double tail;
         double crossPrice;
-        Effect effect = Effect.SAFE;
-        Scope scope = Scope.ALL;
+        Idempotency effect = Idempotency.SAFE;
+        DeduplicationScope scope = DeduplicationScope.ALL;
         boolean stream;
         double aimPerWork;
         List<Tenant> tenants = List.of();
@@ -39,7 +61,7 @@
 
         Settings settings() {
             List<RequestClass> classes = new ArrayList<>();
-            classes.add(new RequestClass("read", Effect.SAFE, Scope.ALL, 0, AIM, aimPerWork, DEADLINE, 1, 0, stream));
+            classes.add(new RequestClass("read", Idempotency.SAFE, DeduplicationScope.ALL, 0, AIM, aimPerWork, DEADLINE, 1, 0, stream));
             classes.add(new RequestClass("act", effect, scope, 400, AIM, 0, DEADLINE, 5, 0, false));
             classes.addAll(more);
             return new Settings(me, replicas, "z1", 1, pushed, false, rated, warmKeys, 0.1, List.of("busy"), false,
@@ -55,22 +77,22 @@
     }
 
     Host(Setup setup, long seed) {
-        balancer = new Choice(setup.settings(), new SplittableRandom(seed));
+        balancer = new AdaptiveBalancer(setup.settings(), new SplittableRandom(seed));
     }
 
     /** A host whose list names n running servers, s0 to s(n-1), all in zone z1 and cell 0. */
     static Host with(Setup setup, int n) {
         Host h = new Host(setup);
-        Entry[] entries = new Entry[n];
+        Endpoint[] entries = new Endpoint[n];
         for (int i = 0; i < n; i++) {
             entries[i] = entry("s" + i, "z1", 0, Availability.UP, null);
         }
-        h.tell(new ListNews(ListForm.STALE, List.of(entries)));
+        h.tell(new EndpointUpdate(UpdateKind.CACHED, List.of(entries)));
         return h;
     }
 
-    static Entry entry(String id, String zone, long cell, Availability a, Double startedAt) {
-        return new Entry(id, zone, "k", cell, a, 1, startedAt);
+    static Endpoint entry(String id, String zone, long cell, Availability a, Double startedAt) {
+        return new Endpoint(id, zone, "k", cell, a, 1, startedAt);
     }
 
     List<Action> tell(Event e) {
@@ -80,12 +102,12 @@
         return some;
     }
 
-    List<Action> list(ListForm form, Entry... entries) {
-        return tell(new ListNews(form, List.of(entries)));
+    List<Action> list(UpdateKind form, Endpoint... entries) {
+        return tell(new EndpointUpdate(form, List.of(entries)));
     }
 
     List<Action> arrive(String kind) {
-        return tell(new Arrived(nextRequest++, null, null, false, kind, DEADLINE, 20.0));
+        return tell(new RequestArrived(nextRequest++, null, null, false, kind, DEADLINE, 20.0));
     }
 
     static Send sent(List<Action> actions) {
@@ -97,7 +119,7 @@
     }
 
     List<Action> end(Send s, int attempt, Outcome outcome, double took, boolean over) {
-        return tell(new Ended(s.request(), attempt, s.server(), outcome, took, over, null));
+        return tell(new AttemptEnded(s.request(), attempt, s.server(), outcome, took, over, null));
     }
 
     /** One request, sent and served after {@code took}; the server that served it. */
@@ -113,7 +135,7 @@
         List<Action> some = new ArrayList<>();
         double from = now;
         for (SetTimer t : of(setting, SetTimer.class)) {
-            now = Math.max(now, from + t.afterMs());
+            now = Math.max(now, from + t.delayMs());
             some.addAll(tell(new TimerFired(t.timer())));
         }
         return some;
--- a/balancer/src/test/java/dewplank/balancer/RulesTest.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/RulesTest.java
@@ -1,14 +1,29 @@
-package dewplank.balancer;
+package dewplank.balancer.adaptive;
 
+import dewplank.balancer.Action;
+import dewplank.balancer.Endpoint;
+import dewplank.balancer.Outcome;
+
+import dewplank.balancer.Action.Cancel;
+import dewplank.balancer.Action.Fail;
+import dewplank.balancer.Action.Reject;
+import dewplank.balancer.Action.Send;
+import dewplank.balancer.Action.SetTimer;
+import dewplank.balancer.Action.Subscribe;
+import dewplank.balancer.Endpoint.Availability;
+import dewplank.balancer.Event.RequestAbandoned;
+import dewplank.balancer.Event.StreamStarted;
+import dewplank.balancer.Event.UpdateKind;
+import dewplank.balancer.Settings.Idempotency;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static dewplank.balancer.Host.entry;
-import static dewplank.balancer.Host.of;
-import static dewplank.balancer.Host.sent;
+import static dewplank.balancer.adaptive.Host.entry;
+import static dewplank.balancer.adaptive.Host.of;
+import static dewplank.balancer.adaptive.Host.sent;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -17,7 +32,6 @@
 import java.util.SplittableRandom;
 import java.util.random.RandomGenerator;
 import org.junit.jupiter.api.Test;
-import dewplank.balancer.Balancer.*;
 
 /** Final answers, drains, lists, cold servers, copies and budgets. */
 class RulesTest {
@@ -25,13 +39,13 @@
     @Test
     void aTimeOutAtTheDeadlineIsAnsweredAtOnceAndOnlyOnce() {
         Host.Setup setup = new Host.Setup();
-        setup.effect = Effect.UNSAFE;
+        setup.effect = Idempotency.UNSAFE;
         Host h = Host.with(setup, 3);
         Send s = sent(h.arrive("act"));
         h.now += Host.DEADLINE;
         List<Action> then = h.end(s, 0, Outcome.TIMED_OUT, Host.DEADLINE, false);
         assertEquals(List.of(new Fail(s.request())), then);
-        assertTrue(h.tell(new Abandoned(s.request())).isEmpty());
+        assertTrue(h.tell(new RequestAbandoned(s.request())).isEmpty());
         assertTrue(h.end(s, 0, Outcome.SERVED, 700, true).isEmpty());
     }
 
@@ -39,7 +53,7 @@
     void nothingIsSentAfterTheClientHasLeft() {
         Host h = Host.with(new Host.Setup(), 3);
         List<Action> first = h.arrive("read");
-        List<Action> left = h.tell(new Abandoned(1));
+        List<Action> left = h.tell(new RequestAbandoned(1));
         assertEquals(1, of(left, Cancel.class).size());
         assertNull(sent(h.fire(first)));
         assertTrue(h.end(sent(first), 0, Outcome.CANCELLED, 50, true).isEmpty());
@@ -49,7 +63,7 @@
     void nothingGoesToAServerThatDrainsOrIsGone() {
         for (Availability a : List.of(Availability.DRAINING, Availability.REMOVED)) {
             Host h = Host.with(new Host.Setup(), 2);
-            h.list(ListForm.CHANGES, entry("s0", "z1", 0, a, null));
+            h.list(UpdateKind.INCREMENTAL, entry("s0", "z1", 0, a, null));
             for (int i = 0; i < 50; i++) {
                 assertEquals("s1", h.serve("read", 10));
             }
@@ -61,10 +75,10 @@
         Host.Setup setup = new Host.Setup();
         setup.soft = true;
         Host h = Host.with(setup, 1);
-        h.list(ListForm.WHOLE);
+        h.list(UpdateKind.FULL);
         assertEquals("s0", h.serve("read", 10));
-        h.list(ListForm.CHANGES, entry("s0", "z1", 0, Availability.DRAINING, null));
-        h.list(ListForm.CHANGES, entry("s0", "z1", 0, Availability.REMOVED, null));
+        h.list(UpdateKind.INCREMENTAL, entry("s0", "z1", 0, Availability.DRAINING, null));
+        h.list(UpdateKind.INCREMENTAL, entry("s0", "z1", 0, Availability.REMOVED, null));
         assertNull(sent(h.arrive("read")));
     }
 
@@ -77,13 +91,13 @@
         for (int i = 0; i < 40; i++) {
             h.serve("read", 10);
         }
-        List<Entry> ghosts = new ArrayList<>();
+        List<Endpoint> ghosts = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             ghosts.add(entry("ghost" + i, "z1", 0, Availability.UP, null));
         }
         ghosts.add(entry("s0", "z1", 0, Availability.DRAINING, null));
-        h.list(ListForm.WHOLE, ghosts.toArray(Entry[]::new));   // s1 to s3 left out, though they serve
-        h.list(ListForm.CHANGES, entry("s0", "z1", 0, Availability.REMOVED, null));
+        h.list(UpdateKind.FULL, ghosts.toArray(Endpoint[]::new));   // s1 to s3 left out, though they serve
+        h.list(UpdateKind.INCREMENTAL, entry("s0", "z1", 0, Availability.REMOVED, null));
         int served = 0;
         for (int i = 0; i < 300; i++) {
             Send s = sent(h.arrive("read"));
@@ -101,8 +115,8 @@
     @Test
     void anEmptyListRefusesAtOnce() {
         Host h = new Host(new Host.Setup());
-        h.list(ListForm.STALE);
-        assertEquals(1, of(h.arrive("read"), Refuse.class).size());
+        h.list(UpdateKind.CACHED);
+        assertEquals(1, of(h.arrive("read"), Reject.class).size());
     }
 
     @Test
@@ -110,10 +124,10 @@
         Host.Setup setup = new Host.Setup();
         setup.pushed = false;
         Host h = new Host(setup);
-        assertEquals(1, of(h.list(ListForm.STALE), Subscribe.class).size());
+        assertEquals(1, of(h.list(UpdateKind.CACHED), Subscribe.class).size());
         List<Action> waiting = h.arrive("read");
-        assertTrue(of(waiting, Refuse.class).isEmpty());
-        h.list(ListForm.WHOLE, entry("a", "z1", 0, Availability.UP, null));
+        assertTrue(of(waiting, Reject.class).isEmpty());
+        h.list(UpdateKind.FULL, entry("a", "z1", 0, Availability.UP, null));
         assertEquals("a", sent(h.fire(waiting)).server());
     }
 
@@ -124,8 +138,8 @@
         Host h = Host.with(setup, 2);
         double longest = 0;
         for (int i = 0; i < 4; i++) {
-            List<Action> broken = h.list(ListForm.BROKEN);
-            longest = Math.max(longest, of(broken, SetTimer.class).get(0).afterMs());
+            List<Action> broken = h.list(UpdateKind.BROKEN);
+            longest = Math.max(longest, of(broken, SetTimer.class).get(0).delayMs());
             assertEquals(1, of(h.fire(broken), Subscribe.class).size());
         }
         assertTrue(longest > 1_000 && longest <= 7_500, "waited " + longest);
@@ -135,9 +149,9 @@
     @Test
     void aColdServerGetsNoMoreThanItsBudget() {
         Host.Setup setup = new Host.Setup();
-        setup.effect = Effect.SAFE;
+        setup.effect = Idempotency.SAFE;
         Host h = new Host(setup);
-        h.list(ListForm.STALE, entry("cold", "z1", 0, Availability.UP, h.now));
+        h.list(UpdateKind.CACHED, entry("cold", "z1", 0, Availability.UP, h.now));
         int sends = 0;
         for (int i = 0; i < 200; i++) {
             Send s = sent(h.arrive("read"));
@@ -163,7 +177,7 @@
             RandomGenerator random = new SplittableRandom(seed);
             for (int i = 0; i < 800; i++) {   // one request at a time: others crowd the old servers
                 if (i == 400) {
-                    h.list(ListForm.CHANGES, entry("n0", "z1", 0, Availability.UP, h.now),
+                    h.list(UpdateKind.INCREMENTAL, entry("n0", "z1", 0, Availability.UP, h.now),
                         entry("n1", "z1", 0, Availability.UP, h.now));
                 }
                 Send s = sent(h.arrive("read"));
@@ -190,7 +204,7 @@
             Host.Setup setup = new Host.Setup();
             setup.replicas = sidecars;
             Host h = new Host(setup, i);
-            h.list(ListForm.STALE, entry("cold", "z1", 0, Availability.UP, h.now));
+            h.list(UpdateKind.CACHED, entry("cold", "z1", 0, Availability.UP, h.now));
             double start = h.now;
             h.now += i % 100 * 10;   // one request a second each
             for (int n = 0; n < 8; n++) {
@@ -232,7 +246,7 @@
         Host h = Host.with(new Host.Setup(), 1);
         List<Action> first = h.arrive("read");
         List<Action> second = h.arrive("read");
-        h.list(ListForm.CHANGES, Host.entry("s1", "z1", 0, Availability.UP, null));
+        h.list(UpdateKind.INCREMENTAL, Host.entry("s1", "z1", 0, Availability.UP, null));
         List<Action> overdue = h.fire(first);
         assertTrue(of(overdue, Cancel.class).isEmpty());
         assertNull(sent(overdue));
@@ -247,7 +261,7 @@
     void anUnsafeRequestIsNeverCopied() {
         Host.Setup setup = new Host.Setup();
         setup.copies = true;
-        setup.effect = Effect.UNSAFE;
+        setup.effect = Idempotency.UNSAFE;
         Host h = Host.with(setup, 3);
         List<Action> overdue = h.fire(h.arrive("act"));
         assertTrue(of(overdue, Send.class).isEmpty());
@@ -289,7 +303,7 @@
         setup.stream = true;
         Host h = Host.with(setup, 3);
         List<Action> first = h.arrive("read");
-        assertTrue(h.tell(new StreamBegan(1, 0, 10)).isEmpty());
+        assertTrue(h.tell(new StreamStarted(1, 0, 10)).isEmpty());
         assertTrue(h.fire(first).isEmpty());
         assertTrue(h.end(sent(first), 0, Outcome.RESET, 5_000, true).isEmpty());
     }
--- a/balancer/src/test/java/dewplank/balancer/ScaleTest.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/ScaleTest.java
@@ -1,11 +1,20 @@
-package dewplank.balancer;
+package dewplank.balancer.adaptive;
 
+import dewplank.balancer.Action;
+
+import dewplank.balancer.Outcome;
+
+import dewplank.balancer.Action.CloseIdleConnections;
+import dewplank.balancer.Action.Reject;
+import dewplank.balancer.Action.Send;
+import dewplank.balancer.Endpoint.Availability;
+import dewplank.balancer.Event.UpdateKind;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static dewplank.balancer.Host.entry;
-import static dewplank.balancer.Host.of;
-import static dewplank.balancer.Host.sent;
+import static dewplank.balancer.adaptive.Host.entry;
+import static dewplank.balancer.adaptive.Host.of;
+import static dewplank.balancer.adaptive.Host.sent;
 
 import java.util.HashMap;
 import java.util.HashSet;
@@ -13,7 +22,6 @@
 import java.util.Map;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import dewplank.balancer.Balancer.*;
 
 /** Hundreds of sidecars over many servers: working sets, connections, and ways that are slow. */
 class ScaleTest {
@@ -46,15 +54,15 @@
     void serversThatHaveGoneAreForgottenOnceNothingIsOut() {
         Host h = sidecar(0, 2, 1);
         Send open = sent(h.arrive("read"));
-        h.list(ListForm.CHANGES, entry("s0", "z1", 0, Availability.REMOVED, null));
+        h.list(UpdateKind.INCREMENTAL, entry("s0", "z1", 0, Availability.REMOVED, null));
         for (int i = 0; i < 100; i++) {
-            h.list(ListForm.CHANGES, entry("n" + i, "z1", 0, Availability.UP, null));
-            h.list(ListForm.CHANGES, entry("n" + i, "z1", 0, Availability.REMOVED, null));
+            h.list(UpdateKind.INCREMENTAL, entry("n" + i, "z1", 0, Availability.UP, null));
+            h.list(UpdateKind.INCREMENTAL, entry("n" + i, "z1", 0, Availability.REMOVED, null));
         }
-        assertEquals(1, ((Choice) h.balancer).servers.size());
+        assertEquals(1, ((AdaptiveBalancer) h.balancer).servers.size());
         h.end(open, 0, Outcome.SERVED, 10, true);
-        h.list(ListForm.CHANGES);
-        assertEquals(0, ((Choice) h.balancer).servers.size());
+        h.list(UpdateKind.INCREMENTAL);
+        assertEquals(0, ((AdaptiveBalancer) h.balancer).servers.size());
     }
 
     @Test
@@ -115,7 +123,7 @@
         }
         h.now += 30_000;   // traffic grew thin
         used(h, 20);
-        assertTrue(of(h.all, CloseIdle.class).size() > 10);
+        assertTrue(of(h.all, CloseIdleConnections.class).size() > 10);
     }
 
     /** New connections grew slow; the servers answer as ever on open ones. Nobody is condemned for that. */
@@ -132,16 +140,16 @@
             h.end(s, 0, Outcome.SERVED, took, true);
         }
         assertTrue(used(h, 60).size() >= 3, "nobody is condemned");
-        assertTrue(of(h.all, Refuse.class).isEmpty());
+        assertTrue(of(h.all, Reject.class).isEmpty());
     }
 
     /** The way to the far zone grows to most of the aim, no queue does: once that shows, nothing is refused. */
     @Test
     void aSlowWayIsNoCrowd() {
         Host h = new Host(new Host.Setup());
-        h.list(ListForm.STALE, entry("near", "z1", 0, Availability.UP, null));
+        h.list(UpdateKind.CACHED, entry("near", "z1", 0, Availability.UP, null));
         used(h, 100);
-        h.list(ListForm.CHANGES, entry("near", "z1", 0, Availability.DRAINING, null),
+        h.list(UpdateKind.INCREMENTAL, entry("near", "z1", 0, Availability.DRAINING, null),
             entry("far", "z2", 1, Availability.UP, null));
         used(h, 100);
         int refused = 0;
@@ -152,7 +160,7 @@
             if (s != null) {
                 h.end(s, 0, Outcome.SERVED, 240, true);
             }
-            refused += i < 400 ? 0 : of(actions, Refuse.class).size();
+            refused += i < 400 ? 0 : of(actions, Reject.class).size();
         }
         assertEquals(0, refused);
     }
@@ -172,7 +180,7 @@
                     h.end(s, 0, Outcome.SERVED, i < 100 ? 20 : 60, true);
                 }
             }
-            refused[tail] = of(h.all, Refuse.class).size();
+            refused[tail] = of(h.all, Reject.class).size();
         }
         assertTrue(refused[1] > refused[0], refused[0] + " without, " + refused[1] + " with");
     }
--- a/balancer/src/test/java/dewplank/balancer/TraceTest.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/TraceTest.java
@@ -1,5 +1,40 @@
-package dewplank.balancer;
+package dewplank.balancer.adaptive;
 
+import dewplank.balancer.Endpoint;
+import dewplank.balancer.Event;
+import dewplank.balancer.Outcome;
+
+import dewplank.balancer.Action;
+import dewplank.balancer.Settings;
+
+import dewplank.balancer.health.PeerSummary;
+import dewplank.balancer.Action.BroadcastSummary;
+import dewplank.balancer.Action.Cancel;
+import dewplank.balancer.Action.CheckHealth;
+import dewplank.balancer.Action.CloseIdleConnections;
+import dewplank.balancer.Action.Fail;
+import dewplank.balancer.Action.Reject;
+import dewplank.balancer.Action.Send;
+import dewplank.balancer.Action.SetTimer;
+import dewplank.balancer.Action.Subscribe;
+import dewplank.balancer.Endpoint.Availability;
+import dewplank.balancer.Event.AttemptEnded;
+import dewplank.balancer.Event.EndpointUpdate;
+import dewplank.balancer.Event.HealthChecked;
+import dewplank.balancer.Event.PeerSummaryReceived;
+import dewplank.balancer.Event.RequestAbandoned;
+import dewplank.balancer.Event.RequestArrived;
+import dewplank.balancer.Event.StreamStarted;
+import dewplank.balancer.Event.TimerFired;
+import dewplank.balancer.Event.UpdateKind;
+import dewplank.balancer.Settings.DeduplicationScope;
+import dewplank.balancer.Settings.Goal;
+import dewplank.balancer.Settings.Idempotency;
+import dewplank.balancer.Settings.Limits;
+import dewplank.balancer.Settings.Prices;
+import dewplank.balancer.Settings.RequestClass;
+import dewplank.balancer.Settings.Safety;
+import dewplank.balancer.Settings.Tenant;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -16,7 +51,6 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import dewplank.balancer.Balancer.*;
 
 /**
  * Every action over long random days, to the last bit, is as recorded: a change of form changes no decision. A change
@@ -73,16 +107,16 @@
     private record Variant(Settings settings, int servers, double everyMs, double workMs) { }
 
     private static Variant variant(String name) {
-        Effect effect = name.equals("crowd") ? Effect.UNSAFE : Effect.KEYED;
-        Scope scope = name.equals("copies") ? Scope.ALL : name.equals("peers") ? Scope.CELL : Scope.ZONE;
+        Idempotency effect = name.equals("crowd") ? Idempotency.UNSAFE : Idempotency.KEYED;
+        DeduplicationScope scope = name.equals("copies") ? DeduplicationScope.ALL : name.equals("peers") ? DeduplicationScope.CELL : DeduplicationScope.ZONE;
         boolean copies = name.equals("copies") || name.equals("wide");
         boolean quiet = name.equals("quiet");
         List<RequestClass> classes = List.of(
-            new RequestClass("read", Effect.SAFE, Scope.ALL, 0, 300, name.equals("plain") ? 0.5 : 0, 600, 1, 0.2,
+            new RequestClass("read", Idempotency.SAFE, DeduplicationScope.ALL, 0, 300, name.equals("plain") ? 0.5 : 0, 600, 1, 0.2,
                 false),
             new RequestClass("act", effect, scope, 400, 400, 0, 700, 5, 0, false),
-            new RequestClass("pay", Effect.UNSAFE, Scope.ALL, 0, 500, 0, 1_500, 9, 0, false),
-            new RequestClass("flow", Effect.SAFE, Scope.ALL, 0, 200, 0, 2_000, 2, 0.5, true));
+            new RequestClass("pay", Idempotency.UNSAFE, DeduplicationScope.ALL, 0, 500, 0, 1_500, 9, 0, false),
+            new RequestClass("flow", Idempotency.SAFE, DeduplicationScope.ALL, 0, 200, 0, 2_000, 2, 0.5, true));
         List<Tenant> tenants = name.equals("tenants") || name.equals("peers")
             ? List.of(new Tenant("a", 0.5, 40), new Tenant("b", 0.3, 20), new Tenant("c", 0.2, 0)) : List.of();
         Limits limits = new Limits(quiet ? 2 : 4, copies, !copies && !quiet, name.equals("peers") || quiet,
@@ -103,7 +137,7 @@
         private final Variant variant;
         private final SplittableRandom random;
         private final SplittableRandom choiceRandom;
-        private final Choice choice;
+        private final AdaptiveBalancer choice;
         private final MessageDigest digest;
         private final PriorityQueue<Due> due = new PriorityQueue<>();
         private final List<Stage> stages = new ArrayList<>();
@@ -116,7 +150,7 @@
             this.variant = variant;
             this.random = new SplittableRandom(seed);
             this.choiceRandom = new SplittableRandom(seed + 1_000);
-            this.choice = new Choice(variant.settings(), choiceRandom);
+            this.choice = new AdaptiveBalancer(variant.settings(), choiceRandom);
             try {
                 this.digest = MessageDigest.getInstance("SHA-256");
             } catch (NoSuchAlgorithmException e) {
@@ -128,7 +162,7 @@
             for (int i = 0; i < variant.servers(); i++) {
                 stages.add(new Stage(i, i % 3 == 2 ? "z2" : "z1", i % 4, 1 + i % 3));
             }
-            list(ListForm.STALE);
+            list(UpdateKind.CACHED);
             at(now, this::traffic);
             at(now + 400, this::weather);
             at(now + 700, this::news);
@@ -151,7 +185,7 @@
             choice.handle(now, event, actions::add);
             for (Action action : actions) {
                 counts.merge(action.getClass().getSimpleName(), 1, Integer::sum);
-                note(action instanceof TellPeers t ? Arrays.toString(t.bytes()) : action.toString());
+                note(recordedForm(action));
                 act(action);
             }
         }
@@ -160,25 +194,46 @@
             digest.update((now + " " + line + "\n").getBytes(StandardCharsets.UTF_8));
         }
 
+        /** The words of the recording, which stay as they were recorded whatever the types are called now. */
+        private static String recordedForm(Action action) {
+            if (action instanceof Send s) {
+                return "Send[request=" + s.request() + ", server=" + s.server() + ", timeoutMs=" + s.timeoutMs()
+                    + ", writeWithinMs=" + s.writeWithinMs() + "]";
+            }
+            if (action instanceof Reject r) {
+                return "Refuse[request=" + r.request() + ", retryInMs=" + r.retryAfterMs() + "]";
+            }
+            if (action instanceof SetTimer t) {
+                return "SetTimer[timer=" + t.timer() + ", afterMs=" + t.delayMs() + "]";
+            }
+            if (action instanceof CheckHealth c) {
+                return "Probe[server=" + c.server() + "]";
+            }
+            if (action instanceof CloseIdleConnections c) {
+                return "CloseIdle[server=" + c.server() + "]";
+            }
+            return action instanceof BroadcastSummary b ? Arrays.toString(b.bytes()) : action.toString();
+        }
+
         private void act(Action action) {
             if (action instanceof SetTimer t) {
-                at(now + t.afterMs(), () -> tell(new TimerFired(t.timer())));
+                at(now + t.delayMs(), () -> tell(new TimerFired(t.timer())));
             } else if (action instanceof Send s) {
                 serve(s);
             } else if (action instanceof Cancel c) {
                 Client client = clients.get(c.request());
                 at(now, () -> end(client, c.attempt(), Outcome.CANCELLED, now));
-            } else if (action instanceof Refuse r) {
+            } else if (action instanceof Reject r) {
                 clients.get(r.request()).over = true;
             } else if (action instanceof Fail f) {
                 clients.get(f.request()).over = true;
             } else if (action instanceof Subscribe) {
                 double wait = 50 + 200 * random.nextDouble();
                 boolean broken = random.nextInt(3) == 0;
-                at(now + wait, () -> list(broken ? ListForm.BROKEN : ListForm.WHOLE));
-            } else if (action instanceof Probe p) {
+                at(now + wait, () -> list(broken ? UpdateKind.BROKEN : UpdateKind.FULL));
+            } else if (action instanceof CheckHealth p) {
                 Stage stage = stage(p.server());
-                at(now + 5, () -> tell(new Probed(p.server(), stage.ill < 0.3, 5, null)));
+                at(now + 5, () -> tell(new HealthChecked(p.server(), stage.ill < 0.3, 5, null)));
             }
         }
 
@@ -214,7 +269,7 @@
         private void begin(Client client, int attempt, double took) {
             if (client.open.contains(attempt) && !client.over) {
                 client.began = true;
-                tell(new StreamBegan(client.id, attempt, took));
+                tell(new StreamStarted(client.id, attempt, took));
             }
         }
 
@@ -225,7 +280,7 @@
             String server = client.servers.get(attempt);
             stage(server).busy--;
             client.over |= outcome == Outcome.SERVED || client.began;
-            tell(new Ended(client.id, attempt, server, outcome, now - sentAt, client.over, null));
+            tell(new AttemptEnded(client.id, attempt, server, outcome, now - sentAt, client.over, null));
         }
 
         private void traffic() {
@@ -237,7 +292,7 @@
             double budget = rules.deadlineMs() * (0.3 + 0.7 * random.nextDouble());
             Double cost = random.nextInt(4) == 0 || client.kind == 1 ? null : 5 + 30 * random.nextDouble();
             String key = random.nextBoolean() ? "k" + random.nextInt(12) : null;
-            tell(new Arrived(client.id, tenants.get(random.nextInt(5)), key, false, rules.name(), budget, cost));
+            tell(new RequestArrived(client.id, tenants.get(random.nextInt(5)), key, false, rules.name(), budget, cost));
             double leaves = random.nextInt(50) == 0 ? budget * random.nextDouble() : budget;
             at(now + leaves, () -> leave(client));
             double rush = now % 20_000 < 4_000 ? 0.3 : 1;
@@ -247,7 +302,7 @@
         private void leave(Client client) {
             if (!client.over) {
                 client.over = true;
-                tell(new Abandoned(client.id));
+                tell(new RequestAbandoned(client.id));
             }
             for (Integer attempt : List.copyOf(client.open)) {
                 at(now, () -> end(client, attempt, Outcome.TIMED_OUT, now - 600));
@@ -259,7 +314,7 @@
             Stage stage = stages.get(random.nextInt(stages.size()));
             stage.slow = random.nextInt(3) == 0 ? 1 + 6 * random.nextDouble() : 1;
             stage.ill = random.nextInt(3) == 0 ? random.nextDouble() : random.nextInt(4) == 0 ? 0.05 : 0;
-            List<Outcome> ways = List.of(Outcome.ERROR, Outcome.FULL, Outcome.TIMED_OUT, Outcome.CONNECT_FAILED,
+            List<Outcome> ways = List.of(Outcome.ERROR, Outcome.REJECTED, Outcome.TIMED_OUT, Outcome.CONNECT_FAILED,
                 Outcome.RESET, Outcome.ERROR);
             stage.way = ways.get(random.nextInt(ways.size()));
             at(now + 900 * random.nextDouble(), this::weather);
@@ -274,7 +329,7 @@
                 case 2 -> stage.startedAt = now - 3_000 * random.nextDouble();
                 default -> stage.availability = Availability.UP;
             }
-            ListForm[] forms = ListForm.values();
+            UpdateKind[] forms = UpdateKind.values();
             list(forms[random.nextInt(forms.length)]);
             at(now + 2_500 * random.nextDouble(), this::news);
         }
@@ -283,20 +338,20 @@
             int peer = random.nextInt(-1, 5);
             List<Integer> unhealthy = stages.stream().filter(s -> s.ill > 0.2 || random.nextInt(20) == 0)
                 .map(s -> s.id.hashCode()).toList();
-            byte[] bytes = new Summary(now - 3_500 * random.nextDouble() + 200, unhealthy).bytes();
-            tell(new PeerSaid(peer, random.nextInt(20) == 0 ? new byte[3] : bytes));
+            byte[] bytes = new PeerSummary(now - 3_500 * random.nextDouble() + 200, unhealthy).encode();
+            tell(new PeerSummaryReceived(peer, random.nextInt(20) == 0 ? new byte[3] : bytes));
             at(now + 600 * random.nextDouble(), this::peers);
         }
 
-        private void list(ListForm form) {
-            List<Entry> entries = new ArrayList<>();
+        private void list(UpdateKind form) {
+            List<Endpoint> entries = new ArrayList<>();
             for (Stage s : stages) {
-                boolean told = form == ListForm.CHANGES || s.availability != Availability.REMOVED;
-                if (form != ListForm.BROKEN && told && (form != ListForm.CHANGES || random.nextInt(3) == 0)) {
-                    entries.add(new Entry(s.id, s.zone, "k", s.cell, s.availability, s.rating, s.startedAt));
+                boolean told = form == UpdateKind.INCREMENTAL || s.availability != Availability.REMOVED;
+                if (form != UpdateKind.BROKEN && told && (form != UpdateKind.INCREMENTAL || random.nextInt(3) == 0)) {
+                    entries.add(new Endpoint(s.id, s.zone, "k", s.cell, s.availability, s.rating, s.startedAt));
                 }
             }
-            tell(new ListNews(form, entries));
+            tell(new EndpointUpdate(form, entries));
         }
 
         private Stage stage(String id) {
--- a/balancer/src/test/java/dewplank/balancer/VerdictTest.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/VerdictTest.java
@@ -1,18 +1,31 @@
-package dewplank.balancer;
+package dewplank.balancer.adaptive;
 
+import dewplank.balancer.Action;
+
+import dewplank.balancer.Outcome;
+
+import dewplank.balancer.health.PeerSummary;
+import dewplank.balancer.Action.BroadcastSummary;
+import dewplank.balancer.Action.Reject;
+import dewplank.balancer.Action.Send;
+import dewplank.balancer.Endpoint.Availability;
+import dewplank.balancer.Event.PeerSummaryReceived;
+import dewplank.balancer.Event.RequestArrived;
+import dewplank.balancer.Event.TimerFired;
+import dewplank.balancer.Event.UpdateKind;
+import dewplank.balancer.Settings.Idempotency;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static dewplank.balancer.Host.of;
-import static dewplank.balancer.Host.sent;
+import static dewplank.balancer.adaptive.Host.of;
+import static dewplank.balancer.adaptive.Host.sent;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import dewplank.balancer.Balancer.*;
 
 /** Observations, verdicts, ejection, the half-free floor, trials, peers and the draw. */
 class VerdictTest {
@@ -70,7 +83,7 @@
         int trials = 0;
         for (int i = 0; i < 600; i++) {
             List<Action> actions = h.arrive("read");
-            refused += of(actions, Refuse.class).size();
+            refused += of(actions, Reject.class).size();
             Send s = sent(actions);
             h.now += 20;
             if (s != null && s.server().equals("s0")) {
@@ -111,7 +124,7 @@
         for (int i = 0; i < 50; i++) {
             Send s = sent(h.arrive("read"));
             h.now += 700;
-            Outcome o = s.server().equals("s0") ? Outcome.FULL : Outcome.SERVED;
+            Outcome o = s.server().equals("s0") ? Outcome.REJECTED : Outcome.SERVED;
             Send again = sent(h.end(s, 0, o, 5, o == Outcome.SERVED));
             if (again != null) {
                 h.end(again, 1, Outcome.SERVED, 5, true);
@@ -125,7 +138,7 @@
     @Test
     void anErrorDoesNotMakeItsServerLookSlowerWithTime() {
         Host.Setup setup = new Host.Setup();
-        setup.effect = Effect.UNSAFE;
+        setup.effect = Idempotency.UNSAFE;
         Host h = Host.with(setup, 1);
         play(h, 20, 5);
         Send s = sent(h.arrive("act"));
@@ -146,7 +159,7 @@
             out.add(sent(h.arrive("read")));
         }
         h.now += 5;
-        out.forEach(s -> h.end(s, 0, Outcome.FULL, 5, false));
+        out.forEach(s -> h.end(s, 0, Outcome.REJECTED, 5, false));
         h.now += 65;   // past the longest first rest
         assertTrue(sent(h.arrive("read")) != null);
     }
@@ -161,7 +174,7 @@
             h.now += 20;
             boolean full = s.server().equals("s0");
             drawn += full ? 1 : 0;
-            Send again = sent(h.end(s, 0, full ? Outcome.FULL : Outcome.SERVED, 2, !full));
+            Send again = sent(h.end(s, 0, full ? Outcome.REJECTED : Outcome.SERVED, 2, !full));
             if (again != null) {
                 h.end(again, 1, Outcome.SERVED, 20, true);
             }
@@ -195,7 +208,7 @@
     @Test
     void unsafeRequestsTakeNoTrials() {
         Host.Setup setup = new Host.Setup();
-        setup.effect = Effect.UNSAFE;
+        setup.effect = Idempotency.UNSAFE;
         Host h = Host.with(setup, 4);
         play(h, 1_200, 5, "s0");
         for (int i = 0; i < 100; i++) {
@@ -214,7 +227,7 @@
     @Test
     void aServerThatServesAnotherClassSinceIsNotCondemned() {
         Host.Setup setup = new Host.Setup();
-        setup.effect = Effect.UNSAFE;
+        setup.effect = Idempotency.UNSAFE;
         Host h = Host.with(setup, 1);
         for (int i = 0; i < 8; i++) {
             h.serve("act", 5);
@@ -224,7 +237,7 @@
             h.now += 5;
             h.end(s, 0, Outcome.RESET, 5, false);
         }
-        h.list(ListForm.CHANGES, Host.entry("s1", "z1", 0, Availability.UP, null));
+        h.list(UpdateKind.INCREMENTAL, Host.entry("s1", "z1", 0, Availability.UP, null));
         h.now += 1_100;
         Map<String, Integer> firsts = play(h, 200, 5);
         assertTrue(firsts.getOrDefault("s0", 0) > 40, firsts.toString());
@@ -234,7 +247,7 @@
     @Test
     void aRequestThatHangsByItselfDoesNotMakeItsServerLate() {
         Host.Setup setup = new Host.Setup();
-        setup.effect = Effect.UNSAFE;
+        setup.effect = Idempotency.UNSAFE;
         Host h = Host.with(setup, 1);
         play(h, 100, 5);
         List<Action> hangs = h.arrive("act");
@@ -242,7 +255,7 @@
         for (int i = 0; i < 40; i++) {
             h.serve("read", 10);
         }
-        assertTrue(of(h.all, Refuse.class).isEmpty());
+        assertTrue(of(h.all, Reject.class).isEmpty());
     }
 
     @Test
@@ -251,14 +264,14 @@
         Send a = sent(h.arrive("read"));
         Send b = sent(h.arrive("read"));
         assertNotEquals(a.server(), b.server());
-        assertTrue(of(h.all, Refuse.class).isEmpty());
+        assertTrue(of(h.all, Reject.class).isEmpty());
     }
 
     @Test
     void aMajorityOfVotesDecidesWherePeersTalk() {
         Host h = talking();
-        h.tell(new PeerSaid(1, against(h.now, "s0")));
-        h.tell(new PeerSaid(2, against(h.now, "s0")));
+        h.tell(new PeerSummaryReceived(1, against(h.now, "s0")));
+        h.tell(new PeerSummaryReceived(2, against(h.now, "s0")));
         assertTrue(play(h, 100, 1).getOrDefault("s0", 0) <= 1, "two of three votes condemn");
         h.now += 4_000;
         assertTrue(play(h, 100, 5).getOrDefault("s0", 0) > 5, "old votes lapse");
@@ -268,9 +281,9 @@
     void aSummaryTellsWhoIsJudgedUnhealthy() {
         Host h = talking();
         play(h, 600, 5, "s0");
-        Summary said = Summary.of(of(h.fire(h.tell(new TimerFired(1))), TellPeers.class).stream().findFirst()
-            .orElseGet(() -> of(h.all, TellPeers.class).get(0)).bytes());
-        assertEquals(List.of("s0".hashCode()), said.unhealthy());
+        PeerSummary said = PeerSummary.decode(of(h.fire(h.tell(new TimerFired(1))), BroadcastSummary.class).stream().findFirst()
+            .orElseGet(() -> of(h.all, BroadcastSummary.class).get(0)).bytes());
+        assertEquals(List.of("s0".hashCode()), said.unhealthyServers());
     }
 
     /** Found at Sado: each sidecar warmed a server of its own for a key, and servers remember a few keys only. */
@@ -293,7 +306,7 @@
     }
 
     private static String serveKey(Host h, String key) {
-        Send s = sent(h.tell(new Arrived(h.nextRequest++, null, key, false, "read", Host.DEADLINE, 20.0)));
+        Send s = sent(h.tell(new RequestArrived(h.nextRequest++, null, key, false, "read", Host.DEADLINE, 20.0)));
         h.now += 50;
         h.end(s, 0, Outcome.SERVED, 50, true);
         return s.server();
@@ -304,18 +317,18 @@
     void aQuietPeerDoesNotOutvoteOwnTraffic() {
         Host h = talking();
         play(h, 1_200, 5, "s0");
-        h.tell(new PeerSaid(1, against(h.now)));
+        h.tell(new PeerSummaryReceived(1, against(h.now)));
         h.now += 300;
         h.arrive("read");
-        assertTrue(((Choice) h.balancer).servers.get("s0").condemned, "one of two votes, and its own");
+        assertTrue(((AdaptiveBalancer) h.balancer).servers.get("s0").condemned, "one of two votes, and its own");
     }
 
     @Test
     void aPeerThatCallsAllIllCondemnsNobodyAlone() {
         Host h = talking();
-        h.tell(new PeerSaid(1, against(h.now, "s0", "s1", "s2", "s3")));
+        h.tell(new PeerSummaryReceived(1, against(h.now, "s0", "s1", "s2", "s3")));
         assertEquals(4, play(h, 100, 1).size(), "one of two votes is no majority");
-        h.tell(new PeerSaid(2, against(h.now, "s0", "s1", "s2", "s3")));
+        h.tell(new PeerSummaryReceived(2, against(h.now, "s0", "s1", "s2", "s3")));
         assertEquals(4, play(h, 100, 1).size(), "with none left free, all are drawn");
     }
 
@@ -324,21 +337,21 @@
     void datagramsThatWentWrongChangeNothing() {
         Host h = talking();
         byte[] bad = against(h.now, "s0");
-        h.tell(new PeerSaid(1, against(h.now + 1)));
-        h.tell(new PeerSaid(2, against(h.now + 1)));
-        h.tell(new PeerSaid(1, bad));   // overtaken by a newer one
-        h.tell(new PeerSaid(2, bad));
-        h.tell(new PeerSaid(4, bad));   // there are four, from 0 on
-        h.tell(new PeerSaid(-1, bad));
+        h.tell(new PeerSummaryReceived(1, against(h.now + 1)));
+        h.tell(new PeerSummaryReceived(2, against(h.now + 1)));
+        h.tell(new PeerSummaryReceived(1, bad));   // overtaken by a newer one
+        h.tell(new PeerSummaryReceived(2, bad));
+        h.tell(new PeerSummaryReceived(4, bad));   // there are four, from 0 on
+        h.tell(new PeerSummaryReceived(-1, bad));
         for (double wrong : new double[] {h.now - 3_001, h.now + 3_500, Double.NaN, Double.POSITIVE_INFINITY}) {
-            h.tell(new PeerSaid(3, against(wrong, "s0")));
+            h.tell(new PeerSummaryReceived(3, against(wrong, "s0")));
         }
         byte[] torn = java.util.Arrays.copyOf(bad, bad.length - 1);
         byte[] other = bad.clone();
         other[0] = 2;
         for (byte[] wrong : List.of(torn, other, new byte[0], new byte[257])) {
-            assertNull(Summary.of(wrong));
-            h.tell(new PeerSaid(3, wrong));
+            assertNull(PeerSummary.decode(wrong));
+            h.tell(new PeerSummaryReceived(3, wrong));
         }
         assertTrue(play(h, 100, 1).getOrDefault("s0", 0) > 5);
     }
@@ -346,9 +359,9 @@
     @Test
     void aSummaryKeepsToItsBytes() {
         List<Integer> many = java.util.stream.IntStream.range(0, 300).boxed().toList();
-        byte[] bytes = new Summary(5, many).bytes();
+        byte[] bytes = new PeerSummary(5, many).encode();
         assertEquals(253, bytes.length);
-        assertEquals(many.subList(0, 61), Summary.of(bytes).unhealthy());
+        assertEquals(many.subList(0, 61), PeerSummary.decode(bytes).unhealthyServers());
     }
 
     private static Host talking() {
@@ -360,6 +373,6 @@
     }
 
     private static byte[] against(double toldAt, String... servers) {
-        return new Summary(toldAt, java.util.stream.Stream.of(servers).map(String::hashCode).toList()).bytes();
+        return new PeerSummary(toldAt, java.util.stream.Stream.of(servers).map(String::hashCode).toList()).encode();
     }
 }
--- a/balancer/src/test/java/dewplank/balancer/PeerVotesTest.java
+++ b/balancer/src/test/java/dewplank/balancer/health/PeerVotesTest.java
@@ -1,4 +1,4 @@
-package dewplank.balancer;
+package dewplank.balancer.health;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -13,38 +13,38 @@
     private final PeerVotes<String> votes = new PeerVotes<>();
 
     private void hear(String peer, double toldAt, String... unhealthy) {
-        votes.hear(NOW, peer, new Summary(toldAt, List.of(unhealthy).stream().map(String::hashCode).toList()));
+        votes.receive(NOW, peer, new PeerSummary(toldAt, List.of(unhealthy).stream().map(String::hashCode).toList()));
     }
 
     @Test
     void aloneTheOwnVoteDecides() {
-        assertTrue(votes.condemned(NOW, "s", true));
-        assertFalse(votes.condemned(NOW, "s", false));
+        assertTrue(votes.isUnhealthy(NOW, "s", true));
+        assertFalse(votes.isUnhealthy(NOW, "s", false));
     }
 
     @Test
     void aSimpleMajorityDecides() {
         hear("a", NOW, "s");
         hear("b", NOW, "s", "t");
-        assertTrue(votes.condemned(NOW, "s", false), "two of three");
-        assertFalse(votes.condemned(NOW, "t", false), "one of three");
-        assertFalse(votes.condemned(NOW, "u", true), "one of three, its own");
+        assertTrue(votes.isUnhealthy(NOW, "s", false), "two of three");
+        assertFalse(votes.isUnhealthy(NOW, "t", false), "one of three");
+        assertFalse(votes.isUnhealthy(NOW, "u", true), "one of three, its own");
     }
 
     @Test
     void aTieGoesByTheOwnVote() {
         hear("a", NOW, "s");
-        assertFalse(votes.condemned(NOW, "s", false));
-        assertTrue(votes.condemned(NOW, "t", true));
+        assertFalse(votes.isUnhealthy(NOW, "s", false));
+        assertTrue(votes.isUnhealthy(NOW, "t", true));
     }
 
     @Test
     void aVoteCountsForThreeSeconds() {
         hear("a", NOW, "s");
         hear("b", NOW, "s");
-        assertTrue(votes.condemned(NOW + 3_000, "s", false));
-        assertFalse(votes.condemned(NOW + 3_001, "s", false));
-        assertTrue(votes.condemned(NOW + 3_001, "t", true), "those that lapsed do not vote for it either");
+        assertTrue(votes.isUnhealthy(NOW + 3_000, "s", false));
+        assertFalse(votes.isUnhealthy(NOW + 3_001, "s", false));
+        assertTrue(votes.isUnhealthy(NOW + 3_001, "t", true), "those that lapsed do not vote for it either");
     }
 
     @Test
@@ -52,7 +52,7 @@
         for (double wrong : new double[] {NOW - 3_001, NOW + 3_001}) {
             hear("a", wrong, "s");
             hear("b", wrong, "s");
-            assertFalse(votes.condemned(NOW, "s", false));
+            assertFalse(votes.isUnhealthy(NOW, "s", false));
         }
     }
 
@@ -62,18 +62,18 @@
         hear("b", NOW, "s");
         hear("a", NOW - 1);
         hear("b", NOW);
-        assertTrue(votes.condemned(NOW, "s", false));
+        assertTrue(votes.isUnhealthy(NOW, "s", false));
         hear("a", NOW + 1);
-        assertFalse(votes.condemned(NOW, "s", false), "a newer one does");
+        assertFalse(votes.isUnhealthy(NOW, "s", false), "a newer one does");
     }
 
     @Test
     void aPeerThatLeftHasNoVote() {
         hear("a", NOW, "s");
         hear("b", NOW, "s");
-        votes.forget("a");
-        assertFalse(votes.condemned(NOW, "s", false));
+        votes.remove("a");
+        assertFalse(votes.isUnhealthy(NOW, "s", false));
         hear("a", NOW - 1, "s");
-        assertTrue(votes.condemned(NOW, "s", false), "it may come again");
+        assertTrue(votes.isUnhealthy(NOW, "s", false), "it may come again");
     }
 }
--- a/balancer/src/test/java/dewplank/balancer/ServerHealthTest.java
+++ b/balancer/src/test/java/dewplank/balancer/health/ServerHealthTest.java
@@ -1,4 +1,4 @@
-package dewplank.balancer;
+package dewplank.balancer.health;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -18,57 +18,57 @@
 
     @Test
     void threeUnhealthyOnesInOneContextCondemnAndTwoDoNot() {
-        assertFalse(health.unhealthy(0), "nothing is known");
+        assertFalse(health.isUnhealthy(0), "nothing is known");
         observe("read", 0, false, false);
-        assertFalse(health.unhealthy(2));
+        assertFalse(health.isUnhealthy(2));
         observe("read", 2, false);
-        assertTrue(health.unhealthy(3));
+        assertTrue(health.isUnhealthy(3));
     }
 
     @Test
     void contextsAreCountedEachByItself() {
         observe("read", 0, false, false);
         observe("act", 2, false, false);
-        assertFalse(health.unhealthy(4));
+        assertFalse(health.isUnhealthy(4));
         observe("act", 4, false);
-        assertTrue(health.unhealthy(5), "one is enough");
+        assertTrue(health.isUnhealthy(5), "one is enough");
     }
 
     @Test
     void theLatestObservationDecidesAgainstAHealthyMajority() {
         observe("read", 0, true, true, true, true, true, false, true, false, true, false);
-        assertTrue(health.unhealthy(10), "three of ten, the last one too");
+        assertTrue(health.isUnhealthy(10), "three of ten, the last one too");
         observe("read", 10, true);
-        assertFalse(health.unhealthy(11), "three of eleven, and served since");
+        assertFalse(health.isUnhealthy(11), "three of eleven, and served since");
     }
 
     @Test
     void halfOfTheWindowCondemnsThoughServedSince() {
         observe("read", 0, false, false, false, true, true, true);
-        assertTrue(health.unhealthy(6), "three of six");
+        assertTrue(health.isUnhealthy(6), "three of six");
         observe("read", 6, true);
-        assertFalse(health.unhealthy(7), "three of seven");
+        assertFalse(health.isUnhealthy(7), "three of seven");
     }
 
     @Test
     void whatAnotherContextWasServedSinceIsTheLatestWord() {
         observe("act", 0, true, true, true, true, true, true, false, false, false);
-        assertTrue(health.unhealthy(9));
+        assertTrue(health.isUnhealthy(9));
         observe("read", 9, true);
-        assertFalse(health.unhealthy(10));
+        assertFalse(health.isUnhealthy(10));
         observe("act", 10, false);
-        assertTrue(health.unhealthy(11), "four of ten, the last one too");
-        health.servedLate(11);
-        assertFalse(health.unhealthy(12), "late, but alive");
+        assertTrue(health.isUnhealthy(11), "four of ten, the last one too");
+        health.recordLateSuccess(11);
+        assertFalse(health.isUnhealthy(12), "late, but alive");
     }
 
     @Test
     void observationsCountForTenSeconds() {
         observe("read", 1_000, false, false, false);
-        assertTrue(health.unhealthy(11_000));
-        assertFalse(health.unhealthy(11_001), "two are left");
+        assertTrue(health.isUnhealthy(11_000));
+        assertFalse(health.isUnhealthy(11_001), "two are left");
         observe("read", 11_001, false);
-        assertTrue(health.unhealthy(11_001));
+        assertTrue(health.isUnhealthy(11_001));
     }
 
     @Test
@@ -88,23 +88,23 @@
 
     @Test
     void servedInTheWindowIsToldByTheLastOneServed() {
-        assertEquals(Double.NEGATIVE_INFINITY, health.lastHealthy());
-        assertFalse(health.servedInWindow(0));
+        assertEquals(Double.NEGATIVE_INFINITY, health.lastSuccessAtMs());
+        assertFalse(health.hasRecentSuccess(0));
         observe("read", 500, true, false);
-        assertEquals(500, health.lastHealthy());
-        assertTrue(health.servedInWindow(10_499));
-        assertFalse(health.servedInWindow(10_500));
-        health.servedLate(600);
-        assertTrue(health.servedInWindow(10_500));
+        assertEquals(500, health.lastSuccessAtMs());
+        assertTrue(health.hasRecentSuccess(10_499));
+        assertFalse(health.hasRecentSuccess(10_500));
+        health.recordLateSuccess(600);
+        assertTrue(health.hasRecentSuccess(10_500));
         assertEquals(0.5, health.weight(), "a late one restores nothing");
     }
 
     @Test
     void aNewProcessStartsWithoutVerdictAtFullWeight() {
         observe("read", 0, true, false, false, false);
-        health.restarted();
-        assertFalse(health.unhealthy(4));
+        health.reset();
+        assertFalse(health.isUnhealthy(4));
         assertEquals(1, health.weight());
-        assertEquals(0, health.lastHealthy(), "when it last served stands");
+        assertEquals(0, health.lastSuccessAtMs(), "when it last served stands");
     }
 }
--- a/cli/src/test/java/dewplank/sidecar/VotesTest.java
+++ b/cli/src/test/java/dewplank/sidecar/VotesTest.java
@@ -3,7 +3,7 @@
 import static org.junit.Assert.assertFalse;
 import static org.junit.Assert.assertTrue;
 
-import dewplank.balancer.Summary;
+import dewplank.balancer.health.PeerSummary;
 import dewplank.sidecar.Loopback.Client;
 import dewplank.sidecar.Loopback.Exchange;
 import dewplank.sidecar.Loopback.Peer;
@@ -75,7 +75,7 @@
                 packet.setLength(512);
                 all.get(from).receive(packet);
                 byte[] bytes = java.util.Arrays.copyOf(packet.getData(), packet.getLength());
-                if (!Summary.of(bytes).unhealthy().isEmpty()) {
+                if (!PeerSummary.decode(bytes).unhealthyServers().isEmpty()) {
                     accusers.add(from);
                 }
                 for (int to = 0; to < PROCESSES && !lossy; to++) {
@@ -231,7 +231,7 @@
 
     /** As many strangers as there are processes call a healthy server ill. */
     private void forge() throws IOException {
-        byte[] forged = new Summary(System.currentTimeMillis(), List.of(("s" + HEALTHY).hashCode())).bytes();
+        byte[] forged = new PeerSummary(System.currentTimeMillis(), List.of(("s" + HEALTHY).hashCode())).encode();
         for (int i = 0; i < PROCESSES; i++) {
             try (DatagramSocket stranger = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
                 stranger.send(new DatagramPacket(forged, forged.length, network.listens.get(QUIET)));
--- a/emulator/src/main/java/dewplank/emulator/Clients.java
+++ b/emulator/src/main/java/dewplank/emulator/Clients.java
@@ -1,7 +1,7 @@
 package dewplank.emulator;
 
-import dewplank.balancer.Balancer.Effect;
-import dewplank.balancer.Balancer.Scope;
+import dewplank.balancer.Settings.DeduplicationScope;
+import dewplank.balancer.Settings.Idempotency;
 import dewplank.emulator.Note.What;
 import dewplank.emulator.Scenario.Kind;
 import dewplank.emulator.Scenario.Load;
@@ -226,9 +226,9 @@
                 switch (what) {
                     case SERVED -> false;
                     case REFUSED, UNREACHABLE -> true;
-                    default -> kind.effect() == Effect.SAFE
-                            || kind.effect() == Effect.KEYED
-                                    && kind.scope() == Scope.ALL
+                    default -> kind.effect() == Idempotency.SAFE
+                            || kind.effect() == Idempotency.KEYED
+                                    && kind.scope() == DeduplicationScope.ALL
                                     && now - ask.at < kind.windowMs();
                 };
         double wait = scenario.clients().waitMs() * (0.5 + world.draws.unit(t.id));
@@ -236,7 +236,7 @@
             wait = Math.max(wait, Math.min(value, scenario.rules().maxAdviceMs()));
         }
         boolean again = may && ask.tries <= scenario.clients().retries() && now + wait < ask.at + kind.deadlineMs() - 1;
-        if (kind.effect() == Effect.KEYED && what != What.REFUSED && now + wait - ask.at >= kind.windowMs()) {
+        if (kind.effect() == Idempotency.KEYED && what != What.REFUSED && now + wait - ask.at >= kind.windowMs()) {
             again = false; // its repeat would no longer be recognised
         }
         if (again) {
--- a/emulator/src/main/java/dewplank/emulator/Faults.java
+++ b/emulator/src/main/java/dewplank/emulator/Faults.java
@@ -1,6 +1,6 @@
 package dewplank.emulator;
 
-import dewplank.balancer.Balancer.Availability;
+import dewplank.balancer.Endpoint.Availability;
 import dewplank.emulator.Scenario.Fault;
 import dewplank.emulator.Server.State;
 import java.util.ArrayList;
--- a/emulator/src/main/java/dewplank/emulator/Scenario.java
+++ b/emulator/src/main/java/dewplank/emulator/Scenario.java
@@ -1,13 +1,14 @@
 package dewplank.emulator;
 
-import dewplank.balancer.Balancer;
-import dewplank.balancer.Balancer.Effect;
-import dewplank.balancer.Balancer.Goal;
-import dewplank.balancer.Balancer.Limits;
-import dewplank.balancer.Balancer.Prices;
-import dewplank.balancer.Balancer.RequestClass;
-import dewplank.balancer.Balancer.Safety;
-import dewplank.balancer.Balancer.Scope;
+import dewplank.balancer.Settings;
+import dewplank.balancer.Settings.DeduplicationScope;
+import dewplank.balancer.Settings.Goal;
+import dewplank.balancer.Settings.Idempotency;
+import dewplank.balancer.Settings.Limits;
+import dewplank.balancer.Settings.Prices;
+import dewplank.balancer.Settings.RequestClass;
+import dewplank.balancer.Settings.Safety;
+import dewplank.balancer.Settings.Tenant;
 import java.util.List;
 import java.util.stream.IntStream;
 
@@ -138,8 +139,8 @@
             double aimMs,
             double deadlineMs,
             double worth,
-            Effect effect,
-            Scope scope,
+            Idempotency effect,
+            DeduplicationScope scope,
             double windowMs) {}
 
     /**
@@ -206,13 +207,13 @@
     }
 
     /** What the sidecar with this number is told: the module's settings. */
-    public Balancer.Settings settings(int me) {
+    public Settings settings(int me) {
         List<RequestClass> kinds = classes.stream()
                 .map(k -> new RequestClass(
                         k.name(),
                         k.effect(),
                         k.scope(),
-                        k.effect() == Effect.KEYED ? k.windowMs() : 0,
+                        k.effect() == Idempotency.KEYED ? k.windowMs() : 0,
                         k.aimMs(),
                         0,
                         k.deadlineMs(),
@@ -220,7 +221,7 @@
                         0,
                         false))
                 .toList();
-        return new Balancer.Settings(
+        return new Settings(
                 me,
                 sidecars,
                 zoneOfSidecar(me),
@@ -257,11 +258,11 @@
                 new Goal(0.8, 0.2, 0, 0));
     }
 
-    private List<Balancer.Tenant> tenants() {
+    private List<Tenant> tenants() {
         double shares = subjects.tenants().stream().mapToDouble(Customer::share).sum();
         double perS = 1000 * subjects.quota() * nominalCapacity() / Math.max(1e-9, meanWork());
         return subjects.tenants().stream()
-                .map(c -> new Balancer.Tenant(c.name(), c.share() / shares, perS * c.share() / shares))
+                .map(c -> new Tenant(c.name(), c.share() / shares, perS * c.share() / shares))
                 .toList();
     }
 
@@ -276,7 +277,7 @@
 
     /** What a tenant may ask for in a second and have counted in full. */
     public double allowancePerS(int tenant) {
-        return tenants().get(tenant).allowancePerS();
+        return tenants().get(tenant).allowancePerSecond();
     }
 
     /** The same scenario with one figure changed; {@code path} as in the file, such as {@code load.share}. */
--- a/emulator/src/main/java/dewplank/emulator/ScenarioFile.java
+++ b/emulator/src/main/java/dewplank/emulator/ScenarioFile.java
@@ -1,7 +1,7 @@
 package dewplank.emulator;
 
-import dewplank.balancer.Balancer.Effect;
-import dewplank.balancer.Balancer.Scope;
+import dewplank.balancer.Settings.DeduplicationScope;
+import dewplank.balancer.Settings.Idempotency;
 import dewplank.emulator.Scenario.*;
 import dewplank.emulator.TomlFile.Table;
 import dewplank.settings.BadInput;
@@ -203,7 +203,7 @@
     }
 
     private static Kind kind(Table t) {
-        Effect effect = t.word("effect", Effect.class, Effect.SAFE);
+        Idempotency effect = t.word("effect", Idempotency.class, Idempotency.SAFE);
         double deadline = t.number("deadline_ms", 1, MOST_MS);
         Kind kind = new Kind(
                 t.text("name"),
@@ -216,7 +216,7 @@
                 deadline,
                 t.number("worth", 0, 1e6, 1),
                 effect,
-                t.word("scope", Scope.class, Scope.ALL),
+                t.word("scope", DeduplicationScope.class, DeduplicationScope.ALL),
                 t.number("window_ms", 0, MOST_MS, 750));
         t.end();
         return kind;
--- a/emulator/src/main/java/dewplank/emulator/Server.java
+++ b/emulator/src/main/java/dewplank/emulator/Server.java
@@ -1,6 +1,6 @@
 package dewplank.emulator;
 
-import dewplank.balancer.Balancer.Effect;
+import dewplank.balancer.Settings.Idempotency;
 import dewplank.emulator.Note.What;
 import dewplank.emulator.Scenario.Machine;
 import java.util.ArrayDeque;
@@ -275,7 +275,7 @@
             answer.done(Reply.NEVER_RAN, report());
             return;
         }
-        boolean keyed = world.scenario.classes().get(request.kind).effect() == Effect.KEYED;
+        boolean keyed = world.scenario.classes().get(request.kind).effect() == Idempotency.KEYED;
         Job job = new Job(request, work, answer, keyed && world.withinWindow(request, this));
         if (slotsTaken() < slots) {
             begin(job);
--- a/emulator/src/main/java/dewplank/emulator/ServerList.java
+++ b/emulator/src/main/java/dewplank/emulator/ServerList.java
@@ -1,7 +1,7 @@
 package dewplank.emulator;
 
-import dewplank.balancer.Balancer.Availability;
-import dewplank.balancer.Balancer.Entry;
+import dewplank.balancer.Endpoint;
+import dewplank.balancer.Endpoint.Availability;
 import dewplank.emulator.Note.What;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -21,7 +21,7 @@
     /** Whoever watches. All are called on the world's thread. */
     public interface Watcher {
         /** {@code full}: all entries; otherwise those that changed. */
-        void told(long version, boolean full, List<Entry> entries);
+        void told(long version, boolean full, List<Endpoint> entries);
 
         /** The call failed, or the directory went down. */
         void ended();
@@ -50,7 +50,7 @@
     private static final int HISTORY = 4_096;
 
     private final World world;
-    private final Map<Integer, Entry> entries = new HashMap<>();
+    private final Map<Integer, Endpoint> entries = new HashMap<>();
     private final List<Change> history = new ArrayList<>();
     private final Set<Watch> watches = new LinkedHashSet<>();
     private long version = 1;
@@ -68,9 +68,9 @@
         }
     }
 
-    private Entry entry(Server s, Availability availability) {
+    private Endpoint entry(Server s, Availability availability) {
         double started = s.startedAt();
-        return new Entry(
+        return new Endpoint(
                 s.id,
                 s.zone,
                 s.machine.name(),
@@ -101,10 +101,10 @@
     }
 
     /** All that is not gone, by number. */
-    public List<Entry> whole() {
-        List<Entry> all = new ArrayList<>();
+    public List<Endpoint> whole() {
+        List<Endpoint> all = new ArrayList<>();
         for (Server s : world.servers) {
-            Entry e = entries.get(s.number);
+            Endpoint e = entries.get(s.number);
             if (e.availability() != Availability.REMOVED) {
                 all.add(e);
             }
@@ -114,7 +114,7 @@
 
     /** Something became known of the server. */
     void set(Server s, Availability availability) {
-        Entry e = entry(s, availability);
+        Endpoint e = entry(s, availability);
         if (e.equals(entries.get(s.number))) {
             return;
         }
@@ -193,10 +193,10 @@
             return;
         }
         boolean full = watch.version < oldest;
-        List<Entry> news = full ? whole() : since(watch.version);
+        List<Endpoint> news = full ? whole() : since(watch.version);
         watch.version = version;
         lines += news.size() + 1;
-        for (Entry e : news) {
+        for (Endpoint e : news) {
             record(watch.sidecar, e);
         }
         if (full) {
@@ -209,24 +209,24 @@
         watch.watcher.told(version, full, news);
     }
 
-    private List<Entry> since(long known) {
+    private List<Endpoint> since(long known) {
         Set<Integer> changed = new LinkedHashSet<>();
         for (int i = history.size() - 1; i >= 0 && history.get(i).version() > known; i--) {
             changed.add(history.get(i).server());
         }
-        List<Entry> news = new ArrayList<>();
+        List<Endpoint> news = new ArrayList<>();
         changed.stream().sorted().forEach(n -> news.add(entries.get(n)));
         return news;
     }
 
-    private void record(int sidecar, Entry e) {
+    private void record(int sidecar, Endpoint e) {
         int server = world.byId.get(e.server()).number;
         switch (e.availability()) {
             case DRAINING -> world.note(What.TOLD_DRAINING, null, sidecar, server, 0);
             case REMOVED -> world.note(What.TOLD_GONE, null, sidecar, server, 0);
             default -> {
-                if (e.startedAt() != null) { // one that has run for long says nothing that binds
-                    world.note(What.TOLD_UP, null, sidecar, server, e.startedAt());
+                if (e.startedAtMs() != null) { // one that has run for long says nothing that binds
+                    world.note(What.TOLD_UP, null, sidecar, server, e.startedAtMs());
                 }
             }
         }
--- a/emulator/src/main/java/dewplank/emulator/loopback/DirectoryEnd.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/DirectoryEnd.java
@@ -2,8 +2,8 @@
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
-import dewplank.balancer.Balancer.Availability;
-import dewplank.balancer.Balancer.Entry;
+import dewplank.balancer.Endpoint;
+import dewplank.balancer.Endpoint.Availability;
 import dewplank.emulator.ServerList;
 import dewplank.emulator.World;
 import dewplank.http.MessageWriter;
@@ -42,9 +42,9 @@
     }
 
     /** A list as the protocol has it. */
-    JsonObject json(long version, boolean full, List<Entry> entries) {
+    JsonObject json(long version, boolean full, List<Endpoint> entries) {
         JsonArray servers = new JsonArray();
-        for (Entry e : entries) {
+        for (Endpoint e : entries) {
             JsonObject entry = new JsonObject();
             entry.addProperty("id", e.server());
             entry.addProperty("addr", Addresses.text(addresses.apply(sidecar, world.byId.get(e.server()).number)));
@@ -57,7 +57,7 @@
                             ? "active"
                             : e.availability() == Availability.DRAINING ? "leaving" : "left");
             entry.addProperty("weight", e.rating());
-            entry.addProperty("started_ms", e.startedAt() == null ? 0 : e.startedAt());
+            entry.addProperty("started_ms", e.startedAtMs() == null ? 0 : e.startedAtMs());
             servers.add(entry);
         }
         JsonObject list = new JsonObject();
@@ -97,7 +97,7 @@
         }
 
         @Override
-        public void told(long version, boolean full, List<Entry> entries) {
+        public void told(long version, boolean full, List<Endpoint> entries) {
             line(json(version, full, entries).toString());
         }
 
--- a/emulator/src/main/java/dewplank/emulator/loopback/LoopbackRun.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/LoopbackRun.java
@@ -2,7 +2,7 @@
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
-import dewplank.balancer.Balancer.Effect;
+import dewplank.balancer.Settings.Idempotency;
 import dewplank.emulator.Clients;
 import dewplank.emulator.Faults;
 import dewplank.emulator.Note;
@@ -251,7 +251,7 @@
         tries.put(t.id, t);
         world.later(REMEMBER_MS, () -> tries.remove(t.id));
         Scenario.Kind kind = scenario.classes().get(t.kind);
-        boolean safe = kind.effect() == Effect.SAFE;
+        boolean safe = kind.effect() == Idempotency.SAFE;
         MessageWriter request = MessageWriter.request(safe ? "GET" : "POST", "/api", "api.internal")
                 .header("X-Trace-Id", Long.toHexString(t.id))
                 .header("X-Qos", kind.name())
@@ -263,7 +263,7 @@
                                 : scenario.subjects().tenants().get(t.tenant).name())
                 .header("Cookie", t.about < 0 ? null : "k=key-" + t.about)
                 .header("X-Second-Try", t.repeat && scenario.clients().marks() ? "1" : null)
-                .header("Idempotency-Key", kind.effect() == Effect.KEYED ? Long.toHexString(t.key) : null);
+                .header("Idempotency-Key", kind.effect() == Idempotency.KEYED ? Long.toHexString(t.key) : null);
         ByteBuffer bytes = safe ? request.noBody() : request.body("{\"lines\":[]}".getBytes(StandardCharsets.US_ASCII));
         boolean[] answered = new boolean[1];
         HttpClient.Call call = fronts.get(t.sidecar).call(bytes, (answer, body) -> {
--- a/emulator/src/main/java/dewplank/emulator/loopback/SidecarFile.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/SidecarFile.java
@@ -2,10 +2,10 @@
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
-import dewplank.balancer.Balancer.Limits;
-import dewplank.balancer.Balancer.RequestClass;
-import dewplank.balancer.Balancer.Safety;
-import dewplank.balancer.Balancer.Settings;
+import dewplank.balancer.Settings;
+import dewplank.balancer.Settings.Limits;
+import dewplank.balancer.Settings.RequestClass;
+import dewplank.balancer.Settings.Safety;
 
 /** The module's settings in the form that a sidecar's configuration has them. */
 final class SidecarFile {
@@ -18,27 +18,27 @@
             JsonObject account = new JsonObject();
             account.addProperty("Name", t.name());
             account.addProperty("Share", t.share());
-            account.addProperty("AllowancePerS", t.allowancePerS());
+            account.addProperty("AllowancePerS", t.allowancePerSecond());
             accounts.add(account);
         });
         o.add("Accounts", accounts);
         JsonObject family = new JsonObject();
-        family.addProperty("WarmKeys", s.warmKeys());
+        family.addProperty("WarmKeys", s.serversCacheKeys());
         o.add("FamilyInfo", family);
         o.addProperty("Az", s.zone());
-        o.addProperty("CountedBy", s.worthByWork() ? "work" : "request");
-        o.addProperty("Me", s.me());
-        o.addProperty("ReplicasOfMe", s.replicas());
-        o.addProperty("RegistryMode", s.listPushed() ? "pushed" : "on_request");
+        o.addProperty("CountedBy", s.valueIsPerWork() ? "work" : "request");
+        o.addProperty("Me", s.replicaIndex());
+        o.addProperty("ReplicasOfMe", s.replicaCount());
+        o.addProperty("RegistryMode", s.endpointListIsPushed() ? "pushed" : "on_request");
         o.addProperty("Tick", s.tickMs());
-        o.addProperty("Weights", s.ratedServers() ? "nominal" : "none");
-        o.addProperty("OverShareWorth", s.overShareWorth());
+        o.addProperty("Weights", s.serversAreRated() ? "nominal" : "none");
+        o.addProperty("OverShareWorth", s.overShareValueFactor());
         JsonArray classes = new JsonArray();
         s.classes().forEach(c -> classes.add(requestClass(c)));
         o.add("Classes", classes);
         JsonObject feedback = new JsonObject();
         JsonArray names = new JsonArray();
-        s.reportFields().forEach(names::add);
+        s.loadReportFields().forEach(names::add);
         feedback.add("Names", names);
         feedback.addProperty("Via", "answers");
         o.add("Feedback", feedback);
@@ -60,41 +60,41 @@
         o.addProperty("Name", c.name());
         o.addProperty(
                 "Idempotency",
-                switch (c.effect()) {
+                switch (c.idempotency()) {
                     case SAFE -> "read_like";
                     case KEYED -> "idempotency_key";
                     case UNSAFE -> "non_idempotent";
                 });
-        o.addProperty("KeyScope", c.scope().name().toLowerCase(java.util.Locale.ROOT));
-        o.addProperty("KeyTtl", c.memoryMs());
-        o.addProperty("Objective", c.aimMs());
+        o.addProperty("KeyScope", c.deduplicationScope().name().toLowerCase(java.util.Locale.ROOT));
+        o.addProperty("KeyTtl", c.deduplicationWindowMs());
+        o.addProperty("Objective", c.latencyTargetMs());
         o.addProperty("Deadline", c.deadlineMs());
-        o.addProperty("Worth", c.worth());
+        o.addProperty("Worth", c.value());
         return o;
     }
 
     private static JsonObject limits(Limits l) {
         JsonObject o = new JsonObject();
         o.addProperty("SendCap", l.maxAttempts());
-        o.addProperty("SecondCopies", l.secondCopies());
-        o.addProperty("Cancelling", l.mayCancel());
-        o.addProperty("MayProbe", l.mayProbe());
-        o.addProperty("Peers", l.peers());
-        o.addProperty("RetryAfter", l.retryAdvice());
+        o.addProperty("SecondCopies", l.allowsHedging());
+        o.addProperty("Cancelling", l.allowsCancellation());
+        o.addProperty("MayProbe", l.allowsHealthChecks());
+        o.addProperty("Peers", l.exchangesPeerSummaries());
+        o.addProperty("RetryAfter", l.allowsRetryAdvice());
         o.addProperty("MaxRetryAfter", l.maxRetryAdviceMs());
         o.addProperty("ConnectTimeout", l.connectTimeoutMs());
-        o.addProperty("IdleClose", l.idleCloseMs());
-        o.addProperty("Multiplex", l.streamsPerConnection());
+        o.addProperty("IdleClose", l.idleTimeoutMs());
+        o.addProperty("Multiplex", l.maxStreamsPerConnection());
         return o;
     }
 
     private static JsonObject safety(Safety s) {
         JsonObject o = new JsonObject();
-        o.addProperty("AskWithin", s.askWithinMs());
-        o.addProperty("Cold", s.coldMs());
-        o.addProperty("ColdShare", s.coldShare());
-        o.addProperty("FallMultiple", s.fallMultiple());
-        o.addProperty("TipAfter", s.tipAfterMs());
+        o.addProperty("AskWithin", s.maxSubscribeDelayMs());
+        o.addProperty("Cold", s.slowStartMs());
+        o.addProperty("ColdShare", s.slowStartInitialShare());
+        o.addProperty("FallMultiple", s.slowStartOverloadFactor());
+        o.addProperty("TipAfter", s.slowStartOverloadMs());
         return o;
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/virtualtime/EmulatedSidecar.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/EmulatedSidecar.java
@@ -1,7 +1,27 @@
 package dewplank.emulator.virtualtime;
 
+import dewplank.balancer.Action;
+import dewplank.balancer.Action.BroadcastSummary;
+import dewplank.balancer.Action.Cancel;
+import dewplank.balancer.Action.CheckHealth;
+import dewplank.balancer.Action.CloseIdleConnections;
+import dewplank.balancer.Action.Fail;
+import dewplank.balancer.Action.Reject;
+import dewplank.balancer.Action.Send;
+import dewplank.balancer.Action.SetTimer;
+import dewplank.balancer.Action.Subscribe;
 import dewplank.balancer.Balancer;
-import dewplank.balancer.Balancer.*;
+import dewplank.balancer.Endpoint;
+import dewplank.balancer.Event;
+import dewplank.balancer.Event.AttemptEnded;
+import dewplank.balancer.Event.EndpointUpdate;
+import dewplank.balancer.Event.HealthChecked;
+import dewplank.balancer.Event.PeerSummaryReceived;
+import dewplank.balancer.Event.RequestAbandoned;
+import dewplank.balancer.Event.RequestArrived;
+import dewplank.balancer.Event.TimerFired;
+import dewplank.balancer.Event.UpdateKind;
+import dewplank.balancer.Outcome;
 import dewplank.emulator.Note.What;
 import dewplank.emulator.Scenario;
 import dewplank.emulator.Server;
@@ -79,12 +99,12 @@
     }
 
     /** Starts from nothing but the list as it is held now. */
-    void start(List<Entry> known, long knownVersion) {
+    void start(List<Endpoint> known, long knownVersion) {
         up = true;
         version = knownVersion;
         balancer = run.newBalancer(number, life);
         world.note(What.SIDECAR_UP, null, number, -1, 0);
-        tell(new ListNews(ListForm.STALE, known));
+        tell(new EndpointUpdate(UpdateKind.CACHED, known));
     }
 
     void kill(double backAfterMs) {
@@ -115,7 +135,7 @@
         idle.forEach((server, connections) ->
                 connections.forEach(i -> world.servers.get(server).disconnect(i.life())));
         idle.clear();
-        List<Entry> known = world.list.whole();
+        List<Endpoint> known = world.list.whole();
         long knownVersion = world.list.version();
         world.later(backAfterMs, () -> start(known, knownVersion));
     }
@@ -150,7 +170,7 @@
             String tenant = t.tenant < 0
                     ? null
                     : scenario.subjects().tenants().get(t.tenant).name();
-            tell(new Arrived(
+            tell(new RequestArrived(
                     t.id,
                     tenant,
                     t.about < 0 ? null : "key-" + t.about,
@@ -167,7 +187,7 @@
             if (open != null && !open.over) {
                 open.over = true;
                 forgetIfDone(open);
-                tell(new Abandoned(t.id));
+                tell(new RequestAbandoned(t.id));
             }
         });
     }
@@ -220,24 +240,24 @@
             if (call != null) {
                 end(call, Outcome.CANCELLED, -1);
             }
-        } else if (action instanceof Refuse a) {
-            finish(a.request(), What.REFUSED, scenario.rules().retryAdvice() ? a.retryInMs() : 0);
+        } else if (action instanceof Reject a) {
+            finish(a.request(), What.REFUSED, scenario.rules().retryAdvice() ? a.retryAfterMs() : 0);
         } else if (action instanceof Fail a) {
             finish(a.request(), What.FAILED, 0);
         } else if (action instanceof SetTimer a) {
             int mine = life;
-            world.later(a.afterMs(), () -> {
+            world.later(a.delayMs(), () -> {
                 if (up && life == mine) {
                     tell(new TimerFired(a.timer()));
                 }
             });
         } else if (action instanceof Subscribe) {
             subscribe();
-        } else if (action instanceof Probe a) {
+        } else if (action instanceof CheckHealth a) {
             probe(world.byId.get(a.server()));
-        } else if (action instanceof CloseIdle a) {
+        } else if (action instanceof CloseIdleConnections a) {
             closeIdle(world.byId.get(a.server()));
-        } else if (action instanceof TellPeers a) {
+        } else if (action instanceof BroadcastSummary a) {
             run.tellPeers(number, message(a.bytes()));
         }
     }
@@ -258,7 +278,7 @@
 
     void hear(int peer, byte[] said) {
         if (up) {
-            tell(new PeerSaid(peer, said));
+            tell(new PeerSummaryReceived(peer, said));
         }
     }
 
@@ -269,17 +289,17 @@
         int mine = life;
         watch = world.list.watch(number, version, new ServerList.Watcher() {
             @Override
-            public void told(long now, boolean full, List<Entry> entries) {
+            public void told(long now, boolean full, List<Endpoint> entries) {
                 if (life == mine) {
                     version = now;
-                    tell(new ListNews(full ? ListForm.WHOLE : ListForm.CHANGES, entries));
+                    tell(new EndpointUpdate(full ? UpdateKind.FULL : UpdateKind.INCREMENTAL, entries));
                 }
             }
 
             @Override
             public void ended() {
                 if (life == mine) {
-                    tell(new ListNews(ListForm.BROKEN, List.of()));
+                    tell(new EndpointUpdate(UpdateKind.BROKEN, List.of()));
                 }
             }
         });
@@ -301,7 +321,8 @@
             if (open != null) {
                 open.calls.add(null);
             }
-            tell(new Ended(a.request(), attempt, a.server(), Outcome.NEVER_SENT, 0, open == null || open.over, null));
+            tell(new AttemptEnded(
+                    a.request(), attempt, a.server(), Outcome.NEVER_SENT, 0, open == null || open.over, null));
             return;
         }
         sends++;
@@ -397,7 +418,7 @@
         return switch (reply) {
             case OK -> Outcome.SERVED;
             case ERROR -> Outcome.ERROR;
-            case NEVER_RAN -> Outcome.FULL;
+            case NEVER_RAN -> Outcome.REJECTED;
             case RESET -> Outcome.RESET;
         };
     }
@@ -409,7 +430,7 @@
         call.over = true;
         Open open = call.open;
         open.out--;
-        boolean whole = outcome == Outcome.SERVED || outcome == Outcome.ERROR || outcome == Outcome.FULL;
+        boolean whole = outcome == Outcome.SERVED || outcome == Outcome.ERROR || outcome == Outcome.REJECTED;
         if (whole && call.life == call.server.life()) {
             idle.computeIfAbsent(call.server.number, n -> new ArrayDeque<>()).addLast(new Idle(call.life, world.now()));
         } else if (call.life >= 0) {
@@ -420,7 +441,7 @@
             answer(open.request, What.SERVED, open.request.id);
         }
         forgetIfDone(open);
-        tell(new Ended(
+        tell(new AttemptEnded(
                 open.request.id,
                 call.attempt,
                 call.server.id,
@@ -441,7 +462,8 @@
         boolean lost = server.state() == Server.State.SILENT || world.cut(number, server.number);
         world.later(lost ? PROBE_TIMEOUT_MS : way, () -> {
             if (life == mine) {
-                tell(new Probed(server.id, !lost && server.state() == Server.State.UP, world.now() - sentAt, null));
+                tell(new HealthChecked(
+                        server.id, !lost && server.state() == Server.State.UP, world.now() - sentAt, null));
             }
         });
     }
--- a/emulator/src/main/java/dewplank/emulator/virtualtime/VirtualRun.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/VirtualRun.java
@@ -1,6 +1,8 @@
 package dewplank.emulator.virtualtime;
 
 import dewplank.balancer.Balancer;
+import dewplank.balancer.Endpoint;
+import dewplank.balancer.Settings;
 import dewplank.emulator.Clients;
 import dewplank.emulator.Draws;
 import dewplank.emulator.Faults;
@@ -23,7 +25,7 @@
 
     /** Makes the decision module under test. {@code world}: for a policy that sees the true state; no other may look. */
     public interface Policy {
-        Balancer create(Balancer.Settings settings, long seed, World world, int sidecar);
+        Balancer create(Settings settings, long seed, World world, int sidecar);
     }
 
     /** Makes a sidecar; for tests, which need broken ones. */
@@ -83,7 +85,7 @@
 
     /** Plays the scenario, and on until every client has its end. */
     public Cost run() {
-        List<Balancer.Entry> known = world.list.whole();
+        List<Endpoint> known = world.list.whole();
         long version = world.list.version();
         sidecars.forEach(s -> s.start(known, version));
         Faults.schedule(world, (n, back) -> sidecars.get(n).kill(back));
--- a/emulator/src/test/java/dewplank/emulator/ServerListTest.java
+++ b/emulator/src/test/java/dewplank/emulator/ServerListTest.java
@@ -3,8 +3,8 @@
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
 
-import dewplank.balancer.Balancer.Availability;
-import dewplank.balancer.Balancer.Entry;
+import dewplank.balancer.Endpoint;
+import dewplank.balancer.Endpoint.Availability;
 import dewplank.emulator.Note.What;
 import java.util.ArrayList;
 import java.util.List;
@@ -41,7 +41,7 @@
     private ServerList.Watch watch(long since) {
         return world.list.watch(0, since, new ServerList.Watcher() {
             @Override
-            public void told(long version, boolean full, List<Entry> entries) {
+            public void told(long version, boolean full, List<Endpoint> entries) {
                 heard.add((full ? "full " : "changes ") + entries.size());
             }
 
--- a/lab/src/main/java/dewplank/lab/Auditor.java
+++ b/lab/src/main/java/dewplank/lab/Auditor.java
@@ -1,7 +1,7 @@
 package dewplank.lab;
 
-import dewplank.balancer.Balancer.Effect;
-import dewplank.balancer.Balancer.Scope;
+import dewplank.balancer.Settings.DeduplicationScope;
+import dewplank.balancer.Settings.Idempotency;
 import dewplank.emulator.Note;
 import dewplank.emulator.Note.What;
 import dewplank.emulator.Scenario;
@@ -248,7 +248,8 @@
 
     private boolean mayRefuseAfterRun(Life life) {
         Kind kind = kind(life);
-        return kind.effect() == Effect.SAFE || kind.effect() == Effect.KEYED && kind.scope() == Scope.ALL;
+        return kind.effect() == Idempotency.SAFE
+                || kind.effect() == Idempotency.KEYED && kind.scope() == DeduplicationScope.ALL;
     }
 
     private Kind kind(Life life) {
@@ -269,10 +270,10 @@
         }
         life.everReceived = true;
         Kind kind = kind(life);
-        if (life.ran > 0 && kind.effect() == Effect.UNSAFE) {
+        if (life.ran > 0 && kind.effect() == Idempotency.UNSAFE) {
             broken(Rule.SENT_TWICE, life, n, "server " + life.firstServer + " had it, and it may have run");
         }
-        if (life.ran > 0 && kind.effect() == Effect.KEYED) {
+        if (life.ran > 0 && kind.effect() == Idempotency.KEYED) {
             if (n.at() - life.firstRunAt > kind.windowMs() + slackMs) {
                 broken(Rule.KEYED_TOO_LATE, life, n, "%.0f ms after the first".formatted(n.at() - life.firstRunAt));
             }
@@ -307,7 +308,7 @@
 
     private void effect(Note n) {
         Life life = on(n);
-        if (life != null && ++life.effects > 1 && kind(life).effect() != Effect.SAFE) {
+        if (life != null && ++life.effects > 1 && kind(life).effect() != Idempotency.SAFE) {
             broken(Rule.EFFECT_TWICE, life, n, "its effect had taken place before");
         }
     }
--- a/lab/src/main/java/dewplank/lab/bench/DecisionBench.java
+++ b/lab/src/main/java/dewplank/lab/bench/DecisionBench.java
@@ -1,8 +1,18 @@
 package dewplank.lab.bench;
 
+import dewplank.balancer.Action.Send;
+import dewplank.balancer.Action.SetTimer;
 import dewplank.balancer.Balancer;
-import dewplank.balancer.Balancer.*;
-import dewplank.balancer.Choice;
+import dewplank.balancer.Endpoint;
+import dewplank.balancer.Endpoint.Availability;
+import dewplank.balancer.Event;
+import dewplank.balancer.Event.AttemptEnded;
+import dewplank.balancer.Event.EndpointUpdate;
+import dewplank.balancer.Event.RequestArrived;
+import dewplank.balancer.Event.TimerFired;
+import dewplank.balancer.Event.UpdateKind;
+import dewplank.balancer.Outcome;
+import dewplank.balancer.adaptive.AdaptiveBalancer;
 import dewplank.emulator.Scenario;
 import dewplank.emulator.ScenarioFile;
 import java.util.ArrayDeque;
@@ -47,7 +57,7 @@
     @Param({"6", "60", "200", "2000"})
     public int servers;
 
-    private final List<Entry> entries = new ArrayList<>();
+    private final List<Endpoint> entries = new ArrayList<>();
     private final Queue<Send> out = new ArrayDeque<>();
     private final PriorityQueue<Due> timers = new PriorityQueue<>(Comparator.comparingDouble(Due::at));
     private List<String> classes;
@@ -60,16 +70,16 @@
     public void setUp() {
         Scenario scenario = ScenarioFile.named("fleet").with("sidecars", 1);
         classes = scenario.classNames();
-        module = new Choice(scenario.settings(0), new SplittableRandom(1));
+        module = new AdaptiveBalancer(scenario.settings(0), new SplittableRandom(1));
         entries.clear();
         for (int i = 0; i < servers; i++) {
             entries.add(entry(i, 1));
         }
-        tell(new ListNews(ListForm.STALE, entries));
+        tell(new EndpointUpdate(UpdateKind.CACHED, entries));
     }
 
-    private static Entry entry(int number, double rating) {
-        return new Entry(
+    private static Endpoint entry(int number, double rating) {
+        return new Endpoint(
                 "server-" + number, number % 2 == 0 ? "a" : "b", "kind", number / 5, Availability.UP, rating, null);
     }
 
@@ -78,7 +88,7 @@
             if (action instanceof Send s) {
                 out.add(s);
             } else if (action instanceof SetTimer t) {
-                timers.add(new Due(now + t.afterMs(), t.timer()));
+                timers.add(new Due(now + t.delayMs(), t.timer()));
             }
         });
     }
@@ -90,17 +100,17 @@
             tell(new TimerFired(timers.remove().timer()));
         }
         request++;
-        tell(new Arrived(request, null, null, false, classes.get((int) (request % classes.size())), 600, null));
+        tell(new RequestArrived(request, null, null, false, classes.get((int) (request % classes.size())), 600, null));
         while (out.size() > IN_FLIGHT) {
             Send s = out.remove();
-            tell(new Ended(s.request(), 0, s.server(), Outcome.SERVED, SERVED_MS, true, null));
+            tell(new AttemptEnded(s.request(), 0, s.server(), Outcome.SERVED, SERVED_MS, true, null));
         }
     }
 
     @Benchmark
     public void requestAfterAChangeOfTheList() {
         changed = (changed + 1) % servers;
-        tell(new ListNews(ListForm.CHANGES, List.of(entry(changed, 1 + request % 7 * 0.1))));
+        tell(new EndpointUpdate(UpdateKind.INCREMENTAL, List.of(entry(changed, 1 + request % 7 * 0.1))));
         request();
     }
 
--- a/lab/src/main/java/dewplank/lab/policies/Policies.java
+++ b/lab/src/main/java/dewplank/lab/policies/Policies.java
@@ -1,9 +1,9 @@
 package dewplank.lab.policies;
 
-import dewplank.balancer.Balancer.Outcome;
-import dewplank.balancer.Balancer.RequestClass;
-import dewplank.balancer.Balancer.Settings;
-import dewplank.balancer.Choice;
+import dewplank.balancer.Outcome;
+import dewplank.balancer.Settings;
+import dewplank.balancer.Settings.RequestClass;
+import dewplank.balancer.adaptive.AdaptiveBalancer;
 import dewplank.emulator.Server;
 import dewplank.emulator.World;
 import dewplank.emulator.virtualtime.VirtualRun.Policy;
@@ -22,7 +22,7 @@
     private static final Map<String, Policy> ALL = new LinkedHashMap<>();
 
     static {
-        ALL.put("choice", (settings, seed, world, me) -> new Choice(settings, new SplittableRandom(seed)));
+        ALL.put("choice", (settings, seed, world, me) -> new AdaptiveBalancer(settings, new SplittableRandom(seed)));
         ALL.put("random", (settings, seed, world, me) -> new RandomPick(settings, seed));
         ALL.put("round-robin", (settings, seed, world, me) -> new RoundRobin(settings, seed));
         ALL.put("least-outstanding", (settings, seed, world, me) -> new LeastOutstanding(settings, seed));
@@ -189,10 +189,10 @@
         /** Where not all can be served, worth by work decides. */
         @Override
         boolean refuses(RequestClass rules, Peer best, double leftMs) {
-            double aim = Math.min(leftMs, rules.aimMs());
-            double density = rules.worth() / works.get(rules.name());
+            double aim = Math.min(leftMs, rules.latencyTargetMs());
+            double density = rules.value() / works.get(rules.name());
             double most = settings.classes().stream()
-                    .mapToDouble(c -> c.worth() / works.get(c.name()))
+                    .mapToDouble(c -> c.value() / works.get(c.name()))
                     .max()
                     .orElse(1);
             return soonest > aim * (0.6 + 0.6 * density / most);
--- a/lab/src/main/java/dewplank/lab/policies/Textbook.java
+++ b/lab/src/main/java/dewplank/lab/policies/Textbook.java
@@ -1,6 +1,26 @@
 package dewplank.lab.policies;
 
+import dewplank.balancer.Action;
+import dewplank.balancer.Action.Fail;
+import dewplank.balancer.Action.Reject;
+import dewplank.balancer.Action.Send;
+import dewplank.balancer.Action.SetTimer;
+import dewplank.balancer.Action.Subscribe;
 import dewplank.balancer.Balancer;
+import dewplank.balancer.Endpoint;
+import dewplank.balancer.Endpoint.Availability;
+import dewplank.balancer.Event;
+import dewplank.balancer.Event.AttemptEnded;
+import dewplank.balancer.Event.EndpointUpdate;
+import dewplank.balancer.Event.RequestAbandoned;
+import dewplank.balancer.Event.RequestArrived;
+import dewplank.balancer.Event.TimerFired;
+import dewplank.balancer.Event.UpdateKind;
+import dewplank.balancer.Outcome;
+import dewplank.balancer.Settings;
+import dewplank.balancer.Settings.DeduplicationScope;
+import dewplank.balancer.Settings.Idempotency;
+import dewplank.balancer.Settings.RequestClass;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -20,7 +40,7 @@
 
     /** One server as this sidecar sees it. */
     static final class Peer {
-        Entry entry;
+        Endpoint entry;
         int outstanding;
         int failuresInARow;
         double ejectedUntil;
@@ -28,7 +48,7 @@
     }
 
     private static final class Open {
-        final Arrived arrived;
+        final RequestArrived arrived;
         final RequestClass rules;
         final double until;
         final Set<String> tried = new HashSet<>(4);
@@ -36,7 +56,7 @@
         boolean mayHaveRun;
         double firstSentAt = Double.NaN;
 
-        Open(Arrived arrived, RequestClass rules, double until) {
+        Open(RequestArrived arrived, RequestClass rules, double until) {
             this.arrived = arrived;
             this.rules = rules;
             this.until = until;
@@ -78,32 +98,32 @@
     public void handle(double time, Event event, Consumer<Action> actions) {
         now = time;
         out = actions;
-        if (event instanceof ListNews e) {
+        if (event instanceof EndpointUpdate e) {
             list(e);
-        } else if (event instanceof Arrived e) {
+        } else if (event instanceof RequestArrived e) {
             Open o = new Open(e, classes.get(e.requestClass()), now + e.budgetMs());
             open.put(e.request(), o);
             attempt(o);
-        } else if (event instanceof Ended e) {
+        } else if (event instanceof AttemptEnded e) {
             ended(e);
-        } else if (event instanceof Abandoned e) {
+        } else if (event instanceof RequestAbandoned e) {
             open.remove(e.request());
         } else if (event instanceof TimerFired) {
             out.accept(new Subscribe());
         }
     }
 
-    private void list(ListNews news) {
-        if (news.form() == ListForm.BROKEN) {
+    private void list(EndpointUpdate news) {
+        if (news.kind() == UpdateKind.BROKEN) {
             out.accept(new SetTimer(1, ASK_AGAIN_MS));
             return;
         }
-        if (news.form() != ListForm.CHANGES) {
+        if (news.kind() != UpdateKind.INCREMENTAL) {
             Set<String> named = new HashSet<>();
-            news.entries().forEach(e -> named.add(e.server()));
+            news.endpoints().forEach(e -> named.add(e.server()));
             peers.keySet().removeIf(id -> !named.contains(id));
         }
-        for (Entry e : news.entries()) {
+        for (Endpoint e : news.endpoints()) {
             if (e.availability() == Availability.REMOVED) {
                 peers.remove(e.server());
             } else {
@@ -115,7 +135,7 @@
         for (Peer p : peers.values()) {
             if (p.entry.availability() == Availability.UP) {
                 usable.add(p);
-                anyCold |= p.entry.startedAt() != null;
+                anyCold |= p.entry.startedAtMs() != null;
             }
         }
         if (!watching) {
@@ -126,12 +146,12 @@
 
     /** Slow start: a cold server is drawn as often as it is surely warm. */
     boolean warmEnough(Peer p) {
-        Double at = p.entry.startedAt();
-        double cold = settings.safety().coldMs();
+        Double at = p.entry.startedAtMs();
+        double cold = settings.safety().slowStartMs();
         if (at == null || cold <= 0 || now - at >= cold) {
             return true;
         }
-        double share = settings.safety().coldShare();
+        double share = settings.safety().slowStartInitialShare();
         return random.nextDouble() < share + (1 - share) * Math.max(0, now - at) / cold;
     }
 
@@ -161,7 +181,7 @@
         out.accept(new Send(o.arrived.request(), peer.entry.server(), 0));
     }
 
-    private void ended(Ended e) {
+    private void ended(AttemptEnded e) {
         Peer peer = peers.get(e.server());
         if (peer != null) {
             peer.outstanding = Math.max(0, peer.outstanding - 1);
@@ -171,19 +191,19 @@
         if (o == null) {
             return;
         }
-        if (e.over()) {
+        if (e.requestIsOver()) {
             open.remove(e.request());
             return;
         }
-        boolean never = e.outcome() == Outcome.FULL
+        boolean never = e.outcome() == Outcome.REJECTED
                 || e.outcome() == Outcome.CONNECT_FAILED
                 || e.outcome() == Outcome.NEVER_SENT;
         o.mayHaveRun |= !never;
         boolean may = !o.mayHaveRun
-                || o.rules.effect() == Effect.SAFE
-                || o.rules.effect() == Effect.KEYED
-                        && o.rules.scope() == Scope.ALL
-                        && now - o.firstSentAt < o.rules.memoryMs();
+                || o.rules.idempotency() == Idempotency.SAFE
+                || o.rules.idempotency() == Idempotency.KEYED
+                        && o.rules.deduplicationScope() == DeduplicationScope.ALL
+                        && now - o.firstSentAt < o.rules.deduplicationWindowMs();
         if (may && o.attempts < settings.limits().maxAttempts() && now < o.until - 1) {
             attempt(o);
         } else {
@@ -193,7 +213,7 @@
 
     private void giveUp(Open o) {
         open.remove(o.arrived.request());
-        boolean mayRefuse = !o.mayHaveRun || o.rules.effect() == Effect.SAFE;
-        out.accept(mayRefuse ? new Refuse(o.arrived.request(), 0) : new Fail(o.arrived.request()));
+        boolean mayRefuse = !o.mayHaveRun || o.rules.idempotency() == Idempotency.SAFE;
+        out.accept(mayRefuse ? new Reject(o.arrived.request(), 0) : new Fail(o.arrived.request()));
     }
 }
--- a/lab/src/test/java/dewplank/lab/Broken.java
+++ b/lab/src/test/java/dewplank/lab/Broken.java
@@ -1,6 +1,22 @@
 package dewplank.lab;
 
+import dewplank.balancer.Action;
+import dewplank.balancer.Action.Fail;
+import dewplank.balancer.Action.Reject;
+import dewplank.balancer.Action.Send;
+import dewplank.balancer.Action.Subscribe;
 import dewplank.balancer.Balancer;
+import dewplank.balancer.Endpoint;
+import dewplank.balancer.Endpoint.Availability;
+import dewplank.balancer.Event;
+import dewplank.balancer.Event.AttemptEnded;
+import dewplank.balancer.Event.EndpointUpdate;
+import dewplank.balancer.Event.RequestAbandoned;
+import dewplank.balancer.Event.RequestArrived;
+import dewplank.balancer.Outcome;
+import dewplank.balancer.Settings;
+import dewplank.balancer.Settings.Idempotency;
+import dewplank.balancer.Settings.RequestClass;
 import dewplank.emulator.Note.What;
 import dewplank.emulator.Try;
 import dewplank.emulator.virtualtime.EmulatedSidecar;
@@ -31,8 +47,8 @@
         private final Settings settings;
         private final Way way;
         private final SplittableRandom random;
-        private final Map<String, Entry> list = new HashMap<>();
-        private final Map<Long, Arrived> open = new HashMap<>();
+        private final Map<String, Endpoint> list = new HashMap<>();
+        private final Map<Long, RequestArrived> open = new HashMap<>();
         private final Map<Long, Integer> attempts = new HashMap<>();
         private Consumer<Action> out;
         private double now;
@@ -49,33 +65,33 @@
         public void handle(double time, Event event, Consumer<Action> actions) {
             now = time;
             out = actions;
-            if (event instanceof ListNews e) {
-                e.entries().forEach(x -> list.put(x.server(), x));
+            if (event instanceof EndpointUpdate e) {
+                e.endpoints().forEach(x -> list.put(x.server(), x));
                 if (!asked) {
                     asked = true;
                     out.accept(new Subscribe());
                 }
-            } else if (event instanceof Arrived e) {
+            } else if (event instanceof RequestArrived e) {
                 if (way != Way.NEVER_ANSWERS || ++count % 50 != 0) {
                     open.put(e.request(), e);
                     send(e);
                 }
-            } else if (event instanceof Abandoned e) {
+            } else if (event instanceof RequestAbandoned e) {
                 open.remove(e.request());
-            } else if (event instanceof Ended e) {
+            } else if (event instanceof AttemptEnded e) {
                 ended(e);
             }
         }
 
-        private void send(Arrived e) {
-            List<Entry> from = new ArrayList<>();
-            for (Entry x : list.values().stream()
+        private void send(RequestArrived e) {
+            List<Endpoint> from = new ArrayList<>();
+            for (Endpoint x : list.values().stream()
                     .sorted((a, b) -> a.server().compareTo(b.server()))
                     .toList()) {
                 boolean fit = x.availability() == Availability.UP
                         || way == Way.SENDS_TO_DRAINED && x.availability() == Availability.DRAINING;
-                boolean cold = x.startedAt() != null
-                        && now - x.startedAt() < settings.safety().coldMs();
+                boolean cold = x.startedAtMs() != null
+                        && now - x.startedAtMs() < settings.safety().slowStartMs();
                 if (way == Way.FLOODS_COLD && cold && fit) {
                     from = List.of(x);
                     break;
@@ -86,7 +102,7 @@
             }
             if (from.isEmpty()) {
                 open.remove(e.request());
-                out.accept(new Refuse(e.request(), 0));
+                out.accept(new Reject(e.request(), 0));
                 return;
             }
             attempts.merge(e.request(), 1, Integer::sum);
@@ -94,9 +110,9 @@
                     new Send(e.request(), from.get(random.nextInt(from.size())).server(), 0));
         }
 
-        private void ended(Ended e) {
-            Arrived a = open.get(e.request());
-            if (a == null || e.over()) {
+        private void ended(AttemptEnded e) {
+            RequestArrived a = open.get(e.request());
+            if (a == null || e.requestIsOver()) {
                 open.remove(e.request());
                 return;
             }
@@ -104,19 +120,21 @@
                     .filter(x -> x.name().equals(a.requestClass()))
                     .findFirst()
                     .orElseThrow();
-            boolean may = c.effect() == Effect.SAFE
-                    || e.outcome() == Outcome.FULL && attempts.get(e.request()) == 1
-                    || way == Way.RESENDS_ORDERS && c.effect() == Effect.UNSAFE && e.outcome() == Outcome.RESET
-                    || way == Way.KEYED_PAST_WINDOW && c.effect() == Effect.KEYED;
+            boolean may = c.idempotency() == Idempotency.SAFE
+                    || e.outcome() == Outcome.REJECTED && attempts.get(e.request()) == 1
+                    || way == Way.RESENDS_ORDERS
+                            && c.idempotency() == Idempotency.UNSAFE
+                            && e.outcome() == Outcome.RESET
+                    || way == Way.KEYED_PAST_WINDOW && c.idempotency() == Idempotency.KEYED;
             if (may && attempts.get(e.request()) < 3) {
                 send(a);
                 return;
             }
             open.remove(e.request());
-            boolean never = e.outcome() == Outcome.FULL || e.outcome() == Outcome.CONNECT_FAILED;
+            boolean never = e.outcome() == Outcome.REJECTED || e.outcome() == Outcome.CONNECT_FAILED;
             out.accept(
                     way == Way.REFUSES_AFTER_RUN || never && attempts.get(e.request()) == 1
-                            ? new Refuse(e.request(), 0)
+                            ? new Reject(e.request(), 0)
                             : new Fail(e.request()));
         }
     }
--- a/lab/src/test/java/dewplank/lab/BuoysTest.java
+++ b/lab/src/test/java/dewplank/lab/BuoysTest.java
@@ -3,7 +3,7 @@
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
 
-import dewplank.balancer.Summary;
+import dewplank.balancer.health.PeerSummary;
 import dewplank.emulator.Scenario;
 import dewplank.emulator.ScenarioFile;
 import dewplank.emulator.World;
@@ -140,7 +140,7 @@
                     .limit(world.servers.size() / 3)
                     .map(s -> s.id.hashCode())
                     .toList();
-            return new Summary(Summary.of(said).toldAt(), some).bytes();
+            return new PeerSummary(PeerSummary.decode(said).createdAtMs(), some).encode();
         }
     }
 
--- a/routing/src/main/java/dewplank/routing/OutcomeWindow.java
+++ b/routing/src/main/java/dewplank/routing/OutcomeWindow.java
@@ -1,6 +1,6 @@
 package dewplank.routing;
 
-import dewplank.balancer.ServerHealth;
+import dewplank.balancer.health.ServerHealth;
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.Map;
@@ -78,7 +78,7 @@
 
     /** When a request was last served, or negative infinity. */
     public double lastSuccessAtMs() {
-        return health.lastHealthy();
+        return health.lastSuccessAtMs();
     }
 
     /** The weight in draws, from a floor to 1. */
--- a/routing/src/main/java/dewplank/routing/ServerPicker.java
+++ b/routing/src/main/java/dewplank/routing/ServerPicker.java
@@ -148,8 +148,8 @@
             return null;
         }
         boolean usePreferred = query.preferred() != null && fitting.contains(query.preferred());
-        TrackedServer first = usePreferred ? query.preferred() : WeightedDraw.one(fitting, null, this::weight, random);
-        TrackedServer second = WeightedDraw.one(fitting, first, this::weight, random);
+        TrackedServer first = usePreferred ? query.preferred() : WeightedDraw.draw(fitting, null, this::weight, random);
+        TrackedServer second = WeightedDraw.draw(fitting, first, this::weight, random);
         if (second == null || !policy.isEnabled(Mechanism.TWO_CHOICES)) {
             return first;
         }
--- a/routing/src/test/java/dewplank/routing/OutcomeWindowTest.java
+++ b/routing/src/test/java/dewplank/routing/OutcomeWindowTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dewplank.balancer.ServerHealth;
+import dewplank.balancer.health.ServerHealth;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
@@ -26,11 +26,11 @@
                 health.observe(now, context, healthy);
                 outcomes.record(now, context, healthy);
                 assertEquals(
-                        health.unhealthy(now),
+                        health.isUnhealthy(now),
                         outcomes.isUnhealthy(
                                 now, RoutingParameters.DEFAULTS.ejection().minFailures()));
                 assertEquals(health.weight(), outcomes.weight());
-                unhealthy += health.unhealthy(now) ? 1 : 0;
+                unhealthy += health.isUnhealthy(now) ? 1 : 0;
             }
         }
         assertTrue(unhealthy > 2_000 && unhealthy < 18_000, unhealthy + " of 20,000");
--- a/sidecar/src/main/java/dewplank/discovery/Discovery.java
+++ b/sidecar/src/main/java/dewplank/discovery/Discovery.java
@@ -1,8 +1,8 @@
 package dewplank.discovery;
 
-import dewplank.balancer.Balancer.Availability;
-import dewplank.balancer.Balancer.ListForm;
-import dewplank.balancer.Balancer.ListNews;
+import dewplank.balancer.Endpoint.Availability;
+import dewplank.balancer.Event.EndpointUpdate;
+import dewplank.balancer.Event.UpdateKind;
 import dewplank.net.EventLoop;
 import dewplank.settings.Fields;
 import dewplank.settings.Json;
@@ -32,7 +32,7 @@
     private InetSocketAddress at;
     private final boolean usesGone;
     private final boolean pushed;
-    private final Consumer<ListNews> news;
+    private final Consumer<EndpointUpdate> news;
     private final Map<String, InetSocketAddress> addresses = new HashMap<>();
     private long version;
     private final Set<String> up = new HashSet<>();
@@ -47,7 +47,8 @@
      * {@code usesGone}: whether the module may still send to a server that is no longer listed. {@code pushed}: whether
      * lists come unprompted, so that the module never asks for the watch.
      */
-    public Discovery(EventLoop loop, InetSocketAddress at, boolean usesGone, boolean pushed, Consumer<ListNews> news) {
+    public Discovery(
+            EventLoop loop, InetSocketAddress at, boolean usesGone, boolean pushed, Consumer<EndpointUpdate> news) {
         this.loop = loop;
         this.at = at;
         this.usesGone = usesGone;
@@ -58,7 +59,7 @@
 
     /** Begins with the list that the configuration brought, which may be out of date. */
     public void start(Listing known) {
-        take(known, ListForm.STALE);
+        take(known, UpdateKind.CACHED);
         if (pushed) {
             open();
             loop.after(FIRST_LIST_MS, () -> current = true);
@@ -70,7 +71,7 @@
         if (watch == null) {
             open();
         } else if (watching) {
-            news.accept(new ListNews(ListForm.CHANGES, List.of()));
+            news.accept(new EndpointUpdate(UpdateKind.INCREMENTAL, List.of()));
         }
     }
 
@@ -120,17 +121,17 @@
                     "discovery sent version {0}, older than {1}: passed over",
                     Long.toString(listing.version()),
                     Long.toString(version));
-            news.accept(new ListNews(ListForm.CHANGES, List.of()));
+            news.accept(new EndpointUpdate(UpdateKind.INCREMENTAL, List.of()));
             return;
         }
-        take(listing, listing.full() ? ListForm.WHOLE : ListForm.CHANGES);
+        take(listing, listing.full() ? UpdateKind.FULL : UpdateKind.INCREMENTAL);
     }
 
     /** Nothing has changed: that is an answer as well, after which the next call need not wait long. */
     private void alive() {
         if (!watching) {
             watching(version);
-            news.accept(new ListNews(ListForm.CHANGES, List.of()));
+            news.accept(new EndpointUpdate(UpdateKind.INCREMENTAL, List.of()));
         }
     }
 
@@ -142,9 +143,9 @@
         }
     }
 
-    private void take(Listing listing, ListForm form) {
+    private void take(Listing listing, UpdateKind form) {
         version = listing.version();
-        if (form != ListForm.CHANGES) { // a server that a full list lacks has left
+        if (form != UpdateKind.INCREMENTAL) { // a server that a full list lacks has left
             up.clear();
             if (!usesGone) {
                 addresses.clear();
@@ -169,7 +170,7 @@
                 draining.add(server);
             }
         }
-        news.accept(new ListNews(form, listing.entries()));
+        news.accept(new EndpointUpdate(form, listing.entries()));
     }
 
     private void broken(String why) {
@@ -178,7 +179,7 @@
         LOG.log(System.Logger.Level.WARNING, "discovery watch lost at version {0}: {1}", Long.toString(version), why);
         current = true; // there is no newer one to be had
         if (!pushed) {
-            news.accept(new ListNews(ListForm.BROKEN, List.of()));
+            news.accept(new EndpointUpdate(UpdateKind.BROKEN, List.of()));
             return;
         }
         loop.after(openedAt + REOPEN_MS - loop.now(), () -> {
--- a/sidecar/src/main/java/dewplank/discovery/Listing.java
+++ b/sidecar/src/main/java/dewplank/discovery/Listing.java
@@ -1,7 +1,7 @@
 package dewplank.discovery;
 
-import dewplank.balancer.Balancer.Availability;
-import dewplank.balancer.Balancer.Entry;
+import dewplank.balancer.Endpoint;
+import dewplank.balancer.Endpoint.Availability;
 import dewplank.settings.Addresses;
 import dewplank.settings.Fields;
 import java.net.InetSocketAddress;
@@ -14,7 +14,7 @@
             Map.of("active", Availability.UP, "leaving", Availability.DRAINING, "left", Availability.REMOVED);
 
     /** One server: what the module knows of it, under its {@code id}, and where it listens for this sidecar. */
-    public record Member(Entry entry, InetSocketAddress address) {}
+    public record Member(Endpoint entry, InetSocketAddress address) {}
 
     public static Listing of(Fields list) {
         return new Listing(
@@ -25,7 +25,7 @@
 
     private static Member member(Fields m) {
         double started = m.number("started_ms", 0);
-        Entry entry = new Entry(
+        Endpoint entry = new Endpoint(
                 m.text("id"),
                 m.text("zone"),
                 m.text("kind"),
@@ -36,7 +36,7 @@
         return new Member(entry, Addresses.parse(m, "addr"));
     }
 
-    public List<Entry> entries() {
+    public List<Endpoint> entries() {
         return members.stream().map(Member::entry).toList();
     }
 }
--- a/sidecar/src/main/java/dewplank/sidecar/Attempt.java
+++ b/sidecar/src/main/java/dewplank/sidecar/Attempt.java
@@ -1,6 +1,6 @@
 package dewplank.sidecar;
 
-import dewplank.balancer.Balancer.Outcome;
+import dewplank.balancer.Outcome;
 import dewplank.exchange.ConnectionPool;
 import dewplank.http.BadMessageException;
 import dewplank.http.Headers;
@@ -119,7 +119,7 @@
         Outcome outcome =
                 switch (parser.status()) {
                     case 200 -> Outcome.SERVED;
-                    case 503, 504 -> "1".equals(parser.headers().get("X-Never-Ran")) ? Outcome.FULL : Outcome.ERROR;
+                    case 503, 504 -> "1".equals(parser.headers().get("X-Never-Ran")) ? Outcome.REJECTED : Outcome.ERROR;
                     default -> Outcome.ERROR;
                 };
         if (reusable && !request.hasRemaining() && !over) {
@@ -173,7 +173,7 @@
      * position is final, and visible here, once the connection is closed: closing waits for a write in progress.
      */
     private Outcome proven(Outcome outcome) {
-        boolean unproven = outcome != Outcome.FULL && outcome != Outcome.CANCELLED;
+        boolean unproven = outcome != Outcome.REJECTED && outcome != Outcome.CANCELLED;
         return unproven && request.hasRemaining() ? Outcome.CONNECT_FAILED : outcome;
     }
 }
--- a/sidecar/src/main/java/dewplank/sidecar/ClientConnection.java
+++ b/sidecar/src/main/java/dewplank/sidecar/ClientConnection.java
@@ -1,6 +1,6 @@
 package dewplank.sidecar;
 
-import dewplank.balancer.Balancer.Effect;
+import dewplank.balancer.Settings.Idempotency;
 import dewplank.http.BadMessageException;
 import dewplank.http.Headers;
 import dewplank.http.MessageWriter;
@@ -91,7 +91,7 @@
         }
         Headers h = parser.headers();
         String requestClass = h.get("X-Qos");
-        Effect effect = requestClass == null ? null : host.effect(requestClass);
+        Idempotency effect = requestClass == null ? null : host.effect(requestClass);
         if (effect == null) {
             throw new BadMessageException(400, "X-Qos names no class of the settings");
         }
@@ -99,7 +99,7 @@
         if (id == null || !ID.matcher(id).matches()) { // two such fields come as one with a comma, which is none
             throw new BadMessageException(400, "X-Trace-Id is missing or malformed");
         }
-        if (effect == Effect.KEYED && h.get("Idempotency-Key") == null) { // no server could drop its repeat
+        if (effect == Idempotency.KEYED && h.get("Idempotency-Key") == null) { // no server could drop its repeat
             throw new BadMessageException(400, "Idempotency-Key is missing");
         }
         List<Headers.Field> passedOn = h.endToEnd().stream()
--- a/sidecar/src/main/java/dewplank/sidecar/Host.java
+++ b/sidecar/src/main/java/dewplank/sidecar/Host.java
@@ -1,8 +1,30 @@
 package dewplank.sidecar;
 
+import dewplank.balancer.Action;
+import dewplank.balancer.Action.BroadcastSummary;
+import dewplank.balancer.Action.Cancel;
+import dewplank.balancer.Action.CheckHealth;
+import dewplank.balancer.Action.CloseIdleConnections;
+import dewplank.balancer.Action.Fail;
+import dewplank.balancer.Action.Reject;
+import dewplank.balancer.Action.Send;
+import dewplank.balancer.Action.SetTimer;
+import dewplank.balancer.Action.Subscribe;
 import dewplank.balancer.Balancer;
-import dewplank.balancer.Balancer.*;
-import dewplank.balancer.Summary;
+import dewplank.balancer.Event;
+import dewplank.balancer.Event.AttemptEnded;
+import dewplank.balancer.Event.EndpointUpdate;
+import dewplank.balancer.Event.HealthChecked;
+import dewplank.balancer.Event.PeerSummaryReceived;
+import dewplank.balancer.Event.RequestAbandoned;
+import dewplank.balancer.Event.RequestArrived;
+import dewplank.balancer.Event.TimerFired;
+import dewplank.balancer.Outcome;
+import dewplank.balancer.Settings;
+import dewplank.balancer.Settings.Idempotency;
+import dewplank.balancer.Settings.RequestClass;
+import dewplank.balancer.Settings.Tenant;
+import dewplank.balancer.health.PeerSummary;
 import dewplank.discovery.Discovery;
 import dewplank.discovery.Listing;
 import dewplank.exchange.ConnectionPool;
@@ -45,7 +67,7 @@
     private final Balancer balancer;
     private final Discovery discovery;
     private final Listing known;
-    private final Map<String, Effect> effects;
+    private final Map<String, Idempotency> effects;
     private final Set<String> tenants;
     private final Peers peers; // null where the settings allow none
     private final Map<Long, ClientRequest> requests = new HashMap<>();
@@ -65,18 +87,23 @@
         this.settings = config.settings();
         this.balancer = balancer;
         this.discovery = new Discovery(
-                loop, config.discovery(), settings.safety().onlyDrainingBinds(), settings.listPushed(), this::listed);
+                loop,
+                config.discovery(),
+                settings.safety().onlyDrainingIsBinding(),
+                settings.endpointListIsPushed(),
+                this::listed);
         this.known = Listing.of(config.known());
-        this.effects = settings.classes().stream().collect(Collectors.toMap(RequestClass::name, RequestClass::effect));
+        this.effects =
+                settings.classes().stream().collect(Collectors.toMap(RequestClass::name, RequestClass::idempotency));
         this.tenants = settings.tenants().stream().map(Tenant::name).collect(Collectors.toSet());
         this.peers = config.peers() == null
                 ? null
                 : new Peers(
                         loop,
                         config.peers(),
-                        settings.me(),
-                        bytes -> Summary.of(bytes) != null,
-                        (peer, bytes) -> tell(new PeerSaid(peer, bytes)));
+                        settings.replicaIndex(),
+                        bytes -> PeerSummary.decode(bytes) != null,
+                        (peer, bytes) -> tell(new PeerSummaryReceived(peer, bytes)));
         this.mostServerConnections = mostServerConnections(config);
     }
 
@@ -103,7 +130,7 @@
     }
 
     /** What a repeat of such a request does, or null where the settings have no such class. */
-    Effect effect(String requestClass) {
+    Idempotency effect(String requestClass) {
         return effects.get(requestClass);
     }
 
@@ -123,7 +150,7 @@
     /** The shortest time within which a class wants its answers. */
     double shortestAimMs() {
         return settings.classes().stream()
-                .mapToDouble(RequestClass::aimMs)
+                .mapToDouble(RequestClass::latencyTargetMs)
                 .min()
                 .orElse(0);
     }
@@ -175,7 +202,7 @@
     }
 
     /** What is kept for a server goes with it: over a day servers come and go with ever new ids. */
-    private void listed(ListNews news) {
+    private void listed(EndpointUpdate news) {
         tell(news);
         pools.entrySet().removeIf(e -> {
             boolean gone = discovery.address(e.getKey()) == null;
@@ -236,7 +263,7 @@
     }
 
     private void failRequestOf(Event event) {
-        long id = event instanceof Arrived a ? a.request() : event instanceof Ended e ? e.request() : 0;
+        long id = event instanceof RequestArrived a ? a.request() : event instanceof AttemptEnded e ? e.request() : 0;
         ClientRequest request = requests.get(id);
         if (request != null && !request.over) {
             abandon(request);
@@ -262,7 +289,8 @@
             abandon(request);
             answerer.failed();
         });
-        tell(new Arrived(request.id, subject.tenant(), subject.key(), repeat, requestClass, budget, subject.cost()));
+        tell(new RequestArrived(
+                request.id, subject.tenant(), subject.key(), repeat, requestClass, budget, subject.cost()));
         return request;
     }
 
@@ -270,7 +298,7 @@
     void abandon(ClientRequest request) {
         if (!request.over) {
             finish(request);
-            tell(new Abandoned(request.id));
+            tell(new RequestAbandoned(request.id));
         }
     }
 
@@ -297,11 +325,11 @@
             if (request != null && a.attempt() < request.attempts.size() && request.attempts.get(a.attempt()) != null) {
                 request.attempts.get(a.attempt()).cancel();
             }
-        } else if (action instanceof Refuse a) {
+        } else if (action instanceof Reject a) {
             ClientRequest request = requests.get(a.request());
             if (request != null && !request.over) {
                 finish(request);
-                request.answerer.refused(a.retryInMs());
+                request.answerer.refused(a.retryAfterMs());
             }
         } else if (action instanceof Fail a) {
             ClientRequest request = requests.get(a.request());
@@ -310,20 +338,20 @@
                 request.answerer.failed();
             }
         } else if (action instanceof SetTimer a) {
-            loop.after(a.afterMs(), () -> tell(new TimerFired(a.timer())));
+            loop.after(a.delayMs(), () -> tell(new TimerFired(a.timer())));
         } else if (action instanceof Subscribe) {
             discovery.subscribe();
-        } else if (action instanceof Probe a) {
+        } else if (action instanceof CheckHealth a) {
             probe(a.server());
-        } else if (action instanceof CloseIdle a) {
+        } else if (action instanceof CloseIdleConnections a) {
             pool(a.server()).closeIdleBefore(loop.now());
-        } else if (action instanceof TellPeers a && peers != null) {
+        } else if (action instanceof BroadcastSummary a && peers != null) {
             peers.tell(a.bytes());
         }
     }
 
     private ConnectionPool pool(String server) {
-        double limit = settings.limits().idleCloseMs();
+        double limit = settings.limits().idleTimeoutMs();
         double most = limit > 0 ? IDLE_SHARE * limit : Double.POSITIVE_INFINITY;
         return pools.computeIfAbsent(server, id -> new ConnectionPool(loop, ConnectionPool.REST_MS, most));
     }
@@ -331,7 +359,7 @@
     private void send(Send a) {
         ClientRequest request = requests.get(a.request());
         if (request == null) { // forgotten already, so over
-            tell(new Ended(a.request(), 0, a.server(), Outcome.NEVER_SENT, 0, true, null));
+            tell(new AttemptEnded(a.request(), 0, a.server(), Outcome.NEVER_SENT, 0, true, null));
             return;
         }
         int attempt = request.attempts.size();
@@ -339,7 +367,7 @@
         double left = request.deadline - loop.now();
         if (request.over || to == null || left <= 0 || a.timeoutMs() < 0) {
             request.attempts.add(null);
-            tell(new Ended(a.request(), attempt, a.server(), Outcome.NEVER_SENT, 0, request.over, null));
+            tell(new AttemptEnded(a.request(), attempt, a.server(), Outcome.NEVER_SENT, 0, request.over, null));
             return;
         }
         double timeout = a.timeoutMs() == 0 ? left : Math.min(a.timeoutMs(), left);
@@ -398,35 +426,35 @@
             request.answerer.served(end.body(), end.headers());
         }
         forgetIfDone(request);
-        tell(new Ended(
+        tell(new AttemptEnded(
                 request.id,
                 attempt,
                 server,
                 end.outcome(),
                 end.tookMs(),
                 request.over,
-                LoadReport.parse(end.loadReport(), settings.reportFields())));
+                LoadReport.parse(end.loadReport(), settings.loadReportFields())));
     }
 
     private void probe(String server) {
         InetSocketAddress to = discovery.address(server);
         if (to == null || !roomForAttempt()) {
-            tell(new Probed(server, false, 0, null));
+            tell(new HealthChecked(server, false, 0, null));
             return;
         }
         attemptsOut++;
-        boolean load = settings.reportsByProbe();
+        boolean load = settings.loadReportsComeWithHealthChecks();
         ByteBuffer request = MessageWriter.request("GET", load ? "/_load" : "/ping", host(to))
                 .noBody();
         new Attempt(loop, to, pool(server), request, () -> true, (x, end) -> {
                     attemptsOut--;
                     boolean inBody = load && end.loadReport() == null && end.body() != null;
                     String report = inBody ? new String(end.body(), StandardCharsets.US_ASCII) : end.loadReport();
-                    tell(new Probed(
+                    tell(new HealthChecked(
                             server,
                             end.outcome() == Outcome.SERVED,
                             end.tookMs(),
-                            LoadReport.parse(report, settings.reportFields())));
+                            LoadReport.parse(report, settings.loadReportFields())));
                 })
                 .start(PROBE_TIMEOUT_MS, settings.limits().connectTimeoutMs(), Double.POSITIVE_INFINITY);
     }
--- a/sidecar/src/main/java/dewplank/sidecar/Rehearsal.java
+++ b/sidecar/src/main/java/dewplank/sidecar/Rehearsal.java
@@ -1,8 +1,18 @@
 package dewplank.sidecar;
 
+import dewplank.balancer.Action.Send;
 import dewplank.balancer.Balancer;
-import dewplank.balancer.Balancer.*;
-import dewplank.balancer.Choice;
+import dewplank.balancer.Endpoint;
+import dewplank.balancer.Endpoint.Availability;
+import dewplank.balancer.Event;
+import dewplank.balancer.Event.AttemptEnded;
+import dewplank.balancer.Event.EndpointUpdate;
+import dewplank.balancer.Event.RequestArrived;
+import dewplank.balancer.Event.UpdateKind;
+import dewplank.balancer.Outcome;
+import dewplank.balancer.Settings;
+import dewplank.balancer.Settings.RequestClass;
+import dewplank.balancer.adaptive.AdaptiveBalancer;
 import dewplank.exchange.ConnectionPool;
 import dewplank.http.MessageWriter;
 import dewplank.net.EventLoop;
@@ -40,14 +50,14 @@
         this.whenDone = whenDone;
         this.pool = new ConnectionPool(loop, 0, Double.POSITIVE_INFINITY);
         this.until = loop.now() + MOST_MS;
-        this.module = new Choice(settings, new SplittableRandom(1));
+        this.module = new AdaptiveBalancer(settings, new SplittableRandom(1));
     }
 
     void start() {
-        List<Entry> entries = IntStream.range(0, SERVERS)
-                .mapToObj(i -> new Entry("rehearsed-" + i, settings.zone(), "", 0, Availability.UP, 1, null))
+        List<Endpoint> entries = IntStream.range(0, SERVERS)
+                .mapToObj(i -> new Endpoint("rehearsed-" + i, settings.zone(), "", 0, Availability.UP, 1, null))
                 .toList();
-        tell(new ListNews(ListForm.STALE, entries));
+        tell(new EndpointUpdate(UpdateKind.CACHED, entries));
         next();
     }
 
@@ -70,11 +80,11 @@
     private void decide() {
         long request = (long) round * settings.classes().size();
         for (RequestClass c : settings.classes()) {
-            tell(new Arrived(++request, null, null, false, c.name(), c.deadlineMs(), null));
+            tell(new RequestArrived(++request, null, null, false, c.name(), c.deadlineMs(), null));
         }
         while (!sent.isEmpty()) {
             Send s = sent.remove();
-            tell(new Ended(s.request(), 0, s.server(), Outcome.SERVED, 1, true, null));
+            tell(new AttemptEnded(s.request(), 0, s.server(), Outcome.SERVED, 1, true, null));
         }
     }
 
--- a/sidecar/src/main/java/dewplank/sidecar/Sidecar.java
+++ b/sidecar/src/main/java/dewplank/sidecar/Sidecar.java
@@ -1,7 +1,7 @@
 package dewplank.sidecar;
 
 import dewplank.balancer.Balancer;
-import dewplank.balancer.Choice;
+import dewplank.balancer.adaptive.AdaptiveBalancer;
 import dewplank.net.EventLoop;
 import dewplank.net.Listener;
 import dewplank.settings.BadInput;
@@ -58,7 +58,7 @@
     private SidecarConfig reloaded; // null until it was read again for the first time
 
     public Sidecar(SidecarConfig config) throws IOException {
-        this(config, new Choice(config.settings(), new SplittableRandom(config.seed())));
+        this(config, new AdaptiveBalancer(config.settings(), new SplittableRandom(config.seed())));
     }
 
     Sidecar(SidecarConfig config, Balancer balancer) throws IOException {
--- a/sidecar/src/main/java/dewplank/sidecar/config/Params.java
+++ b/sidecar/src/main/java/dewplank/sidecar/config/Params.java
@@ -1,14 +1,14 @@
 package dewplank.sidecar.config;
 
-import dewplank.balancer.Balancer.Effect;
-import dewplank.balancer.Balancer.Goal;
-import dewplank.balancer.Balancer.Limits;
-import dewplank.balancer.Balancer.Prices;
-import dewplank.balancer.Balancer.RequestClass;
-import dewplank.balancer.Balancer.Safety;
-import dewplank.balancer.Balancer.Scope;
-import dewplank.balancer.Balancer.Settings;
-import dewplank.balancer.Balancer.Tenant;
+import dewplank.balancer.Settings;
+import dewplank.balancer.Settings.DeduplicationScope;
+import dewplank.balancer.Settings.Goal;
+import dewplank.balancer.Settings.Idempotency;
+import dewplank.balancer.Settings.Limits;
+import dewplank.balancer.Settings.Prices;
+import dewplank.balancer.Settings.RequestClass;
+import dewplank.balancer.Settings.Safety;
+import dewplank.balancer.Settings.Tenant;
 import dewplank.settings.Fields;
 import java.util.Map;
 
@@ -41,13 +41,27 @@
     }
 
     private static RequestClass requestClass(Fields p) {
-        Effect effect = p.choice(
+        Idempotency effect = p.choice(
                 "Idempotency",
-                Map.of("read_like", Effect.SAFE, "idempotency_key", Effect.KEYED, "non_idempotent", Effect.UNSAFE));
-        boolean keyed = effect == Effect.KEYED;
-        Scope scope = keyed
-                ? p.choice("KeyScope", Map.of("all", Scope.ALL, "zone", Scope.ZONE, "cell", Scope.CELL))
-                : Scope.ALL;
+                Map.of(
+                        "read_like",
+                        Idempotency.SAFE,
+                        "idempotency_key",
+                        Idempotency.KEYED,
+                        "non_idempotent",
+                        Idempotency.UNSAFE));
+        boolean keyed = effect == Idempotency.KEYED;
+        DeduplicationScope scope = keyed
+                ? p.choice(
+                        "KeyScope",
+                        Map.of(
+                                "all",
+                                DeduplicationScope.ALL,
+                                "zone",
+                                DeduplicationScope.ZONE,
+                                "cell",
+                                DeduplicationScope.CELL))
+                : DeduplicationScope.ALL;
         return new RequestClass(
                 p.text("Name"),
                 effect,
--- a/sidecar/src/main/java/dewplank/sidecar/config/SidecarConfig.java
+++ b/sidecar/src/main/java/dewplank/sidecar/config/SidecarConfig.java
@@ -1,6 +1,6 @@
 package dewplank.sidecar.config;
 
-import dewplank.balancer.Balancer.Settings;
+import dewplank.balancer.Settings;
 import dewplank.settings.Addresses;
 import dewplank.settings.BadInput;
 import dewplank.settings.Fields;
@@ -118,7 +118,7 @@
                 sockets,
                 known,
                 settings,
-                settings.limits().peers() ? PeerAddresses.of(c) : null);
+                settings.limits().exchangesPeerSummaries() ? PeerAddresses.of(c) : null);
     }
 
     private static long seed(Fields c) {
--- a/sidecar/src/main/java/dewplank/simhost/Wire.java
+++ b/sidecar/src/main/java/dewplank/simhost/Wire.java
@@ -1,9 +1,31 @@
 package dewplank.simhost;
 
 import com.google.gson.stream.JsonWriter;
+import dewplank.balancer.Action;
+import dewplank.balancer.Action.BroadcastSummary;
+import dewplank.balancer.Action.Cancel;
+import dewplank.balancer.Action.CheckHealth;
+import dewplank.balancer.Action.CloseIdleConnections;
+import dewplank.balancer.Action.Fail;
+import dewplank.balancer.Action.Reject;
+import dewplank.balancer.Action.Send;
+import dewplank.balancer.Action.SetTimer;
+import dewplank.balancer.Action.Subscribe;
 import dewplank.balancer.Balancer;
-import dewplank.balancer.Balancer.*;
-import dewplank.balancer.Choice;
+import dewplank.balancer.Endpoint;
+import dewplank.balancer.Endpoint.Availability;
+import dewplank.balancer.Event;
+import dewplank.balancer.Event.AttemptEnded;
+import dewplank.balancer.Event.EndpointUpdate;
+import dewplank.balancer.Event.HealthChecked;
+import dewplank.balancer.Event.PeerSummaryReceived;
+import dewplank.balancer.Event.RequestAbandoned;
+import dewplank.balancer.Event.RequestArrived;
+import dewplank.balancer.Event.StreamStarted;
+import dewplank.balancer.Event.TimerFired;
+import dewplank.balancer.Event.UpdateKind;
+import dewplank.balancer.Outcome;
+import dewplank.balancer.adaptive.AdaptiveBalancer;
 import dewplank.settings.BadInput;
 import dewplank.settings.Fields;
 import dewplank.sidecar.config.Params;
@@ -24,15 +46,15 @@
     private static final int HINT_VALID = 1;
     private static final int REPEAT = 2;
     private static final int SLOTS = 16;
-    private static final Map<String, ListForm> FORMS = Map.of(
+    private static final Map<String, UpdateKind> FORMS = Map.of(
             "patch",
-            ListForm.CHANGES,
+            UpdateKind.INCREMENTAL,
             "whole",
-            ListForm.WHOLE,
+            UpdateKind.FULL,
             "stale_copy",
-            ListForm.STALE,
+            UpdateKind.CACHED,
             "broken",
-            ListForm.BROKEN);
+            UpdateKind.BROKEN);
     private static final Map<String, Availability> AVAILABILITIES =
             Map.of("up", Availability.UP, "draining", Availability.DRAINING, "removed", Availability.REMOVED);
     private static final Map<String, Outcome> OUTCOMES = Map.of(
@@ -41,7 +63,7 @@
             "failure",
             Outcome.ERROR,
             "overloaded",
-            Outcome.FULL,
+            Outcome.REJECTED,
             "timed_out",
             Outcome.TIMED_OUT,
             "unreachable",
@@ -56,7 +78,7 @@
     private final BufferedReader in;
     private final Writer out;
     private final Map<Integer, Balancer> instances = new HashMap<>();
-    private final List<List<Entry>> lists = new ArrayList<>();
+    private final List<List<Endpoint>> lists = new ArrayList<>();
     private long line;
     private boolean inBatch;
     private double clock = Double.NEGATIVE_INFINITY;
@@ -108,7 +130,7 @@
             case "SNAPSHOT_ROWS" -> lists.set(slot(m, 1), entries(m.array(2)));
             case "CREATE" -> instances.put(
                     m.small(1),
-                    new Choice(
+                    new AdaptiveBalancer(
                             Params.settings(new Fields(m.object(3), "setting ")), new SplittableRandom(m.integer(2))));
             case "KILLED" -> {
                 if (instances.remove(m.small(1)) == null) {
@@ -142,18 +164,18 @@
     private Event event(Message m) {
         return switch (m.name()) {
             case "VIEW" -> {
-                ListForm form = word(FORMS, m, 4);
-                List<Entry> entries = form == ListForm.BROKEN ? List.of() : lists.get(slot(m, 2));
+                UpdateKind form = word(FORMS, m, 4);
+                List<Endpoint> entries = form == UpdateKind.BROKEN ? List.of() : lists.get(slot(m, 2));
                 if (entries == null) {
                     throw new BadInput("VIEW: no list in slot " + m.small(2));
                 }
-                yield new ListNews(form, entries);
+                yield new EndpointUpdate(form, entries);
             }
             case "INBOUND" -> {
                 int bits = m.small(5);
                 boolean hint = (bits & HINT_VALID) != 0 && m.has(8);
                 String tenant = m.has(3) && m.values().get(3) instanceof String ? m.text(3) : null;
-                yield new Arrived(
+                yield new RequestArrived(
                         m.integer(2),
                         tenant,
                         m.has(4) ? m.text(4) : null,
@@ -162,8 +184,8 @@
                         m.number(7),
                         hint ? (Double) m.number(8) : null);
             }
-            case "ACK_FIRST" -> new StreamBegan(m.integer(2), m.small(5), m.number(4));
-            case "FINISHED" -> new Ended(
+            case "ACK_FIRST" -> new StreamStarted(m.integer(2), m.small(5), m.number(4));
+            case "FINISHED" -> new AttemptEnded(
                     m.integer(2),
                     m.small(3),
                     m.text(4),
@@ -171,11 +193,11 @@
                     m.number(6),
                     m.flag(7),
                     m.numbersOrNull(8));
-            case "ABANDONED" -> new Abandoned(m.integer(2));
+            case "ABANDONED" -> new RequestAbandoned(m.integer(2));
             case "DEADLINE_HIT" -> new TimerFired(m.integer(2));
-            case "PROBE_DONE" -> new Probed(
+            case "PROBE_DONE" -> new HealthChecked(
                     m.text(3), word(OUTCOMES, m, 2) == Outcome.SERVED, m.number(4), m.numbersOrNull(5));
-            case "NEIGHBOUR_SAYS" -> new PeerSaid(m.small(2), bytes(m, 3));
+            case "NEIGHBOUR_SAYS" -> new PeerSummaryReceived(m.small(2), bytes(m, 3));
             default -> throw new BadInput("unknown message " + m.name());
         };
     }
@@ -185,19 +207,19 @@
             write("ISSUE", id, a.request(), a.server(), a.timeoutMs());
         } else if (action instanceof Cancel a) {
             write("STOP_ATTEMPT", id, a.request(), a.attempt());
-        } else if (action instanceof Refuse a) {
-            write("SAY_NO", id, a.request(), a.retryInMs());
+        } else if (action instanceof Reject a) {
+            write("SAY_NO", id, a.request(), a.retryAfterMs());
         } else if (action instanceof Fail a) {
             write("REPORT_FAILURE", id, a.request());
         } else if (action instanceof SetTimer a) {
-            write("DEFER", id, a.timer(), a.afterMs());
+            write("DEFER", id, a.timer(), a.delayMs());
         } else if (action instanceof Subscribe) {
             write("LISTEN", id, true);
-        } else if (action instanceof Probe a) {
+        } else if (action instanceof CheckHealth a) {
             write("POLL", id, a.server());
-        } else if (action instanceof CloseIdle a) {
+        } else if (action instanceof CloseIdleConnections a) {
             write("FREE_LINKS", id, a.server());
-        } else if (action instanceof TellPeers a) {
+        } else if (action instanceof BroadcastSummary a) {
             write("BROADCAST_TO", id, "*", Base64.getEncoder().encodeToString(a.bytes()));
         }
     }
@@ -245,8 +267,8 @@
         }
     }
 
-    private static List<Entry> entries(List<Object> rows) {
-        Map<String, Entry> entries = new LinkedHashMap<>();
+    private static List<Endpoint> entries(List<Object> rows) {
+        Map<String, Endpoint> entries = new LinkedHashMap<>();
         for (Object row : rows) {
             if (!(row instanceof List<?> values)) {
                 throw new BadInput("SNAPSHOT_ROWS: an entry should be an array");
@@ -258,7 +280,7 @@
             double rating = e.has(6) ? e.number(6) : 1;
             entries.put(
                     e.text(1),
-                    new Entry(
+                    new Endpoint(
                             e.text(1),
                             e.text(2),
                             e.has(3) ? e.text(3) : "",
--- a/sidecar/src/test/java/dewplank/sidecar/DiscoveryTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/DiscoveryTest.java
@@ -5,11 +5,11 @@
 import static org.junit.Assert.assertThrows;
 import static org.junit.Assert.assertTrue;
 
+import dewplank.balancer.Action;
+import dewplank.balancer.Action.Subscribe;
 import dewplank.balancer.Balancer;
-import dewplank.balancer.Balancer.Action;
-import dewplank.balancer.Balancer.ListForm;
-import dewplank.balancer.Balancer.ListNews;
-import dewplank.balancer.Balancer.Subscribe;
+import dewplank.balancer.Event.EndpointUpdate;
+import dewplank.balancer.Event.UpdateKind;
 import dewplank.discovery.Discovery;
 import dewplank.discovery.Listing;
 import dewplank.net.EventLoop;
@@ -52,11 +52,11 @@
     /** What the agent has counts as told from a process's first moment: the list of its start may be out of date. */
     @Test
     public void whereListsArePushedNothingIsSentBeforeTheFirst() throws Exception {
-        BlockingQueue<ListForm> told = new LinkedBlockingQueue<>();
+        BlockingQueue<UpdateKind> told = new LinkedBlockingQueue<>();
         EventLoop loop = new EventLoop();
         try (Peer agent = new Peer();
                 Peer server = new Peer()) {
-            Discovery discovery = new Discovery(loop, agent.address(), false, true, news -> told.add(news.form()));
+            Discovery discovery = new Discovery(loop, agent.address(), false, true, news -> told.add(news.kind()));
             Listing known = Listing.of(
                     new Fields(Json.object(Loopback.list(7, true, List.of(server.entry("s0", "active")))), "known "));
             FutureTask<Boolean> early = new FutureTask<>(() -> {
@@ -97,9 +97,9 @@
     /** A list that was long on its way, or from a replica that lags, would bring a draining server back. */
     @Test
     public void anOlderListThatComesLastIsNoNews() throws Exception {
-        Gate last = new Gate(e -> e instanceof ListNews news
-                && !news.entries().isEmpty()
-                && news.entries().get(0).server().equals("last"));
+        Gate last = new Gate(e -> e instanceof EndpointUpdate news
+                && !news.endpoints().isEmpty()
+                && news.endpoints().get(0).server().equals("last"));
         try (Loopback net = new Loopback(1, s -> s, last)) {
             Peer server = net.servers.get(0);
             Exchange watch = net.discovery.next();
@@ -117,7 +117,7 @@
     /** Else each break of a quiet watch would be followed by a longer wait, and drains be missed meanwhile. */
     @Test
     public void anEmptyLineAlsoAnswersTheCall() throws Exception {
-        Gate answered = new Gate(e -> e instanceof ListNews news && news.form() == ListForm.CHANGES);
+        Gate answered = new Gate(e -> e instanceof EndpointUpdate news && news.kind() == UpdateKind.INCREMENTAL);
         try (Loopback net = new Loopback(1, s -> s, answered)) {
             Exchange watch = net.discovery.next();
             watch.beginWatch();
@@ -129,7 +129,7 @@
     /** SIGHUP between a watch's break and the call that follows it: that call finds a watch open, and leaves it so. */
     @Test
     public void aCallThatWasDueWhenDiscoveryMovedOpensNoSecondWatch() throws Exception {
-        Gate broken = new Gate(e -> e instanceof ListNews news && news.form() == ListForm.BROKEN);
+        Gate broken = new Gate(e -> e instanceof EndpointUpdate news && news.kind() == UpdateKind.BROKEN);
         BlockingQueue<Action> calls = new LinkedBlockingQueue<>();
         UnaryOperator<Balancer> counted = module -> (now, event, out) -> module.handle(now, event, action -> {
             out.accept(action);
@@ -156,10 +156,10 @@
     /** The old address's words, on their way when discovery moved, are heard no more. */
     @Test
     public void theOldDiscoverysListAfterAMoveDoesNoHarm() throws Exception {
-        Gate listed = new Gate(e -> e instanceof ListNews news
-                && !news.entries().isEmpty()
-                && news.entries().get(0).server().equals("s1"));
-        Gate up = new Gate(e -> e instanceof ListNews news && news.form() == ListForm.CHANGES);
+        Gate listed = new Gate(e -> e instanceof EndpointUpdate news
+                && !news.endpoints().isEmpty()
+                && news.endpoints().get(0).server().equals("s1"));
+        Gate up = new Gate(e -> e instanceof EndpointUpdate news && news.kind() == UpdateKind.INCREMENTAL);
         try (Loopback net = new Loopback(1, s -> s, m -> listed.apply(up.apply(m)));
                 Peer moved = new Peer()) {
             Exchange old = net.discovery.next();
--- a/sidecar/src/test/java/dewplank/sidecar/EndingTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/EndingTest.java
@@ -5,7 +5,7 @@
 import static org.junit.Assert.assertThrows;
 import static org.junit.Assert.assertTrue;
 
-import dewplank.balancer.Balancer.Outcome;
+import dewplank.balancer.Outcome;
 import dewplank.exchange.ConnectionPool;
 import dewplank.net.EventLoop;
 import dewplank.sidecar.Loopback.Client;
--- a/sidecar/src/test/java/dewplank/sidecar/Gate.java
+++ b/sidecar/src/test/java/dewplank/sidecar/Gate.java
@@ -1,7 +1,7 @@
 package dewplank.sidecar;
 
 import dewplank.balancer.Balancer;
-import dewplank.balancer.Balancer.Event;
+import dewplank.balancer.Event;
 import dewplank.exchange.ConnectionPool;
 import java.io.IOException;
 import java.util.concurrent.CountDownLatch;
--- a/sidecar/src/test/java/dewplank/sidecar/LeavingTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/LeavingTest.java
@@ -4,8 +4,8 @@
 import static org.junit.Assert.assertTrue;
 
 import dewplank.balancer.Balancer;
-import dewplank.balancer.Balancer.Abandoned;
-import dewplank.balancer.Balancer.Ended;
+import dewplank.balancer.Event.AttemptEnded;
+import dewplank.balancer.Event.RequestAbandoned;
 import dewplank.sidecar.Loopback.Client;
 import dewplank.sidecar.Loopback.Exchange;
 import dewplank.sidecar.Loopback.Peer;
@@ -49,7 +49,7 @@
     /** Held for want of a server: the list that brings one comes after the client has left. */
     @Test
     public void aClientThatLeavesWhileItsRequestWaitsForAServerIsNotSentOn() throws Exception {
-        Gate abandoned = new Gate(e -> e instanceof Abandoned);
+        Gate abandoned = new Gate(e -> e instanceof RequestAbandoned);
         try (Loopback net = new Loopback(0, s -> s, abandoned);
                 Peer server = new Peer()) {
             Exchange watch = net.discovery.next();
@@ -72,7 +72,7 @@
     /** More than a buffer's fill was sent ahead: the end behind it is seen all the same. */
     @Test
     public void aClientThatLeavesBehindUnreadBytesIsNotSentOn() throws Exception {
-        Gate abandoned = new Gate(e -> e instanceof Abandoned);
+        Gate abandoned = new Gate(e -> e instanceof RequestAbandoned);
         try (Loopback net = new Loopback(0, NO_CONNECT_TIMEOUT, abandoned);
                 Peer late = Peer.late()) {
             Client client = waitingAt(net, late);
@@ -87,7 +87,7 @@
     /** Who sends without end can't be seen to leave: that one gets an error, and its request goes nowhere. */
     @Test
     public void aFloodAheadOfAnAnswerEndsItsRequest() throws Exception {
-        Gate abandoned = new Gate(e -> e instanceof Abandoned);
+        Gate abandoned = new Gate(e -> e instanceof RequestAbandoned);
         try (Loopback net = new Loopback(0, NO_CONNECT_TIMEOUT, abandoned);
                 Peer late = Peer.late()) {
             Client client = waitingAt(net, late);
@@ -104,7 +104,7 @@
     /** One that only ends its sending can't be told from one that has closed, and counts as that. */
     @Test
     public void aHalfClosedClientHasLeft() throws Exception {
-        Gate abandoned = new Gate(e -> e instanceof Abandoned);
+        Gate abandoned = new Gate(e -> e instanceof RequestAbandoned);
         try (Loopback net = new Loopback(0, NO_CONNECT_TIMEOUT, abandoned);
                 Peer late = Peer.late()) {
             Client client = waitingAt(net, late);
@@ -124,7 +124,8 @@
         CompletableFuture<Loopback> nets = new CompletableFuture<>();
         UnaryOperator<Balancer> round = module -> (now, event, out) -> {
             module.handle(now, event, out);
-            if (event instanceof Ended) { // its answer is written, and the sidecar's side shut; on the same wheel
+            if (event
+                    instanceof AttemptEnded) { // its answer is written, and the sidecar's side shut; on the same wheel
                 nets.join().sidecar.loop().after(200, () -> {
                     closed.set(true);
                     try {
