--- a/sidecar/src/test/java/dewplank/sidecar/Loopback.java
+++ b/sidecar/src/test/java/dewplank/sidecar/Loopback.java
@@ -3,8 +3,8 @@
 import static org.junit.Assert.assertNotNull;
 
 import dewplank.balancer.Balancer;
-import dewplank.balancer.Balancer.Settings;
-import dewplank.balancer.Choice;
+import dewplank.balancer.Settings;
+import dewplank.balancer.adaptive.AdaptiveBalancer;
 import dewplank.settings.Fields;
 import dewplank.settings.Json;
 import dewplank.sidecar.config.Params;
@@ -69,7 +69,7 @@
                 known,
                 settings,
                 null);
-        sidecar = new Sidecar(config, round.apply(new Choice(settings, new SplittableRandom(5))));
+        sidecar = new Sidecar(config, round.apply(new AdaptiveBalancer(settings, new SplittableRandom(5))));
         sidecar.start();
     }
 
--- a/sidecar/src/test/java/dewplank/sidecar/SendingTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/SendingTest.java
@@ -6,10 +6,10 @@
 import static org.junit.Assert.assertSame;
 import static org.junit.Assert.assertTrue;
 
-import dewplank.balancer.Balancer.Abandoned;
-import dewplank.balancer.Balancer.Ended;
-import dewplank.balancer.Balancer.ListNews;
-import dewplank.balancer.Balancer.Outcome;
+import dewplank.balancer.Event.AttemptEnded;
+import dewplank.balancer.Event.EndpointUpdate;
+import dewplank.balancer.Event.RequestAbandoned;
+import dewplank.balancer.Outcome;
 import dewplank.exchange.ConnectionPool;
 import dewplank.net.Connection;
 import dewplank.net.EventLoop;
@@ -37,15 +37,15 @@
     /** Found on a zone day: a connection took long to come up, and the repeat was written past the window. */
     @Test
     public void aRepeatIsNotWrittenOnceItsWindowIsOver() throws Exception {
-        Gate listed = new Gate(e -> e instanceof ListNews news
-                && !news.entries().isEmpty()
-                && news.entries().get(0).server().equals("late"));
+        Gate listed = new Gate(e -> e instanceof EndpointUpdate news
+                && !news.endpoints().isEmpty()
+                && news.endpoints().get(0).server().equals("late"));
         UnaryOperator<String> keyed = s -> NO_CONNECT_TIMEOUT
                 .apply(s)
                 .replace(
                         "\"Idempotency\":\"non_idempotent\"",
                         "\"Idempotency\":\"idempotency_key\",\"KeyScope\":\"all\",\"KeyTtl\":300");
-        Gate reset = new Gate(e -> e instanceof Ended);
+        Gate reset = new Gate(e -> e instanceof AttemptEnded);
         try (Loopback net = new Loopback(1, keyed, m -> reset.apply(listed.apply(m)));
                 Peer late = Peer.late()) {
             Exchange watch = net.discovery.next();
@@ -86,7 +86,7 @@
     /** Where nothing may be cancelled as well: what was never written is not an attempt yet. */
     @Test
     public void aClientThatLeavesWhileTheConnectionComesUpIsNotSentOn() throws Exception {
-        Gate abandoned = new Gate(e -> e instanceof Abandoned);
+        Gate abandoned = new Gate(e -> e instanceof RequestAbandoned);
         UnaryOperator<String> fixed =
                 s -> NO_CONNECT_TIMEOUT.apply(s).replace("\"Cancelling\":true", "\"Cancelling\":false");
         try (Loopback net = new Loopback(0, fixed, abandoned);
--- a/sidecar/src/test/java/dewplank/sidecar/SidecarTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/SidecarTest.java
@@ -6,14 +6,14 @@
 import static org.junit.Assert.assertSame;
 import static org.junit.Assert.assertTrue;
 
+import dewplank.balancer.Action.Reject;
+import dewplank.balancer.Action.Send;
 import dewplank.balancer.Balancer;
-import dewplank.balancer.Balancer.Arrived;
-import dewplank.balancer.Balancer.Ended;
-import dewplank.balancer.Balancer.ListForm;
-import dewplank.balancer.Balancer.ListNews;
-import dewplank.balancer.Balancer.Outcome;
-import dewplank.balancer.Balancer.Refuse;
-import dewplank.balancer.Balancer.Send;
+import dewplank.balancer.Event.AttemptEnded;
+import dewplank.balancer.Event.EndpointUpdate;
+import dewplank.balancer.Event.RequestArrived;
+import dewplank.balancer.Event.UpdateKind;
+import dewplank.balancer.Outcome;
 import dewplank.sidecar.Loopback.Client;
 import dewplank.sidecar.Loopback.Exchange;
 import java.io.IOException;
@@ -211,7 +211,7 @@
     @Test
     public void aModuleThatThrowsFailsThatRequestOnly() throws Exception {
         try (Loopback net = new Loopback(1, settings -> settings, module -> (now, event, out) -> {
-            if (event instanceof Arrived a && a.requestClass().equals("order-place")) {
+            if (event instanceof RequestArrived a && a.requestClass().equals("order-place")) {
                 throw new IllegalStateException("on purpose, for the test");
             }
             module.handle(now, event, out);
@@ -368,7 +368,7 @@
     @Test
     public void aDiscoveryThatMovesIsFollowed() throws Exception {
         UnaryOperator<Balancer> neverAsksAgain = module -> (now, event, out) -> {
-            if (!(event instanceof ListNews news && news.form() == ListForm.BROKEN)) {
+            if (!(event instanceof EndpointUpdate news && news.kind() == UpdateKind.BROKEN)) {
                 module.handle(now, event, out);
             }
         };
@@ -392,11 +392,11 @@
     public void aCallForWhichNoConnectionIsLeftWasNeverSent() throws Exception {
         List<Outcome> outcomes = new CopyOnWriteArrayList<>();
         UnaryOperator<Balancer> sendsAll = module -> (now, event, out) -> {
-            if (event instanceof Arrived a) {
+            if (event instanceof RequestArrived a) {
                 out.accept(new Send(a.request(), "s0", 0));
-            } else if (event instanceof Ended e) {
+            } else if (event instanceof AttemptEnded e) {
                 outcomes.add(e.outcome());
-                out.accept(new Refuse(e.request(), 0));
+                out.accept(new Reject(e.request(), 0));
             }
         };
         try (Loopback net = new Loopback(1, s -> s, sendsAll)) {
--- a/sidecar/src/test/java/dewplank/sidecar/SubjectTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/SubjectTest.java
@@ -4,7 +4,7 @@
 import static org.junit.Assert.assertNull;
 import static org.junit.Assert.assertTrue;
 
-import dewplank.balancer.Balancer.Arrived;
+import dewplank.balancer.Event.RequestArrived;
 import dewplank.sidecar.Loopback.Client;
 import dewplank.sidecar.Loopback.Exchange;
 import java.util.concurrent.BlockingQueue;
@@ -16,12 +16,12 @@
     private static final String TENANTS = "\"Accounts\":[{\"Name\":\"porto\",\"Share\":0.6,\"AllowancePerS\":9},"
             + "{\"Name\":\"praias\",\"Share\":0.4,\"AllowancePerS\":6}]";
 
-    private final BlockingQueue<Arrived> arrived = new LinkedBlockingQueue<>();
+    private final BlockingQueue<RequestArrived> arrived = new LinkedBlockingQueue<>();
 
     /** What the module is told of a request with these fields; they reach the server as they came. */
-    private Arrived told(String fields) throws Exception {
+    private RequestArrived told(String fields) throws Exception {
         try (Loopback net = new Loopback(1, s -> s.replace("\"Accounts\":[]", TENANTS), module -> (now, event, out) -> {
-            if (event instanceof Arrived a) {
+            if (event instanceof RequestArrived a) {
                 arrived.add(a);
             }
             module.handle(now, event, out);
@@ -40,11 +40,11 @@
 
     @Test
     public void tenantKeyAndCostReachTheModule() throws Exception {
-        Arrived a =
+        RequestArrived a =
                 told("X-Customer: porto\r\nCookie: session=1; k=7f3a=c2; lang=pt\r\nX-Props: Work=12.5,other=3\r\n");
         assertEquals("porto", a.tenant());
         assertEquals("7f3a=c2", a.key());
-        assertEquals(12.5, a.cost(), 0);
+        assertEquals(12.5, a.costMs(), 0);
     }
 
     @Test
@@ -57,10 +57,10 @@
             "Cookie: k=\r\nX-Props: Work=1e300\r\n"
         };
         for (String fields : strange) {
-            Arrived a = told(fields);
+            RequestArrived a = told(fields);
             assertNull(fields, a.tenant());
             assertNull(fields, a.key());
-            assertNull(fields, a.cost());
+            assertNull(fields, a.costMs());
         }
     }
 
