--- a/balancer/src/test/java/dewplank/balancer/GoldenSummaryTest.java
+++ b/balancer/src/test/java/dewplank/balancer/health/GoldenPeerSummaryTest.java
@@ -1,4 +1,4 @@
-package dewplank.balancer;
+package dewplank.balancer.health;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -9,31 +9,31 @@
 import org.junit.jupiter.api.Test;
 
 /** Datagrams between sidecars, byte for byte as an earlier release sent them. */
-class GoldenSummaryTest {
+class GoldenPeerSummaryTest {
     private static final String TWO_SERVERS = "01" // version
             + "4278bcfe5687b800" // milliseconds, a double
             + "00018fcd" // hashes of servers
             + "fffffffe";
     private static final String NO_SERVERS = "01" + "0000000000000000";
 
-    private static String encoded(Summary summary) {
-        return HexFormat.of().formatHex(summary.bytes());
+    private static String encoded(PeerSummary summary) {
+        return HexFormat.of().formatHex(summary.encode());
     }
 
-    private static Summary decoded(String hex) {
-        return Summary.of(HexFormat.of().parseHex(hex));
+    private static PeerSummary decoded(String hex) {
+        return PeerSummary.decode(HexFormat.of().parseHex(hex));
     }
 
     @Test
     void unhealthyServers() {
-        Summary summary = new Summary(1_700_000_000_123.5, List.of("i-1".hashCode(), -2));
+        PeerSummary summary = new PeerSummary(1_700_000_000_123.5, List.of("i-1".hashCode(), -2));
         assertEquals(TWO_SERVERS, encoded(summary));
         assertEquals(summary, decoded(TWO_SERVERS));
     }
 
     @Test
     void noServers() {
-        Summary summary = new Summary(0, List.of());
+        PeerSummary summary = new PeerSummary(0, List.of());
         assertEquals(NO_SERVERS, encoded(summary));
         assertEquals(summary, decoded(NO_SERVERS));
     }
@@ -53,6 +53,6 @@
             servers.add(index);
             expected.append(index < 61 ? "000000" + HexFormat.of().toHexDigits((byte) index) : "");
         }
-        assertEquals(expected.toString(), encoded(new Summary(5, servers)));
+        assertEquals(expected.toString(), encoded(new PeerSummary(5, servers)));
     }
 }
