--- a/controlplane/src/main/java/dewplank/controlplane/AcceptorReconfigurer.java
+++ b/controlplane/src/main/java/dewplank/controlplane/AcceptorReconfigurer.java
@@ -11,16 +11,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the register's acceptors what {@link AcceptorPlacement} says they should be: the holder of the duty compares the set
- * with the control sidecars that live and asks the register for one change at a time. Every control sidecar notes who
- * is missing, so that a new holder need not begin to wait anew.
+ * Changes the register's acceptors to those that {@link AcceptorPlacement} computes from the live control planes: a
+ * lost acceptor is replaced, and the set grows as machines with a disk appear.
+ *
+ * <p>Only the lease holder changes the set, one change at a time. Every control plane runs the computation all the
+ * same: a new lease holder then knows already for how long a machine has been missing. On the loop's thread only; a
+ * change that fails is computed anew at a later check.
  */
 final class AcceptorReconfigurer {
     private static final Logger LOG = LoggerFactory.getLogger(AcceptorReconfigurer.class);
     private static final double CHECK_INTERVAL_MS = 100;
-    /** A majority heard within this is taken to stand: more than two sweeps of the register. */
+    /** A quorum that answered within this is taken to be reachable still: more than two anti-entropy rounds. */
     private static final double QUORUM_VALIDITY_MS = 1_000;
-    /** A change that has not come through by then is worked out again from what is then known. */
+    /** A change that has not completed by then is computed anew from what is known then. */
     private static final double CHANGE_TIMEOUT_MS = 1_000;
 
     private final Scheduler loop;
@@ -28,7 +31,7 @@
     private final ControlMesh mesh;
     private final ConfigurationStore configuration;
     private final SingletonRole duty;
-    private final AcceptorPlacement plan;
+    private final AcceptorPlacement placement;
     private boolean changePending;
 
     AcceptorReconfigurer(
@@ -43,7 +46,7 @@
         this.mesh = mesh;
         this.configuration = configuration;
         this.duty = duty;
-        this.plan = new AcceptorPlacement(AcceptorPlacement.Timing.ofCatchUp(catchUpMs));
+        this.placement = new AcceptorPlacement(AcceptorPlacement.Timing.ofCatchUp(catchUpMs));
     }
 
     void start() {
@@ -52,25 +55,25 @@
 
     private void check() {
         AcceptorSet set = configuration.acceptors();
-        List<AcceptorId> wanted = plan.targetMembers(loop.now(), set, sightings());
-        boolean differs = !set.isJoint() && !wanted.equals(set.members());
+        List<AcceptorId> target = placement.targetMembers(loop.now(), set, observations());
+        boolean differs = !set.isJoint() && !target.equals(set.members());
         if (differs && !changePending && duty.isHeld() && configuration.hasQuorum(QUORUM_VALIDITY_MS)) {
-            LOG.info("acceptor change started from={} to={}", set.members(), wanted);
+            LOG.info("acceptor change started from={} to={}", set.members(), target);
             changePending = true;
-            configuration.replaceAcceptors(set.generation(), wanted, CHANGE_TIMEOUT_MS, () -> changePending = false);
+            configuration.replaceAcceptors(set.generation(), target, CHANGE_TIMEOUT_MS, () -> changePending = false);
         }
         loop.after(CHECK_INTERVAL_MS, this::check);
     }
 
-    private List<PeerObservation> sightings() {
+    private List<PeerObservation> observations() {
         double now = loop.now();
-        List<PeerObservation> sightings = new ArrayList<>();
-        sightings.add(
-                new PeerObservation(self, true, now, Double.NEGATIVE_INFINITY)); // only who has a disk holds the duty
+        List<PeerObservation> observations = new ArrayList<>();
+        // Only a process with a disk runs this, and it has always been in touch with itself.
+        observations.add(new PeerObservation(self, true, now, Double.NEGATIVE_INFINITY));
         for (ControlMesh.Peer p : mesh.peers(Double.POSITIVE_INFINITY)) {
             AcceptorId peer = new AcceptorId(p.member().address, p.identity());
-            sightings.add(new PeerObservation(peer, p.durable(), p.lastReceivedAt(), p.firstReceivedAt()));
+            observations.add(new PeerObservation(peer, p.durable(), p.lastReceivedAt(), p.firstReceivedAt()));
         }
-        return sightings;
+        return observations;
     }
 }
--- a/controlplane/src/main/java/dewplank/controlplane/ControlMesh.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ControlMesh.java
@@ -3,55 +3,61 @@
 import dewplank.membership.Member;
 import dewplank.message.ControlHeartbeat;
 import dewplank.message.ControlHello;
-import dewplank.message.HeartbeatAck;
-import dewplank.message.MessageLink;
 import dewplank.message.MessageTransport;
 import dewplank.net.Scheduler;
-import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * This control sidecar's links to the others: each dials every other one that it knows and sends on its own link; what
- * others send comes on theirs. A beat on each link tells sessions and finds a dead peer, as a cut says nothing.
+ * The full mesh of links between control planes: each one connects to every other one that it knows, and sends on its
+ * own links only; what others send arrives on theirs.
+ *
+ * <p>A heartbeat on each link carries the sessions of data planes and detects a dead peer, since a network partition
+ * closes no connection. {@link ControlPlane} wires it; all methods run on the loop's thread only and none throws. Links
+ * and peers are iterated in the order in which they were added, so that a simulation can be replayed.
  */
 final class ControlMesh {
     private static final Logger LOG = LoggerFactory.getLogger(ControlMesh.class);
+
     private static final double HEARTBEAT_INTERVAL_MS = 300;
-    private static final double HEARTBEAT_TIMEOUT_MS = 1_200; // without an answer to a beat a link counts as dead
-    private static final double CONNECT_TIMEOUT_MS = 700;
-    private static final double RECONNECT_BACKOFF_MS = 250;
-    /** Control sidecars known at once. Beyond, the one that is dead for longest makes room. */
+    /** Links at once. Beyond, the one that has been dead for longest is evicted. */
     static final int MAX_PEERS = 64;
-    /** An address that has not answered for so long and that nobody vouches for is forgotten: replaced machines. */
+    /** A replaced machine never answers again: its address is evicted after this, unless it is retained. */
     static final double DEAD_PEER_RETENTION_MS = 60_000;
-    /** What a peer says of its quorum counts for so long: three beats. */
+    /** What a peer reports of its quorum is valid for three heartbeats. */
     private static final double QUORUM_REPORT_VALIDITY_MS = 1_000;
 
     /**
-     * A control sidecar that has said hello and has been heard lately.
+     * A control plane that has said hello to this one.
      *
+     * @param member who it is
+     * @param identity of its disk, or of its memory where it has none
      * @param durable whether it has a disk; one without is a relay
+     * @param lastReceivedAt when its last message arrived, on the loop's clock in milliseconds
+     * @param firstReceivedAt when its first message under this identity arrived
      */
     record Peer(Member member, String identity, boolean durable, double lastReceivedAt, double firstReceivedAt) {}
 
-    /** Tells what others have to know, and takes what they send. */
+    /** Supplies what peers have to know, and takes what they send. On the loop's thread. */
     interface Handler {
+        /** The heartbeat that goes to all peers now. */
         ControlHeartbeat heartbeat(long sequence);
 
+        /** A message from this process to itself. */
         void received(String address, Object message);
 
-        /** A link of ours is up: what the peer may lack is sent. */
+        /** A link to the peer is up: what the peer may lack is sent. */
         void linkUp(String address);
 
-        /** Whether the address is kept however long it is dead: a seed, or an acceptor's. */
+        /** Whether the address is never evicted: a seed's, or an acceptor's. */
         boolean isRetained(String address);
     }
 
@@ -59,10 +65,12 @@
     private final MessageTransport transport;
     private final ControlHello hello;
     private final Handler handler;
-    private final Map<String, Link> links = new LinkedHashMap<>();
+    private final PeerLink.Listener linkListener = new LinkListener();
+    private final Map<String, PeerLink> links = new LinkedHashMap<>();
     private final Map<String, Peer> peers = new LinkedHashMap<>();
     private long sequence;
 
+    /** @param hello the first message on each link, which names this process and its disk */
     ControlMesh(Scheduler loop, MessageTransport transport, ControlHello hello, Handler handler) {
         this.loop = loop;
         this.transport = transport;
@@ -74,59 +82,65 @@
         sendHeartbeats();
     }
 
-    /** SocketAddresses of control sidecars, from the seeds or from others. */
+    /** Connects to those of the addresses that are new, as far as there is capacity. */
     void addAddresses(Collection<String> addresses) {
         for (String address : addresses) {
             if (!address.equals(hello.member.address) && !links.containsKey(address) && ensureCapacity()) {
-                Link link = new Link(address);
+                PeerLink link = new PeerLink(loop, transport, hello, linkListener, address);
                 links.put(address, link);
                 link.connect();
             }
         }
     }
 
-    /** Whether one more link fits, after the one that is dead for longest was removed where need be. */
+    /** Whether one more link fits, after the one that has been dead for longest was evicted where need be. */
     private boolean ensureCapacity() {
         if (links.size() < MAX_PEERS) {
             return true;
         }
-        Link oldest = null;
-        for (Link link : links.values()) {
-            if (!link.isUp()
-                    && !handler.isRetained(link.address)
-                    && (oldest == null || link.lastUpAt < oldest.lastUpAt)) {
+        PeerLink oldest = null;
+        for (PeerLink link : links.values()) {
+            if (isEvictable(link) && (oldest == null || link.lastUpAt() < oldest.lastUpAt())) {
                 oldest = link;
             }
         }
         if (oldest != null) {
-            oldest.remove();
+            remove(oldest);
         }
         return oldest != null;
     }
 
-    /** Drops what has been dead for long and is neither a seed nor an acceptor. */
+    private boolean isEvictable(PeerLink link) {
+        return !link.isUp() && !handler.isRetained(link.address());
+    }
+
     private void evictDeadPeers() {
         double before = loop.now() - DEAD_PEER_RETENTION_MS;
-        for (Link link : List.copyOf(links.values())) {
-            if (!link.isUp() && link.lastUpAt < before && !handler.isRetained(link.address)) {
-                LOG.info("peer evicted peer={}", link.address);
-                link.remove();
+        for (PeerLink link : List.copyOf(links.values())) {
+            if (link.lastUpAt() < before && isEvictable(link)) {
+                LOG.info("peer evicted peer={}", link.address());
+                remove(link);
             }
         }
         peers.values().removeIf(p -> p.lastReceivedAt() < before);
     }
 
-    /** What is known of the control sidecar at that address; null where none was heard. */
-    Peer peer(String address) {
-        return peers.get(address);
+    private void remove(PeerLink link) {
+        links.remove(link.address());
+        link.remove();
+    }
+
+    /** The control plane at that address; empty where nothing was received from it lately. */
+    Optional<Peer> peer(String address) {
+        return Optional.ofNullable(peers.get(address));
     }
 
-    /** This process heard nobody for so long: nobody was silent to it meanwhile. */
+    /** The event loop stood still for so long: nobody's acknowledgement is overdue by that time. */
     void stalled(double stalledMs) {
-        links.values().forEach(l -> l.lastAckAt += stalledMs);
+        links.values().forEach(l -> l.extendTimeout(stalledMs));
     }
 
-    /** How many addresses are known, the own one not among them. */
+    /** Number of addresses that this process connects to. */
     int addressCount() {
         return links.size();
     }
@@ -137,83 +151,85 @@
         if (hello.durable) {
             live.add(hello.member.address);
         }
-        links.values().stream().filter(l -> l.isUp() && !isRelay(l.address)).forEach(l -> live.add(l.address));
+        links.values().stream().filter(l -> l.isUp() && !isRelay(l.address())).forEach(l -> live.add(l.address()));
         return live;
     }
 
-    /** Whether what lives at the address has said that it has no disk. */
+    /** Whether the peer at the address has reported that it has no disk. */
     private boolean isRelay(String address) {
         Peer peer = peers.get(address);
         return peer != null && !peer.durable();
     }
 
-    /** All that are known, those that are up first: for who seeks a control sidecar and cannot be told which lives. */
+    /** All addresses without relays, those that are up first: for a caller that can't be told which ones live. */
     List<String> addressesLiveFirst() {
         Set<String> all = new LinkedHashSet<>(liveAddresses());
         links.keySet().stream().filter(a -> !isRelay(a)).forEach(all::add);
         return new ArrayList<>(all);
     }
 
-    /** A control sidecar that lately said that it hears a quorum; null where none did. */
-    String quorateAddress() {
+    /** A control plane that lately reported that it reaches a quorum; empty where none did. */
+    Optional<String> quorateAddress() {
         double since = loop.now() - QUORUM_REPORT_VALIDITY_MS;
         return links.values().stream()
-                .filter(l -> l.isUp() && l.quorumReportedAt >= since)
-                .map(l -> l.address)
-                .findFirst()
-                .orElse(null);
+                .filter(l -> l.isUp() && l.hasReportedQuorumSince(since))
+                .map(PeerLink::address)
+                .findFirst();
     }
 
-    /** Control sidecars heard within so many milliseconds, this one not among them. */
-    List<Peer> peers(double within) {
-        double since = loop.now() - within;
+    /** Control planes from which a message arrived within so many milliseconds, this one not among them. */
+    List<Peer> peers(double withinMs) {
+        double since = loop.now() - withinMs;
         return peers.values().stream().filter(p -> p.lastReceivedAt() >= since).toList();
     }
 
+    /**
+     * Sends a message, which is lost where the link is down. A message to this process itself is handled in a later
+     * task of the loop, never within this call.
+     */
     void send(String address, Object message) {
         if (address.equals(hello.member.address)) {
             loop.execute(() -> handler.received(address, message));
             return;
         }
-        Link link = links.get(address);
-        if (link != null && link.isUp()) {
-            link.connection.send(message);
+        PeerLink link = links.get(address);
+        if (link != null) {
+            link.send(message);
         }
     }
 
-    /** To all that are up, but for relays. */
+    /** Sends to all that are up, but for relays. */
     void broadcast(Object message) {
-        for (Link link : links.values()) {
-            if (link.isUp() && !isRelay(link.address)) {
-                link.connection.send(message);
+        for (PeerLink link : links.values()) {
+            if (!isRelay(link.address())) {
+                link.send(message);
             }
         }
     }
 
-    /** A control sidecar has said hello on a connection of its own. */
+    /** A control plane has connected to this one and said hello. */
     void helloReceived(ControlHello from) {
         recordReceived(from);
-        if (from.durable) { // a relay asks for what it needs, and is of no use itself
+        if (from.durable) { // a relay only requests; nothing is ever requested from it
             addAddresses(List.of(from.member.address));
         }
-        Link link = links.get(from.member.address);
+        PeerLink link = links.get(from.member.address);
         if (link != null) {
-            link.reconnectNow();
+            link.skipBackoff();
         }
     }
 
     /**
-     * Something came on a connection that began with this hello. Late words of an earlier life at the same address
-     * show another identity, until the present one speaks again: it then counts as heard from that moment on.
+     * A message arrived on a connection that began with this hello. Delayed messages of an earlier incarnation at the
+     * same address show another identity, until the present one sends again: its time then begins anew.
      */
     void recordReceived(ControlHello from) {
         String address = from.member.address;
         Peer lastSeen = peers.get(address);
         boolean same = lastSeen != null && lastSeen.identity().equals(from.identity);
         double now = loop.now();
-        peers.put(
-                address,
-                new Peer(from.member, from.identity, from.durable, now, same ? lastSeen.firstReceivedAt() : now));
+        double firstReceivedAt = same ? lastSeen.firstReceivedAt() : now;
+        peers.put(address, new Peer(from.member, from.identity, from.durable, now, firstReceivedAt));
     }
 
     private void sendHeartbeats() {
@@ -224,91 +240,15 @@
         loop.after(HEARTBEAT_INTERVAL_MS, this::sendHeartbeats);
     }
 
-    private final class Link implements MessageLink.Handler {
-        private final String address;
-        private final InetSocketAddress to;
-        private MessageLink connection;
-        private double lastAckAt;
-        private double reconnectAt;
-        private double lastUpAt;
-        private double quorumReportedAt = Double.NEGATIVE_INFINITY;
-        private boolean removed;
-
-        Link(String address) {
-            this.address = address;
-            this.lastUpAt = loop.now();
-            this.to = SocketAddresses.socketAddress(address);
-        }
-
-        boolean isUp() {
-            return connection != null && connection.isOpen();
-        }
-
-        /** Ends the link and forgets the address. */
-        void remove() {
-            removed = true;
-            links.remove(address);
-            if (connection != null) {
-                connection.end();
-            }
-        }
-
-        void connect() {
-            connection = transport.open(to, CONNECT_TIMEOUT_MS, this);
-        }
-
-        /** It lives: no waiting before the next attempt. */
-        void reconnectNow() {
-            if (connection == null) {
-                reconnectAt = loop.now();
-            }
-        }
-
+    private final class LinkListener implements PeerLink.Listener {
         @Override
-        public void opened(MessageLink opened) {
-            if (removed) {
-                opened.end();
-                return;
-            }
-            lastAckAt = loop.now();
-            lastUpAt = lastAckAt;
-            opened.send(hello);
-            LOG.info("peer link up peer={}", address);
+        public void linkUp(String address) {
             handler.linkUp(address);
         }
 
         @Override
-        public void received(MessageLink from, Object message) {
-            if (message instanceof HeartbeatAck answer && from == connection) {
-                lastAckAt = loop.now();
-                lastUpAt = lastAckAt;
-                quorumReportedAt = answer.quorate ? lastAckAt : Double.NEGATIVE_INFINITY;
-                addAddresses(answer.controlAddresses);
-            }
-        }
-
-        @Override
-        public void closed(MessageLink ended) {
-            if (connection == ended) {
-                connection = null;
-                reconnectAt = loop.now() + RECONNECT_BACKOFF_MS;
-            }
-        }
-
-        void sendHeartbeat(ControlHeartbeat heartbeat) {
-            if (connection == null) {
-                if (loop.now() >= reconnectAt) {
-                    connect();
-                }
-            } else if (connection.isOpen()) {
-                double elapsedMs = loop.now() - lastAckAt;
-                if (elapsedMs > HEARTBEAT_TIMEOUT_MS) {
-                    LOG.info("heartbeat timeout peer={} elapsedMs={}", address, Math.round(elapsedMs));
-                    connection.end();
-                } else {
-                    connection.send(heartbeat);
-                }
-            }
+        public void addressesReported(List<String> addresses) {
+            addAddresses(addresses);
         }
     }
 }
--- a/controlplane/src/main/java/dewplank/controlplane/OperatorApi.java
+++ b/controlplane/src/main/java/dewplank/controlplane/OperatorApi.java
@@ -15,6 +15,7 @@
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import java.util.function.Consumer;
 
@@ -41,8 +42,8 @@
 
         String servers();
 
-        /** One server; null where the list has none of that instance. */
-        String server(String instanceId);
+        /** One server; empty where the list has no such instance. */
+        Optional<String> server(String instanceId);
 
         String status();
     }
@@ -56,15 +57,17 @@
         void read(double withinMs, Consumer<Outcome> then);
     }
 
-    /** What this control sidecar's word on the configuration is worth, and who may know more. */
+    /** Whether this control plane may answer for the fleet, and which others an operator may call instead. */
     interface Redirects {
-        /** Whether a majority of acceptors was reached lately, so that trying makes sense. */
+        /** Whether a quorum of acceptors was reached lately, so that a call is worth an attempt. */
         boolean hasQuorum();
 
-        /** Where a control sidecar that lately had a majority takes operators' calls, as IP:PORT; null if unknown. */
-        String quorateEndpoint();
+        /**
+         * Where a control plane that lately had a quorum takes operators' calls, as IP:PORT; empty if none is known.
+         */
+        Optional<String> quorateEndpoint();
 
-        /** Where all control sidecars that are known take operators' calls, those that can be reached first. */
+        /** Where all control planes that are known take operators' calls, those that are up first. */
         List<String> knownEndpoints();
     }
 
@@ -155,11 +158,11 @@
     }
 
     private void server(Responder caller, String instanceId) {
-        String server = views.server(instanceId);
-        if (server == null) {
-            result(caller, ResultCode.NO_SUCH_SERVER, "the list of servers has no instance " + instanceId);
+        Optional<String> server = views.server(instanceId);
+        if (server.isPresent()) {
+            json(caller, server.get());
         } else {
-            json(caller, server);
+            result(caller, ResultCode.NO_SUCH_SERVER, "the list of servers has no instance " + instanceId);
         }
     }
 
@@ -173,12 +176,12 @@
             call.run();
             return;
         }
-        String better = redirects.quorateEndpoint();
-        if (better != null && request.target().startsWith("/")) {
+        Optional<String> better = redirects.quorateEndpoint();
+        if (better.isPresent() && request.target().startsWith("/")) {
             answer(
                     caller,
                     ResultCode.ELSEWHERE.status(),
-                    List.of(json(), new Headers.Field("Location", "http://" + better + request.target())),
+                    List.of(json(), new Headers.Field("Location", "http://" + better.get() + request.target())),
                     body(ResultCode.ELSEWHERE, "no majority of acceptors was reached lately from here"));
             return;
         }
--- a/controlplane/src/main/java/dewplank/controlplane/OperatorViews.java
+++ b/controlplane/src/main/java/dewplank/controlplane/OperatorViews.java
@@ -4,11 +4,10 @@
 import dewplank.message.Endpoint;
 import dewplank.register.AcceptorId;
 import java.util.List;
+import java.util.Optional;
 
 /** What this control sidecar knows, as JSON for the operator's client. */
 final class OperatorViews implements OperatorApi.Views {
-    private static final double QUORUM_VALIDITY_MS = 1_500;
-
     private final ControlPlane plane;
 
     OperatorViews(ControlPlane plane) {
@@ -65,13 +64,13 @@
     }
 
     @Override
-    public String server(String instanceId) {
+    public Optional<String> server(String instanceId) {
         for (Endpoint s : plane.poller().newest().servers) {
             if (s.instanceId.equals(instanceId)) {
-                return server(s) + "\n";
+                return Optional.of(server(s) + "\n");
             }
         }
-        return null;
+        return Optional.empty();
     }
 
     private static String server(Endpoint s) {
@@ -92,8 +91,10 @@
                 .toList();
         return JsonText.object(
                         JsonText.field("node", plane.node()),
-                        JsonText.plain("quorate", plane.configuration().hasQuorum(QUORUM_VALIDITY_MS)),
-                        JsonText.plain("current", plane.configuration().isCurrent(QUORUM_VALIDITY_MS)),
+                        JsonText.plain(
+                                "quorate", plane.configuration().hasQuorum(QuorumConfirmation.QUORUM_VALIDITY_MS)),
+                        JsonText.plain(
+                                "current", plane.configuration().isCurrent(QuorumConfirmation.QUORUM_VALIDITY_MS)),
                         JsonText.plain("quorum_age_ms", plane.configuration().quorumAgeMs()),
                         JsonText.plain(
                                 "holds_list_duty", plane.duties().endpointList().isHeld()),
--- /dev/null
+++ b/controlplane/src/main/java/dewplank/controlplane/PeerLink.java
@@ -0,0 +1,158 @@
+package dewplank.controlplane;
+
+import dewplank.message.ControlHeartbeat;
+import dewplank.message.ControlHello;
+import dewplank.message.HeartbeatAck;
+import dewplank.message.MessageLink;
+import dewplank.message.MessageTransport;
+import dewplank.net.Scheduler;
+import java.net.InetSocketAddress;
+import java.util.List;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * The outgoing link to one other control plane: connects, reconnects, and ends a connection whose heartbeats are not
+ * acknowledged.
+ *
+ * <p>{@link ControlMesh} owns it and calls it on the loop's thread only. Nothing here throws: a connection that fails
+ * is replaced at a later heartbeat.
+ */
+final class PeerLink implements MessageLink.Handler {
+    private static final Logger LOG = LoggerFactory.getLogger(PeerLink.class);
+
+    /** A link without an acknowledgement for so long counts as dead: four heartbeats. */
+    private static final double HEARTBEAT_TIMEOUT_MS = 1_200;
+
+    private static final double CONNECT_TIMEOUT_MS = 700;
+    private static final double RECONNECT_BACKOFF_MS = 250;
+
+    /** Takes what the link finds out. */
+    interface Listener {
+        /** A connection is up and has said hello. */
+        void linkUp(String address);
+
+        /** The peer named control planes that it knows. */
+        void addressesReported(List<String> addresses);
+    }
+
+    private final Scheduler loop;
+    private final MessageTransport transport;
+    private final ControlHello hello;
+    private final Listener listener;
+    private final String address;
+    private final InetSocketAddress socketAddress;
+    private MessageLink connection;
+    private double lastAckAt;
+    private double reconnectAt;
+    private double lastUpAt;
+    private double quorumReportedAt = Double.NEGATIVE_INFINITY;
+    private boolean removed;
+
+    PeerLink(Scheduler loop, MessageTransport transport, ControlHello hello, Listener listener, String address) {
+        this.loop = loop;
+        this.transport = transport;
+        this.hello = hello;
+        this.listener = listener;
+        this.address = address;
+        this.lastUpAt = loop.now();
+        this.socketAddress = SocketAddresses.socketAddress(address);
+    }
+
+    String address() {
+        return address;
+    }
+
+    boolean isUp() {
+        return connection != null && connection.isOpen();
+    }
+
+    /** When it was last up, or when it was created, on the loop's clock in milliseconds. */
+    double lastUpAt() {
+        return lastUpAt;
+    }
+
+    /** Whether the peer reported since then that it reaches a quorum. */
+    boolean hasReportedQuorumSince(double since) {
+        return quorumReportedAt >= since;
+    }
+
+    void connect() {
+        connection = transport.open(socketAddress, CONNECT_TIMEOUT_MS, this);
+    }
+
+    /** Ends the link for good. */
+    void remove() {
+        removed = true;
+        if (connection != null) {
+            connection.end();
+        }
+    }
+
+    /** The peer has connected from its side, so it lives: no backoff before the next attempt. */
+    void skipBackoff() {
+        if (connection == null) {
+            reconnectAt = loop.now();
+        }
+    }
+
+    /** The event loop stood still for so long: acknowledgements could not be read meanwhile. */
+    void extendTimeout(double stalledMs) {
+        lastAckAt += stalledMs;
+    }
+
+    /** Sends a message; it is dropped where the link is down. */
+    void send(Object message) {
+        if (isUp()) {
+            connection.send(message);
+        }
+    }
+
+    /** One interval has passed: connects, sends the heartbeat, or ends a connection that has timed out. */
+    void sendHeartbeat(ControlHeartbeat heartbeat) {
+        if (connection == null) {
+            if (loop.now() >= reconnectAt) {
+                connect();
+            }
+        } else if (connection.isOpen()) {
+            double elapsedMs = loop.now() - lastAckAt;
+            if (elapsedMs > HEARTBEAT_TIMEOUT_MS) {
+                LOG.info("heartbeat timeout peer={} elapsedMs={}", address, Math.round(elapsedMs));
+                connection.end();
+            } else {
+                connection.send(heartbeat);
+            }
+        }
+    }
+
+    @Override
+    public void opened(MessageLink opened) {
+        if (removed) {
+            opened.end();
+            return;
+        }
+        lastAckAt = loop.now();
+        lastUpAt = lastAckAt;
+        opened.send(hello);
+        LOG.info("peer link up peer={}", address);
+        listener.linkUp(address);
+    }
+
+    @Override
+    public void received(MessageLink from, Object message) {
+        if (message instanceof HeartbeatAck ack && from == connection) {
+            lastAckAt = loop.now();
+            lastUpAt = lastAckAt;
+            quorumReportedAt = ack.quorate ? lastAckAt : Double.NEGATIVE_INFINITY;
+            listener.addressesReported(ack.controlAddresses);
+        }
+    }
+
+    @Override
+    public void closed(MessageLink ended) {
+        if (connection == ended) {
+            connection = null;
+            reconnectAt = loop.now() + RECONNECT_BACKOFF_MS;
+        }
+    }
+}
--- a/controlplane/src/main/java/dewplank/controlplane/QuorumConfirmation.java
+++ b/controlplane/src/main/java/dewplank/controlplane/QuorumConfirmation.java
@@ -2,12 +2,17 @@
 
 import dewplank.net.Scheduler;
 import dewplank.register.AcceptorId;
+import java.util.Optional;
 
-/** Whether operators' calls may be decided here: by a quorum, and one that keeps what it accepts. */
+/**
+ * Whether operators' calls may be confirmed here: only a quorum confirms, and only one of acceptors with a disk.
+ *
+ * <p>Asked at each operator's call and each heartbeat of a peer, on the loop's thread only.
+ */
 final class QuorumConfirmation {
-    /** A quorum that answered within this is taken to stand. */
+    /** A quorum that answered within this is taken to be reachable still: more than three anti-entropy rounds. */
     static final double QUORUM_VALIDITY_MS = 1_500;
-    /** Whoever started together with this process has said by then whether it has a disk. */
+    /** Every control plane that started together with this one has said hello by then. */
     private static final double PEER_INTRODUCTION_MS = 5_000;
 
     private final Scheduler loop;
@@ -43,19 +48,23 @@
     }
 
     /**
-     * Whether all acceptors have a disk as far as is known. Before there is a configuration each has to have said so,
-     * for as long as all that started together may need to; later the set holds none without, and who is silent had
-     * one.
+     * Whether all acceptors have a disk as far as is known. Before the first configuration each has to have said so in
+     * its hello, until all that started together have had time for it. Later the set has none without a disk, so one
+     * that is unreachable counts as durable.
      */
     private boolean acceptorsAreDurable() {
         boolean helloRequired = history.version() == 0 && loop.now() - startedAt < PEER_INTRODUCTION_MS;
         for (AcceptorId acceptor : configuration.acceptors().all()) {
-            ControlMesh.Peer peer = mesh.peer(acceptor.address());
-            boolean introduced = peer != null && peer.identity().equals(acceptor.identity());
-            if (!acceptor.identity().equals(identity) && (introduced ? !peer.durable() : helloRequired)) {
+            if (!acceptor.identity().equals(identity) && !isDurable(acceptor, helloRequired)) {
                 return false;
             }
         }
         return true;
     }
+
+    private boolean isDurable(AcceptorId acceptor, boolean helloRequired) {
+        Optional<ControlMesh.Peer> introduced =
+                mesh.peer(acceptor.address()).filter(p -> p.identity().equals(acceptor.identity()));
+        return introduced.isPresent() ? introduced.get().durable() : !helloRequired;
+    }
 }
--- a/controlplane/src/main/java/dewplank/controlplane/QuorumRedirects.java
+++ b/controlplane/src/main/java/dewplank/controlplane/QuorumRedirects.java
@@ -1,9 +1,10 @@
 package dewplank.controlplane;
 
 import java.util.List;
+import java.util.Optional;
 import java.util.function.BooleanSupplier;
 
-/** Where operators' calls may go instead, by what the links to other control sidecars tell. */
+/** Where operators' calls may go instead, by what the mesh knows of other control planes. On the loop's thread only. */
 final class QuorumRedirects implements OperatorApi.Redirects {
     private final int controlPort;
     private final String self;
@@ -30,9 +31,8 @@
     }
 
     @Override
-    public String quorateEndpoint() {
-        String better = mesh.quorateAddress();
-        return better == null ? null : operatorEndpoint(better);
+    public Optional<String> quorateEndpoint() {
+        return mesh.quorateAddress().map(this::operatorEndpoint);
     }
 
     @Override
--- a/controlplane/src/main/java/dewplank/controlplane/StallDetector.java
+++ b/controlplane/src/main/java/dewplank/controlplane/StallDetector.java
@@ -4,20 +4,22 @@
 import java.util.function.DoubleConsumer;
 
 /**
- * Notices that this process did not run, or was busy with one thing, for so long that others seem to have been silent:
- * their words wait unread meanwhile, and must not cost them their sessions. On a slow machine the reading of a
- * configuration of two thousand routes takes longer than a peer may be silent.
+ * Detects that the event loop stood still: the process did not run, or was busy with one task. Messages of others wait
+ * unread meanwhile, so their timeouts are extended by that time. On a slow machine the parsing of a configuration of
+ * two thousand routes takes longer than a peer's heartbeat timeout.
+ *
+ * <p>On the loop's thread only.
  */
 final class StallDetector {
     private static final double CHECK_INTERVAL_MS = 50;
-    /** Two beats of 300 ms may be late by as much without harm. */
+    /** Below the heartbeat interval of 300 ms: a delay of this length costs no peer its timeout. */
     private static final double STALL_THRESHOLD_MS = 250;
 
     private final Scheduler loop;
     private final DoubleConsumer onStall;
     private double lastCheckAt;
 
-    /** @param onStall is told of the milliseconds */
+    /** @param onStall takes the length of each stall in milliseconds, within {@link #check} */
     StallDetector(Scheduler loop, DoubleConsumer onStall) {
         this.loop = loop;
         this.onStall = onStall;
@@ -29,7 +31,7 @@
         loop.after(CHECK_INTERVAL_MS, this::start);
     }
 
-    /** To be called before anybody's silence is held against them. */
+    /** Called by the timer, and before any timeout is evaluated. */
     void check() {
         double now = loop.now();
         double gap = now - lastCheckAt;
--- a/controlplane/src/test/java/dewplank/controlplane/OperatorApiTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/OperatorApiTest.java
@@ -16,6 +16,7 @@
 import java.net.http.HttpResponse;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
@@ -63,8 +64,8 @@
         }
 
         @Override
-        public String quorateEndpoint() {
-            return better;
+        public Optional<String> quorateEndpoint() {
+            return Optional.ofNullable(better);
         }
 
         @Override
@@ -90,8 +91,8 @@
         }
 
         @Override
-        public String server(String instanceId) {
-            return instanceId.equals("i-1") ? "{\"instance_id\":\"i-1\"}" : null;
+        public Optional<String> server(String instanceId) {
+            return instanceId.equals("i-1") ? Optional.of("{\"instance_id\":\"i-1\"}") : Optional.empty();
         }
 
         @Override
--- a/controlplane/src/test/java/dewplank/controlplane/OperatorRequestsTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/OperatorRequestsTest.java
@@ -11,6 +11,7 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.List;
+import java.util.Optional;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -45,8 +46,8 @@
         }
 
         @Override
-        public String server(String instanceId) {
-            return null;
+        public Optional<String> server(String instanceId) {
+            return Optional.empty();
         }
 
         @Override
@@ -63,8 +64,8 @@
         }
 
         @Override
-        public String quorateEndpoint() {
-            return null;
+        public Optional<String> quorateEndpoint() {
+            return Optional.empty();
         }
 
         @Override
