--- a/controlplane/src/main/java/dewplank/controlplane/ControlPlane.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ControlPlane.java
@@ -370,7 +370,7 @@
             } else if (message instanceof SessionHeartbeat heartbeat && session != null) {
                 session.heartbeat(heartbeat);
             } else {
-                connection.end();
+                connection.close();
             }
         }
 
--- a/controlplane/src/main/java/dewplank/controlplane/DataPlaneSessions.java
+++ b/controlplane/src/main/java/dewplank/controlplane/DataPlaneSessions.java
@@ -43,7 +43,7 @@
     Session open(MessageLink connection, SessionOpen message) {
         if (!table.tryRenew(loop.now(), message.member)) {
             LOG.warn("session rejected node={} reason=max-sessions", message.member.node);
-            connection.end();
+            connection.close();
             return null;
         }
         LOG.info("session opened node={}", message.member.node);
@@ -97,7 +97,7 @@
         /** One whose lease is over may be gone for good without a word: what it is told would pile up. */
         private void sendUpdateOrClose() {
             if (loop.now() - lastHeartbeatAt > table.leaseMs()) {
-                connection.end();
+                connection.close();
             } else {
                 sendUpdate();
             }
@@ -112,7 +112,7 @@
                 return;
             }
             versions.configurationVersion = Math.max(versions.configurationVersion, update.configurationVersion);
-            versions.listVersion = update.servers == null ? versions.listVersion : update.servers.version;
+            versions.listVersion = update.endpointList == null ? versions.listVersion : update.endpointList.version;
             versions.membersDigest =
                     update.members == null ? versions.membersDigest : SessionTable.digest(update.members);
             connection.send(update);
--- a/controlplane/src/main/java/dewplank/controlplane/DiskStorage.java
+++ b/controlplane/src/main/java/dewplank/controlplane/DiskStorage.java
@@ -6,9 +6,9 @@
 import dewplank.register.DurableState;
 import dewplank.settings.NodeSettings;
 import dewplank.store.AcceptorStore;
+import dewplank.store.BootstrapSeeds;
+import dewplank.store.ChecksummedFile;
 import dewplank.store.DiskExecutor;
-import dewplank.store.Founders;
-import dewplank.store.SmallFile;
 import dewplank.store.StoreException;
 import dewplank.store.StoreFiles;
 import java.nio.ByteBuffer;
@@ -21,7 +21,7 @@
 final class DiskStorage implements Storage {
     private final AcceptorStore store;
     private final DiskExecutor executor;
-    private final SmallFile serverList;
+    private final ChecksummedFile serverList;
     private final MessageCodec codec;
     private final boolean firstStart;
     private final List<String> founders;
@@ -44,11 +44,11 @@
             throws StoreException {
         this.executor = executor;
         this.codec = codec;
-        founders = new Founders(files, settings.dataDirectory()).load(seeds, settings.initialStart());
+        founders = new BootstrapSeeds(files, settings.dataDirectory()).load(seeds, settings.initialStart());
         store = AcceptorStore.open(
                 settings.dataDirectory(), files, settings.resources().diskBytes(), identityIfNew);
-        firstStart = settings.initialStart() && store.createdNow();
-        serverList = new SmallFile(files, settings.dataDirectory(), "servers");
+        firstStart = settings.initialStart() && store.isNew();
+        serverList = new ChecksummedFile(files, settings.dataDirectory(), "servers");
     }
 
     @Override
@@ -68,7 +68,7 @@
 
     @Override
     public Map<String, Long> fencingTokens() {
-        return store.numbers();
+        return store.fencingTokens();
     }
 
     @Override
@@ -78,7 +78,7 @@
 
     @Override
     public void saveFencingToken(String role, long token, Consumer<Boolean> done) {
-        executor.submit(() -> store.saveNumber(role, token), () -> done.accept(true), () -> done.accept(false));
+        executor.submit(() -> store.saveFencingToken(role, token), () -> done.accept(true), () -> done.accept(false));
     }
 
     @Override
--- a/controlplane/src/main/java/dewplank/controlplane/EndpointPoller.java
+++ b/controlplane/src/main/java/dewplank/controlplane/EndpointPoller.java
@@ -88,8 +88,8 @@
 
     /** Tells at once what {@link #overrideStage} changed, where this process holds the duty under that number. */
     void publishStageOverrides(long number) {
-        if (newest.version.fencingNumber == number && duty.isHeld(number)) {
-            List<Endpoint> servers = withStageOverrides(newest.servers);
+        if (newest.version.fencingToken == number && duty.isHeld(number)) {
+            List<Endpoint> servers = withStageOverrides(newest.endpoints);
             if (differs(servers)) {
                 publish(servers, number);
             }
@@ -103,7 +103,7 @@
 
     private Endpoint withStageOverride(Endpoint entry) {
         StageOverride override = stageOverrides.get(entry.instanceId);
-        return override == null ? entry : entry.inStage(override.stage());
+        return override == null ? entry : entry.withStage(override.stage());
     }
 
     private void dropConfirmedOverrides(List<Endpoint> listed) {
@@ -164,7 +164,7 @@
             servers.sort(Comparator.comparing(s -> s.instanceId));
             dropConfirmedOverrides(servers);
             List<Endpoint> endpoints = withStageOverrides(servers);
-            boolean firstUnderNumber = newest.version.fencingNumber != number;
+            boolean firstUnderNumber = newest.version.fencingToken != number;
             if ((firstUnderNumber || differs(endpoints)) && duty.isHeld(number)) {
                 publish(endpoints, number);
             }
@@ -190,11 +190,11 @@
     }
 
     private boolean differs(List<Endpoint> servers) {
-        if (servers.size() != newest.servers.size()) {
+        if (servers.size() != newest.endpoints.size()) {
             return true;
         }
         for (int i = 0; i < servers.size(); i++) {
-            if (!servers.get(i).sameAs(newest.servers.get(i))) {
+            if (!servers.get(i).equalsIgnoringWarmup(newest.endpoints.get(i))) {
                 return true;
             }
         }
@@ -203,7 +203,7 @@
 
     /** The first list under a number is told even if it says nothing new: those still under way are older by it. */
     private void publish(List<Endpoint> servers, long number) {
-        long revision = newest.version.fencingNumber == number ? newest.version.revision + 1 : 1;
+        long revision = newest.version.fencingToken == number ? newest.version.revision + 1 : 1;
         newest = new EndpointList(new EndpointListVersion(number, revision), servers);
         LOG.info("endpoint list published version={} endpoints={}", newest.version, servers.size());
         changed.accept(newest);
--- a/controlplane/src/main/java/dewplank/controlplane/OperatorViews.java
+++ b/controlplane/src/main/java/dewplank/controlplane/OperatorViews.java
@@ -53,7 +53,7 @@
 
     @Override
     public String servers() {
-        List<String> servers = plane.poller().newest().servers.stream()
+        List<String> servers = plane.poller().newest().endpoints.stream()
                 .map(OperatorViews::server)
                 .toList();
         return JsonText.object(
@@ -65,7 +65,7 @@
 
     @Override
     public Optional<String> server(String instanceId) {
-        for (Endpoint s : plane.poller().newest().servers) {
+        for (Endpoint s : plane.poller().newest().endpoints) {
             if (s.instanceId.equals(instanceId)) {
                 return Optional.of(server(s) + "\n");
             }
--- a/controlplane/src/main/java/dewplank/controlplane/StageController.java
+++ b/controlplane/src/main/java/dewplank/controlplane/StageController.java
@@ -125,7 +125,7 @@
 
     private Map<String, List<Endpoint>> servicesWithEngines() {
         Map<String, List<Endpoint>> services = new LinkedHashMap<>();
-        for (Endpoint s : poller.newest().servers) {
+        for (Endpoint s : poller.newest().endpoints) {
             if (s.stage != null && !s.draining) {
                 services.computeIfAbsent(s.service, k -> new ArrayList<>()).add(s);
             }
--- a/controlplane/src/main/java/dewplank/controlplane/SystemEnvironment.java
+++ b/controlplane/src/main/java/dewplank/controlplane/SystemEnvironment.java
@@ -11,7 +11,7 @@
 import dewplank.store.AcceptorStore;
 import dewplank.store.DiskExecutor;
 import dewplank.store.DiskFiles;
-import dewplank.store.DiskThread;
+import dewplank.store.SingleThreadDiskExecutor;
 import dewplank.store.StoreFiles;
 import java.io.IOException;
 import java.security.SecureRandom;
@@ -32,7 +32,7 @@
     SystemEnvironment(NodeSettings settings, MessageCodec codec) throws IOException {
         this.settings = settings;
         loop = new EventLoop();
-        disk = new DiskThread(loop::execute);
+        disk = new SingleThreadDiskExecutor(loop::execute);
         transport = new TcpTransport(loop, codec);
     }
 
--- a/controlplane/src/test/java/dewplank/controlplane/EndpointPollerTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/EndpointPollerTest.java
@@ -119,7 +119,7 @@
         assertEquals(
                 List.of(new EndpointListVersion(7, 1), new EndpointListVersion(7, 2)),
                 published.stream().map(l -> l.version).toList());
-        assertEquals(3, poller.newest().servers.size());
+        assertEquals(3, poller.newest().endpoints.size());
     }
 
     @Test
@@ -162,7 +162,7 @@
     }
 
     private List<String> stages() {
-        return poller.newest().servers.stream().map(s -> s.stage).toList();
+        return poller.newest().endpoints.stream().map(s -> s.stage).toList();
     }
 
     /** The platform's list lags: the stage that a server was ordered to is published at once, until the list agrees. */
--- a/controlplane/src/test/java/dewplank/controlplane/FramedPeer.java
+++ b/controlplane/src/test/java/dewplank/controlplane/FramedPeer.java
@@ -113,7 +113,7 @@
     }
 
     void end(MessageLink connection) throws Exception {
-        OnLoop.run(loop, connection::end);
+        OnLoop.run(loop, connection::close);
     }
 
     String address() throws IOException {
--- a/controlplane/src/test/java/dewplank/controlplane/StageControllerTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/StageControllerTest.java
@@ -132,7 +132,7 @@
         EndpointList list = published.remove();
         int index = servers.indexOf(order.server());
         for (int i = 0; i < servers.size(); i++) {
-            assertEquals(i == index ? Endpoint.CHANGING : "decode", list.servers.get(i).stage);
+            assertEquals(i == index ? Endpoint.CHANGING : "decode", list.endpoints.get(i).stage);
         }
         assertTrue(lastOrderAt - duty.since() >= 500, "orderInProgress after " + (lastOrderAt - duty.since()) + " ms");
         order.wire().answer("409 Conflict", "", "");
--- a/dataplane/src/main/java/dewplank/dataplane/FleetMetadata.java
+++ b/dataplane/src/main/java/dewplank/dataplane/FleetMetadata.java
@@ -77,7 +77,7 @@
         }
         listVersion = list.version;
         Set<String> named = new HashSet<>();
-        for (Endpoint entry : list.servers) {
+        for (Endpoint entry : list.endpoints) {
             named.add(entry.instanceId);
             learn(entry);
         }
--- a/dataplane/src/main/java/dewplank/dataplane/SessionClient.java
+++ b/dataplane/src/main/java/dewplank/dataplane/SessionClient.java
@@ -108,7 +108,7 @@
 
     void close() {
         closed = true;
-        List.copyOf(sessions).forEach(s -> s.connection.end());
+        List.copyOf(sessions).forEach(s -> s.connection.close());
     }
 
     private void beat() {
@@ -156,7 +156,7 @@
         for (boolean quorate : new boolean[] {false, true}) {
             for (Session session : List.copyOf(sessions)) {
                 if (!holdsNothing() && sessions.size() > SESSIONS && session.quorate == quorate) {
-                    session.connection.end();
+                    session.connection.close();
                 }
             }
         }
@@ -235,11 +235,11 @@
             double now = loop.now();
             if (now - answeredAt > SILENCE_MS) {
                 LOG.info("control sidecar {} is silent", address);
-                connection.end();
+                connection.close();
             } else if (!holdsNothing() && now - quorateAt > NO_QUORUM_MS && candidate() != null) {
                 LOG.info("control sidecar {} hears no quorum", address);
                 addresses.rest(address, now + REST_NO_QUORUM_MS);
-                connection.end();
+                connection.close();
             } else {
                 takeKeptBack();
                 ask();
@@ -285,17 +285,17 @@
                 take(keptBack.remove());
             }
             if (keptBack.size() > MOST_KEPT_BACK) {
-                connection.end();
+                connection.close();
             }
         }
 
         private void take(FleetUpdate update) {
             if (update.configuration != null && !configured(update)) {
-                connection.end(); // the next session begins with what is held
+                connection.close(); // the next session begins with what is held
                 return;
             }
-            if (update.servers != null) {
-                fleet.listed(update.servers);
+            if (update.endpointList != null) {
+                fleet.listed(update.endpointList);
             }
             if (update.members != null) {
                 members = update.members;
--- a/messages/src/main/java/dewplank/message/Deflated.java
+++ b/messages/src/main/java/dewplank/message/Deflated.java
@@ -14,7 +14,7 @@
     /** Up to the size of a frame. */
     public static byte[] plain(byte[] deflated) throws CorruptFrameException {
         try {
-            return Compressed.plain(deflated, MessageCodec.MOST_BYTES);
+            return Compressed.plain(deflated, MessageCodec.MAX_BODY_BYTES);
         } catch (IOException e) {
             throw new CorruptFrameException(e.getMessage());
         }
--- a/messages/src/main/java/dewplank/message/Endpoint.java
+++ b/messages/src/main/java/dewplank/message/Endpoint.java
@@ -10,7 +10,7 @@
     public final String zone;
     public final int slotCount;
     public final boolean draining;
-    public final double coldRemainingMs;
+    public final double warmupRemainingMs;
     /** Stage of a server that has been ordered to another one: it is to get nothing new. */
     public static final String CHANGING = "changing";
 
@@ -24,7 +24,7 @@
             String zone,
             int slotCount,
             boolean draining,
-            double coldRemainingMs,
+            double warmupRemainingMs,
             String stage) {
         this.instanceId = instanceId;
         this.service = service;
@@ -32,17 +32,17 @@
         this.zone = zone;
         this.slotCount = slotCount;
         this.draining = draining;
-        this.coldRemainingMs = coldRemainingMs;
+        this.warmupRemainingMs = warmupRemainingMs;
         this.stage = stage;
     }
 
     /** The same in another stage. */
-    public Endpoint inStage(String other) {
-        return new Endpoint(instanceId, service, address, zone, slotCount, draining, coldRemainingMs, other);
+    public Endpoint withStage(String other) {
+        return new Endpoint(instanceId, service, address, zone, slotCount, draining, warmupRemainingMs, other);
     }
 
     /** Equal but for the cold time, which counts down by itself. */
-    public boolean sameAs(Endpoint e) {
+    public boolean equalsIgnoringWarmup(Endpoint e) {
         return e.instanceId.equals(instanceId)
                 && e.service.equals(service)
                 && e.address.equals(address)
--- a/messages/src/main/java/dewplank/message/EndpointList.java
+++ b/messages/src/main/java/dewplank/message/EndpointList.java
@@ -6,16 +6,16 @@
 /** All servers as last listed by the platform. */
 public final class EndpointList {
     public final EndpointListVersion version;
-    public final List<Endpoint> servers;
+    public final List<Endpoint> endpoints;
 
     /** For Protostuff, which fills the fields and sends nothing for an empty list. */
     private EndpointList() {
         this.version = null;
-        this.servers = new ArrayList<>();
+        this.endpoints = new ArrayList<>();
     }
 
-    public EndpointList(EndpointListVersion version, List<Endpoint> servers) {
+    public EndpointList(EndpointListVersion version, List<Endpoint> endpoints) {
         this.version = version;
-        this.servers = servers;
+        this.endpoints = endpoints;
     }
 }
--- a/messages/src/main/java/dewplank/message/EndpointListVersion.java
+++ b/messages/src/main/java/dewplank/message/EndpointListVersion.java
@@ -4,32 +4,32 @@
 public final class EndpointListVersion implements Comparable<EndpointListVersion> {
     public static final EndpointListVersion NONE = new EndpointListVersion(0, 0);
 
-    public final long fencingNumber;
+    public final long fencingToken;
     public final long revision;
 
-    public EndpointListVersion(long fencingNumber, long revision) {
-        this.fencingNumber = fencingNumber;
+    public EndpointListVersion(long fencingToken, long revision) {
+        this.fencingToken = fencingToken;
         this.revision = revision;
     }
 
     @Override
     public int compareTo(EndpointListVersion other) {
-        int byNumber = Long.compare(fencingNumber, other.fencingNumber);
-        return byNumber != 0 ? byNumber : Long.compare(revision, other.revision);
+        int byToken = Long.compare(fencingToken, other.fencingToken);
+        return byToken != 0 ? byToken : Long.compare(revision, other.revision);
     }
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof EndpointListVersion v && v.fencingNumber == fencingNumber && v.revision == revision;
+        return other instanceof EndpointListVersion v && v.fencingToken == fencingToken && v.revision == revision;
     }
 
     @Override
     public int hashCode() {
-        return Long.hashCode(fencingNumber * 31 + revision);
+        return Long.hashCode(fencingToken * 31 + revision);
     }
 
     @Override
     public String toString() {
-        return fencingNumber + "." + revision;
+        return fencingToken + "." + revision;
     }
 }
--- a/messages/src/main/java/dewplank/message/FleetUpdate.java
+++ b/messages/src/main/java/dewplank/message/FleetUpdate.java
@@ -12,19 +12,19 @@
     /** 0: the configuration is whole. */
     public final long baseVersion;
 
-    public final EndpointList servers;
+    public final EndpointList endpointList;
     public final List<Member> members;
 
     public FleetUpdate(
             byte[] configuration,
             long configurationVersion,
             long baseVersion,
-            EndpointList servers,
+            EndpointList endpointList,
             List<Member> members) {
         this.configuration = configuration;
         this.configurationVersion = configurationVersion;
         this.baseVersion = baseVersion;
-        this.servers = servers;
+        this.endpointList = endpointList;
         this.members = members;
     }
 }
--- a/messages/src/main/java/dewplank/message/FramedConnection.java
+++ b/messages/src/main/java/dewplank/message/FramedConnection.java
@@ -10,7 +10,7 @@
 /** A connection that carries messages as frames over TCP. On the loop's thread only. */
 public final class FramedConnection implements Listener.Accepted, MessageLink {
     /** Unsent bytes beyond which the peer counts as stuck, and the connection ends. */
-    private static final long MOST_UNSENT_BYTES = 32L * 1024 * 1024;
+    private static final long MAX_UNSENT_BYTES = 32L * 1024 * 1024;
 
     private final MessageCodec codec;
     private final MessageCodec.Reader reader;
@@ -31,10 +31,10 @@
     public static FramedConnection open(
             EventLoop loop, InetSocketAddress to, double timeoutMs, MessageCodec codec, Handler handler) {
         FramedConnection framed = new FramedConnection(codec, handler);
-        framed.connecting = Connection.open(loop, to, framed, framed::accepted, e -> framed.end());
+        framed.connecting = Connection.open(loop, to, framed, framed::accepted, e -> framed.close());
         loop.after(timeoutMs, () -> {
             if (framed.connection == null) {
-                framed.end();
+                framed.close();
             }
         });
         return framed;
@@ -54,13 +54,13 @@
                 handler.received(this, message);
             }
         } catch (CorruptFrameException e) {
-            end();
+            close();
         }
     }
 
     @Override
     public void closed(IOException why) {
-        end();
+        close();
     }
 
     @Override
@@ -75,8 +75,8 @@
         }
         int bytes = frame.remaining();
         unsentBytes += bytes;
-        if (unsentBytes > MOST_UNSENT_BYTES) {
-            end();
+        if (unsentBytes > MAX_UNSENT_BYTES) {
+            close();
             return;
         }
         connection.write(frame, () -> unsentBytes -= bytes);
@@ -88,12 +88,12 @@
     }
 
     @Override
-    public boolean isOver() {
+    public boolean isClosed() {
         return over;
     }
 
     @Override
-    public void end() {
+    public void close() {
         if (over) {
             return;
         }
--- a/messages/src/main/java/dewplank/message/MessageLink.java
+++ b/messages/src/main/java/dewplank/message/MessageLink.java
@@ -19,8 +19,8 @@
     boolean isOpen();
 
     /** Whether it has ended, or could not be opened. */
-    boolean isOver();
+    boolean isClosed();
 
     /** Ends the connection; the handler is told. */
-    void end();
+    void close();
 }
--- a/messages/src/test/java/dewplank/message/DeflatedTest.java
+++ b/messages/src/test/java/dewplank/message/DeflatedTest.java
@@ -23,7 +23,7 @@
         byte[] noise = new byte[4 << 20];
         new Random(3).nextBytes(noise);
         assertArrayEquals(noise, Deflated.plain(Deflated.of(noise)));
-        byte[] full = new byte[MessageCodec.MOST_BYTES];
+        byte[] full = new byte[MessageCodec.MAX_BODY_BYTES];
         assertArrayEquals(full, Deflated.plain(Deflated.of(full)));
         assertArrayEquals(new byte[0], Deflated.plain(Deflated.of(new byte[0])));
     }
--- a/messages/src/test/java/dewplank/message/FramedConnectionTest.java
+++ b/messages/src/test/java/dewplank/message/FramedConnectionTest.java
@@ -50,7 +50,7 @@
         public void received(MessageLink connection, Object message) {
             messages.add(message);
             if (endsAtOnce) {
-                connection.end();
+                connection.close();
             }
         }
 
@@ -128,17 +128,17 @@
         Heard.next(here.opened);
         FramedConnection accepted = Heard.next(there.opened);
         OnLoop.run(loop, () -> {
-            dialled.end();
-            dialled.end();
+            dialled.close();
+            dialled.close();
         });
         assertEquals(dialled, Heard.next(here.closed));
         assertEquals(accepted, Heard.next(there.closed));
         OnLoop.run(loop, () -> {
             dialled.send(question(1)); // lost
             accepted.send(question(2));
-            accepted.end();
+            accepted.close();
         });
-        assertTrue(OnLoop.get(loop, () -> dialled.isOver() && accepted.isOver() && !dialled.isOpen()));
+        assertTrue(OnLoop.get(loop, () -> dialled.isClosed() && accepted.isClosed() && !dialled.isOpen()));
         assertTrue(here.closed.isEmpty() && there.closed.isEmpty());
         assertTrue(here.messages.isEmpty() && there.messages.isEmpty());
     }
@@ -171,7 +171,7 @@
             FramedConnection given = open(late.address(), 30);
             assertEquals(given, Heard.next(here.closed));
             late.letIn();
-            assertTrue(OnLoop.get(loop, given::isOver));
+            assertTrue(OnLoop.get(loop, given::isClosed));
             assertTrue(here.opened.isEmpty());
         }
     }
@@ -180,7 +180,7 @@
     void oneThatIsEndedBeforeItComesUpIsNeverOpened() throws Exception {
         try (ScriptedServer late = ScriptedServer.late(new LinkedBlockingQueue<>())) {
             FramedConnection given = open(late.address(), OPEN_MS);
-            OnLoop.run(loop, given::end);
+            OnLoop.run(loop, given::close);
             assertEquals(given, Heard.next(here.closed));
             late.letIn();
             late.nextConnection().awaitEnd();
@@ -233,10 +233,10 @@
             FramedConnection dialled = open(stuck.address(), OPEN_MS);
             Heard.next(here.opened);
             FleetUpdate large = new FleetUpdate(new byte[4 << 20], 1, 0, null, null);
-            for (int i = 0; i < 40 && !OnLoop.get(loop, dialled::isOver); i++) {
+            for (int i = 0; i < 40 && !OnLoop.get(loop, dialled::isClosed); i++) {
                 OnLoop.run(loop, () -> dialled.send(large));
             }
-            assertTrue(OnLoop.get(loop, dialled::isOver));
+            assertTrue(OnLoop.get(loop, dialled::isClosed));
             assertEquals(dialled, Heard.next(here.closed));
             assertFalse(OnLoop.get(loop, dialled::isOpen));
         }
--- a/messages/src/test/java/dewplank/message/GoldenFramesTest.java
+++ b/messages/src/test/java/dewplank/message/GoldenFramesTest.java
@@ -165,13 +165,13 @@
         SessionHeartbeat heartbeat = decoded("session-heartbeat", SessionHeartbeat.class);
         assertEquals(17, heartbeat.sequence);
         assertEquals(200, heartbeat.configurationVersion);
-        assertEquals(9, heartbeat.listVersion.fencingNumber);
+        assertEquals(9, heartbeat.listVersion.fencingToken);
         assertEquals(130, heartbeat.listVersion.revision);
         assertEquals(-2, heartbeat.membersDigest);
         SessionHeartbeat emptyHanded = decoded("session-heartbeat empty-handed", SessionHeartbeat.class);
         assertEquals(1, emptyHanded.sequence);
         assertEquals(0, emptyHanded.configurationVersion);
-        assertEquals(0, emptyHanded.listVersion.fencingNumber);
+        assertEquals(0, emptyHanded.listVersion.fencingToken);
         assertEquals(0, emptyHanded.listVersion.revision);
         assertEquals(0, emptyHanded.membersDigest);
         HeartbeatAck quorate = decoded("heartbeat-ack quorate", HeartbeatAck.class);
@@ -201,7 +201,7 @@
         assertArrayEquals(new byte[] {120, 1, -1}, whole.configuration);
         assertEquals(200, whole.configurationVersion);
         assertEquals(0, whole.baseVersion);
-        assertAreThreeKinds(whole.servers);
+        assertAreThreeKinds(whole.endpointList);
         assertEquals(2, whole.members.size());
         assertIsDataPlane(whole.members.get(0));
         assertIsControlPlane(whole.members.get(1));
@@ -209,18 +209,18 @@
         assertArrayEquals(new byte[] {120, 1, 0, 5}, delta.configuration);
         assertEquals(201, delta.configurationVersion);
         assertEquals(200, delta.baseVersion);
-        assertNull(delta.servers);
+        assertNull(delta.endpointList);
         assertNull(delta.members);
         FleetUpdate endpoints = decoded("update endpoints-only", FleetUpdate.class);
         assertNull(endpoints.configuration);
         assertEquals(0, endpoints.configurationVersion);
-        assertEquals(10, endpoints.servers.version.fencingNumber);
-        assertEquals(1, endpoints.servers.version.revision);
-        assertEquals(List.of(), endpoints.servers.servers);
+        assertEquals(10, endpoints.endpointList.version.fencingToken);
+        assertEquals(1, endpoints.endpointList.version.revision);
+        assertEquals(List.of(), endpoints.endpointList.endpoints);
         assertNull(endpoints.members);
         FleetUpdate members = decoded("update members-only", FleetUpdate.class);
         assertNull(members.configuration);
-        assertNull(members.servers);
+        assertNull(members.endpointList);
         assertEquals(1, members.members.size());
         assertIsDataPlane(members.members.get(0));
     }
@@ -229,41 +229,41 @@
     void listsOfEndpoints() throws Exception {
         assertAreThreeKinds(decoded("endpoint-list", EndpointList.class));
         EndpointList empty = decoded("endpoint-list empty", EndpointList.class);
-        assertEquals(2, empty.version.fencingNumber);
+        assertEquals(2, empty.version.fencingToken);
         assertEquals(3, empty.version.revision);
-        assertEquals(List.of(), empty.servers);
+        assertEquals(List.of(), empty.endpoints);
     }
 
     private static void assertAreThreeKinds(EndpointList list) {
-        assertEquals(9, list.version.fencingNumber);
+        assertEquals(9, list.version.fencingToken);
         assertEquals(130, list.version.revision);
-        assertEquals(3, list.servers.size());
-        Endpoint plain = list.servers.get(0);
+        assertEquals(3, list.endpoints.size());
+        Endpoint plain = list.endpoints.get(0);
         assertEquals("i-1", plain.instanceId);
         assertEquals("wuno", plain.service);
         assertEquals("10.1.0.1:8000", plain.address);
         assertNull(plain.zone);
         assertEquals(0, plain.slotCount);
         assertFalse(plain.draining);
-        assertEquals(0, plain.coldRemainingMs);
+        assertEquals(0, plain.warmupRemainingMs);
         assertNull(plain.stage);
-        Endpoint prefill = list.servers.get(1);
+        Endpoint prefill = list.endpoints.get(1);
         assertEquals("i-2", prefill.instanceId);
         assertEquals("huvo", prefill.service);
         assertEquals("10.1.0.2:8001", prefill.address);
         assertEquals("zone-a", prefill.zone);
         assertEquals(64, prefill.slotCount);
         assertTrue(prefill.draining);
-        assertEquals(1_234.5, prefill.coldRemainingMs);
+        assertEquals(1_234.5, prefill.warmupRemainingMs);
         assertEquals("prefill", prefill.stage);
-        Endpoint changing = list.servers.get(2);
+        Endpoint changing = list.endpoints.get(2);
         assertEquals("i-3", changing.instanceId);
         assertEquals("huvo", changing.service);
         assertEquals("10.1.0.3:8002", changing.address);
         assertEquals("zone-b", changing.zone);
         assertEquals(48, changing.slotCount);
         assertFalse(changing.draining);
-        assertEquals(0.25, changing.coldRemainingMs);
+        assertEquals(0.25, changing.warmupRemainingMs);
         assertEquals(Endpoint.CHANGING, changing.stage);
     }
 
--- a/messages/src/test/java/dewplank/message/MessageCodecTest.java
+++ b/messages/src/test/java/dewplank/message/MessageCodecTest.java
@@ -33,7 +33,7 @@
 import org.junit.jupiter.api.Test;
 
 class MessageCodecTest {
-    private static final int MORE_THAN_A_FRAME = MessageCodec.MOST_BYTES + 1;
+    private static final int MORE_THAN_A_FRAME = MessageCodec.MAX_BODY_BYTES + 1;
 
     private final MessageCodec codec = FleetMessages.codec();
 
@@ -129,7 +129,7 @@
     /** An update's list of members never is empty: it holds at least the data plane that is told. */
     private static Object withoutEmptyMembers(Object message) {
         if (message instanceof FleetUpdate u && u.members != null && u.members.isEmpty()) {
-            return new FleetUpdate(u.configuration, u.configurationVersion, u.baseVersion, u.servers, null);
+            return new FleetUpdate(u.configuration, u.configurationVersion, u.baseVersion, u.endpointList, null);
         }
         return message;
     }
@@ -149,15 +149,15 @@
 
     @Test
     void listsThatAreEmptyComeBackEmptyAndNotAsNothing() throws Exception {
-        assertEquals(List.of(), roundTrip(new EndpointList(new EndpointListVersion(3, 4), List.of())).servers);
+        assertEquals(List.of(), roundTrip(new EndpointList(new EndpointListVersion(3, 4), List.of())).endpoints);
         assertEquals(List.of(), roundTrip(new HeartbeatAck(1, true, List.of())).controlAddresses);
         ControlHeartbeat told = roundTrip(new ControlHeartbeat(1, List.of(), List.of()));
         assertEquals(List.of(), told.sessions);
         assertEquals(List.of(), told.controlAddresses);
         FleetUpdate update = roundTrip(
                 new FleetUpdate(null, 0, 0, new EndpointList(new EndpointListVersion(3, 4), List.of()), null));
-        assertEquals(List.of(), update.servers.servers);
-        assertEquals(new EndpointListVersion(3, 4), update.servers.version);
+        assertEquals(List.of(), update.endpointList.endpoints);
+        assertEquals(new EndpointListVersion(3, 4), update.endpointList.version);
         assertNull(update.configuration);
         assertNull(update.members);
     }
@@ -218,8 +218,8 @@
         }
         EndpointList back = roundTrip(new EndpointList(new EndpointListVersion(1, 2), servers));
         for (int i = 0; i < servers.size(); i++) {
-            assertTrue(servers.get(i).sameAs(back.servers.get(i)));
-            assertEquals(servers.get(i).coldRemainingMs, back.servers.get(i).coldRemainingMs);
+            assertTrue(servers.get(i).equalsIgnoringWarmup(back.endpoints.get(i)));
+            assertEquals(servers.get(i).warmupRemainingMs, back.endpoints.get(i).warmupRemainingMs);
         }
     }
 
@@ -256,7 +256,7 @@
     @Test
     void aFrameOfTheLongestLengthIsWaitedFor() throws Exception {
         ByteBuffer head = ByteBuffer.allocate(5)
-                .putInt(MessageCodec.MOST_BYTES)
+                .putInt(MessageCodec.MAX_BODY_BYTES)
                 .put((byte) 0)
                 .flip();
         assertNull(codec.reader().next(head));
--- a/simulation/src/test/java/dewplank/dataplane/DataProcess.java
+++ b/simulation/src/test/java/dewplank/dataplane/DataProcess.java
@@ -51,7 +51,7 @@
 
     /** Fencing number and count of the list in force. */
     public long[] listOrder() {
-        return new long[] {fleet.listVersion().fencingNumber, fleet.listVersion().revision};
+        return new long[] {fleet.listVersion().fencingToken, fleet.listVersion().revision};
     }
 
     /** The instances of the list in force. */
--- a/simulation/src/test/java/dewplank/simulation/SimulatedDiskExecutor.java
+++ b/simulation/src/test/java/dewplank/simulation/SimulatedDiskExecutor.java
@@ -1,7 +1,7 @@
 package dewplank.simulation;
 
 import dewplank.store.DiskExecutor;
-import dewplank.store.DiskThread;
+import dewplank.store.SingleThreadDiskExecutor;
 import dewplank.store.StoreException;
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -41,7 +41,7 @@
 
     @Override
     public void submit(Work work, Runnable done, Runnable failed) {
-        if (closed || waiting.size() >= DiskThread.MOST_WAITING) {
+        if (closed || waiting.size() >= SingleThreadDiskExecutor.MAX_QUEUED_TASKS) {
             life.execute(failed);
             return;
         }
--- a/simulation/src/test/java/dewplank/simulation/SimulatedLink.java
+++ b/simulation/src/test/java/dewplank/simulation/SimulatedLink.java
@@ -94,7 +94,7 @@
             return;
         }
         if (message == END) {
-            peer.life.run(peer::end);
+            peer.life.run(peer::close);
         } else if (message instanceof Runnable accept) {
             peer.life.run(accept);
         } else {
@@ -110,7 +110,7 @@
 
     private void reset() {
         if (network.reaches(to, from)) {
-            life.run(this::end);
+            life.run(this::close);
         }
     }
 
@@ -131,12 +131,12 @@
     }
 
     @Override
-    public boolean isOver() {
+    public boolean isClosed() {
         return over;
     }
 
     @Override
-    public void end() {
+    public void close() {
         if (over) {
             return;
         }
--- a/simulation/src/test/java/dewplank/simulation/SimulatedNetwork.java
+++ b/simulation/src/test/java/dewplank/simulation/SimulatedNetwork.java
@@ -115,7 +115,7 @@
             time.after(delay(), () -> arriveAt(to, link));
             life.after(timeoutMs, () -> {
                 if (!link.isOpen()) {
-                    link.end();
+                    link.close();
                 }
             });
             return link;
@@ -132,8 +132,8 @@
                     return;
                 }
                 if (listening == null || listening.life.isOver()) {
-                    life.run(link::end);
-                } else if (!link.isOver() && !life.isOver()) {
+                    life.run(link::close);
+                } else if (!link.isClosed() && !life.isOver()) {
                     link.establish(there, listening.life, listening.handlers);
                 }
             });
--- a/store/src/main/java/dewplank/store/AcceptorStore.java
+++ b/store/src/main/java/dewplank/store/AcceptorStore.java
@@ -18,27 +18,27 @@
     private static final String NEXT_NAME = "acceptor.mv.next";
 
     /** A file may fill this part of the room: while one is begun anew there are two, and the disk has other uses. */
-    private static final int PARTS_OF_ROOM = 4;
+    private static final int DISK_FRACTION = 4;
 
     /** Longer files only cost disk: beginning anew writes at most a few hundred kilobytes. */
-    private static final long LONGEST_FILE = 8L << 20;
+    private static final long MAX_FILE_BYTES = 8L << 20;
 
     private static final int IDENTITY_BITS = 80;
     private static final int IDENTITY_RADIX = 36;
 
     private final Path directory;
     private final StoreFiles files;
-    private final long longest;
+    private final long maxFileBytes;
     private StateFile current;
     private DurableState state;
-    private Map<String, Long> numbers = new HashMap<>();
-    private boolean created;
-    private boolean broken;
+    private Map<String, Long> fencingTokens = new HashMap<>();
+    private boolean isNew;
+    private boolean needsRewrite;
 
     private AcceptorStore(Path directory, StoreFiles files, long mostBytes) {
         this.directory = directory;
         this.files = files;
-        this.longest = Math.min(LONGEST_FILE, mostBytes / PARTS_OF_ROOM);
+        this.maxFileBytes = Math.min(MAX_FILE_BYTES, mostBytes / DISK_FRACTION);
     }
 
     /** Opens the store of this directory; a disk without one gets a new identity, synced before this returns. */
@@ -70,8 +70,8 @@
     }
 
     /** Whether there was no store here, so that the identity is new. */
-    public boolean createdNow() {
-        return created;
+    public boolean isNew() {
+        return isNew;
     }
 
     /** Saves and syncs; when it fails the state kept is the one before or this one. */
@@ -79,18 +79,18 @@
         if (!next.identity().equals(state.identity())) {
             throw new StoreException("the state of another identity: " + next.identity());
         }
-        write(next, numbers);
+        write(next, fencingTokens);
         state = next;
     }
 
     /** The counters saved. */
-    public synchronized Map<String, Long> numbers() {
-        return Map.copyOf(numbers);
+    public synchronized Map<String, Long> fencingTokens() {
+        return Map.copyOf(fencingTokens);
     }
 
     /** Saves and syncs one counter. */
-    public void saveNumber(String name, long value) throws StoreException {
-        Map<String, Long> next = new HashMap<>(numbers());
+    public void saveFencingToken(String name, long value) throws StoreException {
+        Map<String, Long> next = new HashMap<>(fencingTokens());
         next.put(name, value);
         write(state, next);
         keep(next);
@@ -103,7 +103,7 @@
             current.close();
         }
         current = null;
-        broken = true;
+        needsRewrite = true;
     }
 
     /**
@@ -113,7 +113,7 @@
     private void recover() throws IOException {
         current = new StateFile(files, directory.resolve(NAME));
         state = current.read();
-        keep(current.readNumbers());
+        keep(current.readFencingTokens());
         current.sync();
         files.syncDirectory(directory);
     }
@@ -125,34 +125,34 @@
 
     private void create(String identity) throws IOException {
         DurableState fresh = DurableState.fresh(identity);
-        beginAnew(fresh, numbers);
+        rewrite(fresh, fencingTokens);
         state = fresh;
-        created = true;
+        isNew = true;
     }
 
     private synchronized void keep(Map<String, Long> next) {
-        numbers = next;
+        fencingTokens = next;
     }
 
     private void write(DurableState next, Map<String, Long> nextNumbers) throws StoreException {
         try {
-            if (broken || current.length() > longest) {
-                beginAnew(next, nextNumbers);
+            if (needsRewrite || current.sizeBytes() > maxFileBytes) {
+                rewrite(next, nextNumbers);
             } else {
                 current.write(next, nextNumbers);
             }
         } catch (IOException failure) {
-            broken = true;
+            needsRewrite = true;
             throw new StoreException("cannot save the acceptor's state", failure);
         }
-        broken = false;
+        needsRewrite = false;
     }
 
     /**
      * Writes all into a new file and gives it the name once it is synced. After a failed sync nothing that was written
      * to the old file since can be trusted, so that going on with it is ruled out.
      */
-    private void beginAnew(DurableState next, Map<String, Long> nextNumbers) throws IOException {
+    private void rewrite(DurableState next, Map<String, Long> nextNumbers) throws IOException {
         Path path = directory.resolve(NEXT_NAME);
         files.delete(path);
         StateFile fresh = new StateFile(files, path);
--- a/store/src/main/java/dewplank/store/Founders.java
+++ b/store/src/main/java/dewplank/store/BootstrapSeeds.java
@@ -10,14 +10,14 @@
  * name other seeds later, at a time when nothing is chosen yet: two processes that took different ones for the first
  * acceptors could each gather a majority of theirs.
  */
-public final class Founders {
+public final class BootstrapSeeds {
     private static final String NAME = "founders";
     private static final String SEPARATOR = "\n";
 
-    private final SmallFile file;
+    private final ChecksummedFile file;
 
-    public Founders(StoreFiles files, Path directory) {
-        file = new SmallFile(files, directory, NAME);
+    public BootstrapSeeds(StoreFiles files, Path directory) {
+        file = new ChecksummedFile(files, directory, NAME);
     }
 
     /**
--- a/store/src/main/java/dewplank/store/SmallFile.java
+++ b/store/src/main/java/dewplank/store/ChecksummedFile.java
@@ -11,7 +11,7 @@
  * be
  * read is as if it were not there: it is for state that is only kept to be quicker after a restart.
  */
-public final class SmallFile {
+public final class ChecksummedFile {
     private static final int HEAD_BYTES = Long.BYTES;
 
     private final StoreFiles files;
@@ -19,7 +19,7 @@
     private final Path path;
     private final Path next;
 
-    public SmallFile(StoreFiles files, Path directory, String name) {
+    public ChecksummedFile(StoreFiles files, Path directory, String name) {
         this.files = files;
         this.directory = directory;
         this.path = directory.resolve(name);
--- a/store/src/main/java/dewplank/store/DiskThread.java
+++ b/store/src/main/java/dewplank/store/SingleThreadDiskExecutor.java
@@ -7,21 +7,21 @@
 import org.slf4j.LoggerFactory;
 
 /** One thread that works on the disk in order and hands each result to the loop. */
-public final class DiskThread implements DiskExecutor {
+public final class SingleThreadDiskExecutor implements DiskExecutor {
     /** Work that may wait; whoever gets no room treats it as a failed write. */
-    public static final int MOST_WAITING = 64;
+    public static final int MAX_QUEUED_TASKS = 64;
 
-    private static final Logger LOG = LoggerFactory.getLogger(DiskThread.class);
+    private static final Logger LOG = LoggerFactory.getLogger(SingleThreadDiskExecutor.class);
 
     private record Job(Work work, Runnable done, Runnable failed) {}
 
-    private final BlockingQueue<Job> jobs = new ArrayBlockingQueue<>(MOST_WAITING);
+    private final BlockingQueue<Job> jobs = new ArrayBlockingQueue<>(MAX_QUEUED_TASKS);
     private final Executor loop;
     private final Thread thread;
     private volatile boolean closed;
 
     /** Starts the thread; results run on the given executor. */
-    public DiskThread(Executor loop) {
+    public SingleThreadDiskExecutor(Executor loop) {
         this.loop = loop;
         this.thread = new Thread(this::work, "disk");
         thread.setDaemon(true);
--- a/store/src/main/java/dewplank/store/StateCodec.java
+++ b/store/src/main/java/dewplank/store/StateCodec.java
@@ -20,9 +20,9 @@
     private StateCodec() {}
 
     /** The small part of a state: ballots, and under which keys the values are kept. */
-    record Heads(Ballot promised, Ballot accepted, long valueKey, Ballot chosenBallot, long chosenKey) {}
+    record StateHeader(Ballot promised, Ballot accepted, long valueKey, Ballot chosenBallot, long chosenKey) {}
 
-    static byte[] encode(Heads heads) throws IOException {
+    static byte[] encode(StateHeader heads) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         DataOutputStream out = new DataOutputStream(bytes);
         out.writeByte(VERSION);
@@ -34,9 +34,9 @@
         return bytes.toByteArray();
     }
 
-    static Heads decodeHeads(byte[] bytes) throws IOException {
+    static StateHeader decodeHeader(byte[] bytes) throws IOException {
         DataInputStream in = versioned(bytes);
-        return new Heads(readBallot(in), readBallot(in), in.readLong(), readBallot(in), in.readLong());
+        return new StateHeader(readBallot(in), readBallot(in), in.readLong(), readBallot(in), in.readLong());
     }
 
     static byte[] encode(RegisterValue value) throws IOException {
--- a/store/src/main/java/dewplank/store/StateFile.java
+++ b/store/src/main/java/dewplank/store/StateFile.java
@@ -17,22 +17,22 @@
  */
 final class StateFile {
     private static final int CACHE_MB = 1;
-    private static final int MOST_PAGE_BYTES = 4096;
+    private static final int MAX_PAGE_BYTES = 4096;
     private static final long NO_VALUE = 0;
-    private static final String HEADS = "heads";
-    private static final String IDENTITY = "identity";
+    private static final String HEADER_KEY = "heads";
+    private static final String IDENTITY_KEY = "identity";
 
     private final StoreFile file;
     private final MVStore store;
-    private final MVMap<String, byte[]> heads;
+    private final MVMap<String, byte[]> headers;
     private final MVMap<String, String> names;
     private final MVMap<Long, byte[]> values;
-    private final MVMap<String, Long> numbers;
+    private final MVMap<String, Long> fencingTokens;
     private long lastKey;
-    private RegisterValue keptValue;
-    private long keptValueKey = NO_VALUE;
-    private RegisterValue keptChosen;
-    private long keptChosenKey = NO_VALUE;
+    private RegisterValue storedValue;
+    private long storedValueKey = NO_VALUE;
+    private RegisterValue storedChosen;
+    private long storedChosenKey = NO_VALUE;
 
     /** Opens the file, or creates it empty. */
     StateFile(StoreFiles files, Path path) throws IOException {
@@ -41,10 +41,10 @@
         try {
             opened = open(file);
             store = opened;
-            heads = store.openMap("heads");
+            headers = store.openMap("heads");
             names = store.openMap("names");
             values = store.openMap("values");
-            numbers = store.openMap("numbers");
+            fencingTokens = store.openMap("numbers");
         } catch (MVStoreException | IllegalArgumentException failure) {
             closeQuietly(opened, file);
             throw new IOException("not a readable store: " + path.getFileName(), failure);
@@ -54,41 +54,41 @@
     /** The state kept; fails when there is none, for a file is only given its name with a state in it. */
     DurableState read() throws IOException {
         try {
-            String identity = names.get(IDENTITY);
-            byte[] bytes = heads.get(HEADS);
+            String identity = names.get(IDENTITY_KEY);
+            byte[] bytes = headers.get(HEADER_KEY);
             if (identity == null || bytes == null) {
                 throw new IOException("the store holds no state");
             }
-            StateCodec.Heads kept = StateCodec.decodeHeads(bytes);
-            keptValueKey = kept.valueKey();
-            keptChosenKey = kept.chosenKey();
-            keptValue = valueAt(keptValueKey);
-            keptChosen = keptChosenKey == keptValueKey ? keptValue : valueAt(keptChosenKey);
+            StateCodec.StateHeader kept = StateCodec.decodeHeader(bytes);
+            storedValueKey = kept.valueKey();
+            storedChosenKey = kept.chosenKey();
+            storedValue = valueAt(storedValueKey);
+            storedChosen = storedChosenKey == storedValueKey ? storedValue : valueAt(storedChosenKey);
             lastKey = values.isEmpty() ? NO_VALUE : values.lastKey();
             return new DurableState(
-                    identity, kept.promised(), kept.accepted(), keptValue, kept.chosenBallot(), keptChosen);
+                    identity, kept.promised(), kept.accepted(), storedValue, kept.chosenBallot(), storedChosen);
         } catch (MVStoreException | IllegalStateException failure) {
             throw new IOException("the store cannot be read", failure);
         }
     }
 
-    Map<String, Long> readNumbers() {
-        return new HashMap<>(numbers);
+    Map<String, Long> readFencingTokens() {
+        return new HashMap<>(fencingTokens);
     }
 
     /** Writes and syncs; a value already kept is not written again. */
     void write(DurableState state, Map<String, Long> newNumbers) throws IOException {
         try {
-            names.putIfAbsent(IDENTITY, state.identity());
-            long valueKey = keyOf(state.value());
+            names.putIfAbsent(IDENTITY_KEY, state.identity());
+            long valueKey = keyFor(state.value());
             long chosenKey =
-                    state.chosen() != null && state.chosen().equals(state.value()) ? valueKey : keyOf(state.chosen());
-            StateCodec.Heads next =
-                    new StateCodec.Heads(state.promised(), state.accepted(), valueKey, state.chosenBallot(), chosenKey);
-            heads.put(HEADS, StateCodec.encode(next));
-            numbers.putAll(newNumbers);
-            keep(state, valueKey, chosenKey);
-            dropOthers(valueKey, chosenKey);
+                    state.chosen() != null && state.chosen().equals(state.value()) ? valueKey : keyFor(state.chosen());
+            StateCodec.StateHeader next = new StateCodec.StateHeader(
+                    state.promised(), state.accepted(), valueKey, state.chosenBallot(), chosenKey);
+            headers.put(HEADER_KEY, StateCodec.encode(next));
+            fencingTokens.putAll(newNumbers);
+            cacheWritten(state, valueKey, chosenKey);
+            removeUnreferencedValues(valueKey, chosenKey);
             store.commit();
             store.sync();
         } catch (MVStoreException | IllegalStateException failure) {
@@ -101,7 +101,7 @@
         file.sync();
     }
 
-    long length() throws IOException {
+    long sizeBytes() throws IOException {
         return file.size();
     }
 
@@ -112,11 +112,11 @@
 
     private static MVStore open(StoreFile file) {
         MVStore opened = new MVStore.Builder()
-                .fileName(LayeredPath.nameOf(file))
+                .fileName(StoreFilePath.register(file))
                 .autoCommitDisabled()
                 .autoCompactFillRate(0)
                 .cacheSize(CACHE_MB)
-                .pageSplitSize(MOST_PAGE_BYTES)
+                .pageSplitSize(MAX_PAGE_BYTES)
                 .open();
         opened.setReuseSpace(false);
         opened.setVersionsToKeep(0);
@@ -134,22 +134,22 @@
         return StateCodec.decodeValue(bytes);
     }
 
-    private long keyOf(RegisterValue value) throws IOException {
+    private long keyFor(RegisterValue value) throws IOException {
         if (value == null) {
             return NO_VALUE;
         }
-        if (value.equals(keptValue)) {
-            return keptValueKey;
+        if (value.equals(storedValue)) {
+            return storedValueKey;
         }
-        if (value.equals(keptChosen)) {
-            return keptChosenKey;
+        if (value.equals(storedChosen)) {
+            return storedChosenKey;
         }
         lastKey++;
         values.put(lastKey, StateCodec.encode(value));
         return lastKey;
     }
 
-    private void dropOthers(long valueKey, long chosenKey) {
+    private void removeUnreferencedValues(long valueKey, long chosenKey) {
         for (Long key : new ArrayList<>(values.keySet())) {
             if (key != valueKey && key != chosenKey) {
                 values.remove(key);
@@ -157,11 +157,11 @@
         }
     }
 
-    private void keep(DurableState state, long valueKey, long chosenKey) {
-        keptValue = state.value();
-        keptValueKey = valueKey;
-        keptChosen = state.chosen();
-        keptChosenKey = chosenKey;
+    private void cacheWritten(DurableState state, long valueKey, long chosenKey) {
+        storedValue = state.value();
+        storedValueKey = valueKey;
+        storedChosen = state.chosen();
+        storedChosenKey = chosenKey;
     }
 
     private static void closeQuietly(MVStore store, StoreFile file) {
--- a/store/src/main/java/dewplank/store/LayeredChannel.java
+++ b/store/src/main/java/dewplank/store/StoreFileChannel.java
@@ -7,10 +7,10 @@
 import org.h2.store.fs.FileBaseDefault;
 
 /** A file of the file layer as an MVStore uses it; locks are granted without effect. */
-final class LayeredChannel extends FileBaseDefault {
+final class StoreFileChannel extends FileBaseDefault {
     private final StoreFile file;
 
-    LayeredChannel(StoreFile file) {
+    StoreFileChannel(StoreFile file) {
         this.file = file;
     }
 
--- a/store/src/main/java/dewplank/store/LayeredPath.java
+++ b/store/src/main/java/dewplank/store/StoreFilePath.java
@@ -12,33 +12,33 @@
  * The way of an open file into an MVStore, which only takes names of registered schemes: the file is filed under a
  * name used once and taken out when the MVStore opens that name.
  */
-final class LayeredPath extends FilePath {
+final class StoreFilePath extends FilePath {
     private static final String SCHEME = "layered";
-    private static final Map<String, StoreFile> HANDED_OVER = new ConcurrentHashMap<>();
-    private static final AtomicLong NAMES = new AtomicLong();
+    private static final Map<String, StoreFile> PENDING_FILES = new ConcurrentHashMap<>();
+    private static final AtomicLong NEXT_NAME = new AtomicLong();
 
     static {
-        FilePath.register(new LayeredPath(SCHEME + ":"));
+        FilePath.register(new StoreFilePath(SCHEME + ":"));
     }
 
-    private LayeredPath(String name) {
+    private StoreFilePath(String name) {
         this.name = name;
     }
 
     /** The name under which an MVStore finds this file, once. */
-    static String nameOf(StoreFile file) {
-        String name = SCHEME + ":" + NAMES.incrementAndGet();
-        HANDED_OVER.put(name, file);
+    static String register(StoreFile file) {
+        String name = SCHEME + ":" + NEXT_NAME.incrementAndGet();
+        PENDING_FILES.put(name, file);
         return name;
     }
 
     @Override
     public FileChannel open(String mode) throws IOException {
-        StoreFile file = HANDED_OVER.remove(name);
+        StoreFile file = PENDING_FILES.remove(name);
         if (file == null) {
             throw new IOException("no file was handed over as " + name);
         }
-        return new LayeredChannel(file);
+        return new StoreFileChannel(file);
     }
 
     @Override
@@ -47,13 +47,13 @@
     }
 
     @Override
-    public LayeredPath getPath(String path) {
-        return new LayeredPath(path);
+    public StoreFilePath getPath(String path) {
+        return new StoreFilePath(path);
     }
 
     @Override
     public boolean exists() {
-        return HANDED_OVER.containsKey(name);
+        return PENDING_FILES.containsKey(name);
     }
 
     @Override
--- a/store/src/test/java/dewplank/store/AcceptorStoreTest.java
+++ b/store/src/test/java/dewplank/store/AcceptorStoreTest.java
@@ -67,10 +67,10 @@
     @Test
     void aNewDiskGetsAnIdentityThatLasts() throws StoreException {
         AcceptorStore first = open();
-        Assertions.assertTrue(first.createdNow());
+        Assertions.assertTrue(first.isNew());
         files.losePower(MemoryFiles.Unsynced.GONE, random);
         AcceptorStore again = open();
-        Assertions.assertFalse(again.createdNow());
+        Assertions.assertFalse(again.isNew());
         assertSame(first.recovered(), again.recovered());
         Assertions.assertNotEquals(
                 first.recovered().identity(),
@@ -86,11 +86,11 @@
         for (int round = 1; round < 20; round++) {
             last = state(store.recovered().identity(), round, 2000);
             store.save(last);
-            store.saveNumber("fence", round);
+            store.saveFencingToken("fence", round);
         }
         AcceptorStore again = open();
         assertSame(last, again.recovered());
-        Assertions.assertEquals(Map.of("fence", 19L), again.numbers());
+        Assertions.assertEquals(Map.of("fence", 19L), again.fencingTokens());
     }
 
     @Test
@@ -149,7 +149,7 @@
             boolean opened = opensWith(disk, writes);
             disk.losePower(MemoryFiles.Unsynced.GONE, random);
             Assertions.assertEquals(
-                    !opened, AcceptorStore.open(DIRECTORY, disk, ROOM).createdNow());
+                    !opened, AcceptorStore.open(DIRECTORY, disk, ROOM).isNew());
         }
     }
 
@@ -161,7 +161,7 @@
             boolean opened = opensWith(disk, trial % 8);
             disk.losePower(MemoryFiles.Unsynced.DRAWN, random);
             AcceptorStore again = AcceptorStore.open(DIRECTORY, disk, ROOM);
-            Assertions.assertFalse(opened && again.createdNow());
+            Assertions.assertFalse(opened && again.isNew());
             assertSame(DurableState.fresh(again.recovered().identity()), again.recovered());
         }
     }
--- a/store/src/test/java/dewplank/store/FoundersTest.java
+++ b/store/src/test/java/dewplank/store/BootstrapSeedsTest.java
@@ -8,15 +8,15 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-class FoundersTest {
+class BootstrapSeedsTest {
     private static final Path DIRECTORY = Path.of("data");
     private static final List<String> FIRST = List.of("10.0.0.1:7", "10.0.0.2:7", "10.0.0.3:7");
     private static final List<String> LATER = List.of("10.0.0.2:7", "10.0.0.3:7", "10.0.0.9:7");
 
     private final MemoryFiles files = new MemoryFiles();
 
-    private Founders founders() {
-        return new Founders(files, DIRECTORY);
+    private BootstrapSeeds founders() {
+        return new BootstrapSeeds(files, DIRECTORY);
     }
 
     @Test
--- a/store/src/test/java/dewplank/store/GoldenStoreTest.java
+++ b/store/src/test/java/dewplank/store/GoldenStoreTest.java
@@ -44,7 +44,7 @@
 
     private AcceptorStore reopen() throws StoreException {
         AcceptorStore store = AcceptorStore.open(directory, new DiskFiles(), DISK_BYTES);
-        assertFalse(store.createdNow());
+        assertFalse(store.isNew());
         return store;
     }
 
@@ -69,7 +69,7 @@
             assertNull(state.value());
             assertIsBallot(0, "", state.chosenBallot());
             assertNull(state.chosen());
-            assertEquals(Map.of(), store.numbers());
+            assertEquals(Map.of(), store.fencingTokens());
         }
     }
 
@@ -89,7 +89,7 @@
             assertNull(state.value().payload());
             assertIsBallot(0, "", state.chosenBallot());
             assertNull(state.chosen());
-            assertEquals(Map.of(), store.numbers());
+            assertEquals(Map.of(), store.fencingTokens());
         }
     }
 
@@ -103,7 +103,7 @@
             assertIsSettledValue(state.value());
             assertIsBallot(12, "b91xy#05", state.chosenBallot());
             assertIsSettledValue(state.chosen());
-            assertEquals(Map.of("list", 6L), store.numbers());
+            assertEquals(Map.of("list", 6L), store.fencingTokens());
         }
     }
 
@@ -121,7 +121,7 @@
     void acceptorsUnderChangeWithACompressedPayload() throws IOException, StoreException {
         try (AcceptorStore store = open("joint-compressed")) {
             assertIsUnderChange(store.recovered());
-            assertEquals(Map.of("list", 9L, "other", 1L << 40), store.numbers());
+            assertEquals(Map.of("list", 9L, "other", 1L << 40), store.fencingTokens());
         }
     }
 
@@ -156,7 +156,7 @@
                     found.accepted(),
                     found.value());
             store.save(next);
-            store.saveNumber("list", 10);
+            store.saveFencingToken("list", 10);
         }
         try (AcceptorStore store = reopen()) {
             assertEquals(next.identity(), store.recovered().identity());
@@ -167,7 +167,7 @@
             assertEquals(next.chosen(), store.recovered().chosen());
             assertArrayEquals(
                     resource(COMPRESSED_PAYLOAD), store.recovered().chosen().payload());
-            assertEquals(Map.of("list", 10L, "other", 1L << 40), store.numbers());
+            assertEquals(Map.of("list", 10L, "other", 1L << 40), store.fencingTokens());
         }
     }
 
@@ -198,7 +198,8 @@
 
     @Test
     void theBytesOfBallotsAndKeys() throws IOException {
-        StateCodec.Heads heads = new StateCodec.Heads(new Ballot(3, "p"), new Ballot(2, "q"), 5, new Ballot(1, "r"), 4);
+        StateCodec.StateHeader heads =
+                new StateCodec.StateHeader(new Ballot(3, "p"), new Ballot(2, "q"), 5, new Ballot(1, "r"), 4);
         String expected = "01" // version
                 + "0000000000000003" + "000170"
                 + "0000000000000002" + "000171"
@@ -206,7 +207,7 @@
                 + "0000000000000001" + "000172"
                 + "0000000000000004";
         assertEquals(expected, HexFormat.of().formatHex(StateCodec.encode(heads)));
-        assertEquals(heads, StateCodec.decodeHeads(HexFormat.of().parseHex(expected)));
+        assertEquals(heads, StateCodec.decodeHeader(HexFormat.of().parseHex(expected)));
     }
 
     /** A checksum of eight bytes, then the addresses, one a line. */
@@ -215,9 +216,9 @@
         List<String> addresses = List.of("10.0.0.1:7600", "10.0.0.2:7600");
         byte[] expected = HexFormat.of()
                 .parseHex("000000004f58cc26" + "31302e302e302e313a37363030" + "0a" + "31302e302e302e323a37363030");
-        assertEquals(addresses, new Founders(new DiskFiles(), directory).load(addresses, true));
+        assertEquals(addresses, new BootstrapSeeds(new DiskFiles(), directory).load(addresses, true));
         assertArrayEquals(expected, Files.readAllBytes(directory.resolve("founders")));
         Files.write(directory.resolve("founders"), expected);
-        assertEquals(addresses, new Founders(new DiskFiles(), directory).load(List.of("10.0.0.9:1"), false));
+        assertEquals(addresses, new BootstrapSeeds(new DiskFiles(), directory).load(List.of("10.0.0.9:1"), false));
     }
 }
--- a/store/src/test/java/dewplank/store/DiskThreadTest.java
+++ b/store/src/test/java/dewplank/store/SingleThreadDiskExecutorTest.java
@@ -11,9 +11,9 @@
 import org.junit.jupiter.api.Timeout;
 
 @Timeout(20)
-class DiskThreadTest {
+class SingleThreadDiskExecutorTest {
     private final BlockingQueue<Runnable> loop = new LinkedBlockingQueue<>();
-    private final DiskThread disk = new DiskThread(loop::add);
+    private final SingleThreadDiskExecutor disk = new SingleThreadDiskExecutor(loop::add);
     private final List<String> results = new ArrayList<>();
 
     @AfterEach
@@ -21,7 +21,7 @@
         disk.close();
     }
 
-    private void submit(String name, DiskThread.Work work) {
+    private void submit(String name, SingleThreadDiskExecutor.Work work) {
         disk.submit(work, () -> results.add(name + " done"), () -> results.add(name + " failed"));
     }
 
@@ -61,13 +61,13 @@
             awaitQuietly(hanging);
         });
         begun.await();
-        for (int index = 0; index <= DiskThread.MOST_WAITING; index++) {
+        for (int index = 0; index <= SingleThreadDiskExecutor.MAX_QUEUED_TASKS; index++) {
             submit("waiting", () -> {});
         }
         runLoop(1);
         Assertions.assertEquals(List.of("waiting failed"), results);
         hanging.countDown();
-        runLoop(1 + DiskThread.MOST_WAITING);
+        runLoop(1 + SingleThreadDiskExecutor.MAX_QUEUED_TASKS);
         Assertions.assertEquals("hanging done", results.get(1));
     }
 
