--- a/controlplane/src/main/java/dewplank/controlplane/PeerLink.java
+++ b/controlplane/src/main/java/dewplank/controlplane/PeerLink.java
@@ -85,7 +85,7 @@
     void remove() {
         removed = true;
         if (connection != null) {
-            connection.end();
+            connection.close();
         }
     }
 
@@ -118,7 +118,7 @@
             double elapsedMs = loop.now() - lastAckAt;
             if (elapsedMs > HEARTBEAT_TIMEOUT_MS) {
                 LOG.info("heartbeat timeout peer={} elapsedMs={}", address, Math.round(elapsedMs));
-                connection.end();
+                connection.close();
             } else {
                 connection.send(heartbeat);
             }
@@ -128,7 +128,7 @@
     @Override
     public void opened(MessageLink opened) {
         if (removed) {
-            opened.end();
+            opened.close();
             return;
         }
         lastAckAt = loop.now();
