--- a/cli/src/main/java/dewplank/Commands.java
+++ b/cli/src/main/java/dewplank/Commands.java
@@ -1,8 +1,8 @@
 package dewplank;
 
 import dewplank.discovery.Listing;
-import dewplank.settings.BadInput;
 import dewplank.settings.FileWatch;
+import dewplank.settings.InvalidInputException;
 import dewplank.sidecar.Sidecar;
 import dewplank.sidecar.config.SidecarConfig;
 import dewplank.simhost.Wire;
@@ -55,7 +55,7 @@
         private static void reload(Sidecar sidecar) {
             try {
                 sidecar.reload(SidecarConfig.again(System.getenv()));
-            } catch (BadInput e) {
+            } catch (InvalidInputException e) {
                 LOG.log(
                         System.Logger.Level.WARNING,
                         "reload refused, the old configuration stays: {0}",
--- a/cli/src/main/java/dewplank/FleetCommands.java
+++ b/cli/src/main/java/dewplank/FleetCommands.java
@@ -5,8 +5,8 @@
 import dewplank.rehearsal.FleetRehearsal;
 import dewplank.routing.Mechanism;
 import dewplank.routing.Policy;
-import dewplank.settings.BadInput;
 import dewplank.settings.FileWatch;
+import dewplank.settings.InvalidInputException;
 import dewplank.settings.NodeSettings;
 import dewplank.store.StoreException;
 import java.io.IOException;
@@ -42,10 +42,11 @@
             for (String name : without.split(",")) {
                 if (!name.isBlank()) {
                     off.add(Mechanism.ofOptionName(name.strip())
-                            .orElseThrow(() -> new BadInput("--without " + name + ": there is no such mechanism; "
-                                    + Stream.of(Mechanism.values())
-                                            .map(Mechanism::optionName)
-                                            .collect(Collectors.joining(", ")))));
+                            .orElseThrow(() ->
+                                    new InvalidInputException("--without " + name + ": there is no such mechanism; "
+                                            + Stream.of(Mechanism.values())
+                                                    .map(Mechanism::optionName)
+                                                    .collect(Collectors.joining(", ")))));
                 }
             }
             if (!off.isEmpty()) {
@@ -63,7 +64,7 @@
             FileWatch file = new FileWatch(NodeSettings.path(System.getenv()));
             DataPlane plane;
             try {
-                plane = new DataPlane(settings().ofDataPlane(), policy());
+                plane = new DataPlane(settings().requireDataPlaneKeys(), policy());
             } catch (IOException e) {
                 throw StartFault.of(e);
             }
@@ -81,7 +82,7 @@
             FileWatch file = new FileWatch(NodeSettings.path(System.getenv()));
             ControlPlane plane;
             try {
-                plane = new ControlPlane(settings().ofControlPlane(), policy());
+                plane = new ControlPlane(settings().requireControlPlaneKeys(), policy());
             } catch (IOException | StoreException e) {
                 throw StartFault.of(e);
             }
@@ -135,7 +136,7 @@
         try {
             reload.accept(settings());
             log.info("settings read again");
-        } catch (BadInput e) {
+        } catch (InvalidInputException e) {
             log.warn("reload refused, the old settings stay: {}", e.getMessage());
         }
     }
--- a/cli/src/main/java/dewplank/LabCommands.java
+++ b/cli/src/main/java/dewplank/LabCommands.java
@@ -13,7 +13,7 @@
 import dewplank.lab.Trial;
 import dewplank.lab.bench.DecisionBench;
 import dewplank.lab.policies.Policies;
-import dewplank.settings.BadInput;
+import dewplank.settings.InvalidInputException;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -197,7 +197,7 @@
         @Override
         public void run() throws IOException {
             if (forks < 1 || seconds < 1) {
-                throw new BadInput("--forks and --seconds should be 1 or more");
+                throw new InvalidInputException("--forks and --seconds should be 1 or more");
             }
             try {
                 String table = DecisionBench.table(forks, seconds);
@@ -303,7 +303,7 @@
         try {
             return s.with(change.substring(0, Math.max(0, equals)), Double.parseDouble(change.substring(equals + 1)));
         } catch (IllegalArgumentException e) {
-            throw new BadInput("--set " + change + ": " + e.getMessage());
+            throw new InvalidInputException("--set " + change + ": " + e.getMessage());
         }
     }
 
@@ -351,7 +351,7 @@
         public void run() throws IOException {
             List<Result> results = Runner.read(folder);
             if (results.isEmpty()) {
-                throw new BadInput(folder + " holds no finished run");
+                throw new InvalidInputException(folder + " holds no finished run");
             }
             report(
                     results,
@@ -376,7 +376,8 @@
         @Override
         public void run() {
             if (!Result.FIGURES.contains(figure)) {
-                throw new BadInput("there is no figure " + figure + "; known: " + String.join(", ", Result.FIGURES));
+                throw new InvalidInputException(
+                        "there is no figure " + figure + "; known: " + String.join(", ", Result.FIGURES));
             }
             System.out.print(
                     Comparison.table(Comparison.folders(Runner.read(first), Runner.read(second), figure), figure));
--- a/cli/src/main/java/dewplank/LabMain.java
+++ b/cli/src/main/java/dewplank/LabMain.java
@@ -1,6 +1,6 @@
 package dewplank;
 
-import dewplank.settings.BadInput;
+import dewplank.settings.InvalidInputException;
 import java.io.IOException;
 import java.util.List;
 import org.kohsuke.args4j.Argument;
@@ -48,7 +48,7 @@
         try {
             main.command.run();
             return 0;
-        } catch (BadInput | IOException | IllegalStateException e) {
+        } catch (InvalidInputException | IOException | IllegalStateException e) {
             System.err.println("dewplank: " + e.getMessage());
             return 1;
         } catch (InterruptedException e) {
--- a/cli/src/main/java/dewplank/LoadCommands.java
+++ b/cli/src/main/java/dewplank/LoadCommands.java
@@ -6,7 +6,7 @@
 import dewplank.lab.load.LoadReport;
 import dewplank.lab.load.LoadRun;
 import dewplank.lab.load.StandIn;
-import dewplank.settings.BadInput;
+import dewplank.settings.InvalidInputException;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -114,15 +114,15 @@
             Arrivals.Shape form = Stream.of(Arrivals.Shape.values())
                     .filter(s -> s.name().toLowerCase(Locale.ROOT).equals(shape))
                     .findFirst()
-                    .orElseThrow(() ->
-                            new BadInput("--shape " + shape + ": should be poisson, uniform, bursts, ramp or steps"));
+                    .orElseThrow(() -> new InvalidInputException(
+                            "--shape " + shape + ": should be poisson, uniform, bursts, ramp or steps"));
             List<Double> rates = new ArrayList<>();
             try {
                 for (String s : steps.isEmpty() ? new String[0] : steps.split(",")) {
                     rates.add(Double.parseDouble(s));
                 }
             } catch (NumberFormatException e) {
-                throw new BadInput("--steps " + steps + ": should be numbers with commas between");
+                throw new InvalidInputException("--steps " + steps + ": should be numbers with commas between");
             }
             check(form != Arrivals.Shape.STEPS || !rates.isEmpty(), "--shape steps needs --steps");
             check(form != Arrivals.Shape.RAMP || to > 0, "--shape ramp needs --to");
@@ -145,7 +145,7 @@
 
     private static void check(boolean holds, String otherwise) {
         if (!holds) {
-            throw new BadInput(otherwise);
+            throw new InvalidInputException(otherwise);
         }
     }
 
@@ -169,7 +169,7 @@
             Distribution drawn = Stream.of(Distribution.values())
                     .filter(d -> d.name().toLowerCase(Locale.ROOT).equals(distribution))
                     .findFirst()
-                    .orElseThrow(() -> new BadInput(
+                    .orElseThrow(() -> new InvalidInputException(
                             "--distribution " + distribution + ": should be fixed, exp, lognormal or gamma"));
             List<InetSocketAddress> at = addresses.stream()
                     .map(a -> LoadPlan.target("http://" + a).address())
--- a/cli/src/main/java/dewplank/Main.java
+++ b/cli/src/main/java/dewplank/Main.java
@@ -1,6 +1,6 @@
 package dewplank;
 
-import dewplank.settings.BadInput;
+import dewplank.settings.InvalidInputException;
 import java.io.IOException;
 import java.util.List;
 import java.util.Set;
@@ -76,7 +76,7 @@
         try {
             main.command.run();
             return 0;
-        } catch (BadInput | IOException e) {
+        } catch (InvalidInputException | IOException e) {
             System.err.println("dewplank: " + e.getMessage());
             return 1;
         } catch (InterruptedException e) {
--- a/cli/src/main/java/dewplank/OperatorCommands.java
+++ b/cli/src/main/java/dewplank/OperatorCommands.java
@@ -13,7 +13,7 @@
 import dewplank.client.RouteExplanation;
 import dewplank.client.SettingsCheck;
 import dewplank.configuration.Configuration;
-import dewplank.settings.BadInput;
+import dewplank.settings.InvalidInputException;
 import dewplank.settings.NodeSettings;
 import dewplank.settings.ResultCode;
 import java.io.IOException;
@@ -128,7 +128,8 @@
             try {
                 return ControlAddresses.of(NodeSettings.read(file).seeds());
             } catch (IllegalArgumentException e) {
-                throw BadInput.of(ResultCode.KEY_OUT_OF_RANGE, "seed_nodes of " + file + ": " + e.getMessage());
+                throw InvalidInputException.of(
+                        ResultCode.KEY_OUT_OF_RANGE, "seed_nodes of " + file + ": " + e.getMessage());
             }
         }
 
@@ -155,7 +156,7 @@
         try {
             return Files.readAllBytes(file);
         } catch (IOException e) {
-            throw BadInput.of(ResultCode.FILE_UNREADABLE, "the file " + file + " can't be read: " + e);
+            throw InvalidInputException.of(ResultCode.FILE_UNREADABLE, "the file " + file + " can't be read: " + e);
         }
     }
 
@@ -218,7 +219,7 @@
             changes.forEach(c -> text.append(c.line()).append('\n'));
             print(json(current, next, changes), changes.isEmpty() ? "no differences" : text.toString());
             if (current != null && next.version() <= current.version()) {
-                throw BadInput.of(
+                throw InvalidInputException.of(
                         ResultCode.INVALID_CONFIGURATION, "config_version: is not above " + current.version());
             }
         }
--- a/cli/src/main/java/dewplank/OperatorMain.java
+++ b/cli/src/main/java/dewplank/OperatorMain.java
@@ -1,7 +1,7 @@
 package dewplank;
 
 import dewplank.client.NoAnswerException;
-import dewplank.settings.BadInput;
+import dewplank.settings.InvalidInputException;
 import java.io.IOException;
 import java.util.List;
 import org.kohsuke.args4j.Argument;
@@ -39,7 +39,7 @@
             return WRONG_COMMAND_LINE;
         } catch (NoAnswerException e) {
             return failed(NO_ANSWER, e);
-        } catch (BadInput | IOException e) {
+        } catch (InvalidInputException | IOException e) {
             return failed(REFUSED, e);
         } catch (InterruptedException e) {
             return REFUSED;
--- a/cli/src/main/java/dewplank/SettingsReload.java
+++ b/cli/src/main/java/dewplank/SettingsReload.java
@@ -32,9 +32,9 @@
         while (true) {
             if (hangups.tryAcquire(LOOK_MS, TimeUnit.MILLISECONDS)) {
                 hangups.drainPermits(); // several in a row are one: the file is read after the last of them
-                file.reading();
+                file.markRead();
                 reload.run();
-            } else if (file.look()) {
+            } else if (file.pollChanged()) {
                 reload.run();
             }
         }
--- a/cli/src/main/java/dewplank/StartFault.java
+++ b/cli/src/main/java/dewplank/StartFault.java
@@ -1,6 +1,6 @@
 package dewplank;
 
-import dewplank.settings.BadInput;
+import dewplank.settings.InvalidInputException;
 import dewplank.settings.ResultCode;
 import dewplank.store.StoreException;
 import java.net.BindException;
@@ -9,17 +9,18 @@
 final class StartFault {
     private StartFault() {}
 
-    static BadInput of(Exception failure) {
+    static InvalidInputException of(Exception failure) {
         if (failure instanceof StoreException) {
             Throwable cause = failure.getCause();
-            return BadInput.of(ResultCode.DISK_NOT_USABLE, failure.getMessage() + (cause == null ? "" : ": " + cause));
+            return InvalidInputException.of(
+                    ResultCode.DISK_NOT_USABLE, failure.getMessage() + (cause == null ? "" : ": " + cause));
         }
         if (failure instanceof BindException) {
-            return BadInput.of(
+            return InvalidInputException.of(
                     ResultCode.ADDRESS_NOT_USABLE,
                     "an address of listen_addresses, or ip_address with a"
                             + " port of internal_port_range, can't be listened on: " + failure.getMessage());
         }
-        return BadInput.of(ResultCode.START_FAILED, failure.toString());
+        return InvalidInputException.of(ResultCode.START_FAILED, failure.toString());
     }
 }
--- a/cli/src/main/java/dewplank/rehearsal/FleetRehearsal.java
+++ b/cli/src/main/java/dewplank/rehearsal/FleetRehearsal.java
@@ -173,9 +173,9 @@
                         "{\"context_handle\":\"3fa0\",\"token_count\":1460,\"config_version\":1}"
                                 .getBytes(StandardCharsets.UTF_8));
             } else if (request.target().startsWith("/generation/")) {
-                caller.begin(200, sealed);
-                caller.piece("id: 1\ndata: x\n\n".getBytes(StandardCharsets.UTF_8));
-                caller.end();
+                caller.beginAnswer(200, sealed);
+                caller.writePart("id: 1\ndata: x\n\n".getBytes(StandardCharsets.UTF_8));
+                caller.endAnswer();
             } else {
                 caller.answer(200, sealed, NOTHING);
             }
@@ -190,6 +190,6 @@
         }
 
         @Override
-        public void gone(InboundConnection caller) {}
+        public void callerGone(InboundConnection caller) {}
     }
 }
--- a/cli/src/test/java/dewplank/OperatorMainTest.java
+++ b/cli/src/test/java/dewplank/OperatorMainTest.java
@@ -48,7 +48,7 @@
         List<Integer> ports = freePorts();
         control = "127.0.0.1:" + ports.get(0);
         settings = write("node.json", settings(control, ports.get(1), ports.get(2), "\"" + folder + "\""));
-        plane = new ControlPlane(NodeSettings.read(settings).ofControlPlane());
+        plane = new ControlPlane(NodeSettings.read(settings).requireControlPlaneKeys());
         plane.start();
     }
 
--- a/client/src/main/java/dewplank/client/Answer.java
+++ b/client/src/main/java/dewplank/client/Answer.java
@@ -1,6 +1,6 @@
 package dewplank.client;
 
-import dewplank.settings.BadInput;
+import dewplank.settings.InvalidInputException;
 import dewplank.settings.Json;
 import dewplank.settings.ResultCode;
 import java.nio.charset.StandardCharsets;
@@ -29,8 +29,8 @@
     public Map<String, Object> fields() {
         try {
             return Json.object(text());
-        } catch (BadInput e) {
-            throw BadInput.of(
+        } catch (InvalidInputException e) {
+            throw InvalidInputException.of(
                     ResultCode.ANSWER_UNREADABLE, "the answer of " + address + " can't be read: " + e.getMessage());
         }
     }
@@ -39,7 +39,7 @@
     public boolean is(ResultCode code) {
         try {
             return Long.valueOf(code.number()).equals(fields().get("code"));
-        } catch (BadInput noResult) {
+        } catch (InvalidInputException noResult) {
             return false;
         }
     }
@@ -51,7 +51,7 @@
             if (fields.get("code") instanceof Long number && fields.get("result") instanceof String name) {
                 return number + " " + name + (fields.get("detail") instanceof String detail ? ": " + detail : "");
             }
-        } catch (BadInput noResult) {
+        } catch (InvalidInputException noResult) {
             // the status says all there is
         }
         return "status " + status;
@@ -60,7 +60,7 @@
     /** This answer, if the call was done. */
     public Answer orRefused() {
         if (!done()) {
-            throw new BadInput(result());
+            throw new InvalidInputException(result());
         }
         return this;
     }
--- a/client/src/main/java/dewplank/client/ConfigurationChanges.java
+++ b/client/src/main/java/dewplank/client/ConfigurationChanges.java
@@ -2,7 +2,7 @@
 
 import dewplank.configuration.Configuration;
 import dewplank.configuration.InvalidConfigurationException;
-import dewplank.settings.BadInput;
+import dewplank.settings.InvalidInputException;
 import dewplank.settings.Json;
 import dewplank.settings.ResultCode;
 import java.nio.charset.StandardCharsets;
@@ -59,7 +59,7 @@
         try {
             return Configuration.parse(answer.body());
         } catch (InvalidConfigurationException e) {
-            throw BadInput.of(
+            throw InvalidInputException.of(
                     ResultCode.ANSWER_UNREADABLE, "the configuration of " + answer.address() + ": " + e.getMessage());
         }
     }
@@ -71,11 +71,11 @@
                 return Configuration.parse(file);
             }
             if (current == null) {
-                throw BadInput.of(ResultCode.NO_CONFIGURATION, "there is no configuration to change");
+                throw InvalidInputException.of(ResultCode.NO_CONFIGURATION, "there is no configuration to change");
             }
             return current.patched(file);
         } catch (InvalidConfigurationException e) {
-            throw BadInput.of(ResultCode.INVALID_CONFIGURATION, e.getMessage());
+            throw InvalidInputException.of(ResultCode.INVALID_CONFIGURATION, e.getMessage());
         }
     }
 
@@ -83,7 +83,7 @@
         try {
             Map<String, Object> fields = Json.object(new String(file, StandardCharsets.UTF_8));
             return fields.containsKey("upsert") || fields.containsKey("remove");
-        } catch (BadInput unreadable) {
+        } catch (InvalidInputException unreadable) {
             return false; // the configuration's own reader says what is wrong
         }
     }
--- a/client/src/main/java/dewplank/client/FleetText.java
+++ b/client/src/main/java/dewplank/client/FleetText.java
@@ -1,7 +1,7 @@
 package dewplank.client;
 
-import dewplank.settings.BadInput;
 import dewplank.settings.Fields;
+import dewplank.settings.InvalidInputException;
 import dewplank.settings.ResultCode;
 import java.util.List;
 import java.util.Map;
@@ -20,8 +20,8 @@
     private static String read(Answer answer, Reading reading) {
         try {
             return reading.of(new Fields(answer.fields(), ""));
-        } catch (BadInput e) {
-            throw BadInput.of(
+        } catch (InvalidInputException e) {
+            throw InvalidInputException.of(
                     ResultCode.ANSWER_UNREADABLE, "the answer of " + answer.address() + ": " + e.getMessage());
         }
     }
@@ -75,7 +75,7 @@
         for (String address : addresses) {
             if (answers.containsKey(address)) {
                 read(answers.get(address).orRefused(), fields -> {
-                    Fields list = fields.needed("list");
+                    Fields list = fields.requireObject("list");
                     table.row(
                             address,
                             fields.text("answered_by", ""),
--- a/client/src/main/java/dewplank/client/RouteExplanation.java
+++ b/client/src/main/java/dewplank/client/RouteExplanation.java
@@ -5,8 +5,8 @@
 import dewplank.configuration.Route;
 import dewplank.configuration.RouteTable;
 import dewplank.configuration.WeightedService;
-import dewplank.settings.BadInput;
 import dewplank.settings.Fields;
+import dewplank.settings.InvalidInputException;
 import dewplank.settings.ResultCode;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -32,7 +32,7 @@
     public static RouteExplanation of(Configuration configuration, Answer servers, String host, String path) {
         Route route = new RouteTable(configuration).find(host, path);
         if (route == null) {
-            throw BadInput.of(
+            throw InvalidInputException.of(
                     ResultCode.NO_SUCH_ROUTE,
                     "configuration " + configuration.version() + " has no route for host " + host + " and path "
                             + path);
--- a/client/src/main/java/dewplank/client/SettingsCheck.java
+++ b/client/src/main/java/dewplank/client/SettingsCheck.java
@@ -1,6 +1,6 @@
 package dewplank.client;
 
-import dewplank.settings.BadInput;
+import dewplank.settings.InvalidInputException;
 import dewplank.settings.NodeSettings;
 import dewplank.settings.ResultCode;
 import java.net.InetSocketAddress;
@@ -15,12 +15,12 @@
     public static String of(NodeSettings settings) {
         List<String> roles = new ArrayList<>();
         if (settings.front() != null || settings.readiness() != null) {
-            settings.ofDataPlane();
+            settings.requireDataPlaneKeys();
             roles.add("data plane (verb data-plane) for clients at " + text(settings.front()) + ", readiness at "
                     + text(settings.readiness()));
         }
         if (settings.control() != null) {
-            settings.ofControlPlane();
+            settings.requireControlPlaneKeys();
             roles.add(
                     settings.dataDirectory() == null
                             ? "relay without a disk (verb control-plane) for operators at " + text(settings.control())
@@ -28,12 +28,12 @@
                                     + ", disk in " + settings.dataDirectory());
         }
         if (roles.isEmpty()) {
-            throw BadInput.of(
+            throw InvalidInputException.of(
                     ResultCode.NO_ROLE,
                     "listen_addresses names neither front and readiness, for data-plane, "
                             + "nor control, for control-plane");
         }
-        return "settings of " + settings.node() + " can be used: " + String.join("; ", roles);
+        return "settings of " + settings.nodeName() + " can be used: " + String.join("; ", roles);
     }
 
     private static String text(InetSocketAddress address) {
--- a/client/src/test/java/dewplank/client/ConfigurationDifferenceTest.java
+++ b/client/src/test/java/dewplank/client/ConfigurationDifferenceTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dewplank.configuration.Configuration;
-import dewplank.settings.BadInput;
+import dewplank.settings.InvalidInputException;
 import dewplank.settings.Json;
 import dewplank.settings.ResultCode;
 import java.nio.charset.StandardCharsets;
@@ -139,7 +139,8 @@
                 ResultCode.INVALID_CONFIGURATION,
                 "{\"config_version\":6,");
         files.forEach((code, file) -> {
-            BadInput fault = assertThrows(BadInput.class, () -> ConfigurationChanges.changed(null, bytes(file)));
+            InvalidInputException fault =
+                    assertThrows(InvalidInputException.class, () -> ConfigurationChanges.changed(null, bytes(file)));
             assertSame(code, fault.code());
             assertTrue(fault.getMessage().startsWith(code.number() + " " + code + ": "), fault.getMessage());
         });
--- a/client/src/test/java/dewplank/client/ControlClientTest.java
+++ b/client/src/test/java/dewplank/client/ControlClientTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dewplank.settings.BadInput;
+import dewplank.settings.InvalidInputException;
 import dewplank.settings.ResultCode;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -103,7 +103,9 @@
         assertEquals(4, one.calls().size());
         assertEquals(one.calls(), two.calls(), "resent unchanged");
         assertEquals("205 VERSION_MISMATCH: version 8 is in place", answer.result());
-        assertTrue(assertThrows(BadInput.class, answer::orRefused).getMessage().startsWith("205 "));
+        assertTrue(assertThrows(InvalidInputException.class, answer::orRefused)
+                .getMessage()
+                .startsWith("205 "));
     }
 
     @Test
@@ -201,7 +203,7 @@
         one.then(200, "no JSON").then(200, "{\"config_version\":7}");
         ConfigurationChanges changes = new ConfigurationChanges(both(1));
         for (int i = 0; i < 2; i++) {
-            BadInput fault = assertThrows(BadInput.class, changes::current);
+            InvalidInputException fault = assertThrows(InvalidInputException.class, changes::current);
             assertEquals(ResultCode.ANSWER_UNREADABLE, fault.code(), fault.getMessage());
         }
     }
--- a/client/src/test/java/dewplank/client/RouteExplanationTest.java
+++ b/client/src/test/java/dewplank/client/RouteExplanationTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dewplank.configuration.Configuration;
-import dewplank.settings.BadInput;
+import dewplank.settings.InvalidInputException;
 import dewplank.settings.Json;
 import dewplank.settings.ResultCode;
 import java.nio.charset.StandardCharsets;
@@ -71,7 +71,7 @@
 
     @Test
     void saysThatThereIsNoRoute() {
-        BadInput fault = assertThrows(BadInput.class, () -> explain("b.example", "/chat/"));
+        InvalidInputException fault = assertThrows(InvalidInputException.class, () -> explain("b.example", "/chat/"));
         assertSame(ResultCode.NO_SUCH_ROUTE, fault.code());
     }
 
@@ -134,7 +134,8 @@
 
     @Test
     void namesAnAnswerOfAnotherShape() {
-        BadInput fault = assertThrows(BadInput.class, () -> FleetText.members(answer("{\"data\":[]}")));
+        InvalidInputException fault =
+                assertThrows(InvalidInputException.class, () -> FleetText.members(answer("{\"data\":[]}")));
         assertEquals("802 ANSWER_UNREADABLE: the answer of 10.0.0.9:1: control is missing", fault.getMessage());
     }
 }
--- a/controlplane/src/main/java/dewplank/controlplane/ControlPlane.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ControlPlane.java
@@ -95,7 +95,8 @@
         RandomGenerator random = environment.random();
         durable = settings.dataDirectory() != null;
         storage = Bootstrap.storage(settings, environment, codec, address);
-        Member self = new Member(settings.node(), Member.CONTROL, address, settings.zone(), environment.wallClockMs());
+        Member self =
+                new Member(settings.nodeName(), Member.CONTROL, address, settings.zone(), environment.wallClockMs());
         mesh = new ControlMesh(
                 loop, environment.transport(), new ControlHello(self, storage.identity(), durable), new MeshHandler());
         configuration = new ConfigurationStore(
@@ -117,7 +118,7 @@
         reconfigurer = reconfigurer();
         stageController = new StageController(
                 loop,
-                settings.node(),
+                settings.nodeName(),
                 settings.bounds().leaseMs(),
                 poller,
                 duties.endpointList(),
@@ -175,7 +176,7 @@
             pushMembers();
             LOG.info(
                     "control plane started node={} address={} acceptor={} durable={}",
-                    settings.node(),
+                    settings.nodeName(),
                     address,
                     storage.identity(),
                     durable);
@@ -275,7 +276,7 @@
     }
 
     String node() {
-        return settings.node();
+        return settings.nodeName();
     }
 
     /** The identity of this process's disk. */
--- a/controlplane/src/main/java/dewplank/controlplane/HttpModelServerClient.java
+++ b/controlplane/src/main/java/dewplank/controlplane/HttpModelServerClient.java
@@ -6,7 +6,7 @@
 import dewplank.http.MessageWriter;
 import dewplank.message.Endpoint;
 import dewplank.net.EventLoop;
-import dewplank.net.Wheel;
+import dewplank.net.TimerWheel;
 import java.io.ByteArrayOutputStream;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -46,7 +46,7 @@
                 .header(TARGET_INSTANCE, server.instanceId)
                 .body(body);
         Call call = call(server, message, onlyIf, handler);
-        call.http().alone(); // nothing in an answer tells a late one to a report from one to an order
+        call.http().exclusive(); // nothing in an answer tells a late one to a report from one to an order
         start(call);
     }
 
@@ -62,7 +62,7 @@
         InetSocketAddress to = SocketAddresses.socketAddress(server.address);
         ConnectionPool pool = pools.computeIfAbsent(server.address, a -> new ConnectionPool(loop, 0, MAX_IDLE_MS));
         ResponseCollector response = new ResponseCollector(handler);
-        return new Call(new HttpCall(loop, to, pool, message, response).onlyIf(onlyIf), response);
+        return new Call(new HttpCall(loop, to, pool, message, response).sendOnlyIf(onlyIf), response);
     }
 
     private void start(Call call) {
@@ -73,7 +73,7 @@
     private static final class ResponseCollector implements HttpCall.Listener {
         private final ResponseHandler handler;
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
-        private Wheel.Timer timeout;
+        private TimerWheel.Timer timeout;
         private int status;
 
         ResponseCollector(ResponseHandler handler) {
--- a/controlplane/src/main/java/dewplank/controlplane/HttpPlatformClient.java
+++ b/controlplane/src/main/java/dewplank/controlplane/HttpPlatformClient.java
@@ -10,7 +10,7 @@
 import dewplank.http.MessageWriter;
 import dewplank.message.Endpoint;
 import dewplank.net.EventLoop;
-import dewplank.net.Wheel;
+import dewplank.net.TimerWheel;
 import java.io.ByteArrayOutputStream;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
@@ -56,7 +56,7 @@
         private final List<Endpoint> servers = new ArrayList<>();
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
         private HttpCall call;
-        private Wheel.Timer timeout;
+        private TimerWheel.Timer timeout;
         private int status;
         private int pages;
 
--- a/controlplane/src/main/java/dewplank/controlplane/OperatorApi.java
+++ b/controlplane/src/main/java/dewplank/controlplane/OperatorApi.java
@@ -4,8 +4,8 @@
 import dewplank.configuration.ChangeResult;
 import dewplank.configuration.ConfigurationDocument;
 import dewplank.configuration.InvalidConfigurationException;
-import dewplank.exchange.CallTree;
 import dewplank.exchange.InboundConnection;
+import dewplank.exchange.PathRouter;
 import dewplank.exchange.Responder;
 import dewplank.http.Headers;
 import dewplank.net.EventLoop;
@@ -74,7 +74,7 @@
     private final Configurations configuration;
     private final Redirects redirects;
     private final Views views;
-    private final CallTree<Call> calls = new CallTree<>();
+    private final PathRouter<Call> calls = new PathRouter<>();
     private final Set<InboundConnection> connections = new HashSet<>();
     private final Set<Responder> open = new HashSet<>();
     private boolean closing;
@@ -114,17 +114,17 @@
     }
 
     @Override
-    public boolean closing() {
+    public boolean isClosing() {
         return closing;
     }
 
     @Override
-    public void gone(InboundConnection caller) {
+    public void callerGone(InboundConnection caller) {
         open.remove(caller);
     }
 
     @Override
-    public void left(InboundConnection caller) {
+    public void connectionEnded(InboundConnection caller) {
         connections.remove(caller);
     }
 
@@ -136,7 +136,7 @@
     /** Serves one call. */
     void handle(InboundConnection.Request request, Responder caller) {
         open.add(caller);
-        CallTree.Match<Call> match = calls.find(request.method(), request.target());
+        PathRouter.Match<Call> match = calls.find(request.method(), request.target());
         if (match.handler() != null) {
             match.handler().run(request, caller, match.parameters());
         } else {
@@ -301,7 +301,7 @@
 
     /** Gives up connections whose other end has said nothing for long: behind a cut its close may never come. */
     void sweep() {
-        List.copyOf(connections).forEach(c -> c.giveUpAfter(MAX_IDLE_MS));
+        List.copyOf(connections).forEach(c -> c.timeOutAfter(MAX_IDLE_MS));
     }
 
     /** Takes no further calls; whether none is under way any more. */
--- a/dataplane/src/main/java/dewplank/dataplane/ClientTimeouts.java
+++ b/dataplane/src/main/java/dewplank/dataplane/ClientTimeouts.java
@@ -52,7 +52,7 @@
 
     /** Whether the connection has waited too long for a request, or for the rest of one. */
     boolean overdue(double now, InboundConnection c) {
-        double most = !c.halfRead() ? idleMs(now) : c.headRead() ? wholeMs(now) : headMs(now);
-        return !c.busy() && now - c.waitsSince() > most;
+        double most = !c.isHalfRead() ? idleMs(now) : c.isHeadRead() ? wholeMs(now) : headMs(now);
+        return !c.isBusy() && now - c.waitingSince() > most;
     }
 }
--- a/dataplane/src/main/java/dewplank/dataplane/DataPlane.java
+++ b/dataplane/src/main/java/dewplank/dataplane/DataPlane.java
@@ -78,7 +78,8 @@
                 counters,
                 new Forwarder.RetryLimits(bounds.retryRatio(), bounds.retryWindowMs(), bounds.retrySlack()));
         String address = settings.address() + ":" + settings.internalPorts()[1];
-        Member self = new Member(settings.node(), Member.DATA, address, settings.zone(), System.currentTimeMillis());
+        Member self =
+                new Member(settings.nodeName(), Member.DATA, address, settings.zone(), System.currentTimeMillis());
         exchange = new HealthGossip(loop, fleet, votes, self, new Random(seed));
         sessions = new SessionClient(
                 loop,
@@ -131,11 +132,11 @@
         }
         for (InboundConnection c : forwarder.connections()) {
             if (limits.overdue(now, c)) {
-                c.giveUp();
+                c.timeOut();
             }
         }
         readinessCalls.sweep();
-        fleet.allServers().forEach(s -> s.pool.closeOld());
+        fleet.allServers().forEach(s -> s.pool.closeExpired());
         loop.after(SWEEP_MS, this::sweep);
     }
 
@@ -182,7 +183,7 @@
     private void endWhenIdle(double readUntil) {
         boolean unread = loop.now() >= readUntil;
         forwarder.connections().forEach(c -> c.endIfIdle(unread));
-        if (forwarder.openConnections() == 0 && forwarder.openRequests() == 0 && !front.anyOpen()) {
+        if (forwarder.openConnections() == 0 && forwarder.openRequests() == 0 && !front.hasOpenConnections()) {
             sessions.close();
             exchange.close();
             LOG.info("drained");
--- a/dataplane/src/main/java/dewplank/dataplane/DecodePhase.java
+++ b/dataplane/src/main/java/dewplank/dataplane/DecodePhase.java
@@ -3,7 +3,7 @@
 import dewplank.dataplane.Counters.Count;
 import dewplank.exchange.HttpCall;
 import dewplank.http.Headers;
-import dewplank.net.Wheel;
+import dewplank.net.TimerWheel;
 import dewplank.routing.EventSplitter;
 import dewplank.routing.Mechanism;
 import dewplank.routing.PrefillDecodePicker;
@@ -23,7 +23,7 @@
     private final GenerationRequest exchange;
     private final EventSplitter events = new EventSplitter();
     private ServerAttempt call;
-    private Wheel.Timer patience;
+    private TimerWheel.Timer patience;
     private boolean begun;
 
     DecodePhase(GenerationRequest exchange) {
@@ -215,9 +215,9 @@
                 begun = true;
                 call.promptRead();
                 exchange.forwarder.counters().add(Count.DECODE_MS, (long) (exchange.loop.now() - exchange.readAt));
-                exchange.client.begin(status, headers.endToEnd());
+                exchange.client.beginAnswer(status, headers.endToEnd());
             }
-            exchange.client.piece(whole);
+            exchange.client.writePart(whole);
         }
 
         @Override
@@ -268,7 +268,7 @@
                 exchange.pass(status, headers.endToEnd(), new byte[0]);
                 return;
             }
-            exchange.client.end();
+            exchange.client.endAnswer();
             exchange.finished();
         }
 
--- a/dataplane/src/main/java/dewplank/dataplane/Forwarder.java
+++ b/dataplane/src/main/java/dewplank/dataplane/Forwarder.java
@@ -95,7 +95,7 @@
             hold(request, connection);
             return;
         }
-        route(request, connection, connection.waitsSince());
+        route(request, connection, connection.waitingSince());
     }
 
     /** A request that waits for what is needed to serve it; its client counts from its first byte. */
@@ -108,7 +108,7 @@
             refuse(connection, "0.5");
             return;
         }
-        Held waiting = new Held(request, connection.waitsSince());
+        Held waiting = new Held(request, connection.waitingSince());
         held.put(connection, waiting);
         loop.after(HOLD_MS, () -> {
             if (held.remove(connection, waiting)) {
@@ -171,7 +171,7 @@
     }
 
     @Override
-    public void gone(InboundConnection connection) {
+    public void callerGone(InboundConnection connection) {
         held.remove(connection);
         ProxiedRequest exchange = open.remove(connection);
         if (exchange != null) {
@@ -181,12 +181,12 @@
     }
 
     @Override
-    public void left(InboundConnection connection) {
+    public void connectionEnded(InboundConnection connection) {
         connections.remove(connection);
     }
 
     @Override
-    public boolean closing() {
+    public boolean isClosing() {
         return closing;
     }
 
--- a/dataplane/src/main/java/dewplank/dataplane/KvHandle.java
+++ b/dataplane/src/main/java/dewplank/dataplane/KvHandle.java
@@ -28,7 +28,7 @@
                                 .header(HeaderNames.TARGET_INSTANCE, server.state.instanceId())
                                 .body(new byte[0]),
                         new DiscardingListener())
-                .alone();
+                .exclusive();
         delete.start(forwarder.connectTimeoutMs());
         loop.after(FREE_TIMEOUT_MS, delete::cancel);
     }
--- a/dataplane/src/main/java/dewplank/dataplane/PrefillPhase.java
+++ b/dataplane/src/main/java/dewplank/dataplane/PrefillPhase.java
@@ -3,7 +3,7 @@
 import dewplank.dataplane.Counters.Count;
 import dewplank.exchange.HttpCall;
 import dewplank.http.Headers;
-import dewplank.net.Wheel;
+import dewplank.net.TimerWheel;
 import dewplank.routing.Mechanism;
 import dewplank.routing.PrefillDecodePicker;
 import dewplank.routing.RoutingParameters;
@@ -19,7 +19,7 @@
 
     private final GenerationRequest exchange;
     private ServerAttempt call;
-    private Wheel.Timer patience;
+    private TimerWheel.Timer patience;
     private int prefills;
 
     PrefillPhase(GenerationRequest exchange) {
--- a/dataplane/src/main/java/dewplank/dataplane/ProxiedRequest.java
+++ b/dataplane/src/main/java/dewplank/dataplane/ProxiedRequest.java
@@ -9,7 +9,7 @@
 import dewplank.http.Headers;
 import dewplank.http.MessageWriter;
 import dewplank.net.EventLoop;
-import dewplank.net.Wheel;
+import dewplank.net.TimerWheel;
 import dewplank.routing.RoutingParameters;
 import dewplank.routing.TrackedServer;
 import java.nio.ByteBuffer;
@@ -46,7 +46,7 @@
     /** Whether the request may have run at a server. */
     boolean mayHaveRun;
 
-    private Wheel.Timer deadlineTimer;
+    private TimerWheel.Timer deadlineTimer;
     private boolean over;
 
     ProxiedRequest(
--- a/dataplane/src/main/java/dewplank/dataplane/ReadinessEndpoint.java
+++ b/dataplane/src/main/java/dewplank/dataplane/ReadinessEndpoint.java
@@ -1,7 +1,7 @@
 package dewplank.dataplane;
 
-import dewplank.exchange.CallTree;
 import dewplank.exchange.InboundConnection;
+import dewplank.exchange.PathRouter;
 import dewplank.net.EventLoop;
 import java.util.HashSet;
 import java.util.List;
@@ -14,7 +14,7 @@
     static final double MOST_IDLE_MS = 30_000;
 
     private final EventLoop loop;
-    private final CallTree<Integer> calls = new CallTree<>();
+    private final PathRouter<Integer> calls = new PathRouter<>();
     private final BooleanSupplier ready;
     private final Set<InboundConnection> connections = new HashSet<>();
 
@@ -32,21 +32,21 @@
 
     /** Gives up connections whose other end has said nothing for long: behind a cut its close may never come. */
     void sweep() {
-        List.copyOf(connections).forEach(c -> c.giveUpAfter(MOST_IDLE_MS));
+        List.copyOf(connections).forEach(c -> c.timeOutAfter(MOST_IDLE_MS));
     }
 
     @Override
-    public void left(InboundConnection caller) {
+    public void connectionEnded(InboundConnection caller) {
         connections.remove(caller);
     }
 
     @Override
     public void handle(InboundConnection.Request request, InboundConnection caller) {
-        CallTree.Match<Integer> match = calls.find(request.method(), request.target());
-        int known = match.handler() != null ? match.handler() : match.pathKnown() ? 405 : 404;
+        PathRouter.Match<Integer> match = calls.find(request.method(), request.target());
+        int known = match.handler() != null ? match.handler() : match.pathExists() ? 405 : 404;
         caller.answer(known == 200 && !ready.getAsBoolean() ? 503 : known);
     }
 
     @Override
-    public void gone(InboundConnection caller) {}
+    public void callerGone(InboundConnection caller) {}
 }
--- a/dataplane/src/main/java/dewplank/dataplane/Server.java
+++ b/dataplane/src/main/java/dewplank/dataplane/Server.java
@@ -19,6 +19,6 @@
         this.state = state;
         this.addressText = addressText;
         this.address = SocketAddresses.address(addressText);
-        this.pool = new ConnectionPool(loop, ConnectionPool.REST_MS, MOST_IDLE_MS);
+        this.pool = new ConnectionPool(loop, ConnectionPool.REUSE_DELAY_MS, MOST_IDLE_MS);
     }
 }
--- a/dataplane/src/main/java/dewplank/dataplane/ServerAttempt.java
+++ b/dataplane/src/main/java/dewplank/dataplane/ServerAttempt.java
@@ -32,7 +32,7 @@
 
     /** The call shares its connection with no other one. */
     void alone() {
-        call.alone();
+        call.exclusive();
     }
 
     /** The request is a HEAD. */
@@ -44,7 +44,7 @@
         startedAt = loop.now();
         flight = server.state.requestStarted(startedAt, tokens);
         call.start(connectTimeoutMs);
-        if (!call.reused()) {
+        if (!call.isReused()) {
             counters.add(Counters.Count.CONNECTIONS);
         }
     }
@@ -54,7 +54,7 @@
     }
 
     boolean over() {
-        return call.over();
+        return call.isOver();
     }
 
     /**
@@ -62,7 +62,7 @@
      * body.
      */
     boolean mayBeRead() {
-        return call.connected();
+        return call.isConnected();
     }
 
     /** The prompt has been read: its tokens weigh on the server no more. */
--- a/dataplane/src/main/java/dewplank/dataplane/UnaryRequest.java
+++ b/dataplane/src/main/java/dewplank/dataplane/UnaryRequest.java
@@ -6,7 +6,7 @@
 import dewplank.exchange.HttpCall;
 import dewplank.exchange.InboundConnection;
 import dewplank.http.Headers;
-import dewplank.net.Wheel;
+import dewplank.net.TimerWheel;
 import dewplank.routing.Mechanism;
 import dewplank.routing.RoutingParameters;
 import dewplank.routing.ServerPicker;
@@ -19,7 +19,7 @@
     private static final RoutingParameters.Hedging HEDGING = RoutingParameters.DEFAULTS.hedging();
 
     private ServerAttempt call;
-    private Wheel.Timer patience;
+    private TimerWheel.Timer patience;
 
     UnaryRequest(
             Forwarder forwarder,
--- a/dataplane/src/test/java/dewplank/dataplane/ClientTimeoutsTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/ClientTimeoutsTest.java
@@ -66,7 +66,7 @@
             ClientTimeouts limits = new ClientTimeouts(APPLY_MS);
             limits.inForce(0, net.view.configuration().limits());
             InboundConnection c = net.forwarder.connections().get(0);
-            double since = c.waitsSince();
+            double since = c.waitingSince();
             assertFalse(limits.overdue(since + 0.8 * ms, c));
             assertFalse(limits.overdue(since + ms, c));
             assertTrue(limits.overdue(since + ms + 1, c));
@@ -82,15 +82,15 @@
             OnLoop.await(net.loop, () -> net.forwarder.openConnections() == 1);
             assertOverdueAfter(net, 15_000);
             client.send("POST /once/ HTTP/1.1\r\nHost: " + ForwarderFixture.HOST + "\r\n");
-            OnLoop.await(net.loop, () -> net.forwarder.connections().get(0).halfRead());
+            OnLoop.await(net.loop, () -> net.forwarder.connections().get(0).isHalfRead());
             assertOverdueAfter(net, 3_000);
             client.send("Content-Length: 4\r\n\r\nab");
-            OnLoop.await(net.loop, () -> net.forwarder.connections().get(0).headRead());
+            OnLoop.await(net.loop, () -> net.forwarder.connections().get(0).isHeadRead());
             assertOverdueAfter(net, 15_000);
             client.send("cd");
             serve(net.next(), "");
             assertEquals(200, client.read().status());
-            OnLoop.await(net.loop, () -> !net.forwarder.connections().get(0).busy());
+            OnLoop.await(net.loop, () -> !net.forwarder.connections().get(0).isBusy());
             assertOverdueAfter(net, 15_000);
         }
     }
--- a/dataplane/src/test/java/dewplank/dataplane/PlainRouteTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/PlainRouteTest.java
@@ -564,7 +564,7 @@
     }
 
     private void awaitHalfRead() throws Exception {
-        OnLoop.await(net.loop, () -> net.forwarder.connections().stream().anyMatch(c -> c.headRead()));
+        OnLoop.await(net.loop, () -> net.forwarder.connections().stream().anyMatch(c -> c.isHeadRead()));
     }
 
     /** The client has counted since it began to send, and servers are handed what is left of that. */
--- a/emulator/src/main/java/dewplank/emulator/ScenarioFile.java
+++ b/emulator/src/main/java/dewplank/emulator/ScenarioFile.java
@@ -4,7 +4,7 @@
 import dewplank.balancer.Settings.Idempotency;
 import dewplank.emulator.Scenario.*;
 import dewplank.emulator.TomlFile.Table;
-import dewplank.settings.BadInput;
+import dewplank.settings.InvalidInputException;
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
@@ -47,12 +47,12 @@
     private static String shipped(String name) {
         try (InputStream in = ScenarioFile.class.getResourceAsStream("/scenarios/" + name)) {
             if (in == null) {
-                throw new BadInput(
+                throw new InvalidInputException(
                         "there is no scenario file " + name + ", and none of that name comes with the laboratory");
             }
             return new String(in.readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException e) {
-            throw new BadInput(name + ": cannot be read: " + e.getMessage());
+            throw new InvalidInputException(name + ": cannot be read: " + e.getMessage());
         }
     }
 
--- a/emulator/src/main/java/dewplank/emulator/TomlFile.java
+++ b/emulator/src/main/java/dewplank/emulator/TomlFile.java
@@ -1,6 +1,6 @@
 package dewplank.emulator;
 
-import dewplank.settings.BadInput;
+import dewplank.settings.InvalidInputException;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -32,7 +32,7 @@
         try {
             return read(Files.readString(path), path.toString());
         } catch (IOException e) {
-            throw new BadInput(path + ": cannot be read: " + e.getMessage());
+            throw new InvalidInputException(path + ": cannot be read: " + e.getMessage());
         }
     }
 
@@ -40,7 +40,7 @@
     public static Table read(String text, String file) {
         TomlParseResult result = Toml.parse(text);
         if (result.hasErrors()) {
-            throw new BadInput(result.errors().stream()
+            throw new InvalidInputException(result.errors().stream()
                     .map(e -> file + ":" + e.position().line() + ": " + e.getMessage())
                     .collect(Collectors.joining("\n")));
         }
@@ -80,12 +80,13 @@
             }
         }
 
-        public BadInput wrong(String key, String what) {
+        public InvalidInputException wrong(String key, String what) {
             TomlPosition at = table.inputPositionOf(List.of(key));
             if (at == null && base != null && base.table.contains(List.of(key))) {
                 return base.wrong(key, what);
             }
-            return new BadInput(file + (at == null ? "" : ":" + at.line()) + ": key " + path + key + " " + what);
+            return new InvalidInputException(
+                    file + (at == null ? "" : ":" + at.line()) + ": key " + path + key + " " + what);
         }
 
         private Object value(String key) {
--- a/emulator/src/main/java/dewplank/emulator/loopback/HttpClient.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/HttpClient.java
@@ -47,7 +47,7 @@
         private Call(ByteBuffer request, Answered whenAnswered) {
             this.request = request;
             this.whenAnswered = whenAnswered;
-            this.parser = new ResponseParser(keepsBodies ? MessageParser.MAX_BODY : Integer.MAX_VALUE);
+            this.parser = new ResponseParser(keepsBodies ? MessageParser.MAX_BODY_BYTES : Integer.MAX_VALUE);
             if (request.remaining() > 5
                     && request.get(request.position()) == 'H'
                     && request.get(request.position() + 1) == 'E') {
--- a/emulator/src/main/java/dewplank/emulator/loopback/HttpEnd.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/HttpEnd.java
@@ -50,7 +50,7 @@
                             .header("Connection", "close")
                             .body(e.getMessage().getBytes(StandardCharsets.UTF_8)),
                     () -> {});
-            connection.finish();
+            connection.closeGracefully();
         }
     }
 
--- a/emulator/src/main/java/dewplank/emulator/loopback/RealTime.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/RealTime.java
@@ -36,7 +36,7 @@
         if (ms < AT_ONCE_MS) {
             loop.execute(unlessOver);
         } else {
-            loop.exactlyAfter(ms, unlessOver);
+            loop.afterExactly(ms, unlessOver);
         }
     }
 
--- a/emulator/src/test/java/dewplank/emulator/ScenarioFileTest.java
+++ b/emulator/src/test/java/dewplank/emulator/ScenarioFileTest.java
@@ -4,7 +4,7 @@
 import static org.junit.Assert.assertThrows;
 import static org.junit.Assert.assertTrue;
 
-import dewplank.settings.BadInput;
+import dewplank.settings.InvalidInputException;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -13,7 +13,7 @@
 public class ScenarioFileTest {
 
     private static String fault(String text) {
-        return assertThrows(BadInput.class, () -> ScenarioFile.of(TomlFile.read(text, "x.toml")))
+        return assertThrows(InvalidInputException.class, () -> ScenarioFile.of(TomlFile.read(text, "x.toml")))
                 .getMessage();
     }
 
@@ -68,7 +68,7 @@
         assertEquals(Scenario.Shape.WAVE, mine.load().shape());
         assertEquals(1, mine.faults().size());
         Files.writeString(file, "name = \"mine\"\nlike = \"" + file + "\"\n");
-        assertTrue(assertThrows(BadInput.class, () -> ScenarioFile.named(file.toString()))
+        assertTrue(assertThrows(InvalidInputException.class, () -> ScenarioFile.named(file.toString()))
                 .getMessage()
                 .endsWith("key like leads in a circle"));
         Files.delete(file);
--- a/lab/src/main/java/dewplank/lab/Experiment.java
+++ b/lab/src/main/java/dewplank/lab/Experiment.java
@@ -5,7 +5,7 @@
 import dewplank.emulator.TomlFile;
 import dewplank.emulator.TomlFile.Table;
 import dewplank.lab.policies.Policies;
-import dewplank.settings.BadInput;
+import dewplank.settings.InvalidInputException;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -39,7 +39,7 @@
         policies.forEach(p -> {
             try {
                 Policies.named(p);
-            } catch (BadInput e) {
+            } catch (InvalidInputException e) {
                 throw t.wrong("policies", "is wrong: " + e.getMessage());
             }
         });
--- a/lab/src/main/java/dewplank/lab/Result.java
+++ b/lab/src/main/java/dewplank/lab/Result.java
@@ -1,6 +1,6 @@
 package dewplank.lab;
 
-import dewplank.settings.BadInput;
+import dewplank.settings.InvalidInputException;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -68,7 +68,8 @@
     static Result of(String line, List<String> columns, String where) {
         String[] parts = line.split(",", -1);
         if (parts.length != columns.size()) {
-            throw new BadInput(where + ": " + parts.length + " values where the header has " + columns.size());
+            throw new InvalidInputException(
+                    where + ": " + parts.length + " values where the header has " + columns.size());
         }
         Map<String, Double> figures = new LinkedHashMap<>();
         try {
@@ -80,13 +81,13 @@
             }
             return new Result(parts[0], parts[1], parts[2], Long.parseLong(parts[3]), figures);
         } catch (NumberFormatException e) {
-            throw new BadInput(where + ": " + e.getMessage());
+            throw new InvalidInputException(where + ": " + e.getMessage());
         }
     }
 
     static List<Result> of(List<String> lines, String file) {
         if (lines.isEmpty() || !lines.get(0).startsWith("scenario,parameters,policy,seed,")) {
-            throw new BadInput(file + ": not a table of runs");
+            throw new InvalidInputException(file + ": not a table of runs");
         }
         List<String> columns = List.of(lines.get(0).split(","));
         List<Result> results = new ArrayList<>();
--- a/lab/src/main/java/dewplank/lab/Runner.java
+++ b/lab/src/main/java/dewplank/lab/Runner.java
@@ -1,7 +1,7 @@
 package dewplank.lab;
 
 import dewplank.lab.Experiment.Job;
-import dewplank.settings.BadInput;
+import dewplank.settings.InvalidInputException;
 import java.io.IOException;
 import java.io.Writer;
 import java.nio.file.Files;
@@ -116,7 +116,8 @@
         try {
             return Result.of(Files.readAllLines(file), file.toString());
         } catch (IOException e) {
-            throw new BadInput(folder + " holds no results: neither " + TABLE + " nor " + PART + " can be read");
+            throw new InvalidInputException(
+                    folder + " holds no results: neither " + TABLE + " nor " + PART + " can be read");
         }
     }
 }
--- a/lab/src/main/java/dewplank/lab/load/LoadPlan.java
+++ b/lab/src/main/java/dewplank/lab/load/LoadPlan.java
@@ -1,6 +1,6 @@
 package dewplank.lab.load;
 
-import dewplank.settings.BadInput;
+import dewplank.settings.InvalidInputException;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -56,7 +56,7 @@
         try {
             URI uri = new URI(url);
             if (!"http".equals(uri.getScheme()) || uri.getHost() == null) {
-                throw new BadInput("target " + url + ": only http://host:port/path is known");
+                throw new InvalidInputException("target " + url + ": only http://host:port/path is known");
             }
             int port = uri.getPort() < 0 ? 80 : uri.getPort();
             String path = uri.getRawPath() == null || uri.getRawPath().isEmpty() ? "/" : uri.getRawPath();
@@ -66,9 +66,9 @@
                     uri.getAuthority(),
                     path + query);
         } catch (URISyntaxException e) {
-            throw new BadInput("target " + url + ": " + e.getMessage());
+            throw new InvalidInputException("target " + url + ": " + e.getMessage());
         } catch (UnknownHostException e) {
-            throw new BadInput("target " + url + ": no such host");
+            throw new InvalidInputException("target " + url + ": no such host");
         }
     }
 
@@ -86,7 +86,8 @@
         } catch (NumberFormatException e) {
             // said below
         }
-        throw new BadInput("class " + text + ": should be NAME:WEIGHT[:METHOD[:BODY_BYTES]], with a weight above 0");
+        throw new InvalidInputException(
+                "class " + text + ": should be NAME:WEIGHT[:METHOD[:BODY_BYTES]], with a weight above 0");
     }
 
     /** Start times in milliseconds, one a line; further values on a line are skipped. */
@@ -101,9 +102,9 @@
                 }
             }
         } catch (IOException e) {
-            throw new BadInput(file + ": cannot be read: " + e.getMessage());
+            throw new InvalidInputException(file + ": cannot be read: " + e.getMessage());
         } catch (NumberFormatException e) {
-            throw new BadInput(file + ":" + line + ": should begin with a time in milliseconds");
+            throw new InvalidInputException(file + ":" + line + ": should begin with a time in milliseconds");
         }
         return times.stream().mapToDouble(d -> d).sorted().toArray();
     }
--- a/lab/src/main/java/dewplank/lab/load/LoadRun.java
+++ b/lab/src/main/java/dewplank/lab/load/LoadRun.java
@@ -125,7 +125,7 @@
             due = start + arrivals.next();
             planned = start;
             loop.execute(() -> cpuAtStart = CPU.getCurrentThreadCpuTime());
-            loop.exactlyAfter(LEAD_MS, this::pump);
+            loop.afterExactly(LEAD_MS, this::pump);
         }
 
         /** Sends all that is due, and sleeps until the next is. */
@@ -140,7 +140,7 @@
                 await(loop.now() + plan.timeoutMs() + GRACE_MS);
             } else {
                 planned = Math.max(loop.now() + LEAST_NAP_MS, due);
-                loop.exactlyAfter(planned - loop.now(), this::pump);
+                loop.afterExactly(planned - loop.now(), this::pump);
             }
         }
 
@@ -150,7 +150,7 @@
                 busy = (CPU.getCurrentThreadCpuTime() - cpuAtStart) / 1e6 / Math.max(1, loop.now() - start);
                 done.countDown();
             } else {
-                loop.exactlyAfter(5, () -> await(most));
+                loop.afterExactly(5, () -> await(most));
             }
         }
 
--- a/lab/src/main/java/dewplank/lab/load/StandIn.java
+++ b/lab/src/main/java/dewplank/lab/load/StandIn.java
@@ -86,7 +86,7 @@
             if (ms <= 0) {
                 answer(ANSWER.duplicate());
             } else {
-                loop.exactlyAfter(ms, () -> answer(ANSWER.duplicate()));
+                loop.afterExactly(ms, () -> answer(ANSWER.duplicate()));
             }
         }
     }
--- a/lab/src/main/java/dewplank/lab/policies/Policies.java
+++ b/lab/src/main/java/dewplank/lab/policies/Policies.java
@@ -7,7 +7,7 @@
 import dewplank.emulator.Server;
 import dewplank.emulator.World;
 import dewplank.emulator.virtualtime.VirtualRun.Policy;
-import dewplank.settings.BadInput;
+import dewplank.settings.InvalidInputException;
 import java.util.ArrayDeque;
 import java.util.Collections;
 import java.util.HashMap;
@@ -39,7 +39,8 @@
     public static Policy named(String name) {
         Policy policy = ALL.get(name);
         if (policy == null) {
-            throw new BadInput("there is no policy " + name + "; known: " + String.join(", ", ALL.keySet()));
+            throw new InvalidInputException(
+                    "there is no policy " + name + "; known: " + String.join(", ", ALL.keySet()));
         }
         return policy;
     }
--- a/lab/src/test/java/dewplank/lab/RunnerTest.java
+++ b/lab/src/test/java/dewplank/lab/RunnerTest.java
@@ -7,7 +7,7 @@
 
 import dewplank.emulator.ScenarioFile;
 import dewplank.emulator.TomlFile;
-import dewplank.settings.BadInput;
+import dewplank.settings.InvalidInputException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
@@ -82,7 +82,7 @@
     }
 
     private static String wrong(String text) {
-        return assertThrows(BadInput.class, () -> Experiment.of(TomlFile.read(text, "x.toml")))
+        return assertThrows(InvalidInputException.class, () -> Experiment.of(TomlFile.read(text, "x.toml")))
                 .getMessage();
     }
 
--- a/lab/src/test/java/dewplank/lab/load/LoadRunTest.java
+++ b/lab/src/test/java/dewplank/lab/load/LoadRunTest.java
@@ -15,7 +15,7 @@
 import dewplank.lab.load.Arrivals.Shape;
 import dewplank.net.EventLoop;
 import dewplank.net.Listener;
-import dewplank.settings.BadInput;
+import dewplank.settings.InvalidInputException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -175,9 +175,11 @@
     public void wrongInputIsNamed() {
         assertEquals(
                 "class x:0: should be NAME:WEIGHT[:METHOD[:BODY_BYTES]], with a weight above 0",
-                assertThrows(BadInput.class, () -> LoadPlan.kind("x:0")).getMessage());
+                assertThrows(InvalidInputException.class, () -> LoadPlan.kind("x:0"))
+                        .getMessage());
         assertEquals(
                 "target ftp://h/: only http://host:port/path is known",
-                assertThrows(BadInput.class, () -> LoadPlan.target("ftp://h/")).getMessage());
+                assertThrows(InvalidInputException.class, () -> LoadPlan.target("ftp://h/"))
+                        .getMessage());
     }
 }
--- a/settings/src/main/java/dewplank/settings/Fields.java
+++ b/settings/src/main/java/dewplank/settings/Fields.java
@@ -18,23 +18,23 @@
         this.path = path;
     }
 
-    public BadInput wrong(String key, String what) {
+    public InvalidInputException wrongType(String key, String what) {
         if (fields.get(key) == null) {
-            return new BadInput(ResultCode.KEY_MISSING, path + key + " is missing");
+            return new InvalidInputException(ResultCode.KEY_MISSING, path + key + " is missing");
         }
-        return new BadInput(ResultCode.KEY_OF_WRONG_TYPE, path + key + " should be " + what);
+        return new InvalidInputException(ResultCode.KEY_OF_WRONG_TYPE, path + key + " should be " + what);
     }
 
     /** The value is of the right type and yet none that can be used. */
-    public BadInput outOfRange(String key, String what) {
-        return new BadInput(ResultCode.KEY_OUT_OF_RANGE, path + key + " should be " + what);
+    public InvalidInputException outOfRange(String key, String what) {
+        return new InvalidInputException(ResultCode.KEY_OUT_OF_RANGE, path + key + " should be " + what);
     }
 
     public String text(String key) {
         if (fields.get(key) instanceof String s) {
             return s;
         }
-        throw wrong(key, "text");
+        throw wrongType(key, "text");
     }
 
     public String text(String key, String otherwise) {
@@ -45,7 +45,7 @@
         if (fields.get(key) instanceof Number n) {
             return n.doubleValue();
         }
-        throw wrong(key, "a number");
+        throw wrongType(key, "a number");
     }
 
     public double number(String key, double otherwise) {
@@ -78,13 +78,13 @@
         if (fields.get(key) instanceof Long n) {
             return n;
         }
-        throw wrong(key, "a whole number");
+        throw wrongType(key, "a whole number");
     }
 
     /** The object under the key, which has to be there. */
-    public Fields needed(String key) {
+    public Fields requireObject(String key) {
         if (fields.get(key) == null) {
-            throw wrong(key, "an object");
+            throw wrongType(key, "an object");
         }
         return part(key);
     }
@@ -93,7 +93,7 @@
         if (fields.get(key) instanceof Boolean b) {
             return b;
         }
-        throw wrong(key, "true or false");
+        throw wrongType(key, "true or false");
     }
 
     public boolean flag(String key, boolean otherwise) {
@@ -121,12 +121,12 @@
             Map<String, Object> inner = (Map<String, Object>) m;
             return new Fields(inner, path + key + ".");
         }
-        throw wrong(key, "an object");
+        throw wrongType(key, "an object");
     }
 
     public List<Fields> list(String key) {
         if (!(fields.get(key) instanceof List<?> l)) {
-            throw wrong(key, "an array");
+            throw wrongType(key, "an array");
         }
         List<Fields> parts = new ArrayList<>();
         for (int i = 0; i < l.size(); i++) {
@@ -138,7 +138,7 @@
     /** The array's values as fields of their own, in order: {@code key[0]} and on. */
     public Fields elements(String key) {
         if (!(fields.get(key) instanceof List<?> l)) {
-            throw wrong(key, "an array");
+            throw wrongType(key, "an array");
         }
         Map<String, Object> elements = new LinkedHashMap<>();
         for (int i = 0; i < l.size(); i++) {
--- a/settings/src/main/java/dewplank/settings/FileWatch.java
+++ b/settings/src/main/java/dewplank/settings/FileWatch.java
@@ -18,37 +18,39 @@
     private record State(FileTime modified, long size, Object key) {}
 
     private final Path file;
-    private State read;
-    private State seen;
+    private State readState;
+    private State polledState;
 
     /** What the file is now counts as read: make it first and read the file then, lest a change between be missed. */
     public FileWatch(Path file) {
         this.file = file;
-        reading();
+        markRead();
     }
 
     /** The file is about to be read on other grounds: what it is now is no change any more. */
-    public void reading() {
-        read = state();
-        seen = read;
+    public void markRead() {
+        readState = currentState();
+        polledState = readState;
     }
 
     /** Whether the file has changed since it was read, and is whole by now. It then counts as read. */
-    public boolean look() {
-        State now = state();
-        boolean rests = now != null && now.equals(seen);
-        seen = now;
-        if (!rests || now.equals(read)) {
+    public boolean pollChanged() {
+        State now = currentState();
+        boolean isStable = now != null && now.equals(polledState);
+        polledState = now;
+        if (!isStable || now.equals(readState)) {
             return false;
         }
-        read = now;
+        readState = now;
         return true;
     }
 
-    private State state() {
+    private State currentState() {
         try {
-            BasicFileAttributes a = Files.readAttributes(file, BasicFileAttributes.class);
-            return a.isRegularFile() ? new State(a.lastModifiedTime(), a.size(), a.fileKey()) : null;
+            BasicFileAttributes attributes = Files.readAttributes(file, BasicFileAttributes.class);
+            return attributes.isRegularFile()
+                    ? new State(attributes.lastModifiedTime(), attributes.size(), attributes.fileKey())
+                    : null;
         } catch (IOException e) { // missing, or out of reach for now: what was read stays
             return null;
         }
--- a/settings/src/main/java/dewplank/settings/BadInput.java
+++ b/settings/src/main/java/dewplank/settings/InvalidInputException.java
@@ -1,23 +1,23 @@
 package dewplank.settings;
 
 /** Input or configuration that cannot be used. The message is for the person who reads standard error. */
-public final class BadInput extends RuntimeException {
+public final class InvalidInputException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
     private final ResultCode code;
 
-    public BadInput(String message) {
+    public InvalidInputException(String message) {
         this(null, message);
     }
 
-    public BadInput(ResultCode code, String message) {
+    public InvalidInputException(ResultCode code, String message) {
         super(message);
         this.code = code;
     }
 
     /** A fault whose message begins with its number. */
-    public static BadInput of(ResultCode code, String detail) {
-        return new BadInput(code, code.line(detail));
+    public static InvalidInputException of(ResultCode code, String detail) {
+        return new InvalidInputException(code, code.line(detail));
     }
 
     /** What kind of fault it is; null where it has no number. */
@@ -26,7 +26,7 @@
     }
 
     /** The same fault, its message beginning with its number, or with the given one's where it has none. */
-    public BadInput numbered(ResultCode otherwise) {
+    public InvalidInputException numbered(ResultCode otherwise) {
         return of(code == null ? otherwise : code, getMessage());
     }
 }
--- a/settings/src/main/java/dewplank/settings/Json.java
+++ b/settings/src/main/java/dewplank/settings/Json.java
@@ -33,17 +33,17 @@
             JsonReader in = new JsonReader(new StringReader(text));
             in.setStrictness(Strictness.STRICT);
             if (in.peek() != first) {
-                throw new BadInput("expected " + what);
+                throw new InvalidInputException("expected " + what);
             }
             T value = reading.from(in);
             if (in.peek() != JsonToken.END_DOCUMENT) {
-                throw new BadInput("text after the message");
+                throw new InvalidInputException("text after the message");
             }
             return value;
         } catch (MalformedJsonException | EOFException | NumberFormatException e) {
-            throw new BadInput("not JSON");
+            throw new InvalidInputException("not JSON");
         } catch (IOException e) {
-            throw new BadInput("not JSON: " + e.getMessage());
+            throw new InvalidInputException("not JSON: " + e.getMessage());
         }
     }
 
--- a/settings/src/main/java/dewplank/settings/NodeSettings.java
+++ b/settings/src/main/java/dewplank/settings/NodeSettings.java
@@ -23,7 +23,7 @@
  * @param counted       whether the machine's loss is counted
  */
 public record NodeSettings(
-        String node,
+        String nodeName,
         String address,
         String zone,
         InetSocketAddress front,
@@ -32,7 +32,7 @@
         int[] internalPorts,
         List<InetSocketAddress> seeds,
         boolean initialStart,
-        boolean counted,
+        boolean lossCounted,
         Path dataDirectory,
         Resources resources,
         Bounds bounds,
@@ -60,13 +60,13 @@
     public record Platform(InetSocketAddress address, double callsPerSecond, double lagMs) {}
 
     /** Where the file gives no {@code catch_up_s}: the shortest time that any deployment has given so far. */
-    private static final double CATCH_UP_S = 4;
+    private static final double DEFAULT_CATCH_UP_S = 4;
 
-    private static final int MOST_PORT = 65_535;
+    private static final int MAX_PORT = 65_535;
     private static final int BYTES_PER_MB = 1024 * 1024;
-    private static final int DECIMAL = 10;
-    private static final int IP_PARTS = 4;
-    private static final int MOST_IP_PART = 255;
+    private static final int DECIMAL_RADIX = 10;
+    private static final int IP_OCTETS = 4;
+    private static final int MAX_IP_OCTET = 255;
 
     /** Reads the file that the environment names. */
     public static NodeSettings fromEnvironment(Map<String, String> environment) {
@@ -76,7 +76,7 @@
     public static Path path(Map<String, String> environment) {
         String path = environment.get(VARIABLE);
         if (path == null || path.isEmpty()) {
-            throw BadInput.of(
+            throw InvalidInputException.of(
                     ResultCode.VARIABLE_NOT_SET, VARIABLE + " is not set: it holds the path of the settings file");
         }
         return Path.of(path);
@@ -86,22 +86,23 @@
         try {
             return parse(Files.readString(path, StandardCharsets.UTF_8));
         } catch (IOException e) {
-            throw BadInput.of(ResultCode.FILE_UNREADABLE, "the settings file " + path + " can't be read: " + e);
+            throw InvalidInputException.of(
+                    ResultCode.FILE_UNREADABLE, "the settings file " + path + " can't be read: " + e);
         }
     }
 
     public static NodeSettings parse(String text) {
         try {
             return parsed(text);
-        } catch (BadInput e) {
+        } catch (InvalidInputException e) {
             throw e.numbered(ResultCode.NOT_JSON);
         }
     }
 
     private static NodeSettings parsed(String text) {
         Fields f = new Fields(Json.object(text), "");
-        Fields listen = f.needed("listen_addresses");
-        Fields limits = f.needed("limits");
+        Fields listen = f.requireObject("listen_addresses");
+        Fields limits = f.requireObject("limits");
         return new NodeSettings(
                 f.text("node_name"),
                 ip(f),
@@ -116,29 +117,29 @@
                 directory(f),
                 new Resources((int) limits.atLeast("max_file_descriptors", 1), (long)
                         (limits.atLeast("disk_mb", 0, 0) * BYTES_PER_MB)),
-                bounds(f.needed("bounds")),
-                platform(f.needed("platform_api")));
+                bounds(f.requireObject("bounds")),
+                platform(f.requireObject("platform_api")));
     }
 
     /** These settings, which have all that a data plane needs. */
-    public NodeSettings ofDataPlane() {
-        needed(front, "listen_addresses.front", "clients connect there");
-        needed(readiness, "listen_addresses.readiness", "the platform asks there whether clients may come");
+    public NodeSettings requireDataPlaneKeys() {
+        require(front, "listen_addresses.front", "clients connect there");
+        require(readiness, "listen_addresses.readiness", "the platform asks there whether clients may come");
         return this;
     }
 
     /** These settings, which have all that a control plane needs; without a disk, where none need be, it is a relay. */
-    public NodeSettings ofControlPlane() {
-        needed(control, "listen_addresses.control", "operators call there");
-        if (counted) {
-            needed(dataDirectory, "data_directory", "the loss of this machine counts, so it keeps state on a disk");
+    public NodeSettings requireControlPlaneKeys() {
+        require(control, "listen_addresses.control", "operators call there");
+        if (lossCounted) {
+            require(dataDirectory, "data_directory", "the loss of this machine counts, so it keeps state on a disk");
         }
         return this;
     }
 
-    private static void needed(Object value, String key, String why) {
+    private static void require(Object value, String key, String why) {
         if (value == null) {
-            throw BadInput.of(ResultCode.KEY_MISSING, key + " is missing: " + why);
+            throw InvalidInputException.of(ResultCode.KEY_MISSING, key + " is missing: " + why);
         }
     }
 
@@ -156,11 +157,11 @@
                 value = -1;
             } else {
                 right &= c >= '0' && c <= '9';
-                value = Math.max(0, value) * DECIMAL + c - '0';
-                right &= value <= MOST_IP_PART;
+                value = Math.max(0, value) * DECIMAL_RADIX + c - '0';
+                right &= value <= MAX_IP_OCTET;
             }
         }
-        if (!right || value < 0 || parts != IP_PARTS) {
+        if (!right || value < 0 || parts != IP_OCTETS) {
             throw f.outOfRange("ip_address", "an IPv4 address, such as 10.0.0.4");
         }
         return text;
@@ -174,7 +175,7 @@
         Fields range = f.elements("internal_port_range");
         long first = range.integer("internal_port_range[0]");
         long last = range.integer("internal_port_range[1]");
-        if (first < 1 || last > MOST_PORT || last <= first) {
+        if (first < 1 || last > MAX_PORT || last <= first) {
             throw f.outOfRange("internal_port_range", "two ports, the second one higher");
         }
         return new int[] {(int) first, (int) last};
@@ -209,7 +210,7 @@
                 f.atLeast("lease_ms", 0, 3_000),
                 f.positive("contact_ms"),
                 f.atLeast("ack_ms", 0, 4_000),
-                f.atLeast("catch_up_s", 0, CATCH_UP_S) * 1000);
+                f.atLeast("catch_up_s", 0, DEFAULT_CATCH_UP_S) * 1000);
     }
 
     private static Platform platform(Fields f) {
--- a/settings/src/test/java/dewplank/settings/FileWatchTest.java
+++ b/settings/src/test/java/dewplank/settings/FileWatchTest.java
@@ -37,15 +37,15 @@
     }
 
     private void assertToldOnceAtTheSecondLook() {
-        assertFalse("at the first look it may still be written", watch.look());
-        assertTrue(watch.look());
-        assertFalse("told again", watch.look());
+        assertFalse("at the first look it may still be written", watch.pollChanged());
+        assertTrue(watch.pollChanged());
+        assertFalse("told again", watch.pollChanged());
     }
 
     @Test
     public void aFileThatStaysIsNoChange() {
-        assertFalse(watch.look());
-        assertFalse(watch.look());
+        assertFalse(watch.pollChanged());
+        assertFalse(watch.pollChanged());
     }
 
     @Test
@@ -78,7 +78,7 @@
     public void aLinkThatPointsElsewhereIsTold() throws IOException {
         Path link = Files.createSymbolicLink(file.resolveSibling("link"), file);
         watch = new FileWatch(link);
-        assertFalse(watch.look());
+        assertFalse(watch.pollChanged());
         Files.delete(link);
         Path other = file.resolveSibling("other");
         write(other, "other", AT_MS);
@@ -90,24 +90,24 @@
     public void aFileIsNotToldWhileItIsWritten() throws IOException {
         for (int i = 1; i <= 5; i++) {
             write(file, "x".repeat(i), AT_MS + i);
-            assertFalse(watch.look());
+            assertFalse(watch.pollChanged());
         }
-        assertTrue(watch.look());
+        assertTrue(watch.pollChanged());
     }
 
     @Test
     public void whatWasReadMeanwhileIsNotTold() throws IOException {
         write(file, "other", AT_MS + 5);
-        assertFalse(watch.look());
-        watch.reading();
-        assertFalse(watch.look());
-        assertFalse(watch.look());
+        assertFalse(watch.pollChanged());
+        watch.markRead();
+        assertFalse(watch.pollChanged());
+        assertFalse(watch.pollChanged());
     }
 
     @Test
     public void whatChangedSinceTheReadingIsTold() throws IOException {
         write(file, "other", AT_MS + 5);
-        watch.reading();
+        watch.markRead();
         write(file, "third", AT_MS + 6);
         assertToldOnceAtTheSecondLook();
     }
@@ -115,8 +115,8 @@
     @Test
     public void aMissingFileIsNoChangeAndItsReturnIsOneIfItIsAnother() throws IOException {
         Files.delete(file);
-        assertFalse(watch.look());
-        assertFalse(watch.look());
+        assertFalse(watch.pollChanged());
+        assertFalse(watch.pollChanged());
         write(file, "other", AT_MS + 5);
         assertToldOnceAtTheSecondLook();
     }
@@ -125,7 +125,7 @@
     public void aFileThatWasMissingFromTheStartIsToldOnceItIsThere() throws IOException {
         Path later = file.resolveSibling("later");
         watch = new FileWatch(later);
-        assertFalse(watch.look());
+        assertFalse(watch.pollChanged());
         write(later, "first", AT_MS);
         assertToldOnceAtTheSecondLook();
     }
@@ -135,7 +135,7 @@
     public void aPipeIsNeverAChange() throws Exception {
         Files.delete(file);
         assertEquals(0, new ProcessBuilder("mkfifo", file.toString()).start().waitFor());
-        assertFalse(watch.look());
-        assertFalse(watch.look());
+        assertFalse(watch.pollChanged());
+        assertFalse(watch.pollChanged());
     }
 }
--- a/settings/src/test/java/dewplank/settings/NodeSettingsTest.java
+++ b/settings/src/test/java/dewplank/settings/NodeSettingsTest.java
@@ -139,7 +139,7 @@
     }
 
     private static void refused(String text, ResultCode code, String key) {
-        BadInput fault = assertThrows(BadInput.class, () -> NodeSettings.parse(text), key);
+        InvalidInputException fault = assertThrows(InvalidInputException.class, () -> NodeSettings.parse(text), key);
         assertSame(code, fault.code(), fault.getMessage());
         String beginning = code.number() + " " + code + ": " + key;
         assertTrue(fault.getMessage().startsWith(beginning), fault.getMessage());
@@ -150,7 +150,7 @@
     @Test
     void readsTheSample() {
         NodeSettings settings = NodeSettings.parse(sample());
-        assertEquals("node-7", settings.node());
+        assertEquals("node-7", settings.nodeName());
         assertEquals("10.1.0.12", settings.address());
         assertEquals(8144, settings.front().getPort());
         assertEquals(7660, settings.internalPorts()[0]);
@@ -159,8 +159,8 @@
         assertEquals(64L << 20, settings.resources().diskBytes());
         assertEquals(8_000, settings.bounds().graceMs());
         assertEquals(44, settings.platform().callsPerSecond());
-        assertSame(settings, settings.ofDataPlane());
-        assertSame(settings, settings.ofControlPlane());
+        assertSame(settings, settings.requireDataPlaneKeys());
+        assertSame(settings, settings.requireControlPlaneKeys());
     }
 
     @Test
@@ -217,7 +217,8 @@
     @Test
     void saysWhatIsNoJson() {
         for (String text : List.of("", "{", "[]", sample() + "x", "{\"node_name\": nan}")) {
-            BadInput fault = assertThrows(BadInput.class, () -> NodeSettings.parse(text), text);
+            InvalidInputException fault =
+                    assertThrows(InvalidInputException.class, () -> NodeSettings.parse(text), text);
             assertSame(ResultCode.NOT_JSON, fault.code());
             assertTrue(fault.getMessage().startsWith("603 NOT_JSON: "), fault.getMessage());
         }
@@ -225,10 +226,12 @@
 
     @Test
     void saysWhyTheFileCantBeFound() {
-        BadInput unset = assertThrows(BadInput.class, () -> NodeSettings.fromEnvironment(Map.of()));
+        InvalidInputException unset =
+                assertThrows(InvalidInputException.class, () -> NodeSettings.fromEnvironment(Map.of()));
         assertSame(ResultCode.VARIABLE_NOT_SET, unset.code());
-        BadInput absent = assertThrows(
-                BadInput.class, () -> NodeSettings.fromEnvironment(Map.of(NodeSettings.VARIABLE, "no/such/file.json")));
+        InvalidInputException absent = assertThrows(
+                InvalidInputException.class,
+                () -> NodeSettings.fromEnvironment(Map.of(NodeSettings.VARIABLE, "no/such/file.json")));
         assertSame(ResultCode.FILE_UNREADABLE, absent.code());
         assertTrue(absent.getMessage().contains("no/such/file.json"));
     }
@@ -237,29 +240,30 @@
     void eachProgramAsksForWhatItNeeds() {
         for (String key : List.of("listen_addresses.front", "listen_addresses.readiness")) {
             NodeSettings settings = NodeSettings.parse(without(key));
-            BadInput fault = assertThrows(BadInput.class, settings::ofDataPlane);
+            InvalidInputException fault = assertThrows(InvalidInputException.class, settings::requireDataPlaneKeys);
             assertTrue(fault.getMessage().startsWith("604 KEY_MISSING: " + key + " is missing"), fault.getMessage());
-            settings.ofControlPlane();
+            settings.requireControlPlaneKeys();
         }
         for (String key : List.of("listen_addresses.control", "data_directory")) {
             NodeSettings settings = NodeSettings.parse(counted(without(key)));
-            BadInput fault = assertThrows(BadInput.class, settings::ofControlPlane);
+            InvalidInputException fault = assertThrows(InvalidInputException.class, settings::requireControlPlaneKeys);
             assertTrue(fault.getMessage().startsWith("604 KEY_MISSING: " + key + " is missing"), fault.getMessage());
-            settings.ofDataPlane();
+            settings.requireDataPlaneKeys();
         }
     }
 
     /** Where the machine's loss does not count the control plane may do without a disk: it is a relay then. */
     @Test
     void aMachineWhoseLossDoesNotCountNeedsNoDisk() {
-        assertNull(
-                NodeSettings.parse(without("data_directory")).ofControlPlane().dataDirectory());
+        assertNull(NodeSettings.parse(without("data_directory"))
+                .requireControlPlaneKeys()
+                .dataDirectory());
     }
 
     /** The same settings of a machine whose loss counts. */
     private static String counted(String text) {
         String counted = text.replaceAll("\"loss_counted\":\\s*false", "\"loss_counted\":true");
-        assertTrue(NodeSettings.parse(counted).counted());
+        assertTrue(NodeSettings.parse(counted).lossCounted());
         return counted;
     }
 
@@ -269,11 +273,16 @@
         Fields fields = new Fields(Map.of("a", -1L), "configuration key ");
         assertEquals(
                 "configuration key b is missing",
-                assertThrows(BadInput.class, () -> fields.text("b")).getMessage());
+                assertThrows(InvalidInputException.class, () -> fields.text("b"))
+                        .getMessage());
         assertEquals(
                 "configuration key a should be a number above 0",
-                assertThrows(BadInput.class, () -> fields.positive("a")).getMessage());
-        assertNull(new BadInput("x").code());
-        assertFalse(new BadInput("x").numbered(ResultCode.NOT_JSON).getMessage().equals("x"));
+                assertThrows(InvalidInputException.class, () -> fields.positive("a"))
+                        .getMessage());
+        assertNull(new InvalidInputException("x").code());
+        assertFalse(new InvalidInputException("x")
+                .numbered(ResultCode.NOT_JSON)
+                .getMessage()
+                .equals("x"));
     }
 }
--- a/sidecar/src/main/java/dewplank/discovery/Watch.java
+++ b/sidecar/src/main/java/dewplank/discovery/Watch.java
@@ -5,8 +5,8 @@
 import dewplank.http.ResponseParser;
 import dewplank.net.Connection;
 import dewplank.net.EventLoop;
-import dewplank.net.Wheel;
-import dewplank.settings.BadInput;
+import dewplank.net.TimerWheel;
+import dewplank.settings.InvalidInputException;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -36,7 +36,7 @@
     private final ByteArrayOutputStream partial = new ByteArrayOutputStream();
     private Connection.Connecting connecting;
     private Connection connection;
-    private Wheel.Timer silence;
+    private TimerWheel.Timer silence;
     private int depth;
     private boolean inString;
     private boolean escaped;
@@ -84,7 +84,7 @@
         heard();
         try {
             boolean whole = parser.feed(bytes);
-            if (parser.headRead() && parser.status() != 200) {
+            if (parser.isHeadRead() && parser.status() != 200) {
                 end("answered " + parser.status());
                 return;
             }
@@ -92,7 +92,7 @@
             if (whole) {
                 end("discovery ended it");
             }
-        } catch (BadMessageException | BadInput e) {
+        } catch (BadMessageException | InvalidInputException e) {
             end(e.getMessage());
         }
     }
--- a/sidecar/src/main/java/dewplank/peers/Peers.java
+++ b/sidecar/src/main/java/dewplank/peers/Peers.java
@@ -1,7 +1,7 @@
 package dewplank.peers;
 
 import dewplank.net.EventLoop;
-import dewplank.settings.BadInput;
+import dewplank.settings.InvalidInputException;
 import dewplank.sidecar.config.PeerAddresses;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -81,7 +81,7 @@
             selector = Selector.open();
             channel.register(selector, SelectionKey.OP_READ);
         } catch (IOException e) {
-            throw new BadInput(
+            throw new InvalidInputException(
                     "configuration key peer_listen: cannot listen on " + addresses.listen() + ": " + e.getMessage());
         }
         thread = new Thread(this::receive, "peers");
--- a/sidecar/src/main/java/dewplank/sidecar/Attempt.java
+++ b/sidecar/src/main/java/dewplank/sidecar/Attempt.java
@@ -8,7 +8,7 @@
 import dewplank.http.ResponseParser;
 import dewplank.net.Connection;
 import dewplank.net.EventLoop;
-import dewplank.net.Wheel;
+import dewplank.net.TimerWheel;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -30,13 +30,13 @@
     private final ByteBuffer request;
     private final BooleanSupplier wanted;
     private final Ended whenEnded;
-    private final ResponseParser parser = new ResponseParser(MessageParser.MAX_BODY);
+    private final ResponseParser parser = new ResponseParser(MessageParser.MAX_BODY_BYTES);
     private final double started;
     private Connection connection;
     private Connection.Connecting connecting;
-    private Wheel.Timer timeout;
-    private Wheel.Timer connectTimeout;
-    private Wheel.Timer writeTimeout;
+    private TimerWheel.Timer timeout;
+    private TimerWheel.Timer connectTimeout;
+    private TimerWheel.Timer writeTimeout;
     private double writeBy;
     private boolean over;
 
--- a/sidecar/src/main/java/dewplank/sidecar/ClientConnection.java
+++ b/sidecar/src/main/java/dewplank/sidecar/ClientConnection.java
@@ -49,7 +49,7 @@
     @Override
     public void received(ByteBuffer bytes) {
         heard = true;
-        if (!busy && answered && !parser.begun()) {
+        if (!busy && answered && !parser.hasBegun()) {
             waitsSince = sidecar.loop().now();
         }
         try {
@@ -76,7 +76,7 @@
 
     /** Whether it is still there could not be seen any more, and its request must not be sent on without it. */
     @Override
-    public void sentTooMuchAhead() {
+    public void readAheadExceeded() {
         reject(new BadMessageException(400, "too much was sent ahead of an answer"));
     }
 
@@ -190,7 +190,7 @@
         parser.reset();
         if (last) {
             sidecar.left(this);
-            connection.finish();
+            connection.closeGracefully();
         } else {
             busy = false;
             connection.resume();
@@ -209,7 +209,7 @@
 
     /** Whether it waits between requests, having had an answer. */
     boolean idle() {
-        return answered && !parser.begun();
+        return answered && !parser.hasBegun();
     }
 
     /**
@@ -222,7 +222,7 @@
 
     /** No request became whole in time; one that has begun is owed its error. */
     void giveUp() {
-        if (parser.begun()) {
+        if (parser.hasBegun()) {
             reject(new BadMessageException(408, "the request did not become whole in time"));
         } else {
             sidecar.left(this);
@@ -232,9 +232,9 @@
 
     /** Ends the connection if no request is being answered on it, nor read, unless {@code unread} gives those up. */
     void endIfIdle(boolean unread) {
-        if (!busy && (unread || !parser.begun())) {
+        if (!busy && (unread || !parser.hasBegun())) {
             sidecar.left(this);
-            connection.finish();
+            connection.closeGracefully();
         }
     }
 }
--- a/sidecar/src/main/java/dewplank/sidecar/ClientRequest.java
+++ b/sidecar/src/main/java/dewplank/sidecar/ClientRequest.java
@@ -1,7 +1,7 @@
 package dewplank.sidecar;
 
 import dewplank.http.Headers;
-import dewplank.net.Wheel;
+import dewplank.net.TimerWheel;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -27,7 +27,7 @@
     final List<Attempt> attempts = new ArrayList<>();
     int out;
     boolean over;
-    Wheel.Timer lastResort;
+    TimerWheel.Timer lastResort;
 
     ClientRequest(long id, Content content, double deadline, Answerer answerer) {
         this.id = id;
--- a/sidecar/src/main/java/dewplank/sidecar/Host.java
+++ b/sidecar/src/main/java/dewplank/sidecar/Host.java
@@ -353,7 +353,7 @@
     private ConnectionPool pool(String server) {
         double limit = settings.limits().idleTimeoutMs();
         double most = limit > 0 ? IDLE_SHARE * limit : Double.POSITIVE_INFINITY;
-        return pools.computeIfAbsent(server, id -> new ConnectionPool(loop, ConnectionPool.REST_MS, most));
+        return pools.computeIfAbsent(server, id -> new ConnectionPool(loop, ConnectionPool.REUSE_DELAY_MS, most));
     }
 
     private void send(Send a) {
@@ -461,7 +461,7 @@
 
     /** Idle connections go before the server closes them: a request that crossed that close would be reset. */
     private void sweep() {
-        pools.values().forEach(ConnectionPool::closeOld);
+        pools.values().forEach(ConnectionPool::closeExpired);
         loop.after(SWEEP_MS, this::sweep);
     }
 }
--- a/sidecar/src/main/java/dewplank/sidecar/Sidecar.java
+++ b/sidecar/src/main/java/dewplank/sidecar/Sidecar.java
@@ -4,7 +4,7 @@
 import dewplank.balancer.adaptive.AdaptiveBalancer;
 import dewplank.net.EventLoop;
 import dewplank.net.Listener;
-import dewplank.settings.BadInput;
+import dewplank.settings.InvalidInputException;
 import dewplank.sidecar.config.SidecarConfig;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -74,7 +74,8 @@
             return new Listener(loop, config.listen(), mostClients, () -> new ClientConnection(host, this));
         } catch (IOException e) {
             loop.stop();
-            throw new BadInput("configuration key listen: cannot listen on " + config.listen() + ": " + e.getMessage());
+            throw new InvalidInputException(
+                    "configuration key listen: cannot listen on " + config.listen() + ": " + e.getMessage());
         }
     }
 
@@ -193,7 +194,7 @@
         boolean unread = loop.now() >= readUntil;
         endIdle(unread);
         // What is finishing counts too: the program's end would reset a connection on which bytes have come meanwhile.
-        if (clients.isEmpty() && host.requestsOpen() == 0 && !listener.anyOpen()) {
+        if (clients.isEmpty() && host.requestsOpen() == 0 && !listener.hasOpenConnections()) {
             host.close();
             LOG.log(System.Logger.Level.INFO, "drained");
             loop.after(LOOK_MS, drained::countDown); // the last answers are on their way out
@@ -230,7 +231,7 @@
      * bound, and shut out those that have a request. Idle ones are let be while there is room.
      */
     void endWaiting(double now) {
-        boolean full = listener.full();
+        boolean full = listener.isFull();
         boolean roomy = roomy();
         for (ClientConnection c : new ArrayList<>(clients)) {
             double most = c.idle() && roomy ? ROOMY_IDLE_MS : c.silent() && full ? SILENT_MS : WHOLE_MS;
@@ -250,7 +251,7 @@
 
     /** Whether nothing is kept any more of any request, attempt or connection. */
     boolean holdsNothing() {
-        return host.holdsNothing() && clients.isEmpty() && !listener.anyOpen();
+        return host.holdsNothing() && clients.isEmpty() && !listener.hasOpenConnections();
     }
 
     /** Of how many open clients' connections anything has been read. */
--- a/sidecar/src/main/java/dewplank/sidecar/config/PeerAddresses.java
+++ b/sidecar/src/main/java/dewplank/sidecar/config/PeerAddresses.java
@@ -21,12 +21,12 @@
         InetSocketAddress listen = peer(c, "peer_listen");
         Fields elements = c.elements("peers");
         if (elements.keys().size() > MOST) {
-            throw c.wrong("peers", "an array of " + MOST + " addresses at the most");
+            throw c.wrongType("peers", "an array of " + MOST + " addresses at the most");
         }
         Set<InetSocketAddress> peers = new LinkedHashSet<>();
         for (String key : elements.keys()) {
             if (!peers.add(peer(elements, key))) {
-                throw elements.wrong(key, "another address than those before it");
+                throw elements.wrongType(key, "another address than those before it");
             }
         }
         return new PeerAddresses(
@@ -43,7 +43,7 @@
         boolean shared = (ip[0] & 0xff) == 100 && (ip[1] & 0xc0) == 64;
         boolean own = at.getAddress().isLoopbackAddress() || at.getAddress().isSiteLocalAddress() || shared;
         if (ip.length != 4 || !own) {
-            throw c.wrong(key, "an IPv4 address of a private network or of loopback");
+            throw c.wrongType(key, "an IPv4 address of a private network or of loopback");
         }
         return at;
     }
--- a/sidecar/src/main/java/dewplank/sidecar/config/SidecarConfig.java
+++ b/sidecar/src/main/java/dewplank/sidecar/config/SidecarConfig.java
@@ -2,8 +2,8 @@
 
 import dewplank.balancer.Settings;
 import dewplank.settings.Addresses;
-import dewplank.settings.BadInput;
 import dewplank.settings.Fields;
+import dewplank.settings.InvalidInputException;
 import dewplank.settings.Json;
 import java.io.IOException;
 import java.io.InputStream;
@@ -61,7 +61,7 @@
                     c.settings,
                     null); // any port that is free
         } catch (IOException e) {
-            throw new BadInput("rehearsal.json: " + e.getMessage());
+            throw new InvalidInputException("rehearsal.json: " + e.getMessage());
         }
     }
 
@@ -69,12 +69,12 @@
     public static Path file(Map<String, String> environment) {
         String file = environment.get("GW_CONFIG");
         if (file == null || file.isEmpty()) {
-            throw new BadInput("environment variable GW_CONFIG is missing");
+            throw new InvalidInputException("environment variable GW_CONFIG is missing");
         }
         try {
             return Path.of(file);
         } catch (InvalidPathException e) {
-            throw new BadInput("GW_CONFIG: cannot read " + file + ": " + e.getMessage());
+            throw new InvalidInputException("GW_CONFIG: cannot read " + file + ": " + e.getMessage());
         }
     }
 
@@ -84,11 +84,11 @@
         try {
             object = new LinkedHashMap<>(Json.object(Files.readString(file)));
         } catch (NoSuchFileException e) {
-            throw new BadInput("GW_CONFIG: there is no file " + file);
+            throw new InvalidInputException("GW_CONFIG: there is no file " + file);
         } catch (IOException e) {
-            throw new BadInput("GW_CONFIG: cannot read " + file + ": " + e.getMessage());
-        } catch (BadInput e) {
-            throw new BadInput("GW_CONFIG: " + file + ": " + e.getMessage());
+            throw new InvalidInputException("GW_CONFIG: cannot read " + file + ": " + e.getMessage());
+        } catch (InvalidInputException e) {
+            throw new InvalidInputException("GW_CONFIG: " + file + ": " + e.getMessage());
         }
         above.forEach((variable, key) -> {
             String value = environment.get(variable);
@@ -102,14 +102,14 @@
     static SidecarConfig of(Fields c) {
         int sockets = (int) c.part("limits").number("sockets", DEFAULT_SOCKETS);
         if (sockets < LEAST_SOCKETS) {
-            throw c.part("limits").wrong("sockets", "at least " + LEAST_SOCKETS);
+            throw c.part("limits").wrongType("sockets", "at least " + LEAST_SOCKETS);
         }
         String name = c.text("name");
         InetSocketAddress listen = Addresses.parse(c, "listen");
         InetSocketAddress discovery = Addresses.parse(c, "discovery");
         long seed = seed(c);
-        Fields known = c.needed("known");
-        Settings settings = Params.settings(c.needed("settings"));
+        Fields known = c.requireObject("known");
+        Settings settings = Params.settings(c.requireObject("settings"));
         return new SidecarConfig(
                 name,
                 listen,
@@ -125,7 +125,7 @@
         try {
             return Long.parseUnsignedLong(c.text("seed"), 16);
         } catch (NumberFormatException e) {
-            throw c.wrong("seed", "a hexadecimal number of 64 bits at the most");
+            throw c.wrongType("seed", "a hexadecimal number of 64 bits at the most");
         }
     }
 }
--- a/sidecar/src/main/java/dewplank/simhost/Message.java
+++ b/sidecar/src/main/java/dewplank/simhost/Message.java
@@ -1,6 +1,6 @@
 package dewplank.simhost;
 
-import dewplank.settings.BadInput;
+import dewplank.settings.InvalidInputException;
 import dewplank.settings.Json;
 import java.util.List;
 import java.util.Map;
@@ -11,7 +11,7 @@
     static Message of(String line) {
         List<Object> values = Json.array(line);
         if (values.isEmpty() || !(values.get(0) instanceof String name)) {
-            throw new BadInput("a message starts with its name");
+            throw new InvalidInputException("a message starts with its name");
         }
         return new Message(name, values);
     }
@@ -23,7 +23,7 @@
     private <T> T need(int i, Class<T> type, String what) {
         Object value = at(i);
         if (!type.isInstance(value)) {
-            throw new BadInput(name + ": value " + i + " should be " + what);
+            throw new InvalidInputException(name + ": value " + i + " should be " + what);
         }
         return type.cast(value);
     }
@@ -43,7 +43,7 @@
     int small(int i) {
         long value = integer(i);
         if (value < 0 || value > Integer.MAX_VALUE) {
-            throw new BadInput(name + ": value " + i + " is out of range");
+            throw new InvalidInputException(name + ": value " + i + " is out of range");
         }
         return (int) value;
     }
@@ -78,7 +78,7 @@
                     if (v instanceof Number n) {
                         return n.doubleValue();
                     }
-                    throw new BadInput(name + ": value " + i + " should hold numbers");
+                    throw new InvalidInputException(name + ": value " + i + " should hold numbers");
                 })
                 .toArray();
     }
--- a/sidecar/src/main/java/dewplank/simhost/Wire.java
+++ b/sidecar/src/main/java/dewplank/simhost/Wire.java
@@ -26,8 +26,8 @@
 import dewplank.balancer.Event.UpdateKind;
 import dewplank.balancer.Outcome;
 import dewplank.balancer.adaptive.AdaptiveBalancer;
-import dewplank.settings.BadInput;
 import dewplank.settings.Fields;
+import dewplank.settings.InvalidInputException;
 import dewplank.sidecar.config.Params;
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -102,21 +102,21 @@
                 }
             }
             if (inBatch) {
-                throw new BadInput("input ends inside a batch");
+                throw new InvalidInputException("input ends inside a batch");
             }
-        } catch (BadInput e) {
-            throw new BadInput("line " + line + ": " + e.getMessage());
+        } catch (InvalidInputException e) {
+            throw new InvalidInputException("line " + line + ": " + e.getMessage());
         }
     }
 
     private void take(Message m) throws IOException {
         if (inBatch == m.name().equals("TURN")) {
-            throw new BadInput(inBatch ? "TURN inside a batch" : m.name() + " outside a batch");
+            throw new InvalidInputException(inBatch ? "TURN inside a batch" : m.name() + " outside a batch");
         }
         switch (m.name()) {
             case "TURN" -> {
                 if (m.number(1) < clock) {
-                    throw new BadInput("TURN: the clock went back");
+                    throw new InvalidInputException("TURN: the clock went back");
                 }
                 clock = m.number(1);
                 batch = m.integer(2);
@@ -134,7 +134,7 @@
                             Params.settings(new Fields(m.object(3), "setting ")), new SplittableRandom(m.integer(2))));
             case "KILLED" -> {
                 if (instances.remove(m.small(1)) == null) {
-                    throw new BadInput("KILLED: no instance " + m.small(1));
+                    throw new InvalidInputException("KILLED: no instance " + m.small(1));
                 }
             }
             default -> deliver(m);
@@ -146,7 +146,7 @@
         int id = m.small(1);
         Balancer balancer = instances.get(id);
         if (balancer == null) {
-            throw new BadInput(m.name() + ": no instance " + id);
+            throw new InvalidInputException(m.name() + ": no instance " + id);
         }
         List<Action> actions = new ArrayList<>();
         try {
@@ -167,7 +167,7 @@
                 UpdateKind form = word(FORMS, m, 4);
                 List<Endpoint> entries = form == UpdateKind.BROKEN ? List.of() : lists.get(slot(m, 2));
                 if (entries == null) {
-                    throw new BadInput("VIEW: no list in slot " + m.small(2));
+                    throw new InvalidInputException("VIEW: no list in slot " + m.small(2));
                 }
                 yield new EndpointUpdate(form, entries);
             }
@@ -198,7 +198,7 @@
             case "PROBE_DONE" -> new HealthChecked(
                     m.text(3), word(OUTCOMES, m, 2) == Outcome.SERVED, m.number(4), m.numbersOrNull(5));
             case "NEIGHBOUR_SAYS" -> new PeerSummaryReceived(m.small(2), bytes(m, 3));
-            default -> throw new BadInput("unknown message " + m.name());
+            default -> throw new InvalidInputException("unknown message " + m.name());
         };
     }
 
@@ -246,7 +246,7 @@
     private static int slot(Message m, int i) {
         int slot = m.small(i);
         if (slot >= SLOTS) {
-            throw new BadInput(m.name() + ": slot " + slot + " is out of range");
+            throw new InvalidInputException(m.name() + ": slot " + slot + " is out of range");
         }
         return slot;
     }
@@ -254,7 +254,7 @@
     private static <T> T word(Map<String, T> words, Message m, int i) {
         T meaning = words.get(m.text(i));
         if (meaning == null) {
-            throw new BadInput(m.name() + ": unknown word " + m.text(i));
+            throw new InvalidInputException(m.name() + ": unknown word " + m.text(i));
         }
         return meaning;
     }
@@ -263,7 +263,7 @@
         try {
             return Base64.getDecoder().decode(m.text(i));
         } catch (IllegalArgumentException e) {
-            throw new BadInput(m.name() + ": value " + i + " is not base64");
+            throw new InvalidInputException(m.name() + ": value " + i + " is not base64");
         }
     }
 
@@ -271,7 +271,7 @@
         Map<String, Endpoint> entries = new LinkedHashMap<>();
         for (Object row : rows) {
             if (!(row instanceof List<?> values)) {
-                throw new BadInput("SNAPSHOT_ROWS: an entry should be an array");
+                throw new InvalidInputException("SNAPSHOT_ROWS: an entry should be an array");
             }
             List<Object> named = new ArrayList<>(values);
             named.add(0, "SNAPSHOT_ROWS entry");
--- a/sidecar/src/test/java/dewplank/peers/PeersTest.java
+++ b/sidecar/src/test/java/dewplank/peers/PeersTest.java
@@ -7,7 +7,7 @@
 import static org.junit.Assert.assertTrue;
 
 import dewplank.net.EventLoop;
-import dewplank.settings.BadInput;
+import dewplank.settings.InvalidInputException;
 import dewplank.sidecar.config.PeerAddresses;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
@@ -150,7 +150,7 @@
     @Test
     public void anAddressInUseIsNamed() throws Exception {
         PeerAddresses taken = new PeerAddresses(at(one), List.of(), null);
-        assertTrue(assertThrows(BadInput.class, () -> new Peers(loop, taken, 0, b -> true, (p, b) -> {}))
+        assertTrue(assertThrows(InvalidInputException.class, () -> new Peers(loop, taken, 0, b -> true, (p, b) -> {}))
                 .getMessage()
                 .startsWith("configuration key peer_listen: cannot listen on /127.0.0.1:"));
     }
--- a/sidecar/src/test/java/dewplank/sidecar/Gate.java
+++ b/sidecar/src/test/java/dewplank/sidecar/Gate.java
@@ -66,7 +66,7 @@
     /** Until the connections to servers that are idle now may be used again. */
     static void awaitRest(Loopback net) throws Exception {
         CountDownLatch rested = new CountDownLatch(1);
-        onLoop(net, () -> net.sidecar.loop().after(ConnectionPool.REST_MS, rested::countDown));
+        onLoop(net, () -> net.sidecar.loop().after(ConnectionPool.REUSE_DELAY_MS, rested::countDown));
         rested.await();
     }
 }
--- a/sidecar/src/test/java/dewplank/sidecar/config/SidecarConfigTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/config/SidecarConfigTest.java
@@ -3,8 +3,8 @@
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertThrows;
 
-import dewplank.settings.BadInput;
 import dewplank.settings.Fields;
+import dewplank.settings.InvalidInputException;
 import dewplank.settings.Json;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -16,7 +16,9 @@
 public class SidecarConfigTest {
 
     private static String complaint(String json) {
-        return assertThrows(BadInput.class, () -> SidecarConfig.of(new Fields(Json.object(json), "configuration key ")))
+        return assertThrows(
+                        InvalidInputException.class,
+                        () -> SidecarConfig.of(new Fields(Json.object(json), "configuration key ")))
                 .getMessage();
     }
 
@@ -42,11 +44,12 @@
         Fields none = new Fields(Json.object("{\"Me\":0,\"ReplicasOfMe\":0}"), "setting ");
         assertEquals(
                 "setting ReplicasOfMe should be a number above 0",
-                assertThrows(BadInput.class, () -> Params.settings(none)).getMessage());
+                assertThrows(InvalidInputException.class, () -> Params.settings(none))
+                        .getMessage());
         Fields word = new Fields(Json.object("{\"a\":\"x\"}"), "setting ");
         assertEquals(
                 "setting a should be one of left, right",
-                assertThrows(BadInput.class, () -> word.choice("a", Map.of("right", 1, "left", 2)))
+                assertThrows(InvalidInputException.class, () -> word.choice("a", Map.of("right", 1, "left", 2)))
                         .getMessage());
     }
 
@@ -54,7 +57,7 @@
     public void anEnvironmentWithoutAFileIsNamed() {
         assertEquals(
                 "environment variable GW_CONFIG is missing",
-                assertThrows(BadInput.class, () -> SidecarConfig.fromEnvironment(Map.of()))
+                assertThrows(InvalidInputException.class, () -> SidecarConfig.fromEnvironment(Map.of()))
                         .getMessage());
     }
 
@@ -89,7 +92,7 @@
     @Test
     public void whatIsNotStrictJsonIsRefused() {
         for (String text : new String[] {"{a:1}", "{\"a\":NaN}", "{\"a\":1}x", "{\"a\":1", "", "[1]"}) {
-            assertThrows(text, BadInput.class, () -> Json.object(text));
+            assertThrows(text, InvalidInputException.class, () -> Json.object(text));
         }
     }
 
--- a/sidecar/src/test/java/dewplank/simhost/WireTest.java
+++ b/sidecar/src/test/java/dewplank/simhost/WireTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dewplank.settings.BadInput;
+import dewplank.settings.InvalidInputException;
 import java.io.IOException;
 import java.io.StringReader;
 import java.io.StringWriter;
@@ -35,7 +35,7 @@
     }
 
     private static String complaint(String input) {
-        return assertThrows(BadInput.class, () -> run(input)).getMessage();
+        return assertThrows(InvalidInputException.class, () -> run(input)).getMessage();
     }
 
     @Test
--- a/transport/src/main/java/dewplank/exchange/ConnectionPool.java
+++ b/transport/src/main/java/dewplank/exchange/ConnectionPool.java
@@ -15,33 +15,33 @@
      * A connection rests so long before its next request: a second answer to the last one, which some servers send,
      * would else be taken for the next one's. Seen 1 to 8 ms after the first.
      */
-    public static final double REST_MS = 10;
+    public static final double REUSE_DELAY_MS = 10;
 
-    private record Idle(Connection connection, InetSocketAddress to, double since, double until) {}
+    private record Idle(Connection connection, InetSocketAddress to, double idleSince, double closeAt) {}
 
     private final Scheduler loop;
-    private final double restMs;
-    private final double mostIdleMs;
+    private final double reuseDelayMs;
+    private final double maxIdleMs;
     private final Deque<Idle> idle = new ArrayDeque<>();
     private boolean closed;
 
     /** A connection is used again that has been idle for so long at the least and at the most. */
-    public ConnectionPool(Scheduler loop, double restMs, double mostIdleMs) {
+    public ConnectionPool(Scheduler loop, double reuseDelayMs, double maxIdleMs) {
         this.loop = loop;
-        this.restMs = restMs;
-        this.mostIdleMs = mostIdleMs;
+        this.reuseDelayMs = reuseDelayMs;
+        this.maxIdleMs = maxIdleMs;
     }
 
     /** An idle connection to that address, or null. Those to an address that the server has left are closed. */
     public Connection take(InetSocketAddress to) {
-        closeOld();
-        double restedSince = loop.now() - restMs;
+        closeExpired();
+        double reusableIfIdleSince = loop.now() - reuseDelayMs;
         for (Iterator<Idle> i = idle.descendingIterator(); i.hasNext(); ) {
             Idle entry = i.next();
             if (entry.connection().isClosed() || !entry.to().equals(to)) {
                 i.remove();
                 entry.connection().close();
-            } else if (entry.since() <= restedSince) {
+            } else if (entry.idleSince() <= reusableIfIdleSince) {
                 i.remove();
                 return entry.connection();
             }
@@ -50,12 +50,12 @@
     }
 
     /** Guards against a request that crosses the server's own close, and ends as a reset. */
-    public void closeOld() {
+    public void closeExpired() {
         double now = loop.now();
-        closeIdleBefore(now - mostIdleMs);
+        closeIdleBefore(now - maxIdleMs);
         for (Iterator<Idle> i = idle.iterator(); i.hasNext(); ) {
             Idle entry = i.next();
-            if (entry.until() <= now) {
+            if (entry.closeAt() <= now) {
                 i.remove();
                 entry.connection().close();
             }
@@ -100,7 +100,7 @@
     }
 
     public void closeIdleBefore(double time) {
-        while (!idle.isEmpty() && idle.peekFirst().since() <= time) {
+        while (!idle.isEmpty() && idle.peekFirst().idleSince() <= time) {
             closeOldest();
         }
     }
--- a/transport/src/main/java/dewplank/exchange/HttpCall.java
+++ b/transport/src/main/java/dewplank/exchange/HttpCall.java
@@ -5,7 +5,7 @@
 import dewplank.http.ResponseParser;
 import dewplank.net.Connection;
 import dewplank.net.EventLoop;
-import dewplank.net.Wheel;
+import dewplank.net.TimerWheel;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -45,33 +45,33 @@
         void failed(Failure failure);
     }
 
-    private static final double IDLE_DEFAULT_MS = 1_000; // for servers that do not say how long they wait
-    private static final double IDLE_PART = 0.8; // of the time that a server states
-    private static final int ANY_LENGTH = Integer.MAX_VALUE;
+    private static final double DEFAULT_IDLE_MS = 1_000; // for servers that do not say how long they wait
+    private static final double STATED_IDLE_FACTOR = 0.8; // of the time that a server states
+    private static final int UNBOUNDED_BODY_BYTES = Integer.MAX_VALUE;
 
     private final EventLoop loop;
     private final InetSocketAddress to;
     private final ConnectionPool pool;
     private final ByteBuffer request;
-    private final int begin;
+    private final int requestStart;
     private final Listener listener;
-    private final ResponseParser parser = new ResponseParser(ANY_LENGTH);
+    private final ResponseParser parser = new ResponseParser(UNBOUNDED_BODY_BYTES);
     private Connection connection;
     private Connection.Connecting connecting;
-    private Wheel.Timer connectTimeout;
-    private boolean headTaken;
-    private boolean passedOver;
-    private boolean reused;
-    private boolean over;
-    private boolean alone;
-    private BooleanSupplier wanted = () -> true;
+    private TimerWheel.Timer connectTimeout;
+    private boolean headDelivered;
+    private boolean skippingAnswer;
+    private boolean isReused;
+    private boolean isOver;
+    private boolean exclusive;
+    private BooleanSupplier sendCondition = () -> true;
 
     public HttpCall(EventLoop loop, InetSocketAddress to, ConnectionPool pool, ByteBuffer request, Listener listener) {
         this.loop = loop;
         this.to = to;
         this.pool = pool;
         this.request = request;
-        this.begin = request.position();
+        this.requestStart = request.position();
         this.listener = listener;
     }
 
@@ -79,8 +79,8 @@
      * The call gets a connection of its own that carries no other, before or after: for calls whose answers nothing
      * tells from those of another one. To be said before the start.
      */
-    public HttpCall alone() {
-        alone = true;
+    public HttpCall exclusive() {
+        exclusive = true;
         return this;
     }
 
@@ -92,9 +92,9 @@
 
     /** Takes an idle connection, or opens one within so many milliseconds. */
     public void start(double connectTimeoutMs) {
-        Connection idle = alone ? null : pool.take(to);
+        Connection idle = exclusive ? null : pool.take(to);
         if (idle != null) {
-            reused = true;
+            isReused = true;
             idle.setHandler(this);
             up(idle);
             return;
@@ -104,8 +104,8 @@
     }
 
     /** Asked when the connection is there, immediately before the request is written: whether it still may be. */
-    public HttpCall onlyIf(BooleanSupplier condition) {
-        wanted = condition;
+    public HttpCall sendOnlyIf(BooleanSupplier condition) {
+        sendCondition = condition;
         return this;
     }
 
@@ -115,7 +115,7 @@
         if (connectTimeout != null) {
             connectTimeout.cancel();
         }
-        if (!wanted.getAsBoolean()) {
+        if (!sendCondition.getAsBoolean()) {
             fail(Failure.NOT_SENT);
             return;
         }
@@ -123,17 +123,17 @@
     }
 
     /** Whether the connection had carried another call before. */
-    public boolean reused() {
-        return reused;
+    public boolean isReused() {
+        return isReused;
     }
 
     /** Whether a connection is there; before, nothing can have been sent, and from then on the server may read. */
-    public boolean connected() {
+    public boolean isConnected() {
         return connection != null;
     }
 
     /** Whether the request's last byte has been handed to the system. */
-    public boolean sent() {
+    public boolean isSent() {
         return connection != null && !request.hasRemaining();
     }
 
@@ -141,23 +141,23 @@
      * Whether any byte of the request has been handed to the system. Exact once the connection is closed, as closing
      * waits for a write in progress.
      */
-    private boolean begun() {
-        return request.position() > begin;
+    private boolean hasBegunSending() {
+        return request.position() > requestStart;
     }
 
-    public boolean over() {
-        return over;
+    public boolean isOver() {
+        return isOver;
     }
 
     @Override
     public void received(ByteBuffer bytes) {
         try {
-            while (!over && bytes.hasRemaining()) {
-                boolean whole = parser.feed(bytes);
-                takeHead();
-                takeBody();
-                if (whole && !over) {
-                    whole(bytes);
+            while (!isOver && bytes.hasRemaining()) {
+                boolean isComplete = parser.feed(bytes);
+                deliverHead();
+                deliverBody();
+                if (isComplete && !isOver) {
+                    answerComplete(bytes);
                 }
             }
         } catch (BadMessageException e) {
@@ -165,26 +165,26 @@
         }
     }
 
-    private void takeHead() {
-        if (!headTaken && parser.headRead() && !over) {
-            headTaken = true;
-            passedOver = !listener.head(parser.status(), parser.headers());
+    private void deliverHead() {
+        if (!headDelivered && parser.isHeadRead() && !isOver) {
+            headDelivered = true;
+            skippingAnswer = !listener.head(parser.status(), parser.headers());
         }
     }
 
-    private void takeBody() {
-        if (headTaken && !over) {
+    private void deliverBody() {
+        if (headDelivered && !isOver) {
             byte[] piece = parser.takeBody();
-            if (piece.length > 0 && !passedOver) {
+            if (piece.length > 0 && !skippingAnswer) {
                 listener.body(piece);
             }
         }
     }
 
-    private void whole(ByteBuffer rest) {
-        if (passedOver) {
-            headTaken = false;
-            passedOver = false;
+    private void answerComplete(ByteBuffer unread) {
+        if (skippingAnswer) {
+            headDelivered = false;
+            skippingAnswer = false;
             if (!parser.keepAlive()) {
                 fail(Failure.BROKEN);
                 return;
@@ -192,13 +192,13 @@
             parser.reset();
             return;
         }
-        finish(parser.keepAlive() && !rest.hasRemaining());
+        finish(parser.keepAlive() && !unread.hasRemaining());
     }
 
     private void finish(boolean reusable) {
-        over = true;
+        isOver = true;
         cancelTimers();
-        if (reusable && !alone && !request.hasRemaining()) {
+        if (reusable && !exclusive && !request.hasRemaining()) {
             pool.put(connection, to, idleMs());
         } else {
             connection.close();
@@ -210,40 +210,40 @@
         String stated = parser.headers().get("Keep-Alive");
         int at = stated == null ? -1 : stated.indexOf("timeout=");
         if (at < 0) {
-            return IDLE_DEFAULT_MS;
+            return DEFAULT_IDLE_MS;
         }
-        String rest = stated.substring(at + "timeout=".length()).strip();
+        String unread = stated.substring(at + "timeout=".length()).strip();
         int end = 0;
-        while (end < rest.length() && end < 6 && Character.isDigit(rest.charAt(end))) {
+        while (end < unread.length() && end < 6 && Character.isDigit(unread.charAt(end))) {
             end++;
         }
-        return end == 0 ? IDLE_DEFAULT_MS : IDLE_PART * 1000 * Integer.parseInt(rest.substring(0, end));
+        return end == 0 ? DEFAULT_IDLE_MS : STATED_IDLE_FACTOR * 1000 * Integer.parseInt(unread.substring(0, end));
     }
 
     @Override
     public void closed(IOException why) {
-        if (over) {
+        if (isOver) {
             return;
         }
-        if (why == null && headTaken && !passedOver && parser.endOfInput()) {
-            takeBody();
+        if (why == null && headDelivered && !skippingAnswer && parser.endOfInput()) {
+            deliverBody();
             finish(false);
         } else {
-            fail(begun() ? Failure.BROKEN : Failure.NOT_SENT);
+            fail(hasBegunSending() ? Failure.BROKEN : Failure.NOT_SENT);
         }
     }
 
     /** Ends the call; the listener hears nothing more. The server sees its connection close. */
     public void cancel() {
-        if (!over) {
-            over = true;
+        if (!isOver) {
+            isOver = true;
             release();
         }
     }
 
     private void fail(Failure failure) {
-        if (!over) {
-            over = true;
+        if (!isOver) {
+            isOver = true;
             release();
             listener.failed(failure);
         }
--- a/transport/src/main/java/dewplank/exchange/InboundConnection.java
+++ b/transport/src/main/java/dewplank/exchange/InboundConnection.java
@@ -18,7 +18,7 @@
     private static final System.Logger LOG = System.getLogger(InboundConnection.class.getName());
     private static final byte[] CRLF = {'\r', '\n'};
     private static final byte[] LAST_CHUNK = {'0', '\r', '\n', '\r', '\n'};
-    private static final byte[] NOTHING = new byte[0];
+    private static final byte[] NO_BODY = new byte[0];
     private static final int NO_CONTENT = 204;
     private static final int NOT_MODIFIED = 304;
 
@@ -27,13 +27,13 @@
         void handle(Request request, InboundConnection connection);
 
         /** The caller has gone, or its request was malformed: the request that was handed over is not answered any more. */
-        void gone(InboundConnection connection);
+        void callerGone(InboundConnection connection);
 
         /** The connection has ended. */
-        default void left(InboundConnection connection) {}
+        default void connectionEnded(InboundConnection connection) {}
 
         /** Whether answers are to be the last of their connections. */
-        default boolean closing() {
+        default boolean isClosing() {
             return false;
         }
 
@@ -43,7 +43,7 @@
 
         /** Of a request's first line and fields together. */
         default int maxHeadBytes() {
-            return MessageParser.MAX_HEAD;
+            return MessageParser.MAX_HEAD_BYTES;
         }
     }
 
@@ -54,15 +54,15 @@
     private final Service service;
     private final RequestParser parser;
     private Connection connection;
-    private boolean busy;
-    private Request taken; // whole, and not handed over yet
-    private boolean handed;
+    private boolean isBusy;
+    private Request pendingRequest; // whole, and not handed over yet
+    private boolean handedOver;
     private boolean keepAlive;
     private boolean headOnly; // the request is a HEAD: a body would be taken for the next answer
     private boolean streaming;
-    private boolean bodiless; // the answer that was begun has no body
-    private boolean answered;
-    private double waitsSince;
+    private boolean answerWithoutBody; // the answer that was begun has no body
+    private boolean hasAnswered;
+    private double waitingSince;
 
     public InboundConnection(EventLoop loop, Service service) {
         this.loop = loop;
@@ -73,21 +73,21 @@
     @Override
     public void accepted(Connection accepted) {
         connection = accepted;
-        waitsSince = loop.now();
+        waitingSince = loop.now();
     }
 
     @Override
     public void received(ByteBuffer bytes) {
-        if (!busy && !parser.begun()) {
-            waitsSince = loop.now();
-            parser.maxBody(service.maxBodyBytes());
-            parser.maxHead(service.maxHeadBytes());
+        if (!isBusy && !parser.hasBegun()) {
+            waitingSince = loop.now();
+            parser.maxBodyBytes(service.maxBodyBytes());
+            parser.maxHeadBytes(service.maxHeadBytes());
         }
         try {
-            while (!busy && !connection.isClosed() && parser.feed(bytes)) {
-                take();
+            while (!isBusy && !connection.isClosed() && parser.feed(bytes)) {
+                takeRequest();
             }
-            if (!busy && parser.waitsForContinue()) {
+            if (!isBusy && parser.waitsForContinue()) {
                 connection.write(MessageWriter.response(100).noBody(), () -> {});
             }
         } catch (BadMessageException e) {
@@ -95,23 +95,23 @@
         }
     }
 
-    private void take() {
-        busy = true;
+    private void takeRequest() {
+        isBusy = true;
         keepAlive = parser.keepAlive();
         headOnly = parser.method().equals("HEAD");
         Request request = new Request(parser.method(), parser.target(), parser.headers(), parser.takeBody());
-        taken = request;
+        pendingRequest = request;
         // The caller's end may lie right behind its request. The next read comes after this, and what it finds at once
         // stands in line by the time the first of these tasks runs: so the second one is behind it.
         loop.execute(() -> loop.execute(() -> handOver(request)));
     }
 
     private void handOver(Request request) {
-        if (connection.isClosed() || taken != request) { // its caller has left, or has had an answer
+        if (connection.isClosed() || pendingRequest != request) { // its caller has left, or has had an answer
             return;
         }
-        taken = null;
-        handed = true;
+        pendingRequest = null;
+        handedOver = true;
         try {
             service.handle(request, this);
         } catch (RuntimeException e) {
@@ -121,34 +121,34 @@
     }
 
     @Override
-    public void sentTooMuchAhead() {
+    public void readAheadExceeded() {
         reject(new BadMessageException(400, "too much was sent ahead of an answer"));
     }
 
     /** What follows a malformed request can't be told apart from it, so the connection ends. */
     private void reject(BadMessageException e) {
-        forget();
+        dropRequest();
         keepAlive = false;
         if (streaming) {
             abort();
             return;
         }
-        busy = true;
+        isBusy = true;
         answer(e.status(), List.of(), (e.getMessage() + "\n").getBytes(StandardCharsets.UTF_8));
     }
 
-    private void forget() {
-        taken = null;
-        if (handed) {
-            handed = false;
-            service.gone(this);
+    private void dropRequest() {
+        pendingRequest = null;
+        if (handedOver) {
+            handedOver = false;
+            service.callerGone(this);
         }
     }
 
     @Override
     public void closed(IOException why) {
-        forget();
-        service.left(this);
+        dropRequest();
+        service.connectionEnded(this);
     }
 
     /** Answers the request that was handed over. */
@@ -157,42 +157,42 @@
         if (connection.isClosed()) {
             return;
         }
-        boolean last = last();
+        boolean last = isLastAnswer();
         MessageWriter head =
                 MessageWriter.response(status).headers(headers).header("Connection", last ? "close" : null);
-        connection.write(bodyless(status) ? head.noBody() : head.body(body), () -> {});
-        over(last);
+        connection.write(isWithoutBody(status) ? head.noBody() : head.body(body), () -> {});
+        answerEnded(last);
     }
 
     public void answer(int status) {
-        answer(status, List.of(), NOTHING);
+        answer(status, List.of(), NO_BODY);
     }
 
     /** Whether the caller takes the answer to end with its head (RFC 9112, 6.3). */
-    private boolean bodyless(int status) {
+    private boolean isWithoutBody(int status) {
         return headOnly || status == NO_CONTENT || status == NOT_MODIFIED;
     }
 
     /** Begins an answer whose body comes in pieces. */
-    public void begin(int status, List<Headers.Field> headers) {
+    public void beginAnswer(int status, List<Headers.Field> headers) {
         if (connection.isClosed()) {
             return;
         }
         streaming = true;
-        keepAlive = !last();
-        bodiless = bodyless(status);
+        keepAlive = !isLastAnswer();
+        answerWithoutBody = isWithoutBody(status);
         connection.write(
                 MessageWriter.response(status)
                         .headers(headers)
-                        .header("Transfer-Encoding", bodiless ? null : "chunked")
+                        .header("Transfer-Encoding", answerWithoutBody ? null : "chunked")
                         .header("Connection", keepAlive ? null : "close")
                         .noBody(),
                 () -> {});
     }
 
     /** The next piece of a body that has begun. */
-    public void piece(byte[] bytes) {
-        if (bytes.length > 0 && !bodiless && !connection.isClosed()) {
+    public void writePart(byte[] bytes) {
+        if (bytes.length > 0 && !answerWithoutBody && !connection.isClosed()) {
             byte[] size = Integer.toHexString(bytes.length).getBytes(StandardCharsets.US_ASCII);
             connection.write(
                     ByteBuffer.allocate(size.length + bytes.length + 2 * CRLF.length)
@@ -206,38 +206,38 @@
     }
 
     /** The body is whole. */
-    public void end() {
+    public void endAnswer() {
         if (!connection.isClosed()) {
-            if (!bodiless) {
+            if (!answerWithoutBody) {
                 connection.write(ByteBuffer.wrap(LAST_CHUNK), () -> {});
             }
-            over(!keepAlive);
+            answerEnded(!keepAlive);
         }
     }
 
     /** Ends the connection in the middle of an answer: the caller sees that it is not whole. */
     public void abort() {
-        handed = false;
+        handedOver = false;
         connection.close();
-        service.left(this);
+        service.connectionEnded(this);
     }
 
-    private boolean last() {
-        return !keepAlive || service.closing();
+    private boolean isLastAnswer() {
+        return !keepAlive || service.isClosing();
     }
 
-    private void over(boolean last) {
-        handed = false;
+    private void answerEnded(boolean last) {
+        handedOver = false;
         headOnly = false;
         streaming = false;
-        answered = true;
-        waitsSince = loop.now();
+        hasAnswered = true;
+        waitingSince = loop.now();
         parser.reset();
         if (last) {
-            connection.finish();
-            service.left(this);
+            connection.closeGracefully();
+            service.connectionEnded(this);
         } else {
-            busy = false;
+            isBusy = false;
             connection.resume();
         }
     }
@@ -247,53 +247,53 @@
     }
 
     /** Whether a request is being answered. */
-    public boolean busy() {
-        return busy;
+    public boolean isBusy() {
+        return isBusy;
     }
 
     /** Whether part of a request has come. */
-    public boolean halfRead() {
-        return !busy && parser.begun();
+    public boolean isHalfRead() {
+        return !isBusy && parser.hasBegun();
     }
 
     /** Whether the head of a request has come, and its body not whole. */
-    public boolean headRead() {
-        return halfRead() && parser.headRead();
+    public boolean isHeadRead() {
+        return isHalfRead() && parser.isHeadRead();
     }
 
     /** Whether it has had an answer. */
-    public boolean answered() {
-        return answered;
+    public boolean hasAnswered() {
+        return hasAnswered;
     }
 
     /** Since when a whole request is waited for: its first byte, or before that the last answer or the beginning. */
-    public double waitsSince() {
-        return waitsSince;
+    public double waitingSince() {
+        return waitingSince;
     }
 
     /** Gives the connection up if a whole request has been waited for longer than that. */
-    public void giveUpAfter(double ms) {
-        if (!busy && loop.now() - waitsSince > ms) {
-            giveUp();
+    public void timeOutAfter(double ms) {
+        if (!isBusy && loop.now() - waitingSince > ms) {
+            timeOut();
         }
     }
 
     /** No request became whole in time; one that has begun is owed its error. */
-    public void giveUp() {
-        if (parser.begun()) {
+    public void timeOut() {
+        if (parser.hasBegun()) {
             reject(new BadMessageException(408, "the request did not become whole in time"));
         } else {
             connection.close();
-            service.left(this);
+            service.connectionEnded(this);
         }
     }
 
     /** Ends the connection if no request is being answered on it, nor half read, unless {@code unread} gives those up. */
     public void endIfIdle(boolean unread) {
-        if (!busy && (unread || !parser.begun())) {
-            busy = true;
-            connection.finish();
-            service.left(this);
+        if (!isBusy && (unread || !parser.hasBegun())) {
+            isBusy = true;
+            connection.closeGracefully();
+            service.connectionEnded(this);
         }
     }
 }
--- a/transport/src/main/java/dewplank/exchange/CallTree.java
+++ b/transport/src/main/java/dewplank/exchange/PathRouter.java
@@ -11,30 +11,30 @@
  *
  * @param <H> what is found for a call
  */
-public final class CallTree<H> {
-    private final Map<String, CallTree<H>> children = new LinkedHashMap<>();
+public final class PathRouter<H> {
+    private final Map<String, PathRouter<H>> children = new LinkedHashMap<>();
     private final Map<String, H> methods = new LinkedHashMap<>();
-    private CallTree<H> any;
+    private PathRouter<H> wildcard;
 
     /** What a call led to: a handler and the segments matched by {@code *}; or none, and the path's methods. */
     public record Match<H>(H handler, List<String> parameters, Set<String> methods) {
         /** Whether the path is one of the tree's. */
-        public boolean pathKnown() {
+        public boolean pathExists() {
             return !methods.isEmpty();
         }
     }
 
     /** The node below for that segment; {@code *} matches every segment. */
-    public CallTree<H> path(String segment) {
+    public PathRouter<H> path(String segment) {
         if (segment.equals("*")) {
-            any = any == null ? new CallTree<>() : any;
-            return any;
+            wildcard = wildcard == null ? new PathRouter<>() : wildcard;
+            return wildcard;
         }
-        return children.computeIfAbsent(segment, s -> new CallTree<>());
+        return children.computeIfAbsent(segment, s -> new PathRouter<>());
     }
 
     /** The handler for a method at this node. */
-    public CallTree<H> on(String method, H handler) {
+    public PathRouter<H> on(String method, H handler) {
         methods.put(method, handler);
         return this;
     }
@@ -42,15 +42,15 @@
     public Match<H> find(String method, String target) {
         int query = target.indexOf('?');
         String path = query < 0 ? target : target.substring(0, query);
-        CallTree<H> node = this;
+        PathRouter<H> node = this;
         List<String> parameters = new ArrayList<>();
         for (String segment : path.split("/")) {
             if (segment.isEmpty()) {
                 continue;
             }
-            CallTree<H> next = node.children.get(segment);
+            PathRouter<H> next = node.children.get(segment);
             if (next == null) {
-                next = node.any;
+                next = node.wildcard;
                 parameters.add(segment);
             }
             if (next == null) {
--- a/transport/src/main/java/dewplank/http/Headers.java
+++ b/transport/src/main/java/dewplank/http/Headers.java
@@ -8,7 +8,7 @@
 /** Header fields in the order they came; names are looked up whatever their case. */
 public final class Headers {
     /** Those that speak of one connection, or that each side writes for itself. */
-    private static final Set<String> ONE_HOP = Set.of(
+    private static final Set<String> HOP_BY_HOP = Set.of(
             "connection",
             "keep-alive",
             "proxy-connection",
@@ -42,14 +42,14 @@
         return found;
     }
 
-    /** Whether the field lists the word (in lower case), as {@code Connection: close} does. */
-    public boolean lists(String name, String word) {
+    /** Whether the field lists the token (in lower case), as {@code Connection: close} does. */
+    public boolean lists(String name, String token) {
         String value = get(name);
         if (value == null) {
             return false;
         }
         for (String part : value.split(",")) {
-            if (part.strip().toLowerCase(Locale.ROOT).equals(word)) {
+            if (part.strip().toLowerCase(Locale.ROOT).equals(token)) {
                 return true;
             }
         }
@@ -58,13 +58,13 @@
 
     /** What is meant for the other end, to be passed on as it came. */
     public List<Field> endToEnd() {
-        List<Field> kept = new ArrayList<>(fields.size());
+        List<Field> endToEnd = new ArrayList<>(fields.size());
         for (Field f : fields) {
             String name = f.name().toLowerCase(Locale.ROOT);
-            if (!ONE_HOP.contains(name) && !lists("Connection", name)) {
-                kept.add(f);
+            if (!HOP_BY_HOP.contains(name) && !lists("Connection", name)) {
+                endToEnd.add(f);
             }
         }
-        return kept;
+        return endToEnd;
     }
 }
--- a/transport/src/main/java/dewplank/http/MessageParser.java
+++ b/transport/src/main/java/dewplank/http/MessageParser.java
@@ -10,9 +10,9 @@
  * a message: those stay in the buffer for the next one.
  */
 public abstract class MessageParser {
-    public static final int MAX_HEAD = 16 * 1024;
-    public static final int MAX_BODY = 64 * 1024;
-    private static final int MAX_CHUNK_LINE = 256;
+    public static final int MAX_HEAD_BYTES = 16 * 1024;
+    public static final int MAX_BODY_BYTES = 64 * 1024;
+    private static final int MAX_CHUNK_LINE_BYTES = 256;
     private static final Pattern LENGTH = Pattern.compile("[0-9]{1,18}");
 
     private enum State {
@@ -27,17 +27,17 @@
         DONE
     }
 
-    private int maxBody;
-    private int maxHead = MAX_HEAD;
+    private int maxBodyBytes;
+    private int maxHeadBytes = MAX_HEAD_BYTES;
     private State state = State.START;
     private final ByteArrayOutputStream line = new ByteArrayOutputStream(128);
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private Headers headers = new Headers();
     private int headBytes;
-    private long left;
+    private long bodyBytesLeft;
 
     MessageParser(int maxBody) {
-        this.maxBody = maxBody;
+        this.maxBodyBytes = maxBody;
     }
 
     /** Takes bytes up to the end of the message; whether the message is now whole. */
@@ -60,22 +60,22 @@
     }
 
     /** Whether a message has begun and is not whole. */
-    public final boolean begun() {
+    public final boolean hasBegun() {
         return state != State.DONE && (state != State.START || headBytes > 0);
     }
 
-    public final boolean headRead() {
+    public final boolean isHeadRead() {
         return state != State.START && state != State.FIELDS;
     }
 
     /** Bodies of the next message may have so many bytes. */
-    public final void maxBody(int bytes) {
-        maxBody = bytes;
+    public final void maxBodyBytes(int bytes) {
+        maxBodyBytes = bytes;
     }
 
     /** Heads of the next message may have so many bytes, its first line among them. */
-    public final void maxHead(int bytes) {
-        maxHead = bytes;
+    public final void maxHeadBytes(int bytes) {
+        maxHeadBytes = bytes;
     }
 
     /** Makes ready for the next message. */
@@ -85,7 +85,7 @@
         line.reset();
         body.reset();
         headBytes = 0;
-        left = 0;
+        bodyBytesLeft = 0;
     }
 
     public final Headers headers() {
@@ -100,23 +100,23 @@
     }
 
     /** What each start line begins with: noise is told at its first byte, without waiting for a line end. */
-    abstract String startsWith();
+    abstract String startLinePrefix();
 
     abstract void startLine(String text) throws BadMessageException;
 
-    abstract boolean request();
+    abstract boolean isRequest();
 
     /** Whether the message has no body, whatever its header fields say. */
-    abstract boolean bodyless();
+    abstract boolean isWithoutBody();
 
     /** Whether what has been read was only an interim answer, to be forgotten. */
-    abstract boolean interim();
+    abstract boolean isInterim();
 
     private void takeLine(ByteBuffer in) throws BadMessageException {
         boolean inChunks = state == State.CHUNK_SIZE || state == State.CHUNK_END;
         while (in.hasRemaining()) {
             byte b = in.get();
-            if (!inChunks && ++headBytes > maxHead || inChunks && line.size() > MAX_CHUNK_LINE) {
+            if (!inChunks && ++headBytes > maxHeadBytes || inChunks && line.size() > MAX_CHUNK_LINE_BYTES) {
                 throw new BadMessageException(431, "the head is too long");
             }
             if (b != '\n') {
@@ -124,8 +124,8 @@
                 boolean lineEnd = b == '\r' && line.size() == 1;
                 if (state == State.START
                         && !lineEnd
-                        && line.size() <= startsWith().length()
-                        && b != startsWith().charAt(line.size() - 1)) {
+                        && line.size() <= startLinePrefix().length()
+                        && b != startLinePrefix().charAt(line.size() - 1)) {
                     throw new BadMessageException(400, "the start line is malformed");
                 }
                 continue;
@@ -155,8 +155,8 @@
                 }
             }
             case CHUNK_SIZE -> {
-                left = chunkSize(text);
-                state = left == 0 ? State.TRAILERS : State.CHUNK;
+                bodyBytesLeft = chunkSize(text);
+                state = bodyBytesLeft == 0 ? State.TRAILERS : State.CHUNK;
             }
             case CHUNK_END -> {
                 if (!text.isEmpty()) {
@@ -201,9 +201,9 @@
         if (length != null && coding != null) { // the two sides could see different ends: request smuggling
             throw new BadMessageException(400, "both Content-Length and Transfer-Encoding");
         }
-        if (interim()) {
+        if (isInterim()) {
             reset();
-        } else if (bodyless()) {
+        } else if (isWithoutBody()) {
             state = State.DONE;
         } else if (coding != null) {
             if (!coding.equalsIgnoreCase("chunked")) {
@@ -211,10 +211,10 @@
             }
             state = State.CHUNK_SIZE;
         } else if (length != null) {
-            left = length(length);
-            state = left == 0 ? State.DONE : State.FIXED;
+            bodyBytesLeft = length(length);
+            state = bodyBytesLeft == 0 ? State.DONE : State.FIXED;
         } else {
-            state = request() ? State.DONE : State.TO_THE_END;
+            state = isRequest() ? State.DONE : State.TO_THE_END;
         }
     }
 
@@ -240,20 +240,20 @@
     }
 
     private void checkBody(long size) throws BadMessageException {
-        if (size > maxBody) {
+        if (size > maxBodyBytes) {
             throw new BadMessageException(413, "the body is too long");
         }
     }
 
     private void takeBody(ByteBuffer in) throws BadMessageException {
-        int n = state == State.TO_THE_END ? in.remaining() : (int) Math.min(left, in.remaining());
+        int n = state == State.TO_THE_END ? in.remaining() : (int) Math.min(bodyBytesLeft, in.remaining());
         checkBody(body.size() + (long) n);
         byte[] some = new byte[n];
         in.get(some);
         body.writeBytes(some);
         if (state != State.TO_THE_END) {
-            left -= n;
-            if (left == 0) {
+            bodyBytesLeft -= n;
+            if (bodyBytesLeft == 0) {
                 state = state == State.FIXED ? State.DONE : State.CHUNK_END;
             }
         }
--- a/transport/src/main/java/dewplank/http/RequestParser.java
+++ b/transport/src/main/java/dewplank/http/RequestParser.java
@@ -8,7 +8,7 @@
     private boolean continued;
 
     public RequestParser() {
-        this(MAX_BODY);
+        this(MAX_BODY_BYTES);
     }
 
     /** Takes bodies of up to so many bytes. */
@@ -17,7 +17,7 @@
     }
 
     @Override
-    String startsWith() {
+    String startLinePrefix() {
         return ""; // any method
     }
 
@@ -58,7 +58,7 @@
 
     /** Whether the peer holds its body back until it is told to go on. True once a request. */
     public boolean waitsForContinue() {
-        boolean waits = headRead() && begun() && !continued && headers().lists("Expect", "100-continue");
+        boolean waits = isHeadRead() && hasBegun() && !continued && headers().lists("Expect", "100-continue");
         continued |= waits;
         return waits;
     }
@@ -70,17 +70,17 @@
     }
 
     @Override
-    boolean request() {
+    boolean isRequest() {
         return true;
     }
 
     @Override
-    boolean bodyless() {
+    boolean isWithoutBody() {
         return false;
     }
 
     @Override
-    boolean interim() {
+    boolean isInterim() {
         return false;
     }
 }
--- a/transport/src/main/java/dewplank/http/ResponseParser.java
+++ b/transport/src/main/java/dewplank/http/ResponseParser.java
@@ -20,7 +20,7 @@
     }
 
     @Override
-    String startsWith() {
+    String startLinePrefix() {
         return "HTTP/1.";
     }
 
@@ -39,24 +39,24 @@
 
     /** Whether the connection may carry another request after this answer. */
     public boolean keepAlive() {
-        boolean framed = bodyless()
+        boolean framed = isWithoutBody()
                 || headers().get("Content-Length") != null
                 || headers().get("Transfer-Encoding") != null;
         return framed && !oldVersion && !headers().lists("Connection", "close");
     }
 
     @Override
-    boolean request() {
+    boolean isRequest() {
         return false;
     }
 
     @Override
-    boolean bodyless() {
+    boolean isWithoutBody() {
         return toHead || status == 204 || status == 304;
     }
 
     @Override
-    boolean interim() {
+    boolean isInterim() {
         return status < 200;
     }
 }
--- a/transport/src/main/java/dewplank/net/Connection.java
+++ b/transport/src/main/java/dewplank/net/Connection.java
@@ -17,9 +17,9 @@
  */
 public final class Connection {
     private static final System.Logger LOG = System.getLogger(Connection.class.getName());
-    private static final int BUFFER = 8 * 1024;
+    private static final int BUFFER_BYTES = 8 * 1024;
     /** What a peer may send ahead of its answers: one more message of the longest kind, HTTP's 16 and 64 KiB. */
-    static final int MOST_AHEAD = 80 * 1024;
+    static final int MAX_READ_AHEAD_BYTES = 80 * 1024;
 
     private static final double LINGER_MS = 1_000;
 
@@ -32,27 +32,27 @@
         void closed(IOException why);
 
         /** More lies unread than a peer may send ahead: until it is taken nothing is read, the peer's end neither. */
-        default void sentTooMuchAhead() {}
+        default void readAheadExceeded() {}
     }
 
-    private record Write(ByteBuffer bytes, Runnable whenWritten) {}
+    private record Write(ByteBuffer bytes, Runnable onWritten) {}
 
     private final EventLoop loop;
     private final AsynchronousSocketChannel channel;
-    private ByteBuffer in = ByteBuffer.allocate(BUFFER);
-    private int taken; // the handler has had the bytes up to here
-    private int filled; // what lies beyond is a pending read's, and another thread may be filling it
-    private boolean lent;
+    private ByteBuffer input = ByteBuffer.allocate(BUFFER_BYTES);
+    private int consumedTo; // the handler has had the bytes up to here
+    private int filledTo; // what lies beyond is a pending read's, and another thread may be filling it
+    private boolean hasReadAheadBuffer;
     private final Deque<Write> writes = new ArrayDeque<>();
     private Handler handler;
     private boolean reading;
     private boolean delivering;
-    private boolean finishing;
+    private boolean closingGracefully;
     private boolean closed;
-    private Runnable whenClosed = () -> {};
+    private Runnable onClosed = () -> {};
 
-    private final CompletionHandler<Integer, Void> readDone = handler(this::readDone);
-    private final CompletionHandler<Integer, Void> writeDone = handler(this::writeDone);
+    private final CompletionHandler<Integer, Void> onReadDone = handler(this::onReadDone);
+    private final CompletionHandler<Integer, Void> onWriteDone = handler(this::onWriteDone);
 
     Connection(EventLoop loop, AsynchronousSocketChannel channel, Handler handler) throws IOException {
         this.loop = loop;
@@ -122,7 +122,7 @@
                 loop.execute(() -> {
                     closeQuietly(channel);
                     if (!cancelled[0]) {
-                        failed.accept(asIo(e));
+                        failed.accept(asIoException(e));
                     }
                 });
             }
@@ -157,12 +157,12 @@
 
             private void run(int n, Throwable failure) {
                 try {
-                    if (!loop.stopping()) {
+                    if (!loop.isStopping()) {
                         completion.done(n, failure);
                     }
                 } catch (RuntimeException e) {
                     LOG.log(System.Logger.Level.ERROR, "a connection's handler failed", e);
-                    broken(new IOException("a handler failed", e));
+                    closeAndNotify(new IOException("a handler failed", e));
                 }
             }
         };
@@ -173,8 +173,8 @@
     }
 
     /** Called once when the connection has closed, by whichever side. */
-    public void whenClosed(Runnable task) {
-        whenClosed = task;
+    public void onClosed(Runnable task) {
+        onClosed = task;
     }
 
     public boolean isClosed() {
@@ -193,128 +193,131 @@
         if (closed || reading) {
             return;
         }
-        if (!finishing) {
-            makeRoom();
-            if (filled == in.capacity()) {
-                handler.sentTooMuchAhead();
+        if (!closingGracefully) {
+            makeCapacity();
+            if (filledTo == input.capacity()) {
+                handler.readAheadExceeded();
                 return;
             }
         }
         reading = true;
-        channel.read(finishing ? loop.waste() : in.slice(filled, in.capacity() - filled), null, readDone);
+        channel.read(
+                closingGracefully ? loop.discardBuffer() : input.slice(filledTo, input.capacity() - filledTo),
+                null,
+                onReadDone);
     }
 
     /**
      * No read is pending. What lies unread does not keep the next bytes from being read, up to a bound: a client's
      * leaving would stay unseen behind them, and its request be sent on.
      */
-    private void makeRoom() {
-        int unread = filled - taken;
-        if (!lent && unread == BUFFER && loop.lendAhead()) {
-            lent = true;
-            moveTo(ByteBuffer.allocate(MOST_AHEAD));
-        } else if (lent && unread < BUFFER) {
-            giveBack();
-            moveTo(ByteBuffer.allocate(BUFFER));
-        } else if (taken > 0) {
-            moveTo(in);
+    private void makeCapacity() {
+        int unread = filledTo - consumedTo;
+        if (!hasReadAheadBuffer && unread == BUFFER_BYTES && loop.acquireReadAhead()) {
+            hasReadAheadBuffer = true;
+            moveUnreadTo(ByteBuffer.allocate(MAX_READ_AHEAD_BYTES));
+        } else if (hasReadAheadBuffer && unread < BUFFER_BYTES) {
+            releaseReadAhead();
+            moveUnreadTo(ByteBuffer.allocate(BUFFER_BYTES));
+        } else if (consumedTo > 0) {
+            moveUnreadTo(input);
         }
     }
 
-    private void moveTo(ByteBuffer to) {
-        to.put(0, in, taken, filled - taken);
-        filled -= taken;
-        taken = 0;
-        in = to;
+    private void moveUnreadTo(ByteBuffer to) {
+        to.put(0, input, consumedTo, filledTo - consumedTo);
+        filledTo -= consumedTo;
+        consumedTo = 0;
+        input = to;
     }
 
-    private void giveBack() {
-        if (lent) {
-            lent = false;
-            loop.takeBackAhead();
+    private void releaseReadAhead() {
+        if (hasReadAheadBuffer) {
+            hasReadAheadBuffer = false;
+            loop.releaseReadAhead();
         }
     }
 
-    private void readDone(int n, Throwable failure) {
+    private void onReadDone(int n, Throwable failure) {
         reading = false;
         if (closed) {
             return;
         }
         if (failure != null) {
-            broken(asIo(failure));
+            closeAndNotify(asIoException(failure));
         } else if (n < 0) {
-            broken(null);
+            closeAndNotify(null);
         } else {
-            filled += finishing ? 0 : n;
+            filledTo += closingGracefully ? 0 : n;
             deliver();
             read();
         }
     }
 
     private void deliver() {
-        if (closed || finishing || taken == filled) { // finishing: what still comes is not looked at
+        if (closed || closingGracefully || consumedTo == filledTo) { // finishing: what still comes is not looked at
             return;
         }
         delivering = true;
-        ByteBuffer bytes = in.duplicate().limit(filled).position(taken);
+        ByteBuffer bytes = input.duplicate().limit(filledTo).position(consumedTo);
         try {
             handler.received(bytes);
         } finally {
-            taken = bytes.position();
+            consumedTo = bytes.position();
             delivering = false;
         }
     }
 
     /** {@code whenWritten} runs once the last byte is handed over, never after the connection has closed. */
-    public void write(ByteBuffer bytes, Runnable whenWritten) {
+    public void write(ByteBuffer bytes, Runnable onWritten) {
         if (closed) {
             return;
         }
-        writes.addLast(new Write(bytes, whenWritten));
+        writes.addLast(new Write(bytes, onWritten));
         if (writes.size() == 1) {
-            channel.write(bytes, null, writeDone);
+            channel.write(bytes, null, onWriteDone);
         }
     }
 
-    private void writeDone(int n, Throwable failure) {
+    private void onWriteDone(int n, Throwable failure) {
         if (closed) {
             return;
         }
         if (failure != null) {
-            broken(asIo(failure));
+            closeAndNotify(asIoException(failure));
             return;
         }
         ByteBuffer bytes = writes.peekFirst().bytes();
         if (bytes.hasRemaining()) { // a partial write
-            channel.write(bytes, null, writeDone);
+            channel.write(bytes, null, onWriteDone);
             return;
         }
         Write done = writes.removeFirst();
         if (!writes.isEmpty()) {
-            channel.write(writes.peekFirst().bytes(), null, writeDone);
+            channel.write(writes.peekFirst().bytes(), null, onWriteDone);
         }
-        done.whenWritten().run();
-        endOutput();
+        done.onWritten().run();
+        shutdownOutputIfDrained();
     }
 
     /**
      * Ends the connection once all is written. Guards against the reset that a plain close sends where the peer's
      * bytes lie unread: it would take the answer with it.
      */
-    public void finish() {
-        if (closed || finishing) {
+    public void closeGracefully() {
+        if (closed || closingGracefully) {
             return;
         }
-        finishing = true;
+        closingGracefully = true;
         loop.after(LINGER_MS, this::close);
         if (!delivering) {
             read();
         }
-        endOutput();
+        shutdownOutputIfDrained();
     }
 
-    private void endOutput() {
-        if (finishing && !closed && writes.isEmpty()) {
+    private void shutdownOutputIfDrained() {
+        if (closingGracefully && !closed && writes.isEmpty()) {
             try {
                 channel.shutdownOutput();
             } catch (IOException e) {
@@ -323,7 +326,7 @@
         }
     }
 
-    private void broken(IOException why) {
+    private void closeAndNotify(IOException why) {
         if (closed) {
             return;
         }
@@ -335,8 +338,8 @@
         if (!closed) {
             closed = true;
             closeQuietly(channel);
-            giveBack();
-            whenClosed.run();
+            releaseReadAhead();
+            onClosed.run();
         }
     }
 
@@ -348,7 +351,7 @@
         }
     }
 
-    private static IOException asIo(Throwable e) {
+    private static IOException asIoException(Throwable e) {
         return e instanceof IOException io ? io : new IOException(e);
     }
 }
--- a/transport/src/main/java/dewplank/net/EventLoop.java
+++ b/transport/src/main/java/dewplank/net/EventLoop.java
@@ -13,19 +13,20 @@
 public final class EventLoop implements Scheduler {
     private static final System.Logger LOG = System.getLogger(EventLoop.class.getName());
     private static final long TICK_MS = 5;
-    private static final long STOP_MS = 1_000;
-    private static final int WASTE = 256 * 1024;
-    private static final int MOST_LENT = 50; // buffers for bytes sent ahead: 4 MiB, a sixteenth of the heap
+    private static final long STOP_TIMEOUT_MS = 1_000;
+    private static final int DISCARD_BUFFER_BYTES = 256 * 1024;
+    private static final int MAX_READ_AHEAD_BUFFERS =
+            50; // buffers for bytes sent ahead: 4 MiB, a sixteenth of the heap
 
     private final ScheduledThreadPoolExecutor executor;
     private final AsynchronousChannelGroup group;
     private final double unixAtStart = System.currentTimeMillis();
     private final long nanosAtStart = System.nanoTime();
-    private final Wheel wheel = new Wheel(now(), TICK_MS);
-    private final ByteBuffer waste = ByteBuffer.allocateDirect(WASTE);
+    private final TimerWheel wheel = new TimerWheel(now(), TICK_MS);
+    private final ByteBuffer discardBuffer = ByteBuffer.allocateDirect(DISCARD_BUFFER_BYTES);
     private volatile Thread thread;
-    private volatile boolean stopping;
-    private int lent;
+    private volatile boolean isStopping;
+    private int readAheadBuffers;
 
     public EventLoop() throws IOException {
         executor = new ScheduledThreadPoolExecutor(1, task -> {
@@ -38,13 +39,13 @@
     }
 
     private void tick() {
-        wheel.run(now(), this::guarded);
+        wheel.run(now(), this::runGuarded);
     }
 
     /** An exception ends neither the loop nor the ticks: a scheduled task that throws is never run again. */
-    private void guarded(Runnable task) {
+    private void runGuarded(Runnable task) {
         try {
-            if (!stopping) {
+            if (!isStopping) {
                 task.run();
             }
         } catch (RuntimeException | StackOverflowError | LinkageError e) {
@@ -58,7 +59,7 @@
     }
 
     @Override
-    public Wheel.Timer after(double ms, Runnable task) {
+    public TimerWheel.Timer after(double ms, Runnable task) {
         return wheel.add(now() + ms, task);
     }
 
@@ -66,36 +67,36 @@
      * Runs the task after so long, as exactly as the system's clock allows, instead of at a tick. It can't be cancelled
      * and costs more than {@link #after}: for load tools and emulators, not for a sidecar.
      */
-    public void exactlyAfter(double ms, Runnable task) {
-        executor.schedule(() -> guarded(task), (long) (ms * 1e6), TimeUnit.NANOSECONDS);
+    public void afterExactly(double ms, Runnable task) {
+        executor.schedule(() -> runGuarded(task), (long) (ms * 1e6), TimeUnit.NANOSECONDS);
     }
 
     /** Runs the task on the loop's thread, soon. */
     @Override
     public void execute(Runnable task) {
-        executor.execute(() -> guarded(task));
+        executor.execute(() -> runGuarded(task));
     }
 
-    public boolean onThread() {
+    public boolean isLoopThread() {
         return Thread.currentThread() == thread;
     }
 
     /** Where bytes go that nobody will look at: large, so that a peer which never stops sending costs little. */
-    ByteBuffer waste() {
-        return waste.duplicate();
+    ByteBuffer discardBuffer() {
+        return discardBuffer.duplicate();
     }
 
     /** Whether one more connection may have a buffer for what its peer sends ahead; on this thread only. */
-    boolean lendAhead() {
-        if (lent == MOST_LENT) {
+    boolean acquireReadAhead() {
+        if (readAheadBuffers == MAX_READ_AHEAD_BUFFERS) {
             return false;
         }
-        lent++;
+        readAheadBuffers++;
         return true;
     }
 
-    void takeBackAhead() {
-        lent--;
+    void releaseReadAhead() {
+        readAheadBuffers--;
     }
 
     AsynchronousChannelGroup group() {
@@ -104,10 +105,10 @@
 
     /** Closes every channel and ends the thread. What the closing stirs up is not looked at any more. */
     public void stop() {
-        stopping = true;
+        isStopping = true;
         try {
             group.shutdownNow();
-            group.awaitTermination(STOP_MS, TimeUnit.MILLISECONDS);
+            group.awaitTermination(STOP_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         } catch (IOException e) {
             LOG.log(System.Logger.Level.WARNING, "the channel group did not close: {0}", e.getMessage());
         } catch (InterruptedException e) {
@@ -116,7 +117,7 @@
         executor.shutdownNow();
     }
 
-    boolean stopping() {
-        return stopping;
+    boolean isStopping() {
+        return isStopping;
     }
 }
--- a/transport/src/main/java/dewplank/net/Listener.java
+++ b/transport/src/main/java/dewplank/net/Listener.java
@@ -18,10 +18,10 @@
     private final EventLoop loop;
     private final AsynchronousServerSocketChannel channel;
     private final Supplier<? extends Accepted> handlers;
-    private final int most;
-    private int open;
+    private final int maxOpen;
+    private int openCount;
     private boolean accepting;
-    private boolean failing;
+    private boolean acceptFailing;
     private boolean closed;
 
     /** The handler of an accepted connection, which it is handed before any bytes. */
@@ -29,11 +29,11 @@
         void accepted(Connection connection);
     }
 
-    public Listener(EventLoop loop, InetSocketAddress at, int most, Supplier<? extends Accepted> handlers)
+    public Listener(EventLoop loop, InetSocketAddress at, int maxOpen, Supplier<? extends Accepted> handlers)
             throws IOException {
         this.loop = loop;
         this.handlers = handlers;
-        this.most = most;
+        this.maxOpen = maxOpen;
         channel = AsynchronousServerSocketChannel.open(loop.group());
         channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
         channel.bind(at, BACKLOG);
@@ -44,18 +44,18 @@
     }
 
     /** Whether a connection that was accepted has not closed yet: one that is finishing counts. */
-    public boolean anyOpen() {
-        return open > 0;
+    public boolean hasOpenConnections() {
+        return openCount > 0;
     }
 
     /** Whether no further connection is taken until one closes. */
-    public boolean full() {
-        return open >= most;
+    public boolean isFull() {
+        return openCount >= maxOpen;
     }
 
     @Override
     public void accept() {
-        if (closed || accepting || full()) {
+        if (closed || accepting || isFull()) {
             return;
         }
         accepting = true;
@@ -64,8 +64,8 @@
             public void completed(AsynchronousSocketChannel accepted, Void attachment) {
                 loop.execute(() -> {
                     accepting = false;
-                    failing = false;
-                    take(accepted);
+                    acceptFailing = false;
+                    register(accepted);
                     accept();
                 });
             }
@@ -76,10 +76,10 @@
                     accepting = false;
                     if (!closed) { // out of descriptors, say: those waiting are served when one is free
                         LOG.log(
-                                failing ? System.Logger.Level.DEBUG : System.Logger.Level.WARNING,
+                                acceptFailing ? System.Logger.Level.DEBUG : System.Logger.Level.WARNING,
                                 "accepting failed: {0}",
                                 e.toString());
-                        failing = true;
+                        acceptFailing = true;
                         loop.after(RETRY_MS, Listener.this::accept);
                     }
                 });
@@ -87,13 +87,13 @@
         });
     }
 
-    private void take(AsynchronousSocketChannel accepted) {
+    private void register(AsynchronousSocketChannel accepted) {
         try {
             Accepted handler = handlers.get();
             Connection connection = new Connection(loop, accepted, handler);
-            open++;
-            connection.whenClosed(() -> {
-                open--;
+            openCount++;
+            connection.onClosed(() -> {
+                openCount--;
                 accept();
             });
             handler.accepted(connection);
--- a/transport/src/main/java/dewplank/net/Wheel.java
+++ b/transport/src/main/java/dewplank/net/TimerWheel.java
@@ -8,7 +8,7 @@
  * Timers in coarse ticks. A timer fires in the first tick at or past its time, never before it. Not safe for
  * use from more than one thread.
  */
-public final class Wheel {
+public final class TimerWheel {
     private static final int SLOTS = 512;
 
     private final double tickMs;
@@ -31,7 +31,7 @@
         }
     }
 
-    public Wheel(double now, double tickMs) {
+    public TimerWheel(double now, double tickMs) {
         this.tickMs = tickMs;
         this.current = (long) Math.floor(now / tickMs);
         for (int i = 0; i < SLOTS; i++) {
--- a/transport/src/test/java/dewplank/exchange/ConnectionPoolTest.java
+++ b/transport/src/test/java/dewplank/exchange/ConnectionPoolTest.java
@@ -109,7 +109,7 @@
         OnLoop.run(loop, () -> pool.put(brief.here(), server.address(), 20));
         put(pool, last);
         OnLoop.pass(loop, 20);
-        OnLoop.run(loop, pool::closeOld);
+        OnLoop.run(loop, pool::closeExpired);
         brief.there().awaitEnd();
         assertEquals(2, pool.size());
         assertSame(last.here(), take(pool));
--- a/transport/src/test/java/dewplank/exchange/HttpCallTest.java
+++ b/transport/src/test/java/dewplank/exchange/HttpCallTest.java
@@ -232,7 +232,7 @@
 
     @Test
     void aConnectionCarriesTheNextCallOnceItHasRested() throws Exception {
-        pool = new ConnectionPool(loop, ConnectionPool.REST_MS, 60_000);
+        pool = new ConnectionPool(loop, ConnectionPool.REUSE_DELAY_MS, 60_000);
         Heard first = ask();
         ScriptedServer.Call one = server.next();
         one.wire().answer("200 OK", "", "1");
@@ -241,15 +241,15 @@
         HttpCall early = started(REQUEST, second); // before the rest is over: on another connection
         ScriptedServer.Call two = server.next();
         assertNotSame(one.wire(), two.wire());
-        assertFalse(early.reused());
+        assertFalse(early.isReused());
         two.wire().answer("200 OK", "", "2");
         second.expect("head 200", "body 2", "complete");
-        OnLoop.pass(loop, ConnectionPool.REST_MS);
+        OnLoop.pass(loop, ConnectionPool.REUSE_DELAY_MS);
         Heard third = new Heard();
         HttpCall rested = started(REQUEST, third);
         ScriptedServer.Call three = server.next();
         assertSame(two.wire(), three.wire(), "the one used last is taken first");
-        assertTrue(rested.reused());
+        assertTrue(rested.isReused());
         three.wire().answer("200 OK", "", "3");
         third.expect("head 200", "body 3", "complete");
     }
@@ -276,7 +276,7 @@
 
     private int swept(ConnectionPool from) throws Exception {
         return OnLoop.get(loop, () -> {
-            from.closeOld();
+            from.closeExpired();
             return from.size();
         });
     }
@@ -393,7 +393,7 @@
         HttpCall call = new HttpCall(loop, nobody, pool, bytes(REQUEST), heard);
         loop.execute(() -> call.start(CONNECT_MS));
         heard.expect("failed NOT_CONNECTED");
-        assertFalse(OnLoop.get(loop, call::connected));
+        assertFalse(OnLoop.get(loop, call::isConnected));
     }
 
     @Test
@@ -403,8 +403,8 @@
             HttpCall call = new HttpCall(loop, late.address(), pool, bytes(REQUEST), heard);
             loop.execute(() -> call.start(30));
             heard.expect("failed NOT_CONNECTED");
-            assertFalse(OnLoop.get(loop, call::sent));
-            assertTrue(OnLoop.get(loop, call::over));
+            assertFalse(OnLoop.get(loop, call::isSent));
+            assertTrue(OnLoop.get(loop, call::isOver));
         }
     }
 
@@ -413,7 +413,7 @@
         Heard heard = new Heard();
         HttpCall call = started(REQUEST, heard);
         Wire wire = server.next().wire();
-        assertTrue(OnLoop.get(loop, call::sent));
+        assertTrue(OnLoop.get(loop, call::isSent));
         wire.reset();
         heard.expect("failed BROKEN");
     }
@@ -436,7 +436,7 @@
             wire.readHead();
             wire.reset();
             heard.expect("failed BROKEN");
-            assertFalse(OnLoop.get(loop, call::sent));
+            assertFalse(OnLoop.get(loop, call::isSent));
         }
     }
 
@@ -491,7 +491,7 @@
             loop.execute(() -> first.start(CONNECT_MS));
             Wire wire = raw.nextConnection();
             assertEquals("/1", wire.readHead().target());
-            OnLoop.await(loop, first::sent);
+            OnLoop.await(loop, first::isSent);
             wire.answer("200 OK", "", "early");
             heard.expect("head 200", "body early", "complete");
             Heard next = new Heard();
@@ -499,7 +499,7 @@
             loop.execute(() -> second.start(CONNECT_MS));
             assertEquals(body, wire.readBytes(body.length()));
             assertEquals("/2", wire.readHead().target());
-            assertTrue(second.reused());
+            assertTrue(second.isReused());
             wire.answer("200 OK", "", "own");
             next.expect("head 200", "body own", "complete");
         }
@@ -515,7 +515,7 @@
         first.expect("head 200", "complete");
         OnLoop.await(loop, () -> pool.size() == 1);
         Heard heard = new Heard();
-        HttpCall alone = call(REQUEST, heard).alone();
+        HttpCall alone = call(REQUEST, heard).exclusive();
         loop.execute(() -> alone.start(CONNECT_MS));
         Wire own = server.next().wire();
         assertNotSame(wire, own);
@@ -675,7 +675,7 @@
         try (ScriptedServer late = ScriptedServer.late(new LinkedBlockingQueue<>())) {
             Heard heard = new Heard();
             boolean[] wanted = {true};
-            HttpCall call = new HttpCall(loop, late.address(), pool, bytes(REQUEST), heard).onlyIf(() -> wanted[0]);
+            HttpCall call = new HttpCall(loop, late.address(), pool, bytes(REQUEST), heard).sendOnlyIf(() -> wanted[0]);
             OnLoop.run(loop, () -> call.start(60_000));
             OnLoop.run(loop, () -> wanted[0] = false);
             late.letIn();
@@ -693,10 +693,10 @@
         wire.answer("200 OK", "", "");
         first.expect("head 200", "complete");
         Heard second = new Heard();
-        HttpCall unwanted = call(REQUEST, second).onlyIf(() -> false);
+        HttpCall unwanted = call(REQUEST, second).sendOnlyIf(() -> false);
         loop.execute(() -> unwanted.start(CONNECT_MS));
         second.expect("failed NOT_SENT");
-        assertTrue(OnLoop.get(loop, unwanted::over));
+        assertTrue(OnLoop.get(loop, unwanted::isOver));
         Heard third = ask();
         server.next().wire().answer("200 OK", "", "");
         third.expect("head 200", "complete");
--- a/transport/src/test/java/dewplank/exchange/InboundConnectionTest.java
+++ b/transport/src/test/java/dewplank/exchange/InboundConnectionTest.java
@@ -55,17 +55,17 @@
         }
 
         @Override
-        public void gone(InboundConnection connection) {
+        public void callerGone(InboundConnection connection) {
             gone.add(connection);
         }
 
         @Override
-        public void left(InboundConnection connection) {
+        public void connectionEnded(InboundConnection connection) {
             left.add(connection);
         }
 
         @Override
-        public boolean closing() {
+        public boolean isClosing() {
             return closing;
         }
 
@@ -137,15 +137,15 @@
         assertEquals("/a/b?c=d", handed.request().target());
         assertEquals("1", handed.request().headers().get("x"));
         assertEquals("one two", handed.body());
-        assertTrue(OnLoop.get(loop, handed.connection()::busy));
+        assertTrue(OnLoop.get(loop, handed.connection()::isBusy));
         answer(handed, 200, "answer");
         Wire.Message answer = caller.read();
         assertEquals("HTTP/1.1 200 OK", answer.startLine());
         assertEquals("x", answer.header("Own"));
         assertEquals("answer", answer.body());
         assertNull(answer.header("Connection"));
-        assertTrue(handed.connection().answered());
-        assertFalse(handed.connection().busy());
+        assertTrue(handed.connection().hasAnswered());
+        assertFalse(handed.connection().isBusy());
     }
 
     @Test
@@ -181,9 +181,9 @@
         caller.send("HEAD /1 HTTP/1.1\r\nHost: h\r\n\r\n" + request("/2", "", ""));
         Handed handed = service.next();
         onLoop(handed, c -> {
-            c.begin(200, List.of());
-            c.piece(bytes("event"));
-            c.end();
+            c.beginAnswer(200, List.of());
+            c.writePart(bytes("event"));
+            c.endAnswer();
         });
         Wire.Message head = caller.readHead();
         assertEquals(200, head.status());
@@ -309,8 +309,8 @@
         Wire caller = caller();
         InboundConnection connection = accepted();
         caller.send("POST / HTTP/1.1\r\nContent-Length: 4\r\n\r\nab");
-        OnLoop.await(loop, connection::halfRead);
-        OnLoop.run(loop, connection::giveUp);
+        OnLoop.await(loop, connection::isHalfRead);
+        OnLoop.run(loop, connection::timeOut);
         assertEquals(408, caller.read().status());
         assertNull(caller.read());
         assertTrue(service.handed.isEmpty());
@@ -320,7 +320,7 @@
     void aConnectionWithoutARequestIsGivenUpWithoutAWord() throws Exception {
         Wire caller = caller();
         InboundConnection connection = accepted();
-        OnLoop.run(loop, connection::giveUp);
+        OnLoop.run(loop, connection::timeOut);
         assertNull(caller.read());
         assertNotNull(service.left.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
     }
@@ -329,15 +329,15 @@
     void aConnectionThatRestsIsGivenUpOnceItHasRestedLongEnough() throws Exception {
         Wire caller = caller();
         InboundConnection connection = accepted();
-        OnLoop.run(loop, () -> connection.giveUpAfter(60_000));
+        OnLoop.run(loop, () -> connection.timeOutAfter(60_000));
         caller.send(request("/", "", ""));
         Handed handed = service.next();
         OnLoop.pass(loop, 20);
-        onLoop(handed, c -> c.giveUpAfter(0));
+        onLoop(handed, c -> c.timeOutAfter(0));
         answer(handed, 200, "still served");
         assertEquals("still served", caller.read().body());
         OnLoop.pass(loop, 20);
-        OnLoop.run(loop, () -> connection.giveUpAfter(10));
+        OnLoop.run(loop, () -> connection.timeOutAfter(10));
         assertNull(caller.read());
         assertNotNull(service.left.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
     }
@@ -353,9 +353,9 @@
         assertEquals(handed.connection(), service.gone.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
         assertNotNull(service.left.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
         answer(handed, 200, "too late"); // harmless
-        onLoop(handed, c -> c.begin(200, List.of()));
-        onLoop(handed, c -> c.piece(bytes("too late")));
-        onLoop(handed, InboundConnection::end);
+        onLoop(handed, c -> c.beginAnswer(200, List.of()));
+        onLoop(handed, c -> c.writePart(bytes("too late")));
+        onLoop(handed, InboundConnection::endAnswer);
         assertTrue(service.gone.isEmpty());
     }
 
@@ -364,8 +364,8 @@
         Wire caller = caller();
         caller.send(request("/", "", ""));
         Handed handed = service.next();
-        onLoop(handed, c -> c.begin(200, List.of()));
-        onLoop(handed, c -> c.piece(bytes("one")));
+        onLoop(handed, c -> c.beginAnswer(200, List.of()));
+        onLoop(handed, c -> c.writePart(bytes("one")));
         caller.readHead();
         assertEquals("one", caller.readChunk());
         caller.reset();
@@ -405,7 +405,7 @@
         Wire caller = caller();
         InboundConnection connection = accepted();
         caller.send("POST / HTTP/1.1\r\nContent-Length: 4\r\n\r\nab");
-        OnLoop.await(loop, connection::halfRead);
+        OnLoop.await(loop, connection::isHalfRead);
         caller.close();
         assertNotNull(service.left.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
         assertTrue(service.gone.isEmpty());
@@ -429,7 +429,7 @@
         InboundConnection connection = accepted();
         OnLoop.run(loop, () -> {
             connection.received(ByteBuffer.wrap(bytes(request("/", "", ""))));
-            connection.sentTooMuchAhead();
+            connection.readAheadExceeded();
         });
         assertEquals(400, caller.read().status());
         OnLoop.run(loop, () -> {});
@@ -444,18 +444,18 @@
         Wire caller = caller();
         caller.send(request("/1", "", "") + request("/2", "", ""));
         Handed handed = service.next();
-        onLoop(handed, c -> c.begin(200, List.of(new Headers.Field("Own", "x"))));
+        onLoop(handed, c -> c.beginAnswer(200, List.of(new Headers.Field("Own", "x"))));
         Wire.Message head = caller.readHead();
         assertEquals("chunked", head.header("Transfer-Encoding"));
         assertNull(head.header("Content-Length"));
         assertEquals("x", head.header("Own"));
-        onLoop(handed, c -> c.piece(bytes("one")));
+        onLoop(handed, c -> c.writePart(bytes("one")));
         assertEquals("one", caller.readChunk());
-        onLoop(handed, c -> c.piece(bytes(""))); // must not look like the end
-        onLoop(handed, c -> c.piece(bytes("two".repeat(10))));
+        onLoop(handed, c -> c.writePart(bytes(""))); // must not look like the end
+        onLoop(handed, c -> c.writePart(bytes("two".repeat(10))));
         assertEquals("two".repeat(10), caller.readChunk());
         assertTrue(service.handed.isEmpty());
-        onLoop(handed, InboundConnection::end);
+        onLoop(handed, InboundConnection::endAnswer);
         assertEquals("", caller.readChunk());
         Handed next = service.next();
         assertEquals("/2", next.request().target());
@@ -468,10 +468,10 @@
         Wire caller = caller();
         caller.send(request("/", "Connection: close\r\n", ""));
         Handed handed = service.next();
-        onLoop(handed, c -> c.begin(200, List.of()));
+        onLoop(handed, c -> c.beginAnswer(200, List.of()));
         assertEquals("close", caller.readHead().header("Connection"));
-        onLoop(handed, c -> c.piece(bytes("one")));
-        onLoop(handed, InboundConnection::end);
+        onLoop(handed, c -> c.writePart(bytes("one")));
+        onLoop(handed, InboundConnection::endAnswer);
         assertEquals("one", caller.readChunk());
         assertEquals("", caller.readChunk());
         assertNull(caller.read());
@@ -483,10 +483,10 @@
         Wire caller = caller();
         caller.send(request("/1", "", ""));
         Handed handed = service.next();
-        onLoop(handed, c -> c.begin(200, List.of()));
+        onLoop(handed, c -> c.beginAnswer(200, List.of()));
         assertNull(caller.readHead().header("Connection"));
         service.closing = true;
-        onLoop(handed, InboundConnection::end);
+        onLoop(handed, InboundConnection::endAnswer);
         assertEquals("", caller.readChunk());
         caller.send(request("/2", "", ""));
         answer(service.next(), 200, "");
@@ -499,8 +499,8 @@
         caller.send(request("/1", "", "") + request("/2", "", ""));
         Handed handed = service.next();
         onLoop(handed, c -> {
-            c.begin(200, List.of());
-            c.piece(bytes("one"));
+            c.beginAnswer(200, List.of());
+            c.writePart(bytes("one"));
         });
         caller.readHead();
         assertEquals("one", caller.readChunk());
@@ -525,11 +525,11 @@
         caller.send(request("/", "", ""));
         Handed handed = service.next();
         onLoop(handed, c -> {
-            c.begin(200, List.of());
-            c.piece(bytes("one"));
+            c.beginAnswer(200, List.of());
+            c.writePart(bytes("one"));
             c.abort();
-            c.piece(bytes("two"));
-            c.end();
+            c.writePart(bytes("two"));
+            c.endAnswer();
         });
         assertFalse(caller.readToEnd().endsWith("0\r\n\r\n"));
     }
@@ -539,7 +539,7 @@
         Wire caller = caller();
         caller.send(request("/", "", ""));
         Handed handed = service.next();
-        onLoop(handed, c -> c.begin(200, List.of()));
+        onLoop(handed, c -> c.beginAnswer(200, List.of()));
         caller.send("x".repeat(80 * 1024));
         assertEquals(handed.connection(), service.gone.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
         String all = caller.readToEnd();
@@ -580,14 +580,14 @@
         Wire caller = caller();
         InboundConnection connection = accepted();
         caller.send("POST / HTTP/1.1\r\nContent-Length: 4\r\n\r\nab");
-        OnLoop.await(loop, connection::halfRead);
+        OnLoop.await(loop, connection::isHalfRead);
         OnLoop.run(loop, () -> connection.endIfIdle(false));
         assertFalse(connection.isClosed());
         caller.send("cd");
         answer(service.next(), 200, "whole");
         assertEquals("whole", caller.read().body());
         caller.send("POST / HTTP/1.1\r\nContent-Length: 4\r\n\r\nab");
-        OnLoop.await(loop, connection::halfRead);
+        OnLoop.await(loop, connection::isHalfRead);
         OnLoop.run(loop, () -> connection.endIfIdle(true));
         caller.send("cd");
         assertNull(caller.read());
--- a/transport/src/test/java/dewplank/exchange/CallTreeTest.java
+++ b/transport/src/test/java/dewplank/exchange/PathRouterTest.java
@@ -8,10 +8,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class CallTreeTest {
-    private final CallTree<String> tree = new CallTree<>();
+class PathRouterTest {
+    private final PathRouter<String> tree = new PathRouter<>();
 
-    CallTreeTest() {
+    PathRouterTest() {
         tree.path("configuration").on("GET", "read").on("PUT", "change");
         tree.path("servers").path("*").on("GET", "one server");
     }
@@ -20,18 +20,18 @@
     void findsByPathAndMethod() {
         assertEquals("read", tree.find("GET", "/configuration?x=1").handler());
         assertEquals("change", tree.find("PUT", "/configuration/").handler());
-        CallTree.Match<String> one = tree.find("GET", "/servers/i-1");
+        PathRouter.Match<String> one = tree.find("GET", "/servers/i-1");
         assertEquals("one server", one.handler());
         assertEquals(List.of("i-1"), one.parameters());
     }
 
     @Test
     void tellsAWrongMethodFromAWrongPath() {
-        CallTree.Match<String> method = tree.find("DELETE", "/configuration");
+        PathRouter.Match<String> method = tree.find("DELETE", "/configuration");
         assertNull(method.handler());
-        assertTrue(method.pathKnown());
+        assertTrue(method.pathExists());
         assertEquals(List.of("GET", "PUT"), List.copyOf(method.methods()));
-        assertFalse(tree.find("GET", "/nothing").pathKnown());
-        assertFalse(tree.find("GET", "/").pathKnown());
+        assertFalse(tree.find("GET", "/nothing").pathExists());
+        assertFalse(tree.find("GET", "/").pathExists());
     }
 }
--- a/transport/src/test/java/dewplank/http/ParserTest.java
+++ b/transport/src/test/java/dewplank/http/ParserTest.java
@@ -64,7 +64,7 @@
         assertEquals(505, status("GET / HTTP/2.0\r\n"));
         assertEquals(413, status(POST + "Content-Length: 65537\r\n\r\n"));
         assertEquals(413, status(POST + "Transfer-Encoding: chunked\r\n\r\n10001\r\n"));
-        assertEquals(431, status(POST + "X: " + "y".repeat(MessageParser.MAX_HEAD)));
+        assertEquals(431, status(POST + "X: " + "y".repeat(MessageParser.MAX_HEAD_BYTES)));
     }
 
     @Test
--- a/transport/src/test/java/dewplank/net/WheelTest.java
+++ b/transport/src/test/java/dewplank/net/TimerWheelTest.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import org.junit.Test;
 
-public class WheelTest {
-    private final Wheel wheel = new Wheel(1_000, 5);
+public class TimerWheelTest {
+    private final TimerWheel wheel = new TimerWheel(1_000, 5);
     private final List<String> ran = new ArrayList<>();
 
     private void runAt(double now) {
@@ -39,7 +39,7 @@
      */
     @Test
     public void aTimerCancelledByOneDueInTheSameRunStaysCancelled() {
-        Wheel.Timer lastResort = wheel.add(1_020, () -> ran.add("last resort"));
+        TimerWheel.Timer lastResort = wheel.add(1_020, () -> ran.add("last resort"));
         wheel.add(1_010, () -> {
             ran.add("time-out");
             lastResort.cancel();
