--- a/controlplane/src/main/java/dewplank/controlplane/AcceptorReconfigurer.java
+++ b/controlplane/src/main/java/dewplank/controlplane/AcceptorReconfigurer.java
@@ -30,7 +30,7 @@
     private final AcceptorId self;
     private final ControlMesh mesh;
     private final ConfigurationStore configuration;
-    private final SingletonRole duty;
+    private final SingletonRole role;
     private final AcceptorPlacement placement;
     private boolean changePending;
 
@@ -40,12 +40,12 @@
             double catchUpMs,
             ControlMesh mesh,
             ConfigurationStore configuration,
-            SingletonRole duty) {
+            SingletonRole role) {
         this.loop = loop;
         this.self = self;
         this.mesh = mesh;
         this.configuration = configuration;
-        this.duty = duty;
+        this.role = role;
         this.placement = new AcceptorPlacement(AcceptorPlacement.Timing.ofCatchUp(catchUpMs));
     }
 
@@ -57,7 +57,7 @@
         AcceptorSet set = configuration.acceptors();
         List<AcceptorId> target = placement.targetMembers(loop.now(), set, observations());
         boolean differs = !set.isJoint() && !target.equals(set.members());
-        if (differs && !changePending && duty.isHeld() && configuration.hasQuorum(QUORUM_VALIDITY_MS)) {
+        if (differs && !changePending && role.isHeld() && configuration.hasQuorum(QUORUM_VALIDITY_MS)) {
             LOG.info("acceptor change started from={} to={}", set.members(), target);
             changePending = true;
             configuration.replaceAcceptors(set.generation(), target, CHANGE_TIMEOUT_MS, () -> changePending = false);
--- a/controlplane/src/main/java/dewplank/controlplane/ConfigurationHistory.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ConfigurationHistory.java
@@ -7,26 +7,41 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The newest configurations known to be chosen, and the updates that lead to the last of them. */
+/**
+ * The last configurations that the register has chosen, and the encoded updates that lead from each to the newest.
+ *
+ * <p>Updates are encoded once per base version, however many data planes need them. On the loop's thread only.
+ */
 final class ConfigurationHistory {
-    /** Versions retained to work out differences from; whoever holds an older one gets the whole. */
+    /** Versions to compute a difference from; a data plane with an older one gets the full text. */
     private static final int MAX_VERSIONS = 8;
 
-    /** An update as it is sent. */
+    /**
+     * An update as it is sent, compressed.
+     *
+     * @param baseVersion the version that it is a difference to; 0 for a full text
+     */
     record EncodedUpdate(byte[] bytes, long baseVersion) {}
 
     private final ArrayDeque<Configuration> versions = new ArrayDeque<>();
     private final Map<Long, EncodedUpdate> encoded = new HashMap<>();
 
+    /** Null before the first. */
     Configuration newest() {
         return versions.peekLast();
     }
 
+    /** Version of the newest; 0 before the first. */
     long version() {
         return versions.isEmpty() ? 0 : newest().version();
     }
 
-    /** Takes a newer one; whether it is newer. */
+    /**
+     * Adds a configuration that was chosen.
+     *
+     * @param configuration null where the register has none yet
+     * @return whether it was newer than the newest here, and was added
+     */
     boolean add(Configuration configuration) {
         if (configuration == null || configuration.version() <= version()) {
             return false;
@@ -39,7 +54,7 @@
         return true;
     }
 
-    /** The newest configuration for one who holds that version; 0: none. */
+    /** The update to the newest configuration from that version; 0 for none. */
     EncodedUpdate updateFrom(long baseVersion) {
         return encoded.computeIfAbsent(baseVersion, this::encode);
     }
--- a/controlplane/src/main/java/dewplank/controlplane/ControlPlane.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ControlPlane.java
@@ -230,7 +230,7 @@
     void drain(Runnable then) {
         loop.execute(() -> {
             LOG.info("draining");
-            duties.release();
+            duties.releaseAll();
             control.close();
             endWhenIdle(loop.now() + MAX_DRAIN_MS, then);
         });
@@ -367,7 +367,7 @@
                 peer = hello;
                 mesh.helloReceived(hello);
             } else if (message instanceof SessionOpen opening && session == null) {
-                session = sessions.open(connection, opening);
+                session = sessions.open(connection, opening).orElse(null);
             } else if (message instanceof SessionHeartbeat heartbeat && session != null) {
                 session.heartbeat(heartbeat);
             } else {
--- a/controlplane/src/main/java/dewplank/controlplane/DataPlaneSessions.java
+++ b/controlplane/src/main/java/dewplank/controlplane/DataPlaneSessions.java
@@ -10,28 +10,37 @@
 import dewplank.net.Scheduler;
 import java.util.LinkedHashSet;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Data planes' sessions here: their questions are kept, and answered as soon as there is something newer. */
+/**
+ * The sessions of data planes with this control plane: each heartbeat renews a session's lease and is acknowledged, and
+ * whatever is newer than what the data plane has is sent as soon as it is there.
+ *
+ * <p>{@link ControlPlane} hands in connections and messages, on the loop's thread only. A session ends with its
+ * connection; nothing here throws.
+ */
 final class DataPlaneSessions {
     private static final Logger LOG = LoggerFactory.getLogger(DataPlaneSessions.class);
 
-    /** What data planes are told. */
+    /** The state of the fleet as data planes receive it. On the loop's thread. */
     interface UpdateSource {
-        /** The part of the fleet's state that is newer than these versions; null if nothing is. */
-        FleetUpdate newerThan(DataPlaneVersions versions);
+        /** The part of the fleet's state that is newer than these versions; empty if nothing is. */
+        Optional<FleetUpdate> newerThan(DataPlaneVersions versions);
 
-        boolean quorate();
+        /** Whether a quorum has lately shown this process that its state is the newest. */
+        boolean isCurrent();
 
+        /** Control planes that a data plane may open a session with. */
         List<String> controlAddresses();
     }
 
     private final Scheduler loop;
     private final SessionTable table;
     private final UpdateSource source;
-    private final Set<Session> open = new LinkedHashSet<>(); // told in the order in which they opened
+    private final Set<Session> sessions = new LinkedHashSet<>(); // updates go out in the order of opening
 
     DataPlaneSessions(Scheduler loop, SessionTable table, UpdateSource source) {
         this.loop = loop;
@@ -39,62 +48,57 @@
         this.source = source;
     }
 
-    /** A data plane opens its session; null where there is no room. */
-    Session open(MessageLink connection, SessionOpen message) {
+    /** Opens a session; empty where the table is full, and the connection is ended then. */
+    Optional<Session> open(MessageLink connection, SessionOpen message) {
         if (!table.tryRenew(loop.now(), message.member)) {
             LOG.warn("session rejected node={} reason=max-sessions", message.member.node);
             connection.close();
-            return null;
+            return Optional.empty();
         }
         LOG.info("session opened node={}", message.member.node);
         Session session = new Session(connection, message.member);
-        open.add(session);
-        return session;
+        sessions.add(session);
+        return Optional.of(session);
     }
 
-    /** Something has changed: whoever holds older is told. */
+    /** The state of the fleet has changed: sends it to every data plane that has an older one. */
     void pushUpdates() {
-        List.copyOf(open).forEach(Session::sendUpdateOrClose);
+        List.copyOf(sessions).forEach(Session::sendUpdateOrClose);
     }
 
-    /** This process heard nobody for so long: no lease ran meanwhile. */
+    /** The event loop stood still for so long: heartbeats could not be read meanwhile, so leases are extended. */
     void stalled(double stalledMs) {
-        open.forEach(s -> s.lastHeartbeatAt += stalledMs);
+        sessions.forEach(s -> s.lastHeartbeatAt += stalledMs);
         table.extendLeases(stalledMs);
     }
 
     int size() {
-        return open.size();
+        return sessions.size();
     }
 
-    /** One session. */
+    /** One data plane's session, from its opening to the end of its connection. */
     final class Session {
         private final MessageLink connection;
         private final Member member;
         private final DataPlaneVersions versions = new DataPlaneVersions();
         private double lastHeartbeatAt;
-        private boolean versionsReported;
 
-        Session(MessageLink connection, Member member) {
+        private Session(MessageLink connection, Member member) {
             this.connection = connection;
             this.member = member;
             this.lastHeartbeatAt = loop.now();
         }
 
+        /** Renews the lease, acknowledges, and sends what is newer than the data plane's versions. */
         void heartbeat(SessionHeartbeat heartbeat) {
             lastHeartbeatAt = loop.now();
             table.tryRenew(lastHeartbeatAt, member);
-            if (!versionsReported) {
-                versionsReported = true;
-                versions.configurationVersion = heartbeat.configurationVersion;
-                versions.listVersion = heartbeat.listVersion;
-                versions.membersDigest = heartbeat.membersDigest;
-            }
-            connection.send(new HeartbeatAck(heartbeat.sequence, source.quorate(), source.controlAddresses()));
+            versions.onHeartbeat(heartbeat);
+            connection.send(new HeartbeatAck(heartbeat.sequence, source.isCurrent(), source.controlAddresses()));
             sendUpdate();
         }
 
-        /** One whose lease is over may be gone for good without a word: what it is told would pile up. */
+        /** A data plane whose lease has expired may be gone without closing: updates to it would pile up. */
         private void sendUpdateOrClose() {
             if (loop.now() - lastHeartbeatAt > table.leaseMs()) {
                 connection.close();
@@ -104,22 +108,19 @@
         }
 
         private void sendUpdate() {
-            if (!versionsReported) {
-                return;
-            }
-            FleetUpdate update = source.newerThan(versions);
-            if (update == null) {
-                return;
+            if (versions.areReported()) {
+                source.newerThan(versions).ifPresent(this::send);
             }
-            versions.configurationVersion = Math.max(versions.configurationVersion, update.configurationVersion);
-            versions.listVersion = update.endpointList == null ? versions.listVersion : update.endpointList.version;
-            versions.membersDigest =
-                    update.members == null ? versions.membersDigest : SessionTable.digest(update.members);
+        }
+
+        private void send(FleetUpdate update) {
+            versions.onUpdate(update);
             connection.send(update);
         }
 
+        /** The connection has ended. */
         void closed() {
-            open.remove(this);
+            sessions.remove(this);
             table.close(member);
             LOG.info("session closed node={}", member.node);
         }
--- a/controlplane/src/main/java/dewplank/controlplane/EndpointPoller.java
+++ b/controlplane/src/main/java/dewplank/controlplane/EndpointPoller.java
@@ -12,110 +12,130 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The list of servers: the holder of the duty asks the platform, all keep the newest list. */
+/**
+ * The endpoint list of the fleet: the lease holder polls the platform and publishes what changed; every other control
+ * plane takes the newest list that it receives.
+ *
+ * <p>A list is published only under the fencing token under which the platform was polled, so no list of a former lease
+ * holder can pass for a newer one. On the loop's thread only. A failed poll changes nothing: the last list stays.
+ */
 final class EndpointPoller {
     private static final Logger LOG = LoggerFactory.getLogger(EndpointPoller.class);
+
     private static final double POLL_INTERVAL_MS = 400;
+    /** How soon a new lease holder notices that it may poll. */
     private static final double CHECK_INTERVAL_MS = 50;
     /**
-     * Without an answer for this part of {@code drain_ms} the duty is laid down: there is as much left for a successor
-     * to win it, which takes a few round trips where it is released, and for its first question.
+     * The lease is released when polls have failed for this fraction of {@code drain_ms}: as much is left for a
+     * successor to acquire it, which takes a few round trips after a release, and for its first poll.
      */
     private static final double MAX_FAILING_FRACTION_OF_DRAIN = 0.5;
-    /** Where the platform answers nobody, the duty goes round ever more slowly: 1.5 s, 3 s, up to 24 s by now. */
+    /** Where the platform answers nobody, the lease moves on ever more slowly: after 1.5 s, 3 s, up to 24 s. */
     private static final double MAX_BACKOFF_FACTOR = 16;
-    /** Long enough for the others to win it, which take a lease at the most where they all live. */
+    /** Long enough for another process to acquire it: at most one lease where all are up. */
     private static final double STEP_DOWN_FRACTION_OF_DRAIN = 1;
 
     /**
-     * What is known here better than from the platform, whose list lags: the stage of a server that was ordered to
-     * change it.
+     * The stage of a server that was ordered to change it. It replaces the stage in the platform's list, which lags.
+     *
+     * @param expiresAt when the platform's list is trusted again, on the loop's clock in milliseconds
      */
     private record StageOverride(String stage, double expiresAt) {}
 
     private final Scheduler loop;
     private final PlatformClient platform;
-    private final SingletonRole duty;
+    private final SingletonRole role;
     private final double drainMs;
-    private final Consumer<EndpointList> changed;
-    private EndpointList newest = new EndpointList(EndpointListVersion.NONE, List.of());
+    private final Consumer<EndpointList> onPublished;
     private final Map<String, StageOverride> stageOverrides = new HashMap<>();
+    private EndpointList newest = new EndpointList(EndpointListVersion.NONE, List.of());
     private boolean pollPending;
     private boolean platformFailing;
     private double nextPollAt;
-    private long polledUnderToken;
+    private long lastPollToken;
     private double failingSince;
     private double backoffFactor = 1;
 
+    /**
+     * @param drainMs within which a drained server has to be known to all data planes
+     * @param onPublished takes each list that this process publishes, within the call that publishes it
+     */
     EndpointPoller(
             Scheduler loop,
             PlatformClient platform,
-            SingletonRole duty,
+            SingletonRole role,
             double drainMs,
-            Consumer<EndpointList> changed) {
+            Consumer<EndpointList> onPublished) {
         this.loop = loop;
         this.platform = platform;
-        this.duty = duty;
+        this.role = role;
         this.drainMs = drainMs;
-        this.changed = changed;
+        this.onPublished = onPublished;
     }
 
     void start() {
         check();
     }
 
+    /**
+     * The newest list that was published or received here; version {@link EndpointListVersion#NONE} before the first.
+     */
     EndpointList newest() {
         return newest;
     }
 
     /**
-     * Tells the stage of a server from now on, until the platform's list says the same or for so many milliseconds.
-     * Counts while this process holds the duty.
+     * Sets the stage of a server in what is published, until the platform's list agrees or for so many milliseconds.
+     * Takes effect with the next list, or with {@link #publishStageOverrides}.
      */
     void overrideStage(String instanceId, String stage, double validMs) {
         stageOverrides.put(instanceId, new StageOverride(stage, loop.now() + validMs));
     }
 
-    /** What was said of servers' stages under another number counts no more. */
+    /** Removes all overrides: they belong to a lease that has ended. */
     void clearStageOverrides() {
         stageOverrides.clear();
     }
 
-    /** What was said of the server's stage counts no more. */
+    /** Removes the override of a server whose order was rejected. */
     void clearStageOverride(String instanceId) {
         stageOverrides.remove(instanceId);
     }
 
-    /** Tells at once what {@link #overrideStage} changed, where this process holds the duty under that number. */
-    void publishStageOverrides(long number) {
-        if (newest.version.fencingToken == number && duty.isHeld(number)) {
-            List<Endpoint> servers = withStageOverrides(newest.endpoints);
-            if (differs(servers)) {
-                publish(servers, number);
+    /** Publishes at once what {@link #overrideStage} changed, if the lease is held under that fencing token. */
+    void publishStageOverrides(long fencingToken) {
+        if (newest.version.fencingToken == fencingToken && role.isHeld(fencingToken)) {
+            List<Endpoint> endpoints = withStageOverrides(newest.endpoints);
+            if (differsFromNewest(endpoints)) {
+                publish(endpoints, fencingToken);
             }
         }
     }
 
     private List<Endpoint> withStageOverrides(List<Endpoint> listed) {
-        stageOverrides.values().removeIf(k -> k.expiresAt() < loop.now());
+        stageOverrides.values().removeIf(o -> o.expiresAt() < loop.now());
         return listed.stream().map(this::withStageOverride).toList();
     }
 
-    private Endpoint withStageOverride(Endpoint entry) {
-        StageOverride override = stageOverrides.get(entry.instanceId);
-        return override == null ? entry : entry.withStage(override.stage());
+    private Endpoint withStageOverride(Endpoint endpoint) {
+        StageOverride override = stageOverrides.get(endpoint.instanceId);
+        return override == null ? endpoint : endpoint.withStage(override.stage());
     }
 
     private void dropConfirmedOverrides(List<Endpoint> listed) {
-        for (Endpoint entry : listed) {
-            StageOverride override = stageOverrides.get(entry.instanceId);
-            if (override != null && override.stage().equals(entry.stage)) {
-                stageOverrides.remove(entry.instanceId);
+        for (Endpoint endpoint : listed) {
+            StageOverride override = stageOverrides.get(endpoint.instanceId);
+            if (override != null && override.stage().equals(endpoint.stage)) {
+                stageOverrides.remove(endpoint.instanceId);
             }
         }
     }
 
-    /** Another holder's list; whether it is newer. */
+    /**
+     * Takes a list that another control plane published.
+     *
+     * @return whether it was newer than the one in place, and replaced it
+     */
     boolean receive(EndpointList list) {
         if (list.version.compareTo(newest.version) <= 0) {
             return false;
@@ -125,35 +145,36 @@
     }
 
     private void check() {
-        if (duty.isHeld() && !pollPending && loop.now() >= nextPollAt) {
-            pollPending = true;
-            nextPollAt = loop.now() + POLL_INTERVAL_MS;
-            polledUnderToken(duty.fencingToken());
-            platform.fetchInstances(new PollResult(duty.fencingToken()));
+        if (role.isHeld() && !pollPending && loop.now() >= nextPollAt) {
+            poll();
         }
         loop.after(CHECK_INTERVAL_MS, this::check);
     }
 
-    private void polledUnderToken(long number) {
-        if (number != polledUnderToken) {
-            polledUnderToken = number;
+    private void poll() {
+        pollPending = true;
+        nextPollAt = loop.now() + POLL_INTERVAL_MS;
+        long fencingToken = role.fencingToken();
+        if (fencingToken != lastPollToken) {
+            lastPollToken = fencingToken;
             failingSince = loop.now();
         }
+        platform.fetchInstances(new Poll(fencingToken));
     }
 
     /**
-     * One reading of the list. It counts under the number alone under which it was asked for: once the lease has
-     * lapsed in between, a successor may have told newer ones, also where the duty has been won back here since.
+     * One poll of the platform. Its result counts only while the lease is held under the token that it began under:
+     * after a lapse a successor may have published newer lists, even if the lease was acquired here again since.
      */
-    private final class PollResult implements PlatformClient.Callback {
-        private final long number;
+    private final class Poll implements PlatformClient.Callback {
+        private final long fencingToken;
 
-        PollResult(long number) {
-            this.number = number;
+        Poll(long fencingToken) {
+            this.fencingToken = fencingToken;
         }
 
         @Override
-        public void completed(List<Endpoint> servers) {
+        public void completed(List<Endpoint> listed) {
             pollPending = false;
             if (platformFailing) {
                 platformFailing = false;
@@ -161,51 +182,51 @@
             }
             backoffFactor = 1;
             failingSince = loop.now();
-            servers.sort(Comparator.comparing(s -> s.instanceId));
-            dropConfirmedOverrides(servers);
-            List<Endpoint> endpoints = withStageOverrides(servers);
-            boolean firstUnderNumber = newest.version.fencingToken != number;
-            if ((firstUnderNumber || differs(endpoints)) && duty.isHeld(number)) {
-                publish(endpoints, number);
+            listed.sort(Comparator.comparing(e -> e.instanceId));
+            dropConfirmedOverrides(listed);
+            List<Endpoint> endpoints = withStageOverrides(listed);
+            boolean firstUnderToken = newest.version.fencingToken != fencingToken;
+            if ((firstUnderToken || differsFromNewest(endpoints)) && role.isHeld(fencingToken)) {
+                publish(endpoints, fencingToken);
             }
         }
 
         @Override
-        public void failed(String why) {
+        public void failed(String reason) {
             pollPending = false;
             if (!platformFailing) {
                 platformFailing = true;
-                LOG.warn("platform poll failed reason={}", why);
+                LOG.warn("platform poll failed reason={}", reason);
             }
-            if (duty.isHeld(number)
-                    && loop.now() - failingSince >= backoffFactor * MAX_FAILING_FRACTION_OF_DRAIN * drainMs) {
+            double failingMs = loop.now() - failingSince;
+            if (role.isHeld(fencingToken) && failingMs >= backoffFactor * MAX_FAILING_FRACTION_OF_DRAIN * drainMs) {
                 LOG.warn(
                         "lease released duty=list token={} reason=platform-unreachable failingMs={}",
-                        number,
-                        Math.round(loop.now() - failingSince));
+                        fencingToken,
+                        Math.round(failingMs));
                 backoffFactor = Math.min(2 * backoffFactor, MAX_BACKOFF_FACTOR);
-                duty.stepDown(STEP_DOWN_FRACTION_OF_DRAIN * drainMs);
+                role.stepDown(STEP_DOWN_FRACTION_OF_DRAIN * drainMs);
             }
         }
     }
 
-    private boolean differs(List<Endpoint> servers) {
-        if (servers.size() != newest.endpoints.size()) {
+    private boolean differsFromNewest(List<Endpoint> endpoints) {
+        if (endpoints.size() != newest.endpoints.size()) {
             return true;
         }
-        for (int i = 0; i < servers.size(); i++) {
-            if (!servers.get(i).equalsIgnoringWarmup(newest.endpoints.get(i))) {
+        for (int i = 0; i < endpoints.size(); i++) {
+            if (!endpoints.get(i).equalsIgnoringWarmup(newest.endpoints.get(i))) {
                 return true;
             }
         }
         return false;
     }
 
-    /** The first list under a number is told even if it says nothing new: those still under way are older by it. */
-    private void publish(List<Endpoint> servers, long number) {
-        long revision = newest.version.fencingToken == number ? newest.version.revision + 1 : 1;
-        newest = new EndpointList(new EndpointListVersion(number, revision), servers);
-        LOG.info("endpoint list published version={} endpoints={}", newest.version, servers.size());
-        changed.accept(newest);
+    /** The first list under a token is published even if nothing changed: lists still in flight are older than it. */
+    private void publish(List<Endpoint> endpoints, long fencingToken) {
+        long revision = newest.version.fencingToken == fencingToken ? newest.version.revision + 1 : 1;
+        newest = new EndpointList(new EndpointListVersion(fencingToken, revision), endpoints);
+        LOG.info("endpoint list published version={} endpoints={}", newest.version, endpoints.size());
+        onPublished.accept(newest);
     }
 }
--- a/controlplane/src/main/java/dewplank/controlplane/FleetUpdateSource.java
+++ b/controlplane/src/main/java/dewplank/controlplane/FleetUpdateSource.java
@@ -6,8 +6,12 @@
 import dewplank.message.FleetUpdate;
 import dewplank.net.Scheduler;
 import java.util.List;
+import java.util.Optional;
 
-/** What data planes are told: of configuration, servers and members that which is newer than what they hold. */
+/**
+ * Composes the updates of data planes: of configuration, endpoint list and members whatever is newer than the versions
+ * that a data plane has. A control plane without a disk sends none, it only names others. On the loop's thread only.
+ */
 final class FleetUpdateSource implements DataPlaneSessions.UpdateSource {
     private final Scheduler loop;
     private final boolean durable;
@@ -17,7 +21,7 @@
     private final SessionTable table;
     private final ControlMesh mesh;
 
-    /** @param durable whether this process has a disk; one without only tells where others are */
+    /** @param durable whether this process has a disk */
     FleetUpdateSource(
             Scheduler loop,
             boolean durable,
@@ -36,33 +40,33 @@
     }
 
     @Override
-    public FleetUpdate newerThan(DataPlaneVersions versions) {
-        boolean newerConfiguration = history.version() > versions.configurationVersion;
+    public Optional<FleetUpdate> newerThan(DataPlaneVersions versions) {
+        boolean newerConfiguration = history.version() > versions.configurationVersion();
         EndpointList servers = poller.newest();
-        boolean newerList = servers.version.compareTo(versions.listVersion) > 0;
+        boolean newerList = servers.version.compareTo(versions.listVersion()) > 0;
         List<Member> members = table.members(loop.now());
-        boolean otherMembers = SessionTable.digest(members) != versions.membersDigest;
+        boolean otherMembers = SessionTable.digest(members) != versions.membersDigest();
         if (!durable || !newerConfiguration && !newerList && !otherMembers) {
-            return null;
+            return Optional.empty();
         }
         ConfigurationHistory.EncodedUpdate update = newerConfiguration
-                ? history.updateFrom(versions.configurationVersion)
+                ? history.updateFrom(versions.configurationVersion())
                 : new ConfigurationHistory.EncodedUpdate(null, 0);
-        return new FleetUpdate(
+        return Optional.of(new FleetUpdate(
                 update.bytes(),
                 newerConfiguration ? history.version() : 0,
                 update.baseVersion(),
                 newerList ? servers : null,
-                otherMembers ? members : null);
+                otherMembers ? members : null));
     }
 
     @Override
-    public boolean quorate() {
+    public boolean isCurrent() {
         return durable && configuration.isCurrent(QuorumConfirmation.QUORUM_VALIDITY_MS);
     }
 
     @Override
     public List<String> controlAddresses() {
-        return quorate() ? mesh.liveAddresses() : mesh.addressesLiveFirst();
+        return isCurrent() ? mesh.liveAddresses() : mesh.addressesLiveFirst();
     }
 }
--- a/controlplane/src/main/java/dewplank/controlplane/ModelServerClient.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ModelServerClient.java
@@ -4,23 +4,27 @@
 import java.util.Collection;
 import java.util.function.BooleanSupplier;
 
-/** Calls to model servers' own interface. */
+/** Requests to model servers' own interface. Called by {@link StageController}, on the loop's thread only. */
 interface ModelServerClient {
-    /** Takes an answer that came in full; nothing is told of a call that failed. */
+    /** Takes a response that arrived in full, on the loop's thread; a call that failed is not reported. */
     interface ResponseHandler {
         void responded(int status, byte[] body);
     }
 
-    /** Asks for a server's state. */
+    /**
+     * Requests a server's report of its state.
+     *
+     * @param onlyIf checked immediately before the request is written; nothing is sent where it is false
+     */
     void requestReport(Endpoint server, BooleanSupplier onlyIf, ResponseHandler handler);
 
     /**
-     * Gives an order.
+     * Sends an order.
      *
-     * @param onlyIf looked at immediately before the order is written
+     * @param onlyIf checked immediately before the request is written; nothing is sent where it is false
      */
     void sendOrder(Endpoint server, byte[] body, BooleanSupplier onlyIf, ResponseHandler handler);
 
-    /** Forgets all servers at other addresses than these. */
+    /** Drops the connections to all servers at other addresses than these. */
     void retainOnly(Collection<String> addresses);
 }
--- a/controlplane/src/main/java/dewplank/controlplane/PlatformClient.java
+++ b/controlplane/src/main/java/dewplank/controlplane/PlatformClient.java
@@ -3,15 +3,17 @@
 import dewplank.message.Endpoint;
 import java.util.List;
 
-/** The platform, which knows what servers there are. */
+/** The platform, which knows what model servers there are. Called by {@link EndpointPoller}, on the loop's thread. */
 interface PlatformClient {
-    /** How one reading of the list ended. */
+    /** How one reading of the list ended; exactly one of the two is called, on the loop's thread. */
     interface Callback {
-        void completed(List<Endpoint> servers);
+        /** @param instances all of them, as a list that the receiver may change */
+        void completed(List<Endpoint> instances);
 
-        void failed(String why);
+        /** @param reason for the log, in a few words */
+        void failed(String reason);
     }
 
-    /** Reads the whole list; one of the two is told afterwards. */
+    /** Reads the whole list. The caller waits for the end of one reading before it begins the next. */
     void fetchInstances(Callback callback);
 }
--- a/controlplane/src/main/java/dewplank/controlplane/SingletonRoles.java
+++ b/controlplane/src/main/java/dewplank/controlplane/SingletonRoles.java
@@ -12,18 +12,24 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** This control sidecar's votes and candidacies for singleton duties. The voters are the register's acceptors. */
+/**
+ * This control plane's votes and its candidacy for the fleet's singleton roles. The voters are the register's
+ * acceptors.
+ *
+ * <p>Drives {@link LeaseVoter} and {@link Candidate} with messages, time and the disk, on the loop's thread only. A
+ * token that can't be saved costs the vote, nothing else.
+ */
 final class SingletonRoles {
     private static final Logger LOG = LoggerFactory.getLogger(SingletonRoles.class);
-    private static final double TICK_MS = 20;
+    private static final double TICK_INTERVAL_MS = 20;
     private static final String ENDPOINT_LIST_ROLE = "list";
 
-    /** Sends to a control sidecar. */
+    /** Sends to a control plane; a message to this process itself arrives in a later task. */
     interface MessageSender {
         void send(String address, Object message);
     }
 
-    /** The sets of acceptors as this control sidecar knows them. */
+    /** The sets of acceptors as this control plane knows them. */
     interface Voters {
         /** The newest set known to be chosen. */
         AcceptorSet acceptors();
@@ -69,31 +75,32 @@
     private void tick() {
         updateVoters();
         candidate.tick(loop.now(), new CandidateActions());
-        loop.after(TICK_MS, this::tick);
+        loop.after(TICK_INTERVAL_MS, this::tick);
     }
 
-    /** An acceptance has not left this process before its disk held it, so that it is known here by then. */
+    /** Called before each vote: an acceptance leaves this process only after it was stored, so it is counted here. */
     private void updateVoters() {
         voter.updateVoterSet(loop.now(), voters.acceptors().generation(), voters.acceptedGeneration());
         candidate.updateVoterSet(loop.now(), voters.acceptors());
     }
 
-    /** Another candidate, or this process's own, asks for a vote. */
+    /** A candidate requests a vote; it may be this process's own. */
     void voteRequested(String from, VoteRequest request) {
         updateVoters();
         voter.onVoteRequest(loop.now(), request, new VoterActions(from));
     }
 
+    /** A voter has answered this process's candidate. */
     void voteReplied(VoteReply reply) {
         candidate.onVoteReply(loop.now(), reply, new CandidateActions());
     }
 
-    /** The process ends: the duty is laid down. */
-    void release() {
+    /** The process drains: the lease is released, and no candidacy follows. */
+    void releaseAll() {
         candidate.shutDown(loop.now(), new CandidateActions());
     }
 
-    /** The duty to ask the platform for its list, and to keep the acceptors what they should be. */
+    /** The role of polling the platform, ordering stages, and changing the acceptors. */
     SingletonRole endpointList() {
         return new SingletonRole() {
             @Override
--- a/controlplane/src/main/java/dewplank/controlplane/StageController.java
+++ b/controlplane/src/main/java/dewplank/controlplane/StageController.java
@@ -18,7 +18,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the stages of model servers what they should be: the holder of the duty asks them for their state and orders
+ * Keeps the stages of model servers what they should be: the holder of the role asks them for their state and orders
  * changes, a few at a time for each service. A new holder waits until no order of its predecessor can arrive any more.
  */
 final class StageController {
@@ -42,7 +42,7 @@
     private static final double IDLE_ORDER_INTERVAL_MS = 300; // while nothing runs anywhere
     /**
      * Beyond the lease that the operators' rules name. The last order of a predecessor was written before its lease
-     * lapsed, so before the duty was won here, and its call is given up 600 ms later, on its way or not.
+     * lapsed, so before the role was won here, and its call is given up 600 ms later, on its way or not.
      */
     private static final double LEASE_MARGIN_MS = 700;
 
@@ -55,7 +55,7 @@
     private final String holder;
     private final double leaseMs;
     private final EndpointPoller poller;
-    private final SingletonRole duty;
+    private final SingletonRole role;
     private final ModelServerClient client;
     private final Policy policy;
     private final Map<String, TimedReport> reports = new HashMap<>();
@@ -72,7 +72,7 @@
             String holder,
             double leaseMs,
             EndpointPoller poller,
-            SingletonRole duty,
+            SingletonRole role,
             ModelServerClient client,
             Policy policy) {
         this.policy = policy;
@@ -80,7 +80,7 @@
         this.holder = holder;
         this.leaseMs = leaseMs;
         this.poller = poller;
-        this.duty = duty;
+        this.role = role;
         this.client = client;
     }
 
@@ -95,13 +95,13 @@
 
     private void check() {
         double now = loop.now();
-        if (!duty.isHeld()) {
+        if (!role.isHeld()) {
             leaseHeldSince = Double.POSITIVE_INFINITY;
             reports.clear();
             clearOrders();
         } else {
-            if (duty.fencingToken() != leaseToken) { // another may have held it between two looks
-                leaseToken = duty.fencingToken();
+            if (role.fencingToken() != leaseToken) { // another may have held it between two looks
+                leaseToken = role.fencingToken();
                 leaseHeldSince = now;
                 reports.clear();
                 clearOrders();
@@ -146,7 +146,7 @@
     }
 
     private void requestReport(Endpoint server) {
-        client.requestReport(server, duty::isHeld, (status, body) -> {
+        client.requestReport(server, role::isHeld, (status, body) -> {
             if (status == 200) {
                 storeReport(server, body);
             }
@@ -214,7 +214,7 @@
             pending.remove(engine.instanceId());
             if (shown) {
                 poller.overrideStage(engine.instanceId(), stage(order.toPrefill()), ORDER_TIMEOUT_MS);
-                poller.publishStageOverrides(duty.fencingToken());
+                poller.publishStageOverrides(role.fencingToken());
             }
         }
         return engine;
@@ -222,14 +222,14 @@
 
     /** Data planes hear of it before the servers do, but where nothing runs that could be turned away. */
     private void announce(List<Endpoint> servers, List<StagePlanner.Change> changes, boolean idle) {
-        long number = duty.fencingToken();
+        long number = role.fencingToken();
         for (StagePlanner.Change change : changes) {
             pending.put(change.instanceId(), new PendingOrder(change.toPrefill(), loop.now()));
             poller.overrideStage(change.instanceId(), Endpoint.CHANGING, ORDER_TIMEOUT_MS);
         }
         poller.publishStageOverrides(number);
         loop.after(idle ? 0 : ANNOUNCEMENT_LEAD_MS, () -> {
-            if (duty.isHeld(number)) {
+            if (role.isHeld(number)) {
                 changes.forEach(c -> order(servers, c, number));
             }
         });
@@ -249,7 +249,7 @@
                 + ",\"fence_number\":" + number + "}";
         ordersSent++;
         LOG.info("stage order sent server={} stage={} token={}", server.instanceId, stage, number);
-        client.sendOrder(server, body.getBytes(StandardCharsets.UTF_8), () -> duty.isHeld(number), (status, answer) -> {
+        client.sendOrder(server, body.getBytes(StandardCharsets.UTF_8), () -> role.isHeld(number), (status, answer) -> {
             if (status != 200 && status != 202) {
                 LOG.info("stage order rejected server={} status={}", server.instanceId, status);
                 pending.remove(server.instanceId);
--- a/controlplane/src/test/java/dewplank/controlplane/DataPlaneSessionsTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/DataPlaneSessionsTest.java
@@ -25,6 +25,7 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -52,14 +53,15 @@
         dataPlane = new FramedPeer();
         sessions = new DataPlaneSessions(new ShiftedClock(), table, new DataPlaneSessions.UpdateSource() {
             @Override
-            public FleetUpdate newerThan(DataPlaneVersions versions) {
-                asked.add(versions.configurationVersion + " " + versions.listVersion + " " + versions.membersDigest);
-                boolean newer = news != null && news.configurationVersion > versions.configurationVersion;
-                return newer ? news : null;
+            public Optional<FleetUpdate> newerThan(DataPlaneVersions versions) {
+                asked.add(versions.configurationVersion() + " " + versions.listVersion() + " "
+                        + versions.membersDigest());
+                boolean newer = news != null && news.configurationVersion > versions.configurationVersion();
+                return newer ? Optional.of(news) : Optional.empty();
             }
 
             @Override
-            public boolean quorate() {
+            public boolean isCurrent() {
                 return true;
             }
 
@@ -100,7 +102,7 @@
         @Override
         public void received(MessageLink connection, Object message) {
             if (message instanceof SessionOpen open) {
-                session = sessions.open(connection, open);
+                session = sessions.open(connection, open).orElse(null);
             } else if (message instanceof SessionHeartbeat heartbeat && session != null) {
                 session.heartbeat(heartbeat);
             }
