--- a/configuration/src/main/java/dewplank/configuration/ConfigurationDocument.java
+++ b/configuration/src/main/java/dewplank/configuration/ConfigurationDocument.java
@@ -33,7 +33,7 @@
      */
     private static final int COMPRESSED = 64;
 
-    private static final int MOST_PLAIN_BYTES = 64 << 20; // more than the machines could hold
+    private static final int MAX_PLAIN_BYTES = 64 << 20; // more than the machines could hold
 
     private static final ConfigurationDocument EMPTY = new ConfigurationDocument(null, ChangeHistory.EMPTY);
 
@@ -66,7 +66,7 @@
     private static byte[] plain(byte[] payload) throws IOException {
         boolean compressed = payload.length > 0 && payload[0] == COMPRESSED;
         return compressed
-                ? Compressed.plain(Arrays.copyOfRange(payload, 1, payload.length), MOST_PLAIN_BYTES)
+                ? DeflateCodec.inflate(Arrays.copyOfRange(payload, 1, payload.length), MAX_PLAIN_BYTES)
                 : payload;
     }
 
@@ -81,7 +81,7 @@
         } catch (IOException impossible) {
             throw new UncheckedIOException(impossible);
         }
-        byte[] compressed = Compressed.of(bytes.toByteArray());
+        byte[] compressed = DeflateCodec.deflate(bytes.toByteArray());
         byte[] payload = new byte[1 + compressed.length];
         payload[0] = COMPRESSED;
         System.arraycopy(compressed, 0, payload, 1, compressed.length);
--- a/configuration/src/test/java/dewplank/configuration/ConfigurationDocumentTest.java
+++ b/configuration/src/test/java/dewplank/configuration/ConfigurationDocumentTest.java
@@ -80,7 +80,7 @@
 
     /** What a payload holds behind its first byte. */
     private static byte[] plain(byte[] payload) throws IOException {
-        return Compressed.plain(Arrays.copyOfRange(payload, 1, payload.length), 64 << 20);
+        return DeflateCodec.inflate(Arrays.copyOfRange(payload, 1, payload.length), 64 << 20);
     }
 
     /** A round of the register sends it to each acceptor: of two thousand routes it is to take a few milliseconds. */
@@ -109,7 +109,7 @@
         byte[] payload = accepted(EMPTY, put(0, Samples.whole(5))).encode();
         byte[] cut = Arrays.copyOf(payload, payload.length / 2);
         assertThrows(IllegalArgumentException.class, () -> ConfigurationDocument.decode(cut));
-        assertThrows(IOException.class, () -> Compressed.plain(Compressed.of(new byte[1 << 20]), 1 << 10));
+        assertThrows(IOException.class, () -> DeflateCodec.inflate(DeflateCodec.deflate(new byte[1 << 20]), 1 << 10));
     }
 
     /** A refusal has to be true: of a change that may be among those forgotten nothing is said either way. */
--- a/messages/src/test/java/dewplank/message/DeflatedTest.java
+++ b/configuration/src/test/java/dewplank/configuration/DeflateCodecTest.java
@@ -1,4 +1,4 @@
-package dewplank.message;
+package dewplank.configuration;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -12,37 +12,44 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-class DeflatedTest {
+class DeflateCodecTest {
+    /** The bound that data planes use: the body of one frame of messages, which is this long in dewplank.message. */
+    private static final int MAX_BYTES = 8 * 1024 * 1024;
+
+    private static byte[] inflate(byte[] deflated) throws CorruptDeflateException {
+        return DeflateCodec.inflate(deflated, MAX_BYTES);
+    }
+
     @Property(tries = 200)
-    void whatIsDeflatedComesBack(@ForAll @Size(max = 500) byte[] plain) throws CorruptFrameException {
-        assertArrayEquals(plain, Deflated.plain(Deflated.of(plain)));
+    void inflatesWhatWasDeflated(@ForAll @Size(max = 500) byte[] plain) throws CorruptDeflateException {
+        assertArrayEquals(plain, inflate(DeflateCodec.deflate(plain)));
     }
 
     @Test
-    void theLargestConfigurationComesBack() throws CorruptFrameException {
+    void inflatesTheLargestConfiguration() throws CorruptDeflateException {
         byte[] noise = new byte[4 << 20];
         new Random(3).nextBytes(noise);
-        assertArrayEquals(noise, Deflated.plain(Deflated.of(noise)));
-        byte[] full = new byte[MessageCodec.MAX_BODY_BYTES];
-        assertArrayEquals(full, Deflated.plain(Deflated.of(full)));
-        assertArrayEquals(new byte[0], Deflated.plain(Deflated.of(new byte[0])));
+        assertArrayEquals(noise, inflate(DeflateCodec.deflate(noise)));
+        byte[] full = new byte[MAX_BYTES];
+        assertArrayEquals(full, inflate(DeflateCodec.deflate(full)));
+        assertArrayEquals(new byte[0], inflate(DeflateCodec.deflate(new byte[0])));
     }
 
     @Test
-    void whatIsCutShortOrSpoiltIsTold() {
-        byte[] deflated = Deflated.of("a configuration, a configuration".getBytes());
+    void rejectsTruncatedOrDamagedBytes() {
+        byte[] deflated = DeflateCodec.deflate("a configuration, a configuration".getBytes());
         for (int length = 0; length < deflated.length; length++) {
             byte[] part = Arrays.copyOf(deflated, length);
-            assertThrows(CorruptFrameException.class, () -> Deflated.plain(part));
+            assertThrows(CorruptDeflateException.class, () -> inflate(part));
         }
         byte[] spoilt = deflated.clone();
         spoilt[spoilt.length - 1] ^= 1; // of the checksum
-        assertThrows(CorruptFrameException.class, () -> Deflated.plain(spoilt));
-        assertThrows(CorruptFrameException.class, () -> Deflated.plain(new byte[] {1, 2, 3, 4, 5, 6, 7, 8}));
+        assertThrows(CorruptDeflateException.class, () -> inflate(spoilt));
+        assertThrows(CorruptDeflateException.class, () -> inflate(new byte[] {1, 2, 3, 4, 5, 6, 7, 8}));
     }
 
     @Test
-    void aBodyThatNeedsADictionaryIsTold() {
+    void rejectsABodyThatNeedsADictionary() {
         Deflater deflater = new Deflater();
         deflater.setDictionary("config".getBytes());
         deflater.setInput("config".getBytes());
@@ -50,12 +57,12 @@
         byte[] out = new byte[100];
         int length = deflater.deflate(out);
         deflater.end();
-        assertThrows(CorruptFrameException.class, () -> Deflated.plain(Arrays.copyOf(out, length)));
+        assertThrows(CorruptDeflateException.class, () -> inflate(Arrays.copyOf(out, length)));
     }
 
-    /** Less than a hundred kilobytes that would fill 64 megabytes: they are given up at the size of a frame. */
+    /** Less than a hundred kilobytes that would fill 64 megabytes: inflating stops at the size of a frame. */
     @Test
-    void aBombIsGivenUp() {
+    void stopsADecompressionBomb() {
         Deflater deflater = new Deflater(Deflater.BEST_COMPRESSION);
         byte[] zeros = new byte[1 << 20];
         byte[] bomb = new byte[1 << 20];
@@ -69,6 +76,6 @@
         deflater.end();
         byte[] whole = Arrays.copyOf(bomb, length);
         assertTrue(whole.length < 100_000);
-        assertThrows(CorruptFrameException.class, () -> Deflated.plain(whole));
+        assertThrows(CorruptDeflateException.class, () -> inflate(whole));
     }
 }
--- a/configuration/src/test/java/dewplank/configuration/GoldenConfigurationTest.java
+++ b/configuration/src/test/java/dewplank/configuration/GoldenConfigurationTest.java
@@ -44,7 +44,7 @@
     }
 
     private static byte[] plain(byte[] payload) throws IOException {
-        return Compressed.plain(Arrays.copyOfRange(payload, 1, payload.length), MAX_PLAIN_BYTES);
+        return DeflateCodec.inflate(Arrays.copyOfRange(payload, 1, payload.length), MAX_PLAIN_BYTES);
     }
 
     // ---- payloads -------------------------------------------------------------------------------------
--- a/controlplane/src/main/java/dewplank/controlplane/ConfigurationHistory.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ConfigurationHistory.java
@@ -2,7 +2,7 @@
 
 import dewplank.configuration.Configuration;
 import dewplank.configuration.ConfigurationDelta;
-import dewplank.message.Deflated;
+import dewplank.configuration.DeflateCodec;
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.Map;
@@ -62,9 +62,9 @@
     private EncodedUpdate encode(long baseVersion) {
         for (Configuration from : versions) {
             if (from.version() == baseVersion) {
-                return new EncodedUpdate(Deflated.of(ConfigurationDelta.between(from, newest())), baseVersion);
+                return new EncodedUpdate(DeflateCodec.deflate(ConfigurationDelta.between(from, newest())), baseVersion);
             }
         }
-        return new EncodedUpdate(Deflated.of(newest().json()), 0);
+        return new EncodedUpdate(DeflateCodec.deflate(newest().json()), 0);
     }
 }
--- a/dataplane/src/main/java/dewplank/dataplane/SessionClient.java
+++ b/dataplane/src/main/java/dewplank/dataplane/SessionClient.java
@@ -2,12 +2,13 @@
 
 import dewplank.configuration.Configuration;
 import dewplank.configuration.ConfigurationDelta;
+import dewplank.configuration.CorruptDeflateException;
+import dewplank.configuration.DeflateCodec;
 import dewplank.configuration.InvalidConfigurationException;
 import dewplank.membership.Member;
-import dewplank.message.CorruptFrameException;
-import dewplank.message.Deflated;
 import dewplank.message.FleetUpdate;
 import dewplank.message.HeartbeatAck;
+import dewplank.message.MessageCodec;
 import dewplank.message.MessageLink;
 import dewplank.message.MessageTransport;
 import dewplank.message.SessionHeartbeat;
@@ -316,7 +317,7 @@
                 return true;
             }
             try {
-                byte[] plain = Deflated.plain(update.configuration);
+                byte[] plain = DeflateCodec.inflate(update.configuration, MessageCodec.MAX_BODY_BYTES);
                 if (update.baseVersion == 0) {
                     fleet.configured(Configuration.parse(plain));
                 } else if (update.baseVersion == fleet.configurationVersion()) {
@@ -325,7 +326,7 @@
                     return false;
                 }
                 return true;
-            } catch (CorruptFrameException | InvalidConfigurationException e) {
+            } catch (CorruptDeflateException | InvalidConfigurationException e) {
                 LOG.warn("an update of {} can't be used: {}", address, e.getMessage());
                 return false;
             }
--- a/dataplane/src/test/java/dewplank/dataplane/SessionClientTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/SessionClientTest.java
@@ -9,11 +9,11 @@
 
 import dewplank.configuration.Configuration;
 import dewplank.configuration.ConfigurationDelta;
+import dewplank.configuration.DeflateCodec;
 import dewplank.dataplane.FakeControlPlane.Session;
 import dewplank.exchange.OnLoop;
 import dewplank.membership.Member;
 import dewplank.membership.SessionTable;
-import dewplank.message.Deflated;
 import dewplank.message.Endpoint;
 import dewplank.message.EndpointList;
 import dewplank.message.EndpointListVersion;
@@ -93,12 +93,12 @@
     }
 
     private static FleetUpdate whole(Configuration c) {
-        return new FleetUpdate(Deflated.of(c.json()), c.version(), 0, null, null);
+        return new FleetUpdate(DeflateCodec.deflate(c.json()), c.version(), 0, null, null);
     }
 
     private static FleetUpdate delta(Configuration from, Configuration to) {
         return new FleetUpdate(
-                Deflated.of(ConfigurationDelta.between(from, to)), to.version(), from.version(), null, null);
+                DeflateCodec.deflate(ConfigurationDelta.between(from, to)), to.version(), from.version(), null, null);
     }
 
     private void awaitVersion(long version) throws Exception {
@@ -121,7 +121,7 @@
         Endpoint entry = new Endpoint("i", PLAIN, "127.0.0.1:9", "z", 4, false, 0, null);
         Configuration config = configuration(7, route("r", "safe", PLAIN, 1));
         session.send(new FleetUpdate(
-                Deflated.of(config.json()),
+                DeflateCodec.deflate(config.json()),
                 7,
                 0,
                 new EndpointList(new EndpointListVersion(2, 5), List.of(entry)),
@@ -198,13 +198,13 @@
         Session session = control.session();
         session.send(whole(held));
         session.questionHolding(3);
-        for (byte[] bad : new byte[][] {{1, 2, 3}, Deflated.of("{}".getBytes())}) {
+        for (byte[] bad : new byte[][] {{1, 2, 3}, DeflateCodec.deflate("{}".getBytes())}) {
             session.send(new FleetUpdate(bad, 9, 0, null, null));
             session.awaitEnd();
             session = control.session();
             assertEquals(3, session.question().configurationVersion);
         }
-        session.send(new FleetUpdate(Deflated.of(new byte[] {1, 2, 3}), 9, 3, null, null));
+        session.send(new FleetUpdate(DeflateCodec.deflate(new byte[] {1, 2, 3}), 9, 3, null, null));
         session.awaitEnd();
         assertEquals("a", view.routes().find(ForwarderFixture.HOST, "/a/").name());
     }
--- a/dataplane/src/test/java/dewplank/dataplane/SessionCrossingTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/SessionCrossingTest.java
@@ -6,10 +6,10 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dewplank.configuration.Configuration;
+import dewplank.configuration.DeflateCodec;
 import dewplank.dataplane.FakeControlPlane.Session;
 import dewplank.exchange.OnLoop;
 import dewplank.membership.Member;
-import dewplank.message.Deflated;
 import dewplank.message.EndpointList;
 import dewplank.message.EndpointListVersion;
 import dewplank.message.FleetMessages;
@@ -60,7 +60,7 @@
 
     private static FleetUpdate whole(long version, EndpointListVersion list) throws Exception {
         Configuration c = ForwarderFixture.parse(version, 1_000, route("r" + version, "safe", PLAIN, 1));
-        return new FleetUpdate(Deflated.of(c.json()), version, 0, new EndpointList(list, List.of()), null);
+        return new FleetUpdate(DeflateCodec.deflate(c.json()), version, 0, new EndpointList(list, List.of()), null);
     }
 
     private void awaitVersion(long version) throws Exception {
--- a/messages/src/main/java/dewplank/message/MessageCodec.java
+++ b/messages/src/main/java/dewplank/message/MessageCodec.java
@@ -16,7 +16,7 @@
  */
 public final class MessageCodec {
     /** A frame holds one configuration at the most, which operators may send with up to 4 MiB. */
-    static final int MAX_BODY_BYTES = 8 * 1024 * 1024;
+    public static final int MAX_BODY_BYTES = 8 * 1024 * 1024;
 
     private static final int HEAD_BYTES = Integer.BYTES + 1;
     private static final int BUFFER_BYTES = 1024;
--- a/messages/src/test/java/dewplank/message/GoldenFramesTest.java
+++ b/messages/src/test/java/dewplank/message/GoldenFramesTest.java
@@ -7,6 +7,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import dewplank.configuration.DeflateCodec;
 import dewplank.membership.Member;
 import dewplank.membership.SessionTable;
 import dewplank.register.Accept;
@@ -286,10 +287,10 @@
     void deflatedConfigurations() throws Exception {
         String text = "{\"config_version\":5}{\"config_version\":5}";
         byte[] plain = text.getBytes(StandardCharsets.US_ASCII);
-        assertArrayEquals(plain, Deflated.plain(HexFormat.of().parseHex(DEFLATED)));
-        byte[] deflated = Deflated.of(plain);
+        assertArrayEquals(plain, DeflateCodec.inflate(HexFormat.of().parseHex(DEFLATED), MessageCodec.MAX_BODY_BYTES));
+        byte[] deflated = DeflateCodec.deflate(plain);
         assertEquals("7801", HexFormat.of().formatHex(deflated, 0, 2));
-        assertArrayEquals(plain, Deflated.plain(deflated));
+        assertArrayEquals(plain, DeflateCodec.inflate(deflated, MessageCodec.MAX_BODY_BYTES));
     }
 
     // ---- votes ----------------------------------------------------------------------------------------
