--- a/configuration/src/test/java/dewplank/configuration/VersionOrderTest.java
+++ b/configuration/src/test/java/dewplank/configuration/VersionOrderTest.java
@@ -60,7 +60,7 @@
 
         @Override
         public void store(long ticket, DurableState state) {
-            register.stored(now, ticket, this);
+            register.handleStored(now, ticket, this);
         }
 
         @Override
@@ -111,7 +111,7 @@
         }
 
         void replace(List<AcceptorId> wanted) {
-            register.replaceAcceptors(now, ++requests, register.acceptors().generation(), wanted, now + PATIENCE, this);
+            register.reconfigure(now, ++requests, register.acceptors().generation(), wanted, now + PATIENCE, this);
         }
     }
 
@@ -150,7 +150,7 @@
             Sent sent = isRepeated ? wire.get(index) : wire.remove(index);
             Node node = nodes.get(sent.to);
             if (random.nextInt(20) != 0) {
-                node.register.received(now, sent.message, node);
+                node.register.handleMessage(now, sent.message, node);
             }
         }
     }
--- a/consensus/src/main/java/dewplank/register/Accept.java
+++ b/consensus/src/main/java/dewplank/register/Accept.java
@@ -2,19 +2,22 @@
 
 import java.util.Objects;
 
-/** Second round: asks an acceptor to accept a value. */
+/**
+ * Second phase of a ballot: requests that an acceptor accept a value. Answered by {@link Accepted} or {@link Reject}.
+ */
 public final class Accept extends RegisterMessage {
     private final Ballot ballot;
     private final RegisterValue value;
 
-    /** Makes the message. */
-    public Accept(String sender, String senderIdentity, String recipientIdentity, Ballot ballot, RegisterValue value) {
-        super(sender, senderIdentity, recipientIdentity);
+    /** Creates the request; no argument may be null. */
+    public Accept(
+            String senderAddress, String senderIdentity, String recipientIdentity, Ballot ballot, RegisterValue value) {
+        super(senderAddress, senderIdentity, recipientIdentity);
         this.ballot = Objects.requireNonNull(ballot);
         this.value = Objects.requireNonNull(value);
     }
 
-    /** The ballot of the value. */
+    /** The ballot at which the value is proposed. */
     public Ballot ballot() {
         return ballot;
     }
--- a/consensus/src/main/java/dewplank/register/Accepted.java
+++ b/consensus/src/main/java/dewplank/register/Accepted.java
@@ -2,17 +2,17 @@
 
 import java.util.Objects;
 
-/** Answer to {@link Accept}: the value is accepted and kept. */
+/** Positive answer to {@link Accept}: the sender has accepted the value and synced it. */
 public final class Accepted extends RegisterMessage {
     private final Ballot ballot;
 
-    /** Makes the message. */
-    public Accepted(String sender, String senderIdentity, String recipientIdentity, Ballot ballot) {
-        super(sender, senderIdentity, recipientIdentity);
+    /** Creates the answer; no argument may be null. */
+    public Accepted(String senderAddress, String senderIdentity, String recipientIdentity, Ballot ballot) {
+        super(senderAddress, senderIdentity, recipientIdentity);
         this.ballot = Objects.requireNonNull(ballot);
     }
 
-    /** The ballot accepted. */
+    /** The ballot at which the value was accepted. */
     public Ballot ballot() {
         return ballot;
     }
--- a/consensus/src/main/java/dewplank/register/Acceptor.java
+++ b/consensus/src/main/java/dewplank/register/Acceptor.java
@@ -4,23 +4,24 @@
 import java.util.List;
 
 /**
- * The acceptor of one process. It answers only what its disk holds: while a store is under way, later votes wait and
- * go together in the next one.
+ * The acceptor of one process (CASPaxos, Rystsov 2018, section 2.2). {@link Register} calls it on its own thread. It
+ * answers only what its disk has synced: while a store is in flight, later votes are collected and go together into the
+ * next one. The argument for a failed store is invariant 4 in {@code docs/register.md}.
  */
 final class Acceptor {
-    /** Answers that may wait for the disk; a lost answer is only asked for again, so a stalled disk costs no memory. */
-    static final int MOST_WAITING = 256;
+    /** Replies that may wait for the disk. More are dropped as if lost, so a stalled disk costs no memory. */
+    static final int MAX_PENDING_REPLIES = 256;
 
-    private record Answer(String address, RegisterMessage message) {}
+    private record PendingReply(String address, RegisterMessage message) {}
 
     private final AcceptorId self;
     private DurableState current;
     private DurableState durable;
-    private DurableState storing;
-    private long ticket;
-    private boolean unsaved;
-    private List<Answer> covered = new ArrayList<>();
-    private List<Answer> waiting = new ArrayList<>();
+    private DurableState storeInFlight;
+    private long storeId;
+    private boolean isStoreNeeded;
+    private List<PendingReply> repliesToStoreInFlight = new ArrayList<>();
+    private List<PendingReply> repliesToNextStore = new ArrayList<>();
 
     Acceptor(AcceptorId self, DurableState recovered) {
         this.self = self;
@@ -28,140 +29,138 @@
         this.durable = recovered;
     }
 
-    /** What is kept on disk for certain. */
+    /** The state that is synced for certain. */
     DurableState durable() {
         return durable;
     }
 
-    /** What is accepted, also when the disk does not hold it yet. */
+    /** The newest state, which the disk may not hold yet. */
     DurableState current() {
         return current;
     }
 
-    void prepare(Prepare message, Register.Effects out) {
-        Ballot ballot = message.ballot();
-        if (current.promised().isAfter(ballot)) {
-            refuse(message, ballot, out);
+    /** Promises the ballot unless a higher one is promised. */
+    void handlePrepare(Prepare prepare, Register.Effects effects) {
+        Ballot ballot = prepare.ballot();
+        if (current.promisedBallot().isAfter(ballot)) {
+            reject(prepare, ballot, effects);
             return;
         }
-        if (ballot.isAfter(current.promised())) {
-            become(current.promising(ballot));
+        if (ballot.isAfter(current.promisedBallot())) {
+            update(current.promising(ballot));
         }
-        boolean known = !current.accepted().isAfter(message.known());
-        answer(
-                message,
+        boolean isValueNewer = current.acceptedBallot().isAfter(prepare.chosenBallot());
+        replyOnceStored(
+                prepare,
                 new Promise(
                         self.address(),
                         self.identity(),
-                        message.senderIdentity(),
+                        prepare.senderIdentity(),
                         ballot,
-                        current.accepted(),
-                        known ? null : current.value()),
-                out);
+                        current.acceptedBallot(),
+                        isValueNewer ? current.acceptedValue() : null),
+                effects);
     }
 
-    void accept(Accept message, Register.Effects out) {
-        Ballot ballot = message.ballot();
-        if (current.promised().isAfter(ballot)) {
-            refuse(message, ballot, out);
+    /** Accepts the value unless a higher ballot is promised. */
+    void handleAccept(Accept accept, Register.Effects effects) {
+        Ballot ballot = accept.ballot();
+        if (current.promisedBallot().isAfter(ballot)) {
+            reject(accept, ballot, effects);
             return;
         }
-        if (ballot.isAfter(current.accepted())) {
-            become(current.accepting(ballot, message.value()));
+        if (ballot.isAfter(current.acceptedBallot())) {
+            update(current.accepting(ballot, accept.value()));
         }
-        answer(message, new Accepted(self.address(), self.identity(), message.senderIdentity(), ballot), out);
+        replyOnceStored(
+                accept, new Accepted(self.address(), self.identity(), accept.senderIdentity(), ballot), effects);
     }
 
     /**
-     * Keeps a value that is chosen. It counts as accepted whatever is promised: a proposer that holds a promise for a
-     * higher ballot has met the choosing quorum and read the value there.
+     * Stores a value that is chosen. It counts as accepted whatever is promised: a proposer with a promise for a higher
+     * ballot has met the choosing quorum and read the value there.
      */
-    void adopt(Ballot ballot, RegisterValue value, Register.Effects out) {
+    void storeChosen(Ballot ballot, RegisterValue value, Register.Effects effects) {
         DurableState next = current.choosing(ballot, value);
-        become(ballot.isAfter(current.accepted()) ? next.accepting(ballot, value) : next);
-        storeIfIdle(out);
+        update(ballot.isAfter(current.acceptedBallot()) ? next.accepting(ballot, value) : next);
+        startStoreIfIdle(effects);
     }
 
-    void stored(long confirmed, Register.Effects out) {
-        if (storing == null || confirmed != ticket) {
+    /** The store with this id is synced: sends the replies that waited for it. */
+    void handleStored(long id, Register.Effects effects) {
+        if (storeInFlight == null || id != storeId) {
             return;
         }
-        durable = storing;
-        storing = null;
-        List<Answer> kept = covered;
-        covered = new ArrayList<>();
-        for (Answer answer : kept) {
-            out.send(answer.address, answer.message);
+        durable = storeInFlight;
+        storeInFlight = null;
+        List<PendingReply> replies = repliesToStoreInFlight;
+        repliesToStoreInFlight = new ArrayList<>();
+        for (PendingReply reply : replies) {
+            effects.send(reply.address, reply.message);
         }
-        storeIfIdle(out);
+        startStoreIfIdle(effects);
     }
 
     /**
-     * Forgets every vote the disk does not hold for certain; what is chosen stays known and is saved with a later
-     * store.
-     *
-     * <p>The failed write may yet be on the disk. That is safe: its votes were answered to nobody, so they count for
-     * nobody. If a later store succeeds it takes their place, as if their questions had been lost. If the process dies
-     * first and finds them, they are cast at that moment, synced by the store before anything rests on them, as if
-     * their questions had come only then. What was answered in between rests on the last synced state, which the found
-     * one was built on. Never going back instead would refuse lower ballots for a promise that nobody was given, and
-     * would not spare a full disk one store. RegisterModelTest forces both ends.
+     * The store with this id failed: drops every vote that is not synced for certain, with its reply. What is chosen
+     * stays in memory and goes into a later store.
      */
-    void storeFailed(long failed) {
-        if (storing == null || failed != ticket) {
+    void handleStoreFailed(long id) {
+        if (storeInFlight == null || id != storeId) {
             return;
         }
-        current = durable.choosing(current.chosenBallot(), current.chosen());
-        storing = null;
-        unsaved = false;
-        covered.clear();
-        waiting.clear();
+        current = durable.choosing(current.chosenBallot(), current.chosenValue());
+        storeInFlight = null;
+        isStoreNeeded = false;
+        repliesToStoreInFlight.clear();
+        repliesToNextStore.clear();
     }
 
-    /** Tries again to save what is chosen after a store failed. */
-    void saveChosen(Register.Effects out) {
-        if (storing == null && current.chosenBallot().isAfter(durable.chosenBallot())) {
-            adopt(current.chosenBallot(), current.chosen(), out);
+    /** Retries to store the chosen value after a failed store. */
+    void retryStoreOfChosen(Register.Effects effects) {
+        if (storeInFlight == null && current.chosenBallot().isAfter(durable.chosenBallot())) {
+            storeChosen(current.chosenBallot(), current.chosenValue(), effects);
         }
     }
 
-    private void become(DurableState next) {
+    private void update(DurableState next) {
         current = next;
-        unsaved = true;
+        isStoreNeeded = true;
     }
 
-    private void refuse(RegisterMessage asked, Ballot ballot, Register.Effects out) {
-        out.send(
-                asked.sender(),
-                new Reject(self.address(), self.identity(), asked.senderIdentity(), ballot, current.promised()));
+    private void reject(RegisterMessage request, Ballot ballot, Register.Effects effects) {
+        effects.send(
+                request.senderAddress(),
+                new Reject(
+                        self.address(), self.identity(), request.senderIdentity(), ballot, current.promisedBallot()));
     }
 
-    private void answer(RegisterMessage asked, RegisterMessage message, Register.Effects out) {
-        if (unsaved) {
-            waitFor(waiting, asked, message);
-        } else if (storing != null) {
-            waitFor(covered, asked, message);
+    private void replyOnceStored(RegisterMessage request, RegisterMessage reply, Register.Effects effects) {
+        if (isStoreNeeded) {
+            addPending(repliesToNextStore, request, reply);
+        } else if (storeInFlight != null) {
+            addPending(repliesToStoreInFlight, request, reply);
         } else {
-            out.send(asked.sender(), message);
+            effects.send(request.senderAddress(), reply);
         }
-        storeIfIdle(out);
+        startStoreIfIdle(effects);
     }
 
-    private static void waitFor(List<Answer> list, RegisterMessage asked, RegisterMessage message) {
-        if (list.size() < MOST_WAITING) {
-            list.add(new Answer(asked.sender(), message));
+    private static void addPending(List<PendingReply> replies, RegisterMessage request, RegisterMessage reply) {
+        if (replies.size() < MAX_PENDING_REPLIES) {
+            replies.add(new PendingReply(request.senderAddress(), reply));
         }
     }
 
-    private void storeIfIdle(Register.Effects out) {
-        if (storing != null || !unsaved) {
+    private void startStoreIfIdle(Register.Effects effects) {
+        if (storeInFlight != null || !isStoreNeeded) {
             return;
         }
-        storing = current;
-        unsaved = false;
-        covered = waiting;
-        waiting = new ArrayList<>();
-        ticket++;
-        out.store(ticket, storing);
+        storeInFlight = current;
+        isStoreNeeded = false;
+        repliesToStoreInFlight = repliesToNextStore;
+        repliesToNextStore = new ArrayList<>();
+        storeId++;
+        effects.store(storeId, storeInFlight);
     }
 }
--- a/consensus/src/main/java/dewplank/register/AcceptorId.java
+++ b/consensus/src/main/java/dewplank/register/AcceptorId.java
@@ -2,32 +2,33 @@
 
 import java.util.Objects;
 
-/** One acceptor: where it is reached and the identity drawn with its disk. */
+/**
+ * Names one acceptor by its address and the identity of its disk. The identity is drawn when the disk is first used, so
+ * an emptied disk at the same address is a different acceptor. Immutable; neither part is null.
+ */
 public final class AcceptorId {
     private final String address;
     private final String identity;
 
-    /** Names the acceptor reached at {@code address} (IP:PORT) whose disk carries {@code identity}. */
+    /** Names the acceptor at {@code address} (IP:PORT) whose disk has the identity {@code identity}. */
     public AcceptorId(String address, String identity) {
         this.address = Objects.requireNonNull(address);
         this.identity = Objects.requireNonNull(identity);
     }
 
-    /** Where it is reached, as IP:PORT. */
+    /** The address to send to, as IP:PORT. */
     public String address() {
         return address;
     }
 
-    /** The identity drawn with its disk; a new disk is a new acceptor. */
+    /** The identity of the disk. */
     public String identity() {
         return identity;
     }
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof AcceptorId
-                && address.equals(((AcceptorId) other).address)
-                && identity.equals(((AcceptorId) other).identity);
+        return other instanceof AcceptorId id && address.equals(id.address) && identity.equals(id.identity);
     }
 
     @Override
--- a/consensus/src/main/java/dewplank/register/AcceptorSet.java
+++ b/consensus/src/main/java/dewplank/register/AcceptorSet.java
@@ -5,32 +5,36 @@
 import java.util.List;
 import java.util.Set;
 
-/** The acceptors that decide: a majority of the members and, while joint, a majority of those joining as well. */
+/**
+ * The acceptors that decide on the next value. While the set is joint, a quorum is a majority of the members and also a
+ * majority of the joining acceptors. Immutable. Source: joint consensus, Ongaro and Ousterhout, "In Search of an
+ * Understandable Consensus Algorithm", 2014, section 6.
+ */
 public final class AcceptorSet {
     private final long generation;
     private final List<AcceptorId> members;
     private final List<AcceptorId> joining;
 
-    /** For Protostuff, which fills the fields and sends nothing for an empty list. */
+    /** For Protostuff, which sets the fields and omits empty lists on the wire. */
     private AcceptorSet() {
         this.generation = 0;
         this.members = new ArrayList<>();
         this.joining = new ArrayList<>();
     }
 
-    /** A set of the given generation; it is joint when {@code joining} is not empty. */
+    /** Creates a set of the given generation; it is joint when {@code joining} is not empty. */
     public AcceptorSet(long generation, List<AcceptorId> members, List<AcceptorId> joining) {
         this.generation = generation;
         this.members = List.copyOf(members);
         this.joining = List.copyOf(joining);
     }
 
-    /** The set a fleet begins with: generation 0, not joint. */
+    /** The first set of a fleet: generation 0, not joint. */
     public static AcceptorSet of(List<AcceptorId> members) {
         return new AcceptorSet(0, members, List.of());
     }
 
-    /** Grows by one with each step of a replacement. */
+    /** Incremented by each of the two steps of a reconfiguration. */
     public long generation() {
         return generation;
     }
@@ -45,54 +49,54 @@
         return joining;
     }
 
-    /** Whether a replacement is half done, so that both majorities are needed. */
+    /** Whether a reconfiguration is half done, so that both majorities are needed. */
     public boolean isJoint() {
         return !joining.isEmpty();
     }
 
-    /** Members and joining acceptors, each once. */
+    /** Members and joining acceptors without duplicates, members first. */
     public List<AcceptorId> all() {
         Set<AcceptorId> union = new LinkedHashSet<>(members);
         union.addAll(joining);
         return new ArrayList<>(union);
     }
 
-    /** Whether these acceptors are enough to decide; an empty set never decides. */
+    /** Whether these acceptors form a quorum; an empty set has none. */
     public boolean isQuorum(Set<AcceptorId> acceptors) {
         return isMajority(members, acceptors) && (!isJoint() || isMajority(joining, acceptors));
     }
 
-    /** Whether the members are those wanted, in whatever order, and no replacement is under way. */
-    public boolean consistsOf(List<AcceptorId> wanted) {
-        return !isJoint() && Set.copyOf(members).equals(Set.copyOf(wanted));
+    /** Whether the set is not joint and its members are these, in any order. */
+    public boolean consistsOf(List<AcceptorId> acceptors) {
+        return !isJoint() && Set.copyOf(members).equals(Set.copyOf(acceptors));
     }
 
-    /** The joint set that leads from this one to the wanted members. */
-    AcceptorSet joinedBy(List<AcceptorId> wanted) {
-        return new AcceptorSet(generation + 1, members, wanted);
+    /** The joint set that leads from this set to the target members: first step of a reconfiguration. */
+    AcceptorSet beginTransition(List<AcceptorId> target) {
+        return new AcceptorSet(generation + 1, members, target);
     }
 
-    /** The set that ends a replacement: those joining are the members. */
-    AcceptorSet settled() {
+    /** The set in which the joining acceptors are the members: second step of a reconfiguration. */
+    AcceptorSet completeTransition() {
         return new AcceptorSet(generation + 1, joining, List.of());
     }
 
-    private static boolean isMajority(List<AcceptorId> whole, Set<AcceptorId> part) {
+    private static boolean isMajority(List<AcceptorId> electorate, Set<AcceptorId> acceptors) {
         int present = 0;
-        for (AcceptorId acceptor : whole) {
-            if (part.contains(acceptor)) {
+        for (AcceptorId acceptor : electorate) {
+            if (acceptors.contains(acceptor)) {
                 present++;
             }
         }
-        return present * 2 > whole.size();
+        return present * 2 > electorate.size();
     }
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof AcceptorSet
-                && generation == ((AcceptorSet) other).generation
-                && members.equals(((AcceptorSet) other).members)
-                && joining.equals(((AcceptorSet) other).joining);
+        return other instanceof AcceptorSet set
+                && generation == set.generation
+                && members.equals(set.members)
+                && joining.equals(set.joining);
     }
 
     @Override
--- a/consensus/src/main/java/dewplank/register/AntiEntropy.java
+++ b/consensus/src/main/java/dewplank/register/AntiEntropy.java
@@ -6,120 +6,126 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Asks all members from time to time how far they are and tells those that lack the newest chosen value.
+ * Periodic anti-entropy: queries the status of all acceptors, announces the newest chosen value to those that lack it,
+ * and from the same reports tells whether a quorum answers. {@link Register} calls it on its own thread.
  */
 final class AntiEntropy {
-    /** The least part of the period between two sweeps; the rest is drawn, lest all processes sweep together. */
-    private static final double STEADY_PART = 0.75;
+    /** The fixed fraction of the period between two runs; the rest is jitter, so that processes do not synchronise. */
+    private static final double FIXED_PERIOD_FRACTION = 0.75;
 
-    /** The part of the period that is drawn. */
-    private static final double DRAWN_PART = 0.5;
+    /** The fraction of the period that is drawn. */
+    private static final double JITTER_FRACTION = 0.5;
 
     private final Register.Settings settings;
     private final AcceptorId self;
     private final Learner learner;
-    private final RoundCompleter finisher;
-    private final RequestIds questions;
+    private final RoundCompleter roundCompleter;
+    private final RequestIds requestIds;
     private final RandomGenerator random;
-    private final Set<AcceptorId> answered = new HashSet<>();
-    private long question = RequestIds.FETCH;
-    private double askedAt;
-    private double nextAt;
-    private double lastQuorumAt = Double.NEGATIVE_INFINITY;
+    private final Set<AcceptorId> reporters = new HashSet<>();
+    private long queryId = RequestIds.FETCH;
+    private double queriedAtMs;
+    private double nextRunAtMs;
+    private double lastQuorumAtMs = Double.NEGATIVE_INFINITY;
     private Ballot newestReported = Ballot.NONE;
-    private Ballot newestOfQuorum = Ballot.NONE;
-    private long sweptGeneration;
+    private Ballot newestReportedByQuorum = Ballot.NONE;
+    private long lastGeneration;
 
     AntiEntropy(
             Register.Settings settings,
             AcceptorId self,
             Learner learner,
             Proposer proposer,
-            RequestIds questions,
+            RequestIds requestIds,
             RandomGenerator random) {
         this.settings = settings;
         this.self = self;
         this.learner = learner;
-        this.finisher = new RoundCompleter(settings, learner, proposer, random);
-        this.questions = questions;
+        this.roundCompleter = new RoundCompleter(settings, learner, proposer, random);
+        this.requestIds = requestIds;
         this.random = random;
-        this.nextAt = Double.NEGATIVE_INFINITY;
+        this.nextRunAtMs = Double.NEGATIVE_INFINITY;
     }
 
-    /** When the last sweep that a quorum answered was sent. */
-    double lastQuorumAt() {
-        return lastQuorumAt;
+    /** When the last run that a quorum answered was started; negative infinity before. */
+    double lastQuorumAtMs() {
+        return lastQuorumAtMs;
     }
 
     /**
-     * When the last sweep that a quorum answered was sent, if nothing reported in it is newer than what is chosen
-     * here; else negative infinity. A quorum that has accepted nothing newer lets nothing newer have been chosen.
+     * When the last run that a quorum answered was started, if nothing reported in it is newer than what is chosen
+     * here; else negative infinity. Invariant 8 in {@code docs/register.md}.
      */
-    double currentAt() {
-        return newestOfQuorum.isAfter(learner.chosenBallot()) ? Double.NEGATIVE_INFINITY : lastQuorumAt;
+    double lastCurrentAtMs() {
+        return newestReportedByQuorum.isAfter(learner.chosenBallot()) ? Double.NEGATIVE_INFINITY : lastQuorumAtMs;
     }
 
     /**
-     * Sweeps when it is time, and at the first tick after the set of acceptors changed, so that a newcomer that missed
-     * the value gets it at once; returns whether it did. A newcomer lacks the value for at most the time to the next
-     * tick and two ways, and for one period and three ways when all that is lost.
+     * Runs when the period is over, and at the first tick with a new acceptor set, so that a joining acceptor that
+     * missed the value gets it at once; returns whether it did. A joining acceptor lacks the value for at most the time
+     * to the next tick and two message delays, or one period and three delays when all of that is lost.
      */
-    boolean tick(double now, Register.Effects out) {
-        finisher.tick(now, out);
+    boolean tick(double nowMs, Register.Effects effects) {
+        roundCompleter.tick(nowMs, effects);
         long generation = learner.acceptors().generation();
-        if (now < nextAt && generation == sweptGeneration) {
+        if (nowMs < nextRunAtMs && generation == lastGeneration) {
             return false;
         }
-        sweptGeneration = generation;
-        nextAt = now + settings.sweepMs() * (STEADY_PART + DRAWN_PART * random.nextDouble());
-        ask(now, out);
+        lastGeneration = generation;
+        nextRunAtMs = nowMs
+                + settings.antiEntropyPeriodMs() * (FIXED_PERIOD_FRACTION + JITTER_FRACTION * random.nextDouble());
+        queryAll(nowMs, effects);
         return true;
     }
 
-    void reported(StatusReport report, Register.Effects out) {
-        boolean member = learner.acceptors().all().contains(report.from());
-        if (member && learner.chosenBallot().isAfter(report.chosen())) {
-            out.send(
-                    report.sender(),
-                    new Chosen(
-                            self.address(),
-                            self.identity(),
-                            report.senderIdentity(),
-                            learner.chosenBallot(),
-                            learner.chosen().revision()));
+    void handleReport(StatusReport report, Register.Effects effects) {
+        boolean isAcceptor = learner.acceptors().all().contains(report.senderId());
+        if (isAcceptor && learner.chosenBallot().isAfter(report.chosenBallot())) {
+            announceChosenTo(report, effects);
         }
-        if (report.question() != question) {
+        if (report.queryId() != queryId) {
             return;
         }
-        answered.add(report.from());
-        newestReported = newer(newestReported, newer(report.accepted(), report.chosen()));
-        if (learner.acceptors().isQuorum(answered)) {
-            lastQuorumAt = askedAt;
-            newestOfQuorum = newestReported;
+        reporters.add(report.senderId());
+        newestReported = newer(newestReported, newer(report.acceptedBallot(), report.chosenBallot()));
+        if (learner.acceptors().isQuorum(reporters)) {
+            lastQuorumAtMs = queriedAtMs;
+            newestReportedByQuorum = newestReported;
         }
     }
 
+    private void announceChosenTo(StatusReport report, Register.Effects effects) {
+        effects.send(
+                report.senderAddress(),
+                new Chosen(
+                        self.address(),
+                        self.identity(),
+                        report.senderIdentity(),
+                        learner.chosenBallot(),
+                        learner.chosenValue().revision()));
+    }
+
     private static Ballot newer(Ballot one, Ballot other) {
         return one.isAfter(other) ? one : other;
     }
 
-    private void ask(double now, Register.Effects out) {
-        question = questions.next();
-        askedAt = now;
-        answered.clear();
+    private void queryAll(double nowMs, Register.Effects effects) {
+        queryId = requestIds.next();
+        queriedAtMs = nowMs;
+        reporters.clear();
         newestReported = Ballot.NONE;
-        Set<AcceptorId> members = new LinkedHashSet<>(learner.acceptors().all());
-        if (learner.unfinishedAcceptors() != null) {
-            members.addAll(learner.unfinishedAcceptors().all());
+        Set<AcceptorId> recipients = new LinkedHashSet<>(learner.acceptors().all());
+        if (learner.unconfirmedAcceptors() != null) {
+            recipients.addAll(learner.unconfirmedAcceptors().all());
         }
-        for (AcceptorId acceptor : members) {
-            out.send(
-                    acceptor.address(),
+        for (AcceptorId recipient : recipients) {
+            effects.send(
+                    recipient.address(),
                     new StatusQuery(
                             self.address(),
                             self.identity(),
-                            RegisterMessage.ANY,
-                            question,
+                            RegisterMessage.ANY_IDENTITY,
+                            queryId,
                             learner.chosenBallot(),
                             false));
         }
--- a/consensus/src/main/java/dewplank/register/Ballot.java
+++ b/consensus/src/main/java/dewplank/register/Ballot.java
@@ -3,38 +3,39 @@
 import java.util.Objects;
 
 /**
- * The number of one attempt to change the register. The proposer's part names one life of one process, so that no
- * ballot is ever used for two values.
+ * Number of one attempt to change the register, ordered by round and then by proposer. The proposer part is unique to
+ * one incarnation of one process, so no ballot is used for two values. Immutable. Source: ballot numbers of CASPaxos,
+ * Rystsov, "CASPaxos: Replicated State Machines without logs", 2018.
  */
 public final class Ballot implements Comparable<Ballot> {
-    /** Below every ballot that is used. */
+    /** Lower than every ballot in use. */
     public static final Ballot NONE = new Ballot(0, "");
 
     private final long round;
     private final String proposer;
 
-    /** The ballot of this round by this proposer. */
+    /** Creates the ballot of this round by this proposer; {@code proposer} is not null. */
     public Ballot(long round, String proposer) {
         this.round = round;
         this.proposer = Objects.requireNonNull(proposer);
     }
 
-    /** The round, compared first. */
+    /** The round, compared first; 0 only in {@link #NONE}. */
     public long round() {
         return round;
     }
 
-    /** Whose ballot it is: identity and life of the proposing process. */
+    /** Identity and incarnation of the proposing process. */
     public String proposer() {
         return proposer;
     }
 
-    /** Whether it is below every ballot used. */
+    /** Whether this is {@link #NONE}. */
     public boolean isNone() {
         return round == 0;
     }
 
-    /** Whether it comes after the other ballot. */
+    /** Whether this ballot is higher than the other. */
     public boolean isAfter(Ballot other) {
         return compareTo(other) > 0;
     }
@@ -47,7 +48,7 @@
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof Ballot && compareTo((Ballot) other) == 0;
+        return other instanceof Ballot ballot && compareTo(ballot) == 0;
     }
 
     @Override
--- a/consensus/src/main/java/dewplank/register/Change.java
+++ b/consensus/src/main/java/dewplank/register/Change.java
@@ -1,10 +1,14 @@
 package dewplank.register;
 
-/** Decides what becomes of the register's payload. */
+/** A caller's compare-and-set on the payload: the change function of CASPaxos. */
 public interface Change {
     /**
-     * Decides on top of the current payload, which is null before the first. It has no effects and may be called
-     * several times: its own change may already be in the payload when an earlier attempt was finished by another.
+     * Decides on top of the current payload. The proposer calls it on the register's thread, once per ballot, so it may
+     * run several times and must have no effects. Its own result may already be in the payload, when another proposer
+     * completed an earlier ballot of this change.
+     *
+     * @param currentPayload the payload read at a quorum, not to be modified; null before the first
+     * @return the new payload, if any, and the answer to the caller; never null
      */
     Decision decide(byte[] currentPayload);
 }
--- a/consensus/src/main/java/dewplank/register/ChangeTask.java
+++ b/consensus/src/main/java/dewplank/register/ChangeTask.java
@@ -1,24 +1,24 @@
 package dewplank.register;
 
-/** A caller's change of the payload. */
+/** Applies a caller's {@link Change} to the payload. */
 final class ChangeTask implements Task {
-    private final long request;
+    private final long requestId;
     private final Change change;
-    private final double deadline;
+    private final double deadlineMs;
 
-    ChangeTask(long request, Change change, double deadline) {
-        this.request = request;
+    ChangeTask(long requestId, Change change, double deadlineMs) {
+        this.requestId = requestId;
         this.change = change;
-        this.deadline = deadline;
+        this.deadlineMs = deadlineMs;
     }
 
-    /** A read by a round: the value is kept. */
-    static ChangeTask reading(long request, double deadline) {
-        return new ChangeTask(request, payload -> new Decision(null, null), deadline);
+    /** A read by a full ballot, which writes the value back unchanged. */
+    static ChangeTask reading(long requestId, double deadlineMs) {
+        return new ChangeTask(requestId, payload -> new Decision(null, null), deadlineMs);
     }
 
     @Override
-    public Proposal propose(RegisterValue read, RegisterValue chosen) {
+    public Proposal propose(RegisterValue read, RegisterValue newestChosen) {
         Decision decision = change.decide(read.payload());
         if (decision.newPayload() == null) {
             return new Proposal(read, decision.answer(), false);
@@ -27,17 +27,17 @@
     }
 
     @Override
-    public boolean isDoneWith(Proposal proposal) {
+    public boolean isCompletedBy(Proposal proposal) {
         return true;
     }
 
     @Override
-    public double deadline() {
-        return deadline;
+    public double deadlineMs() {
+        return deadlineMs;
     }
 
     @Override
-    public void complete(Outcome outcome, Register.Effects out) {
-        out.completed(request, outcome);
+    public void complete(Outcome outcome, Register.Effects effects) {
+        effects.completed(requestId, outcome);
     }
 }
--- a/consensus/src/main/java/dewplank/register/CompletionTask.java
+++ b/consensus/src/main/java/dewplank/register/CompletionTask.java
@@ -1,32 +1,36 @@
 package dewplank.register;
 
-/** Finishes what others left: a value accepted but not known to be chosen, or the second step of a replacement. */
+/**
+ * Completes what another proposer may have abandoned: a value that is accepted but not known to be chosen, or the
+ * second step of a reconfiguration. Added by {@link RoundCompleter}; no caller waits for it.
+ */
 final class CompletionTask implements Task {
-    private final double deadline;
+    private final double deadlineMs;
 
-    CompletionTask(double deadline) {
-        this.deadline = deadline;
+    CompletionTask(double deadlineMs) {
+        this.deadlineMs = deadlineMs;
     }
 
     /**
-     * The second step of a replacement. It may only be proposed once the joint set is chosen: from then on every
-     * proposer with the old set meets it, so that the new majority alone may go on from the second step.
+     * Proposes the second step of a reconfiguration if the joint set is known to be chosen, else the value unchanged.
+     * The reason is invariant 5 in {@code docs/register.md}.
      */
-    static Proposal settle(RegisterValue read, RegisterValue chosen) {
-        boolean jointIsChosen = chosen != null && chosen.acceptors().equals(read.acceptors());
-        if (!read.acceptors().isJoint() || !jointIsChosen) {
-            return Proposal.keep(read);
+    static Proposal completeTransition(RegisterValue read, RegisterValue newestChosen) {
+        boolean isJointSetChosen =
+                newestChosen != null && newestChosen.acceptors().equals(read.acceptors());
+        if (!read.acceptors().isJoint() || !isJointSetChosen) {
+            return Proposal.unchanged(read);
         }
-        return Proposal.of(read.withAcceptors(read.acceptors().settled()));
+        return Proposal.changed(read.withAcceptors(read.acceptors().completeTransition()));
     }
 
     @Override
-    public Proposal propose(RegisterValue read, RegisterValue chosen) {
-        return settle(read, chosen);
+    public Proposal propose(RegisterValue read, RegisterValue newestChosen) {
+        return completeTransition(read, newestChosen);
     }
 
     @Override
-    public boolean isDoneWith(Proposal proposal) {
+    public boolean isCompletedBy(Proposal proposal) {
         return !proposal.value().acceptors().isJoint();
     }
 
@@ -36,12 +40,12 @@
     }
 
     @Override
-    public double deadline() {
-        return deadline;
+    public double deadlineMs() {
+        return deadlineMs;
     }
 
     @Override
-    public void complete(Outcome outcome, Register.Effects out) {
-        // Nobody asked.
+    public void complete(Outcome outcome, Register.Effects effects) {
+        // No caller waits.
     }
 }
--- a/consensus/src/main/java/dewplank/register/Decision.java
+++ b/consensus/src/main/java/dewplank/register/Decision.java
@@ -1,9 +1,9 @@
 package dewplank.register;
 
 /**
- * What a {@link Change} decided.
+ * Result of a {@link Change}.
  *
- * @param newPayload the payload to put in place, or null to keep the value
- * @param answer what to answer once that is certain
+ * @param newPayload the payload to write, or null to leave the value unchanged
+ * @param answer the caller's answer once the value is chosen; may be null
  */
 public record Decision(byte[] newPayload, Object answer) {}
--- a/consensus/src/main/java/dewplank/register/DurableState.java
+++ b/consensus/src/main/java/dewplank/register/DurableState.java
@@ -2,29 +2,33 @@
 
 import java.util.Objects;
 
-/** What an acceptor must keep on disk. Ballots are {@link Ballot#NONE} and values null where there is none yet. */
+/**
+ * What an acceptor keeps on disk: its identity, its promise, the value it accepted last and the newest value that it
+ * knows to be chosen. Immutable. A ballot that does not exist yet is {@link Ballot#NONE}, and the value that belongs to
+ * it is null.
+ */
 public final class DurableState {
     private final String identity;
-    private final Ballot promised;
-    private final Ballot accepted;
-    private final RegisterValue value;
+    private final Ballot promisedBallot;
+    private final Ballot acceptedBallot;
+    private final RegisterValue acceptedValue;
     private final Ballot chosenBallot;
-    private final RegisterValue chosen;
+    private final RegisterValue chosenValue;
 
-    /** A whole state. */
+    /** Creates a complete state; only the two values may be null. */
     public DurableState(
             String identity,
-            Ballot promised,
-            Ballot accepted,
-            RegisterValue value,
+            Ballot promisedBallot,
+            Ballot acceptedBallot,
+            RegisterValue acceptedValue,
             Ballot chosenBallot,
-            RegisterValue chosen) {
+            RegisterValue chosenValue) {
         this.identity = Objects.requireNonNull(identity);
-        this.promised = Objects.requireNonNull(promised);
-        this.accepted = Objects.requireNonNull(accepted);
-        this.value = value;
+        this.promisedBallot = Objects.requireNonNull(promisedBallot);
+        this.acceptedBallot = Objects.requireNonNull(acceptedBallot);
+        this.acceptedValue = acceptedValue;
         this.chosenBallot = Objects.requireNonNull(chosenBallot);
-        this.chosen = chosen;
+        this.chosenValue = chosenValue;
     }
 
     /** The state of an acceptor that has promised nothing. */
@@ -32,49 +36,49 @@
         return new DurableState(identity, Ballot.NONE, Ballot.NONE, null, Ballot.NONE, null);
     }
 
-    /** The identity drawn with the disk. */
+    /** The identity of the disk. */
     public String identity() {
         return identity;
     }
 
     /** The highest ballot promised. */
-    public Ballot promised() {
-        return promised;
+    public Ballot promisedBallot() {
+        return promisedBallot;
     }
 
-    /** The ballot at which the value was accepted. */
-    public Ballot accepted() {
-        return accepted;
+    /** The ballot at which {@link #acceptedValue} was accepted. */
+    public Ballot acceptedBallot() {
+        return acceptedBallot;
     }
 
-    /** The value accepted last; not always chosen. */
-    public RegisterValue value() {
-        return value;
+    /** The value accepted last, which is not always chosen; null before the first. */
+    public RegisterValue acceptedValue() {
+        return acceptedValue;
     }
 
-    /** The newest ballot at which the chosen value is known to be chosen. */
+    /** The newest ballot at which {@link #chosenValue} is known to be chosen. */
     public Ballot chosenBallot() {
         return chosenBallot;
     }
 
-    /** The newest value known to be chosen, or null. */
-    public RegisterValue chosen() {
-        return chosen;
+    /** The newest value known to be chosen; null before the first. */
+    public RegisterValue chosenValue() {
+        return chosenValue;
     }
 
-    /** The same with a ballot promised. */
+    /** This state with a ballot promised. */
     DurableState promising(Ballot ballot) {
-        return new DurableState(identity, ballot, accepted, value, chosenBallot, chosen);
+        return new DurableState(identity, ballot, acceptedBallot, acceptedValue, chosenBallot, chosenValue);
     }
 
-    /** The same with a value accepted; a higher promise stays. */
-    DurableState accepting(Ballot ballot, RegisterValue next) {
-        Ballot highest = ballot.isAfter(promised) ? ballot : promised;
-        return new DurableState(identity, highest, ballot, next, chosenBallot, chosen);
+    /** This state with a value accepted; a higher promise stays. */
+    DurableState accepting(Ballot ballot, RegisterValue value) {
+        Ballot highest = ballot.isAfter(promisedBallot) ? ballot : promisedBallot;
+        return new DurableState(identity, highest, ballot, value, chosenBallot, chosenValue);
     }
 
-    /** The same with a newer chosen value. */
-    DurableState choosing(Ballot ballot, RegisterValue next) {
-        return new DurableState(identity, promised, accepted, value, ballot, next);
+    /** This state with a newer chosen value. */
+    DurableState choosing(Ballot ballot, RegisterValue value) {
+        return new DurableState(identity, promisedBallot, acceptedBallot, acceptedValue, ballot, value);
     }
 }
--- a/consensus/src/main/java/dewplank/register/Learner.java
+++ b/consensus/src/main/java/dewplank/register/Learner.java
@@ -1,62 +1,62 @@
 package dewplank.register;
 
 /**
- * What one process knows to be chosen, and what it has seen accepted beyond that.
- *
- * <p>Chosen values are ordered by ballot, and are told on when their revision is new. Both orders are one: a value is
- * proposed on top of the newest chosen below its ballot, as it is or with the next revision. So is the order of the
- * configurations' versions, since a configuration is only put in place of one with a lower version: along the chain
- * versions grow, each has one content, and one that was refused is on no chosen value, so that another change may use
- * it later.
+ * The learner of one process: the newest value known to be chosen, the newest ballot seen accepted beyond it, and the
+ * fetch of a value that is announced but not present here. {@link Register} calls it on its own thread. Ballot,
+ * revision, generation and configuration version grow together along the chosen values: invariant 1 in {@code
+ * docs/register.md}.
  */
 final class Learner {
     private final Register.Settings settings;
     private final AcceptorId self;
-    private final Acceptor voter;
+    private final Acceptor acceptor;
     private Ballot chosenBallot;
-    private RegisterValue chosen;
-    private Ballot heard = Ballot.NONE;
-    private String heardFrom;
-    private double fetchedAt = Double.NEGATIVE_INFINITY;
+    private RegisterValue chosenValue;
+    private Ballot newestAnnounced = Ballot.NONE;
+    private String lastAnnouncer;
+    private double fetchStartedAtMs = Double.NEGATIVE_INFINITY;
     private Ballot newestAccepted = Ballot.NONE;
-    private AcceptorSet newestAcceptors;
+    private AcceptorSet newestAcceptedSet;
     private long highestRound;
 
-    Learner(Register.Settings settings, AcceptorId self, Acceptor voter) {
+    Learner(Register.Settings settings, AcceptorId self, Acceptor acceptor) {
         this.settings = settings;
         this.self = self;
-        this.voter = voter;
-        DurableState recovered = voter.durable();
+        this.acceptor = acceptor;
+        DurableState recovered = acceptor.durable();
         this.chosenBallot = recovered.chosenBallot();
-        this.chosen = recovered.chosen();
-        sawRound(recovered.promised());
-        sawRound(chosenBallot);
-        sawAccepted(
-                recovered.accepted(),
-                recovered.value() == null ? null : recovered.value().acceptors());
+        this.chosenValue = recovered.chosenValue();
+        observeRound(recovered.promisedBallot());
+        observeRound(chosenBallot);
+        observeAccepted(
+                recovered.acceptedBallot(),
+                recovered.acceptedValue() == null
+                        ? null
+                        : recovered.acceptedValue().acceptors());
     }
 
     Ballot chosenBallot() {
         return chosenBallot;
     }
 
-    RegisterValue chosen() {
-        return chosen;
+    /** The newest value known to be chosen; null before the first. */
+    RegisterValue chosenValue() {
+        return chosenValue;
     }
 
-    /** The acceptors of the newest chosen value, or those to begin with. */
+    /** The acceptors of the newest chosen value, or the initial ones. */
     AcceptorSet acceptors() {
-        return chosen == null ? settings.initial() : chosen.acceptors();
+        return chosenValue == null ? settings.initialAcceptors() : chosenValue.acceptors();
     }
 
     /** The newest accepted ballot seen that is not known to be chosen, or {@link Ballot#NONE}. */
-    Ballot unfinished() {
+    Ballot unconfirmedBallot() {
         return newestAccepted.isAfter(chosenBallot) ? newestAccepted : Ballot.NONE;
     }
 
-    /** The acceptors of the newest unfinished value seen, or null. */
-    AcceptorSet unfinishedAcceptors() {
-        return newestAccepted.isAfter(chosenBallot) ? newestAcceptors : null;
+    /** The acceptors of the newest unconfirmed value seen, or null. */
+    AcceptorSet unconfirmedAcceptors() {
+        return newestAccepted.isAfter(chosenBallot) ? newestAcceptedSet : null;
     }
 
     /** The highest round seen in any ballot. */
@@ -64,74 +64,75 @@
         return highestRound;
     }
 
-    void sawRound(Ballot ballot) {
+    void observeRound(Ballot ballot) {
         highestRound = Math.max(highestRound, ballot.round());
     }
 
-    void sawAccepted(Ballot ballot, AcceptorSet acceptors) {
-        sawRound(ballot);
+    void observeAccepted(Ballot ballot, AcceptorSet acceptors) {
+        observeRound(ballot);
         if (ballot.isAfter(newestAccepted)) {
             newestAccepted = ballot;
-            newestAcceptors = acceptors;
+            newestAcceptedSet = acceptors;
         }
     }
 
-    /** Takes a value known to be chosen at this ballot. */
-    void learn(Ballot ballot, RegisterValue value, Register.Effects out) {
-        sawRound(ballot);
+    /** Records a value known to be chosen at this ballot, stores it, and reports it to the caller if it is new. */
+    void learnChosen(Ballot ballot, RegisterValue value, Register.Effects effects) {
+        observeRound(ballot);
         if (!ballot.isAfter(chosenBallot)) {
             return;
         }
-        boolean newer = chosen == null || value.revision() > chosen.revision();
+        boolean isNewRevision = chosenValue == null || value.revision() > chosenValue.revision();
         chosenBallot = ballot;
-        chosen = value;
-        voter.adopt(ballot, value, out);
-        if (newer) {
-            out.learned(value);
+        chosenValue = value;
+        acceptor.storeChosen(ballot, value, effects);
+        if (isNewRevision) {
+            effects.learned(value);
         }
     }
 
-    /** Takes the news that a ballot is chosen; the value is fetched from the sender unless it was accepted here. */
-    void hear(double now, RegisterMessage teller, Ballot ballot, Register.Effects out) {
-        sawRound(ballot);
+    /** Handles an announcement that a ballot is chosen: fetches its value from the sender unless accepted here. */
+    void handleAnnouncement(double nowMs, String announcer, Ballot ballot, Register.Effects effects) {
+        observeRound(ballot);
         if (!ballot.isAfter(chosenBallot)) {
             return;
         }
-        DurableState accepted = voter.current();
-        if (accepted.accepted().equals(ballot)) {
-            learn(ballot, accepted.value(), out);
+        DurableState state = acceptor.current();
+        if (state.acceptedBallot().equals(ballot)) {
+            learnChosen(ballot, state.acceptedValue(), effects);
             return;
         }
-        if (ballot.isAfter(heard)) {
-            heard = ballot;
+        if (ballot.isAfter(newestAnnounced)) {
+            newestAnnounced = ballot;
         }
-        heardFrom = teller.sender();
-        if (now - fetchedAt > settings.roundTimeoutMs()) {
-            fetch(now, out);
+        lastAnnouncer = announcer;
+        if (nowMs - fetchStartedAtMs > settings.roundTimeoutMs()) {
+            fetch(nowMs, effects);
         }
     }
 
     /**
-     * A fetch was answered. If that brought a value, what was heard of meanwhile is fetched next; if not, the sender
-     * has forgotten what it told, and asking it again at once would go round in circles.
+     * Handles the report to a fetch. If it included a value, what was announced meanwhile is fetched next. If not, the
+     * sender has forgotten what it announced, and a further query at once would loop.
      */
-    void fetched(double now, boolean withValue, Register.Effects out) {
-        fetchedAt = Double.NEGATIVE_INFINITY;
-        if (withValue && heard.isAfter(chosenBallot)) {
-            fetch(now, out);
+    void handleFetchReport(double nowMs, boolean isValueIncluded, Register.Effects effects) {
+        fetchStartedAtMs = Double.NEGATIVE_INFINITY;
+        if (isValueIncluded && newestAnnounced.isAfter(chosenBallot)) {
+            fetch(nowMs, effects);
         }
     }
 
-    /**
-     * Asks whoever told last. One fetch at a time, so that news which come faster than the value travels do not fill
-     * the link with copies of it: each answer is as new as its sender when it is sent. An answer that does not come
-     * within the time of a round is not waited for; the next news, at the latest those of the next sweep, fetch anew.
-     */
-    private void fetch(double now, Register.Effects out) {
-        fetchedAt = now;
-        out.send(
-                heardFrom,
+    /** Starts a fetch; one is in flight at a time: invariant 9 in {@code docs/register.md}. */
+    private void fetch(double nowMs, Register.Effects effects) {
+        fetchStartedAtMs = nowMs;
+        effects.send(
+                lastAnnouncer,
                 new StatusQuery(
-                        self.address(), self.identity(), RegisterMessage.ANY, RequestIds.FETCH, chosenBallot, true));
+                        self.address(),
+                        self.identity(),
+                        RegisterMessage.ANY_IDENTITY,
+                        RequestIds.FETCH,
+                        chosenBallot,
+                        true));
     }
 }
--- a/consensus/src/main/java/dewplank/register/Prepare.java
+++ b/consensus/src/main/java/dewplank/register/Prepare.java
@@ -2,16 +2,17 @@
 
 import java.util.Objects;
 
-/** First round: asks an acceptor to promise a ballot. */
+/** First phase of a ballot: requests a promise from an acceptor. Answered by {@link Promise} or {@link Reject}. */
 public final class Prepare extends RegisterMessage {
     private final Ballot ballot;
-    private final Ballot known;
+    private final Ballot chosenBallot;
 
-    /** Makes the message. */
-    public Prepare(String sender, String senderIdentity, String recipientIdentity, Ballot ballot, Ballot known) {
-        super(sender, senderIdentity, recipientIdentity);
+    /** Creates the request; no argument may be null. */
+    public Prepare(
+            String senderAddress, String senderIdentity, String recipientIdentity, Ballot ballot, Ballot chosenBallot) {
+        super(senderAddress, senderIdentity, recipientIdentity);
         this.ballot = Objects.requireNonNull(ballot);
-        this.known = Objects.requireNonNull(known);
+        this.chosenBallot = Objects.requireNonNull(chosenBallot);
     }
 
     /** The ballot to promise. */
@@ -19,8 +20,8 @@
         return ballot;
     }
 
-    /** The newest chosen ballot the proposer knows; values up to it need not be sent. */
-    public Ballot known() {
-        return known;
+    /** The newest chosen ballot of the proposer when the ballot began; the promise omits values up to it. */
+    public Ballot chosenBallot() {
+        return chosenBallot;
     }
 }
--- a/consensus/src/main/java/dewplank/register/Promise.java
+++ b/consensus/src/main/java/dewplank/register/Promise.java
@@ -2,24 +2,24 @@
 
 import java.util.Objects;
 
-/** Answer to {@link Prepare}: nothing below the ballot will be accepted any more. */
+/** Positive answer to {@link Prepare}: the sender accepts nothing below the ballot any more, and has synced that. */
 public final class Promise extends RegisterMessage {
     private final Ballot ballot;
-    private final Ballot accepted;
-    private final RegisterValue value;
+    private final Ballot acceptedBallot;
+    private final RegisterValue acceptedValue;
 
-    /** Makes the message. */
+    /** Creates the answer; only {@code acceptedValue} may be null. */
     public Promise(
-            String sender,
+            String senderAddress,
             String senderIdentity,
             String recipientIdentity,
             Ballot ballot,
-            Ballot accepted,
-            RegisterValue value) {
-        super(sender, senderIdentity, recipientIdentity);
+            Ballot acceptedBallot,
+            RegisterValue acceptedValue) {
+        super(senderAddress, senderIdentity, recipientIdentity);
         this.ballot = Objects.requireNonNull(ballot);
-        this.accepted = Objects.requireNonNull(accepted);
-        this.value = value;
+        this.acceptedBallot = Objects.requireNonNull(acceptedBallot);
+        this.acceptedValue = acceptedValue;
     }
 
     /** The ballot promised. */
@@ -27,13 +27,13 @@
         return ballot;
     }
 
-    /** The ballot accepted last. */
-    public Ballot accepted() {
-        return accepted;
+    /** The ballot of the value accepted last. */
+    public Ballot acceptedBallot() {
+        return acceptedBallot;
     }
 
-    /** The value accepted last; null where there is none or the proposer knows it or a newer one. */
-    public RegisterValue value() {
-        return value;
+    /** The value accepted last; null if there is none, or if it is not newer than {@link Prepare#chosenBallot}. */
+    public RegisterValue acceptedValue() {
+        return acceptedValue;
     }
 }
--- a/consensus/src/main/java/dewplank/register/Proposal.java
+++ b/consensus/src/main/java/dewplank/register/Proposal.java
@@ -1,18 +1,18 @@
 package dewplank.register;
 
 /**
- * What a task makes of the value read.
+ * What a {@link Task} proposes on top of the value read.
  *
- * @param value the value for the second round
- * @param answer what to answer once it is chosen
+ * @param value the value for the accept phase
+ * @param answer the answer once it is chosen; may be null
  * @param changed whether the value differs from the one read
  */
 record Proposal(RegisterValue value, Object answer, boolean changed) {
-    static Proposal keep(RegisterValue read) {
+    static Proposal unchanged(RegisterValue read) {
         return new Proposal(read, null, false);
     }
 
-    static Proposal of(RegisterValue next) {
+    static Proposal changed(RegisterValue next) {
         return new Proposal(next, null, true);
     }
 }
--- a/consensus/src/main/java/dewplank/register/Proposer.java
+++ b/consensus/src/main/java/dewplank/register/Proposer.java
@@ -9,18 +9,77 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The proposer of one process: one task at a time, each by rounds with jittered backoff until it is done. Repairs go
- * before orders: they wait for one round of an order at most, whatever orders are queued.
+ * The proposer of one process (CASPaxos, Rystsov 2018, section 2.2): one task at a time, each by rounds with jittered
+ * backoff until it is complete. Repairs run before callers' requests: a repair waits for one round of a request at
+ * most, whatever the queue. {@link Register} calls it on its own thread; {@link Task#complete} may call {@link #add}
+ * again.
  */
 final class Proposer {
-    /** A round that got no quorum gets up to this many times the first round's time, so that slow disks suffice. */
-    static final int LONGEST_ROUND = 4;
+    /**
+     * A round after one without a quorum gets up to this many times the first round's time, to allow for slow disks.
+     */
+    static final int MAX_ROUND_TIMEOUT_FACTOR = 4;
+
+    /** Doublings of the minimum backoff; beyond them the maximum backoff applies anyway. */
+    private static final int MAX_BACKOFF_DOUBLINGS = 10;
+
+    /** A repair backs off for four times the minimum at most, so that it soon falls into the requests' backoff. */
+    private static final int MAX_REPAIR_BACKOFF_DOUBLINGS = 2;
+
+    /** What the proposer is doing. {@link #transitionTo} checks the order of the states. */
+    sealed interface State permits Idle, InRound, Announcing, BackingOff {}
 
-    /** Doublings of the shortest pause; beyond, the longest pause rules anyway. */
-    private static final int MOST_DOUBLINGS = 10;
+    /** No task is active. */
+    enum Idle implements State {
+        IDLE
+    }
+
+    /** A round of the task is in progress; {@code attempt} counts its rounds from 1, anew after each chosen value. */
+    static final class InRound implements State {
+        private final Task task;
+        private final int attempt;
+        private final Round round;
 
-    /** A repair pauses for four times the shortest pause at most, so that it soon falls into the orders' pauses. */
-    private static final int MOST_REPAIR_DOUBLINGS = 2;
+        InRound(Task task, int attempt, Round round) {
+            this.task = task;
+            this.attempt = attempt;
+            this.round = round;
+        }
+
+        Task task() {
+            return task;
+        }
+
+        Round round() {
+            return round;
+        }
+    }
+
+    /** A round of the task has chosen a value, which is being learned and announced. */
+    static final class Announcing implements State {
+        private final Task task;
+
+        Announcing(Task task) {
+            this.task = task;
+        }
+    }
+
+    /** The last round of the task got no quorum; the next begins at {@code retryAtMs}. */
+    static final class BackingOff implements State {
+        private final Task task;
+        private final int attempt;
+        private final double retryAtMs;
+
+        BackingOff(Task task, int attempt, double retryAtMs) {
+            this.task = task;
+            this.attempt = attempt;
+            this.retryAtMs = retryAtMs;
+        }
+
+        Task task() {
+            return task;
+        }
+    }
 
     private final Register.Settings settings;
     private final AcceptorId self;
@@ -28,13 +87,10 @@
     private final RandomGenerator random;
     private final String name;
     private final Deque<Task> repairs = new ArrayDeque<>();
-    private final Deque<Task> orders = new ArrayDeque<>();
-    private Task active;
-    private Round round;
-    private int attempts;
-    private double retryAt;
-    private double lastQuorumAt = Double.NEGATIVE_INFINITY;
-    private double lastChosenAt = Double.NEGATIVE_INFINITY;
+    private final Deque<Task> requests = new ArrayDeque<>();
+    private State state = Idle.IDLE;
+    private double lastQuorumAtMs = Double.NEGATIVE_INFINITY;
+    private double lastChosenAtMs = Double.NEGATIVE_INFINITY;
 
     Proposer(Register.Settings settings, AcceptorId self, Learner learner, RandomGenerator random) {
         this.settings = settings;
@@ -44,129 +100,176 @@
         this.name = self.identity() + "." + Long.toHexString(random.nextLong());
     }
 
-    /** Orders that wait or are under way. */
-    int pendingOrders() {
-        return orders.size() + (active == null || active.isRepair() ? 0 : 1);
+    /** Callers' requests that are queued or active. */
+    int pendingRequests() {
+        Task active = activeTask();
+        return requests.size() + (active == null || active.isRepair() ? 0 : 1);
     }
 
-    /** Repairs that wait or are under way. */
+    /** Repairs that are queued or active. */
     int pendingRepairs() {
+        Task active = activeTask();
         return repairs.size() + (active != null && active.isRepair() ? 1 : 0);
     }
 
-    double lastQuorumAt() {
-        return lastQuorumAt;
+    /** When the phase was started that a quorum answered last; negative infinity before. */
+    double lastQuorumAtMs() {
+        return lastQuorumAtMs;
     }
 
     /**
-     * When the second round was sent that last chose a value here: a quorum accepted it after that, so nothing newer
-     * was chosen before.
+     * When the accept phase was started that last chose a value here; negative infinity before. A quorum accepted the
+     * value after that, so nothing newer was chosen before.
      */
-    double lastChosenAt() {
-        return lastChosenAt;
+    double lastChosenAtMs() {
+        return lastChosenAtMs;
     }
 
-    void add(double now, Task task, Register.Effects out) {
-        (task.isRepair() ? repairs : orders).add(task);
-        startIfIdle(now, out);
+    /** Queues a task, and starts it at once if none is active. */
+    void add(double nowMs, Task task, Register.Effects effects) {
+        (task.isRepair() ? repairs : requests).add(task);
+        startNextIfIdle(nowMs, effects);
     }
 
-    void tick(double now, Register.Effects out) {
-        dropLate(now, out);
-        if (round != null && now - round.phaseStartedAt() >= timeout()) {
-            lose(now);
+    /** Completes overdue tasks, ends rounds that timed out, retries after backoff. */
+    void tick(double nowMs, Register.Effects effects) {
+        completeOverdue(nowMs, effects);
+        if (state instanceof InRound inRound
+                && nowMs - inRound.round.phaseStartedAtMs() >= roundTimeoutMs(inRound.attempt)) {
+            backOff(nowMs, inRound);
         }
-        giveWay();
-        if (active != null && round == null && now >= retryAt) {
-            begin(now, out);
+        yieldToRepairs();
+        if (state instanceof BackingOff backingOff && nowMs >= backingOff.retryAtMs) {
+            startRound(nowMs, backingOff.task, backingOff.attempt + 1, effects);
         }
-        startIfIdle(now, out);
+        startNextIfIdle(nowMs, effects);
     }
 
-    void promised(double now, Promise message, Register.Effects out) {
-        learner.sawAccepted(
-                message.accepted(),
-                message.value() == null ? null : message.value().acceptors());
-        if (round == null || !round.isPreparing() || !message.ballot().equals(round.ballot())) {
+    void handlePromise(double nowMs, Promise promise, Register.Effects effects) {
+        learner.observeAccepted(
+                promise.acceptedBallot(),
+                promise.acceptedValue() == null ? null : promise.acceptedValue().acceptors());
+        if (!(state instanceof InRound inRound)
+                || !inRound.round.isPreparing()
+                || !promise.ballot().equals(inRound.round.ballot())) {
             return;
         }
-        round.promise(message.from(), message.accepted(), message.value());
-        if (round.isPromised()) {
-            lastQuorumAt = Math.max(lastQuorumAt, round.phaseStartedAt());
-            secondRound(now, out);
+        Round round = inRound.round;
+        round.addPromise(promise.senderId(), promise.acceptedBallot(), promise.acceptedValue());
+        if (round.isPromisedByQuorum()) {
+            lastQuorumAtMs = Math.max(lastQuorumAtMs, round.phaseStartedAtMs());
+            startAcceptPhase(nowMs, inRound, effects);
         } else {
-            prepare(round.read().acceptors(), out);
+            sendPrepare(round, round.read().acceptors(), effects);
         }
     }
 
-    void accepted(double now, Accepted message, Register.Effects out) {
-        if (round == null || round.isPreparing() || !message.ballot().equals(round.ballot())) {
+    void handleAccepted(double nowMs, Accepted accepted, Register.Effects effects) {
+        if (!(state instanceof InRound inRound)
+                || inRound.round.isPreparing()
+                || !accepted.ballot().equals(inRound.round.ballot())) {
             return;
         }
-        round.accept(message.from());
-        if (round.isChosen()) {
-            lastQuorumAt = Math.max(lastQuorumAt, round.phaseStartedAt());
-            lastChosenAt = Math.max(lastChosenAt, round.phaseStartedAt());
-            chosen(now, out);
+        Round round = inRound.round;
+        round.addAcceptance(accepted.senderId());
+        if (round.isAcceptedByQuorum()) {
+            lastQuorumAtMs = Math.max(lastQuorumAtMs, round.phaseStartedAtMs());
+            lastChosenAtMs = Math.max(lastChosenAtMs, round.phaseStartedAtMs());
+            finishRound(nowMs, inRound, effects);
         }
     }
 
-    void refused(double now, Reject message) {
-        learner.sawRound(message.promised());
-        if (round == null || !message.ballot().equals(round.ballot())) {
+    void handleReject(double nowMs, Reject reject) {
+        learner.observeRound(reject.promisedBallot());
+        if (!(state instanceof InRound inRound) || !reject.ballot().equals(inRound.round.ballot())) {
             return;
         }
-        round.refuse(message.from());
-        if (round.isLost()) {
-            lose(now);
+        inRound.round.addRejection(reject.senderId());
+        if (inRound.round.isRejected()) {
+            backOff(nowMs, inRound);
+        }
+    }
+
+    /** The active task, or null in {@link Idle}. */
+    private Task activeTask() {
+        if (state instanceof InRound inRound) {
+            return inRound.task;
+        }
+        if (state instanceof Announcing announcing) {
+            return announcing.task;
+        }
+        return state instanceof BackingOff backingOff ? backingOff.task : null;
+    }
+
+    /** Enters a state; throws if it does not follow the present one. */
+    private void transitionTo(State next) {
+        if (!mayFollow(next)) {
+            throw new IllegalStateException("illegal transition of the proposer from "
+                    + state.getClass().getSimpleName() + " to "
+                    + next.getClass().getSimpleName());
         }
+        state = next;
     }
 
-    private void startIfIdle(double now, Register.Effects out) {
-        if (active != null || repairs.isEmpty() && orders.isEmpty()) {
+    private boolean mayFollow(State next) {
+        if (next instanceof InRound) {
+            return !(state instanceof InRound);
+        }
+        if (next instanceof Idle) {
+            return state != Idle.IDLE;
+        }
+        return state instanceof InRound;
+    }
+
+    private void startNextIfIdle(double nowMs, Register.Effects effects) {
+        if (state != Idle.IDLE || repairs.isEmpty() && requests.isEmpty()) {
             return;
         }
-        active = repairs.isEmpty() ? orders.poll() : repairs.poll();
-        attempts = 0;
-        begin(now, out);
+        Task next = repairs.isEmpty() ? requests.poll() : repairs.poll();
+        startRound(nowMs, next, 1, effects);
     }
 
-    /** An order whose round got no quorum goes on after the repairs that wait. */
-    private void giveWay() {
-        if (active != null && round == null && !active.isRepair() && !repairs.isEmpty()) {
-            orders.addFirst(active);
-            active = null;
+    /** Puts a request whose round got no quorum back in front of the queue if a repair waits. */
+    private void yieldToRepairs() {
+        if (state instanceof BackingOff backingOff && !backingOff.task.isRepair() && !repairs.isEmpty()) {
+            requests.addFirst(backingOff.task);
+            transitionTo(Idle.IDLE);
         }
     }
 
-    private void begin(double now, Register.Effects out) {
-        attempts++;
+    private void startRound(double nowMs, Task task, int attempt, Register.Effects effects) {
         Ballot ballot = new Ballot(learner.highestRound() + 1, name);
-        learner.sawRound(ballot);
-        RegisterValue known = learner.chosen();
-        RegisterValue read = known != null ? known : new RegisterValue(settings.initial(), 0, null);
-        round = new Round(ballot, learner.chosenBallot(), read, now);
-        prepare(learner.acceptors(), out);
-        if (learner.unfinishedAcceptors() != null) {
-            prepare(learner.unfinishedAcceptors(), out);
+        learner.observeRound(ballot);
+        RegisterValue chosen = learner.chosenValue();
+        RegisterValue read = chosen != null ? chosen : new RegisterValue(settings.initialAcceptors(), 0, null);
+        Round round = new Round(ballot, learner.chosenBallot(), read, nowMs);
+        transitionTo(new InRound(task, attempt, round));
+        sendPrepare(round, learner.acceptors(), effects);
+        if (learner.unconfirmedAcceptors() != null) {
+            sendPrepare(round, learner.unconfirmedAcceptors(), effects);
         }
     }
 
-    private void prepare(AcceptorSet acceptors, Register.Effects out) {
+    private void sendPrepare(Round round, AcceptorSet acceptors, Register.Effects effects) {
         for (AcceptorId acceptor : acceptors.all()) {
-            if (round.asks(acceptor)) {
-                out.send(
+            if (round.markPrepared(acceptor)) {
+                effects.send(
                         acceptor.address(),
                         new Prepare(
-                                self.address(), self.identity(), acceptor.identity(), round.ballot(), round.known()));
+                                self.address(),
+                                self.identity(),
+                                acceptor.identity(),
+                                round.ballot(),
+                                round.chosenAtStart()));
             }
         }
     }
 
-    private void secondRound(double now, Register.Effects out) {
-        round.propose(active.propose(round.read(), learner.chosen()), now);
+    private void startAcceptPhase(double nowMs, InRound inRound, Register.Effects effects) {
+        Round round = inRound.round;
+        round.startAcceptPhase(inRound.task.propose(round.read(), learner.chosenValue()), nowMs);
         for (AcceptorId acceptor : round.read().acceptors().all()) {
-            out.send(
+            effects.send(
                     acceptor.address(),
                     new Accept(
                             self.address(),
@@ -177,68 +280,74 @@
         }
     }
 
-    private void chosen(double now, Register.Effects out) {
-        Round done = round;
-        Proposal proposal = done.proposal();
-        Task task = active;
-        round = null;
-        learner.learn(done.ballot(), proposal.value(), out);
-        tell(done, out);
-        if (task.isDoneWith(proposal)) {
-            active = null;
-            task.complete(new Outcome.Confirmed(proposal.value(), proposal.answer(), proposal.changed()), out);
-            startIfIdle(now, out);
+    private void finishRound(double nowMs, InRound inRound, Register.Effects effects) {
+        Round round = inRound.round;
+        Proposal proposal = round.proposal();
+        Task task = inRound.task;
+        transitionTo(new Announcing(task));
+        learner.learnChosen(round.ballot(), proposal.value(), effects);
+        announceChosen(round, effects);
+        if (task.isCompletedBy(proposal)) {
+            transitionTo(Idle.IDLE);
+            task.complete(new Outcome.Confirmed(proposal.value(), proposal.answer(), proposal.changed()), effects);
+            startNextIfIdle(nowMs, effects);
         } else {
-            attempts = 0;
-            begin(now, out);
+            startRound(nowMs, task, 1, effects);
         }
     }
 
-    private void tell(Round done, Register.Effects out) {
-        RegisterValue value = done.proposal().value();
-        Set<AcceptorId> told = new LinkedHashSet<>(done.read().acceptors().all());
-        told.addAll(value.acceptors().all());
-        for (AcceptorId acceptor : told) {
-            if (!acceptor.equals(self)) {
-                out.send(
-                        acceptor.address(),
+    private void announceChosen(Round round, Register.Effects effects) {
+        RegisterValue value = round.proposal().value();
+        Set<AcceptorId> recipients =
+                new LinkedHashSet<>(round.read().acceptors().all());
+        recipients.addAll(value.acceptors().all());
+        for (AcceptorId recipient : recipients) {
+            if (!recipient.equals(self)) {
+                effects.send(
+                        recipient.address(),
                         new Chosen(
-                                self.address(), self.identity(), acceptor.identity(), done.ballot(), value.revision()));
+                                self.address(),
+                                self.identity(),
+                                recipient.identity(),
+                                round.ballot(),
+                                value.revision()));
             }
         }
     }
 
-    private double timeout() {
-        return settings.roundTimeoutMs() * Math.min(attempts, LONGEST_ROUND);
+    private double roundTimeoutMs(int attempt) {
+        return settings.roundTimeoutMs() * Math.min(attempt, MAX_ROUND_TIMEOUT_FACTOR);
     }
 
-    private void lose(double now) {
-        round = null;
-        int doublings = active.isRepair() ? MOST_REPAIR_DOUBLINGS : MOST_DOUBLINGS;
-        double growing = settings.retryMinimumMs() * (1 << Math.min(attempts, doublings));
-        double longest = Math.min(settings.retryMaximumMs(), growing);
-        double spread = Math.max(0, longest - settings.retryMinimumMs());
-        retryAt = now + settings.retryMinimumMs() + random.nextDouble() * spread;
+    private void backOff(double nowMs, InRound inRound) {
+        int maxDoublings = inRound.task.isRepair() ? MAX_REPAIR_BACKOFF_DOUBLINGS : MAX_BACKOFF_DOUBLINGS;
+        double exponentialMs = settings.retryBackoffMinMs() * (1 << Math.min(inRound.attempt, maxDoublings));
+        double maxMs = Math.min(settings.retryBackoffMaxMs(), exponentialMs);
+        double jitterRangeMs = Math.max(0, maxMs - settings.retryBackoffMinMs());
+        double retryAtMs = nowMs + settings.retryBackoffMinMs() + random.nextDouble() * jitterRangeMs;
+        transitionTo(new BackingOff(inRound.task, inRound.attempt, retryAtMs));
     }
 
-    /** Gives up what is late; the callers, who may ask anew at once, hear of it when the queue is in order again. */
-    private void dropLate(double now, Register.Effects out) {
-        List<Task> late = new ArrayList<>();
-        for (Deque<Task> queue : List.of(repairs, orders)) {
+    /**
+     * Completes overdue tasks as unknown. Callers, who may add tasks at once, are called when the queues are in order.
+     */
+    private void completeOverdue(double nowMs, Register.Effects effects) {
+        List<Task> overdue = new ArrayList<>();
+        for (Deque<Task> queue : List.of(repairs, requests)) {
             for (Task task : queue) {
-                if (now >= task.deadline()) {
-                    late.add(task);
+                if (nowMs >= task.deadlineMs()) {
+                    overdue.add(task);
                 }
             }
-            queue.removeAll(late);
+            queue.removeAll(overdue);
         }
-        if (active != null && now >= active.deadline()) {
-            late.add(active);
-            active = null;
-            round = null;
+        Task active = activeTask();
+        if (active != null && nowMs >= active.deadlineMs()) {
+            overdue.add(active);
+            transitionTo(Idle.IDLE);
         }
-        for (Task task : late) {
-            task.complete(new Outcome.Unknown("no quorum answered in time"), out);
+        for (Task task : overdue) {
+            task.complete(Outcome.Unknown.NO_QUORUM, effects);
         }
     }
 }
--- a/consensus/src/main/java/dewplank/register/Reader.java
+++ b/consensus/src/main/java/dewplank/register/Reader.java
@@ -7,22 +7,23 @@
 import java.util.Set;
 
 /**
- * Linearizable reads. When a quorum, asked after the read began, has accepted nothing newer than the value known to be
- * chosen here, that value is the newest. Otherwise a round finishes whatever is under way.
+ * Linearizable reads in one message round trip. The value chosen here is the answer if a quorum, queried after the read
+ * began, has accepted nothing newer; otherwise a full ballot completes what is in progress. Invariant 7 in {@code
+ * docs/register.md}. {@link Register} calls it on its own thread.
  */
 final class Reader {
     private static final class Read {
-        private final long request;
-        private final long question;
-        private final double startedAt;
-        private final double deadline;
-        private final Set<AcceptorId> answered = new HashSet<>();
+        private final long requestId;
+        private final long queryId;
+        private final double startedAtMs;
+        private final double deadlineMs;
+        private final Set<AcceptorId> reporters = new HashSet<>();
 
-        Read(long request, long question, double startedAt, double deadline) {
-            this.request = request;
-            this.question = question;
-            this.startedAt = startedAt;
-            this.deadline = deadline;
+        Read(long requestId, long queryId, double startedAtMs, double deadlineMs) {
+            this.requestId = requestId;
+            this.queryId = queryId;
+            this.startedAtMs = startedAtMs;
+            this.deadlineMs = deadlineMs;
         }
     }
 
@@ -30,79 +31,81 @@
     private final AcceptorId self;
     private final Learner learner;
     private final Proposer proposer;
-    private final RequestIds questions;
+    private final RequestIds requestIds;
     private final List<Read> reads = new ArrayList<>();
 
-    Reader(Register.Settings settings, AcceptorId self, Learner learner, Proposer proposer, RequestIds questions) {
+    Reader(Register.Settings settings, AcceptorId self, Learner learner, Proposer proposer, RequestIds requestIds) {
         this.settings = settings;
         this.self = self;
         this.learner = learner;
         this.proposer = proposer;
-        this.questions = questions;
+        this.requestIds = requestIds;
     }
 
-    int pending() {
+    /** Reads that wait for reports; those that went on by a ballot are counted by the proposer. */
+    int pendingReads() {
         return reads.size();
     }
 
-    void start(double now, long request, double deadline, Register.Effects out) {
-        Read read = new Read(request, questions.next(), now, deadline);
+    void start(double nowMs, long requestId, double deadlineMs, Register.Effects effects) {
+        Read read = new Read(requestId, requestIds.next(), nowMs, deadlineMs);
         reads.add(read);
         for (AcceptorId acceptor : learner.acceptors().all()) {
-            out.send(
+            effects.send(
                     acceptor.address(),
                     new StatusQuery(
                             self.address(),
                             self.identity(),
-                            RegisterMessage.ANY,
-                            read.question,
+                            RegisterMessage.ANY_IDENTITY,
+                            read.queryId,
                             learner.chosenBallot(),
                             true));
         }
     }
 
-    void reported(double now, StatusReport report, Register.Effects out) {
+    void handleReport(double nowMs, StatusReport report, Register.Effects effects) {
         Iterator<Read> iterator = reads.iterator();
         while (iterator.hasNext()) {
             Read read = iterator.next();
-            if (read.question == report.question()) {
+            if (read.queryId == report.queryId()) {
                 iterator.remove();
-                advance(now, read, report, out);
+                advance(nowMs, read, report, effects);
                 return;
             }
         }
     }
 
-    void tick(double now, Register.Effects out) {
-        List<Read> late = new ArrayList<>();
+    /** Hands reads that have waited for a round's time, or are past their deadline, to the proposer. */
+    void tick(double nowMs, Register.Effects effects) {
+        List<Read> overdue = new ArrayList<>();
         for (Read read : reads) {
-            if (now - read.startedAt >= settings.roundTimeoutMs() || now >= read.deadline) {
-                late.add(read);
+            if (nowMs - read.startedAtMs >= settings.roundTimeoutMs() || nowMs >= read.deadlineMs) {
+                overdue.add(read);
             }
         }
-        reads.removeAll(late);
-        for (Read read : late) {
-            readByRound(now, read, out);
+        reads.removeAll(overdue);
+        for (Read read : overdue) {
+            readByBallot(nowMs, read, effects);
         }
     }
 
-    private void advance(double now, Read read, StatusReport report, Register.Effects out) {
-        if (report.accepted().isAfter(learner.chosenBallot())) {
-            readByRound(now, read, out);
+    private void advance(double nowMs, Read read, StatusReport report, Register.Effects effects) {
+        if (report.acceptedBallot().isAfter(learner.chosenBallot())) {
+            readByBallot(nowMs, read, effects);
             return;
         }
-        read.answered.add(report.from());
-        boolean answered = learner.acceptors().isQuorum(read.answered);
-        if (!answered) {
+        read.reporters.add(report.senderId());
+        boolean isQuorum = learner.acceptors().isQuorum(read.reporters);
+        if (!isQuorum) {
             reads.add(read);
-        } else if (learner.chosen() == null) {
-            readByRound(now, read, out);
+        } else if (learner.chosenValue() == null) {
+            readByBallot(nowMs, read, effects);
         } else {
-            out.completed(read.request, new Outcome.Confirmed(learner.chosen(), null, false));
+            effects.completed(read.requestId, new Outcome.Confirmed(learner.chosenValue(), null, false));
         }
     }
 
-    private void readByRound(double now, Read read, Register.Effects out) {
-        proposer.add(now, ChangeTask.reading(read.request, read.deadline), out);
+    private void readByBallot(double nowMs, Read read, Register.Effects effects) {
+        proposer.add(nowMs, ChangeTask.reading(read.requestId, read.deadlineMs), effects);
     }
 }
--- a/consensus/src/main/java/dewplank/register/Reconfiguration.java
+++ b/consensus/src/main/java/dewplank/register/Reconfiguration.java
@@ -1,13 +1,13 @@
 package dewplank.register;
 
-/** What a confirmed request to replace the acceptors came to: the answer of its {@link Outcome.Confirmed}. */
+/** Result of a confirmed reconfiguration: the answer of its {@link Outcome.Confirmed}. */
 public enum Reconfiguration {
-    /** The wanted acceptors are in force, by the step from the expected generation. */
+    /** The target acceptors are in force, by the step from the expected generation. */
     APPLIED,
 
-    /** The wanted acceptors are in force, and no step from the expected generation was needed or led there. */
-    FOUND_DONE,
+    /** The target acceptors are in force, and no step from the expected generation was needed or led there. */
+    ALREADY_IN_FORCE,
 
-    /** Another replacement came first, and the wanted acceptors are not in force: decide again on the set given. */
-    OVERTAKEN
+    /** Another reconfiguration came first and the target acceptors are not in force: decide again on the set given. */
+    SUPERSEDED
 }
--- a/consensus/src/main/java/dewplank/register/ReconfigureTask.java
+++ b/consensus/src/main/java/dewplank/register/ReconfigureTask.java
@@ -3,44 +3,40 @@
 import java.util.List;
 
 /**
- * Replaces the acceptors by way of a joint set, if the set in force is still the one that the decision was worked out
- * from. A replacement found half done is finished first, for a joint set that is chosen leaves no other way on.
- *
- * <p>Generations name sets: each chosen value is built on the one before it, so there is one set for each generation.
- * A caller that was frozen, or one of two callers at once, meets a higher generation than it expects and changes
- * nothing.
+ * Replaces the acceptors by way of a joint set, if the set in force still has the expected generation. A joint set that
+ * it finds is completed first. Generations as fencing tokens are invariant 6 in {@code docs/register.md}.
  */
 final class ReconfigureTask implements Task {
-    /** A replacement takes two generations: the joint set and the settled one. */
-    private static final int GENERATIONS = 2;
+    /** A reconfiguration takes two generations: the joint set and the set that completes it. */
+    private static final int GENERATIONS_PER_RECONFIGURATION = 2;
 
-    private final long request;
+    private final long requestId;
     private final long expectedGeneration;
-    private final List<AcceptorId> wanted;
-    private final double deadline;
+    private final List<AcceptorId> target;
+    private final double deadlineMs;
 
-    ReconfigureTask(long request, long expectedGeneration, List<AcceptorId> wanted, double deadline) {
-        this.request = request;
+    ReconfigureTask(long requestId, long expectedGeneration, List<AcceptorId> target, double deadlineMs) {
+        this.requestId = requestId;
         this.expectedGeneration = expectedGeneration;
-        this.wanted = List.copyOf(wanted);
-        this.deadline = deadline;
+        this.target = List.copyOf(target);
+        this.deadlineMs = deadlineMs;
     }
 
     @Override
-    public Proposal propose(RegisterValue read, RegisterValue chosen) {
+    public Proposal propose(RegisterValue read, RegisterValue newestChosen) {
         AcceptorSet set = read.acceptors();
         if (set.isJoint()) {
-            Proposal next = CompletionTask.settle(read, chosen);
-            return next.changed() ? answered(next.value(), true) : next;
+            Proposal next = CompletionTask.completeTransition(read, newestChosen);
+            return next.changed() ? withAnswer(next.value(), true) : next;
         }
-        if (set.generation() == expectedGeneration && !set.consistsOf(wanted)) {
-            return Proposal.of(read.withAcceptors(set.joinedBy(wanted)));
+        if (set.generation() == expectedGeneration && !set.consistsOf(target)) {
+            return Proposal.changed(read.withAcceptors(set.beginTransition(target)));
         }
-        return answered(read, false);
+        return withAnswer(read, false);
     }
 
     @Override
-    public boolean isDoneWith(Proposal proposal) {
+    public boolean isCompletedBy(Proposal proposal) {
         return proposal.answer() != null;
     }
 
@@ -50,24 +46,24 @@
     }
 
     @Override
-    public double deadline() {
-        return deadline;
+    public double deadlineMs() {
+        return deadlineMs;
     }
 
     @Override
-    public void complete(Outcome outcome, Register.Effects out) {
-        out.completed(request, outcome);
+    public void complete(Outcome outcome, Register.Effects effects) {
+        effects.completed(requestId, outcome);
     }
 
-    private Proposal answered(RegisterValue settled, boolean changed) {
-        return new Proposal(settled, answer(settled.acceptors()), changed);
+    private Proposal withAnswer(RegisterValue value, boolean changed) {
+        return new Proposal(value, resultFor(value.acceptors()), changed);
     }
 
-    private Reconfiguration answer(AcceptorSet settled) {
-        if (!settled.consistsOf(wanted)) {
-            return Reconfiguration.OVERTAKEN;
+    private Reconfiguration resultFor(AcceptorSet set) {
+        if (!set.consistsOf(target)) {
+            return Reconfiguration.SUPERSEDED;
         }
-        boolean byThisStep = settled.generation() == expectedGeneration + GENERATIONS;
-        return byThisStep ? Reconfiguration.APPLIED : Reconfiguration.FOUND_DONE;
+        boolean isByThisStep = set.generation() == expectedGeneration + GENERATIONS_PER_RECONFIGURATION;
+        return isByThisStep ? Reconfiguration.APPLIED : Reconfiguration.ALREADY_IN_FORCE;
     }
 }
--- a/consensus/src/main/java/dewplank/register/Register.java
+++ b/consensus/src/main/java/dewplank/register/Register.java
@@ -5,240 +5,263 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One process of the replicated register: acceptor, proposer and learner. Pure steps with the time given; everything
- * it wants done goes to the {@link Effects} handed in. It belongs to one thread. The random generator must differ from
- * life to life of a process: the names of its ballots and questions are drawn from it.
+ * One process of the replicated register: acceptor, proposer and learner of CASPaxos (Rystsov, "CASPaxos: Replicated
+ * State Machines without logs", 2018), with acceptor sets changed by joint consensus (Raft, section 6).
+ *
+ * <p>The control plane's event loop calls it; it is confined to that thread and not thread-safe. Each method is one
+ * step: it never blocks, reads no clock and does no I/O, but passes what is to be done to the {@link Effects} given.
+ * All times are milliseconds of the caller's monotonic clock, given as {@code nowMs} and never decreasing. A request
+ * ends with exactly one {@link Effects#completed} unless the incarnation ends before. Invariants and their arguments
+ * are in {@code docs/register.md}.
  */
 public final class Register {
-    /** Requests that may wait or be under way at one process; more only wait out their callers' patience. */
-    public static final int MOST_PENDING = 64;
+    /** Changes and reads that may be pending at one process; more end as {@link Outcome.Unknown} at once. */
+    public static final int MAX_PENDING_REQUESTS = 64;
 
-    /** Replacements that may wait besides: one duty holder asks for one at a time, and asks anew when it ends. */
-    static final int MOST_REPAIRS = 4;
+    /** Reconfigurations that may be pending besides. One lease holder asks for one at a time. */
+    static final int MAX_PENDING_REPAIRS = 4;
 
     /**
-     * What does not change during a life.
+     * What is fixed for an incarnation.
      *
-     * @param address where this process is reached
-     * @param initial the acceptors to begin with when nothing is chosen yet; empty where that is not known
-     * @param roundTimeoutMs how long a quorum is waited for in one round
-     * @param retryMinimumMs the shortest pause before the next round
-     * @param retryMaximumMs the longest pause before the next round
-     * @param sweepMs the period of the sweeps
+     * @param address the address of this process, as IP:PORT
+     * @param initialAcceptors the acceptors before the first chosen value; an empty set where they are not known
+     * @param roundTimeoutMs how long one phase of a round waits for a quorum
+     * @param retryBackoffMinMs the minimum backoff before the next round
+     * @param retryBackoffMaxMs the maximum backoff before the next round
+     * @param antiEntropyPeriodMs the mean period of anti-entropy
      */
     public record Settings(
             String address,
-            AcceptorSet initial,
+            AcceptorSet initialAcceptors,
             double roundTimeoutMs,
-            double retryMinimumMs,
-            double retryMaximumMs,
-            double sweepMs) {}
+            double retryBackoffMinMs,
+            double retryBackoffMaxMs,
+            double antiEntropyPeriodMs) {}
 
-    /** What a step wants done. */
+    /** What a step wants done. Implemented by the owner of the register and called within the step, on its thread. */
     public interface Effects {
-        /** Sends a message, also to the own address; it may be lost, delayed or doubled. */
+        /** Sends a message, also to the own address; it may be lost, delayed or duplicated. */
         void send(String address, RegisterMessage message);
 
-        /** Saves and syncs the state, then calls stored or storeFailed with the ticket; one at a time. */
-        void store(long ticket, DurableState state);
+        /**
+         * Saves and syncs the state, then calls {@link Register#handleStored} or {@link Register#handleStoreFailed}
+         * with the id, in a later step. At most one store is in flight.
+         */
+        void store(long storeId, DurableState state);
 
-        /** A newer chosen value is known; never an older one. */
+        /** A value of a higher revision is known to be chosen; revisions never decrease. */
         void learned(RegisterValue value);
 
-        /** A request ended. */
-        void completed(long request, Outcome outcome);
+        /** A request ended. The implementation may start further requests within the call. */
+        void completed(long requestId, Outcome outcome);
     }
 
     private final AcceptorId self;
-    private final Acceptor voter;
+    private final Acceptor acceptor;
     private final Learner learner;
     private final Proposer proposer;
     private final Reader reader;
-    private final AntiEntropy sweep;
+    private final AntiEntropy antiEntropy;
 
-    /** A process that begins a life with what its disk holds. */
+    /**
+     * Starts an incarnation from what its disk holds.
+     *
+     * @param random differs from incarnation to incarnation: names of ballots and ids of queries are drawn from it
+     */
     public Register(Settings settings, DurableState recovered, RandomGenerator random) {
-        Objects.requireNonNull(settings.initial());
-        RequestIds questions = new RequestIds(random);
+        Objects.requireNonNull(settings.initialAcceptors());
+        RequestIds requestIds = new RequestIds(random);
         self = new AcceptorId(settings.address(), recovered.identity());
-        voter = new Acceptor(self, recovered);
-        learner = new Learner(settings, self, voter);
+        acceptor = new Acceptor(self, recovered);
+        learner = new Learner(settings, self, acceptor);
         proposer = new Proposer(settings, self, learner, random);
-        reader = new Reader(settings, self, learner, proposer, questions);
-        sweep = new AntiEntropy(settings, self, learner, proposer, questions, random);
+        reader = new Reader(settings, self, learner, proposer, requestIds);
+        antiEntropy = new AntiEntropy(settings, self, learner, proposer, requestIds, random);
     }
 
-    /** Takes a message; one meant for another identity is dropped. */
-    public void received(double now, RegisterMessage message, Effects out) {
-        boolean named = message.recipientIdentity().equals(self.identity());
-        if (!named && !message.recipientIdentity().isEmpty()) {
+    /** Handles a message; one for another identity is dropped. */
+    public void handleMessage(double nowMs, RegisterMessage message, Effects effects) {
+        boolean isForThisDisk = message.recipientIdentity().equals(self.identity());
+        boolean isForAnyDisk = message.recipientIdentity().equals(RegisterMessage.ANY_IDENTITY);
+        if (!isForThisDisk && !isForAnyDisk) {
             return;
         }
-        if (message instanceof StatusQuery) {
-            report((StatusQuery) message, out);
-            learner.hear(now, message, ((StatusQuery) message).chosen(), out); // who asks may know more
-        } else if (message instanceof StatusReport) {
-            reported(now, (StatusReport) message, out);
-        } else if (message instanceof Chosen) {
-            learner.hear(now, message, ((Chosen) message).ballot(), out);
-        } else if (named) {
-            roundMessage(now, message, out);
+        if (message instanceof StatusQuery query) {
+            reportStatus(query, effects);
+            learner.handleAnnouncement(nowMs, query.senderAddress(), query.chosenBallot(), effects);
+        } else if (message instanceof StatusReport report) {
+            handleReport(nowMs, report, effects);
+        } else if (message instanceof Chosen chosen) {
+            learner.handleAnnouncement(nowMs, chosen.senderAddress(), chosen.ballot(), effects);
+        } else if (isForThisDisk) {
+            handleBallotMessage(nowMs, message, effects);
         }
     }
 
-    /** The store with this ticket is synced. */
-    public void stored(double now, long ticket, Effects out) {
-        voter.stored(ticket, out);
+    /** The store with this id is synced. */
+    public void handleStored(double nowMs, long storeId, Effects effects) {
+        acceptor.handleStored(storeId, effects);
     }
 
-    /** The store with this ticket failed: its votes are not given. */
-    public void storeFailed(double now, long ticket, Effects out) {
-        voter.storeFailed(ticket);
+    /** The store with this id failed: its votes are dropped. */
+    public void handleStoreFailed(double nowMs, long storeId, Effects effects) {
+        acceptor.handleStoreFailed(storeId);
     }
 
-    /** Changes the payload by rounds until it is certain or the deadline passes. */
-    public void change(double now, long request, Change change, double deadline, Effects out) {
-        if (admits(request, out)) {
-            proposer.add(now, new ChangeTask(request, change, deadline), out);
+    /**
+     * Changes the payload. Confirmed with the answer of {@code change} once its decision is certain, unknown at the
+     * first tick after the deadline.
+     */
+    public void change(double nowMs, long requestId, Change change, double deadlineMs, Effects effects) {
+        if (admitRequest(requestId, effects)) {
+            proposer.add(nowMs, new ChangeTask(requestId, change, deadlineMs), effects);
         }
     }
 
-    /** Reads the newest chosen value. */
-    public void read(double now, long request, double deadline, Effects out) {
-        if (admits(request, out)) {
-            reader.start(now, request, deadline, out);
+    /** Reads the newest chosen value; linearizable. */
+    public void read(double nowMs, long requestId, double deadlineMs, Effects effects) {
+        if (admitRequest(requestId, effects)) {
+            reader.start(nowMs, requestId, deadlineMs, effects);
         }
     }
 
     /**
-     * Makes the wanted acceptors those that decide, by way of a joint set, if the set in force is still that of the
-     * expected generation; confirmed with a {@link Reconfiguration} as its answer.
+     * Replaces the acceptors by way of a joint set if the set in force has the expected generation. Confirmed with a
+     * {@link Reconfiguration} as its answer.
+     *
+     * @param target the acceptors that are to be in force; an empty list ends as unknown
      */
-    public void replaceAcceptors(
-            double now, long request, long expectedGeneration, List<AcceptorId> wanted, double deadline, Effects out) {
-        if (wanted.isEmpty()) {
-            out.completed(request, new Outcome.Unknown("no acceptors wanted"));
-        } else if (admits(proposer.pendingRepairs(), MOST_REPAIRS, request, out)) {
-            proposer.add(now, new ReconfigureTask(request, expectedGeneration, wanted, deadline), out);
+    public void reconfigure(
+            double nowMs,
+            long requestId,
+            long expectedGeneration,
+            List<AcceptorId> target,
+            double deadlineMs,
+            Effects effects) {
+        if (target.isEmpty()) {
+            effects.completed(requestId, Outcome.Unknown.NO_TARGET_ACCEPTORS);
+        } else if (admit(proposer.pendingRepairs(), MAX_PENDING_REPAIRS, requestId, effects)) {
+            proposer.add(nowMs, new ReconfigureTask(requestId, expectedGeneration, target, deadlineMs), effects);
         }
     }
 
-    /** Asks a process that may not be a known acceptor for what is chosen. */
-    public void ask(double now, String address, Effects out) {
-        out.send(
+    /** Queries the status of the process at this address, which need not be an acceptor, and fetches a newer value. */
+    public void queryStatus(double nowMs, String address, Effects effects) {
+        effects.send(
                 address,
                 new StatusQuery(
                         self.address(),
                         self.identity(),
-                        RegisterMessage.ANY,
+                        RegisterMessage.ANY_IDENTITY,
                         RequestIds.FETCH,
                         learner.chosenBallot(),
                         true));
     }
 
-    /** Time passes: time-outs, retries, sweeps. */
-    public void tick(double now, Effects out) {
-        reader.tick(now, out);
-        proposer.tick(now, out);
-        if (sweep.tick(now, out)) {
-            voter.saveChosen(out);
+    /** Time passes: time-outs, retries, anti-entropy. Called every few tens of milliseconds. */
+    public void tick(double nowMs, Effects effects) {
+        reader.tick(nowMs, effects);
+        proposer.tick(nowMs, effects);
+        if (antiEntropy.tick(nowMs, effects)) {
+            acceptor.retryStoreOfChosen(effects);
         }
     }
 
-    /** The acceptors of the newest chosen value, or those to begin with. */
+    /** The acceptors of the newest chosen value, or the initial ones. */
     public AcceptorSet acceptors() {
         return learner.acceptors();
     }
 
     /** The generation of the acceptors in the value accepted last, also when the disk does not hold it yet. */
     public long acceptedGeneration() {
-        RegisterValue accepted = voter.current().value();
+        RegisterValue accepted = acceptor.current().acceptedValue();
         return accepted == null ? 0 : accepted.acceptors().generation();
     }
 
-    /** The newest value known to be chosen, or null. */
-    public RegisterValue chosen() {
-        return learner.chosen();
+    /** The newest value known to be chosen; null before the first. */
+    public RegisterValue chosenValue() {
+        return learner.chosenValue();
     }
 
-    /** When the question was sent that a quorum last answered; negative infinity before. */
-    public double lastQuorumAt() {
-        return Math.max(proposer.lastQuorumAt(), sweep.lastQuorumAt());
+    /** When the query or phase was started that a quorum answered last; negative infinity before. */
+    public double lastQuorumAtMs() {
+        return Math.max(proposer.lastQuorumAtMs(), antiEntropy.lastQuorumAtMs());
     }
 
     /**
-     * Whether the value chosen here was the newest at some time within the last {@code withinMs}: a quorum answered a
-     * question sent within that time, and nothing it reported as accepted or chosen is newer than what is chosen here.
-     * So a process that hears a quorum but has not caught up is not current, nor is one whose quorum knows of a newer
-     * value that is accepted and not yet known to be chosen.
+     * Whether the value chosen here was the newest at some time within the last {@code withinMs}. A process with a
+     * quorum that has not caught up is not current: invariant 8 in {@code docs/register.md}.
      */
-    public boolean current(double now, double withinMs) {
-        double since = now - withinMs;
-        return proposer.lastChosenAt() >= since || sweep.currentAt() >= since;
+    public boolean isCurrent(double nowMs, double withinMs) {
+        double sinceMs = nowMs - withinMs;
+        return proposer.lastChosenAtMs() >= sinceMs || antiEntropy.lastCurrentAtMs() >= sinceMs;
     }
 
     /** Whether this process is one of the acceptors. */
-    public boolean isMember() {
+    public boolean isAcceptor() {
         return acceptors().all().contains(self);
     }
 
-    private boolean admits(long request, Effects out) {
-        return admits(proposer.pendingOrders() + reader.pending(), MOST_PENDING, request, out);
+    private boolean admitRequest(long requestId, Effects effects) {
+        int pending = proposer.pendingRequests() + reader.pendingReads();
+        return admit(pending, MAX_PENDING_REQUESTS, requestId, effects);
     }
 
-    private static boolean admits(int pending, int most, long request, Effects out) {
-        if (pending < most) {
+    private static boolean admit(int pending, int maxPending, long requestId, Effects effects) {
+        if (pending < maxPending) {
             return true;
         }
-        out.completed(request, new Outcome.Unknown("too many requests are pending"));
+        effects.completed(requestId, Outcome.Unknown.TOO_MANY_REQUESTS);
         return false;
     }
 
-    private void roundMessage(double now, RegisterMessage message, Effects out) {
-        if (message instanceof Prepare) {
-            learner.sawRound(((Prepare) message).ballot());
-            voter.prepare((Prepare) message, out);
-        } else if (message instanceof Accept) {
-            learner.sawRound(((Accept) message).ballot());
-            voter.accept((Accept) message, out);
-        } else if (message instanceof Promise) {
-            proposer.promised(now, (Promise) message, out);
-        } else if (message instanceof Accepted) {
-            proposer.accepted(now, (Accepted) message, out);
-        } else if (message instanceof Reject) {
-            proposer.refused(now, (Reject) message);
+    private void handleBallotMessage(double nowMs, RegisterMessage message, Effects effects) {
+        if (message instanceof Prepare prepare) {
+            learner.observeRound(prepare.ballot());
+            acceptor.handlePrepare(prepare, effects);
+        } else if (message instanceof Accept accept) {
+            learner.observeRound(accept.ballot());
+            acceptor.handleAccept(accept, effects);
+        } else if (message instanceof Promise promise) {
+            proposer.handlePromise(nowMs, promise, effects);
+        } else if (message instanceof Accepted accepted) {
+            proposer.handleAccepted(nowMs, accepted, effects);
+        } else if (message instanceof Reject reject) {
+            proposer.handleReject(nowMs, reject);
         }
     }
 
-    private void report(StatusQuery query, Effects out) {
-        DurableState kept = voter.durable();
-        boolean sends = query.fetching() && learner.chosenBallot().isAfter(query.chosen());
-        boolean newer = kept.accepted().isAfter(query.chosen());
-        out.send(
-                query.sender(),
+    private void reportStatus(StatusQuery query, Effects effects) {
+        DurableState durable = acceptor.durable();
+        boolean sendsValue = query.wantsValue() && learner.chosenBallot().isAfter(query.chosenBallot());
+        boolean isAcceptedNewer = durable.acceptedBallot().isAfter(query.chosenBallot());
+        RegisterValue chosen = learner.chosenValue();
+        effects.send(
+                query.senderAddress(),
                 new StatusReport(
                         self.address(),
                         self.identity(),
                         query.senderIdentity(),
-                        query.question(),
-                        kept.accepted(),
-                        newer ? kept.value().acceptors() : null,
+                        query.queryId(),
+                        durable.acceptedBallot(),
+                        isAcceptedNewer ? durable.acceptedValue().acceptors() : null,
                         learner.chosenBallot(),
-                        learner.chosen() == null ? 0 : learner.chosen().revision(),
-                        sends ? learner.chosen() : null));
+                        chosen == null ? 0 : chosen.revision(),
+                        sendsValue ? chosen : null));
     }
 
-    private void reported(double now, StatusReport report, Effects out) {
-        if (report.value() != null) {
-            learner.learn(report.chosen(), report.value(), out);
+    private void handleReport(double nowMs, StatusReport report, Effects effects) {
+        if (report.chosenValue() != null) {
+            learner.learnChosen(report.chosenBallot(), report.chosenValue(), effects);
         } else {
-            learner.hear(now, report, report.chosen(), out);
+            learner.handleAnnouncement(nowMs, report.senderAddress(), report.chosenBallot(), effects);
         }
-        if (report.question() == RequestIds.FETCH) {
-            learner.fetched(now, report.value() != null, out);
+        if (report.queryId() == RequestIds.FETCH) {
+            learner.handleFetchReport(nowMs, report.chosenValue() != null, effects);
         }
-        learner.sawAccepted(report.accepted(), report.acceptors());
-        reader.reported(now, report, out);
-        sweep.reported(report, out);
+        learner.observeAccepted(report.acceptedBallot(), report.acceptedAcceptors());
+        reader.handleReport(nowMs, report, effects);
+        antiEntropy.handleReport(report, effects);
     }
 }
--- a/consensus/src/main/java/dewplank/register/RegisterMessages.java
+++ b/consensus/src/main/java/dewplank/register/RegisterMessages.java
@@ -2,9 +2,9 @@
 
 import java.util.List;
 
-/** The kinds of register messages. */
+/** The message types of the register in the order that numbers them on the wire. */
 public final class RegisterMessages {
-    /** All kinds in a fixed order, which numbers them on the wire: only add at the end. */
+    /** All types. The position is the type's number on the wire: append only, never reorder. */
     public static final List<Class<? extends RegisterMessage>> TYPES = List.of(
             Prepare.class,
             Promise.class,
--- a/consensus/src/main/java/dewplank/register/RegisterValue.java
+++ b/consensus/src/main/java/dewplank/register/RegisterValue.java
@@ -3,50 +3,53 @@
 import java.util.Arrays;
 import java.util.Objects;
 
-/** A value of the register: the acceptors that decide on it, a number that grows with each change, and the payload. */
+/**
+ * A value of the register: the acceptors that decide what follows it, a revision and the payload. Immutable, provided
+ * that nobody writes to the payload, which is not copied.
+ */
 public final class RegisterValue {
     private final AcceptorSet acceptors;
     private final long revision;
     private final byte[] payload;
 
-    /** A value; the payload is not copied and must not be written to any more. */
+    /** Creates a value; the payload is not copied and must not be modified afterwards. */
     public RegisterValue(AcceptorSet acceptors, long revision, byte[] payload) {
         this.acceptors = Objects.requireNonNull(acceptors);
         this.revision = revision;
         this.payload = payload;
     }
 
-    /** The acceptors that decide what follows this value. */
+    /** The acceptors that decide what follows this value; not null. */
     public AcceptorSet acceptors() {
         return acceptors;
     }
 
-    /** Grows by one with each change of payload or acceptors. */
+    /** Incremented by each change of payload or acceptors. */
     public long revision() {
         return revision;
     }
 
-    /** What the operators keep here, null before the first; not to be written to. */
+    /** The callers' payload, not to be modified; null before the first change. */
     public byte[] payload() {
         return payload;
     }
 
-    /** The next value, with this payload. */
+    /** The next revision, with this payload. */
     RegisterValue withPayload(byte[] next) {
         return new RegisterValue(acceptors, revision + 1, next);
     }
 
-    /** The next value, with these acceptors. */
+    /** The next revision, with these acceptors. */
     RegisterValue withAcceptors(AcceptorSet next) {
         return new RegisterValue(next, revision + 1, payload);
     }
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof RegisterValue
-                && revision == ((RegisterValue) other).revision
-                && acceptors.equals(((RegisterValue) other).acceptors)
-                && Arrays.equals(payload, ((RegisterValue) other).payload);
+        return other instanceof RegisterValue value
+                && revision == value.revision
+                && acceptors.equals(value.acceptors)
+                && Arrays.equals(payload, value.payload);
     }
 
     @Override
--- a/consensus/src/main/java/dewplank/register/Reject.java
+++ b/consensus/src/main/java/dewplank/register/Reject.java
@@ -2,25 +2,30 @@
 
 import java.util.Objects;
 
-/** Answer to {@link Prepare} or {@link Accept}: a higher ballot is promised. */
+/** Negative answer to {@link Prepare} or {@link Accept}: the sender has promised a higher ballot. */
 public final class Reject extends RegisterMessage {
     private final Ballot ballot;
-    private final Ballot promised;
+    private final Ballot promisedBallot;
 
-    /** Makes the message. */
-    public Reject(String sender, String senderIdentity, String recipientIdentity, Ballot ballot, Ballot promised) {
-        super(sender, senderIdentity, recipientIdentity);
+    /** Creates the answer; no argument may be null. */
+    public Reject(
+            String senderAddress,
+            String senderIdentity,
+            String recipientIdentity,
+            Ballot ballot,
+            Ballot promisedBallot) {
+        super(senderAddress, senderIdentity, recipientIdentity);
         this.ballot = Objects.requireNonNull(ballot);
-        this.promised = Objects.requireNonNull(promised);
+        this.promisedBallot = Objects.requireNonNull(promisedBallot);
     }
 
-    /** The ballot refused. */
+    /** The ballot rejected. */
     public Ballot ballot() {
         return ballot;
     }
 
-    /** The ballot promised. */
-    public Ballot promised() {
-        return promised;
+    /** The higher ballot that the sender has promised. */
+    public Ballot promisedBallot() {
+        return promisedBallot;
     }
 }
--- a/consensus/src/main/java/dewplank/register/RequestIds.java
+++ b/consensus/src/main/java/dewplank/register/RequestIds.java
@@ -3,17 +3,17 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Numbers the questions of one life, so that an answer finds who asked. The first number is drawn: an answer to an
- * earlier life, late on its way, must not count for this one.
+ * Numbers the status queries of one incarnation, so that a report is matched to its query. The first id is drawn: a
+ * delayed report to an earlier incarnation must not count for this one.
  */
 final class RequestIds {
-    /** The question of a fetch, whose answer nobody counts. */
+    /** The id of every fetch, whose reports are not counted. */
     static final long FETCH = 0;
 
     private long last;
 
     RequestIds(RandomGenerator random) {
-        // 62 bits, above FETCH and with room to count.
+        // 62 bits: above FETCH, and no overflow by counting.
         last = (random.nextLong() >>> 2) + 1;
     }
 
--- a/consensus/src/main/java/dewplank/register/Round.java
+++ b/consensus/src/main/java/dewplank/register/Round.java
@@ -3,25 +3,28 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** One ballot of the proposer: first the promises, then the acceptance of one value. */
+/**
+ * One ballot of the proposer: the prepare phase collects promises, the accept phase acceptances of one proposal. The
+ * phase changes once, by {@link #startAcceptPhase}.
+ */
 final class Round {
     private final Ballot ballot;
-    private final Ballot known;
-    private final Set<AcceptorId> asked = new HashSet<>();
+    private final Ballot chosenAtStart;
+    private final Set<AcceptorId> prepared = new HashSet<>();
     private final Set<AcceptorId> promised = new HashSet<>();
     private final Set<AcceptorId> accepted = new HashSet<>();
-    private final Set<AcceptorId> refused = new HashSet<>();
+    private final Set<AcceptorId> rejected = new HashSet<>();
     private Ballot readBallot;
     private RegisterValue read;
     private Proposal proposal;
-    private double phaseStartedAt;
+    private double phaseStartedAtMs;
 
-    Round(Ballot ballot, Ballot readBallot, RegisterValue read, double now) {
+    Round(Ballot ballot, Ballot readBallot, RegisterValue read, double nowMs) {
         this.ballot = ballot;
         this.readBallot = readBallot;
         this.read = read;
-        this.known = readBallot;
-        this.phaseStartedAt = now;
+        this.chosenAtStart = readBallot;
+        this.phaseStartedAtMs = nowMs;
     }
 
     Ballot ballot() {
@@ -33,8 +36,11 @@
         return read;
     }
 
-    /** What the second round proposes; null during the first. */
+    /** The proposal of the accept phase. */
     Proposal proposal() {
+        if (isPreparing()) {
+            throw new IllegalStateException("no proposal in the prepare phase of ballot " + ballot);
+        }
         return proposal;
     }
 
@@ -43,61 +49,62 @@
     }
 
     /**
-     * The ballot of the value the round began with, told to all acceptors: promises leave out values up to it. It
-     * must not follow what is learned meanwhile, or a newer value would be left out that the round has not read.
+     * The ballot of the value that the round began with; promises omit values up to it. It stays the same while newer
+     * values are learned, or a newer value would be omitted that the round has not read.
      */
-    Ballot known() {
-        return known;
+    Ballot chosenAtStart() {
+        return chosenAtStart;
     }
 
-    double phaseStartedAt() {
-        return phaseStartedAt;
+    double phaseStartedAtMs() {
+        return phaseStartedAtMs;
     }
 
-    /** Whether the acceptor has not been asked to promise yet; from now on it has. */
-    boolean asks(AcceptorId acceptor) {
-        return asked.add(acceptor);
+    /** Marks the acceptor as sent a prepare; returns whether it was not before. */
+    boolean markPrepared(AcceptorId acceptor) {
+        return prepared.add(acceptor);
     }
 
-    void promise(AcceptorId acceptor, Ballot valueBallot, RegisterValue value) {
+    void addPromise(AcceptorId acceptor, Ballot acceptedBallot, RegisterValue acceptedValue) {
         promised.add(acceptor);
-        if (value != null && valueBallot.isAfter(readBallot)) {
-            readBallot = valueBallot;
-            read = value;
+        if (acceptedValue != null && acceptedBallot.isAfter(readBallot)) {
+            readBallot = acceptedBallot;
+            read = acceptedValue;
         }
     }
 
-    /**
-     * Whether the promises are enough. The value read names who decides: a quorum of that value's acceptors has
-     * nothing newer, so nothing newer is chosen below this ballot.
-     */
-    boolean isPromised() {
+    /** Whether a quorum of the value read has promised: invariant 2 in {@code docs/register.md}. */
+    boolean isPromisedByQuorum() {
         return read.acceptors().isQuorum(promised);
     }
 
-    void propose(Proposal next, double now) {
+    /** Ends the prepare phase; throws if it has ended before. */
+    void startAcceptPhase(Proposal next, double nowMs) {
+        if (!isPreparing()) {
+            throw new IllegalStateException("ballot " + ballot + " already has a proposal");
+        }
         proposal = next;
-        phaseStartedAt = now;
-        refused.clear();
+        phaseStartedAtMs = nowMs;
+        rejected.clear();
     }
 
-    void accept(AcceptorId acceptor) {
+    void addAcceptance(AcceptorId acceptor) {
         accepted.add(acceptor);
     }
 
     /** Whether the proposal is chosen: the acceptors of the value it was built on decide. */
-    boolean isChosen() {
+    boolean isAcceptedByQuorum() {
         return read.acceptors().isQuorum(accepted);
     }
 
-    void refuse(AcceptorId acceptor) {
-        refused.add(acceptor);
+    void addRejection(AcceptorId acceptor) {
+        rejected.add(acceptor);
     }
 
-    /** Whether those that did not refuse can no longer decide. */
-    boolean isLost() {
-        Set<AcceptorId> left = new HashSet<>(read.acceptors().all());
-        left.removeAll(refused);
-        return !read.acceptors().isQuorum(left);
+    /** Whether the acceptors that have not rejected the ballot are no quorum any more. */
+    boolean isRejected() {
+        Set<AcceptorId> remaining = new HashSet<>(read.acceptors().all());
+        remaining.removeAll(rejected);
+        return !read.acceptors().isQuorum(remaining);
     }
 }
--- a/consensus/src/main/java/dewplank/register/RoundCompleter.java
+++ b/consensus/src/main/java/dewplank/register/RoundCompleter.java
@@ -2,14 +2,30 @@
 
 import java.util.random.RandomGenerator;
 
-/** Has finished what stays unfinished for longer than a round takes, because whoever began it may be gone. */
+/**
+ * Completes what stays unfinished for longer than a round takes, because its proposer may be gone. {@link AntiEntropy}
+ * calls it at each tick. The delay is drawn, so that processes do not start competing ballots.
+ */
 final class RoundCompleter {
+    /** What is unfinished; equal as long as it is the same work. */
+    private sealed interface Unfinished permits Nothing, JointSet, UnconfirmedBallot {}
+
+    private enum Nothing implements Unfinished {
+        NOTHING
+    }
+
+    /** A joint set: its generation stays the same while requests are chosen by it. */
+    private record JointSet(long generation) implements Unfinished {}
+
+    /** A ballot that is accepted and not known to be chosen. */
+    private record UnconfirmedBallot(Ballot ballot) implements Unfinished {}
+
     private final Register.Settings settings;
     private final Learner learner;
     private final Proposer proposer;
     private final RandomGenerator random;
-    private Object watched;
-    private double finishAt;
+    private Unfinished watched = Nothing.NOTHING;
+    private double completeAtMs;
 
     RoundCompleter(Register.Settings settings, Learner learner, Proposer proposer, RandomGenerator random) {
         this.settings = settings;
@@ -18,36 +34,34 @@
         this.random = random;
     }
 
-    void tick(double now, Register.Effects out) {
-        Object stuck = stuck();
-        if (stuck == null || !stuck.equals(watched)) {
-            watch(now, stuck);
-        } else if (now >= finishAt && isIdle()) {
-            proposer.add(now, new CompletionTask(now + settings.roundTimeoutMs() * Proposer.LONGEST_ROUND), out);
-            watch(now, stuck);
+    void tick(double nowMs, Register.Effects effects) {
+        Unfinished unfinished = unfinished();
+        if (unfinished == Nothing.NOTHING || !unfinished.equals(watched)) {
+            watch(nowMs, unfinished);
+        } else if (nowMs >= completeAtMs && !isBeingCompleted()) {
+            double deadlineMs = nowMs + settings.roundTimeoutMs() * Proposer.MAX_ROUND_TIMEOUT_FACTOR;
+            proposer.add(nowMs, new CompletionTask(deadlineMs), effects);
+            watch(nowMs, unfinished);
         }
     }
 
-    /**
-     * What waits to be finished, or null: the generation of a joint set, which stays the same while orders are chosen
-     * by it, else the ballot of a value accepted and not known to be chosen.
-     */
-    private Object stuck() {
+    private Unfinished unfinished() {
         if (learner.acceptors().isJoint()) {
-            return learner.acceptors().generation();
+            return new JointSet(learner.acceptors().generation());
         }
-        return learner.unfinished().isNone() ? null : learner.unfinished();
+        Ballot unconfirmed = learner.unconfirmedBallot();
+        return unconfirmed.isNone() ? Nothing.NOTHING : new UnconfirmedBallot(unconfirmed);
     }
 
-    /** Orders finish what is unfinished by their own rounds, but no order settles a joint set. */
-    private boolean isIdle() {
-        boolean ordersSuffice = !learner.acceptors().isJoint() && proposer.pendingOrders() > 0;
-        return proposer.pendingRepairs() == 0 && !ordersSuffice;
+    /** A pending request completes an unconfirmed ballot by its own rounds, but does not complete a joint set. */
+    private boolean isBeingCompleted() {
+        boolean isByRequest = !learner.acceptors().isJoint() && proposer.pendingRequests() > 0;
+        return proposer.pendingRepairs() > 0 || isByRequest;
     }
 
-    private void watch(double now, Object stuck) {
-        watched = stuck;
-        double drawn = random.nextDouble() * (settings.roundTimeoutMs() + settings.retryMaximumMs());
-        finishAt = now + settings.roundTimeoutMs() + drawn;
+    private void watch(double nowMs, Unfinished unfinished) {
+        watched = unfinished;
+        double jitterMs = random.nextDouble() * (settings.roundTimeoutMs() + settings.retryBackoffMaxMs());
+        completeAtMs = nowMs + settings.roundTimeoutMs() + jitterMs;
     }
 }
--- a/consensus/src/main/java/dewplank/register/StatusQuery.java
+++ b/consensus/src/main/java/dewplank/register/StatusQuery.java
@@ -2,38 +2,41 @@
 
 import java.util.Objects;
 
-/** Asks how far a process is. */
+/**
+ * Asks a process for its newest accepted and chosen ballots. Sent to read, by anti-entropy, and to fetch a value.
+ * Answered by {@link StatusReport}.
+ */
 public final class StatusQuery extends RegisterMessage {
-    private final long question;
-    private final Ballot chosen;
-    private final boolean fetching;
+    private final long queryId;
+    private final Ballot chosenBallot;
+    private final boolean wantsValue;
 
-    /** Makes the message. */
+    /** Creates the query; no argument may be null. */
     public StatusQuery(
-            String sender,
+            String senderAddress,
             String senderIdentity,
             String recipientIdentity,
-            long question,
-            Ballot chosen,
-            boolean fetching) {
-        super(sender, senderIdentity, recipientIdentity);
-        this.question = question;
-        this.chosen = Objects.requireNonNull(chosen);
-        this.fetching = fetching;
+            long queryId,
+            Ballot chosenBallot,
+            boolean wantsValue) {
+        super(senderAddress, senderIdentity, recipientIdentity);
+        this.queryId = queryId;
+        this.chosenBallot = Objects.requireNonNull(chosenBallot);
+        this.wantsValue = wantsValue;
     }
 
-    /** Comes back with the answer. */
-    public long question() {
-        return question;
+    /** Correlates the report; see {@link RequestIds}. */
+    public long queryId() {
+        return queryId;
     }
 
-    /** The newest chosen ballot the asker knows. */
-    public Ballot chosen() {
-        return chosen;
+    /** The newest chosen ballot of the sender. */
+    public Ballot chosenBallot() {
+        return chosenBallot;
     }
 
-    /** Whether a newer chosen value is to be sent whole. */
-    public boolean fetching() {
-        return fetching;
+    /** Whether the report is to include a chosen value that is newer than {@link #chosenBallot}. */
+    public boolean wantsValue() {
+        return wantsValue;
     }
 }
--- a/consensus/src/main/java/dewplank/register/StatusReport.java
+++ b/consensus/src/main/java/dewplank/register/StatusReport.java
@@ -2,62 +2,62 @@
 
 import java.util.Objects;
 
-/** Answer to {@link StatusQuery}. */
+/** Answer to {@link StatusQuery}: what the sender has synced as accepted, and what it knows to be chosen. */
 public final class StatusReport extends RegisterMessage {
-    private final long question;
-    private final Ballot accepted;
-    private final AcceptorSet acceptors;
-    private final Ballot chosen;
-    private final long revision;
-    private final RegisterValue value;
-
-    /** Makes the message. */
+    private final long queryId;
+    private final Ballot acceptedBallot;
+    private final AcceptorSet acceptedAcceptors;
+    private final Ballot chosenBallot;
+    private final long chosenRevision;
+    private final RegisterValue chosenValue;
+
+    /** Creates the report; only {@code acceptedAcceptors} and {@code chosenValue} may be null. */
     public StatusReport(
-            String sender,
+            String senderAddress,
             String senderIdentity,
             String recipientIdentity,
-            long question,
-            Ballot accepted,
-            AcceptorSet acceptors,
-            Ballot chosen,
-            long revision,
-            RegisterValue value) {
-        super(sender, senderIdentity, recipientIdentity);
-        this.question = question;
-        this.accepted = Objects.requireNonNull(accepted);
-        this.acceptors = acceptors;
-        this.chosen = Objects.requireNonNull(chosen);
-        this.revision = revision;
-        this.value = value;
+            long queryId,
+            Ballot acceptedBallot,
+            AcceptorSet acceptedAcceptors,
+            Ballot chosenBallot,
+            long chosenRevision,
+            RegisterValue chosenValue) {
+        super(senderAddress, senderIdentity, recipientIdentity);
+        this.queryId = queryId;
+        this.acceptedBallot = Objects.requireNonNull(acceptedBallot);
+        this.acceptedAcceptors = acceptedAcceptors;
+        this.chosenBallot = Objects.requireNonNull(chosenBallot);
+        this.chosenRevision = chosenRevision;
+        this.chosenValue = chosenValue;
     }
 
-    /** The question answered. */
-    public long question() {
-        return question;
+    /** The id of the query answered. */
+    public long queryId() {
+        return queryId;
     }
 
-    /** The ballot accepted last and kept. */
-    public Ballot accepted() {
-        return accepted;
+    /** The ballot accepted last and synced. */
+    public Ballot acceptedBallot() {
+        return acceptedBallot;
     }
 
-    /** The acceptors of the accepted value; null unless newer than the asker's chosen one. */
-    public AcceptorSet acceptors() {
-        return acceptors;
+    /** The acceptors of the accepted value; null unless it is newer than {@link StatusQuery#chosenBallot}. */
+    public AcceptorSet acceptedAcceptors() {
+        return acceptedAcceptors;
     }
 
-    /** The newest chosen ballot known. */
-    public Ballot chosen() {
-        return chosen;
+    /** The newest ballot that the sender knows to be chosen. */
+    public Ballot chosenBallot() {
+        return chosenBallot;
     }
 
     /** The revision of the chosen value; 0 before the first. */
-    public long revision() {
-        return revision;
+    public long chosenRevision() {
+        return chosenRevision;
     }
 
-    /** The chosen value; null unless asked for and newer than the asker's. */
-    public RegisterValue value() {
-        return value;
+    /** The chosen value; null unless requested and newer than {@link StatusQuery#chosenBallot}. */
+    public RegisterValue chosenValue() {
+        return chosenValue;
     }
 }
--- a/consensus/src/main/java/dewplank/register/Task.java
+++ b/consensus/src/main/java/dewplank/register/Task.java
@@ -1,26 +1,26 @@
 package dewplank.register;
 
-/** Something that wants rounds of the proposer until it is done. */
+/** Work that the {@link Proposer} carries through one or more ballots until it is complete or its deadline passes. */
 interface Task {
     /**
-     * What to do with the value read.
+     * Decides what to propose on top of the value read; called once per ballot, so it must have no effects.
      *
-     * @param read the newest value a quorum holds
-     * @param chosen the newest value known to be chosen, or null
+     * @param read the newest value that a quorum has accepted
+     * @param newestChosen the newest value known to be chosen, or null
      */
-    Proposal propose(RegisterValue read, RegisterValue chosen);
+    Proposal propose(RegisterValue read, RegisterValue newestChosen);
 
-    /** Whether it is done once this proposal is chosen. */
-    boolean isDoneWith(Proposal proposal);
+    /** Whether the task is complete once this proposal is chosen. */
+    boolean isCompletedBy(Proposal proposal);
 
-    /** Whether it repairs the set of acceptors or what others left, and so goes before what callers ordered. */
+    /** Whether it repairs the acceptor set or an abandoned ballot, and so runs before callers' requests. */
     default boolean isRepair() {
         return false;
     }
 
-    /** When it is given up. */
-    double deadline();
+    /** When it is abandoned, in milliseconds of the register's clock. */
+    double deadlineMs();
 
-    /** Tells whoever asked, if anyone. */
-    void complete(Outcome outcome, Register.Effects out);
+    /** Passes the outcome to the caller, if there is one. */
+    void complete(Outcome outcome, Register.Effects effects);
 }
--- a/consensus/src/test/java/dewplank/register/AcceptorRulesTest.java
+++ b/consensus/src/test/java/dewplank/register/AcceptorRulesTest.java
@@ -18,18 +18,18 @@
             new Register.Settings("here", SET, 300, 20, 400, 500), DurableState.fresh("me"), new SplittableRandom(1));
 
     private void prepare(String identity, Ballot ballot) {
-        register.received(0, new Prepare("there", "you", identity, ballot, Ballot.NONE), out);
+        register.handleMessage(0, new Prepare("there", "you", identity, ballot, Ballot.NONE), out);
     }
 
     private void accept(Ballot ballot) {
-        register.received(0, new Accept("there", "you", "me", ballot, VALUE), out);
+        register.handleMessage(0, new Accept("there", "you", "me", ballot, VALUE), out);
     }
 
     @Test
     void anotherIdentityIsNeverVotedFor() {
         prepare("lost", LOW);
         prepare("", LOW);
-        register.received(0, new Accept("there", "you", "lost", LOW, VALUE), out);
+        register.handleMessage(0, new Accept("there", "you", "lost", LOW, VALUE), out);
         Assertions.assertTrue(out.sent.isEmpty());
         Assertions.assertTrue(out.stored.isEmpty());
     }
@@ -38,7 +38,7 @@
     void nothingIsAnsweredBeforeItIsKept() {
         prepare("me", LOW);
         Assertions.assertTrue(out.sent.isEmpty());
-        register.stored(0, out.newestTicket(), out);
+        register.handleStored(0, out.newestTicket(), out);
         Assertions.assertEquals(1, out.messages(Promise.class).size());
     }
 
@@ -48,10 +48,10 @@
         prepare("me", HIGH);
         accept(HIGH);
         Assertions.assertEquals(1, out.stored.size());
-        register.stored(0, out.newestTicket(), out);
+        register.handleStored(0, out.newestTicket(), out);
         Assertions.assertEquals(2, out.stored.size());
         Assertions.assertEquals(1, out.sent.size());
-        register.stored(0, out.newestTicket(), out);
+        register.handleStored(0, out.newestTicket(), out);
         Assertions.assertEquals(2, out.stored.size());
         Assertions.assertEquals(2, out.messages(Promise.class).size());
         Assertions.assertEquals(1, out.messages(Accepted.class).size());
@@ -62,7 +62,7 @@
         prepare("me", LOW);
         prepare("me", LOW);
         Assertions.assertTrue(out.sent.isEmpty());
-        register.stored(0, out.newestTicket(), out);
+        register.handleStored(0, out.newestTicket(), out);
         Assertions.assertEquals(2, out.messages(Promise.class).size());
         Assertions.assertEquals(1, out.stored.size());
     }
@@ -71,29 +71,29 @@
     void aFailedStoreDropsItsVotesAndThoseThatWaited() {
         prepare("me", LOW);
         accept(LOW);
-        register.storeFailed(0, out.newestTicket(), out);
+        register.handleStoreFailed(0, out.newestTicket(), out);
         Assertions.assertTrue(out.sent.isEmpty());
         accept(LOW);
         Assertions.assertTrue(out.sent.isEmpty(), "a repeated message was answered without a store");
         Assertions.assertEquals(2, out.stored.size());
-        register.stored(0, out.newestTicket(), out);
+        register.handleStored(0, out.newestTicket(), out);
         Assertions.assertEquals(1, out.messages(Accepted.class).size());
     }
 
     @Test
     void theResultOfAnEarlierStoreCountsForNothing() {
         prepare("me", LOW);
-        register.stored(0, out.newestTicket() - 1, out);
-        register.storeFailed(0, out.newestTicket() - 1, out);
+        register.handleStored(0, out.newestTicket() - 1, out);
+        register.handleStoreFailed(0, out.newestTicket() - 1, out);
         Assertions.assertTrue(out.sent.isEmpty());
-        register.stored(0, out.newestTicket(), out);
+        register.handleStored(0, out.newestTicket(), out);
         Assertions.assertEquals(1, out.sent.size());
     }
 
     @Test
     void aLowerBallotIsRefused() {
         prepare("me", HIGH);
-        register.stored(0, out.newestTicket(), out);
+        register.handleStored(0, out.newestTicket(), out);
         prepare("me", LOW);
         accept(LOW);
         Assertions.assertEquals(2, out.messages(Reject.class).size());
@@ -103,21 +103,21 @@
     @Test
     void whatIsChosenStaysKnownWhenTheDiskIsFull() {
         accept(LOW);
-        register.received(0, new Chosen("there", "you", "me", LOW, 1), out);
-        register.storeFailed(0, out.newestTicket(), out);
-        Assertions.assertEquals(VALUE, register.chosen());
+        register.handleMessage(0, new Chosen("there", "you", "me", LOW, 1), out);
+        register.handleStoreFailed(0, out.newestTicket(), out);
+        Assertions.assertEquals(VALUE, register.chosenValue());
         Assertions.assertEquals(List.of(VALUE), out.learned);
         register.tick(1000, out);
         DurableState retried = out.stored.get(out.stored.size() - 1).state();
-        Assertions.assertEquals(VALUE, retried.chosen());
-        Assertions.assertEquals(LOW, retried.accepted());
+        Assertions.assertEquals(VALUE, retried.chosenValue());
+        Assertions.assertEquals(LOW, retried.acceptedBallot());
     }
 
     @Test
     void aReportTellsOnlyWhatIsKept() {
         accept(LOW);
-        register.received(0, new StatusQuery("there", "you", "", 7, Ballot.NONE, true), out);
+        register.handleMessage(0, new StatusQuery("there", "you", "", 7, Ballot.NONE, true), out);
         Assertions.assertEquals(
-                Ballot.NONE, out.messages(StatusReport.class).get(0).accepted());
+                Ballot.NONE, out.messages(StatusReport.class).get(0).acceptedBallot());
     }
 }
--- a/consensus/src/test/java/dewplank/register/CalmFleetTest.java
+++ b/consensus/src/test/java/dewplank/register/CalmFleetTest.java
@@ -54,7 +54,7 @@
         fleet.change(process(3), 2, 1, PATIENCE, outcomes::add);
         fleet.events().playUntil(4000);
         Assertions.assertEquals(VersionHistory.TAKEN, confirmed(2).answer());
-        Assertions.assertTrue(process(3).register().isMember());
+        Assertions.assertTrue(process(3).register().isAcceptor());
         Assertions.assertEquals(2, confirmed(2).value().acceptors().generation());
     }
 
@@ -89,25 +89,25 @@
         fleet.network().cut(process(0).address(), process(2).address());
         fleet.change(process(0), 1, 0, PATIENCE, outcomes::add);
         fleet.events().playUntil(1000);
-        Assertions.assertNull(process(2).register().chosen());
+        Assertions.assertNull(process(2).register().chosenValue());
         process(2).thaw();
         fleet.network().heal();
         fleet.events().playUntil(3000);
-        Assertions.assertEquals(confirmed(0).value(), process(2).register().chosen());
-        Assertions.assertEquals(confirmed(0).value(), process(2).disk().value());
+        Assertions.assertEquals(confirmed(0).value(), process(2).register().chosenValue());
+        Assertions.assertEquals(confirmed(0).value(), process(2).disk().acceptedValue());
     }
 
     @Test
     void whoIsCutOffKnowsThatNoQuorumAnswers() {
         fleet.change(process(0), 1, 0, PATIENCE, outcomes::add);
         fleet.events().playUntil(2000);
-        Assertions.assertTrue(process(0).register().lastQuorumAt() > 1000);
+        Assertions.assertTrue(process(0).register().lastQuorumAtMs() > 1000);
         for (int index = 1; index < 4; index++) {
             fleet.network().cut(process(0).address(), process(index).address());
         }
         fleet.events().playUntil(6000);
-        Assertions.assertTrue(process(0).register().lastQuorumAt() < 2600);
-        Assertions.assertTrue(process(1).register().lastQuorumAt() > 5000);
-        Assertions.assertNotNull(process(0).register().chosen());
+        Assertions.assertTrue(process(0).register().lastQuorumAtMs() < 2600);
+        Assertions.assertTrue(process(1).register().lastQuorumAtMs() > 5000);
+        Assertions.assertNotNull(process(0).register().chosenValue());
     }
 }
--- a/consensus/src/test/java/dewplank/register/CatchUpTest.java
+++ b/consensus/src/test/java/dewplank/register/CatchUpTest.java
@@ -70,8 +70,8 @@
         private void tick(int inLife) {
             if (register != null && life == inLife) {
                 register.tick(events.now(), this);
-                if (register.chosen() == null) {
-                    register.ask(events.now(), nodes.get(random.nextInt(nodes.size())).address, this);
+                if (register.chosenValue() == null) {
+                    register.queryStatus(events.now(), nodes.get(random.nextInt(nodes.size())).address, this);
                 }
                 events.after(TICK_MS, () -> tick(inLife));
             }
@@ -79,7 +79,7 @@
 
         private void receive(RegisterMessage message) {
             if (register != null) {
-                register.received(events.now(), message, this);
+                register.handleMessage(events.now(), message, this);
             }
         }
 
@@ -109,10 +109,10 @@
             int inLife = life;
             events.after(STORE_MS, () -> {
                 if (register != null && life == inLife && full) {
-                    register.storeFailed(events.now(), ticket, this);
+                    register.handleStoreFailed(events.now(), ticket, this);
                 } else if (register != null && life == inLife) {
                     disk = state;
-                    register.stored(events.now(), ticket, this);
+                    register.handleStored(events.now(), ticket, this);
                 }
             });
         }
@@ -128,7 +128,7 @@
         }
 
         long version() {
-            return register == null || register.chosen() == null ? 0 : versionOf(register.chosen());
+            return register == null || register.chosenValue() == null ? 0 : versionOf(register.chosenValue());
         }
     }
 
@@ -137,9 +137,9 @@
         if (message instanceof Accept) {
             value = ((Accept) message).value();
         } else if (message instanceof Promise) {
-            value = ((Promise) message).value();
+            value = ((Promise) message).acceptedValue();
         } else if (message instanceof StatusReport) {
-            value = ((StatusReport) message).value();
+            value = ((StatusReport) message).chosenValue();
         }
         return value == null || value.payload() == null ? 0 : value.payload().length;
     }
@@ -229,20 +229,20 @@
                 DurableState.fresh("1"),
                 random);
         Ballot told = new Ballot(7, "b.1");
-        register.received(0, new Chosen("b", "2", "1", told, 3), out);
+        register.handleMessage(0, new Chosen("b", "2", "1", told, 3), out);
         for (int answer = 0; answer < 3; answer++) {
-            register.received(
+            register.handleMessage(
                     1, new StatusReport("b", "2", "1", RequestIds.FETCH, told, null, Ballot.NONE, 0, null), out);
         }
         Assertions.assertEquals(1, out.messages(StatusQuery.class).size());
-        register.received(2, new Chosen("b", "2", "1", told, 3), out);
+        register.handleMessage(2, new Chosen("b", "2", "1", told, 3), out);
         Assertions.assertEquals(2, out.messages(StatusQuery.class).size());
     }
 
     @AfterEach
     void nothingWaits() {
         for (Node node : nodes) {
-            Assertions.assertTrue(node.register.chosen() != null);
+            Assertions.assertTrue(node.register.chosenValue() != null);
         }
     }
 
--- a/consensus/src/test/java/dewplank/register/CurrentRulesTest.java
+++ b/consensus/src/test/java/dewplank/register/CurrentRulesTest.java
@@ -31,9 +31,9 @@
         List<StatusQuery> asked = out.messages(StatusQuery.class);
         long question = 0;
         for (StatusQuery query : asked) {
-            question = query.fetching() ? question : query.question();
+            question = query.wantsValue() ? question : query.queryId();
         }
-        register.received(
+        register.handleMessage(
                 ASKED,
                 new StatusReport(
                         from.address(),
@@ -52,11 +52,11 @@
     void aQuorumWithNothingNewerMakesItCurrentForSoLong() {
         register.tick(ASKED, out);
         report(A, OLD, OLD);
-        Assertions.assertFalse(register.current(ASKED, WITHIN), "one of three is no quorum");
+        Assertions.assertFalse(register.isCurrent(ASKED, WITHIN), "one of three is no quorum");
         report(B, OLD, Ballot.NONE);
-        Assertions.assertTrue(register.current(ASKED, WITHIN));
-        Assertions.assertTrue(register.current(ASKED + WITHIN, WITHIN));
-        Assertions.assertFalse(register.current(ASKED + WITHIN + 1, WITHIN));
+        Assertions.assertTrue(register.isCurrent(ASKED, WITHIN));
+        Assertions.assertTrue(register.isCurrent(ASKED + WITHIN, WITHIN));
+        Assertions.assertFalse(register.isCurrent(ASKED + WITHIN + 1, WITHIN));
     }
 
     @Test
@@ -64,10 +64,11 @@
         register.tick(ASKED, out);
         report(B, NEW, NEW);
         report(C, NEW, NEW);
-        Assertions.assertEquals(ASKED, register.lastQuorumAt());
-        Assertions.assertFalse(register.current(ASKED, WITHIN));
-        register.received(ASKED, new StatusReport("b", "2", "1", RequestIds.FETCH, NEW, null, NEW, 2, value(2)), out);
-        Assertions.assertTrue(register.current(ASKED, WITHIN), "it has caught up");
+        Assertions.assertEquals(ASKED, register.lastQuorumAtMs());
+        Assertions.assertFalse(register.isCurrent(ASKED, WITHIN));
+        register.handleMessage(
+                ASKED, new StatusReport("b", "2", "1", RequestIds.FETCH, NEW, null, NEW, 2, value(2)), out);
+        Assertions.assertTrue(register.isCurrent(ASKED, WITHIN), "it has caught up");
     }
 
     @Test
@@ -75,7 +76,7 @@
         register.tick(ASKED, out);
         report(A, OLD, OLD);
         report(B, NEW, OLD);
-        Assertions.assertFalse(register.current(ASKED, WITHIN));
+        Assertions.assertFalse(register.isCurrent(ASKED, WITHIN));
     }
 
     @Test
@@ -83,9 +84,9 @@
         register.tick(ASKED, out);
         report(A, OLD, OLD);
         report(B, OLD, OLD);
-        Assertions.assertTrue(register.current(ASKED, WITHIN));
+        Assertions.assertTrue(register.isCurrent(ASKED, WITHIN));
         report(C, NEW, OLD);
-        Assertions.assertFalse(register.current(ASKED, WITHIN));
+        Assertions.assertFalse(register.isCurrent(ASKED, WITHIN));
     }
 
     @Test
@@ -95,10 +96,10 @@
         report(B, NEW, OLD);
         double next = ASKED + 1000;
         register.tick(next, out);
-        Assertions.assertFalse(register.current(next, 2 * WITHIN));
+        Assertions.assertFalse(register.isCurrent(next, 2 * WITHIN));
         report(A, OLD, OLD);
         report(C, OLD, OLD);
-        Assertions.assertTrue(register.current(next, WITHIN));
+        Assertions.assertTrue(register.isCurrent(next, WITHIN));
     }
 
     @Test
@@ -106,7 +107,7 @@
         register.tick(ASKED, out);
         report(A, OLD, OLD);
         report(new AcceptorId("b", "wiped"), Ballot.NONE, Ballot.NONE);
-        Assertions.assertFalse(register.current(ASKED, WITHIN));
+        Assertions.assertFalse(register.isCurrent(ASKED, WITHIN));
     }
 
     @Test
@@ -114,13 +115,14 @@
         register.change(ASKED, 1, payload -> new Decision(new byte[] {2}, "taken"), ASKED + WITHIN, out);
         Ballot ballot = out.messages(Prepare.class).get(0).ballot();
         for (AcceptorId from : List.of(B, C)) {
-            register.received(ASKED + 5, new Promise(from.address(), from.identity(), "1", ballot, OLD, null), out);
+            register.handleMessage(
+                    ASKED + 5, new Promise(from.address(), from.identity(), "1", ballot, OLD, null), out);
         }
-        Assertions.assertFalse(register.current(ASKED + 5, WITHIN));
+        Assertions.assertFalse(register.isCurrent(ASKED + 5, WITHIN));
         for (AcceptorId from : List.of(B, C)) {
-            register.received(ASKED + 9, new Accepted(from.address(), from.identity(), "1", ballot), out);
+            register.handleMessage(ASKED + 9, new Accepted(from.address(), from.identity(), "1", ballot), out);
         }
-        Assertions.assertTrue(register.current(ASKED + 5 + WITHIN, WITHIN));
-        Assertions.assertFalse(register.current(ASKED + 6 + WITHIN, WITHIN));
+        Assertions.assertTrue(register.isCurrent(ASKED + 5 + WITHIN, WITHIN));
+        Assertions.assertFalse(register.isCurrent(ASKED + 6 + WITHIN, WITHIN));
     }
 }
--- a/consensus/src/test/java/dewplank/register/EarlierLivesTest.java
+++ b/consensus/src/test/java/dewplank/register/EarlierLivesTest.java
@@ -45,11 +45,11 @@
         Ballot old = last(earlier, Prepare.class).ballot();
         Ballot own = last(out, Prepare.class).ballot();
         Assertions.assertEquals(old.round(), own.round(), "the case that could be mixed up");
-        present.received(1, promise(B, old), out);
-        present.received(1, promise(C, old), out);
+        present.handleMessage(1, promise(B, old), out);
+        present.handleMessage(1, promise(C, old), out);
         Assertions.assertEquals(0, out.messages(Accept.class).size());
-        present.received(1, promise(B, own), out);
-        present.received(1, promise(C, own), out);
+        present.handleMessage(1, promise(B, own), out);
+        present.handleMessage(1, promise(C, own), out);
         Assertions.assertEquals(3, out.messages(Accept.class).size());
     }
 
@@ -63,15 +63,15 @@
         Register present = life(DurableState.fresh("1"), 2);
         present.change(0, 1, TAKING, 1000, out);
         Ballot own = last(out, Prepare.class).ballot();
-        present.received(1, promise(B, own), out);
-        present.received(1, promise(C, own), out);
-        present.received(2, accepted(B, old), out);
-        present.received(2, accepted(C, old), out);
+        present.handleMessage(1, promise(B, own), out);
+        present.handleMessage(1, promise(C, own), out);
+        present.handleMessage(2, accepted(B, old), out);
+        present.handleMessage(2, accepted(C, old), out);
         Assertions.assertTrue(out.completed.isEmpty());
-        present.received(3, accepted(B, own), out);
-        present.received(3, accepted(C, old), out);
+        present.handleMessage(3, accepted(B, own), out);
+        present.handleMessage(3, accepted(C, old), out);
         Assertions.assertTrue(out.completed.isEmpty(), "one of each ballot is no quorum");
-        present.received(3, accepted(C, own), out);
+        present.handleMessage(3, accepted(C, own), out);
         Assertions.assertEquals(1, out.completed.size());
     }
 
@@ -86,13 +86,13 @@
         RecordedOutput out = new RecordedOutput();
         Register present = life(disk, 2);
         present.read(0, 1, 1000, out);
-        long old = last(earlier, StatusQuery.class).question();
-        long own = last(out, StatusQuery.class).question();
+        long old = last(earlier, StatusQuery.class).queryId();
+        long own = last(out, StatusQuery.class).queryId();
         Assertions.assertNotEquals(old, own);
         for (long question : new long[] {old, own}) {
             for (AcceptorId from : List.of(B, C)) {
                 Assertions.assertTrue(out.completed.isEmpty());
-                present.received(
+                present.handleMessage(
                         1,
                         new StatusReport(from.address(), from.identity(), "1", question, ballot, null, ballot, 1, null),
                         out);
@@ -116,7 +116,7 @@
             life.read(0, 3, 1000, out);
             Assertions.assertTrue(ballots.add(last(out, Prepare.class).ballot()));
             Set<Long> own = new HashSet<>();
-            out.messages(StatusQuery.class).forEach(query -> own.add(query.question()));
+            out.messages(StatusQuery.class).forEach(query -> own.add(query.queryId()));
             own.forEach(question -> Assertions.assertTrue(questions.add(question), "question " + question));
         }
     }
--- a/consensus/src/test/java/dewplank/register/LoadedFleetTest.java
+++ b/consensus/src/test/java/dewplank/register/LoadedFleetTest.java
@@ -115,10 +115,10 @@
                 new Register.Settings("a", AcceptorSet.of(List.of(self, other)), 300, 20, 400, 500),
                 DurableState.fresh("1"),
                 new SplittableRandom(1));
-        for (int request = 0; request < Register.MOST_PENDING; request++) {
+        for (int request = 0; request < Register.MAX_PENDING_REQUESTS; request++) {
             register.change(0, request, payload -> new Decision(null, "read"), 100_000, out);
         }
-        register.replaceAcceptors(0, 1000, 0, List.of(self), 100_000, out);
+        register.reconfigure(0, 1000, 0, List.of(self), 100_000, out);
         Assertions.assertTrue(out.completed.isEmpty(), "refused for the orders' sake");
         double now = 0;
         while (out.messages(Accept.class).isEmpty() && now < 1000) {
@@ -127,8 +127,8 @@
             List<Prepare> asked = out.messages(Prepare.class);
             Ballot newest = asked.get(asked.size() - 1).ballot();
             if (newest.round() > 1) {
-                register.received(now, new Promise("a", "1", "1", newest, Ballot.NONE, null), out);
-                register.received(now, new Promise("b", "2", "1", newest, Ballot.NONE, null), out);
+                register.handleMessage(now, new Promise("a", "1", "1", newest, Ballot.NONE, null), out);
+                register.handleMessage(now, new Promise("b", "2", "1", newest, Ballot.NONE, null), out);
             }
         }
         Assertions.assertTrue(
@@ -143,7 +143,7 @@
         process(2).kill();
         List<Double> ends = new ArrayList<>();
         double began = fleet.now();
-        for (int request = 0; request < Register.MOST_PENDING; request++) {
+        for (int request = 0; request < Register.MAX_PENDING_REQUESTS; request++) {
             double patience = 600 + 10 * request;
             if (request % 2 == 0) {
                 fleet.read(process(0), patience, outcome -> ends.add(late(outcome, began + patience)));
@@ -152,7 +152,7 @@
             }
         }
         fleet.events().playUntil(5000);
-        Assertions.assertEquals(Register.MOST_PENDING, ends.size());
+        Assertions.assertEquals(Register.MAX_PENDING_REQUESTS, ends.size());
         for (double late : ends) {
             Assertions.assertTrue(late >= 0 && late <= TICK, "ended " + late + " ms after its deadline");
         }
--- a/consensus/src/test/java/dewplank/register/ModelProcess.java
+++ b/consensus/src/test/java/dewplank/register/ModelProcess.java
@@ -68,7 +68,7 @@
     }
 
     DurableState storing() {
-        return (DurableState) RegisterImage.at(register, "voter", "storing");
+        return (DurableState) RegisterImage.at(register, "acceptor", "storeInFlight");
     }
 
     ModelProcess restarted(DurableState disk) {
@@ -81,14 +81,14 @@
                 settings.address(),
                 AcceptorSet.of(List.of()),
                 settings.roundTimeoutMs(),
-                settings.retryMinimumMs(),
-                settings.retryMaximumMs(),
-                settings.sweepMs());
+                settings.retryBackoffMinMs(),
+                settings.retryBackoffMaxMs(),
+                settings.antiEntropyPeriodMs());
         return started(blank, lost, DurableState.fresh(identity), life + 1);
     }
 
     Result receive(RegisterMessage message, Disk disk) {
-        return step((next, out) -> next.received(0, message, out), disk);
+        return step((next, out) -> next.handleMessage(0, message, out), disk);
     }
 
     /** Every timeout passes: a round is given up and begun anew, what is stuck is finished. */
@@ -103,14 +103,14 @@
 
     /** The result of the store under way, where stores take time. */
     Result stored(boolean works) {
-        long ticket = (Long) RegisterImage.at(register, "voter", "ticket");
+        long ticket = (Long) RegisterImage.at(register, "acceptor", "storeId");
         DurableState state = storing();
         Result result = step(
                 (next, out) -> {
                     if (works) {
-                        next.stored(0, ticket, out);
+                        next.handleStored(0, ticket, out);
                     } else {
-                        next.storeFailed(0, ticket, out);
+                        next.handleStoreFailed(0, ticket, out);
                     }
                 },
                 Disk.LATER);
@@ -136,12 +136,12 @@
                 return killed(state);
             } else if (state != null && disk == Disk.FAILS && perhaps == null) {
                 perhaps = state;
-                next.storeFailed(0, out.ticket(), out);
+                next.handleStoreFailed(0, out.ticket(), out);
             } else if (state != null) {
                 kept.add(state);
-                next.stored(0, out.ticket(), out);
+                next.handleStored(0, out.ticket(), out);
             } else {
-                next.received(0, own, out);
+                next.handleMessage(0, own, out);
                 own = null;
             }
             state = disk == Disk.LATER ? null : out.takePending();
@@ -161,7 +161,7 @@
         for (ModelStep.Sent sent : out.sent) {
             if (sent.message() instanceof Accept) {
                 Accept accept = (Accept) sent.message();
-                RegisterValue read = (RegisterValue) RegisterImage.at(next, "proposer", "round", "read");
+                RegisterValue read = (RegisterValue) RegisterImage.at(next, "proposer", "state", "round", "read");
                 ModelProposal proposal = new ModelProposal(accept.ballot(), accept.value(), read.acceptors());
                 if (!found.contains(proposal)) {
                     found.add(proposal);
--- a/consensus/src/test/java/dewplank/register/ModelScenario.java
+++ b/consensus/src/test/java/dewplank/register/ModelScenario.java
@@ -53,8 +53,7 @@
     }
 
     static ModelProcess.Action replace(long generation, AcceptorId... wanted) {
-        return (register, out) ->
-                register.replaceAcceptors(0, generation + 1000, generation, List.of(wanted), NEVER, out);
+        return (register, out) -> register.reconfigure(0, generation + 1000, generation, List.of(wanted), NEVER, out);
     }
 
     ModelScenario with(int timeoutsEach, int killsInAll, int failuresInAll) {
--- a/consensus/src/test/java/dewplank/register/ModelStep.java
+++ b/consensus/src/test/java/dewplank/register/ModelStep.java
@@ -46,7 +46,7 @@
 
     @Override
     public void send(String to, RegisterMessage message) {
-        boolean sweep = message instanceof StatusQuery && !((StatusQuery) message).fetching();
+        boolean sweep = message instanceof StatusQuery && !((StatusQuery) message).wantsValue();
         if (to.equals(address)) {
             own.add(message);
         } else if (!sweep && !lost.contains(message.getClass())) {
--- a/consensus/src/test/java/dewplank/register/NewcomerRulesTest.java
+++ b/consensus/src/test/java/dewplank/register/NewcomerRulesTest.java
@@ -34,19 +34,19 @@
      */
     @Test
     void whoIsAskedByOneThatKnowsMoreFetchesIt() {
-        old.ask(0, NEWCOMER.address(), olds);
-        newcomer.received(1, last(olds), newcomers);
+        old.queryStatus(0, NEWCOMER.address(), olds);
+        newcomer.handleMessage(1, last(olds), newcomers);
         StatusQuery fetch = newcomers.messages(StatusQuery.class).get(0);
-        Assertions.assertTrue(fetch.fetching());
-        old.received(2, fetch, olds);
-        newcomer.received(3, last(olds), newcomers);
-        Assertions.assertEquals(VALUE, newcomer.chosen());
+        Assertions.assertTrue(fetch.wantsValue());
+        old.handleMessage(2, fetch, olds);
+        newcomer.handleMessage(3, last(olds), newcomers);
+        Assertions.assertEquals(VALUE, newcomer.chosenValue());
         Assertions.assertEquals(SET, newcomer.acceptors());
     }
 
     @Test
     void whoKnowsAsMuchFetchesNothing() {
-        old.received(0, new StatusQuery("n", "9", RegisterMessage.ANY, 1, BALLOT, true), olds);
+        old.handleMessage(0, new StatusQuery("n", "9", RegisterMessage.ANY_IDENTITY, 1, BALLOT, true), olds);
         Assertions.assertTrue(olds.messages(StatusQuery.class).isEmpty());
     }
 }
--- a/consensus/src/test/java/dewplank/register/ProposerRulesTest.java
+++ b/consensus/src/test/java/dewplank/register/ProposerRulesTest.java
@@ -34,14 +34,14 @@
         Ballot ballot = out.messages(Prepare.class)
                 .get(out.messages(Prepare.class).size() - 1)
                 .ballot();
-        register.received(1, new Promise(from.address(), from.identity(), "1", ballot, accepted, value), out);
+        register.handleMessage(1, new Promise(from.address(), from.identity(), "1", ballot, accepted, value), out);
     }
 
     private void accepted(AcceptorId from) {
         Ballot ballot = out.messages(Accept.class)
                 .get(out.messages(Accept.class).size() - 1)
                 .ballot();
-        register.received(2, new Accepted(from.address(), from.identity(), "1", ballot), out);
+        register.handleMessage(2, new Accepted(from.address(), from.identity(), "1", ballot), out);
     }
 
     @Test
@@ -93,10 +93,11 @@
     @Test
     void theSecondStepWaitsUntilTheJointSetIsChosen() {
         RegisterValue joint = new RegisterValue(new AcceptorSet(1, SET.members(), List.of(C, D)), 1, null);
-        Assertions.assertEquals(Proposal.keep(joint), CompletionTask.settle(joint, null));
+        Assertions.assertEquals(Proposal.unchanged(joint), CompletionTask.completeTransition(joint, null));
         RegisterValue other = new RegisterValue(new AcceptorSet(1, SET.members(), List.of(B, D)), 1, null);
-        Assertions.assertEquals(Proposal.keep(joint), CompletionTask.settle(joint, other));
-        AcceptorSet settled = CompletionTask.settle(joint, joint).value().acceptors();
+        Assertions.assertEquals(Proposal.unchanged(joint), CompletionTask.completeTransition(joint, other));
+        AcceptorSet settled =
+                CompletionTask.completeTransition(joint, joint).value().acceptors();
         Assertions.assertEquals(new AcceptorSet(2, List.of(C, D), List.of()), settled);
     }
 
@@ -105,12 +106,12 @@
         AcceptorSet joint = new AcceptorSet(1, SET.members(), List.of(C, D));
         RegisterValue learned = new RegisterValue(SET, 1, new byte[] {1});
         register.change(0, 1, TAKING, 1000, out);
-        register.received(
+        register.handleMessage(
                 1, new StatusReport("c", "3", "1", 0, Ballot.NONE, null, new Ballot(1, "x"), 1, learned), out);
         promise(B, new Ballot(1, "y"), new RegisterValue(joint, 1, null));
         Prepare later = out.messages(Prepare.class).get(3);
         Assertions.assertEquals("4", later.recipientIdentity());
-        Assertions.assertEquals(Ballot.NONE, later.known());
+        Assertions.assertEquals(Ballot.NONE, later.chosenBallot());
     }
 
     @Test
@@ -134,11 +135,12 @@
 
     @Test
     void tooManyRequestsEndUnknownAtOnce() {
-        for (int request = 0; request <= Register.MOST_PENDING; request++) {
+        for (int request = 0; request <= Register.MAX_PENDING_REQUESTS; request++) {
             register.change(0, request, TAKING, 1000, out);
         }
         Assertions.assertEquals(1, out.completed.size());
-        Assertions.assertEquals(Register.MOST_PENDING, out.completed.get(0).request());
+        Assertions.assertEquals(
+                Register.MAX_PENDING_REQUESTS, out.completed.get(0).request());
     }
 
     @Test
@@ -146,8 +148,8 @@
         register.change(0, 1, TAKING, 1000, out);
         Ballot first = out.messages(Prepare.class).get(0).ballot();
         Ballot other = new Ballot(41, "x");
-        register.received(1, new Reject("b", "2", "1", first, other), out);
-        register.received(1, new Reject("c", "3", "1", first, other), out);
+        register.handleMessage(1, new Reject("b", "2", "1", first, other), out);
+        register.handleMessage(1, new Reject("c", "3", "1", first, other), out);
         register.tick(500, out);
         Assertions.assertEquals(42, out.messages(Prepare.class).get(3).ballot().round());
     }
@@ -156,7 +158,7 @@
     void quorumsOfNeighbouringSetsMeet(
             @ForAll @IntRange(min = 0, max = 255) int first, @ForAll @IntRange(min = 0, max = 255) int second) {
         AcceptorSet joint = new AcceptorSet(1, List.of(A, B, C), List.of(B, C, D));
-        AcceptorSet settled = joint.settled();
+        AcceptorSet settled = joint.completeTransition();
         Set<AcceptorId> one = chosenBy(first);
         Set<AcceptorId> two = chosenBy(second);
         if (joint.isQuorum(one) && (settled.isQuorum(two) || SET.isQuorum(two))) {
--- a/consensus/src/test/java/dewplank/register/RegisterImage.java
+++ b/consensus/src/test/java/dewplank/register/RegisterImage.java
@@ -26,19 +26,25 @@
             AntiEntropy.class,
             RoundCompleter.class,
             RequestIds.class,
-            Round.class);
+            Round.class,
+            Proposer.InRound.class,
+            Proposer.BackingOff.class);
 
     /** Without influence on messages or votes: the tally of the sweeps, and what only says how to reach the rest. */
     private static final Set<String> LEFT_OUT = Set.of(
-            "AntiEntropy.question",
-            "AntiEntropy.answered",
+            "AntiEntropy.queryId",
+            "AntiEntropy.reporters",
             "AntiEntropy.newestReported",
-            "AntiEntropy.newestOfQuorum",
+            "AntiEntropy.newestReportedByQuorum",
             "RequestIds.last",
-            "Proposer.attempts",
-            "Acceptor.ticket",
+            "InRound.attempt",
+            "BackingOff.attempt",
+            "Acceptor.storeId",
             "ChangeTask.change");
 
+    /** Superclasses of the platform, whose fields are not looked at. */
+    private static final Set<Class<?>> ROOTS = Set.of(Object.class, Record.class, Enum.class);
+
     private static final Map<Class<?>, List<Field>> FIELDS = new HashMap<>();
 
     private RegisterImage() {}
@@ -83,13 +89,13 @@
         for (Field field : fields(part.getClass())) {
             Object value = get(field, part);
             if (field.getType() == double.class) {
-                boolean late = Set.of("nextAt", "fetchedAt").contains(field.getName());
-                set(field, part, late ? Double.NEGATIVE_INFINITY : 0.0);
-            } else if (nameOf(field).equals("RequestIds.last") || nameOf(field).equals("AntiEntropy.question")) {
+                boolean isOverdue = Set.of("nextRunAtMs", "fetchStartedAtMs").contains(field.getName());
+                set(field, part, isOverdue ? Double.NEGATIVE_INFINITY : 0.0);
+            } else if (nameOf(field).equals("RequestIds.last") || nameOf(field).equals("AntiEntropy.queryId")) {
                 set(field, part, 0L);
-            } else if (nameOf(field).equals("Proposer.attempts")) {
+            } else if (field.getName().equals("attempt")) {
                 set(field, part, 1);
-            } else if (nameOf(field).equals("AntiEntropy.answered")) {
+            } else if (nameOf(field).equals("AntiEntropy.reporters")) {
                 ((Collection<?>) value).clear();
             } else if (value != null && PARTS.contains(value.getClass())) {
                 forget(value, seen);
@@ -103,10 +109,13 @@
         }
         for (Field field : fields(from.getClass())) {
             Object value = get(field, from);
-            if (value instanceof Round) {
+            if (value instanceof Proposer.InRound) {
                 Round round = new Round(Ballot.NONE, Ballot.NONE, null, 0);
-                copyInto(value, round, seen);
-                set(field, to, round);
+                Proposer.InRound inRound = new Proposer.InRound(null, 0, round);
+                copyInto(value, inRound, seen);
+                set(field, to, inRound);
+            } else if (value instanceof Proposer.State) {
+                set(field, to, value);
             } else if (value != null && PARTS.contains(value.getClass())) {
                 copyInto(value, get(field, to), seen);
             } else if (value instanceof Collection) {
@@ -178,7 +187,7 @@
 
     private static List<Field> findFields(Class<?> type) {
         List<Field> found = new ArrayList<>();
-        for (Class<?> each = type; each != Object.class && each != Record.class; each = each.getSuperclass()) {
+        for (Class<?> each = type; !ROOTS.contains(each); each = each.getSuperclass()) {
             for (Field field : each.getDeclaredFields()) {
                 if (!Modifier.isStatic(field.getModifiers())) {
                     field.setAccessible(true);
--- a/consensus/src/test/java/dewplank/register/RegisterModel.java
+++ b/consensus/src/test/java/dewplank/register/RegisterModel.java
@@ -216,12 +216,12 @@
         }
         String tally = message instanceof Promise ? "promised" : "accepted";
         Register register = processes.get(state.processes[process]).register();
-        Set<?> counted = (Set<?>) RegisterImage.at(register, "proposer", "round", tally);
+        Set<?> counted = (Set<?>) RegisterImage.at(register, "proposer", "state", "round", tally);
         return counted != null
                 && counted.stream()
                         .map(each -> ((AcceptorId) each).address())
                         .anyMatch(address -> !address.equals(ModelScenario.address(process))
-                                && address.compareTo(message.sender()) > 0);
+                                && address.compareTo(message.senderAddress()) > 0);
     }
 
     private ModelState timeout(ModelState state, int process, ModelProcess.Disk disk) {
@@ -325,7 +325,7 @@
         for (int at = 0; at < state.votes.length; at += 2) {
             ModelProposal proposal = proposals.get(state.votes[at]);
             int voters = state.votes[at + 1];
-            if (voters != CHOSEN && proposal.ballot().equals(kept.accepted()) && (voters & bit) == 0) {
+            if (voters != CHOSEN && proposal.ballot().equals(kept.acceptedBallot()) && (voters & bit) == 0) {
                 state.votes = ModelState.with(state.votes, at + 1, voters | bit);
                 if (proposal.isChosenBy(voters(voters | bit))) {
                     state.votes = ModelState.with(state.votes, at + 1, CHOSEN);
--- a/consensus/src/test/java/dewplank/register/ReplacementRulesTest.java
+++ b/consensus/src/test/java/dewplank/register/ReplacementRulesTest.java
@@ -56,7 +56,7 @@
         replace(0, 0, acceptors(0, 4, 2));
         fleet.events().playUntil(3 * SETTLED);
         Assertions.assertEquals(Reconfiguration.APPLIED, answer(0));
-        Assertions.assertEquals(Reconfiguration.OVERTAKEN, answer(1));
+        Assertions.assertEquals(Reconfiguration.SUPERSEDED, answer(1));
         assertSet(2, acceptors(0, 1, 3));
     }
 
@@ -66,7 +66,7 @@
         fleet.events().playUntil(SETTLED);
         replace(0, 0, acceptors(0, 1, 3));
         fleet.events().playUntil(2 * SETTLED);
-        Assertions.assertEquals(Reconfiguration.OVERTAKEN, answer(1));
+        Assertions.assertEquals(Reconfiguration.SUPERSEDED, answer(1));
         assertSet(2, acceptors(0, 1, 2, 3, 4));
     }
 
@@ -77,7 +77,7 @@
         fleet.events().playUntil(2 * SETTLED);
         List<Reconfiguration> answers = new ArrayList<>(List.of(answer(0), answer(1)));
         Assertions.assertTrue(answers.remove(Reconfiguration.APPLIED), "none was applied");
-        Assertions.assertEquals(List.of(Reconfiguration.OVERTAKEN), answers);
+        Assertions.assertEquals(List.of(Reconfiguration.SUPERSEDED), answers);
         Assertions.assertEquals(2, process(0).register().acceptors().generation());
     }
 
@@ -96,8 +96,8 @@
         replace(0, 0, acceptors(2, 0, 1));
         replace(1, 7, acceptors(0, 1, 2));
         fleet.events().playUntil(SETTLED);
-        Assertions.assertEquals(Reconfiguration.FOUND_DONE, answer(0));
-        Assertions.assertEquals(Reconfiguration.FOUND_DONE, answer(1));
+        Assertions.assertEquals(Reconfiguration.ALREADY_IN_FORCE, answer(0));
+        Assertions.assertEquals(Reconfiguration.ALREADY_IN_FORCE, answer(1));
         assertSet(0, acceptors(0, 1, 2));
     }
 
@@ -110,20 +110,20 @@
         process(0).kill();
         replace(1, 0, acceptors(1, 2, 4));
         fleet.events().playUntil(2 * SETTLED);
-        Assertions.assertEquals(Reconfiguration.OVERTAKEN, answer(0));
+        Assertions.assertEquals(Reconfiguration.SUPERSEDED, answer(0));
         assertSet(2, acceptors(0, 1, 3));
     }
 
     @Test
     void anAcceptedJointSetOfTheSameGenerationIsNotReplacedByAnother() {
         RegisterValue settled = new RegisterValue(AcceptorSet.of(acceptors(0, 1, 2)), 3, null);
-        RegisterValue joint = settled.withAcceptors(settled.acceptors().joinedBy(acceptors(0, 1, 3)));
+        RegisterValue joint = settled.withAcceptors(settled.acceptors().beginTransition(acceptors(0, 1, 3)));
         ReconfigureTask other = new ReconfigureTask(1, 0, acceptors(0, 1, 4), PATIENCE);
         Assertions.assertEquals(
                 joint.acceptors(), other.propose(joint, settled).value().acceptors());
-        Assertions.assertFalse(other.isDoneWith(other.propose(joint, settled)));
+        Assertions.assertFalse(other.isCompletedBy(other.propose(joint, settled)));
         Proposal second = other.propose(joint, joint);
-        Assertions.assertTrue(other.isDoneWith(second));
-        Assertions.assertEquals(Reconfiguration.OVERTAKEN, second.answer());
+        Assertions.assertTrue(other.isCompletedBy(second));
+        Assertions.assertEquals(Reconfiguration.SUPERSEDED, second.answer());
     }
 }
--- a/consensus/src/test/java/dewplank/register/SimulatedFleet.java
+++ b/consensus/src/test/java/dewplank/register/SimulatedFleet.java
@@ -69,7 +69,7 @@
     void deliver(String address, RegisterMessage message) {
         for (SimulatedProcess process : processes) {
             if (process.address().equals(address) && process.isUp()) {
-                process.run(process.life(), () -> process.register().received(now(), message, process));
+                process.run(process.life(), () -> process.register().handleMessage(now(), message, process));
             }
         }
     }
@@ -79,8 +79,8 @@
         RegisterValue newest = null;
         for (SimulatedProcess process : processes) {
             RegisterValue known = process.isUp()
-                    ? process.register().chosen()
-                    : process.disk().chosen();
+                    ? process.register().chosenValue()
+                    : process.disk().chosenValue();
             if (known != null && (newest == null || known.revision() > newest.revision())) {
                 newest = known;
             }
@@ -122,7 +122,7 @@
             Consumer<Outcome> listener) {
         long request = expect(process, patience, checked(history.floor(), listener));
         step(process, () -> process.register()
-                .replaceAcceptors(now(), request, expected, wanted, now() + patience, process));
+                .reconfigure(now(), request, expected, wanted, now() + patience, process));
     }
 
     void completed(long request, Outcome outcome) {
--- a/consensus/src/test/java/dewplank/register/SimulatedProcess.java
+++ b/consensus/src/test/java/dewplank/register/SimulatedProcess.java
@@ -57,7 +57,7 @@
 
     void start() {
         life++;
-        learnedRevision = disk.chosen() == null ? -1 : disk.chosen().revision();
+        learnedRevision = disk.chosenValue() == null ? -1 : disk.chosenValue().revision();
         Register.Settings settings = new Register.Settings(address, initial, 300, 20, 400, 500);
         register = new Register(settings, disk, random.split());
         tick(life);
@@ -135,12 +135,12 @@
             return;
         }
         if (full) {
-            run(inLife, () -> register.storeFailed(fleet.now(), ticket, this));
+            run(inLife, () -> register.handleStoreFailed(fleet.now(), ticket, this));
             return;
         }
         disk = state;
         writing = null;
-        run(inLife, () -> register.stored(fleet.now(), ticket, this));
+        run(inLife, () -> register.handleStored(fleet.now(), ticket, this));
     }
 
     @Override
@@ -161,8 +161,8 @@
         }
         run(inLife, () -> {
             register.tick(fleet.now(), this);
-            if (register.chosen() == null) {
-                register.ask(fleet.now(), fleet.anyAddress(random), this);
+            if (register.chosenValue() == null) {
+                register.queryStatus(fleet.now(), fleet.anyAddress(random), this);
             }
         });
         fleet.events().after(TICK, () -> tick(inLife));
--- a/consensus/src/test/java/dewplank/register/SuccessiveLossesTest.java
+++ b/consensus/src/test/java/dewplank/register/SuccessiveLossesTest.java
@@ -78,7 +78,7 @@
         RegisterValue newest = fleet.newestChosen();
         for (SimulatedProcess process : fleet.processes()) {
             if (process.isUp() && newest.acceptors().members().contains(process.acceptor())) {
-                Assertions.assertEquals(newest, process.disk().chosen(), process.address() + " lacks the value");
+                Assertions.assertEquals(newest, process.disk().chosenValue(), process.address() + " lacks the value");
             }
         }
     }
@@ -190,7 +190,7 @@
         while (process(1).register().acceptors().generation() < 2) {
             Assertions.assertTrue(fleet.events().playOne(Double.MAX_VALUE));
         }
-        Assertions.assertNull(process(3).register().chosen());
+        Assertions.assertNull(process(3).register().chosenValue());
         fleet.network().heal();
         catchUp();
     }
--- a/controlplane/src/main/java/dewplank/controlplane/ConfigurationStore.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ConfigurationStore.java
@@ -75,8 +75,8 @@
     }
 
     void start() {
-        if (register.chosen() != null) {
-            learned(register.chosen());
+        if (register.chosenValue() != null) {
+            learned(register.chosenValue());
         }
         tick();
     }
@@ -87,12 +87,12 @@
     }
 
     void received(RegisterMessage message) {
-        register.received(loop.now(), message, this);
+        register.handleMessage(loop.now(), message, this);
     }
 
     /** Another control sidecar can be reached, which may know more. */
     void queryPeer(String address) {
-        register.ask(loop.now(), address, this);
+        register.queryStatus(loop.now(), address, this);
     }
 
     // ---- what the register wants done -----------------------------------------------------------------
@@ -106,9 +106,9 @@
     public void store(long ticket, DurableState state) {
         disk.save(state, saved -> {
             if (saved) {
-                register.stored(loop.now(), ticket, this);
+                register.handleStored(loop.now(), ticket, this);
             } else {
-                register.storeFailed(loop.now(), ticket, this);
+                register.handleStoreFailed(loop.now(), ticket, this);
             }
         });
     }
@@ -156,7 +156,7 @@
      * @param then runs when the change is done or given up
      */
     void replaceAcceptors(long expectedGeneration, List<AcceptorId> wanted, double withinMs, Runnable then) {
-        register.replaceAcceptors(
+        register.reconfigure(
                 loop.now(),
                 request(outcome -> {
                     then.run();
@@ -191,17 +191,17 @@
 
     /** Milliseconds since a question was sent that a quorum answered; -1 where none was in this life. */
     long quorumAgeMs() {
-        double at = register.lastQuorumAt();
+        double at = register.lastQuorumAtMs();
         return at == Double.NEGATIVE_INFINITY ? -1 : Math.round(loop.now() - at);
     }
 
     /** Whether a quorum's answer within so many milliseconds shows that nothing newer is chosen than is known here. */
     boolean isCurrent(double withinMs) {
-        return register.current(loop.now(), withinMs);
+        return register.isCurrent(loop.now(), withinMs);
     }
 
     /** Whether a quorum has answered within so many milliseconds. */
     boolean hasQuorum(double withinMs) {
-        return register.lastQuorumAt() >= loop.now() - withinMs;
+        return register.lastQuorumAtMs() >= loop.now() - withinMs;
     }
 }
--- a/controlplane/src/test/java/dewplank/controlplane/GoldenDiskTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/GoldenDiskTest.java
@@ -96,11 +96,11 @@
         assertFalse(storage.firstStart());
         assertEquals("founder@10.0.0.1:7600", storage.identity());
         DurableState state = storage.recovered();
-        assertEquals("4/founder@10.0.0.1:7600#1", state.promised().toString());
-        assertEquals("4/founder@10.0.0.1:7600#1", state.accepted().toString());
+        assertEquals("4/founder@10.0.0.1:7600#1", state.promisedBallot().toString());
+        assertEquals("4/founder@10.0.0.1:7600#1", state.acceptedBallot().toString());
         assertEquals("4/founder@10.0.0.1:7600#1", state.chosenBallot().toString());
-        assertIsValue(state.value());
-        assertIsValue(state.chosen());
+        assertIsValue(state.acceptedValue());
+        assertIsValue(state.chosenValue());
         assertEquals(Map.of("list", 2L), storage.fencingTokens());
         storage.close();
     }
--- a/messages/src/test/java/dewplank/message/GoldenFramesTest.java
+++ b/messages/src/test/java/dewplank/message/GoldenFramesTest.java
@@ -356,17 +356,17 @@
         Prepare prepare = decoded("prepare", Prepare.class);
         assertAreParties(prepare, "b91xy");
         assertIsBallot(prepare.ballot());
-        assertIsEarlierBallot(prepare.known());
+        assertIsEarlierBallot(prepare.chosenBallot());
         Promise promise = decoded("promise", Promise.class);
         assertAreParties(promise, "b91xy");
         assertIsBallot(promise.ballot());
-        assertIsEarlierBallot(promise.accepted());
-        assertIsJointValue(promise.value());
+        assertIsEarlierBallot(promise.acceptedBallot());
+        assertIsJointValue(promise.acceptedValue());
         Promise withoutValue = decoded("promise without-value", Promise.class);
         assertAreParties(withoutValue, "b91xy");
         assertIsBallot(withoutValue.ballot());
-        assertIsNone(withoutValue.accepted());
-        assertNull(withoutValue.value());
+        assertIsNone(withoutValue.acceptedBallot());
+        assertNull(withoutValue.acceptedValue());
     }
 
     @Test
@@ -385,37 +385,37 @@
         Reject reject = decoded("reject", Reject.class);
         assertAreParties(reject, "b91xy");
         assertIsBallot(reject.ballot());
-        assertIsEarlierBallot(reject.promised());
+        assertIsEarlierBallot(reject.promisedBallot());
     }
 
     @Test
     void catchingUpOfTheRegister() throws Exception {
         StatusQuery fetching = decoded("status-query fetching", StatusQuery.class);
         assertAreParties(fetching, "");
-        assertEquals(600, fetching.question());
-        assertIsEarlierBallot(fetching.chosen());
-        assertTrue(fetching.fetching());
+        assertEquals(600, fetching.queryId());
+        assertIsEarlierBallot(fetching.chosenBallot());
+        assertTrue(fetching.wantsValue());
         StatusQuery query = decoded("status-query", StatusQuery.class);
         assertAreParties(query, "");
-        assertEquals(-601, query.question());
-        assertIsEarlierBallot(query.chosen());
-        assertFalse(query.fetching());
+        assertEquals(-601, query.queryId());
+        assertIsEarlierBallot(query.chosenBallot());
+        assertFalse(query.wantsValue());
         StatusReport report = decoded("status-report", StatusReport.class);
         assertAreParties(report, "b91xy");
-        assertEquals(600, report.question());
-        assertIsBallot(report.accepted());
-        assertIsJointSet(report.acceptors());
-        assertIsEarlierBallot(report.chosen());
-        assertEquals(40, report.revision());
-        assertIsValueWithoutPayload(report.value());
+        assertEquals(600, report.queryId());
+        assertIsBallot(report.acceptedBallot());
+        assertIsJointSet(report.acceptedAcceptors());
+        assertIsEarlierBallot(report.chosenBallot());
+        assertEquals(40, report.chosenRevision());
+        assertIsValueWithoutPayload(report.chosenValue());
         StatusReport nothing = decoded("status-report nothing", StatusReport.class);
         assertAreParties(nothing, "b91xy");
-        assertEquals(5, nothing.question());
-        assertIsNone(nothing.accepted());
-        assertNull(nothing.acceptors());
-        assertIsNone(nothing.chosen());
-        assertEquals(0, nothing.revision());
-        assertNull(nothing.value());
+        assertEquals(5, nothing.queryId());
+        assertIsNone(nothing.acceptedBallot());
+        assertNull(nothing.acceptedAcceptors());
+        assertIsNone(nothing.chosenBallot());
+        assertEquals(0, nothing.chosenRevision());
+        assertNull(nothing.chosenValue());
         Chosen chosen = decoded("chosen", Chosen.class);
         assertAreParties(chosen, "b91xy");
         assertIsBallot(chosen.ballot());
@@ -423,7 +423,7 @@
     }
 
     private static void assertAreParties(RegisterMessage message, String recipientIdentity) {
-        assertEquals("10.0.0.2:7600", message.sender());
+        assertEquals("10.0.0.2:7600", message.senderAddress());
         assertEquals("3kq0z", message.senderIdentity());
         assertEquals(recipientIdentity, message.recipientIdentity());
     }
--- a/messages/src/test/java/dewplank/message/MessageCodecTest.java
+++ b/messages/src/test/java/dewplank/message/MessageCodecTest.java
@@ -175,16 +175,16 @@
                     new AcceptorSet(7, List.of(a, b), List.of(b)))) {
                 RegisterValue value = new RegisterValue(set, 9, payload);
                 Promise promise = roundTrip(new Promise("s", "si", "ri", new Ballot(3, "p"), Ballot.NONE, value));
-                assertEquals(value, promise.value());
-                assertArrayEquals(payload, promise.value().payload());
-                assertEquals(set.isJoint(), promise.value().acceptors().isJoint());
+                assertEquals(value, promise.acceptedValue());
+                assertArrayEquals(payload, promise.acceptedValue().payload());
+                assertEquals(set.isJoint(), promise.acceptedValue().acceptors().isJoint());
                 assertEquals(new Ballot(3, "p"), promise.ballot());
-                assertTrue(promise.accepted().isNone());
+                assertTrue(promise.acceptedBallot().isNone());
             }
         }
         StatusReport report = roundTrip(new StatusReport("s", "si", "", 5, Ballot.NONE, null, Ballot.NONE, 0, null));
-        assertNull(report.value());
-        assertNull(report.acceptors());
+        assertNull(report.chosenValue());
+        assertNull(report.acceptedAcceptors());
         assertEquals("", report.recipientIdentity());
     }
 
--- a/store/src/main/java/dewplank/store/StateFile.java
+++ b/store/src/main/java/dewplank/store/StateFile.java
@@ -80,11 +80,12 @@
     void write(DurableState state, Map<String, Long> newNumbers) throws IOException {
         try {
             names.putIfAbsent(IDENTITY_KEY, state.identity());
-            long valueKey = keyFor(state.value());
-            long chosenKey =
-                    state.chosen() != null && state.chosen().equals(state.value()) ? valueKey : keyFor(state.chosen());
+            long valueKey = keyFor(state.acceptedValue());
+            long chosenKey = state.chosenValue() != null && state.chosenValue().equals(state.acceptedValue())
+                    ? valueKey
+                    : keyFor(state.chosenValue());
             StateCodec.StateHeader next = new StateCodec.StateHeader(
-                    state.promised(), state.accepted(), valueKey, state.chosenBallot(), chosenKey);
+                    state.promisedBallot(), state.acceptedBallot(), valueKey, state.chosenBallot(), chosenKey);
             headers.put(HEADER_KEY, StateCodec.encode(next));
             fencingTokens.putAll(newNumbers);
             cacheWritten(state, valueKey, chosenKey);
@@ -158,9 +159,9 @@
     }
 
     private void cacheWritten(DurableState state, long valueKey, long chosenKey) {
-        storedValue = state.value();
+        storedValue = state.acceptedValue();
         storedValueKey = valueKey;
-        storedChosen = state.chosen();
+        storedChosen = state.chosenValue();
         storedChosenKey = chosenKey;
     }
 
--- a/store/src/test/java/dewplank/store/AcceptorStoreTest.java
+++ b/store/src/test/java/dewplank/store/AcceptorStoreTest.java
@@ -57,11 +57,11 @@
 
     private static void assertSame(DurableState expected, DurableState actual) {
         Assertions.assertEquals(expected.identity(), actual.identity());
-        Assertions.assertEquals(expected.promised(), actual.promised());
-        Assertions.assertEquals(expected.accepted(), actual.accepted());
-        Assertions.assertEquals(expected.value(), actual.value());
+        Assertions.assertEquals(expected.promisedBallot(), actual.promisedBallot());
+        Assertions.assertEquals(expected.acceptedBallot(), actual.acceptedBallot());
+        Assertions.assertEquals(expected.acceptedValue(), actual.acceptedValue());
         Assertions.assertEquals(expected.chosenBallot(), actual.chosenBallot());
-        Assertions.assertEquals(expected.chosen(), actual.chosen());
+        Assertions.assertEquals(expected.chosenValue(), actual.chosenValue());
     }
 
     @Test
@@ -102,10 +102,10 @@
         store.save(new DurableState(
                 large.identity(),
                 new Ballot(6, "p"),
-                large.accepted(),
-                large.value(),
+                large.acceptedBallot(),
+                large.acceptedValue(),
                 large.chosenBallot(),
-                large.chosen()));
+                large.chosenValue()));
         Assertions.assertTrue(files.longest() - before < LARGE / 4, "grew by " + (files.longest() - before));
     }
 
@@ -138,7 +138,7 @@
         }
         disk.losePower(MemoryFiles.Unsynced.DRAWN, drawn);
         DurableState found = AcceptorStore.open(DIRECTORY, disk, room).recovered();
-        boolean isNext = found.promised().equals(next.promised());
+        boolean isNext = found.promisedBallot().equals(next.promisedBallot());
         assertSame(isNext ? next : saved, found);
     }
 
@@ -273,7 +273,7 @@
             if (round % 250 == 0) {
                 endTrouble(round);
                 store = open();
-                boolean isNext = store.recovered().promised().equals(next.promised());
+                boolean isNext = store.recovered().promisedBallot().equals(next.promisedBallot());
                 assertSame(isNext ? next : saved, store.recovered());
                 saved = store.recovered();
             }
