--- a/store/src/test/java/dewplank/store/GoldenStoreTest.java
+++ b/store/src/test/java/dewplank/store/GoldenStoreTest.java
@@ -64,11 +64,11 @@
         try (AcceptorStore store = open("fresh")) {
             DurableState state = store.recovered();
             assertEquals("founder@10.0.0.1:7600", state.identity());
-            assertIsBallot(0, "", state.promised());
-            assertIsBallot(0, "", state.accepted());
-            assertNull(state.value());
+            assertIsBallot(0, "", state.promisedBallot());
+            assertIsBallot(0, "", state.acceptedBallot());
+            assertNull(state.acceptedValue());
             assertIsBallot(0, "", state.chosenBallot());
-            assertNull(state.chosen());
+            assertNull(state.chosenValue());
             assertEquals(Map.of(), store.fencingTokens());
         }
     }
@@ -78,17 +78,17 @@
         try (AcceptorStore store = open("without-payload")) {
             DurableState state = store.recovered();
             assertEquals("77zzq", state.identity());
-            assertIsBallot(3, "10.0.0.1#a", state.promised());
-            assertIsBallot(2, "10.0.0.2#b", state.accepted());
-            assertEquals(0, state.value().acceptors().generation());
+            assertIsBallot(3, "10.0.0.1#a", state.promisedBallot());
+            assertIsBallot(2, "10.0.0.2#b", state.acceptedBallot());
+            assertEquals(0, state.acceptedValue().acceptors().generation());
             assertAre(
                     List.of("10.0.0.1:7600 founder@10.0.0.1:7600", "10.0.0.2:7600 3kq0z", "10.0.0.3:7600 b91xy"),
-                    state.value().acceptors().members());
-            assertAre(List.of(), state.value().acceptors().joining());
-            assertEquals(1, state.value().revision());
-            assertNull(state.value().payload());
+                    state.acceptedValue().acceptors().members());
+            assertAre(List.of(), state.acceptedValue().acceptors().joining());
+            assertEquals(1, state.acceptedValue().revision());
+            assertNull(state.acceptedValue().payload());
             assertIsBallot(0, "", state.chosenBallot());
-            assertNull(state.chosen());
+            assertNull(state.chosenValue());
             assertEquals(Map.of(), store.fencingTokens());
         }
     }
@@ -98,11 +98,11 @@
         try (AcceptorStore store = open("plain")) {
             DurableState state = store.recovered();
             assertEquals("3kq0z", state.identity());
-            assertIsBallot(300, "3kq0z#a7", state.promised());
-            assertIsBallot(12, "b91xy#05", state.accepted());
-            assertIsSettledValue(state.value());
+            assertIsBallot(300, "3kq0z#a7", state.promisedBallot());
+            assertIsBallot(12, "b91xy#05", state.acceptedBallot());
+            assertIsSettledValue(state.acceptedValue());
             assertIsBallot(12, "b91xy#05", state.chosenBallot());
-            assertIsSettledValue(state.chosen());
+            assertIsSettledValue(state.chosenValue());
             assertEquals(Map.of("list", 6L), store.fencingTokens());
         }
     }
@@ -127,19 +127,19 @@
 
     private static void assertIsUnderChange(DurableState state) throws IOException {
         assertEquals("b91xy", state.identity());
-        assertIsBallot(301, "founder@10.0.0.1:7600#ff", state.promised());
-        assertIsBallot(300, "3kq0z#a7", state.accepted());
-        assertEquals(7, state.value().acceptors().generation());
+        assertIsBallot(301, "founder@10.0.0.1:7600#ff", state.promisedBallot());
+        assertIsBallot(300, "3kq0z#a7", state.acceptedBallot());
+        assertEquals(7, state.acceptedValue().acceptors().generation());
         assertAre(
                 List.of("10.0.0.1:7600 founder@10.0.0.1:7600", "10.0.0.2:7600 3kq0z", "10.0.0.3:7600 b91xy"),
-                state.value().acceptors().members());
+                state.acceptedValue().acceptors().members());
         assertAre(
                 List.of("10.0.0.2:7600 3kq0z", "10.0.0.3:7600 b91xy", "10.0.0.4:7600 77zzq"),
-                state.value().acceptors().joining());
-        assertEquals(41, state.value().revision());
-        assertArrayEquals(resource(COMPRESSED_PAYLOAD), state.value().payload());
+                state.acceptedValue().acceptors().joining());
+        assertEquals(41, state.acceptedValue().revision());
+        assertArrayEquals(resource(COMPRESSED_PAYLOAD), state.acceptedValue().payload());
         assertIsBallot(12, "b91xy#05", state.chosenBallot());
-        assertIsSettledValue(state.chosen());
+        assertIsSettledValue(state.chosenValue());
     }
 
     /** Going on with a disk of an earlier release. */
@@ -151,22 +151,23 @@
             next = new DurableState(
                     found.identity(),
                     new Ballot(302, "77zzq#1"),
-                    found.accepted(),
-                    found.value(),
-                    found.accepted(),
-                    found.value());
+                    found.acceptedBallot(),
+                    found.acceptedValue(),
+                    found.acceptedBallot(),
+                    found.acceptedValue());
             store.save(next);
             store.saveFencingToken("list", 10);
         }
         try (AcceptorStore store = reopen()) {
             assertEquals(next.identity(), store.recovered().identity());
-            assertEquals(next.promised(), store.recovered().promised());
-            assertEquals(next.accepted(), store.recovered().accepted());
-            assertEquals(next.value(), store.recovered().value());
+            assertEquals(next.promisedBallot(), store.recovered().promisedBallot());
+            assertEquals(next.acceptedBallot(), store.recovered().acceptedBallot());
+            assertEquals(next.acceptedValue(), store.recovered().acceptedValue());
             assertEquals(next.chosenBallot(), store.recovered().chosenBallot());
-            assertEquals(next.chosen(), store.recovered().chosen());
+            assertEquals(next.chosenValue(), store.recovered().chosenValue());
             assertArrayEquals(
-                    resource(COMPRESSED_PAYLOAD), store.recovered().chosen().payload());
+                    resource(COMPRESSED_PAYLOAD),
+                    store.recovered().chosenValue().payload());
             assertEquals(Map.of("list", 10L, "other", 1L << 40), store.fencingTokens());
         }
     }
