--- /dev/null
+++ b/dataplane/src/main/java/dewplank/dataplane/AttemptAllowance.java
@@ -0,0 +1,75 @@
+package dewplank.dataplane;
+
+import dewplank.dataplane.Counters.Count;
+
+/**
+ * How many more servers one request may be sent to: by its route's {@code max_attempts}, and by the service's budget of
+ * retries for each attempt beyond the first. On the event loop's thread only.
+ */
+final class AttemptAllowance {
+    private final RetryBudgets budgets;
+    private final Counters counters;
+    private final String service;
+    private final int maxAttempts;
+    private final RequestDeadline deadline;
+    /** Attempts, as the route's limit and the budget count them. */
+    private int attempts;
+    /** Attempts that were taken out of the budget. */
+    private int charged;
+
+    AttemptAllowance(
+            RetryBudgets budgets, Counters counters, String service, int maxAttempts, RequestDeadline deadline) {
+        this.budgets = budgets;
+        this.counters = counters;
+        this.service = service;
+        this.maxAttempts = maxAttempts;
+        this.deadline = deadline;
+    }
+
+    /** An attempt that counts has begun. */
+    void recordAttempt() {
+        attempts++;
+    }
+
+    /** An attempt that counted sent nothing: it does not count. */
+    void revokeAttempt() {
+        attempts--;
+    }
+
+    boolean isUnused() {
+        return attempts == 0;
+    }
+
+    /** Whether the route's limit leaves one more attempt; nothing is taken. */
+    boolean allowsAttempt() {
+        return attempts < maxAttempts;
+    }
+
+    /** Whether the route's limit leaves a further attempt behind the next one. */
+    boolean allowsAttemptAfterNext() {
+        return attempts + 1 < maxAttempts;
+    }
+
+    /** Takes the next attempt out of the budget, where it is not the first. False: none may be made now. */
+    boolean tryAcquireAttempt() {
+        if (!allowsAttempt()) {
+            counters.add(Count.ATTEMPTS_SPENT);
+            return false;
+        }
+        return deadline.remainingMs() > 0 && (attempts <= charged || tryAcquireRetry());
+    }
+
+    /** Takes one retry out of the budget. False: the budget is used up. */
+    boolean tryAcquireRetry() {
+        boolean acquired = budgets.tryAcquire(service);
+        charged += acquired ? 1 : 0;
+        return acquired;
+    }
+
+    /** An attempt that was begun free of charge turned out to count, for the limit and for the budget. */
+    void recordAttemptChargedLate() {
+        attempts++;
+        budgets.recordRetry(service);
+        charged++;
+    }
+}
--- a/dataplane/src/main/java/dewplank/dataplane/DataPlane.java
+++ b/dataplane/src/main/java/dewplank/dataplane/DataPlane.java
@@ -76,7 +76,7 @@
                 choice,
                 random,
                 counters,
-                new Forwarder.RetryLimits(bounds.retryRatio(), bounds.retryWindowMs(), bounds.retrySlack()));
+                new RetryBudgets.Limits(bounds.retryRatio(), bounds.retryWindowMs(), bounds.retrySlack()));
         String address = settings.address() + ":" + settings.internalPorts()[1];
         Member self =
                 new Member(settings.nodeName(), Member.DATA, address, settings.zone(), System.currentTimeMillis());
@@ -88,10 +88,10 @@
                 fleet,
                 random,
                 settings.bounds().contactMs(),
-                forwarder::fleetChanged);
+                forwarder::onFleetChanged);
         sessions.seeds(controlAddresses(settings));
         int clients = Math.max(64, (settings.resources().fileDescriptors() - SPARE_DESCRIPTORS) / 2);
-        front = new Listener(loop, settings.front(), clients, forwarder::connection);
+        front = new Listener(loop, settings.front(), clients, forwarder::newConnection);
         readinessCalls = new ReadinessEndpoint(loop, this::ready);
         readiness = new Listener(loop, settings.readiness(), 64, readinessCalls::connection);
     }
@@ -116,7 +116,7 @@
     }
 
     private boolean ready() {
-        return !draining && fleet.complete();
+        return !draining && fleet.isComplete();
     }
 
     private void log() {
@@ -156,7 +156,7 @@
         if (!drained.await((long) (endMs(graceMs) - LAST_ANSWERS_MS), TimeUnit.MILLISECONDS)) {
             loop.execute(() -> {
                 LOG.warn("draining did not end in time: {} requests open", forwarder.openRequests());
-                forwarder.endAll();
+                forwarder.terminateAll();
             });
             drained.await((long) LAST_ANSWERS_MS, TimeUnit.MILLISECONDS);
         }
--- a/dataplane/src/main/java/dewplank/dataplane/DecodePhase.java
+++ b/dataplane/src/main/java/dewplank/dataplane/DecodePhase.java
@@ -1,310 +1,181 @@
 package dewplank.dataplane;
 
 import dewplank.dataplane.Counters.Count;
-import dewplank.exchange.HttpCall;
 import dewplank.http.Headers;
-import dewplank.net.TimerWheel;
-import dewplank.routing.EventSplitter;
 import dewplank.routing.Mechanism;
 import dewplank.routing.PrefillDecodePicker;
 import dewplank.routing.RoutingParameters;
 import dewplank.routing.TrackedServer;
-import java.io.ByteArrayOutputStream;
 import java.util.ArrayList;
 import java.util.List;
 
 /**
- * Has a decode server run the request and passes its stream on by whole events; continues it at another server where
- * the route allows that and nothing would be repeated.
+ * Has a decode server run a generation, and decides where the request goes when that server rejects it, breaks off or
+ * stalls. A stream that has begun is continued at another server where the route allows that and nothing would be
+ * repeated. Created by the {@link GenerationRequest}; on the event loop's thread only.
  */
 final class DecodePhase {
     private static final RoutingParameters.Hedging HEDGING = RoutingParameters.DEFAULTS.hedging();
 
-    private final GenerationRequest exchange;
-    private final EventSplitter events = new EventSplitter();
-    private ServerAttempt call;
-    private TimerWheel.Timer patience;
-    private boolean begun;
+    private final GenerationRequest request;
+    private final StreamRelay relay;
+    private final StallTimer stallTimer;
+    /** The latest attempt; null before the first. */
+    private ServerAttempt attempt;
 
-    DecodePhase(GenerationRequest exchange) {
-        this.exchange = exchange;
+    DecodePhase(GenerationRequest request) {
+        this.request = request;
+        this.relay = new StreamRelay(request.client);
+        this.stallTimer = new StallTimer(request.loop, this::onStalled);
     }
 
     /** Whether a part of the stream has gone to the client. */
-    boolean begun() {
-        return begun;
+    boolean isStreamStarted() {
+        return relay.isStarted();
+    }
+
+    StreamRelay relay() {
+        return relay;
     }
 
     /** Sends the request to a decode server, or gives it up where none is there or none may be sent to. */
-    void begin() {
-        if (exchange.over()) {
+    void start() {
+        if (request.isOver()) {
             return;
         }
-        Server server = choose();
+        Server server = pickServer();
         if (server == null) {
-            exchange.forwarder.counters().add(Count.NO_SERVER);
+            request.forwarder.counters().add(Count.NO_SERVER);
         }
-        if (server == null || !exchange.takeSend()) {
+        if (server == null || !request.allowance.tryAcquireAttempt()) {
             giveUp();
             return;
         }
-        begin(server);
+        sendTo(server);
     }
 
-    private void begin(Server server) {
-        exchange.sends++;
-        List<Headers.Field> further = new ArrayList<>();
-        further.add(exchange.priority(exchange.route.priority()));
-        KvHandle given = exchange.handover.offer();
-        if (given != null) {
-            further.add(new Headers.Field(HeaderNames.KV_FROM, given.location()));
+    private void sendTo(Server server) {
+        request.allowance.recordAttempt();
+        List<Headers.Field> extraFields = new ArrayList<>();
+        extraFields.add(request.priority(request.route.priority()));
+        KvHandle offered = request.kvTransfer.offer();
+        if (offered != null) {
+            extraFields.add(new Headers.Field(HeaderNames.KV_FROM, offered.location()));
         } else {
-            exchange.forwarder.counters().add(Count.DIRECT);
+            request.forwarder.counters().add(Count.DIRECT);
         }
-        if (events.lastEventId() != null) {
-            further.add(new Headers.Field(HeaderNames.LAST_EVENT_ID, events.lastEventId()));
+        if (relay.lastEventId() != null) {
+            extraFields.add(new Headers.Field(HeaderNames.LAST_EVENT_ID, relay.lastEventId()));
         }
-        long tokens = given == null ? exchange.ownTokens() : 0;
-        call = exchange.callTo(server, tokens, further, new Stream(server, given != null));
-        call.start(exchange.forwarder.connectTimeoutMs());
-        watchSilence();
+        long prefillTokens = offered == null ? request.unsharedTokens() : 0;
+        DecodeAnswer answer = new DecodeAnswer(request, this, server, offered != null);
+        attempt = request.attempts.newAttempt(server, prefillTokens, extraFields, answer);
+        attempt.start(request.forwarder.connectTimeoutMs());
+        restartStallTimer();
     }
 
-    private Server choose() {
-        Forwarder forwarder = exchange.forwarder;
-        List<TrackedServer> servers = forwarder.fleet().servers(exchange.service.name(), TrackedServer.Stage.DECODE);
-        boolean mayTry = exchange.repeatable() && exchange.sends + 1 < exchange.route.maxAttempts();
-        TrackedServer picked = forwarder
-                .pairs()
+    /** Null where no server may be picked. */
+    private Server pickServer() {
+        FleetMetadata fleet = request.forwarder.fleet();
+        List<TrackedServer> servers = fleet.servers(request.service.name(), TrackedServer.Stage.DECODE);
+        boolean allowsTrial = request.isIdempotent() && request.allowance.allowsAttemptAfterNext();
+        TrackedServer picked = request.forwarder
+                .prefillDecodePicker()
                 .pickDecodeServer(
-                        exchange.loop.now(),
+                        request.loop.now(),
                         servers,
-                        exchange.prefix,
-                        exchange.handover.zone(),
-                        s -> forwarder.fleet().server(s).pool.size() > 0,
-                        exchange::untried,
-                        mayTry);
-        return picked == null ? null : forwarder.fleet().server(picked);
+                        request.prefix,
+                        request.kvTransfer.zone(),
+                        s -> fleet.server(s).pool.size() > 0,
+                        request.attempts::isUnattempted,
+                        allowsTrial);
+        return picked == null ? null : fleet.server(picked);
     }
 
     /** Whether another server may continue, or begin, the stream. */
-    private boolean repeatable() {
-        return exchange.repeatable() && events.isResumable();
+    private boolean isResumable() {
+        return request.isIdempotent() && relay.isResumable();
     }
 
-    private boolean mayResume() {
-        return repeatable() && exchange.sends < exchange.route.maxAttempts();
+    /** Whether another server may continue, or begin, the stream, and the route's limit leaves an attempt for that. */
+    boolean allowsResumption() {
+        return isResumable() && request.allowance.allowsAttempt();
     }
 
-    private void watchSilence() {
-        stopPatience();
-        if (repeatable() && exchange.forwarder.policy().isEnabled(Mechanism.PATIENCE)) {
-            double expected =
-                    begun ? 0 : HEDGING.firstEventFactor() * PrefillDecodePicker.prefillMs(exchange.prefix.tokens());
-            patience = exchange.loop.after(HEDGING.streamMs() + expected, this::silent);
+    /** Something has come: the time without a byte is counted anew. */
+    void restartStallTimer() {
+        if (isResumable() && request.forwarder.policy().isEnabled(Mechanism.PATIENCE)) {
+            double prefillMs = relay.isStarted()
+                    ? 0
+                    : HEDGING.firstEventFactor() * PrefillDecodePicker.prefillMs(request.prefix.tokens());
+            stallTimer.restart(HEDGING.streamMs() + prefillMs);
+        } else {
+            stallTimer.cancel();
         }
     }
 
-    private void stopPatience() {
-        if (patience != null) {
-            patience.cancel();
-        }
+    void cancelStallTimer() {
+        stallTimer.cancel();
     }
 
-    /** Nothing has come for long, and the stream may be continued elsewhere. */
-    private void silent() {
-        if (exchange.over() || call.over()) {
+    /** Continues the stream at another server, if there is one that may have it; else the stream is waited for. */
+    private void onStalled() {
+        if (request.isOver() || attempt.isOver()) {
             return;
         }
-        Server other = choose();
-        if (other == null || other == call.server() || !exchange.takeSend()) {
-            return; // nobody else may go on: it is waited for
+        Server other = pickServer();
+        if (other == null || other == attempt.server() || !request.allowance.tryAcquireAttempt()) {
+            return;
         }
-        exchange.forwarder.counters().add(Count.TIMEOUTS);
-        exchange.mayHaveRun |= call.mayBeRead();
-        call.cancel();
-        exchange.observe(call.server(), false);
-        restart();
-        begin(other);
+        request.forwarder.counters().add(Count.TIMEOUTS);
+        request.recordPossibleRunOf(attempt);
+        attempt.cancel();
+        request.recordOutcome(attempt.server(), false);
+        prepareResumption();
+        sendTo(other);
     }
 
     /** Whether the request has begun to be sent and is not answered. */
-    boolean underWay() {
-        return call != null && !call.over() && call.mayBeRead();
+    boolean hasRunUnderWay() {
+        return attempt != null && !attempt.isOver() && attempt.mayHaveReachedServer();
     }
 
-    /** Continues behind the last whole event at another server. */
-    private void resume() {
-        restart();
-        begin();
+    /** Continues behind the last complete event at another server. */
+    void resume() {
+        prepareResumption();
+        start();
     }
 
-    private void restart() {
-        exchange.handover.free();
-        events.discardIncompleteEvent();
-        if (begun) {
-            exchange.forwarder.counters().add(Count.STREAMS_RESUMED);
+    private void prepareResumption() {
+        request.kvTransfer.free();
+        relay.discardIncompleteEvent();
+        if (relay.isStarted()) {
+            request.forwarder.counters().add(Count.STREAMS_RESUMED);
         }
     }
 
-    private void giveUp() {
-        stopPatience();
-        exchange.handover.free();
-        if (begun) {
-            exchange.breakOff();
-        } else if (exchange.mayHaveRun) {
-            exchange.fail(502);
+    /** No server will run it, or continue its stream. */
+    void giveUp() {
+        cancelStallTimer();
+        request.kvTransfer.free();
+        if (relay.isStarted()) {
+            request.breakOff();
         } else {
-            exchange.refuse();
+            request.reject();
         }
     }
 
-    /** Ends the call under way. */
-    void cancel() {
-        stopPatience();
-        if (call != null) {
-            call.cancel();
-        }
+    /** The first complete event is there: its prompt has been prefilled. */
+    void recordFirstEvent() {
+        attempt.recordPromptPrefilled();
+        request.forwarder.counters().add(Count.DECODE_MS, (long) (request.loop.now() - request.prefilledAt()));
     }
 
-    private final class Stream implements HttpCall.Listener {
-        private final Server server;
-        private final boolean handedOver;
-        private final ByteArrayOutputStream failure = new ByteArrayOutputStream();
-        private int status;
-        private Headers headers;
-
-        Stream(Server server, boolean handedOver) {
-            this.server = server;
-            this.handedOver = handedOver;
-        }
-
-        private boolean streams() {
-            return ProxiedRequest.wholeSuccess(status, headers);
-        }
-
-        @Override
-        public boolean head(int answerStatus, Headers answerHeaders) {
-            if (!exchange.isOwn(answerHeaders)) {
-                return false;
-            }
-            status = answerStatus;
-            headers = answerHeaders;
-            if (streams()) {
-                exchange.handover.taken();
-            }
-            return true;
-        }
-
-        @Override
-        public void body(byte[] piece) {
-            if (!streams()) {
-                failure.writeBytes(piece);
-                return;
-            }
-            exchange.mayHaveRun = true;
-            pieces(events.feed(piece));
-            watchSilence();
-        }
-
-        private void pieces(byte[] whole) {
-            if (whole.length == 0) {
-                return;
-            }
-            if (!begun) {
-                begun = true;
-                call.promptRead();
-                exchange.forwarder.counters().add(Count.DECODE_MS, (long) (exchange.loop.now() - exchange.readAt));
-                exchange.client.beginAnswer(status, headers.endToEnd());
-            }
-            exchange.client.writePart(whole);
-        }
-
-        @Override
-        public void complete() {
-            stopPatience();
-            if (ProxiedRequest.notRun(status, headers)) {
-                rejected();
-                return;
-            }
-            exchange.mayHaveRun = true;
-            if (!streams()) {
-                failedAnswer();
-            } else if (isCutOff()) {
-                exchange.observe(server, false);
-                broken();
-            } else {
-                exchange.observe(server, true);
-                pieces(events.drainIncompleteEvent());
-                endStream();
-            }
-        }
-
-        /**
-         * Whether the connection's end, which is the only end of an answer without a length, came in the middle of an
-         * event or before the first: then it is a break.
-         */
-        private boolean isCutOff() {
-            boolean framed = headers.get("Content-Length") != null || headers.get("Transfer-Encoding") != null;
-            return !framed && !exchange.isHead() && (!begun || events.isMidEvent());
-        }
-
-        private void failedAnswer() {
-            exchange.observe(server, status >= 300 && status < 500);
-            boolean last = ProxiedRequest.finalFailure(status);
-            if (!last && mayResume()) {
-                resume();
-            } else if (begun) {
-                exchange.breakOff();
-            } else if (last || status == 500 || status == 504) {
-                exchange.pass(status, headers.endToEnd(), failure.toByteArray());
-            } else {
-                exchange.fail(502);
-            }
-        }
-
-        private void endStream() {
-            if (!begun) {
-                exchange.pass(status, headers.endToEnd(), new byte[0]);
-                return;
-            }
-            exchange.client.endAnswer();
-            exchange.finished();
-        }
-
-        private void rejected() {
-            exchange.turnedAway(server, status);
-            if (handedOver) {
-                exchange.forwarder.counters().add(Count.HANDOVER_FAILURES);
-            }
-            exchange.handover.free();
-            if (exchange.sends < exchange.route.maxAttempts()) {
-                begin();
-            } else {
-                giveUp();
-            }
-        }
-
-        @Override
-        public void failed(HttpCall.Failure how) {
-            stopPatience();
-            boolean ran = exchange.failed(server, how);
-            exchange.mayHaveRun |= ran;
-            if (ran) {
-                broken();
-                return;
-            }
-            exchange.sends--;
-            exchange.handover.notSent();
-            begin();
-        }
-
-        private void broken() {
-            if (mayResume()) {
-                resume();
-            } else {
-                exchange.fail(502); // or breaks off what has begun
-            }
+    /** Ends the attempt under way. */
+    void cancel() {
+        cancelStallTimer();
+        if (attempt != null) {
+            attempt.cancel();
         }
     }
 }
--- a/dataplane/src/main/java/dewplank/dataplane/DiscardingListener.java
+++ b/dataplane/src/main/java/dewplank/dataplane/DiscardingListener.java
@@ -3,7 +3,7 @@
 import dewplank.exchange.HttpCall;
 import dewplank.http.Headers;
 
-/** For calls whose answer changes nothing. */
+/** Takes the answer to a call whose outcome changes nothing. */
 final class DiscardingListener implements HttpCall.Listener {
     @Override
     public boolean head(int status, Headers headers) {
@@ -11,7 +11,7 @@
     }
 
     @Override
-    public void body(byte[] piece) {}
+    public void body(byte[] bytes) {}
 
     @Override
     public void complete() {}
--- a/dataplane/src/main/java/dewplank/dataplane/FleetMetadata.java
+++ b/dataplane/src/main/java/dewplank/dataplane/FleetMetadata.java
@@ -19,12 +19,18 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What this data plane knows of the fleet: configuration, servers, members. Each only ever gets newer. */
+/**
+ * The fleet's state as this data plane last took it over: configuration, endpoint list, membership. Configuration and
+ * list only ever get newer, whichever session they come by. Written by {@link SessionClient}, read for each request; on
+ * the event loop's thread only.
+ */
 final class FleetMetadata {
     private static final Logger LOG = LoggerFactory.getLogger(FleetMetadata.class);
 
     private final Scheduler loop;
+    /** Null before the first. */
     private Configuration configuration;
+
     private RouteTable routes;
     private EndpointListVersion listVersion = EndpointListVersion.NONE;
     private final Map<String, Server> servers = new LinkedHashMap<>();
@@ -37,41 +43,48 @@
         this.loop = loop;
     }
 
-    /** Whether requests can be served: a configuration and a list of servers are there. */
-    boolean complete() {
+    /** Whether requests can be served: a configuration and an endpoint list are there, the list empty or not. */
+    boolean isComplete() {
         return configuration != null && !listVersion.equals(EndpointListVersion.NONE);
     }
 
+    /** The configuration in force; null before the first. */
     Configuration configuration() {
         return configuration;
     }
 
+    /** The version in force; 0 before the first. */
     long configurationVersion() {
         return configuration == null ? 0 : configuration.version();
     }
 
+    /** The routes of the configuration in force; null before the first. */
     RouteTable routes() {
         return routes;
     }
 
-    /** Takes a newer configuration; an older one changes nothing, whoever sends it. */
-    void configured(Configuration newer) {
+    /** Puts a newer configuration in force; an older or equal one changes nothing. */
+    void updateConfiguration(Configuration newer) {
         if (newer.version() > configurationVersion()) {
             configuration = newer;
             routes = new RouteTable(newer);
             LOG.info(
-                    "configuration {} in force, {} routes",
+                    "configuration applied version={} routes={}",
                     newer.version(),
                     newer.routes().size());
         }
     }
 
+    /** The version of the endpoint list in force. */
     EndpointListVersion listVersion() {
         return listVersion;
     }
 
-    /** Takes a newer list of servers. */
-    void listed(EndpointList list) {
+    /**
+     * Puts a newer endpoint list in force; an older or equal one changes nothing. A server that stays keeps its state;
+     * one that is missing or draining gets no new requests, and its idle connections end.
+     */
+    void updateServers(EndpointList list) {
         if (list.version.compareTo(listVersion) <= 0) {
             return;
         }
@@ -79,16 +92,16 @@
         Set<String> named = new HashSet<>();
         for (Endpoint entry : list.endpoints) {
             named.add(entry.instanceId);
-            learn(entry);
+            addOrUpdate(entry);
         }
-        List<Server> left = servers.values().stream()
+        List<Server> missing = servers.values().stream()
                 .filter(s -> !named.contains(s.state.instanceId()))
                 .toList();
-        left.forEach(this::forget);
-        rebuild();
+        missing.forEach(this::remove);
+        indexByService();
     }
 
-    private void learn(Endpoint entry) {
+    private void addOrUpdate(Endpoint entry) {
         Server server = servers.get(entry.instanceId);
         TrackedServer.Stage stage = stage(entry.stage);
         if (server == null) {
@@ -102,6 +115,7 @@
         }
     }
 
+    /** Null is the stage of a service without an engine. */
     private static TrackedServer.Stage stage(String text) {
         if (text == null) {
             return TrackedServer.Stage.PLAIN;
@@ -113,20 +127,20 @@
         };
     }
 
-    private void forget(Server server) {
+    private void remove(Server server) {
         servers.remove(server.state.instanceId());
         server.state.updateListing(false, server.state.stage());
         server.pool.close();
     }
 
-    private void rebuild() {
+    private void indexByService() {
         byService.clear();
         servers.values().forEach(s -> byService
                 .computeIfAbsent(s.state.service(), k -> new ArrayList<>())
                 .add(s.state));
     }
 
-    /** All servers of the service that the list names. */
+    /** All servers of the service that the list names; empty where it names none. */
     List<TrackedServer> servers(String service) {
         return byService.getOrDefault(service, List.of());
     }
@@ -136,6 +150,7 @@
         return servers(service).stream().filter(s -> s.stage() == stage).toList();
     }
 
+    /** The server with its connections; null once the list names it no more. */
     Server server(TrackedServer state) {
         return servers.get(state.instanceId());
     }
@@ -144,7 +159,8 @@
         return servers.values();
     }
 
-    void members(List<Member> newer) {
+    /** Takes over the membership; the caller decides whose report counts. */
+    void updateMembers(List<Member> newer) {
         members = List.copyOf(newer);
         membersDigest = SessionTable.digest(members);
         dataPlanes =
@@ -155,11 +171,12 @@
         return members;
     }
 
-    /** How many data planes the members' list names; 0 where nothing is known. */
+    /** How many data planes the membership names, this one among them; 0 before the first report. */
     int dataPlanes() {
         return dataPlanes;
     }
 
+    /** Tells control planes which membership is current here; 0 before the first. */
     long membersDigest() {
         return membersDigest;
     }
--- a/dataplane/src/main/java/dewplank/dataplane/Forwarder.java
+++ b/dataplane/src/main/java/dewplank/dataplane/Forwarder.java
@@ -3,132 +3,121 @@
 import dewplank.configuration.RequestLimits;
 import dewplank.configuration.Route;
 import dewplank.configuration.Service;
-import dewplank.configuration.WeightedService;
 import dewplank.exchange.InboundConnection;
 import dewplank.http.Headers;
 import dewplank.net.EventLoop;
-import dewplank.routing.FleetSizeEstimator;
 import dewplank.routing.Policy;
 import dewplank.routing.PrefillDecodePicker;
-import dewplank.routing.RetryBudget;
 import dewplank.routing.ServerPicker;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.random.RandomGenerator;
 
-/** Takes clients' requests, finds their routes, and has an exchange carry each of them. */
+/**
+ * Takes clients' requests, finds their routes, and has a {@link ProxiedRequest} carry each of them. Called by the
+ * connections of the front listener and by {@link DataPlane}; on the event loop's thread only.
+ */
 final class Forwarder implements InboundConnection.Service {
-    private static final double HOLD_MS = 900; // from the start of a process to its first configuration, with room
     private static final double CONNECT_TIMEOUT_MS = 250;
-    private static final int MOST_HELD = 512;
-    private static final int MOST_OPEN = 4_096; // requests open at once, beyond which further ones are refused
+    /** Requests open at once, beyond which further ones are rejected. */
+    private static final int MAX_OPEN_REQUESTS = 4_096;
+    /** In seconds, of requests that are rejected before they are sent anywhere. */
+    private static final String RETRY_AFTER_S = "0.5";
 
-    /** The limit on heads may be meant for the fields alone: the request line has room of its own. */
-    private static final int FIRST_LINE_BYTES = 8 * 1024;
-    /** Before there is a configuration: nothing is refused that it may allow. */
-    private static final int UNKNOWN_HEAD_BYTES = 128 * 1024;
+    /** The limit on heads may be meant for the fields alone: the request line gets this much beside them. */
+    private static final int REQUEST_LINE_BYTES = 8 * 1024;
+    /** Before there is a configuration: nothing is rejected that it may allow. */
+    private static final int UNCONFIGURED_HEAD_BYTES = 128 * 1024;
 
     private final EventLoop loop;
     private final FleetMetadata fleet;
-    private final ServerPicker choice;
-    private final PrefillDecodePicker pairs;
+    private final ServerPicker picker;
+    private final PrefillDecodePicker prefillDecodePicker;
     private final RandomGenerator random;
     private final Counters counters;
-    private final RetryLimits limits;
+    private final RetryBudgets retryBudgets;
+    private final ServerFeedback serverFeedback;
     private final double connectTimeoutMs;
-    private final Map<String, RetryBudget> budgets = new HashMap<>();
     private final Map<InboundConnection, ProxiedRequest> open = new HashMap<>();
-    private final Map<InboundConnection, Held> held = new LinkedHashMap<>();
+    private final ParkedRequests parked;
     private final Set<InboundConnection> connections = new HashSet<>();
-    private final FleetSizeEstimator size;
     private boolean closing;
 
-    /** The fleet's budget of repeated sends to a service, of which this sidecar has a part. */
-    record RetryLimits(double ratio, double windowMs, double slack) {}
-
     Forwarder(
             EventLoop loop,
             FleetMetadata fleet,
-            ServerPicker choice,
+            ServerPicker picker,
             RandomGenerator random,
             Counters counters,
-            RetryLimits limits) {
-        this(loop, fleet, choice, random, counters, limits, CONNECT_TIMEOUT_MS);
+            RetryBudgets.Limits limits) {
+        this(loop, fleet, picker, random, counters, limits, CONNECT_TIMEOUT_MS);
     }
 
-    /** The last: how long a connection to a server may take to come up. */
+    /**
+     * @param connectTimeoutMs how long a connection to a server may take to come up
+     */
     Forwarder(
             EventLoop loop,
             FleetMetadata fleet,
-            ServerPicker choice,
+            ServerPicker picker,
             RandomGenerator random,
             Counters counters,
-            RetryLimits limits,
+            RetryBudgets.Limits limits,
             double connectTimeoutMs) {
         this.loop = loop;
         this.fleet = fleet;
-        this.choice = choice;
-        this.pairs = new PrefillDecodePicker(choice);
+        this.picker = picker;
+        this.prefillDecodePicker = new PrefillDecodePicker(picker);
         this.random = random;
         this.counters = counters;
-        this.limits = limits;
+        this.retryBudgets = new RetryBudgets(loop, counters, limits);
+        this.serverFeedback = new ServerFeedback(loop, picker, counters);
+        this.parked = new ParkedRequests(loop);
         this.connectTimeoutMs = connectTimeoutMs;
-        this.size = new FleetSizeEstimator(limits.windowMs());
     }
 
-    /** A new connection of a client. */
-    InboundConnection connection() {
+    /** The handler of a client's new connection. */
+    InboundConnection newConnection() {
         InboundConnection connection = new InboundConnection(loop, this);
         connections.add(connection);
         return connection;
     }
 
+    // ---- requests -------------------------------------------------------------------------------------
+
     @Override
     public void handle(InboundConnection.Request request, InboundConnection connection) {
         counters.add(Counters.Count.REQUESTS);
-        if (!fleet.complete()) {
-            hold(request, connection);
+        if (!fleet.isComplete()) {
+            park(request, connection);
             return;
         }
         route(request, connection, connection.waitingSince());
     }
 
-    /** A request that waits for what is needed to serve it; its client counts from its first byte. */
-    private record Held(InboundConnection.Request request, double arrivedAt) {}
-
-    /** Just started: what is needed is on its way, and comes within moments if at all. */
-    private void hold(InboundConnection.Request request, InboundConnection connection) {
+    private void park(InboundConnection.Request request, InboundConnection connection) {
         counters.add(Counters.Count.NOT_READY);
-        if (held.size() >= MOST_HELD) {
-            refuse(connection, "0.5");
+        if (parked.isFull()) {
+            reject(connection);
             return;
         }
-        Held waiting = new Held(request, connection.waitingSince());
-        held.put(connection, waiting);
-        loop.after(HOLD_MS, () -> {
-            if (held.remove(connection, waiting)) {
-                refuse(connection, "0.5");
-            }
-        });
+        parked.park(request, connection, () -> reject(connection));
     }
 
-    private void refuse(InboundConnection connection, String retryAfter) {
+    private void reject(InboundConnection connection) {
         counters.add(Counters.Count.REFUSED);
-        connection.answer(503, List.of(new Headers.Field("Retry-After", retryAfter)), new byte[0]);
+        connection.answer(503, List.of(new Headers.Field("Retry-After", RETRY_AFTER_S)), new byte[0]);
     }
 
-    /** What is known of the fleet has changed: requests that were held go on once it is enough. */
-    void fleetChanged() {
-        size.recordMembership(loop.now(), fleet.dataPlanes());
-        if (fleet.complete() && !held.isEmpty()) {
-            Map<InboundConnection, Held> ready = new LinkedHashMap<>(held);
-            held.clear();
-            ready.forEach((connection, waiting) -> route(waiting.request(), connection, waiting.arrivedAt()));
+    /** Called after each update of the fleet's metadata: parked requests go on once it is complete. */
+    void onFleetChanged() {
+        retryBudgets.recordMembership(fleet.dataPlanes());
+        if (fleet.isComplete() && !parked.isEmpty()) {
+            parked.releaseAll(this::route);
         }
     }
 
@@ -140,43 +129,38 @@
             connection.answer(404);
             return;
         }
-        if (open.size() >= MOST_OPEN) {
-            refuse(connection, "0.5");
+        if (open.size() >= MAX_OPEN_REQUESTS) {
+            reject(connection);
             return;
         }
-        begin(request, connection, route, arrivedAt);
+        start(request, connection, route, arrivedAt);
     }
 
-    private void begin(InboundConnection.Request request, InboundConnection connection, Route route, double arrivedAt) {
-        String serviceName = draw(route.split());
+    private void start(InboundConnection.Request request, InboundConnection connection, Route route, double arrivedAt) {
+        String serviceName = TrafficSplit.drawService(route.split(), random);
         Service service = fleet.configuration().services().get(serviceName);
-        ProxiedRequest exchange = service.engine() == null
+        ProxiedRequest proxied = service.engine() == null
                 ? new UnaryRequest(this, request, connection, route, service, arrivedAt)
                 : new GenerationRequest(this, request, connection, route, service, arrivedAt);
-        open.put(connection, exchange);
-        budget(serviceName).recordRequest(loop.now());
-        exchange.start();
+        open.put(connection, proxied);
+        retryBudgets.recordRequest(serviceName);
+        proxied.start();
     }
 
-    private String draw(List<WeightedService> split) {
-        double total = split.stream().mapToDouble(WeightedService::weight).sum();
-        double at = random.nextDouble() * total;
-        for (WeightedService s : split) {
-            at -= s.weight();
-            if (at < 0) {
-                return s.service();
-            }
-        }
-        return split.get(split.size() - 1).service();
+    /** A request has its final answer. */
+    void requestEnded(InboundConnection connection) {
+        open.remove(connection);
     }
 
+    // ---- connections ----------------------------------------------------------------------------------
+
     @Override
     public void callerGone(InboundConnection connection) {
-        held.remove(connection);
-        ProxiedRequest exchange = open.remove(connection);
-        if (exchange != null) {
+        parked.drop(connection);
+        ProxiedRequest request = open.remove(connection);
+        if (request != null) {
             counters.add(Counters.Count.LEFT);
-            exchange.abandon();
+            request.abandon();
         }
     }
 
@@ -197,8 +181,8 @@
 
     @Override
     public int maxHeadBytes() {
-        int fields = fleet.configuration() == null ? UNKNOWN_HEAD_BYTES : limits().maxHeaderBytes();
-        return (int) Math.min(Integer.MAX_VALUE, (long) fields + FIRST_LINE_BYTES);
+        int fields = fleet.configuration() == null ? UNCONFIGURED_HEAD_BYTES : limits().maxHeaderBytes();
+        return (int) Math.min(Integer.MAX_VALUE, (long) fields + REQUEST_LINE_BYTES);
     }
 
     private RequestLimits limits() {
@@ -207,35 +191,33 @@
                 : fleet.configuration().limits();
     }
 
-    /** The exchange has answered its request, whole. */
-    void done(InboundConnection connection) {
-        open.remove(connection);
+    int openRequests() {
+        return open.size() + parked.size();
     }
 
-    /** The process ends: what is still open gets the answer that can be given by now. */
-    void endAll() {
-        Map<InboundConnection, Held> unserved = new LinkedHashMap<>(held);
-        held.clear();
-        unserved.keySet().forEach(connection -> refuse(connection, "0.5"));
-        List.copyOf(open.values()).forEach(ProxiedRequest::endNow);
+    int openConnections() {
+        return connections.size();
     }
 
+    /** A copy, which may be gone through while connections end. */
+    List<InboundConnection> connections() {
+        return new ArrayList<>(connections);
+    }
+
+    // ---- shutdown -------------------------------------------------------------------------------------
+
     /** From here on each answer is the last on its connection. */
     void close() {
         closing = true;
     }
 
-    int openRequests() {
-        return open.size() + held.size();
-    }
-
-    int openConnections() {
-        return connections.size();
+    /** The process ends: what is still open gets the answer that is true by now. */
+    void terminateAll() {
+        parked.releaseAll((request, connection, arrivedAt) -> reject(connection));
+        List.copyOf(open.values()).forEach(ProxiedRequest::terminate);
     }
 
-    List<InboundConnection> connections() {
-        return new ArrayList<>(connections);
-    }
+    // ---- what requests share --------------------------------------------------------------------------
 
     EventLoop loop() {
         return loop;
@@ -245,17 +227,17 @@
         return fleet;
     }
 
-    ServerPicker choice() {
-        return choice;
+    ServerPicker picker() {
+        return picker;
     }
 
     /** Which mechanisms decide. */
     Policy policy() {
-        return choice.policy();
+        return picker.policy();
     }
 
-    PrefillDecodePicker pairs() {
-        return pairs;
+    PrefillDecodePicker prefillDecodePicker() {
+        return prefillDecodePicker;
     }
 
     double connectTimeoutMs() {
@@ -270,22 +252,11 @@
         return counters;
     }
 
-    private RetryBudget budget(String service) {
-        return budgets.computeIfAbsent(
-                service, s -> new RetryBudget(limits.ratio(), limits.windowMs(), limits.slack()));
-    }
-
-    /** Counts a repeated send that has happened already. */
-    void countRepeat(String service) {
-        budget(service).recordRetry(loop.now());
+    RetryBudgets retryBudgets() {
+        return retryBudgets;
     }
 
-    /** Takes one repeated send to the service out of this sidecar's part of the budget. */
-    boolean mayRepeat(String service) {
-        double now = loop.now();
-        boolean may =
-                budget(service).tryAcquire(now, size.isSettled(now) ? size.dataPlanes(now) : RetryBudget.NO_SLACK);
-        counters.add(may ? Counters.Count.RETRIES : Counters.Count.RETRIES_OVER_BUDGET);
-        return may;
+    ServerFeedback serverFeedback() {
+        return serverFeedback;
     }
 }
--- a/dataplane/src/main/java/dewplank/dataplane/HeaderNames.java
+++ b/dataplane/src/main/java/dewplank/dataplane/HeaderNames.java
@@ -7,15 +7,14 @@
     static final String TARGET_INSTANCE = "X-Dewplank-Target-Instance";
     static final String SEAL = "X-Dewplank-Server-Seal";
     static final String NOT_EXECUTED = "X-Dewplank-Not-Executed";
-    static final String TOKEN_COUNTS = "X-Dewplank-Token-Counts";
     static final String PROMPT_PREFIX = "X-Dewplank-Prompt-Prefix";
     static final String STAGE = "X-Dewplank-Processing-Stage";
     static final String KV_FROM = "Kv-From";
     static final String LAST_EVENT_ID = "Last-Event-Id";
     static final String PRIORITY = "Priority";
 
-    /** What only the system says to a server, whatever a client has sent. */
-    static boolean systems(String name) {
+    /** Whether servers get the field from the data plane alone: a client's own is dropped. */
+    static boolean isSetByDataPlane(String name) {
         return name.equalsIgnoreCase(STAGE)
                 || name.equalsIgnoreCase(KV_FROM)
                 || name.equalsIgnoreCase(REMAINING_TIME)
--- a/dataplane/src/main/java/dewplank/dataplane/HealthGossip.java
+++ b/dataplane/src/main/java/dewplank/dataplane/HealthGossip.java
@@ -46,7 +46,7 @@
         this.votes = votes;
         this.self = self;
         this.random = random;
-        this.socket = new DatagramSocket(SocketAddresses.address(self.address));
+        this.socket = new DatagramSocket(SocketAddresses.parse(self.address));
     }
 
     void start() {
@@ -93,7 +93,7 @@
         peers.removeIf(m -> !m.role.equals(Member.DATA) || m.address.equals(self.address));
         Collections.shuffle(peers, random);
         for (Member peer : peers.subList(0, Math.min(PARAMETERS.maxPeersPerRound(), peers.size()))) {
-            send(bytes, SocketAddresses.address(peer.address));
+            send(bytes, SocketAddresses.parse(peer.address));
         }
     }
 
--- a/dataplane/src/main/java/dewplank/dataplane/KvHandle.java
+++ b/dataplane/src/main/java/dewplank/dataplane/KvHandle.java
@@ -4,18 +4,23 @@
 import dewplank.http.MessageWriter;
 import dewplank.net.EventLoop;
 
-/** A KV cache that a prefill server keeps for one request, until it is taken, freed, or lapses. */
+/**
+ * Names a KV cache that a prefill server stores for one request, until it is taken, freed, or lapses.
+ *
+ * @param id printable ASCII without a slash, as {@link PrefillResponse} has checked
+ */
 record KvHandle(Server server, String id) {
+    /** A free that is not answered by then is given up: the handle lapses by itself ({@code context_hold_s}). */
     private static final double FREE_TIMEOUT_MS = 1_000;
 
-    /** How a decode server is told where it is. */
+    /** The value of {@link HeaderNames#KV_FROM} that leads a decode server to it. */
     String location() {
         return server.addressText + "/" + id;
     }
 
     /**
-     * Gives it back; does no harm where it has been taken or has lapsed. The answer bears no id, so that on a shared
-     * connection nothing would tell it from another request's.
+     * Has its server drop it; does no harm where it has been taken or has lapsed. The answer bears no id, so that on a
+     * shared connection nothing would tell it from another request's.
      */
     void free(Forwarder forwarder) {
         EventLoop loop = forwarder.loop();
--- a/dataplane/src/main/java/dewplank/dataplane/KvTransfer.java
+++ b/dataplane/src/main/java/dewplank/dataplane/KvTransfer.java
@@ -1,52 +1,74 @@
 package dewplank.dataplane;
 
 /**
- * The KV cache that was prefilled for one request: kept until it is offered to one decode server, and freed where no
- * decode server was seen to take it. It is offered once, as a handle may be taken a single time.
+ * The transfer of one request's KV cache from the prefill server that holds it to a decode server. A handle may be
+ * taken a single time, so it is offered once, and freed where no decode server was seen to take it. On the event loop's
+ * thread only.
  */
 final class KvTransfer {
+    private enum State {
+        /** No prefill server holds anything for the request, or a decode server has taken it. */
+        EMPTY,
+        /** A prefill server holds the cache, and nobody else was told of it. */
+        RETAINED,
+        /** A decode server was told of it, and may have taken it. */
+        OFFERED
+    }
+
     private final Forwarder forwarder;
-    private KvHandle kept;
-    private KvHandle offered;
+    private State state = State.EMPTY;
+    /** Null in {@link State#EMPTY}. */
+    private KvHandle handle;
 
     KvTransfer(Forwarder forwarder) {
         this.forwarder = forwarder;
     }
 
-    void keep(KvHandle handle) {
-        kept = handle;
+    /** A prefill server has answered with this handle. */
+    void retain(KvHandle prefilled) {
+        moveTo(State.RETAINED, prefilled);
     }
 
-    /** The zone of the server that keeps it; null where there is none. */
+    /** The zone of the server that holds the cache; null where there is none to offer. */
     String zone() {
-        return kept == null ? null : kept.server().state.zone();
+        return state == State.RETAINED ? handle.server().state.zone() : null;
     }
 
-    /** What the next decode server is told of; null where there is none. */
+    /** The handle for the next decode server; null where there is none. */
     KvHandle offer() {
-        offered = kept;
-        kept = null;
-        return offered;
+        if (state != State.RETAINED) {
+            moveTo(State.EMPTY, null);
+            return null;
+        }
+        state = State.OFFERED;
+        return handle;
     }
 
-    /** The decode server has it. */
-    void taken() {
-        offered = null;
+    /** The decode server has begun to answer: it has the cache. */
+    void confirmTaken() {
+        if (state == State.OFFERED) {
+            moveTo(State.EMPTY, null);
+        }
     }
 
-    /** Nothing of the offer was sent: the next decode server may have it. */
-    void notSent() {
-        kept = offered;
-        offered = null;
+    /** No byte of the offer left this process: the next decode server may have the handle. */
+    void withdrawOffer() {
+        if (state == State.OFFERED) {
+            state = State.RETAINED;
+        }
     }
 
-    /** Gives back what nobody will take, or was offered and not seen to be taken. */
+    /** Has the prefill server drop what nobody will take, or what was offered and not seen to be taken. */
     void free() {
-        KvHandle unused = kept == null ? offered : kept;
-        kept = null;
-        offered = null;
+        KvHandle unused = handle;
+        moveTo(State.EMPTY, null);
         if (unused != null) {
             unused.free(forwarder);
         }
     }
+
+    private void moveTo(State next, KvHandle held) {
+        state = next;
+        handle = held;
+    }
 }
--- a/dataplane/src/main/java/dewplank/dataplane/PrefillPhase.java
+++ b/dataplane/src/main/java/dewplank/dataplane/PrefillPhase.java
@@ -12,165 +12,185 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Has a prompt read by a prefill server; ends with the KV cache's handle, or without one where none can take it. */
+/**
+ * Has a prefill server prefill the prompt, and ends by starting the decode phase: with the KV cache's handle, or
+ * without one where no prefill server can take the prompt. The first attempt that a server takes up is free of charge,
+ * further and rejected ones count (PROTOCOL, Prefill and decode). On the event loop's thread only.
+ */
 final class PrefillPhase {
     private static final RoutingParameters.Hedging HEDGING = RoutingParameters.DEFAULTS.hedging();
     private static final RoutingParameters.PrefillLoad PREFILL_LOAD = RoutingParameters.DEFAULTS.prefillLoad();
 
-    private final GenerationRequest exchange;
-    private ServerAttempt call;
-    private TimerWheel.Timer patience;
+    private final GenerationRequest request;
+    /** The latest attempt; null before the first. */
+    private ServerAttempt attempt;
+
+    private TimerWheel.Timer overdueTimer;
+    /** Attempts that may have reached a server. */
     private int prefills;
 
-    PrefillPhase(GenerationRequest exchange) {
-        this.exchange = exchange;
+    PrefillPhase(GenerationRequest request) {
+        this.request = request;
     }
 
-    /** Asks a server, or goes on without where none is there or none may be asked. */
-    void begin() {
-        Server server = choose();
-        boolean free = prefills == 0;
-        if (server == null || !free && !mayRepeat()) {
-            exchange.decode();
+    /** Sends the prompt to a server, or goes on to decode where none is there or none may be sent to. */
+    void start() {
+        Server server = pickServer();
+        boolean freeOfCharge = prefills == 0;
+        if (server == null || !freeOfCharge && !tryAcquireRetry()) {
+            request.startDecode();
             return;
         }
-        send(server, free);
+        sendTo(server, freeOfCharge);
     }
 
-    private void send(Server server, boolean free) {
+    private void sendTo(Server server, boolean freeOfCharge) {
         prefills++;
-        exchange.sends += free ? 0 : 1;
-        exchange.forwarder.counters().add(Count.PREFILLS);
-        List<Headers.Field> further = List.of(new Headers.Field(HeaderNames.STAGE, "prefill"), priority());
-        call = exchange.callTo(server, exchange.ownTokens(), further, new Answer(server, free));
-        call.start(exchange.forwarder.connectTimeoutMs());
-        double expected = PrefillDecodePicker.prefillMs(exchange.prefix.tokens())
-                + exchange.forwarder.pairs().estimatedPrefillWaitMs(exchange.loop.now(), server.state);
-        patience = exchange.loop.after(HEDGING.prefillMs() + HEDGING.prefillFactor() * expected, this::overdue);
+        if (!freeOfCharge) {
+            request.allowance.recordAttempt();
+        }
+        request.forwarder.counters().add(Count.PREFILLS);
+        List<Headers.Field> extraFields = List.of(new Headers.Field(HeaderNames.STAGE, "prefill"), priority());
+        attempt = request.attempts.newAttempt(
+                server, request.unsharedTokens(), extraFields, new HandleCollector(server, freeOfCharge));
+        attempt.start(request.forwarder.connectTimeoutMs());
+        double expectedMs = PrefillDecodePicker.prefillMs(request.prefix.tokens())
+                + request.forwarder.prefillDecodePicker().estimatedPrefillWaitMs(request.loop.now(), server.state);
+        overdueTimer = request.loop.after(HEDGING.prefillMs() + HEDGING.prefillFactor() * expectedMs, this::onOverdue);
     }
 
-    private boolean mayRepeat() {
-        return exchange.sends + 1 < exchange.route.maxAttempts() && exchange.charge();
+    /** The last attempt of the route's limit is left for the decode server. */
+    private boolean tryAcquireRetry() {
+        return request.allowance.allowsAttemptAfterNext() && request.allowance.tryAcquireRetry();
     }
 
-    private Server choose() {
-        Forwarder forwarder = exchange.forwarder;
-        List<TrackedServer> servers = forwarder.fleet().servers(exchange.service.name(), TrackedServer.Stage.PREFILL);
-        TrackedServer picked =
-                forwarder.pairs().pickPrefillServer(exchange.loop.now(), servers, exchange.prefix, exchange::untried);
-        return picked == null ? null : forwarder.fleet().server(picked);
+    /** Null where no server may be picked. */
+    private Server pickServer() {
+        FleetMetadata fleet = request.forwarder.fleet();
+        List<TrackedServer> servers = fleet.servers(request.service.name(), TrackedServer.Stage.PREFILL);
+        TrackedServer picked = request.forwarder
+                .prefillDecodePicker()
+                .pickPrefillServer(request.loop.now(), servers, request.prefix, request.attempts::isUnattempted);
+        return picked == null ? null : fleet.server(picked);
     }
 
-    /** Short prompts are read first: they wait for little, and long ones hardly notice them. */
+    /** Short prompts go first: they wait for little, and long ones hardly notice them. */
     private Headers.Field priority() {
-        return exchange.priority((int) (exchange.ownTokens() / PREFILL_LOAD.tokensPerPriorityLevel()));
+        return request.priority((int) (request.unsharedTokens() / PREFILL_LOAD.tokensPerPriorityLevel()));
     }
 
-    private void overdue() {
-        if (exchange.over() || call.over() || !exchange.forwarder.policy().isEnabled(Mechanism.PATIENCE)) {
+    private void onOverdue() {
+        if (request.isOver() || attempt.isOver() || !request.forwarder.policy().isEnabled(Mechanism.PATIENCE)) {
             return;
         }
-        Server other = choose();
-        if (other != null && mayRepeat()) {
-            giveUpCall();
-            send(other, false);
+        Server other = pickServer();
+        if (other != null && tryAcquireRetry()) {
+            giveUpAttempt();
+            sendTo(other, false);
             return;
         }
-        boolean waits =
-                !exchange.mayBeReadAtDecode() && exchange.forwarder.policy().isEnabled(Mechanism.LONG_WAIT);
-        double left = waits ? exchange.lastResortAt() - exchange.loop.now() : 0;
-        if (left > 0) { // a decode server would hold its other streams up
-            patience = exchange.loop.after(left, this::overdue);
+        boolean waitsLonger = !request.allowsPrefillAtDecodeServer()
+                && request.forwarder.policy().isEnabled(Mechanism.LONG_WAIT);
+        double leftMs = waitsLonger ? request.lastResortAt() - request.loop.now() : 0;
+        if (leftMs > 0) { // at a decode server it would stall the other streams
+            overdueTimer = request.loop.after(leftMs, this::onOverdue);
         } else {
-            giveUpCall();
-            exchange.decode();
+            giveUpAttempt();
+            request.startDecode();
         }
     }
 
-    private void giveUpCall() {
-        exchange.forwarder.counters().add(Count.TIMEOUTS);
-        exchange.forwarder.counters().add(Count.PREFILL_FAILURES);
-        call.cancel();
-        exchange.observe(call.server(), false);
+    private void giveUpAttempt() {
+        request.forwarder.counters().add(Count.TIMEOUTS);
+        request.forwarder.counters().add(Count.PREFILL_FAILURES);
+        attempt.cancel();
+        request.recordOutcome(attempt.server(), false);
     }
 
-    private void again() {
-        exchange.forwarder.counters().add(Count.PREFILL_FAILURES);
-        begin();
+    private void retry() {
+        request.forwarder.counters().add(Count.PREFILL_FAILURES);
+        start();
     }
 
-    /** Ends the call under way. */
+    /** Ends the attempt under way. */
     void cancel() {
-        if (call != null) {
-            patience.cancel();
-            call.cancel();
+        if (attempt != null) {
+            overdueTimer.cancel();
+            attempt.cancel();
         }
     }
 
-    private final class Answer implements HttpCall.Listener {
+    /** Collects a prefill server's answer to one attempt. */
+    private final class HandleCollector implements HttpCall.Listener {
         private final Server server;
-        private final boolean free;
+        private final boolean freeOfCharge;
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
         private int status;
         private Headers headers;
 
-        Answer(Server server, boolean free) {
+        HandleCollector(Server server, boolean freeOfCharge) {
             this.server = server;
-            this.free = free;
+            this.freeOfCharge = freeOfCharge;
         }
 
         @Override
         public boolean head(int answerStatus, Headers answerHeaders) {
             status = answerStatus;
             headers = answerHeaders;
-            return exchange.isOwn(answerHeaders);
+            return request.attempts.isOwnAnswer(answerHeaders);
         }
 
         @Override
-        public void body(byte[] piece) {
-            body.writeBytes(piece);
+        public void body(byte[] bytes) {
+            body.writeBytes(bytes);
         }
 
         @Override
         public void complete() {
-            patience.cancel();
-            if (ProxiedRequest.notRun(status, headers)) {
-                rejected();
+            overdueTimer.cancel();
+            if (AnswerKind.of(status, headers) == AnswerKind.NOT_EXECUTED) {
+                onRejected();
                 return;
             }
-            Optional<PrefillResponse> answer =
+            Optional<PrefillResponse> response =
                     status == 200 ? PrefillResponse.parse(body.toByteArray()) : Optional.empty();
-            exchange.observe(server, answer.isPresent());
-            if (answer.isEmpty()) {
-                again();
+            request.recordOutcome(server, response.isPresent());
+            if (response.isEmpty()) {
+                retry();
                 return;
             }
-            double expected = PrefillDecodePicker.prefillMs(exchange.ownTokens());
-            server.state.recordQueueDelay(exchange.loop.now(), call.took() - expected);
-            exchange.readAt = exchange.loop.now();
-            exchange.forwarder.counters().add(Count.PREFILL_MS, (long) (exchange.readAt - exchange.arrivedAt));
-            exchange.handover.keep(new KvHandle(server, answer.get().handle()));
-            exchange.decode();
+            onPrefilled(response.get());
+        }
+
+        private void onPrefilled(PrefillResponse response) {
+            double ownMs = PrefillDecodePicker.prefillMs(request.unsharedTokens());
+            server.state.recordQueueDelay(request.loop.now(), attempt.elapsedMs() - ownMs);
+            request.recordPrefilled(new KvHandle(server, response.handle()));
+            long sinceArrivalMs = (long) (request.prefilledAt() - request.arrivedAt);
+            request.forwarder.counters().add(Count.PREFILL_MS, sinceArrivalMs);
+            request.startDecode();
         }
 
-        private void rejected() {
-            exchange.turnedAway(server, status);
-            if (free) { // one that is rejected counts
-                exchange.sends++;
-                exchange.chargeLate();
+        private void onRejected() {
+            request.forwarder.serverFeedback().recordRejection(server, status);
+            if (freeOfCharge) {
+                request.allowance.recordAttemptChargedLate();
             }
-            again();
+            retry();
         }
 
         @Override
         public void failed(HttpCall.Failure failure) {
-            patience.cancel();
-            boolean taken = exchange.failed(server, failure);
-            if (!taken) {
+            overdueTimer.cancel();
+            Execution execution =
+                    request.forwarder.serverFeedback().recordFailure(server, request.route.name(), failure);
+            if (execution == Execution.IMPOSSIBLE) {
                 prefills--;
-                exchange.sends -= free ? 0 : 1;
+                if (!freeOfCharge) {
+                    request.allowance.revokeAttempt();
+                }
             }
-            again();
+            retry();
         }
     }
 }
--- a/dataplane/src/main/java/dewplank/dataplane/PrefillResponse.java
+++ b/dataplane/src/main/java/dewplank/dataplane/PrefillResponse.java
@@ -6,7 +6,12 @@
 import com.jsoniter.spi.JsonException;
 import java.util.Optional;
 
-/** A prefill server's answer: where the KV cache of a prompt is kept. */
+/**
+ * A prefill server's answer: the handle under which it stores the prompt's KV cache.
+ *
+ * @param handle printable ASCII without a slash; not empty
+ * @param tokens tokens of the prompt
+ */
 record PrefillResponse(String handle, long tokens) {
     /** Empty where the body is not such an answer. */
     static Optional<PrefillResponse> parse(byte[] body) {
@@ -14,10 +19,16 @@
             Any any = JsonIterator.deserialize(body);
             Any named = any.get("context_handle");
             String handle = named.valueType() == ValueType.STRING ? named.toString() : "";
-            boolean usable = !handle.isEmpty() && handle.chars().allMatch(c -> c > ' ' && c < 127 && c != '/');
-            return usable ? Optional.of(new PrefillResponse(handle, any.toLong("token_count"))) : Optional.empty();
-        } catch (JsonException | ArrayIndexOutOfBoundsException e) {
+            return isUsable(handle)
+                    ? Optional.of(new PrefillResponse(handle, any.toLong("token_count")))
+                    : Optional.empty();
+        } catch (JsonException | ArrayIndexOutOfBoundsException e) { // the parser runs over the end of cut-off bodies
             return Optional.empty();
         }
     }
+
+    /** It becomes a part of a path and of a header field. */
+    private static boolean isUsable(String handle) {
+        return !handle.isEmpty() && handle.chars().allMatch(c -> c > ' ' && c < 127 && c != '/');
+    }
 }
--- a/dataplane/src/main/java/dewplank/dataplane/ServerAttempt.java
+++ b/dataplane/src/main/java/dewplank/dataplane/ServerAttempt.java
@@ -6,43 +6,48 @@
 import dewplank.routing.TrackedServer;
 import java.nio.ByteBuffer;
 
-/** A call to a server that counts as load there from its start to its end, however it ends. */
+/**
+ * One attempt of a request at a server, which counts as load there from its start to its end, however it ends. Made by
+ * an {@link AttemptFactory}; started once; on the event loop's thread only.
+ */
 final class ServerAttempt {
     private final Server server;
-    private final long tokens;
+    private final long prefillTokens;
     private final EventLoop loop;
     private final Counters counters;
     private final HttpCall call;
-    private TrackedServer.InFlightRequest flight;
+    /** Null before the start and after the end. */
+    private TrackedServer.InFlightRequest inFlight;
+
     private double startedAt;
 
     ServerAttempt(
             EventLoop loop,
             Server server,
-            long tokens,
+            long prefillTokens,
             ByteBuffer message,
             Counters counters,
             HttpCall.Listener listener) {
         this.counters = counters;
         this.loop = loop;
         this.server = server;
-        this.tokens = tokens;
-        this.call = new HttpCall(loop, server.address, server.pool, message, new Counting(listener));
+        this.prefillTokens = prefillTokens;
+        this.call = new HttpCall(loop, server.address, server.pool, message, new LoadReleasingListener(listener));
     }
 
-    /** The call shares its connection with no other one. */
-    void alone() {
+    /** The attempt gets a connection that carries no other call, before or after. */
+    void useDedicatedConnection() {
         call.exclusive();
     }
 
     /** The request is a HEAD. */
-    void expectHead() {
+    void expectNoBody() {
         call.expectHead();
     }
 
     void start(double connectTimeoutMs) {
         startedAt = loop.now();
-        flight = server.state.requestStarted(startedAt, tokens);
+        inFlight = server.state.requestStarted(startedAt, prefillTokens);
         call.start(connectTimeoutMs);
         if (!call.isReused()) {
             counters.add(Counters.Count.CONNECTIONS);
@@ -53,7 +58,7 @@
         return server;
     }
 
-    boolean over() {
+    boolean isOver() {
         return call.isOver();
     }
 
@@ -61,38 +66,39 @@
      * Whether the server may have read of the request, so that it may run: a server may begin before it has read a long
      * body.
      */
-    boolean mayBeRead() {
+    boolean mayHaveReachedServer() {
         return call.isConnected();
     }
 
-    /** The prompt has been read: its tokens weigh on the server no more. */
-    void promptRead() {
-        if (flight != null) {
-            server.state.promptPrefilled(flight);
+    /** The prompt has been prefilled: its tokens weigh on the server no more. */
+    void recordPromptPrefilled() {
+        if (inFlight != null) {
+            server.state.promptPrefilled(inFlight);
         }
     }
 
     /** Milliseconds since the start. */
-    double took() {
+    double elapsedMs() {
         return loop.now() - startedAt;
     }
 
     void cancel() {
         call.cancel();
-        release();
+        releaseLoad();
     }
 
-    private void release() {
-        if (flight != null) {
-            server.state.requestEnded(flight);
-            flight = null;
+    private void releaseLoad() {
+        if (inFlight != null) {
+            server.state.requestEnded(inFlight);
+            inFlight = null;
         }
     }
 
-    private final class Counting implements HttpCall.Listener {
+    /** Takes the attempt off the server's load before its end is handed on. */
+    private final class LoadReleasingListener implements HttpCall.Listener {
         private final HttpCall.Listener listener;
 
-        Counting(HttpCall.Listener listener) {
+        LoadReleasingListener(HttpCall.Listener listener) {
             this.listener = listener;
         }
 
@@ -102,19 +108,19 @@
         }
 
         @Override
-        public void body(byte[] piece) {
-            listener.body(piece);
+        public void body(byte[] bytes) {
+            listener.body(bytes);
         }
 
         @Override
         public void complete() {
-            release();
+            releaseLoad();
             listener.complete();
         }
 
         @Override
         public void failed(HttpCall.Failure failure) {
-            release();
+            releaseLoad();
             listener.failed(failure);
         }
     }
--- a/dataplane/src/main/java/dewplank/dataplane/SessionClient.java
+++ b/dataplane/src/main/java/dewplank/dataplane/SessionClient.java
@@ -202,7 +202,7 @@
         }
 
         void dial() {
-            InetSocketAddress to = SocketAddresses.address(address);
+            InetSocketAddress to = SocketAddresses.parse(address);
             connection = transport.open(to, DIAL_TIMEOUT_MS, this);
         }
 
@@ -296,7 +296,7 @@
                 return;
             }
             if (update.endpointList != null) {
-                fleet.listed(update.endpointList);
+                fleet.updateServers(update.endpointList);
             }
             if (update.members != null) {
                 members = update.members;
@@ -308,7 +308,7 @@
         /** One without a quorum does not hear of others' sessions: it is believed only where no other is better. */
         private void tellMembers() {
             if (members != null && (quorate || !anyQuorate())) {
-                fleet.members(members);
+                fleet.updateMembers(members);
             }
         }
 
@@ -319,9 +319,9 @@
             try {
                 byte[] plain = DeflateCodec.inflate(update.configuration, MessageCodec.MAX_BODY_BYTES);
                 if (update.baseVersion == 0) {
-                    fleet.configured(Configuration.parse(plain));
+                    fleet.updateConfiguration(Configuration.parse(plain));
                 } else if (update.baseVersion == fleet.configurationVersion()) {
-                    fleet.configured(ConfigurationDelta.apply(fleet.configuration(), plain));
+                    fleet.updateConfiguration(ConfigurationDelta.apply(fleet.configuration(), plain));
                 } else {
                     return false;
                 }
--- a/dataplane/src/main/java/dewplank/dataplane/UnaryRequest.java
+++ b/dataplane/src/main/java/dewplank/dataplane/UnaryRequest.java
@@ -14,12 +14,18 @@
 import java.io.ByteArrayOutputStream;
 import java.util.List;
 
-/** A request that one server answers whole. */
+/**
+ * A request whose answer is collected from one server and passed on once it is complete. An idempotent one is sent to
+ * another server when its answer is overdue. On the event loop's thread only.
+ */
 final class UnaryRequest extends ProxiedRequest {
     private static final RoutingParameters.Hedging HEDGING = RoutingParameters.DEFAULTS.hedging();
 
-    private ServerAttempt call;
-    private TimerWheel.Timer patience;
+    /** The latest attempt; null before the first. */
+    private ServerAttempt attempt;
+
+    /** Null where the latest attempt has none. */
+    private TimerWheel.Timer overdueTimer;
 
     UnaryRequest(
             Forwarder forwarder,
@@ -32,89 +38,92 @@
     }
 
     @Override
-    void send() {
-        if (over()) {
+    void sendFirstAttempt() {
+        sendToNextServer();
+    }
+
+    private void sendToNextServer() {
+        if (isOver()) {
             return;
         }
-        Server server = choose();
+        Server server = pickServer();
         if (server == null) {
             forwarder.counters().add(Count.NO_SERVER);
         }
-        if (server == null || !takeSend()) {
-            giveUp();
+        if (server == null || !allowance.tryAcquireAttempt()) {
+            reject();
             return;
         }
-        send(server);
+        sendTo(server);
     }
 
-    private void send(Server server) {
-        sends++;
-        call = callTo(server, 0, List.of(), new Answer(server));
-        call.start(forwarder.connectTimeoutMs());
-        if (repeatable() && forwarder.policy().isEnabled(Mechanism.PATIENCE)) {
-            patience = loop.after(HEDGING.plainTargetFactor() * route.targetLatencyMs(), this::overdue);
+    private void sendTo(Server server) {
+        allowance.recordAttempt();
+        attempt = attempts.newAttempt(server, 0, List.of(), new AnswerCollector(server));
+        attempt.start(forwarder.connectTimeoutMs());
+        if (isIdempotent() && forwarder.policy().isEnabled(Mechanism.PATIENCE)) {
+            overdueTimer = loop.after(HEDGING.plainTargetFactor() * route.targetLatencyMs(), this::onOverdue);
         }
     }
 
-    private Server choose() {
+    /** Null where no server may be picked. */
+    private Server pickServer() {
         List<TrackedServer> servers = forwarder.fleet().servers(service.name());
-        ServerPicker.PickArguments query =
-                ServerPicker.PickArguments.byInFlight(servers, this::untried, repeatable() && sends == 0);
-        TrackedServer picked = forwarder.choice().pick(loop.now(), query);
-        if (picked == null) { // none that is new: again at one that was tried
+        boolean allowsTrial = isIdempotent() && allowance.isUnused();
+        TrackedServer picked = forwarder
+                .picker()
+                .pick(loop.now(), ServerPicker.PickArguments.byInFlight(servers, attempts::isUnattempted, allowsTrial));
+        if (picked == null) { // all that are eligible have had the request: one of them once more
             picked = forwarder
-                    .choice()
+                    .picker()
                     .pick(loop.now(), ServerPicker.PickArguments.byInFlight(servers, s -> true, false));
         }
         return picked == null ? null : forwarder.fleet().server(picked);
     }
 
-    private void giveUp() {
-        if (mayHaveRun) {
-            fail(502);
-        } else {
-            refuse();
-        }
-    }
-
-    /** No answer for long: the request may be repeated elsewhere. */
-    private void overdue() {
-        if (over() || call.over()) {
+    /** Sends the request to another server, if there is one that may have it; else the answer is waited for. */
+    private void onOverdue() {
+        if (isOver() || attempt.isOver()) {
             return;
         }
-        Server other = choose();
-        if (other == null || other == call.server() || !takeSend()) { // nobody else may go on: it is waited for
+        Server other = pickServer();
+        if (other == null || other == attempt.server() || !allowance.tryAcquireAttempt()) {
             return;
         }
         forwarder.counters().add(Count.TIMEOUTS);
-        mayHaveRun |= call.mayBeRead();
-        call.cancel();
-        observe(call.server(), false);
-        send(other);
+        recordPossibleRunOf(attempt);
+        attempt.cancel();
+        recordOutcome(attempt.server(), false);
+        sendTo(other);
+    }
+
+    private void cancelOverdueTimer() {
+        if (overdueTimer != null) {
+            overdueTimer.cancel();
+        }
     }
 
     @Override
-    boolean runMayBeUnderWay() {
-        return call != null && !call.over() && call.mayBeRead();
+    boolean hasRunUnderWay() {
+        return attempt != null && !attempt.isOver() && attempt.mayHaveReachedServer();
     }
 
     @Override
-    void cancelCalls() {
-        if (patience != null) {
-            patience.cancel();
-        }
-        if (call != null) {
-            call.cancel();
+    void cancelAttempts() {
+        cancelOverdueTimer();
+        if (attempt != null) {
+            attempt.cancel();
         }
     }
 
-    private final class Answer implements HttpCall.Listener {
+    /** Collects the answer to one attempt. */
+    private final class AnswerCollector implements HttpCall.Listener {
         private final Server server;
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
         private int status;
         private Headers headers;
 
-        Answer(Server server) {
+        AnswerCollector(Server server) {
             this.server = server;
         }
 
@@ -122,53 +131,55 @@
         public boolean head(int answerStatus, Headers answerHeaders) {
             status = answerStatus;
             headers = answerHeaders;
-            return isOwn(answerHeaders);
+            return attempts.isOwnAnswer(answerHeaders);
         }
 
         @Override
-        public void body(byte[] piece) {
-            body.writeBytes(piece);
+        public void body(byte[] bytes) {
+            body.writeBytes(bytes);
         }
 
         @Override
         public void complete() {
-            stopWaiting();
-            if (notRun(status, headers)) {
-                turnedAway(server, status);
-                send();
+            cancelOverdueTimer();
+            AnswerKind kind = AnswerKind.of(status, headers);
+            if (kind == AnswerKind.NOT_EXECUTED) {
+                forwarder.serverFeedback().recordRejection(server, status);
+                sendToNextServer();
                 return;
             }
-            mayHaveRun = true;
-            boolean whole = wholeSuccess(status, headers);
-            observe(server, whole || status >= 300 && status < 500);
-            if (whole || finalFailure(status)) {
-                pass(status, headers.endToEnd(), body.toByteArray());
-            } else if (repeatable() && sends < route.maxAttempts()) {
-                send();
-            } else if (status == 500 || status == 504) {
-                pass(status, headers.endToEnd(), body.toByteArray());
+            recordPossibleRun();
+            recordOutcome(server, kind == AnswerKind.SUCCESS || AnswerKind.isHealthyFailure(status));
+            if (kind == AnswerKind.SUCCESS || kind == AnswerKind.FINAL_FAILURE) {
+                relayAnswer();
+            } else if (isIdempotent() && allowance.allowsAttempt()) {
+                sendToNextServer();
+            } else if (kind == AnswerKind.SERVER_FAILURE) {
+                relayAnswer();
             } else {
                 fail(502);
             }
         }
 
+        private void relayAnswer() {
+            relay(status, headers.endToEnd(), body.toByteArray());
+        }
+
         @Override
         public void failed(HttpCall.Failure failure) {
-            stopWaiting();
-            boolean ran = UnaryRequest.this.failed(server, failure);
-            mayHaveRun |= ran;
-            sends -= ran ? 0 : 1;
-            if (!ran || repeatable()) {
-                send();
+            cancelOverdueTimer();
+            Execution execution = forwarder.serverFeedback().recordFailure(server, route.name(), failure);
+            if (execution == Execution.IMPOSSIBLE) {
+                allowance.revokeAttempt();
+                sendToNextServer();
+                return;
+            }
+            recordPossibleRun();
+            if (isIdempotent()) {
+                sendToNextServer();
             } else {
                 fail(502);
             }
         }
-
-        private void stopWaiting() {
-            if (patience != null) {
-                patience.cancel();
-            }
-        }
     }
 }
--- a/dataplane/src/test/java/dewplank/dataplane/ClientTimeoutsTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/ClientTimeoutsTest.java
@@ -123,7 +123,7 @@
                 .replaceFirst("\"config_version\":[0-9]+", "\"config_version\":99")
                 .replaceFirst("\"max_header_bytes\":[0-9]+", "\"max_header_bytes\":" + maxHeaderBytes);
         Configuration next = Configuration.parse(json.getBytes(StandardCharsets.UTF_8));
-        OnLoop.run(net.loop, () -> net.view.configured(next));
+        OnLoop.run(net.loop, () -> net.view.updateConfiguration(next));
     }
 
     @Test
--- a/dataplane/src/test/java/dewplank/dataplane/FleetMetadataTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/FleetMetadataTest.java
@@ -49,16 +49,18 @@
     void anOlderOrEqualConfigurationChangesNothing() throws Exception {
         FleetMetadata view = net.view;
         OnLoop.run(net.loop, () -> {
-            view.configured(ForwarderFixture.parse(5, 100, route("new", "safe", PLAIN, 1)));
-            view.configured(ForwarderFixture.parse(4, 100, route("old", "safe", PLAIN, 1)));
-            view.configured(ForwarderFixture.parse(5, 100, route("twin", "safe", PLAIN, 1)));
+            view.updateConfiguration(ForwarderFixture.parse(5, 100, route("new", "safe", PLAIN, 1)));
+            view.updateConfiguration(ForwarderFixture.parse(4, 100, route("old", "safe", PLAIN, 1)));
+            view.updateConfiguration(ForwarderFixture.parse(5, 100, route("twin", "safe", PLAIN, 1)));
         });
         assertEquals(5, view.configurationVersion());
         assertEquals("new", view.routes().find(ForwarderFixture.HOST, "/new/").name());
         net.plain();
         assertEquals(404, net.ask("/old/").read().status());
         assertEquals(404, net.ask("/twin/").read().status());
-        OnLoop.run(net.loop, () -> view.configured(ForwarderFixture.parse(9, 100, route("newer", "safe", PLAIN, 1))));
+        OnLoop.run(
+                net.loop,
+                () -> view.updateConfiguration(ForwarderFixture.parse(9, 100, route("newer", "safe", PLAIN, 1))));
         assertEquals(404, net.ask("/new/").read().status());
     }
 
@@ -71,7 +73,7 @@
 
     private List<String> listed(EndpointList list) throws Exception {
         return OnLoop.get(net.loop, () -> {
-            net.view.listed(list);
+            net.view.updateServers(list);
             return net.view.servers(PLAIN).stream()
                     .map(TrackedServer::instanceId)
                     .toList();
@@ -92,11 +94,13 @@
 
     @Test
     void aListOfNoServersIsAList() throws Exception {
-        assertFalse(net.view.complete());
-        OnLoop.run(net.loop, () -> net.view.configured(ForwarderFixture.parse(1, 100, route("r", "safe", PLAIN, 1))));
-        assertFalse(net.view.complete());
+        assertFalse(net.view.isComplete());
+        OnLoop.run(
+                net.loop,
+                () -> net.view.updateConfiguration(ForwarderFixture.parse(1, 100, route("r", "safe", PLAIN, 1))));
+        assertFalse(net.view.isComplete());
         listed(list(1, 1));
-        assertTrue(net.view.complete());
+        assertTrue(net.view.isComplete());
     }
 
     @Test
--- a/dataplane/src/test/java/dewplank/dataplane/ForwarderFixture.java
+++ b/dataplane/src/test/java/dewplank/dataplane/ForwarderFixture.java
@@ -45,9 +45,9 @@
     /** Read in a second: overdue after two and a half, and a silent run of it after three. */
     static final String MEDIUM_PROMPT = prompt("aa:20000,c0:20000");
     /** Enough for any test. */
-    static final Forwarder.RetryLimits AMPLE = new Forwarder.RetryLimits(100, 10_000, 1_000);
+    static final RetryBudgets.Limits AMPLE = new RetryBudgets.Limits(100, 10_000, 1_000);
 
-    static final Forwarder.RetryLimits NONE = new Forwarder.RetryLimits(0, 10_000, 0);
+    static final RetryBudgets.Limits NONE = new RetryBudgets.Limits(0, 10_000, 0);
 
     /** Longer than any test lasts: on a busy machine the usual one would pass before the loop hears of a connection. */
     private static final double CONNECT_TIMEOUT_MS = 20_000;
@@ -69,7 +69,7 @@
         this(AMPLE);
     }
 
-    ForwarderFixture(Forwarder.RetryLimits limits) throws IOException {
+    ForwarderFixture(RetryBudgets.Limits limits) throws IOException {
         SplittableRandom random = new SplittableRandom(7);
         forwarder = new Forwarder(
                 loop,
@@ -80,7 +80,7 @@
                 limits,
                 CONNECT_TIMEOUT_MS);
         front = new Listener(
-                loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 100, forwarder::connection);
+                loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 100, forwarder::newConnection);
         loop.execute(front::accept);
     }
 
@@ -136,7 +136,7 @@
 
     ForwarderFixture routes(int maxBody, String... routes) throws Exception {
         Configuration next = parse(++configurationVersion, maxBody, routes);
-        OnLoop.run(loop, () -> view.configured(next));
+        OnLoop.run(loop, () -> view.updateConfiguration(next));
         return this;
     }
 
@@ -184,7 +184,7 @@
 
     void tell() throws Exception {
         EndpointList next = new EndpointList(new EndpointListVersion(1, ++revision), new ArrayList<>(entries));
-        OnLoop.run(loop, () -> view.listed(next));
+        OnLoop.run(loop, () -> view.updateServers(next));
     }
 
     /** The instance that the list names. */
--- a/dataplane/src/test/java/dewplank/dataplane/GenerationTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/GenerationTest.java
@@ -33,7 +33,7 @@
 class GenerationTest {
     private static final int MOST_TRIES = 20;
     /** Of one request, one repeat: of the ratio four fifths are used. */
-    private static final Forwarder.RetryLimits ONE_REPEAT = new Forwarder.RetryLimits(1.25, 10_000, 0);
+    private static final RetryBudgets.Limits ONE_REPEAT = new RetryBudgets.Limits(1.25, 10_000, 0);
 
     private ForwarderFixture net;
 
@@ -149,7 +149,7 @@
         net.decode();
         Wire client = net.ask("/gen/", PROMPT);
         Call read = net.next();
-        OnLoop.run(net.loop, net.forwarder::endAll);
+        OnLoop.run(net.loop, net.forwarder::terminateAll);
         assertEquals(503, client.read().status());
         read.wire().awaitEnd();
         net.assertQuiet();
--- a/dataplane/src/test/java/dewplank/dataplane/PlainRouteTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/PlainRouteTest.java
@@ -513,7 +513,7 @@
     /** The part that goes by own requests: none of the slack is used before it is known how many share it. */
     @Test
     void theBudgetBoundsTheRepeats() throws Exception {
-        try (ForwarderFixture scarce = new ForwarderFixture(new Forwarder.RetryLimits(0.5, 600_000, 5))) {
+        try (ForwarderFixture scarce = new ForwarderFixture(new RetryBudgets.Limits(0.5, 600_000, 5))) {
             scarce.routes(route("safe", "safe", PLAIN, 2));
             scarce.plain();
             scarce.plain();
@@ -538,15 +538,15 @@
     /** The slack is the fleet's: a sidecar that has just been told of others may be told of more in a moment. */
     @Test
     void noSlackIsUsedBeforeTheFleetsSizeHasSettled() throws Exception {
-        try (ForwarderFixture alone = new ForwarderFixture(new Forwarder.RetryLimits(0, 600_000, 1_000))) {
+        try (ForwarderFixture alone = new ForwarderFixture(new RetryBudgets.Limits(0, 600_000, 1_000))) {
             alone.routes(route("safe", "safe", PLAIN, 2));
             alone.plain();
             alone.plain();
             Member peer = new Member("edge-1", Member.DATA, "127.0.0.1:1", ForwarderFixture.ZONE, 1);
             for (List<Member> told : List.of(List.<Member>of(), List.of(peer))) {
                 OnLoop.run(alone.loop, () -> {
-                    alone.view.members(told);
-                    alone.forwarder.fleetChanged();
+                    alone.view.updateMembers(told);
+                    alone.forwarder.onFleetChanged();
                 });
                 Wire client = alone.ask("/safe/");
                 answer(alone.next(), "500 Internal Server Error", SEAL, "");
@@ -764,14 +764,14 @@
         try (ForwarderFixture unready = new ForwarderFixture()) {
             Wire held = unready.ask("/once/");
             OnLoop.await(unready.loop, () -> unready.forwarder.openRequests() == 1);
-            OnLoop.run(unready.loop, unready.forwarder::endAll);
+            OnLoop.run(unready.loop, unready.forwarder::terminateAll);
             assertEquals(503, held.read().status());
             unready.assertQuiet();
         }
         net.plain();
         Wire client = net.ask("/once/");
         Call call = net.next();
-        OnLoop.run(net.loop, net.forwarder::endAll);
+        OnLoop.run(net.loop, net.forwarder::terminateAll);
         assertEquals(502, client.read().status());
         call.wire().awaitEnd();
         net.assertQuiet();
--- a/dataplane/src/test/java/dewplank/dataplane/SessionClientTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/SessionClientTest.java
@@ -133,7 +133,7 @@
         assertEquals("r", view.routes().find(ForwarderFixture.HOST, "/r/").name());
         assertEquals(1, OnLoop.get(loop, () -> view.servers(PLAIN).size()));
         assertEquals(members, view.members());
-        assertTrue(view.complete());
+        assertTrue(view.isComplete());
         assertEquals(1, changes.get());
     }
 
@@ -145,7 +145,7 @@
         session.send(whole(configuration(7, route("r", "safe", PLAIN, 1))));
         session.questionHolding(7);
         session.send(new FleetUpdate(null, 0, 0, new EndpointList(new EndpointListVersion(1, 1), List.of()), null));
-        OnLoop.await(loop, view::complete);
+        OnLoop.await(loop, view::isComplete);
         session.send(new FleetUpdate(null, 0, 0, null, List.of(SELF)));
         OnLoop.await(loop, () -> view.members().size() == 1);
         assertEquals(7, view.configurationVersion());
@@ -227,7 +227,7 @@
         slow.send(whole(first));
         slow.send(new FleetUpdate(
                 new byte[] {1, 2, 3}, 8, 0, new EndpointList(new EndpointListVersion(1, 1), List.of()), null));
-        OnLoop.await(loop, view::complete); // so all before it was looked at
+        OnLoop.await(loop, view::isComplete); // so all before it was looked at
         assertEquals(8, view.configurationVersion());
         assertEquals("b", view.routes().find(ForwarderFixture.HOST, "/b/").name());
         assertFalse(slow.isEnded());
@@ -398,7 +398,7 @@
         old.question();
         old.question();
         assertEquals(0, OnLoop.get(loop, view::configurationVersion));
-        assertFalse(OnLoop.get(loop, view::complete));
+        assertFalse(OnLoop.get(loop, view::isComplete));
         FakeControlPlane fresh = control();
         OnLoop.run(loop, () -> client.seeds(List.of(fresh.address())));
         Session session = fresh.session();
@@ -444,7 +444,7 @@
         cutOff.question();
         cutOff.send(
                 new FleetUpdate(null, 0, 0, new EndpointList(new EndpointListVersion(1, 1), List.of()), List.of(SELF)));
-        OnLoop.await(loop, view::complete); // so its members were looked at
+        OnLoop.await(loop, view::isComplete); // so its members were looked at
         assertEquals(2, view.members().size());
         good.reset();
         OnLoop.await(loop, () -> view.members().size() == 1);
--- a/simulation/src/test/java/dewplank/dataplane/DataProcess.java
+++ b/simulation/src/test/java/dewplank/dataplane/DataProcess.java
@@ -63,6 +63,6 @@
 
     /** Whether requests could be served. */
     public boolean complete() {
-        return fleet.complete();
+        return fleet.isComplete();
     }
 }
