--- a/settings/src/main/java/dewplank/settings/Addresses.java
+++ b/settings/src/main/java/dewplank/settings/Addresses.java
@@ -4,10 +4,15 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Reads {@code host:port}, the host as a literal address: there is no DNS beside a sidecar. */
+/** Parses {@code host:port} with a literal IP address as host: there is no DNS beside a proxy. */
 public final class Addresses {
     private Addresses() {}
 
+    /**
+     * Parses the address under a key.
+     *
+     * @throws InvalidInputException if it is missing or malformed; the message names the key
+     */
     public static InetSocketAddress parse(Fields fields, String key) {
         String text = fields.text(key);
         int colon = text.lastIndexOf(':');
@@ -18,7 +23,7 @@
                 return new InetSocketAddress(InetAddress.getByName(host), port);
             }
         } catch (NumberFormatException | UnknownHostException e) {
-            // named below, as any other malformed address
+            // reported below like any other malformed address
         }
         throw fields.outOfRange(key, "an address and a port, such as 10.0.0.4:5000");
     }
--- a/settings/src/main/java/dewplank/settings/FileWatch.java
+++ b/settings/src/main/java/dewplank/settings/FileWatch.java
@@ -7,12 +7,12 @@
 import java.nio.file.attribute.FileTime;
 
 /**
- * Tells by a file's attributes that it has to be read again, for programs whose file may change without a word.
- * The caller says when to look, at a coarse and even pace; a look is one call to the system. A change is told once
- * the file has been the same for two looks in a row, so that one that is being written is not read halfway.
+ * Detects by a file's attributes that it has changed, for programs that get no signal when it does.
  *
- * <p>Its time, its size and which file it is count, each by being other than before: a file put back may well be older.
- * Links are followed. A file that is missing, or is no plain one (a pipe, say), is never a change.
+ * <p>The caller polls at a coarse, even interval; a poll is one system call. A change is reported once two polls in a
+ * row saw the same attributes, so that a file being written is not read halfway. Modification time, size and file key
+ * are compared for difference, not order: a file that was put back may be older. Links are followed. A missing file, or
+ * one that is not regular (a pipe), never counts as changed. Confined to one thread; throws nothing.
  */
 public final class FileWatch {
     private record State(FileTime modified, long size, Object key) {}
@@ -21,19 +21,21 @@
     private State readState;
     private State polledState;
 
-    /** What the file is now counts as read: make it first and read the file then, lest a change between be missed. */
+    /**
+     * Takes the file's present state as read. Create the watch before reading the file, or a change between is missed.
+     */
     public FileWatch(Path file) {
         this.file = file;
         markRead();
     }
 
-    /** The file is about to be read on other grounds: what it is now is no change any more. */
+    /** Takes the present state as read, when the file is about to be read for another reason. */
     public void markRead() {
         readState = currentState();
         polledState = readState;
     }
 
-    /** Whether the file has changed since it was read, and is whole by now. It then counts as read. */
+    /** Whether the file has changed since it was read and is stable; if so it counts as read from now on. */
     public boolean pollChanged() {
         State now = currentState();
         boolean isStable = now != null && now.equals(polledState);
@@ -51,7 +53,7 @@
             return attributes.isRegularFile()
                     ? new State(attributes.lastModifiedTime(), attributes.size(), attributes.fileKey())
                     : null;
-        } catch (IOException e) { // missing, or out of reach for now: what was read stays
+        } catch (IOException e) { // missing or unreachable for now: the last state stays
             return null;
         }
     }
--- a/settings/src/main/java/dewplank/settings/NodeSettings.java
+++ b/settings/src/main/java/dewplank/settings/NodeSettings.java
@@ -10,17 +10,26 @@
 import java.util.Map;
 
 /**
- * The settings file of a process of the router fleet, read and checked in this one place. Unknown fields are passed
- * over; a field that is missing, of the wrong type or out of range is named in full, with the fault's number.
+ * The settings file of a process of the router fleet, read and checked in this one place.
  *
- * @param address       the machine's IP address
- * @param front         where clients connect; null where the role serves none
- * @param readiness     where readiness is asked for; null where the role serves no clients
- * @param control       where operators call; null where the role serves no control
- * @param internalPorts the first and the last port that is free for the system's own messages
- * @param seeds         control addresses to begin with
- * @param dataDirectory null where the machine has no disk
- * @param counted       whether the machine's loss is counted
+ * <p>Unknown fields are ignored. A field that is missing, of the wrong type or out of range is named by its full key in
+ * an {@link InvalidInputException} with the error's number. The keys are those of the operators' deploy page; times are
+ * converted to milliseconds, sizes to bytes.
+ *
+ * @param nodeName the machine's name
+ * @param address the machine's IPv4 address
+ * @param zone the machine's zone
+ * @param front where clients connect; null if the role serves none
+ * @param readiness where readiness is polled; null if the role serves no clients
+ * @param control where operators call; null if the role serves no control plane
+ * @param internalPorts the first and the last port free for messages between own processes
+ * @param seeds control addresses to begin with
+ * @param initialStart whether the whole system starts for the first time, with empty disks
+ * @param dataDirectory the folder on the machine's disk; null if it has none
+ * @param resources what the process may use
+ * @param bounds bounds of the operators' rules
+ * @param platform the platform's list of servers
+ * @param counted whether the machine's loss is counted
  */
 public record NodeSettings(
         String nodeName,
@@ -43,7 +52,7 @@
     /** What the process may use. */
     public record Resources(int fileDescriptors, long diskBytes) {}
 
-    /** Bounds of the operators' rules. Times in milliseconds. */
+    /** Bounds of the operators' rules, by the names of the settings file. Times in milliseconds. */
     public record Bounds(
             double drainMs,
             double graceMs,
@@ -62,17 +71,21 @@
     /** Where the file gives no {@code catch_up_s}: the shortest time that any deployment has given so far. */
     private static final double DEFAULT_CATCH_UP_S = 4;
 
+    private static final double DEFAULT_LEASE_MS = 3_000;
+    private static final double DEFAULT_ACK_MS = 4_000;
     private static final int MAX_PORT = 65_535;
+    private static final int MS_PER_S = 1_000;
     private static final int BYTES_PER_MB = 1024 * 1024;
     private static final int DECIMAL_RADIX = 10;
     private static final int IP_OCTETS = 4;
     private static final int MAX_IP_OCTET = 255;
 
-    /** Reads the file that the environment names. */
+    /** Reads the file that {@link #VARIABLE} names. */
     public static NodeSettings fromEnvironment(Map<String, String> environment) {
         return read(path(environment));
     }
 
+    /** The path of the settings file. */
     public static Path path(Map<String, String> environment) {
         String path = environment.get(VARIABLE);
         if (path == null || path.isEmpty()) {
@@ -82,6 +95,7 @@
         return Path.of(path);
     }
 
+    /** Reads a file. */
     public static NodeSettings read(Path path) {
         try {
             return parse(Files.readString(path, StandardCharsets.UTF_8));
@@ -91,6 +105,7 @@
         }
     }
 
+    /** Parses the text of a settings file. */
     public static NodeSettings parse(String text) {
         try {
             return parsed(text);
@@ -100,35 +115,38 @@
     }
 
     private static NodeSettings parsed(String text) {
-        Fields f = new Fields(Json.object(text), "");
-        Fields listen = f.requireObject("listen_addresses");
-        Fields limits = f.requireObject("limits");
+        Fields fields = new Fields(Json.object(text), "");
+        Fields listen = fields.requireObject("listen_addresses");
+        Fields limits = fields.requireObject("limits");
         return new NodeSettings(
-                f.text("node_name"),
-                ip(f),
-                f.text("zone"),
+                fields.text("node_name"),
+                ip(fields),
+                fields.text("zone"),
                 address(listen, "front"),
                 address(listen, "readiness"),
                 address(listen, "control"),
-                ports(f),
-                seeds(f),
-                f.flag("initial_start"),
-                f.flag("loss_counted", false),
-                directory(f),
+                ports(fields),
+                seeds(fields),
+                fields.flag("initial_start"),
+                fields.flag("loss_counted", false),
+                directory(fields),
                 new Resources((int) limits.atLeast("max_file_descriptors", 1), (long)
                         (limits.atLeast("disk_mb", 0, 0) * BYTES_PER_MB)),
-                bounds(f.requireObject("bounds")),
-                platform(f.requireObject("platform_api")));
+                bounds(fields.requireObject("bounds")),
+                platform(fields.requireObject("platform_api")));
     }
 
-    /** These settings, which have all that a data plane needs. */
+    /** Checks that the keys are there that a data plane needs. */
     public NodeSettings requireDataPlaneKeys() {
         require(front, "listen_addresses.front", "clients connect there");
         require(readiness, "listen_addresses.readiness", "the platform asks there whether clients may come");
         return this;
     }
 
-    /** These settings, which have all that a control plane needs; without a disk, where none need be, it is a relay. */
+    /**
+     * Checks that the keys are there that a control plane needs. One without a disk, where the loss is not counted, is
+     * a relay.
+     */
     public NodeSettings requireControlPlaneKeys() {
         require(control, "listen_addresses.control", "operators call there");
         if (lossCounted) {
@@ -143,26 +161,26 @@
         }
     }
 
-    /** Other processes dial the address as it stands here: they look no name up. */
-    private static String ip(Fields f) {
-        String text = f.text("ip_address");
-        int parts = 1;
-        int value = -1; // of the part so far; below 0 where it has no digit yet
-        boolean right = true;
+    /** The address, checked by hand: other processes dial it as it is, and nothing here may look a name up. */
+    private static String ip(Fields fields) {
+        String text = fields.text("ip_address");
+        int octets = 1;
+        int value = -1; // of the octet so far; below 0 before its first digit
+        boolean isValid = true;
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
             if (c == '.') {
-                right &= value >= 0;
-                parts++;
+                isValid &= value >= 0;
+                octets++;
                 value = -1;
             } else {
-                right &= c >= '0' && c <= '9';
+                isValid &= c >= '0' && c <= '9';
                 value = Math.max(0, value) * DECIMAL_RADIX + c - '0';
-                right &= value <= MAX_IP_OCTET;
+                isValid &= value <= MAX_IP_OCTET;
             }
         }
-        if (!right || value < 0 || parts != IP_OCTETS) {
-            throw f.outOfRange("ip_address", "an IPv4 address, such as 10.0.0.4");
+        if (!isValid || value < 0 || octets != IP_OCTETS) {
+            throw fields.outOfRange("ip_address", "an IPv4 address, such as 10.0.0.4");
         }
         return text;
     }
@@ -171,18 +189,18 @@
         return fields.text(key, "").isEmpty() ? null : Addresses.parse(fields, key);
     }
 
-    private static int[] ports(Fields f) {
-        Fields range = f.elements("internal_port_range");
+    private static int[] ports(Fields fields) {
+        Fields range = fields.elements("internal_port_range");
         long first = range.integer("internal_port_range[0]");
         long last = range.integer("internal_port_range[1]");
         if (first < 1 || last > MAX_PORT || last <= first) {
-            throw f.outOfRange("internal_port_range", "two ports, the second one higher");
+            throw fields.outOfRange("internal_port_range", "two ports, the second one higher");
         }
         return new int[] {(int) first, (int) last};
     }
 
-    private static List<InetSocketAddress> seeds(Fields f) {
-        Fields elements = f.elements("seed_nodes");
+    private static List<InetSocketAddress> seeds(Fields fields) {
+        Fields elements = fields.elements("seed_nodes");
         List<InetSocketAddress> seeds = new ArrayList<>();
         for (String key : elements.keys()) {
             seeds.add(Addresses.parse(elements, key));
@@ -190,30 +208,31 @@
         return seeds;
     }
 
-    private static Path directory(Fields f) {
-        String text = f.text("data_directory", "");
+    private static Path directory(Fields fields) {
+        String text = fields.text("data_directory", "");
         try {
             return text.isEmpty() ? null : Path.of(text);
         } catch (IllegalArgumentException e) {
-            throw f.outOfRange("data_directory", "a folder's path");
+            throw fields.outOfRange("data_directory", "a folder's path");
         }
     }
 
-    private static Bounds bounds(Fields f) {
+    private static Bounds bounds(Fields fields) {
         return new Bounds(
-                f.positive("drain_ms"),
-                f.positive("grace_s") * 1000,
-                f.positive("config_apply_ms"),
-                f.atLeast("retry_budget_ratio", 0),
-                f.positive("budget_window_s") * 1000,
-                f.atLeast("retry_budget_slack", 0),
-                f.atLeast("lease_ms", 0, 3_000),
-                f.positive("contact_ms"),
-                f.atLeast("ack_ms", 0, 4_000),
-                f.atLeast("catch_up_s", 0, DEFAULT_CATCH_UP_S) * 1000);
+                fields.positive("drain_ms"),
+                fields.positive("grace_s") * MS_PER_S,
+                fields.positive("config_apply_ms"),
+                fields.atLeast("retry_budget_ratio", 0),
+                fields.positive("budget_window_s") * MS_PER_S,
+                fields.atLeast("retry_budget_slack", 0),
+                fields.atLeast("lease_ms", 0, DEFAULT_LEASE_MS),
+                fields.positive("contact_ms"),
+                fields.atLeast("ack_ms", 0, DEFAULT_ACK_MS),
+                fields.atLeast("catch_up_s", 0, DEFAULT_CATCH_UP_S) * MS_PER_S);
     }
 
-    private static Platform platform(Fields f) {
-        return new Platform(Addresses.parse(f, "address"), f.positive("rate_per_s"), f.atLeast("max_lag_ms", 0, 0));
+    private static Platform platform(Fields fields) {
+        return new Platform(
+                Addresses.parse(fields, "address"), fields.positive("rate_per_s"), fields.atLeast("max_lag_ms", 0, 0));
     }
 }
--- a/transport/src/main/java/dewplank/exchange/ConnectionPool.java
+++ b/transport/src/main/java/dewplank/exchange/ConnectionPool.java
@@ -9,11 +9,14 @@
 import java.util.Deque;
 import java.util.Iterator;
 
-/** The idle connections to one server, the last used on top. */
+/**
+ * The idle connections to one server, the most recently used first. On the loop's thread only. Connections that the
+ * server closes, or that send bytes while idle, leave the pool by themselves.
+ */
 public final class ConnectionPool {
     /**
-     * A connection rests so long before its next request: a second answer to the last one, which some servers send,
-     * would else be taken for the next one's. Seen 1 to 8 ms after the first.
+     * How long a connection stays idle before it is reused. Some servers send a second answer to the last request, 1 to
+     * 8 ms after the first (seen in plays); it would be taken for the answer to the next one.
      */
     public static final double REUSE_DELAY_MS = 10;
 
@@ -25,14 +28,16 @@
     private final Deque<Idle> idle = new ArrayDeque<>();
     private boolean closed;
 
-    /** A connection is used again that has been idle for so long at the least and at the most. */
+    /** A pool that reuses connections idle for at least {@code reuseDelayMs} and at most {@code maxIdleMs}. */
     public ConnectionPool(Scheduler loop, double reuseDelayMs, double maxIdleMs) {
         this.loop = loop;
         this.reuseDelayMs = reuseDelayMs;
         this.maxIdleMs = maxIdleMs;
     }
 
-    /** An idle connection to that address, or null. Those to an address that the server has left are closed. */
+    /**
+     * Takes an idle connection to that address, or null. Connections to another address, which the server left, close.
+     */
     public Connection take(InetSocketAddress to) {
         closeExpired();
         double reusableIfIdleSince = loop.now() - reuseDelayMs;
@@ -49,7 +54,7 @@
         return null;
     }
 
-    /** Guards against a request that crosses the server's own close, and ends as a reset. */
+    /** Closes connections idle for too long: a request that meets the server's own close ends as a reset. */
     public void closeExpired() {
         double now = loop.now();
         closeIdleBefore(now - maxIdleMs);
@@ -62,17 +67,18 @@
         }
     }
 
-    /** The server has left: what is idle ends, and so does a connection whose last call ends later. */
+    /** Closes the pool, as the server left: idle connections close now, others as they are put back. */
     public void close() {
         closed = true;
         closeIdleBefore(Double.MAX_VALUE);
     }
 
+    /** Puts a connection back. */
     public void put(Connection connection, InetSocketAddress to) {
         put(connection, to, Double.POSITIVE_INFINITY);
     }
 
-    /** Keeps the connection for so many milliseconds at the most: the server has said that it ends it then. */
+    /** Puts a connection back for at most {@code idleMs} milliseconds, as the server stated that it closes it then. */
     public void put(Connection connection, InetSocketAddress to, double idleMs) {
         if (closed) {
             connection.close();
@@ -82,7 +88,7 @@
         idle.addLast(entry);
         connection.setHandler(new Connection.Handler() {
             @Override
-            public void received(ByteBuffer bytes) { // nothing was asked: its next answer could not be trusted
+            public void received(ByteBuffer bytes) { // unsolicited: its next answer could not be trusted
                 bytes.position(bytes.limit());
                 idle.remove(entry);
                 connection.close();
@@ -95,17 +101,19 @@
         });
     }
 
+    /** Idle connections. */
     public int size() {
         return idle.size();
     }
 
+    /** Closes those idle since that time or longer. */
     public void closeIdleBefore(double time) {
         while (!idle.isEmpty() && idle.peekFirst().idleSince() <= time) {
             closeOldest();
         }
     }
 
-    /** Closes the connection that has been idle longest; whether there was one. */
+    /** Closes the connection that is idle for longest; returns whether there was one. */
     public boolean closeOldest() {
         Idle oldest = idle.pollFirst();
         if (oldest != null) {
--- a/transport/src/main/java/dewplank/exchange/HttpCall.java
+++ b/transport/src/main/java/dewplank/exchange/HttpCall.java
@@ -12,11 +12,14 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * One call: a connection, a request, an answer that is handed on as it comes. It ends exactly once, by
- * {@link Listener#complete}, {@link Listener#failed} or {@link #cancel}. On the loop's thread only.
+ * One HTTP call: it takes or opens a connection, writes a request and passes the answer on as it comes.
+ *
+ * <p>It ends exactly once, by {@link Listener#complete}, {@link Listener#failed} or {@link #cancel}. Errors reach the
+ * listener as a {@link Failure}; nothing is thrown. There is no time-out but that of connecting: the user bounds the
+ * rest and cancels. On the loop's thread only.
  */
 public final class HttpCall implements Connection.Handler {
-    /** How a call failed. */
+    /** How a call failed, which decides whether it may be retried. */
     public enum Failure {
         /** No connection came up, in time or at all; nothing was sent. */
         NOT_CONNECTED,
@@ -27,26 +30,28 @@
          * a request, and answer it, before it has read a long body.
          */
         BROKEN,
-        /** What came is no answer. */
+        /** The bytes received are no HTTP/1.1 answer. */
         MALFORMED
     }
 
-    /** Takes the answer. */
+    /** Receives the answer. Called on the loop's thread. */
     public interface Listener {
-        /** The head has come. False: the answer is another call's; it is passed over and the next one waited for. */
+        /** The head arrived. Returns false if it answers another call: it is skipped and the next one is awaited. */
         boolean head(int status, Headers headers);
 
         /** The next bytes of the body. */
         void body(byte[] piece);
 
-        /** The answer is whole. */
+        /** The answer is complete. */
         void complete();
 
+        /** The call failed; nothing more is delivered. */
         void failed(Failure failure);
     }
 
-    private static final double DEFAULT_IDLE_MS = 1_000; // for servers that do not say how long they wait
-    private static final double STATED_IDLE_FACTOR = 0.8; // of the time that a server states
+    private static final double DEFAULT_IDLE_MS = 1_000; // for servers that state no Keep-Alive timeout
+    private static final double STATED_IDLE_FACTOR =
+            0.8; // of the stated timeout: requests must not meet the server's close
     private static final int UNBOUNDED_BODY_BYTES = Integer.MAX_VALUE;
 
     private final EventLoop loop;
@@ -66,6 +71,7 @@
     private boolean exclusive;
     private BooleanSupplier sendCondition = () -> true;
 
+    /** A call to {@code to}; {@code request} is the encoded message, which the call consumes. */
     public HttpCall(EventLoop loop, InetSocketAddress to, ConnectionPool pool, ByteBuffer request, Listener listener) {
         this.loop = loop;
         this.to = to;
@@ -76,21 +82,21 @@
     }
 
     /**
-     * The call gets a connection of its own that carries no other, before or after: for calls whose answers nothing
-     * tells from those of another one. To be said before the start.
+     * Gives the call a connection that carries no other call, before or after: for answers that cannot be told from
+     * those of another call. Before {@link #start} only.
      */
     public HttpCall exclusive() {
         exclusive = true;
         return this;
     }
 
-    /** The request is a HEAD: its answer has no body, whatever its fields say. To be said before the start. */
+    /** Expects the answer to a HEAD, which has no body whatever its fields say. Before {@link #start} only. */
     public HttpCall expectHead() {
         parser.expectHead();
         return this;
     }
 
-    /** Takes an idle connection, or opens one within so many milliseconds. */
+    /** Starts the call on an idle connection, or opens one within {@code connectTimeoutMs}. */
     public void start(double connectTimeoutMs) {
         Connection idle = exclusive ? null : pool.take(to);
         if (idle != null) {
@@ -103,7 +109,7 @@
         connecting = Connection.open(loop, to, this, this::up, e -> fail(Failure.NOT_CONNECTED));
     }
 
-    /** Asked when the connection is there, immediately before the request is written: whether it still may be. */
+    /** Sets a condition that is checked once connected, immediately before the request is written. */
     public HttpCall sendOnlyIf(BooleanSupplier condition) {
         sendCondition = condition;
         return this;
@@ -122,29 +128,30 @@
         established.write(request, () -> {});
     }
 
-    /** Whether the connection had carried another call before. */
+    /** Whether the connection carried another call before. */
     public boolean isReused() {
         return isReused;
     }
 
-    /** Whether a connection is there; before, nothing can have been sent, and from then on the server may read. */
+    /** Whether it is connected: nothing can have been sent before, and the server may read from then on. */
     public boolean isConnected() {
         return connection != null;
     }
 
-    /** Whether the request's last byte has been handed to the system. */
+    /** Whether the system has the request's last byte. */
     public boolean isSent() {
         return connection != null && !request.hasRemaining();
     }
 
     /**
-     * Whether any byte of the request has been handed to the system. Exact once the connection is closed, as closing
-     * waits for a write in progress.
+     * Whether the system has any byte of the request. Exact once the connection is closed, as closing waits for a write
+     * in progress.
      */
     private boolean hasBegunSending() {
         return request.position() > requestStart;
     }
 
+    /** Whether it completed, failed or was cancelled. */
     public boolean isOver() {
         return isOver;
     }
@@ -233,7 +240,7 @@
         }
     }
 
-    /** Ends the call; the listener hears nothing more. The server sees its connection close. */
+    /** Cancels the call: the listener is not called any more, and the connection closes. */
     public void cancel() {
         if (!isOver) {
             isOver = true;
--- a/transport/src/main/java/dewplank/exchange/InboundConnection.java
+++ b/transport/src/main/java/dewplank/exchange/InboundConnection.java
@@ -13,7 +13,12 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** A caller's HTTP connection: requests in, one at a time, and their answers out, whole or as a stream. */
+/**
+ * A caller's HTTP connection: requests in, one at a time, and their answers out, complete or as a stream.
+ *
+ * <p>Malformed requests are answered here and end the connection; a handler's exception is logged and answered 500. On
+ * the loop's thread only.
+ */
 public final class InboundConnection implements Listener.Accepted, Responder {
     private static final System.Logger LOG = System.getLogger(InboundConnection.class.getName());
     private static final byte[] CRLF = {'\r', '\n'};
@@ -22,32 +27,34 @@
     private static final int NO_CONTENT = 204;
     private static final int NOT_MODIFIED = 304;
 
-    /** Whoever serves the requests of a listener. */
+    /** Serves the requests of a listener. Called on the loop's thread. */
     public interface Service {
+        /** Handles a request; the answer may be given later. */
         void handle(Request request, InboundConnection connection);
 
-        /** The caller has gone, or its request was malformed: the request that was handed over is not answered any more. */
+        /** The caller closed, or sent malformed bytes: the request handed over is not answered any more. */
         void callerGone(InboundConnection connection);
 
         /** The connection has ended. */
         default void connectionEnded(InboundConnection connection) {}
 
-        /** Whether answers are to be the last of their connections. */
+        /** Whether each answer is the last of its connection, as the process is draining. */
         default boolean isClosing() {
             return false;
         }
 
+        /** Bound on a request's body, in bytes. */
         default int maxBodyBytes() {
             return 64 * 1024;
         }
 
-        /** Of a request's first line and fields together. */
+        /** Bound on a request's first line and fields together, in bytes. */
         default int maxHeadBytes() {
             return MessageParser.MAX_HEAD_BYTES;
         }
     }
 
-    /** A whole request. */
+    /** A complete request. */
     public record Request(String method, String target, Headers headers, byte[] body) {}
 
     private final EventLoop loop;
@@ -55,7 +62,7 @@
     private final RequestParser parser;
     private Connection connection;
     private boolean isBusy;
-    private Request pendingRequest; // whole, and not handed over yet
+    private Request pendingRequest; // complete, not handed over yet
     private boolean handedOver;
     private boolean keepAlive;
     private boolean headOnly; // the request is a HEAD: a body would be taken for the next answer
@@ -101,13 +108,14 @@
         headOnly = parser.method().equals("HEAD");
         Request request = new Request(parser.method(), parser.target(), parser.headers(), parser.takeBody());
         pendingRequest = request;
-        // The caller's end may lie right behind its request. The next read comes after this, and what it finds at once
-        // stands in line by the time the first of these tasks runs: so the second one is behind it.
+        // The caller's close may lie right behind its request. The next read follows this method, and its result is
+        // queued
+        // by the time the first of these tasks runs; so the second task runs after it.
         loop.execute(() -> loop.execute(() -> handOver(request)));
     }
 
     private void handOver(Request request) {
-        if (connection.isClosed() || pendingRequest != request) { // its caller has left, or has had an answer
+        if (connection.isClosed() || pendingRequest != request) { // its caller closed, or was answered
             return;
         }
         pendingRequest = null;
@@ -125,7 +133,7 @@
         reject(new BadMessageException(400, "too much was sent ahead of an answer"));
     }
 
-    /** What follows a malformed request can't be told apart from it, so the connection ends. */
+    /** Answers a malformed request and ends the connection, as the next request's start is unknown. */
     private void reject(BadMessageException e) {
         dropRequest();
         keepAlive = false;
@@ -151,7 +159,7 @@
         service.connectionEnded(this);
     }
 
-    /** Answers the request that was handed over. */
+    /** Answers the request that was handed over; does nothing once the connection is closed. */
     @Override
     public void answer(int status, List<Headers.Field> headers, byte[] body) {
         if (connection.isClosed()) {
@@ -164,16 +172,17 @@
         answerEnded(last);
     }
 
+    /** Answers with a status alone. */
     public void answer(int status) {
         answer(status, List.of(), NO_BODY);
     }
 
-    /** Whether the caller takes the answer to end with its head (RFC 9112, 6.3). */
+    /** Whether the answer ends with its head (RFC 9112, section 6.3). */
     private boolean isWithoutBody(int status) {
         return headOnly || status == NO_CONTENT || status == NOT_MODIFIED;
     }
 
-    /** Begins an answer whose body comes in pieces. */
+    /** Begins an answer whose body follows in parts. */
     public void beginAnswer(int status, List<Headers.Field> headers) {
         if (connection.isClosed()) {
             return;
@@ -190,7 +199,7 @@
                 () -> {});
     }
 
-    /** The next piece of a body that has begun. */
+    /** Writes the next part of a body. */
     public void writePart(byte[] bytes) {
         if (bytes.length > 0 && !answerWithoutBody && !connection.isClosed()) {
             byte[] size = Integer.toHexString(bytes.length).getBytes(StandardCharsets.US_ASCII);
@@ -205,7 +214,7 @@
         }
     }
 
-    /** The body is whole. */
+    /** Ends the body. */
     public void endAnswer() {
         if (!connection.isClosed()) {
             if (!answerWithoutBody) {
@@ -215,7 +224,7 @@
         }
     }
 
-    /** Ends the connection in the middle of an answer: the caller sees that it is not whole. */
+    /** Closes the connection in the middle of an answer, so that the caller sees that it is incomplete. */
     public void abort() {
         handedOver = false;
         connection.close();
@@ -242,6 +251,7 @@
         }
     }
 
+    /** Whether the connection is closed. */
     public boolean isClosed() {
         return connection.isClosed();
     }
@@ -251,34 +261,34 @@
         return isBusy;
     }
 
-    /** Whether part of a request has come. */
+    /** Whether part of a request has arrived. */
     public boolean isHalfRead() {
         return !isBusy && parser.hasBegun();
     }
 
-    /** Whether the head of a request has come, and its body not whole. */
+    /** Whether the head of a request has arrived, and its body is incomplete. */
     public boolean isHeadRead() {
         return isHalfRead() && parser.isHeadRead();
     }
 
-    /** Whether it has had an answer. */
+    /** Whether any request was answered. */
     public boolean hasAnswered() {
         return hasAnswered;
     }
 
-    /** Since when a whole request is waited for: its first byte, or before that the last answer or the beginning. */
+    /** Since when a complete request is awaited: its first byte, else the last answer or the start. */
     public double waitingSince() {
         return waitingSince;
     }
 
-    /** Gives the connection up if a whole request has been waited for longer than that. */
+    /** Times the connection out if a complete request has been awaited for longer than {@code ms}. */
     public void timeOutAfter(double ms) {
         if (!isBusy && loop.now() - waitingSince > ms) {
             timeOut();
         }
     }
 
-    /** No request became whole in time; one that has begun is owed its error. */
+    /** Times the connection out; a request that has begun is answered 408. */
     public void timeOut() {
         if (parser.hasBegun()) {
             reject(new BadMessageException(408, "the request did not become whole in time"));
@@ -288,7 +298,7 @@
         }
     }
 
-    /** Ends the connection if no request is being answered on it, nor half read, unless {@code unread} gives those up. */
+    /** Ends the connection unless a request is being answered or, without {@code unread}, is partly read. */
     public void endIfIdle(boolean unread) {
         if (!isBusy && (unread || !parser.hasBegun())) {
             isBusy = true;
--- a/transport/src/main/java/dewplank/exchange/PathRouter.java
+++ b/transport/src/main/java/dewplank/exchange/PathRouter.java
@@ -7,24 +7,24 @@
 import java.util.Set;
 
 /**
- * A tree of matchers: each node matches one segment of a path, each leaf a method. Built once, then read only.
+ * Finds the handler of a method and path: a trie with a node for each segment. Built once, then only read.
  *
- * @param <H> what is found for a call
+ * @param <H> the type of handlers
  */
 public final class PathRouter<H> {
     private final Map<String, PathRouter<H>> children = new LinkedHashMap<>();
     private final Map<String, H> methods = new LinkedHashMap<>();
     private PathRouter<H> wildcard;
 
-    /** What a call led to: a handler and the segments matched by {@code *}; or none, and the path's methods. */
+    /** A result: the handler, null if there is none; the segments matched by {@code *}; the methods of the path. */
     public record Match<H>(H handler, List<String> parameters, Set<String> methods) {
-        /** Whether the path is one of the tree's. */
+        /** Whether the path has any method. */
         public boolean pathExists() {
             return !methods.isEmpty();
         }
     }
 
-    /** The node below for that segment; {@code *} matches every segment. */
+    /** The child for a segment; {@code *} matches every segment. */
     public PathRouter<H> path(String segment) {
         if (segment.equals("*")) {
             wildcard = wildcard == null ? new PathRouter<>() : wildcard;
@@ -33,12 +33,13 @@
         return children.computeIfAbsent(segment, s -> new PathRouter<>());
     }
 
-    /** The handler for a method at this node. */
+    /** Sets the handler of a method at this node. */
     public PathRouter<H> on(String method, H handler) {
         methods.put(method, handler);
         return this;
     }
 
+    /** Finds the handler; the query of the target is ignored. */
     public Match<H> find(String method, String target) {
         int query = target.indexOf('?');
         String path = query < 0 ? target : target.substring(0, query);
--- a/transport/src/main/java/dewplank/exchange/Responder.java
+++ b/transport/src/main/java/dewplank/exchange/Responder.java
@@ -3,8 +3,8 @@
 import dewplank.http.Headers;
 import java.util.List;
 
-/** A caller that waits for the answer to one request. */
+/** Takes the answer to one request. On the loop's thread only. */
 public interface Responder {
-    /** Answers the request that was handed over; nothing where the caller has left. */
+    /** Answers the request; does nothing if the caller closed. */
     void answer(int status, List<Headers.Field> headers, byte[] body);
 }
--- a/transport/src/main/java/dewplank/http/Cookies.java
+++ b/transport/src/main/java/dewplank/http/Cookies.java
@@ -31,7 +31,9 @@
         return found == null || found.isEmpty() ? null : found;
     }
 
-    /** Visible ASCII but comma, semicolon and backslash; the quotes that may stand round a value are part of it here. */
+    /**
+     * Visible ASCII but comma, semicolon and backslash; the quotes that may stand round a value are part of it here.
+     */
     private static boolean allowed(int c) {
         return c > ' ' && c < 0x7f && c != ',' && c != ';' && c != '\\';
     }
--- a/transport/src/main/java/dewplank/net/Connection.java
+++ b/transport/src/main/java/dewplank/net/Connection.java
@@ -12,26 +12,33 @@
 import java.util.function.Consumer;
 
 /**
- * A TCP connection on the loop. A read is always pending, so that a peer that leaves is seen at once; one write
- * is pending at a time, and the rest wait in a queue.
+ * A TCP connection on an {@link EventLoop}.
+ *
+ * <p>A read is always pending, so that a peer that closes is noticed at once. One write is pending at a time; further
+ * ones wait in a queue, which the user has to bound. Every method is called, and every callback runs, on the loop's
+ * thread. Errors of the socket end the connection and reach the {@link Handler}; no method throws them.
  */
 public final class Connection {
     private static final System.Logger LOG = System.getLogger(Connection.class.getName());
     private static final int BUFFER_BYTES = 8 * 1024;
-    /** What a peer may send ahead of its answers: one more message of the longest kind, HTTP's 16 and 64 KiB. */
+    /**
+     * Bytes that a peer may send before its last request is answered: the longest HTTP head and body, 16 and 64 KiB.
+     */
     static final int MAX_READ_AHEAD_BYTES = 80 * 1024;
 
     private static final double LINGER_MS = 1_000;
 
-    /** Whoever uses the connection now. */
+    /** Receives the bytes and the end of a connection. Called on the loop's thread. */
     public interface Handler {
-        /** Bytes have come. What is left unread is offered again with the next bytes, or on {@link #resume}. */
+        /** Consumes bytes; those it leaves are offered again with the next ones, or on {@link #resume}. */
         void received(ByteBuffer bytes);
 
-        /** The peer has ended ({@code null}) or broken the connection. Told once, and not after {@link #close}. */
+        /** The peer closed ({@code null}) or broke the connection. Called once, and not after {@link #close}. */
         void closed(IOException why);
 
-        /** More lies unread than a peer may send ahead: until it is taken nothing is read, the peer's end neither. */
+        /**
+         * The peer exceeded the read-ahead bound. Nothing more is read, nor its end noticed, until bytes are consumed.
+         */
         default void readAheadExceeded() {}
     }
 
@@ -40,8 +47,8 @@
     private final EventLoop loop;
     private final AsynchronousSocketChannel channel;
     private ByteBuffer input = ByteBuffer.allocate(BUFFER_BYTES);
-    private int consumedTo; // the handler has had the bytes up to here
-    private int filledTo; // what lies beyond is a pending read's, and another thread may be filling it
+    private int consumedTo; // the handler has consumed the bytes before this index
+    private int filledTo; // the rest belongs to the pending read, which another thread may be filling
     private boolean hasReadAheadBuffer;
     private final Deque<Write> writes = new ArrayDeque<>();
     private Handler handler;
@@ -61,12 +68,16 @@
         channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
     }
 
-    /** A connection that is not up yet, and how to give it up. */
+    /** A connection attempt under way. */
     public interface Connecting {
+        /** Abandons the attempt; neither of its callbacks is called any more. */
         void cancel();
     }
 
-    /** Opens a connection. Exactly one of {@code up} and {@code failed} is called, later; neither after a cancel. */
+    /**
+     * Opens a connection. Calls exactly one of {@code up} and {@code failed}, never before this returns, and neither
+     * after a cancel. There is no time-out but the system's.
+     */
     public static Connecting open(
             EventLoop loop,
             InetSocketAddress to,
@@ -76,7 +87,7 @@
         return open(loop, null, to, handler, up, failed);
     }
 
-    /** The same from a given address of this machine; null: the system chooses. */
+    /** The same from a local address; null lets the system choose. */
     public static Connecting open(
             EventLoop loop,
             InetAddress from,
@@ -168,20 +179,22 @@
         };
     }
 
+    /** Replaces the handler, from the next event on. */
     public void setHandler(Handler next) {
         handler = next;
     }
 
-    /** Called once when the connection has closed, by whichever side. */
+    /** Sets the task that runs once the connection has closed, whichever side closed it. */
     public void onClosed(Runnable task) {
         onClosed = task;
     }
 
+    /** Whether it has closed; writes are dropped from then on. */
     public boolean isClosed() {
         return closed;
     }
 
-    /** Offers what was left unread again, and reads on. */
+    /** Offers the unread bytes again and continues to read. */
     public void resume() {
         if (!delivering) {
             deliver();
@@ -208,8 +221,8 @@
     }
 
     /**
-     * No read is pending. What lies unread does not keep the next bytes from being read, up to a bound: a client's
-     * leaving would stay unseen behind them, and its request be sent on.
+     * Makes capacity for the next read; none is pending. Unread bytes must not stop reading, up to a bound: behind them
+     * a client's close would stay unnoticed, and its request would still be forwarded.
      */
     private void makeCapacity() {
         int unread = filledTo - consumedTo;
@@ -268,7 +281,7 @@
         }
     }
 
-    /** {@code whenWritten} runs once the last byte is handed over, never after the connection has closed. */
+    /** Queues bytes; {@code onWritten} runs once the system has the last one, never after the connection has closed. */
     public void write(ByteBuffer bytes, Runnable onWritten) {
         if (closed) {
             return;
@@ -301,8 +314,8 @@
     }
 
     /**
-     * Ends the connection once all is written. Guards against the reset that a plain close sends where the peer's
-     * bytes lie unread: it would take the answer with it.
+     * Closes the connection once all is written. A plain close with unread bytes sends a reset, which may destroy an
+     * answer on its way; so the output is shut down first and input is discarded for {@link #LINGER_MS}.
      */
     public void closeGracefully() {
         if (closed || closingGracefully) {
@@ -334,6 +347,7 @@
         handler.closed(why);
     }
 
+    /** Closes the connection at once; queued writes are dropped and the handler is not called. */
     public void close() {
         if (!closed) {
             closed = true;
--- a/transport/src/main/java/dewplank/net/EventLoop.java
+++ b/transport/src/main/java/dewplank/net/EventLoop.java
@@ -7,16 +7,19 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The one thread that owns all state: completion handlers, timers and whatever else is to touch it run there.
- * Its clock counts milliseconds, starts at the Unix time and never goes back.
+ * The single thread that owns the state of a process: completion handlers, timers and submitted tasks run there, one at
+ * a time.
+ *
+ * <p>Its clock counts milliseconds, starts at the Unix time and never goes back. An exception of a task is logged and
+ * ends that task only. {@link #execute} and {@link #stop} may be called from any thread, the rest on the loop's thread
+ * unless said otherwise.
  */
 public final class EventLoop implements Scheduler {
     private static final System.Logger LOG = System.getLogger(EventLoop.class.getName());
     private static final long TICK_MS = 5;
     private static final long STOP_TIMEOUT_MS = 1_000;
     private static final int DISCARD_BUFFER_BYTES = 256 * 1024;
-    private static final int MAX_READ_AHEAD_BUFFERS =
-            50; // buffers for bytes sent ahead: 4 MiB, a sixteenth of the heap
+    private static final int MAX_READ_AHEAD_BUFFERS = 50; // 4 MiB together, a sixteenth of the heap
 
     private final ScheduledThreadPoolExecutor executor;
     private final AsynchronousChannelGroup group;
@@ -42,14 +45,14 @@
         wheel.run(now(), this::runGuarded);
     }
 
-    /** An exception ends neither the loop nor the ticks: a scheduled task that throws is never run again. */
+    /** Stops exceptions here: the executor never runs a periodic task again that threw. */
     private void runGuarded(Runnable task) {
         try {
             if (!isStopping) {
                 task.run();
             }
         } catch (RuntimeException | StackOverflowError | LinkageError e) {
-            LOG.log(System.Logger.Level.ERROR, "a task failed", e);
+            LOG.log(System.Logger.Level.ERROR, "task failed", e);
         }
     }
 
@@ -64,29 +67,30 @@
     }
 
     /**
-     * Runs the task after so long, as exactly as the system's clock allows, instead of at a tick. It can't be cancelled
-     * and costs more than {@link #after}: for load tools and emulators, not for a sidecar.
+     * Runs the task after {@code ms} milliseconds, as exactly as the system's clock allows instead of at a tick. It
+     * cannot be cancelled and costs more than {@link #after}: for load tools and emulators, not for a proxy.
      */
     public void afterExactly(double ms, Runnable task) {
         executor.schedule(() -> runGuarded(task), (long) (ms * 1e6), TimeUnit.NANOSECONDS);
     }
 
-    /** Runs the task on the loop's thread, soon. */
+    /** Runs the task on the loop's thread, soon. Any thread may call it. */
     @Override
     public void execute(Runnable task) {
         executor.execute(() -> runGuarded(task));
     }
 
+    /** Whether the caller runs on the loop's thread. Any thread may call it. */
     public boolean isLoopThread() {
         return Thread.currentThread() == thread;
     }
 
-    /** Where bytes go that nobody will look at: large, so that a peer which never stops sending costs little. */
+    /** Buffer for input that is discarded: large, so that a peer which never stops sending costs few reads. */
     ByteBuffer discardBuffer() {
         return discardBuffer.duplicate();
     }
 
-    /** Whether one more connection may have a buffer for what its peer sends ahead; on this thread only. */
+    /** Reserves one of the read-ahead buffers; false when all are in use. */
     boolean acquireReadAhead() {
         if (readAheadBuffers == MAX_READ_AHEAD_BUFFERS) {
             return false;
@@ -95,6 +99,7 @@
         return true;
     }
 
+    /** Returns a reserved read-ahead buffer. */
     void releaseReadAhead() {
         readAheadBuffers--;
     }
@@ -103,14 +108,16 @@
         return group;
     }
 
-    /** Closes every channel and ends the thread. What the closing stirs up is not looked at any more. */
+    /**
+     * Closes every channel and ends the thread; callbacks caused by the closing are dropped. Any thread may call it.
+     */
     public void stop() {
         isStopping = true;
         try {
             group.shutdownNow();
             group.awaitTermination(STOP_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         } catch (IOException e) {
-            LOG.log(System.Logger.Level.WARNING, "the channel group did not close: {0}", e.getMessage());
+            LOG.log(System.Logger.Level.WARNING, "channel group did not close cause={0}", e.getMessage());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/transport/src/main/java/dewplank/net/Listener.java
+++ b/transport/src/main/java/dewplank/net/Listener.java
@@ -9,7 +9,10 @@
 import java.nio.channels.CompletionHandler;
 import java.util.function.Supplier;
 
-/** Accepts connections, up to a bound on those open at once; further ones wait in the system's queue. */
+/**
+ * Accepts TCP connections on an {@link EventLoop}, up to a bound on those open at once; further ones wait in the
+ * system's backlog. On the loop's thread only. Errors of accepting are logged and retried.
+ */
 public final class Listener implements ServerEndpoint {
     private static final System.Logger LOG = System.getLogger(Listener.class.getName());
     private static final int BACKLOG = 512;
@@ -24,11 +27,19 @@
     private boolean acceptFailing;
     private boolean closed;
 
-    /** The handler of an accepted connection, which it is handed before any bytes. */
+    /** The handler of an accepted connection. */
     public interface Accepted extends Connection.Handler {
+        /** Receives the connection, before any bytes. */
         void accepted(Connection connection);
     }
 
+    /**
+     * Binds; nothing is accepted before {@link #accept}.
+     *
+     * @param maxOpen connections open at once
+     * @param handlers gives the handler of each connection
+     * @throws IOException if the address cannot be bound
+     */
     public Listener(EventLoop loop, InetSocketAddress at, int maxOpen, Supplier<? extends Accepted> handlers)
             throws IOException {
         this.loop = loop;
@@ -39,16 +50,17 @@
         channel.bind(at, BACKLOG);
     }
 
+    /** The address it is bound to. */
     public SocketAddress address() throws IOException {
         return channel.getLocalAddress();
     }
 
-    /** Whether a connection that was accepted has not closed yet: one that is finishing counts. */
+    /** Whether any accepted connection has not closed yet; one that closes gracefully still counts. */
     public boolean hasOpenConnections() {
         return openCount > 0;
     }
 
-    /** Whether no further connection is taken until one closes. */
+    /** Whether the bound is reached, so that none is accepted until one closes. */
     public boolean isFull() {
         return openCount >= maxOpen;
     }
@@ -74,10 +86,10 @@
             public void failed(Throwable e, Void attachment) {
                 loop.execute(() -> {
                     accepting = false;
-                    if (!closed) { // out of descriptors, say: those waiting are served when one is free
+                    if (!closed) { // such as no free descriptor: the backlog is served when one is free
                         LOG.log(
                                 acceptFailing ? System.Logger.Level.DEBUG : System.Logger.Level.WARNING,
-                                "accepting failed: {0}",
+                                "accept failed cause={0}",
                                 e.toString());
                         acceptFailing = true;
                         loop.after(RETRY_MS, Listener.this::accept);
@@ -98,7 +110,7 @@
             });
             handler.accepted(connection);
             connection.read();
-        } catch (IOException e) { // it left before it was looked at
+        } catch (IOException e) { // the peer closed before its options were set
             Connection.closeQuietly(accepted);
         }
     }
--- a/transport/src/main/java/dewplank/net/Scheduler.java
+++ b/transport/src/main/java/dewplank/net/Scheduler.java
@@ -5,18 +5,18 @@
  * time. The event loop is one; virtual time is the other. Times in milliseconds.
  */
 public interface Scheduler {
-    /** A task that waits for its time. */
+    /** A task that is scheduled. */
     interface Timer {
-        /** The task does not run any more; harmless on a timer that has fired. */
+        /** Cancels the task; does nothing on a timer that has fired. */
         void cancel();
     }
 
     /** The steady clock, which never goes back. */
     double now();
 
-    /** Runs the task after so long, or a little later; never earlier. */
+    /** Runs the task after {@code ms} milliseconds or up to a tick later; never earlier. */
     Timer after(double ms, Runnable task);
 
-    /** Runs the task soon, after the one that runs now. */
+    /** Runs the task soon, after the current one. */
     void execute(Runnable task);
 }
--- a/transport/src/main/java/dewplank/net/ServerEndpoint.java
+++ b/transport/src/main/java/dewplank/net/ServerEndpoint.java
@@ -1,10 +1,10 @@
 package dewplank.net;
 
-/** Where connections are taken; bound, and closed to callers until told to accept. */
+/** A bound listening address. Nothing is accepted before {@link #accept}. On the loop's thread only. */
 public interface ServerEndpoint {
-    /** Begins to take connections. */
+    /** Begins to accept connections. */
     void accept();
 
-    /** Takes no further connection; those that are open stay. */
+    /** Stops accepting; open connections stay. */
     void close();
 }
--- a/transport/src/main/java/dewplank/net/TimerWheel.java
+++ b/transport/src/main/java/dewplank/net/TimerWheel.java
@@ -5,8 +5,8 @@
 import java.util.function.Consumer;
 
 /**
- * Timers in coarse ticks. A timer fires in the first tick at or past its time, never before it. Not safe for
- * use from more than one thread.
+ * Timers in coarse ticks: a hashed timing wheel (Varghese and Lauck, SOSP 1987). A timer fires in the first tick at or
+ * past its time, never before it. Confined to one thread.
  */
 public final class TimerWheel {
     private static final int SLOTS = 512;
@@ -15,6 +15,7 @@
     private final List<List<Timer>> slots = new ArrayList<>(SLOTS);
     private long current;
 
+    /** One timer of a wheel. */
     public static final class Timer implements Scheduler.Timer {
         private final long tick;
         private Runnable task;
@@ -24,13 +25,14 @@
             this.task = task;
         }
 
-        /** The task does not run any more; harmless on a timer that has fired. */
+        /** Cancels the task; does nothing on a timer that has fired. */
         @Override
         public void cancel() {
             task = null;
         }
     }
 
+    /** A wheel that begins at {@code now}, both times in milliseconds. */
     public TimerWheel(double now, double tickMs) {
         this.tickMs = tickMs;
         this.current = (long) Math.floor(now / tickMs);
@@ -39,6 +41,7 @@
         }
     }
 
+    /** Adds a task that is due at {@code at}, in milliseconds of the same clock. */
     public Timer add(double at, Runnable task) {
         Timer timer = new Timer(Math.max(current + 1, (long) Math.ceil(at / tickMs)), task);
         slots.get((int) (timer.tick % SLOTS)).add(timer);
@@ -46,8 +49,8 @@
     }
 
     /**
-     * Runs all timers due by {@code now}, in the order of their ticks; after a long stop none is lost. Each is
-     * looked at only when its turn comes: one due in the same call may have cancelled it.
+     * Runs all timers due by {@code now}, in the order of their ticks; after a long pause none is lost. Each is checked
+     * when its turn comes, as an earlier one of the same call may have cancelled it.
      */
     public void run(double now, Consumer<Runnable> runner) {
         List<Timer> due = new ArrayList<>();
--- a/transport/src/test/java/dewplank/exchange/HttpCallTest.java
+++ b/transport/src/test/java/dewplank/exchange/HttpCallTest.java
@@ -476,7 +476,9 @@
         }
     }
 
-    /** All of the request lies in the system: its connection is used again, and what the server reads on is in order. */
+    /**
+     * All of the request lies in the system: its connection is used again, and what the server reads on is in order.
+     */
     @Test
     void aServerThatReadsOnAfterItsAnswerGetsTheRestOfTheBodyAndThenTheNextRequest() throws Exception {
         String body = "y".repeat(FITS_INTO_THE_SYSTEM);
