--- a/dataplane/src/main/java/dewplank/dataplane/DecodePhase.java
+++ b/dataplane/src/main/java/dewplank/dataplane/DecodePhase.java
@@ -8,6 +8,7 @@
 import dewplank.routing.TrackedServer;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 
 /**
  * Has a decode server run a generation, and decides where the request goes when that server rejects it, breaks off or
@@ -79,7 +80,7 @@
         FleetMetadata fleet = request.forwarder.fleet();
         List<TrackedServer> servers = fleet.servers(request.service.name(), TrackedServer.Stage.DECODE);
         boolean allowsTrial = request.isIdempotent() && request.allowance.allowsAttemptAfterNext();
-        TrackedServer picked = request.forwarder
+        Optional<TrackedServer> picked = request.forwarder
                 .prefillDecodePicker()
                 .pickDecodeServer(
                         request.loop.now(),
@@ -89,7 +90,7 @@
                         s -> fleet.server(s).pool.size() > 0,
                         request.attempts::isUnattempted,
                         allowsTrial);
-        return picked == null ? null : fleet.server(picked);
+        return picked.map(fleet::server).orElse(null);
     }
 
     /** Whether another server may continue, or begin, the stream. */
--- a/dataplane/src/main/java/dewplank/dataplane/HealthGossip.java
+++ b/dataplane/src/main/java/dewplank/dataplane/HealthGossip.java
@@ -15,6 +15,7 @@
 import java.util.Comparator;
 import java.util.HashSet;
 import java.util.List;
+import java.util.Optional;
 import java.util.Random;
 import java.util.Set;
 import java.util.stream.Collectors;
@@ -132,10 +133,10 @@
                 continue; // closed, or a peer's refusal of an earlier datagram
             }
             byte[] bytes = java.util.Arrays.copyOf(buffer, packet.getLength());
-            HealthSummary summary = HealthSummary.decode(bytes);
-            if (summary != null) {
+            Optional<HealthSummary> summary = HealthSummary.decode(bytes);
+            if (summary.isPresent()) {
                 String from = packet.getAddress().getHostAddress();
-                loop.execute(() -> votes.recordSummary(loop.now(), from, summary));
+                loop.execute(() -> votes.recordSummary(loop.now(), from, summary.get()));
             }
         }
     }
--- a/dataplane/src/main/java/dewplank/dataplane/PrefillPhase.java
+++ b/dataplane/src/main/java/dewplank/dataplane/PrefillPhase.java
@@ -68,10 +68,10 @@
     private Server pickServer() {
         FleetMetadata fleet = request.forwarder.fleet();
         List<TrackedServer> servers = fleet.servers(request.service.name(), TrackedServer.Stage.PREFILL);
-        TrackedServer picked = request.forwarder
+        Optional<TrackedServer> picked = request.forwarder
                 .prefillDecodePicker()
                 .pickPrefillServer(request.loop.now(), servers, request.prefix, request.attempts::isUnattempted);
-        return picked == null ? null : fleet.server(picked);
+        return picked.map(fleet::server).orElse(null);
     }
 
     /** Short prompts go first: they wait for little, and long ones hardly notice them. */
--- a/dataplane/src/main/java/dewplank/dataplane/UnaryRequest.java
+++ b/dataplane/src/main/java/dewplank/dataplane/UnaryRequest.java
@@ -13,6 +13,7 @@
 import dewplank.routing.TrackedServer;
 import java.io.ByteArrayOutputStream;
 import java.util.List;
+import java.util.Optional;
 
 /**
  * A request whose answer is collected from one server and passed on once it is complete. An idempotent one is sent to
@@ -70,15 +71,15 @@
     private Server pickServer() {
         List<TrackedServer> servers = forwarder.fleet().servers(service.name());
         boolean allowsTrial = isIdempotent() && allowance.isUnused();
-        TrackedServer picked = forwarder
+        Optional<TrackedServer> picked = forwarder
                 .picker()
                 .pick(loop.now(), ServerPicker.PickArguments.byInFlight(servers, attempts::isUnattempted, allowsTrial));
-        if (picked == null) { // all that are eligible have had the request: one of them once more
+        if (picked.isEmpty()) { // all that are eligible have had the request: one of them once more
             picked = forwarder
                     .picker()
                     .pick(loop.now(), ServerPicker.PickArguments.byInFlight(servers, s -> true, false));
         }
-        return picked == null ? null : forwarder.fleet().server(picked);
+        return picked.map(forwarder.fleet()::server).orElse(null);
     }
 
     /** Sends the request to another server, if there is one that may have it; else the answer is waited for. */
--- a/routing/src/main/java/dewplank/routing/EventSplitter.java
+++ b/routing/src/main/java/dewplank/routing/EventSplitter.java
@@ -4,45 +4,53 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Splits a stream of server-sent events at their ends (a blank line), so that a stream which breaks off can be
- * continued
- * behind the last whole event. Bytes pass through unchanged.
+ * Splits a stream of server-sent events (WHATWG HTML, section 9.2) at their ends, so that a stream which breaks off can
+ * be continued behind the last complete event. Bytes pass through unchanged and in order. One for each stream, called
+ * on the event loop; no I/O.
  */
 public final class EventSplitter {
-    /** An unfinished event beyond this is passed on as it is. */
+    /** An incomplete event beyond this is passed on as it is, so that memory stays bounded. */
     static final int MAX_INCOMPLETE_BYTES = 256 * 1024;
+    /** Of a line, what is looked at for its field name and an id. */
+    private static final int MAX_FIELD_CHARS = 64;
 
-    private final ByteArrayOutputStream unfinished = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream incomplete = new ByteArrayOutputStream();
     private String lastEventId;
-    private String unfinishedId;
-    private boolean unfinishedData;
-    private boolean beyondId;
+    private String incompleteId;
+    private boolean incompleteHasData;
+    /** Whether data was passed on behind the last id, which would come twice if the stream were continued there. */
+    private boolean passedBeyondId;
+
+    private final StringBuilder line = new StringBuilder();
     private int lineLength;
     private boolean carriageReturn;
-    private final StringBuilder line = new StringBuilder();
 
-    /** Whole events that the bytes complete, together; empty if there are none. */
+    /**
+     * Takes bytes of the stream, cut anywhere.
+     *
+     * @return the events that they complete, together; empty if there are none
+     */
     public byte[] feed(byte[] bytes) {
-        ByteArrayOutputStream whole = new ByteArrayOutputStream(bytes.length + unfinished.size());
+        ByteArrayOutputStream complete = new ByteArrayOutputStream(bytes.length + incomplete.size());
         int start = 0;
-        for (int i = 0; i < bytes.length; i++) {
-            if (endsEvent(bytes[i])) {
-                unfinished.write(bytes, start, i + 1 - start);
-                start = i + 1;
-                whole.writeBytes(unfinished.toByteArray());
-                unfinished.reset();
+        for (int index = 0; index < bytes.length; index++) {
+            if (endsEvent(bytes[index])) {
+                incomplete.write(bytes, start, index + 1 - start);
+                start = index + 1;
+                complete.writeBytes(incomplete.toByteArray());
+                incomplete.reset();
             }
         }
-        unfinished.write(bytes, start, bytes.length - start);
-        if (unfinished.size() > MAX_INCOMPLETE_BYTES) {
-            beyondId = true;
-            whole.writeBytes(drainIncompleteEvent());
+        incomplete.write(bytes, start, bytes.length - start);
+        if (incomplete.size() > MAX_INCOMPLETE_BYTES) {
+            passedBeyondId = true;
+            complete.writeBytes(drainIncompleteEvent());
         }
-        return whole.toByteArray();
+        return complete.toByteArray();
     }
 
-    private boolean endsEvent(byte b) {
-        if (b == '\n') {
+    private boolean endsEvent(byte next) {
+        if (next == '\n') {
             boolean blank = lineLength == 0 || lineLength == 1 && carriageReturn;
             endLine();
             if (blank) {
@@ -50,73 +58,73 @@
             }
             return blank;
         }
-        carriageReturn = b == '\r';
+        carriageReturn = next == '\r';
         lineLength++;
-        if (line.length() < 64) {
-            line.append((char) (b & 0xFF));
+        if (line.length() < MAX_FIELD_CHARS) {
+            line.append((char) (next & 0xFF));
         }
         return false;
     }
 
     private void endEvent() {
-        if (unfinishedId != null) {
-            lastEventId = unfinishedId;
-            beyondId = false;
+        if (incompleteId != null) {
+            lastEventId = incompleteId;
+            passedBeyondId = false;
         } else {
-            beyondId |= unfinishedData;
+            passedBeyondId |= incompleteHasData;
         }
-        unfinishedId = null;
-        unfinishedData = false;
+        incompleteId = null;
+        incompleteHasData = false;
     }
 
     private void endLine() {
         String text = line.toString();
-        unfinishedData |= text.startsWith("data");
+        incompleteHasData |= text.startsWith("data");
         if (text.startsWith("id:")) {
-            unfinishedId = text.substring("id:".length()).strip();
+            incompleteId = text.substring("id:".length()).strip();
         }
         line.setLength(0);
         lineLength = 0;
         carriageReturn = false;
     }
 
-    /** What has come of an event that is not whole; forgotten by this call. */
+    /** The bytes of an event that is not complete, which are dropped here; for the end of a stream. */
     public byte[] drainIncompleteEvent() {
-        byte[] rest = unfinished.toByteArray();
-        unfinished.reset();
-        return rest;
+        byte[] bytes = incomplete.toByteArray();
+        incomplete.reset();
+        return bytes;
     }
 
-    /** Drops an unfinished event: another server continues the stream. */
+    /** Drops an incomplete event: another server continues the stream behind the last complete one. */
     public void discardIncompleteEvent() {
-        unfinished.reset();
-        unfinishedId = null;
-        unfinishedData = false;
+        incomplete.reset();
+        incompleteId = null;
+        incompleteHasData = false;
         line.setLength(0);
         lineLength = 0;
         carriageReturn = false;
     }
 
-    /** Whether an event has begun and is not whole. */
+    /** Whether an event has begun and is not complete. */
     public boolean isMidEvent() {
-        return unfinished.size() > 0;
+        return incomplete.size() > 0;
     }
 
     /**
-     * Whether the stream can be continued behind {@link #lastEventId} with nothing repeated: no event without an id,
+     * Whether the stream can be continued behind {@link #lastEventId} with nothing sent twice: no event without an id,
      * and no part of one, has been passed on since.
      */
     public boolean isResumable() {
-        return !beyondId;
+        return !passedBeyondId;
     }
 
-    /** The id of the last whole event, as the server wrote it; null before the first. */
+    /** The id of the last complete event, as the server wrote it; null before the first. */
     public String lastEventId() {
         return lastEventId;
     }
 
     @Override
     public String toString() {
-        return "after event " + lastEventId + ", " + new String(unfinished.toByteArray(), StandardCharsets.UTF_8);
+        return "after event " + lastEventId + ", " + new String(incomplete.toByteArray(), StandardCharsets.UTF_8);
     }
 }
--- a/routing/src/main/java/dewplank/routing/FleetSizeEstimator.java
+++ b/routing/src/main/java/dewplank/routing/FleetSizeEstimator.java
@@ -1,56 +1,59 @@
 package dewplank.routing;
 
 /**
- * How many data planes share the budget of repeated sends, never too few: the list of members is short while sessions
- * are opened anew, after a restart of control planes and on each side of a cut, and whoever is missing from it still
- * sends. Times in milliseconds.
+ * How many data planes share a retry budget, rather too many than too few: the membership is short while sessions are
+ * opened anew after a restart of control planes, and on each side of a partition, but who is missing from it goes on
+ * sending. So the largest number of the recent past counts.
+ *
+ * <p>Owned and called by the forwarder, on the event loop. No I/O; time is given with each call, in milliseconds of the
+ * loop's clock.
  */
 public final class FleetSizeEstimator {
     private static final RoutingParameters.FleetSizing SIZING = RoutingParameters.DEFAULTS.fleetSize();
 
     private final double settleMs;
-    private final double rememberedMs;
-    private boolean known;
-    private double knownSince;
+    private final double retainedMs;
+    private boolean hasMembership;
+    private double firstMembershipAtMs;
     private int latest;
     private int largest;
-    private double largestAt;
+    private double largestAtMs;
 
-    /** For a budget over windows of that length. */
+    /** An estimate for a budget over windows of that length. */
     public FleetSizeEstimator(double windowMs) {
         this.settleMs = SIZING.settleFraction() * windowMs;
-        this.rememberedMs = SIZING.retainedWindows() * windowMs;
+        this.retainedMs = SIZING.retainedWindows() * windowMs;
     }
 
-    /** The newest list names so many data planes; an empty one says nothing. */
-    public void recordMembership(double now, int dataPlanes) {
+    /** The newest membership has so many data planes; 0 says nothing and changes nothing. */
+    public void recordMembership(double nowMs, int dataPlanes) {
         if (dataPlanes == 0) {
             return;
         }
-        if (!known) {
-            known = true;
-            knownSince = now;
+        if (!hasMembership) {
+            hasMembership = true;
+            firstMembershipAtMs = nowMs;
         }
-        look(now);
+        refreshLargest(nowMs);
         latest = dataPlanes;
-        look(now);
+        refreshLargest(nowMs);
     }
 
-    /** Whether the number can be relied on: before, no part of what all share may be used. */
-    public boolean isSettled(double now) {
-        return known && now - knownSince >= settleMs;
+    /** Whether the number can be relied on; until then none of the slack may be used. */
+    public boolean isSettled(double nowMs) {
+        return hasMembership && nowMs - firstMembershipAtMs >= settleMs;
     }
 
-    /** The largest number that was told lately. */
-    public int dataPlanes(double now) {
-        look(now);
+    /** The largest number of the recent past; 0 before the first membership. */
+    public int dataPlanes(double nowMs) {
+        refreshLargest(nowMs);
         return largest;
     }
 
-    private void look(double now) {
-        if (latest >= largest || now - largestAt > rememberedMs) {
+    private void refreshLargest(double nowMs) {
+        if (latest >= largest || nowMs - largestAtMs > retainedMs) {
             largest = latest;
-            largestAt = now;
+            largestAtMs = nowMs;
         }
     }
 }
--- a/routing/src/main/java/dewplank/routing/OutcomeWindow.java
+++ b/routing/src/main/java/dewplank/routing/OutcomeWindow.java
@@ -6,82 +6,97 @@
 import java.util.Map;
 
 /**
- * What this data plane has observed of one server, as it judges by it and as it tells its peers. The tests are those of
- * {@link ServerHealth}, which has the weight too; but the number of failures that a verdict needs is the caller's, as
- * where those of the whole fleet are counted.
+ * The outcomes of this data plane's requests to one server within a sliding window, by request class. Written by
+ * {@link ServerPicker#recordOutcome}, read by {@link HealthVotes} and by the sender of health summaries, all on the
+ * event loop. No I/O; time is given with each call, in milliseconds of the loop's clock.
+ *
+ * <p>The tests for an unhealthy server are those of {@link ServerHealth}, which keeps the draw weight too. Only the
+ * least number of failures is given by the caller, as {@link HealthVotes} counts those of the whole fleet.
  */
 public final class OutcomeWindow {
+    private static final RoutingParameters.Ejection EJECTION = RoutingParameters.DEFAULTS.ejection();
 
-    private static final double WINDOW_MS =
-            RoutingParameters.DEFAULTS.ejection().outcomeWindowMs();
-
-    private record Outcome(double at, boolean healthy) {}
+    private record Outcome(double atMs, boolean healthy) {}
 
     private final ServerHealth health = new ServerHealth();
-    private final Map<String, ArrayDeque<Outcome>> contexts = new HashMap<>();
+    private final Map<String, ArrayDeque<Outcome>> outcomesByClass = new HashMap<>();
     private double lastFailureAtMs = Double.NEGATIVE_INFINITY;
 
-    /** Takes the outcome of one request of that context (its class). */
-    public void record(double now, String context, boolean healthy) {
-        health.observe(now, context, healthy);
-        contexts.computeIfAbsent(context, c -> new ArrayDeque<>()).addLast(new Outcome(now, healthy));
-        lastFailureAtMs = healthy ? lastFailureAtMs : now;
+    /**
+     * Takes the outcome of one request.
+     *
+     * @param requestClass the class of the request: the name of its route
+     * @param healthy whether the server did its part
+     */
+    public void record(double nowMs, String requestClass, boolean healthy) {
+        health.observe(nowMs, requestClass, healthy);
+        outcomesByClass
+                .computeIfAbsent(requestClass, name -> new ArrayDeque<>())
+                .addLast(new Outcome(nowMs, healthy));
+        lastFailureAtMs = healthy ? lastFailureAtMs : nowMs;
     }
 
     /**
-     * Whether any context with so many failures or more is unhealthy: by its latest outcome, unless the server served
-     * another context since, or as healthy ones lack a majority.
+     * Whether some class with at least so many failures is unhealthy: because its newest outcome is a failure and the
+     * server served no other class since, or because half of its outcomes or more are failures.
      */
-    boolean isUnhealthy(double now, int floor) {
-        forgetOld(now);
-        for (ArrayDeque<Outcome> window : contexts.values()) {
-            long failures = failureCount(window);
-            Outcome latest = window.peekLast();
-            boolean lastFailed = latest != null && !latest.healthy() && latest.at() > lastSuccessAtMs();
-            if (failures >= floor && (lastFailed || 2 * failures >= window.size())) {
+    boolean isUnhealthy(double nowMs, int minFailures) {
+        evictExpired(nowMs);
+        for (ArrayDeque<Outcome> outcomes : outcomesByClass.values()) {
+            long failures = failures(outcomes);
+            Outcome newest = outcomes.peekLast();
+            boolean newestFailed = newest != null && !newest.healthy() && newest.atMs() > lastSuccessAtMs();
+            if (failures >= minFailures && (newestFailed || 2 * failures >= outcomes.size())) {
                 return true;
             }
         }
         return false;
     }
 
-    /** The same, however few failures there are. */
-    public boolean isSuspect(double now) {
-        return lastFailureAtMs >= now - WINDOW_MS && isUnhealthy(now, 1);
+    /** Whether the server is unhealthy by any number of failures, so that a summary names it as suspected. */
+    public boolean isSuspect(double nowMs) {
+        return lastFailureAtMs >= nowMs - EJECTION.outcomeWindowMs() && isUnhealthy(nowMs, 1);
     }
 
-    /** Requests that failed within the window. */
-    public int failureCount(double now) {
-        forgetOld(now);
-        return (int) contexts.values().stream()
-                .mapToLong(OutcomeWindow::failureCount)
-                .sum();
+    /** Requests of all classes that failed within the window. */
+    public int failureCount(double nowMs) {
+        evictExpired(nowMs);
+        long count = 0;
+        for (ArrayDeque<Outcome> outcomes : outcomesByClass.values()) {
+            count += failures(outcomes);
+        }
+        return (int) count;
     }
 
-    private static long failureCount(ArrayDeque<Outcome> window) {
-        return window.stream().filter(o -> !o.healthy()).count();
+    private static long failures(ArrayDeque<Outcome> outcomes) {
+        long count = 0;
+        for (Outcome outcome : outcomes) {
+            count += outcome.healthy() ? 0 : 1;
+        }
+        return count;
     }
 
-    private void forgetOld(double now) {
-        for (ArrayDeque<Outcome> window : contexts.values()) {
-            while (!window.isEmpty() && window.peekFirst().at() < now - WINDOW_MS) {
-                window.removeFirst();
+    private void evictExpired(double nowMs) {
+        double windowStartMs = nowMs - EJECTION.outcomeWindowMs();
+        for (ArrayDeque<Outcome> outcomes : outcomesByClass.values()) {
+            while (!outcomes.isEmpty() && outcomes.peekFirst().atMs() < windowStartMs) {
+                outcomes.removeFirst();
             }
         }
-        contexts.values().removeIf(ArrayDeque::isEmpty);
+        outcomesByClass.values().removeIf(ArrayDeque::isEmpty);
     }
 
-    /** When a request last failed, or negative infinity. */
+    /** When a request last failed; negative infinity before the first. */
     public double lastFailureAtMs() {
         return lastFailureAtMs;
     }
 
-    /** When a request was last served, or negative infinity. */
+    /** When a request was last served; negative infinity before the first. */
     public double lastSuccessAtMs() {
         return health.lastSuccessAtMs();
     }
 
-    /** The weight in draws, from a floor to 1. */
+    /** The weight in random draws, from a floor up to 1. */
     double weight() {
         return health.weight();
     }
--- a/routing/src/main/java/dewplank/routing/PrefillDecodePicker.java
+++ b/routing/src/main/java/dewplank/routing/PrefillDecodePicker.java
@@ -1,128 +1,140 @@
 package dewplank.routing;
 
 import java.util.List;
+import java.util.Optional;
 import java.util.function.Predicate;
 
 /**
- * Which prefill and which decode server a generation goes to. Parts of its prompt that are shared are likely kept where
- * they were read before, so only the rest counts.
+ * Picks the prefill server and the decode server of a generation. Shared parts of its prompt are likely cached where
+ * they were read before, so a prompt goes to the owner of its prefix unless another server is likely sooner by more
+ * than the cache saves.
+ *
+ * <p>Called by generations for each attempt, on the event loop. No I/O; time is given with each call, in milliseconds
+ * of the loop's clock. Draws are those of the {@link ServerPicker} below.
  *
  * <p>Ruled out by measurement: prompts read by decode servers, which makes the streams there pause. Always up to 250,
- * 800, 2,500 own tokens gave the longer streams 0.88, 0.76, 0.37 of their worth, never 0.91; only where prefill servers
- * are crowded gave 0.60 on a busy day instead of 0.99.
+ * 800, 2,500 uncached tokens gave the longer streams 0.88, 0.76, 0.37 of their value, never 0.91; only where prefill
+ * servers are crowded gave 0.60 on a busy day instead of 0.99.
  */
 public final class PrefillDecodePicker {
-
     private static final RoutingParameters.PrefillLoad PREFILL = RoutingParameters.DEFAULTS.prefillLoad();
     private static final RoutingParameters.DecodeLoad DECODE = RoutingParameters.DEFAULTS.decodeLoad();
 
-    private final ServerPicker choice;
-    private final PrefillQueues lanes = new PrefillQueues();
+    private final ServerPicker picker;
+    private final PrefillQueues queues = new PrefillQueues();
 
-    public PrefillDecodePicker(ServerPicker choice) {
-        this.choice = choice;
+    /** A picker of both servers by another one, with whose policy it decides. */
+    public PrefillDecodePicker(ServerPicker picker) {
+        this.picker = picker;
     }
 
-    /** A prompt came: lengths are learned. */
-    public void recordPrompt(PromptPrefix prefix) {
-        lanes.recordPrompt(prefix.tokens());
+    /** A prompt arrived: lengths are learned from it. To be called once for each, before the picks for it. */
+    public void recordPrompt(PromptPrefix prompt) {
+        queues.recordPrompt(prompt.tokens());
     }
 
-    /** The prefill server: that of the prefix, unless another one is likely sooner by more than it spares. */
-    public TrackedServer pickPrefillServer(
-            double now, List<TrackedServer> all, PromptPrefix prefix, Predicate<TrackedServer> allowed) {
-        boolean split = choice.policy().isEnabled(Mechanism.LANES);
-        List<TrackedServer> servers = split ? lanes.serversFor(all, prefix.tokens()) : all;
-        return choice.pick(
-                now,
+    /**
+     * The prefill server; empty if none may be sent to.
+     *
+     * @param servers all that prefill for the service
+     * @param allowed which of them the request may go to
+     */
+    public Optional<TrackedServer> pickPrefillServer(
+            double nowMs, List<TrackedServer> servers, PromptPrefix prompt, Predicate<TrackedServer> allowed) {
+        boolean splits = picker.policy().isEnabled(Mechanism.LANES);
+        List<TrackedServer> queue = splits ? queues.serversFor(servers, prompt.tokens()) : servers;
+        return picker.pick(
+                nowMs,
                 new ServerPicker.PickArguments(
-                        servers,
+                        queue,
                         allowed,
-                        s -> estimatedPrefillWaitMs(now, s),
-                        home(now, servers, prefix),
-                        PREFILL.cachedPrefixCredit() * prefix.sharedTokens() / PREFILL.tokensPerMs(),
+                        server -> estimatedPrefillWaitMs(nowMs, server),
+                        prefixOwner(nowMs, queue, prompt),
+                        PREFILL.cachedPrefixCredit() * prompt.sharedTokens() / PREFILL.tokensPerMs(),
                         true));
     }
 
-    /** Milliseconds until a prompt sent there now is begun: by own requests, by what others met, or by being stuck. */
-    public double estimatedPrefillWaitMs(double now, TrackedServer s) {
-        double told = choice.policy().isEnabled(Mechanism.QUEUE_MEMORY) ? s.estimatedQueueDelayMs(now) : 0;
-        double queue = Math.max(s.tokensInFlight() / PREFILL.tokensPerMs(), told);
-        double stuck = choice.policy().isEnabled(Mechanism.STUCK)
-                        && s.oldestPrefillWaitMs(now) > PREFILL.stalledAfterMs() + queue
-                ? PREFILL.stalledPenaltyMs()
-                : 0;
-        return queue + stuck;
+    /**
+     * Milliseconds until a prompt that is sent there now is begun: the longer of what this data plane has in flight
+     * there and what others met lately, and a penalty for a stalled server.
+     */
+    public double estimatedPrefillWaitMs(double nowMs, TrackedServer server) {
+        Policy policy = picker.policy();
+        double observedMs = policy.isEnabled(Mechanism.QUEUE_MEMORY) ? server.estimatedQueueDelayMs(nowMs) : 0;
+        double waitMs = Math.max(server.tokensInFlight() / PREFILL.tokensPerMs(), observedMs);
+        boolean stalled = policy.isEnabled(Mechanism.STUCK)
+                && server.oldestPrefillWaitMs(nowMs) > PREFILL.stalledAfterMs() + waitMs;
+        return waitMs + (stalled ? PREFILL.stalledPenaltyMs() : 0);
     }
 
-    /** What a prompt of so many tokens takes by itself. */
+    /** Milliseconds that a prefill server takes for a prompt by itself. */
     public static double prefillMs(long tokens) {
         return tokens / PREFILL.tokensPerMs();
     }
 
-    /** What it takes at a decode server, which prefills at half the pace. */
+    /** Milliseconds that a decode server takes for a prompt, between the tokens of its streams. */
     public static double prefillAtDecodeServerMs(long tokens) {
         return DECODE.prefillSlowdown() * prefillMs(tokens);
     }
 
     /**
-     * The decode server.
+     * The decode server; empty if none may be sent to.
      *
-     * @param zone the zone in which the prompt was read; null: the decode server is to read it
-     * @param connected whether a connection to it rests here, so that none has to be opened
+     * @param servers all that decode for the service
+     * @param prefillZone the zone in which the prompt was read; null if the decode server is to prefill it
+     * @param connected whether an idle connection to a server is there, so that none has to be opened
+     * @param allowed which of them the request may go to
+     * @param allowsTrial whether the request may be the trial of an ejected server
      */
-    public TrackedServer pickDecodeServer(
-            double now,
+    public Optional<TrackedServer> pickDecodeServer(
+            double nowMs,
             List<TrackedServer> servers,
-            PromptPrefix prefix,
-            String zone,
+            PromptPrefix prompt,
+            String prefillZone,
             Predicate<TrackedServer> connected,
             Predicate<TrackedServer> allowed,
-            boolean mayTry) {
-        if (zone == null) {
-            return choice.pick(
-                    now,
-                    new ServerPicker.PickArguments(
-                            servers,
-                            allowed,
-                            s -> load(now, s),
-                            home(now, servers, prefix),
-                            prefix.sharedTokens(),
-                            mayTry));
-        }
-        return choice.pick(
-                now,
-                new ServerPicker.PickArguments(
+            boolean allowsTrial) {
+        ServerPicker.PickArguments arguments = prefillZone == null
+                ? new ServerPicker.PickArguments(
+                        servers,
+                        allowed,
+                        server -> decodeLoadTokens(nowMs, server),
+                        prefixOwner(nowMs, servers, prompt),
+                        prompt.sharedTokens(),
+                        allowsTrial)
+                : new ServerPicker.PickArguments(
                         servers,
                         allowed,
-                        s -> load(now, s)
-                                + (s.zone().equals(zone) ? 0 : awayTokens())
-                                + (connected.test(s) ? 0 : connectTokens()),
+                        server -> decodeLoadTokens(nowMs, server)
+                                + (server.zone().equals(prefillZone) ? 0 : crossZoneTokens())
+                                + (connected.test(server) ? 0 : connectionTokens()),
                         null,
                         0,
-                        mayTry));
+                        allowsTrial);
+        return picker.pick(nowMs, arguments);
     }
 
-    private double connectTokens() {
-        return choice.policy().isEnabled(Mechanism.REUSE) ? DECODE.connectionTokens() : 0;
+    private double connectionTokens() {
+        return picker.policy().isEnabled(Mechanism.REUSE) ? DECODE.connectionTokens() : 0;
     }
 
-    private double awayTokens() {
-        return choice.policy().isEnabled(Mechanism.ZONE) ? DECODE.crossZoneTokens() : 0;
+    private double crossZoneTokens() {
+        return picker.policy().isEnabled(Mechanism.ZONE) ? DECODE.crossZoneTokens() : 0;
     }
 
-    private double load(double now, TrackedServer s) {
-        boolean stuck =
-                choice.policy().isEnabled(Mechanism.STUCK) && s.oldestPrefillWaitMs(now) > PREFILL.stalledAfterMs();
-        return (stuck ? PREFILL.stalledPenaltyMs() * PREFILL.tokensPerMs() : 0)
-                + s.tokensInFlight()
-                + DECODE.requestTokens() * s.inFlight();
+    private double decodeLoadTokens(double nowMs, TrackedServer server) {
+        boolean stalled = picker.policy().isEnabled(Mechanism.STUCK)
+                && server.oldestPrefillWaitMs(nowMs) > PREFILL.stalledAfterMs();
+        return (stalled ? PREFILL.stalledPenaltyMs() * PREFILL.tokensPerMs() : 0)
+                + server.tokensInFlight()
+                + DECODE.requestTokens() * server.inFlight();
     }
 
-    private TrackedServer home(double now, List<TrackedServer> servers, PromptPrefix prefix) {
-        String subject = prefix.affinityKey();
-        return subject == null || !choice.policy().isEnabled(Mechanism.HOMES)
+    /** The eligible server that owns the prompt's shared prefix; null where nothing is shared. */
+    private TrackedServer prefixOwner(double nowMs, List<TrackedServer> servers, PromptPrefix prompt) {
+        String key = prompt.affinityKey();
+        return key == null || !picker.policy().isEnabled(Mechanism.HOMES)
                 ? null
-                : PrefixAffinity.ownerOf(subject, choice.eligibleServers(now, servers));
+                : PrefixAffinity.ownerOf(key, picker.eligibleServers(nowMs, servers));
     }
 }
--- a/routing/src/main/java/dewplank/routing/PromptPrefix.java
+++ b/routing/src/main/java/dewplank/routing/PromptPrefix.java
@@ -4,52 +4,69 @@
 import java.util.List;
 
 /**
- * The parts of a prompt in order, as {@code X-Dewplank-Prompt-Prefix} names them. The last one belongs to the request
- * itself; those before it are shared.
+ * The segments of a prompt in order, as the header {@code X-Dewplank-Prompt-Prefix} names them. The last one belongs to
+ * the request itself; those before it are shared with other requests. Immutable.
+ *
+ * @param segments none where the request has no such header
  */
 public record PromptPrefix(List<Segment> segments) {
-    /** A part and its length in tokens. */
-    public record Segment(String id, long tokens) {}
+    /** A longer chain is cut: what follows hardly changes the pick. */
+    private static final int MAX_SEGMENTS = 64;
 
-    private static final int MOST_PARTS = 64; // a longer chain is cut: what follows hardly changes the choice
+    /**
+     * A segment of a prompt.
+     *
+     * @param id the same wherever the text and all before it are the same
+     * @param tokens its length, 0 where it can't be read
+     */
+    public record Segment(String id, long tokens) {}
 
+    /**
+     * Reads a header such as {@code 5c1e07a2:800,91bd3f06:410}; never fails. A segment without a colon ends the chain.
+     *
+     * @param header its value; null where the request has none
+     */
     public static PromptPrefix parse(String header) {
-        List<Segment> parts = new ArrayList<>();
+        List<Segment> segments = new ArrayList<>();
         if (header != null) {
-            for (String text : header.split(",", MOST_PARTS + 1)) {
+            for (String text : header.split(",", MAX_SEGMENTS + 1)) {
                 int colon = text.indexOf(':');
-                if (colon < 0 || parts.size() == MOST_PARTS) {
+                if (colon < 0 || segments.size() == MAX_SEGMENTS) {
                     break;
                 }
-                parts.add(new Segment(
+                segments.add(new Segment(
                         text.substring(0, colon).strip(),
-                        tokens(text.substring(colon + 1).strip())));
+                        parseTokens(text.substring(colon + 1).strip())));
             }
         }
-        return new PromptPrefix(List.copyOf(parts));
+        return new PromptPrefix(List.copyOf(segments));
     }
 
-    private static long tokens(String text) {
+    private static long parseTokens(String text) {
         try {
             return Math.max(0, Long.parseLong(text));
-        } catch (NumberFormatException e) {
+        } catch (NumberFormatException unreadable) {
             return 0;
         }
     }
 
     /** All tokens of the prompt. */
     public long tokens() {
-        return segments.stream().mapToLong(Segment::tokens).sum();
+        long tokens = 0;
+        for (Segment segment : segments) {
+            tokens += segment.tokens();
+        }
+        return tokens;
     }
 
-    /** Tokens of the parts that are shared with other requests. */
+    /** Tokens of the segments that are shared with other requests. */
     public long sharedTokens() {
         return segments.isEmpty()
                 ? 0
                 : tokens() - segments.get(segments.size() - 1).tokens();
     }
 
-    /** The last shared part, which stands for all before it too; null if nothing is shared. */
+    /** The id of the last shared segment, which stands for all before it too; null where nothing is shared. */
     public String affinityKey() {
         return segments.size() < 2 ? null : segments.get(segments.size() - 2).id();
     }
--- a/routing/src/main/java/dewplank/routing/RoutingParameters.java
+++ b/routing/src/main/java/dewplank/routing/RoutingParameters.java
@@ -20,6 +20,7 @@
  * @param backoff how long a server is left alone
  * @param hedging when a request that is overdue goes to another server
  * @param lastResort until when a decode server may still begin to prefill a prompt
+ * @param stagePlanning how many model servers prefill and how many decode
  */
 public record RoutingParameters(
         PrefillLoad prefillLoad,
@@ -33,7 +34,8 @@
         FleetSizing fleetSize,
         Backoff backoff,
         Hedging hedging,
-        LastResort lastResort) {
+        LastResort lastResort,
+        StagePlanning stagePlanning) {
 
     /**
      * Load of a prefill server, in milliseconds until a prompt is begun there.
@@ -237,6 +239,31 @@
             double prefillFactor,
             double firstEventMs) {}
 
+    /**
+     * The split of model servers between prefill and decode.
+     *
+     * @param minDecodeFraction of the servers that decode in any case, as streams must not wait for one that crashed.
+     *     Source: the first sites; two decode servers instead of three gave 0.55 of 1.00 on a busy day. Half and
+     *     double: not measured
+     * @param maxSlotFraction of the decode servers' slots in use, beyond which one more is wanted. Source: the first
+     *     sites. Half and double: not measured
+     * @param maxMemoryFraction the same of their KV cache. Source: the first sites. Half and double: not measured
+     * @param idleSlotFraction of the slots that would be left, up to which one fewer is enough: lower than the other
+     *     bound, so that servers do not go to and fro. Source: the first sites. Half and double: not measured
+     * @param maxChangingFraction of the servers that may change their stage at once while requests run: a change takes
+     *     a server out for as long as its requests take, and for the switch. Source: the third site, where 63 servers
+     *     one at a time took longer than the load stayed as it was. Half and double: not measured
+     * @param toleratedAbsent decode servers that may be missing for a while: most that crash come back, and a change
+     *     costs prefill time. Source: the first sites. Half and double: not measured
+     */
+    public record StagePlanning(
+            double minDecodeFraction,
+            double maxSlotFraction,
+            double maxMemoryFraction,
+            double idleSlotFraction,
+            double maxChangingFraction,
+            int toleratedAbsent) {}
+
     /** The figures that all programs use. */
     public static final RoutingParameters DEFAULTS = new RoutingParameters(
             new PrefillLoad(38, 2, 150, 400, 400),
@@ -250,5 +277,6 @@
             new FleetSizing(0.3, 6),
             new Backoff(40, 250, 2_000),
             new Hedging(2.5, 300, 2, 700, 2),
-            new LastResort(2_000, 4, 8, 1.5, 150));
+            new LastResort(2_000, 4, 8, 1.5, 150),
+            new StagePlanning(0.25, 0.5, 0.8, 0.25, 0.1, 1));
 }
--- a/routing/src/main/java/dewplank/routing/StagePlanner.java
+++ b/routing/src/main/java/dewplank/routing/StagePlanner.java
@@ -12,24 +12,7 @@
  * what long prompts wait for; decode servers hold many streams at once, and only as many are kept as these need. Pure.
  */
 public final class StagePlanner {
-    /** Decode servers are this part of all at the least: streams must not wait for one that has crashed. */
-    private static final double LEAST_DECODE_SHARE = 0.25;
-    /** Of the places and of the memory of decode servers, beyond which further ones are wanted. */
-    private static final double MOST_PLACES_USED = 0.5;
-
-    private static final double MOST_MEMORY_USED = 0.8;
-    /** Of the places, below which one fewer is enough: lower than the other bound, lest servers go to and fro. */
-    private static final double FEW_PLACES_USED = 0.25;
-
-    /**
-     * Of the servers, those that may be changing their stage at once while requests run: a change takes a server out
-     * for as long as what it runs takes, and for the switch. One at a time, 63 servers took longer than the load
-     * stayed as it was.
-     */
-    private static final double MOST_CHANGING_SHARE = 0.1;
-
-    /** Decode servers that may be missing for a while: most that crash come back, and a change costs prefill time. */
-    private static final int ABSENT_BORNE = 1;
+    private static final RoutingParameters.StagePlanning PLANNING = RoutingParameters.DEFAULTS.stagePlanning();
 
     /** A model server as it reported itself. */
     public record Engine(
@@ -82,7 +65,7 @@
 
     private static long mostChanging(List<Engine> engines) {
         boolean idle = engines.stream().allMatch(e -> e.load() == 0);
-        return idle ? engines.size() : Math.max(1, (long) (MOST_CHANGING_SHARE * engines.size()));
+        return idle ? engines.size() : Math.max(1, (long) (PLANNING.maxChangingFraction() * engines.size()));
     }
 
     private static Optional<Change> next(List<Engine> engines) {
@@ -92,7 +75,7 @@
         List<Engine> decode = engines.stream().filter(e -> !e.prefill()).toList();
         List<Engine> prefill = engines.stream().filter(Engine::prefill).toList();
         int wanted = wantedDecode(engines, decode);
-        boolean lacking = crowded(decode) || decode.size() + ABSENT_BORNE < wanted;
+        boolean lacking = crowded(decode) || decode.size() + PLANNING.toleratedAbsent() < wanted;
         if (decode.size() < wanted && lacking) {
             return prefill.stream()
                     .filter(e -> !e.busy())
@@ -107,7 +90,8 @@
 
     private static int wantedDecode(List<Engine> engines, List<Engine> decode) {
         int zones = (int) engines.stream().map(Engine::zone).distinct().count();
-        int least = Math.max(Math.min(zones, engines.size() / 2), (int) Math.ceil(LEAST_DECODE_SHARE * engines.size()));
+        int least = Math.max(
+                Math.min(zones, engines.size() / 2), (int) Math.ceil(PLANNING.minDecodeFraction() * engines.size()));
         int most = Math.max(1, engines.size() - 1);
         int wanted = decode.size();
         if (crowded(decode)) {
@@ -121,7 +105,7 @@
     private static boolean crowded(List<Engine> decode) {
         double places = decode.stream().mapToInt(Engine::slotCount).sum();
         double load = decode.stream().mapToInt(Engine::load).sum();
-        return load > MOST_PLACES_USED * places || memoryUsed(decode) > MOST_MEMORY_USED;
+        return load > PLANNING.maxSlotFraction() * places || memoryUsed(decode) > PLANNING.maxMemoryFraction();
     }
 
     /** Whether one fewer would not be crowded, by far. */
@@ -129,7 +113,7 @@
         double places = decode.stream().mapToInt(Engine::slotCount).sum();
         double load = decode.stream().mapToInt(Engine::load).sum();
         double left = decode.isEmpty() ? 0 : places * (decode.size() - 1) / decode.size();
-        return load <= FEW_PLACES_USED * left && memoryUsed(decode) <= MOST_MEMORY_USED / 2;
+        return load <= PLANNING.idleSlotFraction() * left && memoryUsed(decode) <= PLANNING.maxMemoryFraction() / 2;
     }
 
     private static double memoryUsed(List<Engine> decode) {
--- a/routing/src/test/java/dewplank/routing/GoldenHealthSummaryTest.java
+++ b/routing/src/test/java/dewplank/routing/GoldenHealthSummaryTest.java
@@ -25,7 +25,7 @@
     }
 
     private static HealthSummary decoded(String hex) {
-        return HealthSummary.decode(HexFormat.of().parseHex(hex));
+        return HealthSummary.decode(HexFormat.of().parseHex(hex)).orElse(null);
     }
 
     @Test
--- a/routing/src/test/java/dewplank/routing/HealthVotesTest.java
+++ b/routing/src/test/java/dewplank/routing/HealthVotesTest.java
@@ -6,6 +6,7 @@
 
 import java.util.Arrays;
 import java.util.List;
+import java.util.Optional;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
@@ -133,7 +134,7 @@
                 7,
                 List.of(new HealthSummary.Suspected(IT, 3, 1_200)),
                 List.of(new HealthSummary.Healthy(-IT, 400)));
-        assertEquals(told, HealthSummary.decode(told.encode()));
+        assertEquals(Optional.of(told), HealthSummary.decode(told.encode()));
     }
 
     @Test
@@ -146,7 +147,7 @@
                 .toList();
         byte[] bytes = new HealthSummary(LATER, 1, suspected, healthy).encode();
         assertTrue(bytes.length <= HealthSummary.MAX_BYTES);
-        HealthSummary read = HealthSummary.decode(bytes);
+        HealthSummary read = HealthSummary.decode(bytes).orElseThrow();
         assertEquals(30, read.suspected().size());
         assertEquals(
                 new HealthSummary.Suspected(0, 255, 25_500), read.suspected().get(0));
--- a/routing/src/test/java/dewplank/routing/PolicyTest.java
+++ b/routing/src/test/java/dewplank/routing/PolicyTest.java
@@ -29,7 +29,11 @@
     private static long picks(ServerPicker choice, double now, List<TrackedServer> servers, TrackedServer of) {
         long picks = 0;
         for (int i = 0; i < 1_000; i++) {
-            picks += choice.pick(now, ServerPicker.PickArguments.byInFlight(servers, s -> true, false)) == of ? 1 : 0;
+            picks += choice.pick(now, ServerPicker.PickArguments.byInFlight(servers, s -> true, false))
+                                    .orElseThrow()
+                            == of
+                    ? 1
+                    : 0;
         }
         return picks;
     }
@@ -107,8 +111,10 @@
         for (int i = 0; i < 100; i++) {
             assertEquals(
                     connected,
-                    reusing.pickDecodeServer(0, servers, prompt, "here", s -> s == connected, s -> true, false));
+                    reusing.pickDecodeServer(0, servers, prompt, "here", s -> s == connected, s -> true, false)
+                            .orElseThrow());
             fresh += other.pickDecodeServer(0, servers, prompt, "here", s -> s == connected, s -> true, false)
+                                    .orElseThrow()
                             == connected
                     ? 0
                     : 1;
@@ -118,7 +124,9 @@
             connected.requestStarted(0, 0);
         }
         assertNotEquals(
-                connected, reusing.pickDecodeServer(0, servers, prompt, "here", s -> s == connected, s -> true, false));
+                connected,
+                reusing.pickDecodeServer(0, servers, prompt, "here", s -> s == connected, s -> true, false)
+                        .orElseThrow());
     }
 
     @Test
@@ -127,11 +135,13 @@
         PromptPrefix prompt = PromptPrefix.parse("5c1e07a2:8000,91bd3f06:410");
         PrefillDecodePicker homes = new PrefillDecodePicker(without());
         PrefillDecodePicker spread = new PrefillDecodePicker(without(Mechanism.HOMES));
-        TrackedServer home = homes.pickPrefillServer(0, servers, prompt, s -> true);
+        TrackedServer home =
+                homes.pickPrefillServer(0, servers, prompt, s -> true).orElseThrow();
         int away = 0;
         for (int i = 0; i < 100; i++) {
-            assertEquals(home, homes.pickPrefillServer(0, servers, prompt, s -> true));
-            away += spread.pickPrefillServer(0, servers, prompt, s -> true) == home ? 0 : 1;
+            assertEquals(
+                    home, homes.pickPrefillServer(0, servers, prompt, s -> true).orElseThrow());
+            away += spread.pickPrefillServer(0, servers, prompt, s -> true).orElseThrow() == home ? 0 : 1;
         }
         assertTrue(away > 50);
     }
--- a/routing/src/test/java/dewplank/routing/RoutingParametersTest.java
+++ b/routing/src/test/java/dewplank/routing/RoutingParametersTest.java
@@ -50,6 +50,16 @@
         assertEquals(1_024, DEFAULTS.healthGossip().maxPeers());
     }
 
+    @Test
+    void stagesArePlannedByTheseFigures() {
+        assertEquals(0.25, DEFAULTS.stagePlanning().minDecodeFraction());
+        assertEquals(0.5, DEFAULTS.stagePlanning().maxSlotFraction());
+        assertEquals(0.8, DEFAULTS.stagePlanning().maxMemoryFraction());
+        assertEquals(0.25, DEFAULTS.stagePlanning().idleSlotFraction());
+        assertEquals(0.1, DEFAULTS.stagePlanning().maxChangingFraction());
+        assertEquals(1, DEFAULTS.stagePlanning().toleratedAbsent());
+    }
+
     @Test
     void retriesBackoffAndHedgingUseTheseFigures() {
         assertEquals(0.6, DEFAULTS.retryBudget().slackFraction());
--- a/routing/src/test/java/dewplank/routing/ServerPickerTest.java
+++ b/routing/src/test/java/dewplank/routing/ServerPickerTest.java
@@ -2,13 +2,13 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
@@ -34,13 +34,17 @@
         }
     }
 
+    private TrackedServer pick(double nowMs, List<TrackedServer> servers, boolean allowsTrial) {
+        return choice.pick(nowMs, ServerPicker.PickArguments.byInFlight(servers, server -> true, allowsTrial))
+                .orElseThrow();
+    }
+
     @Test
     void ofTwoTheOneWithFewerInFlightIsTaken() {
         List<TrackedServer> servers = servers(2);
         servers.get(0).requestStarted(0, 0);
         for (int i = 0; i < 50; i++) {
-            assertEquals(
-                    servers.get(1), choice.pick(0, ServerPicker.PickArguments.byInFlight(servers, s -> true, false)));
+            assertEquals(servers.get(1), pick(0, servers, false));
         }
     }
 
@@ -51,16 +55,13 @@
         fail(sick, 0, 3);
         int trials = 0;
         for (double now = 10; now < 3_010; now += 10) {
-            trials += choice.pick(now, ServerPicker.PickArguments.byInFlight(servers, s -> true, true)) == sick ? 1 : 0;
+            trials += pick(now, servers, true) == sick ? 1 : 0;
         }
         assertEquals(3, trials);
         choice.recordOutcome(3_010, sick, "class", true);
         Map<TrackedServer, Integer> picked = new HashMap<>();
         for (int i = 0; i < 200; i++) {
-            picked.merge(
-                    choice.pick(13_100, ServerPicker.PickArguments.byInFlight(servers, s -> true, false)),
-                    1,
-                    Integer::sum);
+            picked.merge(pick(13_100, servers, false), 1, Integer::sum);
         }
         assertTrue(picked.containsKey(sick), "it is drawn again");
     }
@@ -70,8 +71,7 @@
         List<TrackedServer> servers = servers(4);
         fail(servers.get(0), 0, 3);
         for (double now = 10; now < 2_000; now += 10) {
-            assertNotEquals(
-                    servers.get(0), choice.pick(now, ServerPicker.PickArguments.byInFlight(servers, s -> true, false)));
+            assertNotEquals(servers.get(0), pick(now, servers, false));
         }
     }
 
@@ -82,8 +82,7 @@
         fail(servers.get(1), 0, 3);
         Map<TrackedServer, Integer> picked = new HashMap<>();
         for (int i = 0; i < 300; i++) {
-            picked.merge(
-                    choice.pick(10, ServerPicker.PickArguments.byInFlight(servers, s -> true, true)), 1, Integer::sum);
+            picked.merge(pick(10, servers, true), 1, Integer::sum);
         }
         assertEquals(3, picked.size());
     }
@@ -118,8 +117,9 @@
         List<TrackedServer> servers = servers(2);
         servers.get(0).updateListing(false, TrackedServer.Stage.PLAIN);
         servers.get(1).backOff(0, 40, 2_000);
-        assertNull(choice.pick(10, ServerPicker.PickArguments.byInFlight(servers, s -> true, true)));
-        assertEquals(servers.get(1), choice.pick(41, ServerPicker.PickArguments.byInFlight(servers, s -> true, true)));
+        assertEquals(
+                Optional.empty(), choice.pick(10, ServerPicker.PickArguments.byInFlight(servers, s -> true, true)));
+        assertEquals(servers.get(1), pick(41, servers, true));
     }
 
     @Test
@@ -129,9 +129,9 @@
         ServerPicker.PickArguments query = new ServerPicker.PickArguments(
                 servers, s -> true, s -> (double) s.tokensInFlight(), home, 1_000, false);
         home.requestStarted(0, 900);
-        assertEquals(home, choice.pick(0, query));
+        assertEquals(home, choice.pick(0, query).orElseThrow());
         home.requestStarted(0, 200);
-        assertNotEquals(home, choice.pick(0, query));
+        assertNotEquals(home, choice.pick(0, query).orElseThrow());
     }
 
     @Test
@@ -171,8 +171,9 @@
         int trials = 0;
         for (double now = 10; now < 9_000; now += 100) {
             for (int i = 0; i < sidecars; i++) {
-                TrackedServer picked =
-                        fleet.get(i).pick(now, ServerPicker.PickArguments.byInFlight(views.get(i), s -> true, true));
+                TrackedServer picked = fleet.get(i)
+                        .pick(now, ServerPicker.PickArguments.byInFlight(views.get(i), s -> true, true))
+                        .orElseThrow();
                 trials += picked == views.get(i).get(0) ? 1 : 0;
             }
         }
