--- a/balancer/src/main/java/dewplank/balancer/adaptive/LatencyEstimates.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/LatencyEstimates.java
@@ -2,180 +2,253 @@
 
 import dewplank.balancer.Settings;
 
-import dewplank.balancer.adaptive.Memory.*;
-
 /** What servers take: learned from their answers, and expected of the next request by what they hold. */
-record LatencyEstimates(Settings cfg, Fleet fleet, SlowStartBudget cold) {
-    private static final int DOUBTS_MOST = 5;            // doubts since the last success, counted as load
-    private static final double DOUBT_LASTS_MS = 1_000;  // without a new one; a verdict is what lasts
-    private static final double OVERDUE_DEVIATIONS = 4;  // mean deviations over the fleet's usual time
-    private static final double OVERDUE_LEAST = 2.5;     // and at least so many usual times
-    private static final double OVERDUE_AIM_SHARE = 0.5; // never later than this share of the aim
-    static final double CONNECT_STEP = 0.1;              // what connecting costs follows a sample so far
-    private static final double FAST_STEP = 0.3;         // a server's recent slowness follows a sample so far
-    private static final double LONG_STEP = 0.05;        // its lasting slowness
-    static final double FLEET_STEP = 0.02;               // the fleet's
-    private static final double USUAL_STEP = 0.005;      // the usual time; slower, lest a change counts twice
-    static final double WAY_STEP = 0.05;                 // a zone's least time rises so far with each sample
-    static final double RECENT_MS = 1_000;               // recent slowness is forgotten at this time scale
-    private static final double LASTING_MS = 5_000;      // and its lasting slowness at this one
-    private static final double IDLE_STEP = 0.01;        // of an average whose least is the idle time
-    private static final int IDLE_SAMPLES = 20;          // answers before it replaces the first guess
-    private static final double IDLE_MOST = 0.8;         // of the aim that a class may take in an idle fleet
-    static final double RECENT_TOOK_MS = 1_000;          // that time follows at this scale, or by samples
-    private static final double IDLE_TOOK_MS = 60_000;   // the idle one, the least lately, rises at this
-    private static final double KEY_SHARE = 0.6;         // of the time elsewhere: servers do 26 to 68% less
+final class LatencyEstimates {
+    /** Of the fleet's figures: each follows a sample so far. */
+    static final double FLEET_STEP = 0.02;
+    /** Of a zone's least time: it rises so far with each sample. */
+    static final double ZONE_STEP = 0.05;
+    /** Of what connecting takes, and of how often it fails. */
+    static final double CONNECT_STEP = 0.1;
+    /** Recent slowness of a server is forgotten at this time scale. */
+    static final double RECENT_TIME_CONSTANT_MS = 1_000;
+    /** The fleet's recent time over its idle time follows at this scale, or by samples. */
+    static final double FLEET_TIME_CONSTANT_MS = 1_000;
+
+    private static final int MAX_SUSPICIONS_AS_LOAD = 5;
+    private static final double SUSPICION_LASTS_MS = 1_000; // without a new one; a verdict is what lasts
+    private static final double OVERDUE_DEVIATIONS = 4; // mean deviations over the fleet's usual time
+    private static final double MIN_OVERDUE_FACTOR = 2.5; // usual times
+    private static final double MAX_OVERDUE_TARGET_SHARE = 0.5; // of the latency target
+    private static final double RECENT_STEP = 0.3;
+    private static final double LASTING_STEP = 0.05;
+    private static final double USUAL_STEP = 0.005; // slower, lest a change counts twice
+    private static final double LASTING_TIME_CONSTANT_MS = 5_000;
+    private static final double IDLE_STEP = 0.01; // of an average whose least is the idle time
+    private static final int MIN_IDLE_SAMPLES = 20; // answers before it replaces the first guess
+    private static final double MAX_IDLE_SHARE = 0.8; // of the target that a class may take in an idle fleet
+    private static final double IDLE_TIME_CONSTANT_MS = 60_000; // the idle time rises at this
+    private static final double CACHED_KEY_FACTOR = 0.6; // of the time elsewhere: servers do 26 to 68 % less
+    private static final double MAX_LATENESS = 2;
+    private static final double MIN_MS = 1e-3; // keeps quotients finite
+
+    private final Settings settings;
+    private final Step step;
+    private final FleetStats fleet;
+    private final SlowStartBudget slowStart;
+
+    LatencyEstimates(Settings settings, Step step, FleetStats fleet, SlowStartBudget slowStart) {
+        this.settings = settings;
+        this.step = step;
+        this.fleet = fleet;
+        this.slowStart = slowStart;
+    }
 
-    /** What such a request usually takes in this fleet: a fixed part and a part that grows with its work. */
-    double cost(Request r) {
-        if (r.cost == null || fleet.took.count == 0) {
-            return Math.max(1e-3, r.kind.work.value);
-        }
-        double meanCost = fleet.tookByCost.meanX;
-        double most = fleet.took.value / meanCost;
-        double slope = Math.max(0, Math.min(fleet.tookByCost.slope(fleet.took.value), most));
-        return Math.max(1e-3, fleet.took.value + slope * (r.cost - meanCost));
-    }
-
-    /** A served attempt, or one whose stream began, took so long. */
-    void learnTime(Attempt a, double took) {
-        fleet.answeredAt = fleet.now;
-        Request r = a.request;
-        Server s = a.server;
-        if (a.connects) {   // the connection's time is not the server's
-            double extra = Math.max(0, took - slowness(s) / cold.likely(s) * cost(r));
-            fleet.connectExtra += (extra - fleet.connectExtra) * CONNECT_STEP;
+    // ---- learned from answers ----
+
+    /** An attempt was served, or its stream started, after this time. */
+    void recordAnswer(Attempt attempt, double elapsedMs) {
+        fleet.lastAnswerAtMs = step.nowMs();
+        PendingRequest request = attempt.request;
+        ServerState server = attempt.server;
+        if (attempt.opensConnection) { // the connection's time is not the server's
+            double expectedMs = slowdown(server) / slowStart.expectedCapacity(server) * usualMs(request);
+            double extraMs = Math.max(0, elapsedMs - expectedMs);
+            fleet.connectMs += (extraMs - fleet.connectMs) * CONNECT_STEP;
             return;
         }
-        if (cold.warmth(s) >= 1) {
-            learnTimes(r.kind, Math.max(0, took - way(s)));
+        if (slowStart.isWarm(server)) {
+            recordClassTime(request.stats, Math.max(0, elapsedMs - extraNetworkMs(server)));
         }
-        double ratio = took / cost(r);
-        fleet.took.follow(took, USUAL_STEP);
-        if (r.cost == null) {
-            r.kind.work.follow(took, USUAL_STEP);
+        double ratio = elapsedMs / usualMs(request);
+        recordUsualTime(request, elapsedMs);
+        fleet.slowdownDeviation += (Math.abs(ratio - fleet.slowdown) - fleet.slowdownDeviation) * FLEET_STEP;
+        fleet.slowdown += (ratio - fleet.slowdown) * FLEET_STEP;
+        // In usual times: a change of the usual must not count twice.
+        double normalizedMs = ratio * slowStart.expectedCapacity(server) * fleet.elapsed.value;
+        recordZoneTime(server.zone, elapsedMs);
+        recordServerTime(server, normalizedMs);
+        server.usualLoad += (attempt.loadAtSend - server.usualLoad) * RECENT_STEP;
+    }
+
+    private void recordUsualTime(PendingRequest request, double elapsedMs) {
+        fleet.elapsed.add(elapsedMs, USUAL_STEP);
+        if (request.costMs == null) {
+            request.stats.work.add(elapsedMs, USUAL_STEP);
         } else {
-            fleet.tookByCost.follow(r.cost, took, Math.max(1.0 / fleet.took.count, USUAL_STEP));
+            double usualStep = Math.max(1.0 / fleet.elapsed.count, USUAL_STEP);
+            fleet.elapsedByCost.add(request.costMs, elapsedMs, usualStep);
         }
-        fleet.deviation += (Math.abs(ratio - fleet.slowness) - fleet.deviation) * FLEET_STEP;
-        fleet.slowness += (ratio - fleet.slowness) * FLEET_STEP;
-        double own = ratio * cold.likely(s) * fleet.took.value;   // a changed usual must not count twice
-        double risen = s.zone.least + (took - s.zone.least) * WAY_STEP;
-        s.zone.least = s.zone.least == 0 ? took : Math.min(took, risen);
-        learnOwn(s, own);
-        s.usualLoad += (a.loadAtSend - s.usualLoad) * FAST_STEP;
+    }
+
+    private static void recordZoneTime(ZoneStats zone, double elapsedMs) {
+        double risenMs = zone.minElapsedMs + (elapsedMs - zone.minElapsedMs) * ZONE_STEP;
+        zone.minElapsedMs = zone.minElapsedMs == 0 ? elapsedMs : Math.min(elapsedMs, risenMs);
     }
 
     /** Each class by its own idle time: more of a slow class among the answers is no slower fleet. */
-    private void learnTimes(Kind k, double took) {
-        double since = k.tookAt == 0 ? 0 : fleet.now - k.tookAt;
-        k.took.follow(took, IDLE_STEP);
-        double risen = (k.took.value - k.idleTook) * (1 - Math.exp(-since / IDLE_TOOK_MS));
-        double least = Math.min(k.took.value, k.idleTook + risen);
-        double idle = k.took.count == IDLE_SAMPLES ? k.took.value : least;
-        k.idleTook = k.took.count < IDLE_SAMPLES ? k.idleTook : Math.max(1e-3, idle);
-        k.tookAt = fleet.now;
-        double any = fleet.timedAt == 0 ? 0 : fleet.now - fleet.timedAt;
-        double step = Math.max(FLEET_STEP, 1 - Math.exp(-any / RECENT_TOOK_MS));
-        fleet.recentTimes += (took / k.idleTook - fleet.recentTimes) * step;
-        fleet.timedAt = fleet.now;
+    private void recordClassTime(ClassStats stats, double elapsedMs) {
+        double sinceMs = stats.lastAnswerAtMs == 0 ? 0 : step.nowMs() - stats.lastAnswerAtMs;
+        stats.elapsed.add(elapsedMs, IDLE_STEP);
+        double riseShare = 1 - Math.exp(-sinceMs / IDLE_TIME_CONSTANT_MS);
+        double risenMs = (stats.elapsed.value - stats.idleElapsedMs) * riseShare;
+        double leastMs = Math.min(stats.elapsed.value, stats.idleElapsedMs + risenMs);
+        if (stats.elapsed.count >= MIN_IDLE_SAMPLES) {
+            double idleMs = stats.elapsed.count == MIN_IDLE_SAMPLES ? stats.elapsed.value : leastMs;
+            stats.idleElapsedMs = Math.max(MIN_MS, idleMs);
+        }
+        stats.lastAnswerAtMs = step.nowMs();
+        double sinceAnyMs = fleet.lastWarmAnswerAtMs == 0 ? 0 : step.nowMs() - fleet.lastWarmAnswerAtMs;
+        double fleetStep = Math.max(FLEET_STEP, 1 - Math.exp(-sinceAnyMs / FLEET_TIME_CONSTANT_MS));
+        fleet.timesOverIdle += (elapsedMs / stats.idleElapsedMs - fleet.timesOverIdle) * fleetStep;
+        fleet.lastWarmAnswerAtMs = step.nowMs();
     }
 
     /**
      * No answer for so long: this server's time was that much at least. Guards against a server that answers
      * after its callers' time: by answers alone it looks as quick as the few that came, to each of many.
      */
-    void learnLate(Attempt a, double took) {
-        double own = took / cost(a.request) * cold.likely(a.server) * fleet.took.value;
-        if (fleet.took.count > 0 && own > slowness(a.server) * fleet.took.value) {
-            learnOwn(a.server, own);
+    void recordTimeout(Attempt attempt, double elapsedMs) {
+        ServerState server = attempt.server;
+        double ratio = elapsedMs / usualMs(attempt.request);
+        double normalizedMs = ratio * slowStart.expectedCapacity(server) * fleet.elapsed.value;
+        if (fleet.elapsed.count > 0 && normalizedMs > slowdown(server) * fleet.elapsed.value) {
+            recordServerTime(server, normalizedMs);
         }
     }
 
-    private void learnOwn(Server s, double own) {
-        s.lasting.follow(own, LONG_STEP);
-        s.fast.follow(own, FAST_STEP);
-        s.lastSample = fleet.now;
+    /** An attempt is overdue: the way to its zone may have become longer. */
+    void recordOverdue(Attempt attempt) {
+        ZoneStats zone = attempt.server.zone;
+        double extraMs = Math.max(0, step.nowMs() - attempt.sentAtMs - zone.minElapsedMs);
+        zone.minElapsedMs += extraMs * ZONE_STEP;
+    }
+
+    /** A connection attempt came to its end. */
+    void recordConnect(boolean hasFailed) {
+        fleet.connectFailureShare += ((hasFailed ? 1 : 0) - fleet.connectFailureShare) * CONNECT_STEP;
+    }
+
+    private void recordServerTime(ServerState server, double normalizedMs) {
+        server.lastingElapsed.add(normalizedMs, LASTING_STEP);
+        server.recentElapsed.add(normalizedMs, RECENT_STEP);
+        server.lastSampleAtMs = step.nowMs();
+    }
+
+    // ---- expected of the next request ----
+
+    /** What such a request usually takes in this fleet: a fixed part and a part that grows with its work. */
+    double usualMs(PendingRequest request) {
+        if (request.costMs == null || fleet.elapsed.count == 0) {
+            return Math.max(MIN_MS, request.stats.work.value);
+        }
+        double meanCostMs = fleet.elapsedByCost.meanX;
+        double maxSlope = fleet.elapsed.value / meanCostMs;
+        double slope = Math.max(0, Math.min(fleet.elapsedByCost.slope(fleet.elapsed.value), maxSlope));
+        return Math.max(MIN_MS, fleet.elapsed.value + slope * (request.costMs - meanCostMs));
     }
 
     /** The time there over the usual: recent at first, then lasting, then no more than the usual. */
-    private double slowness(Server s) {
-        if (s.lasting.count == 0) {
-            return fleet.slowness;
+    private double slowdown(ServerState server) {
+        if (server.lastingElapsed.count == 0) {
+            return fleet.slowdown;
         }
-        double since = s.lastSample - fleet.now;
-        double slow = s.lasting.value;
-        double usual = fleet.took.value;
-        double lasting = usual + (slow - usual) * Math.exp(since / LASTING_MS);
-        double time = lasting + (s.fast.value - slow) * Math.exp(since / RECENT_MS);
-        return time / Math.max(1e-3, usual);
+        double minusAgeMs = server.lastSampleAtMs - step.nowMs();
+        double slowMs = server.lastingElapsed.value;
+        double usualMs = fleet.elapsed.value;
+        double lastingMs = usualMs + (slowMs - usualMs) * Math.exp(minusAgeMs / LASTING_TIME_CONSTANT_MS);
+        double recency = Math.exp(minusAgeMs / RECENT_TIME_CONSTANT_MS);
+        double recentMs = (server.recentElapsed.value - slowMs) * recency;
+        return (lastingMs + recentMs) / Math.max(MIN_MS, usualMs);
     }
 
-    /** A doubt is an unhealthy outcome since the last success. It lapses: a verdict is what lasts. */
-    boolean doubted(Server s) {
-        s.doubts = fleet.now - s.lastDoubt > DOUBT_LASTS_MS ? 0 : s.doubts;
-        return s.doubts > 0;
+    /** Whether there was an unhealthy outcome since the last success. It lapses: a verdict is what lasts. */
+    boolean isSuspect(ServerState server) {
+        if (step.nowMs() - server.lastSuspicionAtMs > SUSPICION_LASTS_MS) {
+            server.suspicions = 0;
+        }
+        return server.suspicions > 0;
+    }
+
+    /** Whether the server's latest time is recent enough to tell its queue. */
+    boolean hasRecentSample(ServerState server) {
+        return step.nowMs() - server.lastSampleAtMs < RECENT_TIME_CONSTANT_MS;
     }
 
     /** Own requests in flight, and those that may still be stuck there. */
-    int load(Server s) {
-        return s.outstanding.size() + (doubted(s) ? Math.min(s.doubts, DOUBTS_MOST) : 0);
+    int load(ServerState server) {
+        int stuck = isSuspect(server) ? Math.min(server.suspicions, MAX_SUSPICIONS_AS_LOAD) : 0;
+        return server.inFlight.size() + stuck;
     }
 
     /** Whether an attempt there now would have to wait for a new connection. */
-    boolean connects(Server s) {
-        if (s.outstanding.isEmpty() && fleet.now - s.lastUse > cfg.limits().idleTimeoutMs()) {
-            s.connections = 0;
+    boolean needsConnection(ServerState server) {
+        boolean isIdle = server.inFlight.isEmpty()
+                && step.nowMs() - server.lastUseAtMs > settings.limits().idleTimeoutMs();
+        if (isIdle) {
+            server.connections = 0;
         }
-        return s.outstanding.size() >= s.connections * cfg.limits().maxStreamsPerConnection();
+        return server.inFlight.size() >= server.connections * settings.limits().maxStreamsPerConnection();
     }
 
     /** The time the request would likely take there, by learned speed, own load and what is overdue. */
-    double predicted(Server s, Request r) {
-        double spared = s == r.keyServer ? KEY_SHARE : 1;
-        double time = slowness(s) / cold.likely(s) * cost(r) * spared * (2 + load(s)) / (2 + s.usualLoad);
-        for (Attempt a : s.outstanding) {   // by age: the oldest tells, unless it is stuck by itself
-            boolean overtaken = a.overdue && a.overdueAt <= s.lastServedSentAt;   // one sent later was served
-            if (!overtaken) {
-                time = Math.max(time, fleet.now - a.sentAt);
+    double predictedMs(ServerState server, PendingRequest request) {
+        double keyFactor = server == request.cachingServer ? CACHED_KEY_FACTOR : 1;
+        double timeMs = slowdown(server)
+                / slowStart.expectedCapacity(server)
+                * usualMs(request)
+                * keyFactor
+                * (2 + load(server))
+                / (2 + server.usualLoad);
+        for (Attempt attempt : server.inFlight) { // by age: the oldest tells, unless it is stuck by itself
+            boolean isOvertaken = attempt.isOverdue && attempt.overdueAtMs <= server.lastServedSentAtMs;
+            if (!isOvertaken) {
+                timeMs = Math.max(timeMs, step.nowMs() - attempt.sentAtMs);
                 break;
             }
         }
-        time += connects(s) ? fleet.connectExtra : 0;
-        return doubted(s) ? Math.max(time, fleet.now - s.doubtSince) : time;
+        timeMs += needsConnection(server) ? fleet.connectMs : 0;
+        return isSuspect(server) ? Math.max(timeMs, step.nowMs() - server.suspectSinceMs) : timeMs;
     }
 
     /**
-     * What the way to its zone takes beyond the way home, by the least times seen lately. Guards against a
-     * slow link being read as a crowd there: refusing does not shorten a way.
+     * What the network takes to its zone beyond what it takes within the own one, by the least times seen
+     * lately. Guards against a slow link being read as a queue there: rejecting does not shorten a link.
      */
-    double way(Server s) {
-        Zone mine = fleet.zones.get(cfg.zone());
-        return s.home || mine == null || mine.least == 0 ? 0 : Math.max(0, s.zone.least - mine.least);
+    double extraNetworkMs(ServerState server) {
+        ZoneStats own = fleet.zones.get(settings.zone());
+        boolean isUnknown = own == null || own.minElapsedMs == 0;
+        return server.isLocal || isUnknown ? 0 : Math.max(0, server.zone.minElapsedMs - own.minElapsedMs);
     }
 
-    /** Likely lateness there by queues: the predicted time as a part of the aim, the way taken off both. */
-    double crowded(Server s, Request r) {
-        double way = way(s);
-        double left = r.aimAt() - fleet.now - way;
-        return left <= 0 ? 2 : Math.min(2, Math.max(0, predicted(s, r) - way) / left);
+    /**
+     * Likely lateness there by queues: the predicted time as a part of the target, the network taken off
+     * both.
+     */
+    double predictedLateness(ServerState server, PendingRequest request) {
+        double networkMs = extraNetworkMs(server);
+        double leftMs = request.targetAtMs() - step.nowMs() - networkMs;
+        return leftMs <= 0
+                ? MAX_LATENESS
+                : Math.min(MAX_LATENESS, Math.max(0, predictedMs(server, request) - networkMs) / leftMs);
     }
 
     /**
-     * Of the room that the aim leaves above the class's idle time, the part that queues take. Guards against
-     * refusing in a calm fleet whose idle times are a larger part of its aims than elsewhere.
+     * Of the time that the target leaves above the class's idle time, the part that queues take. Guards
+     * against rejecting in a calm fleet whose idle times are a larger part of its targets than elsewhere.
      */
-    double queued(Server s, Request r) {
-        double idle = Math.min(IDLE_MOST, r.kind.idleTook / Math.max(1e-3, r.aim() - way(s)));
-        return Math.max(0, (crowded(s, r) - idle) / (1 - idle));
+    double queueShare(ServerState server, PendingRequest request) {
+        double targetMs = Math.max(MIN_MS, request.targetMs() - extraNetworkMs(server));
+        double idleShare = Math.min(MAX_IDLE_SHARE, request.stats.idleElapsedMs / targetMs);
+        return Math.max(0, (predictedLateness(server, request) - idleShare) / (1 - idleShare));
     }
 
     /** After this time an attempt there is unusually late. */
-    double overdueAfter(Request r, Server s) {
-        double usual = cost(r) / cold.likely(s);
-        double least = OVERDUE_LEAST * fleet.slowness * usual;
-        double most = Math.max(least, OVERDUE_AIM_SHARE * r.aim());
-        double spread = usual * (fleet.slowness + OVERDUE_DEVIATIONS * fleet.deviation);
-        return Math.min(most, Math.max(least, spread)) + way(s);
+    double overdueAfterMs(PendingRequest request, ServerState server) {
+        double usualMs = usualMs(request) / slowStart.expectedCapacity(server);
+        double leastMs = MIN_OVERDUE_FACTOR * fleet.slowdown * usualMs;
+        double mostMs = Math.max(leastMs, MAX_OVERDUE_TARGET_SHARE * request.targetMs());
+        double spreadMs = usualMs * (fleet.slowdown + OVERDUE_DEVIATIONS * fleet.slowdownDeviation);
+        return Math.min(mostMs, Math.max(leastMs, spreadMs)) + extraNetworkMs(server);
     }
 }
