--- a/balancer/src/main/java/dewplank/balancer/Action.java
+++ b/balancer/src/main/java/dewplank/balancer/Action.java
@@ -7,8 +7,9 @@
      * Sends an attempt of a request. Attempts of a request are numbered from 0 in this order.
      *
      * @param timeoutMs after which the attempt ends as timed out; 0: when the client gives up
-     * @param writeWithinMs what is not fully written by then is not sent and ends as {@code CONNECT_FAILED}, because
-     *     the right to repeat may end while a connection is being opened; infinite where nothing ends it
+     * @param writeWithinMs what is not fully written by then is not sent and ends as {@code CONNECT_FAILED},
+     *     because the right to repeat may end while a connection is being opened; infinite where nothing ends
+     *     it
      */
     record Send(long request, String server, double timeoutMs, double writeWithinMs) implements Action {
         public Send(long request, String server, double timeoutMs) {
--- a/balancer/src/main/java/dewplank/balancer/Settings.java
+++ b/balancer/src/main/java/dewplank/balancer/Settings.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * What a balancer is told once, at its start: its place among its replicas, what its clients and servers are like, and
- * what the host allows.
+ * What a balancer is told once, at its start: its place among its replicas, what its clients and servers are
+ * like, and what the host allows.
  *
  * @param replicaIndex this instance's number among its replicas, from 0
  * @param replicaCount how many instances share the servers
@@ -113,7 +113,8 @@
      * @param maxSubscribeDelayMs a broken subscription is renewed within this time
      * @param slowStartMs how long a server takes to warm up after its start
      * @param slowStartInitialShare the share of its capacity that a server has at its start
-     * @param slowStartOverloadFactor the load, as a multiple of its present capacity, that a server does not survive
+     * @param slowStartOverloadFactor the load, as a multiple of its present capacity, that a server does not
+     *     survive
      * @param slowStartOverloadMs how long it bears that load
      * @param onlyDrainingIsBinding a server listed as gone, but never as draining, may still be used
      * @param rejectedMayHaveRun whether a server may reject work that it had begun
@@ -133,8 +134,8 @@
     /**
      * How the result is weighed: all traffic (with its worst spell), the class served worst, and the tail.
      *
-     * @param tail the weight of the value served while no more than {@code allowedMissShare} of a class's requests miss
-     *     their latency target
+     * @param tail the weight of the value served while no more than {@code allowedMissShare} of a class's
+     *     requests miss their latency target
      */
     public record Goal(double all, double worstClass, double tail, double allowedMissShare) {}
 }
--- a/balancer/src/main/java/dewplank/balancer/WeightedDraw.java
+++ b/balancer/src/main/java/dewplank/balancer/WeightedDraw.java
@@ -6,7 +6,7 @@
 
 /** Draws by weight; a second draw that leaves out the first gives "the power of two choices". */
 public final class WeightedDraw {
-    private WeightedDraw() { }
+    private WeightedDraw() {}
 
     /** One by weight, never {@code but}; null if there is no other. */
     public static <T> T draw(List<T> from, T but, ToDoubleFunction<T> weight, RandomGenerator random) {
--- a/balancer/src/main/java/dewplank/balancer/health/PeerSummary.java
+++ b/balancer/src/main/java/dewplank/balancer/health/PeerSummary.java
@@ -19,14 +19,18 @@
 
     public byte[] encode() {
         int count = Math.min(unhealthyServers.size(), (MAX_BYTES - HEADER_BYTES) / Integer.BYTES);
-        ByteBuffer out = ByteBuffer.allocate(HEADER_BYTES + Integer.BYTES * count).put(VERSION).putDouble(createdAtMs);
+        ByteBuffer out = ByteBuffer.allocate(HEADER_BYTES + Integer.BYTES * count)
+                .put(VERSION)
+                .putDouble(createdAtMs);
         unhealthyServers.subList(0, count).forEach(out::putInt);
         return out.array();
     }
 
     /** The summary that these bytes hold, or null: torn, foreign or of another version. */
     public static PeerSummary decode(byte[] bytes) {
-        if (bytes.length < HEADER_BYTES || bytes.length > MAX_BYTES || (bytes.length - HEADER_BYTES) % Integer.BYTES != 0) {
+        if (bytes.length < HEADER_BYTES
+                || bytes.length > MAX_BYTES
+                || (bytes.length - HEADER_BYTES) % Integer.BYTES != 0) {
             return null;
         }
         ByteBuffer in = ByteBuffer.wrap(bytes);
--- a/balancer/src/main/java/dewplank/balancer/health/PeerVotes.java
+++ b/balancer/src/main/java/dewplank/balancer/health/PeerVotes.java
@@ -5,18 +5,21 @@
 
 /** The peers' latest summaries, each counted as a vote while it is fresh. Times in milliseconds. */
 public final class PeerVotes<P> {
-    private static final double FRESH_MS = 3_000;   // a peer's summary counts so long
+    private static final double FRESH_MS = 3_000; // a peer's summary counts so long
 
     private final Map<P, PeerSummary> summaries = new LinkedHashMap<>();
 
     /** One that comes late, twice, after a newer one, or from a time still to come changes nothing. */
     public void receive(double now, P peer, PeerSummary summary) {
         if (Math.abs(now - summary.createdAtMs()) <= FRESH_MS) {
-            summaries.merge(peer, summary,
-                (last, received) -> last.createdAtMs() < received.createdAtMs() ? received : last);
+            summaries.merge(peer, summary, PeerVotes::newer);
         }
     }
 
+    private static PeerSummary newer(PeerSummary last, PeerSummary received) {
+        return last.createdAtMs() < received.createdAtMs() ? received : last;
+    }
+
     /** The peer has left. */
     public void remove(P peer) {
         summaries.remove(peer);
--- a/balancer/src/main/java/dewplank/balancer/health/ServerHealth.java
+++ b/balancer/src/main/java/dewplank/balancer/health/ServerHealth.java
@@ -3,7 +3,6 @@
 import java.util.HashMap;
 import java.util.Map;
 
-
 /**
  * What one sidecar has observed of one server: recent outcomes by context, its vote, the weight in draws.
  * After "Capturing and enhancing in situ system observability for failure detection" (OSDI '18). Times in ms.
@@ -11,9 +10,10 @@
 public final class ServerHealth {
     /** The least weight, as a part of the mean: errors halve the weight down to it. */
     public static final double WEIGHT_FLOOR = 0.05;
-    private static final double WINDOW_MS = 10_000;   // recent observations, as the design has it
-    private static final double WEIGHT_STEP = 0.05;   // of the mean; each success restores so much
-    private static final int UNHEALTHY_FLOOR = 3;     // unhealthy ones in the window before any verdict
+
+    private static final double WINDOW_MS = 10_000; // recent observations, as the design has it
+    private static final double WEIGHT_STEP = 0.05; // of the mean; each success restores so much
+    private static final int UNHEALTHY_FLOOR = 3; // unhealthy ones in the window before any verdict
 
     private final Map<String, ObservationWindow> contexts = new HashMap<>();
     private double weight = 1;
--- a/balancer/src/test/java/dewplank/balancer/WeightedDrawTest.java
+++ b/balancer/src/test/java/dewplank/balancer/WeightedDrawTest.java
@@ -1,6 +1,5 @@
 package dewplank.balancer;
 
-import dewplank.balancer.adaptive.AdaptiveBalancer;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
--- a/balancer/src/test/java/dewplank/balancer/adaptive/AdmissionTest.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/AdmissionTest.java
@@ -1,20 +1,19 @@
 package dewplank.balancer.adaptive;
 
-import dewplank.balancer.Action;
-import dewplank.balancer.Outcome;
+import static dewplank.balancer.adaptive.Host.entry;
+import static dewplank.balancer.adaptive.Host.of;
+import static dewplank.balancer.adaptive.Host.sent;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import dewplank.balancer.Action;
 import dewplank.balancer.Action.Reject;
 import dewplank.balancer.Action.Send;
 import dewplank.balancer.Endpoint.Availability;
 import dewplank.balancer.Event.RequestArrived;
 import dewplank.balancer.Event.UpdateKind;
+import dewplank.balancer.Outcome;
 import dewplank.balancer.Settings.Tenant;
-import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertTrue;
-import static dewplank.balancer.adaptive.Host.entry;
-import static dewplank.balancer.adaptive.Host.of;
-import static dewplank.balancer.adaptive.Host.sent;
-
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.random.RandomGenerator;
@@ -46,7 +45,7 @@
         Host h = Host.with(new Host.Setup(), 4);
         load(h, 100, 20);
         load(h, 100, 60);
-        int[] refused = load(h, 200, 60);   // a fifth of the aim, three times the idle time, at every server
+        int[] refused = load(h, 200, 60); // a fifth of the aim, three times the idle time, at every server
         assertTrue(refused[0] > 10, refused[0] + " reads refused");
         assertTrue(refused[1] < refused[0] / 4, refused[1] + " acts refused");
     }
@@ -95,7 +94,7 @@
     @Test
     void slowServersBesideOnesWithRoomAreNoShortage() {
         int refused = refused((i, s, random) -> random.nextExponential()
-            * (i >= 300 && !List.of("s0", "s1", "s2").contains(s.server()) ? 240 : 40));
+                * (i >= 300 && !List.of("s0", "s1", "s2").contains(s.server()) ? 240 : 40));
         assertTrue(refused <= 50, refused + " of 10,000 refused");
     }
 
@@ -114,7 +113,7 @@
             }
             refused += s == null ? 1 : 0;
         }
-        assertTrue(refused <= 8, refused + " of 20 refused");   // half of the aim alone calls for a fifth
+        assertTrue(refused <= 8, refused + " of 20 refused"); // half of the aim alone calls for a fifth
     }
 
     @Test
@@ -164,7 +163,8 @@
             h.now += 5;
             h.end(s, 0, Outcome.SERVED, 40 + cost, true);
         }
-        List<Action> heavy = h.tell(new RequestArrived(h.nextRequest++, null, null, false, "read", Host.DEADLINE, 80.0));
+        List<Action> heavy =
+                h.tell(new RequestArrived(h.nextRequest++, null, null, false, "read", Host.DEADLINE, 80.0));
         assertEquals(1, of(heavy, Send.class).size());
     }
 
@@ -173,7 +173,10 @@
         Host.Setup setup = new Host.Setup();
         setup.crossPrice = crossPrice;
         Host h = new Host(setup);
-        h.list(UpdateKind.CACHED, entry("h", "z1", 0, Availability.UP, null), entry("a", "z2", 1, Availability.UP, null));
+        h.list(
+                UpdateKind.CACHED,
+                entry("h", "z1", 0, Availability.UP, null),
+                entry("a", "z2", 1, Availability.UP, null));
         return h;
     }
 
@@ -184,7 +187,7 @@
             assertEquals("h", h.serve("read", 20));
         }
         int away = 0;
-        for (int i = 0; i < 60; i++) {   // home no longer answers in time
+        for (int i = 0; i < 60; i++) { // home no longer answers in time
             Send s = sent(h.arrive("read"));
             h.now += 10;
             boolean home = s != null && s.server().equals("h");
@@ -210,8 +213,8 @@
         int[] refused = new int[2];
         for (int i = 0; i < 1_500; i++) {
             boolean small = i % 10 == 0;
-            Send s = sent(h.tell(new RequestArrived(h.nextRequest++, small ? within : over, null, false, "read",
-                Host.DEADLINE, 20.0)));
+            Send s = sent(h.tell(new RequestArrived(
+                    h.nextRequest++, small ? within : over, null, false, "read", Host.DEADLINE, 20.0)));
             h.now += 5;
             if (s != null) {
                 h.end(s, 0, Outcome.SERVED, i < 200 ? 20 : 80, true);
@@ -233,7 +236,7 @@
             h.now += 10;
             boolean home = s.server().equals("h");
             away += home ? 0 : 1;
-            h.end(s, 0, Outcome.SERVED, home ? 75 : 30, true);   // a quarter of the aim at home
+            h.end(s, 0, Outcome.SERVED, home ? 75 : 30, true); // a quarter of the aim at home
         }
         assertTrue(away > 100, away + " crossed");
     }
@@ -246,8 +249,9 @@
         int[] first = load(h, 60, 170);
         load(h, 200, 170);
         int[] later = load(h, 60, 170);
-        assertTrue(later[0] + later[1] > first[0] + first[1] + 10, "from " + (first[0] + first[1]) + " to "
-            + (later[0] + later[1]));
+        assertTrue(
+                later[0] + later[1] > first[0] + first[1] + 10,
+                "from " + (first[0] + first[1]) + " to " + (later[0] + later[1]));
         load(h, 600, 20);
         int[] after = load(h, 60, 20);
         assertEquals(0, after[0] + after[1]);
@@ -264,7 +268,7 @@
         Host h = Host.with(setup, 1);
         List<Action> first = h.arrive("read");
         assertEquals(0, sent(first).timeoutMs());
-        assertTrue(of(h.fire(first), Send.class).isEmpty());   // overdue: there is nobody else to ask
+        assertTrue(of(h.fire(first), Send.class).isEmpty()); // overdue: there is nobody else to ask
         Send second = sent(h.arrive("read"));
         assertTrue(second.timeoutMs() > 0 && second.timeoutMs() < Host.DEADLINE, "" + second.timeoutMs());
         h.now += 10;
--- a/balancer/src/test/java/dewplank/balancer/adaptive/EffectTest.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/EffectTest.java
@@ -1,21 +1,19 @@
 package dewplank.balancer.adaptive;
 
-import dewplank.balancer.Action;
-
-import dewplank.balancer.Outcome;
+import static dewplank.balancer.adaptive.Host.entry;
+import static dewplank.balancer.adaptive.Host.of;
+import static dewplank.balancer.adaptive.Host.sent;
+import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import dewplank.balancer.Action;
 import dewplank.balancer.Action.Fail;
 import dewplank.balancer.Action.Reject;
 import dewplank.balancer.Action.Send;
 import dewplank.balancer.Endpoint.Availability;
 import dewplank.balancer.Event.UpdateKind;
+import dewplank.balancer.Outcome;
 import dewplank.balancer.Settings.DeduplicationScope;
 import dewplank.balancer.Settings.Idempotency;
-import static org.junit.jupiter.api.Assertions.assertEquals;
-import static dewplank.balancer.adaptive.Host.entry;
-import static dewplank.balancer.adaptive.Host.of;
-import static dewplank.balancer.adaptive.Host.sent;
-
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -46,8 +44,14 @@
         "UNSAFE, ALL, CONNECT_FAILED, 10, z2, 1, send",
         "UNSAFE, ALL, NEVER_SENT,     10, z2, 1, refuse",
     })
-    void afterOneAttempt(Idempotency effect, DeduplicationScope scope, Outcome outcome, double ms, String zone, long cell,
-                         String expected) {
+    void afterOneAttempt(
+            Idempotency effect,
+            DeduplicationScope scope,
+            Outcome outcome,
+            double ms,
+            String zone,
+            long cell,
+            String expected) {
         Host.Setup setup = new Host.Setup();
         assertEquals(expected, after(setup, effect, scope, outcome, ms, zone, cell));
     }
@@ -68,21 +72,33 @@
         "UNSAFE, ALL, CONNECT_FAILED, 10, z2, 1, send",
         "UNSAFE, ALL, NEVER_SENT,     10, z2, 1, refuse",
     })
-    void afterOneAttemptWhereFullIsNoProof(Idempotency effect, DeduplicationScope scope, Outcome outcome, double ms, String zone,
-                                           long cell, String expected) {
+    void afterOneAttemptWhereFullIsNoProof(
+            Idempotency effect,
+            DeduplicationScope scope,
+            Outcome outcome,
+            double ms,
+            String zone,
+            long cell,
+            String expected) {
         Host.Setup setup = new Host.Setup();
         setup.fullMayHaveRun = true;
         assertEquals(expected, after(setup, effect, scope, outcome, ms, zone, cell));
     }
 
-    private static String after(Host.Setup setup, Idempotency effect, DeduplicationScope scope, Outcome outcome, double ms,
-                                String zone, long cell) {
+    private static String after(
+            Host.Setup setup,
+            Idempotency effect,
+            DeduplicationScope scope,
+            Outcome outcome,
+            double ms,
+            String zone,
+            long cell) {
         setup.effect = effect;
         setup.scope = scope;
         Host h = new Host(setup);
         h.list(UpdateKind.CACHED, entry("a", "z1", 0, Availability.UP, null));
         Send first = sent(h.arrive("act"));
-        h.list(UpdateKind.FULL, entry("b", zone, cell, Availability.UP, null));   // a is gone, b is new
+        h.list(UpdateKind.FULL, entry("b", zone, cell, Availability.UP, null)); // a is gone, b is new
         h.now += ms;
         List<Action> then = h.end(first, 0, outcome, ms, false);
         return what(then);
--- a/balancer/src/test/java/dewplank/balancer/adaptive/Host.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/Host.java
@@ -1,20 +1,19 @@
 package dewplank.balancer.adaptive;
 
 import dewplank.balancer.Action;
-import dewplank.balancer.Balancer;
-import dewplank.balancer.Endpoint;
-import dewplank.balancer.Event;
-import dewplank.balancer.Outcome;
-import dewplank.balancer.Settings;
-
 import dewplank.balancer.Action.Send;
 import dewplank.balancer.Action.SetTimer;
+import dewplank.balancer.Balancer;
+import dewplank.balancer.Endpoint;
 import dewplank.balancer.Endpoint.Availability;
+import dewplank.balancer.Event;
 import dewplank.balancer.Event.AttemptEnded;
 import dewplank.balancer.Event.EndpointUpdate;
 import dewplank.balancer.Event.RequestArrived;
 import dewplank.balancer.Event.TimerFired;
 import dewplank.balancer.Event.UpdateKind;
+import dewplank.balancer.Outcome;
+import dewplank.balancer.Settings;
 import dewplank.balancer.Settings.DeduplicationScope;
 import dewplank.balancer.Settings.Goal;
 import dewplank.balancer.Settings.Idempotency;
@@ -61,14 +60,28 @@
 
         Settings settings() {
             List<RequestClass> classes = new ArrayList<>();
-            classes.add(new RequestClass("read", Idempotency.SAFE, DeduplicationScope.ALL, 0, AIM, aimPerWork, DEADLINE, 1, 0, stream));
+            classes.add(new RequestClass(
+                    "read", Idempotency.SAFE, DeduplicationScope.ALL, 0, AIM, aimPerWork, DEADLINE, 1, 0, stream));
             classes.add(new RequestClass("act", effect, scope, 400, AIM, 0, DEADLINE, 5, 0, false));
             classes.addAll(more);
-            return new Settings(me, replicas, "z1", 1, pushed, false, rated, warmKeys, 0.1, List.of("busy"), false,
-                classes, tenants,
-                new Limits(maxAttempts, copies, cancel, probes, peers, true, 300, 100, 15_000, 100),
-                new Safety(10_000, 10_000, 0.3, 3, 1_000, soft, fullMayHaveRun),
-                new Prices(crossPrice, 0), new Goal(0.9, 0.1, tail, tail > 0 ? 0.01 : 0));
+            return new Settings(
+                    me,
+                    replicas,
+                    "z1",
+                    1,
+                    pushed,
+                    false,
+                    rated,
+                    warmKeys,
+                    0.1,
+                    List.of("busy"),
+                    false,
+                    classes,
+                    tenants,
+                    new Limits(maxAttempts, copies, cancel, probes, peers, true, 300, 100, 15_000, 100),
+                    new Safety(10_000, 10_000, 0.3, 3, 1_000, soft, fullMayHaveRun),
+                    new Prices(crossPrice, 0),
+                    new Goal(0.9, 0.1, tail, tail > 0 ? 0.01 : 0));
         }
     }
 
--- a/balancer/src/test/java/dewplank/balancer/adaptive/RulesTest.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/RulesTest.java
@@ -1,30 +1,29 @@
 package dewplank.balancer.adaptive;
 
-import dewplank.balancer.Action;
-import dewplank.balancer.Endpoint;
-import dewplank.balancer.Outcome;
+import static dewplank.balancer.adaptive.Host.entry;
+import static dewplank.balancer.adaptive.Host.of;
+import static dewplank.balancer.adaptive.Host.sent;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import dewplank.balancer.Action;
 import dewplank.balancer.Action.Cancel;
 import dewplank.balancer.Action.Fail;
 import dewplank.balancer.Action.Reject;
 import dewplank.balancer.Action.Send;
 import dewplank.balancer.Action.SetTimer;
 import dewplank.balancer.Action.Subscribe;
+import dewplank.balancer.Endpoint;
 import dewplank.balancer.Endpoint.Availability;
 import dewplank.balancer.Event.RequestAbandoned;
 import dewplank.balancer.Event.StreamStarted;
 import dewplank.balancer.Event.UpdateKind;
+import dewplank.balancer.Outcome;
 import dewplank.balancer.Settings.Idempotency;
-import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertFalse;
-import static org.junit.jupiter.api.Assertions.assertNotEquals;
-import static org.junit.jupiter.api.Assertions.assertNotNull;
-import static org.junit.jupiter.api.Assertions.assertNull;
-import static org.junit.jupiter.api.Assertions.assertTrue;
-import static dewplank.balancer.adaptive.Host.entry;
-import static dewplank.balancer.adaptive.Host.of;
-import static dewplank.balancer.adaptive.Host.sent;
-
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -96,7 +95,7 @@
             ghosts.add(entry("ghost" + i, "z1", 0, Availability.UP, null));
         }
         ghosts.add(entry("s0", "z1", 0, Availability.DRAINING, null));
-        h.list(UpdateKind.FULL, ghosts.toArray(Endpoint[]::new));   // s1 to s3 left out, though they serve
+        h.list(UpdateKind.FULL, ghosts.toArray(Endpoint[]::new)); // s1 to s3 left out, though they serve
         h.list(UpdateKind.INCREMENTAL, entry("s0", "z1", 0, Availability.REMOVED, null));
         int served = 0;
         for (int i = 0; i < 300; i++) {
@@ -159,7 +158,7 @@
                 sends++;
                 h.end(s, 0, Outcome.SERVED, 1, true);
             }
-            h.now += 5;   // 200 requests in one span of a second
+            h.now += 5; // 200 requests in one span of a second
         }
         // 3 x 0.4 of a quarter core over four instances for a second is 75 ms of work; each costs 20 ms.
         assertTrue(sends >= 1 && sends <= 4, sends + " sends");
@@ -172,13 +171,15 @@
     void newcomersTakeTheirPartOfABusyFleetsWork() {
         int newcomers = 0;
         int sends = 0;
-        for (int seed = 1; seed <= 20; seed++) {   // heavy-tailed times: one play says little
+        for (int seed = 1; seed <= 20; seed++) { // heavy-tailed times: one play says little
             Host h = Host.with(new Host.Setup(), 4);
             RandomGenerator random = new SplittableRandom(seed);
-            for (int i = 0; i < 800; i++) {   // one request at a time: others crowd the old servers
+            for (int i = 0; i < 800; i++) { // one request at a time: others crowd the old servers
                 if (i == 400) {
-                    h.list(UpdateKind.INCREMENTAL, entry("n0", "z1", 0, Availability.UP, h.now),
-                        entry("n1", "z1", 0, Availability.UP, h.now));
+                    h.list(
+                            UpdateKind.INCREMENTAL,
+                            entry("n0", "z1", 0, Availability.UP, h.now),
+                            entry("n1", "z1", 0, Availability.UP, h.now));
                 }
                 Send s = sent(h.arrive("read"));
                 h.now += 10;
@@ -199,14 +200,14 @@
     void allSidecarsTogetherKeepToTheColdBudget() {
         int sidecars = 400;
         double work = 20;
-        int[] sends = new int[60];   // spans of a second
+        int[] sends = new int[60]; // spans of a second
         for (int i = 0; i < sidecars; i++) {
             Host.Setup setup = new Host.Setup();
             setup.replicas = sidecars;
             Host h = new Host(setup, i);
             h.list(UpdateKind.CACHED, entry("cold", "z1", 0, Availability.UP, h.now));
             double start = h.now;
-            h.now += i % 100 * 10;   // one request a second each
+            h.now += i % 100 * 10; // one request a second each
             for (int n = 0; n < 8; n++) {
                 int span = (int) ((h.now - start) / 1_000);
                 Send s = sent(h.arrive("read"));
@@ -220,8 +221,8 @@
         int total = 0;
         double budget = 0;
         for (int span = 0; span < 8; span++) {
-            double present = 0.3 + 0.7 * (span + 0.5) / 10;   // of the quarter core that the smallest server has
-            budget += 3 * present * 250;                      // ms of work in the span
+            double present = 0.3 + 0.7 * (span + 0.5) / 10; // of the quarter core that the smallest server has
+            budget += 3 * present * 250; // ms of work in the span
             total += sends[span];
             assertTrue(total * work <= budget, "by span " + span + ": " + total + " sends");
             assertTrue(sends[span] * work <= 2 * 3 * present * 250, "span " + span + ": " + sends[span] + " sends");
@@ -240,7 +241,7 @@
         assertEquals(List.of(new Cancel(1, 0)), h.end(copy, 1, Outcome.SERVED, 20, true));
     }
 
-    /** The first one overdue is long, for all that is known: sent again it would take as long. The next one is stuck. */
+    /** The first one overdue is long, for all that is known: sent again it would take as long. The next is stuck. */
     @Test
     void withoutCopiesTheOverdueAttemptAtAServerInDoubtIsCalledOffBeforeTheNext() {
         Host h = Host.with(new Host.Setup(), 1);
--- a/balancer/src/test/java/dewplank/balancer/adaptive/TraceTest.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/TraceTest.java
@@ -1,13 +1,9 @@
 package dewplank.balancer.adaptive;
 
-import dewplank.balancer.Endpoint;
-import dewplank.balancer.Event;
-import dewplank.balancer.Outcome;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dewplank.balancer.Action;
-import dewplank.balancer.Settings;
-
-import dewplank.balancer.health.PeerSummary;
 import dewplank.balancer.Action.BroadcastSummary;
 import dewplank.balancer.Action.Cancel;
 import dewplank.balancer.Action.CheckHealth;
@@ -17,7 +13,9 @@
 import dewplank.balancer.Action.Send;
 import dewplank.balancer.Action.SetTimer;
 import dewplank.balancer.Action.Subscribe;
+import dewplank.balancer.Endpoint;
 import dewplank.balancer.Endpoint.Availability;
+import dewplank.balancer.Event;
 import dewplank.balancer.Event.AttemptEnded;
 import dewplank.balancer.Event.EndpointUpdate;
 import dewplank.balancer.Event.HealthChecked;
@@ -27,6 +25,8 @@
 import dewplank.balancer.Event.StreamStarted;
 import dewplank.balancer.Event.TimerFired;
 import dewplank.balancer.Event.UpdateKind;
+import dewplank.balancer.Outcome;
+import dewplank.balancer.Settings;
 import dewplank.balancer.Settings.DeduplicationScope;
 import dewplank.balancer.Settings.Goal;
 import dewplank.balancer.Settings.Idempotency;
@@ -35,9 +35,7 @@
 import dewplank.balancer.Settings.RequestClass;
 import dewplank.balancer.Settings.Safety;
 import dewplank.balancer.Settings.Tenant;
-import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertTrue;
-
+import dewplank.balancer.health.PeerSummary;
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
@@ -104,30 +102,64 @@
     }
 
     /** What is drawn of each day's sidecar, servers and traffic. */
-    private record Variant(Settings settings, int servers, double everyMs, double workMs) { }
+    private record Variant(Settings settings, int servers, double everyMs, double workMs) {}
 
     private static Variant variant(String name) {
         Idempotency effect = name.equals("crowd") ? Idempotency.UNSAFE : Idempotency.KEYED;
-        DeduplicationScope scope = name.equals("copies") ? DeduplicationScope.ALL : name.equals("peers") ? DeduplicationScope.CELL : DeduplicationScope.ZONE;
+        DeduplicationScope scope = name.equals("copies")
+                ? DeduplicationScope.ALL
+                : name.equals("peers") ? DeduplicationScope.CELL : DeduplicationScope.ZONE;
         boolean copies = name.equals("copies") || name.equals("wide");
         boolean quiet = name.equals("quiet");
         List<RequestClass> classes = List.of(
-            new RequestClass("read", Idempotency.SAFE, DeduplicationScope.ALL, 0, 300, name.equals("plain") ? 0.5 : 0, 600, 1, 0.2,
-                false),
-            new RequestClass("act", effect, scope, 400, 400, 0, 700, 5, 0, false),
-            new RequestClass("pay", Idempotency.UNSAFE, DeduplicationScope.ALL, 0, 500, 0, 1_500, 9, 0, false),
-            new RequestClass("flow", Idempotency.SAFE, DeduplicationScope.ALL, 0, 200, 0, 2_000, 2, 0.5, true));
+                new RequestClass(
+                        "read",
+                        Idempotency.SAFE,
+                        DeduplicationScope.ALL,
+                        0,
+                        300,
+                        name.equals("plain") ? 0.5 : 0,
+                        600,
+                        1,
+                        0.2,
+                        false),
+                new RequestClass("act", effect, scope, 400, 400, 0, 700, 5, 0, false),
+                new RequestClass("pay", Idempotency.UNSAFE, DeduplicationScope.ALL, 0, 500, 0, 1_500, 9, 0, false),
+                new RequestClass("flow", Idempotency.SAFE, DeduplicationScope.ALL, 0, 200, 0, 2_000, 2, 0.5, true));
         List<Tenant> tenants = name.equals("tenants") || name.equals("peers")
-            ? List.of(new Tenant("a", 0.5, 40), new Tenant("b", 0.3, 20), new Tenant("c", 0.2, 0)) : List.of();
-        Limits limits = new Limits(quiet ? 2 : 4, copies, !copies && !quiet, name.equals("peers") || quiet,
-            name.equals("peers") || name.equals("wide"), !quiet, 300, 100, name.equals("wide") ? 2_000 : 15_000,
-            name.equals("pushless") ? 1 : name.equals("wide") ? 3 : 100);
+                ? List.of(new Tenant("a", 0.5, 40), new Tenant("b", 0.3, 20), new Tenant("c", 0.2, 0))
+                : List.of();
+        Limits limits = new Limits(
+                quiet ? 2 : 4,
+                copies,
+                !copies && !quiet,
+                name.equals("peers") || quiet,
+                name.equals("peers") || name.equals("wide"),
+                !quiet,
+                300,
+                100,
+                name.equals("wide") ? 2_000 : 15_000,
+                name.equals("pushless") ? 1 : name.equals("wide") ? 3 : 100);
         Safety safety = new Safety(10_000, quiet ? 0 : 10_000, 0.3, 3, 1_000, name.equals("pushless"), copies);
         Goal goal = new Goal(0.9, 0.1, name.equals("crowd") || quiet ? 0.4 : 0, 0.01);
-        Settings settings = new Settings(1, name.equals("wide") ? 200 : 4, "z1", 1, !name.equals("pushless"),
-            name.equals("tenants") || name.equals("wide"), name.equals("pushless") || name.equals("crowd"),
-            name.equals("copies") || name.equals("tenants"), 0.1, List.of("busy"), false, classes, tenants, limits,
-            safety, new Prices(name.equals("copies") ? 0 : 0.05, 0.02), goal);
+        Settings settings = new Settings(
+                1,
+                name.equals("wide") ? 200 : 4,
+                "z1",
+                1,
+                !name.equals("pushless"),
+                name.equals("tenants") || name.equals("wide"),
+                name.equals("pushless") || name.equals("crowd"),
+                name.equals("copies") || name.equals("tenants"),
+                0.1,
+                List.of("busy"),
+                false,
+                classes,
+                tenants,
+                limits,
+                safety,
+                new Prices(name.equals("copies") ? 0 : 0.05, 0.02),
+                goal);
         int servers = name.equals("wide") ? 80 : name.equals("crowd") ? 4 : 9;
         return new Variant(settings, servers, name.equals("wide") ? 40 : name.equals("crowd") ? 4 : 8, 15);
     }
@@ -172,7 +204,7 @@
                 now = Math.max(now, next.time());
                 next.task().run();
             }
-            note("drawn up to " + choiceRandom.nextLong());   // as many numbers were drawn
+            note("drawn up to " + choiceRandom.nextLong()); // as many numbers were drawn
             return HexFormat.of().formatHex(digest.digest()).substring(0, 16);
         }
 
@@ -198,7 +230,7 @@
         private static String recordedForm(Action action) {
             if (action instanceof Send s) {
                 return "Send[request=" + s.request() + ", server=" + s.server() + ", timeoutMs=" + s.timeoutMs()
-                    + ", writeWithinMs=" + s.writeWithinMs() + "]";
+                        + ", writeWithinMs=" + s.writeWithinMs() + "]";
             }
             if (action instanceof Reject r) {
                 return "Refuse[request=" + r.request() + ", retryInMs=" + r.retryAfterMs() + "]";
@@ -244,8 +276,12 @@
             client.open.add(attempt);
             client.servers.add(s.server());
             stage.busy++;
-            double took = variant.workMs() * stage.slow * (0.3 - Math.log(1 - random.nextDouble()))
-                * (1 + stage.busy / 4.0) * (1 + 0.2 * client.kind) + (stage.zone.equals("z1") ? 1 : 12);
+            double took = variant.workMs()
+                            * stage.slow
+                            * (0.3 - Math.log(1 - random.nextDouble()))
+                            * (1 + stage.busy / 4.0)
+                            * (1 + 0.2 * client.kind)
+                    + (stage.zone.equals("z1") ? 1 : 12);
             Outcome outcome = Outcome.SERVED;
             if (random.nextDouble() < stage.ill) {
                 outcome = stage.way;
@@ -314,8 +350,13 @@
             Stage stage = stages.get(random.nextInt(stages.size()));
             stage.slow = random.nextInt(3) == 0 ? 1 + 6 * random.nextDouble() : 1;
             stage.ill = random.nextInt(3) == 0 ? random.nextDouble() : random.nextInt(4) == 0 ? 0.05 : 0;
-            List<Outcome> ways = List.of(Outcome.ERROR, Outcome.REJECTED, Outcome.TIMED_OUT, Outcome.CONNECT_FAILED,
-                Outcome.RESET, Outcome.ERROR);
+            List<Outcome> ways = List.of(
+                    Outcome.ERROR,
+                    Outcome.REJECTED,
+                    Outcome.TIMED_OUT,
+                    Outcome.CONNECT_FAILED,
+                    Outcome.RESET,
+                    Outcome.ERROR);
             stage.way = ways.get(random.nextInt(ways.size()));
             at(now + 900 * random.nextDouble(), this::weather);
         }
@@ -336,8 +377,10 @@
 
         private void peers() {
             int peer = random.nextInt(-1, 5);
-            List<Integer> unhealthy = stages.stream().filter(s -> s.ill > 0.2 || random.nextInt(20) == 0)
-                .map(s -> s.id.hashCode()).toList();
+            List<Integer> unhealthy = stages.stream()
+                    .filter(s -> s.ill > 0.2 || random.nextInt(20) == 0)
+                    .map(s -> s.id.hashCode())
+                    .toList();
             byte[] bytes = new PeerSummary(now - 3_500 * random.nextDouble() + 200, unhealthy).encode();
             tell(new PeerSummaryReceived(peer, random.nextInt(20) == 0 ? new byte[3] : bytes));
             at(now + 600 * random.nextDouble(), this::peers);
--- a/balancer/src/test/java/dewplank/balancer/health/PeerVotesTest.java
+++ b/balancer/src/test/java/dewplank/balancer/health/PeerVotesTest.java
@@ -13,7 +13,12 @@
     private final PeerVotes<String> votes = new PeerVotes<>();
 
     private void hear(String peer, double toldAt, String... unhealthy) {
-        votes.receive(NOW, peer, new PeerSummary(toldAt, List.of(unhealthy).stream().map(String::hashCode).toList()));
+        votes.receive(
+                NOW,
+                peer,
+                new PeerSummary(
+                        toldAt,
+                        List.of(unhealthy).stream().map(String::hashCode).toList()));
     }
 
     @Test
