--- a/consensus/src/main/java/dewplank/singleton/Candidate.java
+++ b/consensus/src/main/java/dewplank/singleton/Candidate.java
@@ -3,348 +3,349 @@
 import dewplank.register.AcceptorId;
 import dewplank.register.AcceptorSet;
 import dewplank.singleton.VoteRequest.Kind;
-import java.util.ArrayDeque;
-import java.util.Deque;
+import java.util.ArrayList;
 import java.util.List;
 import java.util.function.DoubleSupplier;
 
 /**
- * One control sidecar's candidacy for one duty. While another holds the duty it probes about once a lease, which binds
- * nobody and writes nothing; once a majority is free it asks for votes under a number above all it has seen. It holds
- * the duty by its own steady clock, from the moment it sent the request that won, for a lease less a margin; a holder
- * that was frozen so finds its lease lapsed and must win anew, under a new number.
+ * One control plane's candidacy for one singleton role: elects itself lease holder among the {@link LeaseVoter}s where
+ * the role is vacant, and renews the lease while it has it. Leases are those of Gray and Cheriton (Leases: an efficient
+ * fault-tolerant mechanism for distributed file cache consistency, SOSP 1989); every lease has a fencing token above
+ * all earlier ones. {@code docs/control-state.md}, point 6, numbers the invariants that the comments here refer to, and
+ * argues for them.
  *
- * <p>The voters are the register's acceptors, named by the identity of their disk, and votes are counted by the newest
- * set known to be chosen, as a change of the register is: majorities of sets that follow each other always meet. Sets
- * further apart need not. Their leases are kept apart by the voters, which give no vote to a new holder for a lease
- * after they learn of a set (see {@link LeaseVoter}), and by two rules here. A vote counts only within {@link
- * LeaseTiming#ballotMs} of the request. And a lease that was last renewed by an older set is renewed by a newer one
- * only if there are as many milliseconds left of it: so an ask under the older set, sent before that change was chosen,
- * has ended before the votes that bind the older set to the holder lapse.
+ * <p>A state machine without input or output: the caller hands in the time, the voters' replies and the voters, and
+ * does what {@link Effects} say. Not thread-safe; the control plane calls it on its event loop. Times are in
+ * milliseconds of one steady clock, which must never run backwards. No method throws but for a fault in the program.
  */
 public final class Candidate {
-    /** What a candidate wants done. */
+    /** What the candidate wants done; called on the caller's thread, before the method that was called returns. */
     public interface Effects {
         /**
-         * Send a request to a voter, which may be this sidecar's own.
+         * Sends a request to a voter, which may be this process's own. The request may be lost; it must not be
+         * delivered, nor a reply to it, before the candidate's method has returned.
          *
-         * @param voter where the voter is and the identity that the request is meant for
+         * @param voter where the voter is, and the identity that the request is meant for
          * @param request the request
          */
         void send(AcceptorId voter, VoteRequest request);
 
         /**
-         * The duty is held from now on.
+         * The lease is held from now on.
          *
-         * @param duty the duty
-         * @param number the fencing number
+         * @param duty the role
+         * @param fencingToken the token of the lease
          */
         void leaseAcquired(String duty, long fencingToken);
 
         /**
-         * The duty is held no more.
+         * The lease is held no more.
          *
-         * @param duty the duty
-         * @param number the fencing number under which it was held
+         * @param duty the role
+         * @param fencingToken the token of the lease
          */
         void leaseLost(String duty, long fencingToken);
     }
 
-    /** Numbers for each set of voters: a ballot every quarter of a second takes three days to use them up. */
-    private static final long NUMBERS_PER_SET = 1 << 20;
-
-    private enum State {
-        WAITING,
-        PROBING,
-        ASKING,
-        HOLDING,
-        STOPPED
-    }
+    /** Tokens for each set of voters: an election every quarter of a second takes three days to use them up. */
+    private static final long TOKENS_PER_GENERATION = 1 << 20;
 
     private final String duty;
     private final String name;
     private final LeaseTiming timing;
     private final DoubleSupplier random;
-    private final Deque<VoteRound> ballots = new ArrayDeque<>();
 
+    private CandidateState state;
     private AcceptorSet voters = AcceptorSet.of(List.of());
-    private State state = State.WAITING;
-    private double wakeAt;
-    private int failures;
-    private long round;
-    private long highestSeen;
-    private long number;
-    private double wonAt;
-    private double heldUntil;
-    private long heldGeneration;
-    private double pausedUntil = Double.NEGATIVE_INFINITY;
+    private int failedElections;
+    private long roundNumber;
+    private long highestToken;
+    private long fencingToken;
+    private double leaseAcquiredAtMs;
 
     /**
      * A candidacy at the start of a process.
      *
-     * @param duty the duty
-     * @param name the candidate's name, another one in each life of its process
+     * @param duty the role
+     * @param name the candidate's name, another one in each incarnation of its process
      * @param timing the times
-     * @param random gives numbers from 0 up to 1
-     * @param now the time by the candidate's steady clock
+     * @param random draws numbers from 0 up to 1
+     * @param nowMs the time by the candidate's steady clock
      */
-    public Candidate(String duty, String name, LeaseTiming timing, DoubleSupplier random, double now) {
+    public Candidate(String duty, String name, LeaseTiming timing, DoubleSupplier random, double nowMs) {
         this.duty = duty;
         this.name = name;
         this.timing = timing;
         this.random = random;
-        this.wakeAt = now + jitter();
+        state = new FollowerState(nowMs + drawElectionDelayMs());
     }
 
     /**
-     * Takes the newest set of voters known to be chosen; a holder renews by it at once.
+     * Takes the newest set of voters known to be chosen; a lease holder renews by it at the next tick.
      *
-     * @param now the time by the candidate's steady clock
-     * @param chosen the set
+     * @param nowMs the time by the candidate's steady clock
+     * @param chosen the set; an older one than the last is ignored
      */
-    public void updateVoterSet(double now, AcceptorSet chosen) {
+    public void updateVoterSet(double nowMs, AcceptorSet chosen) {
         boolean newer = chosen.generation() > voters.generation();
         if (newer || voters.all().isEmpty()) {
             voters = chosen;
         }
-        if (newer && state == State.HOLDING) {
-            wakeAt = Math.min(wakeAt, now);
+        if (newer && state instanceof LeaseHolderState lease) {
+            lease.renewNoLaterThan(nowMs);
         }
     }
 
-    /** When {@link #tick} is due next. */
+    /** When {@link #tick} is due next, by the candidate's steady clock; infinity after a shutdown. */
     public double nextTickAtMs() {
-        return state == State.HOLDING ? Math.min(wakeAt, heldUntil) : wakeAt;
+        return state.nextTickAtMs();
     }
 
     /**
-     * Does what is due.
+     * Does what is due. To be called at {@link #nextTickAtMs}; an earlier call does nothing.
      *
-     * @param now the time by the candidate's steady clock
-     * @param out takes what is to be done
+     * @param nowMs the time by the candidate's steady clock
+     * @param effects takes what is to be done
      */
-    public void tick(double now, Effects out) {
-        noticeLapse(now, out);
-        if (now < wakeAt) {
+    public void tick(double nowMs, Effects effects) {
+        endExpiredLease(nowMs, effects);
+        if (nowMs < state.nextTickAtMs()) {
             return;
         }
-        switch (state) {
-            case WAITING -> start(now, State.PROBING, Kind.PROBE, highestSeen, out);
-            case PROBING, ASKING -> fail(now, out);
-            case HOLDING -> renew(now, out);
-            case STOPPED -> wakeAt = Double.POSITIVE_INFINITY;
+        if (state instanceof FollowerState) {
+            probe(nowMs, effects);
+        } else if (state instanceof ProbingState probing) {
+            failProbe(nowMs, probing.round());
+        } else if (state instanceof RequestingVotesState election) {
+            failElection(nowMs, election.round(), effects);
+        } else if (state instanceof LeaseHolderState lease) {
+            renew(nowMs, lease, effects);
         }
     }
 
     /**
-     * Takes a voter's reply.
+     * Takes a voter's reply; one to another role, candidate, incarnation or round is ignored.
      *
-     * @param now the time by the candidate's steady clock
+     * @param nowMs the time by the candidate's steady clock
      * @param reply the reply
-     * @param out takes what is to be done
+     * @param effects takes what is to be done
      */
-    public void onVoteReply(double now, VoteReply reply, Effects out) {
-        noticeLapse(now, out);
+    public void onVoteReply(double nowMs, VoteReply reply, Effects effects) {
+        endExpiredLease(nowMs, effects);
         if (!reply.duty().equals(duty) || !reply.candidate().equals(name)) {
             return;
         }
-        highestSeen = Math.max(highestSeen, reply.highestToken());
-        VoteRound ballot = ballot(reply.round());
-        if (ballot != null) {
-            ballot.record(reply);
-            count(now, ballot, out);
+        highestToken = Math.max(highestToken, reply.highestToken());
+        if (state instanceof ProbingState probing) {
+            countProbe(nowMs, probing.round(), reply, effects);
+        } else if (state instanceof RequestingVotesState election) {
+            countVotes(nowMs, election, reply, effects);
+        } else if (state instanceof LeaseHolderState lease) {
+            lease.onVoteReply(reply);
         }
     }
 
     /**
-     * A holder laid the duty down: a candidate that waits tries after a short delay.
+     * The voter of this process learned that a holder released the lease: the next election begins after a short delay.
      *
-     * @param now the time by the candidate's steady clock
+     * @param nowMs the time by the candidate's steady clock
      */
-    public void onLeaseReleased(double now) {
-        if (state == State.WAITING && now >= pausedUntil) {
-            wakeAt = Math.min(wakeAt, now + jitter());
+    public void onLeaseReleased(double nowMs) {
+        if (state instanceof FollowerState follower && follower.isEligible(nowMs)) {
+            follower.electNoLaterThan(nowMs + drawElectionDelayMs());
         }
     }
 
     /**
-     * Lays the duty down, where it is held, and leaves it to the others for a while: this sidecar can't do it.
+     * Releases the lease, where it is held, and takes part in no election for a while: another process may be able to
+     * do what this one can't.
      *
-     * @param now the time by the candidate's steady clock
-     * @param backoffMs how long it does not stand for the duty
-     * @param out takes what is to be done
+     * @param nowMs the time by the candidate's steady clock
+     * @param backoffMs how long it takes part in no election
+     * @param effects takes what is to be done
      */
-    public void stepDown(double now, double backoffMs, Effects out) {
-        noticeLapse(now, out);
-        if (state == State.STOPPED) {
+    public void stepDown(double nowMs, double backoffMs, Effects effects) {
+        endExpiredLease(nowMs, effects);
+        if (state instanceof StoppedState) {
             return;
         }
-        pausedUntil = now + backoffMs;
-        resign(now, State.WAITING, out);
-        ballots.clear();
-        state = State.WAITING;
-        wakeAt = pausedUntil + jitter();
+        double eligibleAtMs = nowMs + backoffMs;
+        if (state instanceof LeaseHolderState) {
+            endLease(new FollowerState(nowMs + drawElectionDelayMs(), eligibleAtMs), effects);
+        } else if (state instanceof RequestingVotesState election) {
+            withdraw(election.round(), effects);
+        }
+        transitionTo(new FollowerState(eligibleAtMs + drawElectionDelayMs(), eligibleAtMs));
     }
 
     /**
-     * Lays the duty down, where it is held, and stands for it no more.
+     * Releases the lease, where it is held, and takes part in no election any more.
      *
-     * @param now the time by the candidate's steady clock
-     * @param out takes what is to be done
+     * @param nowMs the time by the candidate's steady clock
+     * @param effects takes what is to be done
      */
-    public void shutDown(double now, Effects out) {
-        noticeLapse(now, out);
-        resign(now, State.STOPPED, out);
-        ballots.clear();
-        state = State.STOPPED;
-        wakeAt = Double.POSITIVE_INFINITY;
+    public void shutDown(double nowMs, Effects effects) {
+        endExpiredLease(nowMs, effects);
+        if (state instanceof LeaseHolderState) {
+            drawElectionDelayMs(); // not used; a seed gives the same history only if each end of a lease draws one
+            endLease(new StoppedState(), effects);
+            return;
+        }
+        if (state instanceof RequestingVotesState election) {
+            withdraw(election.round(), effects);
+        }
+        transitionTo(new StoppedState());
     }
 
     /**
-     * Whether the duty is held: to be asked immediately before each act that rests on it.
+     * Whether the lease is held: to be asked immediately before each act that rests on it (invariant 6).
      *
-     * @param now the time by the candidate's steady clock
+     * @param nowMs the time by the candidate's steady clock
      */
-    public boolean isLeaseHolder(double now) {
-        return state == State.HOLDING && now < heldUntil;
+    public boolean isLeaseHolder(double nowMs) {
+        return state instanceof LeaseHolderState lease && !lease.isExpired(nowMs);
     }
 
-    /** The number under which the duty is or was last held; 0 where it never was. */
+    /** The fencing token of the lease that is or was held last; 0 where none ever was. */
     public long fencingToken() {
-        return number;
+        return fencingToken;
     }
 
-    /** When the duty was won: whoever held it before had laid it down, or let it lapse, by then. */
+    /** When the lease was acquired: its previous holder had released it, or let it expire, by then. */
     public double leaseAcquiredAtMs() {
-        return wonAt;
+        return leaseAcquiredAtMs;
     }
 
-    private void resign(double now, State next, Effects out) {
-        if (state == State.HOLDING) {
-            leave(now, next, out);
-        } else if (state == State.ASKING) {
-            withdraw(ballots.getLast(), out);
+    private void transitionTo(CandidateState next) {
+        if (!state.allowsTransitionTo(next)) {
+            throw new IllegalStateException(
+                    "no transition from " + state.getClass().getSimpleName() + " to "
+                            + next.getClass().getSimpleName());
         }
+        state = next;
     }
 
-    private void noticeLapse(double now, Effects out) {
-        if (state == State.HOLDING && now >= heldUntil) {
-            leave(now, State.WAITING, out);
-        }
-    }
+    // ---- election -------------------------------------------------------------------------------------
 
-    /** A holder that hears no voter any more may still bind them by its renewals: it tells them that it is over. */
-    private void leave(double now, State next, Effects out) {
-        state = next;
-        ballots.clear();
-        wakeAt = now + jitter();
-        out.leaseLost(duty, number);
-        sendAll(voters.all(), Kind.RELEASE, number, out);
+    private void probe(double nowMs, Effects effects) {
+        VoteRound round = nextRound(nowMs, highestToken);
+        transitionTo(new ProbingState(round, nowMs + timing.voteTimeoutMs()));
+        sendAll(voters.all(), Kind.PROBE, round.fencingToken(), effects);
     }
 
-    private void start(double now, State next, Kind kind, long proposed, Effects out) {
-        state = next;
-        ballots.clear();
-        wakeAt = now + timing.ballotMs();
-        send(now, kind, proposed, out);
+    private void countProbe(double nowMs, VoteRound round, VoteReply reply, Effects effects) {
+        if (reply.round() != round.number()) {
+            return;
+        }
+        round.add(reply);
+        if (round.isVoteGranted()) {
+            requestVotes(nowMs, effects);
+        } else if (round.isVoteRejected()) {
+            failProbe(nowMs, round);
+        }
     }
 
-    private void renew(double now, Effects out) {
-        ballots.removeIf(ballot -> now >= ballot.sentAt() + timing.holdMs());
-        wakeAt = now + timing.renewalMs();
-        send(now, Kind.RENEW, number, out);
+    private void requestVotes(double nowMs, Effects effects) {
+        highestToken = nextToken();
+        VoteRound round = nextRound(nowMs, highestToken);
+        transitionTo(new RequestingVotesState(round, nowMs + timing.voteTimeoutMs()));
+        sendAll(voters.all(), Kind.REQUEST_VOTE, round.fencingToken(), effects);
     }
 
-    private void send(double now, Kind kind, long proposed, Effects out) {
-        round++;
-        ballots.add(new VoteRound(voters, round, proposed, now));
-        sendAll(voters.all(), kind, proposed, out);
+    /**
+     * Above all that was seen or requested, as a late withdrawal of one round must not undo the votes of another, and
+     * above all that earlier sets granted, which these voters may not know (invariant 10).
+     */
+    private long nextToken() {
+        return Math.max(highestToken, voters.generation() * TOKENS_PER_GENERATION) + 1;
     }
 
-    private void sendAll(List<AcceptorId> to, Kind kind, long proposed, Effects out) {
-        for (AcceptorId voter : to) {
-            out.send(voter, new VoteRequest(kind, duty, name, voter.identity(), round, proposed, voters.generation()));
+    private void countVotes(double nowMs, RequestingVotesState election, VoteReply reply, Effects effects) {
+        VoteRound round = election.round();
+        if (reply.round() != round.number()) {
+            return;
+        }
+        round.add(reply);
+        if (round.isVoteGranted()) {
+            if (!election.isTimedOut(nowMs)) {
+                acquireLease(nowMs, round, effects);
+            }
+        } else if (round.isVoteRejected()) {
+            failElection(nowMs, round, effects);
         }
     }
 
-    private void count(double now, VoteRound ballot, Effects out) {
-        if (ballot.isWon()) {
-            majority(now, ballot, out);
-        } else if (state != State.HOLDING && ballot.isLost()) {
-            fail(now, out);
-        }
+    /** The next election waits until a majority may be free; a time-out, with nobody bound, counts as a failure. */
+    private void failProbe(double nowMs, VoteRound round) {
+        double majorityFreeInMs = round.majorityFreeInMs();
+        failedElections = majorityFreeInMs > 0 ? 0 : failedElections + 1;
+        transitionTo(new FollowerState(nowMs + majorityFreeInMs + drawElectionDelayMs()));
     }
 
-    private void majority(double now, VoteRound ballot, Effects out) {
-        if (state == State.PROBING) {
-            highestSeen = nextNumber();
-            start(now, State.ASKING, Kind.REQUEST_VOTE, highestSeen, out);
-        } else if (state == State.ASKING && now < ballot.sentAt() + timing.ballotMs()) {
-            win(now, ballot, out);
-        } else if (state == State.HOLDING && mayExtend(ballot)) {
-            heldUntil = Math.max(heldUntil, ballot.sentAt() + timing.holdMs());
-            heldGeneration = Math.max(heldGeneration, ballot.generation());
-        }
+    /**
+     * Withdraws the votes that were requested. The candidate that got the others may be withdrawing them too, so only
+     * the delay parts the two.
+     */
+    private void failElection(double nowMs, VoteRound round, Effects effects) {
+        withdraw(round, effects);
+        failedElections++;
+        transitionTo(new FollowerState(nowMs + drawElectionDelayMs()));
     }
 
-    private boolean mayExtend(VoteRound ballot) {
-        return ballot.generation() <= heldGeneration || ballot.sentAt() <= heldUntil - timing.ballotMs();
+    private void withdraw(VoteRound round, Effects effects) {
+        List<AcceptorId> mayHaveGranted = new ArrayList<>();
+        for (AcceptorId voter : round.voters()) {
+            if (!round.hasRejected(voter)) {
+                mayHaveGranted.add(voter);
+            }
+        }
+        sendAll(mayHaveGranted, Kind.WITHDRAW, round.fencingToken(), effects);
     }
 
-    /**
-     * Above all that was seen or asked for, as a late withdrawal of one ballot must not undo the votes of another, and
-     * above all that was won by earlier sets, which these voters may not know.
-     */
-    private long nextNumber() {
-        return Math.max(highestSeen, voters.generation() * NUMBERS_PER_SET) + 1;
+    // ---- lease ----------------------------------------------------------------------------------------
+
+    private void acquireLease(double nowMs, VoteRound round, Effects effects) {
+        transitionTo(new LeaseHolderState(timing, round));
+        failedElections = 0;
+        fencingToken = round.fencingToken();
+        leaseAcquiredAtMs = nowMs;
+        effects.leaseAcquired(duty, fencingToken);
     }
 
-    private void win(double now, VoteRound ballot, Effects out) {
-        state = State.HOLDING;
-        failures = 0;
-        number = ballot.number();
-        wonAt = now;
-        heldUntil = ballot.sentAt() + timing.holdMs();
-        heldGeneration = ballot.generation();
-        wakeAt = ballot.sentAt() + timing.renewalMs();
-        out.leaseAcquired(duty, number);
+    private void renew(double nowMs, LeaseHolderState lease, Effects effects) {
+        lease.addRenewal(nextRound(nowMs, fencingToken), nowMs);
+        sendAll(voters.all(), Kind.RENEW, fencingToken, effects);
     }
 
-    /**
-     * Gives the round up. After a probe the next try waits until a majority may be free. Votes that were asked for go
-     * back; who took the others may be giving them back too, so only the delay parts the two.
-     */
-    private void fail(double now, Effects out) {
-        VoteRound ballot = ballots.getLast();
-        double boundMs = 0;
-        if (state == State.ASKING) {
-            withdraw(ballot, out);
-        } else {
-            boundMs = ballot.majorityBoundMs();
+    private void endExpiredLease(double nowMs, Effects effects) {
+        if (state instanceof LeaseHolderState lease && lease.isExpired(nowMs)) {
+            endLease(new FollowerState(nowMs + drawElectionDelayMs()), effects);
         }
-        failures = boundMs > 0 ? 0 : failures + 1;
-        ballots.clear();
-        state = State.WAITING;
-        wakeAt = now + boundMs + jitter();
     }
 
-    private void withdraw(VoteRound ballot, Effects out) {
-        List<AcceptorId> mayHaveGranted = ballot.voters().stream()
-                .filter(voter -> !ballot.isDenied(voter))
-                .toList();
-        sendAll(mayHaveGranted, Kind.WITHDRAW, ballot.number(), out);
+    /** The release goes out after an expiry too: a holder that receives nothing may still bind voters by renewals. */
+    private void endLease(CandidateState next, Effects effects) {
+        transitionTo(next);
+        effects.leaseLost(duty, fencingToken);
+        sendAll(voters.all(), Kind.RELEASE, fencingToken, effects);
     }
 
-    private VoteRound ballot(long wanted) {
-        for (VoteRound ballot : ballots) {
-            if (ballot.round() == wanted) {
-                return ballot;
-            }
+    // ---- requests -------------------------------------------------------------------------------------
+
+    private VoteRound nextRound(double nowMs, long token) {
+        roundNumber++;
+        return new VoteRound(voters, roundNumber, token, nowMs);
+    }
+
+    private void sendAll(List<AcceptorId> to, Kind kind, long token, Effects effects) {
+        for (AcceptorId voter : to) {
+            VoteRequest request =
+                    new VoteRequest(kind, duty, name, voter.identity(), roundNumber, token, voters.generation());
+            effects.send(voter, request);
         }
-        return null;
     }
 
-    private double jitter() {
-        return random.getAsDouble() * timing.windowMs(failures);
+    private double drawElectionDelayMs() {
+        return random.getAsDouble() * timing.maxElectionDelayMs(failedElections);
     }
 }
--- /dev/null
+++ b/consensus/src/main/java/dewplank/singleton/LeaseHolderState.java
@@ -0,0 +1,70 @@
+package dewplank.singleton;
+
+import java.util.ArrayDeque;
+import java.util.Deque;
+
+/** Has won an election: holds the lease until it expires by the candidate's own clock, and renews it before. */
+final class LeaseHolderState implements CandidateState {
+    private final LeaseTiming timing;
+    private final Deque<VoteRound> renewals = new ArrayDeque<>();
+    private double expiresAtMs;
+    private double renewAtMs;
+    private long generation;
+
+    /** Begins the lease at the time at which the winning round was sent (invariant 6). */
+    LeaseHolderState(LeaseTiming timing, VoteRound won) {
+        this.timing = timing;
+        expiresAtMs = won.sentAtMs() + timing.holderLeaseMs();
+        renewAtMs = won.sentAtMs() + timing.renewIntervalMs();
+        generation = won.generation();
+    }
+
+    boolean isExpired(double nowMs) {
+        return nowMs >= expiresAtMs;
+    }
+
+    /** Brings the next renewal forward; never puts it off. */
+    void renewNoLaterThan(double atMs) {
+        renewAtMs = Math.min(renewAtMs, atMs);
+    }
+
+    /** Adds a renewal that is sent now; those that can extend the lease no more are forgotten. */
+    void addRenewal(VoteRound renewal, double nowMs) {
+        renewals.removeIf(earlier -> nowMs >= earlier.sentAtMs() + timing.holderLeaseMs());
+        renewals.add(renewal);
+        renewAtMs = nowMs + timing.renewIntervalMs();
+    }
+
+    /** Records a reply to a renewal that is pending or was granted, and extends the lease once a majority granted. */
+    void onVoteReply(VoteReply reply) {
+        for (VoteRound renewal : renewals) {
+            if (renewal.number() == reply.round()) {
+                renewal.add(reply);
+                if (renewal.isVoteGranted() && mayExtendBy(renewal)) {
+                    extendBy(renewal);
+                }
+                return;
+            }
+        }
+    }
+
+    /** A newer set extends the lease only while the older one's lasts for a vote time-out more (invariant 9). */
+    private boolean mayExtendBy(VoteRound renewal) {
+        return renewal.generation() <= generation || renewal.sentAtMs() <= expiresAtMs - timing.voteTimeoutMs();
+    }
+
+    private void extendBy(VoteRound renewal) {
+        expiresAtMs = Math.max(expiresAtMs, renewal.sentAtMs() + timing.holderLeaseMs());
+        generation = Math.max(generation, renewal.generation());
+    }
+
+    @Override
+    public double nextTickAtMs() {
+        return Math.min(renewAtMs, expiresAtMs);
+    }
+
+    @Override
+    public boolean allowsTransitionTo(CandidateState next) {
+        return next instanceof FollowerState || next instanceof StoppedState;
+    }
+}
--- a/consensus/src/main/java/dewplank/singleton/VoteReply.java
+++ b/consensus/src/main/java/dewplank/singleton/VoteReply.java
@@ -1,16 +1,20 @@
 package dewplank.singleton;
 
-/** A voter's answer. Not a record: messages are filled in field by field. */
+/**
+ * A {@link LeaseVoter}'s message back to a {@link Candidate}. Immutable once received; safe to share between threads.
+ * Not a record: Protostuff fills messages in field by field, and numbers the fields by their place in this class, which
+ * therefore never changes; nor does the order of the enum's constants.
+ */
 public final class VoteReply {
-    /** What the voter says. */
+    /** The voter's decision. */
     public enum Verdict {
-        /** The vote is given, or, to a probe, would be. */
+        /** The vote is given; in reply to a probe, it would be. */
         GRANTED,
-        /** Another's lease stands, the number is too low, or the candidate counts by a list that is out of force. */
+        /** The voter is bound to another, the token is too low, or the candidate counts by a superseded set. */
         REJECTED,
-        /** The voter may have voted before, has just learned of a set of voters, or cannot keep a number on disk. */
+        /** The voter may have voted before a restart, has just learned of a set, or can't persist a token. */
         ABSTAINED,
-        /** The one that answers has another identity than the one that was asked; it never votes in its place. */
+        /** The disk that replies has another identity than the one requested; it never votes in its stead. */
         WRONG_IDENTITY
     }
 
@@ -27,10 +31,10 @@
     /**
      * A reply.
      *
-     * @param request what was asked
-     * @param voterIdentity the identity of the disk that answers
-     * @param verdict the answer
-     * @param state what stands at the voter after it
+     * @param request the request that it replies to
+     * @param voterIdentity the identity of the disk that replies
+     * @param verdict the decision
+     * @param state the vote as it is after the decision
      */
     VoteReply(VoteRequest request, String voterIdentity, Verdict verdict, VoteState state) {
         this.duty = request.duty();
@@ -44,55 +48,61 @@
         this.requestedIdentity = request.voterIdentity();
     }
 
-    /** What stands at a voter: its highest number, whom its lease binds it to (null: nobody), and for how long. */
+    /**
+     * A voter's vote for one role.
+     *
+     * @param highestToken the highest token that was granted
+     * @param grantedTo the candidate that the voter is bound to; null where to none, or where it does not know
+     * @param remainingMs how much longer it grants nothing to any other candidate
+     */
     record VoteState(long highestToken, String grantedTo, double remainingMs) {}
 
-    /** The duty. */
+    /** The singleton role. */
     public String duty() {
         return duty;
     }
 
-    /** The identity of the disk that answers. */
+    /** The identity of the disk that replies. */
     public String voterIdentity() {
         return voterIdentity;
     }
 
-    /** The identity that was asked. */
+    /** The identity whose vote was requested. */
     public String requestedIdentity() {
         return requestedIdentity;
     }
 
-    /** Whether the vote is given, or to a probe would be, by the very disk that was asked. */
-    boolean grants() {
+    /** Whether the vote is given, or to a probe would be, by the very disk whose vote was requested. */
+    boolean isGranted() {
         return verdict == Verdict.GRANTED && voterIdentity.equals(requestedIdentity);
     }
 
-    /** Who asked. */
+    /** The name of the candidate that sent the request. */
     public String candidate() {
         return candidate;
     }
 
-    /** The round of the request. */
+    /** The candidate's number of the round. */
     public long round() {
         return round;
     }
 
-    /** The answer. */
+    /** The decision. */
     public Verdict verdict() {
         return verdict;
     }
 
-    /** The highest number that the voter has promised. */
+    /** The highest token that the voter has granted. */
     public long highestToken() {
         return highestToken;
     }
 
-    /** Whom the voter is bound to; null where to nobody, or where it does not know. */
+    /** The candidate that the voter is bound to; null where to none, or where it does not know. */
     public String grantedTo() {
         return grantedTo;
     }
 
-    /** How much longer the voter is bound, or abstains. */
+    /** How many milliseconds longer the voter is bound, or abstains. */
     public double remainingMs() {
         return remainingMs;
     }
--- a/consensus/src/main/java/dewplank/singleton/VoteRound.java
+++ b/consensus/src/main/java/dewplank/singleton/VoteRound.java
@@ -9,93 +9,110 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The replies to one round of a candidate's requests, counted by the set of voters that was in force when it began. */
+/**
+ * The replies to one round of a candidate's requests (a probe, a request for votes or a renewal), counted by the set of
+ * voters that was in force when the round was sent (invariant 7).
+ */
 final class VoteRound {
     private final AcceptorSet voters;
-    private final long round;
     private final long number;
-    private final double sentAt;
-    private final Map<String, VoteReply> replies = new HashMap<>();
+    private final long fencingToken;
+    private final double sentAtMs;
+    private final Map<String, VoteReply> repliesByIdentity = new HashMap<>();
 
-    /** A round that was sent to these voters at the given time. */
-    VoteRound(AcceptorSet voters, long round, long number, double sentAt) {
+    /**
+     * A round without replies.
+     *
+     * @param voters the set that the requests go to
+     * @param number the candidate's number of the round, which replies bring back
+     * @param fencingToken the token that the requests name
+     * @param sentAtMs when the requests are sent, by the candidate's clock
+     */
+    VoteRound(AcceptorSet voters, long number, long fencingToken, double sentAtMs) {
         this.voters = voters;
-        this.round = round;
         this.number = number;
-        this.sentAt = sentAt;
+        this.fencingToken = fencingToken;
+        this.sentAtMs = sentAtMs;
     }
 
-    /** The generation of the voters. */
+    /** The generation of the set of voters. */
     long generation() {
         return voters.generation();
     }
 
-    /** Who was asked. */
+    /** All voters that the requests go to. */
     List<AcceptorId> voters() {
         return voters.all();
     }
 
-    long round() {
-        return round;
-    }
-
-    /** The number that was asked for. */
+    /** The candidate's number of the round. */
     long number() {
         return number;
     }
 
-    /** When it was sent, from when votes are counted. */
-    double sentAt() {
-        return sentAt;
+    /** The token that the requests name. */
+    long fencingToken() {
+        return fencingToken;
     }
 
-    /** Takes a reply; the first for each identity that was asked counts. */
-    void record(VoteReply reply) {
-        replies.putIfAbsent(reply.requestedIdentity(), reply);
+    /** When the requests were sent: votes are counted from then on. */
+    double sentAtMs() {
+        return sentAtMs;
     }
 
-    /** Whether a majority of the voters granted; of both, while the set is joint. */
-    boolean isWon() {
-        return voters.isQuorum(granting(false));
+    /** Takes a reply; the first for each requested identity counts. */
+    void add(VoteReply reply) {
+        repliesByIdentity.putIfAbsent(reply.requestedIdentity(), reply);
     }
 
-    /** Whether no majority can come any more, whatever the voters that are silent yet will say. */
-    boolean isLost() {
-        return !voters.isQuorum(granting(true));
+    /** Whether a majority of the voters granted; of both parts, while the set is joint. */
+    boolean isVoteGranted() {
+        Set<AcceptorId> granted = new HashSet<>();
+        for (AcceptorId voter : voters.all()) {
+            VoteReply reply = replyOf(voter);
+            if (reply != null && reply.isGranted()) {
+                granted.add(voter);
+            }
+        }
+        return voters.isQuorum(granted);
     }
 
-    private Set<AcceptorId> granting(boolean withSilent) {
+    /** Whether no majority can grant any more, whatever the voters that have not replied yet will reply. */
+    boolean isVoteRejected() {
         Set<AcceptorId> granting = new HashSet<>();
         for (AcceptorId voter : voters.all()) {
-            VoteReply reply = replies.get(voter.identity());
-            if (reply == null ? withSilent : reply.grants()) {
+            if (!hasRejected(voter)) {
                 granting.add(voter);
             }
         }
-        return granting;
+        return !voters.isQuorum(granting);
     }
 
-    /** Whether the voter refused, and so is not bound by this round. */
-    boolean isDenied(AcceptorId voter) {
-        VoteReply reply = replies.get(voter.identity());
-        return reply != null && !reply.grants();
+    /** Whether the voter replied and granted nothing, so that this round does not bind it. */
+    boolean hasRejected(AcceptorId voter) {
+        VoteReply reply = replyOf(voter);
+        return reply != null && !reply.isGranted();
     }
 
-    /** How long until a majority may be free, by what the voters said; those that were silent count as free. */
-    double majorityBoundMs() {
-        return Math.max(majorityBoundMs(voters.members()), majorityBoundMs(voters.joining()));
+    /** In how many milliseconds a majority may be free, by the replies; voters that have not replied count as free. */
+    double majorityFreeInMs() {
+        return Math.max(majorityFreeInMs(voters.members()), majorityFreeInMs(voters.joining()));
     }
 
-    private double majorityBoundMs(List<AcceptorId> part) {
-        if (part.isEmpty()) {
+    private double majorityFreeInMs(List<AcceptorId> members) {
+        if (members.isEmpty()) {
             return 0;
         }
-        double[] bound = new double[part.size()];
-        for (int index = 0; index < bound.length; index++) {
-            AcceptorId voter = part.get(index);
-            bound[index] = isDenied(voter) ? replies.get(voter.identity()).remainingMs() : 0;
+        double[] freeInMs = new double[members.size()];
+        for (int index = 0; index < freeInMs.length; index++) {
+            AcceptorId voter = members.get(index);
+            freeInMs[index] = hasRejected(voter) ? replyOf(voter).remainingMs() : 0;
         }
-        Arrays.sort(bound);
-        return bound[bound.length / 2];
+        Arrays.sort(freeInMs);
+        return freeInMs[freeInMs.length / 2];
+    }
+
+    private VoteReply replyOf(AcceptorId voter) {
+        return repliesByIdentity.get(voter.identity());
     }
 }
