--- a/consensus/src/main/java/dewplank/singleton/LeaseVoter.java
+++ b/consensus/src/main/java/dewplank/singleton/LeaseVoter.java
@@ -6,255 +6,270 @@
 import java.util.Map;
 
 /**
- * One control sidecar's votes. For each duty it is bound to one candidate at a time, for the length of a lease, and
- * never votes twice under one number. Numbers outlive a restart, leases do not: a voter that starts over abstains for
- * one lease, after which every vote it gave before has lapsed. An empty disk is another voter: it has another identity,
- * and votes only where it is asked by that one, which no candidate does before the set of voters includes it.
+ * One control plane's vote in the elections of lease holders: for each singleton role it is bound to one {@link
+ * Candidate} at a time, for the length of a lease, and never votes twice under one fencing token. Invariants 1 to 5 and
+ * 8 of {@code docs/control-state.md}, point 6, are kept here; the comments refer to them by number.
  *
- * <p>From the moment it learns of a newer set of voters, chosen or only accepted, a voter gives no vote to a new holder
- * for one lease, and none at all to those that count by an older set. Majorities of sets that are two changes apart
- * need not meet; this is what keeps their leases apart. The second set can be proposed only once the first is chosen,
- * and from then on no majority of the oldest set renews by it: the last lease by that set has lapsed a lease later. The
- * holder itself may renew meanwhile, so that a change of the set does not interrupt it.
+ * <p>A state machine without input or output, like the candidate: the caller hands in the time, the requests and the
+ * sets of voters, and does what {@link Effects} say. Not thread-safe; the control plane calls it on its event loop.
+ * Times are in milliseconds of one steady clock. No method throws but for a fault in the program.
  */
 public final class LeaseVoter {
-    /** What a voter wants done. */
+    /** What the voter wants done; called on the caller's thread, before the method that was called returns. */
     public interface Effects {
         /**
-         * Keep the reply's number on disk, and only then tell {@link LeaseVoter#onTokenPersisted} and send the reply.
-         * Where it cannot be kept the reply must not be sent and {@link LeaseVoter#onPersistFailed} is told. Numbers of
-         * one duty are kept in the order in which they are handed over.
+         * Persists the reply's token, and only then calls {@link LeaseVoter#onTokenPersisted} and sends the reply
+         * (invariant 1). Where it can't be persisted the reply must not be sent, and
+         * {@link LeaseVoter#onPersistFailed} is called. Tokens of one role are persisted in the order of these calls.
          *
-         * @param request the request that the number is promised to
+         * @param request the request that the token is granted to
          * @param reply what to send afterwards
          */
         void persistToken(VoteRequest request, VoteReply reply);
 
         /**
-         * Send a reply.
+         * Sends a reply to the candidate that sent the request.
          *
-         * @param reply the reply
+         * @param reply the reply, which may be lost
          */
         void send(VoteReply reply);
 
         /**
-         * A holder laid the duty down: the sidecar's own candidate may try at once.
+         * A lease holder released its lease: this process's own candidate may begin an election at once.
          *
-         * @param duty the duty
+         * @param duty the role
          */
         void leaseReleased(String duty);
     }
 
-    /** What stands for one duty. */
+    /** The vote for one role. */
     private static final class Vote {
-        private long number;
-        private long savedNumber;
-        private long releasedNumber;
-        private String holder;
-        private double until;
-
-        private boolean bindsToAnother(String candidate, double now) {
-            return holder != null && now < until && !holder.equals(candidate);
+        private long highestToken;
+        private long persistedToken;
+        private long releasedToken;
+        /** The candidate that the vote is granted to; null where it is granted to none. */
+        private String grantedTo;
+
+        private double expiresAtMs;
+
+        private boolean bindsToAnother(String candidate, double nowMs) {
+            return isBinding(nowMs) && !grantedTo.equals(candidate);
+        }
+
+        private boolean isBinding(double nowMs) {
+            return grantedTo != null && nowMs < expiresAtMs;
         }
     }
 
-    /** Part of a lease for which a voter asks for no vote to be kept after a write failed; the disk may come back. */
-    private static final double RETRY_PART = 1.0 / 4;
+    /** Of a lease: for so long after a failed write no token that needs the disk is granted; it may recover. */
+    private static final double PERSIST_BACKOFF_FRACTION = 1.0 / 4;
 
     private final String identity;
     private final double leaseMs;
-    private final double silentUntil;
+    private final double abstainsUntilMs;
     private final Map<String, Vote> votes = new HashMap<>();
 
-    private long chosenVersion;
-    private long acceptedVersion;
-    private double quietUntil = Double.NEGATIVE_INFINITY;
-    private double diskFailsUntil = Double.NEGATIVE_INFINITY;
+    private long chosenGeneration;
+    private long acceptedGeneration;
+    private double noNewHolderUntilMs = Double.NEGATIVE_INFINITY;
+    private double persistBackoffUntilMs = Double.NEGATIVE_INFINITY;
 
     /**
      * A voter at the start of a process.
      *
-     * @param identity the identity drawn with its disk
+     * @param identity the identity drawn with its disk (invariant 4)
      * @param leaseMs how long a vote binds it
-     * @param silentUntil the time before which it grants nothing: one lease after the start, or 0 where it cannot
-     *        have voted before
-     * @param highestNumbers the numbers that it kept, by duty
+     * @param abstainsUntilMs the time before which it grants nothing: one lease after the start, or 0 where it can't
+     *        have voted before (invariant 3)
+     * @param persistedTokens the highest token that is on disk, by role
      */
-    public LeaseVoter(String identity, double leaseMs, double silentUntil, Map<String, Long> highestNumbers) {
+    public LeaseVoter(String identity, double leaseMs, double abstainsUntilMs, Map<String, Long> persistedTokens) {
         this.identity = identity;
         this.leaseMs = leaseMs;
-        this.silentUntil = silentUntil;
-        for (Map.Entry<String, Long> kept : highestNumbers.entrySet()) {
-            vote(kept.getKey()).number = kept.getValue();
-            vote(kept.getKey()).savedNumber = kept.getValue();
+        this.abstainsUntilMs = abstainsUntilMs;
+        for (Map.Entry<String, Long> persisted : persistedTokens.entrySet()) {
+            Vote vote = vote(persisted.getKey());
+            vote.highestToken = persisted.getValue();
+            vote.persistedToken = persisted.getValue();
         }
     }
 
     /**
-     * Takes what this sidecar knows of the sets of voters. It must be told before the acceptance of a newer set leaves
-     * the sidecar: candidates that count by an older set are refused from then on. What was only accepted may give way
-     * to an older generation, which then was never chosen.
+     * Takes what this process knows of the sets of voters (invariant 8). To be called before the acceptance of a newer
+     * set leaves the process: candidates that count by an older set are rejected from then on. A set that was only
+     * accepted may give way to an older generation; then it never was chosen.
      *
-     * @param now the time by the voter's steady clock
+     * @param nowMs the time by the voter's steady clock
      * @param chosen the generation of the newest set known to be chosen
      * @param accepted the generation of the set accepted last, whether or not it is known to be chosen
      */
-    public void updateVoterSet(double now, long chosen, long accepted) {
-        long before = version();
-        chosenVersion = Math.max(chosenVersion, chosen);
-        acceptedVersion = accepted;
-        if (version() > before) {
-            quietUntil = now + leaseMs;
+    public void updateVoterSet(double nowMs, long chosen, long accepted) {
+        long generationBefore = generation();
+        chosenGeneration = Math.max(chosenGeneration, chosen);
+        acceptedGeneration = accepted;
+        if (generation() > generationBefore) {
+            noNewHolderUntilMs = nowMs + leaseMs;
         }
     }
 
-    private long version() {
-        return Math.max(chosenVersion, acceptedVersion);
+    private long generation() {
+        return Math.max(chosenGeneration, acceptedGeneration);
     }
 
     /**
-     * Takes a request.
+     * Takes a candidate's request, and replies to it unless it withdraws or releases.
      *
-     * @param now the time by the voter's steady clock
-     * @param request the request
-     * @param out takes what is to be done
+     * @param nowMs the time by the voter's steady clock
+     * @param request the request; one that is meant for another identity is replied to, but neither binds nor frees
+     * @param effects takes what is to be done
      */
-    public void onVoteRequest(double now, VoteRequest request, Effects out) {
+    public void onVoteRequest(double nowMs, VoteRequest request, Effects effects) {
         Vote vote = vote(request.duty());
         if (!request.voterIdentity().equals(identity)) {
-            answerForAnother(now, request, vote, out);
+            rejectForWrongIdentity(nowMs, request, vote, effects);
             return;
         }
-        updateVoterSet(now, request.voterSetGeneration(), acceptedVersion); // candidates count by chosen sets only
+        updateVoterSet(nowMs, request.voterSetGeneration(), acceptedGeneration); // candidates count by chosen sets only
         switch (request.kind()) {
-            case PROBE -> reply(now, request, vote, probed(now, request, vote), out);
-            case REQUEST_VOTE -> grant(now, request, vote, asked(now, request, vote), out);
-            case RENEW -> grant(now, request, vote, renewed(now, request, vote), out);
-            case WITHDRAW -> takeBack(request, vote);
-            case RELEASE -> release(request, vote, out);
+            case PROBE -> reply(nowMs, request, vote, verdictOnProbe(nowMs, request, vote), effects);
+            case REQUEST_VOTE -> grantOrReply(nowMs, request, vote, verdictOnVote(nowMs, request, vote), effects);
+            case RENEW -> grantOrReply(nowMs, request, vote, verdictOnRenewal(nowMs, request, vote), effects);
+            case WITHDRAW -> revoke(request, vote);
+            case RELEASE -> release(request, vote, effects);
         }
     }
 
-    /** The number is on disk, so that votes under it need not wait for the disk any more. */
+    /**
+     * The token is on disk: replies under it need not wait for the disk any more.
+     *
+     * @param request the request that {@link Effects#persistToken} was called with
+     */
     public void onTokenPersisted(VoteRequest request) {
         Vote vote = vote(request.duty());
-        vote.savedNumber = Math.max(vote.savedNumber, request.fencingToken());
+        vote.persistedToken = Math.max(vote.persistedToken, request.fencingToken());
     }
 
     /**
-     * The number could not be kept: the vote is not given, and the candidate is told, so that it does not wait. The
-     * number stays promised, as the disk may hold it after all.
+     * The token could not be persisted: the vote is not granted, and the candidate gets a reply, so that it does not
+     * wait. No other candidate is granted the token, as the disk may hold it after all.
      *
-     * @param now the time by the voter's steady clock
-     * @param request the request that the number was promised to
-     * @param out takes what is to be done
+     * @param nowMs the time by the voter's steady clock
+     * @param request the request that {@link Effects#persistToken} was called with
+     * @param effects takes what is to be done
      */
-    public void onPersistFailed(double now, VoteRequest request, Effects out) {
+    public void onPersistFailed(double nowMs, VoteRequest request, Effects effects) {
         Vote vote = vote(request.duty());
-        diskFailsUntil = now + leaseMs * RETRY_PART;
-        if (request.candidate().equals(vote.holder) && request.fencingToken() == vote.number) {
-            vote.holder = null;
+        persistBackoffUntilMs = nowMs + leaseMs * PERSIST_BACKOFF_FRACTION;
+        if (isGrantedTo(request, vote)) {
+            vote.grantedTo = null;
         }
-        reply(now, request, vote, Verdict.ABSTAINED, out);
+        reply(nowMs, request, vote, Verdict.ABSTAINED, effects);
     }
 
-    /** A disk that is not a member must neither vote nor leave the candidate waiting. */
-    private void answerForAnother(double now, VoteRequest request, Vote vote, Effects out) {
+    /** A disk that is no member must neither vote nor leave the candidate waiting. */
+    private void rejectForWrongIdentity(double nowMs, VoteRequest request, Vote vote, Effects effects) {
         switch (request.kind()) {
-            case PROBE, REQUEST_VOTE, RENEW -> reply(now, request, vote, Verdict.WRONG_IDENTITY, out);
+            case PROBE, REQUEST_VOTE, RENEW -> reply(nowMs, request, vote, Verdict.WRONG_IDENTITY, effects);
             case WITHDRAW, RELEASE -> {}
         }
     }
 
-    private Verdict probed(double now, VoteRequest request, Vote vote) {
-        if (mayNotVote(now, request, vote)) {
-            return now < silentUntil ? Verdict.ABSTAINED : Verdict.REJECTED;
+    // ---- verdicts -------------------------------------------------------------------------------------
+
+    private Verdict verdictOnProbe(double nowMs, VoteRequest request, Vote vote) {
+        if (isExcluded(nowMs, request, vote)) {
+            return nowMs < abstainsUntilMs ? Verdict.ABSTAINED : Verdict.REJECTED;
         }
-        return now < abstainsUntil() ? Verdict.ABSTAINED : Verdict.GRANTED;
+        return nowMs < noVoteUntilMs() ? Verdict.ABSTAINED : Verdict.GRANTED;
     }
 
-    private Verdict asked(double now, VoteRequest request, Vote vote) {
-        if (now < silentUntil) {
+    private Verdict verdictOnVote(double nowMs, VoteRequest request, Vote vote) {
+        if (nowMs < abstainsUntilMs) {
             return Verdict.ABSTAINED;
         }
-        if (request.fencingToken() <= vote.number || mayNotVote(now, request, vote)) {
+        if (request.fencingToken() <= vote.highestToken || isExcluded(nowMs, request, vote)) {
             return Verdict.REJECTED;
         }
-        return now < abstainsUntil() ? Verdict.ABSTAINED : Verdict.GRANTED;
+        return nowMs < noVoteUntilMs() ? Verdict.ABSTAINED : Verdict.GRANTED;
     }
 
-    private Verdict renewed(double now, VoteRequest request, Vote vote) {
-        if (now < silentUntil) {
+    /** A change of the set does not interrupt the holder, so what keeps new holders away does not stop a renewal. */
+    private Verdict verdictOnRenewal(double nowMs, VoteRequest request, Vote vote) {
+        if (nowMs < abstainsUntilMs) {
             return Verdict.ABSTAINED;
         }
-        if (!mayRenew(request, vote) || mayNotVote(now, request, vote)) {
+        if (!isRenewable(request, vote) || isExcluded(nowMs, request, vote)) {
             return Verdict.REJECTED;
         }
-        boolean needsDisk = request.fencingToken() > vote.savedNumber;
-        return needsDisk && now < diskFailsUntil ? Verdict.ABSTAINED : Verdict.GRANTED;
+        boolean needsDisk = request.fencingToken() > vote.persistedToken;
+        return needsDisk && nowMs < persistBackoffUntilMs ? Verdict.ABSTAINED : Verdict.GRANTED;
     }
 
-    private double abstainsUntil() {
-        return Math.max(silentUntil, Math.max(quietUntil, diskFailsUntil));
+    private double noVoteUntilMs() {
+        return Math.max(abstainsUntilMs, Math.max(noNewHolderUntilMs, persistBackoffUntilMs));
     }
 
-    private boolean mayNotVote(double now, VoteRequest request, Vote vote) {
-        return request.voterSetGeneration() < version() || vote.bindsToAnother(request.candidate(), now);
+    private boolean isExcluded(double nowMs, VoteRequest request, Vote vote) {
+        return request.voterSetGeneration() < generation() || vote.bindsToAnother(request.candidate(), nowMs);
     }
 
-    /** Only who won a number renews it, so a voter that has forgotten whom it voted for under it may follow. */
-    private static boolean mayRenew(VoteRequest request, Vote vote) {
-        return request.fencingToken() >= vote.number && request.fencingToken() > vote.releasedNumber;
+    /** Only the winner of a token renews it, so a voter that forgot whom it granted the token to may follow. */
+    private static boolean isRenewable(VoteRequest request, Vote vote) {
+        return request.fencingToken() >= vote.highestToken && request.fencingToken() > vote.releasedToken;
     }
 
-    private void grant(double now, VoteRequest request, Vote vote, Verdict verdict, Effects out) {
+    // ---- grants ---------------------------------------------------------------------------------------
+
+    private void grantOrReply(double nowMs, VoteRequest request, Vote vote, Verdict verdict, Effects effects) {
         if (verdict == Verdict.GRANTED) {
-            bind(now, request, vote, out);
+            grant(nowMs, request, vote, effects);
         } else {
-            reply(now, request, vote, verdict, out);
+            reply(nowMs, request, vote, verdict, effects);
         }
     }
 
-    private void bind(double now, VoteRequest request, Vote vote, Effects out) {
-        vote.number = request.fencingToken();
-        vote.holder = request.candidate();
-        vote.until = now + leaseMs;
-        VoteReply reply = new VoteReply(request, identity, Verdict.GRANTED, state(now, vote));
-        if (vote.number > vote.savedNumber) {
-            out.persistToken(request, reply);
+    private void grant(double nowMs, VoteRequest request, Vote vote, Effects effects) {
+        vote.highestToken = request.fencingToken();
+        vote.grantedTo = request.candidate();
+        vote.expiresAtMs = nowMs + leaseMs;
+        VoteReply reply = new VoteReply(request, identity, Verdict.GRANTED, stateOf(vote, nowMs));
+        if (vote.highestToken > vote.persistedToken) {
+            effects.persistToken(request, reply);
         } else {
-            out.send(reply);
+            effects.send(reply);
         }
     }
 
-    /** Frees the voter of the candidate; whether it was bound to it under that very number. */
-    private static boolean takeBack(VoteRequest request, Vote vote) {
-        boolean bound = request.candidate().equals(vote.holder) && request.fencingToken() == vote.number;
-        if (bound) {
-            vote.holder = null;
-            vote.releasedNumber = request.fencingToken();
+    private static boolean isGrantedTo(VoteRequest request, Vote vote) {
+        return request.candidate().equals(vote.grantedTo) && request.fencingToken() == vote.highestToken;
+    }
+
+    private static void revoke(VoteRequest request, Vote vote) {
+        if (isGrantedTo(request, vote)) {
+            vote.grantedTo = null;
+            vote.releasedToken = request.fencingToken();
         }
-        return bound;
     }
 
-    private static void release(VoteRequest request, Vote vote, Effects out) {
-        if (takeBack(request, vote)) {
-            out.leaseReleased(request.duty());
+    private static void release(VoteRequest request, Vote vote, Effects effects) {
+        if (isGrantedTo(request, vote)) {
+            revoke(request, vote);
+            effects.leaseReleased(request.duty());
         }
     }
 
-    private void reply(double now, VoteRequest request, Vote vote, Verdict verdict, Effects out) {
-        out.send(new VoteReply(request, identity, verdict, state(now, vote)));
+    private void reply(double nowMs, VoteRequest request, Vote vote, Verdict verdict, Effects effects) {
+        effects.send(new VoteReply(request, identity, verdict, stateOf(vote, nowMs)));
     }
 
-    /** Nobody else can have the vote before that is over; a voter that started over does not know whom it bound. */
-    private VoteState state(double now, Vote vote) {
-        if (now < silentUntil) {
-            return new VoteState(vote.number, null, silentUntil - now);
+    /** Nobody else gets the vote before the remaining time is over; after a restart it is not known who had it. */
+    private VoteState stateOf(Vote vote, double nowMs) {
+        if (nowMs < abstainsUntilMs) {
+            return new VoteState(vote.highestToken, null, abstainsUntilMs - nowMs);
         }
-        boolean bound = vote.holder != null && now < vote.until;
-        double until = bound ? Math.max(vote.until, abstainsUntil()) : abstainsUntil();
-        return new VoteState(vote.number, bound ? vote.holder : null, Math.max(0, until - now));
+        boolean binding = vote.isBinding(nowMs);
+        double untilMs = binding ? Math.max(vote.expiresAtMs, noVoteUntilMs()) : noVoteUntilMs();
+        return new VoteState(vote.highestToken, binding ? vote.grantedTo : null, Math.max(0, untilMs - nowMs));
     }
 
     private Vote vote(String duty) {
--- a/consensus/src/main/java/dewplank/singleton/VoteRequest.java
+++ b/consensus/src/main/java/dewplank/singleton/VoteRequest.java
@@ -1,18 +1,22 @@
 package dewplank.singleton;
 
-/** What a candidate asks of a voter. Not a record: messages are filled in field by field. */
+/**
+ * A message from a {@link Candidate} to a {@link LeaseVoter}. Immutable once received; safe to share between threads.
+ * Not a record: Protostuff fills messages in field by field, and numbers the fields by their place in this class, which
+ * therefore never changes; nor does the order of the enum's constants.
+ */
 public final class VoteRequest {
-    /** What is asked for. */
+    /** What a request wants of the voter. */
     public enum Kind {
-        /** Whether the voter is free to vote; binds nobody. */
+        /** To learn whether the voter is free to vote; binds nobody. */
         PROBE,
-        /** A vote under a new number. */
+        /** The vote under a new fencing token. */
         REQUEST_VOTE,
-        /** The lease once more, by the holder of the number. */
+        /** The vote for another lease; from the lease holder, under its token. */
         RENEW,
-        /** The vote back: the ballot failed. */
+        /** To free the voter: the election failed. No reply. */
         WITHDRAW,
-        /** The vote back: the holder lays the duty down. */
+        /** To free the voter: the lease is over. No reply. */
         RELEASE
     }
 
@@ -25,14 +29,14 @@
     private final String voterIdentity;
 
     /**
-     * A request.
+     * A request; no argument may be null.
      *
-     * @param kind what is asked for
-     * @param duty the duty
-     * @param candidate who asks; another name in each life of a process
-     * @param voterIdentity the identity of the disk whose vote is asked for
-     * @param round the candidate's count of its requests, which the reply brings back
-     * @param fencingToken the fencing token
+     * @param kind what it wants
+     * @param duty the singleton role
+     * @param candidate the name of the candidate that sends it, another one in each incarnation of a process
+     * @param voterIdentity the identity of the disk whose vote is requested
+     * @param round the candidate's number of the round, which the reply brings back
+     * @param fencingToken the token that is requested, renewed or given up; for a probe, the highest token seen
      * @param voterSetGeneration the generation of the set of voters by which the candidate counts
      */
     public VoteRequest(
@@ -52,27 +56,27 @@
         this.voterSetGeneration = voterSetGeneration;
     }
 
-    /** What is asked for. */
+    /** What the request wants. */
     public Kind kind() {
         return kind;
     }
 
-    /** The duty. */
+    /** The singleton role. */
     public String duty() {
         return duty;
     }
 
-    /** Who asks. */
+    /** The name of the candidate that sent it. */
     public String candidate() {
         return candidate;
     }
 
-    /** The identity of the disk whose vote is asked for; another one at the same address must not give it. */
+    /** The identity of the disk whose vote is requested; another disk at the same address must not give it. */
     public String voterIdentity() {
         return voterIdentity;
     }
 
-    /** The candidate's count of its requests. */
+    /** The candidate's number of the round. */
     public long round() {
         return round;
     }
--- a/consensus/src/test/java/dewplank/singleton/DutyPropertyTest.java
+++ b/consensus/src/test/java/dewplank/singleton/LeasePropertyTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dewplank.register.AcceptorId;
-import dewplank.singleton.DutySimulation.Sidecar;
+import dewplank.singleton.LeaseSimulation.Sidecar;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
@@ -14,8 +14,8 @@
 import net.jqwik.api.ShrinkingMode;
 
 /** One holder at a time, rising numbers, and a successor in time, over random histories; a failure prints its seed. */
-class DutyPropertyTest {
-    private static final double LEASE_MS = DutySimulation.LEASE_MS;
+class LeasePropertyTest {
+    private static final double LEASE_MS = LeaseSimulation.LEASE_MS;
     /** Votes and silence of voters that restarted bind for one lease, waits for it end with a delay, ballots follow. */
     private static final double HEALED_BOUND_MS = 2.5 * LEASE_MS;
 
@@ -25,7 +25,7 @@
         return values.get(random.nextInt(values.size()));
     }
 
-    private static void disturb(DutySimulation world, Random random) {
+    private static void disturb(LeaseSimulation world, Random random) {
         Sidecar sidecar = pick(random, world.all());
         Sidecar other = pick(random, world.all());
         double later = world.now() + random.nextDouble() * 2 * LEASE_MS;
@@ -52,7 +52,7 @@
     }
 
     /** The keeper puts the new identity in the place of the lost one early, late, or not before all is well. */
-    private static void wipe(DutySimulation world, Sidecar sidecar, double later, Random random) {
+    private static void wipe(LeaseSimulation world, Sidecar sidecar, double later, Random random) {
         if (!world.mayWipe(sidecar)) {
             return;
         }
@@ -61,14 +61,14 @@
         world.at(later, () -> repair(world));
     }
 
-    private static void repair(DutySimulation world) {
+    private static void repair(LeaseSimulation world) {
         List<AcceptorId> wiped = world.wipedMembers();
         if (!wiped.isEmpty() && !world.isChanging()) {
             world.replace(wiped.get(0), world.identityAt(wiped.get(0)));
         }
     }
 
-    private static void stopOrSplit(DutySimulation world, Random random, Sidecar sidecar, double later) {
+    private static void stopOrSplit(LeaseSimulation world, Random random, Sidecar sidecar, double later) {
         if (random.nextBoolean()) {
             if (sidecar.isUp()) {
                 sidecar.release();
@@ -86,8 +86,8 @@
         }
     }
 
-    private static DutySimulation troubled(Random random) {
-        DutySimulation world = new DutySimulation(random, 1 + random.nextInt(5));
+    private static LeaseSimulation troubled(Random random) {
+        LeaseSimulation world = new LeaseSimulation(random, 1 + random.nextInt(5));
         double end = TROUBLE_MS * random.nextDouble();
         while (world.now() < end) {
             world.runUntil(world.now() + random.nextDouble() * LEASE_MS);
@@ -97,7 +97,7 @@
     }
 
     /** Heals everything but a minority, which stays down; changes of the set come to their end before. */
-    private static void heal(DutySimulation world, Random random) {
+    private static void heal(LeaseSimulation world, Random random) {
         world.healAll();
         for (Sidecar sidecar : world.everyone()) {
             sidecar.diskFails(false);
@@ -125,7 +125,7 @@
     @Property(tries = 1000, shrinking = ShrinkingMode.OFF)
     void oneHolderAtATimeAndASuccessorOnceAMajorityIsWell(@ForAll long seed) {
         Random random = new Random(seed);
-        DutySimulation world = troubled(random);
+        LeaseSimulation world = troubled(random);
         heal(world, random);
         // what the troubled phase still planned (late starts, messages seconds late) comes to its end first
         world.runUntil(world.now() + 2 * LEASE_MS);
--- a/consensus/src/test/java/dewplank/singleton/DutySimulation.java
+++ b/consensus/src/test/java/dewplank/singleton/LeaseSimulation.java
@@ -20,7 +20,7 @@
  * a majority of its own, one after the other within milliseconds, and whoever was not asked learns of it late. After
  * every event the holders are counted, each by its own clock; every number won must be above all won before.
  */
-final class DutySimulation {
+final class LeaseSimulation {
     static final double LEASE_MS = 3_000;
     static final String DUTY = "list";
     private static final double MAX_DRIFT = 0.005;
@@ -56,11 +56,11 @@
     private double doubled;
     private int wins;
 
-    DutySimulation(Random random, int count) {
+    LeaseSimulation(Random random, int count) {
         this(random, count, SLOW);
     }
 
-    DutySimulation(Random random, int count, Times times) {
+    LeaseSimulation(Random random, int count, Times times) {
         this.random = random;
         this.times = times;
         List<AcceptorId> members = new ArrayList<>();
--- a/consensus/src/test/java/dewplank/singleton/DutySuccessionTest.java
+++ b/consensus/src/test/java/dewplank/singleton/LeaseSuccessionTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 
 import dewplank.register.AcceptorId;
-import dewplank.singleton.DutySimulation.Sidecar;
+import dewplank.singleton.LeaseSimulation.Sidecar;
 import java.util.List;
 import java.util.Random;
 import net.jqwik.api.ForAll;
@@ -12,14 +12,14 @@
 import net.jqwik.api.ShrinkingMode;
 
 /** How long a duty stays vacant where links and disks are well. */
-class DutySuccessionTest {
-    private static final double LEASE_MS = DutySimulation.LEASE_MS;
+class LeaseSuccessionTest {
+    private static final double LEASE_MS = LeaseSimulation.LEASE_MS;
     /** A delay, a probe and a ballot; of 3,000 histories the worst split so often that it took half a lease. */
     private static final double BALLOTS_MS = LEASE_MS;
 
-    private static DutySimulation held(long seed) {
+    private static LeaseSimulation held(long seed) {
         Random random = new Random(seed);
-        DutySimulation world = new DutySimulation(random, 3 + random.nextInt(3));
+        LeaseSimulation world = new LeaseSimulation(random, 3 + random.nextInt(3));
         world.runUntilHeld(null, 300 + BALLOTS_MS);
         world.runUntil(world.now() + random.nextDouble() * 3 * LEASE_MS);
         return world;
@@ -27,14 +27,14 @@
 
     @Property(tries = 300, shrinking = ShrinkingMode.OFF)
     void aHolderStaysWhileItIsWell(@ForAll long seed) {
-        DutySimulation world = held(seed);
+        LeaseSimulation world = held(seed);
         world.runUntil(world.now() + 10 * LEASE_MS);
         assertEquals(1, world.wins());
     }
 
     @Property(tries = 300, shrinking = ShrinkingMode.OFF)
     void aKilledHolderIsFollowedOnceItsLeaseHasPassed(@ForAll long seed) {
-        DutySimulation world = held(seed);
+        LeaseSimulation world = held(seed);
         Sidecar holder = world.holder();
         holder.kill();
         world.runUntilHeld(holder, LEASE_MS + BALLOTS_MS);
@@ -42,7 +42,7 @@
 
     @Property(tries = 300, shrinking = ShrinkingMode.OFF)
     void aFrozenHolderIsFollowedAndWinsNothingByThawing(@ForAll long seed) {
-        DutySimulation world = held(seed);
+        LeaseSimulation world = held(seed);
         Sidecar holder = world.holder();
         holder.freeze();
         world.runUntilHeld(holder, LEASE_MS + BALLOTS_MS);
@@ -55,7 +55,7 @@
 
     @Property(tries = 300, shrinking = ShrinkingMode.OFF)
     void aHolderThatLaysTheDutyDownIsFollowedAtOnce(@ForAll long seed) {
-        DutySimulation world = held(seed);
+        LeaseSimulation world = held(seed);
         Sidecar holder = world.holder();
         holder.release();
         world.runUntilHeld(holder, BALLOTS_MS);
@@ -63,7 +63,7 @@
 
     @Property(tries = 300, shrinking = ShrinkingMode.OFF)
     void afterAllWereKilledTheDutyIsHeldOnceALeaseHasPassed(@ForAll long seed) {
-        DutySimulation world = held(seed);
+        LeaseSimulation world = held(seed);
         for (Sidecar sidecar : world.all()) {
             sidecar.kill();
             sidecar.start(LEASE_MS);
@@ -73,7 +73,7 @@
 
     @Property(tries = 300, shrinking = ShrinkingMode.OFF)
     void aRollOfAllVotersKeepsTheDutyHeldOrWonAgain(@ForAll long seed) {
-        DutySimulation world = held(seed);
+        LeaseSimulation world = held(seed);
         for (Sidecar sidecar : world.all()) {
             world.runUntil(world.now() + 2 * LEASE_MS);
             sidecar.release();
@@ -87,7 +87,7 @@
     /** The set still names the lost disk: the two that are left elect, and whoever wins can repair the set. */
     @Property(tries = 300, shrinking = ShrinkingMode.OFF)
     void aWipedHolderOfThreeIsFollowedBeforeTheSetIsRepaired(@ForAll long seed) {
-        DutySimulation world = new DutySimulation(new Random(seed), 3);
+        LeaseSimulation world = new LeaseSimulation(new Random(seed), 3);
         world.runUntilHeld(null, 300 + BALLOTS_MS);
         Sidecar holder = world.holder();
         holder.wipe();
@@ -103,7 +103,7 @@
 
     @Property(tries = 300, shrinking = ShrinkingMode.OFF)
     void aHolderThatPausesIsFollowedAndComesBackOnlyAfterItsPause(@ForAll long seed) {
-        DutySimulation world = held(seed);
+        LeaseSimulation world = held(seed);
         Sidecar holder = world.holder();
         holder.pause(4 * LEASE_MS);
         world.runUntilHeld(holder, BALLOTS_MS);
@@ -112,7 +112,7 @@
 
     @Property(tries = 300, shrinking = ShrinkingMode.OFF)
     void aVoterThatCannotKeepItsNumbersDoesNotKeepTheDutyVacant(@ForAll long seed) {
-        DutySimulation world = held(seed);
+        LeaseSimulation world = held(seed);
         Sidecar holder = world.holder();
         world.all().stream().filter(s -> s != holder).findFirst().orElseThrow().diskFails(true);
         holder.release();
--- a/consensus/src/test/java/dewplank/singleton/DutyVacancyTest.java
+++ b/consensus/src/test/java/dewplank/singleton/LeaseVacancyTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dewplank.singleton.DutySimulation.Sidecar;
-import dewplank.singleton.DutySimulation.Times;
+import dewplank.singleton.LeaseSimulation.Sidecar;
+import dewplank.singleton.LeaseSimulation.Times;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Collections;
@@ -20,7 +20,7 @@
  * moment the holder is lost until another one holds it. Prints what it measures.
  */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
-class DutyVacancyTest {
+class LeaseVacancyTest {
     private static final double LEASE_MS = LeaseTiming.leaseMs(4_000, 3_000, 3_000);
     /** Within a region; the sites name 12 ms between regions. */
     private static final Times TIMES = new Times(LEASE_MS, 12, 5);
@@ -68,7 +68,7 @@
 
     private static double vacancy(long seed, int voters, int lost, Loss loss) {
         Random random = new Random(seed);
-        DutySimulation world = new DutySimulation(random, voters, TIMES);
+        LeaseSimulation world = new LeaseSimulation(random, voters, TIMES);
         world.runUntilHeld(null, 300 + LEASE_MS);
         world.runUntil(world.now() + random.nextDouble() * 3 * LEASE_MS);
         Sidecar holder = world.holder();
@@ -82,7 +82,7 @@
         return world.runUntilHeld(holder, 10 * LEASE_MS);
     }
 
-    private static void lose(DutySimulation world, Sidecar holder, Loss loss) {
+    private static void lose(LeaseSimulation world, Sidecar holder, Loss loss) {
         switch (loss) {
             case KILLED -> holder.kill();
             case FROZEN -> holder.freeze();
@@ -94,7 +94,7 @@
         }
     }
 
-    private static void cut(DutySimulation world, Sidecar holder, Sidecar other, Loss loss) {
+    private static void cut(LeaseSimulation world, Sidecar holder, Sidecar other, Loss loss) {
         if (other != holder && loss != Loss.MUTE) {
             world.cut(other.name(), holder.name());
         }
--- a/consensus/src/test/java/dewplank/singleton/DutyWipeTest.java
+++ b/consensus/src/test/java/dewplank/singleton/LeaseWipeTest.java
@@ -1,7 +1,7 @@
 package dewplank.singleton;
 
 import dewplank.register.AcceptorId;
-import dewplank.singleton.DutySimulation.Sidecar;
+import dewplank.singleton.LeaseSimulation.Sidecar;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
@@ -14,14 +14,14 @@
  * Two histories that broke the duty while its voters were named by address: the simulation itself fails where a number
  * is won that is not above all before it, or where two hold at once.
  */
-class DutyWipeTest {
-    private static final double LEASE_MS = DutySimulation.LEASE_MS;
+class LeaseWipeTest {
+    private static final double LEASE_MS = LeaseSimulation.LEASE_MS;
 
     /** One voter knows nothing of the number that was won, another forgets it, the third is lost. */
     @Property(tries = 1000, shrinking = ShrinkingMode.OFF)
     void aWipeThenALossThenACutGiveNoNumberTwice(@ForAll long seed) {
         Random random = new Random(seed);
-        DutySimulation world = new DutySimulation(random, 3);
+        LeaseSimulation world = new LeaseSimulation(random, 3);
         List<Sidecar> all = new ArrayList<>(world.all());
         Collections.shuffle(all, random);
         Sidecar alone = all.get(0);
@@ -49,14 +49,14 @@
         world.runUntilHeld(null, 2 * LEASE_MS);
     }
 
-    private static void repair(DutySimulation world) {
+    private static void repair(LeaseSimulation world) {
         List<AcceptorId> lost = world.wipedMembers();
         if (!lost.isEmpty() && !world.isChanging()) {
             world.replace(lost.get(0), world.identityAt(lost.get(0)));
         }
     }
 
-    private static void isolate(DutySimulation world, Sidecar alone, List<Sidecar> all, Random random) {
+    private static void isolate(LeaseSimulation world, Sidecar alone, List<Sidecar> all, Random random) {
         boolean both = random.nextBoolean();
         for (Sidecar other : all) {
             if (other != alone) {
@@ -72,7 +72,7 @@
     @Property(tries = 1000, shrinking = ShrinkingMode.OFF)
     void aSetReplacedWithinALeaseGivesNoSecondHolder(@ForAll long seed) {
         Random random = new Random(seed);
-        DutySimulation world = new DutySimulation(random, 3);
+        LeaseSimulation world = new LeaseSimulation(random, 3);
         List<AcceptorId> spares = List.of(world.spare().self(), world.spare().self());
         world.runUntil(3 * LEASE_MS + random.nextDouble() * LEASE_MS);
         for (int cuts = 0; cuts < 2; cuts++) {
