--- a/controlplane/src/main/java/dewplank/controlplane/DiskStorage.java
+++ b/controlplane/src/main/java/dewplank/controlplane/DiskStorage.java
@@ -44,7 +44,7 @@
             throws StoreException {
         this.executor = executor;
         this.codec = codec;
-        founders = new BootstrapSeeds(files, settings.dataDirectory()).load(seeds, settings.initialStart());
+        founders = new BootstrapSeeds(files, settings.dataDirectory()).loadOrStore(seeds, settings.initialStart());
         store = AcceptorStore.open(
                 settings.dataDirectory(), files, settings.resources().diskBytes(), identityIfNew);
         firstStart = settings.initialStart() && store.isNew();
@@ -73,12 +73,12 @@
 
     @Override
     public void save(DurableState state, Consumer<Boolean> done) {
-        executor.submit(() -> store.save(state), () -> done.accept(true), () -> done.accept(false));
+        executor.submit(() -> store.save(state), result -> done.accept(result.isSuccess()));
     }
 
     @Override
     public void saveFencingToken(String role, long token, Consumer<Boolean> done) {
-        executor.submit(() -> store.saveFencingToken(role, token), () -> done.accept(true), () -> done.accept(false));
+        executor.submit(() -> store.saveFencingToken(role, token), result -> done.accept(result.isSuccess()));
     }
 
     @Override
@@ -109,11 +109,10 @@
         listSavePending = true;
         byte[] frame = codec.encode(pendingList).array();
         pendingList = null;
-        Runnable done = () -> {
+        executor.submit(() -> serverList.replace(frame), result -> {
             listSavePending = false;
             saveNext();
-        };
-        executor.submit(() -> serverList.replace(frame), done, done);
+        });
     }
 
     @Override
--- a/controlplane/src/test/java/dewplank/controlplane/GoldenDiskTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/GoldenDiskTest.java
@@ -17,6 +17,7 @@
 import dewplank.settings.NodeSettings;
 import dewplank.store.DiskExecutor;
 import dewplank.store.DiskFiles;
+import dewplank.store.DiskResult;
 import dewplank.store.StoreException;
 import java.io.IOException;
 import java.io.InputStream;
@@ -25,6 +26,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeSet;
+import java.util.function.Consumer;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -42,14 +44,14 @@
     /** Does all at once, on the caller's thread. */
     private static final class ImmediateDisk implements DiskExecutor {
         @Override
-        public void submit(Work work, Runnable done, Runnable failed) {
+        public void submit(Task task, Consumer<DiskResult> completion) {
+            DiskResult result = DiskResult.Succeeded.INSTANCE;
             try {
-                work.run();
+                task.run();
             } catch (StoreException e) {
-                failed.run();
-                return;
+                result = new DiskResult.Failed(e);
             }
-            done.run();
+            completion.accept(result);
         }
 
         @Override
--- a/simulation/src/test/java/dewplank/simulation/SimulatedDiskExecutor.java
+++ b/simulation/src/test/java/dewplank/simulation/SimulatedDiskExecutor.java
@@ -1,11 +1,13 @@
 package dewplank.simulation;
 
 import dewplank.store.DiskExecutor;
+import dewplank.store.DiskResult;
 import dewplank.store.SingleThreadDiskExecutor;
 import dewplank.store.StoreException;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.SplittableRandom;
+import java.util.function.Consumer;
 
 /** A process's work on its disk: one piece after the other, each as slow as the disk is. */
 final class SimulatedDiskExecutor implements DiskExecutor {
@@ -13,15 +15,15 @@
     private static final double MOST_MORE_MS = 2;
     private static final int MOST_WRITES_DONE = 6;
 
-    private record Job(Work work, Runnable done, Runnable failed) {}
+    private record Submission(Task task, Consumer<DiskResult> completion) {}
 
     private final VirtualTime time;
     private final Life life;
     private final SimulatedDisk disk;
     private final DiskTrouble trouble;
     private final SplittableRandom random;
-    private final Deque<Job> waiting = new ArrayDeque<>();
-    private Job active;
+    private final Deque<Submission> waiting = new ArrayDeque<>();
+    private Submission active;
     private boolean closed;
 
     /** How slow a machine's disk is. */
@@ -40,12 +42,12 @@
     }
 
     @Override
-    public void submit(Work work, Runnable done, Runnable failed) {
+    public void submit(Task task, Consumer<DiskResult> completion) {
         if (closed || waiting.size() >= SingleThreadDiskExecutor.MAX_QUEUED_TASKS) {
-            life.execute(failed);
+            life.execute(() -> completion.accept(DiskResult.Rejected.INSTANCE));
             return;
         }
-        waiting.add(new Job(work, done, failed));
+        waiting.add(new Submission(task, completion));
         next();
     }
 
@@ -69,16 +71,20 @@
     }
 
     private void work() {
-        Job job = active;
+        Submission finished = active;
         active = null;
-        boolean works = true;
+        DiskResult result = perform(finished.task);
+        life.execute(() -> finished.completion.accept(result));
+        next();
+    }
+
+    private static DiskResult perform(Task task) {
         try {
-            job.work.run();
-        } catch (StoreException refused) {
-            works = false;
+            task.run();
+            return DiskResult.Succeeded.INSTANCE;
+        } catch (StoreException failure) {
+            return new DiskResult.Failed(failure);
         }
-        life.execute(works ? job.done : job.failed);
-        next();
     }
 
     /** The process dies: the work under way is not begun, or done in part, or done and never told of. */
@@ -86,7 +92,7 @@
         if (active != null && random.nextBoolean()) {
             disk.dieAfterWrites(1 + random.nextInt(MOST_WRITES_DONE));
             try {
-                active.work.run();
+                active.task.run();
             } catch (StoreException cutShort) {
                 // As far as it came.
             }
--- a/store/src/main/java/dewplank/store/AcceptorStore.java
+++ b/store/src/main/java/dewplank/store/AcceptorStore.java
@@ -9,18 +9,23 @@
 import java.util.Map;
 
 /**
- * What an acceptor keeps: its state and small counters, in one MVStore file. The file is begun anew under another name
- * and renamed when it grows too long or a write failed; until then the old one stays as it was. Saving belongs to one
- * thread; {@link #numbers()} may be called by any.
+ * The durable state of an acceptor and of the lease voter beside it, in one MVStore file.
+ *
+ * <p>The file only grows. When it is too large, or a write has failed, the whole state is rewritten into a new file,
+ * which then takes the name; until then the old file stays as it was. Thus a power loss at any moment leaves the state
+ * last saved or the one being saved.
+ *
+ * <p>Opening and saving block on syncs. One thread at a time may save, which is the disk thread once a process runs;
+ * {@link #fencingTokens()} may be called by any thread.
  */
 public final class AcceptorStore implements AutoCloseable {
-    private static final String NAME = "acceptor.mv";
-    private static final String NEXT_NAME = "acceptor.mv.next";
+    private static final String FILE_NAME = "acceptor.mv";
+    private static final String NEXT_FILE_NAME = "acceptor.mv.next";
 
-    /** A file may fill this part of the room: while one is begun anew there are two, and the disk has other uses. */
-    private static final int DISK_FRACTION = 4;
+    /** A file may fill one of so many parts of the disk quota: a rewrite holds two files, and others need disk too. */
+    private static final int QUOTA_PARTS = 4;
 
-    /** Longer files only cost disk: beginning anew writes at most a few hundred kilobytes. */
+    /** Larger files would only cost disk, since a rewrite writes a few hundred kilobytes at most. */
     private static final long MAX_FILE_BYTES = 8L << 20;
 
     private static final int IDENTITY_BITS = 80;
@@ -35,24 +40,35 @@
     private boolean isNew;
     private boolean needsRewrite;
 
-    private AcceptorStore(Path directory, StoreFiles files, long mostBytes) {
+    private AcceptorStore(Path directory, StoreFiles files, long diskQuotaBytes) {
         this.directory = directory;
         this.files = files;
-        this.maxFileBytes = Math.min(MAX_FILE_BYTES, mostBytes / DISK_FRACTION);
+        this.maxFileBytes = Math.min(MAX_FILE_BYTES, diskQuotaBytes / QUOTA_PARTS);
     }
 
-    /** Opens the store of this directory; a disk without one gets a new identity, synced before this returns. */
-    public static AcceptorStore open(Path directory, StoreFiles files, long mostBytes) throws StoreException {
-        return open(directory, files, mostBytes, randomIdentity());
+    /**
+     * Opens the store of this directory. A disk without one gets a random identity.
+     *
+     * @param diskQuotaBytes what the process may use of the disk
+     * @throws StoreException if the store cannot be read or created; a file that is there stays
+     */
+    public static AcceptorStore open(Path directory, StoreFiles files, long diskQuotaBytes) throws StoreException {
+        return open(directory, files, diskQuotaBytes, randomIdentity());
     }
 
-    /** The same; a disk without a store gets the given identity. */
-    public static AcceptorStore open(Path directory, StoreFiles files, long mostBytes, String identityIfNew)
+    /**
+     * Opens the store of this directory. What it finds or creates is synced before this returns.
+     *
+     * @param diskQuotaBytes what the process may use of the disk
+     * @param identityIfNew the identity of a disk without a store
+     * @throws StoreException if the store cannot be read or created; a file that is there stays
+     */
+    public static AcceptorStore open(Path directory, StoreFiles files, long diskQuotaBytes, String identityIfNew)
             throws StoreException {
-        AcceptorStore store = new AcceptorStore(directory, files, mostBytes);
+        AcceptorStore store = new AcceptorStore(directory, files, diskQuotaBytes);
         try {
-            files.delete(directory.resolve(NEXT_NAME));
-            if (files.exists(directory.resolve(NAME))) {
+            files.delete(directory.resolve(NEXT_FILE_NAME));
+            if (files.exists(directory.resolve(FILE_NAME))) {
                 store.recover();
             } else {
                 store.create(identityIfNew);
@@ -64,17 +80,26 @@
         return store;
     }
 
-    /** The state last saved, or the one found at the opening. */
+    /** Draws the identity of a new disk. */
+    public static String randomIdentity() {
+        return new BigInteger(IDENTITY_BITS, new SecureRandom()).toString(IDENTITY_RADIX);
+    }
+
+    /** Returns the state last saved, or the one recovered when the store was opened. */
     public DurableState recovered() {
         return state;
     }
 
-    /** Whether there was no store here, so that the identity is new. */
+    /** Whether opening found no store, so that the identity has never voted. */
     public boolean isNew() {
         return isNew;
     }
 
-    /** Saves and syncs; when it fails the state kept is the one before or this one. */
+    /**
+     * Saves and syncs a state.
+     *
+     * @throws StoreException if it may not be durable: the stored state is then the one before, or this one
+     */
     public void save(DurableState next) throws StoreException {
         if (!next.identity().equals(state.identity())) {
             throw new StoreException("the state of another identity: " + next.identity());
@@ -83,20 +108,24 @@
         state = next;
     }
 
-    /** The counters saved. */
+    /** Returns a copy of the highest fencing token saved per singleton role. */
     public synchronized Map<String, Long> fencingTokens() {
         return Map.copyOf(fencingTokens);
     }
 
-    /** Saves and syncs one counter. */
-    public void saveFencingToken(String name, long value) throws StoreException {
+    /**
+     * Saves and syncs the highest fencing token that this acceptor has voted for in a singleton role.
+     *
+     * @throws StoreException if it may not be durable: the stored token is then the one before, or this one
+     */
+    public void saveFencingToken(String role, long token) throws StoreException {
         Map<String, Long> next = new HashMap<>(fencingTokens());
-        next.put(name, value);
+        next.put(role, token);
         write(state, next);
-        keep(next);
+        setFencingTokens(next);
     }
 
-    /** Lets go of the file. */
+    /** Closes the file. A later save would rewrite it. */
     @Override
     public void close() {
         if (current != null) {
@@ -107,39 +136,34 @@
     }
 
     /**
-     * Takes what the file holds, and makes it last before anyone rests on it: after a kill the system may still hold a
-     * save that was cut short, which a later loss of power would take back.
+     * Reads the file, and syncs it before anyone relies on it. After a kill the operating system may still cache a save
+     * that was interrupted before its sync, which a later power loss would take back.
      */
     private void recover() throws IOException {
-        current = new StateFile(files, directory.resolve(NAME));
+        current = new StateFile(files, directory.resolve(FILE_NAME));
         state = current.read();
-        keep(current.readFencingTokens());
+        setFencingTokens(current.readFencingTokens());
         current.sync();
         files.syncDirectory(directory);
     }
 
-    /** The identity of a disk that nobody has seen before. */
-    public static String randomIdentity() {
-        return new BigInteger(IDENTITY_BITS, new SecureRandom()).toString(IDENTITY_RADIX);
-    }
-
     private void create(String identity) throws IOException {
-        DurableState fresh = DurableState.fresh(identity);
-        rewrite(fresh, fencingTokens);
-        state = fresh;
+        DurableState initial = DurableState.fresh(identity);
+        rewrite(initial, fencingTokens);
+        state = initial;
         isNew = true;
     }
 
-    private synchronized void keep(Map<String, Long> next) {
-        fencingTokens = next;
+    private synchronized void setFencingTokens(Map<String, Long> tokens) {
+        fencingTokens = tokens;
     }
 
-    private void write(DurableState next, Map<String, Long> nextNumbers) throws StoreException {
+    private void write(DurableState nextState, Map<String, Long> nextTokens) throws StoreException {
         try {
             if (needsRewrite || current.sizeBytes() > maxFileBytes) {
-                rewrite(next, nextNumbers);
+                rewrite(nextState, nextTokens);
             } else {
-                current.write(next, nextNumbers);
+                current.write(nextState, nextTokens);
             }
         } catch (IOException failure) {
             needsRewrite = true;
@@ -149,24 +173,24 @@
     }
 
     /**
-     * Writes all into a new file and gives it the name once it is synced. After a failed sync nothing that was written
-     * to the old file since can be trusted, so that going on with it is ruled out.
+     * Writes the whole state into a new file, which gets the name once it is synced. This is the only way on after a
+     * failed sync, since nothing written to the old file since its last sync can be trusted.
      */
-    private void rewrite(DurableState next, Map<String, Long> nextNumbers) throws IOException {
-        Path path = directory.resolve(NEXT_NAME);
-        files.delete(path);
-        StateFile fresh = new StateFile(files, path);
+    private void rewrite(DurableState nextState, Map<String, Long> nextTokens) throws IOException {
+        Path nextPath = directory.resolve(NEXT_FILE_NAME);
+        files.delete(nextPath);
+        StateFile next = new StateFile(files, nextPath);
         try {
-            fresh.write(next, nextNumbers);
-            files.rename(path, directory.resolve(NAME));
+            next.write(nextState, nextTokens);
+            files.rename(nextPath, directory.resolve(FILE_NAME));
             files.syncDirectory(directory);
         } catch (IOException failure) {
-            fresh.close();
+            next.close();
             throw failure;
         }
         if (current != null) {
             current.close();
         }
-        current = fresh;
+        current = next;
     }
 }
--- a/store/src/main/java/dewplank/store/BootstrapSeeds.java
+++ b/store/src/main/java/dewplank/store/BootstrapSeeds.java
@@ -6,35 +6,41 @@
 import java.util.Optional;
 
 /**
- * The addresses of the acceptors that the fleet began with, as the settings named them at the first start. Settings may
- * name other seeds later, at a time when nothing is chosen yet: two processes that took different ones for the first
- * acceptors could each gather a majority of theirs.
+ * The seed addresses that the fleet was bootstrapped with, as the settings named them at the first start.
+ *
+ * <p>They are the register's first acceptor set. Settings may name other seeds later, while no value is chosen yet: two
+ * processes that took different seeds for the first acceptors could each gather a majority of theirs. Hence the first
+ * ones are stored and win over the settings. Called once, at the start of a process, before its event loop runs.
  */
 public final class BootstrapSeeds {
-    private static final String NAME = "founders";
+    /** The file's name in the data directory; earlier releases wrote it too. */
+    private static final String FILE_NAME = "founders";
+
     private static final String SEPARATOR = "\n";
 
     private final ChecksummedFile file;
 
+    /** Names the file in a data directory; does not touch the disk. */
     public BootstrapSeeds(StoreFiles files, Path directory) {
-        file = new ChecksummedFile(files, directory, NAME);
+        file = new ChecksummedFile(files, directory, FILE_NAME);
     }
 
     /**
-     * The addresses kept on the disk. At the first start those of the settings are written, synced and given back; to
-     * be called before anything else makes the disk look used.
+     * Returns the stored seeds. Without any, an initial start stores those of the settings, synced, before it returns
+     * them; it has to be called before anything else makes the disk look used.
      *
-     * @param fromSettings what the settings name now: also the answer for a disk of a release that kept none
-     * @param initialStart whether the whole system starts for the first time
+     * @param configuredSeeds the seeds of the current settings; returned as they are for a disk that has none stored
+     * @param initialStart whether the whole fleet starts for the first time
+     * @throws StoreException if the seeds of an initial start cannot be stored
      */
-    public List<String> load(List<String> fromSettings, boolean initialStart) throws StoreException {
-        Optional<byte[]> kept = file.read();
-        if (kept.isPresent()) {
-            return List.of(new String(kept.get(), StandardCharsets.UTF_8).split(SEPARATOR));
+    public List<String> loadOrStore(List<String> configuredSeeds, boolean initialStart) throws StoreException {
+        Optional<byte[]> stored = file.read();
+        if (stored.isPresent()) {
+            return List.of(new String(stored.get(), StandardCharsets.UTF_8).split(SEPARATOR));
         }
-        if (initialStart && !fromSettings.isEmpty()) {
-            file.replace(String.join(SEPARATOR, fromSettings).getBytes(StandardCharsets.UTF_8));
+        if (initialStart && !configuredSeeds.isEmpty()) {
+            file.replace(String.join(SEPARATOR, configuredSeeds).getBytes(StandardCharsets.UTF_8));
         }
-        return fromSettings;
+        return configuredSeeds;
     }
 }
--- a/store/src/main/java/dewplank/store/ChecksummedFile.java
+++ b/store/src/main/java/dewplank/store/ChecksummedFile.java
@@ -7,81 +7,82 @@
 import java.util.zip.CRC32;
 
 /**
- * A file that is replaced whole: written under another name, synced and renamed, with a checksum in front. What can't
- * be
- * read is as if it were not there: it is for state that is only kept to be quicker after a restart.
+ * A small file that is replaced atomically and checked by a checksum when it is read.
+ *
+ * <p>The new content is written under another name, synced and renamed. A file that is unreadable or damaged counts as
+ * missing, so that it is only for state that a process can do without, or can take from its settings. The layout is a
+ * CRC-32 as a long of eight bytes, then the content. Not thread-safe: one thread at a time.
  */
 public final class ChecksummedFile {
-    private static final int HEAD_BYTES = Long.BYTES;
+    private static final int CHECKSUM_BYTES = Long.BYTES;
+    private static final String NEXT_SUFFIX = ".next";
 
     private final StoreFiles files;
     private final Path directory;
     private final Path path;
-    private final Path next;
+    private final Path nextPath;
 
+    /** Names a file of this directory; does not touch the disk. */
     public ChecksummedFile(StoreFiles files, Path directory, String name) {
         this.files = files;
         this.directory = directory;
         this.path = directory.resolve(name);
-        this.next = directory.resolve(name + ".next");
+        this.nextPath = directory.resolve(name + NEXT_SUFFIX);
     }
 
-    /** The content last replaced; empty where there is none or it is damaged. */
+    /** Returns the content of the last completed replacement; empty if there is none or the file is damaged. */
     public Optional<byte[]> read() {
         if (!files.exists(path)) {
             return Optional.empty();
         }
-        try {
-            StoreFile file = files.open(path);
-            try {
-                return read(file);
-            } finally {
-                file.close();
-            }
+        try (StoreFile file = files.open(path)) {
+            return read(file);
         } catch (IOException unreadable) {
             return Optional.empty();
         }
     }
 
     private static Optional<byte[]> read(StoreFile file) throws IOException {
-        if (file.size() < HEAD_BYTES) {
+        if (file.size() < CHECKSUM_BYTES) {
             return Optional.empty();
         }
-        ByteBuffer whole = ByteBuffer.allocate((int) file.size());
-        file.read(whole, 0);
-        whole.flip();
-        long sum = whole.getLong();
-        byte[] content = new byte[whole.remaining()];
-        whole.get(content);
-        return sum == sum(content) ? Optional.of(content) : Optional.empty();
+        ByteBuffer bytes = ByteBuffer.allocate((int) file.size());
+        file.read(bytes, 0);
+        bytes.flip();
+        long checksum = bytes.getLong();
+        byte[] content = new byte[bytes.remaining()];
+        bytes.get(content);
+        return checksum == checksum(content) ? Optional.of(content) : Optional.empty();
     }
 
-    /** Replaces the content and syncs; on the disk thread. */
+    /**
+     * Replaces the content. It is durable when this returns. Blocks on syncs: called on the disk thread, or before the
+     * event loop runs.
+     *
+     * @throws StoreException if the disk failed; the file then has the old content, or the new one
+     */
     public void replace(byte[] content) throws StoreException {
         try {
-            files.delete(next);
-            StoreFile file = files.open(next);
-            try {
-                file.write(
-                        ByteBuffer.allocate(HEAD_BYTES + content.length)
-                                .putLong(sum(content))
+            files.delete(nextPath);
+            try (StoreFile next = files.open(nextPath)) {
+                next.write(
+                        ByteBuffer.allocate(CHECKSUM_BYTES + content.length)
+                                .putLong(checksum(content))
                                 .put(content)
                                 .flip(),
                         0);
-                file.sync();
-            } finally {
-                file.close();
+                next.sync();
             }
-            files.rename(next, path);
+            files.rename(nextPath, path);
             files.syncDirectory(directory);
         } catch (IOException e) {
             throw new StoreException("cannot replace " + path.getFileName(), e);
         }
     }
 
-    private static long sum(byte[] content) {
-        CRC32 sum = new CRC32();
-        sum.update(content);
-        return sum.getValue();
+    private static long checksum(byte[] content) {
+        CRC32 crc = new CRC32();
+        crc.update(content);
+        return crc.getValue();
     }
 }
--- a/store/src/main/java/dewplank/store/DiskExecutor.java
+++ b/store/src/main/java/dewplank/store/DiskExecutor.java
@@ -1,19 +1,31 @@
 package dewplank.store;
 
-/** Does work on the disk in order, apart from the thread that owns the process's state, and hands each result back. */
+import java.util.function.Consumer;
+
+/**
+ * Runs disk tasks one at a time in the order of submission, away from the event loop, and delivers each result on the
+ * event loop.
+ *
+ * <p>All methods are called on the event loop's thread and never block it. {@link SingleThreadDiskExecutor} is the one
+ * of a real process; simulations have one in virtual time.
+ */
 public interface DiskExecutor extends AutoCloseable {
-    /** Something to do on the disk. */
-    interface Work {
-        /** Does it; called where the disk may be waited for. */
+    /** One piece of work on the disk. Runs where blocking is allowed; it must not touch state that the loop owns. */
+    @FunctionalInterface
+    interface Task {
+        /** Reads or writes and syncs; throws when the disk fails. */
         void run() throws StoreException;
     }
 
     /**
-     * Queues work; exactly one of the two runs on the owner's thread afterwards, the second also when there is no room.
+     * Queues a task.
+     *
+     * @param completion receives the result on the event loop, exactly once unless the executor is closed first; a full
+     *     queue is a {@link DiskResult.Rejected}, also delivered later and never from within this call
      */
-    void submit(Work work, Runnable done, Runnable failed);
+    void submit(Task task, Consumer<DiskResult> completion);
 
-    /** Ends after the work under way; what waits is dropped. */
+    /** Stops after the task in progress; queued tasks are dropped without a result. */
     @Override
     void close();
 }
--- a/store/src/main/java/dewplank/store/DiskFiles.java
+++ b/store/src/main/java/dewplank/store/DiskFiles.java
@@ -9,7 +9,7 @@
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 
-/** The files of a real disk. */
+/** The files of the local file system, through {@link FileChannel}s. Stateless; any thread may use it. */
 public final class DiskFiles implements StoreFiles {
     @Override
     public boolean exists(Path file) {
--- a/store/src/main/java/dewplank/store/SingleThreadDiskExecutor.java
+++ b/store/src/main/java/dewplank/store/SingleThreadDiskExecutor.java
@@ -3,35 +3,40 @@
 import java.util.concurrent.ArrayBlockingQueue;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.Executor;
+import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One thread that works on the disk in order and hands each result to the loop. */
+/** A {@link DiskExecutor} with one daemon thread of its own, named {@code disk}. */
 public final class SingleThreadDiskExecutor implements DiskExecutor {
-    /** Work that may wait; whoever gets no room treats it as a failed write. */
+    /** Tasks that may be queued. A disk that falls this far behind counts as failed. */
     public static final int MAX_QUEUED_TASKS = 64;
 
     private static final Logger LOG = LoggerFactory.getLogger(SingleThreadDiskExecutor.class);
 
-    private record Job(Work work, Runnable done, Runnable failed) {}
+    private record Submission(Task task, Consumer<DiskResult> completion) {}
 
-    private final BlockingQueue<Job> jobs = new ArrayBlockingQueue<>(MAX_QUEUED_TASKS);
+    private final BlockingQueue<Submission> queue = new ArrayBlockingQueue<>(MAX_QUEUED_TASKS);
     private final Executor loop;
     private final Thread thread;
     private volatile boolean closed;
 
-    /** Starts the thread; results run on the given executor. */
+    /**
+     * Starts the thread.
+     *
+     * @param loop runs completions on the event loop; it must accept calls from any thread
+     */
     public SingleThreadDiskExecutor(Executor loop) {
         this.loop = loop;
-        this.thread = new Thread(this::work, "disk");
+        this.thread = new Thread(this::runQueue, "disk");
         thread.setDaemon(true);
         thread.start();
     }
 
     @Override
-    public void submit(Work work, Runnable done, Runnable failed) {
-        if (closed || !jobs.offer(new Job(work, done, failed))) {
-            loop.execute(failed);
+    public void submit(Task task, Consumer<DiskResult> completion) {
+        if (closed || !queue.offer(new Submission(task, completion))) {
+            complete(completion, DiskResult.Rejected.INSTANCE);
         }
     }
 
@@ -41,24 +46,30 @@
         thread.interrupt();
     }
 
-    private void work() {
+    private void runQueue() {
         while (!closed) {
             try {
-                run(jobs.take());
-            } catch (InterruptedException ended) {
+                Submission next = queue.take();
+                complete(next.completion, run(next.task));
+            } catch (InterruptedException stopped) {
                 return;
             }
         }
     }
 
-    private void run(Job job) {
+    private static DiskResult run(Task task) {
         try {
-            job.work.run();
+            task.run();
+            return DiskResult.Succeeded.INSTANCE;
         } catch (StoreException | RuntimeException failure) {
-            LOG.warn("the disk refused a write: {}", failure.toString());
-            loop.execute(job.failed);
-            return;
+            // The boundary of the disk thread. An unexpected error must fail its own task only: without the thread no
+            // later save would ever complete.
+            LOG.warn("disk task failed cause=\"{}\"", failure.toString());
+            return new DiskResult.Failed(failure);
         }
-        loop.execute(job.done);
+    }
+
+    private void complete(Consumer<DiskResult> completion, DiskResult result) {
+        loop.execute(() -> completion.accept(result));
     }
 }
--- a/store/src/main/java/dewplank/store/StateCodec.java
+++ b/store/src/main/java/dewplank/store/StateCodec.java
@@ -12,25 +12,33 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The bytes of what is kept; the first byte tells the version of the format. */
+/**
+ * The stored bytes of a state's header and of register values.
+ *
+ * <p>The first byte is the version of the format. Strings are in {@link DataOutputStream}'s modified UTF-8, numbers
+ * big-endian. Later releases read what this one writes: a change of the layout needs another version.
+ */
 final class StateCodec {
     private static final int VERSION = 1;
     private static final int NO_PAYLOAD = -1;
 
     private StateCodec() {}
 
-    /** The small part of a state: ballots, and under which keys the values are kept. */
+    /**
+     * The small part of a {@link dewplank.register.DurableState}, which every save writes: its ballots, and the keys
+     * under which its values are stored.
+     */
     record StateHeader(Ballot promised, Ballot accepted, long valueKey, Ballot chosenBallot, long chosenKey) {}
 
-    static byte[] encode(StateHeader heads) throws IOException {
+    static byte[] encode(StateHeader header) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         DataOutputStream out = new DataOutputStream(bytes);
         out.writeByte(VERSION);
-        write(out, heads.promised());
-        write(out, heads.accepted());
-        out.writeLong(heads.valueKey());
-        write(out, heads.chosenBallot());
-        out.writeLong(heads.chosenKey());
+        write(out, header.promised());
+        write(out, header.accepted());
+        out.writeLong(header.valueKey());
+        write(out, header.chosenBallot());
+        out.writeLong(header.chosenKey());
         return bytes.toByteArray();
     }
 
@@ -72,7 +80,7 @@
         DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes));
         int version = in.readUnsignedByte();
         if (version != VERSION) {
-            throw new IOException("format " + version + " is not known");
+            throw new IOException("format " + version + " is unknown");
         }
         return in;
     }
--- a/store/src/main/java/dewplank/store/StateFile.java
+++ b/store/src/main/java/dewplank/store/StateFile.java
@@ -12,61 +12,81 @@
 import org.h2.mvstore.MVStoreException;
 
 /**
- * One MVStore file with a state in it. Its space is never used again, so that a torn write cannot harm what was synced
- * before; whoever holds it begins a new file when this one is too long.
+ * One MVStore file with one acceptor's state: its identity, its header, the values that the header refers to, and
+ * fencing tokens.
+ *
+ * <p>Space is never reused, so that a torn write cannot damage what was synced before. The file thus only grows;
+ * {@link AcceptorStore} rewrites it when it is too large. Not thread-safe. MVStore reports errors by runtime
+ * exceptions; they leave this class as an {@link IOException}, after which the file must not be written again.
  */
 final class StateFile {
     private static final int CACHE_MB = 1;
     private static final int MAX_PAGE_BYTES = 4096;
     private static final long NO_VALUE = 0;
+
+    // Names of maps and keys in the file: earlier releases wrote them too.
+    private static final String HEADERS_MAP = "heads";
     private static final String HEADER_KEY = "heads";
+    private static final String METADATA_MAP = "names";
     private static final String IDENTITY_KEY = "identity";
+    private static final String VALUES_MAP = "values";
+    private static final String FENCING_TOKENS_MAP = "numbers";
 
     private final StoreFile file;
     private final MVStore store;
     private final MVMap<String, byte[]> headers;
-    private final MVMap<String, String> names;
+    private final MVMap<String, String> metadata;
     private final MVMap<Long, byte[]> values;
     private final MVMap<String, Long> fencingTokens;
     private long lastKey;
+
+    // The values of the last header read or written, and their keys: equal values are not written again.
     private RegisterValue storedValue;
     private long storedValueKey = NO_VALUE;
     private RegisterValue storedChosen;
     private long storedChosenKey = NO_VALUE;
 
-    /** Opens the file, or creates it empty. */
+    /**
+     * Opens the file, or creates it empty.
+     *
+     * @throws IOException if it is damaged or not an MVStore; the file is closed then
+     */
     StateFile(StoreFiles files, Path path) throws IOException {
         file = files.open(path);
         MVStore opened = null;
         try {
             opened = open(file);
             store = opened;
-            headers = store.openMap("heads");
-            names = store.openMap("names");
-            values = store.openMap("values");
-            fencingTokens = store.openMap("numbers");
+            headers = store.openMap(HEADERS_MAP);
+            metadata = store.openMap(METADATA_MAP);
+            values = store.openMap(VALUES_MAP);
+            fencingTokens = store.openMap(FENCING_TOKENS_MAP);
         } catch (MVStoreException | IllegalArgumentException failure) {
             closeQuietly(opened, file);
             throw new IOException("not a readable store: " + path.getFileName(), failure);
         }
     }
 
-    /** The state kept; fails when there is none, for a file is only given its name with a state in it. */
+    /**
+     * Reads the state.
+     *
+     * @throws IOException if it is damaged or absent; a file gets its name only with a state in it
+     */
     DurableState read() throws IOException {
         try {
-            String identity = names.get(IDENTITY_KEY);
+            String identity = metadata.get(IDENTITY_KEY);
             byte[] bytes = headers.get(HEADER_KEY);
             if (identity == null || bytes == null) {
                 throw new IOException("the store holds no state");
             }
-            StateCodec.StateHeader kept = StateCodec.decodeHeader(bytes);
-            storedValueKey = kept.valueKey();
-            storedChosenKey = kept.chosenKey();
+            StateCodec.StateHeader header = StateCodec.decodeHeader(bytes);
+            storedValueKey = header.valueKey();
+            storedChosenKey = header.chosenKey();
             storedValue = valueAt(storedValueKey);
             storedChosen = storedChosenKey == storedValueKey ? storedValue : valueAt(storedChosenKey);
             lastKey = values.isEmpty() ? NO_VALUE : values.lastKey();
             return new DurableState(
-                    identity, kept.promised(), kept.accepted(), storedValue, kept.chosenBallot(), storedChosen);
+                    identity, header.promised(), header.accepted(), storedValue, header.chosenBallot(), storedChosen);
         } catch (MVStoreException | IllegalStateException failure) {
             throw new IOException("the store cannot be read", failure);
         }
@@ -76,10 +96,10 @@
         return new HashMap<>(fencingTokens);
     }
 
-    /** Writes and syncs; a value already kept is not written again. */
-    void write(DurableState state, Map<String, Long> newNumbers) throws IOException {
+    /** Writes and syncs a state and tokens. A value that is stored already is not written again. */
+    void write(DurableState state, Map<String, Long> newTokens) throws IOException {
         try {
-            names.putIfAbsent(IDENTITY_KEY, state.identity());
+            metadata.putIfAbsent(IDENTITY_KEY, state.identity());
             long valueKey = keyFor(state.acceptedValue());
             long chosenKey = state.chosenValue() != null && state.chosenValue().equals(state.acceptedValue())
                     ? valueKey
@@ -87,7 +107,7 @@
             StateCodec.StateHeader next = new StateCodec.StateHeader(
                     state.promisedBallot(), state.acceptedBallot(), valueKey, state.chosenBallot(), chosenKey);
             headers.put(HEADER_KEY, StateCodec.encode(next));
-            fencingTokens.putAll(newNumbers);
+            fencingTokens.putAll(newTokens);
             cacheWritten(state, valueKey, chosenKey);
             removeUnreferencedValues(valueKey, chosenKey);
             store.commit();
@@ -97,7 +117,7 @@
         }
     }
 
-    /** Makes last what was found in the file. */
+    /** Syncs what the operating system still caches of earlier writes. */
     void sync() throws IOException {
         file.sync();
     }
@@ -106,7 +126,7 @@
         return file.size();
     }
 
-    /** Lets go of the file at once; everything that counts is synced. */
+    /** Closes the file without writing; all that counts is synced. */
     void close() {
         closeQuietly(store, file);
     }
@@ -172,7 +192,7 @@
             }
             file.close();
         } catch (MVStoreException | IOException failure) {
-            // Nothing that counts is lost: what was to last is synced.
+            // Nothing is lost: all acknowledged writes are synced.
         }
     }
 }
--- a/store/src/main/java/dewplank/store/StoreException.java
+++ b/store/src/main/java/dewplank/store/StoreException.java
@@ -1,15 +1,18 @@
 package dewplank.store;
 
-/** The disk did not do what it was asked to. */
+/**
+ * A save, or the opening of a store, failed: the disk is full or failing, or the stored state cannot be read. The
+ * caller must not acknowledge what it tried to save; it may save again later.
+ */
 public final class StoreException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** Says what was tried. */
+    /** Says what was attempted; the cause is the file layer's error. */
     public StoreException(String message, Throwable cause) {
         super(message, cause);
     }
 
-    /** Says what is wrong. */
+    /** Says what is wrong, where the disk itself is not the cause. */
     public StoreException(String message) {
         super(message);
     }
--- a/store/src/main/java/dewplank/store/StoreFile.java
+++ b/store/src/main/java/dewplank/store/StoreFile.java
@@ -1,25 +1,37 @@
 package dewplank.store;
 
+import java.io.Closeable;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 
-/** One open file. */
-public interface StoreFile {
-    /** Reads into the buffer until it is full; fails when the file ends before. */
+/**
+ * One open file of a {@link StoreFiles}. Positions and sizes are in bytes. Not thread-safe: one thread at a time; every
+ * method may block.
+ */
+public interface StoreFile extends Closeable {
+    /**
+     * Reads into the buffer until it is full.
+     *
+     * @throws java.io.EOFException if the file ends before
+     */
     void read(ByteBuffer target, long position) throws IOException;
 
-    /** Writes the whole buffer. */
+    /** Writes all bytes of the buffer. They survive a power loss only after the next {@link #sync}. */
     void write(ByteBuffer source, long position) throws IOException;
 
-    /** Shortens the file. */
+    /** Shortens the file to this size. */
     void truncate(long size) throws IOException;
 
-    /** Makes all that was written last. */
+    /**
+     * Makes all earlier writes durable. After a failure nothing written since the last sync may be relied on, even if a
+     * later sync succeeds.
+     */
     void sync() throws IOException;
 
-    /** How long the file is. */
+    /** Returns the file's size. */
     long size() throws IOException;
 
-    /** Lets go of the file without a sync. */
+    /** Closes the file without a sync. */
+    @Override
     void close() throws IOException;
 }
--- a/store/src/main/java/dewplank/store/StoreFileChannel.java
+++ b/store/src/main/java/dewplank/store/StoreFileChannel.java
@@ -6,7 +6,10 @@
 import java.nio.channels.FileLock;
 import org.h2.store.fs.FileBaseDefault;
 
-/** A file of the file layer as an MVStore uses it; locks are granted without effect. */
+/**
+ * A {@link StoreFile} as the channel that an MVStore reads and writes. Locks are granted without effect, since one
+ * process owns a data directory.
+ */
 final class StoreFileChannel extends FileBaseDefault {
     private final StoreFile file;
 
@@ -21,11 +24,11 @@
 
     @Override
     public int read(ByteBuffer target, long position) throws IOException {
-        long left = file.size() - position;
-        if (left <= 0) {
+        long remaining = file.size() - position;
+        if (remaining <= 0) {
             return -1;
         }
-        int length = (int) Math.min(left, target.remaining());
+        int length = (int) Math.min(remaining, target.remaining());
         int limit = target.limit();
         target.limit(target.position() + length);
         file.read(target, position);
@@ -57,11 +60,11 @@
 
     @Override
     public FileLock tryLock(long position, long size, boolean shared) {
-        return new NoLock(this, position, size, shared);
+        return new NoOpLock(this, position, size, shared);
     }
 
-    private static final class NoLock extends FileLock {
-        NoLock(FileChannel channel, long position, long size, boolean shared) {
+    private static final class NoOpLock extends FileLock {
+        NoOpLock(FileChannel channel, long position, long size, boolean shared) {
             super(channel, position, size, shared);
         }
 
@@ -72,7 +75,7 @@
 
         @Override
         public void release() {
-            // Nothing was taken.
+            // Nothing is locked.
         }
     }
 }
--- a/store/src/main/java/dewplank/store/StoreFilePath.java
+++ b/store/src/main/java/dewplank/store/StoreFilePath.java
@@ -9,8 +9,11 @@
 import org.h2.store.fs.FilePath;
 
 /**
- * The way of an open file into an MVStore, which only takes names of registered schemes: the file is filed under a
- * name used once and taken out when the MVStore opens that name.
+ * The {@code FilePath} by which an MVStore opens a {@link StoreFile}.
+ *
+ * <p>H2 opens files only by a name whose scheme is registered, never an object. So each file is registered under a name
+ * that is used once, and taken out when the MVStore opens that name. Thread-safe: stores of several processes may be
+ * opened in one machine by tests. Operations that an MVStore with one open file never calls are unsupported.
  */
 final class StoreFilePath extends FilePath {
     private static final String SCHEME = "layered";
@@ -25,7 +28,7 @@
         this.name = name;
     }
 
-    /** The name under which an MVStore finds this file, once. */
+    /** Returns the name by which an MVStore may open this file, once. */
     static String register(StoreFile file) {
         String name = SCHEME + ":" + NEXT_NAME.incrementAndGet();
         PENDING_FILES.put(name, file);
@@ -36,7 +39,7 @@
     public FileChannel open(String mode) throws IOException {
         StoreFile file = PENDING_FILES.remove(name);
         if (file == null) {
-            throw new IOException("no file was handed over as " + name);
+            throw new IOException("no file is registered as " + name);
         }
         return new StoreFileChannel(file);
     }
--- a/store/src/main/java/dewplank/store/StoreFiles.java
+++ b/store/src/main/java/dewplank/store/StoreFiles.java
@@ -3,20 +3,23 @@
 import java.io.IOException;
 import java.nio.file.Path;
 
-/** The files a store needs: no links, no locks, no mappings. */
+/**
+ * The file operations that the store needs: no links, locks or mappings. Tests and simulations implement it with disks
+ * that fail, tear writes and lose power; {@link DiskFiles} is the real one.
+ */
 public interface StoreFiles {
-    /** Whether there is such a file. */
+    /** Whether a file of this name exists. */
     boolean exists(Path file);
 
-    /** Opens a file to read and write, creating it when missing. */
+    /** Opens a file for reading and writing, and creates it if missing. Its name is durable once its directory is. */
     StoreFile open(Path file) throws IOException;
 
-    /** Gives a file another name, in place of whatever has it; it lasts once the directory is synced. */
+    /** Renames a file atomically and replaces any that has the name; durable once the directory is synced. */
     void rename(Path from, Path to) throws IOException;
 
-    /** Removes a file if it is there. */
+    /** Deletes a file if it exists. */
     void delete(Path file) throws IOException;
 
-    /** Makes renamed and removed names of this directory last. */
+    /** Makes created, renamed and deleted names of this directory durable. */
     void syncDirectory(Path directory) throws IOException;
 }
--- a/store/src/test/java/dewplank/store/BootstrapSeedsTest.java
+++ b/store/src/test/java/dewplank/store/BootstrapSeedsTest.java
@@ -15,34 +15,34 @@
 
     private final MemoryFiles files = new MemoryFiles();
 
-    private BootstrapSeeds founders() {
+    private BootstrapSeeds seeds() {
         return new BootstrapSeeds(files, DIRECTORY);
     }
 
     @Test
-    void seedsThatChangeBeforeAnythingIsChosenChangeNothing() throws StoreException {
-        assertEquals(FIRST, founders().load(FIRST, true));
-        assertEquals(FIRST, founders().load(LATER, true));
-        assertEquals(FIRST, founders().load(LATER, false));
+    void storedSeedsWinOverThoseOfLaterSettings() throws StoreException {
+        assertEquals(FIRST, seeds().loadOrStore(FIRST, true));
+        assertEquals(FIRST, seeds().loadOrStore(LATER, true));
+        assertEquals(FIRST, seeds().loadOrStore(LATER, false));
     }
 
     @Test
-    void theyOutliveALossOfPowerRightAfterTheyWereWritten() throws StoreException {
-        founders().load(FIRST, true);
+    void storedSeedsSurviveAPowerLossRightAfterTheWrite() throws StoreException {
+        seeds().loadOrStore(FIRST, true);
         files.losePower(MemoryFiles.Unsynced.GONE, new SplittableRandom(1));
-        assertEquals(FIRST, founders().load(LATER, false));
+        assertEquals(FIRST, seeds().loadOrStore(LATER, false));
     }
 
     /** An empty disk of a later start: its identity is nobody's among the first acceptors, so any seeds do. */
     @Test
-    void aLaterStartWritesNothing() throws StoreException {
-        assertEquals(LATER, founders().load(LATER, false));
-        assertEquals(FIRST, founders().load(FIRST, false));
+    void aLaterStartStoresNothing() throws StoreException {
+        assertEquals(LATER, seeds().loadOrStore(LATER, false));
+        assertEquals(FIRST, seeds().loadOrStore(FIRST, false));
     }
 
     @Test
-    void aDiskThatRefusesThemIsNotUsed() {
+    void failsWhenTheDiskRefusesTheWrite() {
         files.fill(true);
-        assertThrows(StoreException.class, () -> founders().load(FIRST, true));
+        assertThrows(StoreException.class, () -> seeds().loadOrStore(FIRST, true));
     }
 }
--- a/store/src/test/java/dewplank/store/GoldenStoreTest.java
+++ b/store/src/test/java/dewplank/store/GoldenStoreTest.java
@@ -199,7 +199,7 @@
 
     @Test
     void theBytesOfBallotsAndKeys() throws IOException {
-        StateCodec.StateHeader heads =
+        StateCodec.StateHeader header =
                 new StateCodec.StateHeader(new Ballot(3, "p"), new Ballot(2, "q"), 5, new Ballot(1, "r"), 4);
         String expected = "01" // version
                 + "0000000000000003" + "000170"
@@ -207,8 +207,8 @@
                 + "0000000000000005"
                 + "0000000000000001" + "000172"
                 + "0000000000000004";
-        assertEquals(expected, HexFormat.of().formatHex(StateCodec.encode(heads)));
-        assertEquals(heads, StateCodec.decodeHeader(HexFormat.of().parseHex(expected)));
+        assertEquals(expected, HexFormat.of().formatHex(StateCodec.encode(header)));
+        assertEquals(header, StateCodec.decodeHeader(HexFormat.of().parseHex(expected)));
     }
 
     /** A checksum of eight bytes, then the addresses, one a line. */
@@ -217,9 +217,10 @@
         List<String> addresses = List.of("10.0.0.1:7600", "10.0.0.2:7600");
         byte[] expected = HexFormat.of()
                 .parseHex("000000004f58cc26" + "31302e302e302e313a37363030" + "0a" + "31302e302e302e323a37363030");
-        assertEquals(addresses, new BootstrapSeeds(new DiskFiles(), directory).load(addresses, true));
+        assertEquals(addresses, new BootstrapSeeds(new DiskFiles(), directory).loadOrStore(addresses, true));
         assertArrayEquals(expected, Files.readAllBytes(directory.resolve("founders")));
         Files.write(directory.resolve("founders"), expected);
-        assertEquals(addresses, new BootstrapSeeds(new DiskFiles(), directory).load(List.of("10.0.0.9:1"), false));
+        assertEquals(
+                addresses, new BootstrapSeeds(new DiskFiles(), directory).loadOrStore(List.of("10.0.0.9:1"), false));
     }
 }
--- a/store/src/test/java/dewplank/store/SingleThreadDiskExecutorTest.java
+++ b/store/src/test/java/dewplank/store/SingleThreadDiskExecutorTest.java
@@ -17,12 +17,12 @@
     private final List<String> results = new ArrayList<>();
 
     @AfterEach
-    void end() {
+    void closeExecutor() {
         disk.close();
     }
 
-    private void submit(String name, SingleThreadDiskExecutor.Work work) {
-        disk.submit(work, () -> results.add(name + " done"), () -> results.add(name + " failed"));
+    private void submit(String name, DiskExecutor.Task task) {
+        disk.submit(task, result -> results.add(name + (result.isSuccess() ? " done" : " failed")));
     }
 
     private void runLoop(int times) throws InterruptedException {
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void resultsComeToTheLoopInOrder() throws InterruptedException {
+    void deliversResultsOnTheLoopInOrder() throws InterruptedException {
         submit("first", () -> {});
         submit("second", () -> {
             throw new StoreException("full");
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void anUnexpectedErrorEndsOneJobOnly() throws InterruptedException {
+    void anUnexpectedErrorFailsItsOwnTaskOnly() throws InterruptedException {
         submit("first", () -> {
             throw new IllegalStateException("not foreseen");
         });
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void workBeyondTheRoomFailsAtOnce() throws InterruptedException {
+    void rejectsTasksBeyondTheQueueAtOnce() throws InterruptedException {
         CountDownLatch hanging = new CountDownLatch(1);
         CountDownLatch begun = new CountDownLatch(1);
         submit("hanging", () -> {
