--- /dev/null
+++ b/controlplane/src/main/java/dewplank/controlplane/UnreadableResponseException.java
@@ -0,0 +1,8 @@
+package dewplank.controlplane;
+
+/** A response of the platform or of a model server is not the JSON that its interface promises. */
+final class UnreadableResponseException extends Exception {
+    UnreadableResponseException(Throwable cause) {
+        super(cause);
+    }
+}
