--- a/consensus/src/main/java/dewplank/membership/SessionTable.java
+++ b/consensus/src/main/java/dewplank/membership/SessionTable.java
@@ -9,20 +9,27 @@
 import java.util.Map;
 
 /**
- * Sessions of sidecars with control sidecars, as one control sidecar knows them: its own, each with a lease, and those
- * that others have told. A sidecar is a member while any session of its stands. Times in milliseconds.
+ * The sessions of data planes with control planes, as one control plane knows them: the local ones, each with a lease,
+ * and those that its peers reported. A data plane is a member while it has a session with any control plane.
+ *
+ * <p>Not thread-safe; the control plane calls it on its event loop. Times are in milliseconds of one steady clock. No
+ * method throws, and none takes or returns null.
  */
 public final class SessionTable {
-    /** Sessions held, beyond which none is opened: guards the memory of a small machine. */
+    /** Local sessions, beyond which none is opened: guards the memory of a small machine. */
     public static final int MAX_SESSIONS = 4_096;
 
-    private record Told(double at, List<Member> sessions) {}
+    private record RemoteSessions(double reportedAtMs, List<Member> sessions) {}
 
     private final double leaseMs;
-    private final Map<Member, Double> own = new HashMap<>();
-    private final Map<String, Told> told = new HashMap<>();
+    private final Map<Member, Double> localRenewedAtMs = new HashMap<>();
+    private final Map<String, RemoteSessions> remoteByAddress = new HashMap<>();
 
-    /** A session that is not renewed for so long ends, and what another told counts for so long. */
+    /**
+     * An empty table.
+     *
+     * @param leaseMs how long a session lasts without being renewed, and how long a peer's report counts
+     */
     public SessionTable(double leaseMs) {
         this.leaseMs = leaseMs;
     }
@@ -32,67 +39,74 @@
         return leaseMs;
     }
 
-    /** Opens or renews a session here; false where there is no room. */
-    public boolean tryRenew(double now, Member member) {
-        if (own.size() >= MAX_SESSIONS && !own.containsKey(member)) {
+    /** Opens or renews a local session; returns false, and does nothing, where it would be one too many. */
+    public boolean tryRenew(double nowMs, Member member) {
+        if (localRenewedAtMs.size() >= MAX_SESSIONS && !localRenewedAtMs.containsKey(member)) {
             return false;
         }
-        own.put(member, now);
+        localRenewedAtMs.put(member, nowMs);
         return true;
     }
 
-    /** The session's connection has ended. */
+    /** Ends a local session, as its connection has ended. */
     public void close(Member member) {
-        own.remove(member);
+        localRenewedAtMs.remove(member);
     }
 
-    /** Another control sidecar has told all the sessions that it holds. */
-    public void onSessionsReported(double now, String controlAddress, List<Member> sessions) {
-        told.put(controlAddress, new Told(now, List.copyOf(sessions)));
+    /**
+     * A peer reported all its local sessions; the report replaces its earlier one.
+     *
+     * @param nowMs the time
+     * @param controlAddress the address of the peer
+     * @param sessions its sessions
+     */
+    public void onSessionsReported(double nowMs, String controlAddress, List<Member> sessions) {
+        remoteByAddress.put(controlAddress, new RemoteSessions(nowMs, List.copyOf(sessions)));
     }
 
-    /** Whoever keeps this table heard nobody for so many milliseconds: no lease ran meanwhile. */
+    /** Extends all leases by the time for which this process received nothing, as it did not run or was busy. */
     public void extendLeases(double stalledMs) {
-        own.replaceAll((member, at) -> at + stalledMs);
-        told.replaceAll((address, t) -> new Told(t.at() + stalledMs, t.sessions()));
+        localRenewedAtMs.replaceAll((member, renewedAtMs) -> renewedAtMs + stalledMs);
+        remoteByAddress.replaceAll(
+                (address, remote) -> new RemoteSessions(remote.reportedAtMs() + stalledMs, remote.sessions()));
     }
 
-    /** The sessions held here. */
-    public List<Member> localSessions(double now) {
-        own.values().removeIf(at -> now - at > leaseMs);
-        return sorted(own.keySet());
+    /** The local sessions whose leases have not expired, by the name of the node. */
+    public List<Member> localSessions(double nowMs) {
+        localRenewedAtMs.values().removeIf(renewedAtMs -> nowMs - renewedAtMs > leaseMs);
+        return sorted(localRenewedAtMs.keySet());
     }
 
-    /** All members: of several incarnations of one node the one heard last. */
-    public List<Member> members(double now) {
+    /** All members, by the name of the node; of several incarnations of one node the latest. */
+    public List<Member> members(double nowMs) {
         Map<String, Member> byNode = new HashMap<>();
-        for (Iterator<Told> i = told.values().iterator(); i.hasNext(); ) {
-            Told t = i.next();
-            if (now - t.at() > leaseMs) {
-                i.remove();
+        for (Iterator<RemoteSessions> reports = remoteByAddress.values().iterator(); reports.hasNext(); ) {
+            RemoteSessions remote = reports.next();
+            if (nowMs - remote.reportedAtMs() > leaseMs) {
+                reports.remove();
             } else {
-                t.sessions().forEach(m -> byNode.merge(m.node, m, SessionTable::newer));
+                remote.sessions().forEach(member -> byNode.merge(member.node, member, SessionTable::newer));
             }
         }
-        localSessions(now).forEach(m -> byNode.merge(m.node, m, SessionTable::newer));
+        localSessions(nowMs).forEach(member -> byNode.merge(member.node, member, SessionTable::newer));
         return sorted(byNode.values());
     }
 
-    private static Member newer(Member a, Member b) {
-        return a.incarnation >= b.incarnation ? a : b;
+    private static Member newer(Member one, Member other) {
+        return one.incarnation >= other.incarnation ? one : other;
     }
 
     private static List<Member> sorted(Collection<Member> members) {
         List<Member> list = new ArrayList<>(members);
-        list.sort(Comparator.comparing(m -> m.node));
+        list.sort(Comparator.comparing(member -> member.node));
         return list;
     }
 
-    /** A number that differs where the members do. */
+    /** A digest of the members, which data planes send back; differs where the members do, and is never 0. */
     public static long digest(List<Member> members) {
         long digest = 1;
-        for (Member m : members) {
-            digest = digest * 0x9E3779B97F4A7C15L + m.hashCode();
+        for (Member member : members) {
+            digest = digest * 0x9E3779B97F4A7C15L + member.hashCode();
         }
         return digest == 0 ? 1 : digest;
     }
--- a/consensus/src/test/java/dewplank/membership/AcceptorPlacementTest.java
+++ b/consensus/src/test/java/dewplank/membership/AcceptorPlacementTest.java
@@ -14,49 +14,49 @@
 
 class AcceptorPlacementTest {
     private static final double CATCH_UP_MS = 4_000;
-    private static final double LOOK_MS = 100;
+    private static final double CHECK_INTERVAL_MS = 100;
     private static final Timing TIMING = Timing.ofCatchUp(CATCH_UP_MS);
     private static final AcceptorId A = new AcceptorId("a:1", "disk-a");
     private static final AcceptorId B = new AcceptorId("b:1", "disk-b");
     private static final AcceptorId C = new AcceptorId("c:1", "disk-c");
     private static final AcceptorId D = new AcceptorId("d:1", "disk-d");
     private static final AcceptorId E = new AcceptorId("e:1", "disk-e");
-    private static final AcceptorId A_AGAIN = new AcceptorId("a:1", "disk-a2");
+    private static final AcceptorId A_WIPED = new AcceptorId("a:1", "disk-a2");
 
-    private final AcceptorPlacement plan = new AcceptorPlacement(TIMING);
+    private final AcceptorPlacement placement = new AcceptorPlacement(TIMING);
 
     private static AcceptorSet set(AcceptorId... members) {
         return AcceptorSet.of(List.of(members));
     }
 
-    /** Heard at the moment, and for long. */
-    private static PeerObservation old(double now, AcceptorId acceptor) {
+    /** A peer whose last heartbeat has just arrived, and its first one long ago. */
+    private static PeerObservation settledPeer(double now, AcceptorId acceptor) {
         return new PeerObservation(acceptor, true, now, now - 60_000);
     }
 
-    private static List<PeerObservation> allOld(double now, AcceptorId... acceptors) {
-        return Arrays.stream(acceptors).map(a -> old(now, a)).toList();
+    private static List<PeerObservation> settled(double now, AcceptorId... acceptors) {
+        return Arrays.stream(acceptors).map(a -> settledPeer(now, a)).toList();
     }
 
     @Test
-    void leavesACompleteSetAlone() {
-        assertEquals(List.of(A, B, C), plan.targetMembers(0, set(A, B, C), allOld(0, A, B, C)));
+    void leavesACompleteSetAsItIs() {
+        assertEquals(List.of(A, B, C), placement.targetMembers(0, set(A, B, C), settled(0, A, B, C)));
     }
 
     /** The bound that a second loss after a replacement rests on: the whole has to fit into catch_up_s. */
     @Test
-    void aSuccessorHasItsPlaceLongBeforeTheNextLossMayCome() {
-        double startedAt = 1_000; // the lost one was last heard at 0
+    void aSuccessorReplacesALostAcceptorWithinHalfOfTheCatchUpTime() {
+        double startedAt = 1_000; // the last heartbeat of the lost one arrived at 0
         double linkedAt = startedAt + 1_000;
         double replacedAt = Double.NaN;
-        for (double now = 0; now < 10_000 && Double.isNaN(replacedAt); now += LOOK_MS) {
-            List<PeerObservation> seen = new ArrayList<>(allOld(now, B, C));
-            seen.add(new PeerObservation(A, true, 0, -60_000));
+        for (double now = 0; now < 10_000 && Double.isNaN(replacedAt); now += CHECK_INTERVAL_MS) {
+            List<PeerObservation> peers = new ArrayList<>(settled(now, B, C));
+            peers.add(new PeerObservation(A, true, 0, -60_000));
             if (now >= linkedAt) {
-                seen.add(new PeerObservation(D, true, now, linkedAt));
+                peers.add(new PeerObservation(D, true, now, linkedAt));
             }
-            if (!plan.targetMembers(now, set(A, B, C), seen).equals(List.of(A, B, C))) {
-                assertEquals(List.of(D, B, C), plan.targetMembers(now, set(A, B, C), seen));
+            if (!placement.targetMembers(now, set(A, B, C), peers).equals(List.of(A, B, C))) {
+                assertEquals(List.of(D, B, C), placement.targetMembers(now, set(A, B, C), peers));
                 replacedAt = now;
             }
         }
@@ -65,73 +65,83 @@
 
     /** As many as may be lost at once are replaced, one after the other. */
     @Test
-    void replacesTwoOfFive() {
+    void replacesTwoUnresponsiveAcceptorsOfFiveOneAfterTheOther() {
         AcceptorSet set = set(A, B, C, D, E);
         AcceptorId f = new AcceptorId("f:1", "disk-f");
         AcceptorId g = new AcceptorId("g:1", "disk-g");
-        assertEquals(set.members(), plan.targetMembers(0, set, allOld(0, C, D, E, f, g)));
-        double gone = TIMING.replaceAfterMs();
-        assertEquals(List.of(f, B, C, D, E), plan.targetMembers(gone, set, allOld(gone, C, D, E, f, g)));
+        assertEquals(set.members(), placement.targetMembers(0, set, settled(0, C, D, E, f, g)));
+        double replaceAt = TIMING.replaceAfterMs();
+        assertEquals(
+                List.of(f, B, C, D, E), placement.targetMembers(replaceAt, set, settled(replaceAt, C, D, E, f, g)));
         assertEquals(
                 List.of(f, g, C, D, E),
-                plan.targetMembers(gone + 1, set(f, B, C, D, E), allOld(gone + 1, C, D, E, f, g)));
+                placement.targetMembers(replaceAt + 1, set(f, B, C, D, E), settled(replaceAt + 1, C, D, E, f, g)));
     }
 
     @Test
-    void aLostDiskIsReplacedByWhatLivesAtItsAddressAsSoonAsThatHasSettled() {
-        PeerObservation again = new PeerObservation(A_AGAIN, true, 100, 0);
-        assertEquals(List.of(A, B, C), plan.targetMembers(100, set(A, B, C), List.of(again, old(100, B), old(100, C))));
-        double settled = TIMING.minUptimeMs();
+    void aLostDiskIsReplacedByTheIdentityAtItsAddressAfterTheMinimumUptime() {
+        PeerObservation wiped = new PeerObservation(A_WIPED, true, 100, 0);
+        assertEquals(
+                List.of(A, B, C),
+                placement.targetMembers(100, set(A, B, C), List.of(wiped, settledPeer(100, B), settledPeer(100, C))));
+        double eligibleAt = TIMING.minUptimeMs();
         assertEquals(
-                List.of(A_AGAIN, B, C),
-                plan.targetMembers(
-                        settled,
+                List.of(A_WIPED, B, C),
+                placement.targetMembers(
+                        eligibleAt,
                         set(A, B, C),
-                        List.of(new PeerObservation(A_AGAIN, true, settled, 0), old(settled, B), old(settled, C))));
+                        List.of(
+                                new PeerObservation(A_WIPED, true, eligibleAt, 0),
+                                settledPeer(eligibleAt, B),
+                                settledPeer(eligibleAt, C))));
     }
 
-    /** Late words of an earlier life at the same address make the identity unsettled, not the other way round. */
+    /** Late messages of an earlier incarnation make its identity a new one at the address, not the other way round. */
     @Test
-    void anIdentityThatHasJustChangedDoesNotReplaceAnybody() {
-        PeerObservation flipped = new PeerObservation(A, true, 5_000, 4_990);
+    void anIdentityBelowTheMinimumUptimeReplacesNobody() {
+        PeerObservation changed = new PeerObservation(A, true, 5_000, 4_990);
         assertEquals(
-                List.of(A_AGAIN, B, C),
-                plan.targetMembers(5_000, set(A_AGAIN, B, C), List.of(flipped, old(5_000, B), old(5_000, C))));
+                List.of(A_WIPED, B, C),
+                placement.targetMembers(
+                        5_000, set(A_WIPED, B, C), List.of(changed, settledPeer(5_000, B), settledPeer(5_000, C))));
     }
 
     @Test
-    void oneThatFellSilentStaysWhereNobodyCanTakeItsPlace() {
-        for (double now = 0; now < 60_000; now += LOOK_MS) {
-            assertEquals(List.of(A, B, C), plan.targetMembers(now, set(A, B, C), allOld(now, B, C)));
+    void anUnresponsiveAcceptorStaysWhereNobodyCanReplaceIt() {
+        for (double now = 0; now < 60_000; now += CHECK_INTERVAL_MS) {
+            assertEquals(List.of(A, B, C), placement.targetMembers(now, set(A, B, C), settled(now, B, C)));
         }
     }
 
     @Test
-    void oneThatIsHeardAgainInTimeKeepsItsPlace() {
-        plan.targetMembers(0, set(A, B, C), allOld(0, B, C, D));
-        double back = TIMING.replaceAfterMs() - 1;
-        assertEquals(List.of(A, B, C), plan.targetMembers(back, set(A, B, C), allOld(back, A, B, C, D)));
-        double later = back + TIMING.replaceAfterMs() - 1;
-        assertEquals(List.of(A, B, C), plan.targetMembers(later, set(A, B, C), allOld(later, B, C, D)));
+    void anAcceptorThatIsLiveAgainInTimeStays() {
+        placement.targetMembers(0, set(A, B, C), settled(0, B, C, D));
+        double returnedAt = TIMING.replaceAfterMs() - 1;
+        assertEquals(
+                List.of(A, B, C), placement.targetMembers(returnedAt, set(A, B, C), settled(returnedAt, A, B, C, D)));
+        double later = returnedAt + TIMING.replaceAfterMs() - 1;
+        assertEquals(List.of(A, B, C), placement.targetMembers(later, set(A, B, C), settled(later, B, C, D)));
     }
 
     @Test
-    void growsToAnOddNumber() {
-        assertEquals(List.of(A, B, C), plan.targetMembers(0, set(A, B, C), allOld(0, A, B, C, D)));
-        assertEquals(List.of(A, B, C, D, E), plan.targetMembers(0, set(A, B, C), allOld(0, A, B, C, D, E)));
+    void growsToAnOddNumberUpToTheMaximum() {
+        assertEquals(List.of(A, B, C), placement.targetMembers(0, set(A, B, C), settled(0, A, B, C, D)));
+        assertEquals(List.of(A, B, C, D, E), placement.targetMembers(0, set(A, B, C), settled(0, A, B, C, D, E)));
         List<AcceptorId> many = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
             many.add(new AcceptorId("m" + i, "disk-" + i));
         }
-        List<PeerObservation> seen = many.stream().map(a -> old(0, a)).toList();
+        List<PeerObservation> peers = many.stream().map(a -> settledPeer(0, a)).toList();
         assertEquals(
                 AcceptorPlacement.MAX_ACCEPTORS,
-                plan.targetMembers(0, AcceptorSet.of(many.subList(0, 3)), seen).size());
+                placement
+                        .targetMembers(0, AcceptorSet.of(many.subList(0, 3)), peers)
+                        .size());
     }
 
     @Test
-    void aHalfDoneChangeIsFinishedFirst() {
+    void aJointSetIsCompletedFirst() {
         AcceptorSet joint = new AcceptorSet(1, List.of(A, B, C), List.of(D, B, C));
-        assertEquals(joint.members(), plan.targetMembers(9_000, joint, allOld(9_000, B, C, D, E)));
+        assertEquals(joint.members(), placement.targetMembers(9_000, joint, settled(9_000, B, C, D, E)));
     }
 }
--- a/consensus/src/test/java/dewplank/membership/SessionTableTest.java
+++ b/consensus/src/test/java/dewplank/membership/SessionTableTest.java
@@ -16,7 +16,7 @@
     }
 
     @Test
-    void aMemberIsOneWhileASessionStandsAnywhere() {
+    void aDataPlaneIsAMemberWhileItHasASessionAnywhere() {
         table.tryRenew(0, member("a", 1));
         table.onSessionsReported(0, "other", List.of(member("a", 1), member("b", 1)));
         assertEquals(2, table.members(1_900).size());
@@ -27,21 +27,21 @@
     }
 
     @Test
-    void whoIsToldOfNoMoreHasLeft() {
+    void aMemberThatIsReportedNoMoreIsRemoved() {
         table.onSessionsReported(0, "other", List.of(member("a", 1)));
         table.onSessionsReported(300, "other", List.of());
         assertTrue(table.members(301).isEmpty());
     }
 
     @Test
-    void ofTwoIncarnationsTheLaterCounts() {
+    void ofTwoIncarnationsTheLaterOneIsTheMember() {
         table.onSessionsReported(0, "other", List.of(member("a", 1)));
         table.tryRenew(0, member("a", 2));
         assertEquals(List.of(member("a", 2)), table.members(1));
     }
 
     @Test
-    void theDigestTellsMembersApart() {
+    void theDigestDiffersWhereMembersDo() {
         long one = SessionTable.digest(List.of(member("a", 1)));
         assertEquals(one, SessionTable.digest(List.of(member("a", 1))));
         assertNotEquals(one, SessionTable.digest(List.of(member("a", 2))));
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void sessionsAreBounded() {
+    void localSessionsAreBoundedAndThoseThatAreOpenRenewed() {
         for (int i = 0; i < SessionTable.MAX_SESSIONS; i++) {
             assertTrue(table.tryRenew(0, member("n" + i, 1)));
         }
