--- /dev/null
+++ b/controlplane/src/main/java/dewplank/controlplane/ControlComponents.java
@@ -0,0 +1,237 @@
+package dewplank.controlplane;
+
+import dewplank.configuration.Configuration;
+import dewplank.membership.Member;
+import dewplank.membership.SessionTable;
+import dewplank.message.ControlHeartbeat;
+import dewplank.message.ControlHello;
+import dewplank.message.EndpointList;
+import dewplank.message.EndpointListVersion;
+import dewplank.message.MessageCodec;
+import dewplank.message.MessageLink;
+import dewplank.net.Scheduler;
+import dewplank.register.AcceptorId;
+import dewplank.register.RegisterMessage;
+import dewplank.routing.Policy;
+import dewplank.settings.NodeSettings;
+import dewplank.singleton.LeaseTiming;
+import dewplank.store.StoreException;
+import java.util.LinkedHashSet;
+import java.util.Set;
+import java.util.random.RandomGenerator;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * The parts of a control plane and the wiring between them: who is notified of what. {@link ControlPlane} starts and
+ * ends them.
+ *
+ * <p>Parts are created in a fixed order, since some draw from the process's random numbers; a simulation replays it.
+ * After construction on the loop's thread only.
+ */
+final class ControlComponents {
+    private static final Logger LOG = LoggerFactory.getLogger(ControlComponents.class);
+
+    /** A data plane whose heartbeats are missing for so long is no member any more. */
+    private static final double SESSION_LEASE_MS = 2_000;
+
+    private final Scheduler loop;
+    private final String node;
+    private final String address;
+    private final boolean durable;
+    private final Storage storage;
+    private final ControlMesh mesh;
+    private final ConfigurationStore configuration;
+    private final ConfigurationHistory history = new ConfigurationHistory();
+    private final QuorumConfirmation confirmation;
+    private final SingletonRoles roles;
+    private final EndpointPoller poller;
+    private final SessionTable sessionTable = new SessionTable(SESSION_LEASE_MS);
+    private final DataPlaneSessions sessions;
+    private final StallDetector stallDetector;
+    private final AcceptorReconfigurer reconfigurer;
+    private final StageController stageController;
+    private final OperatorApi operatorApi;
+    private final PeerMessageDispatcher dispatcher;
+    private Set<String> seeds = Set.of();
+
+    /** Opens the disk and creates all parts; nothing runs yet. */
+    ControlComponents(NodeSettings settings, ControlEnvironment environment, MessageCodec codec, Policy policy)
+            throws StoreException {
+        NodeSettings.Bounds bounds = settings.bounds();
+        loop = environment.scheduler();
+        node = settings.nodeName();
+        address = settings.address() + ":" + settings.internalPorts()[0];
+        RandomGenerator random = environment.random();
+        durable = settings.dataDirectory() != null;
+        storage = Bootstrap.storage(settings, environment, codec, address);
+        AcceptorId self = new AcceptorId(address, storage.identity());
+        Member member = new Member(node, Member.CONTROL, address, settings.zone(), environment.wallClockMs());
+        ControlHello hello = new ControlHello(member, storage.identity(), durable);
+        mesh = new ControlMesh(loop, environment.transport(), hello, new MeshHandler());
+        configuration = new ConfigurationStore(
+                loop,
+                address,
+                Bootstrap.initialAcceptors(storage, address),
+                storage.recovered(),
+                storage,
+                random,
+                new RegisterCallbacks());
+        confirmation = new QuorumConfirmation(loop, storage.identity(), durable, mesh, configuration, history);
+        double roleLeaseMs = LeaseTiming.leaseMs(bounds.catchUpMs(), bounds.contactMs(), bounds.drainMs());
+        roles = new SingletonRoles(loop, self, roleLeaseMs, storage, random, configuration, mesh::send);
+        SingletonRole role = roles.endpointList();
+        poller = new EndpointPoller(loop, environment.platform(), role, bounds.drainMs(), this::listPublished);
+        sessions = new DataPlaneSessions(
+                loop,
+                sessionTable,
+                new FleetUpdateSource(loop, durable, configuration, history, poller, sessionTable, mesh));
+        stallDetector = new StallDetector(loop, this::stalled);
+        reconfigurer = new AcceptorReconfigurer(loop, self, bounds.catchUpMs(), mesh, configuration, role);
+        stageController =
+                new StageController(loop, node, bounds.leaseMs(), poller, role, environment.modelServers(), policy);
+        operatorApi = new OperatorApi(
+                configuration,
+                new QuorumRedirects(settings.control().getPort(), address, mesh, confirmation::canConfirm),
+                new OperatorViews(this));
+        dispatcher =
+                new PeerMessageDispatcher(loop, configuration, sessionTable, sessions, mesh, poller, storage, roles);
+    }
+
+    /** Sets the seeds that the settings name and connects to new ones. */
+    void updateSeeds(NodeSettings settings) {
+        seeds = new LinkedHashSet<>(Bootstrap.seeds(settings));
+        mesh.addAddresses(seeds);
+    }
+
+    /** Serves a connection that another process opens. */
+    MessageLink.Handler inboundLink() {
+        return new InboundLink(durable, mesh, sessions, confirmation, dispatcher);
+    }
+
+    private void stalled(double stalledMs) {
+        LOG.info("event loop stalled stalledMs={}", Math.round(stalledMs));
+        mesh.stalled(stalledMs);
+        sessions.stalled(stalledMs);
+    }
+
+    private void listPublished(EndpointList list) {
+        mesh.broadcast(list);
+        sessions.pushUpdates();
+        storage.saveList(list);
+    }
+
+    private final class MeshHandler implements ControlMesh.Handler {
+        @Override
+        public ControlHeartbeat heartbeat(long sequence) {
+            stallDetector.check();
+            return new ControlHeartbeat(sequence, sessionTable.localSessions(loop.now()), mesh.liveAddresses());
+        }
+
+        @Override
+        public void received(String from, Object message) {
+            dispatcher.dispatch(from, message);
+        }
+
+        @Override
+        public void linkUp(String to) {
+            if (!poller.newest().version.equals(EndpointListVersion.NONE)) {
+                mesh.send(to, poller.newest());
+            }
+            if (durable) {
+                configuration.queryPeer(to);
+            }
+        }
+
+        @Override
+        public boolean isRetained(String other) {
+            return seeds.contains(other)
+                    || configuration.acceptors().all().stream()
+                            .anyMatch(a -> a.address().equals(other));
+        }
+    }
+
+    private final class RegisterCallbacks implements ConfigurationStore.RegisterEnvironment {
+        @Override
+        public void send(String to, RegisterMessage message) {
+            mesh.send(to, message);
+        }
+
+        @Override
+        public void chosen(Configuration newer) {
+            if (history.add(newer)) {
+                stallDetector.check();
+                LOG.info("configuration chosen version={}", newer.version());
+                sessions.pushUpdates();
+            }
+        }
+    }
+
+    // ---- the parts ------------------------------------------------------------------------------------
+
+    Scheduler loop() {
+        return loop;
+    }
+
+    String node() {
+        return node;
+    }
+
+    /** Where this process listens to the others, as IP:PORT. */
+    String address() {
+        return address;
+    }
+
+    /** Whether this process has a disk; one without is a relay. */
+    boolean isDurable() {
+        return durable;
+    }
+
+    Storage storage() {
+        return storage;
+    }
+
+    ControlMesh mesh() {
+        return mesh;
+    }
+
+    ConfigurationStore configuration() {
+        return configuration;
+    }
+
+    ConfigurationHistory history() {
+        return history;
+    }
+
+    SingletonRoles roles() {
+        return roles;
+    }
+
+    EndpointPoller poller() {
+        return poller;
+    }
+
+    SessionTable sessionTable() {
+        return sessionTable;
+    }
+
+    DataPlaneSessions sessions() {
+        return sessions;
+    }
+
+    StallDetector stallDetector() {
+        return stallDetector;
+    }
+
+    AcceptorReconfigurer reconfigurer() {
+        return reconfigurer;
+    }
+
+    StageController stageController() {
+        return stageController;
+    }
+
+    OperatorApi operatorApi() {
+        return operatorApi;
+    }
+}
--- /dev/null
+++ b/controlplane/src/main/java/dewplank/controlplane/InboundLink.java
@@ -0,0 +1,75 @@
+package dewplank.controlplane;
+
+import dewplank.message.ControlHeartbeat;
+import dewplank.message.ControlHello;
+import dewplank.message.HeartbeatAck;
+import dewplank.message.MessageLink;
+import dewplank.message.SessionHeartbeat;
+import dewplank.message.SessionOpen;
+import java.util.List;
+
+/**
+ * A connection that another process has opened. Its first message says whether it is a control plane's link or a data
+ * plane's session; a message that does not fit closes the connection. On the loop's thread only.
+ */
+final class InboundLink implements MessageLink.Handler {
+    private final boolean durable;
+    private final ControlMesh mesh;
+    private final DataPlaneSessions sessions;
+    private final QuorumConfirmation confirmation;
+    private final PeerMessageDispatcher dispatcher;
+    private ControlHello peer;
+    private DataPlaneSessions.Session session;
+
+    /** @param durable whether this process has a disk */
+    InboundLink(
+            boolean durable,
+            ControlMesh mesh,
+            DataPlaneSessions sessions,
+            QuorumConfirmation confirmation,
+            PeerMessageDispatcher dispatcher) {
+        this.durable = durable;
+        this.mesh = mesh;
+        this.sessions = sessions;
+        this.confirmation = confirmation;
+        this.dispatcher = dispatcher;
+    }
+
+    @Override
+    public void received(MessageLink connection, Object message) {
+        if (peer != null) {
+            receivedFromPeer(connection, message);
+        } else if (message instanceof ControlHello hello) {
+            peer = hello;
+            mesh.helloReceived(hello);
+        } else if (message instanceof SessionOpen opening && session == null) {
+            session = sessions.open(connection, opening).orElse(null);
+        } else if (message instanceof SessionHeartbeat heartbeat && session != null) {
+            session.heartbeat(heartbeat);
+        } else {
+            connection.close();
+        }
+    }
+
+    private void receivedFromPeer(MessageLink connection, Object message) {
+        mesh.recordReceived(peer);
+        if (message instanceof ControlHeartbeat heartbeat) {
+            connection.send(new HeartbeatAck(heartbeat.sequence, confirmation.canConfirm(), addressesFor(peer)));
+        }
+        dispatcher.dispatch(peer.member.address, message);
+    }
+
+    /**
+     * Control planes with a disk learn of each other by heartbeats; an acknowledgement names them to or from a relay.
+     */
+    private List<String> addressesFor(ControlHello other) {
+        return durable && other.durable ? List.of() : mesh.liveAddresses();
+    }
+
+    @Override
+    public void closed(MessageLink connection) {
+        if (session != null) {
+            session.closed();
+        }
+    }
+}
--- a/controlplane/src/main/java/dewplank/controlplane/OperatorViews.java
+++ b/controlplane/src/main/java/dewplank/controlplane/OperatorViews.java
@@ -6,22 +6,27 @@
 import java.util.List;
 import java.util.Optional;
 
-/** What this control sidecar knows, as JSON for the operator's client. */
+/**
+ * What this control plane knows, as JSON for the operator's client. Field names are those of the documentation; on
+ * the loop's thread only.
+ */
 final class OperatorViews implements OperatorApi.Views {
-    private final ControlPlane plane;
+    private final ControlComponents components;
 
-    OperatorViews(ControlPlane plane) {
-        this.plane = plane;
+    OperatorViews(ControlComponents components) {
+        this.components = components;
     }
 
     @Override
     public String members() {
-        List<Member> data = plane.table().members(plane.now());
-        List<Member> control = plane.mesh().peers(Double.POSITIVE_INFINITY).stream()
+        List<Member> data = components.sessionTable().members(components.loop().now());
+        List<Member> control = components.mesh().peers(Double.POSITIVE_INFINITY).stream()
                 .map(ControlMesh.Peer::member)
                 .toList();
         return JsonText.object(
-                        JsonText.field("answered_by", plane.node()), members("data", data), members("control", control))
+                        JsonText.field("answered_by", components.node()),
+                        members("data", data),
+                        members("control", control))
                 + "\n";
     }
 
@@ -40,9 +45,9 @@
 
     @Override
     public String duties() {
-        SingletonRole list = plane.duties().endpointList();
+        SingletonRole list = components.roles().endpointList();
         return JsonText.object(
-                        JsonText.field("answered_by", plane.node()),
+                        JsonText.field("answered_by", components.node()),
                         JsonText.plain(
                                 "list",
                                 JsonText.object(
@@ -53,19 +58,19 @@
 
     @Override
     public String servers() {
-        List<String> servers = plane.poller().newest().endpoints.stream()
+        List<String> servers = components.poller().newest().endpoints.stream()
                 .map(OperatorViews::server)
                 .toList();
         return JsonText.object(
                         JsonText.field(
-                                "version", plane.poller().newest().version.toString()),
+                                "version", components.poller().newest().version.toString()),
                         JsonText.plain("servers", JsonText.array(servers)))
                 + "\n";
     }
 
     @Override
     public Optional<String> server(String instanceId) {
-        for (Endpoint s : plane.poller().newest().endpoints) {
+        for (Endpoint s : components.poller().newest().endpoints) {
             if (s.instanceId.equals(instanceId)) {
                 return Optional.of(server(s) + "\n");
             }
@@ -86,22 +91,24 @@
 
     @Override
     public String status() {
-        List<String> acceptors = plane.configuration().acceptors().all().stream()
+        List<String> acceptors = components.configuration().acceptors().all().stream()
                 .map(OperatorViews::acceptor)
                 .toList();
         return JsonText.object(
-                        JsonText.field("node", plane.node()),
+                        JsonText.field("node", components.node()),
                         JsonText.plain(
-                                "quorate", plane.configuration().hasQuorum(QuorumConfirmation.QUORUM_VALIDITY_MS)),
+                                "quorate", components.configuration().hasQuorum(QuorumConfirmation.QUORUM_VALIDITY_MS)),
                         JsonText.plain(
-                                "current", plane.configuration().isCurrent(QuorumConfirmation.QUORUM_VALIDITY_MS)),
-                        JsonText.plain("quorum_age_ms", plane.configuration().quorumAgeMs()),
+                                "current", components.configuration().isCurrent(QuorumConfirmation.QUORUM_VALIDITY_MS)),
                         JsonText.plain(
-                                "holds_list_duty", plane.duties().endpointList().isHeld()),
+                                "quorum_age_ms", components.configuration().quorumAgeMs()),
+                        JsonText.plain(
+                                "holds_list_duty",
+                                components.roles().endpointList().isHeld()),
                         JsonText.plain(
                                 "acceptors_generation",
-                                plane.configuration().acceptors().generation()),
-                        JsonText.plain("config_version", plane.history().version()),
+                                components.configuration().acceptors().generation()),
+                        JsonText.plain("config_version", components.history().version()),
                         JsonText.plain("acceptors", JsonText.array(acceptors)))
                 + "\n";
     }
--- /dev/null
+++ b/controlplane/src/main/java/dewplank/controlplane/PeerMessageDispatcher.java
@@ -0,0 +1,68 @@
+package dewplank.controlplane;
+
+import dewplank.membership.SessionTable;
+import dewplank.message.ControlHeartbeat;
+import dewplank.message.EndpointList;
+import dewplank.net.Scheduler;
+import dewplank.register.RegisterMessage;
+import dewplank.singleton.VoteReply;
+import dewplank.singleton.VoteRequest;
+
+/**
+ * Hands each message of a control plane to the part that it is meant for: register, sessions, endpoint list, election.
+ *
+ * <p>Called for messages of peers and for those that this process sends to itself, on the loop's thread only. A message
+ * of any other type is ignored.
+ */
+final class PeerMessageDispatcher {
+    private final Scheduler loop;
+    private final ConfigurationStore configuration;
+    private final SessionTable sessionTable;
+    private final DataPlaneSessions sessions;
+    private final ControlMesh mesh;
+    private final EndpointPoller poller;
+    private final Storage storage;
+    private final SingletonRoles roles;
+
+    PeerMessageDispatcher(
+            Scheduler loop,
+            ConfigurationStore configuration,
+            SessionTable sessionTable,
+            DataPlaneSessions sessions,
+            ControlMesh mesh,
+            EndpointPoller poller,
+            Storage storage,
+            SingletonRoles roles) {
+        this.loop = loop;
+        this.configuration = configuration;
+        this.sessionTable = sessionTable;
+        this.sessions = sessions;
+        this.mesh = mesh;
+        this.poller = poller;
+        this.storage = storage;
+        this.roles = roles;
+    }
+
+    /** @param from the sender's address on the links, as IP:PORT */
+    void dispatch(String from, Object message) {
+        if (message instanceof RegisterMessage registerMessage) {
+            configuration.received(registerMessage);
+        } else if (message instanceof ControlHeartbeat heartbeat) {
+            sessionTable.onSessionsReported(loop.now(), from, heartbeat.sessions);
+            mesh.addAddresses(heartbeat.controlAddresses);
+        } else if (message instanceof EndpointList list) {
+            endpointListReceived(list);
+        } else if (message instanceof VoteRequest request) {
+            roles.voteRequested(from, request);
+        } else if (message instanceof VoteReply reply) {
+            roles.voteReplied(reply);
+        }
+    }
+
+    private void endpointListReceived(EndpointList list) {
+        if (poller.receive(list)) {
+            storage.saveList(list);
+            sessions.pushUpdates();
+        }
+    }
+}
--- a/simulation/src/test/java/dewplank/controlplane/ControlProcess.java
+++ b/simulation/src/test/java/dewplank/controlplane/ControlProcess.java
@@ -86,28 +86,28 @@
 
     /** The newest configuration known to be chosen; null before the first. */
     public Configuration configuration() {
-        return plane.history().newest();
+        return plane.components().history().newest();
     }
 
     public long version() {
-        return plane.history().version();
+        return plane.components().history().version();
     }
 
     public boolean holdsList() {
-        return plane.duties().endpointList().isHeld();
+        return plane.components().roles().endpointList().isHeld();
     }
 
     public long fencingToken() {
-        return plane.duties().endpointList().fencingToken();
+        return plane.components().roles().endpointList().fencingToken();
     }
 
     public AcceptorSet acceptors() {
-        return plane.configuration().acceptors();
+        return plane.components().configuration().acceptors();
     }
 
     /** The identity of its disk. */
     public String identity() {
-        return plane.identity();
+        return plane.components().storage().identity();
     }
 
     private static final class Caller implements Responder {
