--- a/controlplane/src/main/java/dewplank/controlplane/DiskStorage.java
+++ b/controlplane/src/main/java/dewplank/controlplane/DiskStorage.java
@@ -88,7 +88,7 @@
 
     private Optional<EndpointList> decode(byte[] frame) {
         try {
-            return codec.reader().next(ByteBuffer.wrap(frame)) instanceof EndpointList list
+            return codec.newDecoder().decode(ByteBuffer.wrap(frame)) instanceof EndpointList list
                     ? Optional.of(list)
                     : Optional.empty();
         } catch (CorruptFrameException e) {
--- a/dataplane/src/test/java/dewplank/dataplane/FakeControlPlane.java
+++ b/dataplane/src/test/java/dewplank/dataplane/FakeControlPlane.java
@@ -57,13 +57,13 @@
         }
 
         private void read() throws IOException {
-            MessageCodec.Reader reader = codec.reader();
+            MessageCodec.Decoder reader = codec.newDecoder();
             byte[] bytes = new byte[4096];
             InputStream in = socket.getInputStream();
             try {
                 for (int n = in.read(bytes); n >= 0; n = in.read(bytes)) {
                     ByteBuffer piece = ByteBuffer.wrap(bytes, 0, n);
-                    for (Object m = reader.next(piece); m != null; m = reader.next(piece)) {
+                    for (Object m = reader.decode(piece); m != null; m = reader.decode(piece)) {
                         take(m);
                     }
                 }
--- a/messages/src/main/java/dewplank/message/ControlHeartbeat.java
+++ b/messages/src/main/java/dewplank/message/ControlHeartbeat.java
@@ -4,13 +4,18 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A control sidecar tells another the sessions that it holds, and the control sidecars that it knows. */
+/**
+ * The heartbeat between two control planes: the sender's open sessions and the control planes that it knows.
+ *
+ * <p>The receiver replies by a {@link HeartbeatAck}. From the sessions of all peers each control plane makes the
+ * membership that it sends to data planes.
+ */
 public final class ControlHeartbeat {
     public final long sequence;
     public final List<Member> sessions;
     public final List<String> controlAddresses;
 
-    /** For Protostuff, which fills the fields and sends nothing for an empty list. */
+    /** For Protostuff, which sets the fields and does not send an empty list. */
     private ControlHeartbeat() {
         this.sequence = 0;
         this.sessions = new ArrayList<>();
--- a/messages/src/main/java/dewplank/message/ControlHello.java
+++ b/messages/src/main/java/dewplank/message/ControlHello.java
@@ -2,13 +2,13 @@
 
 import dewplank.membership.Member;
 
-/** A control sidecar opens a connection to another one, or a relay without a disk does. */
+/** The first message of a control plane, or of a relay without a disk, on a connection that it opens to another. */
 public final class ControlHello {
     public final Member member;
-    /** The identity of its disk, which its votes in the register go by. */
+    /** The identity of its disk, by which the register counts its votes. */
     public final String identity;
 
-    /** Whether what it has accepted outlives its process: only then it may be an acceptor for good. */
+    /** Whether its acceptor state survives the process: only then it may stay an acceptor. */
     public final boolean durable;
 
     public ControlHello(Member member, String identity, boolean durable) {
--- a/messages/src/main/java/dewplank/message/Endpoint.java
+++ b/messages/src/main/java/dewplank/message/Endpoint.java
@@ -2,16 +2,24 @@
 
 import java.util.Objects;
 
-/** One server as the platform lists it. */
+/**
+ * One model server as the platform reports it.
+ *
+ * <p>Sent in an {@link EndpointList}: the order of the fields is part of the wire format.
+ */
 public final class Endpoint {
     public final String instanceId;
     public final String service;
     public final String address;
+    /** Null if the platform reports none. */
     public final String zone;
+
     public final int slotCount;
     public final boolean draining;
+    /** How long the server still warms up, as reported; 0 once it is warm. */
     public final double warmupRemainingMs;
-    /** Stage of a server that has been ordered to another one: it is to get nothing new. */
+
+    /** The stage of a server that is changing to another one: it gets no new requests. */
     public static final String CHANGING = "changing";
 
     /** prefill, decode, {@link #CHANGING}, or null for a plain server. */
@@ -36,19 +44,19 @@
         this.stage = stage;
     }
 
-    /** The same in another stage. */
-    public Endpoint withStage(String other) {
-        return new Endpoint(instanceId, service, address, zone, slotCount, draining, warmupRemainingMs, other);
+    /** Returns this endpoint with another stage. */
+    public Endpoint withStage(String newStage) {
+        return new Endpoint(instanceId, service, address, zone, slotCount, draining, warmupRemainingMs, newStage);
     }
 
-    /** Equal but for the cold time, which counts down by itself. */
-    public boolean equalsIgnoringWarmup(Endpoint e) {
-        return e.instanceId.equals(instanceId)
-                && e.service.equals(service)
-                && e.address.equals(address)
-                && Objects.equals(e.zone, zone)
-                && e.slotCount == slotCount
-                && e.draining == draining
-                && Objects.equals(e.stage, stage);
+    /** Whether all but the remaining warm-up is equal, which counts down by itself and would make every list new. */
+    public boolean equalsIgnoringWarmup(Endpoint other) {
+        return other.instanceId.equals(instanceId)
+                && other.service.equals(service)
+                && other.address.equals(address)
+                && Objects.equals(other.zone, zone)
+                && other.slotCount == slotCount
+                && other.draining == draining
+                && Objects.equals(other.stage, stage);
     }
 }
--- a/messages/src/main/java/dewplank/message/EndpointListVersion.java
+++ b/messages/src/main/java/dewplank/message/EndpointListVersion.java
@@ -1,7 +1,11 @@
 package dewplank.message;
 
-/** Orders lists of servers: by the fencing number of the duty under which the list was asked for, then by count. */
+/**
+ * The version of an {@link EndpointList}: the fencing token of the lease under which the list was requested, then a
+ * revision that counts the lists under that token.
+ */
 public final class EndpointListVersion implements Comparable<EndpointListVersion> {
+    /** Lower than that of any list. */
     public static final EndpointListVersion NONE = new EndpointListVersion(0, 0);
 
     public final long fencingToken;
--- a/messages/src/main/java/dewplank/message/FleetMessages.java
+++ b/messages/src/main/java/dewplank/message/FleetMessages.java
@@ -6,10 +6,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** All kinds of messages between the system's processes, in the order that numbers them on the wire: add at the end. */
+/** The types of all messages between the fleet's processes. Their order numbers them on the wire: add at the end. */
 public final class FleetMessages {
     private FleetMessages() {}
 
+    /** Returns a codec of these types; each event loop needs its own. */
     public static MessageCodec codec() {
         List<Class<?>> types = new ArrayList<>(List.of(
                 ControlHello.class,
--- a/messages/src/main/java/dewplank/message/FleetUpdate.java
+++ b/messages/src/main/java/dewplank/message/FleetUpdate.java
@@ -3,13 +3,16 @@
 import dewplank.membership.Member;
 import java.util.List;
 
-/** What is newer than a data plane holds; a part that has not changed is null. */
+/** Sends a data plane what is newer than it has; a part that has not changed is null. */
 public final class FleetUpdate {
-    /** The configuration, deflated: whole, or as a delta on {@link #baseVersion}. */
+    /**
+     * The configuration, compressed by {@link dewplank.configuration.DeflateCodec}: complete, or as a delta on
+     * {@link #baseVersion}.
+     */
     public final byte[] configuration;
 
     public final long configurationVersion;
-    /** 0: the configuration is whole. */
+    /** The version that a delta applies to; 0 when the configuration is complete. */
     public final long baseVersion;
 
     public final EndpointList endpointList;
--- a/messages/src/main/java/dewplank/message/FramedConnection.java
+++ b/messages/src/main/java/dewplank/message/FramedConnection.java
@@ -7,27 +7,35 @@
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 
-/** A connection that carries messages as frames over TCP. On the loop's thread only. */
+/**
+ * A {@link MessageLink} that carries messages as frames over one TCP connection.
+ *
+ * <p>It closes on a corrupt frame, and when the peer does not read. On the event loop's thread only.
+ */
 public final class FramedConnection implements Listener.Accepted, MessageLink {
-    /** Unsent bytes beyond which the peer counts as stuck, and the connection ends. */
+    /** Bytes that may wait to be sent. A peer that is further behind is stuck, and the connection closes. */
     private static final long MAX_UNSENT_BYTES = 32L * 1024 * 1024;
 
     private final MessageCodec codec;
-    private final MessageCodec.Reader reader;
+    private final MessageCodec.Decoder decoder;
     private final Handler handler;
     private Connection connection;
     private Connection.Connecting connecting;
     private long unsentBytes;
-    private boolean over;
+    private boolean closed;
 
-    /** For a connection that a listener accepts. */
+    /** For a connection that a listener will accept. */
     public FramedConnection(MessageCodec codec, Handler handler) {
         this.codec = codec;
-        this.reader = codec.reader();
+        this.decoder = codec.newDecoder();
         this.handler = handler;
     }
 
-    /** Opens a connection within so many milliseconds. */
+    /**
+     * Opens a connection.
+     *
+     * @param timeoutMs the time to establish it, after which it closes
+     */
     public static FramedConnection open(
             EventLoop loop, InetSocketAddress to, double timeoutMs, MessageCodec codec, Handler handler) {
         FramedConnection framed = new FramedConnection(codec, handler);
@@ -50,7 +58,7 @@
     @Override
     public void received(ByteBuffer bytes) {
         try {
-            for (Object message = reader.next(bytes); message != null && !over; message = reader.next(bytes)) {
+            for (Object message = decoder.decode(bytes); message != null && !closed; message = decoder.decode(bytes)) {
                 handler.received(this, message);
             }
         } catch (CorruptFrameException e) {
@@ -59,7 +67,7 @@
     }
 
     @Override
-    public void closed(IOException why) {
+    public void closed(IOException cause) {
         close();
     }
 
@@ -68,9 +76,9 @@
         send(codec.encode(message));
     }
 
-    /** Sends an encoded frame, so that one encoding serves many connections. */
+    /** Sends an encoded frame, so that a message for many connections is encoded once. */
     public void send(ByteBuffer frame) {
-        if (over || connection == null) {
+        if (closed || connection == null) {
             return;
         }
         int bytes = frame.remaining();
@@ -84,20 +92,20 @@
 
     @Override
     public boolean isOpen() {
-        return connection != null && !over;
+        return connection != null && !closed;
     }
 
     @Override
     public boolean isClosed() {
-        return over;
+        return closed;
     }
 
     @Override
     public void close() {
-        if (over) {
+        if (closed) {
             return;
         }
-        over = true;
+        closed = true;
         if (connection != null) {
             connection.close();
         } else if (connecting != null) {
--- a/messages/src/main/java/dewplank/message/HeartbeatAck.java
+++ b/messages/src/main/java/dewplank/message/HeartbeatAck.java
@@ -3,15 +3,21 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The heartbeat of a session, and of a connection between control sidecars. */
+/**
+ * A control plane's reply to a {@link SessionHeartbeat} or a {@link ControlHeartbeat}, sent at once.
+ *
+ * <p>Without it the sender's heartbeat times out and it closes the connection.
+ */
 public final class HeartbeatAck {
+    /** That of the heartbeat. */
     public final long sequence;
-    /** Whether a quorum of the register lately showed that the control sidecar knows the newest configuration. */
+
+    /** Whether a quorum of the register recently confirmed that this control plane has the newest configuration. */
     public final boolean quorate;
-    /** Addresses of all control sidecars known, to turn to when this one is gone. */
+    /** Addresses of all control planes that this one knows, for a session when this one fails. */
     public final List<String> controlAddresses;
 
-    /** For Protostuff, which fills the fields and sends nothing for an empty list. */
+    /** For Protostuff, which sets the fields and does not send an empty list. */
     private HeartbeatAck() {
         this.sequence = 0;
         this.quorate = false;
--- a/messages/src/main/java/dewplank/message/MessageCodec.java
+++ b/messages/src/main/java/dewplank/message/MessageCodec.java
@@ -11,23 +11,27 @@
 import java.util.Map;
 
 /**
- * Frames of messages: four bytes of length, one byte that names the type by its place in the list, the Protostuff body.
- * Both ends of a connection use the same list. One thread.
+ * Encodes messages as frames and decodes them.
+ *
+ * <p>A frame is the length of the body as four bytes, one byte for the type, and the body in Protostuff's format. The
+ * type's number is its index in the list of types, and a field's number is its position in its class; both ends of a
+ * connection must agree on them. Not thread-safe: one codec per event loop.
  */
 public final class MessageCodec {
-    /** A frame holds one configuration at the most, which operators may send with up to 4 MiB. */
+    /** The largest body. One configuration has to fit, of which operators may submit up to 4 MiB. */
     public static final int MAX_BODY_BYTES = 8 * 1024 * 1024;
 
-    private static final int HEAD_BYTES = Integer.BYTES + 1;
+    private static final int HEADER_BYTES = Integer.BYTES + 1;
     private static final int BUFFER_BYTES = 1024;
 
     private final List<Schema<Object>> schemas = new ArrayList<>();
-    private final Map<Class<?>, Integer> numbers = new HashMap<>();
+    private final Map<Class<?>, Integer> typeNumbers = new HashMap<>();
     private final LinkedBuffer buffer = LinkedBuffer.allocate(BUFFER_BYTES);
 
+    /** Builds the schemas of these types. */
     public MessageCodec(List<Class<?>> types) {
         for (Class<?> type : types) {
-            numbers.put(type, schemas.size());
+            typeNumbers.put(type, schemas.size());
             schemas.add(schema(type));
         }
     }
@@ -37,23 +41,27 @@
         return (Schema<Object>) RuntimeSchema.getSchema(type);
     }
 
-    /** The message as one frame. */
+    /**
+     * Encodes a message as one frame, ready to be read.
+     *
+     * @param message of one of the codec's types; any other is an error of the caller
+     */
     public ByteBuffer encode(Object message) {
-        int number = numbers.get(message.getClass());
+        int number = typeNumbers.get(message.getClass());
         byte[] body;
         try {
             body = ProtostuffIOUtil.toByteArray(message, schemas.get(number), buffer);
         } finally {
             buffer.clear();
         }
-        return ByteBuffer.allocate(HEAD_BYTES + body.length)
+        return ByteBuffer.allocate(HEADER_BYTES + body.length)
                 .putInt(body.length)
                 .put((byte) number)
                 .put(body)
                 .flip();
     }
 
-    private Object decode(int number, byte[] body) throws CorruptFrameException {
+    private Object decodeBody(int number, byte[] body) throws CorruptFrameException {
         if (number < 0 || number >= schemas.size()) {
             throw new CorruptFrameException("no message has the number " + number);
         }
@@ -62,48 +70,57 @@
             Object message = schema.newMessage();
             ProtostuffIOUtil.mergeFrom(body, message, schema);
             return message;
-        } catch (RuntimeException | OutOfMemoryError e) { // a length that no body of this size can hold
+        } catch (RuntimeException | OutOfMemoryError e) {
+            // The boundary to bytes of another process. Protostuff reports a malformed body by many runtime exceptions,
+            // and allocates by lengths within the body, which may exceed all memory.
             throw new CorruptFrameException("a message's body can't be read: " + e);
         }
     }
 
-    /** Puts frames together from the bytes of one connection. */
-    public final class Reader {
-        private final ByteBuffer head = ByteBuffer.allocate(HEAD_BYTES);
+    /** Returns a decoder for one connection. */
+    public Decoder newDecoder() {
+        return new Decoder();
+    }
+
+    /** Assembles frames from the bytes of one connection, however they are split. */
+    public final class Decoder {
+        private final ByteBuffer header = ByteBuffer.allocate(HEADER_BYTES);
         private byte[] body;
-        private int filled;
+        private int bodyBytesRead;
 
-        /** Takes bytes until a message is whole; null if more are needed. */
-        public Object next(ByteBuffer in) throws CorruptFrameException {
-            while (head.hasRemaining() && in.hasRemaining()) {
-                head.put(in.get());
+        /**
+         * Consumes bytes up to the end of the next frame.
+         *
+         * @return the frame's message, or null once the buffer is empty and the frame is not complete; the next call
+         *     goes on with it
+         * @throws CorruptFrameException if the frame is not valid; the decoder must not be used again
+         */
+        public Object decode(ByteBuffer in) throws CorruptFrameException {
+            while (header.hasRemaining() && in.hasRemaining()) {
+                header.put(in.get());
             }
-            if (head.hasRemaining()) {
+            if (header.hasRemaining()) {
                 return null;
             }
             if (body == null) {
-                int length = head.getInt(0);
+                int length = header.getInt(0);
                 if (length < 0 || length > MAX_BODY_BYTES) {
                     throw new CorruptFrameException("a frame of " + length + " bytes");
                 }
                 body = new byte[length];
-                filled = 0;
+                bodyBytesRead = 0;
             }
-            int some = Math.min(in.remaining(), body.length - filled);
-            in.get(body, filled, some);
-            filled += some;
-            if (filled < body.length) {
+            int count = Math.min(in.remaining(), body.length - bodyBytesRead);
+            in.get(body, bodyBytesRead, count);
+            bodyBytesRead += count;
+            if (bodyBytesRead < body.length) {
                 return null;
             }
-            byte[] whole = body;
-            int number = head.get(Integer.BYTES);
+            byte[] complete = body;
+            int number = header.get(Integer.BYTES);
             body = null;
-            head.clear();
-            return decode(number, whole);
+            header.clear();
+            return decodeBody(number, complete);
         }
     }
-
-    public Reader reader() {
-        return new Reader();
-    }
 }
--- a/messages/src/main/java/dewplank/message/MessageTransport.java
+++ b/messages/src/main/java/dewplank/message/MessageTransport.java
@@ -5,17 +5,26 @@
 import java.net.InetSocketAddress;
 import java.util.function.Supplier;
 
-/** Opens and accepts the connections that carry messages between the system's processes. */
+/**
+ * Opens and accepts the connections between the fleet's processes. {@link TcpTransport} is the real one; simulations
+ * have one in virtual time. Called on the event loop's thread.
+ */
 public interface MessageTransport {
-    /** Opens a connection within so many milliseconds. */
+    /**
+     * Opens a connection.
+     *
+     * @param timeoutMs the time to establish it, after which it closes
+     * @param handler receives its events
+     */
     MessageLink open(InetSocketAddress to, double timeoutMs, MessageLink.Handler handler);
 
     /**
-     * Binds to an address.
+     * Binds to an address and accepts connections.
      *
-     * @param most the connections open at once; further ones wait
-     * @param handlers gives the handler of each connection that is accepted
+     * @param maxConnections how many may be open at once; further ones wait in the kernel's backlog
+     * @param handlers supplies the handler of each accepted connection
+     * @throws IOException if the address cannot be bound
      */
-    ServerEndpoint listen(InetSocketAddress at, int most, Supplier<? extends MessageLink.Handler> handlers)
+    ServerEndpoint listen(InetSocketAddress at, int maxConnections, Supplier<? extends MessageLink.Handler> handlers)
             throws IOException;
 }
--- a/messages/src/main/java/dewplank/message/SessionHeartbeat.java
+++ b/messages/src/main/java/dewplank/message/SessionHeartbeat.java
@@ -1,16 +1,20 @@
 package dewplank.message;
 
 /**
- * What a data plane holds; answered at once by a {@link HeartbeatAck}, and by a {@link FleetUpdate} as soon as there
- * is something newer. It also renews the session.
+ * A data plane's heartbeat: renews its session and says which versions it has.
+ *
+ * <p>The control plane replies at once by a {@link HeartbeatAck}, and by a {@link FleetUpdate} as soon as it has
+ * something newer.
  */
 public final class SessionHeartbeat {
+    /** Counts the heartbeats of one session; the ack repeats it. */
     public final long sequence;
-    /** 0: none. */
+
+    /** 0 before the first. */
     public final long configurationVersion;
 
     public final EndpointListVersion listVersion;
-    /** Digest of the members held; 0: none. */
+    /** Digest of the membership that the data plane has; 0 before the first. */
     public final long membersDigest;
 
     public SessionHeartbeat(
--- a/messages/src/main/java/dewplank/message/SessionOpen.java
+++ b/messages/src/main/java/dewplank/message/SessionOpen.java
@@ -2,7 +2,7 @@
 
 import dewplank.membership.Member;
 
-/** A data plane opens its session with a control sidecar. */
+/** The first message of a data plane on a connection to a control plane: opens its session. */
 public final class SessionOpen {
     public final Member member;
 
--- a/messages/src/main/java/dewplank/message/TcpTransport.java
+++ b/messages/src/main/java/dewplank/message/TcpTransport.java
@@ -7,11 +7,12 @@
 import java.net.InetSocketAddress;
 import java.util.function.Supplier;
 
-/** Messages as frames over TCP. */
+/** The {@link MessageTransport} of real processes: frames over TCP on one event loop. */
 public final class TcpTransport implements MessageTransport {
     private final EventLoop loop;
     private final MessageCodec codec;
 
+    /** Connections share the codec, so that it must be of the same event loop. */
     public TcpTransport(EventLoop loop, MessageCodec codec) {
         this.loop = loop;
         this.codec = codec;
@@ -23,8 +24,9 @@
     }
 
     @Override
-    public ServerEndpoint listen(InetSocketAddress at, int most, Supplier<? extends MessageLink.Handler> handlers)
+    public ServerEndpoint listen(
+            InetSocketAddress at, int maxConnections, Supplier<? extends MessageLink.Handler> handlers)
             throws IOException {
-        return new Listener(loop, at, most, () -> new FramedConnection(codec, handlers.get()));
+        return new Listener(loop, at, maxConnections, () -> new FramedConnection(codec, handlers.get()));
     }
 }
--- a/messages/src/test/java/dewplank/message/GoldenFramesTest.java
+++ b/messages/src/test/java/dewplank/message/GoldenFramesTest.java
@@ -94,7 +94,7 @@
 
     private <T> T decoded(String label, Class<T> type) throws CorruptFrameException {
         ByteBuffer bytes = ByteBuffer.wrap(frames.get(label));
-        Object message = codec.reader().next(bytes);
+        Object message = codec.newDecoder().decode(bytes);
         assertFalse(bytes.hasRemaining(), label);
         return assertInstanceOf(type, message, label);
     }
--- a/messages/src/test/java/dewplank/message/MessageCodecTest.java
+++ b/messages/src/test/java/dewplank/message/MessageCodecTest.java
@@ -38,7 +38,7 @@
     private final MessageCodec codec = FleetMessages.codec();
 
     private <T> T roundTrip(T message) throws CorruptFrameException {
-        Object back = codec.reader().next(codec.encode(message));
+        Object back = codec.newDecoder().decode(codec.encode(message));
         @SuppressWarnings("unchecked")
         T same = (T) back;
         return same;
@@ -107,12 +107,12 @@
             all.put(codec.encode(message));
         }
         List<Object> received = new ArrayList<>();
-        MessageCodec.Reader reader = codec.reader();
+        MessageCodec.Decoder reader = codec.newDecoder();
         byte[] bytes = Arrays.copyOf(all.array(), all.position());
         for (int at = 0; at < bytes.length; ) {
             int end = Math.min(bytes.length, at + 1 + random.nextInt(mostPiece));
             ByteBuffer piece = ByteBuffer.wrap(bytes, at, end - at);
-            for (Object m = reader.next(piece); m != null; m = reader.next(piece)) {
+            for (Object m = reader.decode(piece); m != null; m = reader.decode(piece)) {
                 received.add(m);
             }
             assertFalse(piece.hasRemaining());
@@ -227,7 +227,7 @@
     void oneFrameServesManyConnections() throws Exception {
         ByteBuffer frame = codec.encode(new SessionOpen(new Member("n", Member.DATA, "a", null, 1)));
         for (int i = 0; i < 3; i++) {
-            SessionOpen open = (SessionOpen) codec.reader().next(frame.duplicate());
+            SessionOpen open = (SessionOpen) codec.newDecoder().decode(frame.duplicate());
             assertEquals(new Member("n", Member.DATA, "a", null, 1), open.member);
         }
     }
@@ -244,12 +244,13 @@
     void framesOfNoUseAreTold() {
         int kinds = Messages.kinds().size();
         for (int number : new int[] {kinds, 127, -1, -128}) {
-            assertThrows(CorruptFrameException.class, () -> codec.reader().next(Messages.frame(number, new byte[0])));
+            assertThrows(
+                    CorruptFrameException.class, () -> codec.newDecoder().decode(Messages.frame(number, new byte[0])));
         }
         for (int length : new int[] {-1, Integer.MIN_VALUE, Integer.MAX_VALUE, MORE_THAN_A_FRAME}) {
             ByteBuffer head =
                     ByteBuffer.allocate(5).putInt(length).put((byte) 0).flip();
-            assertThrows(CorruptFrameException.class, () -> codec.reader().next(head), "length " + length);
+            assertThrows(CorruptFrameException.class, () -> codec.newDecoder().decode(head), "length " + length);
         }
     }
 
@@ -259,16 +260,16 @@
                 .putInt(MessageCodec.MAX_BODY_BYTES)
                 .put((byte) 0)
                 .flip();
-        assertNull(codec.reader().next(head));
+        assertNull(codec.newDecoder().decode(head));
     }
 
     @Test
     void aFrameThatIsNotWholeIsNoMessage() throws Exception {
         ByteBuffer frame = codec.encode(new HeartbeatAck(5, true, List.of("a", "b")));
         for (int length = 0; length < frame.limit(); length++) {
-            MessageCodec.Reader reader = codec.reader();
-            assertNull(reader.next(frame.duplicate().limit(length)));
-            HeartbeatAck answer = (HeartbeatAck) reader.next(frame.duplicate().position(length));
+            MessageCodec.Decoder reader = codec.newDecoder();
+            assertNull(reader.decode(frame.duplicate().limit(length)));
+            HeartbeatAck answer = (HeartbeatAck) reader.decode(frame.duplicate().position(length));
             assertEquals(List.of("a", "b"), answer.controlAddresses);
         }
     }
@@ -299,7 +300,7 @@
 
     private void assertIsMessageOrTold(int number, byte[] body) {
         try {
-            assertNotNull(codec.reader().next(Messages.frame(number, body)));
+            assertNotNull(codec.newDecoder().decode(Messages.frame(number, body)));
         } catch (CorruptFrameException e) {
             assertNotNull(e.getMessage());
         } catch (OutOfMemoryError e) { // which would end the whole run
--- a/messages/src/test/java/dewplank/message/Messages.java
+++ b/messages/src/test/java/dewplank/message/Messages.java
@@ -31,7 +31,7 @@
         MessageCodec codec = FleetMessages.codec();
         try {
             while (true) {
-                kinds.add(codec.reader().next(frame(kinds.size(), new byte[0])));
+                kinds.add(codec.newDecoder().decode(frame(kinds.size(), new byte[0])));
             }
         } catch (CorruptFrameException e) {
             return kinds; // none has that number
--- a/simulation/src/test/java/dewplank/simulation/SimulatedNetwork.java
+++ b/simulation/src/test/java/dewplank/simulation/SimulatedNetwork.java
@@ -140,7 +140,8 @@
         }
 
         @Override
-        public ServerEndpoint listen(InetSocketAddress at, int most, Supplier<? extends MessageLink.Handler> handlers) {
+        public ServerEndpoint listen(
+                InetSocketAddress at, int maxConnections, Supplier<? extends MessageLink.Handler> handlers) {
             return new Listening(machine, life, at, handlers);
         }
     }
