--- a/cli/src/main/java/dewplank/Logs.java
+++ b/cli/src/main/java/dewplank/DrainingLogManager.java
@@ -3,7 +3,7 @@
 import java.util.logging.LogManager;
 
 /** The log's manager, which keeps the log open while the sidecar drains. */
-public final class Logs extends LogManager {
+public final class DrainingLogManager extends LogManager {
     private static volatile boolean ending;
 
     /** From here on the log may close. */
--- a/cli/src/main/java/dewplank/FleetCommands.java
+++ b/cli/src/main/java/dewplank/FleetCommands.java
@@ -24,13 +24,13 @@
 final class FleetCommands {
     private FleetCommands() {}
 
-    /** Something that runs until SIGTERM. */
-    private interface Ending {
+    /** A program that drains on SIGTERM. */
+    private interface Drainable {
         void drain() throws InterruptedException;
     }
 
-    /** What both programs take from the command line. */
-    private abstract static class Trial {
+    /** The options of both programs. */
+    private abstract static class FleetProgram {
         @Option(
                 name = "--without",
                 metaVar = "NAME,...",
@@ -50,50 +50,50 @@
                 }
             }
             if (!off.isEmpty()) {
-                LoggerFactory.getLogger(FleetCommands.class).warn("a trial without {}", off);
+                LoggerFactory.getLogger(FleetCommands.class).warn("trial mechanisms_off={}", off);
             }
             return Policy.without(off);
         }
     }
 
     /** The data plane: takes clients' requests. */
-    public static final class RunDataPlane extends Trial implements Commands.Command {
+    public static final class RunDataPlane extends FleetProgram implements Command {
         @Override
         public void run() throws InterruptedException {
-            SettingsReload reloads = reloads();
+            SettingsReloader reloader = reloader();
             FileWatch file = new FileWatch(NodeSettings.path(System.getenv()));
             DataPlane plane;
             try {
                 plane = new DataPlane(settings().requireDataPlaneKeys(), policy());
             } catch (IOException e) {
-                throw StartFault.of(e);
+                throw StartFailures.of(e);
             }
             onTermination(plane::drain);
             plane.start();
-            reloads.run(file, () -> reload(plane::reload));
+            reloader.run(file, () -> reload(plane::reload));
         }
     }
 
     /** The control plane: keeps the configuration, the members and the list of servers. */
-    public static final class RunControlPlane extends Trial implements Commands.Command {
+    public static final class RunControlPlane extends FleetProgram implements Command {
         @Override
         public void run() throws InterruptedException {
-            SettingsReload reloads = reloads();
+            SettingsReloader reloader = reloader();
             FileWatch file = new FileWatch(NodeSettings.path(System.getenv()));
             ControlPlane plane;
             try {
                 plane = new ControlPlane(settings().requireControlPlaneKeys(), policy());
             } catch (IOException | StoreException e) {
-                throw StartFault.of(e);
+                throw StartFailures.of(e);
             }
             onTermination(plane::drain);
             plane.start();
-            reloads.run(file, () -> reload(plane::reload));
+            reloader.run(file, () -> reload(plane::reload));
         }
     }
 
     /** Runs both programs for a moment, for the build's archive of classes. */
-    public static final class Rehearse implements Commands.Command {
+    public static final class Rehearse implements Command {
         @Override
         public void run() throws IOException, InterruptedException {
             try {
@@ -108,15 +108,15 @@
         return NodeSettings.fromEnvironment(System.getenv());
     }
 
-    private static SettingsReload reloads() {
-        SettingsReload reloads = new SettingsReload();
-        if (reloads.signalIgnored()) {
-            LoggerFactory.getLogger(FleetCommands.class).warn(SettingsReload.warning());
+    private static SettingsReloader reloader() {
+        SettingsReloader reloader = new SettingsReloader();
+        if (reloader.isSignalIgnored()) {
+            LoggerFactory.getLogger(FleetCommands.class).warn(SettingsReloader.warning());
         }
-        return reloads;
+        return reloader;
     }
 
-    private static void onTermination(Ending ending) {
+    private static void onTermination(Drainable ending) {
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
                         () -> {
@@ -125,7 +125,7 @@
                             } catch (InterruptedException e) {
                                 Thread.currentThread().interrupt();
                             }
-                            Logs.end();
+                            DrainingLogManager.end();
                         },
                         "drain"));
     }
@@ -135,9 +135,9 @@
         Logger log = LoggerFactory.getLogger(FleetCommands.class);
         try {
             reload.accept(settings());
-            log.info("settings read again");
+            log.info("settings reloaded");
         } catch (InvalidInputException e) {
-            log.warn("reload refused, the old settings stay: {}", e.getMessage());
+            log.warn("reload rejected, old settings stay cause={}", e.getMessage());
         }
     }
 }
--- a/cli/src/main/java/dewplank/FleetLog.java
+++ b/cli/src/main/java/dewplank/FleetLogConfigurator.java
@@ -10,7 +10,7 @@
 import ch.qos.logback.core.spi.ContextAwareBase;
 
 /** The fleet programs' log: one line a record on standard error. Set up in code: reading XML costs a start its time. */
-public final class FleetLog extends ContextAwareBase implements Configurator {
+public final class FleetLogConfigurator extends ContextAwareBase implements Configurator {
     @Override
     public ExecutionStatus configure(LoggerContext context) {
         PatternLayoutEncoder encoder = new PatternLayoutEncoder();
--- a/cli/src/main/java/dewplank/Help.java
+++ b/cli/src/main/java/dewplank/Help.java
@@ -25,8 +25,6 @@
     private static final String TEXTS = "/help.txt";
     private static final String HEADING = "# ";
     private static final int WIDTH = 110;
-    private static final int DONE = 0;
-    private static final int WRONG_COMMAND_LINE = 2;
     private static final List<Class<?>> ROOTS = List.of(Main.class, OperatorMain.class, LabMain.class);
 
     private Help() {}
@@ -37,18 +35,18 @@
         Map<String, Class<?>> commands = commands();
         if (words.isEmpty()) {
             System.out.print(overview(commands));
-            return DONE;
+            return CommandLine.OK;
         }
         String command = command(words, commands);
         if (command.isEmpty()) {
             System.err.println(
                     "dewplank: there is no command " + words.get(0) + "\nsee: java -jar dewplank.jar " + FLAG);
-            return WRONG_COMMAND_LINE;
+            return CommandLine.WRONG_USAGE;
         }
         System.out.print(usage(command, commands.get(command))
                 + texts().getOrDefault(command, "")
                 + flags(commands.get(command)));
-        return DONE;
+        return CommandLine.OK;
     }
 
     /** One line on how the command is written that these arguments begin with. */
--- a/cli/src/main/java/dewplank/LabMain.java
+++ b/cli/src/main/java/dewplank/LabMain.java
@@ -1,17 +1,13 @@
 package dewplank;
 
-import dewplank.settings.InvalidInputException;
-import java.io.IOException;
 import java.util.List;
 import org.kohsuke.args4j.Argument;
-import org.kohsuke.args4j.CmdLineException;
-import org.kohsuke.args4j.CmdLineParser;
 import org.kohsuke.args4j.spi.SubCommand;
 import org.kohsuke.args4j.spi.SubCommandHandler;
 import org.kohsuke.args4j.spi.SubCommands;
 
 /** The laboratory's command line. Apart from {@link Main}, so that {@code serve} loads nothing of the laboratory. */
-final class LabMain {
+final class LabMain implements CommandLine.Holder {
     private static final String USAGE =
             """
         usage: java -jar dewplank.jar try [--seed N]
@@ -28,31 +24,26 @@
     @Argument(required = true, metaVar = "COMMAND", handler = SubCommandHandler.class)
     @SubCommands({
         @SubCommand(name = "lab", impl = LabCommands.Lab.class),
-        @SubCommand(name = "try", impl = LabCommands.TryOut.class),
+        @SubCommand(name = "try", impl = TrialCommands.Try.class),
         @SubCommand(name = "load", impl = LoadCommands.Load.class),
         @SubCommand(name = "stand-in", impl = LoadCommands.Serve.class),
     })
-    private Commands.Command command;
+    private Command command;
 
     private LabMain() {}
 
-    /** Exit codes as {@link Main}'s. */
+    @Override
+    public Command command() {
+        return command;
+    }
+
+    /** Runs the command; exit codes as {@link Main}'s. */
     static int run(List<String> args) {
-        LabMain main = new LabMain();
-        try {
-            new CmdLineParser(main).parseArgument(args);
-        } catch (CmdLineException e) {
-            System.err.println("dewplank: " + e.getMessage() + "\n" + USAGE);
-            return 2;
-        }
         try {
-            main.command.run();
-            return 0;
-        } catch (InvalidInputException | IOException | IllegalStateException e) {
-            System.err.println("dewplank: " + e.getMessage());
-            return 1;
-        } catch (InterruptedException e) {
-            return 1;
+            return CommandLine.run(new LabMain(), USAGE, args);
+        } catch (IllegalStateException e) { // the laboratory cannot go on, such as with a port that is taken
+            CommandLine.printError(e.getMessage());
+            return CommandLine.FAILED;
         }
     }
 }
--- a/cli/src/main/java/dewplank/LoadCommands.java
+++ b/cli/src/main/java/dewplank/LoadCommands.java
@@ -23,7 +23,7 @@
     private LoadCommands() {}
 
     /** Sends an open loop of requests and prints latencies from the intended starts. */
-    public static final class Load implements Commands.Command {
+    public static final class Load implements Command {
         @Argument(
                 required = true,
                 multiValued = true,
@@ -150,7 +150,7 @@
     }
 
     /** A target that does no work, until the program is ended. */
-    public static final class Serve implements Commands.Command {
+    public static final class Serve implements Command {
         @Argument(required = true, multiValued = true, metaVar = "HOST:PORT", usage = "one thread an address")
         private List<String> addresses = new ArrayList<>();
 
--- a/cli/src/main/java/dewplank/OperatorCommands.java
+++ b/cli/src/main/java/dewplank/OperatorCommands.java
@@ -49,7 +49,7 @@
     }
 
     /** {@code fleet ...}: calls to control sidecars. */
-    public static final class Fleet implements Commands.Command {
+    public static final class Fleet implements Command {
         @Argument(required = true, metaVar = "COMMAND", handler = SubCommandHandler.class)
         @SubCommands({
             @SubCommand(name = "get", impl = Get.class),
@@ -62,7 +62,7 @@
             @SubCommand(name = "status", impl = Status.class),
             @SubCommand(name = "explain", impl = Explain.class),
         })
-        private Commands.Command command;
+        private Command command;
 
         @Override
         public void run() throws IOException, InterruptedException {
@@ -88,7 +88,7 @@
     }
 
     /** What the fleet's commands have in common. */
-    abstract static class FleetCommand implements Commands.Command {
+    abstract static class FleetCommand implements Command {
         @Option(
                 name = "--at",
                 metaVar = "HOST:PORT[,HOST:PORT...]",
@@ -304,7 +304,7 @@
     }
 
     /** Reads a settings file as the programs do. */
-    public static final class CheckSettings implements Commands.Command {
+    public static final class CheckSettings implements Command {
         @Argument(metaVar = "FILE", usage = "default: the file that " + NodeSettings.VARIABLE + " names")
         private Path file;
 
--- a/cli/src/main/java/dewplank/Commands.java
+++ b/cli/src/main/java/dewplank/SidecarCommands.java
@@ -13,23 +13,21 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.CompletableFuture;
 
-/** The sub-commands. */
-final class Commands {
-    private Commands() {}
+/** The commands of the sidecar. */
+final class SidecarCommands {
+    private SidecarCommands() {}
 
-    interface Command {
-        void run() throws IOException, InterruptedException;
-    }
-
-    /** Runs one real sidecar until SIGTERM; SIGHUP, or another time of its file, has it read its configuration again. */
+    /**
+     * Runs one real sidecar until SIGTERM; SIGHUP, or another time of its file, has it read its configuration again.
+     */
     public static final class Serve implements Command {
         private static final System.Logger LOG = System.getLogger(Serve.class.getName());
 
         @Override
         public void run() throws IOException, InterruptedException {
-            SettingsReload reloads = new SettingsReload();
-            if (reloads.signalIgnored()) {
-                LOG.log(System.Logger.Level.WARNING, SettingsReload.warning());
+            SettingsReloader reloader = new SettingsReloader();
+            if (reloader.isSignalIgnored()) {
+                LOG.log(System.Logger.Level.WARNING, SettingsReloader.warning());
             }
             FileWatch file = new FileWatch(SidecarConfig.file(System.getenv()));
             SidecarConfig config = SidecarConfig.fromEnvironment(System.getenv());
@@ -42,13 +40,13 @@
                                 } catch (InterruptedException e) {
                                     Thread.currentThread().interrupt();
                                 }
-                                Logs.end();
+                                DrainingLogManager.end();
                             },
                             "drain"));
             sidecar.rehearse();
             sidecar.start();
             LOG.log(System.Logger.Level.INFO, "{0} serves on {1}", config.name(), sidecar.address());
-            reloads.run(file, () -> reload(sidecar));
+            reloader.run(file, () -> reload(sidecar));
         }
 
         /** A file that can't be used must not end a program that serves. */
@@ -58,7 +56,7 @@
             } catch (InvalidInputException e) {
                 LOG.log(
                         System.Logger.Level.WARNING,
-                        "reload refused, the old configuration stays: {0}",
+                        "reload rejected, old configuration stays cause={0}",
                         e.getMessage());
             }
         }
@@ -104,7 +102,7 @@
     public static final class Version implements Command {
         @Override
         public void run() {
-            String version = Commands.class.getPackage().getImplementationVersion();
+            String version = SidecarCommands.class.getPackage().getImplementationVersion();
             System.out.println("dewplank " + (version == null ? "(not packaged)" : version));
         }
     }
--- a/cli/src/main/java/dewplank/StartFault.java
+++ b/cli/src/main/java/dewplank/StartFailures.java
@@ -6,8 +6,8 @@
 import java.net.BindException;
 
 /** Why one of the fleet's programs could not start, as its operator is told. Loaded only then. */
-final class StartFault {
-    private StartFault() {}
+final class StartFailures {
+    private StartFailures() {}
 
     static InvalidInputException of(Exception failure) {
         if (failure instanceof StoreException) {
--- /dev/null
+++ b/cli/src/main/java/dewplank/TrialCommands.java
@@ -0,0 +1,211 @@
+package dewplank;
+
+import dewplank.emulator.Scenario;
+import dewplank.emulator.ScenarioFile;
+import dewplank.lab.LiveTrial;
+import dewplank.lab.Trial;
+import dewplank.lab.policies.Policies;
+import dewplank.settings.InvalidInputException;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Locale;
+import org.kohsuke.args4j.Argument;
+import org.kohsuke.args4j.Option;
+
+/** Commands that play single trials, in virtual time or on loopback sockets. */
+final class TrialCommands {
+    private TrialCommands() {}
+
+    /**
+     * How this program starts a sidecar of its own: the same JVM and class path, within the bounds of the platform's.
+     */
+    static List<String> sidecarCommand() {
+        return List.of(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-XX:+UseSerialGC",
+                "-XX:TieredStopAtLevel=1",
+                "-Xmx64m",
+                "-Xss512k",
+                "-cp",
+                System.getProperty("java.class.path"),
+                "dewplank.Main",
+                "serve");
+    }
+
+    /** Plays one run and prints what clients got and what the auditor found. */
+    public static final class Play implements Command {
+        @Argument(required = true, metaVar = "SCENARIO", usage = "a file, or a name from 'lab list'")
+        private String scenario;
+
+        @Option(name = "--policy", metaVar = "NAME", usage = "default: choice")
+        private String policy = "choice";
+
+        @Option(name = "--seed", metaVar = "N")
+        private long seed = 1;
+
+        @Option(name = "--set", metaVar = "KEY=VALUE", usage = "changes one figure, such as load.share=0.7")
+        private List<String> changes = new ArrayList<>();
+
+        @Option(
+                name = "--rounds",
+                metaVar = "N",
+                usage = "plays it so often, to measure the emulator's speed when warm")
+        private int rounds = 1;
+
+        @Override
+        public void run() {
+            for (int i = 0; i < rounds; i++) {
+                playOnce();
+            }
+        }
+
+        private void playOnce() {
+            Scenario played = ScenarioFile.named(scenario);
+            for (String change : changes) {
+                played = withFigure(played, change);
+            }
+            Policies.named(policy);
+            long startedAtNs = System.nanoTime();
+            Trial trial = Trial.play(
+                    played, policy, seed, !policy.equals("oracle")); // its instances see what each other sent
+            TrialOutput.print(trial);
+            double seconds = (System.nanoTime() - startedAtNs) / 1e9;
+            System.out.printf(
+                    Locale.ROOT,
+                    "%d events, %d requests in %.1f s: %.0f requests/s%n",
+                    trial.cost().events(),
+                    trial.auditor().asked(),
+                    seconds,
+                    trial.auditor().asked() / seconds);
+        }
+    }
+
+    /** Plays scenarios and prints what became of the worth that was lost, by policy. */
+    public static final class Losses implements Command {
+        @Argument(required = true, multiValued = true, metaVar = "SCENARIO")
+        private List<String> scenarios = new ArrayList<>();
+
+        @Option(name = "--policy", metaVar = "NAME", usage = "may be given several times; default: choice and oracle")
+        private List<String> policies = new ArrayList<>();
+
+        @Option(name = "--seed", metaVar = "N")
+        private long seed = 1;
+
+        @Option(name = "--set", metaVar = "KEY=VALUE", usage = "changes one figure, such as load.share=0.7")
+        private List<String> changes = new ArrayList<>();
+
+        @Override
+        public void run() {
+            for (String name : scenarios) {
+                Scenario played = ScenarioFile.named(name);
+                for (String change : changes) {
+                    played = withFigure(played, change);
+                }
+                for (String policy : policies.isEmpty() ? List.of("choice", "oracle") : policies) {
+                    Trial trial = Trial.split(played, policy, seed);
+                    System.out.printf(
+                            Locale.ROOT,
+                            "%s, %s: service %.3f, %s%n%s",
+                            played.name(),
+                            policy,
+                            trial.service().share(),
+                            trial.auditor().verdict(),
+                            trial.losses().table());
+                }
+            }
+        }
+    }
+
+    /** Plays one run on loopback sockets, against sidecars that are processes of their own. */
+    public static final class Live implements Command {
+        @Argument(required = true, metaVar = "SCENARIO", usage = "a file, or a name from 'lab list'")
+        private String scenario;
+
+        @Option(name = "--seed", metaVar = "N")
+        private long seed = 1;
+
+        @Option(name = "--set", metaVar = "KEY=VALUE", usage = "changes one figure, such as load.share=0.7")
+        private List<String> changes = new ArrayList<>();
+
+        @Override
+        public void run() throws IOException, InterruptedException {
+            Scenario played = ScenarioFile.named(scenario);
+            for (String change : changes) {
+                played = withFigure(played, change);
+            }
+            TrialOutput.print(LiveTrial.play(played, seed, sidecarCommand(), System.out::println));
+        }
+    }
+
+    /** Plays scenarios in both drivers, one after the other, and prints the services side by side. */
+    public static final class Twin implements Command {
+        @Argument(required = true, multiValued = true, metaVar = "SCENARIO")
+        private List<String> scenarios = new ArrayList<>();
+
+        @Option(name = "--seeds", metaVar = "N", usage = "runs in each driver; default: 1")
+        private int seeds = 1;
+
+        @Option(name = "--length", metaVar = "S", usage = "seconds; default: as the scenario says")
+        private double length;
+
+        @Option(name = "--out", metaVar = "FILE", usage = "a CSV table of it")
+        private Path out;
+
+        @Override
+        public void run() throws IOException, InterruptedException {
+            List<String> table = new ArrayList<>(
+                    List.of("scenario,seed,virtual,sockets,difference,virtual_broken," + "sockets_broken,unsound"));
+            for (String name : scenarios) {
+                for (long seed = 1; seed <= seeds; seed++) {
+                    Scenario played = ScenarioFile.named(name);
+                    played = length > 0 ? played.with("length_s", length) : played;
+                    Trial virtual = Trial.play(played, "choice", seed, true);
+                    Trial sockets = LiveTrial.play(played, seed, sidecarCommand(), line -> {});
+                    table.add(String.format(
+                            Locale.ROOT,
+                            "%s,%d,%.4f,%.4f,%.4f,%d,%d,%b",
+                            played.name(),
+                            seed,
+                            virtual.service().share(),
+                            sockets.service().share(),
+                            sockets.service().share() - virtual.service().share(),
+                            virtual.auditor().violations(),
+                            sockets.auditor().violations(),
+                            sockets.unsound()));
+                    System.out.println(table.get(table.size() - 1));
+                    sockets.auditor().kept().stream().limit(2).forEach(TrialOutput::print);
+                }
+            }
+            if (out != null) {
+                Files.writeString(out, String.join("\n", table) + "\n");
+            }
+        }
+    }
+
+    /** The first command: a small fleet on loopback, no file needed. */
+    public static final class Try implements Command {
+        @Option(name = "--seed", metaVar = "N")
+        private long seed = 1;
+
+        @Override
+        public void run() throws IOException, InterruptedException {
+            Scenario played = ScenarioFile.named("try");
+            System.out.println(played.servers().count() + " servers, a directory and a sidecar on loopback, "
+                    + (int) (played.lengthMs() / 1000) + " s of load; a server crashes and comes back cold");
+            TrialOutput.print(LiveTrial.play(played, seed, sidecarCommand(), System.out::println));
+        }
+    }
+
+    private static Scenario withFigure(Scenario played, String change) {
+        int equals = change.indexOf('=');
+        try {
+            return played.with(
+                    change.substring(0, Math.max(0, equals)), Double.parseDouble(change.substring(equals + 1)));
+        } catch (IllegalArgumentException e) {
+            throw new InvalidInputException("--set " + change + ": " + e.getMessage());
+        }
+    }
+}
--- /dev/null
+++ b/cli/src/main/java/dewplank/TrialOutput.java
@@ -0,0 +1,50 @@
+package dewplank;
+
+import dewplank.lab.Auditor;
+import dewplank.lab.Service;
+import dewplank.lab.Trial;
+import java.util.Locale;
+
+/** Prints trials: the service that clients got, and what the auditor found. */
+final class TrialOutput {
+    private TrialOutput() {}
+
+    static void print(Trial trial) {
+        print(trial.service());
+        System.out.println(
+                "auditor: " + trial.auditor().verdict() + (trial.unsound() ? " (unsound: the emulator ran late)" : ""));
+        trial.auditor().kept().stream().limit(3).forEach(TrialOutput::print);
+    }
+
+    static void print(Auditor.Violation v) {
+        System.out.printf(
+                Locale.ROOT, "%s at %.0f ms, request %d: %s%n%s%n", v.rule(), v.at(), v.request(), v.what(), v.line());
+    }
+
+    static void print(Service service) {
+        System.out.printf(
+                Locale.ROOT,
+                "service %.3f, worst class %.3f, worst tenant %.3f, worst 10 s %.3f, refused %.3f, "
+                        + "failed %.3f, tries %.2f%n",
+                service.share(),
+                service.worstClass(),
+                service.worstTenant(),
+                service.worstSpell(),
+                service.refusedShare(),
+                service.failedShare(),
+                service.triesEach());
+        service.classes()
+                .forEach(c -> System.out.printf(
+                        Locale.ROOT,
+                        "  %-14s %6d asked, in aim %.3f, p50 %.0f ms, p99 %.0f ms%n",
+                        c.name(),
+                        c.latency().getTotalCount(),
+                        c.inAimShare(),
+                        c.latency().getValueAtPercentile(50) / 1000.0,
+                        c.latency().getValueAtPercentile(99) / 1000.0));
+        StringBuilder line = new StringBuilder("  by second:");
+        service.seconds()
+                .forEach(s -> line.append(s[0] == 0 ? " -" : String.format(Locale.ROOT, " %.0f", 100 * s[1] / s[0])));
+        System.out.println(line);
+    }
+}
--- a/cli/src/main/java/dewplank/rehearsal/FleetRehearsal.java
+++ b/cli/src/main/java/dewplank/rehearsal/FleetRehearsal.java
@@ -21,8 +21,8 @@
 import java.util.List;
 
 /**
- * Runs both programs of the fleet in one process on loopback for a moment: a configuration is put, a list taken, a plain
- * request and a generation served. The build has the JVM keep an archive of the classes loaded meanwhile.
+ * Runs both programs of the fleet in one process on loopback for a moment: a configuration is put, a list taken, a
+ * plain request and a generation served. The build has the JVM keep an archive of the classes loaded meanwhile.
  */
 public final class FleetRehearsal {
     private static final String HOST = "127.0.0.1";
@@ -145,7 +145,8 @@
                 + "\"context_hold_s\":5,\"switch_s\":1,\"models\":[{\"name\":\"m\"}]}";
         return "{\"config_version\":1,\"routes\":[" + String.format(route, "a", "plain", "safe", "plain") + ","
                 + String.format(route, "b", "generation", "streaming", "engine") + "],\"services\":["
-                + "{\"name\":\"plain\",\"health_path\":\"/health\",\"max_connections\":100,\"protocol\":\"h1\",\"tls_mode\":false},"
+                + "{\"name\":\"plain\",\"health_path\":\"/health\",\"max_connections\":100,"
+                + "\"protocol\":\"h1\",\"tls_mode\":false},"
                 + "{\"name\":\"engine\",\"health_path\":\"/health\",\"max_connections\":100,\"protocol\":\"h1\","
                 + "\"tls_mode\":false,\"engine\":" + engine + "}]}";
     }
@@ -164,7 +165,8 @@
                 caller.answer(
                         200,
                         List.of(),
-                        "{\"stage\":\"decode\",\"busy\":false,\"queued\":0,\"active\":0,\"kv_used\":0,\"kv_capacity\":1}"
+                        ("{\"stage\":\"decode\",\"busy\":false,\"queued\":0,"
+                                        + "\"active\":0,\"kv_used\":0,\"kv_capacity\":1}")
                                 .getBytes(StandardCharsets.UTF_8));
             } else if (request.headers().get("X-Dewplank-Processing-Stage") != null) {
                 caller.answer(
--- a/cli/src/test/java/dewplank/ArchitectureTest.java
+++ b/cli/src/test/java/dewplank/ArchitectureTest.java
@@ -144,11 +144,11 @@
                 .that()
                 .haveSimpleName("Main")
                 .or()
-                .haveSimpleNameStartingWith("Commands")
+                .haveSimpleNameStartingWith("SidecarCommands")
                 .or()
                 .haveSimpleNameStartingWith("FleetCommands")
                 .or()
-                .haveNameMatching(".*\\.(Fleet)?Commands\\$.*")
+                .haveNameMatching(".*\\.(Fleet|Sidecar)Commands\\$.*")
                 .or()
                 .resideInAnyPackage("dewplank.controlplane..", "dewplank.dataplane..", "dewplank.sidecar..")
                 .should()
@@ -164,7 +164,7 @@
                 .that()
                 .haveSimpleName("Main")
                 .or()
-                .haveSimpleNameStartingWith("Commands")
+                .haveSimpleNameStartingWith("SidecarCommands")
                 .or()
                 .resideInAnyPackage(
                         "dewplank.sidecar..",
--- a/cli/src/test/java/dewplank/LiveTest.java
+++ b/cli/src/test/java/dewplank/LiveTest.java
@@ -22,7 +22,7 @@
                         .with("sidecars", sidecars)
                         .with("load.share", 0.3),
                 1,
-                LabCommands.sidecarCommand(),
+                TrialCommands.sidecarCommand(),
                 lines::add);
     }
 
@@ -38,8 +38,8 @@
     }
 
     /**
-     * Four processes that tell one another verdicts over the stand-in network, which loses one datagram in ten. A building
-     * goes with its servers and its sidecar, another's servers fail quickly; all of it comes back.
+     * Four processes that tell one another verdicts over the stand-in network, which loses one datagram in ten. A
+     * building goes with its servers and its sidecar, another's servers fail quickly; all of it comes back.
      */
     @Test
     public void aBuildingLostWithItsSidecarLeavesTheOthersServing() throws Exception {
@@ -69,7 +69,7 @@
         Trial trial = LiveTrial.play(
                 ScenarioFile.named(file.toString()).with("load.share", 0.3),
                 2,
-                LabCommands.sidecarCommand(),
+                TrialCommands.sidecarCommand(),
                 lines::add);
         assertEquals(trial.auditor().kept().toString(), 0, trial.auditor().violations());
         assertEquals(3, lines.stream().filter(l -> l.endsWith("went silent")).count());
--- a/cli/src/test/java/dewplank/OperatorMainTest.java
+++ b/cli/src/test/java/dewplank/OperatorMainTest.java
@@ -25,7 +25,8 @@
 class OperatorMainTest {
     private static final int MOST_LOOKS = 20_000; // only a failing test looks so often
     private static final String INSTANCES = "{\"instances\":[{\"service\":\"s\",\"address\":\"127.0.0.1:9\",\"zone\":"
-            + "\"z\",\"slot_count\":4,\"state\":\"ready\",\"cold_remaining_ms\":0,\"instance_id\":\"i-1\"}],\"next_token\":null}";
+            + "\"z\",\"slot_count\":4,\"state\":\"ready\",\"cold_remaining_ms\":0,"
+            + "\"instance_id\":\"i-1\"}],\"next_token\":null}";
 
     @TempDir
     private static Path folder;
@@ -255,7 +256,7 @@
             new ControlPlane(NodeSettings.read(file));
             return "";
         } catch (Exception e) {
-            return StartFault.of(e).getMessage();
+            return StartFailures.of(e).getMessage();
         }
     }
 }
--- a/cli/src/test/java/dewplank/sidecar/ReloadTest.java
+++ b/cli/src/test/java/dewplank/sidecar/ReloadTest.java
@@ -33,7 +33,7 @@
                 second.next();
                 Files.writeString(file, "{");
                 signal(program, "HUP");
-                awaitLine(log, "reload refused, the old configuration stays: GW_CONFIG: ");
+                awaitLine(log, "reload rejected, old configuration stays cause=GW_CONFIG: ");
                 write(file, third);
                 signal(program, "HUP");
                 third.next();
@@ -90,7 +90,7 @@
                 second.next();
                 awaitLine(log, "SIGHUP does not reach this program");
                 Files.writeString(file, "{");
-                awaitLine(log, "reload refused, the old configuration stays: GW_CONFIG: ");
+                awaitLine(log, "reload rejected, old configuration stays cause=GW_CONFIG: ");
                 write(file, third);
                 third.next();
                 signal(program, "TERM");
--- a/cli/src/test/java/dewplank/sidecar/VotesTest.java
+++ b/cli/src/test/java/dewplank/sidecar/VotesTest.java
@@ -49,7 +49,9 @@
     private Peer discovery;
     private volatile boolean over;
 
-    /** Takes each sidecar's datagrams at an address of its own, and passes them on from its address in {@code peers}. */
+    /**
+     * Takes each sidecar's datagrams at an address of its own, and passes them on from its address in {@code peers}.
+     */
     private final class Network implements Closeable {
         final List<DatagramSocket> all = new ArrayList<>();
         final List<DatagramSocket> senders = new ArrayList<>();
@@ -219,7 +221,9 @@
         }
     }
 
-    /** Whether a block of requests of the quiet one's client met this server more often than trials would, one a second. */
+    /**
+     * Whether a block of requests of the quiet one's client met this server more often than trials would, one a second.
+     */
     private boolean drawn(Client client, int server) throws IOException {
         int before = quietAt.get(server);
         long began = System.nanoTime();
