--- a/consensus/src/test/java/dewplank/register/CatchUpTest.java
+++ b/consensus/src/test/java/dewplank/register/CatchUpTest.java
@@ -9,51 +9,57 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A member that comes back after thousands of changes to a value of hundreds of routes, while changes go on: time and
- * bytes until it knows a value as new as the newest at its start, and how far behind it stays. Virtual time; a link
- * takes 2 ms and carries 1 Gbit/s, a store takes 5 ms.
+ * A member that restarts after thousands of changes to a value of hundreds of routes, while changes continue: time and
+ * bytes until it has a value as new as the newest at its restart, and its lag afterwards. Virtual time; a link has 2 ms
+ * of delay and 1 Gbit/s, a store takes 5 ms.
  */
 class CatchUpTest {
     private static final int VALUE_BYTES = 200_000;
-    private static final double LINK_MS = 2;
+    private static final double LINK_DELAY_MS = 2;
     private static final double BYTES_PER_MS = 125_000;
     private static final double STORE_MS = 5;
     private static final double TICK_MS = 25;
-    private static final double SWEEP_MS = 400;
-    private static final double FEW_MS = 200; // five changes a second
+    private static final double ANTI_ENTROPY_PERIOD_MS = 400;
+    private static final double ROUND_TIMEOUT_MS = 250;
+    private static final double RETRY_BACKOFF_MIN_MS = 10;
+    private static final double RETRY_BACKOFF_MAX_MS = 120;
+    private static final double CHANGE_INTERVAL_MS = 200;
 
-    /** The longest period of a sweep, three ways, one of them with a value, and the steps' ticks. */
-    private static final double CAUGHT_UP_MS = SWEEP_MS * 1.25 + 3 * LINK_MS + VALUE_BYTES / BYTES_PER_MS + 2 * TICK_MS;
+    /**
+     * The longest period of anti-entropy, three message delays, the transfer of one value, and the ticks of the steps.
+     */
+    private static final double MAX_CATCH_UP_MS =
+            ANTI_ENTROPY_PERIOD_MS * 1.25 + 3 * LINK_DELAY_MS + VALUE_BYTES / BYTES_PER_MS + 2 * TICK_MS;
 
     /**
-     * Values sent for each change to one that cannot accept it, as its disk is full or the acceptance is meant for the
-     * disk it lost: that one, and one fetch; and the one fetch in two seconds that was under way before.
+     * Values sent for each change to a process that cannot accept it, as its disk is full or the acceptance is for the
+     * disk it lost: that one and one fetch; and the one fetch in two seconds that was in flight before.
      */
-    private static final double ACCEPT_AND_FETCH = 2.11; // ten changes: 2 + 1 / 10
+    private static final double MAX_VALUES_BY_ACCEPT_AND_FETCH = 2.11; // ten changes: 2 + 1 / 10
 
-    /** What an unlucky fetch waits for besides: a round's time, and a sweep to hear of the value again. */
-    private static final double FETCHED_ANEW_MS = 250 + SWEEP_MS * 1.25;
+    /** What a lost fetch adds: the time of a round, and an anti-entropy period until the value is announced again. */
+    private static final double REFETCH_MS = ROUND_TIMEOUT_MS + ANTI_ENTROPY_PERIOD_MS * 1.25;
 
     private final EventQueue events = new EventQueue();
     private final SplittableRandom random = new SplittableRandom(9);
     private final List<Node> nodes = new ArrayList<>();
-    private double changeEveryMs;
+    private double changeIntervalMs;
     private long changes;
-    private boolean losesValues;
-    private boolean losesAccepts;
-    private int changers = 2;
+    private boolean dropsReportedValues;
+    private boolean dropsAccepts;
+    private int proposingNodes = 2;
 
-    /** A process with its disk and the bytes of values sent to it. */
+    /** A process with its disk, and the bytes of values sent to it. */
     private final class Node implements Register.Effects {
         private final String address;
-        private AcceptorSet initial;
+        private AcceptorSet initialAcceptors;
         private DurableState disk;
         private Register register;
-        private int life;
-        private boolean full;
-        private long received;
+        private int incarnation;
+        private boolean isDiskFull;
+        private long receivedBytes;
         private double bytesPerMs = BYTES_PER_MS;
-        private double busyUntil;
+        private double linkBusyUntilMs;
 
         Node(int index) {
             address = ModelScenario.address(index);
@@ -61,25 +67,24 @@
         }
 
         void start() {
-            life++;
-            register =
-                    new Register(new Register.Settings(address, initial, 250, 10, 120, SWEEP_MS), disk, random.split());
-            tick(life);
+            incarnation++;
+            register = new Register(settings(address, initialAcceptors), disk, random.split());
+            tick(incarnation);
         }
 
-        private void tick(int inLife) {
-            if (register != null && life == inLife) {
-                register.tick(events.now(), this);
+        private void tick(int inIncarnation) {
+            if (register != null && incarnation == inIncarnation) {
+                register.tick(events.nowMs(), this);
                 if (register.chosenValue() == null) {
-                    register.queryStatus(events.now(), nodes.get(random.nextInt(nodes.size())).address, this);
+                    register.queryStatus(events.nowMs(), nodes.get(random.nextInt(nodes.size())).address, this);
                 }
-                events.after(TICK_MS, () -> tick(inLife));
+                events.after(TICK_MS, () -> tick(inIncarnation));
             }
         }
 
         private void receive(RegisterMessage message) {
             if (register != null) {
-                register.handleMessage(events.now(), message, this);
+                register.handleMessage(events.nowMs(), message, this);
             }
         }
 
@@ -87,44 +92,44 @@
         public void send(String to, RegisterMessage message) {
             Node target = nodes.get(to.charAt(0) - 'a');
             int bytes = bytes(message);
-            boolean slow = target.bytesPerMs < BYTES_PER_MS;
-            if (losesValues && message instanceof StatusReport && bytes > 0
-                    || losesAccepts && message instanceof Accept && slow) {
+            boolean isSlowLink = target.bytesPerMs < BYTES_PER_MS;
+            if (dropsReportedValues && message instanceof StatusReport && bytes > 0
+                    || dropsAccepts && message instanceof Accept && isSlowLink) {
                 return;
             }
             if (target == this) {
                 events.after(0, () -> target.receive(message));
                 return;
             }
-            target.received += bytes;
+            target.receivedBytes += bytes;
             if (bytes > 0) {
-                target.busyUntil = Math.max(events.now(), target.busyUntil) + bytes / target.bytesPerMs;
+                target.linkBusyUntilMs = Math.max(events.nowMs(), target.linkBusyUntilMs) + bytes / target.bytesPerMs;
             }
-            double arrives = bytes > 0 ? target.busyUntil - events.now() : 0;
-            events.after(arrives + LINK_MS, () -> target.receive(message));
+            double transferMs = bytes > 0 ? target.linkBusyUntilMs - events.nowMs() : 0;
+            events.after(transferMs + LINK_DELAY_MS, () -> target.receive(message));
         }
 
         @Override
-        public void store(long ticket, DurableState state) {
-            int inLife = life;
+        public void store(long storeId, DurableState state) {
+            int inIncarnation = incarnation;
             events.after(STORE_MS, () -> {
-                if (register != null && life == inLife && full) {
-                    register.handleStoreFailed(events.now(), ticket, this);
-                } else if (register != null && life == inLife) {
+                if (register != null && incarnation == inIncarnation && isDiskFull) {
+                    register.handleStoreFailed(events.nowMs(), storeId, this);
+                } else if (register != null && incarnation == inIncarnation) {
                     disk = state;
-                    register.handleStored(events.now(), ticket, this);
+                    register.handleStored(events.nowMs(), storeId, this);
                 }
             });
         }
 
         @Override
         public void learned(RegisterValue value) {
-            // What is known is looked at.
+            // The test polls the chosen value.
         }
 
         @Override
-        public void completed(long request, Outcome outcome) {
-            // Changes go on whatever comes of one.
+        public void completed(long requestId, Outcome outcome) {
+            // Changes continue whatever the outcome of one.
         }
 
         long version() {
@@ -132,14 +137,24 @@
         }
     }
 
+    private static Register.Settings settings(String address, AcceptorSet initialAcceptors) {
+        return new Register.Settings(
+                address,
+                initialAcceptors,
+                ROUND_TIMEOUT_MS,
+                RETRY_BACKOFF_MIN_MS,
+                RETRY_BACKOFF_MAX_MS,
+                ANTI_ENTROPY_PERIOD_MS);
+    }
+
     private static int bytes(RegisterMessage message) {
         RegisterValue value = null;
-        if (message instanceof Accept) {
-            value = ((Accept) message).value();
-        } else if (message instanceof Promise) {
-            value = ((Promise) message).acceptedValue();
-        } else if (message instanceof StatusReport) {
-            value = ((StatusReport) message).chosenValue();
+        if (message instanceof Accept accept) {
+            value = accept.value();
+        } else if (message instanceof Promise promise) {
+            value = promise.acceptedValue();
+        } else if (message instanceof StatusReport report) {
+            value = report.chosenValue();
         }
         return value == null || value.payload() == null ? 0 : value.payload().length;
     }
@@ -148,172 +163,179 @@
         return ByteBuffer.wrap(value.payload()).getLong();
     }
 
-    private void begin(double everyMs, int changesBefore) {
-        changeEveryMs = everyMs;
+    private void begin(double intervalMs, int changesBefore) {
+        changeIntervalMs = intervalMs;
         List<AcceptorId> members = new ArrayList<>();
         for (int index = 0; index < 3; index++) {
             nodes.add(new Node(index));
             members.add(ModelScenario.acceptor(index, 0));
         }
         for (Node node : nodes) {
-            node.initial = AcceptorSet.of(members);
+            node.initialAcceptors = AcceptorSet.of(members);
             node.start();
         }
         keepChanging();
         events.playUntil(1000);
         nodes.get(2).register = null;
-        events.playUntil(1000 + changesBefore * everyMs);
+        events.playUntil(1000 + changesBefore * intervalMs);
     }
 
-    /** A change at a member that stays, each so often; the payload is as long as that of hundreds of routes. */
+    /** Periodic changes at a member that stays up; the payload is as long as that of hundreds of routes. */
     private void keepChanging() {
         changes++;
-        Node node = nodes.get((int) (changes % changers));
+        Node node = nodes.get((int) (changes % proposingNodes));
         byte[] payload = new byte[VALUE_BYTES];
         ByteBuffer.wrap(payload).putLong(changes);
-        node.register.change(events.now(), changes, old -> new Decision(payload, "taken"), events.now() + 2000, node);
-        events.after(changeEveryMs, this::keepChanging);
+        node.register.change(
+                events.nowMs(), changes, old -> new Decision(payload, "applied"), events.nowMs() + 2000, node);
+        events.after(changeIntervalMs, this::keepChanging);
     }
 
-    private double caughtUpAfter(Node node) {
+    private double catchUpMs(Node node) {
         long newest = nodes.get(0).version();
-        double began = events.now();
-        node.received = 0;
+        double beganMs = events.nowMs();
+        node.receivedBytes = 0;
         node.start();
         while (node.version() < newest) {
-            Assertions.assertTrue(events.playOne(began + 60_000), "never catches up");
+            Assertions.assertTrue(events.playOne(beganMs + 60_000), "never catches up");
         }
-        return events.now() - began;
+        return events.nowMs() - beganMs;
     }
 
-    /** How many changes it lags at most for two seconds, and that it goes on being sent no more than it needs. */
-    private void checkStays(String what, Node node, double caughtUpMs, double withinMs, double valuesEach) {
-        long first = node.received;
+    /** Checks the maximum lag for two seconds, and that the node is sent no more values than it needs. */
+    private void checkLag(
+            String scenario, Node node, double caughtUpMs, double maxCatchUpMs, double maxValuesPerChange) {
+        long first = node.receivedBytes;
         long lag = 0;
-        double end = events.now() + 2000;
+        double end = events.nowMs() + 2000;
         long from = nodes.get(0).version();
         while (events.playOne(end)) {
             lag = Math.max(lag, nodes.get(0).version() - node.version());
         }
-        double values = (double) (node.received - first)
+        double values = (double) (node.receivedBytes - first)
                 / VALUE_BYTES
                 / Math.max(1, nodes.get(0).version() - from);
         System.out.printf(
                 "%s: caught up after %.0f ms and %d bytes; then %d changes behind at most, %.2f values sent "
                         + "for each change%n",
-                what, caughtUpMs, first, lag, values);
-        Assertions.assertTrue(caughtUpMs < withinMs, what + " took " + caughtUpMs);
-        Assertions.assertTrue(first <= 6L * VALUE_BYTES, what + " took " + first + " bytes");
-        Assertions.assertTrue(values < valuesEach, what + " is sent " + values);
+                scenario, caughtUpMs, first, lag, values);
+        Assertions.assertTrue(caughtUpMs < maxCatchUpMs, scenario + " took " + caughtUpMs);
+        Assertions.assertTrue(first <= 6L * VALUE_BYTES, scenario + " took " + first + " bytes");
+        Assertions.assertTrue(values < maxValuesPerChange, scenario + " is sent " + values);
     }
 
-    /** All that a process holds, printed whole: as much after thousands of changes as after the first hundred. */
+    /** The printed state of a process: as long after thousands of changes as after the first hundred. */
     @Test
-    void nothingGrowsInAProcess() {
-        begin(FEW_MS, 100);
+    void stateOfAProcessIsBounded() {
+        begin(CHANGE_INTERVAL_MS, 100);
         nodes.get(2).start();
-        events.playUntil(events.now() + 1000);
-        int early = RegisterImage.print(nodes.get(0).register).length();
-        events.playUntil(events.now() + 3000 * FEW_MS);
-        int late = RegisterImage.print(nodes.get(0).register).length();
+        events.playUntil(events.nowMs() + 1000);
+        int early = RegisterSnapshot.print(nodes.get(0).register).length();
+        events.playUntil(events.nowMs() + 3000 * CHANGE_INTERVAL_MS);
+        int late = RegisterSnapshot.print(nodes.get(0).register).length();
         Assertions.assertTrue(late < early * 1.5, "grew from " + early + " to " + late);
     }
 
-    /** A sender that restarted and forgot what it told is not asked again and again. */
+    /** A sender that restarted and lost what it announced is not queried in a loop. */
     @Test
-    void anAnswerWithoutAValueIsNotAskedForAtOnce() {
-        RecordedOutput out = new RecordedOutput();
+    void reportWithoutAValueIsNotFetchedAgainAtOnce() {
+        RecordedEffects effects = new RecordedEffects();
         AcceptorId other = new AcceptorId("b", "2");
-        Register register = new Register(
-                new Register.Settings("a", AcceptorSet.of(List.of(other)), 250, 10, 120, SWEEP_MS),
-                DurableState.fresh("1"),
-                random);
-        Ballot told = new Ballot(7, "b.1");
-        register.handleMessage(0, new Chosen("b", "2", "1", told, 3), out);
+        Register register =
+                new Register(settings("a", AcceptorSet.of(List.of(other))), DurableState.fresh("1"), random);
+        Ballot announced = new Ballot(7, "b.1");
+        register.handleMessage(0, new Chosen("b", "2", "1", announced, 3), effects);
         for (int answer = 0; answer < 3; answer++) {
             register.handleMessage(
-                    1, new StatusReport("b", "2", "1", RequestIds.FETCH, told, null, Ballot.NONE, 0, null), out);
+                    1,
+                    new StatusReport("b", "2", "1", RequestIds.FETCH, announced, null, Ballot.NONE, 0, null),
+                    effects);
         }
-        Assertions.assertEquals(1, out.messages(StatusQuery.class).size());
-        register.handleMessage(2, new Chosen("b", "2", "1", told, 3), out);
-        Assertions.assertEquals(2, out.messages(StatusQuery.class).size());
+        Assertions.assertEquals(1, effects.messages(StatusQuery.class).size());
+        register.handleMessage(2, new Chosen("b", "2", "1", announced, 3), effects);
+        Assertions.assertEquals(2, effects.messages(StatusQuery.class).size());
     }
 
     @AfterEach
-    void nothingWaits() {
+    void everyProcessHasAValue() {
         for (Node node : nodes) {
             Assertions.assertTrue(node.register.chosenValue() != null);
         }
     }
 
     @Test
-    void anOldDiskCatchesUp() {
-        begin(FEW_MS, 3000);
-        double took = caughtUpAfter(nodes.get(2));
-        checkStays("old disk, 3000 changes behind", nodes.get(2), took, CAUGHT_UP_MS, 1.5);
+    void staleDiskCatchesUp() {
+        begin(CHANGE_INTERVAL_MS, 3000);
+        double tookMs = catchUpMs(nodes.get(2));
+        checkLag("stale disk, 3000 changes behind", nodes.get(2), tookMs, MAX_CATCH_UP_MS, 1.5);
     }
 
     @Test
-    void anEmptyDiskCatchesUp() {
-        begin(FEW_MS, 3000);
+    void emptyDiskCatchesUp() {
+        begin(CHANGE_INTERVAL_MS, 3000);
         Node node = nodes.get(2);
         node.disk = DurableState.fresh("other");
-        node.initial = AcceptorSet.of(List.of());
-        double took = caughtUpAfter(node);
-        checkStays("empty disk, 3000 changes behind", node, took, CAUGHT_UP_MS, ACCEPT_AND_FETCH);
+        node.initialAcceptors = AcceptorSet.of(List.of());
+        double tookMs = catchUpMs(node);
+        checkLag("empty disk, 3000 changes behind", node, tookMs, MAX_CATCH_UP_MS, MAX_VALUES_BY_ACCEPT_AND_FETCH);
     }
 
     @Test
-    void aFullDiskStillLearns() {
-        begin(FEW_MS, 1000);
-        nodes.get(2).full = true;
-        double took = caughtUpAfter(nodes.get(2));
-        checkStays("full disk, 1000 changes behind", nodes.get(2), took, CAUGHT_UP_MS, ACCEPT_AND_FETCH);
+    void fullDiskStillLearns() {
+        begin(CHANGE_INTERVAL_MS, 1000);
+        nodes.get(2).isDiskFull = true;
+        double tookMs = catchUpMs(nodes.get(2));
+        checkLag(
+                "full disk, 1000 changes behind",
+                nodes.get(2),
+                tookMs,
+                MAX_CATCH_UP_MS,
+                MAX_VALUES_BY_ACCEPT_AND_FETCH);
     }
 
-    /** A link on which a value takes 67 ms, 40 changes a second: news of each, and only fetched values. */
+    /** A link on which a value takes 67 ms, 40 changes a second: each is announced, and values are only fetched. */
     @Test
-    void changesFasterThanTheValueTravelsDoNotHoldItBack() {
-        changers = 1;
+    void changesFasterThanTheTransferDoNotDelayCatchUp() {
+        proposingNodes = 1;
         begin(25, 1000);
         Node node = nodes.get(2);
         node.bytesPerMs = 3000;
-        losesAccepts = true;
-        double took = caughtUpAfter(node);
-        checkStays("news faster than values", node, took, CAUGHT_UP_MS + VALUE_BYTES / node.bytesPerMs, 1);
-        Assertions.assertTrue(nodes.get(0).version() - node.version() < 10, "falls behind");
+        dropsAccepts = true;
+        double tookMs = catchUpMs(node);
+        checkLag("announcements faster than values", node, tookMs, MAX_CATCH_UP_MS + VALUE_BYTES / node.bytesPerMs, 1);
+        Assertions.assertTrue(nodes.get(0).version() - node.version() < 10, "the lag grows");
     }
 
     @Test
-    void aLostAnswerIsFetchedAnew() {
-        begin(FEW_MS, 200);
-        losesValues = true;
-        events.after(300, () -> losesValues = false);
-        double took = caughtUpAfter(nodes.get(2));
-        checkStays("answers lost for 300 ms", nodes.get(2), took, CAUGHT_UP_MS + FETCHED_ANEW_MS, 1.5);
+    void lostReportIsFetchedAgain() {
+        begin(CHANGE_INTERVAL_MS, 200);
+        dropsReportedValues = true;
+        events.after(300, () -> dropsReportedValues = false);
+        double tookMs = catchUpMs(nodes.get(2));
+        checkLag("reports lost for 300 ms", nodes.get(2), tookMs, MAX_CATCH_UP_MS + REFETCH_MS, 1.5);
     }
 
     @Test
-    void aSenderThatDiesIsReplacedByAnother() {
-        begin(FEW_MS, 200);
-        changeEveryMs = 1e9;
-        events.playUntil(events.now() + 1000);
+    void fetchFailsOverWhenTheSenderDies() {
+        begin(CHANGE_INTERVAL_MS, 200);
+        changeIntervalMs = 1e9;
+        events.playUntil(events.nowMs() + 1000);
         Node node = nodes.get(2);
-        node.received = 0;
-        losesValues = true;
-        double began = events.now();
+        node.receivedBytes = 0;
+        dropsReportedValues = true;
+        double beganMs = events.nowMs();
         long newest = nodes.get(0).version();
         node.start();
-        events.playUntil(began + 100);
+        events.playUntil(beganMs + 100);
         Assertions.assertTrue(node.version() < newest);
-        losesValues = false;
+        dropsReportedValues = false;
         nodes.get(0).register = null;
         while (node.version() < newest) {
-            Assertions.assertTrue(events.playOne(began + 60_000), "never catches up");
+            Assertions.assertTrue(events.playOne(beganMs + 60_000), "never catches up");
         }
-        double took = events.now() - began;
+        double tookMs = events.nowMs() - beganMs;
         nodes.get(0).start();
-        System.out.printf("sender killed: caught up after %.0f ms%n", took);
-        Assertions.assertTrue(took < CAUGHT_UP_MS + FETCHED_ANEW_MS, "took " + took);
+        System.out.printf("sender killed: caught up after %.0f ms%n", tookMs);
+        Assertions.assertTrue(tookMs < MAX_CATCH_UP_MS + REFETCH_MS, "took " + tookMs);
     }
 }
--- a/consensus/src/test/java/dewplank/register/CurrentRulesTest.java
+++ b/consensus/src/test/java/dewplank/register/CurrentRulesTest.java
@@ -1,128 +1,129 @@
 package dewplank.register;
 
 import java.util.List;
-import java.util.SplittableRandom;
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** When a process may say that the value it knows was the newest a moment ago. */
+/** When a process is current: its chosen value was the newest one within a given time. */
 class CurrentRulesTest {
-    private static final AcceptorId A = new AcceptorId("a", "1");
-    private static final AcceptorId B = new AcceptorId("b", "2");
-    private static final AcceptorId C = new AcceptorId("c", "3");
-    private static final AcceptorSet SET = AcceptorSet.of(List.of(A, B, C));
+    private static final AcceptorId A = RegisterBuilder.A;
+    private static final AcceptorId B = RegisterBuilder.B;
+    private static final AcceptorId C = RegisterBuilder.C;
+    private static final AcceptorSet SET = RegisterBuilder.SET;
     private static final Ballot OLD = new Ballot(3, "b.1");
     private static final Ballot NEW = new Ballot(4, "c.1");
-    private static final double WITHIN = 1000;
-    private static final double ASKED = 100;
+    private static final double WITHIN_MS = 1000;
+    private static final double QUERIED_AT_MS = 100;
 
-    private final RecordedOutput out = new RecordedOutput();
-    private final Register register = new Register(
-            new Register.Settings("a", SET, 300, 20, 400, 500),
-            new DurableState("1", OLD, OLD, value(1), OLD, value(1)),
-            new SplittableRandom(1));
+    private final RecordedEffects effects = new RecordedEffects();
+    private final Register register = new RegisterBuilder()
+            .recovered(new DurableState("1", OLD, OLD, value(1), OLD, value(1)))
+            .build();
 
     private static RegisterValue value(long revision) {
         return new RegisterValue(SET, revision, new byte[] {(byte) revision});
     }
 
-    /** Answers the newest sweep. */
-    private void report(AcceptorId from, Ballot accepted, Ballot chosen) {
-        List<StatusQuery> asked = out.messages(StatusQuery.class);
-        long question = 0;
-        for (StatusQuery query : asked) {
-            question = query.wantsValue() ? question : query.queryId();
+    /** Reports to the newest anti-entropy query. */
+    private void report(AcceptorId from, Ballot acceptedBallot, Ballot chosenBallot) {
+        long queryId = 0;
+        for (StatusQuery query : effects.messages(StatusQuery.class)) {
+            queryId = query.wantsValue() ? queryId : query.queryId();
         }
         register.handleMessage(
-                ASKED,
+                QUERIED_AT_MS,
                 new StatusReport(
                         from.address(),
                         from.identity(),
                         "1",
-                        question,
-                        accepted,
-                        accepted.isAfter(OLD) ? SET : null,
-                        chosen,
+                        queryId,
+                        acceptedBallot,
+                        acceptedBallot.isAfter(OLD) ? SET : null,
+                        chosenBallot,
                         1,
                         null),
-                out);
+                effects);
     }
 
     @Test
-    void aQuorumWithNothingNewerMakesItCurrentForSoLong() {
-        register.tick(ASKED, out);
+    void currentForTheGivenTimeAfterAQuorumReportsNothingNewer() {
+        register.tick(QUERIED_AT_MS, effects);
         report(A, OLD, OLD);
-        Assertions.assertFalse(register.isCurrent(ASKED, WITHIN), "one of three is no quorum");
+        Assertions.assertFalse(register.isCurrent(QUERIED_AT_MS, WITHIN_MS), "one of three is no quorum");
         report(B, OLD, Ballot.NONE);
-        Assertions.assertTrue(register.isCurrent(ASKED, WITHIN));
-        Assertions.assertTrue(register.isCurrent(ASKED + WITHIN, WITHIN));
-        Assertions.assertFalse(register.isCurrent(ASKED + WITHIN + 1, WITHIN));
+        Assertions.assertTrue(register.isCurrent(QUERIED_AT_MS, WITHIN_MS));
+        Assertions.assertTrue(register.isCurrent(QUERIED_AT_MS + WITHIN_MS, WITHIN_MS));
+        Assertions.assertFalse(register.isCurrent(QUERIED_AT_MS + WITHIN_MS + 1, WITHIN_MS));
     }
 
     @Test
-    void whoHearsAQuorumButHasNotCaughtUpIsNotCurrent() {
-        register.tick(ASKED, out);
+    void notCurrentWithAQuorumBeforeCatchUp() {
+        register.tick(QUERIED_AT_MS, effects);
         report(B, NEW, NEW);
         report(C, NEW, NEW);
-        Assertions.assertEquals(ASKED, register.lastQuorumAtMs());
-        Assertions.assertFalse(register.isCurrent(ASKED, WITHIN));
+        Assertions.assertEquals(QUERIED_AT_MS, register.lastQuorumAtMs());
+        Assertions.assertFalse(register.isCurrent(QUERIED_AT_MS, WITHIN_MS));
         register.handleMessage(
-                ASKED, new StatusReport("b", "2", "1", RequestIds.FETCH, NEW, null, NEW, 2, value(2)), out);
-        Assertions.assertTrue(register.isCurrent(ASKED, WITHIN), "it has caught up");
+                QUERIED_AT_MS, new StatusReport("b", "2", "1", RequestIds.FETCH, NEW, null, NEW, 2, value(2)), effects);
+        Assertions.assertTrue(register.isCurrent(QUERIED_AT_MS, WITHIN_MS), "it has caught up");
     }
 
     @Test
-    void anAcceptanceThatIsNotKnownToBeChosenEndsIt() {
-        register.tick(ASKED, out);
+    void notCurrentAfterAnUnconfirmedAcceptance() {
+        register.tick(QUERIED_AT_MS, effects);
         report(A, OLD, OLD);
         report(B, NEW, OLD);
-        Assertions.assertFalse(register.isCurrent(ASKED, WITHIN));
+        Assertions.assertFalse(register.isCurrent(QUERIED_AT_MS, WITHIN_MS));
     }
 
     @Test
-    void aLateAnswerWithNewsEndsIt() {
-        register.tick(ASKED, out);
+    void notCurrentAfterALateReportOfANewerBallot() {
+        register.tick(QUERIED_AT_MS, effects);
         report(A, OLD, OLD);
         report(B, OLD, OLD);
-        Assertions.assertTrue(register.isCurrent(ASKED, WITHIN));
+        Assertions.assertTrue(register.isCurrent(QUERIED_AT_MS, WITHIN_MS));
         report(C, NEW, OLD);
-        Assertions.assertFalse(register.isCurrent(ASKED, WITHIN));
+        Assertions.assertFalse(register.isCurrent(QUERIED_AT_MS, WITHIN_MS));
     }
 
     @Test
-    void newsOfAnEarlierSweepDoesNotStickToTheNext() {
-        register.tick(ASKED, out);
+    void newerBallotOfOneRunDoesNotAffectTheNext() {
+        register.tick(QUERIED_AT_MS, effects);
         report(A, OLD, OLD);
         report(B, NEW, OLD);
-        double next = ASKED + 1000;
-        register.tick(next, out);
-        Assertions.assertFalse(register.isCurrent(next, 2 * WITHIN));
+        double nextRunAtMs = QUERIED_AT_MS + 1000;
+        register.tick(nextRunAtMs, effects);
+        Assertions.assertFalse(register.isCurrent(nextRunAtMs, 2 * WITHIN_MS));
         report(A, OLD, OLD);
         report(C, OLD, OLD);
-        Assertions.assertTrue(register.isCurrent(next, WITHIN));
+        Assertions.assertTrue(register.isCurrent(nextRunAtMs, WITHIN_MS));
     }
 
     @Test
-    void anAnswerFromALostDiskDoesNotCount() {
-        register.tick(ASKED, out);
+    void reportOfAWipedDiskDoesNotCount() {
+        register.tick(QUERIED_AT_MS, effects);
         report(A, OLD, OLD);
         report(new AcceptorId("b", "wiped"), Ballot.NONE, Ballot.NONE);
-        Assertions.assertFalse(register.isCurrent(ASKED, WITHIN));
+        Assertions.assertFalse(register.isCurrent(QUERIED_AT_MS, WITHIN_MS));
     }
 
     @Test
-    void anOwnChosenRoundCountsFromItsSecondRound() {
-        register.change(ASKED, 1, payload -> new Decision(new byte[] {2}, "taken"), ASKED + WITHIN, out);
-        Ballot ballot = out.messages(Prepare.class).get(0).ballot();
+    void ownChosenBallotCountsFromItsAcceptPhase() {
+        register.change(
+                QUERIED_AT_MS,
+                1,
+                payload -> new Decision(new byte[] {2}, "applied"),
+                QUERIED_AT_MS + WITHIN_MS,
+                effects);
+        Ballot ballot = effects.messages(Prepare.class).get(0).ballot();
         for (AcceptorId from : List.of(B, C)) {
-            register.handleMessage(
-                    ASKED + 5, new Promise(from.address(), from.identity(), "1", ballot, OLD, null), out);
+            register.handleMessage(QUERIED_AT_MS + 5, RegisterBuilder.promise(from, ballot, OLD, null), effects);
         }
-        Assertions.assertFalse(register.isCurrent(ASKED + 5, WITHIN));
+        Assertions.assertFalse(register.isCurrent(QUERIED_AT_MS + 5, WITHIN_MS));
         for (AcceptorId from : List.of(B, C)) {
-            register.handleMessage(ASKED + 9, new Accepted(from.address(), from.identity(), "1", ballot), out);
+            register.handleMessage(QUERIED_AT_MS + 9, RegisterBuilder.accepted(from, ballot), effects);
         }
-        Assertions.assertTrue(register.isCurrent(ASKED + 5 + WITHIN, WITHIN));
-        Assertions.assertFalse(register.isCurrent(ASKED + 6 + WITHIN, WITHIN));
+        Assertions.assertTrue(register.isCurrent(QUERIED_AT_MS + 5 + WITHIN_MS, WITHIN_MS));
+        Assertions.assertFalse(register.isCurrent(QUERIED_AT_MS + 6 + WITHIN_MS, WITHIN_MS));
     }
 }
--- a/consensus/src/test/java/dewplank/register/EventQueue.java
+++ b/consensus/src/test/java/dewplank/register/EventQueue.java
@@ -2,46 +2,46 @@
 
 import java.util.PriorityQueue;
 
-/** Virtual time: steps in the order of their time, those of one time in the order they were added. */
+/** Virtual time in milliseconds: plays steps in the order of their time, and those of one time in insertion order. */
 final class EventQueue {
-    private record Event(double at, long number, Runnable step) implements Comparable<Event> {
+    private record Event(double atMs, long number, Runnable step) implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
-            int byTime = Double.compare(at, other.at);
+            int byTime = Double.compare(atMs, other.atMs);
             return byTime != 0 ? byTime : Long.compare(number, other.number);
         }
     }
 
     private final PriorityQueue<Event> events = new PriorityQueue<>();
-    private double now;
-    private long added;
+    private double nowMs;
+    private long lastNumber;
 
-    double now() {
-        return now;
+    double nowMs() {
+        return nowMs;
     }
 
-    void after(double delay, Runnable step) {
-        added++;
-        events.add(new Event(now + delay, added, step));
+    void after(double delayMs, Runnable step) {
+        lastNumber++;
+        events.add(new Event(nowMs + delayMs, lastNumber, step));
     }
 
     /** Plays one step; false when the next is not before the end. */
-    boolean playOne(double end) {
+    boolean playOne(double endMs) {
         Event next = events.peek();
-        if (next == null || next.at >= end) {
+        if (next == null || next.atMs >= endMs) {
             return false;
         }
         events.poll();
-        now = next.at;
+        nowMs = next.atMs;
         next.step.run();
         return true;
     }
 
-    void playUntil(double end) {
-        boolean more = true;
-        while (more) {
-            more = playOne(end);
+    void playUntil(double endMs) {
+        boolean hasMore = true;
+        while (hasMore) {
+            hasMore = playOne(endMs);
         }
-        now = end;
+        nowMs = endMs;
     }
 }
--- a/consensus/src/test/java/dewplank/register/FixedRandom.java
+++ b/consensus/src/test/java/dewplank/register/FixedRandom.java
@@ -2,7 +2,7 @@
 
 import java.util.random.RandomGenerator;
 
-/** Draws the same number again and again: one for each life of a process. */
+/** Always draws the same number, one for each incarnation of a process. */
 record FixedRandom(long number) implements RandomGenerator {
     @Override
     public long nextLong() {
--- a/consensus/src/test/java/dewplank/register/HistoryCheck.java
+++ b/consensus/src/test/java/dewplank/register/HistoryChecker.java
@@ -7,17 +7,17 @@
 import java.util.Map;
 import java.util.Set;
 
-/** What was seen of the register in one simulated history, and whether one register could have shown it. */
-final class HistoryCheck {
-    private final Map<Long, RegisterValue> chosen = new HashMap<>();
+/** What was observed of the register in one simulated history, and whether one register could have shown it. */
+final class HistoryChecker {
+    private final Map<Long, RegisterValue> chosenByRevision = new HashMap<>();
     private final List<Integer> chain = new ArrayList<>();
-    private final Set<Integer> taken = new HashSet<>();
-    private final Set<Integer> refused = new HashSet<>();
+    private final Set<Integer> applied = new HashSet<>();
+    private final Set<Integer> rejected = new HashSet<>();
     private long newestRevision;
     private int confirmed;
 
     /** The revision that whatever starts now must see at least. */
-    long floor() {
+    long minRevision() {
         return newestRevision;
     }
 
@@ -31,12 +31,12 @@
         }
     }
 
-    /** A value is said to be chosen: one value for each revision, one chain for all. */
-    void saw(RegisterValue value) {
-        RegisterValue other = chosen.putIfAbsent(value.revision(), value);
+    /** A value is reported as chosen: one value for each revision, one chain for all. */
+    void observeChosen(RegisterValue value) {
+        RegisterValue other = chosenByRevision.putIfAbsent(value.revision(), value);
         check(other == null || other.equals(value), "two values at one revision");
         List<Integer> versions = VersionHistory.read(value.payload());
-        check(new HashSet<>(versions).size() == versions.size(), "a change was taken twice");
+        check(new HashSet<>(versions).size() == versions.size(), "a change was applied twice");
         int common = Math.min(versions.size(), chain.size());
         check(versions.subList(0, common).equals(chain.subList(0, common)), "two chains of changes");
         for (int index = common; index < versions.size(); index++) {
@@ -44,30 +44,30 @@
         }
     }
 
-    /** A request was answered for certain. */
-    void confirmed(RegisterValue value, long floorAtStart) {
-        saw(value);
+    /** A request was confirmed that was started when {@code minRevision} was the newest. */
+    void observeConfirmed(RegisterValue value, long minRevision) {
+        observeChosen(value);
         confirmed++;
         check(
-                value.revision() >= floorAtStart,
-                "went backwards: revision " + value.revision() + " after " + floorAtStart);
+                value.revision() >= minRevision,
+                "went backwards: revision " + value.revision() + " after " + minRevision);
         newestRevision = Math.max(newestRevision, value.revision());
     }
 
-    void changeAnswered(int version, RegisterValue value, Object answer) {
-        if (VersionHistory.TAKEN.equals(answer)) {
-            taken.add(version);
+    void observeChangeAnswer(int version, RegisterValue value, Object answer) {
+        if (VersionHistory.APPLIED.equals(answer)) {
+            applied.add(version);
             check(VersionHistory.read(value.payload()).contains(version), "acknowledged but not in the value");
         } else {
-            refused.add(version);
+            rejected.add(version);
         }
     }
 
-    /** After the last read. */
+    /** After the final read. */
     void checkEnd() {
-        check(chain.containsAll(taken), "an acknowledged change is lost");
-        for (Integer version : refused) {
-            check(!chain.contains(version), "a refused change is in force");
+        check(chain.containsAll(applied), "an acknowledged change is lost");
+        for (Integer version : rejected) {
+            check(!chain.contains(version), "a rejected change is in force");
         }
     }
 }
--- a/consensus/src/test/java/dewplank/register/Interner.java
+++ b/consensus/src/test/java/dewplank/register/Interner.java
@@ -5,26 +5,26 @@
 import java.util.List;
 import java.util.Map;
 
-/** Gives equal things one number; numbers begin with 1. */
+/** Assigns one number to equal values; numbers start with 1. */
 final class Interner<T> {
     private final Map<String, Integer> numbers = new HashMap<>();
-    private final List<T> things = new ArrayList<>();
+    private final List<T> values = new ArrayList<>();
 
-    int number(String print, T thing) {
-        Integer known = numbers.get(print);
-        if (known != null) {
-            return known;
+    int number(String print, T value) {
+        Integer number = numbers.get(print);
+        if (number != null) {
+            return number;
         }
-        things.add(thing);
-        numbers.put(print, things.size());
-        return things.size();
+        values.add(value);
+        numbers.put(print, values.size());
+        return values.size();
     }
 
     T get(int number) {
-        return things.get(number - 1);
+        return values.get(number - 1);
     }
 
     int size() {
-        return things.size();
+        return values.size();
     }
 }
--- a/consensus/src/test/java/dewplank/register/ModelProcess.java
+++ b/consensus/src/test/java/dewplank/register/ModelProcess.java
@@ -6,15 +6,15 @@
 
 /** The state of one process between two steps, and the steps it can take; immutable. */
 final class ModelProcess {
-    /** Longer than every timeout and pause, so that one tick ends a round and the next begins another. */
-    private static final double LONG = 1e9;
+    /** Longer than every timeout and backoff, so that one tick ends a round and the next starts another. */
+    private static final double AFTER_ALL_TIMEOUTS_MS = 1e9;
 
-    /** What becomes of the store that a step asks for. */
+    /** The result of the store that a step starts. */
     enum Disk {
-        WORKS,
+        SUCCEEDS,
         FAILS,
         KILLED_AFTER_WRITE,
-        LATER
+        IN_FLIGHT
     }
 
     /**
@@ -22,40 +22,41 @@
      *
      * @param process its next state
      * @param output what it sent and answered
-     * @param kept what its disk came to hold for certain, in order
-     * @param perhaps what a failed store may have left on the disk, or null
-     * @param proposals what it proposes, and on which acceptors' decision
+     * @param stored the states that its disk stored for certain, in order
+     * @param uncertain the state that a failed store may have left on the disk, or null
+     * @param proposals its proposals, each with the acceptors that decide
      */
     record Result(
             ModelProcess process,
             ModelStep output,
-            List<DurableState> kept,
-            DurableState perhaps,
+            List<DurableState> stored,
+            DurableState uncertain,
             List<ModelProposal> proposals) {}
 
-    /** A step, given the register and where its wishes go. */
+    /** A step of a register with its effects. */
     interface Action {
-        void run(Register register, ModelStep out);
+        void run(Register register, ModelStep effects);
     }
 
     private final Register.Settings settings;
-    private final Set<Class<?>> lost;
+    private final Set<Class<?>> droppedTypes;
     private final Register register;
-    private final int life;
+    private final int incarnation;
     private final String print;
 
-    private ModelProcess(Register.Settings settings, Set<Class<?>> lost, Register register, int life) {
+    private ModelProcess(Register.Settings settings, Set<Class<?>> droppedTypes, Register register, int incarnation) {
         this.settings = settings;
-        this.lost = lost;
+        this.droppedTypes = droppedTypes;
         this.register = register;
-        this.life = life;
-        this.print = RegisterImage.print(register);
+        this.incarnation = incarnation;
+        this.print = RegisterSnapshot.print(register);
     }
 
-    static ModelProcess started(Register.Settings settings, Set<Class<?>> lost, DurableState disk, int life) {
-        Register register = new Register(settings, disk, new FixedRandom(life));
-        RegisterImage.forgetClocks(register);
-        return new ModelProcess(settings, lost, register, life);
+    static ModelProcess started(
+            Register.Settings settings, Set<Class<?>> droppedTypes, DurableState disk, int incarnation) {
+        Register register = new Register(settings, disk, new FixedRandom(incarnation));
+        RegisterSnapshot.resetClocks(register);
+        return new ModelProcess(settings, droppedTypes, register, incarnation);
     }
 
     /** What distinguishes it from other states. */
@@ -67,15 +68,15 @@
         return register;
     }
 
-    DurableState storing() {
-        return (DurableState) RegisterImage.at(register, "acceptor", "storeInFlight");
+    DurableState storeInFlight() {
+        return (DurableState) RegisterSnapshot.at(register, "acceptor", "storeInFlight");
     }
 
     ModelProcess restarted(DurableState disk) {
-        return started(settings, lost, disk, life + 1);
+        return started(settings, droppedTypes, disk, incarnation + 1);
     }
 
-    /** A process with an emptied disk knows no acceptors to begin with. */
+    /** A process with an emptied disk has no initial acceptors. */
     ModelProcess wiped(String identity) {
         Register.Settings blank = new Register.Settings(
                 settings.address(),
@@ -84,84 +85,89 @@
                 settings.retryBackoffMinMs(),
                 settings.retryBackoffMaxMs(),
                 settings.antiEntropyPeriodMs());
-        return started(blank, lost, DurableState.fresh(identity), life + 1);
+        return started(blank, droppedTypes, DurableState.fresh(identity), incarnation + 1);
     }
 
     Result receive(RegisterMessage message, Disk disk) {
-        return step((next, out) -> next.handleMessage(0, message, out), disk);
+        return step((next, effects) -> next.handleMessage(0, message, effects), disk);
     }
 
-    /** Every timeout passes: a round is given up and begun anew, what is stuck is finished. */
+    /** Every timeout passes: a round ends and is retried, what is unfinished is completed. */
     Result timeout(Disk disk) {
         return step(
-                (next, out) -> {
-                    next.tick(LONG, out);
-                    next.tick(2 * LONG, out);
+                (next, effects) -> {
+                    next.tick(AFTER_ALL_TIMEOUTS_MS, effects);
+                    next.tick(2 * AFTER_ALL_TIMEOUTS_MS, effects);
                 },
                 disk);
     }
 
-    /** The result of the store under way, where stores take time. */
-    Result stored(boolean works) {
-        long ticket = (Long) RegisterImage.at(register, "acceptor", "storeId");
-        DurableState state = storing();
+    /** The result of the store in flight, where stores take time. */
+    Result stored(boolean succeeds) {
+        long storeId = (Long) RegisterSnapshot.at(register, "acceptor", "storeId");
+        DurableState state = storeInFlight();
         Result result = step(
-                (next, out) -> {
-                    if (works) {
-                        next.handleStored(0, ticket, out);
+                (next, effects) -> {
+                    if (succeeds) {
+                        next.handleStored(0, storeId, effects);
                     } else {
-                        next.handleStoreFailed(0, ticket, out);
+                        next.handleStoreFailed(0, storeId, effects);
                     }
                 },
-                Disk.LATER);
+                Disk.IN_FLIGHT);
         return new Result(
                 result.process,
                 result.output,
-                works ? List.of(state) : List.of(),
-                works ? null : state,
+                succeeds ? List.of(state) : List.of(),
+                succeeds ? null : state,
                 result.proposals);
     }
 
-    /** A step with all that follows from it in the same process: what it tells itself comes at once. */
+    /** A step with all that follows from it in the same process: messages to itself are delivered at once. */
     Result step(Action action, Disk disk) {
-        ModelStep out = new ModelStep(settings.address(), lost);
-        Register next = RegisterImage.copy(register, settings, new FixedRandom(life));
-        List<DurableState> kept = new ArrayList<>();
-        DurableState perhaps = null;
-        action.run(next, out);
-        DurableState state = disk == Disk.LATER ? null : out.takePending();
-        RegisterMessage own = out.takeOwn();
-        while (state != null || own != null) {
+        ModelStep effects = new ModelStep(settings.address(), droppedTypes);
+        Register next = RegisterSnapshot.copy(register, settings, new FixedRandom(incarnation));
+        List<DurableState> stored = new ArrayList<>();
+        DurableState uncertain = null;
+        action.run(next, effects);
+        DurableState state = disk == Disk.IN_FLIGHT ? null : effects.takePending();
+        RegisterMessage selfMessage = effects.takeSelfMessage();
+        while (state != null || selfMessage != null) {
             if (state != null && disk == Disk.KILLED_AFTER_WRITE) {
                 return killed(state);
-            } else if (state != null && disk == Disk.FAILS && perhaps == null) {
-                perhaps = state;
-                next.handleStoreFailed(0, out.ticket(), out);
+            } else if (state != null && disk == Disk.FAILS && uncertain == null) {
+                uncertain = state;
+                next.handleStoreFailed(0, effects.storeId(), effects);
             } else if (state != null) {
-                kept.add(state);
-                next.handleStored(0, out.ticket(), out);
+                stored.add(state);
+                next.handleStored(0, effects.storeId(), effects);
             } else {
-                next.handleMessage(0, own, out);
-                own = null;
+                next.handleMessage(0, selfMessage, effects);
+                selfMessage = null;
             }
-            state = disk == Disk.LATER ? null : out.takePending();
-            own = own == null ? out.takeOwn() : own;
+            state = disk == Disk.IN_FLIGHT ? null : effects.takePending();
+            selfMessage = selfMessage == null ? effects.takeSelfMessage() : selfMessage;
         }
-        RegisterImage.forgetClocks(next);
-        return new Result(new ModelProcess(settings, lost, next, life), out, kept, perhaps, proposals(next, out));
+        RegisterSnapshot.resetClocks(next);
+        return new Result(
+                new ModelProcess(settings, droppedTypes, next, incarnation),
+                effects,
+                stored,
+                uncertain,
+                proposals(next, effects));
     }
 
     private Result killed(DurableState written) {
         return new Result(
-                restarted(written), new ModelStep(settings.address(), lost), List.of(written), null, List.of());
+                restarted(written), new ModelStep(settings.address(), droppedTypes), List.of(written), null, List.of());
     }
 
-    private static List<ModelProposal> proposals(Register next, ModelStep out) {
+    private static List<ModelProposal> proposals(Register next, ModelStep effects) {
         List<ModelProposal> found = new ArrayList<>();
-        for (ModelStep.Sent sent : out.sent) {
+        for (ModelStep.Sent sent : effects.sent) {
             if (sent.message() instanceof Accept) {
                 Accept accept = (Accept) sent.message();
-                RegisterValue read = (RegisterValue) RegisterImage.at(next, "proposer", "state", "round", "read");
+                RegisterValue read = (RegisterValue) RegisterSnapshot.at(next, "proposer", "state", "round", "read");
                 ModelProposal proposal = new ModelProposal(accept.ballot(), accept.value(), read.acceptors());
                 if (!found.contains(proposal)) {
                     found.add(proposal);
--- a/consensus/src/test/java/dewplank/register/ModelScenario.java
+++ b/consensus/src/test/java/dewplank/register/ModelScenario.java
@@ -4,9 +4,9 @@
 import java.util.List;
 import java.util.Set;
 
-/** What a model starts with, and how often each trouble may come. */
+/** The initial state of a model, and how often each fault may occur. */
 final class ModelScenario {
-    private static final double NEVER = Double.MAX_VALUE;
+    private static final double NO_DEADLINE_MS = Double.MAX_VALUE;
 
     final String name;
     final List<ModelProcess> processes = new ArrayList<>();
@@ -19,8 +19,11 @@
     boolean slowDisks;
     boolean wipedKeepsIdentity;
 
-    /** Processes {@code 0} to {@code size - 1}; the first {@code members} are the acceptors, the rest know none. */
-    ModelScenario(String name, int size, int members, Class<?>... lost) {
+    /**
+     * Processes {@code 0} to {@code size - 1}; the first {@code members} are the acceptors, the others have no initial
+     * acceptors.
+     */
+    ModelScenario(String name, int size, int members, Class<?>... droppedTypes) {
         this.name = name;
         List<AcceptorId> first = new ArrayList<>();
         for (int index = 0; index < members; index++) {
@@ -31,7 +34,7 @@
             DurableState disk = DurableState.fresh(identity(index, 0));
             disks.add(disk);
             processes.add(ModelProcess.started(
-                    new Register.Settings(address(index), initial, 300, 20, 400, 500), Set.of(lost), disk, 0));
+                    RegisterBuilder.settings(address(index), initial), Set.of(droppedTypes), disk, 0));
         }
     }
 
@@ -49,17 +52,19 @@
     }
 
     static ModelProcess.Action change(int version, int base) {
-        return (register, out) -> register.change(0, version, VersionHistory.change(version, base), NEVER, out);
+        return (register, effects) ->
+                register.change(0, version, VersionHistory.change(version, base), NO_DEADLINE_MS, effects);
     }
 
-    static ModelProcess.Action replace(long generation, AcceptorId... wanted) {
-        return (register, out) -> register.reconfigure(0, generation + 1000, generation, List.of(wanted), NEVER, out);
+    static ModelProcess.Action reconfigure(long generation, AcceptorId... target) {
+        return (register, effects) ->
+                register.reconfigure(0, generation + 1000, generation, List.of(target), NO_DEADLINE_MS, effects);
     }
 
-    ModelScenario with(int timeoutsEach, int killsInAll, int failuresInAll) {
-        timeouts = timeoutsEach;
-        kills = killsInAll;
-        failures = failuresInAll;
+    ModelScenario with(int maxTimeoutsPerProcess, int maxKills, int maxStoreFailures) {
+        timeouts = maxTimeoutsPerProcess;
+        kills = maxKills;
+        failures = maxStoreFailures;
         return this;
     }
 
--- a/consensus/src/test/java/dewplank/register/ModelState.java
+++ b/consensus/src/test/java/dewplank/register/ModelState.java
@@ -3,18 +3,18 @@
 import java.util.Arrays;
 
 /**
- * One state of the whole model, all parts by their numbers. Messages stay once they are sent: each may come at any
- * time, again, or never.
+ * One state of the whole model, all parts by their numbers. Messages stay once they are sent: each may be delivered at
+ * any time, repeatedly, or never.
  */
 final class ModelState {
     int[] processes;
     int[] disks;
-    int[] perhaps;
+    int[] uncertain;
     int[] timeouts;
     int kills;
     int failures;
     int wipes;
-    int refused;
+    int rejected;
     int[] messages = new int[0];
     /** Proposals made, sorted, each followed by the set of acceptors that voted for it, or by -1 once chosen. */
     int[] votes = new int[0];
@@ -26,12 +26,12 @@
         ModelState next = new ModelState();
         next.processes = processes;
         next.disks = disks;
-        next.perhaps = perhaps;
+        next.uncertain = uncertain;
         next.timeouts = timeouts;
         next.kills = kills;
         next.failures = failures;
         next.wipes = wipes;
-        next.refused = refused;
+        next.rejected = rejected;
         next.messages = messages;
         next.votes = votes;
         next.before = traced ? this : null;
@@ -75,8 +75,8 @@
 
     /** A hash of 64 bits over everything. */
     long hash() {
-        long hash = mix(kills * 1_000_000L + failures * 10_000L + wipes * 1000L + refused);
-        for (int[] part : new int[][] {processes, disks, perhaps, timeouts, messages, votes}) {
+        long hash = mix(kills * 1_000_000L + failures * 10_000L + wipes * 1000L + rejected);
+        for (int[] part : new int[][] {processes, disks, uncertain, timeouts, messages, votes}) {
             hash = mix(hash ^ part.length);
             for (int number : part) {
                 hash = mix(hash + number);
--- a/consensus/src/test/java/dewplank/register/ModelStep.java
+++ b/consensus/src/test/java/dewplank/register/ModelStep.java
@@ -6,69 +6,69 @@
 import java.util.List;
 import java.util.Set;
 
-/** Records what one step of one process sent, asked to store and answered. */
+/** Records what one step of one process sent, stored and answered. */
 final class ModelStep implements Register.Effects {
-    /** An answer for certain. */
-    record Answer(long request, Outcome.Confirmed outcome) {}
+    /** A confirmed request. */
+    record Answer(long requestId, Outcome.Confirmed outcome) {}
 
     /** A message and where it goes. */
     record Sent(String address, RegisterMessage message) {}
 
     final List<Sent> sent = new ArrayList<>();
     final List<Answer> answers = new ArrayList<>();
-    private final Deque<RegisterMessage> own = new ArrayDeque<>();
+    private final Deque<RegisterMessage> selfMessages = new ArrayDeque<>();
     private final String address;
-    private final Set<Class<?>> lost;
+    private final Set<Class<?>> droppedTypes;
     private DurableState pending;
-    private long ticket;
+    private long storeId;
 
-    /** A step of the process at this address; messages of the kinds given never arrive. */
-    ModelStep(String address, Set<Class<?>> lost) {
+    /** A step of the process at this address; messages of the types given are dropped. */
+    ModelStep(String address, Set<Class<?>> droppedTypes) {
         this.address = address;
-        this.lost = lost;
+        this.droppedTypes = droppedTypes;
     }
 
-    /** Hands out the next message of the process to itself, or null. */
-    RegisterMessage takeOwn() {
-        return own.poll();
+    /** Takes the next message of the process to itself, or null. */
+    RegisterMessage takeSelfMessage() {
+        return selfMessages.poll();
     }
 
-    /** Hands out the store that waits for its result, or null. */
+    /** Takes the store without a result, or null. */
     DurableState takePending() {
         DurableState taken = pending;
         pending = null;
         return taken;
     }
 
-    long ticket() {
-        return ticket;
+    long storeId() {
+        return storeId;
     }
 
     @Override
     public void send(String to, RegisterMessage message) {
-        boolean sweep = message instanceof StatusQuery && !((StatusQuery) message).wantsValue();
+        boolean isAntiEntropy = message instanceof StatusQuery && !((StatusQuery) message).wantsValue();
         if (to.equals(address)) {
-            own.add(message);
-        } else if (!sweep && !lost.contains(message.getClass())) {
+            selfMessages.add(message);
+        } else if (!isAntiEntropy && !droppedTypes.contains(message.getClass())) {
             sent.add(new Sent(to, message));
         }
     }
 
     @Override
-    public void store(long number, DurableState state) {
-        ticket = number;
+    public void store(long id, DurableState state) {
+        storeId = id;
         pending = state;
     }
 
     @Override
     public void learned(RegisterValue value) {
-        // The model looks at the votes themselves.
+        // The model checks the votes themselves.
     }
 
     @Override
-    public void completed(long request, Outcome outcome) {
+    public void completed(long requestId, Outcome outcome) {
         if (outcome instanceof Outcome.Confirmed) {
-            answers.add(new Answer(request, (Outcome.Confirmed) outcome));
+            answers.add(new Answer(requestId, (Outcome.Confirmed) outcome));
         }
     }
 }
--- a/consensus/src/test/java/dewplank/register/RegisterHistoriesTest.java
+++ b/consensus/src/test/java/dewplank/register/RegisterHistoriesTest.java
@@ -4,31 +4,31 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The register as clients see it, under every trouble the deployment knows. {@code -Dregister.histories=N} plays more
- * histories, {@code -Dregister.seed=S} plays one again.
+ * The register as its callers observe it, under every kind of fault of a deployment. {@code -Dregister.histories=N}
+ * sets the number of histories, {@code -Dregister.seed=S} replays one.
  */
 class RegisterHistoriesTest {
-    private static final int USUAL_HISTORIES = 10_000;
+    private static final int DEFAULT_HISTORIES = 10_000;
     private static final int BROKEN_HISTORIES = 1000;
-    private static final int LEAST_CONFIRMED = 3;
+    private static final int MIN_CONFIRMED = 3;
 
     @Test
-    void everyHistoryIsOneRegisters() {
+    void everyHistoryIsThatOfOneRegister() {
         Long only = Long.getLong("register.seed");
         if (only != null) {
             play(only);
             return;
         }
-        int histories = Integer.getInteger("register.histories", USUAL_HISTORIES);
+        int histories = Integer.getInteger("register.histories", DEFAULT_HISTORIES);
         long confirmed = 0;
         for (long seed = 0; seed < histories; seed++) {
             confirmed += play(seed);
         }
-        Assertions.assertTrue(confirmed > (long) LEAST_CONFIRMED * histories, "hardly anything was answered");
+        Assertions.assertTrue(confirmed > (long) MIN_CONFIRMED * histories, "hardly anything was answered");
     }
 
     @Test
-    void aWipedDiskThatKeptItsIdentityWouldBeNoticed() {
+    void detectsAWipedDiskThatKeepsItsIdentity() {
         SimulationRules broken = new SimulationRules(true, false, true);
         Assertions.assertThrows(AssertionError.class, () -> {
             for (long seed = 0; seed < BROKEN_HISTORIES; seed++) {
--- a/consensus/src/test/java/dewplank/register/RegisterModel.java
+++ b/consensus/src/test/java/dewplank/register/RegisterModel.java
@@ -18,9 +18,9 @@
 
     private record Key(int process, int action, ModelProcess.Disk disk) {}
 
-    /** A result by the numbers of its parts; null in its place means that the step does not exist. */
+    /** A result by the numbers of its parts; null means that the step does not exist. */
     private record Effect(
-            int process, int[] kept, int perhaps, int[] proposals, int[] sent, List<ModelStep.Answer> answers) {}
+            int process, int[] stored, int uncertain, int[] proposals, int[] sent, List<ModelStep.Answer> answers) {}
 
     private record Outgoing(int recipient, String identity, RegisterMessage message) {}
 
@@ -36,7 +36,7 @@
     private List<ModelState> frontier = new ArrayList<>();
     private List<ModelState> following = new ArrayList<>();
     private int depth;
-    private int chosenAtMost;
+    private int maxChosen;
 
     RegisterModel(ModelScenario scenario, boolean traced) {
         this.scenario = scenario;
@@ -45,7 +45,7 @@
         int size = scenario.processes.size();
         first.processes = new int[size];
         first.disks = new int[size];
-        first.perhaps = new int[size];
+        first.uncertain = new int[size];
         first.timeouts = new int[size];
         for (int index = 0; index < size; index++) {
             ModelProcess process = scenario.processes.get(index);
@@ -72,9 +72,9 @@
         return depth;
     }
 
-    /** The most proposals that are chosen in one state. */
-    int chosenAtMost() {
-        return chosenAtMost;
+    /** The largest number of proposals chosen in one state. */
+    int maxChosen() {
+        return maxChosen;
     }
 
     /** Whether there is no further state at any depth. */
@@ -82,28 +82,28 @@
         return frontier.isEmpty();
     }
 
-    /** Runs a step at a process in the state to begin with. */
+    /** Runs a step at a process in the initial state. */
     RegisterModel begin(int process, ModelProcess.Action action) {
         ModelState state = frontier.get(0);
         ModelProcess before = processes.get(state.processes[process]);
         ModelState next = next(state, () -> "begin at " + process);
-        apply(next, process, effect(before.step(action, ModelProcess.Disk.WORKS)));
+        apply(next, process, effect(before.step(action, ModelProcess.Disk.SUCCEEDS)));
         restart(next);
         return this;
     }
 
-    /** Plays one order of steps without trouble until a state is as wanted; what is on its way then is lost. */
-    RegisterModel playUntil(Predicate<List<Register>> wanted) {
+    /** Plays one order of steps without faults until the target state; messages in flight are lost then. */
+    RegisterModel playUntil(Predicate<List<Register>> target) {
         ModelState state = frontier.get(0);
         Set<Long> played = new HashSet<>(List.of(state.hash()));
-        while (!wanted.test(registers(state))) {
+        while (!target.test(registers(state))) {
             ModelState next = null;
             for (int index = 0; index < state.messages.length && next == null; index++) {
-                next = received(state, state.messages[index], ModelProcess.Disk.WORKS);
+                next = received(state, state.messages[index], ModelProcess.Disk.SUCCEEDS);
                 next = next == null || played.contains(next.hash()) ? null : next;
             }
             if (next == null) {
-                throw new IllegalStateException("the state wanted is not reached");
+                throw new IllegalStateException("the target state is not reached");
             }
             played.add(next.hash());
             state = next;
@@ -129,8 +129,8 @@
     }
 
     /** Explores to this depth, or to the end. */
-    RegisterModel explore(int mostDepth) {
-        while (depth < mostDepth && !frontier.isEmpty()) {
+    RegisterModel explore(int maxDepth) {
+        while (depth < maxDepth && !frontier.isEmpty()) {
             for (ModelState state : frontier) {
                 expand(state);
             }
@@ -142,7 +142,7 @@
     }
 
     private void expand(ModelState state) {
-        ModelProcess.Disk usual = scenario.slowDisks ? ModelProcess.Disk.LATER : ModelProcess.Disk.WORKS;
+        ModelProcess.Disk usual = scenario.slowDisks ? ModelProcess.Disk.IN_FLIGHT : ModelProcess.Disk.SUCCEEDS;
         for (int message : state.messages) {
             add(received(state, message, usual));
             if (!scenario.slowDisks) {
@@ -159,7 +159,7 @@
         if (state.timeouts[process] > 0) {
             add(timeout(state, process, usual));
         }
-        if (scenario.slowDisks && processes.get(state.processes[process]).storing() != null) {
+        if (scenario.slowDisks && processes.get(state.processes[process]).storeInFlight() != null) {
             add(stored(state, process, true));
             add(state.failures > 0 ? stored(state, process, false) : null);
         }
@@ -190,7 +190,7 @@
                 key -> effect(before.receive(outgoing.message, disk)));
         boolean fails = disk == ModelProcess.Disk.FAILS;
         boolean killed = disk == ModelProcess.Disk.KILLED_AFTER_WRITE;
-        if (fails && effect.perhaps == 0 || killed && effect.kept.length == 0 || skips(state, effect, outgoing)) {
+        if (fails && effect.uncertain == 0 || killed && effect.stored.length == 0 || skips(state, effect, outgoing)) {
             return null;
         }
         ModelState next = next(state, () -> disk + ": " + process + " gets " + print(outgoing));
@@ -202,21 +202,21 @@
 
     /**
      * A step that changes nothing is none. Answers that do not complete a quorum are taken in the order of their
-     * senders only: they change nothing but the proposer's tally, so that one can wait for the other.
+     * senders only: they change nothing but the proposer's count, so that one can wait for the other.
      */
     private boolean skips(ModelState state, Effect effect, Outgoing outgoing) {
         int process = outgoing.recipient;
-        if (effect.process == state.processes[process] && effect.sent.length == 0 && effect.kept.length == 0) {
+        if (effect.process == state.processes[process] && effect.sent.length == 0 && effect.stored.length == 0) {
             return true;
         }
         RegisterMessage message = outgoing.message;
-        boolean tallied = message instanceof Promise || message instanceof Accepted;
-        if (!tallied || effect.sent.length > 0 || !effect.answers.isEmpty()) {
+        boolean isCounted = message instanceof Promise || message instanceof Accepted;
+        if (!isCounted || effect.sent.length > 0 || !effect.answers.isEmpty()) {
             return false;
         }
-        String tally = message instanceof Promise ? "promised" : "accepted";
+        String countedBy = message instanceof Promise ? "promised" : "accepted";
         Register register = processes.get(state.processes[process]).register();
-        Set<?> counted = (Set<?>) RegisterImage.at(register, "proposer", "state", "round", tally);
+        Set<?> counted = (Set<?>) RegisterSnapshot.at(register, "proposer", "state", "round", countedBy);
         return counted != null
                 && counted.stream()
                         .map(each -> ((AcceptorId) each).address())
@@ -234,31 +234,31 @@
         return next;
     }
 
-    private ModelState stored(ModelState state, int process, boolean works) {
+    private ModelState stored(ModelState state, int process, boolean succeeds) {
         ModelProcess before = processes.get(state.processes[process]);
-        int action = works ? STORED : STORE_FAILED;
+        int action = succeeds ? STORED : STORE_FAILED;
         Effect effect = effects.computeIfAbsent(
-                new Key(state.processes[process], action, ModelProcess.Disk.LATER),
-                key -> effect(before.stored(works)));
-        ModelState next = next(state, () -> (works ? "stored at " : "store failed at ") + process);
-        next.failures -= works ? 0 : 1;
+                new Key(state.processes[process], action, ModelProcess.Disk.IN_FLIGHT),
+                key -> effect(before.stored(succeeds)));
+        ModelState next = next(state, () -> (succeeds ? "stored at " : "store failed at ") + process);
+        next.failures -= succeeds ? 0 : 1;
         apply(next, process, effect);
         return next;
     }
 
-    /** Kills and restarts it: the disk holds what is certain, what a failed store left, or what is under way. */
+    /** Kills and restarts it: the disk has what is certain, what a failed store left, or what is in flight. */
     private void kill(ModelState state, int process) {
         ModelProcess before = processes.get(state.processes[process]);
         List<Integer> possible = new ArrayList<>(List.of(state.disks[process]));
-        if (state.perhaps[process] != 0) {
-            possible.add(state.perhaps[process]);
+        if (state.uncertain[process] != 0) {
+            possible.add(state.uncertain[process]);
         }
-        if (before.storing() != null) {
-            possible.add(number(before.storing()));
+        if (before.storeInFlight() != null) {
+            possible.add(number(before.storeInFlight()));
         }
         for (int disk : possible) {
             DurableState found = disks.get(disk);
-            ModelState next = next(state, () -> "killed " + process + " with " + RegisterImage.print(found));
+            ModelState next = next(state, () -> "killed " + process + " with " + RegisterSnapshot.print(found));
             next.kills--;
             apply(next, process, begun(before.restarted(found), found));
             add(next);
@@ -291,8 +291,8 @@
     private Effect effect(ModelProcess.Result result) {
         return new Effect(
                 processes.number(result.process().print(), result.process()),
-                result.kept().stream().mapToInt(this::number).toArray(),
-                result.perhaps() == null ? 0 : number(result.perhaps()),
+                result.stored().stream().mapToInt(this::number).toArray(),
+                result.uncertain() == null ? 0 : number(result.uncertain()),
                 result.proposals().stream().mapToInt(this::number).toArray(),
                 result.output().sent.stream().mapToInt(this::number).toArray(),
                 result.output().answers);
@@ -303,14 +303,14 @@
         for (int proposal : effect.proposals) {
             next.propose(proposal);
         }
-        for (int kept : effect.kept) {
-            next.disks = ModelState.with(next.disks, process, kept);
-            next.perhaps = ModelState.with(next.perhaps, process, 0);
-            DurableState state = disks.get(kept);
+        for (int stored : effect.stored) {
+            next.disks = ModelState.with(next.disks, process, stored);
+            next.uncertain = ModelState.with(next.uncertain, process, 0);
+            DurableState state = disks.get(stored);
             vote(next, new AcceptorId(ModelScenario.address(process), state.identity()), state);
         }
-        if (effect.perhaps != 0) {
-            next.perhaps = ModelState.with(next.perhaps, process, effect.perhaps);
+        if (effect.uncertain != 0) {
+            next.uncertain = ModelState.with(next.uncertain, process, effect.uncertain);
         }
         for (int message : effect.sent) {
             next.send(message);
@@ -320,12 +320,12 @@
         }
     }
 
-    private void vote(ModelState state, AcceptorId voter, DurableState kept) {
+    private void vote(ModelState state, AcceptorId voter, DurableState stored) {
         int bit = 1 << acceptors.number(voter.identity(), voter);
         for (int at = 0; at < state.votes.length; at += 2) {
             ModelProposal proposal = proposals.get(state.votes[at]);
             int voters = state.votes[at + 1];
-            if (voters != CHOSEN && proposal.ballot().equals(kept.acceptedBallot()) && (voters & bit) == 0) {
+            if (voters != CHOSEN && proposal.ballot().equals(stored.acceptedBallot()) && (voters & bit) == 0) {
                 state.votes = ModelState.with(state.votes, at + 1, voters | bit);
                 if (proposal.isChosenBy(voters(voters | bit))) {
                     state.votes = ModelState.with(state.votes, at + 1, CHOSEN);
@@ -357,13 +357,13 @@
 
     private void checkChosen(ModelState state, ModelProposal proposal) {
         List<ModelProposal> chosen = chosen(state);
-        chosenAtMost = Math.max(chosenAtMost, chosen.size());
+        maxChosen = Math.max(maxChosen, chosen.size());
         for (ModelProposal other : chosen) {
             check(state, proposal.agreesWith(other), "chosen are " + proposal + " and " + other);
         }
         for (int version = 0; version < Integer.SIZE; version++) {
-            boolean isRefused = (state.refused & 1 << version) != 0;
-            check(state, !isRefused || !proposal.holds(version), "version " + version + " was refused and is chosen");
+            boolean isRejected = (state.rejected & 1 << version) != 0;
+            check(state, !isRejected || !proposal.holds(version), "version " + version + " was rejected and is chosen");
         }
     }
 
@@ -371,11 +371,11 @@
         RegisterValue value = answer.outcome().value();
         List<ModelProposal> chosen = chosen(state);
         check(state, chosen.stream().anyMatch(each -> each.value().equals(value)), "confirmed but not chosen");
-        boolean isRefused = VersionHistory.REFUSED.equals(answer.outcome().answer());
-        if (isRefused) {
-            int version = (int) answer.request();
-            state.refused |= 1 << version;
-            check(state, chosen.stream().noneMatch(each -> each.holds(version)), "refused though it is chosen");
+        boolean isRejected = VersionHistory.REJECTED.equals(answer.outcome().answer());
+        if (isRejected) {
+            int version = (int) answer.requestId();
+            state.rejected |= 1 << version;
+            check(state, chosen.stream().noneMatch(each -> each.holds(version)), "rejected though it is chosen");
         }
     }
 
@@ -386,11 +386,11 @@
     }
 
     private int number(DurableState state) {
-        return disks.number(RegisterImage.print(state), state);
+        return disks.number(RegisterSnapshot.print(state), state);
     }
 
     private int number(ModelProposal proposal) {
-        return proposals.number(RegisterImage.print(proposal), proposal);
+        return proposals.number(RegisterSnapshot.print(proposal), proposal);
     }
 
     private int number(ModelStep.Sent sent) {
@@ -400,6 +400,6 @@
     }
 
     private static String print(Outgoing outgoing) {
-        return outgoing.recipient + " " + RegisterImage.print(outgoing.message);
+        return outgoing.recipient + " " + RegisterSnapshot.print(outgoing.message);
     }
 }
--- a/consensus/src/test/java/dewplank/register/RegisterImage.java
+++ b/consensus/src/test/java/dewplank/register/RegisterSnapshot.java
@@ -12,12 +12,12 @@
 import java.util.Set;
 
 /**
- * Copies, compares and prints the state of a register by reflection, so that a model can branch at any step. Clocks
- * and the numbers of questions are set back after each step: the model lets every timeout come at any time.
+ * Copies, compares and prints the state of a register by reflection, so that a model can branch at any step. Times and
+ * query ids are reset after each step: the model lets every timeout occur at any time.
  */
-final class RegisterImage {
-    /** The parts of a register that change; everything else is immutable or a collection. */
-    private static final Set<Class<?>> PARTS = Set.of(
+final class RegisterSnapshot {
+    /** The mutable parts of a register; everything else is immutable or a collection. */
+    private static final Set<Class<?>> MUTABLE_PARTS = Set.of(
             Register.class,
             Acceptor.class,
             Learner.class,
@@ -30,8 +30,8 @@
             Proposer.InRound.class,
             Proposer.BackingOff.class);
 
-    /** Without influence on messages or votes: the tally of the sweeps, and what only says how to reach the rest. */
-    private static final Set<String> LEFT_OUT = Set.of(
+    /** Fields without influence on messages or votes: the reports counted by anti-entropy, attempts and ids. */
+    private static final Set<String> EXCLUDED_FIELDS = Set.of(
             "AntiEntropy.queryId",
             "AntiEntropy.reporters",
             "AntiEntropy.newestReported",
@@ -47,7 +47,7 @@
 
     private static final Map<Class<?>, List<Field>> FIELDS = new HashMap<>();
 
-    private RegisterImage() {}
+    private RegisterSnapshot() {}
 
     static Register copy(Register register, Register.Settings settings, FixedRandom random) {
         Register copy = new Register(settings, DurableState.fresh(""), random);
@@ -77,28 +77,28 @@
         return found;
     }
 
-    /** Sets the clocks and tallies back. */
-    static void forgetClocks(Register register) {
-        forget(register, new IdentityHashMap<>());
+    /** Resets times, ids and the reports counted. */
+    static void resetClocks(Register register) {
+        reset(register, new IdentityHashMap<>());
     }
 
-    private static void forget(Object part, Map<Object, Object> seen) {
+    private static void reset(Object part, Map<Object, Object> seen) {
         if (seen.put(part, part) != null) {
             return;
         }
         for (Field field : fields(part.getClass())) {
             Object value = get(field, part);
             if (field.getType() == double.class) {
-                boolean isOverdue = Set.of("nextRunAtMs", "fetchStartedAtMs").contains(field.getName());
-                set(field, part, isOverdue ? Double.NEGATIVE_INFINITY : 0.0);
+                boolean isInThePast = Set.of("nextRunAtMs", "fetchStartedAtMs").contains(field.getName());
+                set(field, part, isInThePast ? Double.NEGATIVE_INFINITY : 0.0);
             } else if (nameOf(field).equals("RequestIds.last") || nameOf(field).equals("AntiEntropy.queryId")) {
                 set(field, part, 0L);
             } else if (field.getName().equals("attempt")) {
                 set(field, part, 1);
             } else if (nameOf(field).equals("AntiEntropy.reporters")) {
                 ((Collection<?>) value).clear();
-            } else if (value != null && PARTS.contains(value.getClass())) {
-                forget(value, seen);
+            } else if (value != null && MUTABLE_PARTS.contains(value.getClass())) {
+                reset(value, seen);
             }
         }
     }
@@ -116,7 +116,7 @@
                 set(field, to, inRound);
             } else if (value instanceof Proposer.State) {
                 set(field, to, value);
-            } else if (value != null && PARTS.contains(value.getClass())) {
+            } else if (value != null && MUTABLE_PARTS.contains(value.getClass())) {
                 copyInto(value, get(field, to), seen);
             } else if (value instanceof Collection) {
                 copyElements(field, (Collection<?>) value, to);
@@ -146,7 +146,7 @@
             text.append(object);
         } else if (object instanceof Collection) {
             printElements((Collection<?>) object, text);
-        } else if (PARTS.contains(object.getClass()) && seen.put(object, object) != null) {
+        } else if (MUTABLE_PARTS.contains(object.getClass()) && seen.put(object, object) != null) {
             text.append('^');
         } else if (object.getClass().getPackage() == Register.class.getPackage()
                 && !(object instanceof FixedRandom)
@@ -158,7 +158,7 @@
     private static void printFields(Object object, StringBuilder text, Map<Object, Object> seen) {
         text.append(object.getClass().getSimpleName()).append('(');
         for (Field field : fields(object.getClass())) {
-            if (field.getType() != double.class && !LEFT_OUT.contains(nameOf(field))) {
+            if (field.getType() != double.class && !EXCLUDED_FIELDS.contains(nameOf(field))) {
                 print(get(field, object), text, seen);
                 text.append(';');
             }
@@ -182,7 +182,7 @@
     }
 
     private static List<Field> fields(Class<?> type) {
-        return FIELDS.computeIfAbsent(type, RegisterImage::findFields);
+        return FIELDS.computeIfAbsent(type, RegisterSnapshot::findFields);
     }
 
     private static List<Field> findFields(Class<?> type) {
--- a/consensus/src/test/java/dewplank/register/SimulatedFleet.java
+++ b/consensus/src/test/java/dewplank/register/SimulatedFleet.java
@@ -7,29 +7,29 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 
-/** Processes, their network, and who asked for what. */
+/** Processes, their network, and the requests that wait for an outcome. */
 final class SimulatedFleet {
     private final EventQueue events = new EventQueue();
-    private final HistoryCheck history = new HistoryCheck();
+    private final HistoryChecker history = new HistoryChecker();
     private final Map<Long, Consumer<Outcome>> requests = new HashMap<>();
     private final List<SimulatedProcess> processes = new ArrayList<>();
     private final SimulatedNetwork network;
     private final SimulationRules rules;
-    private long lastRequest;
+    private long lastRequestId;
 
     SimulatedFleet(int size, int members, SimulationRules rules, SplittableRandom random) {
         this.rules = rules;
         network = new SimulatedNetwork(events, random.split());
-        List<AcceptorId> first = new ArrayList<>();
+        List<AcceptorId> initial = new ArrayList<>();
         for (int index = 0; index < size; index++) {
             SimulatedProcess process = new SimulatedProcess("10.0.0." + index + ":1", this, random.split());
             processes.add(process);
             if (index < members) {
-                first.add(process.acceptor());
+                initial.add(process.acceptor());
             }
         }
         for (SimulatedProcess process : processes) {
-            process.beginWith(AcceptorSet.of(first));
+            process.setInitialAcceptors(AcceptorSet.of(initial));
             process.start();
         }
     }
@@ -38,11 +38,11 @@
         return events;
     }
 
-    double now() {
-        return events.now();
+    double nowMs() {
+        return events.nowMs();
     }
 
-    HistoryCheck history() {
+    HistoryChecker history() {
         return history;
     }
 
@@ -58,6 +58,19 @@
         return processes;
     }
 
+    SimulatedProcess process(int index) {
+        return processes.get(index);
+    }
+
+    /** The acceptors of these processes, in this order. */
+    List<AcceptorId> acceptors(int... indices) {
+        List<AcceptorId> acceptors = new ArrayList<>();
+        for (int index : indices) {
+            acceptors.add(process(index).acceptor());
+        }
+        return acceptors;
+    }
+
     SimulatedProcess any(SplittableRandom random) {
         return processes.get(random.nextInt(processes.size()));
     }
@@ -69,87 +82,86 @@
     void deliver(String address, RegisterMessage message) {
         for (SimulatedProcess process : processes) {
             if (process.address().equals(address) && process.isUp()) {
-                process.run(process.life(), () -> process.register().handleMessage(now(), message, process));
+                process.run(process.incarnation(), () -> process.register().handleMessage(nowMs(), message, process));
             }
         }
     }
 
-    /** The newest chosen value any process or disk knows, or null. */
+    /** The newest chosen value in any process or on any disk, or null. */
     RegisterValue newestChosen() {
         RegisterValue newest = null;
         for (SimulatedProcess process : processes) {
-            RegisterValue known = process.isUp()
+            RegisterValue chosen = process.isUp()
                     ? process.register().chosenValue()
                     : process.disk().chosenValue();
-            if (known != null && (newest == null || known.revision() > newest.revision())) {
-                newest = known;
+            if (chosen != null && (newest == null || chosen.revision() > newest.revision())) {
+                newest = chosen;
             }
         }
         return newest;
     }
 
-    /** Changes the payload at a process; the listener hears the answer, or Unknown if that life ends before. */
-    void change(SimulatedProcess process, int version, int base, double patience, Consumer<Outcome> listener) {
-        long floor = history.floor();
-        long request = expect(process, patience, outcome -> {
-            if (outcome instanceof Outcome.Confirmed) {
-                Outcome.Confirmed answer = (Outcome.Confirmed) outcome;
-                history.confirmed(answer.value(), floor);
-                history.changeAnswered(version, answer.value(), answer.answer());
+    /** Changes the payload at a process; the listener gets the outcome, Unknown if the incarnation ends before. */
+    void change(SimulatedProcess process, int version, int base, double timeoutMs, Consumer<Outcome> listener) {
+        long minRevision = history.minRevision();
+        long requestId = track(timeoutMs, outcome -> {
+            if (outcome instanceof Outcome.Confirmed confirmed) {
+                history.observeConfirmed(confirmed.value(), minRevision);
+                history.observeChangeAnswer(version, confirmed.value(), confirmed.answer());
             }
             listener.accept(outcome);
         });
         Change change = VersionHistory.change(version, base);
-        step(process, () -> process.register().change(now(), request, change, now() + patience, process));
+        run(process, () -> process.register().change(nowMs(), requestId, change, nowMs() + timeoutMs, process));
     }
 
-    void read(SimulatedProcess process, double patience, Consumer<Outcome> listener) {
-        long request = expect(process, patience, checked(history.floor(), listener));
-        step(process, () -> process.register().read(now(), request, now() + patience, process));
+    void read(SimulatedProcess process, double timeoutMs, Consumer<Outcome> listener) {
+        long requestId = track(timeoutMs, checked(history.minRevision(), listener));
+        run(process, () -> process.register().read(nowMs(), requestId, nowMs() + timeoutMs, process));
     }
 
-    /** Replaces acceptors, expecting the set that the process knows. */
-    void replace(SimulatedProcess process, List<AcceptorId> wanted, double patience, Consumer<Outcome> listener) {
-        long known = process.isUp() ? process.register().acceptors().generation() : 0;
-        replace(process, known, wanted, patience, listener);
+    /** Replaces the acceptors, expecting the generation that the process has. */
+    void reconfigure(SimulatedProcess process, List<AcceptorId> target, double timeoutMs, Consumer<Outcome> listener) {
+        long current = process.isUp() ? process.register().acceptors().generation() : 0;
+        reconfigure(process, current, target, timeoutMs, listener);
     }
 
-    void replace(
+    void reconfigure(
             SimulatedProcess process,
-            long expected,
-            List<AcceptorId> wanted,
-            double patience,
+            long expectedGeneration,
+            List<AcceptorId> target,
+            double timeoutMs,
             Consumer<Outcome> listener) {
-        long request = expect(process, patience, checked(history.floor(), listener));
-        step(process, () -> process.register()
-                .reconfigure(now(), request, expected, wanted, now() + patience, process));
+        long requestId = track(timeoutMs, checked(history.minRevision(), listener));
+        run(process, () -> process.register()
+                .reconfigure(nowMs(), requestId, expectedGeneration, target, nowMs() + timeoutMs, process));
     }
 
-    void completed(long request, Outcome outcome) {
-        Consumer<Outcome> listener = requests.remove(request);
+    void completed(long requestId, Outcome outcome) {
+        Consumer<Outcome> listener = requests.remove(requestId);
         if (listener != null) {
             listener.accept(outcome);
         }
     }
 
-    private Consumer<Outcome> checked(long floor, Consumer<Outcome> listener) {
+    private Consumer<Outcome> checked(long minRevision, Consumer<Outcome> listener) {
         return outcome -> {
-            if (outcome instanceof Outcome.Confirmed) {
-                history.confirmed(((Outcome.Confirmed) outcome).value(), floor);
+            if (outcome instanceof Outcome.Confirmed confirmed) {
+                history.observeConfirmed(confirmed.value(), minRevision);
             }
             listener.accept(outcome);
         };
     }
 
-    private long expect(SimulatedProcess process, double patience, Consumer<Outcome> listener) {
-        lastRequest++;
-        long request = lastRequest;
-        requests.put(request, listener);
-        events.after(patience * 2, () -> completed(request, new Outcome.Unknown("silence")));
-        return request;
+    private long track(double timeoutMs, Consumer<Outcome> listener) {
+        lastRequestId++;
+        long requestId = lastRequestId;
+        requests.put(requestId, listener);
+        events.after(timeoutMs * 2, () -> completed(requestId, new Outcome.Unknown("no outcome")));
+        return requestId;
     }
 
-    private void step(SimulatedProcess process, Runnable step) {
-        process.run(process.life(), step);
+    private void run(SimulatedProcess process, Runnable step) {
+        process.run(process.incarnation(), step);
     }
 }
--- a/consensus/src/test/java/dewplank/register/SimulatedNetwork.java
+++ b/consensus/src/test/java/dewplank/register/SimulatedNetwork.java
@@ -4,65 +4,66 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 
-/** Carries messages late, twice, out of order or not at all. */
+/** Delivers messages with delay, duplicated, out of order or not at all. */
 final class SimulatedNetwork {
-    private static final double SHORTEST_DELAY = 0.5;
-    private static final double USUAL_DELAY = 20;
-    private static final double LONG_DELAY = 900;
+    private static final double MIN_DELAY_MS = 0.5;
+    private static final double USUAL_DELAY_RANGE_MS = 20;
+    private static final double LONG_DELAY_RANGE_MS = 900;
 
     private record Link(String from, String to) {}
 
     private final EventQueue events;
     private final SplittableRandom random;
-    private final Set<Link> cuts = new HashSet<>();
-    private double dropped;
-    private double doubled;
-    private double delayed;
+    private final Set<Link> blocked = new HashSet<>();
+    private double lossRate;
+    private double duplicationRate;
+    private double longDelayRate;
 
     SimulatedNetwork(EventQueue events, SplittableRandom random) {
         this.events = events;
         this.random = random;
     }
 
-    /** Draws how bad this network is. */
-    void worsen() {
-        dropped = random.nextInt(3) * 0.06;
-        doubled = random.nextInt(3) * 0.08;
-        delayed = random.nextInt(3) * 0.05;
+    /** Draws the fault rates of this network. */
+    void drawFaultRates() {
+        lossRate = random.nextInt(3) * 0.06;
+        duplicationRate = random.nextInt(3) * 0.08;
+        longDelayRate = random.nextInt(3) * 0.05;
     }
 
     void heal() {
-        cuts.clear();
-        dropped = 0;
-        doubled = 0;
-        delayed = 0;
+        blocked.clear();
+        lossRate = 0;
+        duplicationRate = 0;
+        longDelayRate = 0;
     }
 
-    void cut(String from, String to) {
-        cuts.add(new Link(from, to));
+    /** Drops all messages in this direction. */
+    void block(String from, String to) {
+        blocked.add(new Link(from, to));
     }
 
-    void mend(String from, String to) {
-        cuts.remove(new Link(from, to));
+    void unblock(String from, String to) {
+        blocked.remove(new Link(from, to));
     }
 
-    void carry(String from, String to, Runnable delivery) {
-        boolean own = from.equals(to);
-        if (own) {
+    void send(String from, String to, Runnable delivery) {
+        boolean isLocal = from.equals(to);
+        if (isLocal) {
             events.after(0, delivery);
             return;
         }
-        if (cuts.contains(new Link(from, to)) || random.nextDouble() < dropped) {
+        if (blocked.contains(new Link(from, to)) || random.nextDouble() < lossRate) {
             return;
         }
-        events.after(delay(), delivery);
-        if (random.nextDouble() < doubled) {
-            events.after(delay(), delivery);
+        events.after(drawDelayMs(), delivery);
+        if (random.nextDouble() < duplicationRate) {
+            events.after(drawDelayMs(), delivery);
         }
     }
 
-    private double delay() {
-        double longest = random.nextDouble() < delayed ? LONG_DELAY : USUAL_DELAY;
-        return SHORTEST_DELAY + random.nextDouble() * longest;
+    private double drawDelayMs() {
+        double rangeMs = random.nextDouble() < longDelayRate ? LONG_DELAY_RANGE_MS : USUAL_DELAY_RANGE_MS;
+        return MIN_DELAY_MS + random.nextDouble() * rangeMs;
     }
 }
--- a/consensus/src/test/java/dewplank/register/SimulatedProcess.java
+++ b/consensus/src/test/java/dewplank/register/SimulatedProcess.java
@@ -4,31 +4,31 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** One process with its disk: it can be killed, lose its disk, freeze; the disk can be full or stall. */
+/** One process with its disk: it can be killed, lose its disk, or freeze; the disk can be full or stall. */
 final class SimulatedProcess implements Register.Effects {
-    private static final double TICK = 50;
-    private static final double SYNC = 3;
+    private static final double TICK_MS = 50;
+    private static final double MAX_SYNC_MS = 3;
 
     private final String address;
     private final SimulatedFleet fleet;
     private final SplittableRandom random;
-    private final List<Runnable> heldBack = new ArrayList<>();
-    private AcceptorSet initial;
+    private final List<Runnable> suspendedSteps = new ArrayList<>();
+    private AcceptorSet initialAcceptors;
     private DurableState disk;
-    private DurableState writing;
+    private DurableState storeInFlight;
     private Register register;
-    private int life;
+    private int incarnation;
     private long learnedRevision;
-    private boolean frozen;
-    private boolean full;
-    private double stalledUntil;
+    private boolean isFrozen;
+    private boolean isDiskFull;
+    private double stalledUntilMs;
 
     SimulatedProcess(String address, SimulatedFleet fleet, SplittableRandom random) {
         this.address = address;
         this.fleet = fleet;
         this.random = random;
         this.disk = DurableState.fresh(drawIdentity());
-        this.initial = AcceptorSet.of(List.of());
+        this.initialAcceptors = AcceptorSet.of(List.of());
     }
 
     String address() {
@@ -51,121 +51,120 @@
         return disk;
     }
 
-    void beginWith(AcceptorSet acceptors) {
-        initial = acceptors;
+    void setInitialAcceptors(AcceptorSet acceptors) {
+        initialAcceptors = acceptors;
     }
 
     void start() {
-        life++;
+        incarnation++;
         learnedRevision = disk.chosenValue() == null ? -1 : disk.chosenValue().revision();
-        Register.Settings settings = new Register.Settings(address, initial, 300, 20, 400, 500);
-        register = new Register(settings, disk, random.split());
-        tick(life);
+        register = new Register(RegisterBuilder.settings(address, initialAcceptors), disk, random.split());
+        tick(incarnation);
     }
 
     void kill() {
         register = null;
-        heldBack.clear();
-        frozen = false;
-        if (writing != null && random.nextBoolean()) {
-            disk = writing;
+        suspendedSteps.clear();
+        isFrozen = false;
+        if (storeInFlight != null && random.nextBoolean()) {
+            disk = storeInFlight;
         }
-        writing = null;
+        storeInFlight = null;
     }
 
-    /** Kills it and empties its disk: it comes back as a new acceptor that knows no acceptors. */
+    /** Kills it and empties its disk: it restarts as a new acceptor without initial acceptors. */
     void wipe() {
         kill();
         disk = DurableState.fresh(fleet.rules().wipedKeepsIdentity() ? disk.identity() : drawIdentity());
-        initial = AcceptorSet.of(List.of());
+        initialAcceptors = AcceptorSet.of(List.of());
     }
 
     void freeze() {
-        frozen = true;
+        isFrozen = true;
     }
 
     void thaw() {
-        frozen = false;
-        List<Runnable> held = new ArrayList<>(heldBack);
-        heldBack.clear();
-        for (Runnable step : held) {
+        isFrozen = false;
+        List<Runnable> steps = new ArrayList<>(suspendedSteps);
+        suspendedSteps.clear();
+        for (Runnable step : steps) {
             step.run();
         }
     }
 
-    void fillDisk(boolean isFull) {
-        full = isFull;
+    void setDiskFull(boolean isFull) {
+        isDiskFull = isFull;
     }
 
-    void stallDisk(double until) {
-        stalledUntil = until;
+    void stallDisk(double untilMs) {
+        stalledUntilMs = untilMs;
     }
 
-    /** Runs a step of this life, later if it is frozen, never if that life is over. */
-    void run(int inLife, Runnable step) {
-        if (register == null || life != inLife) {
+    /** Runs a step of this incarnation: later if the process is frozen, never if the incarnation has ended. */
+    void run(int inIncarnation, Runnable step) {
+        if (register == null || incarnation != inIncarnation) {
             return;
         }
-        if (frozen) {
-            heldBack.add(() -> run(inLife, step));
+        if (isFrozen) {
+            suspendedSteps.add(() -> run(inIncarnation, step));
         } else {
             step.run();
         }
     }
 
-    int life() {
-        return life;
+    int incarnation() {
+        return incarnation;
     }
 
     @Override
     public void send(String to, RegisterMessage message) {
-        fleet.network().carry(address, to, () -> fleet.deliver(to, message));
+        fleet.network().send(address, to, () -> fleet.deliver(to, message));
     }
 
     @Override
-    public void store(long ticket, DurableState state) {
-        int inLife = life;
-        writing = state;
-        double wait = Math.max(0, stalledUntil - fleet.now()) + random.nextDouble() * SYNC;
-        fleet.events().after(wait, () -> endStore(inLife, ticket, state));
+    public void store(long storeId, DurableState state) {
+        int inIncarnation = incarnation;
+        storeInFlight = state;
+        double delayMs = Math.max(0, stalledUntilMs - fleet.nowMs()) + random.nextDouble() * MAX_SYNC_MS;
+        fleet.events().after(delayMs, () -> finishStore(inIncarnation, storeId, state));
     }
 
-    private void endStore(int inLife, long ticket, DurableState state) {
-        if (register == null || life != inLife) {
+    private void finishStore(int inIncarnation, long storeId, DurableState state) {
+        if (register == null || incarnation != inIncarnation) {
             return;
         }
-        if (full) {
-            run(inLife, () -> register.handleStoreFailed(fleet.now(), ticket, this));
+        if (isDiskFull) {
+            run(inIncarnation, () -> register.handleStoreFailed(fleet.nowMs(), storeId, this));
             return;
         }
         disk = state;
-        writing = null;
-        run(inLife, () -> register.handleStored(fleet.now(), ticket, this));
+        storeInFlight = null;
+        run(inIncarnation, () -> register.handleStored(fleet.nowMs(), storeId, this));
     }
 
     @Override
     public void learned(RegisterValue value) {
-        fleet.history().saw(value);
+        fleet.history().observeChosen(value);
         fleet.history().check(value.revision() > learnedRevision, "learned an older value");
         learnedRevision = value.revision();
     }
 
     @Override
-    public void completed(long request, Outcome outcome) {
-        fleet.completed(request, outcome);
+    public void completed(long requestId, Outcome outcome) {
+        fleet.completed(requestId, outcome);
     }
 
-    private void tick(int inLife) {
-        if (register == null || life != inLife) {
+    private void tick(int inIncarnation) {
+        if (register == null || incarnation != inIncarnation) {
             return;
         }
-        run(inLife, () -> {
-            register.tick(fleet.now(), this);
+        run(inIncarnation, () -> {
+            register.tick(fleet.nowMs(), this);
             if (register.chosenValue() == null) {
-                register.queryStatus(fleet.now(), fleet.anyAddress(random), this);
+                register.queryStatus(fleet.nowMs(), fleet.anyAddress(random), this);
             }
         });
-        fleet.events().after(TICK, () -> tick(inLife));
+        fleet.events().after(TICK_MS, () -> tick(inIncarnation));
     }
 
     private String drawIdentity() {
--- a/consensus/src/test/java/dewplank/register/SuccessiveLossesTest.java
+++ b/consensus/src/test/java/dewplank/register/SuccessiveLossesTest.java
@@ -7,20 +7,21 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Losses that follow a repair at once. Each step of a replacement is accepted whole by majorities of both sets before
- * the next begins, so a member that leaves is never the last one with the value, and one that joins is not counted on
- * before a majority of its set has it. Forced at each event from the start of the replacement until well after its end.
+ * Losses immediately after a repair. Each step of a reconfiguration is a write of the complete value, accepted by
+ * majorities of both sets before the next step begins. So a leaving member never has the only replica, and a joining
+ * one counts towards no quorum before a majority of its set has the value. The losses are forced at each event from the
+ * start of the reconfiguration until well after its end.
  */
 class SuccessiveLossesTest {
-    private static final double PATIENCE = 3000;
-    private static final double PAUSE = 100;
-    private static final int MOST_TRIES = 60;
+    private static final double TIMEOUT_MS = 3000;
+    private static final double RETRY_BACKOFF_MS = 100;
+    private static final int MAX_ATTEMPTS = 60;
 
-    /** So many events reach beyond the end of a replacement, which the tests check. */
+    /** This many events reach beyond the end of a reconfiguration, which the tests check. */
     private static final int MOMENTS = 300;
 
-    /** A sweep of the simulated processes takes at most 625 ms, the answers, the value and its store some 50 more. */
-    private static final double CAUGHT_UP = 700;
+    /** A period of anti-entropy is at most 625 ms here; reports, the value and its store take some 50 ms more. */
+    private static final double CAUGHT_UP_MS = 700;
 
     private SimulatedFleet fleet;
     private int version;
@@ -30,51 +31,47 @@
         version = 0;
     }
 
-    private SimulatedProcess process(int index) {
-        return fleet.processes().get(index);
-    }
-
     private void change(int at) {
         version++;
-        for (int tries = 0; tries < MOST_TRIES; tries++) {
+        for (int attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
             List<Outcome> outcomes = new ArrayList<>();
-            fleet.change(process(at), version, version - 1, PATIENCE, outcomes::add);
+            fleet.change(fleet.process(at), version, version - 1, TIMEOUT_MS, outcomes::add);
             while (outcomes.isEmpty()) {
                 fleet.events().playOne(Double.MAX_VALUE);
             }
             if (outcomes.get(0) instanceof Outcome.Confirmed) {
-                Assertions.assertEquals(VersionHistory.TAKEN, ((Outcome.Confirmed) outcomes.get(0)).answer());
+                Assertions.assertEquals(VersionHistory.APPLIED, ((Outcome.Confirmed) outcomes.get(0)).answer());
                 return;
             }
         }
         Assertions.fail("change " + version + " found no majority");
     }
 
-    /** Puts one acceptor in the place of another, as the keeper would: until it is so. */
-    private void replace(int at, AcceptorId old, AcceptorId by) {
-        for (int tries = 0; tries < MOST_TRIES; tries++) {
-            AcceptorSet set = process(at).register().acceptors();
+    /** Replaces one acceptor by another, with retries until it is done. */
+    private void replace(int at, AcceptorId old, AcceptorId successor) {
+        for (int attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
+            AcceptorSet set = fleet.process(at).register().acceptors();
             if (!set.isJoint() && !set.members().contains(old)) {
                 return;
             }
-            List<AcceptorId> wanted = new ArrayList<>(set.isJoint() ? set.joining() : set.members());
-            wanted.replaceAll(each -> each.equals(old) ? by : each);
-            fleet.replace(process(at), set.generation(), wanted, PATIENCE, outcome -> {});
-            fleet.events().playUntil(fleet.now() + PAUSE);
+            List<AcceptorId> target = new ArrayList<>(set.isJoint() ? set.joining() : set.members());
+            target.replaceAll(each -> each.equals(old) ? successor : each);
+            fleet.reconfigure(fleet.process(at), set.generation(), target, TIMEOUT_MS, outcome -> {});
+            fleet.events().playUntil(fleet.nowMs() + RETRY_BACKOFF_MS);
         }
         Assertions.fail("the lost acceptor is not replaced");
     }
 
-    /** Loses a machine with its disk; it is back at once, empty. */
+    /** Loses a machine with its disk; it restarts at once with an empty disk. */
     private AcceptorId lose(int index) {
-        AcceptorId lost = process(index).acceptor();
-        process(index).wipe();
-        process(index).start();
+        AcceptorId lost = fleet.process(index).acceptor();
+        fleet.process(index).wipe();
+        fleet.process(index).start();
         return lost;
     }
 
     private void catchUp() {
-        fleet.events().playUntil(fleet.now() + CAUGHT_UP);
+        fleet.events().playUntil(fleet.nowMs() + CAUGHT_UP_MS);
         RegisterValue newest = fleet.newestChosen();
         for (SimulatedProcess process : fleet.processes()) {
             if (process.isUp() && newest.acceptors().members().contains(process.acceptor())) {
@@ -83,10 +80,10 @@
         }
     }
 
-    private void checkReach(int moment, int last) {
+    private void checkGenerationAtEnds(int moment, int last) {
         if (moment == 0 || moment == last) {
             Assertions.assertEquals(
-                    moment == 0 ? 0 : 2, process(1).register().acceptors().generation());
+                    moment == 0 ? 0 : 2, fleet.process(1).register().acceptors().generation());
         }
     }
 
@@ -97,100 +94,84 @@
     }
 
     @Test
-    void ofThreeOneIsLostInTheWindowAndThenTheNext() {
+    void ofThreeOneIsLostDuringAReconfigurationAndThenTheNext() {
         for (int moment = 0; moment < MOMENTS; moment++) {
             begin(5, 3);
             change(1);
-            AcceptorId leaving = process(0).acceptor();
-            fleet.replace(
-                    process(1),
-                    0,
-                    List.of(
-                            process(3).acceptor(),
-                            process(1).acceptor(),
-                            process(2).acceptor()),
-                    PATIENCE,
-                    outcome -> {});
+            AcceptorId leaving = fleet.process(0).acceptor();
+            fleet.reconfigure(fleet.process(1), 0, fleet.acceptors(3, 1, 2), TIMEOUT_MS, outcome -> {});
             play(moment);
-            checkReach(moment, MOMENTS - 1);
+            checkGenerationAtEnds(moment, MOMENTS - 1);
             AcceptorId lost = lose(1);
-            replace(2, lost, process(4).acceptor());
-            replace(2, leaving, process(3).acceptor());
-            process(0).kill();
+            replace(2, lost, fleet.process(4).acceptor());
+            replace(2, leaving, fleet.process(3).acceptor());
+            fleet.process(0).kill();
             catchUp();
             change(4);
             catchUp();
             AcceptorId last = lose(2);
-            replace(3, last, process(2).acceptor());
+            replace(3, last, fleet.process(2).acceptor());
             change(2);
             fleet.history().checkEnd();
         }
     }
 
     @Test
-    void ofThreeAllAreLostOneAfterTheOther() {
+    void ofThreeAllAreLostInSuccession() {
         begin(5, 3);
         change(1);
         for (int index : new int[] {0, 1, 2}) {
             AcceptorId lost = lose(index);
             int successor = index < 2 ? index + 3 : index;
-            replace(index == 0 ? 2 : 3, lost, process(successor).acceptor());
+            replace(index == 0 ? 2 : 3, lost, fleet.process(successor).acceptor());
             catchUp();
             change(successor);
         }
-        Assertions.assertEquals(6, process(3).register().acceptors().generation());
+        Assertions.assertEquals(6, fleet.process(3).register().acceptors().generation());
         fleet.history().checkEnd();
     }
 
     @Test
-    void ofFiveTwoAreLostAtOnceInTheWindowAndThenTwoMore() {
+    void ofFiveTwoAreLostDuringAReconfigurationAndThenTwoMore() {
         for (int moment = 0; moment < MOMENTS; moment += 3) {
             begin(7, 5);
             change(1);
-            AcceptorId leaving = process(0).acceptor();
-            List<AcceptorId> wanted = new ArrayList<>(List.of(process(5).acceptor()));
-            for (int index = 1; index < 5; index++) {
-                wanted.add(process(index).acceptor());
-            }
-            fleet.replace(process(1), 0, wanted, PATIENCE, outcome -> {});
+            AcceptorId leaving = fleet.process(0).acceptor();
+            List<AcceptorId> target = fleet.acceptors(5, 1, 2, 3, 4);
+            fleet.reconfigure(fleet.process(1), 0, target, TIMEOUT_MS, outcome -> {});
             play(moment);
-            checkReach(moment, MOMENTS - 3);
+            checkGenerationAtEnds(moment, MOMENTS - 3);
             AcceptorId first = lose(1);
             AcceptorId second = lose(2);
-            replace(3, first, process(1).acceptor());
-            replace(3, second, process(6).acceptor());
-            replace(3, leaving, process(5).acceptor());
-            process(0).kill();
+            replace(3, first, fleet.process(1).acceptor());
+            replace(3, second, fleet.process(6).acceptor());
+            replace(3, leaving, fleet.process(5).acceptor());
+            fleet.process(0).kill();
             catchUp();
             change(1);
             catchUp();
             AcceptorId third = lose(3);
             AcceptorId fourth = lose(4);
-            replace(6, third, process(3).acceptor());
-            replace(6, fourth, process(2).acceptor());
+            replace(6, third, fleet.process(3).acceptor());
+            replace(6, fourth, fleet.process(2).acceptor());
             change(2);
             fleet.history().checkEnd();
         }
     }
 
-    /** Everything that tells the newcomer is lost while the set changes: the next sweep brings the value. */
+    /** All messages to the joining acceptor are lost during the reconfiguration: anti-entropy delivers the value. */
     @Test
-    void aNewcomerThatHeardNothingHasTheValueAfterASweep() {
+    void joiningAcceptorThatMissedTheValueGetsItByAntiEntropy() {
         begin(4, 3);
         change(1);
-        fleet.network().cut(process(0).address(), process(3).address());
-        fleet.network().cut(process(1).address(), process(3).address());
-        fleet.network().cut(process(2).address(), process(3).address());
-        fleet.replace(
-                process(1),
-                0,
-                List.of(process(3).acceptor(), process(1).acceptor(), process(2).acceptor()),
-                PATIENCE,
-                outcome -> {});
-        while (process(1).register().acceptors().generation() < 2) {
+        fleet.network().block(fleet.process(0).address(), fleet.process(3).address());
+        fleet.network().block(fleet.process(1).address(), fleet.process(3).address());
+        fleet.network().block(fleet.process(2).address(), fleet.process(3).address());
+        fleet.reconfigure(fleet.process(1), 0, fleet.acceptors(3, 1, 2), TIMEOUT_MS, outcome -> {});
+        while (fleet.process(1).register().acceptors().generation() < 2) {
             Assertions.assertTrue(fleet.events().playOne(Double.MAX_VALUE));
         }
-        Assertions.assertNull(process(3).register().chosenValue());
+        Assertions.assertNull(fleet.process(3).register().chosenValue());
         fleet.network().heal();
         catchUp();
     }
--- a/consensus/src/test/java/dewplank/register/VersionHistory.java
+++ b/consensus/src/test/java/dewplank/register/VersionHistory.java
@@ -4,10 +4,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The payload of the simulation: the numbers of the changes taken, in their order. */
+/** The payload of the simulation: the numbers of the changes applied, in their order. */
 final class VersionHistory {
-    static final String TAKEN = "taken";
-    static final String REFUSED = "refused";
+    static final String APPLIED = "applied";
+    static final String REJECTED = "rejected";
 
     private VersionHistory() {}
 
@@ -27,16 +27,16 @@
         return versions.isEmpty() ? 0 : versions.get(versions.size() - 1);
     }
 
-    /** A change that is taken once, and only on top of its base. */
+    /** A change that is applied once, and only on top of its base. */
     static Change change(int version, int base) {
         return payload -> {
             if (read(payload).contains(version)) {
-                return new Decision(null, TAKEN);
+                return new Decision(null, APPLIED);
             }
             if (newest(payload) != base) {
-                return new Decision(null, REFUSED);
+                return new Decision(null, REJECTED);
             }
-            return new Decision(append(payload, version), TAKEN);
+            return new Decision(append(payload, version), APPLIED);
         };
     }
 
