--- a/consensus/src/main/java/dewplank/register/AntiEntropy.java
+++ b/consensus/src/main/java/dewplank/register/AntiEntropy.java
@@ -7,7 +7,7 @@
 
 /**
  * Periodic anti-entropy: queries the status of all acceptors, announces the newest chosen value to those that lack it,
- * and from the same reports tells whether a quorum answers. {@link Register} calls it on its own thread.
+ * and derives from the same reports when a quorum last answered. {@link Register} calls it on its own thread.
  */
 final class AntiEntropy {
     /** The fixed fraction of the period between two runs; the rest is jitter, so that processes do not synchronise. */
