--- /dev/null
+++ b/controlplane/src/main/java/dewplank/controlplane/ConfigurationCalls.java
@@ -0,0 +1,116 @@
+package dewplank.controlplane;
+
+import dewplank.configuration.ChangeRequest;
+import dewplank.configuration.ChangeResult;
+import dewplank.configuration.ConfigurationDocument;
+import dewplank.configuration.InvalidConfigurationException;
+import dewplank.exchange.InboundConnection;
+import dewplank.register.Outcome;
+import dewplank.settings.ResultCode;
+import java.util.function.Consumer;
+
+/**
+ * Operators' reads and changes of the configuration: turns a call into a request of the register, and its outcome into
+ * a numbered result. Called by {@link OperatorApi}, on the loop's thread only.
+ */
+final class ConfigurationCalls {
+    /** Callers move on after a second without a response. */
+    private static final double CHANGE_TIMEOUT_MS = 850;
+
+    private static final double READ_TIMEOUT_MS = 850;
+    /** Callers give a large body more time, and parsing and storing it takes more. */
+    private static final double LARGE_CHANGE_TIMEOUT_MS = 1_500;
+
+    private static final int LARGE_CHANGE_BYTES = 64 * 1024;
+
+    private final OperatorApi.Configurations configurations;
+
+    ConfigurationCalls(OperatorApi.Configurations configurations) {
+        this.configurations = configurations;
+    }
+
+    /** Reads the newest configuration at a quorum. */
+    void read(Consumer<OperatorResponse> respond) {
+        configurations.read(READ_TIMEOUT_MS, outcome -> respond.accept(responseToRead(outcome)));
+    }
+
+    /**
+     * Changes the configuration.
+     *
+     * @param patch whether the body is a patch; a whole configuration otherwise
+     * @throws RejectedCallException if the call does not name the version that it builds on
+     */
+    void change(InboundConnection.Request request, boolean patch, Consumer<OperatorResponse> respond)
+            throws RejectedCallException {
+        long baseVersion = baseVersion(request.headers().get("If-Match"));
+        ChangeRequest change = new ChangeRequest(patch, baseVersion, request.body());
+        double withinMs = request.body().length > LARGE_CHANGE_BYTES ? LARGE_CHANGE_TIMEOUT_MS : CHANGE_TIMEOUT_MS;
+        configurations.change(change, withinMs, outcome -> respond.accept(responseToChange(outcome)));
+    }
+
+    /** The version that If-Match names, with or without quotes. */
+    private static long baseVersion(String ifMatch) throws RejectedCallException {
+        if (ifMatch == null) {
+            throw new RejectedCallException(
+                    ResultCode.IF_MATCH_MISSING, "If-Match has to give the version that the change builds on");
+        }
+        long version;
+        try {
+            version = Long.parseLong(ifMatch.replace("\"", "").strip());
+        } catch (NumberFormatException e) {
+            version = -1;
+        }
+        if (version < 0) {
+            throw new RejectedCallException(
+                    ResultCode.IF_MATCH_MALFORMED, "If-Match should be a version, a whole number");
+        }
+        return version;
+    }
+
+    private static OperatorResponse responseToRead(Outcome outcome) {
+        if (!(outcome instanceof Outcome.Confirmed confirmed)) {
+            return noQuorum(outcome);
+        }
+        ConfigurationDocument document = ConfigurationDocument.decode(
+                confirmed.value() == null ? null : confirmed.value().payload());
+        return document.configuration() == null
+                ? OperatorResponse.result(ResultCode.NO_CONFIGURATION, "no configuration has been taken yet")
+                : OperatorResponse.document(document.configuration().json());
+    }
+
+    private static OperatorResponse noQuorum(Outcome outcome) {
+        return OperatorResponse.result(ResultCode.NO_QUORUM, ((Outcome.Unknown) outcome).reason());
+    }
+
+    private static OperatorResponse responseToChange(Outcome outcome) {
+        return outcome instanceof Outcome.Confirmed confirmed
+                ? responseTo((ChangeResult) confirmed.answer())
+                : noQuorum(outcome);
+    }
+
+    private static OperatorResponse responseTo(ChangeResult result) {
+        if (result instanceof ChangeResult.Accepted) {
+            return OperatorResponse.result(ResultCode.OK, "");
+        }
+        if (result instanceof ChangeResult.AlreadyAccepted) {
+            return OperatorResponse.result(ResultCode.ALREADY_TAKEN, "");
+        }
+        if (result instanceof ChangeResult.VersionMismatch mismatch) {
+            return OperatorResponse.result(
+                    ResultCode.VERSION_MISMATCH,
+                    "version " + mismatch.current() + " is in place",
+                    JsonText.plain("version", mismatch.current()));
+        }
+        if (result instanceof ChangeResult.HistoryExpired expired) {
+            return OperatorResponse.result(
+                    ResultCode.BEYOND_HISTORY,
+                    "changes on versions below " + expired.oldestBase() + " are no longer remembered");
+        }
+        InvalidConfigurationException error = ((ChangeResult.Invalid) result).error();
+        return OperatorResponse.result(
+                ResultCode.INVALID_CONFIGURATION,
+                error.getMessage(),
+                JsonText.field("reason", error.reason().name()),
+                JsonText.field("key", error.key()));
+    }
+}
