--- a/messages/src/test/java/dewplank/message/FramedConnectionTest.java
+++ b/messages/src/test/java/dewplank/message/FramedConnectionTest.java
@@ -31,15 +31,15 @@
     private EventLoop loop;
     private Listener listener;
     private final MessageCodec codec = FleetMessages.codec();
-    private final Heard here = new Heard();
-    private final Heard there = new Heard();
+    private final RecordingHandler local = new RecordingHandler();
+    private final RecordingHandler remote = new RecordingHandler();
 
-    /** What one end has heard. */
-    private static final class Heard implements MessageLink.Handler {
+    /** Records the events of one end. */
+    private static final class RecordingHandler implements MessageLink.Handler {
         private final BlockingQueue<FramedConnection> opened = new LinkedBlockingQueue<>();
         private final BlockingQueue<Object> messages = new LinkedBlockingQueue<>();
         private final BlockingQueue<FramedConnection> closed = new LinkedBlockingQueue<>();
-        private volatile boolean endsAtOnce;
+        private volatile boolean closesOnMessage;
 
         @Override
         public void opened(MessageLink connection) {
@@ -49,7 +49,7 @@
         @Override
         public void received(MessageLink connection, Object message) {
             messages.add(message);
-            if (endsAtOnce) {
+            if (closesOnMessage) {
                 connection.close();
             }
         }
@@ -71,18 +71,18 @@
     }
 
     @BeforeEach
-    void begin() throws IOException {
+    void startLoopAndListener() throws IOException {
         loop = new EventLoop();
         listener = new Listener(
                 loop,
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                 10,
-                () -> new FramedConnection(codec, there));
+                () -> new FramedConnection(codec, remote));
         loop.execute(listener::accept);
     }
 
     @AfterEach
-    void end() {
+    void stopLoop() {
         loop.stop();
     }
 
@@ -91,10 +91,10 @@
     }
 
     private FramedConnection open(InetSocketAddress to, double timeoutMs) throws Exception {
-        return OnLoop.get(loop, () -> FramedConnection.open(loop, to, timeoutMs, codec, here));
+        return OnLoop.get(loop, () -> FramedConnection.open(loop, to, timeoutMs, codec, local));
     }
 
-    private static SessionHeartbeat question(long sequence) {
+    private static SessionHeartbeat heartbeat(long sequence) {
         return new SessionHeartbeat(sequence, 0, EndpointListVersion.NONE, 0);
     }
 
@@ -104,152 +104,152 @@
     }
 
     @Test
-    void messagesGoBothWaysInOrder() throws Exception {
+    void carriesMessagesBothWaysInOrder() throws Exception {
         FramedConnection dialled = open(address(), OPEN_MS);
-        assertEquals(dialled, Heard.next(here.opened));
-        FramedConnection accepted = Heard.next(there.opened);
+        assertEquals(dialled, RecordingHandler.next(local.opened));
+        FramedConnection accepted = RecordingHandler.next(remote.opened);
         byte[] large = new byte[1 << 20];
         OnLoop.run(loop, () -> {
-            dialled.send(question(1));
+            dialled.send(heartbeat(1));
             dialled.send(new FleetUpdate(large, 7, 0, null, null));
-            dialled.send(question(2));
-            accepted.send(question(3));
+            dialled.send(heartbeat(2));
+            accepted.send(heartbeat(3));
         });
-        assertEquals(1, there.nextSequence());
-        assertEquals(large.length, ((FleetUpdate) Heard.next(there.messages)).configuration.length);
-        assertEquals(2, there.nextSequence());
-        assertEquals(3, here.nextSequence());
+        assertEquals(1, remote.nextSequence());
+        assertEquals(large.length, ((FleetUpdate) RecordingHandler.next(remote.messages)).configuration.length);
+        assertEquals(2, remote.nextSequence());
+        assertEquals(3, local.nextSequence());
         assertTrue(OnLoop.get(loop, () -> dialled.isOpen() && accepted.isOpen()));
     }
 
     @Test
-    void anEndIsToldOnceAtBothEnds() throws Exception {
+    void notifiesBothEndsOfACloseOnce() throws Exception {
         FramedConnection dialled = open(address(), OPEN_MS);
-        Heard.next(here.opened);
-        FramedConnection accepted = Heard.next(there.opened);
+        RecordingHandler.next(local.opened);
+        FramedConnection accepted = RecordingHandler.next(remote.opened);
         OnLoop.run(loop, () -> {
             dialled.close();
             dialled.close();
         });
-        assertEquals(dialled, Heard.next(here.closed));
-        assertEquals(accepted, Heard.next(there.closed));
+        assertEquals(dialled, RecordingHandler.next(local.closed));
+        assertEquals(accepted, RecordingHandler.next(remote.closed));
         OnLoop.run(loop, () -> {
-            dialled.send(question(1)); // lost
-            accepted.send(question(2));
+            dialled.send(heartbeat(1)); // lost
+            accepted.send(heartbeat(2));
             accepted.close();
         });
         assertTrue(OnLoop.get(loop, () -> dialled.isClosed() && accepted.isClosed() && !dialled.isOpen()));
-        assertTrue(here.closed.isEmpty() && there.closed.isEmpty());
-        assertTrue(here.messages.isEmpty() && there.messages.isEmpty());
+        assertTrue(local.closed.isEmpty() && remote.closed.isEmpty());
+        assertTrue(local.messages.isEmpty() && remote.messages.isEmpty());
     }
 
     @Test
-    void nothingIsSentBeforeItIsOpenNorRemembered() throws Exception {
-        OnLoop.run(loop, () -> FramedConnection.open(loop, address(), OPEN_MS, codec, here)
-                .send(question(1)));
-        FramedConnection dialled = Heard.next(here.opened);
-        OnLoop.run(loop, () -> dialled.send(question(2)));
-        assertEquals(2, there.nextSequence());
+    void dropsMessagesSentBeforeItIsOpen() throws Exception {
+        OnLoop.run(loop, () -> FramedConnection.open(loop, address(), OPEN_MS, codec, local)
+                .send(heartbeat(1)));
+        FramedConnection dialled = RecordingHandler.next(local.opened);
+        OnLoop.run(loop, () -> dialled.send(heartbeat(2)));
+        assertEquals(2, remote.nextSequence());
     }
 
     @Test
-    void oneThatCannotBeOpenedIsToldOf() throws Exception {
+    void notifiesOfARefusedConnection() throws Exception {
         InetSocketAddress nobody;
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             nobody = (InetSocketAddress) socket.getLocalSocketAddress();
         }
         FramedConnection refused = open(nobody, 30);
-        assertEquals(refused, Heard.next(here.closed));
+        assertEquals(refused, RecordingHandler.next(local.closed));
         OnLoop.pass(loop, 30);
-        assertTrue(here.closed.isEmpty(), "told once, not at its time-out too");
-        assertTrue(here.opened.isEmpty());
+        assertTrue(local.closed.isEmpty(), "notified once, not at its time-out too");
+        assertTrue(local.opened.isEmpty());
     }
 
     @Test
-    void oneThatDoesNotComeUpInTimeIsGivenUp() throws Exception {
+    void closesWhenItIsNotEstablishedInTime() throws Exception {
         try (ScriptedServer late = ScriptedServer.late(new LinkedBlockingQueue<>())) {
             FramedConnection given = open(late.address(), 30);
-            assertEquals(given, Heard.next(here.closed));
+            assertEquals(given, RecordingHandler.next(local.closed));
             late.letIn();
             assertTrue(OnLoop.get(loop, given::isClosed));
-            assertTrue(here.opened.isEmpty());
+            assertTrue(local.opened.isEmpty());
         }
     }
 
     @Test
-    void oneThatIsEndedBeforeItComesUpIsNeverOpened() throws Exception {
+    void isNeverOpenedWhenClosedBefore() throws Exception {
         try (ScriptedServer late = ScriptedServer.late(new LinkedBlockingQueue<>())) {
             FramedConnection given = open(late.address(), OPEN_MS);
             OnLoop.run(loop, given::close);
-            assertEquals(given, Heard.next(here.closed));
+            assertEquals(given, RecordingHandler.next(local.closed));
             late.letIn();
             late.nextConnection().awaitEnd();
             late.nextConnection().awaitEnd(); // the crowd's
             OnLoop.run(loop, () -> {});
-            assertTrue(here.opened.isEmpty());
+            assertTrue(local.opened.isEmpty());
         }
     }
 
     @Test
-    void messagesInPiecesAndBunchesAreTakenOneByOne() throws Exception {
+    void decodesSplitAndCoalescedMessagesOneByOne() throws Exception {
         Wire peer = Wire.to(address());
-        String first = text(question(1));
+        String first = text(heartbeat(1));
         peer.send(first.substring(0, 3));
-        Heard.next(there.opened);
-        peer.send(first.substring(3) + text(question(2)) + text(question(3)).substring(0, 6));
-        assertEquals(1, there.nextSequence());
-        assertEquals(2, there.nextSequence());
-        peer.send(text(question(3)).substring(6));
-        assertEquals(3, there.nextSequence());
+        RecordingHandler.next(remote.opened);
+        peer.send(first.substring(3) + text(heartbeat(2)) + text(heartbeat(3)).substring(0, 6));
+        assertEquals(1, remote.nextSequence());
+        assertEquals(2, remote.nextSequence());
+        peer.send(text(heartbeat(3)).substring(6));
+        assertEquals(3, remote.nextSequence());
     }
 
     @Test
-    void aBadFrameEndsTheConnection() throws Exception {
+    void closesOnACorruptFrame() throws Exception {
         for (String noise : List.of("GET / HTTP/1.1\r\n\r\n", "\0\0\0\0\177", "\377\377\377\377\0")) {
             Wire peer = Wire.to(address());
-            peer.send(text(question(1)) + noise + text(question(2)));
-            assertEquals(1, there.nextSequence(), "what came before it counts");
-            assertEquals(Heard.next(there.opened), Heard.next(there.closed));
+            peer.send(text(heartbeat(1)) + noise + text(heartbeat(2)));
+            assertEquals(1, remote.nextSequence(), "what came before it counts");
+            assertEquals(RecordingHandler.next(remote.opened), RecordingHandler.next(remote.closed));
             assertEquals("", peer.readToEnd());
-            assertNull(there.messages.poll());
+            assertNull(remote.messages.poll());
         }
     }
 
     @Test
-    void whoEndsWithinAMessageHearsNoFurtherOne() throws Exception {
-        there.endsAtOnce = true;
+    void aHandlerThatClosesReceivesNoFurtherMessage() throws Exception {
+        remote.closesOnMessage = true;
         Wire peer = Wire.to(address());
-        peer.send(text(question(1)) + text(question(2)));
-        Heard.next(there.closed);
-        assertEquals(1, there.nextSequence());
-        assertTrue(there.messages.isEmpty());
-        assertTrue(there.closed.isEmpty());
+        peer.send(text(heartbeat(1)) + text(heartbeat(2)));
+        RecordingHandler.next(remote.closed);
+        assertEquals(1, remote.nextSequence());
+        assertTrue(remote.messages.isEmpty());
+        assertTrue(remote.closed.isEmpty());
     }
 
-    /** A peer that reads nothing: what waits for it is bounded. */
+    /** A peer that reads nothing: the bytes that wait for it are bounded. */
     @Test
-    void aPeerThatIsStuckIsLeft() throws Exception {
+    void closesWhenAPeerIsStuck() throws Exception {
         try (ScriptedServer stuck = ScriptedServer.raw()) {
             FramedConnection dialled = open(stuck.address(), OPEN_MS);
-            Heard.next(here.opened);
+            RecordingHandler.next(local.opened);
             FleetUpdate large = new FleetUpdate(new byte[4 << 20], 1, 0, null, null);
             for (int i = 0; i < 40 && !OnLoop.get(loop, dialled::isClosed); i++) {
                 OnLoop.run(loop, () -> dialled.send(large));
             }
             assertTrue(OnLoop.get(loop, dialled::isClosed));
-            assertEquals(dialled, Heard.next(here.closed));
+            assertEquals(dialled, RecordingHandler.next(local.closed));
             assertFalse(OnLoop.get(loop, dialled::isOpen));
         }
     }
 
     @Test
-    void bytesThatHaveGoneOutDoNotCount() throws Exception {
+    void sentBytesDoNotCountAsUnsent() throws Exception {
         FramedConnection dialled = open(address(), OPEN_MS);
-        Heard.next(here.opened);
+        RecordingHandler.next(local.opened);
         ByteBuffer frame = codec.encode(new FleetUpdate(new byte[4 << 20], 1, 0, null, null));
-        for (int i = 0; i < 12; i++) { // more than may wait at once
+        for (int i = 0; i < 12; i++) { // more than may be unsent at once
             OnLoop.run(loop, () -> dialled.send(frame.duplicate()));
-            Heard.next(there.messages);
+            RecordingHandler.next(remote.messages);
         }
         assertTrue(OnLoop.get(loop, dialled::isOpen));
     }
--- a/messages/src/test/java/dewplank/message/MessageCodecTest.java
+++ b/messages/src/test/java/dewplank/message/MessageCodecTest.java
@@ -33,7 +33,7 @@
 import org.junit.jupiter.api.Test;
 
 class MessageCodecTest {
-    private static final int MORE_THAN_A_FRAME = MessageCodec.MAX_BODY_BYTES + 1;
+    private static final int ABOVE_MAX_BODY_BYTES = MessageCodec.MAX_BODY_BYTES + 1;
 
     private final MessageCodec codec = FleetMessages.codec();
 
@@ -47,11 +47,11 @@
     // ---- all kinds ------------------------------------------------------------------------------------
 
     @Test
-    void allKindsOfMessagesAreKnown() {
-        Set<Class<?>> known = new HashSet<>();
-        Messages.kinds().forEach(m -> known.add(m.getClass()));
-        assertTrue(known.containsAll(RegisterMessages.TYPES));
-        assertTrue(known.containsAll(List.of(
+    void knowsAllTypesOfMessages() {
+        Set<Class<?>> types = new HashSet<>();
+        Messages.kinds().forEach(m -> types.add(m.getClass()));
+        assertTrue(types.containsAll(RegisterMessages.TYPES));
+        assertTrue(types.containsAll(List.of(
                 VoteRequest.class,
                 VoteReply.class,
                 ControlHello.class,
@@ -65,7 +65,7 @@
 
     /** The numbers on the wire are those of the version before: kinds are added at the end. */
     @Test
-    void theNumbersOfKindsStay() {
+    void numbersTypesInAFixedOrder() {
         List<String> names =
                 Messages.kinds().stream().map(m -> m.getClass().getSimpleName()).toList();
         assertEquals(
@@ -92,10 +92,10 @@
 
     /** Encoded one behind another, cut anywhere, decoded: equal field by field and in order. */
     @Property(tries = 300)
-    void messagesComeBackAsTheyWereHoweverTheyAreCut(
+    void decodesWhatWasEncodedHoweverItIsSplit(
             @ForAll long seed,
             @ForAll @IntRange(min = 1, max = 6) int count,
-            @ForAll @IntRange(min = 1, max = 2_000) int mostPiece)
+            @ForAll @IntRange(min = 1, max = 2_000) int maxChunkBytes)
             throws Exception {
         Random random = new Random(seed);
         List<Object> kinds = Messages.kinds();
@@ -110,12 +110,12 @@
         MessageCodec.Decoder reader = codec.newDecoder();
         byte[] bytes = Arrays.copyOf(all.array(), all.position());
         for (int at = 0; at < bytes.length; ) {
-            int end = Math.min(bytes.length, at + 1 + random.nextInt(mostPiece));
-            ByteBuffer piece = ByteBuffer.wrap(bytes, at, end - at);
-            for (Object m = reader.decode(piece); m != null; m = reader.decode(piece)) {
+            int end = Math.min(bytes.length, at + 1 + random.nextInt(maxChunkBytes));
+            ByteBuffer chunk = ByteBuffer.wrap(bytes, at, end - at);
+            for (Object m = reader.decode(chunk); m != null; m = reader.decode(chunk)) {
                 received.add(m);
             }
-            assertFalse(piece.hasRemaining());
+            assertFalse(chunk.hasRemaining());
             at = end;
         }
         assertEquals(sent.size(), received.size());
@@ -135,7 +135,7 @@
     }
 
     @Property(tries = 20)
-    void eachKindComesBackAsItWas(@ForAll long seed) throws Exception {
+    void decodesEachTypeAsEncoded(@ForAll long seed) throws Exception {
         Random random = new Random(seed);
         for (Object kind : Messages.kinds()) {
             Object message = withoutEmptyMembers(Messages.drawn(kind, random));
@@ -148,7 +148,7 @@
     // ---- what must not get lost -----------------------------------------------------------------------
 
     @Test
-    void listsThatAreEmptyComeBackEmptyAndNotAsNothing() throws Exception {
+    void decodesEmptyListsAsEmptyAndNotAsNull() throws Exception {
         assertEquals(List.of(), roundTrip(new EndpointList(new EndpointListVersion(3, 4), List.of())).endpoints);
         assertEquals(List.of(), roundTrip(new HeartbeatAck(1, true, List.of())).controlAddresses);
         ControlHeartbeat told = roundTrip(new ControlHeartbeat(1, List.of(), List.of()));
@@ -163,7 +163,7 @@
     }
 
     @Test
-    void aRegisterValueComesBackEqual() throws Exception {
+    void decodesAnEqualRegisterValue() throws Exception {
         AcceptorId a = new AcceptorId("10.0.0.1:1", "founder@10.0.0.1:1");
         AcceptorId b = new AcceptorId("10.0.0.2:1", "");
         byte[] large = new byte[4 << 20];
@@ -189,7 +189,7 @@
     }
 
     @Test
-    void everyVoteComesBackAsItWas() throws Exception {
+    void decodesEveryKindOfVoteRequest() throws Exception {
         for (VoteRequest.Kind kind : VoteRequest.Kind.values()) {
             VoteRequest request = roundTrip(new VoteRequest(kind, "list", "n1/5", "disk", 17, 4, 3));
             assertEquals(kind, request.kind());
@@ -203,7 +203,7 @@
     }
 
     @Test
-    void aListOfThousandsOfServersComesBack() throws Exception {
+    void decodesAListOfThousandsOfEndpoints() throws Exception {
         List<Endpoint> servers = new ArrayList<>();
         for (int i = 0; i < 10_000; i++) {
             servers.add(new Endpoint(
@@ -233,21 +233,21 @@
     }
 
     @Test
-    void aMessageThatCannotBeEncodedSpoilsNoOther() throws Exception {
+    void encodesAfterAMessageItCannotEncode() throws Exception {
         assertThrows(RuntimeException.class, () -> codec.encode("no message"));
         assertEquals(5, roundTrip(new SessionHeartbeat(5, 0, EndpointListVersion.NONE, 0)).sequence);
     }
 
-    // ---- bad frames -----------------------------------------------------------------------------------
+    // ---- corrupt frames -----------------------------------------------------------------------------------
 
     @Test
-    void framesOfNoUseAreTold() {
+    void rejectsUnknownTypesAndInvalidLengths() {
         int kinds = Messages.kinds().size();
         for (int number : new int[] {kinds, 127, -1, -128}) {
             assertThrows(
                     CorruptFrameException.class, () -> codec.newDecoder().decode(Messages.frame(number, new byte[0])));
         }
-        for (int length : new int[] {-1, Integer.MIN_VALUE, Integer.MAX_VALUE, MORE_THAN_A_FRAME}) {
+        for (int length : new int[] {-1, Integer.MIN_VALUE, Integer.MAX_VALUE, ABOVE_MAX_BODY_BYTES}) {
             ByteBuffer head =
                     ByteBuffer.allocate(5).putInt(length).put((byte) 0).flip();
             assertThrows(CorruptFrameException.class, () -> codec.newDecoder().decode(head), "length " + length);
@@ -255,7 +255,7 @@
     }
 
     @Test
-    void aFrameOfTheLongestLengthIsWaitedFor() throws Exception {
+    void waitsForABodyOfTheMaximumLength() throws Exception {
         ByteBuffer head = ByteBuffer.allocate(5)
                 .putInt(MessageCodec.MAX_BODY_BYTES)
                 .put((byte) 0)
@@ -264,7 +264,7 @@
     }
 
     @Test
-    void aFrameThatIsNotWholeIsNoMessage() throws Exception {
+    void waitsForIncompleteFrames() throws Exception {
         ByteBuffer frame = codec.encode(new HeartbeatAck(5, true, List.of("a", "b")));
         for (int length = 0; length < frame.limit(); length++) {
             MessageCodec.Decoder reader = codec.newDecoder();
@@ -274,15 +274,15 @@
         }
     }
 
-    /** Whatever a body holds, it is a message or told as bad, and never an error. */
+    /** Any body is decoded or rejected as corrupt, and never an error. */
     @Property(tries = 400)
-    void anyBodyIsAMessageOrTold(@ForAll @IntRange(min = 0, max = 16) int number, @ForAll @Size(max = 60) byte[] body) {
-        assertIsMessageOrTold(number, body);
+    void decodesOrRejectsAnyBody(@ForAll @IntRange(min = 0, max = 16) int number, @ForAll @Size(max = 60) byte[] body) {
+        assertDecodesOrRejects(number, body);
     }
 
     /** The same close to real messages: bytes changed, cut out or repeated. */
     @Property(tries = 400)
-    void aSpoiltMessageIsAMessageOrTold(@ForAll long seed) throws Exception {
+    void decodesOrRejectsACorruptedMessage(@ForAll long seed) throws Exception {
         Random random = new Random(seed);
         List<Object> kinds = Messages.kinds();
         int number = random.nextInt(kinds.size());
@@ -295,10 +295,10 @@
                 default -> body = Arrays.copyOfRange(body, random.nextInt(body.length), body.length);
             }
         }
-        assertIsMessageOrTold(number, body);
+        assertDecodesOrRejects(number, body);
     }
 
-    private void assertIsMessageOrTold(int number, byte[] body) {
+    private void assertDecodesOrRejects(int number, byte[] body) {
         try {
             assertNotNull(codec.newDecoder().decode(Messages.frame(number, body)));
         } catch (CorruptFrameException e) {
@@ -310,7 +310,7 @@
 
     /** Lengths within a body that lie beyond all memory. */
     @Test
-    void lengthsBeyondTheBodyAreTold() {
+    void rejectsLengthsBeyondTheBody() {
         List<Object> kinds = Messages.kinds();
         byte[] length = {-1, -1, -1, -1, 7}; // the largest number, as a varint
         for (int number = 0; number < kinds.size(); number++) {
@@ -321,7 +321,7 @@
                         .put((byte) 0)
                         .put((byte) 0)
                         .array();
-                assertIsMessageOrTold(number, body);
+                assertDecodesOrRejects(number, body);
             }
         }
     }
--- a/messages/src/test/java/dewplank/message/Messages.java
+++ b/messages/src/test/java/dewplank/message/Messages.java
@@ -13,7 +13,7 @@
 
 /** Fills messages of any kind with drawn values and compares them field by field, so that a new kind is tested too. */
 final class Messages {
-    private static final int MOST_ELEMENTS = 4;
+    private static final int MAX_ELEMENTS = 4;
     private static final String[] TEXTS = {"", "a", "10.0.0.1:80", "é∂\uD83D\uDE00\u0000", "x".repeat(3_000)};
     private static final long[] NUMBERS = {0, 1, -1, 127, 128, Integer.MAX_VALUE, Long.MAX_VALUE, Long.MIN_VALUE};
 
@@ -106,7 +106,7 @@
     private static List<Object> list(ParameterizedType generic, Random random) throws ReflectiveOperationException {
         Class<?> element = (Class<?>) generic.getActualTypeArguments()[0];
         List<Object> list = new ArrayList<>();
-        for (int count = random.nextInt(MOST_ELEMENTS); list.size() < count; ) {
+        for (int count = random.nextInt(MAX_ELEMENTS); list.size() < count; ) {
             Object value = value(element, element, random);
             if (value != null) { // no list of ours holds a hole
                 list.add(value);
--- a/store/src/test/java/dewplank/store/AcceptorStoreTest.java
+++ b/store/src/test/java/dewplank/store/AcceptorStoreTest.java
@@ -17,23 +17,23 @@
 class AcceptorStoreTest {
     private static final Path DIRECTORY = Path.of("data");
     private static final Path FILE = DIRECTORY.resolve("acceptor.mv");
-    private static final long ROOM = 64L << 20;
-    private static final int LARGE = 120_000;
-    private static final int LARGEST = 200_000;
+    private static final long DISK_QUOTA_BYTES = 64L << 20;
+    private static final int LARGE_VALUE_BYTES = 120_000;
+    private static final int LARGEST_VALUE_BYTES = 200_000;
 
-    /** The longest file, one save beyond it, and the file that is begun anew: two values in each state. */
-    private static final long LONGEST_FILES = (8L << 20) + 5 * LARGEST;
+    /** The largest file, one save beyond it, and the file of a rewrite: two values in each state. */
+    private static final long MAX_FILES_BYTES = (8L << 20) + 5 * LARGEST_VALUE_BYTES;
 
     private static final int LARGE_SAVES = 2000;
 
-    /** Twenty of each 250 saves meet a full disk, and the last of each 500 is torn. */
-    private static final int LARGE_REFUSED = LARGE_SAVES / 250 * 20 + LARGE_SAVES / 500;
+    /** Of each 250 saves 20 meet a full disk, and the last of each 500 is torn. */
+    private static final int EXPECTED_FAILED_SAVES = LARGE_SAVES / 250 * 20 + LARGE_SAVES / 500;
 
     private final MemoryFiles files = new MemoryFiles();
     private final SplittableRandom random = new SplittableRandom(7);
 
     private AcceptorStore open() throws StoreException {
-        return AcceptorStore.open(DIRECTORY, files, ROOM);
+        return AcceptorStore.open(DIRECTORY, files, DISK_QUOTA_BYTES);
     }
 
     private static RegisterValue value(long revision, int length) {
@@ -65,22 +65,22 @@
     }
 
     @Test
-    void aNewDiskGetsAnIdentityThatLasts() throws StoreException {
+    void aNewDiskGetsADurableIdentity() throws StoreException {
         AcceptorStore first = open();
         Assertions.assertTrue(first.isNew());
         files.losePower(MemoryFiles.Unsynced.GONE, random);
-        AcceptorStore again = open();
-        Assertions.assertFalse(again.isNew());
-        assertSame(first.recovered(), again.recovered());
+        AcceptorStore reopened = open();
+        Assertions.assertFalse(reopened.isNew());
+        assertSame(first.recovered(), reopened.recovered());
         Assertions.assertNotEquals(
                 first.recovered().identity(),
-                AcceptorStore.open(DIRECTORY, new MemoryFiles(), ROOM)
+                AcceptorStore.open(DIRECTORY, new MemoryFiles(), DISK_QUOTA_BYTES)
                         .recovered()
                         .identity());
     }
 
     @Test
-    void aStateIsThereAfterAKill() throws StoreException {
+    void recoversTheStateAfterAKill() throws StoreException {
         AcceptorStore store = open();
         DurableState last = null;
         for (int round = 1; round < 20; round++) {
@@ -88,17 +88,17 @@
             store.save(last);
             store.saveFencingToken("fence", round);
         }
-        AcceptorStore again = open();
-        assertSame(last, again.recovered());
-        Assertions.assertEquals(Map.of("fence", 19L), again.fencingTokens());
+        AcceptorStore reopened = open();
+        assertSame(last, reopened.recovered());
+        Assertions.assertEquals(Map.of("fence", 19L), reopened.fencingTokens());
     }
 
     @Test
-    void aPromiseDoesNotWriteTheValueAgain() throws StoreException {
+    void aPromiseDoesNotRewriteTheValue() throws StoreException {
         AcceptorStore store = open();
-        DurableState large = state(store.recovered().identity(), 5, LARGE);
+        DurableState large = state(store.recovered().identity(), 5, LARGE_VALUE_BYTES);
         store.save(large);
-        long before = files.longest();
+        long before = files.maxTotalBytes();
         store.save(new DurableState(
                 large.identity(),
                 new Ballot(6, "p"),
@@ -106,22 +106,23 @@
                 large.acceptedValue(),
                 large.chosenBallot(),
                 large.chosenValue()));
-        Assertions.assertTrue(files.longest() - before < LARGE / 4, "grew by " + (files.longest() - before));
+        Assertions.assertTrue(
+                files.maxTotalBytes() - before < LARGE_VALUE_BYTES / 4, "grew by " + (files.maxTotalBytes() - before));
     }
 
     @Test
-    void whatWasSavedOutlivesEveryLossOfPower() throws StoreException {
+    void savedStatesSurvivePowerLossDuringTheNextSave() throws StoreException {
         for (int trial = 0; trial < 400; trial++) {
-            loseWhileSaving(trial);
+            losePowerDuringASave(trial);
         }
     }
 
     /** Some saves succeed, then power goes in the middle of the next: what lasts is the last or the next. */
-    private void loseWhileSaving(int trial) throws StoreException {
+    private void losePowerDuringASave(int trial) throws StoreException {
         MemoryFiles disk = new MemoryFiles();
         SplittableRandom drawn = new SplittableRandom(trial);
-        long room = trial % 2 == 0 ? ROOM : 200_000;
-        AcceptorStore store = AcceptorStore.open(DIRECTORY, disk, room);
+        long quotaBytes = trial % 2 == 0 ? DISK_QUOTA_BYTES : 200_000;
+        AcceptorStore store = AcceptorStore.open(DIRECTORY, disk, quotaBytes);
         DurableState saved = store.recovered();
         int saves = drawn.nextInt(30);
         for (int round = 1; round <= saves; round++) {
@@ -134,42 +135,43 @@
             store.save(next);
             saved = next;
         } catch (StoreException refused) {
-            // As meant: the power goes before the end.
+            // Intended: the power goes before the end.
         }
         disk.losePower(MemoryFiles.Unsynced.DRAWN, drawn);
-        DurableState found = AcceptorStore.open(DIRECTORY, disk, room).recovered();
+        DurableState found = AcceptorStore.open(DIRECTORY, disk, quotaBytes).recovered();
         boolean isNext = found.promisedBallot().equals(next.promisedBallot());
         assertSame(isNext ? next : saved, found);
     }
 
     @Test
-    void aFirstOpeningCutShortIsBegunAnew() throws StoreException {
+    void anInterruptedFirstOpeningIsRepeated() throws StoreException {
         for (int writes = 0; writes < 8; writes++) {
             MemoryFiles disk = new MemoryFiles();
             boolean opened = opensWith(disk, writes);
             disk.losePower(MemoryFiles.Unsynced.GONE, random);
             Assertions.assertEquals(
-                    !opened, AcceptorStore.open(DIRECTORY, disk, ROOM).isNew());
+                    !opened,
+                    AcceptorStore.open(DIRECTORY, disk, DISK_QUOTA_BYTES).isNew());
         }
     }
 
-    /** Its file may have come to its name just before, unsynced: then it is whole, and nobody has heard of it yet. */
+    /** Its file may have got its name just before, unsynced: then it is complete, and its identity has never voted. */
     @Test
-    void aFirstOpeningCutShortMayBeFoundWhole() throws StoreException {
+    void anInterruptedFirstOpeningMayBeFoundComplete() throws StoreException {
         for (int trial = 0; trial < 80; trial++) {
             MemoryFiles disk = new MemoryFiles();
             boolean opened = opensWith(disk, trial % 8);
             disk.losePower(MemoryFiles.Unsynced.DRAWN, random);
-            AcceptorStore again = AcceptorStore.open(DIRECTORY, disk, ROOM);
-            Assertions.assertFalse(opened && again.isNew());
-            assertSame(DurableState.fresh(again.recovered().identity()), again.recovered());
+            AcceptorStore reopened = AcceptorStore.open(DIRECTORY, disk, DISK_QUOTA_BYTES);
+            Assertions.assertFalse(opened && reopened.isNew());
+            assertSame(DurableState.fresh(reopened.recovered().identity()), reopened.recovered());
         }
     }
 
     private static boolean opensWith(MemoryFiles disk, int writes) {
         disk.failAfterWrites(writes);
         try {
-            AcceptorStore.open(DIRECTORY, disk, ROOM);
+            AcceptorStore.open(DIRECTORY, disk, DISK_QUOTA_BYTES);
             return true;
         } catch (StoreException refused) {
             return false;
@@ -177,7 +179,7 @@
     }
 
     @Test
-    void aFullDiskRefusesAndLaterSavesAgain() throws StoreException {
+    void savesAgainAfterTheDiskWasFull() throws StoreException {
         AcceptorStore store = open();
         String identity = store.recovered().identity();
         store.save(state(identity, 1, 100));
@@ -191,7 +193,7 @@
     }
 
     @Test
-    void afterAFailedSyncNothingRestsOnWhatWasWritten() throws StoreException {
+    void rewritesTheFileAfterAFailedSync() throws StoreException {
         AcceptorStore store = open();
         String identity = store.recovered().identity();
         store.save(state(identity, 1, 100));
@@ -204,31 +206,31 @@
     }
 
     /**
-     * A process that is killed in the middle of a save reads what the system still holds in memory. It may answer with
-     * that at once, so that a later loss of power must not take it back.
+     * A process that is killed in the middle of a save reads what the operating system still caches. It may answer with
+     * that at once, so that a later power loss must not take it back.
      */
     @Test
-    void whatIsFoundAfterAKillOutlivesALossOfPower() throws StoreException {
+    void whatIsRecoveredAfterAKillSurvivesAPowerLoss() throws StoreException {
         for (int trial = 0; trial < 400; trial++) {
             MemoryFiles disk = new MemoryFiles();
             SplittableRandom drawn = new SplittableRandom(trial);
-            long room = trial % 2 == 0 ? ROOM : 200_000;
-            AcceptorStore store = AcceptorStore.open(DIRECTORY, disk, room);
+            long quotaBytes = trial % 2 == 0 ? DISK_QUOTA_BYTES : 200_000;
+            AcceptorStore store = AcceptorStore.open(DIRECTORY, disk, quotaBytes);
             String identity = store.recovered().identity();
             for (int round = 1; round < 20; round++) {
                 store.save(state(identity, round, drawn.nextInt(6000)));
             }
             failOneSave(store, disk, drawn);
             disk.recoverWrites();
-            DurableState found = AcceptorStore.open(DIRECTORY, disk, room).recovered();
+            DurableState found = AcceptorStore.open(DIRECTORY, disk, quotaBytes).recovered();
             disk.losePower(trial % 3 == 0 ? MemoryFiles.Unsynced.GONE : MemoryFiles.Unsynced.DRAWN, drawn);
-            assertSame(found, AcceptorStore.open(DIRECTORY, disk, room).recovered());
+            assertSame(found, AcceptorStore.open(DIRECTORY, disk, quotaBytes).recovered());
         }
     }
 
-    /** A save that fails at any of its writes or syncs; a second may fail while the file is begun anew. */
+    /** A save that fails at any of its writes or syncs; a second may fail during the rewrite. */
     private static void failOneSave(AcceptorStore store, MemoryFiles disk, SplittableRandom drawn) {
-        for (int tries = drawn.nextInt(1, 3); tries > 0; tries--) {
+        for (int failures = drawn.nextInt(1, 3); failures > 0; failures--) {
             if (drawn.nextBoolean()) {
                 disk.failSyncs(true);
             } else {
@@ -244,47 +246,48 @@
     }
 
     @Test
-    void theFilesStayWithinTheirRoom() throws StoreException {
-        long room = 8L << 20;
-        AcceptorStore store = AcceptorStore.open(DIRECTORY, files, room);
+    void filesStayWithinTheirQuota() throws StoreException {
+        long quotaBytes = 8L << 20;
+        AcceptorStore store = AcceptorStore.open(DIRECTORY, files, quotaBytes);
         for (int round = 1; round < 400; round++) {
-            store.save(state(store.recovered().identity(), round, LARGE));
+            store.save(state(store.recovered().identity(), round, LARGE_VALUE_BYTES));
         }
-        Assertions.assertTrue(files.longest() < room / 2, "took " + files.longest());
-        assertSame(state(store.recovered().identity(), 399, LARGE), open().recovered());
+        Assertions.assertTrue(files.maxTotalBytes() < quotaBytes / 2, "took " + files.maxTotalBytes());
+        assertSame(state(store.recovered().identity(), 399, LARGE_VALUE_BYTES), open().recovered());
     }
 
-    /** Days of changes on a value as large as that of hundreds of routes, with every trouble a disk may have. */
+    /** Days of changes on a value as large as that of hundreds of routes, with every fault a disk may have. */
     @Test
-    void thousandsOfLargeSavesNeedNoMoreRoom() throws StoreException {
+    void thousandsOfLargeSavesStayWithinTheFileBound() throws StoreException {
         AcceptorStore store = open();
         String identity = store.recovered().identity();
         DurableState saved = store.recovered();
-        int refused = 0;
+        int failedSaves = 0;
         for (int round = 1; round <= LARGE_SAVES; round++) {
-            DurableState next = state(identity, round, LARGEST);
-            trouble(round);
+            DurableState next = state(identity, round, LARGEST_VALUE_BYTES);
+            injectFault(round);
             try {
                 store.save(next);
                 saved = next;
             } catch (StoreException full) {
-                refused++;
+                failedSaves++;
             }
             if (round % 250 == 0) {
-                endTrouble(round);
+                endFaults(round);
                 store = open();
                 boolean isNext = store.recovered().promisedBallot().equals(next.promisedBallot());
                 assertSame(isNext ? next : saved, store.recovered());
                 saved = store.recovered();
             }
         }
-        Assertions.assertEquals(LARGE_REFUSED, refused);
-        Assertions.assertTrue(files.longest() < LONGEST_FILES, "took " + files.longest());
-        System.out.println(LARGE_SAVES + " saves of " + LARGEST + " bytes took " + files.longest() + " bytes at most");
+        Assertions.assertEquals(EXPECTED_FAILED_SAVES, failedSaves);
+        Assertions.assertTrue(files.maxTotalBytes() < MAX_FILES_BYTES, "took " + files.maxTotalBytes());
+        System.out.println(LARGE_SAVES + " saves of " + LARGEST_VALUE_BYTES + " bytes took " + files.maxTotalBytes()
+                + " bytes at most");
     }
 
     /** Full for 20 saves in each 250, and in each second 250 a save torn just before the power goes. */
-    private void trouble(int round) {
+    private void injectFault(int round) {
         int within = round % 250;
         if (within == 100 || within == 120) {
             files.fill(within == 100);
@@ -293,7 +296,7 @@
         }
     }
 
-    private void endTrouble(int round) {
+    private void endFaults(int round) {
         if (round % 500 == 0) {
             files.losePower(MemoryFiles.Unsynced.DRAWN, random);
         } else {
@@ -302,21 +305,23 @@
     }
 
     @Test
-    void aStoreBeyondRepairIsToldAndKept() throws StoreException {
+    void reportsAndLeavesADamagedStore() throws StoreException {
         AcceptorStore store = open();
         store.save(state(store.recovered().identity(), 1, 100));
-        files.cut(FILE, 100);
+        files.truncate(FILE, 100);
         Assertions.assertThrows(StoreException.class, this::open);
         Assertions.assertTrue(files.exists(FILE));
     }
 
     @Test
-    void aRealDirectoryHoldsAState(@TempDir Path directory) throws StoreException {
-        AcceptorStore store = AcceptorStore.open(directory, new DiskFiles(), ROOM);
-        DurableState saved = state(store.recovered().identity(), 1, LARGE);
+    void savesToARealDirectory(@TempDir Path directory) throws StoreException {
+        AcceptorStore store = AcceptorStore.open(directory, new DiskFiles(), DISK_QUOTA_BYTES);
+        DurableState saved = state(store.recovered().identity(), 1, LARGE_VALUE_BYTES);
         store.save(saved);
         store.close();
-        assertSame(saved, AcceptorStore.open(directory, new DiskFiles(), ROOM).recovered());
+        assertSame(
+                saved,
+                AcceptorStore.open(directory, new DiskFiles(), DISK_QUOTA_BYTES).recovered());
         Assertions.assertTrue(Files.exists(directory.resolve("acceptor.mv")));
     }
 }
--- a/store/src/test/java/dewplank/store/MemoryFiles.java
+++ b/store/src/test/java/dewplank/store/MemoryFiles.java
@@ -15,7 +15,7 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** Files in memory with the facts of the fleet's disks: what is synced lasts, all else may be there, torn or gone. */
+/** Files in memory that fail like disks: what is synced survives a power loss, all else may be there, torn or gone. */
 final class MemoryFiles implements StoreFiles {
     /** What a loss of power does to a write that was not synced. */
     enum Unsynced {
@@ -30,26 +30,26 @@
 
     /** Bytes that grow without a copy at each write. */
     private static final class Bytes {
-        private byte[] room = new byte[0];
+        private byte[] buffer = new byte[0];
         private int length;
 
         void apply(Write write) {
             int position = (int) write.position;
             if (write.bytes == null) {
-                Arrays.fill(room, Math.min(position, length), length, (byte) 0);
+                Arrays.fill(buffer, Math.min(position, length), length, (byte) 0);
                 length = Math.min(position, length);
                 return;
             }
             int end = position + write.bytes.length;
-            if (end > room.length) {
-                room = Arrays.copyOf(room, Math.max(end, 2 * room.length));
+            if (end > buffer.length) {
+                buffer = Arrays.copyOf(buffer, Math.max(end, 2 * buffer.length));
             }
-            System.arraycopy(write.bytes, 0, room, position, write.bytes.length);
+            System.arraycopy(write.bytes, 0, buffer, position, write.bytes.length);
             length = Math.max(length, end);
         }
 
         void become(Bytes other) {
-            room = other.room.clone();
+            buffer = other.buffer.clone();
             length = other.length;
         }
     }
@@ -77,7 +77,7 @@
     private boolean full;
     private boolean syncFails;
     private int syncs;
-    private long longest;
+    private long maxTotalBytes;
 
     void fill(boolean isFull) {
         full = isFull;
@@ -96,18 +96,18 @@
         return syncs;
     }
 
-    /** The most bytes all files ever had together. */
-    long longest() {
-        return longest;
+    /** The largest size that all files had together. */
+    long maxTotalBytes() {
+        return maxTotalBytes;
     }
 
     /** Damages a byte of a file. */
-    void spoil(Path file, int position) {
-        names.get(file).now.room[position] ^= 0x55;
+    void corrupt(Path file, int position) {
+        names.get(file).now.buffer[position] ^= 0x55;
     }
 
-    /** Empties the files to this length. */
-    void cut(Path file, int length) {
+    /** Shortens a file to this length. */
+    void truncate(Path file, int length) {
         names.get(file).change(new Write(null, length));
     }
 
@@ -117,9 +117,9 @@
      */
     void losePower(Unsynced unsynced, SplittableRandom random) {
         Map<Path, Content> left = new TreeMap<>();
-        Set<Path> known = new TreeSet<>(syncedNames.keySet());
-        known.addAll(names.keySet());
-        for (Path path : known) {
+        Set<Path> allNames = new TreeSet<>(syncedNames.keySet());
+        allNames.addAll(names.keySet());
+        for (Path path : allNames) {
             boolean isNew = unsynced == Unsynced.KEPT || unsynced == Unsynced.DRAWN && random.nextBoolean();
             Content content = isNew ? names.get(path) : syncedNames.get(path);
             if (content != null) {
@@ -141,7 +141,7 @@
         recoverWrites();
     }
 
-    /** The trouble with writes and syncs is over. */
+    /** Writes and syncs work again. */
     void recoverWrites() {
         full = false;
         syncFails = false;
@@ -171,7 +171,7 @@
 
     @Override
     public void rename(Path from, Path to) throws IOException {
-        refuseIfFull();
+        failIfFull();
         names.put(to, names.remove(from));
     }
 
@@ -182,18 +182,18 @@
 
     @Override
     public void syncDirectory(Path directory) throws IOException {
-        refuseSync();
+        failIfSyncsAreFailing();
         syncedNames = new HashMap<>(names);
     }
 
-    private void refuseIfFull() throws IOException {
+    private void failIfFull() throws IOException {
         if (full || writesLeft <= 0) {
             throw new IOException("no room");
         }
         writesLeft--;
     }
 
-    private void refuseSync() throws IOException {
+    private void failIfSyncsAreFailing() throws IOException {
         if (syncFails || writesLeft <= 0) {
             throw new IOException("sync failed");
         }
@@ -205,7 +205,7 @@
         for (Content content : names.values()) {
             sum += content.now.length;
         }
-        longest = Math.max(longest, sum);
+        maxTotalBytes = Math.max(maxTotalBytes, sum);
     }
 
     private final class MemoryFile implements StoreFile {
@@ -220,12 +220,12 @@
             if (position + target.remaining() > content.now.length) {
                 throw new EOFException();
             }
-            target.put(content.now.room, (int) position, target.remaining());
+            target.put(content.now.buffer, (int) position, target.remaining());
         }
 
         @Override
         public void write(ByteBuffer source, long position) throws IOException {
-            refuseIfFull();
+            failIfFull();
             byte[] bytes = new byte[source.remaining()];
             source.get(bytes);
             content.change(new Write(bytes, position));
@@ -234,13 +234,13 @@
 
         @Override
         public void truncate(long size) throws IOException {
-            refuseIfFull();
+            failIfFull();
             content.change(new Write(null, size));
         }
 
         @Override
         public void sync() throws IOException {
-            refuseSync();
+            failIfSyncsAreFailing();
             content.sync();
         }
 
