--- a/cli/src/main/java/dewplank/SidecarCommands.java
+++ b/cli/src/main/java/dewplank/SidecarCommands.java
@@ -1,6 +1,6 @@
 package dewplank;
 
-import dewplank.discovery.Listing;
+import dewplank.discovery.CatalogUpdate;
 import dewplank.settings.FileWatch;
 import dewplank.settings.InvalidInputException;
 import dewplank.sidecar.Sidecar;
@@ -52,7 +52,7 @@
         /** A file that can't be used must not end a program that serves. */
         private static void reload(Sidecar sidecar) {
             try {
-                sidecar.reload(SidecarConfig.again(System.getenv()));
+                sidecar.reload(SidecarConfig.reread(System.getenv()));
             } catch (InvalidInputException e) {
                 LOG.log(
                         System.Logger.Level.WARNING,
@@ -69,7 +69,7 @@
     public static final class Rehearse implements Command {
         @Override
         public void run() throws IOException, InterruptedException {
-            Sidecar sidecar = new Sidecar(SidecarConfig.ofRehearsal());
+            Sidecar sidecar = new Sidecar(SidecarConfig.forRehearsal());
             CompletableFuture<Void> done = sidecar.rehearse();
             sidecar.start();
             done.join();
@@ -93,7 +93,7 @@
         @Override
         public void run() {
             SidecarConfig config = SidecarConfig.fromEnvironment(System.getenv());
-            Listing.of(config.known());
+            CatalogUpdate.of(config.initialCatalog());
             System.out.println("configuration of " + config.name() + " can be used");
         }
     }
--- a/cli/src/test/java/dewplank/sidecar/ReloadTest.java
+++ b/cli/src/test/java/dewplank/sidecar/ReloadTest.java
@@ -21,9 +21,9 @@
     @Test
     public void aHangupReloadsAndABadFileChangesNothing() throws Exception {
         Path file = Files.createTempFile("config", ".json");
-        try (Loopback.Peer first = new Loopback.Peer();
-                Loopback.Peer second = new Loopback.Peer();
-                Loopback.Peer third = new Loopback.Peer()) {
+        try (LoopbackNetwork.ScriptedPeer first = new LoopbackNetwork.ScriptedPeer();
+                LoopbackNetwork.ScriptedPeer second = new LoopbackNetwork.ScriptedPeer();
+                LoopbackNetwork.ScriptedPeer third = new LoopbackNetwork.ScriptedPeer()) {
             write(file, first);
             Process program = serve(file, first);
             try (BufferedReader log = program.inputReader()) {
@@ -52,8 +52,8 @@
     public void aHangupDuringTheStartReloadsAfterIt() throws Exception {
         Path pipe = Files.createTempDirectory("config").resolve("pipe");
         assertEquals(0, new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor());
-        try (Loopback.Peer first = new Loopback.Peer();
-                Loopback.Peer second = new Loopback.Peer()) {
+        try (LoopbackNetwork.ScriptedPeer first = new LoopbackNetwork.ScriptedPeer();
+                LoopbackNetwork.ScriptedPeer second = new LoopbackNetwork.ScriptedPeer()) {
             Process program = serve(pipe, first);
             try {
                 try (OutputStream config = Files.newOutputStream(pipe)) { // waits for the reader
@@ -78,9 +78,9 @@
     @Test(timeout = PATIENCE_MS)
     public void whereHangupsAreIgnoredTheFilesTimeReloads() throws Exception {
         Path file = Files.createTempFile("config", ".json");
-        try (Loopback.Peer first = new Loopback.Peer();
-                Loopback.Peer second = new Loopback.Peer();
-                Loopback.Peer third = new Loopback.Peer()) {
+        try (LoopbackNetwork.ScriptedPeer first = new LoopbackNetwork.ScriptedPeer();
+                LoopbackNetwork.ScriptedPeer second = new LoopbackNetwork.ScriptedPeer();
+                LoopbackNetwork.ScriptedPeer third = new LoopbackNetwork.ScriptedPeer()) {
             write(file, first);
             Process program = serve(file, first, "sh", "-c", "trap '' HUP; exec \"$@\"", "sh");
             try (BufferedReader log = program.inputReader()) {
@@ -106,8 +106,8 @@
     @Test(timeout = PATIENCE_MS)
     public void aHangupAfterTheFilesTimeWasSeenBringsNothingNew() throws Exception {
         Path file = Files.createTempFile("config", ".json");
-        try (Loopback.Peer first = new Loopback.Peer();
-                Loopback.Peer second = new Loopback.Peer()) {
+        try (LoopbackNetwork.ScriptedPeer first = new LoopbackNetwork.ScriptedPeer();
+                LoopbackNetwork.ScriptedPeer second = new LoopbackNetwork.ScriptedPeer()) {
             write(file, first);
             Process program = serve(file, first);
             try (BufferedReader log = program.inputReader()) {
@@ -128,7 +128,8 @@
         Files.delete(file);
     }
 
-    private static Process serve(Path file, Loopback.Peer discovery, String... through) throws IOException {
+    private static Process serve(Path file, LoopbackNetwork.ScriptedPeer discovery, String... through)
+            throws IOException {
         List<String> command = new ArrayList<>(List.of(through));
         command.addAll(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -143,14 +144,15 @@
         return builder.start();
     }
 
-    private static void write(Path file, Loopback.Peer discovery) throws IOException {
+    private static void write(Path file, LoopbackNetwork.ScriptedPeer discovery) throws IOException {
         Files.writeString(file, configuration(discovery));
     }
 
-    private static String configuration(Loopback.Peer discovery) throws IOException {
-        return "{\"name\":\"n0\",\"listen\":\"127.0.0.1:" + Loopback.freePort() + "\",\"discovery\":\"127.0.0.1:"
-                + discovery.address().getPort() + "\",\"seed\":\"5\",\"known\":" + Loopback.list(7, true, List.of())
-                + ",\"settings\":" + Loopback.SETTINGS + "}";
+    private static String configuration(LoopbackNetwork.ScriptedPeer discovery) throws IOException {
+        return "{\"name\":\"n0\",\"listen\":\"127.0.0.1:" + LoopbackNetwork.freePort() + "\",\"discovery\":\"127.0.0.1:"
+                + discovery.address().getPort() + "\",\"seed\":\"5\",\"known\":"
+                + LoopbackNetwork.catalogJson(7, true, List.of())
+                + ",\"settings\":" + LoopbackNetwork.SETTINGS + "}";
     }
 
     private static void signal(Process program, String name) throws Exception {
--- a/cli/src/test/java/dewplank/sidecar/VotesTest.java
+++ b/cli/src/test/java/dewplank/sidecar/VotesTest.java
@@ -4,9 +4,9 @@
 import static org.junit.Assert.assertTrue;
 
 import dewplank.balancer.health.PeerSummary;
-import dewplank.sidecar.Loopback.Client;
-import dewplank.sidecar.Loopback.Exchange;
-import dewplank.sidecar.Loopback.Peer;
+import dewplank.sidecar.LoopbackNetwork.Client;
+import dewplank.sidecar.LoopbackNetwork.ReceivedRequest;
+import dewplank.sidecar.LoopbackNetwork.ScriptedPeer;
 import java.io.BufferedReader;
 import java.io.Closeable;
 import java.io.IOException;
@@ -42,11 +42,11 @@
     private static final int BLOCK = 200; // requests, of which a server that is drawn takes about a quarter
     private static final int PATIENCE_S = 30;
 
-    private final List<Peer> servers = new ArrayList<>();
+    private final List<ScriptedPeer> servers = new ArrayList<>();
     private final List<Program> programs = new ArrayList<>();
     private final AtomicIntegerArray quietAt = new AtomicIntegerArray(SERVERS);
     private Network network;
-    private Peer discovery;
+    private ScriptedPeer discovery;
     private volatile boolean over;
 
     /**
@@ -67,7 +67,7 @@
                     listens.add((InetSocketAddress) free.getLocalSocketAddress());
                 }
                 int from = i;
-                Loopback.background(() -> carry(from));
+                LoopbackNetwork.background(() -> carry(from));
             }
         }
 
@@ -101,7 +101,7 @@
         final int port;
 
         Program(int me) throws IOException {
-            port = Loopback.freePort();
+            port = LoopbackNetwork.freePort();
             Path file = Files.createTempFile("config", ".json");
             file.toFile().deleteOnExit();
             List<String> peers = new ArrayList<>();
@@ -110,9 +110,9 @@
             }
             List<String> entries = new ArrayList<>();
             for (int i = 0; i < servers.size(); i++) {
-                entries.add(servers.get(i).entry("s" + i, "active"));
+                entries.add(servers.get(i).endpointJson("s" + i, "active"));
             }
-            String settings = Loopback.SETTINGS
+            String settings = LoopbackNetwork.SETTINGS
                     .replace("\"Peers\":false", "\"Peers\":true")
                     .replace("\"Me\":0", "\"Me\":" + me)
                     .replace("\"ReplicasOfMe\":1", "\"ReplicasOfMe\":" + PROCESSES);
@@ -125,7 +125,7 @@
                             + network.listens.get(me).getPort() + "\",\"peers\":" + peers
                             + ",\"peers_all\":\"127.0.0.1:"
                             + network.all.get(me).getLocalPort() + "\",\"known\":"
-                            + Loopback.list(7, true, entries) + ",\"settings\":" + settings + "}");
+                            + LoopbackNetwork.catalogJson(7, true, entries) + ",\"settings\":" + settings + "}");
             ProcessBuilder builder = new ProcessBuilder(
                             Path.of(System.getProperty("java.home"), "bin", "java")
                                     .toString(),
@@ -145,7 +145,7 @@
                 line = log.readLine();
             }
             assertTrue("it has ended", line != null);
-            Loopback.background(() -> {
+            LoopbackNetwork.background(() -> {
                 while (log.readLine() != null) {}
             });
         }
@@ -163,20 +163,20 @@
     @Before
     public void start() throws Exception {
         network = new Network();
-        discovery = new Peer();
+        discovery = new ScriptedPeer();
         for (int i = 0; i < SERVERS; i++) {
-            Peer server = new Peer();
+            ScriptedPeer server = new ScriptedPeer();
             int number = i;
             servers.add(server);
-            Loopback.background(() -> {
+            LoopbackNetwork.background(() -> {
                 while (true) {
-                    Exchange e = server.next();
+                    ReceivedRequest e = server.next();
                     if (e.message() != null) {
                         if (e.message().contains("X-From: quiet")) {
                             quietAt.incrementAndGet(number);
                         }
                         boolean fails = number == BAD && e.message().contains("X-From: busy");
-                        e.answer(fails ? "500 Bad" : "200 OK", "");
+                        e.respond(fails ? "500 Bad" : "200 OK", "");
                     }
                 }
             });
@@ -189,7 +189,7 @@
         }
         for (int i = 0; i < QUIET; i++) {
             Client client = programs.get(i).client();
-            Loopback.background(() -> {
+            LoopbackNetwork.background(() -> {
                 while (!over) {
                     ask(client, "busy");
                     Thread.sleep(10);
@@ -206,7 +206,7 @@
         }
         network.close();
         discovery.close();
-        for (Peer p : servers) {
+        for (ScriptedPeer p : servers) {
             p.close();
         }
     }
--- a/sidecar/src/main/java/dewplank/discovery/Watch.java
+++ b/sidecar/src/main/java/dewplank/discovery/CatalogWatch.java
@@ -15,81 +15,82 @@
 import java.util.function.Consumer;
 
 /** One watch on discovery, from the call to its end. It ends by itself at most once, and says why. */
-final class Watch implements Connection.Handler {
+final class CatalogWatch implements Connection.Handler {
     /**
      * Discovery writes a line every 2 s. One that is cut off says nothing at all, and its connection stays
      * open: only the silence shows. A second more is for a discovery that answers late; much longer, and drains
      * would stay unseen past the time at which they count as told.
      */
-    static final double SILENCE_MS = 3_000;
+    static final double IDLE_TIMEOUT_MS = 3_000;
 
-    private static final int MAX_LIST = 1 << 20;
+    private static final int MAX_LIST_BYTES = 1 << 20;
 
     private final EventLoop loop;
-    private final InetSocketAddress at;
+    private final InetSocketAddress address;
     private final long version;
-    private final double silenceMs;
-    private final Consumer<String> lists;
-    private final Runnable alive;
-    private final Consumer<String> ended;
-    private final ResponseParser parser = new ResponseParser(MAX_LIST);
+    private final double idleTimeoutMs;
+    private final Consumer<String> onList;
+    private final Runnable onKeepalive;
+    private final Consumer<String> onEnd;
+    private final ResponseParser parser = new ResponseParser(MAX_LIST_BYTES);
     private final ByteArrayOutputStream partial = new ByteArrayOutputStream();
     private Connection.Connecting connecting;
     private Connection connection;
-    private TimerWheel.Timer silence;
+    private TimerWheel.Timer idleTimer;
     private int depth;
     private boolean inString;
     private boolean escaped;
-    private boolean over;
+    private boolean isClosed;
 
     /** {@code alive}: an empty line has come, so nothing has changed. */
-    Watch(
+    CatalogWatch(
             EventLoop loop,
-            InetSocketAddress at,
+            InetSocketAddress address,
             long version,
-            double silenceMs,
-            Consumer<String> lists,
-            Runnable alive,
-            Consumer<String> ended) {
+            double idleTimeoutMs,
+            Consumer<String> onList,
+            Runnable onKeepalive,
+            Consumer<String> onEnd) {
         this.loop = loop;
-        this.at = at;
+        this.address = address;
         this.version = version;
-        this.silenceMs = silenceMs;
-        this.lists = lists;
-        this.alive = alive;
-        this.ended = ended;
+        this.idleTimeoutMs = idleTimeoutMs;
+        this.onList = onList;
+        this.onKeepalive = onKeepalive;
+        this.onEnd = onEnd;
     }
 
     void start() {
-        heard();
-        connecting = Connection.open(loop, at, this, this::up, e -> end("no connection: " + e.getMessage()));
+        restartIdleTimer();
+        connecting =
+                Connection.open(loop, address, this, this::connected, e -> end("no connection: " + e.getMessage()));
     }
 
-    private void up(Connection up) {
-        connection = up;
+    private void connected(Connection established) {
+        connection = established;
         String target = "/catalog/members?stream=1&index=" + version;
-        String host = at.getAddress().getHostAddress() + ":" + at.getPort();
-        up.write(MessageWriter.request("GET", target, host).noBody(), () -> {});
+        String host = address.getAddress().getHostAddress() + ":" + address.getPort();
+        established.write(MessageWriter.request("GET", target, host).noBody(), () -> {});
     }
 
-    private void heard() {
-        if (silence != null) {
-            silence.cancel();
+    private void restartIdleTimer() {
+        if (idleTimer != null) {
+            idleTimer.cancel();
         }
-        silence = loop.after(silenceMs, () -> end("nothing heard for " + (long) silenceMs + " ms"));
+        idleTimer = loop.after(idleTimeoutMs, () -> end("nothing heard for " + (long) idleTimeoutMs + " ms"));
     }
 
     @Override
     public void received(ByteBuffer bytes) {
-        heard();
+        restartIdleTimer();
         try {
-            boolean whole = parser.feed(bytes);
+            boolean isComplete = parser.feed(bytes);
             if (parser.isHeadRead() && parser.status() != 200) {
                 end("answered " + parser.status());
                 return;
             }
-            takeLists(parser.takeBody());
-            if (whole) {
+            consumeBody(parser.takeBody());
+            if (isComplete) {
                 end("discovery ended it");
             }
         } catch (BadMessageException | InvalidInputException e) {
@@ -97,20 +98,20 @@
         }
     }
 
-    private void takeLists(byte[] body) throws BadMessageException {
+    private void consumeBody(byte[] body) throws BadMessageException {
         for (byte b : body) {
-            if (over) { // the news of a list may have ended this watch
+            if (isClosed) { // the news of a list may have ended this watch
                 return;
             }
-            take(b);
+            consume(b);
         }
     }
 
     /** A list may come indented, over many lines: it ends with the brace that opened it. */
-    private void take(byte b) throws BadMessageException {
+    private void consume(byte b) throws BadMessageException {
         if (depth == 0 && b != '{') {
             if (b == '\n') {
-                alive.run();
+                onKeepalive.run();
             } else if (b != '\r' && b != ' ' && b != '\t') {
                 throw new BadMessageException(502, "what came is no list");
             }
@@ -130,27 +131,27 @@
         if (depth == 0) {
             String list = partial.toString(StandardCharsets.UTF_8);
             partial.reset();
-            lists.accept(list);
-        } else if (partial.size() > MAX_LIST) {
+            onList.accept(list);
+        } else if (partial.size() > MAX_LIST_BYTES) {
             throw new BadMessageException(502, "a list is too long");
         }
     }
 
     @Override
-    public void closed(IOException why) {
-        end(why == null ? "discovery closed it" : why.getMessage());
+    public void closed(IOException reason) {
+        end(reason == null ? "discovery closed it" : reason.getMessage());
     }
 
-    private void end(String why) {
-        if (!over) {
+    private void end(String reason) {
+        if (!isClosed) {
             close();
-            ended.accept(why);
+            onEnd.accept(reason);
         }
     }
 
     void close() {
-        over = true;
-        silence.cancel();
+        isClosed = true;
+        idleTimer.cancel();
         if (connection != null) {
             connection.close();
         } else if (connecting != null) {
--- a/sidecar/src/main/java/dewplank/peers/Peers.java
+++ b/sidecar/src/main/java/dewplank/peers/PeerChannel.java
@@ -22,60 +22,66 @@
  * Datagrams to and from the other sidecars. NIO.2 has no asynchronous channel for them: one thread waits for them and
  * hands what counts over to the loop, which alone sends.
  */
-public final class Peers {
-    public static final int MOST_BYTES = 256;
-    private static final System.Logger LOG = System.getLogger(Peers.class.getName());
+public final class PeerChannel {
+    public static final int MAX_DATAGRAM_BYTES = 256;
+    private static final System.Logger LOG = System.getLogger(PeerChannel.class.getName());
     /** Waiting for the loop; beyond that the newest are dropped. A peer tells once a second. */
-    static final int MOST_WAITING = 256;
+    static final int MAX_QUEUED = 256;
     /** Read at one go, after which the thread rests: a flood must not take the core from the requests. */
-    private static final int BATCH = 64;
+    private static final int MAX_BATCH = 64;
 
-    private static final long REST_MS = 50;
-    private static final int SOCKET_BUFFER = 64 * 1024;
-    private static final double SAY_EVERY_MS = 60_000;
+    private static final long BATCH_PAUSE_MS = 50;
+    private static final int SOCKET_BUFFER_BYTES = 64 * 1024;
+    private static final double REPORT_INTERVAL_MS = 60_000;
 
     /** What a known peer sent, by its number. Called on the loop. */
-    public interface Heard {
-        void heard(int peer, byte[] bytes);
+    public interface DatagramListener {
+        void received(int peer, byte[] bytes);
     }
 
     /** Datagrams by what became of them, since the start. */
-    public record Counts(long sent, long notSent, long heard, long foreign, long unreadable, long overBound) {}
+    public record DatagramCounts(
+            long sent, long unsent, long delivered, long unknownSender, long invalid, long overflowed) {}
 
     private final EventLoop loop;
     private final PeerAddresses addresses;
-    private final int me;
-    private final Predicate<byte[]> readable;
-    private final Heard heard;
-    private final Map<SocketAddress, Integer> numbers = new HashMap<>();
+    private final int ownIndex;
+    private final Predicate<byte[]> isValid;
+    private final DatagramListener listener;
+    private final Map<SocketAddress, Integer> indexByAddress = new HashMap<>();
     private final DatagramChannel channel;
     private final Selector selector;
     private final Thread thread;
-    private final AtomicInteger waiting = new AtomicInteger();
-    private final AtomicLong foreign = new AtomicLong();
-    private final AtomicLong unreadable = new AtomicLong();
-    private final AtomicLong overBound = new AtomicLong();
+    private final AtomicInteger queued = new AtomicInteger();
+    private final AtomicLong unknownSender = new AtomicLong();
+    private final AtomicLong invalid = new AtomicLong();
+    private final AtomicLong overflowed = new AtomicLong();
     private long sent; // from here on the loop's own
-    private long notSent;
+    private long unsent;
     private long delivered;
-    private long said;
+    private long reportedDiscards;
 
     /** Binds the address; {@code readable} says on the waiting thread whether bytes are worth handing over. */
-    public Peers(EventLoop loop, PeerAddresses addresses, int me, Predicate<byte[]> readable, Heard heard) {
+    public PeerChannel(
+            EventLoop loop,
+            PeerAddresses addresses,
+            int ownIndex,
+            Predicate<byte[]> isValid,
+            DatagramListener listener) {
         this.loop = loop;
         this.addresses = addresses;
-        this.me = me;
-        this.readable = readable;
-        this.heard = heard;
+        this.ownIndex = ownIndex;
+        this.isValid = isValid;
+        this.listener = listener;
         for (int i = 0; i < addresses.peers().size(); i++) {
-            if (i != me) {
-                numbers.put(addresses.peers().get(i), i);
+            if (i != ownIndex) {
+                indexByAddress.put(addresses.peers().get(i), i);
             }
         }
         try {
             channel = DatagramChannel.open();
-            channel.setOption(StandardSocketOptions.SO_RCVBUF, SOCKET_BUFFER);
-            channel.setOption(StandardSocketOptions.SO_SNDBUF, SOCKET_BUFFER);
+            channel.setOption(StandardSocketOptions.SO_RCVBUF, SOCKET_BUFFER_BYTES);
+            channel.setOption(StandardSocketOptions.SO_SNDBUF, SOCKET_BUFFER_BYTES);
             channel.bind(addresses.listen());
             channel.configureBlocking(false);
             selector = Selector.open();
@@ -90,28 +96,29 @@
 
     public void start() {
         thread.start();
-        loop.after(SAY_EVERY_MS, this::say);
+        loop.after(REPORT_INTERVAL_MS, this::reportDiscards);
     }
 
     public InetSocketAddress address() throws IOException {
         return (InetSocketAddress) channel.getLocalAddress();
     }
 
-    public Counts counts() {
-        return new Counts(sent, notSent, delivered, foreign.get(), unreadable.get(), overBound.get());
+    public DatagramCounts counts() {
+        return new DatagramCounts(sent, unsent, delivered, unknownSender.get(), invalid.get(), overflowed.get());
     }
 
     /** To all of the tier. What the system takes no room for is dropped and counted: news a second old is no loss. */
-    public void tell(byte[] bytes) {
-        if (bytes.length > MOST_BYTES) {
-            throw new IllegalArgumentException(bytes.length + " bytes for peers, of " + MOST_BYTES + " at the most");
+    public void broadcast(byte[] bytes) {
+        if (bytes.length > MAX_DATAGRAM_BYTES) {
+            throw new IllegalArgumentException(
+                    bytes.length + " bytes for peers, of " + MAX_DATAGRAM_BYTES + " at the most");
         }
-        if (addresses.all() != null) {
-            send(bytes, addresses.all());
+        if (addresses.broadcast() != null) {
+            send(bytes, addresses.broadcast());
             return;
         }
         for (int i = 0; i < addresses.peers().size(); i++) {
-            if (i != me) {
+            if (i != ownIndex) {
                 send(bytes, addresses.peers().get(i));
             }
         }
@@ -126,23 +133,23 @@
         } catch (IOException e) {
             LOG.log(System.Logger.Level.DEBUG, "a datagram could not be sent to {0}: {1}", to, e.getMessage());
         }
-        notSent++;
+        unsent++;
     }
 
     private void receive() {
-        ByteBuffer in = ByteBuffer.allocateDirect(MOST_BYTES + 1); // one more shows that it was longer
+        ByteBuffer in = ByteBuffer.allocateDirect(MAX_DATAGRAM_BYTES + 1); // one more shows that it was longer
         try {
             while (selector.isOpen()) {
-                int read = BATCH;
+                int readCount = MAX_BATCH;
                 try {
                     selector.select();
                     selector.selectedKeys().clear();
-                    read = receiveSome(in);
+                    readCount = receiveBatch(in);
                 } catch (IOException e) {
                     LOG.log(System.Logger.Level.DEBUG, "datagrams from peers could not be read", e);
                 }
-                if (read == BATCH) {
-                    Thread.sleep(REST_MS);
+                if (readCount == MAX_BATCH) {
+                    Thread.sleep(BATCH_PAUSE_MS);
                 }
             }
         } catch (ClosedSelectorException | InterruptedException e) {
@@ -150,48 +157,48 @@
         }
     }
 
-    private int receiveSome(ByteBuffer in) throws IOException {
-        int read = 0;
-        for (SocketAddress from; read < BATCH && (from = channel.receive(in.clear())) != null; read++) {
-            take(from, in.flip());
+    private int receiveBatch(ByteBuffer in) throws IOException {
+        int readCount = 0;
+        for (SocketAddress from; readCount < MAX_BATCH && (from = channel.receive(in.clear())) != null; readCount++) {
+            enqueue(from, in.flip());
         }
-        return read;
+        return readCount;
     }
 
-    private void take(SocketAddress from, ByteBuffer in) {
-        Integer peer = numbers.get(from);
+    private void enqueue(SocketAddress from, ByteBuffer in) {
+        Integer peer = indexByAddress.get(from);
         byte[] bytes = new byte[in.remaining()];
         in.get(bytes);
         if (peer == null) {
-            foreign.incrementAndGet();
-        } else if (bytes.length > MOST_BYTES || !readable.test(bytes)) {
-            unreadable.incrementAndGet();
-        } else if (waiting.incrementAndGet() > MOST_WAITING) {
-            waiting.decrementAndGet();
-            overBound.incrementAndGet();
+            unknownSender.incrementAndGet();
+        } else if (bytes.length > MAX_DATAGRAM_BYTES || !isValid.test(bytes)) {
+            invalid.incrementAndGet();
+        } else if (queued.incrementAndGet() > MAX_QUEUED) {
+            queued.decrementAndGet();
+            overflowed.incrementAndGet();
         } else {
             loop.execute(() -> {
-                waiting.decrementAndGet();
+                queued.decrementAndGet();
                 delivered++;
-                heard.heard(peer, bytes);
+                listener.received(peer, bytes);
             });
         }
     }
 
-    private void say() {
-        Counts now = counts();
-        long spoilt = now.foreign() + now.unreadable() + now.overBound();
-        if (spoilt > said) {
-            said = spoilt;
+    private void reportDiscards() {
+        DatagramCounts counts = counts();
+        long discarded = counts.unknownSender() + counts.invalid() + counts.overflowed();
+        if (discarded > reportedDiscards) {
+            reportedDiscards = discarded;
             LOG.log(
                     System.Logger.Level.WARNING,
                     "datagrams not taken since the start: {0} of unknown senders, {1} "
                             + "unreadable, {2} over the bound",
-                    now.foreign(),
-                    now.unreadable(),
-                    now.overBound());
+                    counts.unknownSender(),
+                    counts.invalid(),
+                    counts.overflowed());
         }
-        loop.after(SAY_EVERY_MS, this::say);
+        loop.after(REPORT_INTERVAL_MS, this::reportDiscards);
     }
 
     /** Ends the thread. May be called from any thread. */
--- a/sidecar/src/main/java/dewplank/sidecar/Host.java
+++ b/sidecar/src/main/java/dewplank/sidecar/BalancerHost.java
@@ -25,12 +25,12 @@
 import dewplank.balancer.Settings.RequestClass;
 import dewplank.balancer.Settings.Tenant;
 import dewplank.balancer.health.PeerSummary;
-import dewplank.discovery.Discovery;
-import dewplank.discovery.Listing;
+import dewplank.discovery.CatalogUpdate;
+import dewplank.discovery.DiscoveryClient;
 import dewplank.exchange.ConnectionPool;
 import dewplank.http.MessageWriter;
 import dewplank.net.EventLoop;
-import dewplank.peers.Peers;
+import dewplank.peers.PeerChannel;
 import dewplank.sidecar.config.SidecarConfig;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -49,9 +49,9 @@
  * The module's host on sockets: what happens there goes in as events, and the actions that come out are carried
  * out. It never picks a server, tries again or refuses by itself.
  */
-public final class Host {
-    static final String EXPIRES = "X-Expires-In-Ms";
-    private static final System.Logger LOG = System.getLogger(Host.class.getName());
+public final class BalancerHost {
+    static final String EXPIRES_IN_HEADER = "X-Expires-In-Ms";
+    private static final System.Logger LOG = System.getLogger(BalancerHost.class.getName());
     /** What of a client's time is kept back: for the tick's rounding, and the answer's way to the client. */
     private static final double ANSWER_MARGIN_MS = 10;
 
@@ -65,82 +65,82 @@
     private final EventLoop loop;
     private final Settings settings;
     private final Balancer balancer;
-    private final Discovery discovery;
-    private final Listing known;
-    private final Map<String, Idempotency> effects;
+    private final DiscoveryClient discovery;
+    private final CatalogUpdate initialCatalog;
+    private final Map<String, Idempotency> idempotencyByClass;
     private final Set<String> tenants;
-    private final Peers peers; // null where the settings allow none
-    private final Map<Long, ClientRequest> requests = new HashMap<>();
-    private final Set<String> openIds = new HashSet<>();
+    private final PeerChannel peers; // null where the settings allow none
+    private final Map<Long, PendingRequest> requests = new HashMap<>();
+    private final Set<String> idsInUse = new HashSet<>();
     private final Map<String, ConnectionPool> pools = new HashMap<>();
-    private final int mostServerConnections;
+    private final int maxServerConnections;
     private final Deque<Event> events = new ArrayDeque<>();
-    private boolean telling;
+    private boolean delivering;
     private long nextRequest = 1;
-    private int attemptsOut;
+    private int attemptsInFlight;
     private double boundLogged;
     private double handledAt;
-    private double answerBy = Double.POSITIVE_INFINITY;
+    private double completeAllBy = Double.POSITIVE_INFINITY;
 
-    Host(EventLoop loop, SidecarConfig config, Balancer balancer) {
+    BalancerHost(EventLoop loop, SidecarConfig config, Balancer balancer) {
         this.loop = loop;
         this.settings = config.settings();
         this.balancer = balancer;
-        this.discovery = new Discovery(
+        this.discovery = new DiscoveryClient(
                 loop,
                 config.discovery(),
                 settings.safety().onlyDrainingIsBinding(),
                 settings.endpointListIsPushed(),
-                this::listed);
-        this.known = Listing.of(config.known());
-        this.effects =
+                this::endpointsChanged);
+        this.initialCatalog = CatalogUpdate.of(config.initialCatalog());
+        this.idempotencyByClass =
                 settings.classes().stream().collect(Collectors.toMap(RequestClass::name, RequestClass::idempotency));
         this.tenants = settings.tenants().stream().map(Tenant::name).collect(Collectors.toSet());
         this.peers = config.peers() == null
                 ? null
-                : new Peers(
+                : new PeerChannel(
                         loop,
                         config.peers(),
                         settings.replicaIndex(),
                         bytes -> PeerSummary.decode(bytes) != null,
-                        (peer, bytes) -> tell(new PeerSummaryReceived(peer, bytes)));
-        this.mostServerConnections = mostServerConnections(config);
+                        (peer, bytes) -> deliver(new PeerSummaryReceived(peer, bytes)));
+        this.maxServerConnections = maxServerConnections(config);
     }
 
-    static int mostServerConnections(SidecarConfig config) {
-        return config.sockets() - mostClients(config) - SPARE;
+    static int maxServerConnections(SidecarConfig config) {
+        return config.maxSockets() - maxClientConnections(config) - SPARE;
     }
 
     /** Of the descriptors, clients may hold half; the rest is for servers. */
-    static int mostClients(SidecarConfig config) {
-        return config.sockets() / 2;
+    static int maxClientConnections(SidecarConfig config) {
+        return config.maxSockets() / 2;
     }
 
     public void start() {
         if (peers != null) {
             peers.start();
         }
-        discovery.start(known);
+        discovery.start(initialCatalog);
         loop.after(SWEEP_MS, this::sweep);
     }
 
     /** Whether there is a server to send to. */
-    boolean canServe() {
-        return discovery.anyUp();
+    boolean hasAvailableServer() {
+        return discovery.hasAvailableServer();
     }
 
     /** What a repeat of such a request does, or null where the settings have no such class. */
-    Idempotency effect(String requestClass) {
-        return effects.get(requestClass);
+    Idempotency idempotencyOf(String requestClass) {
+        return idempotencyByClass.get(requestClass);
     }
 
     /** Whether a client's request with this id has no final answer yet. */
-    boolean isOpen(String id) {
-        return openIds.contains(id);
+    boolean isIdInUse(String id) {
+        return idsInUse.contains(id);
     }
 
     /** The longest that any request may still be open, by the settings. */
-    double longestDeadlineMs() {
+    double maxDeadlineMs() {
         return settings.classes().stream()
                 .mapToDouble(RequestClass::deadlineMs)
                 .max()
@@ -148,7 +148,7 @@
     }
 
     /** The shortest time within which a class wants its answers. */
-    double shortestAimMs() {
+    double minLatencyTargetMs() {
         return settings.classes().stream()
                 .mapToDouble(RequestClass::latencyTargetMs)
                 .min()
@@ -156,43 +156,43 @@
     }
 
     /** All is answered by then: new requests have no longer than that, and what is still open is failed. */
-    void answerBy(double time) {
-        answerBy = time;
+    void completeAllBy(double time) {
+        completeAllBy = time;
         loop.after(time - loop.now(), () -> {
-            for (ClientRequest request : new ArrayList<>(requests.values())) {
-                if (!request.over) {
+            for (PendingRequest request : new ArrayList<>(requests.values())) {
+                if (!request.isComplete) {
                     abandon(request);
-                    request.answerer.failed();
+                    request.responses.respondFailed();
                 }
             }
         });
     }
 
-    void discoveryMoved(InetSocketAddress to) {
+    void moveDiscoveryTo(InetSocketAddress to) {
         discovery.moveTo(to);
     }
 
-    int requestsOpen() {
-        return (int) requests.values().stream().filter(i -> !i.over).count();
+    int openRequestCount() {
+        return (int) requests.values().stream().filter(i -> !i.isComplete).count();
     }
 
-    boolean holdsNothing() {
-        return requests.isEmpty() && openIds.isEmpty() && attemptsOut == 0;
+    boolean hasReleasedEverything() {
+        return requests.isEmpty() && idsInUse.isEmpty() && attemptsInFlight == 0;
     }
 
     void close() {
         discovery.close();
-        closePeers();
+        closePeerChannel();
     }
 
     /** May be called from any thread. */
-    void closePeers() {
+    void closePeerChannel() {
         if (peers != null) {
             peers.close();
         }
     }
 
-    Peers peers() {
+    PeerChannel peers() {
         return peers;
     }
 
@@ -202,10 +202,10 @@
     }
 
     /** What is kept for a server goes with it: over a day servers come and go with ever new ids. */
-    private void listed(EndpointUpdate news) {
-        tell(news);
+    private void endpointsChanged(EndpointUpdate news) {
+        deliver(news);
         pools.entrySet().removeIf(e -> {
-            boolean gone = discovery.address(e.getKey()) == null;
+            boolean gone = discovery.addressOf(e.getKey()) == null;
             if (gone) {
                 e.getValue().close();
             }
@@ -223,18 +223,18 @@
      * Events wait in line while one is handled: an action's effect, such as a connection refused at once, may
      * come back before the module has finished with the event that led to it.
      */
-    private void tell(Event event) {
+    private void deliver(Event event) {
         events.addLast(event);
-        if (telling) {
+        if (delivering) {
             return;
         }
-        telling = true;
+        delivering = true;
         try {
             while (!events.isEmpty()) {
                 handle(events.removeFirst());
             }
         } finally {
-            telling = false;
+            delivering = false;
         }
     }
 
@@ -252,7 +252,7 @@
         }
         for (Action action : actions) {
             try {
-                carryOut(action);
+                execute(action);
             } catch (RuntimeException e) {
                 LOG.log(
                         System.Logger.Level.ERROR,
@@ -264,89 +264,89 @@
 
     private void failRequestOf(Event event) {
         long id = event instanceof RequestArrived a ? a.request() : event instanceof AttemptEnded e ? e.request() : 0;
-        ClientRequest request = requests.get(id);
-        if (request != null && !request.over) {
+        PendingRequest request = requests.get(id);
+        if (request != null && !request.isComplete) {
             abandon(request);
-            request.answerer.failed();
+            request.responses.respondFailed();
         }
     }
 
     /** Takes a client's request. */
-    ClientRequest take(
-            ClientRequest.Content content,
-            Subject subject,
+    PendingRequest accept(
+            PendingRequest.ForwardedRequest content,
+            RequestAttributes subject,
             String requestClass,
             double budgetMs,
             boolean repeat,
-            ClientRequest.Answerer answerer) {
-        double budget = Math.max(1, Math.min(budgetMs, answerBy - loop.now()) - ANSWER_MARGIN_MS);
-        ClientRequest request = new ClientRequest(nextRequest++, content, loop.now() + budget, answerer);
+            PendingRequest.ResponseSink answerer) {
+        double budget = Math.max(1, Math.min(budgetMs, completeAllBy - loop.now()) - ANSWER_MARGIN_MS);
+        PendingRequest request = new PendingRequest(nextRequest++, content, loop.now() + budget, answerer);
         requests.put(request.id, request);
-        openIds.add(content.id());
+        idsInUse.add(content.id());
         // A guard: should the module ever leave a request unanswered, the client is told in time all the same.
-        request.lastResort = loop.after(budget + LAST_RESORT_MS, () -> {
+        request.deadlineGuard = loop.after(budget + LAST_RESORT_MS, () -> {
             LOG.log(System.Logger.Level.WARNING, "a request had no answer at its deadline");
             abandon(request);
-            answerer.failed();
+            answerer.respondFailed();
         });
-        tell(new RequestArrived(
-                request.id, subject.tenant(), subject.key(), repeat, requestClass, budget, subject.cost()));
+        deliver(new RequestArrived(
+                request.id, subject.tenant(), subject.key(), repeat, requestClass, budget, subject.costMs()));
         return request;
     }
 
     /** The client has left, or can no longer be answered by the module. */
-    void abandon(ClientRequest request) {
-        if (!request.over) {
-            finish(request);
-            tell(new RequestAbandoned(request.id));
+    void abandon(PendingRequest request) {
+        if (!request.isComplete) {
+            complete(request);
+            deliver(new RequestAbandoned(request.id));
         }
     }
 
-    private void finish(ClientRequest request) {
-        request.over = true;
-        openIds.remove(request.content.id());
-        request.lastResort.cancel();
-        forgetIfDone(request);
+    private void complete(PendingRequest request) {
+        request.isComplete = true;
+        idsInUse.remove(request.forwarded.id());
+        request.deadlineGuard.cancel();
+        releaseIfDone(request);
     }
 
-    private void forgetIfDone(ClientRequest request) {
-        if (request.over && request.out == 0) {
+    private void releaseIfDone(PendingRequest request) {
+        if (request.isComplete && request.attemptsInFlight == 0) {
             requests.remove(request.id);
         }
     }
 
     // ---- actions out ----------------------------------------------------------------------------------
 
-    private void carryOut(Action action) {
+    private void execute(Action action) {
         if (action instanceof Send a) {
             send(a);
         } else if (action instanceof Cancel a) {
-            ClientRequest request = requests.get(a.request());
+            PendingRequest request = requests.get(a.request());
             if (request != null && a.attempt() < request.attempts.size() && request.attempts.get(a.attempt()) != null) {
                 request.attempts.get(a.attempt()).cancel();
             }
         } else if (action instanceof Reject a) {
-            ClientRequest request = requests.get(a.request());
-            if (request != null && !request.over) {
-                finish(request);
-                request.answerer.refused(a.retryAfterMs());
+            PendingRequest request = requests.get(a.request());
+            if (request != null && !request.isComplete) {
+                complete(request);
+                request.responses.respondRejected(a.retryAfterMs());
             }
         } else if (action instanceof Fail a) {
-            ClientRequest request = requests.get(a.request());
-            if (request != null && !request.over) {
-                finish(request);
-                request.answerer.failed();
+            PendingRequest request = requests.get(a.request());
+            if (request != null && !request.isComplete) {
+                complete(request);
+                request.responses.respondFailed();
             }
         } else if (action instanceof SetTimer a) {
-            loop.after(a.delayMs(), () -> tell(new TimerFired(a.timer())));
+            loop.after(a.delayMs(), () -> deliver(new TimerFired(a.timer())));
         } else if (action instanceof Subscribe) {
             discovery.subscribe();
         } else if (action instanceof CheckHealth a) {
-            probe(a.server());
+            checkHealth(a.server());
         } else if (action instanceof CloseIdleConnections a) {
             pool(a.server()).closeIdleBefore(loop.now());
         } else if (action instanceof BroadcastSummary a && peers != null) {
-            peers.tell(a.bytes());
+            peers.broadcast(a.bytes());
         }
     }
 
@@ -357,58 +357,59 @@
     }
 
     private void send(Send a) {
-        ClientRequest request = requests.get(a.request());
+        PendingRequest request = requests.get(a.request());
         if (request == null) { // forgotten already, so over
-            tell(new AttemptEnded(a.request(), 0, a.server(), Outcome.NEVER_SENT, 0, true, null));
+            deliver(new AttemptEnded(a.request(), 0, a.server(), Outcome.NEVER_SENT, 0, true, null));
             return;
         }
         int attempt = request.attempts.size();
-        InetSocketAddress to = discovery.address(a.server());
-        double left = request.deadline - loop.now();
-        if (request.over || to == null || left <= 0 || a.timeoutMs() < 0) {
+        InetSocketAddress to = discovery.addressOf(a.server());
+        double left = request.deadlineMs - loop.now();
+        if (request.isComplete || to == null || left <= 0 || a.timeoutMs() < 0) {
             request.attempts.add(null);
-            tell(new AttemptEnded(a.request(), attempt, a.server(), Outcome.NEVER_SENT, 0, request.over, null));
+            deliver(new AttemptEnded(
+                    a.request(), attempt, a.server(), Outcome.NEVER_SENT, 0, request.isComplete, null));
             return;
         }
         double timeout = a.timeoutMs() == 0 ? left : Math.min(a.timeoutMs(), left);
-        request.out++;
-        if (!roomForAttempt()) { // a lack of this sidecar's own, which the module must not hold against the server
+        request.attemptsInFlight++;
+        if (!reserveConnection()) { // a lack of this sidecar's own, which the module must not hold against the server
             request.attempts.add(null);
-            ended(request, attempt, a.server(), new Attempt.End(Outcome.NEVER_SENT, 0, null, null, null));
+            attemptEnded(request, attempt, a.server(), new HttpAttempt.Result(Outcome.NEVER_SENT, 0, null, null, null));
             return;
         }
-        Attempt sent = new Attempt(
+        HttpAttempt sent = new HttpAttempt(
                 loop,
                 to,
                 pool(a.server()),
-                request(request.content, to, timeout),
-                () -> !request.over && discovery.takesRequests(a.server()),
+                request(request.forwarded, to, timeout),
+                () -> !request.isComplete && discovery.acceptsRequests(a.server()),
                 (x, end) -> {
-                    attemptsOut--;
-                    ended(request, attempt, a.server(), end);
+                    attemptsInFlight--;
+                    attemptEnded(request, attempt, a.server(), end);
                 });
         request.attempts.add(sent);
-        attemptsOut++;
+        attemptsInFlight++;
         sent.start(timeout, settings.limits().connectTimeoutMs(), handledAt + a.writeWithinMs());
     }
 
     /** Connections are bounded, lest descriptors run out: the longest idle make room. */
-    private boolean roomForAttempt() {
+    private boolean reserveConnection() {
         int idle = pools.values().stream().mapToInt(ConnectionPool::size).sum();
-        if (attemptsOut + idle < mostServerConnections) {
+        if (attemptsInFlight + idle < maxServerConnections) {
             return true;
         }
         if (loop.now() - boundLogged > BOUND_LOG_MS) { // a line per attempt would only add to the trouble
             boundLogged = loop.now();
-            LOG.log(System.Logger.Level.WARNING, "server connections at their bound of {0}", mostServerConnections);
+            LOG.log(System.Logger.Level.WARNING, "server connections at their bound of {0}", maxServerConnections);
         }
         return pools.values().stream().anyMatch(ConnectionPool::closeOldest);
     }
 
-    private static ByteBuffer request(ClientRequest.Content content, InetSocketAddress to, double timeoutMs) {
+    private static ByteBuffer request(PendingRequest.ForwardedRequest content, InetSocketAddress to, double timeoutMs) {
         MessageWriter request = MessageWriter.request(content.method(), content.target(), host(to))
                 .headers(content.headers())
-                .header(EXPIRES, Long.toString(Math.max(1, (long) timeoutMs)));
+                .header(EXPIRES_IN_HEADER, Long.toString(Math.max(1, (long) timeoutMs)));
         return content.body().length == 0 && content.method().equals("GET")
                 ? request.noBody()
                 : request.body(content.body());
@@ -418,42 +419,42 @@
         return to.getAddress().getHostAddress() + ":" + to.getPort();
     }
 
-    private void ended(ClientRequest request, int attempt, String server, Attempt.End end) {
-        request.out--;
-        boolean first = end.outcome() == Outcome.SERVED && !request.over;
+    private void attemptEnded(PendingRequest request, int attempt, String server, HttpAttempt.Result end) {
+        request.attemptsInFlight--;
+        boolean first = end.outcome() == Outcome.SERVED && !request.isComplete;
         if (first) {
-            finish(request);
-            request.answerer.served(end.body(), end.headers());
+            complete(request);
+            request.responses.respondServed(end.body(), end.headers());
         }
-        forgetIfDone(request);
-        tell(new AttemptEnded(
+        releaseIfDone(request);
+        deliver(new AttemptEnded(
                 request.id,
                 attempt,
                 server,
                 end.outcome(),
-                end.tookMs(),
-                request.over,
+                end.elapsedMs(),
+                request.isComplete,
                 LoadReport.parse(end.loadReport(), settings.loadReportFields())));
     }
 
-    private void probe(String server) {
-        InetSocketAddress to = discovery.address(server);
-        if (to == null || !roomForAttempt()) {
-            tell(new HealthChecked(server, false, 0, null));
+    private void checkHealth(String server) {
+        InetSocketAddress to = discovery.addressOf(server);
+        if (to == null || !reserveConnection()) {
+            deliver(new HealthChecked(server, false, 0, null));
             return;
         }
-        attemptsOut++;
+        attemptsInFlight++;
         boolean load = settings.loadReportsComeWithHealthChecks();
         ByteBuffer request = MessageWriter.request("GET", load ? "/_load" : "/ping", host(to))
                 .noBody();
-        new Attempt(loop, to, pool(server), request, () -> true, (x, end) -> {
-                    attemptsOut--;
+        new HttpAttempt(loop, to, pool(server), request, () -> true, (x, end) -> {
+                    attemptsInFlight--;
                     boolean inBody = load && end.loadReport() == null && end.body() != null;
                     String report = inBody ? new String(end.body(), StandardCharsets.US_ASCII) : end.loadReport();
-                    tell(new HealthChecked(
+                    deliver(new HealthChecked(
                             server,
                             end.outcome() == Outcome.SERVED,
-                            end.tookMs(),
+                            end.elapsedMs(),
                             LoadReport.parse(report, settings.loadReportFields())));
                 })
                 .start(PROBE_TIMEOUT_MS, settings.limits().connectTimeoutMs(), Double.POSITIVE_INFINITY);
--- a/sidecar/src/main/java/dewplank/sidecar/Attempt.java
+++ b/sidecar/src/main/java/dewplank/sidecar/HttpAttempt.java
@@ -16,80 +16,80 @@
 import java.util.function.BooleanSupplier;
 
 /** One exchange with a server: a connection, a request, an answer. It ends exactly once, with an outcome. */
-final class Attempt implements Connection.Handler {
+final class HttpAttempt implements Connection.Handler {
     /** How it ended; {@code body} and {@code headers} are those of an answer that served, otherwise null. */
-    record End(Outcome outcome, double tookMs, byte[] body, List<Headers.Field> headers, String loadReport) {}
+    record Result(Outcome outcome, double elapsedMs, byte[] body, List<Headers.Field> headers, String loadReport) {}
 
-    interface Ended {
-        void ended(Attempt attempt, End end);
+    interface CompletionListener {
+        void attemptEnded(HttpAttempt attempt, Result result);
     }
 
     private final EventLoop loop;
-    private final InetSocketAddress to;
+    private final InetSocketAddress server;
     private final ConnectionPool pool;
     private final ByteBuffer request;
-    private final BooleanSupplier wanted;
-    private final Ended whenEnded;
+    private final BooleanSupplier mayWrite;
+    private final CompletionListener listener;
     private final ResponseParser parser = new ResponseParser(MessageParser.MAX_BODY_BYTES);
-    private final double started;
+    private final double startedAtMs;
     private Connection connection;
     private Connection.Connecting connecting;
     private TimerWheel.Timer timeout;
     private TimerWheel.Timer connectTimeout;
     private TimerWheel.Timer writeTimeout;
-    private double writeBy;
-    private boolean over;
+    private double writeDeadlineMs;
+    private boolean hasEnded;
 
     /** {@code wanted} is asked when the connection has come up: whether the request may still be written to it. */
-    Attempt(
+    HttpAttempt(
             EventLoop loop,
-            InetSocketAddress to,
+            InetSocketAddress server,
             ConnectionPool pool,
             ByteBuffer request,
-            BooleanSupplier wanted,
-            Ended whenEnded) {
+            BooleanSupplier mayWrite,
+            CompletionListener listener) {
         this.loop = loop;
-        this.to = to;
+        this.server = server;
         this.pool = pool;
         this.request = request;
-        this.wanted = wanted;
-        this.whenEnded = whenEnded;
-        this.started = loop.now();
+        this.mayWrite = mayWrite;
+        this.listener = listener;
+        this.startedAtMs = loop.now();
     }
 
     /** What is not written whole {@code by} then is never sent; infinite: only the time-outs end it. */
-    void start(double timeoutMs, double connectTimeoutMs, double by) {
-        writeBy = by;
+    void start(double timeoutMs, double connectTimeoutMs, double writeDeadlineMs) {
+        this.writeDeadlineMs = writeDeadlineMs;
         timeout = loop.after(timeoutMs, () -> end(Outcome.TIMED_OUT));
-        if (by < started + timeoutMs) {
-            writeTimeout = loop.after(by - started, this::endUnlessWritten);
+        if (writeDeadlineMs < startedAtMs + timeoutMs) {
+            writeTimeout = loop.after(writeDeadlineMs - startedAtMs, this::resetUnlessWritten);
         }
-        Connection idle = pool.take(to);
+        Connection idle = pool.take(server);
         if (idle != null) {
             idle.setHandler(this);
-            up(idle);
+            connected(idle);
             return;
         }
         if (connectTimeoutMs > 0) { // without one in the settings, the attempt's own time-out has to do
             connectTimeout = loop.after(connectTimeoutMs, () -> end(Outcome.CONNECT_FAILED));
         }
-        connecting = Connection.open(loop, to, this, this::up, e -> end(Outcome.CONNECT_FAILED));
+        connecting = Connection.open(loop, server, this, this::connected, e -> end(Outcome.CONNECT_FAILED));
     }
 
-    private void up(Connection up) {
-        connection = up;
+    private void connected(Connection established) {
+        connection = established;
         connecting = null; // from here on it is the connection that ends: cancelling would close one gone to the pool
         if (connectTimeout != null) {
             connectTimeout.cancel();
         }
-        if (loop.now() > writeBy || !wanted.getAsBoolean()) { // the wait has outlived the right to send
+        if (loop.now() > writeDeadlineMs || !mayWrite.getAsBoolean()) { // the wait has outlived the right to send
             end(Outcome.CONNECT_FAILED);
             return;
         }
-        up.write(request, () -> {});
+        established.write(request, () -> {});
     }
 
-    private void endUnlessWritten() {
+    private void resetUnlessWritten() {
         if (request.hasRemaining()) {
             end(Outcome.RESET);
         }
@@ -99,7 +99,7 @@
     public void received(ByteBuffer bytes) {
         try {
             if (parser.feed(bytes)) {
-                answered(!bytes.hasRemaining() && parser.keepAlive());
+                responseComplete(!bytes.hasRemaining() && parser.keepAlive());
             }
         } catch (BadMessageException e) { // nobody can tell what it did
             end(Outcome.RESET);
@@ -109,21 +109,21 @@
     @Override
     public void closed(IOException why) {
         if (why == null && parser.endOfInput()) {
-            answered(false);
+            responseComplete(false);
         } else {
             end(Outcome.RESET);
         }
     }
 
-    private void answered(boolean reusable) {
+    private void responseComplete(boolean reusable) {
         Outcome outcome =
                 switch (parser.status()) {
                     case 200 -> Outcome.SERVED;
                     case 503, 504 -> "1".equals(parser.headers().get("X-Never-Ran")) ? Outcome.REJECTED : Outcome.ERROR;
                     default -> Outcome.ERROR;
                 };
-        if (reusable && !request.hasRemaining() && !over) {
-            pool.put(connection, to);
+        if (reusable && !request.hasRemaining() && !hasEnded) {
+            pool.put(connection, server);
             connection = null;
         }
         end(outcome);
@@ -133,16 +133,16 @@
         end(Outcome.CANCELLED);
     }
 
-    boolean over() {
-        return over;
+    boolean hasEnded() {
+        return hasEnded;
     }
 
     /** Closes what has not gone back to the pool: a late answer must not meet the connection's next request. */
     private void end(Outcome outcome) {
-        if (over) {
+        if (hasEnded) {
             return;
         }
-        over = true;
+        hasEnded = true;
         timeout.cancel();
         if (connectTimeout != null) {
             connectTimeout.cancel();
@@ -155,13 +155,13 @@
         } else if (connecting != null) {
             connecting.cancel();
         }
-        Outcome proven = proven(outcome);
-        boolean served = proven == Outcome.SERVED;
-        whenEnded.ended(
+        Outcome provenOutcome = provenOutcome(outcome);
+        boolean served = provenOutcome == Outcome.SERVED;
+        listener.attemptEnded(
                 this,
-                new End(
-                        proven,
-                        loop.now() - started,
+                new Result(
+                        provenOutcome,
+                        loop.now() - startedAtMs,
                         served ? parser.takeBody() : null,
                         served ? parser.headers().endToEnd() : null,
                         parser.headers().get("Endpoint-Load-Metrics")));
@@ -172,7 +172,7 @@
      * over, nothing is proven. The buffer tells, not the write's completion, which may come after the break's. Its
      * position is final, and visible here, once the connection is closed: closing waits for a write in progress.
      */
-    private Outcome proven(Outcome outcome) {
+    private Outcome provenOutcome(Outcome outcome) {
         boolean unproven = outcome != Outcome.REJECTED && outcome != Outcome.CANCELLED;
         return unproven && request.hasRemaining() ? Outcome.CONNECT_FAILED : outcome;
     }
--- a/sidecar/src/main/java/dewplank/sidecar/Rehearsal.java
+++ b/sidecar/src/main/java/dewplank/sidecar/Rehearsal.java
@@ -29,69 +29,76 @@
  * {@code /_health}, and drives a module that is thrown away; nobody else is sent anything.
  */
 final class Rehearsal {
-    private static final int ROUNDS = 300;
-    private static final double MOST_MS = 1_000;
-    private static final int SERVERS = 9;
+    private static final int MAX_ROUNDS = 300;
+    private static final double MAX_DURATION_MS = 1_000;
+    private static final int SERVER_COUNT = 9;
 
     private final EventLoop loop;
-    private final InetSocketAddress self;
+    private final InetSocketAddress ownAddress;
     private final Settings settings;
     private final Runnable whenDone;
     private final ConnectionPool pool;
-    private final double until;
-    private final Queue<Send> sent = new ArrayDeque<>();
-    private final Balancer module;
+    private final double untilMs;
+    private final Queue<Send> pendingSends = new ArrayDeque<>();
+    private final Balancer balancer;
     private int round;
 
-    Rehearsal(EventLoop loop, InetSocketAddress self, Settings settings, Runnable whenDone) {
+    Rehearsal(EventLoop loop, InetSocketAddress ownAddress, Settings settings, Runnable whenDone) {
         this.loop = loop;
-        this.self = self;
+        this.ownAddress = ownAddress;
         this.settings = settings;
         this.whenDone = whenDone;
         this.pool = new ConnectionPool(loop, 0, Double.POSITIVE_INFINITY);
-        this.until = loop.now() + MOST_MS;
-        this.module = new AdaptiveBalancer(settings, new SplittableRandom(1));
+        this.untilMs = loop.now() + MAX_DURATION_MS;
+        this.balancer = new AdaptiveBalancer(settings, new SplittableRandom(1));
     }
 
     void start() {
-        List<Endpoint> entries = IntStream.range(0, SERVERS)
+        List<Endpoint> endpoints = IntStream.range(0, SERVER_COUNT)
                 .mapToObj(i -> new Endpoint("rehearsed-" + i, settings.zone(), "", 0, Availability.UP, 1, null))
                 .toList();
-        tell(new EndpointUpdate(UpdateKind.CACHED, entries));
-        next();
+        deliver(new EndpointUpdate(UpdateKind.CACHED, endpoints));
+        runRound();
     }
 
-    private void next() {
-        if (round++ == ROUNDS || loop.now() > until) {
+    private void runRound() {
+        if (round++ == MAX_ROUNDS || loop.now() > untilMs) {
             pool.close();
             whenDone.run();
             return;
         }
-        decide();
+        driveBalancer();
         MessageWriter request = MessageWriter.request("POST", "/_health", "rehearsal")
                 .header("X-Trace-Id", "0")
                 .header("X-Qos", "rehearsal")
-                .header(Host.EXPIRES, "1000");
-        new Attempt(loop, self, pool, request.body(new byte[] {'0'}), () -> true, (attempt, end) -> next())
-                .start(MOST_MS, MOST_MS, Double.POSITIVE_INFINITY);
+                .header(BalancerHost.EXPIRES_IN_HEADER, "1000");
+        new HttpAttempt(
+                        loop,
+                        ownAddress,
+                        pool,
+                        request.body(new byte[] {'0'}),
+                        () -> true,
+                        (attempt, end) -> runRound())
+                .start(MAX_DURATION_MS, MAX_DURATION_MS, Double.POSITIVE_INFINITY);
     }
 
     /** One request of each class, served at once. */
-    private void decide() {
+    private void driveBalancer() {
         long request = (long) round * settings.classes().size();
-        for (RequestClass c : settings.classes()) {
-            tell(new RequestArrived(++request, null, null, false, c.name(), c.deadlineMs(), null));
+        for (RequestClass requestClass : settings.classes()) {
+            deliver(new RequestArrived(
+                    ++request, null, null, false, requestClass.name(), requestClass.deadlineMs(), null));
         }
-        while (!sent.isEmpty()) {
-            Send s = sent.remove();
-            tell(new AttemptEnded(s.request(), 0, s.server(), Outcome.SERVED, 1, true, null));
+        while (!pendingSends.isEmpty()) {
+            Send send = pendingSends.remove();
+            deliver(new AttemptEnded(send.request(), 0, send.server(), Outcome.SERVED, 1, true, null));
         }
     }
 
-    private void tell(Event event) {
-        module.handle(loop.now(), event, action -> {
-            if (action instanceof Send s) {
-                sent.add(s);
+    private void deliver(Event event) {
+        balancer.handle(loop.now(), event, action -> {
+            if (action instanceof Send send) {
+                pendingSends.add(send);
             }
         });
     }
--- a/sidecar/src/main/java/dewplank/sidecar/Subject.java
+++ b/sidecar/src/main/java/dewplank/sidecar/RequestAttributes.java
@@ -13,24 +13,24 @@
  * @param key what the request is about; null for none, or one that cannot be told or is over {@link #MOST_KEY} long
  * @param cost expected work in milliseconds of a standard core, or null
  */
-record Subject(String tenant, String key, Double cost) {
-    static final int MOST_KEY = 128; // characters; the module remembers some thousands of keys
-    private static final double MOST_COST_MS = 3_600_000;
+record RequestAttributes(String tenant, String key, Double costMs) {
+    static final int MAX_KEY_LENGTH = 128; // characters; the module remembers some thousands of keys
+    private static final double MAX_COST_MS = 3_600_000;
 
-    static Subject of(Headers headers, Set<String> tenants) {
+    static RequestAttributes of(Headers headers, Set<String> tenants) {
         List<Headers.Field> fields = headers.endToEnd();
         String tenant = headers.get("X-Customer"); // two such fields come as one with a comma, which none is named
         String key = Cookies.value(fields, "k");
-        return new Subject(
+        return new RequestAttributes(
                 tenants.contains(tenant) ? tenant : null,
-                key == null || key.length() > MOST_KEY ? null : key,
-                prop(headers.get("X-Props"), "Work"));
+                key == null || key.length() > MAX_KEY_LENGTH ? null : key,
+                positiveProperty(headers.get("X-Props"), "Work"));
     }
 
     /** The figure of that name in {@code name=value,name=value}; null where it is missing, doubled or no figure. */
-    private static Double prop(String props, String name) {
+    private static Double positiveProperty(String properties, String name) {
         Double found = null;
-        for (String pair : props == null ? new String[0] : props.split(",")) {
+        for (String pair : properties == null ? new String[0] : properties.split(",")) {
             int equals = pair.indexOf('=');
             if (equals < 0 || !pair.substring(0, equals).strip().equals(name)) {
                 continue;
@@ -44,6 +44,6 @@
                 return null;
             }
         }
-        return found != null && found > 0 && found <= MOST_COST_MS ? found : null;
+        return found != null && found > 0 && found <= MAX_COST_MS ? found : null;
     }
 }
--- a/sidecar/src/main/java/dewplank/sidecar/config/SidecarConfig.java
+++ b/sidecar/src/main/java/dewplank/sidecar/config/SidecarConfig.java
@@ -26,12 +26,12 @@
         InetSocketAddress listen,
         InetSocketAddress discovery,
         long seed,
-        int sockets,
-        Fields known,
+        int maxSockets,
+        Fields initialCatalog,
         Settings settings,
         PeerAddresses peers) {
-    private static final int DEFAULT_SOCKETS = 1_024;
-    private static final int LEAST_SOCKETS = 256;
+    private static final int DEFAULT_MAX_SOCKETS = 1_024;
+    private static final int MIN_MAX_SOCKETS = 256;
 
     /** Reads the file that {@code GW_CONFIG} names; {@code GW_NAME} and the addresses stand above the file's. */
     public static SidecarConfig fromEnvironment(Map<String, String> environment) {
@@ -42,23 +42,23 @@
      * Reads it again for a program that runs: the environment is that of the start, so the file's newer
      * {@code discovery} counts. Name and listening address can't change while it runs.
      */
-    public static SidecarConfig again(Map<String, String> environment) {
+    public static SidecarConfig reread(Map<String, String> environment) {
         return read(environment, Map.of("GW_NAME", "name", "GW_LISTEN", "listen"));
     }
 
     /** A small configuration for the rehearsal at build time. */
-    public static SidecarConfig ofRehearsal() {
+    public static SidecarConfig forRehearsal() {
         try (InputStream in = SidecarConfig.class.getResourceAsStream("/rehearsal.json")) {
             String text = new String(in.readAllBytes(), StandardCharsets.UTF_8);
-            SidecarConfig c = of(new Fields(Json.object(text), "rehearsal key "));
+            SidecarConfig config = of(new Fields(Json.object(text), "rehearsal key "));
             return new SidecarConfig(
-                    c.name,
-                    new InetSocketAddress(c.listen.getAddress(), 0),
-                    c.discovery,
-                    c.seed,
-                    c.sockets,
-                    c.known,
-                    c.settings,
+                    config.name,
+                    new InetSocketAddress(config.listen.getAddress(), 0),
+                    config.discovery,
+                    config.seed,
+                    config.maxSockets,
+                    config.initialCatalog,
+                    config.settings,
                     null); // any port that is free
         } catch (IOException e) {
             throw new InvalidInputException("rehearsal.json: " + e.getMessage());
@@ -78,7 +78,7 @@
         }
     }
 
-    private static SidecarConfig read(Map<String, String> environment, Map<String, String> above) {
+    private static SidecarConfig read(Map<String, String> environment, Map<String, String> overrides) {
         Path file = file(environment);
         Map<String, Object> object;
         try {
@@ -90,7 +90,7 @@
         } catch (InvalidInputException e) {
             throw new InvalidInputException("GW_CONFIG: " + file + ": " + e.getMessage());
         }
-        above.forEach((variable, key) -> {
+        overrides.forEach((variable, key) -> {
             String value = environment.get(variable);
             if (value != null && !value.isEmpty()) {
                 object.put(key, value);
@@ -99,33 +99,33 @@
         return of(new Fields(object, "configuration key "));
     }
 
-    static SidecarConfig of(Fields c) {
-        int sockets = (int) c.part("limits").number("sockets", DEFAULT_SOCKETS);
-        if (sockets < LEAST_SOCKETS) {
-            throw c.part("limits").wrongType("sockets", "at least " + LEAST_SOCKETS);
+    static SidecarConfig of(Fields fields) {
+        int maxSockets = (int) fields.part("limits").number("sockets", DEFAULT_MAX_SOCKETS);
+        if (maxSockets < MIN_MAX_SOCKETS) {
+            throw fields.part("limits").wrongType("sockets", "at least " + MIN_MAX_SOCKETS);
         }
-        String name = c.text("name");
-        InetSocketAddress listen = Addresses.parse(c, "listen");
-        InetSocketAddress discovery = Addresses.parse(c, "discovery");
-        long seed = seed(c);
-        Fields known = c.requireObject("known");
-        Settings settings = Params.settings(c.requireObject("settings"));
+        String name = fields.text("name");
+        InetSocketAddress listen = Addresses.parse(fields, "listen");
+        InetSocketAddress discovery = Addresses.parse(fields, "discovery");
+        long seed = seed(fields);
+        Fields initialCatalog = fields.requireObject("known");
+        Settings settings = BalancerSettingsReader.read(fields.requireObject("settings"));
         return new SidecarConfig(
                 name,
                 listen,
                 discovery,
                 seed,
-                sockets,
-                known,
+                maxSockets,
+                initialCatalog,
                 settings,
-                settings.limits().exchangesPeerSummaries() ? PeerAddresses.of(c) : null);
+                settings.limits().exchangesPeerSummaries() ? PeerAddresses.of(fields) : null);
     }
 
-    private static long seed(Fields c) {
+    private static long seed(Fields fields) {
         try {
-            return Long.parseUnsignedLong(c.text("seed"), 16);
+            return Long.parseUnsignedLong(fields.text("seed"), 16);
         } catch (NumberFormatException e) {
-            throw c.wrongType("seed", "a hexadecimal number of 64 bits at the most");
+            throw fields.wrongType("seed", "a hexadecimal number of 64 bits at the most");
         }
     }
 }
--- a/sidecar/src/main/java/dewplank/simhost/Wire.java
+++ b/sidecar/src/main/java/dewplank/simhost/Wire.java
@@ -28,7 +28,7 @@
 import dewplank.balancer.adaptive.AdaptiveBalancer;
 import dewplank.settings.Fields;
 import dewplank.settings.InvalidInputException;
-import dewplank.sidecar.config.Params;
+import dewplank.sidecar.config.BalancerSettingsReader;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.Reader;
@@ -131,7 +131,8 @@
             case "CREATE" -> instances.put(
                     m.small(1),
                     new AdaptiveBalancer(
-                            Params.settings(new Fields(m.object(3), "setting ")), new SplittableRandom(m.integer(2))));
+                            BalancerSettingsReader.read(new Fields(m.object(3), "setting ")),
+                            new SplittableRandom(m.integer(2))));
             case "KILLED" -> {
                 if (instances.remove(m.small(1)) == null) {
                     throw new InvalidInputException("KILLED: no instance " + m.small(1));
--- a/sidecar/src/test/java/dewplank/discovery/WatchTest.java
+++ b/sidecar/src/test/java/dewplank/discovery/CatalogWatchTest.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import org.junit.Test;
 
-public class WatchTest {
+public class CatalogWatchTest {
 
     /**
      * Found on a day of discovery troubles: 5 s of a silent watch during a release of the servers. A line is due every
@@ -21,7 +21,7 @@
      */
     @Test
     public void aSilentWatchIsLeftInTimeForAnotherCall() {
-        assertTrue(Watch.SILENCE_MS > 2_000 && Watch.SILENCE_MS < 4_000);
+        assertTrue(CatalogWatch.IDLE_TIMEOUT_MS > 2_000 && CatalogWatch.IDLE_TIMEOUT_MS < 4_000);
     }
 
     /** A discovery that is cut off keeps the connection open and says nothing; TCP does not notice. */
@@ -31,7 +31,7 @@
         EventLoop loop = new EventLoop();
         try (ServerSocket silent = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             loop.execute(() -> {
-                Watch watch = new Watch(
+                CatalogWatch watch = new CatalogWatch(
                         loop,
                         (InetSocketAddress) silent.getLocalSocketAddress(),
                         3,
--- a/sidecar/src/test/java/dewplank/peers/PeersTest.java
+++ b/sidecar/src/test/java/dewplank/peers/PeerChannelTest.java
@@ -24,7 +24,7 @@
 import org.junit.Test;
 
 /** One sidecar's datagrams, between two scripted peers and a stranger. */
-public class PeersTest {
+public class PeerChannelTest {
     private static final int PATIENCE_S = 20;
 
     private record Said(int peer, byte[] bytes) {}
@@ -34,7 +34,7 @@
     private final DatagramSocket two = socket();
     private final DatagramSocket stranger = socket();
     private EventLoop loop;
-    private Peers peers;
+    private PeerChannel peers;
 
     private static DatagramSocket socket() {
         try {
@@ -57,9 +57,9 @@
         peers.start();
     }
 
-    private Peers peers(InetSocketAddress all) {
+    private PeerChannel peers(InetSocketAddress all) {
         InetSocketAddress free = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        return new Peers(
+        return new PeerChannel(
                 loop,
                 new PeerAddresses(free, List.of(at(one), free, at(two)), all),
                 1,
@@ -101,20 +101,20 @@
         assertEquals(2, said.peer());
         assertArrayEquals(new byte[] {1, 7}, said.bytes());
         assertNull(heard.poll());
-        Peers.Counts counts = peers.counts();
-        assertEquals(1, counts.foreign());
-        assertEquals(3, counts.unreadable());
+        PeerChannel.DatagramCounts counts = peers.counts();
+        assertEquals(1, counts.unknownSender());
+        assertEquals(3, counts.invalid());
     }
 
     @Test
     public void whatIsToldReachesEachPeerButOneself() throws Exception {
-        loop.execute(() -> peers.tell(new byte[] {1, 5}));
+        loop.execute(() -> peers.broadcast(new byte[] {1, 5}));
         assertArrayEquals(new byte[] {1, 5}, next(one));
         assertArrayEquals(new byte[] {1, 5}, next(two));
-        assertThrows(IllegalArgumentException.class, () -> peers.tell(new byte[257]));
+        assertThrows(IllegalArgumentException.class, () -> peers.broadcast(new byte[257]));
         peers.close();
         peers = peers(at(stranger)); // one address for all of the tier
-        loop.execute(() -> peers.tell(new byte[256]));
+        loop.execute(() -> peers.broadcast(new byte[256]));
         assertEquals(256, next(stranger).length);
     }
 
@@ -129,14 +129,14 @@
                 Thread.currentThread().interrupt();
             }
         });
-        for (int i = 0; i < 20_000 && peers.counts().overBound() == 0; i++) {
+        for (int i = 0; i < 20_000 && peers.counts().overflowed() == 0; i++) {
             send(one, (byte) 1);
             Thread.sleep(i % 10 == 0 ? 1 : 0);
         }
-        assertTrue(peers.counts().overBound() > 0);
+        assertTrue(peers.counts().overflowed() > 0);
         assertTrue(heard.isEmpty());
         busy.countDown();
-        for (int i = 0; i < Peers.MOST_WAITING; i++) {
+        for (int i = 0; i < PeerChannel.MAX_QUEUED; i++) {
             nextHeard();
         }
         send(two, (byte) 1, (byte) 8);
@@ -150,7 +150,8 @@
     @Test
     public void anAddressInUseIsNamed() throws Exception {
         PeerAddresses taken = new PeerAddresses(at(one), List.of(), null);
-        assertTrue(assertThrows(InvalidInputException.class, () -> new Peers(loop, taken, 0, b -> true, (p, b) -> {}))
+        assertTrue(assertThrows(
+                        InvalidInputException.class, () -> new PeerChannel(loop, taken, 0, b -> true, (p, b) -> {}))
                 .getMessage()
                 .startsWith("configuration key peer_listen: cannot listen on /127.0.0.1:"));
     }
--- a/sidecar/src/test/java/dewplank/sidecar/SendingTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/AttemptWriteTest.java
@@ -13,9 +13,9 @@
 import dewplank.exchange.ConnectionPool;
 import dewplank.net.Connection;
 import dewplank.net.EventLoop;
-import dewplank.sidecar.Loopback.Client;
-import dewplank.sidecar.Loopback.Exchange;
-import dewplank.sidecar.Loopback.Peer;
+import dewplank.sidecar.LoopbackNetwork.Client;
+import dewplank.sidecar.LoopbackNetwork.ReceivedRequest;
+import dewplank.sidecar.LoopbackNetwork.ScriptedPeer;
 import java.io.IOException;
 import java.net.Socket;
 import java.nio.ByteBuffer;
@@ -30,14 +30,14 @@
 import org.junit.Test;
 
 /** What may change between the decision to send and the writing: each crossing in the order that does harm. */
-public class SendingTest {
+public class AttemptWriteTest {
     private static final UnaryOperator<String> NO_CONNECT_TIMEOUT =
             s -> s.replace("\"ConnectTimeout\":2000", "\"ConnectTimeout\":0");
 
     /** Found on a zone day: a connection took long to come up, and the repeat was written past the window. */
     @Test
     public void aRepeatIsNotWrittenOnceItsWindowIsOver() throws Exception {
-        Gate listed = new Gate(e -> e instanceof EndpointUpdate news
+        BalancerEventLatch listed = new BalancerEventLatch(e -> e instanceof EndpointUpdate news
                 && !news.endpoints().isEmpty()
                 && news.endpoints().get(0).server().equals("late"));
         UnaryOperator<String> keyed = s -> NO_CONNECT_TIMEOUT
@@ -45,20 +45,20 @@
                 .replace(
                         "\"Idempotency\":\"non_idempotent\"",
                         "\"Idempotency\":\"idempotency_key\",\"KeyScope\":\"all\",\"KeyTtl\":300");
-        Gate reset = new Gate(e -> e instanceof AttemptEnded);
-        try (Loopback net = new Loopback(1, keyed, m -> reset.apply(listed.apply(m)));
-                Peer late = Peer.late()) {
-            Exchange watch = net.discovery.next();
+        BalancerEventLatch reset = new BalancerEventLatch(e -> e instanceof AttemptEnded);
+        try (LoopbackNetwork net = new LoopbackNetwork(1, keyed, m -> reset.apply(listed.apply(m)));
+                ScriptedPeer late = ScriptedPeer.withDelayedAccept()) {
+            ReceivedRequest watch = net.discovery.next();
             watch.beginWatch();
             Client client = net.client();
             client.send(Client.request("order-place", "Idempotency-Key: k\r\n"));
-            Exchange first = net.servers.get(0).next();
-            watch.line(Loopback.list(8, false, List.of(late.entry("late", "active"))));
+            ReceivedRequest first = net.servers.get(0).next();
+            watch.sendLine(LoopbackNetwork.catalogJson(8, false, List.of(late.endpointJson("late", "active"))));
             listed.await();
             first.reset(); // it may have run: the repeat goes to the other server, whose connection is not up yet
             reset.await();
-            Gate.onLoop(net, () -> null); // by now it is asked for
-            late.letIn();
+            BalancerEventLatch.callOnLoop(net, () -> null); // by now it is asked for
+            late.startAccepting();
             assertStatus("503", client.read());
             assertNothingCame(late);
         }
@@ -67,17 +67,17 @@
     /** The time that it may take to come up can be longer than the grace after a drain was told. */
     @Test
     public void aServerThatDrainsWhileItsConnectionComesUpGetsNothing() throws Exception {
-        try (Loopback net = new Loopback(0, NO_CONNECT_TIMEOUT, m -> m);
-                Peer late = Peer.late()) {
-            Exchange watch = listOf(net, late);
+        try (LoopbackNetwork net = new LoopbackNetwork(0, NO_CONNECT_TIMEOUT, m -> m);
+                ScriptedPeer late = ScriptedPeer.withDelayedAccept()) {
+            ReceivedRequest watch = listOf(net, late);
             Client client = net.client();
-            Gate.awaitHealth(client, "200");
+            BalancerEventLatch.awaitHealthStatus(client, "200");
             Client order = net.client();
-            order.ask("order-place");
-            Gate.awaitTaken(net);
-            watch.line(Loopback.list(9, false, List.of(late.entry("late", "leaving"))));
-            Gate.awaitHealth(client, "503");
-            late.letIn();
+            order.sendRequest("order-place");
+            BalancerEventLatch.awaitRequestAccepted(net);
+            watch.sendLine(LoopbackNetwork.catalogJson(9, false, List.of(late.endpointJson("late", "leaving"))));
+            BalancerEventLatch.awaitHealthStatus(client, "503");
+            late.startAccepting();
             assertStatus("503", order.read());
             assertItsConnectionEndsUnused(late);
         }
@@ -86,19 +86,19 @@
     /** Where nothing may be cancelled as well: what was never written is not an attempt yet. */
     @Test
     public void aClientThatLeavesWhileTheConnectionComesUpIsNotSentOn() throws Exception {
-        Gate abandoned = new Gate(e -> e instanceof RequestAbandoned);
+        BalancerEventLatch abandoned = new BalancerEventLatch(e -> e instanceof RequestAbandoned);
         UnaryOperator<String> fixed =
                 s -> NO_CONNECT_TIMEOUT.apply(s).replace("\"Cancelling\":true", "\"Cancelling\":false");
-        try (Loopback net = new Loopback(0, fixed, abandoned);
-                Peer late = Peer.late()) {
+        try (LoopbackNetwork net = new LoopbackNetwork(0, fixed, abandoned);
+                ScriptedPeer late = ScriptedPeer.withDelayedAccept()) {
             listOf(net, late);
-            Gate.awaitHealth(net.client(), "200");
+            BalancerEventLatch.awaitHealthStatus(net.client(), "200");
             Client client = net.client();
-            client.ask("order-place");
-            Gate.awaitTaken(net);
+            client.sendRequest("order-place");
+            BalancerEventLatch.awaitRequestAccepted(net);
             client.socket.close();
             abandoned.await();
-            late.letIn();
+            late.startAccepting();
             assertItsConnectionEndsUnused(late);
         }
     }
@@ -106,10 +106,10 @@
     /** Nothing was written, so nothing ran: the client may try again, and an order too. */
     @Test
     public void aTimeOutBeforeTheConnectionIsUpIsARefusal() throws Exception {
-        try (Loopback net = new Loopback(0, NO_CONNECT_TIMEOUT, m -> m);
-                Peer late = Peer.late()) {
+        try (LoopbackNetwork net = new LoopbackNetwork(0, NO_CONNECT_TIMEOUT, m -> m);
+                ScriptedPeer late = ScriptedPeer.withDelayedAccept()) {
             listOf(net, late);
-            Gate.awaitHealth(net.client(), "200");
+            BalancerEventLatch.awaitHealthStatus(net.client(), "200");
             Client client = net.client();
             client.send(Client.request("order-place", "").replace("5000", "300"));
             assertStatus("503", client.read());
@@ -124,7 +124,7 @@
     public void aBreakToldBeforeTheWritesCompletionProvesNothing() throws Exception {
         BlockingQueue<Outcome> ends = new LinkedBlockingQueue<>();
         EventLoop loop = new EventLoop();
-        try (Peer server = new Peer()) {
+        try (ScriptedPeer server = new ScriptedPeer()) {
             ConnectionPool pool = new ConnectionPool(loop, 0, Double.POSITIVE_INFINITY);
             CompletableFuture<Connection> other = new CompletableFuture<>();
             loop.execute(() -> Connection.open(loop, server.address(), new Ignored(), other::complete, e -> {}));
@@ -138,7 +138,7 @@
                             many.write(ByteBuffer.wrap(new byte[] {'x'}), () -> {});
                         }
                         pool.put(up, server.address());
-                        Attempt attempt = attempt(loop, server, pool, "GET /x HTTP/1.1\r\n\r\n", ends);
+                        HttpAttempt attempt = attempt(loop, server, pool, "GET /x HTTP/1.1\r\n\r\n", ends);
                         attempt.start(5_000, 0, Double.POSITIVE_INFINITY);
                         up.close();
                         attempt.closed(null);
@@ -156,7 +156,7 @@
     public void anAnswerBeforeTheRequestIsWholeIsNotItsAnswer() throws Exception {
         BlockingQueue<Outcome> ends = new LinkedBlockingQueue<>();
         EventLoop loop = new EventLoop();
-        try (Peer server = new Peer()) {
+        try (ScriptedPeer server = new ScriptedPeer()) {
             String more = "x".repeat(32 << 20); // beyond all that the system holds for a peer that does not read
             loop.execute(() -> attempt(
                             loop,
@@ -165,7 +165,7 @@
                             "GET /x HTTP/1.1\r\n\r\n" + more,
                             ends)
                     .start(5_000, 0, Double.POSITIVE_INFINITY));
-            server.next().answer("200 OK", "another's");
+            server.next().respond("200 OK", "another's");
             assertEquals(Outcome.CONNECT_FAILED, ends.take());
         } finally {
             loop.stop();
@@ -175,19 +175,20 @@
     /** Between two sweeps a connection may get older than the server lets it: it is not used again. */
     @Test
     public void aConnectionThatTheServerIsAboutToCloseIsNotUsed() throws Exception {
-        try (Loopback net = new Loopback(1, s -> s.replace("\"IdleClose\":60000", "\"IdleClose\":50"), m -> m)) {
+        try (LoopbackNetwork net =
+                new LoopbackNetwork(1, s -> s.replace("\"IdleClose\":60000", "\"IdleClose\":50"), m -> m)) {
             Client client = net.client();
-            client.ask("menu-read");
-            Exchange first = net.servers.get(0).next();
-            first.answer("200 OK", "");
+            client.sendRequest("menu-read");
+            ReceivedRequest first = net.servers.get(0).next();
+            first.respond("200 OK", "");
             assertTrue(client.read().startsWith("HTTP/1.1 200"));
             CountDownLatch old = new CountDownLatch(1);
-            Gate.onLoop(net, () -> net.sidecar.loop().after(50, old::countDown));
+            BalancerEventLatch.callOnLoop(net, () -> net.sidecar.loop().after(50, old::countDown));
             old.await();
-            client.ask("menu-read");
-            Exchange second = net.servers.get(0).nextRequest();
+            client.sendRequest("menu-read");
+            ReceivedRequest second = net.servers.get(0).nextRequest();
             assertNotSame(first.connection(), second.connection());
-            second.answer("200 OK", "");
+            second.respond("200 OK", "");
             assertTrue(client.read().startsWith("HTTP/1.1 200"));
         }
     }
@@ -196,7 +197,7 @@
     @Test
     public void aConnectionRestsUntilASecondAnswerWouldHaveCome() throws Exception {
         EventLoop loop = new EventLoop();
-        try (Peer server = new Peer()) {
+        try (ScriptedPeer server = new ScriptedPeer()) {
             CompletableFuture<Connection> up = new CompletableFuture<>();
             loop.execute(() -> Connection.open(loop, server.address(), new Ignored(), up::complete, e -> {}));
             Connection connection = up.get();
@@ -221,9 +222,9 @@
         }
     }
 
-    private static Attempt attempt(
-            EventLoop loop, Peer server, ConnectionPool pool, String request, BlockingQueue<Outcome> ends) {
-        return new Attempt(
+    private static HttpAttempt attempt(
+            EventLoop loop, ScriptedPeer server, ConnectionPool pool, String request, BlockingQueue<Outcome> ends) {
+        return new HttpAttempt(
                 loop,
                 server.address(),
                 pool,
@@ -232,22 +233,22 @@
                 (a, end) -> ends.add(end.outcome()));
     }
 
-    private static Exchange listOf(Loopback net, Peer late) throws Exception {
-        Exchange watch = net.discovery.next();
+    private static ReceivedRequest listOf(LoopbackNetwork net, ScriptedPeer late) throws Exception {
+        ReceivedRequest watch = net.discovery.next();
         watch.beginWatch();
-        watch.line(Loopback.list(8, false, List.of(late.entry("late", "active"))));
+        watch.sendLine(LoopbackNetwork.catalogJson(8, false, List.of(late.endpointJson("late", "active"))));
         return watch;
     }
 
     /** The crowd's two connections end, and the sidecar's: none brings a request. */
-    private static void assertItsConnectionEndsUnused(Peer late) throws Exception {
+    private static void assertItsConnectionEndsUnused(ScriptedPeer late) throws Exception {
         for (int i = 0; i < 3; i++) {
             assertNull(late.next().message());
         }
     }
 
     /** The connection was given up before it came up: a mark set now would come after a request on it. */
-    private static void assertNothingCame(Peer late) throws Exception {
+    private static void assertNothingCame(ScriptedPeer late) throws Exception {
         try (Socket mark =
                 new Socket(late.address().getAddress(), late.address().getPort())) {
             mark.getOutputStream().write("GET /mark HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
--- a/sidecar/src/test/java/dewplank/sidecar/Gate.java
+++ b/sidecar/src/test/java/dewplank/sidecar/BalancerEventLatch.java
@@ -11,13 +11,13 @@
 import java.util.function.UnaryOperator;
 
 /** Round the module: a test passes it once the module has handled an event of some kind. */
-final class Gate implements UnaryOperator<Balancer> {
-    private static final int PATIENCE_S = 20;
+final class BalancerEventLatch implements UnaryOperator<Balancer> {
+    private static final int TIMEOUT_S = 20;
 
     private final Predicate<Event> kind;
     private final CountDownLatch handled = new CountDownLatch(1);
 
-    Gate(Predicate<Event> kind) {
+    BalancerEventLatch(Predicate<Event> kind) {
         this.kind = kind;
     }
 
@@ -32,27 +32,27 @@
     }
 
     void await() throws InterruptedException {
-        if (!handled.await(PATIENCE_S, TimeUnit.SECONDS)) {
+        if (!handled.await(TIMEOUT_S, TimeUnit.SECONDS)) {
             throw new AssertionError("the event never came");
         }
     }
 
     /** Until the sidecar has taken a request. */
-    static void awaitTaken(Loopback net) throws Exception {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
-        while (System.nanoTime() < until && onLoop(net, () -> net.sidecar.requestsOpen()) == 0) {
+    static void awaitRequestAccepted(LoopbackNetwork net) throws Exception {
+        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
+        while (System.nanoTime() < until && callOnLoop(net, () -> net.sidecar.openRequestCount()) == 0) {
             Thread.onSpinWait();
         }
     }
 
-    static <T> T onLoop(Loopback net, java.util.concurrent.Callable<T> task) throws Exception {
+    static <T> T callOnLoop(LoopbackNetwork net, java.util.concurrent.Callable<T> task) throws Exception {
         FutureTask<T> done = new FutureTask<>(task);
         net.sidecar.loop().execute(done);
         return done.get();
     }
 
-    static void awaitHealth(Loopback.Client client, String status) throws IOException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
+    static void awaitHealthStatus(LoopbackNetwork.Client client, String status) throws IOException {
+        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
         String answer;
         do {
             if (System.nanoTime() > until) {
@@ -64,9 +64,9 @@
     }
 
     /** Until the connections to servers that are idle now may be used again. */
-    static void awaitRest(Loopback net) throws Exception {
+    static void awaitConnectionReusable(LoopbackNetwork net) throws Exception {
         CountDownLatch rested = new CountDownLatch(1);
-        onLoop(net, () -> net.sidecar.loop().after(ConnectionPool.REUSE_DELAY_MS, rested::countDown));
+        callOnLoop(net, () -> net.sidecar.loop().after(ConnectionPool.REUSE_DELAY_MS, rested::countDown));
         rested.await();
     }
 }
--- a/sidecar/src/test/java/dewplank/sidecar/LeavingTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/ClientDisconnectTest.java
@@ -6,9 +6,9 @@
 import dewplank.balancer.Balancer;
 import dewplank.balancer.Event.AttemptEnded;
 import dewplank.balancer.Event.RequestAbandoned;
-import dewplank.sidecar.Loopback.Client;
-import dewplank.sidecar.Loopback.Exchange;
-import dewplank.sidecar.Loopback.Peer;
+import dewplank.sidecar.LoopbackNetwork.Client;
+import dewplank.sidecar.LoopbackNetwork.ReceivedRequest;
+import dewplank.sidecar.LoopbackNetwork.ScriptedPeer;
 import java.io.IOException;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
@@ -18,30 +18,31 @@
 import org.junit.Test;
 
 /** A client that leaves, and connections that end while something comes on them. */
-public class LeavingTest {
+public class ClientDisconnectTest {
     private static final UnaryOperator<String> NO_CONNECT_TIMEOUT =
             s -> s.replace("\"ConnectTimeout\":2000", "\"ConnectTimeout\":0");
 
     /** Its end waits right behind its request, and is read first: the loop is held while both come. */
     @Test
     public void aRequestWhoseClientHasLeftBeforeItWasReadIsNotSentOn() throws Exception {
-        try (Loopback net = new Loopback(1)) {
+        try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client before = net.client();
-            before.ask("menu-read");
-            net.servers.get(0).next().answer("200 OK", "");
+            before.sendRequest("menu-read");
+            net.servers.get(0).next().respond("200 OK", "");
             assertTrue(before.read().startsWith("HTTP/1.1 200"));
-            Gate.awaitRest(net); // a connection is at hand: nothing but reading lies before the sending
-            Gate.onLoop(net, () -> {
+            BalancerEventLatch.awaitConnectionReusable(
+                    net); // a connection is at hand: nothing but reading lies before the sending
+            BalancerEventLatch.callOnLoop(net, () -> {
                 Client left = net.client();
-                left.ask("menu-read");
+                left.sendRequest("menu-read");
                 left.socket.close();
                 return null;
             });
             Client stays = net.client();
             stays.send(Client.request("menu-read", "Content-Length: 4\r\n") + "mark");
-            Exchange first = net.servers.get(0).next();
+            ReceivedRequest first = net.servers.get(0).next();
             assertTrue(first.message(), first.message().endsWith("\r\n\r\nmark"));
-            first.answer("200 OK", "");
+            first.respond("200 OK", "");
             assertTrue(stays.read().startsWith("HTTP/1.1 200"));
         }
     }
@@ -49,37 +50,37 @@
     /** Held for want of a server: the list that brings one comes after the client has left. */
     @Test
     public void aClientThatLeavesWhileItsRequestWaitsForAServerIsNotSentOn() throws Exception {
-        Gate abandoned = new Gate(e -> e instanceof RequestAbandoned);
-        try (Loopback net = new Loopback(0, s -> s, abandoned);
-                Peer server = new Peer()) {
-            Exchange watch = net.discovery.next();
+        BalancerEventLatch abandoned = new BalancerEventLatch(e -> e instanceof RequestAbandoned);
+        try (LoopbackNetwork net = new LoopbackNetwork(0, s -> s, abandoned);
+                ScriptedPeer server = new ScriptedPeer()) {
+            ReceivedRequest watch = net.discovery.next();
             Client client = net.client();
-            client.ask("menu-read");
-            Gate.awaitTaken(net);
+            client.sendRequest("menu-read");
+            BalancerEventLatch.awaitRequestAccepted(net);
             client.socket.close();
             abandoned.await();
             watch.beginWatch();
-            watch.line(Loopback.list(8, false, List.of(server.entry("s0", "active"))));
+            watch.sendLine(LoopbackNetwork.catalogJson(8, false, List.of(server.endpointJson("s0", "active"))));
             Client stays = net.client();
-            Gate.awaitHealth(stays, "200");
+            BalancerEventLatch.awaitHealthStatus(stays, "200");
             stays.send(Client.request("menu-read", "Content-Length: 4\r\n") + "mark");
-            Exchange first = server.nextRequest();
+            ReceivedRequest first = server.nextRequest();
             assertTrue(first.message(), first.message().endsWith("\r\n\r\nmark"));
-            assertTrue(server.isQuiet());
+            assertTrue(server.hasNoRequest());
         }
     }
 
     /** More than a buffer's fill was sent ahead: the end behind it is seen all the same. */
     @Test
     public void aClientThatLeavesBehindUnreadBytesIsNotSentOn() throws Exception {
-        Gate abandoned = new Gate(e -> e instanceof RequestAbandoned);
-        try (Loopback net = new Loopback(0, NO_CONNECT_TIMEOUT, abandoned);
-                Peer late = Peer.late()) {
+        BalancerEventLatch abandoned = new BalancerEventLatch(e -> e instanceof RequestAbandoned);
+        try (LoopbackNetwork net = new LoopbackNetwork(0, NO_CONNECT_TIMEOUT, abandoned);
+                ScriptedPeer late = ScriptedPeer.withDelayedAccept()) {
             Client client = waitingAt(net, late);
             client.send("POST /ahead HTTP/1.1\r\nContent-Length: 40000\r\n\r\n" + "x".repeat(40_000));
             client.socket.close();
             abandoned.await();
-            late.letIn();
+            late.startAccepting();
             assertNoRequestCame(late);
         }
     }
@@ -87,16 +88,16 @@
     /** Who sends without end can't be seen to leave: that one gets an error, and its request goes nowhere. */
     @Test
     public void aFloodAheadOfAnAnswerEndsItsRequest() throws Exception {
-        Gate abandoned = new Gate(e -> e instanceof RequestAbandoned);
-        try (Loopback net = new Loopback(0, NO_CONNECT_TIMEOUT, abandoned);
-                Peer late = Peer.late()) {
+        BalancerEventLatch abandoned = new BalancerEventLatch(e -> e instanceof RequestAbandoned);
+        try (LoopbackNetwork net = new LoopbackNetwork(0, NO_CONNECT_TIMEOUT, abandoned);
+                ScriptedPeer late = ScriptedPeer.withDelayedAccept()) {
             Client client = waitingAt(net, late);
             client.send("x".repeat(400_000));
             abandoned.await();
             String answer = client.read();
             assertTrue(answer, answer.startsWith("HTTP/1.1 400") && answer.contains("too much was sent ahead"));
             assertNull(client.read());
-            late.letIn();
+            late.startAccepting();
             assertNoRequestCame(late);
         }
     }
@@ -104,13 +105,13 @@
     /** One that only ends its sending can't be told from one that has closed, and counts as that. */
     @Test
     public void aHalfClosedClientHasLeft() throws Exception {
-        Gate abandoned = new Gate(e -> e instanceof RequestAbandoned);
-        try (Loopback net = new Loopback(0, NO_CONNECT_TIMEOUT, abandoned);
-                Peer late = Peer.late()) {
+        BalancerEventLatch abandoned = new BalancerEventLatch(e -> e instanceof RequestAbandoned);
+        try (LoopbackNetwork net = new LoopbackNetwork(0, NO_CONNECT_TIMEOUT, abandoned);
+                ScriptedPeer late = ScriptedPeer.withDelayedAccept()) {
             Client client = waitingAt(net, late);
             client.socket.shutdownOutput();
             abandoned.await();
-            late.letIn();
+            late.startAccepting();
             assertNoRequestCame(late);
             assertNull(client.read());
         }
@@ -121,7 +122,7 @@
     public void aDrainingSidecarEndsNoSoonerThanItsClientsHaveClosed() throws Exception {
         AtomicBoolean closed = new AtomicBoolean();
         CompletableFuture<Client> clients = new CompletableFuture<>();
-        CompletableFuture<Loopback> nets = new CompletableFuture<>();
+        CompletableFuture<LoopbackNetwork> nets = new CompletableFuture<>();
         UnaryOperator<Balancer> round = module -> (now, event, out) -> {
             module.handle(now, event, out);
             if (event
@@ -136,21 +137,21 @@
                 });
             }
         };
-        try (Loopback net = new Loopback(1, s -> s, round)) {
+        try (LoopbackNetwork net = new LoopbackNetwork(1, s -> s, round)) {
             nets.complete(net);
             Client client = net.client();
             clients.complete(client);
-            client.ask("menu-read");
-            Exchange call = net.servers.get(0).next();
+            client.sendRequest("menu-read");
+            ReceivedRequest call = net.servers.get(0).next();
             CompletableFuture<Boolean> ended = new CompletableFuture<>();
-            Loopback.background(() -> {
+            LoopbackNetwork.background(() -> {
                 net.sidecar.drain(1, 5_000);
                 ended.complete(closed.get());
             });
-            while (!Gate.onLoop(net, () -> net.sidecar.closing())) {
+            while (!BalancerEventLatch.callOnLoop(net, () -> net.sidecar.closing())) {
                 Thread.onSpinWait();
             }
-            call.answer("200 OK", "");
+            call.respond("200 OK", "");
             String answer = client.read();
             assertTrue(answer, answer.startsWith("HTTP/1.1 200") && answer.contains("Connection: close"));
             assertNull(client.read());
@@ -159,19 +160,19 @@
     }
 
     /** A client whose request has been taken, and waits for a connection to come up. */
-    private static Client waitingAt(Loopback net, Peer late) throws Exception {
-        Exchange watch = net.discovery.next();
+    private static Client waitingAt(LoopbackNetwork net, ScriptedPeer late) throws Exception {
+        ReceivedRequest watch = net.discovery.next();
         watch.beginWatch();
-        watch.line(Loopback.list(8, false, List.of(late.entry("late", "active"))));
-        Gate.awaitHealth(net.client(), "200");
+        watch.sendLine(LoopbackNetwork.catalogJson(8, false, List.of(late.endpointJson("late", "active"))));
+        BalancerEventLatch.awaitHealthStatus(net.client(), "200");
         Client client = net.client();
-        client.ask("order-place");
-        Gate.awaitTaken(net);
+        client.sendRequest("order-place");
+        BalancerEventLatch.awaitRequestAccepted(net);
         return client;
     }
 
     /** The crowd's two connections end, and the sidecar's where it came up: none brings a request before the mark. */
-    private static void assertNoRequestCame(Peer late) throws Exception {
+    private static void assertNoRequestCame(ScriptedPeer late) throws Exception {
         Client mark = new Client(late.address().getPort());
         mark.send("GET /mark HTTP/1.1\r\n\r\n");
         String first = late.nextRequest().message();
--- a/sidecar/src/test/java/dewplank/sidecar/EndingTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/ConnectionCloseTest.java
@@ -8,9 +8,9 @@
 import dewplank.balancer.Outcome;
 import dewplank.exchange.ConnectionPool;
 import dewplank.net.EventLoop;
-import dewplank.sidecar.Loopback.Client;
-import dewplank.sidecar.Loopback.Exchange;
-import dewplank.sidecar.Loopback.Peer;
+import dewplank.sidecar.LoopbackNetwork.Client;
+import dewplank.sidecar.LoopbackNetwork.ReceivedRequest;
+import dewplank.sidecar.LoopbackNetwork.ScriptedPeer;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -22,17 +22,17 @@
 import org.junit.Test;
 
 /** Requests that meet their connection's end, and attempts on which two endings meet: each order is brought about. */
-public class EndingTest {
+public class ConnectionCloseTest {
     private static final int PATIENCE_S = 20;
 
     /** The request lies unread when its resting connection is shut: no reset, and it is not sent on either. */
     @Test
     public void aRequestThatCrossesItsConnectionsEndIsLeftToItsClient() throws Exception {
-        try (Loopback net = new Loopback(1)) {
+        try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = resting(net);
-            Gate.onLoop(net, () -> {
-                client.ask("menu-read");
-                net.sidecar.endIdle(true);
+            BalancerEventLatch.callOnLoop(net, () -> {
+                client.sendRequest("menu-read");
+                net.sidecar.closeIdle(true);
                 return null;
             });
             assertNull(client.read());
@@ -42,36 +42,36 @@
 
     @Test
     public void aRequestThatWasReadBeforeItsConnectionsEndIsAnswered() throws Exception {
-        try (Loopback net = new Loopback(1)) {
+        try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = resting(net);
-            client.ask("menu-read");
-            Exchange call = net.servers.get(0).next();
-            Gate.onLoop(net, () -> {
-                net.sidecar.endIdle(true);
+            client.sendRequest("menu-read");
+            ReceivedRequest call = net.servers.get(0).next();
+            BalancerEventLatch.callOnLoop(net, () -> {
+                net.sidecar.closeIdle(true);
                 return null;
             });
-            call.answer("200 OK", "whole");
+            call.respond("200 OK", "whole");
             assertTrue(client.read().endsWith("\r\n\r\nwhole"));
         }
     }
 
     @Test
     public void aRequestHalfReadIsWaitedForAndThenGivenUp() throws Exception {
-        try (Loopback net = new Loopback(1)) {
+        try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client first = halfRead(net, 1);
             Client second = halfRead(net, 2);
-            Gate.onLoop(net, () -> {
-                net.sidecar.endIdle(false);
+            BalancerEventLatch.callOnLoop(net, () -> {
+                net.sidecar.closeIdle(false);
                 return null;
             });
             first.send("cd");
-            Exchange call = net.servers.get(0).nextRequest();
+            ReceivedRequest call = net.servers.get(0).nextRequest();
             assertTrue(call.message(), call.message().endsWith("\r\n\r\nabcd"));
-            call.answer("200 OK", "whole");
+            call.respond("200 OK", "whole");
             assertTrue(first.read().endsWith("\r\n\r\nwhole"));
-            Gate.onLoop(net, () -> {
+            BalancerEventLatch.callOnLoop(net, () -> {
                 second.send("cd"); // the rest crosses the end
-                net.sidecar.endIdle(true);
+                net.sidecar.closeIdle(true);
                 return null;
             });
             assertNull(second.read());
@@ -84,9 +84,9 @@
     public void aTimeOutAndAnAnswerThatMeetAreOneOutcome() throws Exception {
         BlockingQueue<Outcome> ends = new LinkedBlockingQueue<>();
         EventLoop loop = new EventLoop();
-        try (Peer server = new Peer()) {
+        try (ScriptedPeer server = new ScriptedPeer()) {
             ConnectionPool pool = new ConnectionPool(loop, 0, Double.POSITIVE_INFINITY);
-            loop.execute(() -> new Attempt(
+            loop.execute(() -> new HttpAttempt(
                             loop,
                             server.address(),
                             pool,
@@ -94,7 +94,7 @@
                             () -> true,
                             (a, end) -> ends.add(end.outcome()))
                     .start(50, 0, Double.POSITIVE_INFINITY));
-            Exchange call = server.next();
+            ReceivedRequest call = server.next();
             BlockingQueue<Integer> pooled = new LinkedBlockingQueue<>();
             loop.execute(() -> {
                 double started = loop.now();
@@ -116,15 +116,15 @@
     /** Without a length only the connection's end can end it, and a reset is none. */
     @Test
     public void anAnswerWithoutALengthIsWholeAtItsEndAndNotAtAReset() throws Exception {
-        try (Loopback net = new Loopback(1)) {
+        try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = net.client();
-            client.ask("order-place");
-            Exchange ends = net.servers.get(0).nextRequest();
+            client.sendRequest("order-place");
+            ReceivedRequest ends = net.servers.get(0).nextRequest();
             ends.connection().send("HTTP/1.1 200 OK\r\n\r\nwhole");
             ends.connection().socket.close();
             assertTrue(client.read().endsWith("\r\n\r\nwhole"));
-            client.ask("order-place");
-            Exchange reset = net.servers.get(0).nextRequest();
+            client.sendRequest("order-place");
+            ReceivedRequest reset = net.servers.get(0).nextRequest();
             reset.connection().send("HTTP/1.1 200 OK\r\n\r\npart");
             reset.reset();
             assertTrue(client.read().startsWith("HTTP/1.1 502"));
@@ -133,10 +133,10 @@
 
     @Test
     public void anAnswerThatNeverEndsFailsItsAttemptAndItsConnection() throws Exception {
-        try (Loopback net = new Loopback(1)) {
+        try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = net.client();
-            client.ask("order-place");
-            Exchange call = net.servers.get(0).nextRequest();
+            client.sendRequest("order-place");
+            ReceivedRequest call = net.servers.get(0).nextRequest();
             call.connection().send("HTTP/1.1 200 OK\r\n\r\n");
             assertThrows(IOException.class, () -> {
                 for (int i = 0; i < 100_000; i++) {
@@ -150,19 +150,19 @@
     /** Whatever way out a request takes, nothing of it is kept: served, failed, turned away, left, malformed, too late. */
     @Test
     public void nothingIsKeptOnAnyWayOut() throws Exception {
-        try (Loopback net = new Loopback(1)) {
-            Peer server = net.servers.get(0);
+        try (LoopbackNetwork net = new LoopbackNetwork(1)) {
+            ScriptedPeer server = net.servers.get(0);
             Client served = net.client();
-            served.ask("menu-read");
-            server.nextRequest().answer("200 OK", "");
+            served.sendRequest("menu-read");
+            server.nextRequest().respond("200 OK", "");
             served.read();
             Client failed = net.client();
-            failed.ask("order-place");
+            failed.sendRequest("order-place");
             server.nextRequest().reset();
             failed.read();
             Client refused = net.client();
-            refused.ask("order-place");
-            server.nextRequest().answer("503 Busy\r\nX-Never-Ran: 1", "");
+            refused.sendRequest("order-place");
+            server.nextRequest().respond("503 Busy\r\nX-Never-Ran: 1", "");
             refused.read();
             Client malformed = net.client();
             malformed.send("what?\r\n\r\n");
@@ -171,17 +171,17 @@
             late.send(Client.request("menu-read", "").replace("5000", "100"));
             late.read();
             Client left = net.client();
-            left.ask("order-place");
+            left.sendRequest("order-place");
             for (Client c : new Client[] {served, failed, refused, malformed, late, left}) {
                 c.socket.close();
             }
-            await(() -> onLoop(net, net.sidecar::holdsNothing));
+            await(() -> onLoop(net, net.sidecar::hasReleasedEverything));
         }
     }
 
-    private static <T> T onLoop(Loopback net, Callable<T> task) {
+    private static <T> T onLoop(LoopbackNetwork net, Callable<T> task) {
         try {
-            return Gate.onLoop(net, task);
+            return BalancerEventLatch.callOnLoop(net, task);
         } catch (Exception e) {
             throw new IllegalStateException(e);
         }
@@ -201,36 +201,36 @@
         return ByteBuffer.wrap(text.getBytes(StandardCharsets.US_ASCII));
     }
 
-    private static void answer(Exchange call) {
+    private static void answer(ReceivedRequest call) {
         try {
-            call.answer("200 OK", "");
+            call.respond("200 OK", "");
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
     }
 
     /** A client whose connection has had an answer. */
-    private static Client resting(Loopback net) throws Exception {
+    private static Client resting(LoopbackNetwork net) throws Exception {
         Client client = net.client();
-        client.ask("menu-read");
-        net.servers.get(0).nextRequest().answer("200 OK", "");
+        client.sendRequest("menu-read");
+        net.servers.get(0).nextRequest().respond("200 OK", "");
         assertTrue(client.read().startsWith("HTTP/1.1 200"));
         return client;
     }
 
-    private static Client halfRead(Loopback net, int heard) throws Exception {
+    private static Client halfRead(LoopbackNetwork net, int heard) throws Exception {
         Client client = net.client();
         client.send(Client.request("menu-read", "Content-Length: 4\r\n") + "ab");
-        await(() -> onLoop(net, net.sidecar::clientsHeard) == heard);
+        await(() -> onLoop(net, net.sidecar::activeClientCount) == heard);
         return client;
     }
 
-    private static void assertNextIs(Loopback net, String body) throws Exception {
+    private static void assertNextIs(LoopbackNetwork net, String body) throws Exception {
         Client client = net.client();
         client.send(Client.request("menu-read", "Content-Length: " + body.length() + "\r\n") + body);
-        Exchange next = net.servers.get(0).nextRequest();
+        ReceivedRequest next = net.servers.get(0).nextRequest();
         assertTrue(next.message(), next.message().endsWith("\r\n\r\n" + body));
-        next.answer("200 OK", "");
+        next.respond("200 OK", "");
         assertEquals("HTTP/1.1 200", client.read().substring(0, 12));
     }
 }
--- a/sidecar/src/test/java/dewplank/sidecar/DiscoveryTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/DiscoveryClientTest.java
@@ -10,14 +10,14 @@
 import dewplank.balancer.Balancer;
 import dewplank.balancer.Event.EndpointUpdate;
 import dewplank.balancer.Event.UpdateKind;
-import dewplank.discovery.Discovery;
-import dewplank.discovery.Listing;
+import dewplank.discovery.CatalogUpdate;
+import dewplank.discovery.DiscoveryClient;
 import dewplank.net.EventLoop;
 import dewplank.settings.Fields;
 import dewplank.settings.Json;
-import dewplank.sidecar.Loopback.Client;
-import dewplank.sidecar.Loopback.Exchange;
-import dewplank.sidecar.Loopback.Peer;
+import dewplank.sidecar.LoopbackNetwork.Client;
+import dewplank.sidecar.LoopbackNetwork.ReceivedRequest;
+import dewplank.sidecar.LoopbackNetwork.ScriptedPeer;
 import java.io.IOException;
 import java.util.List;
 import java.util.concurrent.BlockingQueue;
@@ -28,24 +28,25 @@
 import org.junit.Test;
 
 /** What discovery says, late, twice, in pieces, and from two places at once. */
-public class DiscoveryTest {
+public class DiscoveryClientTest {
     private static final UnaryOperator<String> PUSHED = s -> s.replace("\"on_request\"", "\"pushed\"");
 
     /** Found on the days of a deployment whose lists are pushed: no watch was ever opened, and drains were missed. */
     @Test
     public void whereListsArePushedTheyAreWatchedAndAgainAtOnce() throws Exception {
-        try (Loopback net = new Loopback(1, PUSHED, m -> m)) {
-            Exchange watch = net.discovery.next();
+        try (LoopbackNetwork net = new LoopbackNetwork(1, PUSHED, m -> m)) {
+            ReceivedRequest watch = net.discovery.next();
             assertTrue(watch.message(), watch.message().startsWith("GET /catalog/members?stream=1&index=7 "));
             watch.beginWatch();
-            watch.line("");
+            watch.sendLine("");
             Client client = net.client();
-            Gate.awaitHealth(client, "200");
+            BalancerEventLatch.awaitHealthStatus(client, "200");
             watch.reset();
-            Exchange again = net.discovery.nextRequest();
+            ReceivedRequest again = net.discovery.nextRequest();
             again.beginWatch();
-            again.line(Loopback.list(8, false, List.of(net.servers.get(0).entry("s0", "leaving"))));
-            Gate.awaitHealth(client, "503");
+            again.sendLine(LoopbackNetwork.catalogJson(
+                    8, false, List.of(net.servers.get(0).endpointJson("s0", "leaving"))));
+            BalancerEventLatch.awaitHealthStatus(client, "503");
         }
     }
 
@@ -54,23 +55,26 @@
     public void whereListsArePushedNothingIsSentBeforeTheFirst() throws Exception {
         BlockingQueue<UpdateKind> told = new LinkedBlockingQueue<>();
         EventLoop loop = new EventLoop();
-        try (Peer agent = new Peer();
-                Peer server = new Peer()) {
-            Discovery discovery = new Discovery(loop, agent.address(), false, true, news -> told.add(news.kind()));
-            Listing known = Listing.of(
-                    new Fields(Json.object(Loopback.list(7, true, List.of(server.entry("s0", "active")))), "known "));
+        try (ScriptedPeer agent = new ScriptedPeer();
+                ScriptedPeer server = new ScriptedPeer()) {
+            DiscoveryClient discovery =
+                    new DiscoveryClient(loop, agent.address(), false, true, news -> told.add(news.kind()));
+            CatalogUpdate known = CatalogUpdate.of(new Fields(
+                    Json.object(LoopbackNetwork.catalogJson(7, true, List.of(server.endpointJson("s0", "active")))),
+                    "known "));
             FutureTask<Boolean> early = new FutureTask<>(() -> {
                 discovery.start(known);
-                return discovery.anyUp() || discovery.takesRequests("s0");
+                return discovery.hasAvailableServer() || discovery.acceptsRequests("s0");
             });
             loop.execute(early);
             assertFalse(early.get());
-            Exchange watch = agent.next();
+            ReceivedRequest watch = agent.next();
             watch.beginWatch();
-            watch.line(Loopback.list(8, false, List.of(server.entry("s1", "active"))));
+            watch.sendLine(LoopbackNetwork.catalogJson(8, false, List.of(server.endpointJson("s1", "active"))));
             assertNotNull(told.poll(20, TimeUnit.SECONDS));
             assertNotNull(told.poll(20, TimeUnit.SECONDS));
-            FutureTask<Boolean> then = new FutureTask<>(() -> discovery.anyUp() && discovery.takesRequests("s0"));
+            FutureTask<Boolean> then =
+                    new FutureTask<>(() -> discovery.hasAvailableServer() && discovery.acceptsRequests("s0"));
             loop.execute(then);
             assertTrue(then.get());
         } finally {
@@ -80,33 +84,34 @@
 
     @Test
     public void aListMayComeIndentedAndInPieces() throws Exception {
-        try (Loopback net = new Loopback(0)) {
-            Exchange watch = net.discovery.next();
+        try (LoopbackNetwork net = new LoopbackNetwork(0)) {
+            ReceivedRequest watch = net.discovery.next();
             watch.beginWatch();
-            String list = Loopback.list(8, false, List.of(new Peer().entry("s{\\\"}0", "active")))
+            String list = LoopbackNetwork.catalogJson(
+                                    8, false, List.of(new ScriptedPeer().endpointJson("s{\\\"}0", "active")))
                             .replace(",", ",\n\t")
                             .replace("{\"id\"", "{\r\n \"id\"")
                     + "\n\n";
             for (char c : list.toCharArray()) {
                 watch.connection().send("1\r\n" + c + "\r\n");
             }
-            Gate.awaitHealth(net.client(), "200");
+            BalancerEventLatch.awaitHealthStatus(net.client(), "200");
         }
     }
 
     /** A list that was long on its way, or from a replica that lags, would bring a draining server back. */
     @Test
     public void anOlderListThatComesLastIsNoNews() throws Exception {
-        Gate last = new Gate(e -> e instanceof EndpointUpdate news
+        BalancerEventLatch last = new BalancerEventLatch(e -> e instanceof EndpointUpdate news
                 && !news.endpoints().isEmpty()
                 && news.endpoints().get(0).server().equals("last"));
-        try (Loopback net = new Loopback(1, s -> s, last)) {
-            Peer server = net.servers.get(0);
-            Exchange watch = net.discovery.next();
+        try (LoopbackNetwork net = new LoopbackNetwork(1, s -> s, last)) {
+            ScriptedPeer server = net.servers.get(0);
+            ReceivedRequest watch = net.discovery.next();
             watch.beginWatch();
-            watch.line(Loopback.list(9, false, List.of(server.entry("s0", "leaving"))));
-            watch.line(Loopback.list(8, true, List.of(server.entry("s0", "active"))));
-            watch.line(Loopback.list(10, false, List.of(server.entry("last", "leaving"))));
+            watch.sendLine(LoopbackNetwork.catalogJson(9, false, List.of(server.endpointJson("s0", "leaving"))));
+            watch.sendLine(LoopbackNetwork.catalogJson(8, true, List.of(server.endpointJson("s0", "active"))));
+            watch.sendLine(LoopbackNetwork.catalogJson(10, false, List.of(server.endpointJson("last", "leaving"))));
             last.await();
             Client client = net.client();
             client.send("GET /_health HTTP/1.1\r\n\r\n");
@@ -117,11 +122,12 @@
     /** Else each break of a quiet watch would be followed by a longer wait, and drains be missed meanwhile. */
     @Test
     public void anEmptyLineAlsoAnswersTheCall() throws Exception {
-        Gate answered = new Gate(e -> e instanceof EndpointUpdate news && news.kind() == UpdateKind.INCREMENTAL);
-        try (Loopback net = new Loopback(1, s -> s, answered)) {
-            Exchange watch = net.discovery.next();
+        BalancerEventLatch answered =
+                new BalancerEventLatch(e -> e instanceof EndpointUpdate news && news.kind() == UpdateKind.INCREMENTAL);
+        try (LoopbackNetwork net = new LoopbackNetwork(1, s -> s, answered)) {
+            ReceivedRequest watch = net.discovery.next();
             watch.beginWatch();
-            watch.line("");
+            watch.sendLine("");
             answered.await();
         }
     }
@@ -129,7 +135,8 @@
     /** SIGHUP between a watch's break and the call that follows it: that call finds a watch open, and leaves it so. */
     @Test
     public void aCallThatWasDueWhenDiscoveryMovedOpensNoSecondWatch() throws Exception {
-        Gate broken = new Gate(e -> e instanceof EndpointUpdate news && news.kind() == UpdateKind.BROKEN);
+        BalancerEventLatch broken =
+                new BalancerEventLatch(e -> e instanceof EndpointUpdate news && news.kind() == UpdateKind.BROKEN);
         BlockingQueue<Action> calls = new LinkedBlockingQueue<>();
         UnaryOperator<Balancer> counted = module -> (now, event, out) -> module.handle(now, event, action -> {
             out.accept(action);
@@ -137,45 +144,48 @@
                 calls.add(action);
             }
         });
-        try (Loopback net = new Loopback(1, s -> s, m -> counted.apply(broken.apply(m)));
-                Peer moved = new Peer()) {
+        try (LoopbackNetwork net = new LoopbackNetwork(1, s -> s, m -> counted.apply(broken.apply(m)));
+                ScriptedPeer moved = new ScriptedPeer()) {
             assertNotNull(calls.poll(20, TimeUnit.SECONDS));
             net.discovery.next().reset();
             broken.await(); // the next call is due in a quarter of a second at the soonest
             net.sidecar.reload(net.withDiscovery(moved.address()));
-            Exchange watch = moved.next();
+            ReceivedRequest watch = moved.next();
             watch.beginWatch();
             assertNotNull(calls.poll(20, TimeUnit.SECONDS));
-            Gate.onLoop(net, () -> null);
-            watch.line(Loopback.list(8, false, List.of(net.servers.get(0).entry("s0", "leaving"))));
-            Gate.awaitHealth(net.client(), "503");
-            assertTrue(moved.isQuiet());
+            BalancerEventLatch.callOnLoop(net, () -> null);
+            watch.sendLine(LoopbackNetwork.catalogJson(
+                    8, false, List.of(net.servers.get(0).endpointJson("s0", "leaving"))));
+            BalancerEventLatch.awaitHealthStatus(net.client(), "503");
+            assertTrue(moved.hasNoRequest());
         }
     }
 
     /** The old address's words, on their way when discovery moved, are heard no more. */
     @Test
     public void theOldDiscoverysListAfterAMoveDoesNoHarm() throws Exception {
-        Gate listed = new Gate(e -> e instanceof EndpointUpdate news
+        BalancerEventLatch listed = new BalancerEventLatch(e -> e instanceof EndpointUpdate news
                 && !news.endpoints().isEmpty()
                 && news.endpoints().get(0).server().equals("s1"));
-        Gate up = new Gate(e -> e instanceof EndpointUpdate news && news.kind() == UpdateKind.INCREMENTAL);
-        try (Loopback net = new Loopback(1, s -> s, m -> listed.apply(up.apply(m)));
-                Peer moved = new Peer()) {
-            Exchange old = net.discovery.next();
+        BalancerEventLatch up =
+                new BalancerEventLatch(e -> e instanceof EndpointUpdate news && news.kind() == UpdateKind.INCREMENTAL);
+        try (LoopbackNetwork net = new LoopbackNetwork(1, s -> s, m -> listed.apply(up.apply(m)));
+                ScriptedPeer moved = new ScriptedPeer()) {
+            ReceivedRequest old = net.discovery.next();
             old.beginWatch();
-            old.line("");
+            old.sendLine("");
             up.await(); // all that came so far is read: what comes now is told after the move
-            Gate.onLoop(
+            BalancerEventLatch.callOnLoop(
                     net,
                     () -> { // the move stands in line before what the old one says now
                         net.sidecar.reload(net.withDiscovery(moved.address()));
-                        old.line(Loopback.list(20, true, List.of()));
+                        old.sendLine(LoopbackNetwork.catalogJson(20, true, List.of()));
                         return null;
                     });
-            Exchange watch = moved.next();
+            ReceivedRequest watch = moved.next();
             watch.beginWatch();
-            watch.line(Loopback.list(8, false, List.of(net.servers.get(0).entry("s1", "leaving"))));
+            watch.sendLine(LoopbackNetwork.catalogJson(
+                    8, false, List.of(net.servers.get(0).endpointJson("s1", "leaving"))));
             listed.await();
             Client client = net.client();
             client.send("GET /_health HTTP/1.1\r\n\r\n");
@@ -185,7 +195,7 @@
                     IOException.class,
                     () -> { // and its connection is closed
                         for (int i = 0; i < 100_000; i++) {
-                            old.line("");
+                            old.sendLine("");
                         }
                     });
         }
--- a/sidecar/src/test/java/dewplank/sidecar/Loopback.java
+++ b/sidecar/src/test/java/dewplank/sidecar/LoopbackNetwork.java
@@ -7,7 +7,7 @@
 import dewplank.balancer.adaptive.AdaptiveBalancer;
 import dewplank.settings.Fields;
 import dewplank.settings.Json;
-import dewplank.sidecar.config.Params;
+import dewplank.sidecar.config.BalancerSettingsReader;
 import dewplank.sidecar.config.SidecarConfig;
 import java.io.Closeable;
 import java.io.IOException;
@@ -28,9 +28,9 @@
 import java.util.function.UnaryOperator;
 
 /** A sidecar between scripted peers, all on loopback. A test waits for what comes, never for a time to pass. */
-final class Loopback implements Closeable {
-    private static final int PATIENCE_S = 20; // only a failing test waits so long
-    static final int SOCKETS = 256;
+final class LoopbackNetwork implements Closeable {
+    private static final int TIMEOUT_S = 20; // only a failing test waits so long
+    static final int MAX_SOCKETS = 256;
     static final String SETTINGS =
             """
         {"Accounts":[],"Az":"a","CountedBy":"request","Classes":[
@@ -42,30 +42,30 @@
          "Safety":{"AskWithin":10000,"Cold":22000,"ColdShare":0.12,"FallMultiple":4,"TipAfter":2000},
          "Tick":5.0,"Weights":"none"}""";
 
-    final List<Peer> servers = new ArrayList<>();
-    final Peer discovery = new Peer();
+    final List<ScriptedPeer> servers = new ArrayList<>();
+    final ScriptedPeer discovery = new ScriptedPeer();
     final SidecarConfig config;
     final Sidecar sidecar;
 
-    Loopback(int serverCount) throws IOException {
+    LoopbackNetwork(int serverCount) throws IOException {
         this(serverCount, UnaryOperator.identity(), UnaryOperator.identity());
     }
 
     /** With other settings, and something round the module. */
-    Loopback(int serverCount, UnaryOperator<String> other, UnaryOperator<Balancer> round) throws IOException {
+    LoopbackNetwork(int serverCount, UnaryOperator<String> other, UnaryOperator<Balancer> round) throws IOException {
         List<String> entries = new ArrayList<>();
         for (int i = 0; i < serverCount; i++) {
-            servers.add(new Peer());
-            entries.add(servers.get(i).entry("s" + i, "active"));
+            servers.add(new ScriptedPeer());
+            entries.add(servers.get(i).endpointJson("s" + i, "active"));
         }
-        Fields known = new Fields(Json.object(list(7, true, entries)), "known ");
-        Settings settings = Params.settings(new Fields(Json.object(other.apply(SETTINGS)), "setting "));
+        Fields known = new Fields(Json.object(catalogJson(7, true, entries)), "known ");
+        Settings settings = BalancerSettingsReader.read(new Fields(Json.object(other.apply(SETTINGS)), "setting "));
         config = new SidecarConfig(
                 "n0",
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                 discovery.address(),
                 5,
-                SOCKETS,
+                MAX_SOCKETS,
                 known,
                 settings,
                 null);
@@ -73,7 +73,7 @@
         sidecar.start();
     }
 
-    static String list(long version, boolean full, List<String> entries) {
+    static String catalogJson(long version, boolean full, List<String> entries) {
         return "{\"version\":" + version + ",\"full\":" + full + ",\"servers\":[" + String.join(",", entries) + "]}";
     }
 
@@ -84,8 +84,8 @@
                 config.listen(),
                 at,
                 config.seed(),
-                config.sockets(),
-                config.known(),
+                config.maxSockets(),
+                config.initialCatalog(),
                 config.settings(),
                 config.peers());
     }
@@ -98,20 +98,20 @@
     public void close() throws IOException {
         sidecar.stop();
         discovery.close();
-        for (Peer p : servers) {
+        for (ScriptedPeer p : servers) {
             p.close();
         }
     }
 
-    interface Work {
+    interface Task {
         void run() throws Exception;
     }
 
     /** Work of a peer's own, until the test ends it by closing what it waits on. */
-    static Thread background(Work work) {
+    static Thread background(Task task) {
         Thread thread = new Thread(() -> {
             try {
-                work.run();
+                task.run();
             } catch (Exception e) {
                 // the test has closed this end
             }
@@ -128,13 +128,13 @@
     }
 
     /** One end of a connection that reads whole messages. */
-    static class End {
+    static class ScriptedConnection {
         final Socket socket;
         private final InputStream in;
 
-        End(Socket socket) throws IOException {
+        ScriptedConnection(Socket socket) throws IOException {
             this.socket = socket;
-            socket.setSoTimeout(PATIENCE_S * 1000);
+            socket.setSoTimeout(TIMEOUT_S * 1000);
             in = socket.getInputStream();
         }
 
@@ -158,7 +158,7 @@
         }
     }
 
-    static final class Client extends End {
+    static final class Client extends ScriptedConnection {
         Client(int port) throws IOException {
             super(new Socket(InetAddress.getLoopbackAddress(), port));
         }
@@ -170,19 +170,19 @@
                     + requestClass + "\r\nX-Expires-In-Ms: 5000\r\n" + more + "\r\n";
         }
 
-        void ask(String requestClass) throws IOException {
+        void sendRequest(String requestClass) throws IOException {
             send(request(requestClass, "Content-Length: 2\r\n") + "hi");
         }
     }
 
     /** One request that a peer got, and the connection to answer it on; null once the sidecar has ended that. */
-    record Exchange(End connection, String message) {
-        void answer(String status, String body) throws IOException {
+    record ReceivedRequest(ScriptedConnection connection, String message) {
+        void respond(String status, String body) throws IOException {
             connection.send("HTTP/1.1 " + status + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
         }
 
         /** A line of a watch's endless answer, as a chunk. */
-        void line(String text) throws IOException {
+        void sendLine(String text) throws IOException {
             connection.send(Integer.toHexString(text.length() + 1) + "\r\n" + text + "\n\r\n");
         }
 
@@ -197,46 +197,46 @@
     }
 
     /** A scripted server or discovery: takes connections and requests; the test answers them. */
-    static final class Peer implements Closeable {
+    static final class ScriptedPeer implements Closeable {
         private final ServerSocket listener;
-        private final BlockingQueue<Exchange> requests = new LinkedBlockingQueue<>();
+        private final BlockingQueue<ReceivedRequest> requests = new LinkedBlockingQueue<>();
         private final CountDownLatch open = new CountDownLatch(1);
-        private final List<Socket> crowd = new ArrayList<>();
+        private final List<Socket> backlogFillers = new ArrayList<>();
         private final Thread accepting;
 
-        Peer() throws IOException {
+        ScriptedPeer() throws IOException {
             this(50);
             open.countDown();
         }
 
-        private Peer(int backlog) throws IOException {
+        private ScriptedPeer(int backlog) throws IOException {
             listener = new ServerSocket(0, backlog, InetAddress.getLoopbackAddress());
             accepting = background(() -> {
                 open.await();
                 while (true) {
-                    End end = new End(listener.accept());
+                    ScriptedConnection end = new ScriptedConnection(listener.accept());
                     background(() -> {
                         String message;
                         do {
                             message = end.read();
-                            requests.add(new Exchange(end, message));
+                            requests.add(new ReceivedRequest(end, message));
                         } while (message != null);
                     });
                 }
             });
         }
 
-        /** Connections to it come up late: not before {@link #letIn}, and then at the system's next try. */
-        static Peer late() throws IOException {
-            Peer late = new Peer(1);
+        /** Connections to it come up late: not before {@link #startAccepting}, and then at the system's next try. */
+        static ScriptedPeer withDelayedAccept() throws IOException {
+            ScriptedPeer late = new ScriptedPeer(1);
             for (int i = 0; i < 2; i++) { // the system's queue, which holds one more than asked for
-                late.crowd.add(new Socket(InetAddress.getLoopbackAddress(), late.listener.getLocalPort()));
+                late.backlogFillers.add(new Socket(InetAddress.getLoopbackAddress(), late.listener.getLocalPort()));
             }
             return late;
         }
 
-        void letIn() throws IOException {
-            for (Socket s : crowd) {
+        void startAccepting() throws IOException {
+            for (Socket s : backlogFillers) {
                 s.close();
             }
             open.countDown();
@@ -246,28 +246,28 @@
             return (InetSocketAddress) listener.getLocalSocketAddress();
         }
 
-        String entry(String id, String state) {
+        String endpointJson(String id, String state) {
             return "{\"id\":\"" + id + "\",\"addr\":\"127.0.0.1:" + listener.getLocalPort()
                     + "\",\"zone\":\"a\",\"kind\":\"k\",\"cell\":0,\"state\":\"" + state
                     + "\",\"weight\":1.0,\"started_ms\":0}";
         }
 
         /** Whether nothing has come that was not taken yet. */
-        boolean isQuiet() {
+        boolean hasNoRequest() {
             return requests.isEmpty();
         }
 
         /** The next request, past the ends of connections that brought none. */
-        Exchange nextRequest() throws InterruptedException {
-            Exchange exchange = next();
+        ReceivedRequest nextRequest() throws InterruptedException {
+            ReceivedRequest exchange = next();
             while (exchange.message() == null) {
                 exchange = next();
             }
             return exchange;
         }
 
-        Exchange next() throws InterruptedException {
-            Exchange exchange = requests.poll(PATIENCE_S, TimeUnit.SECONDS);
+        ReceivedRequest next() throws InterruptedException {
+            ReceivedRequest exchange = requests.poll(TIMEOUT_S, TimeUnit.SECONDS);
             assertNotNull("no request came", exchange);
             return exchange;
         }
--- a/sidecar/src/test/java/dewplank/sidecar/SubjectTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/RequestAttributesTest.java
@@ -5,14 +5,14 @@
 import static org.junit.Assert.assertTrue;
 
 import dewplank.balancer.Event.RequestArrived;
-import dewplank.sidecar.Loopback.Client;
-import dewplank.sidecar.Loopback.Exchange;
+import dewplank.sidecar.LoopbackNetwork.Client;
+import dewplank.sidecar.LoopbackNetwork.ReceivedRequest;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import org.junit.Test;
 
 /** Found at Sado: on sockets the module was told neither the tenant nor the key, both null. */
-public class SubjectTest {
+public class RequestAttributesTest {
     private static final String TENANTS = "\"Accounts\":[{\"Name\":\"porto\",\"Share\":0.6,\"AllowancePerS\":9},"
             + "{\"Name\":\"praias\",\"Share\":0.4,\"AllowancePerS\":6}]";
 
@@ -20,19 +20,20 @@
 
     /** What the module is told of a request with these fields; they reach the server as they came. */
     private RequestArrived told(String fields) throws Exception {
-        try (Loopback net = new Loopback(1, s -> s.replace("\"Accounts\":[]", TENANTS), module -> (now, event, out) -> {
-            if (event instanceof RequestArrived a) {
-                arrived.add(a);
-            }
-            module.handle(now, event, out);
-        })) {
+        try (LoopbackNetwork net =
+                new LoopbackNetwork(1, s -> s.replace("\"Accounts\":[]", TENANTS), module -> (now, event, out) -> {
+                    if (event instanceof RequestArrived a) {
+                        arrived.add(a);
+                    }
+                    module.handle(now, event, out);
+                })) {
             Client client = net.client();
             client.send(Client.request("menu-read", fields + "Content-Length: 0\r\n"));
-            Exchange call = net.servers.get(0).next();
+            ReceivedRequest call = net.servers.get(0).next();
             for (String field : fields.split("\r\n")) {
                 assertTrue(call.message(), call.message().contains(field));
             }
-            call.answer("200 OK", "");
+            call.respond("200 OK", "");
             assertTrue(client.read().startsWith("HTTP/1.1 200"));
             return arrived.take();
         }
--- a/sidecar/src/test/java/dewplank/sidecar/SidecarTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/SidecarTest.java
@@ -14,8 +14,8 @@
 import dewplank.balancer.Event.RequestArrived;
 import dewplank.balancer.Event.UpdateKind;
 import dewplank.balancer.Outcome;
-import dewplank.sidecar.Loopback.Client;
-import dewplank.sidecar.Loopback.Exchange;
+import dewplank.sidecar.LoopbackNetwork.Client;
+import dewplank.sidecar.LoopbackNetwork.ReceivedRequest;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -31,20 +31,20 @@
     /** Found on the first calm day: every answered call closed its connection instead of pooling it. */
     @Test
     public void aServerConnectionCarriesOneRequestAfterAnother() throws Exception {
-        try (Loopback net = new Loopback(1)) {
+        try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = net.client();
-            client.ask("menu-read");
-            Exchange first = net.servers.get(0).next();
+            client.sendRequest("menu-read");
+            ReceivedRequest first = net.servers.get(0).next();
             assertTrue(first.message(), first.message().startsWith("POST /api?q=1 HTTP/1.1\r\n"));
             assertTrue(first.message(), first.message().contains("X-Trace-Id: t"));
             assertTrue(first.message(), first.message().endsWith("\r\n\r\nhi"));
-            first.answer("200 OK", "one");
+            first.respond("200 OK", "one");
             assertTrue(client.read().endsWith("\r\n\r\none"));
-            Gate.awaitRest(net);
-            client.ask("menu-read");
-            Exchange second = net.servers.get(0).next();
+            BalancerEventLatch.awaitConnectionReusable(net);
+            client.sendRequest("menu-read");
+            ReceivedRequest second = net.servers.get(0).next();
             assertSame(first.connection(), second.connection());
-            second.answer("200 OK", "two");
+            second.respond("200 OK", "two");
             assertTrue(client.read().endsWith("\r\n\r\ntwo"));
         }
     }
@@ -52,13 +52,14 @@
     /** A request written to a connection that the server closes at that moment ends as a reset. */
     @Test
     public void anIdleServerConnectionIsClosedBeforeTheServerDoes() throws Exception {
-        try (Loopback net = new Loopback(1, s -> s.replace("\"IdleClose\":60000", "\"IdleClose\":1"), m -> m)) {
+        try (LoopbackNetwork net =
+                new LoopbackNetwork(1, s -> s.replace("\"IdleClose\":60000", "\"IdleClose\":1"), m -> m)) {
             Client client = net.client();
-            client.ask("menu-read");
-            Exchange call = net.servers.get(0).next();
-            call.answer("200 OK", "");
+            client.sendRequest("menu-read");
+            ReceivedRequest call = net.servers.get(0).next();
+            call.respond("200 OK", "");
             assertStatus("200", client.read());
-            Exchange end = net.servers.get(0).next();
+            ReceivedRequest end = net.servers.get(0).next();
             assertEnd(call, end);
         }
     }
@@ -66,9 +67,9 @@
     /** What may have run is neither sent again nor refused: a refusal tells the client to try again. */
     @Test
     public void anOrderWhoseServerBreaksOffHasFailed() throws Exception {
-        try (Loopback net = new Loopback(1)) {
+        try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = net.client();
-            client.ask("order-place");
+            client.sendRequest("order-place");
             net.servers.get(0).next().reset();
             assertStatus("502", client.read());
         }
@@ -76,15 +77,15 @@
 
     @Test
     public void anAnswerThatIsNotHttpFailsItsCallOnly() throws Exception {
-        try (Loopback net = new Loopback(1)) {
+        try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = net.client();
-            client.ask("order-place");
+            client.sendRequest("order-place");
             net.servers.get(0).next().connection().send("what?\r\n\r\n");
             assertStatus("502", client.read());
-            client.ask("menu-read");
-            Exchange next = net.servers.get(0).next();
+            client.sendRequest("menu-read");
+            ReceivedRequest next = net.servers.get(0).next();
             next = next.message() == null ? net.servers.get(0).next() : next; // the end of the broken connection
-            next.answer("200 OK", "fine");
+            next.respond("200 OK", "fine");
             assertStatus("200", client.read());
         }
     }
@@ -92,10 +93,10 @@
     /** Turned away unseen, with nowhere else to go: trying again is harmless, and the client is told when. */
     @Test
     public void anOrderThatWasTurnedAwayIsARejection() throws Exception {
-        try (Loopback net = new Loopback(1)) {
+        try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = net.client();
-            client.ask("order-place");
-            net.servers.get(0).next().answer("503 Busy\r\nX-Never-Ran: 1", "");
+            client.sendRequest("order-place");
+            net.servers.get(0).next().respond("503 Busy\r\nX-Never-Ran: 1", "");
             String answer = client.read();
             assertStatus("503", answer);
             assertTrue(answer, answer.contains("\r\nRetry-After: "));
@@ -104,12 +105,12 @@
 
     @Test
     public void anOrderThatNeverRanGoesToAnotherServer() throws Exception {
-        try (Loopback net = new Loopback(2)) {
+        try (LoopbackNetwork net = new LoopbackNetwork(2)) {
             net.servers.get(1).close(); // refuses connections
             for (int i = 0; i < 8; i++) {
                 Client client = net.client();
-                client.ask("order-place");
-                net.servers.get(0).next().answer("200 OK", "placed");
+                client.sendRequest("order-place");
+                net.servers.get(0).next().respond("200 OK", "placed");
                 assertStatus("200", client.read());
             }
         }
@@ -118,27 +119,27 @@
     /** A read stays pending on the client's side, and a cancelled call's connection is closed, not pooled. */
     @Test
     public void aClientThatLeavesEndsItsCall() throws Exception {
-        try (Loopback net = new Loopback(1)) {
+        try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = net.client();
-            client.ask("menu-read");
-            Exchange call = net.servers.get(0).next();
+            client.sendRequest("menu-read");
+            ReceivedRequest call = net.servers.get(0).next();
             client.socket.close();
-            Exchange end = net.servers.get(0).next();
+            ReceivedRequest end = net.servers.get(0).next();
             assertEnd(call, end);
         }
     }
 
     @Test
     public void aRequestSentAheadWaitsForItsTurn() throws Exception {
-        try (Loopback net = new Loopback(1)) {
+        try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = net.client();
             String one = Client.request("menu-read", "Content-Length: 1\r\n");
             client.send(one + "a" + one + "b");
-            net.servers.get(0).next().answer("200 OK", "A");
+            net.servers.get(0).next().respond("200 OK", "A");
             assertTrue(client.read().endsWith("\r\n\r\nA"));
-            Exchange second = net.servers.get(0).next();
+            ReceivedRequest second = net.servers.get(0).next();
             assertTrue(second.message().endsWith("\r\n\r\nb"));
-            second.answer("200 OK", "B");
+            second.respond("200 OK", "B");
             assertTrue(client.read().endsWith("\r\n\r\nB"));
         }
     }
@@ -146,7 +147,7 @@
     /** A plain close would reset the connection where the body lies unread, and take the answer with it. */
     @Test
     public void aRequestThatIsNoneIsAnsweredAndTheConnectionEnds() throws Exception {
-        try (Loopback net = new Loopback(1)) {
+        try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             String[][] cases = {
                 {"413", Client.request("menu-read", "Content-Length: 24000000\r\n") + "x".repeat(24_000_000)},
                 {"400", Client.request("menu-read", "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n")},
@@ -167,42 +168,42 @@
     /** Sent on, the second could run beside the first as its repeat; the servers know a request by its id only. */
     @Test
     public void theIdOfAnOpenRequestIsTakenOnce() throws Exception {
-        try (Loopback net = new Loopback(1)) {
+        try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             String order = Client.request("order-place", "");
             Client first = net.client();
             first.send(order);
-            Exchange call = net.servers.get(0).next();
+            ReceivedRequest call = net.servers.get(0).next();
             Client second = net.client();
             second.send(order);
             assertLast(second, "409");
-            call.answer("200 OK", "");
+            call.respond("200 OK", "");
             assertStatus("200", first.read());
             first.send(order); // answered, and so no longer open
-            net.servers.get(0).next().answer("200 OK", "");
+            net.servers.get(0).next().respond("200 OK", "");
             assertStatus("200", first.read());
         }
     }
 
     @Test
     public void theWatchBringsServersAndResumesFromItsVersion() throws Exception {
-        try (Loopback net = new Loopback(0)) {
+        try (LoopbackNetwork net = new LoopbackNetwork(0)) {
             Client client = net.client();
             client.send("GET /_health HTTP/1.1\r\n\r\n");
             assertStatus("503", client.read());
-            Exchange watch = net.discovery.next();
+            ReceivedRequest watch = net.discovery.next();
             assertTrue(watch.message(), watch.message().startsWith("GET /catalog/members?stream=1&index=7 "));
-            Loopback.Peer server = new Loopback.Peer();
+            LoopbackNetwork.ScriptedPeer server = new LoopbackNetwork.ScriptedPeer();
             watch.beginWatch();
-            watch.line("");
-            watch.line(Loopback.list(9, false, List.of(server.entry("new", "active"))));
+            watch.sendLine("");
+            watch.sendLine(LoopbackNetwork.catalogJson(9, false, List.of(server.endpointJson("new", "active"))));
             watch.reset();
-            Exchange again = net.discovery.next();
+            ReceivedRequest again = net.discovery.next();
             again = again.message() == null ? net.discovery.next() : again;
             assertTrue(again.message(), again.message().contains("index=9 "));
             client.send("GET /_health HTTP/1.1\r\n\r\n");
             assertStatus("200", client.read());
-            client.ask("menu-read");
-            server.next().answer("200 OK", "");
+            client.sendRequest("menu-read");
+            server.next().respond("200 OK", "");
             assertStatus("200", client.read());
             server.close();
         }
@@ -210,17 +211,17 @@
 
     @Test
     public void aModuleThatThrowsFailsThatRequestOnly() throws Exception {
-        try (Loopback net = new Loopback(1, settings -> settings, module -> (now, event, out) -> {
+        try (LoopbackNetwork net = new LoopbackNetwork(1, settings -> settings, module -> (now, event, out) -> {
             if (event instanceof RequestArrived a && a.requestClass().equals("order-place")) {
                 throw new IllegalStateException("on purpose, for the test");
             }
             module.handle(now, event, out);
         })) {
             Client client = net.client();
-            client.ask("order-place");
+            client.sendRequest("order-place");
             assertStatus("502", client.read());
-            client.ask("menu-read");
-            net.servers.get(0).next().answer("200 OK", "");
+            client.sendRequest("menu-read");
+            net.servers.get(0).next().respond("200 OK", "");
             assertStatus("200", client.read());
         }
     }
@@ -231,9 +232,9 @@
      */
     @Test
     public void connectionsThatAskNothingMakeRoom() throws Exception {
-        try (Loopback net = new Loopback(1)) {
+        try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             List<Client> idle = new ArrayList<>();
-            for (int i = 0; i <= Host.mostClients(net.config) / Sidecar.ROOMY_PART; i++) {
+            for (int i = 0; i <= BalancerHost.maxClientConnections(net.config) / Sidecar.IDLE_CAPACITY_DIVISOR; i++) {
                 idle.add(net.client());
                 idle.get(i).send("GET /_health HTTP/1.1\r\n\r\n");
                 assertStatus("200", idle.get(i).read());
@@ -242,15 +243,15 @@
             Client half = net.client();
             half.send("GET /half HTTP");
             Client busy = net.client();
-            busy.ask("menu-read");
-            Exchange call = net.servers.get(0).next(); // all are accepted by now
-            awaitOnLoop(net, () -> net.sidecar.endWaiting(net.sidecar.loop().now() + 3_000));
+            busy.sendRequest("menu-read");
+            ReceivedRequest call = net.servers.get(0).next(); // all are accepted by now
+            awaitOnLoop(net, () -> net.sidecar.closeOverdue(net.sidecar.loop().now() + 3_000));
             assertNull(silent.read());
             assertLast(half, "408");
             for (Client c : idle) {
                 assertNull(c.read());
             }
-            call.answer("200 OK", "");
+            call.respond("200 OK", "");
             assertStatus("200", busy.read());
         }
     }
@@ -258,11 +259,11 @@
     /** Found on an incident: 128 clients asked once and kept their connections, and could open no more. */
     @Test
     public void whereManyKeepConnectionsAnAnswerIsTheLastOnItsOwn() throws Exception {
-        try (Loopback net = new Loopback(1)) {
+        try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             List<Client> kept = asManyAsThereIsRoomFor(net);
             Client more = net.client();
-            more.ask("menu-read");
-            net.servers.get(0).next().answer("200 OK", "");
+            more.sendRequest("menu-read");
+            net.servers.get(0).next().respond("200 OK", "");
             assertLast(more, "200");
             close(kept);
         }
@@ -271,11 +272,11 @@
     /** Found at Sado: no new connections come then, and a client whose kept ones are all busy has nobody to ask. */
     @Test
     public void aDrainingSidecarEndsNoConnectionForWantOfRoom() throws Exception {
-        try (Loopback net = new Loopback(1)) {
+        try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             List<Client> kept = asManyAsThereIsRoomFor(net);
             Client more = net.client();
             drain(net, 60_000, 60_000);
-            net.sidecar.awaitDraining();
+            net.sidecar.awaitDrainStarted();
             serve(net, more, "one");
             serve(net, more, "two");
             close(kept);
@@ -288,9 +289,9 @@
         }
     }
 
-    private static List<Client> asManyAsThereIsRoomFor(Loopback net) throws IOException {
+    private static List<Client> asManyAsThereIsRoomFor(LoopbackNetwork net) throws IOException {
         List<Client> kept = new ArrayList<>();
-        for (int i = 0; i < Host.mostClients(net.config) / Sidecar.ROOMY_PART; i++) {
+        for (int i = 0; i < BalancerHost.maxClientConnections(net.config) / Sidecar.IDLE_CAPACITY_DIVISOR; i++) {
             Client one = net.client();
             one.send("GET /_health HTTP/1.1\r\n\r\n");
             String answer = one.read();
@@ -304,17 +305,18 @@
     /** Idle connections save their clients the opening of new ones: they stay as long as there is room. */
     @Test
     public void anIdleClientStaysWhileThereIsRoom() throws Exception {
-        try (Loopback net = new Loopback(1)) {
+        try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = net.client();
             for (int i = 0; i < 2; i++) {
                 client.send("GET /_health HTTP/1.1\r\n\r\n");
                 assertStatus("200", client.read());
-                awaitOnLoop(net, () -> net.sidecar.endWaiting(net.sidecar.loop().now() + 3_000));
+                awaitOnLoop(
+                        net, () -> net.sidecar.closeOverdue(net.sidecar.loop().now() + 3_000));
             }
         }
     }
 
-    private static void awaitOnLoop(Loopback net, Runnable task) throws Exception {
+    private static void awaitOnLoop(LoopbackNetwork net, Runnable task) throws Exception {
         FutureTask<Void> done = new FutureTask<>(task, null);
         net.sidecar.loop().execute(done);
         done.get();
@@ -323,14 +325,14 @@
     /** Silent connections must not keep out one with a request until their 2 s are over. */
     @Test
     public void silentConnectionsAtTheBoundMakeRoomSoon() throws Exception {
-        try (Loopback net = new Loopback(1)) {
+        try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             List<Client> silent = new ArrayList<>();
-            for (int i = 0; i < Host.mostClients(net.config); i++) {
+            for (int i = 0; i < BalancerHost.maxClientConnections(net.config); i++) {
                 silent.add(net.client());
             }
             Client late = net.client();
-            late.ask("menu-read");
-            net.servers.get(0).next().answer("200 OK", "");
+            late.sendRequest("menu-read");
+            net.servers.get(0).next().respond("200 OK", "");
             assertStatus("200", late.read());
             assertNull(silent.get(0).read());
         }
@@ -339,27 +341,27 @@
     /** Over a long day servers come and go with ever new ids: what is kept for one must go with it. */
     @Test
     public void theConnectionsToAServerEndWhenItHasLeft() throws Exception {
-        try (Loopback net = new Loopback(1)) {
-            Exchange watch = net.discovery.next();
-            Loopback.Peer server = net.servers.get(0);
+        try (LoopbackNetwork net = new LoopbackNetwork(1)) {
+            ReceivedRequest watch = net.discovery.next();
+            LoopbackNetwork.ScriptedPeer server = net.servers.get(0);
             Client one = net.client();
-            one.ask("menu-read");
-            Exchange first = server.next();
+            one.sendRequest("menu-read");
+            ReceivedRequest first = server.next();
             Client two = net.client();
-            two.ask("menu-read");
-            Exchange second = server.next();
-            first.answer("200 OK", "");
+            two.sendRequest("menu-read");
+            ReceivedRequest second = server.next();
+            first.respond("200 OK", "");
             assertStatus("200", one.read()); // its connection is idle now
             watch.beginWatch();
-            watch.line(Loopback.list(8, false, List.of(server.entry("s0", "left"))));
+            watch.sendLine(LoopbackNetwork.catalogJson(8, false, List.of(server.endpointJson("s0", "left"))));
             assertEnd(first, server.next());
-            second.answer("200 OK", "");
+            second.respond("200 OK", "");
             assertStatus("200", two.read());
             assertEnd(second, server.next());
         }
     }
 
-    private static void assertEnd(Exchange of, Exchange end) {
+    private static void assertEnd(ReceivedRequest of, ReceivedRequest end) {
         assertSame(of.connection(), end.connection());
         assertNull(end.message());
     }
@@ -372,16 +374,16 @@
                 module.handle(now, event, out);
             }
         };
-        try (Loopback net = new Loopback(1, s -> s, neverAsksAgain);
-                Loopback.Peer moved = new Loopback.Peer()) {
-            Exchange old = net.discovery.next();
+        try (LoopbackNetwork net = new LoopbackNetwork(1, s -> s, neverAsksAgain);
+                LoopbackNetwork.ScriptedPeer moved = new LoopbackNetwork.ScriptedPeer()) {
+            ReceivedRequest old = net.discovery.next();
             old.beginWatch();
             net.sidecar.reload(net.withDiscovery(moved.address()));
-            Exchange watch = moved.next();
+            ReceivedRequest watch = moved.next();
             assertTrue(watch.message(), watch.message().startsWith("GET /catalog/members?stream=1&index=7 "));
             assertNull(net.discovery.next().message());
             watch.beginWatch();
-            watch.line(Loopback.list(8, true, List.of()));
+            watch.sendLine(LoopbackNetwork.catalogJson(8, true, List.of()));
             Client client = net.client();
             awaitStatus(client, "GET /_health HTTP/1.1\r\n\r\n", "503");
         }
@@ -399,13 +401,13 @@
                 out.accept(new Reject(e.request(), 0));
             }
         };
-        try (Loopback net = new Loopback(1, s -> s, sendsAll)) {
-            for (int i = 0; i < Host.mostServerConnections(net.config); i++) {
-                net.client().ask("order-place");
+        try (LoopbackNetwork net = new LoopbackNetwork(1, s -> s, sendsAll)) {
+            for (int i = 0; i < BalancerHost.maxServerConnections(net.config); i++) {
+                net.client().sendRequest("order-place");
                 net.servers.get(0).next();
             }
             Client one = net.client();
-            one.ask("order-place");
+            one.sendRequest("order-place");
             assertStatus("503", one.read());
             assertEquals(List.of(Outcome.NEVER_SENT), outcomes);
         }
@@ -414,13 +416,13 @@
     /** Clients come once the sidecar is well: not before its code is warm. */
     @Test
     public void untilItsRehearsalEndsTheSidecarIsNotReady() throws Exception {
-        try (Loopback net = new Loopback(1)) {
-            FutureTask<Boolean> ready = new FutureTask<>(net.sidecar::ready);
+        try (LoopbackNetwork net = new LoopbackNetwork(1)) {
+            FutureTask<Boolean> ready = new FutureTask<>(net.sidecar::isReady);
             CompletableFuture<Void> rehearsed = net.sidecar.rehearse();
             net.sidecar.loop().execute(ready);
             assertFalse(ready.get());
             rehearsed.get();
-            awaitOnLoop(net, () -> assertTrue(net.sidecar.ready()));
+            awaitOnLoop(net, () -> assertTrue(net.sidecar.isReady()));
         }
     }
 
@@ -435,11 +437,11 @@
     /** At a planned restart clients still come for a while. */
     @Test
     public void aDrainingSidecarServesThoseWhoStillCome() throws Exception {
-        try (Loopback net = new Loopback(1)) {
+        try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client before = net.client();
             serve(net, before, "one");
             drain(net, 60_000, 60_000);
-            net.sidecar.awaitDraining();
+            net.sidecar.awaitDrainStarted();
             serve(net, before, "two"); // found at Sado: a connection that was kept ended with this answer
             serve(net, before, "three");
             serve(net, net.client(), "four");
@@ -448,14 +450,14 @@
 
     @Test
     public void aDrainingSidecarEndsWhenAllThatItTookIsAnswered() throws Exception {
-        try (Loopback net = new Loopback(1)) {
+        try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = net.client();
-            client.ask("menu-read");
-            Exchange call = net.servers.get(0).next();
+            client.sendRequest("menu-read");
+            ReceivedRequest call = net.servers.get(0).next();
             FutureTask<Void> drain = drain(net, 0, 60_000);
-            net.sidecar.awaitDraining();
+            net.sidecar.awaitDrainStarted();
             assertNull(net.client().read()); // ended, or never taken: no request is on it
-            call.answer("200 OK", "old");
+            call.respond("200 OK", "old");
             assertLast(client, "200");
             drain.get();
         }
@@ -464,9 +466,9 @@
     /** What SIGKILL finds unanswered is lost: an order that may have run is failed before that, never refused. */
     @Test
     public void whatIsOpenWhenAKillMayComeIsFailed() throws Exception {
-        try (Loopback net = new Loopback(1)) {
+        try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = net.client();
-            client.ask("order-place");
+            client.sendRequest("order-place");
             net.servers.get(0).next();
             FutureTask<Void> drain = drain(net, 0, 300);
             assertLast(client, "502");
@@ -477,18 +479,18 @@
     /** By the protocol's figures: 0.7 s after the longest deadline, which counts as 3 s at the most. */
     @Test
     public void requestsAreTakenUntilTheyCouldNotBeAnsweredBeforeAKill() {
-        assertEquals(new Sidecar.Drain(2_750, 3_500), Sidecar.Drain.of(6_000, 750));
-        assertEquals(new Sidecar.Drain(1_300, 1_700), Sidecar.Drain.of(1_200, 400));
-        assertEquals(new Sidecar.Drain(600, 1_500), Sidecar.Drain.of(1_000, 2_000));
+        assertEquals(new Sidecar.DrainSchedule(2_750, 3_500), Sidecar.DrainSchedule.of(6_000, 750));
+        assertEquals(new Sidecar.DrainSchedule(1_300, 1_700), Sidecar.DrainSchedule.of(1_200, 400));
+        assertEquals(new Sidecar.DrainSchedule(600, 1_500), Sidecar.DrainSchedule.of(1_000, 2_000));
     }
 
-    private static void serve(Loopback net, Client client, String body) throws Exception {
-        client.ask("menu-read");
-        net.servers.get(0).next().answer("200 OK", body);
+    private static void serve(LoopbackNetwork net, Client client, String body) throws Exception {
+        client.sendRequest("menu-read");
+        net.servers.get(0).next().respond("200 OK", body);
         assertTrue(client.read().endsWith("\r\n\r\n" + body));
     }
 
-    private static FutureTask<Void> drain(Loopback net, double takeOnMs, double answerByMs) {
+    private static FutureTask<Void> drain(LoopbackNetwork net, double takeOnMs, double answerByMs) {
         FutureTask<Void> drain = new FutureTask<>(() -> {
             net.sidecar.drain(takeOnMs, answerByMs);
             return null;
--- a/sidecar/src/test/java/dewplank/sidecar/config/SidecarConfigTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/config/SidecarConfigTest.java
@@ -44,7 +44,7 @@
         Fields none = new Fields(Json.object("{\"Me\":0,\"ReplicasOfMe\":0}"), "setting ");
         assertEquals(
                 "setting ReplicasOfMe should be a number above 0",
-                assertThrows(InvalidInputException.class, () -> Params.settings(none))
+                assertThrows(InvalidInputException.class, () -> BalancerSettingsReader.read(none))
                         .getMessage());
         Fields word = new Fields(Json.object("{\"a\":\"x\"}"), "setting ");
         assertEquals(
@@ -76,8 +76,8 @@
         Map<String, String> environment =
                 Map.of("GW_CONFIG", file.toString(), "GW_DISCOVERY", "127.0.0.1:1", "GW_NAME", "n7");
         assertEquals(1, SidecarConfig.fromEnvironment(environment).discovery().getPort());
-        assertEquals(2, SidecarConfig.again(environment).discovery().getPort());
-        assertEquals("n7", SidecarConfig.again(environment).name());
+        assertEquals(2, SidecarConfig.reread(environment).discovery().getPort());
+        assertEquals("n7", SidecarConfig.reread(environment).name());
         Files.delete(file);
     }
 
