--- a/configuration/src/main/java/dewplank/configuration/ChangeHistory.java
+++ b/configuration/src/main/java/dewplank/configuration/ChangeHistory.java
@@ -6,26 +6,26 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
+import java.util.OptionalLong;
 
 /**
- * The last changes that were taken, oldest first; immutable. Each change builds on the version that the one before it
- * brought, so that only the first one's base is kept.
+ * The last changes that were accepted, oldest first, by which a retried change is recognised. Each builds on the
+ * version that the one before it brought, so only the first one's base is stored. Immutable; owned by
+ * {@link ConfigurationDocument}. Its bytes are part of the register's payload and must stay readable.
  */
 final class ChangeHistory {
-    /** Answer of {@link #find} for a change that is not remembered. */
-    static final long NOT_FOUND = -1;
-    /** Nothing was taken yet. */
+    /** Before the first change. */
     static final ChangeHistory EMPTY = new ChangeHistory(0, List.of());
 
     private static final int FORMAT = 2;
-    /** As the first release wrote it: each change with its base and the whole digest. */
+    /** As the first release wrote it: each change with its base and the full digest. */
     private static final int FORMAT_WITH_BASES = 1;
 
-    private static final int WHOLE_DIGEST_BYTES = 32;
-    /** Half of a SHA-256 digest is kept: 128 bits tell any number of changes apart that can occur. */
+    private static final int FULL_DIGEST_BYTES = 32;
+    /** Half of a SHA-256 digest is stored: 128 bits tell any number of changes apart that can occur. */
     private static final int DIGEST_BYTES = 16;
 
-    /** A change that was taken: the version that it brought, and the start of its digest. */
+    /** An accepted change: the version that it brought, and the start of its digest. */
     private record Change(long version, byte[] digest) {}
 
     private final long oldestBase;
@@ -36,38 +36,41 @@
         this.changes = changes;
     }
 
-    /** The version that the oldest remembered change was built on; 0 while all that were ever taken are remembered. */
+    /** The version that the oldest remembered change was built on; 0 while every accepted change is remembered. */
     long oldestBase() {
         return oldestBase;
     }
 
-    /** Whether it is known which change, if any, was taken on top of this version. */
-    boolean reaches(long baseVersion) {
+    /** Whether it is known which change, if any, was accepted on top of this version. */
+    boolean covers(long baseVersion) {
         return baseVersion >= oldestBase;
     }
 
-    /** The version that this change brought; {@link #NOT_FOUND} where it is not remembered. */
-    long find(long baseVersion, byte[] wholeDigest) {
-        byte[] digest = Arrays.copyOf(wholeDigest, DIGEST_BYTES);
+    /** The version that this change brought; empty where it is not remembered. */
+    OptionalLong findVersion(long baseVersion, byte[] fullDigest) {
+        byte[] digest = Arrays.copyOf(fullDigest, DIGEST_BYTES);
         long base = oldestBase;
         for (Change change : changes) {
             if (base == baseVersion) {
-                return Arrays.equals(change.digest(), digest) ? change.version() : NOT_FOUND;
+                return Arrays.equals(change.digest(), digest)
+                        ? OptionalLong.of(change.version())
+                        : OptionalLong.empty();
             }
             base = change.version();
         }
-        return NOT_FOUND;
+        return OptionalLong.empty();
     }
 
-    /** This history with one more change, on top of the newest. */
-    ChangeHistory with(long version, byte[] wholeDigest) {
-        int dropped = Math.max(0, changes.size() + 1 - ConfigurationDocument.HISTORY);
+    /** This history with one more change on top of the newest; the oldest is dropped beyond the bound. */
+    ChangeHistory with(long version, byte[] fullDigest) {
+        int dropped = Math.max(0, changes.size() + 1 - ConfigurationDocument.MAX_REMEMBERED_CHANGES);
         long base = dropped == 0 ? oldestBase : changes.get(dropped - 1).version();
         List<Change> next = new ArrayList<>(changes.subList(dropped, changes.size()));
-        next.add(new Change(version, Arrays.copyOf(wholeDigest, DIGEST_BYTES)));
+        next.add(new Change(version, Arrays.copyOf(fullDigest, DIGEST_BYTES)));
         return new ChangeHistory(base, List.copyOf(next));
     }
 
+    /** Writes the newer format. */
     void write(DataOutputStream out) throws IOException {
         out.writeByte(FORMAT);
         out.writeShort(changes.size());
@@ -78,6 +81,7 @@
         }
     }
 
+    /** Reads either format; throws where the format is unknown or the bytes end too soon. */
     static ChangeHistory read(DataInputStream in) throws IOException {
         int format = in.readByte();
         if (format != FORMAT && format != FORMAT_WITH_BASES) {
@@ -92,7 +96,7 @@
                 long base = in.readLong();
                 oldestBase = index == 0 ? base : oldestBase;
             }
-            byte[] digest = new byte[format == FORMAT ? DIGEST_BYTES : WHOLE_DIGEST_BYTES];
+            byte[] digest = new byte[format == FORMAT ? DIGEST_BYTES : FULL_DIGEST_BYTES];
             in.readFully(digest);
             changes.add(new Change(version, Arrays.copyOf(digest, DIGEST_BYTES)));
         }
--- a/configuration/src/main/java/dewplank/configuration/Configuration.java
+++ b/configuration/src/main/java/dewplank/configuration/Configuration.java
@@ -12,6 +12,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 
 /**
  * A whole configuration; immutable. It is held as the texts of its items with what they mean, so that a change reads
@@ -33,10 +34,10 @@
     Configuration(Map<String, Section> sections) throws InvalidConfigurationException {
         this.sections = Collections.unmodifiableMap(sections);
         this.version = readVersion(sections);
-        this.routes = Collections.unmodifiableList(readRoutes(list(NamedItem.ROUTES)));
-        this.services = Collections.unmodifiableMap(readServices(list(NamedItem.SERVICES)));
+        this.routes = Collections.unmodifiableList(readRoutes(requireItemList(NamedItem.ROUTES)));
+        this.services = Collections.unmodifiableMap(readServices(requireItemList(NamedItem.SERVICES)));
         this.limits = readLimits(sections);
-        RouteValidator.check(routes, services);
+        RouteValidator.validate(routes, services);
     }
 
     /**
@@ -68,7 +69,7 @@
 
     /** This configuration with the change that an object describes taken on top of it. */
     Configuration patched(JsonObject patch) throws InvalidConfigurationException {
-        Configuration next = new Configuration(ConfigurationPatch.applied(sections, patch));
+        Configuration next = new Configuration(ConfigurationPatch.apply(sections, patch));
         if (next.version <= version) {
             throw new InvalidConfigurationException(Reason.VERSION_NOT_ABOVE, VERSION, "is not above " + version);
         }
@@ -86,7 +87,7 @@
         char separator = '{';
         for (Map.Entry<String, Section> section : sections.entrySet()) {
             out.write(separator);
-            JsonTextWriter.string(out, section.getKey());
+            JsonTextWriter.writeString(out, section.getKey());
             out.write(':');
             write(out, section.getValue());
             separator = ',';
@@ -131,11 +132,11 @@
     }
 
     private static long readVersion(Map<String, Section> sections) throws InvalidConfigurationException {
-        JsonObjectReader fields = plain(sections, VERSION);
+        JsonObjectReader fields = plainField(sections, VERSION);
         if (!fields.has(VERSION)) {
             throw new InvalidConfigurationException(Reason.MISSING_VERSION, VERSION, "is absent");
         }
-        long version = fields.wholeLong(VERSION, 0, Long.MIN_VALUE);
+        long version = fields.longValue(VERSION, 0, Long.MIN_VALUE);
         if (version <= 0) {
             throw new InvalidConfigurationException(Reason.VERSION_NOT_ABOVE, VERSION, "is not above 0");
         }
@@ -143,19 +144,20 @@
     }
 
     private static RequestLimits readLimits(Map<String, Section> sections) throws InvalidConfigurationException {
-        JsonObjectReader fields = plain(sections, LIMITS).object(LIMITS);
-        if (fields == null) {
+        Optional<JsonObjectReader> present = plainField(sections, LIMITS).object(LIMITS);
+        if (present.isEmpty()) {
             return RequestLimits.DEFAULTS;
         }
-        RequestLimits absent = RequestLimits.DEFAULTS;
+        JsonObjectReader fields = present.get();
+        RequestLimits defaults = RequestLimits.DEFAULTS;
         return new RequestLimits(
-                fields.whole("max_header_bytes", absent.maxHeaderBytes(), 1),
-                fields.whole("max_body_bytes", absent.maxBodyBytes(), 0),
-                fields.number("header_timeout_ms", absent.headerTimeoutMs(), 0),
-                fields.number("idle_timeout_ms", absent.idleTimeoutMs(), 0));
+                fields.intValue("max_header_bytes", defaults.maxHeaderBytes(), 1),
+                fields.intValue("max_body_bytes", defaults.maxBodyBytes(), 0),
+                fields.doubleValue("header_timeout_ms", defaults.headerTimeoutMs(), 0),
+                fields.doubleValue("idle_timeout_ms", defaults.idleTimeoutMs(), 0));
     }
 
-    private static JsonObjectReader plain(Map<String, Section> sections, String field)
+    private static JsonObjectReader plainField(Map<String, Section> sections, String field)
             throws InvalidConfigurationException {
         Section section = sections.get(field);
         if (section == null) {
@@ -167,7 +169,7 @@
         throw new InvalidConfigurationException(Reason.WRONG_TYPE, field, "is a list");
     }
 
-    private ItemList list(String field) throws InvalidConfigurationException {
+    private ItemList requireItemList(String field) throws InvalidConfigurationException {
         if (sections.get(field) instanceof ItemList list) {
             return list;
         }
--- a/configuration/src/main/java/dewplank/configuration/ConfigurationDelta.java
+++ b/configuration/src/main/java/dewplank/configuration/ConfigurationDelta.java
@@ -69,32 +69,32 @@
 
     private static void writeItems(DataOutputStream out, List<NamedItem> before, List<NamedItem> after)
             throws IOException {
-        Map<String, Integer> places = new HashMap<>();
+        Map<String, Integer> indexByName = new HashMap<>();
         for (int index = 0; index < before.size(); index++) {
-            places.put(before.get(index).name(), index);
+            indexByName.put(before.get(index).name(), index);
         }
-        int done = 0;
-        while (done < after.size()) {
-            int first = places.getOrDefault(after.get(done).name(), before.size());
-            int count = sameRun(before, first, after, done);
+        int written = 0;
+        while (written < after.size()) {
+            int first = indexByName.getOrDefault(after.get(written).name(), before.size());
+            int count = commonRunLength(before, first, after, written);
             if (count > 0) {
                 out.writeByte(COPY);
                 out.writeInt(first);
                 out.writeInt(count);
-                done += count;
+                written += count;
             } else {
                 out.writeByte(ITEM);
-                writeText(out, after.get(done).json());
-                done++;
+                writeText(out, after.get(written).json());
+                written++;
             }
         }
         out.writeByte(END);
     }
 
-    private static int sameRun(List<NamedItem> before, int first, List<NamedItem> after, int start) {
+    private static int commonRunLength(List<NamedItem> before, int first, List<NamedItem> after, int start) {
         int longest = Math.min(before.size() - first, after.size() - start);
         int count = 0;
-        while (count < longest && after.get(start + count).sameAs(before.get(first + count))) {
+        while (count < longest && after.get(start + count).hasSameJson(before.get(first + count))) {
             count++;
         }
         return count;
--- a/configuration/src/main/java/dewplank/configuration/ConfigurationDocument.java
+++ b/configuration/src/main/java/dewplank/configuration/ConfigurationDocument.java
@@ -14,6 +14,7 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.Arrays;
+import java.util.OptionalLong;
 
 /** What the register holds: the configuration and the last changes that were taken; immutable. */
 public final class ConfigurationDocument {
@@ -22,7 +23,7 @@
      * 24 KB of every write, an eighth of a configuration of 600 routes. A resend that they no longer reach gets no
      * clear answer, see {@link ChangeResult.HistoryExpired}.
      */
-    public static final int HISTORY = 1_024;
+    public static final int MAX_REMEMBERED_CHANGES = 1_024;
     /** The longest body of a request that is read. */
     public static final int MAX_BODY_BYTES = 4 << 20;
 
@@ -54,7 +55,7 @@
         if (payload == null) {
             return EMPTY;
         }
-        try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(plain(payload)))) {
+        try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(inflated(payload)))) {
             ChangeHistory history = ChangeHistory.read(in);
             byte[] json = in.readAllBytes();
             return new ConfigurationDocument(json.length == 0 ? null : Configuration.parse(json), history);
@@ -63,7 +64,7 @@
         }
     }
 
-    private static byte[] plain(byte[] payload) throws IOException {
+    private static byte[] inflated(byte[] payload) throws IOException {
         boolean compressed = payload.length > 0 && payload[0] == COMPRESSED;
         return compressed
                 ? DeflateCodec.inflate(Arrays.copyOfRange(payload, 1, payload.length), MAX_PLAIN_BYTES)
@@ -108,9 +109,9 @@
      */
     public ChangeResult apply(ChangeRequest request) {
         byte[] digest = request.digest();
-        long taken = history.find(request.expectedVersion(), digest);
-        if (taken != ChangeHistory.NOT_FOUND) {
-            return new AlreadyAccepted(taken);
+        OptionalLong acceptedVersion = history.findVersion(request.expectedVersion(), digest);
+        if (acceptedVersion.isPresent()) {
+            return new AlreadyAccepted(acceptedVersion.getAsLong());
         }
         try {
             return applyNew(request, digest);
@@ -124,13 +125,13 @@
             throw new InvalidConfigurationException(Reason.TOO_LARGE, "", "longer than " + MAX_BODY_BYTES + " bytes");
         }
         JsonObject body = JsonTextReader.readObject(request.body());
-        if (!history.reaches(request.expectedVersion())) {
+        if (!history.covers(request.expectedVersion())) {
             return new HistoryExpired(history.oldestBase());
         }
         if (request.expectedVersion() != version()) {
             return new VersionMismatch(version());
         }
-        Configuration next = next(request.patch(), body);
+        Configuration next = changedConfiguration(request.patch(), body);
         if (next.version() <= version()) {
             throw new InvalidConfigurationException(
                     Reason.VERSION_NOT_ABOVE, Configuration.VERSION, "is not above " + version());
@@ -138,7 +139,7 @@
         return new Accepted(new ConfigurationDocument(next, history.with(next.version(), digest)));
     }
 
-    private Configuration next(boolean patch, JsonObject body) throws InvalidConfigurationException {
+    private Configuration changedConfiguration(boolean patch, JsonObject body) throws InvalidConfigurationException {
         if (!patch) {
             return Configuration.of(body);
         }
--- a/configuration/src/main/java/dewplank/configuration/ConfigurationPatch.java
+++ b/configuration/src/main/java/dewplank/configuration/ConfigurationPatch.java
@@ -22,7 +22,7 @@
     private ConfigurationPatch() {}
 
     /** The fields after the change. */
-    static Map<String, Section> applied(Map<String, Section> sections, JsonObject patch)
+    static Map<String, Section> apply(Map<String, Section> sections, JsonObject patch)
             throws InvalidConfigurationException {
         if (!patch.members().containsKey(Configuration.VERSION)) {
             throw new InvalidConfigurationException(Reason.MISSING_VERSION, Configuration.VERSION, "is absent");
@@ -33,20 +33,21 @@
                 changed.put(member.getKey(), Section.read(member.getKey(), member.getValue()));
             }
         }
-        for (Map.Entry<String, JsonValue> list : lists(patch, UPSERT).entrySet()) {
-            List<NamedItem> items = Section.items(list.getKey(), list.getValue());
-            change(changed, list.getKey(), items, Set.of());
+        for (Map.Entry<String, JsonValue> list : readLists(patch, UPSERT).entrySet()) {
+            List<NamedItem> items = Section.readItems(list.getKey(), list.getValue());
+            changeItems(changed, list.getKey(), items, Set.of());
         }
-        for (Map.Entry<String, JsonValue> list : lists(patch, REMOVE).entrySet()) {
-            Set<String> names = names(list.getKey(), list.getValue());
+        for (Map.Entry<String, JsonValue> list : readLists(patch, REMOVE).entrySet()) {
+            Set<String> names = readNames(list.getKey(), list.getValue());
             if (changed.containsKey(list.getKey())) {
-                change(changed, list.getKey(), List.of(), names);
+                changeItems(changed, list.getKey(), List.of(), names);
             }
         }
         return changed;
     }
 
-    private static Map<String, JsonValue> lists(JsonObject patch, String field) throws InvalidConfigurationException {
+    private static Map<String, JsonValue> readLists(JsonObject patch, String field)
+            throws InvalidConfigurationException {
         JsonValue value = patch.members().get(field);
         if (value == null || value == JsonValue.JsonWord.NULL) {
             return Map.of();
@@ -57,16 +58,17 @@
         throw new InvalidConfigurationException(Reason.WRONG_TYPE, field, "is not an object");
     }
 
-    private static void change(Map<String, Section> sections, String field, List<NamedItem> upsert, Set<String> remove)
+    private static void changeItems(
+            Map<String, Section> sections, String field, List<NamedItem> upsert, Set<String> remove)
             throws InvalidConfigurationException {
         Section section = sections.getOrDefault(field, ItemList.EMPTY);
         if (!(section instanceof ItemList list)) {
             throw new InvalidConfigurationException(Reason.WRONG_TYPE, field, "is not a list of named items");
         }
-        sections.put(field, list.changed(upsert, remove));
+        sections.put(field, list.withChanges(upsert, remove));
     }
 
-    private static Set<String> names(String field, JsonValue value) throws InvalidConfigurationException {
+    private static Set<String> readNames(String field, JsonValue value) throws InvalidConfigurationException {
         String path = REMOVE + "." + field;
         if (!(value instanceof JsonArray array)) {
             throw new InvalidConfigurationException(Reason.WRONG_TYPE, path, "is not a list");
--- a/configuration/src/main/java/dewplank/configuration/DeltaReader.java
+++ b/configuration/src/main/java/dewplank/configuration/DeltaReader.java
@@ -26,13 +26,13 @@
     /** The later configuration. */
     Configuration read() throws InvalidConfigurationException {
         try {
-            return readWhole();
+            return readConfiguration();
         } catch (IOException cutShort) {
             throw malformed("cut short");
         }
     }
 
-    private Configuration readWhole() throws IOException, InvalidConfigurationException {
+    private Configuration readConfiguration() throws IOException, InvalidConfigurationException {
         if (in.readLong() != from.version()) {
             throw malformed("made from another version than " + from.version());
         }
@@ -40,8 +40,8 @@
         int count = in.readInt();
         Map<String, Section> sections = new LinkedHashMap<>();
         for (int index = 0; index < count; index++) {
-            String field = field();
-            sections.put(field, section(field));
+            String field = readFieldName();
+            sections.put(field, readSection(field));
         }
         Configuration to = new Configuration(sections);
         if (in.available() > 0 || to.version() != version) {
@@ -50,58 +50,59 @@
         return to;
     }
 
-    private String field() throws IOException, InvalidConfigurationException {
-        if (JsonTextReader.read(text()) instanceof JsonString name) {
+    private String readFieldName() throws IOException, InvalidConfigurationException {
+        if (JsonTextReader.read(readText()) instanceof JsonString name) {
             return name.text();
         }
         throw malformed("a field without a name");
     }
 
-    private Section section(String field) throws IOException, InvalidConfigurationException {
+    private Section readSection(String field) throws IOException, InvalidConfigurationException {
         Section before = from.sections().get(field);
         switch (in.readByte()) {
             case ConfigurationDelta.SAME:
-                return present(before);
+                return requirePresent(before);
             case ConfigurationDelta.PLAIN:
-                return plain(field);
+                return readPlainValue(field);
             case ConfigurationDelta.LIST:
-                return list(field, before instanceof ItemList list ? list.items() : List.of());
+                return readItemList(field, before instanceof ItemList list ? list.items() : List.of());
             default:
                 throw malformed("an unknown kind of field");
         }
     }
 
-    private static Section present(Section before) throws InvalidConfigurationException {
+    private static Section requirePresent(Section before) throws InvalidConfigurationException {
         if (before == null) {
             throw malformed("a field that was not there");
         }
         return before;
     }
 
-    private Section plain(String field) throws IOException, InvalidConfigurationException {
-        byte[] json = text();
-        if (Section.isKnownList(field)) {
+    private Section readPlainValue(String field) throws IOException, InvalidConfigurationException {
+        byte[] json = readText();
+        if (Section.isTypedList(field)) {
             throw malformed("a list as a plain value");
         }
         JsonGrammar.check(json);
         return new PlainValue(json);
     }
 
-    private Section list(String field, List<NamedItem> before) throws IOException, InvalidConfigurationException {
+    private Section readItemList(String field, List<NamedItem> before)
+            throws IOException, InvalidConfigurationException {
         List<NamedItem> items = new ArrayList<>();
         int kind = in.readByte();
         while (kind != ConfigurationDelta.END) {
             if (kind == ConfigurationDelta.COPY) {
-                items.addAll(run(before, in.readInt(), in.readInt()));
+                items.addAll(copiedRun(before, in.readInt(), in.readInt()));
             } else {
-                items.add(NamedItem.read(field, items.size(), JsonTextReader.read(text())));
+                items.add(NamedItem.read(field, items.size(), JsonTextReader.read(readText())));
             }
             kind = in.readByte();
         }
         return new ItemList(List.copyOf(items));
     }
 
-    private static List<NamedItem> run(List<NamedItem> before, int first, int count)
+    private static List<NamedItem> copiedRun(List<NamedItem> before, int first, int count)
             throws InvalidConfigurationException {
         if (first < 0 || count < 0 || first > before.size() - count) {
             throw malformed("items that were not there");
@@ -109,7 +110,7 @@
         return before.subList(first, first + count);
     }
 
-    private byte[] text() throws IOException, InvalidConfigurationException {
+    private byte[] readText() throws IOException, InvalidConfigurationException {
         int length = in.readInt();
         if (length < 0 || length > in.available()) {
             throw malformed("cut short");
--- a/configuration/src/main/java/dewplank/configuration/JsonGrammar.java
+++ b/configuration/src/main/java/dewplank/configuration/JsonGrammar.java
@@ -29,9 +29,9 @@
     /** Throws unless the text is one whole value and nothing else. */
     static void check(byte[] text) throws InvalidConfigurationException {
         JsonGrammar grammar = new JsonGrammar(text);
-        grammar.space();
-        grammar.value();
-        grammar.space();
+        grammar.skipSpace();
+        grammar.checkValue();
+        grammar.skipSpace();
         if (grammar.peek() != END) {
             throw grammar.malformed("bytes after the value");
         }
@@ -48,74 +48,74 @@
         }
     }
 
-    private void value() throws InvalidConfigurationException {
+    private void checkValue() throws InvalidConfigurationException {
         switch (peek()) {
-            case '{' -> object();
-            case '[' -> array();
-            case '"' -> string();
-            case 't' -> word(TRUE);
-            case 'f' -> word(FALSE);
-            case 'n' -> word(NULL);
-            default -> number();
+            case '{' -> checkObject();
+            case '[' -> checkArray();
+            case '"' -> checkString();
+            case 't' -> checkWord(TRUE);
+            case 'f' -> checkWord(FALSE);
+            case 'n' -> checkWord(NULL);
+            default -> checkNumber();
         }
     }
 
-    private void object() throws InvalidConfigurationException {
-        enter();
+    private void checkObject() throws InvalidConfigurationException {
+        enterNesting();
         if (peek() != '}') {
-            member();
+            checkMember();
             while (peek() == ',') {
                 position++;
-                space();
-                member();
+                skipSpace();
+                checkMember();
             }
         }
-        leave('}');
+        leaveNesting('}');
     }
 
-    private void member() throws InvalidConfigurationException {
-        string();
-        space();
+    private void checkMember() throws InvalidConfigurationException {
+        checkString();
+        skipSpace();
         expect(':');
-        space();
-        value();
-        space();
+        skipSpace();
+        checkValue();
+        skipSpace();
     }
 
-    private void array() throws InvalidConfigurationException {
-        enter();
+    private void checkArray() throws InvalidConfigurationException {
+        enterNesting();
         if (peek() != ']') {
-            element();
+            checkElement();
             while (peek() == ',') {
                 position++;
-                space();
-                element();
+                skipSpace();
+                checkElement();
             }
         }
-        leave(']');
+        leaveNesting(']');
     }
 
-    private void element() throws InvalidConfigurationException {
-        value();
-        space();
+    private void checkElement() throws InvalidConfigurationException {
+        checkValue();
+        skipSpace();
     }
 
-    private void enter() throws InvalidConfigurationException {
+    private void enterNesting() throws InvalidConfigurationException {
         position++;
         depth++;
         if (depth > InvalidConfigurationException.MAX_DEPTH) {
             throw new InvalidConfigurationException(
                     Reason.TOO_DEEP, "", "nested deeper than " + InvalidConfigurationException.MAX_DEPTH);
         }
-        space();
+        skipSpace();
     }
 
-    private void leave(int closing) throws InvalidConfigurationException {
+    private void leaveNesting(int closing) throws InvalidConfigurationException {
         expect(closing);
         depth--;
     }
 
-    private void string() throws InvalidConfigurationException {
+    private void checkString() throws InvalidConfigurationException {
         expect('"');
         while (true) {
             int next = peek();
@@ -124,7 +124,7 @@
                 return;
             }
             if (next == '\\') {
-                escape();
+                checkEscape();
             } else if (next < ' ' && next >= END) {
                 throw malformed(next == END ? "cut short within a string" : "a control character within a string");
             } else {
@@ -134,24 +134,24 @@
         }
     }
 
-    private void escape() throws InvalidConfigurationException {
+    private void checkEscape() throws InvalidConfigurationException {
         position++;
         int kind = peek();
         position++;
         if (kind == 'u') {
-            unicode();
+            checkUnicodeEscape();
         } else if (kind == END || "\"\\/bfnrt".indexOf(kind) < 0) {
             throw malformed("an unknown escape");
         }
     }
 
     /** An escaped character; half a surrogate pair stands for none and could not be written again. */
-    private void unicode() throws InvalidConfigurationException {
-        char first = hexadecimal();
+    private void checkUnicodeEscape() throws InvalidConfigurationException {
+        char first = readHexDigits();
         if (Character.isHighSurrogate(first)) {
             expect('\\');
             expect('u');
-            if (!Character.isLowSurrogate(hexadecimal())) {
+            if (!Character.isLowSurrogate(readHexDigits())) {
                 throw malformed("half a surrogate pair");
             }
         } else if (Character.isLowSurrogate(first)) {
@@ -159,7 +159,7 @@
         }
     }
 
-    private char hexadecimal() throws InvalidConfigurationException {
+    private char readHexDigits() throws InvalidConfigurationException {
         int value = 0;
         for (int index = 0; index < HEX_DIGITS; index++) {
             int digit = Character.digit(peek(), HEX_RADIX);
@@ -172,29 +172,29 @@
         return (char) value;
     }
 
-    private void number() throws InvalidConfigurationException {
+    private void checkNumber() throws InvalidConfigurationException {
         if (peek() == '-') {
             position++;
         }
         if (peek() == '0') {
             position++;
         } else {
-            digits();
+            checkDigits();
         }
         if (peek() == '.') {
             position++;
-            digits();
+            checkDigits();
         }
         if (peek() == 'e' || peek() == 'E') {
             position++;
             if (peek() == '+' || peek() == '-') {
                 position++;
             }
-            digits();
+            checkDigits();
         }
     }
 
-    private void digits() throws InvalidConfigurationException {
+    private void checkDigits() throws InvalidConfigurationException {
         int start = position;
         while (peek() >= '0' && peek() <= '9') {
             position++;
@@ -204,13 +204,13 @@
         }
     }
 
-    private void word(byte[] word) throws InvalidConfigurationException {
+    private void checkWord(byte[] word) throws InvalidConfigurationException {
         for (byte letter : word) {
             expect(letter);
         }
     }
 
-    private void space() {
+    private void skipSpace() {
         int next = peek();
         while (next == ' ' || next == '\n' || next == '\r' || next == '\t') {
             position++;
--- a/configuration/src/main/java/dewplank/configuration/JsonObjectReader.java
+++ b/configuration/src/main/java/dewplank/configuration/JsonObjectReader.java
@@ -8,11 +8,12 @@
 import dewplank.configuration.JsonValue.JsonWord;
 import java.math.BigDecimal;
 import java.util.List;
+import java.util.Optional;
 
 /** Typed reading of an object's fields. A field that is null counts as absent; faults name the field's whole path. */
 final class JsonObjectReader {
     /** Digits beyond which no whole number is expanded: a long has 19, and 1e999999999 must cost nothing. */
-    private static final int MAX_WHOLE_DIGITS = 19;
+    private static final int MAX_LONG_DIGITS = 19;
 
     private final JsonObject object;
     private final String path;
@@ -45,94 +46,94 @@
     }
 
     /** A string that must be there. */
-    String string(String field) throws InvalidConfigurationException {
+    String stringValue(String field) throws InvalidConfigurationException {
         if (!has(field)) {
-            throw fault(Reason.MISSING_FIELD, field, "is absent");
+            throw error(Reason.MISSING_FIELD, field, "is absent");
         }
-        return string(field, "");
+        return stringValue(field, "");
     }
 
     /** A string, or the default where it is absent. */
-    String string(String field, String absent) throws InvalidConfigurationException {
+    String stringValue(String field, String defaultValue) throws InvalidConfigurationException {
         if (!has(field)) {
-            return absent;
+            return defaultValue;
         }
         if (object.members().get(field) instanceof JsonString string) {
             return string.text();
         }
-        throw fault(Reason.WRONG_TYPE, field, "is not a string");
+        throw error(Reason.WRONG_TYPE, field, "is not a string");
     }
 
     /** A boolean, or the default where it is absent. */
-    boolean bool(String field, boolean absent) throws InvalidConfigurationException {
+    boolean booleanValue(String field, boolean defaultValue) throws InvalidConfigurationException {
         if (!has(field)) {
-            return absent;
+            return defaultValue;
         }
         JsonValue value = object.members().get(field);
         if (value != JsonWord.TRUE && value != JsonWord.FALSE) {
-            throw fault(Reason.WRONG_TYPE, field, "is not true or false");
+            throw error(Reason.WRONG_TYPE, field, "is not true or false");
         }
         return value == JsonWord.TRUE;
     }
 
     /** A number that must be there. */
-    double number(String field) throws InvalidConfigurationException {
+    double doubleValue(String field) throws InvalidConfigurationException {
         if (!has(field)) {
-            throw fault(Reason.MISSING_FIELD, field, "is absent");
+            throw error(Reason.MISSING_FIELD, field, "is absent");
         }
-        return number(field, 0, Double.NEGATIVE_INFINITY);
+        return doubleValue(field, 0, Double.NEGATIVE_INFINITY);
     }
 
     /** A number of at least the least, or the default where it is absent. */
-    double number(String field, double absent, double least) throws InvalidConfigurationException {
+    double doubleValue(String field, double defaultValue, double min) throws InvalidConfigurationException {
         if (!has(field)) {
-            return absent;
+            return defaultValue;
         }
         double value = Double.parseDouble(numeral(field));
-        if (value < least || Double.isInfinite(value)) {
-            throw fault(Reason.OUT_OF_BOUNDS, field, "is out of bounds");
+        if (value < min || Double.isInfinite(value)) {
+            throw error(Reason.OUT_OF_BOUNDS, field, "is out of bounds");
         }
         return value;
     }
 
     /** A whole number of at least the least, or the default where it is absent; above the largest int, that. */
-    int whole(String field, int absent, int least) throws InvalidConfigurationException {
-        return (int) Math.min(Integer.MAX_VALUE, wholeLong(field, absent, least));
+    int intValue(String field, int defaultValue, int min) throws InvalidConfigurationException {
+        return (int) Math.min(Integer.MAX_VALUE, longValue(field, defaultValue, min));
     }
 
     /** A whole number of at least the least, or the default where it is absent. */
-    long wholeLong(String field, long absent, long least) throws InvalidConfigurationException {
+    long longValue(String field, long defaultValue, long min) throws InvalidConfigurationException {
         if (!has(field)) {
-            return absent;
+            return defaultValue;
         }
-        long value = wholeLong(field);
-        if (value < least) {
-            throw fault(Reason.OUT_OF_BOUNDS, field, "is below " + least);
+        long value = longValue(field);
+        if (value < min) {
+            throw error(Reason.OUT_OF_BOUNDS, field, "is below " + min);
         }
         return value;
     }
 
-    private long wholeLong(String field) throws InvalidConfigurationException {
+    private long longValue(String field) throws InvalidConfigurationException {
         String numeral = numeral(field);
         try {
             return Long.parseLong(numeral);
         } catch (NumberFormatException fractionOrExponent) {
-            return expanded(field, numeral);
+            return parseExpanded(field, numeral);
         }
     }
 
-    private long expanded(String field, String numeral) throws InvalidConfigurationException {
+    private long parseExpanded(String field, String numeral) throws InvalidConfigurationException {
         try {
             BigDecimal value = new BigDecimal(numeral);
             if (value.signum() == 0) {
                 return 0;
             }
-            if ((long) value.precision() - value.scale() > MAX_WHOLE_DIGITS) {
-                throw fault(Reason.OUT_OF_BOUNDS, field, "is out of bounds");
+            if ((long) value.precision() - value.scale() > MAX_LONG_DIGITS) {
+                throw error(Reason.OUT_OF_BOUNDS, field, "is out of bounds");
             }
             return value.longValueExact();
         } catch (ArithmeticException | NumberFormatException fraction) {
-            throw fault(Reason.WRONG_TYPE, field, "is not a whole number");
+            throw error(Reason.WRONG_TYPE, field, "is not a whole number");
         }
     }
 
@@ -140,7 +141,7 @@
         if (object.members().get(field) instanceof JsonNumber number) {
             return number.text();
         }
-        throw fault(Reason.WRONG_TYPE, field, "is not a number");
+        throw error(Reason.WRONG_TYPE, field, "is not a number");
     }
 
     /** The elements of an array; none where it is absent. */
@@ -151,19 +152,19 @@
         if (object.members().get(field) instanceof JsonArray array) {
             return array.elements();
         }
-        throw fault(Reason.WRONG_TYPE, field, "is not a list");
+        throw error(Reason.WRONG_TYPE, field, "is not a list");
     }
 
-    /** An object; null where it is absent. */
-    JsonObjectReader object(String field) throws InvalidConfigurationException {
+    /** A reader of the object in a field; empty where it is absent. */
+    Optional<JsonObjectReader> object(String field) throws InvalidConfigurationException {
         if (!has(field)) {
-            return null;
+            return Optional.empty();
         }
-        return of(object.members().get(field), path(field));
+        return Optional.of(ofValue(object.members().get(field), path(field)));
     }
 
     /** Reads an element that must be an object. */
-    static JsonObjectReader of(JsonValue value, String path) throws InvalidConfigurationException {
+    static JsonObjectReader ofValue(JsonValue value, String path) throws InvalidConfigurationException {
         if (value instanceof JsonObject object) {
             return new JsonObjectReader(object, path);
         }
@@ -172,15 +173,15 @@
 
     /** The item's name, which every item of a list has. */
     String name() throws InvalidConfigurationException {
-        String name = string("name", "");
+        String name = stringValue("name", "");
         if (name.isEmpty()) {
-            throw fault(Reason.MISSING_NAME, "name", "an item has no name");
+            throw error(Reason.MISSING_NAME, "name", "an item has no name");
         }
         return name;
     }
 
     /** A fault at a field. */
-    InvalidConfigurationException fault(Reason reason, String field, String detail) {
+    InvalidConfigurationException error(Reason reason, String field, String detail) {
         return new InvalidConfigurationException(reason, path(field), detail);
     }
 }
--- a/configuration/src/main/java/dewplank/configuration/JsonTextReader.java
+++ b/configuration/src/main/java/dewplank/configuration/JsonTextReader.java
@@ -27,7 +27,7 @@
     static JsonValue read(byte[] text) throws InvalidConfigurationException {
         JsonGrammar.check(text);
         try {
-            return new JsonTextReader(text).value();
+            return new JsonTextReader(text).readValue();
         } catch (IOException | JsonException | IndexOutOfBoundsException unreadable) {
             throw new InvalidConfigurationException(Reason.UNREADABLE, "", "not readable as JSON");
         }
@@ -41,13 +41,13 @@
         throw new InvalidConfigurationException(Reason.WRONG_TYPE, "", "not an object");
     }
 
-    private JsonValue value() throws IOException, InvalidConfigurationException {
+    private JsonValue readValue() throws IOException, InvalidConfigurationException {
         ValueType type = tokens.whatIsNext();
         switch (type) {
             case OBJECT:
-                return object();
+                return readMembers();
             case ARRAY:
-                return array();
+                return readElements();
             case STRING:
                 return new JsonString(tokens.readString());
             case NUMBER:
@@ -62,11 +62,11 @@
         }
     }
 
-    private JsonObject object() throws IOException, InvalidConfigurationException {
+    private JsonObject readMembers() throws IOException, InvalidConfigurationException {
         Map<String, JsonValue> members = new LinkedHashMap<>();
         String key = tokens.readObject();
         while (key != null) {
-            if (members.put(key, value()) != null) {
+            if (members.put(key, readValue()) != null) {
                 throw new InvalidConfigurationException(Reason.DUPLICATE_KEY, key, "the key is there twice");
             }
             key = tokens.readObject();
@@ -74,10 +74,10 @@
         return new JsonObject(members);
     }
 
-    private JsonArray array() throws IOException, InvalidConfigurationException {
+    private JsonArray readElements() throws IOException, InvalidConfigurationException {
         List<JsonValue> elements = new ArrayList<>();
         while (tokens.readArray()) {
-            elements.add(value());
+            elements.add(readValue());
         }
         return new JsonArray(elements);
     }
--- a/configuration/src/main/java/dewplank/configuration/JsonTextWriter.java
+++ b/configuration/src/main/java/dewplank/configuration/JsonTextWriter.java
@@ -13,11 +13,11 @@
 /** Writes a JSON tree without spaces; the same tree always gives the same bytes. */
 final class JsonTextWriter {
     /** Room for an item of the usual size, so that the text seldom moves while it grows. */
-    private static final int USUAL_LENGTH = 512;
+    private static final int INITIAL_CAPACITY_BYTES = 512;
 
     private static final byte[] HEX_DIGITS = "0123456789abcdef".getBytes(StandardCharsets.US_ASCII);
 
-    private byte[] text = new byte[USUAL_LENGTH];
+    private byte[] text = new byte[INITIAL_CAPACITY_BYTES];
     private int length;
 
     private JsonTextWriter() {}
@@ -25,22 +25,22 @@
     /** The tree as UTF-8. */
     static byte[] write(JsonValue value) {
         JsonTextWriter writer = new JsonTextWriter();
-        writer.value(value);
+        writer.writeValue(value);
         return Arrays.copyOf(writer.text, writer.length);
     }
 
     /** Appends a string with its quotes. */
-    static void string(ByteArrayOutputStream out, String string) {
+    static void writeString(ByteArrayOutputStream out, String string) {
         out.writeBytes(write(new JsonString(string)));
     }
 
-    private void value(JsonValue value) {
+    private void writeValue(JsonValue value) {
         if (value instanceof JsonObject object) {
-            object(object);
+            writeObject(object);
         } else if (value instanceof JsonArray array) {
-            array(array);
+            writeArray(array);
         } else if (value instanceof JsonString string) {
-            string(string.text());
+            writeString(string.text());
         } else if (value instanceof JsonNumber number) {
             append(number.text().getBytes(StandardCharsets.US_ASCII));
         } else if (value instanceof JsonWord word) {
@@ -48,42 +48,42 @@
         }
     }
 
-    private void object(JsonObject object) {
+    private void writeObject(JsonObject object) {
         append('{');
         boolean first = true;
         for (Map.Entry<String, JsonValue> member : object.members().entrySet()) {
             if (!first) {
                 append(',');
             }
-            string(member.getKey());
+            writeString(member.getKey());
             append(':');
-            value(member.getValue());
+            writeValue(member.getValue());
             first = false;
         }
         append('}');
     }
 
-    private void array(JsonArray array) {
+    private void writeArray(JsonArray array) {
         append('[');
         boolean first = true;
         for (JsonValue element : array.elements()) {
             if (!first) {
                 append(',');
             }
-            value(element);
+            writeValue(element);
             first = false;
         }
         append(']');
     }
 
-    private void string(String string) {
+    private void writeString(String string) {
         byte[] characters = string.getBytes(StandardCharsets.UTF_8);
         append('"');
         if (isPlain(characters)) {
             append(characters);
         } else {
             for (byte character : characters) {
-                escaped(character);
+                writeEscaped(character);
             }
         }
         append('"');
@@ -103,7 +103,7 @@
         return character >= 0 && character < ' ' || character == '"' || character == '\\';
     }
 
-    private void escaped(byte character) {
+    private void writeEscaped(byte character) {
         if (!needsEscape(character)) {
             append(character);
         } else if (character >= ' ') {
@@ -120,19 +120,19 @@
     }
 
     private void append(int character) {
-        ensure(1);
+        ensureCapacity(1);
         text[length++] = (byte) character;
     }
 
     private void append(byte[] characters) {
-        ensure(characters.length);
+        ensureCapacity(characters.length);
         System.arraycopy(characters, 0, text, length, characters.length);
         length += characters.length;
     }
 
-    private void ensure(int more) {
-        if (length + more > text.length) {
-            text = Arrays.copyOf(text, Math.max(length + more, 2 * text.length));
+    private void ensureCapacity(int additionalBytes) {
+        if (length + additionalBytes > text.length) {
+            text = Arrays.copyOf(text, Math.max(length + additionalBytes, 2 * text.length));
         }
     }
 }
--- a/configuration/src/main/java/dewplank/configuration/NamedItem.java
+++ b/configuration/src/main/java/dewplank/configuration/NamedItem.java
@@ -27,7 +27,7 @@
     byte[] json();
 
     /** Whether the other has the same text. */
-    default boolean sameAs(NamedItem other) {
+    default boolean hasSameJson(NamedItem other) {
         return other == this || other != null && Arrays.equals(json(), other.json());
     }
 
--- a/configuration/src/main/java/dewplank/configuration/RouteReader.java
+++ b/configuration/src/main/java/dewplank/configuration/RouteReader.java
@@ -18,80 +18,81 @@
 
     /** The route of that name that the object describes. */
     static Route read(String name, JsonObject object) throws InvalidConfigurationException {
-        return new RouteReader(new JsonObjectReader(object, NamedItem.ROUTES, name)).route(name);
+        return new RouteReader(new JsonObjectReader(object, NamedItem.ROUTES, name)).readRoute(name);
     }
 
-    private Route route(String name) throws InvalidConfigurationException {
-        double timeoutMs = timeout();
+    private Route readRoute(String name) throws InvalidConfigurationException {
+        double timeoutMs = readTimeoutMs();
         return new Route(
                 name,
-                fields.string("host_name").toLowerCase(Locale.ROOT),
-                prefix(),
-                type(),
+                fields.stringValue("host_name").toLowerCase(Locale.ROOT),
+                readPathPrefix(),
+                readType(),
                 timeoutMs,
-                fields.number("target_latency_ms", timeoutMs, 0),
-                fields.whole("priority", 0, 0),
-                split(),
-                fields.whole("max_attempts", 1, 1),
-                fields.bool("sticky", false),
-                fields.bool("resumable", false),
-                fields.number("gap_aim_ms", 0, 0));
+                fields.doubleValue("target_latency_ms", timeoutMs, 0),
+                fields.intValue("priority", 0, 0),
+                readSplit(),
+                fields.intValue("max_attempts", 1, 1),
+                fields.booleanValue("sticky", false),
+                fields.booleanValue("resumable", false),
+                fields.doubleValue("gap_aim_ms", 0, 0));
     }
 
-    private double timeout() throws InvalidConfigurationException {
-        double timeoutMs = fields.number("timeout_ms");
+    private double readTimeoutMs() throws InvalidConfigurationException {
+        double timeoutMs = fields.doubleValue("timeout_ms");
         if (timeoutMs <= 0) {
-            throw fields.fault(Reason.BAD_TIMEOUT, "timeout_ms", "is not above 0");
+            throw fields.error(Reason.BAD_TIMEOUT, "timeout_ms", "is not above 0");
         }
         return timeoutMs;
     }
 
-    private String prefix() throws InvalidConfigurationException {
-        String prefix = fields.string("path_prefix");
+    private String readPathPrefix() throws InvalidConfigurationException {
+        String prefix = fields.stringValue("path_prefix");
         if (!prefix.startsWith(SLASH) || !prefix.endsWith(SLASH)) {
-            throw fields.fault(Reason.BAD_PREFIX, "path_prefix", "does not begin and end with a slash");
+            throw fields.error(Reason.BAD_PREFIX, "path_prefix", "does not begin and end with a slash");
         }
         return prefix;
     }
 
     /** The type; where it is absent the one that allows the least. */
-    private RouteType type() throws InvalidConfigurationException {
-        return switch (fields.string("route_type", "unsafe")) {
+    private RouteType readType() throws InvalidConfigurationException {
+        return switch (fields.stringValue("route_type", "unsafe")) {
             case "safe" -> RouteType.SAFE;
             case "unsafe" -> RouteType.UNSAFE;
             case "streaming" -> RouteType.STREAMING;
-            default -> throw fields.fault(Reason.UNKNOWN_ROUTE_TYPE, "route_type", "is none that is known");
+            default -> throw fields.error(Reason.UNKNOWN_ROUTE_TYPE, "route_type", "is none that is known");
         };
     }
 
-    private List<WeightedService> split() throws InvalidConfigurationException {
+    private List<WeightedService> readSplit() throws InvalidConfigurationException {
         List<JsonValue> parts = fields.elements("weighted_split");
         if (!parts.isEmpty()) {
-            return weighted(parts);
+            return readWeightedSplit(parts);
         }
         if (fields.has("service")) {
-            return List.of(new WeightedService(fields.string("service"), 1));
+            return List.of(new WeightedService(fields.stringValue("service"), 1));
         }
         if (fields.has("weighted_split")) {
-            throw fields.fault(Reason.BAD_WEIGHTS, "weighted_split", "is empty");
+            throw fields.error(Reason.BAD_WEIGHTS, "weighted_split", "is empty");
         }
-        throw fields.fault(Reason.NO_SERVICE, "service", "neither a service nor a split");
+        throw fields.error(Reason.NO_SERVICE, "service", "neither a service nor a split");
     }
 
-    private List<WeightedService> weighted(List<JsonValue> parts) throws InvalidConfigurationException {
+    private List<WeightedService> readWeightedSplit(List<JsonValue> parts) throws InvalidConfigurationException {
         List<WeightedService> split = new ArrayList<>(parts.size());
         double sum = 0;
         for (JsonValue part : parts) {
-            JsonObjectReader share = JsonObjectReader.of(part, fields.path("weighted_split[" + split.size() + "]"));
-            double weight = share.number("weight");
+            JsonObjectReader entry =
+                    JsonObjectReader.ofValue(part, fields.path("weighted_split[" + split.size() + "]"));
+            double weight = entry.doubleValue("weight");
             if (weight < 0) {
-                throw share.fault(Reason.BAD_WEIGHTS, "weight", "is negative");
+                throw entry.error(Reason.BAD_WEIGHTS, "weight", "is negative");
             }
             sum += weight;
-            split.add(new WeightedService(share.string("service"), weight));
+            split.add(new WeightedService(entry.stringValue("service"), weight));
         }
         if (sum <= 0 || Double.isInfinite(sum)) {
-            throw fields.fault(Reason.BAD_WEIGHTS, "weighted_split", "the weights add up to nothing that can be used");
+            throw fields.error(Reason.BAD_WEIGHTS, "weighted_split", "the weights add up to nothing that can be used");
         }
         return split;
     }
--- a/configuration/src/main/java/dewplank/configuration/RouteTable.java
+++ b/configuration/src/main/java/dewplank/configuration/RouteTable.java
@@ -15,7 +15,7 @@
             if (children.isEmpty()) {
                 children = new HashMap<>();
             }
-            return nodeOf(children, segment);
+            return getOrCreate(children, segment);
         }
     }
 
@@ -32,7 +32,7 @@
         }
     }
 
-    private static Node nodeOf(Map<String, Node> nodes, String key) {
+    private static Node getOrCreate(Map<String, Node> nodes, String key) {
         Node node = nodes.get(key);
         if (node == null) {
             node = new Node();
@@ -42,7 +42,7 @@
     }
 
     private void add(Route route) {
-        Node node = nodeOf(hosts, route.host());
+        Node node = getOrCreate(hosts, route.host());
         String prefix = route.pathPrefix();
         int start = 1;
         int slash = prefix.indexOf('/', start);
@@ -65,11 +65,11 @@
         if (hostHeader == null || target == null || !target.startsWith("/")) {
             return null;
         }
-        Node node = hosts.get(host(hostHeader));
-        return node == null ? null : longest(node, target);
+        Node node = hosts.get(normalizedHost(hostHeader));
+        return node == null ? null : longestMatch(node, target);
     }
 
-    private static Route longest(Node host, String target) {
+    private static Route longestMatch(Node host, String target) {
         int query = target.indexOf('?');
         int end = query < 0 ? target.length() : query;
         Node node = host;
@@ -88,7 +88,7 @@
         return found;
     }
 
-    private static String host(String header) {
+    private static String normalizedHost(String header) {
         String host = header.trim().toLowerCase(Locale.ROOT);
         int colon = host.lastIndexOf(':');
         boolean withinBrackets = colon < host.lastIndexOf(']');
--- a/configuration/src/main/java/dewplank/configuration/RouteValidator.java
+++ b/configuration/src/main/java/dewplank/configuration/RouteValidator.java
@@ -12,21 +12,21 @@
     private RouteValidator() {}
 
     /** Throws where the routes do not fit each other or the services. */
-    static void check(List<Route> routes, Map<String, Service> services) throws InvalidConfigurationException {
+    static void validate(List<Route> routes, Map<String, Service> services) throws InvalidConfigurationException {
         Map<String, Set<String>> prefixesByHost = new HashMap<>();
         for (Route route : routes) {
-            if (!prefixes(prefixesByHost, route.host()).add(route.pathPrefix())) {
-                throw fault(Reason.SHARED_PREFIX, route, "path_prefix", "another route has this host and prefix");
+            if (!prefixesOf(prefixesByHost, route.host()).add(route.pathPrefix())) {
+                throw error(Reason.SHARED_PREFIX, route, "path_prefix", "another route has this host and prefix");
             }
-            for (WeightedService part : route.split()) {
-                if (!services.containsKey(part.service())) {
-                    throw fault(Reason.UNKNOWN_SERVICE, route, "service", "there is no service " + part.service());
+            for (WeightedService weighted : route.split()) {
+                if (!services.containsKey(weighted.service())) {
+                    throw error(Reason.UNKNOWN_SERVICE, route, "service", "there is no service " + weighted.service());
                 }
             }
         }
     }
 
-    private static Set<String> prefixes(Map<String, Set<String>> prefixesByHost, String host) {
+    private static Set<String> prefixesOf(Map<String, Set<String>> prefixesByHost, String host) {
         Set<String> prefixes = prefixesByHost.get(host);
         if (prefixes == null) {
             prefixes = new HashSet<>();
@@ -35,7 +35,7 @@
         return prefixes;
     }
 
-    private static InvalidConfigurationException fault(Reason reason, Route route, String field, String detail) {
+    private static InvalidConfigurationException error(Reason reason, Route route, String field, String detail) {
         return new InvalidConfigurationException(reason, "routes[" + route.name() + "]." + field, detail);
     }
 }
--- a/configuration/src/main/java/dewplank/configuration/Section.java
+++ b/configuration/src/main/java/dewplank/configuration/Section.java
@@ -18,7 +18,7 @@
         static final ItemList EMPTY = new ItemList(List.of());
 
         /** This list with items replaced or added at the end, and then those of the names taken out. */
-        ItemList changed(List<NamedItem> upsert, Set<String> remove) {
+        ItemList withChanges(List<NamedItem> upsert, Set<String> remove) {
             Map<String, NamedItem> byName = new LinkedHashMap<>();
             for (NamedItem item : items) {
                 byName.put(item.name(), item);
@@ -36,14 +36,14 @@
 
     /** The section that a field's value makes. */
     static Section read(String field, JsonValue value) throws InvalidConfigurationException {
-        if (isKnownList(field) || isNamedList(value)) {
-            return new ItemList(items(field, value));
+        if (isTypedList(field) || isNamedList(value)) {
+            return new ItemList(readItems(field, value));
         }
         return new PlainValue(JsonTextWriter.write(value));
     }
 
     /** The items that a field's value lists; their names are their own. */
-    static List<NamedItem> items(String field, JsonValue value) throws InvalidConfigurationException {
+    static List<NamedItem> readItems(String field, JsonValue value) throws InvalidConfigurationException {
         if (!(value instanceof JsonArray array)) {
             throw new InvalidConfigurationException(Reason.WRONG_TYPE, field, "is not a list");
         }
@@ -61,7 +61,7 @@
     }
 
     /** Whether the field is a list whose items this program reads. */
-    static boolean isKnownList(String field) {
+    static boolean isTypedList(String field) {
         return field.equals(NamedItem.ROUTES) || field.equals(NamedItem.SERVICES);
     }
 
--- a/configuration/src/main/java/dewplank/configuration/ServiceReader.java
+++ b/configuration/src/main/java/dewplank/configuration/ServiceReader.java
@@ -4,6 +4,7 @@
 import dewplank.configuration.JsonValue.JsonString;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 
 /** Reads and checks one service. */
 final class ServiceReader {
@@ -17,42 +18,43 @@
 
     /** The service of that name that the object describes. */
     static Service read(String name, JsonObject object) throws InvalidConfigurationException {
-        return new ServiceReader(new JsonObjectReader(object, NamedItem.SERVICES, name)).service(name);
+        return new ServiceReader(new JsonObjectReader(object, NamedItem.SERVICES, name)).readService(name);
     }
 
-    private Service service(String name) throws InvalidConfigurationException {
+    private Service readService(String name) throws InvalidConfigurationException {
         return new Service(
                 name,
-                fields.string("health_path", "/health"),
-                fields.whole("max_connections", Integer.MAX_VALUE, 1),
-                fields.string("protocol", "h1"),
-                fields.bool("tls_mode", false),
-                engine(fields.object("engine")));
+                fields.stringValue("health_path", "/health"),
+                fields.intValue("max_connections", Integer.MAX_VALUE, 1),
+                fields.stringValue("protocol", "h1"),
+                fields.booleanValue("tls_mode", false),
+                readEngine(fields.object("engine")));
     }
 
-    private static EngineProfile engine(JsonObjectReader engine) throws InvalidConfigurationException {
-        if (engine == null) {
+    private static EngineProfile readEngine(Optional<JsonObjectReader> present) throws InvalidConfigurationException {
+        if (present.isEmpty()) {
             return null;
         }
+        JsonObjectReader engine = present.get();
         return new EngineProfile(
-                engine.whole("slot_count", 1, 1),
-                engine.wholeLong("kv_tokens", 0, 0),
-                engine.wholeLong("kv_token_bytes", 0, 0),
-                engine.number("link_mbps", 0, 0),
-                engine.whole("stride", 1, 1),
-                engine.number("context_hold_s", 0, 0) * MS_PER_SECOND,
-                engine.number("switch_s", 0, 0) * MS_PER_SECOND,
-                models(engine));
+                engine.intValue("slot_count", 1, 1),
+                engine.longValue("kv_tokens", 0, 0),
+                engine.longValue("kv_token_bytes", 0, 0),
+                engine.doubleValue("link_mbps", 0, 0),
+                engine.intValue("stride", 1, 1),
+                engine.doubleValue("context_hold_s", 0, 0) * MS_PER_SECOND,
+                engine.doubleValue("switch_s", 0, 0) * MS_PER_SECOND,
+                readModels(engine));
     }
 
-    private static List<String> models(JsonObjectReader engine) throws InvalidConfigurationException {
+    private static List<String> readModels(JsonObjectReader engine) throws InvalidConfigurationException {
         List<String> models = new ArrayList<>();
         for (JsonValue model : engine.elements("models")) {
             String path = engine.path("models[" + models.size() + "]");
             models.add(
                     model instanceof JsonString name
                             ? name.text()
-                            : JsonObjectReader.of(model, path).name());
+                            : JsonObjectReader.ofValue(model, path).name());
         }
         return models;
     }
--- a/configuration/src/test/java/dewplank/configuration/ConfigurationDocumentTest.java
+++ b/configuration/src/test/java/dewplank/configuration/ConfigurationDocumentTest.java
@@ -42,20 +42,20 @@
     void takesChangesOnTopOfTheCurrentVersion() {
         assertEquals(0, EMPTY.version());
         assertNull(EMPTY.configuration());
-        ConfigurationDocument first = accepted(EMPTY, put(0, Samples.whole(5)));
+        ConfigurationDocument first = accepted(EMPTY, put(0, Samples.document(5)));
         ConfigurationDocument second = accepted(first, patch(5, "{\"config_version\":9}"));
         assertEquals(9, second.version());
-        assertEquals(Samples.whole(9), Samples.text(second.configuration().json()));
+        assertEquals(Samples.document(9), Samples.text(second.configuration().json()));
         assertEquals(new VersionMismatch(9), second.apply(patch(5, "{\"config_version\":11}")));
-        assertEquals(new VersionMismatch(9), second.apply(put(0, Samples.whole(5, "", ""))));
+        assertEquals(new VersionMismatch(9), second.apply(put(0, Samples.document(5, "", ""))));
     }
 
     @Test
-    void answersAResentChangeAsTakenThoughNewerOnesCame() {
-        ChangeRequest first = put(0, Samples.whole(5));
+    void answersARetriedChangeAsAcceptedThoughNewerOnesFollowed() {
+        ChangeRequest first = put(0, Samples.document(5));
         ChangeRequest second = patch(5, "{\"config_version\":9}");
         ConfigurationDocument document = accepted(accepted(EMPTY, first), second);
-        document = accepted(document, put(9, Samples.whole(12)));
+        document = accepted(document, put(9, Samples.document(12)));
         document = ConfigurationDocument.decode(document.encode());
         assertEquals(new AlreadyAccepted(5), document.apply(first));
         assertEquals(new AlreadyAccepted(9), document.apply(second));
@@ -65,17 +65,17 @@
 
     @Test
     void remembersABoundedNumberOfChanges() throws IOException {
-        ConfigurationDocument document = accepted(EMPTY, put(0, Samples.whole(1)));
-        for (int version = 2; version <= ConfigurationDocument.HISTORY + 1; version++) {
+        ConfigurationDocument document = accepted(EMPTY, put(0, Samples.document(1)));
+        for (int version = 2; version <= ConfigurationDocument.MAX_REMEMBERED_CHANGES + 1; version++) {
             document = accepted(document, patch(version - 1, "{\"config_version\":" + version + "}"));
         }
         assertEquals(new AlreadyAccepted(2), document.apply(patch(1, "{\"config_version\":2}")));
         assertEquals(
-                ConfigurationDocument.HISTORY * 24
+                ConfigurationDocument.MAX_REMEMBERED_CHANGES * 24
                         + 11
                         + document.configuration().json().length,
                 plain(document.encode()).length);
-        assertTrue(document.encode().length <= ConfigurationDocument.HISTORY * 24 + 1_000);
+        assertTrue(document.encode().length <= ConfigurationDocument.MAX_REMEMBERED_CHANGES * 24 + 1_000);
     }
 
     /** What a payload holds behind its first byte. */
@@ -85,7 +85,7 @@
 
     /** A round of the register sends it to each acceptor: of two thousand routes it is to take a few milliseconds. */
     @Test
-    void aGrownConfigurationIsSentSmall() {
+    void aLargeConfigurationIsEncodedSmall() {
         ChangeRequest change = put(0, Samples.large(5, 2_000));
         ConfigurationDocument document = accepted(EMPTY, change);
         byte[] payload = document.encode();
@@ -97,7 +97,7 @@
     /** Disks of earlier releases hold documents as they are. */
     @Test
     void readsDocumentsThatAreNotCompressed() throws IOException {
-        ChangeRequest change = put(0, Samples.whole(5));
+        ChangeRequest change = put(0, Samples.document(5));
         byte[] payload = accepted(EMPTY, change).encode();
         assertEquals(
                 new AlreadyAccepted(5),
@@ -105,8 +105,8 @@
     }
 
     @Test
-    void damagedPayloadsAreToldFromOthers() {
-        byte[] payload = accepted(EMPTY, put(0, Samples.whole(5))).encode();
+    void rejectsDamagedPayloads() {
+        byte[] payload = accepted(EMPTY, put(0, Samples.document(5))).encode();
         byte[] cut = Arrays.copyOf(payload, payload.length / 2);
         assertThrows(IllegalArgumentException.class, () -> ConfigurationDocument.decode(cut));
         assertThrows(IOException.class, () -> DeflateCodec.inflate(DeflateCodec.deflate(new byte[1 << 20]), 1 << 10));
@@ -114,34 +114,35 @@
 
     /** A refusal has to be true: of a change that may be among those forgotten nothing is said either way. */
     @Test
-    void neitherConfirmsNorRefusesWhatTheHistoryDoesNotReach() {
-        ConfigurationDocument document = accepted(EMPTY, put(0, Samples.whole(1)));
-        for (int version = 2; version <= ConfigurationDocument.HISTORY + 1; version++) {
+    void neitherConfirmsNorRejectsWhatTheHistoryDoesNotCover() {
+        ConfigurationDocument document = accepted(EMPTY, put(0, Samples.document(1)));
+        for (int version = 2; version <= ConfigurationDocument.MAX_REMEMBERED_CHANGES + 1; version++) {
             document = accepted(document, patch(version - 1, "{\"config_version\":" + version + "}"));
         }
         document = ConfigurationDocument.decode(document.encode());
-        assertEquals(new HistoryExpired(1), document.apply(put(0, Samples.whole(1))));
-        assertEquals(new HistoryExpired(1), document.apply(put(0, Samples.whole(1, "", ""))));
-        assertEquals(new VersionMismatch(document.version()), document.apply(put(1, Samples.whole(2))));
+        assertEquals(new HistoryExpired(1), document.apply(put(0, Samples.document(1))));
+        assertEquals(new HistoryExpired(1), document.apply(put(0, Samples.document(1, "", ""))));
+        assertEquals(new VersionMismatch(document.version()), document.apply(put(1, Samples.document(2))));
         assertEquals(
                 new VersionMismatch(document.version()),
-                document.apply(put(document.version() + 1, Samples.whole(document.version() + 2))));
+                document.apply(put(document.version() + 1, Samples.document(document.version() + 2))));
         assertEquals(Reason.UNREADABLE, refusal(document, put(0, "{")));
     }
 
     /** While all changes are remembered, one on a version that never was is certain not to have been taken. */
     @Test
-    void refusesAChangeOnAVersionThatNeverWas() {
-        ConfigurationDocument document = accepted(accepted(EMPTY, put(0, Samples.whole(5))), put(5, Samples.whole(9)));
-        assertEquals(new VersionMismatch(9), document.apply(put(7, Samples.whole(8))));
-        assertEquals(new VersionMismatch(9), document.apply(put(0, Samples.whole(7))));
+    void rejectsAChangeOnAVersionThatNeverWas() {
+        ConfigurationDocument document =
+                accepted(accepted(EMPTY, put(0, Samples.document(5))), put(5, Samples.document(9)));
+        assertEquals(new VersionMismatch(9), document.apply(put(7, Samples.document(8))));
+        assertEquals(new VersionMismatch(9), document.apply(put(0, Samples.document(7))));
     }
 
     /** Disks of the first release hold each change with its base and whole digest. */
     @Test
     void readsDocumentsOfTheFirstRelease() throws IOException {
-        ChangeRequest first = put(0, Samples.whole(5));
-        ChangeRequest second = put(5, Samples.whole(9));
+        ChangeRequest first = put(0, Samples.document(5));
+        ChangeRequest second = put(5, Samples.document(9));
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
             out.writeByte(1);
@@ -152,40 +153,40 @@
             out.writeLong(9);
             out.writeLong(5);
             out.write(second.digest());
-            out.write(Samples.bytes(Samples.whole(9)));
+            out.write(Samples.bytes(Samples.document(9)));
         }
         ConfigurationDocument document = ConfigurationDocument.decode(bytes.toByteArray());
         assertEquals(new AlreadyAccepted(5), document.apply(first));
         assertEquals(new AlreadyAccepted(9), document.apply(second));
-        assertEquals(new VersionMismatch(9), document.apply(put(5, Samples.whole(10))));
+        assertEquals(new VersionMismatch(9), document.apply(put(5, Samples.document(10))));
     }
 
     @Test
-    void refusesWhatCannotBeTaken() {
-        ConfigurationDocument first = accepted(EMPTY, put(0, Samples.whole(5)));
+    void rejectsInvalidChanges() {
+        ConfigurationDocument first = accepted(EMPTY, put(0, Samples.document(5)));
         assertEquals(Reason.UNREADABLE, refusal(first, put(5, "{")));
         assertEquals(Reason.UNREADABLE, refusal(first, put(4, "{")));
         assertEquals(Reason.UNREADABLE, refusal(first, put(4, "")));
-        assertEquals(Reason.VERSION_NOT_ABOVE, refusal(first, put(5, Samples.whole(5))));
-        assertEquals(Reason.VERSION_NOT_ABOVE, refusal(first, put(5, Samples.whole(4))));
+        assertEquals(Reason.VERSION_NOT_ABOVE, refusal(first, put(5, Samples.document(5))));
+        assertEquals(Reason.VERSION_NOT_ABOVE, refusal(first, put(5, Samples.document(4))));
         assertEquals(Reason.VERSION_NOT_ABOVE, refusal(first, patch(5, "{\"config_version\":5}")));
         assertEquals(Reason.MISSING_FIELD, refusal(EMPTY, patch(0, "{\"config_version\":5}")));
         assertEquals(
                 Reason.TOO_LARGE,
-                refusal(EMPTY, put(0, Samples.whole(5) + " ".repeat(ConfigurationDocument.MAX_BODY_BYTES))));
+                refusal(EMPTY, put(0, Samples.document(5) + " ".repeat(ConfigurationDocument.MAX_BODY_BYTES))));
     }
 
     @Test
-    void twoChangesOnOneVersionAreNotBothTaken() {
-        ConfigurationDocument first = accepted(EMPTY, put(0, Samples.whole(5)));
+    void twoChangesOnOneVersionAreNotBothAccepted() {
+        ConfigurationDocument first = accepted(EMPTY, put(0, Samples.document(5)));
         ConfigurationDocument won = accepted(first, patch(5, "{\"config_version\":7}"));
         assertEquals(new VersionMismatch(7), won.apply(patch(5, "{\"config_version\":7,\"limits\":null}")));
     }
 
     @Test
-    void encodesAndDecodes() {
+    void decodesWhatItEncoded() {
         assertEquals(0, ConfigurationDocument.decode(EMPTY.encode()).version());
-        ConfigurationDocument first = accepted(EMPTY, put(0, Samples.whole(5)));
+        ConfigurationDocument first = accepted(EMPTY, put(0, Samples.document(5)));
         assertArrayEquals(
                 first.encode(), ConfigurationDocument.decode(first.encode()).encode());
     }
--- a/configuration/src/test/java/dewplank/configuration/ConfigurationPropertyTest.java
+++ b/configuration/src/test/java/dewplank/configuration/ConfigurationPropertyTest.java
@@ -79,7 +79,7 @@
             }
         }
         Collections.shuffle(routes, random);
-        String text = Samples.whole(version, String.join(",", routes), services(random));
+        String text = Samples.document(version, String.join(",", routes), services(random));
         String note = "\"note\":" + unknown(random) + ",\"limits\"";
         return random.nextBoolean() ? text : text.replace("\"limits\"", note);
     }
@@ -93,7 +93,7 @@
     }
 
     @Property
-    void whatIsWrittenReadsTheSame(@ForAll long seed) throws InvalidConfigurationException {
+    void aWrittenConfigurationIsReadTheSame(@ForAll long seed) throws InvalidConfigurationException {
         Configuration configuration = Samples.parse(whole(new Random(seed), 1));
         Configuration again = Configuration.parse(configuration.json());
         assertArrayEquals(configuration.json(), again.json());
@@ -103,7 +103,7 @@
     }
 
     @Property
-    void aDifferenceLeadsToTheVeryBytes(@ForAll long seed) throws InvalidConfigurationException {
+    void aDeltaLeadsToTheSameBytes(@ForAll long seed) throws InvalidConfigurationException {
         Random random = new Random(seed);
         Configuration from = Samples.parse(whole(random, 1));
         Configuration to =
@@ -116,7 +116,7 @@
     }
 
     @Property
-    void aPatchedConfigurationIsWhatItsTextReads(@ForAll long seed) throws InvalidConfigurationException {
+    void aPatchedConfigurationEqualsItsTextReadAnew(@ForAll long seed) throws InvalidConfigurationException {
         Random random = new Random(seed);
         Configuration patched = Samples.parse(whole(random, 1)).patched(Samples.bytes(patch(random, 2)));
         Configuration again = Configuration.parse(patched.json());
@@ -125,7 +125,7 @@
     }
 
     @Property(tries = 200)
-    void everyTakenChangeIsRecognisedWhenResent(@ForAll long seed) {
+    void everyAcceptedChangeIsRecognisedWhenRetried(@ForAll long seed) {
         Random random = new Random(seed);
         ConfigurationDocument document = ConfigurationDocument.decode(null);
         List<ChangeRequest> taken = new ArrayList<>();
@@ -143,9 +143,9 @@
     }
 
     @Property
-    void garbledTextsThrowNothingElse(@ForAll long seed) throws InvalidConfigurationException {
+    void garbledTextsThrowNoUncheckedException(@ForAll long seed) throws InvalidConfigurationException {
         Random random = new Random(seed);
-        Configuration base = Samples.parse(Samples.whole(1));
+        Configuration base = Samples.parse(Samples.document(1));
         byte[] body = Samples.bytes(random.nextBoolean() ? whole(random, 2) : patch(random, 2));
         byte[] garbled = garbled(random, body);
         tolerate(() -> Configuration.parse(garbled));
--- a/configuration/src/test/java/dewplank/configuration/ConfigurationTest.java
+++ b/configuration/src/test/java/dewplank/configuration/ConfigurationTest.java
@@ -13,7 +13,7 @@
         return base.patched(Samples.bytes(patch));
     }
 
-    private static Reason refusal(Configuration base, String patch) {
+    private static Reason rejection(Configuration base, String patch) {
         return assertThrows(InvalidConfigurationException.class, () -> patched(base, patch))
                 .reason();
     }
@@ -24,7 +24,7 @@
 
     @Test
     void readsWhatTheOperatorWrites() throws InvalidConfigurationException {
-        Configuration configuration = Samples.parse(Samples.whole(7));
+        Configuration configuration = Samples.parse(Samples.document(7));
         assertEquals(7, configuration.version());
         assertEquals(
                 List.of(
@@ -117,7 +117,7 @@
 
     @Test
     void patchReplacesInPlaceAddsLastAndRemoves() throws InvalidConfigurationException {
-        Configuration base = Samples.parse(Samples.whole(7));
+        Configuration base = Samples.parse(Samples.document(7));
         Configuration next = patched(
                 base,
                 "{\"config_version\":9,\"upsert\":{\"routes\":["
@@ -126,7 +126,7 @@
         assertEquals(9, next.version());
         assertEquals(List.of("r-1", "r-3"), names(next));
         assertEquals(
-                Samples.whole(
+                Samples.document(
                         9,
                         Samples.route("r-1", "/lohu/", "wuno") + "," + Samples.route("r-3", "/new/", "wuno"),
                         Samples.MODEL_SERVICE + "," + Samples.PLAIN_SERVICE),
@@ -137,7 +137,7 @@
     @Test
     void patchMayMoveAPrefixFromOneRouteToAnother() throws InvalidConfigurationException {
         Configuration next = patched(
-                Samples.parse(Samples.whole(7)),
+                Samples.parse(Samples.document(7)),
                 "{\"config_version\":9,\"upsert\":{\"routes\":[" + Samples.route("r-3", "/pufi/", "wuno")
                         + "]},\"remove\":{\"routes\":[\"r-2\"]}}");
         assertEquals(List.of("r-1", "r-3"), names(next));
@@ -145,7 +145,7 @@
 
     @Test
     void patchChangesUnknownListsAndOtherFields() throws InvalidConfigurationException {
-        Configuration base = Samples.parse(Samples.whole(7)
+        Configuration base = Samples.parse(Samples.document(7)
                 .replace("\"limits\"", "\"keys\":[{\"name\":\"a\",\"v\":1},{\"name\":\"b\"}],\"mode\":1,\"limits\""));
         Configuration next = patched(
                 base,
@@ -154,7 +154,7 @@
                         + "\"remove\":{\"keys\":[\"b\"]},\"mode\":\"two\","
                         + "\"limits\":{\"max_header_bytes\":77}}");
         String text = Samples.text(next.json());
-        String expected = Samples.whole(8)
+        String expected = Samples.document(8)
                 .replace(
                         "\"limits\"",
                         "\"keys\":[{\"name\":\"a\",\"v\":2.50},{\"name\":\"c\"}],\"mode\":\"two\",\"limits\"")
@@ -166,31 +166,31 @@
     }
 
     @Test
-    void refusesPatches() throws InvalidConfigurationException {
-        Configuration base = Samples.parse(Samples.whole(7).replace("\"limits\"", "\"mode\":1,\"limits\""));
+    void rejectsInvalidPatches() throws InvalidConfigurationException {
+        Configuration base = Samples.parse(Samples.document(7).replace("\"limits\"", "\"mode\":1,\"limits\""));
         assertEquals(
-                Reason.UNKNOWN_SERVICE, refusal(base, "{\"config_version\":8,\"remove\":{\"services\":[\"wuno\"]}}"));
+                Reason.UNKNOWN_SERVICE, rejection(base, "{\"config_version\":8,\"remove\":{\"services\":[\"wuno\"]}}"));
         assertEquals(
                 Reason.SHARED_PREFIX,
-                refusal(
+                rejection(
                         base,
                         "{\"config_version\":8,\"upsert\":{\"routes\":[" + Samples.route("r-9", "/pufi/", "huvo")
                                 + "]}}"));
         assertEquals(
                 Reason.DUPLICATE_NAME,
-                refusal(
+                rejection(
                         base,
                         "{\"config_version\":8,\"upsert\":{\"routes\":[" + Samples.route("r-9", "/a/", "huvo") + ","
                                 + Samples.route("r-9", "/b/", "huvo") + "]}}"));
-        assertEquals(Reason.MISSING_NAME, refusal(base, "{\"config_version\":8,\"upsert\":{\"keys\":[{\"x\":1}]}}"));
-        assertEquals(Reason.VERSION_NOT_ABOVE, refusal(base, "{\"config_version\":7}"));
-        assertEquals(Reason.MISSING_VERSION, refusal(base, "{\"remove\":{\"routes\":[\"r-1\"]}}"));
-        assertEquals(Reason.WRONG_TYPE, refusal(base, "{\"config_version\":8,\"remove\":[\"r-1\"]}"));
-        assertEquals(Reason.WRONG_TYPE, refusal(base, "{\"config_version\":8,\"remove\":{\"routes\":[1]}}"));
-        assertEquals(Reason.WRONG_TYPE, refusal(base, "{\"config_version\":8,\"remove\":{\"routes\":\"r-1\"}}"));
-        assertEquals(Reason.WRONG_TYPE, refusal(base, "{\"config_version\":8,\"upsert\":{\"routes\":{}}}"));
+        assertEquals(Reason.MISSING_NAME, rejection(base, "{\"config_version\":8,\"upsert\":{\"keys\":[{\"x\":1}]}}"));
+        assertEquals(Reason.VERSION_NOT_ABOVE, rejection(base, "{\"config_version\":7}"));
+        assertEquals(Reason.MISSING_VERSION, rejection(base, "{\"remove\":{\"routes\":[\"r-1\"]}}"));
+        assertEquals(Reason.WRONG_TYPE, rejection(base, "{\"config_version\":8,\"remove\":[\"r-1\"]}"));
+        assertEquals(Reason.WRONG_TYPE, rejection(base, "{\"config_version\":8,\"remove\":{\"routes\":[1]}}"));
+        assertEquals(Reason.WRONG_TYPE, rejection(base, "{\"config_version\":8,\"remove\":{\"routes\":\"r-1\"}}"));
+        assertEquals(Reason.WRONG_TYPE, rejection(base, "{\"config_version\":8,\"upsert\":{\"routes\":{}}}"));
         assertEquals(
-                Reason.WRONG_TYPE, refusal(base, "{\"config_version\":8,\"upsert\":{\"mode\":[{\"name\":\"x\"}]}}"));
-        assertEquals(Reason.UNREADABLE, refusal(base, "{\"config_version\":8,"));
+                Reason.WRONG_TYPE, rejection(base, "{\"config_version\":8,\"upsert\":{\"mode\":[{\"name\":\"x\"}]}}"));
+        assertEquals(Reason.UNREADABLE, rejection(base, "{\"config_version\":8,"));
     }
 }
--- a/configuration/src/test/java/dewplank/configuration/InvalidConfigurationTest.java
+++ b/configuration/src/test/java/dewplank/configuration/InvalidConfigurationTest.java
@@ -12,9 +12,9 @@
 
 /** Every kind of configuration that must be refused. */
 class InvalidConfigurationTest {
-    private static final String WHOLE = Samples.whole(7);
+    private static final String WHOLE = Samples.document(7);
 
-    private static void refused(Reason reason, String key, String text) {
+    private static void assertRejected(Reason reason, String key, String text) {
         InvalidConfigurationException error =
                 assertThrows(InvalidConfigurationException.class, () -> Samples.parse(text), text);
         assertEquals(reason, error.reason(), error.getMessage());
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void refusesATextCutShortAtEveryByte() {
+    void rejectsATextCutShortAtEveryByte() {
         byte[] whole = Samples.bytes(WHOLE.replace("r-1", "r-\u00e9\\n\\u00e9\u20ac\ud83d\ude00"));
         for (int length = 0; length < whole.length; length++) {
             byte[] cut = Arrays.copyOf(whole, length);
@@ -40,8 +40,8 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"}", ",", "x", "{}", "\u0000", "null", "/**/"})
-    void refusesBytesAfterTheValue(String trailing) {
-        refused(Reason.UNREADABLE, "", WHOLE + trailing);
+    void rejectsBytesAfterTheValue(String trailing) {
+        assertRejected(Reason.UNREADABLE, "", WHOLE + trailing);
     }
 
     @ParameterizedTest
@@ -86,12 +86,12 @@
                 "",
                 "\u00a0"
             })
-    void refusesAMalformedValueInAFieldThatIsNotRead(String malformed) {
-        refused(Reason.UNREADABLE, "", changed("{\"name\":\"m\"}", "{\"name\":\"m\",\"x\":" + malformed + "}"));
+    void rejectsAMalformedValueInAFieldThatIsNotRead(String malformed) {
+        assertRejected(Reason.UNREADABLE, "", changed("{\"name\":\"m\"}", "{\"name\":\"m\",\"x\":" + malformed + "}"));
     }
 
     @Test
-    void refusesBytesThatAreNotUtf8() {
+    void rejectsBytesThatAreNotUtf8() {
         byte[] text = Samples.bytes(WHOLE);
         text[WHOLE.indexOf("r-1")] = (byte) 0xC0;
         InvalidConfigurationException error =
@@ -100,68 +100,71 @@
     }
 
     @Test
-    void refusesDuplicateKeysAtAnyDepth() {
-        refused(Reason.DUPLICATE_KEY, "config_version", changed("{\"config", "{\"config_version\":9,\"config"));
-        refused(Reason.DUPLICATE_KEY, "x", changed("{\"name\":\"m\"}", "{\"name\":\"m\",\"x\":null,\"x\":null}"));
-        refused(Reason.DUPLICATE_KEY, "x", changed("{\"name\":\"m\"}", "{\"name\":\"m\",\"x\":null,\"\\u0078\":1}"));
+    void rejectsDuplicateKeysAtAnyDepth() {
+        assertRejected(Reason.DUPLICATE_KEY, "config_version", changed("{\"config", "{\"config_version\":9,\"config"));
+        assertRejected(
+                Reason.DUPLICATE_KEY, "x", changed("{\"name\":\"m\"}", "{\"name\":\"m\",\"x\":null,\"x\":null}"));
+        assertRejected(
+                Reason.DUPLICATE_KEY, "x", changed("{\"name\":\"m\"}", "{\"name\":\"m\",\"x\":null,\"\\u0078\":1}"));
     }
 
     @Test
-    void refusesDeepNesting() {
+    void rejectsDeepNesting() {
         String deep = "[".repeat(100_000) + "]".repeat(100_000);
-        refused(Reason.TOO_DEEP, "", changed("{\"name\":\"m\"}", "{\"name\":\"m\",\"x\":" + deep + "}"));
+        assertRejected(Reason.TOO_DEEP, "", changed("{\"name\":\"m\"}", "{\"name\":\"m\",\"x\":" + deep + "}"));
     }
 
     @Test
-    void refusesWrongTypes() {
-        refused(Reason.WRONG_TYPE, "", "[]");
-        refused(Reason.WRONG_TYPE, "", "7");
-        refused(Reason.WRONG_TYPE, "config_version", changed(":7,", ":\"7\","));
-        refused(Reason.WRONG_TYPE, "config_version", changed(":7,", ":7.5,"));
-        refused(Reason.WRONG_TYPE, "routes", "{\"config_version\":7,\"routes\":{},\"services\":[]}");
-        refused(Reason.WRONG_TYPE, "routes[0]", "{\"config_version\":7,\"routes\":[1],\"services\":[]}");
-        refused(Reason.WRONG_TYPE, "routes[r-2].timeout_ms", changed("2500", "\"2500\""));
-        refused(Reason.WRONG_TYPE, "routes[r-2].sticky", changed("\"sticky\":false", "\"sticky\":0"));
-        refused(
+    void rejectsWrongTypes() {
+        assertRejected(Reason.WRONG_TYPE, "", "[]");
+        assertRejected(Reason.WRONG_TYPE, "", "7");
+        assertRejected(Reason.WRONG_TYPE, "config_version", changed(":7,", ":\"7\","));
+        assertRejected(Reason.WRONG_TYPE, "config_version", changed(":7,", ":7.5,"));
+        assertRejected(Reason.WRONG_TYPE, "routes", "{\"config_version\":7,\"routes\":{},\"services\":[]}");
+        assertRejected(Reason.WRONG_TYPE, "routes[0]", "{\"config_version\":7,\"routes\":[1],\"services\":[]}");
+        assertRejected(Reason.WRONG_TYPE, "routes[r-2].timeout_ms", changed("2500", "\"2500\""));
+        assertRejected(Reason.WRONG_TYPE, "routes[r-2].sticky", changed("\"sticky\":false", "\"sticky\":0"));
+        assertRejected(
                 Reason.WRONG_TYPE,
                 "routes[r-1].weighted_split",
                 changed("[{\"service\":\"huvo\",\"weight\":90}," + "{\"service\":\"wuno\",\"weight\":10}]", "{}"));
-        refused(Reason.WRONG_TYPE, "services[huvo].engine.slot_count", changed("64", "6.4"));
-        refused(Reason.WRONG_TYPE, "limits", changed(Samples.LIMITS, "3"));
-        refused(Reason.WRONG_TYPE, "limits", changed(Samples.LIMITS, "[]"));
+        assertRejected(Reason.WRONG_TYPE, "services[huvo].engine.slot_count", changed("64", "6.4"));
+        assertRejected(Reason.WRONG_TYPE, "limits", changed(Samples.LIMITS, "3"));
+        assertRejected(Reason.WRONG_TYPE, "limits", changed(Samples.LIMITS, "[]"));
     }
 
     @Test
-    void refusesAMissingVersion() {
-        refused(Reason.MISSING_VERSION, "config_version", changed("\"config_version\":7,", ""));
-        refused(Reason.MISSING_VERSION, "config_version", changed(":7,", ":null,"));
-        refused(Reason.VERSION_NOT_ABOVE, "config_version", changed(":7,", ":0,"));
-        refused(Reason.OUT_OF_BOUNDS, "config_version", changed(":7,", ":1e999999999,"));
+    void rejectsAMissingVersion() {
+        assertRejected(Reason.MISSING_VERSION, "config_version", changed("\"config_version\":7,", ""));
+        assertRejected(Reason.MISSING_VERSION, "config_version", changed(":7,", ":null,"));
+        assertRejected(Reason.VERSION_NOT_ABOVE, "config_version", changed(":7,", ":0,"));
+        assertRejected(Reason.OUT_OF_BOUNDS, "config_version", changed(":7,", ":1e999999999,"));
     }
 
     @Test
-    void refusesMissingLists() {
-        refused(Reason.MISSING_FIELD, "routes", changed("\"routes\"", "\"ways\""));
-        refused(Reason.MISSING_FIELD, "services", changed("\"services\"", "\"ways\""));
+    void rejectsMissingLists() {
+        assertRejected(Reason.MISSING_FIELD, "routes", changed("\"routes\"", "\"ways\""));
+        assertRejected(Reason.MISSING_FIELD, "services", changed("\"services\"", "\"ways\""));
     }
 
     @Test
-    void refusesARouteToAnUnknownService() {
-        refused(
+    void rejectsARouteToAnUnknownService() {
+        assertRejected(
                 Reason.UNKNOWN_SERVICE,
                 "routes[r-2].service",
                 changed("\"service\":\"huvo\",\"max", "\"service\":\"hu\",\"max"));
-        refused(Reason.UNKNOWN_SERVICE, "routes[r-1].service", changed("\"service\":\"wuno\"", "\"service\":\"wu\""));
+        assertRejected(
+                Reason.UNKNOWN_SERVICE, "routes[r-1].service", changed("\"service\":\"wuno\"", "\"service\":\"wu\""));
     }
 
     @Test
-    void refusesTwoRoutesWithOneHostAndPrefix() {
-        refused(Reason.SHARED_PREFIX, "routes[r-2].path_prefix", changed("/pufi/", "/lohu/"));
+    void rejectsTwoRoutesWithOneHostAndPrefix() {
+        assertRejected(Reason.SHARED_PREFIX, "routes[r-2].path_prefix", changed("/pufi/", "/lohu/"));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"0", "-90", "-1", "0.0"})
-    void refusesWeightsThatAddUpToNothing(String weight) {
+    void rejectsWeightsThatAddUpToNothing(String weight) {
         String text = changed("90", weight).replace("\"weight\":10", "\"weight\":0");
         InvalidConfigurationException error =
                 assertThrows(InvalidConfigurationException.class, () -> Samples.parse(text));
@@ -170,51 +173,52 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"0", "0.0", "-1", "-0", "0e5"})
-    void refusesATimeoutOfNothing(String timeout) {
-        refused(Reason.BAD_TIMEOUT, "routes[r-2].timeout_ms", changed("2500", timeout));
+    void rejectsATimeoutOfNothing(String timeout) {
+        assertRejected(Reason.BAD_TIMEOUT, "routes[r-2].timeout_ms", changed("2500", timeout));
     }
 
     @Test
-    void refusesDuplicateNames() {
-        refused(Reason.DUPLICATE_NAME, "routes[r-1]", changed("r-2", "r-1"));
-        refused(Reason.DUPLICATE_NAME, "services[huvo]", changed("\"name\":\"wuno\"", "\"name\":\"huvo\""));
-        refused(
+    void rejectsDuplicateNames() {
+        assertRejected(Reason.DUPLICATE_NAME, "routes[r-1]", changed("r-2", "r-1"));
+        assertRejected(Reason.DUPLICATE_NAME, "services[huvo]", changed("\"name\":\"wuno\"", "\"name\":\"huvo\""));
+        assertRejected(
                 Reason.DUPLICATE_NAME,
                 "keys[a]",
                 changed("\"limits\"", "\"keys\":[{\"name\":\"a\"},{\"name\":\"a\",\"x\":1}],\"limits\""));
     }
 
     @Test
-    void refusesAMissingName() {
-        refused(Reason.MISSING_NAME, "routes[1].name", changed("\"name\":\"r-2\",", ""));
-        refused(Reason.MISSING_NAME, "services[1].name", changed("\"name\":\"wuno\"", "\"name\":\"\""));
+    void rejectsAMissingName() {
+        assertRejected(Reason.MISSING_NAME, "routes[1].name", changed("\"name\":\"r-2\",", ""));
+        assertRejected(Reason.MISSING_NAME, "services[1].name", changed("\"name\":\"wuno\"", "\"name\":\"\""));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"pufi/", "/pufi", "pufi", ""})
-    void refusesAPrefixWithoutSlashes(String prefix) {
-        refused(Reason.BAD_PREFIX, "routes[r-2].path_prefix", changed("/pufi/", prefix));
+    void rejectsAPrefixWithoutSlashes(String prefix) {
+        assertRejected(Reason.BAD_PREFIX, "routes[r-2].path_prefix", changed("/pufi/", prefix));
     }
 
     @Test
-    void refusesAnUnknownRouteType() {
-        refused(Reason.UNKNOWN_ROUTE_TYPE, "routes[r-2].route_type", changed("\"safe\"", "\"Safe\""));
+    void rejectsAnUnknownRouteType() {
+        assertRejected(Reason.UNKNOWN_ROUTE_TYPE, "routes[r-2].route_type", changed("\"safe\"", "\"Safe\""));
     }
 
     @Test
-    void refusesARouteWithoutService() {
-        refused(Reason.NO_SERVICE, "routes[r-2].service", changed("\"service\":\"huvo\",\"max", "\"max"));
-        refused(
+    void rejectsARouteWithoutService() {
+        assertRejected(Reason.NO_SERVICE, "routes[r-2].service", changed("\"service\":\"huvo\",\"max", "\"max"));
+        assertRejected(
                 Reason.BAD_WEIGHTS,
                 "routes[r-2].weighted_split",
                 changed("\"service\":\"huvo\",\"max", "\"weighted_split\":[],\"max"));
     }
 
     @Test
-    void refusesBoundsThatMakeNoSense() {
-        refused(Reason.OUT_OF_BOUNDS, "routes[r-2].max_attempts", changed("\"max_attempts\":1", "\"max_attempts\":0"));
-        refused(Reason.OUT_OF_BOUNDS, "routes[r-2].target_latency_ms", changed("400,", "-400,"));
-        refused(Reason.OUT_OF_BOUNDS, "routes[r-2].timeout_ms", changed("2500", "1e400"));
-        refused(Reason.OUT_OF_BOUNDS, "services[wuno].max_connections", changed("110", "0"));
+    void rejectsBoundsThatMakeNoSense() {
+        assertRejected(
+                Reason.OUT_OF_BOUNDS, "routes[r-2].max_attempts", changed("\"max_attempts\":1", "\"max_attempts\":0"));
+        assertRejected(Reason.OUT_OF_BOUNDS, "routes[r-2].target_latency_ms", changed("400,", "-400,"));
+        assertRejected(Reason.OUT_OF_BOUNDS, "routes[r-2].timeout_ms", changed("2500", "1e400"));
+        assertRejected(Reason.OUT_OF_BOUNDS, "services[wuno].max_connections", changed("110", "0"));
     }
 }
--- a/configuration/src/test/java/dewplank/configuration/RefusedChangesTest.java
+++ b/configuration/src/test/java/dewplank/configuration/RejectedChangesTest.java
@@ -15,7 +15,7 @@
  * Each kind of invalid change that the operators' pages and their bench name, as a whole configuration and as a change
  * of items: none is taken, whatever else it holds, and the configuration in place stays.
  */
-class RefusedChangesTest {
+class RejectedChangesTest {
     private static final long CURRENT = 5;
 
     /** A kind of fault, as a whole configuration and as a change on top of the current one. */
@@ -27,7 +27,7 @@
     }
 
     private static ConfigurationDocument current() {
-        ChangeRequest first = new ChangeRequest(false, 0, Samples.bytes(Samples.whole(CURRENT)));
+        ChangeRequest first = new ChangeRequest(false, 0, Samples.bytes(Samples.document(CURRENT)));
         return assertInstanceOf(
                         ChangeResult.Accepted.class,
                         ConfigurationDocument.decode(null).apply(first))
@@ -36,7 +36,7 @@
 
     private static String whole(String extraRoute) {
         String routes = Samples.SPLIT_ROUTE + "," + Samples.PLAIN_ROUTE + "," + extraRoute;
-        return Samples.whole(7, routes, Samples.MODEL_SERVICE + "," + Samples.PLAIN_SERVICE);
+        return Samples.document(7, routes, Samples.MODEL_SERVICE + "," + Samples.PLAIN_SERVICE);
     }
 
     private static String upsert(String list, String item) {
@@ -54,7 +54,7 @@
     }
 
     static Stream<Kind> kinds() {
-        String same = Samples.whole(CURRENT);
+        String same = Samples.document(CURRENT);
         String shared = "{\"name\":\"k-1\",\"key\":\"same\"},{\"name\":\"k-1\",\"key\":\"same\"}";
         return Stream.of(
                 ofRoute("unknown_service", Reason.UNKNOWN_SERVICE, route("\"wuno\"", "\"nobody\"")),
@@ -81,14 +81,14 @@
                 new Kind(
                         "a service that is still needed",
                         Reason.UNKNOWN_SERVICE,
-                        Samples.whole(7, Samples.PLAIN_ROUTE, Samples.PLAIN_SERVICE),
+                        Samples.document(7, Samples.PLAIN_ROUTE, Samples.PLAIN_SERVICE),
                         "{\"config_version\":7,\"remove\":{\"services\":[\"huvo\"]}}"),
-                new Kind("old_version", Reason.VERSION_NOT_ABOVE, Samples.whole(4), "{\"config_version\":4}"),
+                new Kind("old_version", Reason.VERSION_NOT_ABOVE, Samples.document(4), "{\"config_version\":4}"),
                 new Kind("same_version", Reason.VERSION_NOT_ABOVE, same, "{\"config_version\":5}"),
                 new Kind(
                         "same_version, other content",
                         Reason.VERSION_NOT_ABOVE,
-                        Samples.whole(CURRENT, "", ""),
+                        Samples.document(CURRENT, "", ""),
                         "{\"config_version\":5,\"remove\":{\"routes\":[\"r-1\"]}}"),
                 new Kind(
                         "shared_key: one name twice",
@@ -102,49 +102,49 @@
                         "{\"config_version\":7,\"config_version\":9}"));
     }
 
-    private static void assertRefused(Reason reason, boolean patch, String body) {
+    private static void assertRejected(Reason reason, boolean patch, String body) {
         ConfigurationDocument document = current();
         ChangeRequest request = new ChangeRequest(patch, CURRENT, Samples.bytes(body));
         ChangeResult.Invalid refused = assertInstanceOf(ChangeResult.Invalid.class, document.apply(request));
         assertEquals(reason, refused.error().reason(), refused.error().getMessage());
         assertEquals(
-                Samples.whole(CURRENT), Samples.text(document.configuration().json()));
+                Samples.document(CURRENT), Samples.text(document.configuration().json()));
     }
 
     @ParameterizedTest
     @MethodSource("kinds")
-    void isRefusedAsAWhole(Kind kind) {
-        assertRefused(kind.reason(), false, kind.whole());
+    void isRejectedInACompleteConfiguration(Kind kind) {
+        assertRejected(kind.reason(), false, kind.whole());
     }
 
     @ParameterizedTest
     @MethodSource("kinds")
-    void isRefusedAsAChangeOfItems(Kind kind) {
-        assertRefused(kind.reason(), true, kind.patch());
+    void isRejectedInAPatch(Kind kind) {
+        assertRejected(kind.reason(), true, kind.patch());
     }
 
     /** cut_short: at every byte, both ways. */
     @Test
-    void whatIsCutShortIsRefused() {
-        byte[] whole = Samples.bytes(Samples.whole(7));
+    void truncatedTextsAreRejected() {
+        byte[] whole = Samples.bytes(Samples.document(7));
         byte[] patch = Samples.bytes(upsert("routes", Samples.route("r-3", "/more/", "wuno")));
         for (int length = 0; length < Math.max(whole.length, patch.length); length++) {
             if (length < whole.length) {
-                assertRefused(Reason.UNREADABLE, false, Samples.text(Arrays.copyOf(whole, length)));
+                assertRejected(Reason.UNREADABLE, false, Samples.text(Arrays.copyOf(whole, length)));
             }
             if (length < patch.length) {
-                assertRefused(Reason.UNREADABLE, true, Samples.text(Arrays.copyOf(patch, length)));
+                assertRejected(Reason.UNREADABLE, true, Samples.text(Arrays.copyOf(patch, length)));
             }
         }
     }
 
     /** stale_match: it builds on a version that is no longer, or not yet, in place. */
     @Test
-    void whatBuildsOnAnotherVersionIsRefused() {
+    void changesOnAnotherVersionAreRejected() {
         for (long expected : new long[] {0, 4, 6, 7}) {
             assertEquals(
                     new ChangeResult.VersionMismatch(CURRENT),
-                    current().apply(new ChangeRequest(false, expected, Samples.bytes(Samples.whole(7)))));
+                    current().apply(new ChangeRequest(false, expected, Samples.bytes(Samples.document(7)))));
             assertEquals(
                     new ChangeResult.VersionMismatch(CURRENT),
                     current().apply(new ChangeRequest(true, expected, Samples.bytes("{\"config_version\":7}"))));
--- a/configuration/src/test/java/dewplank/configuration/RouteTableTest.java
+++ b/configuration/src/test/java/dewplank/configuration/RouteTableTest.java
@@ -11,7 +11,7 @@
         for (String prefix : prefixes) {
             routes.append(routes.length() == 0 ? "" : ",").append(Samples.route("r" + prefix, prefix, "huvo"));
         }
-        return new RouteTable(Samples.parse(Samples.whole(1, routes.toString(), Samples.MODEL_SERVICE)));
+        return new RouteTable(Samples.parse(Samples.document(1, routes.toString(), Samples.MODEL_SERVICE)));
     }
 
     private static String found(RouteTable table, String host, String target) {
--- a/configuration/src/test/java/dewplank/configuration/Samples.java
+++ b/configuration/src/test/java/dewplank/configuration/Samples.java
@@ -27,11 +27,11 @@
                 + "\"gap_aim_ms\":0}";
     }
 
-    static String whole(long version) {
-        return whole(version, SPLIT_ROUTE + "," + PLAIN_ROUTE, MODEL_SERVICE + "," + PLAIN_SERVICE);
+    static String document(long version) {
+        return document(version, SPLIT_ROUTE + "," + PLAIN_ROUTE, MODEL_SERVICE + "," + PLAIN_SERVICE);
     }
 
-    static String whole(long version, String routes, String services) {
+    static String document(long version, String routes, String services) {
         return "{\"config_version\":" + version + ",\"routes\":[" + routes + "],\"services\":[" + services
                 + "],\"limits\":" + LIMITS + "}";
     }
@@ -43,7 +43,7 @@
             String route = SPLIT_ROUTE.replace("r-1", "r-" + index).replace("/lohu/", "/lohu" + index + "/");
             list.append(index == 0 ? "" : ",").append(route);
         }
-        return whole(version, list.toString(), MODEL_SERVICE + "," + PLAIN_SERVICE);
+        return document(version, list.toString(), MODEL_SERVICE + "," + PLAIN_SERVICE);
     }
 
     static byte[] bytes(String text) {
--- a/configuration/src/test/java/dewplank/configuration/VersionOrderTest.java
+++ b/configuration/src/test/java/dewplank/configuration/VersionOrderTest.java
@@ -93,7 +93,7 @@
             ChangeRequest change = new ChangeRequest(
                     false,
                     learnedVersion,
-                    Samples.bytes(Samples.whole(version).replaceFirst("}$", ",\"by\":" + ++requests + "}")));
+                    Samples.bytes(Samples.document(version).replaceFirst("}$", ",\"by\":" + ++requests + "}")));
             asked.put(requests, version);
             register.change(
                     now,
--- a/controlplane/src/main/java/dewplank/controlplane/ModelServerReport.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ModelServerReport.java
@@ -12,12 +12,12 @@
  * @param engine the server as the planner sees it
  * @param receivedAt when the report arrived, on the loop's clock in milliseconds
  */
-record ModelServerReport(StagePlanner.Engine engine, double receivedAt) {
+record ModelServerReport(StagePlanner.ModelServer engine, double receivedAt) {
     /** Reads a report of that server; a field that is missing is an error. */
     static ModelServerReport parse(Endpoint server, byte[] body, double receivedAt) throws UnreadableResponseException {
         try {
             Any report = JsonIterator.deserialize(body);
-            StagePlanner.Engine engine = new StagePlanner.Engine(
+            StagePlanner.ModelServer engine = new StagePlanner.ModelServer(
                     server.instanceId,
                     server.zone,
                     "prefill".equals(report.toString("stage")),
--- a/controlplane/src/main/java/dewplank/controlplane/PendingStageOrders.java
+++ b/controlplane/src/main/java/dewplank/controlplane/PendingStageOrders.java
@@ -30,7 +30,7 @@
 
     private final Map<String, PendingOrder> orders = new HashMap<>();
 
-    void add(StagePlanner.Change change, double now) {
+    void add(StagePlanner.StageChange change, double now) {
         orders.put(change.instanceId(), new PendingOrder(change.toPrefill(), now));
     }
 
@@ -58,14 +58,14 @@
 
     /** Compares a server's last report with the order to it, and removes an order that is over. */
     Progress update(ModelServerReport report, double now) {
-        StagePlanner.Engine engine = report.engine();
+        StagePlanner.ModelServer engine = report.engine();
         String instanceId = engine.instanceId();
         PendingOrder order = orders.get(instanceId);
         if (order == null) {
             return Progress.NONE;
         }
         boolean confirmed =
-                !engine.busy() && engine.prefill() == order.toPrefill() && report.receivedAt() > order.sentAt();
+                !engine.isChanging() && engine.isPrefill() == order.toPrefill() && report.receivedAt() > order.sentAt();
         boolean timedOut = now - order.sentAt() > ORDER_TIMEOUT_MS;
         if (!confirmed && !timedOut) {
             return Progress.PENDING;
--- a/controlplane/src/main/java/dewplank/controlplane/ServiceSnapshot.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ServiceSnapshot.java
@@ -12,7 +12,7 @@
  * @param unknownOrderInProgress whether a server changes its stage without an order from this process: a former lease
  *     holder ordered it, to a stage that is not known here
  */
-record ServiceSnapshot(List<StagePlanner.Engine> engines, int serverCount, boolean unknownOrderInProgress) {
+record ServiceSnapshot(List<StagePlanner.ModelServer> engines, int serverCount, boolean unknownOrderInProgress) {
     /** Below this fraction of servers with a report, nothing can be said of the zones of the others. */
     private static final double MIN_REPORTED_FRACTION = 0.8;
 
@@ -28,7 +28,7 @@
 
     /** Whether no server has a request queued or active. */
     boolean isIdle() {
-        return engines.stream().allMatch(e -> e.queued() + e.active() == 0);
+        return engines.stream().allMatch(e -> e.queuedRequests() + e.activeRequests() == 0);
     }
 
     /** The least time between two orders to the service, in milliseconds. */
@@ -41,12 +41,12 @@
      *
      * @param severalAtOnce whether more than one server of the service may change at a time
      */
-    List<StagePlanner.Change> nextChanges(boolean severalAtOnce) {
-        List<StagePlanner.Change> changes = StagePlanner.changes(engines);
+    List<StagePlanner.StageChange> nextChanges(boolean severalAtOnce) {
+        List<StagePlanner.StageChange> changes = StagePlanner.planChanges(engines);
         if (severalAtOnce) {
             return changes;
         }
-        boolean waitsForAnother = engines.stream().anyMatch(StagePlanner.Engine::busy);
+        boolean waitsForAnother = engines.stream().anyMatch(StagePlanner.ModelServer::isChanging);
         return changes.stream().limit(waitsForAnother ? 0 : 1).toList();
     }
 }
--- a/controlplane/src/main/java/dewplank/controlplane/StageController.java
+++ b/controlplane/src/main/java/dewplank/controlplane/StageController.java
@@ -168,28 +168,28 @@
 
     /** Reads the reports of a service's servers; orders that they confirm, or that have timed out, are over by it. */
     private ServiceSnapshot snapshot(List<Endpoint> servers, double now) {
-        List<StagePlanner.Engine> engines = new ArrayList<>();
+        List<StagePlanner.ModelServer> engines = new ArrayList<>();
         boolean unknownOrderInProgress = false;
         for (Endpoint server : servers) {
             ModelServerReport report = reports.get(server.instanceId);
             if (report != null && now - report.receivedAt() <= REPORT_VALIDITY_MS) {
-                StagePlanner.Engine engine = expectedEngine(report);
+                StagePlanner.ModelServer engine = expectedEngine(report);
                 engines.add(engine);
-                unknownOrderInProgress |= engine.busy() && !pendingOrders.contains(server.instanceId);
+                unknownOrderInProgress |= engine.isChanging() && !pendingOrders.contains(server.instanceId);
             }
         }
         return new ServiceSnapshot(engines, servers.size(), unknownOrderInProgress);
     }
 
     /** The server as it reported itself; one with a pending order as it will be. */
-    private StagePlanner.Engine expectedEngine(ModelServerReport report) {
-        StagePlanner.Engine engine = report.engine();
+    private StagePlanner.ModelServer expectedEngine(ModelServerReport report) {
+        StagePlanner.ModelServer engine = report.engine();
         switch (pendingOrders.update(report, loop.now())) {
             case PENDING:
-                return engine.changing(pendingOrders.isToPrefill(engine.instanceId()));
+                return engine.whileChanging(pendingOrders.isToPrefill(engine.instanceId()));
             case CONFIRMED:
                 poller.overrideStage(
-                        engine.instanceId(), stageName(engine.prefill()), PendingStageOrders.ORDER_TIMEOUT_MS);
+                        engine.instanceId(), stageName(engine.isPrefill()), PendingStageOrders.ORDER_TIMEOUT_MS);
                 poller.publishStageOverrides(role.fencingToken());
                 return engine;
             default:
@@ -205,7 +205,7 @@
         if (!snapshot.allowsOrders() || isThrottled(service, snapshot.orderIntervalMs(), now)) {
             return;
         }
-        List<StagePlanner.Change> changes = snapshot.nextChanges(policy.isEnabled(Mechanism.SEVERAL_ORDERS));
+        List<StagePlanner.StageChange> changes = snapshot.nextChanges(policy.isEnabled(Mechanism.SEVERAL_ORDERS));
         if (!changes.isEmpty()) {
             lastOrderAt.put(service, now);
             announce(servers, changes, snapshot.isIdle());
@@ -217,9 +217,9 @@
     }
 
     /** Data planes are notified before the servers are, unless nothing runs that could be rejected. */
-    private void announce(List<Endpoint> servers, List<StagePlanner.Change> changes, boolean idle) {
+    private void announce(List<Endpoint> servers, List<StagePlanner.StageChange> changes, boolean idle) {
         long fencingToken = role.fencingToken();
-        for (StagePlanner.Change change : changes) {
+        for (StagePlanner.StageChange change : changes) {
             pendingOrders.add(change, loop.now());
             poller.overrideStage(change.instanceId(), Endpoint.CHANGING, PendingStageOrders.ORDER_TIMEOUT_MS);
         }
@@ -231,14 +231,14 @@
         });
     }
 
-    private static Endpoint serverOf(List<Endpoint> servers, StagePlanner.Change change) {
+    private static Endpoint serverOf(List<Endpoint> servers, StagePlanner.StageChange change) {
         return servers.stream()
                 .filter(s -> s.instanceId.equals(change.instanceId()))
                 .findFirst()
                 .orElseThrow();
     }
 
-    private void sendOrder(Endpoint server, StagePlanner.Change change, long fencingToken) {
+    private void sendOrder(Endpoint server, StagePlanner.StageChange change, long fencingToken) {
         String stage = stageName(change.toPrefill());
         ordersSent++;
         LOG.info("stage order sent server={} stage={} token={}", server.instanceId, stage, fencingToken);
--- a/routing/src/main/java/dewplank/routing/Mechanism.java
+++ b/routing/src/main/java/dewplank/routing/Mechanism.java
@@ -44,12 +44,12 @@
     /** Several servers change their stage at once; else one after the other. */
     SEVERAL_ORDERS;
 
-    /** The name on the command line. */
+    /** The name as {@code --without} takes and prints it. */
     public String optionName() {
         return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    /** The one of that name. */
+    /** The mechanism of that name; empty where there is none. */
     public static Optional<Mechanism> ofOptionName(String text) {
         return Stream.of(values()).filter(m -> m.optionName().equals(text)).findFirst();
     }
--- a/routing/src/main/java/dewplank/routing/StagePlanner.java
+++ b/routing/src/main/java/dewplank/routing/StagePlanner.java
@@ -8,128 +8,161 @@
 import java.util.Optional;
 
 /**
- * How many of a service's model servers should prefill and how many decode, and which ones to change next. Prefill is
- * what long prompts wait for; decode servers hold many streams at once, and only as many are kept as these need. Pure.
+ * Plans which of a service's model servers change between prefill and decode. Prefill is what long prompts wait for;
+ * decode servers run many streams at once, so only as many decode as the streams need. Pure: called by the control
+ * plane that has the stage role, with the newest reports, on its event loop.
  */
 public final class StagePlanner {
     private static final RoutingParameters.StagePlanning PLANNING = RoutingParameters.DEFAULTS.stagePlanning();
 
-    /** A model server as it reported itself. */
-    public record Engine(
+    /**
+     * A model server as it reported itself.
+     *
+     * @param instanceId its id
+     * @param zone the name of its zone
+     * @param isPrefill whether it prefills, or will at the end of a change; else it decodes
+     * @param isChanging whether it is between two stages
+     * @param queuedRequests that wait there
+     * @param activeRequests that run there
+     * @param slotCount requests that can run at once
+     * @param memoryUsed of its KV cache, in the unit of the next
+     * @param memoryCapacity of its KV cache; 0 where it reports none
+     */
+    public record ModelServer(
             String instanceId,
             String zone,
-            boolean prefill,
-            boolean busy,
-            int queued,
-            int active,
+            boolean isPrefill,
+            boolean isChanging,
+            int queuedRequests,
+            int activeRequests,
             int slotCount,
             long memoryUsed,
             long memoryCapacity) {
         int load() {
-            return queued + active;
+            return queuedRequests + activeRequests;
         }
 
         /** The same while it changes to that stage. */
-        public Engine changing(boolean toPrefill) {
-            return new Engine(instanceId, zone, toPrefill, true, queued, active, slotCount, memoryUsed, memoryCapacity);
+        public ModelServer whileChanging(boolean toPrefill) {
+            return new ModelServer(
+                    instanceId,
+                    zone,
+                    toPrefill,
+                    true,
+                    queuedRequests,
+                    activeRequests,
+                    slotCount,
+                    memoryUsed,
+                    memoryCapacity);
         }
     }
 
-    /** A change to be ordered. */
-    public record Change(String instanceId, boolean toPrefill) {}
+    /**
+     * A change to be ordered.
+     *
+     * @param instanceId the server's id
+     * @param toPrefill whether it is to prefill; else to decode
+     */
+    public record StageChange(String instanceId, boolean toPrefill) {}
 
     private StagePlanner() {}
 
     /**
-     * The changes that may begin now for the ready servers of one service that have reported; none where all is as it
-     * should be. While nothing runs there is nobody to miss a server, so all begin at once.
+     * The changes that may begin now for the ready servers of one service that have reported; none where the
+     * split is as it should be. While no request runs nobody misses a server, so all changes begin at once.
      *
-     * @param engines those that change are busy, and have the stage that they will have
+     * @param servers those that are changing have the stage that they will have
+     * @return in the order in which they are to be ordered
      */
-    public static List<Change> changes(List<Engine> engines) {
-        List<Change> changes = new ArrayList<>();
-        List<Engine> planned = new ArrayList<>(engines);
-        long changing = engines.stream().filter(Engine::busy).count();
-        for (long room = mostChanging(engines) - changing; room > 0; room--) {
-            Optional<Change> next = next(planned);
+    public static List<StageChange> planChanges(List<ModelServer> servers) {
+        List<StageChange> changes = new ArrayList<>();
+        List<ModelServer> planned = new ArrayList<>(servers);
+        long changing = servers.stream().filter(ModelServer::isChanging).count();
+        for (long freeChanges = maxChanging(servers) - changing; freeChanges > 0; freeChanges--) {
+            Optional<StageChange> next = nextChange(planned);
             if (next.isEmpty()) {
                 break;
             }
             changes.add(next.get());
-            planned.replaceAll(e -> e.instanceId().equals(next.get().instanceId())
-                    ? e.changing(next.get().toPrefill())
-                    : e);
+            planned.replaceAll(server -> server.instanceId().equals(next.get().instanceId())
+                    ? server.whileChanging(next.get().toPrefill())
+                    : server);
         }
         return changes;
     }
 
-    private static long mostChanging(List<Engine> engines) {
-        boolean idle = engines.stream().allMatch(e -> e.load() == 0);
-        return idle ? engines.size() : Math.max(1, (long) (PLANNING.maxChangingFraction() * engines.size()));
+    private static long maxChanging(List<ModelServer> servers) {
+        boolean idle = servers.stream().allMatch(server -> server.load() == 0);
+        return idle ? servers.size() : Math.max(1, (long) (PLANNING.maxChangingFraction() * servers.size()));
     }
 
-    private static Optional<Change> next(List<Engine> engines) {
-        if (engines.size() < 2) {
+    private static Optional<StageChange> nextChange(List<ModelServer> servers) {
+        if (servers.size() < 2) {
             return Optional.empty();
         }
-        List<Engine> decode = engines.stream().filter(e -> !e.prefill()).toList();
-        List<Engine> prefill = engines.stream().filter(Engine::prefill).toList();
-        int wanted = wantedDecode(engines, decode);
-        boolean lacking = crowded(decode) || decode.size() + PLANNING.toleratedAbsent() < wanted;
-        if (decode.size() < wanted && lacking) {
+        List<ModelServer> decode =
+                servers.stream().filter(server -> !server.isPrefill()).toList();
+        List<ModelServer> prefill =
+                servers.stream().filter(ModelServer::isPrefill).toList();
+        int target = targetDecodeCount(servers, decode);
+        boolean lacksDecode = isOverloaded(decode) || decode.size() + PLANNING.toleratedAbsent() < target;
+        if (decode.size() < target && lacksDecode) {
             return prefill.stream()
-                    .filter(e -> !e.busy())
-                    .min(Comparator.comparingInt(Engine::load))
-                    .map(e -> new Change(e.instanceId(), false));
+                    .filter(server -> !server.isChanging())
+                    .min(Comparator.comparingInt(ModelServer::load))
+                    .map(server -> new StageChange(server.instanceId(), false));
         }
-        if (decode.size() > wanted) {
-            return spare(decode).map(e -> new Change(e.instanceId(), true));
+        if (decode.size() > target) {
+            return leastNeeded(decode).map(server -> new StageChange(server.instanceId(), true));
         }
         return Optional.empty();
     }
 
-    private static int wantedDecode(List<Engine> engines, List<Engine> decode) {
-        int zones = (int) engines.stream().map(Engine::zone).distinct().count();
-        int least = Math.max(
-                Math.min(zones, engines.size() / 2), (int) Math.ceil(PLANNING.minDecodeFraction() * engines.size()));
-        int most = Math.max(1, engines.size() - 1);
-        int wanted = decode.size();
-        if (crowded(decode)) {
-            wanted = decode.size() + 1;
-        } else if (roomy(decode)) {
-            wanted = decode.size() - 1;
+    private static int targetDecodeCount(List<ModelServer> servers, List<ModelServer> decode) {
+        int zones = (int) servers.stream().map(ModelServer::zone).distinct().count();
+        int min = Math.max(
+                Math.min(zones, servers.size() / 2), (int) Math.ceil(PLANNING.minDecodeFraction() * servers.size()));
+        int max = Math.max(1, servers.size() - 1);
+        int target = decode.size();
+        if (isOverloaded(decode)) {
+            target = decode.size() + 1;
+        } else if (isOverprovisioned(decode)) {
+            target = decode.size() - 1;
         }
-        return Math.max(Math.min(least, most), Math.min(wanted, most));
+        return Math.max(Math.min(min, max), Math.min(target, max));
     }
 
-    private static boolean crowded(List<Engine> decode) {
-        double places = decode.stream().mapToInt(Engine::slotCount).sum();
-        double load = decode.stream().mapToInt(Engine::load).sum();
-        return load > PLANNING.maxSlotFraction() * places || memoryUsed(decode) > PLANNING.maxMemoryFraction();
+    private static boolean isOverloaded(List<ModelServer> decode) {
+        double slots = decode.stream().mapToInt(ModelServer::slotCount).sum();
+        double load = decode.stream().mapToInt(ModelServer::load).sum();
+        return load > PLANNING.maxSlotFraction() * slots || memoryFraction(decode) > PLANNING.maxMemoryFraction();
     }
 
-    /** Whether one fewer would not be crowded, by far. */
-    private static boolean roomy(List<Engine> decode) {
-        double places = decode.stream().mapToInt(Engine::slotCount).sum();
-        double load = decode.stream().mapToInt(Engine::load).sum();
-        double left = decode.isEmpty() ? 0 : places * (decode.size() - 1) / decode.size();
-        return load <= PLANNING.idleSlotFraction() * left && memoryUsed(decode) <= PLANNING.maxMemoryFraction() / 2;
+    /** Whether one server fewer would be far from overloaded. */
+    private static boolean isOverprovisioned(List<ModelServer> decode) {
+        double slots = decode.stream().mapToInt(ModelServer::slotCount).sum();
+        double load = decode.stream().mapToInt(ModelServer::load).sum();
+        double slotsLeft = decode.isEmpty() ? 0 : slots * (decode.size() - 1) / decode.size();
+        return load <= PLANNING.idleSlotFraction() * slotsLeft
+                && memoryFraction(decode) <= PLANNING.maxMemoryFraction() / 2;
     }
 
-    private static double memoryUsed(List<Engine> decode) {
-        double capacity = decode.stream().mapToLong(Engine::memoryCapacity).sum();
-        return capacity <= 0 ? 0 : decode.stream().mapToLong(Engine::memoryUsed).sum() / capacity;
+    private static double memoryFraction(List<ModelServer> decode) {
+        double capacity = decode.stream().mapToLong(ModelServer::memoryCapacity).sum();
+        return capacity <= 0
+                ? 0
+                : decode.stream().mapToLong(ModelServer::memoryUsed).sum() / capacity;
     }
 
-    /** The least loaded decode server of the zone that has most of them. */
-    private static Optional<Engine> spare(List<Engine> decode) {
-        Map<String, Integer> inZone = new HashMap<>();
-        decode.forEach(e -> inZone.merge(e.zone(), 1, Integer::sum));
-        List<Engine> sorted = new ArrayList<>(decode);
-        sorted.removeIf(Engine::busy);
-        sorted.sort(Comparator.comparingInt((Engine e) -> -inZone.get(e.zone()))
-                .thenComparingInt(Engine::load)
-                .thenComparing(Engine::instanceId));
+    /** The least loaded decode server of the zone that has most of them; none while all are changing. */
+    private static Optional<ModelServer> leastNeeded(List<ModelServer> decode) {
+        Map<String, Integer> countByZone = new HashMap<>();
+        decode.forEach(server -> countByZone.merge(server.zone(), 1, Integer::sum));
+        List<ModelServer> sorted = new ArrayList<>(decode);
+        sorted.removeIf(ModelServer::isChanging);
+        sorted.sort(Comparator.comparingInt((ModelServer server) -> -countByZone.get(server.zone()))
+                .thenComparingInt(ModelServer::load)
+                .thenComparing(ModelServer::instanceId));
         return sorted.stream().findFirst();
     }
 }
--- a/routing/src/test/java/dewplank/routing/EventSplitterTest.java
+++ b/routing/src/test/java/dewplank/routing/EventSplitterTest.java
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void onlyWholeEventsPass() {
+    void onlyCompleteEventsArePassedOn() {
         EventSplitter events = new EventSplitter();
         assertEquals("", text(events.feed(bytes("id: 1\ndata: a\n"))));
         assertNull(events.lastEventId(), "an event that is not whole has not been passed on");
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void whatIsUnfinishedIsDroppedWhereAnotherServerContinues() {
+    void anIncompleteEventIsDiscardedWhereAnotherServerContinues() {
         EventSplitter events = new EventSplitter();
         events.feed(bytes("id: 1\ndata: a\n\nid: 2\ndata: b"));
         events.discardIncompleteEvent();
@@ -43,7 +43,7 @@
 
     /** The first line of an event at which the version of the weights changes. */
     @Test
-    void aLineThatTellsOfAVersionPassesUnchanged() {
+    void aLineWithAVersionIsPassedOnUnchanged() {
         EventSplitter events = new EventSplitter();
         String event = "versions: 3\nid: 4\ndata: a\n\n";
         assertEquals(event, text(events.feed(bytes(event))));
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void anEndlessEventIsPassedOnInTheEnd() {
+    void anEventBeyondTheBoundIsPassedOnIncomplete() {
         EventSplitter events = new EventSplitter();
         byte[] line = new byte[EventSplitter.MAX_INCOMPLETE_BYTES];
         java.util.Arrays.fill(line, (byte) 'x');
@@ -68,7 +68,7 @@
 
     /** What was passed on behind the last id would come twice. */
     @Test
-    void aStreamIsResumableOnlyBehindAllThatWasPassedOn() {
+    void aStreamIsResumableOnlyBehindTheLastIdThatWasPassedOn() {
         EventSplitter events = new EventSplitter();
         assertTrue(events.isResumable());
         events.feed(bytes("id: 1\ndata: a\n\nid: 2\ndata: b"));
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void aPartOfAnEndlessEventThatWasPassedOnCannotBeRepeated() {
+    void aStreamIsNotResumableAfterAnIncompleteEventWasPassedOn() {
         EventSplitter events = new EventSplitter();
         events.feed(bytes("id: 1\ndata: a\n\n"));
         byte[] line = new byte[EventSplitter.MAX_INCOMPLETE_BYTES + 1];
@@ -97,7 +97,8 @@
 
     /** However a stream is cut into pieces, the same bytes come out in the same order. */
     @Property(tries = 300)
-    void nothingIsLostOrReordered(@ForAll @Size(max = 12) java.util.List<@IntRange(min = 1, max = 40) Integer> cuts) {
+    void noByteIsLostOrReorderedHoweverTheStreamIsCut(
+            @ForAll @Size(max = 12) java.util.List<@IntRange(min = 1, max = 40) Integer> chunkLengths) {
         StringBuilder stream = new StringBuilder();
         for (int i = 1; i <= 20; i++) {
             stream.append("id: ").append(i).append("\ndata: token ").append(i).append("\n\n");
@@ -105,13 +106,13 @@
         byte[] all = bytes(stream.toString());
         EventSplitter events = new EventSplitter();
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        int at = 0;
-        for (int cut : cuts) {
-            int to = Math.min(all.length, at + cut);
-            out.writeBytes(events.feed(java.util.Arrays.copyOfRange(all, at, to)));
-            at = to;
+        int offset = 0;
+        for (int chunkLength : chunkLengths) {
+            int to = Math.min(all.length, offset + chunkLength);
+            out.writeBytes(events.feed(java.util.Arrays.copyOfRange(all, offset, to)));
+            offset = to;
         }
-        out.writeBytes(events.feed(java.util.Arrays.copyOfRange(all, at, all.length)));
+        out.writeBytes(events.feed(java.util.Arrays.copyOfRange(all, offset, all.length)));
         assertEquals(stream.toString(), out.toString(StandardCharsets.UTF_8));
         assertEquals("20", events.lastEventId());
     }
--- a/routing/src/test/java/dewplank/routing/HealthVotesTest.java
+++ b/routing/src/test/java/dewplank/routing/HealthVotesTest.java
@@ -14,131 +14,137 @@
 class HealthVotesTest {
     private static final String SERVER = "i-1";
     private static final String PEER = "10.0.0.1";
-    private static final int IT = SERVER.hashCode();
+    private static final int SERVER_HASH = SERVER.hashCode();
     private static final long EARLIER = 1_000;
     private static final long LATER = 2_000;
-    private static final double FRESH_MS = 3_000;
+    private static final double SUMMARY_VALID_MS = 3_000;
 
     private final HealthVotes votes = new HealthVotes();
 
-    private static HealthSummary unhealthy(long life, int sequence) {
-        return new HealthSummary(life, sequence, List.of(new HealthSummary.Suspected(IT, 3, 0)), List.of());
+    private static HealthSummary unhealthy(long incarnation, int sequence) {
+        return new HealthSummary(
+                incarnation, sequence, List.of(new HealthSummary.Suspected(SERVER_HASH, 3, 0)), List.of());
     }
 
-    private static HealthSummary healthy(long life, int sequence) {
-        return new HealthSummary(life, sequence, List.of(), List.of(new HealthSummary.Healthy(IT, 0)));
+    private static HealthSummary healthy(long incarnation, int sequence) {
+        return new HealthSummary(incarnation, sequence, List.of(), List.of(new HealthSummary.Healthy(SERVER_HASH, 0)));
     }
 
     /** With a failure of its own at that moment. */
-    private boolean condemned(double now) {
+    private boolean isEjectedAfterOwnFailure(double nowMs) {
         OutcomeWindow own = new OutcomeWindow();
-        own.record(now, "class", false);
-        return votes.isEjected(now, SERVER, own);
+        own.record(nowMs, "class", false);
+        return votes.isEjected(nowMs, SERVER, own);
     }
 
-    private boolean condemnedUnseen(double now) {
-        return votes.isEjected(now, SERVER, new OutcomeWindow());
+    private boolean isEjectedByPeersAlone(double nowMs) {
+        return votes.isEjected(nowMs, SERVER, new OutcomeWindow());
     }
 
     @Test
-    void aSummaryOfAnEarlierLifeThatComesLastChangesNothing() {
+    void aSummaryOfAnEarlierIncarnationThatArrivesLastChangesNothing() {
         votes.recordSummary(0, PEER, healthy(LATER, 1));
         votes.recordSummary(1, "10.0.0.2", healthy(LATER, 1));
         votes.recordSummary(2, PEER, unhealthy(EARLIER, 900));
-        assertFalse(condemned(3));
+        assertFalse(isEjectedAfterOwnFailure(3));
     }
 
     @Test
-    void aNewLifeIsHeardFromItsFirstSummary() {
+    void aNewIncarnationCountsFromItsFirstSummary() {
         votes.recordSummary(0, PEER, healthy(EARLIER, 900));
         votes.recordSummary(0, "10.0.0.2", healthy(EARLIER, 900));
         votes.recordSummary(1, PEER, unhealthy(LATER, 1));
         votes.recordSummary(1, "10.0.0.2", unhealthy(LATER, 1));
-        assertTrue(condemned(2));
+        assertTrue(isEjectedAfterOwnFailure(2));
     }
 
     @Test
-    void oneThatComesTwiceOrAfterItsSuccessorChangesNothing() {
+    void aDuplicateOrOverdueSummaryChangesNothing() {
         votes.recordSummary(0, PEER, healthy(LATER, 2));
         votes.recordSummary(1, PEER, unhealthy(LATER, 1));
         votes.recordSummary(2, PEER, healthy(LATER, 2));
-        assertFalse(condemnedUnseen(3));
-        assertFalse(condemnedUnseen(FRESH_MS + 1), "heard at 0, not again at 2");
+        assertFalse(isEjectedByPeersAlone(3));
+        assertFalse(isEjectedByPeersAlone(SUMMARY_VALID_MS + 1), "heard at 0, not again at 2");
     }
 
     /** Another machine at the address, its clock behind: it is heard once what the last one said is stale. */
     @Test
-    void anotherMachineAtTheAddressIsHeardOnceTheLastOnesWordIsStale() {
+    void anotherMachineAtTheAddressCountsOnceTheLastSummaryIsStale() {
         votes.recordSummary(0, PEER, healthy(LATER, 5));
         votes.recordSummary(0, "10.0.0.2", healthy(LATER, 5));
-        votes.recordSummary(FRESH_MS, PEER, unhealthy(EARLIER, 1));
-        assertFalse(condemned(FRESH_MS));
-        votes.evictStale(FRESH_MS + 1);
-        votes.recordSummary(FRESH_MS + 2, PEER, unhealthy(EARLIER, 2));
-        assertTrue(condemned(FRESH_MS + 3));
+        votes.recordSummary(SUMMARY_VALID_MS, PEER, unhealthy(EARLIER, 1));
+        assertFalse(isEjectedAfterOwnFailure(SUMMARY_VALID_MS));
+        votes.evictStale(SUMMARY_VALID_MS + 1);
+        votes.recordSummary(SUMMARY_VALID_MS + 2, PEER, unhealthy(EARLIER, 2));
+        assertTrue(isEjectedAfterOwnFailure(SUMMARY_VALID_MS + 3));
     }
 
     @Test
-    void whatNobodyConfirmsIsForgotten() {
+    void aVerdictEndsWithTheSummariesThatGaveIt() {
         votes.recordSummary(0, PEER, unhealthy(LATER, 1));
-        assertTrue(condemned(FRESH_MS));
-        assertFalse(condemnedUnseen(FRESH_MS + 1));
+        assertTrue(isEjectedAfterOwnFailure(SUMMARY_VALID_MS));
+        assertFalse(isEjectedByPeersAlone(SUMMARY_VALID_MS + 1));
     }
 
     private static HealthSummary failed(int failures, double ageMs) {
-        return new HealthSummary(LATER, 1, List.of(new HealthSummary.Suspected(IT, failures, ageMs)), List.of());
+        return new HealthSummary(
+                LATER, 1, List.of(new HealthSummary.Suspected(SERVER_HASH, failures, ageMs)), List.of());
     }
 
     /** At ninety sidecars none sees three failures of one server: one each at three of them are as many. */
     @Test
-    void theFailuresThatAVerdictNeedsAreCountedOverAll() {
+    void theFailuresThatAVerdictNeedsAreCountedOverTheFleet() {
         votes.recordSummary(0, "10.0.0.1", failed(1, 0));
-        assertFalse(condemnedUnseen(1));
-        assertFalse(condemned(1), "two failures");
+        assertFalse(isEjectedByPeersAlone(1));
+        assertFalse(isEjectedAfterOwnFailure(1), "two failures");
         votes.recordSummary(2, "10.0.0.2", failed(1, 0));
-        assertFalse(condemnedUnseen(3), "two failures");
-        assertTrue(condemned(3), "three failures");
+        assertFalse(isEjectedByPeersAlone(3), "two failures");
+        assertTrue(isEjectedAfterOwnFailure(3), "three failures");
         votes.recordSummary(4, "10.0.0.3", failed(1, 0));
-        assertTrue(condemnedUnseen(5), "three failures, none of them here");
+        assertTrue(isEjectedByPeersAlone(5), "three failures, none of them here");
     }
 
     @Test
-    void aMajorityOfThoseThatSentThereHasTheSay() {
+    void aMajorityOfThoseThatSentToTheServerDecides() {
         votes.recordSummary(0, "10.0.0.1", failed(3, 0));
         votes.recordSummary(0, "10.0.0.2", healthy(LATER, 1));
         votes.recordSummary(0, "10.0.0.3", healthy(LATER, 1));
-        assertFalse(condemnedUnseen(1));
-        assertTrue(condemned(1), "two of four, and a tie goes by own traffic");
+        assertFalse(isEjectedByPeersAlone(1));
+        assertTrue(isEjectedAfterOwnFailure(1), "two of four, and a tie goes by own traffic");
     }
 
     /** One success after the failures tells all who hear of it that the server is back. */
     @Test
-    void whatWasServedSinceOutdatesFailures() {
+    void aLaterSuccessOutdatesFailures() {
         votes.recordSummary(0, "10.0.0.1", failed(9, 0));
         votes.recordSummary(0, "10.0.0.2", failed(9, 100));
         votes.recordSummary(0, "10.0.0.4", failed(9, 0));
         votes.recordSummary(0, "10.0.0.5", failed(9, 0));
-        assertTrue(condemnedUnseen(1));
+        assertTrue(isEjectedByPeersAlone(1));
         votes.recordSummary(
-                400, "10.0.0.3", new HealthSummary(LATER, 1, List.of(), List.of(new HealthSummary.Healthy(IT, 0))));
-        assertTrue(condemnedUnseen(401), "served at much the same time as it failed");
+                400,
+                "10.0.0.3",
+                new HealthSummary(LATER, 1, List.of(), List.of(new HealthSummary.Healthy(SERVER_HASH, 0))));
+        assertTrue(isEjectedByPeersAlone(401), "served at much the same time as it failed");
         votes.recordSummary(
-                900, "10.0.0.3", new HealthSummary(LATER, 2, List.of(), List.of(new HealthSummary.Healthy(IT, 100))));
-        assertFalse(condemnedUnseen(901));
+                900,
+                "10.0.0.3",
+                new HealthSummary(LATER, 2, List.of(), List.of(new HealthSummary.Healthy(SERVER_HASH, 100))));
+        assertFalse(isEjectedByPeersAlone(901));
     }
 
     @Test
-    void aSummaryComesThroughTheWireAsItWas() {
-        HealthSummary told = new HealthSummary(
+    void aSummaryIsDecodedAsItWasEncoded() {
+        HealthSummary sent = new HealthSummary(
                 LATER,
                 7,
-                List.of(new HealthSummary.Suspected(IT, 3, 1_200)),
-                List.of(new HealthSummary.Healthy(-IT, 400)));
-        assertEquals(Optional.of(told), HealthSummary.decode(told.encode()));
+                List.of(new HealthSummary.Suspected(SERVER_HASH, 3, 1_200)),
+                List.of(new HealthSummary.Healthy(-SERVER_HASH, 400)));
+        assertEquals(Optional.of(sent), HealthSummary.decode(sent.encode()));
     }
 
     @Test
-    void aSummaryOfManyServersKeepsToItsBytesAndNamesTheSuspectedFirst() {
+    void aSummaryOfManyServersKeepsToItsBoundAndNamesSuspectedServersFirst() {
         List<HealthSummary.Suspected> suspected = IntStream.range(0, 30)
                 .mapToObj(i -> new HealthSummary.Suspected(i, 1_000, 1_000_000))
                 .toList();
--- a/routing/src/test/java/dewplank/routing/OutcomeWindowTest.java
+++ b/routing/src/test/java/dewplank/routing/OutcomeWindowTest.java
@@ -11,7 +11,7 @@
 class OutcomeWindowTest {
     /** With the design's number of failures the verdict is the decision module's own, on any course of outcomes. */
     @Test
-    void agreesWithTheDecisionModule() {
+    void agreesWithTheBalancersServerHealth() {
         SplittableRandom random = new SplittableRandom(9);
         int unhealthy = 0;
         for (int course = 0; course < 200; course++) {
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void oneFailureIsASuspicionUntilItIsForgottenOrOutdated() {
+    void oneFailureMakesASuspectUntilItExpiresOrIsOutdated() {
         OutcomeWindow outcomes = new OutcomeWindow();
         assertFalse(outcomes.isSuspect(0));
         outcomes.record(0, "a", false);
--- a/routing/src/test/java/dewplank/routing/PolicyTest.java
+++ b/routing/src/test/java/dewplank/routing/PolicyTest.java
@@ -26,10 +26,10 @@
         return new ServerPicker("here", new HealthVotes(policy), () -> 90, new SplittableRandom(5), policy);
     }
 
-    private static long picks(ServerPicker choice, double now, List<TrackedServer> servers, TrackedServer of) {
+    private static long picks(ServerPicker picker, double nowMs, List<TrackedServer> servers, TrackedServer of) {
         long picks = 0;
         for (int i = 0; i < 1_000; i++) {
-            picks += choice.pick(now, ServerPicker.PickArguments.byInFlight(servers, s -> true, false))
+            picks += picker.pick(nowMs, ServerPicker.PickArguments.byInFlight(servers, s -> true, false))
                                     .orElseThrow()
                             == of
                     ? 1
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void namesOnTheCommandLineAreThoseOfTheMechanisms() {
+    void everyMechanismHasItsOptionNameAndCanBeDisabled() {
         for (Mechanism mechanism : Mechanism.values()) {
             assertEquals(Optional.of(mechanism), Mechanism.ofOptionName(mechanism.optionName()));
             assertTrue(Policy.ALL_ENABLED.isEnabled(mechanism));
@@ -49,17 +49,17 @@
     }
 
     @Test
-    void withoutCondemnationNoServerIsLeftOut() {
+    void withoutCondemnationNoServerIsEjected() {
         List<TrackedServer> servers = servers("here", "here", "here");
-        ServerPicker choice = without(Mechanism.CONDEMNATION, Mechanism.WEIGHTS);
+        ServerPicker picker = without(Mechanism.CONDEMNATION, Mechanism.WEIGHTS);
         for (int i = 0; i < 9; i++) {
-            choice.recordOutcome(0, servers.get(0), "class", false);
+            picker.recordOutcome(0, servers.get(0), "class", false);
         }
-        assertTrue(picks(choice, 1, servers, servers.get(0)) > 200);
+        assertTrue(picks(picker, 1, servers, servers.get(0)) > 200);
     }
 
     @Test
-    void withoutPooledFailuresThreeAreNeededHere() {
+    void withoutPooledFailuresOneDataPlaneHasToSeeThree() {
         HealthVotes votes = new HealthVotes(Policy.without(List.of(Mechanism.POOLED_FAILURES)));
         HealthSummary one =
                 new HealthSummary(1, 1, List.of(new HealthSummary.Suspected("i-0".hashCode(), 1, 0)), List.of());
@@ -70,12 +70,12 @@
     }
 
     @Test
-    void withoutWeightsOneThatFailsIsDrawnAsOften() {
+    void withoutWeightsAFailingServerIsDrawnAsOften() {
         List<TrackedServer> servers = servers("here", "here", "here");
-        ServerPicker choice = without(Mechanism.WEIGHTS);
-        choice.recordOutcome(0, servers.get(0), "class", false);
-        choice.recordOutcome(0, servers.get(0), "class", false);
-        assertTrue(picks(choice, 1, servers, servers.get(0)) > 250);
+        ServerPicker picker = without(Mechanism.WEIGHTS);
+        picker.recordOutcome(0, servers.get(0), "class", false);
+        picker.recordOutcome(0, servers.get(0), "class", false);
+        assertTrue(picks(picker, 1, servers, servers.get(0)) > 250);
     }
 
     @Test
@@ -93,7 +93,7 @@
     }
 
     @Test
-    void withoutRestingOneThatTurnedARequestAwayIsAskedAgain() {
+    void withoutRestingAServerInBackoffIsPicked() {
         List<TrackedServer> servers = servers("here", "here");
         servers.get(0).backOff(0, 1_000, 2_000);
         assertEquals(0, picks(without(), 10, servers, servers.get(0)));
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void withoutReuseAServerThatHasToBeConnectedIsTakenAsOften() {
+    void withoutReuseAServerWithoutAConnectionIsPickedAsOften() {
         List<TrackedServer> servers = servers("here", "here");
         PromptPrefix prompt = PromptPrefix.parse("5c1e07a2:8000,91bd3f06:410");
         TrackedServer connected = servers.get(1);
@@ -130,19 +130,27 @@
     }
 
     @Test
-    void withoutHomesPromptsThatBeginAlikeSpread() {
+    void withoutHomesPromptsOfOnePrefixSpread() {
         List<TrackedServer> servers = servers("here", "here", "here", "here");
         PromptPrefix prompt = PromptPrefix.parse("5c1e07a2:8000,91bd3f06:410");
-        PrefillDecodePicker homes = new PrefillDecodePicker(without());
-        PrefillDecodePicker spread = new PrefillDecodePicker(without(Mechanism.HOMES));
-        TrackedServer home =
-                homes.pickPrefillServer(0, servers, prompt, s -> true).orElseThrow();
-        int away = 0;
+        PrefillDecodePicker withAffinity = new PrefillDecodePicker(without());
+        PrefillDecodePicker withoutAffinity = new PrefillDecodePicker(without(Mechanism.HOMES));
+        TrackedServer owner =
+                withAffinity.pickPrefillServer(0, servers, prompt, s -> true).orElseThrow();
+        int elsewhere = 0;
         for (int i = 0; i < 100; i++) {
             assertEquals(
-                    home, homes.pickPrefillServer(0, servers, prompt, s -> true).orElseThrow());
-            away += spread.pickPrefillServer(0, servers, prompt, s -> true).orElseThrow() == home ? 0 : 1;
+                    owner,
+                    withAffinity
+                            .pickPrefillServer(0, servers, prompt, s -> true)
+                            .orElseThrow());
+            elsewhere += withoutAffinity
+                                    .pickPrefillServer(0, servers, prompt, s -> true)
+                                    .orElseThrow()
+                            == owner
+                    ? 0
+                    : 1;
         }
-        assertTrue(away > 50);
+        assertTrue(elsewhere > 50);
     }
 }
--- a/routing/src/test/java/dewplank/routing/PrefillQueuesTest.java
+++ b/routing/src/test/java/dewplank/routing/PrefillQueuesTest.java
@@ -22,22 +22,22 @@
         return servers;
     }
 
-    private static PrefillQueues taught(long seed, int prompts) {
+    private static PrefillQueues queuesThatLearned(long seed, int prompts) {
         SplittableRandom random = new SplittableRandom(seed);
-        PrefillQueues lanes = new PrefillQueues();
+        PrefillQueues queues = new PrefillQueues();
         for (int i = 0; i < prompts; i++) {
             long mean = random.nextInt(9) < 5 ? SHORT : LONG;
-            lanes.recordPrompt((long) (mean * (0.5 + random.nextDouble())));
+            queues.recordPrompt((long) (mean * (0.5 + random.nextDouble())));
         }
-        return lanes;
+        return queues;
     }
 
     @Test
-    void aFewOfManyServersAreKeptForShortPrompts() {
+    void aFewOfManyServersAreReservedForShortPrompts() {
         List<TrackedServer> servers = servers(47);
-        PrefillQueues lanes = taught(1, 200);
-        List<TrackedServer> forShort = lanes.serversFor(servers, SHORT);
-        List<TrackedServer> forLong = lanes.serversFor(servers, LONG);
+        PrefillQueues queues = queuesThatLearned(1, 200);
+        List<TrackedServer> forShort = queues.serversFor(servers, SHORT);
+        List<TrackedServer> forLong = queues.serversFor(servers, LONG);
         assertTrue(forShort.size() >= 4 && forShort.size() <= 12, forShort.size() + " for short ones");
         assertEquals(47, forShort.size() + forLong.size());
         Set<TrackedServer> both = new HashSet<>(forShort);
@@ -52,7 +52,7 @@
         Set<TrackedServer> some = new HashSet<>();
         Set<TrackedServer> all = new HashSet<>(servers);
         for (long seed = 0; seed < 90; seed++) {
-            List<TrackedServer> lane = taught(seed, 60).serversFor(servers, SHORT);
+            List<TrackedServer> lane = queuesThatLearned(seed, 60).serversFor(servers, SHORT);
             some.addAll(lane);
             all.retainAll(lane);
         }
@@ -60,9 +60,9 @@
     }
 
     @Test
-    void fewServersOrPromptsOfOneLengthOrLittleKnownKeepNone() {
-        assertEquals(5, taught(1, 200).serversFor(servers(5), SHORT).size());
-        assertEquals(47, taught(1, 5).serversFor(servers(47), SHORT).size());
+    void noneAreReservedOfFewServersForOneLengthOrBeforeEnoughPrompts() {
+        assertEquals(5, queuesThatLearned(1, 200).serversFor(servers(5), SHORT).size());
+        assertEquals(47, queuesThatLearned(1, 5).serversFor(servers(47), SHORT).size());
         PrefillQueues alike = new PrefillQueues();
         for (int i = 0; i < 200; i++) {
             alike.recordPrompt(LONG);
@@ -72,12 +72,12 @@
     }
 
     @Test
-    void aServerThatIsNotReadyIsInNoLane() {
+    void aServerThatIsNotReadyIsInNeitherQueue() {
         List<TrackedServer> servers = servers(47);
-        PrefillQueues lanes = taught(1, 200);
-        TrackedServer leaving = lanes.serversFor(servers, SHORT).get(0);
-        leaving.updateListing(false, TrackedServer.Stage.PREFILL);
-        assertTrue(!lanes.serversFor(servers, SHORT).contains(leaving));
-        assertTrue(!lanes.serversFor(servers, LONG).contains(leaving));
+        PrefillQueues queues = queuesThatLearned(1, 200);
+        TrackedServer draining = queues.serversFor(servers, SHORT).get(0);
+        draining.updateListing(false, TrackedServer.Stage.PREFILL);
+        assertTrue(!queues.serversFor(servers, SHORT).contains(draining));
+        assertTrue(!queues.serversFor(servers, LONG).contains(draining));
     }
 }
--- a/routing/src/test/java/dewplank/routing/PromptPrefixTest.java
+++ b/routing/src/test/java/dewplank/routing/PromptPrefixTest.java
@@ -7,7 +7,7 @@
 
 class PromptPrefixTest {
     @Test
-    void theLastSharedPartIsTheSubject() {
+    void theLastSharedSegmentIsTheAffinityKey() {
         PromptPrefix prefix = PromptPrefix.parse("5c1e07a2:800,91bd3f06:410, e4402b7d:250");
         assertEquals(1_460, prefix.tokens());
         assertEquals(1_210, prefix.sharedTokens());
@@ -15,7 +15,7 @@
     }
 
     @Test
-    void whatCannotBeReadDoesNoHarm() {
+    void unreadableHeadersCountAsEmpty() {
         assertNull(PromptPrefix.parse(null).affinityKey());
         assertNull(PromptPrefix.parse("").affinityKey());
         assertEquals(0, PromptPrefix.parse("a:-5,b:x").tokens());
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void aChainHasABound() {
+    void theNumberOfSegmentsIsBounded() {
         assertEquals(64, PromptPrefix.parse("a:1,".repeat(1_000)).segments().size());
     }
 }
--- a/routing/src/test/java/dewplank/routing/RetryBudgetTest.java
+++ b/routing/src/test/java/dewplank/routing/RetryBudgetTest.java
@@ -17,7 +17,7 @@
     private static final double SLACK = 56;
 
     @Test
-    void aSidecarHasItsPartOfTheSlackOnly() {
+    void aDataPlaneHasItsPartOfTheSlackOnly() {
         RetryBudget budget = new RetryBudget(RATIO, WINDOW_MS, SLACK);
         int taken = 0;
         while (budget.tryAcquire(0, 8)) {
@@ -30,28 +30,30 @@
 
     /** The sum over sidecars keeps to the rule in every window, whatever they ask for. */
     @Property(tries = 200)
-    void theFleetKeepsToTheBudget(@ForAll @IntRange(min = 1, max = 12) int sidecars, @ForAll @LongRange long seed) {
+    void theFleetKeepsToTheBudget(@ForAll @IntRange(min = 1, max = 12) int dataPlanes, @ForAll @LongRange long seed) {
         java.util.SplittableRandom random = new java.util.SplittableRandom(seed);
         List<RetryBudget> budgets = new ArrayList<>();
-        for (int i = 0; i < sidecars; i++) {
+        for (int i = 0; i < dataPlanes; i++) {
             budgets.add(new RetryBudget(RATIO, WINDOW_MS, SLACK));
         }
         List<Double> requests = new ArrayList<>();
-        List<Double> repeats = new ArrayList<>();
+        List<Double> retries = new ArrayList<>();
         for (double now = 0; now < 30_000; now += random.nextDouble() * 60) {
-            RetryBudget budget = budgets.get(random.nextInt(sidecars));
+            RetryBudget budget = budgets.get(random.nextInt(dataPlanes));
             if (random.nextInt(3) > 0) {
                 budget.recordRequest(now);
                 requests.add(now);
-            } else if (budget.tryAcquire(now, sidecars)) {
-                repeats.add(now);
+            } else if (budget.tryAcquire(now, dataPlanes)) {
+                retries.add(now);
             }
         }
-        for (double end : repeats) {
+        for (double end : retries) {
             double start = end - WINDOW_MS;
-            long sent = repeats.stream().filter(t -> t > start && t <= end).count();
-            long asked = requests.stream().filter(t -> t > start && t <= end).count();
-            assertTrue(sent <= RATIO * asked + SLACK, sent + " repeats of " + asked + " requests, seed " + seed);
+            long sent = retries.stream().filter(t -> t > start && t <= end).count();
+            long requested =
+                    requests.stream().filter(t -> t > start && t <= end).count();
+            assertTrue(
+                    sent <= RATIO * requested + SLACK, sent + " repeats of " + requested + " requests, seed " + seed);
         }
     }
 
@@ -60,31 +62,31 @@
      * both sides of a cut. All ask for all that they may have.
      */
     @Property(tries = 200)
-    void theFleetKeepsToTheBudgetWhileListsAreShort(
-            @ForAll @IntRange(min = 2, max = 12) int sidecars, @ForAll @LongRange long seed) {
+    void theFleetKeepsToTheBudgetWhileMembershipsAreShort(
+            @ForAll @IntRange(min = 2, max = 12) int dataPlanes, @ForAll @LongRange long seed) {
         java.util.SplittableRandom random = new java.util.SplittableRandom(seed);
         List<RetryBudget> budgets = new ArrayList<>();
         List<FleetSizeEstimator> sizes = new ArrayList<>();
-        for (int i = 0; i < sidecars; i++) {
+        for (int i = 0; i < dataPlanes; i++) {
             budgets.add(new RetryBudget(RATIO, WINDOW_MS, SLACK));
             sizes.add(new FleetSizeEstimator(WINDOW_MS));
         }
         double wholeFrom = 0.2 * WINDOW_MS * random.nextDouble(); // all sessions stand: by then all are told of all
         double cutFrom = WINDOW_MS + 2 * WINDOW_MS * random.nextDouble();
         double cutTo = cutFrom + 4 * WINDOW_MS * random.nextDouble();
-        List<Double> repeats = new ArrayList<>();
+        List<Double> retries = new ArrayList<>();
         for (double now = 0; now < 8 * WINDOW_MS; now += 100 * random.nextDouble()) {
-            int asking = random.nextInt(sidecars);
+            int asking = random.nextInt(dataPlanes);
             boolean few = now < wholeFrom || now >= cutFrom && now < cutTo;
-            sizes.get(asking).recordMembership(now, few ? 1 + random.nextInt(sidecars) : sidecars);
+            sizes.get(asking).recordMembership(now, few ? 1 + random.nextInt(dataPlanes) : dataPlanes);
             int among = sizes.get(asking).isSettled(now) ? sizes.get(asking).dataPlanes(now) : RetryBudget.NO_SLACK;
             while (budgets.get(asking).tryAcquire(now, among)) {
-                repeats.add(now);
+                retries.add(now);
             }
         }
-        for (double end : repeats) {
+        for (double end : retries) {
             double start = end - WINDOW_MS;
-            long sent = repeats.stream().filter(t -> t > start && t <= end).count();
+            long sent = retries.stream().filter(t -> t > start && t <= end).count();
             assertTrue(sent <= SLACK, sent + " repeats, seed " + seed);
         }
     }
--- a/routing/src/test/java/dewplank/routing/ServerPickerTest.java
+++ b/routing/src/test/java/dewplank/routing/ServerPickerTest.java
@@ -14,7 +14,7 @@
 
 class ServerPickerTest {
     private final HealthVotes votes = new HealthVotes();
-    private final ServerPicker choice = new ServerPicker("here", votes, new SplittableRandom(7));
+    private final ServerPicker picker = new ServerPicker("here", votes, new SplittableRandom(7));
 
     private static List<TrackedServer> servers(int count) {
         List<TrackedServer> servers = new ArrayList<>();
@@ -28,19 +28,19 @@
         return new HealthSummary(1, 1, List.of(new HealthSummary.Suspected("i-0".hashCode(), 3, 0)), List.of());
     }
 
-    private void fail(TrackedServer s, double now, int times) {
+    private void recordFailures(TrackedServer server, double nowMs, int times) {
         for (int i = 0; i < times; i++) {
-            choice.recordOutcome(now, s, "class", false);
+            picker.recordOutcome(nowMs, server, "class", false);
         }
     }
 
     private TrackedServer pick(double nowMs, List<TrackedServer> servers, boolean allowsTrial) {
-        return choice.pick(nowMs, ServerPicker.PickArguments.byInFlight(servers, server -> true, allowsTrial))
+        return picker.pick(nowMs, ServerPicker.PickArguments.byInFlight(servers, server -> true, allowsTrial))
                 .orElseThrow();
     }
 
     @Test
-    void ofTwoTheOneWithFewerInFlightIsTaken() {
+    void ofTwoTheServerWithFewerRequestsInFlightIsPicked() {
         List<TrackedServer> servers = servers(2);
         servers.get(0).requestStarted(0, 0);
         for (int i = 0; i < 50; i++) {
@@ -49,37 +49,37 @@
     }
 
     @Test
-    void aCondemnedServerGetsOneTrialASecondUntilTheVerdictTurns() {
+    void anEjectedServerGetsOneTrialASecondUntilOneIsServed() {
         List<TrackedServer> servers = servers(4);
-        TrackedServer sick = servers.get(0);
-        fail(sick, 0, 3);
+        TrackedServer unhealthy = servers.get(0);
+        recordFailures(unhealthy, 0, 3);
         int trials = 0;
-        for (double now = 10; now < 3_010; now += 10) {
-            trials += pick(now, servers, true) == sick ? 1 : 0;
+        for (double nowMs = 10; nowMs < 3_010; nowMs += 10) {
+            trials += pick(nowMs, servers, true) == unhealthy ? 1 : 0;
         }
         assertEquals(3, trials);
-        choice.recordOutcome(3_010, sick, "class", true);
+        picker.recordOutcome(3_010, unhealthy, "class", true);
         Map<TrackedServer, Integer> picked = new HashMap<>();
         for (int i = 0; i < 200; i++) {
             picked.merge(pick(13_100, servers, false), 1, Integer::sum);
         }
-        assertTrue(picked.containsKey(sick), "it is drawn again");
+        assertTrue(picked.containsKey(unhealthy), "it is drawn again");
     }
 
     @Test
-    void trialsGoOnlyWhereARequestMayBeTried() {
+    void onlyRequestsThatAllowItAreTrials() {
         List<TrackedServer> servers = servers(4);
-        fail(servers.get(0), 0, 3);
-        for (double now = 10; now < 2_000; now += 10) {
-            assertNotEquals(servers.get(0), pick(now, servers, false));
+        recordFailures(servers.get(0), 0, 3);
+        for (double nowMs = 10; nowMs < 2_000; nowMs += 10) {
+            assertNotEquals(servers.get(0), pick(nowMs, servers, false));
         }
     }
 
     @Test
-    void whereUnderHalfAreFreeAllReadyOnesAreDrawn() {
+    void withMoreThanHalfEjectedAllReadyServersAreDrawn() {
         List<TrackedServer> servers = servers(3);
-        fail(servers.get(0), 0, 3);
-        fail(servers.get(1), 0, 3);
+        recordFailures(servers.get(0), 0, 3);
+        recordFailures(servers.get(1), 0, 3);
         Map<TrackedServer, Integer> picked = new HashMap<>();
         for (int i = 0; i < 300; i++) {
             picked.merge(pick(10, servers, true), 1, Integer::sum);
@@ -88,54 +88,55 @@
     }
 
     @Test
-    void peersVotesCondemnAServerThatWasServedHere() {
+    void votesOfPeersEjectAServerThatServedHere() {
         List<TrackedServer> servers = servers(3);
-        choice.recordOutcome(0, servers.get(0), "class", true);
+        picker.recordOutcome(0, servers.get(0), "class", true);
         for (String peer : List.of("a", "b", "c")) {
             votes.recordSummary(1, peer, suspecting());
         }
-        assertTrue(choice.isEjected(200, servers.get(0)));
-        assertTrue(!choice.isEjected(4_000, servers.get(0)), "summaries grow stale");
+        assertTrue(picker.isEjected(200, servers.get(0)));
+        assertTrue(!picker.isEjected(4_000, servers.get(0)), "summaries grow stale");
     }
 
     @Test
-    void onlyPeersThatHaveSentThereVote() {
+    void onlyPeersThatSentToTheServerVote() {
         List<TrackedServer> servers = servers(4);
         for (int i = 0; i < 20; i++) {
             votes.recordSummary(1, "silent" + i, new HealthSummary(1, 1, List.of(), List.of()));
         }
         votes.recordSummary(1, "a", suspecting());
         votes.recordSummary(1, "b", suspecting());
-        assertTrue(choice.isEjected(200, servers.get(0)), "two of the three that vote");
+        assertTrue(picker.isEjected(200, servers.get(0)), "two of the three that vote");
         votes.recordSummary(
                 1, "c", new HealthSummary(1, 1, List.of(), List.of(new HealthSummary.Healthy("i-0".hashCode(), 0))));
-        assertTrue(!choice.isEjected(400, servers.get(0)), "two of four, and own traffic is well");
+        assertTrue(!picker.isEjected(400, servers.get(0)), "two of four, and own traffic is well");
     }
 
     @Test
-    void drainingOrRestingServersAreNotPicked() {
+    void drainingServersAndThoseInBackoffAreNotPicked() {
         List<TrackedServer> servers = servers(2);
         servers.get(0).updateListing(false, TrackedServer.Stage.PLAIN);
         servers.get(1).backOff(0, 40, 2_000);
         assertEquals(
-                Optional.empty(), choice.pick(10, ServerPicker.PickArguments.byInFlight(servers, s -> true, true)));
+                Optional.empty(),
+                picker.pick(10, ServerPicker.PickArguments.byInFlight(servers, server -> true, true)));
         assertEquals(servers.get(1), pick(41, servers, true));
     }
 
     @Test
-    void theHomeOfAPrefixIsTakenUnlessItIsBusierByMoreThanItSpares() {
+    void theOwnerOfAPrefixIsPickedUnlessItsLoadIsHigherByMoreThanTheCredit() {
         List<TrackedServer> servers = servers(3);
-        TrackedServer home = PrefixAffinity.ownerOf("5c1e07a2", servers);
-        ServerPicker.PickArguments query = new ServerPicker.PickArguments(
-                servers, s -> true, s -> (double) s.tokensInFlight(), home, 1_000, false);
-        home.requestStarted(0, 900);
-        assertEquals(home, choice.pick(0, query).orElseThrow());
-        home.requestStarted(0, 200);
-        assertNotEquals(home, choice.pick(0, query).orElseThrow());
+        TrackedServer owner = PrefixAffinity.ownerOf("5c1e07a2", servers);
+        ServerPicker.PickArguments arguments = new ServerPicker.PickArguments(
+                servers, server -> true, server -> (double) server.tokensInFlight(), owner, 1_000, false);
+        owner.requestStarted(0, 900);
+        assertEquals(owner, picker.pick(0, arguments).orElseThrow());
+        owner.requestStarted(0, 200);
+        assertNotEquals(owner, picker.pick(0, arguments).orElseThrow());
     }
 
     @Test
-    void onlyTheKeysOfAServerThatLeavesChangeTheirHome() {
+    void onlyTheKeysOfARemovedServerChangeTheirOwner() {
         List<TrackedServer> servers = servers(5);
         List<TrackedServer> fewer = servers.subList(0, 4);
         int moved = 0;
@@ -153,14 +154,14 @@
 
     /** Ninety sidecars together try a condemned server a few times a second, however many requests they have. */
     @Test
-    void trialsAreAMatterOfTheFleet() {
-        int sidecars = 90;
+    void trialsArePacedOverTheFleet() {
+        int dataPlanes = 90;
         SplittableRandom random = new SplittableRandom(3);
         List<ServerPicker> fleet = new ArrayList<>();
         List<List<TrackedServer>> views = new ArrayList<>();
-        for (int i = 0; i < sidecars; i++) {
+        for (int i = 0; i < dataPlanes; i++) {
             ServerPicker each =
-                    new ServerPicker("here", new HealthVotes(), () -> sidecars, random.split(), Policy.ALL_ENABLED);
+                    new ServerPicker("here", new HealthVotes(), () -> dataPlanes, random.split(), Policy.ALL_ENABLED);
             List<TrackedServer> view = servers(4);
             for (int failure = 0; failure < 3; failure++) {
                 each.recordOutcome(0, view.get(0), "class", false);
@@ -169,10 +170,10 @@
             views.add(view);
         }
         int trials = 0;
-        for (double now = 10; now < 9_000; now += 100) {
-            for (int i = 0; i < sidecars; i++) {
+        for (double nowMs = 10; nowMs < 9_000; nowMs += 100) {
+            for (int i = 0; i < dataPlanes; i++) {
                 TrackedServer picked = fleet.get(i)
-                        .pick(now, ServerPicker.PickArguments.byInFlight(views.get(i), s -> true, true))
+                        .pick(nowMs, ServerPicker.PickArguments.byInFlight(views.get(i), server -> true, true))
                         .orElseThrow();
                 trials += picked == views.get(i).get(0) ? 1 : 0;
             }
