--- a/consensus/src/test/java/dewplank/singleton/CandidateTest.java
+++ b/consensus/src/test/java/dewplank/singleton/CandidateTest.java
@@ -17,25 +17,25 @@
 
 class CandidateTest {
     private static final LeaseTiming TIMING = new LeaseTiming(3_000, 150, 500, 250);
-    private static final double HALF = 0.5;
+    private static final double RANDOM_DRAW = 0.5;
     private static final List<AcceptorId> VOTERS =
             List.of(new AcceptorId("x", "x1"), new AcceptorId("y", "y1"), new AcceptorId("z", "z1"));
 
-    /** What a candidate asked for. */
-    private static final class Seen implements Candidate.Effects {
+    /** What a candidate wanted done, by kind, and the last request to each voter. */
+    private static final class RecordedEffects implements Candidate.Effects {
         private final List<String> events = new ArrayList<>();
-        private final Map<String, VoteRequest> last = new TreeMap<>();
+        private final Map<String, VoteRequest> lastRequests = new TreeMap<>();
 
         @Override
         public void send(AcceptorId voter, VoteRequest request) {
             assertEquals(voter.identity(), request.voterIdentity());
             events.add(request.kind() + " " + voter.address());
-            last.put(voter.address(), request);
+            lastRequests.put(voter.address(), request);
         }
 
         @Override
         public void leaseAcquired(String duty, long fencingToken) {
-            events.add("won " + fencingToken);
+            events.add("acquired " + fencingToken);
         }
 
         @Override
@@ -43,15 +43,15 @@
             events.add("lost " + fencingToken);
         }
 
-        private List<String> taken() {
-            List<String> taken = List.copyOf(events);
+        private List<String> drain() {
+            List<String> drained = List.copyOf(events);
             events.clear();
-            return taken;
+            return drained;
         }
     }
 
-    private final Seen seen = new Seen();
-    private final Candidate candidate = new Candidate("list", "me", TIMING, () -> HALF, 0);
+    private final RecordedEffects effects = new RecordedEffects();
+    private final Candidate candidate = new Candidate("list", "me", TIMING, () -> RANDOM_DRAW, 0);
 
     CandidateTest() {
         candidate.updateVoterSet(0, AcceptorSet.of(VOTERS));
@@ -59,12 +59,13 @@
 
     private void reply(double now, String voter, Verdict verdict, long number, double remainingMs) {
         VoteState state = new VoteState(number, null, remainingMs);
-        candidate.onVoteReply(now, new VoteReply(seen.last.get(voter), voter + "1", verdict, state), seen);
+        candidate.onVoteReply(
+                now, new VoteReply(effects.lastRequests.get(voter), voter + "1", verdict, state), effects);
     }
 
-    /** Probed at 125 and asked at 150, won at 160. */
-    private void win() {
-        candidate.tick(125, seen);
+    /** Probed at 125, votes requested at 150, lease acquired at 160. */
+    private void acquireLease() {
+        candidate.tick(125, effects);
         reply(150, "x", Verdict.GRANTED, 7, 0);
         reply(150, "z", Verdict.GRANTED, 4, 0);
         reply(160, "x", Verdict.GRANTED, 8, 3_000);
@@ -76,129 +77,129 @@
     }
 
     @Test
-    void probesThenAsksUnderANumberAboveAllSeen() {
-        candidate.tick(124, seen);
-        assertEquals(List.of(), seen.taken());
-        candidate.tick(125, seen);
-        assertEquals(all(Kind.PROBE), seen.taken());
+    void probesThenRequestsVotesUnderATokenAboveAllSeen() {
+        candidate.tick(124, effects);
+        assertEquals(List.of(), effects.drain());
+        candidate.tick(125, effects);
+        assertEquals(all(Kind.PROBE), effects.drain());
         reply(150, "x", Verdict.GRANTED, 7, 0);
-        assertEquals(List.of(), seen.taken());
+        assertEquals(List.of(), effects.drain());
         reply(150, "z", Verdict.GRANTED, 4, 0);
-        assertEquals(all(Kind.REQUEST_VOTE), seen.taken());
-        assertEquals(8, seen.last.get("y").fencingToken());
+        assertEquals(all(Kind.REQUEST_VOTE), effects.drain());
+        assertEquals(8, effects.lastRequests.get("y").fencingToken());
         reply(160, "x", Verdict.GRANTED, 8, 3_000);
         reply(160, "x", Verdict.GRANTED, 8, 3_000);
         assertFalse(candidate.isLeaseHolder(160));
         reply(160, "y", Verdict.GRANTED, 8, 3_000);
-        assertEquals(List.of("won 8"), seen.taken());
+        assertEquals(List.of("acquired 8"), effects.drain());
         assertEquals(8, candidate.fencingToken());
         assertEquals(160, candidate.leaseAcquiredAtMs());
     }
 
     @Test
-    void holdsFromTheMomentItAsked() {
-        win();
+    void countsItsLeaseFromTheRequestForVotes() {
+        acquireLease();
         assertTrue(candidate.isLeaseHolder(160));
         assertTrue(candidate.isLeaseHolder(150 + 2_849));
         assertFalse(candidate.isLeaseHolder(150 + 2_850));
     }
 
     @Test
-    void renewsAtAThirdOfTheLeaseUnderTheSameNumber() {
-        win();
-        seen.taken();
+    void renewsAtAThirdOfTheLeaseUnderTheSameToken() {
+        acquireLease();
+        effects.drain();
         assertEquals(1_150, candidate.nextTickAtMs());
-        candidate.tick(1_150, seen);
-        assertEquals(all(Kind.RENEW), seen.taken());
-        assertEquals(8, seen.last.get("x").fencingToken());
+        candidate.tick(1_150, effects);
+        assertEquals(all(Kind.RENEW), effects.drain());
+        assertEquals(8, effects.lastRequests.get("x").fencingToken());
         reply(2_500, "x", Verdict.GRANTED, 8, 3_000);
         assertFalse(candidate.isLeaseHolder(3_000));
         reply(2_500, "z", Verdict.GRANTED, 8, 3_000);
         assertTrue(candidate.isLeaseHolder(3_999));
         assertFalse(candidate.isLeaseHolder(4_000));
-        assertEquals(List.of(), seen.taken());
+        assertEquals(List.of(), effects.drain());
     }
 
     @Test
-    void aFrozenHolderWinsAnewUnderANewNumber() {
-        win();
-        candidate.tick(1_150, seen);
-        seen.taken();
+    void aHolderWhoseLeaseExpiredMustWinUnderANewToken() {
+        acquireLease();
+        candidate.tick(1_150, effects);
+        effects.drain();
         reply(3_000, "x", Verdict.GRANTED, 8, 3_000);
         reply(3_000, "y", Verdict.GRANTED, 8, 3_000);
         assertFalse(candidate.isLeaseHolder(3_000));
-        assertEquals(List.of("lost 8", "RELEASE x", "RELEASE y", "RELEASE z"), seen.taken());
-        candidate.tick(3_125, seen);
-        assertEquals(all(Kind.PROBE), seen.taken());
+        assertEquals(List.of("lost 8", "RELEASE x", "RELEASE y", "RELEASE z"), effects.drain());
+        candidate.tick(3_125, effects);
+        assertEquals(all(Kind.PROBE), effects.drain());
         reply(3_130, "x", Verdict.GRANTED, 8, 0);
         reply(3_130, "y", Verdict.GRANTED, 8, 0);
-        assertEquals(9, seen.last.get("x").fencingToken());
+        assertEquals(9, effects.lastRequests.get("x").fencingToken());
     }
 
     @Test
-    void waitsUntilAMajorityMayBeFree() {
-        candidate.tick(125, seen);
-        seen.taken();
+    void electsAgainOnceAMajorityMayBeFree() {
+        candidate.tick(125, effects);
+        effects.drain();
         reply(150, "x", Verdict.REJECTED, 3, 2_000);
         reply(150, "y", Verdict.GRANTED, 3, 0);
         assertEquals(625, candidate.nextTickAtMs());
         reply(150, "z", Verdict.REJECTED, 3, 1_500);
         assertEquals(150 + 1_500 + 125, candidate.nextTickAtMs());
-        assertEquals(List.of(), seen.taken());
+        assertEquals(List.of(), effects.drain());
     }
 
     @Test
-    void givesVotesBackWhenTheBallotFails() {
-        candidate.tick(125, seen);
+    void withdrawsVotesWhenTheElectionFails() {
+        candidate.tick(125, effects);
         reply(150, "x", Verdict.GRANTED, 3, 0);
         reply(150, "y", Verdict.GRANTED, 3, 0);
-        seen.taken();
+        effects.drain();
         reply(160, "x", Verdict.REJECTED, 4, 3_000);
         reply(160, "y", Verdict.REJECTED, 4, 3_000);
-        assertEquals(List.of("WITHDRAW z"), seen.taken());
+        assertEquals(List.of("WITHDRAW z"), effects.drain());
         assertEquals(160 + 250, candidate.nextTickAtMs());
     }
 
     @Test
-    void aBallotWithoutAnswersEnds() {
-        candidate.tick(125, seen);
-        candidate.tick(625, seen);
-        assertEquals(all(Kind.PROBE), seen.taken());
+    void aProbeWithoutRepliesTimesOut() {
+        candidate.tick(125, effects);
+        candidate.tick(625, effects);
+        assertEquals(all(Kind.PROBE), effects.drain());
         assertEquals(625 + 250, candidate.nextTickAtMs());
         reply(630, "x", Verdict.GRANTED, 3, 0);
         reply(630, "y", Verdict.GRANTED, 3, 0);
-        assertEquals(List.of(), seen.taken());
+        assertEquals(List.of(), effects.drain());
     }
 
     @Test
-    void neverAsksTwiceUnderOneNumber() {
-        candidate.tick(125, seen);
+    void neverRequestsVotesTwiceUnderOneToken() {
+        candidate.tick(125, effects);
         reply(150, "x", Verdict.GRANTED, 3, 0);
         reply(150, "y", Verdict.GRANTED, 3, 0);
-        assertEquals(4, seen.last.get("x").fencingToken());
-        candidate.tick(650, seen);
-        candidate.tick(900, seen);
+        assertEquals(4, effects.lastRequests.get("x").fencingToken());
+        candidate.tick(650, effects);
+        candidate.tick(900, effects);
         reply(950, "x", Verdict.GRANTED, 3, 0);
         reply(950, "y", Verdict.GRANTED, 3, 0);
-        assertEquals(Kind.REQUEST_VOTE, seen.last.get("x").kind());
-        assertEquals(5, seen.last.get("x").fencingToken());
+        assertEquals(Kind.REQUEST_VOTE, effects.lastRequests.get("x").kind());
+        assertEquals(5, effects.lastRequests.get("x").fencingToken());
     }
 
     @Test
-    void releasesAndStandsNoMore() {
-        win();
-        seen.taken();
-        candidate.shutDown(200, seen);
+    void releasesAtShutdownAndElectsNoMore() {
+        acquireLease();
+        effects.drain();
+        candidate.shutDown(200, effects);
         assertFalse(candidate.isLeaseHolder(200));
-        assertEquals(List.of("lost 8", "RELEASE x", "RELEASE y", "RELEASE z"), seen.taken());
+        assertEquals(List.of("lost 8", "RELEASE x", "RELEASE y", "RELEASE z"), effects.drain());
         candidate.onLeaseReleased(200);
-        candidate.tick(99_999, seen);
-        assertEquals(List.of(), seen.taken());
+        candidate.tick(99_999, effects);
+        assertEquals(List.of(), effects.drain());
     }
 
     @Test
-    void triesSoonAfterTheDutyWasLaidDown() {
-        candidate.tick(125, seen);
+    void electsSoonAfterTheLeaseWasReleased() {
+        candidate.tick(125, effects);
         reply(150, "x", Verdict.REJECTED, 3, 2_000);
         reply(150, "y", Verdict.REJECTED, 3, 2_000);
         candidate.onLeaseReleased(300);
@@ -206,34 +207,34 @@
     }
 
     @Test
-    void repliesToAnotherLifeCountForNothing() {
-        candidate.tick(125, seen);
+    void repliesToAnotherIncarnationAreIgnored() {
+        candidate.tick(125, effects);
         for (AcceptorId voter : VOTERS) {
-            VoteRequest earlier = new VoteRequest(Kind.PROBE, "list", "me before", voter.identity(), 1, 0, 0);
+            VoteRequest earlier = new VoteRequest(Kind.PROBE, "list", "me/earlier", voter.identity(), 1, 0, 0);
             VoteState state = new VoteState(3, null, 0);
-            candidate.onVoteReply(130, new VoteReply(earlier, voter.identity(), Verdict.GRANTED, state), seen);
+            candidate.onVoteReply(130, new VoteReply(earlier, voter.identity(), Verdict.GRANTED, state), effects);
         }
-        assertEquals(all(Kind.PROBE), seen.taken());
+        assertEquals(all(Kind.PROBE), effects.drain());
     }
 
     @Test
-    void numbersOfALaterSetAreAboveThoseOfEarlierSets() {
+    void tokensOfALaterSetAreAboveThoseOfEarlierSets() {
         candidate.updateVoterSet(0, new AcceptorSet(2, VOTERS, List.of()));
         candidate.updateVoterSet(0, new AcceptorSet(1, VOTERS.subList(0, 1), List.of()));
-        win();
+        acquireLease();
         assertEquals((2L << 20) + 1, candidate.fencingToken());
     }
 
     @Test
-    void aVoteOfAnotherDiskAtTheAddressCountsForNothingAndIsNotWaitedFor() {
-        candidate.tick(125, seen);
+    void aVoteOfAnotherDiskAtTheAddressDoesNotCountAndIsNotWaitedFor() {
+        candidate.tick(125, effects);
         for (String address : List.of("x", "y")) {
-            VoteReply other =
-                    new VoteReply(seen.last.get(address), address + "2", Verdict.GRANTED, new VoteState(0, null, 0));
-            candidate.onVoteReply(150, other, seen);
+            VoteReply other = new VoteReply(
+                    effects.lastRequests.get(address), address + "2", Verdict.GRANTED, new VoteState(0, null, 0));
+            candidate.onVoteReply(150, other, effects);
         }
         reply(150, "z", Verdict.GRANTED, 3, 0);
-        assertEquals(all(Kind.PROBE), seen.taken());
+        assertEquals(all(Kind.PROBE), effects.drain());
         assertEquals(150 + 250, candidate.nextTickAtMs());
     }
 
@@ -241,17 +242,17 @@
     void aJointSetNeedsBothMajorities() {
         List<AcceptorId> joining = List.of(VOTERS.get(0), new AcceptorId("y", "y2"), new AcceptorId("w", "w1"));
         candidate.updateVoterSet(0, new AcceptorSet(1, VOTERS, joining));
-        candidate.tick(125, seen);
+        candidate.tick(125, effects);
         reply(150, "x", Verdict.GRANTED, 0, 0);
         reply(150, "z", Verdict.GRANTED, 0, 0);
-        assertFalse(seen.events.stream().anyMatch(event -> event.startsWith("REQUEST_VOTE")));
+        assertFalse(effects.events.stream().anyMatch(event -> event.startsWith("REQUEST_VOTE")));
         reply(150, "w", Verdict.GRANTED, 0, 0);
-        assertTrue(seen.events.stream().anyMatch(event -> event.startsWith("REQUEST_VOTE")));
+        assertTrue(effects.events.stream().anyMatch(event -> event.startsWith("REQUEST_VOTE")));
     }
 
     @Test
-    void votesThatComeAfterTheBallotsTimeWinNothing() {
-        candidate.tick(125, seen);
+    void votesAfterTheVoteTimeoutWinNoLease() {
+        candidate.tick(125, effects);
         reply(150, "x", Verdict.GRANTED, 7, 0);
         reply(150, "z", Verdict.GRANTED, 4, 0);
         reply(650, "x", Verdict.GRANTED, 8, 3_000);
@@ -260,32 +261,32 @@
     }
 
     @Test
-    void renewsByANewSetAtOnceButNotOnceTheOldLeaseIsNearlyOver() {
-        win();
+    void renewsByANewSetAtOnceButNotWithinAVoteTimeoutOfTheExpiry() {
+        acquireLease();
         candidate.updateVoterSet(1_000, new AcceptorSet(1, VOTERS, List.of()));
         assertEquals(1_000, candidate.nextTickAtMs());
-        candidate.tick(1_000, seen);
+        candidate.tick(1_000, effects);
         reply(1_010, "x", Verdict.GRANTED, 8, 3_000);
         reply(1_010, "y", Verdict.GRANTED, 8, 3_000);
         assertTrue(candidate.isLeaseHolder(1_000 + 2_849));
-        double late = 1_000 + 2_850 - 499;
-        candidate.updateVoterSet(late, new AcceptorSet(2, VOTERS, List.of()));
-        candidate.tick(late, seen);
-        reply(late + 10, "x", Verdict.GRANTED, 8, 3_000);
-        reply(late + 10, "y", Verdict.GRANTED, 8, 3_000);
+        double lateMs = 1_000 + 2_850 - 499;
+        candidate.updateVoterSet(lateMs, new AcceptorSet(2, VOTERS, List.of()));
+        candidate.tick(lateMs, effects);
+        reply(lateMs + 10, "x", Verdict.GRANTED, 8, 3_000);
+        reply(lateMs + 10, "y", Verdict.GRANTED, 8, 3_000);
         assertFalse(candidate.isLeaseHolder(1_000 + 2_850));
     }
 
     @Test
-    void aPausedHolderReleasesAndStandsAgainAfterThePause() {
-        win();
-        seen.taken();
-        candidate.stepDown(200, 5_000, seen);
+    void aHolderThatStepsDownReleasesAndElectsAgainAfterTheBackoff() {
+        acquireLease();
+        effects.drain();
+        candidate.stepDown(200, 5_000, effects);
         assertFalse(candidate.isLeaseHolder(200));
-        assertEquals(List.of("lost 8", "RELEASE x", "RELEASE y", "RELEASE z"), seen.taken());
+        assertEquals(List.of("lost 8", "RELEASE x", "RELEASE y", "RELEASE z"), effects.drain());
         candidate.onLeaseReleased(210);
         assertEquals(5_200 + 125, candidate.nextTickAtMs());
-        candidate.tick(5_325, seen);
-        assertEquals(all(Kind.PROBE), seen.taken());
+        candidate.tick(5_325, effects);
+        assertEquals(all(Kind.PROBE), effects.drain());
     }
 }
--- a/consensus/src/test/java/dewplank/singleton/LeasePropertyTest.java
+++ b/consensus/src/test/java/dewplank/singleton/LeasePropertyTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dewplank.register.AcceptorId;
-import dewplank.singleton.LeaseSimulation.Sidecar;
+import dewplank.singleton.LeaseSimulation.SimulatedNode;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
@@ -13,130 +13,135 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
 
-/** One holder at a time, rising numbers, and a successor in time, over random histories; a failure prints its seed. */
+/**
+ * One lease holder at a time, rising fencing tokens, and a successor in time, over random histories; a failure prints
+ * its seed.
+ */
 class LeasePropertyTest {
     private static final double LEASE_MS = LeaseSimulation.LEASE_MS;
-    /** Votes and silence of voters that restarted bind for one lease, waits for it end with a delay, ballots follow. */
+    /** Votes bind, and restarted voters abstain, for one lease; then come an election delay and vote rounds. */
     private static final double HEALED_BOUND_MS = 2.5 * LEASE_MS;
 
-    private static final double TROUBLE_MS = 10 * LEASE_MS;
+    private static final double FAULTS_MS = 10 * LEASE_MS;
 
     private static <T> T pick(Random random, List<T> values) {
         return values.get(random.nextInt(values.size()));
     }
 
-    private static void disturb(LeaseSimulation world, Random random) {
-        Sidecar sidecar = pick(random, world.all());
-        Sidecar other = pick(random, world.all());
-        double later = world.now() + random.nextDouble() * 2 * LEASE_MS;
+    private static void injectFault(LeaseSimulation simulation, Random random) {
+        SimulatedNode node = pick(random, simulation.voters());
+        SimulatedNode other = pick(random, simulation.voters());
+        double laterMs = simulation.nowMs() + random.nextDouble() * 2 * LEASE_MS;
         switch (random.nextInt(13)) {
             case 0, 1 -> {
-                sidecar.kill();
-                world.at(later, () -> sidecar.start(LEASE_MS));
+                node.kill();
+                simulation.at(laterMs, () -> node.start(LEASE_MS));
             }
             case 2, 3 -> {
-                sidecar.freeze();
-                world.at(later, sidecar::thaw);
+                node.freeze();
+                simulation.at(laterMs, node::thaw);
             }
-            case 4 -> world.cut(sidecar.name(), other.name());
-            case 5 -> world.trouble(random.nextDouble() * 0.3, random.nextDouble() * 0.2, random.nextDouble() * 0.2);
-            case 6 -> world.healAll();
-            case 7, 8 -> world.changeVoters();
-            case 9, 10 -> wipe(world, sidecar, later, random);
+            case 4 -> simulation.cut(node.name(), other.name());
+            case 5 -> simulation.injectMessageFaults(
+                    random.nextDouble() * 0.3, random.nextDouble() * 0.2, random.nextDouble() * 0.2);
+            case 6 -> simulation.healAll();
+            case 7, 8 -> simulation.changeVoters();
+            case 9, 10 -> wipe(simulation, node, laterMs, random);
             case 11 -> {
-                sidecar.diskFails(true);
-                world.at(later, () -> sidecar.diskFails(false));
+                node.failDisk(true);
+                simulation.at(laterMs, () -> node.failDisk(false));
             }
-            default -> stopOrSplit(world, random, sidecar, later);
+            default -> shutDownOrPartition(simulation, random, node, laterMs);
         }
     }
 
-    /** The keeper puts the new identity in the place of the lost one early, late, or not before all is well. */
-    private static void wipe(LeaseSimulation world, Sidecar sidecar, double later, Random random) {
-        if (!world.mayWipe(sidecar)) {
+    /** The new identity replaces the lost one early, late, or not before all is healed. */
+    private static void wipe(LeaseSimulation simulation, SimulatedNode node, double laterMs, Random random) {
+        if (!simulation.toleratesWipeOf(node)) {
             return;
         }
-        sidecar.wipe();
-        world.at(world.now() + random.nextDouble() * 1_000, () -> sidecar.start(LEASE_MS));
-        world.at(later, () -> repair(world));
+        node.wipe();
+        simulation.at(simulation.nowMs() + random.nextDouble() * 1_000, () -> node.start(LEASE_MS));
+        simulation.at(laterMs, () -> repair(simulation));
     }
 
-    private static void repair(LeaseSimulation world) {
-        List<AcceptorId> wiped = world.wipedMembers();
-        if (!wiped.isEmpty() && !world.isChanging()) {
-            world.replace(wiped.get(0), world.identityAt(wiped.get(0)));
+    private static void repair(LeaseSimulation simulation) {
+        List<AcceptorId> wiped = simulation.wipedMembers();
+        if (!wiped.isEmpty() && !simulation.isChanging()) {
+            simulation.replace(wiped.get(0), simulation.identityAt(wiped.get(0)));
         }
     }
 
-    private static void stopOrSplit(LeaseSimulation world, Random random, Sidecar sidecar, double later) {
+    private static void shutDownOrPartition(
+            LeaseSimulation simulation, Random random, SimulatedNode node, double laterMs) {
         if (random.nextBoolean()) {
-            if (sidecar.isUp()) {
-                sidecar.release();
+            if (node.isUp()) {
+                node.shutDown();
             }
-            world.at(world.now() + 100, sidecar::kill);
-            world.at(later, () -> sidecar.start(LEASE_MS));
+            simulation.at(simulation.nowMs() + 100, node::kill);
+            simulation.at(laterMs, () -> node.start(LEASE_MS));
             return;
         }
-        for (Sidecar near : world.all()) {
-            for (Sidecar far : world.all()) {
-                if (near.name().compareTo(sidecar.name()) < 0 != far.name().compareTo(sidecar.name()) < 0) {
-                    world.cut(near.name(), far.name());
+        for (SimulatedNode near : simulation.voters()) {
+            for (SimulatedNode far : simulation.voters()) {
+                if (near.name().compareTo(node.name()) < 0 != far.name().compareTo(node.name()) < 0) {
+                    simulation.cut(near.name(), far.name());
                 }
             }
         }
     }
 
-    private static LeaseSimulation troubled(Random random) {
-        LeaseSimulation world = new LeaseSimulation(random, 1 + random.nextInt(5));
-        double end = TROUBLE_MS * random.nextDouble();
-        while (world.now() < end) {
-            world.runUntil(world.now() + random.nextDouble() * LEASE_MS);
-            disturb(world, random);
+    private static LeaseSimulation afterFaults(Random random) {
+        LeaseSimulation simulation = new LeaseSimulation(random, 1 + random.nextInt(5));
+        double end = FAULTS_MS * random.nextDouble();
+        while (simulation.nowMs() < end) {
+            simulation.runUntil(simulation.nowMs() + random.nextDouble() * LEASE_MS);
+            injectFault(simulation, random);
         }
-        return world;
+        return simulation;
     }
 
-    /** Heals everything but a minority, which stays down; changes of the set come to their end before. */
-    private static void heal(LeaseSimulation world, Random random) {
-        world.healAll();
-        for (Sidecar sidecar : world.everyone()) {
-            sidecar.diskFails(false);
-            sidecar.thaw();
-            sidecar.start(LEASE_MS);
+    /** Heals everything but a minority, which stays down; changes of the set are completed before. */
+    private static void heal(LeaseSimulation simulation, Random random) {
+        simulation.healAll();
+        for (SimulatedNode node : simulation.nodes()) {
+            node.failDisk(false);
+            node.thaw();
+            node.start(LEASE_MS);
         }
-        double end = world.now() + 10 * LEASE_MS;
-        while (world.isChanging() || !world.wipedMembers().isEmpty()) {
-            assertTrue(world.now() < end, "the set of voters does not settle");
-            repair(world);
-            world.runUntil(world.now() + 50);
+        double end = simulation.nowMs() + 10 * LEASE_MS;
+        while (simulation.isChanging() || !simulation.wipedMembers().isEmpty()) {
+            assertTrue(simulation.nowMs() < end, "the set of voters does not settle");
+            repair(simulation);
+            simulation.runUntil(simulation.nowMs() + 50);
         }
-        List<Sidecar> sidecars = new ArrayList<>(world.all());
-        Collections.shuffle(sidecars, random);
-        int down = random.nextInt((sidecars.size() - 1) / 2 + 1);
-        for (Sidecar sidecar : sidecars.subList(0, down)) {
-            sidecar.kill();
+        List<SimulatedNode> nodes = new ArrayList<>(simulation.voters());
+        Collections.shuffle(nodes, random);
+        int down = random.nextInt((nodes.size() - 1) / 2 + 1);
+        for (SimulatedNode node : nodes.subList(0, down)) {
+            node.kill();
         }
-        for (Sidecar sidecar : sidecars.subList(down, sidecars.size())) {
-            sidecar.thaw();
-            sidecar.start(LEASE_MS);
+        for (SimulatedNode node : nodes.subList(down, nodes.size())) {
+            node.thaw();
+            node.start(LEASE_MS);
         }
     }
 
     @Property(tries = 1000, shrinking = ShrinkingMode.OFF)
-    void oneHolderAtATimeAndASuccessorOnceAMajorityIsWell(@ForAll long seed) {
+    void oneLeaseHolderAtATimeAndASuccessorOnceAMajorityIsHealthy(@ForAll long seed) {
         Random random = new Random(seed);
-        LeaseSimulation world = troubled(random);
-        heal(world, random);
-        // what the troubled phase still planned (late starts, messages seconds late) comes to its end first
-        world.runUntil(world.now() + 2 * LEASE_MS);
-        heal(world, random);
-        // changes planned before may have begun since: their voters give no vote to a new holder for a lease
-        world.runUntilHeld(null, HEALED_BOUND_MS);
-        world.runUntil(world.now() + HEALED_BOUND_MS);
-        Sidecar holder = world.holder();
-        long number = holder.number();
-        world.runUntil(world.now() + 3 * LEASE_MS);
-        assertSame(holder, world.holder());
-        assertTrue(holder.number() == number);
+        LeaseSimulation simulation = afterFaults(random);
+        heal(simulation, random);
+        // what the faults still scheduled (late starts, messages seconds late) happens first
+        simulation.runUntil(simulation.nowMs() + 2 * LEASE_MS);
+        heal(simulation, random);
+        // changes planned before may have begun since: their voters grant nothing to a new holder for a lease
+        simulation.runUntilAcquired(null, HEALED_BOUND_MS);
+        simulation.runUntil(simulation.nowMs() + HEALED_BOUND_MS);
+        SimulatedNode holder = simulation.leaseHolder();
+        long fencingToken = holder.fencingToken();
+        simulation.runUntil(simulation.nowMs() + 3 * LEASE_MS);
+        assertSame(holder, simulation.leaseHolder());
+        assertTrue(holder.fencingToken() == fencingToken);
     }
 }
--- a/consensus/src/test/java/dewplank/singleton/LeaseSimulation.java
+++ b/consensus/src/test/java/dewplank/singleton/LeaseSimulation.java
@@ -14,32 +14,33 @@
 import java.util.TreeSet;
 
 /**
- * Control sidecars, each a voter and a candidate, in simulated time: messages are lost, late and doubled, links are
+ * Control planes, each a voter and a candidate, in simulated time: messages are lost, late and duplicated, links are
  * cut, processes are frozen, killed and started again, disks are late, refuse writes or are wiped, clocks differ. The
  * set of voters changes as the register changes it: a joint set is accepted by majorities of both, then the new one by
- * a majority of its own, one after the other within milliseconds, and whoever was not asked learns of it late. After
- * every event the holders are counted, each by its own clock; every number won must be above all won before.
+ * a majority of its own, one after the other within milliseconds, and those that were not needed learn of it
+ * late. After every event the lease holders are counted, each by its own clock; every fencing token must be above all
+ * before it.
  */
 final class LeaseSimulation {
     static final double LEASE_MS = 3_000;
     static final String DUTY = "list";
     private static final double MAX_DRIFT = 0.005;
-    private static final double PROPOSE_AGAIN_MS = 300;
+    private static final double PROPOSE_RETRY_INTERVAL_MS = 300;
 
     /** A lease, and how long a message and a synced write take at the most. */
-    record Times(double leaseMs, double delayMs, double diskMs) {}
+    record Times(double leaseMs, double maxDelayMs, double maxSyncMs) {}
 
-    /** Far slower than the sites' machines are, next to the lease, so that much crosses. */
+    /** Far slower than the sites' machines are, next to the lease, so that many messages cross. */
     static final Times SLOW = new Times(LEASE_MS, 41, 10);
 
     /** Something that happens at a time. */
-    private record Event(double at, long order, Runnable action) {}
+    private record Event(double atMs, long order, Runnable action) {}
 
     private final Random random;
     private final Times times;
     private final PriorityQueue<Event> events =
-            new PriorityQueue<>(Comparator.comparingDouble(Event::at).thenComparingLong(Event::order));
-    private final Map<String, Sidecar> sidecars = new HashMap<>();
+            new PriorityQueue<>(Comparator.comparingDouble(Event::atMs).thenComparingLong(Event::order));
+    private final Map<String, SimulatedNode> nodes = new HashMap<>();
     private final Set<String> cuts = new TreeSet<>();
     private final Set<AcceptorId> acceptedBy = new HashSet<>();
     private AcceptorSet chosen;
@@ -49,12 +50,12 @@
     private long proposal;
 
     private long order;
-    private double now;
-    private long highestWon;
-    private double loss;
-    private double slow;
-    private double doubled;
-    private int wins;
+    private double nowMs;
+    private long highestToken;
+    private double lossRate;
+    private double lateRate;
+    private double duplicateRate;
+    private int leasesAcquired;
 
     LeaseSimulation(Random random, int count) {
         this(random, count, SLOW);
@@ -68,87 +69,88 @@
             members.add(add().self());
         }
         chosen = AcceptorSet.of(members);
-        for (Sidecar sidecar : all()) {
-            sidecar.learn(chosen);
-            at(now + random.nextDouble() * 300, () -> sidecar.start(0));
+        for (SimulatedNode node : voters()) {
+            node.onSetChosen(chosen);
+            at(nowMs + random.nextDouble() * 300, () -> node.start(0));
         }
     }
 
-    private Sidecar add() {
-        Sidecar sidecar = new Sidecar("n" + sidecars.size());
-        sidecars.put(sidecar.name, sidecar);
-        return sidecar;
+    private SimulatedNode add() {
+        SimulatedNode node = new SimulatedNode("n" + nodes.size());
+        nodes.put(node.name, node);
+        return node;
     }
 
-    /** A sidecar with an empty disk that is no voter yet, and started after all others may have voted. */
-    Sidecar spare() {
-        Sidecar spare = add();
+    /** A node with an empty disk that is no voter yet, and started after all others may have voted. */
+    SimulatedNode spare() {
+        SimulatedNode spare = add();
         spare.start(times.leaseMs());
         return spare;
     }
 
-    /** The part of messages that is lost, that is seconds late, and that comes twice. */
-    void trouble(double lost, double late, double twice) {
-        loss = lost;
-        slow = late;
-        doubled = twice;
+    /** The fractions of messages that are lost, that are seconds late, and that arrive twice. */
+    void injectMessageFaults(double lost, double late, double twice) {
+        lossRate = lost;
+        lateRate = late;
+        duplicateRate = twice;
     }
 
-    int wins() {
-        return wins;
+    int leasesAcquired() {
+        return leasesAcquired;
     }
 
-    double now() {
-        return now;
+    double nowMs() {
+        return nowMs;
     }
 
-    /** The sidecars at the addresses of the newest chosen set. */
-    List<Sidecar> all() {
+    /** The nodes at the addresses of the newest chosen set. */
+    List<SimulatedNode> voters() {
         return chosen.all().stream()
-                .map(voter -> sidecars.get(voter.address()))
+                .map(voter -> nodes.get(voter.address()))
                 .distinct()
                 .toList();
     }
 
-    /** All sidecars that there ever were. */
-    List<Sidecar> everyone() {
-        return sidecars.values().stream()
-                .sorted(Comparator.comparing(Sidecar::name))
+    /** All nodes that there ever were. */
+    List<SimulatedNode> nodes() {
+        return nodes.values().stream()
+                .sorted(Comparator.comparing(SimulatedNode::name))
                 .toList();
     }
 
-    /** What stands at the address of this member now. */
+    /** The identity at the address of this member now. */
     AcceptorId identityAt(AcceptorId member) {
-        return sidecars.get(member.address()).self();
+        return nodes.get(member.address()).self();
     }
 
     boolean isChanging() {
         return proposed != null || chosen.isJoint();
     }
 
-    /** Members whose disk was wiped: nobody there can vote. */
+    /** Members whose disk was wiped: no identity there can vote. */
     List<AcceptorId> wipedMembers() {
         return chosen.members().stream()
-                .filter(voter -> !sidecars.get(voter.address()).self().equals(voter))
+                .filter(voter -> !nodes.get(voter.address()).self().equals(voter))
                 .toList();
     }
 
-    /** Whether the sidecar may lose its disk with a majority left in each set that counts. */
-    boolean mayWipe(Sidecar sidecar) {
-        return mayWipe(sidecar, chosen.members())
-                && mayWipe(sidecar, chosen.joining())
-                && (proposed == null || mayWipe(sidecar, proposed.members()) && mayWipe(sidecar, proposed.joining()));
+    /** Whether the node may lose its disk with a majority left in each set that counts. */
+    boolean toleratesWipeOf(SimulatedNode node) {
+        return toleratesWipeOf(node, chosen.members())
+                && toleratesWipeOf(node, chosen.joining())
+                && (proposed == null
+                        || toleratesWipeOf(node, proposed.members()) && toleratesWipeOf(node, proposed.joining()));
     }
 
-    private boolean mayWipe(Sidecar sidecar, List<AcceptorId> part) {
+    private boolean toleratesWipeOf(SimulatedNode node, List<AcceptorId> part) {
         long left = part.stream()
-                .filter(voter -> !voter.address().equals(sidecar.name)
-                        && sidecars.get(voter.address()).self().equals(voter))
+                .filter(voter -> !voter.address().equals(node.name)
+                        && nodes.get(voter.address()).self().equals(voter))
                 .count();
         return part.isEmpty() || left > part.size() / 2;
     }
 
-    /** Begins to replace one member; the identity that stands there now, where it was wiped. */
+    /** Begins to replace one member; by the identity at its address now, where it was wiped. */
     void replace(AcceptorId member, AcceptorId by) {
         List<AcceptorId> wanted = new ArrayList<>(chosen.members());
         wanted.set(wanted.indexOf(member), by);
@@ -184,26 +186,26 @@
         proposed = next;
         proposal++;
         acceptedBy.clear();
-        proposeAgain(proposal);
+        retryProposal(proposal);
     }
 
-    /** Some sidecar that is up proposes; another one goes on with it where that one ends or is cut off. */
-    private void proposeAgain(long number) {
+    /** A node that is up proposes; another one goes on with it where that one ends or is cut off. */
+    private void retryProposal(long number) {
         if (number != proposal || proposed == null) {
             return;
         }
-        List<Sidecar> up = everyone().stream().filter(Sidecar::isUp).toList();
+        List<SimulatedNode> up = nodes().stream().filter(SimulatedNode::isUp).toList();
         if (!up.isEmpty()) {
-            Sidecar proposer = up.get(random.nextInt(up.size()));
+            SimulatedNode proposer = up.get(random.nextInt(up.size()));
             for (AcceptorId acceptor : proposed.all()) {
-                Sidecar target = sidecars.get(acceptor.address());
+                SimulatedNode target = nodes.get(acceptor.address());
                 deliver(proposer.name, target.name, () -> target.accept(number, acceptor, proposer));
             }
         }
-        at(now + PROPOSE_AGAIN_MS, () -> proposeAgain(number));
+        at(nowMs + PROPOSE_RETRY_INTERVAL_MS, () -> retryProposal(number));
     }
 
-    private void accepted(long number, AcceptorId by, Sidecar proposer) {
+    private void accepted(long number, AcceptorId by, SimulatedNode proposer) {
         if (number != proposal || proposed == null) {
             return;
         }
@@ -211,19 +213,19 @@
         if (proposed.isQuorum(acceptedBy)) {
             chosen = proposed;
             proposed = null;
-            proposer.learn(chosen);
-            tell(chosen);
+            proposer.onSetChosen(chosen);
+            publish(chosen);
             if (chosen.isJoint()) {
                 propose(new AcceptorSet(chosen.generation() + 1, chosen.joining(), List.of()));
             }
         }
     }
 
-    private void tell(AcceptorSet set) {
-        for (Sidecar sidecar : everyone()) {
+    private void publish(AcceptorSet set) {
+        for (SimulatedNode node : nodes()) {
             double lag = random.nextInt(4) == 0 ? random.nextDouble() * 3 * times.leaseMs() : delay();
-            at(now + lag, () -> sidecar.run(sidecar.life, () -> sidecar.learn(set)));
-            at(now + 4 * times.leaseMs(), () -> sidecar.learn(set));
+            at(nowMs + lag, () -> node.run(node.incarnation, () -> node.onSetChosen(set)));
+            at(nowMs + 4 * times.leaseMs(), () -> node.onSetChosen(set));
         }
     }
 
@@ -233,37 +235,38 @@
 
     void healAll() {
         cuts.clear();
-        trouble(0, 0, 0);
+        injectMessageFaults(0, 0, 0);
     }
 
-    /** The one that holds, by its own clock; null where none does. */
-    Sidecar holder() {
-        Sidecar holder = null;
-        for (Sidecar sidecar : sidecars.values()) {
-            if (sidecar.holds()) {
+    /** The lease holder, each by its own clock; null where there is none. */
+    SimulatedNode leaseHolder() {
+        SimulatedNode holder = null;
+        for (SimulatedNode node : nodes.values()) {
+            if (node.isLeaseHolder()) {
                 if (holder != null) {
-                    throw new AssertionError("two holders at " + now + ": " + holder.life + ", " + sidecar.life);
+                    throw new AssertionError(
+                            "two holders at " + nowMs + ": " + holder.incarnation + ", " + node.incarnation);
                 }
-                holder = sidecar;
+                holder = node;
             }
         }
         return holder;
     }
 
     void runUntil(double end) {
-        while (!events.isEmpty() && events.peek().at() <= end) {
+        while (!events.isEmpty() && events.peek().atMs() <= end) {
             step();
         }
-        now = Math.max(now, end);
+        nowMs = Math.max(nowMs, end);
     }
 
-    /** Runs until a duty is held by one that is not the excluded one; the time this took. */
-    double runUntilHeld(Sidecar excluded, double boundMs) {
-        double start = now;
-        while (now < start + boundMs && !events.isEmpty()) {
-            Sidecar holder = holder();
+    /** Runs until a node other than the excluded one holds the lease; returns how long this took, in milliseconds. */
+    double runUntilAcquired(SimulatedNode excluded, double boundMs) {
+        double start = nowMs;
+        while (nowMs < start + boundMs && !events.isEmpty()) {
+            SimulatedNode holder = leaseHolder();
             if (holder != null && holder != excluded) {
-                return now - start;
+                return nowMs - start;
             }
             step();
         }
@@ -272,9 +275,9 @@
 
     private void step() {
         Event event = events.poll();
-        now = Math.max(now, event.at());
+        nowMs = Math.max(nowMs, event.atMs());
         event.action().run();
-        holder();
+        leaseHolder();
     }
 
     void at(double time, Runnable action) {
@@ -283,43 +286,43 @@
 
     private void deliver(String from, String to, Runnable action) {
         if (from.equals(to)) {
-            at(now, action);
+            at(nowMs, action);
             return;
         }
-        if (cuts.contains(from + ">" + to) || random.nextDouble() < loss) {
+        if (cuts.contains(from + ">" + to) || random.nextDouble() < lossRate) {
             return;
         }
-        at(now + delay(), action);
-        if (random.nextDouble() < doubled) {
-            at(now + delay(), action);
+        at(nowMs + delay(), action);
+        if (random.nextDouble() < duplicateRate) {
+            at(nowMs + delay(), action);
         }
     }
 
     private double delay() {
-        return random.nextDouble() < slow
+        return random.nextDouble() < lateRate
                 ? random.nextDouble() * 2 * times.leaseMs()
-                : times.delayMs() * (1 + 40 * random.nextDouble()) / 41;
+                : times.maxDelayMs() * (1 + 40 * random.nextDouble()) / 41;
     }
 
-    /** A control sidecar: its disk outlives its processes. */
-    final class Sidecar {
+    /** A control plane: its disk outlives its processes. */
+    final class SimulatedNode {
         private final String name;
         private final double rate = 1 + (random.nextDouble() * 2 - 1) * MAX_DRIFT;
         private final double offset = random.nextDouble() * 1e6;
-        private final Map<String, Long> disk = new HashMap<>();
-        private final List<Runnable> held = new ArrayList<>();
-        private double diskDoneAt;
-        private AcceptorSet known = AcceptorSet.of(List.of());
+        private final Map<String, Long> persistedTokens = new HashMap<>();
+        private final List<Runnable> deferred = new ArrayList<>();
+        private double diskIdleAtMs;
+        private AcceptorSet chosenSet = AcceptorSet.of(List.of());
         private long acceptedGeneration;
-        private int disks = 1;
+        private int diskCount = 1;
         private boolean diskFails;
-        private int lives;
-        private String life;
+        private int incarnations;
+        private String incarnation;
         private boolean frozen;
         private LeaseVoter voter;
         private Candidate candidate;
 
-        private Sidecar(String name) {
+        private SimulatedNode(String name) {
             this.name = name;
         }
 
@@ -329,85 +332,86 @@
 
         /** The address and the identity of the disk that is there now. */
         AcceptorId self() {
-            return new AcceptorId(name, name + "#" + disks);
+            return new AcceptorId(name, name + "#" + diskCount);
         }
 
         boolean isUp() {
             return voter != null;
         }
 
-        boolean holds() {
+        boolean isLeaseHolder() {
             return isUp() && candidate.isLeaseHolder(clock());
         }
 
-        long number() {
+        long fencingToken() {
             return candidate.fencingToken();
         }
 
         double clock() {
-            return offset + now * rate;
+            return offset + nowMs * rate;
         }
 
-        void start(double silenceMs) {
+        void start(double abstainMs) {
             if (isUp()) {
                 return;
             }
-            lives++;
-            life = name + "/" + lives;
-            voter = new LeaseVoter(self().identity(), times.leaseMs(), clock() + silenceMs, disk);
-            candidate = new Candidate(DUTY, life, LeaseTiming.ofLease(times.leaseMs()), random::nextDouble, clock());
-            tell();
+            incarnations++;
+            incarnation = name + "/" + incarnations;
+            voter = new LeaseVoter(self().identity(), times.leaseMs(), clock() + abstainMs, persistedTokens);
+            candidate =
+                    new Candidate(DUTY, incarnation, LeaseTiming.ofLease(times.leaseMs()), random::nextDouble, clock());
+            updateVoterSets();
             schedule();
         }
 
         /** A chosen set is on disk before anything else is done with it. */
-        private void learn(AcceptorSet set) {
-            if (known.all().isEmpty() || set.generation() > known.generation()) {
-                known = set;
-                tell();
+        private void onSetChosen(AcceptorSet set) {
+            if (chosenSet.all().isEmpty() || set.generation() > chosenSet.generation()) {
+                chosenSet = set;
+                updateVoterSets();
             }
         }
 
-        /** The acceptance is on disk before it is told. */
-        private void accept(long number, AcceptorId as, Sidecar proposer) {
-            run(life, () -> {
+        /** The acceptance is on disk before it is sent. */
+        private void accept(long number, AcceptorId as, SimulatedNode proposer) {
+            run(incarnation, () -> {
                 if (number == proposal && proposed != null && as.equals(self())) {
                     acceptedGeneration = proposed.generation();
-                    tell();
+                    updateVoterSets();
                     deliver(name, proposer.name, () -> accepted(number, as, proposer));
                 }
             });
         }
 
-        private void tell() {
+        private void updateVoterSets() {
             if (isUp()) {
-                voter.updateVoterSet(clock(), known.generation(), acceptedGeneration);
-                candidate.updateVoterSet(clock(), known);
+                voter.updateVoterSet(clock(), chosenSet.generation(), acceptedGeneration);
+                candidate.updateVoterSet(clock(), chosenSet);
             }
         }
 
-        /** Ends it and takes its disk: what is there afterwards has another identity and knows nothing. */
+        /** Ends it and takes its disk: the next one at the address has another identity and no state. */
         void wipe() {
             kill();
-            disks++;
-            disk.clear();
-            known = AcceptorSet.of(List.of());
+            diskCount++;
+            persistedTokens.clear();
+            chosenSet = AcceptorSet.of(List.of());
             acceptedGeneration = 0;
         }
 
-        void diskFails(boolean fails) {
+        void failDisk(boolean fails) {
             diskFails = fails;
         }
 
-        void pause(double pauseMs) {
-            run(life, () -> candidate.stepDown(clock(), pauseMs, new Candidacy()));
+        void stepDown(double backoffMs) {
+            run(incarnation, () -> candidate.stepDown(clock(), backoffMs, new CandidateEffects()));
         }
 
         void kill() {
             voter = null;
             candidate = null;
             frozen = false;
-            held.clear();
+            deferred.clear();
         }
 
         void freeze() {
@@ -416,22 +420,22 @@
 
         void thaw() {
             frozen = false;
-            List<Runnable> due = new ArrayList<>(held);
-            held.clear();
+            List<Runnable> due = new ArrayList<>(deferred);
+            deferred.clear();
             due.forEach(Runnable::run);
         }
 
-        void release() {
-            run(life, () -> candidate.shutDown(clock(), new Candidacy()));
+        void shutDown() {
+            run(incarnation, () -> candidate.shutDown(clock(), new CandidateEffects()));
         }
 
-        /** Runs an action of a life of this sidecar: later where it is frozen, never where that life is over. */
-        private void run(String ofLife, Runnable action) {
-            if (!isUp() || !life.equals(ofLife)) {
+        /** Runs an action of an incarnation of this node: later where it is frozen, never after the end of that one. */
+        private void run(String ofIncarnation, Runnable action) {
+            if (!isUp() || !incarnation.equals(ofIncarnation)) {
                 return;
             }
             if (frozen) {
-                held.add(() -> run(ofLife, action));
+                deferred.add(() -> run(ofIncarnation, action));
             } else {
                 action.run();
                 schedule();
@@ -439,76 +443,77 @@
         }
 
         private void schedule() {
-            String ofLife = life;
-            double wakeAt = candidate.nextTickAtMs();
-            if (wakeAt < Double.POSITIVE_INFINITY) {
-                double time = Math.max(now, (wakeAt - offset) / rate) + random.nextDouble();
-                at(time, () -> wake(ofLife, wakeAt));
+            String ofIncarnation = incarnation;
+            double nextTickAtMs = candidate.nextTickAtMs();
+            if (nextTickAtMs < Double.POSITIVE_INFINITY) {
+                double time = Math.max(nowMs, (nextTickAtMs - offset) / rate) + random.nextDouble();
+                at(time, () -> tick(ofIncarnation, nextTickAtMs));
             }
         }
 
-        private void wake(String ofLife, double wakeAt) {
-            run(ofLife, () -> {
-                if (candidate.nextTickAtMs() == wakeAt) {
-                    candidate.tick(clock(), new Candidacy());
+        private void tick(String ofIncarnation, double nextTickAtMs) {
+            run(ofIncarnation, () -> {
+                if (candidate.nextTickAtMs() == nextTickAtMs) {
+                    candidate.tick(clock(), new CandidateEffects());
                 }
             });
         }
 
-        private void take(VoteRequest request, Sidecar from, String fromLife) {
-            run(life, () -> voter.onVoteRequest(clock(), request, new Votes(from, fromLife)));
+        private void onVoteRequest(VoteRequest request, SimulatedNode from, String fromIncarnation) {
+            run(incarnation, () -> voter.onVoteRequest(clock(), request, new VoterEffects(from, fromIncarnation)));
         }
 
-        /** Sends what the candidate asks for. */
-        private final class Candidacy implements Candidate.Effects {
+        /** Sends the candidate's requests, and checks that fencing tokens rise. */
+        private final class CandidateEffects implements Candidate.Effects {
             @Override
             public void send(AcceptorId to, VoteRequest request) {
-                String fromLife = life;
-                Sidecar target = sidecars.get(to.address());
-                deliver(name, to.address(), () -> target.take(request, Sidecar.this, fromLife));
+                String fromIncarnation = incarnation;
+                SimulatedNode target = nodes.get(to.address());
+                deliver(name, to.address(), () -> target.onVoteRequest(request, SimulatedNode.this, fromIncarnation));
             }
 
             @Override
             public void leaseAcquired(String duty, long fencingToken) {
-                if (fencingToken <= highestWon) {
-                    throw new AssertionError(life + " won " + fencingToken + " after " + highestWon + " at " + now);
+                if (fencingToken <= highestToken) {
+                    throw new AssertionError(
+                            incarnation + " acquired " + fencingToken + " after " + highestToken + " at " + nowMs);
                 }
-                highestWon = fencingToken;
-                wins++;
+                highestToken = fencingToken;
+                leasesAcquired++;
             }
 
             @Override
             public void leaseLost(String duty, long fencingToken) {
                 if (candidate.isLeaseHolder(clock())) {
-                    throw new AssertionError(life + " lost " + fencingToken + " and holds it");
+                    throw new AssertionError(incarnation + " lost " + fencingToken + " and holds it");
                 }
             }
         }
 
-        /** Sends what the voter answers. */
-        private final class Votes implements LeaseVoter.Effects {
-            private final Sidecar to;
-            private final String toLife;
+        /** Persists tokens and sends the voter's replies. */
+        private final class VoterEffects implements LeaseVoter.Effects {
+            private final SimulatedNode to;
+            private final String toIncarnation;
 
-            private Votes(Sidecar to, String toLife) {
+            private VoterEffects(SimulatedNode to, String toIncarnation) {
                 this.to = to;
-                this.toLife = toLife;
+                this.toIncarnation = toIncarnation;
             }
 
             @Override
             public void persistToken(VoteRequest request, VoteReply reply) {
-                String ofLife = life;
-                diskDoneAt = Math.max(diskDoneAt, now) + random.nextDouble() * times.diskMs();
-                at(diskDoneAt, () -> run(ofLife, () -> persisted(request, reply)));
+                String ofIncarnation = incarnation;
+                diskIdleAtMs = Math.max(diskIdleAtMs, nowMs) + random.nextDouble() * times.maxSyncMs();
+                at(diskIdleAtMs, () -> run(ofIncarnation, () -> persisted(request, reply)));
             }
 
             private void persisted(VoteRequest request, VoteReply reply) {
                 boolean torn = diskFails && random.nextBoolean();
                 if (!diskFails || torn) {
-                    if (reply.highestToken() < disk.getOrDefault(request.duty(), 0L)) {
+                    if (reply.highestToken() < persistedTokens.getOrDefault(request.duty(), 0L)) {
                         throw new AssertionError(name + " fell back to " + reply.highestToken());
                     }
-                    disk.put(request.duty(), reply.highestToken());
+                    persistedTokens.put(request.duty(), reply.highestToken());
                 }
                 if (diskFails) {
                     voter.onPersistFailed(clock(), request, this);
@@ -523,7 +528,9 @@
                 deliver(
                         name,
                         to.name,
-                        () -> to.run(toLife, () -> to.candidate.onVoteReply(to.clock(), reply, to.new Candidacy())));
+                        () -> to.run(
+                                toIncarnation,
+                                () -> to.candidate.onVoteReply(to.clock(), reply, to.new CandidateEffects())));
             }
 
             @Override
--- a/consensus/src/test/java/dewplank/singleton/LeaseSuccessionTest.java
+++ b/consensus/src/test/java/dewplank/singleton/LeaseSuccessionTest.java
@@ -4,118 +4,122 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 
 import dewplank.register.AcceptorId;
-import dewplank.singleton.LeaseSimulation.Sidecar;
+import dewplank.singleton.LeaseSimulation.SimulatedNode;
 import java.util.List;
 import java.util.Random;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
 
-/** How long a duty stays vacant where links and disks are well. */
+/** How long a singleton role stays vacant where links and disks are healthy. */
 class LeaseSuccessionTest {
     private static final double LEASE_MS = LeaseSimulation.LEASE_MS;
-    /** A delay, a probe and a ballot; of 3,000 histories the worst split so often that it took half a lease. */
-    private static final double BALLOTS_MS = LEASE_MS;
+    /** A delay, a probe and a vote round; the worst of 3,000 histories split votes for half a lease. */
+    private static final double ELECTION_MS = LEASE_MS;
 
-    private static LeaseSimulation held(long seed) {
+    private static LeaseSimulation withHolder(long seed) {
         Random random = new Random(seed);
-        LeaseSimulation world = new LeaseSimulation(random, 3 + random.nextInt(3));
-        world.runUntilHeld(null, 300 + BALLOTS_MS);
-        world.runUntil(world.now() + random.nextDouble() * 3 * LEASE_MS);
-        return world;
+        LeaseSimulation simulation = new LeaseSimulation(random, 3 + random.nextInt(3));
+        simulation.runUntilAcquired(null, 300 + ELECTION_MS);
+        simulation.runUntil(simulation.nowMs() + random.nextDouble() * 3 * LEASE_MS);
+        return simulation;
     }
 
     @Property(tries = 300, shrinking = ShrinkingMode.OFF)
-    void aHolderStaysWhileItIsWell(@ForAll long seed) {
-        LeaseSimulation world = held(seed);
-        world.runUntil(world.now() + 10 * LEASE_MS);
-        assertEquals(1, world.wins());
+    void aHealthyHolderKeepsTheLease(@ForAll long seed) {
+        LeaseSimulation simulation = withHolder(seed);
+        simulation.runUntil(simulation.nowMs() + 10 * LEASE_MS);
+        assertEquals(1, simulation.leasesAcquired());
     }
 
     @Property(tries = 300, shrinking = ShrinkingMode.OFF)
-    void aKilledHolderIsFollowedOnceItsLeaseHasPassed(@ForAll long seed) {
-        LeaseSimulation world = held(seed);
-        Sidecar holder = world.holder();
+    void aKilledHolderIsSucceededOnceItsLeaseHasExpired(@ForAll long seed) {
+        LeaseSimulation simulation = withHolder(seed);
+        SimulatedNode holder = simulation.leaseHolder();
         holder.kill();
-        world.runUntilHeld(holder, LEASE_MS + BALLOTS_MS);
+        simulation.runUntilAcquired(holder, LEASE_MS + ELECTION_MS);
     }
 
     @Property(tries = 300, shrinking = ShrinkingMode.OFF)
-    void aFrozenHolderIsFollowedAndWinsNothingByThawing(@ForAll long seed) {
-        LeaseSimulation world = held(seed);
-        Sidecar holder = world.holder();
+    void aFrozenHolderIsSucceededAndHasNoLeaseAfterThawing(@ForAll long seed) {
+        LeaseSimulation simulation = withHolder(seed);
+        SimulatedNode holder = simulation.leaseHolder();
         holder.freeze();
-        world.runUntilHeld(holder, LEASE_MS + BALLOTS_MS);
-        Sidecar successor = world.holder();
+        simulation.runUntilAcquired(holder, LEASE_MS + ELECTION_MS);
+        SimulatedNode successor = simulation.leaseHolder();
         holder.thaw();
-        world.runUntil(world.now() + 5 * LEASE_MS);
-        assertEquals(successor, world.holder());
-        assertEquals(2, world.wins());
+        simulation.runUntil(simulation.nowMs() + 5 * LEASE_MS);
+        assertEquals(successor, simulation.leaseHolder());
+        assertEquals(2, simulation.leasesAcquired());
     }
 
     @Property(tries = 300, shrinking = ShrinkingMode.OFF)
-    void aHolderThatLaysTheDutyDownIsFollowedAtOnce(@ForAll long seed) {
-        LeaseSimulation world = held(seed);
-        Sidecar holder = world.holder();
-        holder.release();
-        world.runUntilHeld(holder, BALLOTS_MS);
+    void aHolderThatReleasesTheLeaseIsSucceededAtOnce(@ForAll long seed) {
+        LeaseSimulation simulation = withHolder(seed);
+        SimulatedNode holder = simulation.leaseHolder();
+        holder.shutDown();
+        simulation.runUntilAcquired(holder, ELECTION_MS);
     }
 
     @Property(tries = 300, shrinking = ShrinkingMode.OFF)
-    void afterAllWereKilledTheDutyIsHeldOnceALeaseHasPassed(@ForAll long seed) {
-        LeaseSimulation world = held(seed);
-        for (Sidecar sidecar : world.all()) {
-            sidecar.kill();
-            sidecar.start(LEASE_MS);
+    void afterARestartOfAllTheLeaseIsAcquiredOnceTheAbstentionIsOver(@ForAll long seed) {
+        LeaseSimulation simulation = withHolder(seed);
+        for (SimulatedNode node : simulation.voters()) {
+            node.kill();
+            node.start(LEASE_MS);
         }
-        world.runUntilHeld(null, LEASE_MS + BALLOTS_MS);
+        simulation.runUntilAcquired(null, LEASE_MS + ELECTION_MS);
     }
 
     @Property(tries = 300, shrinking = ShrinkingMode.OFF)
-    void aRollOfAllVotersKeepsTheDutyHeldOrWonAgain(@ForAll long seed) {
-        LeaseSimulation world = held(seed);
-        for (Sidecar sidecar : world.all()) {
-            world.runUntil(world.now() + 2 * LEASE_MS);
-            sidecar.release();
-            world.runUntil(world.now() + 100);
-            sidecar.kill();
-            sidecar.start(LEASE_MS);
-            world.runUntilHeld(null, LEASE_MS + BALLOTS_MS);
+    void aRollingRestartOfAllVotersLeavesNoVacancyBeyondTheBound(@ForAll long seed) {
+        LeaseSimulation simulation = withHolder(seed);
+        for (SimulatedNode node : simulation.voters()) {
+            simulation.runUntil(simulation.nowMs() + 2 * LEASE_MS);
+            node.shutDown();
+            simulation.runUntil(simulation.nowMs() + 100);
+            node.kill();
+            node.start(LEASE_MS);
+            simulation.runUntilAcquired(null, LEASE_MS + ELECTION_MS);
         }
     }
 
-    /** The set still names the lost disk: the two that are left elect, and whoever wins can repair the set. */
+    /** The set still contains the lost disk: the two that are left elect, and the winner can repair the set. */
     @Property(tries = 300, shrinking = ShrinkingMode.OFF)
-    void aWipedHolderOfThreeIsFollowedBeforeTheSetIsRepaired(@ForAll long seed) {
-        LeaseSimulation world = new LeaseSimulation(new Random(seed), 3);
-        world.runUntilHeld(null, 300 + BALLOTS_MS);
-        Sidecar holder = world.holder();
+    void aWipedHolderOfThreeIsSucceededBeforeTheSetIsRepaired(@ForAll long seed) {
+        LeaseSimulation simulation = new LeaseSimulation(new Random(seed), 3);
+        simulation.runUntilAcquired(null, 300 + ELECTION_MS);
+        SimulatedNode holder = simulation.leaseHolder();
         holder.wipe();
         holder.start(LEASE_MS);
-        world.runUntilHeld(holder, LEASE_MS + BALLOTS_MS);
-        AcceptorId lost = world.wipedMembers().get(0);
-        world.replace(lost, world.identityAt(lost));
-        world.runUntil(world.now() + LEASE_MS);
-        assertEquals(List.of(), world.wipedMembers());
-        assertFalse(world.isChanging());
-        assertEquals(2, world.wins());
+        simulation.runUntilAcquired(holder, LEASE_MS + ELECTION_MS);
+        AcceptorId lost = simulation.wipedMembers().get(0);
+        simulation.replace(lost, simulation.identityAt(lost));
+        simulation.runUntil(simulation.nowMs() + LEASE_MS);
+        assertEquals(List.of(), simulation.wipedMembers());
+        assertFalse(simulation.isChanging());
+        assertEquals(2, simulation.leasesAcquired());
     }
 
     @Property(tries = 300, shrinking = ShrinkingMode.OFF)
-    void aHolderThatPausesIsFollowedAndComesBackOnlyAfterItsPause(@ForAll long seed) {
-        LeaseSimulation world = held(seed);
-        Sidecar holder = world.holder();
-        holder.pause(4 * LEASE_MS);
-        world.runUntilHeld(holder, BALLOTS_MS);
-        assertEquals(2, world.wins());
+    void aHolderThatStepsDownIsSucceededAndStaysBackForItsBackoff(@ForAll long seed) {
+        LeaseSimulation simulation = withHolder(seed);
+        SimulatedNode holder = simulation.leaseHolder();
+        holder.stepDown(4 * LEASE_MS);
+        simulation.runUntilAcquired(holder, ELECTION_MS);
+        assertEquals(2, simulation.leasesAcquired());
     }
 
     @Property(tries = 300, shrinking = ShrinkingMode.OFF)
-    void aVoterThatCannotKeepItsNumbersDoesNotKeepTheDutyVacant(@ForAll long seed) {
-        LeaseSimulation world = held(seed);
-        Sidecar holder = world.holder();
-        world.all().stream().filter(s -> s != holder).findFirst().orElseThrow().diskFails(true);
-        holder.release();
-        world.runUntilHeld(holder, BALLOTS_MS);
+    void aVoterThatCannotPersistTokensDoesNotKeepTheRoleVacant(@ForAll long seed) {
+        LeaseSimulation simulation = withHolder(seed);
+        SimulatedNode holder = simulation.leaseHolder();
+        simulation.voters().stream()
+                .filter(s -> s != holder)
+                .findFirst()
+                .orElseThrow()
+                .failDisk(true);
+        holder.shutDown();
+        simulation.runUntilAcquired(holder, ELECTION_MS);
     }
 }
--- a/consensus/src/test/java/dewplank/singleton/LeaseVacancyTest.java
+++ b/consensus/src/test/java/dewplank/singleton/LeaseVacancyTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dewplank.singleton.LeaseSimulation.Sidecar;
+import dewplank.singleton.LeaseSimulation.SimulatedNode;
 import dewplank.singleton.LeaseSimulation.Times;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -16,8 +16,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * How long a duty stays vacant at the lease that the operators' bounds give, and at times as on the sites: from the
- * moment the holder is lost until another one holds it. Prints what it measures.
+ * How long a singleton role stays vacant at the lease that the operators' bounds give, and at times as on the sites:
+ * from the moment the holder is lost until another one has the lease. Prints what it measures.
  */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class LeaseVacancyTest {
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void theLeaseFollowsTheBounds() {
+    void theLeaseFollowsFromTheOperatorsBounds() {
         assertEquals(1_200, LeaseTiming.leaseMs(4_000, 3_000, 3_000));
         assertEquals(1_200, LeaseTiming.leaseMs(6_000, 3_000, 3_000));
         assertEquals(900, LeaseTiming.leaseMs(3_000, 3_000, 3_000));
@@ -48,7 +48,7 @@
 
     @ParameterizedTest
     @CsvSource({"3,1", "5,1", "5,2"})
-    void aLostHolderIsFollowedWithinTwoLeases(int voters, int lost) {
+    void aLostHolderIsSucceededWithinTwoLeases(int voters, int lost) {
         for (Loss loss : Loss.values()) {
             double[] vacant = new double[SEEDS];
             int worst = 0;
@@ -68,21 +68,21 @@
 
     private static double vacancy(long seed, int voters, int lost, Loss loss) {
         Random random = new Random(seed);
-        LeaseSimulation world = new LeaseSimulation(random, voters, TIMES);
-        world.runUntilHeld(null, 300 + LEASE_MS);
-        world.runUntil(world.now() + random.nextDouble() * 3 * LEASE_MS);
-        Sidecar holder = world.holder();
-        List<Sidecar> others = new ArrayList<>(world.all());
+        LeaseSimulation simulation = new LeaseSimulation(random, voters, TIMES);
+        simulation.runUntilAcquired(null, 300 + LEASE_MS);
+        simulation.runUntil(simulation.nowMs() + random.nextDouble() * 3 * LEASE_MS);
+        SimulatedNode holder = simulation.leaseHolder();
+        List<SimulatedNode> others = new ArrayList<>(simulation.voters());
         others.remove(holder);
         Collections.shuffle(others, random);
-        lose(world, holder, loss);
-        for (Sidecar other : others.subList(0, lost - 1)) {
+        lose(simulation, holder, loss);
+        for (SimulatedNode other : others.subList(0, lost - 1)) {
             other.kill();
         }
-        return world.runUntilHeld(holder, 10 * LEASE_MS);
+        return simulation.runUntilAcquired(holder, 10 * LEASE_MS);
     }
 
-    private static void lose(LeaseSimulation world, Sidecar holder, Loss loss) {
+    private static void lose(LeaseSimulation simulation, SimulatedNode holder, Loss loss) {
         switch (loss) {
             case KILLED -> holder.kill();
             case FROZEN -> holder.freeze();
@@ -90,16 +90,16 @@
                 holder.wipe();
                 holder.start(LEASE_MS);
             }
-            default -> world.all().forEach(other -> cut(world, holder, other, loss));
+            default -> simulation.voters().forEach(other -> cut(simulation, holder, other, loss));
         }
     }
 
-    private static void cut(LeaseSimulation world, Sidecar holder, Sidecar other, Loss loss) {
+    private static void cut(LeaseSimulation simulation, SimulatedNode holder, SimulatedNode other, Loss loss) {
         if (other != holder && loss != Loss.MUTE) {
-            world.cut(other.name(), holder.name());
+            simulation.cut(other.name(), holder.name());
         }
         if (other != holder && loss != Loss.DEAF) {
-            world.cut(holder.name(), other.name());
+            simulation.cut(holder.name(), other.name());
         }
     }
 }
--- a/consensus/src/test/java/dewplank/singleton/LeaseVoterTest.java
+++ b/consensus/src/test/java/dewplank/singleton/LeaseVoterTest.java
@@ -13,11 +13,11 @@
 class LeaseVoterTest {
     private static final double LEASE_MS = 3_000;
 
-    /** What a voter asked for. */
-    private final class Seen implements LeaseVoter.Effects {
+    /** What a voter wanted done; its disk writes at once, or fails. */
+    private final class RecordedEffects implements LeaseVoter.Effects {
         private final List<VoteReply> replies = new ArrayList<>();
-        private final List<Long> kept = new ArrayList<>();
-        private final List<String> vacated = new ArrayList<>();
+        private final List<Long> persistedTokens = new ArrayList<>();
+        private final List<String> released = new ArrayList<>();
 
         @Override
         public void persistToken(VoteRequest request, VoteReply reply) {
@@ -25,7 +25,7 @@
                 voter.onPersistFailed(failedAt, request, this);
                 return;
             }
-            kept.add(reply.highestToken());
+            persistedTokens.add(reply.highestToken());
             voter.onTokenPersisted(request);
             replies.add(reply);
         }
@@ -37,27 +37,27 @@
 
         @Override
         public void leaseReleased(String duty) {
-            vacated.add(duty);
+            released.add(duty);
         }
     }
 
-    private final Seen seen = new Seen();
+    private final RecordedEffects effects = new RecordedEffects();
     private final LeaseVoter voter = new LeaseVoter("v", LEASE_MS, 0, Map.of());
     private boolean diskFails;
     private double failedAt;
 
-    private VoteReply vote(LeaseVoter asked, double now, Kind kind, String candidate, long number, long version) {
-        int before = seen.replies.size();
-        asked.onVoteRequest(now, new VoteRequest(kind, "list", candidate, "v", 5, number, version), seen);
-        return seen.replies.size() == before ? null : seen.replies.get(before);
+    private VoteReply vote(LeaseVoter voter, double now, Kind kind, String candidate, long token, long generation) {
+        int before = effects.replies.size();
+        voter.onVoteRequest(now, new VoteRequest(kind, "list", candidate, "v", 5, token, generation), effects);
+        return effects.replies.size() == before ? null : effects.replies.get(before);
     }
 
-    private VoteReply vote(double now, Kind kind, String candidate, long number) {
-        return vote(voter, now, kind, candidate, number, 0);
+    private VoteReply vote(double now, Kind kind, String candidate, long token) {
+        return vote(voter, now, kind, candidate, token, 0);
     }
 
     @Test
-    void bindsItselfForALease() {
+    void aVoteBindsForALease() {
         assertEquals(Verdict.GRANTED, vote(0, Kind.REQUEST_VOTE, "a", 1).verdict());
         VoteReply refused = vote(1_000, Kind.REQUEST_VOTE, "b", 2);
         assertEquals(Verdict.REJECTED, refused.verdict());
@@ -67,11 +67,11 @@
         assertEquals(5, refused.round());
         assertEquals(Verdict.REJECTED, vote(2_999, Kind.PROBE, "b", 2).verdict());
         assertEquals(Verdict.GRANTED, vote(3_000, Kind.REQUEST_VOTE, "b", 2).verdict());
-        assertEquals(List.of(1L, 2L), seen.kept);
+        assertEquals(List.of(1L, 2L), effects.persistedTokens);
     }
 
     @Test
-    void neverVotesTwiceUnderOneNumber() {
+    void neverVotesTwiceUnderOneToken() {
         vote(0, Kind.REQUEST_VOTE, "a", 4);
         assertEquals(Verdict.REJECTED, vote(9_000, Kind.REQUEST_VOTE, "b", 4).verdict());
         assertEquals(Verdict.REJECTED, vote(9_000, Kind.REQUEST_VOTE, "b", 3).verdict());
@@ -81,41 +81,41 @@
     }
 
     @Test
-    void renewsWithoutANewNumberAndWithoutTheDisk() {
+    void renewsUnderTheSameTokenWithoutTheDisk() {
         vote(0, Kind.REQUEST_VOTE, "a", 1);
         assertEquals(Verdict.GRANTED, vote(2_000, Kind.RENEW, "a", 1).verdict());
         assertEquals(Verdict.REJECTED, vote(4_999, Kind.REQUEST_VOTE, "b", 2).verdict());
         assertEquals(Verdict.REJECTED, vote(2_000, Kind.RENEW, "b", 1).verdict());
-        assertEquals(List.of(1L), seen.kept);
+        assertEquals(List.of(1L), effects.persistedTokens);
     }
 
     @Test
-    void probesBindNobody() {
+    void probesDoNotBind() {
         assertEquals(Verdict.GRANTED, vote(0, Kind.PROBE, "a", 7).verdict());
         assertEquals(Verdict.GRANTED, vote(0, Kind.REQUEST_VOTE, "b", 1).verdict());
     }
 
     @Test
-    void isFreeAtOnceWhenTheDutyIsLaidDown() {
+    void isFreeAtOnceWhenTheLeaseIsReleased() {
         vote(0, Kind.REQUEST_VOTE, "a", 1);
         assertNull(vote(10, Kind.RELEASE, "b", 1));
         assertEquals(Verdict.REJECTED, vote(10, Kind.REQUEST_VOTE, "b", 2).verdict());
         vote(10, Kind.RELEASE, "a", 1);
-        assertEquals(List.of("list"), seen.vacated);
+        assertEquals(List.of("list"), effects.released);
         assertEquals(Verdict.REJECTED, vote(10, Kind.RENEW, "a", 1).verdict());
         assertEquals(Verdict.GRANTED, vote(10, Kind.REQUEST_VOTE, "b", 2).verdict());
     }
 
     @Test
-    void aVoteGivenBackIsNoSuccession() {
+    void aWithdrawnVoteIsNoReleasedLease() {
         vote(0, Kind.REQUEST_VOTE, "a", 1);
         vote(10, Kind.WITHDRAW, "a", 1);
-        assertEquals(List.of(), seen.vacated);
+        assertEquals(List.of(), effects.released);
         assertEquals(Verdict.GRANTED, vote(10, Kind.REQUEST_VOTE, "b", 2).verdict());
     }
 
     @Test
-    void abstainsAfterARestartAndKeepsItsNumbers() {
+    void abstainsAfterARestartAndRetainsItsTokens() {
         LeaseVoter restarted = new LeaseVoter("v", LEASE_MS, LEASE_MS, Map.of("list", 6L));
         for (Kind kind : List.of(Kind.PROBE, Kind.REQUEST_VOTE, Kind.RENEW)) {
             VoteReply reply = vote(restarted, 2_000, kind, "a", 7, 0);
@@ -131,26 +131,26 @@
         assertEquals(
                 Verdict.REJECTED,
                 vote(restarted, 3_000, Kind.REQUEST_VOTE, "b", 7, 0).verdict());
-        assertEquals(List.of(), seen.kept);
+        assertEquals(List.of(), effects.persistedTokens);
     }
 
     @Test
-    void answersForNoOtherDiskAndIsNotSilent() {
-        VoteRequest request = new VoteRequest(Kind.REQUEST_VOTE, "list", "a", "the disk before", 5, 1, 0);
-        voter.onVoteRequest(0, request, seen);
-        VoteReply reply = seen.replies.get(0);
+    void rejectsRequestsForAnotherIdentityWithAReply() {
+        VoteRequest request = new VoteRequest(Kind.REQUEST_VOTE, "list", "a", "earlier disk", 5, 1, 0);
+        voter.onVoteRequest(0, request, effects);
+        VoteReply reply = effects.replies.get(0);
         assertEquals(Verdict.WRONG_IDENTITY, reply.verdict());
-        assertEquals("the disk before", reply.requestedIdentity());
+        assertEquals("earlier disk", reply.requestedIdentity());
         assertEquals("v", reply.voterIdentity());
-        assertEquals(List.of(), seen.kept);
+        assertEquals(List.of(), effects.persistedTokens);
         assertEquals(Verdict.GRANTED, vote(0, Kind.REQUEST_VOTE, "b", 1).verdict());
-        voter.onVoteRequest(1, new VoteRequest(Kind.RELEASE, "list", "b", "the disk before", 5, 1, 0), seen);
-        assertEquals(List.of(), seen.vacated);
+        voter.onVoteRequest(1, new VoteRequest(Kind.RELEASE, "list", "b", "earlier disk", 5, 1, 0), effects);
+        assertEquals(List.of(), effects.released);
         assertEquals(Verdict.REJECTED, vote(1, Kind.REQUEST_VOTE, "c", 2).verdict());
     }
 
     @Test
-    void givesNoVoteToANewHolderForALeaseAfterItLearnsOfASet() {
+    void grantsNothingToANewHolderForALeaseAfterANewSet() {
         vote(0, Kind.REQUEST_VOTE, "a", 1);
         voter.updateVoterSet(1_000, 0, 1);
         assertEquals(Verdict.REJECTED, vote(voter, 1_000, Kind.RENEW, "a", 1, 0).verdict());
@@ -168,7 +168,7 @@
     }
 
     @Test
-    void learnsOfASetByWhoCountsByIt() {
+    void learnsOfASetFromTheCandidateThatCountsByIt() {
         assertEquals(
                 Verdict.ABSTAINED, vote(voter, 0, Kind.REQUEST_VOTE, "a", 1, 2).verdict());
         assertEquals(
@@ -180,7 +180,7 @@
     }
 
     @Test
-    void whatWasAcceptedAndNeverChosenBindsNoLonger() {
+    void aSetThatWasAcceptedAndNeverChosenBindsNoLonger() {
         voter.updateVoterSet(0, 2, 3);
         assertEquals(
                 Verdict.REJECTED,
@@ -192,7 +192,7 @@
     }
 
     @Test
-    void aVoterThatCannotKeepANumberGivesNoVoteAndSaysSo() {
+    void abstainsWithAReplyWhereATokenCannotBePersisted() {
         diskFails = true;
         VoteReply reply = vote(0, Kind.REQUEST_VOTE, "a", 1);
         assertEquals(Verdict.ABSTAINED, reply.verdict());
@@ -200,27 +200,27 @@
         assertEquals(Verdict.ABSTAINED, vote(1, Kind.PROBE, "b", 1).verdict());
         assertEquals(Verdict.ABSTAINED, vote(1, Kind.RENEW, "a", 1).verdict());
         diskFails = false;
-        double later = LEASE_MS / 4;
-        assertEquals(Verdict.REJECTED, vote(later, Kind.REQUEST_VOTE, "b", 1).verdict());
-        assertEquals(List.of(), seen.kept);
-        assertEquals(Verdict.GRANTED, vote(later, Kind.REQUEST_VOTE, "b", 2).verdict());
-        assertEquals(List.of(2L), seen.kept);
+        double laterMs = LEASE_MS / 4;
+        assertEquals(Verdict.REJECTED, vote(laterMs, Kind.REQUEST_VOTE, "b", 1).verdict());
+        assertEquals(List.of(), effects.persistedTokens);
+        assertEquals(Verdict.GRANTED, vote(laterMs, Kind.REQUEST_VOTE, "b", 2).verdict());
+        assertEquals(List.of(2L), effects.persistedTokens);
     }
 
     @Test
-    void aRenewalThatNeedsTheDiskWaitsForItAndNoOther() {
+    void onlyARenewalThatNeedsTheDiskWaitsForIt() {
         diskFails = true;
         vote(0, Kind.REQUEST_VOTE, "a", 3);
         diskFails = false;
         assertEquals(Verdict.GRANTED, vote(LEASE_MS, Kind.RENEW, "a", 3).verdict());
-        assertEquals(List.of(3L), seen.kept);
+        assertEquals(List.of(3L), effects.persistedTokens);
         diskFails = true;
         assertEquals(Verdict.GRANTED, vote(LEASE_MS, Kind.RENEW, "a", 3).verdict());
-        assertEquals(List.of(3L), seen.kept);
+        assertEquals(List.of(3L), effects.persistedTokens);
     }
 
     @Test
-    void refusesCandidatesThatCountByAnOlderList() {
+    void rejectsCandidatesThatCountByAnOlderSet() {
         voter.updateVoterSet(-LEASE_MS, 3, 0);
         assertEquals(Verdict.REJECTED, vote(voter, 0, Kind.PROBE, "a", 1, 2).verdict());
         assertEquals(
