--- a/controlplane/src/main/java/dewplank/controlplane/Bootstrap.java
+++ b/controlplane/src/main/java/dewplank/controlplane/Bootstrap.java
@@ -6,14 +6,21 @@
 import dewplank.store.StoreException;
 import java.util.List;
 
-/** How the first set of acceptors comes about: when nothing is known but the seeds, these are it. */
+/**
+ * The bootstrap of the fleet: at its first start the seeds of the settings are the first acceptors, each with an
+ * identity that follows from its address. Called while a process is created, before its loop runs.
+ */
 final class Bootstrap {
     private Bootstrap() {}
 
-    /** The disk of this process, or its memory where it has none. */
+    /**
+     * Opens the storage of this process: its disk, or its memory where it has none.
+     *
+     * @throws StoreException if the disk can't be used
+     */
     static Storage storage(NodeSettings settings, ControlEnvironment environment, MessageCodec codec, String address)
             throws StoreException {
-        String identityIfNew = settings.initialStart() ? founder(address) : environment.newIdentity();
+        String identityIfNew = settings.initialStart() ? bootstrapIdentity(address) : environment.newIdentity();
         if (settings.dataDirectory() == null) {
             return new MemoryStorage(environment.scheduler(), identityIfNew, seeds(settings), settings.initialStart());
         }
@@ -21,16 +28,16 @@
                 settings, identityIfNew, seeds(settings), environment.files(), environment.disk(), codec);
     }
 
-    /** The acceptors at the very first start, for a process that was there; others learn of them. */
+    /** The first set of acceptors, for a process that was one of them; empty for others, which receive the set. */
     static List<AcceptorId> initialAcceptors(Storage storage, String address) {
-        return storage.identity().equals(founder(address))
+        return storage.identity().equals(bootstrapIdentity(address))
                 ? storage.founders().stream()
-                        .map(a -> new AcceptorId(a, founder(a)))
+                        .map(a -> new AcceptorId(a, bootstrapIdentity(a)))
                         .toList()
                 : List.of();
     }
 
-    /** Where the settings' seeds listen to other control sidecars. */
+    /** Addresses of the seeds on the links between control planes, as IP:PORT. */
     static List<String> seeds(NodeSettings settings) {
         return settings.seeds().stream()
                 .map(s -> s.getAddress().getHostAddress() + ":" + settings.internalPorts()[0])
@@ -38,7 +45,7 @@
     }
 
     /** The identity of a disk that was empty when the whole system started for the first time. */
-    private static String founder(String address) {
+    private static String bootstrapIdentity(String address) {
         return "founder@" + address;
     }
 }
--- a/controlplane/src/main/java/dewplank/controlplane/ConfigurationCalls.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ConfigurationCalls.java
@@ -18,7 +18,7 @@
     private static final double CHANGE_TIMEOUT_MS = 850;
 
     private static final double READ_TIMEOUT_MS = 850;
-    /** Callers give a large body more time, and parsing and storing it takes more. */
+    /** A large configuration takes longer to send, to parse and to store. */
     private static final double LARGE_CHANGE_TIMEOUT_MS = 1_500;
 
     private static final int LARGE_CHANGE_BYTES = 64 * 1024;
--- a/controlplane/src/main/java/dewplank/controlplane/ConfigurationStore.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ConfigurationStore.java
@@ -21,22 +21,36 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The configuration in the replicated register: drives the register's steps with messages, the disk and time. */
+/**
+ * The configuration in the replicated register: drives {@link Register}, which is pure, with messages, the disk and
+ * time.
+ *
+ * <p>On the loop's thread only. A request ends with exactly one {@link Outcome}, at its deadline at the latest; none
+ * throws.
+ */
 final class ConfigurationStore implements Register.Effects, OperatorApi.Configurations, SingletonRoles.Voters {
     private static final Logger LOG = LoggerFactory.getLogger(ConfigurationStore.class);
     private static final double TICK_INTERVAL_MS = 25;
-    private static final double ROUND_TIMEOUT_MS = 250; // a round takes two ways and two syncs: a few ms when calm
+    /** A round takes two round trips and two synced writes: a few milliseconds on an idle machine. */
+    private static final double ROUND_TIMEOUT_MS = 250;
+    /** Bounds of the random backoff before a round is retried. */
     private static final double RETRY_MIN_MS = 10;
+
     private static final double RETRY_MAX_MS = 120;
+    /** Peers compare what they have chosen this often. */
     private static final double ANTI_ENTROPY_INTERVAL_MS = 400;
 
-    /** Where states are kept. */
+    /** Where the acceptor's states are stored. */
     interface Disk {
-        /** Saves and syncs; says on the loop whether that worked. */
+        /**
+         * Saves and syncs.
+         *
+         * @param done takes whether that succeeded, in a later task of the loop
+         */
         void save(DurableState state, Consumer<Boolean> done);
     }
 
-    /** What the register needs of its environment. */
+    /** What the register needs of its environment. On the loop's thread. */
     interface RegisterEnvironment {
         void send(String address, RegisterMessage message);
 
@@ -90,12 +104,12 @@
         register.handleMessage(loop.now(), message, this);
     }
 
-    /** Another control sidecar can be reached, which may know more. */
+    /** A control plane has become reachable: queries it for what it has chosen, which may be newer. */
     void queryPeer(String address) {
         register.queryStatus(loop.now(), address, this);
     }
 
-    // ---- what the register wants done -----------------------------------------------------------------
+    // ---- effects of the register ------ -----------------------------------------------------------------
 
     @Override
     public void send(String address, RegisterMessage message) {
@@ -150,12 +164,12 @@
     }
 
     /**
-     * Makes the wanted acceptors those that decide.
+     * Changes the set of acceptors.
      *
-     * @param expectedGeneration that of the set on which this was decided; nothing is changed if another is in force
-     * @param then runs when the change is done or given up
+     * @param expectedGeneration of the set that the change was computed from; nothing is changed if another is in force
+     * @param then runs when the change has ended, whatever its outcome
      */
-    void replaceAcceptors(long expectedGeneration, List<AcceptorId> wanted, double withinMs, Runnable then) {
+    void replaceAcceptors(long expectedGeneration, List<AcceptorId> target, double withinMs, Runnable then) {
         register.reconfigure(
                 loop.now(),
                 request(outcome -> {
@@ -168,7 +182,7 @@
                     }
                 }),
                 expectedGeneration,
-                wanted,
+                target,
                 loop.now() + withinMs,
                 this);
     }
@@ -189,13 +203,13 @@
         return register.acceptedGeneration();
     }
 
-    /** Milliseconds since a question was sent that a quorum answered; -1 where none was in this life. */
+    /** Milliseconds since the last request that a quorum answered was sent; -1 where none was in this incarnation. */
     long quorumAgeMs() {
         double at = register.lastQuorumAtMs();
         return at == Double.NEGATIVE_INFINITY ? -1 : Math.round(loop.now() - at);
     }
 
-    /** Whether a quorum's answer within so many milliseconds shows that nothing newer is chosen than is known here. */
+    /** Whether a quorum has confirmed within so many milliseconds that the value here is the newest. */
     boolean isCurrent(double withinMs) {
         return register.isCurrent(loop.now(), withinMs);
     }
--- a/controlplane/src/main/java/dewplank/controlplane/ControlEnvironment.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ControlEnvironment.java
@@ -9,8 +9,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * All that a control plane takes from outside: time, chance, links, the disk, the platform, model servers and the
- * operators' calls. The shipped program gets the machine's, a simulation its own.
+ * All that a control plane takes from outside: time, random numbers, links, the disk, the platform, model servers and
+ * the operators' calls. {@link SystemEnvironment} is the machine's; a simulation supplies its own.
  */
 interface ControlEnvironment {
     Scheduler scheduler();
@@ -18,10 +18,10 @@
     /** The time of day in milliseconds, which may jump. */
     long wallClockMs();
 
-    /** Differs from life to life of a process. */
+    /** Seeded anew for each incarnation of a process. */
     RandomGenerator random();
 
-    /** The identity of a disk that nobody has seen before. */
+    /** A new identity for an empty disk, different from all others. */
     String newIdentity();
 
     MessageTransport transport();
@@ -34,9 +34,13 @@
 
     ModelServerClient modelServers();
 
-    /** Where operators' calls for this interface come in. */
+    /**
+     * Opens the address on which operators call; it accepts calls from {@link ServerEndpoint#accept} on.
+     *
+     * @throws IOException where the address can't be listened on
+     */
     ServerEndpoint operators(OperatorApi api) throws IOException;
 
-    /** Ends links and timers; the process is about to end. */
+    /** Ends links and timers: the process is about to exit. */
     void stop();
 }
--- a/controlplane/src/main/java/dewplank/controlplane/DiskStorage.java
+++ b/controlplane/src/main/java/dewplank/controlplane/DiskStorage.java
@@ -17,7 +17,7 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** A disk: the acceptor's state and fencing numbers, written apart from the loop. */
+/** The storage of a process with a disk: files below its data directory, written by the disk's executor. */
 final class DiskStorage implements Storage {
     private final AcceptorStore store;
     private final DiskExecutor executor;
@@ -29,10 +29,12 @@
     private boolean listSavePending;
 
     /**
-     * Opens what is there.
+     * Opens the files, or creates them.
      *
      * @param identityIfNew the identity that an empty disk gets
-     * @param seeds addresses of the first acceptors as the settings name them now
+     * @param seeds addresses of the first acceptors as the settings name them now; stored at the first start, and of no
+     *     effect later
+     * @throws StoreException if the directory or a file in it can't be used
      */
     DiskStorage(
             NodeSettings settings,
--- a/controlplane/src/main/java/dewplank/controlplane/HttpModelServerClient.java
+++ b/controlplane/src/main/java/dewplank/controlplane/HttpModelServerClient.java
@@ -15,7 +15,7 @@
 import java.util.Map;
 import java.util.function.BooleanSupplier;
 
-/** Calls to model servers over HTTP, on connections that are kept for a while. */
+/** Requests to model servers over HTTP, on pooled connections. On the loop's thread only. */
 final class HttpModelServerClient implements ModelServerClient {
     private static final double CALL_TIMEOUT_MS = 600;
     private static final double CONNECT_TIMEOUT_MS = 300;
--- a/controlplane/src/main/java/dewplank/controlplane/HttpPlatformClient.java
+++ b/controlplane/src/main/java/dewplank/controlplane/HttpPlatformClient.java
@@ -17,12 +17,15 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Asks the platform for its list of servers over HTTP, page by page. */
+/**
+ * Reads the platform's list of servers over HTTP, page by page, within its rate limit. On the loop's thread only; any
+ * failure ends the whole reading.
+ */
 final class HttpPlatformClient implements PlatformClient {
     private static final double CALL_TIMEOUT_MS = 1_000;
     private static final double CONNECT_TIMEOUT_MS = 500;
     private static final int MAX_PAGES = 1_000;
-    /** Of the rate that the platform allows: for a moment two holders may ask, when in doubt. */
+    /** Of the rate that the platform allows: for a moment two processes may take themselves for the lease holder. */
     private static final double OWN_FRACTION_OF_RATE = 0.5;
 
     private static final double SECOND_MS = 1_000;
@@ -64,7 +67,7 @@
             this.callback = callback;
         }
 
-        /** Asks for the page as soon as the rate allows: a refused page would cost the whole reading. */
+        /** Requests the page as soon as the rate limit allows: a page refused would cost the whole reading. */
         void page(String token) {
             double now = loop.now();
             while (!recentCallsAt.isEmpty() && recentCallsAt.peekFirst() <= now - SECOND_MS) {
--- a/controlplane/src/main/java/dewplank/controlplane/MemoryStorage.java
+++ b/controlplane/src/main/java/dewplank/controlplane/MemoryStorage.java
@@ -9,8 +9,8 @@
 import java.util.function.Consumer;
 
 /**
- * The storage of a process without a disk, which lasts as long as the process. It is an acceptor only while the whole
- * system starts for the first time and its address is among the seeds, until one with a disk has taken its place.
+ * The storage of a process without a disk, which lasts as long as the process. Such a process is an acceptor only at
+ * the bootstrap of the fleet, if its address is among the seeds, until a process with a disk has replaced it.
  */
 final class MemoryStorage implements Storage {
     private final Scheduler loop;
@@ -61,7 +61,7 @@
     }
 
     @Override
-    public void saveList(EndpointList list) {} // the next one begins without
+    public void saveList(EndpointList list) {} // nothing outlasts the process
 
     @Override
     public void close() {}
--- a/controlplane/src/main/java/dewplank/controlplane/SocketAddresses.java
+++ b/controlplane/src/main/java/dewplank/controlplane/SocketAddresses.java
@@ -4,7 +4,7 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** SocketAddresses as messages and lists write them. */
+/** Parses addresses as messages and lists write them. */
 final class SocketAddresses {
     private SocketAddresses() {}
 
--- a/controlplane/src/main/java/dewplank/controlplane/Storage.java
+++ b/controlplane/src/main/java/dewplank/controlplane/Storage.java
@@ -7,8 +7,13 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** What a process keeps: the acceptor's state, fencing numbers, the list of servers. */
+/**
+ * What a control plane stores: its acceptor's state, the fencing tokens that it has voted for, the last endpoint list.
+ *
+ * <p>Called on the loop's thread only; writes are done apart from it, and their results arrive on it in a later task.
+ */
 interface Storage extends ConfigurationStore.Disk {
+    /** The acceptor's state as it was when this process started. */
     DurableState recovered();
 
     /** The acceptor's identity. */
@@ -16,22 +21,28 @@
         return recovered().identity();
     }
 
-    /** SocketAddresses of the acceptors that the fleet began with. */
+    /** Addresses of the acceptors that the fleet was bootstrapped with, as IP:PORT. */
     List<String> founders();
 
-    /** Whether the whole system starts for the first time: nothing can have been promised before. */
+    /** Whether the fleet starts for the first time: no vote and no promise can have been given before. */
     boolean firstStart();
 
+    /** The highest fencing token voted for, by role, as it was when this process started. */
     Map<String, Long> fencingTokens();
 
-    /** Keeps the highest fencing number of a duty; says on the loop whether that worked. */
+    /**
+     * Saves the highest fencing token voted for.
+     *
+     * @param done takes whether the token is on the disk
+     */
     void saveFencingToken(String role, long token, Consumer<Boolean> done);
 
-    /** The list of servers as it was when last saved; empty where there is none. */
+    /** The endpoint list as it was last saved; empty where there is none, or none that can be read. */
     Optional<EndpointList> savedList();
 
-    /** Saves the newest list, for a quicker start; a failure only costs that. */
+    /** Saves the newest endpoint list, for a quicker start; a failure only costs that. */
     void saveList(EndpointList list);
 
+    /** Waits for writes in flight and closes the files. */
     void close();
 }
