--- a/balancer/src/main/java/dewplank/balancer/health/ObservationWindow.java
+++ b/balancer/src/main/java/dewplank/balancer/health/ObservationWindow.java
@@ -2,22 +2,39 @@
 
 import java.util.ArrayDeque;
 
-/** What {@link ServerHealth} remembers of one context, newest last. */
+/** The recent observations of one context, oldest first. */
 final class ObservationWindow {
-    final ArrayDeque<Double> times = new ArrayDeque<>();
-    final ArrayDeque<Boolean> healthy = new ArrayDeque<>();
-    int unhealthy;
-
-    void add(double at, boolean ok) {
-        times.addLast(at);
-        healthy.addLast(ok);
-        unhealthy += ok ? 0 : 1;
+    private final ArrayDeque<Double> timesMs = new ArrayDeque<>();
+    private final ArrayDeque<Boolean> outcomes = new ArrayDeque<>();
+    private int unhealthyCount;
+
+    void add(double atMs, boolean isHealthy) {
+        timesMs.addLast(atMs);
+        outcomes.addLast(isHealthy);
+        unhealthyCount += isHealthy ? 0 : 1;
     }
 
-    void forgetBefore(double since) {
-        while (!times.isEmpty() && times.peekFirst() < since) {
-            times.removeFirst();
-            unhealthy -= healthy.removeFirst() ? 0 : 1;
+    void removeBefore(double sinceMs) {
+        while (!timesMs.isEmpty() && timesMs.peekFirst() < sinceMs) {
+            timesMs.removeFirst();
+            unhealthyCount -= outcomes.removeFirst() ? 0 : 1;
         }
     }
+
+    int size() {
+        return outcomes.size();
+    }
+
+    int unhealthyCount() {
+        return unhealthyCount;
+    }
+
+    boolean latestIsUnhealthy() {
+        return unhealthyCount > 0 && !outcomes.peekLast();
+    }
+
+    /** The window must not be empty. */
+    double latestAtMs() {
+        return timesMs.peekLast();
+    }
 }
--- a/balancer/src/main/java/dewplank/balancer/health/PeerVotes.java
+++ b/balancer/src/main/java/dewplank/balancer/health/PeerVotes.java
@@ -3,15 +3,23 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The peers' latest summaries, each counted as a vote while it is fresh. Times in milliseconds. */
+/**
+ * The peers' latest summaries, each counted as a vote while it is fresh. Times are in milliseconds of the
+ * clock that all machines read. Not thread-safe.
+ *
+ * @param <P> how peers are told apart, such as their number
+ */
 public final class PeerVotes<P> {
-    private static final double FRESH_MS = 3_000; // a peer's summary counts so long
+    private static final double MAX_AGE_MS = 3_000; // a summary counts so long
 
     private final Map<P, PeerSummary> summaries = new LinkedHashMap<>();
 
-    /** One that comes late, twice, after a newer one, or from a time still to come changes nothing. */
-    public void receive(double now, P peer, PeerSummary summary) {
-        if (Math.abs(now - summary.createdAtMs()) <= FRESH_MS) {
+    /**
+     * Takes a summary; one that is overdue, repeated, overtaken by a newer one, or from the future changes
+     * nothing.
+     */
+    public void receive(double nowMs, P peer, PeerSummary summary) {
+        if (Math.abs(nowMs - summary.createdAtMs()) <= MAX_AGE_MS) {
             summaries.merge(peer, summary, PeerVotes::newer);
         }
     }
@@ -20,22 +28,24 @@
         return last.createdAtMs() < received.createdAtMs() ? received : last;
     }
 
-    /** The peer has left. */
+    /** The peer has left; it has no vote until its next summary. */
     public void remove(P peer) {
         summaries.remove(peer);
     }
 
     /**
-     * Whether a simple majority of votes finds the server unhealthy. A tie goes by own traffic: a quiet peer
-     * that has seen nothing must not outvote the only other.
+     * Whether a simple majority of votes finds the server unhealthy. A tie goes by own traffic: a quiet
+     * peer that has seen nothing must not outvote the only other.
+     *
+     * @param ownVote whether this process finds it unhealthy
      */
-    public boolean isUnhealthy(double now, String server, boolean ownVote) {
+    public boolean isUnhealthy(double nowMs, String server, boolean ownVote) {
         int votes = ownVote ? 1 : 0;
         int voters = 1;
-        for (PeerSummary s : summaries.values()) {
-            if (now - s.createdAtMs() <= FRESH_MS) {
+        for (PeerSummary summary : summaries.values()) {
+            if (nowMs - summary.createdAtMs() <= MAX_AGE_MS) {
                 voters++;
-                votes += s.unhealthyServers().contains(server.hashCode()) ? 1 : 0;
+                votes += summary.unhealthyServers().contains(server.hashCode()) ? 1 : 0;
             }
         }
         return 2 * votes > voters || 2 * votes == voters && ownVote;
