--- a/balancer/src/main/java/dewplank/balancer/WeightedDraw.java
+++ b/balancer/src/main/java/dewplank/balancer/WeightedDraw.java
@@ -5,7 +5,7 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Draws at random by weight; a second draw that excludes the first gives "the power of two items"
+ * Draws at random by weight; a second draw that excludes the first gives "the power of two choices"
  * (Mitzenmacher, IEEE TPDS 12(10), 2001). Stateless.
  */
 public final class WeightedDraw {
