--- /dev/null
+++ b/sidecar/src/main/java/dewplank/sidecar/GracefulShutdown.java
@@ -0,0 +1,82 @@
+package dewplank.sidecar;
+
+import dewplank.net.EventLoop;
+import dewplank.net.Listener;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+
+/**
+ * Drains a sidecar: it serves on for a while, then accepts no more, closes idle connections and waits for the rest.
+ *
+ * <p>{@link #run} is called once, on a thread other than the event loop's, and blocks it. All else runs on the loop.
+ */
+final class GracefulShutdown {
+    private static final System.Logger LOG = System.getLogger(GracefulShutdown.class.getName());
+    private static final double POLL_INTERVAL_MS = 10;
+    /** A request half read when the listener closes gets this long to become complete. */
+    private static final double MAX_READ_AFTER_CLOSE_MS = 500;
+    /** A connection that closes gracefully takes a second at most. */
+    private static final double TIMEOUT_MARGIN_MS = 1_500;
+
+    private final EventLoop loop;
+    private final BalancerHost host;
+    private final ClientConnections clients;
+    private final Listener listener;
+    private final CountDownLatch started = new CountDownLatch(1);
+    private final CountDownLatch drained = new CountDownLatch(1);
+
+    GracefulShutdown(EventLoop loop, BalancerHost host, ClientConnections clients, Listener listener) {
+        this.loop = loop;
+        this.host = host;
+        this.clients = clients;
+        this.listener = listener;
+    }
+
+    /** Returns when all is closed, or 1.5 s after {@code completeByMs}, with a warning in the log. */
+    void run(DrainSchedule schedule) throws InterruptedException {
+        loop.execute(() -> start(schedule));
+        double maxWaitMs = schedule.completeByMs() + TIMEOUT_MARGIN_MS;
+        if (!drained.await((long) maxWaitMs, TimeUnit.MILLISECONDS)) {
+            LOG.log(System.Logger.Level.WARNING, "draining did not end within {0} ms", Long.toString((long) maxWaitMs));
+        }
+    }
+
+    /** Returns once {@link #run} has been called and the loop has started to drain. */
+    void awaitStarted() throws InterruptedException {
+        started.await();
+    }
+
+    private void start(DrainSchedule schedule) {
+        LOG.log(System.Logger.Level.INFO, "draining: {0} requests open", host.openRequestCount());
+        clients.startDraining();
+        host.completeAllBy(loop.now() + schedule.completeByMs());
+        double untilMs = loop.now() + schedule.acceptForMs();
+        loop.after(
+                Math.min(DrainSchedule.MIN_ACCEPT_AFTER_TERM_MS, schedule.acceptForMs()),
+                () -> serveUntil(untilMs, (schedule.completeByMs() - schedule.acceptForMs()) / 2));
+        started.countDown();
+    }
+
+    /** Serves until then, or until there are no clients left; then accepts no more. */
+    private void serveUntil(double untilMs, double maxReadMs) {
+        if (loop.now() < untilMs && !clients.isEmpty()) {
+            loop.after(POLL_INTERVAL_MS, () -> serveUntil(untilMs, maxReadMs));
+            return;
+        }
+        clients.startClosing();
+        listener.close();
+        closeWhenIdle(loop.now() + Math.min(MAX_READ_AFTER_CLOSE_MS, maxReadMs));
+    }
+
+    private void closeWhenIdle(double readUntilMs) {
+        clients.closeIdle(loop.now() >= readUntilMs);
+        // Connections that still close count too: the program's end would reset one on which bytes have come meanwhile.
+        if (clients.isEmpty() && host.openRequestCount() == 0 && !listener.hasOpenConnections()) {
+            host.close();
+            LOG.log(System.Logger.Level.INFO, "drained");
+            loop.after(POLL_INTERVAL_MS, drained::countDown); // the last responses are on their way out
+        } else {
+            loop.after(POLL_INTERVAL_MS, () -> closeWhenIdle(readUntilMs));
+        }
+    }
+}
--- a/sidecar/src/main/java/dewplank/sidecar/HttpAttempt.java
+++ b/sidecar/src/main/java/dewplank/sidecar/HttpAttempt.java
@@ -133,10 +133,6 @@
         end(Outcome.CANCELLED);
     }
 
-    boolean hasEnded() {
-        return hasEnded;
-    }
-
     /** Closes what has not gone back to the pool: a late answer must not meet the connection's next request. */
     private void end(Outcome outcome) {
         if (hasEnded) {
--- a/sidecar/src/main/java/dewplank/sidecar/Rehearsal.java
+++ b/sidecar/src/main/java/dewplank/sidecar/Rehearsal.java
@@ -71,7 +71,7 @@
         MessageWriter request = MessageWriter.request("POST", "/_health", "rehearsal")
                 .header("X-Trace-Id", "0")
                 .header("X-Qos", "rehearsal")
-                .header(BalancerHost.EXPIRES_IN_HEADER, "1000");
+                .header(AttemptDispatcher.EXPIRES_IN_HEADER, "1000");
         new HttpAttempt(
                         loop,
                         ownAddress,
--- /dev/null
+++ b/sidecar/src/main/java/dewplank/sidecar/ServerConnections.java
@@ -0,0 +1,96 @@
+package dewplank.sidecar;
+
+import dewplank.exchange.ConnectionPool;
+import dewplank.net.EventLoop;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.function.Predicate;
+
+/**
+ * The connections to servers: one pool of idle ones per server, and one bound on idle and busy ones together.
+ *
+ * <p>{@link AttemptDispatcher} and {@link BalancerHost} call it. All methods run on the event loop's thread.
+ */
+final class ServerConnections {
+    private static final System.Logger LOG = System.getLogger(ServerConnections.class.getName());
+    private static final double SWEEP_INTERVAL_MS = 1_000;
+    private static final double LIMIT_LOG_INTERVAL_MS = 1_000;
+    /** Of the server's idle time-out. A request that crossed the server's close would be reset. */
+    private static final double IDLE_TIMEOUT_FRACTION = 0.9;
+
+    private final EventLoop loop;
+    private final double maxIdleMs;
+    private final int maxConnections;
+    private final Map<String, ConnectionPool> poolByServer = new HashMap<>();
+    private int attemptsInFlight;
+    private double limitLoggedAtMs;
+
+    /**
+     * @param serverIdleTimeoutMs after which servers close an idle connection; 0 where they never do
+     * @param maxConnections idle and busy together
+     */
+    ServerConnections(EventLoop loop, double serverIdleTimeoutMs, int maxConnections) {
+        this.loop = loop;
+        this.maxIdleMs =
+                serverIdleTimeoutMs > 0 ? IDLE_TIMEOUT_FRACTION * serverIdleTimeoutMs : Double.POSITIVE_INFINITY;
+        this.maxConnections = maxConnections;
+    }
+
+    /** Starts the sweep that closes connections idle for too long. */
+    void start() {
+        loop.after(SWEEP_INTERVAL_MS, this::sweep);
+    }
+
+    /** The pool of this server, created at the first call. */
+    ConnectionPool poolOf(String server) {
+        return poolByServer.computeIfAbsent(
+                server, id -> new ConnectionPool(loop, ConnectionPool.REUSE_DELAY_MS, maxIdleMs));
+    }
+
+    /**
+     * Makes sure that one more attempt may open a connection; at the bound the longest idle one is closed for it.
+     *
+     * @return false where all connections are busy; the attempt must not start
+     */
+    boolean hasCapacity() {
+        int idle = poolByServer.values().stream().mapToInt(ConnectionPool::size).sum();
+        if (attemptsInFlight + idle < maxConnections) {
+            return true;
+        }
+        if (loop.now() - limitLoggedAtMs > LIMIT_LOG_INTERVAL_MS) { // a line per attempt would only add to the load
+            limitLoggedAtMs = loop.now();
+            LOG.log(System.Logger.Level.WARNING, "server connections at their bound of {0}", maxConnections);
+        }
+        return poolByServer.values().stream().anyMatch(ConnectionPool::closeOldest);
+    }
+
+    /** Counts an attempt's connection as busy, until {@link #attemptEnded}. */
+    void attemptStarted() {
+        attemptsInFlight++;
+    }
+
+    void attemptEnded() {
+        attemptsInFlight--;
+    }
+
+    boolean hasAttemptsInFlight() {
+        return attemptsInFlight > 0;
+    }
+
+    /** Drops the pools of servers that were removed. Over a day servers come and go with ever new ids. */
+    void closeRemoved(Predicate<String> isRemoved) {
+        poolByServer.entrySet().removeIf(entry -> {
+            boolean removed = isRemoved.test(entry.getKey());
+            if (removed) {
+                entry.getValue().close();
+            }
+            return removed;
+        });
+    }
+
+    /** Closes idle connections before the server does. */
+    private void sweep() {
+        poolByServer.values().forEach(ConnectionPool::closeExpired);
+        loop.after(SWEEP_INTERVAL_MS, this::sweep);
+    }
+}
--- a/sidecar/src/main/java/dewplank/sidecar/config/SidecarConfig.java
+++ b/sidecar/src/main/java/dewplank/sidecar/config/SidecarConfig.java
@@ -32,6 +32,18 @@
         PeerAddresses peers) {
     private static final int DEFAULT_MAX_SOCKETS = 1_024;
     private static final int MIN_MAX_SOCKETS = 256;
+    /** For the JVM's own descriptors, the listener and the watch on discovery. */
+    private static final int RESERVED_SOCKETS = 40;
+
+    /** Clients may have half of the descriptors; the rest is for servers. */
+    public int maxClientConnections() {
+        return maxSockets / 2;
+    }
+
+    /** Idle and busy together. */
+    public int maxServerConnections() {
+        return maxSockets - maxClientConnections() - RESERVED_SOCKETS;
+    }
 
     /** Reads the file that {@code GW_CONFIG} names; {@code GW_NAME} and the addresses stand above the file's. */
     public static SidecarConfig fromEnvironment(Map<String, String> environment) {
--- a/sidecar/src/test/java/dewplank/sidecar/ClientDisconnectTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/ClientDisconnectTest.java
@@ -145,10 +145,11 @@
             ReceivedRequest call = net.servers.get(0).next();
             CompletableFuture<Boolean> ended = new CompletableFuture<>();
             LoopbackNetwork.background(() -> {
-                net.sidecar.drain(1, 5_000);
+                net.sidecar.drain(new DrainSchedule(1, 5_000));
                 ended.complete(closed.get());
             });
-            while (!BalancerEventLatch.callOnLoop(net, () -> net.sidecar.closing())) {
+            while (!BalancerEventLatch.callOnLoop(
+                    net, () -> net.sidecar.clients().isClosing())) {
                 Thread.onSpinWait();
             }
             call.respond("200 OK", "");
--- a/sidecar/src/test/java/dewplank/sidecar/ConnectionCloseTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/ConnectionCloseTest.java
@@ -32,7 +32,7 @@
             Client client = resting(net);
             BalancerEventLatch.callOnLoop(net, () -> {
                 client.sendRequest("menu-read");
-                net.sidecar.closeIdle(true);
+                net.sidecar.clients().closeIdle(true);
                 return null;
             });
             assertNull(client.read());
@@ -47,7 +47,7 @@
             client.sendRequest("menu-read");
             ReceivedRequest call = net.servers.get(0).next();
             BalancerEventLatch.callOnLoop(net, () -> {
-                net.sidecar.closeIdle(true);
+                net.sidecar.clients().closeIdle(true);
                 return null;
             });
             call.respond("200 OK", "whole");
@@ -61,7 +61,7 @@
             Client first = halfRead(net, 1);
             Client second = halfRead(net, 2);
             BalancerEventLatch.callOnLoop(net, () -> {
-                net.sidecar.closeIdle(false);
+                net.sidecar.clients().closeIdle(false);
                 return null;
             });
             first.send("cd");
@@ -71,7 +71,7 @@
             assertTrue(first.read().endsWith("\r\n\r\nwhole"));
             BalancerEventLatch.callOnLoop(net, () -> {
                 second.send("cd"); // the rest crosses the end
-                net.sidecar.closeIdle(true);
+                net.sidecar.clients().closeIdle(true);
                 return null;
             });
             assertNull(second.read());
@@ -147,7 +147,7 @@
         }
     }
 
-    /** Whatever way out a request takes, nothing of it is kept: served, failed, turned away, left, malformed, too late. */
+    /** Nothing of a request is retained however it ends: served, failed, rejected, abandoned, malformed, overdue. */
     @Test
     public void nothingIsKeptOnAnyWayOut() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
@@ -221,7 +221,7 @@
     private static Client halfRead(LoopbackNetwork net, int heard) throws Exception {
         Client client = net.client();
         client.send(Client.request("menu-read", "Content-Length: 4\r\n") + "ab");
-        await(() -> onLoop(net, net.sidecar::activeClientCount) == heard);
+        await(() -> onLoop(net, () -> net.sidecar.clients().activeCount()) == heard);
         return client;
     }
 
--- a/sidecar/src/test/java/dewplank/sidecar/SidecarTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/SidecarTest.java
@@ -234,7 +234,7 @@
     public void connectionsThatAskNothingMakeRoom() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             List<Client> idle = new ArrayList<>();
-            for (int i = 0; i <= BalancerHost.maxClientConnections(net.config) / Sidecar.IDLE_CAPACITY_DIVISOR; i++) {
+            for (int i = 0; i <= net.config.maxClientConnections() / ClientConnections.IDLE_CAPACITY_DIVISOR; i++) {
                 idle.add(net.client());
                 idle.get(i).send("GET /_health HTTP/1.1\r\n\r\n");
                 assertStatus("200", idle.get(i).read());
@@ -291,7 +291,7 @@
 
     private static List<Client> asManyAsThereIsRoomFor(LoopbackNetwork net) throws IOException {
         List<Client> kept = new ArrayList<>();
-        for (int i = 0; i < BalancerHost.maxClientConnections(net.config) / Sidecar.IDLE_CAPACITY_DIVISOR; i++) {
+        for (int i = 0; i < net.config.maxClientConnections() / ClientConnections.IDLE_CAPACITY_DIVISOR; i++) {
             Client one = net.client();
             one.send("GET /_health HTTP/1.1\r\n\r\n");
             String answer = one.read();
@@ -327,7 +327,7 @@
     public void silentConnectionsAtTheBoundMakeRoomSoon() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             List<Client> silent = new ArrayList<>();
-            for (int i = 0; i < BalancerHost.maxClientConnections(net.config); i++) {
+            for (int i = 0; i < net.config.maxClientConnections(); i++) {
                 silent.add(net.client());
             }
             Client late = net.client();
@@ -402,7 +402,7 @@
             }
         };
         try (LoopbackNetwork net = new LoopbackNetwork(1, s -> s, sendsAll)) {
-            for (int i = 0; i < BalancerHost.maxServerConnections(net.config); i++) {
+            for (int i = 0; i < net.config.maxServerConnections(); i++) {
                 net.client().sendRequest("order-place");
                 net.servers.get(0).next();
             }
@@ -479,9 +479,9 @@
     /** By the protocol's figures: 0.7 s after the longest deadline, which counts as 3 s at the most. */
     @Test
     public void requestsAreTakenUntilTheyCouldNotBeAnsweredBeforeAKill() {
-        assertEquals(new Sidecar.DrainSchedule(2_750, 3_500), Sidecar.DrainSchedule.of(6_000, 750));
-        assertEquals(new Sidecar.DrainSchedule(1_300, 1_700), Sidecar.DrainSchedule.of(1_200, 400));
-        assertEquals(new Sidecar.DrainSchedule(600, 1_500), Sidecar.DrainSchedule.of(1_000, 2_000));
+        assertEquals(new DrainSchedule(2_750, 3_500), DrainSchedule.of(6_000, 750));
+        assertEquals(new DrainSchedule(1_300, 1_700), DrainSchedule.of(1_200, 400));
+        assertEquals(new DrainSchedule(600, 1_500), DrainSchedule.of(1_000, 2_000));
     }
 
     private static void serve(LoopbackNetwork net, Client client, String body) throws Exception {
@@ -492,7 +492,7 @@
 
     private static FutureTask<Void> drain(LoopbackNetwork net, double takeOnMs, double answerByMs) {
         FutureTask<Void> drain = new FutureTask<>(() -> {
-            net.sidecar.drain(takeOnMs, answerByMs);
+            net.sidecar.drain(new DrainSchedule(takeOnMs, answerByMs));
             return null;
         });
         Thread thread = new Thread(drain);
