--- a/sidecar/src/test/java/dewplank/simhost/WireTest.java
+++ b/sidecar/src/test/java/dewplank/simhost/WireTest.java
@@ -41,7 +41,8 @@
     @Test
     void aTranscript() throws IOException {
         String out = run(START + "[\"END\"]\n"
-                + "[\"TURN\",1004.25,2]\n[\"INBOUND\",3,2565059112505796,null,\"user:a\",1,\"look\",540.0,12.0]\n[\"END\"]\n"
+                + "[\"TURN\",1004.25,2]\n"
+                + "[\"INBOUND\",3,2565059112505796,null,\"user:a\",1,\"look\",540.0,12.0]\n[\"END\"]\n"
                 + "[\"TURN\",1030.5,3]\n"
                 + "[\"FINISHED\",3,2565059112505796,0,\"10.0.0.1:80\",\"success\",26.25,true,null]\n"
                 + "[\"ABANDONED\",3,2565059112505796]\n[\"DEADLINE_HIT\",3,1]\n[\"END\"]\n"
