--- a/consensus/src/main/java/dewplank/singleton/Candidate.java
+++ b/consensus/src/main/java/dewplank/singleton/Candidate.java
@@ -31,7 +31,7 @@
         void send(AcceptorId voter, VoteRequest request);
 
         /**
-         * The lease is held from now on.
+         * The candidate is lease holder from now on.
          *
          * @param duty the role
          * @param fencingToken the token of the lease
@@ -39,7 +39,7 @@
         void leaseAcquired(String duty, long fencingToken);
 
         /**
-         * The lease is held no more.
+         * The candidate is lease holder no more.
          *
          * @param duty the role
          * @param fencingToken the token of the lease
@@ -157,7 +157,7 @@
     }
 
     /**
-     * Releases the lease, where it is held, and takes part in no election for a while: another process may be able to
+     * Releases the lease, where there is one, and takes part in no election for a while: another process may be able to
      * do what this one can't.
      *
      * @param nowMs the time by the candidate's steady clock
@@ -179,7 +179,7 @@
     }
 
     /**
-     * Releases the lease, where it is held, and takes part in no election any more.
+     * Releases the lease, where there is one, and takes part in no election any more.
      *
      * @param nowMs the time by the candidate's steady clock
      * @param effects takes what is to be done
@@ -198,7 +198,7 @@
     }
 
     /**
-     * Whether the lease is held: to be asked immediately before each act that rests on it (invariant 6).
+     * Whether the candidate is lease holder: to be checked immediately before each act that rests on it (invariant 6).
      *
      * @param nowMs the time by the candidate's steady clock
      */
@@ -206,7 +206,7 @@
         return state instanceof LeaseHolderState lease && !lease.isExpired(nowMs);
     }
 
-    /** The fencing token of the lease that is or was held last; 0 where none ever was. */
+    /** The fencing token of the present or the last lease; 0 where there never was one. */
     public long fencingToken() {
         return fencingToken;
     }
--- a/consensus/src/main/java/dewplank/singleton/ProbingState.java
+++ b/consensus/src/main/java/dewplank/singleton/ProbingState.java
@@ -1,6 +1,6 @@
 package dewplank.singleton;
 
-/** Has asked the voters whether a majority of them is free, as Raft's pre-vote does; this binds no voter. */
+/** Has sent a probe, to learn whether a majority is free; binds no voter, like a pre-vote of Raft. */
 final class ProbingState implements CandidateState {
     private final VoteRound round;
     private final double timeoutAtMs;
