--- a/cli/src/main/java/dewplank/OperatorCommands.java
+++ b/cli/src/main/java/dewplank/OperatorCommands.java
@@ -1,15 +1,15 @@
 package dewplank;
 
-import dewplank.client.Answer;
 import dewplank.client.Change;
 import dewplank.client.ConfigurationChanges;
 import dewplank.client.ConfigurationDifference;
 import dewplank.client.ConfigurationText;
-import dewplank.client.ControlAddresses;
 import dewplank.client.ControlCall;
 import dewplank.client.ControlClient;
+import dewplank.client.ControlResponse;
 import dewplank.client.FleetText;
 import dewplank.client.JsonValues;
+import dewplank.client.OperatorApiAddresses;
 import dewplank.client.RouteExplanation;
 import dewplank.client.SettingsCheck;
 import dewplank.configuration.Configuration;
@@ -71,16 +71,16 @@
     }
 
     /** Reads {@code HOST:PORT,HOST:PORT}. */
-    public static final class AddressesHandler extends OneArgumentOptionHandler<ControlAddresses> {
-        public AddressesHandler(CmdLineParser parser, OptionDef option, Setter<? super ControlAddresses> setter) {
+    public static final class AddressesHandler extends OneArgumentOptionHandler<OperatorApiAddresses> {
+        public AddressesHandler(CmdLineParser parser, OptionDef option, Setter<? super OperatorApiAddresses> setter) {
             super(parser, option, setter);
         }
 
         @Override
         @SuppressWarnings("deprecation") // the other constructor asks for a message of a bundle
-        protected ControlAddresses parse(String text) throws CmdLineException {
+        protected OperatorApiAddresses parse(String text) throws CmdLineException {
             try {
-                return ControlAddresses.parse(text);
+                return OperatorApiAddresses.parse(text);
             } catch (IllegalArgumentException e) {
                 throw new CmdLineException(owner, "--at: " + e.getMessage());
             }
@@ -94,7 +94,7 @@
                 metaVar = "HOST:PORT[,HOST:PORT...]",
                 handler = AddressesHandler.class,
                 usage = "the control sidecars to ask, in this order")
-        private ControlAddresses at;
+        private OperatorApiAddresses at;
 
         @Option(
                 name = "--settings",
@@ -124,9 +124,9 @@
             return new ControlClient(at != null ? at : seeds(settings), rounds);
         }
 
-        private static ControlAddresses seeds(Path file) {
+        private static OperatorApiAddresses seeds(Path file) {
             try {
-                return ControlAddresses.of(NodeSettings.read(file).seeds());
+                return OperatorApiAddresses.ofSeeds(NodeSettings.read(file).seeds());
             } catch (IllegalArgumentException e) {
                 throw InvalidInputException.of(
                         ResultCode.KEY_OUT_OF_RANGE, "seed_nodes of " + file + ": " + e.getMessage());
@@ -147,8 +147,8 @@
     public static final class Get extends FleetCommand {
         @Override
         public void run() throws IOException, InterruptedException {
-            Answer answer = new ConfigurationChanges(client()).read();
-            print(answer.text(), json() ? "" : ConfigurationText.of(ConfigurationChanges.parsed(answer)));
+            ControlResponse answer = new ConfigurationChanges(client()).read();
+            print(answer.text(), json() ? "" : ConfigurationText.of(ConfigurationChanges.parse(answer)));
         }
     }
 
@@ -171,7 +171,7 @@
                 usage = "the version that it builds on, 0 for the first; default: the current one, which is read first")
         private Long on;
 
-        abstract Answer send(ConfigurationChanges changes, byte[] body, Long version)
+        abstract ControlResponse send(ConfigurationChanges changes, byte[] body, Long version)
                 throws IOException, InterruptedException;
 
         @Override
@@ -179,11 +179,11 @@
             if (on != null && on < 0) {
                 throw new WrongUseException("--on should be 0 or above");
             }
-            Answer answer = send(new ConfigurationChanges(client()), bytes(file), on);
-            if (!answer.done() && json()) {
+            ControlResponse answer = send(new ConfigurationChanges(client()), bytes(file), on);
+            if (!answer.isSuccess() && json()) {
                 print(answer.text(), "");
             }
-            answer.orRefused();
+            answer.requireSuccess();
             print(answer.text(), answer.result().replaceAll(": $", "") + " by " + answer.address());
         }
     }
@@ -191,7 +191,8 @@
     /** Puts a whole configuration in place. */
     public static final class Put extends FileChange {
         @Override
-        Answer send(ConfigurationChanges changes, byte[] body, Long version) throws IOException, InterruptedException {
+        ControlResponse send(ConfigurationChanges changes, byte[] body, Long version)
+                throws IOException, InterruptedException {
             return changes.put(body, version);
         }
     }
@@ -199,7 +200,8 @@
     /** Changes items of the configuration. */
     public static final class Patch extends FileChange {
         @Override
-        Answer send(ConfigurationChanges changes, byte[] body, Long version) throws IOException, InterruptedException {
+        ControlResponse send(ConfigurationChanges changes, byte[] body, Long version)
+                throws IOException, InterruptedException {
             return changes.patch(body, version);
         }
     }
@@ -213,7 +215,7 @@
         public void run() throws IOException, InterruptedException {
             byte[] body = bytes(file);
             Configuration current = new ConfigurationChanges(client()).current();
-            Configuration next = ConfigurationChanges.changed(current, body);
+            Configuration next = ConfigurationChanges.apply(current, body);
             List<Change> changes = ConfigurationDifference.between(current, next);
             StringBuilder text = new StringBuilder();
             changes.forEach(c -> text.append(c.line()).append('\n'));
@@ -229,7 +231,7 @@
             out.put("from", current == null ? 0 : current.version());
             out.put("to", next.version());
             out.put("changes", changes.stream().map(Change::fields).toList());
-            return JsonValues.text(out);
+            return JsonValues.toJson(out);
         }
     }
 
@@ -237,7 +239,7 @@
     public static final class Members extends FleetCommand {
         @Override
         public void run() throws IOException, InterruptedException {
-            Answer answer = client().call(ControlCall.get("/members")).orRefused();
+            ControlResponse answer = client().call(ControlCall.get("/members")).requireSuccess();
             print(answer.text(), FleetText.members(answer));
         }
     }
@@ -247,7 +249,7 @@
         @Override
         public void run() throws IOException, InterruptedException {
             ControlClient client = client();
-            Map<String, Answer> answers = client.callEach(ControlCall.get("/duties"));
+            Map<String, ControlResponse> answers = client.callEach(ControlCall.get("/duties"));
             print(FleetText.json(client.addresses(), answers), FleetText.duties(client.addresses(), answers));
         }
     }
@@ -263,11 +265,12 @@
         @Override
         public void run() throws IOException, InterruptedException {
             if (instance != null) {
-                Answer answer = client().call(ControlCall.server(instance)).orRefused();
+                ControlResponse answer =
+                        client().call(ControlCall.server(instance)).requireSuccess();
                 print(answer.text(), FleetText.server(answer));
                 return;
             }
-            Answer answer = client().call(ControlCall.get("/servers")).orRefused();
+            ControlResponse answer = client().call(ControlCall.get("/servers")).requireSuccess();
             print(answer.text(), FleetText.servers(answer, service));
         }
     }
@@ -277,7 +280,7 @@
         @Override
         public void run() throws IOException, InterruptedException {
             ControlClient client = client();
-            Map<String, Answer> answers = client.callEach(ControlCall.get("/status"));
+            Map<String, ControlResponse> answers = client.callEach(ControlCall.get("/status"));
             print(FleetText.json(client.addresses(), answers), FleetText.status(client.addresses(), answers));
         }
     }
@@ -296,8 +299,8 @@
                 throw new WrongUseException("PATH should begin with a slash");
             }
             ControlClient client = client();
-            Configuration configuration = ConfigurationChanges.parsed(new ConfigurationChanges(client).read());
-            Answer servers = client.call(ControlCall.get("/servers")).orRefused();
+            Configuration configuration = ConfigurationChanges.parse(new ConfigurationChanges(client).read());
+            ControlResponse servers = client.call(ControlCall.get("/servers")).requireSuccess();
             RouteExplanation explanation = RouteExplanation.of(configuration, servers, host, path);
             print(explanation.json(), explanation.text());
         }
--- a/cli/src/main/java/dewplank/OperatorMain.java
+++ b/cli/src/main/java/dewplank/OperatorMain.java
@@ -1,6 +1,6 @@
 package dewplank;
 
-import dewplank.client.NoAnswerException;
+import dewplank.client.NoResponseException;
 import dewplank.settings.InvalidInputException;
 import java.io.IOException;
 import java.util.List;
@@ -34,7 +34,7 @@
         } catch (CmdLineException | OperatorCommands.WrongUseException e) {
             CommandLine.printError(e.getMessage() + "\n" + Help.usage(args));
             return CommandLine.WRONG_USAGE;
-        } catch (NoAnswerException e) {
+        } catch (NoResponseException e) {
             return failed(NO_ANSWER, e);
         } catch (InvalidInputException | IOException e) {
             return failed(CommandLine.FAILED, e);
--- a/client/src/main/java/dewplank/client/Change.java
+++ b/client/src/main/java/dewplank/client/Change.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 
 /**
- * One difference of two configurations.
+ * One difference between two configurations.
  *
  * @param path   where it is, such as {@code routes[r-1].timeout_ms}
  * @param before the value before; null for what was added
@@ -28,7 +28,7 @@
         }
     }
 
-    /** Its parts by name, for JSON. */
+    /** Returns its parts by name, for JSON. */
     public Map<String, Object> fields() {
         Map<String, Object> fields = new LinkedHashMap<>();
         fields.put("change", kind.name().toLowerCase(Locale.ROOT));
@@ -38,13 +38,13 @@
         return fields;
     }
 
-    /** One line to read. */
+    /** Returns it as one line of text. */
     public String line() {
         String values =
                 switch (kind) {
-                    case ADDED -> JsonValues.text(after);
-                    case REMOVED -> JsonValues.text(before);
-                    case CHANGED -> JsonValues.text(before) + " -> " + JsonValues.text(after);
+                    case ADDED -> JsonValues.toJson(after);
+                    case REMOVED -> JsonValues.toJson(before);
+                    case CHANGED -> JsonValues.toJson(before) + " -> " + JsonValues.toJson(after);
                 };
         return kind.sign + " " + path + " " + values;
     }
--- a/client/src/main/java/dewplank/client/ConfigurationChanges.java
+++ b/client/src/main/java/dewplank/client/ConfigurationChanges.java
@@ -8,54 +8,55 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 
-/** Reads, changes and tries out configurations by way of control sidecars. */
+/** Reads, changes and previews configurations through the operators' API. */
 public final class ConfigurationChanges {
     private final ControlClient client;
 
-    /** Calls through that client. */
+    /** Creates one that calls through this client. */
     public ConfigurationChanges(ControlClient client) {
         this.client = client;
     }
 
-    /** The newest configuration as it came. */
-    public Answer read() throws NoAnswerException, InterruptedException {
-        return client.call(ControlCall.configuration()).orRefused();
+    /** Returns the response with the current configuration. */
+    public ControlResponse read() throws NoResponseException, InterruptedException {
+        return client.call(ControlCall.configuration()).requireSuccess();
     }
 
-    /** The newest configuration; null before the first. */
-    public Configuration current() throws NoAnswerException, InterruptedException {
-        Answer answer = client.call(ControlCall.configuration());
-        if (answer.is(ResultCode.NO_CONFIGURATION)) {
+    /** Returns the current configuration; null before the first. */
+    public Configuration current() throws NoResponseException, InterruptedException {
+        ControlResponse answer = client.call(ControlCall.configuration());
+        if (answer.hasResult(ResultCode.NO_CONFIGURATION)) {
             return null;
         }
-        return parsed(answer.orRefused());
+        return parse(answer.requireSuccess());
     }
 
-    private long currentVersion() throws NoAnswerException, InterruptedException {
+    private long currentVersion() throws NoResponseException, InterruptedException {
         Configuration current = current();
         return current == null ? 0 : current.version();
     }
 
-    /** Puts a whole configuration on top of that version, or of the current one where it is null. */
-    public Answer put(byte[] configuration, Long on) throws NoAnswerException, InterruptedException {
-        return change(ControlCall.put(on == null ? currentVersion() : on, configuration));
+    /** Replaces the configuration of this version by a complete one; null means the current version. */
+    public ControlResponse put(byte[] configuration, Long expectedVersion)
+            throws NoResponseException, InterruptedException {
+        return change(ControlCall.put(expectedVersion == null ? currentVersion() : expectedVersion, configuration));
     }
 
-    /** Changes items on top of that version, or of the current one where it is null. */
-    public Answer patch(byte[] patch, Long on) throws NoAnswerException, InterruptedException {
-        return change(ControlCall.patch(on == null ? currentVersion() : on, patch));
+    /** Applies a patch of items to this version; null means the current version. */
+    public ControlResponse patch(byte[] patch, Long expectedVersion) throws NoResponseException, InterruptedException {
+        return change(ControlCall.patch(expectedVersion == null ? currentVersion() : expectedVersion, patch));
     }
 
-    private Answer change(ControlCall call) throws NoAnswerException, InterruptedException {
+    private ControlResponse change(ControlCall call) throws NoResponseException, InterruptedException {
         try {
             return client.call(call);
-        } catch (NoAnswerException e) {
-            throw e.ofChange(call.on());
+        } catch (NoResponseException e) {
+            throw e.forChange(call.expectedVersion());
         }
     }
 
-    /** The configuration that a control sidecar gave. */
-    public static Configuration parsed(Answer answer) {
+    /** Parses the configuration that a control plane sent. */
+    public static Configuration parse(ControlResponse answer) {
         try {
             return Configuration.parse(answer.body());
         } catch (InvalidConfigurationException e) {
@@ -64,8 +65,11 @@
         }
     }
 
-    /** The configuration that a file leads to: itself, or with {@code upsert} or {@code remove} one on top of it. */
-    public static Configuration changed(Configuration current, byte[] file) {
+    /**
+     * Returns the configuration that a file would lead to: the file itself, or the current one with the file's patch if
+     * it has {@code upsert} or {@code remove}.
+     */
+    public static Configuration apply(Configuration current, byte[] file) {
         try {
             if (!isPatch(file)) {
                 return Configuration.parse(file);
@@ -84,7 +88,7 @@
             Map<String, Object> fields = Json.object(new String(file, StandardCharsets.UTF_8));
             return fields.containsKey("upsert") || fields.containsKey("remove");
         } catch (InvalidInputException unreadable) {
-            return false; // the configuration's own reader says what is wrong
+            return false; // The configuration's own reader reports what is wrong.
         }
     }
 }
--- a/client/src/main/java/dewplank/client/ConfigurationDifference.java
+++ b/client/src/main/java/dewplank/client/ConfigurationDifference.java
@@ -9,15 +9,14 @@
 import java.util.Map;
 
 /**
- * What differs between two configurations, key by key. Items of lists are told apart by their names; the order in which
- * they stand means nothing.
+ * Compares two configurations key by key. Items of lists are identified by their names; their order does not matter.
  */
 public final class ConfigurationDifference {
     private final List<Change> changes = new ArrayList<>();
 
     private ConfigurationDifference() {}
 
-    /** The differences; a configuration that is null has no fields. */
+    /** Returns the changes from one configuration to the other; null counts as one without fields. */
     public static List<Change> between(Configuration before, Configuration after) {
         return between(fields(before), fields(after));
     }
@@ -35,24 +34,24 @@
     private void fields(String path, Map<?, ?> before, Map<?, ?> after) {
         before.forEach((key, value) -> {
             if (after.containsKey(key)) {
-                value(path + key, value, after.get(key));
+                compareValues(path + key, value, after.get(key));
             } else {
-                gone(path + key, value);
+                removed(path + key, value);
             }
         });
         after.forEach((key, value) -> {
             if (!before.containsKey(key)) {
-                come(path + key, value);
+                added(path + key, value);
             }
         });
     }
 
-    private void value(String path, Object before, Object after) {
-        if (JsonValues.same(before, after)) {
+    private void compareValues(String path, Object before, Object after) {
+        if (JsonValues.areEqual(before, after)) {
             return;
         }
-        Map<String, Object> itemsBefore = items(before);
-        Map<String, Object> itemsAfter = items(after);
+        Map<String, Object> itemsBefore = itemsByName(before);
+        Map<String, Object> itemsAfter = itemsByName(after);
         if (itemsBefore != null && itemsAfter != null) {
             fields(path, itemsBefore, itemsAfter);
         } else if (before instanceof Map<?, ?> a && after instanceof Map<?, ?> b) {
@@ -62,8 +61,8 @@
         }
     }
 
-    private void gone(String path, Object value) {
-        Map<String, Object> items = items(value);
+    private void removed(String path, Object value) {
+        Map<String, Object> items = itemsByName(value);
         if (items == null || items.isEmpty()) {
             changes.add(new Change(Change.Kind.REMOVED, path, value, null));
         } else {
@@ -71,8 +70,8 @@
         }
     }
 
-    private void come(String path, Object value) {
-        Map<String, Object> items = items(value);
+    private void added(String path, Object value) {
+        Map<String, Object> items = itemsByName(value);
         if (items == null || items.isEmpty()) {
             changes.add(new Change(Change.Kind.ADDED, path, null, value));
         } else {
@@ -80,8 +79,8 @@
         }
     }
 
-    /** A list's items by {@code [name]}; null where the value is no list of items with names of their own. */
-    private static Map<String, Object> items(Object value) {
+    /** Returns a list's items by {@code [name]}; null if the value is no list of items with distinct names. */
+    private static Map<String, Object> itemsByName(Object value) {
         if (!(value instanceof List<?> list)) {
             return null;
         }
--- a/client/src/main/java/dewplank/client/ConfigurationText.java
+++ b/client/src/main/java/dewplank/client/ConfigurationText.java
@@ -10,11 +10,11 @@
 import java.util.Locale;
 import java.util.stream.Collectors;
 
-/** A configuration as text to read. */
+/** Formats a configuration as text for operators. */
 public final class ConfigurationText {
     private ConfigurationText() {}
 
-    /** Version, routes, services and limits. */
+    /** Formats version, routes, services and limits. */
     public static String of(Configuration configuration) {
         TextTable routes = new TextTable(
                 "ROUTE", "HOST", "PREFIX", "TYPE", "TIMEOUT MS", "AIM MS", "PRIORITY", "TRIES", "SERVICES");
@@ -38,7 +38,7 @@
                 + limits(configuration.limits()) + "\n";
     }
 
-    /** A number without a fraction that says nothing. */
+    /** Formats a number, without the fraction if it is integral. */
     static String number(double value) {
         return value == Math.rint(value) && Math.abs(value) < Long.MAX_VALUE
                 ? Long.toString((long) value)
--- a/client/src/main/java/dewplank/client/ControlCall.java
+++ b/client/src/main/java/dewplank/client/ControlCall.java
@@ -4,21 +4,21 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A call to the operators' interface.
+ * A call to the operators' API of a control plane.
  *
- * @param path  with its slash
- * @param on    the version that a change builds on; null for calls that change nothing
- * @param body  empty for calls that change nothing
+ * @param path with its slash
+ * @param expectedVersion the version that a change builds on, sent as If-Match; null for calls that change nothing
+ * @param body empty for calls that change nothing
  */
-public record ControlCall(String method, String path, Long on, byte[] body) {
+public record ControlCall(String method, String path, Long expectedVersion, byte[] body) {
     private static final String CONFIGURATION = "/configuration";
 
-    /** Reads what lies at a path. */
+    /** Reads a path. */
     public static ControlCall get(String path) {
         return new ControlCall("GET", path, null, new byte[0]);
     }
 
-    /** Reads what is known of one server. */
+    /** Reads one model server. */
     public static ControlCall server(String instanceId) {
         return get("/servers/" + URLEncoder.encode(instanceId, StandardCharsets.UTF_8));
     }
@@ -28,13 +28,13 @@
         return get(CONFIGURATION);
     }
 
-    /** Puts a whole configuration in the place of that version. */
-    public static ControlCall put(long on, byte[] configuration) {
-        return new ControlCall("PUT", CONFIGURATION, on, configuration);
+    /** Replaces the configuration of that version by a complete one. */
+    public static ControlCall put(long expectedVersion, byte[] configuration) {
+        return new ControlCall("PUT", CONFIGURATION, expectedVersion, configuration);
     }
 
-    /** Changes items on top of that version. */
-    public static ControlCall patch(long on, byte[] patch) {
-        return new ControlCall("PATCH", CONFIGURATION, on, patch);
+    /** Applies a patch of items to that version. */
+    public static ControlCall patch(long expectedVersion, byte[] patch) {
+        return new ControlCall("PATCH", CONFIGURATION, expectedVersion, patch);
     }
 }
--- a/client/src/main/java/dewplank/client/ControlClient.java
+++ b/client/src/main/java/dewplank/client/ControlClient.java
@@ -16,166 +16,188 @@
 import java.util.concurrent.TimeoutException;
 
 /**
- * Calls control sidecars. A call with no clear answer (silence, a broken connection, 5xx, 408 or 429) goes to the next
- * address unchanged, and after all of them, with growing pauses, to the first again; a change is taken once however
- * often it is sent.
+ * Calls the operators' API of a fleet's control planes, with failover and retries.
+ *
+ * <p>An inconclusive response (a timeout, a broken connection, a 5xx, 408 or 429) sends the same call to the next
+ * address. After the last address a round is over, and the next one begins after a backoff that doubles. This is safe
+ * for changes too, since they are idempotent: a control plane accepts one once, however often it arrives.
+ *
+ * <p>Calls block the calling thread. Instances are not thread-safe.
  */
 public final class ControlClient {
-    private static final Duration SILENCE = Duration.ofSeconds(1);
-    /** A large body may take so many times as long. */
-    private static final int LARGE_TIMES = 2;
-
-    private static final int LARGE_BYTES = 64 * 1024;
-    /** The whole of an answer whose head came in time may take so many times as long. */
-    private static final int WHOLE_TIMES = 5;
-
-    private static final int MOST_REDIRECTS = 2;
-    private static final long FIRST_PAUSE_MS = 100;
-    private static final long LONGEST_PAUSE_MS = 1_600;
-    private static final int REDIRECT = 307;
-    private static final int SERVER_ERRORS = 500;
-    /** Too slow, too many: the same call may do later, or elsewhere. */
-    private static final Set<Integer> LATER = Set.of(408, 429);
-
-    /** Waits between rounds. */
-    interface Pauses {
-        void pause(long ms) throws InterruptedException;
+    private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(1);
+    /** The timeout of a large request body is so many times as long. */
+    private static final int LARGE_BODY_TIMEOUT_FACTOR = 2;
+
+    private static final int LARGE_BODY_BYTES = 64 * 1024;
+    /** A response whose head came in time may take so many times as long until it is complete. */
+    private static final int COMPLETE_RESPONSE_TIMEOUT_FACTOR = 5;
+
+    private static final int MAX_REDIRECTS = 2;
+    private static final long INITIAL_BACKOFF_MS = 100;
+    private static final long MAX_BACKOFF_MS = 1_600;
+    private static final int TEMPORARY_REDIRECT = 307;
+    private static final int MIN_SERVER_ERROR = 500;
+    /** Request Timeout and Too Many Requests: a retry, or another control plane, may succeed. */
+    private static final Set<Integer> RETRYABLE_STATUSES = Set.of(408, 429);
+
+    /** Waits between rounds; a test replaces it. */
+    interface Sleeper {
+        void sleep(long ms) throws InterruptedException;
     }
 
-    /** A call that has no clear answer. */
-    private static final class UnclearException extends Exception {
+    /** An attempt whose outcome is unknown, or which may succeed elsewhere. */
+    private static final class InconclusiveException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        UnclearException(String why) {
-            super(why);
+        InconclusiveException(String message) {
+            super(message);
         }
     }
 
     private final List<String> addresses;
-    private final int rounds;
-    private final Duration silence;
-    private final Pauses pauses;
+    private final int maxRounds;
+    private final Duration responseTimeout;
+    private final Sleeper sleeper;
     private final HttpClient http;
 
-    /** Asks all addresses so many times before it gives up. */
-    public ControlClient(ControlAddresses addresses, int rounds) {
-        this(addresses, rounds, SILENCE, Thread::sleep);
+    /** Creates a client that calls all addresses up to so many rounds. */
+    public ControlClient(OperatorApiAddresses addresses, int maxRounds) {
+        this(addresses, maxRounds, RESPONSE_TIMEOUT, Thread::sleep);
     }
 
-    ControlClient(ControlAddresses addresses, int rounds, Duration silence, Pauses pauses) {
+    ControlClient(OperatorApiAddresses addresses, int maxRounds, Duration responseTimeout, Sleeper sleeper) {
         this.addresses = addresses.all();
-        this.rounds = rounds;
-        this.silence = silence;
-        this.pauses = pauses;
+        this.maxRounds = maxRounds;
+        this.responseTimeout = responseTimeout;
+        this.sleeper = sleeper;
         this.http = HttpClient.newBuilder()
                 .version(HttpClient.Version.HTTP_1_1)
                 .followRedirects(HttpClient.Redirect.NEVER)
-                .connectTimeout(silence)
+                .connectTimeout(responseTimeout)
                 .build();
     }
 
-    /** The first clear answer. */
-    public Answer call(ControlCall call) throws NoAnswerException, InterruptedException {
-        Map<String, String> last = new LinkedHashMap<>();
-        long pause = FIRST_PAUSE_MS;
-        for (int round = 1; round <= rounds; round++) {
+    /**
+     * Returns the first conclusive response, whether it is a success or not.
+     *
+     * @throws NoResponseException if no round gave one; a change may have been accepted all the same
+     */
+    public ControlResponse call(ControlCall call) throws NoResponseException, InterruptedException {
+        Map<String, String> lastErrors = new LinkedHashMap<>();
+        long backoffMs = INITIAL_BACKOFF_MS;
+        for (int round = 1; round <= maxRounds; round++) {
             for (String address : addresses) {
                 try {
-                    return ask(address, call);
-                } catch (UnclearException e) {
-                    last.put(address, e.getMessage());
+                    return attempt(address, call);
+                } catch (InconclusiveException e) {
+                    lastErrors.put(address, e.getMessage());
                 }
             }
-            if (round < rounds) {
-                pauses.pause(pause);
-                pause = Math.min(LONGEST_PAUSE_MS, 2 * pause);
+            if (round < maxRounds) {
+                sleeper.sleep(backoffMs);
+                backoffMs = Math.min(MAX_BACKOFF_MS, 2 * backoffMs);
             }
         }
-        throw new NoAnswerException(last);
+        throw new NoResponseException(lastErrors);
     }
 
-    /** Each address's own answer, by address; one without a clear answer is missing. Each is asked once. */
-    public Map<String, Answer> callEach(ControlCall call) throws NoAnswerException, InterruptedException {
-        Map<String, Answer> answers = new LinkedHashMap<>();
-        Map<String, String> last = new LinkedHashMap<>();
+    /**
+     * Calls each address once and returns the conclusive responses by address, in the order of addresses.
+     *
+     * @throws NoResponseException if there is none
+     */
+    public Map<String, ControlResponse> callEach(ControlCall call) throws NoResponseException, InterruptedException {
+        Map<String, ControlResponse> responses = new LinkedHashMap<>();
+        Map<String, String> lastErrors = new LinkedHashMap<>();
         for (String address : addresses) {
             try {
-                answers.put(address, ask(address, call));
-            } catch (UnclearException e) {
-                last.put(address, e.getMessage());
+                responses.put(address, attempt(address, call));
+            } catch (InconclusiveException e) {
+                lastErrors.put(address, e.getMessage());
             }
         }
-        if (answers.isEmpty()) {
-            throw new NoAnswerException(last);
+        if (responses.isEmpty()) {
+            throw new NoResponseException(lastErrors);
         }
-        return answers;
+        return responses;
     }
 
-    /** All addresses, in the order in which they are asked. */
+    /** Returns all addresses, in the order of calls. */
     public List<String> addresses() {
         return addresses;
     }
 
-    private Answer ask(String address, ControlCall call) throws UnclearException, InterruptedException {
+    private ControlResponse attempt(String address, ControlCall call)
+            throws InconclusiveException, InterruptedException {
         URI to = URI.create("http://" + address + call.path());
-        for (int redirects = 0; redirects <= MOST_REDIRECTS; redirects++) {
-            HttpResponse<byte[]> answer = exchange(request(to, call));
-            if (answer.statusCode() != REDIRECT) {
-                return clear(new Answer(to.getRawAuthority(), answer.statusCode(), answer.body()));
+        for (int redirects = 0; redirects <= MAX_REDIRECTS; redirects++) {
+            HttpResponse<byte[]> response = exchange(request(to, call));
+            if (response.statusCode() != TEMPORARY_REDIRECT) {
+                return requireConclusive(
+                        new ControlResponse(to.getRawAuthority(), response.statusCode(), response.body()));
             }
-            to = location(to, answer);
+            to = redirectTarget(to, response);
         }
-        throw new UnclearException("more than " + MOST_REDIRECTS + " redirects");
+        throw new InconclusiveException("more than " + MAX_REDIRECTS + " redirects");
     }
 
-    private static Answer clear(Answer answer) throws UnclearException {
-        if (answer.status() >= SERVER_ERRORS || LATER.contains(answer.status())) {
-            throw new UnclearException(answer.result());
+    private static ControlResponse requireConclusive(ControlResponse response) throws InconclusiveException {
+        if (response.status() >= MIN_SERVER_ERROR || RETRYABLE_STATUSES.contains(response.status())) {
+            throw new InconclusiveException(response.result());
         }
-        return answer;
+        return response;
     }
 
-    private static URI location(URI from, HttpResponse<byte[]> answer) throws UnclearException {
-        String location = answer.headers().firstValue("Location").orElse("");
+    private static URI redirectTarget(URI from, HttpResponse<byte[]> response) throws InconclusiveException {
+        String location = response.headers().firstValue("Location").orElse("");
         try {
             URI to = from.resolve(location);
             if (!location.isEmpty() && "http".equals(to.getScheme()) && to.getHost() != null) {
                 return to;
             }
         } catch (IllegalArgumentException e) {
-            // named below
+            // reported below
         }
-        throw new UnclearException("a redirect to '" + location + "'");
+        throw new InconclusiveException("a redirect to '" + location + "'");
     }
 
     private HttpRequest request(URI to, ControlCall call) {
         HttpRequest.Builder request = HttpRequest.newBuilder(to)
-                .timeout(call.body().length > LARGE_BYTES ? silence.multipliedBy(LARGE_TIMES) : silence)
+                .timeout(
+                        call.body().length > LARGE_BODY_BYTES
+                                ? responseTimeout.multipliedBy(LARGE_BODY_TIMEOUT_FACTOR)
+                                : responseTimeout)
                 .method(
                         call.method(),
-                        call.body().length == 0 && call.on() == null
+                        call.body().length == 0 && call.expectedVersion() == null
                                 ? HttpRequest.BodyPublishers.noBody()
                                 : HttpRequest.BodyPublishers.ofByteArray(call.body()));
-        if (call.on() != null) {
-            request.header("If-Match", Long.toString(call.on())).header("Content-Type", "application/json");
+        if (call.expectedVersion() != null) {
+            request.header("If-Match", Long.toString(call.expectedVersion()))
+                    .header("Content-Type", "application/json");
         }
         return request.build();
     }
 
-    private HttpResponse<byte[]> exchange(HttpRequest request) throws UnclearException, InterruptedException {
-        CompletableFuture<HttpResponse<byte[]>> answer =
+    private HttpResponse<byte[]> exchange(HttpRequest request) throws InconclusiveException, InterruptedException {
+        CompletableFuture<HttpResponse<byte[]>> response =
                 http.sendAsync(request, HttpResponse.BodyHandlers.ofByteArray());
         try {
-            return answer.get(silence.multipliedBy(WHOLE_TIMES).toMillis(), TimeUnit.MILLISECONDS);
+            return response.get(
+                    responseTimeout
+                            .multipliedBy(COMPLETE_RESPONSE_TIMEOUT_FACTOR)
+                            .toMillis(),
+                    TimeUnit.MILLISECONDS);
         } catch (TimeoutException e) {
-            answer.cancel(true);
-            throw new UnclearException("the answer did not become whole in time");
+            response.cancel(true);
+            throw new InconclusiveException("the answer did not become whole in time");
         } catch (ExecutionException e) {
-            throw new UnclearException(why(e.getCause()));
+            throw new InconclusiveException(describe(e.getCause()));
         }
     }
 
-    private static String why(Throwable cause) {
+    private static String describe(Throwable cause) {
         if (cause instanceof java.net.http.HttpTimeoutException) {
             return "no answer in time";
         }
--- a/client/src/main/java/dewplank/client/Answer.java
+++ b/client/src/main/java/dewplank/client/ControlResponse.java
@@ -7,25 +7,31 @@
 import java.util.Map;
 
 /**
- * What a control sidecar answered.
+ * A control plane's HTTP response to a {@link ControlCall}.
  *
- * @param address the control sidecar that answered
+ * @param address the control plane that responded, which is another than the one called after a redirect
+ * @param status the HTTP status
+ * @param body the bytes as they came; results are JSON objects with a numbered code
  */
-public record Answer(String address, int status, byte[] body) {
-    private static final int FIRST_OK = 200;
-    private static final int PAST_OK = 300;
+public record ControlResponse(String address, int status, byte[] body) {
+    private static final int MIN_SUCCESS = 200;
+    private static final int MIN_NON_SUCCESS = 300;
 
-    /** Whether the call was done. */
-    public boolean done() {
-        return status >= FIRST_OK && status < PAST_OK;
+    /** Whether the status is 2xx. */
+    public boolean isSuccess() {
+        return status >= MIN_SUCCESS && status < MIN_NON_SUCCESS;
     }
 
-    /** The body as text. */
+    /** Returns the body as text. */
     public String text() {
         return new String(body, StandardCharsets.UTF_8);
     }
 
-    /** The body's fields. */
+    /**
+     * Returns the fields of the body.
+     *
+     * @throws InvalidInputException if it is no JSON object
+     */
     public Map<String, Object> fields() {
         try {
             return Json.object(text());
@@ -35,8 +41,8 @@
         }
     }
 
-    /** Whether it has this result. */
-    public boolean is(ResultCode code) {
+    /** Whether the body carries this result code. */
+    public boolean hasResult(ResultCode code) {
         try {
             return Long.valueOf(code.number()).equals(fields().get("code"));
         } catch (InvalidInputException noResult) {
@@ -44,7 +50,7 @@
         }
     }
 
-    /** Number, name and detail of the result; the status where there is none. */
+    /** Returns number, name and detail of the result; the status if the body has none. */
     public String result() {
         try {
             Map<String, Object> fields = fields();
@@ -52,14 +58,18 @@
                 return number + " " + name + (fields.get("detail") instanceof String detail ? ": " + detail : "");
             }
         } catch (InvalidInputException noResult) {
-            // the status says all there is
+            // The status says all there is.
         }
         return "status " + status;
     }
 
-    /** This answer, if the call was done. */
-    public Answer orRefused() {
-        if (!done()) {
+    /**
+     * Returns this response if it is a success.
+     *
+     * @throws InvalidInputException with its result otherwise
+     */
+    public ControlResponse requireSuccess() {
+        if (!isSuccess()) {
             throw new InvalidInputException(result());
         }
         return this;
--- a/client/src/main/java/dewplank/client/FleetText.java
+++ b/client/src/main/java/dewplank/client/FleetText.java
@@ -7,28 +7,28 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 
-/** Answers of control sidecars as text to read. */
+/** Formats responses of control planes as text for operators. Column headings and phrases are part of the commands. */
 public final class FleetText {
-    private static final String NO_CLEAR_ANSWER = "no clear answer";
+    private static final String NO_RESPONSE = "no clear answer";
 
     private FleetText() {}
 
-    private interface Reading {
-        String of(Fields fields);
+    private interface Formatter {
+        String format(Fields fields);
     }
 
-    private static String read(Answer answer, Reading reading) {
+    private static String format(ControlResponse answer, Formatter formatter) {
         try {
-            return reading.of(new Fields(answer.fields(), ""));
+            return formatter.format(new Fields(answer.fields(), ""));
         } catch (InvalidInputException e) {
             throw InvalidInputException.of(
                     ResultCode.ANSWER_UNREADABLE, "the answer of " + answer.address() + ": " + e.getMessage());
         }
     }
 
-    /** Data planes and control sidecars that the answering one knows. */
-    public static String members(Answer answer) {
-        return read(answer, fields -> {
+    /** Formats the membership as the responding control plane knows it. */
+    public static String members(ControlResponse answer) {
+        return format(answer, fields -> {
             TextTable table = new TextTable("KIND", "NODE", "ADDRESS", "ZONE");
             for (String kind : List.of("data", "control")) {
                 for (Fields member : fields.list(kind)) {
@@ -39,9 +39,9 @@
         });
     }
 
-    /** The list of servers; those of one service where it is not null. */
-    public static String servers(Answer answer, String service) {
-        return read(answer, fields -> {
+    /** Formats the endpoint list; only the endpoints of one service unless it is null. */
+    public static String servers(ControlResponse answer, String service) {
+        return format(answer, fields -> {
             List<Fields> servers = fields.list("servers").stream()
                     .filter(s -> service == null || service.equals(s.text("service")))
                     .toList();
@@ -49,9 +49,9 @@
         });
     }
 
-    /** One server. */
-    public static String server(Answer answer) {
-        return read(answer, fields -> table(List.of(fields)).toString());
+    /** Formats one endpoint. */
+    public static String server(ControlResponse answer) {
+        return format(answer, fields -> table(List.of(fields)).toString());
     }
 
     private static TextTable table(List<Fields> servers) {
@@ -69,12 +69,12 @@
         return table;
     }
 
-    /** Who holds the duty of asking the platform for its list. */
-    public static String duties(List<String> addresses, Map<String, Answer> answers) {
+    /** Formats the lease holder of the singleton role that polls the platform, as each control plane sees it. */
+    public static String duties(List<String> addresses, Map<String, ControlResponse> answers) {
         TextTable table = new TextTable("ASKED", "NODE", "DUTY", "HELD THERE", "FENCING NUMBER");
         for (String address : addresses) {
             if (answers.containsKey(address)) {
-                read(answers.get(address).orRefused(), fields -> {
+                format(answers.get(address).requireSuccess(), fields -> {
                     Fields list = fields.requireObject("list");
                     table.row(
                             address,
@@ -85,18 +85,18 @@
                     return "";
                 });
             } else {
-                table.row(address, NO_CLEAR_ANSWER, "", "", "");
+                table.row(address, NO_RESPONSE, "", "", "");
             }
         }
         return table.toString();
     }
 
-    /** Quorum, version and acceptors as each control sidecar sees them. */
-    public static String status(List<String> addresses, Map<String, Answer> answers) {
+    /** Formats quorum, version and acceptors as each control plane sees them. */
+    public static String status(List<String> addresses, Map<String, ControlResponse> answers) {
         TextTable table = new TextTable("ASKED", "NODE", "QUORUM", "CONFIGURATION", "ACCEPTORS");
         for (String address : addresses) {
             if (answers.containsKey(address)) {
-                read(answers.get(address).orRefused(), fields -> {
+                format(answers.get(address).requireSuccess(), fields -> {
                     String acceptors = fields.list("acceptors").stream()
                             .map(a -> a.text("address"))
                             .collect(Collectors.joining(" "));
@@ -105,13 +105,13 @@
                     return "";
                 });
             } else {
-                table.row(address, NO_CLEAR_ANSWER, "", "", "");
+                table.row(address, NO_RESPONSE, "", "", "");
             }
         }
         return table.toString();
     }
 
-    /** A control sidecar that hears a quorum and has not caught up with it yet is behind. */
+    /** A control plane that reaches a quorum but lags its configuration is behind. */
     private static String quorum(Fields status) {
         if (!status.flag("quorate")) {
             return "no";
@@ -119,10 +119,10 @@
         return status.flag("current", true) ? "yes" : "behind";
     }
 
-    /** The answers of several as one JSON object by address; null for one without. */
-    public static String json(List<String> addresses, Map<String, Answer> answers) {
+    /** Formats the responses as one JSON object by address, with null for an address without a response. */
+    public static String json(List<String> addresses, Map<String, ControlResponse> answers) {
         return addresses.stream()
-                .map(a -> JsonValues.text(a) + ":"
+                .map(a -> JsonValues.toJson(a) + ":"
                         + (answers.containsKey(a) ? answers.get(a).text().strip() : "null"))
                 .collect(Collectors.joining(",", "{", "}"));
     }
--- a/client/src/main/java/dewplank/client/JsonValues.java
+++ b/client/src/main/java/dewplank/client/JsonValues.java
@@ -5,46 +5,47 @@
 import java.util.List;
 import java.util.Map;
 
-/** JSON values as the settings' reader gives them: maps, lists, texts, longs, doubles, booleans, nulls. */
+/** Writes and compares JSON values as the settings' reader returns them: maps, lists, strings, numbers, booleans. */
 public final class JsonValues {
     private static final Gson GSON =
             new GsonBuilder().serializeNulls().disableHtmlEscaping().create();
 
     private JsonValues() {}
 
-    /** The value as JSON in one line. */
-    public static String text(Object value) {
-        return GSON.toJson(plain(value));
+    /** Returns the value as JSON in one line. */
+    public static String toJson(Object value) {
+        return GSON.toJson(withoutFraction(value));
     }
 
-    /** Whole numbers are written without a fraction. */
-    private static Object plain(Object value) {
+    /** Integral doubles are written without a fraction. */
+    private static Object withoutFraction(Object value) {
         if (value instanceof Double d && d == Math.rint(d) && Math.abs(d) <= Long.MAX_VALUE >> 10) {
             return d.longValue();
         }
         return value;
     }
 
-    /** Whether both are the same value; 1 and 1.0 are. */
-    static boolean same(Object one, Object other) {
+    /** Whether the values are equal; 1 and 1.0 are. */
+    static boolean areEqual(Object one, Object other) {
         if (one instanceof Number a && other instanceof Number b) {
             return a.equals(b) || a.doubleValue() == b.doubleValue() && !(a instanceof Long && b instanceof Long);
         }
         if (one instanceof List<?> a && other instanceof List<?> b) {
-            return sameLists(a, b);
+            return areEqualLists(a, b);
         }
         if (one instanceof Map<?, ?> a && other instanceof Map<?, ?> b) {
-            return a.keySet().equals(b.keySet()) && a.keySet().stream().allMatch(key -> same(a.get(key), b.get(key)));
+            return a.keySet().equals(b.keySet())
+                    && a.keySet().stream().allMatch(key -> areEqual(a.get(key), b.get(key)));
         }
         return one == null ? other == null : one.equals(other);
     }
 
-    private static boolean sameLists(List<?> one, List<?> other) {
+    private static boolean areEqualLists(List<?> one, List<?> other) {
         if (one.size() != other.size()) {
             return false;
         }
         for (int i = 0; i < one.size(); i++) {
-            if (!same(one.get(i), other.get(i))) {
+            if (!areEqual(one.get(i), other.get(i))) {
                 return false;
             }
         }
--- a/client/src/main/java/dewplank/client/RouteExplanation.java
+++ b/client/src/main/java/dewplank/client/RouteExplanation.java
@@ -13,7 +13,7 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Where requests of a host and path go: the route, its split, its limits, and the servers listed for it. */
+/** Explains where requests of a host and path go: the route, its split, its limits and its endpoints. */
 public final class RouteExplanation {
     private static final int PERCENT = 100;
     private static final double TENTHS = 10;
@@ -28,8 +28,13 @@
         this.servers = servers;
     }
 
-    /** Explains it by the configuration and the list of servers that control sidecars gave. */
-    public static RouteExplanation of(Configuration configuration, Answer servers, String host, String path) {
+    /**
+     * Finds the route.
+     *
+     * @param servers the response with the endpoint list
+     * @throws InvalidInputException if no route matches
+     */
+    public static RouteExplanation of(Configuration configuration, ControlResponse servers, String host, String path) {
         Route route = new RouteTable(configuration).find(host, path);
         if (route == null) {
             throw InvalidInputException.of(
@@ -40,16 +45,16 @@
         return new RouteExplanation(configuration, route, new Fields(servers.fields(), "").list("servers"));
     }
 
-    private List<Fields> servers(String service) {
+    private List<Fields> endpoints(String service) {
         return servers.stream().filter(s -> s.text("service").equals(service)).toList();
     }
 
-    private double share(WeightedService part) {
-        return part.weight()
+    private double share(WeightedService target) {
+        return target.weight()
                 / route.split().stream().mapToDouble(WeightedService::weight).sum();
     }
 
-    /** The explanation as text to read. */
+    /** Returns the explanation as text. */
     public String text() {
         StringBuilder out = new StringBuilder();
         out.append("route ")
@@ -84,14 +89,14 @@
         out.append("\n  clients: ")
                 .append(ConfigurationText.limits(configuration.limits()))
                 .append('\n');
-        route.split().forEach(part -> split(out, part));
+        route.split().forEach(target -> split(out, target));
         return out.toString();
     }
 
-    private void split(StringBuilder out, WeightedService part) {
-        double percent = Math.round(PERCENT * share(part) * TENTHS) / TENTHS;
-        out.append(ConfigurationText.number(percent)).append(" % to service ").append(part.service());
-        List<Fields> listed = servers(part.service());
+    private void split(StringBuilder out, WeightedService target) {
+        double percent = Math.round(PERCENT * share(target) * TENTHS) / TENTHS;
+        out.append(ConfigurationText.number(percent)).append(" % to service ").append(target.service());
+        List<Fields> listed = endpoints(target.service());
         if (listed.isEmpty()) {
             out.append(": no server is listed\n");
             return;
@@ -109,14 +114,14 @@
         out.append(table);
     }
 
-    /** The explanation as JSON. */
+    /** Returns the explanation as JSON. */
     public String json() {
         Map<String, Object> out = new LinkedHashMap<>();
         out.put("config_version", configuration.version());
         out.put("route", routeFields());
         out.put("split", route.split().stream().map(this::splitFields).toList());
         out.put("limits", limitFields());
-        return JsonValues.text(out);
+        return JsonValues.toJson(out);
     }
 
     private Map<String, Object> limitFields() {
@@ -145,13 +150,13 @@
         return out;
     }
 
-    private Map<String, Object> splitFields(WeightedService part) {
+    private Map<String, Object> splitFields(WeightedService target) {
         Map<String, Object> out = new LinkedHashMap<>();
-        out.put("service", part.service());
-        out.put("share", share(part));
+        out.put("service", target.service());
+        out.put("share", share(target));
         out.put(
                 "servers",
-                servers(part.service()).stream()
+                endpoints(target.service()).stream()
                         .map(RouteExplanation::serverFields)
                         .toList());
         return out;
--- a/client/src/main/java/dewplank/client/SettingsCheck.java
+++ b/client/src/main/java/dewplank/client/SettingsCheck.java
@@ -7,11 +7,15 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Says which of the two programs a settings file is for and whether it has what that program needs. */
+/** Checks which programs a settings file is for, and that it has the keys that each of them requires. */
 public final class SettingsCheck {
     private SettingsCheck() {}
 
-    /** One line on settings that can be used. */
+    /**
+     * Returns one line about valid settings.
+     *
+     * @throws InvalidInputException if a key is missing or no program is configured
+     */
     public static String of(NodeSettings settings) {
         List<String> roles = new ArrayList<>();
         if (settings.front() != null || settings.readiness() != null) {
--- a/client/src/main/java/dewplank/client/TextTable.java
+++ b/client/src/main/java/dewplank/client/TextTable.java
@@ -3,13 +3,13 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Rows of text in columns as wide as their widest cell. */
+/** A table of text in columns as wide as their widest cell. */
 final class TextTable {
     private static final String GAP = "  ";
 
     private final List<List<String>> rows = new ArrayList<>();
 
-    /** A table with these headings. */
+    /** Creates a table with these headings. */
     TextTable(String... headings) {
         row((Object[]) headings);
     }
--- a/client/src/test/java/dewplank/client/ConfigurationDifferenceTest.java
+++ b/client/src/test/java/dewplank/client/ConfigurationDifferenceTest.java
@@ -59,7 +59,7 @@
     }
 
     @Property(tries = 300)
-    void theSameHasNoDifferencesWhateverTheOrder(@ForAll long seed) {
+    void equalConfigurationsHaveNoChangesWhateverTheOrder(@ForAll long seed) {
         Map<String, Object> one = whole(new Random(seed));
         Map<String, Object> other = whole(new Random(seed));
         Collections.shuffle((List<?>) other.get("routes"), new Random(seed));
@@ -67,7 +67,7 @@
     }
 
     @Property(tries = 300)
-    void theWayBackUndoesEachChange(@ForAll long seed) {
+    void theReverseComparisonRevertsEachChange(@ForAll long seed) {
         Random random = new Random(seed);
         Map<String, Object> one = whole(random);
         Map<String, Object> other = whole(random);
@@ -76,7 +76,7 @@
                 .map(c -> new Change(turned(c.kind()), c.path(), c.after(), c.before()))
                 .collect(Collectors.toSet());
         assertEquals(there, back);
-        assertEquals(there.isEmpty(), JsonValues.same(one, other));
+        assertEquals(there.isEmpty(), JsonValues.areEqual(one, other));
     }
 
     private static Change.Kind turned(Change.Kind kind) {
@@ -88,7 +88,7 @@
     }
 
     @Test
-    void namesWhatChanged() {
+    void listsAddedRemovedAndChangedValues() {
         Map<String, Object> before = Json.object(
                 """
             {"config_version":5,"routes":[{"name":"a","timeout_ms":100,"weighted_split":[{"service":"s","weight":1}]},
@@ -118,12 +118,12 @@
     }
 
     @Test
-    void aFileIsAWholeConfigurationOrAPatch() {
+    void aFileIsACompleteConfigurationOrAPatch() {
         byte[] whole = bytes("{\"config_version\":5,\"routes\":[],\"services\":[{\"name\":\"s\"}]}");
-        Configuration five = ConfigurationChanges.changed(null, whole);
+        Configuration five = ConfigurationChanges.apply(null, whole);
         assertEquals(2 + 1, ConfigurationDifference.between(null, five).size());
         Configuration six =
-                ConfigurationChanges.changed(five, bytes("{\"config_version\":6,\"remove\":{\"services\":[\"s\"]}}"));
+                ConfigurationChanges.apply(five, bytes("{\"config_version\":6,\"remove\":{\"services\":[\"s\"]}}"));
         assertEquals(
                 List.of("~ config_version 5 -> 6", "- services[s] {\"name\":\"s\"}"),
                 ConfigurationDifference.between(five, six).stream()
@@ -132,7 +132,7 @@
     }
 
     @Test
-    void aFileThatWouldBeRefusedIsNamedAsTheInterfaceDoes() {
+    void aRejectedFileIsReportedAsTheApiDoes() {
         Map<ResultCode, String> files = Map.of(
                 ResultCode.NO_CONFIGURATION,
                 "{\"config_version\":6,\"upsert\":{}}",
@@ -140,7 +140,7 @@
                 "{\"config_version\":6,");
         files.forEach((code, file) -> {
             InvalidInputException fault =
-                    assertThrows(InvalidInputException.class, () -> ConfigurationChanges.changed(null, bytes(file)));
+                    assertThrows(InvalidInputException.class, () -> ConfigurationChanges.apply(null, bytes(file)));
             assertSame(code, fault.code());
             assertTrue(fault.getMessage().startsWith(code.number() + " " + code + ": "), fault.getMessage());
         });
--- a/client/src/test/java/dewplank/client/StandInControl.java
+++ b/client/src/test/java/dewplank/client/FakeControlPlane.java
@@ -14,9 +14,9 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 
-/** A control sidecar on loopback that gives the answers it was told to, in order, and keeps what it was asked. */
-final class StandInControl implements AutoCloseable {
-    /** A call as it came. */
+/** A control plane on loopback that records calls and sends scripted responses, then stops responding. */
+final class FakeControlPlane implements AutoCloseable {
+    /** A received call. */
     record Call(String method, String path, String ifMatch, String body) {}
 
     private record Scripted(int status, String body, String location) {}
@@ -27,7 +27,7 @@
     private final Deque<Scripted> script = new ArrayDeque<>();
     private final List<Call> calls = new ArrayList<>();
 
-    StandInControl() throws IOException {
+    FakeControlPlane() throws IOException {
         server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
         server.setExecutor(threads);
         server.createContext("/", this::handle);
@@ -38,39 +38,39 @@
         return "127.0.0.1:" + server.getAddress().getPort();
     }
 
-    /** The next answer. */
-    synchronized StandInControl then(int status, String body) {
+    /** Adds the next response. */
+    synchronized FakeControlPlane then(int status, String body) {
         script.add(new Scripted(status, body, null));
         return this;
     }
 
-    /** The next call is sent on. */
-    synchronized StandInControl thenRedirect(String location) {
+    /** Redirects the next call. */
+    synchronized FakeControlPlane thenRedirect(String location) {
         script.add(new Scripted(307, "", location));
         return this;
     }
 
-    /** What was asked so far. */
+    /** Returns the calls so far. */
     synchronized List<Call> calls() {
         return List.copyOf(calls);
     }
 
     private void handle(HttpExchange exchange) throws IOException {
         String body = new String(exchange.getRequestBody().readAllBytes(), StandardCharsets.UTF_8);
-        Scripted answer = next(new Call(
+        Scripted response = next(new Call(
                 exchange.getRequestMethod(),
                 exchange.getRequestURI().toString(),
                 exchange.getRequestHeaders().getFirst("If-Match"),
                 body));
-        if (answer == null) { // the script is over: silence
+        if (response == null) { // the script is over: no response
             awaitClose();
             return;
         }
-        if (answer.location() != null) {
-            exchange.getResponseHeaders().set("Location", answer.location());
+        if (response.location() != null) {
+            exchange.getResponseHeaders().set("Location", response.location());
         }
-        byte[] bytes = answer.body().getBytes(StandardCharsets.UTF_8);
-        exchange.sendResponseHeaders(answer.status(), bytes.length == 0 ? -1 : bytes.length);
+        byte[] bytes = response.body().getBytes(StandardCharsets.UTF_8);
+        exchange.sendResponseHeaders(response.status(), bytes.length == 0 ? -1 : bytes.length);
         exchange.getResponseBody().write(bytes);
         exchange.close();
     }
--- a/client/src/test/java/dewplank/client/ControlAddressesTest.java
+++ b/client/src/test/java/dewplank/client/OperatorApiAddressesTest.java
@@ -7,21 +7,21 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class ControlAddressesTest {
+class OperatorApiAddressesTest {
     @Test
-    void readsAddresses() {
+    void parsesAddresses() {
         assertEquals(
                 List.of("10.0.0.4:8146", "core-2.example:1", "[::1]:65535"),
-                ControlAddresses.parse("10.0.0.4:8146, core-2.example:1,[::1]:65535,10.0.0.4:8146")
+                OperatorApiAddresses.parse("10.0.0.4:8146, core-2.example:1,[::1]:65535,10.0.0.4:8146")
                         .all());
         assertEquals(
                 List.of("10.0.0.4:8146"),
-                ControlAddresses.of(List.of(InetSocketAddress.createUnresolved("10.0.0.4", 8146)))
+                OperatorApiAddresses.ofSeeds(List.of(InetSocketAddress.createUnresolved("10.0.0.4", 8146)))
                         .all());
     }
 
     @Test
-    void refusesWhatIsNoAddress() {
+    void rejectsWhatIsNoAddress() {
         for (String text : List.of(
                 "",
                 "10.0.0.4",
@@ -34,8 +34,8 @@
                 "u@a:80",
                 "a:80/path",
                 "http://a:80")) {
-            assertThrows(IllegalArgumentException.class, () -> ControlAddresses.parse(text), text);
+            assertThrows(IllegalArgumentException.class, () -> OperatorApiAddresses.parse(text), text);
         }
-        assertThrows(IllegalArgumentException.class, () -> ControlAddresses.of(List.of()));
+        assertThrows(IllegalArgumentException.class, () -> OperatorApiAddresses.ofSeeds(List.of()));
     }
 }
--- a/client/src/test/java/dewplank/client/RouteExplanationTest.java
+++ b/client/src/test/java/dewplank/client/RouteExplanationTest.java
@@ -23,7 +23,7 @@
           "weighted_split":[{"service":"s","weight":2},{"service":"t","weight":1}]},
          {"name":"r-2","host_name":"a.example","path_prefix":"/","route_type":"safe","timeout_ms":900,"service":"t"}],
          "services":[{"name":"s"},{"name":"t","engine":{"slot_count":4,"kv_tokens":9,"models":[{"name":"m"}]}}]}""";
-    private static final Answer SERVERS = answer(
+    private static final ControlResponse SERVERS = answer(
             """
         {"version":"3.9","servers":[
          {"instance_id":"i-1","service":"s","address":"10.0.0.1:80","zone":"z","stage":"decode","draining":false,
@@ -31,12 +31,12 @@
          {"instance_id":"i-2","service":"s","address":"10.0.0.2:80","zone":"z","stage":null,"draining":true,
           "slot_count":4}]}""");
 
-    private static Answer answer(String body) {
-        return new Answer("10.0.0.9:1", 200, body.getBytes(StandardCharsets.UTF_8));
+    private static ControlResponse answer(String body) {
+        return new ControlResponse("10.0.0.9:1", 200, body.getBytes(StandardCharsets.UTF_8));
     }
 
     private static Configuration configuration() {
-        return ConfigurationChanges.parsed(answer(CONFIGURATION));
+        return ConfigurationChanges.parse(answer(CONFIGURATION));
     }
 
     private static RouteExplanation explain(String host, String path) {
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void tellsRouteSplitLimitsAndServers() {
+    void explainsRouteSplitLimitsAndEndpoints() {
         assertEquals(
                 """
             route r-1 of configuration 7: host a.example, paths below /chat/
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void tellsTheSameAsJson() {
+    void explainsTheSameAsJson() {
         Map<String, Object> json = Json.object(explain("a.example", "/other").json());
         assertEquals(7L, json.get("config_version"));
         assertTrue(json.toString().contains("name=r-2"), json.toString());
@@ -70,13 +70,13 @@
     }
 
     @Test
-    void saysThatThereIsNoRoute() {
+    void reportsThatThereIsNoRoute() {
         InvalidInputException fault = assertThrows(InvalidInputException.class, () -> explain("b.example", "/chat/"));
         assertSame(ResultCode.NO_SUCH_ROUTE, fault.code());
     }
 
     @Test
-    void showsTheConfigurationInTables() {
+    void formatsTheConfigurationInTables() {
         String text = ConfigurationText.of(configuration());
         assertTrue(text.startsWith("configuration 7\n\nROUTE  HOST       PREFIX  TYPE"), text);
         assertTrue(text.contains("s:2 t:1"), text);
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void showsServersOfOneService() {
+    void formatsEndpointsOfOneService() {
         assertEquals(
                 "list 3.9\nINSTANCE  SERVICE  ADDRESS  ZONE  STAGE  SLOTS  STATE\n", FleetText.servers(SERVERS, "t"));
         assertTrue(FleetText.servers(SERVERS, null)
@@ -92,8 +92,8 @@
     }
 
     @Test
-    void showsMembers() {
-        Answer members = answer(
+    void formatsTheMembership() {
+        ControlResponse members = answer(
                 """
             {"answered_by":"core-1","data":[{"node":"edge-1","address":"10.0.0.1:9","zone":"z","incarnation":4}],
              "control":[]}""");
@@ -107,8 +107,8 @@
     }
 
     @Test
-    void showsWhoAnsweredAndWhoDidNot() {
-        Answer status = answer("{\"node\":\"core-1\",\"quorate\":true,\"config_version\":7,\"acceptors\":"
+    void formatsAddressesWithAndWithoutResponse() {
+        ControlResponse status = answer("{\"node\":\"core-1\",\"quorate\":true,\"config_version\":7,\"acceptors\":"
                 + "[{\"address\":\"10.0.0.9:2\",\"identity\":\"x\"}]}");
         List<String> asked = List.of("10.0.0.9:1", "10.0.0.8:1");
         assertEquals(
@@ -118,14 +118,15 @@
             10.0.0.8:1  no clear answer
             """,
                 FleetText.status(asked, Map.of("10.0.0.9:1", status)));
-        Answer behind = answer(
+        ControlResponse behind = answer(
                 "{\"node\":\"core-2\",\"quorate\":true,\"current\":false,\"config_version\":5," + "\"acceptors\":[]}");
-        Answer cutOff = answer(
+        ControlResponse cutOff = answer(
                 "{\"node\":\"core-3\",\"quorate\":false,\"current\":false,\"config_version\":5," + "\"acceptors\":[]}");
         String both = FleetText.status(asked, Map.of("10.0.0.9:1", behind, "10.0.0.8:1", cutOff));
         assertTrue(both.contains("core-2  behind  5"), both);
         assertTrue(both.contains("core-3  no      5"), both);
-        Answer duties = answer("{\"answered_by\":\"core-1\",\"list\":{\"held_here\":true,\"fencing_number\":3}}");
+        ControlResponse duties =
+                answer("{\"answered_by\":\"core-1\",\"list\":{\"held_here\":true,\"fencing_number\":3}}");
         assertTrue(
                 FleetText.duties(asked, Map.of("10.0.0.9:1", duties)).contains("core-1           list  yes         3"));
         assertEquals(
@@ -133,7 +134,7 @@
     }
 
     @Test
-    void namesAnAnswerOfAnotherShape() {
+    void reportsAResponseOfAnotherShape() {
         InvalidInputException fault =
                 assertThrows(InvalidInputException.class, () -> FleetText.members(answer("{\"data\":[]}")));
         assertEquals("802 ANSWER_UNREADABLE: the answer of 10.0.0.9:1: control is missing", fault.getMessage());
