--- a/consensus/src/main/java/dewplank/register/Proposer.java
+++ b/consensus/src/main/java/dewplank/register/Proposer.java
@@ -26,61 +26,6 @@
     /** A repair backs off for four times the minimum at most, so that it soon falls into the requests' backoff. */
     private static final int MAX_REPAIR_BACKOFF_DOUBLINGS = 2;
 
-    /** What the proposer is doing. {@link #transitionTo} checks the order of the states. */
-    sealed interface State permits Idle, InRound, Announcing, BackingOff {}
-
-    /** No task is active. */
-    enum Idle implements State {
-        IDLE
-    }
-
-    /** A round of the task is in progress; {@code attempt} counts its rounds from 1, anew after each chosen value. */
-    static final class InRound implements State {
-        private final Task task;
-        private final int attempt;
-        private final Round round;
-
-        InRound(Task task, int attempt, Round round) {
-            this.task = task;
-            this.attempt = attempt;
-            this.round = round;
-        }
-
-        Task task() {
-            return task;
-        }
-
-        Round round() {
-            return round;
-        }
-    }
-
-    /** A round of the task has chosen a value, which is being learned and announced. */
-    static final class Announcing implements State {
-        private final Task task;
-
-        Announcing(Task task) {
-            this.task = task;
-        }
-    }
-
-    /** The last round of the task got no quorum; the next begins at {@code retryAtMs}. */
-    static final class BackingOff implements State {
-        private final Task task;
-        private final int attempt;
-        private final double retryAtMs;
-
-        BackingOff(Task task, int attempt, double retryAtMs) {
-            this.task = task;
-            this.attempt = attempt;
-            this.retryAtMs = retryAtMs;
-        }
-
-        Task task() {
-            return task;
-        }
-    }
-
     private final Register.Settings settings;
     private final AcceptorId self;
     private final Learner learner;
@@ -88,7 +33,7 @@
     private final String name;
     private final Deque<Task> repairs = new ArrayDeque<>();
     private final Deque<Task> requests = new ArrayDeque<>();
-    private State state = Idle.IDLE;
+    private ProposerState state = ProposerState.Idle.IDLE;
     private double lastQuorumAtMs = Double.NEGATIVE_INFINITY;
     private double lastChosenAtMs = Double.NEGATIVE_INFINITY;
 
@@ -102,13 +47,13 @@
 
     /** Callers' requests that are queued or active. */
     int pendingRequests() {
-        Task active = activeTask();
+        Task active = state.task();
         return requests.size() + (active == null || active.isRepair() ? 0 : 1);
     }
 
     /** Repairs that are queued or active. */
     int pendingRepairs() {
-        Task active = activeTask();
+        Task active = state.task();
         return repairs.size() + (active != null && active.isRepair() ? 1 : 0);
     }
 
@@ -134,13 +79,13 @@
     /** Completes overdue tasks, ends rounds that timed out, retries after backoff. */
     void tick(double nowMs, Register.Effects effects) {
         completeOverdue(nowMs, effects);
-        if (state instanceof InRound inRound
-                && nowMs - inRound.round.phaseStartedAtMs() >= roundTimeoutMs(inRound.attempt)) {
+        if (state instanceof ProposerState.InRound inRound
+                && nowMs - inRound.round().phaseStartedAtMs() >= roundTimeoutMs(inRound.attempt())) {
             backOff(nowMs, inRound);
         }
         yieldToRepairs();
-        if (state instanceof BackingOff backingOff && nowMs >= backingOff.retryAtMs) {
-            startRound(nowMs, backingOff.task, backingOff.attempt + 1, effects);
+        if (state instanceof ProposerState.BackingOff backingOff && nowMs >= backingOff.retryAtMs()) {
+            startRound(nowMs, backingOff.task(), backingOff.attempt() + 1, effects);
         }
         startNextIfIdle(nowMs, effects);
     }
@@ -149,12 +94,12 @@
         learner.observeAccepted(
                 promise.acceptedBallot(),
                 promise.acceptedValue() == null ? null : promise.acceptedValue().acceptors());
-        if (!(state instanceof InRound inRound)
-                || !inRound.round.isPreparing()
-                || !promise.ballot().equals(inRound.round.ballot())) {
+        if (!(state instanceof ProposerState.InRound inRound)
+                || !inRound.round().isPreparing()
+                || !promise.ballot().equals(inRound.round().ballot())) {
             return;
         }
-        Round round = inRound.round;
+        Round round = inRound.round();
         round.addPromise(promise.senderId(), promise.acceptedBallot(), promise.acceptedValue());
         if (round.isPromisedByQuorum()) {
             lastQuorumAtMs = Math.max(lastQuorumAtMs, round.phaseStartedAtMs());
@@ -165,12 +110,12 @@
     }
 
     void handleAccepted(double nowMs, Accepted accepted, Register.Effects effects) {
-        if (!(state instanceof InRound inRound)
-                || inRound.round.isPreparing()
-                || !accepted.ballot().equals(inRound.round.ballot())) {
+        if (!(state instanceof ProposerState.InRound inRound)
+                || inRound.round().isPreparing()
+                || !accepted.ballot().equals(inRound.round().ballot())) {
             return;
         }
-        Round round = inRound.round;
+        Round round = inRound.round();
         round.addAcceptance(accepted.senderId());
         if (round.isAcceptedByQuorum()) {
             lastQuorumAtMs = Math.max(lastQuorumAtMs, round.phaseStartedAtMs());
@@ -181,29 +126,19 @@
 
     void handleReject(double nowMs, Reject reject) {
         learner.observeRound(reject.promisedBallot());
-        if (!(state instanceof InRound inRound) || !reject.ballot().equals(inRound.round.ballot())) {
+        if (!(state instanceof ProposerState.InRound inRound)
+                || !reject.ballot().equals(inRound.round().ballot())) {
             return;
         }
-        inRound.round.addRejection(reject.senderId());
-        if (inRound.round.isRejected()) {
+        inRound.round().addRejection(reject.senderId());
+        if (inRound.round().isRejected()) {
             backOff(nowMs, inRound);
         }
     }
 
-    /** The active task, or null in {@link Idle}. */
-    private Task activeTask() {
-        if (state instanceof InRound inRound) {
-            return inRound.task;
-        }
-        if (state instanceof Announcing announcing) {
-            return announcing.task;
-        }
-        return state instanceof BackingOff backingOff ? backingOff.task : null;
-    }
-
     /** Enters a state; throws if it does not follow the present one. */
-    private void transitionTo(State next) {
-        if (!mayFollow(next)) {
+    private void transitionTo(ProposerState next) {
+        if (!state.mayBeFollowedBy(next)) {
             throw new IllegalStateException("illegal transition of the proposer from "
                     + state.getClass().getSimpleName() + " to "
                     + next.getClass().getSimpleName());
@@ -211,18 +146,8 @@
         state = next;
     }
 
-    private boolean mayFollow(State next) {
-        if (next instanceof InRound) {
-            return !(state instanceof InRound);
-        }
-        if (next instanceof Idle) {
-            return state != Idle.IDLE;
-        }
-        return state instanceof InRound;
-    }
-
     private void startNextIfIdle(double nowMs, Register.Effects effects) {
-        if (state != Idle.IDLE || repairs.isEmpty() && requests.isEmpty()) {
+        if (state != ProposerState.Idle.IDLE || repairs.isEmpty() && requests.isEmpty()) {
             return;
         }
         Task next = repairs.isEmpty() ? requests.poll() : repairs.poll();
@@ -231,9 +156,11 @@
 
     /** Puts a request whose round got no quorum back in front of the queue if a repair waits. */
     private void yieldToRepairs() {
-        if (state instanceof BackingOff backingOff && !backingOff.task.isRepair() && !repairs.isEmpty()) {
-            requests.addFirst(backingOff.task);
-            transitionTo(Idle.IDLE);
+        if (state instanceof ProposerState.BackingOff backingOff
+                && !backingOff.task().isRepair()
+                && !repairs.isEmpty()) {
+            requests.addFirst(backingOff.task());
+            transitionTo(ProposerState.Idle.IDLE);
         }
     }
 
@@ -243,7 +170,7 @@
         RegisterValue chosen = learner.chosenValue();
         RegisterValue read = chosen != null ? chosen : new RegisterValue(settings.initialAcceptors(), 0, null);
         Round round = new Round(ballot, learner.chosenBallot(), read, nowMs);
-        transitionTo(new InRound(task, attempt, round));
+        transitionTo(new ProposerState.InRound(task, attempt, round));
         sendPrepare(round, learner.acceptors(), effects);
         if (learner.unconfirmedAcceptors() != null) {
             sendPrepare(round, learner.unconfirmedAcceptors(), effects);
@@ -265,9 +192,9 @@
         }
     }
 
-    private void startAcceptPhase(double nowMs, InRound inRound, Register.Effects effects) {
-        Round round = inRound.round;
-        round.startAcceptPhase(inRound.task.propose(round.read(), learner.chosenValue()), nowMs);
+    private void startAcceptPhase(double nowMs, ProposerState.InRound inRound, Register.Effects effects) {
+        Round round = inRound.round();
+        round.startAcceptPhase(inRound.task().propose(round.read(), learner.chosenValue()), nowMs);
         for (AcceptorId acceptor : round.read().acceptors().all()) {
             effects.send(
                     acceptor.address(),
@@ -280,15 +207,15 @@
         }
     }
 
-    private void finishRound(double nowMs, InRound inRound, Register.Effects effects) {
-        Round round = inRound.round;
+    private void finishRound(double nowMs, ProposerState.InRound inRound, Register.Effects effects) {
+        Round round = inRound.round();
         Proposal proposal = round.proposal();
-        Task task = inRound.task;
-        transitionTo(new Announcing(task));
+        Task task = inRound.task();
+        transitionTo(new ProposerState.Announcing(task));
         learner.learnChosen(round.ballot(), proposal.value(), effects);
         announceChosen(round, effects);
         if (task.isCompletedBy(proposal)) {
-            transitionTo(Idle.IDLE);
+            transitionTo(ProposerState.Idle.IDLE);
             task.complete(new Outcome.Confirmed(proposal.value(), proposal.answer(), proposal.changed()), effects);
             startNextIfIdle(nowMs, effects);
         } else {
@@ -319,13 +246,13 @@
         return settings.roundTimeoutMs() * Math.min(attempt, MAX_ROUND_TIMEOUT_FACTOR);
     }
 
-    private void backOff(double nowMs, InRound inRound) {
-        int maxDoublings = inRound.task.isRepair() ? MAX_REPAIR_BACKOFF_DOUBLINGS : MAX_BACKOFF_DOUBLINGS;
-        double exponentialMs = settings.retryBackoffMinMs() * (1 << Math.min(inRound.attempt, maxDoublings));
+    private void backOff(double nowMs, ProposerState.InRound inRound) {
+        int maxDoublings = inRound.task().isRepair() ? MAX_REPAIR_BACKOFF_DOUBLINGS : MAX_BACKOFF_DOUBLINGS;
+        double exponentialMs = settings.retryBackoffMinMs() * (1 << Math.min(inRound.attempt(), maxDoublings));
         double maxMs = Math.min(settings.retryBackoffMaxMs(), exponentialMs);
         double jitterRangeMs = Math.max(0, maxMs - settings.retryBackoffMinMs());
         double retryAtMs = nowMs + settings.retryBackoffMinMs() + random.nextDouble() * jitterRangeMs;
-        transitionTo(new BackingOff(inRound.task, inRound.attempt, retryAtMs));
+        transitionTo(new ProposerState.BackingOff(inRound.task(), inRound.attempt(), retryAtMs));
     }
 
     /**
@@ -341,10 +268,10 @@
             }
             queue.removeAll(overdue);
         }
-        Task active = activeTask();
+        Task active = state.task();
         if (active != null && nowMs >= active.deadlineMs()) {
             overdue.add(active);
-            transitionTo(Idle.IDLE);
+            transitionTo(ProposerState.Idle.IDLE);
         }
         for (Task task : overdue) {
             task.complete(Outcome.Unknown.NO_QUORUM, effects);
--- a/consensus/src/main/java/dewplank/register/Register.java
+++ b/consensus/src/main/java/dewplank/register/Register.java
@@ -229,6 +229,9 @@
             proposer.handleAccepted(nowMs, accepted, effects);
         } else if (message instanceof Reject reject) {
             proposer.handleReject(nowMs, reject);
+        } else {
+            throw new IllegalStateException(
+                    "unhandled message " + message.getClass().getSimpleName());
         }
     }
 
--- a/consensus/src/test/java/dewplank/register/RegisterSnapshot.java
+++ b/consensus/src/test/java/dewplank/register/RegisterSnapshot.java
@@ -27,8 +27,8 @@
             RoundCompleter.class,
             RequestIds.class,
             Round.class,
-            Proposer.InRound.class,
-            Proposer.BackingOff.class);
+            ProposerState.InRound.class,
+            ProposerState.BackingOff.class);
 
     /** Fields without influence on messages or votes: the reports counted by anti-entropy, attempts and ids. */
     private static final Set<String> EXCLUDED_FIELDS = Set.of(
@@ -109,12 +109,12 @@
         }
         for (Field field : fields(from.getClass())) {
             Object value = get(field, from);
-            if (value instanceof Proposer.InRound) {
+            if (value instanceof ProposerState.InRound) {
                 Round round = new Round(Ballot.NONE, Ballot.NONE, null, 0);
-                Proposer.InRound inRound = new Proposer.InRound(null, 0, round);
+                ProposerState.InRound inRound = new ProposerState.InRound(null, 0, round);
                 copyInto(value, inRound, seen);
                 set(field, to, inRound);
-            } else if (value instanceof Proposer.State) {
+            } else if (value instanceof ProposerState) {
                 set(field, to, value);
             } else if (value != null && MUTABLE_PARTS.contains(value.getClass())) {
                 copyInto(value, get(field, to), seen);
