--- a/cli/src/test/java/dewplank/sidecar/ReloadTest.java
+++ b/cli/src/test/java/dewplank/sidecar/ReloadTest.java
@@ -115,9 +115,11 @@
                 awaitLine(log, "serves on");
                 write(file, second);
                 second.next();
-                awaitLine(log, "configuration reloaded: discovery at");
+                awaitLine(log, "configuration reloaded discovery=");
                 signal(program, "HUP");
-                assertTrue("a second reload", awaitLine(log, "configuration re").contains("read again: nothing new"));
+                assertTrue(
+                        "a second reload",
+                        awaitLine(log, "configuration re").contains("reload skipped reason=unchanged"));
                 signal(program, "TERM");
                 awaitLine(log, "drained");
                 assertEquals(143, program.waitFor());
--- a/sidecar/src/main/java/dewplank/discovery/CatalogWatch.java
+++ b/sidecar/src/main/java/dewplank/discovery/CatalogWatch.java
@@ -63,7 +63,7 @@
     void start() {
         restartIdleTimer();
         connecting =
-                Connection.open(loop, address, this, this::connected, e -> end("no connection: " + e.getMessage()));
+                Connection.open(loop, address, this, this::connected, e -> end("connect failed: " + e.getMessage()));
     }
 
     private void connected(Connection established) {
@@ -77,7 +77,7 @@
         if (idleTimer != null) {
             idleTimer.cancel();
         }
-        idleTimer = loop.after(idleTimeoutMs, () -> end("nothing heard for " + (long) idleTimeoutMs + " ms"));
+        idleTimer = loop.after(idleTimeoutMs, () -> end("idle timeout after " + (long) idleTimeoutMs + " ms"));
     }
 
     @Override
@@ -86,12 +86,12 @@
         try {
             boolean isComplete = parser.feed(bytes);
             if (parser.isHeadRead() && parser.status() != 200) {
-                end("answered " + parser.status());
+                end("response status " + parser.status());
                 return;
             }
             consumeBody(parser.takeBody());
             if (isComplete) {
-                end("discovery ended it");
+                end("response ended");
             }
         } catch (BadMessageException | InvalidInputException e) {
             end(e.getMessage());
@@ -113,7 +113,7 @@
             if (b == '\n') {
                 onKeepalive.run();
             } else if (b != '\r' && b != ' ' && b != '\t') {
-                throw new BadMessageException(502, "what came is no list");
+                throw new BadMessageException(502, "malformed list");
             }
             return;
         }
@@ -133,13 +133,13 @@
             partial.reset();
             onList.accept(list);
         } else if (partial.size() > MAX_LIST_BYTES) {
-            throw new BadMessageException(502, "a list is too long");
+            throw new BadMessageException(502, "list too long");
         }
     }
 
     @Override
     public void closed(IOException reason) {
-        end(reason == null ? "discovery closed it" : reason.getMessage());
+        end(reason == null ? "connection closed by discovery" : reason.getMessage());
     }
 
     private void end(String reason) {
--- a/sidecar/src/main/java/dewplank/discovery/DiscoveryClient.java
+++ b/sidecar/src/main/java/dewplank/discovery/DiscoveryClient.java
@@ -129,7 +129,7 @@
         if (update.version() < version) {
             LOG.log(
                     System.Logger.Level.WARNING,
-                    "discovery sent version {0}, older than {1}: passed over",
+                    "discovery list ignored version={0} currentVersion={1}",
                     Long.toString(update.version()),
                     Long.toString(version));
             listener.accept(new EndpointUpdate(UpdateKind.INCREMENTAL, List.of()));
@@ -150,7 +150,7 @@
         isUsable = true;
         if (!watching) {
             watching = true;
-            LOG.log(System.Logger.Level.INFO, "discovery watch up at version {0}", Long.toString(at));
+            LOG.log(System.Logger.Level.INFO, "discovery watch established version={0}", Long.toString(at));
         }
     }
 
@@ -189,7 +189,7 @@
         watching = false;
         LOG.log(
                 System.Logger.Level.WARNING,
-                "discovery watch lost at version {0}: {1}",
+                "discovery watch lost version={0} cause={1}",
                 Long.toString(version),
                 reason);
         isUsable = true; // there is no newer one to be had
--- a/sidecar/src/main/java/dewplank/peers/PeerChannel.java
+++ b/sidecar/src/main/java/dewplank/peers/PeerChannel.java
@@ -131,7 +131,7 @@
                 return;
             }
         } catch (IOException e) {
-            LOG.log(System.Logger.Level.DEBUG, "a datagram could not be sent to {0}: {1}", to, e.getMessage());
+            LOG.log(System.Logger.Level.DEBUG, "peer datagram send failed peer={0} cause={1}", to, e.getMessage());
         }
         unsent++;
     }
@@ -146,14 +146,14 @@
                     selector.selectedKeys().clear();
                     readCount = receiveBatch(in);
                 } catch (IOException e) {
-                    LOG.log(System.Logger.Level.DEBUG, "datagrams from peers could not be read", e);
+                    LOG.log(System.Logger.Level.DEBUG, "peer datagram receive failed", e);
                 }
                 if (readCount == MAX_BATCH) {
                     Thread.sleep(BATCH_PAUSE_MS);
                 }
             }
         } catch (ClosedSelectorException | InterruptedException e) {
-            LOG.log(System.Logger.Level.DEBUG, "datagrams from peers are no longer read", e);
+            LOG.log(System.Logger.Level.DEBUG, "peer datagram receiver stopped", e);
         }
     }
 
@@ -192,11 +192,10 @@
             reportedDiscards = discarded;
             LOG.log(
                     System.Logger.Level.WARNING,
-                    "datagrams not taken since the start: {0} of unknown senders, {1} "
-                            + "unreadable, {2} over the bound",
-                    counts.unknownSender(),
-                    counts.invalid(),
-                    counts.overflowed());
+                    "peer datagrams discarded unknownSender={0} invalid={1} overflowed={2}",
+                    Long.toString(counts.unknownSender()),
+                    Long.toString(counts.invalid()),
+                    Long.toString(counts.overflowed()));
         }
         loop.after(REPORT_INTERVAL_MS, this::reportDiscards);
     }
@@ -207,7 +206,7 @@
             selector.close();
             channel.close();
         } catch (IOException e) {
-            LOG.log(System.Logger.Level.DEBUG, "closing failed", e);
+            LOG.log(System.Logger.Level.DEBUG, "peer channel close failed", e);
         }
     }
 }
--- a/sidecar/src/main/java/dewplank/sidecar/BalancerHost.java
+++ b/sidecar/src/main/java/dewplank/sidecar/BalancerHost.java
@@ -163,7 +163,7 @@
         PendingRequest request = requests.open(decoded.forwarded(), loop.now() + budgetMs, responses);
         // Should the balancer ever leave a request without a response, the client still gets one in time.
         request.deadlineGuard = loop.after(budgetMs + DEADLINE_GUARD_MARGIN_MS, () -> {
-            LOG.log(System.Logger.Level.WARNING, "a request had no answer at its deadline");
+            LOG.log(System.Logger.Level.WARNING, "request deadline passed without a decision");
             abandon(request);
             responses.respondFailed();
         });
@@ -227,7 +227,7 @@
         } catch (RuntimeException e) { // any defect of the balancer costs this event's request only
             LOG.log(
                     System.Logger.Level.ERROR,
-                    "the module failed on " + event.getClass().getSimpleName(),
+                    "balancer failed event=" + event.getClass().getSimpleName(),
                     e);
             failRequestOf(event);
         }
@@ -237,7 +237,7 @@
             } catch (RuntimeException e) { // the other actions of the event are still owed
                 LOG.log(
                         System.Logger.Level.ERROR,
-                        "an action failed: " + action.getClass().getSimpleName(),
+                        "action failed action=" + action.getClass().getSimpleName(),
                         e);
             }
         }
--- a/sidecar/src/main/java/dewplank/sidecar/ClientConnection.java
+++ b/sidecar/src/main/java/dewplank/sidecar/ClientConnection.java
@@ -79,7 +79,7 @@
 
     /** Whatever went wrong, the client gets its one answer. */
     private void failed(RuntimeException e) {
-        LOG.log(System.Logger.Level.ERROR, "a request failed", e);
+        LOG.log(System.Logger.Level.ERROR, "request handling failed", e);
         reject(new BadMessageException(500, "internal error"));
     }
 
--- a/sidecar/src/main/java/dewplank/sidecar/GracefulShutdown.java
+++ b/sidecar/src/main/java/dewplank/sidecar/GracefulShutdown.java
@@ -37,7 +37,7 @@
         loop.execute(() -> start(schedule));
         double maxWaitMs = schedule.completeByMs() + TIMEOUT_MARGIN_MS;
         if (!drained.await((long) maxWaitMs, TimeUnit.MILLISECONDS)) {
-            LOG.log(System.Logger.Level.WARNING, "draining did not end within {0} ms", Long.toString((long) maxWaitMs));
+            LOG.log(System.Logger.Level.WARNING, "drain timed out waitedMs={0}", Long.toString((long) maxWaitMs));
         }
     }
 
@@ -47,7 +47,7 @@
     }
 
     private void start(DrainSchedule schedule) {
-        LOG.log(System.Logger.Level.INFO, "draining: {0} requests open", host.openRequestCount());
+        LOG.log(System.Logger.Level.INFO, "drain started openRequests={0}", Integer.toString(host.openRequestCount()));
         clients.startDraining();
         host.completeAllBy(loop.now() + schedule.completeByMs());
         double untilMs = loop.now() + schedule.acceptForMs();
--- a/sidecar/src/main/java/dewplank/sidecar/ServerConnections.java
+++ b/sidecar/src/main/java/dewplank/sidecar/ServerConnections.java
@@ -59,7 +59,10 @@
         }
         if (loop.now() - limitLoggedAtMs > LIMIT_LOG_INTERVAL_MS) { // a line per attempt would only add to the load
             limitLoggedAtMs = loop.now();
-            LOG.log(System.Logger.Level.WARNING, "server connections at their bound of {0}", maxConnections);
+            LOG.log(
+                    System.Logger.Level.WARNING,
+                    "server connection limit reached maxConnections={0}",
+                    Integer.toString(maxConnections));
         }
         return poolByServer.values().stream().anyMatch(ConnectionPool::closeOldest);
     }
--- a/sidecar/src/main/java/dewplank/sidecar/Sidecar.java
+++ b/sidecar/src/main/java/dewplank/sidecar/Sidecar.java
@@ -93,16 +93,16 @@
         boolean more = needsRestart(next, config);
         loop.execute(() -> {
             if (reloaded != null && next.discovery().equals(reloaded.discovery()) && !needsRestart(next, reloaded)) {
-                LOG.log(System.Logger.Level.INFO, "configuration read again: nothing new");
+                LOG.log(System.Logger.Level.INFO, "configuration reload skipped reason=unchanged");
                 return;
             }
             reloaded = next;
             host.moveDiscoveryTo(next.discovery());
             LOG.log(
                     System.Logger.Level.INFO,
-                    "configuration reloaded: discovery at {0}{1}",
+                    "configuration reloaded discovery={0}{1}",
                     next.discovery(),
-                    more ? "; limits.sockets and settings stay as they were until the next start" : "");
+                    more ? " restartRequired=limits.sockets,settings" : "");
         });
     }
 
--- a/sidecar/src/test/java/dewplank/discovery/CatalogWatchTest.java
+++ b/sidecar/src/test/java/dewplank/discovery/CatalogWatchTest.java
@@ -41,7 +41,7 @@
                         ends::add);
                 watch.start();
             });
-            assertEquals("nothing heard for 20 ms", ends.take());
+            assertEquals("idle timeout after 20 ms", ends.take());
             try (Socket given = silent.accept()) {
                 String call = new String(given.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
                 assertTrue(call, call.startsWith("GET /catalog/members?stream=1&index=3 HTTP/1.1\r\n"));
