--- a/controlplane/src/main/java/dewplank/controlplane/HttpPlatformClient.java
+++ b/controlplane/src/main/java/dewplank/controlplane/HttpPlatformClient.java
@@ -1,9 +1,5 @@
 package dewplank.controlplane;
 
-import com.jsoniter.JsonIterator;
-import com.jsoniter.ValueType;
-import com.jsoniter.any.Any;
-import com.jsoniter.spi.JsonException;
 import dewplank.exchange.ConnectionPool;
 import dewplank.exchange.HttpCall;
 import dewplank.http.Headers;
@@ -29,6 +25,7 @@
     private static final double OWN_FRACTION_OF_RATE = 0.5;
 
     private static final double SECOND_MS = 1_000;
+    private static final int STATUS_OK = 200;
 
     private final EventLoop loop;
     private final InetSocketAddress address;
@@ -114,61 +111,27 @@
         @Override
         public void complete() {
             timeout.cancel();
-            if (status != 200) {
+            if (status != STATUS_OK) {
                 callback.failed("status " + status);
                 return;
             }
-            String next;
+            InstancePage page;
             try {
-                next = read(body.toByteArray());
-            } catch (JsonException | ArrayIndexOutOfBoundsException e) {
+                page = InstancePage.parse(body.toByteArray());
+            } catch (UnreadableResponseException e) {
                 callback.failed("an answer that can't be read");
                 return;
             }
-            if (next == null) {
+            servers.addAll(page.instances());
+            if (page.nextToken().isEmpty()) {
                 callback.completed(servers);
             } else if (pages == MAX_PAGES) {
                 callback.failed("more than " + MAX_PAGES + " pages");
             } else {
-                page(next);
+                page(page.nextToken().get());
             }
         }
 
-        private String read(byte[] text) {
-            Any answer = JsonIterator.deserialize(text);
-            if (answer.get("instances").valueType() != ValueType.ARRAY) {
-                throw new JsonException("instances is missing");
-            }
-            for (Any instance : answer.get("instances")) {
-                servers.add(entry(instance));
-            }
-            Any token = answer.get("next_token");
-            return token.valueType() == ValueType.STRING ? token.toString() : null;
-        }
-
-        private Endpoint entry(Any instance) {
-            Any stage = instance.get("stage");
-            return new Endpoint(
-                    requiredText(instance, "instance_id"),
-                    requiredText(instance, "service"),
-                    requiredText(instance, "address"),
-                    requiredText(instance, "zone"),
-                    instance.toInt("slot_count"),
-                    "draining".equals(instance.toString("state")),
-                    instance.get("cold_remaining_ms").valueType() == ValueType.NUMBER
-                            ? instance.toDouble("cold_remaining_ms")
-                            : 0,
-                    stage.valueType() == ValueType.STRING ? stage.toString() : null);
-        }
-
-        private static String requiredText(Any instance, String key) {
-            Any value = instance.get(key);
-            if (value.valueType() != ValueType.STRING) {
-                throw new JsonException(key + " is missing");
-            }
-            return value.toString();
-        }
-
         @Override
         public void failed(HttpCall.Failure failure) {
             timeout.cancel();
