--- a/configuration/src/main/java/dewplank/configuration/ChangeRequest.java
+++ b/configuration/src/main/java/dewplank/configuration/ChangeRequest.java
@@ -5,11 +5,12 @@
 import java.security.NoSuchAlgorithmException;
 
 /**
- * A change that an operator asks for.
+ * A change that an operator requests. Created by the control plane's operator API, applied by
+ * {@link ConfigurationDocument#apply}.
  *
- * @param patch whether the body is a change on top of the current configuration rather than a whole one
- * @param expectedVersion the version that the operator builds on
- * @param body the body as it came
+ * @param patch whether the body is a patch on top of the current configuration; else it is a complete one
+ * @param expectedVersion the version that the operator builds on; 0 before the first
+ * @param body the body as it was received; not copied, and not to be changed
  */
 public record ChangeRequest(boolean patch, long expectedVersion, byte[] body) {
     /** A SHA-256 digest that tells this request from any other: its kind, the version it builds on, and its body. */
--- a/configuration/src/main/java/dewplank/configuration/ChangeResult.java
+++ b/configuration/src/main/java/dewplank/configuration/ChangeResult.java
@@ -1,38 +1,38 @@
 package dewplank.configuration;
 
-/** What became of a change. */
+/** The result of a change: how {@link ConfigurationDocument#apply} answers it. */
 public sealed interface ChangeResult {
     /**
-     * The change fits; it counts once the next document is chosen.
+     * The change is valid; it is in force once the register has chosen the next document.
      *
-     * @param next the document with the change taken
+     * @param next the document with the change applied
      */
     record Accepted(ConfigurationDocument next) implements ChangeResult {}
 
     /**
-     * This very change was taken before.
+     * The same change was accepted before: this is a retry of it.
      *
      * @param version the version that it brought
      */
     record AlreadyAccepted(long version) implements ChangeResult {}
 
     /**
-     * Another version is current than the one the change builds on.
+     * The current version is another one than the change builds on.
      *
      * @param current the current version
      */
     record VersionMismatch(long current) implements ChangeResult {}
 
     /**
-     * The change builds on a version so old that it is not known any more which change was taken on top of it: it may
-     * have been this one, so it is neither confirmed nor refused.
+     * The change builds on a version so old that the history no longer says which change was accepted on top of it. It
+     * may have been this one, so the change is neither confirmed nor rejected.
      *
-     * @param oldestBase the oldest version for which that is known
+     * @param oldestBase the oldest version for which the history says it
      */
     record HistoryExpired(long oldestBase) implements ChangeResult {}
 
     /**
-     * The change cannot be taken.
+     * The change is invalid.
      *
      * @param error what is wrong with it
      */
--- a/configuration/src/main/java/dewplank/configuration/Configuration.java
+++ b/configuration/src/main/java/dewplank/configuration/Configuration.java
@@ -15,11 +15,14 @@
 import java.util.Optional;
 
 /**
- * A whole configuration; immutable. It is held as the texts of its items with what they mean, so that a change reads
- * only what it brings, and so that fields this program does not know are kept as they came.
+ * A complete, valid configuration. Immutable; any thread may use it. Built by the control plane from operators' changes
+ * and by the data plane from what it receives.
+ *
+ * <p>It stores the JSON texts of its items beside what they mean, so that a change parses only what it brings, and so
+ * that fields which this program does not know are passed through unchanged.
  */
 public final class Configuration {
-    /** The field that holds a configuration's version. */
+    /** The field of a configuration's version. */
     static final String VERSION = "config_version";
 
     private static final String LIMITS = "limits";
@@ -30,7 +33,7 @@
     private final Map<String, Service> services;
     private final RequestLimits limits;
 
-    /** A configuration of these top-level fields, checked as a whole. */
+    /** A configuration of these top-level fields; throws unless they are valid together. */
     Configuration(Map<String, Section> sections) throws InvalidConfigurationException {
         this.sections = Collections.unmodifiableMap(sections);
         this.version = readVersion(sections);
@@ -41,15 +44,16 @@
     }
 
     /**
-     * Reads a whole configuration.
+     * Parses a complete configuration.
      *
-     * @param json its text
+     * @param json its text in UTF-8
+     * @throws InvalidConfigurationException with the key at fault
      */
     public static Configuration parse(byte[] json) throws InvalidConfigurationException {
         return of(JsonTextReader.readObject(json));
     }
 
-    /** The configuration that an object describes. */
+    /** The configuration that an object describes; throws where it is invalid. */
     static Configuration of(JsonObject object) throws InvalidConfigurationException {
         Map<String, Section> sections = new LinkedHashMap<>();
         for (Map.Entry<String, JsonValue> member : object.members().entrySet()) {
@@ -59,15 +63,16 @@
     }
 
     /**
-     * This configuration with a change taken on top of it.
+     * This configuration with a patch applied; this one stays as it is.
      *
-     * @param json the change: a version, items to add or replace, names to remove
+     * @param json the patch: a version above this one's, items to add or replace, names to remove
+     * @throws InvalidConfigurationException with the key at fault, of the patch or of the result
      */
     public Configuration patched(byte[] json) throws InvalidConfigurationException {
         return patched(JsonTextReader.readObject(json));
     }
 
-    /** This configuration with the change that an object describes taken on top of it. */
+    /** This configuration with the patch that an object describes. */
     Configuration patched(JsonObject patch) throws InvalidConfigurationException {
         Configuration next = new Configuration(ConfigurationPatch.apply(sections, patch));
         if (next.version <= version) {
@@ -81,7 +86,7 @@
         return version;
     }
 
-    /** The whole configuration as JSON without spaces; a new array at each call. */
+    /** The complete configuration as JSON without spaces, in UTF-8; a new array at each call. */
     public byte[] json() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         char separator = '{';
@@ -111,12 +116,12 @@
         }
     }
 
-    /** Its routes, in the order in which they are written. */
+    /** Its routes in the order of the text; unmodifiable. */
     public List<Route> routes() {
         return routes;
     }
 
-    /** Its services by name. */
+    /** Its services by name, in the order of the text; unmodifiable. */
     public Map<String, Service> services() {
         return services;
     }
@@ -126,7 +131,7 @@
         return limits;
     }
 
-    /** Its top-level fields, in the order in which they are written. */
+    /** Its top-level fields by name, in the order of the text. */
     Map<String, Section> sections() {
         return sections;
     }
--- a/configuration/src/main/java/dewplank/configuration/ConfigurationDelta.java
+++ b/configuration/src/main/java/dewplank/configuration/ConfigurationDelta.java
@@ -12,17 +12,21 @@
 import java.util.Map;
 
 /**
- * The difference of two configurations. It names the two versions and then the later one's fields in order: each as
- * it was, as a new text, or, for a list of items, as runs copied from the earlier list and texts of new items.
+ * The difference from one configuration to a later one, as control planes send it to data planes instead of the
+ * complete text. Pure; any thread may call it.
+ *
+ * <p>Big-endian: the two versions (8 bytes each), the number of top-level fields of the later one (4), then each field
+ * with its name as a JSON text. A field is unchanged, a new text, or for a list of items runs copied from the earlier
+ * list and texts of new items. A text is its length in bytes (4) and UTF-8.
  */
 public final class ConfigurationDelta {
-    /** The field is as it was. */
+    /** The field is unchanged. */
     static final int SAME = 0;
     /** The field's text follows. */
     static final int PLAIN = 1;
     /** A list's runs and items follow. */
     static final int LIST = 2;
-    /** The list is at its end. */
+    /** The end of the list. */
     static final int END = 0;
     /** Items copied from the earlier list: index of the first, count. */
     static final int COPY = 1;
@@ -32,10 +36,10 @@
     private ConfigurationDelta() {}
 
     /**
-     * The difference that leads from one configuration to another.
+     * Encodes the difference.
      *
-     * @param from the earlier one
-     * @param to the later one
+     * @param from the earlier configuration
+     * @param to the later configuration
      */
     public static byte[] between(Configuration from, Configuration to) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
@@ -106,10 +110,12 @@
     }
 
     /**
-     * The later configuration.
+     * Rebuilds the later configuration.
      *
-     * @param from the earlier one; it must be of the version that the difference was made from
+     * @param from the earlier one, of the version that the difference was made from
      * @param delta the difference
+     * @throws InvalidConfigurationException if the difference is truncated, malformed or made from another version, or
+     *     the result is invalid
      */
     public static Configuration apply(Configuration from, byte[] delta) throws InvalidConfigurationException {
         return new DeltaReader(from, delta).read();
--- a/configuration/src/main/java/dewplank/configuration/ConfigurationDocument.java
+++ b/configuration/src/main/java/dewplank/configuration/ConfigurationDocument.java
@@ -16,21 +16,25 @@
 import java.util.Arrays;
 import java.util.OptionalLong;
 
-/** What the register holds: the configuration and the last changes that were taken; immutable. */
+/**
+ * The register's value: a configuration and the history of the last accepted changes. Immutable; any thread may use it.
+ * The control plane decodes the register's payload to it, applies an operator's change, and proposes the encoded
+ * result.
+ */
 public final class ConfigurationDocument {
     /**
-     * Changes that are remembered. At five changes a second 1,024 reach back over three minutes of resends, and take
-     * 24 KB of every write, an eighth of a configuration of 600 routes. A resend that they no longer reach gets no
-     * clear answer, see {@link ChangeResult.HistoryExpired}.
+     * Accepted changes in the history. At five changes a second 1,024 cover three minutes of retries, and take 24 KB of
+     * every write, an eighth of a configuration of 600 routes. A retry that they no longer cover gets no clear answer,
+     * see {@link ChangeResult.HistoryExpired}.
      */
     public static final int MAX_REMEMBERED_CHANGES = 1_024;
-    /** The longest body of a request that is read. */
+    /** The longest body of a change. */
     public static final int MAX_BODY_BYTES = 4 << 20;
 
     /**
-     * First byte of a payload that is compressed, above the formats of a history, with which older payloads begin. Each
-     * change sends the payload to every acceptor and each of them writes it: of 2,000 routes 0.6 MB, which over a link
-     * of 100 Mbit/s took longer than a round may.
+     * First byte of a compressed payload, above the formats of a history, with which older payloads begin. Each change
+     * sends the payload to every acceptor and each of them writes it: without compression 0.6 MB for 2,000 routes,
+     * which over a link of 100 Mbit/s took longer than a round may.
      */
     private static final int COMPRESSED = 64;
 
@@ -47,9 +51,10 @@
     }
 
     /**
-     * The document that a payload holds.
+     * Decodes a payload of this or an earlier release.
      *
-     * @param payload what {@link #encode} gave, or null for the document before the first configuration
+     * @param payload what {@link #encode} returned, or null for the document before the first configuration
+     * @throws IllegalArgumentException if the payload is damaged: the register returns only what was encoded here
      */
     public static ConfigurationDocument decode(byte[] payload) {
         if (payload == null) {
@@ -71,7 +76,7 @@
                 : payload;
     }
 
-    /** The document as the register's payload. */
+    /** The document as the register's payload; the same document always gives the same bytes. */
     public byte[] encode() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
@@ -100,12 +105,11 @@
     }
 
     /**
-     * Looks at a change on top of this document. A change that stands in the history is answered as taken, whatever
-     * came since; a body that cannot be read is invalid whatever it builds on. As every version has one successor at
-     * most, a change that builds on a version whose successor is remembered, and is not that successor, was never
-     * taken: only then it is refused.
+     * Applies a change on top of this document, which stays as it is.
      *
-     * @param request the change
+     * <p>A change in the history is answered as accepted, whatever followed it; a body that can't be read is invalid
+     * whatever it builds on. Every version has one successor at most. So a change on a version whose successor is in
+     * the history, and is another one, was never accepted: only then it is rejected.
      */
     public ChangeResult apply(ChangeRequest request) {
         byte[] digest = request.digest();
--- a/configuration/src/main/java/dewplank/configuration/ConfigurationPatch.java
+++ b/configuration/src/main/java/dewplank/configuration/ConfigurationPatch.java
@@ -12,8 +12,8 @@
 import java.util.Set;
 
 /**
- * Takes a change on top of a configuration's fields. Items are added or replaced first and names removed after, so a
- * name that stands in both is gone; an item that is replaced keeps its place, a new one comes last.
+ * Applies a patch to a configuration's fields. Items are added or replaced first and names removed after, so a name in
+ * both is removed; an item that is replaced keeps its position, a new one goes to the end. Pure.
  */
 final class ConfigurationPatch {
     private static final String UPSERT = "upsert";
@@ -21,7 +21,7 @@
 
     private ConfigurationPatch() {}
 
-    /** The fields after the change. */
+    /** The fields with the patch applied; the given ones stay as they are. */
     static Map<String, Section> apply(Map<String, Section> sections, JsonObject patch)
             throws InvalidConfigurationException {
         if (!patch.members().containsKey(Configuration.VERSION)) {
--- a/configuration/src/main/java/dewplank/configuration/DeltaReader.java
+++ b/configuration/src/main/java/dewplank/configuration/DeltaReader.java
@@ -12,18 +12,18 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads a difference and builds the later configuration from it and the earlier one. */
+/** Decodes one difference and builds the later configuration from it and the earlier one; used by one call. */
 final class DeltaReader {
     private final Configuration from;
     private final DataInputStream in;
 
-    /** Reads a difference made from the given configuration. */
+    /** A reader of a difference that was made from the given configuration. */
     DeltaReader(Configuration from, byte[] delta) {
         this.from = from;
         this.in = new DataInputStream(new ByteArrayInputStream(delta));
     }
 
-    /** The later configuration. */
+    /** The later configuration; throws where the difference is truncated or malformed. */
     Configuration read() throws InvalidConfigurationException {
         try {
             return readConfiguration();
--- a/configuration/src/main/java/dewplank/configuration/EngineProfile.java
+++ b/configuration/src/main/java/dewplank/configuration/EngineProfile.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * Figures of a service's model servers.
+ * What a service's model servers can do, as the operator states it. Immutable.
  *
  * @param slotCount requests that run in one batch
- * @param kvTokens tokens that a server's cache holds
- * @param kvTokenBytes bytes that one token of the cache takes on a link
- * @param linkMbps the link over which caches move
- * @param maxTokensPerEvent tokens that one event of a stream may hold
- * @param cacheRetentionMs how long a cache that was read ahead is held
+ * @param kvTokens tokens that fit into a server's KV cache
+ * @param kvTokenBytes bytes that one token of the KV cache takes on a link
+ * @param linkMbps rate of the link over which KV caches move, in Mbit/s
+ * @param maxTokensPerEvent tokens that one event of a stream may contain
+ * @param cacheRetentionMs how long a prefill server retains a KV cache until it is fetched
  * @param stageChangeMs how long a change of stage takes
- * @param models names of the models that it serves
+ * @param models names of the models that the servers offer
  */
 public record EngineProfile(
         int slotCount,
--- a/configuration/src/main/java/dewplank/configuration/InvalidConfigurationException.java
+++ b/configuration/src/main/java/dewplank/configuration/InvalidConfigurationException.java
@@ -1,12 +1,12 @@
 package dewplank.configuration;
 
-/** A configuration, or a change to one, that cannot be taken; it names the key at fault. */
+/** A configuration, or a change to one, is invalid; it names the key at fault and why. */
 public final class InvalidConfigurationException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** What is wrong. */
+    /** Why it is invalid. */
     public enum Reason {
-        /** The text is not one whole JSON value: cut short, malformed, or followed by further bytes. */
+        /** The text is not exactly one JSON value: truncated, malformed, or followed by further bytes. */
         UNREADABLE,
         /** An object holds the same key twice. */
         DUPLICATE_KEY,
@@ -14,7 +14,7 @@
         TOO_DEEP,
         /** The body is longer than {@link ConfigurationDocument#MAX_BODY_BYTES}. */
         TOO_LARGE,
-        /** A value is of another type than its field asks for. */
+        /** A value is of another type than its field has. */
         WRONG_TYPE,
         /** A field that has no default is absent. */
         MISSING_FIELD,
@@ -38,13 +38,13 @@
         BAD_TIMEOUT,
         /** A path prefix does not begin and end with a slash. */
         BAD_PREFIX,
-        /** A route's type is none that is known. */
+        /** A route's type is none of {@link RouteType}. */
         UNKNOWN_ROUTE_TYPE,
         /** A number lies outside the range in which its field makes sense. */
         OUT_OF_BOUNDS
     }
 
-    /** Nesting that a reader accepts: real configurations need 7, and the reader must not exhaust its stack. */
+    /** Nesting that readers accept: real configurations need 7, and a reader must not exhaust its stack. */
     public static final int MAX_DEPTH = 64;
 
     private final Reason reason;
@@ -54,7 +54,7 @@
      * A fault.
      *
      * @param reason its kind
-     * @param key the key at fault, such as {@code routes[r-1].timeout_ms}; empty for the whole text
+     * @param key the key at fault, such as {@code routes[r-1].timeout_ms}; empty for the text as a whole
      * @param detail what is wrong, in a few words
      */
     InvalidConfigurationException(Reason reason, String key, String detail) {
@@ -68,7 +68,7 @@
         return reason;
     }
 
-    /** The key at fault; empty where the text as a whole is. */
+    /** The key at fault; empty for the text as a whole. */
     public String key() {
         return key;
     }
--- a/configuration/src/main/java/dewplank/configuration/JsonGrammar.java
+++ b/configuration/src/main/java/dewplank/configuration/JsonGrammar.java
@@ -6,8 +6,9 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Checks that bytes are exactly one JSON value by the letter of RFC 8259. The reader that follows skips over what it
- * expects ("txyz" passes for true) and stops where a value ends; after this check there is nothing left to overlook.
+ * Checks that bytes are exactly one JSON value by RFC 8259. The parser that follows is lenient: it skips over what it
+ * expects ("txyz" passes for true) and stops where a value ends. After this check it has nothing to overlook. Used by
+ * one call; depth is bounded, so that no text exhausts the stack.
  */
 final class JsonGrammar {
     private static final int END = -1;
@@ -26,7 +27,7 @@
         this.text = text;
     }
 
-    /** Throws unless the text is one whole value and nothing else. */
+    /** Throws unless the text is one value and nothing else, in UTF-8. */
     static void check(byte[] text) throws InvalidConfigurationException {
         JsonGrammar grammar = new JsonGrammar(text);
         grammar.skipSpace();
@@ -145,7 +146,7 @@
         }
     }
 
-    /** An escaped character; half a surrogate pair stands for none and could not be written again. */
+    /** An escaped UTF-16 unit; half a surrogate pair is no character and could not be written again. */
     private void checkUnicodeEscape() throws InvalidConfigurationException {
         char first = readHexDigits();
         if (Character.isHighSurrogate(first)) {
--- a/configuration/src/main/java/dewplank/configuration/JsonObjectReader.java
+++ b/configuration/src/main/java/dewplank/configuration/JsonObjectReader.java
@@ -10,21 +10,24 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Typed reading of an object's fields. A field that is null counts as absent; faults name the field's whole path. */
+/**
+ * Reads the fields of a JSON object by type. A field that is null counts as absent. Errors name the full path of the
+ * field. Used by one call.
+ */
 final class JsonObjectReader {
-    /** Digits beyond which no whole number is expanded: a long has 19, and 1e999999999 must cost nothing. */
+    /** A long has 19 digits; numbers beyond are not expanded, as 1e999999999 must cost nothing. */
     private static final int MAX_LONG_DIGITS = 19;
 
     private final JsonObject object;
     private final String path;
     private final String element;
 
-    /** Reads the object found at the path. */
+    /** A reader of the object at the path. */
     JsonObjectReader(JsonObject object, String path) {
         this(object, path, null);
     }
 
-    /** Reads an element of the list found at the path; the paths are put together where a fault asks for them. */
+    /** A reader of an element of the list at the path; paths are put together only for an error. */
     JsonObjectReader(JsonObject object, String path, String element) {
         this.object = object;
         this.path = path;
@@ -45,7 +48,7 @@
         return value != null && value != JsonWord.NULL;
     }
 
-    /** A string that must be there. */
+    /** A required string. */
     String stringValue(String field) throws InvalidConfigurationException {
         if (!has(field)) {
             throw error(Reason.MISSING_FIELD, field, "is absent");
@@ -76,7 +79,7 @@
         return value == JsonWord.TRUE;
     }
 
-    /** A number that must be there. */
+    /** A required number. */
     double doubleValue(String field) throws InvalidConfigurationException {
         if (!has(field)) {
             throw error(Reason.MISSING_FIELD, field, "is absent");
@@ -84,7 +87,7 @@
         return doubleValue(field, 0, Double.NEGATIVE_INFINITY);
     }
 
-    /** A number of at least the least, or the default where it is absent. */
+    /** A finite number of at least the minimum, or the default where it is absent. */
     double doubleValue(String field, double defaultValue, double min) throws InvalidConfigurationException {
         if (!has(field)) {
             return defaultValue;
@@ -96,12 +99,12 @@
         return value;
     }
 
-    /** A whole number of at least the least, or the default where it is absent; above the largest int, that. */
+    /** An integer of at least the minimum, or the default where it is absent; the largest int where it is above. */
     int intValue(String field, int defaultValue, int min) throws InvalidConfigurationException {
         return (int) Math.min(Integer.MAX_VALUE, longValue(field, defaultValue, min));
     }
 
-    /** A whole number of at least the least, or the default where it is absent. */
+    /** An integer of at least the minimum, or the default where it is absent. */
     long longValue(String field, long defaultValue, long min) throws InvalidConfigurationException {
         if (!has(field)) {
             return defaultValue;
@@ -163,7 +166,7 @@
         return Optional.of(ofValue(object.members().get(field), path(field)));
     }
 
-    /** Reads an element that must be an object. */
+    /** A reader of a value that must be an object. */
     static JsonObjectReader ofValue(JsonValue value, String path) throws InvalidConfigurationException {
         if (value instanceof JsonObject object) {
             return new JsonObjectReader(object, path);
@@ -171,7 +174,7 @@
         throw new InvalidConfigurationException(Reason.WRONG_TYPE, path, "is not an object");
     }
 
-    /** The item's name, which every item of a list has. */
+    /** The item's name, which every item of a list must have. */
     String name() throws InvalidConfigurationException {
         String name = stringValue("name", "");
         if (name.isEmpty()) {
@@ -180,7 +183,7 @@
         return name;
     }
 
-    /** A fault at a field. */
+    /** The error for a field, to be thrown by the caller. */
     InvalidConfigurationException error(Reason reason, String field, String detail) {
         return new InvalidConfigurationException(reason, path(field), detail);
     }
--- a/configuration/src/main/java/dewplank/configuration/JsonTextReader.java
+++ b/configuration/src/main/java/dewplank/configuration/JsonTextReader.java
@@ -15,7 +15,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads a whole JSON text into a tree: nothing is left for later, and duplicate keys are refused. */
+/** Parses a complete JSON text into a tree, with nothing left to be parsed later; duplicate keys are errors. */
 final class JsonTextReader {
     private final JsonIterator tokens;
 
--- a/configuration/src/main/java/dewplank/configuration/JsonTextWriter.java
+++ b/configuration/src/main/java/dewplank/configuration/JsonTextWriter.java
@@ -10,7 +10,7 @@
 import java.util.Arrays;
 import java.util.Map;
 
-/** Writes a JSON tree without spaces; the same tree always gives the same bytes. */
+/** Writes a JSON tree without spaces in UTF-8; the same tree always gives the same bytes. */
 final class JsonTextWriter {
     /** Room for an item of the usual size, so that the text seldom moves while it grows. */
     private static final int INITIAL_CAPACITY_BYTES = 512;
--- a/configuration/src/main/java/dewplank/configuration/JsonValue.java
+++ b/configuration/src/main/java/dewplank/configuration/JsonValue.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** A JSON value as it was read; numbers keep the text in which they were written. */
+/** A parsed JSON value; numbers keep the text in which they were written, so that writing changes nothing. */
 sealed interface JsonValue {
     /** An object, its members in the order in which they were written. */
     record JsonObject(Map<String, JsonValue> members) implements JsonValue {}
--- a/configuration/src/main/java/dewplank/configuration/NamedItem.java
+++ b/configuration/src/main/java/dewplank/configuration/NamedItem.java
@@ -4,7 +4,7 @@
 import dewplank.configuration.JsonValue.JsonObject;
 import java.util.Arrays;
 
-/** An item of a named list: its text, and what it means where the list is known. */
+/** An item of a named list: its text, and what it means where the list is one that this program reads. Immutable. */
 sealed interface NamedItem {
     /** The list of routes. */
     String ROUTES = "routes";
@@ -17,10 +17,10 @@
     /** A service. */
     record ServiceItem(String name, byte[] json, Service service) implements NamedItem {}
 
-    /** An item of a list that this program passes over. */
+    /** An item of a list that this program passes through unread. */
     record OtherItem(String name, byte[] json) implements NamedItem {}
 
-    /** Its name, its own within the list. */
+    /** Its name, unique within the list. */
     String name();
 
     /** Its text without spaces. */
--- a/configuration/src/main/java/dewplank/configuration/Route.java
+++ b/configuration/src/main/java/dewplank/configuration/Route.java
@@ -3,20 +3,20 @@
 import java.util.List;
 
 /**
- * A route of a configuration.
+ * A route of a configuration. Immutable.
  *
- * @param name its name
- * @param host the host it belongs to, in lower case
- * @param pathPrefix the beginning of its paths; begins and ends with a slash
- * @param type what may be repeated
- * @param timeoutMs the longest that a request is held
- * @param targetLatencyMs the time within which an answer earns its full worth
+ * @param name its name, unique among routes
+ * @param host the host of its requests, in lower case
+ * @param pathPrefix the beginning of their paths; begins and ends with a slash
+ * @param type whether requests may be retried
+ * @param timeoutMs the longest that a request may take
+ * @param targetLatencyMs the latency target (SLO): an answer within it has its full value
  * @param priority its rank, 0 being the highest
- * @param split its services; a plain service is a split of one
- * @param maxAttempts the greatest number of servers to which one request may be sent
- * @param sticky whether requests carry parts of prompts that servers keep
+ * @param split its services with their weights, one at least
+ * @param maxAttempts servers to which one request may be sent
+ * @param sticky whether requests name the parts of their prompts, which servers cache
  * @param resumable whether a stream may be continued at another server
- * @param maxEventGapMs the longest pause between events that still keeps an answer in time; 0 where none is stated
+ * @param maxEventGapMs the longest gap between events with which a stream is still in time; 0 where none is stated
  */
 public record Route(
         String name,
--- a/configuration/src/main/java/dewplank/configuration/RouteReader.java
+++ b/configuration/src/main/java/dewplank/configuration/RouteReader.java
@@ -6,7 +6,10 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Reads and checks one route by itself; what it shares with other items is checked over the whole configuration. */
+/**
+ * Parses and validates one route by itself; what it shares with other items {@link RouteValidator} checks over the
+ * complete configuration.
+ */
 final class RouteReader {
     private static final String SLASH = "/";
 
--- a/configuration/src/main/java/dewplank/configuration/RouteTable.java
+++ b/configuration/src/main/java/dewplank/configuration/RouteTable.java
@@ -4,9 +4,12 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Finds the route with the longest path prefix of a host; immutable. */
+/**
+ * The look-up of routes by host and longest path prefix. Immutable once it is built, so any thread may use it; the data
+ * plane builds one for each configuration and asks it for each request.
+ */
 public final class RouteTable {
-    /** A place in the tree of path segments. */
+    /** A node of the tree of path segments; it has a route where a prefix ends. */
     private static final class Node {
         private Map<String, Node> children = Map.of();
         private Route route;
--- a/configuration/src/main/java/dewplank/configuration/RouteType.java
+++ b/configuration/src/main/java/dewplank/configuration/RouteType.java
@@ -1,6 +1,6 @@
 package dewplank.configuration;
 
-/** What may be repeated of a route's requests. */
+/** What may be retried of a route's requests. */
 public enum RouteType {
     /** Requests may run more than once. */
     SAFE,
--- a/configuration/src/main/java/dewplank/configuration/RouteValidator.java
+++ b/configuration/src/main/java/dewplank/configuration/RouteValidator.java
@@ -7,11 +7,11 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Checks what routes share: no two with one host and prefix, and every service they name is there. */
+/** Validates routes together: no two have one host and prefix, and every service that they name exists. */
 final class RouteValidator {
     private RouteValidator() {}
 
-    /** Throws where the routes do not fit each other or the services. */
+    /** Throws where two routes conflict or name an unknown service; the first error in the order of the text. */
     static void validate(List<Route> routes, Map<String, Service> services) throws InvalidConfigurationException {
         Map<String, Set<String>> prefixesByHost = new HashMap<>();
         for (Route route : routes) {
--- a/configuration/src/main/java/dewplank/configuration/Section.java
+++ b/configuration/src/main/java/dewplank/configuration/Section.java
@@ -10,14 +10,14 @@
 import java.util.Map;
 import java.util.Set;
 
-/** A top-level field of a configuration. */
+/** A top-level field of a configuration: a list of named items, which patches change item by item, or a value. */
 sealed interface Section {
     /** A list of items that are changed by name, in the order in which they are written. */
     record ItemList(List<NamedItem> items) implements Section {
         /** An empty list. */
         static final ItemList EMPTY = new ItemList(List.of());
 
-        /** This list with items replaced or added at the end, and then those of the names taken out. */
+        /** This list with items replaced in their position or added at the end, then items of those names removed. */
         ItemList withChanges(List<NamedItem> upsert, Set<String> remove) {
             Map<String, NamedItem> byName = new LinkedHashMap<>();
             for (NamedItem item : items) {
@@ -42,7 +42,7 @@
         return new PlainValue(JsonTextWriter.write(value));
     }
 
-    /** The items that a field's value lists; their names are their own. */
+    /** The items that a field's value lists; throws where two have one name. */
     static List<NamedItem> readItems(String field, JsonValue value) throws InvalidConfigurationException {
         if (!(value instanceof JsonArray array)) {
             throw new InvalidConfigurationException(Reason.WRONG_TYPE, field, "is not a list");
--- a/configuration/src/main/java/dewplank/configuration/ServiceReader.java
+++ b/configuration/src/main/java/dewplank/configuration/ServiceReader.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Reads and checks one service. */
+/** Parses and validates one service. */
 final class ServiceReader {
     private static final double MS_PER_SECOND = 1_000;
 
--- a/configuration/src/main/java/dewplank/configuration/WeightedService.java
+++ b/configuration/src/main/java/dewplank/configuration/WeightedService.java
@@ -1,9 +1,9 @@
 package dewplank.configuration;
 
 /**
- * A service's part of a route's requests.
+ * One service of a route's split.
  *
  * @param service the service's name
- * @param weight its part, in relation to the sum of the split's weights
+ * @param weight its weight, 0 or more: it gets this part of the sum of the split's weights
  */
 public record WeightedService(String service, double weight) {}
--- a/routing/src/main/java/dewplank/routing/Mechanism.java
+++ b/routing/src/main/java/dewplank/routing/Mechanism.java
@@ -5,15 +5,16 @@
 import java.util.stream.Stream;
 
 /**
- * One thing that decides where, when or whether a request is sent. Each can be switched off for a trial, which shows
- * what it is worth; {@code docs/policy.md} has the last measurement of each.
+ * A mechanism that decides where, when or whether a request is sent. Each can be disabled by {@code --without} for a
+ * trial, which shows its value; {@code docs/policy.md} has the last measurement of each. {@link Policy} holds the
+ * disabled ones. Names of the constants are names of options and so stay as they are.
  */
 public enum Mechanism {
-    /** Servers with an unhealthy verdict get trials only. */
+    /** Unhealthy servers are ejected: they get trial requests only. */
     CONDEMNATION,
-    /** The failures that a verdict needs are counted over the fleet; else each data plane needs them by itself. */
+    /** The failures that a verdict needs are counted over the fleet; else each data plane counts its own. */
     POOLED_FAILURES,
-    /** Trials of a condemned server are paced over the fleet; else each data plane sends one a second. */
+    /** Trials of an ejected server are paced over the fleet; else each data plane sends one a second. */
     FLEET_TRIALS,
     /** A server that fails is drawn less often. */
     WEIGHTS,
@@ -21,23 +22,23 @@
     TWO_CHOICES,
     /** Servers of the own zone, or of the zone where the prompt was read, are preferred. */
     ZONE,
-    /** Prompts that begin alike go to one prefill server. */
+    /** Prompts that begin alike go to one prefill server, which has their KV cache. */
     HOMES,
-    /** Where there are many prefill servers some are kept for short prompts. */
+    /** Where there are many prefill servers some are reserved for short prompts. */
     LANES,
-    /** A server whose oldest request waits for longer than expected counts as loaded. */
+    /** A server whose oldest prefill waits for longer than expected counts as stalled. */
     STUCK,
-    /** How long prompts waited at a prefill server lately counts as its load. */
+    /** Queue delays that prompts met at a prefill server lately count as its load. */
     QUEUE_MEMORY,
-    /** Of two decode servers alike one is preferred to which a connection rests. */
+    /** Of two decode servers alike the one with an idle connection is preferred. */
     REUSE,
-    /** A server that turned a request away, or let no connection in, is left alone for a while. */
+    /** A server that rejected a request, or let no connection in, gets none during a backoff. */
     RESTING,
-    /** A request that takes longer than expected is sent to another server. */
+    /** An overdue request is hedged: another server gets it. */
     PATIENCE,
-    /** A long prompt that no other prefill server may be asked for is waited for, not given to a decode server. */
+    /** An overdue long prompt that may go to no other prefill server is waited for, not given to a decode server. */
     LONG_WAIT,
-    /** Short prompts are read before long ones, urgent routes run before others. */
+    /** Short prompts are prefilled before long ones, urgent routes are decoded before others. */
     PRIORITY,
     /** Model servers are ordered to change their stage. */
     STAGE_ORDERS,
@@ -51,6 +52,6 @@
 
     /** The mechanism of that name; empty where there is none. */
     public static Optional<Mechanism> ofOptionName(String text) {
-        return Stream.of(values()).filter(m -> m.optionName().equals(text)).findFirst();
+        return Stream.of(values()).filter(mechanism -> mechanism.optionName().equals(text)).findFirst();
     }
 }
