--- a/configuration/src/test/java/dewplank/configuration/ConfigurationPropertyTest.java
+++ b/configuration/src/test/java/dewplank/configuration/ConfigurationPropertyTest.java
@@ -71,7 +71,7 @@
         return random.nextBoolean() ? route : route.replace("\"sticky\"", "\"x\":" + unknown(random) + ",\"sticky\"");
     }
 
-    private static String whole(Random random, long version) {
+    private static String document(Random random, long version) {
         List<String> routes = new ArrayList<>();
         for (int index = 0; index < 12; index++) {
             if (random.nextBoolean()) {
@@ -94,7 +94,7 @@
 
     @Property
     void aWrittenConfigurationIsReadTheSame(@ForAll long seed) throws InvalidConfigurationException {
-        Configuration configuration = Samples.parse(whole(new Random(seed), 1));
+        Configuration configuration = Samples.parse(document(new Random(seed), 1));
         Configuration again = Configuration.parse(configuration.json());
         assertArrayEquals(configuration.json(), again.json());
         assertEquals(configuration.routes(), again.routes());
@@ -105,9 +105,10 @@
     @Property
     void aDeltaLeadsToTheSameBytes(@ForAll long seed) throws InvalidConfigurationException {
         Random random = new Random(seed);
-        Configuration from = Samples.parse(whole(random, 1));
-        Configuration to =
-                random.nextBoolean() ? Samples.parse(whole(random, 2)) : from.patched(Samples.bytes(patch(random, 2)));
+        Configuration from = Samples.parse(document(random, 1));
+        Configuration to = random.nextBoolean()
+                ? Samples.parse(document(random, 2))
+                : from.patched(Samples.bytes(patch(random, 2)));
         Configuration applied = ConfigurationDelta.apply(from, ConfigurationDelta.between(from, to));
         assertArrayEquals(to.json(), applied.json());
         assertEquals(to.routes(), applied.routes());
@@ -118,7 +119,7 @@
     @Property
     void aPatchedConfigurationEqualsItsTextReadAnew(@ForAll long seed) throws InvalidConfigurationException {
         Random random = new Random(seed);
-        Configuration patched = Samples.parse(whole(random, 1)).patched(Samples.bytes(patch(random, 2)));
+        Configuration patched = Samples.parse(document(random, 1)).patched(Samples.bytes(patch(random, 2)));
         Configuration again = Configuration.parse(patched.json());
         assertArrayEquals(patched.json(), again.json());
         assertEquals(patched.routes(), again.routes());
@@ -128,16 +129,16 @@
     void everyAcceptedChangeIsRecognisedWhenRetried(@ForAll long seed) {
         Random random = new Random(seed);
         ConfigurationDocument document = ConfigurationDocument.decode(null);
-        List<ChangeRequest> taken = new ArrayList<>();
+        List<ChangeRequest> accepted = new ArrayList<>();
         for (long version = 1; version < 12; version++) {
             boolean patch = version > 1 && random.nextBoolean();
-            String body = patch ? patch(random, version) : whole(random, version);
+            String body = patch ? patch(random, version) : document(random, version);
             ChangeRequest request = new ChangeRequest(patch, version - 1, Samples.bytes(body));
             document = assertInstanceOf(Accepted.class, document.apply(request)).next();
             document = ConfigurationDocument.decode(document.encode());
-            taken.add(request);
-            for (int index = 0; index < taken.size(); index++) {
-                assertEquals(new AlreadyAccepted(index + 1), document.apply(taken.get(index)));
+            accepted.add(request);
+            for (int index = 0; index < accepted.size(); index++) {
+                assertEquals(new AlreadyAccepted(index + 1), document.apply(accepted.get(index)));
             }
         }
     }
@@ -146,11 +147,11 @@
     void garbledTextsThrowNoUncheckedException(@ForAll long seed) throws InvalidConfigurationException {
         Random random = new Random(seed);
         Configuration base = Samples.parse(Samples.document(1));
-        byte[] body = Samples.bytes(random.nextBoolean() ? whole(random, 2) : patch(random, 2));
+        byte[] body = Samples.bytes(random.nextBoolean() ? document(random, 2) : patch(random, 2));
         byte[] garbled = garbled(random, body);
         tolerate(() -> Configuration.parse(garbled));
         tolerate(() -> base.patched(garbled));
-        byte[] delta = ConfigurationDelta.between(base, Samples.parse(whole(random, 2)));
+        byte[] delta = ConfigurationDelta.between(base, Samples.parse(document(random, 2)));
         byte[] garbledDelta = garbled(random, delta);
         tolerate(() -> ConfigurationDelta.apply(base, garbledDelta));
     }
--- a/configuration/src/test/java/dewplank/configuration/ConfigurationTest.java
+++ b/configuration/src/test/java/dewplank/configuration/ConfigurationTest.java
@@ -111,8 +111,8 @@
     void writesEscapesAsTheCharactersTheyMean() throws InvalidConfigurationException {
         String lists = "{\"config_version\":1,\"routes\":[],\"services\":[],\"x\":";
         String text = lists + "\"\\u0041\\/\\ud83d\\ude00\\n\\u007f\"}";
-        String kept = Samples.text(Samples.parse(text).json());
-        assertEquals(lists + "\"A/\ud83d\ude00\\u000a\u007f\"}", kept);
+        String written = Samples.text(Samples.parse(text).json());
+        assertEquals(lists + "\"A/\ud83d\ude00\\u000a\u007f\"}", written);
     }
 
     @Test
--- a/configuration/src/test/java/dewplank/configuration/InvalidConfigurationTest.java
+++ b/configuration/src/test/java/dewplank/configuration/InvalidConfigurationTest.java
@@ -12,7 +12,7 @@
 
 /** Every kind of configuration that must be refused. */
 class InvalidConfigurationTest {
-    private static final String WHOLE = Samples.document(7);
+    private static final String COMPLETE = Samples.document(7);
 
     private static void assertRejected(Reason reason, String key, String text) {
         InvalidConfigurationException error =
@@ -23,17 +23,17 @@
     }
 
     private static String changed(String what, String by) {
-        assertTrue(WHOLE.contains(what), what);
-        return WHOLE.replace(what, by);
+        assertTrue(COMPLETE.contains(what), what);
+        return COMPLETE.replace(what, by);
     }
 
     @Test
     void rejectsATextCutShortAtEveryByte() {
-        byte[] whole = Samples.bytes(WHOLE.replace("r-1", "r-\u00e9\\n\\u00e9\u20ac\ud83d\ude00"));
-        for (int length = 0; length < whole.length; length++) {
-            byte[] cut = Arrays.copyOf(whole, length);
+        byte[] complete = Samples.bytes(COMPLETE.replace("r-1", "r-\u00e9\\n\\u00e9\u20ac\ud83d\ude00"));
+        for (int length = 0; length < complete.length; length++) {
+            byte[] truncated = Arrays.copyOf(complete, length);
             InvalidConfigurationException error = assertThrows(
-                    InvalidConfigurationException.class, () -> Configuration.parse(cut), "cut at " + length);
+                    InvalidConfigurationException.class, () -> Configuration.parse(truncated), "cut at " + length);
             assertEquals(Reason.UNREADABLE, error.reason());
         }
     }
@@ -41,7 +41,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"}", ",", "x", "{}", "\u0000", "null", "/**/"})
     void rejectsBytesAfterTheValue(String trailing) {
-        assertRejected(Reason.UNREADABLE, "", WHOLE + trailing);
+        assertRejected(Reason.UNREADABLE, "", COMPLETE + trailing);
     }
 
     @ParameterizedTest
@@ -92,8 +92,8 @@
 
     @Test
     void rejectsBytesThatAreNotUtf8() {
-        byte[] text = Samples.bytes(WHOLE);
-        text[WHOLE.indexOf("r-1")] = (byte) 0xC0;
+        byte[] text = Samples.bytes(COMPLETE);
+        text[COMPLETE.indexOf("r-1")] = (byte) 0xC0;
         InvalidConfigurationException error =
                 assertThrows(InvalidConfigurationException.class, () -> Configuration.parse(text));
         assertEquals(Reason.UNREADABLE, error.reason());
--- a/configuration/src/test/java/dewplank/configuration/RejectedChangesTest.java
+++ b/configuration/src/test/java/dewplank/configuration/RejectedChangesTest.java
@@ -12,14 +12,14 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Each kind of invalid change that the operators' pages and their bench name, as a whole configuration and as a change
- * of items: none is taken, whatever else it holds, and the configuration in place stays.
+ * Each kind of invalid change that the operators' pages and their bench name, as a complete configuration and as a
+ * change of items: none is taken, whatever else it holds, and the configuration in place stays.
  */
 class RejectedChangesTest {
     private static final long CURRENT = 5;
 
-    /** A kind of fault, as a whole configuration and as a change on top of the current one. */
-    private record Kind(String name, Reason reason, String whole, String patch) {
+    /** A kind of fault, as a complete configuration and as a change on top of the current one. */
+    private record Kind(String name, Reason reason, String document, String patch) {
         @Override
         public String toString() {
             return name;
@@ -34,7 +34,7 @@
                 .next();
     }
 
-    private static String whole(String extraRoute) {
+    private static String document(String extraRoute) {
         String routes = Samples.SPLIT_ROUTE + "," + Samples.PLAIN_ROUTE + "," + extraRoute;
         return Samples.document(7, routes, Samples.MODEL_SERVICE + "," + Samples.PLAIN_SERVICE);
     }
@@ -44,7 +44,7 @@
     }
 
     private static Kind ofRoute(String name, Reason reason, String route) {
-        return new Kind(name, reason, whole(route), upsert("routes", route));
+        return new Kind(name, reason, document(route), upsert("routes", route));
     }
 
     private static String route(String was, String by) {
@@ -114,7 +114,7 @@
     @ParameterizedTest
     @MethodSource("kinds")
     void isRejectedInACompleteConfiguration(Kind kind) {
-        assertRejected(kind.reason(), false, kind.whole());
+        assertRejected(kind.reason(), false, kind.document());
     }
 
     @ParameterizedTest
@@ -126,11 +126,11 @@
     /** cut_short: at every byte, both ways. */
     @Test
     void truncatedTextsAreRejected() {
-        byte[] whole = Samples.bytes(Samples.document(7));
+        byte[] complete = Samples.bytes(Samples.document(7));
         byte[] patch = Samples.bytes(upsert("routes", Samples.route("r-3", "/more/", "wuno")));
-        for (int length = 0; length < Math.max(whole.length, patch.length); length++) {
-            if (length < whole.length) {
-                assertRejected(Reason.UNREADABLE, false, Samples.text(Arrays.copyOf(whole, length)));
+        for (int length = 0; length < Math.max(complete.length, patch.length); length++) {
+            if (length < complete.length) {
+                assertRejected(Reason.UNREADABLE, false, Samples.text(Arrays.copyOf(complete, length)));
             }
             if (length < patch.length) {
                 assertRejected(Reason.UNREADABLE, true, Samples.text(Arrays.copyOf(patch, length)));
--- a/routing/src/main/java/dewplank/routing/Mechanism.java
+++ b/routing/src/main/java/dewplank/routing/Mechanism.java
@@ -52,6 +52,8 @@
 
     /** The mechanism of that name; empty where there is none. */
     public static Optional<Mechanism> ofOptionName(String text) {
-        return Stream.of(values()).filter(mechanism -> mechanism.optionName().equals(text)).findFirst();
+        return Stream.of(values())
+                .filter(mechanism -> mechanism.optionName().equals(text))
+                .findFirst();
     }
 }
--- a/routing/src/test/java/dewplank/routing/EventSplitterTest.java
+++ b/routing/src/test/java/dewplank/routing/EventSplitterTest.java
@@ -26,7 +26,7 @@
     void onlyCompleteEventsArePassedOn() {
         EventSplitter events = new EventSplitter();
         assertEquals("", text(events.feed(bytes("id: 1\ndata: a\n"))));
-        assertNull(events.lastEventId(), "an event that is not whole has not been passed on");
+        assertNull(events.lastEventId(), "an incomplete event has not been passed on");
         assertEquals("id: 1\ndata: a\n\n", text(events.feed(bytes("\nid: 2\nda"))));
         assertEquals("1", events.lastEventId());
     }
--- a/routing/src/test/java/dewplank/routing/FleetSizeEstimatorTest.java
+++ b/routing/src/test/java/dewplank/routing/FleetSizeEstimatorTest.java
@@ -24,7 +24,7 @@
         assertEquals(8, estimator.dataPlanes(203_000));
     }
 
-    /** A restarted control plane tells the few sessions that it has by then. */
+    /** A restarted control plane sends a membership of the few sessions that it has by then. */
     @Test
     void aShortMembershipDoesNotLowerTheNumber() {
         estimator.recordMembership(0, 8);
--- a/routing/src/test/java/dewplank/routing/HealthVotesTest.java
+++ b/routing/src/test/java/dewplank/routing/HealthVotesTest.java
@@ -10,7 +10,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Peers' summaries that are late, doubled, of an earlier life, or of another machine at the same address. */
+/** Peers' summaries that are overdue, doubled, of an earlier incarnation, or of another machine at the same address. */
 class HealthVotesTest {
     private static final String SERVER = "i-1";
     private static final String PEER = "10.0.0.1";
@@ -64,10 +64,10 @@
         votes.recordSummary(1, PEER, unhealthy(LATER, 1));
         votes.recordSummary(2, PEER, healthy(LATER, 2));
         assertFalse(isEjectedByPeersAlone(3));
-        assertFalse(isEjectedByPeersAlone(SUMMARY_VALID_MS + 1), "heard at 0, not again at 2");
+        assertFalse(isEjectedByPeersAlone(SUMMARY_VALID_MS + 1), "received at 0, the duplicate does not count");
     }
 
-    /** Another machine at the address, its clock behind: it is heard once what the last one said is stale. */
+    /** Another machine at the address, its clock behind: it counts once the last summary is stale. */
     @Test
     void anotherMachineAtTheAddressCountsOnceTheLastSummaryIsStale() {
         votes.recordSummary(0, PEER, healthy(LATER, 5));
@@ -91,7 +91,7 @@
                 LATER, 1, List.of(new HealthSummary.Suspected(SERVER_HASH, failures, ageMs)), List.of());
     }
 
-    /** At ninety sidecars none sees three failures of one server: one each at three of them are as many. */
+    /** Of ninety data planes none sees three failures of one server: one each at three of them are as many. */
     @Test
     void theFailuresThatAVerdictNeedsAreCountedOverTheFleet() {
         votes.recordSummary(0, "10.0.0.1", failed(1, 0));
--- a/routing/src/test/java/dewplank/routing/PrefillQueuesTest.java
+++ b/routing/src/test/java/dewplank/routing/PrefillQueuesTest.java
@@ -45,18 +45,19 @@
         assertEquals(Set.of(), both);
     }
 
-    /** Each of them sees prompts of its own; a server of one's long lane may be in another's short one, but few are. */
+    /** Each sees prompts of its own, so a few servers are in one's long queue and in another's short one. */
     @Test
     void dataPlanesMostlyAgree() {
         List<TrackedServer> servers = servers(47);
-        Set<TrackedServer> some = new HashSet<>();
-        Set<TrackedServer> all = new HashSet<>(servers);
+        Set<TrackedServer> inAny = new HashSet<>();
+        Set<TrackedServer> inAll = new HashSet<>(servers);
         for (long seed = 0; seed < 90; seed++) {
-            List<TrackedServer> lane = queuesThatLearned(seed, 60).serversFor(servers, SHORT);
-            some.addAll(lane);
-            all.retainAll(lane);
+            List<TrackedServer> queue = queuesThatLearned(seed, 60).serversFor(servers, SHORT);
+            inAny.addAll(queue);
+            inAll.retainAll(queue);
         }
-        assertTrue(some.size() <= 16 && all.size() >= 4, all.size() + " in all lanes, " + some.size() + " in any");
+        assertTrue(
+                inAny.size() <= 16 && inAll.size() >= 4, inAll.size() + " in all queues, " + inAny.size() + " in any");
     }
 
     @Test
--- a/routing/src/test/java/dewplank/routing/RetryBudgetTest.java
+++ b/routing/src/test/java/dewplank/routing/RetryBudgetTest.java
@@ -19,16 +19,16 @@
     @Test
     void aDataPlaneHasItsPartOfTheSlackOnly() {
         RetryBudget budget = new RetryBudget(RATIO, WINDOW_MS, SLACK);
-        int taken = 0;
+        int acquired = 0;
         while (budget.tryAcquire(0, 8)) {
-            taken++;
+            acquired++;
         }
-        assertTrue(taken > 0 && taken <= SLACK / 8, "taken " + taken);
+        assertTrue(acquired > 0 && acquired <= SLACK / 8, "acquired " + acquired);
         assertFalse(budget.tryAcquire(WINDOW_MS, 8), "what was sent still counts");
         assertTrue(budget.tryAcquire(1.2 * WINDOW_MS, 8));
     }
 
-    /** The sum over sidecars keeps to the rule in every window, whatever they ask for. */
+    /** The sum over data planes keeps to the rule in every window, whatever they ask for. */
     @Property(tries = 200)
     void theFleetKeepsToTheBudget(@ForAll @IntRange(min = 1, max = 12) int dataPlanes, @ForAll @LongRange long seed) {
         java.util.SplittableRandom random = new java.util.SplittableRandom(seed);
@@ -38,13 +38,13 @@
         }
         List<Double> requests = new ArrayList<>();
         List<Double> retries = new ArrayList<>();
-        for (double now = 0; now < 30_000; now += random.nextDouble() * 60) {
+        for (double nowMs = 0; nowMs < 30_000; nowMs += random.nextDouble() * 60) {
             RetryBudget budget = budgets.get(random.nextInt(dataPlanes));
             if (random.nextInt(3) > 0) {
-                budget.recordRequest(now);
-                requests.add(now);
-            } else if (budget.tryAcquire(now, dataPlanes)) {
-                retries.add(now);
+                budget.recordRequest(nowMs);
+                requests.add(nowMs);
+            } else if (budget.tryAcquire(nowMs, dataPlanes)) {
+                retries.add(nowMs);
             }
         }
         for (double end : retries) {
@@ -58,30 +58,33 @@
     }
 
     /**
-     * The same while what each sidecar is told of the others is short: after a restart of the control planes, and on
-     * both sides of a cut. All ask for all that they may have.
+     * The same while the membership that each data plane has is short: after a restart of the control planes, and on
+     * both sides of a partition. All request all that they may have.
      */
     @Property(tries = 200)
     void theFleetKeepsToTheBudgetWhileMembershipsAreShort(
             @ForAll @IntRange(min = 2, max = 12) int dataPlanes, @ForAll @LongRange long seed) {
         java.util.SplittableRandom random = new java.util.SplittableRandom(seed);
         List<RetryBudget> budgets = new ArrayList<>();
-        List<FleetSizeEstimator> sizes = new ArrayList<>();
+        List<FleetSizeEstimator> estimators = new ArrayList<>();
         for (int i = 0; i < dataPlanes; i++) {
             budgets.add(new RetryBudget(RATIO, WINDOW_MS, SLACK));
-            sizes.add(new FleetSizeEstimator(WINDOW_MS));
+            estimators.add(new FleetSizeEstimator(WINDOW_MS));
         }
-        double wholeFrom = 0.2 * WINDOW_MS * random.nextDouble(); // all sessions stand: by then all are told of all
-        double cutFrom = WINDOW_MS + 2 * WINDOW_MS * random.nextDouble();
-        double cutTo = cutFrom + 4 * WINDOW_MS * random.nextDouble();
+        // by then all sessions are open, and every membership is complete
+        double completeFromMs = 0.2 * WINDOW_MS * random.nextDouble();
+        double partitionedFromMs = WINDOW_MS + 2 * WINDOW_MS * random.nextDouble();
+        double partitionedUntilMs = partitionedFromMs + 4 * WINDOW_MS * random.nextDouble();
         List<Double> retries = new ArrayList<>();
-        for (double now = 0; now < 8 * WINDOW_MS; now += 100 * random.nextDouble()) {
+        for (double nowMs = 0; nowMs < 8 * WINDOW_MS; nowMs += 100 * random.nextDouble()) {
             int asking = random.nextInt(dataPlanes);
-            boolean few = now < wholeFrom || now >= cutFrom && now < cutTo;
-            sizes.get(asking).recordMembership(now, few ? 1 + random.nextInt(dataPlanes) : dataPlanes);
-            int among = sizes.get(asking).isSettled(now) ? sizes.get(asking).dataPlanes(now) : RetryBudget.NO_SLACK;
-            while (budgets.get(asking).tryAcquire(now, among)) {
-                retries.add(now);
+            boolean isShort = nowMs < completeFromMs || nowMs >= partitionedFromMs && nowMs < partitionedUntilMs;
+            estimators.get(asking).recordMembership(nowMs, isShort ? 1 + random.nextInt(dataPlanes) : dataPlanes);
+            int sharers = estimators.get(asking).isSettled(nowMs)
+                    ? estimators.get(asking).dataPlanes(nowMs)
+                    : RetryBudget.NO_SLACK;
+            while (budgets.get(asking).tryAcquire(nowMs, sharers)) {
+                retries.add(nowMs);
             }
         }
         for (double end : retries) {
--- a/routing/src/test/java/dewplank/routing/ServerPickerTest.java
+++ b/routing/src/test/java/dewplank/routing/ServerPickerTest.java
@@ -152,7 +152,7 @@
         assertTrue(moved > 120 && moved < 280, "moved " + moved);
     }
 
-    /** Ninety sidecars together try a condemned server a few times a second, however many requests they have. */
+    /** Ninety data planes together send an ejected server a few trials a second, however many requests they have. */
     @Test
     void trialsArePacedOverTheFleet() {
         int dataPlanes = 90;
