--- a/cli/src/main/java/dewplank/TrialCommands.java
+++ b/cli/src/main/java/dewplank/TrialCommands.java
@@ -77,9 +77,9 @@
                     Locale.ROOT,
                     "%d events, %d requests in %.1f s: %.0f requests/s%n",
                     trial.cost().events(),
-                    trial.auditor().asked(),
+                    trial.auditor().requestsSent(),
                     seconds,
-                    trial.auditor().asked() / seconds);
+                    trial.auditor().requestsSent() / seconds);
         }
     }
 
@@ -176,7 +176,7 @@
                             sockets.auditor().violations(),
                             sockets.unsound()));
                     System.out.println(table.get(table.size() - 1));
-                    sockets.auditor().kept().stream().limit(2).forEach(TrialOutput::print);
+                    sockets.auditor().retainedViolations().stream().limit(2).forEach(TrialOutput::print);
                 }
             }
             if (out != null) {
--- a/cli/src/main/java/dewplank/TrialOutput.java
+++ b/cli/src/main/java/dewplank/TrialOutput.java
@@ -13,7 +13,7 @@
         print(trial.service());
         System.out.println(
                 "auditor: " + trial.auditor().verdict() + (trial.unsound() ? " (unsound: the emulator ran late)" : ""));
-        trial.auditor().kept().stream().limit(3).forEach(TrialOutput::print);
+        trial.auditor().retainedViolations().stream().limit(3).forEach(TrialOutput::print);
     }
 
     static void print(Auditor.Violation v) {
@@ -32,7 +32,7 @@
                 service.worstSpell(),
                 service.refusedShare(),
                 service.failedShare(),
-                service.triesEach());
+                service.attemptsPerRequest());
         service.classes()
                 .forEach(c -> System.out.printf(
                         Locale.ROOT,
--- a/cli/src/test/java/dewplank/LiveTest.java
+++ b/cli/src/test/java/dewplank/LiveTest.java
@@ -30,7 +30,10 @@
     public void aServerThatCrashesAndComesBackColdBreaksNoRule() throws Exception {
         List<String> lines = new ArrayList<>();
         Trial trial = play("try", 9, 2, lines);
-        assertEquals(trial.auditor().kept().toString(), 0, trial.auditor().violations());
+        assertEquals(
+                trial.auditor().retainedViolations().toString(),
+                0,
+                trial.auditor().violations());
         assertTrue("asked " + trial.service().asked(), trial.service().asked() > 500);
         assertTrue("service " + trial.service().share(), trial.service().share() > 0.5);
         assertTrue(lines.stream().anyMatch(l -> l.endsWith("died")));
@@ -71,7 +74,10 @@
                 2,
                 TrialCommands.sidecarCommand(),
                 lines::add);
-        assertEquals(trial.auditor().kept().toString(), 0, trial.auditor().violations());
+        assertEquals(
+                trial.auditor().retainedViolations().toString(),
+                0,
+                trial.auditor().violations());
         assertEquals(3, lines.stream().filter(l -> l.endsWith("went silent")).count());
         assertEquals(
                 3, lines.stream().filter(l -> l.endsWith("came back, cold")).count());
@@ -89,7 +95,10 @@
         List<String> lines = new ArrayList<>();
         Trial trial = play("sidecar-kill", 16, 2, lines);
         assertTrue(lines.toString(), lines.stream().anyMatch(l -> l.endsWith("was killed")));
-        assertEquals(trial.auditor().kept().toString(), 0, trial.auditor().violations());
+        assertEquals(
+                trial.auditor().retainedViolations().toString(),
+                0,
+                trial.auditor().violations());
         assertTrue("failed " + trial.service().failedShare(), trial.service().failedShare() > 0);
     }
 }
--- a/cli/src/test/java/dewplank/fleet/ControlLossTest.java
+++ b/cli/src/test/java/dewplank/fleet/ControlLossTest.java
@@ -8,9 +8,9 @@
 import com.google.gson.JsonObject;
 import dewplank.emulator.fleet.FleetBounds;
 import dewplank.emulator.fleet.FleetConfiguration;
-import dewplank.emulator.fleet.FleetEvent.ChangeTried;
-import dewplank.emulator.fleet.FleetEvent.ListCalled;
-import dewplank.emulator.fleet.FleetEvent.TrySent;
+import dewplank.emulator.fleet.FleetEvent.AttemptSent;
+import dewplank.emulator.fleet.FleetEvent.ChangeAttempted;
+import dewplank.emulator.fleet.FleetEvent.EndpointListRequested;
 import dewplank.emulator.fleet.FleetProcess;
 import dewplank.emulator.fleet.ServerIdentity;
 import dewplank.emulator.fleet.StandInOperator;
@@ -37,14 +37,14 @@
                     .history()
                     .await(
                             "a call of another control process",
-                            ListCalled.class,
+                            EndpointListRequested.class,
                             c -> c.at() > told
                                     && !c.node().equals(holder.machine().node()));
             story.fleet
                     .history()
                     .await(
                             "requests after the drain",
-                            TrySent.class,
+                            AttemptSent.class,
                             t -> t.at() > told + FleetBounds.DRAIN_MS + BEYOND_MS);
             load.stop();
             assertEquals(0, load.notServed());
@@ -69,7 +69,7 @@
                     .history()
                     .await(
                             "a call of another control process",
-                            ListCalled.class,
+                            EndpointListRequested.class,
                             c -> c.at() > frozenAt
                                     && !c.node().equals(holder.machine().node()));
         });
@@ -85,7 +85,7 @@
                 .history()
                 .await(
                         "a call to the platform by one that runs",
-                        ListCalled.class,
+                        EndpointListRequested.class,
                         c -> c.at() > after && !c.node().equals(frozen.machine().node()));
         frozen.thaw();
         story.fleet.history().awaitState("the newest at the one that was frozen", () -> story.knows(frozen, 8));
@@ -114,7 +114,7 @@
                     .history()
                     .await(
                             "requests served without a control plane",
-                            TrySent.class,
+                            AttemptSent.class,
                             t -> load.served() > before + 2 * FleetStory.MIX.size());
             for (FleetProcess control : story.fleet.control()) {
                 control.restart();
@@ -176,7 +176,7 @@
                 .history()
                 .await(
                         "no quorum at " + control.machine().node(),
-                        ChangeTried.class,
+                        ChangeAttempted.class,
                         t -> t.status() == 503
                                 && t.node().equals(control.machine().node()));
     }
--- a/cli/src/test/java/dewplank/fleet/DataPlaneTest.java
+++ b/cli/src/test/java/dewplank/fleet/DataPlaneTest.java
@@ -3,10 +3,10 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import dewplank.emulator.fleet.ClientAttempt;
 import dewplank.emulator.fleet.ClientRequest;
-import dewplank.emulator.fleet.ClientTry;
 import dewplank.emulator.fleet.FleetBounds;
-import dewplank.emulator.fleet.FleetEvent.Emitted;
+import dewplank.emulator.fleet.FleetEvent.StreamEventSent;
 import dewplank.emulator.fleet.FleetProcess;
 import dewplank.emulator.fleet.ModelServer;
 import dewplank.emulator.fleet.StandInOperator;
@@ -37,10 +37,10 @@
         FleetStory.tell(1, 1, story -> {
             FleetProcess process = story.fleet.data().get(0);
             story.decode.forEach(d -> d.holdBehind(HELD_BEHIND));
-            ClientTry stream = story.fleet
+            ClientAttempt stream = story.fleet
                     .client()
                     .send(process.machine(), ClientRequest.split(FleetStory.CHAT, "long", FleetStory.EVENTS));
-            story.fleet.history().await("the stream is under way", Emitted.class, e -> e.id() == HELD_BEHIND);
+            story.fleet.history().await("the stream is under way", StreamEventSent.class, e -> e.id() == HELD_BEHIND);
             process.terminate();
             story.awaitReadiness(process.machine(), 503);
             assertFalse(stream.ended().isDone());
--- a/cli/src/test/java/dewplank/fleet/FirstStartTest.java
+++ b/cli/src/test/java/dewplank/fleet/FirstStartTest.java
@@ -5,7 +5,7 @@
 
 import dewplank.emulator.fleet.ClientRequest;
 import dewplank.emulator.fleet.FleetConfiguration;
-import dewplank.emulator.fleet.FleetEvent.HandleTaken;
+import dewplank.emulator.fleet.FleetEvent.HandleFetched;
 import dewplank.emulator.fleet.RouteSpec;
 import dewplank.emulator.fleet.StandInOperator;
 import org.junit.jupiter.api.Test;
@@ -22,7 +22,7 @@
                 }
                 assertEquals(200, story.fleet.readiness(story.fleet.edge(edge)));
             }
-            assertFalse(story.fleet.history().events(HandleTaken.class).isEmpty(), "no stream was split");
+            assertFalse(story.fleet.history().events(HandleFetched.class).isEmpty(), "no stream was split");
             story.assertReadBack(FleetStory.FIRST.version(), 1);
         });
     }
--- a/cli/src/test/java/dewplank/fleet/FleetStory.java
+++ b/cli/src/test/java/dewplank/fleet/FleetStory.java
@@ -4,12 +4,12 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.google.gson.JsonObject;
+import dewplank.emulator.fleet.ClientAttempt;
 import dewplank.emulator.fleet.ClientRequest;
-import dewplank.emulator.fleet.ClientTry;
 import dewplank.emulator.fleet.FleetAuditor;
 import dewplank.emulator.fleet.FleetBounds;
 import dewplank.emulator.fleet.FleetConfiguration;
-import dewplank.emulator.fleet.FleetEvent.ListCalled;
+import dewplank.emulator.fleet.FleetEvent.EndpointListRequested;
 import dewplank.emulator.fleet.FleetMachine;
 import dewplank.emulator.fleet.FleetProcess;
 import dewplank.emulator.fleet.ModelServer;
@@ -92,7 +92,7 @@
     /** Before, data planes do not know how many share the budget of repeated sends, and use none of its slack. */
     private void awaitSettledBudget() throws InterruptedException, TimeoutException {
         double settled = fleet.now() + SETTLED_PART * FleetBounds.BUDGET_WINDOW_S * MS_PER_S;
-        fleet.history().await("a call to the platform after that", ListCalled.class, c -> c.at() > settled);
+        fleet.history().await("a call to the platform after that", EndpointListRequested.class, c -> c.at() > settled);
     }
 
     private void servers() throws IOException {
@@ -156,13 +156,13 @@
         assertEquals(200, status, "version " + next.version());
     }
 
-    ClientTry.Outcome outcome(int edge, ClientRequest request) {
+    ClientAttempt.Outcome outcome(int edge, ClientRequest request) {
         return StandInOperator.waitFor(
                 fleet.client().send(fleet.edge(edge), request).ended());
     }
 
     void assertServed(int edge, ClientRequest request) {
-        ClientTry.Outcome outcome = outcome(edge, request);
+        ClientAttempt.Outcome outcome = outcome(edge, request);
         assertTrue(outcome.served(), request.route().name() + " at edge " + edge + ": " + outcome);
     }
 
--- a/cli/src/test/java/dewplank/fleet/PlatformTroubleTest.java
+++ b/cli/src/test/java/dewplank/fleet/PlatformTroubleTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import dewplank.emulator.fleet.FleetEvent.Arrived;
-import dewplank.emulator.fleet.FleetEvent.ListCalled;
+import dewplank.emulator.fleet.FleetEvent.EndpointListRequested;
 import dewplank.emulator.fleet.PlainServer;
-import dewplank.emulator.fleet.StandInPlatform.Mood;
+import dewplank.emulator.fleet.StandInPlatform.Behaviour;
 import dewplank.emulator.fleet.SteadyLoad;
 import org.junit.jupiter.api.Test;
 
@@ -16,21 +16,21 @@
     void servesByTheLastListWhileThePlatformIsSilentOrTakesNoCalls() throws Exception {
         FleetStory.tell(1, 1, story -> {
             SteadyLoad load = story.fleet.load(FleetStory.MIX);
-            for (Mood mood : new Mood[] {Mood.SILENT, Mood.TOO_MANY_CALLS}) {
-                story.fleet.platform().mood(mood);
-                int status = mood == Mood.SILENT ? 0 : 429;
+            for (Behaviour mood : new Behaviour[] {Behaviour.SILENT, Behaviour.TOO_MANY_CALLS}) {
+                story.fleet.platform().behaviour(mood);
+                int status = mood == Behaviour.SILENT ? 0 : 429;
                 for (int calls = 0; calls < 2; calls++) {
                     double after = story.fleet.now();
                     story.fleet
                             .history()
                             .await(
                                     "a call that the platform does not answer",
-                                    ListCalled.class,
+                                    EndpointListRequested.class,
                                     c -> c.at() > after && c.status() == status);
                 }
             }
             PlainServer added = story.fleet.plainServer("plain");
-            story.fleet.platform().mood(Mood.ANSWERS);
+            story.fleet.platform().behaviour(Behaviour.ANSWERS);
             story.fleet.history().await("a request at the server that came", Arrived.class, a -> a.server()
                     .equals(added.identity()));
             load.stop();
--- a/cli/src/test/java/dewplank/fleet/ServerFaultTest.java
+++ b/cli/src/test/java/dewplank/fleet/ServerFaultTest.java
@@ -4,20 +4,20 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import dewplank.emulator.fleet.ClientAttempt;
 import dewplank.emulator.fleet.ClientRequest;
-import dewplank.emulator.fleet.ClientTry;
 import dewplank.emulator.fleet.FleetEvent.Arrived;
-import dewplank.emulator.fleet.FleetEvent.Emitted;
+import dewplank.emulator.fleet.FleetEvent.HandleCreated;
 import dewplank.emulator.fleet.FleetEvent.HandleFreed;
-import dewplank.emulator.fleet.FleetEvent.HandleMade;
-import dewplank.emulator.fleet.FleetEvent.Ran;
 import dewplank.emulator.fleet.FleetEvent.RunEnd;
 import dewplank.emulator.fleet.FleetEvent.RunEnded;
-import dewplank.emulator.fleet.FleetEvent.TurnedAway;
+import dewplank.emulator.fleet.FleetEvent.RunRejected;
+import dewplank.emulator.fleet.FleetEvent.RunStarted;
+import dewplank.emulator.fleet.FleetEvent.StreamEventSent;
 import dewplank.emulator.fleet.ModelServer;
 import dewplank.emulator.fleet.RouteSpec;
 import dewplank.emulator.fleet.StandInOperator;
-import dewplank.emulator.fleet.StandInServer.Mood;
+import dewplank.emulator.fleet.StandInServer.Behaviour;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -27,16 +27,16 @@
     private static final int REQUESTS = 4;
 
     /** A stream that is held in its middle, and the server that sends it. */
-    private record Held(ClientTry stream, ModelServer server) {}
+    private record Held(ClientAttempt stream, ModelServer server) {}
 
     private static Held hold(FleetStory story, ClientRequest request) throws Exception {
         story.decode.forEach(d -> d.holdBehind(HELD_BEHIND));
-        ClientTry stream = story.fleet.client().send(story.fleet.edge(0), request);
-        Emitted emitted = story.fleet
+        ClientAttempt stream = story.fleet.client().send(story.fleet.edge(0), request);
+        StreamEventSent emitted = story.fleet
                 .history()
                 .await(
                         "the stream is under way",
-                        Emitted.class,
+                        StreamEventSent.class,
                         e -> e.id() == HELD_BEHIND && e.tryId().equals(stream.id()));
         ModelServer server = story.decode.stream()
                 .filter(d -> d.identity().equals(emitted.server()))
@@ -52,7 +52,7 @@
             held.server().crash();
             story.decode.forEach(ModelServer::goOn);
             assertTrue(StandInOperator.waitFor(held.stream().ended()).served());
-            List<Emitted> emitted = story.fleet.history().events(Emitted.class);
+            List<StreamEventSent> emitted = story.fleet.history().events(StreamEventSent.class);
             assertEquals(
                     2,
                     emitted.stream()
@@ -68,19 +68,20 @@
             Held held = hold(story, ClientRequest.split(FleetStory.CHAT, "cut", FleetStory.EVENTS));
             held.server().crash();
             story.decode.forEach(ModelServer::goOn);
-            ClientTry.Outcome outcome = StandInOperator.waitFor(held.stream().ended());
+            ClientAttempt.Outcome outcome =
+                    StandInOperator.waitFor(held.stream().ended());
             assertEquals(200, outcome.status());
-            assertFalse(outcome.whole(), "a stream that was cut must not look complete");
-            assertEquals(1, story.fleet.history().events(Ran.class).size());
+            assertFalse(outcome.complete(), "a stream that was cut must not look complete");
+            assertEquals(1, story.fleet.history().events(RunStarted.class).size());
         });
     }
 
     @Test
     void anotherServerReadsThePromptWhereOnePrefillServerIsSilent() throws Exception {
         FleetStory.tell(1, 1, story -> {
-            story.prefill.get(0).mood(Mood.SILENT);
+            story.prefill.get(0).behaviour(Behaviour.SILENT);
             serveSplit(story);
-            assertTrue(story.fleet.history().events(HandleMade.class).stream()
+            assertTrue(story.fleet.history().events(HandleCreated.class).stream()
                     .allMatch(h -> h.server().equals(story.prefill.get(1).identity())));
         });
     }
@@ -88,7 +89,7 @@
     @Test
     void aDecodeServerReadsThePromptWhereEveryPrefillServerIsSilent() throws Exception {
         FleetStory.tell(1, 1, story -> {
-            story.prefill.forEach(p -> p.mood(Mood.SILENT));
+            story.prefill.forEach(p -> p.behaviour(Behaviour.SILENT));
             serveSplit(story);
         });
     }
@@ -98,7 +99,7 @@
         FleetStory.tell(1, 1, story -> {
             story.decode.get(0).rejectHandles();
             serveSplit(story);
-            assertFalse(story.fleet.history().events(TurnedAway.class).isEmpty(), "no handle was rejected");
+            assertFalse(story.fleet.history().events(RunRejected.class).isEmpty(), "no handle was rejected");
         });
     }
 
@@ -127,7 +128,7 @@
     void theHandleOfAClientThatLeavesBeforeItIsFetchedIsFreed() throws Exception {
         FleetStory.tell(1, 1, story -> {
             story.decode.forEach(ModelServer::neverFetch);
-            ClientTry stream = story.fleet
+            ClientAttempt stream = story.fleet
                     .client()
                     .send(story.fleet.edge(0), ClientRequest.split(FleetStory.CHAT, "left", FleetStory.EVENTS));
             story.fleet
@@ -144,8 +145,8 @@
     @Test
     void theHandleOfARequestThatNoDecodeServerHasRoomForIsFreed() throws Exception {
         FleetStory.tell(1, 1, story -> {
-            story.decode.forEach(d -> d.mood(Mood.FULL));
-            ClientTry stream = story.fleet
+            story.decode.forEach(d -> d.behaviour(Behaviour.FULL));
+            ClientAttempt stream = story.fleet
                     .client()
                     .send(story.fleet.edge(0), ClientRequest.split(FleetStory.CHAT, "refused", FleetStory.EVENTS));
             assertEquals(503, StandInOperator.waitFor(stream.ended()).status());
@@ -153,8 +154,8 @@
         });
     }
 
-    private static void awaitFreed(FleetStory story, ClientTry stream) throws Exception {
-        HandleMade made = story.fleet.history().await("a handle", HandleMade.class, h -> h.tryId()
+    private static void awaitFreed(FleetStory story, ClientAttempt stream) throws Exception {
+        HandleCreated made = story.fleet.history().await("a handle", HandleCreated.class, h -> h.tryId()
                 .equals(stream.id()));
         story.fleet.history().await(made.handle() + " is freed", HandleFreed.class, f -> f.handle()
                 .equals(made.handle()));
@@ -166,7 +167,7 @@
             assertEquals(
                     502,
                     dies(story, ClientRequest.plain(FleetStory.WRITE, "once")).status());
-            assertEquals(1, story.fleet.history().events(Ran.class).size());
+            assertEquals(1, story.fleet.history().events(RunStarted.class).size());
         });
     }
 
@@ -180,11 +181,12 @@
     }
 
     /** The request's server dies while it works on it; the others answer. */
-    private static ClientTry.Outcome dies(FleetStory story, ClientRequest request) throws Exception {
-        story.plain.forEach(p -> p.mood(Mood.SILENT));
-        ClientTry sent = story.fleet.client().send(story.fleet.edge(0), request);
-        Ran ran = story.fleet.history().await("a run", Ran.class, r -> r.tryId().equals(sent.id()));
-        story.plain.forEach(p -> p.mood(Mood.WORKS));
+    private static ClientAttempt.Outcome dies(FleetStory story, ClientRequest request) throws Exception {
+        story.plain.forEach(p -> p.behaviour(Behaviour.SILENT));
+        ClientAttempt sent = story.fleet.client().send(story.fleet.edge(0), request);
+        RunStarted ran = story.fleet.history().await("a run", RunStarted.class, r -> r.tryId()
+                .equals(sent.id()));
+        story.plain.forEach(p -> p.behaviour(Behaviour.WORKS));
         story.plain.stream()
                 .filter(p -> p.identity().equals(ran.server()))
                 .findFirst()
@@ -206,12 +208,12 @@
     @Test
     void aFullServerIsPassedByAndASilentOneIsLeftWhereTheRequestMayRunAgain() throws Exception {
         FleetStory.tell(1, 1, story -> {
-            story.plain.get(0).mood(Mood.FULL);
+            story.plain.get(0).behaviour(Behaviour.FULL);
             for (int i = 0; i < REQUESTS; i++) {
                 RouteSpec route = i % 2 == 0 ? FleetStory.READ : FleetStory.WRITE;
                 story.assertServed(0, ClientRequest.plain(route, "full" + i));
             }
-            story.plain.get(0).mood(Mood.SILENT);
+            story.plain.get(0).behaviour(Behaviour.SILENT);
             for (int i = 0; i < 2; i++) {
                 story.assertServed(0, ClientRequest.plain(FleetStory.READ, "silent" + i));
             }
--- a/emulator/src/main/java/dewplank/emulator/Try.java
+++ b/emulator/src/main/java/dewplank/emulator/ClientAttempt.java
@@ -1,10 +1,10 @@
 package dewplank.emulator;
 
 /** One try of a client's request; a retry is another with an id of its own and the same key and work. */
-public final class Try {
+public final class ClientAttempt {
     public final long id;
     /** Place of its class in the scenario. */
-    public final int kind;
+    public final int requestClass;
     /** The same for all tries of one request of a client's. */
     public final long key;
 
@@ -13,17 +13,17 @@
     /** Whose it is and what it is about: numbers of a tenant and of a key, or -1 where the scenario has none. */
     public final int tenant;
 
-    public final int about;
-    public final boolean repeat;
+    public final int subjectKey;
+    public final boolean isRetry;
     /** When the client sent it. */
-    public final double at;
+    public final double sentAtMs;
     /** When the client stops waiting. */
-    public final double until;
+    public final double deadlineMs;
 
-    boolean over;
-    final Clients.Ask ask;
+    boolean isOver;
+    final Clients.Request request;
 
-    public Try(
+    public ClientAttempt(
             long id,
             int kind,
             long key,
@@ -32,11 +32,11 @@
             boolean repeat,
             double at,
             double until,
-            Clients.Ask ask) {
+            Clients.Request ask) {
         this(id, kind, key, work, sidecar, repeat, at, until, ask, -1, -1);
     }
 
-    Try(
+    ClientAttempt(
             long id,
             int kind,
             long key,
@@ -45,19 +45,19 @@
             boolean repeat,
             double at,
             double until,
-            Clients.Ask ask,
+            Clients.Request ask,
             int tenant,
             int about) {
         this.id = id;
-        this.kind = kind;
+        this.requestClass = kind;
         this.key = key;
         this.work = work;
         this.sidecar = sidecar;
-        this.repeat = repeat;
-        this.at = at;
-        this.until = until;
-        this.ask = ask;
+        this.isRetry = repeat;
+        this.sentAtMs = at;
+        this.deadlineMs = until;
+        this.request = ask;
         this.tenant = tenant;
-        this.about = about;
+        this.subjectKey = about;
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/Clients.java
+++ b/emulator/src/main/java/dewplank/emulator/Clients.java
@@ -2,9 +2,9 @@
 
 import dewplank.balancer.Settings.DeduplicationScope;
 import dewplank.balancer.Settings.Idempotency;
-import dewplank.emulator.Note.What;
-import dewplank.emulator.Scenario.Kind;
+import dewplank.emulator.RecordedEvent.Type;
 import dewplank.emulator.Scenario.Load;
+import dewplank.emulator.Scenario.RequestKind;
 import java.util.Arrays;
 import java.util.function.DoubleSupplier;
 import java.util.stream.IntStream;
@@ -17,65 +17,66 @@
  */
 public final class Clients {
     /** The way to a sidecar. */
-    public interface Front {
-        void ask(Try request);
+    public interface SidecarConnector {
+        void send(ClientAttempt request);
 
         /** The client closes its connection. */
-        void leave(Try request);
+        void abandon(ClientAttempt request);
     }
 
     /** How a request of a client's went, over all its tries. */
-    public interface Tally {
+    public interface OutcomeListener {
         /** {@code tookMs}: from the first try to the answer that served, or NaN where none did. */
-        void ended(int kind, int tenant, double askedAt, double tookMs, int tries, Note.What last);
+        void requestEnded(int kind, int tenant, double askedAt, double tookMs, int tries, RecordedEvent.Type last);
     }
 
     /** One request of a client's. */
-    static final class Ask {
-        final int kind;
+    static final class Request {
+        final int requestClass;
         final long key;
         final double work;
-        final double at;
-        final boolean honours;
+        final double firstSentAtMs;
+        final boolean honoursRetryAfter;
         final int tenant;
-        final int about;
-        int tries;
+        final int subjectKey;
+        int attempts;
 
-        Ask(int kind, long key, double work, double at, boolean honours, int tenant, int about) {
-            this.kind = kind;
+        Request(int kind, long key, double work, double at, boolean honours, int tenant, int about) {
+            this.requestClass = kind;
             this.key = key;
             this.work = work;
-            this.at = at;
-            this.honours = honours;
+            this.firstSentAtMs = at;
+            this.honoursRetryAfter = honours;
             this.tenant = tenant;
-            this.about = about;
+            this.subjectKey = about;
         }
     }
 
     private final World world;
-    private final Front front;
-    private final Tally tally;
+    private final SidecarConnector front;
+    private final OutcomeListener tally;
     private final Scenario scenario;
     private final double end;
-    private final double[] upTo; // the classes' shares, added up
-    private final double[] keysUpTo; // the keys' popularity, added up
+    private final double[] cumulativeShares; // the classes' shares, added up
+    private final double[] cumulativeKeyShares; // the keys' popularity, added up
     private long ids;
-    private int open;
+    private int openRequests;
 
-    public Clients(World world, Front front, Tally tally) {
+    public Clients(World world, SidecarConnector front, OutcomeListener tally) {
         this.world = world;
         this.front = front;
         this.tally = tally;
         this.scenario = world.scenario;
         this.end = world.now() + scenario.lengthMs();
-        this.upTo = addedUp(scenario.classes().stream().mapToDouble(Kind::share).toArray());
+        this.cumulativeShares = cumulative(
+                scenario.classes().stream().mapToDouble(RequestKind::share).toArray());
         Scenario.Keys keys = scenario.subjects().keys();
-        this.keysUpTo = addedUp(IntStream.range(0, keys.count())
+        this.cumulativeKeyShares = cumulative(IntStream.range(0, keys.count())
                 .mapToDouble(i -> Math.pow(i + 1, -keys.zipf()))
                 .toArray());
     }
 
-    private static double[] addedUp(double[] parts) {
+    private static double[] cumulative(double[] parts) {
         double sum = Arrays.stream(parts).sum();
         double[] upTo = new double[parts.length];
         for (int i = 0; i < parts.length; i++) {
@@ -85,24 +86,24 @@
     }
 
     /** The number whose part holds that place; -1 where there is none. */
-    private static int at(double place, double[] upTo) {
+    private static int indexAt(double place, double[] upTo) {
         int found = Arrays.binarySearch(upTo, place);
         return Math.min(upTo.length - 1, found >= 0 ? found : -found - 1);
     }
 
     public void start() {
         for (int i = 0; i < scenario.sidecars(); i++) {
-            new Copy(i).next();
+            new ApplicationInstance(i).next();
         }
     }
 
     /** Requests that have no end yet. */
-    public int open() {
-        return open;
+    public int openRequests() {
+        return openRequests;
     }
 
     /** The application copy beside one sidecar. */
-    private final class Copy {
+    private final class ApplicationInstance {
         final int sidecar;
         final UniformRandomProvider random;
         final UniformRandomProvider subjects;
@@ -114,15 +115,15 @@
         double burst = 1;
         double burstUntil;
 
-        Copy(int sidecar) {
+        ApplicationInstance(int sidecar) {
             this.sidecar = sidecar;
             this.random = world.draws.stream("client", sidecar);
             this.subjects = world.draws.stream("subjects", sidecar);
-            this.gap = Draws.exponential(world.draws.stream("arrivals", sidecar));
+            this.gap = RandomStreams.exponential(world.draws.stream("arrivals", sidecar));
             this.work = new DoubleSupplier[scenario.classes().size()];
             for (int k = 0; k < work.length; k++) {
-                Kind kind = scenario.classes().get(k);
-                work[k] = Draws.around(
+                RequestKind kind = scenario.classes().get(k);
+                work[k] = RandomStreams.around(
                         kind.distribution(), kind.cv(), world.draws.stream("work " + kind.name(), sidecar));
             }
             this.perMs = world.arrivalsPerMs() / scenario.sidecars();
@@ -171,79 +172,99 @@
         }
 
         void arrive() {
-            int kind = at(random.nextDouble(), upTo);
+            int kind = indexAt(random.nextDouble(), cumulativeShares);
             double load = scenario.classes().get(kind).work() * work[kind].getAsDouble();
             long key = ((long) sidecar + 1 << 36) + ++ids;
-            open++;
-            boolean honours = random.nextDouble() < scenario.clients().honour();
-            int tenant = at(subjects.nextDouble(), world.tenantsUpTo());
-            int about = at(subjects.nextDouble(), keysUpTo);
-            attempt(new Ask(kind, key, load, world.now(), honours, tenant, about), sidecar);
+            openRequests++;
+            boolean honours = random.nextDouble() < scenario.clients().honourRetryAfterShare();
+            int tenant = indexAt(subjects.nextDouble(), world.tenantsUpTo());
+            int about = indexAt(subjects.nextDouble(), cumulativeKeyShares);
+            attempt(new Request(kind, key, load, world.now(), honours, tenant, about), sidecar);
         }
     }
 
-    private void attempt(Ask ask, int sidecar) {
-        Kind kind = scenario.classes().get(ask.kind);
+    private void attempt(Request ask, int sidecar) {
+        RequestKind kind = scenario.classes().get(ask.requestClass);
         double now = world.now();
-        double last = ask.at + kind.deadlineMs();
-        double until = Math.min(last, now + scenario.clients().tryShare() * kind.deadlineMs());
-        Try t = new Try(
-                ++ids, ask.kind, ask.key, ask.work, sidecar, ask.tries > 0, now, until, ask, ask.tenant, ask.about);
-        ask.tries++;
-        world.note(What.ASKED, t, sidecar, -1, until);
-        front.ask(t);
-        boolean impatient = scenario.clients().impatient() > 0
-                && world.draws.unit(-t.id) < scenario.clients().impatient();
+        double last = ask.firstSentAtMs + kind.deadlineMs();
+        double until = Math.min(last, now + scenario.clients().attemptDeadlineShare() * kind.deadlineMs());
+        ClientAttempt t = new ClientAttempt(
+                ++ids,
+                ask.requestClass,
+                ask.key,
+                ask.work,
+                sidecar,
+                ask.attempts > 0,
+                now,
+                until,
+                ask,
+                ask.tenant,
+                ask.subjectKey);
+        ask.attempts++;
+        world.record(Type.SENT, t, sidecar, -1, until);
+        front.send(t);
+        boolean impatient = scenario.clients().abandonShare() > 0
+                && world.draws.unit(-t.id) < scenario.clients().abandonShare();
         double wait = (until - now) * (impatient ? 0.5 : 1)
                 + (impatient ? 0 : scenario.rules().answerSlackMs() + 1);
         world.later(wait, () -> {
-            if (!t.over) {
-                front.leave(t);
-                over(t, What.LEFT, impatient ? 1 : 0);
+            if (!t.isOver) {
+                front.abandon(t);
+                over(t, Type.ABANDONED, impatient ? 1 : 0);
             }
         });
     }
 
     /** The client has its answer. {@code madeFor}: of a served one, the id of the request that it was made for. */
-    public void answered(Try t, What what, double value) {
-        if (t.over) {
-            world.note(what, t, t.sidecar, -1, value); // a second answer: the auditor will see it
+    public void answered(ClientAttempt t, Type what, double value) {
+        if (t.isOver) {
+            world.record(what, t, t.sidecar, -1, value); // a second answer: the auditor will see it
             return;
         }
         over(t, what, value);
     }
 
-    private void over(Try t, What what, double value) {
-        t.over = true;
-        world.note(what, t, t.sidecar, -1, value);
-        Ask ask = t.ask;
+    private void over(ClientAttempt t, Type what, double value) {
+        t.isOver = true;
+        world.record(what, t, t.sidecar, -1, value);
+        Request ask = t.request;
         if (ask == null) {
             return;
         }
         double now = world.now();
-        Kind kind = scenario.classes().get(ask.kind);
+        RequestKind kind = scenario.classes().get(ask.requestClass);
         boolean may =
                 switch (what) {
                     case SERVED -> false;
                     case REFUSED, UNREACHABLE -> true;
-                    default -> kind.effect() == Idempotency.SAFE
-                            || kind.effect() == Idempotency.KEYED
+                    default -> kind.idempotency() == Idempotency.SAFE
+                            || kind.idempotency() == Idempotency.KEYED
                                     && kind.scope() == DeduplicationScope.ALL
-                                    && now - ask.at < kind.windowMs();
+                                    && now - ask.firstSentAtMs < kind.windowMs();
                 };
         double wait = scenario.clients().waitMs() * (0.5 + world.draws.unit(t.id));
-        if (what == What.REFUSED && ask.honours && value > 0) {
+        if (what == Type.REFUSED && ask.honoursRetryAfter && value > 0) {
             wait = Math.max(wait, Math.min(value, scenario.rules().maxAdviceMs()));
         }
-        boolean again = may && ask.tries <= scenario.clients().retries() && now + wait < ask.at + kind.deadlineMs() - 1;
-        if (kind.effect() == Idempotency.KEYED && what != What.REFUSED && now + wait - ask.at >= kind.windowMs()) {
+        boolean again = may
+                && ask.attempts <= scenario.clients().retries()
+                && now + wait < ask.firstSentAtMs + kind.deadlineMs() - 1;
+        if (kind.idempotency() == Idempotency.KEYED
+                && what != Type.REFUSED
+                && now + wait - ask.firstSentAtMs >= kind.windowMs()) {
             again = false; // its repeat would no longer be recognised
         }
         if (again) {
             world.later(wait, () -> attempt(ask, t.sidecar));
         } else {
-            open--;
-            tally.ended(ask.kind, ask.tenant, ask.at, what == What.SERVED ? now - ask.at : Double.NaN, ask.tries, what);
+            openRequests--;
+            tally.requestEnded(
+                    ask.requestClass,
+                    ask.tenant,
+                    ask.firstSentAtMs,
+                    what == Type.SERVED ? now - ask.firstSentAtMs : Double.NaN,
+                    ask.attempts,
+                    what);
         }
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/ServerList.java
+++ b/emulator/src/main/java/dewplank/emulator/EndpointDirectory.java
@@ -2,7 +2,7 @@
 
 import dewplank.balancer.Endpoint;
 import dewplank.balancer.Endpoint.Availability;
-import dewplank.emulator.Note.What;
+import dewplank.emulator.RecordedEvent.Type;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashSet;
@@ -11,17 +11,17 @@
 import java.util.Set;
 
 /**
- * The directory: what it believes of the servers, and what it tells. It notices late, tells each watch now and then, and
- * takes calls in turn at a bounded pace.
+ * The directory: what it believes of the servers, and what it tells. It notices late, tells each watch now and then,
+ * and takes calls in turn at a bounded pace.
  */
-public final class ServerList {
+public final class EndpointDirectory {
     /** One entry at one version. */
     private record Change(long version, int server) {}
 
     /** Whoever watches. All are called on the world's thread. */
     public interface Watcher {
         /** {@code full}: all entries; otherwise those that changed. */
-        void told(long version, boolean full, List<Endpoint> entries);
+        void updated(long version, boolean full, List<Endpoint> entries);
 
         /** The call failed, or the directory went down. */
         void ended();
@@ -33,7 +33,7 @@
         private final Watcher watcher;
         private long version;
         private boolean open;
-        private boolean over;
+        private boolean isClosed;
 
         private Watch(int sidecar, long version, Watcher watcher) {
             this.sidecar = sidecar;
@@ -42,7 +42,7 @@
         }
 
         public void close() {
-            over = true;
+            isClosed = true;
             watches.remove(this);
         }
     }
@@ -54,14 +54,14 @@
     private final List<Change> history = new ArrayList<>();
     private final Set<Watch> watches = new LinkedHashSet<>();
     private long version = 1;
-    private long oldest = 1;
-    private boolean down;
-    private boolean silent;
-    private double freeAt;
+    private long oldestVersion = 1;
+    private boolean isDown;
+    private boolean isSilent;
+    private double nextCallAtMs;
     private long calls;
     private long lines;
 
-    ServerList(World world) {
+    EndpointDirectory(World world) {
         this.world = world;
         for (Server s : world.servers) {
             entries.put(s.number, entry(s, Availability.UP));
@@ -84,12 +84,12 @@
         return version;
     }
 
-    public boolean down() {
-        return down;
+    public boolean isDown() {
+        return isDown;
     }
 
-    public boolean silent() {
-        return silent;
+    public boolean isSilent() {
+        return isSilent;
     }
 
     public long calls() {
@@ -101,7 +101,7 @@
     }
 
     /** All that is not gone, by number. */
-    public List<Endpoint> whole() {
+    public List<Endpoint> endpoints() {
         List<Endpoint> all = new ArrayList<>();
         for (Server s : world.servers) {
             Endpoint e = entries.get(s.number);
@@ -121,24 +121,24 @@
         entries.put(s.number, e);
         history.add(new Change(++version, s.number));
         if (history.size() > HISTORY) {
-            oldest = history.remove(0).version();
+            oldestVersion = history.remove(0).version();
         }
     }
 
     /** A server died or vanished at this moment: noticed after a while, unless it is back by then. */
     void noticeLoss(Server s, double afterMs) {
-        int life = s.life();
+        int life = s.incarnation();
         world.later(afterMs, () -> {
-            if (s.life() == life && s.state() != Server.State.UP) {
+            if (s.incarnation() == life && s.state() != Server.State.UP) {
                 set(s, Availability.REMOVED);
             }
         });
     }
 
     void noticeStart(Server s) {
-        int life = s.life();
+        int life = s.incarnation();
         world.later(world.scenario.directory().addMs(), () -> {
-            if (s.life() == life && s.state() == Server.State.UP) {
+            if (s.incarnation() == life && s.state() == Server.State.UP) {
                 set(s, Availability.UP);
             }
         });
@@ -150,16 +150,16 @@
         Watch watch = new Watch(sidecar, since, watcher);
         calls++;
         double now = world.now();
-        double start = Math.max(now, freeAt);
-        if (down || start - now > rules.timeoutMs()) {
-            world.later(down ? 1 : rules.timeoutMs(), () -> end(watch));
+        double start = Math.max(now, nextCallAtMs);
+        if (isDown || start - now > rules.timeoutMs()) {
+            world.later(isDown ? 1 : rules.timeoutMs(), () -> end(watch));
             return watch;
         }
-        freeAt = start + 1000 / rules.callsPerS();
-        world.later(freeAt - now, () -> {
-            if (down) {
+        nextCallAtMs = start + 1000 / rules.callsPerS();
+        world.later(nextCallAtMs - now, () -> {
+            if (isDown) {
                 end(watch);
-            } else if (!watch.over) {
+            } else if (!watch.isClosed) {
                 watch.open = true;
                 watches.add(watch);
                 tell(watch, true);
@@ -171,8 +171,8 @@
 
     private void end(Watch watch) {
         watches.remove(watch);
-        if (!watch.over) {
-            watch.over = true;
+        if (!watch.isClosed) {
+            watch.isClosed = true;
             watch.watcher.ended();
         }
     }
@@ -181,7 +181,7 @@
     private void rhythm(Watch watch) {
         double wait = world.scenario.directory().periodMs() * (0.5 + world.directoryRandom.nextDouble());
         world.later(wait, () -> {
-            if (!watch.over) {
+            if (!watch.isClosed) {
                 tell(watch, false);
                 rhythm(watch);
             }
@@ -189,11 +189,11 @@
     }
 
     private void tell(Watch watch, boolean first) {
-        if (silent || !first && watch.version >= version) {
+        if (isSilent || !first && watch.version >= version) {
             return;
         }
-        boolean full = watch.version < oldest;
-        List<Endpoint> news = full ? whole() : since(watch.version);
+        boolean full = watch.version < oldestVersion;
+        List<Endpoint> news = full ? endpoints() : since(watch.version);
         watch.version = version;
         lines += news.size() + 1;
         for (Endpoint e : news) {
@@ -206,7 +206,7 @@
                 }
             }
         }
-        watch.watcher.told(version, full, news);
+        watch.watcher.updated(version, full, news);
     }
 
     private List<Endpoint> since(long known) {
@@ -222,25 +222,25 @@
     private void record(int sidecar, Endpoint e) {
         int server = world.byId.get(e.server()).number;
         switch (e.availability()) {
-            case DRAINING -> world.note(What.TOLD_DRAINING, null, sidecar, server, 0);
-            case REMOVED -> world.note(What.TOLD_GONE, null, sidecar, server, 0);
+            case DRAINING -> world.record(Type.NOTIFIED_DRAINING, null, sidecar, server, 0);
+            case REMOVED -> world.record(Type.NOTIFIED_REMOVED, null, sidecar, server, 0);
             default -> {
                 if (e.startedAtMs() != null) { // one that has run for long says nothing that binds
-                    world.note(What.TOLD_UP, null, sidecar, server, e.startedAtMs());
+                    world.record(Type.NOTIFIED_UP, null, sidecar, server, e.startedAtMs());
                 }
             }
         }
     }
 
-    void setDown(boolean isDown) {
-        down = isDown;
-        if (isDown) {
+    void setDown(boolean down) {
+        isDown = down;
+        if (down) {
             new ArrayList<>(watches).forEach(this::end);
         }
     }
 
     /** It takes calls and says nothing more. */
-    void setSilent(boolean isSilent) {
-        silent = isSilent;
+    void setSilent(boolean silent) {
+        isSilent = silent;
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/Faults.java
+++ b/emulator/src/main/java/dewplank/emulator/FaultInjector.java
@@ -11,7 +11,7 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /** Plays a scenario's faults on a world. Which servers are hit is settled by the seed and the fault's place alone. */
-public final class Faults {
+public final class FaultInjector {
     /** Kills a sidecar and starts it again after a while. */
     public interface SidecarKiller {
         void kill(int sidecar, double backAfterMs);
@@ -23,13 +23,13 @@
     private final World world;
     private final SidecarKiller killSidecar;
 
-    private Faults(World world, SidecarKiller killSidecar) {
+    private FaultInjector(World world, SidecarKiller killSidecar) {
         this.world = world;
         this.killSidecar = killSidecar;
     }
 
     public static void schedule(World world, SidecarKiller killSidecar) {
-        Faults faults = new Faults(world, killSidecar);
+        FaultInjector faults = new FaultInjector(world, killSidecar);
         List<Fault> all = world.scenario.faults();
         for (int i = 0; i < all.size(); i++) {
             Fault fault = all.get(i);
@@ -53,37 +53,38 @@
     }
 
     private void begin(Fault f, UniformRandomProvider random) {
-        switch (f.what()) {
-            case CRASH -> some(f.part(), random).forEach(s -> lose(s, false, f.forMs()));
-            case VANISH -> some(f.part(), random).forEach(s -> lose(s, true, f.forMs()));
-            case SLOW -> during(f, random, s -> s.slowBy(Math.max(1, f.size())), s -> s.slowBy(1));
-            case PAUSE -> beat(f, some(f.part(), random), world.now() + f.forMs(), s -> s.pause(f.size()));
-            case NEIGHBOUR -> neighbour(f, some(f.part(), random), world.now() + f.forMs(), true);
-            case DEPLOY -> deploy(f, shuffled(world.servers.size(), f.part(), random), 0);
-            case CLASS_ERRORS -> classErrors(f, some(f.part(), random));
-            case LOST_ANSWERS -> during(f, random, s -> s.lostAnswers = f.size(), s -> s.lostAnswers = 0);
-            case RESETS -> during(f, random, s -> s.resets = f.size(), s -> s.resets = 0);
+        switch (f.kind()) {
+            case CRASH -> some(f.affectedShare(), random).forEach(s -> lose(s, false, f.forMs()));
+            case VANISH -> some(f.affectedShare(), random).forEach(s -> lose(s, true, f.forMs()));
+            case SLOW -> during(f, random, s -> s.slowBy(Math.max(1, f.magnitude())), s -> s.slowBy(1));
+            case PAUSE -> beat(
+                    f, some(f.affectedShare(), random), world.now() + f.forMs(), s -> s.pause(f.magnitude()));
+            case NEIGHBOUR -> neighbour(f, some(f.affectedShare(), random), world.now() + f.forMs(), true);
+            case DEPLOY -> deploy(f, shuffled(world.servers.size(), f.affectedShare(), random), 0);
+            case CLASS_ERRORS -> classErrors(f, some(f.affectedShare(), random));
+            case LOST_ANSWERS -> during(f, random, s -> s.lostAnswerRate = f.magnitude(), s -> s.lostAnswerRate = 0);
+            case RESETS -> during(f, random, s -> s.resetRate = f.magnitude(), s -> s.resetRate = 0);
             case POISON -> {
                 world.setPoison(
-                        f.kind() == null ? -1 : world.scenario.classNames().indexOf(f.kind()), f.size());
+                        f.target() == null ? -1 : world.scenario.classNames().indexOf(f.target()), f.magnitude());
                 world.later(f.forMs(), () -> world.setPoison(-1, 0));
             }
             case LOSS -> {
-                world.setLoss(f.size());
+                world.setLoss(f.magnitude());
                 world.later(f.forMs(), () -> world.setLoss(0));
             }
             case CUT -> cut(f, random);
             case LOAD -> {
-                world.setLoadFactor(f.size());
+                world.setLoadFactor(f.magnitude());
                 world.later(f.forMs(), () -> world.setLoadFactor(1));
             }
-            case ERRORS -> during(f, random, s -> s.quickErrors = f.size(), s -> s.quickErrors = 0);
+            case ERRORS -> during(f, random, s -> s.immediateErrorRate = f.magnitude(), s -> s.immediateErrorRate = 0);
             case TENANT_LOAD -> {
                 int tenant = world.scenario.subjects().tenants().stream()
-                        .map(Scenario.Customer::name)
+                        .map(Scenario.TenantLoad::name)
                         .toList()
-                        .indexOf(f.kind());
-                world.setTenantLoad(tenant, f.size());
+                        .indexOf(f.target());
+                world.setTenantLoad(tenant, f.magnitude());
                 world.later(f.forMs(), () -> world.setTenantLoad(tenant, 1));
             }
             case ZONE_LOSS -> zoneLoss(f, random);
@@ -95,7 +96,7 @@
                 world.list.setSilent(true);
                 world.later(f.forMs(), () -> world.list.setSilent(false));
             }
-            case SIDECAR_KILL -> shuffled(world.scenario.sidecars(), f.part(), random)
+            case SIDECAR_KILL -> shuffled(world.scenario.sidecars(), f.affectedShare(), random)
                     .forEach(n -> killSidecar.kill(n, f.forMs()));
         }
     }
@@ -105,7 +106,7 @@
     }
 
     private void during(Fault f, UniformRandomProvider random, Act begin, Act end) {
-        List<Server> hit = some(f.part(), random);
+        List<Server> hit = some(f.affectedShare(), random);
         hit.forEach(begin::on);
         world.later(f.forMs(), () -> hit.forEach(end::on));
     }
@@ -119,7 +120,7 @@
 
     private void neighbour(Fault f, List<Server> hit, double until, boolean on) {
         boolean over = world.now() >= until;
-        hit.forEach(s -> s.take(on && !over ? Math.min(0.95, f.size()) : 0));
+        hit.forEach(s -> s.setNeighbourShare(on && !over ? Math.min(0.95, f.magnitude()) : 0));
         if (!over) {
             world.later(f.everyMs(), () -> neighbour(f, hit, until, !on));
         }
@@ -134,7 +135,7 @@
             s.vanish();
             world.list.noticeLoss(s, d.silentNoticeMs() * (0.5 + world.directoryRandom.nextDouble()));
         } else {
-            s.die();
+            s.crash();
             world.serverDied(s);
         }
         world.restart(s, backAfterMs);
@@ -149,18 +150,18 @@
                 .filter(n -> world.scenario.zoneOfSidecar(n).equals(zone))
                 .boxed()
                 .toList());
-        Scenario.firstOf(there, Math.min(1, f.size())).forEach(n -> killSidecar.kill(n, f.forMs()));
+        Scenario.firstOf(there, Math.min(1, f.magnitude())).forEach(n -> killSidecar.kill(n, f.forMs()));
     }
 
     private void classErrors(Fault f, List<Server> hit) {
-        int kind = world.scenario.classNames().indexOf(f.kind());
-        hit.forEach(s -> s.errorRate[kind] = f.size());
+        int kind = world.scenario.classNames().indexOf(f.target());
+        hit.forEach(s -> s.errorRate[kind] = f.magnitude());
         world.later(f.forMs(), () -> hit.forEach(s -> s.errorRate[kind] = s.machine.errorRate()));
     }
 
     /** Batch after batch: listed as draining, given time, ended, started anew and cold. */
     private void deploy(Fault f, List<Integer> order, int from) {
-        int batch = Math.max(1, (int) Math.round(f.size() * world.servers.size()));
+        int batch = Math.max(1, (int) Math.round(f.magnitude() * world.servers.size()));
         List<Integer> now = order.subList(Math.min(from, order.size()), Math.min(from + batch, order.size()));
         if (now.isEmpty()) {
             return;
@@ -172,18 +173,18 @@
             if (s.state() != State.UP) {
                 continue;
             }
-            int life = s.life();
+            int life = s.incarnation();
             world.list.set(s, Availability.DRAINING); // the deploy says so first; the process follows
             double heard = world.scenario.directory().periodMs() * 2
                     + world.scenario.rules().drainMs();
             world.later(Math.min(heard, f.everyMs()), () -> {
-                if (s.life() == life) {
+                if (s.incarnation() == life) {
                     s.drain();
                 }
             });
             world.later(f.everyMs() + 1, () -> {
-                if (s.life() == life && s.state() == State.DRAINING) {
-                    s.die();
+                if (s.incarnation() == life && s.state() == State.DRAINING) {
+                    s.crash();
                     world.list.set(s, Availability.REMOVED);
                     world.restart(s, BOOT_MS);
                 }
@@ -193,8 +194,8 @@
     }
 
     private void cut(Fault f, UniformRandomProvider random) {
-        List<Server> hit = some(f.part(), random);
-        List<Integer> from = shuffled(world.scenario.sidecars(), Math.min(1, f.size()), random);
+        List<Server> hit = some(f.affectedShare(), random);
+        List<Integer> from = shuffled(world.scenario.sidecars(), Math.min(1, f.magnitude()), random);
         setCuts(hit, from, true);
         world.later(f.forMs(), () -> setCuts(hit, from, false));
     }
--- a/emulator/src/main/java/dewplank/emulator/Draws.java
+++ b/emulator/src/main/java/dewplank/emulator/RandomStreams.java
@@ -11,13 +11,13 @@
  * Random numbers by name. Each concern has a stream of its own, so that a change of one thing, or of the policy under
  * test, leaves all else as it was: runs with the same seed can be paired.
  */
-public final class Draws {
+public final class RandomStreams {
     /** No request takes more than so many times the mean: its client and its server's own limits have ended it. */
     private static final double LONGEST = 25;
 
     private final long seed;
 
-    public Draws(long seed) {
+    public RandomStreams(long seed) {
         this.seed = seed;
     }
 
--- a/emulator/src/main/java/dewplank/emulator/Note.java
+++ b/emulator/src/main/java/dewplank/emulator/RecordedEvent.java
@@ -11,11 +11,12 @@
  * @param server   the server's number
  * @param value    as the event says
  */
-public record Note(double at, What what, long request, int kind, int sidecar, int server, double value) {
+public record RecordedEvent(
+        double atMs, Type type, long request, int requestClass, int sidecar, int server, double value) {
 
-    public enum What {
+    public enum Type {
         /** A client's try was written whole to a sidecar; value: the time at which it stops waiting. */
-        ASKED,
+        SENT,
         /** A client got a 200; value: the id of the request that the server made it for. */
         SERVED,
         /** A client was refused; value: the advice when to come back, in milliseconds, or 0. */
@@ -25,23 +26,23 @@
         /** The connection to the sidecar ended without a whole answer, or never came up. */
         UNREACHABLE,
         /** A client stopped waiting; value 1: before its time was up, by its own choice. */
-        LEFT,
+        ABANDONED,
         /** The last byte of a request came to a server; value: its work. */
         RECEIVED,
         /** The server said that it never ran. */
-        TURNED_AWAY,
+        REJECTED,
         /** The server began to work on it. */
-        BEGUN,
+        STARTED,
         /** Its effect took place. */
         EFFECT,
         /** A keyed repeat was recognised: it had no effect of its own. */
-        DROPPED,
+        DEDUPLICATED,
         /** The directory told a sidecar that a server drains. */
-        TOLD_DRAINING,
+        NOTIFIED_DRAINING,
         /** The directory told a sidecar that a server is gone. */
-        TOLD_GONE,
+        NOTIFIED_REMOVED,
         /** The directory told a sidecar that a server is up; value: when it started, or 0 for long ago. */
-        TOLD_UP,
+        NOTIFIED_UP,
         /** A sidecar was killed: what it held is lost with it. */
         SIDECAR_KILLED,
         /** A sidecar took requests from here on. */
@@ -51,10 +52,10 @@
         /** A server's process ended, or its machine went silent. */
         SERVER_DOWN,
         /** A cold server broke down under what it was sent. */
-        SERVER_FELL
+        SERVER_COLLAPSED
     }
 
     public interface Recorder {
-        void record(Note note);
+        void record(RecordedEvent note);
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/Scenario.java
+++ b/emulator/src/main/java/dewplank/emulator/Scenario.java
@@ -21,14 +21,14 @@
         List<String> zones,
         Servers servers,
         Network network,
-        Links links,
+        ConnectionModel links,
         Directory directory,
         Reports reports,
         Load load,
-        Habits clients,
-        List<Kind> classes,
+        ClientBehaviour clients,
+        List<RequestKind> classes,
         Rules rules,
-        Subjects subjects,
+        TenantsAndKeys subjects,
         Messages messages,
         List<Fault> faults) {
 
@@ -67,14 +67,14 @@
         TENANT_LOAD
     }
 
-    public record Servers(int count, int cellSize, List<Machine> machines) {}
+    public record Servers(int count, int cellSize, List<MachineType> machines) {}
 
     /**
      * @param speed       work done by a core in a millisecond
      * @param speedSpread coefficient of variation of the speed from server to server
      * @param pauseEveryMs mean time between pauses, such as a collector's; 0 for none
      */
-    public record Machine(
+    public record MachineType(
             String name,
             double share,
             int cores,
@@ -82,29 +82,35 @@
             double speedSpread,
             double slotsPerCore,
             double queuePerCore,
-            double coldShare,
-            double coldMs,
+            double coldSpeedFactor,
+            double warmUpMs,
             double pauseEveryMs,
             double pauseMs,
             double errorRate,
-            Choke choke) {}
+            OverloadSlowdown overloadSlowdown) {}
 
     /**
      * A server that holds more than {@code at} requests a core for {@code overMs} turns slower by the factor
      * {@code slower}, until it has held fewer than {@code below} of that for {@code restMs}, or for {@code mostMs}.
      */
-    public record Choke(double at, double overMs, double slower, double restMs, double below, double mostMs) {}
+    public record OverloadSlowdown(
+            double maxRequestsPerCore,
+            double triggerMs,
+            double factor,
+            double recoveryMs,
+            double recoveryFactor,
+            double maxMs) {}
 
     public record Network(double sameMs, double crossMs, double clientMs, double jitter) {}
 
     /** Connections to servers. {@code cap} 0: any number; {@code notice}: whether an idle close is seen. */
-    public record Links(
+    public record ConnectionModel(
             double handshakeMs,
             double handshakeWork,
             double idleMs,
-            boolean notice,
-            int cap,
-            double fullTax,
+            boolean closeIsNoticed,
+            int maxConnections,
+            double fullTableSlowdown,
             double connectTimeoutMs) {}
 
     /** The directory: how late it notices and says things, and how much it can say. */
@@ -116,30 +122,36 @@
             double callsPerS,
             double timeoutMs) {}
 
-    public record Reports(boolean given, double periodMs, double noise) {}
+    public record Reports(boolean enabled, double periodMs, double noise) {}
 
     /** {@code share}: of what all servers can do when warm; 0 where {@code perS} is given. */
-    public record Load(double share, double perS, Shape shape, double swing, double periodMs) {}
+    public record Load(double share, double requestsPerSecond, Shape shape, double swing, double periodMs) {}
 
     /**
      * @param tryShare   the part of a class's deadline that a try may take
      * @param honour     the part of clients that follow Retry-After
      * @param impatient  the part of tries given up half way
      */
-    public record Habits(int retries, double tryShare, double waitMs, double honour, double impatient, boolean marks) {}
+    public record ClientBehaviour(
+            int retries,
+            double attemptDeadlineShare,
+            double waitMs,
+            double honourRetryAfterShare,
+            double abandonShare,
+            boolean marksRetries) {}
 
     /** {@code waitMs}: mean time that it waits on others after its work, holding a slot and no core. */
-    public record Kind(
+    public record RequestKind(
             String name,
             double share,
             double work,
             Distribution distribution,
             double cv,
             double waitMs,
-            double aimMs,
+            double targetLatencyMs,
             double deadlineMs,
-            double worth,
-            Idempotency effect,
+            double value,
+            Idempotency idempotency,
             DeduplicationScope scope,
             double windowMs) {}
 
@@ -147,7 +159,7 @@
      * @param share of the service that is the tenant's
      * @param usage how much of its share it asks for, 1 for just that
      */
-    public record Customer(String name, double share, double usage) {}
+    public record TenantLoad(String name, double share, double usage) {}
 
     /**
      * What requests may be about. {@code count} 0: no keys.
@@ -157,25 +169,25 @@
      * @param freshMs how long a server knows a key that it met
      * @param perCore how many keys a server remembers for each core
      */
-    public record Keys(int count, double zipf, double gain, double freshMs, double perCore) {}
+    public record Keys(int count, double zipf, double savedWorkShare, double cacheMs, double maxKeysPerCore) {}
 
     /** {@code quota}: what all tenants' shares add up to, of what the servers can do when warm. */
-    public record Subjects(List<Customer> tenants, double overShareWorth, double quota, Keys keys) {}
+    public record TenantsAndKeys(List<TenantLoad> tenants, double overShareValueFactor, double quota, Keys keys) {}
 
     /** Datagrams between sidecars: whether there are any, how long they take, and the part that is lost. */
-    public record Messages(boolean given, double leastMs, double mostMs, double lost) {}
+    public record Messages(boolean enabled, double minMs, double maxMs, double lossRate) {}
 
     public record Rules(
             double answerSlackMs,
             double drainMs,
-            double fallMultiple,
-            double fallMs,
-            double coldMs,
-            double coldShare,
-            double askWithinMs,
+            double collapseFactor,
+            double collapseWindowMs,
+            double warmUpMs,
+            double warmUpInitialShare,
+            double maxSendDelayMs,
             int maxAttempts,
-            boolean probes,
-            boolean copies,
+            boolean healthChecks,
+            boolean hedging,
             boolean retryAdvice,
             double maxAdviceMs) {}
 
@@ -186,16 +198,22 @@
      * @param kind    class, or tenant where the kind hits one, or null
      */
     public record Fault(
-            FaultKind what, double atMs, double forMs, double part, double size, double everyMs, String kind) {}
+            FaultKind kind,
+            double atMs,
+            double forMs,
+            double affectedShare,
+            double magnitude,
+            double everyMs,
+            String target) {}
 
     /** The mean work of a request. */
     public double meanWork() {
-        double shares = classes.stream().mapToDouble(Kind::share).sum();
+        double shares = classes.stream().mapToDouble(RequestKind::share).sum();
         return classes.stream().mapToDouble(k -> k.share() / shares * k.work()).sum();
     }
 
     public double longestDeadlineMs() {
-        return classes.stream().mapToDouble(Kind::deadlineMs).max().orElse(0);
+        return classes.stream().mapToDouble(RequestKind::deadlineMs).max().orElse(0);
     }
 
     public String zoneOfSidecar(int sidecar) {
@@ -203,7 +221,7 @@
     }
 
     public List<String> classNames() {
-        return classes.stream().map(Kind::name).toList();
+        return classes.stream().map(RequestKind::name).toList();
     }
 
     /** What the sidecar with this number is told: the module's settings. */
@@ -211,13 +229,13 @@
         List<RequestClass> kinds = classes.stream()
                 .map(k -> new RequestClass(
                         k.name(),
-                        k.effect(),
+                        k.idempotency(),
                         k.scope(),
-                        k.effect() == Idempotency.KEYED ? k.windowMs() : 0,
-                        k.aimMs(),
+                        k.idempotency() == Idempotency.KEYED ? k.windowMs() : 0,
+                        k.targetLatencyMs(),
                         0,
                         k.deadlineMs(),
-                        k.worth(),
+                        k.value(),
                         0,
                         false))
                 .toList();
@@ -230,28 +248,28 @@
                 false,
                 false,
                 subjects.keys().count() > 0,
-                subjects.overShareWorth(),
-                reports.given() ? List.of("rif") : List.of(),
+                subjects.overShareValueFactor(),
+                reports.enabled() ? List.of("rif") : List.of(),
                 false,
                 kinds,
                 tenants(),
                 new Limits(
                         rules.maxAttempts(),
-                        rules.copies(),
+                        rules.hedging(),
                         true,
-                        rules.probes(),
-                        messages.given(),
+                        rules.healthChecks(),
+                        messages.enabled(),
                         rules.retryAdvice(),
                         rules.maxAdviceMs(),
                         links.connectTimeoutMs(),
                         links.idleMs(),
                         1),
                 new Safety(
-                        rules.askWithinMs(),
-                        rules.coldMs(),
-                        rules.coldShare(),
-                        rules.fallMultiple(),
-                        rules.fallMs(),
+                        rules.maxSendDelayMs(),
+                        rules.warmUpMs(),
+                        rules.warmUpInitialShare(),
+                        rules.collapseFactor(),
+                        rules.collapseWindowMs(),
                         false,
                         false),
                 new Prices(0.03, 0),
@@ -259,7 +277,8 @@
     }
 
     private List<Tenant> tenants() {
-        double shares = subjects.tenants().stream().mapToDouble(Customer::share).sum();
+        double shares =
+                subjects.tenants().stream().mapToDouble(TenantLoad::share).sum();
         double perS = 1000 * subjects.quota() * nominalCapacity() / Math.max(1e-9, meanWork());
         return subjects.tenants().stream()
                 .map(c -> new Tenant(c.name(), c.share() / shares, perS * c.share() / shares))
@@ -268,7 +287,8 @@
 
     /** Work per millisecond of all servers by their machines' own figures. */
     private double nominalCapacity() {
-        double shares = servers.machines().stream().mapToDouble(Machine::share).sum();
+        double shares =
+                servers.machines().stream().mapToDouble(MachineType::share).sum();
         return servers.count()
                 * servers.machines().stream()
                         .mapToDouble(m -> m.share() / shares * m.cores() * m.speed())
@@ -322,33 +342,33 @@
                     classes,
                     rules,
                     subjects,
-                    new Messages(messages.given(), messages.leastMs(), messages.mostMs(), value),
+                    new Messages(messages.enabled(), messages.minMs(), messages.maxMs(), value),
                     faults);
             case "clients.retries" -> with(
                     lengthMs,
                     sidecars,
                     servers,
                     load,
-                    new Habits(
+                    new ClientBehaviour(
                             (int) value,
-                            clients.tryShare(),
+                            clients.attemptDeadlineShare(),
                             clients.waitMs(),
-                            clients.honour(),
-                            clients.impatient(),
-                            clients.marks()),
+                            clients.honourRetryAfterShare(),
+                            clients.abandonShare(),
+                            clients.marksRetries()),
                     faults);
             case "clients.honour" -> with(
                     lengthMs,
                     sidecars,
                     servers,
                     load,
-                    new Habits(
+                    new ClientBehaviour(
                             clients.retries(),
-                            clients.tryShare(),
+                            clients.attemptDeadlineShare(),
                             clients.waitMs(),
                             value,
-                            clients.impatient(),
-                            clients.marks()),
+                            clients.abandonShare(),
+                            clients.marksRetries()),
                     faults);
             case "faults.part" -> with(
                     lengthMs,
@@ -357,7 +377,8 @@
                     load,
                     clients,
                     faults.stream()
-                            .map(f -> new Fault(f.what(), f.atMs(), f.forMs(), value, f.size(), f.everyMs(), f.kind()))
+                            .map(f -> new Fault(
+                                    f.kind(), f.atMs(), f.forMs(), value, f.magnitude(), f.everyMs(), f.target()))
                             .toList());
             case "faults.size" -> with(
                     lengthMs,
@@ -366,7 +387,8 @@
                     load,
                     clients,
                     faults.stream()
-                            .map(f -> new Fault(f.what(), f.atMs(), f.forMs(), f.part(), value, f.everyMs(), f.kind()))
+                            .map(f -> new Fault(
+                                    f.kind(), f.atMs(), f.forMs(), f.affectedShare(), value, f.everyMs(), f.target()))
                             .toList());
             default -> throw new IllegalArgumentException(
                     "no such parameter: " + path + " (known: sidecars, length_s, "
@@ -375,7 +397,7 @@
     }
 
     private Scenario with(
-            double length, int instances, Servers fleet, Load traffic, Habits askers, List<Fault> events) {
+            double length, int instances, Servers fleet, Load traffic, ClientBehaviour askers, List<Fault> events) {
         return new Scenario(
                 name, length, tickMs, instances, zones, fleet, network, links, directory, reports, traffic, askers,
                 classes, rules, subjects, messages, events);
@@ -401,14 +423,14 @@
                 new Rules(
                         ms,
                         r.drainMs(),
-                        r.fallMultiple(),
-                        r.fallMs(),
-                        r.coldMs(),
-                        r.coldShare(),
-                        r.askWithinMs(),
+                        r.collapseFactor(),
+                        r.collapseWindowMs(),
+                        r.warmUpMs(),
+                        r.warmUpInitialShare(),
+                        r.maxSendDelayMs(),
                         r.maxAttempts(),
-                        r.probes(),
-                        r.copies(),
+                        r.healthChecks(),
+                        r.hedging(),
                         r.retryAdvice(),
                         r.maxAdviceMs()),
                 subjects,
--- a/emulator/src/main/java/dewplank/emulator/ScenarioFile.java
+++ b/emulator/src/main/java/dewplank/emulator/ScenarioFile.java
@@ -83,19 +83,20 @@
             throw t.wrong("class", "is missing: at least one is needed");
         }
         List<String> tenants =
-                scenario.subjects().tenants().stream().map(Customer::name).toList();
+                scenario.subjects().tenants().stream().map(TenantLoad::name).toList();
         for (Fault f : scenario.faults()) {
-            boolean ofTenant = f.what() == FaultKind.TENANT_LOAD;
-            if (f.kind() != null && !(ofTenant ? tenants : scenario.classNames()).contains(f.kind())) {
+            boolean ofTenant = f.kind() == FaultKind.TENANT_LOAD;
+            if (f.target() != null && !(ofTenant ? tenants : scenario.classNames()).contains(f.target())) {
                 throw t.wrong(
-                        "fault", "names the " + (ofTenant ? "tenant " : "class ") + f.kind() + ", which is not there");
+                        "fault",
+                        "names the " + (ofTenant ? "tenant " : "class ") + f.target() + ", which is not there");
             }
         }
         return scenario;
     }
 
     private static Servers servers(Table t) {
-        List<Machine> machines =
+        List<MachineType> machines =
                 t.tables("machine").stream().map(ScenarioFile::machine).toList();
         Servers servers = new Servers(
                 t.whole("count", 1, MOST_SERVERS),
@@ -105,8 +106,8 @@
         return servers;
     }
 
-    private static Machine machine(Table t) {
-        Machine machine = new Machine(
+    private static MachineType machine(Table t) {
+        MachineType machine = new MachineType(
                 t.text("name", "std-4"),
                 t.number("share", 0, 1000, 1),
                 t.whole("cores", 1, 256, 4),
@@ -124,8 +125,8 @@
         return machine;
     }
 
-    private static Choke choke(Table t) {
-        Choke choke = new Choke(
+    private static OverloadSlowdown choke(Table t) {
+        OverloadSlowdown choke = new OverloadSlowdown(
                 t.number("at", 0, 1000, 0),
                 1000 * t.number("over_s", 0, 60, 2),
                 t.number("slower", 1, 100, 3),
@@ -146,8 +147,8 @@
         return network;
     }
 
-    private static Links links(Table t) {
-        Links links = new Links(
+    private static ConnectionModel links(Table t) {
+        ConnectionModel links = new ConnectionModel(
                 t.number("handshake_ms", 0, 1000, 0.5),
                 t.number("handshake_work_ms", 0, 1000, 3),
                 1000 * t.number("idle_s", 0, 3600, 60),
@@ -190,8 +191,8 @@
         return load;
     }
 
-    private static Habits clients(Table t) {
-        Habits clients = new Habits(
+    private static ClientBehaviour clients(Table t) {
+        ClientBehaviour clients = new ClientBehaviour(
                 t.whole("retries", 0, 100, 2),
                 t.number("try_share", 0.01, 1, 0.55),
                 t.number("wait_ms", 0, 60_000, 50),
@@ -202,10 +203,10 @@
         return clients;
     }
 
-    private static Kind kind(Table t) {
+    private static RequestKind kind(Table t) {
         Idempotency effect = t.word("effect", Idempotency.class, Idempotency.SAFE);
         double deadline = t.number("deadline_ms", 1, MOST_MS);
-        Kind kind = new Kind(
+        RequestKind kind = new RequestKind(
                 t.text("name"),
                 t.number("share", 0, 1000, 1),
                 t.number("work_ms", 0, 60_000),
@@ -222,8 +223,8 @@
         return kind;
     }
 
-    private static Subjects subjects(Table t) {
-        List<Customer> tenants =
+    private static TenantsAndKeys subjects(Table t) {
+        List<TenantLoad> tenants =
                 t.tables("tenant").stream().map(ScenarioFile::tenant).toList();
         Table rest = t.table("subjects");
         Keys keys = new Keys(
@@ -232,17 +233,18 @@
                 rest.number("spared", 0, 1, 0.5),
                 1000 * rest.number("fresh_s", 0, 3600, 6),
                 rest.number("per_core", 0, 1e6, 4));
-        Subjects subjects = new Subjects(
+        TenantsAndKeys subjects = new TenantsAndKeys(
                 tenants, rest.number("over_share_worth", 0, 1, 1), rest.number("quota", 0.01, 10, 0.8), keys);
         rest.end();
-        if (tenants.stream().map(Customer::name).distinct().count() < tenants.size()) {
+        if (tenants.stream().map(TenantLoad::name).distinct().count() < tenants.size()) {
             throw t.wrong("tenant", "has one name twice");
         }
         return subjects;
     }
 
-    private static Customer tenant(Table t) {
-        Customer customer = new Customer(t.text("name"), t.number("share", 1e-6, 1000), t.number("usage", 0, 1000, 1));
+    private static TenantLoad tenant(Table t) {
+        TenantLoad customer =
+                new TenantLoad(t.text("name"), t.number("share", 1e-6, 1000), t.number("usage", 0, 1000, 1));
         t.end();
         return customer;
     }
@@ -287,10 +289,10 @@
                 t.number("size", 0, 1000, sizeOf(what)),
                 1000 * t.number("every_s", 0.01, 3600, what == FaultKind.DEPLOY ? 4 : 3),
                 named(t, what == FaultKind.TENANT_LOAD ? "tenant" : "class"));
-        if (what == FaultKind.TENANT_LOAD && fault.kind() == null) {
+        if (what == FaultKind.TENANT_LOAD && fault.target() == null) {
             throw t.wrong("tenant", "is missing: this fault is one tenant's");
         }
-        if (what == FaultKind.CLASS_ERRORS && fault.kind() == null) {
+        if (what == FaultKind.CLASS_ERRORS && fault.target() == null) {
             throw t.wrong("class", "is missing: this fault hits one class");
         }
         t.end();
--- a/emulator/src/main/java/dewplank/emulator/Server.java
+++ b/emulator/src/main/java/dewplank/emulator/Server.java
@@ -1,8 +1,8 @@
 package dewplank.emulator;
 
 import dewplank.balancer.Settings.Idempotency;
-import dewplank.emulator.Note.What;
-import dewplank.emulator.Scenario.Machine;
+import dewplank.emulator.RecordedEvent.Type;
+import dewplank.emulator.Scenario.MachineType;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -19,8 +19,8 @@
  * One server: cores shared by the requests in its slots (processor sharing), a queue beyond them, and refusal beyond
  * that. Its speed depends on warmth, on a neighbour, on pauses, on how crowded it is and on its table of connections.
  *
- * <p>Attained service V is the work done for each request in a slot so far; a request that came at V with work w is done
- * at V + w (Kleinrock, Queueing Systems II, 4.4). So one number moves, however many requests there are.
+ * <p>Attained service V is the work done for each request in a slot so far; a request that came at V with work w is
+ * done at V + w (Kleinrock, Queueing Systems II, 4.4). So one number moves, however many requests there are.
  */
 public final class Server {
     /** How an offer of work ended. A lost answer and a silent machine call nobody. */
@@ -31,9 +31,9 @@
         RESET
     }
 
-    public interface Answer {
+    public interface ResponseHandler {
         /** {@code inFlight}: the load report, or -1. */
-        void done(Reply reply, double inFlight);
+        void onReply(Reply reply, double inFlight);
     }
 
     public enum State {
@@ -48,99 +48,99 @@
 
     /** One request at the server. */
     private static final class Job implements Comparable<Job> {
-        final Try request;
+        final ClientAttempt request;
         final double work;
-        final Answer answer;
-        final boolean known;
-        double doneAt;
-        long turn;
+        final ResponseHandler handler;
+        final boolean isDeduplicated;
+        double doneAtWork;
+        long arrivalOrder;
 
         /** {@code known}: of a keyed one, whether its repeats are recognised. */
-        Job(Try request, double work, Answer answer, boolean known) {
+        Job(ClientAttempt request, double work, ResponseHandler answer, boolean known) {
             this.request = request;
-            this.known = known;
+            this.isDeduplicated = known;
             this.work = work;
-            this.answer = answer;
+            this.handler = answer;
         }
 
         @Override
         public int compareTo(Job other) {
-            int byWork = Double.compare(doneAt, other.doneAt);
-            return byWork != 0 ? byWork : Long.compare(turn, other.turn);
+            int byWork = Double.compare(doneAtWork, other.doneAtWork);
+            return byWork != 0 ? byWork : Long.compare(arrivalOrder, other.arrivalOrder);
         }
     }
 
-    private record Push(double at, double work) {}
+    private record OfferedWork(double at, double work) {}
 
     public final int number;
     public final String id;
     public final String zone;
     public final int cell;
-    public final Machine machine;
+    public final MachineType machine;
     private final World world;
     private final double speed;
     private final UniformRandomProvider random;
     private final int slots;
-    private final int queueMost;
+    private final int maxQueued;
     private final PriorityQueue<Job> running = new PriorityQueue<>();
     private final ArrayDeque<Job> queue = new ArrayDeque<>();
-    private final ArrayDeque<Push> pushes = new ArrayDeque<>();
-    private double pushed;
+    private final ArrayDeque<OfferedWork> offeredWhileCold = new ArrayDeque<>();
+    private double offeredWorkSum;
     private State state = State.UP;
-    private int life;
-    private final Set<Integer> silentLives = new HashSet<>();
+    private int incarnation;
+    private final Set<Integer> silentIncarnations = new HashSet<>();
     private double startedAt = Double.NEGATIVE_INFINITY;
-    private double attained;
-    private double updated;
-    private double rate;
-    private long turns;
-    private long plan;
+    private double attainedWork;
+    private double updatedAtMs;
+    private double workRate;
+    private long nextTurn;
+    private long planNumber;
     private int connections;
-    private double slower = 1;
-    private double taken;
+    private double slowdown = 1;
+    private double neighbourShare;
     private double pausedUntil;
-    private double crowdedSince = Double.NaN;
-    private double restingSince = Double.NaN;
-    private double chokedAt = Double.NaN;
-    private double reported;
+    private double overloadedSince = Double.NaN;
+    private double recoveringSince = Double.NaN;
+    private double slowedDownAt = Double.NaN;
+    private double reportedInFlight;
     private double reportedAt = Double.NEGATIVE_INFINITY;
-    private double busy;
-    /** Faults that the server answers with; parts of its requests, by class. */
+    private double busyCoreMs;
+    /** FaultInjector that the server answers with; parts of its requests, by class. */
     final double[] errorRate;
 
-    double lostAnswers;
-    double resets;
+    double lostAnswerRate;
+    double resetRate;
     /** The part of requests that it answers with an error at once, without working on them. */
-    double quickErrors;
+    double immediateErrorRate;
 
-    private final LinkedHashMap<Integer, Double> keysMet;
-    private final Set<Job> waiting = new HashSet<>();
-    private final DoubleSupplier waits;
+    private final LinkedHashMap<Integer, Double> cachedKeys;
+    private final Set<Job> waitingOnOthers = new HashSet<>();
+    private final DoubleSupplier waitTimes;
 
-    Server(World world, int number, Machine machine, String zone, double speed) {
+    Server(World world, int number, MachineType machine, String zone, double speed) {
         this.world = world;
         this.number = number;
-        this.id = "s-" + Long.toHexString(Draws.mix(number) >>> 32);
+        this.id = "s-" + Long.toHexString(RandomStreams.mix(number) >>> 32);
         this.machine = machine;
         this.zone = zone;
         this.cell = number / world.scenario.servers().cellSize();
         this.speed = speed;
         this.random = world.draws.stream("server", number);
         this.slots = (int) Math.max(1, Math.round(machine.cores() * machine.slotsPerCore()));
-        this.queueMost = (int) Math.round(machine.cores() * machine.queuePerCore());
+        this.maxQueued = (int) Math.round(machine.cores() * machine.queuePerCore());
         this.errorRate = new double[world.scenario.classes().size()];
         Arrays.fill(errorRate, machine.errorRate());
-        int keysMost = (int)
-                Math.max(1, machine.cores() * world.scenario.subjects().keys().perCore());
-        this.keysMet = new LinkedHashMap<>(16, 0.75f, true) {
+        int maxKeys = (int)
+                Math.max(1, machine.cores() * world.scenario.subjects().keys().maxKeysPerCore());
+        this.cachedKeys = new LinkedHashMap<>(16, 0.75f, true) {
             private static final long serialVersionUID = 1L;
 
             @Override
             protected boolean removeEldestEntry(Map.Entry<Integer, Double> eldest) {
-                return size() > keysMost;
+                return size() > maxKeys;
             }
         };
-        this.waits = Draws.exponential(world.draws.stream("waits", number));
+        this.waitTimes = RandomStreams.exponential(world.draws.stream("waits", number));
         if (machine.pauseEveryMs() > 0 && machine.pauseMs() > 0) {
             nextPause();
         }
@@ -152,13 +152,13 @@
         return state;
     }
 
-    public int life() {
-        return life;
+    public int incarnation() {
+        return incarnation;
     }
 
     /** Requests that it holds. */
-    public int held() {
-        return running.size() + waiting.size() + queue.size();
+    public int requestsInFlight() {
+        return running.size() + waitingOnOthers.size() + queue.size();
     }
 
     public int connections() {
@@ -177,10 +177,10 @@
 
     /** Work that it holds and has not done. */
     public double backlog() {
-        double reached = attained + (world.now() - updated) * rate;
+        double reached = attainedWork + (world.now() - updatedAtMs) * workRate;
         double sum = 0;
         for (Job j : running) {
-            sum += Math.max(0, j.doneAt - reached);
+            sum += Math.max(0, j.doneAtWork - reached);
         }
         for (Job j : queue) {
             sum += j.work;
@@ -189,15 +189,16 @@
     }
 
     /**
-     * How long a request of that work would take that comes now, by the true state: the cores shared with what is held and
-     * with as many more of the mean as are {@code coming}, and no sooner than the backlog lets it. Infinite where it can't.
+     * How long a request of that work would take that comes now, by the true state: the cores shared with what is held
+     * and with as many more of the mean as are {@code coming}, and no sooner than the backlog lets it. Infinite where
+     * it can't.
      */
     public double expectedMs(double work, int coming) {
         double capacity = capacity();
         if (capacity <= 0 || state != State.UP) {
             return Double.POSITIVE_INFINITY;
         }
-        double crowd = Math.max(1, (double) (held() + coming + 1) / machine.cores());
+        double crowd = Math.max(1, (double) (requestsInFlight() + coming + 1) / machine.cores());
         double mean = world.scenario.meanWork();
         return Math.max(work * machine.cores() / capacity * crowd, (backlog() + coming * mean + work) / capacity);
     }
@@ -208,11 +209,11 @@
 
     /** Core-milliseconds spent so far. */
     public double busyMs() {
-        return busy + (world.now() - updated) * Math.min(running.size(), machine.cores());
+        return busyCoreMs + (world.now() - updatedAtMs) * Math.min(running.size(), machine.cores());
     }
 
-    public boolean choked() {
-        return !Double.isNaN(chokedAt);
+    public boolean isSlowedDown() {
+        return !Double.isNaN(slowedDownAt);
     }
 
     // ---- connections ----------------------------------------------------------------------------------
@@ -222,13 +223,13 @@
         if (state == State.DEAD || state == State.SILENT) {
             return false;
         }
-        int cap = world.scenario.links().cap();
+        int cap = world.scenario.links().maxConnections();
         if (cap > 0 && connections >= cap) {
             return false;
         }
         update();
         connections++;
-        attained -= running.isEmpty() ? 0 : world.scenario.links().handshakeWork() / running.size();
+        attainedWork -= running.isEmpty() ? 0 : world.scenario.links().handshakeWork() / running.size();
         if (!running.isEmpty()) {
             replan();
         }
@@ -236,12 +237,12 @@
     }
 
     /** Whether the process of that life went without a word, so that its connections seem to be open. */
-    public boolean wentSilently(int itsLife) {
-        return silentLives.contains(itsLife);
+    public boolean wentSilently(int ofIncarnation) {
+        return silentIncarnations.contains(ofIncarnation);
     }
 
-    public void disconnect(int itsLife) {
-        if (itsLife == life && connections > 0) {
+    public void disconnect(int ofIncarnation) {
+        if (ofIncarnation == incarnation && connections > 0) {
             connections--;
         }
     }
@@ -249,77 +250,78 @@
     // ---- requests -------------------------------------------------------------------------------------
 
     /** A request's last byte has come. */
-    public void offer(Try request, int sidecar, Answer answer) {
+    public void offer(ClientAttempt request, int sidecar, ResponseHandler answer) {
         if (state == State.SILENT) {
             return;
         }
         if (state == State.DEAD) {
-            answer.done(Reply.RESET, -1);
+            answer.onReply(Reply.RESET, -1);
             return;
         }
-        double work = request.work * world.attemptNoise(request, number) * (1 - spared(request));
-        world.note(What.RECEIVED, request, sidecar, number, work);
+        double work = request.work * world.attemptNoise(request, number) * (1 - savedWorkShare(request));
+        world.record(Type.RECEIVED, request, sidecar, number, work);
         update();
-        if (push(world.scenario.classes().get(request.kind).work())) {
-            fall();
-            answer.done(Reply.RESET, -1);
+        if (exceedsColdCapacity(
+                world.scenario.classes().get(request.requestClass).work())) {
+            collapse();
+            answer.onReply(Reply.RESET, -1);
             return;
         }
-        if (quickErrors > 0 && random.nextDouble() < quickErrors) {
-            answer.done(Reply.ERROR, report());
+        if (immediateErrorRate > 0 && random.nextDouble() < immediateErrorRate) {
+            answer.onReply(Reply.ERROR, report());
             return;
         }
-        boolean full = slotsTaken() >= slots && queue.size() >= queueMost;
+        boolean full = slotsTaken() >= slots && queue.size() >= maxQueued;
         if (full || state == State.DRAINING) {
-            world.note(What.TURNED_AWAY, request, sidecar, number, 0);
-            answer.done(Reply.NEVER_RAN, report());
+            world.record(Type.REJECTED, request, sidecar, number, 0);
+            answer.onReply(Reply.NEVER_RAN, report());
             return;
         }
-        boolean keyed = world.scenario.classes().get(request.kind).effect() == Idempotency.KEYED;
+        boolean keyed = world.scenario.classes().get(request.requestClass).idempotency() == Idempotency.KEYED;
         Job job = new Job(request, work, answer, keyed && world.withinWindow(request, this));
         if (slotsTaken() < slots) {
-            begin(job);
+            startJob(job);
         } else {
             queue.addLast(job);
         }
-        crowding();
+        updateOverload();
         replan();
     }
 
-    private void begin(Job job) {
-        world.note(What.BEGUN, job.request, job.request.sidecar, number, 0);
+    private void startJob(Job job) {
+        world.record(Type.STARTED, job.request, job.request.sidecar, number, 0);
         if (world.poison(job.request)) { // a request that its server does not survive
             world.later(0, () -> world.crashByPoison(this));
         }
-        job.doneAt = attained + job.work;
-        job.turn = turns++;
+        job.doneAtWork = attainedWork + job.work;
+        job.arrivalOrder = nextTurn++;
         running.add(job);
     }
 
     private int slotsTaken() {
-        return running.size() + waiting.size();
+        return running.size() + waitingOnOthers.size();
     }
 
     /** The part of the work that it is spared for a key that it met lately. */
-    private double spared(Try request) {
+    private double savedWorkShare(ClientAttempt request) {
         Scenario.Keys rules = world.scenario.subjects().keys();
-        Double met = request.about < 0 ? null : keysMet.get(request.about);
-        if (request.about >= 0) {
-            keysMet.put(request.about, world.now());
+        Double met = request.subjectKey < 0 ? null : cachedKeys.get(request.subjectKey);
+        if (request.subjectKey >= 0) {
+            cachedKeys.put(request.subjectKey, world.now());
         }
-        return met != null && world.now() - met <= rules.freshMs() ? rules.gain() : 0;
+        return met != null && world.now() - met <= rules.cacheMs() ? rules.savedWorkShare() : 0;
     }
 
     /** Its work is done; it may yet wait on others, on a slot and off the cores. */
     private void waitOrFinish(Job job) {
-        double mean = world.scenario.classes().get(job.request.kind).waitMs();
+        double mean = world.scenario.classes().get(job.request.requestClass).waitMs();
         if (mean <= 0) {
             finish(job);
             return;
         }
-        waiting.add(job);
-        world.later(mean * waits.getAsDouble(), () -> {
-            if (waiting.remove(job)) {
+        waitingOnOthers.add(job);
+        world.later(mean * waitTimes.getAsDouble(), () -> {
+            if (waitingOnOthers.remove(job)) {
                 update();
                 finish(job);
                 advance();
@@ -328,81 +330,86 @@
     }
 
     private void finish(Job job) {
-        Try r = job.request;
-        boolean error = random.nextDouble() < errorRate[r.kind];
+        ClientAttempt r = job.request;
+        boolean error = random.nextDouble() < errorRate[r.requestClass];
         if (!error) {
-            effect(r, job.known);
+            effect(r, job.isDeduplicated);
         }
         double fate = random.nextDouble();
-        if (fate < lostAnswers) {
+        if (fate < lostAnswerRate) {
             return; // the effect took place, and nobody hears of it
         }
-        job.answer.done(fate < lostAnswers + resets ? Reply.RESET : error ? Reply.ERROR : Reply.OK, report());
+        job.handler.onReply(fate < lostAnswerRate + resetRate ? Reply.RESET : error ? Reply.ERROR : Reply.OK, report());
     }
 
-    private void effect(Try r, boolean known) {
+    private void effect(ClientAttempt r, boolean known) {
         boolean first = !known || world.firstOfKey(r, this);
-        world.note(first ? What.EFFECT : What.DROPPED, r, r.sidecar, number, 0);
+        world.record(first ? Type.EFFECT : Type.DEDUPLICATED, r, r.sidecar, number, 0);
     }
 
     /** Late and noisy: what it held when the report was last refreshed. */
     private double report() {
         Scenario.Reports rules = world.scenario.reports();
-        if (!rules.given()) {
+        if (!rules.enabled()) {
             return -1;
         }
         if (world.now() - reportedAt >= rules.periodMs()) {
             reportedAt = world.now();
-            reported = Math.max(0, Math.rint(held() * (1 + rules.noise() * (2 * random.nextDouble() - 1))));
+            reportedInFlight =
+                    Math.max(0, Math.rint(requestsInFlight() * (1 + rules.noise() * (2 * random.nextDouble() - 1))));
         }
-        return reported;
+        return reportedInFlight;
     }
 
     // ---- speed ----------------------------------------------------------------------------------------
 
     private double warmth() {
         double age = world.now() - startedAt;
-        return machine.coldMs() <= 0 || age >= machine.coldMs()
+        return machine.warmUpMs() <= 0 || age >= machine.warmUpMs()
                 ? 1
-                : machine.coldShare() + (1 - machine.coldShare()) * Math.max(0, age) / machine.coldMs();
+                : machine.coldSpeedFactor() + (1 - machine.coldSpeedFactor()) * Math.max(0, age) / machine.warmUpMs();
     }
 
     private double coreSpeed() {
         if (world.now() < pausedUntil) {
             return 0;
         }
-        Scenario.Links links = world.scenario.links();
-        double tax = links.cap() > 0 ? links.fullTax() * Math.min(1, (double) connections / links.cap()) : 0;
+        Scenario.ConnectionModel links = world.scenario.links();
+        double tax = links.maxConnections() > 0
+                ? links.fullTableSlowdown() * Math.min(1, (double) connections / links.maxConnections())
+                : 0;
         return speed
                 * warmth()
-                / slower
-                * (1 - taken)
+                / slowdown
+                * (1 - neighbourShare)
                 * (1 - tax)
-                / (choked() ? machine.choke().slower() : 1);
+                / (isSlowedDown() ? machine.overloadSlowdown().factor() : 1);
     }
 
     /** Moves attained service on to now, at the speed that held since it was last moved. */
     private void update() {
         double now = world.now();
-        if (!running.isEmpty() && now > updated) {
+        if (!running.isEmpty() && now > updatedAtMs) {
             double active = Math.min(running.size(), machine.cores());
-            attained += (now - updated) * rate;
-            busy += (now - updated) * active;
+            attainedWork += (now - updatedAtMs) * workRate;
+            busyCoreMs += (now - updatedAtMs) * active;
         }
-        updated = now;
+        updatedAtMs = now;
     }
 
     private void replan() {
         update();
-        long mine = ++plan;
+        long mine = ++planNumber;
         if (running.isEmpty()) {
             return;
         }
-        rate = coreSpeed() * Math.min(1, (double) machine.cores() / running.size());
-        double next = rate <= 0 ? Math.max(0.1, pausedUntil - world.now()) : (running.peek().doneAt - attained) / rate;
+        workRate = coreSpeed() * Math.min(1, (double) machine.cores() / running.size());
+        double next = workRate <= 0
+                ? Math.max(0.1, pausedUntil - world.now())
+                : (running.peek().doneAtWork - attainedWork) / workRate;
         boolean cold = warmth() < 1;
         world.later(cold ? Math.min(next, COLD_STEP_MS) : next, () -> {
-            if (mine == plan) {
+            if (mine == planNumber) {
                 advance();
             }
         });
@@ -410,16 +417,16 @@
 
     private void advance() {
         update();
-        while (!running.isEmpty() && running.peek().doneAt - attained <= DONE) {
+        while (!running.isEmpty() && running.peek().doneAtWork - attainedWork <= DONE) {
             waitOrFinish(running.poll());
             if (state == State.DEAD || state == State.SILENT) {
                 return;
             }
         }
         while (slotsTaken() < slots && !queue.isEmpty()) {
-            begin(queue.removeFirst());
+            startJob(queue.removeFirst());
         }
-        crowding();
+        updateOverload();
         replan();
     }
 
@@ -439,142 +446,144 @@
 
     void slowBy(double factor) {
         update();
-        slower = factor;
+        slowdown = factor;
         replan();
     }
 
     /** A neighbour on its machine takes this share. */
-    void take(double share) {
+    void setNeighbourShare(double share) {
         update();
-        taken = share;
+        neighbourShare = share;
         replan();
     }
 
     // ---- crowding -------------------------------------------------------------------------------------
 
-    private void crowding() {
-        Scenario.Choke choke = machine.choke();
-        if (choke.at() <= 0) {
+    private void updateOverload() {
+        Scenario.OverloadSlowdown choke = machine.overloadSlowdown();
+        if (choke.maxRequestsPerCore() <= 0) {
             return;
         }
         double now = world.now();
-        double most = choke.at() * machine.cores();
-        if (choked()) {
-            if (held() > choke.below() * most) {
-                restingSince = Double.NaN;
-            } else if (Double.isNaN(restingSince)) {
-                restingSince = now;
-                look(choke.restMs());
-            } else if (now - restingSince >= choke.restMs() - DONE) {
-                unchoke();
+        double maxInFlight = choke.maxRequestsPerCore() * machine.cores();
+        if (isSlowedDown()) {
+            if (requestsInFlight() > choke.recoveryFactor() * maxInFlight) {
+                recoveringSince = Double.NaN;
+            } else if (Double.isNaN(recoveringSince)) {
+                recoveringSince = now;
+                checkOverloadAfter(choke.recoveryMs());
+            } else if (now - recoveringSince >= choke.recoveryMs() - DONE) {
+                endSlowdown();
             }
-        } else if (held() <= most) {
-            crowdedSince = Double.NaN;
-        } else if (Double.isNaN(crowdedSince)) {
-            crowdedSince = now;
-            look(choke.overMs());
-        } else if (now - crowdedSince >= choke.overMs() - DONE) {
+        } else if (requestsInFlight() <= maxInFlight) {
+            overloadedSince = Double.NaN;
+        } else if (Double.isNaN(overloadedSince)) {
+            overloadedSince = now;
+            checkOverloadAfter(choke.triggerMs());
+        } else if (now - overloadedSince >= choke.triggerMs() - DONE) {
             update();
-            chokedAt = now;
-            crowdedSince = Double.NaN;
-            int itsLife = life;
-            world.later(choke.mostMs(), () -> {
-                if (choked() && itsLife == life && world.now() - chokedAt >= choke.mostMs() - DONE) {
-                    unchoke();
+            slowedDownAt = now;
+            overloadedSince = Double.NaN;
+            int ofIncarnation = incarnation;
+            world.later(choke.maxMs(), () -> {
+                if (isSlowedDown()
+                        && ofIncarnation == incarnation
+                        && world.now() - slowedDownAt >= choke.maxMs() - DONE) {
+                    endSlowdown();
                 }
             });
             replan();
         }
     }
 
-    private void look(double ms) {
-        world.later(ms, this::crowding);
+    private void checkOverloadAfter(double ms) {
+        world.later(ms, this::updateOverload);
     }
 
-    private void unchoke() {
+    private void endSlowdown() {
         update();
-        chokedAt = Double.NaN;
-        restingSince = Double.NaN;
+        slowedDownAt = Double.NaN;
+        recoveringSince = Double.NaN;
         replan();
     }
 
     /** Whether a cold server has now been sent more than it can bear, each request counted by its class's mean work. */
-    private boolean push(double work) {
+    private boolean exceedsColdCapacity(double work) {
         if (warmth() >= 1) {
-            pushes.clear();
-            pushed = 0;
+            offeredWhileCold.clear();
+            offeredWorkSum = 0;
             return false;
         }
         Scenario.Rules rules = world.scenario.rules();
         double now = world.now();
-        pushes.addLast(new Push(now, work));
-        pushed += work;
-        while (pushes.peekFirst().at() < now - rules.fallMs()) {
-            pushed -= pushes.removeFirst().work();
+        offeredWhileCold.addLast(new OfferedWork(now, work));
+        offeredWorkSum += work;
+        while (offeredWhileCold.peekFirst().at() < now - rules.collapseWindowMs()) {
+            offeredWorkSum -= offeredWhileCold.removeFirst().work();
         }
-        double bears = rules.fallMultiple() * warmth() * fullCapacity() * rules.fallMs();
-        return pushed > World.withChance(bears, world.scenario.meanWork());
+        double bears = rules.collapseFactor() * warmth() * fullCapacity() * rules.collapseWindowMs();
+        return offeredWorkSum > World.withChance(bears, world.scenario.meanWork());
     }
 
     // ---- life and death -------------------------------------------------------------------------------
 
     /** Its process dies: connections are reset and new ones refused. */
-    void die() {
+    void crash() {
         if (state == State.DEAD) {
             return;
         }
         boolean silent = state == State.SILENT;
         state = State.DEAD;
-        world.note(What.SERVER_DOWN, null, -1, number, 0);
-        drop(!silent);
+        world.record(Type.SERVER_DOWN, null, -1, number, 0);
+        dropRequests(!silent);
     }
 
     /** Its machine vanishes: nobody hears anything. */
     void vanish() {
         state = State.SILENT;
-        silentLives.add(life);
-        world.note(What.SERVER_DOWN, null, -1, number, 1);
-        drop(false);
+        silentIncarnations.add(incarnation);
+        world.record(Type.SERVER_DOWN, null, -1, number, 1);
+        dropRequests(false);
     }
 
-    private void fall() {
-        world.note(What.SERVER_FELL, null, -1, number, pushed);
-        die();
+    private void collapse() {
+        world.record(Type.SERVER_COLLAPSED, null, -1, number, offeredWorkSum);
+        crash();
         world.serverDied(this);
     }
 
-    private void drop(boolean told) {
+    private void dropRequests(boolean notifyClients) {
         update();
-        plan++;
+        planNumber++;
         List<Job> lost = new ArrayList<>(running);
         lost.sort(null);
         lost.addAll(queue);
-        waiting.stream().sorted().forEach(lost::add);
+        waitingOnOthers.stream().sorted().forEach(lost::add);
         running.clear();
-        waiting.clear();
-        keysMet.clear();
-        quickErrors = 0;
+        waitingOnOthers.clear();
+        cachedKeys.clear();
+        immediateErrorRate = 0;
         queue.clear();
-        pushes.clear();
-        pushed = 0;
+        offeredWhileCold.clear();
+        offeredWorkSum = 0;
         connections = 0;
-        life++;
-        slower = 1;
-        taken = 0;
-        chokedAt = Double.NaN;
-        crowdedSince = Double.NaN;
-        restingSince = Double.NaN;
-        if (told) {
-            lost.forEach(j -> j.answer.done(Reply.RESET, -1));
+        incarnation++;
+        slowdown = 1;
+        neighbourShare = 0;
+        slowedDownAt = Double.NaN;
+        overloadedSince = Double.NaN;
+        recoveringSince = Double.NaN;
+        if (notifyClients) {
+            lost.forEach(j -> j.handler.onReply(Reply.RESET, -1));
         }
     }
 
     void start() {
         state = State.UP;
         startedAt = world.now();
-        updated = world.now();
+        updatedAtMs = world.now();
         pausedUntil = 0;
-        world.note(What.SERVER_STARTED, null, -1, number, fullCapacity());
+        world.record(Type.SERVER_STARTED, null, -1, number, fullCapacity());
     }
 
     void drain() {
--- a/emulator/src/main/java/dewplank/emulator/VirtualTime.java
+++ b/emulator/src/main/java/dewplank/emulator/VirtualTime.java
@@ -2,7 +2,9 @@
 
 import java.util.Arrays;
 
-/** Discrete-event time: it jumps from one task to the next. A binary heap over arrays, ordered by time, then by turn. */
+/**
+ * Discrete-event time: it jumps from one task to the next. A binary heap over arrays, ordered by time, then by turn.
+ */
 public final class VirtualTime implements Scheduler {
     private double[] times = new double[1024];
     private long[] turns = new long[1024];
--- a/emulator/src/main/java/dewplank/emulator/World.java
+++ b/emulator/src/main/java/dewplank/emulator/World.java
@@ -1,7 +1,7 @@
 package dewplank.emulator;
 
-import dewplank.emulator.Note.What;
-import dewplank.emulator.Scenario.Machine;
+import dewplank.emulator.RecordedEvent.Type;
+import dewplank.emulator.Scenario.MachineType;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -23,12 +23,12 @@
     private static final int MOST_KEYS = 1_000_000;
 
     public final Scenario scenario;
-    public final Draws draws;
+    public final RandomStreams draws;
     public final List<Server> servers = new ArrayList<>();
     public final Map<String, Server> byId = new HashMap<>();
-    public final ServerList list;
+    public final EndpointDirectory list;
     private final Scheduler time;
-    private final Note.Recorder recorder;
+    private final RecordedEvent.Recorder recorder;
     /** What the servers of a group share about a keyed request. */
     private static final class Key {
         long request;
@@ -62,12 +62,12 @@
     private final UniformRandomProvider messageRandom;
     private double loss;
 
-    public World(Scenario scenario, long seed, Scheduler time, Note.Recorder recorder) {
+    public World(Scenario scenario, long seed, Scheduler time, RecordedEvent.Recorder recorder) {
         this.scenario = scenario;
-        this.draws = new Draws(seed);
+        this.draws = new RandomStreams(seed);
         this.time = time;
         this.recorder = recorder;
-        this.jitter = Draws.exponential(draws.stream("network", 0));
+        this.jitter = RandomStreams.exponential(draws.stream("network", 0));
         this.directoryRandom = draws.stream("directory", 0);
         this.lossRandom = draws.stream("loss", 0);
         this.attemptNoise = new double[] {0.15};
@@ -76,15 +76,15 @@
         Arrays.fill(tenantFactors, 1);
         shareOut();
         double shares = scenario.servers().machines().stream()
-                .mapToDouble(Machine::share)
+                .mapToDouble(MachineType::share)
                 .sum();
         UniformRandomProvider random = draws.stream("fleet", 0);
-        DoubleSupplier normal = Draws.normal(random);
+        DoubleSupplier normal = RandomStreams.normal(random);
         int count = scenario.servers().count();
         for (int i = 0; i < count; i++) { // kinds by their shares, spread evenly over the numbers
             double place = (i * 0.6180339887498949 + 0.5) % 1 * shares;
-            Machine machine = scenario.servers().machines().get(0);
-            for (Machine m : scenario.servers().machines()) {
+            MachineType machine = scenario.servers().machines().get(0);
+            for (MachineType m : scenario.servers().machines()) {
                 machine = m;
                 place -= m.share();
                 if (place < 0) {
@@ -97,7 +97,7 @@
             servers.add(server);
             byId.put(server.id, server);
         }
-        this.list = new ServerList(this);
+        this.list = new EndpointDirectory(this);
     }
 
     public double now() {
@@ -115,17 +115,17 @@
 
     /** First tries per millisecond over all sidecars, before the shape of the load. */
     public double arrivalsPerMs() {
-        return scenario.load().perS() > 0
-                ? scenario.load().perS() / 1000
+        return scenario.load().requestsPerSecond() > 0
+                ? scenario.load().requestsPerSecond() / 1000
                 : scenario.load().share() * fullCapacity() / Math.max(1e-9, scenario.meanWork());
     }
 
-    public void note(What what, Try request, int sidecar, int server, double value) {
-        recorder.record(new Note(
+    public void record(Type what, ClientAttempt request, int sidecar, int server, double value) {
+        recorder.record(new RecordedEvent(
                 time.now(),
                 what,
                 request == null ? -1 : request.id,
-                request == null ? -1 : request.kind,
+                request == null ? -1 : request.requestClass,
                 sidecar,
                 server,
                 value));
@@ -173,14 +173,14 @@
     // ---- requests at servers --------------------------------------------------------------------------
 
     /** The same request takes a little more or less on each server; which, is settled by its key. */
-    double attemptNoise(Try request, int server) {
-        double u = (Draws.mix(request.key * 31 + server) >>> 11) * 0x1.0p-53;
+    double attemptNoise(ClientAttempt request, int server) {
+        double u = (RandomStreams.mix(request.key * 31 + server) >>> 11) * 0x1.0p-53;
         return 1 + attemptNoise[0] * (2 * u - 1);
     }
 
-    private long group(Try request, Server server) {
+    private long group(ClientAttempt request, Server server) {
         long group =
-                switch (scenario.classes().get(request.kind).scope()) {
+                switch (scenario.classes().get(request.requestClass).scope()) {
                     case ALL -> 0;
                     case ZONE -> 1 + scenario.zones().indexOf(server.zone);
                     case CELL -> 1 + server.cell;
@@ -192,8 +192,8 @@
      * A keyed request has come: whether its group of servers will know it from the first attempt of the same try. A
      * client's next try begins a window of its own: clients repeat only while servers remember.
      */
-    boolean withinWindow(Try request, Server server) {
-        double window = scenario.classes().get(request.kind).windowMs() + WINDOW_SLACK_MS;
+    boolean withinWindow(ClientAttempt request, Server server) {
+        double window = scenario.classes().get(request.requestClass).windowMs() + WINDOW_SLACK_MS;
         Key key = keys.computeIfAbsent(group(request, server), k -> new Key(now()));
         if (key.request != request.id) {
             key.request = request.id;
@@ -203,7 +203,7 @@
     }
 
     /** It is about to have its effect: whether it is the first of its key, among those that are known from it. */
-    boolean firstOfKey(Try request, Server server) {
+    boolean firstOfKey(ClientAttempt request, Server server) {
         Key key = keys.get(group(request, server));
         boolean first = key == null || !key.done;
         if (key != null) {
@@ -244,7 +244,7 @@
     }
 
     private void shareOut() {
-        List<Scenario.Customer> tenants = scenario.subjects().tenants();
+        List<Scenario.TenantLoad> tenants = scenario.subjects().tenants();
         double[] asks = new double[tenants.size()];
         double usual = 0;
         double now = 0;
@@ -262,8 +262,8 @@
     /** How long a datagram between two sidecars takes, or -1 for a lost one. */
     public double messageDelay() {
         Scenario.Messages m = scenario.messages();
-        boolean lostOnTheWay = messageRandom.nextDouble() < m.lost();
-        double delay = m.leastMs() + (m.mostMs() - m.leastMs()) * messageRandom.nextDouble();
+        boolean lostOnTheWay = messageRandom.nextDouble() < m.lossRate();
+        double delay = m.minMs() + (m.maxMs() - m.minMs()) * messageRandom.nextDouble();
         return lostOnTheWay ? -1 : delay;
     }
 
@@ -273,15 +273,15 @@
     }
 
     /** Whether its server will not survive it; every try of one request is alike. */
-    boolean poison(Try request) {
+    boolean poison(ClientAttempt request) {
         return poisonPart > 0
-                && (poisonKind < 0 || poisonKind == request.kind)
-                && (Draws.mix(request.key ^ 0x5bd1e995) >>> 11) * 0x1.0p-53 < poisonPart;
+                && (poisonKind < 0 || poisonKind == request.requestClass)
+                && (RandomStreams.mix(request.key ^ 0x5bd1e995) >>> 11) * 0x1.0p-53 < poisonPart;
     }
 
     void crashByPoison(Server server) {
         if (server.state() == Server.State.UP || server.state() == Server.State.DRAINING) {
-            server.die();
+            server.crash();
             serverDied(server);
             restart(server, 1_000);
         }
@@ -292,9 +292,9 @@
     }
 
     void restart(Server server, double afterMs) {
-        int life = server.life();
+        int life = server.incarnation();
         later(afterMs, () -> {
-            if (server.life() == life) {
+            if (server.incarnation() == life) {
                 server.start();
                 list.noticeStart(server);
             }
--- /dev/null
+++ b/emulator/src/main/java/dewplank/emulator/fleet/AttemptLog.java
@@ -0,0 +1,48 @@
+package dewplank.emulator.fleet;
+
+import dewplank.emulator.fleet.FleetEvent.Arrived;
+import dewplank.emulator.fleet.FleetEvent.AttemptEnded;
+import dewplank.emulator.fleet.FleetEvent.AttemptSent;
+import dewplank.emulator.fleet.FleetEvent.RunStarted;
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.stream.Collectors;
+
+/** A history's events by the tries they belong to. */
+final class AttemptLog {
+    private final Map<String, AttemptSent> sent = new LinkedHashMap<>();
+    private final Map<String, AttemptEnded> ended = new HashMap<>();
+    private final Map<String, List<RunStarted>> runs;
+    private final Map<String, List<Arrived>> arrivals;
+
+    AttemptLog(List<FleetEvent> events) {
+        FleetEvent.only(events, AttemptSent.class).forEach(t -> sent.put(t.attemptId(), t));
+        FleetEvent.only(events, AttemptEnded.class).forEach(t -> ended.put(t.attemptId(), t));
+        runs = FleetEvent.only(events, RunStarted.class).stream().collect(Collectors.groupingBy(RunStarted::tryId));
+        arrivals = FleetEvent.only(events, Arrived.class).stream().collect(Collectors.groupingBy(Arrived::tryId));
+    }
+
+    Collection<AttemptSent> all() {
+        return sent.values();
+    }
+
+    AttemptSent sent(String tryId) {
+        return sent.get(tryId);
+    }
+
+    /** Null where the history ends before the try. */
+    AttemptEnded ended(String tryId) {
+        return ended.get(tryId);
+    }
+
+    List<RunStarted> runs(String tryId) {
+        return runs.getOrDefault(tryId, List.of());
+    }
+
+    List<Arrived> arrivals(String tryId) {
+        return arrivals.getOrDefault(tryId, List.of());
+    }
+}
--- a/emulator/src/main/java/dewplank/emulator/fleet/ClientTry.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/ClientAttempt.java
@@ -3,11 +3,11 @@
 import java.util.concurrent.CompletableFuture;
 
 /** A try that a client has sent. */
-public final class ClientTry {
+public final class ClientAttempt {
     /** How it ended. {@code status} 0: no answer came, or the client left; {@code whole}: the answer has its end. */
-    public record Outcome(int status, String seal, String retryAfter, String body, boolean whole) {
+    public record Outcome(int status, String seal, String retryAfter, String body, boolean complete) {
         public boolean served() {
-            return status == 200 && whole;
+            return status == 200 && complete;
         }
     }
 
@@ -15,7 +15,7 @@
     private final CompletableFuture<Outcome> ended = new CompletableFuture<>();
     private final Runnable leaving;
 
-    ClientTry(String id, Runnable leaving) {
+    ClientAttempt(String id, Runnable leaving) {
         this.id = id;
         this.leaving = leaving;
     }
--- a/emulator/src/main/java/dewplank/emulator/fleet/ConfigurationRules.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/ConfigurationRules.java
@@ -1,12 +1,12 @@
 package dewplank.emulator.fleet;
 
+import dewplank.emulator.fleet.FleetEvent.AttemptEnded;
+import dewplank.emulator.fleet.FleetEvent.AttemptSent;
 import dewplank.emulator.fleet.FleetEvent.ChangeAnswered;
 import dewplank.emulator.fleet.FleetEvent.ChangeSent;
-import dewplank.emulator.fleet.FleetEvent.Ran;
+import dewplank.emulator.fleet.FleetEvent.ProcessFaulted;
 import dewplank.emulator.fleet.FleetEvent.ReadBack;
-import dewplank.emulator.fleet.FleetEvent.Troubled;
-import dewplank.emulator.fleet.FleetEvent.TryEnded;
-import dewplank.emulator.fleet.FleetEvent.TrySent;
+import dewplank.emulator.fleet.FleetEvent.RunStarted;
 import dewplank.emulator.fleet.Violation.Rule;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -20,13 +20,13 @@
     private static final int OK = 200;
 
     private final List<FleetEvent> events;
-    private final Tries tries;
+    private final AttemptLog tries;
     private final List<ChangeSent> sent; // those that may be in force: no refusal came
     private final List<ChangeAnswered> acknowledged;
-    private final List<Troubled> troubles;
+    private final List<ProcessFaulted> troubles;
     private final List<Violation> found = new ArrayList<>();
 
-    ConfigurationRules(List<FleetEvent> events, Tries tries) {
+    ConfigurationRules(List<FleetEvent> events, AttemptLog tries) {
         this.events = events;
         this.tries = tries;
         List<ChangeAnswered> answers = FleetEvent.only(events, ChangeAnswered.class);
@@ -34,7 +34,7 @@
                 .filter(s -> answers.stream().noneMatch(a -> refused(a, s)))
                 .toList();
         this.acknowledged = answers.stream().filter(a -> a.status() == OK).toList();
-        this.troubles = FleetEvent.only(events, Troubled.class);
+        this.troubles = FleetEvent.only(events, ProcessFaulted.class);
     }
 
     private static boolean refused(ChangeAnswered a, ChangeSent s) {
@@ -47,8 +47,8 @@
     List<Violation> check() {
         acknowledgements();
         FleetEvent.only(events, ReadBack.class).forEach(this::readBack);
-        for (TrySent t : tries.all()) {
-            tries.runs(t.tryId()).forEach(r -> route(t, r));
+        for (AttemptSent t : tries.all()) {
+            tries.runs(t.attemptId()).forEach(r -> route(t, r));
             current(t);
         }
         return found;
@@ -90,22 +90,22 @@
         }
     }
 
-    private void route(TrySent t, Ran run) {
+    private void route(AttemptSent t, RunStarted run) {
         if (sent.stream().noneMatch(s -> allows(s.document(), t, run))) {
-            broken(Rule.ROUTE, t.tryId() + " on " + t.request().route().name() + " ran at " + run.server());
+            broken(Rule.ROUTE, t.attemptId() + " on " + t.request().route().name() + " ran at " + run.server());
         }
     }
 
-    private static boolean allows(FleetConfiguration document, TrySent t, Ran run) {
+    private static boolean allows(FleetConfiguration document, AttemptSent t, RunStarted run) {
         return document != null
                 && document.allows(t.request().route().host(), t.request().target())
                         .contains(run.server().service());
     }
 
     /** A request sent long after an acknowledgement is handled as that version or a later one says. */
-    private void current(TrySent t) {
+    private void current(AttemptSent t) {
         long due = dueVersion(t);
-        TryEnded ended = tries.ended(t.tryId());
+        AttemptEnded ended = tries.ended(t.attemptId());
         if (due == 0 || ended == null) {
             return;
         }
@@ -113,20 +113,20 @@
                 .map(ChangeSent::document)
                 .filter(d -> d != null && d.version() >= due)
                 .toList();
-        for (Ran run : tries.runs(t.tryId())) {
+        for (RunStarted run : tries.runs(t.attemptId())) {
             if (valid.stream().noneMatch(d -> allows(d, t, run))) {
-                broken(Rule.STALE, t.tryId() + " ran at " + run.server().service() + " long after version " + due);
+                broken(Rule.STALE, t.attemptId() + " ran at " + run.server().service() + " long after version " + due);
             }
         }
         boolean missing = valid.stream()
                 .anyMatch(d -> d.allows(t.request().route().host(), t.request().target())
                         .isEmpty());
         if (ended.status() == 404 && !missing) {
-            broken(Rule.STALE, t.tryId() + " got 404 long after version " + due);
+            broken(Rule.STALE, t.attemptId() + " got 404 long after version " + due);
         }
     }
 
-    private long dueVersion(TrySent t) {
+    private long dueVersion(AttemptSent t) {
         long due = 0;
         for (ChangeAnswered a : acknowledged) {
             boolean settled = t.at() > a.at() + FleetBounds.CONFIG_APPLY_MS && calm(a.at(), t.at());
--- a/emulator/src/main/java/dewplank/emulator/fleet/ContextHandles.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/ContextHandles.java
@@ -16,7 +16,7 @@
     String make(double now, ServerIdentity server, String tryId) {
         String handle = "h" + ++made;
         keptFor.put(server.address() + "/" + handle, tryId);
-        history.add(new FleetEvent.HandleMade(now, server, handle, tryId));
+        history.add(new FleetEvent.HandleCreated(now, server, handle, tryId));
         return handle;
     }
 
@@ -25,7 +25,7 @@
         if (keptFor.remove(from) == null) {
             return false;
         }
-        history.add(new FleetEvent.HandleTaken(now, from.substring(from.indexOf('/') + 1), byTryId));
+        history.add(new FleetEvent.HandleFetched(now, from.substring(from.indexOf('/') + 1), byTryId));
         return true;
     }
 
--- a/emulator/src/main/java/dewplank/emulator/fleet/FleetAuditor.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/FleetAuditor.java
@@ -10,7 +10,7 @@
     /** What the history breaks; empty where it keeps every rule. */
     public static List<Violation> audit(List<FleetEvent> events) {
         List<Violation> found = new ArrayList<>();
-        Tries tries = new Tries(events);
+        AttemptLog tries = new AttemptLog(events);
         found.addAll(new RequestRules(events, tries).check());
         found.addAll(new StreamRules(events, tries).check());
         found.addAll(new HandleRules(events).check());
--- a/emulator/src/main/java/dewplank/emulator/fleet/FleetBounds.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/FleetBounds.java
@@ -10,7 +10,9 @@
     public static final int LEASE_MS = 3_000;
     public static final int THAW_SLACK_MS = 300;
     static final double RETRY_RATIO = 0.2;
-    /** Short, as a data plane uses no part of the slack in the first third of a window, see {@code FleetSizeEstimator}. */
+    /**
+     * Short, as a data plane uses no part of the slack in the first third of a window, see {@code FleetSizeEstimator}.
+     */
     public static final int BUDGET_WINDOW_S = 1;
 
     static final int RETRY_SLACK = 56;
--- a/emulator/src/main/java/dewplank/emulator/fleet/FleetClient.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/FleetClient.java
@@ -21,7 +21,7 @@
     }
 
     /** Sends a try to a data plane. */
-    public ClientTry send(FleetMachine to, ClientRequest request) {
+    public ClientAttempt send(FleetMachine to, ClientRequest request) {
         Sending sending = new Sending(String.format("%016x", tries.incrementAndGet()), request);
         loop.execute(() -> sending.start(to));
         return sending.handle;
@@ -41,7 +41,7 @@
     }
 
     private final class Sending implements HttpClient.Answered {
-        private final ClientTry handle;
+        private final ClientAttempt handle;
         private final ClientRequest request;
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
         private ResponseParser head;
@@ -51,11 +51,11 @@
 
         Sending(String id, ClientRequest request) {
             this.request = request;
-            this.handle = new ClientTry(id, () -> loop.execute(() -> giveUp(true)));
+            this.handle = new ClientAttempt(id, () -> loop.execute(() -> giveUp(true)));
         }
 
         void start(FleetMachine to) {
-            history.add(new FleetEvent.TrySent(loop.now(), to.node(), handle.id(), request));
+            history.add(new FleetEvent.AttemptSent(loop.now(), to.node(), handle.id(), request));
             client = new HttpClient(loop, to.front(), 1);
             call = client.call(message(handle.id(), request), this);
             loop.after(request.waitMs(), () -> giveUp(false));
@@ -78,7 +78,7 @@
             head = parser;
             body.writeBytes(bytes);
             if (request.route().kind().streaming()) {
-                history.add(new FleetEvent.Piece(
+                history.add(new FleetEvent.StreamBytes(
                         loop.now(),
                         handle.id(),
                         parser.status(),
@@ -99,8 +99,8 @@
             String seal = seen == null ? null : seen.headers().get(WireFields.SEAL);
             String retryAfter = seen == null ? null : seen.headers().get(WireFields.RETRY_AFTER);
             String text = body.toString(StandardCharsets.UTF_8);
-            history.add(new FleetEvent.TryEnded(loop.now(), handle.id(), status, seal, text, whole != null, left));
-            handle.ended().complete(new ClientTry.Outcome(status, seal, retryAfter, text, whole != null));
+            history.add(new FleetEvent.AttemptEnded(loop.now(), handle.id(), status, seal, text, whole != null, left));
+            handle.ended().complete(new ClientAttempt.Outcome(status, seal, retryAfter, text, whole != null));
             client.close();
         }
     }
--- a/emulator/src/main/java/dewplank/emulator/fleet/FleetEvent.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/FleetEvent.java
@@ -8,13 +8,13 @@
 
     /** How a run at a server ended. */
     enum RunEnd {
-        WHOLE,
+        COMPLETED,
         CALLER_LEFT,
         CRASHED
     }
 
     /** What is done to a process. */
-    enum Trouble {
+    enum ProcessFault {
         STARTED,
         KILLED,
         TERMINATED,
@@ -26,13 +26,14 @@
     // ---- clients --------------------------------------------------------------------------------------
 
     /** A client sent a try. */
-    record TrySent(double at, String node, String tryId, ClientRequest request) implements FleetEvent {}
+    record AttemptSent(double at, String node, String attemptId, ClientRequest request) implements FleetEvent {}
 
     /** Bytes of a stream reached the client. */
-    record Piece(double at, String tryId, int status, String seal, String text) implements FleetEvent {}
+    record StreamBytes(double at, String tryId, int status, String seal, String text) implements FleetEvent {}
 
     /** The try is over. {@code status} 0: no answer came, or the client left. */
-    record TryEnded(double at, String tryId, int status, String seal, String body, boolean whole, boolean left)
+    record AttemptEnded(
+            double at, String attemptId, int status, String seal, String body, boolean complete, boolean abandoned)
             implements FleetEvent {}
 
     // ---- servers --------------------------------------------------------------------------------------
@@ -43,10 +44,10 @@
             implements FleetEvent {}
 
     /** A server began to work on a request. */
-    record Ran(double at, ServerIdentity server, String tryId) implements FleetEvent {}
+    record RunStarted(double at, ServerIdentity server, String tryId) implements FleetEvent {}
 
     /** A server turned a request away without running it. */
-    record TurnedAway(double at, ServerIdentity server, String tryId, int status) implements FleetEvent {}
+    record RunRejected(double at, ServerIdentity server, String tryId, int status) implements FleetEvent {}
 
     /** A server sent an answer that is not a stream. */
     record Answered(double at, ServerIdentity server, String tryId, int status, String seal, String body)
@@ -56,24 +57,24 @@
     record StreamBegun(double at, ServerIdentity server, String tryId, String seal) implements FleetEvent {}
 
     /** A server sent an event of a stream. */
-    record Emitted(double at, ServerIdentity server, String tryId, int id, String text) implements FleetEvent {}
+    record StreamEventSent(double at, ServerIdentity server, String tryId, int id, String text) implements FleetEvent {}
 
     record RunEnded(double at, ServerIdentity server, String tryId, RunEnd how) implements FleetEvent {}
 
-    record HandleMade(double at, ServerIdentity server, String handle, String tryId) implements FleetEvent {}
+    record HandleCreated(double at, ServerIdentity server, String handle, String tryId) implements FleetEvent {}
 
     /** A decode server fetched what a prefill server kept. */
-    record HandleTaken(double at, String handle, String byTryId) implements FleetEvent {}
+    record HandleFetched(double at, String handle, String byTryId) implements FleetEvent {}
 
     record HandleFreed(double at, String handle) implements FleetEvent {}
 
     // ---- platform -------------------------------------------------------------------------------------
 
     /** A process asked for a page of the list; {@code status} 0: no answer was given. */
-    record ListCalled(double at, String node, int status) implements FleetEvent {}
+    record EndpointListRequested(double at, String node, int status) implements FleetEvent {}
 
     /** From here on the list shows the server as draining. */
-    record ShownDraining(double at, ServerIdentity server) implements FleetEvent {}
+    record ListedDraining(double at, ServerIdentity server) implements FleetEvent {}
 
     // ---- operator -------------------------------------------------------------------------------------
 
@@ -81,7 +82,7 @@
     record ChangeSent(double at, long base, FleetConfiguration document, String text) implements FleetEvent {}
 
     /** One control sidecar's answer to a change; {@code status} 0: none came. */
-    record ChangeTried(double at, String node, String text, int status) implements FleetEvent {}
+    record ChangeAttempted(double at, String node, String text, int status) implements FleetEvent {}
 
     /** The operator has its answer to a change; {@code status} 0: none that is clear. */
     record ChangeAnswered(double at, long base, FleetConfiguration document, String text, int status)
@@ -92,7 +93,7 @@
 
     // ---- processes ------------------------------------------------------------------------------------
 
-    record Troubled(double at, String node, boolean core, Trouble trouble) implements FleetEvent {}
+    record ProcessFaulted(double at, String node, boolean core, ProcessFault fault) implements FleetEvent {}
 
     /** The events of one kind. */
     static <T extends FleetEvent> List<T> only(List<FleetEvent> events, Class<T> kind) {
--- a/emulator/src/main/java/dewplank/emulator/fleet/FleetProcess.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/FleetProcess.java
@@ -1,6 +1,6 @@
 package dewplank.emulator.fleet;
 
-import dewplank.emulator.fleet.FleetEvent.Trouble;
+import dewplank.emulator.fleet.FleetEvent.ProcessFault;
 import dewplank.emulator.loopback.ProgramProcess;
 import dewplank.net.EventLoop;
 import dewplank.settings.NodeSettings;
@@ -57,7 +57,7 @@
         if (disk != null) {
             Files.createDirectories(disk);
         }
-        note(Trouble.STARTED);
+        note(ProcessFault.STARTED);
         process.start(SettingsFile.of(machine, seeds, initialStart, disk), List.of());
     }
 
@@ -67,7 +67,7 @@
 
     /** SIGKILL; returns when it has ended. */
     public void kill() throws InterruptedException {
-        note(Trouble.KILLED);
+        note(ProcessFault.KILLED);
         process.kill();
         process.awaitEnd();
     }
@@ -79,7 +79,7 @@
 
     /** SIGTERM. */
     public void terminate() throws IOException, InterruptedException {
-        note(Trouble.TERMINATED);
+        note(ProcessFault.TERMINATED);
         process.signal("TERM");
     }
 
@@ -90,19 +90,19 @@
 
     /** SIGSTOP. */
     public void freeze() throws IOException, InterruptedException {
-        note(Trouble.FROZEN);
+        note(ProcessFault.FROZEN);
         process.signal("STOP");
     }
 
     /** SIGCONT. */
     public void thaw() throws IOException, InterruptedException {
-        note(Trouble.THAWED);
+        note(ProcessFault.THAWED);
         process.signal("CONT");
     }
 
     /** Loses the disk of a process that is not running. */
     public void loseDisk() throws IOException {
-        note(Trouble.WIPED);
+        note(ProcessFault.WIPED);
         List<Path> all;
         try (Stream<Path> files = Files.walk(disk)) {
             all = files.sorted((a, b) -> b.compareTo(a)).toList();
@@ -112,7 +112,7 @@
         }
     }
 
-    private void note(Trouble trouble) {
-        history.add(new FleetEvent.Troubled(loop.now(), machine.node(), machine.core(), trouble));
+    private void note(ProcessFault trouble) {
+        history.add(new FleetEvent.ProcessFaulted(loop.now(), machine.node(), machine.core(), trouble));
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/fleet/HandleRules.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/HandleRules.java
@@ -1,7 +1,7 @@
 package dewplank.emulator.fleet;
 
-import dewplank.emulator.fleet.FleetEvent.HandleMade;
-import dewplank.emulator.fleet.FleetEvent.HandleTaken;
+import dewplank.emulator.fleet.FleetEvent.HandleCreated;
+import dewplank.emulator.fleet.FleetEvent.HandleFetched;
 import dewplank.emulator.fleet.Violation.Rule;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -20,10 +20,10 @@
 
     List<Violation> check() {
         List<Violation> found = new ArrayList<>();
-        Map<String, String> owners = FleetEvent.only(events, HandleMade.class).stream()
-                .collect(Collectors.toMap(HandleMade::handle, HandleMade::tryId));
+        Map<String, String> owners = FleetEvent.only(events, HandleCreated.class).stream()
+                .collect(Collectors.toMap(HandleCreated::handle, HandleCreated::tryId));
         Set<String> taken = new HashSet<>();
-        for (HandleTaken t : FleetEvent.only(events, HandleTaken.class)) {
+        for (HandleFetched t : FleetEvent.only(events, HandleFetched.class)) {
             if (!taken.add(t.handle())) {
                 found.add(new Violation(Rule.HANDLE, t.handle() + " was taken twice"));
             }
--- a/emulator/src/main/java/dewplank/emulator/fleet/History.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/History.java
@@ -17,7 +17,7 @@
 
     synchronized void add(FleetEvent event) {
         events.add(event);
-        if (event instanceof FleetEvent.ListCalled) {
+        if (event instanceof FleetEvent.EndpointListRequested) {
             listCalls++;
         }
         notifyAll();
--- a/emulator/src/main/java/dewplank/emulator/fleet/ModelServer.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/ModelServer.java
@@ -71,7 +71,7 @@
     }
 
     private void prefill(Arrival a) {
-        if (mood == Mood.SILENT) {
+        if (behaviour == Behaviour.SILENT) {
             return;
         }
         loop.after(READ_MS, () -> {
@@ -93,7 +93,7 @@
             return;
         }
         a.run();
-        if (mood != Mood.SILENT) {
+        if (behaviour != Behaviour.SILENT) {
             new Stream(a).begin();
         }
     }
--- a/emulator/src/main/java/dewplank/emulator/fleet/PlainServer.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/PlainServer.java
@@ -17,7 +17,7 @@
     @Override
     void take(Arrival a) {
         a.run();
-        if (mood == Mood.SILENT) {
+        if (behaviour == Behaviour.SILENT) {
             return;
         }
         loop.after(WORK_MS, () -> {
--- a/emulator/src/main/java/dewplank/emulator/fleet/PlatformRules.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/PlatformRules.java
@@ -1,8 +1,8 @@
 package dewplank.emulator.fleet;
 
-import dewplank.emulator.fleet.FleetEvent.ListCalled;
-import dewplank.emulator.fleet.FleetEvent.Trouble;
-import dewplank.emulator.fleet.FleetEvent.Troubled;
+import dewplank.emulator.fleet.FleetEvent.EndpointListRequested;
+import dewplank.emulator.fleet.FleetEvent.ProcessFault;
+import dewplank.emulator.fleet.FleetEvent.ProcessFaulted;
 import dewplank.emulator.fleet.Violation.Rule;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -16,13 +16,13 @@
 final class PlatformRules {
     private static final double HAND_OVER_MS = 500;
 
-    private final List<ListCalled> calls;
-    private final List<Troubled> thaws;
+    private final List<EndpointListRequested> calls;
+    private final List<ProcessFaulted> thaws;
 
     PlatformRules(List<FleetEvent> events) {
-        this.calls = FleetEvent.only(events, ListCalled.class);
-        this.thaws = FleetEvent.only(events, Troubled.class).stream()
-                .filter(t -> t.trouble() == Trouble.THAWED)
+        this.calls = FleetEvent.only(events, EndpointListRequested.class);
+        this.thaws = FleetEvent.only(events, ProcessFaulted.class).stream()
+                .filter(t -> t.fault() == ProcessFault.THAWED)
                 .toList();
     }
 
@@ -31,7 +31,7 @@
         String holder = null;
         double heldSince = Double.NEGATIVE_INFINITY;
         Map<String, Double> lastCall = new HashMap<>();
-        for (ListCalled call : calls) {
+        for (EndpointListRequested call : calls) {
             boolean relieved = !call.node().equals(holder) && lastCall.containsKey(call.node());
             boolean withinLease = relieved && call.at() - lastCall.get(call.node()) < FleetBounds.LEASE_MS;
             if (withinLease && call.at() - heldSince < HAND_OVER_MS || relieved && justThawed(call)) {
@@ -49,7 +49,7 @@
         return found;
     }
 
-    private boolean justThawed(ListCalled call) {
+    private boolean justThawed(EndpointListRequested call) {
         return thaws.stream()
                 .anyMatch(t -> t.node().equals(call.node())
                         && call.at() >= t.at()
--- a/emulator/src/main/java/dewplank/emulator/fleet/RequestRules.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/RequestRules.java
@@ -2,11 +2,11 @@
 
 import dewplank.emulator.fleet.FleetEvent.Answered;
 import dewplank.emulator.fleet.FleetEvent.Arrived;
-import dewplank.emulator.fleet.FleetEvent.Ran;
-import dewplank.emulator.fleet.FleetEvent.ShownDraining;
-import dewplank.emulator.fleet.FleetEvent.TryEnded;
-import dewplank.emulator.fleet.FleetEvent.TrySent;
-import dewplank.emulator.fleet.FleetEvent.TurnedAway;
+import dewplank.emulator.fleet.FleetEvent.AttemptEnded;
+import dewplank.emulator.fleet.FleetEvent.AttemptSent;
+import dewplank.emulator.fleet.FleetEvent.ListedDraining;
+import dewplank.emulator.fleet.FleetEvent.RunRejected;
+import dewplank.emulator.fleet.FleetEvent.RunStarted;
 import dewplank.emulator.fleet.Violation.Rule;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -20,11 +20,11 @@
     private static final String FREEING = "/kv-handle/";
 
     private final List<FleetEvent> events;
-    private final Tries tries;
+    private final AttemptLog tries;
     private final Map<String, Answered> bySeal = new HashMap<>();
     private final List<Violation> found = new ArrayList<>();
 
-    RequestRules(List<FleetEvent> events, Tries tries) {
+    RequestRules(List<FleetEvent> events, AttemptLog tries) {
         this.events = events;
         this.tries = tries;
         FleetEvent.only(events, Answered.class).stream()
@@ -33,16 +33,16 @@
     }
 
     List<Violation> check() {
-        for (TrySent sent : tries.all()) {
+        for (AttemptSent sent : tries.all()) {
             runs(sent);
-            TryEnded ended = tries.ended(sent.tryId());
-            boolean success = ended != null && ended.whole() && ended.status() / 100 == 2;
+            AttemptEnded ended = tries.ended(sent.attemptId());
+            boolean success = ended != null && ended.complete() && ended.status() / 100 == 2;
             if (success && !sent.request().route().kind().streaming()) {
                 success(sent, ended);
             }
         }
         FleetEvent.only(events, Arrived.class).forEach(this::asked);
-        FleetEvent.only(events, ShownDraining.class).forEach(this::drained);
+        FleetEvent.only(events, ListedDraining.class).forEach(this::drained);
         return found;
     }
 
@@ -50,23 +50,23 @@
         found.add(new Violation(rule, detail));
     }
 
-    private void runs(TrySent sent) {
-        List<Ran> runs = tries.runs(sent.tryId());
+    private void runs(AttemptSent sent) {
+        List<RunStarted> runs = tries.runs(sent.attemptId());
         boolean idempotent = sent.request().route().kind().idempotent();
         if (!idempotent && runs.size() > 1) {
-            broken(Rule.TWICE, sent.tryId() + " ran at " + runs);
+            broken(Rule.TWICE, sent.attemptId() + " ran at " + runs);
         }
-        TryEnded ended = tries.ended(sent.tryId());
+        AttemptEnded ended = tries.ended(sent.attemptId());
         if (!idempotent && ended != null && PROMISES.contains(ended.status()) && !runs.isEmpty()) {
-            broken(Rule.REFUSED, sent.tryId() + " got " + ended.status() + " and ran at " + runs);
+            broken(Rule.REFUSED, sent.attemptId() + " got " + ended.status() + " and ran at " + runs);
         }
     }
 
-    private void success(TrySent sent, TryEnded ended) {
+    private void success(AttemptSent sent, AttemptEnded ended) {
         Answered answer = bySeal.get(ended.seal());
-        boolean own = answer != null && answer.tryId().equals(sent.tryId());
+        boolean own = answer != null && answer.tryId().equals(sent.attemptId());
         if (!own || answer.status() != ended.status() || !answer.body().equals(ended.body())) {
-            broken(Rule.MIXED, sent.tryId() + " got " + ended + " where the server gave " + answer);
+            broken(Rule.MIXED, sent.attemptId() + " got " + ended + " where the server gave " + answer);
         }
     }
 
@@ -74,7 +74,7 @@
         if (arrived.target().startsWith(FREEING) || arrived.target().equals("/health")) {
             return;
         }
-        TrySent sent = tries.sent(arrived.tryId());
+        AttemptSent sent = tries.sent(arrived.tryId());
         boolean same = sent != null
                 && sent.request().method().equals(arrived.method())
                 && sent.request().target().equals(arrived.target())
@@ -84,7 +84,7 @@
         }
     }
 
-    private void drained(ShownDraining drained) {
+    private void drained(ListedDraining drained) {
         double until = drained.at() + FleetBounds.DRAIN_MS;
         for (Arrived a : FleetEvent.only(events, Arrived.class)) {
             boolean late = a.server().equals(drained.server())
@@ -100,7 +100,7 @@
     }
 
     private boolean meantForAnother(Arrived a) {
-        return FleetEvent.only(events, TurnedAway.class).stream()
+        return FleetEvent.only(events, RunRejected.class).stream()
                 .anyMatch(t -> t.status() == 421
                         && t.tryId().equals(a.tryId())
                         && t.server().equals(a.server()));
--- a/emulator/src/main/java/dewplank/emulator/fleet/StandInOperator.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/StandInOperator.java
@@ -83,7 +83,7 @@
                         first,
                         clear,
                         (machine, answer) -> history.add(
-                                new FleetEvent.ChangeTried(loop.now(), machine.node(), text, answer.status())))
+                                new FleetEvent.ChangeAttempted(loop.now(), machine.node(), text, answer.status())))
                 .begin();
         return status;
     }
--- a/emulator/src/main/java/dewplank/emulator/fleet/StandInPlatform.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/StandInPlatform.java
@@ -3,7 +3,7 @@
 import com.google.gson.JsonArray;
 import com.google.gson.JsonNull;
 import com.google.gson.JsonObject;
-import dewplank.emulator.loopback.HttpEnd;
+import dewplank.emulator.loopback.HttpEndpoint;
 import dewplank.http.MessageWriter;
 import dewplank.http.RequestParser;
 import dewplank.net.EventLoop;
@@ -18,7 +18,7 @@
 /** Stands in for the platform: tells the list of servers, page by page, to whoever asks. */
 public final class StandInPlatform {
     /** How it takes calls. */
-    public enum Mood {
+    public enum Behaviour {
         ANSWERS,
         SILENT,
         TOO_MANY_CALLS
@@ -34,7 +34,7 @@
     private final Map<String, ServerIdentity> servers = new LinkedHashMap<>();
     private final List<String> draining = new ArrayList<>();
     private final List<Listener> listeners = new ArrayList<>();
-    private volatile Mood mood = Mood.ANSWERS;
+    private volatile Behaviour behaviour = Behaviour.ANSWERS;
 
     StandInPlatform(EventLoop loop, History history) {
         this.loop = loop;
@@ -48,8 +48,8 @@
         loop.execute(listener::accept);
     }
 
-    public void mood(Mood next) {
-        mood = next;
+    public void behaviour(Behaviour next) {
+        behaviour = next;
     }
 
     /** From the next call on the list holds the server. */
@@ -60,7 +60,7 @@
     /** From the next call on the list shows the server as draining. */
     public synchronized void drain(ServerIdentity server) {
         draining.add(server.instanceId());
-        history.add(new FleetEvent.ShownDraining(loop.now(), server));
+        history.add(new FleetEvent.ListedDraining(loop.now(), server));
     }
 
     /** The server has left the list. */
@@ -98,7 +98,7 @@
         return o;
     }
 
-    private final class End extends HttpEnd {
+    private final class End extends HttpEndpoint {
         private final String node;
 
         End(String node) {
@@ -109,7 +109,7 @@
         protected void request(RequestParser request) {
             int token = request.target().indexOf(PAGE_TOKEN);
             int from = token < 0 ? 0 : Integer.parseInt(request.target().substring(token + PAGE_TOKEN.length()));
-            switch (mood) {
+            switch (behaviour) {
                 case ANSWERS -> {
                     note(200);
                     answer(MessageWriter.response(200)
@@ -121,12 +121,12 @@
                     answer(MessageWriter.response(429).body(new byte[0]));
                 }
                 case SILENT -> note(0);
-                default -> throw new IllegalStateException("no such mood: " + mood);
+                default -> throw new IllegalStateException("no such mood: " + behaviour);
             }
         }
 
         private void note(int status) {
-            history.add(new FleetEvent.ListCalled(loop.now(), node, status));
+            history.add(new FleetEvent.EndpointListRequested(loop.now(), node, status));
         }
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/fleet/StandInServer.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/StandInServer.java
@@ -2,7 +2,7 @@
 
 import dewplank.emulator.fleet.FleetEvent.RunEnd;
 import dewplank.emulator.loopback.Addresses;
-import dewplank.emulator.loopback.HttpEnd;
+import dewplank.emulator.loopback.HttpEndpoint;
 import dewplank.http.MessageWriter;
 import dewplank.http.RequestParser;
 import dewplank.net.EventLoop;
@@ -21,7 +21,7 @@
     private static final String REPORT_PATH = "/report";
 
     /** How it takes requests. */
-    public enum Mood {
+    public enum Behaviour {
         WORKS,
         /** Turns requests away: it has no room. */
         FULL,
@@ -37,7 +37,7 @@
     private final InetSocketAddress address;
     private final Set<End> ends = new HashSet<>();
     private Listener listener;
-    volatile Mood mood = Mood.WORKS;
+    volatile Behaviour behaviour = Behaviour.WORKS;
 
     StandInServer(EventLoop loop, History history, ServerIdentity identity, InetSocketAddress address)
             throws IOException {
@@ -57,8 +57,8 @@
         return identity;
     }
 
-    public void mood(Mood next) {
-        mood = next;
+    public void behaviour(Behaviour next) {
+        behaviour = next;
     }
 
     InetSocketAddress address() {
@@ -117,7 +117,7 @@
         /** Work begins. */
         void run() {
             running = true;
-            note(new FleetEvent.Ran(loop.now(), identity, tryId));
+            note(new FleetEvent.RunStarted(loop.now(), identity, tryId));
         }
 
         /** Work ends; told once. */
@@ -129,13 +129,13 @@
         }
 
         void turnAway(int status) {
-            note(new FleetEvent.TurnedAway(loop.now(), identity, tryId, status));
+            note(new FleetEvent.RunRejected(loop.now(), identity, tryId, status));
             end.reply(head(status).header(WireFields.NOT_EXECUTED, "1"), "");
         }
 
         /** Sends the whole answer. */
         void answer(int status, String seal, String text) {
-            ended(RunEnd.WHOLE);
+            ended(RunEnd.COMPLETED);
             note(new FleetEvent.Answered(loop.now(), identity, tryId, status, seal, text));
             end.reply(head(status).header(WireFields.SEAL, seal), text);
         }
@@ -154,17 +154,17 @@
         }
 
         void event(int id, String text) {
-            note(new FleetEvent.Emitted(loop.now(), identity, tryId, id, text));
+            note(new FleetEvent.StreamEventSent(loop.now(), identity, tryId, id, text));
             end.part(Chunks.of(text));
         }
 
         void endStream() {
-            ended(RunEnd.WHOLE);
+            ended(RunEnd.COMPLETED);
             end.last();
         }
     }
 
-    private final class End extends HttpEnd {
+    private final class End extends HttpEndpoint {
         private Arrival arrival;
 
         @Override
@@ -211,7 +211,7 @@
             String meant = a.field(WireFields.TARGET_INSTANCE);
             if (meant != null && !meant.equals(identity.instanceId())) {
                 a.turnAway(421);
-            } else if (mood == Mood.FULL) {
+            } else if (behaviour == Behaviour.FULL) {
                 a.turnAway(503);
             } else {
                 take(a);
--- a/emulator/src/main/java/dewplank/emulator/fleet/SteadyLoad.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/SteadyLoad.java
@@ -48,7 +48,7 @@
         return served.get();
     }
 
-    /** Tries that got anything but a success, whole. */
+    /** AttemptLog that got anything but a success, whole. */
     public int notServed() {
         return notServed.get();
     }
--- a/emulator/src/main/java/dewplank/emulator/fleet/StreamRules.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/StreamRules.java
@@ -1,10 +1,10 @@
 package dewplank.emulator.fleet;
 
-import dewplank.emulator.fleet.FleetEvent.Emitted;
-import dewplank.emulator.fleet.FleetEvent.Piece;
+import dewplank.emulator.fleet.FleetEvent.AttemptEnded;
+import dewplank.emulator.fleet.FleetEvent.AttemptSent;
 import dewplank.emulator.fleet.FleetEvent.StreamBegun;
-import dewplank.emulator.fleet.FleetEvent.TryEnded;
-import dewplank.emulator.fleet.FleetEvent.TrySent;
+import dewplank.emulator.fleet.FleetEvent.StreamBytes;
+import dewplank.emulator.fleet.FleetEvent.StreamEventSent;
 import dewplank.emulator.fleet.Violation.Rule;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -16,17 +16,18 @@
 
 /** What holds for streams: rising ids without a gap or repeat, one head, and an end only behind the last event. */
 final class StreamRules {
-    private final Tries tries;
+    private final AttemptLog tries;
     private final Map<String, StreamBegun> bySeal = new HashMap<>();
-    private final Map<String, List<Emitted>> emitted;
-    private final Map<String, List<Piece>> pieces;
+    private final Map<String, List<StreamEventSent>> emitted;
+    private final Map<String, List<StreamBytes>> pieces;
     private final List<Violation> found = new ArrayList<>();
 
-    StreamRules(List<FleetEvent> events, Tries tries) {
+    StreamRules(List<FleetEvent> events, AttemptLog tries) {
         this.tries = tries;
         FleetEvent.only(events, StreamBegun.class).forEach(b -> bySeal.put(b.seal(), b));
-        emitted = FleetEvent.only(events, Emitted.class).stream().collect(Collectors.groupingBy(Emitted::tryId));
-        pieces = FleetEvent.only(events, Piece.class).stream().collect(Collectors.groupingBy(Piece::tryId));
+        emitted = FleetEvent.only(events, StreamEventSent.class).stream()
+                .collect(Collectors.groupingBy(StreamEventSent::tryId));
+        pieces = FleetEvent.only(events, StreamBytes.class).stream().collect(Collectors.groupingBy(StreamBytes::tryId));
     }
 
     List<Violation> check() {
@@ -38,41 +39,42 @@
         found.add(new Violation(rule, detail));
     }
 
-    private void check(TrySent sent) {
-        TryEnded ended = tries.ended(sent.tryId());
+    private void check(AttemptSent sent) {
+        AttemptEnded ended = tries.ended(sent.attemptId());
         if (ended == null || ended.status() / 100 != 2) {
             return;
         }
         StreamBegun head = bySeal.get(ended.seal());
-        if (head == null || !head.tryId().equals(sent.tryId())) {
-            broken(Rule.MIXED, sent.tryId() + " got the head of " + head + " in " + ended);
+        if (head == null || !head.tryId().equals(sent.attemptId())) {
+            broken(Rule.MIXED, sent.attemptId() + " got the head of " + head + " in " + ended);
         }
         events(sent, ended);
-        if (ended.whole()
+        if (ended.complete()
                 && !ended.body()
-                        .equals(StreamEvents.all(sent.tryId(), sent.request().events()))) {
-            broken(Rule.ORDER, sent.tryId() + " ended as whole with " + ended.body());
+                        .equals(StreamEvents.all(
+                                sent.attemptId(), sent.request().events()))) {
+            broken(Rule.ORDER, sent.attemptId() + " ended as whole with " + ended.body());
         }
     }
 
-    private void events(TrySent sent, TryEnded ended) {
+    private void events(AttemptSent sent, AttemptEnded ended) {
         String whole = String.join("", StreamEvents.whole(ended.body()));
-        String due =
-                StreamEvents.all(sent.tryId(), StreamEvents.whole(ended.body()).size());
+        String due = StreamEvents.all(
+                sent.attemptId(), StreamEvents.whole(ended.body()).size());
         if (!whole.equals(due)) {
-            broken(Rule.ORDER, sent.tryId() + " got events " + ended.body());
+            broken(Rule.ORDER, sent.attemptId() + " got events " + ended.body());
         }
         Set<String> seals = new HashSet<>();
-        pieces.getOrDefault(sent.tryId(), List.of()).forEach(p -> seals.add(p.seal()));
+        pieces.getOrDefault(sent.attemptId(), List.of()).forEach(p -> seals.add(p.seal()));
         if (seals.size() > 1) {
-            broken(Rule.ORDER, sent.tryId() + " got the heads " + seals);
+            broken(Rule.ORDER, sent.attemptId() + " got the heads " + seals);
         }
-        int produced = emitted.getOrDefault(sent.tryId(), List.of()).stream()
-                .mapToInt(Emitted::id)
+        int produced = emitted.getOrDefault(sent.attemptId(), List.of()).stream()
+                .mapToInt(StreamEventSent::id)
                 .max()
                 .orElse(0);
         if (StreamEvents.whole(ended.body()).size() > produced) {
-            broken(Rule.ORDER, sent.tryId() + " got more events than the " + produced + " that servers sent");
+            broken(Rule.ORDER, sent.attemptId() + " got more events than the " + produced + " that servers sent");
         }
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/loopback/DirectoryEnd.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/DirectoryEndpoint.java
@@ -4,7 +4,7 @@
 import com.google.gson.JsonObject;
 import dewplank.balancer.Endpoint;
 import dewplank.balancer.Endpoint.Availability;
-import dewplank.emulator.ServerList;
+import dewplank.emulator.EndpointDirectory;
 import dewplank.emulator.World;
 import dewplank.http.MessageWriter;
 import dewplank.http.RequestParser;
@@ -18,7 +18,7 @@
 import java.util.function.BiFunction;
 
 /** The model's directory on sockets, for one sidecar: the whole list, and the watch as an endless chunked answer. */
-final class DirectoryEnd {
+final class DirectoryEndpoint {
     private static final double QUIET_MS = 2_000;
     private static final int MOST = 1_000;
 
@@ -28,7 +28,8 @@
     private final Listener listener;
 
     /** {@code addresses}: where a sidecar reaches a server, by their numbers. */
-    DirectoryEnd(EventLoop loop, World world, int sidecar, BiFunction<Integer, Integer, InetSocketAddress> addresses)
+    DirectoryEndpoint(
+            EventLoop loop, World world, int sidecar, BiFunction<Integer, Integer, InetSocketAddress> addresses)
             throws IOException {
         this.world = world;
         this.sidecar = sidecar;
@@ -67,8 +68,8 @@
         return list;
     }
 
-    private final class End extends HttpEnd implements ServerList.Watcher {
-        private ServerList.Watch watch;
+    private final class End extends HttpEndpoint implements EndpointDirectory.Watcher {
+        private EndpointDirectory.Watch watch;
         private boolean begun;
         private double saidAt;
 
@@ -79,8 +80,8 @@
             if (!target.startsWith("/catalog/members")) {
                 answer(MessageWriter.response(404).body(new byte[0]));
             } else if (at < 0) {
-                answer(MessageWriter.response(world.list.down() ? 503 : 200)
-                        .body(json(world.list.version(), true, world.list.whole())
+                answer(MessageWriter.response(world.list.isDown() ? 503 : 200)
+                        .body(json(world.list.version(), true, world.list.endpoints())
                                 .toString()
                                 .getBytes(StandardCharsets.UTF_8)));
             } else {
@@ -97,7 +98,7 @@
         }
 
         @Override
-        public void told(long version, boolean full, List<Endpoint> entries) {
+        public void updated(long version, boolean full, List<Endpoint> entries) {
             line(json(version, full, entries).toString());
         }
 
@@ -125,7 +126,7 @@
         private void quiet() {
             world.later(QUIET_MS / 4, () -> {
                 if (open()) {
-                    if (world.now() - saidAt >= QUIET_MS && !world.list.silent()) {
+                    if (world.now() - saidAt >= QUIET_MS && !world.list.isSilent()) {
                         line("");
                     }
                     quiet();
--- a/emulator/src/main/java/dewplank/emulator/loopback/HttpClient.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/HttpClient.java
@@ -14,9 +14,9 @@
 import java.util.List;
 
 /**
- * A client of one HTTP/1.1 address, on a loop: keeps its connections, opens more when all are busy, up to a bound; calls
- * beyond wait in line. A call that meets the close of a kept connection before any byte of its answer goes once more on a
- * new one.
+ * A client of one HTTP/1.1 address, on a loop: keeps its connections, opens more when all are busy, up to a bound;
+ * calls beyond wait in line. A call that meets the close of a kept connection before any byte of its answer goes once
+ * more on a new one.
  */
 public final class HttpClient {
 
--- a/emulator/src/main/java/dewplank/emulator/loopback/HttpEnd.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/HttpEndpoint.java
@@ -10,7 +10,7 @@
 import java.nio.charset.StandardCharsets;
 
 /** A server's side of one connection, with one request at a time on it. Also the load tool's stand-in target. */
-public abstract class HttpEnd implements Listener.Accepted {
+public abstract class HttpEndpoint implements Listener.Accepted {
     private final RequestParser parser = new RequestParser();
     private Connection connection;
     private boolean busy;
--- a/emulator/src/main/java/dewplank/emulator/loopback/LoopbackRun.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/LoopbackRun.java
@@ -3,12 +3,12 @@
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
 import dewplank.balancer.Settings.Idempotency;
+import dewplank.emulator.ClientAttempt;
 import dewplank.emulator.Clients;
-import dewplank.emulator.Faults;
-import dewplank.emulator.Note;
-import dewplank.emulator.Note.What;
+import dewplank.emulator.FaultInjector;
+import dewplank.emulator.RecordedEvent;
+import dewplank.emulator.RecordedEvent.Type;
 import dewplank.emulator.Scenario;
-import dewplank.emulator.Try;
 import dewplank.emulator.World;
 import dewplank.http.MessageWriter;
 import dewplank.http.ResponseParser;
@@ -30,7 +30,7 @@
  * One run in real time: the scenario's world on loopback sockets, and a sidecar process for each of its sidecars. State
  * is the loop's; {@link #run} is called once, from another thread.
  */
-public final class LoopbackRun implements Clients.Front, Closeable {
+public final class LoopbackRun implements Clients.SidecarConnector, Closeable {
     private static final System.Logger LOG = System.getLogger(LoopbackRun.class.getName());
     private static final double READY_LOOK_MS = 20;
     private static final double READY_MOST_MS = 30_000;
@@ -38,8 +38,8 @@
     private static final double REMEMBER_MS = 10_000;
 
     /** Makes the figures as the parties act; both are called on the loop's thread. */
-    public interface Observer extends Note.Recorder {
-        Clients.Tally begin(World world);
+    public interface Observer extends RecordedEvent.Recorder {
+        Clients.OutcomeListener begin(World world);
     }
 
     /** What a run was like beside what its notes say. */
@@ -59,13 +59,13 @@
     private final EventLoop loop = new EventLoop();
     private final RealTime time = new RealTime(loop);
     private final World world;
-    private final Map<Long, Try> tries = new HashMap<>();
+    private final Map<Long, ClientAttempt> tries = new HashMap<>();
     private final Map<Long, HttpClient.Call> calls = new HashMap<>();
-    private final List<ServerEnd> servers = new ArrayList<>();
-    private final List<DirectoryEnd> directories = new ArrayList<>();
+    private final List<ServerEndpoint> servers = new ArrayList<>();
+    private final List<DirectoryEndpoint> directories = new ArrayList<>();
     private final List<SidecarProcess> sidecars = new ArrayList<>();
     private final List<HttpClient> fronts = new ArrayList<>();
-    private final PeersEnd peers; // null where sidecars may not talk
+    private final PeerRelay peers; // null where sidecars may not talk
     private final Path folder;
     private final CountDownLatch done = new CountDownLatch(1);
     private Clients clients;
@@ -82,16 +82,16 @@
         this.world = new World(scenario, seed, time, this::note);
         try {
             for (int i = 0; i < world.servers.size(); i++) {
-                servers.add(new ServerEnd(loop, world, world.servers.get(i), tries));
+                servers.add(new ServerEndpoint(loop, world, world.servers.get(i), tries));
             }
             for (int i = 0; i < scenario.sidecars(); i++) {
-                directories.add(new DirectoryEnd(
+                directories.add(new DirectoryEndpoint(
                         loop, world, i, (s, n) -> servers.get(n).address(s)));
                 SidecarProcess process = new SidecarProcess(command, folder, i, Addresses.sidecar(i));
                 sidecars.add(process);
                 fronts.add(new HttpClient(loop, process.listen(), CONNECTIONS));
             }
-            peers = scenario.messages().given() ? new PeersEnd(loop, world, scenario.sidecars()) : null;
+            peers = scenario.messages().enabled() ? new PeerRelay(loop, world, scenario.sidecars()) : null;
         } catch (IOException | RuntimeException e) {
             loop.stop();
             throw e;
@@ -162,8 +162,8 @@
         config.addProperty("name", "n" + sidecar);
         config.addProperty("listen", Addresses.text(process.listen()));
         config.addProperty("discovery", Addresses.text(directories.get(sidecar).address()));
-        config.addProperty("seed", Long.toHexString(dewplank.emulator.Draws.mix(seed + 31L * sidecar + life)));
-        config.add("known", directories.get(sidecar).json(world.list.version(), true, world.list.whole()));
+        config.addProperty("seed", Long.toHexString(dewplank.emulator.RandomStreams.mix(seed + 31L * sidecar + life)));
+        config.add("known", directories.get(sidecar).json(world.list.version(), true, world.list.endpoints()));
         config.add("settings", SidecarFile.settings(scenario.settings(sidecar)));
         if (peers != null) {
             config.addProperty("peer_listen", Addresses.text(peers.listen(sidecar)));
@@ -180,7 +180,7 @@
         ByteBuffer ask = MessageWriter.request("GET", "/_health", "sidecar").noBody();
         fronts.get(sidecar).call(ask, (answer, body) -> {
             if (answer != null && answer.status() == 200) {
-                note(new Note(time.now(), What.SIDECAR_UP, -1, -1, sidecar, -1, 0));
+                note(new RecordedEvent(time.now(), Type.SIDECAR_UP, -1, -1, sidecar, -1, 0));
                 then.run();
             } else if (time.now() - since > READY_MOST_MS
                     || !sidecars.get(sidecar).alive()) {
@@ -194,7 +194,7 @@
 
     private void kill(int sidecar, double backAfterMs) {
         SidecarProcess process = sidecars.get(sidecar);
-        note(new Note(time.now(), What.SIDECAR_KILLED, -1, -1, sidecar, -1, 0));
+        note(new RecordedEvent(time.now(), Type.SIDECAR_KILLED, -1, -1, sidecar, -1, 0));
         process.kill();
         time.after(Math.max(50, backAfterMs), () -> {
             try {
@@ -211,7 +211,7 @@
 
     private void begin() {
         clients = new Clients(world, this, observer.begin(world));
-        Faults.schedule(world, this::kill);
+        FaultInjector.schedule(world, this::kill);
         time.watch();
         clients.start();
         double end = time.now() + scenario.lengthMs();
@@ -219,7 +219,7 @@
     }
 
     private void awaitEnd(double most) {
-        if (clients.open() == 0 || time.now() > most) {
+        if (clients.openRequests() == 0 || time.now() > most) {
             time.after(Math.min(2_000, scenario.longestDeadlineMs()), done::countDown); // late effects show
         } else {
             time.after(READY_LOOK_MS, () -> awaitEnd(most));
@@ -227,12 +227,12 @@
     }
 
     /** What the model says of a server is done on its sockets too. */
-    private void note(Note n) {
-        sends += n.what() == What.RECEIVED ? 1 : 0;
+    private void note(RecordedEvent n) {
+        sends += n.type() == Type.RECEIVED ? 1 : 0;
         observer.record(n);
-        if (n.what() == What.SERVER_DOWN && n.value() == 0) {
+        if (n.type() == Type.SERVER_DOWN && n.value() == 0) {
             loop.execute(() -> servers.get(n.server()).down());
-        } else if (n.what() == What.SERVER_STARTED) {
+        } else if (n.type() == Type.SERVER_STARTED) {
             loop.execute(() -> {
                 try {
                     servers.get(n.server()).up();
@@ -247,23 +247,25 @@
     // ---- clients --------------------------------------------------------------------------------------
 
     @Override
-    public void ask(Try t) {
+    public void send(ClientAttempt t) {
         tries.put(t.id, t);
         world.later(REMEMBER_MS, () -> tries.remove(t.id));
-        Scenario.Kind kind = scenario.classes().get(t.kind);
-        boolean safe = kind.effect() == Idempotency.SAFE;
+        Scenario.RequestKind kind = scenario.classes().get(t.requestClass);
+        boolean safe = kind.idempotency() == Idempotency.SAFE;
         MessageWriter request = MessageWriter.request(safe ? "GET" : "POST", "/api", "api.internal")
                 .header("X-Trace-Id", Long.toHexString(t.id))
                 .header("X-Qos", kind.name())
-                .header("X-Expires-In-Ms", Long.toString(Math.max(1, Math.round(t.until - t.at))))
+                .header("X-Expires-In-Ms", Long.toString(Math.max(1, Math.round(t.deadlineMs - t.sentAtMs))))
                 .header(
                         "X-Customer",
                         t.tenant < 0
                                 ? null
                                 : scenario.subjects().tenants().get(t.tenant).name())
-                .header("Cookie", t.about < 0 ? null : "k=key-" + t.about)
-                .header("X-Second-Try", t.repeat && scenario.clients().marks() ? "1" : null)
-                .header("Idempotency-Key", kind.effect() == Idempotency.KEYED ? Long.toHexString(t.key) : null);
+                .header("Cookie", t.subjectKey < 0 ? null : "k=key-" + t.subjectKey)
+                .header(
+                        "X-Second-ClientAttempt",
+                        t.isRetry && scenario.clients().marksRetries() ? "1" : null)
+                .header("Idempotency-Key", kind.idempotency() == Idempotency.KEYED ? Long.toHexString(t.key) : null);
         ByteBuffer bytes = safe ? request.noBody() : request.body("{\"lines\":[]}".getBytes(StandardCharsets.US_ASCII));
         boolean[] answered = new boolean[1];
         HttpClient.Call call = fronts.get(t.sidecar).call(bytes, (answer, body) -> {
@@ -276,15 +278,15 @@
         }
     }
 
-    private void answered(Try t, ResponseParser answer, byte[] body) {
+    private void answered(ClientAttempt t, ResponseParser answer, byte[] body) {
         if (answer == null) {
-            clients.answered(t, What.UNREACHABLE, 0);
+            clients.answered(t, Type.UNREACHABLE, 0);
         } else if (answer.status() == 200) {
-            clients.answered(t, What.SERVED, madeFor(body));
+            clients.answered(t, Type.SERVED, madeFor(body));
         } else if (answer.status() == 429 || answer.status() == 503) {
-            clients.answered(t, What.REFUSED, 1000 * number(answer.headers().get("Retry-After")));
+            clients.answered(t, Type.REFUSED, 1000 * number(answer.headers().get("Retry-After")));
         } else {
-            clients.answered(t, What.FAILED, answer.status());
+            clients.answered(t, Type.FAILED, answer.status());
         }
     }
 
@@ -302,7 +304,7 @@
     }
 
     @Override
-    public void leave(Try t) {
+    public void abandon(ClientAttempt t) {
         HttpClient.Call call = calls.remove(t.id);
         if (call != null) {
             call.cancel();
--- a/emulator/src/main/java/dewplank/emulator/loopback/PeersEnd.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/PeerRelay.java
@@ -10,11 +10,11 @@
 import java.nio.channels.Selector;
 
 /**
- * The network between sidecars. Each knows another by an address of its own for it, held here; a datagram sent there comes
- * to the other one late, or not at all, from the address by which that one knows the sender. One thread waits for
+ * The network between sidecars. Each knows another by an address of its own for it, held here; a datagram sent there
+ * comes to the other one late, or not at all, from the address by which that one knows the sender. One thread waits for
  * datagrams; when and whether they go on is settled on the loop, like all else of the world.
  */
-final class PeersEnd implements AutoCloseable {
+final class PeerRelay implements AutoCloseable {
     /** The platform's bound on a datagram; a longer one is cut to one byte more, so that its receiver can tell. */
     private static final int MOST_BYTES = 256;
     /** On their way at one time; what comes beyond that is lost, as in a full buffer. */
@@ -31,7 +31,7 @@
 
     private record Pair(int from, int to) {}
 
-    PeersEnd(EventLoop loop, World world, int sidecars) throws IOException {
+    PeerRelay(EventLoop loop, World world, int sidecars) throws IOException {
         this.loop = loop;
         this.world = world;
         this.selector = Selector.open();
--- a/emulator/src/main/java/dewplank/emulator/loopback/ServerEnd.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/ServerEndpoint.java
@@ -1,7 +1,7 @@
 package dewplank.emulator.loopback;
 
+import dewplank.emulator.ClientAttempt;
 import dewplank.emulator.Server;
-import dewplank.emulator.Try;
 import dewplank.emulator.World;
 import dewplank.http.MessageWriter;
 import dewplank.http.RequestParser;
@@ -18,22 +18,23 @@
 import java.util.Set;
 
 /**
- * One model server on sockets, with an address for each sidecar. What the model's server does is done here too: it refuses
- * when its process is dead, and says nothing when its machine has gone. The system still completes connections to a silent
- * one, which no user program can prevent: there a sidecar sees a time-out where on a real network it could not connect.
+ * One model server on sockets, with an address for each sidecar. What the model's server does is done here too: it
+ * refuses when its process is dead, and says nothing when its machine has gone. The system still completes connections
+ * to a silent one, which no user program can prevent: there a sidecar sees a time-out where on a real network it could
+ * not connect.
  */
-final class ServerEnd {
+final class ServerEndpoint {
     private static final int MOST = 20_000;
 
     private final EventLoop loop;
     private final World world;
     private final Server server;
-    private final Map<Long, Try> tries;
+    private final Map<Long, ClientAttempt> tries;
     private final InetSocketAddress[] addresses;
     private final List<Listener> listeners = new ArrayList<>();
     private final Set<End> ends = new HashSet<>();
 
-    ServerEnd(EventLoop loop, World world, Server server, Map<Long, Try> tries) throws IOException {
+    ServerEndpoint(EventLoop loop, World world, Server server, Map<Long, ClientAttempt> tries) throws IOException {
         this.loop = loop;
         this.world = world;
         this.server = server;
@@ -74,9 +75,9 @@
         }
     }
 
-    private final class End extends HttpEnd {
+    private final class End extends HttpEndpoint {
         private final int sidecar;
-        private final int life = server.life();
+        private final int life = server.incarnation();
         private boolean counted;
         private double readyAt;
         private int busy;
@@ -117,7 +118,9 @@
 
         @Override
         protected boolean listens() {
-            return server.state() != Server.State.SILENT && life == server.life() && !world.cut(sidecar, server.number);
+            return server.state() != Server.State.SILENT
+                    && life == server.incarnation()
+                    && !world.cut(sidecar, server.number);
         }
 
         @Override
@@ -132,7 +135,7 @@
                         () -> reply(MessageWriter.response(up ? 200 : 503).body(new byte[0])));
                 return;
             }
-            Try t = tries.get(id(request.headers().get("X-Trace-Id")));
+            ClientAttempt t = tries.get(id(request.headers().get("X-Trace-Id")));
             request.takeBody();
             if (t == null) {
                 reply(MessageWriter.response(400).body("no client sent this\n".getBytes(StandardCharsets.US_ASCII)));
@@ -157,7 +160,7 @@
             if (limit > 0) {
                 world.later(limit, () -> {
                     if (then == idles && busy == 0 && open()) {
-                        if (world.scenario.links().notice()) {
+                        if (world.scenario.links().closeIsNoticed()) {
                             end();
                         } else {
                             stale = true;
@@ -167,7 +170,7 @@
             }
         }
 
-        private void done(Try t, Server.Reply reply, double inFlight) {
+        private void done(ClientAttempt t, Server.Reply reply, double inFlight) {
             busy--;
             idle();
             if (world.lost()) {
--- a/emulator/src/main/java/dewplank/emulator/virtualtime/EmulatedSidecar.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/EmulatedSidecar.java
@@ -22,11 +22,11 @@
 import dewplank.balancer.Event.TimerFired;
 import dewplank.balancer.Event.UpdateKind;
 import dewplank.balancer.Outcome;
-import dewplank.emulator.Note.What;
+import dewplank.emulator.ClientAttempt;
+import dewplank.emulator.EndpointDirectory;
+import dewplank.emulator.RecordedEvent.Type;
 import dewplank.emulator.Scenario;
 import dewplank.emulator.Server;
-import dewplank.emulator.ServerList;
-import dewplank.emulator.Try;
 import dewplank.emulator.World;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -43,12 +43,12 @@
 
     /** A request that the module has been told of. */
     private static final class Open {
-        final Try request;
+        final ClientAttempt request;
         final List<Call> calls = new ArrayList<>();
         int out;
         boolean over;
 
-        Open(Try request) {
+        Open(ClientAttempt request) {
             this.request = request;
         }
     }
@@ -82,7 +82,7 @@
     private final List<Action> actions = new ArrayList<>();
     private final Map<Long, Open> requests = new HashMap<>();
     private final Map<Integer, ArrayDeque<Idle>> idle = new HashMap<>();
-    private ServerList.Watch watch;
+    private EndpointDirectory.Watch watch;
     private long version;
     private int life;
     private boolean up;
@@ -103,7 +103,7 @@
         up = true;
         version = knownVersion;
         balancer = run.newBalancer(number, life);
-        world.note(What.SIDECAR_UP, null, number, -1, 0);
+        world.record(Type.SIDECAR_UP, null, number, -1, 0);
         tell(new EndpointUpdate(UpdateKind.CACHED, known));
     }
 
@@ -113,7 +113,7 @@
         }
         up = false;
         life++;
-        world.note(What.SIDECAR_KILLED, null, number, -1, 0);
+        world.record(Type.SIDECAR_KILLED, null, number, -1, 0);
         if (watch != null) {
             watch.close();
         }
@@ -129,13 +129,13 @@
                 }
             }
             if (!o.over) {
-                world.later(world.clientDelay(), () -> run.clients().answered(o.request, What.UNREACHABLE, 0));
+                world.later(world.clientDelay(), () -> run.clients().answered(o.request, Type.UNREACHABLE, 0));
             }
         }
         idle.forEach((server, connections) ->
                 connections.forEach(i -> world.servers.get(server).disconnect(i.life())));
         idle.clear();
-        List<Endpoint> known = world.list.whole();
+        List<Endpoint> known = world.list.endpoints();
         long knownVersion = world.list.version();
         world.later(backAfterMs, () -> start(known, knownVersion));
     }
@@ -159,11 +159,11 @@
 
     // ---- the client's side ----------------------------------------------------------------------------
 
-    void ask(Try t) {
+    void ask(ClientAttempt t) {
         int mine = life;
         world.later(world.clientDelay(), () -> {
             if (!up || life != mine) {
-                run.clients().answered(t, What.UNREACHABLE, 0);
+                run.clients().answered(t, Type.UNREACHABLE, 0);
                 return;
             }
             requests.put(t.id, new Open(t));
@@ -173,15 +173,15 @@
             tell(new RequestArrived(
                     t.id,
                     tenant,
-                    t.about < 0 ? null : "key-" + t.about,
-                    t.repeat && scenario.clients().marks(),
-                    scenario.classes().get(t.kind).name(),
-                    Math.max(1, t.until - world.now()),
+                    t.subjectKey < 0 ? null : "key-" + t.subjectKey,
+                    t.isRetry && scenario.clients().marksRetries(),
+                    scenario.classes().get(t.requestClass).name(),
+                    Math.max(1, t.deadlineMs - world.now()),
                     null));
         });
     }
 
-    void leave(Try t) {
+    void leave(ClientAttempt t) {
         world.later(world.clientDelay(), () -> {
             Open open = requests.get(t.id);
             if (open != null && !open.over) {
@@ -193,7 +193,7 @@
     }
 
     /** The final answer goes to the client; overridden by sidecars that are broken on purpose. */
-    protected void answer(Try t, What what, double value) {
+    protected void answer(ClientAttempt t, Type what, double value) {
         world.later(world.clientDelay(), () -> run.clients().answered(t, what, value));
     }
 
@@ -241,9 +241,9 @@
                 end(call, Outcome.CANCELLED, -1);
             }
         } else if (action instanceof Reject a) {
-            finish(a.request(), What.REFUSED, scenario.rules().retryAdvice() ? a.retryAfterMs() : 0);
+            finish(a.request(), Type.REFUSED, scenario.rules().retryAdvice() ? a.retryAfterMs() : 0);
         } else if (action instanceof Fail a) {
-            finish(a.request(), What.FAILED, 0);
+            finish(a.request(), Type.FAILED, 0);
         } else if (action instanceof SetTimer a) {
             int mine = life;
             world.later(a.delayMs(), () -> {
@@ -262,7 +262,7 @@
         }
     }
 
-    private void finish(long request, What what, double value) {
+    private void finish(long request, Type what, double value) {
         Open open = requests.get(request);
         if (open != null && !open.over) {
             open.over = true;
@@ -287,9 +287,9 @@
             watch.close();
         }
         int mine = life;
-        watch = world.list.watch(number, version, new ServerList.Watcher() {
+        watch = world.list.watch(number, version, new EndpointDirectory.Watcher() {
             @Override
-            public void told(long now, boolean full, List<Endpoint> entries) {
+            public void updated(long now, boolean full, List<Endpoint> entries) {
                 if (life == mine) {
                     version = now;
                     tell(new EndpointUpdate(full ? UpdateKind.FULL : UpdateKind.INCREMENTAL, entries));
@@ -311,7 +311,7 @@
         Open open = requests.get(a.request());
         Server server = world.byId.get(a.server());
         int attempt = open == null ? 0 : open.calls.size();
-        double left = open == null ? 0 : open.request.until - world.now();
+        double left = open == null ? 0 : open.request.deadlineMs - world.now();
         if (open == null
                 || open.over
                 || server == null
@@ -342,11 +342,11 @@
     /** An idle connection, or null. One whose end was noticed is none. */
     private Idle takeIdle(Server server) {
         ArrayDeque<Idle> own = idle.get(server.number);
-        Scenario.Links links = scenario.links();
+        Scenario.ConnectionModel links = scenario.links();
         while (own != null && !own.isEmpty()) {
             Idle last = own.removeLast();
-            boolean ended = last.life() != server.life() && !server.wentSilently(last.life())
-                    || links.notice() && world.now() - last.since() >= links.idleMs();
+            boolean ended = last.life() != server.incarnation() && !server.wentSilently(last.life())
+                    || links.closeIsNoticed() && world.now() - last.since() >= links.idleMs();
             if (!ended) {
                 return last;
             }
@@ -356,7 +356,7 @@
     }
 
     private void connect(Call call) {
-        Scenario.Links links = scenario.links();
+        Scenario.ConnectionModel links = scenario.links();
         Server server = call.server;
         handshakes++;
         if (links.connectTimeoutMs() > 0) {
@@ -375,7 +375,7 @@
             if (server.state() == Server.State.DEAD) {
                 world.later(back, () -> end(call, Outcome.CONNECT_FAILED, -1));
             } else if (server.connect()) {
-                int itsLife = server.life();
+                int itsLife = server.incarnation();
                 world.later(back + links.handshakeMs(), () -> {
                     if (call.over) {
                         server.disconnect(itsLife);
@@ -393,13 +393,13 @@
         double there = world.delay(number, server);
         double back = world.delay(number, server);
         boolean stale = reused != null
-                && (reused.life() != server.life()
+                && (reused.life() != server.incarnation()
                         || world.now() - reused.since() >= scenario.links().idleMs());
         world.later(there, () -> {
             if (call.over || server.state() == Server.State.SILENT || world.cut(number, server.number)) {
                 return; // given up before its last byte came, or lost on the way
             }
-            if (stale || call.life != server.life() || server.state() == Server.State.DEAD) {
+            if (stale || call.life != server.incarnation() || server.state() == Server.State.DEAD) {
                 world.later(back, () -> end(call, Outcome.RESET, -1));
                 return;
             }
@@ -431,14 +431,14 @@
         Open open = call.open;
         open.out--;
         boolean whole = outcome == Outcome.SERVED || outcome == Outcome.ERROR || outcome == Outcome.REJECTED;
-        if (whole && call.life == call.server.life()) {
+        if (whole && call.life == call.server.incarnation()) {
             idle.computeIfAbsent(call.server.number, n -> new ArrayDeque<>()).addLast(new Idle(call.life, world.now()));
         } else if (call.life >= 0) {
             call.server.disconnect(call.life);
         }
         if (outcome == Outcome.SERVED && !open.over) {
             open.over = true;
-            answer(open.request, What.SERVED, open.request.id);
+            answer(open.request, Type.SERVED, open.request.id);
         }
         forgetIfDone(open);
         tell(new AttemptEnded(
--- a/emulator/src/main/java/dewplank/emulator/virtualtime/VirtualRun.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/VirtualRun.java
@@ -3,12 +3,12 @@
 import dewplank.balancer.Balancer;
 import dewplank.balancer.Endpoint;
 import dewplank.balancer.Settings;
+import dewplank.emulator.ClientAttempt;
 import dewplank.emulator.Clients;
-import dewplank.emulator.Draws;
-import dewplank.emulator.Faults;
-import dewplank.emulator.Note;
+import dewplank.emulator.FaultInjector;
+import dewplank.emulator.RandomStreams;
+import dewplank.emulator.RecordedEvent;
 import dewplank.emulator.Scenario;
-import dewplank.emulator.Try;
 import dewplank.emulator.VirtualTime;
 import dewplank.emulator.World;
 import java.util.ArrayList;
@@ -20,10 +20,12 @@
  * One run in virtual time. The world is moved by one thread; the modules of one tick decide side by side, each on its
  * own state, and their actions are carried out in the sidecars' order: the result does not hang on the number of cores.
  */
-public final class VirtualRun implements Clients.Front {
+public final class VirtualRun implements Clients.SidecarConnector {
     private static final int SIDE_BY_SIDE_FROM = 8;
 
-    /** Makes the decision module under test. {@code world}: for a policy that sees the true state; no other may look. */
+    /**
+     * Makes the decision module under test. {@code world}: for a policy that sees the true state; no other may look.
+     */
     public interface Policy {
         Balancer create(Settings settings, long seed, World world, int sidecar);
     }
@@ -58,8 +60,8 @@
             Scenario scenario,
             long seed,
             Policy policy,
-            Note.Recorder recorder,
-            Clients.Tally tally,
+            RecordedEvent.Recorder recorder,
+            Clients.OutcomeListener tally,
             boolean sideBySide) {
         this(scenario, seed, policy, recorder, tally, sideBySide, EmulatedSidecar::new);
     }
@@ -68,8 +70,8 @@
             Scenario scenario,
             long seed,
             Policy policy,
-            Note.Recorder recorder,
-            Clients.Tally tally,
+            RecordedEvent.Recorder recorder,
+            Clients.OutcomeListener tally,
             boolean sideBySide,
             Sidecars maker) {
         this.scenario = scenario;
@@ -85,15 +87,15 @@
 
     /** Plays the scenario, and on until every client has its end. */
     public Cost run() {
-        List<Endpoint> known = world.list.whole();
+        List<Endpoint> known = world.list.endpoints();
         long version = world.list.version();
         sidecars.forEach(s -> s.start(known, version));
-        Faults.schedule(world, (n, back) -> sidecars.get(n).kill(back));
+        FaultInjector.schedule(world, (n, back) -> sidecars.get(n).kill(back));
         clients.start();
         double end = scenario.lengthMs();
         time.runUntil(end);
         double most = end + 2 * scenario.longestDeadlineMs() + 1_000;
-        while (clients.open() > 0 && time.now() < most) {
+        while (clients.openRequests() > 0 && time.now() < most) {
             time.runUntil(time.now() + 50);
         }
         time.runUntil(time.now() + scenario.longestDeadlineMs()); // what servers still hold may yet have an effect
@@ -121,16 +123,19 @@
 
     Balancer newBalancer(int sidecar, int life) {
         return policy.create(
-                scenario.settings(sidecar), Draws.mix(seed ^ Draws.mix(sidecar * 1_000L + life)), world, sidecar);
+                scenario.settings(sidecar),
+                RandomStreams.mix(seed ^ RandomStreams.mix(sidecar * 1_000L + life)),
+                world,
+                sidecar);
     }
 
     @Override
-    public void ask(Try request) {
+    public void send(ClientAttempt request) {
         sidecars.get(request.sidecar).ask(request);
     }
 
     @Override
-    public void leave(Try request) {
+    public void abandon(ClientAttempt request) {
         sidecars.get(request.sidecar).leave(request);
     }
 
--- a/emulator/src/test/java/dewplank/emulator/ServerListTest.java
+++ b/emulator/src/test/java/dewplank/emulator/EndpointDirectoryTest.java
@@ -5,14 +5,14 @@
 
 import dewplank.balancer.Endpoint;
 import dewplank.balancer.Endpoint.Availability;
-import dewplank.emulator.Note.What;
+import dewplank.emulator.RecordedEvent.Type;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.Test;
 
-public class ServerListTest {
+public class EndpointDirectoryTest {
     private final VirtualTime time = new VirtualTime();
-    private final List<Note> notes = new ArrayList<>();
+    private final List<RecordedEvent> notes = new ArrayList<>();
     private final List<String> heard = new ArrayList<>();
     private World world;
 
@@ -38,10 +38,10 @@
                 notes::add);
     }
 
-    private ServerList.Watch watch(long since) {
-        return world.list.watch(0, since, new ServerList.Watcher() {
+    private EndpointDirectory.Watch watch(long since) {
+        return world.list.watch(0, since, new EndpointDirectory.Watcher() {
             @Override
-            public void told(long version, boolean full, List<Endpoint> entries) {
+            public void updated(long version, boolean full, List<Endpoint> entries) {
                 heard.add((full ? "full " : "changes ") + entries.size());
             }
 
@@ -58,10 +58,10 @@
         watch(world.list.version());
         Server quick = world.servers.get(0);
         Server lost = world.servers.get(1);
-        quick.die();
+        quick.crash();
         world.serverDied(quick);
         world.restart(quick, 100);
-        lost.die();
+        lost.crash();
         world.serverDied(lost);
         time.runUntil(900);
         assertEquals(List.of("changes 0", "changes 1"), heard); // the quick one's new start
@@ -70,7 +70,7 @@
         assertEquals(
                 1,
                 notes.stream()
-                        .filter(n -> n.what() == What.TOLD_GONE && n.server() == 1)
+                        .filter(n -> n.type() == Type.NOTIFIED_REMOVED && n.server() == 1)
                         .count());
     }
 
