--- a/emulator/src/test/java/dewplank/emulator/ServerTest.java
+++ b/emulator/src/test/java/dewplank/emulator/ServerTest.java
@@ -3,7 +3,7 @@
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
 
-import dewplank.emulator.Note.What;
+import dewplank.emulator.RecordedEvent.Type;
 import dewplank.emulator.Server.Reply;
 import java.util.ArrayList;
 import java.util.List;
@@ -12,7 +12,7 @@
 
 public class ServerTest {
     private final VirtualTime time = new VirtualTime();
-    private final List<Note> notes = new ArrayList<>();
+    private final List<RecordedEvent> notes = new ArrayList<>();
     private final List<Reply> replies = new ArrayList<>();
     private final List<Double> times = new ArrayList<>();
 
@@ -48,18 +48,20 @@
 
     private void offer(World world, long id, double work) {
         double at = world.now();
-        world.servers.get(0).offer(new Try(id, 0, id, work, 0, false, at, at + 60_000, null), 0, (reply, load) -> {
-            replies.add(reply);
-            times.add(world.now() - at);
-        });
+        world.servers
+                .get(0)
+                .offer(new ClientAttempt(id, 0, id, work, 0, false, at, at + 60_000, null), 0, (reply, load) -> {
+                    replies.add(reply);
+                    times.add(world.now() - at);
+                });
     }
 
     /** Mean response of M/M/1 under processor sharing: work / (1 - load); here 100 / (1 - 0.6). */
     @Test
     public void sharedProcessorsTakeAsLongAsTheorySays() {
         World world = world("error_rate = 0");
-        DoubleSupplier gap = Draws.exponential(world.draws.stream("gap", 0));
-        DoubleSupplier work = Draws.exponential(world.draws.stream("work", 0));
+        DoubleSupplier gap = RandomStreams.exponential(world.draws.stream("gap", 0));
+        DoubleSupplier work = RandomStreams.exponential(world.draws.stream("work", 0));
         double at = 0;
         for (int i = 0; i < 60_000; i++) {
             at += gap.getAsDouble() * 100 / 0.6;
@@ -79,28 +81,28 @@
             offer(world, i, 100);
         }
         assertEquals(List.of(Reply.NEVER_RAN, Reply.NEVER_RAN, Reply.NEVER_RAN), replies);
-        assertEquals(3, notes.stream().filter(n -> n.what() == What.TURNED_AWAY).count());
+        assertEquals(3, notes.stream().filter(n -> n.type() == Type.REJECTED).count());
     }
 
     @Test
     public void aProcessThatDiesResetsAndASilentMachineSaysNothing() {
         World world = world("cold_s = 0");
         offer(world, 1, 100);
-        world.servers.get(0).die();
+        world.servers.get(0).crash();
         assertEquals(List.of(Reply.RESET), replies);
         world.servers.get(0).start();
         offer(world, 2, 100);
         world.servers.get(0).vanish();
         time.runUntil(10_000);
         assertEquals(List.of(Reply.RESET), replies);
-        assertEquals(0, notes.stream().filter(n -> n.what() == What.EFFECT).count());
+        assertEquals(0, notes.stream().filter(n -> n.type() == Type.EFFECT).count());
     }
 
     @Test
     public void aColdServerTakesLongerAndFallsUnderTooMuch() {
         World world = world("cold_s = 20, cold_share = 0.25");
         Server server = world.servers.get(0);
-        server.die();
+        server.crash();
         server.start();
         offer(world, 1, 100);
         time.runUntil(5_000);
@@ -109,7 +111,8 @@
             offer(world, i, 100);
         }
         assertEquals(Server.State.DEAD, server.state());
-        assertEquals(1, notes.stream().filter(n -> n.what() == What.SERVER_FELL).count());
+        assertEquals(
+                1, notes.stream().filter(n -> n.type() == Type.SERVER_COLLAPSED).count());
     }
 
     @Test
@@ -136,7 +139,7 @@
             offer(world, i, 1);
         }
         time.runUntil(15);
-        assertEquals(10, world.servers.get(0).held());
+        assertEquals(10, world.servers.get(0).requestsInFlight());
         offer(world, 11, 1);
         time.runUntil(20);
         assertEquals(0, world.servers.get(0).backlog(), 1e-6);
@@ -162,7 +165,7 @@
         world.servers
                 .get(0)
                 .offer(
-                        new Try(id, 0, id, 100, 0, false, at, at + 60_000, null, -1, about),
+                        new ClientAttempt(id, 0, id, 100, 0, false, at, at + 60_000, null, -1, about),
                         0,
                         (reply, load) -> took[0] = world.now() - at);
         time.runUntil(at + 1_000);
--- a/emulator/src/test/java/dewplank/emulator/fleet/FleetAuditorTest.java
+++ b/emulator/src/test/java/dewplank/emulator/fleet/FleetAuditorTest.java
@@ -4,22 +4,22 @@
 
 import dewplank.emulator.fleet.FleetEvent.Answered;
 import dewplank.emulator.fleet.FleetEvent.Arrived;
+import dewplank.emulator.fleet.FleetEvent.AttemptEnded;
+import dewplank.emulator.fleet.FleetEvent.AttemptSent;
 import dewplank.emulator.fleet.FleetEvent.ChangeAnswered;
 import dewplank.emulator.fleet.FleetEvent.ChangeSent;
-import dewplank.emulator.fleet.FleetEvent.Emitted;
-import dewplank.emulator.fleet.FleetEvent.HandleMade;
-import dewplank.emulator.fleet.FleetEvent.HandleTaken;
-import dewplank.emulator.fleet.FleetEvent.ListCalled;
-import dewplank.emulator.fleet.FleetEvent.Piece;
-import dewplank.emulator.fleet.FleetEvent.Ran;
+import dewplank.emulator.fleet.FleetEvent.EndpointListRequested;
+import dewplank.emulator.fleet.FleetEvent.HandleCreated;
+import dewplank.emulator.fleet.FleetEvent.HandleFetched;
+import dewplank.emulator.fleet.FleetEvent.ListedDraining;
+import dewplank.emulator.fleet.FleetEvent.ProcessFault;
+import dewplank.emulator.fleet.FleetEvent.ProcessFaulted;
 import dewplank.emulator.fleet.FleetEvent.ReadBack;
-import dewplank.emulator.fleet.FleetEvent.ShownDraining;
+import dewplank.emulator.fleet.FleetEvent.RunRejected;
+import dewplank.emulator.fleet.FleetEvent.RunStarted;
 import dewplank.emulator.fleet.FleetEvent.StreamBegun;
-import dewplank.emulator.fleet.FleetEvent.Trouble;
-import dewplank.emulator.fleet.FleetEvent.Troubled;
-import dewplank.emulator.fleet.FleetEvent.TryEnded;
-import dewplank.emulator.fleet.FleetEvent.TrySent;
-import dewplank.emulator.fleet.FleetEvent.TurnedAway;
+import dewplank.emulator.fleet.FleetEvent.StreamBytes;
+import dewplank.emulator.fleet.FleetEvent.StreamEventSent;
 import dewplank.emulator.fleet.Violation.Rule;
 import java.util.ArrayList;
 import java.util.List;
@@ -61,17 +61,17 @@
     }
 
     private void sent(double at, String id, ClientRequest request) {
-        events.add(new TrySent(at, "edge", id, request));
+        events.add(new AttemptSent(at, "edge", id, request));
     }
 
     private void ran(double at, ServerIdentity server, String id, ClientRequest r) {
         events.add(new Arrived(at, server, id, false, r.method(), r.target(), r.body()));
-        events.add(new Ran(at, server, id));
+        events.add(new RunStarted(at, server, id));
     }
 
     private void answered(double at, String id, String seal, String body, String received) {
         events.add(new Answered(at, SERVER, id, 200, seal, body));
-        events.add(new TryEnded(at, id, 200, seal, received, true, false));
+        events.add(new AttemptEnded(at, id, 200, seal, received, true, false));
     }
 
     private void served(double at, ServerIdentity server, String id, ClientRequest request) {
@@ -86,12 +86,12 @@
         ran(1, MODEL, id, request);
         events.add(new StreamBegun(1, MODEL, id, "seal"));
         for (int i = 1; i <= emitted; i++) {
-            events.add(new Emitted(1, MODEL, id, i, StreamEvents.text(id, i)));
+            events.add(new StreamEventSent(1, MODEL, id, i, StreamEvents.text(id, i)));
         }
         for (String seal : seals) {
-            events.add(new Piece(1, id, 200, seal, received));
+            events.add(new StreamBytes(1, id, 200, seal, received));
         }
-        events.add(new TryEnded(2, id, 200, "seal", received, whole, false));
+        events.add(new AttemptEnded(2, id, 200, "seal", received, whole, false));
     }
 
     @Test
@@ -99,10 +99,10 @@
         served(1, SERVER, "a", ClientRequest.plain(WRITE, "x"));
         stream("b", 3, StreamEvents.all("b", 3), true, "seal", "seal");
         events.add(new ReadBack(5, 4, "core", FIRST.json().toString()));
-        events.add(new ListCalled(1, "core-0", 200));
-        events.add(new ListCalled(2, "core-1", 200));
-        events.add(new ListCalled(100, "core-0", 200));
-        events.add(new ListCalled(900, "core-1", 200));
+        events.add(new EndpointListRequested(1, "core-0", 200));
+        events.add(new EndpointListRequested(2, "core-1", 200));
+        events.add(new EndpointListRequested(100, "core-0", 200));
+        events.add(new EndpointListRequested(900, "core-1", 200));
         assertBroken();
     }
 
@@ -122,7 +122,7 @@
     void aRunBehindARefusalIsFound() {
         ClientRequest write = ClientRequest.plain(WRITE, "x");
         sent(1, "a", write);
-        events.add(new TryEnded(2, "a", 503, null, "", true, false));
+        events.add(new AttemptEnded(2, "a", 503, null, "", true, false));
         assertBroken();
         ran(3, SERVER, "a", write);
         assertBroken(Rule.REFUSED);
@@ -140,7 +140,7 @@
     @Test
     void aSuccessWithoutSealIsFound() {
         sent(1, "a", ClientRequest.plain(WRITE, "x"));
-        events.add(new TryEnded(2, "a", 200, null, "body", true, false));
+        events.add(new AttemptEnded(2, "a", 200, null, "body", true, false));
         assertBroken(Rule.MIXED);
     }
 
@@ -177,17 +177,17 @@
 
     @Test
     void aHandleTakenTwiceOrForAnotherIsFound() {
-        events.add(new HandleMade(1, MODEL, "h", "a"));
-        events.add(new HandleTaken(2, "h", "a"));
+        events.add(new HandleCreated(1, MODEL, "h", "a"));
+        events.add(new HandleFetched(2, "h", "a"));
         assertBroken();
-        events.add(new HandleTaken(3, "h", "a"));
+        events.add(new HandleFetched(3, "h", "a"));
         assertBroken(Rule.HANDLE);
     }
 
     @Test
     void aHandleTakenForAnotherRequestIsFound() {
-        events.add(new HandleMade(1, MODEL, "h", "a"));
-        events.add(new HandleTaken(2, "h", "b"));
+        events.add(new HandleCreated(1, MODEL, "h", "a"));
+        events.add(new HandleFetched(2, "h", "b"));
         assertBroken(Rule.HANDLE);
     }
 
@@ -209,12 +209,12 @@
 
     @Test
     void aRequestThatReachesADrainingServerLateIsFound() {
-        events.add(new ShownDraining(1, SERVER));
+        events.add(new ListedDraining(1, SERVER));
         served(1 + FleetBounds.DRAIN_MS, SERVER, "a", ClientRequest.plain(WRITE, "x"));
         ClientRequest meantForAnother = ClientRequest.plain(WRITE, "y");
         sent(LATE, "b", meantForAnother);
         events.add(new Arrived(LATE, SERVER, "b", false, "POST", meantForAnother.target(), meantForAnother.body()));
-        events.add(new TurnedAway(LATE, SERVER, "b", 421));
+        events.add(new RunRejected(LATE, SERVER, "b", 421));
         assertBroken();
         served(2 + FleetBounds.DRAIN_MS, SERVER, "c", ClientRequest.plain(WRITE, "x"));
         assertBroken(Rule.DRAIN);
@@ -255,32 +255,32 @@
         assertBroken();
         served(LATE, SERVER, "b", ClientRequest.plain(WRITE, "x"));
         assertBroken(Rule.STALE);
-        events.add(new Troubled(2, "core-0", true, Trouble.KILLED));
+        events.add(new ProcessFaulted(2, "core-0", true, ProcessFault.KILLED));
         assertBroken();
     }
 
     @Test
     void aRouteThatIsNotFoundLongAfterItWasAddedIsFound() {
         sent(LATE, "a", ClientRequest.plain(READ, "x"));
-        events.add(new TryEnded(LATE, "a", 404, null, "", true, false));
+        events.add(new AttemptEnded(LATE, "a", 404, null, "", true, false));
         assertBroken(Rule.STALE);
     }
 
     @Test
     void callersThatTakeTurnsAtThePlatformAreFound() {
-        events.add(new ListCalled(1, "core-0", 200));
-        events.add(new ListCalled(2, "core-1", 200));
-        events.add(new ListCalled(900, "core-0", 200));
+        events.add(new EndpointListRequested(1, "core-0", 200));
+        events.add(new EndpointListRequested(2, "core-1", 200));
+        events.add(new EndpointListRequested(900, "core-0", 200));
         assertBroken(Rule.ONE);
     }
 
     @Test
     void oneThatWasJustThawedIsNoSecondCaller() {
-        events.add(new ListCalled(1, "core-0", 200));
-        events.add(new ListCalled(1_500, "core-1", 200));
-        events.add(new Troubled(2_400, "core-0", true, Trouble.THAWED));
-        events.add(new ListCalled(2_450, "core-0", 200));
-        events.add(new ListCalled(2_500, "core-1", 200));
+        events.add(new EndpointListRequested(1, "core-0", 200));
+        events.add(new EndpointListRequested(1_500, "core-1", 200));
+        events.add(new ProcessFaulted(2_400, "core-0", true, ProcessFault.THAWED));
+        events.add(new EndpointListRequested(2_450, "core-0", 200));
+        events.add(new EndpointListRequested(2_500, "core-1", 200));
         assertBroken();
     }
 }
--- a/emulator/src/test/java/dewplank/emulator/loopback/LoopbackTest.java
+++ b/emulator/src/test/java/dewplank/emulator/loopback/LoopbackTest.java
@@ -6,7 +6,7 @@
 import static org.junit.Assert.assertTrue;
 
 import dewplank.emulator.Clients;
-import dewplank.emulator.Note;
+import dewplank.emulator.RecordedEvent;
 import dewplank.emulator.ScenarioFile;
 import dewplank.emulator.World;
 import dewplank.http.MessageWriter;
@@ -38,7 +38,7 @@
         loop.stop();
     }
 
-    private InetSocketAddress listen(java.util.function.Supplier<HttpEnd> ends) throws Exception {
+    private InetSocketAddress listen(java.util.function.Supplier<HttpEndpoint> ends) throws Exception {
         Listener listener = new Listener(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 100, ends);
         loop.execute(listener::accept);
         return (InetSocketAddress) listener.address();
@@ -84,7 +84,7 @@
         int[] requests = new int[1];
         HttpClient client = new HttpClient(
                 loop,
-                listen(() -> new HttpEnd() {
+                listen(() -> new HttpEndpoint() {
                     private int mine;
 
                     @Override
@@ -113,7 +113,7 @@
         CountDownLatch second = new CountDownLatch(2);
         HttpClient client = new HttpClient(
                 loop,
-                listen(() -> new HttpEnd() {
+                listen(() -> new HttpEndpoint() {
                     @Override
                     protected void request(dewplank.http.RequestParser request) {
                         held.add(() -> answer(MessageWriter.response(200).body(new byte[0])));
@@ -143,12 +143,12 @@
         try (LoopbackRun run =
                 new LoopbackRun(ScenarioFile.named("try"), 1, List.of("false"), new LoopbackRun.Observer() {
                     @Override
-                    public Clients.Tally begin(World world) {
+                    public Clients.OutcomeListener begin(World world) {
                         throw new AssertionError("it must not begin");
                     }
 
                     @Override
-                    public void record(Note note) {}
+                    public void record(RecordedEvent note) {}
                 })) {
             String message = assertThrows(IllegalStateException.class, run::run).getMessage();
             assertTrue(message, message.startsWith("sidecar 0 did not become ready; the sidecars' logs are in "));
--- a/lab/src/main/java/dewplank/lab/Auditor.java
+++ b/lab/src/main/java/dewplank/lab/Auditor.java
@@ -2,10 +2,10 @@
 
 import dewplank.balancer.Settings.DeduplicationScope;
 import dewplank.balancer.Settings.Idempotency;
-import dewplank.emulator.Note;
-import dewplank.emulator.Note.What;
+import dewplank.emulator.RecordedEvent;
+import dewplank.emulator.RecordedEvent.Type;
 import dewplank.emulator.Scenario;
-import dewplank.emulator.Scenario.Kind;
+import dewplank.emulator.Scenario.RequestKind;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.EnumMap;
@@ -20,7 +20,7 @@
  * and nothing of a sidecar's own words. Notes come in the order of their times; of an old request that has ended it
  * keeps nothing, so a run may be of any length.
  */
-public final class Auditor implements Note.Recorder {
+public final class Auditor implements RecordedEvent.Recorder {
 
     /** What was broken. */
     public enum Rule {
@@ -46,9 +46,9 @@
     private static final double TOLD_PART = 2.0 / 3;
 
     /** One try of a client's, as all parties saw it. */
-    private static final class Life {
-        final Note asked;
-        final List<Note> notes = new ArrayList<>(8);
+    private static final class Incarnation {
+        final RecordedEvent asked;
+        final List<RecordedEvent> notes = new ArrayList<>(8);
         final Map<Integer, Integer> received = new HashMap<>(4); // by server; those turned away are taken off
         double firstRunAt = Double.NaN;
         int firstServer = -1;
@@ -59,28 +59,28 @@
         boolean refused;
         boolean everReceived;
 
-        Life(Note asked) {
+        Incarnation(RecordedEvent asked) {
             this.asked = asked;
             notes.add(asked);
         }
     }
 
-    private record Push(double at, double work, boolean told) {}
+    private record OfferedWork(double at, double work, boolean knownCold) {}
 
     private final Scenario scenario;
     private final double slackMs;
     private final int[] zoneOf;
-    private final Map<Long, Life> lives = new HashMap<>();
-    private final ArrayDeque<Life> byAge = new ArrayDeque<>();
+    private final Map<Long, Incarnation> lives = new HashMap<>();
+    private final ArrayDeque<Incarnation> byAge = new ArrayDeque<>();
     private final Map<Long, Double> toldGone = new HashMap<>();
     private final Map<Long, Double> toldStart = new HashMap<>();
     private final Map<Integer, Double> startedAt = new HashMap<>();
-    private final Map<Integer, ArrayDeque<Push>> pushes = new HashMap<>();
+    private final Map<Integer, ArrayDeque<OfferedWork>> pushes = new HashMap<>();
     private final Map<Integer, Double> sidecarDownAt = new HashMap<>();
     private final Map<Integer, Double> sidecarUpAt = new HashMap<>();
     private final Map<Rule, Integer> counts = new EnumMap<>(Rule.class);
-    private final List<Violation> kept = new ArrayList<>();
-    private long asked;
+    private final List<Violation> retainedViolations = new ArrayList<>();
+    private long requestsSent;
 
     /** {@code slackMs}: how much later than told or sent a record may be, by the way that messages take. */
     public Auditor(Scenario scenario, double slackMs) {
@@ -92,8 +92,8 @@
         }
     }
 
-    public long asked() {
-        return asked;
+    public long requestsSent() {
+        return requestsSent;
     }
 
     public int violations() {
@@ -105,56 +105,56 @@
     }
 
     /** The first ones, with their time lines. */
-    public List<Violation> kept() {
-        return kept;
+    public List<Violation> retainedViolations() {
+        return retainedViolations;
     }
 
     public String verdict() {
         return counts.isEmpty()
-                ? "kept all rules (" + asked + " requests)"
+                ? "kept all rules (" + requestsSent + " requests)"
                 : counts.entrySet().stream()
                         .map(e -> e.getKey().name().toLowerCase(Locale.ROOT).replace('_', ' ') + ": " + e.getValue())
                         .collect(Collectors.joining(", ", "broken: ", ""));
     }
 
     @Override
-    public void record(Note n) {
-        switch (n.what()) {
-            case ASKED -> ask(n);
-            case SERVED, REFUSED, FAILED, UNREACHABLE, LEFT -> answer(n);
+    public void record(RecordedEvent n) {
+        switch (n.type()) {
+            case SENT -> ask(n);
+            case SERVED, REFUSED, FAILED, UNREACHABLE, ABANDONED -> answer(n);
             case RECEIVED -> received(n);
-            case TURNED_AWAY -> turnedAway(n);
-            case BEGUN, DROPPED -> on(n);
+            case REJECTED -> turnedAway(n);
+            case STARTED, DEDUPLICATED -> on(n);
             case EFFECT -> effect(n);
-            case TOLD_DRAINING, TOLD_GONE -> toldGone.putIfAbsent(pair(n), n.at());
-            case TOLD_UP -> {
+            case NOTIFIED_DRAINING, NOTIFIED_REMOVED -> toldGone.putIfAbsent(pair(n), n.atMs());
+            case NOTIFIED_UP -> {
                 toldGone.remove(pair(n));
                 toldStart.put(pair(n), n.value());
             }
-            case SIDECAR_KILLED -> sidecarDownAt.put(n.sidecar(), n.at());
+            case SIDECAR_KILLED -> sidecarDownAt.put(n.sidecar(), n.atMs());
             case SIDECAR_UP -> sidecarUp(n);
             case SERVER_STARTED -> {
-                startedAt.put(n.server(), n.at());
+                startedAt.put(n.server(), n.atMs());
                 pushes.put(n.server(), new ArrayDeque<>());
             }
             case SERVER_DOWN -> {}
-            case SERVER_FELL -> fell(n);
+            case SERVER_COLLAPSED -> fell(n);
         }
     }
 
     /** A new process was told nothing yet; it has its list from where it was kept, and is told anew. */
-    private void sidecarUp(Note n) {
-        sidecarUpAt.put(n.sidecar(), n.at());
+    private void sidecarUp(RecordedEvent n) {
+        sidecarUpAt.put(n.sidecar(), n.atMs());
         toldGone.keySet().removeIf(k -> k >>> 32 == n.sidecar());
         toldStart.keySet().removeIf(k -> k >>> 32 == n.sidecar());
     }
 
-    private static long pair(Note n) {
+    private static long pair(RecordedEvent n) {
         return (long) n.sidecar() << 32 | n.server();
     }
 
-    private Life on(Note n) {
-        Life life = lives.get(n.request());
+    private Incarnation on(RecordedEvent n) {
+        Incarnation life = lives.get(n.request());
         if (life != null) {
             life.notes.add(n);
         }
@@ -163,18 +163,18 @@
 
     // ---- one final answer, in time --------------------------------------------------------------------
 
-    private void ask(Note n) {
-        asked++;
-        Life life = new Life(n);
+    private void ask(RecordedEvent n) {
+        requestsSent++;
+        Incarnation life = new Incarnation(n);
         lives.put(n.request(), life);
         byAge.addLast(life);
-        double before = n.at() - scenario.longestDeadlineMs() - REMEMBER_MS;
-        while (byAge.peekFirst().asked.at() < before) {
+        double before = n.atMs() - scenario.longestDeadlineMs() - REMEMBER_MS;
+        while (byAge.peekFirst().asked.atMs() < before) {
             forget(byAge.removeFirst());
         }
     }
 
-    private void forget(Life life) {
+    private void forget(Incarnation life) {
         lives.remove(life.asked.request());
         if (life.answers == 0) {
             broken(Rule.NOT_ANSWERED, life, life.asked, "nobody heard of it again");
@@ -183,20 +183,20 @@
 
     /** At the end of a run: whoever still waits was not answered. */
     public void end(double now) {
-        for (Life life : byAge) {
+        for (Incarnation life : byAge) {
             if (life.answers == 0 && life.asked.value() < now) {
                 broken(Rule.NOT_ANSWERED, life, life.asked, "nobody heard of it again");
             }
         }
     }
 
-    private void answer(Note n) {
-        Life life = on(n);
+    private void answer(RecordedEvent n) {
+        Incarnation life = on(n);
         if (life == null) {
             return;
         }
         life.answers++;
-        boolean whole = n.what() != What.LEFT && n.what() != What.UNREACHABLE;
+        boolean whole = n.type() != Type.ABANDONED && n.type() != Type.UNREACHABLE;
         if (whole && ++life.finals > 1) {
             broken(Rule.ANSWERED_TWICE, life, n, "it had an answer before");
         }
@@ -204,35 +204,35 @@
             return; // one that was on its way when the client left
         }
         double until = life.asked.value() + scenario.rules().answerSlackMs() + slackMs;
-        switch (n.what()) {
-            case LEFT -> {
+        switch (n.type()) {
+            case ABANDONED -> {
                 if (n.value() == 0) {
                     broken(Rule.NOT_ANSWERED, life, n, "the client waited for its whole time");
                 }
             }
             case UNREACHABLE -> {
-                if (!downBetween(n.sidecar(), life.asked.at() - slackMs, n.at())) {
+                if (!downBetween(n.sidecar(), life.asked.atMs() - slackMs, n.atMs())) {
                     broken(Rule.LOST, life, n, "its sidecar was up all the time");
                 }
             }
             default -> {
-                if (n.at() > until) {
+                if (n.atMs() > until) {
                     broken(
                             Rule.ANSWERED_LATE,
                             life,
                             n,
-                            "%.0f ms after its time".formatted(n.at() - life.asked.value()));
+                            "%.0f ms after its time".formatted(n.atMs() - life.asked.value()));
                 }
             }
         }
-        if (n.what() == What.SERVED && (n.value() != n.request() || !life.everReceived)) {
+        if (n.type() == Type.SERVED && (n.value() != n.request() || !life.everReceived)) {
             broken(
                     Rule.WRONG_ANSWER,
                     life,
                     n,
                     life.everReceived ? "the answer was made for another request" : "no server ever had it");
         }
-        if (n.what() == What.REFUSED) {
+        if (n.type() == Type.REFUSED) {
             life.refused = true;
             if (life.ran > 0 && !mayRefuseAfterRun(life)) {
                 broken(Rule.REFUSED_AFTER_RUN, life, n, "server " + life.firstServer + " had it");
@@ -246,36 +246,36 @@
         return up == null || down != null && down <= to && (up < down || up + slackMs >= from);
     }
 
-    private boolean mayRefuseAfterRun(Life life) {
-        Kind kind = kind(life);
-        return kind.effect() == Idempotency.SAFE
-                || kind.effect() == Idempotency.KEYED && kind.scope() == DeduplicationScope.ALL;
+    private boolean mayRefuseAfterRun(Incarnation life) {
+        RequestKind kind = kind(life);
+        return kind.idempotency() == Idempotency.SAFE
+                || kind.idempotency() == Idempotency.KEYED && kind.scope() == DeduplicationScope.ALL;
     }
 
-    private Kind kind(Life life) {
-        return scenario.classes().get(life.asked.kind());
+    private RequestKind kind(Incarnation life) {
+        return scenario.classes().get(life.asked.requestClass());
     }
 
     // ---- no double effect -----------------------------------------------------------------------------
 
-    private void received(Note n) {
+    private void received(RecordedEvent n) {
         pushed(n);
         Double told = toldGone.get(pair(n));
-        Life life = on(n);
-        if (told != null && n.at() - told > scenario.rules().drainMs() + slackMs) {
-            broken(Rule.SENT_TO_DRAINED, life, n, "its sidecar was told %.0f ms before".formatted(n.at() - told));
+        Incarnation life = on(n);
+        if (told != null && n.atMs() - told > scenario.rules().drainMs() + slackMs) {
+            broken(Rule.SENT_TO_DRAINED, life, n, "its sidecar was told %.0f ms before".formatted(n.atMs() - told));
         }
         if (life == null) {
             return;
         }
         life.everReceived = true;
-        Kind kind = kind(life);
-        if (life.ran > 0 && kind.effect() == Idempotency.UNSAFE) {
+        RequestKind kind = kind(life);
+        if (life.ran > 0 && kind.idempotency() == Idempotency.UNSAFE) {
             broken(Rule.SENT_TWICE, life, n, "server " + life.firstServer + " had it, and it may have run");
         }
-        if (life.ran > 0 && kind.effect() == Idempotency.KEYED) {
-            if (n.at() - life.firstRunAt > kind.windowMs() + slackMs) {
-                broken(Rule.KEYED_TOO_LATE, life, n, "%.0f ms after the first".formatted(n.at() - life.firstRunAt));
+        if (life.ran > 0 && kind.idempotency() == Idempotency.KEYED) {
+            if (n.atMs() - life.firstRunAt > kind.windowMs() + slackMs) {
+                broken(Rule.KEYED_TOO_LATE, life, n, "%.0f ms after the first".formatted(n.atMs() - life.firstRunAt));
             }
             if (group(kind, n.server()) != group(kind, life.firstServer)) {
                 broken(Rule.KEYED_ELSEWHERE, life, n, "server " + life.firstServer + " had it, in another group");
@@ -285,12 +285,12 @@
             broken(Rule.REFUSED_AFTER_RUN, life, n, "the client had been told that it never ran");
         }
         if (life.ran++ == 0) {
-            life.firstRunAt = n.at();
+            life.firstRunAt = n.atMs();
             life.firstServer = n.server();
         }
     }
 
-    private int group(Kind kind, int server) {
+    private int group(RequestKind kind, int server) {
         return switch (kind.scope()) {
             case ALL -> 0;
             case ZONE -> zoneOf[server];
@@ -298,61 +298,65 @@
         };
     }
 
-    private void turnedAway(Note n) {
-        Life life = on(n);
+    private void turnedAway(RecordedEvent n) {
+        Incarnation life = on(n);
         if (life != null && --life.ran == 0) {
             life.firstRunAt = Double.NaN;
             life.firstServer = -1;
         }
     }
 
-    private void effect(Note n) {
-        Life life = on(n);
-        if (life != null && ++life.effects > 1 && kind(life).effect() != Idempotency.SAFE) {
+    private void effect(RecordedEvent n) {
+        Incarnation life = on(n);
+        if (life != null && ++life.effects > 1 && kind(life).idempotency() != Idempotency.SAFE) {
             broken(Rule.EFFECT_TWICE, life, n, "its effect had taken place before");
         }
     }
 
     // ---- cold servers ---------------------------------------------------------------------------------
 
-    private void pushed(Note n) {
-        ArrayDeque<Push> own = pushes.get(n.server());
+    private void pushed(RecordedEvent n) {
+        ArrayDeque<OfferedWork> own = pushes.get(n.server());
         if (own == null) {
             return;
         }
         Double start = toldStart.get(pair(n));
-        own.addLast(new Push(n.at(), n.value(), start != null && start >= startedAt.get(n.server()) - slackMs));
-        while (own.peekFirst().at() < n.at() - scenario.rules().fallMs()) {
+        own.addLast(
+                new OfferedWork(n.atMs(), n.value(), start != null && start >= startedAt.get(n.server()) - slackMs));
+        while (own.peekFirst().at() < n.atMs() - scenario.rules().collapseWindowMs()) {
             own.removeFirst();
         }
-        if (n.at() - startedAt.get(n.server()) > scenario.rules().coldMs()) {
+        if (n.atMs() - startedAt.get(n.server()) > scenario.rules().warmUpMs()) {
             pushes.remove(n.server());
         }
     }
 
     /** Its own record says that it broke down cold; the fault is the sidecars' if most came from those who knew. */
-    private void fell(Note n) {
-        ArrayDeque<Push> own = pushes.getOrDefault(n.server(), new ArrayDeque<>());
-        double all = own.stream().mapToDouble(Push::work).sum();
-        double told = own.stream().filter(Push::told).mapToDouble(Push::work).sum();
+    private void fell(RecordedEvent n) {
+        ArrayDeque<OfferedWork> own = pushes.getOrDefault(n.server(), new ArrayDeque<>());
+        double all = own.stream().mapToDouble(OfferedWork::work).sum();
+        double told = own.stream()
+                .filter(OfferedWork::knownCold)
+                .mapToDouble(OfferedWork::work)
+                .sum();
         if (all > 0 && told >= TOLD_PART * all) {
             broken(
                     Rule.COLD_PUSHED_OVER,
                     null,
                     n,
                     "server %d got %.0f ms of work in %.1f s, %.0f %% from those told"
-                            .formatted(n.server(), all, scenario.rules().fallMs() / 1000, 100 * told / all));
+                            .formatted(n.server(), all, scenario.rules().collapseWindowMs() / 1000, 100 * told / all));
         }
     }
 
     // ---- findings -------------------------------------------------------------------------------------
 
-    private void broken(Rule rule, Life life, Note n, String what) {
+    private void broken(Rule rule, Incarnation life, RecordedEvent n, String what) {
         counts.merge(rule, 1, Integer::sum);
-        if (kept.size() < KEPT) {
-            kept.add(new Violation(
+        if (retainedViolations.size() < KEPT) {
+            retainedViolations.add(new Violation(
                     rule,
-                    n.at(),
+                    n.atMs(),
                     n.request(),
                     what,
                     life == null
@@ -361,12 +365,12 @@
         }
     }
 
-    private static String line(Note n) {
+    private static String line(RecordedEvent n) {
         StringBuilder text = new StringBuilder(String.format(
                 Locale.ROOT,
                 "%12.3f  %-13s",
-                n.at(),
-                n.what().name().toLowerCase(Locale.ROOT).replace('_', ' ')));
+                n.atMs(),
+                n.type().name().toLowerCase(Locale.ROOT).replace('_', ' ')));
         if (n.request() >= 0) {
             text.append(" request ").append(n.request());
         }
--- a/lab/src/main/java/dewplank/lab/Comparison.java
+++ b/lab/src/main/java/dewplank/lab/Comparison.java
@@ -9,12 +9,12 @@
 import java.util.Set;
 
 /**
- * Two sets of runs over the same worlds, paired by scenario, parameters and seed: the difference is taken run by run, so
- * that what the seeds alone do to a figure cancels.
+ * Two sets of runs over the same worlds, paired by scenario, parameters and seed: the difference is taken run by run,
+ * so that what the seeds alone do to a figure cancels.
  */
 public final class Comparison {
     /** {@code difference}: of the second to the first. */
-    public record Row(String place, String first, String second, Statistics difference, Statistics of, Statistics to) {}
+    public record Row(String cell, String first, String second, Statistics difference, Statistics of, Statistics to) {}
 
     private Comparison() {}
 
@@ -88,13 +88,13 @@
             text.append(String.format(
                     Locale.ROOT,
                     "%-34s %-18s %-18s %9.4f %9.4f %+9.4f %9.4f %2d%s%n",
-                    r.place(),
+                    r.cell(),
                     r.first(),
                     r.second(),
                     r.of().mean(),
                     r.to().mean(),
                     r.difference().mean(),
-                    r.difference().half(),
+                    r.difference().halfWidth(),
                     r.difference().n(),
                     r.difference().differs() ? " *" : ""));
         }
--- a/lab/src/main/java/dewplank/lab/LiveTrial.java
+++ b/lab/src/main/java/dewplank/lab/LiveTrial.java
@@ -1,7 +1,7 @@
 package dewplank.lab;
 
 import dewplank.emulator.Clients;
-import dewplank.emulator.Note;
+import dewplank.emulator.RecordedEvent;
 import dewplank.emulator.Scenario;
 import dewplank.emulator.Server;
 import dewplank.emulator.World;
@@ -54,7 +54,7 @@
                 lines.accept("UNSOUND: the emulator itself ran late, by %.0f ms at the most; run it on quieter cores"
                         .formatted(outcome.latestMs()));
             }
-            if (scenario.messages().given()) {
+            if (scenario.messages().enabled()) {
                 lines.accept(outcome.messages() + " datagrams between sidecars, " + outcome.messagesLost()
                         + " more were lost");
             }
@@ -75,7 +75,7 @@
     }
 
     @Override
-    public Clients.Tally begin(World playing) {
+    public Clients.OutcomeListener begin(World playing) {
         world = playing;
         begun = playing.now();
         service = new Service(scenario, begun);
@@ -85,16 +85,16 @@
     }
 
     @Override
-    public void record(Note n) {
+    public void record(RecordedEvent n) {
         auditor.record(n);
-        switch (n.what()) {
-            case ASKED -> asked++;
+        switch (n.type()) {
+            case SENT -> asked++;
             case SERVED -> served++;
             case REFUSED -> refused++;
-            case FAILED, UNREACHABLE, LEFT -> others++;
+            case FAILED, UNREACHABLE, ABANDONED -> others++;
             case RECEIVED -> sends++;
             case SERVER_DOWN -> event("server " + n.server() + (n.value() == 1 ? " went silent" : " died"));
-            case SERVER_FELL -> event("server " + n.server() + " broke down, cold, under too much work");
+            case SERVER_COLLAPSED -> event("server " + n.server() + " broke down, cold, under too much work");
             case SERVER_STARTED -> event("server " + n.server() + " came back, cold");
             case SIDECAR_KILLED -> event("sidecar " + n.sidecar() + " was killed");
             default -> {}
--- a/lab/src/main/java/dewplank/lab/LossSplit.java
+++ b/lab/src/main/java/dewplank/lab/LossSplit.java
@@ -1,8 +1,8 @@
 package dewplank.lab;
 
 import dewplank.emulator.Clients;
-import dewplank.emulator.Note;
-import dewplank.emulator.Note.What;
+import dewplank.emulator.RecordedEvent;
+import dewplank.emulator.RecordedEvent.Type;
 import dewplank.emulator.Scenario;
 import dewplank.emulator.Server;
 import dewplank.emulator.World;
@@ -14,11 +14,11 @@
 import java.util.Map;
 
 /**
- * Splits the worth that a run lost by what became of each request in the end. A refusal is held against the servers' true
- * state at its moment: one is needless if some server would have been done with the request in its aim. Sits between the
- * run and the usual recorder and tally, which get all that comes.
+ * Splits the worth that a run lost by what became of each request in the end. A refusal is held against the servers'
+ * true state at its moment: one is needless if some server would have been done with the request in its aim. Sits
+ * between the run and the usual recorder and tally, which get all that comes.
  */
-public final class LossSplit implements Note.Recorder, Clients.Tally {
+public final class LossSplit implements RecordedEvent.Recorder, Clients.OutcomeListener {
     /** In the order of the table. */
     public enum Cause {
         /** Refused, no attempt made, though some server had room by the true state. */
@@ -42,22 +42,22 @@
     }
 
     /** What is known of one open try. */
-    private static final class Open {
+    private static final class OpenRequest {
         int received;
         boolean roomAtRefusal;
     }
 
     private final Scenario scenario;
-    private final Note.Recorder recorder;
-    private final Clients.Tally tally;
-    private final Map<Long, Open> open = new HashMap<>();
+    private final RecordedEvent.Recorder recorder;
+    private final Clients.OutcomeListener tally;
+    private final Map<Long, OpenRequest> open = new HashMap<>();
     private final Map<Cause, double[]> lost = new EnumMap<>(Cause.class); // by class, worth
     private World world;
-    private Note last;
-    private Open lastOpen;
+    private RecordedEvent last;
+    private OpenRequest lastOpen;
     private double asked;
 
-    public LossSplit(Scenario scenario, Note.Recorder recorder, Clients.Tally tally) {
+    public LossSplit(Scenario scenario, RecordedEvent.Recorder recorder, Clients.OutcomeListener tally) {
         this.scenario = scenario;
         this.recorder = recorder;
         this.tally = tally;
@@ -69,20 +69,20 @@
     }
 
     @Override
-    public void record(Note n) {
+    public void record(RecordedEvent n) {
         recorder.record(n);
-        switch (n.what()) {
-            case ASKED -> open.put(n.request(), new Open());
+        switch (n.type()) {
+            case SENT -> open.put(n.request(), new OpenRequest());
             case RECEIVED -> {
-                Open o = open.get(n.request());
+                OpenRequest o = open.get(n.request());
                 if (o != null) {
                     o.received++;
                 }
             }
-            case SERVED, REFUSED, FAILED, UNREACHABLE, LEFT -> {
+            case SERVED, REFUSED, FAILED, UNREACHABLE, ABANDONED -> {
                 last = n;
                 lastOpen = open.remove(n.request());
-                if (n.what() == What.REFUSED && lastOpen != null) {
+                if (n.type() == Type.REFUSED && lastOpen != null) {
                     lastOpen.roomAtRefusal = room(n);
                 }
             }
@@ -91,10 +91,10 @@
     }
 
     /** Whether a first attempt begun now would likely have been in time, by the aim of its class. */
-    private boolean room(Note n) {
-        Scenario.Kind kind = scenario.classes().get(n.kind());
+    private boolean room(RecordedEvent n) {
+        Scenario.RequestKind kind = scenario.classes().get(n.requestClass());
         for (Server s : world.servers) {
-            if (s.expectedMs(kind.work(), 0) <= kind.aimMs()) {
+            if (s.expectedMs(kind.work(), 0) <= kind.targetLatencyMs()) {
                 return true;
             }
         }
@@ -102,19 +102,19 @@
     }
 
     @Override
-    public void ended(int kind, int tenant, double askedAt, double tookMs, int tries, What how) {
-        tally.ended(kind, tenant, askedAt, tookMs, tries, how);
-        Scenario.Kind k = scenario.classes().get(kind);
-        asked += k.worth();
-        if (!(tookMs <= k.aimMs())) {
+    public void requestEnded(int kind, int tenant, double askedAt, double tookMs, int tries, Type how) {
+        tally.requestEnded(kind, tenant, askedAt, tookMs, tries, how);
+        Scenario.RequestKind k = scenario.classes().get(kind);
+        asked += k.value();
+        if (!(tookMs <= k.targetLatencyMs())) {
             lost.computeIfAbsent(
-                            cause(tries), c -> new double[scenario.classes().size()])[kind] += k.worth();
+                            cause(tries), c -> new double[scenario.classes().size()])[kind] += k.value();
         }
     }
 
     private Cause cause(int tries) {
         int received = lastOpen == null ? 0 : lastOpen.received;
-        return switch (last.what()) {
+        return switch (last.type()) {
             case SERVED -> tries > 1 ? Cause.LATE_RETRIED : Cause.LATE_FIRST;
             case REFUSED -> received > 0
                     ? Cause.REFUSED_AFTER_ATTEMPTS
--- a/lab/src/main/java/dewplank/lab/Report.java
+++ b/lab/src/main/java/dewplank/lab/Report.java
@@ -103,12 +103,12 @@
                     .orElse(0);
             for (String p : policies) {
                 Statistics s = of(runs, p, "service");
-                boolean broken = of(runs, p, "violations").most() > 0;
+                boolean broken = of(runs, p, "violations").max() > 0;
                 html.append("<td class=\"")
                         .append(broken ? "bad" : s.mean() >= best ? "best" : "")
                         .append("\">")
                         .append(number(s.mean()))
-                        .append(Double.isNaN(s.half()) ? "" : " &plusmn; " + number(s.half()))
+                        .append(Double.isNaN(s.halfWidth()) ? "" : " &plusmn; " + number(s.halfWidth()))
                         .append("</td>");
             }
             html.append("</tr>");
@@ -123,7 +123,7 @@
                         + "baseline's</th><th>&plusmn;</th><th>pairs</th></tr>");
         for (Comparison.Row r : Comparison.policies(results, baseline, "service")) {
             html.append("<tr><td>")
-                    .append(escape(r.place()))
+                    .append(escape(r.cell()))
                     .append("</td><td>")
                     .append(escape(r.second()))
                     .append("</td><td>")
@@ -133,7 +133,7 @@
                     .append("\">")
                     .append(signed(r.difference().mean()))
                     .append("</td><td>")
-                    .append(number(r.difference().half()))
+                    .append(number(r.difference().halfWidth()))
                     .append("</td><td>")
                     .append(r.difference().n())
                     .append("</td></tr>");
@@ -150,7 +150,7 @@
             for (String c : COLUMNS) {
                 Statistics s = of(runs, p, c);
                 html.append("<td class=\"")
-                        .append(c.equals("violations") && s.most() > 0 ? "bad" : "")
+                        .append(c.equals("violations") && s.max() > 0 ? "bad" : "")
                         .append("\">")
                         .append(number(s.mean()))
                         .append("</td>");
@@ -195,7 +195,7 @@
             places.values().forEach(runs -> {
                 Statistics s = of(runs, p, "service");
                 means.add(Double.isNaN(s.mean()) ? 0 : s.mean());
-                halves.add(Double.isNaN(s.half()) ? 0 : s.half());
+                halves.add(Double.isNaN(s.halfWidth()) ? 0 : s.halfWidth());
             });
             chart.addSeries(p, new ArrayList<>(places.keySet()), means, halves);
         }
@@ -232,7 +232,7 @@
             by.values().forEach(runs -> {
                 Statistics s = of(runs, p, "service");
                 means.add(s.mean());
-                halves.add(Double.isNaN(s.half()) ? 0 : s.half());
+                halves.add(Double.isNaN(s.halfWidth()) ? 0 : s.halfWidth());
             });
             chart.addSeries(p, new ArrayList<>(by.keySet()), means, halves);
         }
--- a/lab/src/main/java/dewplank/lab/Service.java
+++ b/lab/src/main/java/dewplank/lab/Service.java
@@ -1,9 +1,9 @@
 package dewplank.lab;
 
 import dewplank.emulator.Clients;
-import dewplank.emulator.Note.What;
+import dewplank.emulator.RecordedEvent.Type;
 import dewplank.emulator.Scenario;
-import dewplank.emulator.Scenario.Kind;
+import dewplank.emulator.Scenario.RequestKind;
 import java.util.ArrayList;
 import java.util.List;
 import org.HdrHistogram.Histogram;
@@ -12,14 +12,14 @@
  * What clients got: the worth answered within its class's aim over the worth asked for, from the first second on. A
  * client's retries belong to its first try, and count towards its time.
  */
-public final class Service implements Clients.Tally {
+public final class Service implements Clients.OutcomeListener {
     private static final double FROM_MS = 1_000;
     private static final long MOST_US = 600_000_000L;
     private static final int SPELL = 10; // seconds that the worst spell lasts
 
     /** Figures of one class. {@code refused}, {@code failed}: those whose last try ended so. */
-    public static final class OfClass {
-        final Kind kind;
+    public static final class ClassService {
+        final RequestKind kind;
         final Histogram latency = new Histogram(MOST_US, 3); // of those served, microseconds from the first try on
         long asked;
         long inAim;
@@ -28,7 +28,7 @@
         long failed;
         long tries;
 
-        OfClass(Kind kind) {
+        ClassService(RequestKind kind) {
             this.kind = kind;
         }
 
@@ -46,7 +46,7 @@
     }
 
     private final double startedAt;
-    private final List<OfClass> classes = new ArrayList<>();
+    private final List<ClassService> classes = new ArrayList<>();
     private final Scenario scenario;
     private final List<double[][]> tenantSeconds = new ArrayList<>(); // by second and tenant: asked, in aim
     private final List<double[]> seconds = new ArrayList<>(); // worth asked, worth in aim, by the second asked in
@@ -54,14 +54,14 @@
     public Service(Scenario scenario, double startedAt) {
         this.startedAt = startedAt;
         this.scenario = scenario;
-        scenario.classes().forEach(k -> classes.add(new OfClass(k)));
+        scenario.classes().forEach(k -> classes.add(new ClassService(k)));
     }
 
     @Override
-    public void ended(int kind, int tenant, double askedAt, double tookMs, int tries, What last) {
+    public void requestEnded(int kind, int tenant, double askedAt, double tookMs, int tries, Type last) {
         double at = askedAt - startedAt;
-        OfClass c = classes.get(kind);
-        boolean inAim = tookMs <= c.kind.aimMs();
+        ClassService c = classes.get(kind);
+        boolean inAim = tookMs <= c.kind.targetLatencyMs();
         int second = (int) Math.max(0, at / 1000);
         while (seconds.size() <= second) {
             seconds.add(new double[2]);
@@ -70,11 +70,11 @@
             while (tenantSeconds.size() <= second) {
                 tenantSeconds.add(new double[scenario.subjects().tenants().size()][2]);
             }
-            tenantSeconds.get(second)[tenant][0] += c.kind.worth();
-            tenantSeconds.get(second)[tenant][1] += inAim ? c.kind.worth() : 0;
+            tenantSeconds.get(second)[tenant][0] += c.kind.value();
+            tenantSeconds.get(second)[tenant][1] += inAim ? c.kind.value() : 0;
         }
-        seconds.get(second)[0] += c.kind.worth();
-        seconds.get(second)[1] += inAim ? c.kind.worth() : 0;
+        seconds.get(second)[0] += c.kind.value();
+        seconds.get(second)[1] += inAim ? c.kind.value() : 0;
         if (at < FROM_MS) {
             return;
         }
@@ -84,14 +84,14 @@
         if (!Double.isNaN(tookMs)) {
             c.served++;
             c.latency.recordValue(Math.min(MOST_US, Math.round(tookMs * 1000)));
-        } else if (last == What.REFUSED) {
+        } else if (last == Type.REFUSED) {
             c.refused++;
         } else {
             c.failed++;
         }
     }
 
-    public List<OfClass> classes() {
+    public List<ClassService> classes() {
         return classes;
     }
 
@@ -102,25 +102,25 @@
 
     public double share() {
         double asked =
-                classes.stream().mapToDouble(c -> c.asked * c.kind.worth()).sum();
+                classes.stream().mapToDouble(c -> c.asked * c.kind.value()).sum();
         return asked == 0
                 ? 1
-                : classes.stream().mapToDouble(c -> c.inAim * c.kind.worth()).sum() / asked;
+                : classes.stream().mapToDouble(c -> c.inAim * c.kind.value()).sum() / asked;
     }
 
     public double worstClass() {
-        return classes.stream().mapToDouble(OfClass::inAimShare).min().orElse(1);
+        return classes.stream().mapToDouble(ClassService::inAimShare).min().orElse(1);
     }
 
     /**
-     * The service of the tenant served worst, within its share: what it asks for beyond its allowance in a second counts
-     * only by the worth that such requests have. 1 without tenants.
+     * The service of the tenant served worst, within its share: what it asks for beyond its allowance in a second
+     * counts only by the worth that such requests have. 1 without tenants.
      */
     public double worstTenant() {
         double worst = 1;
         double meanWorth = asked() == 0
                 ? 1
-                : classes.stream().mapToDouble(c -> c.asked * c.kind.worth()).sum() / asked();
+                : classes.stream().mapToDouble(c -> c.asked * c.kind.value()).sum() / asked();
         for (int t = 0; t < scenario.subjects().tenants().size(); t++) {
             double allowed = scenario.allowancePerS(t) * meanWorth;
             double asked = 0;
@@ -128,7 +128,7 @@
             for (double[][] second : tenantSeconds.subList(Math.min(1, tenantSeconds.size()), tenantSeconds.size())) {
                 double within = second[t][0] <= 0 ? 0 : Math.min(1, allowed / second[t][0]);
                 double counted = second[t][0]
-                        * (within + (1 - within) * scenario.subjects().overShareWorth());
+                        * (within + (1 - within) * scenario.subjects().overShareValueFactor());
                 asked += counted;
                 got += Math.min(counted, second[t][1]); // what is served counts as what is within the share first
             }
@@ -152,7 +152,9 @@
         return worst;
     }
 
-    /** Seconds until the service was at least {@code level} for three seconds running, counted from that time; or -1. */
+    /**
+     * Seconds until the service was at least {@code level} for three seconds running, counted from that time; or -1.
+     */
     public int backAfter(double fromMs, double level) {
         int from = (int) (fromMs / 1000);
         for (int i = from; i + 3 <= seconds.size(); i++) {
@@ -168,7 +170,7 @@
         return classes.stream().mapToLong(c -> c.asked).sum();
     }
 
-    public double part(java.util.function.ToLongFunction<OfClass> figure) {
+    public double part(java.util.function.ToLongFunction<ClassService> figure) {
         return asked() == 0 ? 0 : (double) classes.stream().mapToLong(figure).sum() / asked();
     }
 
@@ -180,7 +182,7 @@
         return part(c -> c.failed);
     }
 
-    public double triesEach() {
+    public double attemptsPerRequest() {
         return part(c -> c.tries);
     }
 
--- a/lab/src/main/java/dewplank/lab/Statistics.java
+++ b/lab/src/main/java/dewplank/lab/Statistics.java
@@ -5,7 +5,7 @@
 import org.apache.commons.math3.stat.descriptive.SummaryStatistics;
 
 /** A mean and the half width of its 95 % interval (Student's t); NaN where one value alone gives none. */
-public record Statistics(int n, double mean, double half, double least, double most) {
+public record Statistics(int n, double mean, double halfWidth, double min, double max) {
     private static final double TAIL = 0.975;
 
     public static Statistics of(List<Double> values) {
@@ -22,6 +22,6 @@
 
     /** Whether 0 lies outside the interval: a difference that is more than chance. */
     public boolean differs() {
-        return !Double.isNaN(half) && Math.abs(mean) > half;
+        return !Double.isNaN(halfWidth) && Math.abs(mean) > halfWidth;
     }
 }
--- a/lab/src/main/java/dewplank/lab/Trial.java
+++ b/lab/src/main/java/dewplank/lab/Trial.java
@@ -9,8 +9,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * One run, judged: scenario, policy, seed in; service, cost and the auditor's findings out. {@code losses} is null unless
- * they were asked for.
+ * One run, judged: scenario, policy, seed in; service, cost and the auditor's findings out. {@code losses} is null
+ * unless they were asked for.
  */
 public record Trial(Service service, Auditor auditor, Cost cost, boolean unsound, LossSplit losses) {
     /** Messages take a few milliseconds at the most in virtual time, a handshake included. */
@@ -26,7 +26,9 @@
         return new Trial(service, auditor, cost, false, null);
     }
 
-    /** The same, with the losses split by cause; slower, since each refusal is held against every server's true state. */
+    /**
+     * The same, with the losses split by cause; slower, since each refusal is held against every server's true state.
+     */
     public static Trial split(Scenario scenario, String policy, long seed) {
         Auditor auditor = new Auditor(scenario, SLACK_MS);
         Service service = new Service(scenario, 0);
@@ -50,8 +52,8 @@
         f.put("worst_spell", service.worstSpell());
         f.put("refused", service.refusedShare());
         f.put("failed", service.failedShare());
-        f.put("tries_each", service.triesEach());
-        f.put("sends_each", auditor.asked() == 0 ? 0 : (double) cost.sends() / auditor.asked());
+        f.put("tries_each", service.attemptsPerRequest());
+        f.put("sends_each", auditor.requestsSent() == 0 ? 0 : (double) cost.sends() / auditor.requestsSent());
         f.put("p50_ms", latency.getValueAtPercentile(50) / 1000.0);
         f.put("p90_ms", latency.getValueAtPercentile(90) / 1000.0);
         f.put("p99_ms", latency.getValueAtPercentile(99) / 1000.0);
--- a/lab/src/main/java/dewplank/lab/bench/DecisionBench.java
+++ b/lab/src/main/java/dewplank/lab/bench/DecisionBench.java
@@ -40,8 +40,8 @@
 import org.openjdk.jmh.runner.options.TimeValue;
 
 /**
- * What the decision module costs, without sockets and without a world: one request from its arrival to its served end, with
- * some in flight, and one change of the list followed by a request, by the number of servers listed.
+ * What the decision module costs, without sockets and without a world: one request from its arrival to its served end,
+ * with some in flight, and one change of the list followed by a request, by the number of servers listed.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
--- a/lab/src/main/java/dewplank/lab/load/Arrivals.java
+++ b/lab/src/main/java/dewplank/lab/load/Arrivals.java
@@ -1,6 +1,6 @@
 package dewplank.lab.load;
 
-import dewplank.emulator.Draws;
+import dewplank.emulator.RandomStreams;
 import java.util.List;
 import java.util.function.DoubleSupplier;
 import org.apache.commons.rng.UniformRandomProvider;
@@ -58,8 +58,8 @@
 
     /** One of {@code parts} equal parts of the plan's requests. Thinning, after Lewis and Shedler (1979). */
     static Arrivals of(Plan plan, int part, int parts, long seed) {
-        UniformRandomProvider random = new Draws(seed).stream("thinning", part);
-        DoubleSupplier gap = Draws.exponential(new Draws(seed).stream("gaps", part));
+        UniformRandomProvider random = new RandomStreams(seed).stream("thinning", part);
+        DoubleSupplier gap = RandomStreams.exponential(new RandomStreams(seed).stream("gaps", part));
         double most = plan.most() / parts;
         double[] at = {plan.shape() == Shape.UNIFORM ? part / plan.most() - 1 / most : 0};
         return () -> {
--- a/lab/src/main/java/dewplank/lab/load/LoadReport.java
+++ b/lab/src/main/java/dewplank/lab/load/LoadReport.java
@@ -3,7 +3,7 @@
 import com.google.gson.GsonBuilder;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
-import dewplank.lab.load.LoadRun.OfKind;
+import dewplank.lab.load.LoadRun.KindOutcome;
 import dewplank.lab.load.LoadRun.Outcome;
 import java.util.List;
 import java.util.Locale;
@@ -38,8 +38,8 @@
                         Locale.ROOT,
                         "%.0f answered a second over %.1f s, %d connections opened, own lag p99 %.2f ms, "
                                 + "own loops busy %.2f%n",
-                        o.all().answered() / o.tookS(),
-                        o.tookS(),
+                        o.all().answered() / o.elapsedS(),
+                        o.elapsedS(),
                         o.connectionsOpened(),
                         o.lag().getValueAtPercentile(99) / 1000.0,
                         o.busy()))
@@ -50,7 +50,7 @@
                 .toString();
     }
 
-    private static void row(StringBuilder text, OfKind k) {
+    private static void row(StringBuilder text, KindOutcome k) {
         text.append(String.format(
                 Locale.ROOT,
                 "%-14s %9d %9d %8d %7d %7d %8d %9.2f %9.2f %9.2f %9.2f%n",
@@ -73,14 +73,14 @@
 
     public static String json(Outcome o) {
         JsonObject all = new JsonObject();
-        all.addProperty("seconds", o.tookS());
-        all.addProperty("answered_per_s", o.all().answered() / o.tookS());
+        all.addProperty("seconds", o.elapsedS());
+        all.addProperty("answered_per_s", o.all().answered() / o.elapsedS());
         all.addProperty("connections_opened", o.connectionsOpened());
         all.addProperty("sound", o.sound());
         all.addProperty("own_loops_busy", o.busy());
         all.add("own_lag_ms", percentiles(o.lag()));
         JsonArray kinds = new JsonArray();
-        for (OfKind k : o.kinds()) {
+        for (KindOutcome k : o.kinds()) {
             JsonObject kind = new JsonObject();
             kind.addProperty("class", k.name);
             kind.addProperty("sent", k.sent);
--- a/lab/src/main/java/dewplank/lab/load/LoadRun.java
+++ b/lab/src/main/java/dewplank/lab/load/LoadRun.java
@@ -1,6 +1,6 @@
 package dewplank.lab.load;
 
-import dewplank.emulator.Draws;
+import dewplank.emulator.RandomStreams;
 import dewplank.emulator.loopback.HttpClient;
 import dewplank.http.MessageWriter;
 import dewplank.http.ResponseParser;
@@ -28,7 +28,7 @@
     private static final ThreadMXBean CPU = ManagementFactory.getThreadMXBean();
 
     /** Figures of one class. Latencies in microseconds, from the intended start to the answer's last byte. */
-    public static final class OfKind {
+    public static final class KindOutcome {
         public final String name;
         public final Histogram latency = new Histogram(MOST_US, 3);
         public long sent;
@@ -38,11 +38,11 @@
         public long broken;
         public long timedOut;
 
-        OfKind(String name) {
+        KindOutcome(String name) {
             this.name = name;
         }
 
-        void add(OfKind other) {
+        void add(KindOutcome other) {
             latency.add(other.latency);
             sent += other.sent;
             ok += other.ok;
@@ -61,12 +61,13 @@
      * @param lag how late the tool itself was, for its turns and for requests that had a free connection, microseconds
      * @param busy the part of a core that the busiest of the tool's loops used: at 1 the tool is what was measured
      */
-    public record Outcome(List<OfKind> kinds, Histogram lag, double busy, double tookS, long connectionsOpened) {
+    public record Outcome(
+            List<KindOutcome> kinds, Histogram lag, double busy, double elapsedS, long connectionsOpened) {
         private static final long SOUND_LAG_US = 5_000;
         private static final double SOUND_BUSY = 0.97;
 
-        public OfKind all() {
-            OfKind all = new OfKind("all");
+        public KindOutcome all() {
+            KindOutcome all = new KindOutcome("all");
             kinds.forEach(all::add);
             return all;
         }
@@ -78,11 +79,11 @@
     }
 
     /** One loop's part. */
-    private final class Part {
+    private final class Worker {
         final int number;
         final EventLoop loop = new EventLoop();
         final List<HttpClient> clients = new ArrayList<>();
-        final List<OfKind> kinds = new ArrayList<>();
+        final List<KindOutcome> kinds = new ArrayList<>();
         final Histogram lag = new Histogram(MOST_US, 3);
         final SingleWriterRecorder recent = new SingleWriterRecorder(MOST_US, 3);
         final CountDownLatch done = new CountDownLatch(1);
@@ -98,13 +99,13 @@
         long ids;
         int turn;
 
-        Part(int number) throws IOException {
+        Worker(int number) throws IOException {
             this.number = number;
             this.arrivals = plan.trace() != null
                     ? Arrivals.of(plan.trace(), number, plan.threads())
                     : Arrivals.of(plan.arrivals(), number, plan.threads(), plan.seed());
-            this.random = new Draws(plan.seed()).stream("kinds", number);
-            plan.kinds().forEach(k -> kinds.add(new OfKind(k.name())));
+            this.random = new RandomStreams(plan.seed()).stream("kinds", number);
+            plan.kinds().forEach(k -> kinds.add(new KindOutcome(k.name())));
             int each = Math.max(
                     1, plan.connections() / plan.threads() / plan.targets().size());
             for (int t = 0; t < plan.targets().size(); t++) {
@@ -158,7 +159,7 @@
             int target = turn++ % clients.size();
             int kind = pick();
             HttpClient client = clients.get(target);
-            OfKind figures = kinds.get(kind);
+            KindOutcome figures = kinds.get(kind);
             figures.sent++;
             out++;
             if (client.waiting() == 0) {
@@ -197,7 +198,7 @@
             return kind;
         }
 
-        private void end(OfKind figures, double intended, ResponseParser answer) {
+        private void end(KindOutcome figures, double intended, ResponseParser answer) {
             out--;
             if (answer == null) {
                 figures.broken++;
@@ -210,7 +211,7 @@
             record(figures, intended);
         }
 
-        private void record(OfKind figures, double intended) {
+        private void record(KindOutcome figures, double intended) {
             long took = micros(loop.now() - intended);
             figures.latency.recordValue(took);
             recent.recordValue(took);
@@ -257,17 +258,17 @@
 
     /** Runs to the end of the plan, and until all is answered or timed out. */
     public Outcome run() throws IOException, InterruptedException {
-        List<Part> parts = new ArrayList<>();
+        List<Worker> parts = new ArrayList<>();
         try {
             for (int i = 0; i < plan.threads(); i++) {
-                parts.add(new Part(i));
+                parts.add(new Worker(i));
             }
             double wall = System.nanoTime() / 1e6;
-            for (Part p : parts) {
+            for (Worker p : parts) {
                 p.begin(p.loop.now() + LEAD_MS);
             }
             int second = 0;
-            for (Part p : parts) {
+            for (Worker p : parts) {
                 while (!p.done.await(1, TimeUnit.SECONDS)) {
                     progress.accept(line(++second, parts));
                 }
@@ -279,7 +280,7 @@
         }
     }
 
-    private static String line(int second, List<Part> parts) {
+    private static String line(int second, List<Worker> parts) {
         Histogram interval = new Histogram(MOST_US, 3);
         parts.forEach(p -> interval.add(p.recent.getIntervalHistogram()));
         return "%4d s  %8d answered  p50 %8.2f ms  p99 %8.2f ms  max %8.2f ms"
@@ -291,18 +292,18 @@
                         interval.getMaxValue() / 1000.0);
     }
 
-    private Outcome merge(List<Part> parts, double took) {
-        List<OfKind> kinds = new ArrayList<>();
+    private Outcome merge(List<Worker> parts, double took) {
+        List<KindOutcome> kinds = new ArrayList<>();
         Histogram lag = new Histogram(MOST_US, 3);
         long opened = 0;
         for (int k = 0; k < plan.kinds().size(); k++) {
-            OfKind sum = new OfKind(plan.kinds().get(k).name());
-            for (Part p : parts) {
+            KindOutcome sum = new KindOutcome(plan.kinds().get(k).name());
+            for (Worker p : parts) {
                 sum.add(p.kinds.get(k));
             }
             kinds.add(sum);
         }
-        for (Part p : parts) {
+        for (Worker p : parts) {
             lag.add(p.lag);
             opened += p.clients.stream().mapToLong(HttpClient::opened).sum();
         }
--- a/lab/src/main/java/dewplank/lab/load/StandIn.java
+++ b/lab/src/main/java/dewplank/lab/load/StandIn.java
@@ -1,8 +1,8 @@
 package dewplank.lab.load;
 
-import dewplank.emulator.Draws;
+import dewplank.emulator.RandomStreams;
 import dewplank.emulator.Scenario.Distribution;
-import dewplank.emulator.loopback.HttpEnd;
+import dewplank.emulator.loopback.HttpEndpoint;
 import dewplank.http.MessageWriter;
 import dewplank.http.RequestParser;
 import dewplank.net.EventLoop;
@@ -17,8 +17,8 @@
 import java.util.function.IntFunction;
 
 /**
- * A target that does no work: it answers at once, or after a drawn time. One loop an address. It can be told to stall, as
- * a long collection would have it.
+ * A target that does no work: it answers at once, or after a drawn time. One loop an address. It can be told to stall,
+ * as a long collection would have it.
  */
 public final class StandIn implements Closeable {
     private static final int MOST = 100_000;
@@ -31,7 +31,8 @@
     public StandIn(List<InetSocketAddress> at, Distribution distribution, double meanMs, double cv, long seed)
             throws IOException {
         this(at, place -> {
-            DoubleSupplier time = Draws.around(distribution, cv, new Draws(seed).stream("stand-in", place));
+            DoubleSupplier time =
+                    RandomStreams.around(distribution, cv, new RandomStreams(seed).stream("stand-in", place));
             return () -> meanMs * time.getAsDouble();
         });
     }
@@ -70,7 +71,7 @@
         loops.forEach(EventLoop::stop);
     }
 
-    private static final class End extends HttpEnd {
+    private static final class End extends HttpEndpoint {
         private final EventLoop loop;
         private final DoubleSupplier time;
 
--- a/lab/src/test/java/dewplank/lab/AuditorTest.java
+++ b/lab/src/test/java/dewplank/lab/AuditorTest.java
@@ -120,11 +120,11 @@
 
     @Test
     public void aFindingTellsTheRequestsWholeTimeLine() {
-        Auditor.Violation v = play(Way.RESENDS_ORDERS).kept().stream()
+        Auditor.Violation v = play(Way.RESENDS_ORDERS).retainedViolations().stream()
                 .filter(x -> x.rule() == Rule.SENT_TWICE)
                 .findFirst()
                 .orElseThrow();
-        assertTrue(v.line(), v.line().matches("(?s).*asked.*received.*begun.*received.*"));
+        assertTrue(v.line(), v.line().matches("(?s).*sent.*received.*started.*received.*"));
     }
 
     /** Every fault that comes with the laboratory, on two seeds: no rule broken by the module. */
@@ -135,7 +135,7 @@
                 Trial trial = Trial.play(ScenarioFile.named(name).with("length_s", 25), "choice", seed, true);
                 assertTrue(
                         name + " seed " + seed + ": " + trial.auditor().verdict()
-                                + trial.auditor().kept(),
+                                + trial.auditor().retainedViolations(),
                         trial.auditor().violations() == 0);
             }
         }
--- a/lab/src/test/java/dewplank/lab/Broken.java
+++ b/lab/src/test/java/dewplank/lab/Broken.java
@@ -17,8 +17,8 @@
 import dewplank.balancer.Settings;
 import dewplank.balancer.Settings.Idempotency;
 import dewplank.balancer.Settings.RequestClass;
-import dewplank.emulator.Note.What;
-import dewplank.emulator.Try;
+import dewplank.emulator.ClientAttempt;
+import dewplank.emulator.RecordedEvent.Type;
 import dewplank.emulator.virtualtime.EmulatedSidecar;
 import dewplank.emulator.virtualtime.VirtualRun;
 import java.util.ArrayList;
@@ -146,10 +146,10 @@
         }
 
         @Override
-        protected void answer(Try t, What what, double value) {
+        protected void answer(ClientAttempt t, Type what, double value) {
             super.answer(t, what, value);
             if (t.id % 100 == 0) {
-                super.answer(t, What.FAILED, 0);
+                super.answer(t, Type.FAILED, 0);
             }
         }
     }
@@ -163,10 +163,10 @@
         }
 
         @Override
-        protected void answer(Try t, What what, double value) {
-            boolean mix = what == What.SERVED && t.id % 100 == 0 && last >= 0;
+        protected void answer(ClientAttempt t, Type what, double value) {
+            boolean mix = what == Type.SERVED && t.id % 100 == 0 && last >= 0;
             super.answer(t, what, mix ? last : value);
-            last = what == What.SERVED ? t.id : last;
+            last = what == Type.SERVED ? t.id : last;
         }
     }
 }
--- a/lab/src/test/java/dewplank/lab/BuoysTest.java
+++ b/lab/src/test/java/dewplank/lab/BuoysTest.java
@@ -31,7 +31,7 @@
                     Trial trial = Trial.play(scenario, policy, seed, false);
                     if (policy.equals("choice")) {
                         assertEquals(
-                                "seed " + seed + ": " + trial.auditor().kept(),
+                                "seed " + seed + ": " + trial.auditor().retainedViolations(),
                                 0,
                                 trial.auditor().violations());
                     }
@@ -113,7 +113,7 @@
                             false,
                             (r, n) -> n == 0 && lies ? new Liar(r, n) : new Plain(r, n));
                     run.run();
-                    assertEquals(auditor.kept().toString(), 0, auditor.violations());
+                    assertEquals(auditor.retainedViolations().toString(), 0, auditor.violations());
                     return service.share();
                 })
                 .average()
--- a/lab/src/test/java/dewplank/lab/RunnerTest.java
+++ b/lab/src/test/java/dewplank/lab/RunnerTest.java
@@ -90,9 +90,9 @@
     public void pairsCancelWhatTheSeedsDo() {
         Statistics s = Statistics.of(List.of(0.10, 0.12, 0.11, 0.13));
         assertEquals(0.115, s.mean(), 1e-12);
-        assertEquals(0.02054, s.half(), 1e-4); // t(3) = 3.182, deviation 0.01291, over the root of 4
+        assertEquals(0.02054, s.halfWidth(), 1e-4); // t(3) = 3.182, deviation 0.01291, over the root of 4
         assertTrue(s.differs());
         assertTrue(!Statistics.of(List.of(-0.1, 0.1, 0.02)).differs());
-        assertTrue(Double.isNaN(Statistics.of(List.of(1.0)).half()));
+        assertTrue(Double.isNaN(Statistics.of(List.of(1.0)).halfWidth()));
     }
 }
--- a/lab/src/test/java/dewplank/lab/load/LoadRunTest.java
+++ b/lab/src/test/java/dewplank/lab/load/LoadRunTest.java
@@ -6,9 +6,9 @@
 
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
-import dewplank.emulator.Draws;
+import dewplank.emulator.RandomStreams;
 import dewplank.emulator.Scenario.Distribution;
-import dewplank.emulator.loopback.HttpEnd;
+import dewplank.emulator.loopback.HttpEndpoint;
 import dewplank.http.MessageWriter;
 import dewplank.http.RequestParser;
 import dewplank.lab.load.Arrivals.Plan;
@@ -49,7 +49,8 @@
     /** The target's own draws are the known distribution; the tool must find its percentiles. */
     @Test
     public void percentilesAreThoseOfTheTarget() throws Exception {
-        DoubleSupplier drawn = Draws.around(Distribution.LOGNORMAL, 0.5, new Draws(5).stream("times", 0));
+        DoubleSupplier drawn =
+                RandomStreams.around(Distribution.LOGNORMAL, 0.5, new RandomStreams(5).stream("times", 0));
         ConcurrentLinkedQueue<Double> times = new ConcurrentLinkedQueue<>();
         try (StandIn target = new StandIn(List.of(ANY), place -> () -> {
             double ms = 250 * drawn.getAsDouble();
@@ -68,7 +69,9 @@
         }
     }
 
-    /** A tool that waits for answers before it asks again would send nothing in that second, and see one slow answer. */
+    /**
+     * A tool that waits for answers before it asks again would send nothing in that second, and see one slow answer.
+     */
     @Test
     public void aTargetThatStallsForASecondShowsInTheHighPercentiles() throws Exception {
         try (StandIn target = new StandIn(List.of(ANY), Distribution.FIXED, 0, 0, 1)) {
@@ -108,7 +111,7 @@
     public void longBodiesAndAnswersToHeadAreRead() throws Exception {
         EventLoop loop = new EventLoop();
         try {
-            Listener listener = new Listener(loop, ANY, 100, () -> new HttpEnd() {
+            Listener listener = new Listener(loop, ANY, 100, () -> new HttpEndpoint() {
                 @Override
                 protected void request(RequestParser request) {
                     byte[] body = new byte[300_000];
