--- a/client/src/test/java/dewplank/client/ConfigurationDifferenceTest.java
+++ b/client/src/test/java/dewplank/client/ConfigurationDifferenceTest.java
@@ -49,19 +49,19 @@
         return items;
     }
 
-    private static Map<String, Object> whole(Random random) {
-        Map<String, Object> whole = object(random, random.nextInt(3));
-        whole.put("routes", items(random));
+    private static Map<String, Object> complete(Random random) {
+        Map<String, Object> complete = object(random, random.nextInt(3));
+        complete.put("routes", items(random));
         if (random.nextBoolean()) {
-            whole.put("services", items(random));
+            complete.put("services", items(random));
         }
-        return whole;
+        return complete;
     }
 
     @Property(tries = 300)
     void equalConfigurationsHaveNoChangesWhateverTheOrder(@ForAll long seed) {
-        Map<String, Object> one = whole(new Random(seed));
-        Map<String, Object> other = whole(new Random(seed));
+        Map<String, Object> one = complete(new Random(seed));
+        Map<String, Object> other = complete(new Random(seed));
         Collections.shuffle((List<?>) other.get("routes"), new Random(seed));
         assertEquals(List.of(), ConfigurationDifference.between(one, other));
     }
@@ -69,8 +69,8 @@
     @Property(tries = 300)
     void theReverseComparisonRevertsEachChange(@ForAll long seed) {
         Random random = new Random(seed);
-        Map<String, Object> one = whole(random);
-        Map<String, Object> other = whole(random);
+        Map<String, Object> one = complete(random);
+        Map<String, Object> other = complete(random);
         Set<Change> there = Set.copyOf(ConfigurationDifference.between(one, other));
         Set<Change> back = ConfigurationDifference.between(other, one).stream()
                 .map(c -> new Change(turned(c.kind()), c.path(), c.after(), c.before()))
@@ -119,8 +119,8 @@
 
     @Test
     void aFileIsACompleteConfigurationOrAPatch() {
-        byte[] whole = bytes("{\"config_version\":5,\"routes\":[],\"services\":[{\"name\":\"s\"}]}");
-        Configuration five = ConfigurationChanges.apply(null, whole);
+        byte[] complete = bytes("{\"config_version\":5,\"routes\":[],\"services\":[{\"name\":\"s\"}]}");
+        Configuration five = ConfigurationChanges.apply(null, complete);
         assertEquals(2 + 1, ConfigurationDifference.between(null, five).size());
         Configuration six =
                 ConfigurationChanges.apply(five, bytes("{\"config_version\":6,\"remove\":{\"services\":[\"s\"]}}"));
--- a/client/src/test/java/dewplank/client/RouteExplanationTest.java
+++ b/client/src/test/java/dewplank/client/RouteExplanationTest.java
@@ -110,27 +110,28 @@
     void formatsAddressesWithAndWithoutResponse() {
         ControlResponse status = answer("{\"node\":\"core-1\",\"quorate\":true,\"config_version\":7,\"acceptors\":"
                 + "[{\"address\":\"10.0.0.9:2\",\"identity\":\"x\"}]}");
-        List<String> asked = List.of("10.0.0.9:1", "10.0.0.8:1");
+        List<String> addresses = List.of("10.0.0.9:1", "10.0.0.8:1");
         assertEquals(
                 """
             ASKED       NODE             QUORUM  CONFIGURATION  ACCEPTORS
             10.0.0.9:1  core-1           yes     7              10.0.0.9:2
             10.0.0.8:1  no clear answer
             """,
-                FleetText.status(asked, Map.of("10.0.0.9:1", status)));
+                FleetText.status(addresses, Map.of("10.0.0.9:1", status)));
         ControlResponse behind = answer(
                 "{\"node\":\"core-2\",\"quorate\":true,\"current\":false,\"config_version\":5," + "\"acceptors\":[]}");
         ControlResponse cutOff = answer(
                 "{\"node\":\"core-3\",\"quorate\":false,\"current\":false,\"config_version\":5," + "\"acceptors\":[]}");
-        String both = FleetText.status(asked, Map.of("10.0.0.9:1", behind, "10.0.0.8:1", cutOff));
+        String both = FleetText.status(addresses, Map.of("10.0.0.9:1", behind, "10.0.0.8:1", cutOff));
         assertTrue(both.contains("core-2  behind  5"), both);
         assertTrue(both.contains("core-3  no      5"), both);
         ControlResponse duties =
                 answer("{\"answered_by\":\"core-1\",\"list\":{\"held_here\":true,\"fencing_number\":3}}");
-        assertTrue(
-                FleetText.duties(asked, Map.of("10.0.0.9:1", duties)).contains("core-1           list  yes         3"));
+        assertTrue(FleetText.duties(addresses, Map.of("10.0.0.9:1", duties))
+                .contains("core-1           list  yes         3"));
         assertEquals(
-                "{\"10.0.0.9:1\":{},\"10.0.0.8:1\":null}", FleetText.json(asked, Map.of("10.0.0.9:1", answer("{}\n"))));
+                "{\"10.0.0.9:1\":{},\"10.0.0.8:1\":null}",
+                FleetText.json(addresses, Map.of("10.0.0.9:1", answer("{}\n"))));
     }
 
     @Test
--- a/messages/src/test/java/dewplank/message/GoldenFramesTest.java
+++ b/messages/src/test/java/dewplank/message/GoldenFramesTest.java
@@ -198,14 +198,14 @@
 
     @Test
     void updatesOfDataPlanes() throws Exception {
-        FleetUpdate whole = decoded("update whole", FleetUpdate.class);
-        assertArrayEquals(new byte[] {120, 1, -1}, whole.configuration);
-        assertEquals(200, whole.configurationVersion);
-        assertEquals(0, whole.baseVersion);
-        assertAreThreeKinds(whole.endpointList);
-        assertEquals(2, whole.members.size());
-        assertIsDataPlane(whole.members.get(0));
-        assertIsControlPlane(whole.members.get(1));
+        FleetUpdate complete = decoded("update whole", FleetUpdate.class);
+        assertArrayEquals(new byte[] {120, 1, -1}, complete.configuration);
+        assertEquals(200, complete.configurationVersion);
+        assertEquals(0, complete.baseVersion);
+        assertAreThreeKinds(complete.endpointList);
+        assertEquals(2, complete.members.size());
+        assertIsDataPlane(complete.members.get(0));
+        assertIsControlPlane(complete.members.get(1));
         FleetUpdate delta = decoded("update delta", FleetUpdate.class);
         assertArrayEquals(new byte[] {120, 1, 0, 5}, delta.configuration);
         assertEquals(201, delta.configurationVersion);
--- a/messages/src/test/java/dewplank/message/GoldenMessages.java
+++ b/messages/src/test/java/dewplank/message/GoldenMessages.java
@@ -21,7 +21,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The messages whose frames are kept in {@code golden/frames.txt}, by label; no two fields of one are equal. */
+/** The messages whose frames are recorded in {@code golden/frames.txt}, by label; no two fields of one are equal. */
 final class GoldenMessages {
     static final Member DATA_PLANE = new Member("node-4", Member.DATA, "10.0.0.4:7601", "zone-b", 1_700_000_000_123L);
     static final Member CONTROL_PLANE = new Member("node-1", Member.CONTROL, "10.0.0.1:7600", null, -5);
@@ -94,23 +94,25 @@
         messages.put("vote-request renew", request(VoteRequest.Kind.RENEW, 23));
         messages.put("vote-request withdraw", request(VoteRequest.Kind.WITHDRAW, 24));
         messages.put("vote-request release", request(VoteRequest.Kind.RELEASE, 25));
-        messages.put("vote-reply granted", reply(SENDER_IDENTITY, 0, 1_000, List.of(ask("10.0.0.1:7600#1f", 22, 6))));
+        messages.put(
+                "vote-reply granted",
+                reply(SENDER_IDENTITY, 0, 1_000, List.of(voteRequest("10.0.0.1:7600#1f", 22, 6))));
         messages.put(
                 "vote-reply refused",
                 reply(
                         SENDER_IDENTITY,
                         0,
                         1_000,
-                        List.of(ask("10.0.0.1:7600#1f", 22, 6), ask("10.0.0.3:7600#2e", 31, 8))));
-        messages.put("vote-reply abstained", reply(SENDER_IDENTITY, 1_500, 1_000, List.of(ask("c#3", 40, 9))));
-        messages.put("vote-reply not-the-one-asked", reply("other", 0, 1_000, List.of(ask("c#4", 50, 10))));
+                        List.of(voteRequest("10.0.0.1:7600#1f", 22, 6), voteRequest("10.0.0.3:7600#2e", 31, 8))));
+        messages.put("vote-reply abstained", reply(SENDER_IDENTITY, 1_500, 1_000, List.of(voteRequest("c#3", 40, 9))));
+        messages.put("vote-reply not-the-one-asked", reply("other", 0, 1_000, List.of(voteRequest("c#4", 50, 10))));
     }
 
     private static VoteRequest request(VoteRequest.Kind kind, long round) {
         return new VoteRequest(kind, "list", "10.0.0.1:7600#1f", SENDER_IDENTITY, round, 6, 3);
     }
 
-    private static VoteRequest ask(String candidate, long round, long number) {
+    private static VoteRequest voteRequest(String candidate, long round, long number) {
         return new VoteRequest(VoteRequest.Kind.REQUEST_VOTE, "list", candidate, SENDER_IDENTITY, round, number, 0);
     }
 
--- a/messages/src/test/java/dewplank/message/MessageCodecTest.java
+++ b/messages/src/test/java/dewplank/message/MessageCodecTest.java
@@ -126,7 +126,7 @@
         }
     }
 
-    /** An update's list of members never is empty: it holds at least the data plane that is told. */
+    /** An update's list of members never is empty: it has at least the data plane that receives it. */
     private static Object withoutEmptyMembers(Object message) {
         if (message instanceof FleetUpdate u && u.members != null && u.members.isEmpty()) {
             return new FleetUpdate(u.configuration, u.configurationVersion, u.baseVersion, u.endpointList, null);
@@ -151,9 +151,9 @@
     void decodesEmptyListsAsEmptyAndNotAsNull() throws Exception {
         assertEquals(List.of(), roundTrip(new EndpointList(new EndpointListVersion(3, 4), List.of())).endpoints);
         assertEquals(List.of(), roundTrip(new HeartbeatAck(1, true, List.of())).controlAddresses);
-        ControlHeartbeat told = roundTrip(new ControlHeartbeat(1, List.of(), List.of()));
-        assertEquals(List.of(), told.sessions);
-        assertEquals(List.of(), told.controlAddresses);
+        ControlHeartbeat heartbeat = roundTrip(new ControlHeartbeat(1, List.of(), List.of()));
+        assertEquals(List.of(), heartbeat.sessions);
+        assertEquals(List.of(), heartbeat.controlAddresses);
         FleetUpdate update = roundTrip(
                 new FleetUpdate(null, 0, 0, new EndpointList(new EndpointListVersion(3, 4), List.of()), null));
         assertEquals(List.of(), update.endpointList.endpoints);
--- a/store/src/test/java/dewplank/store/GoldenStoreTest.java
+++ b/store/src/test/java/dewplank/store/GoldenStoreTest.java
@@ -36,7 +36,7 @@
         }
     }
 
-    /** A store writes to its file as soon as it opens it: the disk that is kept is copied first. */
+    /** A store writes to its file as soon as it opens it: the stored disk is copied first. */
     private AcceptorStore open(String disk) throws IOException, StoreException {
         Files.write(directory.resolve(STORE), resource(disk + "/" + STORE));
         return reopen();
--- a/store/src/test/java/dewplank/store/MemoryFiles.java
+++ b/store/src/test/java/dewplank/store/MemoryFiles.java
@@ -19,7 +19,7 @@
 final class MemoryFiles implements StoreFiles {
     /** What a loss of power does to a write that was not synced. */
     enum Unsynced {
-        KEPT,
+        SURVIVES,
         TORN,
         GONE,
         DRAWN
@@ -112,15 +112,15 @@
     }
 
     /**
-     * Loses power. A write that was not synced may last, in part or whole; a name that was made, changed or removed
-     * since the last sync of its directory may be the old or the new one, each by itself.
+     * Loses power. A write that was not synced may survive in part or completely; a name that was made, changed or
+     * removed since the last sync of its directory may be the old or the new one, each by itself.
      */
     void losePower(Unsynced unsynced, SplittableRandom random) {
         Map<Path, Content> left = new TreeMap<>();
         Set<Path> allNames = new TreeSet<>(syncedNames.keySet());
         allNames.addAll(names.keySet());
         for (Path path : allNames) {
-            boolean isNew = unsynced == Unsynced.KEPT || unsynced == Unsynced.DRAWN && random.nextBoolean();
+            boolean isNew = unsynced == Unsynced.SURVIVES || unsynced == Unsynced.DRAWN && random.nextBoolean();
             Content content = isNew ? names.get(path) : syncedNames.get(path);
             if (content != null) {
                 left.put(path, content);
@@ -150,7 +150,7 @@
 
     private static void survive(Content content, Write write, Unsynced unsynced, SplittableRandom random) {
         int fate = unsynced == Unsynced.DRAWN ? random.nextInt(3) : unsynced.ordinal();
-        if (fate == Unsynced.KEPT.ordinal()) {
+        if (fate == Unsynced.SURVIVES.ordinal()) {
             content.change(write);
         } else if (fate == Unsynced.TORN.ordinal() && write.bytes != null) {
             int length = random.nextInt(write.bytes.length + 1);
