--- a/consensus/src/main/java/dewplank/singleton/CandidateState.java
+++ b/consensus/src/main/java/dewplank/singleton/CandidateState.java
@@ -2,12 +2,12 @@
 
 /**
  * What a {@link Candidate} is doing; one class for each state, with the fields that only this state has. The candidate
- * alone creates states and leaves them, through one checked transition:
+ * alone creates states, and goes from one to the next through one checked transition:
  *
  * <pre>
  * FollowerState --> ProbingState --> RequestingVotesState --> LeaseHolderState --> FollowerState
- *                        any of the two elections --> FollowerState
- *                                             any --> StoppedState
+ *                 ProbingState, RequestingVotesState --> FollowerState
+ *                                          any --> StoppedState
  * </pre>
  */
 sealed interface CandidateState
--- a/consensus/src/test/java/dewplank/singleton/LeaseVoterTest.java
+++ b/consensus/src/test/java/dewplank/singleton/LeaseVoterTest.java
@@ -59,12 +59,12 @@
     @Test
     void aVoteBindsForALease() {
         assertEquals(Verdict.GRANTED, vote(0, Kind.REQUEST_VOTE, "a", 1).verdict());
-        VoteReply refused = vote(1_000, Kind.REQUEST_VOTE, "b", 2);
-        assertEquals(Verdict.REJECTED, refused.verdict());
-        assertEquals("a", refused.grantedTo());
-        assertEquals(1, refused.highestToken());
-        assertEquals(2_000, refused.remainingMs());
-        assertEquals(5, refused.round());
+        VoteReply rejected = vote(1_000, Kind.REQUEST_VOTE, "b", 2);
+        assertEquals(Verdict.REJECTED, rejected.verdict());
+        assertEquals("a", rejected.grantedTo());
+        assertEquals(1, rejected.highestToken());
+        assertEquals(2_000, rejected.remainingMs());
+        assertEquals(5, rejected.round());
         assertEquals(Verdict.REJECTED, vote(2_999, Kind.PROBE, "b", 2).verdict());
         assertEquals(Verdict.GRANTED, vote(3_000, Kind.REQUEST_VOTE, "b", 2).verdict());
         assertEquals(List.of(1L, 2L), effects.persistedTokens);
--- a/messages/src/test/java/dewplank/message/GoldenMessages.java
+++ b/messages/src/test/java/dewplank/message/GoldenMessages.java
@@ -117,9 +117,9 @@
     }
 
     /** The last reply of a voter that takes these requests one after another, 500 ms apart. */
-    private static VoteReply reply(String identity, double silentUntil, double now, List<VoteRequest> requests) {
+    private static VoteReply reply(String identity, double abstainsUntil, double now, List<VoteRequest> requests) {
         List<VoteReply> replies = new ArrayList<>();
-        LeaseVoter voter = new LeaseVoter(identity, LEASE_MS, silentUntil, Map.of());
+        LeaseVoter voter = new LeaseVoter(identity, LEASE_MS, abstainsUntil, Map.of());
         LeaseVoter.Effects out = new LeaseVoter.Effects() {
             @Override
             public void persistToken(VoteRequest request, VoteReply reply) {
