--- a/sidecar/src/main/java/dewplank/discovery/DiscoveryClient.java
+++ b/sidecar/src/main/java/dewplank/discovery/DiscoveryClient.java
@@ -1,17 +1,12 @@
 package dewplank.discovery;
 
-import dewplank.balancer.Endpoint.Availability;
 import dewplank.balancer.Event.EndpointUpdate;
 import dewplank.balancer.Event.UpdateKind;
 import dewplank.net.EventLoop;
 import dewplank.settings.Fields;
 import dewplank.settings.Json;
 import java.net.InetSocketAddress;
-import java.util.HashMap;
-import java.util.HashSet;
 import java.util.List;
-import java.util.Map;
-import java.util.Set;
 import java.util.function.Consumer;
 
 /**
@@ -33,17 +28,14 @@
 
     private final EventLoop loop;
     private InetSocketAddress discoveryAddress;
-    private final boolean keepsRemovedServers;
     private final boolean listsArePushed;
     private final Consumer<EndpointUpdate> listener;
-    private final Map<String, InetSocketAddress> addresses = new HashMap<>();
+    private final EndpointTable endpoints;
     private long version;
-    private final Set<String> availableServers = new HashSet<>();
-    private final Set<String> drainingServers = new HashSet<>();
     private CatalogWatch watch;
-    private boolean watching;
+    private boolean isWatchUp;
     private boolean isUsable;
-    private boolean closed;
+    private boolean isClosed;
     private double watchOpenedAtMs = Double.NEGATIVE_INFINITY;
 
     /**
@@ -53,13 +45,13 @@
      */
     public DiscoveryClient(
             EventLoop loop,
-            InetSocketAddress at,
+            InetSocketAddress discoveryAddress,
             boolean keepsRemovedServers,
             boolean listsArePushed,
             Consumer<EndpointUpdate> listener) {
         this.loop = loop;
-        this.discoveryAddress = at;
-        this.keepsRemovedServers = keepsRemovedServers;
+        this.discoveryAddress = discoveryAddress;
+        this.endpoints = new EndpointTable(keepsRemovedServers);
         this.listsArePushed = listsArePushed;
         this.isUsable = !listsArePushed;
         this.listener = listener;
@@ -78,7 +70,7 @@
     public void subscribe() {
         if (watch == null) {
             openWatch();
-        } else if (watching) {
+        } else if (isWatchUp) {
             listener.accept(new EndpointUpdate(UpdateKind.INCREMENTAL, List.of()));
         }
     }
@@ -103,7 +95,7 @@
     public void moveTo(InetSocketAddress next) {
         if (!next.equals(discoveryAddress)) {
             discoveryAddress = next;
-            watching = false;
+            isWatchUp = false;
             if (watch != null) {
                 watch.close();
             }
@@ -113,23 +105,23 @@
 
     /** @return where the server listens, or null where no list names it */
     public InetSocketAddress addressOf(String server) {
-        return addresses.get(server);
+        return endpoints.addressOf(server);
     }
 
     /** Whether new requests may be sent to the server: it is listed and not draining. */
     public boolean acceptsRequests(String server) {
-        return isUsable && addresses.containsKey(server) && !drainingServers.contains(server);
+        return isUsable && endpoints.acceptsRequests(server);
     }
 
     /** Whether the list may be used and names an available server. */
     public boolean hasAvailableServer() {
-        return isUsable && !availableServers.isEmpty();
+        return isUsable && endpoints.hasAvailableServer();
     }
 
     /** An older list is ignored, also where it comes last: it would bring back draining servers. */
     private void listReceived(String text) {
         CatalogUpdate update = CatalogUpdate.of(new Fields(Json.object(text), "discovery "));
-        watching(update.version());
+        watchEstablished(update.version());
         if (update.version() < version) {
             LOG.log(
                     System.Logger.Level.WARNING,
@@ -144,53 +136,29 @@
 
     /** Nothing has changed: that is a response as well, and resets the balancer's backoff. */
     private void keepaliveReceived() {
-        if (!watching) {
-            watching(version);
+        if (!isWatchUp) {
+            watchEstablished(version);
             listener.accept(new EndpointUpdate(UpdateKind.INCREMENTAL, List.of()));
         }
     }
 
-    private void watching(long at) {
+    private void watchEstablished(long atVersion) {
         isUsable = true;
-        if (!watching) {
-            watching = true;
-            LOG.log(System.Logger.Level.INFO, "discovery watch established version={0}", Long.toString(at));
+        if (!isWatchUp) {
+            isWatchUp = true;
+            LOG.log(System.Logger.Level.INFO, "discovery watch established version={0}", Long.toString(atVersion));
         }
     }
 
     private void apply(CatalogUpdate update, UpdateKind kind) {
         version = update.version();
-        if (kind != UpdateKind.INCREMENTAL) { // a server that a full list lacks was removed
-            availableServers.clear();
-            if (!keepsRemovedServers) {
-                addresses.clear();
-                drainingServers.clear();
-            }
-        }
-        for (CatalogUpdate.Member member : update.members()) {
-            String server = member.endpoint().server();
-            if (member.endpoint().availability() == Availability.REMOVED && !keepsRemovedServers) {
-                addresses.remove(server); // servers come and go with ever new ids: they must not add up
-                drainingServers.remove(server);
-            } else {
-                addresses.put(server, member.address());
-            }
-            if (member.endpoint().availability() == Availability.UP) {
-                availableServers.add(server);
-                drainingServers.remove(server);
-            } else {
-                availableServers.remove(server);
-            }
-            if (member.endpoint().availability() == Availability.DRAINING) {
-                drainingServers.add(server);
-            }
-        }
+        endpoints.apply(update, kind);
         listener.accept(new EndpointUpdate(kind, update.endpoints()));
     }
 
     private void watchEnded(String reason) {
         watch = null;
-        watching = false;
+        isWatchUp = false;
         LOG.log(
                 System.Logger.Level.WARNING,
                 "discovery watch lost version={0} cause={1}",
@@ -202,7 +170,7 @@
             return;
         }
         loop.after(watchOpenedAtMs + MIN_REOPEN_INTERVAL_MS - loop.now(), () -> {
-            if (watch == null && !closed) {
+            if (watch == null && !isClosed) {
                 openWatch();
             }
         });
@@ -210,7 +178,7 @@
 
     /** Ends the watch for good. */
     public void close() {
-        closed = true;
+        isClosed = true;
         if (watch != null) {
             watch.close();
             watch = null;
