--- a/cli/src/main/java/dewplank/SidecarCommands.java
+++ b/cli/src/main/java/dewplank/SidecarCommands.java
@@ -5,7 +5,7 @@
 import dewplank.settings.InvalidInputException;
 import dewplank.sidecar.Sidecar;
 import dewplank.sidecar.config.SidecarConfig;
-import dewplank.simhost.Wire;
+import dewplank.simhost.SimulatorHost;
 import java.io.BufferedWriter;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -81,7 +81,7 @@
     public static final class SimHost implements Command {
         @Override
         public void run() throws IOException {
-            new Wire(
+            new SimulatorHost(
                             new InputStreamReader(System.in, StandardCharsets.UTF_8),
                             new BufferedWriter(new OutputStreamWriter(System.out, StandardCharsets.UTF_8), 1 << 16))
                     .run();
--- a/sidecar/src/main/java/dewplank/simhost/Message.java
+++ b/sidecar/src/main/java/dewplank/simhost/WireMessage.java
@@ -6,71 +6,71 @@
 import java.util.Map;
 
 /** Typed access to one message's values, by position. A value missing or of another type is bad input. */
-record Message(String name, List<Object> values) {
+record WireMessage(String name, List<Object> values) {
 
-    static Message of(String line) {
+    static WireMessage parse(String line) {
         List<Object> values = Json.array(line);
         if (values.isEmpty() || !(values.get(0) instanceof String name)) {
             throw new InvalidInputException("a message starts with its name");
         }
-        return new Message(name, values);
+        return new WireMessage(name, values);
     }
 
-    private Object at(int i) {
-        return i < values.size() ? values.get(i) : null;
+    private Object at(int position) {
+        return position < values.size() ? values.get(position) : null;
     }
 
-    private <T> T need(int i, Class<T> type, String what) {
-        Object value = at(i);
+    private <T> T need(int position, Class<T> type, String what) {
+        Object value = at(position);
         if (!type.isInstance(value)) {
-            throw new InvalidInputException(name + ": value " + i + " should be " + what);
+            throw new InvalidInputException(name + ": value " + position + " should be " + what);
         }
         return type.cast(value);
     }
 
-    boolean has(int i) {
-        return at(i) != null;
+    boolean has(int position) {
+        return at(position) != null;
     }
 
-    String text(int i) {
-        return need(i, String.class, "text");
+    String text(int position) {
+        return need(position, String.class, "text");
     }
 
-    long integer(int i) {
-        return need(i, Long.class, "an integer");
+    long integer(int position) {
+        return need(position, Long.class, "an integer");
     }
 
-    int small(int i) {
-        long value = integer(i);
+    int nonNegative(int position) {
+        long value = integer(position);
         if (value < 0 || value > Integer.MAX_VALUE) {
-            throw new InvalidInputException(name + ": value " + i + " is out of range");
+            throw new InvalidInputException(name + ": value " + position + " is out of range");
         }
         return (int) value;
     }
 
-    double number(int i) {
-        return need(i, Number.class, "a number").doubleValue();
+    double number(int position) {
+        return need(position, Number.class, "a number").doubleValue();
     }
 
-    boolean flag(int i) {
-        return need(i, Boolean.class, "true or false");
+    boolean flag(int position) {
+        return need(position, Boolean.class, "true or false");
     }
 
     @SuppressWarnings("unchecked")
-    List<Object> array(int i) {
-        return need(i, List.class, "an array");
+    List<Object> array(int position) {
+        return need(position, List.class, "an array");
     }
 
     @SuppressWarnings("unchecked")
-    Map<String, Object> object(int i) {
-        return need(i, Map.class, "an object");
+    Map<String, Object> object(int position) {
+        return need(position, Map.class, "an object");
     }
 
-    double[] numbersOrNull(int i) {
-        if (!has(i)) {
+    double[] numbersOrNull(int position) {
+        if (!has(position)) {
             return null;
         }
-        return array(i).stream()
+        return array(position).stream()
                 .mapToDouble(v -> {
                     if (v == null) {
                         return Double.NaN;
@@ -78,7 +78,7 @@
                     if (v instanceof Number n) {
                         return n.doubleValue();
                     }
-                    throw new InvalidInputException(name + ": value " + i + " should hold numbers");
+                    throw new InvalidInputException(name + ": value " + position + " should hold numbers");
                 })
                 .toArray();
     }
--- a/sidecar/src/main/java/dewplank/simhost/package-info.java
+++ b/sidecar/src/main/java/dewplank/simhost/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The balancer as the simulator's guest: events come in as lines, actions go out as lines.
+ * Hosts balancers on the simulator's wire: JSON lines on standard input and output, in virtual time. The names of
+ * messages and their values are the simulator's.
  *
- * <p>One thread reads, decides and writes. The form of the lines is the simulator's; nothing here opens a socket, and
- * no decision is made here.
+ * <p>No decision belongs here, and no socket: the same balancers run in the sidecar on both.
  */
 package dewplank.simhost;
--- a/sidecar/src/test/java/dewplank/simhost/WireTest.java
+++ b/sidecar/src/test/java/dewplank/simhost/SimulatorHostTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** A whole transcript through the adapter, and what it says of bad input. */
-class WireTest {
+class SimulatorHostTest {
     private static final String CREATE = "[\"CREATE\",3,99,{\"Accounts\":[],\"Az\":\"z1\",\"Classes\":[{"
             + "\"Deadline\":600.0,\"Idempotency\":\"read_like\",\"KeyScope\":\"all\",\"KeyTtl\":5000.0,"
             + "\"Name\":\"look\",\"Objective\":300.0,\"Worth\":2.0,\"Novel\":[1,{\"a\":null}]}],"
@@ -30,7 +30,7 @@
 
     private static String run(String input) throws IOException {
         StringWriter out = new StringWriter();
-        new Wire(new StringReader(input), out).run();
+        new SimulatorHost(new StringReader(input), out).run();
         return out.toString().replaceFirst("^\n", "").replaceAll("\n+", "\n");
     }
 
