--- a/balancer/src/test/java/dewplank/balancer/LimitsTest.java
+++ b/balancer/src/test/java/dewplank/balancer/LimitsTest.java
@@ -44,7 +44,7 @@
             "health/PeerSummary.java");
 
     @Test
-    void theDecisionLogicStaysReadable() throws IOException {
+    void linesOfDecisionLogicAreAtMost110Characters() throws IOException {
         List<String> lines = new ArrayList<>();
         for (Path file : policy()) {
             lines.addAll(Files.readAllLines(file));
--- a/balancer/src/test/java/dewplank/balancer/WeightedDrawTest.java
+++ b/balancer/src/test/java/dewplank/balancer/WeightedDrawTest.java
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void theExcludedOneIsNeverDrawnAndTheOthersShareItsPart() {
+    void theExcludedOneIsNeverDrawnAndTheOthersAreDrawnByWeight() {
         Map<String, Integer> drawn = draws(ALL, "a");
         assertNull(drawn.get("a"));
         assertEquals(0.5, drawn.get("b") / (double) DRAWS, 0.02);
--- a/balancer/src/test/java/dewplank/balancer/adaptive/AdmissionTest.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/AdmissionTest.java
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void aCrowdedFleetRefusesTheLeastWorthFirst() {
+    void anOverloadedFleetRejectsTheLeastValuableFirst() {
         Host h = Host.with(new Host.Setup(), 4);
         load(h, 100, 20);
         load(h, 100, 60);
@@ -52,7 +52,7 @@
 
     /** Servers that always took a quarter of the aim are no crowd: only times over the idle ones shed so early. */
     @Test
-    void aFleetThatWasNeverQuickerRefusesNobody() {
+    void aFleetThatWasNeverQuickerRejectsNobody() {
         Host h = Host.with(new Host.Setup(), 4);
         load(h, 30_000, 80);
         int[] refused = load(h, 200, 80);
@@ -84,7 +84,7 @@
 
     /** Found at Sado, whose idle times are a quarter of the aims and heavy-tailed: a calm fleet refused a tenth. */
     @Test
-    void aCalmFleetWhoseIdleTimesAreALargePartOfTheAimRefusesHardlyAnybody() {
+    void aCalmFleetWhoseIdleTimesAreALargePartOfTheTargetRejectsHardlyAnybody() {
         // lognormal, a quarter of the aim in the mean, as large a deviation
         int refused = refused((i, s, random) -> 75 * Math.exp(0.83 * random.nextGaussian() - 0.35));
         assertTrue(refused <= 50, refused + " of 10,000 refused");
@@ -92,7 +92,7 @@
 
     /** Found on days with slow servers: their lateness had everybody refused beside others with room to spare. */
     @Test
-    void slowServersBesideOnesWithRoomAreNoShortage() {
+    void slowServersBesideOnesWithCapacityAreNoShortage() {
         int refused = refused((i, s, random) -> random.nextExponential()
                 * (i >= 300 && !List.of("s0", "s1", "s2").contains(s.server()) ? 240 : 40));
         assertTrue(refused <= 50, refused + " of 10,000 refused");
@@ -100,7 +100,7 @@
 
     /** Lasting lateness is news of the last answers: it may not keep a quiet sidecar shut long after them. */
     @Test
-    void aQuietSidecarDoesNotRefuseForLatenessOfLongAgo() {
+    void aQuietInstanceDoesNotRejectForLatenessOfLongAgo() {
         Host h = Host.with(new Host.Setup(), 4);
         load(h, 100, 20);
         load(h, 200, 150);
@@ -117,14 +117,14 @@
     }
 
     @Test
-    void aQuickFleetRefusesNobody() {
+    void aQuickFleetRejectsNobody() {
         Host h = Host.with(new Host.Setup(), 4);
         int[] refused = load(h, 300, 30);
         assertEquals(0, refused[0] + refused[1]);
     }
 
     @Test
-    void refusalsCarryAdviceWithinTheClientsLimit() {
+    void rejectionsCarryAdviceWithinTheClientsLimit() {
         Host h = Host.with(new Host.Setup(), 4);
         load(h, 100, 20);
         load(h, 300, 250);
@@ -137,7 +137,7 @@
 
     /** Found on the paused days: two slow draws turned work away while other servers stood idle. */
     @Test
-    void slowServersBesideQuickOnesCostNoRefusals() {
+    void slowServersBesideQuickOnesCauseNoRejections() {
         Host h = Host.with(new Host.Setup(), 6);
         int refused = 0;
         for (int i = 0; i < 600; i++) {
@@ -159,17 +159,18 @@
         Host h = Host.with(new Host.Setup(), 4);
         for (int i = 0; i < 400; i++) {
             double cost = 5 + i % 10;
-            Send s = sent(h.tell(new RequestArrived(h.nextRequest++, null, null, false, "read", Host.DEADLINE, cost)));
+            Send s = sent(
+                    h.tell(new RequestArrived(h.nextRequest++, null, null, false, "read", Host.DEADLINE_MS, cost)));
             h.now += 5;
             h.end(s, 0, Outcome.SERVED, 40 + cost, true);
         }
         List<Action> heavy =
-                h.tell(new RequestArrived(h.nextRequest++, null, null, false, "read", Host.DEADLINE, 80.0));
+                h.tell(new RequestArrived(h.nextRequest++, null, null, false, "read", Host.DEADLINE_MS, 80.0));
         assertEquals(1, of(heavy, Send.class).size());
     }
 
     /** One server at home, one away. */
-    private static Host homeAndAway(double crossPrice) {
+    private static Host localAndRemote(double crossPrice) {
         Host.Setup setup = new Host.Setup();
         setup.crossPrice = crossPrice;
         Host h = new Host(setup);
@@ -181,8 +182,8 @@
     }
 
     @Test
-    void workStaysAtHomeUntilHomeIsCrowded() {
-        Host h = homeAndAway(0.2);
+    void workStaysInTheLocalZoneUntilThatIsOverloaded() {
+        Host h = localAndRemote(0.2);
         for (int i = 0; i < 100; i++) {
             assertEquals("h", h.serve("read", 20));
         }
@@ -201,12 +202,12 @@
 
     /** One at ten times its share, and a stranger, who has none: neither pushes out who is within the share. */
     @Test
-    void theTenantFarOverItsShareIsRefusedFirst() {
-        refusedBefore("small", "big");
-        refusedBefore("small", null);
+    void theTenantFarOverItsShareIsRejectedFirst() {
+        expectRejectedFirst("small", "big");
+        expectRejectedFirst("small", null);
     }
 
-    private static void refusedBefore(String within, String over) {
+    private static void expectRejectedFirst(String within, String over) {
         Host.Setup setup = new Host.Setup();
         setup.tenants = List.of(new Tenant("big", 0.5, 50), new Tenant("small", 0.5, 50));
         Host h = Host.with(setup, 4);
@@ -214,7 +215,7 @@
         for (int i = 0; i < 1_500; i++) {
             boolean small = i % 10 == 0;
             Send s = sent(h.tell(new RequestArrived(
-                    h.nextRequest++, small ? within : over, null, false, "read", Host.DEADLINE, 20.0)));
+                    h.nextRequest++, small ? within : over, null, false, "read", Host.DEADLINE_MS, 20.0)));
             h.now += 5;
             if (s != null) {
                 h.end(s, 0, Outcome.SERVED, i < 200 ? 20 : 80, true);
@@ -228,8 +229,8 @@
 
     /** Found in ib55b21: where crossing costs next to nothing, home was crowded to a quarter of the aim. */
     @Test
-    void cheapCrossingSpreadsBeforeHomeIsLate() {
-        Host h = homeAndAway(0.01);
+    void cheapCrossingSpreadsLoadBeforeTheLocalZoneIsLate() {
+        Host h = localAndRemote(0.01);
         int away = 0;
         for (int i = 0; i < 200; i++) {
             Send s = sent(h.arrive("read"));
@@ -243,7 +244,7 @@
 
     /** Found in i39c3b0: a share refused that only follows lateness leaves the servers crowded for good. */
     @Test
-    void lastingLatenessRefusesMoreAndMoreAndThenLess() {
+    void lastingLatenessRejectsMoreAndMoreAndThenLess() {
         Host h = Host.with(new Host.Setup(), 4);
         load(h, 50, 20);
         int[] first = load(h, 60, 170);
@@ -262,15 +263,15 @@
      * were given up early, though servers went on with them, and long ones just as long when tried again.
      */
     @Test
-    void whereNothingMayBeCancelledOnlyAServerInDoubtIsGivenUpEarly() {
+    void whereNothingMayBeCancelledOnlyAttemptsAtASuspectServerTimeOutEarly() {
         Host.Setup setup = new Host.Setup();
-        setup.cancel = false;
+        setup.allowsCancellation = false;
         Host h = Host.with(setup, 1);
         List<Action> first = h.arrive("read");
         assertEquals(0, sent(first).timeoutMs());
         assertTrue(of(h.fire(first), Send.class).isEmpty()); // overdue: there is nobody else to ask
         Send second = sent(h.arrive("read"));
-        assertTrue(second.timeoutMs() > 0 && second.timeoutMs() < Host.DEADLINE, "" + second.timeoutMs());
+        assertTrue(second.timeoutMs() > 0 && second.timeoutMs() < Host.DEADLINE_MS, "" + second.timeoutMs());
         h.now += 10;
         h.end(second, 0, Outcome.SERVED, 10, true);
         assertEquals(0, sent(h.arrive("read")).timeoutMs());
--- a/balancer/src/test/java/dewplank/balancer/adaptive/EffectTest.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/EffectTest.java
@@ -72,7 +72,7 @@
         "UNSAFE, ALL, CONNECT_FAILED, 10, z2, 1, send",
         "UNSAFE, ALL, NEVER_SENT,     10, z2, 1, refuse",
     })
-    void afterOneAttemptWhereFullIsNoProof(
+    void afterOneAttemptWhereARejectionIsNoProof(
             Idempotency effect,
             DeduplicationScope scope,
             Outcome outcome,
@@ -81,7 +81,7 @@
             long cell,
             String expected) {
         Host.Setup setup = new Host.Setup();
-        setup.fullMayHaveRun = true;
+        setup.rejectedMayHaveRun = true;
         assertEquals(expected, after(setup, effect, scope, outcome, ms, zone, cell));
     }
 
--- a/balancer/src/test/java/dewplank/balancer/adaptive/Host.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/Host.java
@@ -28,8 +28,8 @@
 
 /** Drives one balancer by hand: builds settings, passes events, keeps and answers its actions. */
 final class Host {
-    static final double AIM = 300;
-    static final double DEADLINE = 600;
+    static final double LATENCY_TARGET_MS = 300;
+    static final double DEADLINE_MS = 600;
 
     double now = 1_000;
     long nextRequest = 1;
@@ -37,15 +37,15 @@
     final Balancer balancer;
 
     static final class Setup {
-        boolean copies;
-        boolean cancel = true;
-        boolean probes;
-        boolean peers;
-        boolean pushed = true;
-        boolean soft;
-        boolean fullMayHaveRun;
-        boolean rated;
-        boolean warmKeys;
+        boolean allowsHedging;
+        boolean allowsCancellation = true;
+        boolean allowsHealthChecks;
+        boolean exchangesSummaries;
+        boolean listIsPushed = true;
+        boolean onlyDrainingIsBinding;
+        boolean rejectedMayHaveRun;
+        boolean serversAreRated;
+        boolean serversCacheKeys;
         int maxAttempts = 4;
         int replicas = 4;
         int me;
@@ -53,33 +53,52 @@
         double crossPrice;
         Idempotency effect = Idempotency.SAFE;
         DeduplicationScope scope = DeduplicationScope.ALL;
-        boolean stream;
-        double aimPerWork;
+        boolean readsAreStreams;
+        double latencyTargetPerWork;
         List<Tenant> tenants = List.of();
-        List<RequestClass> more = List.of();
+        List<RequestClass> moreClasses = List.of();
 
         Settings settings() {
             List<RequestClass> classes = new ArrayList<>();
             classes.add(new RequestClass(
-                    "read", Idempotency.SAFE, DeduplicationScope.ALL, 0, AIM, aimPerWork, DEADLINE, 1, 0, stream));
-            classes.add(new RequestClass("act", effect, scope, 400, AIM, 0, DEADLINE, 5, 0, false));
-            classes.addAll(more);
+                    "read",
+                    Idempotency.SAFE,
+                    DeduplicationScope.ALL,
+                    0,
+                    LATENCY_TARGET_MS,
+                    latencyTargetPerWork,
+                    DEADLINE_MS,
+                    1,
+                    0,
+                    readsAreStreams));
+            classes.add(new RequestClass("act", effect, scope, 400, LATENCY_TARGET_MS, 0, DEADLINE_MS, 5, 0, false));
+            classes.addAll(moreClasses);
             return new Settings(
                     me,
                     replicas,
                     "z1",
                     1,
-                    pushed,
+                    listIsPushed,
                     false,
-                    rated,
-                    warmKeys,
+                    serversAreRated,
+                    serversCacheKeys,
                     0.1,
                     List.of("busy"),
                     false,
                     classes,
                     tenants,
-                    new Limits(maxAttempts, copies, cancel, probes, peers, true, 300, 100, 15_000, 100),
-                    new Safety(10_000, 10_000, 0.3, 3, 1_000, soft, fullMayHaveRun),
+                    new Limits(
+                            maxAttempts,
+                            allowsHedging,
+                            allowsCancellation,
+                            allowsHealthChecks,
+                            exchangesSummaries,
+                            true,
+                            300,
+                            100,
+                            15_000,
+                            100),
+                    new Safety(10_000, 10_000, 0.3, 3, 1_000, onlyDrainingIsBinding, rejectedMayHaveRun),
                     new Prices(crossPrice, 0),
                     new Goal(0.9, 0.1, tail, tail > 0 ? 0.01 : 0));
         }
@@ -120,7 +139,7 @@
     }
 
     List<Action> arrive(String kind) {
-        return tell(new RequestArrived(nextRequest++, null, null, false, kind, DEADLINE, 20.0));
+        return tell(new RequestArrived(nextRequest++, null, null, false, kind, DEADLINE_MS, 20.0));
     }
 
     static Send sent(List<Action> actions) {
--- a/balancer/src/test/java/dewplank/balancer/adaptive/RulesTest.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/RulesTest.java
@@ -41,8 +41,8 @@
         setup.effect = Idempotency.UNSAFE;
         Host h = Host.with(setup, 3);
         Send s = sent(h.arrive("act"));
-        h.now += Host.DEADLINE;
-        List<Action> then = h.end(s, 0, Outcome.TIMED_OUT, Host.DEADLINE, false);
+        h.now += Host.DEADLINE_MS;
+        List<Action> then = h.end(s, 0, Outcome.TIMED_OUT, Host.DEADLINE_MS, false);
         assertEquals(List.of(new Fail(s.request())), then);
         assertTrue(h.tell(new RequestAbandoned(s.request())).isEmpty());
         assertTrue(h.end(s, 0, Outcome.SERVED, 700, true).isEmpty());
@@ -70,9 +70,9 @@
     }
 
     @Test
-    void whereOnlyDrainingBindsAGoneServerStaysInUse() {
+    void whereOnlyDrainingIsBindingAServerThatHasGoneStaysInUse() {
         Host.Setup setup = new Host.Setup();
-        setup.soft = true;
+        setup.onlyDrainingIsBinding = true;
         Host h = Host.with(setup, 1);
         h.list(UpdateKind.FULL);
         assertEquals("s0", h.serve("read", 10));
@@ -85,7 +85,7 @@
     @Test
     void outcomesDecideWhereTheListIsWrong() {
         Host.Setup setup = new Host.Setup();
-        setup.soft = true;
+        setup.onlyDrainingIsBinding = true;
         Host h = Host.with(setup, 4);
         for (int i = 0; i < 40; i++) {
             h.serve("read", 10);
@@ -112,16 +112,16 @@
     }
 
     @Test
-    void anEmptyListRefusesAtOnce() {
+    void anEmptyListRejectsAtOnce() {
         Host h = new Host(new Host.Setup());
         h.list(UpdateKind.CACHED);
         assertEquals(1, of(h.arrive("read"), Reject.class).size());
     }
 
     @Test
-    void aRequestWaitsForAListThatIsStillAsked() {
+    void aRequestWaitsForAListThatIsSubscribedTo() {
         Host.Setup setup = new Host.Setup();
-        setup.pushed = false;
+        setup.listIsPushed = false;
         Host h = new Host(setup);
         assertEquals(1, of(h.list(UpdateKind.CACHED), Subscribe.class).size());
         List<Action> waiting = h.arrive("read");
@@ -133,7 +133,7 @@
     @Test
     void aBrokenSubscriptionIsRenewedWithGrowingWaits() {
         Host.Setup setup = new Host.Setup();
-        setup.pushed = false;
+        setup.listIsPushed = false;
         Host h = Host.with(setup, 2);
         double longest = 0;
         for (int i = 0; i < 4; i++) {
@@ -146,7 +146,7 @@
     }
 
     @Test
-    void aColdServerGetsNoMoreThanItsBudget() {
+    void aServerWarmingUpGetsNoMoreThanItsBudget() {
         Host.Setup setup = new Host.Setup();
         setup.effect = Idempotency.SAFE;
         Host h = new Host(setup);
@@ -168,7 +168,7 @@
 
     /** Found on the days at size: newcomers stood idle for seconds beside crowded servers, in all sidecars alike. */
     @Test
-    void newcomersTakeTheirPartOfABusyFleetsWork() {
+    void newServersTakeTheirPartOfABusyFleetsWork() {
         int newcomers = 0;
         int sends = 0;
         for (int seed = 1; seed <= 20; seed++) { // heavy-tailed times: one play says little
@@ -197,7 +197,7 @@
 
     /** Hundreds of sidecars, each with a share of the budget under one request: together they keep to it. */
     @Test
-    void allSidecarsTogetherKeepToTheColdBudget() {
+    void allInstancesTogetherKeepToTheSlowStartBudget() {
         int sidecars = 400;
         double work = 20;
         int[] sends = new int[60]; // spans of a second
@@ -231,9 +231,9 @@
     }
 
     @Test
-    void aSafeRequestOverdueGetsASecondCopyAndTheLoserIsCalledOff() {
+    void anOverdueSafeRequestIsHedgedAndTheLoserIsCancelled() {
         Host.Setup setup = new Host.Setup();
-        setup.copies = true;
+        setup.allowsHedging = true;
         Host h = Host.with(setup, 3);
         List<Action> first = h.arrive("read");
         Send copy = sent(h.fire(first));
@@ -243,7 +243,7 @@
 
     /** The first one overdue is long, for all that is known: sent again it would take as long. The next is stuck. */
     @Test
-    void withoutCopiesTheOverdueAttemptAtAServerInDoubtIsCalledOffBeforeTheNext() {
+    void withoutHedgingTheOverdueAttemptAtASuspectServerIsCancelledBeforeTheNext() {
         Host h = Host.with(new Host.Setup(), 1);
         List<Action> first = h.arrive("read");
         List<Action> second = h.arrive("read");
@@ -259,9 +259,9 @@
     }
 
     @Test
-    void anUnsafeRequestIsNeverCopied() {
+    void anUnsafeRequestIsNeverHedged() {
         Host.Setup setup = new Host.Setup();
-        setup.copies = true;
+        setup.allowsHedging = true;
         setup.effect = Idempotency.UNSAFE;
         Host h = Host.with(setup, 3);
         List<Action> overdue = h.fire(h.arrive("act"));
@@ -298,10 +298,10 @@
     }
 
     @Test
-    void aStartedStreamGetsNothingMore() {
+    void aStartedStreamIsNeitherHedgedNorRetried() {
         Host.Setup setup = new Host.Setup();
-        setup.copies = true;
-        setup.stream = true;
+        setup.allowsHedging = true;
+        setup.readsAreStreams = true;
         Host h = Host.with(setup, 3);
         List<Action> first = h.arrive("read");
         assertTrue(h.tell(new StreamStarted(1, 0, 10)).isEmpty());
--- a/balancer/src/test/java/dewplank/balancer/adaptive/ScaleTest.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/ScaleTest.java
@@ -42,14 +42,14 @@
     }
 
     @Test
-    void aThinSidecarOfManyKeepsToAFewServers() {
+    void anInstanceWithLittleTrafficUsesFewServers() {
         Set<String> used = used(sidecar(3, 500, 100), 60);
         assertTrue(used.size() >= 2 && used.size() <= 6, used.toString());
     }
 
     /** Over a long day servers come and go with ever new ids: what is known of those gone must not add up. */
     @Test
-    void serversThatHaveGoneAreForgottenOnceNothingIsOut() {
+    void serversThatHaveGoneAreForgottenOnceNothingIsInFlight() {
         Host h = sidecar(0, 2, 1);
         Send open = sent(h.arrive("read"));
         h.list(UpdateKind.INCREMENTAL, entry("s0", "z1", 0, Availability.REMOVED, null));
@@ -64,12 +64,12 @@
     }
 
     @Test
-    void aHandfulOfSidecarsUsesTheWholeFleet() {
+    void aHandfulOfInstancesUsesTheWholeFleet() {
         assertEquals(10, used(sidecar(0, 4, 10), 400).size());
     }
 
     @Test
-    void theSetsOfAllSidecarsCoverTheFleetEvenly() {
+    void theWorkingSetsOfAllInstancesCoverTheFleetEvenly() {
         Map<String, Integer> users = new HashMap<>();
         for (int me = 0; me < 400; me++) {
             used(sidecar(me, 400, 40), 20).forEach(s -> users.merge(s, 1, Integer::sum));
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void aCondemnedMemberIsReplaced() {
+    void anEjectedMemberOfTheWorkingSetIsReplaced() {
         Host h = sidecar(3, 500, 100);
         Set<String> before = used(h, 40);
         String bad = before.iterator().next();
@@ -143,7 +143,7 @@
 
     /** The way to the far zone grows to most of the aim, no queue does: once that shows, nothing is refused. */
     @Test
-    void aSlowWayIsNoCrowd() {
+    void aSlowNetworkIsNoQueue() {
         Host h = new Host(new Host.Setup());
         h.list(UpdateKind.CACHED, entry("near", "z1", 0, Availability.UP, null));
         used(h, 100);
@@ -167,7 +167,7 @@
 
     /** Where the goal has a tail a late answer costs more than an early refusal: shedding starts earlier. */
     @Test
-    void withATailMoreIsRefusedEarly() {
+    void withATailMoreIsRejectedEarly() {
         int[] refused = new int[2];
         for (int tail = 0; tail < 2; tail++) {
             Host.Setup setup = new Host.Setup();
@@ -194,7 +194,7 @@
         for (int i = 0; i < 40; i++) {
             Send s = sent(h.arrive("read"));
             boolean jammed = List.of("s0", "s1").contains(s.server());
-            double took = jammed ? Host.DEADLINE : 10;
+            double took = jammed ? Host.DEADLINE_MS : 10;
             h.now += took;
             h.end(s, 0, jammed ? Outcome.TIMED_OUT : Outcome.SERVED, took, true);
             late += jammed ? 1 : 0;
--- a/balancer/src/test/java/dewplank/balancer/adaptive/VerdictTest.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/VerdictTest.java
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void threeErrorsCondemnAndTrialsComeOnceASecond() {
+    void threeErrorsEjectAndTrialsComeOnceASecond() {
         Host h = Host.with(new Host.Setup(), 4);
         play(h, 1_200, 5, "s0");
         Map<String, Integer> later = play(h, 500, 10, "s0"); // five seconds
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void twoErrorsCondemnNobody() {
+    void twoErrorsEjectNobody() {
         Host h = Host.with(new Host.Setup(), 2);
         int errors = 0;
         for (int i = 0; errors < 2; i++) {
@@ -74,7 +74,7 @@
 
     /** Found at Sado: an eighth of all refusals were trials, refused for the very server's lateness that they try. */
     @Test
-    void aTrialIsSentHoweverLateItsServerWas() {
+    void aTrialIsSentHoweverSlowItsServerWas() {
         Host h = Host.with(new Host.Setup(), 4);
         play(h, 1_200, 5, "s0");
         int refused = 0;
@@ -86,8 +86,8 @@
             h.now += 20;
             if (s != null && s.server().equals("s0")) {
                 trials++;
-                h.now += Host.DEADLINE;
-                h.end(s, 0, Outcome.TIMED_OUT, Host.DEADLINE, true);
+                h.now += Host.DEADLINE_MS;
+                h.end(s, 0, Outcome.TIMED_OUT, Host.DEADLINE_MS, true);
             } else if (s != null) {
                 h.end(s, 0, Outcome.SERVED, 20, true);
             }
@@ -105,7 +105,7 @@
     }
 
     @Test
-    void whenUnderHalfAreFreeAllAreDrawn() {
+    void whileMoreThanHalfAreEjectedAllAreDrawn() {
         Host h = Host.with(new Host.Setup(), 4);
         play(h, 400, 5, "s0", "s1", "s2");
         h.now += 1_100; // doubts lapse, verdicts last
@@ -117,7 +117,7 @@
     }
 
     @Test
-    void fullAndCancelledAreNeitherHealthyNorUnhealthy() {
+    void rejectionsAndCancellationsAreNeitherHealthyNorUnhealthy() {
         Host h = Host.with(new Host.Setup(), 2);
         for (int i = 0; i < 50; i++) {
             Send s = sent(h.arrive("read"));
@@ -150,7 +150,7 @@
      * servers with nothing to do rested for four seconds while requests were refused.
      */
     @Test
-    void thoseTurnedAwayTogetherMakeOneRest() {
+    void requestsRejectedTogetherBeginOneBackoff() {
         Host h = Host.with(new Host.Setup(), 1);
         List<Send> out = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
@@ -164,7 +164,7 @@
 
     /** Hung servers may turn all away at once; the rest after full grows until they draw next to nothing. */
     @Test
-    void aServerThatOnlyTurnsAwayDrawsLittle() {
+    void aServerThatOnlyRejectsIsRarelyDrawn() {
         Host h = Host.with(new Host.Setup(), 4);
         int drawn = 0;
         for (int i = 0; i < 1_000; i++) {
@@ -181,7 +181,7 @@
     }
 
     @Test
-    void aServerThatAnswersNothingIsCondemnedBeforeAnyTimeOut() {
+    void aServerThatAnswersNothingIsEjectedBeforeAnyTimeOut() {
         Host h = Host.with(new Host.Setup(), 4);
         play(h, 100, 5);
         int hung = 0;
@@ -223,7 +223,7 @@
      * last outcome of one class, while they served the others. A class that takes no trials could not take it back.
      */
     @Test
-    void aServerThatServesAnotherClassSinceIsNotCondemned() {
+    void aServerThatServesAnotherClassSinceIsNotEjected() {
         Host.Setup setup = new Host.Setup();
         setup.effect = Idempotency.UNSAFE;
         Host h = Host.with(setup, 1);
@@ -243,7 +243,7 @@
 
     /** Found where connections fall silent: one that hung made its server look as slow as the hanging was long. */
     @Test
-    void aRequestThatHangsByItselfDoesNotMakeItsServerLate() {
+    void aRequestThatHangsAloneDoesNotMakeItsServerLate() {
         Host.Setup setup = new Host.Setup();
         setup.effect = Idempotency.UNSAFE;
         Host h = Host.with(setup, 1);
@@ -276,7 +276,7 @@
     }
 
     @Test
-    void aSummaryTellsWhoIsJudgedUnhealthy() {
+    void aSummaryNamesTheServersFoundUnhealthy() {
         Host h = talking();
         play(h, 600, 5, "s0");
         PeerSummary said = PeerSummary.decode(of(h.fire(h.tell(new TimerFired(1))), BroadcastSummary.class).stream()
@@ -288,9 +288,9 @@
 
     /** Found at Sado: each sidecar warmed a server of its own for a key, and servers remember a few keys only. */
     @Test
-    void sidecarsAgreeOnAKeysServerWithoutAWord() {
+    void instancesAgreeOnAKeysServerWithoutMessages() {
         Host.Setup setup = new Host.Setup();
-        setup.warmKeys = true;
+        setup.serversCacheKeys = true;
         Host one = Host.with(setup, 4);
         setup.me = 1;
         Host two = Host.with(setup, 4);
@@ -306,7 +306,7 @@
     }
 
     private static String serveKey(Host h, String key) {
-        Send s = sent(h.tell(new RequestArrived(h.nextRequest++, null, key, false, "read", Host.DEADLINE, 20.0)));
+        Send s = sent(h.tell(new RequestArrived(h.nextRequest++, null, key, false, "read", Host.DEADLINE_MS, 20.0)));
         h.now += 50;
         h.end(s, 0, Outcome.SERVED, 50, true);
         return s.server();
@@ -324,7 +324,7 @@
     }
 
     @Test
-    void aPeerThatCallsAllIllCondemnsNobodyAlone() {
+    void aPeerThatFindsAllUnhealthyEjectsNobodyAlone() {
         Host h = talking();
         h.tell(new PeerSummaryReceived(1, against(h.now, "s0", "s1", "s2", "s3")));
         assertEquals(4, play(h, 100, 1).size(), "one of two votes is no majority");
@@ -334,7 +334,7 @@
 
     /** Late, doubled, overtaken, of a time to come, of a peer that does not exist, torn, or of another version. */
     @Test
-    void datagramsThatWentWrongChangeNothing() {
+    void invalidDatagramsChangeNothing() {
         Host h = talking();
         byte[] bad = against(h.now, "s0");
         h.tell(new PeerSummaryReceived(1, against(h.now + 1)));
@@ -357,7 +357,7 @@
     }
 
     @Test
-    void aSummaryKeepsToItsBytes() {
+    void aSummaryHoldsAsManyServersAsFitInto256Bytes() {
         List<Integer> many = java.util.stream.IntStream.range(0, 300).boxed().toList();
         byte[] bytes = new PeerSummary(5, many).encode();
         assertEquals(253, bytes.length);
@@ -366,7 +366,7 @@
 
     private static Host talking() {
         Host.Setup setup = new Host.Setup();
-        setup.peers = true;
+        setup.exchangesSummaries = true;
         Host h = Host.with(setup, 4);
         play(h, 100, 5);
         return h;
--- a/balancer/src/test/java/dewplank/balancer/health/GoldenPeerSummaryTest.java
+++ b/balancer/src/test/java/dewplank/balancer/health/GoldenPeerSummaryTest.java
@@ -46,7 +46,7 @@
 
     /** Of 70 servers 61 find room in 256 bytes. */
     @Test
-    void noMoreThanFindRoom() {
+    void noMoreServersThanFitInto256Bytes() {
         List<Integer> servers = new ArrayList<>();
         StringBuilder expected = new StringBuilder("01" + "4014000000000000");
         for (int index = 0; index < 70; index++) {
--- a/balancer/src/test/java/dewplank/balancer/health/ServerHealthTest.java
+++ b/balancer/src/test/java/dewplank/balancer/health/ServerHealthTest.java
@@ -17,7 +17,7 @@
     }
 
     @Test
-    void threeUnhealthyOnesInOneContextCondemnAndTwoDoNot() {
+    void threeUnhealthyOutcomesInOneContextGiveAVerdictAndTwoDoNot() {
         assertFalse(health.isUnhealthy(0), "nothing is known");
         observe("read", 0, false, false);
         assertFalse(health.isUnhealthy(2));
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void halfOfTheWindowCondemnsThoughServedSince() {
+    void halfOfTheWindowGivesAVerdictThoughServedSince() {
         observe("read", 0, false, false, false, true, true, true);
         assertTrue(health.isUnhealthy(6), "three of six");
         observe("read", 6, true);
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void whatAnotherContextWasServedSinceIsTheLatestWord() {
+    void whatAnotherContextWasServedSinceIsTheLatestStatus() {
         observe("act", 0, true, true, true, true, true, true, false, false, false);
         assertTrue(health.isUnhealthy(9));
         observe("read", 9, true);
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void servedInTheWindowIsToldByTheLastOneServed() {
+    void recentSuccessGoesByTheLatestRequestServed() {
         assertEquals(Double.NEGATIVE_INFINITY, health.lastSuccessAtMs());
         assertFalse(health.hasRecentSuccess(0));
         observe("read", 500, true, false);
