--- a/sidecar/src/test/java/dewplank/discovery/CatalogWatchTest.java
+++ b/sidecar/src/test/java/dewplank/discovery/CatalogWatchTest.java
@@ -20,13 +20,13 @@
      * 2 s, and what discovery has to tell counts as told 4 s after a move.
      */
     @Test
-    public void aSilentWatchIsLeftInTimeForAnotherCall() {
+    public void theIdleTimeoutLeavesTimeForAnotherWatch() {
         assertTrue(CatalogWatch.IDLE_TIMEOUT_MS > 2_000 && CatalogWatch.IDLE_TIMEOUT_MS < 4_000);
     }
 
     /** A discovery that is cut off keeps the connection open and says nothing; TCP does not notice. */
     @Test
-    public void aSilentDirectoryEndsTheWatchAndItsConnection() throws Exception {
+    public void aSilentDiscoveryEndsTheWatchAndItsConnection() throws Exception {
         BlockingQueue<String> ends = new LinkedBlockingQueue<>();
         EventLoop loop = new EventLoop();
         try (ServerSocket silent = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
--- a/sidecar/src/test/java/dewplank/peers/PeerChannelTest.java
+++ b/sidecar/src/test/java/dewplank/peers/PeerChannelTest.java
@@ -91,7 +91,7 @@
     }
 
     @Test
-    public void onlyPeersAreHeardByTheirNumber() throws Exception {
+    public void onlyDatagramsOfPeersAreDelivered() throws Exception {
         send(stranger, (byte) 1, (byte) 9);
         send(one, (byte) 2, (byte) 9); // not readable
         send(one, new byte[0]);
@@ -107,7 +107,7 @@
     }
 
     @Test
-    public void whatIsToldReachesEachPeerButOneself() throws Exception {
+    public void aBroadcastReachesEachPeerButItself() throws Exception {
         loop.execute(() -> peers.broadcast(new byte[] {1, 5}));
         assertArrayEquals(new byte[] {1, 5}, next(one));
         assertArrayEquals(new byte[] {1, 5}, next(two));
@@ -120,7 +120,7 @@
 
     /** A flood from a peer that went wrong neither fills the memory nor ends the hearing. */
     @Test
-    public void aFloodIsDroppedBeyondTheBound() throws Exception {
+    public void datagramsBeyondTheBoundAreDropped() throws Exception {
         CountDownLatch busy = new CountDownLatch(1);
         loop.execute(() -> {
             try {
--- a/sidecar/src/test/java/dewplank/sidecar/AttemptWriteTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/AttemptWriteTest.java
@@ -7,7 +7,6 @@
 import static org.junit.Assert.assertTrue;
 
 import dewplank.balancer.Event.AttemptEnded;
-import dewplank.balancer.Event.EndpointUpdate;
 import dewplank.balancer.Event.RequestAbandoned;
 import dewplank.balancer.Outcome;
 import dewplank.exchange.ConnectionPool;
@@ -31,16 +30,11 @@
 
 /** What may change between the decision to send and the writing: each crossing in the order that does harm. */
 public class AttemptWriteTest {
-    private static final UnaryOperator<String> NO_CONNECT_TIMEOUT =
-            s -> s.replace("\"ConnectTimeout\":2000", "\"ConnectTimeout\":0");
-
     /** Found on a zone day: a connection took long to come up, and the repeat was written past the window. */
     @Test
     public void aRepeatIsNotWrittenOnceItsWindowIsOver() throws Exception {
-        BalancerEventLatch listed = new BalancerEventLatch(e -> e instanceof EndpointUpdate news
-                && !news.endpoints().isEmpty()
-                && news.endpoints().get(0).server().equals("late"));
-        UnaryOperator<String> keyed = s -> NO_CONNECT_TIMEOUT
+        BalancerEventLatch listed = BalancerEventLatch.forUpdateOf("late");
+        UnaryOperator<String> keyed = s -> LoopbackNetwork.NO_CONNECT_TIMEOUT
                 .apply(s)
                 .replace(
                         "\"Idempotency\":\"non_idempotent\"",
@@ -48,8 +42,7 @@
         BalancerEventLatch reset = new BalancerEventLatch(e -> e instanceof AttemptEnded);
         try (LoopbackNetwork net = new LoopbackNetwork(1, keyed, m -> reset.apply(listed.apply(m)));
                 ScriptedPeer late = ScriptedPeer.withDelayedAccept()) {
-            ReceivedRequest watch = net.discovery.next();
-            watch.beginWatch();
+            ReceivedRequest watch = net.beginWatch();
             Client client = net.client();
             client.send(Client.request("order-place", "Idempotency-Key: k\r\n"));
             ReceivedRequest first = net.servers.get(0).next();
@@ -66,8 +59,8 @@
 
     /** The time that it may take to come up can be longer than the grace after a drain was told. */
     @Test
-    public void aServerThatDrainsWhileItsConnectionComesUpGetsNothing() throws Exception {
-        try (LoopbackNetwork net = new LoopbackNetwork(0, NO_CONNECT_TIMEOUT, m -> m);
+    public void aServerThatDrainsWhileConnectingGetsNoRequest() throws Exception {
+        try (LoopbackNetwork net = new LoopbackNetwork(0, LoopbackNetwork.NO_CONNECT_TIMEOUT, m -> m);
                 ScriptedPeer late = ScriptedPeer.withDelayedAccept()) {
             ReceivedRequest watch = listOf(net, late);
             Client client = net.client();
@@ -85,10 +78,10 @@
 
     /** Where nothing may be cancelled as well: what was never written is not an attempt yet. */
     @Test
-    public void aClientThatLeavesWhileTheConnectionComesUpIsNotSentOn() throws Exception {
+    public void aClientThatDisconnectsWhileConnectingIsNotForwarded() throws Exception {
         BalancerEventLatch abandoned = new BalancerEventLatch(e -> e instanceof RequestAbandoned);
         UnaryOperator<String> fixed =
-                s -> NO_CONNECT_TIMEOUT.apply(s).replace("\"Cancelling\":true", "\"Cancelling\":false");
+                s -> LoopbackNetwork.NO_CONNECT_TIMEOUT.apply(s).replace("\"Cancelling\":true", "\"Cancelling\":false");
         try (LoopbackNetwork net = new LoopbackNetwork(0, fixed, abandoned);
                 ScriptedPeer late = ScriptedPeer.withDelayedAccept()) {
             listOf(net, late);
@@ -105,8 +98,8 @@
 
     /** Nothing was written, so nothing ran: the client may try again, and an order too. */
     @Test
-    public void aTimeOutBeforeTheConnectionIsUpIsARefusal() throws Exception {
-        try (LoopbackNetwork net = new LoopbackNetwork(0, NO_CONNECT_TIMEOUT, m -> m);
+    public void aTimeoutBeforeTheConnectionIsUpIsRejected() throws Exception {
+        try (LoopbackNetwork net = new LoopbackNetwork(0, LoopbackNetwork.NO_CONNECT_TIMEOUT, m -> m);
                 ScriptedPeer late = ScriptedPeer.withDelayedAccept()) {
             listOf(net, late);
             BalancerEventLatch.awaitHealthStatus(net.client(), "200");
@@ -121,7 +114,7 @@
      * is after some twenty completions in one task, from where on they wait in line.
      */
     @Test
-    public void aBreakToldBeforeTheWritesCompletionProvesNothing() throws Exception {
+    public void aResetSeenBeforeTheWritesCompletionProvesNothing() throws Exception {
         BlockingQueue<Outcome> ends = new LinkedBlockingQueue<>();
         EventLoop loop = new EventLoop();
         try (ScriptedPeer server = new ScriptedPeer()) {
@@ -153,7 +146,7 @@
 
     /** A server begins a request with its last byte: what it says before that answers something else. */
     @Test
-    public void anAnswerBeforeTheRequestIsWholeIsNotItsAnswer() throws Exception {
+    public void aResponseBeforeTheRequestIsWrittenIsNotItsResponse() throws Exception {
         BlockingQueue<Outcome> ends = new LinkedBlockingQueue<>();
         EventLoop loop = new EventLoop();
         try (ScriptedPeer server = new ScriptedPeer()) {
@@ -174,7 +167,7 @@
 
     /** Between two sweeps a connection may get older than the server lets it: it is not used again. */
     @Test
-    public void aConnectionThatTheServerIsAboutToCloseIsNotUsed() throws Exception {
+    public void aConnectionThatTheServerIsAboutToCloseIsNotReused() throws Exception {
         try (LoopbackNetwork net =
                 new LoopbackNetwork(1, s -> s.replace("\"IdleClose\":60000", "\"IdleClose\":50"), m -> m)) {
             Client client = net.client();
@@ -195,7 +188,7 @@
 
     /** Seen on a join day: some servers answer twice, the second time some milliseconds later. */
     @Test
-    public void aConnectionRestsUntilASecondAnswerWouldHaveCome() throws Exception {
+    public void aConnectionIsNotReusedUntilADuplicateResponseWouldHaveCome() throws Exception {
         EventLoop loop = new EventLoop();
         try (ScriptedPeer server = new ScriptedPeer()) {
             CompletableFuture<Connection> up = new CompletableFuture<>();
@@ -234,8 +227,7 @@
     }
 
     private static ReceivedRequest listOf(LoopbackNetwork net, ScriptedPeer late) throws Exception {
-        ReceivedRequest watch = net.discovery.next();
-        watch.beginWatch();
+        ReceivedRequest watch = net.beginWatch();
         watch.sendLine(LoopbackNetwork.catalogJson(8, false, List.of(late.endpointJson("late", "active"))));
         return watch;
     }
--- a/sidecar/src/test/java/dewplank/sidecar/BalancerEventLatch.java
+++ b/sidecar/src/test/java/dewplank/sidecar/BalancerEventLatch.java
@@ -2,6 +2,7 @@
 
 import dewplank.balancer.Balancer;
 import dewplank.balancer.Event;
+import dewplank.balancer.Event.EndpointUpdate;
 import dewplank.exchange.ConnectionPool;
 import java.io.IOException;
 import java.util.concurrent.CountDownLatch;
@@ -10,7 +11,7 @@
 import java.util.function.Predicate;
 import java.util.function.UnaryOperator;
 
-/** Round the module: a test passes it once the module has handled an event of some kind. */
+/** Wraps the balancer; a test awaits it until the balancer has handled an event of some kind. */
 final class BalancerEventLatch implements UnaryOperator<Balancer> {
     private static final int TIMEOUT_S = 20;
 
@@ -21,10 +22,17 @@
         this.kind = kind;
     }
 
+    /** Opens once the balancer has handled an update whose first endpoint is this server. */
+    static BalancerEventLatch forUpdateOf(String server) {
+        return new BalancerEventLatch(e -> e instanceof EndpointUpdate update
+                && !update.endpoints().isEmpty()
+                && update.endpoints().get(0).server().equals(server));
+    }
+
     @Override
-    public Balancer apply(Balancer module) {
+    public Balancer apply(Balancer balancer) {
         return (now, event, out) -> {
-            module.handle(now, event, out);
+            balancer.handle(now, event, out);
             if (kind.test(event)) {
                 handled.countDown();
             }
@@ -37,7 +45,7 @@
         }
     }
 
-    /** Until the sidecar has taken a request. */
+    /** Until the sidecar has accepted a request. */
     static void awaitRequestAccepted(LoopbackNetwork net) throws Exception {
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
         while (System.nanoTime() < until && callOnLoop(net, () -> net.sidecar.openRequestCount()) == 0) {
@@ -63,10 +71,10 @@
         } while (!answer.startsWith("HTTP/1.1 " + status));
     }
 
-    /** Until the connections to servers that are idle now may be used again. */
+    /** Until the server connections that are idle now may be reused. */
     static void awaitConnectionReusable(LoopbackNetwork net) throws Exception {
-        CountDownLatch rested = new CountDownLatch(1);
-        callOnLoop(net, () -> net.sidecar.loop().after(ConnectionPool.REUSE_DELAY_MS, rested::countDown));
-        rested.await();
+        CountDownLatch reusable = new CountDownLatch(1);
+        callOnLoop(net, () -> net.sidecar.loop().after(ConnectionPool.REUSE_DELAY_MS, reusable::countDown));
+        reusable.await();
     }
 }
--- a/sidecar/src/test/java/dewplank/sidecar/ClientDisconnectTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/ClientDisconnectTest.java
@@ -19,12 +19,9 @@
 
 /** A client that leaves, and connections that end while something comes on them. */
 public class ClientDisconnectTest {
-    private static final UnaryOperator<String> NO_CONNECT_TIMEOUT =
-            s -> s.replace("\"ConnectTimeout\":2000", "\"ConnectTimeout\":0");
-
     /** Its end waits right behind its request, and is read first: the loop is held while both come. */
     @Test
-    public void aRequestWhoseClientHasLeftBeforeItWasReadIsNotSentOn() throws Exception {
+    public void aRequestWhoseClientDisconnectsBeforeItIsReadIsNotForwarded() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client before = net.client();
             before.sendRequest("menu-read");
@@ -49,7 +46,7 @@
 
     /** Held for want of a server: the list that brings one comes after the client has left. */
     @Test
-    public void aClientThatLeavesWhileItsRequestWaitsForAServerIsNotSentOn() throws Exception {
+    public void aClientThatDisconnectsWhileItsRequestIsQueuedIsNotForwarded() throws Exception {
         BalancerEventLatch abandoned = new BalancerEventLatch(e -> e instanceof RequestAbandoned);
         try (LoopbackNetwork net = new LoopbackNetwork(0, s -> s, abandoned);
                 ScriptedPeer server = new ScriptedPeer()) {
@@ -72,9 +69,9 @@
 
     /** More than a buffer's fill was sent ahead: the end behind it is seen all the same. */
     @Test
-    public void aClientThatLeavesBehindUnreadBytesIsNotSentOn() throws Exception {
+    public void aClientThatDisconnectsBehindUnreadBytesIsNotForwarded() throws Exception {
         BalancerEventLatch abandoned = new BalancerEventLatch(e -> e instanceof RequestAbandoned);
-        try (LoopbackNetwork net = new LoopbackNetwork(0, NO_CONNECT_TIMEOUT, abandoned);
+        try (LoopbackNetwork net = new LoopbackNetwork(0, LoopbackNetwork.NO_CONNECT_TIMEOUT, abandoned);
                 ScriptedPeer late = ScriptedPeer.withDelayedAccept()) {
             Client client = waitingAt(net, late);
             client.send("POST /ahead HTTP/1.1\r\nContent-Length: 40000\r\n\r\n" + "x".repeat(40_000));
@@ -87,9 +84,9 @@
 
     /** Who sends without end can't be seen to leave: that one gets an error, and its request goes nowhere. */
     @Test
-    public void aFloodAheadOfAnAnswerEndsItsRequest() throws Exception {
+    public void tooManyBytesAheadOfAResponseEndTheirRequest() throws Exception {
         BalancerEventLatch abandoned = new BalancerEventLatch(e -> e instanceof RequestAbandoned);
-        try (LoopbackNetwork net = new LoopbackNetwork(0, NO_CONNECT_TIMEOUT, abandoned);
+        try (LoopbackNetwork net = new LoopbackNetwork(0, LoopbackNetwork.NO_CONNECT_TIMEOUT, abandoned);
                 ScriptedPeer late = ScriptedPeer.withDelayedAccept()) {
             Client client = waitingAt(net, late);
             client.send("x".repeat(400_000));
@@ -104,9 +101,9 @@
 
     /** One that only ends its sending can't be told from one that has closed, and counts as that. */
     @Test
-    public void aHalfClosedClientHasLeft() throws Exception {
+    public void aHalfClosedClientCountsAsDisconnected() throws Exception {
         BalancerEventLatch abandoned = new BalancerEventLatch(e -> e instanceof RequestAbandoned);
-        try (LoopbackNetwork net = new LoopbackNetwork(0, NO_CONNECT_TIMEOUT, abandoned);
+        try (LoopbackNetwork net = new LoopbackNetwork(0, LoopbackNetwork.NO_CONNECT_TIMEOUT, abandoned);
                 ScriptedPeer late = ScriptedPeer.withDelayedAccept()) {
             Client client = waitingAt(net, late);
             client.socket.shutdownOutput();
@@ -162,8 +159,7 @@
 
     /** A client whose request has been taken, and waits for a connection to come up. */
     private static Client waitingAt(LoopbackNetwork net, ScriptedPeer late) throws Exception {
-        ReceivedRequest watch = net.discovery.next();
-        watch.beginWatch();
+        ReceivedRequest watch = net.beginWatch();
         watch.sendLine(LoopbackNetwork.catalogJson(8, false, List.of(late.endpointJson("late", "active"))));
         BalancerEventLatch.awaitHealthStatus(net.client(), "200");
         Client client = net.client();
--- a/sidecar/src/test/java/dewplank/sidecar/ConnectionCloseTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/ConnectionCloseTest.java
@@ -27,7 +27,7 @@
 
     /** The request lies unread when its resting connection is shut: no reset, and it is not sent on either. */
     @Test
-    public void aRequestThatCrossesItsConnectionsEndIsLeftToItsClient() throws Exception {
+    public void aRequestThatCrossesItsConnectionsCloseIsNotForwarded() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = resting(net);
             BalancerEventLatch.callOnLoop(net, () -> {
@@ -41,7 +41,7 @@
     }
 
     @Test
-    public void aRequestThatWasReadBeforeItsConnectionsEndIsAnswered() throws Exception {
+    public void aRequestThatWasReadBeforeItsConnectionsCloseGetsItsResponse() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = resting(net);
             client.sendRequest("menu-read");
@@ -56,7 +56,7 @@
     }
 
     @Test
-    public void aRequestHalfReadIsWaitedForAndThenGivenUp() throws Exception {
+    public void aHalfReadRequestIsAwaitedAndThenDropped() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client first = halfRead(net, 1);
             Client second = halfRead(net, 2);
@@ -81,7 +81,7 @@
 
     /** The loop is held until both have come about: whichever is looked at first, it is the only one. */
     @Test
-    public void aTimeOutAndAnAnswerThatMeetAreOneOutcome() throws Exception {
+    public void aTimeoutAndAResponseThatMeetAreOneOutcome() throws Exception {
         BlockingQueue<Outcome> ends = new LinkedBlockingQueue<>();
         EventLoop loop = new EventLoop();
         try (ScriptedPeer server = new ScriptedPeer()) {
@@ -115,7 +115,7 @@
 
     /** Without a length only the connection's end can end it, and a reset is none. */
     @Test
-    public void anAnswerWithoutALengthIsWholeAtItsEndAndNotAtAReset() throws Exception {
+    public void aResponseWithoutALengthIsCompleteAtACloseAndNotAtAReset() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = net.client();
             client.sendRequest("order-place");
@@ -132,7 +132,7 @@
     }
 
     @Test
-    public void anAnswerThatNeverEndsFailsItsAttemptAndItsConnection() throws Exception {
+    public void aResponseThatNeverEndsFailsItsAttemptAndItsConnection() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = net.client();
             client.sendRequest("order-place");
@@ -149,7 +149,7 @@
 
     /** Nothing of a request is retained however it ends: served, failed, rejected, abandoned, malformed, overdue. */
     @Test
-    public void nothingIsKeptOnAnyWayOut() throws Exception {
+    public void nothingIsRetainedHoweverARequestEnds() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             ScriptedPeer server = net.servers.get(0);
             Client served = net.client();
--- a/sidecar/src/test/java/dewplank/sidecar/DiscoveryClientTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/DiscoveryClientTest.java
@@ -29,11 +29,11 @@
 
 /** What discovery says, late, twice, in pieces, and from two places at once. */
 public class DiscoveryClientTest {
-    private static final UnaryOperator<String> PUSHED = s -> s.replace("\"on_request\"", "\"pushed\"");
+    private static final UnaryOperator<String> PUSHED = settings -> settings.replace("\"on_request\"", "\"pushed\"");
 
     /** Found on the days of a deployment whose lists are pushed: no watch was ever opened, and drains were missed. */
     @Test
-    public void whereListsArePushedTheyAreWatchedAndAgainAtOnce() throws Exception {
+    public void whereListsArePushedTheWatchIsReopenedAtOnce() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1, PUSHED, m -> m)) {
             ReceivedRequest watch = net.discovery.next();
             assertTrue(watch.message(), watch.message().startsWith("GET /catalog/members?stream=1&index=7 "));
@@ -83,10 +83,9 @@
     }
 
     @Test
-    public void aListMayComeIndentedAndInPieces() throws Exception {
+    public void aListMayComeIndentedAndInChunks() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(0)) {
-            ReceivedRequest watch = net.discovery.next();
-            watch.beginWatch();
+            ReceivedRequest watch = net.beginWatch();
             String list = LoopbackNetwork.catalogJson(
                                     8, false, List.of(new ScriptedPeer().endpointJson("s{\\\"}0", "active")))
                             .replace(",", ",\n\t")
@@ -101,14 +100,11 @@
 
     /** A list that was long on its way, or from a replica that lags, would bring a draining server back. */
     @Test
-    public void anOlderListThatComesLastIsNoNews() throws Exception {
-        BalancerEventLatch last = new BalancerEventLatch(e -> e instanceof EndpointUpdate news
-                && !news.endpoints().isEmpty()
-                && news.endpoints().get(0).server().equals("last"));
+    public void anOlderListThatComesLastIsIgnored() throws Exception {
+        BalancerEventLatch last = BalancerEventLatch.forUpdateOf("last");
         try (LoopbackNetwork net = new LoopbackNetwork(1, s -> s, last)) {
             ScriptedPeer server = net.servers.get(0);
-            ReceivedRequest watch = net.discovery.next();
-            watch.beginWatch();
+            ReceivedRequest watch = net.beginWatch();
             watch.sendLine(LoopbackNetwork.catalogJson(9, false, List.of(server.endpointJson("s0", "leaving"))));
             watch.sendLine(LoopbackNetwork.catalogJson(8, true, List.of(server.endpointJson("s0", "active"))));
             watch.sendLine(LoopbackNetwork.catalogJson(10, false, List.of(server.endpointJson("last", "leaving"))));
@@ -121,12 +117,11 @@
 
     /** Else each break of a quiet watch would be followed by a longer wait, and drains be missed meanwhile. */
     @Test
-    public void anEmptyLineAlsoAnswersTheCall() throws Exception {
+    public void anEmptyLineCountsAsAnUpdate() throws Exception {
         BalancerEventLatch answered =
                 new BalancerEventLatch(e -> e instanceof EndpointUpdate news && news.kind() == UpdateKind.INCREMENTAL);
         try (LoopbackNetwork net = new LoopbackNetwork(1, s -> s, answered)) {
-            ReceivedRequest watch = net.discovery.next();
-            watch.beginWatch();
+            ReceivedRequest watch = net.beginWatch();
             watch.sendLine("");
             answered.await();
         }
@@ -134,7 +129,7 @@
 
     /** SIGHUP between a watch's break and the call that follows it: that call finds a watch open, and leaves it so. */
     @Test
-    public void aCallThatWasDueWhenDiscoveryMovedOpensNoSecondWatch() throws Exception {
+    public void aSubscribeDueWhenDiscoveryMovedOpensNoSecondWatch() throws Exception {
         BalancerEventLatch broken =
                 new BalancerEventLatch(e -> e instanceof EndpointUpdate news && news.kind() == UpdateKind.BROKEN);
         BlockingQueue<Action> calls = new LinkedBlockingQueue<>();
@@ -163,10 +158,8 @@
 
     /** The old address's words, on their way when discovery moved, are heard no more. */
     @Test
-    public void theOldDiscoverysListAfterAMoveDoesNoHarm() throws Exception {
-        BalancerEventLatch listed = new BalancerEventLatch(e -> e instanceof EndpointUpdate news
-                && !news.endpoints().isEmpty()
-                && news.endpoints().get(0).server().equals("s1"));
+    public void aListOfTheOldDiscoveryAfterAMoveIsIgnored() throws Exception {
+        BalancerEventLatch listed = BalancerEventLatch.forUpdateOf("s1");
         BalancerEventLatch up =
                 new BalancerEventLatch(e -> e instanceof EndpointUpdate news && news.kind() == UpdateKind.INCREMENTAL);
         try (LoopbackNetwork net = new LoopbackNetwork(1, s -> s, m -> listed.apply(up.apply(m)));
--- a/sidecar/src/test/java/dewplank/sidecar/LoopbackNetwork.java
+++ b/sidecar/src/test/java/dewplank/sidecar/LoopbackNetwork.java
@@ -27,7 +27,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.UnaryOperator;
 
-/** A sidecar between scripted peers, all on loopback. A test waits for what comes, never for a time to pass. */
+/** A sidecar between scripted peers, all on loopback. Tests wait for what arrives, never for a time to pass. */
 final class LoopbackNetwork implements Closeable {
     private static final int TIMEOUT_S = 20; // only a failing test waits so long
     static final int MAX_SOCKETS = 256;
@@ -42,6 +42,10 @@
          "Safety":{"AskWithin":10000,"Cold":22000,"ColdShare":0.12,"FallMultiple":4,"TipAfter":2000},
          "Tick":5.0,"Weights":"none"}""";
 
+    /** Only the attempt's own time-out ends a connection that does not come up. */
+    static final UnaryOperator<String> NO_CONNECT_TIMEOUT =
+            settings -> settings.replace("\"ConnectTimeout\":2000", "\"ConnectTimeout\":0");
+
     final List<ScriptedPeer> servers = new ArrayList<>();
     final ScriptedPeer discovery = new ScriptedPeer();
     final SidecarConfig config;
@@ -51,15 +55,17 @@
         this(serverCount, UnaryOperator.identity(), UnaryOperator.identity());
     }
 
-    /** With other settings, and something round the module. */
-    LoopbackNetwork(int serverCount, UnaryOperator<String> other, UnaryOperator<Balancer> round) throws IOException {
+    /** With other settings, and a wrapper of the balancer. */
+    LoopbackNetwork(int serverCount, UnaryOperator<String> settingsChange, UnaryOperator<Balancer> wrapper)
+            throws IOException {
         List<String> entries = new ArrayList<>();
         for (int i = 0; i < serverCount; i++) {
             servers.add(new ScriptedPeer());
             entries.add(servers.get(i).endpointJson("s" + i, "active"));
         }
         Fields known = new Fields(Json.object(catalogJson(7, true, entries)), "known ");
-        Settings settings = BalancerSettingsReader.read(new Fields(Json.object(other.apply(SETTINGS)), "setting "));
+        Settings settings =
+                BalancerSettingsReader.read(new Fields(Json.object(settingsChange.apply(SETTINGS)), "setting "));
         config = new SidecarConfig(
                 "n0",
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
@@ -69,7 +75,7 @@
                 known,
                 settings,
                 null);
-        sidecar = new Sidecar(config, round.apply(new AdaptiveBalancer(settings, new SplittableRandom(5))));
+        sidecar = new Sidecar(config, wrapper.apply(new AdaptiveBalancer(settings, new SplittableRandom(5))));
         sidecar.start();
     }
 
@@ -90,6 +96,13 @@
                 config.peers());
     }
 
+    /** Accepts the sidecar's next watch and sends the head of its response. */
+    ReceivedRequest beginWatch() throws Exception {
+        ReceivedRequest watch = discovery.next();
+        watch.beginWatch();
+        return watch;
+    }
+
     Client client() throws IOException {
         return new Client(((InetSocketAddress) sidecar.address()).getPort());
     }
@@ -107,7 +120,7 @@
         void run() throws Exception;
     }
 
-    /** Work of a peer's own, until the test ends it by closing what it waits on. */
+    /** Runs a peer's task on a thread of its own, until the test closes what it waits on. */
     static Thread background(Task task) {
         Thread thread = new Thread(() -> {
             try {
@@ -127,7 +140,7 @@
         }
     }
 
-    /** One end of a connection that reads whole messages. */
+    /** One end of a connection that reads complete messages. */
     static class ScriptedConnection {
         final Socket socket;
         private final InputStream in;
@@ -175,13 +188,13 @@
         }
     }
 
-    /** One request that a peer got, and the connection to answer it on; null once the sidecar has ended that. */
+    /** A request that a peer received, and its connection; the message is null once the sidecar has closed that. */
     record ReceivedRequest(ScriptedConnection connection, String message) {
         void respond(String status, String body) throws IOException {
             connection.send("HTTP/1.1 " + status + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
         }
 
-        /** A line of a watch's endless answer, as a chunk. */
+        /** Sends a line of a watch's response, as a chunk. */
         void sendLine(String text) throws IOException {
             connection.send(Integer.toHexString(text.length() + 1) + "\r\n" + text + "\n\r\n");
         }
@@ -196,7 +209,7 @@
         }
     }
 
-    /** A scripted server or discovery: takes connections and requests; the test answers them. */
+    /** A scripted server or discovery: accepts connections and requests; the test responds. */
     static final class ScriptedPeer implements Closeable {
         private final ServerSocket listener;
         private final BlockingQueue<ReceivedRequest> requests = new LinkedBlockingQueue<>();
@@ -252,7 +265,7 @@
                     + "\",\"weight\":1.0,\"started_ms\":0}";
         }
 
-        /** Whether nothing has come that was not taken yet. */
+        /** Whether no request or end of a connection is waiting for the test. */
         boolean hasNoRequest() {
             return requests.isEmpty();
         }
--- a/sidecar/src/test/java/dewplank/sidecar/RequestAttributesTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/RequestAttributesTest.java
@@ -40,7 +40,7 @@
     }
 
     @Test
-    public void tenantKeyAndCostReachTheModule() throws Exception {
+    public void tenantKeyAndCostReachTheBalancer() throws Exception {
         RequestArrived a =
                 told("X-Customer: porto\r\nCookie: session=1; k=7f3a=c2; lang=pt\r\nX-Props: Work=12.5,other=3\r\n");
         assertEquals("porto", a.tenant());
@@ -49,7 +49,7 @@
     }
 
     @Test
-    public void whatCannotBeToldIsNone() throws Exception {
+    public void ambiguousOrInvalidAttributesAreNull() throws Exception {
         String[] strange = {
             "X-Customer: pesca\r\nCookie: kk=1; xk=2\r\nX-Props: Work=NaN\r\n",
             "X-Customer: porto\r\nX-Customer: praias\r\nCookie: k=1\r\nCookie: k=2\r\nX-Props: Work=1,Work=2\r\n",
--- a/sidecar/src/test/java/dewplank/sidecar/SidecarTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/SidecarTest.java
@@ -66,7 +66,7 @@
 
     /** What may have run is neither sent again nor refused: a refusal tells the client to try again. */
     @Test
-    public void anOrderWhoseServerBreaksOffHasFailed() throws Exception {
+    public void anOrderWhoseServerResetsHasFailed() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = net.client();
             client.sendRequest("order-place");
@@ -76,7 +76,7 @@
     }
 
     @Test
-    public void anAnswerThatIsNotHttpFailsItsCallOnly() throws Exception {
+    public void aResponseThatIsNotHttpFailsItsRequestOnly() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = net.client();
             client.sendRequest("order-place");
@@ -92,7 +92,7 @@
 
     /** Turned away unseen, with nowhere else to go: trying again is harmless, and the client is told when. */
     @Test
-    public void anOrderThatWasTurnedAwayIsARejection() throws Exception {
+    public void anOrderThatTheServerRejectedIsRejected() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = net.client();
             client.sendRequest("order-place");
@@ -118,7 +118,7 @@
 
     /** A read stays pending on the client's side, and a cancelled call's connection is closed, not pooled. */
     @Test
-    public void aClientThatLeavesEndsItsCall() throws Exception {
+    public void aClientThatDisconnectsCancelsItsAttempt() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = net.client();
             client.sendRequest("menu-read");
@@ -146,7 +146,7 @@
 
     /** A plain close would reset the connection where the body lies unread, and take the answer with it. */
     @Test
-    public void aRequestThatIsNoneIsAnsweredAndTheConnectionEnds() throws Exception {
+    public void aMalformedRequestGetsAnErrorAndTheConnectionCloses() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             String[][] cases = {
                 {"413", Client.request("menu-read", "Content-Length: 24000000\r\n") + "x".repeat(24_000_000)},
@@ -167,7 +167,7 @@
 
     /** Sent on, the second could run beside the first as its repeat; the servers know a request by its id only. */
     @Test
-    public void theIdOfAnOpenRequestIsTakenOnce() throws Exception {
+    public void theIdOfAnOpenRequestIsRejected() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             String order = Client.request("order-place", "");
             Client first = net.client();
@@ -185,7 +185,7 @@
     }
 
     @Test
-    public void theWatchBringsServersAndResumesFromItsVersion() throws Exception {
+    public void theWatchDeliversServersAndResumesFromItsVersion() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(0)) {
             Client client = net.client();
             client.send("GET /_health HTTP/1.1\r\n\r\n");
@@ -210,7 +210,7 @@
     }
 
     @Test
-    public void aModuleThatThrowsFailsThatRequestOnly() throws Exception {
+    public void aBalancerThatThrowsFailsThatRequestOnly() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1, settings -> settings, module -> (now, event, out) -> {
             if (event instanceof RequestArrived a && a.requestClass().equals("order-place")) {
                 throw new IllegalStateException("on purpose, for the test");
@@ -231,7 +231,7 @@
      * and no others were accepted. On the day of bad clients, silent ones and half requests did the same.
      */
     @Test
-    public void connectionsThatAskNothingMakeRoom() throws Exception {
+    public void connectionsWithoutRequestsAreClosedForCapacity() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             List<Client> idle = new ArrayList<>();
             for (int i = 0; i <= net.config.maxClientConnections() / ClientConnections.IDLE_CAPACITY_DIVISOR; i++) {
@@ -258,7 +258,7 @@
 
     /** Found on an incident: 128 clients asked once and kept their connections, and could open no more. */
     @Test
-    public void whereManyKeepConnectionsAnAnswerIsTheLastOnItsOwn() throws Exception {
+    public void aboveTheIdleCapacityAResponseIsTheLastOnItsConnection() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             List<Client> kept = asManyAsThereIsRoomFor(net);
             Client more = net.client();
@@ -271,7 +271,7 @@
 
     /** Found at Sado: no new connections come then, and a client whose kept ones are all busy has nobody to ask. */
     @Test
-    public void aDrainingSidecarEndsNoConnectionForWantOfRoom() throws Exception {
+    public void aDrainingSidecarClosesNoConnectionForCapacity() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             List<Client> kept = asManyAsThereIsRoomFor(net);
             Client more = net.client();
@@ -304,7 +304,7 @@
 
     /** Idle connections save their clients the opening of new ones: they stay as long as there is room. */
     @Test
-    public void anIdleClientStaysWhileThereIsRoom() throws Exception {
+    public void anIdleClientStaysWhileThereIsCapacity() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = net.client();
             for (int i = 0; i < 2; i++) {
@@ -324,7 +324,7 @@
 
     /** Silent connections must not keep out one with a request until their 2 s are over. */
     @Test
-    public void silentConnectionsAtTheBoundMakeRoomSoon() throws Exception {
+    public void silentConnectionsAtTheBoundAreClosedSoon() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             List<Client> silent = new ArrayList<>();
             for (int i = 0; i < net.config.maxClientConnections(); i++) {
@@ -340,7 +340,7 @@
 
     /** Over a long day servers come and go with ever new ids: what is kept for one must go with it. */
     @Test
-    public void theConnectionsToAServerEndWhenItHasLeft() throws Exception {
+    public void theConnectionsToAServerCloseWhenItIsRemoved() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             ReceivedRequest watch = net.discovery.next();
             LoopbackNetwork.ScriptedPeer server = net.servers.get(0);
@@ -368,7 +368,7 @@
 
     /** A reload moves the watch at once: the old address ends its watches soon, and tells nothing new. */
     @Test
-    public void aDiscoveryThatMovesIsFollowed() throws Exception {
+    public void theWatchFollowsDiscoveryToANewAddress() throws Exception {
         UnaryOperator<Balancer> neverAsksAgain = module -> (now, event, out) -> {
             if (!(event instanceof EndpointUpdate news && news.kind() == UpdateKind.BROKEN)) {
                 module.handle(now, event, out);
@@ -391,7 +391,7 @@
 
     /** Found while the other sidecar was down: servers were rested, one and all, for this one's lack of connections. */
     @Test
-    public void aCallForWhichNoConnectionIsLeftWasNeverSent() throws Exception {
+    public void anAttemptWithoutAFreeConnectionIsNeverSent() throws Exception {
         List<Outcome> outcomes = new CopyOnWriteArrayList<>();
         UnaryOperator<Balancer> sendsAll = module -> (now, event, out) -> {
             if (event instanceof RequestArrived a) {
@@ -436,7 +436,7 @@
 
     /** At a planned restart clients still come for a while. */
     @Test
-    public void aDrainingSidecarServesThoseWhoStillCome() throws Exception {
+    public void aDrainingSidecarServesNewClients() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client before = net.client();
             serve(net, before, "one");
@@ -449,7 +449,7 @@
     }
 
     @Test
-    public void aDrainingSidecarEndsWhenAllThatItTookIsAnswered() throws Exception {
+    public void aDrainingSidecarEndsWhenAllAcceptedRequestsAreComplete() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = net.client();
             client.sendRequest("menu-read");
@@ -465,7 +465,7 @@
 
     /** What SIGKILL finds unanswered is lost: an order that may have run is failed before that, never refused. */
     @Test
-    public void whatIsOpenWhenAKillMayComeIsFailed() throws Exception {
+    public void requestsStillOpenBeforeAKillAreFailed() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = net.client();
             client.sendRequest("order-place");
@@ -478,7 +478,7 @@
 
     /** By the protocol's figures: 0.7 s after the longest deadline, which counts as 3 s at the most. */
     @Test
-    public void requestsAreTakenUntilTheyCouldNotBeAnsweredBeforeAKill() {
+    public void requestsAreAcceptedUntilTheyCouldNotCompleteBeforeAKill() {
         assertEquals(new DrainSchedule(2_750, 3_500), DrainSchedule.of(6_000, 750));
         assertEquals(new DrainSchedule(1_300, 1_700), DrainSchedule.of(1_200, 400));
         assertEquals(new DrainSchedule(600, 1_500), DrainSchedule.of(1_000, 2_000));
--- a/sidecar/src/test/java/dewplank/sidecar/config/SidecarConfigTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/config/SidecarConfigTest.java
@@ -63,7 +63,7 @@
 
     /** The environment is that of the start: standing above a reloaded file, it would bring the old address back. */
     @Test
-    public void onReloadTheFilesDiscoveryCounts() throws IOException {
+    public void onReloadTheFilesDiscoveryAddressApplies() throws IOException {
         Path file = Files.createTempFile("config", ".json");
         Files.writeString(
                 file,
@@ -83,14 +83,14 @@
 
     /** Request ids and seeds do not fit a double. */
     @Test
-    public void wholeNumbersStayExact() {
+    public void integersStayExact() {
         assertEquals(
                 9223372036854775807L, Json.object("{\"a\":9223372036854775807}").get("a"));
         assertEquals(1.5e3, Json.object("{\"a\":1.5e3}").get("a"));
     }
 
     @Test
-    public void whatIsNotStrictJsonIsRefused() {
+    public void whatIsNotStrictJsonIsRejected() {
         for (String text : new String[] {"{a:1}", "{\"a\":NaN}", "{\"a\":1}x", "{\"a\":1", "", "[1]"}) {
             assertThrows(text, InvalidInputException.class, () -> Json.object(text));
         }
