--- a/controlplane/src/test/java/dewplank/controlplane/DataPlaneSessionsTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/DataPlaneSessionsTest.java
@@ -42,10 +42,10 @@
     private final DataPlaneSessions sessions;
     private final Listener listener;
     private final FramedPeer dataPlane;
-    /** What the source was asked with: version, list, members; and what it has to say. */
-    private final List<String> asked = new ArrayList<>();
+    /** The versions that the source was queried with (configuration, list, members), and the update that it has. */
+    private final List<String> queries = new ArrayList<>();
 
-    private FleetUpdate news;
+    private FleetUpdate pendingUpdate;
     private double ahead;
 
     DataPlaneSessionsTest() throws IOException {
@@ -54,10 +54,11 @@
         sessions = new DataPlaneSessions(new ShiftedClock(), table, new DataPlaneSessions.UpdateSource() {
             @Override
             public Optional<FleetUpdate> newerThan(DataPlaneVersions versions) {
-                asked.add(versions.configurationVersion() + " " + versions.listVersion() + " "
+                queries.add(versions.configurationVersion() + " " + versions.listVersion() + " "
                         + versions.membersDigest());
-                boolean newer = news != null && news.configurationVersion > versions.configurationVersion();
-                return newer ? Optional.of(news) : Optional.empty();
+                boolean newer =
+                        pendingUpdate != null && pendingUpdate.configurationVersion > versions.configurationVersion();
+                return newer ? Optional.of(pendingUpdate) : Optional.empty();
             }
 
             @Override
@@ -135,7 +136,7 @@
 
     private void push(FleetUpdate update) throws Exception {
         OnLoop.run(loop, () -> {
-            news = update;
+            pendingUpdate = update;
             sessions.pushUpdates();
         });
     }
@@ -152,7 +153,7 @@
         assertEquals(41, answer.sequence);
         assertTrue(answer.quorate);
         assertEquals(List.of("10.0.0.1:1", "10.0.0.2:1"), answer.controlAddresses);
-        assertEquals(List.of("7 2.3 5"), OnLoop.get(loop, () -> asked));
+        assertEquals(List.of("7 2.3 5"), OnLoop.get(loop, () -> queries));
         assertTrue(dataPlane.hasNoFurtherMessage());
         assertEquals(List.of(DATA), OnLoop.get(loop, () -> table.members(loop.now())));
     }
@@ -164,7 +165,7 @@
         dataPlane.nextIs(HeartbeatAck.class);
         push(configuration(8));
         assertEquals(8, dataPlane.nextIs(FleetUpdate.class).configurationVersion);
-        push(news); // the data plane is taken to hold it now, though it has not said so yet
+        push(pendingUpdate); // the data plane is taken to hold it now, though it has not said so yet
         dataPlane.send(connection, new SessionHeartbeat(2, 7, EndpointListVersion.NONE, 0));
         assertEquals(2, dataPlane.nextIs(HeartbeatAck.class).sequence);
         push(configuration(9));
@@ -180,16 +181,16 @@
         assertEquals(8, dataPlane.nextIs(FleetUpdate.class).configurationVersion);
     }
 
-    /** What it holds is not known before it has asked: a difference could not be told. */
+    /** Its versions are unknown before its first heartbeat: no difference to them can be computed. */
     @Test
     void noUpdateIsSentBeforeTheFirstHeartbeat() throws Exception {
         MessageLink connection = opened();
         OnLoop.await(loop, () -> sessions.size() == 1);
         push(configuration(8));
-        assertEquals(List.of(), OnLoop.get(loop, () -> asked));
+        assertEquals(List.of(), OnLoop.get(loop, () -> queries));
         dataPlane.send(connection, new SessionHeartbeat(1, 8, EndpointListVersion.NONE, 0));
         dataPlane.nextIs(HeartbeatAck.class);
-        assertEquals(List.of("8 0.0 0"), OnLoop.get(loop, () -> asked));
+        assertEquals(List.of("8 0.0 0"), OnLoop.get(loop, () -> queries));
     }
 
     @Test
@@ -204,7 +205,7 @@
         push(configuration(9));
         dataPlane.nextIs(FleetUpdate.class);
         long digest = SessionTable.digest(members);
-        assertEquals(List.of("7 1.1 0", "7 1.1 0", "8 1.2 " + digest), OnLoop.get(loop, () -> asked));
+        assertEquals(List.of("7 1.1 0", "7 1.1 0", "8 1.2 " + digest), OnLoop.get(loop, () -> queries));
     }
 
     @Test
@@ -216,10 +217,10 @@
         OnLoop.await(loop, () -> sessions.size() == 0);
         assertEquals(List.of(), OnLoop.get(loop, () -> table.members(loop.now())));
         push(configuration(8));
-        assertEquals(1, OnLoop.get(loop, asked::size));
+        assertEquals(1, OnLoop.get(loop, queries::size));
     }
 
-    /** It lost power, say, and nothing tells: what is sent to it would pile up. */
+    /** After a power loss nothing closes the connection: updates to it would pile up. */
     @Test
     void anExpiredSessionIsClosedInsteadOfUpdated() throws Exception {
         MessageLink connection = opened();
@@ -243,7 +244,7 @@
         MessageLink connection = opened();
         assertEquals(connection, dataPlane.ended());
         assertEquals(0, OnLoop.get(loop, sessions::size));
-        assertNull(news);
+        assertNull(pendingUpdate);
         assertFalse(connection.isOpen());
     }
 }
--- a/controlplane/src/test/java/dewplank/controlplane/EndpointPollerTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/EndpointPollerTest.java
@@ -20,8 +20,8 @@
 /** Under whose lease the list is published, in virtual time: the platform answers when the test lets it. */
 class EndpointPollerTest {
     private static final double DRAIN_MS = 3_000;
-    /** The first question under a number and the one that fails last each wait for their turn: 400 ms and a look. */
-    private static final double ASKING_MS = 2 * (400 + 50);
+    /** The first poll under a token and the last that fails each wait for their interval: 400 ms and a check. */
+    private static final double POLLING_MS = 2 * (400 + 50);
 
     private record Task(double at, long order, Runnable action) {}
 
@@ -87,10 +87,10 @@
     }
 
     private final VirtualTime time = new VirtualTime();
-    private final TestRole duty = new TestRole();
+    private final TestRole role = new TestRole();
     private final Deque<PlatformClient.Callback> polls = new ArrayDeque<>();
     private final List<EndpointList> published = new ArrayList<>();
-    private final EndpointPoller poller = new EndpointPoller(time, polls::add, duty, DRAIN_MS, published::add);
+    private final EndpointPoller poller = new EndpointPoller(time, polls::add, role, DRAIN_MS, published::add);
 
     @BeforeEach
     void begin() {
@@ -124,16 +124,16 @@
 
     @Test
     void anAnswerUnderALapsedLeaseIsNotPublished() {
-        duty.held = false;
+        role.held = false;
         answer(2);
         assertEquals(List.of(), published);
         assertEquals(EndpointListVersion.NONE, poller.newest().version);
     }
 
-    /** A successor may have published a newer list between the question and its answer. */
+    /** A successor may have published a newer list between the poll and its response. */
     @Test
     void aPollBegunBeforeALapseIsNotPublishedUnderANewToken() {
-        duty.reacquire();
+        role.reacquire();
         answer(2);
         assertEquals(List.of(), published);
         time.run(400);
@@ -145,7 +145,7 @@
     @Test
     void theFirstListUnderATokenIsPublishedEvenIfUnchanged() {
         answer(2);
-        duty.reacquire();
+        role.reacquire();
         time.run(400);
         answer(2);
         assertEquals(new EndpointListVersion(8, 1), poller.newest().version);
@@ -192,7 +192,7 @@
     @Test
     void aStageOverrideNeedsTheTokenAndExpires() {
         polls.remove().completed(engines("decode"));
-        duty.reacquire();
+        role.reacquire();
         poller.overrideStage("i-0", Endpoint.CHANGING, 1_000);
         poller.publishStageOverrides(7);
         poller.publishStageOverrides(8);
@@ -210,16 +210,16 @@
     @Test
     void doesNotPollWithoutTheLease() {
         answer(2);
-        duty.held = false;
+        role.held = false;
         time.run(5_000);
         assertTrue(polls.isEmpty());
     }
 
-    /** Fails every question until the duty is laid down; how long that took. */
+    /** Fails every poll until the lease is released; returns how long that took. */
     private double millisUntilReleased() {
         double start = time.now();
-        int before = duty.pauses.size();
-        while (duty.pauses.size() == before) {
+        int before = role.pauses.size();
+        while (role.pauses.size() == before) {
             assertTrue(time.now() < start + 100_000, "never laid down");
             while (!polls.isEmpty()) {
                 polls.remove().failed("no answer");
@@ -234,21 +234,21 @@
         answer(2);
         double took = millisUntilReleased();
         assertTrue(took >= DRAIN_MS / 2 && took <= DRAIN_MS / 2 + 500, "took " + took);
-        assertEquals(List.of(DRAIN_MS), duty.pauses);
+        assertEquals(List.of(DRAIN_MS), role.pauses);
     }
 
-    /** Where the platform is down for all, the duty goes round ever more slowly; an answer ends that. */
+    /** Where the platform is down for all, the lease moves ever more slowly; a response ends that. */
     @Test
     void theLeaseMovesEverMoreSlowlyWhileThePlatformIsDownForAll() {
         double[] patience = {1, 2, 4, 8, 16, 16};
         for (double each : patience) {
             double took = millisUntilReleased();
-            assertTrue(took >= each * DRAIN_MS / 2 && took <= each * DRAIN_MS / 2 + ASKING_MS, each + " took " + took);
-            duty.reacquire();
+            assertTrue(took >= each * DRAIN_MS / 2 && took <= each * DRAIN_MS / 2 + POLLING_MS, each + " took " + took);
+            role.reacquire();
         }
         time.run(400);
         answer(2);
-        assertTrue(millisUntilReleased() <= DRAIN_MS / 2 + ASKING_MS);
+        assertTrue(millisUntilReleased() <= DRAIN_MS / 2 + POLLING_MS);
     }
 
     @Test
@@ -261,6 +261,6 @@
             }
             time.run(400);
         }
-        assertEquals(List.of(), duty.pauses);
+        assertEquals(List.of(), role.pauses);
     }
 }
--- a/controlplane/src/test/java/dewplank/controlplane/FramedPeer.java
+++ b/controlplane/src/test/java/dewplank/controlplane/FramedPeer.java
@@ -37,7 +37,7 @@
         loop.execute(listener::accept);
     }
 
-    /** Answers whatever sessions it is told of. */
+    /** Acknowledges every heartbeat of a control plane. */
     FramedPeer answering() {
         answers = true;
         return this;
--- a/controlplane/src/test/java/dewplank/controlplane/OperatorApiTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/OperatorApiTest.java
@@ -193,7 +193,7 @@
         result(ResultCode.NO_QUORUM, get("/configuration"));
     }
 
-    /** Cut off it neither confirms nor refuses, not even what it could tell to be wrong, and asks nobody. */
+    /** Without a quorum it neither confirms nor rejects, not even what is evidently wrong, and queries nobody. */
     @Test
     void withoutAQuorumItNamesOtherEndpointsAtOnce() {
         redirects.current = false;
--- a/controlplane/src/test/java/dewplank/controlplane/StageControllerTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/StageControllerTest.java
@@ -30,13 +30,13 @@
 
     private final BlockingQueue<Call> calls = new LinkedBlockingQueue<>();
     private final List<ScriptedServer> servers = new ArrayList<>();
-    private final TestRole duty = new TestRole();
+    private final TestRole role = new TestRole();
     private EventLoop loop;
     private final BlockingQueue<EndpointList> published = new LinkedBlockingQueue<>();
     private EndpointPoller poller;
     private int active;
 
-    /** A duty that is held from the first question on; it notes when that was. */
+    /** A lease that is held from the first check on; it records when that was. */
     private final class TestRole implements SingletonRole {
         private double firstAsked = Double.POSITIVE_INFINITY;
 
@@ -59,7 +59,7 @@
     @BeforeEach
     void begin() throws IOException {
         loop = new EventLoop();
-        poller = new EndpointPoller(loop, null, duty, 3_000, published::add);
+        poller = new EndpointPoller(loop, null, role, 3_000, published::add);
         List<Endpoint> entries = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
             ScriptedServer server = new ScriptedServer(calls);
@@ -79,7 +79,7 @@
 
     private void control(double leaseMs) {
         StageController controller = new StageController(
-                loop, "core-1", leaseMs, poller, duty, new HttpModelServerClient(loop), Policy.ALL_ENABLED);
+                loop, "core-1", leaseMs, poller, role, new HttpModelServerClient(loop), Policy.ALL_ENABLED);
         loop.execute(controller::start);
     }
 
@@ -134,21 +134,21 @@
         for (int i = 0; i < servers.size(); i++) {
             assertEquals(i == index ? Endpoint.CHANGING : "decode", list.endpoints.get(i).stage);
         }
-        assertTrue(lastOrderAt - duty.since() >= 500, "orderInProgress after " + (lastOrderAt - duty.since()) + " ms");
+        assertTrue(lastOrderAt - role.since() >= 500, "ordered after " + (lastOrderAt - role.since()) + " ms");
         order.wire().answer("409 Conflict", "", "");
     }
 
-    /** What the last holder orderInProgress may still be on its way. */
+    /** An order of the last lease holder may still be in flight. */
     @Test
     void aNewLeaseHolderWaitsForTheLeaseAndAMargin() throws Exception {
         control(700);
         Call order = answerReports();
         double at = loop.now();
         assertEquals("POST", order.message().method());
-        assertTrue(at - duty.since() >= 700 + LEASE_MARGIN_MS, "orderInProgress after " + (at - duty.since()) + " ms");
+        assertTrue(at - role.since() >= 700 + LEASE_MARGIN_MS, "ordered after " + (at - role.since()) + " ms");
     }
 
-    /** The report of whoever has the address by now is none of the instance that was asked for. */
+    /** A response of another instance that has the address by now is no report of the one that was queried. */
     @Test
     void noOrderFollowsFromAMisdirectedReport() throws Exception {
         control(0);
