--- a/sidecar/src/test/java/dewplank/sidecar/AttemptWriteTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/AttemptWriteTest.java
@@ -50,14 +50,14 @@
             listed.await();
             first.reset(); // it may have run: the repeat goes to the other server, whose connection is not up yet
             reset.await();
-            BalancerEventLatch.callOnLoop(net, () -> null); // by now it is asked for
+            BalancerEventLatch.callOnLoop(net, () -> null); // by now the connection is requested
             late.startAccepting();
             assertStatus("503", client.read());
             assertNothingCame(late);
         }
     }
 
-    /** The time that it may take to come up can be longer than the grace after a drain was told. */
+    /** The time that it may take to come up can be longer than the grace period after a drain was announced. */
     @Test
     public void aServerThatDrainsWhileConnectingGetsNoRequest() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(0, LoopbackNetwork.NO_CONNECT_TIMEOUT, m -> m);
@@ -110,8 +110,8 @@
     }
 
     /**
-     * The system has the whole request when the break is told, and only the write's completion is still to come: so it
-     * is after some twenty completions in one task, from where on they wait in line.
+     * The system has the complete request when the reset is seen, and only the write's completion is still to come: so
+     * it is after some twenty completions in one task, from where on they wait in line.
      */
     @Test
     public void aResetSeenBeforeTheWritesCompletionProvesNothing() throws Exception {
--- a/sidecar/src/test/java/dewplank/sidecar/ClientDisconnectTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/ClientDisconnectTest.java
@@ -17,9 +17,9 @@
 import java.util.function.UnaryOperator;
 import org.junit.Test;
 
-/** A client that leaves, and connections that end while something comes on them. */
+/** Clients that disconnect, and connections that close while bytes arrive on them. */
 public class ClientDisconnectTest {
-    /** Its end waits right behind its request, and is read first: the loop is held while both come. */
+    /** Its end waits right behind its request, and is read first: the loop is blocked until both have come. */
     @Test
     public void aRequestWhoseClientDisconnectsBeforeItIsReadIsNotForwarded() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
@@ -30,9 +30,9 @@
             BalancerEventLatch.awaitConnectionReusable(
                     net); // a connection is at hand: nothing but reading lies before the sending
             BalancerEventLatch.callOnLoop(net, () -> {
-                Client left = net.client();
-                left.sendRequest("menu-read");
-                left.socket.close();
+                Client disconnected = net.client();
+                disconnected.sendRequest("menu-read");
+                disconnected.socket.close();
                 return null;
             });
             Client stays = net.client();
@@ -44,7 +44,7 @@
         }
     }
 
-    /** Held for want of a server: the list that brings one comes after the client has left. */
+    /** Queued for lack of a server: the list with one comes after the client has disconnected. */
     @Test
     public void aClientThatDisconnectsWhileItsRequestIsQueuedIsNotForwarded() throws Exception {
         BalancerEventLatch abandoned = new BalancerEventLatch(e -> e instanceof RequestAbandoned);
@@ -120,8 +120,8 @@
         AtomicBoolean closed = new AtomicBoolean();
         CompletableFuture<Client> clients = new CompletableFuture<>();
         CompletableFuture<LoopbackNetwork> nets = new CompletableFuture<>();
-        UnaryOperator<Balancer> round = module -> (now, event, out) -> {
-            module.handle(now, event, out);
+        UnaryOperator<Balancer> round = balancer -> (now, event, out) -> {
+            balancer.handle(now, event, out);
             if (event
                     instanceof AttemptEnded) { // its answer is written, and the sidecar's side shut; on the same wheel
                 nets.join().sidecar.loop().after(200, () -> {
--- a/sidecar/src/test/java/dewplank/sidecar/ConnectionCloseTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/ConnectionCloseTest.java
@@ -25,7 +25,7 @@
 public class ConnectionCloseTest {
     private static final int PATIENCE_S = 20;
 
-    /** The request lies unread when its resting connection is shut: no reset, and it is not sent on either. */
+    /** The request lies unread when its idle connection is closed: no reset, and it is not forwarded either. */
     @Test
     public void aRequestThatCrossesItsConnectionsCloseIsNotForwarded() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
@@ -79,7 +79,7 @@
         }
     }
 
-    /** The loop is held until both have come about: whichever is looked at first, it is the only one. */
+    /** The loop is blocked until both have happened: whichever is handled first is the only outcome. */
     @Test
     public void aTimeoutAndAResponseThatMeetAreOneOutcome() throws Exception {
         BlockingQueue<Outcome> ends = new LinkedBlockingQueue<>();
@@ -103,10 +103,10 @@
                 loop.after(0, () -> loop.execute(() -> pooled.add(pool.size()))); // after both were looked at
             });
             Outcome outcome = ends.poll(PATIENCE_S, TimeUnit.SECONDS);
-            int left = pooled.poll(PATIENCE_S, TimeUnit.SECONDS);
+            int pooledCount = pooled.poll(PATIENCE_S, TimeUnit.SECONDS);
             assertTrue(
-                    outcome + " and " + left + " pooled",
-                    outcome == Outcome.SERVED && left == 1 || outcome == Outcome.TIMED_OUT && left == 0);
+                    outcome + " and " + pooledCount + " pooled",
+                    outcome == Outcome.SERVED && pooledCount == 1 || outcome == Outcome.TIMED_OUT && pooledCount == 0);
             assertTrue(ends.isEmpty());
         } finally {
             loop.stop();
@@ -167,12 +167,12 @@
             Client malformed = net.client();
             malformed.send("what?\r\n\r\n");
             malformed.read();
-            Client late = net.client();
-            late.send(Client.request("menu-read", "").replace("5000", "100"));
-            late.read();
-            Client left = net.client();
-            left.sendRequest("order-place");
-            for (Client c : new Client[] {served, failed, refused, malformed, late, left}) {
+            Client overdue = net.client();
+            overdue.send(Client.request("menu-read", "").replace("5000", "100"));
+            overdue.read();
+            Client disconnected = net.client();
+            disconnected.sendRequest("order-place");
+            for (Client c : new Client[] {served, failed, refused, malformed, overdue, disconnected}) {
                 c.socket.close();
             }
             await(() -> onLoop(net, net.sidecar::hasReleasedEverything));
--- a/sidecar/src/test/java/dewplank/sidecar/DiscoveryClientTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/DiscoveryClientTest.java
@@ -27,7 +27,7 @@
 import java.util.function.UnaryOperator;
 import org.junit.Test;
 
-/** What discovery says, late, twice, in pieces, and from two places at once. */
+/** Lists of discovery that come late, twice, in chunks, or from two addresses at once. */
 public class DiscoveryClientTest {
     private static final UnaryOperator<String> PUSHED = settings -> settings.replace("\"on_request\"", "\"pushed\"");
 
@@ -50,15 +50,15 @@
         }
     }
 
-    /** What the agent has counts as told from a process's first moment: the list of its start may be out of date. */
+    /** What the agent has counts as delivered from a process's start: its initial list may be out of date. */
     @Test
     public void whereListsArePushedNothingIsSentBeforeTheFirst() throws Exception {
-        BlockingQueue<UpdateKind> told = new LinkedBlockingQueue<>();
+        BlockingQueue<UpdateKind> updates = new LinkedBlockingQueue<>();
         EventLoop loop = new EventLoop();
         try (ScriptedPeer agent = new ScriptedPeer();
                 ScriptedPeer server = new ScriptedPeer()) {
             DiscoveryClient discovery =
-                    new DiscoveryClient(loop, agent.address(), false, true, news -> told.add(news.kind()));
+                    new DiscoveryClient(loop, agent.address(), false, true, update -> updates.add(update.kind()));
             CatalogUpdate known = CatalogUpdate.of(new Fields(
                     Json.object(LoopbackNetwork.catalogJson(7, true, List.of(server.endpointJson("s0", "active")))),
                     "known "));
@@ -71,8 +71,8 @@
             ReceivedRequest watch = agent.next();
             watch.beginWatch();
             watch.sendLine(LoopbackNetwork.catalogJson(8, false, List.of(server.endpointJson("s1", "active"))));
-            assertNotNull(told.poll(20, TimeUnit.SECONDS));
-            assertNotNull(told.poll(20, TimeUnit.SECONDS));
+            assertNotNull(updates.poll(20, TimeUnit.SECONDS));
+            assertNotNull(updates.poll(20, TimeUnit.SECONDS));
             FutureTask<Boolean> then =
                     new FutureTask<>(() -> discovery.hasAvailableServer() && discovery.acceptsRequests("s0"));
             loop.execute(then);
@@ -118,8 +118,8 @@
     /** Else each break of a quiet watch would be followed by a longer wait, and drains be missed meanwhile. */
     @Test
     public void anEmptyLineCountsAsAnUpdate() throws Exception {
-        BalancerEventLatch answered =
-                new BalancerEventLatch(e -> e instanceof EndpointUpdate news && news.kind() == UpdateKind.INCREMENTAL);
+        BalancerEventLatch answered = new BalancerEventLatch(
+                e -> e instanceof EndpointUpdate update && update.kind() == UpdateKind.INCREMENTAL);
         try (LoopbackNetwork net = new LoopbackNetwork(1, s -> s, answered)) {
             ReceivedRequest watch = net.beginWatch();
             watch.sendLine("");
@@ -127,13 +127,13 @@
         }
     }
 
-    /** SIGHUP between a watch's break and the call that follows it: that call finds a watch open, and leaves it so. */
+    /** SIGHUP between a watch's end and the subscribe that follows: that finds a watch open and keeps it. */
     @Test
     public void aSubscribeDueWhenDiscoveryMovedOpensNoSecondWatch() throws Exception {
         BalancerEventLatch broken =
-                new BalancerEventLatch(e -> e instanceof EndpointUpdate news && news.kind() == UpdateKind.BROKEN);
+                new BalancerEventLatch(e -> e instanceof EndpointUpdate update && update.kind() == UpdateKind.BROKEN);
         BlockingQueue<Action> calls = new LinkedBlockingQueue<>();
-        UnaryOperator<Balancer> counted = module -> (now, event, out) -> module.handle(now, event, action -> {
+        UnaryOperator<Balancer> counted = balancer -> (now, event, out) -> balancer.handle(now, event, action -> {
             out.accept(action);
             if (action instanceof Subscribe) {
                 calls.add(action);
@@ -160,14 +160,14 @@
     @Test
     public void aListOfTheOldDiscoveryAfterAMoveIsIgnored() throws Exception {
         BalancerEventLatch listed = BalancerEventLatch.forUpdateOf("s1");
-        BalancerEventLatch up =
-                new BalancerEventLatch(e -> e instanceof EndpointUpdate news && news.kind() == UpdateKind.INCREMENTAL);
+        BalancerEventLatch up = new BalancerEventLatch(
+                e -> e instanceof EndpointUpdate update && update.kind() == UpdateKind.INCREMENTAL);
         try (LoopbackNetwork net = new LoopbackNetwork(1, s -> s, m -> listed.apply(up.apply(m)));
                 ScriptedPeer moved = new ScriptedPeer()) {
             ReceivedRequest old = net.discovery.next();
             old.beginWatch();
             old.sendLine("");
-            up.await(); // all that came so far is read: what comes now is told after the move
+            up.await(); // all that came so far is read: what comes now arrives after the move
             BalancerEventLatch.callOnLoop(
                     net,
                     () -> { // the move stands in line before what the old one says now
--- a/sidecar/src/test/java/dewplank/sidecar/LoadReportTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/LoadReportTest.java
@@ -8,7 +8,7 @@
 
 public class LoadReportTest {
 
-    /** What no server can mean must not reach the module as a figure. */
+    /** An impossible value must not reach the balancer as a figure. */
     @Test
     public void valuesThatAreNoLoadCountAsMissing() {
         List<String> fields = List.of("rif", "q");
--- a/sidecar/src/test/java/dewplank/sidecar/RequestAttributesTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/RequestAttributesTest.java
@@ -11,21 +11,21 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import org.junit.Test;
 
-/** Found at Sado: on sockets the module was told neither the tenant nor the key, both null. */
+/** Found at Sado: on sockets the balancer got neither the tenant nor the key, both null. */
 public class RequestAttributesTest {
     private static final String TENANTS = "\"Accounts\":[{\"Name\":\"porto\",\"Share\":0.6,\"AllowancePerS\":9},"
             + "{\"Name\":\"praias\",\"Share\":0.4,\"AllowancePerS\":6}]";
 
     private final BlockingQueue<RequestArrived> arrived = new LinkedBlockingQueue<>();
 
-    /** What the module is told of a request with these fields; they reach the server as they came. */
-    private RequestArrived told(String fields) throws Exception {
+    /** What the balancer gets of a request with these headers; the server gets them as they came. */
+    private RequestArrived arrivedWith(String fields) throws Exception {
         try (LoopbackNetwork net =
-                new LoopbackNetwork(1, s -> s.replace("\"Accounts\":[]", TENANTS), module -> (now, event, out) -> {
+                new LoopbackNetwork(1, s -> s.replace("\"Accounts\":[]", TENANTS), balancer -> (now, event, out) -> {
                     if (event instanceof RequestArrived a) {
                         arrived.add(a);
                     }
-                    module.handle(now, event, out);
+                    balancer.handle(now, event, out);
                 })) {
             Client client = net.client();
             client.send(Client.request("menu-read", fields + "Content-Length: 0\r\n"));
@@ -41,8 +41,8 @@
 
     @Test
     public void tenantKeyAndCostReachTheBalancer() throws Exception {
-        RequestArrived a =
-                told("X-Customer: porto\r\nCookie: session=1; k=7f3a=c2; lang=pt\r\nX-Props: Work=12.5,other=3\r\n");
+        RequestArrived a = arrivedWith(
+                "X-Customer: porto\r\nCookie: session=1; k=7f3a=c2; lang=pt\r\nX-Props: Work=12.5,other=3\r\n");
         assertEquals("porto", a.tenant());
         assertEquals("7f3a=c2", a.key());
         assertEquals(12.5, a.costMs(), 0);
@@ -58,7 +58,7 @@
             "Cookie: k=\r\nX-Props: Work=1e300\r\n"
         };
         for (String fields : strange) {
-            RequestArrived a = told(fields);
+            RequestArrived a = arrivedWith(fields);
             assertNull(fields, a.tenant());
             assertNull(fields, a.key());
             assertNull(fields, a.costMs());
@@ -67,6 +67,6 @@
 
     @Test
     public void theSameKeyTwiceIsThatKey() throws Exception {
-        assertEquals("k1", told("Cookie: k=k1\r\nCookie: a=b; k=k1\r\n").key());
+        assertEquals("k1", arrivedWith("Cookie: k=k1\r\nCookie: a=b; k=k1\r\n").key());
     }
 }
--- a/sidecar/src/test/java/dewplank/sidecar/SidecarTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/SidecarTest.java
@@ -90,7 +90,7 @@
         }
     }
 
-    /** Turned away unseen, with nowhere else to go: trying again is harmless, and the client is told when. */
+    /** Rejected before it ran, with no other server: a retry is safe, and Retry-After says when. */
     @Test
     public void anOrderThatTheServerRejectedIsRejected() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
@@ -211,11 +211,11 @@
 
     @Test
     public void aBalancerThatThrowsFailsThatRequestOnly() throws Exception {
-        try (LoopbackNetwork net = new LoopbackNetwork(1, settings -> settings, module -> (now, event, out) -> {
+        try (LoopbackNetwork net = new LoopbackNetwork(1, settings -> settings, balancer -> (now, event, out) -> {
             if (event instanceof RequestArrived a && a.requestClass().equals("order-place")) {
                 throw new IllegalStateException("on purpose, for the test");
             }
-            module.handle(now, event, out);
+            balancer.handle(now, event, out);
         })) {
             Client client = net.client();
             client.sendRequest("order-place");
@@ -227,7 +227,7 @@
     }
 
     /**
-     * Found on the day of churn: clients that asked once and kept their connections held all that may be open,
+     * Found on the day of churn: clients that sent one request and kept their connections used up all that may be open,
      * and no others were accepted. On the day of bad clients, silent ones and half requests did the same.
      */
     @Test
@@ -256,30 +256,33 @@
         }
     }
 
-    /** Found on an incident: 128 clients asked once and kept their connections, and could open no more. */
+    /** Found on an incident: 128 clients sent one request and kept their connections, and could open no more. */
     @Test
     public void aboveTheIdleCapacityAResponseIsTheLastOnItsConnection() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
-            List<Client> kept = asManyAsThereIsRoomFor(net);
+            List<Client> idle = clientsUpToIdleCapacity(net);
             Client more = net.client();
             more.sendRequest("menu-read");
             net.servers.get(0).next().respond("200 OK", "");
             assertLast(more, "200");
-            close(kept);
+            close(idle);
         }
     }
 
-    /** Found at Sado: no new connections come then, and a client whose kept ones are all busy has nobody to ask. */
+    /**
+     * Found at Sado: no new connections come then, and a client whose idle connections are all busy has no other
+     * sidecar.
+     */
     @Test
     public void aDrainingSidecarClosesNoConnectionForCapacity() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
-            List<Client> kept = asManyAsThereIsRoomFor(net);
+            List<Client> idle = clientsUpToIdleCapacity(net);
             Client more = net.client();
             drain(net, 60_000, 60_000);
             net.sidecar.awaitDrainStarted();
             serve(net, more, "one");
             serve(net, more, "two");
-            close(kept);
+            close(idle);
         }
     }
 
@@ -289,17 +292,17 @@
         }
     }
 
-    private static List<Client> asManyAsThereIsRoomFor(LoopbackNetwork net) throws IOException {
-        List<Client> kept = new ArrayList<>();
+    private static List<Client> clientsUpToIdleCapacity(LoopbackNetwork net) throws IOException {
+        List<Client> idle = new ArrayList<>();
         for (int i = 0; i < net.config.maxClientConnections() / ClientConnections.IDLE_CAPACITY_DIVISOR; i++) {
             Client one = net.client();
             one.send("GET /_health HTTP/1.1\r\n\r\n");
             String answer = one.read();
             assertStatus("200", answer);
             assertFalse(answer, answer.contains("Connection: close"));
-            kept.add(one);
+            idle.add(one);
         }
-        return kept;
+        return idle;
     }
 
     /** Idle connections save their clients the opening of new ones: they stay as long as there is room. */
@@ -338,7 +341,7 @@
         }
     }
 
-    /** Over a long day servers come and go with ever new ids: what is kept for one must go with it. */
+    /** Over a long day servers come and go with ever new ids: what is retained for one must go with it. */
     @Test
     public void theConnectionsToAServerCloseWhenItIsRemoved() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
@@ -369,12 +372,12 @@
     /** A reload moves the watch at once: the old address ends its watches soon, and tells nothing new. */
     @Test
     public void theWatchFollowsDiscoveryToANewAddress() throws Exception {
-        UnaryOperator<Balancer> neverAsksAgain = module -> (now, event, out) -> {
-            if (!(event instanceof EndpointUpdate news && news.kind() == UpdateKind.BROKEN)) {
-                module.handle(now, event, out);
+        UnaryOperator<Balancer> neverResubscribes = balancer -> (now, event, out) -> {
+            if (!(event instanceof EndpointUpdate update && update.kind() == UpdateKind.BROKEN)) {
+                balancer.handle(now, event, out);
             }
         };
-        try (LoopbackNetwork net = new LoopbackNetwork(1, s -> s, neverAsksAgain);
+        try (LoopbackNetwork net = new LoopbackNetwork(1, s -> s, neverResubscribes);
                 LoopbackNetwork.ScriptedPeer moved = new LoopbackNetwork.ScriptedPeer()) {
             ReceivedRequest old = net.discovery.next();
             old.beginWatch();
@@ -393,7 +396,7 @@
     @Test
     public void anAttemptWithoutAFreeConnectionIsNeverSent() throws Exception {
         List<Outcome> outcomes = new CopyOnWriteArrayList<>();
-        UnaryOperator<Balancer> sendsAll = module -> (now, event, out) -> {
+        UnaryOperator<Balancer> sendsAll = balancer -> (now, event, out) -> {
             if (event instanceof RequestArrived a) {
                 out.accept(new Send(a.request(), "s0", 0));
             } else if (event instanceof AttemptEnded e) {
@@ -442,7 +445,7 @@
             serve(net, before, "one");
             drain(net, 60_000, 60_000);
             net.sidecar.awaitDrainStarted();
-            serve(net, before, "two"); // found at Sado: a connection that was kept ended with this answer
+            serve(net, before, "two"); // found at Sado: an idle connection was closed with this response
             serve(net, before, "three");
             serve(net, net.client(), "four");
         }
