--- a/sidecar/src/main/java/dewplank/sidecar/ClientConnection.java
+++ b/sidecar/src/main/java/dewplank/sidecar/ClientConnection.java
@@ -77,12 +77,12 @@
         } catch (BadMessageException e) {
             reject(e);
         } catch (RuntimeException e) { // a defect: the client still gets its one response
-            failed(e);
+            failInternally(e);
         }
     }
 
     /** A defect was caught: the client still gets its one response. */
-    private void failed(RuntimeException e) {
+    private void failInternally(RuntimeException e) {
         LOG.log(System.Logger.Level.ERROR, "request handling failed", e);
         reject(new BadMessageException(500, "internal error"));
     }
@@ -124,7 +124,7 @@
         try {
             request = host.accept(decoded, this);
         } catch (RuntimeException e) { // a defect: the client still gets its one response
-            failed(e);
+            failInternally(e);
         }
     }
 
--- a/sidecar/src/test/java/dewplank/peers/PeerChannelTest.java
+++ b/sidecar/src/test/java/dewplank/peers/PeerChannelTest.java
@@ -25,7 +25,7 @@
 
 /** One sidecar's datagrams, between two scripted peers and a stranger. */
 public class PeerChannelTest {
-    private static final int PATIENCE_S = 20;
+    private static final int TIMEOUT_S = 20;
 
     private record Said(int peer, byte[] bytes) {}
 
@@ -39,7 +39,7 @@
     private static DatagramSocket socket() {
         try {
             DatagramSocket socket = new DatagramSocket(0, InetAddress.getLoopbackAddress());
-            socket.setSoTimeout(PATIENCE_S * 1000);
+            socket.setSoTimeout(TIMEOUT_S * 1000);
             return socket;
         } catch (SocketException e) {
             throw new AssertionError(e);
@@ -85,7 +85,7 @@
     }
 
     private Said nextHeard() throws Exception {
-        Said said = heard.poll(PATIENCE_S, TimeUnit.SECONDS);
+        Said said = heard.poll(TIMEOUT_S, TimeUnit.SECONDS);
         assertTrue("nothing was heard", said != null);
         return said;
     }
--- a/sidecar/src/test/java/dewplank/sidecar/ConnectionCloseTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/ConnectionCloseTest.java
@@ -23,7 +23,7 @@
 
 /** Requests that meet their connection's end, and attempts on which two endings meet: each order is brought about. */
 public class ConnectionCloseTest {
-    private static final int PATIENCE_S = 20;
+    private static final int TIMEOUT_S = 20;
 
     /** The request lies unread when its idle connection is closed: no reset, and it is not forwarded either. */
     @Test
@@ -102,8 +102,8 @@
                 await(() -> loop.now() > started + 60);
                 loop.after(0, () -> loop.execute(() -> pooled.add(pool.size()))); // after both were looked at
             });
-            Outcome outcome = ends.poll(PATIENCE_S, TimeUnit.SECONDS);
-            int pooledCount = pooled.poll(PATIENCE_S, TimeUnit.SECONDS);
+            Outcome outcome = ends.poll(TIMEOUT_S, TimeUnit.SECONDS);
+            int pooledCount = pooled.poll(TIMEOUT_S, TimeUnit.SECONDS);
             assertTrue(
                     outcome + " and " + pooledCount + " pooled",
                     outcome == Outcome.SERVED && pooledCount == 1 || outcome == Outcome.TIMED_OUT && pooledCount == 0);
@@ -188,7 +188,7 @@
     }
 
     private static void await(BooleanSupplier reached) {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
+        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
         while (!reached.getAsBoolean()) {
             if (System.nanoTime() > until) {
                 throw new AssertionError("never reached");
