--- a/dataplane/src/main/java/dewplank/dataplane/ControlAddresses.java
+++ b/dataplane/src/main/java/dewplank/dataplane/ControlAddresses.java
@@ -9,84 +9,85 @@
 import java.util.Set;
 
 /**
- * Addresses of control sidecars: the settings' seeds, which are kept, and those that control sidecars vouch for, which
- * are forgotten when none has for long. Times in milliseconds. An address in use is one that a session stands with.
+ * The addresses at which control planes may be found: the settings' seeds, which are retained, and those that control
+ * planes vouch for, which are evicted when none has for long. Used by {@link SessionClient} alone; on its thread only.
+ * Times in milliseconds of its clock; an address in use is one that a session is opened or open with.
  */
 final class ControlAddresses {
-    /** Addresses known at once. Beyond, the one that nobody vouched for longest makes room. */
-    static final int MOST = 64;
-    /** An address that no control sidecar has vouched for so long is forgotten, seeds excepted. */
-    static final double FORGET_MS = 60_000;
+    /** Addresses retained at once. Beyond, the one that nobody vouched for longest is evicted. */
+    static final int MAX_ADDRESSES = 64;
+    /** An address that no control plane has vouched for so long is evicted, seeds excepted. */
+    static final double EXPIRY_MS = 60_000;
 
-    private static final class Known {
-        private double toldAt;
-        private double notBefore = Double.NEGATIVE_INFINITY;
+    private static final class Entry {
+        private double refreshedAt;
+        private double backoffUntil = Double.NEGATIVE_INFINITY;
     }
 
-    private final Map<String, Known> known = new LinkedHashMap<>();
+    private final Map<String, Entry> entries = new LinkedHashMap<>();
     private Set<String> seeds = Set.of();
 
-    /** The settings name these. */
-    void seeds(double now, Collection<String> newer, Set<String> inUse) {
-        seeds = Set.copyOf(newer);
-        told(now, newer, inUse);
+    /** Sets the addresses that the settings name; they take the place of earlier ones. */
+    void setSeeds(double now, Collection<String> newSeeds, Set<String> inUse) {
+        seeds = Set.copyOf(newSeeds);
+        refresh(now, newSeeds, inUse);
     }
 
-    /** A control sidecar vouches for these. */
-    void told(double now, Collection<String> addresses, Set<String> inUse) {
+    /** A control plane vouches for these addresses. */
+    void refresh(double now, Collection<String> addresses, Set<String> inUse) {
         for (String address : addresses) {
-            Known entry = known.get(address);
-            if (entry == null && hasRoom(inUse)) {
-                entry = new Known();
-                known.put(address, entry);
+            Entry entry = entries.get(address);
+            if (entry == null && ensureCapacity(inUse)) {
+                entry = new Entry();
+                entries.put(address, entry);
             }
             if (entry != null) {
-                entry.toldAt = now;
+                entry.refreshedAt = now;
             }
         }
     }
 
-    /** Whether one more fits, after the one that nobody vouched for longest was forgotten where need be. */
-    private boolean hasRoom(Set<String> inUse) {
-        if (known.size() < MOST) {
+    /** Evicts the address that nobody vouched for longest, where there are too many; false: none may be evicted. */
+    private boolean ensureCapacity(Set<String> inUse) {
+        if (entries.size() < MAX_ADDRESSES) {
             return true;
         }
-        return known.entrySet().stream()
-                .filter(e -> mayBeForgotten(e.getKey(), inUse))
-                .min(Comparator.comparingDouble(e -> e.getValue().toldAt))
-                .filter(e -> known.remove(e.getKey()) != null)
+        return entries.entrySet().stream()
+                .filter(e -> isEvictable(e.getKey(), inUse))
+                .min(Comparator.comparingDouble(e -> e.getValue().refreshedAt))
+                .filter(e -> entries.remove(e.getKey()) != null)
                 .isPresent();
     }
 
-    private boolean mayBeForgotten(String address, Set<String> inUse) {
+    private boolean isEvictable(String address, Set<String> inUse) {
         return !seeds.contains(address) && !inUse.contains(address);
     }
 
-    /** Drops what nobody has vouched for lately. */
-    void forget(double now, Set<String> inUse) {
-        known.entrySet().removeIf(e -> now - e.getValue().toldAt > FORGET_MS && mayBeForgotten(e.getKey(), inUse));
+    /** Evicts the addresses that nobody has vouched for lately. */
+    void evictExpired(double now, Set<String> inUse) {
+        entries.entrySet().removeIf(e -> now - e.getValue().refreshedAt > EXPIRY_MS && isEvictable(e.getKey(), inUse));
     }
 
-    /** The address is let be until then. */
-    void rest(String address, double until) {
-        Known entry = known.get(address);
+    /** Makes the address ineligible until then; an earlier time than before changes nothing. */
+    void backOff(String address, double until) {
+        Entry entry = entries.get(address);
         if (entry != null) {
-            entry.notBefore = Math.max(entry.notBefore, until);
+            entry.backoffUntil = Math.max(entry.backoffUntil, until);
         }
     }
 
-    /** Those that are neither in use nor let be. */
-    List<String> candidates(double now, Set<String> inUse) {
-        List<String> free = new ArrayList<>();
-        known.forEach((address, entry) -> {
-            if (!inUse.contains(address) && entry.notBefore <= now) {
-                free.add(address);
+    /** The addresses that are neither in use nor backing off, in the order in which they came. */
+    List<String> eligible(double now, Set<String> inUse) {
+        List<String> eligible = new ArrayList<>();
+        entries.forEach((address, entry) -> {
+            if (!inUse.contains(address) && entry.backoffUntil <= now) {
+                eligible.add(address);
             }
         });
-        return free;
+        return eligible;
     }
 
     int size() {
-        return known.size();
+        return entries.size();
     }
 }
--- a/dataplane/src/main/java/dewplank/dataplane/Counters.java
+++ b/dataplane/src/main/java/dewplank/dataplane/Counters.java
@@ -5,11 +5,14 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Counters of a data plane, written to the log in one line from time to time where any has changed. */
+/**
+ * Counters of a data plane since its start, written to the log in one line from time to time where any has changed. On
+ * the event loop's thread only.
+ */
 final class Counters {
     private static final Logger LOG = LoggerFactory.getLogger(Counters.class);
 
-    /** What is counted; the names ending in MS are sums of milliseconds. */
+    /** What is counted. The names are read from the log; those ending in MS are sums of milliseconds. */
     enum Count {
         REQUESTS,
         SERVED,
@@ -31,15 +34,15 @@
         TURNED_AWAY,
         SERVER_ERRORS,
         FREED,
-        /** No server was there, or none may be sent to. */
+        /** No server was there, or none was eligible. */
         NO_SERVER,
-        /** The route's limit of servers was reached. */
+        /** The route's {@code max_attempts} was reached. */
         ATTEMPTS_SPENT,
         /** Connections opened to servers. */
         CONNECTIONS,
-        /** From the request's arrival until its prompt was read and kept at a prefill server. */
+        /** From the request's arrival until its prompt was prefilled and its KV cache stored at a prefill server. */
         PREFILL_MS,
-        /** From there, or from the arrival where no prefill server was asked, until the first event. */
+        /** From there, or from the arrival where no prefill server did it, until the first event. */
         DECODE_MS
     }
 
@@ -59,6 +62,7 @@
         return counts.getOrDefault(count, 0L);
     }
 
+    /** Writes all counters in one line, if any has changed since the last one. */
     void log() {
         if (changed) {
             changed = false;
--- a/dataplane/src/main/java/dewplank/dataplane/DataPlane.java
+++ b/dataplane/src/main/java/dewplank/dataplane/DataPlane.java
@@ -16,50 +16,51 @@
 import java.util.List;
 import java.util.Random;
 import java.util.SplittableRandom;
-import java.util.concurrent.CountDownLatch;
-import java.util.concurrent.TimeUnit;
 import java.util.random.RandomGenerator;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 
-/** The data plane: clients' requests in, servers' answers out; what it knows comes from its sessions. */
+/**
+ * The data plane's program: takes clients' requests, forwards them by the configuration of its sessions with control
+ * planes, and sends servers' answers back. Wires the parts of this package on one event loop. Constructed, started,
+ * reloaded and drained by the command line's thread; the methods hand their work to the event loop.
+ */
 public final class DataPlane {
-    private static final Logger LOG = LoggerFactory.getLogger(DataPlane.class);
-    private static final double COUNTERS_EVERY_MS = 5_000;
-    private static final double SWEEP_MS = 250;
-    private static final double LOOK_MS = 20;
-    /** The platform asks each second and leaves after two misses; then its list of connections has to settle. */
-    private static final double ACCEPT_ON_MS = 2_600;
-    /** Of the grace: where it is short, what was taken last needs the rest of it to be answered. */
-    private static final double ACCEPT_ON_PART = 0.4;
-
-    private static final double KILL_SPARE_MS = 700;
-    private static final double KILL_SPARE_PART = 0.2;
-    /** Before the end: for the last answers to leave. */
-    private static final double LAST_ANSWERS_MS = 100;
-
-    private static final double READ_ON_MS = 400;
-    private static final int SPARE_DESCRIPTORS = 300;
+    private static final double COUNTERS_INTERVAL_MS = 5_000;
+    private static final double SWEEP_INTERVAL_MS = 250;
+    /** File descriptors that are left for servers' idle connections, sessions, files and the JVM. */
+    private static final int RESERVED_DESCRIPTORS = 300;
+    /** A client's connection and the one to its server. */
+    private static final int DESCRIPTORS_PER_CLIENT = 2;
+
+    private static final int MIN_CLIENT_CONNECTIONS = 64;
+    private static final int MAX_READINESS_CONNECTIONS = 64;
 
     private final NodeSettings settings;
     private final EventLoop loop;
     private final FleetMetadata fleet;
     private final Forwarder forwarder;
     private final SessionClient sessions;
-    private final HealthGossip exchange;
+    private final HealthGossip healthGossip;
     private final Counters counters = new Counters();
-    private final ClientTimeouts limits;
-    private final Listener front;
-    private final ReadinessEndpoint readinessCalls;
-    private final Listener readiness;
-    private final CountDownLatch drained = new CountDownLatch(1);
-    private boolean draining;
-
+    private final ClientTimeouts clientTimeouts;
+    private final Listener frontListener;
+    private final ReadinessEndpoint readinessEndpoint;
+    private final Listener readinessListener;
+    private final GracefulShutdown shutdown;
+
+    /**
+     * Binds the listeners; nothing is accepted before {@link #start}.
+     *
+     * @throws IOException where an address of the settings cannot be bound
+     */
     public DataPlane(NodeSettings settings) throws IOException {
         this(settings, Policy.ALL_ENABLED);
     }
 
-    /** For a trial, with some mechanisms off. */
+    /**
+     * For a trial, with some mechanisms off.
+     *
+     * @throws IOException where an address of the settings cannot be bound
+     */
     public DataPlane(NodeSettings settings, Policy policy) throws IOException {
         this.settings = settings;
         loop = new EventLoop();
@@ -67,36 +68,41 @@
         long seed = new SecureRandom().nextLong();
         RandomGenerator random = new SplittableRandom(seed);
         HealthVotes votes = new HealthVotes(policy);
-        ServerPicker choice = new ServerPicker(settings.zone(), votes, fleet::dataPlanes, random, policy);
+        ServerPicker picker = new ServerPicker(settings.zone(), votes, fleet::dataPlanes, random, policy);
         NodeSettings.Bounds bounds = settings.bounds();
-        limits = new ClientTimeouts(bounds.configApplyMs());
-        forwarder = new Forwarder(
-                loop,
-                fleet,
-                choice,
-                random,
-                counters,
-                new RetryBudgets.Limits(bounds.retryRatio(), bounds.retryWindowMs(), bounds.retrySlack()));
-        String address = settings.address() + ":" + settings.internalPorts()[1];
-        Member self =
-                new Member(settings.nodeName(), Member.DATA, address, settings.zone(), System.currentTimeMillis());
-        exchange = new HealthGossip(loop, fleet, votes, self, new Random(seed));
+        clientTimeouts = new ClientTimeouts(bounds.configApplyMs());
+        forwarder = new Forwarder(loop, fleet, picker, random, counters, retryLimits(bounds));
+        Member self = self(settings);
+        healthGossip = new HealthGossip(loop, fleet, votes, self, new Random(seed));
         sessions = new SessionClient(
                 loop,
                 new TcpTransport(loop, FleetMessages.codec()),
                 self,
                 fleet,
                 random,
-                settings.bounds().contactMs(),
+                bounds.contactMs(),
                 forwarder::onFleetChanged);
-        sessions.seeds(controlAddresses(settings));
-        int clients = Math.max(64, (settings.resources().fileDescriptors() - SPARE_DESCRIPTORS) / 2);
-        front = new Listener(loop, settings.front(), clients, forwarder::newConnection);
-        readinessCalls = new ReadinessEndpoint(loop, this::ready);
-        readiness = new Listener(loop, settings.readiness(), 64, readinessCalls::connection);
+        sessions.setSeeds(controlAddresses(settings));
+        frontListener = new Listener(loop, settings.front(), maxClientConnections(settings), forwarder::newConnection);
+        readinessEndpoint = new ReadinessEndpoint(loop, this::isReady);
+        readinessListener =
+                new Listener(loop, settings.readiness(), MAX_READINESS_CONNECTIONS, readinessEndpoint::newConnection);
+        shutdown = new GracefulShutdown(
+                loop, forwarder, frontListener, new DrainSchedule(bounds.graceMs()), this::closePeerConnections);
     }
 
-    /** Control sidecars listen for the system's own messages on the first internal port. */
+    private static RetryBudgets.Limits retryLimits(NodeSettings.Bounds bounds) {
+        return new RetryBudgets.Limits(bounds.retryRatio(), bounds.retryWindowMs(), bounds.retrySlack());
+    }
+
+    /** Data planes listen for each other's datagrams on the second internal port. */
+    private static Member self(NodeSettings settings) {
+        String address = settings.address() + ":" + settings.internalPorts()[1];
+        long incarnation = System.currentTimeMillis();
+        return new Member(settings.nodeName(), Member.DATA, address, settings.zone(), incarnation);
+    }
+
+    /** Control planes listen for the system's own messages on the first internal port. */
     private static List<String> controlAddresses(NodeSettings settings) {
         return settings.seeds().stream()
                 .map(InetSocketAddress::getAddress)
@@ -104,92 +110,66 @@
                 .toList();
     }
 
+    private static int maxClientConnections(NodeSettings settings) {
+        int descriptors = settings.resources().fileDescriptors() - RESERVED_DESCRIPTORS;
+        return Math.max(MIN_CLIENT_CONNECTIONS, descriptors / DESCRIPTORS_PER_CLIENT);
+    }
+
+    /** Opens the sessions and accepts connections. */
     public void start() {
         loop.execute(() -> {
             sessions.start();
-            exchange.start();
-            front.accept();
-            readiness.accept();
+            healthGossip.start();
+            frontListener.accept();
+            readinessListener.accept();
             sweep();
-            log();
+            logCounters();
         });
     }
 
-    private boolean ready() {
-        return !draining && fleet.isComplete();
+    private boolean isReady() {
+        return !shutdown.isStarted() && fleet.isComplete();
     }
 
-    private void log() {
+    private void logCounters() {
         counters.log();
-        loop.after(COUNTERS_EVERY_MS, this::log);
+        loop.after(COUNTERS_INTERVAL_MS, this::logCounters);
     }
 
-    /** Ends connections on which no whole request comes, and idle ones to servers. */
+    /** Ends connections on which no complete request comes, and idle ones to servers. */
     private void sweep() {
         double now = loop.now();
         if (fleet.configuration() != null) {
-            limits.inForce(now, fleet.configuration().limits());
+            clientTimeouts.update(now, fleet.configuration().limits());
         }
-        for (InboundConnection c : forwarder.connections()) {
-            if (limits.overdue(now, c)) {
-                c.timeOut();
+        for (InboundConnection connection : forwarder.connections()) {
+            if (clientTimeouts.isOverdue(now, connection)) {
+                connection.timeOut();
             }
         }
-        readinessCalls.sweep();
+        readinessEndpoint.sweep();
         fleet.allServers().forEach(s -> s.pool.closeExpired());
-        loop.after(SWEEP_MS, this::sweep);
+        loop.after(SWEEP_INTERVAL_MS, this::sweep);
     }
 
-    /** The settings file has changed: new seeds are learned, all else waits for the next start. */
+    /** Takes over the seeds of a settings file that has changed; all else waits for the next start. */
     public void reload(NodeSettings next) {
-        loop.execute(() -> sessions.seeds(controlAddresses(next)));
+        loop.execute(() -> sessions.setSeeds(controlAddresses(next)));
     }
 
-    /** Called on SIGTERM: serves on until the platform sends nobody new, answers what is open, and ends. */
+    /**
+     * Drains and stops the data plane, on SIGTERM. Blocks for less than the settings' grace.
+     *
+     * @throws InterruptedException if the calling thread is interrupted; then nothing more is waited for
+     */
     public void drain() throws InterruptedException {
-        double graceMs = settings.bounds().graceMs();
-        loop.execute(() -> {
-            LOG.info("draining: {} requests open", forwarder.openRequests());
-            draining = true;
-            loop.after(acceptOnMs(graceMs), this::stopAccepting);
-        });
-        if (!drained.await((long) (endMs(graceMs) - LAST_ANSWERS_MS), TimeUnit.MILLISECONDS)) {
-            loop.execute(() -> {
-                LOG.warn("draining did not end in time: {} requests open", forwarder.openRequests());
-                forwarder.terminateAll();
-            });
-            drained.await((long) LAST_ANSWERS_MS, TimeUnit.MILLISECONDS);
-        }
+        shutdown.run();
         loop.execute(counters::log);
         loop.stop();
     }
 
-    /** How long after SIGTERM connections are taken on. */
-    static double acceptOnMs(double graceMs) {
-        return Math.min(ACCEPT_ON_MS, ACCEPT_ON_PART * graceMs);
-    }
-
-    /** How long after SIGTERM the process ends at the latest. */
-    static double endMs(double graceMs) {
-        return graceMs - Math.min(KILL_SPARE_MS, KILL_SPARE_PART * graceMs);
-    }
-
-    private void stopAccepting() {
-        forwarder.close();
-        front.close();
-        endWhenIdle(loop.now() + READ_ON_MS);
-    }
-
-    private void endWhenIdle(double readUntil) {
-        boolean unread = loop.now() >= readUntil;
-        forwarder.connections().forEach(c -> c.endIfIdle(unread));
-        if (forwarder.openConnections() == 0 && forwarder.openRequests() == 0 && !front.hasOpenConnections()) {
-            sessions.close();
-            exchange.close();
-            LOG.info("drained");
-            loop.after(LOOK_MS, drained::countDown);
-        } else {
-            loop.after(LOOK_MS, () -> endWhenIdle(readUntil));
-        }
+    private void closePeerConnections() {
+        sessions.close();
+        healthGossip.close();
     }
 }
--- a/dataplane/src/main/java/dewplank/dataplane/HealthGossip.java
+++ b/dataplane/src/main/java/dewplank/dataplane/HealthGossip.java
@@ -11,6 +11,7 @@
 import java.net.DatagramSocket;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.Collections;
 import java.util.Comparator;
 import java.util.HashSet;
@@ -23,8 +24,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Tells peers what was observed of servers, once a second and soon after a failure or the end of one, and hears them:
- * datagrams, as one that is lost does no harm.
+ * Exchanges summaries of servers' health with other data planes: sends its own once a second, and soon after a server
+ * became or ceased to be suspect, to peers drawn at random; records theirs as votes. By datagrams, as one that is lost
+ * does no harm. Methods on the event loop's thread only; a daemon thread receives.
  */
 final class HealthGossip {
     private static final Logger LOG = LoggerFactory.getLogger(HealthGossip.class);
@@ -37,8 +39,8 @@
     private final Random random;
     private final DatagramSocket socket;
     private int sequence;
-    private double toldAt = Double.NEGATIVE_INFINITY;
-    private Set<Integer> toldSuspected = Set.of();
+    private double lastSentAt = Double.NEGATIVE_INFINITY;
+    private Set<Integer> lastSentSuspected = Set.of();
 
     HealthGossip(EventLoop loop, FleetMetadata fleet, HealthVotes votes, Member self, Random random)
             throws IOException {
@@ -50,24 +52,26 @@
         this.socket = new DatagramSocket(SocketAddresses.parse(self.address));
     }
 
+    /** Starts to receive, and to send at a random time within the first interval. */
     void start() {
         Thread thread = new Thread(this::receive, "peers");
         thread.setDaemon(true);
         thread.start();
-        loop.after(PARAMETERS.intervalMs() * random.nextDouble(), this::look);
+        loop.after(PARAMETERS.intervalMs() * random.nextDouble(), this::sendIfDue);
     }
 
-    private void look() {
+    private void sendIfDue() {
         if (socket.isClosed()) {
             return;
         }
         double now = loop.now();
-        if (now - toldAt >= PARAMETERS.intervalMs() || !suspected(now).equals(toldSuspected)) {
-            tell(now);
+        if (now - lastSentAt >= PARAMETERS.intervalMs() || !suspected(now).equals(lastSentSuspected)) {
+            send(now);
         }
-        loop.after(PARAMETERS.changeIntervalMs(), this::look);
+        loop.after(PARAMETERS.changeIntervalMs(), this::sendIfDue);
     }
 
+    /** The suspect servers, as summaries name them. */
     private Set<Integer> suspected(double now) {
         Set<Integer> suspected = new HashSet<>();
         for (Server server : fleet.allServers()) {
@@ -78,15 +82,16 @@
         return suspected;
     }
 
+    /** Ends sending and receiving. */
     void close() {
         socket.close();
     }
 
-    private void tell(double now) {
+    private void send(double now) {
         votes.evictStale(now);
         HealthSummary summary = summary(now);
-        toldAt = now;
-        toldSuspected = summary.suspected().stream()
+        lastSentAt = now;
+        lastSentSuspected = summary.suspected().stream()
                 .map(HealthSummary.Suspected::server)
                 .collect(Collectors.toSet());
         byte[] bytes = summary.encode();
@@ -111,15 +116,16 @@
                 healthy.add(new HealthSummary.Healthy(hash, now - outcomes.lastSuccessAtMs()));
             }
         }
-        healthy.sort(Comparator.comparingDouble(HealthSummary.Healthy::ageMs)); // the newest find room
+        healthy.sort(
+                Comparator.comparingDouble(HealthSummary.Healthy::ageMs)); // what does not fit is cut off at the end
         return new HealthSummary(self.incarnation, ++sequence, suspected, healthy);
     }
 
     private void send(byte[] bytes, InetSocketAddress to) {
         try {
             socket.send(new DatagramPacket(bytes, bytes.length, to));
-        } catch (IOException e) { // a peer that can't be reached for now
-            LOG.debug("telling {} failed", to, e);
+        } catch (IOException e) { // the next summary may reach it
+            LOG.debug("health summary not sent peer={}", to, e);
         }
     }
 
@@ -132,7 +138,7 @@
             } catch (IOException e) {
                 continue; // closed, or a peer's refusal of an earlier datagram
             }
-            byte[] bytes = java.util.Arrays.copyOf(buffer, packet.getLength());
+            byte[] bytes = Arrays.copyOf(buffer, packet.getLength());
             Optional<HealthSummary> summary = HealthSummary.decode(bytes);
             if (summary.isPresent()) {
                 String from = packet.getAddress().getHostAddress();
--- a/dataplane/src/main/java/dewplank/dataplane/ReadinessEndpoint.java
+++ b/dataplane/src/main/java/dewplank/dataplane/ReadinessEndpoint.java
@@ -8,31 +8,35 @@
 import java.util.Set;
 import java.util.function.BooleanSupplier;
 
-/** Says whether this data plane takes clients' connections. */
+/**
+ * Answers the platform's readiness checks: 200 while this data plane takes clients' connections, else 503. On the event
+ * loop's thread only.
+ */
 final class ReadinessEndpoint implements InboundConnection.Service {
-    /** The platform asks each second; only so many connections are taken at once. */
-    static final double MOST_IDLE_MS = 30_000;
+    /** The platform checks each second; a connection that is idle for long would take the place of another one. */
+    static final double MAX_IDLE_MS = 30_000;
 
     private final EventLoop loop;
-    private final PathRouter<Integer> calls = new PathRouter<>();
+    private final PathRouter<Integer> router = new PathRouter<>();
     private final BooleanSupplier ready;
     private final Set<InboundConnection> connections = new HashSet<>();
 
     ReadinessEndpoint(EventLoop loop, BooleanSupplier ready) {
         this.loop = loop;
         this.ready = ready;
-        calls.path("readiness").on("GET", 200);
+        router.path("readiness").on("GET", 200);
     }
 
-    InboundConnection connection() {
+    /** The handler of a new connection. */
+    InboundConnection newConnection() {
         InboundConnection connection = new InboundConnection(loop, this);
         connections.add(connection);
         return connection;
     }
 
-    /** Gives up connections whose other end has said nothing for long: behind a cut its close may never come. */
+    /** Ends idle connections: behind a network partition the other end's close may never come. */
     void sweep() {
-        List.copyOf(connections).forEach(c -> c.timeOutAfter(MOST_IDLE_MS));
+        List.copyOf(connections).forEach(c -> c.timeOutAfter(MAX_IDLE_MS));
     }
 
     @Override
@@ -42,9 +46,12 @@
 
     @Override
     public void handle(InboundConnection.Request request, InboundConnection caller) {
-        PathRouter.Match<Integer> match = calls.find(request.method(), request.target());
-        int known = match.handler() != null ? match.handler() : match.pathExists() ? 405 : 404;
-        caller.answer(known == 200 && !ready.getAsBoolean() ? 503 : known);
+        PathRouter.Match<Integer> match = router.find(request.method(), request.target());
+        if (match.handler() != null) {
+            caller.answer(ready.getAsBoolean() ? match.handler() : 503);
+        } else {
+            caller.answer(match.pathExists() ? 405 : 404);
+        }
     }
 
     @Override
--- a/dataplane/src/test/java/dewplank/dataplane/ClientTimeoutsTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/ClientTimeoutsTest.java
@@ -31,16 +31,16 @@
 
     @Test
     void aLongerTimeHoldsAtOnce() {
-        limits.inForce(0, limits(3_000, 5_000));
-        limits.inForce(100_000, limits(4_000, 60_000));
+        limits.update(0, limits(3_000, 5_000));
+        limits.update(100_000, limits(4_000, 60_000));
         assertEquals(60_000, limits.idleMs(100_000));
         assertEquals(4_000, limits.headMs(100_000));
     }
 
     @Test
     void aShorterTimeHoldsOnceEverybodyHasIt() {
-        limits.inForce(0, limits(3_000, 60_000));
-        limits.inForce(100_000, limits(1_000, 5_000));
+        limits.update(0, limits(3_000, 60_000));
+        limits.update(100_000, limits(1_000, 5_000));
         assertEquals(60_000, limits.idleMs(101_999));
         assertEquals(3_000, limits.headMs(101_999));
         assertEquals(5_000, limits.idleMs(102_000));
@@ -50,10 +50,10 @@
     /** The same limits, seen again and again, hold nothing up; two changes in quick succession forget neither. */
     @Test
     void ofSeveralChangesTheLongestHolds() {
-        limits.inForce(0, limits(3_000, 60_000));
-        limits.inForce(100_000, limits(3_000, 20_000));
-        limits.inForce(101_000, limits(3_000, 5_000));
-        limits.inForce(102_500, limits(3_000, 5_000));
+        limits.update(0, limits(3_000, 60_000));
+        limits.update(100_000, limits(3_000, 20_000));
+        limits.update(101_000, limits(3_000, 5_000));
+        limits.update(102_500, limits(3_000, 5_000));
         assertEquals(60_000, limits.idleMs(102_900));
         assertEquals(5_000, limits.idleMs(103_000));
     }
@@ -64,12 +64,12 @@
     private static void assertOverdueAfter(ForwarderFixture net, double ms) throws Exception {
         OnLoop.run(net.loop, () -> {
             ClientTimeouts limits = new ClientTimeouts(APPLY_MS);
-            limits.inForce(0, net.view.configuration().limits());
+            limits.update(0, net.view.configuration().limits());
             InboundConnection c = net.forwarder.connections().get(0);
             double since = c.waitingSince();
-            assertFalse(limits.overdue(since + 0.8 * ms, c));
-            assertFalse(limits.overdue(since + ms, c));
-            assertTrue(limits.overdue(since + ms + 1, c));
+            assertFalse(limits.isOverdue(since + 0.8 * ms, c));
+            assertFalse(limits.isOverdue(since + ms, c));
+            assertTrue(limits.isOverdue(since + ms + 1, c));
         });
     }
 
@@ -105,7 +105,7 @@
             Call call = net.next();
             OnLoop.run(
                     net.loop,
-                    () -> assertFalse(limits.overdue(
+                    () -> assertFalse(limits.isOverdue(
                             Double.MAX_VALUE, net.forwarder.connections().get(0))));
             serve(call, "");
             assertEquals(200, client.read().status());
--- a/dataplane/src/test/java/dewplank/dataplane/ControlAddressesTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/ControlAddressesTest.java
@@ -13,35 +13,35 @@
 
     @Test
     void whatNobodyVouchesForIsForgottenButForSeedsAndThoseInUse() {
-        addresses.seeds(0, List.of("seed:1"), Set.of());
-        addresses.told(0, List.of("dead:1", "used:1", "live:1"), Set.of());
-        double later = ControlAddresses.FORGET_MS;
-        addresses.forget(later, Set.of("used:1"));
+        addresses.setSeeds(0, List.of("seed:1"), Set.of());
+        addresses.refresh(0, List.of("dead:1", "used:1", "live:1"), Set.of());
+        double later = ControlAddresses.EXPIRY_MS;
+        addresses.evictExpired(later, Set.of("used:1"));
         assertEquals(4, addresses.size());
-        addresses.told(later, List.of("live:1"), Set.of("used:1"));
-        addresses.forget(later + 1, Set.of("used:1"));
-        assertEquals(List.of("seed:1", "used:1", "live:1"), addresses.candidates(later + 1, Set.of()));
+        addresses.refresh(later, List.of("live:1"), Set.of("used:1"));
+        addresses.evictExpired(later + 1, Set.of("used:1"));
+        assertEquals(List.of("seed:1", "used:1", "live:1"), addresses.eligible(later + 1, Set.of()));
     }
 
     @Test
     void theOneLongestUnheardOfMakesRoom() {
-        addresses.seeds(0, List.of("seed:1"), Set.of());
-        for (int i = 1; i < ControlAddresses.MOST; i++) {
-            addresses.told(i, List.of("a:" + i), Set.of());
+        addresses.setSeeds(0, List.of("seed:1"), Set.of());
+        for (int i = 1; i < ControlAddresses.MAX_ADDRESSES; i++) {
+            addresses.refresh(i, List.of("a:" + i), Set.of());
         }
-        addresses.told(100, List.of("b:1"), Set.of("a:1"));
-        List<String> known = addresses.candidates(100, Set.of());
-        assertEquals(ControlAddresses.MOST, known.size());
+        addresses.refresh(100, List.of("b:1"), Set.of("a:1"));
+        List<String> known = addresses.eligible(100, Set.of());
+        assertEquals(ControlAddresses.MAX_ADDRESSES, known.size());
         assertTrue(known.containsAll(List.of("seed:1", "a:1", "b:1")));
         assertFalse(known.contains("a:2"));
     }
 
     @Test
     void oneThatIsLetBeIsNoCandidateBeforeItsTime() {
-        addresses.told(0, List.of("a:1", "b:1"), Set.of());
-        addresses.rest("a:1", 50);
-        addresses.rest("a:1", 20);
-        assertEquals(List.of("b:1"), addresses.candidates(49, Set.of()));
-        assertEquals(List.of("a:1"), addresses.candidates(50, Set.of("b:1")));
+        addresses.refresh(0, List.of("a:1", "b:1"), Set.of());
+        addresses.backOff("a:1", 50);
+        addresses.backOff("a:1", 20);
+        assertEquals(List.of("b:1"), addresses.eligible(49, Set.of()));
+        assertEquals(List.of("a:1"), addresses.eligible(50, Set.of("b:1")));
     }
 }
--- a/dataplane/src/test/java/dewplank/dataplane/SessionClientTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/SessionClientTest.java
@@ -82,7 +82,7 @@
     private void start(FakeControlPlane... known) throws Exception {
         OnLoop.run(loop, () -> {
             for (FakeControlPlane control : known) {
-                client.seeds(List.of(control.address()));
+                client.setSeeds(List.of(control.address()));
             }
             client.start();
         });
@@ -231,7 +231,7 @@
         assertEquals(8, view.configurationVersion());
         assertEquals("b", view.routes().find(ForwarderFixture.HOST, "/b/").name());
         assertFalse(slow.isEnded());
-        assertEquals(2, OnLoop.get(loop, client::standing));
+        assertEquals(2, OnLoop.get(loop, client::openSessions));
     }
 
     // ---- which control sidecars -----------------------------------------------------------------------
@@ -240,9 +240,9 @@
     void twoSessionsStandAndNoMore() throws Exception {
         FakeControlPlane[] three = {control(), control(), control()};
         start(three);
-        OnLoop.await(loop, () -> client.standing() == 2);
+        OnLoop.await(loop, () -> client.openSessions() == 2);
         OnLoop.pass(loop, 400); // a beat
-        assertEquals(2, OnLoop.get(loop, client::standing));
+        assertEquals(2, OnLoop.get(loop, client::openSessions));
         int used = 0;
         for (FakeControlPlane control : three) {
             used += control.hasNoFurtherSession() ? 0 : 1;
@@ -257,7 +257,7 @@
         start(seed);
         seed.session();
         assertEquals(SELF, unknown.session().open().member);
-        OnLoop.await(loop, () -> client.standing() == 2);
+        OnLoop.await(loop, () -> client.openSessions() == 2);
     }
 
     @Test
@@ -265,10 +265,10 @@
         ServerSocket nobody = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         nobody.close();
         FakeControlPlane control = control();
-        OnLoop.run(loop, () -> client.seeds(List.of("127.0.0.1:" + nobody.getLocalPort())));
+        OnLoop.run(loop, () -> client.setSeeds(List.of("127.0.0.1:" + nobody.getLocalPort())));
         start(control);
         control.session();
-        OnLoop.await(loop, () -> client.standing() == 1);
+        OnLoop.await(loop, () -> client.openSessions() == 1);
         try (ServerSocket later = new ServerSocket(nobody.getLocalPort(), 5, InetAddress.getLoopbackAddress())) {
             later.accept().close();
         }
@@ -278,7 +278,7 @@
     void aSessionThatBreaksIsFollowedByOneWithAnother() throws Exception {
         List<FakeControlPlane> used = new ArrayList<>(List.of(control(), control(), control()));
         start(used.toArray(FakeControlPlane[]::new));
-        OnLoop.await(loop, () -> client.standing() == 2);
+        OnLoop.await(loop, () -> client.openSessions() == 2);
         OnLoop.await(
                 loop,
                 () -> used.stream()
@@ -303,7 +303,7 @@
         Session left = silent.session();
         Session kept = speaking.session();
         FakeControlPlane third = control();
-        OnLoop.run(loop, () -> client.seeds(List.of(third.address())));
+        OnLoop.run(loop, () -> client.setSeeds(List.of(third.address())));
         left.awaitEnd();
         assertEquals(SELF, third.session().open().member);
         assertFalse(kept.isEnded());
@@ -319,7 +319,7 @@
         kept.send(whole(configuration(3, route("a", "safe", PLAIN, 1))));
         awaitVersion(3); // who holds something need not keep it as a last hope
         FakeControlPlane third = control();
-        OnLoop.run(loop, () -> client.seeds(List.of(third.address())));
+        OnLoop.run(loop, () -> client.setSeeds(List.of(third.address())));
         left.awaitEnd();
         assertEquals(SELF, third.session().open().member);
         OnLoop.pass(loop, 700);
@@ -336,7 +336,7 @@
         Session left = late.session();
         quorate.session().send(whole(configuration(3, route("a", "safe", PLAIN, 1))));
         awaitVersion(3);
-        OnLoop.run(loop, () -> client.seeds(List.of(controlAddress())));
+        OnLoop.run(loop, () -> client.setSeeds(List.of(controlAddress())));
         long first = left.question().sequence;
         for (int beats = 0; !left.isEnded(); beats++) {
             assertTrue(beats < 60, "it is kept by answers to its first question");
@@ -400,7 +400,7 @@
         assertEquals(0, OnLoop.get(loop, view::configurationVersion));
         assertFalse(OnLoop.get(loop, view::isComplete));
         FakeControlPlane fresh = control();
-        OnLoop.run(loop, () -> client.seeds(List.of(fresh.address())));
+        OnLoop.run(loop, () -> client.setSeeds(List.of(fresh.address())));
         Session session = fresh.session();
         session.send(whole(configuration(7, route("new", "safe", PLAIN, 1))));
         awaitVersion(7);
@@ -419,12 +419,12 @@
         Session first = one.session();
         Session second = two.session();
         FakeControlPlane fresh = control();
-        OnLoop.run(loop, () -> client.seeds(List.of(fresh.address())));
+        OnLoop.run(loop, () -> client.setSeeds(List.of(fresh.address())));
         Session third = fresh.session();
         assertFalse(first.isEnded() || second.isEnded());
         third.send(whole(configuration(7, route("new", "safe", PLAIN, 1))));
         awaitVersion(7);
-        OnLoop.await(loop, () -> client.standing() == 2);
+        OnLoop.await(loop, () -> client.openSessions() == 2);
         assertFalse(third.isEnded());
     }
 
@@ -455,9 +455,9 @@
     void addressesThatNobodyVouchesForMakeRoom() throws Exception {
         OnLoop.run(loop, () -> {
             for (int i = 0; i < 80; i++) {
-                client.seeds(List.of("127.0.1." + i + ":1"));
+                client.setSeeds(List.of("127.0.1." + i + ":1"));
             }
-            assertEquals(64, client.known());
+            assertEquals(64, client.addressCount());
         });
     }
 
@@ -468,7 +468,7 @@
         start(one, two);
         Session first = one.session();
         Session second = two.session();
-        OnLoop.await(loop, () -> client.standing() == 2);
+        OnLoop.await(loop, () -> client.openSessions() == 2);
         OnLoop.run(loop, client::close);
         first.awaitEnd();
         second.awaitEnd();
--- a/dataplane/src/test/java/dewplank/dataplane/SessionCrossingTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/SessionCrossingTest.java
@@ -47,7 +47,7 @@
                 () -> {});
         control = new FakeControlPlane();
         OnLoop.run(loop, () -> {
-            client.seeds(List.of(control.address()));
+            client.setSeeds(List.of(control.address()));
             client.start();
         });
     }
--- a/simulation/src/test/java/dewplank/dataplane/DataProcess.java
+++ b/simulation/src/test/java/dewplank/dataplane/DataProcess.java
@@ -23,7 +23,7 @@
             List<String> controlAddresses) {
         fleet = new FleetMetadata(scheduler);
         sessions = new SessionClient(scheduler, transport, self, fleet, random, contactMs, () -> {});
-        sessions.seeds(controlAddresses);
+        sessions.setSeeds(controlAddresses);
     }
 
     /** Begins to open sessions. */
@@ -33,7 +33,7 @@
 
     /** The settings file has changed. */
     public void reload(List<String> controlAddresses) {
-        sessions.seeds(controlAddresses);
+        sessions.setSeeds(controlAddresses);
     }
 
     /** The configuration in force; null before the first. */
