--- a/balancer/src/test/java/dewplank/balancer/adaptive/VerdictTest.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/VerdictTest.java
@@ -59,7 +59,7 @@
     void twoErrorsEjectNobody() {
         Host h = Host.with(new Host.Setup(), 2);
         int errors = 0;
-        for (int i = 0; errors < 2; i++) {
+        while (errors < 2) {
             Send s = sent(h.arrive("read"));
             h.now += 5;
             boolean fail = s.server().equals("s0");
--- a/cli/src/test/java/dewplank/sidecar/VotesTest.java
+++ b/cli/src/test/java/dewplank/sidecar/VotesTest.java
@@ -52,7 +52,7 @@
     /**
      * Takes each sidecar's datagrams at an address of its own, and passes them on from its address in {@code peers}.
      */
-    private final class Network implements Closeable {
+    private static final class Network implements Closeable {
         final List<DatagramSocket> all = new ArrayList<>();
         final List<DatagramSocket> senders = new ArrayList<>();
         final List<InetSocketAddress> listens = new ArrayList<>();
--- a/configuration/src/test/java/dewplank/configuration/DeflateCodecTest.java
+++ b/configuration/src/test/java/dewplank/configuration/DeflateCodecTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.Random;
 import java.util.zip.Deflater;
@@ -37,7 +38,7 @@
 
     @Test
     void rejectsTruncatedOrDamagedBytes() {
-        byte[] deflated = DeflateCodec.deflate("a configuration, a configuration".getBytes());
+        byte[] deflated = DeflateCodec.deflate("a configuration, a configuration".getBytes(StandardCharsets.UTF_8));
         for (int length = 0; length < deflated.length; length++) {
             byte[] part = Arrays.copyOf(deflated, length);
             assertThrows(CorruptDeflateException.class, () -> inflate(part));
@@ -51,8 +52,8 @@
     @Test
     void rejectsABodyThatNeedsADictionary() {
         Deflater deflater = new Deflater();
-        deflater.setDictionary("config".getBytes());
-        deflater.setInput("config".getBytes());
+        deflater.setDictionary("config".getBytes(StandardCharsets.UTF_8));
+        deflater.setInput("config".getBytes(StandardCharsets.UTF_8));
         deflater.finish();
         byte[] out = new byte[100];
         int length = deflater.deflate(out);
--- a/configuration/src/test/java/dewplank/configuration/VersionOrderTest.java
+++ b/configuration/src/test/java/dewplank/configuration/VersionOrderTest.java
@@ -101,9 +101,8 @@
                     payload -> {
                         ChangeResult result =
                                 ConfigurationDocument.decode(payload).apply(change);
-                        return result instanceof ChangeResult.Accepted
-                                ? new Decision(
-                                        ((ChangeResult.Accepted) result).next().encode(), result)
+                        return result instanceof ChangeResult.Accepted accepted
+                                ? new Decision(accepted.next().encode(), result)
                                 : new Decision(null, result);
                     },
                     now + PATIENCE,
--- a/consensus/src/test/java/dewplank/register/ModelProposal.java
+++ b/consensus/src/test/java/dewplank/register/ModelProposal.java
@@ -20,8 +20,9 @@
         if (value.revision() == other.value.revision()) {
             return value.equals(other.value);
         }
-        ModelProposal older = value.revision() < other.value.revision() ? this : other;
-        ModelProposal newer = older == this ? other : this;
+        boolean isOlder = value.revision() < other.value.revision();
+        ModelProposal older = isOlder ? this : other;
+        ModelProposal newer = isOlder ? other : this;
         List<Integer> before = versions(older);
         List<Integer> after = versions(newer);
         return older.ballot.compareTo(newer.ballot) < 0
--- a/consensus/src/test/java/dewplank/register/ModelStep.java
+++ b/consensus/src/test/java/dewplank/register/ModelStep.java
@@ -46,7 +46,7 @@
 
     @Override
     public void send(String to, RegisterMessage message) {
-        boolean isAntiEntropy = message instanceof StatusQuery && !((StatusQuery) message).wantsValue();
+        boolean isAntiEntropy = message instanceof StatusQuery query && !query.wantsValue();
         if (to.equals(address)) {
             selfMessages.add(message);
         } else if (!isAntiEntropy && !droppedTypes.contains(message.getClass())) {
@@ -67,8 +67,8 @@
 
     @Override
     public void completed(long requestId, Outcome outcome) {
-        if (outcome instanceof Outcome.Confirmed) {
-            answers.add(new Answer(requestId, (Outcome.Confirmed) outcome));
+        if (outcome instanceof Outcome.Confirmed confirmed) {
+            answers.add(new Answer(requestId, confirmed));
         }
     }
 }
--- a/consensus/src/test/java/dewplank/register/RegisterSnapshot.java
+++ b/consensus/src/test/java/dewplank/register/RegisterSnapshot.java
@@ -140,8 +140,8 @@
     private static void print(Object object, StringBuilder text, Map<Object, Object> seen) {
         if (object == null || object instanceof String || object instanceof Number || object instanceof Boolean) {
             text.append(object);
-        } else if (object instanceof byte[]) {
-            text.append(VersionHistory.read((byte[]) object));
+        } else if (object instanceof byte[] bytes) {
+            text.append(VersionHistory.read(bytes));
         } else if (object instanceof Ballot || object instanceof AcceptorId || object instanceof Enum) {
             text.append(object);
         } else if (object instanceof Collection) {
--- a/controlplane/src/main/java/dewplank/controlplane/PlatformClient.java
+++ b/controlplane/src/main/java/dewplank/controlplane/PlatformClient.java
@@ -7,10 +7,10 @@
 interface PlatformClient {
     /** How one reading of the list ended; exactly one of the two is called, on the loop's thread. */
     interface Callback {
-        /** @param instances all of them, as a list that the receiver may change */
+        /** The list was read; {@code instances} are all of them, in a list that the receiver may change. */
         void completed(List<Endpoint> instances);
 
-        /** @param reason for the log, in a few words */
+        /** The list could not be read; {@code reason} is a few words for the log. */
         void failed(String reason);
     }
 
--- a/controlplane/src/test/java/dewplank/controlplane/HttpPlatformClientTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/HttpPlatformClientTest.java
@@ -80,7 +80,9 @@
             assertEquals(
                     i == 0 ? "/instances" : "/instances?page_token=p" + i,
                     call.message().target());
-            assertTrue(loop.now() - begun >= i / 2 * SECOND_MS, "page " + i + " after " + (loop.now() - begun));
+            int completedPairs = i / 2;
+            assertTrue(
+                    loop.now() - begun >= completedPairs * SECOND_MS, "page " + i + " after " + (loop.now() - begun));
             page(call, i, i < 4 ? "p" + (i + 1) : null);
         }
         assertEquals(
--- a/dataplane/src/main/java/dewplank/dataplane/DataPlane.java
+++ b/dataplane/src/main/java/dewplank/dataplane/DataPlane.java
@@ -34,7 +34,6 @@
     private static final int MIN_CLIENT_CONNECTIONS = 64;
     private static final int MAX_READINESS_CONNECTIONS = 64;
 
-    private final NodeSettings settings;
     private final EventLoop loop;
     private final FleetMetadata fleet;
     private final Forwarder forwarder;
@@ -62,7 +61,6 @@
      * @throws IOException where an address of the settings cannot be bound
      */
     public DataPlane(NodeSettings settings, Policy policy) throws IOException {
-        this.settings = settings;
         loop = new EventLoop();
         fleet = new FleetMetadata(loop);
         long seed = new SecureRandom().nextLong();
--- a/dataplane/src/test/java/dewplank/dataplane/SessionClientTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/SessionClientTest.java
@@ -27,6 +27,7 @@
 import java.io.UncheckedIOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -165,7 +166,9 @@
         session.questionHolding(8);
         assertNull(view.routes().find(ForwarderFixture.HOST, "/a/"));
         assertEquals("c", view.routes().find(ForwarderFixture.HOST, "/c/").name());
-        assertEquals(new String(second.json()), new String(view.configuration().json()));
+        assertEquals(
+                new String(second.json(), StandardCharsets.UTF_8),
+                new String(view.configuration().json(), StandardCharsets.UTF_8));
     }
 
     /** The difference is of a version that is not held: the session ends, and the next one asks for what is missing. */
@@ -198,7 +201,7 @@
         Session session = control.session();
         session.send(whole(held));
         session.questionHolding(3);
-        for (byte[] bad : new byte[][] {{1, 2, 3}, DeflateCodec.deflate("{}".getBytes())}) {
+        for (byte[] bad : new byte[][] {{1, 2, 3}, DeflateCodec.deflate("{}".getBytes(StandardCharsets.UTF_8))}) {
             session.send(new FleetUpdate(bad, 9, 0, null, null));
             session.awaitEnd();
             session = control.session();
--- a/emulator/src/main/java/dewplank/emulator/Scenario.java
+++ b/emulator/src/main/java/dewplank/emulator/Scenario.java
@@ -32,6 +32,7 @@
         Messages messages,
         List<Fault> faults) {
 
+    /** Distributions of drawn times. */
     public enum Distribution {
         FIXED,
         EXP,
@@ -39,12 +40,14 @@
         GAMMA
     }
 
+    /** Shapes of the load over time. */
     public enum Shape {
         STEADY,
         WAVE,
         BURSTS
     }
 
+    /** Kinds of faults, named as in scenario files. */
     public enum FaultKind {
         CRASH,
         VANISH,
@@ -67,9 +70,12 @@
         TENANT_LOAD
     }
 
+    /** The servers: how many, how many share a failure cell, and their machine types. */
     public record Servers(int count, int cellSize, List<MachineType> machines) {}
 
     /**
+     * A type of machine that servers run on.
+     *
      * @param speed       work done by a core in a millisecond
      * @param speedSpread coefficient of variation of the speed from server to server
      * @param pauseEveryMs mean time between pauses, such as a collector's; 0 for none
@@ -101,6 +107,7 @@
             double recoveryFactor,
             double maxMs) {}
 
+    /** One-way delays within a zone, across zones and to clients, and their jitter. */
     public record Network(double sameMs, double crossMs, double clientMs, double jitter) {}
 
     /** Connections to servers. {@code cap} 0: any number; {@code notice}: whether an idle close is seen. */
@@ -122,15 +129,18 @@
             double callsPerS,
             double timeoutMs) {}
 
+    /** Load reports of servers: whether they give any, how often they refresh, how noisy they are. */
     public record Reports(boolean enabled, double periodMs, double noise) {}
 
     /** {@code share}: of what all servers can do when warm; 0 where {@code perS} is given. */
     public record Load(double share, double requestsPerSecond, Shape shape, double swing, double periodMs) {}
 
     /**
-     * @param tryShare   the part of a class's deadline that a try may take
-     * @param honour     the part of clients that follow Retry-After
-     * @param impatient  the part of tries given up half way
+     * How clients behave.
+     *
+     * @param attemptDeadlineShare the part of a class's deadline that an attempt may take
+     * @param honourRetryAfterShare the part of clients that follow Retry-After
+     * @param abandonShare the part of attempts abandoned half way
      */
     public record ClientBehaviour(
             int retries,
@@ -156,6 +166,8 @@
             double windowMs) {}
 
     /**
+     * A tenant and its load.
+     *
      * @param share of the service that is the tenant's
      * @param usage how much of its share it asks for, 1 for just that
      */
@@ -177,6 +189,7 @@
     /** Datagrams between sidecars: whether there are any, how long they take, and the part that is lost. */
     public record Messages(boolean enabled, double minMs, double maxMs, double lossRate) {}
 
+    /** The rules of the deployment that the auditor checks. */
     public record Rules(
             double answerSlackMs,
             double drainMs,
@@ -192,10 +205,12 @@
             double maxAdviceMs) {}
 
     /**
-     * @param part    of the servers (or of the sidecars, or of the requests) that it hits
-     * @param size    how hard, as the kind says: times slower, share taken, times the load, part of the requests
+     * A fault, when it happens and what it hits.
+     *
+     * @param affectedShare of the servers (or of the sidecars, or of the requests) that it hits
+     * @param magnitude how hard, as the kind says: times slower, share taken, times the load, part of the requests
      * @param everyMs rhythm, where the kind has one; of a deploy, how long a server drains
-     * @param kind    class, or tenant where the kind hits one, or null
+     * @param target class, or tenant where the kind hits one, or null
      */
     public record Fault(
             FaultKind kind,
--- a/emulator/src/main/java/dewplank/emulator/fleet/History.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/History.java
@@ -75,6 +75,7 @@
         }
     }
 
+    @SuppressWarnings("WaitNotInLoop") // the callers loop
     private void waitUntil(long deadline, String what, long atMost) throws InterruptedException, TimeoutException {
         long left = deadline - System.nanoTime();
         if (left <= 0) {
--- a/emulator/src/main/java/dewplank/emulator/virtualtime/EmulatedSidecar.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/EmulatedSidecar.java
@@ -438,7 +438,7 @@
         }
         if (outcome == Outcome.SERVED && !open.over) {
             open.over = true;
-            answer(open.request, Type.SERVED, open.request.id);
+            answer(open.request, Type.SERVED, (double) open.request.id);
         }
         forgetIfDone(open);
         tell(new AttemptEnded(
--- a/lab/src/main/java/dewplank/lab/Auditor.java
+++ b/lab/src/main/java/dewplank/lab/Auditor.java
@@ -49,7 +49,6 @@
     private static final class Incarnation {
         final RecordedEvent asked;
         final List<RecordedEvent> notes = new ArrayList<>(8);
-        final Map<Integer, Integer> received = new HashMap<>(4); // by server; those turned away are taken off
         double firstRunAt = Double.NaN;
         int firstServer = -1;
         int ran;
--- a/lab/src/main/java/dewplank/lab/Report.java
+++ b/lab/src/main/java/dewplank/lab/Report.java
@@ -49,9 +49,12 @@
         StringBuilder html = new StringBuilder("<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>")
                 .append(escape(title))
                 .append("</title><style>body{font:15px/1.5 sans-serif;max-width:60em;margin:2em auto;"
-                        + "padding:0 1em;color:#222}table{border-collapse:collapse;margin:1em 0}td,th{padding:.2em .7em;"
-                        + "border-bottom:1px solid #ddd;text-align:right;font-variant-numeric:tabular-nums}td:first-child,"
-                        + "th:first-child{text-align:left}.bad{background:#fdd}.best{font-weight:bold}svg{max-width:100%;"
+                        + "padding:0 1em;color:#222}table{border-collapse:collapse;margin:1em 0}"
+                        + "td,th{padding:.2em .7em;"
+                        + "border-bottom:1px solid #ddd;text-align:right;font-variant-numeric:tabular-nums}"
+                        + "td:first-child,"
+                        + "th:first-child{text-align:left}.bad{background:#fdd}.best{font-weight:bold}"
+                        + "svg{max-width:100%;"
                         + "height:auto}</style></head><body><h1>")
                 .append(escape(title))
                 .append("</h1><p>")
--- a/lab/src/main/java/dewplank/lab/load/Arrivals.java
+++ b/lab/src/main/java/dewplank/lab/load/Arrivals.java
@@ -12,6 +12,7 @@
 
     double next();
 
+    /** Shapes of a load over time. */
     enum Shape {
         POISSON,
         UNIFORM,
@@ -21,6 +22,8 @@
     }
 
     /**
+     * The plan of a load: its shape and rates.
+     *
      * @param perS     requests a second; at the beginning, where they change
      * @param toPerS   at the end of a ramp
      * @param steps    rates of equally long steps
--- a/lab/src/main/java/dewplank/lab/load/LoadReport.java
+++ b/lab/src/main/java/dewplank/lab/load/LoadReport.java
@@ -46,7 +46,8 @@
                 .append(
                         o.sound()
                                 ? ""
-                                : "UNSOUND: the tool itself was late or had no time left; give it more threads or less load\n")
+                                : "UNSOUND: the tool itself was late or had no time left; "
+                                        + "give it more threads or less load\n")
                 .toString();
     }
 
--- a/lab/src/main/java/dewplank/lab/load/LoadRun.java
+++ b/lab/src/main/java/dewplank/lab/load/LoadRun.java
@@ -58,6 +58,8 @@
     }
 
     /**
+     * What a run measured.
+     *
      * @param lag how late the tool itself was, for its turns and for requests that had a free connection, microseconds
      * @param busy the part of a core that the busiest of the tool's loops used: at 1 the tool is what was measured
      */
--- a/sidecar/src/main/java/dewplank/discovery/DiscoveryClient.java
+++ b/sidecar/src/main/java/dewplank/discovery/DiscoveryClient.java
@@ -103,7 +103,7 @@
         }
     }
 
-    /** @return where the server listens, or null where no list names it */
+    /** The address where the server listens, or null where no list names it. */
     public InetSocketAddress addressOf(String server) {
         return endpoints.addressOf(server);
     }
--- a/sidecar/src/main/java/dewplank/discovery/EndpointTable.java
+++ b/sidecar/src/main/java/dewplank/discovery/EndpointTable.java
@@ -58,7 +58,7 @@
         }
     }
 
-    /** @return where the server listens, or null where no list names it */
+    /** The address where the server listens, or null where no list names it. */
     InetSocketAddress addressOf(String server) {
         return addressByServer.get(server);
     }
--- a/sidecar/src/main/java/dewplank/sidecar/ClientConnection.java
+++ b/sidecar/src/main/java/dewplank/sidecar/ClientConnection.java
@@ -112,6 +112,7 @@
     }
 
     /** Hands a complete request to the host, unless its client has disconnected meanwhile. */
+    @SuppressWarnings("ReferenceEquality") // this request, not an equal one that came later
     private void forward(ClientRequest decoded) {
         if (queued != decoded) {
             return;
--- a/sidecar/src/main/java/dewplank/sidecar/LoadReport.java
+++ b/sidecar/src/main/java/dewplank/sidecar/LoadReport.java
@@ -9,6 +9,8 @@
     private LoadReport() {}
 
     /**
+     * Parses the load report of a response.
+     *
      * @param header the report, or null
      * @param fields the names that the settings list
      * @return the values in the settings' order, NaN for a missing one; null where there is no report, which is what
--- a/sidecar/src/main/java/dewplank/sidecar/PendingRequest.java
+++ b/sidecar/src/main/java/dewplank/sidecar/PendingRequest.java
@@ -14,10 +14,10 @@
 final class PendingRequest {
     /** Sends the final response in the client's protocol. One method is called, once, on the event loop's thread. */
     interface ResponseSink {
-        /** @param headers the end-to-end headers of the server's response */
+        /** Responds with a server's body and its end-to-end headers. */
         void respondServed(byte[] body, List<Headers.Field> headers);
 
-        /** @param retryAfterMs when a retry makes sense; 0 for no advice */
+        /** Rejects the request; {@code retryAfterMs} says when a retry makes sense, 0 for no advice. */
         void respondRejected(double retryAfterMs);
 
         /** The request may have run. */
--- a/sidecar/src/main/java/dewplank/sidecar/config/BalancerSettingsReader.java
+++ b/sidecar/src/main/java/dewplank/sidecar/config/BalancerSettingsReader.java
@@ -21,6 +21,8 @@
     private BalancerSettingsReader() {}
 
     /**
+     * Reads the balancer's settings.
+     *
      * @throws dewplank.settings.InvalidInputException if a required key is missing or out of range; it names the key
      */
     public static Settings read(Fields fields) {
--- a/sidecar/src/main/java/dewplank/sidecar/config/SidecarConfig.java
+++ b/sidecar/src/main/java/dewplank/sidecar/config/SidecarConfig.java
@@ -88,7 +88,7 @@
         }
     }
 
-    /** @return the file that {@code GW_CONFIG} names; it need not exist */
+    /** The file that {@code GW_CONFIG} names; it need not exist. */
     public static Path file(Map<String, String> environment) {
         String file = environment.get("GW_CONFIG");
         if (file == null || file.isEmpty()) {
--- a/sidecar/src/test/java/dewplank/sidecar/DiscoveryClientTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/DiscoveryClientTest.java
@@ -91,8 +91,8 @@
                             .replace(",", ",\n\t")
                             .replace("{\"id\"", "{\r\n \"id\"")
                     + "\n\n";
-            for (char c : list.toCharArray()) {
-                watch.connection().send("1\r\n" + c + "\r\n");
+            for (int index = 0; index < list.length(); index++) {
+                watch.connection().send("1\r\n" + list.charAt(index) + "\r\n");
             }
             BalancerEventLatch.awaitHealthStatus(net.client(), "200");
         }
--- a/transport/src/main/java/dewplank/exchange/InboundConnection.java
+++ b/transport/src/main/java/dewplank/exchange/InboundConnection.java
@@ -114,6 +114,7 @@
         loop.execute(() -> loop.execute(() -> handOver(request)));
     }
 
+    @SuppressWarnings("ReferenceEquality") // this request, not an equal one that came later
     private void handOver(Request request) {
         if (connection.isClosed() || pendingRequest != request) { // its caller closed, or was answered
             return;
