--- a/emulator/src/main/java/dewplank/emulator/virtualtime/EmulatedSidecar.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/EmulatedSidecar.java
@@ -39,30 +39,30 @@
  * has come in; what it does takes effect at that moment.
  */
 public class EmulatedSidecar {
-    private static final double PROBE_TIMEOUT_MS = 250;
+    private static final double HEALTH_CHECK_TIMEOUT_MS = 250;
 
     /** A request that the module has been told of. */
-    private static final class Open {
+    private static final class PendingRequest {
         final ClientAttempt request;
-        final List<Call> calls = new ArrayList<>();
+        final List<Attempt> calls = new ArrayList<>();
         int out;
         boolean over;
 
-        Open(ClientAttempt request) {
+        PendingRequest(ClientAttempt request) {
             this.request = request;
         }
     }
 
     /** One attempt at a server. */
-    private final class Call {
-        final Open open;
+    private final class Attempt {
+        final PendingRequest open;
         final int attempt;
         final Server server;
         final double sentAt;
-        int life = -1;
+        int incarnation = -1;
         boolean over;
 
-        Call(Open open, int attempt, Server server) {
+        Attempt(PendingRequest open, int attempt, Server server) {
             this.open = open;
             this.attempt = attempt;
             this.server = server;
@@ -71,7 +71,7 @@
     }
 
     /** A connection that carries nothing now. */
-    private record Idle(int life, double since) {}
+    private record IdleConnection(int incarnation, double since) {}
 
     final int number;
     private final World world;
@@ -80,15 +80,15 @@
     private Balancer balancer;
     private final List<Event> inbox = new ArrayList<>();
     private final List<Action> actions = new ArrayList<>();
-    private final Map<Long, Open> requests = new HashMap<>();
-    private final Map<Integer, ArrayDeque<Idle>> idle = new HashMap<>();
+    private final Map<Long, PendingRequest> requests = new HashMap<>();
+    private final Map<Integer, ArrayDeque<IdleConnection>> idle = new HashMap<>();
     private EndpointDirectory.Watch watch;
     private long version;
-    private int life;
+    private int incarnation;
     private boolean up;
     private boolean dirty;
     private long sends;
-    private long probes;
+    private long healthChecks;
     private long handshakes;
 
     protected EmulatedSidecar(VirtualRun run, int number) {
@@ -99,12 +99,12 @@
     }
 
     /** Starts from nothing but the list as it is held now. */
-    void start(List<Endpoint> known, long knownVersion) {
+    void start(List<Endpoint> endpoints, long listVersion) {
         up = true;
-        version = knownVersion;
-        balancer = run.newBalancer(number, life);
+        version = listVersion;
+        balancer = run.newBalancer(number, incarnation);
         world.record(Type.SIDECAR_UP, null, number, -1, 0);
-        tell(new EndpointUpdate(UpdateKind.CACHED, known));
+        deliver(new EndpointUpdate(UpdateKind.CACHED, endpoints));
     }
 
     void kill(double backAfterMs) {
@@ -112,20 +112,20 @@
             return;
         }
         up = false;
-        life++;
+        incarnation++;
         world.record(Type.SIDECAR_KILLED, null, number, -1, 0);
         if (watch != null) {
             watch.close();
         }
         inbox.clear();
-        List<Open> lost = new ArrayList<>(requests.values());
+        List<PendingRequest> lost = new ArrayList<>(requests.values());
         lost.sort((a, b) -> Long.compare(a.request.id, b.request.id));
         requests.clear();
-        for (Open o : lost) {
-            for (Call c : o.calls) {
+        for (PendingRequest o : lost) {
+            for (Attempt c : o.calls) {
                 if (c != null && !c.over) {
                     c.over = true;
-                    c.server.disconnect(c.life);
+                    c.server.disconnect(c.incarnation);
                 }
             }
             if (!o.over) {
@@ -133,19 +133,19 @@
             }
         }
         idle.forEach((server, connections) ->
-                connections.forEach(i -> world.servers.get(server).disconnect(i.life())));
+                connections.forEach(i -> world.servers.get(server).disconnect(i.incarnation())));
         idle.clear();
-        List<Endpoint> known = world.list.endpoints();
-        long knownVersion = world.list.version();
-        world.later(backAfterMs, () -> start(known, knownVersion));
+        List<Endpoint> endpoints = world.list.endpoints();
+        long listVersion = world.list.version();
+        world.later(backAfterMs, () -> start(endpoints, listVersion));
     }
 
     long sends() {
         return sends;
     }
 
-    long probes() {
-        return probes;
+    long healthChecks() {
+        return healthChecks;
     }
 
     long handshakes() {
@@ -159,18 +159,18 @@
 
     // ---- the client's side ----------------------------------------------------------------------------
 
-    void ask(ClientAttempt t) {
-        int mine = life;
+    void receive(ClientAttempt t) {
+        int startedIn = incarnation;
         world.later(world.clientDelay(), () -> {
-            if (!up || life != mine) {
+            if (!up || incarnation != startedIn) {
                 run.clients().answered(t, Type.UNREACHABLE, 0);
                 return;
             }
-            requests.put(t.id, new Open(t));
+            requests.put(t.id, new PendingRequest(t));
             String tenant = t.tenant < 0
                     ? null
                     : scenario.subjects().tenants().get(t.tenant).name();
-            tell(new RequestArrived(
+            deliver(new RequestArrived(
                     t.id,
                     tenant,
                     t.subjectKey < 0 ? null : "key-" + t.subjectKey,
@@ -181,23 +181,23 @@
         });
     }
 
-    void leave(ClientAttempt t) {
+    void abandon(ClientAttempt t) {
         world.later(world.clientDelay(), () -> {
-            Open open = requests.get(t.id);
+            PendingRequest open = requests.get(t.id);
             if (open != null && !open.over) {
                 open.over = true;
                 forgetIfDone(open);
-                tell(new RequestAbandoned(t.id));
+                deliver(new RequestAbandoned(t.id));
             }
         });
     }
 
     /** The final answer goes to the client; overridden by sidecars that are broken on purpose. */
-    protected void answer(ClientAttempt t, Type what, double value) {
+    protected void respond(ClientAttempt t, Type what, double value) {
         world.later(world.clientDelay(), () -> run.clients().answered(t, what, value));
     }
 
-    private void forgetIfDone(Open open) {
+    private void forgetIfDone(PendingRequest open) {
         if (open.over && open.out == 0) {
             requests.remove(open.request.id);
         }
@@ -205,7 +205,7 @@
 
     // ---- the module -----------------------------------------------------------------------------------
 
-    private void tell(Event event) {
+    private void deliver(Event event) {
         inbox.add(event);
         if (!dirty) {
             dirty = true;
@@ -224,9 +224,9 @@
 
     /** Carries out what the module decided. */
     void act() {
-        List<Action> todo = new ArrayList<>(actions);
+        List<Action> decided = new ArrayList<>(actions);
         actions.clear();
-        for (Action action : todo) {
+        for (Action action : decided) {
             carryOut(action);
         }
     }
@@ -235,8 +235,8 @@
         if (action instanceof Send a) {
             send(a);
         } else if (action instanceof Cancel a) {
-            Open open = requests.get(a.request());
-            Call call = open == null || a.attempt() >= open.calls.size() ? null : open.calls.get(a.attempt());
+            PendingRequest open = requests.get(a.request());
+            Attempt call = open == null || a.attempt() >= open.calls.size() ? null : open.calls.get(a.attempt());
             if (call != null) {
                 end(call, Outcome.CANCELLED, -1);
             }
@@ -245,40 +245,40 @@
         } else if (action instanceof Fail a) {
             finish(a.request(), Type.FAILED, 0);
         } else if (action instanceof SetTimer a) {
-            int mine = life;
+            int startedIn = incarnation;
             world.later(a.delayMs(), () -> {
-                if (up && life == mine) {
-                    tell(new TimerFired(a.timer()));
+                if (up && incarnation == startedIn) {
+                    deliver(new TimerFired(a.timer()));
                 }
             });
         } else if (action instanceof Subscribe) {
             subscribe();
         } else if (action instanceof CheckHealth a) {
-            probe(world.byId.get(a.server()));
+            checkHealth(world.byId.get(a.server()));
         } else if (action instanceof CloseIdleConnections a) {
             closeIdle(world.byId.get(a.server()));
         } else if (action instanceof BroadcastSummary a) {
-            run.tellPeers(number, message(a.bytes()));
+            run.broadcast(number, peerSummary(a.bytes()));
         }
     }
 
     private void finish(long request, Type what, double value) {
-        Open open = requests.get(request);
+        PendingRequest open = requests.get(request);
         if (open != null && !open.over) {
             open.over = true;
             forgetIfDone(open);
-            answer(open.request, what, value);
+            respond(open.request, what, value);
         }
     }
 
     /** What it tells the others; overridden by sidecars that are broken on purpose. */
-    protected byte[] message(byte[] said) {
-        return said;
+    protected byte[] peerSummary(byte[] summary) {
+        return summary;
     }
 
-    void hear(int peer, byte[] said) {
+    void receiveSummary(int peer, byte[] summary) {
         if (up) {
-            tell(new PeerSummaryReceived(peer, said));
+            deliver(new PeerSummaryReceived(peer, summary));
         }
     }
 
@@ -286,20 +286,20 @@
         if (watch != null) {
             watch.close();
         }
-        int mine = life;
+        int startedIn = incarnation;
         watch = world.list.watch(number, version, new EndpointDirectory.Watcher() {
             @Override
             public void updated(long now, boolean full, List<Endpoint> entries) {
-                if (life == mine) {
+                if (incarnation == startedIn) {
                     version = now;
-                    tell(new EndpointUpdate(full ? UpdateKind.FULL : UpdateKind.INCREMENTAL, entries));
+                    deliver(new EndpointUpdate(full ? UpdateKind.FULL : UpdateKind.INCREMENTAL, entries));
                 }
             }
 
             @Override
             public void ended() {
-                if (life == mine) {
-                    tell(new EndpointUpdate(UpdateKind.BROKEN, List.of()));
+                if (incarnation == startedIn) {
+                    deliver(new EndpointUpdate(UpdateKind.BROKEN, List.of()));
                 }
             }
         });
@@ -308,7 +308,7 @@
     // ---- attempts -------------------------------------------------------------------------------------
 
     private void send(Send a) {
-        Open open = requests.get(a.request());
+        PendingRequest open = requests.get(a.request());
         Server server = world.byId.get(a.server());
         int attempt = open == null ? 0 : open.calls.size();
         double left = open == null ? 0 : open.request.deadlineMs - world.now();
@@ -321,47 +321,47 @@
             if (open != null) {
                 open.calls.add(null);
             }
-            tell(new AttemptEnded(
+            deliver(new AttemptEnded(
                     a.request(), attempt, a.server(), Outcome.NEVER_SENT, 0, open == null || open.over, null));
             return;
         }
         sends++;
-        Call call = new Call(open, attempt, server);
+        Attempt call = new Attempt(open, attempt, server);
         open.calls.add(call);
         open.out++;
         world.later(a.timeoutMs() == 0 ? left : Math.min(a.timeoutMs(), left), () -> end(call, Outcome.TIMED_OUT, -1));
-        Idle taken = takeIdle(server);
+        IdleConnection taken = takeIdle(server);
         if (taken == null) {
             connect(call);
         } else {
-            call.life = taken.life();
+            call.incarnation = taken.incarnation();
             write(call, taken);
         }
     }
 
     /** An idle connection, or null. One whose end was noticed is none. */
-    private Idle takeIdle(Server server) {
-        ArrayDeque<Idle> own = idle.get(server.number);
+    private IdleConnection takeIdle(Server server) {
+        ArrayDeque<IdleConnection> own = idle.get(server.number);
         Scenario.ConnectionModel links = scenario.links();
         while (own != null && !own.isEmpty()) {
-            Idle last = own.removeLast();
-            boolean ended = last.life() != server.incarnation() && !server.wentSilently(last.life())
+            IdleConnection last = own.removeLast();
+            boolean ended = last.incarnation() != server.incarnation() && !server.wentSilently(last.incarnation())
                     || links.closeIsNoticed() && world.now() - last.since() >= links.idleMs();
             if (!ended) {
                 return last;
             }
-            server.disconnect(last.life());
+            server.disconnect(last.incarnation());
         }
         return null;
     }
 
-    private void connect(Call call) {
+    private void connect(Attempt call) {
         Scenario.ConnectionModel links = scenario.links();
         Server server = call.server;
         handshakes++;
         if (links.connectTimeoutMs() > 0) {
             world.later(links.connectTimeoutMs(), () -> {
-                if (call.life < 0) {
+                if (call.incarnation < 0) {
                     end(call, Outcome.CONNECT_FAILED, -1);
                 }
             });
@@ -375,12 +375,12 @@
             if (server.state() == Server.State.DEAD) {
                 world.later(back, () -> end(call, Outcome.CONNECT_FAILED, -1));
             } else if (server.connect()) {
-                int itsLife = server.incarnation();
+                int serverIncarnation = server.incarnation();
                 world.later(back + links.handshakeMs(), () -> {
                     if (call.over) {
-                        server.disconnect(itsLife);
+                        server.disconnect(serverIncarnation);
                     } else {
-                        call.life = itsLife;
+                        call.incarnation = serverIncarnation;
                         write(call, null);
                     }
                 });
@@ -388,18 +388,18 @@
         });
     }
 
-    private void write(Call call, Idle reused) {
+    private void write(Attempt call, IdleConnection reused) {
         Server server = call.server;
         double there = world.delay(number, server);
         double back = world.delay(number, server);
         boolean stale = reused != null
-                && (reused.life() != server.incarnation()
+                && (reused.incarnation() != server.incarnation()
                         || world.now() - reused.since() >= scenario.links().idleMs());
         world.later(there, () -> {
             if (call.over || server.state() == Server.State.SILENT || world.cut(number, server.number)) {
                 return; // given up before its last byte came, or lost on the way
             }
-            if (stale || call.life != server.incarnation() || server.state() == Server.State.DEAD) {
+            if (stale || call.incarnation != server.incarnation() || server.state() == Server.State.DEAD) {
                 world.later(back, () -> end(call, Outcome.RESET, -1));
                 return;
             }
@@ -423,25 +423,26 @@
         };
     }
 
-    private void end(Call call, Outcome outcome, double inFlight) {
+    private void end(Attempt call, Outcome outcome, double inFlight) {
         if (call.over) {
             return;
         }
         call.over = true;
-        Open open = call.open;
+        PendingRequest open = call.open;
         open.out--;
-        boolean whole = outcome == Outcome.SERVED || outcome == Outcome.ERROR || outcome == Outcome.REJECTED;
-        if (whole && call.life == call.server.incarnation()) {
-            idle.computeIfAbsent(call.server.number, n -> new ArrayDeque<>()).addLast(new Idle(call.life, world.now()));
-        } else if (call.life >= 0) {
-            call.server.disconnect(call.life);
+        boolean hasResponse = outcome == Outcome.SERVED || outcome == Outcome.ERROR || outcome == Outcome.REJECTED;
+        if (hasResponse && call.incarnation == call.server.incarnation()) {
+            idle.computeIfAbsent(call.server.number, n -> new ArrayDeque<>())
+                    .addLast(new IdleConnection(call.incarnation, world.now()));
+        } else if (call.incarnation >= 0) {
+            call.server.disconnect(call.incarnation);
         }
         if (outcome == Outcome.SERVED && !open.over) {
             open.over = true;
-            answer(open.request, Type.SERVED, (double) open.request.id);
+            respond(open.request, Type.SERVED, (double) open.request.id);
         }
         forgetIfDone(open);
-        tell(new AttemptEnded(
+        deliver(new AttemptEnded(
                 open.request.id,
                 call.attempt,
                 call.server.id,
@@ -451,27 +452,27 @@
                 inFlight < 0 ? null : new double[] {inFlight}));
     }
 
-    private void probe(Server server) {
+    private void checkHealth(Server server) {
         if (server == null) {
             return;
         }
-        probes++;
-        int mine = life;
+        healthChecks++;
+        int startedIn = incarnation;
         double sentAt = world.now();
         double way = world.delay(number, server) + world.delay(number, server);
         boolean lost = server.state() == Server.State.SILENT || world.cut(number, server.number);
-        world.later(lost ? PROBE_TIMEOUT_MS : way, () -> {
-            if (life == mine) {
-                tell(new HealthChecked(
+        world.later(lost ? HEALTH_CHECK_TIMEOUT_MS : way, () -> {
+            if (incarnation == startedIn) {
+                deliver(new HealthChecked(
                         server.id, !lost && server.state() == Server.State.UP, world.now() - sentAt, null));
             }
         });
     }
 
     private void closeIdle(Server server) {
-        ArrayDeque<Idle> own = server == null ? null : idle.remove(server.number);
+        ArrayDeque<IdleConnection> own = server == null ? null : idle.remove(server.number);
         if (own != null) {
-            own.forEach(i -> server.disconnect(i.life()));
+            own.forEach(i -> server.disconnect(i.incarnation()));
         }
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/virtualtime/VirtualRun.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/VirtualRun.java
@@ -21,7 +21,7 @@
  * own state, and their actions are carried out in the sidecars' order: the result does not hang on the number of cores.
  */
 public final class VirtualRun implements Clients.SidecarConnector {
-    private static final int SIDE_BY_SIDE_FROM = 8;
+    private static final int MIN_PARALLEL_SIDECARS = 8;
 
     /**
      * Makes the decision module under test. {@code world}: for a policy that sees the true state; no other may look.
@@ -31,7 +31,7 @@
     }
 
     /** Makes a sidecar; for tests, which need broken ones. */
-    public interface Sidecars {
+    public interface SidecarFactory {
         EmulatedSidecar create(VirtualRun run, int number);
     }
 
@@ -39,7 +39,7 @@
     public record Cost(
             long events,
             long sends,
-            long probes,
+            long healthChecks,
             long handshakes,
             long directoryCalls,
             long directoryLines,
@@ -48,13 +48,13 @@
     private final Scenario scenario;
     private final long seed;
     private final Policy policy;
-    private final boolean sideBySide;
+    private final boolean isParallel;
     private final VirtualTime time = new VirtualTime();
     private final World world;
     private final Clients clients;
     private final List<EmulatedSidecar> sidecars = new ArrayList<>();
-    private List<EmulatedSidecar> awake = new ArrayList<>();
-    private boolean tickPlanned;
+    private List<EmulatedSidecar> scheduled = new ArrayList<>();
+    private boolean isTickScheduled;
 
     public VirtualRun(
             Scenario scenario,
@@ -62,8 +62,8 @@
             Policy policy,
             RecordedEvent.Recorder recorder,
             Clients.OutcomeListener tally,
-            boolean sideBySide) {
-        this(scenario, seed, policy, recorder, tally, sideBySide, EmulatedSidecar::new);
+            boolean isParallel) {
+        this(scenario, seed, policy, recorder, tally, isParallel, EmulatedSidecar::new);
     }
 
     public VirtualRun(
@@ -72,37 +72,37 @@
             Policy policy,
             RecordedEvent.Recorder recorder,
             Clients.OutcomeListener tally,
-            boolean sideBySide,
-            Sidecars maker) {
+            boolean isParallel,
+            SidecarFactory sidecarFactory) {
         this.scenario = scenario;
         this.seed = seed;
         this.policy = policy;
-        this.sideBySide = sideBySide;
+        this.isParallel = isParallel;
         this.world = new World(scenario, seed, time, recorder);
         this.clients = new Clients(world, this, tally);
         for (int i = 0; i < scenario.sidecars(); i++) {
-            sidecars.add(maker.create(this, i));
+            sidecars.add(sidecarFactory.create(this, i));
         }
     }
 
     /** Plays the scenario, and on until every client has its end. */
     public Cost run() {
-        List<Endpoint> known = world.list.endpoints();
+        List<Endpoint> endpoints = world.list.endpoints();
         long version = world.list.version();
-        sidecars.forEach(s -> s.start(known, version));
+        sidecars.forEach(s -> s.start(endpoints, version));
         FaultInjector.schedule(world, (n, back) -> sidecars.get(n).kill(back));
         clients.start();
         double end = scenario.lengthMs();
         time.runUntil(end);
-        double most = end + 2 * scenario.longestDeadlineMs() + 1_000;
-        while (clients.openRequests() > 0 && time.now() < most) {
+        double latestEndMs = end + 2 * scenario.longestDeadlineMs() + 1_000;
+        while (clients.openRequests() > 0 && time.now() < latestEndMs) {
             time.runUntil(time.now() + 50);
         }
         time.runUntil(time.now() + scenario.longestDeadlineMs()); // what servers still hold may yet have an effect
         return new Cost(
                 time.ran(),
                 sum(EmulatedSidecar::sends),
-                sum(EmulatedSidecar::probes),
+                sum(EmulatedSidecar::healthChecks),
                 sum(EmulatedSidecar::handshakes),
                 world.list.calls(),
                 world.list.lines(),
@@ -121,51 +121,51 @@
         return clients;
     }
 
-    Balancer newBalancer(int sidecar, int life) {
+    Balancer newBalancer(int sidecar, int incarnation) {
         return policy.create(
                 scenario.settings(sidecar),
-                RandomStreams.mix(seed ^ RandomStreams.mix(sidecar * 1_000L + life)),
+                RandomStreams.mix(seed ^ RandomStreams.mix(sidecar * 1_000L + incarnation)),
                 world,
                 sidecar);
     }
 
     @Override
     public void send(ClientAttempt request) {
-        sidecars.get(request.sidecar).ask(request);
+        sidecars.get(request.sidecar).receive(request);
     }
 
     @Override
     public void abandon(ClientAttempt request) {
-        sidecars.get(request.sidecar).leave(request);
+        sidecars.get(request.sidecar).abandon(request);
     }
 
     /** To each other sidecar, late or not at all. */
-    void tellPeers(int from, byte[] said) {
+    void broadcast(int from, byte[] summary) {
         for (EmulatedSidecar to : sidecars) {
             double delay = to.number == from ? -1 : world.messageDelay();
             if (delay >= 0) {
-                world.later(delay, () -> to.hear(from, said));
+                world.later(delay, () -> to.receiveSummary(from, summary));
             }
         }
     }
 
     /** The sidecar has something for its module; it is told at the next tick. */
     void wake(EmulatedSidecar sidecar) {
-        awake.add(sidecar);
-        if (!tickPlanned) {
-            tickPlanned = true;
+        scheduled.add(sidecar);
+        if (!isTickScheduled) {
+            isTickScheduled = true;
             double tick = scenario.tickMs();
             world.later((Math.floor(time.now() / tick + 1e-9) + 1) * tick - time.now(), this::tick);
         }
     }
 
     private void tick() {
-        tickPlanned = false;
-        List<EmulatedSidecar> now = awake;
-        awake = new ArrayList<>();
+        isTickScheduled = false;
+        List<EmulatedSidecar> now = scheduled;
+        scheduled = new ArrayList<>();
         now.sort(Comparator.comparingInt(s -> s.number));
         double at = time.now();
-        if (sideBySide && now.size() >= SIDE_BY_SIDE_FROM) {
+        if (isParallel && now.size() >= MIN_PARALLEL_SIDECARS) {
             IntStream.range(0, now.size()).parallel().forEach(i -> now.get(i).decide(at));
         } else {
             now.forEach(s -> s.decide(at));
--- a/lab/src/main/java/dewplank/lab/Trial.java
+++ b/lab/src/main/java/dewplank/lab/Trial.java
@@ -59,7 +59,7 @@
         f.put("p99_ms", latency.getValueAtPercentile(99) / 1000.0);
         f.put("requests", (double) service.asked());
         f.put("violations", (double) auditor.violations());
-        f.put("probes", (double) cost.probes());
+        f.put("probes", (double) cost.healthChecks());
         f.put("handshakes", (double) cost.handshakes());
         f.put("directory_calls", (double) cost.directoryCalls());
         f.put("directory_lines", (double) cost.directoryLines());
--- a/lab/src/test/java/dewplank/lab/AuditorTest.java
+++ b/lab/src/test/java/dewplank/lab/AuditorTest.java
@@ -74,7 +74,7 @@
         }
     }
 
-    private static Auditor play(VirtualRun.Policy policy, VirtualRun.Sidecars sidecars) {
+    private static Auditor play(VirtualRun.Policy policy, VirtualRun.SidecarFactory sidecars) {
         Scenario day = busyDay();
         Auditor auditor = new Auditor(day, 50);
         VirtualRun run = new VirtualRun(day, 11, policy, auditor, new Service(day, 0), false, sidecars);
@@ -83,7 +83,7 @@
         return auditor;
     }
 
-    private static VirtualRun.Sidecars whole() {
+    private static VirtualRun.SidecarFactory whole() {
         return (run, n) -> new EmulatedSidecar(run, n) {};
     }
 
--- a/lab/src/test/java/dewplank/lab/Broken.java
+++ b/lab/src/test/java/dewplank/lab/Broken.java
@@ -146,10 +146,10 @@
         }
 
         @Override
-        protected void answer(ClientAttempt t, Type what, double value) {
-            super.answer(t, what, value);
+        protected void respond(ClientAttempt t, Type what, double value) {
+            super.respond(t, what, value);
             if (t.id % 100 == 0) {
-                super.answer(t, Type.FAILED, 0);
+                super.respond(t, Type.FAILED, 0);
             }
         }
     }
@@ -163,9 +163,9 @@
         }
 
         @Override
-        protected void answer(ClientAttempt t, Type what, double value) {
+        protected void respond(ClientAttempt t, Type what, double value) {
             boolean mix = what == Type.SERVED && t.id % 100 == 0 && last >= 0;
-            super.answer(t, what, mix ? last : value);
+            super.respond(t, what, mix ? last : value);
             last = what == Type.SERVED ? t.id : last;
         }
     }
--- a/lab/src/test/java/dewplank/lab/BuoysTest.java
+++ b/lab/src/test/java/dewplank/lab/BuoysTest.java
@@ -135,12 +135,12 @@
         }
 
         @Override
-        protected byte[] message(byte[] said) {
+        protected byte[] peerSummary(byte[] summary) {
             List<Integer> some = world.servers.stream()
                     .limit(world.servers.size() / 3)
                     .map(s -> s.id.hashCode())
                     .toList();
-            return new PeerSummary(PeerSummary.decode(said).createdAtMs(), some).encode();
+            return new PeerSummary(PeerSummary.decode(summary).createdAtMs(), some).encode();
         }
     }
 
