--- /dev/null
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/AttemptSender.java
@@ -0,0 +1,230 @@
+package dewplank.emulator.virtualtime;
+
+import dewplank.balancer.Action.Cancel;
+import dewplank.balancer.Action.Send;
+import dewplank.balancer.Event.AttemptEnded;
+import dewplank.balancer.Outcome;
+import dewplank.emulator.ClientAttempt;
+import dewplank.emulator.RecordedEvent.Type;
+import dewplank.emulator.Scenario;
+import dewplank.emulator.Server;
+import dewplank.emulator.World;
+import dewplank.emulator.virtualtime.ConnectionPool.IdleConnection;
+import java.util.Optional;
+
+/**
+ * Sends a sidecar's attempts to servers: connects or reuses a connection, writes the request, waits for the response or
+ * the time-out, and reports each attempt's end to the balancer exactly once. On the world's thread.
+ */
+final class AttemptSender {
+    private static final double NO_LOAD_REPORT = -1;
+
+    /** Gives clients their final answers. */
+    interface Responder {
+        void respond(ClientAttempt client, Type type, double value);
+    }
+
+    private final World world;
+    private final Scenario scenario;
+    private final int sidecar;
+    private final RequestTable requests;
+    private final ConnectionPool connections;
+    private final EventInbox inbox;
+    private final Responder responder;
+    private long sentCount;
+    private long handshakeCount;
+
+    AttemptSender(
+            World world,
+            int sidecar,
+            RequestTable requests,
+            ConnectionPool connections,
+            EventInbox inbox,
+            Responder responder) {
+        this.world = world;
+        this.scenario = world.scenario;
+        this.sidecar = sidecar;
+        this.requests = requests;
+        this.connections = connections;
+        this.inbox = inbox;
+        this.responder = responder;
+    }
+
+    /** Attempts sent so far, without those of which nothing left the sidecar. */
+    long sentCount() {
+        return sentCount;
+    }
+
+    /** Connections that were begun so far. */
+    long handshakeCount() {
+        return handshakeCount;
+    }
+
+    void send(Send action) {
+        Optional<PendingRequest> request = requests.find(action.request());
+        Server server = world.byId.get(action.server());
+        if (request.isEmpty() || server == null || !maySend(request.get(), action)) {
+            reportNeverSent(action, request);
+            return;
+        }
+        sentCount++;
+        Attempt attempt = request.get().addAttempt(server, world.now());
+        double remainingMs = remainingMs(attempt.request);
+        world.later(
+                action.timeoutMs() == 0 ? remainingMs : Math.min(action.timeoutMs(), remainingMs),
+                () -> end(attempt, Outcome.TIMED_OUT, NO_LOAD_REPORT));
+        Optional<IdleConnection> idle = connections.take(server);
+        if (idle.isPresent()) {
+            attempt.connect(idle.get().serverIncarnation());
+            write(attempt, connections.isStale(idle.get(), server));
+        } else {
+            connect(attempt);
+        }
+    }
+
+    private boolean maySend(PendingRequest request, Send action) {
+        return request.isOpen()
+                && remainingMs(request) > 0
+                && action.timeoutMs() >= 0
+                && request.attemptCount() < scenario.rules().maxAttempts();
+    }
+
+    private double remainingMs(PendingRequest request) {
+        return request.client.deadlineMs - world.now();
+    }
+
+    private void reportNeverSent(Send action, Optional<PendingRequest> request) {
+        int index = request.map(PendingRequest::attemptCount).orElse(0);
+        request.ifPresent(PendingRequest::skipAttempt);
+        boolean requestIsOver = request.isEmpty() || !request.get().isOpen();
+        inbox.add(
+                new AttemptEnded(action.request(), index, action.server(), Outcome.NEVER_SENT, 0, requestIsOver, null));
+    }
+
+    void cancel(Cancel action) {
+        requests.find(action.request())
+                .flatMap(r -> r.attempt(action.attempt()))
+                .ifPresent(a -> end(a, Outcome.CANCELLED, NO_LOAD_REPORT));
+    }
+
+    private void connect(Attempt attempt) {
+        Server server = attempt.server;
+        handshakeCount++;
+        double timeoutMs = scenario.links().connectTimeoutMs();
+        if (timeoutMs > 0) {
+            world.later(timeoutMs, () -> {
+                if (attempt.isConnecting()) {
+                    end(attempt, Outcome.CONNECT_FAILED, NO_LOAD_REPORT);
+                }
+            });
+        }
+        double outboundMs = world.delay(sidecar, server);
+        double returnMs = world.delay(sidecar, server);
+        world.later(outboundMs, () -> connectAtServer(attempt, returnMs));
+    }
+
+    private void connectAtServer(Attempt attempt, double returnMs) {
+        Server server = attempt.server;
+        if (attempt.hasEnded() || isUnreachable(server)) {
+            return;
+        }
+        if (server.state() == Server.State.DEAD) {
+            world.later(returnMs, () -> end(attempt, Outcome.CONNECT_FAILED, NO_LOAD_REPORT));
+        } else if (server.connect()) {
+            int serverIncarnation = server.incarnation();
+            world.later(returnMs + scenario.links().handshakeMs(), () -> {
+                if (attempt.hasEnded()) {
+                    server.disconnect(serverIncarnation);
+                } else {
+                    attempt.connect(serverIncarnation);
+                    write(attempt, false);
+                }
+            });
+        }
+    }
+
+    /** {@code isStale}: whether the server has ended the connection without the sidecar's notice. */
+    private void write(Attempt attempt, boolean isStale) {
+        Server server = attempt.server;
+        double outboundMs = world.delay(sidecar, server);
+        double returnMs = world.delay(sidecar, server);
+        world.later(outboundMs, () -> {
+            if (attempt.hasEnded() || isUnreachable(server)) {
+                return; // cancelled before its last byte arrived, or lost on the way
+            }
+            if (isStale || !attempt.isConnectedToCurrentProcess() || server.state() == Server.State.DEAD) {
+                world.later(returnMs, () -> end(attempt, Outcome.RESET, NO_LOAD_REPORT));
+            } else if (!world.lost()) {
+                offer(attempt, returnMs);
+            }
+        });
+    }
+
+    private void offer(Attempt attempt, double returnMs) {
+        Server server = attempt.server;
+        server.offer(attempt.request.client, sidecar, (reply, load) -> {
+            if (!world.cut(sidecar, server.number) && !world.lost()) {
+                world.later(returnMs, () -> end(attempt, outcome(reply), load));
+            }
+        });
+    }
+
+    private boolean isUnreachable(Server server) {
+        return server.state() == Server.State.SILENT || world.cut(sidecar, server.number);
+    }
+
+    private static Outcome outcome(Server.Reply reply) {
+        return switch (reply) {
+            case OK -> Outcome.SERVED;
+            case ERROR -> Outcome.ERROR;
+            case NEVER_RAN -> Outcome.REJECTED;
+            case RESET -> Outcome.RESET;
+        };
+    }
+
+    /** Ends an attempt; a second end, of a time-out that crossed a response, is ignored. */
+    private void end(Attempt attempt, Outcome outcome, double load) {
+        if (attempt.hasEnded()) {
+            return;
+        }
+        releaseConnection(attempt, outcome);
+        PendingRequest request = attempt.request;
+        request.attemptEnded();
+        if (outcome == Outcome.SERVED && request.isOpen()) {
+            request.finish();
+            responder.respond(request.client, Type.SERVED, (double) request.client.id);
+        }
+        requests.removeIfDone(request);
+        inbox.add(new AttemptEnded(
+                request.client.id,
+                attempt.index,
+                attempt.server.id,
+                outcome,
+                world.now() - attempt.sentAtMs,
+                !request.isOpen(),
+                load < 0 ? null : new double[] {load}));
+    }
+
+    /** A connection whose response is complete is used again; any other is closed. */
+    private void releaseConnection(Attempt attempt, Outcome outcome) {
+        boolean hasResponse = outcome == Outcome.SERVED || outcome == Outcome.ERROR || outcome == Outcome.REJECTED;
+        boolean isReusable = hasResponse && attempt.isConnectedToCurrentProcess();
+        Attempt.State last = attempt.end();
+        if (isReusable) {
+            connections.putBack(attempt.server);
+        } else {
+            disconnect(attempt.server, last);
+        }
+    }
+
+    /** The sidecar's process has ended: the attempt's connection ends with it, and nothing is reported. */
+    void abort(Attempt attempt) {
+        disconnect(attempt.server, attempt.end());
+    }
+
+    private static void disconnect(Server server, Attempt.State last) {
+        if (last instanceof Attempt.Connected c) {
+            server.disconnect(c.serverIncarnation());
+        }
+    }
+}
--- /dev/null
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/DirectorySubscription.java
@@ -0,0 +1,66 @@
+package dewplank.emulator.virtualtime;
+
+import dewplank.balancer.Endpoint;
+import dewplank.balancer.Event.EndpointUpdate;
+import dewplank.balancer.Event.UpdateKind;
+import dewplank.emulator.EndpointDirectory;
+import dewplank.emulator.World;
+import java.util.List;
+import java.util.Optional;
+
+/**
+ * A sidecar's view of the directory: the version of its endpoint list, and the watch that brings updates. On the
+ * world's thread.
+ */
+final class DirectorySubscription {
+    private final World world;
+    private final int sidecar;
+    private final EventInbox inbox;
+    private Optional<EndpointDirectory.Watch> watch = Optional.empty();
+    private long version;
+
+    DirectorySubscription(World world, int sidecar, EventInbox inbox) {
+        this.world = world;
+        this.sidecar = sidecar;
+        this.inbox = inbox;
+    }
+
+    /** Starts from a list that was stored before the sidecar's process was started. */
+    void loadCached(long cachedVersion, List<Endpoint> endpoints) {
+        version = cachedVersion;
+        inbox.add(new EndpointUpdate(UpdateKind.CACHED, endpoints));
+    }
+
+    /** Opens a watch from the present version on, in place of an earlier one. */
+    void subscribe() {
+        close();
+        watch = Optional.of(world.list.watch(sidecar, version, new Updates(inbox.incarnation())));
+    }
+
+    /** Closes the watch, if there is one; a second call does nothing. */
+    void close() {
+        watch.ifPresent(EndpointDirectory.Watch::close);
+    }
+
+    /** Delivers updates to the incarnation that opened the watch. */
+    private final class Updates implements EndpointDirectory.Watcher {
+        private final int incarnation;
+
+        Updates(int incarnation) {
+            this.incarnation = incarnation;
+        }
+
+        @Override
+        public void updated(long newVersion, boolean full, List<Endpoint> entries) {
+            if (incarnation == inbox.incarnation()) {
+                version = newVersion;
+                inbox.add(new EndpointUpdate(full ? UpdateKind.FULL : UpdateKind.INCREMENTAL, entries));
+            }
+        }
+
+        @Override
+        public void ended() {
+            inbox.add(incarnation, new EndpointUpdate(UpdateKind.BROKEN, List.of()));
+        }
+    }
+}
--- a/emulator/src/main/java/dewplank/emulator/virtualtime/EmulatedSidecar.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/EmulatedSidecar.java
@@ -13,466 +13,228 @@
 import dewplank.balancer.Balancer;
 import dewplank.balancer.Endpoint;
 import dewplank.balancer.Event;
-import dewplank.balancer.Event.AttemptEnded;
-import dewplank.balancer.Event.EndpointUpdate;
-import dewplank.balancer.Event.HealthChecked;
 import dewplank.balancer.Event.PeerSummaryReceived;
 import dewplank.balancer.Event.RequestAbandoned;
 import dewplank.balancer.Event.RequestArrived;
 import dewplank.balancer.Event.TimerFired;
-import dewplank.balancer.Event.UpdateKind;
-import dewplank.balancer.Outcome;
 import dewplank.emulator.ClientAttempt;
-import dewplank.emulator.EndpointDirectory;
 import dewplank.emulator.RecordedEvent.Type;
 import dewplank.emulator.Scenario;
 import dewplank.emulator.Server;
 import dewplank.emulator.World;
-import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
+import java.util.Optional;
 
 /**
- * One sidecar in virtual time: a decision module and what its host does for it. Once a tick the module is told all that
- * has come in; what it does takes effect at that moment.
+ * One sidecar in virtual time: a balancer and the host around it. Events wait in the inbox until the sidecar's next
+ * tick; the balancer's actions take effect at that tick. {@link VirtualRun} calls all methods on the world's thread,
+ * but for {@link #decide}, which runs beside those of other sidecars and uses nothing but this sidecar's state.
  */
 public class EmulatedSidecar {
-    private static final double HEALTH_CHECK_TIMEOUT_MS = 250;
-
-    /** A request that the module has been told of. */
-    private static final class PendingRequest {
-        final ClientAttempt request;
-        final List<Attempt> calls = new ArrayList<>();
-        int out;
-        boolean over;
-
-        PendingRequest(ClientAttempt request) {
-            this.request = request;
-        }
+    private enum State {
+        NOT_STARTED,
+        RUNNING,
+        KILLED
     }
 
-    /** One attempt at a server. */
-    private final class Attempt {
-        final PendingRequest open;
-        final int attempt;
-        final Server server;
-        final double sentAt;
-        int incarnation = -1;
-        boolean over;
-
-        Attempt(PendingRequest open, int attempt, Server server) {
-            this.open = open;
-            this.attempt = attempt;
-            this.server = server;
-            this.sentAt = world.now();
-        }
-    }
-
-    /** A connection that carries nothing now. */
-    private record IdleConnection(int incarnation, double since) {}
-
     final int number;
     private final World world;
     private final VirtualRun run;
     private final Scenario scenario;
-    private Balancer balancer;
-    private final List<Event> inbox = new ArrayList<>();
+    private final EventInbox inbox = new EventInbox(this::wake);
+    private final RequestTable requests = new RequestTable();
+    private final ConnectionPool connections;
+    private final AttemptSender attempts;
+    private final DirectorySubscription directory;
+    private final HealthChecker healthChecker;
     private final List<Action> actions = new ArrayList<>();
-    private final Map<Long, PendingRequest> requests = new HashMap<>();
-    private final Map<Integer, ArrayDeque<IdleConnection>> idle = new HashMap<>();
-    private EndpointDirectory.Watch watch;
-    private long version;
-    private int incarnation;
-    private boolean up;
-    private boolean dirty;
-    private long sends;
-    private long healthChecks;
-    private long handshakes;
+    private Balancer balancer;
+    private State state = State.NOT_STARTED;
 
+    /** {@code number}: counts the run's sidecars from 0. */
     protected EmulatedSidecar(VirtualRun run, int number) {
         this.run = run;
         this.world = run.world();
         this.scenario = world.scenario;
         this.number = number;
+        this.connections = new ConnectionPool(world);
+        this.attempts = new AttemptSender(world, number, requests, connections, inbox, this::respond);
+        this.directory = new DirectorySubscription(world, number, inbox);
+        this.healthChecker = new HealthChecker(world, number, inbox);
+    }
+
+    private void wake() {
+        run.wake(this);
     }
 
-    /** Starts from nothing but the list as it is held now. */
+    // ---- the process ----------------------------------------------------------------------------------
+
+    /** Starts the process with a new balancer that has nothing but a stored endpoint list. */
     void start(List<Endpoint> endpoints, long listVersion) {
-        up = true;
-        version = listVersion;
-        balancer = run.newBalancer(number, incarnation);
+        moveTo(State.RUNNING);
+        balancer = run.newBalancer(number, inbox.incarnation());
         world.record(Type.SIDECAR_UP, null, number, -1, 0);
-        deliver(new EndpointUpdate(UpdateKind.CACHED, endpoints));
+        directory.loadCached(listVersion, endpoints);
     }
 
-    void kill(double backAfterMs) {
-        if (!up) {
+    /** Kills the process and starts it again later, with the endpoint list of now; ignored while none runs. */
+    void kill(double restartAfterMs) {
+        if (state != State.RUNNING) {
             return;
         }
-        up = false;
-        incarnation++;
+        moveTo(State.KILLED);
+        inbox.beginNextIncarnation();
         world.record(Type.SIDECAR_KILLED, null, number, -1, 0);
-        if (watch != null) {
-            watch.close();
-        }
-        inbox.clear();
-        List<PendingRequest> lost = new ArrayList<>(requests.values());
-        lost.sort((a, b) -> Long.compare(a.request.id, b.request.id));
-        requests.clear();
-        for (PendingRequest o : lost) {
-            for (Attempt c : o.calls) {
-                if (c != null && !c.over) {
-                    c.over = true;
-                    c.server.disconnect(c.incarnation);
-                }
-            }
-            if (!o.over) {
-                world.later(world.clientDelay(), () -> run.clients().answered(o.request, Type.UNREACHABLE, 0));
-            }
-        }
-        idle.forEach((server, connections) ->
-                connections.forEach(i -> world.servers.get(server).disconnect(i.incarnation())));
-        idle.clear();
+        directory.close();
+        requests.removeAll().forEach(this::lose);
+        connections.closeAll();
         List<Endpoint> endpoints = world.list.endpoints();
         long listVersion = world.list.version();
-        world.later(backAfterMs, () -> start(endpoints, listVersion));
+        world.later(restartAfterMs, () -> start(endpoints, listVersion));
+    }
+
+    private void moveTo(State next) {
+        boolean isAllowed = next == State.KILLED ? state == State.RUNNING : state != State.RUNNING;
+        if (!isAllowed) {
+            throw new IllegalStateException("sidecar " + number + " can't change from " + state + " to " + next);
+        }
+        state = next;
+    }
+
+    private void lose(PendingRequest request) {
+        request.inFlight().forEach(attempts::abort);
+        if (request.isOpen()) {
+            world.later(world.clientDelay(), () -> run.clients().answered(request.client, Type.UNREACHABLE, 0));
+        }
     }
 
-    long sends() {
-        return sends;
+    // ---- figures --------------------------------------------------------------------------------------
+
+    long attemptsSent() {
+        return attempts.sentCount();
     }
 
     long healthChecks() {
-        return healthChecks;
+        return healthChecker.sentCount();
     }
 
     long handshakes() {
-        return handshakes;
+        return attempts.handshakeCount();
     }
 
-    int connectionsOpen() {
-        return idle.values().stream().mapToInt(ArrayDeque::size).sum()
-                + requests.values().stream().mapToInt(o -> o.out).sum();
+    int openConnections() {
+        return connections.size() + requests.attemptsInFlight();
     }
 
-    // ---- the client's side ----------------------------------------------------------------------------
+    // ---- clients --------------------------------------------------------------------------------------
 
-    void receive(ClientAttempt t) {
-        int startedIn = incarnation;
+    /** A client has sent a request. It fails if the process ends before the request arrives. */
+    void receive(ClientAttempt client) {
+        int incarnation = inbox.incarnation();
         world.later(world.clientDelay(), () -> {
-            if (!up || incarnation != startedIn) {
-                run.clients().answered(t, Type.UNREACHABLE, 0);
+            if (state != State.RUNNING || inbox.incarnation() != incarnation) {
+                run.clients().answered(client, Type.UNREACHABLE, 0);
                 return;
             }
-            requests.put(t.id, new PendingRequest(t));
-            String tenant = t.tenant < 0
-                    ? null
-                    : scenario.subjects().tenants().get(t.tenant).name();
-            deliver(new RequestArrived(
-                    t.id,
-                    tenant,
-                    t.subjectKey < 0 ? null : "key-" + t.subjectKey,
-                    t.isRetry && scenario.clients().marksRetries(),
-                    scenario.classes().get(t.requestClass).name(),
-                    Math.max(1, t.deadlineMs - world.now()),
-                    null));
+            requests.add(client);
+            inbox.add(arrival(client));
         });
     }
 
-    void abandon(ClientAttempt t) {
-        world.later(world.clientDelay(), () -> {
-            PendingRequest open = requests.get(t.id);
-            if (open != null && !open.over) {
-                open.over = true;
-                forgetIfDone(open);
-                deliver(new RequestAbandoned(t.id));
-            }
+    private RequestArrived arrival(ClientAttempt client) {
+        return new RequestArrived(
+                client.id,
+                client.tenant < 0
+                        ? null
+                        : scenario.subjects().tenants().get(client.tenant).name(),
+                client.subjectKey < 0 ? null : "key-" + client.subjectKey,
+                client.isRetry && scenario.clients().marksRetries(),
+                scenario.classes().get(client.requestClass).name(),
+                Math.max(1, client.deadlineMs - world.now()),
+                null);
+    }
+
+    /** A client has closed its connection. */
+    void abandon(ClientAttempt client) {
+        world.later(world.clientDelay(), () -> requests.findOpen(client.id).ifPresent(request -> {
+            requests.finish(request);
+            inbox.add(new RequestAbandoned(client.id));
+        }));
+    }
+
+    /**
+     * Gives a client its final answer. Overridden by sidecars that tests break on purpose.
+     *
+     * @param type how the request ended
+     * @param value as {@link Type} defines it
+     */
+    protected void respond(ClientAttempt client, Type type, double value) {
+        world.later(world.clientDelay(), () -> run.clients().answered(client, type, value));
+    }
+
+    private void finish(long id, Type type, double value) {
+        requests.findOpen(id).ifPresent(request -> {
+            requests.finish(request);
+            respond(request.client, type, value);
         });
     }
 
-    /** The final answer goes to the client; overridden by sidecars that are broken on purpose. */
-    protected void respond(ClientAttempt t, Type what, double value) {
-        world.later(world.clientDelay(), () -> run.clients().answered(t, what, value));
-    }
-
-    private void forgetIfDone(PendingRequest open) {
-        if (open.over && open.out == 0) {
-            requests.remove(open.request.id);
-        }
-    }
-
-    // ---- the module -----------------------------------------------------------------------------------
-
-    private void deliver(Event event) {
-        inbox.add(event);
-        if (!dirty) {
-            dirty = true;
-            run.wake(this);
-        }
-    }
+    // ---- the balancer ---------------------------------------------------------------------------------
 
-    /** Runs the module on all that has come in. Touches nothing but this sidecar: sidecars decide side by side. */
-    void decide(double now) {
-        for (Event event : inbox) {
-            balancer.handle(now, event, actions::add);
+    /** Lets the balancer handle all events since the last tick. */
+    void decide(double nowMs) {
+        for (Event event : inbox.drain()) {
+            balancer.handle(nowMs, event, actions::add);
         }
-        inbox.clear();
-        dirty = false;
     }
 
-    /** Carries out what the module decided. */
+    /** Carries out the actions that {@link #decide} collected. */
     void act() {
-        List<Action> decided = new ArrayList<>(actions);
+        List<Action> decided = List.copyOf(actions);
         actions.clear();
-        for (Action action : decided) {
-            carryOut(action);
-        }
+        decided.forEach(this::perform);
     }
 
-    private void carryOut(Action action) {
+    private void perform(Action action) {
         if (action instanceof Send a) {
-            send(a);
+            attempts.send(a);
         } else if (action instanceof Cancel a) {
-            PendingRequest open = requests.get(a.request());
-            Attempt call = open == null || a.attempt() >= open.calls.size() ? null : open.calls.get(a.attempt());
-            if (call != null) {
-                end(call, Outcome.CANCELLED, -1);
-            }
+            attempts.cancel(a);
         } else if (action instanceof Reject a) {
             finish(a.request(), Type.REFUSED, scenario.rules().retryAdvice() ? a.retryAfterMs() : 0);
         } else if (action instanceof Fail a) {
             finish(a.request(), Type.FAILED, 0);
         } else if (action instanceof SetTimer a) {
-            int startedIn = incarnation;
-            world.later(a.delayMs(), () -> {
-                if (up && incarnation == startedIn) {
-                    deliver(new TimerFired(a.timer()));
-                }
-            });
+            int incarnation = inbox.incarnation();
+            world.later(a.delayMs(), () -> inbox.add(incarnation, new TimerFired(a.timer())));
         } else if (action instanceof Subscribe) {
-            subscribe();
+            directory.subscribe();
         } else if (action instanceof CheckHealth a) {
-            checkHealth(world.byId.get(a.server()));
+            server(a.server()).ifPresent(healthChecker::check);
         } else if (action instanceof CloseIdleConnections a) {
-            closeIdle(world.byId.get(a.server()));
+            server(a.server()).ifPresent(connections::close);
         } else if (action instanceof BroadcastSummary a) {
             run.broadcast(number, peerSummary(a.bytes()));
         }
     }
 
-    private void finish(long request, Type what, double value) {
-        PendingRequest open = requests.get(request);
-        if (open != null && !open.over) {
-            open.over = true;
-            forgetIfDone(open);
-            respond(open.request, what, value);
-        }
+    /** Empty for an id that the world does not have. */
+    private Optional<Server> server(String id) {
+        return Optional.ofNullable(world.byId.get(id));
     }
 
-    /** What it tells the others; overridden by sidecars that are broken on purpose. */
+    // ---- peers ----------------------------------------------------------------------------------------
+
+    /** The bytes that go to the peers for the balancer's summary. Overridden by sidecars that tests break on purpose. */
     protected byte[] peerSummary(byte[] summary) {
         return summary;
     }
 
+    /** A summary from a peer has arrived; lost while no process runs. */
     void receiveSummary(int peer, byte[] summary) {
-        if (up) {
-            deliver(new PeerSummaryReceived(peer, summary));
-        }
-    }
-
-    private void subscribe() {
-        if (watch != null) {
-            watch.close();
-        }
-        int startedIn = incarnation;
-        watch = world.list.watch(number, version, new EndpointDirectory.Watcher() {
-            @Override
-            public void updated(long now, boolean full, List<Endpoint> entries) {
-                if (incarnation == startedIn) {
-                    version = now;
-                    deliver(new EndpointUpdate(full ? UpdateKind.FULL : UpdateKind.INCREMENTAL, entries));
-                }
-            }
-
-            @Override
-            public void ended() {
-                if (incarnation == startedIn) {
-                    deliver(new EndpointUpdate(UpdateKind.BROKEN, List.of()));
-                }
-            }
-        });
-    }
-
-    // ---- attempts -------------------------------------------------------------------------------------
-
-    private void send(Send a) {
-        PendingRequest open = requests.get(a.request());
-        Server server = world.byId.get(a.server());
-        int attempt = open == null ? 0 : open.calls.size();
-        double left = open == null ? 0 : open.request.deadlineMs - world.now();
-        if (open == null
-                || open.over
-                || server == null
-                || left <= 0
-                || a.timeoutMs() < 0
-                || attempt >= scenario.rules().maxAttempts()) {
-            if (open != null) {
-                open.calls.add(null);
-            }
-            deliver(new AttemptEnded(
-                    a.request(), attempt, a.server(), Outcome.NEVER_SENT, 0, open == null || open.over, null));
-            return;
-        }
-        sends++;
-        Attempt call = new Attempt(open, attempt, server);
-        open.calls.add(call);
-        open.out++;
-        world.later(a.timeoutMs() == 0 ? left : Math.min(a.timeoutMs(), left), () -> end(call, Outcome.TIMED_OUT, -1));
-        IdleConnection taken = takeIdle(server);
-        if (taken == null) {
-            connect(call);
-        } else {
-            call.incarnation = taken.incarnation();
-            write(call, taken);
-        }
-    }
-
-    /** An idle connection, or null. One whose end was noticed is none. */
-    private IdleConnection takeIdle(Server server) {
-        ArrayDeque<IdleConnection> own = idle.get(server.number);
-        Scenario.ConnectionModel links = scenario.links();
-        while (own != null && !own.isEmpty()) {
-            IdleConnection last = own.removeLast();
-            boolean ended = last.incarnation() != server.incarnation() && !server.wentSilently(last.incarnation())
-                    || links.closeIsNoticed() && world.now() - last.since() >= links.idleMs();
-            if (!ended) {
-                return last;
-            }
-            server.disconnect(last.incarnation());
-        }
-        return null;
-    }
-
-    private void connect(Attempt call) {
-        Scenario.ConnectionModel links = scenario.links();
-        Server server = call.server;
-        handshakes++;
-        if (links.connectTimeoutMs() > 0) {
-            world.later(links.connectTimeoutMs(), () -> {
-                if (call.incarnation < 0) {
-                    end(call, Outcome.CONNECT_FAILED, -1);
-                }
-            });
-        }
-        double there = world.delay(number, server);
-        double back = world.delay(number, server);
-        world.later(there, () -> {
-            if (call.over || server.state() == Server.State.SILENT || world.cut(number, server.number)) {
-                return;
-            }
-            if (server.state() == Server.State.DEAD) {
-                world.later(back, () -> end(call, Outcome.CONNECT_FAILED, -1));
-            } else if (server.connect()) {
-                int serverIncarnation = server.incarnation();
-                world.later(back + links.handshakeMs(), () -> {
-                    if (call.over) {
-                        server.disconnect(serverIncarnation);
-                    } else {
-                        call.incarnation = serverIncarnation;
-                        write(call, null);
-                    }
-                });
-            }
-        });
-    }
-
-    private void write(Attempt call, IdleConnection reused) {
-        Server server = call.server;
-        double there = world.delay(number, server);
-        double back = world.delay(number, server);
-        boolean stale = reused != null
-                && (reused.incarnation() != server.incarnation()
-                        || world.now() - reused.since() >= scenario.links().idleMs());
-        world.later(there, () -> {
-            if (call.over || server.state() == Server.State.SILENT || world.cut(number, server.number)) {
-                return; // given up before its last byte came, or lost on the way
-            }
-            if (stale || call.incarnation != server.incarnation() || server.state() == Server.State.DEAD) {
-                world.later(back, () -> end(call, Outcome.RESET, -1));
-                return;
-            }
-            if (world.lost()) {
-                return;
-            }
-            server.offer(call.open.request, number, (reply, inFlight) -> {
-                if (!world.cut(number, server.number) && !world.lost()) {
-                    world.later(back, () -> end(call, outcome(reply), inFlight));
-                }
-            });
-        });
-    }
-
-    private static Outcome outcome(Server.Reply reply) {
-        return switch (reply) {
-            case OK -> Outcome.SERVED;
-            case ERROR -> Outcome.ERROR;
-            case NEVER_RAN -> Outcome.REJECTED;
-            case RESET -> Outcome.RESET;
-        };
-    }
-
-    private void end(Attempt call, Outcome outcome, double inFlight) {
-        if (call.over) {
-            return;
-        }
-        call.over = true;
-        PendingRequest open = call.open;
-        open.out--;
-        boolean hasResponse = outcome == Outcome.SERVED || outcome == Outcome.ERROR || outcome == Outcome.REJECTED;
-        if (hasResponse && call.incarnation == call.server.incarnation()) {
-            idle.computeIfAbsent(call.server.number, n -> new ArrayDeque<>())
-                    .addLast(new IdleConnection(call.incarnation, world.now()));
-        } else if (call.incarnation >= 0) {
-            call.server.disconnect(call.incarnation);
-        }
-        if (outcome == Outcome.SERVED && !open.over) {
-            open.over = true;
-            respond(open.request, Type.SERVED, (double) open.request.id);
-        }
-        forgetIfDone(open);
-        deliver(new AttemptEnded(
-                open.request.id,
-                call.attempt,
-                call.server.id,
-                outcome,
-                world.now() - call.sentAt,
-                open.over,
-                inFlight < 0 ? null : new double[] {inFlight}));
-    }
-
-    private void checkHealth(Server server) {
-        if (server == null) {
-            return;
-        }
-        healthChecks++;
-        int startedIn = incarnation;
-        double sentAt = world.now();
-        double way = world.delay(number, server) + world.delay(number, server);
-        boolean lost = server.state() == Server.State.SILENT || world.cut(number, server.number);
-        world.later(lost ? HEALTH_CHECK_TIMEOUT_MS : way, () -> {
-            if (incarnation == startedIn) {
-                deliver(new HealthChecked(
-                        server.id, !lost && server.state() == Server.State.UP, world.now() - sentAt, null));
-            }
-        });
-    }
-
-    private void closeIdle(Server server) {
-        ArrayDeque<IdleConnection> own = server == null ? null : idle.remove(server.number);
-        if (own != null) {
-            own.forEach(i -> server.disconnect(i.incarnation()));
+        if (state == State.RUNNING) {
+            inbox.add(new PeerSummaryReceived(peer, summary));
         }
     }
 }
--- /dev/null
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/HealthChecker.java
@@ -0,0 +1,38 @@
+package dewplank.emulator.virtualtime;
+
+import dewplank.balancer.Event.HealthChecked;
+import dewplank.emulator.Server;
+import dewplank.emulator.World;
+
+/** Sends a sidecar's health checks, each on a connection that is not modelled. On the world's thread. */
+final class HealthChecker {
+    private static final double TIMEOUT_MS = 250;
+
+    private final World world;
+    private final int sidecar;
+    private final EventInbox inbox;
+    private long sentCount;
+
+    HealthChecker(World world, int sidecar, EventInbox inbox) {
+        this.world = world;
+        this.sidecar = sidecar;
+        this.inbox = inbox;
+    }
+
+    /** Health checks sent so far. */
+    long sentCount() {
+        return sentCount;
+    }
+
+    void check(Server server) {
+        sentCount++;
+        int incarnation = inbox.incarnation();
+        double sentAtMs = world.now();
+        double roundTripMs = world.delay(sidecar, server) + world.delay(sidecar, server);
+        boolean isLost = server.state() == Server.State.SILENT || world.cut(sidecar, server.number);
+        world.later(isLost ? TIMEOUT_MS : roundTripMs, () -> {
+            boolean isServing = !isLost && server.state() == Server.State.UP;
+            inbox.add(incarnation, new HealthChecked(server.id, isServing, world.now() - sentAtMs, null));
+        });
+    }
+}
--- a/emulator/src/main/java/dewplank/emulator/virtualtime/VirtualRun.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/VirtualRun.java
@@ -101,12 +101,12 @@
         time.runUntil(time.now() + scenario.longestDeadlineMs()); // what servers still hold may yet have an effect
         return new Cost(
                 time.ran(),
-                sum(EmulatedSidecar::sends),
+                sum(EmulatedSidecar::attemptsSent),
                 sum(EmulatedSidecar::healthChecks),
                 sum(EmulatedSidecar::handshakes),
                 world.list.calls(),
                 world.list.lines(),
-                sidecars.stream().mapToInt(EmulatedSidecar::connectionsOpen).sum());
+                sidecars.stream().mapToInt(EmulatedSidecar::openConnections).sum());
     }
 
     private long sum(java.util.function.ToLongFunction<EmulatedSidecar> figure) {
