--- a/dataplane/src/main/java/dewplank/dataplane/DecodePhase.java
+++ b/dataplane/src/main/java/dewplank/dataplane/DecodePhase.java
@@ -65,9 +65,7 @@
         } else {
             request.forwarder.counters().add(Count.DIRECT);
         }
-        if (relay.lastEventId() != null) {
-            extraFields.add(new Headers.Field(HeaderNames.LAST_EVENT_ID, relay.lastEventId()));
-        }
+        relay.lastEventId().ifPresent(id -> extraFields.add(new Headers.Field(HeaderNames.LAST_EVENT_ID, id)));
         long prefillTokens = offered == null ? request.unsharedTokens() : 0;
         DecodeAnswer answer = new DecodeAnswer(request, this, server, offered != null);
         attempt = request.attempts.newAttempt(server, prefillTokens, extraFields, answer);
@@ -84,12 +82,13 @@
                 .prefillDecodePicker()
                 .pickDecodeServer(
                         request.loop.now(),
-                        servers,
-                        request.prefix,
-                        request.kvTransfer.zone(),
-                        s -> fleet.server(s).pool.size() > 0,
-                        request.attempts::isUnattempted,
-                        allowsTrial);
+                        new PrefillDecodePicker.DecodeArguments(
+                                servers,
+                                request.prefix,
+                                Optional.ofNullable(request.kvTransfer.zone()),
+                                server -> fleet.server(server).pool.size() > 0,
+                                request.attempts::isUnattempted,
+                                allowsTrial));
         return picked.map(fleet::server).orElse(null);
     }
 
--- a/dataplane/src/main/java/dewplank/dataplane/StreamRelay.java
+++ b/dataplane/src/main/java/dewplank/dataplane/StreamRelay.java
@@ -3,6 +3,7 @@
 import dewplank.exchange.InboundConnection;
 import dewplank.http.Headers;
 import dewplank.routing.EventSplitter;
+import java.util.Optional;
 
 /**
  * Passes a generation's stream on to its client by complete events, whichever servers they come from; the head is that
@@ -32,8 +33,8 @@
         return events.isMidEvent();
     }
 
-    /** Where the stream is to be continued; null before the first event with an id. */
-    String lastEventId() {
+    /** Where the stream is to be continued; empty before the first event with an id. */
+    Optional<String> lastEventId() {
         return events.lastEventId();
     }
 
--- a/routing/src/main/java/dewplank/routing/EventSplitter.java
+++ b/routing/src/main/java/dewplank/routing/EventSplitter.java
@@ -2,6 +2,7 @@
 
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
+import java.util.Optional;
 
 /**
  * Splits a stream of server-sent events (WHATWG HTML, section 9.2) at their ends, so that a stream which breaks off can
@@ -15,8 +16,11 @@
     private static final int MAX_FIELD_CHARS = 64;
 
     private final ByteArrayOutputStream incomplete = new ByteArrayOutputStream();
+    /** Null before the first complete event with an id. */
     private String lastEventId;
+    /** Null while the event that has begun has no id. */
     private String incompleteId;
+
     private boolean incompleteHasData;
     /** Whether data was passed on behind the last id, which would come twice if the stream were continued there. */
     private boolean passedBeyondId;
@@ -118,9 +122,9 @@
         return !passedBeyondId;
     }
 
-    /** The id of the last complete event, as the server wrote it; null before the first. */
-    public String lastEventId() {
-        return lastEventId;
+    /** The id of the last complete event, as the server wrote it; empty before the first. */
+    public Optional<String> lastEventId() {
+        return Optional.ofNullable(lastEventId);
     }
 
     @Override
--- a/routing/src/main/java/dewplank/routing/PrefillDecodePicker.java
+++ b/routing/src/main/java/dewplank/routing/PrefillDecodePicker.java
@@ -20,6 +20,24 @@
     private static final RoutingParameters.PrefillLoad PREFILL = RoutingParameters.DEFAULTS.prefillLoad();
     private static final RoutingParameters.DecodeLoad DECODE = RoutingParameters.DEFAULTS.decodeLoad();
 
+    /**
+     * What one pick of a decode server is made from.
+     *
+     * @param servers all that decode for the service
+     * @param prompt the request's prompt
+     * @param prefillZone the zone in which the prompt was read; empty if the decode server is to prefill it
+     * @param connected whether an idle connection to a server is there, so that none has to be opened
+     * @param allowed which of the servers the request may go to
+     * @param allowsTrial whether the request may be the trial of an ejected server
+     */
+    public record DecodeArguments(
+            List<TrackedServer> servers,
+            PromptPrefix prompt,
+            Optional<String> prefillZone,
+            Predicate<TrackedServer> connected,
+            Predicate<TrackedServer> allowed,
+            boolean allowsTrial) {}
+
     private final ServerPicker picker;
     private final PrefillQueues queues = new PrefillQueues();
 
@@ -77,41 +95,39 @@
         return DECODE.prefillSlowdown() * prefillMs(tokens);
     }
 
-    /**
-     * The decode server; empty if none may be sent to.
-     *
-     * @param servers all that decode for the service
-     * @param prefillZone the zone in which the prompt was read; null if the decode server is to prefill it
-     * @param connected whether an idle connection to a server is there, so that none has to be opened
-     * @param allowed which of them the request may go to
-     * @param allowsTrial whether the request may be the trial of an ejected server
-     */
-    public Optional<TrackedServer> pickDecodeServer(
-            double nowMs,
-            List<TrackedServer> servers,
-            PromptPrefix prompt,
-            String prefillZone,
-            Predicate<TrackedServer> connected,
-            Predicate<TrackedServer> allowed,
-            boolean allowsTrial) {
-        ServerPicker.PickArguments arguments = prefillZone == null
-                ? new ServerPicker.PickArguments(
-                        servers,
-                        allowed,
-                        server -> decodeLoadTokens(nowMs, server),
-                        prefixOwner(nowMs, servers, prompt),
-                        prompt.sharedTokens(),
-                        allowsTrial)
-                : new ServerPicker.PickArguments(
-                        servers,
-                        allowed,
-                        server -> decodeLoadTokens(nowMs, server)
-                                + (server.zone().equals(prefillZone) ? 0 : crossZoneTokens())
-                                + (connected.test(server) ? 0 : connectionTokens()),
-                        null,
-                        0,
-                        allowsTrial);
-        return picker.pick(nowMs, arguments);
+    /** The decode server; empty if none may be sent to. */
+    public Optional<TrackedServer> pickDecodeServer(double nowMs, DecodeArguments arguments) {
+        return picker.pick(
+                nowMs,
+                arguments
+                        .prefillZone()
+                        .map(zone -> byZoneAndConnection(nowMs, arguments, zone))
+                        .orElseGet(() -> byPrefixOwner(nowMs, arguments)));
+    }
+
+    /** The KV cache comes from another server: what counts is the way from there. */
+    private ServerPicker.PickArguments byZoneAndConnection(
+            double nowMs, DecodeArguments arguments, String prefillZone) {
+        return new ServerPicker.PickArguments(
+                arguments.servers(),
+                arguments.allowed(),
+                server -> decodeLoadTokens(nowMs, server)
+                        + (server.zone().equals(prefillZone) ? 0 : crossZoneTokens())
+                        + (arguments.connected().test(server) ? 0 : connectionTokens()),
+                Optional.empty(),
+                0,
+                arguments.allowsTrial());
+    }
+
+    /** The decode server prefills the prompt itself: what counts is whether it has the prefix cached. */
+    private ServerPicker.PickArguments byPrefixOwner(double nowMs, DecodeArguments arguments) {
+        return new ServerPicker.PickArguments(
+                arguments.servers(),
+                arguments.allowed(),
+                server -> decodeLoadTokens(nowMs, server),
+                prefixOwner(nowMs, arguments.servers(), arguments.prompt()),
+                arguments.prompt().sharedTokens(),
+                arguments.allowsTrial());
     }
 
     private double connectionTokens() {
@@ -130,11 +146,11 @@
                 + DECODE.requestTokens() * server.inFlight();
     }
 
-    /** The eligible server that owns the prompt's shared prefix; null where nothing is shared. */
-    private TrackedServer prefixOwner(double nowMs, List<TrackedServer> servers, PromptPrefix prompt) {
-        String key = prompt.affinityKey();
-        return key == null || !picker.policy().isEnabled(Mechanism.HOMES)
-                ? null
-                : PrefixAffinity.ownerOf(key, picker.eligibleServers(nowMs, servers));
+    /** The eligible server that owns the prompt's shared prefix; empty where nothing is shared. */
+    private Optional<TrackedServer> prefixOwner(double nowMs, List<TrackedServer> servers, PromptPrefix prompt) {
+        Optional<String> key = prompt.affinityKey();
+        return key.isEmpty() || !picker.policy().isEnabled(Mechanism.HOMES)
+                ? Optional.empty()
+                : PrefixAffinity.ownerOf(key.get(), picker.eligibleServers(nowMs, servers));
     }
 }
--- a/routing/src/main/java/dewplank/routing/PrefixAffinity.java
+++ b/routing/src/main/java/dewplank/routing/PrefixAffinity.java
@@ -1,6 +1,7 @@
 package dewplank.routing;
 
 import java.util.List;
+import java.util.Optional;
 
 /**
  * Which server owns the prompts that begin alike, and so has their KV cache: rendezvous hashing (Thaler and
@@ -11,12 +12,12 @@
     private PrefixAffinity() {}
 
     /**
-     * The owner of a key, or null where there are no servers.
+     * The owner of a key; empty where there are no servers.
      *
      * @param key the last shared part of a prompt
      * @param servers the eligible servers, in any order; of two with one rank the first owns it
      */
-    public static TrackedServer ownerOf(String key, List<TrackedServer> servers) {
+    public static Optional<TrackedServer> ownerOf(String key, List<TrackedServer> servers) {
         TrackedServer owner = null;
         long maxRank = 0;
         for (TrackedServer server : servers) {
@@ -26,7 +27,7 @@
                 owner = server;
             }
         }
-        return owner;
+        return Optional.ofNullable(owner);
     }
 
     /** Spreads a value over all 64 bits, with the multipliers of SplitMix64 (Steele, Lea and Flood, 2014). */
--- a/routing/src/main/java/dewplank/routing/PromptPrefix.java
+++ b/routing/src/main/java/dewplank/routing/PromptPrefix.java
@@ -2,6 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 
 /**
  * The segments of a prompt in order, as the header {@code X-Dewplank-Prompt-Prefix} names them. The last one belongs to
@@ -66,8 +67,10 @@
                 : tokens() - segments.get(segments.size() - 1).tokens();
     }
 
-    /** The id of the last shared segment, which stands for all before it too; null where nothing is shared. */
-    public String affinityKey() {
-        return segments.size() < 2 ? null : segments.get(segments.size() - 2).id();
+    /** The id of the last shared segment, which identifies all before it too; empty where nothing is shared. */
+    public Optional<String> affinityKey() {
+        return segments.size() < 2
+                ? Optional.empty()
+                : Optional.of(segments.get(segments.size() - 2).id());
     }
 }
--- a/routing/src/main/java/dewplank/routing/ServerPicker.java
+++ b/routing/src/main/java/dewplank/routing/ServerPicker.java
@@ -28,7 +28,7 @@
      * @param servers the service's servers, ready or not
      * @param allowed which of them the request may go to at all
      * @param load the load that is compared; its unit is the caller's
-     * @param preferred the server that takes the first draw's place where it may be picked; null for none
+     * @param preferred the server that takes the first draw's place where it may be picked; empty for none
      * @param preferredCredit load that the preferred server is excused
      * @param allowsTrial whether the request may be the trial of an ejected server: only one that can be retried
      */
@@ -36,13 +36,13 @@
             List<TrackedServer> servers,
             Predicate<TrackedServer> allowed,
             ToDoubleFunction<TrackedServer> load,
-            TrackedServer preferred,
+            Optional<TrackedServer> preferred,
             double preferredCredit,
             boolean allowsTrial) {
         /** A pick by this data plane's requests in flight, without a preferred server. */
         public static PickArguments byInFlight(
                 List<TrackedServer> servers, Predicate<TrackedServer> allowed, boolean allowsTrial) {
-            return new PickArguments(servers, allowed, TrackedServer::inFlight, null, 0, allowsTrial);
+            return new PickArguments(servers, allowed, TrackedServer::inFlight, Optional.empty(), 0, allowsTrial);
         }
     }
 
@@ -183,14 +183,13 @@
         if (available.isEmpty()) {
             return Optional.empty();
         }
-        TrackedServer preferred = arguments.preferred();
-        boolean usesPreferred = preferred != null && available.contains(preferred);
-        TrackedServer first = usesPreferred ? preferred : WeightedDraw.draw(available, null, this::weight, random);
+        Optional<TrackedServer> preferred = arguments.preferred().filter(available::contains);
+        TrackedServer first = preferred.orElseGet(() -> WeightedDraw.draw(available, null, this::weight, random));
         TrackedServer second = WeightedDraw.draw(available, first, this::weight, random);
         if (second == null || !policy.isEnabled(Mechanism.TWO_CHOICES)) {
             return Optional.of(first);
         }
-        double credit = usesPreferred ? arguments.preferredCredit() : 0;
+        double credit = preferred.isPresent() ? arguments.preferredCredit() : 0;
         ToDoubleFunction<TrackedServer> load = arguments.load();
         return Optional.of(load.applyAsDouble(first) - credit <= load.applyAsDouble(second) ? first : second);
     }
--- a/routing/src/test/java/dewplank/routing/EventSplitterTest.java
+++ b/routing/src/test/java/dewplank/routing/EventSplitterTest.java
@@ -2,11 +2,11 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
+import java.util.Optional;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
@@ -26,9 +26,9 @@
     void onlyCompleteEventsArePassedOn() {
         EventSplitter events = new EventSplitter();
         assertEquals("", text(events.feed(bytes("id: 1\ndata: a\n"))));
-        assertNull(events.lastEventId(), "an incomplete event has not been passed on");
+        assertEquals(Optional.empty(), events.lastEventId(), "an incomplete event has not been passed on");
         assertEquals("id: 1\ndata: a\n\n", text(events.feed(bytes("\nid: 2\nda"))));
-        assertEquals("1", events.lastEventId());
+        assertEquals(Optional.of("1"), events.lastEventId());
     }
 
     @Test
@@ -36,9 +36,9 @@
         EventSplitter events = new EventSplitter();
         events.feed(bytes("id: 1\ndata: a\n\nid: 2\ndata: b"));
         events.discardIncompleteEvent();
-        assertEquals("1", events.lastEventId());
+        assertEquals(Optional.of("1"), events.lastEventId());
         assertEquals("id:2\ndata: b\n\n", text(events.feed(bytes("id:2\ndata: b\n\n"))));
-        assertEquals("2", events.lastEventId());
+        assertEquals(Optional.of("2"), events.lastEventId());
     }
 
     /** The first line of an event at which the version of the weights changes. */
@@ -47,14 +47,14 @@
         EventSplitter events = new EventSplitter();
         String event = "versions: 3\nid: 4\ndata: a\n\n";
         assertEquals(event, text(events.feed(bytes(event))));
-        assertEquals("4", events.lastEventId());
+        assertEquals(Optional.of("4"), events.lastEventId());
     }
 
     @Test
     void linesMayEndWithCarriageReturns() {
         EventSplitter events = new EventSplitter();
         assertEquals("id: 7\r\ndata: a\r\n\r\n", text(events.feed(bytes("id: 7\r\ndata: a\r\n\r\nda"))));
-        assertEquals("7", events.lastEventId());
+        assertEquals(Optional.of("7"), events.lastEventId());
     }
 
     @Test
@@ -114,6 +114,6 @@
         }
         out.writeBytes(events.feed(java.util.Arrays.copyOfRange(all, offset, all.length)));
         assertEquals(stream.toString(), out.toString(StandardCharsets.UTF_8));
-        assertEquals("20", events.lastEventId());
+        assertEquals(Optional.of("20"), events.lastEventId());
     }
 }
--- a/routing/src/test/java/dewplank/routing/PolicyTest.java
+++ b/routing/src/test/java/dewplank/routing/PolicyTest.java
@@ -105,28 +105,20 @@
         List<TrackedServer> servers = servers("here", "here");
         PromptPrefix prompt = PromptPrefix.parse("5c1e07a2:8000,91bd3f06:410");
         TrackedServer connected = servers.get(1);
+        PrefillDecodePicker.DecodeArguments arguments = new PrefillDecodePicker.DecodeArguments(
+                servers, prompt, Optional.of("here"), server -> server == connected, server -> true, false);
         PrefillDecodePicker reusing = new PrefillDecodePicker(without());
         PrefillDecodePicker other = new PrefillDecodePicker(without(Mechanism.REUSE));
         int fresh = 0;
         for (int i = 0; i < 100; i++) {
-            assertEquals(
-                    connected,
-                    reusing.pickDecodeServer(0, servers, prompt, "here", s -> s == connected, s -> true, false)
-                            .orElseThrow());
-            fresh += other.pickDecodeServer(0, servers, prompt, "here", s -> s == connected, s -> true, false)
-                                    .orElseThrow()
-                            == connected
-                    ? 0
-                    : 1;
+            assertEquals(connected, reusing.pickDecodeServer(0, arguments).orElseThrow());
+            fresh += other.pickDecodeServer(0, arguments).orElseThrow() == connected ? 0 : 1;
         }
         assertTrue(fresh > 25);
         for (int i = 0; i < 2; i++) { // a little load weighs more than a connection
             connected.requestStarted(0, 0);
         }
-        assertNotEquals(
-                connected,
-                reusing.pickDecodeServer(0, servers, prompt, "here", s -> s == connected, s -> true, false)
-                        .orElseThrow());
+        assertNotEquals(connected, reusing.pickDecodeServer(0, arguments).orElseThrow());
     }
 
     @Test
--- a/routing/src/test/java/dewplank/routing/ServerPickerTest.java
+++ b/routing/src/test/java/dewplank/routing/ServerPickerTest.java
@@ -126,9 +126,9 @@
     @Test
     void theOwnerOfAPrefixIsPickedUnlessItsLoadIsHigherByMoreThanTheCredit() {
         List<TrackedServer> servers = servers(3);
-        TrackedServer owner = PrefixAffinity.ownerOf("5c1e07a2", servers);
+        TrackedServer owner = PrefixAffinity.ownerOf("5c1e07a2", servers).orElseThrow();
         ServerPicker.PickArguments arguments = new ServerPicker.PickArguments(
-                servers, server -> true, server -> (double) server.tokensInFlight(), owner, 1_000, false);
+                servers, server -> true, server -> (double) server.tokensInFlight(), Optional.of(owner), 1_000, false);
         owner.requestStarted(0, 900);
         assertEquals(owner, picker.pick(0, arguments).orElseThrow());
         owner.requestStarted(0, 200);
@@ -141,8 +141,8 @@
         List<TrackedServer> fewer = servers.subList(0, 4);
         int moved = 0;
         for (int i = 0; i < 1_000; i++) {
-            TrackedServer before = PrefixAffinity.ownerOf("key" + i, servers);
-            TrackedServer after = PrefixAffinity.ownerOf("key" + i, fewer);
+            TrackedServer before = PrefixAffinity.ownerOf("key" + i, servers).orElseThrow();
+            TrackedServer after = PrefixAffinity.ownerOf("key" + i, fewer).orElseThrow();
             if (before == servers.get(4)) {
                 moved++;
             } else {
