--- a/emulator/src/main/java/dewplank/emulator/ClientAttempt.java
+++ b/emulator/src/main/java/dewplank/emulator/ClientAttempt.java
@@ -2,23 +2,16 @@
 
 /** One try of a client's request; a retry is another with an id of its own and the same key and work. */
 public final class ClientAttempt {
-    public final long id;
-    /** Place of its class in the scenario. */
-    public final int requestClass;
-    /** The same for all tries of one request of a client's. */
-    public final long key;
-
-    public final double work;
-    public final int sidecar;
-    /** Whose it is and what it is about: numbers of a tenant and of a key, or -1 where the scenario has none. */
-    public final int tenant;
-
-    public final int subjectKey;
-    public final boolean isRetry;
-    /** When the client sent it. */
-    public final double sentAtMs;
-    /** When the client stops waiting. */
-    public final double deadlineMs;
+    private final long id;
+    private final int requestClass;
+    private final long key;
+    private final double work;
+    private final int sidecar;
+    private final int tenant;
+    private final int subjectKey;
+    private final boolean isRetry;
+    private final double sentAtMs;
+    private final double deadlineMs;
 
     boolean isOver;
     final Clients.Request request;
@@ -60,4 +53,54 @@
         this.tenant = tenant;
         this.subjectKey = about;
     }
+
+    /** Identifier of this attempt. */
+    public long id() {
+        return id;
+    }
+
+    /** Index of the request class in the scenario. */
+    public int requestClass() {
+        return requestClass;
+    }
+
+    /** Idempotency key: the same for all attempts of one client request. */
+    public long key() {
+        return key;
+    }
+
+    /** Milliseconds of a standard core, before what the server adds or saves. */
+    public double work() {
+        return work;
+    }
+
+    /** Number of the sidecar that the client sends it to. */
+    public int sidecar() {
+        return sidecar;
+    }
+
+    /** Index of the tenant in the scenario, or -1 where it has none. */
+    public int tenant() {
+        return tenant;
+    }
+
+    /** Number of the key that the request is about, or -1 where the scenario has none. */
+    public int subjectKey() {
+        return subjectKey;
+    }
+
+    /** Whether the client has sent the request before. */
+    public boolean isRetry() {
+        return isRetry;
+    }
+
+    /** When the client sent it. */
+    public double sentAtMs() {
+        return sentAtMs;
+    }
+
+    /** When the client stops waiting. */
+    public double deadlineMs() {
+        return deadlineMs;
+    }
 }
--- a/emulator/src/main/java/dewplank/emulator/Clients.java
+++ b/emulator/src/main/java/dewplank/emulator/Clients.java
@@ -66,7 +66,7 @@
         this.world = world;
         this.front = front;
         this.tally = tally;
-        this.scenario = world.scenario;
+        this.scenario = world.scenario();
         this.end = world.now() + scenario.lengthMs();
         this.cumulativeShares = cumulative(
                 scenario.classes().stream().mapToDouble(RequestKind::share).toArray());
@@ -117,17 +117,17 @@
 
         ApplicationInstance(int sidecar) {
             this.sidecar = sidecar;
-            this.random = world.draws.stream("client", sidecar);
-            this.subjects = world.draws.stream("subjects", sidecar);
-            this.gap = RandomStreams.exponential(world.draws.stream("arrivals", sidecar));
+            this.random = world.randomStreams().stream("client", sidecar);
+            this.subjects = world.randomStreams().stream("subjects", sidecar);
+            this.gap = RandomStreams.exponential(world.randomStreams().stream("arrivals", sidecar));
             this.work = new DoubleSupplier[scenario.classes().size()];
             for (int k = 0; k < work.length; k++) {
                 RequestKind kind = scenario.classes().get(k);
                 work[k] = RandomStreams.around(
-                        kind.distribution(), kind.cv(), world.draws.stream("work " + kind.name(), sidecar));
+                        kind.distribution(), kind.cv(), world.randomStreams().stream("work " + kind.name(), sidecar));
             }
             this.perMs = world.arrivalsPerMs() / scenario.sidecars();
-            this.phase = world.draws.stream("phase", 0).nextDouble();
+            this.phase = world.randomStreams().stream("phase", 0).nextDouble();
         }
 
         /** The part of the usual rate that holds now. */
@@ -154,10 +154,10 @@
             double wait = gap.getAsDouble() / rate;
             if (wait > 100) { // the rate may have changed by then: exponential gaps have no memory
                 wait = 100;
-                world.later(wait, this::nextIfOpen);
+                world.schedule(wait, this::nextIfOpen);
                 return;
             }
-            world.later(wait, () -> {
+            world.schedule(wait, () -> {
                 if (world.now() < end) {
                     arrive();
                     next();
@@ -204,10 +204,10 @@
         world.record(Type.SENT, t, sidecar, -1, until);
         front.send(t);
         boolean impatient = scenario.clients().abandonShare() > 0
-                && world.draws.unit(-t.id) < scenario.clients().abandonShare();
+                && world.randomStreams().unit(-t.id()) < scenario.clients().abandonShare();
         double wait = (until - now) * (impatient ? 0.5 : 1)
                 + (impatient ? 0 : scenario.rules().answerSlackMs() + 1);
-        world.later(wait, () -> {
+        world.schedule(wait, () -> {
             if (!t.isOver) {
                 front.abandon(t);
                 over(t, Type.ABANDONED, impatient ? 1 : 0);
@@ -218,7 +218,7 @@
     /** The client has its answer. {@code madeFor}: of a served one, the id of the request that it was made for. */
     public void answered(ClientAttempt t, Type what, double value) {
         if (t.isOver) {
-            world.record(what, t, t.sidecar, -1, value); // a second answer: the auditor will see it
+            world.record(what, t, t.sidecar(), -1, value); // a second answer: the auditor will see it
             return;
         }
         over(t, what, value);
@@ -226,7 +226,7 @@
 
     private void over(ClientAttempt t, Type what, double value) {
         t.isOver = true;
-        world.record(what, t, t.sidecar, -1, value);
+        world.record(what, t, t.sidecar(), -1, value);
         Request ask = t.request;
         if (ask == null) {
             return;
@@ -242,7 +242,7 @@
                                     && kind.scope() == DeduplicationScope.ALL
                                     && now - ask.firstSentAtMs < kind.windowMs();
                 };
-        double wait = scenario.clients().waitMs() * (0.5 + world.draws.unit(t.id));
+        double wait = scenario.clients().waitMs() * (0.5 + world.randomStreams().unit(t.id()));
         if (what == Type.REFUSED && ask.honoursRetryAfter && value > 0) {
             wait = Math.max(wait, Math.min(value, scenario.rules().maxAdviceMs()));
         }
@@ -255,7 +255,7 @@
             again = false; // its repeat would no longer be recognised
         }
         if (again) {
-            world.later(wait, () -> attempt(ask, t.sidecar));
+            world.schedule(wait, () -> attempt(ask, t.sidecar()));
         } else {
             openRequests--;
             tally.requestEnded(
--- a/emulator/src/main/java/dewplank/emulator/EndpointDirectory.java
+++ b/emulator/src/main/java/dewplank/emulator/EndpointDirectory.java
@@ -56,25 +56,25 @@
     private long version = 1;
     private long oldestVersion = 1;
     private boolean isDown;
-    private boolean isSilent;
+    private boolean isStalled;
     private double nextCallAtMs;
     private long calls;
-    private long lines;
+    private long linesSent;
 
     EndpointDirectory(World world) {
         this.world = world;
-        for (Server s : world.servers) {
-            entries.put(s.number, entry(s, Availability.UP));
+        for (Server s : world.servers()) {
+            entries.put(s.number(), entry(s, Availability.UP));
         }
     }
 
     private Endpoint entry(Server s, Availability availability) {
         double started = s.startedAt();
         return new Endpoint(
-                s.id,
-                s.zone,
-                s.machine.name(),
-                s.cell,
+                s.id(),
+                s.zone(),
+                s.machine().name(),
+                s.cell(),
                 availability,
                 1,
                 started == Double.NEGATIVE_INFINITY ? null : (Double) started);
@@ -88,23 +88,23 @@
         return isDown;
     }
 
-    public boolean isSilent() {
-        return isSilent;
+    public boolean isStalled() {
+        return isStalled;
     }
 
     public long calls() {
         return calls;
     }
 
-    public long lines() {
-        return lines;
+    public long linesSent() {
+        return linesSent;
     }
 
     /** All that is not gone, by number. */
     public List<Endpoint> endpoints() {
         List<Endpoint> all = new ArrayList<>();
-        for (Server s : world.servers) {
-            Endpoint e = entries.get(s.number);
+        for (Server s : world.servers()) {
+            Endpoint e = entries.get(s.number());
             if (e.availability() != Availability.REMOVED) {
                 all.add(e);
             }
@@ -115,11 +115,11 @@
     /** Something became known of the server. */
     void set(Server s, Availability availability) {
         Endpoint e = entry(s, availability);
-        if (e.equals(entries.get(s.number))) {
+        if (e.equals(entries.get(s.number()))) {
             return;
         }
-        entries.put(s.number, e);
-        history.add(new Change(++version, s.number));
+        entries.put(s.number(), e);
+        history.add(new Change(++version, s.number()));
         if (history.size() > HISTORY) {
             oldestVersion = history.remove(0).version();
         }
@@ -128,7 +128,7 @@
     /** A server died or vanished at this moment: noticed after a while, unless it is back by then. */
     void noticeLoss(Server s, double afterMs) {
         int life = s.incarnation();
-        world.later(afterMs, () -> {
+        world.schedule(afterMs, () -> {
             if (s.incarnation() == life && s.state() != Server.State.UP) {
                 set(s, Availability.REMOVED);
             }
@@ -137,7 +137,7 @@
 
     void noticeStart(Server s) {
         int life = s.incarnation();
-        world.later(world.scenario.directory().addMs(), () -> {
+        world.schedule(world.scenario().directory().addMs(), () -> {
             if (s.incarnation() == life && s.state() == Server.State.UP) {
                 set(s, Availability.UP);
             }
@@ -146,17 +146,17 @@
 
     /** A call for a watch from that version on. It waits its turn; the first line, or the failure, comes later. */
     public Watch watch(int sidecar, long since, Watcher watcher) {
-        Scenario.Directory rules = world.scenario.directory();
+        Scenario.Directory rules = world.scenario().directory();
         Watch watch = new Watch(sidecar, since, watcher);
         calls++;
         double now = world.now();
         double start = Math.max(now, nextCallAtMs);
         if (isDown || start - now > rules.timeoutMs()) {
-            world.later(isDown ? 1 : rules.timeoutMs(), () -> end(watch));
+            world.schedule(isDown ? 1 : rules.timeoutMs(), () -> end(watch));
             return watch;
         }
         nextCallAtMs = start + 1000 / rules.callsPerS();
-        world.later(nextCallAtMs - now, () -> {
+        world.schedule(nextCallAtMs - now, () -> {
             if (isDown) {
                 end(watch);
             } else if (!watch.isClosed) {
@@ -179,8 +179,8 @@
 
     /** Its next look is drawn anew each time, so that watches don't move in step. */
     private void rhythm(Watch watch) {
-        double wait = world.scenario.directory().periodMs() * (0.5 + world.directoryRandom.nextDouble());
-        world.later(wait, () -> {
+        double wait = world.scenario().directory().periodMs() * (0.5 + world.directoryRandom.nextDouble());
+        world.schedule(wait, () -> {
             if (!watch.isClosed) {
                 tell(watch, false);
                 rhythm(watch);
@@ -189,20 +189,20 @@
     }
 
     private void tell(Watch watch, boolean first) {
-        if (isSilent || !first && watch.version >= version) {
+        if (isStalled || !first && watch.version >= version) {
             return;
         }
         boolean full = watch.version < oldestVersion;
         List<Endpoint> news = full ? endpoints() : since(watch.version);
         watch.version = version;
-        lines += news.size() + 1;
+        linesSent += news.size() + 1;
         for (Endpoint e : news) {
             record(watch.sidecar, e);
         }
         if (full) {
-            for (Server s : world.servers) {
-                if (entries.get(s.number).availability() == Availability.REMOVED) {
-                    record(watch.sidecar, entries.get(s.number));
+            for (Server s : world.servers()) {
+                if (entries.get(s.number()).availability() == Availability.REMOVED) {
+                    record(watch.sidecar, entries.get(s.number()));
                 }
             }
         }
@@ -220,7 +220,7 @@
     }
 
     private void record(int sidecar, Endpoint e) {
-        int server = world.byId.get(e.server()).number;
+        int server = world.server(e.server()).number();
         switch (e.availability()) {
             case DRAINING -> world.record(Type.NOTIFIED_DRAINING, null, sidecar, server, 0);
             case REMOVED -> world.record(Type.NOTIFIED_REMOVED, null, sidecar, server, 0);
@@ -240,7 +240,7 @@
     }
 
     /** It takes calls and says nothing more. */
-    void setSilent(boolean silent) {
-        isSilent = silent;
+    void setStalled(boolean silent) {
+        isStalled = silent;
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/FaultInjector.java
+++ b/emulator/src/main/java/dewplank/emulator/FaultInjector.java
@@ -30,17 +30,17 @@
 
     public static void schedule(World world, SidecarKiller killSidecar) {
         FaultInjector faults = new FaultInjector(world, killSidecar);
-        List<Fault> all = world.scenario.faults();
+        List<Fault> all = world.scenario().faults();
         for (int i = 0; i < all.size(); i++) {
             Fault fault = all.get(i);
-            UniformRandomProvider random = world.draws.stream("fault", i);
-            world.later(fault.atMs(), () -> faults.begin(fault, random));
+            UniformRandomProvider random = world.randomStreams().stream("fault", i);
+            world.schedule(fault.atMs(), () -> faults.begin(fault, random));
         }
     }
 
     private List<Server> some(double part, UniformRandomProvider random) {
-        return shuffled(world.servers.size(), part, random).stream()
-                .map(world.servers::get)
+        return shuffled(world.servers().size(), part, random).stream()
+                .map(world.servers()::get)
                 .toList();
     }
 
@@ -60,43 +60,43 @@
             case PAUSE -> beat(
                     f, some(f.affectedShare(), random), world.now() + f.forMs(), s -> s.pause(f.magnitude()));
             case NEIGHBOUR -> neighbour(f, some(f.affectedShare(), random), world.now() + f.forMs(), true);
-            case DEPLOY -> deploy(f, shuffled(world.servers.size(), f.affectedShare(), random), 0);
+            case DEPLOY -> deploy(f, shuffled(world.servers().size(), f.affectedShare(), random), 0);
             case CLASS_ERRORS -> classErrors(f, some(f.affectedShare(), random));
             case LOST_ANSWERS -> during(f, random, s -> s.lostAnswerRate = f.magnitude(), s -> s.lostAnswerRate = 0);
             case RESETS -> during(f, random, s -> s.resetRate = f.magnitude(), s -> s.resetRate = 0);
             case POISON -> {
                 world.setPoison(
-                        f.target() == null ? -1 : world.scenario.classNames().indexOf(f.target()), f.magnitude());
-                world.later(f.forMs(), () -> world.setPoison(-1, 0));
+                        f.target() == null ? -1 : world.scenario().classNames().indexOf(f.target()), f.magnitude());
+                world.schedule(f.forMs(), () -> world.setPoison(-1, 0));
             }
             case LOSS -> {
                 world.setLoss(f.magnitude());
-                world.later(f.forMs(), () -> world.setLoss(0));
+                world.schedule(f.forMs(), () -> world.setLoss(0));
             }
             case CUT -> cut(f, random);
             case LOAD -> {
                 world.setLoadFactor(f.magnitude());
-                world.later(f.forMs(), () -> world.setLoadFactor(1));
+                world.schedule(f.forMs(), () -> world.setLoadFactor(1));
             }
             case ERRORS -> during(f, random, s -> s.immediateErrorRate = f.magnitude(), s -> s.immediateErrorRate = 0);
             case TENANT_LOAD -> {
-                int tenant = world.scenario.subjects().tenants().stream()
+                int tenant = world.scenario().subjects().tenants().stream()
                         .map(Scenario.TenantLoad::name)
                         .toList()
                         .indexOf(f.target());
                 world.setTenantLoad(tenant, f.magnitude());
-                world.later(f.forMs(), () -> world.setTenantLoad(tenant, 1));
+                world.schedule(f.forMs(), () -> world.setTenantLoad(tenant, 1));
             }
             case ZONE_LOSS -> zoneLoss(f, random);
             case DIRECTORY_DOWN -> {
-                world.list.setDown(true);
-                world.later(f.forMs(), () -> world.list.setDown(false));
+                world.directory().setDown(true);
+                world.schedule(f.forMs(), () -> world.directory().setDown(false));
             }
             case DIRECTORY_SILENT -> {
-                world.list.setSilent(true);
-                world.later(f.forMs(), () -> world.list.setSilent(false));
+                world.directory().setStalled(true);
+                world.schedule(f.forMs(), () -> world.directory().setStalled(false));
             }
-            case SIDECAR_KILL -> shuffled(world.scenario.sidecars(), f.affectedShare(), random)
+            case SIDECAR_KILL -> shuffled(world.scenario().sidecars(), f.affectedShare(), random)
                     .forEach(n -> killSidecar.kill(n, f.forMs()));
         }
     }
@@ -108,13 +108,13 @@
     private void during(Fault f, UniformRandomProvider random, Act begin, Act end) {
         List<Server> hit = some(f.affectedShare(), random);
         hit.forEach(begin::on);
-        world.later(f.forMs(), () -> hit.forEach(end::on));
+        world.schedule(f.forMs(), () -> hit.forEach(end::on));
     }
 
     private void beat(Fault f, List<Server> hit, double until, Act act) {
         if (world.now() < until) {
             hit.forEach(act::on);
-            world.later(f.everyMs(), () -> beat(f, hit, until, act));
+            world.schedule(f.everyMs(), () -> beat(f, hit, until, act));
         }
     }
 
@@ -122,7 +122,7 @@
         boolean over = world.now() >= until;
         hit.forEach(s -> s.setNeighbourShare(on && !over ? Math.min(0.95, f.magnitude()) : 0));
         if (!over) {
-            world.later(f.everyMs(), () -> neighbour(f, hit, until, !on));
+            world.schedule(f.everyMs(), () -> neighbour(f, hit, until, !on));
         }
     }
 
@@ -130,10 +130,10 @@
         if (s.state() != State.UP) {
             return;
         }
-        Scenario.Directory d = world.scenario.directory();
+        Scenario.Directory d = world.scenario().directory();
         if (silently) {
             s.vanish();
-            world.list.noticeLoss(s, d.silentNoticeMs() * (0.5 + world.directoryRandom.nextDouble()));
+            world.directory().noticeLoss(s, d.silentNoticeMs() * (0.5 + world.directoryRandom.nextDouble()));
         } else {
             s.crash();
             world.serverDied(s);
@@ -143,25 +143,28 @@
 
     /** A drawn zone goes without a word, with the stated part of its sidecars, and comes back cold. */
     private void zoneLoss(Fault f, UniformRandomProvider random) {
-        List<String> zones = world.scenario.zones();
+        List<String> zones = world.scenario().zones();
         String zone = zones.get(random.nextInt(zones.size()));
-        world.servers.stream().filter(s -> s.zone.equals(zone)).forEach(s -> lose(s, true, f.forMs()));
-        List<Integer> there = new ArrayList<>(IntStream.range(0, world.scenario.sidecars())
-                .filter(n -> world.scenario.zoneOfSidecar(n).equals(zone))
-                .boxed()
-                .toList());
+        world.servers().stream().filter(s -> s.zone().equals(zone)).forEach(s -> lose(s, true, f.forMs()));
+        List<Integer> there =
+                new ArrayList<>(IntStream.range(0, world.scenario().sidecars())
+                        .filter(n -> world.scenario().zoneOfSidecar(n).equals(zone))
+                        .boxed()
+                        .toList());
         Scenario.firstOf(there, Math.min(1, f.magnitude())).forEach(n -> killSidecar.kill(n, f.forMs()));
     }
 
     private void classErrors(Fault f, List<Server> hit) {
-        int kind = world.scenario.classNames().indexOf(f.target());
+        int kind = world.scenario().classNames().indexOf(f.target());
         hit.forEach(s -> s.errorRate[kind] = f.magnitude());
-        world.later(f.forMs(), () -> hit.forEach(s -> s.errorRate[kind] = s.machine.errorRate()));
+        world.schedule(
+                f.forMs(),
+                () -> hit.forEach(s -> s.errorRate[kind] = s.machine().errorRate()));
     }
 
     /** Batch after batch: listed as draining, given time, ended, started anew and cold. */
     private void deploy(Fault f, List<Integer> order, int from) {
-        int batch = Math.max(1, (int) Math.round(f.magnitude() * world.servers.size()));
+        int batch = Math.max(1, (int) Math.round(f.magnitude() * world.servers().size()));
         List<Integer> now = order.subList(Math.min(from, order.size()), Math.min(from + batch, order.size()));
         if (now.isEmpty()) {
             return;
@@ -169,41 +172,41 @@
         int batches = (order.size() + batch - 1) / batch;
         double each = Math.max(100, f.forMs() / batches);
         for (int n : now) {
-            Server s = world.servers.get(n);
+            Server s = world.servers().get(n);
             if (s.state() != State.UP) {
                 continue;
             }
             int life = s.incarnation();
-            world.list.set(s, Availability.DRAINING); // the deploy says so first; the process follows
-            double heard = world.scenario.directory().periodMs() * 2
-                    + world.scenario.rules().drainMs();
-            world.later(Math.min(heard, f.everyMs()), () -> {
+            world.directory().set(s, Availability.DRAINING); // the deploy says so first; the process follows
+            double heard = world.scenario().directory().periodMs() * 2
+                    + world.scenario().rules().drainMs();
+            world.schedule(Math.min(heard, f.everyMs()), () -> {
                 if (s.incarnation() == life) {
                     s.drain();
                 }
             });
-            world.later(f.everyMs() + 1, () -> {
+            world.schedule(f.everyMs() + 1, () -> {
                 if (s.incarnation() == life && s.state() == State.DRAINING) {
                     s.crash();
-                    world.list.set(s, Availability.REMOVED);
+                    world.directory().set(s, Availability.REMOVED);
                     world.restart(s, BOOT_MS);
                 }
             });
         }
-        world.later(each, () -> deploy(f, order, from + batch));
+        world.schedule(each, () -> deploy(f, order, from + batch));
     }
 
     private void cut(Fault f, UniformRandomProvider random) {
         List<Server> hit = some(f.affectedShare(), random);
-        List<Integer> from = shuffled(world.scenario.sidecars(), Math.min(1, f.magnitude()), random);
+        List<Integer> from = shuffled(world.scenario().sidecars(), Math.min(1, f.magnitude()), random);
         setCuts(hit, from, true);
-        world.later(f.forMs(), () -> setCuts(hit, from, false));
+        world.schedule(f.forMs(), () -> setCuts(hit, from, false));
     }
 
     private void setCuts(List<Server> servers, List<Integer> sidecars, boolean cut) {
         for (Server s : servers) {
             for (int n : sidecars) {
-                world.setCut(n, s.number, cut);
+                world.setPartitioned(n, s.number(), cut);
             }
         }
     }
--- a/emulator/src/main/java/dewplank/emulator/Server.java
+++ b/emulator/src/main/java/dewplank/emulator/Server.java
@@ -39,8 +39,8 @@
     public enum State {
         UP,
         DRAINING,
-        DEAD,
-        SILENT
+        CRASHED,
+        VANISHED
     }
 
     private static final double COLD_STEP_MS = 50;
@@ -72,11 +72,11 @@
 
     private record OfferedWork(double at, double work) {}
 
-    public final int number;
-    public final String id;
-    public final String zone;
-    public final int cell;
-    public final MachineType machine;
+    private final int number;
+    private final String id;
+    private final String zone;
+    private final int cell;
+    private final MachineType machine;
     private final World world;
     private final double speed;
     private final UniformRandomProvider random;
@@ -88,7 +88,7 @@
     private double offeredWorkSum;
     private State state = State.UP;
     private int incarnation;
-    private final Set<Integer> silentIncarnations = new HashSet<>();
+    private final Set<Integer> vanishedIncarnations = new HashSet<>();
     private double startedAt = Double.NEGATIVE_INFINITY;
     private double attainedWork;
     private double updatedAtMs;
@@ -123,15 +123,15 @@
         this.id = "s-" + Long.toHexString(RandomStreams.mix(number) >>> 32);
         this.machine = machine;
         this.zone = zone;
-        this.cell = number / world.scenario.servers().cellSize();
+        this.cell = number / world.scenario().servers().cellSize();
         this.speed = speed;
-        this.random = world.draws.stream("server", number);
+        this.random = world.randomStreams().stream("server", number);
         this.slots = (int) Math.max(1, Math.round(machine.cores() * machine.slotsPerCore()));
         this.maxQueued = (int) Math.round(machine.cores() * machine.queuePerCore());
-        this.errorRate = new double[world.scenario.classes().size()];
+        this.errorRate = new double[world.scenario().classes().size()];
         Arrays.fill(errorRate, machine.errorRate());
         int maxKeys = (int)
-                Math.max(1, machine.cores() * world.scenario.subjects().keys().maxKeysPerCore());
+                Math.max(1, machine.cores() * world.scenario().subjects().keys().maxKeysPerCore());
         this.cachedKeys = new LinkedHashMap<>(16, 0.75f, true) {
             private static final long serialVersionUID = 1L;
 
@@ -140,7 +140,7 @@
                 return size() > maxKeys;
             }
         };
-        this.waitTimes = RandomStreams.exponential(world.draws.stream("waits", number));
+        this.waitTimes = RandomStreams.exponential(world.randomStreams().stream("waits", number));
         if (machine.pauseEveryMs() > 0 && machine.pauseMs() > 0) {
             nextPause();
         }
@@ -148,6 +148,29 @@
 
     // ---- what the oracle and the tests may look at ----------------------------------------------------
 
+    /** Index of the server in {@link World#servers()}. */
+    public int number() {
+        return number;
+    }
+
+    /** Identifier in the endpoint list. */
+    public String id() {
+        return id;
+    }
+
+    public String zone() {
+        return zone;
+    }
+
+    /** Number of the failure cell, within which keyed requests may be deduplicated. */
+    public int cell() {
+        return cell;
+    }
+
+    public MachineType machine() {
+        return machine;
+    }
+
     public State state() {
         return state;
     }
@@ -172,7 +195,7 @@
 
     /** Work per millisecond that it can do now. */
     public double capacity() {
-        return state == State.DEAD || state == State.SILENT ? 0 : machine.cores() * coreSpeed();
+        return state == State.CRASHED || state == State.VANISHED ? 0 : machine.cores() * coreSpeed();
     }
 
     /** Work that it holds and has not done. */
@@ -199,7 +222,7 @@
             return Double.POSITIVE_INFINITY;
         }
         double crowd = Math.max(1, (double) (requestsInFlight() + coming + 1) / machine.cores());
-        double mean = world.scenario.meanWork();
+        double mean = world.scenario().meanWork();
         return Math.max(work * machine.cores() / capacity * crowd, (backlog() + coming * mean + work) / capacity);
     }
 
@@ -220,16 +243,16 @@
 
     /** Takes a connection, unless the table is full. The handshake's work is done beside the slots. */
     public boolean connect() {
-        if (state == State.DEAD || state == State.SILENT) {
+        if (state == State.CRASHED || state == State.VANISHED) {
             return false;
         }
-        int cap = world.scenario.links().maxConnections();
+        int cap = world.scenario().links().maxConnections();
         if (cap > 0 && connections >= cap) {
             return false;
         }
         update();
         connections++;
-        attainedWork -= running.isEmpty() ? 0 : world.scenario.links().handshakeWork() / running.size();
+        attainedWork -= running.isEmpty() ? 0 : world.scenario().links().handshakeWork() / running.size();
         if (!running.isEmpty()) {
             replan();
         }
@@ -237,8 +260,8 @@
     }
 
     /** Whether the process of that life went without a word, so that its connections seem to be open. */
-    public boolean wentSilently(int ofIncarnation) {
-        return silentIncarnations.contains(ofIncarnation);
+    public boolean vanishedIn(int ofIncarnation) {
+        return vanishedIncarnations.contains(ofIncarnation);
     }
 
     public void disconnect(int ofIncarnation) {
@@ -251,18 +274,18 @@
 
     /** A request's last byte has come. */
     public void offer(ClientAttempt request, int sidecar, ResponseHandler answer) {
-        if (state == State.SILENT) {
+        if (state == State.VANISHED) {
             return;
         }
-        if (state == State.DEAD) {
+        if (state == State.CRASHED) {
             answer.onReply(Reply.RESET, -1);
             return;
         }
-        double work = request.work * world.attemptNoise(request, number) * (1 - savedWorkShare(request));
+        double work = request.work() * world.attemptNoise(request, number) * (1 - savedWorkShare(request));
         world.record(Type.RECEIVED, request, sidecar, number, work);
         update();
         if (exceedsColdCapacity(
-                world.scenario.classes().get(request.requestClass).work())) {
+                world.scenario().classes().get(request.requestClass()).work())) {
             collapse();
             answer.onReply(Reply.RESET, -1);
             return;
@@ -277,7 +300,7 @@
             answer.onReply(Reply.NEVER_RAN, report());
             return;
         }
-        boolean keyed = world.scenario.classes().get(request.requestClass).idempotency() == Idempotency.KEYED;
+        boolean keyed = world.scenario().classes().get(request.requestClass()).idempotency() == Idempotency.KEYED;
         Job job = new Job(request, work, answer, keyed && world.withinWindow(request, this));
         if (slotsTaken() < slots) {
             startJob(job);
@@ -289,9 +312,9 @@
     }
 
     private void startJob(Job job) {
-        world.record(Type.STARTED, job.request, job.request.sidecar, number, 0);
+        world.record(Type.STARTED, job.request, job.request.sidecar(), number, 0);
         if (world.poison(job.request)) { // a request that its server does not survive
-            world.later(0, () -> world.crashByPoison(this));
+            world.schedule(0, () -> world.crashByPoison(this));
         }
         job.doneAtWork = attainedWork + job.work;
         job.arrivalOrder = nextTurn++;
@@ -304,23 +327,23 @@
 
     /** The part of the work that it is spared for a key that it met lately. */
     private double savedWorkShare(ClientAttempt request) {
-        Scenario.Keys rules = world.scenario.subjects().keys();
-        Double met = request.subjectKey < 0 ? null : cachedKeys.get(request.subjectKey);
-        if (request.subjectKey >= 0) {
-            cachedKeys.put(request.subjectKey, world.now());
+        Scenario.Keys rules = world.scenario().subjects().keys();
+        Double met = request.subjectKey() < 0 ? null : cachedKeys.get(request.subjectKey());
+        if (request.subjectKey() >= 0) {
+            cachedKeys.put(request.subjectKey(), world.now());
         }
         return met != null && world.now() - met <= rules.cacheMs() ? rules.savedWorkShare() : 0;
     }
 
     /** Its work is done; it may yet wait on others, on a slot and off the cores. */
     private void waitOrFinish(Job job) {
-        double mean = world.scenario.classes().get(job.request.requestClass).waitMs();
+        double mean = world.scenario().classes().get(job.request.requestClass()).waitMs();
         if (mean <= 0) {
             finish(job);
             return;
         }
         waitingOnOthers.add(job);
-        world.later(mean * waitTimes.getAsDouble(), () -> {
+        world.schedule(mean * waitTimes.getAsDouble(), () -> {
             if (waitingOnOthers.remove(job)) {
                 update();
                 finish(job);
@@ -331,7 +354,7 @@
 
     private void finish(Job job) {
         ClientAttempt r = job.request;
-        boolean error = random.nextDouble() < errorRate[r.requestClass];
+        boolean error = random.nextDouble() < errorRate[r.requestClass()];
         if (!error) {
             effect(r, job.isDeduplicated);
         }
@@ -344,12 +367,12 @@
 
     private void effect(ClientAttempt r, boolean known) {
         boolean first = !known || world.firstOfKey(r, this);
-        world.record(first ? Type.EFFECT : Type.DEDUPLICATED, r, r.sidecar, number, 0);
+        world.record(first ? Type.EFFECT : Type.DEDUPLICATED, r, r.sidecar(), number, 0);
     }
 
     /** Late and noisy: what it held when the report was last refreshed. */
     private double report() {
-        Scenario.Reports rules = world.scenario.reports();
+        Scenario.Reports rules = world.scenario().reports();
         if (!rules.enabled()) {
             return -1;
         }
@@ -374,7 +397,7 @@
         if (world.now() < pausedUntil) {
             return 0;
         }
-        Scenario.ConnectionModel links = world.scenario.links();
+        Scenario.ConnectionModel links = world.scenario().links();
         double tax = links.maxConnections() > 0
                 ? links.fullTableSlowdown() * Math.min(1, (double) connections / links.maxConnections())
                 : 0;
@@ -408,7 +431,7 @@
                 ? Math.max(0.1, pausedUntil - world.now())
                 : (running.peek().doneAtWork - attainedWork) / workRate;
         boolean cold = warmth() < 1;
-        world.later(cold ? Math.min(next, COLD_STEP_MS) : next, () -> {
+        world.schedule(cold ? Math.min(next, COLD_STEP_MS) : next, () -> {
             if (mine == planNumber) {
                 advance();
             }
@@ -419,7 +442,7 @@
         update();
         while (!running.isEmpty() && running.peek().doneAtWork - attainedWork <= DONE) {
             waitOrFinish(running.poll());
-            if (state == State.DEAD || state == State.SILENT) {
+            if (state == State.CRASHED || state == State.VANISHED) {
                 return;
             }
         }
@@ -432,7 +455,7 @@
 
     private void nextPause() {
         double wait = -Math.log(1 - random.nextDouble()) * machine.pauseEveryMs();
-        world.later(wait, () -> {
+        world.schedule(wait, () -> {
             pause(machine.pauseMs() * (0.5 + random.nextDouble()));
             nextPause();
         });
@@ -485,7 +508,7 @@
             slowedDownAt = now;
             overloadedSince = Double.NaN;
             int ofIncarnation = incarnation;
-            world.later(choke.maxMs(), () -> {
+            world.schedule(choke.maxMs(), () -> {
                 if (isSlowedDown()
                         && ofIncarnation == incarnation
                         && world.now() - slowedDownAt >= choke.maxMs() - DONE) {
@@ -497,7 +520,7 @@
     }
 
     private void checkOverloadAfter(double ms) {
-        world.later(ms, this::updateOverload);
+        world.schedule(ms, this::updateOverload);
     }
 
     private void endSlowdown() {
@@ -514,7 +537,7 @@
             offeredWorkSum = 0;
             return false;
         }
-        Scenario.Rules rules = world.scenario.rules();
+        Scenario.Rules rules = world.scenario().rules();
         double now = world.now();
         offeredWhileCold.addLast(new OfferedWork(now, work));
         offeredWorkSum += work;
@@ -522,26 +545,26 @@
             offeredWorkSum -= offeredWhileCold.removeFirst().work();
         }
         double bears = rules.collapseFactor() * warmth() * fullCapacity() * rules.collapseWindowMs();
-        return offeredWorkSum > World.withChance(bears, world.scenario.meanWork());
+        return offeredWorkSum > World.withChance(bears, world.scenario().meanWork());
     }
 
     // ---- life and death -------------------------------------------------------------------------------
 
     /** Its process dies: connections are reset and new ones refused. */
     void crash() {
-        if (state == State.DEAD) {
+        if (state == State.CRASHED) {
             return;
         }
-        boolean silent = state == State.SILENT;
-        state = State.DEAD;
+        boolean silent = state == State.VANISHED;
+        state = State.CRASHED;
         world.record(Type.SERVER_DOWN, null, -1, number, 0);
         dropRequests(!silent);
     }
 
     /** Its machine vanishes: nobody hears anything. */
     void vanish() {
-        state = State.SILENT;
-        silentIncarnations.add(incarnation);
+        state = State.VANISHED;
+        vanishedIncarnations.add(incarnation);
         world.record(Type.SERVER_DOWN, null, -1, number, 1);
         dropRequests(false);
     }
--- a/emulator/src/main/java/dewplank/emulator/World.java
+++ b/emulator/src/main/java/dewplank/emulator/World.java
@@ -22,11 +22,11 @@
 
     private static final int MOST_KEYS = 1_000_000;
 
-    public final Scenario scenario;
-    public final RandomStreams draws;
-    public final List<Server> servers = new ArrayList<>();
-    public final Map<String, Server> byId = new HashMap<>();
-    public final EndpointDirectory list;
+    private final Scenario scenario;
+    private final RandomStreams randomStreams;
+    private final List<Server> servers = new ArrayList<>();
+    private final Map<String, Server> serversById = new HashMap<>();
+    private final EndpointDirectory directory;
     private final Scheduler time;
     private final RecordedEvent.Recorder recorder;
     /** What the servers of a group share about a keyed request. */
@@ -48,7 +48,7 @@
             return size() > MOST_KEYS || eldest.getValue().firstAt < now() - KEYS_KEPT_MS;
         }
     };
-    private final Set<Long> cuts = new HashSet<>();
+    private final Set<Long> partitions = new HashSet<>();
     private final DoubleSupplier jitter;
     final UniformRandomProvider directoryRandom;
     private final UniformRandomProvider lossRandom;
@@ -64,21 +64,21 @@
 
     public World(Scenario scenario, long seed, Scheduler time, RecordedEvent.Recorder recorder) {
         this.scenario = scenario;
-        this.draws = new RandomStreams(seed);
+        this.randomStreams = new RandomStreams(seed);
         this.time = time;
         this.recorder = recorder;
-        this.jitter = RandomStreams.exponential(draws.stream("network", 0));
-        this.directoryRandom = draws.stream("directory", 0);
-        this.lossRandom = draws.stream("loss", 0);
+        this.jitter = RandomStreams.exponential(randomStreams.stream("network", 0));
+        this.directoryRandom = randomStreams.stream("directory", 0);
+        this.lossRandom = randomStreams.stream("loss", 0);
         this.attemptNoise = new double[] {0.15};
-        this.messageRandom = draws.stream("messages", 0);
+        this.messageRandom = randomStreams.stream("messages", 0);
         this.tenantFactors = new double[scenario.subjects().tenants().size()];
         Arrays.fill(tenantFactors, 1);
         shareOut();
         double shares = scenario.servers().machines().stream()
                 .mapToDouble(MachineType::share)
                 .sum();
-        UniformRandomProvider random = draws.stream("fleet", 0);
+        UniformRandomProvider random = randomStreams.stream("fleet", 0);
         DoubleSupplier normal = RandomStreams.normal(random);
         int count = scenario.servers().count();
         for (int i = 0; i < count; i++) { // kinds by their shares, spread evenly over the numbers
@@ -95,16 +95,39 @@
             Server server = new Server(
                     this, i, machine, scenario.zones().get(i % scenario.zones().size()), speed);
             servers.add(server);
-            byId.put(server.id, server);
+            serversById.put(server.id(), server);
         }
-        this.list = new EndpointDirectory(this);
+        this.directory = new EndpointDirectory(this);
     }
 
+    public Scenario scenario() {
+        return scenario;
+    }
+
+    public RandomStreams randomStreams() {
+        return randomStreams;
+    }
+
+    /** All servers, by number. */
+    public List<Server> servers() {
+        return servers;
+    }
+
+    /** The server of that identifier, or null where there is none. */
+    public Server server(String id) {
+        return serversById.get(id);
+    }
+
+    public EndpointDirectory directory() {
+        return directory;
+    }
+
+    /** The run's clock, in milliseconds. */
     public double now() {
         return time.now();
     }
 
-    public void later(double ms, Runnable task) {
+    public void schedule(double ms, Runnable task) {
         time.after(ms, task);
     }
 
@@ -124,8 +147,8 @@
         recorder.record(new RecordedEvent(
                 time.now(),
                 what,
-                request == null ? -1 : request.id,
-                request == null ? -1 : request.requestClass,
+                request == null ? -1 : request.id(),
+                request == null ? -1 : request.requestClass(),
                 sidecar,
                 server,
                 value));
@@ -136,7 +159,7 @@
     /** How long a message takes one way between a sidecar and a server. */
     public double delay(int sidecar, Server server) {
         Scenario.Network n = scenario.network();
-        double base = scenario.zoneOfSidecar(sidecar).equals(server.zone) ? n.sameMs() : n.crossMs();
+        double base = scenario.zoneOfSidecar(sidecar).equals(server.zone()) ? n.sameMs() : n.crossMs();
         return base * (1 + n.jitter() * jitter.getAsDouble());
     }
 
@@ -145,20 +168,20 @@
     }
 
     /** Whether messages between the two are lost without a word. */
-    public boolean cut(int sidecar, int server) {
-        return !cuts.isEmpty() && cuts.contains(pair(sidecar, server));
+    public boolean isPartitioned(int sidecar, int server) {
+        return !partitions.isEmpty() && partitions.contains(pair(sidecar, server));
     }
 
-    void setCut(int sidecar, int server, boolean isCut) {
-        if (isCut) {
-            cuts.add(pair(sidecar, server));
+    void setPartitioned(int sidecar, int server, boolean isPartitioned) {
+        if (isPartitioned) {
+            partitions.add(pair(sidecar, server));
         } else {
-            cuts.remove(pair(sidecar, server));
+            partitions.remove(pair(sidecar, server));
         }
     }
 
     /** Whether this message is lost on its way: its connection stays open, and nothing comes. */
-    public boolean lost() {
+    public boolean losesMessage() {
         return loss > 0 && lossRandom.nextDouble() < loss;
     }
 
@@ -174,18 +197,18 @@
 
     /** The same request takes a little more or less on each server; which, is settled by its key. */
     double attemptNoise(ClientAttempt request, int server) {
-        double u = (RandomStreams.mix(request.key * 31 + server) >>> 11) * 0x1.0p-53;
+        double u = (RandomStreams.mix(request.key() * 31 + server) >>> 11) * 0x1.0p-53;
         return 1 + attemptNoise[0] * (2 * u - 1);
     }
 
     private long group(ClientAttempt request, Server server) {
         long group =
-                switch (scenario.classes().get(request.requestClass).scope()) {
+                switch (scenario.classes().get(request.requestClass()).scope()) {
                     case ALL -> 0;
-                    case ZONE -> 1 + scenario.zones().indexOf(server.zone);
-                    case CELL -> 1 + server.cell;
+                    case ZONE -> 1 + scenario.zones().indexOf(server.zone());
+                    case CELL -> 1 + server.cell();
                 };
-        return request.key * 10_007 + group;
+        return request.key() * 10_007 + group;
     }
 
     /**
@@ -193,10 +216,10 @@
      * client's next try begins a window of its own: clients repeat only while servers remember.
      */
     boolean withinWindow(ClientAttempt request, Server server) {
-        double window = scenario.classes().get(request.requestClass).windowMs() + WINDOW_SLACK_MS;
+        double window = scenario.classes().get(request.requestClass()).windowMs() + WINDOW_SLACK_MS;
         Key key = keys.computeIfAbsent(group(request, server), k -> new Key(now()));
-        if (key.request != request.id) {
-            key.request = request.id;
+        if (key.request != request.id()) {
+            key.request = request.id();
             key.firstAt = now();
         }
         return now() - key.firstAt <= window;
@@ -275,8 +298,8 @@
     /** Whether its server will not survive it; every try of one request is alike. */
     boolean poison(ClientAttempt request) {
         return poisonPart > 0
-                && (poisonKind < 0 || poisonKind == request.requestClass)
-                && (RandomStreams.mix(request.key ^ 0x5bd1e995) >>> 11) * 0x1.0p-53 < poisonPart;
+                && (poisonKind < 0 || poisonKind == request.requestClass())
+                && (RandomStreams.mix(request.key() ^ 0x5bd1e995) >>> 11) * 0x1.0p-53 < poisonPart;
     }
 
     void crashByPoison(Server server) {
@@ -288,15 +311,15 @@
     }
 
     void serverDied(Server server) {
-        list.noticeLoss(server, scenario.directory().noticeMs() * (0.5 + directoryRandom.nextDouble()));
+        directory.noticeLoss(server, scenario.directory().noticeMs() * (0.5 + directoryRandom.nextDouble()));
     }
 
     void restart(Server server, double afterMs) {
         int life = server.incarnation();
-        later(afterMs, () -> {
+        schedule(afterMs, () -> {
             if (server.incarnation() == life) {
                 server.start();
-                list.noticeStart(server);
+                directory.noticeStart(server);
             }
         });
     }
--- a/emulator/src/main/java/dewplank/emulator/loopback/DirectoryEndpoint.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/DirectoryEndpoint.java
@@ -48,7 +48,10 @@
         for (Endpoint e : entries) {
             JsonObject entry = new JsonObject();
             entry.addProperty("id", e.server());
-            entry.addProperty("addr", Addresses.text(addresses.apply(sidecar, world.byId.get(e.server()).number)));
+            entry.addProperty(
+                    "addr",
+                    Addresses.text(
+                            addresses.apply(sidecar, world.server(e.server()).number())));
             entry.addProperty("zone", e.zone());
             entry.addProperty("kind", e.kind());
             entry.addProperty("cell", e.cell());
@@ -80,12 +83,15 @@
             if (!target.startsWith("/catalog/members")) {
                 answer(MessageWriter.response(404).body(new byte[0]));
             } else if (at < 0) {
-                answer(MessageWriter.response(world.list.isDown() ? 503 : 200)
-                        .body(json(world.list.version(), true, world.list.endpoints())
+                answer(MessageWriter.response(world.directory().isDown() ? 503 : 200)
+                        .body(json(
+                                        world.directory().version(),
+                                        true,
+                                        world.directory().endpoints())
                                 .toString()
                                 .getBytes(StandardCharsets.UTF_8)));
             } else {
-                watch = world.list.watch(sidecar, index(target.substring(at + "index=".length())), this);
+                watch = world.directory().watch(sidecar, index(target.substring(at + "index=".length())), this);
             }
         }
 
@@ -124,9 +130,9 @@
         }
 
         private void quiet() {
-            world.later(QUIET_MS / 4, () -> {
+            world.schedule(QUIET_MS / 4, () -> {
                 if (open()) {
-                    if (world.now() - saidAt >= QUIET_MS && !world.list.isSilent()) {
+                    if (world.now() - saidAt >= QUIET_MS && !world.directory().isStalled()) {
                         line("");
                     }
                     quiet();
--- a/emulator/src/main/java/dewplank/emulator/loopback/LoopbackRun.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/LoopbackRun.java
@@ -81,8 +81,8 @@
         this.folder = Files.createTempDirectory("dewplank-lab");
         this.world = new World(scenario, seed, time, this::note);
         try {
-            for (int i = 0; i < world.servers.size(); i++) {
-                servers.add(new ServerEndpoint(loop, world, world.servers.get(i), tries));
+            for (int i = 0; i < world.servers().size(); i++) {
+                servers.add(new ServerEndpoint(loop, world, world.servers().get(i), tries));
             }
             for (int i = 0; i < scenario.sidecars(); i++) {
                 directories.add(new DirectoryEndpoint(
@@ -129,8 +129,8 @@
         return new Outcome(
                 sends,
                 opened,
-                world.list.calls(),
-                world.list.lines(),
+                world.directory().calls(),
+                world.directory().linesSent(),
                 peers == null ? 0 : peers.passedOn(),
                 peers == null ? 0 : peers.lost(),
                 time.latestMs(),
@@ -163,7 +163,14 @@
         config.addProperty("listen", Addresses.text(process.listen()));
         config.addProperty("discovery", Addresses.text(directories.get(sidecar).address()));
         config.addProperty("seed", Long.toHexString(dewplank.emulator.RandomStreams.mix(seed + 31L * sidecar + life)));
-        config.add("known", directories.get(sidecar).json(world.list.version(), true, world.list.endpoints()));
+        config.add(
+                "known",
+                directories
+                        .get(sidecar)
+                        .json(
+                                world.directory().version(),
+                                true,
+                                world.directory().endpoints()));
         config.add("settings", SidecarFile.settings(scenario.settings(sidecar)));
         if (peers != null) {
             config.addProperty("peer_listen", Addresses.text(peers.listen(sidecar)));
@@ -248,33 +255,33 @@
 
     @Override
     public void send(ClientAttempt t) {
-        tries.put(t.id, t);
-        world.later(REMEMBER_MS, () -> tries.remove(t.id));
-        Scenario.RequestKind kind = scenario.classes().get(t.requestClass);
+        tries.put(t.id(), t);
+        world.schedule(REMEMBER_MS, () -> tries.remove(t.id()));
+        Scenario.RequestKind kind = scenario.classes().get(t.requestClass());
         boolean safe = kind.idempotency() == Idempotency.SAFE;
         MessageWriter request = MessageWriter.request(safe ? "GET" : "POST", "/api", "api.internal")
-                .header("X-Trace-Id", Long.toHexString(t.id))
+                .header("X-Trace-Id", Long.toHexString(t.id()))
                 .header("X-Qos", kind.name())
-                .header("X-Expires-In-Ms", Long.toString(Math.max(1, Math.round(t.deadlineMs - t.sentAtMs))))
+                .header("X-Expires-In-Ms", Long.toString(Math.max(1, Math.round(t.deadlineMs() - t.sentAtMs()))))
                 .header(
                         "X-Customer",
-                        t.tenant < 0
+                        t.tenant() < 0
                                 ? null
-                                : scenario.subjects().tenants().get(t.tenant).name())
-                .header("Cookie", t.subjectKey < 0 ? null : "k=key-" + t.subjectKey)
+                                : scenario.subjects().tenants().get(t.tenant()).name())
+                .header("Cookie", t.subjectKey() < 0 ? null : "k=key-" + t.subjectKey())
                 .header(
                         "X-Second-ClientAttempt",
-                        t.isRetry && scenario.clients().marksRetries() ? "1" : null)
-                .header("Idempotency-Key", kind.idempotency() == Idempotency.KEYED ? Long.toHexString(t.key) : null);
+                        t.isRetry() && scenario.clients().marksRetries() ? "1" : null)
+                .header("Idempotency-Key", kind.idempotency() == Idempotency.KEYED ? Long.toHexString(t.key()) : null);
         ByteBuffer bytes = safe ? request.noBody() : request.body("{\"lines\":[]}".getBytes(StandardCharsets.US_ASCII));
         boolean[] answered = new boolean[1];
-        HttpClient.Call call = fronts.get(t.sidecar).call(bytes, (answer, body) -> {
+        HttpClient.Call call = fronts.get(t.sidecar()).call(bytes, (answer, body) -> {
             answered[0] = true;
-            calls.remove(t.id);
+            calls.remove(t.id());
             answered(t, answer, body);
         });
         if (!answered[0]) {
-            calls.put(t.id, call);
+            calls.put(t.id(), call);
         }
     }
 
@@ -305,7 +312,7 @@
 
     @Override
     public void abandon(ClientAttempt t) {
-        HttpClient.Call call = calls.remove(t.id);
+        HttpClient.Call call = calls.remove(t.id());
         if (call != null) {
             call.cancel();
         }
--- a/emulator/src/main/java/dewplank/emulator/loopback/PeerRelay.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/PeerRelay.java
@@ -105,7 +105,7 @@
             return;
         }
         onTheWay++;
-        world.later(delay, () -> {
+        world.schedule(delay, () -> {
             onTheWay--;
             try {
                 ends[pair.to()][pair.from()].send(ByteBuffer.wrap(said), listen[pair.to()]);
--- a/emulator/src/main/java/dewplank/emulator/loopback/ServerEndpoint.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/ServerEndpoint.java
@@ -39,9 +39,9 @@
         this.world = world;
         this.server = server;
         this.tries = tries;
-        this.addresses = new InetSocketAddress[world.scenario.sidecars()];
+        this.addresses = new InetSocketAddress[world.scenario().sidecars()];
         for (int i = 0; i < addresses.length; i++) {
-            addresses[i] = Addresses.server(i, server.number, world.servers.size());
+            addresses[i] = Addresses.server(i, server.number(), world.servers().size());
         }
         listen();
     }
@@ -91,8 +91,8 @@
         @Override
         protected void opened() {
             ends.add(this);
-            readyAt = world.now() + world.scenario.links().handshakeMs();
-            if (server.state() == Server.State.SILENT) {
+            readyAt = world.now() + world.scenario().links().handshakeMs();
+            if (server.state() == Server.State.VANISHED) {
                 return;
             }
             counted = server.connect();
@@ -118,9 +118,9 @@
 
         @Override
         protected boolean listens() {
-            return server.state() != Server.State.SILENT
+            return server.state() != Server.State.VANISHED
                     && life == server.incarnation()
-                    && !world.cut(sidecar, server.number);
+                    && !world.isPartitioned(sidecar, server.number());
         }
 
         @Override
@@ -130,7 +130,7 @@
             String target = request.target();
             if (target.equals("/ping")) {
                 boolean up = server.state() == Server.State.UP;
-                world.later(
+                world.schedule(
                         there + back,
                         () -> reply(MessageWriter.response(up ? 200 : 503).body(new byte[0])));
                 return;
@@ -146,21 +146,21 @@
                 return;
             }
             busy++;
-            world.later(there, () -> {
-                if (listens() && open() && !world.lost()) {
-                    server.offer(t, sidecar, (reply, inFlight) -> world.later(back, () -> done(t, reply, inFlight)));
+            world.schedule(there, () -> {
+                if (listens() && open() && !world.losesMessage()) {
+                    server.offer(t, sidecar, (reply, inFlight) -> world.schedule(back, () -> done(t, reply, inFlight)));
                 }
             });
         }
 
         /** One that stands idle for too long is closed, or forgotten without notice. */
         private void idle() {
-            double limit = world.scenario.links().idleMs();
+            double limit = world.scenario().links().idleMs();
             int then = ++idles;
             if (limit > 0) {
-                world.later(limit, () -> {
+                world.schedule(limit, () -> {
                     if (then == idles && busy == 0 && open()) {
-                        if (world.scenario.links().closeIsNoticed()) {
+                        if (world.scenario().links().closeIsNoticed()) {
                             end();
                         } else {
                             stale = true;
@@ -173,7 +173,7 @@
         private void done(ClientAttempt t, Server.Reply reply, double inFlight) {
             busy--;
             idle();
-            if (world.lost()) {
+            if (world.losesMessage()) {
                 return;
             }
             if (reply == Server.Reply.RESET) {
@@ -187,7 +187,7 @@
                         default -> MessageWriter.response(503).header("X-Never-Ran", "1");
                     };
             head.header("Endpoint-Load-Metrics", inFlight < 0 ? null : "TEXT rif=" + (long) inFlight);
-            reply(head.body(("made for " + t.id).getBytes(StandardCharsets.US_ASCII)));
+            reply(head.body(("made for " + t.id()).getBytes(StandardCharsets.US_ASCII)));
         }
 
         private void reply(ByteBuffer message) {
--- a/emulator/src/main/java/dewplank/emulator/virtualtime/Attempt.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/Attempt.java
@@ -58,7 +58,7 @@
     private void moveTo(State next) {
         boolean isAllowed = next instanceof Connected ? isConnecting() : !hasEnded();
         if (!isAllowed) {
-            throw new IllegalStateException("attempt " + index + " of request " + request.client.id
+            throw new IllegalStateException("attempt " + index + " of request " + request.client.id()
                     + " can't change from " + state + " to " + next);
         }
         state = next;
--- a/emulator/src/main/java/dewplank/emulator/virtualtime/AttemptSender.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/AttemptSender.java
@@ -42,7 +42,7 @@
             EventInbox inbox,
             Responder responder) {
         this.world = world;
-        this.scenario = world.scenario;
+        this.scenario = world.scenario();
         this.sidecar = sidecar;
         this.requests = requests;
         this.connections = connections;
@@ -62,7 +62,7 @@
 
     void send(Send action) {
         Optional<PendingRequest> request = requests.find(action.request());
-        Server server = world.byId.get(action.server());
+        Server server = world.server(action.server());
         if (request.isEmpty() || server == null || !maySend(request.get(), action)) {
             reportNeverSent(action, request);
             return;
@@ -70,7 +70,7 @@
         sentCount++;
         Attempt attempt = request.get().addAttempt(server, world.now());
         double remainingMs = remainingMs(attempt.request);
-        world.later(
+        world.schedule(
                 action.timeoutMs() == 0 ? remainingMs : Math.min(action.timeoutMs(), remainingMs),
                 () -> end(attempt, Outcome.TIMED_OUT, NO_LOAD_REPORT));
         Optional<IdleConnection> idle = connections.take(server);
@@ -90,7 +90,7 @@
     }
 
     private double remainingMs(PendingRequest request) {
-        return request.client.deadlineMs - world.now();
+        return request.client.deadlineMs() - world.now();
     }
 
     private void reportNeverSent(Send action, Optional<PendingRequest> request) {
@@ -112,7 +112,7 @@
         handshakeCount++;
         double timeoutMs = scenario.links().connectTimeoutMs();
         if (timeoutMs > 0) {
-            world.later(timeoutMs, () -> {
+            world.schedule(timeoutMs, () -> {
                 if (attempt.isConnecting()) {
                     end(attempt, Outcome.CONNECT_FAILED, NO_LOAD_REPORT);
                 }
@@ -120,7 +120,7 @@
         }
         double outboundMs = world.delay(sidecar, server);
         double returnMs = world.delay(sidecar, server);
-        world.later(outboundMs, () -> connectAtServer(attempt, returnMs));
+        world.schedule(outboundMs, () -> connectAtServer(attempt, returnMs));
     }
 
     private void connectAtServer(Attempt attempt, double returnMs) {
@@ -128,11 +128,11 @@
         if (attempt.hasEnded() || isUnreachable(server)) {
             return;
         }
-        if (server.state() == Server.State.DEAD) {
-            world.later(returnMs, () -> end(attempt, Outcome.CONNECT_FAILED, NO_LOAD_REPORT));
+        if (server.state() == Server.State.CRASHED) {
+            world.schedule(returnMs, () -> end(attempt, Outcome.CONNECT_FAILED, NO_LOAD_REPORT));
         } else if (server.connect()) {
             int serverIncarnation = server.incarnation();
-            world.later(returnMs + scenario.links().handshakeMs(), () -> {
+            world.schedule(returnMs + scenario.links().handshakeMs(), () -> {
                 if (attempt.hasEnded()) {
                     server.disconnect(serverIncarnation);
                 } else {
@@ -148,13 +148,13 @@
         Server server = attempt.server;
         double outboundMs = world.delay(sidecar, server);
         double returnMs = world.delay(sidecar, server);
-        world.later(outboundMs, () -> {
+        world.schedule(outboundMs, () -> {
             if (attempt.hasEnded() || isUnreachable(server)) {
                 return; // cancelled before its last byte arrived, or lost on the way
             }
-            if (isStale || !attempt.isConnectedToCurrentProcess() || server.state() == Server.State.DEAD) {
-                world.later(returnMs, () -> end(attempt, Outcome.RESET, NO_LOAD_REPORT));
-            } else if (!world.lost()) {
+            if (isStale || !attempt.isConnectedToCurrentProcess() || server.state() == Server.State.CRASHED) {
+                world.schedule(returnMs, () -> end(attempt, Outcome.RESET, NO_LOAD_REPORT));
+            } else if (!world.losesMessage()) {
                 offer(attempt, returnMs);
             }
         });
@@ -163,14 +163,14 @@
     private void offer(Attempt attempt, double returnMs) {
         Server server = attempt.server;
         server.offer(attempt.request.client, sidecar, (reply, load) -> {
-            if (!world.cut(sidecar, server.number) && !world.lost()) {
-                world.later(returnMs, () -> end(attempt, outcome(reply), load));
+            if (!world.isPartitioned(sidecar, server.number()) && !world.losesMessage()) {
+                world.schedule(returnMs, () -> end(attempt, outcome(reply), load));
             }
         });
     }
 
     private boolean isUnreachable(Server server) {
-        return server.state() == Server.State.SILENT || world.cut(sidecar, server.number);
+        return server.state() == Server.State.VANISHED || world.isPartitioned(sidecar, server.number());
     }
 
     private static Outcome outcome(Server.Reply reply) {
@@ -192,13 +192,13 @@
         request.attemptEnded();
         if (outcome == Outcome.SERVED && request.isOpen()) {
             request.finish();
-            responder.respond(request.client, Type.SERVED, (double) request.client.id);
+            responder.respond(request.client, Type.SERVED, (double) request.client.id());
         }
         requests.removeIfDone(request);
         inbox.add(new AttemptEnded(
-                request.client.id,
+                request.client.id(),
                 attempt.index,
-                attempt.server.id,
+                attempt.server.id(),
                 outcome,
                 world.now() - attempt.sentAtMs,
                 !request.isOpen(),
--- a/emulator/src/main/java/dewplank/emulator/virtualtime/ConnectionPool.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/ConnectionPool.java
@@ -23,7 +23,7 @@
 
     /** Takes an idle connection, and drops those whose end the sidecar has noticed. */
     Optional<IdleConnection> take(Server server) {
-        Deque<IdleConnection> connections = idle.getOrDefault(server.number, new ArrayDeque<>());
+        Deque<IdleConnection> connections = idle.getOrDefault(server.number(), new ArrayDeque<>());
         while (!connections.isEmpty()) {
             IdleConnection last = connections.removeLast();
             if (!endWasNoticed(last, server)) {
@@ -35,27 +35,28 @@
     }
 
     private boolean endWasNoticed(IdleConnection connection, Server server) {
-        ConnectionModel model = world.scenario.links();
+        ConnectionModel model = world.scenario().links();
         boolean processEnded = connection.serverIncarnation() != server.incarnation()
-                && !server.wentSilently(connection.serverIncarnation());
+                && !server.vanishedIn(connection.serverIncarnation());
         return processEnded || model.closeIsNoticed() && world.now() - connection.sinceMs() >= model.idleMs();
     }
 
     /** Whether the server has ended the connection, noticed or not. */
     boolean isStale(IdleConnection connection, Server server) {
         return connection.serverIncarnation() != server.incarnation()
-                || world.now() - connection.sinceMs() >= world.scenario.links().idleMs();
+                || world.now() - connection.sinceMs()
+                        >= world.scenario().links().idleMs();
     }
 
     /** Returns a connection to the process that the server runs now. */
     void putBack(Server server) {
-        idle.computeIfAbsent(server.number, n -> new ArrayDeque<>())
+        idle.computeIfAbsent(server.number(), n -> new ArrayDeque<>())
                 .addLast(new IdleConnection(server.incarnation(), world.now()));
     }
 
     /** Closes the idle connections to a server. */
     void close(Server server) {
-        Deque<IdleConnection> connections = idle.remove(server.number);
+        Deque<IdleConnection> connections = idle.remove(server.number());
         if (connections != null) {
             connections.forEach(c -> server.disconnect(c.serverIncarnation()));
         }
@@ -64,7 +65,7 @@
     /** Closes all idle connections. */
     void closeAll() {
         idle.forEach((server, connections) ->
-                connections.forEach(c -> world.servers.get(server).disconnect(c.serverIncarnation())));
+                connections.forEach(c -> world.servers().get(server).disconnect(c.serverIncarnation())));
         idle.clear();
     }
 
--- a/emulator/src/main/java/dewplank/emulator/virtualtime/DirectorySubscription.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/DirectorySubscription.java
@@ -34,7 +34,7 @@
     /** Opens a watch from the present version on, in place of an earlier one. */
     void subscribe() {
         close();
-        watch = Optional.of(world.list.watch(sidecar, version, new Updates(inbox.incarnation())));
+        watch = Optional.of(world.directory().watch(sidecar, version, new Updates(inbox.incarnation())));
     }
 
     /** Closes the watch, if there is one; a second call does nothing. */
--- a/emulator/src/main/java/dewplank/emulator/virtualtime/EmulatedSidecar.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/EmulatedSidecar.java
@@ -56,7 +56,7 @@
     protected EmulatedSidecar(VirtualRun run, int number) {
         this.run = run;
         this.world = run.world();
-        this.scenario = world.scenario;
+        this.scenario = world.scenario();
         this.number = number;
         this.connections = new ConnectionPool(world);
         this.attempts = new AttemptSender(world, number, requests, connections, inbox, this::respond);
@@ -89,9 +89,9 @@
         directory.close();
         requests.removeAll().forEach(this::lose);
         connections.closeAll();
-        List<Endpoint> endpoints = world.list.endpoints();
-        long listVersion = world.list.version();
-        world.later(restartAfterMs, () -> start(endpoints, listVersion));
+        List<Endpoint> endpoints = world.directory().endpoints();
+        long listVersion = world.directory().version();
+        world.schedule(restartAfterMs, () -> start(endpoints, listVersion));
     }
 
     private void moveTo(State next) {
@@ -105,7 +105,7 @@
     private void lose(PendingRequest request) {
         request.inFlight().forEach(attempts::abort);
         if (request.isOpen()) {
-            world.later(world.clientDelay(), () -> run.clients().answered(request.client, Type.UNREACHABLE, 0));
+            world.schedule(world.clientDelay(), () -> run.clients().answered(request.client, Type.UNREACHABLE, 0));
         }
     }
 
@@ -132,7 +132,7 @@
     /** A client has sent a request. It fails if the process ends before the request arrives. */
     void receive(ClientAttempt client) {
         int incarnation = inbox.incarnation();
-        world.later(world.clientDelay(), () -> {
+        world.schedule(world.clientDelay(), () -> {
             if (state != State.RUNNING || inbox.incarnation() != incarnation) {
                 run.clients().answered(client, Type.UNREACHABLE, 0);
                 return;
@@ -144,22 +144,22 @@
 
     private RequestArrived arrival(ClientAttempt client) {
         return new RequestArrived(
-                client.id,
-                client.tenant < 0
+                client.id(),
+                client.tenant() < 0
                         ? null
-                        : scenario.subjects().tenants().get(client.tenant).name(),
-                client.subjectKey < 0 ? null : "key-" + client.subjectKey,
-                client.isRetry && scenario.clients().marksRetries(),
-                scenario.classes().get(client.requestClass).name(),
-                Math.max(1, client.deadlineMs - world.now()),
+                        : scenario.subjects().tenants().get(client.tenant()).name(),
+                client.subjectKey() < 0 ? null : "key-" + client.subjectKey(),
+                client.isRetry() && scenario.clients().marksRetries(),
+                scenario.classes().get(client.requestClass()).name(),
+                Math.max(1, client.deadlineMs() - world.now()),
                 null);
     }
 
     /** A client has closed its connection. */
     void abandon(ClientAttempt client) {
-        world.later(world.clientDelay(), () -> requests.findOpen(client.id).ifPresent(request -> {
+        world.schedule(world.clientDelay(), () -> requests.findOpen(client.id()).ifPresent(request -> {
             requests.finish(request);
-            inbox.add(new RequestAbandoned(client.id));
+            inbox.add(new RequestAbandoned(client.id()));
         }));
     }
 
@@ -170,7 +170,7 @@
      * @param value as {@link Type} defines it
      */
     protected void respond(ClientAttempt client, Type type, double value) {
-        world.later(world.clientDelay(), () -> run.clients().answered(client, type, value));
+        world.schedule(world.clientDelay(), () -> run.clients().answered(client, type, value));
     }
 
     private void finish(long id, Type type, double value) {
@@ -207,7 +207,7 @@
             finish(a.request(), Type.FAILED, 0);
         } else if (action instanceof SetTimer a) {
             int incarnation = inbox.incarnation();
-            world.later(a.delayMs(), () -> inbox.add(incarnation, new TimerFired(a.timer())));
+            world.schedule(a.delayMs(), () -> inbox.add(incarnation, new TimerFired(a.timer())));
         } else if (action instanceof Subscribe) {
             directory.subscribe();
         } else if (action instanceof CheckHealth a) {
@@ -221,7 +221,7 @@
 
     /** Empty for an id that the world does not have. */
     private Optional<Server> server(String id) {
-        return Optional.ofNullable(world.byId.get(id));
+        return Optional.ofNullable(world.server(id));
     }
 
     // ---- peers ----------------------------------------------------------------------------------------
--- a/emulator/src/main/java/dewplank/emulator/virtualtime/HealthChecker.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/HealthChecker.java
@@ -29,10 +29,10 @@
         int incarnation = inbox.incarnation();
         double sentAtMs = world.now();
         double roundTripMs = world.delay(sidecar, server) + world.delay(sidecar, server);
-        boolean isLost = server.state() == Server.State.SILENT || world.cut(sidecar, server.number);
-        world.later(isLost ? TIMEOUT_MS : roundTripMs, () -> {
+        boolean isLost = server.state() == Server.State.VANISHED || world.isPartitioned(sidecar, server.number());
+        world.schedule(isLost ? TIMEOUT_MS : roundTripMs, () -> {
             boolean isServing = !isLost && server.state() == Server.State.UP;
-            inbox.add(incarnation, new HealthChecked(server.id, isServing, world.now() - sentAtMs, null));
+            inbox.add(incarnation, new HealthChecked(server.id(), isServing, world.now() - sentAtMs, null));
         });
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/virtualtime/PendingRequest.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/PendingRequest.java
@@ -36,7 +36,7 @@
     /** The client gets its answer, or has left. */
     void finish() {
         if (state != State.OPEN) {
-            throw new IllegalStateException("request " + client.id + " is finished twice");
+            throw new IllegalStateException("request " + client.id() + " is finished twice");
         }
         state = State.FINISHED;
     }
--- a/emulator/src/main/java/dewplank/emulator/virtualtime/RequestTable.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/RequestTable.java
@@ -13,7 +13,7 @@
     private final Map<Long, PendingRequest> requests = new HashMap<>();
 
     void add(ClientAttempt client) {
-        requests.put(client.id, new PendingRequest(client));
+        requests.put(client.id(), new PendingRequest(client));
     }
 
     /** Empty once the request is done. */
@@ -35,14 +35,14 @@
     /** Drops a request to which nothing more can happen. */
     void removeIfDone(PendingRequest request) {
         if (request.isDone()) {
-            requests.remove(request.client.id);
+            requests.remove(request.client.id());
         }
     }
 
     /** Empties the table; what it held, by id. */
     List<PendingRequest> removeAll() {
         List<PendingRequest> removed = new ArrayList<>(requests.values());
-        removed.sort(Comparator.comparingLong(r -> r.client.id));
+        removed.sort(Comparator.comparingLong(r -> r.client.id()));
         requests.clear();
         return removed;
     }
--- a/emulator/src/main/java/dewplank/emulator/virtualtime/VirtualRun.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/VirtualRun.java
@@ -87,8 +87,8 @@
 
     /** Plays the scenario, and on until every client has its end. */
     public Cost run() {
-        List<Endpoint> endpoints = world.list.endpoints();
-        long version = world.list.version();
+        List<Endpoint> endpoints = world.directory().endpoints();
+        long version = world.directory().version();
         sidecars.forEach(s -> s.start(endpoints, version));
         FaultInjector.schedule(world, (n, back) -> sidecars.get(n).kill(back));
         clients.start();
@@ -104,8 +104,8 @@
                 sum(EmulatedSidecar::attemptsSent),
                 sum(EmulatedSidecar::healthChecks),
                 sum(EmulatedSidecar::handshakes),
-                world.list.calls(),
-                world.list.lines(),
+                world.directory().calls(),
+                world.directory().linesSent(),
                 sidecars.stream().mapToInt(EmulatedSidecar::openConnections).sum());
     }
 
@@ -131,12 +131,12 @@
 
     @Override
     public void send(ClientAttempt request) {
-        sidecars.get(request.sidecar).receive(request);
+        sidecars.get(request.sidecar()).receive(request);
     }
 
     @Override
     public void abandon(ClientAttempt request) {
-        sidecars.get(request.sidecar).abandon(request);
+        sidecars.get(request.sidecar()).abandon(request);
     }
 
     /** To each other sidecar, late or not at all. */
@@ -144,7 +144,7 @@
         for (EmulatedSidecar to : sidecars) {
             double delay = to.number == from ? -1 : world.messageDelay();
             if (delay >= 0) {
-                world.later(delay, () -> to.receiveSummary(from, summary));
+                world.schedule(delay, () -> to.receiveSummary(from, summary));
             }
         }
     }
@@ -155,7 +155,7 @@
         if (!isTickScheduled) {
             isTickScheduled = true;
             double tick = scenario.tickMs();
-            world.later((Math.floor(time.now() / tick + 1e-9) + 1) * tick - time.now(), this::tick);
+            world.schedule((Math.floor(time.now() / tick + 1e-9) + 1) * tick - time.now(), this::tick);
         }
     }
 
--- a/emulator/src/test/java/dewplank/emulator/EndpointDirectoryTest.java
+++ b/emulator/src/test/java/dewplank/emulator/EndpointDirectoryTest.java
@@ -39,7 +39,7 @@
     }
 
     private EndpointDirectory.Watch watch(long since) {
-        return world.list.watch(0, since, new EndpointDirectory.Watcher() {
+        return world.directory().watch(0, since, new EndpointDirectory.Watcher() {
             @Override
             public void updated(long version, boolean full, List<Endpoint> entries) {
                 heard.add((full ? "full " : "changes ") + entries.size());
@@ -55,9 +55,9 @@
     @Test
     public void aLossIsNoticedLateAndAReturnThatWasQuickerIsNoLoss() {
         world("notice_s = 2, add_s = 0.5, period_ms = 100, calls_per_s = 1000");
-        watch(world.list.version());
-        Server quick = world.servers.get(0);
-        Server lost = world.servers.get(1);
+        watch(world.directory().version());
+        Server quick = world.servers().get(0);
+        Server lost = world.servers().get(1);
         quick.crash();
         world.serverDied(quick);
         world.restart(quick, 100);
@@ -90,11 +90,11 @@
         world("period_ms = 100, calls_per_s = 1000");
         watch(1);
         time.runUntil(100);
-        world.list.setSilent(true);
-        world.list.set(world.servers.get(2), Availability.DRAINING);
+        world.directory().setStalled(true);
+        world.directory().set(world.servers().get(2), Availability.DRAINING);
         time.runUntil(1_000);
         assertEquals(List.of("changes 0"), heard);
-        world.list.setDown(true);
+        world.directory().setDown(true);
         assertEquals(2, heard.size());
         assertTrue(heard.get(1).startsWith("ended"));
     }
@@ -102,9 +102,9 @@
     @Test
     public void whoIsFarBehindGetsTheWholeList() {
         world("period_ms = 100, calls_per_s = 1000");
-        Server s = world.servers.get(0);
+        Server s = world.servers().get(0);
         for (int i = 0; i < 5_000; i++) {
-            world.list.set(s, i % 2 == 0 ? Availability.DRAINING : Availability.UP);
+            world.directory().set(s, i % 2 == 0 ? Availability.DRAINING : Availability.UP);
         }
         watch(1);
         time.runUntil(50);
--- a/emulator/src/test/java/dewplank/emulator/ServerTest.java
+++ b/emulator/src/test/java/dewplank/emulator/ServerTest.java
@@ -48,7 +48,7 @@
 
     private void offer(World world, long id, double work) {
         double at = world.now();
-        world.servers
+        world.servers()
                 .get(0)
                 .offer(new ClientAttempt(id, 0, id, work, 0, false, at, at + 60_000, null), 0, (reply, load) -> {
                     replies.add(reply);
@@ -60,8 +60,8 @@
     @Test
     public void sharedProcessorsTakeAsLongAsTheorySays() {
         World world = world("error_rate = 0");
-        DoubleSupplier gap = RandomStreams.exponential(world.draws.stream("gap", 0));
-        DoubleSupplier work = RandomStreams.exponential(world.draws.stream("work", 0));
+        DoubleSupplier gap = RandomStreams.exponential(world.randomStreams().stream("gap", 0));
+        DoubleSupplier work = RandomStreams.exponential(world.randomStreams().stream("work", 0));
         double at = 0;
         for (int i = 0; i < 60_000; i++) {
             at += gap.getAsDouble() * 100 / 0.6;
@@ -88,11 +88,11 @@
     public void aProcessThatDiesResetsAndASilentMachineSaysNothing() {
         World world = world("cold_s = 0");
         offer(world, 1, 100);
-        world.servers.get(0).crash();
+        world.servers().get(0).crash();
         assertEquals(List.of(Reply.RESET), replies);
-        world.servers.get(0).start();
+        world.servers().get(0).start();
         offer(world, 2, 100);
-        world.servers.get(0).vanish();
+        world.servers().get(0).vanish();
         time.runUntil(10_000);
         assertEquals(List.of(Reply.RESET), replies);
         assertEquals(0, notes.stream().filter(n -> n.type() == Type.EFFECT).count());
@@ -101,7 +101,7 @@
     @Test
     public void aColdServerTakesLongerAndFallsUnderTooMuch() {
         World world = world("cold_s = 20, cold_share = 0.25");
-        Server server = world.servers.get(0);
+        Server server = world.servers().get(0);
         server.crash();
         server.start();
         offer(world, 1, 100);
@@ -110,7 +110,7 @@
         for (int i = 2; i < 2_000 && server.state() == Server.State.UP; i++) {
             offer(world, i, 100);
         }
-        assertEquals(Server.State.DEAD, server.state());
+        assertEquals(Server.State.CRASHED, server.state());
         assertEquals(
                 1, notes.stream().filter(n -> n.type() == Type.SERVER_COLLAPSED).count());
     }
@@ -118,7 +118,7 @@
     @Test
     public void oneThatIsCrowdedTurnsSlowAndRecoversOnlyAfterARest() {
         World world = world("choke = { at = 10, over_s = 1, slower = 4, rest_s = 2, below = 0.5, most_s = 100 }");
-        Server server = world.servers.get(0);
+        Server server = world.servers().get(0);
         for (int i = 0; i < 20; i++) {
             offer(world, i, 200);
         }
@@ -139,10 +139,10 @@
             offer(world, i, 1);
         }
         time.runUntil(15);
-        assertEquals(10, world.servers.get(0).requestsInFlight());
+        assertEquals(10, world.servers().get(0).requestsInFlight());
         offer(world, 11, 1);
         time.runUntil(20);
-        assertEquals(0, world.servers.get(0).backlog(), 1e-6);
+        assertEquals(0, world.servers().get(0).backlog(), 1e-6);
         time.runUntil(60_000);
         assertEquals(11, replies.size());
         assertTrue("mean " + times, times.stream().mapToDouble(d -> d).average().orElse(0) > 300);
@@ -162,7 +162,7 @@
     private double alone(World world, long id, int about) {
         double at = world.now();
         double[] took = new double[1];
-        world.servers
+        world.servers()
                 .get(0)
                 .offer(
                         new ClientAttempt(id, 0, id, 100, 0, false, at, at + 60_000, null, -1, about),
@@ -177,7 +177,7 @@
         World world = world("speed = 2");
         offer(world, 1, 100);
         time.runUntil(10);
-        world.servers.get(0).pause(200);
+        world.servers().get(0).pause(200);
         time.runUntil(1_000);
         double least = 200 + 100 * 0.85 / 2;
         assertTrue("took " + times, times.get(0) >= least && times.get(0) <= 200 + 100 * 1.15 / 2 + 1);
--- a/lab/src/main/java/dewplank/lab/LiveTrial.java
+++ b/lab/src/main/java/dewplank/lab/LiveTrial.java
@@ -80,7 +80,7 @@
         begun = playing.now();
         service = new Service(scenario, begun);
         lines.accept("second  asked  served  refused  failed  sends  servers up");
-        world.later(LINE_MS, this::line);
+        world.schedule(LINE_MS, this::line);
         return service;
     }
 
@@ -108,8 +108,9 @@
     }
 
     private void line() {
-        long up =
-                world.servers.stream().filter(s -> s.state() == Server.State.UP).count();
+        long up = world.servers().stream()
+                .filter(s -> s.state() == Server.State.UP)
+                .count();
         lines.accept(String.format(
                 Locale.ROOT,
                 "%6d %6d %7d %8d %7d %6d %6d of %d",
@@ -120,10 +121,10 @@
                 others,
                 sends,
                 up,
-                world.servers.size()));
+                world.servers().size()));
         asked = served = refused = others = sends = 0;
         if (world.now() - begun < scenario.lengthMs() + LINE_MS / 2) {
-            world.later(LINE_MS, this::line);
+            world.schedule(LINE_MS, this::line);
         }
     }
 }
--- a/lab/src/main/java/dewplank/lab/LossSplit.java
+++ b/lab/src/main/java/dewplank/lab/LossSplit.java
@@ -93,7 +93,7 @@
     /** Whether a first attempt begun now would likely have been in time, by the aim of its class. */
     private boolean room(RecordedEvent n) {
         Scenario.RequestKind kind = scenario.classes().get(n.requestClass());
-        for (Server s : world.servers) {
+        for (Server s : world.servers()) {
             if (s.expectedMs(kind.work(), 0) <= kind.targetLatencyMs()) {
                 return true;
             }
--- a/lab/src/main/java/dewplank/lab/policies/Policies.java
+++ b/lab/src/main/java/dewplank/lab/policies/Policies.java
@@ -146,7 +146,7 @@
             super(settings, seed);
             this.world = world;
             this.onTheWay = ON_THE_WAY.computeIfAbsent(world, w -> new HashMap<>());
-            world.scenario.classes().forEach(k -> works.put(k.name(), k.work()));
+            world.scenario().classes().forEach(k -> works.put(k.name(), k.work()));
         }
 
         /** Each server's capacity is known, so none needs a slow start of its own. */
@@ -160,7 +160,7 @@
             Peer best = null;
             soonest = Double.POSITIVE_INFINITY;
             for (Peer p : from) {
-                double time = time(world.byId.get(p.entry.server()));
+                double time = time(world.server(p.entry.server()));
                 if (time < soonest) {
                     soonest = time;
                     best = p;
@@ -178,13 +178,13 @@
         }
 
         private double time(Server s) {
-            return s.expectedMs(world.scenario.meanWork(), coming(s));
+            return s.expectedMs(world.scenario().meanWork(), coming(s));
         }
 
         @Override
         void sent(Peer p) {
-            coming(world.byId.get(p.entry.server()));
-            onTheWay.get(world.byId.get(p.entry.server())).addLast(now);
+            coming(world.server(p.entry.server()));
+            onTheWay.get(world.server(p.entry.server())).addLast(now);
         }
 
         /** Where not all can be served, worth by work decides. */
--- a/lab/src/test/java/dewplank/lab/Broken.java
+++ b/lab/src/test/java/dewplank/lab/Broken.java
@@ -148,7 +148,7 @@
         @Override
         protected void respond(ClientAttempt t, Type what, double value) {
             super.respond(t, what, value);
-            if (t.id % 100 == 0) {
+            if (t.id() % 100 == 0) {
                 super.respond(t, Type.FAILED, 0);
             }
         }
@@ -164,9 +164,9 @@
 
         @Override
         protected void respond(ClientAttempt t, Type what, double value) {
-            boolean mix = what == Type.SERVED && t.id % 100 == 0 && last >= 0;
+            boolean mix = what == Type.SERVED && t.id() % 100 == 0 && last >= 0;
             super.respond(t, what, mix ? last : value);
-            last = what == Type.SERVED ? t.id : last;
+            last = what == Type.SERVED ? t.id() : last;
         }
     }
 }
--- a/lab/src/test/java/dewplank/lab/BuoysTest.java
+++ b/lab/src/test/java/dewplank/lab/BuoysTest.java
@@ -136,9 +136,9 @@
 
         @Override
         protected byte[] peerSummary(byte[] summary) {
-            List<Integer> some = world.servers.stream()
-                    .limit(world.servers.size() / 3)
-                    .map(s -> s.id.hashCode())
+            List<Integer> some = world.servers().stream()
+                    .limit(world.servers().size() / 3)
+                    .map(s -> s.id().hashCode())
                     .toList();
             return new PeerSummary(PeerSummary.decode(summary).createdAtMs(), some).encode();
         }
