--- a/emulator/src/main/java/dewplank/emulator/EndpointDirectory.java
+++ b/emulator/src/main/java/dewplank/emulator/EndpointDirectory.java
@@ -69,7 +69,7 @@
     }
 
     private Endpoint entry(Server s, Availability availability) {
-        double started = s.startedAt();
+        double started = s.startedAtMs();
         return new Endpoint(
                 s.id(),
                 s.zone(),
--- a/emulator/src/main/java/dewplank/emulator/FaultInjector.java
+++ b/emulator/src/main/java/dewplank/emulator/FaultInjector.java
@@ -56,14 +56,17 @@
         switch (f.kind()) {
             case CRASH -> some(f.affectedShare(), random).forEach(s -> lose(s, false, f.forMs()));
             case VANISH -> some(f.affectedShare(), random).forEach(s -> lose(s, true, f.forMs()));
-            case SLOW -> during(f, random, s -> s.slowBy(Math.max(1, f.magnitude())), s -> s.slowBy(1));
+            case SLOW -> during(f, random, s -> s.setSlowdown(Math.max(1, f.magnitude())), s -> s.setSlowdown(1));
             case PAUSE -> beat(
                     f, some(f.affectedShare(), random), world.now() + f.forMs(), s -> s.pause(f.magnitude()));
             case NEIGHBOUR -> neighbour(f, some(f.affectedShare(), random), world.now() + f.forMs(), true);
             case DEPLOY -> deploy(f, shuffled(world.servers().size(), f.affectedShare(), random), 0);
             case CLASS_ERRORS -> classErrors(f, some(f.affectedShare(), random));
-            case LOST_ANSWERS -> during(f, random, s -> s.lostAnswerRate = f.magnitude(), s -> s.lostAnswerRate = 0);
-            case RESETS -> during(f, random, s -> s.resetRate = f.magnitude(), s -> s.resetRate = 0);
+            case LOST_ANSWERS -> during(
+                    f, random, s -> s.faultRates().setLostResponseRate(f.magnitude()), s -> s.faultRates()
+                            .setLostResponseRate(0));
+            case RESETS -> during(f, random, s -> s.faultRates().setResetRate(f.magnitude()), s -> s.faultRates()
+                    .setResetRate(0));
             case POISON -> {
                 world.setPoison(
                         f.target() == null ? -1 : world.scenario().classNames().indexOf(f.target()), f.magnitude());
@@ -78,7 +81,9 @@
                 world.setLoadFactor(f.magnitude());
                 world.schedule(f.forMs(), () -> world.setLoadFactor(1));
             }
-            case ERRORS -> during(f, random, s -> s.immediateErrorRate = f.magnitude(), s -> s.immediateErrorRate = 0);
+            case ERRORS -> during(
+                    f, random, s -> s.faultRates().setImmediateErrorRate(f.magnitude()), s -> s.faultRates()
+                            .setImmediateErrorRate(0));
             case TENANT_LOAD -> {
                 int tenant = world.scenario().subjects().tenants().stream()
                         .map(Scenario.TenantLoad::name)
@@ -120,7 +125,7 @@
 
     private void neighbour(Fault f, List<Server> hit, double until, boolean on) {
         boolean over = world.now() >= until;
-        hit.forEach(s -> s.setNeighbourShare(on && !over ? Math.min(0.95, f.magnitude()) : 0));
+        hit.forEach(s -> s.setNeighbourFraction(on && !over ? Math.min(0.95, f.magnitude()) : 0));
         if (!over) {
             world.schedule(f.everyMs(), () -> neighbour(f, hit, until, !on));
         }
@@ -156,10 +161,8 @@
 
     private void classErrors(Fault f, List<Server> hit) {
         int kind = world.scenario().classNames().indexOf(f.target());
-        hit.forEach(s -> s.errorRate[kind] = f.magnitude());
-        world.schedule(
-                f.forMs(),
-                () -> hit.forEach(s -> s.errorRate[kind] = s.machine().errorRate()));
+        hit.forEach(s -> s.faultRates().setErrorRate(kind, f.magnitude()));
+        world.schedule(f.forMs(), () -> hit.forEach(s -> s.faultRates().resetErrorRate(kind)));
     }
 
     /** Batch after batch: listed as draining, given time, ended, started anew and cold. */
--- /dev/null
+++ b/emulator/src/main/java/dewplank/emulator/KeyCache.java
@@ -0,0 +1,38 @@
+package dewplank.emulator;
+
+import dewplank.emulator.Scenario.Keys;
+import java.util.LinkedHashMap;
+import java.util.Map;
+
+/** The keys that a server's process has worked on lately; the least recently used are evicted. */
+final class KeyCache {
+    private final Keys rules;
+    private final LinkedHashMap<Integer, Double> usedAtMs;
+
+    KeyCache(Keys rules, int cores) {
+        this.rules = rules;
+        int maxKeys = (int) Math.max(1, cores * rules.maxKeysPerCore());
+        this.usedAtMs = new LinkedHashMap<>(16, 0.75f, true) {
+            private static final long serialVersionUID = 1L;
+
+            @Override
+            protected boolean removeEldestEntry(Map.Entry<Integer, Double> eldest) {
+                return size() > maxKeys;
+            }
+        };
+    }
+
+    /** Uses a key: answers the part of a request's work that its cache entry saves, and caches it from now on. */
+    double use(int key, double nowMs) {
+        if (key < 0) {
+            return 0;
+        }
+        Double lastUsedAtMs = usedAtMs.get(key);
+        usedAtMs.put(key, nowMs);
+        return lastUsedAtMs != null && nowMs - lastUsedAtMs <= rules.cacheMs() ? rules.savedWorkShare() : 0;
+    }
+
+    void clear() {
+        usedAtMs.clear();
+    }
+}
--- /dev/null
+++ b/emulator/src/main/java/dewplank/emulator/LoadReporter.java
@@ -0,0 +1,33 @@
+package dewplank.emulator;
+
+import dewplank.emulator.Scenario.Reports;
+import org.apache.commons.rng.UniformRandomProvider;
+
+/** The load that a server reports with its responses: the requests in flight, refreshed at intervals, with noise. */
+final class LoadReporter {
+    /** In place of a report where there is none. */
+    static final double NO_REPORT = -1;
+
+    private final Reports rules;
+    private final UniformRandomProvider random;
+    private double reported;
+    private double refreshedAtMs = Double.NEGATIVE_INFINITY;
+
+    LoadReporter(Reports rules, UniformRandomProvider random) {
+        this.rules = rules;
+        this.random = random;
+    }
+
+    /** The report to send now, or {@link #NO_REPORT}. */
+    double report(int requestsInFlight, double nowMs) {
+        if (!rules.enabled()) {
+            return NO_REPORT;
+        }
+        if (nowMs - refreshedAtMs >= rules.periodMs()) {
+            refreshedAtMs = nowMs;
+            double noise = rules.noise() * (2 * random.nextDouble() - 1);
+            reported = Math.max(0, Math.rint(requestsInFlight * (1 + noise)));
+        }
+        return reported;
+    }
+}
--- /dev/null
+++ b/emulator/src/main/java/dewplank/emulator/OverloadMonitor.java
@@ -0,0 +1,133 @@
+package dewplank.emulator;
+
+import dewplank.emulator.Scenario.OverloadSlowdown;
+import java.util.function.Consumer;
+import java.util.function.IntSupplier;
+
+/**
+ * Decides when a server that has had too many requests for too long slows down, and when it recovers, by the rules of
+ * its {@link OverloadSlowdown}.
+ */
+final class OverloadMonitor {
+    /** Timers fire at their time up to rounding. */
+    private static final double ROUNDING_MS = 1e-6;
+
+    private enum Phase {
+        NORMAL,
+        /** Above the bound, at the usual speed. */
+        OVERLOADED,
+        SLOWED_DOWN,
+        /** Slowed down, with few enough requests to recover. */
+        RECOVERING;
+
+        private boolean canBecome(Phase next) {
+            return switch (this) {
+                case NORMAL -> next == OVERLOADED;
+                case OVERLOADED -> next == NORMAL || next == SLOWED_DOWN;
+                case SLOWED_DOWN -> next == RECOVERING || next == NORMAL;
+                case RECOVERING -> next == SLOWED_DOWN || next == NORMAL;
+            };
+        }
+    }
+
+    private final World world;
+    private final OverloadSlowdown rules;
+    private final double maxInFlight;
+    private final IntSupplier requestsInFlight;
+    private final Consumer<Boolean> onSlowdownChanged;
+    private Phase phase = Phase.NORMAL;
+    private double phaseSinceMs;
+    private double slowedDownAtMs;
+    private int processes;
+
+    /** {@code onSlowdownChanged} is called with true when the slowdown begins, with false when it ends. */
+    OverloadMonitor(
+            World world,
+            OverloadSlowdown rules,
+            int cores,
+            IntSupplier requestsInFlight,
+            Consumer<Boolean> onSlowdownChanged) {
+        this.world = world;
+        this.rules = rules;
+        this.maxInFlight = rules.maxRequestsPerCore() * cores;
+        this.requestsInFlight = requestsInFlight;
+        this.onSlowdownChanged = onSlowdownChanged;
+    }
+
+    boolean isSlowedDown() {
+        return phase == Phase.SLOWED_DOWN || phase == Phase.RECOVERING;
+    }
+
+    /** The number of requests has changed, or a duration of the rules has passed. */
+    void update() {
+        if (rules.maxRequestsPerCore() <= 0) {
+            return;
+        }
+        int inFlight = requestsInFlight.getAsInt();
+        boolean isOverloaded = inFlight > maxInFlight;
+        boolean isTooBusyToRecover = inFlight > rules.recoveryFactor() * maxInFlight;
+        switch (phase) {
+            case NORMAL -> {
+                if (isOverloaded) {
+                    enter(Phase.OVERLOADED);
+                    world.schedule(rules.triggerMs(), this::update);
+                }
+            }
+            case OVERLOADED -> {
+                if (!isOverloaded) {
+                    enter(Phase.NORMAL);
+                } else if (hasLasted(rules.triggerMs())) {
+                    slowDown();
+                }
+            }
+            case SLOWED_DOWN -> {
+                if (!isTooBusyToRecover) {
+                    enter(Phase.RECOVERING);
+                    world.schedule(rules.recoveryMs(), this::update);
+                }
+            }
+            case RECOVERING -> {
+                if (isTooBusyToRecover) {
+                    enter(Phase.SLOWED_DOWN);
+                } else if (hasLasted(rules.recoveryMs())) {
+                    recover();
+                }
+            }
+        }
+    }
+
+    private boolean hasLasted(double durationMs) {
+        return world.now() - phaseSinceMs >= durationMs - ROUNDING_MS;
+    }
+
+    private void enter(Phase next) {
+        if (!phase.canBecome(next)) {
+            throw new IllegalStateException(phase + " cannot become " + next);
+        }
+        phase = next;
+        phaseSinceMs = world.now();
+    }
+
+    private void slowDown() {
+        enter(Phase.SLOWED_DOWN);
+        slowedDownAtMs = world.now();
+        int process = processes;
+        world.schedule(rules.maxMs(), () -> {
+            if (isSlowedDown() && process == processes && world.now() - slowedDownAtMs >= rules.maxMs() - ROUNDING_MS) {
+                recover();
+            }
+        });
+        onSlowdownChanged.accept(true);
+    }
+
+    private void recover() {
+        enter(Phase.NORMAL);
+        onSlowdownChanged.accept(false);
+    }
+
+    /** The process ended: the next one starts without overload, and is not bound by the longest slowdown of this one. */
+    void processEnded() {
+        processes++;
+        phase = Phase.NORMAL;
+    }
+}
--- a/emulator/src/main/java/dewplank/emulator/Server.java
+++ b/emulator/src/main/java/dewplank/emulator/Server.java
@@ -4,149 +4,112 @@
 import dewplank.emulator.RecordedEvent.Type;
 import dewplank.emulator.Scenario.MachineType;
 import java.util.ArrayDeque;
-import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.HashSet;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
-import java.util.PriorityQueue;
 import java.util.Set;
 import java.util.function.DoubleSupplier;
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * One server: cores shared by the requests in its slots (processor sharing), a queue beyond them, and refusal beyond
- * that. Its speed depends on warmth, on a neighbour, on pauses, on how crowded it is and on its table of connections.
+ * An emulated server and its processes, one after the other: requests in slots share its cores, those beyond the slots
+ * wait in a queue, and those beyond the queue are rejected.
  *
- * <p>Attained service V is the work done for each request in a slot so far; a request that came at V with work w is
- * done at V + w (Kleinrock, Queueing Systems II, 4.4). So one number moves, however many requests there are.
+ * <p>All calls are made on the world's thread. Work is in milliseconds of a standard core.
  */
 public final class Server {
-    /** How an offer of work ended. A lost answer and a silent machine call nobody. */
+    /** How a request ended at the server. A lost response and a vanished machine call no handler. */
     public enum Reply {
         OK,
         ERROR,
+        /** The server did not work on it. */
         NEVER_RAN,
         RESET
     }
 
+    /** Takes the end of a request, on the world's thread. */
     public interface ResponseHandler {
-        /** {@code inFlight}: the load report, or -1. */
-        void onReply(Reply reply, double inFlight);
+        /** {@code loadReport}: the requests in flight that the server reports, or negative where it reports none. */
+        void onReply(Reply reply, double loadReport);
     }
 
+    /** State of the server's process and machine. */
     public enum State {
         UP,
+        /** It ends what it has and rejects the rest. */
         DRAINING,
+        /** The process ended: connections are reset and new ones refused. */
         CRASHED,
-        VANISHED
-    }
-
-    private static final double COLD_STEP_MS = 50;
-    private static final double DONE = 1e-6;
-
-    /** One request at the server. */
-    private static final class Job implements Comparable<Job> {
-        final ClientAttempt request;
-        final double work;
-        final ResponseHandler handler;
-        final boolean isDeduplicated;
-        double doneAtWork;
-        long arrivalOrder;
-
-        /** {@code known}: of a keyed one, whether its repeats are recognised. */
-        Job(ClientAttempt request, double work, ResponseHandler answer, boolean known) {
-            this.request = request;
-            this.isDeduplicated = known;
-            this.work = work;
-            this.handler = answer;
-        }
+        /** The machine is gone: nothing comes back from it. */
+        VANISHED;
 
-        @Override
-        public int compareTo(Job other) {
-            int byWork = Double.compare(doneAtWork, other.doneAtWork);
-            return byWork != 0 ? byWork : Long.compare(arrivalOrder, other.arrivalOrder);
+        private boolean canBecome(State next) {
+            return switch (this) {
+                case UP -> next != UP;
+                case DRAINING -> next == DRAINING || next == CRASHED;
+                case CRASHED, VANISHED -> next == UP;
+            };
         }
     }
 
-    private record OfferedWork(double at, double work) {}
-
+    private final World world;
     private final int number;
     private final String id;
     private final String zone;
     private final int cell;
     private final MachineType machine;
-    private final World world;
-    private final double speed;
-    private final UniformRandomProvider random;
     private final int slots;
     private final int maxQueued;
-    private final PriorityQueue<Job> running = new PriorityQueue<>();
-    private final ArrayDeque<Job> queue = new ArrayDeque<>();
-    private final ArrayDeque<OfferedWork> offeredWhileCold = new ArrayDeque<>();
-    private double offeredWorkSum;
+    private final UniformRandomProvider random;
+    private final DoubleSupplier waitTimes;
+
+    private final ConnectionTable connections;
+    private final WarmUp warmUp;
+    private final ServerSpeed speed;
+    private final ProcessorSharing processors;
+    private final ColdLoadLimit coldLoadLimit;
+    private final OverloadMonitor overload;
+    private final KeyCache keyCache;
+    private final LoadReporter loadReporter;
+    private final FaultRates faultRates;
+    private final ArrayDeque<ServerJob> queue = new ArrayDeque<>();
+    private final Set<ServerJob> waitingOnOthers = new HashSet<>();
+
     private State state = State.UP;
     private int incarnation;
     private final Set<Integer> vanishedIncarnations = new HashSet<>();
-    private double startedAt = Double.NEGATIVE_INFINITY;
-    private double attainedWork;
-    private double updatedAtMs;
-    private double workRate;
-    private long nextTurn;
-    private long planNumber;
-    private int connections;
-    private double slowdown = 1;
-    private double neighbourShare;
-    private double pausedUntil;
-    private double overloadedSince = Double.NaN;
-    private double recoveringSince = Double.NaN;
-    private double slowedDownAt = Double.NaN;
-    private double reportedInFlight;
-    private double reportedAt = Double.NEGATIVE_INFINITY;
-    private double busyCoreMs;
-    /** FaultInjector that the server answers with; parts of its requests, by class. */
-    final double[] errorRate;
-
-    double lostAnswerRate;
-    double resetRate;
-    /** The part of requests that it answers with an error at once, without working on them. */
-    double immediateErrorRate;
-
-    private final LinkedHashMap<Integer, Double> cachedKeys;
-    private final Set<Job> waitingOnOthers = new HashSet<>();
-    private final DoubleSupplier waitTimes;
 
-    Server(World world, int number, MachineType machine, String zone, double speed) {
+    /** {@code baseSpeed}: work per millisecond of a core when warm. */
+    Server(World world, int number, MachineType machine, String zone, double baseSpeed) {
+        Scenario scenario = world.scenario();
         this.world = world;
         this.number = number;
         this.id = "s-" + Long.toHexString(RandomStreams.mix(number) >>> 32);
         this.machine = machine;
         this.zone = zone;
-        this.cell = number / world.scenario().servers().cellSize();
-        this.speed = speed;
-        this.random = world.randomStreams().stream("server", number);
+        this.cell = number / scenario.servers().cellSize();
         this.slots = (int) Math.max(1, Math.round(machine.cores() * machine.slotsPerCore()));
         this.maxQueued = (int) Math.round(machine.cores() * machine.queuePerCore());
-        this.errorRate = new double[world.scenario().classes().size()];
-        Arrays.fill(errorRate, machine.errorRate());
-        int maxKeys = (int)
-                Math.max(1, machine.cores() * world.scenario().subjects().keys().maxKeysPerCore());
-        this.cachedKeys = new LinkedHashMap<>(16, 0.75f, true) {
-            private static final long serialVersionUID = 1L;
-
-            @Override
-            protected boolean removeEldestEntry(Map.Entry<Integer, Double> eldest) {
-                return size() > maxKeys;
-            }
-        };
+        this.random = world.randomStreams().stream("server", number);
         this.waitTimes = RandomStreams.exponential(world.randomStreams().stream("waits", number));
+        this.connections = new ConnectionTable(scenario.links());
+        this.warmUp = new WarmUp(world, machine);
+        this.speed = new ServerSpeed(world, machine, baseSpeed, warmUp, connections);
+        this.processors = new ProcessorSharing(world, machine.cores(), speed, this::advance);
+        this.coldLoadLimit = new ColdLoadLimit(world, warmUp, fullCapacity());
+        this.overload = new OverloadMonitor(
+                world, machine.overloadSlowdown(), machine.cores(), this::requestsInFlight, isSlowed -> {
+                    speed.setSlowedByOverload(isSlowed);
+                    processors.plan();
+                });
+        this.keyCache = new KeyCache(scenario.subjects().keys(), machine.cores());
+        this.loadReporter = new LoadReporter(scenario.reports(), random);
+        this.faultRates = new FaultRates(machine, scenario.classes().size(), random);
         if (machine.pauseEveryMs() > 0 && machine.pauseMs() > 0) {
-            nextPause();
+            scheduleNextPause();
         }
     }
 
-    // ---- what the oracle and the tests may look at ----------------------------------------------------
+    // ---- the true state, for the oracle, the tests and the drivers ------------------------------------
 
     /** Index of the server in {@link World#servers()}. */
     public int number() {
@@ -158,6 +121,7 @@
         return id;
     }
 
+    /** Zone of the machine, as in the endpoint list. */
     public String zone() {
         return zone;
     }
@@ -167,449 +131,301 @@
         return cell;
     }
 
+    /** Type of the machine that it runs on. */
     public MachineType machine() {
         return machine;
     }
 
+    /** State at this moment. */
     public State state() {
         return state;
     }
 
+    /** Number of the server's process; one higher after each crash and each loss of the machine. */
     public int incarnation() {
         return incarnation;
     }
 
-    /** Requests that it holds. */
-    public int requestsInFlight() {
-        return running.size() + waitingOnOthers.size() + queue.size();
+    /** When the process started, in milliseconds; negative infinity for one that ran before the scenario began. */
+    public double startedAtMs() {
+        return warmUp.startedAtMs();
     }
 
-    public int connections() {
-        return connections;
+    /** Requests in slots, in the queue, and waiting on others. */
+    public int requestsInFlight() {
+        return slotsTaken() + queue.size();
     }
 
-    /** Work per millisecond when warm and left alone. */
+    /** Work per millisecond when warm and not slowed down. */
     public double fullCapacity() {
-        return machine.cores() * speed;
+        return machine.cores() * speed.baseWorkPerCoreMs();
     }
 
     /** Work per millisecond that it can do now. */
     public double capacity() {
-        return state == State.CRASHED || state == State.VANISHED ? 0 : machine.cores() * coreSpeed();
+        return isRunning() ? machine.cores() * speed.workPerCoreMs() : 0;
     }
 
-    /** Work that it holds and has not done. */
+    /** Work of the requests in slots and in the queue that is not done. */
     public double backlog() {
-        double reached = attainedWork + (world.now() - updatedAtMs) * workRate;
-        double sum = 0;
-        for (Job j : running) {
-            sum += Math.max(0, j.doneAtWork - reached);
-        }
-        for (Job j : queue) {
-            sum += j.work;
+        double sum = processors.remainingWork();
+        for (ServerJob job : queue) {
+            sum += job.work;
         }
         return sum;
     }
 
     /**
-     * How long a request of that work would take that comes now, by the true state: the cores shared with what is held
-     * and with as many more of the mean as are {@code coming}, and no sooner than the backlog lets it. Infinite where
-     * it can't.
+     * Expected duration of a request of that work if it came now, by the true state: the cores are shared with the
+     * requests in flight and with {@code onTheWay} more of mean work, and the backlog comes first. Infinite where the
+     * server takes no requests.
      */
-    public double expectedMs(double work, int coming) {
+    public double expectedMs(double work, int onTheWay) {
         double capacity = capacity();
         if (capacity <= 0 || state != State.UP) {
             return Double.POSITIVE_INFINITY;
         }
-        double crowd = Math.max(1, (double) (requestsInFlight() + coming + 1) / machine.cores());
-        double mean = world.scenario().meanWork();
-        return Math.max(work * machine.cores() / capacity * crowd, (backlog() + coming * mean + work) / capacity);
-    }
-
-    public double startedAt() {
-        return startedAt;
+        double sharing = Math.max(1, (double) (requestsInFlight() + onTheWay + 1) / machine.cores());
+        double meanWork = world.scenario().meanWork();
+        return Math.max(
+                work * machine.cores() / capacity * sharing, (backlog() + onTheWay * meanWork + work) / capacity);
     }
 
-    /** Core-milliseconds spent so far. */
-    public double busyMs() {
-        return busyCoreMs + (world.now() - updatedAtMs) * Math.min(running.size(), machine.cores());
-    }
-
-    public boolean isSlowedDown() {
-        return !Double.isNaN(slowedDownAt);
+    private boolean isRunning() {
+        return state == State.UP || state == State.DRAINING;
     }
 
     // ---- connections ----------------------------------------------------------------------------------
 
-    /** Takes a connection, unless the table is full. The handshake's work is done beside the slots. */
+    /** Accepts a connection, unless no process runs or the table is full. The handshake delays the running requests. */
     public boolean connect() {
-        if (state == State.CRASHED || state == State.VANISHED) {
+        if (!isRunning() || connections.isFull()) {
             return false;
         }
-        int cap = world.scenario().links().maxConnections();
-        if (cap > 0 && connections >= cap) {
-            return false;
-        }
-        update();
-        connections++;
-        attainedWork -= running.isEmpty() ? 0 : world.scenario().links().handshakeWork() / running.size();
-        if (!running.isEmpty()) {
-            replan();
-        }
+        connections.add();
+        processors.delayBy(world.scenario().links().handshakeWork());
         return true;
     }
 
-    /** Whether the process of that life went without a word, so that its connections seem to be open. */
+    /** Whether the process of that incarnation vanished with its machine, so that its connections still seem open. */
     public boolean vanishedIn(int ofIncarnation) {
         return vanishedIncarnations.contains(ofIncarnation);
     }
 
+    /** A connection to the process of that incarnation was closed. */
     public void disconnect(int ofIncarnation) {
-        if (ofIncarnation == incarnation && connections > 0) {
-            connections--;
+        if (ofIncarnation == incarnation) {
+            connections.remove();
         }
     }
 
     // ---- requests -------------------------------------------------------------------------------------
 
-    /** A request's last byte has come. */
-    public void offer(ClientAttempt request, int sidecar, ResponseHandler answer) {
+    /** The last byte of a request has arrived. */
+    public void offer(ClientAttempt request, int sidecar, ResponseHandler handler) {
         if (state == State.VANISHED) {
             return;
         }
         if (state == State.CRASHED) {
-            answer.onReply(Reply.RESET, -1);
+            handler.onReply(Reply.RESET, LoadReporter.NO_REPORT);
             return;
         }
-        double work = request.work() * world.attemptNoise(request, number) * (1 - savedWorkShare(request));
+        double saved = keyCache.use(request.subjectKey(), world.now());
+        double work = request.work() * world.attemptNoise(request, number) * (1 - saved);
         world.record(Type.RECEIVED, request, sidecar, number, work);
-        update();
-        if (exceedsColdCapacity(
-                world.scenario().classes().get(request.requestClass()).work())) {
+        processors.update();
+        if (coldLoadLimit.isExceededBy(classOf(request).work())) {
             collapse();
-            answer.onReply(Reply.RESET, -1);
-            return;
-        }
-        if (immediateErrorRate > 0 && random.nextDouble() < immediateErrorRate) {
-            answer.onReply(Reply.ERROR, report());
-            return;
-        }
-        boolean full = slotsTaken() >= slots && queue.size() >= maxQueued;
-        if (full || state == State.DRAINING) {
+            handler.onReply(Reply.RESET, LoadReporter.NO_REPORT);
+        } else if (faultRates.drawImmediateError()) {
+            handler.onReply(Reply.ERROR, loadReport());
+        } else if (state == State.DRAINING || isFull()) {
             world.record(Type.REJECTED, request, sidecar, number, 0);
-            answer.onReply(Reply.NEVER_RAN, report());
-            return;
+            handler.onReply(Reply.NEVER_RAN, loadReport());
+        } else {
+            accept(request, work, handler);
         }
-        boolean keyed = world.scenario().classes().get(request.requestClass()).idempotency() == Idempotency.KEYED;
-        Job job = new Job(request, work, answer, keyed && world.withinWindow(request, this));
+    }
+
+    private void accept(ClientAttempt request, double work, ResponseHandler handler) {
+        boolean isKeyed = classOf(request).idempotency() == Idempotency.KEYED;
+        ServerJob job = new ServerJob(request, work, handler, isKeyed && world.withinWindow(request, this));
         if (slotsTaken() < slots) {
             startJob(job);
         } else {
             queue.addLast(job);
         }
-        updateOverload();
-        replan();
+        overload.update();
+        processors.plan();
     }
 
-    private void startJob(Job job) {
-        world.record(Type.STARTED, job.request, job.request.sidecar(), number, 0);
-        if (world.poison(job.request)) { // a request that its server does not survive
-            world.schedule(0, () -> world.crashByPoison(this));
-        }
-        job.doneAtWork = attainedWork + job.work;
-        job.arrivalOrder = nextTurn++;
-        running.add(job);
+    private Scenario.RequestKind classOf(ClientAttempt request) {
+        return world.scenario().classes().get(request.requestClass());
     }
 
     private int slotsTaken() {
-        return running.size() + waitingOnOthers.size();
-    }
-
-    /** The part of the work that it is spared for a key that it met lately. */
-    private double savedWorkShare(ClientAttempt request) {
-        Scenario.Keys rules = world.scenario().subjects().keys();
-        Double met = request.subjectKey() < 0 ? null : cachedKeys.get(request.subjectKey());
-        if (request.subjectKey() >= 0) {
-            cachedKeys.put(request.subjectKey(), world.now());
-        }
-        return met != null && world.now() - met <= rules.cacheMs() ? rules.savedWorkShare() : 0;
-    }
-
-    /** Its work is done; it may yet wait on others, on a slot and off the cores. */
-    private void waitOrFinish(Job job) {
-        double mean = world.scenario().classes().get(job.request.requestClass()).waitMs();
-        if (mean <= 0) {
-            finish(job);
-            return;
-        }
-        waitingOnOthers.add(job);
-        world.schedule(mean * waitTimes.getAsDouble(), () -> {
-            if (waitingOnOthers.remove(job)) {
-                update();
-                finish(job);
-                advance();
-            }
-        });
+        return processors.runningJobs() + waitingOnOthers.size();
     }
 
-    private void finish(Job job) {
-        ClientAttempt r = job.request;
-        boolean error = random.nextDouble() < errorRate[r.requestClass()];
-        if (!error) {
-            effect(r, job.isDeduplicated);
-        }
-        double fate = random.nextDouble();
-        if (fate < lostAnswerRate) {
-            return; // the effect took place, and nobody hears of it
-        }
-        job.handler.onReply(fate < lostAnswerRate + resetRate ? Reply.RESET : error ? Reply.ERROR : Reply.OK, report());
+    private boolean isFull() {
+        return slotsTaken() >= slots && queue.size() >= maxQueued;
     }
 
-    private void effect(ClientAttempt r, boolean known) {
-        boolean first = !known || world.firstOfKey(r, this);
-        world.record(first ? Type.EFFECT : Type.DEDUPLICATED, r, r.sidecar(), number, 0);
+    private double loadReport() {
+        return loadReporter.report(requestsInFlight(), world.now());
     }
 
-    /** Late and noisy: what it held when the report was last refreshed. */
-    private double report() {
-        Scenario.Reports rules = world.scenario().reports();
-        if (!rules.enabled()) {
-            return -1;
-        }
-        if (world.now() - reportedAt >= rules.periodMs()) {
-            reportedAt = world.now();
-            reportedInFlight =
-                    Math.max(0, Math.rint(requestsInFlight() * (1 + rules.noise() * (2 * random.nextDouble() - 1))));
+    private void startJob(ServerJob job) {
+        world.record(Type.STARTED, job.request, job.request.sidecar(), number, 0);
+        if (world.poison(job.request)) {
+            world.schedule(0, () -> world.crashByPoison(this));
         }
-        return reportedInFlight;
+        processors.start(job);
     }
 
-    // ---- speed ----------------------------------------------------------------------------------------
-
-    private double warmth() {
-        double age = world.now() - startedAt;
-        return machine.warmUpMs() <= 0 || age >= machine.warmUpMs()
-                ? 1
-                : machine.coldSpeedFactor() + (1 - machine.coldSpeedFactor()) * Math.max(0, age) / machine.warmUpMs();
-    }
-
-    private double coreSpeed() {
-        if (world.now() < pausedUntil) {
-            return 0;
+    /** Ends the jobs whose work is done, and starts queued ones in their slots. */
+    private void advance() {
+        processors.update();
+        while (processors.hasFinishedJob()) {
+            waitOrFinish(processors.removeFinishedJob());
+            if (!isRunning()) {
+                return;
+            }
         }
-        Scenario.ConnectionModel links = world.scenario().links();
-        double tax = links.maxConnections() > 0
-                ? links.fullTableSlowdown() * Math.min(1, (double) connections / links.maxConnections())
-                : 0;
-        return speed
-                * warmth()
-                / slowdown
-                * (1 - neighbourShare)
-                * (1 - tax)
-                / (isSlowedDown() ? machine.overloadSlowdown().factor() : 1);
-    }
-
-    /** Moves attained service on to now, at the speed that held since it was last moved. */
-    private void update() {
-        double now = world.now();
-        if (!running.isEmpty() && now > updatedAtMs) {
-            double active = Math.min(running.size(), machine.cores());
-            attainedWork += (now - updatedAtMs) * workRate;
-            busyCoreMs += (now - updatedAtMs) * active;
+        while (slotsTaken() < slots && !queue.isEmpty()) {
+            startJob(queue.removeFirst());
         }
-        updatedAtMs = now;
+        overload.update();
+        processors.plan();
     }
 
-    private void replan() {
-        update();
-        long mine = ++planNumber;
-        if (running.isEmpty()) {
+    /** The job's work is done; where its class waits on others, it keeps its slot for a while, but no core. */
+    private void waitOrFinish(ServerJob job) {
+        double meanWaitMs = classOf(job.request).waitMs();
+        if (meanWaitMs <= 0) {
+            finish(job);
             return;
         }
-        workRate = coreSpeed() * Math.min(1, (double) machine.cores() / running.size());
-        double next = workRate <= 0
-                ? Math.max(0.1, pausedUntil - world.now())
-                : (running.peek().doneAtWork - attainedWork) / workRate;
-        boolean cold = warmth() < 1;
-        world.schedule(cold ? Math.min(next, COLD_STEP_MS) : next, () -> {
-            if (mine == planNumber) {
+        waitingOnOthers.add(job);
+        world.schedule(meanWaitMs * waitTimes.getAsDouble(), () -> {
+            if (waitingOnOthers.remove(job)) {
+                finish(job);
                 advance();
             }
         });
     }
 
-    private void advance() {
-        update();
-        while (!running.isEmpty() && running.peek().doneAtWork - attainedWork <= DONE) {
-            waitOrFinish(running.poll());
-            if (state == State.CRASHED || state == State.VANISHED) {
-                return;
-            }
+    private void finish(ServerJob job) {
+        boolean isError = faultRates.drawError(job.request.requestClass());
+        if (!isError) {
+            takeEffect(job);
         }
-        while (slotsTaken() < slots && !queue.isEmpty()) {
-            startJob(queue.removeFirst());
+        switch (faultRates.drawDelivery()) {
+            case LOST -> {}
+            case RESET -> job.handler.onReply(Reply.RESET, loadReport());
+            case DELIVERED -> job.handler.onReply(isError ? Reply.ERROR : Reply.OK, loadReport());
         }
-        updateOverload();
-        replan();
     }
 
-    private void nextPause() {
-        double wait = -Math.log(1 - random.nextDouble()) * machine.pauseEveryMs();
-        world.schedule(wait, () -> {
-            pause(machine.pauseMs() * (0.5 + random.nextDouble()));
-            nextPause();
-        });
+    private void takeEffect(ServerJob job) {
+        boolean isFirst = !job.isDeduplicated || world.firstOfKey(job.request, this);
+        Type type = isFirst ? Type.EFFECT : Type.DEDUPLICATED;
+        world.record(type, job.request, job.request.sidecar(), number, 0);
     }
 
-    void pause(double ms) {
-        update();
-        pausedUntil = Math.max(pausedUntil, world.now() + ms);
-        replan();
-    }
+    // ---- injected faults ------------------------------------------------------------------------------
 
-    void slowBy(double factor) {
-        update();
-        slowdown = factor;
-        replan();
+    FaultRates faultRates() {
+        return faultRates;
     }
 
-    /** A neighbour on its machine takes this share. */
-    void setNeighbourShare(double share) {
-        update();
-        neighbourShare = share;
-        replan();
+    void pause(double durationMs) {
+        speed.pause(durationMs);
+        processors.plan();
     }
 
-    // ---- crowding -------------------------------------------------------------------------------------
-
-    private void updateOverload() {
-        Scenario.OverloadSlowdown choke = machine.overloadSlowdown();
-        if (choke.maxRequestsPerCore() <= 0) {
-            return;
-        }
-        double now = world.now();
-        double maxInFlight = choke.maxRequestsPerCore() * machine.cores();
-        if (isSlowedDown()) {
-            if (requestsInFlight() > choke.recoveryFactor() * maxInFlight) {
-                recoveringSince = Double.NaN;
-            } else if (Double.isNaN(recoveringSince)) {
-                recoveringSince = now;
-                checkOverloadAfter(choke.recoveryMs());
-            } else if (now - recoveringSince >= choke.recoveryMs() - DONE) {
-                endSlowdown();
-            }
-        } else if (requestsInFlight() <= maxInFlight) {
-            overloadedSince = Double.NaN;
-        } else if (Double.isNaN(overloadedSince)) {
-            overloadedSince = now;
-            checkOverloadAfter(choke.triggerMs());
-        } else if (now - overloadedSince >= choke.triggerMs() - DONE) {
-            update();
-            slowedDownAt = now;
-            overloadedSince = Double.NaN;
-            int ofIncarnation = incarnation;
-            world.schedule(choke.maxMs(), () -> {
-                if (isSlowedDown()
-                        && ofIncarnation == incarnation
-                        && world.now() - slowedDownAt >= choke.maxMs() - DONE) {
-                    endSlowdown();
-                }
-            });
-            replan();
-        }
+    /** {@code factor} times slower; 1 for the usual speed. */
+    void setSlowdown(double factor) {
+        speed.setSlowdown(factor);
+        processors.plan();
     }
 
-    private void checkOverloadAfter(double ms) {
-        world.schedule(ms, this::updateOverload);
+    /** A neighbour on the machine takes this part of each core. */
+    void setNeighbourFraction(double fraction) {
+        speed.setNeighbourFraction(fraction);
+        processors.plan();
     }
 
-    private void endSlowdown() {
-        update();
-        slowedDownAt = Double.NaN;
-        recoveringSince = Double.NaN;
-        replan();
+    /** Pauses such as a garbage collector's: exponential gaps, durations of half to one and a half times the mean. */
+    private void scheduleNextPause() {
+        double waitMs = -Math.log(1 - random.nextDouble()) * machine.pauseEveryMs();
+        world.schedule(waitMs, () -> {
+            pause(machine.pauseMs() * (0.5 + random.nextDouble()));
+            scheduleNextPause();
+        });
     }
 
-    /** Whether a cold server has now been sent more than it can bear, each request counted by its class's mean work. */
-    private boolean exceedsColdCapacity(double work) {
-        if (warmth() >= 1) {
-            offeredWhileCold.clear();
-            offeredWorkSum = 0;
-            return false;
-        }
-        Scenario.Rules rules = world.scenario().rules();
-        double now = world.now();
-        offeredWhileCold.addLast(new OfferedWork(now, work));
-        offeredWorkSum += work;
-        while (offeredWhileCold.peekFirst().at() < now - rules.collapseWindowMs()) {
-            offeredWorkSum -= offeredWhileCold.removeFirst().work();
-        }
-        double bears = rules.collapseFactor() * warmth() * fullCapacity() * rules.collapseWindowMs();
-        return offeredWorkSum > World.withChance(bears, world.scenario().meanWork());
+    // ---- lifecycle ------------------------------------------------------------------------------------
+
+    /** The process starts, cold. */
+    void start() {
+        become(State.UP);
+        warmUp.processStarted();
+        speed.processStarted();
+        processors.update();
+        world.record(Type.SERVER_STARTED, null, -1, number, fullCapacity());
     }
 
-    // ---- life and death -------------------------------------------------------------------------------
+    /** The process ends what it has and rejects new requests. */
+    void drain() {
+        become(State.DRAINING);
+    }
 
-    /** Its process dies: connections are reset and new ones refused. */
+    /** The process ends: its connections are reset and new ones refused. */
     void crash() {
-        if (state == State.CRASHED) {
-            return;
-        }
-        boolean silent = state == State.VANISHED;
-        state = State.CRASHED;
+        become(State.CRASHED);
         world.record(Type.SERVER_DOWN, null, -1, number, 0);
-        dropRequests(!silent);
+        for (ServerJob job : endProcess()) {
+            job.handler.onReply(Reply.RESET, LoadReporter.NO_REPORT);
+        }
     }
 
-    /** Its machine vanishes: nobody hears anything. */
+    /** The machine vanishes: its clients receive nothing more, not even a reset. */
     void vanish() {
-        state = State.VANISHED;
+        become(State.VANISHED);
         vanishedIncarnations.add(incarnation);
         world.record(Type.SERVER_DOWN, null, -1, number, 1);
-        dropRequests(false);
+        endProcess();
     }
 
+    /** A cold process breaks down under its load. */
     private void collapse() {
-        world.record(Type.SERVER_COLLAPSED, null, -1, number, offeredWorkSum);
+        world.record(Type.SERVER_COLLAPSED, null, -1, number, coldLoadLimit.offeredWork());
         crash();
         world.serverDied(this);
     }
 
-    private void dropRequests(boolean notifyClients) {
-        update();
-        planNumber++;
-        List<Job> lost = new ArrayList<>(running);
-        lost.sort(null);
+    private void become(State next) {
+        if (!state.canBecome(next)) {
+            throw new IllegalStateException("server " + number + " is " + state + " and cannot become " + next);
+        }
+        state = next;
+    }
+
+    /** Drops what belongs to the process; answers the requests that it had. */
+    private List<ServerJob> endProcess() {
+        List<ServerJob> lost = processors.removeAll();
         lost.addAll(queue);
         waitingOnOthers.stream().sorted().forEach(lost::add);
-        running.clear();
-        waitingOnOthers.clear();
-        cachedKeys.clear();
-        immediateErrorRate = 0;
         queue.clear();
-        offeredWhileCold.clear();
-        offeredWorkSum = 0;
-        connections = 0;
+        waitingOnOthers.clear();
+        connections.clear();
+        keyCache.clear();
+        coldLoadLimit.clear();
+        faultRates.processEnded();
+        speed.processEnded();
+        overload.processEnded();
         incarnation++;
-        slowdown = 1;
-        neighbourShare = 0;
-        slowedDownAt = Double.NaN;
-        overloadedSince = Double.NaN;
-        recoveringSince = Double.NaN;
-        if (notifyClients) {
-            lost.forEach(j -> j.handler.onReply(Reply.RESET, -1));
-        }
-    }
-
-    void start() {
-        state = State.UP;
-        startedAt = world.now();
-        updatedAtMs = world.now();
-        pausedUntil = 0;
-        world.record(Type.SERVER_STARTED, null, -1, number, fullCapacity());
-    }
-
-    void drain() {
-        state = State.DRAINING;
+        return lost;
     }
 }
