--- a/cli/src/main/java/dewplank/ExperimentCommands.java
+++ b/cli/src/main/java/dewplank/ExperimentCommands.java
@@ -43,7 +43,7 @@
             throws IOException {
         Path page = folder.resolve("report.html");
         Report.write(results, name, about, baseline, page);
-        System.out.print(Comparison.table(Comparison.policies(results, baseline, "service"), "service"));
+        System.out.print(Comparison.table(Comparison.withBaseline(results, baseline, "service"), "service"));
         System.out.println(results.size() + " runs; "
                 + results.stream().filter(r -> r.figure("violations") > 0).count() + " broke a rule; report: " + page);
     }
@@ -89,7 +89,7 @@
                         "there is no figure " + figure + "; known: " + String.join(", ", Result.FIGURES));
             }
             System.out.print(
-                    Comparison.table(Comparison.folders(Runner.read(first), Runner.read(second), figure), figure));
+                    Comparison.table(Comparison.ofFolders(Runner.read(first), Runner.read(second), figure), figure));
         }
     }
 }
--- a/cli/src/main/java/dewplank/LoadCommands.java
+++ b/cli/src/main/java/dewplank/LoadCommands.java
@@ -126,13 +126,13 @@
             }
             check(form != Arrivals.Shape.STEPS || !rates.isEmpty(), "--shape steps needs --steps");
             check(form != Arrivals.Shape.RAMP || to > 0, "--shape ramp needs --to");
-            List<LoadPlan.Kind> classes = kinds.isEmpty()
-                    ? List.of(LoadPlan.kind("request:1"))
-                    : kinds.stream().map(LoadPlan::kind).toList();
+            List<LoadPlan.RequestClass> classes = kinds.isEmpty()
+                    ? List.of(LoadPlan.parseClass("request:1"))
+                    : kinds.stream().map(LoadPlan::parseClass).toList();
             return new LoadPlan(
-                    urls.stream().map(LoadPlan::target).toList(),
+                    urls.stream().map(LoadPlan::parseTarget).toList(),
                     new Arrivals.Plan(form, rate, to, rates, swing, 1000 * period, 1000 * seconds),
-                    trace == null ? null : LoadPlan.trace(trace),
+                    trace == null ? null : LoadPlan.readTrace(trace),
                     classes,
                     headers,
                     connections,
@@ -172,7 +172,7 @@
                     .orElseThrow(() -> new InvalidInputException(
                             "--distribution " + distribution + ": should be fixed, exp, lognormal or gamma"));
             List<InetSocketAddress> at = addresses.stream()
-                    .map(a -> LoadPlan.target("http://" + a).address())
+                    .map(a -> LoadPlan.parseTarget("http://" + a).address())
                     .toList();
             try (StandIn standIn = new StandIn(at, drawn, mean, cv, 1)) {
                 System.out.println("answering on " + standIn.addresses());
--- a/cli/src/main/java/dewplank/TrialCommands.java
+++ b/cli/src/main/java/dewplank/TrialCommands.java
@@ -105,13 +105,13 @@
                     played = withFigure(played, change);
                 }
                 for (String policy : policies.isEmpty() ? List.of("choice", "oracle") : policies) {
-                    Trial trial = Trial.split(played, policy, seed);
+                    Trial trial = Trial.playSplittingLosses(played, policy, seed);
                     System.out.printf(
                             Locale.ROOT,
                             "%s, %s: service %.3f, %s%n%s",
                             played.name(),
                             policy,
-                            trial.service().share(),
+                            trial.service().valueRatio(),
                             trial.auditor().verdict(),
                             trial.losses().table());
                 }
@@ -169,9 +169,9 @@
                             "%s,%d,%.4f,%.4f,%.4f,%d,%d,%b",
                             played.name(),
                             seed,
-                            virtual.service().share(),
-                            sockets.service().share(),
-                            sockets.service().share() - virtual.service().share(),
+                            virtual.service().valueRatio(),
+                            sockets.service().valueRatio(),
+                            sockets.service().valueRatio() - virtual.service().valueRatio(),
                             virtual.auditor().violations(),
                             sockets.auditor().violations(),
                             sockets.unsound()));
--- a/cli/src/main/java/dewplank/TrialOutput.java
+++ b/cli/src/main/java/dewplank/TrialOutput.java
@@ -18,7 +18,13 @@
 
     static void print(Auditor.Violation v) {
         System.out.printf(
-                Locale.ROOT, "%s at %.0f ms, request %d: %s%n%s%n", v.rule(), v.at(), v.request(), v.what(), v.line());
+                Locale.ROOT,
+                "%s at %.0f ms, request %d: %s%n%s%n",
+                v.rule().printedName(),
+                v.atMs(),
+                v.request(),
+                v.description(),
+                v.timeline());
     }
 
     static void print(Service service) {
@@ -26,12 +32,12 @@
                 Locale.ROOT,
                 "service %.3f, worst class %.3f, worst tenant %.3f, worst 10 s %.3f, refused %.3f, "
                         + "failed %.3f, tries %.2f%n",
-                service.share(),
+                service.valueRatio(),
                 service.worstClass(),
                 service.worstTenant(),
-                service.worstSpell(),
-                service.refusedShare(),
-                service.failedShare(),
+                service.worstWindow(),
+                service.refusedRatio(),
+                service.failedRatio(),
                 service.attemptsPerRequest());
         service.classes()
                 .forEach(c -> System.out.printf(
@@ -39,7 +45,7 @@
                         "  %-14s %6d asked, in aim %.3f, p50 %.0f ms, p99 %.0f ms%n",
                         c.name(),
                         c.latency().getTotalCount(),
-                        c.inAimShare(),
+                        c.withinTargetRatio(),
                         c.latency().getValueAtPercentile(50) / 1000.0,
                         c.latency().getValueAtPercentile(99) / 1000.0));
         StringBuilder line = new StringBuilder("  by second:");
--- a/cli/src/test/java/dewplank/LiveTest.java
+++ b/cli/src/test/java/dewplank/LiveTest.java
@@ -34,8 +34,8 @@
                 trial.auditor().retainedViolations().toString(),
                 0,
                 trial.auditor().violations());
-        assertTrue("asked " + trial.service().asked(), trial.service().asked() > 500);
-        assertTrue("service " + trial.service().share(), trial.service().share() > 0.5);
+        assertTrue("asked " + trial.service().requests(), trial.service().requests() > 500);
+        assertTrue("service " + trial.service().valueRatio(), trial.service().valueRatio() > 0.5);
         assertTrue(lines.stream().anyMatch(l -> l.endsWith("died")));
         assertTrue(lines.stream().anyMatch(l -> l.endsWith("came back, cold")));
     }
@@ -87,7 +87,7 @@
                 .findFirst()
                 .orElseThrow();
         assertTrue(told, Integer.parseInt(told.substring(0, told.indexOf(' '))) > 40);
-        assertTrue("service " + trial.service().share(), trial.service().share() > 0.6);
+        assertTrue("service " + trial.service().valueRatio(), trial.service().valueRatio() > 0.6);
     }
 
     @Test
@@ -99,6 +99,6 @@
                 trial.auditor().retainedViolations().toString(),
                 0,
                 trial.auditor().violations());
-        assertTrue("failed " + trial.service().failedShare(), trial.service().failedShare() > 0);
+        assertTrue("failed " + trial.service().failedRatio(), trial.service().failedRatio() > 0);
     }
 }
--- a/lab/src/main/java/dewplank/lab/Auditor.java
+++ b/lab/src/main/java/dewplank/lab/Auditor.java
@@ -22,61 +22,45 @@
  */
 public final class Auditor implements RecordedEvent.Recorder {
 
-    /** What was broken. */
-    public enum Rule {
-        ANSWERED_TWICE,
-        NOT_ANSWERED,
-        ANSWERED_LATE,
-        LOST,
-        WRONG_ANSWER,
-        SENT_TWICE,
-        EFFECT_TWICE,
-        REFUSED_AFTER_RUN,
-        KEYED_TOO_LATE,
-        KEYED_ELSEWHERE,
-        SENT_TO_DRAINED,
-        COLD_PUSHED_OVER
-    }
-
-    /** One finding; {@code line}: all that is known of the request, one event a line, in the order of time. */
-    public record Violation(Rule rule, double at, long request, String what, String line) {}
+    /** One finding; {@code timeline}: all that is known of the request, one event a line, in the order of time. */
+    public record Violation(Rule rule, double atMs, long request, String description, String timeline) {}
 
-    private static final int KEPT = 50;
-    private static final double REMEMBER_MS = 3_000;
-    private static final double TOLD_PART = 2.0 / 3;
+    private static final int MAX_RETAINED_VIOLATIONS = 50;
+    private static final double RETENTION_MS = 3_000;
+    private static final double MIN_NOTIFIED_FRACTION = 2.0 / 3;
 
     /** One try of a client's, as all parties saw it. */
-    private static final class Incarnation {
-        final RecordedEvent asked;
-        final List<RecordedEvent> notes = new ArrayList<>(8);
-        double firstRunAt = Double.NaN;
+    private static final class ObservedAttempt {
+        final RecordedEvent sent;
+        final List<RecordedEvent> events = new ArrayList<>(8);
+        double firstReceivedAtMs = Double.NaN;
         int firstServer = -1;
-        int ran;
-        int effects;
-        int answers;
-        int finals;
-        boolean refused;
-        boolean everReceived;
-
-        Incarnation(RecordedEvent asked) {
-            this.asked = asked;
-            notes.add(asked);
+        int receptions;
+        int effectCount;
+        int answerCount;
+        int completeAnswers;
+        boolean wasRefused;
+        boolean wasReceived;
+
+        ObservedAttempt(RecordedEvent sent) {
+            this.sent = sent;
+            events.add(sent);
         }
     }
 
-    private record OfferedWork(double at, double work, boolean knownCold) {}
+    private record OfferedWork(double atMs, double work, boolean senderNotified) {}
 
     private final Scenario scenario;
     private final double slackMs;
     private final int[] zoneOf;
-    private final Map<Long, Incarnation> lives = new HashMap<>();
-    private final ArrayDeque<Incarnation> byAge = new ArrayDeque<>();
-    private final Map<Long, Double> toldGone = new HashMap<>();
-    private final Map<Long, Double> toldStart = new HashMap<>();
-    private final Map<Integer, Double> startedAt = new HashMap<>();
-    private final Map<Integer, ArrayDeque<OfferedWork>> pushes = new HashMap<>();
-    private final Map<Integer, Double> sidecarDownAt = new HashMap<>();
-    private final Map<Integer, Double> sidecarUpAt = new HashMap<>();
+    private final Map<Long, ObservedAttempt> attempts = new HashMap<>();
+    private final ArrayDeque<ObservedAttempt> attemptsByAge = new ArrayDeque<>();
+    private final Map<Long, Double> notifiedGoneAtMs = new HashMap<>();
+    private final Map<Long, Double> notifiedStartMs = new HashMap<>();
+    private final Map<Integer, Double> startedAtMs = new HashMap<>();
+    private final Map<Integer, ArrayDeque<OfferedWork>> offeredWork = new HashMap<>();
+    private final Map<Integer, Double> sidecarDownAtMs = new HashMap<>();
+    private final Map<Integer, Double> sidecarUpAtMs = new HashMap<>();
     private final Map<Rule, Integer> counts = new EnumMap<>(Rule.class);
     private final List<Violation> retainedViolations = new ArrayList<>();
     private long requestsSent;
@@ -112,275 +96,297 @@
         return counts.isEmpty()
                 ? "kept all rules (" + requestsSent + " requests)"
                 : counts.entrySet().stream()
-                        .map(e -> e.getKey().name().toLowerCase(Locale.ROOT).replace('_', ' ') + ": " + e.getValue())
+                        .map(e -> e.getKey()
+                                        .printedName()
+                                        .toLowerCase(Locale.ROOT)
+                                        .replace('_', ' ') + ": " + e.getValue())
                         .collect(Collectors.joining(", ", "broken: ", ""));
     }
 
     @Override
-    public void record(RecordedEvent n) {
-        switch (n.type()) {
-            case SENT -> ask(n);
-            case SERVED, REFUSED, FAILED, UNREACHABLE, ABANDONED -> answer(n);
-            case RECEIVED -> received(n);
-            case REJECTED -> turnedAway(n);
-            case STARTED, DEDUPLICATED -> on(n);
-            case EFFECT -> effect(n);
-            case NOTIFIED_DRAINING, NOTIFIED_REMOVED -> toldGone.putIfAbsent(pair(n), n.atMs());
+    public void record(RecordedEvent event) {
+        switch (event.type()) {
+            case SENT -> sent(event);
+            case SERVED, REFUSED, FAILED, UNREACHABLE, ABANDONED -> answer(event);
+            case RECEIVED -> received(event);
+            case REJECTED -> rejected(event);
+            case STARTED, DEDUPLICATED -> appendTo(event);
+            case EFFECT -> effect(event);
+            case NOTIFIED_DRAINING, NOTIFIED_REMOVED -> notifiedGoneAtMs.putIfAbsent(pair(event), event.atMs());
             case NOTIFIED_UP -> {
-                toldGone.remove(pair(n));
-                toldStart.put(pair(n), n.value());
+                notifiedGoneAtMs.remove(pair(event));
+                notifiedStartMs.put(pair(event), event.value());
             }
-            case SIDECAR_KILLED -> sidecarDownAt.put(n.sidecar(), n.atMs());
-            case SIDECAR_UP -> sidecarUp(n);
+            case SIDECAR_KILLED -> sidecarDownAtMs.put(event.sidecar(), event.atMs());
+            case SIDECAR_UP -> sidecarUp(event);
             case SERVER_STARTED -> {
-                startedAt.put(n.server(), n.atMs());
-                pushes.put(n.server(), new ArrayDeque<>());
+                startedAtMs.put(event.server(), event.atMs());
+                offeredWork.put(event.server(), new ArrayDeque<>());
             }
             case SERVER_DOWN -> {}
-            case SERVER_COLLAPSED -> fell(n);
+            case SERVER_COLLAPSED -> collapsed(event);
         }
     }
 
     /** A new process was told nothing yet; it has its list from where it was kept, and is told anew. */
-    private void sidecarUp(RecordedEvent n) {
-        sidecarUpAt.put(n.sidecar(), n.atMs());
-        toldGone.keySet().removeIf(k -> k >>> 32 == n.sidecar());
-        toldStart.keySet().removeIf(k -> k >>> 32 == n.sidecar());
+    private void sidecarUp(RecordedEvent event) {
+        sidecarUpAtMs.put(event.sidecar(), event.atMs());
+        notifiedGoneAtMs.keySet().removeIf(k -> k >>> 32 == event.sidecar());
+        notifiedStartMs.keySet().removeIf(k -> k >>> 32 == event.sidecar());
     }
 
-    private static long pair(RecordedEvent n) {
-        return (long) n.sidecar() << 32 | n.server();
+    private static long pair(RecordedEvent event) {
+        return (long) event.sidecar() << 32 | event.server();
     }
 
-    private Incarnation on(RecordedEvent n) {
-        Incarnation life = lives.get(n.request());
-        if (life != null) {
-            life.notes.add(n);
+    private ObservedAttempt appendTo(RecordedEvent event) {
+        ObservedAttempt attempt = attempts.get(event.request());
+        if (attempt != null) {
+            attempt.events.add(event);
         }
-        return life;
+        return attempt;
     }
 
     // ---- one final answer, in time --------------------------------------------------------------------
 
-    private void ask(RecordedEvent n) {
+    private void sent(RecordedEvent event) {
         requestsSent++;
-        Incarnation life = new Incarnation(n);
-        lives.put(n.request(), life);
-        byAge.addLast(life);
-        double before = n.atMs() - scenario.longestDeadlineMs() - REMEMBER_MS;
-        while (byAge.peekFirst().asked.atMs() < before) {
-            forget(byAge.removeFirst());
+        ObservedAttempt attempt = new ObservedAttempt(event);
+        attempts.put(event.request(), attempt);
+        attemptsByAge.addLast(attempt);
+        double oldestMs = event.atMs() - scenario.longestDeadlineMs() - RETENTION_MS;
+        while (attemptsByAge.peekFirst().sent.atMs() < oldestMs) {
+            forget(attemptsByAge.removeFirst());
         }
     }
 
-    private void forget(Incarnation life) {
-        lives.remove(life.asked.request());
-        if (life.answers == 0) {
-            broken(Rule.NOT_ANSWERED, life, life.asked, "nobody heard of it again");
+    private void forget(ObservedAttempt attempt) {
+        attempts.remove(attempt.sent.request());
+        if (attempt.answerCount == 0) {
+            report(Rule.NOT_ANSWERED, attempt, attempt.sent, "nobody heard of it again");
         }
     }
 
     /** At the end of a run: whoever still waits was not answered. */
-    public void end(double now) {
-        for (Incarnation life : byAge) {
-            if (life.answers == 0 && life.asked.value() < now) {
-                broken(Rule.NOT_ANSWERED, life, life.asked, "nobody heard of it again");
+    public void end(double nowMs) {
+        for (ObservedAttempt attempt : attemptsByAge) {
+            if (attempt.answerCount == 0 && attempt.sent.value() < nowMs) {
+                report(Rule.NOT_ANSWERED, attempt, attempt.sent, "nobody heard of it again");
             }
         }
     }
 
-    private void answer(RecordedEvent n) {
-        Incarnation life = on(n);
-        if (life == null) {
+    private void answer(RecordedEvent event) {
+        ObservedAttempt attempt = appendTo(event);
+        if (attempt == null) {
             return;
         }
-        life.answers++;
-        boolean whole = n.type() != Type.ABANDONED && n.type() != Type.UNREACHABLE;
-        if (whole && ++life.finals > 1) {
-            broken(Rule.ANSWERED_TWICE, life, n, "it had an answer before");
+        attempt.answerCount++;
+        boolean complete = event.type() != Type.ABANDONED && event.type() != Type.UNREACHABLE;
+        if (complete && ++attempt.completeAnswers > 1) {
+            report(Rule.ANSWERED_TWICE, attempt, event, "it had an answer before");
         }
-        if (life.answers > 1) {
+        if (attempt.answerCount > 1) {
             return; // one that was on its way when the client left
         }
-        double until = life.asked.value() + scenario.rules().answerSlackMs() + slackMs;
-        switch (n.type()) {
+        double latestAtMs = attempt.sent.value() + scenario.rules().answerSlackMs() + slackMs;
+        switch (event.type()) {
             case ABANDONED -> {
-                if (n.value() == 0) {
-                    broken(Rule.NOT_ANSWERED, life, n, "the client waited for its whole time");
+                if (event.value() == 0) {
+                    report(Rule.NOT_ANSWERED, attempt, event, "the client waited for its whole time");
                 }
             }
             case UNREACHABLE -> {
-                if (!downBetween(n.sidecar(), life.asked.atMs() - slackMs, n.atMs())) {
-                    broken(Rule.LOST, life, n, "its sidecar was up all the time");
+                if (!wasDownBetween(event.sidecar(), attempt.sent.atMs() - slackMs, event.atMs())) {
+                    report(Rule.LOST, attempt, event, "its sidecar was up all the time");
                 }
             }
             default -> {
-                if (n.atMs() > until) {
-                    broken(
-                            Rule.ANSWERED_LATE,
-                            life,
-                            n,
-                            "%.0f ms after its time".formatted(n.atMs() - life.asked.value()));
+                if (event.atMs() > latestAtMs) {
+                    report(
+                            Rule.ANSWERED_AFTER_DEADLINE,
+                            attempt,
+                            event,
+                            "%.0f ms after its time".formatted(event.atMs() - attempt.sent.value()));
                 }
             }
         }
-        if (n.type() == Type.SERVED && (n.value() != n.request() || !life.everReceived)) {
-            broken(
+        if (event.type() == Type.SERVED && (event.value() != event.request() || !attempt.wasReceived)) {
+            report(
                     Rule.WRONG_ANSWER,
-                    life,
-                    n,
-                    life.everReceived ? "the answer was made for another request" : "no server ever had it");
+                    attempt,
+                    event,
+                    attempt.wasReceived ? "the answer was made for another request" : "no server ever had it");
         }
-        if (n.type() == Type.REFUSED) {
-            life.refused = true;
-            if (life.ran > 0 && !mayRefuseAfterRun(life)) {
-                broken(Rule.REFUSED_AFTER_RUN, life, n, "server " + life.firstServer + " had it");
+        if (event.type() == Type.REFUSED) {
+            attempt.wasRefused = true;
+            if (attempt.receptions > 0 && !mayRejectAfterRun(attempt)) {
+                report(Rule.REFUSED_AFTER_RUN, attempt, event, "server " + attempt.firstServer + " had it");
             }
         }
     }
 
-    private boolean downBetween(int sidecar, double from, double to) {
-        Double down = sidecarDownAt.get(sidecar);
-        Double up = sidecarUpAt.get(sidecar);
-        return up == null || down != null && down <= to && (up < down || up + slackMs >= from);
+    private boolean wasDownBetween(int sidecar, double fromMs, double toMs) {
+        Double downAtMs = sidecarDownAtMs.get(sidecar);
+        Double upAtMs = sidecarUpAtMs.get(sidecar);
+        return upAtMs == null
+                || downAtMs != null && downAtMs <= toMs && (upAtMs < downAtMs || upAtMs + slackMs >= fromMs);
     }
 
-    private boolean mayRefuseAfterRun(Incarnation life) {
-        RequestKind kind = kind(life);
-        return kind.idempotency() == Idempotency.SAFE
-                || kind.idempotency() == Idempotency.KEYED && kind.scope() == DeduplicationScope.ALL;
+    private boolean mayRejectAfterRun(ObservedAttempt attempt) {
+        RequestKind requestKind = requestKind(attempt);
+        return requestKind.idempotency() == Idempotency.SAFE
+                || requestKind.idempotency() == Idempotency.KEYED && requestKind.scope() == DeduplicationScope.ALL;
     }
 
-    private RequestKind kind(Incarnation life) {
-        return scenario.classes().get(life.asked.requestClass());
+    private RequestKind requestKind(ObservedAttempt attempt) {
+        return scenario.classes().get(attempt.sent.requestClass());
     }
 
     // ---- no double effect -----------------------------------------------------------------------------
 
-    private void received(RecordedEvent n) {
-        pushed(n);
-        Double told = toldGone.get(pair(n));
-        Incarnation life = on(n);
-        if (told != null && n.atMs() - told > scenario.rules().drainMs() + slackMs) {
-            broken(Rule.SENT_TO_DRAINED, life, n, "its sidecar was told %.0f ms before".formatted(n.atMs() - told));
+    private void received(RecordedEvent event) {
+        offered(event);
+        Double notifiedAtMs = notifiedGoneAtMs.get(pair(event));
+        ObservedAttempt attempt = appendTo(event);
+        if (notifiedAtMs != null
+                && event.atMs() - notifiedAtMs > scenario.rules().drainMs() + slackMs) {
+            report(
+                    Rule.SENT_TO_DRAINED,
+                    attempt,
+                    event,
+                    "its sidecar was told %.0f ms before".formatted(event.atMs() - notifiedAtMs));
         }
-        if (life == null) {
+        if (attempt == null) {
             return;
         }
-        life.everReceived = true;
-        RequestKind kind = kind(life);
-        if (life.ran > 0 && kind.idempotency() == Idempotency.UNSAFE) {
-            broken(Rule.SENT_TWICE, life, n, "server " + life.firstServer + " had it, and it may have run");
+        attempt.wasReceived = true;
+        RequestKind requestKind = requestKind(attempt);
+        if (attempt.receptions > 0 && requestKind.idempotency() == Idempotency.UNSAFE) {
+            report(Rule.SENT_TWICE, attempt, event, "server " + attempt.firstServer + " had it, and it may have run");
         }
-        if (life.ran > 0 && kind.idempotency() == Idempotency.KEYED) {
-            if (n.atMs() - life.firstRunAt > kind.windowMs() + slackMs) {
-                broken(Rule.KEYED_TOO_LATE, life, n, "%.0f ms after the first".formatted(n.atMs() - life.firstRunAt));
+        if (attempt.receptions > 0 && requestKind.idempotency() == Idempotency.KEYED) {
+            if (event.atMs() - attempt.firstReceivedAtMs > requestKind.windowMs() + slackMs) {
+                report(
+                        Rule.KEYED_AFTER_WINDOW,
+                        attempt,
+                        event,
+                        "%.0f ms after the first".formatted(event.atMs() - attempt.firstReceivedAtMs));
             }
-            if (group(kind, n.server()) != group(kind, life.firstServer)) {
-                broken(Rule.KEYED_ELSEWHERE, life, n, "server " + life.firstServer + " had it, in another group");
+            if (deduplicationGroup(requestKind, event.server())
+                    != deduplicationGroup(requestKind, attempt.firstServer)) {
+                report(
+                        Rule.KEYED_OUTSIDE_SCOPE,
+                        attempt,
+                        event,
+                        "server " + attempt.firstServer + " had it, in another group");
             }
         }
-        if (life.refused && !mayRefuseAfterRun(life)) {
-            broken(Rule.REFUSED_AFTER_RUN, life, n, "the client had been told that it never ran");
+        if (attempt.wasRefused && !mayRejectAfterRun(attempt)) {
+            report(Rule.REFUSED_AFTER_RUN, attempt, event, "the client had been told that it never ran");
         }
-        if (life.ran++ == 0) {
-            life.firstRunAt = n.atMs();
-            life.firstServer = n.server();
+        if (attempt.receptions++ == 0) {
+            attempt.firstReceivedAtMs = event.atMs();
+            attempt.firstServer = event.server();
         }
     }
 
-    private int group(RequestKind kind, int server) {
-        return switch (kind.scope()) {
+    private int deduplicationGroup(RequestKind requestKind, int server) {
+        return switch (requestKind.scope()) {
             case ALL -> 0;
             case ZONE -> zoneOf[server];
             case CELL -> server / scenario.servers().cellSize();
         };
     }
 
-    private void turnedAway(RecordedEvent n) {
-        Incarnation life = on(n);
-        if (life != null && --life.ran == 0) {
-            life.firstRunAt = Double.NaN;
-            life.firstServer = -1;
+    private void rejected(RecordedEvent event) {
+        ObservedAttempt attempt = appendTo(event);
+        if (attempt != null && --attempt.receptions == 0) {
+            attempt.firstReceivedAtMs = Double.NaN;
+            attempt.firstServer = -1;
         }
     }
 
-    private void effect(RecordedEvent n) {
-        Incarnation life = on(n);
-        if (life != null && ++life.effects > 1 && kind(life).idempotency() != Idempotency.SAFE) {
-            broken(Rule.EFFECT_TWICE, life, n, "its effect had taken place before");
+    private void effect(RecordedEvent event) {
+        ObservedAttempt attempt = appendTo(event);
+        if (attempt != null && ++attempt.effectCount > 1 && requestKind(attempt).idempotency() != Idempotency.SAFE) {
+            report(Rule.EFFECT_TWICE, attempt, event, "its effect had taken place before");
         }
     }
 
     // ---- cold servers ---------------------------------------------------------------------------------
 
-    private void pushed(RecordedEvent n) {
-        ArrayDeque<OfferedWork> own = pushes.get(n.server());
-        if (own == null) {
+    private void offered(RecordedEvent event) {
+        ArrayDeque<OfferedWork> window = offeredWork.get(event.server());
+        if (window == null) {
             return;
         }
-        Double start = toldStart.get(pair(n));
-        own.addLast(
-                new OfferedWork(n.atMs(), n.value(), start != null && start >= startedAt.get(n.server()) - slackMs));
-        while (own.peekFirst().at() < n.atMs() - scenario.rules().collapseWindowMs()) {
-            own.removeFirst();
+        Double start = notifiedStartMs.get(pair(event));
+        window.addLast(new OfferedWork(
+                event.atMs(), event.value(), start != null && start >= startedAtMs.get(event.server()) - slackMs));
+        while (window.peekFirst().atMs() < event.atMs() - scenario.rules().collapseWindowMs()) {
+            window.removeFirst();
         }
-        if (n.atMs() - startedAt.get(n.server()) > scenario.rules().warmUpMs()) {
-            pushes.remove(n.server());
+        if (event.atMs() - startedAtMs.get(event.server()) > scenario.rules().warmUpMs()) {
+            offeredWork.remove(event.server());
         }
     }
 
     /** Its own record says that it broke down cold; the fault is the sidecars' if most came from those who knew. */
-    private void fell(RecordedEvent n) {
-        ArrayDeque<OfferedWork> own = pushes.getOrDefault(n.server(), new ArrayDeque<>());
-        double all = own.stream().mapToDouble(OfferedWork::work).sum();
-        double told = own.stream()
-                .filter(OfferedWork::knownCold)
+    private void collapsed(RecordedEvent event) {
+        ArrayDeque<OfferedWork> window = offeredWork.getOrDefault(event.server(), new ArrayDeque<>());
+        double all = window.stream().mapToDouble(OfferedWork::work).sum();
+        double notified = window.stream()
+                .filter(OfferedWork::senderNotified)
                 .mapToDouble(OfferedWork::work)
                 .sum();
-        if (all > 0 && told >= TOLD_PART * all) {
-            broken(
-                    Rule.COLD_PUSHED_OVER,
+        if (all > 0 && notified >= MIN_NOTIFIED_FRACTION * all) {
+            report(
+                    Rule.COLD_SERVER_OVERLOADED,
                     null,
-                    n,
+                    event,
                     "server %d got %.0f ms of work in %.1f s, %.0f %% from those told"
-                            .formatted(n.server(), all, scenario.rules().collapseWindowMs() / 1000, 100 * told / all));
+                            .formatted(
+                                    event.server(),
+                                    all,
+                                    scenario.rules().collapseWindowMs() / 1000,
+                                    100 * notified / all));
         }
     }
 
     // ---- findings -------------------------------------------------------------------------------------
 
-    private void broken(Rule rule, Incarnation life, RecordedEvent n, String what) {
+    private void report(Rule rule, ObservedAttempt attempt, RecordedEvent event, String description) {
         counts.merge(rule, 1, Integer::sum);
-        if (retainedViolations.size() < KEPT) {
+        if (retainedViolations.size() < MAX_RETAINED_VIOLATIONS) {
             retainedViolations.add(new Violation(
                     rule,
-                    n.atMs(),
-                    n.request(),
-                    what,
-                    life == null
-                            ? line(n)
-                            : life.notes.stream().map(Auditor::line).collect(Collectors.joining("\n"))));
+                    event.atMs(),
+                    event.request(),
+                    description,
+                    attempt == null
+                            ? timeline(event)
+                            : attempt.events.stream().map(Auditor::timeline).collect(Collectors.joining("\n"))));
         }
     }
 
-    private static String line(RecordedEvent n) {
+    private static String timeline(RecordedEvent event) {
         StringBuilder text = new StringBuilder(String.format(
                 Locale.ROOT,
                 "%12.3f  %-13s",
-                n.atMs(),
-                n.type().name().toLowerCase(Locale.ROOT).replace('_', ' ')));
-        if (n.request() >= 0) {
-            text.append(" request ").append(n.request());
+                event.atMs(),
+                event.type().name().toLowerCase(Locale.ROOT).replace('_', ' ')));
+        if (event.request() >= 0) {
+            text.append(" request ").append(event.request());
         }
-        if (n.sidecar() >= 0) {
-            text.append(" sidecar ").append(n.sidecar());
+        if (event.sidecar() >= 0) {
+            text.append(" sidecar ").append(event.sidecar());
         }
-        if (n.server() >= 0) {
-            text.append(" server ").append(n.server());
+        if (event.server() >= 0) {
+            text.append(" server ").append(event.server());
         }
-        if (n.value() != 0) {
-            text.append(String.format(Locale.ROOT, " (%.3f)", n.value()));
+        if (event.value() != 0) {
+            text.append(String.format(Locale.ROOT, " (%.3f)", event.value()));
         }
         return text.toString();
     }
--- a/lab/src/main/java/dewplank/lab/Comparison.java
+++ b/lab/src/main/java/dewplank/lab/Comparison.java
@@ -14,27 +14,33 @@
  */
 public final class Comparison {
     /** {@code difference}: of the second to the first. */
-    public record Row(String cell, String first, String second, Statistics difference, Statistics of, Statistics to) {}
+    public record Row(
+            String cell,
+            String firstPolicy,
+            String secondPolicy,
+            Statistics difference,
+            Statistics firstFigures,
+            Statistics secondFigures) {}
 
     private Comparison() {}
 
     /** Pairs runs of the same policy in two folders. */
-    public static List<Row> folders(List<Result> a, List<Result> b, String figure) {
+    public static List<Row> ofFolders(List<Result> firstRuns, List<Result> secondRuns, String figure) {
         List<Row> rows = new ArrayList<>();
-        for (String policy : policies(a)) {
-            if (policies(b).contains(policy)) {
-                rows.addAll(pair(of(a, policy), of(b, policy), policy, policy, figure));
+        for (String policy : policies(firstRuns)) {
+            if (policies(secondRuns).contains(policy)) {
+                rows.addAll(pair(ofPolicy(firstRuns, policy), ofPolicy(secondRuns, policy), policy, policy, figure));
             }
         }
         return rows;
     }
 
     /** Pairs each policy with the baseline, within one folder. */
-    public static List<Row> policies(List<Result> all, String baseline, String figure) {
+    public static List<Row> withBaseline(List<Result> all, String baseline, String figure) {
         List<Row> rows = new ArrayList<>();
         for (String policy : policies(all)) {
             if (!policy.equals(baseline)) {
-                rows.addAll(pair(of(all, baseline), of(all, policy), baseline, policy, figure));
+                rows.addAll(pair(ofPolicy(all, baseline), ofPolicy(all, policy), baseline, policy, figure));
             }
         }
         return rows;
@@ -46,26 +52,27 @@
         return names;
     }
 
-    private static List<Result> of(List<Result> all, String policy) {
+    private static List<Result> ofPolicy(List<Result> all, String policy) {
         return all.stream().filter(r -> r.policy().equals(policy)).toList();
     }
 
-    private static List<Row> pair(List<Result> a, List<Result> b, String first, String second, String figure) {
-        Map<String, Result> byWorld = new LinkedHashMap<>();
-        a.forEach(r -> byWorld.put(r.world(), r));
+    private static List<Row> pair(
+            List<Result> firstRuns, List<Result> secondRuns, String firstPolicy, String secondPolicy, String figure) {
+        Map<String, Result> firstByWorld = new LinkedHashMap<>();
+        firstRuns.forEach(r -> firstByWorld.put(r.worldName(), r));
         Map<String, List<double[]>> pairs = new LinkedHashMap<>();
-        for (Result r : b) {
-            Result other = byWorld.get(r.world());
+        for (Result r : secondRuns) {
+            Result other = firstByWorld.get(r.worldName());
             if (other != null) {
-                pairs.computeIfAbsent(r.place(), p -> new ArrayList<>())
+                pairs.computeIfAbsent(r.cellName(), p -> new ArrayList<>())
                         .add(new double[] {other.figure(figure), r.figure(figure)});
             }
         }
         List<Row> rows = new ArrayList<>();
-        pairs.forEach((place, values) -> rows.add(new Row(
-                place,
-                first,
-                second,
+        pairs.forEach((cellName, values) -> rows.add(new Row(
+                cellName,
+                firstPolicy,
+                secondPolicy,
                 Statistics.of(values.stream().map(v -> v[1] - v[0]).toList()),
                 Statistics.of(values.stream().map(v -> v[0]).toList()),
                 Statistics.of(values.stream().map(v -> v[1]).toList()))));
@@ -84,19 +91,19 @@
                 figure + " 2",
                 "change",
                 "+-"));
-        for (Row r : rows) {
+        for (Row row : rows) {
             text.append(String.format(
                     Locale.ROOT,
                     "%-34s %-18s %-18s %9.4f %9.4f %+9.4f %9.4f %2d%s%n",
-                    r.cell(),
-                    r.first(),
-                    r.second(),
-                    r.of().mean(),
-                    r.to().mean(),
-                    r.difference().mean(),
-                    r.difference().halfWidth(),
-                    r.difference().n(),
-                    r.difference().differs() ? " *" : ""));
+                    row.cell(),
+                    row.firstPolicy(),
+                    row.secondPolicy(),
+                    row.firstFigures().mean(),
+                    row.secondFigures().mean(),
+                    row.difference().mean(),
+                    row.difference().halfWidth(),
+                    row.difference().count(),
+                    row.difference().differs() ? " *" : ""));
         }
         return text.toString();
     }
--- a/lab/src/main/java/dewplank/lab/Experiment.java
+++ b/lab/src/main/java/dewplank/lab/Experiment.java
@@ -26,57 +26,57 @@
     /** One run. */
     public record Job(Cell cell, String policy, long seed) {}
 
-    private static final int MOST_SEEDS = 10_000;
+    private static final int MAX_SEEDS = 10_000;
 
     public static Experiment read(Path file) {
         return of(TomlFile.read(file));
     }
 
-    static Experiment of(Table t) {
-        String name = t.text("name");
-        List<String> scenarios = t.texts("scenarios", null);
-        List<String> policies = t.texts("policies", List.of("choice"));
+    static Experiment of(Table table) {
+        String name = table.text("name");
+        List<String> scenarios = table.texts("scenarios", null);
+        List<String> policies = table.texts("policies", List.of("choice"));
         policies.forEach(p -> {
             try {
                 Policies.named(p);
             } catch (InvalidInputException e) {
-                throw t.wrong("policies", "is wrong: " + e.getMessage());
+                throw table.wrong("policies", "is wrong: " + e.getMessage());
             }
         });
-        int seeds = t.whole("seeds", 1, MOST_SEEDS, 5);
-        int first = t.whole("first_seed", 0, 1_000_000_000, 1);
-        String baseline = t.text("baseline", policies.get(0));
+        int seeds = table.whole("seeds", 1, MAX_SEEDS, 5);
+        int firstSeed = table.whole("first_seed", 0, 1_000_000_000, 1);
+        String baseline = table.text("baseline", policies.get(0));
         if (!policies.contains(baseline)) {
-            throw t.wrong("baseline", "is none of the policies");
+            throw table.wrong("baseline", "is none of the policies");
         }
-        double length = t.number("length_s", 0, 3600, 0);
+        double lengthS = table.number("length_s", 0, 3600, 0);
         Map<String, List<Double>> varied = new LinkedHashMap<>();
-        for (Table v : t.tables("vary")) {
-            varied.put(v.text("parameter"), v.numbers("values"));
-            v.end();
+        for (Table variation : table.tables("vary")) {
+            varied.put(variation.text("parameter"), variation.numbers("values"));
+            variation.end();
         }
-        String about = t.text("about", "");
-        t.end();
+        String about = table.text("about", "");
+        table.end();
         List<Cell> cells = new ArrayList<>();
-        for (String s : scenarios) {
-            Scenario scenario = ScenarioFile.named(s);
-            scenario = length > 0 ? scenario.with("length_s", length) : scenario;
+        for (String scenarioName : scenarios) {
+            Scenario scenario = ScenarioFile.named(scenarioName);
+            scenario = lengthS > 0 ? scenario.with("length_s", lengthS) : scenario;
             try {
                 expand(new Cell(scenario.name(), "", scenario), new ArrayList<>(varied.entrySet()), cells);
             } catch (IllegalArgumentException e) {
-                throw t.wrong("vary", e.getMessage());
+                throw table.wrong("vary", e.getMessage());
             }
         }
         List<Long> seedList = new ArrayList<>();
         for (int i = 0; i < seeds; i++) {
-            seedList.add((long) first + i);
+            seedList.add((long) firstSeed + i);
         }
         return new Experiment(name, about, List.copyOf(cells), List.copyOf(policies), List.copyOf(seedList), baseline);
     }
 
-    private static void expand(Cell cell, List<Map.Entry<String, List<Double>>> varied, List<Cell> into) {
+    private static void expand(Cell cell, List<Map.Entry<String, List<Double>>> varied, List<Cell> cells) {
         if (varied.isEmpty()) {
-            into.add(cell);
+            cells.add(cell);
             return;
         }
         String parameter = varied.get(0).getKey();
@@ -87,7 +87,7 @@
             expand(
                     new Cell(cell.scenarioName(), parameters, cell.scenario().with(parameter, value)),
                     varied.subList(1, varied.size()),
-                    into);
+                    cells);
         }
     }
 
--- a/lab/src/main/java/dewplank/lab/LiveTrial.java
+++ b/lab/src/main/java/dewplank/lab/LiveTrial.java
@@ -17,45 +17,45 @@
     /** On sockets each time limit is longer by so much, as the platform's protocol has it. */
     private static final double SLACK_MS = 50;
 
-    private static final double LINE_MS = 1_000;
+    private static final double TABLE_INTERVAL_MS = 1_000;
 
     private final Scenario scenario;
     private final Auditor auditor;
-    private final Consumer<String> lines;
+    private final Consumer<String> output;
     private Service service;
     private World world;
-    private double begun;
-    private long asked;
+    private double startedAtMs;
+    private long requests;
     private long served;
     private long refused;
-    private long others;
+    private long failed;
     private long sends;
-    private int second;
+    private int tableRows;
 
-    private LiveTrial(Scenario scenario, Consumer<String> lines) {
+    private LiveTrial(Scenario scenario, Consumer<String> output) {
         this.scenario = scenario;
         this.auditor = new Auditor(scenario, SLACK_MS);
-        this.lines = lines;
+        this.output = output;
     }
 
     /**
-     * Plays it. {@code command}: starts a sidecar. {@code lines}: gets a line of a live table each second.
+     * Plays it. {@code command}: starts a sidecar. {@code output}: gets a line of a live table each second.
      *
      * @throws IllegalStateException when a sidecar does not start, or the run does not end
      */
-    public static Trial play(Scenario scenario, long seed, List<String> command, Consumer<String> lines)
+    public static Trial play(Scenario scenario, long seed, List<String> command, Consumer<String> output)
             throws IOException, InterruptedException {
         Scenario onSockets = scenario.withAnswerSlack(scenario.rules().answerSlackMs() + SLACK_MS);
-        LiveTrial trial = new LiveTrial(onSockets, lines);
+        LiveTrial trial = new LiveTrial(onSockets, output);
         try (LoopbackRun run = new LoopbackRun(onSockets, seed, command, trial)) {
             LoopbackRun.Outcome outcome = run.run();
             trial.auditor.end(trial.world.now());
             if (outcome.unsound()) {
-                lines.accept("UNSOUND: the emulator itself ran late, by %.0f ms at the most; run it on quieter cores"
+                output.accept("UNSOUND: the emulator itself ran late, by %.0f ms at the most; run it on quieter cores"
                         .formatted(outcome.latestMs()));
             }
             if (scenario.messages().enabled()) {
-                lines.accept(outcome.messages() + " datagrams between sidecars, " + outcome.messagesLost()
+                output.accept(outcome.messages() + " datagrams between sidecars, " + outcome.messagesLost()
                         + " more were lost");
             }
             return new Trial(
@@ -77,54 +77,55 @@
     @Override
     public Clients.OutcomeListener begin(World playing) {
         world = playing;
-        begun = playing.now();
-        service = new Service(scenario, begun);
-        lines.accept("second  asked  served  refused  failed  sends  servers up");
-        world.schedule(LINE_MS, this::line);
+        startedAtMs = playing.now();
+        service = new Service(scenario, startedAtMs);
+        output.accept("second  asked  served  refused  failed  sends  servers up");
+        world.schedule(TABLE_INTERVAL_MS, this::printTableRow);
         return service;
     }
 
     @Override
-    public void record(RecordedEvent n) {
-        auditor.record(n);
-        switch (n.type()) {
-            case SENT -> asked++;
+    public void record(RecordedEvent event) {
+        auditor.record(event);
+        switch (event.type()) {
+            case SENT -> requests++;
             case SERVED -> served++;
             case REFUSED -> refused++;
-            case FAILED, UNREACHABLE, ABANDONED -> others++;
+            case FAILED, UNREACHABLE, ABANDONED -> failed++;
             case RECEIVED -> sends++;
-            case SERVER_DOWN -> event("server " + n.server() + (n.value() == 1 ? " went silent" : " died"));
-            case SERVER_COLLAPSED -> event("server " + n.server() + " broke down, cold, under too much work");
-            case SERVER_STARTED -> event("server " + n.server() + " came back, cold");
-            case SIDECAR_KILLED -> event("sidecar " + n.sidecar() + " was killed");
+            case SERVER_DOWN -> printEvent(
+                    "server " + event.server() + (event.value() == 1 ? " went silent" : " died"));
+            case SERVER_COLLAPSED -> printEvent("server " + event.server() + " broke down, cold, under too much work");
+            case SERVER_STARTED -> printEvent("server " + event.server() + " came back, cold");
+            case SIDECAR_KILLED -> printEvent("sidecar " + event.sidecar() + " was killed");
             default -> {}
         }
     }
 
-    private void event(String text) {
+    private void printEvent(String text) {
         if (world != null) {
-            lines.accept(String.format(Locale.ROOT, "%6.1f  %s", (world.now() - begun) / 1000, text));
+            output.accept(String.format(Locale.ROOT, "%6.1f  %s", (world.now() - startedAtMs) / 1000, text));
         }
     }
 
-    private void line() {
-        long up = world.servers().stream()
+    private void printTableRow() {
+        long serversUp = world.servers().stream()
                 .filter(s -> s.state() == Server.State.UP)
                 .count();
-        lines.accept(String.format(
+        output.accept(String.format(
                 Locale.ROOT,
                 "%6d %6d %7d %8d %7d %6d %6d of %d",
-                ++second,
-                asked,
+                ++tableRows,
+                requests,
                 served,
                 refused,
-                others,
+                failed,
                 sends,
-                up,
+                serversUp,
                 world.servers().size()));
-        asked = served = refused = others = sends = 0;
-        if (world.now() - begun < scenario.lengthMs() + LINE_MS / 2) {
-            world.schedule(LINE_MS, this::line);
+        requests = served = refused = failed = sends = 0;
+        if (world.now() - startedAtMs < scenario.lengthMs() + TABLE_INTERVAL_MS / 2) {
+            world.schedule(TABLE_INTERVAL_MS, this::printTableRow);
         }
     }
 }
--- a/lab/src/main/java/dewplank/lab/LossSplit.java
+++ b/lab/src/main/java/dewplank/lab/LossSplit.java
@@ -22,68 +22,74 @@
     /** In the order of the table. */
     public enum Cause {
         /** Refused, no attempt made, though some server had room by the true state. */
-        REFUSED_NEEDLESSLY,
+        REFUSED_DESPITE_CAPACITY("refused needlessly"),
         /** Refused, no attempt made, and no server would have been in time. */
-        REFUSED_NO_ROOM,
+        REFUSED_WITHOUT_CAPACITY("refused no room"),
         /** Refused after servers had turned it away, or after attempts in vain. */
-        REFUSED_AFTER_ATTEMPTS,
+        REFUSED_AFTER_ATTEMPTS("refused after attempts"),
         /** Served by the first try, past its aim. */
-        LATE_FIRST,
+        SLOW_FIRST_ATTEMPT("late first"),
         /** Served by a later try, past its aim. */
-        LATE_RETRIED,
+        SLOW_RETRY("late retried"),
         /** Failed, and no attempt had come to a server. */
-        FAILED_UNSENT,
+        FAILED_UNSENT("failed unsent"),
         /** Failed after a server had it: an error, a break, a time-out. */
-        FAILED_SENT,
+        FAILED_SENT("failed sent"),
         /** The client's time was up, or it lost its patience. */
-        LEFT,
+        ABANDONED("left"),
         /** Its sidecar was down. */
-        UNREACHABLE
+        UNREACHABLE("unreachable");
+
+        private final String printedName;
+
+        Cause(String printedName) {
+            this.printedName = printedName;
+        }
     }
 
     /** What is known of one open try. */
     private static final class OpenRequest {
         int received;
-        boolean roomAtRefusal;
+        boolean hadCapacityAtRefusal;
     }
 
     private final Scenario scenario;
     private final RecordedEvent.Recorder recorder;
-    private final Clients.OutcomeListener tally;
+    private final Clients.OutcomeListener outcomeListener;
     private final Map<Long, OpenRequest> open = new HashMap<>();
-    private final Map<Cause, double[]> lost = new EnumMap<>(Cause.class); // by class, worth
+    private final Map<Cause, double[]> lostValueByClass = new EnumMap<>(Cause.class); // by class, worth
     private World world;
-    private RecordedEvent last;
-    private OpenRequest lastOpen;
-    private double asked;
+    private RecordedEvent lastEvent;
+    private OpenRequest lastRequest;
+    private double requestedValue;
 
-    public LossSplit(Scenario scenario, RecordedEvent.Recorder recorder, Clients.OutcomeListener tally) {
+    public LossSplit(Scenario scenario, RecordedEvent.Recorder recorder, Clients.OutcomeListener outcomeListener) {
         this.scenario = scenario;
         this.recorder = recorder;
-        this.tally = tally;
+        this.outcomeListener = outcomeListener;
     }
 
     /** Before the run begins. */
-    public void watch(World truth) {
+    public void attach(World truth) {
         world = truth;
     }
 
     @Override
-    public void record(RecordedEvent n) {
-        recorder.record(n);
-        switch (n.type()) {
-            case SENT -> open.put(n.request(), new OpenRequest());
+    public void record(RecordedEvent event) {
+        recorder.record(event);
+        switch (event.type()) {
+            case SENT -> open.put(event.request(), new OpenRequest());
             case RECEIVED -> {
-                OpenRequest o = open.get(n.request());
-                if (o != null) {
-                    o.received++;
+                OpenRequest request = open.get(event.request());
+                if (request != null) {
+                    request.received++;
                 }
             }
             case SERVED, REFUSED, FAILED, UNREACHABLE, ABANDONED -> {
-                last = n;
-                lastOpen = open.remove(n.request());
-                if (n.type() == Type.REFUSED && lastOpen != null) {
-                    lastOpen.roomAtRefusal = room(n);
+                lastEvent = event;
+                lastRequest = open.remove(event.request());
+                if (event.type() == Type.REFUSED && lastRequest != null) {
+                    lastRequest.hadCapacityAtRefusal = hadCapacity(event);
                 }
             }
             default -> {}
@@ -91,8 +97,8 @@
     }
 
     /** Whether a first attempt begun now would likely have been in time, by the aim of its class. */
-    private boolean room(RecordedEvent n) {
-        Scenario.RequestKind kind = scenario.classes().get(n.requestClass());
+    private boolean hadCapacity(RecordedEvent event) {
+        Scenario.RequestKind kind = scenario.classes().get(event.requestClass());
         for (Server s : world.servers()) {
             if (s.expectedMs(kind.work(), 0) <= kind.targetLatencyMs()) {
                 return true;
@@ -102,38 +108,45 @@
     }
 
     @Override
-    public void requestEnded(int kind, int tenant, double askedAt, double tookMs, int tries, Type how) {
-        tally.requestEnded(kind, tenant, askedAt, tookMs, tries, how);
-        Scenario.RequestKind k = scenario.classes().get(kind);
-        asked += k.value();
-        if (!(tookMs <= k.targetLatencyMs())) {
-            lost.computeIfAbsent(
-                            cause(tries), c -> new double[scenario.classes().size()])[kind] += k.value();
+    public void requestEnded(
+            int requestClass, int tenant, double firstSentAtMs, double tookMs, int attempts, Type lastType) {
+        outcomeListener.requestEnded(requestClass, tenant, firstSentAtMs, tookMs, attempts, lastType);
+        Scenario.RequestKind kind = scenario.classes().get(requestClass);
+        requestedValue += kind.value();
+        if (!(tookMs <= kind.targetLatencyMs())) {
+            lostValueByClass
+                            .computeIfAbsent(
+                                    cause(attempts),
+                                    c -> new double[scenario.classes().size()])[requestClass] +=
+                    kind.value();
         }
     }
 
-    private Cause cause(int tries) {
-        int received = lastOpen == null ? 0 : lastOpen.received;
-        return switch (last.type()) {
-            case SERVED -> tries > 1 ? Cause.LATE_RETRIED : Cause.LATE_FIRST;
+    private Cause cause(int attempts) {
+        int received = lastRequest == null ? 0 : lastRequest.received;
+        return switch (lastEvent.type()) {
+            case SERVED -> attempts > 1 ? Cause.SLOW_RETRY : Cause.SLOW_FIRST_ATTEMPT;
             case REFUSED -> received > 0
                     ? Cause.REFUSED_AFTER_ATTEMPTS
-                    : lastOpen != null && lastOpen.roomAtRefusal ? Cause.REFUSED_NEEDLESSLY : Cause.REFUSED_NO_ROOM;
+                    : lastRequest != null && lastRequest.hadCapacityAtRefusal
+                            ? Cause.REFUSED_DESPITE_CAPACITY
+                            : Cause.REFUSED_WITHOUT_CAPACITY;
             case FAILED -> received > 0 ? Cause.FAILED_SENT : Cause.FAILED_UNSENT;
             case UNREACHABLE -> Cause.UNREACHABLE;
-            default -> Cause.LEFT;
+            default -> Cause.ABANDONED;
         };
     }
 
     /** The worth lost by each cause, as a part of all worth asked for; causes that lost nothing are left out. */
-    public Map<Cause, Double> parts() {
-        Map<Cause, Double> parts = new LinkedHashMap<>();
-        for (Cause c : Cause.values()) {
-            if (lost.containsKey(c)) {
-                parts.put(c, Arrays.stream(lost.get(c)).sum() / asked);
+    public Map<Cause, Double> lostFractions() {
+        Map<Cause, Double> lostFractions = new LinkedHashMap<>();
+        for (Cause cause : Cause.values()) {
+            if (lostValueByClass.containsKey(cause)) {
+                lostFractions.put(
+                        cause, Arrays.stream(lostValueByClass.get(cause)).sum() / requestedValue);
             }
         }
-        return parts;
+        return lostFractions;
     }
 
     /** A table for a terminal: causes by classes, percent of all worth asked for. */
@@ -141,14 +154,10 @@
         StringBuilder text = new StringBuilder(String.format(Locale.ROOT, "%-24s %8s", "lost, % of worth", "all"));
         scenario.classNames().forEach(n -> text.append(String.format(Locale.ROOT, " %10s", n)));
         text.append('\n');
-        parts().forEach((cause, part) -> {
-            text.append(String.format(
-                    Locale.ROOT,
-                    "%-24s %8.2f",
-                    cause.name().toLowerCase(Locale.ROOT).replace('_', ' '),
-                    100 * part));
-            for (double worth : lost.get(cause)) {
-                text.append(String.format(Locale.ROOT, " %10.2f", 100 * worth / asked));
+        lostFractions().forEach((cause, fraction) -> {
+            text.append(String.format(Locale.ROOT, "%-24s %8.2f", cause.printedName, 100 * fraction));
+            for (double value : lostValueByClass.get(cause)) {
+                text.append(String.format(Locale.ROOT, " %10.2f", 100 * value / requestedValue));
             }
             text.append('\n');
         });
--- a/lab/src/main/java/dewplank/lab/Report.java
+++ b/lab/src/main/java/dewplank/lab/Report.java
@@ -68,7 +68,7 @@
         if (Comparison.policies(results).size() > 1) {
             html.append("<h2>Against ").append(escape(baseline)).append("</h2>").append(differences(results, baseline));
         }
-        for (Map.Entry<String, List<Result>> scenario : byPlace(results).entrySet()) {
+        for (Map.Entry<String, List<Result>> scenario : byCell(results).entrySet()) {
             html.append("<h2>")
                     .append(escape(scenario.getKey()))
                     .append("</h2>")
@@ -78,14 +78,14 @@
         Files.writeString(file, html.toString());
     }
 
-    private static Map<String, List<Result>> byPlace(List<Result> results) {
+    private static Map<String, List<Result>> byCell(List<Result> results) {
         Map<String, List<Result>> by = new LinkedHashMap<>();
         results.forEach(
-                r -> by.computeIfAbsent(r.place(), p -> new ArrayList<>()).add(r));
+                r -> by.computeIfAbsent(r.cellName(), p -> new ArrayList<>()).add(r));
         return by;
     }
 
-    private static Statistics of(List<Result> results, String policy, String figure) {
+    private static Statistics statistics(List<Result> results, String policy, String figure) {
         return Statistics.of(results.stream()
                 .filter(r -> r.policy().equals(policy))
                 .map(r -> r.figure(figure))
@@ -97,16 +97,16 @@
         StringBuilder html = new StringBuilder("<h2>Service by scenario</h2><table><tr><th>scenario</th>");
         policies.forEach(p -> html.append("<th>").append(escape(p)).append("</th>"));
         html.append("</tr>");
-        byPlace(results).forEach((place, runs) -> {
-            html.append("<tr><td>").append(escape(place)).append("</td>");
+        byCell(results).forEach((cellName, runs) -> {
+            html.append("<tr><td>").append(escape(cellName)).append("</td>");
             double best = policies.stream()
                     .filter(p -> !p.equals("oracle"))
-                    .mapToDouble(p -> of(runs, p, "service").mean())
+                    .mapToDouble(p -> statistics(runs, p, "service").mean())
                     .max()
                     .orElse(0);
             for (String p : policies) {
-                Statistics s = of(runs, p, "service");
-                boolean broken = of(runs, p, "violations").max() > 0;
+                Statistics s = statistics(runs, p, "service");
+                boolean broken = statistics(runs, p, "violations").max() > 0;
                 html.append("<td class=\"")
                         .append(broken ? "bad" : s.mean() >= best ? "best" : "")
                         .append("\">")
@@ -124,21 +124,21 @@
         StringBuilder html =
                 new StringBuilder("<table><tr><th>scenario</th><th>policy</th><th>service</th><th>less the "
                         + "baseline's</th><th>&plusmn;</th><th>pairs</th></tr>");
-        for (Comparison.Row r : Comparison.policies(results, baseline, "service")) {
+        for (Comparison.Row row : Comparison.withBaseline(results, baseline, "service")) {
             html.append("<tr><td>")
-                    .append(escape(r.cell()))
+                    .append(escape(row.cell()))
                     .append("</td><td>")
-                    .append(escape(r.second()))
+                    .append(escape(row.secondPolicy()))
                     .append("</td><td>")
-                    .append(number(r.to().mean()))
+                    .append(number(row.secondFigures().mean()))
                     .append("</td><td class=\"")
-                    .append(r.difference().differs() ? "best" : "")
+                    .append(row.difference().differs() ? "best" : "")
                     .append("\">")
-                    .append(signed(r.difference().mean()))
+                    .append(signed(row.difference().mean()))
                     .append("</td><td>")
-                    .append(number(r.difference().halfWidth()))
+                    .append(number(row.difference().halfWidth()))
                     .append("</td><td>")
-                    .append(r.difference().n())
+                    .append(row.difference().count())
                     .append("</td></tr>");
         }
         return html.append("</table>").toString();
@@ -151,7 +151,7 @@
         for (String p : Comparison.policies(runs)) {
             html.append("<tr><td>").append(escape(p)).append("</td>");
             for (String c : COLUMNS) {
-                Statistics s = of(runs, p, c);
+                Statistics s = statistics(runs, p, c);
                 html.append("<td class=\"")
                         .append(c.equals("violations") && s.max() > 0 ? "bad" : "")
                         .append("\">")
@@ -183,7 +183,7 @@
     }
 
     private static CategoryChart bars(List<Result> results) {
-        Map<String, List<Result>> places = byPlace(results);
+        Map<String, List<Result>> cells = byCell(results);
         CategoryChart chart = new CategoryChartBuilder()
                 .width(WIDTH)
                 .height(HEIGHT)
@@ -194,13 +194,13 @@
         chart.getStyler().setAvailableSpaceFill(0.8).setXAxisLabelRotation(45);
         for (String p : Comparison.policies(results)) {
             List<Double> means = new ArrayList<>();
-            List<Double> halves = new ArrayList<>();
-            places.values().forEach(runs -> {
-                Statistics s = of(runs, p, "service");
+            List<Double> halfWidths = new ArrayList<>();
+            cells.values().forEach(runs -> {
+                Statistics s = statistics(runs, p, "service");
                 means.add(Double.isNaN(s.mean()) ? 0 : s.mean());
-                halves.add(Double.isNaN(s.halfWidth()) ? 0 : s.halfWidth());
+                halfWidths.add(Double.isNaN(s.halfWidth()) ? 0 : s.halfWidth());
             });
-            chart.addSeries(p, new ArrayList<>(places.keySet()), means, halves);
+            chart.addSeries(p, new ArrayList<>(cells.keySet()), means, halfWidths);
         }
         return chart;
     }
@@ -231,13 +231,13 @@
                             Double.parseDouble(r.parameters().replaceAll(".*=", "")), v -> new ArrayList<>())
                     .add(r));
             List<Double> means = new ArrayList<>();
-            List<Double> halves = new ArrayList<>();
+            List<Double> halfWidths = new ArrayList<>();
             by.values().forEach(runs -> {
-                Statistics s = of(runs, p, "service");
+                Statistics s = statistics(runs, p, "service");
                 means.add(s.mean());
-                halves.add(Double.isNaN(s.halfWidth()) ? 0 : s.halfWidth());
+                halfWidths.add(Double.isNaN(s.halfWidth()) ? 0 : s.halfWidth());
             });
-            chart.addSeries(p, new ArrayList<>(by.keySet()), means, halves);
+            chart.addSeries(p, new ArrayList<>(by.keySet()), means, halfWidths);
         }
         return chart;
     }
@@ -253,17 +253,17 @@
                 .build();
         style(chart.getStyler());
         chart.getStyler().setLegendVisible(false);
-        List<Double> at = new ArrayList<>();
-        List<Double> share = new ArrayList<>();
+        List<Double> secondNumbers = new ArrayList<>();
+        List<Double> ratios = new ArrayList<>();
         for (int i = 0; i < service.seconds().size(); i++) {
             double[] s = service.seconds().get(i);
             if (s[0] > 0) {
-                at.add((double) i);
-                share.add(s[1] / s[0]);
+                secondNumbers.add((double) i);
+                ratios.add(s[1] / s[0]);
             }
         }
-        if (!at.isEmpty()) {
-            chart.addSeries("service", at, share).setMarker(SeriesMarkers.NONE);
+        if (!secondNumbers.isEmpty()) {
+            chart.addSeries("service", secondNumbers, ratios).setMarker(SeriesMarkers.NONE);
         }
         return chart;
     }
--- a/lab/src/main/java/dewplank/lab/Result.java
+++ b/lab/src/main/java/dewplank/lab/Result.java
@@ -32,9 +32,9 @@
             "events",
             "unsound",
             "worst_tenant");
-    private static final int KEYS = 4;
+    private static final int KEY_COLUMNS = 4;
 
-    static String header() {
+    static String csvHeader() {
         return "scenario,parameters,policy,seed," + String.join(",", FIGURES);
     }
 
@@ -43,18 +43,18 @@
     }
 
     /** What a run of another policy with the same world has in common. */
-    public String world() {
+    public String worldName() {
         return scenario + " " + parameters + " " + seed;
     }
 
-    public String place() {
+    public String cellName() {
         return parameters.isEmpty() ? scenario : scenario + " " + parameters;
     }
 
-    String line() {
+    String csvLine() {
         StringBuilder line = new StringBuilder(scenario + "," + parameters + "," + policy + "," + seed);
-        for (String f : FIGURES) {
-            double value = figures.get(f);
+        for (String figure : FIGURES) {
+            double value = figures.get(figure);
             line.append(',')
                     .append(
                             value == Math.rint(value) && Math.abs(value) < 1e12
@@ -65,27 +65,27 @@
     }
 
     /** Reads a line again; {@code columns}: the file's header. */
-    static Result of(String line, List<String> columns, String where) {
+    static Result parse(String line, List<String> columns, String location) {
         String[] parts = line.split(",", -1);
         if (parts.length != columns.size()) {
             throw new InvalidInputException(
-                    where + ": " + parts.length + " values where the header has " + columns.size());
+                    location + ": " + parts.length + " values where the header has " + columns.size());
         }
         Map<String, Double> figures = new LinkedHashMap<>();
         try {
-            for (int i = KEYS; i < parts.length; i++) {
+            for (int i = KEY_COLUMNS; i < parts.length; i++) {
                 figures.put(columns.get(i), Double.parseDouble(parts[i]));
             }
-            for (String f : FIGURES) {
-                figures.putIfAbsent(f, Double.NaN);
+            for (String figure : FIGURES) {
+                figures.putIfAbsent(figure, Double.NaN);
             }
             return new Result(parts[0], parts[1], parts[2], Long.parseLong(parts[3]), figures);
         } catch (NumberFormatException e) {
-            throw new InvalidInputException(where + ": " + e.getMessage());
+            throw new InvalidInputException(location + ": " + e.getMessage());
         }
     }
 
-    static List<Result> of(List<String> lines, String file) {
+    static List<Result> parseTable(List<String> lines, String file) {
         if (lines.isEmpty() || !lines.get(0).startsWith("scenario,parameters,policy,seed,")) {
             throw new InvalidInputException(file + ": not a table of runs");
         }
@@ -93,7 +93,7 @@
         List<Result> results = new ArrayList<>();
         for (int i = 1; i < lines.size(); i++) {
             if (!lines.get(i).isEmpty()) {
-                results.add(of(lines.get(i), columns, file + ":" + (i + 1)));
+                results.add(parse(lines.get(i), columns, file + ":" + (i + 1)));
             }
         }
         return results;
--- a/lab/src/main/java/dewplank/lab/Runner.java
+++ b/lab/src/main/java/dewplank/lab/Runner.java
@@ -25,7 +25,7 @@
  */
 public final class Runner {
     static final String TABLE = "runs.csv";
-    static final String PART = "runs.part.csv";
+    static final String PARTIAL_TABLE = "runs.part.csv";
 
     private final Path folder;
     private final int threads;
@@ -43,41 +43,41 @@
         Files.deleteIfExists(folder.resolve(TABLE));
         List<Job> jobs = experiment.jobs();
         Result[] results = new Result[jobs.size()];
-        ExecutorService crew = Executors.newFixedThreadPool(threads, task -> {
+        ExecutorService executor = Executors.newFixedThreadPool(threads, task -> {
             Thread thread = new Thread(task, "trial");
             thread.setDaemon(true);
             return thread;
         });
-        try (Writer part = Files.newBufferedWriter(folder.resolve(PART))) {
-            part.write(Result.header() + "\n");
-            ExecutorCompletionService<Integer> done = new ExecutorCompletionService<>(crew);
+        try (Writer partialTable = Files.newBufferedWriter(folder.resolve(PARTIAL_TABLE))) {
+            partialTable.write(Result.csvHeader() + "\n");
+            ExecutorCompletionService<Integer> completions = new ExecutorCompletionService<>(executor);
             for (int i = 0; i < jobs.size(); i++) {
-                int place = i;
-                done.submit(() -> {
-                    results[place] = play(jobs.get(place));
-                    return place;
+                int index = i;
+                completions.submit(() -> {
+                    results[index] = play(jobs.get(index));
+                    return index;
                 });
             }
-            for (int n = 1; n <= jobs.size(); n++) {
-                Result result = results[finished(done.take())];
-                part.write(result.line() + "\n");
-                part.flush();
+            for (int finished = 1; finished <= jobs.size(); finished++) {
+                Result result = results[indexOf(completions.take())];
+                partialTable.write(result.csvLine() + "\n");
+                partialTable.flush();
                 progress.accept("%d of %d: %s %s seed %d: service %.3f%s"
                         .formatted(
-                                n,
+                                finished,
                                 jobs.size(),
-                                result.place(),
+                                result.cellName(),
                                 result.policy(),
                                 result.seed(),
                                 result.figure("service"),
                                 result.figure("violations") > 0 ? ", RULES BROKEN" : ""));
             }
         } finally {
-            crew.shutdownNow();
+            executor.shutdownNow();
         }
         List<Result> all = Arrays.stream(results).filter(Objects::nonNull).toList();
         write(all, folder);
-        Files.deleteIfExists(folder.resolve(PART));
+        Files.deleteIfExists(folder.resolve(PARTIAL_TABLE));
         return all;
     }
 
@@ -93,7 +93,7 @@
         }
     }
 
-    private static int finished(Future<Integer> future) throws InterruptedException {
+    private static int indexOf(Future<Integer> future) throws InterruptedException {
         try {
             return future.get();
         } catch (ExecutionException e) {
@@ -102,22 +102,22 @@
     }
 
     static void write(List<Result> results, Path folder) throws IOException {
-        List<String> lines = new ArrayList<>(List.of(Result.header()));
-        results.forEach(r -> lines.add(r.line()));
-        Path fresh = folder.resolve(TABLE + ".new");
-        Files.writeString(fresh, String.join("\n", lines) + "\n");
-        Files.move(fresh, folder.resolve(TABLE), StandardCopyOption.ATOMIC_MOVE);
+        List<String> lines = new ArrayList<>(List.of(Result.csvHeader()));
+        results.forEach(r -> lines.add(r.csvLine()));
+        Path temporary = folder.resolve(TABLE + ".new");
+        Files.writeString(temporary, String.join("\n", lines) + "\n");
+        Files.move(temporary, folder.resolve(TABLE), StandardCopyOption.ATOMIC_MOVE);
     }
 
     /** What a folder holds, of an experiment that ended or of one that was cut short. */
     public static List<Result> read(Path folder) {
         Path table = folder.resolve(TABLE);
-        Path file = Files.exists(table) ? table : folder.resolve(PART);
+        Path file = Files.exists(table) ? table : folder.resolve(PARTIAL_TABLE);
         try {
-            return Result.of(Files.readAllLines(file), file.toString());
+            return Result.parseTable(Files.readAllLines(file), file.toString());
         } catch (IOException e) {
             throw new InvalidInputException(
-                    folder + " holds no results: neither " + TABLE + " nor " + PART + " can be read");
+                    folder + " holds no results: neither " + TABLE + " nor " + PARTIAL_TABLE + " can be read");
         }
     }
 }
--- a/lab/src/main/java/dewplank/lab/Service.java
+++ b/lab/src/main/java/dewplank/lab/Service.java
@@ -13,20 +13,21 @@
  * client's retries belong to its first try, and count towards its time.
  */
 public final class Service implements Clients.OutcomeListener {
-    private static final double FROM_MS = 1_000;
-    private static final long MOST_US = 600_000_000L;
-    private static final int SPELL = 10; // seconds that the worst spell lasts
+    private static final double WARM_UP_MS = 1_000;
+    private static final long MAX_LATENCY_US = 600_000_000L;
+    private static final int WINDOW_S = 10; // seconds that the worst spell lasts
 
     /** Figures of one class. {@code refused}, {@code failed}: those whose last try ended so. */
     public static final class ClassService {
         final RequestKind kind;
-        final Histogram latency = new Histogram(MOST_US, 3); // of those served, microseconds from the first try on
-        long asked;
-        long inAim;
+        final Histogram latency =
+                new Histogram(MAX_LATENCY_US, 3); // of those served, microseconds from the first try on
+        long requests;
+        long withinTarget;
         long served;
         long refused;
         long failed;
-        long tries;
+        long attempts;
 
         ClassService(RequestKind kind) {
             this.kind = kind;
@@ -40,29 +41,30 @@
             return kind.name();
         }
 
-        public double inAimShare() {
-            return asked == 0 ? 1 : (double) inAim / asked;
+        public double withinTargetRatio() {
+            return requests == 0 ? 1 : (double) withinTarget / requests;
         }
     }
 
-    private final double startedAt;
+    private final double startedAtMs;
     private final List<ClassService> classes = new ArrayList<>();
     private final Scenario scenario;
     private final List<double[][]> tenantSeconds = new ArrayList<>(); // by second and tenant: asked, in aim
     private final List<double[]> seconds = new ArrayList<>(); // worth asked, worth in aim, by the second asked in
 
-    public Service(Scenario scenario, double startedAt) {
-        this.startedAt = startedAt;
+    public Service(Scenario scenario, double startedAtMs) {
+        this.startedAtMs = startedAtMs;
         this.scenario = scenario;
         scenario.classes().forEach(k -> classes.add(new ClassService(k)));
     }
 
     @Override
-    public void requestEnded(int kind, int tenant, double askedAt, double tookMs, int tries, Type last) {
-        double at = askedAt - startedAt;
-        ClassService c = classes.get(kind);
-        boolean inAim = tookMs <= c.kind.targetLatencyMs();
-        int second = (int) Math.max(0, at / 1000);
+    public void requestEnded(
+            int requestClass, int tenant, double firstSentAtMs, double tookMs, int attempts, Type lastType) {
+        double sinceStartMs = firstSentAtMs - startedAtMs;
+        ClassService figures = classes.get(requestClass);
+        boolean withinTarget = tookMs <= figures.kind.targetLatencyMs();
+        int second = (int) Math.max(0, sinceStartMs / 1000);
         while (seconds.size() <= second) {
             seconds.add(new double[2]);
         }
@@ -70,24 +72,24 @@
             while (tenantSeconds.size() <= second) {
                 tenantSeconds.add(new double[scenario.subjects().tenants().size()][2]);
             }
-            tenantSeconds.get(second)[tenant][0] += c.kind.value();
-            tenantSeconds.get(second)[tenant][1] += inAim ? c.kind.value() : 0;
+            tenantSeconds.get(second)[tenant][0] += figures.kind.value();
+            tenantSeconds.get(second)[tenant][1] += withinTarget ? figures.kind.value() : 0;
         }
-        seconds.get(second)[0] += c.kind.value();
-        seconds.get(second)[1] += inAim ? c.kind.value() : 0;
-        if (at < FROM_MS) {
+        seconds.get(second)[0] += figures.kind.value();
+        seconds.get(second)[1] += withinTarget ? figures.kind.value() : 0;
+        if (sinceStartMs < WARM_UP_MS) {
             return;
         }
-        c.asked++;
-        c.tries += tries;
-        c.inAim += inAim ? 1 : 0;
+        figures.requests++;
+        figures.attempts += attempts;
+        figures.withinTarget += withinTarget ? 1 : 0;
         if (!Double.isNaN(tookMs)) {
-            c.served++;
-            c.latency.recordValue(Math.min(MOST_US, Math.round(tookMs * 1000)));
-        } else if (last == Type.REFUSED) {
-            c.refused++;
+            figures.served++;
+            figures.latency.recordValue(Math.min(MAX_LATENCY_US, Math.round(tookMs * 1000)));
+        } else if (lastType == Type.REFUSED) {
+            figures.refused++;
         } else {
-            c.failed++;
+            figures.failed++;
         }
     }
 
@@ -100,16 +102,22 @@
         return seconds;
     }
 
-    public double share() {
-        double asked =
-                classes.stream().mapToDouble(c -> c.asked * c.kind.value()).sum();
-        return asked == 0
+    public double valueRatio() {
+        double requests =
+                classes.stream().mapToDouble(c -> c.requests * c.kind.value()).sum();
+        return requests == 0
                 ? 1
-                : classes.stream().mapToDouble(c -> c.inAim * c.kind.value()).sum() / asked;
+                : classes.stream()
+                                .mapToDouble(c -> c.withinTarget * c.kind.value())
+                                .sum()
+                        / requests;
     }
 
     public double worstClass() {
-        return classes.stream().mapToDouble(ClassService::inAimShare).min().orElse(1);
+        return classes.stream()
+                .mapToDouble(ClassService::withinTargetRatio)
+                .min()
+                .orElse(1);
     }
 
     /**
@@ -118,36 +126,36 @@
      */
     public double worstTenant() {
         double worst = 1;
-        double meanWorth = asked() == 0
+        double meanValue = requests() == 0
                 ? 1
-                : classes.stream().mapToDouble(c -> c.asked * c.kind.value()).sum() / asked();
+                : classes.stream().mapToDouble(c -> c.requests * c.kind.value()).sum() / requests();
         for (int t = 0; t < scenario.subjects().tenants().size(); t++) {
-            double allowed = scenario.allowancePerS(t) * meanWorth;
-            double asked = 0;
+            double allowed = scenario.allowancePerS(t) * meanValue;
+            double requests = 0;
             double got = 0;
             for (double[][] second : tenantSeconds.subList(Math.min(1, tenantSeconds.size()), tenantSeconds.size())) {
                 double within = second[t][0] <= 0 ? 0 : Math.min(1, allowed / second[t][0]);
                 double counted = second[t][0]
                         * (within + (1 - within) * scenario.subjects().overShareValueFactor());
-                asked += counted;
+                requests += counted;
                 got += Math.min(counted, second[t][1]); // what is served counts as what is within the share first
             }
-            worst = asked > 0 ? Math.min(worst, got / asked) : worst;
+            worst = requests > 0 ? Math.min(worst, got / requests) : worst;
         }
         return worst;
     }
 
     /** The service of the worst ten seconds. */
-    public double worstSpell() {
+    public double worstWindow() {
         double worst = 1;
-        for (int i = 1; i + SPELL <= seconds.size(); i++) {
-            double asked = 0;
+        for (int i = 1; i + WINDOW_S <= seconds.size(); i++) {
+            double requests = 0;
             double got = 0;
-            for (double[] s : seconds.subList(i, i + SPELL)) {
-                asked += s[0];
+            for (double[] s : seconds.subList(i, i + WINDOW_S)) {
+                requests += s[0];
                 got += s[1];
             }
-            worst = asked > 0 ? Math.min(worst, got / asked) : worst;
+            worst = requests > 0 ? Math.min(worst, got / requests) : worst;
         }
         return worst;
     }
@@ -155,7 +163,7 @@
     /**
      * Seconds until the service was at least {@code level} for three seconds running, counted from that time; or -1.
      */
-    public int backAfter(double fromMs, double level) {
+    public int secondsToRecover(double fromMs, double level) {
         int from = (int) (fromMs / 1000);
         for (int i = from; i + 3 <= seconds.size(); i++) {
             boolean back = seconds.subList(i, i + 3).stream().allMatch(s -> s[0] == 0 || s[1] / s[0] >= level);
@@ -166,28 +174,28 @@
         return -1;
     }
 
-    public long asked() {
-        return classes.stream().mapToLong(c -> c.asked).sum();
+    public long requests() {
+        return classes.stream().mapToLong(c -> c.requests).sum();
     }
 
-    public double part(java.util.function.ToLongFunction<ClassService> figure) {
-        return asked() == 0 ? 0 : (double) classes.stream().mapToLong(figure).sum() / asked();
+    public double perRequest(java.util.function.ToLongFunction<ClassService> figure) {
+        return requests() == 0 ? 0 : (double) classes.stream().mapToLong(figure).sum() / requests();
     }
 
-    public double refusedShare() {
-        return part(c -> c.refused);
+    public double refusedRatio() {
+        return perRequest(c -> c.refused);
     }
 
-    public double failedShare() {
-        return part(c -> c.failed);
+    public double failedRatio() {
+        return perRequest(c -> c.failed);
     }
 
     public double attemptsPerRequest() {
-        return part(c -> c.tries);
+        return perRequest(c -> c.attempts);
     }
 
     public Histogram latency() {
-        Histogram all = new Histogram(MOST_US, 3);
+        Histogram all = new Histogram(MAX_LATENCY_US, 3);
         classes.forEach(c -> all.add(c.latency));
         return all;
     }
--- a/lab/src/main/java/dewplank/lab/Statistics.java
+++ b/lab/src/main/java/dewplank/lab/Statistics.java
@@ -5,19 +5,19 @@
 import org.apache.commons.math3.stat.descriptive.SummaryStatistics;
 
 /** A mean and the half width of its 95 % interval (Student's t); NaN where one value alone gives none. */
-public record Statistics(int n, double mean, double halfWidth, double min, double max) {
-    private static final double TAIL = 0.975;
+public record Statistics(int count, double mean, double halfWidth, double min, double max) {
+    private static final double UPPER_QUANTILE = 0.975;
 
     public static Statistics of(List<Double> values) {
-        SummaryStatistics s = new SummaryStatistics();
-        values.forEach(s::addValue);
-        int n = (int) s.getN();
-        double half = n < 2
+        SummaryStatistics summary = new SummaryStatistics();
+        values.forEach(summary::addValue);
+        int count = (int) summary.getN();
+        double halfWidth = count < 2
                 ? Double.NaN
-                : new TDistribution(null, n - 1).inverseCumulativeProbability(TAIL)
-                        * s.getStandardDeviation()
-                        / Math.sqrt(n);
-        return new Statistics(n, s.getMean(), half, s.getMin(), s.getMax());
+                : new TDistribution(null, count - 1).inverseCumulativeProbability(UPPER_QUANTILE)
+                        * summary.getStandardDeviation()
+                        / Math.sqrt(count);
+        return new Statistics(count, summary.getMean(), halfWidth, summary.getMin(), summary.getMax());
     }
 
     /** Whether 0 lies outside the interval: a difference that is more than chance. */
--- a/lab/src/main/java/dewplank/lab/Trial.java
+++ b/lab/src/main/java/dewplank/lab/Trial.java
@@ -16,11 +16,11 @@
     /** Messages take a few milliseconds at the most in virtual time, a handshake included. */
     private static final double SLACK_MS = 50;
 
-    /** {@code sideBySide}: whether the sidecars of one tick decide on all cores. */
-    public static Trial play(Scenario scenario, String policy, long seed, boolean sideBySide) {
+    /** {@code decideInParallel}: whether the sidecars of one tick decide on all cores. */
+    public static Trial play(Scenario scenario, String policy, long seed, boolean decideInParallel) {
         Auditor auditor = new Auditor(scenario, SLACK_MS);
         Service service = new Service(scenario, 0);
-        VirtualRun run = new VirtualRun(scenario, seed, Policies.named(policy), auditor, service, sideBySide);
+        VirtualRun run = new VirtualRun(scenario, seed, Policies.named(policy), auditor, service, decideInParallel);
         Cost cost = run.run();
         auditor.end(run.world().now());
         return new Trial(service, auditor, cost, false, null);
@@ -29,12 +29,12 @@
     /**
      * The same, with the losses split by cause; slower, since each refusal is held against every server's true state.
      */
-    public static Trial split(Scenario scenario, String policy, long seed) {
+    public static Trial playSplittingLosses(Scenario scenario, String policy, long seed) {
         Auditor auditor = new Auditor(scenario, SLACK_MS);
         Service service = new Service(scenario, 0);
         LossSplit losses = new LossSplit(scenario, auditor, service);
         VirtualRun run = new VirtualRun(scenario, seed, Policies.named(policy), losses, losses, false);
-        losses.watch(run.world());
+        losses.attach(run.world());
         Cost cost = run.run();
         auditor.end(run.world().now());
         return new Trial(service, auditor, cost, false, losses);
@@ -46,26 +46,26 @@
 
     private Map<String, Double> figures() {
         Histogram latency = service.latency();
-        Map<String, Double> f = new LinkedHashMap<>();
-        f.put("service", service.share());
-        f.put("worst_class", service.worstClass());
-        f.put("worst_spell", service.worstSpell());
-        f.put("refused", service.refusedShare());
-        f.put("failed", service.failedShare());
-        f.put("tries_each", service.attemptsPerRequest());
-        f.put("sends_each", auditor.requestsSent() == 0 ? 0 : (double) cost.sends() / auditor.requestsSent());
-        f.put("p50_ms", latency.getValueAtPercentile(50) / 1000.0);
-        f.put("p90_ms", latency.getValueAtPercentile(90) / 1000.0);
-        f.put("p99_ms", latency.getValueAtPercentile(99) / 1000.0);
-        f.put("requests", (double) service.asked());
-        f.put("violations", (double) auditor.violations());
-        f.put("probes", (double) cost.healthChecks());
-        f.put("handshakes", (double) cost.handshakes());
-        f.put("directory_calls", (double) cost.directoryCalls());
-        f.put("directory_lines", (double) cost.directoryLines());
-        f.put("events", (double) cost.events());
-        f.put("unsound", unsound ? 1.0 : 0.0);
-        f.put("worst_tenant", service.worstTenant());
-        return f;
+        Map<String, Double> figures = new LinkedHashMap<>();
+        figures.put("service", service.valueRatio());
+        figures.put("worst_class", service.worstClass());
+        figures.put("worst_spell", service.worstWindow());
+        figures.put("refused", service.refusedRatio());
+        figures.put("failed", service.failedRatio());
+        figures.put("tries_each", service.attemptsPerRequest());
+        figures.put("sends_each", auditor.requestsSent() == 0 ? 0 : (double) cost.sends() / auditor.requestsSent());
+        figures.put("p50_ms", latency.getValueAtPercentile(50) / 1000.0);
+        figures.put("p90_ms", latency.getValueAtPercentile(90) / 1000.0);
+        figures.put("p99_ms", latency.getValueAtPercentile(99) / 1000.0);
+        figures.put("requests", (double) service.requests());
+        figures.put("violations", (double) auditor.violations());
+        figures.put("probes", (double) cost.healthChecks());
+        figures.put("handshakes", (double) cost.handshakes());
+        figures.put("directory_calls", (double) cost.directoryCalls());
+        figures.put("directory_lines", (double) cost.directoryLines());
+        figures.put("events", (double) cost.events());
+        figures.put("unsound", unsound ? 1.0 : 0.0);
+        figures.put("worst_tenant", service.worstTenant());
+        return figures;
     }
 }
--- a/lab/src/main/java/dewplank/lab/bench/DecisionBench.java
+++ b/lab/src/main/java/dewplank/lab/bench/DecisionBench.java
@@ -47,70 +47,71 @@
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
 public class DecisionBench {
-    private static final int IN_FLIGHT = 16;
+    private static final int MAX_IN_FLIGHT = 16;
     private static final double GAP_MS = 0.06;
     private static final double SERVED_MS = 1;
 
-    private record Due(double at, long timer) {}
+    private record Due(double atMs, long timer) {}
 
     /** Servers listed. */
     @Param({"6", "60", "200", "2000"})
     public int servers;
 
-    private final List<Endpoint> entries = new ArrayList<>();
-    private final Queue<Send> out = new ArrayDeque<>();
-    private final PriorityQueue<Due> timers = new PriorityQueue<>(Comparator.comparingDouble(Due::at));
+    private final List<Endpoint> endpoints = new ArrayList<>();
+    private final Queue<Send> inFlight = new ArrayDeque<>();
+    private final PriorityQueue<Due> timers = new PriorityQueue<>(Comparator.comparingDouble(Due::atMs));
     private List<String> classes;
-    private Balancer module;
-    private double now;
+    private Balancer balancer;
+    private double nowMs;
     private long request;
-    private int changed;
+    private int changedServer;
 
     @Setup
     public void setUp() {
         Scenario scenario = ScenarioFile.named("fleet").with("sidecars", 1);
         classes = scenario.classNames();
-        module = new AdaptiveBalancer(scenario.settings(0), new SplittableRandom(1));
-        entries.clear();
+        balancer = new AdaptiveBalancer(scenario.settings(0), new SplittableRandom(1));
+        endpoints.clear();
         for (int i = 0; i < servers; i++) {
-            entries.add(entry(i, 1));
+            endpoints.add(endpoint(i, 1));
         }
-        tell(new EndpointUpdate(UpdateKind.CACHED, entries));
+        handle(new EndpointUpdate(UpdateKind.CACHED, endpoints));
     }
 
-    private static Endpoint entry(int number, double rating) {
+    private static Endpoint endpoint(int number, double rating) {
         return new Endpoint(
                 "server-" + number, number % 2 == 0 ? "a" : "b", "kind", number / 5, Availability.UP, rating, null);
     }
 
-    private void tell(Event event) {
-        module.handle(now, event, action -> {
-            if (action instanceof Send s) {
-                out.add(s);
-            } else if (action instanceof SetTimer t) {
-                timers.add(new Due(now + t.delayMs(), t.timer()));
+    private void handle(Event event) {
+        balancer.handle(nowMs, event, action -> {
+            if (action instanceof Send send) {
+                inFlight.add(send);
+            } else if (action instanceof SetTimer setTimer) {
+                timers.add(new Due(nowMs + setTimer.delayMs(), setTimer.timer()));
             }
         });
     }
 
     @Benchmark
     public void request() {
-        now += GAP_MS;
-        while (!timers.isEmpty() && timers.peek().at() <= now) {
-            tell(new TimerFired(timers.remove().timer()));
+        nowMs += GAP_MS;
+        while (!timers.isEmpty() && timers.peek().atMs() <= nowMs) {
+            handle(new TimerFired(timers.remove().timer()));
         }
         request++;
-        tell(new RequestArrived(request, null, null, false, classes.get((int) (request % classes.size())), 600, null));
-        while (out.size() > IN_FLIGHT) {
-            Send s = out.remove();
-            tell(new AttemptEnded(s.request(), 0, s.server(), Outcome.SERVED, SERVED_MS, true, null));
+        handle(new RequestArrived(
+                request, null, null, false, classes.get((int) (request % classes.size())), 600, null));
+        while (inFlight.size() > MAX_IN_FLIGHT) {
+            Send send = inFlight.remove();
+            handle(new AttemptEnded(send.request(), 0, send.server(), Outcome.SERVED, SERVED_MS, true, null));
         }
     }
 
     @Benchmark
     public void requestAfterAChangeOfTheList() {
-        changed = (changed + 1) % servers;
-        tell(new EndpointUpdate(UpdateKind.INCREMENTAL, List.of(entry(changed, 1 + request % 7 * 0.1))));
+        changedServer = (changedServer + 1) % servers;
+        handle(new EndpointUpdate(UpdateKind.INCREMENTAL, List.of(endpoint(changedServer, 1 + request % 7 * 0.1))));
         request();
     }
 
@@ -127,13 +128,13 @@
                 .build();
         Collection<RunResult> results = new Runner(options).run();
         StringBuilder text = new StringBuilder("benchmark,servers,microseconds,error\n");
-        for (RunResult r : results) {
+        for (RunResult result : results) {
             text.append("%s,%s,%.3f,%.3f%n"
                     .formatted(
-                            r.getPrimaryResult().getLabel(),
-                            r.getParams().getParam("servers"),
-                            r.getPrimaryResult().getScore(),
-                            r.getPrimaryResult().getScoreError()));
+                            result.getPrimaryResult().getLabel(),
+                            result.getParams().getParam("servers"),
+                            result.getPrimaryResult().getScore(),
+                            result.getPrimaryResult().getScoreError()));
         }
         return text.toString();
     }
--- a/lab/src/main/java/dewplank/lab/load/Arrivals.java
+++ b/lab/src/main/java/dewplank/lab/load/Arrivals.java
@@ -8,9 +8,9 @@
 /** When requests are to start, in milliseconds from the beginning; each call gives the next one. Never goes back. */
 public interface Arrivals {
     /** After the last one. */
-    double NO_MORE = Double.POSITIVE_INFINITY;
+    double END = Double.POSITIVE_INFINITY;
 
-    double next();
+    double nextMs();
 
     /** Shapes of a load over time. */
     enum Shape {
@@ -24,65 +24,75 @@
     /**
      * The plan of a load: its shape and rates.
      *
-     * @param perS     requests a second; at the beginning, where they change
-     * @param toPerS   at the end of a ramp
-     * @param steps    rates of equally long steps
-     * @param swing    in bursts: how much more than {@code perS} it is for one half of a period, and less in the other
+     * @param ratePerSecond requests a second; at the beginning, where the rate changes
+     * @param finalRatePerSecond at the end of a ramp
+     * @param stepRatesPerSecond rates of equally long steps
+     * @param swing of bursts: what is added to the rate in one half of a period, and taken off in the other, as a
+     *     part of it
      * @param periodMs of bursts
      */
     record Plan(
             Shape shape,
-            double perS,
-            double toPerS,
-            List<Double> steps,
+            double ratePerSecond,
+            double finalRatePerSecond,
+            List<Double> stepRatesPerSecond,
             double swing,
             double periodMs,
-            double lengthMs) {
+            double durationMs) {
 
         /** Requests a millisecond, at that time. */
-        double rate(double at) {
+        double ratePerMs(double atMs) {
             return switch (shape) {
-                case POISSON, UNIFORM -> perS / 1000;
-                case BURSTS -> perS / 1000 * (at % periodMs < periodMs / 2 ? 1 + swing : Math.max(0, 1 - swing));
-                case RAMP -> (perS + (toPerS - perS) * at / lengthMs) / 1000;
-                case STEPS -> steps.get((int) Math.min(steps.size() - 1, at / lengthMs * steps.size())) / 1000;
+                case POISSON, UNIFORM -> ratePerSecond / 1000;
+                case BURSTS -> ratePerSecond
+                        / 1000
+                        * (atMs % periodMs < periodMs / 2 ? 1 + swing : Math.max(0, 1 - swing));
+                case RAMP -> (ratePerSecond + (finalRatePerSecond - ratePerSecond) * atMs / durationMs) / 1000;
+                case STEPS -> stepRatesPerSecond.get((int)
+                                Math.min(stepRatesPerSecond.size() - 1, atMs / durationMs * stepRatesPerSecond.size()))
+                        / 1000;
             };
         }
 
-        double most() {
+        double maxRatePerMs() {
             return switch (shape) {
-                case POISSON, UNIFORM -> perS / 1000;
-                case BURSTS -> perS / 1000 * (1 + swing);
-                case RAMP -> Math.max(perS, toPerS) / 1000;
-                case STEPS -> steps.stream().mapToDouble(d -> d).max().orElse(0) / 1000;
+                case POISSON, UNIFORM -> ratePerSecond / 1000;
+                case BURSTS -> ratePerSecond / 1000 * (1 + swing);
+                case RAMP -> Math.max(ratePerSecond, finalRatePerSecond) / 1000;
+                case STEPS -> stepRatesPerSecond.stream()
+                                .mapToDouble(d -> d)
+                                .max()
+                                .orElse(0)
+                        / 1000;
             };
         }
     }
 
-    /** One of {@code parts} equal parts of the plan's requests. Thinning, after Lewis and Shedler (1979). */
-    static Arrivals of(Plan plan, int part, int parts, long seed) {
-        UniformRandomProvider random = new RandomStreams(seed).stream("thinning", part);
-        DoubleSupplier gap = RandomStreams.exponential(new RandomStreams(seed).stream("gaps", part));
-        double most = plan.most() / parts;
-        double[] at = {plan.shape() == Shape.UNIFORM ? part / plan.most() - 1 / most : 0};
+    /** One of {@code count} equal parts of the plan's requests. Thinning, after Lewis and Shedler (1979). */
+    static Arrivals of(Plan plan, int index, int count, long seed) {
+        UniformRandomProvider random = new RandomStreams(seed).stream("thinning", index);
+        DoubleSupplier gaps = RandomStreams.exponential(new RandomStreams(seed).stream("gaps", index));
+        double maxRatePerMs = plan.maxRatePerMs() / count;
+        double[] nextMs = {plan.shape() == Shape.UNIFORM ? index / plan.maxRatePerMs() - 1 / maxRatePerMs : 0};
         return () -> {
-            if (most <= 0) {
-                return NO_MORE;
+            if (maxRatePerMs <= 0) {
+                return END;
             }
             do {
-                at[0] += plan.shape() == Shape.UNIFORM ? 1 / most : gap.getAsDouble() / most;
-            } while (at[0] < plan.lengthMs() && random.nextDouble() * plan.most() >= plan.rate(at[0]));
-            return at[0] < plan.lengthMs() ? at[0] : NO_MORE;
+                nextMs[0] += plan.shape() == Shape.UNIFORM ? 1 / maxRatePerMs : gaps.getAsDouble() / maxRatePerMs;
+            } while (nextMs[0] < plan.durationMs()
+                    && random.nextDouble() * plan.maxRatePerMs() >= plan.ratePerMs(nextMs[0]));
+            return nextMs[0] < plan.durationMs() ? nextMs[0] : END;
         };
     }
 
     /** Recorded times, dealt out over the parts. */
-    static Arrivals of(double[] times, int part, int parts) {
-        int[] next = {part};
+    static Arrivals of(double[] startTimesMs, int index, int count) {
+        int[] next = {index};
         return () -> {
-            int i = next[0];
-            next[0] += parts;
-            return i < times.length ? times[i] : NO_MORE;
+            int current = next[0];
+            next[0] += count;
+            return current < startTimesMs.length ? startTimesMs[current] : END;
         };
     }
 }
--- a/lab/src/main/java/dewplank/lab/load/LoadPlan.java
+++ b/lab/src/main/java/dewplank/lab/load/LoadPlan.java
@@ -13,35 +13,36 @@
 import java.util.List;
 
 /**
- * What a load run is to do. {@code trace}: recorded start times in milliseconds, or null; {@code headers}: with
+ * What a load run is to do. {@code traceStartsMs}: recorded start times in milliseconds, or null; {@code headers}: with
  * {@code {id}} and {@code {class}} to be filled in.
  */
 public record LoadPlan(
         List<Target> targets,
         Arrivals.Plan arrivals,
-        double[] trace,
-        List<Kind> kinds,
+        double[] traceStartsMs,
+        List<RequestClass> classes,
         List<String> headers,
         int connections,
         int threads,
         double timeoutMs,
-        int sources,
+        int sourceAddresses,
         long seed) {
 
     /** The same for so long at its first rate, to warm up code and connections. */
-    public LoadPlan warmUp(double lengthMs) {
-        double perS =
-                arrivals.shape() == Arrivals.Shape.STEPS ? arrivals.steps().get(0) : arrivals.perS();
+    public LoadPlan warmUp(double durationMs) {
+        double ratePerSecond = arrivals.shape() == Arrivals.Shape.STEPS
+                ? arrivals.stepRatesPerSecond().get(0)
+                : arrivals.ratePerSecond();
         return new LoadPlan(
                 targets,
-                new Arrivals.Plan(Arrivals.Shape.POISSON, perS, 0, List.of(), 0, 1, lengthMs),
+                new Arrivals.Plan(Arrivals.Shape.POISSON, ratePerSecond, 0, List.of(), 0, 1, durationMs),
                 null,
-                kinds,
+                classes,
                 headers,
                 connections,
                 threads,
                 timeoutMs,
-                sources,
+                sourceAddresses,
                 seed + 1);
     }
 
@@ -49,10 +50,10 @@
     public record Target(InetSocketAddress address, String host, String path) {}
 
     /** A class of requests, drawn by its weight. */
-    public record Kind(String name, double weight, String method, int bodyBytes) {}
+    public record RequestClass(String name, double weight, String method, int bodyBytes) {}
 
     /** Reads {@code http://host:port/path}. Names are looked up once, before the run. */
-    public static Target target(String url) {
+    public static Target parseTarget(String url) {
         try {
             URI uri = new URI(url);
             if (!"http".equals(uri.getScheme()) || uri.getHost() == null) {
@@ -73,14 +74,15 @@
     }
 
     /** {@code NAME:WEIGHT[:METHOD[:BODY_BYTES]]}. */
-    public static Kind kind(String text) {
+    public static RequestClass parseClass(String text) {
         String[] parts = text.split(":", -1);
         try {
             if (parts.length >= 2 && parts.length <= 4 && !parts[0].isEmpty()) {
                 double weight = Double.parseDouble(parts[1]);
-                int body = parts.length > 3 ? Integer.parseInt(parts[3]) : 0;
-                if (weight > 0 && body >= 0) {
-                    return new Kind(parts[0], weight, parts.length > 2 ? parts[2] : body > 0 ? "POST" : "GET", body);
+                int bodyBytes = parts.length > 3 ? Integer.parseInt(parts[3]) : 0;
+                if (weight > 0 && bodyBytes >= 0) {
+                    return new RequestClass(
+                            parts[0], weight, parts.length > 2 ? parts[2] : bodyBytes > 0 ? "POST" : "GET", bodyBytes);
                 }
             }
         } catch (NumberFormatException e) {
@@ -91,12 +93,12 @@
     }
 
     /** Start times in milliseconds, one a line; further values on a line are skipped. */
-    public static double[] trace(Path file) {
+    public static double[] readTrace(Path file) {
         List<Double> times = new ArrayList<>();
-        int line = 0;
+        int lineNumber = 0;
         try {
             for (String text : Files.readAllLines(file)) {
-                line++;
+                lineNumber++;
                 if (!text.isBlank() && !text.startsWith("#")) {
                     times.add(Double.parseDouble(text.split(",")[0].strip()));
                 }
@@ -104,7 +106,7 @@
         } catch (IOException e) {
             throw new InvalidInputException(file + ": cannot be read: " + e.getMessage());
         } catch (NumberFormatException e) {
-            throw new InvalidInputException(file + ":" + line + ": should begin with a time in milliseconds");
+            throw new InvalidInputException(file + ":" + lineNumber + ": should begin with a time in milliseconds");
         }
         return times.stream().mapToDouble(d -> d).sorted().toArray();
     }
--- a/lab/src/main/java/dewplank/lab/load/LoadReport.java
+++ b/lab/src/main/java/dewplank/lab/load/LoadReport.java
@@ -3,7 +3,7 @@
 import com.google.gson.GsonBuilder;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
-import dewplank.lab.load.LoadRun.KindOutcome;
+import dewplank.lab.load.LoadRun.ClassOutcome;
 import dewplank.lab.load.LoadRun.Outcome;
 import java.util.List;
 import java.util.Locale;
@@ -15,7 +15,7 @@
 
     private LoadReport() {}
 
-    public static String table(Outcome o) {
+    public static String table(Outcome outcome) {
         StringBuilder text = new StringBuilder(String.format(
                 Locale.ROOT,
                 "%-14s %9s %9s %8s %7s %7s %8s %9s %9s %9s %9s%n",
@@ -30,79 +30,79 @@
                 "p99 ms",
                 "p99.9 ms",
                 "max ms"));
-        o.kinds().forEach(k -> row(text, k));
-        if (o.kinds().size() > 1) {
-            row(text, o.all());
+        outcome.classes().forEach(requestClass -> row(text, requestClass));
+        if (outcome.classes().size() > 1) {
+            row(text, outcome.all());
         }
         return text.append(String.format(
                         Locale.ROOT,
                         "%.0f answered a second over %.1f s, %d connections opened, own lag p99 %.2f ms, "
                                 + "own loops busy %.2f%n",
-                        o.all().answered() / o.elapsedS(),
-                        o.elapsedS(),
-                        o.connectionsOpened(),
-                        o.lag().getValueAtPercentile(99) / 1000.0,
-                        o.busy()))
+                        outcome.all().answered() / outcome.elapsedS(),
+                        outcome.elapsedS(),
+                        outcome.connectionsOpened(),
+                        outcome.lagUs().getValueAtPercentile(99) / 1000.0,
+                        outcome.busyFraction()))
                 .append(
-                        o.sound()
+                        outcome.sound()
                                 ? ""
                                 : "UNSOUND: the tool itself was late or had no time left; "
                                         + "give it more threads or less load\n")
                 .toString();
     }
 
-    private static void row(StringBuilder text, KindOutcome k) {
+    private static void row(StringBuilder text, ClassOutcome requestClass) {
         text.append(String.format(
                 Locale.ROOT,
                 "%-14s %9d %9d %8d %7d %7d %8d %9.2f %9.2f %9.2f %9.2f%n",
-                k.name,
-                k.sent,
-                k.ok,
-                k.refused,
-                k.otherStatus,
-                k.broken,
-                k.timedOut,
-                ms(k.latency, 50),
-                ms(k.latency, 99),
-                ms(k.latency, 99.9),
-                ms(k.latency, 100)));
+                requestClass.name,
+                requestClass.sent,
+                requestClass.ok,
+                requestClass.refused,
+                requestClass.otherStatus,
+                requestClass.broken,
+                requestClass.timedOut,
+                percentileMs(requestClass.latencyUs, 50),
+                percentileMs(requestClass.latencyUs, 99),
+                percentileMs(requestClass.latencyUs, 99.9),
+                percentileMs(requestClass.latencyUs, 100)));
     }
 
-    static double ms(Histogram h, double percentile) {
-        return h.getValueAtPercentile(percentile) / 1000.0;
+    static double percentileMs(Histogram valuesUs, double percentile) {
+        return valuesUs.getValueAtPercentile(percentile) / 1000.0;
     }
 
-    public static String json(Outcome o) {
+    public static String json(Outcome outcome) {
         JsonObject all = new JsonObject();
-        all.addProperty("seconds", o.elapsedS());
-        all.addProperty("answered_per_s", o.all().answered() / o.elapsedS());
-        all.addProperty("connections_opened", o.connectionsOpened());
-        all.addProperty("sound", o.sound());
-        all.addProperty("own_loops_busy", o.busy());
-        all.add("own_lag_ms", percentiles(o.lag()));
-        JsonArray kinds = new JsonArray();
-        for (KindOutcome k : o.kinds()) {
-            JsonObject kind = new JsonObject();
-            kind.addProperty("class", k.name);
-            kind.addProperty("sent", k.sent);
-            kind.addProperty("ok", k.ok);
-            kind.addProperty("refused", k.refused);
-            kind.addProperty("other_status", k.otherStatus);
-            kind.addProperty("broken", k.broken);
-            kind.addProperty("timed_out", k.timedOut);
-            kind.add("latency_ms", percentiles(k.latency));
-            kinds.add(kind);
+        all.addProperty("seconds", outcome.elapsedS());
+        all.addProperty("answered_per_s", outcome.all().answered() / outcome.elapsedS());
+        all.addProperty("connections_opened", outcome.connectionsOpened());
+        all.addProperty("sound", outcome.sound());
+        all.addProperty("own_loops_busy", outcome.busyFraction());
+        all.add("own_lag_ms", percentiles(outcome.lagUs()));
+        JsonArray classes = new JsonArray();
+        for (ClassOutcome requestClass : outcome.classes()) {
+            JsonObject entry = new JsonObject();
+            entry.addProperty("class", requestClass.name);
+            entry.addProperty("sent", requestClass.sent);
+            entry.addProperty("ok", requestClass.ok);
+            entry.addProperty("refused", requestClass.refused);
+            entry.addProperty("other_status", requestClass.otherStatus);
+            entry.addProperty("broken", requestClass.broken);
+            entry.addProperty("timed_out", requestClass.timedOut);
+            entry.add("latency_ms", percentiles(requestClass.latencyUs));
+            classes.add(entry);
         }
-        all.add("classes", kinds);
+        all.add("classes", classes);
         return new GsonBuilder().setPrettyPrinting().create().toJson(all) + "\n";
     }
 
-    private static JsonObject percentiles(Histogram h) {
-        JsonObject o = new JsonObject();
+    private static JsonObject percentiles(Histogram valuesUs) {
+        JsonObject json = new JsonObject();
         for (double p : PERCENTILES) {
-            o.addProperty(p == Math.rint(p) ? "p" + (int) p : "p" + p, ms(h, p));
+            json.addProperty(p == Math.rint(p) ? "p" + (int) p : "p" + p, percentileMs(valuesUs, p));
         }
-        o.addProperty("mean", h.getMean() / 1000);
-        return o;
+        json.addProperty("mean", valuesUs.getMean() / 1000);
+        return json;
     }
 }
--- a/lab/src/main/java/dewplank/lab/load/LoadRun.java
+++ b/lab/src/main/java/dewplank/lab/load/LoadRun.java
@@ -21,16 +21,16 @@
 
 /** Plays a plan: some loops, each with its part of the requests and of the connections, sharing nothing. */
 public final class LoadRun {
-    private static final long MOST_US = 600_000_000L;
-    private static final double LEAST_NAP_MS = 0.2;
-    private static final double LEAD_MS = 50;
-    private static final double GRACE_MS = 2_000;
-    private static final ThreadMXBean CPU = ManagementFactory.getThreadMXBean();
+    private static final long MAX_LATENCY_US = 600_000_000L;
+    private static final double MIN_SLEEP_MS = 0.2;
+    private static final double START_DELAY_MS = 50;
+    private static final double DRAIN_TIMEOUT_MS = 2_000;
+    private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
     /** Figures of one class. Latencies in microseconds, from the intended start to the answer's last byte. */
-    public static final class KindOutcome {
+    public static final class ClassOutcome {
         public final String name;
-        public final Histogram latency = new Histogram(MOST_US, 3);
+        public final Histogram latencyUs = new Histogram(MAX_LATENCY_US, 3);
         public long sent;
         public long ok;
         public long refused;
@@ -38,12 +38,12 @@
         public long broken;
         public long timedOut;
 
-        KindOutcome(String name) {
+        ClassOutcome(String name) {
             this.name = name;
         }
 
-        void add(KindOutcome other) {
-            latency.add(other.latency);
+        void add(ClassOutcome other) {
+            latencyUs.add(other.latencyUs);
             sent += other.sent;
             ok += other.ok;
             refused += other.refused;
@@ -60,23 +60,23 @@
     /**
      * What a run measured.
      *
-     * @param lag how late the tool itself was, for its turns and for requests that had a free connection, microseconds
-     * @param busy the part of a core that the busiest of the tool's loops used: at 1 the tool is what was measured
+     * @param lagUs how late the tool itself was, for its turns and for requests that had a free connection
+     * @param busyFraction the part of a core that the busiest of the loops used: at 1 the tool is what was measured
      */
     public record Outcome(
-            List<KindOutcome> kinds, Histogram lag, double busy, double elapsedS, long connectionsOpened) {
+            List<ClassOutcome> classes, Histogram lagUs, double busyFraction, double elapsedS, long connectionsOpened) {
         private static final long SOUND_LAG_US = 5_000;
         private static final double SOUND_BUSY = 0.97;
 
-        public KindOutcome all() {
-            KindOutcome all = new KindOutcome("all");
-            kinds.forEach(all::add);
+        public ClassOutcome all() {
+            ClassOutcome all = new ClassOutcome("all");
+            classes.forEach(all::add);
             return all;
         }
 
         /** Whether the tool kept its own times well enough for its figures to be the target's. */
         public boolean sound() {
-            return lag.getValueAtPercentile(99) <= SOUND_LAG_US && busy <= SOUND_BUSY;
+            return lagUs.getValueAtPercentile(99) <= SOUND_LAG_US && busyFraction <= SOUND_BUSY;
         }
     }
 
@@ -85,123 +85,129 @@
         final int number;
         final EventLoop loop = new EventLoop();
         final List<HttpClient> clients = new ArrayList<>();
-        final List<KindOutcome> kinds = new ArrayList<>();
-        final Histogram lag = new Histogram(MOST_US, 3);
-        final SingleWriterRecorder recent = new SingleWriterRecorder(MOST_US, 3);
+        final List<ClassOutcome> classes = new ArrayList<>();
+        final Histogram lagUs = new Histogram(MAX_LATENCY_US, 3);
+        final SingleWriterRecorder intervalLatencyUs = new SingleWriterRecorder(MAX_LATENCY_US, 3);
         final CountDownLatch done = new CountDownLatch(1);
         final Arrivals arrivals;
         final UniformRandomProvider random;
-        final ByteBuffer[][] fixed;
-        double start;
-        double due;
-        double planned;
-        double busy;
+        final ByteBuffer[][] constantRequests;
+        double startMs;
+        double nextStartMs;
+        double wakeUpMs;
+        double busyFraction;
         long cpuAtStart;
-        long out;
-        long ids;
-        int turn;
+        long inFlight;
+        long lastId;
+        int requestsSent;
 
         Worker(int number) throws IOException {
             this.number = number;
-            this.arrivals = plan.trace() != null
-                    ? Arrivals.of(plan.trace(), number, plan.threads())
+            this.arrivals = plan.traceStartsMs() != null
+                    ? Arrivals.of(plan.traceStartsMs(), number, plan.threads())
                     : Arrivals.of(plan.arrivals(), number, plan.threads(), plan.seed());
             this.random = new RandomStreams(plan.seed()).stream("kinds", number);
-            plan.kinds().forEach(k -> kinds.add(new KindOutcome(k.name())));
+            plan.classes().forEach(requestClass -> classes.add(new ClassOutcome(requestClass.name())));
             int each = Math.max(
                     1, plan.connections() / plan.threads() / plan.targets().size());
             for (int t = 0; t < plan.targets().size(); t++) {
-                clients.add(
-                        new HttpClient(loop, plan.targets().get(t).address(), each, sources(number)).forgetBodies());
+                clients.add(new HttpClient(loop, plan.targets().get(t).address(), each, sourceAddresses(number))
+                        .forgetBodies());
             }
-            boolean template = plan.headers().stream().anyMatch(h -> h.contains("{id}"));
-            fixed = new ByteBuffer[plan.targets().size()][plan.kinds().size()];
-            for (int t = 0; t < fixed.length && !template; t++) {
-                for (int k = 0; k < fixed[t].length; k++) {
-                    fixed[t][k] = request(t, k, "");
+            boolean idInHeaders = plan.headers().stream().anyMatch(h -> h.contains("{id}"));
+            constantRequests =
+                    new ByteBuffer[plan.targets().size()][plan.classes().size()];
+            for (int t = 0; t < constantRequests.length && !idInHeaders; t++) {
+                for (int k = 0; k < constantRequests[t].length; k++) {
+                    constantRequests[t][k] = request(t, k, "");
                 }
             }
         }
 
-        void begin(double at) {
-            start = at;
-            due = start + arrivals.next();
-            planned = start;
-            loop.execute(() -> cpuAtStart = CPU.getCurrentThreadCpuTime());
-            loop.afterExactly(LEAD_MS, this::pump);
+        void begin(double atMs) {
+            startMs = atMs;
+            nextStartMs = startMs + arrivals.nextMs();
+            wakeUpMs = startMs;
+            loop.execute(() -> cpuAtStart = THREADS.getCurrentThreadCpuTime());
+            loop.afterExactly(START_DELAY_MS, this::pump);
         }
 
         /** Sends all that is due, and sleeps until the next is. */
         private void pump() {
             double now = loop.now();
-            lag.recordValue(micros(now - planned)); // a loop that can't keep up comes late to this
-            while (due <= now) {
-                send(due);
-                due = start + arrivals.next();
+            lagUs.recordValue(micros(now - wakeUpMs)); // a loop that can't keep up comes late to this
+            while (nextStartMs <= now) {
+                send(nextStartMs);
+                nextStartMs = startMs + arrivals.nextMs();
             }
-            if (due == Arrivals.NO_MORE) {
-                await(loop.now() + plan.timeoutMs() + GRACE_MS);
+            if (nextStartMs == Arrivals.END) {
+                awaitAnswers(loop.now() + plan.timeoutMs() + DRAIN_TIMEOUT_MS);
             } else {
-                planned = Math.max(loop.now() + LEAST_NAP_MS, due);
-                loop.afterExactly(planned - loop.now(), this::pump);
+                wakeUpMs = Math.max(loop.now() + MIN_SLEEP_MS, nextStartMs);
+                loop.afterExactly(wakeUpMs - loop.now(), this::pump);
             }
         }
 
-        private void await(double most) {
-            if (out == 0 || loop.now() > most) {
+        private void awaitAnswers(double deadlineMs) {
+            if (inFlight == 0 || loop.now() > deadlineMs) {
                 clients.forEach(HttpClient::close);
-                busy = (CPU.getCurrentThreadCpuTime() - cpuAtStart) / 1e6 / Math.max(1, loop.now() - start);
+                busyFraction =
+                        (THREADS.getCurrentThreadCpuTime() - cpuAtStart) / 1e6 / Math.max(1, loop.now() - startMs);
                 done.countDown();
             } else {
-                loop.afterExactly(5, () -> await(most));
+                loop.afterExactly(5, () -> awaitAnswers(deadlineMs));
             }
         }
 
-        private void send(double intended) {
-            int target = turn++ % clients.size();
-            int kind = pick();
-            HttpClient client = clients.get(target);
-            KindOutcome figures = kinds.get(kind);
+        private void send(double intendedMs) {
+            int targetIndex = requestsSent++ % clients.size();
+            int classIndex = pickClass();
+            HttpClient client = clients.get(targetIndex);
+            ClassOutcome figures = classes.get(classIndex);
             figures.sent++;
-            out++;
+            inFlight++;
             if (client.waiting() == 0) {
-                lag.recordValue(micros(loop.now() - intended));
+                lagUs.recordValue(micros(loop.now() - intendedMs));
             }
-            ByteBuffer bytes = fixed[target][kind] != null
-                    ? fixed[target][kind]
-                    : request(target, kind, Long.toHexString(((long) number << 48) + ++ids + (plan.seed() << 20)));
+            ByteBuffer bytes = constantRequests[targetIndex][classIndex] != null
+                    ? constantRequests[targetIndex][classIndex]
+                    : request(
+                            targetIndex,
+                            classIndex,
+                            Long.toHexString(((long) number << 48) + ++lastId + (plan.seed() << 20)));
             HttpClient.Call[] call = new HttpClient.Call[1];
-            boolean[] over = new boolean[1];
+            boolean[] isOver = new boolean[1];
             call[0] = client.call(bytes, (answer, body) -> {
-                if (!over[0]) {
-                    over[0] = true;
-                    end(figures, intended, answer);
+                if (!isOver[0]) {
+                    isOver[0] = true;
+                    completed(figures, intendedMs, answer);
                 }
             });
-            if (!over[0]) {
+            if (!isOver[0]) {
                 loop.after(plan.timeoutMs(), () -> {
-                    if (!over[0]) {
-                        over[0] = true;
+                    if (!isOver[0]) {
+                        isOver[0] = true;
                         call[0].cancel();
                         figures.timedOut++;
-                        record(figures, intended);
-                        out--;
+                        record(figures, intendedMs);
+                        inFlight--;
                     }
                 });
             }
         }
 
-        private int pick() {
-            double place = random.nextDouble() * weights;
-            int kind = 0;
-            while (kind < kinds.size() - 1 && (place -= plan.kinds().get(kind).weight()) >= 0) {
-                kind++;
+        private int pickClass() {
+            double point = random.nextDouble() * totalWeight;
+            int classIndex = 0;
+            while (classIndex < classes.size() - 1
+                    && (point -= plan.classes().get(classIndex).weight()) >= 0) {
+                classIndex++;
             }
-            return kind;
+            return classIndex;
         }
 
-        private void end(KindOutcome figures, double intended, ResponseParser answer) {
-            out--;
+        private void completed(ClassOutcome figures, double intendedMs, ResponseParser answer) {
+            inFlight--;
             if (answer == null) {
                 figures.broken++;
                 return;
@@ -210,81 +216,85 @@
             figures.ok += status / 100 == 2 ? 1 : 0;
             figures.refused += status == 429 || status == 503 ? 1 : 0;
             figures.otherStatus += status / 100 != 2 && status != 429 && status != 503 ? 1 : 0;
-            record(figures, intended);
+            record(figures, intendedMs);
         }
 
-        private void record(KindOutcome figures, double intended) {
-            long took = micros(loop.now() - intended);
-            figures.latency.recordValue(took);
-            recent.recordValue(took);
+        private void record(ClassOutcome figures, double intendedMs) {
+            long latencyUs = micros(loop.now() - intendedMs);
+            figures.latencyUs.recordValue(latencyUs);
+            intervalLatencyUs.recordValue(latencyUs);
         }
     }
 
     private final LoadPlan plan;
-    private final double weights;
+    private final double totalWeight;
     private final Consumer<String> progress;
 
     public LoadRun(LoadPlan plan, Consumer<String> progress) {
         this.plan = plan;
-        this.weights = plan.kinds().stream().mapToDouble(LoadPlan.Kind::weight).sum();
+        this.totalWeight = plan.classes().stream()
+                .mapToDouble(LoadPlan.RequestClass::weight)
+                .sum();
         this.progress = progress;
     }
 
     private static long micros(double ms) {
-        return Math.max(0, Math.min(MOST_US, Math.round(ms * 1000)));
+        return Math.max(0, Math.min(MAX_LATENCY_US, Math.round(ms * 1000)));
     }
 
     /** Addresses to connect from: thousands of connections to one address would use up its ports. */
-    private List<InetAddress> sources(int part) throws IOException {
+    private List<InetAddress> sourceAddresses(int worker) throws IOException {
         List<InetAddress> sources = new ArrayList<>();
-        for (int i = 0; i < plan.sources(); i++) {
-            sources.add(InetAddress.getByAddress(new byte[] {127, 3, (byte) part, (byte) (1 + i % 250)}));
+        for (int i = 0; i < plan.sourceAddresses(); i++) {
+            sources.add(InetAddress.getByAddress(new byte[] {127, 3, (byte) worker, (byte) (1 + i % 250)}));
         }
         return sources;
     }
 
-    private ByteBuffer request(int target, int kind, String id) {
-        LoadPlan.Target t = plan.targets().get(target);
-        LoadPlan.Kind k = plan.kinds().get(kind);
-        MessageWriter writer = MessageWriter.request(k.method(), t.path(), t.host());
+    private ByteBuffer request(int targetIndex, int classIndex, String id) {
+        LoadPlan.Target loadTarget = plan.targets().get(targetIndex);
+        LoadPlan.RequestClass requestClass = plan.classes().get(classIndex);
+        MessageWriter writer = MessageWriter.request(requestClass.method(), loadTarget.path(), loadTarget.host());
         for (String header : plan.headers()) {
             int colon = header.indexOf(':');
             writer.header(
                     header.substring(0, colon).strip(),
-                    header.substring(colon + 1).strip().replace("{id}", id).replace("{class}", k.name()));
+                    header.substring(colon + 1).strip().replace("{id}", id).replace("{class}", requestClass.name()));
         }
-        return k.bodyBytes() == 0 && (k.method().equals("GET") || k.method().equals("HEAD"))
+        return requestClass.bodyBytes() == 0
+                        && (requestClass.method().equals("GET")
+                                || requestClass.method().equals("HEAD"))
                 ? writer.noBody()
-                : writer.body(new byte[k.bodyBytes()]);
+                : writer.body(new byte[requestClass.bodyBytes()]);
     }
 
     /** Runs to the end of the plan, and until all is answered or timed out. */
     public Outcome run() throws IOException, InterruptedException {
-        List<Worker> parts = new ArrayList<>();
+        List<Worker> workers = new ArrayList<>();
         try {
             for (int i = 0; i < plan.threads(); i++) {
-                parts.add(new Worker(i));
+                workers.add(new Worker(i));
             }
-            double wall = System.nanoTime() / 1e6;
-            for (Worker p : parts) {
-                p.begin(p.loop.now() + LEAD_MS);
+            double beganMs = System.nanoTime() / 1e6;
+            for (Worker worker : workers) {
+                worker.begin(worker.loop.now() + START_DELAY_MS);
             }
             int second = 0;
-            for (Worker p : parts) {
-                while (!p.done.await(1, TimeUnit.SECONDS)) {
-                    progress.accept(line(++second, parts));
+            for (Worker worker : workers) {
+                while (!worker.done.await(1, TimeUnit.SECONDS)) {
+                    progress.accept(progressLine(++second, workers));
                 }
             }
-            double took = (System.nanoTime() / 1e6 - wall - LEAD_MS) / 1000;
-            return merge(parts, took);
+            double tookS = (System.nanoTime() / 1e6 - beganMs - START_DELAY_MS) / 1000;
+            return merge(workers, tookS);
         } finally {
-            parts.forEach(p -> p.loop.stop());
+            workers.forEach(worker -> worker.loop.stop());
         }
     }
 
-    private static String line(int second, List<Worker> parts) {
-        Histogram interval = new Histogram(MOST_US, 3);
-        parts.forEach(p -> interval.add(p.recent.getIntervalHistogram()));
+    private static String progressLine(int second, List<Worker> workers) {
+        Histogram interval = new Histogram(MAX_LATENCY_US, 3);
+        workers.forEach(worker -> interval.add(worker.intervalLatencyUs.getIntervalHistogram()));
         return "%4d s  %8d answered  p50 %8.2f ms  p99 %8.2f ms  max %8.2f ms"
                 .formatted(
                         second,
@@ -294,22 +304,30 @@
                         interval.getMaxValue() / 1000.0);
     }
 
-    private Outcome merge(List<Worker> parts, double took) {
-        List<KindOutcome> kinds = new ArrayList<>();
-        Histogram lag = new Histogram(MOST_US, 3);
-        long opened = 0;
-        for (int k = 0; k < plan.kinds().size(); k++) {
-            KindOutcome sum = new KindOutcome(plan.kinds().get(k).name());
-            for (Worker p : parts) {
-                sum.add(p.kinds.get(k));
+    private Outcome merge(List<Worker> workers, double tookS) {
+        List<ClassOutcome> classes = new ArrayList<>();
+        Histogram lagUs = new Histogram(MAX_LATENCY_US, 3);
+        long connectionsOpened = 0;
+        for (int k = 0; k < plan.classes().size(); k++) {
+            ClassOutcome sum = new ClassOutcome(plan.classes().get(k).name());
+            for (Worker worker : workers) {
+                sum.add(worker.classes.get(k));
             }
-            kinds.add(sum);
+            classes.add(sum);
         }
-        for (Worker p : parts) {
-            lag.add(p.lag);
-            opened += p.clients.stream().mapToLong(HttpClient::opened).sum();
+        for (Worker worker : workers) {
+            lagUs.add(worker.lagUs);
+            connectionsOpened +=
+                    worker.clients.stream().mapToLong(HttpClient::opened).sum();
         }
         return new Outcome(
-                kinds, lag, parts.stream().mapToDouble(p -> p.busy).max().orElse(0), took, opened);
+                classes,
+                lagUs,
+                workers.stream()
+                        .mapToDouble(worker -> worker.busyFraction)
+                        .max()
+                        .orElse(0),
+                tookS,
+                connectionsOpened);
     }
 }
--- a/lab/src/main/java/dewplank/lab/load/StandIn.java
+++ b/lab/src/main/java/dewplank/lab/load/StandIn.java
@@ -21,29 +21,29 @@
  * as a long collection would have it.
  */
 public final class StandIn implements Closeable {
-    private static final int MOST = 100_000;
+    private static final int MAX_CONNECTIONS = 100_000;
     private static final ByteBuffer ANSWER = MessageWriter.response(200).body(new byte[] {'o', 'k'});
 
     private final List<EventLoop> loops = new ArrayList<>();
     private final List<InetSocketAddress> addresses = new ArrayList<>();
 
     /** {@code meanMs} 0: at once. */
-    public StandIn(List<InetSocketAddress> at, Distribution distribution, double meanMs, double cv, long seed)
+    public StandIn(List<InetSocketAddress> bindTo, Distribution distribution, double meanMs, double cv, long seed)
             throws IOException {
-        this(at, place -> {
-            DoubleSupplier time =
-                    RandomStreams.around(distribution, cv, new RandomStreams(seed).stream("stand-in", place));
-            return () -> meanMs * time.getAsDouble();
+        this(bindTo, index -> {
+            DoubleSupplier answerTimeMs =
+                    RandomStreams.around(distribution, cv, new RandomStreams(seed).stream("stand-in", index));
+            return () -> meanMs * answerTimeMs.getAsDouble();
         });
     }
 
-    /** {@code times}: for each address, by its place, how long the next answer takes, in milliseconds. */
-    StandIn(List<InetSocketAddress> at, IntFunction<DoubleSupplier> times) throws IOException {
-        for (InetSocketAddress a : at) {
+    /** {@code answerTimesMs}: for each address, by its place, how long the next answer takes, in milliseconds. */
+    StandIn(List<InetSocketAddress> bindTo, IntFunction<DoubleSupplier> answerTimesMs) throws IOException {
+        for (InetSocketAddress address : bindTo) {
             EventLoop loop = new EventLoop();
-            DoubleSupplier time = times.apply(loops.size());
+            DoubleSupplier answerTimeMs = answerTimesMs.apply(loops.size());
             loops.add(loop);
-            Listener listener = new Listener(loop, a, MOST, () -> new End(loop, time));
+            Listener listener = new Listener(loop, address, MAX_CONNECTIONS, () -> new Endpoint(loop, answerTimeMs));
             addresses.add((InetSocketAddress) listener.address());
             loop.execute(listener::accept);
         }
@@ -71,23 +71,23 @@
         loops.forEach(EventLoop::stop);
     }
 
-    private static final class End extends HttpEndpoint {
+    private static final class Endpoint extends HttpEndpoint {
         private final EventLoop loop;
-        private final DoubleSupplier time;
+        private final DoubleSupplier answerTimeMs;
 
-        End(EventLoop loop, DoubleSupplier time) {
+        Endpoint(EventLoop loop, DoubleSupplier answerTimeMs) {
             this.loop = loop;
-            this.time = time;
+            this.answerTimeMs = answerTimeMs;
         }
 
         @Override
         protected void request(RequestParser request) {
             request.takeBody();
-            double ms = time.getAsDouble();
-            if (ms <= 0) {
+            double delayMs = answerTimeMs.getAsDouble();
+            if (delayMs <= 0) {
                 answer(ANSWER.duplicate());
             } else {
-                loop.afterExactly(ms, () -> answer(ANSWER.duplicate()));
+                loop.afterExactly(delayMs, () -> answer(ANSWER.duplicate()));
             }
         }
     }
--- a/lab/src/main/java/dewplank/lab/policies/Policies.java
+++ b/lab/src/main/java/dewplank/lab/policies/Policies.java
@@ -19,28 +19,30 @@
 
 /** The policies by name. */
 public final class Policies {
-    private static final Map<String, Policy> ALL = new LinkedHashMap<>();
+    private static final Map<String, Policy> BY_NAME = new LinkedHashMap<>();
 
     static {
-        ALL.put("choice", (settings, seed, world, me) -> new AdaptiveBalancer(settings, new SplittableRandom(seed)));
-        ALL.put("random", (settings, seed, world, me) -> new RandomPick(settings, seed));
-        ALL.put("round-robin", (settings, seed, world, me) -> new RoundRobin(settings, seed));
-        ALL.put("least-outstanding", (settings, seed, world, me) -> new LeastOutstanding(settings, seed));
-        ALL.put("two-choices", (settings, seed, world, me) -> new TwoChoices(settings, seed));
-        ALL.put("oracle", Oracle::new);
+        BY_NAME.put(
+                "choice",
+                (settings, seed, world, sidecar) -> new AdaptiveBalancer(settings, new SplittableRandom(seed)));
+        BY_NAME.put("random", (settings, seed, world, sidecar) -> new RandomPick(settings, seed));
+        BY_NAME.put("round-robin", (settings, seed, world, sidecar) -> new RoundRobin(settings, seed));
+        BY_NAME.put("least-outstanding", (settings, seed, world, sidecar) -> new LeastOutstanding(settings, seed));
+        BY_NAME.put("two-choices", (settings, seed, world, sidecar) -> new TwoChoices(settings, seed));
+        BY_NAME.put("oracle", Oracle::new);
     }
 
     private Policies() {}
 
     public static List<String> names() {
-        return List.copyOf(ALL.keySet());
+        return List.copyOf(BY_NAME.keySet());
     }
 
     public static Policy named(String name) {
-        Policy policy = ALL.get(name);
+        Policy policy = BY_NAME.get(name);
         if (policy == null) {
             throw new InvalidInputException(
-                    "there is no policy " + name + "; known: " + String.join(", ", ALL.keySet()));
+                    "there is no policy " + name + "; known: " + String.join(", ", BY_NAME.keySet()));
         }
         return policy;
     }
@@ -52,8 +54,8 @@
         }
 
         @Override
-        Peer pick(List<Peer> from) {
-            return from.get(random.nextInt(from.size()));
+        ServerState pick(List<ServerState> candidates) {
+            return candidates.get(random.nextInt(candidates.size()));
         }
     }
 
@@ -67,8 +69,8 @@
         }
 
         @Override
-        Peer pick(List<Peer> from) {
-            return from.get(next++ % from.size());
+        ServerState pick(List<ServerState> candidates) {
+            return candidates.get(next++ % candidates.size());
         }
     }
 
@@ -79,12 +81,12 @@
         }
 
         @Override
-        Peer pick(List<Peer> from) {
-            int offset = random.nextInt(from.size());
-            Peer best = null;
-            for (int i = 0; i < from.size(); i++) {
-                Peer p = from.get((i + offset) % from.size());
-                best = best == null || p.outstanding < best.outstanding ? p : best;
+        ServerState pick(List<ServerState> candidates) {
+            int offset = random.nextInt(candidates.size());
+            ServerState best = null;
+            for (int i = 0; i < candidates.size(); i++) {
+                ServerState server = candidates.get((i + offset) % candidates.size());
+                best = best == null || server.outstanding < best.outstanding ? server : best;
             }
             return best;
         }
@@ -95,30 +97,32 @@
      * proxies have it: five failures in a row eject for ten seconds times the number of ejections, half at the most.
      */
     private static final class TwoChoices extends Textbook {
-        private static final int IN_A_ROW = 5;
-        private static final double EJECT_MS = 10_000;
+        private static final int EJECT_AFTER_FAILURES = 5;
+        private static final double EJECTION_MS = 10_000;
 
         TwoChoices(Settings settings, long seed) {
             super(settings, seed);
         }
 
         @Override
-        Peer pick(List<Peer> from) {
-            List<Peer> in = from.stream().filter(p -> p.ejectedUntil <= now).toList();
-            List<Peer> of = 2 * in.size() < from.size() ? from : in;
-            Peer a = of.get(random.nextInt(of.size()));
-            Peer b = of.get(random.nextInt(of.size()));
-            return b.outstanding < a.outstanding ? b : a;
+        ServerState pick(List<ServerState> candidates) {
+            List<ServerState> healthy = candidates.stream()
+                    .filter(server -> server.ejectedUntilMs <= nowMs)
+                    .toList();
+            List<ServerState> pool = 2 * healthy.size() < candidates.size() ? candidates : healthy;
+            ServerState first = pool.get(random.nextInt(pool.size()));
+            ServerState second = pool.get(random.nextInt(pool.size()));
+            return second.outstanding < first.outstanding ? second : first;
         }
 
         @Override
-        void learn(Peer p, Outcome outcome) {
+        void attemptEnded(ServerState server, Outcome outcome) {
             switch (outcome) {
-                case SERVED -> p.failuresInARow = 0;
+                case SERVED -> server.failuresInARow = 0;
                 case ERROR, TIMED_OUT, CONNECT_FAILED, RESET -> {
-                    if (++p.failuresInARow >= IN_A_ROW) {
-                        p.failuresInARow = 0;
-                        p.ejectedUntil = now + EJECT_MS * ++p.ejections;
+                    if (++server.failuresInARow >= EJECT_AFTER_FAILURES) {
+                        server.failuresInARow = 0;
+                        server.ejectedUntilMs = nowMs + EJECTION_MS * ++server.ejections;
                     }
                 }
                 default -> {}
@@ -132,71 +136,71 @@
      */
     private static final class Oracle extends Textbook {
         /** Longer than a message takes within a zone or across: what was sent before has come. */
-        private static final double ON_THE_WAY_MS = 3;
+        private static final double MAX_IN_TRANSIT_MS = 3;
 
-        private static final Map<World, Map<Server, ArrayDeque<Double>>> ON_THE_WAY =
+        private static final Map<World, Map<Server, ArrayDeque<Double>>> IN_TRANSIT_BY_WORLD =
                 Collections.synchronizedMap(new WeakHashMap<>());
 
         private final World world;
-        private final Map<Server, ArrayDeque<Double>> onTheWay;
-        private final Map<String, Double> works = new LinkedHashMap<>();
-        private double soonest;
+        private final Map<Server, ArrayDeque<Double>> inTransit;
+        private final Map<String, Double> workByClass = new LinkedHashMap<>();
+        private double soonestMs;
 
-        Oracle(Settings settings, long seed, World world, int me) {
+        Oracle(Settings settings, long seed, World world, int sidecar) {
             super(settings, seed);
             this.world = world;
-            this.onTheWay = ON_THE_WAY.computeIfAbsent(world, w -> new HashMap<>());
-            world.scenario().classes().forEach(k -> works.put(k.name(), k.work()));
+            this.inTransit = IN_TRANSIT_BY_WORLD.computeIfAbsent(world, w -> new HashMap<>());
+            world.scenario().classes().forEach(k -> workByClass.put(k.name(), k.work()));
         }
 
         /** Each server's capacity is known, so none needs a slow start of its own. */
         @Override
-        boolean warmEnough(Peer p) {
+        boolean passesSlowStart(ServerState server) {
             return true;
         }
 
         @Override
-        Peer pick(List<Peer> from) {
-            Peer best = null;
-            soonest = Double.POSITIVE_INFINITY;
-            for (Peer p : from) {
-                double time = time(world.server(p.entry.server()));
-                if (time < soonest) {
-                    soonest = time;
-                    best = p;
+        ServerState pick(List<ServerState> candidates) {
+            ServerState best = null;
+            soonestMs = Double.POSITIVE_INFINITY;
+            for (ServerState server : candidates) {
+                double timeMs = expectedMs(world.server(server.endpoint.server()));
+                if (timeMs < soonestMs) {
+                    soonestMs = timeMs;
+                    best = server;
                 }
             }
             return best;
         }
 
-        private int coming(Server s) {
-            ArrayDeque<Double> sent = onTheWay.computeIfAbsent(s, x -> new ArrayDeque<>());
-            while (!sent.isEmpty() && sent.peekFirst() < now - ON_THE_WAY_MS) {
-                sent.removeFirst();
+        private int countInTransit(Server server) {
+            ArrayDeque<Double> sentAtMs = inTransit.computeIfAbsent(server, x -> new ArrayDeque<>());
+            while (!sentAtMs.isEmpty() && sentAtMs.peekFirst() < nowMs - MAX_IN_TRANSIT_MS) {
+                sentAtMs.removeFirst();
             }
-            return sent.size();
+            return sentAtMs.size();
         }
 
-        private double time(Server s) {
-            return s.expectedMs(world.scenario().meanWork(), coming(s));
+        private double expectedMs(Server server) {
+            return server.expectedMs(world.scenario().meanWork(), countInTransit(server));
         }
 
         @Override
-        void sent(Peer p) {
-            coming(world.server(p.entry.server()));
-            onTheWay.get(world.server(p.entry.server())).addLast(now);
+        void attemptStarted(ServerState server) {
+            countInTransit(world.server(server.endpoint.server()));
+            inTransit.get(world.server(server.endpoint.server())).addLast(nowMs);
         }
 
         /** Where not all can be served, worth by work decides. */
         @Override
-        boolean refuses(RequestClass rules, Peer best, double leftMs) {
-            double aim = Math.min(leftMs, rules.latencyTargetMs());
-            double density = rules.value() / works.get(rules.name());
-            double most = settings.classes().stream()
-                    .mapToDouble(c -> c.value() / works.get(c.name()))
+        boolean rejects(RequestClass requestClass, ServerState best, double leftMs) {
+            double targetMs = Math.min(leftMs, requestClass.latencyTargetMs());
+            double valueDensity = requestClass.value() / workByClass.get(requestClass.name());
+            double maxValueDensity = settings.classes().stream()
+                    .mapToDouble(c -> c.value() / workByClass.get(c.name()))
                     .max()
                     .orElse(1);
-            return soonest > aim * (0.6 + 0.6 * density / most);
+            return soonestMs > targetMs * (0.6 + 0.6 * valueDensity / maxValueDensity);
         }
     }
 }
--- a/lab/src/main/java/dewplank/lab/policies/Textbook.java
+++ b/lab/src/main/java/dewplank/lab/policies/Textbook.java
@@ -36,43 +36,43 @@
  * pick is the subclass's. No admission: each request is tried while its attempts and its time last.
  */
 abstract class Textbook implements Balancer {
-    private static final double ASK_AGAIN_MS = 1_000;
+    private static final double RESUBSCRIBE_DELAY_MS = 1_000;
 
     /** One server as this sidecar sees it. */
-    static final class Peer {
-        Endpoint entry;
+    static final class ServerState {
+        Endpoint endpoint;
         int outstanding;
         int failuresInARow;
-        double ejectedUntil;
+        double ejectedUntilMs;
         int ejections;
     }
 
-    private static final class Open {
+    private static final class OpenRequest {
         final RequestArrived arrived;
-        final RequestClass rules;
-        final double until;
-        final Set<String> tried = new HashSet<>(4);
+        final RequestClass requestClass;
+        final double deadlineMs;
+        final Set<String> triedServers = new HashSet<>(4);
         int attempts;
         boolean mayHaveRun;
-        double firstSentAt = Double.NaN;
+        double firstSentAtMs = Double.NaN;
 
-        Open(RequestArrived arrived, RequestClass rules, double until) {
+        OpenRequest(RequestArrived arrived, RequestClass requestClass, double deadlineMs) {
             this.arrived = arrived;
-            this.rules = rules;
-            this.until = until;
+            this.requestClass = requestClass;
+            this.deadlineMs = deadlineMs;
         }
     }
 
     final Settings settings;
     final SplittableRandom random;
-    final Map<String, Peer> peers = new LinkedHashMap<>();
-    double now;
+    final Map<String, ServerState> servers = new LinkedHashMap<>();
+    double nowMs;
     private final Map<String, RequestClass> classes = new HashMap<>();
-    private final Map<Long, Open> open = new HashMap<>();
-    private Consumer<Action> out;
-    private boolean watching;
-    private final List<Peer> usable = new ArrayList<>(); // those up, in the list's order
-    private boolean anyCold;
+    private final Map<Long, OpenRequest> open = new HashMap<>();
+    private Consumer<Action> actions;
+    private boolean subscribed;
+    private final List<ServerState> available = new ArrayList<>(); // those up, in the list's order
+    private boolean anyWarmingUp;
 
     Textbook(Settings settings, long seed) {
         this.settings = settings;
@@ -81,139 +81,140 @@
     }
 
     /** One of these, none of which is empty; {@code work}: the mean of the class is not known here. */
-    abstract Peer pick(List<Peer> from);
+    abstract ServerState pick(List<ServerState> candidates);
 
     /** What became of an attempt at that server. */
-    void learn(Peer peer, Outcome outcome) {}
+    void attemptEnded(ServerState server, Outcome outcome) {}
 
     /** An attempt goes there now. */
-    void sent(Peer peer) {}
+    void attemptStarted(ServerState server) {}
 
     /** Whether to refuse at once. */
-    boolean refuses(RequestClass rules, Peer best, double leftMs) {
+    boolean rejects(RequestClass requestClass, ServerState best, double leftMs) {
         return false;
     }
 
     @Override
-    public void handle(double time, Event event, Consumer<Action> actions) {
-        now = time;
-        out = actions;
+    public void handle(double timeMs, Event event, Consumer<Action> sink) {
+        nowMs = timeMs;
+        actions = sink;
         if (event instanceof EndpointUpdate e) {
-            list(e);
+            updateEndpoints(e);
         } else if (event instanceof RequestArrived e) {
-            Open o = new Open(e, classes.get(e.requestClass()), now + e.budgetMs());
-            open.put(e.request(), o);
-            attempt(o);
+            OpenRequest request = new OpenRequest(e, classes.get(e.requestClass()), nowMs + e.budgetMs());
+            open.put(e.request(), request);
+            attempt(request);
         } else if (event instanceof AttemptEnded e) {
-            ended(e);
+            endAttempt(e);
         } else if (event instanceof RequestAbandoned e) {
             open.remove(e.request());
         } else if (event instanceof TimerFired) {
-            out.accept(new Subscribe());
+            actions.accept(new Subscribe());
         }
     }
 
-    private void list(EndpointUpdate news) {
-        if (news.kind() == UpdateKind.BROKEN) {
-            out.accept(new SetTimer(1, ASK_AGAIN_MS));
+    private void updateEndpoints(EndpointUpdate update) {
+        if (update.kind() == UpdateKind.BROKEN) {
+            actions.accept(new SetTimer(1, RESUBSCRIBE_DELAY_MS));
             return;
         }
-        if (news.kind() != UpdateKind.INCREMENTAL) {
+        if (update.kind() != UpdateKind.INCREMENTAL) {
             Set<String> named = new HashSet<>();
-            news.endpoints().forEach(e -> named.add(e.server()));
-            peers.keySet().removeIf(id -> !named.contains(id));
+            update.endpoints().forEach(e -> named.add(e.server()));
+            servers.keySet().removeIf(id -> !named.contains(id));
         }
-        for (Endpoint e : news.endpoints()) {
+        for (Endpoint e : update.endpoints()) {
             if (e.availability() == Availability.REMOVED) {
-                peers.remove(e.server());
+                servers.remove(e.server());
             } else {
-                peers.computeIfAbsent(e.server(), id -> new Peer()).entry = e;
+                servers.computeIfAbsent(e.server(), id -> new ServerState()).endpoint = e;
             }
         }
-        usable.clear();
-        anyCold = false;
-        for (Peer p : peers.values()) {
-            if (p.entry.availability() == Availability.UP) {
-                usable.add(p);
-                anyCold |= p.entry.startedAtMs() != null;
+        available.clear();
+        anyWarmingUp = false;
+        for (ServerState server : servers.values()) {
+            if (server.endpoint.availability() == Availability.UP) {
+                available.add(server);
+                anyWarmingUp |= server.endpoint.startedAtMs() != null;
             }
         }
-        if (!watching) {
-            watching = true;
-            out.accept(new Subscribe());
+        if (!subscribed) {
+            subscribed = true;
+            actions.accept(new Subscribe());
         }
     }
 
     /** Slow start: a cold server is drawn as often as it is surely warm. */
-    boolean warmEnough(Peer p) {
-        Double at = p.entry.startedAtMs();
-        double cold = settings.safety().slowStartMs();
-        if (at == null || cold <= 0 || now - at >= cold) {
+    boolean passesSlowStart(ServerState server) {
+        Double startedAtMs = server.endpoint.startedAtMs();
+        double slowStartMs = settings.safety().slowStartMs();
+        if (startedAtMs == null || slowStartMs <= 0 || nowMs - startedAtMs >= slowStartMs) {
             return true;
         }
-        double share = settings.safety().slowStartInitialShare();
-        return random.nextDouble() < share + (1 - share) * Math.max(0, now - at) / cold;
+        double initialFraction = settings.safety().slowStartInitialShare();
+        return random.nextDouble()
+                < initialFraction + (1 - initialFraction) * Math.max(0, nowMs - startedAtMs) / slowStartMs;
     }
 
-    private void attempt(Open o) {
-        List<Peer> from = usable;
-        if (anyCold || !o.tried.isEmpty()) {
-            from = new ArrayList<>();
-            for (Peer p : usable) {
-                if (!o.tried.contains(p.entry.server()) && warmEnough(p)) {
-                    from.add(p);
+    private void attempt(OpenRequest request) {
+        List<ServerState> candidates = available;
+        if (anyWarmingUp || !request.triedServers.isEmpty()) {
+            candidates = new ArrayList<>();
+            for (ServerState server : available) {
+                if (!request.triedServers.contains(server.endpoint.server()) && passesSlowStart(server)) {
+                    candidates.add(server);
                 }
             }
         }
-        Peer peer = from.isEmpty() ? null : pick(from);
-        boolean first = o.attempts == 0;
-        if (peer == null || first && refuses(o.rules, peer, o.until - now)) {
-            giveUp(o);
+        ServerState server = candidates.isEmpty() ? null : pick(candidates);
+        boolean first = request.attempts == 0;
+        if (server == null || first && rejects(request.requestClass, server, request.deadlineMs - nowMs)) {
+            giveUp(request);
             return;
         }
-        o.attempts++;
-        o.tried.add(peer.entry.server());
-        peer.outstanding++;
-        if (Double.isNaN(o.firstSentAt)) {
-            o.firstSentAt = now;
+        request.attempts++;
+        request.triedServers.add(server.endpoint.server());
+        server.outstanding++;
+        if (Double.isNaN(request.firstSentAtMs)) {
+            request.firstSentAtMs = nowMs;
         }
-        sent(peer);
-        out.accept(new Send(o.arrived.request(), peer.entry.server(), 0));
+        attemptStarted(server);
+        actions.accept(new Send(request.arrived.request(), server.endpoint.server(), 0));
     }
 
-    private void ended(AttemptEnded e) {
-        Peer peer = peers.get(e.server());
-        if (peer != null) {
-            peer.outstanding = Math.max(0, peer.outstanding - 1);
-            learn(peer, e.outcome());
+    private void endAttempt(AttemptEnded e) {
+        ServerState server = servers.get(e.server());
+        if (server != null) {
+            server.outstanding = Math.max(0, server.outstanding - 1);
+            attemptEnded(server, e.outcome());
         }
-        Open o = open.get(e.request());
-        if (o == null) {
+        OpenRequest request = open.get(e.request());
+        if (request == null) {
             return;
         }
         if (e.requestIsOver()) {
             open.remove(e.request());
             return;
         }
-        boolean never = e.outcome() == Outcome.REJECTED
+        boolean neverRan = e.outcome() == Outcome.REJECTED
                 || e.outcome() == Outcome.CONNECT_FAILED
                 || e.outcome() == Outcome.NEVER_SENT;
-        o.mayHaveRun |= !never;
-        boolean may = !o.mayHaveRun
-                || o.rules.idempotency() == Idempotency.SAFE
-                || o.rules.idempotency() == Idempotency.KEYED
-                        && o.rules.deduplicationScope() == DeduplicationScope.ALL
-                        && now - o.firstSentAt < o.rules.deduplicationWindowMs();
-        if (may && o.attempts < settings.limits().maxAttempts() && now < o.until - 1) {
-            attempt(o);
+        request.mayHaveRun |= !neverRan;
+        boolean mayRetry = !request.mayHaveRun
+                || request.requestClass.idempotency() == Idempotency.SAFE
+                || request.requestClass.idempotency() == Idempotency.KEYED
+                        && request.requestClass.deduplicationScope() == DeduplicationScope.ALL
+                        && nowMs - request.firstSentAtMs < request.requestClass.deduplicationWindowMs();
+        if (mayRetry && request.attempts < settings.limits().maxAttempts() && nowMs < request.deadlineMs - 1) {
+            attempt(request);
         } else {
-            giveUp(o);
+            giveUp(request);
         }
     }
 
-    private void giveUp(Open o) {
-        open.remove(o.arrived.request());
-        boolean mayRefuse = !o.mayHaveRun || o.rules.idempotency() == Idempotency.SAFE;
-        out.accept(mayRefuse ? new Reject(o.arrived.request(), 0) : new Fail(o.arrived.request()));
+    private void giveUp(OpenRequest request) {
+        open.remove(request.arrived.request());
+        boolean mayReject = !request.mayHaveRun || request.requestClass.idempotency() == Idempotency.SAFE;
+        actions.accept(mayReject ? new Reject(request.arrived.request(), 0) : new Fail(request.arrived.request()));
     }
 }
--- a/lab/src/test/java/dewplank/lab/AuditorTest.java
+++ b/lab/src/test/java/dewplank/lab/AuditorTest.java
@@ -7,7 +7,6 @@
 import dewplank.emulator.ScenarioFile;
 import dewplank.emulator.virtualtime.EmulatedSidecar;
 import dewplank.emulator.virtualtime.VirtualRun;
-import dewplank.lab.Auditor.Rule;
 import dewplank.lab.Broken.Way;
 import dewplank.lab.policies.Policies;
 import java.io.IOException;
@@ -24,9 +23,9 @@
             Way.NEVER_ANSWERS, EnumSet.of(Rule.NOT_ANSWERED),
             Way.RESENDS_ORDERS, EnumSet.of(Rule.SENT_TWICE, Rule.EFFECT_TWICE),
             Way.REFUSES_AFTER_RUN, EnumSet.of(Rule.REFUSED_AFTER_RUN),
-            Way.KEYED_PAST_WINDOW, EnumSet.of(Rule.KEYED_TOO_LATE, Rule.EFFECT_TWICE),
+            Way.KEYED_PAST_WINDOW, EnumSet.of(Rule.KEYED_AFTER_WINDOW, Rule.EFFECT_TWICE),
             Way.SENDS_TO_DRAINED, EnumSet.of(Rule.SENT_TO_DRAINED),
-            Way.FLOODS_COLD, EnumSet.of(Rule.COLD_PUSHED_OVER));
+            Way.FLOODS_COLD, EnumSet.of(Rule.COLD_SERVER_OVERLOADED));
 
     /** A day on which every way of breaking a rule has its occasion. */
     private static Scenario busyDay() {
@@ -124,7 +123,7 @@
                 .filter(x -> x.rule() == Rule.SENT_TWICE)
                 .findFirst()
                 .orElseThrow();
-        assertTrue(v.line(), v.line().matches("(?s).*sent.*received.*started.*received.*"));
+        assertTrue(v.timeline(), v.timeline().matches("(?s).*sent.*received.*started.*received.*"));
     }
 
     /** Every fault that comes with the laboratory, on two seeds: no rule broken by the module. */
@@ -146,6 +145,6 @@
         Scenario kill = ScenarioFile.named("sidecar-kill").with("length_s", 20);
         Trial trial = Trial.play(kill, "choice", 4, false);
         assertEquals(0, trial.auditor().violations());
-        assertTrue(trial.service().failedShare() + trial.service().refusedShare() > 0);
+        assertTrue(trial.service().failedRatio() + trial.service().refusedRatio() > 0);
     }
 }
--- a/lab/src/test/java/dewplank/lab/BuoysTest.java
+++ b/lab/src/test/java/dewplank/lab/BuoysTest.java
@@ -42,20 +42,20 @@
     }
 
     private static double service(String name) {
-        return mean(scenario(name), "choice", t -> t.service().share());
+        return mean(scenario(name), "choice", t -> t.service().valueRatio());
     }
 
     @Test
     public void aCalmFleetServesNearlyAllAndRefusesHardlyAnybody() {
         assertTrue(service("buoys") > 0.97);
-        assertTrue(mean(scenario("buoys"), "choice", t -> t.service().refusedShare()) < 0.005);
+        assertTrue(mean(scenario("buoys"), "choice", t -> t.service().refusedRatio()) < 0.005);
     }
 
     /** Three of twelve servers and a quarter of the sidecars are gone for 12 s: what those held is their own loss. */
     @Test
     public void aBuildingLostWithItsSidecarsAndBackColdBreaksNoRule() {
         double near =
-                mean(scenario("buoys-building"), "oracle", t -> t.service().share());
+                mean(scenario("buoys-building"), "oracle", t -> t.service().valueRatio());
         double service = service("buoys-building");
         assertTrue(service + " of the oracle's " + near, service > near - 0.04);
     }
@@ -70,9 +70,9 @@
     @Test
     public void serversThatFailQuicklyGetNoMoreThanTheirTrials() {
         double blind =
-                mean(scenario("buoys-errors"), "two-choices", t -> t.service().failedShare());
+                mean(scenario("buoys-errors"), "two-choices", t -> t.service().failedRatio());
         double failed =
-                mean(scenario("buoys-errors"), "choice", t -> t.service().failedShare());
+                mean(scenario("buoys-errors"), "choice", t -> t.service().failedRatio());
         assertTrue(failed + " failed, blind " + blind, failed < 0.5 * blind);
     }
 
@@ -114,7 +114,7 @@
                             (r, n) -> n == 0 && lies ? new Liar(r, n) : new Plain(r, n));
                     run.run();
                     assertEquals(auditor.retainedViolations().toString(), 0, auditor.violations());
-                    return service.share();
+                    return service.valueRatio();
                 })
                 .average()
                 .orElseThrow();
@@ -155,9 +155,9 @@
     @Test
     public void aSidecarThatHearsNoPeerGoesByItsOwnSight() {
         Scenario errors = scenario("buoys-errors");
-        double heard = mean(errors, "choice", t -> t.service().share());
+        double heard = mean(errors, "choice", t -> t.service().valueRatio());
         double alone =
-                mean(errors.with("messages.lost", 1), "choice", t -> t.service().share());
+                mean(errors.with("messages.lost", 1), "choice", t -> t.service().valueRatio());
         assertTrue(alone + " alone, " + heard + " with peers", alone > heard - 0.04);
     }
 }
--- a/lab/src/test/java/dewplank/lab/RunnerTest.java
+++ b/lab/src/test/java/dewplank/lab/RunnerTest.java
@@ -50,7 +50,7 @@
         var scenario = ScenarioFile.named("deploy").with("sidecars", 40).with("length_s", 10);
         Result alone = Trial.play(scenario, "choice", 3, false).result("s", "", "choice", 3);
         Result together = Trial.play(scenario, "choice", 3, true).result("s", "", "choice", 3);
-        assertEquals(alone.line(), together.line());
+        assertEquals(alone.csvLine(), together.csvLine());
     }
 
     @Test
--- a/lab/src/test/java/dewplank/lab/load/LoadRunTest.java
+++ b/lab/src/test/java/dewplank/lab/load/LoadRunTest.java
@@ -30,10 +30,10 @@
     private static LoadPlan plan(StandIn target, Plan arrivals, int connections) {
         InetSocketAddress at = target.addresses().get(0);
         return new LoadPlan(
-                List.of(LoadPlan.target("http://" + at.getHostString() + ":" + at.getPort() + "/a?b=c")),
+                List.of(LoadPlan.parseTarget("http://" + at.getHostString() + ":" + at.getPort() + "/a?b=c")),
                 arrivals,
                 null,
-                List.of(LoadPlan.kind("read:3"), LoadPlan.kind("write:1:POST:100")),
+                List.of(LoadPlan.parseClass("read:3"), LoadPlan.parseClass("write:1:POST:100")),
                 List.of("X-Id: {id}"),
                 connections,
                 2,
@@ -42,8 +42,8 @@
                 1);
     }
 
-    private static Plan steady(Shape shape, double perS, double seconds) {
-        return new Plan(shape, perS, 0, List.of(), 0, 1, 1000 * seconds);
+    private static Plan steady(Shape shape, double ratePerSecond, double seconds) {
+        return new Plan(shape, ratePerSecond, 0, List.of(), 0, 1, 1000 * seconds);
     }
 
     /** The target's own draws are the known distribution; the tool must find its percentiles. */
@@ -52,19 +52,19 @@
         DoubleSupplier drawn =
                 RandomStreams.around(Distribution.LOGNORMAL, 0.5, new RandomStreams(5).stream("times", 0));
         ConcurrentLinkedQueue<Double> times = new ConcurrentLinkedQueue<>();
-        try (StandIn target = new StandIn(List.of(ANY), place -> () -> {
+        try (StandIn target = new StandIn(List.of(ANY), index -> () -> {
             double ms = 250 * drawn.getAsDouble();
             times.add(ms);
             return ms;
         })) {
             new LoadRun(plan(target, steady(Shape.POISSON, 600, 2), 800), line -> {}).run(); // code gets warm
             times.clear();
-            LoadRun.Outcome o = new LoadRun(plan(target, steady(Shape.POISSON, 600, 5), 800), line -> {}).run();
+            LoadRun.Outcome outcome = new LoadRun(plan(target, steady(Shape.POISSON, 600, 5), 800), line -> {}).run();
             double[] sorted = times.stream().mapToDouble(d -> d).sorted().toArray();
-            assertEquals(sorted.length, o.all().ok);
+            assertEquals(sorted.length, outcome.all().ok);
             for (double p : new double[] {50, 90, 99}) {
-                double known = sorted[(int) Math.ceil(p / 100 * sorted.length) - 1];
-                assertEquals("p" + p, known, LoadReport.ms(o.all().latency, p), 0.02 * known);
+                double expected = sorted[(int) Math.ceil(p / 100 * sorted.length) - 1];
+                assertEquals("p" + p, expected, LoadReport.percentileMs(outcome.all().latencyUs, p), 0.02 * expected);
             }
         }
     }
@@ -76,15 +76,19 @@
     public void aTargetThatStallsForASecondShowsInTheHighPercentiles() throws Exception {
         try (StandIn target = new StandIn(List.of(ANY), Distribution.FIXED, 0, 0, 1)) {
             int[] seconds = new int[1];
-            LoadRun.Outcome o = new LoadRun(plan(target, steady(Shape.UNIFORM, 400, 5), 40), line -> {
+            LoadRun.Outcome outcome = new LoadRun(plan(target, steady(Shape.UNIFORM, 400, 5), 40), line -> {
                         if (++seconds[0] == 2) {
                             target.stall(1_000);
                         }
                     })
                     .run();
-            assertEquals(2_000, o.all().ok);
-            assertTrue("p99 " + LoadReport.ms(o.all().latency, 99), LoadReport.ms(o.all().latency, 99) > 800);
-            assertTrue("p50 " + LoadReport.ms(o.all().latency, 50), LoadReport.ms(o.all().latency, 50) < 100);
+            assertEquals(2_000, outcome.all().ok);
+            assertTrue(
+                    "p99 " + LoadReport.percentileMs(outcome.all().latencyUs, 99),
+                    LoadReport.percentileMs(outcome.all().latencyUs, 99) > 800);
+            assertTrue(
+                    "p50 " + LoadReport.percentileMs(outcome.all().latencyUs, 50),
+                    LoadReport.percentileMs(outcome.all().latencyUs, 50) < 100);
         }
     }
 
@@ -92,12 +96,12 @@
     public void whatNobodyAnswersIsCountedAndTimed() throws Exception {
         try (StandIn target = new StandIn(List.of(ANY), Distribution.FIXED, 60_000, 0, 1)) {
             LoadPlan p = plan(target, steady(Shape.UNIFORM, 50, 1), 100);
-            LoadPlan impatient =
-                    new LoadPlan(p.targets(), p.arrivals(), null, p.kinds(), p.headers(), 100, 2, 300, 0, 1);
-            LoadRun.Outcome o = new LoadRun(impatient, line -> {}).run();
-            assertEquals(50, o.all().timedOut);
-            assertTrue(LoadReport.ms(o.all().latency, 50) >= 299);
-            JsonObject json = JsonParser.parseString(LoadReport.json(o)).getAsJsonObject();
+            LoadPlan withShortTimeout =
+                    new LoadPlan(p.targets(), p.arrivals(), null, p.classes(), p.headers(), 100, 2, 300, 0, 1);
+            LoadRun.Outcome outcome = new LoadRun(withShortTimeout, line -> {}).run();
+            assertEquals(50, outcome.all().timedOut);
+            assertTrue(LoadReport.percentileMs(outcome.all().latencyUs, 50) >= 299);
+            JsonObject json = JsonParser.parseString(LoadReport.json(outcome)).getAsJsonObject();
             assertEquals(2, json.getAsJsonArray("classes").size());
         }
         StandIn gone = new StandIn(List.of(ANY), Distribution.FIXED, 0, 0, 1);
@@ -115,22 +119,23 @@
                 @Override
                 protected void request(RequestParser request) {
                     byte[] body = new byte[300_000];
-                    ByteBuffer whole = MessageWriter.response(request.method().equals("PUT") ? 500 : 200)
+                    ByteBuffer response = MessageWriter.response(
+                                    request.method().equals("PUT") ? 500 : 200)
                             .body(body);
-                    answer(request.method().equals("HEAD") ? whole.limit(whole.limit() - body.length) : whole);
+                    answer(request.method().equals("HEAD") ? response.limit(response.limit() - body.length) : response);
                 }
             });
             loop.execute(listener::accept);
             InetSocketAddress at = (InetSocketAddress) listener.address();
-            LoadRun.Outcome o = new LoadRun(
+            LoadRun.Outcome outcome = new LoadRun(
                             new LoadPlan(
-                                    List.of(LoadPlan.target("http://127.0.0.1:" + at.getPort())),
+                                    List.of(LoadPlan.parseTarget("http://127.0.0.1:" + at.getPort())),
                                     steady(Shape.UNIFORM, 100, 1),
                                     null,
                                     List.of(
-                                            LoadPlan.kind("long:1"),
-                                            LoadPlan.kind("head:1:HEAD"),
-                                            LoadPlan.kind("bad:1:PUT:10")),
+                                            LoadPlan.parseClass("long:1"),
+                                            LoadPlan.parseClass("head:1:HEAD"),
+                                            LoadPlan.parseClass("bad:1:PUT:10")),
                                     List.of(),
                                     10,
                                     1,
@@ -139,10 +144,10 @@
                                     2),
                             line -> {})
                     .run();
-            assertEquals(100, o.all().answered());
-            assertEquals(o.kinds().get(2).sent, o.kinds().get(2).otherStatus);
-            assertEquals(o.kinds().get(1).sent, o.kinds().get(1).ok);
-            assertTrue(o.connectionsOpened() <= 10);
+            assertEquals(100, outcome.all().answered());
+            assertEquals(outcome.classes().get(2).sent, outcome.classes().get(2).otherStatus);
+            assertEquals(outcome.classes().get(1).sent, outcome.classes().get(1).ok);
+            assertTrue(outcome.connectionsOpened() <= 10);
         } finally {
             loop.stop();
         }
@@ -166,9 +171,9 @@
     private static int count(Plan plan, double from, double to) {
         int n = 0;
         for (int part = 0; part < 3; part++) {
-            Arrivals a = Arrivals.of(plan, part, 3, 9);
-            for (double at = a.next(); at < Arrivals.NO_MORE; at = a.next()) {
-                n += at >= from && at < to ? 1 : 0;
+            Arrivals arrivals = Arrivals.of(plan, part, 3, 9);
+            for (double atMs = arrivals.nextMs(); atMs < Arrivals.END; atMs = arrivals.nextMs()) {
+                n += atMs >= from && atMs < to ? 1 : 0;
             }
         }
         return n;
@@ -178,11 +183,11 @@
     public void wrongInputIsNamed() {
         assertEquals(
                 "class x:0: should be NAME:WEIGHT[:METHOD[:BODY_BYTES]], with a weight above 0",
-                assertThrows(InvalidInputException.class, () -> LoadPlan.kind("x:0"))
+                assertThrows(InvalidInputException.class, () -> LoadPlan.parseClass("x:0"))
                         .getMessage());
         assertEquals(
                 "target ftp://h/: only http://host:port/path is known",
-                assertThrows(InvalidInputException.class, () -> LoadPlan.target("ftp://h/"))
+                assertThrows(InvalidInputException.class, () -> LoadPlan.parseTarget("ftp://h/"))
                         .getMessage());
     }
 }
