--- a/sidecar/src/test/java/dewplank/sidecar/LoopbackNetwork.java
+++ b/sidecar/src/test/java/dewplank/sidecar/LoopbackNetwork.java
@@ -16,6 +16,7 @@
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
+import java.net.SocketException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
@@ -50,6 +51,7 @@
     final ScriptedPeer discovery = new ScriptedPeer();
     final SidecarConfig config;
     final Sidecar sidecar;
+    private final int sidecarPort; // asked for at the start: a closed listener does not tell it
 
     LoopbackNetwork(int serverCount) throws IOException {
         this(serverCount, UnaryOperator.identity(), UnaryOperator.identity());
@@ -76,6 +78,7 @@
                 settings,
                 null);
         sidecar = new Sidecar(config, wrapper.apply(new AdaptiveBalancer(settings, new SplittableRandom(5))));
+        sidecarPort = ((InetSocketAddress) sidecar.address()).getPort();
         sidecar.start();
     }
 
@@ -104,7 +107,7 @@
     }
 
     Client client() throws IOException {
-        return new Client(((InetSocketAddress) sidecar.address()).getPort());
+        return new Client(sidecarPort);
     }
 
     @Override
@@ -171,6 +174,7 @@
         }
     }
 
+    /** A client of the sidecar. */
     static final class Client extends ScriptedConnection {
         Client(int port) throws IOException {
             super(new Socket(InetAddress.getLoopbackAddress(), port));
@@ -178,6 +182,18 @@
 
         private static final AtomicLong nextId = new AtomicLong();
 
+        /** As {@link #read}, but null also where the system has reset a connection that was never accepted. */
+        String readUnlessReset() throws IOException {
+            try {
+                return read();
+            } catch (SocketException e) {
+                if (e.getMessage().startsWith("Connection reset")) {
+                    return null;
+                }
+                throw e;
+            }
+        }
+
         static String request(String requestClass, String more) {
             return "POST /api?q=1 HTTP/1.1\r\nHost: api\r\nX-Trace-Id: t" + nextId.incrementAndGet() + "\r\nX-Qos: "
                     + requestClass + "\r\nX-Expires-In-Ms: 5000\r\n" + more + "\r\n";
--- a/sidecar/src/test/java/dewplank/sidecar/SidecarTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/SidecarTest.java
@@ -17,6 +17,7 @@
 import dewplank.sidecar.LoopbackNetwork.Client;
 import dewplank.sidecar.LoopbackNetwork.ReceivedRequest;
 import java.io.IOException;
+import java.net.ConnectException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
@@ -459,13 +460,58 @@
             ReceivedRequest call = net.servers.get(0).next();
             FutureTask<Void> drain = drain(net, 0, 60_000);
             net.sidecar.awaitDrainStarted();
-            assertNull(net.client().read()); // ended, or never taken: no request is on it
+            assertNull(responseToNewClient(net));
             call.respond("200 OK", "old");
             assertLast(client, "200");
             drain.get();
         }
     }
 
+    @Test
+    public void aDrainingSidecarClosesAnAcceptedConnectionWithoutARequest() throws Exception {
+        try (LoopbackNetwork net = new LoopbackNetwork(1)) {
+            Client idle = net.client();
+            Client busy = net.client();
+            busy.sendRequest("menu-read");
+            ReceivedRequest call = net.servers.get(0).next(); // connections are accepted in order: the idle one was too
+            FutureTask<Void> drain = drain(net, 0, 60_000);
+            assertNull(idle.read()); // closed gracefully, not reset
+            call.respond("200 OK", "");
+            drain.get();
+        }
+    }
+
+    /** The system resets what is in the backlog when the listener closes; the sidecar never saw that connection. */
+    @Test
+    public void aConnectionInTheBacklogOfADrainingSidecarGetsNoResponse() throws Exception {
+        try (LoopbackNetwork net = new LoopbackNetwork(1)) {
+            for (int i = 1; i < net.config.maxClientConnections(); i++) {
+                net.client().send("POST"); // half a request: a silent connection would be closed at the bound
+            }
+            Client last = net.client();
+            last.sendRequest("menu-read");
+            ReceivedRequest call = net.servers.get(0).next(); // accepted in order: the bound is reached
+            Client queued = net.client();
+            FutureTask<Void> drain = drain(net, 0, 60_000);
+            assertNull(queued.readUnlessReset());
+            call.respond("200 OK", "");
+            assertLast(last, "200");
+            drain.get();
+        }
+    }
+
+    /**
+     * What a client gets that connects while the sidecar stops to accept: null, whether the connection is refused, is
+     * reset in the backlog, or is accepted and closed.
+     */
+    private static String responseToNewClient(LoopbackNetwork net) throws IOException {
+        try {
+            return net.client().readUnlessReset();
+        } catch (ConnectException e) {
+            return null;
+        }
+    }
+
     /** What SIGKILL finds unanswered is lost: an order that may have run is failed before that, never refused. */
     @Test
     public void requestsStillOpenBeforeAKillAreFailed() throws Exception {
