--- a/emulator/src/main/java/dewplank/emulator/Server.java
+++ b/emulator/src/main/java/dewplank/emulator/Server.java
@@ -3,11 +3,9 @@
 import dewplank.balancer.Settings.Idempotency;
 import dewplank.emulator.RecordedEvent.Type;
 import dewplank.emulator.Scenario.MachineType;
-import java.util.ArrayDeque;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import java.util.function.DoubleSupplier;
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
@@ -57,22 +55,16 @@
     private final String zone;
     private final int cell;
     private final MachineType machine;
-    private final int slots;
-    private final int maxQueued;
     private final UniformRandomProvider random;
-    private final DoubleSupplier waitTimes;
 
     private final ConnectionTable connections;
     private final WarmUp warmUp;
     private final ServerSpeed speed;
-    private final ProcessorSharing processors;
+    private final JobScheduler jobs;
     private final ColdLoadLimit coldLoadLimit;
-    private final OverloadMonitor overload;
     private final KeyCache keyCache;
     private final LoadReporter loadReporter;
     private final FaultRates faultRates;
-    private final ArrayDeque<ServerJob> queue = new ArrayDeque<>();
-    private final Set<ServerJob> waitingOnOthers = new HashSet<>();
 
     private State state = State.UP;
     private int incarnation;
@@ -87,20 +79,27 @@
         this.machine = machine;
         this.zone = zone;
         this.cell = number / scenario.servers().cellSize();
-        this.slots = (int) Math.max(1, Math.round(machine.cores() * machine.slotsPerCore()));
-        this.maxQueued = (int) Math.round(machine.cores() * machine.queuePerCore());
         this.random = world.randomStreams().stream("server", number);
-        this.waitTimes = RandomStreams.exponential(world.randomStreams().stream("waits", number));
         this.connections = new ConnectionTable(scenario.links());
         this.warmUp = new WarmUp(world, machine);
         this.speed = new ServerSpeed(world, machine, baseSpeed, warmUp, connections);
-        this.processors = new ProcessorSharing(world, machine.cores(), speed, this::advance);
-        this.coldLoadLimit = new ColdLoadLimit(world, warmUp, fullCapacity());
-        this.overload = new OverloadMonitor(
-                world, machine.overloadSlowdown(), machine.cores(), this::requestsInFlight, isSlowed -> {
-                    speed.setSlowedByOverload(isSlowed);
-                    processors.plan();
+        this.jobs = new JobScheduler(
+                world,
+                machine,
+                RandomStreams.exponential(world.randomStreams().stream("waits", number)),
+                speed,
+                new JobScheduler.Listener() {
+                    @Override
+                    public void onStarted(ServerJob job) {
+                        recordStart(job);
+                    }
+
+                    @Override
+                    public void onFinished(ServerJob job) {
+                        finish(job);
+                    }
                 });
+        this.coldLoadLimit = new ColdLoadLimit(world, warmUp, fullCapacity());
         this.keyCache = new KeyCache(scenario.subjects().keys(), machine.cores());
         this.loadReporter = new LoadReporter(scenario.reports(), random);
         this.faultRates = new FaultRates(machine, scenario.classes().size(), random);
@@ -153,7 +152,7 @@
 
     /** Requests in slots, in the queue, and waiting on others. */
     public int requestsInFlight() {
-        return slotsTaken() + queue.size();
+        return jobs.size();
     }
 
     /** Work per millisecond when warm and not slowed down. */
@@ -168,11 +167,7 @@
 
     /** Work of the requests in slots and in the queue that is not done. */
     public double backlog() {
-        double sum = processors.remainingWork();
-        for (ServerJob job : queue) {
-            sum += job.work;
-        }
-        return sum;
+        return jobs.backlog();
     }
 
     /**
@@ -203,7 +198,7 @@
             return false;
         }
         connections.add();
-        processors.delayBy(world.scenario().links().handshakeWork());
+        jobs.delayBy(world.scenario().links().handshakeWork());
         return true;
     }
 
@@ -233,13 +228,13 @@
         double saved = keyCache.use(request.subjectKey(), world.now());
         double work = request.work() * world.attemptNoise(request, number) * (1 - saved);
         world.record(Type.RECEIVED, request, sidecar, number, work);
-        processors.update();
+        jobs.update();
         if (coldLoadLimit.isExceededBy(classOf(request).work())) {
             collapse();
             handler.onReply(Reply.RESET, LoadReporter.NO_REPORT);
         } else if (faultRates.drawImmediateError()) {
             handler.onReply(Reply.ERROR, loadReport());
-        } else if (state == State.DRAINING || isFull()) {
+        } else if (state == State.DRAINING || jobs.isFull()) {
             world.record(Type.REJECTED, request, sidecar, number, 0);
             handler.onReply(Reply.NEVER_RAN, loadReport());
         } else {
@@ -249,70 +244,22 @@
 
     private void accept(ClientAttempt request, double work, ResponseHandler handler) {
         boolean isKeyed = classOf(request).idempotency() == Idempotency.KEYED;
-        ServerJob job = new ServerJob(request, work, handler, isKeyed && world.withinWindow(request, this));
-        if (slotsTaken() < slots) {
-            startJob(job);
-        } else {
-            queue.addLast(job);
-        }
-        overload.update();
-        processors.plan();
+        jobs.add(new ServerJob(request, work, handler, isKeyed && world.withinWindow(request, this)));
     }
 
     private Scenario.RequestKind classOf(ClientAttempt request) {
         return world.scenario().classes().get(request.requestClass());
     }
 
-    private int slotsTaken() {
-        return processors.runningJobs() + waitingOnOthers.size();
-    }
-
-    private boolean isFull() {
-        return slotsTaken() >= slots && queue.size() >= maxQueued;
-    }
-
     private double loadReport() {
         return loadReporter.report(requestsInFlight(), world.now());
     }
 
-    private void startJob(ServerJob job) {
+    private void recordStart(ServerJob job) {
         world.record(Type.STARTED, job.request, job.request.sidecar(), number, 0);
         if (world.poison(job.request)) {
             world.schedule(0, () -> world.crashByPoison(this));
         }
-        processors.start(job);
-    }
-
-    /** Ends the jobs whose work is done, and starts queued ones in their slots. */
-    private void advance() {
-        processors.update();
-        while (processors.hasFinishedJob()) {
-            waitOrFinish(processors.removeFinishedJob());
-            if (!isRunning()) {
-                return;
-            }
-        }
-        while (slotsTaken() < slots && !queue.isEmpty()) {
-            startJob(queue.removeFirst());
-        }
-        overload.update();
-        processors.plan();
-    }
-
-    /** The job's work is done; where its class waits on others, it keeps its slot for a while, but no core. */
-    private void waitOrFinish(ServerJob job) {
-        double meanWaitMs = classOf(job.request).waitMs();
-        if (meanWaitMs <= 0) {
-            finish(job);
-            return;
-        }
-        waitingOnOthers.add(job);
-        world.schedule(meanWaitMs * waitTimes.getAsDouble(), () -> {
-            if (waitingOnOthers.remove(job)) {
-                finish(job);
-                advance();
-            }
-        });
     }
 
     private void finish(ServerJob job) {
@@ -341,19 +288,19 @@
 
     void pause(double durationMs) {
         speed.pause(durationMs);
-        processors.plan();
+        jobs.speedChanged();
     }
 
     /** {@code factor} times slower; 1 for the usual speed. */
     void setSlowdown(double factor) {
         speed.setSlowdown(factor);
-        processors.plan();
+        jobs.speedChanged();
     }
 
     /** A neighbour on the machine takes this part of each core. */
     void setNeighbourFraction(double fraction) {
         speed.setNeighbourFraction(fraction);
-        processors.plan();
+        jobs.speedChanged();
     }
 
     /** Pauses such as a garbage collector's: exponential gaps, durations of half to one and a half times the mean. */
@@ -372,7 +319,7 @@
         become(State.UP);
         warmUp.processStarted();
         speed.processStarted();
-        processors.update();
+        jobs.update();
         world.record(Type.SERVER_STARTED, null, -1, number, fullCapacity());
     }
 
@@ -414,17 +361,12 @@
 
     /** Drops what belongs to the process; answers the requests that it had. */
     private List<ServerJob> endProcess() {
-        List<ServerJob> lost = processors.removeAll();
-        lost.addAll(queue);
-        waitingOnOthers.stream().sorted().forEach(lost::add);
-        queue.clear();
-        waitingOnOthers.clear();
+        List<ServerJob> lost = jobs.removeAll();
         connections.clear();
         keyCache.clear();
         coldLoadLimit.clear();
         faultRates.processEnded();
         speed.processEnded();
-        overload.processEnded();
         incarnation++;
         return lost;
     }
