--- a/cli/src/main/java/dewplank/LabCommands.java
+++ b/cli/src/main/java/dewplank/LabCommands.java
@@ -1,6 +1,6 @@
 package dewplank;
 
-import dewplank.emulator.ScenarioFile;
+import dewplank.emulator.scenario.ScenarioFile;
 import dewplank.lab.Result;
 import dewplank.lab.policies.Policies;
 import java.io.IOException;
--- a/cli/src/main/java/dewplank/LoadCommands.java
+++ b/cli/src/main/java/dewplank/LoadCommands.java
@@ -1,6 +1,6 @@
 package dewplank;
 
-import dewplank.emulator.Scenario.Distribution;
+import dewplank.emulator.scenario.Distribution;
 import dewplank.lab.load.Arrivals;
 import dewplank.lab.load.LoadPlan;
 import dewplank.lab.load.LoadReport;
--- a/cli/src/main/java/dewplank/TrialCommands.java
+++ b/cli/src/main/java/dewplank/TrialCommands.java
@@ -1,7 +1,7 @@
 package dewplank;
 
-import dewplank.emulator.Scenario;
-import dewplank.emulator.ScenarioFile;
+import dewplank.emulator.scenario.Scenario;
+import dewplank.emulator.scenario.ScenarioFile;
 import dewplank.lab.LiveTrial;
 import dewplank.lab.Trial;
 import dewplank.lab.policies.Policies;
--- a/cli/src/test/java/dewplank/LiveTest.java
+++ b/cli/src/test/java/dewplank/LiveTest.java
@@ -3,7 +3,7 @@
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
 
-import dewplank.emulator.ScenarioFile;
+import dewplank.emulator.scenario.ScenarioFile;
 import dewplank.lab.LiveTrial;
 import dewplank.lab.Trial;
 import java.nio.file.Files;
--- a/emulator/src/main/java/dewplank/emulator/Clients.java
+++ b/emulator/src/main/java/dewplank/emulator/Clients.java
@@ -3,8 +3,10 @@
 import dewplank.balancer.Settings.DeduplicationScope;
 import dewplank.balancer.Settings.Idempotency;
 import dewplank.emulator.RecordedEvent.Type;
-import dewplank.emulator.Scenario.Load;
-import dewplank.emulator.Scenario.RequestKind;
+import dewplank.emulator.scenario.KeyModel;
+import dewplank.emulator.scenario.LoadProfile;
+import dewplank.emulator.scenario.RequestClassSpec;
+import dewplank.emulator.scenario.Scenario;
 import java.util.Arrays;
 import java.util.function.DoubleSupplier;
 import java.util.stream.IntStream;
@@ -68,11 +70,12 @@
         this.tally = tally;
         this.scenario = world.scenario();
         this.end = world.now() + scenario.lengthMs();
-        this.cumulativeShares = cumulative(
-                scenario.classes().stream().mapToDouble(RequestKind::share).toArray());
-        Scenario.Keys keys = scenario.subjects().keys();
+        this.cumulativeShares = cumulative(scenario.classes().stream()
+                .mapToDouble(RequestClassSpec::weight)
+                .toArray());
+        KeyModel keys = scenario.tenantsAndKeys().keys();
         this.cumulativeKeyShares = cumulative(IntStream.range(0, keys.count())
-                .mapToDouble(i -> Math.pow(i + 1, -keys.zipf()))
+                .mapToDouble(i -> Math.pow(i + 1, -keys.zipfExponent()))
                 .toArray());
     }
 
@@ -122,7 +125,7 @@
             this.gap = RandomStreams.exponential(world.randomStreams().stream("arrivals", sidecar));
             this.work = new DoubleSupplier[scenario.classes().size()];
             for (int k = 0; k < work.length; k++) {
-                RequestKind kind = scenario.classes().get(k);
+                RequestClassSpec kind = scenario.classes().get(k);
                 work[k] = RandomStreams.around(
                         kind.distribution(), kind.cv(), world.randomStreams().stream("work " + kind.name(), sidecar));
             }
@@ -132,7 +135,7 @@
 
         /** The part of the usual rate that holds now. */
         double shape() {
-            Load load = scenario.load();
+            LoadProfile load = scenario.load();
             double now = world.now() - begun;
             double factor =
                     switch (load.shape()) {
@@ -176,7 +179,7 @@
             double load = scenario.classes().get(kind).work() * work[kind].getAsDouble();
             long key = ((long) sidecar + 1 << 36) + ++ids;
             openRequests++;
-            boolean honours = random.nextDouble() < scenario.clients().honourRetryAfterShare();
+            boolean honours = random.nextDouble() < scenario.clients().honourRetryAfterFraction();
             int tenant = indexAt(subjects.nextDouble(), world.tenantsUpTo());
             int about = indexAt(subjects.nextDouble(), cumulativeKeyShares);
             attempt(new Request(kind, key, load, world.now(), honours, tenant, about), sidecar);
@@ -184,10 +187,10 @@
     }
 
     private void attempt(Request ask, int sidecar) {
-        RequestKind kind = scenario.classes().get(ask.requestClass);
+        RequestClassSpec kind = scenario.classes().get(ask.requestClass);
         double now = world.now();
         double last = ask.firstSentAtMs + kind.deadlineMs();
-        double until = Math.min(last, now + scenario.clients().attemptDeadlineShare() * kind.deadlineMs());
+        double until = Math.min(last, now + scenario.clients().attemptDeadlineFraction() * kind.deadlineMs());
         ClientAttempt t = new ClientAttempt(
                 ++ids,
                 ask.requestClass,
@@ -203,8 +206,8 @@
         ask.attempts++;
         world.record(Type.SENT, t, sidecar, -1, until);
         front.send(t);
-        boolean impatient = scenario.clients().abandonShare() > 0
-                && world.randomStreams().unit(-t.id()) < scenario.clients().abandonShare();
+        boolean impatient = scenario.clients().abandonFraction() > 0
+                && world.randomStreams().unit(-t.id()) < scenario.clients().abandonFraction();
         double wait = (until - now) * (impatient ? 0.5 : 1)
                 + (impatient ? 0 : scenario.rules().answerSlackMs() + 1);
         world.schedule(wait, () -> {
@@ -232,26 +235,27 @@
             return;
         }
         double now = world.now();
-        RequestKind kind = scenario.classes().get(ask.requestClass);
+        RequestClassSpec kind = scenario.classes().get(ask.requestClass);
         boolean may =
                 switch (what) {
                     case SERVED -> false;
                     case REFUSED, UNREACHABLE -> true;
                     default -> kind.idempotency() == Idempotency.SAFE
                             || kind.idempotency() == Idempotency.KEYED
-                                    && kind.scope() == DeduplicationScope.ALL
-                                    && now - ask.firstSentAtMs < kind.windowMs();
+                                    && kind.deduplicationScope() == DeduplicationScope.ALL
+                                    && now - ask.firstSentAtMs < kind.deduplicationWindowMs();
                 };
-        double wait = scenario.clients().waitMs() * (0.5 + world.randomStreams().unit(t.id()));
+        double wait =
+                scenario.clients().backoffMs() * (0.5 + world.randomStreams().unit(t.id()));
         if (what == Type.REFUSED && ask.honoursRetryAfter && value > 0) {
             wait = Math.max(wait, Math.min(value, scenario.rules().maxAdviceMs()));
         }
         boolean again = may
-                && ask.attempts <= scenario.clients().retries()
+                && ask.attempts <= scenario.clients().maxRetries()
                 && now + wait < ask.firstSentAtMs + kind.deadlineMs() - 1;
         if (kind.idempotency() == Idempotency.KEYED
                 && what != Type.REFUSED
-                && now + wait - ask.firstSentAtMs >= kind.windowMs()) {
+                && now + wait - ask.firstSentAtMs >= kind.deduplicationWindowMs()) {
             again = false; // its repeat would no longer be recognised
         }
         if (again) {
--- a/emulator/src/main/java/dewplank/emulator/ColdLoadLimit.java
+++ b/emulator/src/main/java/dewplank/emulator/ColdLoadLimit.java
@@ -1,10 +1,11 @@
 package dewplank.emulator;
 
+import dewplank.emulator.scenario.Rules;
 import java.util.ArrayDeque;
 
 /**
  * What a cold server can bear: a multiple of its present capacity over a sliding window. Each request counts by the mean
- * work of its class. The rule is the deployment's, see {@link Scenario.Rules}.
+ * work of its class. The rule is the deployment's, see {@link Rules}.
  */
 final class ColdLoadLimit {
 
@@ -29,7 +30,7 @@
             clear();
             return false;
         }
-        Scenario.Rules rules = world.scenario().rules();
+        Rules rules = world.scenario().rules();
         double now = world.now();
         offered.addLast(new OfferedWork(now, work));
         offeredWorkSum += work;
--- a/emulator/src/main/java/dewplank/emulator/ConnectionTable.java
+++ b/emulator/src/main/java/dewplank/emulator/ConnectionTable.java
@@ -1,6 +1,6 @@
 package dewplank.emulator;
 
-import dewplank.emulator.Scenario.ConnectionModel;
+import dewplank.emulator.scenario.ConnectionModel;
 
 /** The connections that a server's process has open, and what a full table costs it. */
 final class ConnectionTable {
--- a/emulator/src/main/java/dewplank/emulator/EndpointDirectory.java
+++ b/emulator/src/main/java/dewplank/emulator/EndpointDirectory.java
@@ -3,6 +3,7 @@
 import dewplank.balancer.Endpoint;
 import dewplank.balancer.Endpoint.Availability;
 import dewplank.emulator.RecordedEvent.Type;
+import dewplank.emulator.scenario.DirectoryModel;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashSet;
@@ -137,7 +138,7 @@
 
     void noticeStart(Server s) {
         int life = s.incarnation();
-        world.schedule(world.scenario().directory().addMs(), () -> {
+        world.schedule(world.scenario().directory().startNoticeMs(), () -> {
             if (s.incarnation() == life && s.state() == Server.State.UP) {
                 set(s, Availability.UP);
             }
@@ -146,16 +147,16 @@
 
     /** A call for a watch from that version on. It waits its turn; the first line, or the failure, comes later. */
     public Watch watch(int sidecar, long since, Watcher watcher) {
-        Scenario.Directory rules = world.scenario().directory();
+        DirectoryModel rules = world.scenario().directory();
         Watch watch = new Watch(sidecar, since, watcher);
         calls++;
         double now = world.now();
         double start = Math.max(now, nextCallAtMs);
-        if (isDown || start - now > rules.timeoutMs()) {
-            world.schedule(isDown ? 1 : rules.timeoutMs(), () -> end(watch));
+        if (isDown || start - now > rules.callTimeoutMs()) {
+            world.schedule(isDown ? 1 : rules.callTimeoutMs(), () -> end(watch));
             return watch;
         }
-        nextCallAtMs = start + 1000 / rules.callsPerS();
+        nextCallAtMs = start + 1000 / rules.callsPerSecond();
         world.schedule(nextCallAtMs - now, () -> {
             if (isDown) {
                 end(watch);
@@ -179,7 +180,7 @@
 
     /** Its next look is drawn anew each time, so that watches don't move in step. */
     private void rhythm(Watch watch) {
-        double wait = world.scenario().directory().periodMs() * (0.5 + world.directoryRandom.nextDouble());
+        double wait = world.scenario().directory().updateIntervalMs() * (0.5 + world.directoryRandom.nextDouble());
         world.schedule(wait, () -> {
             if (!watch.isClosed) {
                 tell(watch, false);
--- a/emulator/src/main/java/dewplank/emulator/FaultInjector.java
+++ b/emulator/src/main/java/dewplank/emulator/FaultInjector.java
@@ -1,8 +1,10 @@
 package dewplank.emulator;
 
 import dewplank.balancer.Endpoint.Availability;
-import dewplank.emulator.Scenario.Fault;
 import dewplank.emulator.Server.State;
+import dewplank.emulator.scenario.DirectoryModel;
+import dewplank.emulator.scenario.Fault;
+import dewplank.emulator.scenario.TenantLoad;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
@@ -49,19 +51,19 @@
         List<Integer> numbers =
                 new ArrayList<>(IntStream.range(0, count).boxed().toList());
         Collections.shuffle(numbers, new Random(random.nextLong()));
-        return Scenario.firstOf(numbers, part);
+        return firstOf(numbers, part);
     }
 
     private void begin(Fault f, UniformRandomProvider random) {
         switch (f.kind()) {
-            case CRASH -> some(f.affectedShare(), random).forEach(s -> lose(s, false, f.forMs()));
-            case VANISH -> some(f.affectedShare(), random).forEach(s -> lose(s, true, f.forMs()));
+            case CRASH -> some(f.affectedFraction(), random).forEach(s -> lose(s, false, f.durationMs()));
+            case VANISH -> some(f.affectedFraction(), random).forEach(s -> lose(s, true, f.durationMs()));
             case SLOW -> during(f, random, s -> s.setSlowdown(Math.max(1, f.magnitude())), s -> s.setSlowdown(1));
             case PAUSE -> beat(
-                    f, some(f.affectedShare(), random), world.now() + f.forMs(), s -> s.pause(f.magnitude()));
-            case NEIGHBOUR -> neighbour(f, some(f.affectedShare(), random), world.now() + f.forMs(), true);
-            case DEPLOY -> deploy(f, shuffled(world.servers().size(), f.affectedShare(), random), 0);
-            case CLASS_ERRORS -> classErrors(f, some(f.affectedShare(), random));
+                    f, some(f.affectedFraction(), random), world.now() + f.durationMs(), s -> s.pause(f.magnitude()));
+            case NEIGHBOUR -> neighbour(f, some(f.affectedFraction(), random), world.now() + f.durationMs(), true);
+            case DEPLOY -> deploy(f, shuffled(world.servers().size(), f.affectedFraction(), random), 0);
+            case CLASS_ERRORS -> classErrors(f, some(f.affectedFraction(), random));
             case LOST_ANSWERS -> during(
                     f, random, s -> s.faultRates().setLostResponseRate(f.magnitude()), s -> s.faultRates()
                             .setLostResponseRate(0));
@@ -70,39 +72,39 @@
             case POISON -> {
                 world.setPoison(
                         f.target() == null ? -1 : world.scenario().classNames().indexOf(f.target()), f.magnitude());
-                world.schedule(f.forMs(), () -> world.setPoison(-1, 0));
+                world.schedule(f.durationMs(), () -> world.setPoison(-1, 0));
             }
             case LOSS -> {
                 world.setLoss(f.magnitude());
-                world.schedule(f.forMs(), () -> world.setLoss(0));
+                world.schedule(f.durationMs(), () -> world.setLoss(0));
             }
             case CUT -> cut(f, random);
             case LOAD -> {
                 world.setLoadFactor(f.magnitude());
-                world.schedule(f.forMs(), () -> world.setLoadFactor(1));
+                world.schedule(f.durationMs(), () -> world.setLoadFactor(1));
             }
             case ERRORS -> during(
                     f, random, s -> s.faultRates().setImmediateErrorRate(f.magnitude()), s -> s.faultRates()
                             .setImmediateErrorRate(0));
             case TENANT_LOAD -> {
-                int tenant = world.scenario().subjects().tenants().stream()
-                        .map(Scenario.TenantLoad::name)
+                int tenant = world.scenario().tenantsAndKeys().tenants().stream()
+                        .map(TenantLoad::name)
                         .toList()
                         .indexOf(f.target());
                 world.setTenantLoad(tenant, f.magnitude());
-                world.schedule(f.forMs(), () -> world.setTenantLoad(tenant, 1));
+                world.schedule(f.durationMs(), () -> world.setTenantLoad(tenant, 1));
             }
             case ZONE_LOSS -> zoneLoss(f, random);
             case DIRECTORY_DOWN -> {
                 world.directory().setDown(true);
-                world.schedule(f.forMs(), () -> world.directory().setDown(false));
+                world.schedule(f.durationMs(), () -> world.directory().setDown(false));
             }
             case DIRECTORY_SILENT -> {
                 world.directory().setStalled(true);
-                world.schedule(f.forMs(), () -> world.directory().setStalled(false));
+                world.schedule(f.durationMs(), () -> world.directory().setStalled(false));
             }
-            case SIDECAR_KILL -> shuffled(world.scenario().sidecars(), f.affectedShare(), random)
-                    .forEach(n -> killSidecar.kill(n, f.forMs()));
+            case SIDECAR_KILL -> shuffled(world.scenario().sidecars(), f.affectedFraction(), random)
+                    .forEach(n -> killSidecar.kill(n, f.durationMs()));
         }
     }
 
@@ -111,15 +113,15 @@
     }
 
     private void during(Fault f, UniformRandomProvider random, Act begin, Act end) {
-        List<Server> hit = some(f.affectedShare(), random);
+        List<Server> hit = some(f.affectedFraction(), random);
         hit.forEach(begin::on);
-        world.schedule(f.forMs(), () -> hit.forEach(end::on));
+        world.schedule(f.durationMs(), () -> hit.forEach(end::on));
     }
 
     private void beat(Fault f, List<Server> hit, double until, Act act) {
         if (world.now() < until) {
             hit.forEach(act::on);
-            world.schedule(f.everyMs(), () -> beat(f, hit, until, act));
+            world.schedule(f.intervalMs(), () -> beat(f, hit, until, act));
         }
     }
 
@@ -127,7 +129,7 @@
         boolean over = world.now() >= until;
         hit.forEach(s -> s.setNeighbourFraction(on && !over ? Math.min(0.95, f.magnitude()) : 0));
         if (!over) {
-            world.schedule(f.everyMs(), () -> neighbour(f, hit, until, !on));
+            world.schedule(f.intervalMs(), () -> neighbour(f, hit, until, !on));
         }
     }
 
@@ -135,10 +137,10 @@
         if (s.state() != State.UP) {
             return;
         }
-        Scenario.Directory d = world.scenario().directory();
+        DirectoryModel d = world.scenario().directory();
         if (silently) {
             s.vanish();
-            world.directory().noticeLoss(s, d.silentNoticeMs() * (0.5 + world.directoryRandom.nextDouble()));
+            world.directory().noticeLoss(s, d.vanishNoticeMs() * (0.5 + world.directoryRandom.nextDouble()));
         } else {
             s.crash();
             world.serverDied(s);
@@ -150,19 +152,19 @@
     private void zoneLoss(Fault f, UniformRandomProvider random) {
         List<String> zones = world.scenario().zones();
         String zone = zones.get(random.nextInt(zones.size()));
-        world.servers().stream().filter(s -> s.zone().equals(zone)).forEach(s -> lose(s, true, f.forMs()));
+        world.servers().stream().filter(s -> s.zone().equals(zone)).forEach(s -> lose(s, true, f.durationMs()));
         List<Integer> there =
                 new ArrayList<>(IntStream.range(0, world.scenario().sidecars())
                         .filter(n -> world.scenario().zoneOfSidecar(n).equals(zone))
                         .boxed()
                         .toList());
-        Scenario.firstOf(there, Math.min(1, f.magnitude())).forEach(n -> killSidecar.kill(n, f.forMs()));
+        firstOf(there, Math.min(1, f.magnitude())).forEach(n -> killSidecar.kill(n, f.durationMs()));
     }
 
     private void classErrors(Fault f, List<Server> hit) {
         int kind = world.scenario().classNames().indexOf(f.target());
         hit.forEach(s -> s.faultRates().setErrorRate(kind, f.magnitude()));
-        world.schedule(f.forMs(), () -> hit.forEach(s -> s.faultRates().resetErrorRate(kind)));
+        world.schedule(f.durationMs(), () -> hit.forEach(s -> s.faultRates().resetErrorRate(kind)));
     }
 
     /** Batch after batch: listed as draining, given time, ended, started anew and cold. */
@@ -173,7 +175,7 @@
             return;
         }
         int batches = (order.size() + batch - 1) / batch;
-        double each = Math.max(100, f.forMs() / batches);
+        double each = Math.max(100, f.durationMs() / batches);
         for (int n : now) {
             Server s = world.servers().get(n);
             if (s.state() != State.UP) {
@@ -181,14 +183,14 @@
             }
             int life = s.incarnation();
             world.directory().set(s, Availability.DRAINING); // the deploy says so first; the process follows
-            double heard = world.scenario().directory().periodMs() * 2
+            double heard = world.scenario().directory().updateIntervalMs() * 2
                     + world.scenario().rules().drainMs();
-            world.schedule(Math.min(heard, f.everyMs()), () -> {
+            world.schedule(Math.min(heard, f.intervalMs()), () -> {
                 if (s.incarnation() == life) {
                     s.drain();
                 }
             });
-            world.schedule(f.everyMs() + 1, () -> {
+            world.schedule(f.intervalMs() + 1, () -> {
                 if (s.incarnation() == life && s.state() == State.DRAINING) {
                     s.crash();
                     world.directory().set(s, Availability.REMOVED);
@@ -200,10 +202,10 @@
     }
 
     private void cut(Fault f, UniformRandomProvider random) {
-        List<Server> hit = some(f.affectedShare(), random);
+        List<Server> hit = some(f.affectedFraction(), random);
         List<Integer> from = shuffled(world.scenario().sidecars(), Math.min(1, f.magnitude()), random);
         setCuts(hit, from, true);
-        world.schedule(f.forMs(), () -> setCuts(hit, from, false));
+        world.schedule(f.durationMs(), () -> setCuts(hit, from, false));
     }
 
     private void setCuts(List<Server> servers, List<Integer> sidecars, boolean cut) {
@@ -213,4 +215,12 @@
             }
         }
     }
+
+    /** The first of a list, as many as make up that fraction of it, rounded up. */
+    private static List<Integer> firstOf(List<Integer> shuffled, double fraction) {
+        int n = (int) Math.ceil(fraction * shuffled.size() - 1e-9);
+        return IntStream.range(0, Math.min(n, shuffled.size()))
+                .mapToObj(shuffled::get)
+                .toList();
+    }
 }
--- a/emulator/src/main/java/dewplank/emulator/FaultRates.java
+++ b/emulator/src/main/java/dewplank/emulator/FaultRates.java
@@ -1,6 +1,6 @@
 package dewplank.emulator;
 
-import dewplank.emulator.Scenario.MachineType;
+import dewplank.emulator.scenario.MachineType;
 import java.util.Arrays;
 import org.apache.commons.rng.UniformRandomProvider;
 
--- a/emulator/src/main/java/dewplank/emulator/JobScheduler.java
+++ b/emulator/src/main/java/dewplank/emulator/JobScheduler.java
@@ -1,6 +1,6 @@
 package dewplank.emulator;
 
-import dewplank.emulator.Scenario.MachineType;
+import dewplank.emulator.scenario.MachineType;
 import java.util.ArrayDeque;
 import java.util.HashSet;
 import java.util.List;
--- a/emulator/src/main/java/dewplank/emulator/KeyCache.java
+++ b/emulator/src/main/java/dewplank/emulator/KeyCache.java
@@ -1,15 +1,15 @@
 package dewplank.emulator;
 
-import dewplank.emulator.Scenario.Keys;
+import dewplank.emulator.scenario.KeyModel;
 import java.util.LinkedHashMap;
 import java.util.Map;
 
 /** The keys that a server's process has worked on lately; the least recently used are evicted. */
 final class KeyCache {
-    private final Keys rules;
+    private final KeyModel rules;
     private final LinkedHashMap<Integer, Double> usedAtMs;
 
-    KeyCache(Keys rules, int cores) {
+    KeyCache(KeyModel rules, int cores) {
         this.rules = rules;
         int maxKeys = (int) Math.max(1, cores * rules.maxKeysPerCore());
         this.usedAtMs = new LinkedHashMap<>(16, 0.75f, true) {
@@ -29,7 +29,7 @@
         }
         Double lastUsedAtMs = usedAtMs.get(key);
         usedAtMs.put(key, nowMs);
-        return lastUsedAtMs != null && nowMs - lastUsedAtMs <= rules.cacheMs() ? rules.savedWorkShare() : 0;
+        return lastUsedAtMs != null && nowMs - lastUsedAtMs <= rules.cacheMs() ? rules.savedWorkFraction() : 0;
     }
 
     void clear() {
--- a/emulator/src/main/java/dewplank/emulator/LoadReporter.java
+++ b/emulator/src/main/java/dewplank/emulator/LoadReporter.java
@@ -1,6 +1,6 @@
 package dewplank.emulator;
 
-import dewplank.emulator.Scenario.Reports;
+import dewplank.emulator.scenario.LoadReports;
 import org.apache.commons.rng.UniformRandomProvider;
 
 /** The load that a server reports with its responses: the requests in flight, refreshed at intervals, with noise. */
@@ -8,12 +8,12 @@
     /** In place of a report where there is none. */
     static final double NO_REPORT = -1;
 
-    private final Reports rules;
+    private final LoadReports rules;
     private final UniformRandomProvider random;
     private double reported;
     private double refreshedAtMs = Double.NEGATIVE_INFINITY;
 
-    LoadReporter(Reports rules, UniformRandomProvider random) {
+    LoadReporter(LoadReports rules, UniformRandomProvider random) {
         this.rules = rules;
         this.random = random;
     }
--- a/emulator/src/main/java/dewplank/emulator/OverloadMonitor.java
+++ b/emulator/src/main/java/dewplank/emulator/OverloadMonitor.java
@@ -1,6 +1,6 @@
 package dewplank.emulator;
 
-import dewplank.emulator.Scenario.OverloadSlowdown;
+import dewplank.emulator.scenario.OverloadSlowdown;
 import java.util.function.Consumer;
 import java.util.function.IntSupplier;
 
--- a/emulator/src/main/java/dewplank/emulator/RandomStreams.java
+++ b/emulator/src/main/java/dewplank/emulator/RandomStreams.java
@@ -1,5 +1,6 @@
 package dewplank.emulator;
 
+import dewplank.emulator.scenario.Distribution;
 import java.util.function.DoubleSupplier;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.AhrensDieterMarsagliaTsangGammaSampler;
@@ -51,8 +52,8 @@
     }
 
     /** Values with mean 1 and the coefficient of variation {@code cv}. */
-    public static DoubleSupplier around(Scenario.Distribution distribution, double cv, UniformRandomProvider random) {
-        if (cv <= 0 || distribution == Scenario.Distribution.FIXED) {
+    public static DoubleSupplier around(Distribution distribution, double cv, UniformRandomProvider random) {
+        if (cv <= 0 || distribution == Distribution.FIXED) {
             return () -> 1;
         }
         return switch (distribution) {
--- a/emulator/src/main/java/dewplank/emulator/Server.java
+++ b/emulator/src/main/java/dewplank/emulator/Server.java
@@ -2,7 +2,9 @@
 
 import dewplank.balancer.Settings.Idempotency;
 import dewplank.emulator.RecordedEvent.Type;
-import dewplank.emulator.Scenario.MachineType;
+import dewplank.emulator.scenario.MachineType;
+import dewplank.emulator.scenario.RequestClassSpec;
+import dewplank.emulator.scenario.Scenario;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
@@ -80,7 +82,7 @@
         this.zone = zone;
         this.cell = number / scenario.servers().cellSize();
         this.random = world.randomStreams().stream("server", number);
-        this.connections = new ConnectionTable(scenario.links());
+        this.connections = new ConnectionTable(scenario.connections());
         this.warmUp = new WarmUp(world, machine);
         this.speed = new ServerSpeed(world, machine, baseSpeed, warmUp, connections);
         this.jobs = new JobScheduler(
@@ -100,8 +102,8 @@
                     }
                 });
         this.coldLoadLimit = new ColdLoadLimit(world, warmUp, fullCapacity());
-        this.keyCache = new KeyCache(scenario.subjects().keys(), machine.cores());
-        this.loadReporter = new LoadReporter(scenario.reports(), random);
+        this.keyCache = new KeyCache(scenario.tenantsAndKeys().keys(), machine.cores());
+        this.loadReporter = new LoadReporter(scenario.loadReports(), random);
         this.faultRates = new FaultRates(machine, scenario.classes().size(), random);
         if (machine.pauseEveryMs() > 0 && machine.pauseMs() > 0) {
             scheduleNextPause();
@@ -198,7 +200,7 @@
             return false;
         }
         connections.add();
-        jobs.delayBy(world.scenario().links().handshakeWork());
+        jobs.delayBy(world.scenario().connections().handshakeWork());
         return true;
     }
 
@@ -247,7 +249,7 @@
         jobs.add(new ServerJob(request, work, handler, isKeyed && world.withinWindow(request, this)));
     }
 
-    private Scenario.RequestKind classOf(ClientAttempt request) {
+    private RequestClassSpec classOf(ClientAttempt request) {
         return world.scenario().classes().get(request.requestClass());
     }
 
--- a/emulator/src/main/java/dewplank/emulator/ServerSpeed.java
+++ b/emulator/src/main/java/dewplank/emulator/ServerSpeed.java
@@ -1,6 +1,6 @@
 package dewplank.emulator;
 
-import dewplank.emulator.Scenario.MachineType;
+import dewplank.emulator.scenario.MachineType;
 
 /**
  * How fast a core of a server works now: its base speed, less what warm-up, an injected slowdown, a neighbour on the
--- a/emulator/src/main/java/dewplank/emulator/WarmUp.java
+++ b/emulator/src/main/java/dewplank/emulator/WarmUp.java
@@ -1,6 +1,6 @@
 package dewplank.emulator;
 
-import dewplank.emulator.Scenario.MachineType;
+import dewplank.emulator.scenario.MachineType;
 
 /** A process starts cold; its speed grows linearly until it is warm. The first processes of a run are warm. */
 final class WarmUp {
--- a/emulator/src/main/java/dewplank/emulator/World.java
+++ b/emulator/src/main/java/dewplank/emulator/World.java
@@ -1,7 +1,11 @@
 package dewplank.emulator;
 
 import dewplank.emulator.RecordedEvent.Type;
-import dewplank.emulator.Scenario.MachineType;
+import dewplank.emulator.scenario.MachineType;
+import dewplank.emulator.scenario.NetworkModel;
+import dewplank.emulator.scenario.PeerMessages;
+import dewplank.emulator.scenario.Scenario;
+import dewplank.emulator.scenario.TenantLoad;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -72,11 +76,11 @@
         this.lossRandom = randomStreams.stream("loss", 0);
         this.attemptNoise = new double[] {0.15};
         this.messageRandom = randomStreams.stream("messages", 0);
-        this.tenantFactors = new double[scenario.subjects().tenants().size()];
+        this.tenantFactors = new double[scenario.tenantsAndKeys().tenants().size()];
         Arrays.fill(tenantFactors, 1);
         shareOut();
         double shares = scenario.servers().machines().stream()
-                .mapToDouble(MachineType::share)
+                .mapToDouble(MachineType::weight)
                 .sum();
         UniformRandomProvider random = randomStreams.stream("fleet", 0);
         DoubleSupplier normal = RandomStreams.normal(random);
@@ -86,7 +90,7 @@
             MachineType machine = scenario.servers().machines().get(0);
             for (MachineType m : scenario.servers().machines()) {
                 machine = m;
-                place -= m.share();
+                place -= m.weight();
                 if (place < 0) {
                     break;
                 }
@@ -140,7 +144,7 @@
     public double arrivalsPerMs() {
         return scenario.load().requestsPerSecond() > 0
                 ? scenario.load().requestsPerSecond() / 1000
-                : scenario.load().share() * fullCapacity() / Math.max(1e-9, scenario.meanWork());
+                : scenario.load().utilization() * fullCapacity() / Math.max(1e-9, scenario.meanWork());
     }
 
     public void record(Type what, ClientAttempt request, int sidecar, int server, double value) {
@@ -158,8 +162,8 @@
 
     /** How long a message takes one way between a sidecar and a server. */
     public double delay(int sidecar, Server server) {
-        Scenario.Network n = scenario.network();
-        double base = scenario.zoneOfSidecar(sidecar).equals(server.zone()) ? n.sameMs() : n.crossMs();
+        NetworkModel n = scenario.network();
+        double base = scenario.zoneOfSidecar(sidecar).equals(server.zone()) ? n.sameZoneMs() : n.crossZoneMs();
         return base * (1 + n.jitter() * jitter.getAsDouble());
     }
 
@@ -203,7 +207,7 @@
 
     private long group(ClientAttempt request, Server server) {
         long group =
-                switch (scenario.classes().get(request.requestClass()).scope()) {
+                switch (scenario.classes().get(request.requestClass()).deduplicationScope()) {
                     case ALL -> 0;
                     case ZONE -> 1 + scenario.zones().indexOf(server.zone());
                     case CELL -> 1 + server.cell();
@@ -216,7 +220,7 @@
      * client's next try begins a window of its own: clients repeat only while servers remember.
      */
     boolean withinWindow(ClientAttempt request, Server server) {
-        double window = scenario.classes().get(request.requestClass()).windowMs() + WINDOW_SLACK_MS;
+        double window = scenario.classes().get(request.requestClass()).deduplicationWindowMs() + WINDOW_SLACK_MS;
         Key key = keys.computeIfAbsent(group(request, server), k -> new Key(now()));
         if (key.request != request.id()) {
             key.request = request.id();
@@ -267,7 +271,7 @@
     }
 
     private void shareOut() {
-        List<Scenario.TenantLoad> tenants = scenario.subjects().tenants();
+        List<TenantLoad> tenants = scenario.tenantsAndKeys().tenants();
         double[] asks = new double[tenants.size()];
         double usual = 0;
         double now = 0;
@@ -284,9 +288,9 @@
 
     /** How long a datagram between two sidecars takes, or -1 for a lost one. */
     public double messageDelay() {
-        Scenario.Messages m = scenario.messages();
+        PeerMessages m = scenario.peerMessages();
         boolean lostOnTheWay = messageRandom.nextDouble() < m.lossRate();
-        double delay = m.minMs() + (m.maxMs() - m.minMs()) * messageRandom.nextDouble();
+        double delay = m.minDelayMs() + (m.maxDelayMs() - m.minDelayMs()) * messageRandom.nextDouble();
         return lostOnTheWay ? -1 : delay;
     }
 
@@ -311,7 +315,7 @@
     }
 
     void serverDied(Server server) {
-        directory.noticeLoss(server, scenario.directory().noticeMs() * (0.5 + directoryRandom.nextDouble()));
+        directory.noticeLoss(server, scenario.directory().crashNoticeMs() * (0.5 + directoryRandom.nextDouble()));
     }
 
     void restart(Server server, double afterMs) {
--- a/emulator/src/main/java/dewplank/emulator/loopback/LoopbackRun.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/LoopbackRun.java
@@ -8,8 +8,9 @@
 import dewplank.emulator.FaultInjector;
 import dewplank.emulator.RecordedEvent;
 import dewplank.emulator.RecordedEvent.Type;
-import dewplank.emulator.Scenario;
 import dewplank.emulator.World;
+import dewplank.emulator.scenario.RequestClassSpec;
+import dewplank.emulator.scenario.Scenario;
 import dewplank.http.MessageWriter;
 import dewplank.http.ResponseParser;
 import dewplank.net.EventLoop;
@@ -91,7 +92,7 @@
                 sidecars.add(process);
                 fronts.add(new HttpClient(loop, process.listen(), CONNECTIONS));
             }
-            peers = scenario.messages().enabled() ? new PeerRelay(loop, world, scenario.sidecars()) : null;
+            peers = scenario.peerMessages().enabled() ? new PeerRelay(loop, world, scenario.sidecars()) : null;
         } catch (IOException | RuntimeException e) {
             loop.stop();
             throw e;
@@ -257,7 +258,7 @@
     public void send(ClientAttempt t) {
         tries.put(t.id(), t);
         world.schedule(REMEMBER_MS, () -> tries.remove(t.id()));
-        Scenario.RequestKind kind = scenario.classes().get(t.requestClass());
+        RequestClassSpec kind = scenario.classes().get(t.requestClass());
         boolean safe = kind.idempotency() == Idempotency.SAFE;
         MessageWriter request = MessageWriter.request(safe ? "GET" : "POST", "/api", "api.internal")
                 .header("X-Trace-Id", Long.toHexString(t.id()))
@@ -267,7 +268,10 @@
                         "X-Customer",
                         t.tenant() < 0
                                 ? null
-                                : scenario.subjects().tenants().get(t.tenant()).name())
+                                : scenario.tenantsAndKeys()
+                                        .tenants()
+                                        .get(t.tenant())
+                                        .name())
                 .header("Cookie", t.subjectKey() < 0 ? null : "k=key-" + t.subjectKey())
                 .header(
                         "X-Second-ClientAttempt",
--- a/emulator/src/main/java/dewplank/emulator/loopback/ServerEndpoint.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/ServerEndpoint.java
@@ -91,7 +91,7 @@
         @Override
         protected void opened() {
             ends.add(this);
-            readyAt = world.now() + world.scenario().links().handshakeMs();
+            readyAt = world.now() + world.scenario().connections().handshakeMs();
             if (server.state() == Server.State.VANISHED) {
                 return;
             }
@@ -155,12 +155,12 @@
 
         /** One that stands idle for too long is closed, or forgotten without notice. */
         private void idle() {
-            double limit = world.scenario().links().idleMs();
+            double limit = world.scenario().connections().idleMs();
             int then = ++idles;
             if (limit > 0) {
                 world.schedule(limit, () -> {
                     if (then == idles && busy == 0 && open()) {
-                        if (world.scenario().links().closeIsNoticed()) {
+                        if (world.scenario().connections().closeIsNoticed()) {
                             end();
                         } else {
                             stale = true;
--- /dev/null
+++ b/emulator/src/main/java/dewplank/emulator/scenario/LoadProfile.java
@@ -0,0 +1,12 @@
+package dewplank.emulator.scenario;
+
+/**
+ * The clients' load. Exactly one of {@code utilization} and {@code requestsPerSecond} is above 0.
+ *
+ * @param utilization work that arrives, as a fraction of what all servers can do when warm
+ * @param requestsPerSecond first attempts of all clients
+ * @param swing relative deviation of the rate from its mean, for shapes that change
+ * @param periodMs of the shape
+ */
+public record LoadProfile(
+        double utilization, double requestsPerSecond, LoadShape shape, double swing, double periodMs) {}
--- a/emulator/src/main/java/dewplank/emulator/ScenarioFile.java
+++ b/emulator/src/main/java/dewplank/emulator/scenario/ScenarioFile.java
@@ -1,9 +1,8 @@
-package dewplank.emulator;
+package dewplank.emulator.scenario;
 
 import dewplank.balancer.Settings.DeduplicationScope;
 import dewplank.balancer.Settings.Idempotency;
-import dewplank.emulator.Scenario.*;
-import dewplank.emulator.TomlFile.Table;
+import dewplank.emulator.scenario.TomlFile.Table;
 import dewplank.settings.InvalidInputException;
 import java.io.IOException;
 import java.io.InputStream;
@@ -14,10 +13,10 @@
 
 /** Reads a scenario from TOML. docs/laboratory.md lists the keys. */
 public final class ScenarioFile {
-    private static final double MOST_MS = 3_600_000;
-    private static final int MOST_SERVERS = 10_000;
-    private static final int MOST_SIDECARS = 10_000;
-    private static final int MOST_DEPTH = 8;
+    private static final double MAX_DURATION_MS = 3_600_000;
+    private static final int MAX_SERVERS = 10_000;
+    private static final int MAX_SIDECARS = 10_000;
+    private static final int MAX_INHERITANCE_DEPTH = 8;
 
     private ScenarioFile() {}
 
@@ -38,10 +37,10 @@
                 ? TomlFile.read(file)
                 : TomlFile.read(shipped(name + ".toml"), name + ".toml");
         String base = table.text("like", "");
-        if (depth > MOST_DEPTH) {
-            throw table.wrong("like", "leads in a circle");
+        if (depth > MAX_INHERITANCE_DEPTH) {
+            throw table.error("like", "leads in a circle");
         }
-        return base.isEmpty() ? table : table.over(table(base, depth + 1));
+        return base.isEmpty() ? table : table.withDefaults(table(base, depth + 1));
     }
 
     private static String shipped(String name) {
@@ -57,12 +56,12 @@
     }
 
     public static Scenario of(Table t) {
-        double length = 1000 * t.number("length_s", 1, MOST_MS / 1000);
+        double length = 1000 * t.number("length_s", 1, MAX_DURATION_MS / 1000);
         Scenario scenario = new Scenario(
                 t.text("name"),
                 length,
                 t.number("tick_ms", 0.1, 100, 5),
-                t.whole("sidecars", 1, MOST_SIDECARS),
+                t.integer("sidecars", 1, MAX_SIDECARS),
                 t.texts("zones", List.of("a", "b")),
                 servers(t.table("servers")),
                 network(t.table("network")),
@@ -78,16 +77,17 @@
                 t.tables("fault").stream().map(f -> fault(f, length)).toList());
         t.text("about", "");
         t.text("like", "");
-        t.end();
+        t.rejectUnknownKeys();
         if (scenario.classes().isEmpty()) {
-            throw t.wrong("class", "is missing: at least one is needed");
+            throw t.error("class", "is missing: at least one is needed");
         }
-        List<String> tenants =
-                scenario.subjects().tenants().stream().map(TenantLoad::name).toList();
+        List<String> tenants = scenario.tenantsAndKeys().tenants().stream()
+                .map(TenantLoad::name)
+                .toList();
         for (Fault f : scenario.faults()) {
             boolean ofTenant = f.kind() == FaultKind.TENANT_LOAD;
             if (f.target() != null && !(ofTenant ? tenants : scenario.classNames()).contains(f.target())) {
-                throw t.wrong(
+                throw t.error(
                         "fault",
                         "names the " + (ofTenant ? "tenant " : "class ") + f.target() + ", which is not there");
             }
@@ -99,10 +99,10 @@
         List<MachineType> machines =
                 t.tables("machine").stream().map(ScenarioFile::machine).toList();
         Servers servers = new Servers(
-                t.whole("count", 1, MOST_SERVERS),
-                t.whole("cell_size", 1, MOST_SERVERS, 5),
+                t.integer("count", 1, MAX_SERVERS),
+                t.integer("cell_size", 1, MAX_SERVERS, 5),
                 machines.isEmpty() ? List.of(machine(t.table("machine_default"))) : machines);
-        t.end();
+        t.rejectUnknownKeys();
         return servers;
     }
 
@@ -110,7 +110,7 @@
         MachineType machine = new MachineType(
                 t.text("name", "std-4"),
                 t.number("share", 0, 1000, 1),
-                t.whole("cores", 1, 256, 4),
+                t.integer("cores", 1, 256, 4),
                 t.number("speed", 0.01, 100, 1),
                 t.number("speed_spread", 0, 1, 0),
                 t.number("slots_per_core", 1, 1000, 4),
@@ -120,30 +120,30 @@
                 1000 * t.number("pause_every_s", 0, 3600, 0),
                 t.number("pause_ms", 0, 60_000, 0),
                 t.number("error_rate", 0, 1, 0),
-                choke(t.table("choke")));
-        t.end();
+                overloadSlowdown(t.table("choke")));
+        t.rejectUnknownKeys();
         return machine;
     }
 
-    private static OverloadSlowdown choke(Table t) {
-        OverloadSlowdown choke = new OverloadSlowdown(
+    private static OverloadSlowdown overloadSlowdown(Table t) {
+        OverloadSlowdown slowdown = new OverloadSlowdown(
                 t.number("at", 0, 1000, 0),
                 1000 * t.number("over_s", 0, 60, 2),
                 t.number("slower", 1, 100, 3),
                 1000 * t.number("rest_s", 0, 600, 4),
                 t.number("below", 0, 1, 0.3),
                 1000 * t.number("most_s", 0, 3600, 20));
-        t.end();
-        return choke;
+        t.rejectUnknownKeys();
+        return slowdown;
     }
 
-    private static Network network(Table t) {
-        Network network = new Network(
+    private static NetworkModel network(Table t) {
+        NetworkModel network = new NetworkModel(
                 t.number("same_ms", 0, 1000, 0.25),
                 t.number("cross_ms", 0, 1000, 0.6),
                 t.number("client_ms", 0, 1000, 0.05),
                 t.number("jitter", 0, 10, 0.2));
-        t.end();
+        t.rejectUnknownKeys();
         return network;
     }
 
@@ -153,110 +153,110 @@
                 t.number("handshake_work_ms", 0, 1000, 3),
                 1000 * t.number("idle_s", 0, 3600, 60),
                 t.flag("notice", true),
-                t.whole("cap", 0, 1_000_000, 0),
+                t.integer("cap", 0, 1_000_000, 0),
                 t.number("full_tax", 0, 0.99, 0),
                 t.number("connect_timeout_ms", 0, 60_000, 200));
-        t.end();
+        t.rejectUnknownKeys();
         return links;
     }
 
-    private static Directory directory(Table t) {
-        Directory directory = new Directory(
+    private static DirectoryModel directory(Table t) {
+        DirectoryModel directory = new DirectoryModel(
                 1000 * t.number("notice_s", 0, 600, 2),
                 1000 * t.number("silent_notice_s", 0, 600, 8),
                 1000 * t.number("add_s", 0, 600, 1),
                 t.number("period_ms", 1, 60_000, 500),
                 t.number("calls_per_s", 0.1, 1e6, 200),
                 t.number("timeout_ms", 1, 60_000, 1000));
-        t.end();
+        t.rejectUnknownKeys();
         return directory;
     }
 
-    private static Reports reports(Table t) {
-        Reports reports = new Reports(
+    private static LoadReports reports(Table t) {
+        LoadReports reports = new LoadReports(
                 t.flag("given", true), t.number("period_ms", 0, 60_000, 800), t.number("noise", 0, 10, 0.05));
-        t.end();
+        t.rejectUnknownKeys();
         return reports;
     }
 
-    private static Load load(Table t) {
+    private static LoadProfile load(Table t) {
         double perS = t.number("per_s", 0, 10_000_000, 0);
-        Load load = new Load(
+        LoadProfile load = new LoadProfile(
                 perS > 0 ? 0 : t.number("share", 0, 100),
                 perS,
-                t.word("shape", Shape.class, Shape.STEADY),
+                t.enumValue("shape", LoadShape.class, LoadShape.STEADY),
                 t.number("swing", 0, 1, 0.3),
                 1000 * t.number("period_s", 0.01, 3600, 20));
-        t.end();
+        t.rejectUnknownKeys();
         return load;
     }
 
     private static ClientBehaviour clients(Table t) {
         ClientBehaviour clients = new ClientBehaviour(
-                t.whole("retries", 0, 100, 2),
+                t.integer("retries", 0, 100, 2),
                 t.number("try_share", 0.01, 1, 0.55),
                 t.number("wait_ms", 0, 60_000, 50),
                 t.number("honour", 0, 1, 0.5),
                 t.number("impatient", 0, 1, 0),
                 t.flag("marks_retry", true));
-        t.end();
+        t.rejectUnknownKeys();
         return clients;
     }
 
-    private static RequestKind kind(Table t) {
-        Idempotency effect = t.word("effect", Idempotency.class, Idempotency.SAFE);
-        double deadline = t.number("deadline_ms", 1, MOST_MS);
-        RequestKind kind = new RequestKind(
+    private static RequestClassSpec kind(Table t) {
+        Idempotency effect = t.enumValue("effect", Idempotency.class, Idempotency.SAFE);
+        double deadline = t.number("deadline_ms", 1, MAX_DURATION_MS);
+        RequestClassSpec kind = new RequestClassSpec(
                 t.text("name"),
                 t.number("share", 0, 1000, 1),
                 t.number("work_ms", 0, 60_000),
-                t.word("distribution", Distribution.class, Distribution.EXP),
+                t.enumValue("distribution", Distribution.class, Distribution.EXP),
                 t.number("cv", 0, 10, 1),
                 t.number("waits_ms", 0, 60_000, 0),
                 t.number("aim_ms", 1, deadline, deadline),
                 deadline,
                 t.number("worth", 0, 1e6, 1),
                 effect,
-                t.word("scope", DeduplicationScope.class, DeduplicationScope.ALL),
-                t.number("window_ms", 0, MOST_MS, 750));
-        t.end();
+                t.enumValue("scope", DeduplicationScope.class, DeduplicationScope.ALL),
+                t.number("window_ms", 0, MAX_DURATION_MS, 750));
+        t.rejectUnknownKeys();
         return kind;
     }
 
     private static TenantsAndKeys subjects(Table t) {
         List<TenantLoad> tenants =
                 t.tables("tenant").stream().map(ScenarioFile::tenant).toList();
-        Table rest = t.table("subjects");
-        Keys keys = new Keys(
-                rest.whole("keys", 0, 1_000_000, 0),
-                rest.number("zipf", 0, 10, 0.7),
-                rest.number("spared", 0, 1, 0.5),
-                1000 * rest.number("fresh_s", 0, 3600, 6),
-                rest.number("per_core", 0, 1e6, 4));
+        Table table = t.table("subjects");
+        KeyModel keys = new KeyModel(
+                table.integer("keys", 0, 1_000_000, 0),
+                table.number("zipf", 0, 10, 0.7),
+                table.number("spared", 0, 1, 0.5),
+                1000 * table.number("fresh_s", 0, 3600, 6),
+                table.number("per_core", 0, 1e6, 4));
         TenantsAndKeys subjects = new TenantsAndKeys(
-                tenants, rest.number("over_share_worth", 0, 1, 1), rest.number("quota", 0.01, 10, 0.8), keys);
-        rest.end();
+                tenants, table.number("over_share_worth", 0, 1, 1), table.number("quota", 0.01, 10, 0.8), keys);
+        table.rejectUnknownKeys();
         if (tenants.stream().map(TenantLoad::name).distinct().count() < tenants.size()) {
-            throw t.wrong("tenant", "has one name twice");
+            throw t.error("tenant", "has one name twice");
         }
         return subjects;
     }
 
     private static TenantLoad tenant(Table t) {
-        TenantLoad customer =
+        TenantLoad tenant =
                 new TenantLoad(t.text("name"), t.number("share", 1e-6, 1000), t.number("usage", 0, 1000, 1));
-        t.end();
-        return customer;
+        t.rejectUnknownKeys();
+        return tenant;
     }
 
-    private static Messages messages(Table t) {
-        double least = t.number("least_ms", 0, 60_000, 1.7);
-        Messages messages = new Messages(
+    private static PeerMessages messages(Table t) {
+        double minDelayMs = t.number("least_ms", 0, 60_000, 1.7);
+        PeerMessages messages = new PeerMessages(
                 t.flag("given", false),
-                least,
-                t.number("most_ms", least, 60_000, Math.max(least, 11)),
+                minDelayMs,
+                t.number("most_ms", minDelayMs, 60_000, Math.max(minDelayMs, 11)),
                 t.number("lost", 0, 1, 0));
-        t.end();
+        t.rejectUnknownKeys();
         return messages;
     }
 
@@ -269,33 +269,38 @@
                 1000 * t.number("cold_s", 0, 600, 22),
                 t.number("cold_share", 0.01, 1, 0.12),
                 1000 * t.number("ask_within_s", 1, 600, 10),
-                t.whole("max_attempts", 1, 100, 4),
+                t.integer("max_attempts", 1, 100, 4),
                 t.flag("probes", true),
                 t.flag("second_copies", true),
                 t.flag("retry_advice", true),
                 1000 * t.number("max_advice_s", 0, 600, 2));
-        t.end();
+        t.rejectUnknownKeys();
         return rules;
     }
 
     private static Fault fault(Table t, double length) {
-        FaultKind what = t.word("what", FaultKind.class, null);
+        FaultKind kind = t.enumValue("what", FaultKind.class, null);
         double at = 1000 * t.number("at_s", 0, length / 1000);
         Fault fault = new Fault(
-                what,
+                kind,
                 at,
-                1000 * t.number("for_s", 0, MOST_MS / 1000, what == FaultKind.SIDECAR_KILL ? 1.7 : length / 1000),
+                1000
+                        * t.number(
+                                "for_s",
+                                0,
+                                MAX_DURATION_MS / 1000,
+                                kind == FaultKind.SIDECAR_KILL ? 1.7 : length / 1000),
                 t.number("part", 0, 1, 0.2),
-                t.number("size", 0, 1000, sizeOf(what)),
-                1000 * t.number("every_s", 0.01, 3600, what == FaultKind.DEPLOY ? 4 : 3),
-                named(t, what == FaultKind.TENANT_LOAD ? "tenant" : "class"));
-        if (what == FaultKind.TENANT_LOAD && fault.target() == null) {
-            throw t.wrong("tenant", "is missing: this fault is one tenant's");
+                t.number("size", 0, 1000, defaultMagnitude(kind)),
+                1000 * t.number("every_s", 0.01, 3600, kind == FaultKind.DEPLOY ? 4 : 3),
+                named(t, kind == FaultKind.TENANT_LOAD ? "tenant" : "class"));
+        if (kind == FaultKind.TENANT_LOAD && fault.target() == null) {
+            throw t.error("tenant", "is missing: this fault is one tenant's");
         }
-        if (what == FaultKind.CLASS_ERRORS && fault.target() == null) {
-            throw t.wrong("class", "is missing: this fault hits one class");
+        if (kind == FaultKind.CLASS_ERRORS && fault.target() == null) {
+            throw t.error("class", "is missing: this fault hits one class");
         }
-        t.end();
+        t.rejectUnknownKeys();
         return fault;
     }
 
@@ -303,8 +308,8 @@
         return t.text(key, "").isEmpty() ? null : t.text(key);
     }
 
-    private static double sizeOf(FaultKind what) {
-        return switch (what) {
+    private static double defaultMagnitude(FaultKind kind) {
+        return switch (kind) {
             case SLOW -> 5;
             case NEIGHBOUR -> 0.5;
             case DEPLOY -> 0.1;
--- a/emulator/src/main/java/dewplank/emulator/TomlFile.java
+++ b/emulator/src/main/java/dewplank/emulator/scenario/TomlFile.java
@@ -1,4 +1,4 @@
-package dewplank.emulator;
+package dewplank.emulator.scenario;
 
 import dewplank.settings.InvalidInputException;
 import java.io.IOException;
@@ -19,7 +19,7 @@
 
 /**
  * Strict reading of a TOML file: every key must be known, of its type and within its range. A fault is reported with
- * file, line and key before anything runs. Read all that a table may hold, then call {@link Table#end}.
+ * file, line and key before anything runs. Read all that a table may hold, then call {@link Table#rejectUnknownKeys}.
  */
 public final class TomlFile {
     private final String file;
@@ -51,7 +51,7 @@
     public final class Table {
         private final TomlTable table;
         private final String path;
-        private final Set<String> known = new HashSet<>();
+        private final Set<String> readKeys = new HashSet<>();
         private final Table base;
 
         private Table(TomlTable table, String path) {
@@ -64,33 +64,34 @@
             this.base = base;
         }
 
-        /** The same table, with what it does not say taken from another one; arrays are taken whole. */
-        public Table over(Table other) {
+        /** The same table, with what it does not say taken from another one; arrays are not merged. */
+        public Table withDefaults(Table other) {
             return new Table(table, path, other);
         }
 
         /** Every key that was not asked for is a mistake of the writer's. */
-        public void end() {
+        public void rejectUnknownKeys() {
             for (String key : table.keySet()) {
-                if (!known.contains(key)) {
-                    throw wrong(
+                if (!readKeys.contains(key)) {
+                    throw error(
                             key,
-                            "is unknown; known here: " + known.stream().sorted().collect(Collectors.joining(", ")));
+                            "is unknown; known here: "
+                                    + readKeys.stream().sorted().collect(Collectors.joining(", ")));
                 }
             }
         }
 
-        public InvalidInputException wrong(String key, String what) {
+        public InvalidInputException error(String key, String what) {
             TomlPosition at = table.inputPositionOf(List.of(key));
             if (at == null && base != null && base.table.contains(List.of(key))) {
-                return base.wrong(key, what);
+                return base.error(key, what);
             }
             return new InvalidInputException(
                     file + (at == null ? "" : ":" + at.line()) + ": key " + path + key + " " + what);
         }
 
         private Object value(String key) {
-            known.add(key);
+            readKeys.add(key);
             Object own = table.get(List.of(key));
             return own != null || base == null ? own : base.value(key);
         }
@@ -99,68 +100,68 @@
             return value(key) != null;
         }
 
-        public String text(String key, String otherwise) {
+        public String text(String key, String defaultValue) {
             Object value = value(key);
-            if (value == null && otherwise != null) {
-                return otherwise;
+            if (value == null && defaultValue != null) {
+                return defaultValue;
             }
             if (value instanceof String s) {
                 return s;
             }
-            throw wrong(key, value == null ? "is missing" : "should be text");
+            throw error(key, value == null ? "is missing" : "should be text");
         }
 
         public String text(String key) {
             return text(key, null);
         }
 
-        public double number(String key, double least, double most) {
+        public double number(String key, double min, double max) {
             Object value = value(key);
             if (!(value instanceof Number n)) {
-                throw wrong(key, value == null ? "is missing" : "should be a number");
+                throw error(key, value == null ? "is missing" : "should be a number");
             }
             double number = n.doubleValue();
-            if (!(number >= least && number <= most)) {
-                throw wrong(key, "should be from " + trim(least) + " to " + trim(most));
+            if (!(number >= min && number <= max)) {
+                throw error(key, "should be from " + trim(min) + " to " + trim(max));
             }
             return number;
         }
 
-        public double number(String key, double least, double most, double otherwise) {
-            return value(key) == null ? otherwise : number(key, least, most);
+        public double number(String key, double min, double max, double defaultValue) {
+            return value(key) == null ? defaultValue : number(key, min, max);
         }
 
-        public int whole(String key, int least, int most, int otherwise) {
-            return value(key) == null ? otherwise : whole(key, least, most);
+        public int integer(String key, int min, int max, int defaultValue) {
+            return value(key) == null ? defaultValue : integer(key, min, max);
         }
 
-        public int whole(String key, int least, int most) {
-            double value = number(key, least, most);
+        public int integer(String key, int min, int max) {
+            double value = number(key, min, max);
             if (value != Math.rint(value)) {
-                throw wrong(key, "should be a whole number");
+                throw error(key, "should be a whole number");
             }
             return (int) value;
         }
 
-        public boolean flag(String key, boolean otherwise) {
+        public boolean flag(String key, boolean defaultValue) {
             Object value = value(key);
             if (value == null || value instanceof Boolean) {
-                return value == null ? otherwise : (Boolean) value;
+                return value == null ? defaultValue : (Boolean) value;
             }
-            throw wrong(key, "should be true or false");
+            throw error(key, "should be true or false");
         }
 
-        public <E extends Enum<E>> E word(String key, Class<E> type, E otherwise) {
-            if (value(key) == null && otherwise != null) {
-                return otherwise;
+        public <E extends Enum<E>> E enumValue(String key, Class<E> type, E defaultValue) {
+            if (value(key) == null && defaultValue != null) {
+                return defaultValue;
             }
-            String word = text(key);
+            String name = text(key);
             for (E e : type.getEnumConstants()) {
-                if (e.name().toLowerCase(Locale.ROOT).equals(word)) {
+                if (e.name().toLowerCase(Locale.ROOT).equals(name)) {
                     return e;
                 }
             }
-            throw wrong(
+            throw error(
                     key,
                     "should be one of "
                             + Stream.of(type.getEnumConstants())
@@ -168,22 +169,22 @@
                                     .collect(Collectors.joining(", ")));
         }
 
-        public List<String> texts(String key, List<String> otherwise) {
+        public List<String> texts(String key, List<String> defaultValue) {
             List<String> texts = new ArrayList<>();
-            for (Object o : array(key, otherwise == null)) {
+            for (Object o : array(key, defaultValue == null)) {
                 if (!(o instanceof String s)) {
-                    throw wrong(key, "should hold texts");
+                    throw error(key, "should hold texts");
                 }
                 texts.add(s);
             }
-            return texts.isEmpty() && otherwise != null ? otherwise : texts;
+            return texts.isEmpty() && defaultValue != null ? defaultValue : texts;
         }
 
         public List<Double> numbers(String key) {
             List<Double> numbers = new ArrayList<>();
             for (Object o : array(key, true)) {
                 if (!(o instanceof Number n)) {
-                    throw wrong(key, "should hold numbers");
+                    throw error(key, "should hold numbers");
                 }
                 numbers.add(n.doubleValue());
             }
@@ -196,17 +197,17 @@
                 return List.of();
             }
             if (!(value instanceof TomlArray array)) {
-                throw wrong(key, value == null ? "is missing" : "should be an array");
+                throw error(key, value == null ? "is missing" : "should be an array");
             }
             return array.toList();
         }
 
         /** The table under the key, or an empty one. */
         public Table table(String key) {
-            known.add(key);
+            readKeys.add(key);
             Object own = table.get(List.of(key));
             if (own != null && !(own instanceof TomlTable)) {
-                throw wrong(key, "should be a table");
+                throw error(key, "should be a table");
             }
             return new Table(
                     own == null ? Toml.parse("") : (TomlTable) own,
@@ -218,7 +219,7 @@
             List<Table> tables = new ArrayList<>();
             for (Object o : array(key, false)) {
                 if (!(o instanceof TomlTable t)) {
-                    throw wrong(key, "should hold tables");
+                    throw error(key, "should hold tables");
                 }
                 tables.add(new Table(t, path + key + "[" + tables.size() + "]."));
             }
--- a/emulator/src/main/java/dewplank/emulator/virtualtime/AttemptSender.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/AttemptSender.java
@@ -6,9 +6,9 @@
 import dewplank.balancer.Outcome;
 import dewplank.emulator.ClientAttempt;
 import dewplank.emulator.RecordedEvent.Type;
-import dewplank.emulator.Scenario;
 import dewplank.emulator.Server;
 import dewplank.emulator.World;
+import dewplank.emulator.scenario.Scenario;
 import dewplank.emulator.virtualtime.ConnectionPool.IdleConnection;
 import java.util.Optional;
 
@@ -110,7 +110,7 @@
     private void connect(Attempt attempt) {
         Server server = attempt.server;
         handshakeCount++;
-        double timeoutMs = scenario.links().connectTimeoutMs();
+        double timeoutMs = scenario.connections().connectTimeoutMs();
         if (timeoutMs > 0) {
             world.schedule(timeoutMs, () -> {
                 if (attempt.isConnecting()) {
@@ -132,7 +132,7 @@
             world.schedule(returnMs, () -> end(attempt, Outcome.CONNECT_FAILED, NO_LOAD_REPORT));
         } else if (server.connect()) {
             int serverIncarnation = server.incarnation();
-            world.schedule(returnMs + scenario.links().handshakeMs(), () -> {
+            world.schedule(returnMs + scenario.connections().handshakeMs(), () -> {
                 if (attempt.hasEnded()) {
                     server.disconnect(serverIncarnation);
                 } else {
--- a/emulator/src/main/java/dewplank/emulator/virtualtime/ConnectionPool.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/ConnectionPool.java
@@ -1,8 +1,8 @@
 package dewplank.emulator.virtualtime;
 
-import dewplank.emulator.Scenario.ConnectionModel;
 import dewplank.emulator.Server;
 import dewplank.emulator.World;
+import dewplank.emulator.scenario.ConnectionModel;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.HashMap;
@@ -35,7 +35,7 @@
     }
 
     private boolean endWasNoticed(IdleConnection connection, Server server) {
-        ConnectionModel model = world.scenario().links();
+        ConnectionModel model = world.scenario().connections();
         boolean processEnded = connection.serverIncarnation() != server.incarnation()
                 && !server.vanishedIn(connection.serverIncarnation());
         return processEnded || model.closeIsNoticed() && world.now() - connection.sinceMs() >= model.idleMs();
@@ -45,7 +45,7 @@
     boolean isStale(IdleConnection connection, Server server) {
         return connection.serverIncarnation() != server.incarnation()
                 || world.now() - connection.sinceMs()
-                        >= world.scenario().links().idleMs();
+                        >= world.scenario().connections().idleMs();
     }
 
     /** Returns a connection to the process that the server runs now. */
--- a/emulator/src/main/java/dewplank/emulator/virtualtime/EmulatedSidecar.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/EmulatedSidecar.java
@@ -19,9 +19,9 @@
 import dewplank.balancer.Event.TimerFired;
 import dewplank.emulator.ClientAttempt;
 import dewplank.emulator.RecordedEvent.Type;
-import dewplank.emulator.Scenario;
 import dewplank.emulator.Server;
 import dewplank.emulator.World;
+import dewplank.emulator.scenario.Scenario;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
@@ -147,7 +147,10 @@
                 client.id(),
                 client.tenant() < 0
                         ? null
-                        : scenario.subjects().tenants().get(client.tenant()).name(),
+                        : scenario.tenantsAndKeys()
+                                .tenants()
+                                .get(client.tenant())
+                                .name(),
                 client.subjectKey() < 0 ? null : "key-" + client.subjectKey(),
                 client.isRetry() && scenario.clients().marksRetries(),
                 scenario.classes().get(client.requestClass()).name(),
--- a/emulator/src/test/java/dewplank/emulator/EmulatorGoldenTest.java
+++ b/emulator/src/test/java/dewplank/emulator/EmulatorGoldenTest.java
@@ -4,6 +4,9 @@
 import static org.junit.Assert.assertTrue;
 
 import dewplank.emulator.RecordedEvent.Type;
+import dewplank.emulator.scenario.Scenario;
+import dewplank.emulator.scenario.ScenarioFile;
+import dewplank.emulator.scenario.TomlFile;
 import dewplank.emulator.virtualtime.VirtualRun;
 import java.io.IOException;
 import java.io.InputStream;
--- a/emulator/src/test/java/dewplank/emulator/EndpointDirectoryTest.java
+++ b/emulator/src/test/java/dewplank/emulator/EndpointDirectoryTest.java
@@ -6,6 +6,8 @@
 import dewplank.balancer.Endpoint;
 import dewplank.balancer.Endpoint.Availability;
 import dewplank.emulator.RecordedEvent.Type;
+import dewplank.emulator.scenario.ScenarioFile;
+import dewplank.emulator.scenario.TomlFile;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.Test;
--- a/emulator/src/test/java/dewplank/emulator/ServerTest.java
+++ b/emulator/src/test/java/dewplank/emulator/ServerTest.java
@@ -5,6 +5,8 @@
 
 import dewplank.emulator.RecordedEvent.Type;
 import dewplank.emulator.Server.Reply;
+import dewplank.emulator.scenario.ScenarioFile;
+import dewplank.emulator.scenario.TomlFile;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.DoubleSupplier;
--- a/emulator/src/test/java/dewplank/emulator/loopback/LoopbackTest.java
+++ b/emulator/src/test/java/dewplank/emulator/loopback/LoopbackTest.java
@@ -7,8 +7,8 @@
 
 import dewplank.emulator.Clients;
 import dewplank.emulator.RecordedEvent;
-import dewplank.emulator.ScenarioFile;
 import dewplank.emulator.World;
+import dewplank.emulator.scenario.ScenarioFile;
 import dewplank.http.MessageWriter;
 import dewplank.net.EventLoop;
 import dewplank.net.Listener;
--- a/emulator/src/test/java/dewplank/emulator/ScenarioFileTest.java
+++ b/emulator/src/test/java/dewplank/emulator/scenario/ScenarioFileTest.java
@@ -1,4 +1,4 @@
-package dewplank.emulator;
+package dewplank.emulator.scenario;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertThrows;
@@ -64,8 +64,8 @@
         Path file = Files.createTempFile("scenario", ".toml");
         Files.writeString(file, "name = \"mine\"\nlike = \"crash\"\n[load]\nshare = 0.1\n");
         Scenario mine = ScenarioFile.named(file.toString());
-        assertEquals(0.1, mine.load().share(), 0);
-        assertEquals(Scenario.Shape.WAVE, mine.load().shape());
+        assertEquals(0.1, mine.load().utilization(), 0);
+        assertEquals(LoadShape.WAVE, mine.load().shape());
         assertEquals(1, mine.faults().size());
         Files.writeString(file, "name = \"mine\"\nlike = \"" + file + "\"\n");
         assertTrue(assertThrows(InvalidInputException.class, () -> ScenarioFile.named(file.toString()))
--- a/lab/src/main/java/dewplank/lab/Auditor.java
+++ b/lab/src/main/java/dewplank/lab/Auditor.java
@@ -4,8 +4,8 @@
 import dewplank.balancer.Settings.Idempotency;
 import dewplank.emulator.RecordedEvent;
 import dewplank.emulator.RecordedEvent.Type;
-import dewplank.emulator.Scenario;
-import dewplank.emulator.Scenario.RequestKind;
+import dewplank.emulator.scenario.RequestClassSpec;
+import dewplank.emulator.scenario.Scenario;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.EnumMap;
@@ -234,12 +234,13 @@
     }
 
     private boolean mayRejectAfterRun(ObservedAttempt attempt) {
-        RequestKind requestKind = requestKind(attempt);
+        RequestClassSpec requestKind = requestKind(attempt);
         return requestKind.idempotency() == Idempotency.SAFE
-                || requestKind.idempotency() == Idempotency.KEYED && requestKind.scope() == DeduplicationScope.ALL;
+                || requestKind.idempotency() == Idempotency.KEYED
+                        && requestKind.deduplicationScope() == DeduplicationScope.ALL;
     }
 
-    private RequestKind requestKind(ObservedAttempt attempt) {
+    private RequestClassSpec requestKind(ObservedAttempt attempt) {
         return scenario.classes().get(attempt.sent.requestClass());
     }
 
@@ -261,12 +262,12 @@
             return;
         }
         attempt.wasReceived = true;
-        RequestKind requestKind = requestKind(attempt);
+        RequestClassSpec requestKind = requestKind(attempt);
         if (attempt.receptions > 0 && requestKind.idempotency() == Idempotency.UNSAFE) {
             report(Rule.SENT_TWICE, attempt, event, "server " + attempt.firstServer + " had it, and it may have run");
         }
         if (attempt.receptions > 0 && requestKind.idempotency() == Idempotency.KEYED) {
-            if (event.atMs() - attempt.firstReceivedAtMs > requestKind.windowMs() + slackMs) {
+            if (event.atMs() - attempt.firstReceivedAtMs > requestKind.deduplicationWindowMs() + slackMs) {
                 report(
                         Rule.KEYED_AFTER_WINDOW,
                         attempt,
@@ -291,8 +292,8 @@
         }
     }
 
-    private int deduplicationGroup(RequestKind requestKind, int server) {
-        return switch (requestKind.scope()) {
+    private int deduplicationGroup(RequestClassSpec requestKind, int server) {
+        return switch (requestKind.deduplicationScope()) {
             case ALL -> 0;
             case ZONE -> zoneOf[server];
             case CELL -> server / scenario.servers().cellSize();
--- a/lab/src/main/java/dewplank/lab/Experiment.java
+++ b/lab/src/main/java/dewplank/lab/Experiment.java
@@ -1,9 +1,9 @@
 package dewplank.lab;
 
-import dewplank.emulator.Scenario;
-import dewplank.emulator.ScenarioFile;
-import dewplank.emulator.TomlFile;
-import dewplank.emulator.TomlFile.Table;
+import dewplank.emulator.scenario.Scenario;
+import dewplank.emulator.scenario.ScenarioFile;
+import dewplank.emulator.scenario.TomlFile;
+import dewplank.emulator.scenario.TomlFile.Table;
 import dewplank.lab.policies.Policies;
 import dewplank.settings.InvalidInputException;
 import java.nio.file.Path;
@@ -40,23 +40,23 @@
             try {
                 Policies.named(p);
             } catch (InvalidInputException e) {
-                throw table.wrong("policies", "is wrong: " + e.getMessage());
+                throw table.error("policies", "is wrong: " + e.getMessage());
             }
         });
-        int seeds = table.whole("seeds", 1, MAX_SEEDS, 5);
-        int firstSeed = table.whole("first_seed", 0, 1_000_000_000, 1);
+        int seeds = table.integer("seeds", 1, MAX_SEEDS, 5);
+        int firstSeed = table.integer("first_seed", 0, 1_000_000_000, 1);
         String baseline = table.text("baseline", policies.get(0));
         if (!policies.contains(baseline)) {
-            throw table.wrong("baseline", "is none of the policies");
+            throw table.error("baseline", "is none of the policies");
         }
         double lengthS = table.number("length_s", 0, 3600, 0);
         Map<String, List<Double>> varied = new LinkedHashMap<>();
         for (Table variation : table.tables("vary")) {
             varied.put(variation.text("parameter"), variation.numbers("values"));
-            variation.end();
+            variation.rejectUnknownKeys();
         }
         String about = table.text("about", "");
-        table.end();
+        table.rejectUnknownKeys();
         List<Cell> cells = new ArrayList<>();
         for (String scenarioName : scenarios) {
             Scenario scenario = ScenarioFile.named(scenarioName);
@@ -64,7 +64,7 @@
             try {
                 expand(new Cell(scenario.name(), "", scenario), new ArrayList<>(varied.entrySet()), cells);
             } catch (IllegalArgumentException e) {
-                throw table.wrong("vary", e.getMessage());
+                throw table.error("vary", e.getMessage());
             }
         }
         List<Long> seedList = new ArrayList<>();
--- a/lab/src/main/java/dewplank/lab/LiveTrial.java
+++ b/lab/src/main/java/dewplank/lab/LiveTrial.java
@@ -2,10 +2,10 @@
 
 import dewplank.emulator.Clients;
 import dewplank.emulator.RecordedEvent;
-import dewplank.emulator.Scenario;
 import dewplank.emulator.Server;
 import dewplank.emulator.World;
 import dewplank.emulator.loopback.LoopbackRun;
+import dewplank.emulator.scenario.Scenario;
 import dewplank.emulator.virtualtime.VirtualRun.Cost;
 import java.io.IOException;
 import java.util.List;
@@ -54,7 +54,7 @@
                 output.accept("UNSOUND: the emulator itself ran late, by %.0f ms at the most; run it on quieter cores"
                         .formatted(outcome.latestMs()));
             }
-            if (scenario.messages().enabled()) {
+            if (scenario.peerMessages().enabled()) {
                 output.accept(outcome.messages() + " datagrams between sidecars, " + outcome.messagesLost()
                         + " more were lost");
             }
--- a/lab/src/main/java/dewplank/lab/LossSplit.java
+++ b/lab/src/main/java/dewplank/lab/LossSplit.java
@@ -3,9 +3,10 @@
 import dewplank.emulator.Clients;
 import dewplank.emulator.RecordedEvent;
 import dewplank.emulator.RecordedEvent.Type;
-import dewplank.emulator.Scenario;
 import dewplank.emulator.Server;
 import dewplank.emulator.World;
+import dewplank.emulator.scenario.RequestClassSpec;
+import dewplank.emulator.scenario.Scenario;
 import java.util.Arrays;
 import java.util.EnumMap;
 import java.util.HashMap;
@@ -98,7 +99,7 @@
 
     /** Whether a first attempt begun now would likely have been in time, by the aim of its class. */
     private boolean hadCapacity(RecordedEvent event) {
-        Scenario.RequestKind kind = scenario.classes().get(event.requestClass());
+        RequestClassSpec kind = scenario.classes().get(event.requestClass());
         for (Server s : world.servers()) {
             if (s.expectedMs(kind.work(), 0) <= kind.targetLatencyMs()) {
                 return true;
@@ -111,7 +112,7 @@
     public void requestEnded(
             int requestClass, int tenant, double firstSentAtMs, double tookMs, int attempts, Type lastType) {
         outcomeListener.requestEnded(requestClass, tenant, firstSentAtMs, tookMs, attempts, lastType);
-        Scenario.RequestKind kind = scenario.classes().get(requestClass);
+        RequestClassSpec kind = scenario.classes().get(requestClass);
         requestedValue += kind.value();
         if (!(tookMs <= kind.targetLatencyMs())) {
             lostValueByClass
--- a/lab/src/main/java/dewplank/lab/Service.java
+++ b/lab/src/main/java/dewplank/lab/Service.java
@@ -2,8 +2,8 @@
 
 import dewplank.emulator.Clients;
 import dewplank.emulator.RecordedEvent.Type;
-import dewplank.emulator.Scenario;
-import dewplank.emulator.Scenario.RequestKind;
+import dewplank.emulator.scenario.RequestClassSpec;
+import dewplank.emulator.scenario.Scenario;
 import java.util.ArrayList;
 import java.util.List;
 import org.HdrHistogram.Histogram;
@@ -19,7 +19,7 @@
 
     /** Figures of one class. {@code refused}, {@code failed}: those whose last try ended so. */
     public static final class ClassService {
-        final RequestKind kind;
+        final RequestClassSpec kind;
         final Histogram latency =
                 new Histogram(MAX_LATENCY_US, 3); // of those served, microseconds from the first try on
         long requests;
@@ -29,7 +29,7 @@
         long failed;
         long attempts;
 
-        ClassService(RequestKind kind) {
+        ClassService(RequestClassSpec kind) {
             this.kind = kind;
         }
 
@@ -70,7 +70,7 @@
         }
         if (tenant >= 0) {
             while (tenantSeconds.size() <= second) {
-                tenantSeconds.add(new double[scenario.subjects().tenants().size()][2]);
+                tenantSeconds.add(new double[scenario.tenantsAndKeys().tenants().size()][2]);
             }
             tenantSeconds.get(second)[tenant][0] += figures.kind.value();
             tenantSeconds.get(second)[tenant][1] += withinTarget ? figures.kind.value() : 0;
@@ -129,14 +129,14 @@
         double meanValue = requests() == 0
                 ? 1
                 : classes.stream().mapToDouble(c -> c.requests * c.kind.value()).sum() / requests();
-        for (int t = 0; t < scenario.subjects().tenants().size(); t++) {
-            double allowed = scenario.allowancePerS(t) * meanValue;
+        for (int t = 0; t < scenario.tenantsAndKeys().tenants().size(); t++) {
+            double allowed = scenario.allowancePerSecond(t) * meanValue;
             double requests = 0;
             double got = 0;
             for (double[][] second : tenantSeconds.subList(Math.min(1, tenantSeconds.size()), tenantSeconds.size())) {
                 double within = second[t][0] <= 0 ? 0 : Math.min(1, allowed / second[t][0]);
                 double counted = second[t][0]
-                        * (within + (1 - within) * scenario.subjects().overShareValueFactor());
+                        * (within + (1 - within) * scenario.tenantsAndKeys().overShareValueFactor());
                 requests += counted;
                 got += Math.min(counted, second[t][1]); // what is served counts as what is within the share first
             }
--- a/lab/src/main/java/dewplank/lab/Trial.java
+++ b/lab/src/main/java/dewplank/lab/Trial.java
@@ -1,6 +1,6 @@
 package dewplank.lab;
 
-import dewplank.emulator.Scenario;
+import dewplank.emulator.scenario.Scenario;
 import dewplank.emulator.virtualtime.VirtualRun;
 import dewplank.emulator.virtualtime.VirtualRun.Cost;
 import dewplank.lab.policies.Policies;
--- a/lab/src/main/java/dewplank/lab/load/StandIn.java
+++ b/lab/src/main/java/dewplank/lab/load/StandIn.java
@@ -1,8 +1,8 @@
 package dewplank.lab.load;
 
 import dewplank.emulator.RandomStreams;
-import dewplank.emulator.Scenario.Distribution;
 import dewplank.emulator.loopback.HttpEndpoint;
+import dewplank.emulator.scenario.Distribution;
 import dewplank.http.MessageWriter;
 import dewplank.http.RequestParser;
 import dewplank.net.EventLoop;
--- a/lab/src/test/java/dewplank/lab/AuditorTest.java
+++ b/lab/src/test/java/dewplank/lab/AuditorTest.java
@@ -3,8 +3,8 @@
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
 
-import dewplank.emulator.Scenario;
-import dewplank.emulator.ScenarioFile;
+import dewplank.emulator.scenario.Scenario;
+import dewplank.emulator.scenario.ScenarioFile;
 import dewplank.emulator.virtualtime.EmulatedSidecar;
 import dewplank.emulator.virtualtime.VirtualRun;
 import dewplank.lab.Broken.Way;
--- a/lab/src/test/java/dewplank/lab/BuoysTest.java
+++ b/lab/src/test/java/dewplank/lab/BuoysTest.java
@@ -4,9 +4,9 @@
 import static org.junit.Assert.assertTrue;
 
 import dewplank.balancer.health.PeerSummary;
-import dewplank.emulator.Scenario;
-import dewplank.emulator.ScenarioFile;
 import dewplank.emulator.World;
+import dewplank.emulator.scenario.Scenario;
+import dewplank.emulator.scenario.ScenarioFile;
 import dewplank.emulator.virtualtime.EmulatedSidecar;
 import dewplank.emulator.virtualtime.VirtualRun;
 import dewplank.lab.policies.Policies;
--- a/lab/src/test/java/dewplank/lab/LossSplitTest.java
+++ b/lab/src/test/java/dewplank/lab/LossSplitTest.java
@@ -3,7 +3,7 @@
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
 
-import dewplank.emulator.ScenarioFile;
+import dewplank.emulator.scenario.ScenarioFile;
 import dewplank.lab.LossSplit.Cause;
 import java.util.Map;
 import org.junit.Test;
--- a/lab/src/test/java/dewplank/lab/RunnerTest.java
+++ b/lab/src/test/java/dewplank/lab/RunnerTest.java
@@ -5,8 +5,8 @@
 import static org.junit.Assert.assertThrows;
 import static org.junit.Assert.assertTrue;
 
-import dewplank.emulator.ScenarioFile;
-import dewplank.emulator.TomlFile;
+import dewplank.emulator.scenario.ScenarioFile;
+import dewplank.emulator.scenario.TomlFile;
 import dewplank.settings.InvalidInputException;
 import java.nio.file.Files;
 import java.nio.file.Path;
