--- a/configuration/src/test/java/dewplank/configuration/VersionOrderTest.java
+++ b/configuration/src/test/java/dewplank/configuration/VersionOrderTest.java
@@ -2,6 +2,7 @@
 
 import dewplank.register.AcceptorId;
 import dewplank.register.AcceptorSet;
+import dewplank.register.Answer;
 import dewplank.register.Decision;
 import dewplank.register.DurableState;
 import dewplank.register.Outcome;
@@ -41,13 +42,13 @@
     private long requests;
 
     /** One process; its disk takes no time. */
-    private final class Node implements Register.Effects {
-        private final Register register;
+    private final class Node implements Register.Effects<ChangeResult> {
+        private final Register<ChangeResult> register;
         private final Map<Long, Long> asked = new HashMap<>();
         private long learnedVersion;
 
         Node(int index, List<AcceptorId> members) {
-            register = new Register(
+            register = new Register<>(
                     new Register.Settings("n" + index, AcceptorSet.of(members), 60, 5, 40, 90),
                     DurableState.fresh("i" + index),
                     random.split());
@@ -79,10 +80,10 @@
         }
 
         @Override
-        public void completed(long request, Outcome outcome) {
-            boolean isAnswer = outcome instanceof Outcome.Confirmed;
-            Object answer = isAnswer ? ((Outcome.Confirmed) outcome).answer() : null;
-            if (answer instanceof ChangeResult.VersionMismatch) {
+        public void completed(long request, Outcome<ChangeResult> outcome) {
+            if (outcome instanceof Outcome.Confirmed<ChangeResult> confirmed
+                    && confirmed.answer() instanceof Answer.OfChange<ChangeResult> answer
+                    && answer.result() instanceof ChangeResult.VersionMismatch) {
                 refused.add(asked.get(request));
             }
         }
@@ -102,8 +103,8 @@
                         ChangeResult result =
                                 ConfigurationDocument.decode(payload).apply(change);
                         return result instanceof ChangeResult.Accepted accepted
-                                ? new Decision(accepted.next().encode(), result)
-                                : new Decision(null, result);
+                                ? new Decision<>(accepted.next().encode(), result)
+                                : new Decision<>(null, result);
                     },
                     now + PATIENCE,
                     this);
--- a/consensus/src/main/java/dewplank/register/Acceptor.java
+++ b/consensus/src/main/java/dewplank/register/Acceptor.java
@@ -40,7 +40,7 @@
     }
 
     /** Promises the ballot unless a higher one is promised. */
-    void handlePrepare(Prepare prepare, Register.Effects effects) {
+    void handlePrepare(Prepare prepare, Register.Effects<?> effects) {
         Ballot ballot = prepare.ballot();
         if (current.promisedBallot().isAfter(ballot)) {
             reject(prepare, ballot, effects);
@@ -63,7 +63,7 @@
     }
 
     /** Accepts the value unless a higher ballot is promised. */
-    void handleAccept(Accept accept, Register.Effects effects) {
+    void handleAccept(Accept accept, Register.Effects<?> effects) {
         Ballot ballot = accept.ballot();
         if (current.promisedBallot().isAfter(ballot)) {
             reject(accept, ballot, effects);
@@ -80,14 +80,14 @@
      * Stores a value that is chosen. It counts as accepted whatever is promised: a proposer with a promise for a higher
      * ballot has met the choosing quorum and read the value there.
      */
-    void storeChosen(Ballot ballot, RegisterValue value, Register.Effects effects) {
+    void storeChosen(Ballot ballot, RegisterValue value, Register.Effects<?> effects) {
         DurableState next = current.choosing(ballot, value);
         update(ballot.isAfter(current.acceptedBallot()) ? next.accepting(ballot, value) : next);
         startStoreIfIdle(effects);
     }
 
     /** The store with this id is synced: sends the replies that waited for it. */
-    void handleStored(long id, Register.Effects effects) {
+    void handleStored(long id, Register.Effects<?> effects) {
         if (storeInFlight == null || id != storeId) {
             return;
         }
@@ -117,7 +117,7 @@
     }
 
     /** Retries to store the chosen value after a failed store. */
-    void retryStoreOfChosen(Register.Effects effects) {
+    void retryStoreOfChosen(Register.Effects<?> effects) {
         if (storeInFlight == null && current.chosenBallot().isAfter(durable.chosenBallot())) {
             storeChosen(current.chosenBallot(), current.chosenValue(), effects);
         }
@@ -128,14 +128,14 @@
         isStoreNeeded = true;
     }
 
-    private void reject(RegisterMessage request, Ballot ballot, Register.Effects effects) {
+    private void reject(RegisterMessage request, Ballot ballot, Register.Effects<?> effects) {
         effects.send(
                 request.senderAddress(),
                 new Reject(
                         self.address(), self.identity(), request.senderIdentity(), ballot, current.promisedBallot()));
     }
 
-    private void replyOnceStored(RegisterMessage request, RegisterMessage reply, Register.Effects effects) {
+    private void replyOnceStored(RegisterMessage request, RegisterMessage reply, Register.Effects<?> effects) {
         if (isStoreNeeded) {
             addPending(repliesToNextStore, request, reply);
         } else if (storeInFlight != null) {
@@ -152,7 +152,7 @@
         }
     }
 
-    private void startStoreIfIdle(Register.Effects effects) {
+    private void startStoreIfIdle(Register.Effects<?> effects) {
         if (storeInFlight != null || !isStoreNeeded) {
             return;
         }
--- a/consensus/src/main/java/dewplank/register/AntiEntropy.java
+++ b/consensus/src/main/java/dewplank/register/AntiEntropy.java
@@ -8,8 +8,10 @@
 /**
  * Periodic anti-entropy: queries the status of all acceptors, announces the newest chosen value to those that lack it,
  * and derives from the same reports when a quorum last answered. {@link Register} calls it on its own thread.
+ *
+ * @param <A> the result of the callers' changes
  */
-final class AntiEntropy {
+final class AntiEntropy<A> {
     /** The fixed fraction of the period between two runs; the rest is jitter, so that processes do not synchronise. */
     private static final double FIXED_PERIOD_FRACTION = 0.75;
 
@@ -19,7 +21,7 @@
     private final Register.Settings settings;
     private final AcceptorId self;
     private final Learner learner;
-    private final RoundCompleter roundCompleter;
+    private final RoundCompleter<A> roundCompleter;
     private final RequestIds requestIds;
     private final RandomGenerator random;
     private final Set<AcceptorId> reporters = new HashSet<>();
@@ -35,13 +37,13 @@
             Register.Settings settings,
             AcceptorId self,
             Learner learner,
-            Proposer proposer,
+            Proposer<A> proposer,
             RequestIds requestIds,
             RandomGenerator random) {
         this.settings = settings;
         this.self = self;
         this.learner = learner;
-        this.roundCompleter = new RoundCompleter(settings, learner, proposer, random);
+        this.roundCompleter = new RoundCompleter<>(settings, learner, proposer, random);
         this.requestIds = requestIds;
         this.random = random;
         this.nextRunAtMs = Double.NEGATIVE_INFINITY;
@@ -65,7 +67,7 @@
      * missed the value gets it at once; returns whether it did. A joining acceptor lacks the value for at most the time
      * to the next tick and two message delays, or one period and three delays when all of that is lost.
      */
-    boolean tick(double nowMs, Register.Effects effects) {
+    boolean tick(double nowMs, Register.Effects<A> effects) {
         roundCompleter.tick(nowMs, effects);
         long generation = learner.acceptors().generation();
         if (nowMs < nextRunAtMs && generation == lastGeneration) {
@@ -78,7 +80,7 @@
         return true;
     }
 
-    void handleReport(StatusReport report, Register.Effects effects) {
+    void handleReport(StatusReport report, Register.Effects<A> effects) {
         boolean isAcceptor = learner.acceptors().all().contains(report.senderId());
         if (isAcceptor && learner.chosenBallot().isAfter(report.chosenBallot())) {
             announceChosenTo(report, effects);
@@ -94,7 +96,7 @@
         }
     }
 
-    private void announceChosenTo(StatusReport report, Register.Effects effects) {
+    private void announceChosenTo(StatusReport report, Register.Effects<A> effects) {
         effects.send(
                 report.senderAddress(),
                 new Chosen(
@@ -109,7 +111,7 @@
         return one.isAfter(other) ? one : other;
     }
 
-    private void queryAll(double nowMs, Register.Effects effects) {
+    private void queryAll(double nowMs, Register.Effects<A> effects) {
         queryId = requestIds.next();
         queriedAtMs = nowMs;
         reporters.clear();
--- a/consensus/src/main/java/dewplank/register/ChangeTask.java
+++ b/consensus/src/main/java/dewplank/register/ChangeTask.java
@@ -1,33 +1,29 @@
 package dewplank.register;
 
 /** Applies a caller's {@link Change} to the payload. */
-final class ChangeTask implements Task {
+final class ChangeTask<A> implements Task<A> {
     private final long requestId;
-    private final Change change;
+    private final Change<A> change;
     private final double deadlineMs;
 
-    ChangeTask(long requestId, Change change, double deadlineMs) {
+    ChangeTask(long requestId, Change<A> change, double deadlineMs) {
         this.requestId = requestId;
         this.change = change;
         this.deadlineMs = deadlineMs;
     }
 
-    /** A read by a full ballot, which writes the value back unchanged. */
-    static ChangeTask reading(long requestId, double deadlineMs) {
-        return new ChangeTask(requestId, payload -> new Decision(null, null), deadlineMs);
-    }
-
     @Override
-    public Proposal propose(RegisterValue read, RegisterValue newestChosen) {
-        Decision decision = change.decide(read.payload());
+    public Proposal<A> propose(RegisterValue read, RegisterValue newestChosen) {
+        Decision<A> decision = change.decide(read.payload());
+        Answer<A> answer = new Answer.OfChange<>(decision.result());
         if (decision.newPayload() == null) {
-            return new Proposal(read, decision.answer(), false);
+            return new Proposal<>(read, answer, false);
         }
-        return new Proposal(read.withPayload(decision.newPayload()), decision.answer(), true);
+        return new Proposal<>(read.withPayload(decision.newPayload()), answer, true);
     }
 
     @Override
-    public boolean isCompletedBy(Proposal proposal) {
+    public boolean isCompletedBy(Proposal<A> proposal) {
         return true;
     }
 
@@ -37,7 +33,7 @@
     }
 
     @Override
-    public void complete(Outcome outcome, Register.Effects effects) {
+    public void complete(Outcome<A> outcome, Register.Effects<A> effects) {
         effects.completed(requestId, outcome);
     }
 }
--- a/consensus/src/main/java/dewplank/register/CompletionTask.java
+++ b/consensus/src/main/java/dewplank/register/CompletionTask.java
@@ -4,7 +4,7 @@
  * Completes what another proposer may have abandoned: a value that is accepted but not known to be chosen, or the
  * second step of a reconfiguration. Added by {@link RoundCompleter}; no caller waits for it.
  */
-final class CompletionTask implements Task {
+final class CompletionTask<A> implements Task<A> {
     private final double deadlineMs;
 
     CompletionTask(double deadlineMs) {
@@ -15,7 +15,7 @@
      * Proposes the second step of a reconfiguration if the joint set is known to be chosen, else the value unchanged.
      * The reason is invariant 5 in {@code docs/register.md}.
      */
-    static Proposal completeTransition(RegisterValue read, RegisterValue newestChosen) {
+    static <A> Proposal<A> completeTransition(RegisterValue read, RegisterValue newestChosen) {
         boolean isJointSetChosen =
                 newestChosen != null && newestChosen.acceptors().equals(read.acceptors());
         if (!read.acceptors().isJoint() || !isJointSetChosen) {
@@ -25,12 +25,12 @@
     }
 
     @Override
-    public Proposal propose(RegisterValue read, RegisterValue newestChosen) {
+    public Proposal<A> propose(RegisterValue read, RegisterValue newestChosen) {
         return completeTransition(read, newestChosen);
     }
 
     @Override
-    public boolean isCompletedBy(Proposal proposal) {
+    public boolean isCompletedBy(Proposal<A> proposal) {
         return !proposal.value().acceptors().isJoint();
     }
 
@@ -45,7 +45,7 @@
     }
 
     @Override
-    public void complete(Outcome outcome, Register.Effects effects) {
+    public void complete(Outcome<A> outcome, Register.Effects<A> effects) {
         // No caller waits.
     }
 }
--- a/consensus/src/main/java/dewplank/register/Learner.java
+++ b/consensus/src/main/java/dewplank/register/Learner.java
@@ -77,7 +77,7 @@
     }
 
     /** Records a value known to be chosen at this ballot, stores it, and reports it to the caller if it is new. */
-    void learnChosen(Ballot ballot, RegisterValue value, Register.Effects effects) {
+    void learnChosen(Ballot ballot, RegisterValue value, Register.Effects<?> effects) {
         observeRound(ballot);
         if (!ballot.isAfter(chosenBallot)) {
             return;
@@ -92,7 +92,7 @@
     }
 
     /** Handles an announcement that a ballot is chosen: fetches its value from the sender unless accepted here. */
-    void handleAnnouncement(double nowMs, String announcer, Ballot ballot, Register.Effects effects) {
+    void handleAnnouncement(double nowMs, String announcer, Ballot ballot, Register.Effects<?> effects) {
         observeRound(ballot);
         if (!ballot.isAfter(chosenBallot)) {
             return;
@@ -115,7 +115,7 @@
      * Handles the report to a fetch. If it included a value, what was announced meanwhile is fetched next. If not, the
      * sender has forgotten what it announced, and a further query at once would loop.
      */
-    void handleFetchReport(double nowMs, boolean isValueIncluded, Register.Effects effects) {
+    void handleFetchReport(double nowMs, boolean isValueIncluded, Register.Effects<?> effects) {
         fetchStartedAtMs = Double.NEGATIVE_INFINITY;
         if (isValueIncluded && newestAnnounced.isAfter(chosenBallot)) {
             fetch(nowMs, effects);
@@ -123,7 +123,7 @@
     }
 
     /** Starts a fetch; one is in flight at a time: invariant 9 in {@code docs/register.md}. */
-    private void fetch(double nowMs, Register.Effects effects) {
+    private void fetch(double nowMs, Register.Effects<?> effects) {
         fetchStartedAtMs = nowMs;
         effects.send(
                 lastAnnouncer,
--- a/consensus/src/main/java/dewplank/register/Outcome.java
+++ b/consensus/src/main/java/dewplank/register/Outcome.java
@@ -1,24 +1,36 @@
 package dewplank.register;
 
-/** How a request to the register ended. */
-public sealed interface Outcome permits Outcome.Confirmed, Outcome.Unknown {
+/**
+ * How a request to the register ended.
+ *
+ * @param <A> the result of the callers' changes
+ */
+public sealed interface Outcome<A> permits Outcome.Confirmed, Outcome.Unknown {
     /**
      * The decision holds: the value it was taken on, or the new one, is chosen at its ballot.
      *
      * @param value the chosen value; not null
-     * @param answer the answer of the {@link Change}; a {@link Reconfiguration} for a reconfiguration; null for a read
+     * @param answer the answer of the request; not null
      * @param changed whether this request changed the value
      */
-    record Confirmed(RegisterValue value, Object answer, boolean changed) implements Outcome {}
+    record Confirmed<A>(RegisterValue value, Answer<A> answer, boolean changed) implements Outcome<A> {}
 
     /**
      * The request may have taken effect, may take effect later, or never.
      *
      * @param reason why the result is not known, as text for operators
      */
-    record Unknown(String reason) implements Outcome {
-        static final Unknown NO_QUORUM = new Unknown("no quorum answered in time");
-        static final Unknown TOO_MANY_REQUESTS = new Unknown("too many requests are pending");
-        static final Unknown NO_TARGET_ACCEPTORS = new Unknown("no acceptors wanted");
+    record Unknown<A>(String reason) implements Outcome<A> {
+        static <A> Unknown<A> noQuorum() {
+            return new Unknown<>("no quorum answered in time");
+        }
+
+        static <A> Unknown<A> tooManyRequests() {
+            return new Unknown<>("too many requests are pending");
+        }
+
+        static <A> Unknown<A> noTargetAcceptors() {
+            return new Unknown<>("no acceptors wanted");
+        }
     }
 }
--- a/consensus/src/main/java/dewplank/register/Proposal.java
+++ b/consensus/src/main/java/dewplank/register/Proposal.java
@@ -4,15 +4,16 @@
  * What a {@link Task} proposes on top of the value read.
  *
  * @param value the value for the accept phase
- * @param answer the answer once it is chosen; may be null
+ * @param answer the answer once it is chosen
  * @param changed whether the value differs from the one read
+ * @param <A> the result of the callers' changes
  */
-record Proposal(RegisterValue value, Object answer, boolean changed) {
-    static Proposal unchanged(RegisterValue read) {
-        return new Proposal(read, null, false);
+record Proposal<A>(RegisterValue value, Answer<A> answer, boolean changed) {
+    static <A> Proposal<A> unchanged(RegisterValue read) {
+        return new Proposal<>(read, new Answer.None<>(), false);
     }
 
-    static Proposal changed(RegisterValue next) {
-        return new Proposal(next, null, true);
+    static <A> Proposal<A> changed(RegisterValue next) {
+        return new Proposal<>(next, new Answer.None<>(), true);
     }
 }
--- a/consensus/src/main/java/dewplank/register/Proposer.java
+++ b/consensus/src/main/java/dewplank/register/Proposer.java
@@ -13,8 +13,10 @@
  * backoff until it is complete. Repairs run before callers' requests: a repair waits for one round of a request at
  * most, whatever the queue. {@link Register} calls it on its own thread; {@link Task#complete} may call {@link #add}
  * again.
+ *
+ * @param <A> the result of the callers' changes
  */
-final class Proposer {
+final class Proposer<A> {
     /**
      * A round after one without a quorum gets up to this many times the first round's time, to allow for slow disks.
      */
@@ -31,9 +33,9 @@
     private final Learner learner;
     private final RandomGenerator random;
     private final String name;
-    private final Deque<Task> repairs = new ArrayDeque<>();
-    private final Deque<Task> requests = new ArrayDeque<>();
-    private ProposerState state = ProposerState.Idle.IDLE;
+    private final Deque<Task<A>> repairs = new ArrayDeque<>();
+    private final Deque<Task<A>> requests = new ArrayDeque<>();
+    private ProposerState<A> state = new ProposerState.Idle<>();
     private double lastQuorumAtMs = Double.NEGATIVE_INFINITY;
     private double lastChosenAtMs = Double.NEGATIVE_INFINITY;
 
@@ -47,13 +49,13 @@
 
     /** Callers' requests that are queued or active. */
     int pendingRequests() {
-        Task active = state.task();
+        Task<A> active = state.task();
         return requests.size() + (active == null || active.isRepair() ? 0 : 1);
     }
 
     /** Repairs that are queued or active. */
     int pendingRepairs() {
-        Task active = state.task();
+        Task<A> active = state.task();
         return repairs.size() + (active != null && active.isRepair() ? 1 : 0);
     }
 
@@ -71,35 +73,35 @@
     }
 
     /** Queues a task, and starts it at once if none is active. */
-    void add(double nowMs, Task task, Register.Effects effects) {
+    void add(double nowMs, Task<A> task, Register.Effects<A> effects) {
         (task.isRepair() ? repairs : requests).add(task);
         startNextIfIdle(nowMs, effects);
     }
 
     /** Completes overdue tasks, ends rounds that timed out, retries after backoff. */
-    void tick(double nowMs, Register.Effects effects) {
+    void tick(double nowMs, Register.Effects<A> effects) {
         completeOverdue(nowMs, effects);
-        if (state instanceof ProposerState.InRound inRound
+        if (state instanceof ProposerState.InRound<A> inRound
                 && nowMs - inRound.round().phaseStartedAtMs() >= roundTimeoutMs(inRound.attempt())) {
             backOff(nowMs, inRound);
         }
         yieldToRepairs();
-        if (state instanceof ProposerState.BackingOff backingOff && nowMs >= backingOff.retryAtMs()) {
+        if (state instanceof ProposerState.BackingOff<A> backingOff && nowMs >= backingOff.retryAtMs()) {
             startRound(nowMs, backingOff.task(), backingOff.attempt() + 1, effects);
         }
         startNextIfIdle(nowMs, effects);
     }
 
-    void handlePromise(double nowMs, Promise promise, Register.Effects effects) {
+    void handlePromise(double nowMs, Promise promise, Register.Effects<A> effects) {
         learner.observeAccepted(
                 promise.acceptedBallot(),
                 promise.acceptedValue() == null ? null : promise.acceptedValue().acceptors());
-        if (!(state instanceof ProposerState.InRound inRound)
+        if (!(state instanceof ProposerState.InRound<A> inRound)
                 || !inRound.round().isPreparing()
                 || !promise.ballot().equals(inRound.round().ballot())) {
             return;
         }
-        Round round = inRound.round();
+        Round<A> round = inRound.round();
         round.addPromise(promise.senderId(), promise.acceptedBallot(), promise.acceptedValue());
         if (round.isPromisedByQuorum()) {
             lastQuorumAtMs = Math.max(lastQuorumAtMs, round.phaseStartedAtMs());
@@ -109,13 +111,13 @@
         }
     }
 
-    void handleAccepted(double nowMs, Accepted accepted, Register.Effects effects) {
-        if (!(state instanceof ProposerState.InRound inRound)
+    void handleAccepted(double nowMs, Accepted accepted, Register.Effects<A> effects) {
+        if (!(state instanceof ProposerState.InRound<A> inRound)
                 || inRound.round().isPreparing()
                 || !accepted.ballot().equals(inRound.round().ballot())) {
             return;
         }
-        Round round = inRound.round();
+        Round<A> round = inRound.round();
         round.addAcceptance(accepted.senderId());
         if (round.isAcceptedByQuorum()) {
             lastQuorumAtMs = Math.max(lastQuorumAtMs, round.phaseStartedAtMs());
@@ -126,7 +128,7 @@
 
     void handleReject(double nowMs, Reject reject) {
         learner.observeRound(reject.promisedBallot());
-        if (!(state instanceof ProposerState.InRound inRound)
+        if (!(state instanceof ProposerState.InRound<A> inRound)
                 || !reject.ballot().equals(inRound.round().ballot())) {
             return;
         }
@@ -137,7 +139,7 @@
     }
 
     /** Enters a state; throws if it does not follow the present one. */
-    private void transitionTo(ProposerState next) {
+    private void transitionTo(ProposerState<A> next) {
         if (!state.mayBeFollowedBy(next)) {
             throw new IllegalStateException("illegal transition of the proposer from "
                     + state.getClass().getSimpleName() + " to "
@@ -146,38 +148,38 @@
         state = next;
     }
 
-    private void startNextIfIdle(double nowMs, Register.Effects effects) {
-        if (state != ProposerState.Idle.IDLE || repairs.isEmpty() && requests.isEmpty()) {
+    private void startNextIfIdle(double nowMs, Register.Effects<A> effects) {
+        if (!(state instanceof ProposerState.Idle) || repairs.isEmpty() && requests.isEmpty()) {
             return;
         }
-        Task next = repairs.isEmpty() ? requests.poll() : repairs.poll();
+        Task<A> next = repairs.isEmpty() ? requests.poll() : repairs.poll();
         startRound(nowMs, next, 1, effects);
     }
 
     /** Puts a request whose round got no quorum back in front of the queue if a repair waits. */
     private void yieldToRepairs() {
-        if (state instanceof ProposerState.BackingOff backingOff
+        if (state instanceof ProposerState.BackingOff<A> backingOff
                 && !backingOff.task().isRepair()
                 && !repairs.isEmpty()) {
             requests.addFirst(backingOff.task());
-            transitionTo(ProposerState.Idle.IDLE);
+            transitionTo(new ProposerState.Idle<>());
         }
     }
 
-    private void startRound(double nowMs, Task task, int attempt, Register.Effects effects) {
+    private void startRound(double nowMs, Task<A> task, int attempt, Register.Effects<A> effects) {
         Ballot ballot = new Ballot(learner.highestRound() + 1, name);
         learner.observeRound(ballot);
         RegisterValue chosen = learner.chosenValue();
         RegisterValue read = chosen != null ? chosen : new RegisterValue(settings.initialAcceptors(), 0, null);
-        Round round = new Round(ballot, learner.chosenBallot(), read, nowMs);
-        transitionTo(new ProposerState.InRound(task, attempt, round));
+        Round<A> round = new Round<>(ballot, learner.chosenBallot(), read, nowMs);
+        transitionTo(new ProposerState.InRound<>(task, attempt, round));
         sendPrepare(round, learner.acceptors(), effects);
         if (learner.unconfirmedAcceptors() != null) {
             sendPrepare(round, learner.unconfirmedAcceptors(), effects);
         }
     }
 
-    private void sendPrepare(Round round, AcceptorSet acceptors, Register.Effects effects) {
+    private void sendPrepare(Round<A> round, AcceptorSet acceptors, Register.Effects<A> effects) {
         for (AcceptorId acceptor : acceptors.all()) {
             if (round.markPrepared(acceptor)) {
                 effects.send(
@@ -192,8 +194,8 @@
         }
     }
 
-    private void startAcceptPhase(double nowMs, ProposerState.InRound inRound, Register.Effects effects) {
-        Round round = inRound.round();
+    private void startAcceptPhase(double nowMs, ProposerState.InRound<A> inRound, Register.Effects<A> effects) {
+        Round<A> round = inRound.round();
         round.startAcceptPhase(inRound.task().propose(round.read(), learner.chosenValue()), nowMs);
         for (AcceptorId acceptor : round.read().acceptors().all()) {
             effects.send(
@@ -207,23 +209,23 @@
         }
     }
 
-    private void finishRound(double nowMs, ProposerState.InRound inRound, Register.Effects effects) {
-        Round round = inRound.round();
-        Proposal proposal = round.proposal();
-        Task task = inRound.task();
-        transitionTo(new ProposerState.Announcing(task));
+    private void finishRound(double nowMs, ProposerState.InRound<A> inRound, Register.Effects<A> effects) {
+        Round<A> round = inRound.round();
+        Proposal<A> proposal = round.proposal();
+        Task<A> task = inRound.task();
+        transitionTo(new ProposerState.Announcing<>(task));
         learner.learnChosen(round.ballot(), proposal.value(), effects);
         announceChosen(round, effects);
         if (task.isCompletedBy(proposal)) {
-            transitionTo(ProposerState.Idle.IDLE);
-            task.complete(new Outcome.Confirmed(proposal.value(), proposal.answer(), proposal.changed()), effects);
+            transitionTo(new ProposerState.Idle<>());
+            task.complete(new Outcome.Confirmed<>(proposal.value(), proposal.answer(), proposal.changed()), effects);
             startNextIfIdle(nowMs, effects);
         } else {
             startRound(nowMs, task, 1, effects);
         }
     }
 
-    private void announceChosen(Round round, Register.Effects effects) {
+    private void announceChosen(Round<A> round, Register.Effects<A> effects) {
         RegisterValue value = round.proposal().value();
         Set<AcceptorId> recipients =
                 new LinkedHashSet<>(round.read().acceptors().all());
@@ -246,35 +248,35 @@
         return settings.roundTimeoutMs() * Math.min(attempt, MAX_ROUND_TIMEOUT_FACTOR);
     }
 
-    private void backOff(double nowMs, ProposerState.InRound inRound) {
+    private void backOff(double nowMs, ProposerState.InRound<A> inRound) {
         int maxDoublings = inRound.task().isRepair() ? MAX_REPAIR_BACKOFF_DOUBLINGS : MAX_BACKOFF_DOUBLINGS;
         double exponentialMs = settings.retryBackoffMinMs() * (1 << Math.min(inRound.attempt(), maxDoublings));
         double maxMs = Math.min(settings.retryBackoffMaxMs(), exponentialMs);
         double jitterRangeMs = Math.max(0, maxMs - settings.retryBackoffMinMs());
         double retryAtMs = nowMs + settings.retryBackoffMinMs() + random.nextDouble() * jitterRangeMs;
-        transitionTo(new ProposerState.BackingOff(inRound.task(), inRound.attempt(), retryAtMs));
+        transitionTo(new ProposerState.BackingOff<>(inRound.task(), inRound.attempt(), retryAtMs));
     }
 
     /**
      * Completes overdue tasks as unknown. Callers, who may add tasks at once, are called when the queues are in order.
      */
-    private void completeOverdue(double nowMs, Register.Effects effects) {
-        List<Task> overdue = new ArrayList<>();
-        for (Deque<Task> queue : List.of(repairs, requests)) {
-            for (Task task : queue) {
+    private void completeOverdue(double nowMs, Register.Effects<A> effects) {
+        List<Task<A>> overdue = new ArrayList<>();
+        for (Deque<Task<A>> queue : List.of(repairs, requests)) {
+            for (Task<A> task : queue) {
                 if (nowMs >= task.deadlineMs()) {
                     overdue.add(task);
                 }
             }
             queue.removeAll(overdue);
         }
-        Task active = state.task();
+        Task<A> active = state.task();
         if (active != null && nowMs >= active.deadlineMs()) {
             overdue.add(active);
-            transitionTo(ProposerState.Idle.IDLE);
+            transitionTo(new ProposerState.Idle<>());
         }
-        for (Task task : overdue) {
-            task.complete(Outcome.Unknown.NO_QUORUM, effects);
+        for (Task<A> task : overdue) {
+            task.complete(Outcome.Unknown.noQuorum(), effects);
         }
     }
 }
--- a/consensus/src/main/java/dewplank/register/ProposerState.java
+++ b/consensus/src/main/java/dewplank/register/ProposerState.java
@@ -3,44 +3,44 @@
 /**
  * What the {@link Proposer} is doing. The order of the states is in {@code docs/register.md}. The states are classes,
  * not records, because the model's test copies and resets their fields.
+ *
+ * @param <A> the result of the callers' changes
  */
-sealed interface ProposerState
+sealed interface ProposerState<A>
         permits ProposerState.Idle, ProposerState.InRound, ProposerState.Announcing, ProposerState.BackingOff {
     /** The active task; null in {@link Idle} only. */
-    Task task();
+    Task<A> task();
 
     /** Whether the proposer may enter this state next. */
-    boolean mayBeFollowedBy(ProposerState next);
+    boolean mayBeFollowedBy(ProposerState<A> next);
 
     /** No task is active. */
-    enum Idle implements ProposerState {
-        IDLE;
-
+    final class Idle<A> implements ProposerState<A> {
         @Override
-        public Task task() {
+        public Task<A> task() {
             return null;
         }
 
         @Override
-        public boolean mayBeFollowedBy(ProposerState next) {
+        public boolean mayBeFollowedBy(ProposerState<A> next) {
             return next instanceof InRound;
         }
     }
 
     /** A round of the task is in progress. */
-    final class InRound implements ProposerState {
-        private final Task task;
+    final class InRound<A> implements ProposerState<A> {
+        private final Task<A> task;
         private final int attempt;
-        private final Round round;
+        private final Round<A> round;
 
-        InRound(Task task, int attempt, Round round) {
+        InRound(Task<A> task, int attempt, Round<A> round) {
             this.task = task;
             this.attempt = attempt;
             this.round = round;
         }
 
         @Override
-        public Task task() {
+        public Task<A> task() {
             return task;
         }
 
@@ -49,49 +49,49 @@
             return attempt;
         }
 
-        Round round() {
+        Round<A> round() {
             return round;
         }
 
         @Override
-        public boolean mayBeFollowedBy(ProposerState next) {
+        public boolean mayBeFollowedBy(ProposerState<A> next) {
             return !(next instanceof InRound);
         }
     }
 
     /** A round of the task has chosen a value, which is being learned and announced. */
-    final class Announcing implements ProposerState {
-        private final Task task;
+    final class Announcing<A> implements ProposerState<A> {
+        private final Task<A> task;
 
-        Announcing(Task task) {
+        Announcing(Task<A> task) {
             this.task = task;
         }
 
         @Override
-        public Task task() {
+        public Task<A> task() {
             return task;
         }
 
         @Override
-        public boolean mayBeFollowedBy(ProposerState next) {
+        public boolean mayBeFollowedBy(ProposerState<A> next) {
             return next instanceof Idle || next instanceof InRound;
         }
     }
 
     /** The last round of the task got no quorum. */
-    final class BackingOff implements ProposerState {
-        private final Task task;
+    final class BackingOff<A> implements ProposerState<A> {
+        private final Task<A> task;
         private final int attempt;
         private final double retryAtMs;
 
-        BackingOff(Task task, int attempt, double retryAtMs) {
+        BackingOff(Task<A> task, int attempt, double retryAtMs) {
             this.task = task;
             this.attempt = attempt;
             this.retryAtMs = retryAtMs;
         }
 
         @Override
-        public Task task() {
+        public Task<A> task() {
             return task;
         }
 
@@ -106,7 +106,7 @@
         }
 
         @Override
-        public boolean mayBeFollowedBy(ProposerState next) {
+        public boolean mayBeFollowedBy(ProposerState<A> next) {
             return next instanceof Idle || next instanceof InRound;
         }
     }
--- a/consensus/src/main/java/dewplank/register/Reader.java
+++ b/consensus/src/main/java/dewplank/register/Reader.java
@@ -10,8 +10,10 @@
  * Linearizable reads in one message round trip. The value chosen here is the answer if a quorum, queried after the read
  * began, has accepted nothing newer; otherwise a full ballot completes what is in progress. Invariant 7 in {@code
  * docs/register.md}. {@link Register} calls it on its own thread.
+ *
+ * @param <A> the result of the callers' changes
  */
-final class Reader {
+final class Reader<A> {
     private static final class Read {
         private final long requestId;
         private final long queryId;
@@ -30,11 +32,11 @@
     private final Register.Settings settings;
     private final AcceptorId self;
     private final Learner learner;
-    private final Proposer proposer;
+    private final Proposer<A> proposer;
     private final RequestIds requestIds;
     private final List<Read> reads = new ArrayList<>();
 
-    Reader(Register.Settings settings, AcceptorId self, Learner learner, Proposer proposer, RequestIds requestIds) {
+    Reader(Register.Settings settings, AcceptorId self, Learner learner, Proposer<A> proposer, RequestIds requestIds) {
         this.settings = settings;
         this.self = self;
         this.learner = learner;
@@ -47,7 +49,7 @@
         return reads.size();
     }
 
-    void start(double nowMs, long requestId, double deadlineMs, Register.Effects effects) {
+    void start(double nowMs, long requestId, double deadlineMs, Register.Effects<A> effects) {
         Read read = new Read(requestId, requestIds.next(), nowMs, deadlineMs);
         reads.add(read);
         for (AcceptorId acceptor : learner.acceptors().all()) {
@@ -63,7 +65,7 @@
         }
     }
 
-    void handleReport(double nowMs, StatusReport report, Register.Effects effects) {
+    void handleReport(double nowMs, StatusReport report, Register.Effects<A> effects) {
         Iterator<Read> iterator = reads.iterator();
         while (iterator.hasNext()) {
             Read read = iterator.next();
@@ -76,7 +78,7 @@
     }
 
     /** Hands reads that have waited for a round's time, or are past their deadline, to the proposer. */
-    void tick(double nowMs, Register.Effects effects) {
+    void tick(double nowMs, Register.Effects<A> effects) {
         List<Read> overdue = new ArrayList<>();
         for (Read read : reads) {
             if (nowMs - read.startedAtMs >= settings.roundTimeoutMs() || nowMs >= read.deadlineMs) {
@@ -89,7 +91,7 @@
         }
     }
 
-    private void advance(double nowMs, Read read, StatusReport report, Register.Effects effects) {
+    private void advance(double nowMs, Read read, StatusReport report, Register.Effects<A> effects) {
         if (report.acceptedBallot().isAfter(learner.chosenBallot())) {
             readByBallot(nowMs, read, effects);
             return;
@@ -101,11 +103,12 @@
         } else if (learner.chosenValue() == null) {
             readByBallot(nowMs, read, effects);
         } else {
-            effects.completed(read.requestId, new Outcome.Confirmed(learner.chosenValue(), null, false));
+            effects.completed(
+                    read.requestId, new Outcome.Confirmed<>(learner.chosenValue(), new Answer.None<>(), false));
         }
     }
 
-    private void readByBallot(double nowMs, Read read, Register.Effects effects) {
-        proposer.add(nowMs, ChangeTask.reading(read.requestId, read.deadlineMs), effects);
+    private void readByBallot(double nowMs, Read read, Register.Effects<A> effects) {
+        proposer.add(nowMs, new ReadTask<>(read.requestId, read.deadlineMs), effects);
     }
 }
--- a/consensus/src/main/java/dewplank/register/Reconfiguration.java
+++ b/consensus/src/main/java/dewplank/register/Reconfiguration.java
@@ -1,6 +1,6 @@
 package dewplank.register;
 
-/** Result of a confirmed reconfiguration: the answer of its {@link Outcome.Confirmed}. */
+/** Result of a confirmed reconfiguration, given by {@link Answer.OfReconfiguration}. */
 public enum Reconfiguration {
     /** The target acceptors are in force, by the step from the expected generation. */
     APPLIED,
--- a/consensus/src/main/java/dewplank/register/ReconfigureTask.java
+++ b/consensus/src/main/java/dewplank/register/ReconfigureTask.java
@@ -6,7 +6,7 @@
  * Replaces the acceptors by way of a joint set, if the set in force still has the expected generation. A joint set that
  * it finds is completed first. Generations as fencing tokens are invariant 6 in {@code docs/register.md}.
  */
-final class ReconfigureTask implements Task {
+final class ReconfigureTask<A> implements Task<A> {
     /** A reconfiguration takes two generations: the joint set and the set that completes it. */
     private static final int GENERATIONS_PER_RECONFIGURATION = 2;
 
@@ -23,10 +23,10 @@
     }
 
     @Override
-    public Proposal propose(RegisterValue read, RegisterValue newestChosen) {
+    public Proposal<A> propose(RegisterValue read, RegisterValue newestChosen) {
         AcceptorSet set = read.acceptors();
         if (set.isJoint()) {
-            Proposal next = CompletionTask.completeTransition(read, newestChosen);
+            Proposal<A> next = CompletionTask.completeTransition(read, newestChosen);
             return next.changed() ? withAnswer(next.value(), true) : next;
         }
         if (set.generation() == expectedGeneration && !set.consistsOf(target)) {
@@ -36,8 +36,8 @@
     }
 
     @Override
-    public boolean isCompletedBy(Proposal proposal) {
-        return proposal.answer() != null;
+    public boolean isCompletedBy(Proposal<A> proposal) {
+        return proposal.answer() instanceof Answer.OfReconfiguration;
     }
 
     @Override
@@ -51,12 +51,12 @@
     }
 
     @Override
-    public void complete(Outcome outcome, Register.Effects effects) {
+    public void complete(Outcome<A> outcome, Register.Effects<A> effects) {
         effects.completed(requestId, outcome);
     }
 
-    private Proposal withAnswer(RegisterValue value, boolean changed) {
-        return new Proposal(value, resultFor(value.acceptors()), changed);
+    private Proposal<A> withAnswer(RegisterValue value, boolean changed) {
+        return new Proposal<>(value, new Answer.OfReconfiguration<>(resultFor(value.acceptors())), changed);
     }
 
     private Reconfiguration resultFor(AcceptorSet set) {
--- a/consensus/src/main/java/dewplank/register/Register.java
+++ b/consensus/src/main/java/dewplank/register/Register.java
@@ -13,8 +13,10 @@
  * All times are milliseconds of the caller's monotonic clock, given as {@code nowMs} and never decreasing. A request
  * ends with exactly one {@link Effects#completed} unless the incarnation ends before. Invariants and their arguments
  * are in {@code docs/register.md}.
+ *
+ * @param <A> the result of the callers' changes
  */
-public final class Register {
+public final class Register<A> {
     /** Changes and reads that may be pending at one process; more end as {@link Outcome.Unknown} at once. */
     public static final int MAX_PENDING_REQUESTS = 64;
 
@@ -40,7 +42,7 @@
             double antiEntropyPeriodMs) {}
 
     /** What a step wants done. Implemented by the owner of the register and called within the step, on its thread. */
-    public interface Effects {
+    public interface Effects<A> {
         /** Sends a message, also to the own address; it may be lost, delayed or duplicated. */
         void send(String address, RegisterMessage message);
 
@@ -54,15 +56,15 @@
         void learned(RegisterValue value);
 
         /** A request ended. The implementation may start further requests within the call. */
-        void completed(long requestId, Outcome outcome);
+        void completed(long requestId, Outcome<A> outcome);
     }
 
     private final AcceptorId self;
     private final Acceptor acceptor;
     private final Learner learner;
-    private final Proposer proposer;
-    private final Reader reader;
-    private final AntiEntropy antiEntropy;
+    private final Proposer<A> proposer;
+    private final Reader<A> reader;
+    private final AntiEntropy<A> antiEntropy;
 
     /**
      * Starts an incarnation from what its disk holds.
@@ -75,13 +77,13 @@
         self = new AcceptorId(settings.address(), recovered.identity());
         acceptor = new Acceptor(self, recovered);
         learner = new Learner(settings, self, acceptor);
-        proposer = new Proposer(settings, self, learner, random);
-        reader = new Reader(settings, self, learner, proposer, requestIds);
-        antiEntropy = new AntiEntropy(settings, self, learner, proposer, requestIds, random);
+        proposer = new Proposer<>(settings, self, learner, random);
+        reader = new Reader<>(settings, self, learner, proposer, requestIds);
+        antiEntropy = new AntiEntropy<>(settings, self, learner, proposer, requestIds, random);
     }
 
     /** Handles a message; one for another identity is dropped. */
-    public void handleMessage(double nowMs, RegisterMessage message, Effects effects) {
+    public void handleMessage(double nowMs, RegisterMessage message, Effects<A> effects) {
         boolean isForThisDisk = message.recipientIdentity().equals(self.identity());
         boolean isForAnyDisk = message.recipientIdentity().equals(RegisterMessage.ANY_IDENTITY);
         if (!isForThisDisk && !isForAnyDisk) {
@@ -100,27 +102,27 @@
     }
 
     /** The store with this id is synced. */
-    public void handleStored(double nowMs, long storeId, Effects effects) {
+    public void handleStored(double nowMs, long storeId, Effects<A> effects) {
         acceptor.handleStored(storeId, effects);
     }
 
     /** The store with this id failed: its votes are dropped. */
-    public void handleStoreFailed(double nowMs, long storeId, Effects effects) {
+    public void handleStoreFailed(double nowMs, long storeId, Effects<A> effects) {
         acceptor.handleStoreFailed(storeId);
     }
 
     /**
-     * Changes the payload. Confirmed with the answer of {@code change} once its decision is certain, unknown at the
+     * Changes the payload. Confirmed with the result of {@code change} once its decision is certain, unknown at the
      * first tick after the deadline.
      */
-    public void change(double nowMs, long requestId, Change change, double deadlineMs, Effects effects) {
+    public void change(double nowMs, long requestId, Change<A> change, double deadlineMs, Effects<A> effects) {
         if (admitRequest(requestId, effects)) {
-            proposer.add(nowMs, new ChangeTask(requestId, change, deadlineMs), effects);
+            proposer.add(nowMs, new ChangeTask<>(requestId, change, deadlineMs), effects);
         }
     }
 
     /** Reads the newest chosen value; linearizable. */
-    public void read(double nowMs, long requestId, double deadlineMs, Effects effects) {
+    public void read(double nowMs, long requestId, double deadlineMs, Effects<A> effects) {
         if (admitRequest(requestId, effects)) {
             reader.start(nowMs, requestId, deadlineMs, effects);
         }
@@ -128,7 +130,7 @@
 
     /**
      * Replaces the acceptors by way of a joint set if the set in force has the expected generation. Confirmed with a
-     * {@link Reconfiguration} as its answer.
+     * {@link Reconfiguration} as its result.
      *
      * @param target the acceptors that are to be in force; an empty list ends as unknown
      */
@@ -138,16 +140,16 @@
             long expectedGeneration,
             List<AcceptorId> target,
             double deadlineMs,
-            Effects effects) {
+            Effects<A> effects) {
         if (target.isEmpty()) {
-            effects.completed(requestId, Outcome.Unknown.NO_TARGET_ACCEPTORS);
+            effects.completed(requestId, Outcome.Unknown.noTargetAcceptors());
         } else if (admit(proposer.pendingRepairs(), MAX_PENDING_REPAIRS, requestId, effects)) {
-            proposer.add(nowMs, new ReconfigureTask(requestId, expectedGeneration, target, deadlineMs), effects);
+            proposer.add(nowMs, new ReconfigureTask<>(requestId, expectedGeneration, target, deadlineMs), effects);
         }
     }
 
     /** Queries the status of the process at this address, which need not be an acceptor, and fetches a newer value. */
-    public void queryStatus(double nowMs, String address, Effects effects) {
+    public void queryStatus(double nowMs, String address, Effects<A> effects) {
         effects.send(
                 address,
                 new StatusQuery(
@@ -160,7 +162,7 @@
     }
 
     /** Time passes: time-outs, retries, anti-entropy. Called every few tens of milliseconds. */
-    public void tick(double nowMs, Effects effects) {
+    public void tick(double nowMs, Effects<A> effects) {
         reader.tick(nowMs, effects);
         proposer.tick(nowMs, effects);
         if (antiEntropy.tick(nowMs, effects)) {
@@ -203,20 +205,20 @@
         return acceptors().all().contains(self);
     }
 
-    private boolean admitRequest(long requestId, Effects effects) {
+    private boolean admitRequest(long requestId, Effects<A> effects) {
         int pending = proposer.pendingRequests() + reader.pendingReads();
         return admit(pending, MAX_PENDING_REQUESTS, requestId, effects);
     }
 
-    private static boolean admit(int pending, int maxPending, long requestId, Effects effects) {
+    private boolean admit(int pending, int maxPending, long requestId, Effects<A> effects) {
         if (pending < maxPending) {
             return true;
         }
-        effects.completed(requestId, Outcome.Unknown.TOO_MANY_REQUESTS);
+        effects.completed(requestId, Outcome.Unknown.tooManyRequests());
         return false;
     }
 
-    private void handleBallotMessage(double nowMs, RegisterMessage message, Effects effects) {
+    private void handleBallotMessage(double nowMs, RegisterMessage message, Effects<A> effects) {
         if (message instanceof Prepare prepare) {
             learner.observeRound(prepare.ballot());
             acceptor.handlePrepare(prepare, effects);
@@ -235,7 +237,7 @@
         }
     }
 
-    private void reportStatus(StatusQuery query, Effects effects) {
+    private void reportStatus(StatusQuery query, Effects<A> effects) {
         DurableState durable = acceptor.durable();
         boolean sendsValue = query.wantsValue() && learner.chosenBallot().isAfter(query.chosenBallot());
         boolean isAcceptedNewer = durable.acceptedBallot().isAfter(query.chosenBallot());
@@ -254,7 +256,7 @@
                         sendsValue ? chosen : null));
     }
 
-    private void handleReport(double nowMs, StatusReport report, Effects effects) {
+    private void handleReport(double nowMs, StatusReport report, Effects<A> effects) {
         if (report.chosenValue() != null) {
             learner.learnChosen(report.chosenBallot(), report.chosenValue(), effects);
         } else {
--- a/consensus/src/main/java/dewplank/register/Round.java
+++ b/consensus/src/main/java/dewplank/register/Round.java
@@ -6,8 +6,10 @@
 /**
  * One ballot of the proposer: the prepare phase collects promises, the accept phase acceptances of one proposal. The
  * phase changes once, by {@link #startAcceptPhase}.
+ *
+ * @param <A> the result of the callers' changes
  */
-final class Round {
+final class Round<A> {
     private final Ballot ballot;
     private final Ballot chosenAtStart;
     private final Set<AcceptorId> prepared = new HashSet<>();
@@ -16,7 +18,7 @@
     private final Set<AcceptorId> rejected = new HashSet<>();
     private Ballot readBallot;
     private RegisterValue read;
-    private Proposal proposal;
+    private Proposal<A> proposal;
     private double phaseStartedAtMs;
 
     Round(Ballot ballot, Ballot readBallot, RegisterValue read, double nowMs) {
@@ -37,7 +39,7 @@
     }
 
     /** The proposal of the accept phase. */
-    Proposal proposal() {
+    Proposal<A> proposal() {
         if (isPreparing()) {
             throw new IllegalStateException("no proposal in the prepare phase of ballot " + ballot);
         }
@@ -79,7 +81,7 @@
     }
 
     /** Ends the prepare phase; throws if it has ended before. */
-    void startAcceptPhase(Proposal next, double nowMs) {
+    void startAcceptPhase(Proposal<A> next, double nowMs) {
         if (!isPreparing()) {
             throw new IllegalStateException("ballot " + ballot + " already has a proposal");
         }
--- a/consensus/src/main/java/dewplank/register/RoundCompleter.java
+++ b/consensus/src/main/java/dewplank/register/RoundCompleter.java
@@ -5,8 +5,10 @@
 /**
  * Completes what stays unfinished for longer than a round takes, because its proposer may be gone. {@link AntiEntropy}
  * calls it at each tick. The delay is drawn, so that processes do not start competing ballots.
+ *
+ * @param <A> the result of the callers' changes
  */
-final class RoundCompleter {
+final class RoundCompleter<A> {
     /** What is unfinished; equal as long as it is the same work. */
     private sealed interface Unfinished permits Nothing, JointSet, UnconfirmedBallot {}
 
@@ -22,25 +24,25 @@
 
     private final Register.Settings settings;
     private final Learner learner;
-    private final Proposer proposer;
+    private final Proposer<A> proposer;
     private final RandomGenerator random;
     private Unfinished watched = Nothing.NOTHING;
     private double completeAtMs;
 
-    RoundCompleter(Register.Settings settings, Learner learner, Proposer proposer, RandomGenerator random) {
+    RoundCompleter(Register.Settings settings, Learner learner, Proposer<A> proposer, RandomGenerator random) {
         this.settings = settings;
         this.learner = learner;
         this.proposer = proposer;
         this.random = random;
     }
 
-    void tick(double nowMs, Register.Effects effects) {
+    void tick(double nowMs, Register.Effects<A> effects) {
         Unfinished unfinished = unfinished();
         if (unfinished == Nothing.NOTHING || !unfinished.equals(watched)) {
             watch(nowMs, unfinished);
         } else if (nowMs >= completeAtMs && !isBeingCompleted()) {
             double deadlineMs = nowMs + settings.roundTimeoutMs() * Proposer.MAX_ROUND_TIMEOUT_FACTOR;
-            proposer.add(nowMs, new CompletionTask(deadlineMs), effects);
+            proposer.add(nowMs, new CompletionTask<>(deadlineMs), effects);
             watch(nowMs, unfinished);
         }
     }
--- a/consensus/src/test/java/dewplank/register/AcceptorRulesTest.java
+++ b/consensus/src/test/java/dewplank/register/AcceptorRulesTest.java
@@ -13,7 +13,7 @@
     private static final RegisterValue VALUE = new RegisterValue(RegisterBuilder.SET, 1, new byte[] {1});
 
     private final RecordedEffects effects = new RecordedEffects();
-    private final Register register = new RegisterBuilder().build();
+    private final Register<String> register = new RegisterBuilder().build();
 
     private void prepare(String recipientIdentity, Ballot ballot) {
         register.handleMessage(
--- a/consensus/src/test/java/dewplank/register/CatchUpTest.java
+++ b/consensus/src/test/java/dewplank/register/CatchUpTest.java
@@ -50,11 +50,11 @@
     private int proposingNodes = 2;
 
     /** A process with its disk, and the bytes of values sent to it. */
-    private final class Node implements Register.Effects {
+    private final class Node implements Register.Effects<String> {
         private final String address;
         private AcceptorSet initialAcceptors;
         private DurableState disk;
-        private Register register;
+        private Register<String> register;
         private int incarnation;
         private boolean isDiskFull;
         private long receivedBytes;
@@ -68,7 +68,7 @@
 
         void start() {
             incarnation++;
-            register = new Register(settings(address, initialAcceptors), disk, random.split());
+            register = new Register<>(settings(address, initialAcceptors), disk, random.split());
             tick(incarnation);
         }
 
@@ -128,7 +128,7 @@
         }
 
         @Override
-        public void completed(long requestId, Outcome outcome) {
+        public void completed(long requestId, Outcome<String> outcome) {
             // Changes continue whatever the outcome of one.
         }
 
@@ -187,7 +187,7 @@
         byte[] payload = new byte[VALUE_BYTES];
         ByteBuffer.wrap(payload).putLong(changes);
         node.register.change(
-                events.nowMs(), changes, old -> new Decision(payload, "applied"), events.nowMs() + 2000, node);
+                events.nowMs(), changes, old -> new Decision<>(payload, "applied"), events.nowMs() + 2000, node);
         events.after(changeIntervalMs, this::keepChanging);
     }
 
@@ -241,8 +241,8 @@
     void reportWithoutAValueIsNotFetchedAgainAtOnce() {
         RecordedEffects effects = new RecordedEffects();
         AcceptorId other = new AcceptorId("b", "2");
-        Register register =
-                new Register(settings("a", AcceptorSet.of(List.of(other))), DurableState.fresh("1"), random);
+        Register<String> register =
+                new Register<>(settings("a", AcceptorSet.of(List.of(other))), DurableState.fresh("1"), random);
         Ballot announced = new Ballot(7, "b.1");
         register.handleMessage(0, new Chosen("b", "2", "1", announced, 3), effects);
         for (int answer = 0; answer < 3; answer++) {
--- a/consensus/src/test/java/dewplank/register/CurrentRulesTest.java
+++ b/consensus/src/test/java/dewplank/register/CurrentRulesTest.java
@@ -16,7 +16,7 @@
     private static final double QUERIED_AT_MS = 100;
 
     private final RecordedEffects effects = new RecordedEffects();
-    private final Register register = new RegisterBuilder()
+    private final Register<String> register = new RegisterBuilder()
             .recovered(new DurableState("1", OLD, OLD, value(1), OLD, value(1)))
             .build();
 
@@ -112,7 +112,7 @@
         register.change(
                 QUERIED_AT_MS,
                 1,
-                payload -> new Decision(new byte[] {2}, "applied"),
+                payload -> new Decision<>(new byte[] {2}, "applied"),
                 QUERIED_AT_MS + WITHIN_MS,
                 effects);
         Ballot ballot = effects.messages(Prepare.class).get(0).ballot();
--- a/consensus/src/test/java/dewplank/register/EarlierIncarnationsTest.java
+++ b/consensus/src/test/java/dewplank/register/EarlierIncarnationsTest.java
@@ -11,12 +11,12 @@
 class EarlierIncarnationsTest {
     private static final AcceptorId B = RegisterBuilder.B;
     private static final AcceptorId C = RegisterBuilder.C;
-    private static final Change APPLYING = RegisterBuilder.APPLYING;
+    private static final Change<String> APPLYING = RegisterBuilder.APPLYING;
     private static final int INCARNATIONS = 200;
     private static final int PROCESS_SEED = 4711;
 
     /** An incarnation starts from what the disk holds; only the random numbers differ. */
-    private static Register incarnation(DurableState disk, long seed) {
+    private static Register<String> incarnation(DurableState disk, long seed) {
         return new RegisterBuilder().recovered(disk).seed(seed).build();
     }
 
@@ -25,7 +25,7 @@
         RecordedEffects earlierEffects = new RecordedEffects();
         incarnation(DurableState.fresh("1"), 1).change(0, 1, APPLYING, 1000, earlierEffects);
         RecordedEffects effects = new RecordedEffects();
-        Register present = incarnation(DurableState.fresh("1"), 2);
+        Register<String> present = incarnation(DurableState.fresh("1"), 2);
         present.change(0, 1, APPLYING, 1000, effects);
         Ballot old = earlierEffects.lastMessage(Prepare.class).ballot();
         Ballot current = effects.lastMessage(Prepare.class).ballot();
@@ -41,11 +41,11 @@
     @Test
     void acceptancesOfAnEarlierIncarnationsBallotConfirmNothing() {
         RecordedEffects earlierEffects = new RecordedEffects();
-        Register before = incarnation(DurableState.fresh("1"), 1);
+        Register<String> before = incarnation(DurableState.fresh("1"), 1);
         before.change(0, 1, APPLYING, 1000, earlierEffects);
         Ballot old = earlierEffects.lastMessage(Prepare.class).ballot();
         RecordedEffects effects = new RecordedEffects();
-        Register present = incarnation(DurableState.fresh("1"), 2);
+        Register<String> present = incarnation(DurableState.fresh("1"), 2);
         present.change(0, 1, APPLYING, 1000, effects);
         Ballot current = effects.lastMessage(Prepare.class).ballot();
         present.handleMessage(1, RegisterBuilder.promise(B, current), effects);
@@ -69,7 +69,7 @@
         RecordedEffects earlierEffects = new RecordedEffects();
         incarnation(disk, 1).read(0, 1, 1000, earlierEffects);
         RecordedEffects effects = new RecordedEffects();
-        Register present = incarnation(disk, 2);
+        Register<String> present = incarnation(disk, 2);
         present.read(0, 1, 1000, effects);
         long old = earlierEffects.lastMessage(StatusQuery.class).queryId();
         long current = effects.lastMessage(StatusQuery.class).queryId();
@@ -94,7 +94,7 @@
         Set<Long> queryIds = new HashSet<>();
         for (int i = 0; i < INCARNATIONS; i++) {
             RecordedEffects effects = new RecordedEffects();
-            Register incarnation = incarnation(DurableState.fresh("1"), seeds.nextLong());
+            Register<String> incarnation = incarnation(DurableState.fresh("1"), seeds.nextLong());
             incarnation.change(0, 1, APPLYING, 1000, effects);
             incarnation.tick(0, effects);
             incarnation.read(0, 2, 1000, effects);
--- a/consensus/src/test/java/dewplank/register/Faults.java
+++ b/consensus/src/test/java/dewplank/register/Faults.java
@@ -133,7 +133,7 @@
         SimulatedProcess proposing = fleet.any(random);
         AcceptorSet set = newestSet(proposing);
         fleet.reconfigure(proposing, set.generation(), withoutLost(set), TIMEOUT_MS, outcome -> {
-            boolean isReplaced = outcome instanceof Outcome.Confirmed confirmed
+            boolean isReplaced = outcome instanceof Outcome.Confirmed<String> confirmed
                     && !confirmed.value().acceptors().all().contains(lost);
             if (isReplaced) {
                 wiped = null;
--- a/consensus/src/test/java/dewplank/register/FleetScenariosTest.java
+++ b/consensus/src/test/java/dewplank/register/FleetScenariosTest.java
@@ -12,10 +12,11 @@
 
     private final SimulatedFleet fleet =
             new SimulatedFleet(4, 3, new SimulationRules(false, false, false), new SplittableRandom(3));
-    private final List<Outcome> outcomes = new ArrayList<>();
+    private final List<Outcome<String>> outcomes = new ArrayList<>();
 
-    private Outcome.Confirmed confirmed(int index) {
-        return Assertions.assertInstanceOf(Outcome.Confirmed.class, outcomes.get(index));
+    private Outcome.Confirmed<String> confirmed(int index) {
+        Assertions.assertInstanceOf(Outcome.Confirmed.class, outcomes.get(index));
+        return (Outcome.Confirmed<String>) outcomes.get(index);
     }
 
     @Test
@@ -41,7 +42,8 @@
         fleet.process(0).kill();
         fleet.change(fleet.process(3), 2, 1, TIMEOUT_MS, outcomes::add);
         fleet.events().playUntil(4000);
-        Assertions.assertEquals(VersionHistory.APPLIED, confirmed(2).answer());
+        Assertions.assertEquals(
+                new Answer.OfChange<>(VersionHistory.APPLIED), confirmed(2).answer());
         Assertions.assertTrue(fleet.process(3).register().isAcceptor());
         Assertions.assertEquals(2, confirmed(2).value().acceptors().generation());
     }
--- a/consensus/src/test/java/dewplank/register/HistoryChecker.java
+++ b/consensus/src/test/java/dewplank/register/HistoryChecker.java
@@ -54,8 +54,8 @@
         newestRevision = Math.max(newestRevision, value.revision());
     }
 
-    void observeChangeAnswer(int version, RegisterValue value, Object answer) {
-        if (VersionHistory.APPLIED.equals(answer)) {
+    void observeChangeAnswer(int version, RegisterValue value, Answer<String> answer) {
+        if (answer.equals(new Answer.OfChange<>(VersionHistory.APPLIED))) {
             applied.add(version);
             check(VersionHistory.read(value.payload()).contains(version), "acknowledged but not in the value");
         } else {
--- a/consensus/src/test/java/dewplank/register/JoiningProcessTest.java
+++ b/consensus/src/test/java/dewplank/register/JoiningProcessTest.java
@@ -15,11 +15,11 @@
 
     private final RecordedEffects oldEffects = new RecordedEffects();
     private final RecordedEffects joiningEffects = new RecordedEffects();
-    private final Register old = new RegisterBuilder()
+    private final Register<String> old = new RegisterBuilder()
             .initialAcceptors(SET)
             .recovered(new DurableState(OLD.identity(), BALLOT, BALLOT, VALUE, BALLOT, VALUE))
             .build();
-    private final Register joining =
+    private final Register<String> joining =
             new RegisterBuilder().self(JOINING).initialAcceptors(UNKNOWN).build();
 
     private static RegisterMessage last(RecordedEffects effects) {
--- a/consensus/src/test/java/dewplank/register/LoadedFleetTest.java
+++ b/consensus/src/test/java/dewplank/register/LoadedFleetTest.java
@@ -91,11 +91,11 @@
         RecordedEffects effects = new RecordedEffects();
         AcceptorId self = RegisterBuilder.A;
         AcceptorId other = RegisterBuilder.B;
-        Register register = new RegisterBuilder()
+        Register<String> register = new RegisterBuilder()
                 .initialAcceptors(AcceptorSet.of(List.of(self, other)))
                 .build();
         for (int request = 0; request < Register.MAX_PENDING_REQUESTS; request++) {
-            register.change(0, request, payload -> new Decision(null, "read"), 100_000, effects);
+            register.change(0, request, payload -> new Decision<>(null, "read"), 100_000, effects);
         }
         register.reconfigure(0, 1000, 0, List.of(self), 100_000, effects);
         Assertions.assertTrue(effects.completed.isEmpty(), "rejected because of the pending requests");
@@ -142,7 +142,7 @@
         }
     }
 
-    private double lateMs(Outcome outcome, double deadlineMs) {
+    private double lateMs(Outcome<String> outcome, double deadlineMs) {
         Assertions.assertInstanceOf(Outcome.Unknown.class, outcome);
         return fleet.nowMs() - deadlineMs;
     }
--- a/consensus/src/test/java/dewplank/register/ModelProcess.java
+++ b/consensus/src/test/java/dewplank/register/ModelProcess.java
@@ -35,16 +35,17 @@
 
     /** A step of a register with its effects. */
     interface Action {
-        void run(Register register, ModelStep effects);
+        void run(Register<String> register, ModelStep effects);
     }
 
     private final Register.Settings settings;
     private final Set<Class<?>> droppedTypes;
-    private final Register register;
+    private final Register<String> register;
     private final int incarnation;
     private final String print;
 
-    private ModelProcess(Register.Settings settings, Set<Class<?>> droppedTypes, Register register, int incarnation) {
+    private ModelProcess(
+            Register.Settings settings, Set<Class<?>> droppedTypes, Register<String> register, int incarnation) {
         this.settings = settings;
         this.droppedTypes = droppedTypes;
         this.register = register;
@@ -54,7 +55,7 @@
 
     static ModelProcess started(
             Register.Settings settings, Set<Class<?>> droppedTypes, DurableState disk, int incarnation) {
-        Register register = new Register(settings, disk, new FixedRandom(incarnation));
+        Register<String> register = new Register<>(settings, disk, new FixedRandom(incarnation));
         RegisterSnapshot.resetClocks(register);
         return new ModelProcess(settings, droppedTypes, register, incarnation);
     }
@@ -64,7 +65,7 @@
         return settings.address() + " " + print;
     }
 
-    Register register() {
+    Register<String> register() {
         return register;
     }
 
@@ -126,7 +127,7 @@
     /** A step with all that follows from it in the same process: messages to itself are delivered at once. */
     Result step(Action action, Disk disk) {
         ModelStep effects = new ModelStep(settings.address(), droppedTypes);
-        Register next = RegisterSnapshot.copy(register, settings, new FixedRandom(incarnation));
+        Register<String> next = RegisterSnapshot.copy(register, settings, new FixedRandom(incarnation));
         List<DurableState> stored = new ArrayList<>();
         DurableState uncertain = null;
         action.run(next, effects);
@@ -162,7 +163,7 @@
                 restarted(written), new ModelStep(settings.address(), droppedTypes), List.of(written), null, List.of());
     }
 
-    private static List<ModelProposal> proposals(Register next, ModelStep effects) {
+    private static List<ModelProposal> proposals(Register<String> next, ModelStep effects) {
         List<ModelProposal> found = new ArrayList<>();
         for (ModelStep.Sent sent : effects.sent) {
             if (sent.message() instanceof Accept) {
--- a/consensus/src/test/java/dewplank/register/ModelStep.java
+++ b/consensus/src/test/java/dewplank/register/ModelStep.java
@@ -7,9 +7,9 @@
 import java.util.Set;
 
 /** Records what one step of one process sent, stored and answered. */
-final class ModelStep implements Register.Effects {
+final class ModelStep implements Register.Effects<String> {
     /** A confirmed request. */
-    record Answer(long requestId, Outcome.Confirmed outcome) {}
+    record Answer(long requestId, Outcome.Confirmed<String> outcome) {}
 
     /** A message and where it goes. */
     record Sent(String address, RegisterMessage message) {}
@@ -66,8 +66,8 @@
     }
 
     @Override
-    public void completed(long requestId, Outcome outcome) {
-        if (outcome instanceof Outcome.Confirmed confirmed) {
+    public void completed(long requestId, Outcome<String> outcome) {
+        if (outcome instanceof Outcome.Confirmed<String> confirmed) {
             answers.add(new Answer(requestId, confirmed));
         }
     }
--- a/consensus/src/test/java/dewplank/register/OperatorLoad.java
+++ b/consensus/src/test/java/dewplank/register/OperatorLoad.java
@@ -48,8 +48,8 @@
         });
     }
 
-    private void handleOutcome(Outcome outcome) {
-        if (outcome instanceof Outcome.Confirmed confirmed) {
+    private void handleOutcome(Outcome<String> outcome) {
+        if (outcome instanceof Outcome.Confirmed<String> confirmed) {
             newestConfirmed = VersionHistory.newest(confirmed.value().payload());
         }
     }
--- a/consensus/src/test/java/dewplank/register/ProposerRulesTest.java
+++ b/consensus/src/test/java/dewplank/register/ProposerRulesTest.java
@@ -16,11 +16,11 @@
     private static final AcceptorId C = RegisterBuilder.C;
     private static final AcceptorId D = RegisterBuilder.D;
     private static final AcceptorSet SET = RegisterBuilder.SET;
-    private static final Change REJECTING = payload -> new Decision(null, "rejected");
-    private static final Change APPLYING = RegisterBuilder.APPLYING;
+    private static final Change<String> REJECTING = payload -> new Decision<>(null, "rejected");
+    private static final Change<String> APPLYING = RegisterBuilder.APPLYING;
 
     private final RecordedEffects effects = new RecordedEffects();
-    private final Register register = new RegisterBuilder().build();
+    private final Register<String> register = new RegisterBuilder().build();
 
     private void promise(AcceptorId from, Ballot acceptedBallot, RegisterValue acceptedValue) {
         Ballot ballot = effects.lastMessage(Prepare.class).ballot();
@@ -43,8 +43,9 @@
         accepted(B);
         Assertions.assertTrue(effects.completed.isEmpty(), "one acceptor counted twice");
         accepted(C);
-        Outcome.Confirmed outcome = (Outcome.Confirmed) effects.completed.get(0).outcome();
-        Assertions.assertEquals("rejected", outcome.answer());
+        Outcome.Confirmed<String> outcome =
+                (Outcome.Confirmed<String>) effects.completed.get(0).outcome();
+        Assertions.assertEquals(new Answer.OfChange<>("rejected"), outcome.answer());
         Assertions.assertFalse(outcome.changed());
     }
 
--- a/consensus/src/test/java/dewplank/register/ReconfigurationRulesTest.java
+++ b/consensus/src/test/java/dewplank/register/ReconfigurationRulesTest.java
@@ -13,15 +13,16 @@
 
     private final SimulatedFleet fleet =
             new SimulatedFleet(5, 3, new SimulationRules(false, false, false), new SplittableRandom(5));
-    private final List<Outcome> outcomes = new ArrayList<>();
+    private final List<Outcome<String>> outcomes = new ArrayList<>();
 
     private void reconfigure(int proposing, long expectedGeneration, List<AcceptorId> target) {
         fleet.reconfigure(fleet.process(proposing), expectedGeneration, target, TIMEOUT_MS, outcomes::add);
     }
 
     private Reconfiguration answer(int index) {
-        return (Reconfiguration) Assertions.assertInstanceOf(Outcome.Confirmed.class, outcomes.get(index))
-                .answer();
+        Outcome.Confirmed<?> confirmed = Assertions.assertInstanceOf(Outcome.Confirmed.class, outcomes.get(index));
+        return Assertions.assertInstanceOf(Answer.OfReconfiguration.class, confirmed.answer())
+                .result();
     }
 
     private void assertSet(long generation, List<AcceptorId> members) {
@@ -107,12 +108,12 @@
     void acceptedJointSetOfTheSameGenerationIsNotReplaced() {
         RegisterValue initial = new RegisterValue(AcceptorSet.of(fleet.acceptors(0, 1, 2)), 3, null);
         RegisterValue joint = initial.withAcceptors(initial.acceptors().beginTransition(fleet.acceptors(0, 1, 3)));
-        ReconfigureTask other = new ReconfigureTask(1, 0, fleet.acceptors(0, 1, 4), TIMEOUT_MS);
+        ReconfigureTask<String> other = new ReconfigureTask<>(1, 0, fleet.acceptors(0, 1, 4), TIMEOUT_MS);
         Assertions.assertEquals(
                 joint.acceptors(), other.propose(joint, initial).value().acceptors());
         Assertions.assertFalse(other.isCompletedBy(other.propose(joint, initial)));
-        Proposal second = other.propose(joint, joint);
+        Proposal<String> second = other.propose(joint, joint);
         Assertions.assertTrue(other.isCompletedBy(second));
-        Assertions.assertEquals(Reconfiguration.SUPERSEDED, second.answer());
+        Assertions.assertEquals(new Answer.OfReconfiguration<>(Reconfiguration.SUPERSEDED), second.answer());
     }
 }
--- a/consensus/src/test/java/dewplank/register/RecordedEffects.java
+++ b/consensus/src/test/java/dewplank/register/RecordedEffects.java
@@ -4,12 +4,12 @@
 import java.util.List;
 
 /** Records what a register wanted done. */
-final class RecordedEffects implements Register.Effects {
+final class RecordedEffects implements Register.Effects<String> {
     record Sent(String address, RegisterMessage message) {}
 
     record Stored(long storeId, DurableState state) {}
 
-    record Completed(long requestId, Outcome outcome) {}
+    record Completed(long requestId, Outcome<String> outcome) {}
 
     final List<Sent> sent = new ArrayList<>();
     final List<Stored> stored = new ArrayList<>();
@@ -32,7 +32,7 @@
     }
 
     @Override
-    public void completed(long requestId, Outcome outcome) {
+    public void completed(long requestId, Outcome<String> outcome) {
         completed.add(new Completed(requestId, outcome));
     }
 
--- a/consensus/src/test/java/dewplank/register/RegisterBuilder.java
+++ b/consensus/src/test/java/dewplank/register/RegisterBuilder.java
@@ -15,7 +15,7 @@
     static final AcceptorSet SET = AcceptorSet.of(List.of(A, B, C));
 
     /** Always writes the same payload. */
-    static final Change APPLYING = payload -> new Decision(new byte[] {9}, "applied");
+    static final Change<String> APPLYING = payload -> new Decision<>(new byte[] {9}, "applied");
 
     private static final double ROUND_TIMEOUT_MS = 300;
     private static final double RETRY_BACKOFF_MIN_MS = 20;
@@ -71,7 +71,7 @@
         return this;
     }
 
-    Register build() {
-        return new Register(settings(address, initialAcceptors), recovered, random);
+    Register<String> build() {
+        return new Register<>(settings(address, initialAcceptors), recovered, random);
     }
 }
--- a/consensus/src/test/java/dewplank/register/RegisterModel.java
+++ b/consensus/src/test/java/dewplank/register/RegisterModel.java
@@ -215,7 +215,7 @@
             return false;
         }
         String countedBy = message instanceof Promise ? "promised" : "accepted";
-        Register register = processes.get(state.processes[process]).register();
+        Register<String> register = processes.get(state.processes[process]).register();
         Set<?> counted = (Set<?>) RegisterSnapshot.at(register, "proposer", "state", "round", countedBy);
         return counted != null
                 && counted.stream()
@@ -371,7 +371,7 @@
         RegisterValue value = answer.outcome().value();
         List<ModelProposal> chosen = chosen(state);
         check(state, chosen.stream().anyMatch(each -> each.value().equals(value)), "confirmed but not chosen");
-        boolean isRejected = VersionHistory.REJECTED.equals(answer.outcome().answer());
+        boolean isRejected = answer.outcome().answer().equals(new Answer.OfChange<>(VersionHistory.REJECTED));
         if (isRejected) {
             int version = (int) answer.requestId();
             state.rejected |= 1 << version;
--- a/consensus/src/test/java/dewplank/register/RegisterSnapshot.java
+++ b/consensus/src/test/java/dewplank/register/RegisterSnapshot.java
@@ -49,8 +49,8 @@
 
     private RegisterSnapshot() {}
 
-    static Register copy(Register register, Register.Settings settings, FixedRandom random) {
-        Register copy = new Register(settings, DurableState.fresh(""), random);
+    static Register<String> copy(Register<String> register, Register.Settings settings, FixedRandom random) {
+        Register<String> copy = new Register<>(settings, DurableState.fresh(""), random);
         copyInto(register, copy, new IdentityHashMap<>());
         return copy;
     }
@@ -78,7 +78,7 @@
     }
 
     /** Resets times, ids and the reports counted. */
-    static void resetClocks(Register register) {
+    static void resetClocks(Register<String> register) {
         reset(register, new IdentityHashMap<>());
     }
 
@@ -110,8 +110,8 @@
         for (Field field : fields(from.getClass())) {
             Object value = get(field, from);
             if (value instanceof ProposerState.InRound) {
-                Round round = new Round(Ballot.NONE, Ballot.NONE, null, 0);
-                ProposerState.InRound inRound = new ProposerState.InRound(null, 0, round);
+                Round<?> round = new Round<>(Ballot.NONE, Ballot.NONE, null, 0);
+                ProposerState.InRound<?> inRound = new ProposerState.InRound<>(null, 0, round);
                 copyInto(value, inRound, seen);
                 set(field, to, inRound);
             } else if (value instanceof ProposerState) {
--- a/consensus/src/test/java/dewplank/register/SimulatedFleet.java
+++ b/consensus/src/test/java/dewplank/register/SimulatedFleet.java
@@ -11,7 +11,7 @@
 final class SimulatedFleet {
     private final EventQueue events = new EventQueue();
     private final HistoryChecker history = new HistoryChecker();
-    private final Map<Long, Consumer<Outcome>> requests = new HashMap<>();
+    private final Map<Long, Consumer<Outcome<String>>> requests = new HashMap<>();
     private final List<SimulatedProcess> processes = new ArrayList<>();
     private final SimulatedNetwork network;
     private final SimulationRules rules;
@@ -102,26 +102,27 @@
     }
 
     /** Changes the payload at a process; the listener gets the outcome, Unknown if the incarnation ends before. */
-    void change(SimulatedProcess process, int version, int base, double timeoutMs, Consumer<Outcome> listener) {
+    void change(SimulatedProcess process, int version, int base, double timeoutMs, Consumer<Outcome<String>> listener) {
         long minRevision = history.minRevision();
         long requestId = track(timeoutMs, outcome -> {
-            if (outcome instanceof Outcome.Confirmed confirmed) {
+            if (outcome instanceof Outcome.Confirmed<String> confirmed) {
                 history.observeConfirmed(confirmed.value(), minRevision);
                 history.observeChangeAnswer(version, confirmed.value(), confirmed.answer());
             }
             listener.accept(outcome);
         });
-        Change change = VersionHistory.change(version, base);
+        Change<String> change = VersionHistory.change(version, base);
         run(process, () -> process.register().change(nowMs(), requestId, change, nowMs() + timeoutMs, process));
     }
 
-    void read(SimulatedProcess process, double timeoutMs, Consumer<Outcome> listener) {
+    void read(SimulatedProcess process, double timeoutMs, Consumer<Outcome<String>> listener) {
         long requestId = track(timeoutMs, checked(history.minRevision(), listener));
         run(process, () -> process.register().read(nowMs(), requestId, nowMs() + timeoutMs, process));
     }
 
     /** Replaces the acceptors, expecting the generation that the process has. */
-    void reconfigure(SimulatedProcess process, List<AcceptorId> target, double timeoutMs, Consumer<Outcome> listener) {
+    void reconfigure(
+            SimulatedProcess process, List<AcceptorId> target, double timeoutMs, Consumer<Outcome<String>> listener) {
         long current = process.isUp() ? process.register().acceptors().generation() : 0;
         reconfigure(process, current, target, timeoutMs, listener);
     }
@@ -131,33 +132,33 @@
             long expectedGeneration,
             List<AcceptorId> target,
             double timeoutMs,
-            Consumer<Outcome> listener) {
+            Consumer<Outcome<String>> listener) {
         long requestId = track(timeoutMs, checked(history.minRevision(), listener));
         run(process, () -> process.register()
                 .reconfigure(nowMs(), requestId, expectedGeneration, target, nowMs() + timeoutMs, process));
     }
 
-    void completed(long requestId, Outcome outcome) {
-        Consumer<Outcome> listener = requests.remove(requestId);
+    void completed(long requestId, Outcome<String> outcome) {
+        Consumer<Outcome<String>> listener = requests.remove(requestId);
         if (listener != null) {
             listener.accept(outcome);
         }
     }
 
-    private Consumer<Outcome> checked(long minRevision, Consumer<Outcome> listener) {
+    private Consumer<Outcome<String>> checked(long minRevision, Consumer<Outcome<String>> listener) {
         return outcome -> {
-            if (outcome instanceof Outcome.Confirmed confirmed) {
+            if (outcome instanceof Outcome.Confirmed<String> confirmed) {
                 history.observeConfirmed(confirmed.value(), minRevision);
             }
             listener.accept(outcome);
         };
     }
 
-    private long track(double timeoutMs, Consumer<Outcome> listener) {
+    private long track(double timeoutMs, Consumer<Outcome<String>> listener) {
         lastRequestId++;
         long requestId = lastRequestId;
         requests.put(requestId, listener);
-        events.after(timeoutMs * 2, () -> completed(requestId, new Outcome.Unknown("no outcome")));
+        events.after(timeoutMs * 2, () -> completed(requestId, new Outcome.Unknown<>("no outcome")));
         return requestId;
     }
 
--- a/consensus/src/test/java/dewplank/register/SimulatedProcess.java
+++ b/consensus/src/test/java/dewplank/register/SimulatedProcess.java
@@ -5,7 +5,7 @@
 import java.util.SplittableRandom;
 
 /** One process with its disk: it can be killed, lose its disk, or freeze; the disk can be full or stall. */
-final class SimulatedProcess implements Register.Effects {
+final class SimulatedProcess implements Register.Effects<String> {
     private static final double TICK_MS = 50;
     private static final double MAX_SYNC_MS = 3;
 
@@ -16,7 +16,7 @@
     private AcceptorSet initialAcceptors;
     private DurableState disk;
     private DurableState storeInFlight;
-    private Register register;
+    private Register<String> register;
     private int incarnation;
     private long learnedRevision;
     private boolean isFrozen;
@@ -43,7 +43,7 @@
         return register != null;
     }
 
-    Register register() {
+    Register<String> register() {
         return register;
     }
 
@@ -58,7 +58,7 @@
     void start() {
         incarnation++;
         learnedRevision = disk.chosenValue() == null ? -1 : disk.chosenValue().revision();
-        register = new Register(RegisterBuilder.settings(address, initialAcceptors), disk, random.split());
+        register = new Register<>(RegisterBuilder.settings(address, initialAcceptors), disk, random.split());
         tick(incarnation);
     }
 
@@ -150,7 +150,7 @@
     }
 
     @Override
-    public void completed(long requestId, Outcome outcome) {
+    public void completed(long requestId, Outcome<String> outcome) {
         fleet.completed(requestId, outcome);
     }
 
--- a/consensus/src/test/java/dewplank/register/SuccessiveLossesTest.java
+++ b/consensus/src/test/java/dewplank/register/SuccessiveLossesTest.java
@@ -34,13 +34,13 @@
     private void change(int at) {
         version++;
         for (int attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
-            List<Outcome> outcomes = new ArrayList<>();
+            List<Outcome<String>> outcomes = new ArrayList<>();
             fleet.change(fleet.process(at), version, version - 1, TIMEOUT_MS, outcomes::add);
             while (outcomes.isEmpty()) {
                 fleet.events().playOne(Double.MAX_VALUE);
             }
-            if (outcomes.get(0) instanceof Outcome.Confirmed) {
-                Assertions.assertEquals(VersionHistory.APPLIED, ((Outcome.Confirmed) outcomes.get(0)).answer());
+            if (outcomes.get(0) instanceof Outcome.Confirmed<String> confirmed) {
+                Assertions.assertEquals(new Answer.OfChange<>(VersionHistory.APPLIED), confirmed.answer());
                 return;
             }
         }
--- a/consensus/src/test/java/dewplank/register/VersionHistory.java
+++ b/consensus/src/test/java/dewplank/register/VersionHistory.java
@@ -28,15 +28,15 @@
     }
 
     /** A change that is applied once, and only on top of its base. */
-    static Change change(int version, int base) {
+    static Change<String> change(int version, int base) {
         return payload -> {
             if (read(payload).contains(version)) {
-                return new Decision(null, APPLIED);
+                return new Decision<>(null, APPLIED);
             }
             if (newest(payload) != base) {
-                return new Decision(null, REJECTED);
+                return new Decision<>(null, REJECTED);
             }
-            return new Decision(append(payload, version), APPLIED);
+            return new Decision<>(append(payload, version), APPLIED);
         };
     }
 
--- a/controlplane/src/main/java/dewplank/controlplane/ConfigurationCalls.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ConfigurationCalls.java
@@ -5,6 +5,7 @@
 import dewplank.configuration.ConfigurationDocument;
 import dewplank.configuration.InvalidConfigurationException;
 import dewplank.exchange.InboundConnection;
+import dewplank.register.Answer;
 import dewplank.register.Outcome;
 import dewplank.settings.ResultCode;
 import java.util.function.Consumer;
@@ -67,8 +68,8 @@
         return version;
     }
 
-    private static OperatorResponse responseToRead(Outcome outcome) {
-        if (!(outcome instanceof Outcome.Confirmed confirmed)) {
+    private static OperatorResponse responseToRead(Outcome<ChangeResult> outcome) {
+        if (!(outcome instanceof Outcome.Confirmed<ChangeResult> confirmed)) {
             return noQuorum(outcome);
         }
         ConfigurationDocument document = ConfigurationDocument.decode(
@@ -78,13 +79,14 @@
                 : OperatorResponse.document(document.configuration().json());
     }
 
-    private static OperatorResponse noQuorum(Outcome outcome) {
-        return OperatorResponse.result(ResultCode.NO_QUORUM, ((Outcome.Unknown) outcome).reason());
+    private static OperatorResponse noQuorum(Outcome<ChangeResult> outcome) {
+        return OperatorResponse.result(ResultCode.NO_QUORUM, ((Outcome.Unknown<ChangeResult>) outcome).reason());
     }
 
-    private static OperatorResponse responseToChange(Outcome outcome) {
-        return outcome instanceof Outcome.Confirmed confirmed
-                ? responseTo((ChangeResult) confirmed.answer())
+    private static OperatorResponse responseToChange(Outcome<ChangeResult> outcome) {
+        return outcome instanceof Outcome.Confirmed<ChangeResult> confirmed
+                        && confirmed.answer() instanceof Answer.OfChange<ChangeResult> answer
+                ? responseTo(answer.result())
                 : noQuorum(outcome);
     }
 
--- a/controlplane/src/main/java/dewplank/controlplane/ConfigurationStore.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ConfigurationStore.java
@@ -7,6 +7,7 @@
 import dewplank.net.Scheduler;
 import dewplank.register.AcceptorId;
 import dewplank.register.AcceptorSet;
+import dewplank.register.Answer;
 import dewplank.register.Decision;
 import dewplank.register.DurableState;
 import dewplank.register.Outcome;
@@ -28,7 +29,8 @@
  * <p>On the loop's thread only. A request ends with exactly one {@link Outcome}, at its deadline at the latest; none
  * throws.
  */
-final class ConfigurationStore implements Register.Effects, OperatorApi.Configurations, SingletonRoles.Voters {
+final class ConfigurationStore
+        implements Register.Effects<ChangeResult>, OperatorApi.Configurations, SingletonRoles.Voters {
     private static final Logger LOG = LoggerFactory.getLogger(ConfigurationStore.class);
     private static final double TICK_INTERVAL_MS = 25;
     /** A round takes two round trips and two synced writes: a few milliseconds on an idle machine. */
@@ -61,8 +63,8 @@
     private final Scheduler loop;
     private final Disk disk;
     private final RegisterEnvironment environment;
-    private final Register register;
-    private final Map<Long, Consumer<Outcome>> pendingRequests = new HashMap<>();
+    private final Register<ChangeResult> register;
+    private final Map<Long, Consumer<Outcome<ChangeResult>>> pendingRequests = new HashMap<>();
     private long nextRequest;
 
     ConfigurationStore(
@@ -76,7 +78,7 @@
         this.loop = loop;
         this.disk = disk;
         this.environment = environment;
-        this.register = new Register(
+        this.register = new Register<>(
                 new Register.Settings(
                         address,
                         AcceptorSet.of(initial),
@@ -137,8 +139,8 @@
     }
 
     @Override
-    public void completed(long request, Outcome outcome) {
-        Consumer<Outcome> then = pendingRequests.remove(request);
+    public void completed(long request, Outcome<ChangeResult> outcome) {
+        Consumer<Outcome<ChangeResult>> then = pendingRequests.remove(request);
         if (then != null) {
             then.accept(outcome);
         }
@@ -147,19 +149,19 @@
     // ---- requests -------------------------------------------------------------------------------------
 
     @Override
-    public void change(ChangeRequest change, double withinMs, Consumer<Outcome> then) {
+    public void change(ChangeRequest change, double withinMs, Consumer<Outcome<ChangeResult>> then) {
         register.change(loop.now(), request(then), payload -> decide(change, payload), loop.now() + withinMs, this);
     }
 
-    private static Decision decide(ChangeRequest change, byte[] payload) {
+    private static Decision<ChangeResult> decide(ChangeRequest change, byte[] payload) {
         ChangeResult result = ConfigurationDocument.decode(payload).apply(change);
         return result instanceof ChangeResult.Accepted a
-                ? new Decision(a.next().encode(), result)
-                : new Decision(null, result);
+                ? new Decision<>(a.next().encode(), result)
+                : new Decision<>(null, result);
     }
 
     @Override
-    public void read(double withinMs, Consumer<Outcome> then) {
+    public void read(double withinMs, Consumer<Outcome<ChangeResult>> then) {
         register.read(loop.now(), request(then), loop.now() + withinMs, this);
     }
 
@@ -174,12 +176,7 @@
                 loop.now(),
                 request(outcome -> {
                     then.run();
-                    if (outcome instanceof Outcome.Confirmed c) {
-                        LOG.info(
-                                "acceptor change completed acceptors={} result={}",
-                                c.value().acceptors().members(),
-                                c.answer());
-                    }
+                    logAcceptorChange(outcome);
                 }),
                 expectedGeneration,
                 target,
@@ -187,7 +184,17 @@
                 this);
     }
 
-    private long request(Consumer<Outcome> then) {
+    private static void logAcceptorChange(Outcome<ChangeResult> outcome) {
+        if (outcome instanceof Outcome.Confirmed<ChangeResult> confirmed
+                && confirmed.answer() instanceof Answer.OfReconfiguration<ChangeResult> answer) {
+            LOG.info(
+                    "acceptor change completed acceptors={} result={}",
+                    confirmed.value().acceptors().members(),
+                    answer.result());
+        }
+    }
+
+    private long request(Consumer<Outcome<ChangeResult>> then) {
         long request = ++nextRequest;
         pendingRequests.put(request, then);
         return request;
--- a/controlplane/src/main/java/dewplank/controlplane/OperatorApi.java
+++ b/controlplane/src/main/java/dewplank/controlplane/OperatorApi.java
@@ -48,10 +48,10 @@
     /** The configuration in the register. */
     interface Configurations {
         /** Changes it; the outcome's answer is a {@link ChangeResult}. */
-        void change(ChangeRequest change, double withinMs, Consumer<Outcome> then);
+        void change(ChangeRequest change, double withinMs, Consumer<Outcome<ChangeResult>> then);
 
         /** Reads the newest at a quorum. */
-        void read(double withinMs, Consumer<Outcome> then);
+        void read(double withinMs, Consumer<Outcome<ChangeResult>> then);
     }
 
     /** Whether this control plane may answer for the fleet, and which others an operator may call instead. */
--- a/controlplane/src/test/java/dewplank/controlplane/StandInRegister.java
+++ b/controlplane/src/test/java/dewplank/controlplane/StandInRegister.java
@@ -4,6 +4,7 @@
 import dewplank.configuration.ChangeResult;
 import dewplank.configuration.ConfigurationDocument;
 import dewplank.register.AcceptorSet;
+import dewplank.register.Answer;
 import dewplank.register.Outcome;
 import dewplank.register.RegisterValue;
 import java.util.ArrayList;
@@ -33,33 +34,33 @@
     }
 
     @Override
-    public synchronized void change(ChangeRequest change, double withinMs, Consumer<Outcome> then) {
+    public synchronized void change(ChangeRequest change, double withinMs, Consumer<Outcome<ChangeResult>> then) {
         waits.add(withinMs);
         if (!quorum) {
-            then.accept(new Outcome.Unknown("2 of 3 acceptors are silent"));
+            then.accept(new Outcome.Unknown<>("2 of 3 acceptors are silent"));
             return;
         }
         ChangeResult result = ConfigurationDocument.decode(payload).apply(change);
         if (result instanceof ChangeResult.Accepted accepted) {
             payload = accepted.next().encode();
         }
-        answer(result, then);
+        answer(new Answer.OfChange<>(result), then);
     }
 
     @Override
-    public synchronized void read(double withinMs, Consumer<Outcome> then) {
+    public synchronized void read(double withinMs, Consumer<Outcome<ChangeResult>> then) {
         waits.add(withinMs);
         if (quorum) {
-            answer(null, then);
+            answer(new Answer.None<>(), then);
         } else {
-            then.accept(new Outcome.Unknown("2 of 3 acceptors are silent"));
+            then.accept(new Outcome.Unknown<>("2 of 3 acceptors are silent"));
         }
     }
 
-    private void answer(Object result, Consumer<Outcome> then) {
+    private void answer(Answer<ChangeResult> answer, Consumer<Outcome<ChangeResult>> then) {
         if (!silent) {
             RegisterValue value = new RegisterValue(AcceptorSet.of(List.of()), 1, payload);
-            then.accept(new Outcome.Confirmed(value, result, false));
+            then.accept(new Outcome.Confirmed<>(value, answer, false));
         }
     }
 }
