--- a/controlplane/src/main/java/dewplank/controlplane/Bootstrap.java
+++ b/controlplane/src/main/java/dewplank/controlplane/Bootstrap.java
@@ -22,7 +22,8 @@
             throws StoreException {
         String identityIfNew = settings.initialStart() ? bootstrapIdentity(address) : environment.newIdentity();
         if (settings.dataDirectory() == null) {
-            return new MemoryStorage(environment.scheduler(), identityIfNew, seeds(settings), settings.initialStart());
+            FleetBootstrap bootstrap = new FleetBootstrap(seeds(settings), settings.initialStart());
+            return new MemoryStorage(environment.scheduler(), identityIfNew, bootstrap);
         }
         return new DiskStorage(
                 settings, identityIfNew, seeds(settings), environment.files(), environment.disk(), codec);
--- a/controlplane/src/main/java/dewplank/controlplane/ConfigurationStore.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ConfigurationStore.java
@@ -14,6 +14,7 @@
 import dewplank.register.Register;
 import dewplank.register.RegisterMessage;
 import dewplank.register.RegisterValue;
+import dewplank.store.DiskResult;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -47,9 +48,9 @@
         /**
          * Saves and syncs.
          *
-         * @param done takes whether that succeeded, in a later task of the loop
+         * @param done receives whether that succeeded, in a later task of the loop
          */
-        void save(DurableState state, Consumer<Boolean> done);
+        void save(DurableState state, Consumer<DiskResult> done);
     }
 
     /** What the register needs of its environment. On the loop's thread. */
@@ -120,8 +121,8 @@
 
     @Override
     public void store(long ticket, DurableState state) {
-        disk.save(state, saved -> {
-            if (saved) {
+        disk.save(state, result -> {
+            if (result.isSuccess()) {
                 register.handleStored(loop.now(), ticket, this);
             } else {
                 register.handleStoreFailed(loop.now(), ticket, this);
--- a/controlplane/src/main/java/dewplank/controlplane/DiskStorage.java
+++ b/controlplane/src/main/java/dewplank/controlplane/DiskStorage.java
@@ -9,6 +9,7 @@
 import dewplank.store.BootstrapSeeds;
 import dewplank.store.ChecksummedFile;
 import dewplank.store.DiskExecutor;
+import dewplank.store.DiskResult;
 import dewplank.store.StoreException;
 import dewplank.store.StoreFiles;
 import java.nio.ByteBuffer;
@@ -23,8 +24,7 @@
     private final DiskExecutor executor;
     private final ChecksummedFile serverList;
     private final MessageCodec codec;
-    private final boolean firstStart;
-    private final List<String> founders;
+    private final FleetBootstrap bootstrap;
     private EndpointList pendingList;
     private boolean listSavePending;
 
@@ -46,10 +46,11 @@
             throws StoreException {
         this.executor = executor;
         this.codec = codec;
-        founders = new BootstrapSeeds(files, settings.dataDirectory()).loadOrStore(seeds, settings.initialStart());
+        List<String> founders =
+                new BootstrapSeeds(files, settings.dataDirectory()).loadOrStore(seeds, settings.initialStart());
         store = AcceptorStore.open(
                 settings.dataDirectory(), files, settings.resources().diskBytes(), identityIfNew);
-        firstStart = settings.initialStart() && store.isNew();
+        bootstrap = new FleetBootstrap(founders, settings.initialStart() && store.isNew());
         serverList = new ChecksummedFile(files, settings.dataDirectory(), "servers");
     }
 
@@ -59,13 +60,8 @@
     }
 
     @Override
-    public List<String> founders() {
-        return founders;
-    }
-
-    @Override
-    public boolean firstStart() {
-        return firstStart;
+    public FleetBootstrap bootstrap() {
+        return bootstrap;
     }
 
     @Override
@@ -74,13 +70,13 @@
     }
 
     @Override
-    public void save(DurableState state, Consumer<Boolean> done) {
-        executor.submit(() -> store.save(state), result -> done.accept(result.isSuccess()));
+    public void save(DurableState state, Consumer<DiskResult> done) {
+        executor.submit(() -> store.save(state), done);
     }
 
     @Override
-    public void saveFencingToken(String role, long token, Consumer<Boolean> done) {
-        executor.submit(() -> store.saveFencingToken(role, token), result -> done.accept(result.isSuccess()));
+    public void saveFencingToken(String role, long token, Consumer<DiskResult> done) {
+        executor.submit(() -> store.saveFencingToken(role, token), done);
     }
 
     @Override
--- a/controlplane/src/main/java/dewplank/controlplane/MemoryStorage.java
+++ b/controlplane/src/main/java/dewplank/controlplane/MemoryStorage.java
@@ -3,7 +3,7 @@
 import dewplank.message.EndpointList;
 import dewplank.net.Scheduler;
 import dewplank.register.DurableState;
-import java.util.List;
+import dewplank.store.DiskResult;
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Consumer;
@@ -15,14 +15,12 @@
 final class MemoryStorage implements Storage {
     private final Scheduler loop;
     private final DurableState fresh;
-    private final List<String> founders;
-    private final boolean firstStart;
+    private final FleetBootstrap bootstrap;
 
-    MemoryStorage(Scheduler loop, String identity, List<String> founders, boolean firstStart) {
+    MemoryStorage(Scheduler loop, String identity, FleetBootstrap bootstrap) {
         this.loop = loop;
         this.fresh = DurableState.fresh(identity);
-        this.founders = founders;
-        this.firstStart = firstStart;
+        this.bootstrap = bootstrap;
     }
 
     @Override
@@ -31,13 +29,8 @@
     }
 
     @Override
-    public List<String> founders() {
-        return founders;
-    }
-
-    @Override
-    public boolean firstStart() {
-        return firstStart;
+    public FleetBootstrap bootstrap() {
+        return bootstrap;
     }
 
     @Override
@@ -46,13 +39,13 @@
     }
 
     @Override
-    public void save(DurableState state, Consumer<Boolean> done) {
-        loop.execute(() -> done.accept(true));
+    public void save(DurableState state, Consumer<DiskResult> done) {
+        loop.execute(() -> done.accept(DiskResult.Succeeded.INSTANCE));
     }
 
     @Override
-    public void saveFencingToken(String role, long token, Consumer<Boolean> done) {
-        loop.execute(() -> done.accept(true));
+    public void saveFencingToken(String role, long token, Consumer<DiskResult> done) {
+        loop.execute(() -> done.accept(DiskResult.Succeeded.INSTANCE));
     }
 
     @Override
--- a/controlplane/src/main/java/dewplank/controlplane/SingletonRoles.java
+++ b/controlplane/src/main/java/dewplank/controlplane/SingletonRoles.java
@@ -146,8 +146,8 @@
 
         @Override
         public void persistToken(VoteRequest request, VoteReply reply) {
-            storage.saveFencingToken(request.duty(), reply.highestToken(), saved -> {
-                if (saved) {
+            storage.saveFencingToken(request.duty(), reply.highestToken(), result -> {
+                if (result.isSuccess()) {
                     voter.onTokenPersisted(request);
                     sender.send(to, reply);
                 } else {
--- a/controlplane/src/main/java/dewplank/controlplane/Storage.java
+++ b/controlplane/src/main/java/dewplank/controlplane/Storage.java
@@ -2,6 +2,7 @@
 
 import dewplank.message.EndpointList;
 import dewplank.register.DurableState;
+import dewplank.store.DiskResult;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
@@ -21,11 +22,18 @@
         return recovered().identity();
     }
 
-    /** Addresses of the acceptors that the fleet was bootstrapped with, as IP:PORT. */
-    List<String> founders();
+    /** The bootstrap of the fleet. */
+    FleetBootstrap bootstrap();
 
-    /** Whether the fleet starts for the first time: no vote and no promise can have been given before. */
-    boolean firstStart();
+    /** {@link FleetBootstrap#founders}. */
+    default List<String> founders() {
+        return bootstrap().founders();
+    }
+
+    /** {@link FleetBootstrap#firstStart}. */
+    default boolean firstStart() {
+        return bootstrap().firstStart();
+    }
 
     /** The highest fencing token voted for, by role, as it was when this process started. */
     Map<String, Long> fencingTokens();
@@ -33,9 +41,9 @@
     /**
      * Saves the highest fencing token voted for.
      *
-     * @param done takes whether the token is on the disk
+     * @param done receives whether the token is on the disk, in a later task of the loop
      */
-    void saveFencingToken(String role, long token, Consumer<Boolean> done);
+    void saveFencingToken(String role, long token, Consumer<DiskResult> done);
 
     /** The endpoint list as it was last saved; empty where there is none, or none that can be read. */
     Optional<EndpointList> savedList();
