--- a/consensus/src/main/java/dewplank/membership/SessionTable.java
+++ b/consensus/src/main/java/dewplank/membership/SessionTable.java
@@ -19,6 +19,14 @@
     /** Local sessions, beyond which none is opened: guards the memory of a small machine. */
     public static final int MAX_SESSIONS = 4_096;
 
+    /** What became of a request to open or renew a session. */
+    public enum Renewal {
+        /** The session is open, with a new lease. */
+        RENEWED,
+        /** The session was not open, and {@link #MAX_SESSIONS} are; nothing changed. */
+        REJECTED_MAX_SESSIONS
+    }
+
     private record RemoteSessions(double reportedAtMs, List<Member> sessions) {}
 
     private final double leaseMs;
@@ -39,13 +47,13 @@
         return leaseMs;
     }
 
-    /** Opens or renews a local session; returns false, and does nothing, where it would be one too many. */
-    public boolean tryRenew(double nowMs, Member member) {
+    /** Opens or renews a local session, unless it would be one too many. */
+    public Renewal renew(double nowMs, Member member) {
         if (localRenewedAtMs.size() >= MAX_SESSIONS && !localRenewedAtMs.containsKey(member)) {
-            return false;
+            return Renewal.REJECTED_MAX_SESSIONS;
         }
         localRenewedAtMs.put(member, nowMs);
-        return true;
+        return Renewal.RENEWED;
     }
 
     /** Ends a local session, as its connection has ended. */
--- a/consensus/src/test/java/dewplank/membership/SessionTableTest.java
+++ b/consensus/src/test/java/dewplank/membership/SessionTableTest.java
@@ -1,7 +1,6 @@
 package dewplank.membership;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -17,10 +16,10 @@
 
     @Test
     void aDataPlaneIsAMemberWhileItHasASessionAnywhere() {
-        table.tryRenew(0, member("a", 1));
+        table.renew(0, member("a", 1));
         table.onSessionsReported(0, "other", List.of(member("a", 1), member("b", 1)));
         assertEquals(2, table.members(1_900).size());
-        table.tryRenew(1_900, member("a", 1));
+        table.renew(1_900, member("a", 1));
         assertEquals(List.of(member("a", 1)), table.members(2_100));
         table.close(member("a", 1));
         assertTrue(table.members(2_200).isEmpty());
@@ -36,7 +35,7 @@
     @Test
     void ofTwoIncarnationsTheLaterOneIsTheMember() {
         table.onSessionsReported(0, "other", List.of(member("a", 1)));
-        table.tryRenew(0, member("a", 2));
+        table.renew(0, member("a", 2));
         assertEquals(List.of(member("a", 2)), table.members(1));
     }
 
@@ -51,9 +50,9 @@
     @Test
     void localSessionsAreBoundedAndThoseThatAreOpenRenewed() {
         for (int i = 0; i < SessionTable.MAX_SESSIONS; i++) {
-            assertTrue(table.tryRenew(0, member("n" + i, 1)));
+            assertEquals(SessionTable.Renewal.RENEWED, table.renew(0, member("n" + i, 1)));
         }
-        assertFalse(table.tryRenew(0, member("one more", 1)));
-        assertTrue(table.tryRenew(0, member("n0", 1)), "one that is there is renewed");
+        assertEquals(SessionTable.Renewal.REJECTED_MAX_SESSIONS, table.renew(0, member("one more", 1)));
+        assertEquals(SessionTable.Renewal.RENEWED, table.renew(0, member("n0", 1)), "one that is there is renewed");
     }
 }
--- a/controlplane/src/main/java/dewplank/controlplane/DataPlaneSessions.java
+++ b/controlplane/src/main/java/dewplank/controlplane/DataPlaneSessions.java
@@ -50,7 +50,7 @@
 
     /** Opens a session; empty where the table is full, and the connection is ended then. */
     Optional<Session> open(MessageLink connection, SessionOpen message) {
-        if (!table.tryRenew(loop.now(), message.member)) {
+        if (table.renew(loop.now(), message.member) == SessionTable.Renewal.REJECTED_MAX_SESSIONS) {
             LOG.warn("session rejected node={} reason=max-sessions", message.member.node);
             connection.close();
             return Optional.empty();
@@ -92,7 +92,7 @@
         /** Renews the lease, acknowledges, and sends what is newer than the data plane's versions. */
         void heartbeat(SessionHeartbeat heartbeat) {
             lastHeartbeatAt = loop.now();
-            table.tryRenew(lastHeartbeatAt, member);
+            table.renew(lastHeartbeatAt, member);
             versions.onHeartbeat(heartbeat);
             connection.send(new HeartbeatAck(heartbeat.sequence, source.isCurrent(), source.controlAddresses()));
             sendUpdate();
--- a/controlplane/src/test/java/dewplank/controlplane/DataPlaneSessionsTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/DataPlaneSessionsTest.java
@@ -238,7 +238,7 @@
     void rejectsASessionBeyondMaxSessions() throws Exception {
         OnLoop.run(loop, () -> {
             for (int i = 0; i < SessionTable.MAX_SESSIONS; i++) {
-                table.tryRenew(loop.now(), new Member("other" + i, Member.DATA, "a", "z", 1));
+                table.renew(loop.now(), new Member("other" + i, Member.DATA, "a", "z", 1));
             }
         });
         MessageLink connection = opened();
