--- a/consensus/src/main/java/dewplank/register/AntiEntropy.java
+++ b/consensus/src/main/java/dewplank/register/AntiEntropy.java
@@ -117,9 +117,7 @@
         reporters.clear();
         newestReported = Ballot.NONE;
         Set<AcceptorId> recipients = new LinkedHashSet<>(learner.acceptors().all());
-        if (learner.unconfirmedAcceptors() != null) {
-            recipients.addAll(learner.unconfirmedAcceptors().all());
-        }
+        learner.unconfirmedAcceptors().ifPresent(acceptors -> recipients.addAll(acceptors.all()));
         for (AcceptorId recipient : recipients) {
             effects.send(
                     recipient.address(),
--- a/consensus/src/main/java/dewplank/register/Learner.java
+++ b/consensus/src/main/java/dewplank/register/Learner.java
@@ -1,5 +1,7 @@
 package dewplank.register;
 
+import java.util.Optional;
+
 /**
  * The learner of one process: the newest value known to be chosen, the newest ballot seen accepted beyond it, and the
  * fetch of a value that is announced but not present here. {@link Register} calls it on its own thread. Ballot,
@@ -54,9 +56,9 @@
         return newestAccepted.isAfter(chosenBallot) ? newestAccepted : Ballot.NONE;
     }
 
-    /** The acceptors of the newest unconfirmed value seen, or null. */
-    AcceptorSet unconfirmedAcceptors() {
-        return newestAccepted.isAfter(chosenBallot) ? newestAcceptedSet : null;
+    /** The acceptors of the newest unconfirmed value seen; empty where there is none, or only its ballot was seen. */
+    Optional<AcceptorSet> unconfirmedAcceptors() {
+        return newestAccepted.isAfter(chosenBallot) ? Optional.ofNullable(newestAcceptedSet) : Optional.empty();
     }
 
     /** The highest round seen in any ballot. */
@@ -68,6 +70,11 @@
         highestRound = Math.max(highestRound, ballot.round());
     }
 
+    /**
+     * Records a ballot seen accepted.
+     *
+     * @param acceptors the acceptors of its value; null where the message left the value out
+     */
     void observeAccepted(Ballot ballot, AcceptorSet acceptors) {
         observeRound(ballot);
         if (ballot.isAfter(newestAccepted)) {
--- a/consensus/src/main/java/dewplank/register/Proposer.java
+++ b/consensus/src/main/java/dewplank/register/Proposer.java
@@ -174,9 +174,7 @@
         Round<A> round = new Round<>(ballot, learner.chosenBallot(), read, nowMs);
         transitionTo(new ProposerState.InRound<>(task, attempt, round));
         sendPrepare(round, learner.acceptors(), effects);
-        if (learner.unconfirmedAcceptors() != null) {
-            sendPrepare(round, learner.unconfirmedAcceptors(), effects);
-        }
+        learner.unconfirmedAcceptors().ifPresent(acceptors -> sendPrepare(round, acceptors, effects));
     }
 
     private void sendPrepare(Round<A> round, AcceptorSet acceptors, Register.Effects<A> effects) {
