--- a/emulator/src/main/java/dewplank/emulator/loopback/LoopbackRun.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/LoopbackRun.java
@@ -9,6 +9,7 @@
 import dewplank.emulator.RecordedEvent;
 import dewplank.emulator.RecordedEvent.Type;
 import dewplank.emulator.World;
+import dewplank.emulator.scenario.BalancerSettings;
 import dewplank.emulator.scenario.RequestClassSpec;
 import dewplank.emulator.scenario.Scenario;
 import dewplank.http.MessageWriter;
@@ -172,7 +173,7 @@
                                 world.directory().version(),
                                 true,
                                 world.directory().endpoints()));
-        config.add("settings", SidecarFile.settings(scenario.settings(sidecar)));
+        config.add("settings", SidecarFile.settings(BalancerSettings.of(scenario, sidecar)));
         if (peers != null) {
             config.addProperty("peer_listen", Addresses.text(peers.listen(sidecar)));
             JsonArray others = new JsonArray();
--- a/emulator/src/main/java/dewplank/emulator/scenario/ClientBehaviour.java
+++ b/emulator/src/main/java/dewplank/emulator/scenario/ClientBehaviour.java
@@ -16,4 +16,22 @@
         double backoffMs,
         double honourRetryAfterFraction,
         double abandonFraction,
-        boolean marksRetries) {}
+        boolean marksRetries) {
+
+    /** The same with another number of retries. */
+    ClientBehaviour withMaxRetries(int newMaxRetries) {
+        return new ClientBehaviour(
+                newMaxRetries,
+                attemptDeadlineFraction,
+                backoffMs,
+                honourRetryAfterFraction,
+                abandonFraction,
+                marksRetries);
+    }
+
+    /** The same with another part of the clients following Retry-After. */
+    ClientBehaviour withHonourRetryAfterFraction(double newFraction) {
+        return new ClientBehaviour(
+                maxRetries, attemptDeadlineFraction, backoffMs, newFraction, abandonFraction, marksRetries);
+    }
+}
--- a/emulator/src/main/java/dewplank/emulator/scenario/Fault.java
+++ b/emulator/src/main/java/dewplank/emulator/scenario/Fault.java
@@ -17,4 +17,15 @@
         double affectedFraction,
         double magnitude,
         double intervalMs,
-        String target) {}
+        String target) {
+
+    /** The same for another part of the servers. */
+    Fault withAffectedFraction(double newFraction) {
+        return new Fault(kind, atMs, durationMs, newFraction, magnitude, intervalMs, target);
+    }
+
+    /** The same with another magnitude. */
+    Fault withMagnitude(double newMagnitude) {
+        return new Fault(kind, atMs, durationMs, affectedFraction, newMagnitude, intervalMs, target);
+    }
+}
--- a/emulator/src/main/java/dewplank/emulator/scenario/LoadProfile.java
+++ b/emulator/src/main/java/dewplank/emulator/scenario/LoadProfile.java
@@ -9,4 +9,15 @@
  * @param periodMs of the shape
  */
 public record LoadProfile(
-        double utilization, double requestsPerSecond, LoadShape shape, double swing, double periodMs) {}
+        double utilization, double requestsPerSecond, LoadShape shape, double swing, double periodMs) {
+
+    /** The same shape with a load relative to the capacity. */
+    LoadProfile withUtilization(double newUtilization) {
+        return new LoadProfile(newUtilization, 0, shape, swing, periodMs);
+    }
+
+    /** The same shape with an absolute load. */
+    LoadProfile withRequestsPerSecond(double newRequestsPerSecond) {
+        return new LoadProfile(0, newRequestsPerSecond, shape, swing, periodMs);
+    }
+}
--- a/emulator/src/main/java/dewplank/emulator/scenario/Rules.java
+++ b/emulator/src/main/java/dewplank/emulator/scenario/Rules.java
@@ -28,4 +28,22 @@
         boolean healthChecks,
         boolean hedging,
         boolean retryAdvice,
-        double maxAdviceMs) {}
+        double maxAdviceMs) {
+
+    /** The same with another slack. */
+    Rules withAnswerSlackMs(double newAnswerSlackMs) {
+        return new Rules(
+                newAnswerSlackMs,
+                drainMs,
+                collapseFactor,
+                collapseWindowMs,
+                warmUpMs,
+                warmUpInitialFraction,
+                maxSendDelayMs,
+                maxAttempts,
+                healthChecks,
+                hedging,
+                retryAdvice,
+                maxAdviceMs);
+    }
+}
--- a/emulator/src/main/java/dewplank/emulator/virtualtime/VirtualRun.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/VirtualRun.java
@@ -10,6 +10,7 @@
 import dewplank.emulator.RecordedEvent;
 import dewplank.emulator.VirtualTime;
 import dewplank.emulator.World;
+import dewplank.emulator.scenario.BalancerSettings;
 import dewplank.emulator.scenario.Scenario;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -123,7 +124,7 @@
 
     Balancer newBalancer(int sidecar, int incarnation) {
         return policy.create(
-                scenario.settings(sidecar),
+                BalancerSettings.of(scenario, sidecar),
                 RandomStreams.mix(seed ^ RandomStreams.mix(sidecar * 1_000L + incarnation)),
                 world,
                 sidecar);
--- a/lab/src/main/java/dewplank/lab/bench/DecisionBench.java
+++ b/lab/src/main/java/dewplank/lab/bench/DecisionBench.java
@@ -13,6 +13,7 @@
 import dewplank.balancer.Event.UpdateKind;
 import dewplank.balancer.Outcome;
 import dewplank.balancer.adaptive.AdaptiveBalancer;
+import dewplank.emulator.scenario.BalancerSettings;
 import dewplank.emulator.scenario.Scenario;
 import dewplank.emulator.scenario.ScenarioFile;
 import java.util.ArrayDeque;
@@ -70,7 +71,7 @@
     public void setUp() {
         Scenario scenario = ScenarioFile.named("fleet").with("sidecars", 1);
         classes = scenario.classNames();
-        balancer = new AdaptiveBalancer(scenario.settings(0), new SplittableRandom(1));
+        balancer = new AdaptiveBalancer(BalancerSettings.of(scenario, 0), new SplittableRandom(1));
         endpoints.clear();
         for (int i = 0; i < servers; i++) {
             endpoints.add(endpoint(i, 1));
