--- /dev/null
+++ b/emulator/src/main/java/dewplank/emulator/Arrivals.java
@@ -0,0 +1,118 @@
+package dewplank.emulator;
+
+import dewplank.emulator.scenario.LoadProfile;
+import dewplank.emulator.scenario.RequestClassSpec;
+import dewplank.emulator.scenario.Scenario;
+import java.util.List;
+import java.util.function.Consumer;
+import java.util.function.DoubleSupplier;
+import org.apache.commons.rng.UniformRandomProvider;
+
+/**
+ * The requests of the application beside one sidecar: open arrivals, a Poisson process whose rate follows the load's
+ * shape and faults. They wait for nothing.
+ */
+final class Arrivals {
+    /** The rate is looked at again after so long: exponential gaps have no memory, so a gap may be cut anywhere. */
+    private static final double MAX_GAP_MS = 100;
+    /** The rate never falls below this fraction of the usual. */
+    private static final double MIN_RATE_FACTOR = 0.01;
+    /** Keys of different sidecars differ from this bit on. */
+    private static final int SIDECAR_SHIFT = 36;
+
+    private final World world;
+    private final Scenario scenario;
+    private final int sidecar;
+    private final RequestMix mix;
+    private final AttemptIds ids;
+    private final double endMs;
+    private final Consumer<ClientRequest> onArrival;
+    private final UniformRandomProvider random;
+    private final UniformRandomProvider subjectRandom;
+    private final DoubleSupplier gaps;
+    private final DoubleSupplier[] workByClass;
+    private final double usualRatePerMs;
+    private final double phase;
+    private final double startMs;
+    private double burstFactor = 1;
+    private double burstUntilMs;
+
+    Arrivals(
+            World world, int sidecar, RequestMix mix, AttemptIds ids, double endMs, Consumer<ClientRequest> onArrival) {
+        RandomStreams streams = world.randomStreams();
+        this.world = world;
+        this.scenario = world.scenario();
+        this.sidecar = sidecar;
+        this.mix = mix;
+        this.ids = ids;
+        this.endMs = endMs;
+        this.onArrival = onArrival;
+        this.random = streams.stream("client", sidecar);
+        this.subjectRandom = streams.stream("subjects", sidecar);
+        this.gaps = RandomStreams.exponential(streams.stream("arrivals", sidecar));
+        this.workByClass = new DoubleSupplier[scenario.classes().size()];
+        for (int i = 0; i < workByClass.length; i++) {
+            RequestClassSpec spec = scenario.classes().get(i);
+            workByClass[i] = RandomStreams.around(
+                    spec.distribution(), spec.cv(), streams.stream("work " + spec.name(), sidecar));
+        }
+        this.usualRatePerMs = world.arrivalsPerMs() / scenario.sidecars();
+        this.phase = streams.stream("phase", 0).nextDouble();
+        this.startMs = world.now();
+    }
+
+    /** Schedules the next arrival, and with it all that follow. */
+    void scheduleNext() {
+        double rate = usualRatePerMs
+                * Math.max(MIN_RATE_FACTOR, rateFactor())
+                * world.tenantTraffic().loadFactor();
+        double gapMs = gaps.getAsDouble() / rate;
+        if (gapMs > MAX_GAP_MS) {
+            world.schedule(MAX_GAP_MS, () -> {
+                if (world.now() < endMs) {
+                    scheduleNext();
+                }
+            });
+            return;
+        }
+        world.schedule(gapMs, () -> {
+            if (world.now() < endMs) {
+                onArrival.accept(draw());
+                scheduleNext();
+            }
+        });
+    }
+
+    /** The present rate, relative to the usual. */
+    private double rateFactor() {
+        LoadProfile load = scenario.load();
+        double nowMs = world.now() - startMs;
+        double factor =
+                switch (load.shape()) {
+                    case STEADY -> 1;
+                    case WAVE -> 1 + load.swing() * Math.sin(2 * Math.PI * (nowMs / load.periodMs() + phase));
+                    case BURSTS -> burstFactor(load, nowMs);
+                };
+        return factor * world.loadFactor();
+    }
+
+    private double burstFactor(LoadProfile load, double nowMs) {
+        if (nowMs >= burstUntilMs) {
+            burstFactor = burstFactor > 1 ? 1 - load.swing() : 1 + load.swing();
+            burstUntilMs = nowMs + load.periodMs() * (0.5 + random.nextDouble());
+        }
+        return burstFactor;
+    }
+
+    private ClientRequest draw() {
+        int requestClass = mix.requestClass(random.nextDouble());
+        List<RequestClassSpec> classes = scenario.classes();
+        double work = classes.get(requestClass).work() * workByClass[requestClass].getAsDouble();
+        long key = ((long) sidecar + 1 << SIDECAR_SHIFT) + ids.next();
+        boolean honoursRetryAfter = random.nextDouble() < scenario.clients().honourRetryAfterFraction();
+        int tenant = RequestMix.indexAt(
+                subjectRandom.nextDouble(), world.tenantTraffic().cumulativeFractions());
+        int subjectKey = mix.subjectKey(subjectRandom.nextDouble());
+        return new ClientRequest(requestClass, key, work, world.now(), honoursRetryAfter, tenant, subjectKey);
+    }
+}
--- a/emulator/src/main/java/dewplank/emulator/ClientAttempt.java
+++ b/emulator/src/main/java/dewplank/emulator/ClientAttempt.java
@@ -1,6 +1,6 @@
 package dewplank.emulator;
 
-/** One try of a client's request; a retry is another with an id of its own and the same key and work. */
+/** One attempt of a client's request. A retry is another attempt, with another identifier and the same key and work. */
 public final class ClientAttempt {
     private final long id;
     private final int requestClass;
@@ -13,45 +13,46 @@
     private final double sentAtMs;
     private final double deadlineMs;
 
-    boolean isOver;
-    final Clients.Request request;
+    private final ClientRequest request;
+    private boolean hasEnded;
 
+    /** An attempt of a scenario without tenants and keys; {@code request} may be null where no client retries it. */
     public ClientAttempt(
             long id,
-            int kind,
+            int requestClass,
             long key,
             double work,
             int sidecar,
-            boolean repeat,
-            double at,
-            double until,
-            Clients.Request ask) {
-        this(id, kind, key, work, sidecar, repeat, at, until, ask, -1, -1);
+            boolean isRetry,
+            double sentAtMs,
+            double deadlineMs,
+            ClientRequest request) {
+        this(id, requestClass, key, work, sidecar, isRetry, sentAtMs, deadlineMs, request, -1, -1);
     }
 
     ClientAttempt(
             long id,
-            int kind,
+            int requestClass,
             long key,
             double work,
             int sidecar,
-            boolean repeat,
-            double at,
-            double until,
-            Clients.Request ask,
+            boolean isRetry,
+            double sentAtMs,
+            double deadlineMs,
+            ClientRequest request,
             int tenant,
-            int about) {
+            int subjectKey) {
         this.id = id;
-        this.requestClass = kind;
+        this.requestClass = requestClass;
         this.key = key;
         this.work = work;
         this.sidecar = sidecar;
-        this.isRetry = repeat;
-        this.sentAtMs = at;
-        this.deadlineMs = until;
-        this.request = ask;
+        this.isRetry = isRetry;
+        this.sentAtMs = sentAtMs;
+        this.deadlineMs = deadlineMs;
+        this.request = request;
         this.tenant = tenant;
-        this.subjectKey = about;
+        this.subjectKey = subjectKey;
     }
 
     /** Identifier of this attempt. */
@@ -103,4 +104,18 @@
     public double deadlineMs() {
         return deadlineMs;
     }
+
+    /** The request that it is an attempt of; null for one that no client retries. */
+    ClientRequest request() {
+        return request;
+    }
+
+    /** Whether the client has a response, or waits no more. */
+    boolean hasEnded() {
+        return hasEnded;
+    }
+
+    void end() {
+        hasEnded = true;
+    }
 }
--- a/emulator/src/main/java/dewplank/emulator/Clients.java
+++ b/emulator/src/main/java/dewplank/emulator/Clients.java
@@ -3,272 +3,164 @@
 import dewplank.balancer.Settings.DeduplicationScope;
 import dewplank.balancer.Settings.Idempotency;
 import dewplank.emulator.RecordedEvent.Type;
-import dewplank.emulator.scenario.KeyModel;
-import dewplank.emulator.scenario.LoadProfile;
+import dewplank.emulator.scenario.ClientBehaviour;
 import dewplank.emulator.scenario.RequestClassSpec;
 import dewplank.emulator.scenario.Scenario;
-import java.util.Arrays;
-import java.util.function.DoubleSupplier;
-import java.util.stream.IntStream;
-import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * The application copies, one beside each sidecar: open arrivals that wait for nothing, and retries as ordinary clients
- * make them. A safe request is repeated after anything, a keyed one within its window, and an unsafe one only after a
- * refusal or where the sidecar could not be reached.
+ * The applications, one beside each sidecar, with retries as ordinary clients make them. A safe request is retried after
+ * any failure, a keyed one within its window, and an unsafe one only after a rejection or where the sidecar could not
+ * be reached.
+ *
+ * <p>All calls are made on the world's thread.
  */
 public final class Clients {
-    /** The way to a sidecar. */
+    /** How clients reach their sidecars; implemented by the drivers. */
     public interface SidecarConnector {
+        /** Sends the attempt to its sidecar; {@link Clients#answered} is called with the response. */
         void send(ClientAttempt request);
 
-        /** The client closes its connection. */
+        /** The client closes the attempt's connection. */
         void abandon(ClientAttempt request);
     }
 
-    /** How a request of a client's went, over all its tries. */
+    /** Gets the end of each request, over all its attempts. */
     public interface OutcomeListener {
-        /** {@code tookMs}: from the first try to the answer that served, or NaN where none did. */
-        void requestEnded(int kind, int tenant, double askedAt, double tookMs, int tries, RecordedEvent.Type last);
+        /** {@code tookMs}: from the first attempt to the response that served it, or NaN where none did. */
+        void requestEnded(int requestClass, int tenant, double firstSentAtMs, double tookMs, int attempts, Type last);
     }
 
-    /** One request of a client's. */
-    static final class Request {
-        final int requestClass;
-        final long key;
-        final double work;
-        final double firstSentAtMs;
-        final boolean honoursRetryAfter;
-        final int tenant;
-        final int subjectKey;
-        int attempts;
-
-        Request(int kind, long key, double work, double at, boolean honours, int tenant, int about) {
-            this.requestClass = kind;
-            this.key = key;
-            this.work = work;
-            this.firstSentAtMs = at;
-            this.honoursRetryAfter = honours;
-            this.tenant = tenant;
-            this.subjectKey = about;
-        }
-    }
+    /** What a client waits beyond its deadline for a response on its way, besides the scenario's slack. */
+    private static final double RESPONSE_SLACK_MS = 1;
+    /** Time that a retry must have left before the deadline. */
+    private static final double MIN_RETRY_MS = 1;
+    /** The part of its time after which an impatient client abandons an attempt. */
+    private static final double IMPATIENT_FRACTION = 0.5;
 
     private final World world;
-    private final SidecarConnector front;
-    private final OutcomeListener tally;
+    private final SidecarConnector connector;
+    private final OutcomeListener listener;
     private final Scenario scenario;
-    private final double end;
-    private final double[] cumulativeShares; // the classes' shares, added up
-    private final double[] cumulativeKeyShares; // the keys' popularity, added up
-    private long ids;
+    private final RequestMix mix;
+    private final AttemptIds ids = new AttemptIds();
+    private final double endMs;
     private int openRequests;
 
-    public Clients(World world, SidecarConnector front, OutcomeListener tally) {
+    /** Requests arrive from now on for the scenario's length, once {@link #start} is called. */
+    public Clients(World world, SidecarConnector connector, OutcomeListener listener) {
         this.world = world;
-        this.front = front;
-        this.tally = tally;
+        this.connector = connector;
+        this.listener = listener;
         this.scenario = world.scenario();
-        this.end = world.now() + scenario.lengthMs();
-        this.cumulativeShares = cumulative(scenario.classes().stream()
-                .mapToDouble(RequestClassSpec::weight)
-                .toArray());
-        KeyModel keys = scenario.tenantsAndKeys().keys();
-        this.cumulativeKeyShares = cumulative(IntStream.range(0, keys.count())
-                .mapToDouble(i -> Math.pow(i + 1, -keys.zipfExponent()))
-                .toArray());
-    }
-
-    private static double[] cumulative(double[] parts) {
-        double sum = Arrays.stream(parts).sum();
-        double[] upTo = new double[parts.length];
-        for (int i = 0; i < parts.length; i++) {
-            upTo[i] = parts[i] / sum + (i == 0 ? 0 : upTo[i - 1]);
-        }
-        return upTo;
-    }
-
-    /** The number whose part holds that place; -1 where there is none. */
-    private static int indexAt(double place, double[] upTo) {
-        int found = Arrays.binarySearch(upTo, place);
-        return Math.min(upTo.length - 1, found >= 0 ? found : -found - 1);
+        this.mix = new RequestMix(scenario);
+        this.endMs = world.now() + scenario.lengthMs();
     }
 
+    /** Starts the arrivals at all sidecars. */
     public void start() {
         for (int i = 0; i < scenario.sidecars(); i++) {
-            new ApplicationInstance(i).next();
+            int sidecar = i;
+            new Arrivals(world, sidecar, mix, ids, endMs, request -> arrive(request, sidecar)).scheduleNext();
         }
     }
 
-    /** Requests that have no end yet. */
+    /** Requests that have not ended. */
     public int openRequests() {
         return openRequests;
     }
 
-    /** The application copy beside one sidecar. */
-    private final class ApplicationInstance {
-        final int sidecar;
-        final UniformRandomProvider random;
-        final UniformRandomProvider subjects;
-        final DoubleSupplier gap;
-        final DoubleSupplier[] work;
-        final double perMs;
-        final double phase;
-        final double begun = world.now();
-        double burst = 1;
-        double burstUntil;
-
-        ApplicationInstance(int sidecar) {
-            this.sidecar = sidecar;
-            this.random = world.randomStreams().stream("client", sidecar);
-            this.subjects = world.randomStreams().stream("subjects", sidecar);
-            this.gap = RandomStreams.exponential(world.randomStreams().stream("arrivals", sidecar));
-            this.work = new DoubleSupplier[scenario.classes().size()];
-            for (int k = 0; k < work.length; k++) {
-                RequestClassSpec kind = scenario.classes().get(k);
-                work[k] = RandomStreams.around(
-                        kind.distribution(), kind.cv(), world.randomStreams().stream("work " + kind.name(), sidecar));
-            }
-            this.perMs = world.arrivalsPerMs() / scenario.sidecars();
-            this.phase = world.randomStreams().stream("phase", 0).nextDouble();
-        }
-
-        /** The part of the usual rate that holds now. */
-        double shape() {
-            LoadProfile load = scenario.load();
-            double now = world.now() - begun;
-            double factor =
-                    switch (load.shape()) {
-                        case STEADY -> 1;
-                        case WAVE -> 1 + load.swing() * Math.sin(2 * Math.PI * (now / load.periodMs() + phase));
-                        case BURSTS -> {
-                            if (now >= burstUntil) {
-                                burst = burst > 1 ? 1 - load.swing() : 1 + load.swing();
-                                burstUntil = now + load.periodMs() * (0.5 + random.nextDouble());
-                            }
-                            yield burst;
-                        }
-                    };
-            return factor * world.loadFactor();
-        }
-
-        void next() {
-            double rate = perMs * Math.max(0.01, shape()) * world.tenantLoad();
-            double wait = gap.getAsDouble() / rate;
-            if (wait > 100) { // the rate may have changed by then: exponential gaps have no memory
-                wait = 100;
-                world.schedule(wait, this::nextIfOpen);
-                return;
-            }
-            world.schedule(wait, () -> {
-                if (world.now() < end) {
-                    arrive();
-                    next();
-                }
-            });
-        }
-
-        private void nextIfOpen() {
-            if (world.now() < end) {
-                next();
-            }
-        }
-
-        void arrive() {
-            int kind = indexAt(random.nextDouble(), cumulativeShares);
-            double load = scenario.classes().get(kind).work() * work[kind].getAsDouble();
-            long key = ((long) sidecar + 1 << 36) + ++ids;
-            openRequests++;
-            boolean honours = random.nextDouble() < scenario.clients().honourRetryAfterFraction();
-            int tenant = indexAt(subjects.nextDouble(), world.tenantsUpTo());
-            int about = indexAt(subjects.nextDouble(), cumulativeKeyShares);
-            attempt(new Request(kind, key, load, world.now(), honours, tenant, about), sidecar);
-        }
+    private void arrive(ClientRequest request, int sidecar) {
+        openRequests++;
+        sendAttempt(request, sidecar);
     }
 
-    private void attempt(Request ask, int sidecar) {
-        RequestClassSpec kind = scenario.classes().get(ask.requestClass);
+    private void sendAttempt(ClientRequest request, int sidecar) {
+        ClientBehaviour behaviour = scenario.clients();
+        double classDeadlineMs = scenario.classes().get(request.requestClass).deadlineMs();
         double now = world.now();
-        double last = ask.firstSentAtMs + kind.deadlineMs();
-        double until = Math.min(last, now + scenario.clients().attemptDeadlineFraction() * kind.deadlineMs());
-        ClientAttempt t = new ClientAttempt(
-                ++ids,
-                ask.requestClass,
-                ask.key,
-                ask.work,
-                sidecar,
-                ask.attempts > 0,
-                now,
-                until,
-                ask,
-                ask.tenant,
-                ask.subjectKey);
-        ask.attempts++;
-        world.record(Type.SENT, t, sidecar, -1, until);
-        front.send(t);
-        boolean impatient = scenario.clients().abandonFraction() > 0
-                && world.randomStreams().unit(-t.id()) < scenario.clients().abandonFraction();
-        double wait = (until - now) * (impatient ? 0.5 : 1)
-                + (impatient ? 0 : scenario.rules().answerSlackMs() + 1);
-        world.schedule(wait, () -> {
-            if (!t.isOver) {
-                front.abandon(t);
-                over(t, Type.ABANDONED, impatient ? 1 : 0);
+        double deadlineMs = Math.min(
+                request.firstSentAtMs + classDeadlineMs, now + behaviour.attemptDeadlineFraction() * classDeadlineMs);
+        ClientAttempt attempt = request.nextAttempt(ids.next(), sidecar, now, deadlineMs);
+        world.record(Type.SENT, attempt, sidecar, RecordedEvent.NONE, deadlineMs);
+        connector.send(attempt);
+        boolean isImpatient = behaviour.abandonFraction() > 0
+                && world.randomStreams().unit(-attempt.id()) < behaviour.abandonFraction();
+        double waitMs = (deadlineMs - now) * (isImpatient ? IMPATIENT_FRACTION : 1)
+                + (isImpatient ? 0 : scenario.rules().answerSlackMs() + RESPONSE_SLACK_MS);
+        world.schedule(waitMs, () -> {
+            if (!attempt.hasEnded()) {
+                connector.abandon(attempt);
+                end(attempt, Type.ABANDONED, isImpatient ? 1 : 0);
             }
         });
     }
 
-    /** The client has its answer. {@code madeFor}: of a served one, the id of the request that it was made for. */
-    public void answered(ClientAttempt t, Type what, double value) {
-        if (t.isOver) {
-            world.record(what, t, t.sidecar(), -1, value); // a second answer: the auditor will see it
+    /**
+     * The client has the end of an attempt. A second one is recorded for the auditor, and has no other effect.
+     *
+     * @param type of the event to record, with its {@code value}
+     */
+    public void answered(ClientAttempt attempt, Type type, double value) {
+        if (attempt.hasEnded()) {
+            world.record(type, attempt, attempt.sidecar(), RecordedEvent.NONE, value);
             return;
         }
-        over(t, what, value);
+        end(attempt, type, value);
     }
 
-    private void over(ClientAttempt t, Type what, double value) {
-        t.isOver = true;
-        world.record(what, t, t.sidecar(), -1, value);
-        Request ask = t.request;
-        if (ask == null) {
+    private void end(ClientAttempt attempt, Type type, double value) {
+        attempt.end();
+        world.record(type, attempt, attempt.sidecar(), RecordedEvent.NONE, value);
+        ClientRequest request = attempt.request();
+        if (request == null) {
             return;
         }
-        double now = world.now();
-        RequestClassSpec kind = scenario.classes().get(ask.requestClass);
-        boolean may =
-                switch (what) {
-                    case SERVED -> false;
-                    case REFUSED, UNREACHABLE -> true;
-                    default -> kind.idempotency() == Idempotency.SAFE
-                            || kind.idempotency() == Idempotency.KEYED
-                                    && kind.deduplicationScope() == DeduplicationScope.ALL
-                                    && now - ask.firstSentAtMs < kind.deduplicationWindowMs();
-                };
-        double wait =
-                scenario.clients().backoffMs() * (0.5 + world.randomStreams().unit(t.id()));
-        if (what == Type.REFUSED && ask.honoursRetryAfter && value > 0) {
-            wait = Math.max(wait, Math.min(value, scenario.rules().maxAdviceMs()));
+        double delayMs = retryDelayMs(attempt, request, type, value);
+        if (mayRetry(request, type, delayMs)) {
+            world.schedule(delayMs, () -> sendAttempt(request, attempt.sidecar()));
+            return;
         }
-        boolean again = may
-                && ask.attempts <= scenario.clients().maxRetries()
-                && now + wait < ask.firstSentAtMs + kind.deadlineMs() - 1;
-        if (kind.idempotency() == Idempotency.KEYED
-                && what != Type.REFUSED
-                && now + wait - ask.firstSentAtMs >= kind.deduplicationWindowMs()) {
-            again = false; // its repeat would no longer be recognised
+        openRequests--;
+        listener.requestEnded(
+                request.requestClass,
+                request.tenant,
+                request.firstSentAtMs,
+                type == Type.SERVED ? world.now() - request.firstSentAtMs : Double.NaN,
+                request.attempts(),
+                type);
+    }
+
+    private double retryDelayMs(ClientAttempt attempt, ClientRequest request, Type type, double retryAfterMs) {
+        double backoffMs =
+                scenario.clients().backoffMs() * (0.5 + world.randomStreams().unit(attempt.id()));
+        if (type == Type.REFUSED && request.honoursRetryAfter && retryAfterMs > 0) {
+            return Math.max(backoffMs, Math.min(retryAfterMs, scenario.rules().maxAdviceMs()));
         }
-        if (again) {
-            world.schedule(wait, () -> attempt(ask, t.sidecar()));
-        } else {
-            openRequests--;
-            tally.requestEnded(
-                    ask.requestClass,
-                    ask.tenant,
-                    ask.firstSentAtMs,
-                    what == Type.SERVED ? now - ask.firstSentAtMs : Double.NaN,
-                    ask.attempts,
-                    what);
+        return backoffMs;
+    }
+
+    private boolean mayRetry(ClientRequest request, Type type, double delayMs) {
+        RequestClassSpec spec = scenario.classes().get(request.requestClass);
+        double retryAtMs = world.now() + delayMs;
+        if (!isRetryable(request, type, spec)
+                || request.attempts() > scenario.clients().maxRetries()
+                || retryAtMs >= request.firstSentAtMs + spec.deadlineMs() - MIN_RETRY_MS) {
+            return false;
         }
+        // a keyed request that is sent when its window is over would have a second effect
+        return spec.idempotency() != Idempotency.KEYED
+                || type == Type.REFUSED
+                || retryAtMs - request.firstSentAtMs < spec.deduplicationWindowMs();
+    }
+
+    private boolean isRetryable(ClientRequest request, Type type, RequestClassSpec spec) {
+        return switch (type) {
+            case SERVED -> false;
+            case REFUSED, UNREACHABLE -> true;
+            default -> spec.idempotency() == Idempotency.SAFE
+                    || spec.idempotency() == Idempotency.KEYED
+                            && spec.deduplicationScope() == DeduplicationScope.ALL
+                            && world.now() - request.firstSentAtMs < spec.deduplicationWindowMs();
+        };
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/EndpointDirectory.java
+++ b/emulator/src/main/java/dewplank/emulator/EndpointDirectory.java
@@ -180,8 +180,8 @@
 
     /** Its next look is drawn anew each time, so that watches don't move in step. */
     private void rhythm(Watch watch) {
-        double wait = world.scenario().directory().updateIntervalMs() * (0.5 + world.directoryRandom.nextDouble());
-        world.schedule(wait, () -> {
+        double waitMs = world.aroundMs(world.scenario().directory().updateIntervalMs());
+        world.schedule(waitMs, () -> {
             if (!watch.isClosed) {
                 tell(watch, false);
                 rhythm(watch);
--- a/emulator/src/main/java/dewplank/emulator/FaultInjector.java
+++ b/emulator/src/main/java/dewplank/emulator/FaultInjector.java
@@ -2,225 +2,282 @@
 
 import dewplank.balancer.Endpoint.Availability;
 import dewplank.emulator.Server.State;
-import dewplank.emulator.scenario.DirectoryModel;
 import dewplank.emulator.scenario.Fault;
+import dewplank.emulator.scenario.Scenario;
 import dewplank.emulator.scenario.TenantLoad;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
 import java.util.Random;
+import java.util.function.Consumer;
 import java.util.stream.IntStream;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** Plays a scenario's faults on a world. Which servers are hit is settled by the seed and the fault's place alone. */
+/**
+ * Plays a scenario's faults on a world. Which servers a fault affects depends on the seed and on the fault's index in the
+ * scenario alone. Runs on the world's thread.
+ */
 public final class FaultInjector {
-    /** Kills a sidecar and starts it again after a while. */
+    /** Kills sidecar processes; implemented by the drivers. */
     public interface SidecarKiller {
-        void kill(int sidecar, double backAfterMs);
+        /** Kills the sidecar's process and starts the next one after that time. */
+        void kill(int sidecar, double restartAfterMs);
     }
 
-    /** How long a server's successor takes to come up: it is begun while the server drains. */
-    private static final double BOOT_MS = 200;
+    /** How long a server's successor takes to start in a deploy: it is begun while the server drains. */
+    private static final double DEPLOY_START_MS = 200;
+    /** Shortest time between two batches of a deploy. */
+    private static final double MIN_BATCH_MS = 100;
+    /** After a server's draining has ended, so that it ends before the crash of the same moment. */
+    private static final double AFTER_DRAINING_MS = 1;
+    /** No neighbour takes more of a machine: the server goes on, if slowly. */
+    private static final double MAX_NEIGHBOUR_FRACTION = 0.95;
+    /** What a fraction of a list may exceed a whole number by, from rounding. */
+    private static final double ROUNDING = 1e-9;
 
     private final World world;
-    private final SidecarKiller killSidecar;
+    private final Scenario scenario;
+    private final SidecarKiller sidecarKiller;
 
-    private FaultInjector(World world, SidecarKiller killSidecar) {
+    private FaultInjector(World world, SidecarKiller sidecarKiller) {
         this.world = world;
-        this.killSidecar = killSidecar;
+        this.scenario = world.scenario();
+        this.sidecarKiller = sidecarKiller;
     }
 
-    public static void schedule(World world, SidecarKiller killSidecar) {
-        FaultInjector faults = new FaultInjector(world, killSidecar);
-        List<Fault> all = world.scenario().faults();
-        for (int i = 0; i < all.size(); i++) {
-            Fault fault = all.get(i);
+    /** Schedules all faults of the world's scenario, from now on. */
+    public static void schedule(World world, SidecarKiller sidecarKiller) {
+        FaultInjector injector = new FaultInjector(world, sidecarKiller);
+        List<Fault> faults = world.scenario().faults();
+        for (int i = 0; i < faults.size(); i++) {
+            Fault fault = faults.get(i);
             UniformRandomProvider random = world.randomStreams().stream("fault", i);
-            world.schedule(fault.atMs(), () -> faults.begin(fault, random));
+            world.schedule(fault.atMs(), () -> injector.begin(fault, random));
         }
     }
 
-    private List<Server> some(double part, UniformRandomProvider random) {
-        return shuffled(world.servers().size(), part, random).stream()
-                .map(world.servers()::get)
-                .toList();
+    private void begin(Fault fault, UniformRandomProvider random) {
+        switch (fault.kind()) {
+            case CRASH,
+                    VANISH,
+                    SLOW,
+                    PAUSE,
+                    NEIGHBOUR,
+                    DEPLOY,
+                    CLASS_ERRORS,
+                    LOST_ANSWERS,
+                    RESETS,
+                    ERRORS -> beginAtServers(fault, random);
+            case CUT -> partition(fault, random);
+            case LOSS -> during(fault, world.network()::setLossRate, 0);
+            case POISON -> poison(fault);
+            case LOAD -> during(fault, world::setLoadFactor, 1);
+            case TENANT_LOAD -> changeTenantLoad(fault);
+            case ZONE_LOSS -> loseZone(fault, random);
+            case DIRECTORY_DOWN -> {
+                world.directory().setDown(true);
+                world.schedule(fault.durationMs(), () -> world.directory().setDown(false));
+            }
+            case DIRECTORY_SILENT -> {
+                world.directory().setStalled(true);
+                world.schedule(fault.durationMs(), () -> world.directory().setStalled(false));
+            }
+            case SIDECAR_KILL -> drawNumbers(scenario.sidecars(), fault.affectedFraction(), random)
+                    .forEach(sidecar -> sidecarKiller.kill(sidecar, fault.durationMs()));
+        }
     }
 
-    /** The part, rounded up, of that many numbers, in a drawn order. */
-    private static List<Integer> shuffled(int count, double part, UniformRandomProvider random) {
-        List<Integer> numbers =
-                new ArrayList<>(IntStream.range(0, count).boxed().toList());
-        Collections.shuffle(numbers, new Random(random.nextLong()));
-        return firstOf(numbers, part);
-    }
-
-    private void begin(Fault f, UniformRandomProvider random) {
-        switch (f.kind()) {
-            case CRASH -> some(f.affectedFraction(), random).forEach(s -> lose(s, false, f.durationMs()));
-            case VANISH -> some(f.affectedFraction(), random).forEach(s -> lose(s, true, f.durationMs()));
-            case SLOW -> during(f, random, s -> s.setSlowdown(Math.max(1, f.magnitude())), s -> s.setSlowdown(1));
-            case PAUSE -> beat(
-                    f, some(f.affectedFraction(), random), world.now() + f.durationMs(), s -> s.pause(f.magnitude()));
-            case NEIGHBOUR -> neighbour(f, some(f.affectedFraction(), random), world.now() + f.durationMs(), true);
-            case DEPLOY -> deploy(f, shuffled(world.servers().size(), f.affectedFraction(), random), 0);
-            case CLASS_ERRORS -> classErrors(f, some(f.affectedFraction(), random));
+    private void beginAtServers(Fault fault, UniformRandomProvider random) {
+        List<Server> affected = drawServers(fault.affectedFraction(), random);
+        double magnitude = fault.magnitude();
+        double endMs = world.now() + fault.durationMs();
+        switch (fault.kind()) {
+            case CRASH -> affected.forEach(server -> crash(server, fault.durationMs()));
+            case VANISH -> affected.forEach(server -> vanish(server, fault.durationMs()));
+            case SLOW -> during(fault, affected, s -> s.setSlowdown(Math.max(1, magnitude)), s -> s.setSlowdown(1));
+            case PAUSE -> pause(fault, affected, endMs);
+            case NEIGHBOUR -> alternateNeighbour(fault, affected, endMs, true);
+            case DEPLOY -> deploy(fault, affected, 0);
+            case CLASS_ERRORS -> failClass(fault, affected);
             case LOST_ANSWERS -> during(
-                    f, random, s -> s.faultRates().setLostResponseRate(f.magnitude()), s -> s.faultRates()
+                    fault, affected, s -> s.faultRates().setLostResponseRate(magnitude), s -> s.faultRates()
                             .setLostResponseRate(0));
-            case RESETS -> during(f, random, s -> s.faultRates().setResetRate(f.magnitude()), s -> s.faultRates()
+            case RESETS -> during(fault, affected, s -> s.faultRates().setResetRate(magnitude), s -> s.faultRates()
                     .setResetRate(0));
-            case POISON -> {
-                world.setPoison(
-                        f.target() == null ? -1 : world.scenario().classNames().indexOf(f.target()), f.magnitude());
-                world.schedule(f.durationMs(), () -> world.setPoison(-1, 0));
-            }
-            case LOSS -> {
-                world.setLoss(f.magnitude());
-                world.schedule(f.durationMs(), () -> world.setLoss(0));
-            }
-            case CUT -> cut(f, random);
-            case LOAD -> {
-                world.setLoadFactor(f.magnitude());
-                world.schedule(f.durationMs(), () -> world.setLoadFactor(1));
-            }
             case ERRORS -> during(
-                    f, random, s -> s.faultRates().setImmediateErrorRate(f.magnitude()), s -> s.faultRates()
+                    fault, affected, s -> s.faultRates().setImmediateErrorRate(magnitude), s -> s.faultRates()
                             .setImmediateErrorRate(0));
-            case TENANT_LOAD -> {
-                int tenant = world.scenario().tenantsAndKeys().tenants().stream()
-                        .map(TenantLoad::name)
-                        .toList()
-                        .indexOf(f.target());
-                world.setTenantLoad(tenant, f.magnitude());
-                world.schedule(f.durationMs(), () -> world.setTenantLoad(tenant, 1));
-            }
-            case ZONE_LOSS -> zoneLoss(f, random);
-            case DIRECTORY_DOWN -> {
-                world.directory().setDown(true);
-                world.schedule(f.durationMs(), () -> world.directory().setDown(false));
-            }
-            case DIRECTORY_SILENT -> {
-                world.directory().setStalled(true);
-                world.schedule(f.durationMs(), () -> world.directory().setStalled(false));
-            }
-            case SIDECAR_KILL -> shuffled(world.scenario().sidecars(), f.affectedFraction(), random)
-                    .forEach(n -> killSidecar.kill(n, f.durationMs()));
+            default -> throw new IllegalArgumentException(fault.kind() + " is no fault of servers");
         }
     }
 
-    private interface Act {
-        void on(Server s);
+    // ---- who is affected ------------------------------------------------------------------------------
+
+    private List<Server> drawServers(double fraction, UniformRandomProvider random) {
+        return drawNumbers(world.servers().size(), fraction, random).stream()
+                .map(world.servers()::get)
+                .toList();
     }
 
-    private void during(Fault f, UniformRandomProvider random, Act begin, Act end) {
-        List<Server> hit = some(f.affectedFraction(), random);
-        hit.forEach(begin::on);
-        world.schedule(f.durationMs(), () -> hit.forEach(end::on));
+    /** Draws a fraction of the numbers below {@code count}, rounded up, in a drawn order. */
+    private static List<Integer> drawNumbers(int count, double fraction, UniformRandomProvider random) {
+        List<Integer> numbers =
+                new ArrayList<>(IntStream.range(0, count).boxed().toList());
+        Collections.shuffle(numbers, new Random(random.nextLong()));
+        return firstOf(numbers, fraction);
     }
 
-    private void beat(Fault f, List<Server> hit, double until, Act act) {
-        if (world.now() < until) {
-            hit.forEach(act::on);
-            world.schedule(f.intervalMs(), () -> beat(f, hit, until, act));
-        }
+    /** The first of a list, as many as make up that fraction of it, rounded up. */
+    private static List<Integer> firstOf(List<Integer> numbers, double fraction) {
+        int count = (int) Math.ceil(fraction * numbers.size() - ROUNDING);
+        return IntStream.range(0, Math.min(count, numbers.size()))
+                .mapToObj(numbers::get)
+                .toList();
     }
 
-    private void neighbour(Fault f, List<Server> hit, double until, boolean on) {
-        boolean over = world.now() >= until;
-        hit.forEach(s -> s.setNeighbourFraction(on && !over ? Math.min(0.95, f.magnitude()) : 0));
-        if (!over) {
-            world.schedule(f.intervalMs(), () -> neighbour(f, hit, until, !on));
-        }
+    // ---- faults that last -----------------------------------------------------------------------------
+
+    private interface Setting {
+        void set(double value);
     }
 
-    private void lose(Server s, boolean silently, double backAfterMs) {
-        if (s.state() != State.UP) {
-            return;
-        }
-        DirectoryModel d = world.scenario().directory();
-        if (silently) {
-            s.vanish();
-            world.directory().noticeLoss(s, d.vanishNoticeMs() * (0.5 + world.directoryRandom.nextDouble()));
-        } else {
-            s.crash();
-            world.serverDied(s);
+    /** Sets a figure to the fault's magnitude, and back to its usual value when the fault ends. */
+    private void during(Fault fault, Setting setting, double usual) {
+        setting.set(fault.magnitude());
+        world.schedule(fault.durationMs(), () -> setting.set(usual));
+    }
+
+    private void during(Fault fault, List<Server> affected, Consumer<Server> begin, Consumer<Server> end) {
+        affected.forEach(begin);
+        world.schedule(fault.durationMs(), () -> affected.forEach(end));
+    }
+
+    private void pause(Fault fault, List<Server> affected, double endMs) {
+        if (world.now() < endMs) {
+            affected.forEach(server -> server.pause(fault.magnitude()));
+            world.schedule(fault.intervalMs(), () -> pause(fault, affected, endMs));
         }
-        world.restart(s, backAfterMs);
     }
 
-    /** A drawn zone goes without a word, with the stated part of its sidecars, and comes back cold. */
-    private void zoneLoss(Fault f, UniformRandomProvider random) {
-        List<String> zones = world.scenario().zones();
-        String zone = zones.get(random.nextInt(zones.size()));
-        world.servers().stream().filter(s -> s.zone().equals(zone)).forEach(s -> lose(s, true, f.durationMs()));
-        List<Integer> there =
-                new ArrayList<>(IntStream.range(0, world.scenario().sidecars())
-                        .filter(n -> world.scenario().zoneOfSidecar(n).equals(zone))
-                        .boxed()
-                        .toList());
-        firstOf(there, Math.min(1, f.magnitude())).forEach(n -> killSidecar.kill(n, f.durationMs()));
-    }
-
-    private void classErrors(Fault f, List<Server> hit) {
-        int kind = world.scenario().classNames().indexOf(f.target());
-        hit.forEach(s -> s.faultRates().setErrorRate(kind, f.magnitude()));
-        world.schedule(f.durationMs(), () -> hit.forEach(s -> s.faultRates().resetErrorRate(kind)));
-    }
-
-    /** Batch after batch: listed as draining, given time, ended, started anew and cold. */
-    private void deploy(Fault f, List<Integer> order, int from) {
-        int batch = Math.max(1, (int) Math.round(f.magnitude() * world.servers().size()));
-        List<Integer> now = order.subList(Math.min(from, order.size()), Math.min(from + batch, order.size()));
-        if (now.isEmpty()) {
-            return;
+    private void alternateNeighbour(Fault fault, List<Server> affected, double endMs, boolean isBusy) {
+        boolean isOver = world.now() >= endMs;
+        double fraction = isBusy && !isOver ? Math.min(MAX_NEIGHBOUR_FRACTION, fault.magnitude()) : 0;
+        affected.forEach(server -> server.setNeighbourFraction(fraction));
+        if (!isOver) {
+            world.schedule(fault.intervalMs(), () -> alternateNeighbour(fault, affected, endMs, !isBusy));
         }
-        int batches = (order.size() + batch - 1) / batch;
-        double each = Math.max(100, f.durationMs() / batches);
-        for (int n : now) {
-            Server s = world.servers().get(n);
-            if (s.state() != State.UP) {
-                continue;
+    }
+
+    private void failClass(Fault fault, List<Server> affected) {
+        int requestClass = classIndex(fault);
+        during(
+                fault,
+                affected,
+                server -> server.faultRates().setErrorRate(requestClass, fault.magnitude()),
+                server -> server.faultRates().resetErrorRate(requestClass));
+    }
+
+    private void poison(Fault fault) {
+        world.setPoison(classIndex(fault), fault.magnitude());
+        world.schedule(fault.durationMs(), () -> world.setPoison(RecordedEvent.NONE, 0));
+    }
+
+    private int classIndex(Fault fault) {
+        return fault.target().map(scenario.classNames()::indexOf).orElse(RecordedEvent.NONE);
+    }
+
+    private void changeTenantLoad(Fault fault) {
+        List<String> names = scenario.tenantsAndKeys().tenants().stream()
+                .map(TenantLoad::name)
+                .toList();
+        int tenant = names.indexOf(fault.target().orElseThrow());
+        during(fault, factor -> world.tenantTraffic().setFactor(tenant, factor), 1);
+    }
+
+    private void partition(Fault fault, UniformRandomProvider random) {
+        List<Server> affected = drawServers(fault.affectedFraction(), random);
+        List<Integer> sidecars = drawNumbers(scenario.sidecars(), Math.min(1, fault.magnitude()), random);
+        setPartitioned(affected, sidecars, true);
+        world.schedule(fault.durationMs(), () -> setPartitioned(affected, sidecars, false));
+    }
+
+    private void setPartitioned(List<Server> servers, List<Integer> sidecars, boolean isPartitioned) {
+        for (Server server : servers) {
+            for (int sidecar : sidecars) {
+                world.network().setPartitioned(sidecar, server.number(), isPartitioned);
             }
-            int life = s.incarnation();
-            world.directory().set(s, Availability.DRAINING); // the deploy says so first; the process follows
-            double heard = world.scenario().directory().updateIntervalMs() * 2
-                    + world.scenario().rules().drainMs();
-            world.schedule(Math.min(heard, f.intervalMs()), () -> {
-                if (s.incarnation() == life) {
-                    s.drain();
-                }
-            });
-            world.schedule(f.intervalMs() + 1, () -> {
-                if (s.incarnation() == life && s.state() == State.DRAINING) {
-                    s.crash();
-                    world.directory().set(s, Availability.REMOVED);
-                    world.restart(s, BOOT_MS);
-                }
-            });
         }
-        world.schedule(each, () -> deploy(f, order, from + batch));
     }
 
-    private void cut(Fault f, UniformRandomProvider random) {
-        List<Server> hit = some(f.affectedFraction(), random);
-        List<Integer> from = shuffled(world.scenario().sidecars(), Math.min(1, f.magnitude()), random);
-        setCuts(hit, from, true);
-        world.schedule(f.durationMs(), () -> setCuts(hit, from, false));
+    // ---- loss of servers ------------------------------------------------------------------------------
+
+    private void crash(Server server, double restartAfterMs) {
+        if (server.state() == State.UP) {
+            server.crash();
+            world.noticeCrash(server);
+            world.restart(server, restartAfterMs);
+        }
     }
 
-    private void setCuts(List<Server> servers, List<Integer> sidecars, boolean cut) {
-        for (Server s : servers) {
-            for (int n : sidecars) {
-                world.setPartitioned(n, s.number(), cut);
-            }
+    private void vanish(Server server, double restartAfterMs) {
+        if (server.state() == State.UP) {
+            server.vanish();
+            world.noticeVanish(server);
+            world.restart(server, restartAfterMs);
         }
     }
 
-    /** The first of a list, as many as make up that fraction of it, rounded up. */
-    private static List<Integer> firstOf(List<Integer> shuffled, double fraction) {
-        int n = (int) Math.ceil(fraction * shuffled.size() - 1e-9);
-        return IntStream.range(0, Math.min(n, shuffled.size()))
-                .mapToObj(shuffled::get)
+    /** The machines of a drawn zone vanish, with a fraction of its sidecars, and come back cold. */
+    private void loseZone(Fault fault, UniformRandomProvider random) {
+        List<String> zones = scenario.zones();
+        String zone = zones.get(random.nextInt(zones.size()));
+        world.servers().stream()
+                .filter(server -> server.zone().equals(zone))
+                .forEach(server -> vanish(server, fault.durationMs()));
+        List<Integer> sidecars = IntStream.range(0, scenario.sidecars())
+                .filter(sidecar -> scenario.zoneOfSidecar(sidecar).equals(zone))
+                .boxed()
                 .toList();
+        firstOf(sidecars, Math.min(1, fault.magnitude()))
+                .forEach(sidecar -> sidecarKiller.kill(sidecar, fault.durationMs()));
+    }
+
+    // ---- deploy ---------------------------------------------------------------------------------------
+
+    /** Batch after batch: listed as draining, given time, ended, and started anew and cold. */
+    private void deploy(Fault fault, List<Server> order, int from) {
+        int batchSize =
+                Math.max(1, (int) Math.round(fault.magnitude() * world.servers().size()));
+        List<Server> batch = order.subList(Math.min(from, order.size()), Math.min(from + batchSize, order.size()));
+        if (batch.isEmpty()) {
+            return;
+        }
+        batch.forEach(server -> replace(server, fault.intervalMs()));
+        int batches = (order.size() + batchSize - 1) / batchSize;
+        double batchMs = Math.max(MIN_BATCH_MS, fault.durationMs() / batches);
+        world.schedule(batchMs, () -> deploy(fault, order, from + batchSize));
+    }
+
+    /** The endpoint list says first that the server drains; its process follows when the sidecars have been notified. */
+    private void replace(Server server, double drainMs) {
+        if (server.state() != State.UP) {
+            return;
+        }
+        int incarnation = server.incarnation();
+        world.directory().set(server, Availability.DRAINING);
+        double notifiedMs =
+                scenario.directory().updateIntervalMs() * 2 + scenario.rules().drainMs();
+        world.schedule(Math.min(notifiedMs, drainMs), () -> {
+            if (server.incarnation() == incarnation) {
+                server.drain();
+            }
+        });
+        world.schedule(drainMs + AFTER_DRAINING_MS, () -> {
+            if (server.incarnation() == incarnation && server.state() == State.DRAINING) {
+                server.crash();
+                world.directory().set(server, Availability.REMOVED);
+                world.restart(server, DEPLOY_START_MS);
+            }
+        });
     }
 }
--- /dev/null
+++ b/emulator/src/main/java/dewplank/emulator/KeyedRequests.java
@@ -0,0 +1,77 @@
+package dewplank.emulator;
+
+import dewplank.emulator.scenario.Scenario;
+import java.util.LinkedHashMap;
+import java.util.Map;
+
+/**
+ * What the servers of a deduplication scope share about keyed requests. A client's next attempt begins a window of its
+ * own: clients retry only while servers remember.
+ */
+final class KeyedRequests {
+    /** The window counts from the sending; a message may take so long. */
+    private static final double WINDOW_SLACK_MS = 10;
+    /** Longer than any server works on a request. */
+    private static final double ENTRY_LIFETIME_MS = 60_000;
+
+    private static final int MAX_ENTRIES = 1_000_000;
+    /** Above the number of any group. */
+    private static final int GROUP_FACTOR = 10_007;
+
+    private static final class Entry {
+        long attempt;
+        double firstReceivedAtMs;
+        boolean hadEffect;
+
+        Entry(double firstReceivedAtMs) {
+            this.firstReceivedAtMs = firstReceivedAtMs;
+        }
+    }
+
+    private final Scenario scenario;
+    private final Scheduler time;
+    private final Map<Long, Entry> entries = new LinkedHashMap<>() {
+        private static final long serialVersionUID = 1L;
+
+        @Override
+        protected boolean removeEldestEntry(Map.Entry<Long, Entry> eldest) {
+            return size() > MAX_ENTRIES || eldest.getValue().firstReceivedAtMs < time.now() - ENTRY_LIFETIME_MS;
+        }
+    };
+
+    KeyedRequests(Scenario scenario, Scheduler time) {
+        this.scenario = scenario;
+        this.time = time;
+    }
+
+    /** A server received a keyed request: whether it will recognise its key when it takes effect. */
+    boolean isWithinWindow(ClientAttempt request, Server server) {
+        double windowMs = scenario.classes().get(request.requestClass()).deduplicationWindowMs() + WINDOW_SLACK_MS;
+        Entry entry = entries.computeIfAbsent(scopedKey(request, server), k -> new Entry(time.now()));
+        if (entry.attempt != request.id()) {
+            entry.attempt = request.id();
+            entry.firstReceivedAtMs = time.now();
+        }
+        return time.now() - entry.firstReceivedAtMs <= windowMs;
+    }
+
+    /** A keyed request takes effect: whether none of its key has done so before. */
+    boolean isFirstEffect(ClientAttempt request, Server server) {
+        Entry entry = entries.get(scopedKey(request, server));
+        boolean isFirst = entry == null || !entry.hadEffect;
+        if (entry != null) {
+            entry.hadEffect = true;
+        }
+        return isFirst;
+    }
+
+    private long scopedKey(ClientAttempt request, Server server) {
+        long group =
+                switch (scenario.classes().get(request.requestClass()).deduplicationScope()) {
+                    case ALL -> 0;
+                    case ZONE -> 1 + scenario.zones().indexOf(server.zone());
+                    case CELL -> 1 + server.cell();
+                };
+        return request.key() * GROUP_FACTOR + group;
+    }
+}
--- a/emulator/src/main/java/dewplank/emulator/RandomStreams.java
+++ b/emulator/src/main/java/dewplank/emulator/RandomStreams.java
@@ -9,15 +9,16 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Random numbers by name. Each concern has a stream of its own, so that a change of one thing, or of the policy under
- * test, leaves all else as it was: runs with the same seed can be paired.
+ * Streams of random numbers by name. Each concern has its own stream, so that a change of one concern, or of the policy
+ * under test, leaves the others' numbers as they were: runs with the same seed can be paired.
  */
 public final class RandomStreams {
-    /** No request takes more than so many times the mean: its client and its server's own limits have ended it. */
-    private static final double LONGEST = 25;
+    /** Bound of log-normal values, in multiples of the mean: clients and servers end longer work anyway. */
+    private static final double MAX_LOGNORMAL = 25;
 
     private final long seed;
 
+    /** The streams of the run with that seed. */
     public RandomStreams(long seed) {
         this.seed = seed;
     }
@@ -28,9 +29,14 @@
         return RandomSource.XO_RO_SHI_RO_128_PP.create(new long[] {mixed, mix(mixed + 1)});
     }
 
-    /** A number from 0 to 1 that hangs on the run's seed and the given one alone. */
+    /** A number from 0 to 1 that depends on the run's seed and the given number alone. */
     public double unit(long number) {
-        return (mix(seed ^ mix(number)) >>> 11) * 0x1.0p-53;
+        return unitOf(mix(seed ^ mix(number)));
+    }
+
+    /** Maps 64 random bits to a number from 0 to 1. */
+    static double unitOf(long bits) {
+        return (bits >>> 11) * 0x1.0p-53;
     }
 
     /** The finalizer of SplitMix64 (Steele, Lea, Flood, OOPSLA '14). */
@@ -61,7 +67,7 @@
                 double variance = Math.log(1 + cv * cv);
                 DoubleSupplier sampler = LogNormalSampler.of(
                         ZigguratSampler.NormalizedGaussian.of(random), -variance / 2, Math.sqrt(variance))::sample;
-                yield () -> Math.min(LONGEST, sampler.getAsDouble());
+                yield () -> Math.min(MAX_LOGNORMAL, sampler.getAsDouble());
             }
             case GAMMA -> AhrensDieterMarsagliaTsangGammaSampler.of(random, 1 / (cv * cv), cv * cv)::sample;
             default -> exponential(random);
--- a/emulator/src/main/java/dewplank/emulator/RecordedEvent.java
+++ b/emulator/src/main/java/dewplank/emulator/RecordedEvent.java
@@ -14,6 +14,9 @@
 public record RecordedEvent(
         double atMs, Type type, long request, int requestClass, int sidecar, int server, double value) {
 
+    /** In place of a number that the event does not have. */
+    public static final int NONE = -1;
+
     public enum Type {
         /** A client's try was written whole to a sidecar; value: the time at which it stops waiting. */
         SENT,
--- a/emulator/src/main/java/dewplank/emulator/Server.java
+++ b/emulator/src/main/java/dewplank/emulator/Server.java
@@ -188,7 +188,7 @@
                 work * machine.cores() / capacity * sharing, (backlog() + onTheWay * meanWork + work) / capacity);
     }
 
-    private boolean isRunning() {
+    boolean isRunning() {
         return state == State.UP || state == State.DRAINING;
     }
 
@@ -228,7 +228,7 @@
             return;
         }
         double saved = keyCache.use(request.subjectKey(), world.now());
-        double work = request.work() * world.attemptNoise(request, number) * (1 - saved);
+        double work = request.work() * World.attemptNoise(request, number) * (1 - saved);
         world.record(Type.RECEIVED, request, sidecar, number, work);
         jobs.update();
         if (coldLoadLimit.isExceededBy(classOf(request).work())) {
@@ -246,7 +246,8 @@
 
     private void accept(ClientAttempt request, double work, ResponseHandler handler) {
         boolean isKeyed = classOf(request).idempotency() == Idempotency.KEYED;
-        jobs.add(new ServerJob(request, work, handler, isKeyed && world.withinWindow(request, this)));
+        jobs.add(new ServerJob(
+                request, work, handler, isKeyed && world.keyedRequests().isWithinWindow(request, this)));
     }
 
     private RequestClassSpec classOf(ClientAttempt request) {
@@ -259,7 +260,7 @@
 
     private void recordStart(ServerJob job) {
         world.record(Type.STARTED, job.request, job.request.sidecar(), number, 0);
-        if (world.poison(job.request)) {
+        if (world.isPoisonous(job.request)) {
             world.schedule(0, () -> world.crashByPoison(this));
         }
     }
@@ -277,7 +278,7 @@
     }
 
     private void takeEffect(ServerJob job) {
-        boolean isFirst = !job.isDeduplicated || world.firstOfKey(job.request, this);
+        boolean isFirst = !job.isDeduplicated || world.keyedRequests().isFirstEffect(job.request, this);
         Type type = isFirst ? Type.EFFECT : Type.DEDUPLICATED;
         world.record(type, job.request, job.request.sidecar(), number, 0);
     }
@@ -351,7 +352,7 @@
     private void collapse() {
         world.record(Type.SERVER_COLLAPSED, null, -1, number, coldLoadLimit.offeredWork());
         crash();
-        world.serverDied(this);
+        world.noticeCrash(this);
     }
 
     private void become(State next) {
--- a/emulator/src/main/java/dewplank/emulator/World.java
+++ b/emulator/src/main/java/dewplank/emulator/World.java
@@ -2,119 +2,101 @@
 
 import dewplank.emulator.RecordedEvent.Type;
 import dewplank.emulator.scenario.MachineType;
-import dewplank.emulator.scenario.NetworkModel;
-import dewplank.emulator.scenario.PeerMessages;
 import dewplank.emulator.scenario.Scenario;
-import dewplank.emulator.scenario.TenantLoad;
 import java.util.ArrayList;
-import java.util.Arrays;
+import java.util.Collections;
 import java.util.HashMap;
-import java.util.HashSet;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import java.util.function.DoubleSupplier;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** All that is round the sidecars in one run: servers, directory, network, what has had its effect. */
+/**
+ * Everything around the sidecars in one run: servers, directory, network, and the effects of requests. All calls are
+ * made on one thread, that of the {@link Scheduler}.
+ */
 public final class World {
-    /** The window counts from the sending; a message may take so long. */
-    private static final double WINDOW_SLACK_MS = 10;
-    /** Longer than any server holds a request. */
-    private static final double KEYS_KEPT_MS = 60_000;
-
-    private static final int MOST_KEYS = 1_000_000;
+    /** A request takes up to so much more or less work than its own, depending on the server. */
+    private static final double SERVER_NOISE = 0.15;
+    /** No server is slower than this fraction of its machine type, whatever the spread. */
+    private static final double MIN_SPEED_FACTOR = 0.3;
+    /** The golden ratio's fraction: its multiples spread evenly over [0, 1). */
+    private static final double GOLDEN_FRACTION = 0.6180339887498949;
+
+    private static final double RESTART_AFTER_POISON_MS = 1_000;
+    private static final long POISON_SALT = 0x5bd1e995;
+    /** Stands for no work at all, where work divides. */
+    private static final double MIN_WORK = 1e-9;
 
     private final Scenario scenario;
     private final RandomStreams randomStreams;
+    private final Scheduler time;
+    private final RecordedEvent.Recorder recorder;
     private final List<Server> servers = new ArrayList<>();
     private final Map<String, Server> serversById = new HashMap<>();
     private final EndpointDirectory directory;
-    private final Scheduler time;
-    private final RecordedEvent.Recorder recorder;
-    /** What the servers of a group share about a keyed request. */
-    private static final class Key {
-        long request;
-        double firstAt;
-        boolean done;
-
-        Key(double firstAt) {
-            this.firstAt = firstAt;
-        }
-    }
-
-    private final Map<Long, Key> keys = new LinkedHashMap<>() {
-        private static final long serialVersionUID = 1L;
-
-        @Override
-        protected boolean removeEldestEntry(Map.Entry<Long, Key> eldest) {
-            return size() > MOST_KEYS || eldest.getValue().firstAt < now() - KEYS_KEPT_MS;
-        }
-    };
-    private final Set<Long> partitions = new HashSet<>();
-    private final DoubleSupplier jitter;
-    final UniformRandomProvider directoryRandom;
-    private final UniformRandomProvider lossRandom;
-    private final double[] attemptNoise;
-    private double poisonPart;
-    private int poisonKind = -1;
+    private final UniformRandomProvider directoryRandom;
+    private final Network network;
+    private final KeyedRequests keyedRequests;
+    private final TenantTraffic tenantTraffic;
     private double loadFactor = 1;
-    private final double[] tenantFactors;
-    private double[] tenantsUpTo;
-    private double tenantLoad = 1;
-    private final UniformRandomProvider messageRandom;
-    private double loss;
+    private double poisonFraction;
+    private int poisonClass = RecordedEvent.NONE;
 
+    /** {@code recorder} gets each event at its time, on the scheduler's thread. */
     public World(Scenario scenario, long seed, Scheduler time, RecordedEvent.Recorder recorder) {
         this.scenario = scenario;
         this.randomStreams = new RandomStreams(seed);
         this.time = time;
         this.recorder = recorder;
-        this.jitter = RandomStreams.exponential(randomStreams.stream("network", 0));
         this.directoryRandom = randomStreams.stream("directory", 0);
-        this.lossRandom = randomStreams.stream("loss", 0);
-        this.attemptNoise = new double[] {0.15};
-        this.messageRandom = randomStreams.stream("messages", 0);
-        this.tenantFactors = new double[scenario.tenantsAndKeys().tenants().size()];
-        Arrays.fill(tenantFactors, 1);
-        shareOut();
-        double shares = scenario.servers().machines().stream()
-                .mapToDouble(MachineType::weight)
-                .sum();
-        UniformRandomProvider random = randomStreams.stream("fleet", 0);
-        DoubleSupplier normal = RandomStreams.normal(random);
-        int count = scenario.servers().count();
-        for (int i = 0; i < count; i++) { // kinds by their shares, spread evenly over the numbers
-            double place = (i * 0.6180339887498949 + 0.5) % 1 * shares;
-            MachineType machine = scenario.servers().machines().get(0);
-            for (MachineType m : scenario.servers().machines()) {
-                machine = m;
-                place -= m.weight();
-                if (place < 0) {
-                    break;
-                }
-            }
-            double speed = machine.speed() * Math.max(0.3, 1 + machine.speedSpread() * normal.getAsDouble());
-            Server server = new Server(
-                    this, i, machine, scenario.zones().get(i % scenario.zones().size()), speed);
+        this.network = new Network(scenario, randomStreams);
+        this.keyedRequests = new KeyedRequests(scenario, time);
+        this.tenantTraffic = new TenantTraffic(scenario.tenantsAndKeys().tenants());
+        addServers();
+        this.directory = new EndpointDirectory(this);
+    }
+
+    private void addServers() {
+        DoubleSupplier normal = RandomStreams.normal(randomStreams.stream("fleet", 0));
+        List<String> zones = scenario.zones();
+        for (int i = 0; i < scenario.servers().count(); i++) {
+            MachineType machine = machineTypeOf(i);
+            double spread = machine.speedSpread() * normal.getAsDouble();
+            double speed = machine.speed() * Math.max(MIN_SPEED_FACTOR, 1 + spread);
+            Server server = new Server(this, i, machine, zones.get(i % zones.size()), speed);
             servers.add(server);
             serversById.put(server.id(), server);
         }
-        this.directory = new EndpointDirectory(this);
     }
 
+    /** Machine types by their weights, spread evenly over the servers' numbers. */
+    private MachineType machineTypeOf(int server) {
+        List<MachineType> types = scenario.servers().machines();
+        double weights = types.stream().mapToDouble(MachineType::weight).sum();
+        double position = (server * GOLDEN_FRACTION + 0.5) % 1 * weights;
+        for (MachineType type : types) {
+            position -= type.weight();
+            if (position < 0) {
+                return type;
+            }
+        }
+        return types.get(types.size() - 1);
+    }
+
+    /** What the run plays. */
     public Scenario scenario() {
         return scenario;
     }
 
+    /** The run's random numbers. */
     public RandomStreams randomStreams() {
         return randomStreams;
     }
 
-    /** All servers, by number. */
+    /** All servers, by number; unmodifiable. */
     public List<Server> servers() {
-        return servers;
+        return Collections.unmodifiableList(servers);
     }
 
     /** The server of that identifier, or null where there is none. */
@@ -122,6 +104,7 @@
         return serversById.get(id);
     }
 
+    /** What the sidecars learn the endpoints from. */
     public EndpointDirectory directory() {
         return directory;
     }
@@ -131,197 +114,136 @@
         return time.now();
     }
 
-    public void schedule(double ms, Runnable task) {
-        time.after(ms, task);
+    /** Runs a task after a delay on the run's thread; see {@link Scheduler#after}. */
+    public void schedule(double delayMs, Runnable task) {
+        time.after(delayMs, task);
+    }
+
+    /** Records an event; {@code request} is null for one that is of no request. */
+    public void record(Type type, ClientAttempt request, int sidecar, int server, double value) {
+        long id = request == null ? RecordedEvent.NONE : request.id();
+        int requestClass = request == null ? RecordedEvent.NONE : request.requestClass();
+        recorder.record(new RecordedEvent(time.now(), type, id, requestClass, sidecar, server, value));
     }
 
-    /** Work per millisecond of all servers, warm and left alone. */
+    /** Work per millisecond of all servers, warm and not slowed down. */
     public double fullCapacity() {
         return servers.stream().mapToDouble(Server::fullCapacity).sum();
     }
 
-    /** First tries per millisecond over all sidecars, before the shape of the load. */
+    // ---- load -----------------------------------------------------------------------------------------
+
+    /** First attempts per millisecond over all sidecars, before the shape of the load and its faults. */
     public double arrivalsPerMs() {
         return scenario.load().requestsPerSecond() > 0
                 ? scenario.load().requestsPerSecond() / 1000
-                : scenario.load().utilization() * fullCapacity() / Math.max(1e-9, scenario.meanWork());
+                : scenario.load().utilization() * fullCapacity() / Math.max(MIN_WORK, scenario.meanWork());
     }
 
-    public void record(Type what, ClientAttempt request, int sidecar, int server, double value) {
-        recorder.record(new RecordedEvent(
-                time.now(),
-                what,
-                request == null ? -1 : request.id(),
-                request == null ? -1 : request.requestClass(),
-                sidecar,
-                server,
-                value));
+    double loadFactor() {
+        return loadFactor;
     }
 
-    // ---- the network ----------------------------------------------------------------------------------
+    void setLoadFactor(double factor) {
+        loadFactor = factor;
+    }
 
-    /** How long a message takes one way between a sidecar and a server. */
-    public double delay(int sidecar, Server server) {
-        NetworkModel n = scenario.network();
-        double base = scenario.zoneOfSidecar(sidecar).equals(server.zone()) ? n.sameZoneMs() : n.crossZoneMs();
-        return base * (1 + n.jitter() * jitter.getAsDouble());
+    TenantTraffic tenantTraffic() {
+        return tenantTraffic;
     }
 
-    public double clientDelay() {
-        return scenario.network().clientMs();
+    // ---- network --------------------------------------------------------------------------------------
+
+    Network network() {
+        return network;
     }
 
-    /** Whether messages between the two are lost without a word. */
-    public boolean isPartitioned(int sidecar, int server) {
-        return !partitions.isEmpty() && partitions.contains(pair(sidecar, server));
+    /** Draws the one-way delay of a message between a sidecar and a server, in milliseconds. */
+    public double delay(int sidecar, Server server) {
+        return network.drawDelayMs(sidecar, server);
     }
 
-    void setPartitioned(int sidecar, int server, boolean isPartitioned) {
-        if (isPartitioned) {
-            partitions.add(pair(sidecar, server));
-        } else {
-            partitions.remove(pair(sidecar, server));
-        }
+    /** One-way delay of a message between a client and its sidecar, in milliseconds. */
+    public double clientDelay() {
+        return scenario.network().clientMs();
     }
 
-    /** Whether this message is lost on its way: its connection stays open, and nothing comes. */
-    public boolean losesMessage() {
-        return loss > 0 && lossRandom.nextDouble() < loss;
+    /** Draws the delay of a datagram between two sidecars, in milliseconds; negative for one that is lost. */
+    public double messageDelay() {
+        return network.drawPeerDelayMs();
     }
 
-    void setLoss(double part) {
-        loss = part;
+    /** Whether messages between the two are dropped. */
+    public boolean isPartitioned(int sidecar, int server) {
+        return network.isPartitioned(sidecar, server);
     }
 
-    private static long pair(int sidecar, int server) {
-        return (long) sidecar << 32 | server;
+    /** Draws whether a message is lost: its connection stays open, and nothing arrives. */
+    public boolean losesMessage() {
+        return network.drawLoss();
     }
 
     // ---- requests at servers --------------------------------------------------------------------------
 
-    /** The same request takes a little more or less on each server; which, is settled by its key. */
-    double attemptNoise(ClientAttempt request, int server) {
-        double u = (RandomStreams.mix(request.key() * 31 + server) >>> 11) * 0x1.0p-53;
-        return 1 + attemptNoise[0] * (2 * u - 1);
-    }
-
-    private long group(ClientAttempt request, Server server) {
-        long group =
-                switch (scenario.classes().get(request.requestClass()).deduplicationScope()) {
-                    case ALL -> 0;
-                    case ZONE -> 1 + scenario.zones().indexOf(server.zone());
-                    case CELL -> 1 + server.cell();
-                };
-        return request.key() * 10_007 + group;
-    }
-
-    /**
-     * A keyed request has come: whether its group of servers will know it from the first attempt of the same try. A
-     * client's next try begins a window of its own: clients repeat only while servers remember.
-     */
-    boolean withinWindow(ClientAttempt request, Server server) {
-        double window = scenario.classes().get(request.requestClass()).deduplicationWindowMs() + WINDOW_SLACK_MS;
-        Key key = keys.computeIfAbsent(group(request, server), k -> new Key(now()));
-        if (key.request != request.id()) {
-            key.request = request.id();
-            key.firstAt = now();
-        }
-        return now() - key.firstAt <= window;
+    /** What a request's work is multiplied by at a server; it depends on the request's key, not on the time. */
+    static double attemptNoise(ClientAttempt request, int server) {
+        double fraction = RandomStreams.unitOf(RandomStreams.mix(request.key() * 31 + server));
+        return 1 + SERVER_NOISE * (2 * fraction - 1);
     }
 
-    /** It is about to have its effect: whether it is the first of its key, among those that are known from it. */
-    boolean firstOfKey(ClientAttempt request, Server server) {
-        Key key = keys.get(group(request, server));
-        boolean first = key == null || !key.done;
-        if (key != null) {
-            key.done = true;
-        }
-        return first;
+    KeyedRequests keyedRequests() {
+        return keyedRequests;
     }
 
-    /** A budget of work, with what the operators' standing test allows for chance: N + 3 sqrt(N) + 3 of mean work. */
+    /** A bound of work, with what the operators' standing test allows for chance: N + 3 sqrt(N) + 3 of mean work. */
     static double withChance(double work, double mean) {
-        double n = work / Math.max(1e-9, mean);
-        return mean * (n + 3 * Math.sqrt(n) + 3);
+        double requests = work / Math.max(MIN_WORK, mean);
+        return mean * (requests + 3 * Math.sqrt(requests) + 3);
     }
 
-    // ---- what goes wrong ------------------------------------------------------------------------------
+    // ---- faults ---------------------------------------------------------------------------------------
 
-    double loadFactor() {
-        return loadFactor;
+    /** A fraction of the requests of a class, or of all for {@link RecordedEvent#NONE}, crash their server. */
+    void setPoison(int requestClass, double fraction) {
+        poisonClass = requestClass;
+        poisonFraction = fraction;
     }
 
-    void setLoadFactor(double factor) {
-        loadFactor = factor;
+    /** Whether the request crashes its server; the same for all attempts of a request. */
+    boolean isPoisonous(ClientAttempt request) {
+        return poisonFraction > 0
+                && (poisonClass < 0 || poisonClass == request.requestClass())
+                && RandomStreams.unitOf(RandomStreams.mix(request.key() ^ POISON_SALT)) < poisonFraction;
     }
 
-    /** The tenants' parts of the traffic, added up. */
-    double[] tenantsUpTo() {
-        return tenantsUpTo;
-    }
-
-    /** Times the usual traffic that all tenants together ask for now. */
-    double tenantLoad() {
-        return tenantLoad;
-    }
-
-    void setTenantLoad(int tenant, double factor) {
-        tenantFactors[tenant] = factor;
-        shareOut();
-    }
-
-    private void shareOut() {
-        List<TenantLoad> tenants = scenario.tenantsAndKeys().tenants();
-        double[] asks = new double[tenants.size()];
-        double usual = 0;
-        double now = 0;
-        for (int i = 0; i < asks.length; i++) {
-            double part = tenants.get(i).share() * tenants.get(i).usage();
-            usual += part;
-            now += part * tenantFactors[i];
-            asks[i] = now;
+    void crashByPoison(Server server) {
+        if (server.isRunning()) {
+            server.crash();
+            noticeCrash(server);
+            restart(server, RESTART_AFTER_POISON_MS);
         }
-        tenantLoad = usual <= 0 ? 1 : now / usual;
-        double sum = now;
-        tenantsUpTo = Arrays.stream(asks).map(a -> sum <= 0 ? 1 : a / sum).toArray();
     }
 
-    /** How long a datagram between two sidecars takes, or -1 for a lost one. */
-    public double messageDelay() {
-        PeerMessages m = scenario.peerMessages();
-        boolean lostOnTheWay = messageRandom.nextDouble() < m.lossRate();
-        double delay = m.minDelayMs() + (m.maxDelayMs() - m.minDelayMs()) * messageRandom.nextDouble();
-        return lostOnTheWay ? -1 : delay;
+    /** The directory learns of the crash after a while. */
+    void noticeCrash(Server server) {
+        directory.noticeLoss(server, aroundMs(scenario.directory().crashNoticeMs()));
     }
 
-    void setPoison(int kind, double part) {
-        poisonKind = kind;
-        poisonPart = part;
-    }
-
-    /** Whether its server will not survive it; every try of one request is alike. */
-    boolean poison(ClientAttempt request) {
-        return poisonPart > 0
-                && (poisonKind < 0 || poisonKind == request.requestClass())
-                && (RandomStreams.mix(request.key() ^ 0x5bd1e995) >>> 11) * 0x1.0p-53 < poisonPart;
-    }
-
-    void crashByPoison(Server server) {
-        if (server.state() == Server.State.UP || server.state() == Server.State.DRAINING) {
-            server.crash();
-            serverDied(server);
-            restart(server, 1_000);
-        }
+    /** The directory learns after a while that the machine vanished. */
+    void noticeVanish(Server server) {
+        directory.noticeLoss(server, aroundMs(scenario.directory().vanishNoticeMs()));
     }
 
-    void serverDied(Server server) {
-        directory.noticeLoss(server, scenario.directory().crashNoticeMs() * (0.5 + directoryRandom.nextDouble()));
+    /** Draws a duration of the directory: from half to one and a half times the mean. */
+    double aroundMs(double meanMs) {
+        return meanMs * (0.5 + directoryRandom.nextDouble());
     }
 
+    /** Starts the server's next process, unless it has one by then. */
     void restart(Server server, double afterMs) {
-        int life = server.incarnation();
+        int incarnation = server.incarnation();
         schedule(afterMs, () -> {
-            if (server.incarnation() == life) {
+            if (server.incarnation() == incarnation) {
                 server.start();
                 directory.noticeStart(server);
             }
--- a/emulator/src/main/java/dewplank/emulator/scenario/Fault.java
+++ b/emulator/src/main/java/dewplank/emulator/scenario/Fault.java
@@ -1,5 +1,7 @@
 package dewplank.emulator.scenario;
 
+import java.util.Optional;
+
 /**
  * A fault, when it happens and what it affects.
  *
@@ -8,7 +10,7 @@
  * @param affectedFraction of the servers, or of the sidecars for {@link FaultKind#SIDECAR_KILL}
  * @param magnitude by kind: times slower, fraction taken, times the load, fraction of the requests, milliseconds
  * @param intervalMs of kinds that come and go; for a deploy, how long a server drains
- * @param target class or tenant that it affects, or null where it affects all
+ * @param target class or tenant that it affects, or empty where it affects all
  */
 public record Fault(
         FaultKind kind,
@@ -17,7 +19,7 @@
         double affectedFraction,
         double magnitude,
         double intervalMs,
-        String target) {
+        Optional<String> target) {
 
     /** The same for another part of the servers. */
     Fault withAffectedFraction(double newFraction) {
--- a/emulator/src/main/java/dewplank/emulator/scenario/ScenarioFile.java
+++ b/emulator/src/main/java/dewplank/emulator/scenario/ScenarioFile.java
@@ -10,6 +10,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
+import java.util.Optional;
 
 /** Reads a scenario from TOML. docs/laboratory.md lists the keys. */
 public final class ScenarioFile {
@@ -55,46 +56,51 @@
         }
     }
 
+    /** The scenario that a file's top table describes; the table must not hold unknown keys. */
     public static Scenario of(Table t) {
-        double length = 1000 * t.number("length_s", 1, MAX_DURATION_MS / 1000);
+        double lengthMs = 1000 * t.number("length_s", 1, MAX_DURATION_MS / 1000);
         Scenario scenario = new Scenario(
                 t.text("name"),
-                length,
+                lengthMs,
                 t.number("tick_ms", 0.1, 100, 5),
                 t.integer("sidecars", 1, MAX_SIDECARS),
                 t.texts("zones", List.of("a", "b")),
                 servers(t.table("servers")),
                 network(t.table("network")),
-                links(t.table("connections")),
+                connections(t.table("connections")),
                 directory(t.table("directory")),
-                reports(t.table("reports")),
+                loadReports(t.table("reports")),
                 load(t.table("load")),
                 clients(t.table("clients")),
-                t.tables("class").stream().map(ScenarioFile::kind).toList(),
+                t.tables("class").stream().map(ScenarioFile::requestClass).toList(),
                 rules(t.table("rules")),
-                subjects(t),
-                messages(t.table("messages")),
-                t.tables("fault").stream().map(f -> fault(f, length)).toList());
+                tenantsAndKeys(t),
+                peerMessages(t.table("messages")),
+                t.tables("fault").stream().map(f -> fault(f, lengthMs)).toList());
         t.text("about", "");
         t.text("like", "");
         t.rejectUnknownKeys();
         if (scenario.classes().isEmpty()) {
             throw t.error("class", "is missing: at least one is needed");
         }
-        List<String> tenants = scenario.tenantsAndKeys().tenants().stream()
-                .map(TenantLoad::name)
-                .toList();
-        for (Fault f : scenario.faults()) {
-            boolean ofTenant = f.kind() == FaultKind.TENANT_LOAD;
-            if (f.target() != null && !(ofTenant ? tenants : scenario.classNames()).contains(f.target())) {
-                throw t.error(
-                        "fault",
-                        "names the " + (ofTenant ? "tenant " : "class ") + f.target() + ", which is not there");
-            }
+        for (Fault fault : scenario.faults()) {
+            requireTarget(t, scenario, fault);
         }
         return scenario;
     }
 
+    private static void requireTarget(Table t, Scenario scenario, Fault fault) {
+        boolean isOfTenant = fault.kind() == FaultKind.TENANT_LOAD;
+        List<String> names = isOfTenant
+                ? scenario.tenantsAndKeys().tenants().stream()
+                        .map(TenantLoad::name)
+                        .toList()
+                : scenario.classNames();
+        fault.target().filter(name -> !names.contains(name)).ifPresent(name -> {
+            throw t.error("fault", "names the " + (isOfTenant ? "tenant " : "class ") + name + ", which is not there");
+        });
+    }
+
     private static Servers servers(Table t) {
         List<MachineType> machines =
                 t.tables("machine").stream().map(ScenarioFile::machine).toList();
@@ -147,8 +153,8 @@
         return network;
     }
 
-    private static ConnectionModel links(Table t) {
-        ConnectionModel links = new ConnectionModel(
+    private static ConnectionModel connections(Table t) {
+        ConnectionModel connections = new ConnectionModel(
                 t.number("handshake_ms", 0, 1000, 0.5),
                 t.number("handshake_work_ms", 0, 1000, 3),
                 1000 * t.number("idle_s", 0, 3600, 60),
@@ -157,7 +163,7 @@
                 t.number("full_tax", 0, 0.99, 0),
                 t.number("connect_timeout_ms", 0, 60_000, 200));
         t.rejectUnknownKeys();
-        return links;
+        return connections;
     }
 
     private static DirectoryModel directory(Table t) {
@@ -172,7 +178,7 @@
         return directory;
     }
 
-    private static LoadReports reports(Table t) {
+    private static LoadReports loadReports(Table t) {
         LoadReports reports = new LoadReports(
                 t.flag("given", true), t.number("period_ms", 0, 60_000, 800), t.number("noise", 0, 10, 0.05));
         t.rejectUnknownKeys();
@@ -180,10 +186,10 @@
     }
 
     private static LoadProfile load(Table t) {
-        double perS = t.number("per_s", 0, 10_000_000, 0);
+        double requestsPerSecond = t.number("per_s", 0, 10_000_000, 0);
         LoadProfile load = new LoadProfile(
-                perS > 0 ? 0 : t.number("share", 0, 100),
-                perS,
+                requestsPerSecond > 0 ? 0 : t.number("share", 0, 100),
+                requestsPerSecond,
                 t.enumValue("shape", LoadShape.class, LoadShape.STEADY),
                 t.number("swing", 0, 1, 0.3),
                 1000 * t.number("period_s", 0.01, 3600, 20));
@@ -203,27 +209,27 @@
         return clients;
     }
 
-    private static RequestClassSpec kind(Table t) {
-        Idempotency effect = t.enumValue("effect", Idempotency.class, Idempotency.SAFE);
-        double deadline = t.number("deadline_ms", 1, MAX_DURATION_MS);
-        RequestClassSpec kind = new RequestClassSpec(
+    private static RequestClassSpec requestClass(Table t) {
+        Idempotency idempotency = t.enumValue("effect", Idempotency.class, Idempotency.SAFE);
+        double deadlineMs = t.number("deadline_ms", 1, MAX_DURATION_MS);
+        RequestClassSpec spec = new RequestClassSpec(
                 t.text("name"),
                 t.number("share", 0, 1000, 1),
                 t.number("work_ms", 0, 60_000),
                 t.enumValue("distribution", Distribution.class, Distribution.EXP),
                 t.number("cv", 0, 10, 1),
                 t.number("waits_ms", 0, 60_000, 0),
-                t.number("aim_ms", 1, deadline, deadline),
-                deadline,
+                t.number("aim_ms", 1, deadlineMs, deadlineMs),
+                deadlineMs,
                 t.number("worth", 0, 1e6, 1),
-                effect,
+                idempotency,
                 t.enumValue("scope", DeduplicationScope.class, DeduplicationScope.ALL),
                 t.number("window_ms", 0, MAX_DURATION_MS, 750));
         t.rejectUnknownKeys();
-        return kind;
+        return spec;
     }
 
-    private static TenantsAndKeys subjects(Table t) {
+    private static TenantsAndKeys tenantsAndKeys(Table t) {
         List<TenantLoad> tenants =
                 t.tables("tenant").stream().map(ScenarioFile::tenant).toList();
         Table table = t.table("subjects");
@@ -233,13 +239,13 @@
                 table.number("spared", 0, 1, 0.5),
                 1000 * table.number("fresh_s", 0, 3600, 6),
                 table.number("per_core", 0, 1e6, 4));
-        TenantsAndKeys subjects = new TenantsAndKeys(
+        TenantsAndKeys tenantsAndKeys = new TenantsAndKeys(
                 tenants, table.number("over_share_worth", 0, 1, 1), table.number("quota", 0.01, 10, 0.8), keys);
         table.rejectUnknownKeys();
         if (tenants.stream().map(TenantLoad::name).distinct().count() < tenants.size()) {
             throw t.error("tenant", "has one name twice");
         }
-        return subjects;
+        return tenantsAndKeys;
     }
 
     private static TenantLoad tenant(Table t) {
@@ -249,7 +255,7 @@
         return tenant;
     }
 
-    private static PeerMessages messages(Table t) {
+    private static PeerMessages peerMessages(Table t) {
         double minDelayMs = t.number("least_ms", 0, 60_000, 1.7);
         PeerMessages messages = new PeerMessages(
                 t.flag("given", false),
@@ -278,34 +284,35 @@
         return rules;
     }
 
-    private static Fault fault(Table t, double length) {
+    private static Fault fault(Table t, double lengthMs) {
         FaultKind kind = t.enumValue("what", FaultKind.class, null);
-        double at = 1000 * t.number("at_s", 0, length / 1000);
+        double atMs = 1000 * t.number("at_s", 0, lengthMs / 1000);
         Fault fault = new Fault(
                 kind,
-                at,
+                atMs,
                 1000
                         * t.number(
                                 "for_s",
                                 0,
                                 MAX_DURATION_MS / 1000,
-                                kind == FaultKind.SIDECAR_KILL ? 1.7 : length / 1000),
+                                kind == FaultKind.SIDECAR_KILL ? 1.7 : lengthMs / 1000),
                 t.number("part", 0, 1, 0.2),
                 t.number("size", 0, 1000, defaultMagnitude(kind)),
                 1000 * t.number("every_s", 0.01, 3600, kind == FaultKind.DEPLOY ? 4 : 3),
-                named(t, kind == FaultKind.TENANT_LOAD ? "tenant" : "class"));
-        if (kind == FaultKind.TENANT_LOAD && fault.target() == null) {
+                target(t, kind == FaultKind.TENANT_LOAD ? "tenant" : "class"));
+        if (kind == FaultKind.TENANT_LOAD && fault.target().isEmpty()) {
             throw t.error("tenant", "is missing: this fault is one tenant's");
         }
-        if (kind == FaultKind.CLASS_ERRORS && fault.target() == null) {
+        if (kind == FaultKind.CLASS_ERRORS && fault.target().isEmpty()) {
             throw t.error("class", "is missing: this fault hits one class");
         }
         t.rejectUnknownKeys();
         return fault;
     }
 
-    private static String named(Table t, String key) {
-        return t.text(key, "").isEmpty() ? null : t.text(key);
+    private static Optional<String> target(Table t, String key) {
+        String name = t.text(key, "");
+        return name.isEmpty() ? Optional.empty() : Optional.of(name);
     }
 
     private static double defaultMagnitude(FaultKind kind) {
--- a/emulator/src/test/java/dewplank/emulator/EndpointDirectoryTest.java
+++ b/emulator/src/test/java/dewplank/emulator/EndpointDirectoryTest.java
@@ -61,10 +61,10 @@
         Server quick = world.servers().get(0);
         Server lost = world.servers().get(1);
         quick.crash();
-        world.serverDied(quick);
+        world.noticeCrash(quick);
         world.restart(quick, 100);
         lost.crash();
-        world.serverDied(lost);
+        world.noticeCrash(lost);
         time.runUntil(900);
         assertEquals(List.of("changes 0", "changes 1"), heard); // the quick one's new start
         time.runUntil(4_000);
