--- a/balancer/src/main/java/dewplank/balancer/Event.java
+++ b/balancer/src/main/java/dewplank/balancer/Event.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** What has happened at the host, as told to {@link Balancer#handle}. Times are in milliseconds. */
+/** What has happened at the host, as handed to {@link Balancer#handle}. Times are in milliseconds. */
 public sealed interface Event {
 
     /** What an {@link EndpointUpdate} holds. */
@@ -24,7 +24,7 @@
      * A client's request has come.
      *
      * @param tenant null where none is stated
-     * @param key by which repeats and caches are told apart; null where none is stated
+     * @param key that identifies repeats and cached work; null where none is stated
      * @param isRepeat whether the client has sent it before
      * @param requestClass a class that the settings name
      * @param budgetMs the time left until the client gives up
--- a/balancer/src/main/java/dewplank/balancer/health/PeerSummary.java
+++ b/balancer/src/main/java/dewplank/balancer/health/PeerSummary.java
@@ -11,7 +11,7 @@
  * for each server, as many as fit; all big-endian.
  *
  * @param createdAtMs in milliseconds of the clock that all machines read; orders an instance's summaries
- *     and tells their age, across its restarts too
+ *     and gives their age, across its restarts too
  * @param unhealthyServers {@link String#hashCode} of each server's id
  */
 public record PeerSummary(double createdAtMs, List<Integer> unhealthyServers) {
--- a/balancer/src/main/java/dewplank/balancer/health/PeerVotes.java
+++ b/balancer/src/main/java/dewplank/balancer/health/PeerVotes.java
@@ -7,7 +7,7 @@
  * The peers' latest summaries, each counted as a vote while it is fresh. Times are in milliseconds of the
  * clock that all machines read. Not thread-safe.
  *
- * @param <P> how peers are told apart, such as their number
+ * @param <P> the identity of a peer, such as its number
  */
 public final class PeerVotes<P> {
     private static final double MAX_AGE_MS = 3_000; // a summary counts so long
--- a/balancer/src/main/java/dewplank/balancer/package-info.java
+++ b/balancer/src/main/java/dewplank/balancer/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What a balancer is told and what it may do: the contract between the decisions and their hosts, which are
+ * The events that a balancer gets and the actions that it may take: the contract between the decisions and their hosts, which are
  * the sidecar, the emulator and the simulator's adapter.
  *
  * <p>Everything in this module is pure: an event and a time go in, actions come out. No class here reads a
--- a/cli/src/main/java/dewplank/StartFailures.java
+++ b/cli/src/main/java/dewplank/StartFailures.java
@@ -5,7 +5,7 @@
 import dewplank.store.StoreException;
 import java.net.BindException;
 
-/** Why one of the fleet's programs could not start, as its operator is told. Loaded only then. */
+/** The message to the operator when one of the fleet's programs cannot start. Loaded only then. */
 final class StartFailures {
     private StartFailures() {}
 
--- a/cli/src/main/java/dewplank/TrialCommands.java
+++ b/cli/src/main/java/dewplank/TrialCommands.java
@@ -20,7 +20,7 @@
     private TrialCommands() {}
 
     /**
-     * How this program starts a sidecar of its own: the same JVM and class path, within the bounds of the platform's.
+     * How this program starts a sidecar process: the same JVM and class path, within the bounds of the platform's.
      */
     static List<String> sidecarCommand() {
         return List.of(
--- a/cli/src/main/java/dewplank/rehearsal/FleetRehearsal.java
+++ b/cli/src/main/java/dewplank/rehearsal/FleetRehearsal.java
@@ -39,7 +39,7 @@
         this.directory = directory;
     }
 
-    /** Runs it once; the data directory is one of its own below the given folder. */
+    /** Runs it once; the data directory is a new one below the given folder. */
     public static void run(Path folder) throws IOException, InterruptedException, StoreException {
         Files.createDirectories(folder);
         new FleetRehearsal(Files.createTempDirectory(folder, "rehearsal")).play();
--- a/configuration/src/main/java/dewplank/configuration/ChangeRequest.java
+++ b/configuration/src/main/java/dewplank/configuration/ChangeRequest.java
@@ -13,7 +13,7 @@
  * @param body the body as it was received; not copied, and not to be changed
  */
 public record ChangeRequest(boolean patch, long expectedVersion, byte[] body) {
-    /** A SHA-256 digest that tells this request from any other: its kind, the version it builds on, and its body. */
+    /** A SHA-256 digest that identifies this request: its kind, the version it builds on, and its body. */
     public byte[] digest() {
         try {
             MessageDigest sha256 = MessageDigest.getInstance("SHA-256");
--- a/configuration/src/main/java/dewplank/configuration/RequestLimits.java
+++ b/configuration/src/main/java/dewplank/configuration/RequestLimits.java
@@ -9,6 +9,6 @@
  * @param idleTimeoutMs how long a connection may stay idle
  */
 public record RequestLimits(int maxHeaderBytes, int maxBodyBytes, double headerTimeoutMs, double idleTimeoutMs) {
-    /** What holds where a configuration is silent: the figures of the operator's own example. */
+    /** The defaults where a configuration names none: the figures of the operator's own example. */
     public static final RequestLimits DEFAULTS = new RequestLimits(16_384, 4_194_304, 3_000, 15_000);
 }
--- a/configuration/src/main/java/dewplank/configuration/RouteTable.java
+++ b/configuration/src/main/java/dewplank/configuration/RouteTable.java
@@ -6,7 +6,7 @@
 
 /**
  * The look-up of routes by host and longest path prefix. Immutable once it is built, so any thread may use it; the data
- * plane builds one for each configuration and asks it for each request.
+ * plane builds one for each configuration and looks each request up in it.
  */
 public final class RouteTable {
     /** A node of the tree of path segments; it has a route where a prefix ends. */
--- a/consensus/src/main/java/dewplank/singleton/LeaseTiming.java
+++ b/consensus/src/main/java/dewplank/singleton/LeaseTiming.java
@@ -15,7 +15,7 @@
     private static final double MARGIN_FRACTION = 1.0 / 20;
     /**
      * Short, as each round with a voter that is down waits it out. It must cover a round trip to the furthest voter and
-     * a synced write, so a lease below two seconds between regions calls for times of its own.
+     * a synced write, so a lease below two seconds between regions needs other times.
      */
     private static final double VOTE_TIMEOUT_FRACTION = 1.0 / 10;
     /** A few round trips wide, so that the first candidate has mostly won before the second begins. */
--- a/consensus/src/main/java/dewplank/singleton/LeaseVoter.java
+++ b/consensus/src/main/java/dewplank/singleton/LeaseVoter.java
@@ -8,7 +8,7 @@
 /**
  * One control plane's vote in the elections of lease holders: for each singleton role it is bound to one {@link
  * Candidate} at a time, for the length of a lease, and never votes twice under one fencing token. Invariants 1 to 5 and
- * 8 of {@code docs/control-state.md}, point 6, are kept here; the comments refer to them by number.
+ * 8 of {@code docs/control-state.md}, point 6, are enforced here; the comments refer to them by number.
  *
  * <p>A state machine without input or output, like the candidate: the caller hands in the time, the requests and the
  * sets of voters, and does what {@link Effects} say. Not thread-safe; the control plane calls it on its event loop.
--- a/consensus/src/main/java/dewplank/singleton/package-info.java
+++ b/consensus/src/main/java/dewplank/singleton/package-info.java
@@ -11,7 +11,7 @@
  * 1989; on the wire and in the operators' JSON a role is called a duty.
  *
  * <p>Where a majority is connected and links and disks are well, a lease that was released is acquired again within a
- * lease; one whose holder ended, froze, was wiped or was cut off within two (the longest of 36,000 in {@code
+ * lease; one whose holder ended, froze, was wiped or was partitioned off within two (the longest of 36,000 in {@code
  * LeaseVacancyTest} was 2.02 s at a lease of 1.2 s); and one whose voters all restarted within two of their start. The
  * tests hold these bounds. Delays are drawn, so mostly it is far less: a delay and two round trips after the release,
  * or after the votes have expired.
--- a/controlplane/src/main/java/dewplank/controlplane/Bootstrap.java
+++ b/controlplane/src/main/java/dewplank/controlplane/Bootstrap.java
@@ -45,7 +45,7 @@
                 .toList();
     }
 
-    /** The identity of a disk that was empty when the whole system started for the first time. */
+    /** The identity of a disk that was empty when the fleet started for the first time. */
     private static String bootstrapIdentity(String address) {
         return "founder@" + address;
     }
--- a/controlplane/src/main/java/dewplank/controlplane/ControlMesh.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ControlMesh.java
@@ -130,7 +130,7 @@
         link.remove();
     }
 
-    /** The control plane at that address; empty where nothing was received from it lately. */
+    /** The control plane at that address; empty where nothing was received from it recently. */
     Optional<Peer> peer(String address) {
         return Optional.ofNullable(peers.get(address));
     }
@@ -161,14 +161,14 @@
         return peer != null && !peer.durable();
     }
 
-    /** All addresses without relays, those that are up first: for a caller that can't be told which ones live. */
+    /** All addresses without relays, those that are up first: for a caller that does not know which ones are alive. */
     List<String> addressesLiveFirst() {
         Set<String> all = new LinkedHashSet<>(liveAddresses());
         links.keySet().stream().filter(a -> !isRelay(a)).forEach(all::add);
         return new ArrayList<>(all);
     }
 
-    /** A control plane that lately reported that it reaches a quorum; empty where none did. */
+    /** A control plane that recently reported that it reaches a quorum; empty where none did. */
     Optional<String> quorateAddress() {
         double since = loop.now() - QUORUM_REPORT_VALIDITY_MS;
         return links.values().stream()
--- a/controlplane/src/main/java/dewplank/controlplane/DataPlaneSessions.java
+++ b/controlplane/src/main/java/dewplank/controlplane/DataPlaneSessions.java
@@ -30,7 +30,7 @@
         /** The part of the fleet's state that is newer than these versions; empty if nothing is. */
         Optional<FleetUpdate> newerThan(DataPlaneVersions versions);
 
-        /** Whether a quorum has lately shown this process that its state is the newest. */
+        /** Whether a quorum has recently confirmed to this process that its state is the newest. */
         boolean isCurrent();
 
         /** Control planes that a data plane may open a session with. */
--- a/controlplane/src/main/java/dewplank/controlplane/HttpPlatformClient.java
+++ b/controlplane/src/main/java/dewplank/controlplane/HttpPlatformClient.java
@@ -15,7 +15,7 @@
 
 /**
  * Reads the platform's list of servers over HTTP, page by page, within its rate limit. On the loop's thread only; any
- * failure ends the whole reading.
+ * failure ends the poll.
  */
 final class HttpPlatformClient implements PlatformClient {
     private static final double CALL_TIMEOUT_MS = 1_000;
@@ -64,7 +64,7 @@
             this.callback = callback;
         }
 
-        /** Requests the page as soon as the rate limit allows: a page refused would cost the whole reading. */
+        /** Requests the page as soon as the rate limit allows: a rejected page would fail the whole poll. */
         void page(String token) {
             double now = loop.now();
             while (!recentCallsAt.isEmpty() && recentCallsAt.peekFirst() <= now - SECOND_MS) {
--- a/controlplane/src/main/java/dewplank/controlplane/InstancePage.java
+++ b/controlplane/src/main/java/dewplank/controlplane/InstancePage.java
@@ -15,7 +15,7 @@
  * @param nextToken names the next page; empty on the last one
  */
 record InstancePage(List<Endpoint> instances, Optional<String> nextToken) {
-    /** Reads a page; an instance without its names, address or zone makes the whole page unreadable. */
+    /** Reads a page; an instance without its names, address or zone makes the page unreadable. */
     static InstancePage parse(byte[] body) throws UnreadableResponseException {
         try {
             Any page = JsonIterator.deserialize(body);
--- a/controlplane/src/main/java/dewplank/controlplane/OperatorApi.java
+++ b/controlplane/src/main/java/dewplank/controlplane/OperatorApi.java
@@ -56,11 +56,11 @@
 
     /** Whether this control plane may answer for the fleet, and which others an operator may call instead. */
     interface Redirects {
-        /** Whether a quorum of acceptors was reached lately, so that a call is worth an attempt. */
+        /** Whether a quorum of acceptors was reached recently, so that a call may succeed. */
         boolean hasQuorum();
 
         /**
-         * Where a control plane that lately had a quorum takes operators' calls, as IP:PORT; empty if none is known.
+         * Where a control plane that recently had a quorum takes operators' calls, as IP:PORT; empty if none is known.
          */
         Optional<String> quorateEndpoint();
 
@@ -163,9 +163,9 @@
     }
 
     /**
-     * Runs the call if a quorum was reached lately. Without one this control plane could only wait until its caller
+     * Runs the call if a quorum was reached recently. Without one this control plane could only wait until its caller
      * gives up, so it says at once that it neither confirms nor refuses, and where to go. A redirect names one that is
-     * up and lately had a quorum itself; where none is known, a redirect might lead to a machine that is gone.
+     * up and recently had a quorum itself; where none is known, a redirect might lead to a machine that is gone.
      */
     private void ifCurrent(InboundConnection.Request request, Responder caller, Runnable call) {
         if (redirects.hasQuorum()) {
--- a/controlplane/src/main/java/dewplank/controlplane/QuorumRedirects.java
+++ b/controlplane/src/main/java/dewplank/controlplane/QuorumRedirects.java
@@ -16,7 +16,7 @@
      *
      * @param controlPort where operators call, here and elsewhere
      * @param self the own address on the links
-     * @param quorate whether a majority was reached lately
+     * @param quorate whether a majority was reached recently
      */
     QuorumRedirects(int controlPort, String self, ControlMesh mesh, BooleanSupplier quorate) {
         this.controlPort = controlPort;
--- a/controlplane/src/main/java/dewplank/controlplane/SingletonRole.java
+++ b/controlplane/src/main/java/dewplank/controlplane/SingletonRole.java
@@ -3,7 +3,7 @@
 /**
  * This process's view of one singleton role of the fleet: whether it holds the lease, and under which fencing token.
  *
- * <p>Asked by what may act only for the whole fleet at once ({@link EndpointPoller}, {@link StageController}, {@link
+ * <p>Used by the classes that act for the whole fleet ({@link EndpointPoller}, {@link StageController}, {@link
  * AcceptorReconfigurer}), on the loop's thread only.
  */
 interface SingletonRole {
--- a/dataplane/src/main/java/dewplank/dataplane/AttemptFactory.java
+++ b/dataplane/src/main/java/dewplank/dataplane/AttemptFactory.java
@@ -13,7 +13,7 @@
 import java.util.Set;
 
 /**
- * Writes one client's request as it is sent to servers, and tells answers to it from others'. Knows which servers have
+ * Writes one client's request as it is sent to servers, and separates answers to it from others'. Knows which servers have
  * had the request. On the event loop's thread only.
  */
 final class AttemptFactory {
--- a/dataplane/src/main/java/dewplank/dataplane/ControlAddresses.java
+++ b/dataplane/src/main/java/dewplank/dataplane/ControlAddresses.java
@@ -63,7 +63,7 @@
         return !seeds.contains(address) && !inUse.contains(address);
     }
 
-    /** Evicts the addresses that nobody has vouched for lately. */
+    /** Evicts the addresses that no peer has confirmed recently. */
     void evictExpired(double now, Set<String> inUse) {
         entries.entrySet().removeIf(e -> now - e.getValue().refreshedAt > EXPIRY_MS && isEvictable(e.getKey(), inUse));
     }
--- a/dataplane/src/main/java/dewplank/dataplane/ControlSession.java
+++ b/dataplane/src/main/java/dewplank/dataplane/ControlSession.java
@@ -94,7 +94,7 @@
         return link.isOpen();
     }
 
-    /** Whether the control plane reported a quorum when it was last heard. */
+    /** Whether the control plane reported a quorum in its last heartbeat. */
     boolean isQuorate() {
         return quorate;
     }
--- a/dataplane/src/main/java/dewplank/dataplane/DecodeAnswer.java
+++ b/dataplane/src/main/java/dewplank/dataplane/DecodeAnswer.java
@@ -34,7 +34,7 @@
     }
 
     /**
-     * @param kvOffered whether the server was told of a KV cache to take
+     * @param kvOffered whether the server got a handle of a KV cache to fetch
      */
     DecodeAnswer(GenerationRequest request, DecodePhase phase, Server server, boolean kvOffered) {
         this.request = request;
--- a/dataplane/src/main/java/dewplank/dataplane/GenerationRequest.java
+++ b/dataplane/src/main/java/dewplank/dataplane/GenerationRequest.java
@@ -99,7 +99,7 @@
         return prefix.tokens() - prefix.sharedTokens();
     }
 
-    /** The field that tells a server the request's rank; 0 is the most urgent. */
+    /** The header field with the request's rank for a server; 0 is the most urgent. */
     Headers.Field priority(int rank) {
         if (!forwarder.policy().isEnabled(Mechanism.PRIORITY)) {
             return new Headers.Field(HeaderNames.PRIORITY, DEFAULT_PRIORITY);
--- a/dataplane/src/main/java/dewplank/dataplane/KvTransfer.java
+++ b/dataplane/src/main/java/dewplank/dataplane/KvTransfer.java
@@ -9,9 +9,9 @@
     private enum State {
         /** No prefill server holds anything for the request, or a decode server has taken it. */
         EMPTY,
-        /** A prefill server holds the cache, and nobody else was told of it. */
+        /** A prefill server holds the cache, and no decode server has its handle. */
         RETAINED,
-        /** A decode server was told of it, and may have taken it. */
+        /** A decode server has its handle, and may have fetched it. */
         OFFERED
     }
 
--- a/dataplane/src/main/java/dewplank/dataplane/ParkedRequests.java
+++ b/dataplane/src/main/java/dewplank/dataplane/ParkedRequests.java
@@ -49,7 +49,7 @@
     /**
      * Keeps the request until it is released or dropped; not to be called when full.
      *
-     * @param timedOut runs when it has waited too long, after which it is kept no more
+     * @param timedOut runs when it has waited too long; it is dropped then
      */
     void park(InboundConnection.Request request, InboundConnection connection, Runnable timedOut) {
         Parked waiting = new Parked(request, connection.waitingSince());
--- a/routing/src/main/java/dewplank/routing/HealthVotes.java
+++ b/routing/src/main/java/dewplank/routing/HealthVotes.java
@@ -6,7 +6,7 @@
 
 /**
  * The fleet's verdict on a server: a vote over what this data plane and its peers observed of it. Fed by the receiver
- * of health summaries, asked by {@link ServerPicker}; both on the event loop. No I/O, and time is given with each call,
+ * of health summaries, used by {@link ServerPicker}; both on the event loop. No I/O, and time is given with each call,
  * in milliseconds of the loop's clock.
  *
  * <p>Outlier ejection as in Envoy and gRPC, with two differences. Only those vote that sent to the server lately: of
--- a/routing/src/main/java/dewplank/routing/RoutingParameters.java
+++ b/routing/src/main/java/dewplank/routing/RoutingParameters.java
@@ -98,7 +98,7 @@
      *     section 3). Half and double: not measured
      * @param sampleWeight of a new prompt in the averages, 0 to 1: some thirty prompts count, ten seconds of one data
      *     plane's. Source: reasoning. Half and double: not measured
-     * @param minPrompts seen before short prompts are told apart. Source: reasoning. Half and double: not measured
+     * @param minPrompts seen before short prompts are distinguished. Source: reasoning. Half and double: not measured
      * @param shortLengthFraction of the mean length by tokens, up to which a prompt is short. Source: reasoning. Half
      *     and double: not measured
      * @param fractionStep in which the short prompts' fraction of tokens is rounded, so that data planes mostly agree.
--- a/settings/src/main/java/dewplank/settings/NodeSettings.java
+++ b/settings/src/main/java/dewplank/settings/NodeSettings.java
@@ -24,7 +24,7 @@
  * @param control where operators call; null if the role serves no control plane
  * @param internalPorts the first and the last port free for messages between own processes
  * @param seeds control addresses to begin with
- * @param initialStart whether the whole system starts for the first time, with empty disks
+ * @param initialStart whether the fleet starts for the first time, with empty disks
  * @param dataDirectory the folder on the machine's disk; null if it has none
  * @param resources what the process may use
  * @param bounds bounds of the operators' rules
--- a/store/src/main/java/dewplank/store/BootstrapSeeds.java
+++ b/store/src/main/java/dewplank/store/BootstrapSeeds.java
@@ -30,7 +30,7 @@
      * them; it has to be called before anything else makes the disk look used.
      *
      * @param configuredSeeds the seeds of the current settings; returned as they are for a disk that has none stored
-     * @param initialStart whether the whole fleet starts for the first time
+     * @param initialStart whether the fleet starts for the first time
      * @throws StoreException if the seeds of an initial start cannot be stored
      */
     public List<String> loadOrStore(List<String> configuredSeeds, boolean initialStart) throws StoreException {
--- a/store/src/main/java/dewplank/store/SingleThreadDiskExecutor.java
+++ b/store/src/main/java/dewplank/store/SingleThreadDiskExecutor.java
@@ -7,7 +7,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A {@link DiskExecutor} with one daemon thread of its own, named {@code disk}. */
+/** A {@link DiskExecutor} with one daemon thread, named {@code disk}. */
 public final class SingleThreadDiskExecutor implements DiskExecutor {
     /** Tasks that may be queued. A disk that falls this far behind counts as failed. */
     public static final int MAX_QUEUED_TASKS = 64;
--- a/transport/src/main/java/dewplank/http/MessageParser.java
+++ b/transport/src/main/java/dewplank/http/MessageParser.java
@@ -40,7 +40,7 @@
         this.maxBodyBytes = maxBody;
     }
 
-    /** Takes bytes up to the end of the message; whether the message is now whole. */
+    /** Takes bytes up to the end of the message; whether the message is now complete. */
     public final boolean feed(ByteBuffer in) throws BadMessageException {
         while (state != State.DONE && in.hasRemaining()) {
             switch (state) {
@@ -59,7 +59,7 @@
         return state == State.DONE;
     }
 
-    /** Whether a message has begun and is not whole. */
+    /** Whether a message has begun and is not complete. */
     public final boolean hasBegun() {
         return state != State.DONE && (state != State.START || headBytes > 0);
     }
@@ -99,7 +99,7 @@
         return taken;
     }
 
-    /** What each start line begins with: noise is told at its first byte, without waiting for a line end. */
+    /** What each start line begins with: noise is detected at its first byte, without waiting for a line end. */
     abstract String startLinePrefix();
 
     abstract void startLine(String text) throws BadMessageException;
--- a/transport/src/main/java/dewplank/http/MessageWriter.java
+++ b/transport/src/main/java/dewplank/http/MessageWriter.java
@@ -32,13 +32,13 @@
         return this;
     }
 
-    /** The whole message, with its Content-Length. */
+    /** The complete message, with its Content-Length. */
     public ByteBuffer body(byte[] body) {
         header("Content-Length", Integer.toString(body.length));
         return end(body);
     }
 
-    /** The whole message, which has no body and needs no length. */
+    /** The complete message, which has no body and needs no length. */
     public ByteBuffer noBody() {
         return end(new byte[0]);
     }
--- a/transport/src/main/java/dewplank/http/RequestParser.java
+++ b/transport/src/main/java/dewplank/http/RequestParser.java
@@ -56,7 +56,7 @@
                 : !headers().lists("Connection", "close");
     }
 
-    /** Whether the peer holds its body back until it is told to go on. True once a request. */
+    /** Whether the peer waits with its body for a 100 (Continue). True once a request. */
     public boolean waitsForContinue() {
         boolean waits = isHeadRead() && hasBegun() && !continued && headers().lists("Expect", "100-continue");
         continued |= waits;
