--- a/dataplane/src/main/java/dewplank/dataplane/AttemptFactory.java
+++ b/dataplane/src/main/java/dewplank/dataplane/AttemptFactory.java
@@ -13,8 +13,8 @@
 import java.util.Set;
 
 /**
- * Writes one client's request as it is sent to servers, and separates answers to it from others'. Knows which servers have
- * had the request. On the event loop's thread only.
+ * Writes one client's request as it is sent to servers, and separates answers to it from others'. Knows which servers
+ * have had the request. On the event loop's thread only.
  */
 final class AttemptFactory {
     private final EventLoop loop;
