--- a/emulator/src/main/java/dewplank/emulator/Clients.java
+++ b/emulator/src/main/java/dewplank/emulator/Clients.java
@@ -8,9 +8,9 @@
 import dewplank.emulator.scenario.Scenario;
 
 /**
- * The applications, one beside each sidecar, with retries as ordinary clients make them. A safe request is retried after
- * any failure, a keyed one within its window, and an unsafe one only after a rejection or where the sidecar could not
- * be reached.
+ * The applications, one beside each sidecar, with retries as ordinary clients make them. A safe request is retried
+ * after any failure, a keyed one within its window, and an unsafe one only after a rejection or where the sidecar
+ * could not be reached.
  *
  * <p>All calls are made on the world's thread.
  */
--- a/emulator/src/main/java/dewplank/emulator/ColdLoadLimit.java
+++ b/emulator/src/main/java/dewplank/emulator/ColdLoadLimit.java
@@ -4,8 +4,8 @@
 import java.util.ArrayDeque;
 
 /**
- * What a cold server can bear: a multiple of its present capacity over a sliding window. Each request counts by the mean
- * work of its class. The rule is the deployment's, see {@link Rules}.
+ * What a cold server can bear: a multiple of its present capacity over a sliding window. Each request counts by the
+ * mean work of its class. The rule is the deployment's, see {@link Rules}.
  */
 final class ColdLoadLimit {
 
--- a/emulator/src/main/java/dewplank/emulator/EndpointDirectory.java
+++ b/emulator/src/main/java/dewplank/emulator/EndpointDirectory.java
@@ -12,29 +12,37 @@
 import java.util.Set;
 
 /**
- * The directory: what it believes of the servers, and what it tells. It notices late, tells each watch now and then,
- * and takes calls in turn at a bounded pace.
+ * The directory of endpoints: the list as the directory sees it, and the watches that it updates. It learns of changes
+ * late, updates each watch at intervals, and accepts calls one after the other at a bounded rate.
+ *
+ * <p>All calls are made on the world's thread.
  */
 public final class EndpointDirectory {
-    /** One entry at one version. */
+    /** An endpoint that changed at a version. */
     private record Change(long version, int server) {}
 
-    /** Whoever watches. All are called on the world's thread. */
+    /** Gets the updates of a watch, on the world's thread. */
     public interface Watcher {
-        /** {@code full}: all entries; otherwise those that changed. */
-        void updated(long version, boolean full, List<Endpoint> entries);
+        /** {@code full}: all endpoints are named; otherwise those that changed. */
+        void updated(long version, boolean full, List<Endpoint> endpoints);
 
         /** The call failed, or the directory went down. */
         void ended();
     }
 
-    /** A watch in being. */
+    /** A sidecar's watch. */
     public final class Watch {
+        private enum State {
+            /** The call waits for its turn. */
+            PENDING,
+            OPEN,
+            CLOSED
+        }
+
         private final int sidecar;
         private final Watcher watcher;
         private long version;
-        private boolean open;
-        private boolean isClosed;
+        private State state = State.PENDING;
 
         private Watch(int sidecar, long version, Watcher watcher) {
             this.sidecar = sidecar;
@@ -42,16 +50,25 @@
             this.watcher = watcher;
         }
 
+        private boolean isClosed() {
+            return state == State.CLOSED;
+        }
+
+        /** Ends the watch; its watcher is not called any more. */
         public void close() {
-            isClosed = true;
+            state = State.CLOSED;
             watches.remove(this);
         }
     }
 
-    private static final int HISTORY = 4_096;
+    /** Changes that an incremental update can go back. */
+    private static final int MAX_HISTORY = 4_096;
+    /** After which a call to a directory that is down fails. */
+    private static final double REFUSAL_MS = 1;
 
     private final World world;
-    private final Map<Integer, Endpoint> entries = new HashMap<>();
+    private final DirectoryModel model;
+    private final Map<Integer, Endpoint> endpointsByServer = new HashMap<>();
     private final List<Change> history = new ArrayList<>();
     private final Set<Watch> watches = new LinkedHashSet<>();
     private long version = 1;
@@ -64,184 +81,201 @@
 
     EndpointDirectory(World world) {
         this.world = world;
-        for (Server s : world.servers()) {
-            entries.put(s.number(), entry(s, Availability.UP));
+        this.model = world.scenario().directory();
+        for (Server server : world.servers()) {
+            endpointsByServer.put(server.number(), endpoint(server, Availability.UP));
         }
     }
 
-    private Endpoint entry(Server s, Availability availability) {
-        double started = s.startedAtMs();
+    private static Endpoint endpoint(Server server, Availability availability) {
+        double startedAtMs = server.startedAtMs();
         return new Endpoint(
-                s.id(),
-                s.zone(),
-                s.machine().name(),
-                s.cell(),
+                server.id(),
+                server.zone(),
+                server.machine().name(),
+                server.cell(),
                 availability,
                 1,
-                started == Double.NEGATIVE_INFINITY ? null : (Double) started);
+                startedAtMs == Double.NEGATIVE_INFINITY ? null : (Double) startedAtMs);
     }
 
+    /** Version of the list; one higher after each change. */
     public long version() {
         return version;
     }
 
+    /** Whether it refuses calls. */
     public boolean isDown() {
         return isDown;
     }
 
+    /** Whether it accepts calls and sends no updates. */
     public boolean isStalled() {
         return isStalled;
     }
 
+    /** Calls for watches so far. */
     public long calls() {
         return calls;
     }
 
+    /** Lines of all updates so far: one an endpoint, and one an update. */
     public long linesSent() {
         return linesSent;
     }
 
-    /** All that is not gone, by number. */
+    /** The endpoints that are not removed, by the servers' numbers. */
     public List<Endpoint> endpoints() {
-        List<Endpoint> all = new ArrayList<>();
-        for (Server s : world.servers()) {
-            Endpoint e = entries.get(s.number());
-            if (e.availability() != Availability.REMOVED) {
-                all.add(e);
+        List<Endpoint> present = new ArrayList<>();
+        for (Server server : world.servers()) {
+            Endpoint endpoint = endpointsByServer.get(server.number());
+            if (endpoint.availability() != Availability.REMOVED) {
+                present.add(endpoint);
             }
         }
-        return all;
+        return present;
     }
 
-    /** Something became known of the server. */
-    void set(Server s, Availability availability) {
-        Endpoint e = entry(s, availability);
-        if (e.equals(entries.get(s.number()))) {
+    // ---- what it learns -------------------------------------------------------------------------------
+
+    /** Changes the list, if the server's endpoint differs from its entry. */
+    void set(Server server, Availability availability) {
+        Endpoint endpoint = endpoint(server, availability);
+        if (endpoint.equals(endpointsByServer.get(server.number()))) {
             return;
         }
-        entries.put(s.number(), e);
-        history.add(new Change(++version, s.number()));
-        if (history.size() > HISTORY) {
+        endpointsByServer.put(server.number(), endpoint);
+        history.add(new Change(++version, server.number()));
+        if (history.size() > MAX_HISTORY) {
             oldestVersion = history.remove(0).version();
         }
     }
 
-    /** A server died or vanished at this moment: noticed after a while, unless it is back by then. */
-    void noticeLoss(Server s, double afterMs) {
-        int life = s.incarnation();
+    /** The server's process ended now: it is removed after a while, unless the next one is up by then. */
+    void noticeLoss(Server server, double afterMs) {
+        int incarnation = server.incarnation();
         world.schedule(afterMs, () -> {
-            if (s.incarnation() == life && s.state() != Server.State.UP) {
-                set(s, Availability.REMOVED);
+            if (server.incarnation() == incarnation && server.state() != Server.State.UP) {
+                set(server, Availability.REMOVED);
             }
         });
     }
 
-    void noticeStart(Server s) {
-        int life = s.incarnation();
-        world.schedule(world.scenario().directory().startNoticeMs(), () -> {
-            if (s.incarnation() == life && s.state() == Server.State.UP) {
-                set(s, Availability.UP);
+    /** The server's process started now: it is added after a while, unless it has ended by then. */
+    void noticeStart(Server server) {
+        int incarnation = server.incarnation();
+        world.schedule(model.startNoticeMs(), () -> {
+            if (server.incarnation() == incarnation && server.state() == Server.State.UP) {
+                set(server, Availability.UP);
             }
         });
     }
 
-    /** A call for a watch from that version on. It waits its turn; the first line, or the failure, comes later. */
-    public Watch watch(int sidecar, long since, Watcher watcher) {
-        DirectoryModel rules = world.scenario().directory();
-        Watch watch = new Watch(sidecar, since, watcher);
+    // ---- watches --------------------------------------------------------------------------------------
+
+    /**
+     * Calls for a watch of what changed after a version. The call waits for its turn: the first update, or the failure,
+     * comes later.
+     */
+    public Watch watch(int sidecar, long sinceVersion, Watcher watcher) {
+        Watch watch = new Watch(sidecar, sinceVersion, watcher);
         calls++;
         double now = world.now();
-        double start = Math.max(now, nextCallAtMs);
-        if (isDown || start - now > rules.callTimeoutMs()) {
-            world.schedule(isDown ? 1 : rules.callTimeoutMs(), () -> end(watch));
+        double turnMs = Math.max(now, nextCallAtMs);
+        if (isDown || turnMs - now > model.callTimeoutMs()) {
+            world.schedule(isDown ? REFUSAL_MS : model.callTimeoutMs(), () -> end(watch));
             return watch;
         }
-        nextCallAtMs = start + 1000 / rules.callsPerSecond();
-        world.schedule(nextCallAtMs - now, () -> {
-            if (isDown) {
-                end(watch);
-            } else if (!watch.isClosed) {
-                watch.open = true;
-                watches.add(watch);
-                tell(watch, true);
-                rhythm(watch);
-            }
-        });
+        nextCallAtMs = turnMs + 1000 / model.callsPerSecond();
+        world.schedule(nextCallAtMs - now, () -> open(watch));
         return watch;
     }
 
+    private void open(Watch watch) {
+        if (isDown) {
+            end(watch);
+        } else if (!watch.isClosed()) {
+            watch.state = Watch.State.OPEN;
+            watches.add(watch);
+            sendUpdate(watch, true);
+            scheduleUpdate(watch);
+        }
+    }
+
     private void end(Watch watch) {
-        watches.remove(watch);
-        if (!watch.isClosed) {
-            watch.isClosed = true;
+        if (!watch.isClosed()) {
+            watch.close();
             watch.watcher.ended();
         }
     }
 
-    /** Its next look is drawn anew each time, so that watches don't move in step. */
-    private void rhythm(Watch watch) {
-        double waitMs = world.aroundMs(world.scenario().directory().updateIntervalMs());
-        world.schedule(waitMs, () -> {
-            if (!watch.isClosed) {
-                tell(watch, false);
-                rhythm(watch);
+    /** Each interval is drawn, so that watches don't move in step. */
+    private void scheduleUpdate(Watch watch) {
+        world.schedule(world.aroundMs(model.updateIntervalMs()), () -> {
+            if (!watch.isClosed()) {
+                sendUpdate(watch, false);
+                scheduleUpdate(watch);
             }
         });
     }
 
-    private void tell(Watch watch, boolean first) {
-        if (isStalled || !first && watch.version >= version) {
+    private void sendUpdate(Watch watch, boolean isFirst) {
+        if (isStalled || !isFirst && watch.version >= version) {
             return;
         }
-        boolean full = watch.version < oldestVersion;
-        List<Endpoint> news = full ? endpoints() : since(watch.version);
+        boolean isFull = watch.version < oldestVersion;
+        List<Endpoint> update = isFull ? endpoints() : changedSince(watch.version);
         watch.version = version;
-        linesSent += news.size() + 1;
-        for (Endpoint e : news) {
-            record(watch.sidecar, e);
-        }
-        if (full) {
-            for (Server s : world.servers()) {
-                if (entries.get(s.number()).availability() == Availability.REMOVED) {
-                    record(watch.sidecar, entries.get(s.number()));
-                }
-            }
+        linesSent += update.size() + 1;
+        update.forEach(endpoint -> record(watch.sidecar, endpoint));
+        if (isFull) {
+            recordRemoved(watch.sidecar);
         }
-        watch.watcher.updated(version, full, news);
+        watch.watcher.updated(version, isFull, update);
     }
 
-    private List<Endpoint> since(long known) {
+    private List<Endpoint> changedSince(long sinceVersion) {
         Set<Integer> changed = new LinkedHashSet<>();
-        for (int i = history.size() - 1; i >= 0 && history.get(i).version() > known; i--) {
+        for (int i = history.size() - 1; i >= 0 && history.get(i).version() > sinceVersion; i--) {
             changed.add(history.get(i).server());
         }
-        List<Endpoint> news = new ArrayList<>();
-        changed.stream().sorted().forEach(n -> news.add(entries.get(n)));
-        return news;
+        return changed.stream().sorted().map(endpointsByServer::get).toList();
     }
 
-    private void record(int sidecar, Endpoint e) {
-        int server = world.server(e.server()).number();
-        switch (e.availability()) {
+    /** A full update says of each endpoint that it does not name that it is removed. */
+    private void recordRemoved(int sidecar) {
+        for (Server server : world.servers()) {
+            Endpoint endpoint = endpointsByServer.get(server.number());
+            if (endpoint.availability() == Availability.REMOVED) {
+                record(sidecar, endpoint);
+            }
+        }
+    }
+
+    private void record(int sidecar, Endpoint endpoint) {
+        int server = world.server(endpoint.server()).number();
+        switch (endpoint.availability()) {
             case DRAINING -> world.record(Type.NOTIFIED_DRAINING, null, sidecar, server, 0);
             case REMOVED -> world.record(Type.NOTIFIED_REMOVED, null, sidecar, server, 0);
             default -> {
-                if (e.startedAtMs() != null) { // one that has run for long says nothing that binds
-                    world.record(Type.NOTIFIED_UP, null, sidecar, server, e.startedAtMs());
+                if (endpoint.startedAtMs() != null) { // the rules of slow start bind only those that started in the run
+                    world.record(Type.NOTIFIED_UP, null, sidecar, server, endpoint.startedAtMs());
                 }
             }
         }
     }
 
-    void setDown(boolean down) {
-        isDown = down;
-        if (down) {
+    // ---- injected faults ------------------------------------------------------------------------------
+
+    /** A directory that goes down ends all its watches. */
+    void setDown(boolean isDown) {
+        this.isDown = isDown;
+        if (isDown) {
             new ArrayList<>(watches).forEach(this::end);
         }
     }
 
-    /** It takes calls and says nothing more. */
-    void setStalled(boolean silent) {
-        isStalled = silent;
+    void setStalled(boolean isStalled) {
+        this.isStalled = isStalled;
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/FaultInjector.java
+++ b/emulator/src/main/java/dewplank/emulator/FaultInjector.java
@@ -14,8 +14,8 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Plays a scenario's faults on a world. Which servers a fault affects depends on the seed and on the fault's index in the
- * scenario alone. Runs on the world's thread.
+ * Plays a scenario's faults on a world. Which servers a fault affects depends on the seed and on the fault's index in
+ * the scenario alone. Runs on the world's thread.
  */
 public final class FaultInjector {
     /** Kills sidecar processes; implemented by the drivers. */
@@ -258,7 +258,7 @@
         world.schedule(batchMs, () -> deploy(fault, order, from + batchSize));
     }
 
-    /** The endpoint list says first that the server drains; its process follows when the sidecars have been notified. */
+    /** The endpoint list says first that the server drains; its process follows once the sidecars are notified. */
     private void replace(Server server, double drainMs) {
         if (server.state() != State.UP) {
             return;
--- a/emulator/src/main/java/dewplank/emulator/OverloadMonitor.java
+++ b/emulator/src/main/java/dewplank/emulator/OverloadMonitor.java
@@ -125,7 +125,7 @@
         onSlowdownChanged.accept(false);
     }
 
-    /** The process ended: the next one starts without overload, and is not bound by the longest slowdown of this one. */
+    /** The process ended: the next one starts without overload, and a slowdown of this one does not end its own. */
     void processEnded() {
         processes++;
         phase = Phase.NORMAL;
--- a/emulator/src/main/java/dewplank/emulator/Scheduler.java
+++ b/emulator/src/main/java/dewplank/emulator/Scheduler.java
@@ -1,6 +1,6 @@
 package dewplank.emulator;
 
-/** Time as the model sees it. Tasks of one moment run in the order in which they were given. */
+/** The clock and the timers of a run. Tasks run on one thread; those of one moment run in the order of their calls. */
 public interface Scheduler {
     /** Milliseconds; never goes back. */
     double now();
--- a/emulator/src/main/java/dewplank/emulator/VirtualTime.java
+++ b/emulator/src/main/java/dewplank/emulator/VirtualTime.java
@@ -3,15 +3,18 @@
 import java.util.Arrays;
 
 /**
- * Discrete-event time: it jumps from one task to the next. A binary heap over arrays, ordered by time, then by turn.
+ * Discrete-event time: it jumps from one task to the next. A binary heap over arrays, ordered by time, then by the
+ * order of the calls. No object is allocated for a task.
  */
 public final class VirtualTime implements Scheduler {
-    private double[] times = new double[1024];
-    private long[] turns = new long[1024];
-    private Runnable[] tasks = new Runnable[1024];
+    private static final int INITIAL_CAPACITY = 1024;
+
+    private double[] times = new double[INITIAL_CAPACITY];
+    private long[] orders = new long[INITIAL_CAPACITY];
+    private Runnable[] tasks = new Runnable[INITIAL_CAPACITY];
     private int size;
-    private long turn;
-    private long ran;
+    private long nextOrder;
+    private long tasksRun;
     private double now;
 
     @Override
@@ -19,45 +22,50 @@
         return now;
     }
 
-    /** How many tasks have run: the events of a discrete-event simulation. */
+    /** Number of tasks that have run: the events of a discrete-event simulation. */
     public long ran() {
-        return ran;
+        return tasksRun;
     }
 
     @Override
     public void after(double ms, Runnable task) {
         if (size == times.length) {
             times = Arrays.copyOf(times, 2 * size);
-            turns = Arrays.copyOf(turns, 2 * size);
+            orders = Arrays.copyOf(orders, 2 * size);
             tasks = Arrays.copyOf(tasks, 2 * size);
         }
-        put(size++, now + Math.max(0, ms), turn++, task);
+        siftUp(size++, now + Math.max(0, ms), nextOrder++, task);
     }
 
-    /** Runs tasks until none is left or the next is later than {@code end}; the clock then stands at {@code end}. */
+    /** Runs tasks until none is left or the next is later than {@code end}; the clock is then at {@code end}. */
     public void runUntil(double end) {
         while (size > 0 && times[0] <= end) {
             now = times[0];
-            Runnable task = tasks[0];
-            size--;
-            double time = times[size];
-            long last = turns[size];
-            Runnable moved = tasks[size];
-            tasks[size] = null;
-            if (size > 0) {
-                sink(time, last, moved);
-            }
-            ran++;
+            Runnable task = removeFirst();
+            tasksRun++;
             task.run();
         }
         now = Math.max(now, end);
     }
 
-    private void put(int at, double time, long order, Runnable task) {
-        int i = at;
+    private Runnable removeFirst() {
+        Runnable first = tasks[0];
+        size--;
+        double time = times[size];
+        long order = orders[size];
+        Runnable last = tasks[size];
+        tasks[size] = null;
+        if (size > 0) {
+            siftDown(time, order, last);
+        }
+        return first;
+    }
+
+    private void siftUp(int from, double time, long order, Runnable task) {
+        int i = from;
         while (i > 0) {
             int parent = (i - 1) >>> 1;
-            if (!before(time, order, parent)) {
+            if (!isBefore(time, order, parent)) {
                 break;
             }
             move(parent, i);
@@ -66,14 +74,14 @@
         set(i, time, order, task);
     }
 
-    private void sink(double time, long order, Runnable task) {
+    private void siftDown(double time, long order, Runnable task) {
         int i = 0;
         while (2 * i + 1 < size) {
             int child = 2 * i + 1;
-            if (child + 1 < size && before(times[child + 1], turns[child + 1], child)) {
+            if (child + 1 < size && isBefore(times[child + 1], orders[child + 1], child)) {
                 child++;
             }
-            if (before(time, order, child)) {
+            if (isBefore(time, order, child)) {
                 break;
             }
             move(child, i);
@@ -82,17 +90,17 @@
         set(i, time, order, task);
     }
 
-    private boolean before(double time, long order, int at) {
-        return time < times[at] || time == times[at] && order < turns[at];
+    private boolean isBefore(double time, long order, int index) {
+        return time < times[index] || time == times[index] && order < orders[index];
     }
 
     private void move(int from, int to) {
-        set(to, times[from], turns[from], tasks[from]);
+        set(to, times[from], orders[from], tasks[from]);
     }
 
-    private void set(int at, double time, long order, Runnable task) {
-        times[at] = time;
-        turns[at] = order;
-        tasks[at] = task;
+    private void set(int index, double time, long order, Runnable task) {
+        times[index] = time;
+        orders[index] = order;
+        tasks[index] = task;
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/scenario/ScenarioFile.java
+++ b/emulator/src/main/java/dewplank/emulator/scenario/ScenarioFile.java
@@ -285,7 +285,7 @@
     }
 
     private static Fault fault(Table t, double lengthMs) {
-        FaultKind kind = t.enumValue("what", FaultKind.class, null);
+        FaultKind kind = t.enumValue("what", FaultKind.class);
         double atMs = 1000 * t.number("at_s", 0, lengthMs / 1000);
         Fault fault = new Fault(
                 kind,
--- a/emulator/src/main/java/dewplank/emulator/scenario/TomlFile.java
+++ b/emulator/src/main/java/dewplank/emulator/scenario/TomlFile.java
@@ -28,6 +28,7 @@
         this.file = file;
     }
 
+    /** Reads and parses a file. */
     public static Table read(Path path) {
         try {
             return read(Files.readString(path), path.toString());
@@ -36,7 +37,7 @@
         }
     }
 
-    /** {@code file}: what messages call the text. */
+    /** Parses a text; {@code file} is its name in messages. */
     public static Table read(String text, String file) {
         TomlParseResult result = Toml.parse(text);
         if (result.hasErrors()) {
@@ -49,6 +50,9 @@
 
     /** One table; keys in messages are full, such as {@code servers.machine[1].cores}. */
     public final class Table {
+        /** Below this, each integer is a double. */
+        private static final double MAX_EXACT_INTEGER = 1e15;
+
         private final TomlTable table;
         private final String path;
         private final Set<String> readKeys = new HashSet<>();
@@ -64,12 +68,12 @@
             this.base = base;
         }
 
-        /** The same table, with what it does not say taken from another one; arrays are not merged. */
+        /** The same table, with keys that it does not have taken from another one. Arrays are not merged. */
         public Table withDefaults(Table other) {
             return new Table(table, path, other);
         }
 
-        /** Every key that was not asked for is a mistake of the writer's. */
+        /** Throws if the table has a key that no call has read. */
         public void rejectUnknownKeys() {
             for (String key : table.keySet()) {
                 if (!readKeys.contains(key)) {
@@ -81,6 +85,7 @@
             }
         }
 
+        /** An error that names file, line and key; {@code what} follows the key. */
         public InvalidInputException error(String key, String what) {
             TomlPosition at = table.inputPositionOf(List.of(key));
             if (at == null && base != null && base.table.contains(List.of(key))) {
@@ -96,25 +101,21 @@
             return own != null || base == null ? own : base.value(key);
         }
 
-        public boolean has(String key) {
-            return value(key) != null;
+        /** The text under the key, or the default where there is none. */
+        public String text(String key, String defaultValue) {
+            return value(key) == null ? defaultValue : text(key);
         }
 
-        public String text(String key, String defaultValue) {
+        /** The text under the key, which must be there. */
+        public String text(String key) {
             Object value = value(key);
-            if (value == null && defaultValue != null) {
-                return defaultValue;
-            }
             if (value instanceof String s) {
                 return s;
             }
             throw error(key, value == null ? "is missing" : "should be text");
         }
 
-        public String text(String key) {
-            return text(key, null);
-        }
-
+        /** The number under the key, which must be there and from {@code min} to {@code max}. */
         public double number(String key, double min, double max) {
             Object value = value(key);
             if (!(value instanceof Number n)) {
@@ -122,19 +123,22 @@
             }
             double number = n.doubleValue();
             if (!(number >= min && number <= max)) {
-                throw error(key, "should be from " + trim(min) + " to " + trim(max));
+                throw error(key, "should be from " + format(min) + " to " + format(max));
             }
             return number;
         }
 
+        /** The number under the key, or the default where there is none. */
         public double number(String key, double min, double max, double defaultValue) {
             return value(key) == null ? defaultValue : number(key, min, max);
         }
 
+        /** The integer under the key, or the default where there is none. */
         public int integer(String key, int min, int max, int defaultValue) {
             return value(key) == null ? defaultValue : integer(key, min, max);
         }
 
+        /** The integer under the key, which must be there and from {@code min} to {@code max}. */
         public int integer(String key, int min, int max) {
             double value = number(key, min, max);
             if (value != Math.rint(value)) {
@@ -143,6 +147,7 @@
             return (int) value;
         }
 
+        /** The boolean under the key, or the default where there is none. */
         public boolean flag(String key, boolean defaultValue) {
             Object value = value(key);
             if (value == null || value instanceof Boolean) {
@@ -151,10 +156,13 @@
             throw error(key, "should be true or false");
         }
 
+        /** The constant whose name in lower case is under the key, or the default where there is none. */
         public <E extends Enum<E>> E enumValue(String key, Class<E> type, E defaultValue) {
-            if (value(key) == null && defaultValue != null) {
-                return defaultValue;
-            }
+            return value(key) == null ? defaultValue : enumValue(key, type);
+        }
+
+        /** The constant whose name in lower case is under the key, which must be there. */
+        public <E extends Enum<E>> E enumValue(String key, Class<E> type) {
             String name = text(key);
             for (E e : type.getEnumConstants()) {
                 if (e.name().toLowerCase(Locale.ROOT).equals(name)) {
@@ -169,17 +177,29 @@
                                     .collect(Collectors.joining(", ")));
         }
 
+        /** The texts under the key, or the default where there are none. */
         public List<String> texts(String key, List<String> defaultValue) {
+            List<String> texts = texts(array(key, false), key);
+            return texts.isEmpty() ? defaultValue : texts;
+        }
+
+        /** The texts under the key, which must be there. */
+        public List<String> texts(String key) {
+            return texts(array(key, true), key);
+        }
+
+        private List<String> texts(List<Object> values, String key) {
             List<String> texts = new ArrayList<>();
-            for (Object o : array(key, defaultValue == null)) {
+            for (Object o : values) {
                 if (!(o instanceof String s)) {
                     throw error(key, "should hold texts");
                 }
                 texts.add(s);
             }
-            return texts.isEmpty() && defaultValue != null ? defaultValue : texts;
+            return texts;
         }
 
+        /** The numbers under the key, which must be there. */
         public List<Double> numbers(String key) {
             List<Double> numbers = new ArrayList<>();
             for (Object o : array(key, true)) {
@@ -191,9 +211,9 @@
             return numbers;
         }
 
-        private List<Object> array(String key, boolean needed) {
+        private List<Object> array(String key, boolean isRequired) {
             Object value = value(key);
-            if (value == null && !needed) {
+            if (value == null && !isRequired) {
                 return List.of();
             }
             if (!(value instanceof TomlArray array)) {
@@ -215,6 +235,7 @@
                     base == null ? null : base.table(key));
         }
 
+        /** The tables of the array under the key; empty where there is none. */
         public List<Table> tables(String key) {
             List<Table> tables = new ArrayList<>();
             for (Object o : array(key, false)) {
@@ -226,8 +247,10 @@
             return tables;
         }
 
-        private static String trim(double d) {
-            return d == Math.rint(d) && Math.abs(d) < 1e15 ? Long.toString((long) d) : Double.toString(d);
+        private static String format(double number) {
+            return number == Math.rint(number) && Math.abs(number) < MAX_EXACT_INTEGER
+                    ? Long.toString((long) number)
+                    : Double.toString(number);
         }
     }
 }
--- a/emulator/src/test/java/dewplank/emulator/scenario/ScenarioFileTest.java
+++ b/emulator/src/test/java/dewplank/emulator/scenario/ScenarioFileTest.java
@@ -30,9 +30,9 @@
         assertEquals("x.toml:6: key servers.count should be a number", fault(scenario("[servers]\ncount = \"many\"")));
         assertEquals("x.toml: key servers.count is missing", fault(scenario("")));
         assertEquals(
-                "x.toml:8: key fault[0].what should be one of crash, vanish, slow, neighbour, pause, deploy, class_errors, "
-                        + "poison, lost_answers, resets, cut, loss, load, directory_down, directory_silent, sidecar_kill, zone_loss, errors, "
-                        + "tenant_load",
+                "x.toml:8: key fault[0].what should be one of crash, vanish, slow, neighbour, pause, deploy, "
+                        + "class_errors, poison, lost_answers, resets, cut, loss, load, directory_down, "
+                        + "directory_silent, sidecar_kill, zone_loss, errors, tenant_load",
                 fault(scenario("servers = { count = 1 }\n[[fault]]\nat_s = 1\nwhat = \"fire\"")));
         assertTrue(fault("name = ").startsWith("x.toml:1: "));
     }
--- a/lab/src/main/java/dewplank/lab/Experiment.java
+++ b/lab/src/main/java/dewplank/lab/Experiment.java
@@ -34,7 +34,7 @@
 
     static Experiment of(Table table) {
         String name = table.text("name");
-        List<String> scenarios = table.texts("scenarios", null);
+        List<String> scenarios = table.texts("scenarios");
         List<String> policies = table.texts("policies", List.of("choice"));
         policies.forEach(p -> {
             try {
