--- a/cli/src/test/java/dewplank/fleet/ControlLossTest.java
+++ b/cli/src/test/java/dewplank/fleet/ControlLossTest.java
@@ -38,14 +38,14 @@
                     .await(
                             "a call of another control process",
                             EndpointListRequested.class,
-                            c -> c.at() > told
+                            c -> c.atMs() > told
                                     && !c.node().equals(holder.machine().node()));
             story.fleet
                     .history()
                     .await(
                             "requests after the drain",
                             AttemptSent.class,
-                            t -> t.at() > told + FleetBounds.DRAIN_MS + BEYOND_MS);
+                            t -> t.atMs() > told + FleetBounds.DRAIN_MS + BEYOND_MS);
             load.stop();
             assertEquals(0, load.notServed());
             assertTrue(story.holder() != holder);
@@ -70,7 +70,7 @@
                     .await(
                             "a call of another control process",
                             EndpointListRequested.class,
-                            c -> c.at() > frozenAt
+                            c -> c.atMs() > frozenAt
                                     && !c.node().equals(holder.machine().node()));
         });
     }
@@ -78,7 +78,7 @@
     private static void changeWhileFrozen(FleetStory story, FleetProcess frozen) throws Exception {
         SteadyLoad load = story.fleet.load(FleetStory.MIX);
         frozen.freeze();
-        FleetConfiguration next = FleetStory.FIRST.as(8);
+        FleetConfiguration next = FleetStory.FIRST.withVersion(8);
         story.change(next, FleetStory.FIRST.version(), story.index(story.another(frozen)));
         double after = story.fleet.now();
         story.fleet
@@ -86,7 +86,8 @@
                 .await(
                         "a call to the platform by one that runs",
                         EndpointListRequested.class,
-                        c -> c.at() > after && !c.node().equals(frozen.machine().node()));
+                        c -> c.atMs() > after
+                                && !c.node().equals(frozen.machine().node()));
         frozen.thaw();
         story.fleet.history().awaitState("the newest at the one that was frozen", () -> story.knows(frozen, 8));
         JsonObject[] read = new JsonObject[1]; // until it has met a majority again it answers nothing
@@ -104,7 +105,7 @@
     void whatWasAcknowledgedOutlivesTheLossOfAllControlProcesses() throws Exception {
         FleetStory.tell(3, 2, story -> {
             SteadyLoad load = story.fleet.load(FleetStory.MIX);
-            FleetConfiguration next = FleetStory.FIRST.as(6);
+            FleetConfiguration next = FleetStory.FIRST.withVersion(6);
             story.change(next, FleetStory.FIRST.version(), 1);
             for (FleetProcess control : story.fleet.control()) {
                 control.kill();
@@ -120,7 +121,7 @@
                 control.restart();
             }
             story.assertReadBack(6, 0);
-            story.change(next.as(7), 6, 2);
+            story.change(next.withVersion(7), 6, 2);
             story.assertReadBack(7, 1);
             load.stop();
             assertEquals(0, load.notServed());
@@ -130,7 +131,7 @@
     @Test
     void aChangeUnderWayWhileAllControlProcessesAreKilledIsTakenOnce() throws Exception {
         FleetStory.tell(3, 1, story -> {
-            FleetConfiguration next = FleetStory.FIRST.as(6);
+            FleetConfiguration next = FleetStory.FIRST.withVersion(6);
             CompletableFuture<Integer> change = story.fleet.operator().put(next, FleetStory.FIRST.version(), 1);
             for (FleetProcess control : story.fleet.control()) {
                 control.kill();
@@ -150,7 +151,7 @@
             FleetProcess kept = story.fleet.control(0);
             FleetProcess down = story.fleet.control(1);
             FleetProcess wiped = story.fleet.control(2);
-            FleetConfiguration next = FleetStory.FIRST.as(6);
+            FleetConfiguration next = FleetStory.FIRST.withVersion(6);
             down.kill();
             wiped.kill();
             wiped.loseDisk();
@@ -166,7 +167,7 @@
             story.fleet.history().awaitState("a new identity among the acceptors", () -> story.fleet.control().stream()
                     .allMatch(p -> holdsNewIdentity(story, p, wiped)));
             kept.kill();
-            story.change(next.as(9), 6, story.index(wiped));
+            story.change(next.withVersion(9), 6, story.index(wiped));
             story.assertReadBack(9, story.index(down));
         });
     }
--- a/cli/src/test/java/dewplank/fleet/DataPlaneTest.java
+++ b/cli/src/test/java/dewplank/fleet/DataPlaneTest.java
@@ -14,7 +14,7 @@
 
 /** Data planes end and start again. */
 class DataPlaneTest {
-    private static final int HELD_BEHIND = 3;
+    private static final int PAUSED_AFTER = 3;
 
     @Test
     void isReadyAndServesOnceItHasBeenRestarted() throws Exception {
@@ -36,11 +36,11 @@
     void endsAStreamWholeAfterItHasCalledItselfNotReady() throws Exception {
         FleetStory.tell(1, 1, story -> {
             FleetProcess process = story.fleet.data().get(0);
-            story.decode.forEach(d -> d.holdBehind(HELD_BEHIND));
+            story.decode.forEach(d -> d.pauseStreamsAfter(PAUSED_AFTER));
             ClientAttempt stream = story.fleet
                     .client()
                     .send(process.machine(), ClientRequest.split(FleetStory.CHAT, "long", FleetStory.EVENTS));
-            story.fleet.history().await("the stream is under way", StreamEventSent.class, e -> e.id() == HELD_BEHIND);
+            story.fleet.history().await("the stream is under way", StreamEventSent.class, e -> e.id() == PAUSED_AFTER);
             process.terminate();
             story.awaitReadiness(process.machine(), 503);
             assertFalse(stream.ended().isDone());
@@ -53,7 +53,7 @@
                                             .status()
                                     == 0);
             assertFalse(stream.ended().isDone());
-            story.decode.forEach(ModelServer::goOn);
+            story.decode.forEach(ModelServer::resumeStreams);
             assertTrue(StandInOperator.waitFor(stream.ended()).served());
             assertTrue(process.awaitEnd(FleetBounds.GRACE_S), "it has to end within the grace");
         });
--- a/cli/src/test/java/dewplank/fleet/FleetStory.java
+++ b/cli/src/test/java/dewplank/fleet/FleetStory.java
@@ -92,7 +92,8 @@
     /** Before, data planes do not know how many share the budget of repeated sends, and use none of its slack. */
     private void awaitSettledBudget() throws InterruptedException, TimeoutException {
         double settled = fleet.now() + SETTLED_PART * FleetBounds.BUDGET_WINDOW_S * MS_PER_S;
-        fleet.history().await("a call to the platform after that", EndpointListRequested.class, c -> c.at() > settled);
+        fleet.history()
+                .await("a call to the platform after that", EndpointListRequested.class, c -> c.atMs() > settled);
     }
 
     private void servers() throws IOException {
--- a/cli/src/test/java/dewplank/fleet/OperatorTest.java
+++ b/cli/src/test/java/dewplank/fleet/OperatorTest.java
@@ -37,7 +37,7 @@
             }
             story.assertReadBack(FleetStory.FIRST.version(), 2);
             assertEquals(404, story.outcome(0, ClientRequest.plain(ADDED, "x")).status());
-            story.change(FleetStory.FIRST.as(NEXT), FleetStory.FIRST.version(), 0);
+            story.change(FleetStory.FIRST.withVersion(NEXT), FleetStory.FIRST.version(), 0);
         });
     }
 
--- a/cli/src/test/java/dewplank/fleet/PlatformTroubleTest.java
+++ b/cli/src/test/java/dewplank/fleet/PlatformTroubleTest.java
@@ -26,7 +26,7 @@
                             .await(
                                     "a call that the platform does not answer",
                                     EndpointListRequested.class,
-                                    c -> c.at() > after && c.status() == status);
+                                    c -> c.atMs() > after && c.status() == status);
                 }
             }
             PlainServer added = story.fleet.plainServer("plain");
--- a/cli/src/test/java/dewplank/fleet/ServerFaultTest.java
+++ b/cli/src/test/java/dewplank/fleet/ServerFaultTest.java
@@ -23,21 +23,21 @@
 
 /** Servers die, are silent or turn requests away; clients leave. */
 class ServerFaultTest {
-    private static final int HELD_BEHIND = 4;
+    private static final int PAUSED_AFTER = 4;
     private static final int REQUESTS = 4;
 
     /** A stream that is held in its middle, and the server that sends it. */
     private record Held(ClientAttempt stream, ModelServer server) {}
 
     private static Held hold(FleetStory story, ClientRequest request) throws Exception {
-        story.decode.forEach(d -> d.holdBehind(HELD_BEHIND));
+        story.decode.forEach(d -> d.pauseStreamsAfter(PAUSED_AFTER));
         ClientAttempt stream = story.fleet.client().send(story.fleet.edge(0), request);
         StreamEventSent emitted = story.fleet
                 .history()
                 .await(
                         "the stream is under way",
                         StreamEventSent.class,
-                        e -> e.id() == HELD_BEHIND && e.tryId().equals(stream.id()));
+                        e -> e.id() == PAUSED_AFTER && e.attemptId().equals(stream.id()));
         ModelServer server = story.decode.stream()
                 .filter(d -> d.identity().equals(emitted.server()))
                 .findFirst()
@@ -50,7 +50,7 @@
         FleetStory.tell(1, 1, story -> {
             Held held = hold(story, ClientRequest.split(FleetStory.TALK, "resumed", FleetStory.EVENTS));
             held.server().crash();
-            story.decode.forEach(ModelServer::goOn);
+            story.decode.forEach(ModelServer::resumeStreams);
             assertTrue(StandInOperator.waitFor(held.stream().ended()).served());
             List<StreamEventSent> emitted = story.fleet.history().events(StreamEventSent.class);
             assertEquals(
@@ -67,7 +67,7 @@
         FleetStory.tell(1, 1, story -> {
             Held held = hold(story, ClientRequest.split(FleetStory.CHAT, "cut", FleetStory.EVENTS));
             held.server().crash();
-            story.decode.forEach(ModelServer::goOn);
+            story.decode.forEach(ModelServer::resumeStreams);
             ClientAttempt.Outcome outcome =
                     StandInOperator.waitFor(held.stream().ended());
             assertEquals(200, outcome.status());
@@ -113,13 +113,13 @@
     void theWorkOfAClientThatLeavesIsEndedAtTheServer() throws Exception {
         FleetStory.tell(1, 1, story -> {
             Held held = hold(story, ClientRequest.split(FleetStory.CHAT, "left", FleetStory.EVENTS));
-            held.stream().leave();
+            held.stream().abandon();
             story.fleet
                     .history()
                     .await(
                             "the run ends",
                             RunEnded.class,
-                            e -> e.tryId().equals(held.stream().id()) && e.how() == RunEnd.CALLER_LEFT);
+                            e -> e.attemptId().equals(held.stream().id()) && e.how() == RunEnd.CALLER_LEFT);
         });
     }
 
@@ -127,7 +127,7 @@
     @Test
     void theHandleOfAClientThatLeavesBeforeItIsFetchedIsFreed() throws Exception {
         FleetStory.tell(1, 1, story -> {
-            story.decode.forEach(ModelServer::neverFetch);
+            story.decode.forEach(ModelServer::stallHandleFetches);
             ClientAttempt stream = story.fleet
                     .client()
                     .send(story.fleet.edge(0), ClientRequest.split(FleetStory.CHAT, "left", FleetStory.EVENTS));
@@ -136,8 +136,8 @@
                     .await(
                             "the request waits at a decode server",
                             Arrived.class,
-                            a -> a.tryId().equals(stream.id()) && !a.prefill());
-            stream.leave();
+                            a -> a.attemptId().equals(stream.id()) && !a.prefill());
+            stream.abandon();
             awaitFreed(story, stream);
         });
     }
@@ -155,7 +155,7 @@
     }
 
     private static void awaitFreed(FleetStory story, ClientAttempt stream) throws Exception {
-        HandleCreated made = story.fleet.history().await("a handle", HandleCreated.class, h -> h.tryId()
+        HandleCreated made = story.fleet.history().await("a handle", HandleCreated.class, h -> h.attemptId()
                 .equals(stream.id()));
         story.fleet.history().await(made.handle() + " is freed", HandleFreed.class, f -> f.handle()
                 .equals(made.handle()));
@@ -184,7 +184,7 @@
     private static ClientAttempt.Outcome dies(FleetStory story, ClientRequest request) throws Exception {
         story.plain.forEach(p -> p.behaviour(Behaviour.SILENT));
         ClientAttempt sent = story.fleet.client().send(story.fleet.edge(0), request);
-        RunStarted ran = story.fleet.history().await("a run", RunStarted.class, r -> r.tryId()
+        RunStarted ran = story.fleet.history().await("a run", RunStarted.class, r -> r.attemptId()
                 .equals(sent.id()));
         story.plain.forEach(p -> p.behaviour(Behaviour.WORKS));
         story.plain.stream()
--- a/emulator/src/main/java/dewplank/emulator/fleet/AttemptLog.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/AttemptLog.java
@@ -21,28 +21,28 @@
     AttemptLog(List<FleetEvent> events) {
         FleetEvent.only(events, AttemptSent.class).forEach(t -> sent.put(t.attemptId(), t));
         FleetEvent.only(events, AttemptEnded.class).forEach(t -> ended.put(t.attemptId(), t));
-        runs = FleetEvent.only(events, RunStarted.class).stream().collect(Collectors.groupingBy(RunStarted::tryId));
-        arrivals = FleetEvent.only(events, Arrived.class).stream().collect(Collectors.groupingBy(Arrived::tryId));
+        runs = FleetEvent.only(events, RunStarted.class).stream().collect(Collectors.groupingBy(RunStarted::attemptId));
+        arrivals = FleetEvent.only(events, Arrived.class).stream().collect(Collectors.groupingBy(Arrived::attemptId));
     }
 
     Collection<AttemptSent> all() {
         return sent.values();
     }
 
-    AttemptSent sent(String tryId) {
-        return sent.get(tryId);
+    AttemptSent sent(String attemptId) {
+        return sent.get(attemptId);
     }
 
     /** Null where the history ends before the try. */
-    AttemptEnded ended(String tryId) {
-        return ended.get(tryId);
+    AttemptEnded ended(String attemptId) {
+        return ended.get(attemptId);
     }
 
-    List<RunStarted> runs(String tryId) {
-        return runs.getOrDefault(tryId, List.of());
+    List<RunStarted> runs(String attemptId) {
+        return runs.getOrDefault(attemptId, List.of());
     }
 
-    List<Arrived> arrivals(String tryId) {
-        return arrivals.getOrDefault(tryId, List.of());
+    List<Arrived> arrivals(String attemptId) {
+        return arrivals.getOrDefault(attemptId, List.of());
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/fleet/ClientAttempt.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/ClientAttempt.java
@@ -13,11 +13,11 @@
 
     private final String id;
     private final CompletableFuture<Outcome> ended = new CompletableFuture<>();
-    private final Runnable leaving;
+    private final Runnable abandonAction;
 
-    ClientAttempt(String id, Runnable leaving) {
+    ClientAttempt(String id, Runnable abandonAction) {
         this.id = id;
-        this.leaving = leaving;
+        this.abandonAction = abandonAction;
     }
 
     public String id() {
@@ -30,7 +30,7 @@
     }
 
     /** The client closes its connection and waits no longer. */
-    public void leave() {
-        leaving.run();
+    public void abandon() {
+        abandonAction.run();
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/fleet/ClientRequest.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/ClientRequest.java
@@ -5,33 +5,33 @@
  * generation's prompt, null: none are named.
  */
 public record ClientRequest(
-        RouteSpec route, String method, String target, String body, int events, String prompt, int waitMs) {
-    private static final int WAIT_MS = 8_000;
+        RouteSpec route, String method, String target, String body, int events, String prompt, int timeoutMs) {
+    private static final int TIMEOUT_MS = 8_000;
 
     /** A request that is answered whole. */
-    public static ClientRequest plain(RouteSpec route, String what) {
-        return new ClientRequest(route, "POST", route.prefix() + what, "body of " + what, 0, null, WAIT_MS);
+    public static ClientRequest plain(RouteSpec route, String name) {
+        return new ClientRequest(route, "POST", route.prefix() + name, "body of " + name, 0, null, TIMEOUT_MS);
     }
 
     /** A generation whose prompt has a part of its own: it is read by a prefill server first. */
-    public static ClientRequest split(RouteSpec route, String what, int events) {
+    public static ClientRequest split(RouteSpec route, String name, int events) {
         return new ClientRequest(
                 route,
                 "POST",
-                route.prefix() + what,
-                "prompt of " + what,
+                route.prefix() + name,
+                "prompt of " + name,
                 events,
                 "5c1e07a2:800,e4402b7d:250",
-                WAIT_MS);
+                TIMEOUT_MS);
     }
 
     /** A generation that names no parts: the decode server reads its prompt. */
-    public static ClientRequest direct(RouteSpec route, String what, int events) {
-        return new ClientRequest(route, "POST", route.prefix() + what, "prompt of " + what, events, null, WAIT_MS);
+    public static ClientRequest direct(RouteSpec route, String name, int events) {
+        return new ClientRequest(route, "POST", route.prefix() + name, "prompt of " + name, events, null, TIMEOUT_MS);
     }
 
     /** The same with another time that the client waits. */
-    public ClientRequest waiting(int ms) {
-        return new ClientRequest(route, method, target, body, events, prompt, ms);
+    public ClientRequest withTimeout(int nextTimeoutMs) {
+        return new ClientRequest(route, method, target, body, events, prompt, nextTimeoutMs);
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/fleet/FleetAuditor.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/FleetAuditor.java
@@ -10,11 +10,11 @@
     /** What the history breaks; empty where it keeps every rule. */
     public static List<Violation> audit(List<FleetEvent> events) {
         List<Violation> found = new ArrayList<>();
-        AttemptLog tries = new AttemptLog(events);
-        found.addAll(new RequestRules(events, tries).check());
-        found.addAll(new StreamRules(events, tries).check());
+        AttemptLog attempts = new AttemptLog(events);
+        found.addAll(new RequestRules(events, attempts).check());
+        found.addAll(new StreamRules(events, attempts).check());
         found.addAll(new HandleRules(events).check());
-        found.addAll(new ConfigurationRules(events, tries).check());
+        found.addAll(new ConfigurationRules(events, attempts).check());
         found.addAll(new PlatformRules(events).check());
         return found;
     }
--- a/emulator/src/main/java/dewplank/emulator/fleet/FleetClient.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/FleetClient.java
@@ -13,7 +13,7 @@
 public final class FleetClient {
     private final EventLoop loop;
     private final History history;
-    private final AtomicLong tries = new AtomicLong();
+    private final AtomicLong attemptCount = new AtomicLong();
 
     FleetClient(EventLoop loop, History history) {
         this.loop = loop;
@@ -22,49 +22,49 @@
 
     /** Sends a try to a data plane. */
     public ClientAttempt send(FleetMachine to, ClientRequest request) {
-        Sending sending = new Sending(String.format("%016x", tries.incrementAndGet()), request);
-        loop.execute(() -> sending.start(to));
-        return sending.handle;
+        Exchange exchange = new Exchange(String.format("%016x", attemptCount.incrementAndGet()), request);
+        loop.execute(() -> exchange.start(to));
+        return exchange.attempt;
     }
 
-    private static ByteBuffer message(String id, ClientRequest r) {
+    private static ByteBuffer message(String id, ClientRequest request) {
         MessageWriter message = MessageWriter.request(
-                        r.method(), r.target(), r.route().host())
+                        request.method(), request.target(), request.route().host())
                 .header(WireFields.ATTEMPT_ID, id)
-                .header(WireFields.REMAINING_TIME, Integer.toString(r.waitMs()));
-        if (r.route().kind().streaming()) {
+                .header(WireFields.REMAINING_TIME, Integer.toString(request.timeoutMs()));
+        if (request.route().kind().streaming()) {
             message.header(WireFields.MODEL_NAME, "m")
-                    .header(WireFields.TOKEN_COUNTS, "1050," + r.events())
-                    .header(WireFields.PROMPT_PREFIX, r.prompt());
+                    .header(WireFields.TOKEN_COUNTS, "1050," + request.events())
+                    .header(WireFields.PROMPT_PREFIX, request.prompt());
         }
-        return message.body(r.body().getBytes(StandardCharsets.UTF_8));
+        return message.body(request.body().getBytes(StandardCharsets.UTF_8));
     }
 
-    private final class Sending implements HttpClient.Answered {
-        private final ClientAttempt handle;
+    private final class Exchange implements HttpClient.Answered {
+        private final ClientAttempt attempt;
         private final ClientRequest request;
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
         private ResponseParser head;
         private HttpClient client;
         private HttpClient.Call call;
-        private boolean over;
+        private boolean isOver;
 
-        Sending(String id, ClientRequest request) {
+        Exchange(String id, ClientRequest request) {
             this.request = request;
-            this.handle = new ClientAttempt(id, () -> loop.execute(() -> giveUp(true)));
+            this.attempt = new ClientAttempt(id, () -> loop.execute(() -> giveUp(true)));
         }
 
         void start(FleetMachine to) {
-            history.add(new FleetEvent.AttemptSent(loop.now(), to.node(), handle.id(), request));
+            history.add(new FleetEvent.AttemptSent(loop.now(), to.node(), attempt.id(), request));
             client = new HttpClient(loop, to.front(), 1);
-            call = client.call(message(handle.id(), request), this);
-            loop.after(request.waitMs(), () -> giveUp(false));
+            call = client.call(message(attempt.id(), request), this);
+            loop.after(request.timeoutMs(), () -> giveUp(false));
         }
 
-        private void giveUp(boolean left) {
-            if (!over) {
+        private void giveUp(boolean isAbandoned) {
+            if (!isOver) {
                 call.cancel();
-                end(null, left);
+                end(null, isAbandoned);
             }
         }
 
@@ -80,7 +80,7 @@
             if (request.route().kind().streaming()) {
                 history.add(new FleetEvent.StreamBytes(
                         loop.now(),
-                        handle.id(),
+                        attempt.id(),
                         parser.status(),
                         parser.headers().get(WireFields.SEAL),
                         new String(bytes, StandardCharsets.UTF_8)));
@@ -92,15 +92,16 @@
             end(parser, false);
         }
 
-        private void end(ResponseParser whole, boolean left) {
-            over = true;
-            ResponseParser seen = whole == null ? head : whole;
+        private void end(ResponseParser complete, boolean isAbandoned) {
+            isOver = true;
+            ResponseParser seen = complete == null ? head : complete;
             int status = seen == null ? 0 : seen.status();
             String seal = seen == null ? null : seen.headers().get(WireFields.SEAL);
             String retryAfter = seen == null ? null : seen.headers().get(WireFields.RETRY_AFTER);
             String text = body.toString(StandardCharsets.UTF_8);
-            history.add(new FleetEvent.AttemptEnded(loop.now(), handle.id(), status, seal, text, whole != null, left));
-            handle.ended().complete(new ClientAttempt.Outcome(status, seal, retryAfter, text, whole != null));
+            history.add(new FleetEvent.AttemptEnded(
+                    loop.now(), attempt.id(), status, seal, text, complete != null, isAbandoned));
+            attempt.ended().complete(new ClientAttempt.Outcome(status, seal, retryAfter, text, complete != null));
             client.close();
         }
     }
--- a/emulator/src/main/java/dewplank/emulator/fleet/FleetConfiguration.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/FleetConfiguration.java
@@ -37,7 +37,7 @@
     }
 
     /** The same under another number. */
-    public FleetConfiguration as(long nextVersion) {
+    public FleetConfiguration withVersion(long nextVersion) {
         return new FleetConfiguration(nextVersion, routes, services);
     }
 
@@ -84,12 +84,12 @@
                         .filter(s -> !base.services.contains(s))
                         .map(ServiceSpec::json)
                         .toList()));
-        JsonArray gone = new JsonArray();
+        JsonArray removedRoutes = new JsonArray();
         base.routes.stream()
                 .map(RouteSpec::name)
                 .filter(n -> routes.stream().noneMatch(r -> r.name().equals(n)))
-                .forEach(gone::add);
-        remove.add("routes", gone);
+                .forEach(removedRoutes::add);
+        remove.add("routes", removedRoutes);
         o.add("upsert", upsert);
         o.add("remove", remove);
         return o;
--- a/emulator/src/main/java/dewplank/emulator/fleet/FleetEvent.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/FleetEvent.java
@@ -4,7 +4,7 @@
 
 /** Something that a stand-in saw or did. Times are those of the stand-ins' loop, in milliseconds. */
 public sealed interface FleetEvent {
-    double at();
+    double atMs();
 
     /** How a run at a server ended. */
     enum RunEnd {
@@ -26,74 +26,81 @@
     // ---- clients --------------------------------------------------------------------------------------
 
     /** A client sent a try. */
-    record AttemptSent(double at, String node, String attemptId, ClientRequest request) implements FleetEvent {}
+    record AttemptSent(double atMs, String node, String attemptId, ClientRequest request) implements FleetEvent {}
 
     /** Bytes of a stream reached the client. */
-    record StreamBytes(double at, String tryId, int status, String seal, String text) implements FleetEvent {}
+    record StreamBytes(double atMs, String attemptId, int status, String seal, String text) implements FleetEvent {}
 
     /** The try is over. {@code status} 0: no answer came, or the client left. */
     record AttemptEnded(
-            double at, String attemptId, int status, String seal, String body, boolean complete, boolean abandoned)
+            double atMs, String attemptId, int status, String seal, String body, boolean complete, boolean abandoned)
             implements FleetEvent {}
 
     // ---- servers --------------------------------------------------------------------------------------
 
     /** A request reached a server, whatever becomes of it. */
     record Arrived(
-            double at, ServerIdentity server, String tryId, boolean prefill, String method, String target, String body)
+            double atMs,
+            ServerIdentity server,
+            String attemptId,
+            boolean prefill,
+            String method,
+            String target,
+            String body)
             implements FleetEvent {}
 
     /** A server began to work on a request. */
-    record RunStarted(double at, ServerIdentity server, String tryId) implements FleetEvent {}
+    record RunStarted(double atMs, ServerIdentity server, String attemptId) implements FleetEvent {}
 
     /** A server turned a request away without running it. */
-    record RunRejected(double at, ServerIdentity server, String tryId, int status) implements FleetEvent {}
+    record RunRejected(double atMs, ServerIdentity server, String attemptId, int status) implements FleetEvent {}
 
     /** A server sent an answer that is not a stream. */
-    record Answered(double at, ServerIdentity server, String tryId, int status, String seal, String body)
+    record Answered(double atMs, ServerIdentity server, String attemptId, int status, String seal, String body)
             implements FleetEvent {}
 
     /** A server sent the head of a stream. */
-    record StreamBegun(double at, ServerIdentity server, String tryId, String seal) implements FleetEvent {}
+    record StreamBegun(double atMs, ServerIdentity server, String attemptId, String seal) implements FleetEvent {}
 
     /** A server sent an event of a stream. */
-    record StreamEventSent(double at, ServerIdentity server, String tryId, int id, String text) implements FleetEvent {}
+    record StreamEventSent(double atMs, ServerIdentity server, String attemptId, int id, String text)
+            implements FleetEvent {}
 
-    record RunEnded(double at, ServerIdentity server, String tryId, RunEnd how) implements FleetEvent {}
+    record RunEnded(double atMs, ServerIdentity server, String attemptId, RunEnd how) implements FleetEvent {}
 
-    record HandleCreated(double at, ServerIdentity server, String handle, String tryId) implements FleetEvent {}
+    record HandleCreated(double atMs, ServerIdentity server, String handle, String attemptId) implements FleetEvent {}
 
     /** A decode server fetched what a prefill server kept. */
-    record HandleFetched(double at, String handle, String byTryId) implements FleetEvent {}
+    record HandleFetched(double atMs, String handle, String byAttemptId) implements FleetEvent {}
 
-    record HandleFreed(double at, String handle) implements FleetEvent {}
+    record HandleFreed(double atMs, String handle) implements FleetEvent {}
 
     // ---- platform -------------------------------------------------------------------------------------
 
     /** A process asked for a page of the list; {@code status} 0: no answer was given. */
-    record EndpointListRequested(double at, String node, int status) implements FleetEvent {}
+    record EndpointListRequested(double atMs, String node, int status) implements FleetEvent {}
 
     /** From here on the list shows the server as draining. */
-    record ListedDraining(double at, ServerIdentity server) implements FleetEvent {}
+    record ListedDraining(double atMs, ServerIdentity server) implements FleetEvent {}
 
     // ---- operator -------------------------------------------------------------------------------------
 
     /** The operator began to send a change; {@code document}: what is in force if it is taken, null: it is invalid. */
-    record ChangeSent(double at, long base, FleetConfiguration document, String text) implements FleetEvent {}
+    record ChangeSent(double atMs, long base, FleetConfiguration document, String text) implements FleetEvent {}
 
     /** One control sidecar's answer to a change; {@code status} 0: none came. */
-    record ChangeAttempted(double at, String node, String text, int status) implements FleetEvent {}
+    record ChangeAttempted(double atMs, String node, String text, int status) implements FleetEvent {}
 
     /** The operator has its answer to a change; {@code status} 0: none that is clear. */
-    record ChangeAnswered(double at, long base, FleetConfiguration document, String text, int status)
+    record ChangeAnswered(double atMs, long base, FleetConfiguration document, String text, int status)
             implements FleetEvent {}
 
     /** A configuration was read back. */
-    record ReadBack(double at, double sentAt, String node, String text) implements FleetEvent {}
+    record ReadBack(double atMs, double sentAtMs, String node, String text) implements FleetEvent {}
 
     // ---- processes ------------------------------------------------------------------------------------
 
-    record ProcessFaulted(double at, String node, boolean core, ProcessFault fault) implements FleetEvent {}
+    record ProcessFaulted(double atMs, String node, boolean core, ProcessFault fault) implements FleetEvent {}
 
     /** The events of one kind. */
     static <T extends FleetEvent> List<T> only(List<FleetEvent> events, Class<T> kind) {
--- a/emulator/src/main/java/dewplank/emulator/fleet/FleetNetwork.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/FleetNetwork.java
@@ -20,10 +20,10 @@
     private static final int SERVER_PORT = 18_080;
     private static final int GUARD_PORT = 18_139;
     private static final int GUARD = 0;
-    private static final int CONTROL_FROM = 10;
-    private static final int DATA_FROM = 40;
-    private static final int PLATFORM_BEHIND = 60; // where a machine finds the platform, beyond its own number
-    private static final int SERVERS_FROM = 150;
+    private static final int FIRST_CONTROL = 10;
+    private static final int FIRST_DATA = 40;
+    private static final int PLATFORM_OFFSET = 60; // where a machine finds the platform, beyond its own number
+    private static final int FIRST_SERVER = 150;
 
     private final int number;
     private final ServerSocket guard;
@@ -47,21 +47,21 @@
     }
 
     InetAddress control(int machine) {
-        return Addresses.machine(number, CONTROL_FROM + machine);
+        return Addresses.machine(number, FIRST_CONTROL + machine);
     }
 
     InetAddress data(int machine) {
-        return Addresses.machine(number, DATA_FROM + machine);
+        return Addresses.machine(number, FIRST_DATA + machine);
     }
 
     /** Where a control machine finds the platform: each at an address of its own, which tells who is calling. */
     InetSocketAddress platform(int controlMachine) {
         return new InetSocketAddress(
-                Addresses.machine(number, CONTROL_FROM + PLATFORM_BEHIND + controlMachine), PLATFORM_PORT);
+                Addresses.machine(number, FIRST_CONTROL + PLATFORM_OFFSET + controlMachine), PLATFORM_PORT);
     }
 
     InetSocketAddress server(int machine) {
-        return new InetSocketAddress(Addresses.machine(number, SERVERS_FROM + machine), SERVER_PORT);
+        return new InetSocketAddress(Addresses.machine(number, FIRST_SERVER + machine), SERVER_PORT);
     }
 
     @Override
--- a/emulator/src/main/java/dewplank/emulator/fleet/FleetProcess.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/FleetProcess.java
@@ -57,7 +57,7 @@
         if (disk != null) {
             Files.createDirectories(disk);
         }
-        note(ProcessFault.STARTED);
+        record(ProcessFault.STARTED);
         process.start(SettingsFile.of(machine, seeds, initialStart, disk), List.of());
     }
 
@@ -67,19 +67,19 @@
 
     /** SIGKILL; returns when it has ended. */
     public void kill() throws InterruptedException {
-        note(ProcessFault.KILLED);
+        record(ProcessFault.KILLED);
         process.kill();
         process.awaitEnd();
     }
 
     /** Ends with the test, whatever state it is in. */
-    void end() {
+    void destroy() {
         process.kill();
     }
 
     /** SIGTERM. */
     public void terminate() throws IOException, InterruptedException {
-        note(ProcessFault.TERMINATED);
+        record(ProcessFault.TERMINATED);
         process.signal("TERM");
     }
 
@@ -90,19 +90,19 @@
 
     /** SIGSTOP. */
     public void freeze() throws IOException, InterruptedException {
-        note(ProcessFault.FROZEN);
+        record(ProcessFault.FROZEN);
         process.signal("STOP");
     }
 
     /** SIGCONT. */
     public void thaw() throws IOException, InterruptedException {
-        note(ProcessFault.THAWED);
+        record(ProcessFault.THAWED);
         process.signal("CONT");
     }
 
     /** Loses the disk of a process that is not running. */
     public void loseDisk() throws IOException {
-        note(ProcessFault.WIPED);
+        record(ProcessFault.WIPED);
         List<Path> all;
         try (Stream<Path> files = Files.walk(disk)) {
             all = files.sorted((a, b) -> b.compareTo(a)).toList();
@@ -112,7 +112,7 @@
         }
     }
 
-    private void note(ProcessFault trouble) {
-        history.add(new FleetEvent.ProcessFaulted(loop.now(), machine.node(), machine.core(), trouble));
+    private void record(ProcessFault fault) {
+        history.add(new FleetEvent.ProcessFaulted(loop.now(), machine.node(), machine.core(), fault));
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/fleet/HandleRules.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/HandleRules.java
@@ -21,15 +21,15 @@
     List<Violation> check() {
         List<Violation> found = new ArrayList<>();
         Map<String, String> owners = FleetEvent.only(events, HandleCreated.class).stream()
-                .collect(Collectors.toMap(HandleCreated::handle, HandleCreated::tryId));
-        Set<String> taken = new HashSet<>();
+                .collect(Collectors.toMap(HandleCreated::handle, HandleCreated::attemptId));
+        Set<String> fetched = new HashSet<>();
         for (HandleFetched t : FleetEvent.only(events, HandleFetched.class)) {
-            if (!taken.add(t.handle())) {
+            if (!fetched.add(t.handle())) {
                 found.add(new Violation(Rule.HANDLE, t.handle() + " was taken twice"));
             }
-            if (!t.byTryId().equals(owners.get(t.handle()))) {
+            if (!t.byAttemptId().equals(owners.get(t.handle()))) {
                 found.add(new Violation(
-                        Rule.HANDLE, t.handle() + " of " + owners.get(t.handle()) + " taken for " + t.byTryId()));
+                        Rule.HANDLE, t.handle() + " of " + owners.get(t.handle()) + " taken for " + t.byAttemptId()));
             }
         }
         return found;
--- a/emulator/src/main/java/dewplank/emulator/fleet/History.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/History.java
@@ -9,16 +9,16 @@
 
 /** All that the stand-ins saw, in order; whoever waits for something waits here for the event that tells it. */
 public final class History {
-    private static final long PATIENCE_S = 20;
-    private static final long LOOK_AT_LEAST_EVERY_MS = 100;
+    private static final long AWAIT_TIMEOUT_S = 20;
+    private static final long MAX_POLL_INTERVAL_MS = 100;
 
     private final List<FleetEvent> events = new ArrayList<>();
-    private long listCalls;
+    private long listCallCount;
 
     synchronized void add(FleetEvent event) {
         events.add(event);
         if (event instanceof FleetEvent.EndpointListRequested) {
-            listCalls++;
+            listCallCount++;
         }
         notifyAll();
     }
@@ -35,10 +35,10 @@
     /** Waits for an event, among those that were and those to come. */
     public <T extends FleetEvent> T await(String what, Class<T> kind, Predicate<T> wanted)
             throws InterruptedException, TimeoutException {
-        long deadline = deadline();
+        long deadlineNanos = deadlineFromNow();
         int next = 0;
         while (true) {
-            List<FleetEvent> more = after(next, deadline, what);
+            List<FleetEvent> more = after(next, deadlineNanos, what);
             next += more.size();
             for (FleetEvent event : more) {
                 if (kind.isInstance(event) && wanted.test(kind.cast(event))) {
@@ -48,10 +48,10 @@
         }
     }
 
-    private synchronized List<FleetEvent> after(int seen, long deadline, String what)
+    private synchronized List<FleetEvent> after(int seen, long deadlineNanos, String what)
             throws InterruptedException, TimeoutException {
         while (events.size() == seen) {
-            waitUntil(deadline, what, Long.MAX_VALUE);
+            waitUntil(deadlineNanos, what, Long.MAX_VALUE);
         }
         return List.copyOf(events.subList(seen, events.size()));
     }
@@ -61,31 +61,35 @@
      * at which the fleet learns.
      */
     public void awaitState(String what, BooleanSupplier state) throws InterruptedException, TimeoutException {
-        long deadline = deadline();
+        long deadlineNanos = deadlineFromNow();
         while (!state.getAsBoolean()) {
-            awaitListCall(deadline, what);
+            awaitListCall(deadlineNanos, what);
         }
     }
 
-    private synchronized void awaitListCall(long deadline, String what) throws InterruptedException, TimeoutException {
-        long before = listCalls;
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LOOK_AT_LEAST_EVERY_MS);
-        while (listCalls == before && System.nanoTime() < until) {
-            waitUntil(deadline, what, until);
+    private synchronized void awaitListCall(long deadlineNanos, String what)
+            throws InterruptedException, TimeoutException {
+        long before = listCallCount;
+        long pollUntilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MAX_POLL_INTERVAL_MS);
+        while (listCallCount == before && System.nanoTime() < pollUntilNanos) {
+            waitUntil(deadlineNanos, what, pollUntilNanos);
         }
     }
 
     @SuppressWarnings("WaitNotInLoop") // the callers loop
-    private void waitUntil(long deadline, String what, long atMost) throws InterruptedException, TimeoutException {
-        long left = deadline - System.nanoTime();
-        if (left <= 0) {
-            throw new TimeoutException("did not come about within " + PATIENCE_S + " s: " + what);
+    private void waitUntil(long deadlineNanos, String what, long untilNanos)
+            throws InterruptedException, TimeoutException {
+        long remainingNanos = deadlineNanos - System.nanoTime();
+        if (remainingNanos <= 0) {
+            throw new TimeoutException("did not come about within " + AWAIT_TIMEOUT_S + " s: " + what);
         }
-        long most = atMost == Long.MAX_VALUE ? left : Math.min(left, atMost - System.nanoTime());
-        wait(Math.max(1, TimeUnit.NANOSECONDS.toMillis(most)));
+        long maxWaitNanos = untilNanos == Long.MAX_VALUE
+                ? remainingNanos
+                : Math.min(remainingNanos, untilNanos - System.nanoTime());
+        wait(Math.max(1, TimeUnit.NANOSECONDS.toMillis(maxWaitNanos)));
     }
 
-    private static long deadline() {
-        return System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
+    private static long deadlineFromNow() {
+        return System.nanoTime() + TimeUnit.SECONDS.toNanos(AWAIT_TIMEOUT_S);
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/fleet/ModelServer.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/ModelServer.java
@@ -12,15 +12,15 @@
  */
 public final class ModelServer extends StandInServer {
     private static final String HANDLE_PATH = "/kv-handle/";
-    private static final double READ_MS = 4;
-    private static final double BETWEEN_EVENTS_MS = 4;
-    private static final int NEVER = Integer.MAX_VALUE;
+    private static final double PREFILL_MS = 4;
+    private static final double EVENT_INTERVAL_MS = 4;
+    private static final int NO_PAUSE = Integer.MAX_VALUE;
 
     private final ContextHandles handles;
-    private final Deque<Runnable> held = new ArrayDeque<>();
+    private final Deque<Runnable> pausedStreams = new ArrayDeque<>();
     private volatile boolean rejectsHandles;
-    private volatile boolean fetchesNever;
-    private volatile int holdBehind = NEVER;
+    private volatile boolean stallsHandleFetches;
+    private volatile int pauseStreamsAfter = NO_PAUSE;
     private int streams;
 
     ModelServer(
@@ -36,102 +36,102 @@
     }
 
     /** From here on whatever is to be fetched is waited for, without end. */
-    public void neverFetch() {
-        fetchesNever = true;
+    public void stallHandleFetches() {
+        stallsHandleFetches = true;
     }
 
-    /** Streams stop behind the event of this id until {@link #goOn}. */
-    public void holdBehind(int id) {
-        holdBehind = id;
+    /** Streams stop behind the event of this id until {@link #resumeStreams}. */
+    public void pauseStreamsAfter(int id) {
+        pauseStreamsAfter = id;
     }
 
     /** Streams that were held, and all later ones, go on to their end. */
-    public void goOn() {
-        holdBehind = NEVER;
+    public void resumeStreams() {
+        pauseStreamsAfter = NO_PAUSE;
         loop.execute(() -> {
-            while (!held.isEmpty()) {
-                held.removeFirst().run();
+            while (!pausedStreams.isEmpty()) {
+                pausedStreams.removeFirst().run();
             }
         });
     }
 
     @Override
-    void take(Arrival a) {
-        boolean prefill = ServerIdentity.PREFILL.equals(a.field(WireFields.STAGE));
-        if (a.method.equals("DELETE") && a.target.startsWith(HANDLE_PATH)) {
-            handles.free(loop.now(), identity(), a.target.substring(HANDLE_PATH.length()));
-            a.answer(200, null, "");
+    void handle(Arrival arrival) {
+        boolean prefill = ServerIdentity.PREFILL.equals(arrival.header(WireFields.STAGE));
+        if (arrival.method.equals("DELETE") && arrival.target.startsWith(HANDLE_PATH)) {
+            handles.free(loop.now(), identity(), arrival.target.substring(HANDLE_PATH.length()));
+            arrival.answer(200, null, "");
         } else if (prefill != ServerIdentity.PREFILL.equals(identity().stage())) {
-            a.turnAway(421);
+            arrival.reject(421);
         } else if (prefill) {
-            prefill(a);
+            prefill(arrival);
         } else {
-            decode(a);
+            decode(arrival);
         }
     }
 
-    private void prefill(Arrival a) {
+    private void prefill(Arrival arrival) {
         if (behaviour == Behaviour.SILENT) {
             return;
         }
-        loop.after(READ_MS, () -> {
-            if (a.open()) {
-                String handle = handles.make(loop.now(), identity(), a.tryId);
-                a.answer(
+        loop.after(PREFILL_MS, () -> {
+            if (arrival.open()) {
+                String handle = handles.create(loop.now(), identity(), arrival.attemptId);
+                arrival.answer(
                         200, null, "{\"context_handle\":\"" + handle + "\",\"token_count\":1050,\"config_version\":1}");
             }
         });
     }
 
-    private void decode(Arrival a) {
-        String from = a.field(WireFields.KV_FROM);
-        if (from != null && fetchesNever) {
+    private void decode(Arrival arrival) {
+        String from = arrival.header(WireFields.KV_FROM);
+        if (from != null && stallsHandleFetches) {
             return;
         }
-        if (from != null && (rejectsHandles || !handles.take(loop.now(), from, a.tryId))) {
-            a.turnAway(503);
+        if (from != null && (rejectsHandles || !handles.fetch(loop.now(), from, arrival.attemptId))) {
+            arrival.reject(503);
             return;
         }
-        a.run();
+        arrival.run();
         if (behaviour != Behaviour.SILENT) {
-            new Stream(a).begin();
+            new Stream(arrival).begin();
         }
     }
 
     /** The events of one run. */
     private final class Stream {
         private final Arrival arrival;
-        private final int last;
-        private int sent;
+        private final int lastId;
+        private int lastSentId;
 
         Stream(Arrival arrival) {
             this.arrival = arrival;
-            String counts = arrival.field(WireFields.TOKEN_COUNTS);
-            this.last =
+            String counts = arrival.header(WireFields.TOKEN_COUNTS);
+            this.lastId =
                     Integer.parseInt(counts.substring(counts.indexOf(',') + 1).strip());
-            String resumed = arrival.field(WireFields.LAST_EVENT_ID);
-            this.sent = resumed == null ? 0 : Integer.parseInt(resumed);
+            String resumed = arrival.header(WireFields.LAST_EVENT_ID);
+            this.lastSentId = resumed == null ? 0 : Integer.parseInt(resumed);
         }
 
         void begin() {
             arrival.beginStream(identity().instanceId() + "." + ++streams);
-            loop.after(BETWEEN_EVENTS_MS, this::next);
+            loop.after(EVENT_INTERVAL_MS, this::next);
         }
 
         private void next() {
             if (!arrival.open()) {
                 return;
             }
-            if (sent >= last) {
+            if (lastSentId >= lastId) {
                 arrival.endStream();
                 return;
             }
-            sent++;
-            arrival.event(sent, StreamEvents.text(arrival.tryId, sent));
-            if (sent == holdBehind) {
-                held.addLast(this::next);
+            lastSentId++;
+            arrival.event(lastSentId, StreamEvents.text(arrival.attemptId, lastSentId));
+            if (lastSentId == pauseStreamsAfter) {
+                pausedStreams.addLast(this::next);
             } else {
-                loop.after(BETWEEN_EVENTS_MS, this::next);
+                loop.after(EVENT_INTERVAL_MS, this::next);
             }
         }
     }
--- a/emulator/src/main/java/dewplank/emulator/fleet/PlainServer.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/PlainServer.java
@@ -7,7 +7,7 @@
 /** A server that answers each request whole. */
 public final class PlainServer extends StandInServer {
     private static final double WORK_MS = 3;
-    private int answers;
+    private int responseCount;
 
     PlainServer(EventLoop loop, History history, ServerIdentity identity, InetSocketAddress address)
             throws IOException {
@@ -15,17 +15,18 @@
     }
 
     @Override
-    void take(Arrival a) {
-        a.run();
+    void handle(Arrival arrival) {
+        arrival.run();
         if (behaviour == Behaviour.SILENT) {
             return;
         }
         loop.after(WORK_MS, () -> {
-            if (a.open()) {
-                a.answer(
+            if (arrival.open()) {
+                arrival.answer(
                         200,
-                        identity().instanceId() + "." + ++answers,
-                        a.tryId + " by " + identity().instanceId() + ": " + a.method + " " + a.target + " " + a.body);
+                        identity().instanceId() + "." + ++responseCount,
+                        arrival.attemptId + " by " + identity().instanceId() + ": " + arrival.method + " "
+                                + arrival.target + " " + arrival.body);
             }
         });
     }
--- a/emulator/src/main/java/dewplank/emulator/fleet/PlatformRules.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/PlatformRules.java
@@ -14,7 +14,7 @@
  * moment longer, or for a moment after it was thawed; who comes back within a lease takes turns with the other.
  */
 final class PlatformRules {
-    private static final double HAND_OVER_MS = 500;
+    private static final double MAX_HAND_OVER_MS = 500;
 
     private final List<EndpointListRequested> calls;
     private final List<ProcessFaulted> thaws;
@@ -28,23 +28,23 @@
 
     List<Violation> check() {
         List<Violation> found = new ArrayList<>();
-        String holder = null;
-        double heldSince = Double.NEGATIVE_INFINITY;
+        String caller = null;
+        double callerSinceMs = Double.NEGATIVE_INFINITY;
         Map<String, Double> lastCall = new HashMap<>();
         for (EndpointListRequested call : calls) {
-            boolean relieved = !call.node().equals(holder) && lastCall.containsKey(call.node());
-            boolean withinLease = relieved && call.at() - lastCall.get(call.node()) < FleetBounds.LEASE_MS;
-            if (withinLease && call.at() - heldSince < HAND_OVER_MS || relieved && justThawed(call)) {
+            boolean isFormerCaller = !call.node().equals(caller) && lastCall.containsKey(call.node());
+            boolean isWithinLease = isFormerCaller && call.atMs() - lastCall.get(call.node()) < FleetBounds.LEASE_MS;
+            if (isWithinLease && call.atMs() - callerSinceMs < MAX_HAND_OVER_MS || isFormerCaller && justThawed(call)) {
                 continue; // the end of a hand-over
             }
-            if (withinLease) {
-                found.add(new Violation(Rule.ONE, call.node() + " and " + holder + " took turns at " + call.at()));
+            if (isWithinLease) {
+                found.add(new Violation(Rule.ONE, call.node() + " and " + caller + " took turns at " + call.atMs()));
             }
-            if (!call.node().equals(holder)) {
-                holder = call.node();
-                heldSince = call.at();
+            if (!call.node().equals(caller)) {
+                caller = call.node();
+                callerSinceMs = call.atMs();
             }
-            lastCall.put(call.node(), call.at());
+            lastCall.put(call.node(), call.atMs());
         }
         return found;
     }
@@ -52,7 +52,7 @@
     private boolean justThawed(EndpointListRequested call) {
         return thaws.stream()
                 .anyMatch(t -> t.node().equals(call.node())
-                        && call.at() >= t.at()
-                        && call.at() - t.at() <= FleetBounds.THAW_SLACK_MS);
+                        && call.atMs() >= t.atMs()
+                        && call.atMs() - t.atMs() <= FleetBounds.THAW_SLACK_MS);
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/fleet/RouteSpec.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/RouteSpec.java
@@ -42,7 +42,7 @@
     private static final int ATTEMPTS = 3;
     private static final int TIMEOUT_MS = 8_000;
     private static final int TARGET_LATENCY_MS = 1_000;
-    private static final int GAP_AIM_MS = 250;
+    private static final int TARGET_GAP_MS = 250;
 
     public RouteSpec {
         split = new LinkedHashMap<>(split);
@@ -72,7 +72,7 @@
         o.addProperty("sticky", kind.streaming());
         o.addProperty("resumable", kind.resumable);
         if (kind.streaming()) {
-            o.addProperty("gap_aim_ms", GAP_AIM_MS);
+            o.addProperty("gap_aim_ms", TARGET_GAP_MS);
         }
         return o;
     }
--- a/emulator/src/main/java/dewplank/emulator/fleet/SettingsFile.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/SettingsFile.java
@@ -19,33 +19,33 @@
     private SettingsFile() {}
 
     static String of(FleetMachine machine, List<InetSocketAddress> seeds, boolean initialStart, Path data) {
-        JsonObject o = new JsonObject();
-        o.addProperty("node_name", machine.node());
-        o.addProperty("machine_class", machine.core() ? "core" : "edge");
-        o.addProperty("ip_address", machine.address().getHostAddress());
-        o.addProperty("zone", machine.zone());
-        o.add("listen_addresses", listen(machine));
-        o.add(
+        JsonObject settings = new JsonObject();
+        settings.addProperty("node_name", machine.node());
+        settings.addProperty("machine_class", machine.core() ? "core" : "edge");
+        settings.addProperty("ip_address", machine.address().getHostAddress());
+        settings.addProperty("zone", machine.zone());
+        settings.add("listen_addresses", listen(machine));
+        settings.add(
                 "internal_port_range",
                 array(List.of(
                         new JsonPrimitive(FleetNetwork.FIRST_INTERNAL_PORT),
                         new JsonPrimitive(FleetNetwork.LAST_INTERNAL_PORT))));
-        o.add(
+        settings.add(
                 "seed_nodes",
                 array(seeds.stream()
                         .map(s -> new JsonPrimitive(Addresses.text(s)))
                         .toList()));
-        o.addProperty("initial_start", initialStart);
-        o.addProperty("loss_counted", machine.core());
-        o.add("limits", limits());
-        o.add("data_directory", data == null ? JsonNull.INSTANCE : new JsonPrimitive(data.toString()));
-        o.add("bounds", bounds());
+        settings.addProperty("initial_start", initialStart);
+        settings.addProperty("loss_counted", machine.core());
+        settings.add("limits", limits());
+        settings.add("data_directory", data == null ? JsonNull.INSTANCE : new JsonPrimitive(data.toString()));
+        settings.add("bounds", bounds());
         JsonObject platform = new JsonObject();
         platform.addProperty("address", Addresses.text(machine.platform()));
         platform.addProperty("rate_per_s", FleetBounds.LIST_RATE_PER_S);
         platform.addProperty("max_lag_ms", FleetBounds.MAX_LAG_MS);
-        o.add("platform_api", platform);
-        return o.toString();
+        settings.add("platform_api", platform);
+        return settings.toString();
     }
 
     private static JsonObject listen(FleetMachine machine) {
--- a/emulator/src/main/java/dewplank/emulator/fleet/StandInFleet.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/StandInFleet.java
@@ -13,10 +13,10 @@
 
 /** A fleet of processes on loopback and all its surroundings. */
 public final class StandInFleet implements AutoCloseable {
-    private static final int MOST_SEEDS = 3;
+    private static final int MAX_SEEDS = 3;
     private static final List<String> ZONES = List.of("ost", "vest", "sor");
-    private static final double VIEW_MS = 1_000;
-    private static final int PATIENCE_S = 10;
+    private static final double READINESS_TIMEOUT_MS = 1_000;
+    private static final int EXIT_TIMEOUT_S = 10;
 
     /** How the two programs are started. */
     public record Commands(List<String> control, List<String> data) {}
@@ -30,14 +30,14 @@
     private final List<FleetProcess> control = new ArrayList<>();
     private final List<FleetProcess> data = new ArrayList<>();
     private final StandInOperator operator;
-    private final Thread lastResort = new Thread(this::killAll, "fleet");
+    private final Thread shutdownHook = new Thread(this::killAll, "fleet");
     private int servers;
 
     /** {@code folder}: for settings, logs and disks. */
     public StandInFleet(Commands commands, Path folder, int controlMachines, int dataMachines) throws IOException {
         List<InetSocketAddress> seeds = new ArrayList<>();
         List<FleetMachine> core = machines(controlMachines, this::controlMachine);
-        core.stream().limit(MOST_SEEDS).forEach(m -> seeds.add(m.control()));
+        core.stream().limit(MAX_SEEDS).forEach(m -> seeds.add(m.control()));
         for (FleetMachine machine : core) {
             platform.listenFor(machine);
             control.add(new FleetProcess(loop, history, machine, seeds, commands.control(), folder));
@@ -46,7 +46,7 @@
             data.add(new FleetProcess(loop, history, machine, seeds, commands.data(), folder));
         }
         operator = new StandInOperator(loop, history, core);
-        Runtime.getRuntime().addShutdownHook(lastResort); // no process outlives the tests, however those end
+        Runtime.getRuntime().addShutdownHook(shutdownHook); // no process outlives the tests, however those end
     }
 
     private static List<FleetMachine> machines(int count, Function<Integer, FleetMachine> machine) {
@@ -71,15 +71,15 @@
 
     /** Starts all processes for the first time. */
     public void startFirst() throws IOException {
-        for (FleetProcess process : all()) {
+        for (FleetProcess process : processes()) {
             process.startFirst();
         }
     }
 
-    private List<FleetProcess> all() {
-        List<FleetProcess> all = new ArrayList<>(control);
-        all.addAll(data);
-        return all;
+    private List<FleetProcess> processes() {
+        List<FleetProcess> processes = new ArrayList<>(control);
+        processes.addAll(data);
+        return processes;
     }
 
     public List<FleetProcess> control() {
@@ -128,7 +128,7 @@
     public PlainServer plainServer(String service) throws IOException {
         InetSocketAddress at = network.server(servers);
         PlainServer server = new PlainServer(loop, history, identity(service, null, at), at);
-        platform.list(server.identity());
+        platform.add(server.identity());
         return server;
     }
 
@@ -136,7 +136,7 @@
     public ModelServer modelServer(String service, String stage) throws IOException {
         InetSocketAddress at = network.server(servers);
         ModelServer server = new ModelServer(loop, history, identity(service, stage, at), at, handles);
-        platform.list(server.identity());
+        platform.add(server.identity());
         return server;
     }
 
@@ -162,7 +162,7 @@
                         http.close();
                         status.complete(parser == null ? 0 : parser.status());
                     });
-            loop.after(VIEW_MS, () -> {
+            loop.after(READINESS_TIMEOUT_MS, () -> {
                 if (status.complete(0)) {
                     call.cancel();
                 }
@@ -172,17 +172,17 @@
     }
 
     private void killAll() {
-        all().forEach(FleetProcess::end);
+        processes().forEach(FleetProcess::destroy);
     }
 
     /** Ends all: kills what still runs. */
     @Override
     public void close() throws IOException, InterruptedException {
         killAll();
-        for (FleetProcess process : all()) {
-            process.awaitEnd(PATIENCE_S);
+        for (FleetProcess process : processes()) {
+            process.awaitEnd(EXIT_TIMEOUT_S);
         }
-        Runtime.getRuntime().removeShutdownHook(lastResort);
+        Runtime.getRuntime().removeShutdownHook(shutdownHook);
         loop.stop();
         network.close();
     }
--- a/emulator/src/main/java/dewplank/emulator/fleet/StandInOperator.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/StandInOperator.java
@@ -20,15 +20,15 @@
  * clear; follows a redirect twice, and moves on after a failure, an answer that asks for it, or a second of silence.
  */
 public final class StandInOperator {
-    private static final double SILENCE_MS = 1_000;
-    private static final double FIRST_BACKOFF_MS = 40;
-    private static final double MOST_BACKOFF_MS = 400;
-    private static final double GIVES_UP_MS = 20_000;
-    private static final long PATIENCE_S = 30;
+    private static final double RESPONSE_TIMEOUT_MS = 1_000;
+    private static final double INITIAL_BACKOFF_MS = 40;
+    private static final double MAX_BACKOFF_MS = 400;
+    private static final double CALL_TIMEOUT_MS = 20_000;
+    private static final long AWAIT_TIMEOUT_S = 30;
     private static final String PATH = "/configuration";
 
     private static final int REDIRECT = 307;
-    private static final int MOST_REDIRECTS = 2;
+    private static final int MAX_REDIRECTS = 2;
 
     /** An answer; {@code status} 0: none. {@code location}: where a redirect leads, else empty. */
     private record Answer(int status, String body, String location) {
@@ -74,14 +74,14 @@
                 .header("If-Match", Long.toString(base))
                 .header("Content-Type", "application/json")
                 .body(body);
-        Clear clear = (machine, answer) -> {
+        ResponseListener finalListener = (machine, answer) -> {
             history.add(new FleetEvent.ChangeAnswered(loop.now(), base, document, text, answer.status()));
             status.complete(answer.status());
         };
-        new Sending(
+        new ConfigurationCall(
                         message,
                         first,
-                        clear,
+                        finalListener,
                         (machine, answer) -> history.add(
                                 new FleetEvent.ChangeAttempted(loop.now(), machine.node(), text, answer.status())))
                 .begin();
@@ -91,15 +91,15 @@
     /** Reads the configuration back, first from the machine of that index; its version. */
     public CompletableFuture<Long> read(int first) {
         CompletableFuture<Long> version = new CompletableFuture<>();
-        double sentAt = loop.now();
+        double sentAtMs = loop.now();
         Message message =
                 machine -> MessageWriter.request("GET", PATH, machine.node()).noBody();
-        new Sending(
+        new ConfigurationCall(
                         message,
                         first,
                         (machine, answer) -> {
                             String text = answer.status() == 200 ? answer.body() : "";
-                            history.add(new FleetEvent.ReadBack(loop.now(), sentAt, machine.node(), text));
+                            history.add(new FleetEvent.ReadBack(loop.now(), sentAtMs, machine.node(), text));
                             version.complete(FleetConfiguration.versionOf(text));
                         },
                         (machine, answer) -> {})
@@ -110,8 +110,8 @@
     /** What one control sidecar says at a path, as it stands; empty where it says nothing. */
     public JsonObject view(FleetMachine machine, String path) {
         CompletableFuture<Answer> got = new CompletableFuture<>();
-        loop.execute(() ->
-                ask(machine, MessageWriter.request("GET", path, machine.node()).noBody(), got::complete));
+        loop.execute(() -> request(
+                machine, MessageWriter.request("GET", path, machine.node()).noBody(), got::complete));
         Answer answer = waitFor(got);
         return answer.status() == 200 ? JsonParser.parseString(answer.body()).getAsJsonObject() : new JsonObject();
     }
@@ -119,7 +119,7 @@
     /** Waits for an answer that was asked for here. */
     public static <T> T waitFor(CompletableFuture<T> future) {
         try {
-            return future.get(PATIENCE_S, TimeUnit.SECONDS);
+            return future.get(AWAIT_TIMEOUT_S, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IllegalStateException(e);
@@ -128,20 +128,20 @@
         }
     }
 
-    private void ask(FleetMachine machine, ByteBuffer message, Consumer<Answer> then) {
+    private void request(FleetMachine machine, ByteBuffer message, Consumer<Answer> then) {
         HttpClient client = new HttpClient(loop, machine.control(), 1);
-        boolean[] over = new boolean[1];
+        boolean[] isOver = new boolean[1];
         HttpClient.Call call = client.call(message, (parser, body) -> {
-            over[0] = true;
+            isOver[0] = true;
             client.close();
             then.accept(
                     parser == null
                             ? Answer.NONE
                             : new Answer(parser.status(), new String(body, StandardCharsets.UTF_8), location(parser)));
         });
-        loop.after(SILENCE_MS, () -> {
-            if (!over[0]) {
-                over[0] = true;
+        loop.after(RESPONSE_TIMEOUT_MS, () -> {
+            if (!isOver[0]) {
+                isOver[0] = true;
                 call.cancel();
                 then.accept(Answer.NONE);
             }
@@ -157,59 +157,60 @@
         ByteBuffer to(FleetMachine machine);
     }
 
-    private interface Clear {
+    private interface ResponseListener {
         void answered(FleetMachine machine, Answer answer);
     }
 
     /** One call, sent on until its answer is clear. */
-    private final class Sending {
+    private final class ConfigurationCall {
         private final Message message;
-        private final Clear clear;
-        private final Clear each;
-        private int next;
-        private double backoff = FIRST_BACKOFF_MS;
-        private double until;
+        private final ResponseListener finalListener;
+        private final ResponseListener attemptListener;
+        private int nextMachine;
+        private double backoffMs = INITIAL_BACKOFF_MS;
+        private double deadlineMs;
         private int redirects;
 
-        Sending(Message message, int first, Clear clear, Clear each) {
+        ConfigurationCall(
+                Message message, int first, ResponseListener finalListener, ResponseListener attemptListener) {
             this.message = message;
-            this.next = first;
-            this.clear = clear;
-            this.each = each;
+            this.nextMachine = first;
+            this.finalListener = finalListener;
+            this.attemptListener = attemptListener;
         }
 
         void begin() {
             loop.execute(() -> {
-                until = loop.now() + GIVES_UP_MS;
+                deadlineMs = loop.now() + CALL_TIMEOUT_MS;
                 send();
             });
         }
 
         private void send() {
             redirects = 0;
-            send(machines.get(next++ % machines.size()));
+            send(machines.get(nextMachine++ % machines.size()));
         }
 
         private void send(FleetMachine machine) {
-            ask(machine, message.to(machine), answer -> answered(machine, answer));
+            request(machine, message.to(machine), answer -> answered(machine, answer));
         }
 
         private void answered(FleetMachine machine, Answer answer) {
-            each.answered(machine, answer);
+            attemptListener.answered(machine, answer);
             int status = answer.status();
             FleetMachine other = status == REDIRECT ? machineAt(answer.location()) : null;
-            if (other != null && redirects++ < MOST_REDIRECTS) {
+            if (other != null && redirects++ < MAX_REDIRECTS) {
                 send(other);
                 return;
             }
             boolean moveOn = status == 0 || status == REDIRECT || status >= 500 || status == 408 || status == 429;
             if (!moveOn) {
-                clear.answered(machine, answer);
-            } else if (loop.now() >= until) {
-                clear.answered(machine, Answer.NONE);
+                finalListener.answered(machine, answer);
+            } else if (loop.now() >= deadlineMs) {
+                finalListener.answered(machine, Answer.NONE);
             } else {
-                loop.after(backoff, this::send);
-                backoff = Math.min(MOST_BACKOFF_MS, 2 * backoff);
+                loop.after(backoffMs, this::send);
+                backoffMs = Math.min(MAX_BACKOFF_MS, 2 * backoffMs);
             }
         }
 
--- a/emulator/src/main/java/dewplank/emulator/fleet/StandInPlatform.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/StandInPlatform.java
@@ -24,8 +24,8 @@
         TOO_MANY_CALLS
     }
 
-    private static final int MOST_CONNECTIONS = 64;
-    private static final int PAGE = 3;
+    private static final int MAX_CONNECTIONS = 64;
+    private static final int PAGE_SIZE = 3;
     private static final String PAGE_TOKEN = "page_token=p-";
     private static final int SLOTS = 64;
 
@@ -43,7 +43,8 @@
 
     /** Listens for one machine's calls. */
     void listenFor(FleetMachine machine) throws IOException {
-        Listener listener = new Listener(loop, machine.platform(), MOST_CONNECTIONS, () -> new End(machine.node()));
+        Listener listener =
+                new Listener(loop, machine.platform(), MAX_CONNECTIONS, () -> new PlatformConnection(machine.node()));
         listeners.add(listener);
         loop.execute(listener::accept);
     }
@@ -53,7 +54,7 @@
     }
 
     /** From the next call on the list holds the server. */
-    public synchronized void list(ServerIdentity server) {
+    public synchronized void add(ServerIdentity server) {
         servers.put(server.instanceId(), server);
     }
 
@@ -71,11 +72,11 @@
     private synchronized JsonObject page(int from) {
         List<ServerIdentity> all = List.copyOf(servers.values());
         JsonArray instances = new JsonArray();
-        all.stream().skip(from).limit(PAGE).forEach(s -> instances.add(entry(s)));
+        all.stream().skip(from).limit(PAGE_SIZE).forEach(s -> instances.add(entry(s)));
         JsonObject page = new JsonObject();
         page.add("instances", instances);
-        if (from + PAGE < all.size()) {
-            page.addProperty("next_token", "p-" + (from + PAGE));
+        if (from + PAGE_SIZE < all.size()) {
+            page.addProperty("next_token", "p-" + (from + PAGE_SIZE));
         } else {
             page.add("next_token", JsonNull.INSTANCE);
         }
@@ -98,10 +99,10 @@
         return o;
     }
 
-    private final class End extends HttpEndpoint {
+    private final class PlatformConnection extends HttpEndpoint {
         private final String node;
 
-        End(String node) {
+        PlatformConnection(String node) {
             this.node = node;
         }
 
@@ -111,21 +112,21 @@
             int from = token < 0 ? 0 : Integer.parseInt(request.target().substring(token + PAGE_TOKEN.length()));
             switch (behaviour) {
                 case ANSWERS -> {
-                    note(200);
+                    record(200);
                     answer(MessageWriter.response(200)
                             .header("Content-Type", "application/json")
                             .body(page(from).toString().getBytes(StandardCharsets.UTF_8)));
                 }
                 case TOO_MANY_CALLS -> {
-                    note(429);
+                    record(429);
                     answer(MessageWriter.response(429).body(new byte[0]));
                 }
-                case SILENT -> note(0);
+                case SILENT -> record(0);
                 default -> throw new IllegalStateException("no such mood: " + behaviour);
             }
         }
 
-        private void note(int status) {
+        private void record(int status) {
             history.add(new FleetEvent.EndpointListRequested(loop.now(), node, status));
         }
     }
--- a/emulator/src/main/java/dewplank/emulator/fleet/StandInServer.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/StandInServer.java
@@ -29,13 +29,13 @@
         SILENT
     }
 
-    private static final int MOST_CONNECTIONS = 1_024;
+    private static final int MAX_CONNECTIONS = 1_024;
 
     final EventLoop loop;
     final History history;
     private final ServerIdentity identity;
     private final InetSocketAddress address;
-    private final Set<End> ends = new HashSet<>();
+    private final Set<ServerConnection> connections = new HashSet<>();
     private Listener listener;
     volatile Behaviour behaviour = Behaviour.WORKS;
 
@@ -45,7 +45,7 @@
         this.history = history;
         this.identity = identity;
         this.address = address;
-        listener = new Listener(loop, address, MOST_CONNECTIONS, End::new);
+        listener = new Listener(loop, address, MAX_CONNECTIONS, ServerConnection::new);
         loop.execute(listener::accept);
     }
 
@@ -77,76 +77,76 @@
 
     private void down() {
         listener.close();
-        List.copyOf(ends).forEach(End::crash);
+        List.copyOf(connections).forEach(ServerConnection::crash);
     }
 
     /** Takes a request that is meant for this server. */
-    abstract void take(Arrival arrival);
+    abstract void handle(Arrival arrival);
 
-    final void note(FleetEvent event) {
+    final void record(FleetEvent event) {
         history.add(event);
     }
 
     /** A request at this server, and the way to answer it. */
     final class Arrival {
-        final String tryId;
+        final String attemptId;
         final String method;
         final String target;
         final String body;
         private final RequestParser request;
-        private final End end;
+        private final ServerConnection connection;
         private boolean running;
 
-        private Arrival(RequestParser request, End end) {
+        private Arrival(RequestParser request, ServerConnection connection) {
             this.request = request;
-            this.end = end;
-            this.tryId = String.valueOf(request.headers().get(WireFields.ATTEMPT_ID));
+            this.connection = connection;
+            this.attemptId = String.valueOf(request.headers().get(WireFields.ATTEMPT_ID));
             this.method = request.method();
             this.target = request.target();
             this.body = new String(request.takeBody(), StandardCharsets.UTF_8);
         }
 
-        String field(String name) {
+        String header(String name) {
             return request.headers().get(name);
         }
 
         boolean open() {
-            return end.isOpen();
+            return connection.isOpen();
         }
 
         /** Work begins. */
         void run() {
             running = true;
-            note(new FleetEvent.RunStarted(loop.now(), identity, tryId));
+            record(new FleetEvent.RunStarted(loop.now(), identity, attemptId));
         }
 
         /** Work ends; told once. */
-        void ended(RunEnd how) {
+        void ended(RunEnd end) {
             if (running) {
                 running = false;
-                note(new FleetEvent.RunEnded(loop.now(), identity, tryId, how));
+                record(new FleetEvent.RunEnded(loop.now(), identity, attemptId, end));
             }
         }
 
-        void turnAway(int status) {
-            note(new FleetEvent.RunRejected(loop.now(), identity, tryId, status));
-            end.reply(head(status).header(WireFields.NOT_EXECUTED, "1"), "");
+        void reject(int status) {
+            record(new FleetEvent.RunRejected(loop.now(), identity, attemptId, status));
+            connection.reply(head(status).header(WireFields.NOT_EXECUTED, "1"), "");
         }
 
         /** Sends the whole answer. */
         void answer(int status, String seal, String text) {
             ended(RunEnd.COMPLETED);
-            note(new FleetEvent.Answered(loop.now(), identity, tryId, status, seal, text));
-            end.reply(head(status).header(WireFields.SEAL, seal), text);
+            record(new FleetEvent.Answered(loop.now(), identity, attemptId, status, seal, text));
+            connection.reply(head(status).header(WireFields.SEAL, seal), text);
         }
 
         private MessageWriter head(int status) {
-            return MessageWriter.response(status).header(WireFields.ATTEMPT_ID, tryId);
+            return MessageWriter.response(status).header(WireFields.ATTEMPT_ID, attemptId);
         }
 
         void beginStream(String seal) {
-            note(new FleetEvent.StreamBegun(loop.now(), identity, tryId, seal));
-            end.part(head(200)
+            record(new FleetEvent.StreamBegun(loop.now(), identity, attemptId, seal));
+            connection.part(head(200)
                     .header(WireFields.SEAL, seal)
                     .header("Content-Type", "text/event-stream")
                     .header("Transfer-Encoding", "chunked")
@@ -154,34 +154,34 @@
         }
 
         void event(int id, String text) {
-            note(new FleetEvent.StreamEventSent(loop.now(), identity, tryId, id, text));
-            end.part(Chunks.of(text));
+            record(new FleetEvent.StreamEventSent(loop.now(), identity, attemptId, id, text));
+            connection.part(Chunks.of(text));
         }
 
         void endStream() {
             ended(RunEnd.COMPLETED);
-            end.last();
+            connection.last();
         }
     }
 
-    private final class End extends HttpEndpoint {
+    private final class ServerConnection extends HttpEndpoint {
         private Arrival arrival;
 
         @Override
         protected void opened() {
-            ends.add(this);
+            connections.add(this);
         }
 
         @Override
         protected void ended() {
-            ends.remove(this);
+            connections.remove(this);
             if (arrival != null) {
                 arrival.ended(RunEnd.CALLER_LEFT);
             }
         }
 
         void crash() {
-            ends.remove(this);
+            connections.remove(this);
             if (arrival != null) {
                 arrival.ended(RunEnd.CRASHED);
             }
@@ -198,23 +198,23 @@
                 reply(MessageWriter.response(200), report());
                 return;
             }
-            Arrival a = new Arrival(request, this);
-            arrival = a;
-            note(new FleetEvent.Arrived(
+            Arrival arrival = new Arrival(request, this);
+            this.arrival = arrival;
+            record(new FleetEvent.Arrived(
                     loop.now(),
                     identity,
-                    a.tryId,
-                    ServerIdentity.PREFILL.equals(a.field(WireFields.STAGE)),
-                    a.method,
-                    a.target,
-                    a.body));
-            String meant = a.field(WireFields.TARGET_INSTANCE);
-            if (meant != null && !meant.equals(identity.instanceId())) {
-                a.turnAway(421);
+                    arrival.attemptId,
+                    ServerIdentity.PREFILL.equals(arrival.header(WireFields.STAGE)),
+                    arrival.method,
+                    arrival.target,
+                    arrival.body));
+            String targetInstance = arrival.header(WireFields.TARGET_INSTANCE);
+            if (targetInstance != null && !targetInstance.equals(identity.instanceId())) {
+                arrival.reject(421);
             } else if (behaviour == Behaviour.FULL) {
-                a.turnAway(503);
+                arrival.reject(503);
             } else {
-                take(a);
+                handle(arrival);
             }
         }
 
--- a/emulator/src/main/java/dewplank/emulator/fleet/SteadyLoad.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/SteadyLoad.java
@@ -12,7 +12,7 @@
 /** Clients that keep asking, one request after another at each data plane, until they are stopped. */
 public final class SteadyLoad {
     private static final double PAUSE_MS = 15;
-    private static final long PATIENCE_S = 20;
+    private static final long STOP_TIMEOUT_S = 20;
 
     private final EventLoop loop;
     private final FleetClient client;
@@ -20,7 +20,7 @@
     private final List<CompletableFuture<Void>> ends = new ArrayList<>();
     private final AtomicInteger served = new AtomicInteger();
     private final AtomicInteger notServed = new AtomicInteger();
-    private volatile boolean stopping;
+    private volatile boolean isStopping;
 
     SteadyLoad(EventLoop loop, FleetClient client, List<FleetMachine> machines, List<ClientRequest> requests) {
         this.loop = loop;
@@ -34,7 +34,7 @@
     }
 
     private void next(FleetMachine machine, int turn, CompletableFuture<Void> end) {
-        if (stopping) {
+        if (isStopping) {
             end.complete(null);
             return;
         }
@@ -55,7 +55,7 @@
 
     /** Ends once every try that is under way has its outcome. */
     public void stop() throws InterruptedException, ExecutionException, TimeoutException {
-        stopping = true;
-        CompletableFuture.allOf(ends.toArray(new CompletableFuture<?>[0])).get(PATIENCE_S, TimeUnit.SECONDS);
+        isStopping = true;
+        CompletableFuture.allOf(ends.toArray(new CompletableFuture<?>[0])).get(STOP_TIMEOUT_S, TimeUnit.SECONDS);
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/fleet/StreamEvents.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/StreamEvents.java
@@ -9,21 +9,21 @@
 
     private StreamEvents() {}
 
-    static String text(String tryId, int id) {
-        return "id: " + id + "\ndata: token " + id + " of " + tryId + END;
+    static String text(String attemptId, int id) {
+        return "id: " + id + "\ndata: token " + id + " of " + attemptId + END;
     }
 
     /** The whole stream. */
-    static String all(String tryId, int events) {
-        StringBuilder all = new StringBuilder();
+    static String stream(String attemptId, int events) {
+        StringBuilder stream = new StringBuilder();
         for (int id = 1; id <= events; id++) {
-            all.append(text(tryId, id));
+            stream.append(text(attemptId, id));
         }
-        return all.toString();
+        return stream.toString();
     }
 
     /** The whole events in what came of a stream. */
-    static List<String> whole(String text) {
+    static List<String> complete(String text) {
         List<String> events = new ArrayList<>();
         int start = 0;
         for (int end = text.indexOf(END); end >= 0; end = text.indexOf(END, start)) {
--- a/emulator/src/test/java/dewplank/emulator/fleet/FleetAuditorTest.java
+++ b/emulator/src/test/java/dewplank/emulator/fleet/FleetAuditorTest.java
@@ -97,7 +97,7 @@
     @Test
     void aHistoryThatKeepsTheRulesIsPassed() {
         served(1, SERVER, "a", ClientRequest.plain(WRITE, "x"));
-        stream("b", 3, StreamEvents.all("b", 3), true, "seal", "seal");
+        stream("b", 3, StreamEvents.stream("b", 3), true, "seal", "seal");
         events.add(new ReadBack(5, 4, "core", FIRST.json().toString()));
         events.add(new EndpointListRequested(1, "core-0", 200));
         events.add(new EndpointListRequested(2, "core-1", 200));
@@ -153,13 +153,13 @@
 
     @Test
     void aStreamThatIsCutMayEndWithinAnEvent() {
-        stream("a", 2, StreamEvents.all("a", 1) + "id: 2", false, "seal");
+        stream("a", 2, StreamEvents.stream("a", 1) + "id: 2", false, "seal");
         assertBroken();
     }
 
     @Test
     void aStreamThatEndsTooEarlyIsFound() {
-        stream("a", 3, StreamEvents.all("a", 2), true, "seal");
+        stream("a", 3, StreamEvents.stream("a", 2), true, "seal");
         assertBroken(Rule.ORDER);
     }
 
@@ -171,7 +171,7 @@
 
     @Test
     void aSecondHeadOfAStreamIsFound() {
-        stream("a", 3, StreamEvents.all("a", 3), true, "seal", "another");
+        stream("a", 3, StreamEvents.stream("a", 3), true, "seal", "another");
         assertBroken(Rule.ORDER);
     }
 
@@ -222,7 +222,7 @@
 
     @Test
     void aLostConfigurationIsFound() {
-        taken(FIRST.as(5), 3, 1);
+        taken(FIRST.withVersion(5), 3, 1);
         events.add(new ReadBack(3, 2, "core", FIRST.json().toString()));
         assertBroken(Rule.CONFIG);
     }
@@ -235,10 +235,10 @@
 
     @Test
     void twoAcknowledgementsOnOneBaseAreFound() {
-        taken(FIRST.as(5), 3, 1);
-        taken(FIRST.as(5), 3, 1);
+        taken(FIRST.withVersion(5), 3, 1);
+        taken(FIRST.withVersion(5), 3, 1);
         assertBroken();
-        taken(FIRST.as(6), 3, 1);
+        taken(FIRST.withVersion(6), 3, 1);
         assertBroken(Rule.CONFIG);
     }
 
