--- a/cli/src/test/java/dewplank/fleet/FleetStory.java
+++ b/cli/src/test/java/dewplank/fleet/FleetStory.java
@@ -146,7 +146,7 @@
     }
 
     private boolean holdsDuty(FleetProcess process) {
-        JsonObject duties = process.alive() ? view(process, DUTIES) : new JsonObject();
+        JsonObject duties = process.isAlive() ? view(process, DUTIES) : new JsonObject();
         return duties.has("list")
                 && duties.getAsJsonObject("list").get("held_here").getAsBoolean();
     }
--- a/emulator/src/main/java/dewplank/emulator/fleet/FleetClient.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/FleetClient.java
@@ -40,7 +40,7 @@
         return message.body(request.body().getBytes(StandardCharsets.UTF_8));
     }
 
-    private final class Exchange implements HttpClient.Answered {
+    private final class Exchange implements HttpClient.ResponseHandler {
         private final ClientAttempt attempt;
         private final ClientRequest request;
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
@@ -69,12 +69,12 @@
         }
 
         @Override
-        public boolean takesPieces() {
+        public boolean streamsBody() {
             return true;
         }
 
         @Override
-        public void piece(ResponseParser parser, byte[] bytes) {
+        public void onBodyPart(ResponseParser parser, byte[] bytes) {
             head = parser;
             body.writeBytes(bytes);
             if (request.route().kind().streaming()) {
--- a/emulator/src/main/java/dewplank/emulator/fleet/FleetNetwork.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/FleetNetwork.java
@@ -36,7 +36,7 @@
     /** A network that nobody else on this machine uses. */
     public static FleetNetwork reserve() throws IOException {
         IOException last = null;
-        for (int i = 0; i < Addresses.MOST_FLEETS; i++) {
+        for (int i = 0; i < Addresses.MAX_FLEETS; i++) {
             try {
                 return new FleetNetwork(i, new ServerSocket(GUARD_PORT, 1, Addresses.machine(i, GUARD)));
             } catch (IOException taken) {
--- a/emulator/src/main/java/dewplank/emulator/fleet/FleetProcess.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/FleetProcess.java
@@ -61,8 +61,8 @@
         process.start(SettingsFile.of(machine, seeds, initialStart, disk), List.of());
     }
 
-    public boolean alive() {
-        return process.alive();
+    public boolean isAlive() {
+        return process.isAlive();
     }
 
     /** SIGKILL; returns when it has ended. */
--- a/emulator/src/main/java/dewplank/emulator/fleet/SettingsFile.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/SettingsFile.java
@@ -33,7 +33,7 @@
         settings.add(
                 "seed_nodes",
                 array(seeds.stream()
-                        .map(s -> new JsonPrimitive(Addresses.text(s)))
+                        .map(s -> new JsonPrimitive(Addresses.format(s)))
                         .toList()));
         settings.addProperty("initial_start", initialStart);
         settings.addProperty("loss_counted", machine.core());
@@ -41,7 +41,7 @@
         settings.add("data_directory", data == null ? JsonNull.INSTANCE : new JsonPrimitive(data.toString()));
         settings.add("bounds", bounds());
         JsonObject platform = new JsonObject();
-        platform.addProperty("address", Addresses.text(machine.platform()));
+        platform.addProperty("address", Addresses.format(machine.platform()));
         platform.addProperty("rate_per_s", FleetBounds.LIST_RATE_PER_S);
         platform.addProperty("max_lag_ms", FleetBounds.MAX_LAG_MS);
         settings.add("platform_api", platform);
@@ -51,10 +51,10 @@
     private static JsonObject listen(FleetMachine machine) {
         JsonObject listen = new JsonObject();
         if (machine.core()) {
-            listen.addProperty("control", Addresses.text(machine.control()));
+            listen.addProperty("control", Addresses.format(machine.control()));
         } else {
-            listen.addProperty("front", Addresses.text(machine.front()));
-            listen.addProperty("readiness", Addresses.text(machine.readiness()));
+            listen.addProperty("front", Addresses.format(machine.front()));
+            listen.addProperty("readiness", Addresses.format(machine.readiness()));
         }
         return listen;
     }
--- a/emulator/src/main/java/dewplank/emulator/fleet/StandInServer.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/StandInServer.java
@@ -50,7 +50,7 @@
     }
 
     static ServerIdentity identity(String instanceId, String service, String zone, String stage, InetSocketAddress at) {
-        return new ServerIdentity(instanceId, service, zone, stage, Addresses.text(at));
+        return new ServerIdentity(instanceId, service, zone, stage, Addresses.format(at));
     }
 
     public ServerIdentity identity() {
--- a/emulator/src/main/java/dewplank/emulator/loopback/Addresses.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/Addresses.java
@@ -12,28 +12,28 @@
  * calling, links can be cut pair by pair, and no pair of addresses runs out of ports.
  */
 public final class Addresses {
-    private static final int EACH = 250;
-    private static final int SERVERS_FROM = 64;
-    private static final int SIDECARS = 1;
-    private static final int DIRECTORIES = 2;
-    private static final int PEERS = 3;
-    private static final int PEERS_MET = 4;
-    private static final int FLEETS = 200;
+    private static final int HOSTS_PER_OCTET = 250;
+    private static final int FIRST_SERVER_OCTET = 64;
+    private static final int SIDECAR_OCTET = 1;
+    private static final int DIRECTORY_OCTET = 2;
+    private static final int PEER_OCTET = 3;
+    private static final int PEER_RELAY_OCTET = 4;
+    private static final int FLEET_OCTET = 200;
     /** Networks of fleets that there is room for, and machines in each. */
-    public static final int MOST_FLEETS = EACH;
+    public static final int MAX_FLEETS = HOSTS_PER_OCTET;
 
-    public static final int MOST_MACHINES = EACH;
+    public static final int MAX_MACHINES = HOSTS_PER_OCTET;
 
     private Addresses() {}
 
-    private static InetAddress of(int first, int number) {
-        int second = first + number / (EACH * EACH);
-        if (second > 254) {
+    private static InetAddress of(int firstOctet, int number) {
+        int secondOctet = firstOctet + number / (HOSTS_PER_OCTET * HOSTS_PER_OCTET);
+        if (secondOctet > 254) {
             throw new IllegalArgumentException("127.0.0.0/8 has no room for so many pairs of sidecar and server");
         }
         try {
             return InetAddress.getByAddress(
-                    new byte[] {127, (byte) second, (byte) (number / EACH % EACH), (byte) (1 + number % EACH)});
+                    new byte[] {127, (byte) secondOctet, (byte) (number / HOSTS_PER_OCTET % HOSTS_PER_OCTET), (byte) (1 + number % HOSTS_PER_OCTET)});
         } catch (UnknownHostException e) {
             throw new IllegalStateException(e);
         }
@@ -41,16 +41,16 @@
 
     /** Port 0: any that is free there. */
     static InetSocketAddress server(int sidecar, int server, int servers) {
-        return new InetSocketAddress(of(SERVERS_FROM, sidecar * servers + server), 0);
+        return new InetSocketAddress(of(FIRST_SERVER_OCTET, sidecar * servers + server), 0);
     }
 
     static InetSocketAddress directory(int sidecar) {
-        return new InetSocketAddress(of(DIRECTORIES, sidecar), 0);
+        return new InetSocketAddress(of(DIRECTORY_OCTET, sidecar), 0);
     }
 
     /** Where a sidecar hears the others; with a port for datagrams that is free now. */
     static InetSocketAddress peer(int sidecar) throws IOException {
-        InetAddress address = of(PEERS, sidecar);
+        InetAddress address = of(PEER_OCTET, sidecar);
         try (DatagramSocket socket = new DatagramSocket(0, address)) {
             return new InetSocketAddress(address, socket.getLocalPort());
         }
@@ -58,12 +58,12 @@
 
     /** Where one sidecar reaches another. */
     static InetSocketAddress peer(int sidecar, int other, int sidecars) {
-        return new InetSocketAddress(of(PEERS_MET, sidecar * sidecars + other), 0);
+        return new InetSocketAddress(of(PEER_RELAY_OCTET, sidecar * sidecars + other), 0);
     }
 
     /** With a port that is free now. */
     static InetSocketAddress sidecar(int sidecar) throws IOException {
-        InetAddress address = of(SIDECARS, sidecar);
+        InetAddress address = of(SIDECAR_OCTET, sidecar);
         try (ServerSocket socket = new ServerSocket(0, 1, address)) {
             return new InetSocketAddress(address, socket.getLocalPort());
         }
@@ -71,10 +71,10 @@
 
     /** A machine of a fleet; {@code fleet} and {@code machine} count from 0. */
     public static InetAddress machine(int fleet, int machine) {
-        return of(FLEETS, fleet * MOST_MACHINES + machine);
+        return of(FLEET_OCTET, fleet * MAX_MACHINES + machine);
     }
 
-    public static String text(InetSocketAddress address) {
+    public static String format(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/loopback/DirectoryEndpoint.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/DirectoryEndpoint.java
@@ -19,8 +19,8 @@
 
 /** The model's directory on sockets, for one sidecar: the whole list, and the watch as an endless chunked answer. */
 final class DirectoryEndpoint {
-    private static final double QUIET_MS = 2_000;
-    private static final int MOST = 1_000;
+    private static final double KEEP_ALIVE_MS = 2_000;
+    private static final int MAX_CONNECTIONS = 1_000;
 
     private final World world;
     private final int sidecar;
@@ -34,7 +34,7 @@
         this.world = world;
         this.sidecar = sidecar;
         this.addresses = addresses;
-        this.listener = new Listener(loop, Addresses.directory(sidecar), MOST, End::new);
+        this.listener = new Listener(loop, Addresses.directory(sidecar), MAX_CONNECTIONS, WatchConnection::new);
         loop.execute(listener::accept);
     }
 
@@ -45,23 +45,20 @@
     /** A list as the protocol has it. */
     JsonObject json(long version, boolean full, List<Endpoint> entries) {
         JsonArray servers = new JsonArray();
-        for (Endpoint e : entries) {
+        for (Endpoint endpoint : entries) {
             JsonObject entry = new JsonObject();
-            entry.addProperty("id", e.server());
-            entry.addProperty(
-                    "addr",
-                    Addresses.text(
-                            addresses.apply(sidecar, world.server(e.server()).number())));
-            entry.addProperty("zone", e.zone());
-            entry.addProperty("kind", e.kind());
-            entry.addProperty("cell", e.cell());
+            entry.addProperty("id", endpoint.server());
+            entry.addProperty("addr", Addresses.format(addresses.apply(sidecar, world.server(endpoint.server()).number())));
+            entry.addProperty("zone", endpoint.zone());
+            entry.addProperty("kind", endpoint.kind());
+            entry.addProperty("cell", endpoint.cell());
             entry.addProperty(
                     "state",
-                    e.availability() == Availability.UP
+                    endpoint.availability() == Availability.UP
                             ? "active"
-                            : e.availability() == Availability.DRAINING ? "leaving" : "left");
-            entry.addProperty("weight", e.rating());
-            entry.addProperty("started_ms", e.startedAtMs() == null ? 0 : e.startedAtMs());
+                            : endpoint.availability() == Availability.DRAINING ? "leaving" : "left");
+            entry.addProperty("weight", endpoint.rating());
+            entry.addProperty("started_ms", endpoint.startedAtMs() == null ? 0 : endpoint.startedAtMs());
             servers.add(entry);
         }
         JsonObject list = new JsonObject();
@@ -71,27 +68,24 @@
         return list;
     }
 
-    private final class End extends HttpEndpoint implements EndpointDirectory.Watcher {
+    private final class WatchConnection extends HttpEndpoint implements EndpointDirectory.Watcher {
         private EndpointDirectory.Watch watch;
-        private boolean begun;
-        private double saidAt;
+        private boolean headIsSent;
+        private double lastWriteAtMs;
 
         @Override
         protected void request(RequestParser request) {
             String target = request.target();
-            int at = target.indexOf("index=");
+            int indexAt = target.indexOf("index=");
             if (!target.startsWith("/catalog/members")) {
                 answer(MessageWriter.response(404).body(new byte[0]));
-            } else if (at < 0) {
+            } else if (indexAt < 0) {
                 answer(MessageWriter.response(world.directory().isDown() ? 503 : 200)
-                        .body(json(
-                                        world.directory().version(),
-                                        true,
-                                        world.directory().endpoints())
+                        .body(json(world.directory().version(), true, world.directory().endpoints())
                                 .toString()
                                 .getBytes(StandardCharsets.UTF_8)));
             } else {
-                watch = world.directory().watch(sidecar, index(target.substring(at + "index=".length())), this);
+                watch = world.directory().watch(sidecar, index(target.substring(indexAt + "index=".length())), this);
             }
         }
 
@@ -105,20 +99,20 @@
 
         @Override
         public void updated(long version, boolean full, List<Endpoint> entries) {
-            line(json(version, full, entries).toString());
+            writeLine(json(version, full, entries).toString());
         }
 
-        private void line(String text) {
+        private void writeLine(String text) {
             if (!open()) {
                 return;
             }
-            if (!begun) {
-                begun = true;
+            if (!headIsSent) {
+                headIsSent = true;
                 write(ByteBuffer.wrap(
                         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes(StandardCharsets.US_ASCII)));
-                quiet();
+                scheduleKeepAlive();
             }
-            saidAt = world.now();
+            lastWriteAtMs = world.now();
             byte[] line = (text + "\n").getBytes(StandardCharsets.UTF_8);
             byte[] size = (Integer.toHexString(line.length) + "\r\n").getBytes(StandardCharsets.US_ASCII);
             write(ByteBuffer.allocate(size.length + line.length + 2)
@@ -129,13 +123,13 @@
                     .flip());
         }
 
-        private void quiet() {
-            world.schedule(QUIET_MS / 4, () -> {
+        private void scheduleKeepAlive() {
+            world.schedule(KEEP_ALIVE_MS / 4, () -> {
                 if (open()) {
-                    if (world.now() - saidAt >= QUIET_MS && !world.directory().isStalled()) {
-                        line("");
+                    if (world.now() - lastWriteAtMs >= KEEP_ALIVE_MS && !world.directory().isStalled()) {
+                        writeLine("");
                     }
-                    quiet();
+                    scheduleKeepAlive();
                 }
             });
         }
@@ -146,7 +140,7 @@
                 watch.close();
             }
             if (open()) {
-                if (!begun) {
+                if (!headIsSent) {
                     write(MessageWriter.response(503).body(new byte[0]));
                 }
                 close();
--- a/emulator/src/main/java/dewplank/emulator/loopback/HttpClient.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/HttpClient.java
@@ -21,32 +21,32 @@
 public final class HttpClient {
 
     /** Told once. {@code parser} holds the answer's head; null: the connection never came up, or broke. */
-    public interface Answered {
+    public interface ResponseHandler {
         void answered(ResponseParser parser, byte[] body);
 
         /** Whether bodies are handed on as they come; then {@link #answered} gets none. */
-        default boolean takesPieces() {
+        default boolean streamsBody() {
             return false;
         }
 
         /** The next bytes of the body. */
-        default void piece(ResponseParser parser, byte[] bytes) {}
+        default void onBodyPart(ResponseParser parser, byte[] bytes) {}
     }
 
     /** One exchange. */
     public final class Call implements Connection.Handler {
         private final ByteBuffer request;
-        private final Answered whenAnswered;
+        private final ResponseHandler handler;
         private final ResponseParser parser;
         private Connection connection;
         private Connection.Connecting connecting;
-        private boolean reused;
-        private boolean heard;
-        private boolean over;
+        private boolean isReused;
+        private boolean hasReceived;
+        private boolean hasEnded;
 
-        private Call(ByteBuffer request, Answered whenAnswered) {
+        private Call(ByteBuffer request, ResponseHandler handler) {
             this.request = request;
-            this.whenAnswered = whenAnswered;
+            this.handler = handler;
             this.parser = new ResponseParser(keepsBodies ? MessageParser.MAX_BODY_BYTES : Integer.MAX_VALUE);
             if (request.remaining() > 5
                     && request.get(request.position()) == 'H'
@@ -57,16 +57,16 @@
 
         /** The client gives up: its connection ends, and nothing is told. */
         public void cancel() {
-            if (over) {
+            if (hasEnded) {
                 return;
             }
-            over = true;
+            hasEnded = true;
             if (connection != null) {
                 connection.close();
-                open--;
+                openCount--;
             } else if (connecting != null) {
                 connecting.cancel();
-                open--;
+                openCount--;
             } else {
                 waiting.remove(this);
             }
@@ -74,22 +74,22 @@
         }
 
         private void begin() {
-            Connection kept = takeIdle();
-            if (kept != null) {
-                reused = true;
-                connection = kept;
-                kept.setHandler(this);
-                kept.write(request.duplicate(), () -> {});
+            Connection reusable = takeIdle();
+            if (reusable != null) {
+                isReused = true;
+                connection = reusable;
+                reusable.setHandler(this);
+                reusable.write(request.duplicate(), () -> {});
             } else {
-                open++;
-                opened++;
+                openCount++;
+                openedCount++;
                 connect();
             }
         }
 
         private void connect() {
-            reused = false;
-            InetAddress from = sources.isEmpty() ? null : sources.get((int) (opened % sources.size()));
+            isReused = false;
+            InetAddress from = sources.isEmpty() ? null : sources.get((int) (openedCount % sources.size()));
             connecting = Connection.open(
                     loop,
                     from,
@@ -105,15 +105,15 @@
 
         @Override
         public void received(ByteBuffer bytes) {
-            heard = true;
+            hasReceived = true;
             try {
-                boolean whole = parser.feed(bytes);
-                if (whenAnswered.takesPieces()) {
-                    handOn(parser.takeBody());
+                boolean isComplete = parser.feed(bytes);
+                if (handler.streamsBody()) {
+                    deliverPart(parser.takeBody());
                 } else if (!keepsBodies) {
                     parser.takeBody();
                 }
-                if (whole) {
+                if (isComplete) {
                     end(parser);
                 }
             } catch (BadMessageException e) {
@@ -121,17 +121,17 @@
             }
         }
 
-        private void handOn(byte[] piece) {
-            if (piece.length > 0 && !over) {
-                whenAnswered.piece(parser, piece);
+        private void deliverPart(byte[] part) {
+            if (part.length > 0 && !hasEnded) {
+                handler.onBodyPart(parser, part);
             }
         }
 
         @Override
         public void closed(IOException why) {
-            if (reused && !heard && !over) {
+            if (isReused && !hasReceived && !hasEnded) {
                 connection = null;
-                opened++;
+                openedCount++;
                 connect();
             } else {
                 end(why == null && parser.endOfInput() ? parser : null);
@@ -139,42 +139,42 @@
         }
 
         private void end(ResponseParser answer) {
-            if (over) {
+            if (hasEnded) {
                 return;
             }
-            over = true;
+            hasEnded = true;
             if (answer != null && answer.keepAlive() && connection != null && !connection.isClosed()) {
-                keep(connection);
+                putBack(connection);
             } else {
                 if (connection != null) {
                     connection.close();
                 }
-                open--;
+                openCount--;
             }
-            whenAnswered.answered(answer, answer == null ? null : answer.takeBody());
+            handler.answered(answer, answer == null ? null : answer.takeBody());
             next();
         }
     }
 
     private final EventLoop loop;
     private final InetSocketAddress to;
-    private final int most;
+    private final int maxConnections;
     private final List<InetAddress> sources;
     private final Deque<Connection> idle = new ArrayDeque<>();
     private final Deque<Call> waiting = new ArrayDeque<>();
     private boolean keepsBodies = true;
-    private int open;
-    private long opened;
+    private int openCount;
+    private long openedCount;
 
-    public HttpClient(EventLoop loop, InetSocketAddress to, int most) {
-        this(loop, to, most, List.of());
+    public HttpClient(EventLoop loop, InetSocketAddress to, int maxConnections) {
+        this(loop, to, maxConnections, List.of());
     }
 
     /** {@code sources}: addresses to connect from, in turn; where empty, the system chooses. */
-    public HttpClient(EventLoop loop, InetSocketAddress to, int most, List<InetAddress> sources) {
+    public HttpClient(EventLoop loop, InetSocketAddress to, int maxConnections, List<InetAddress> sources) {
         this.loop = loop;
         this.to = to;
-        this.most = most;
+        this.maxConnections = maxConnections;
         this.sources = sources;
     }
 
@@ -185,9 +185,9 @@
     }
 
     /** On the loop's thread. The request's bytes are not changed. */
-    public Call call(ByteBuffer request, Answered whenAnswered) {
-        Call call = new Call(request, whenAnswered);
-        if (idle.isEmpty() && open >= most) {
+    public Call call(ByteBuffer request, ResponseHandler handler) {
+        Call call = new Call(request, handler);
+        if (idle.isEmpty() && openCount >= maxConnections) {
             waiting.addLast(call);
         } else {
             call.begin();
@@ -197,7 +197,7 @@
 
     /** Connections opened so far. */
     public long opened() {
-        return opened;
+        return openedCount;
     }
 
     /** Calls that wait for a connection. */
@@ -216,12 +216,12 @@
             if (!c.isClosed()) {
                 return c;
             }
-            open--;
+            openCount--;
         }
         return null;
     }
 
-    private void keep(Connection connection) {
+    private void putBack(Connection connection) {
         idle.addLast(connection);
         connection.setHandler(new Connection.Handler() {
             @Override
@@ -238,14 +238,14 @@
 
             private void drop() {
                 if (idle.remove(connection)) {
-                    open--;
+                    openCount--;
                 }
             }
         });
     }
 
     private void next() {
-        if (!waiting.isEmpty() && (!idle.isEmpty() || open < most)) {
+        if (!waiting.isEmpty() && (!idle.isEmpty() || openCount < maxConnections)) {
             waiting.removeFirst().begin();
         }
     }
--- a/emulator/src/main/java/dewplank/emulator/loopback/HttpEndpoint.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/HttpEndpoint.java
@@ -13,7 +13,7 @@
 public abstract class HttpEndpoint implements Listener.Accepted {
     private final RequestParser parser = new RequestParser();
     private Connection connection;
-    private boolean busy;
+    private boolean isBusy;
 
     /** A request is whole. It is answered by {@link #answer}, now or later, or never. */
     protected abstract void request(RequestParser request);
@@ -40,8 +40,8 @@
             return;
         }
         try {
-            while (!busy && !connection.isClosed() && parser.feed(bytes)) {
-                busy = true;
+            while (!isBusy && !connection.isClosed() && parser.feed(bytes)) {
+                isBusy = true;
                 request(parser);
             }
         } catch (BadMessageException e) {
@@ -66,7 +66,7 @@
         }
         connection.write(message, () -> {});
         parser.reset();
-        busy = false;
+        isBusy = false;
         connection.resume();
     }
 
--- a/emulator/src/main/java/dewplank/emulator/loopback/LoopbackRun.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/LoopbackRun.java
@@ -8,10 +8,10 @@
 import dewplank.emulator.FaultInjector;
 import dewplank.emulator.RecordedEvent;
 import dewplank.emulator.RecordedEvent.Type;
-import dewplank.emulator.World;
-import dewplank.emulator.scenario.BalancerSettings;
 import dewplank.emulator.scenario.RequestClassSpec;
 import dewplank.emulator.scenario.Scenario;
+import dewplank.emulator.World;
+import dewplank.emulator.scenario.BalancerSettings;
 import dewplank.http.MessageWriter;
 import dewplank.http.ResponseParser;
 import dewplank.net.EventLoop;
@@ -34,10 +34,10 @@
  */
 public final class LoopbackRun implements Clients.SidecarConnector, Closeable {
     private static final System.Logger LOG = System.getLogger(LoopbackRun.class.getName());
-    private static final double READY_LOOK_MS = 20;
-    private static final double READY_MOST_MS = 30_000;
-    private static final int CONNECTIONS = 10_000;
-    private static final double REMEMBER_MS = 10_000;
+    private static final double POLL_INTERVAL_MS = 20;
+    private static final double MAX_STARTUP_MS = 30_000;
+    private static final int MAX_CONNECTIONS = 10_000;
+    private static final double ATTEMPT_RETENTION_MS = 10_000;
 
     /** Makes the figures as the parties act; both are called on the loop's thread. */
     public interface Observer extends RecordedEvent.Recorder {
@@ -50,10 +50,10 @@
             long handshakes,
             long directoryCalls,
             long directoryLines,
-            long messages,
-            long messagesLost,
-            double latestMs,
-            boolean unsound) {}
+            long datagrams,
+            long datagramsLost,
+            double maxLatenessMs,
+            boolean isUnsound) {}
 
     private final Scenario scenario;
     private final long seed;
@@ -61,18 +61,18 @@
     private final EventLoop loop = new EventLoop();
     private final RealTime time = new RealTime(loop);
     private final World world;
-    private final Map<Long, ClientAttempt> tries = new HashMap<>();
+    private final Map<Long, ClientAttempt> attempts = new HashMap<>();
     private final Map<Long, HttpClient.Call> calls = new HashMap<>();
     private final List<ServerEndpoint> servers = new ArrayList<>();
     private final List<DirectoryEndpoint> directories = new ArrayList<>();
     private final List<SidecarProcess> sidecars = new ArrayList<>();
-    private final List<HttpClient> fronts = new ArrayList<>();
+    private final List<HttpClient> frontends = new ArrayList<>();
     private final PeerRelay peers; // null where sidecars may not talk
     private final Path folder;
-    private final CountDownLatch done = new CountDownLatch(1);
+    private final CountDownLatch finished = new CountDownLatch(1);
     private Clients clients;
-    private long sends;
-    private int ready;
+    private long receivedCount;
+    private int readyCount;
     private volatile String failure;
 
     /** {@code command}: starts a sidecar that reads {@code GW_CONFIG}. */
@@ -81,17 +81,17 @@
         this.seed = seed;
         this.observer = observer;
         this.folder = Files.createTempDirectory("dewplank-lab");
-        this.world = new World(scenario, seed, time, this::note);
+        this.world = new World(scenario, seed, time, this::record);
         try {
             for (int i = 0; i < world.servers().size(); i++) {
-                servers.add(new ServerEndpoint(loop, world, world.servers().get(i), tries));
+                servers.add(new ServerEndpoint(loop, world, world.servers().get(i), attempts));
             }
             for (int i = 0; i < scenario.sidecars(); i++) {
                 directories.add(new DirectoryEndpoint(
                         loop, world, i, (s, n) -> servers.get(n).address(s)));
                 SidecarProcess process = new SidecarProcess(command, folder, i, Addresses.sidecar(i));
                 sidecars.add(process);
-                fronts.add(new HttpClient(loop, process.listen(), CONNECTIONS));
+                frontends.add(new HttpClient(loop, process.listen(), MAX_CONNECTIONS));
             }
             peers = scenario.peerMessages().enabled() ? new PeerRelay(loop, world, scenario.sidecars()) : null;
         } catch (IOException | RuntimeException e) {
@@ -111,32 +111,32 @@
             start(i, 0);
         }
         loop.execute(() -> {
-            double began = time.now();
+            double startedAtMs = time.now();
             for (int i = 0; i < sidecars.size(); i++) {
-                awaitReady(i, began, () -> {
-                    if (++ready == sidecars.size()) {
+                awaitReady(i, startedAtMs, () -> {
+                    if (++readyCount == sidecars.size()) {
                         begin();
                     }
                 });
             }
         });
-        double most = READY_MOST_MS + scenario.lengthMs() + 3 * scenario.longestDeadlineMs() + 10_000;
-        if (!done.await((long) most, TimeUnit.MILLISECONDS) && failure == null) {
-            failure = "the run did not end within " + (long) most + " ms";
+        double deadlineMs = MAX_STARTUP_MS + scenario.lengthMs() + 3 * scenario.longestDeadlineMs() + 10_000;
+        if (!finished.await((long) deadlineMs, TimeUnit.MILLISECONDS) && failure == null) {
+            failure = "the run did not end within " + (long) deadlineMs + " ms";
         }
         if (failure != null) {
             throw new IllegalStateException(failure + "; the sidecars' logs are in " + folder);
         }
-        long opened = fronts.stream().mapToLong(HttpClient::opened).sum();
+        long opened = frontends.stream().mapToLong(HttpClient::opened).sum();
         return new Outcome(
-                sends,
+                receivedCount,
                 opened,
                 world.directory().calls(),
                 world.directory().linesSent(),
-                peers == null ? 0 : peers.passedOn(),
+                peers == null ? 0 : peers.delivered(),
                 peers == null ? 0 : peers.lost(),
-                time.latestMs(),
-                time.unsound());
+                time.maxLatenessMs(),
+                time.isUnsound());
     }
 
     @Override
@@ -158,52 +158,45 @@
 
     // ---- sidecars -------------------------------------------------------------------------------------
 
-    private void start(int sidecar, int life) throws IOException {
+    private void start(int sidecar, int incarnation) throws IOException {
         JsonObject config = new JsonObject();
         SidecarProcess process = sidecars.get(sidecar);
         config.addProperty("name", "n" + sidecar);
-        config.addProperty("listen", Addresses.text(process.listen()));
-        config.addProperty("discovery", Addresses.text(directories.get(sidecar).address()));
-        config.addProperty("seed", Long.toHexString(dewplank.emulator.RandomStreams.mix(seed + 31L * sidecar + life)));
-        config.add(
-                "known",
-                directories
-                        .get(sidecar)
-                        .json(
-                                world.directory().version(),
-                                true,
-                                world.directory().endpoints()));
+        config.addProperty("listen", Addresses.format(process.listen()));
+        config.addProperty("discovery", Addresses.format(directories.get(sidecar).address()));
+        config.addProperty("seed", Long.toHexString(dewplank.emulator.RandomStreams.mix(seed + 31L * sidecar + incarnation)));
+        config.add("known", directories.get(sidecar).json(world.directory().version(), true, world.directory().endpoints()));
         config.add("settings", SidecarFile.settings(BalancerSettings.of(scenario, sidecar)));
         if (peers != null) {
-            config.addProperty("peer_listen", Addresses.text(peers.listen(sidecar)));
+            config.addProperty("peer_listen", Addresses.format(peers.listen(sidecar)));
             JsonArray others = new JsonArray();
             for (int i = 0; i < sidecars.size(); i++) {
-                others.add(Addresses.text(peers.address(sidecar, i)));
+                others.add(Addresses.format(peers.address(sidecar, i)));
             }
             config.add("peers", others);
         }
         process.start(config.toString());
     }
 
-    private void awaitReady(int sidecar, double since, Runnable then) {
-        ByteBuffer ask = MessageWriter.request("GET", "/_health", "sidecar").noBody();
-        fronts.get(sidecar).call(ask, (answer, body) -> {
+    private void awaitReady(int sidecar, double startedAtMs, Runnable whenReady) {
+        ByteBuffer healthCheck = MessageWriter.request("GET", "/_health", "sidecar").noBody();
+        frontends.get(sidecar).call(healthCheck, (answer, body) -> {
             if (answer != null && answer.status() == 200) {
-                note(new RecordedEvent(time.now(), Type.SIDECAR_UP, -1, -1, sidecar, -1, 0));
-                then.run();
-            } else if (time.now() - since > READY_MOST_MS
-                    || !sidecars.get(sidecar).alive()) {
+                record(new RecordedEvent(time.now(), Type.SIDECAR_UP, -1, -1, sidecar, -1, 0));
+                whenReady.run();
+            } else if (time.now() - startedAtMs > MAX_STARTUP_MS
+                    || !sidecars.get(sidecar).isAlive()) {
                 failure = "sidecar " + sidecar + " did not become ready";
-                done.countDown();
+                finished.countDown();
             } else {
-                time.after(READY_LOOK_MS, () -> awaitReady(sidecar, since, then));
+                time.after(POLL_INTERVAL_MS, () -> awaitReady(sidecar, startedAtMs, whenReady));
             }
         });
     }
 
     private void kill(int sidecar, double backAfterMs) {
         SidecarProcess process = sidecars.get(sidecar);
-        note(new RecordedEvent(time.now(), Type.SIDECAR_KILLED, -1, -1, sidecar, -1, 0));
+        record(new RecordedEvent(time.now(), Type.SIDECAR_KILLED, -1, -1, sidecar, -1, 0));
         process.kill();
         time.after(Math.max(50, backAfterMs), () -> {
             try {
@@ -211,7 +204,7 @@
                 awaitReady(sidecar, time.now(), () -> {});
             } catch (IOException e) {
                 failure = "sidecar " + sidecar + " did not start again: " + e.getMessage();
-                done.countDown();
+                finished.countDown();
             }
         });
     }
@@ -221,33 +214,33 @@
     private void begin() {
         clients = new Clients(world, this, observer.begin(world));
         FaultInjector.schedule(world, this::kill);
-        time.watch();
+        time.monitorLateness();
         clients.start();
         double end = time.now() + scenario.lengthMs();
         time.after(scenario.lengthMs(), () -> awaitEnd(end + 2 * scenario.longestDeadlineMs() + 1_000));
     }
 
-    private void awaitEnd(double most) {
-        if (clients.openRequests() == 0 || time.now() > most) {
-            time.after(Math.min(2_000, scenario.longestDeadlineMs()), done::countDown); // late effects show
+    private void awaitEnd(double deadlineMs) {
+        if (clients.openRequests() == 0 || time.now() > deadlineMs) {
+            time.after(Math.min(2_000, scenario.longestDeadlineMs()), finished::countDown); // late effects show
         } else {
-            time.after(READY_LOOK_MS, () -> awaitEnd(most));
+            time.after(POLL_INTERVAL_MS, () -> awaitEnd(deadlineMs));
         }
     }
 
     /** What the model says of a server is done on its sockets too. */
-    private void note(RecordedEvent n) {
-        sends += n.type() == Type.RECEIVED ? 1 : 0;
-        observer.record(n);
-        if (n.type() == Type.SERVER_DOWN && n.value() == 0) {
-            loop.execute(() -> servers.get(n.server()).down());
-        } else if (n.type() == Type.SERVER_STARTED) {
+    private void record(RecordedEvent event) {
+        receivedCount += event.type() == Type.RECEIVED ? 1 : 0;
+        observer.record(event);
+        if (event.type() == Type.SERVER_DOWN && event.value() == 0) {
+            loop.execute(() -> servers.get(event.server()).stop());
+        } else if (event.type() == Type.SERVER_STARTED) {
             loop.execute(() -> {
                 try {
-                    servers.get(n.server()).up();
+                    servers.get(event.server()).restart();
                 } catch (IOException e) {
-                    failure = "server " + n.server() + " can't listen again: " + e.getMessage();
-                    done.countDown();
+                    failure = "server " + event.server() + " can't listen again: " + e.getMessage();
+                    finished.countDown();
                 }
             });
         }
@@ -256,49 +249,46 @@
     // ---- clients --------------------------------------------------------------------------------------
 
     @Override
-    public void send(ClientAttempt t) {
-        tries.put(t.id(), t);
-        world.schedule(REMEMBER_MS, () -> tries.remove(t.id()));
-        RequestClassSpec kind = scenario.classes().get(t.requestClass());
+    public void send(ClientAttempt attempt) {
+        attempts.put(attempt.id(), attempt);
+        world.schedule(ATTEMPT_RETENTION_MS, () -> attempts.remove(attempt.id()));
+        RequestClassSpec kind = scenario.classes().get(attempt.requestClass());
         boolean safe = kind.idempotency() == Idempotency.SAFE;
         MessageWriter request = MessageWriter.request(safe ? "GET" : "POST", "/api", "api.internal")
-                .header("X-Trace-Id", Long.toHexString(t.id()))
+                .header("X-Trace-Id", Long.toHexString(attempt.id()))
                 .header("X-Qos", kind.name())
-                .header("X-Expires-In-Ms", Long.toString(Math.max(1, Math.round(t.deadlineMs() - t.sentAtMs()))))
+                .header("X-Expires-In-Ms", Long.toString(Math.max(1, Math.round(attempt.deadlineMs() - attempt.sentAtMs()))))
                 .header(
                         "X-Customer",
-                        t.tenant() < 0
+                        attempt.tenant() < 0
                                 ? null
-                                : scenario.tenantsAndKeys()
-                                        .tenants()
-                                        .get(t.tenant())
-                                        .name())
-                .header("Cookie", t.subjectKey() < 0 ? null : "k=key-" + t.subjectKey())
+                                : scenario.tenantsAndKeys().tenants().get(attempt.tenant()).name())
+                .header("Cookie", attempt.subjectKey() < 0 ? null : "k=key-" + attempt.subjectKey())
                 .header(
                         "X-Second-ClientAttempt",
-                        t.isRetry() && scenario.clients().marksRetries() ? "1" : null)
-                .header("Idempotency-Key", kind.idempotency() == Idempotency.KEYED ? Long.toHexString(t.key()) : null);
+                        attempt.isRetry() && scenario.clients().marksRetries() ? "1" : null)
+                .header("Idempotency-Key", kind.idempotency() == Idempotency.KEYED ? Long.toHexString(attempt.key()) : null);
         ByteBuffer bytes = safe ? request.noBody() : request.body("{\"lines\":[]}".getBytes(StandardCharsets.US_ASCII));
-        boolean[] answered = new boolean[1];
-        HttpClient.Call call = fronts.get(t.sidecar()).call(bytes, (answer, body) -> {
-            answered[0] = true;
-            calls.remove(t.id());
-            answered(t, answer, body);
+        boolean[] hasEnded = new boolean[1];
+        HttpClient.Call call = frontends.get(attempt.sidecar()).call(bytes, (answer, body) -> {
+            hasEnded[0] = true;
+            calls.remove(attempt.id());
+            onResponse(attempt, answer, body);
         });
-        if (!answered[0]) {
-            calls.put(t.id(), call);
+        if (!hasEnded[0]) {
+            calls.put(attempt.id(), call);
         }
     }
 
-    private void answered(ClientAttempt t, ResponseParser answer, byte[] body) {
+    private void onResponse(ClientAttempt attempt, ResponseParser answer, byte[] body) {
         if (answer == null) {
-            clients.answered(t, Type.UNREACHABLE, 0);
+            clients.answered(attempt, Type.UNREACHABLE, 0);
         } else if (answer.status() == 200) {
-            clients.answered(t, Type.SERVED, madeFor(body));
+            clients.answered(attempt, Type.SERVED, madeFor(body));
         } else if (answer.status() == 429 || answer.status() == 503) {
-            clients.answered(t, Type.REFUSED, 1000 * number(answer.headers().get("Retry-After")));
+            clients.answered(attempt, Type.REFUSED, 1000 * number(answer.headers().get("Retry-After")));
         } else {
-            clients.answered(t, Type.FAILED, answer.status());
+            clients.answered(attempt, Type.FAILED, answer.status());
         }
     }
 
@@ -316,8 +306,8 @@
     }
 
     @Override
-    public void abandon(ClientAttempt t) {
-        HttpClient.Call call = calls.remove(t.id());
+    public void abandon(ClientAttempt attempt) {
+        HttpClient.Call call = calls.remove(attempt.id());
         if (call != null) {
             call.cancel();
         }
--- a/emulator/src/main/java/dewplank/emulator/loopback/PeerRelay.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/PeerRelay.java
@@ -16,17 +16,17 @@
  */
 final class PeerRelay implements AutoCloseable {
     /** The platform's bound on a datagram; a longer one is cut to one byte more, so that its receiver can tell. */
-    private static final int MOST_BYTES = 256;
+    private static final int MAX_DATAGRAM_BYTES = 256;
     /** On their way at one time; what comes beyond that is lost, as in a full buffer. */
-    private static final int MOST_ON_THE_WAY = 4_096;
+    private static final int MAX_IN_FLIGHT = 4_096;
 
     private final EventLoop loop;
     private final World world;
     private final InetSocketAddress[] listen;
-    private final DatagramChannel[][] ends; // [i][j]: where sidecar i reaches sidecar j
+    private final DatagramChannel[][] channels; // [i][j]: where sidecar i reaches sidecar j
     private final Selector selector;
-    private int onTheWay;
-    private long passedOn;
+    private int inFlightCount;
+    private long delivered;
     private long lost;
 
     private record Pair(int from, int to) {}
@@ -36,16 +36,16 @@
         this.world = world;
         this.selector = Selector.open();
         this.listen = new InetSocketAddress[sidecars];
-        this.ends = new DatagramChannel[sidecars][sidecars];
+        this.channels = new DatagramChannel[sidecars][sidecars];
         try {
             for (int i = 0; i < sidecars; i++) {
                 listen[i] = Addresses.peer(i);
                 for (int j = 0; j < sidecars; j++) {
                     if (i != j) {
-                        ends[i][j] = DatagramChannel.open();
-                        ends[i][j].bind(Addresses.peer(i, j, sidecars));
-                        ends[i][j].configureBlocking(false);
-                        ends[i][j].register(selector, SelectionKey.OP_READ, new Pair(i, j));
+                        channels[i][j] = DatagramChannel.open();
+                        channels[i][j].bind(Addresses.peer(i, j, sidecars));
+                        channels[i][j].configureBlocking(false);
+                        channels[i][j].register(selector, SelectionKey.OP_READ, new Pair(i, j));
                     }
                 }
             }
@@ -65,12 +65,12 @@
 
     /** Where sidecar {@code from} reaches the other; its own place holds an address that nobody is at. */
     InetSocketAddress address(int from, int to) throws IOException {
-        return from == to ? listen[from] : (InetSocketAddress) ends[from][to].getLocalAddress();
+        return from == to ? listen[from] : (InetSocketAddress) channels[from][to].getLocalAddress();
     }
 
     /** Datagrams that went on to their receivers. */
-    long passedOn() {
-        return passedOn;
+    long delivered() {
+        return delivered;
     }
 
     long lost() {
@@ -78,17 +78,17 @@
     }
 
     private void read() {
-        ByteBuffer bytes = ByteBuffer.allocate(MOST_BYTES + 1);
+        ByteBuffer buffer = ByteBuffer.allocate(MAX_DATAGRAM_BYTES + 1);
         try {
             while (selector.isOpen()) {
                 selector.select();
                 for (SelectionKey key : selector.selectedKeys()) {
-                    bytes.clear();
-                    if (((DatagramChannel) key.channel()).receive(bytes) != null) {
-                        byte[] said = new byte[bytes.flip().remaining()];
-                        bytes.get(said);
+                    buffer.clear();
+                    if (((DatagramChannel) key.channel()).receive(buffer) != null) {
+                        byte[] datagram = new byte[buffer.flip().remaining()];
+                        buffer.get(datagram);
                         Pair pair = (Pair) key.attachment();
-                        loop.execute(() -> passOn(pair, said));
+                        loop.execute(() -> forward(pair, datagram));
                     }
                 }
                 selector.selectedKeys().clear();
@@ -98,18 +98,18 @@
         }
     }
 
-    private void passOn(Pair pair, byte[] said) {
+    private void forward(Pair pair, byte[] datagram) {
         double delay = world.messageDelay();
-        if (delay < 0 || onTheWay >= MOST_ON_THE_WAY) {
+        if (delay < 0 || inFlightCount >= MAX_IN_FLIGHT) {
             lost++;
             return;
         }
-        onTheWay++;
+        inFlightCount++;
         world.schedule(delay, () -> {
-            onTheWay--;
+            inFlightCount--;
             try {
-                ends[pair.to()][pair.from()].send(ByteBuffer.wrap(said), listen[pair.to()]);
-                passedOn++;
+                channels[pair.to()][pair.from()].send(ByteBuffer.wrap(datagram), listen[pair.to()]);
+                delivered++;
             } catch (IOException e) {
                 lost++; // nobody is there now
             }
@@ -119,10 +119,10 @@
     @Override
     public void close() throws IOException {
         selector.close();
-        for (DatagramChannel[] row : ends) {
-            for (DatagramChannel end : row) {
-                if (end != null) {
-                    end.close();
+        for (DatagramChannel[] row : channels) {
+            for (DatagramChannel channel : row) {
+                if (channel != null) {
+                    channel.close();
                 }
             }
         }
--- a/emulator/src/main/java/dewplank/emulator/loopback/ProgramProcess.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/ProgramProcess.java
@@ -8,7 +8,7 @@
 
 /** A program as a process of its own, told what to do by a settings file alone, which a variable names. */
 public final class ProgramProcess {
-    private static final int PATIENCE_S = 10;
+    private static final int EXIT_TIMEOUT_S = 10;
 
     private final String name;
     private final List<String> command;
@@ -28,19 +28,19 @@
         return folder.resolve(name + ".log");
     }
 
-    /** Starts it; variables named in {@code without} are not handed on to it. */
-    public void start(String settings, List<String> without) throws IOException {
+    /** Starts it; variables named in {@code removedVariables} are not handed on to it. */
+    public void start(String settings, List<String> removedVariables) throws IOException {
         Path file = folder.resolve(name + ".json");
         Files.writeString(file, settings);
         ProcessBuilder builder = new ProcessBuilder(command)
                 .redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(log().toFile()));
-        builder.environment().keySet().removeAll(without);
+        builder.environment().keySet().removeAll(removedVariables);
         builder.environment().put(variable, file.toString());
         process = builder.start();
     }
 
-    public boolean alive() {
+    public boolean isAlive() {
         return process != null && process.isAlive();
     }
 
@@ -52,17 +52,17 @@
 
     /** Sends a signal by its name, TERM say. */
     public void signal(String signal) throws IOException, InterruptedException {
-        int ended = new ProcessBuilder("kill", "-" + signal, Long.toString(process.pid()))
+        int exitStatus = new ProcessBuilder("kill", "-" + signal, Long.toString(process.pid()))
                 .start()
                 .waitFor();
-        if (ended != 0) {
+        if (exitStatus != 0) {
             throw new IOException("signal " + signal + " did not reach " + name);
         }
     }
 
     /** Waits until a process that was killed has ended. */
     public void awaitEnd() throws InterruptedException {
-        if (!awaitEnd(PATIENCE_S)) {
+        if (!awaitEnd(EXIT_TIMEOUT_S)) {
             throw new IllegalStateException(name + " did not end when killed");
         }
     }
--- a/emulator/src/main/java/dewplank/emulator/loopback/RealTime.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/RealTime.java
@@ -5,17 +5,17 @@
 
 /** The loop's clock: Unix milliseconds. Watches how late its own tasks run. */
 final class RealTime implements Scheduler {
-    private static final double LOOK_MS = 20;
-    private static final double LATE_MS = 25;
-    private static final double VERY_LATE_MS = 300;
-    private static final double LATE_PART = 0.01;
-    private static final double AT_ONCE_MS = 0.02;
+    private static final double SAMPLE_INTERVAL_MS = 20;
+    private static final double LATE_THRESHOLD_MS = 25;
+    private static final double MAX_LATENESS_MS = 300;
+    private static final double MAX_LATE_SHARE = 0.01;
+    private static final double MIN_TIMER_MS = 0.02;
 
     private final EventLoop loop;
-    private long looks;
-    private long late;
-    private double latest;
-    private boolean over;
+    private long sampleCount;
+    private long lateCount;
+    private double maxLatenessMs;
+    private boolean hasEnded;
 
     RealTime(EventLoop loop) {
         this.loop = loop;
@@ -28,40 +28,40 @@
 
     @Override
     public void after(double ms, Runnable task) {
-        Runnable unlessOver = () -> {
-            if (!over) {
+        Runnable unlessEnded = () -> {
+            if (!hasEnded) {
                 task.run();
             }
         };
-        if (ms < AT_ONCE_MS) {
-            loop.execute(unlessOver);
+        if (ms < MIN_TIMER_MS) {
+            loop.execute(unlessEnded);
         } else {
-            loop.afterExactly(ms, unlessOver);
+            loop.afterExactly(ms, unlessEnded);
         }
     }
 
     /** Nothing given so far, or later, runs from here on. */
     void end() {
-        over = true;
+        hasEnded = true;
     }
 
-    void watch() {
-        double due = now() + LOOK_MS;
-        after(LOOK_MS, () -> {
-            double behind = now() - due;
-            looks++;
-            late += behind > LATE_MS ? 1 : 0;
-            latest = Math.max(latest, behind);
-            watch();
+    void monitorLateness() {
+        double dueAtMs = now() + SAMPLE_INTERVAL_MS;
+        after(SAMPLE_INTERVAL_MS, () -> {
+            double latenessMs = now() - dueAtMs;
+            sampleCount++;
+            lateCount += latenessMs > LATE_THRESHOLD_MS ? 1 : 0;
+            maxLatenessMs = Math.max(maxLatenessMs, latenessMs);
+            monitorLateness();
         });
     }
 
-    double latestMs() {
-        return latest;
+    double maxLatenessMs() {
+        return maxLatenessMs;
     }
 
     /** Whether the emulator came too late, too often, for its figures to say anything of a sidecar. */
-    boolean unsound() {
-        return latest > VERY_LATE_MS || late > LATE_PART * Math.max(100, looks);
+    boolean isUnsound() {
+        return maxLatenessMs > MAX_LATENESS_MS || lateCount > MAX_LATE_SHARE * Math.max(100, sampleCount);
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/loopback/ServerEndpoint.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/ServerEndpoint.java
@@ -24,21 +24,21 @@
  * not connect.
  */
 final class ServerEndpoint {
-    private static final int MOST = 20_000;
+    private static final int MAX_CONNECTIONS = 20_000;
 
     private final EventLoop loop;
     private final World world;
     private final Server server;
-    private final Map<Long, ClientAttempt> tries;
+    private final Map<Long, ClientAttempt> attempts;
     private final InetSocketAddress[] addresses;
     private final List<Listener> listeners = new ArrayList<>();
-    private final Set<End> ends = new HashSet<>();
+    private final Set<ServerConnection> connections = new HashSet<>();
 
-    ServerEndpoint(EventLoop loop, World world, Server server, Map<Long, ClientAttempt> tries) throws IOException {
+    ServerEndpoint(EventLoop loop, World world, Server server, Map<Long, ClientAttempt> attempts) throws IOException {
         this.loop = loop;
         this.world = world;
         this.server = server;
-        this.tries = tries;
+        this.attempts = attempts;
         this.addresses = new InetSocketAddress[world.scenario().sidecars()];
         for (int i = 0; i < addresses.length; i++) {
             addresses[i] = Addresses.server(i, server.number(), world.servers().size());
@@ -53,7 +53,7 @@
     private void listen() throws IOException {
         for (int i = 0; i < addresses.length; i++) {
             int sidecar = i;
-            Listener listener = new Listener(loop, addresses[i], MOST, () -> new End(sidecar));
+            Listener listener = new Listener(loop, addresses[i], MAX_CONNECTIONS, () -> new ServerConnection(sidecar));
             addresses[i] = (InetSocketAddress) listener.address();
             listeners.add(listener);
             loop.execute(listener::accept);
@@ -61,42 +61,42 @@
     }
 
     /** Its process has ended: new connections are refused, those that it had end. */
-    void down() {
+    void stop() {
         listeners.forEach(Listener::close);
         listeners.clear();
-        new ArrayList<>(ends).forEach(End::end);
+        new ArrayList<>(connections).forEach(ServerConnection::end);
     }
 
     /** It has started again. */
-    void up() throws IOException {
-        new ArrayList<>(ends).forEach(End::end); // those of a machine that went silently
+    void restart() throws IOException {
+        new ArrayList<>(connections).forEach(ServerConnection::end); // those of a machine that went silently
         if (listeners.isEmpty()) {
             listen();
         }
     }
 
-    private final class End extends HttpEndpoint {
+    private final class ServerConnection extends HttpEndpoint {
         private final int sidecar;
-        private final int life = server.incarnation();
-        private boolean counted;
-        private double readyAt;
-        private int busy;
-        private int idles;
-        private boolean stale;
-
-        End(int sidecar) {
+        private final int incarnation = server.incarnation();
+        private boolean isCounted;
+        private double readyAtMs;
+        private int requestsInProgress;
+        private int idlePeriods;
+        private boolean isStale;
+
+        ServerConnection(int sidecar) {
             this.sidecar = sidecar;
         }
 
         @Override
         protected void opened() {
-            ends.add(this);
-            readyAt = world.now() + world.scenario().connections().handshakeMs();
+            connections.add(this);
+            readyAtMs = world.now() + world.scenario().connections().handshakeMs();
             if (server.state() == Server.State.VANISHED) {
                 return;
             }
-            counted = server.connect();
-            if (counted) {
+            isCounted = server.connect();
+            if (isCounted) {
                 idle();
             } else {
                 end();
@@ -105,9 +105,9 @@
 
         @Override
         protected void ended() {
-            ends.remove(this);
-            if (counted) {
-                server.disconnect(life);
+            connections.remove(this);
+            if (isCounted) {
+                server.disconnect(incarnation);
             }
         }
 
@@ -119,59 +119,59 @@
         @Override
         protected boolean listens() {
             return server.state() != Server.State.VANISHED
-                    && life == server.incarnation()
+                    && incarnation == server.incarnation()
                     && !world.isPartitioned(sidecar, server.number());
         }
 
         @Override
         protected void request(RequestParser request) {
-            double there = world.delay(sidecar, server) + Math.max(0, readyAt - world.now());
-            double back = world.delay(sidecar, server);
+            double outboundMs = world.delay(sidecar, server) + Math.max(0, readyAtMs - world.now());
+            double returnMs = world.delay(sidecar, server);
             String target = request.target();
             if (target.equals("/ping")) {
-                boolean up = server.state() == Server.State.UP;
+                boolean isUp = server.state() == Server.State.UP;
                 world.schedule(
-                        there + back,
-                        () -> reply(MessageWriter.response(up ? 200 : 503).body(new byte[0])));
+                        outboundMs + returnMs,
+                        () -> reply(MessageWriter.response(isUp ? 200 : 503).body(new byte[0])));
                 return;
             }
-            ClientAttempt t = tries.get(id(request.headers().get("X-Trace-Id")));
+            ClientAttempt attempt = attempts.get(id(request.headers().get("X-Trace-Id")));
             request.takeBody();
-            if (t == null) {
+            if (attempt == null) {
                 reply(MessageWriter.response(400).body("no client sent this\n".getBytes(StandardCharsets.US_ASCII)));
                 return;
             }
-            if (stale) { // it had closed this one long ago, without a word
+            if (isStale) { // it had closed this one long ago, without a word
                 end();
                 return;
             }
-            busy++;
-            world.schedule(there, () -> {
+            requestsInProgress++;
+            world.schedule(outboundMs, () -> {
                 if (listens() && open() && !world.losesMessage()) {
-                    server.offer(t, sidecar, (reply, inFlight) -> world.schedule(back, () -> done(t, reply, inFlight)));
+                    server.offer(attempt, sidecar, (reply, inFlight) -> world.schedule(returnMs, () -> finish(attempt, reply, inFlight)));
                 }
             });
         }
 
         /** One that stands idle for too long is closed, or forgotten without notice. */
         private void idle() {
-            double limit = world.scenario().connections().idleMs();
-            int then = ++idles;
-            if (limit > 0) {
-                world.schedule(limit, () -> {
-                    if (then == idles && busy == 0 && open()) {
+            double idleTimeoutMs = world.scenario().connections().idleMs();
+            int period = ++idlePeriods;
+            if (idleTimeoutMs > 0) {
+                world.schedule(idleTimeoutMs, () -> {
+                    if (period == idlePeriods && requestsInProgress == 0 && open()) {
                         if (world.scenario().connections().closeIsNoticed()) {
                             end();
                         } else {
-                            stale = true;
+                            isStale = true;
                         }
                     }
                 });
             }
         }
 
-        private void done(ClientAttempt t, Server.Reply reply, double inFlight) {
-            busy--;
+        private void finish(ClientAttempt attempt, Server.Reply reply, double inFlight) {
+            requestsInProgress--;
             idle();
             if (world.losesMessage()) {
                 return;
@@ -187,7 +187,7 @@
                         default -> MessageWriter.response(503).header("X-Never-Ran", "1");
                     };
             head.header("Endpoint-Load-Metrics", inFlight < 0 ? null : "TEXT rif=" + (long) inFlight);
-            reply(head.body(("made for " + t.id()).getBytes(StandardCharsets.US_ASCII)));
+            reply(head.body(("made for " + attempt.id()).getBytes(StandardCharsets.US_ASCII)));
         }
 
         private void reply(ByteBuffer message) {
--- a/emulator/src/main/java/dewplank/emulator/loopback/SidecarFile.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/SidecarFile.java
@@ -11,90 +11,90 @@
 final class SidecarFile {
     private SidecarFile() {}
 
-    static JsonObject settings(Settings s) {
-        JsonObject o = new JsonObject();
+    static JsonObject settings(Settings settings) {
+        JsonObject json = new JsonObject();
         JsonArray accounts = new JsonArray();
-        s.tenants().forEach(t -> {
+        settings.tenants().forEach(tenant -> {
             JsonObject account = new JsonObject();
-            account.addProperty("Name", t.name());
-            account.addProperty("Share", t.share());
-            account.addProperty("AllowancePerS", t.allowancePerSecond());
+            account.addProperty("Name", tenant.name());
+            account.addProperty("Share", tenant.share());
+            account.addProperty("AllowancePerS", tenant.allowancePerSecond());
             accounts.add(account);
         });
-        o.add("Accounts", accounts);
+        json.add("Accounts", accounts);
         JsonObject family = new JsonObject();
-        family.addProperty("WarmKeys", s.serversCacheKeys());
-        o.add("FamilyInfo", family);
-        o.addProperty("Az", s.zone());
-        o.addProperty("CountedBy", s.valueIsPerWork() ? "work" : "request");
-        o.addProperty("Me", s.replicaIndex());
-        o.addProperty("ReplicasOfMe", s.replicaCount());
-        o.addProperty("RegistryMode", s.endpointListIsPushed() ? "pushed" : "on_request");
-        o.addProperty("Tick", s.tickMs());
-        o.addProperty("Weights", s.serversAreRated() ? "nominal" : "none");
-        o.addProperty("OverShareWorth", s.overShareValueFactor());
+        family.addProperty("WarmKeys", settings.serversCacheKeys());
+        json.add("FamilyInfo", family);
+        json.addProperty("Az", settings.zone());
+        json.addProperty("CountedBy", settings.valueIsPerWork() ? "work" : "request");
+        json.addProperty("Me", settings.replicaIndex());
+        json.addProperty("ReplicasOfMe", settings.replicaCount());
+        json.addProperty("RegistryMode", settings.endpointListIsPushed() ? "pushed" : "on_request");
+        json.addProperty("Tick", settings.tickMs());
+        json.addProperty("Weights", settings.serversAreRated() ? "nominal" : "none");
+        json.addProperty("OverShareWorth", settings.overShareValueFactor());
         JsonArray classes = new JsonArray();
-        s.classes().forEach(c -> classes.add(requestClass(c)));
-        o.add("Classes", classes);
+        settings.classes().forEach(requestClass -> classes.add(requestClass(requestClass)));
+        json.add("Classes", classes);
         JsonObject feedback = new JsonObject();
         JsonArray names = new JsonArray();
-        s.loadReportFields().forEach(names::add);
+        settings.loadReportFields().forEach(names::add);
         feedback.add("Names", names);
         feedback.addProperty("Via", "answers");
-        o.add("Feedback", feedback);
-        o.add("Limits", limits(s.limits()));
-        o.add("Safety", safety(s.safety()));
+        json.add("Feedback", feedback);
+        json.add("Limits", limits(settings.limits()));
+        json.add("Safety", safety(settings.safety()));
         JsonObject prices = new JsonObject();
-        prices.addProperty("CrossZone", s.prices().crossZone());
-        prices.addProperty("Handshake", s.prices().handshake());
-        o.add("Tariffs", prices);
+        prices.addProperty("CrossZone", settings.prices().crossZone());
+        prices.addProperty("Handshake", settings.prices().handshake());
+        json.add("Tariffs", prices);
         JsonObject goal = new JsonObject();
-        goal.addProperty("Whole", s.goal().all());
-        goal.addProperty("WorstClass", s.goal().worstClass());
-        o.add("Goal", goal);
-        return o;
+        goal.addProperty("Whole", settings.goal().all());
+        goal.addProperty("WorstClass", settings.goal().worstClass());
+        json.add("Goal", goal);
+        return json;
     }
 
-    private static JsonObject requestClass(RequestClass c) {
-        JsonObject o = new JsonObject();
-        o.addProperty("Name", c.name());
-        o.addProperty(
+    private static JsonObject requestClass(RequestClass requestClass) {
+        JsonObject json = new JsonObject();
+        json.addProperty("Name", requestClass.name());
+        json.addProperty(
                 "Idempotency",
-                switch (c.idempotency()) {
+                switch (requestClass.idempotency()) {
                     case SAFE -> "read_like";
                     case KEYED -> "idempotency_key";
                     case UNSAFE -> "non_idempotent";
                 });
-        o.addProperty("KeyScope", c.deduplicationScope().name().toLowerCase(java.util.Locale.ROOT));
-        o.addProperty("KeyTtl", c.deduplicationWindowMs());
-        o.addProperty("Objective", c.latencyTargetMs());
-        o.addProperty("Deadline", c.deadlineMs());
-        o.addProperty("Worth", c.value());
-        return o;
+        json.addProperty("KeyScope", requestClass.deduplicationScope().name().toLowerCase(java.util.Locale.ROOT));
+        json.addProperty("KeyTtl", requestClass.deduplicationWindowMs());
+        json.addProperty("Objective", requestClass.latencyTargetMs());
+        json.addProperty("Deadline", requestClass.deadlineMs());
+        json.addProperty("Worth", requestClass.value());
+        return json;
     }
 
-    private static JsonObject limits(Limits l) {
-        JsonObject o = new JsonObject();
-        o.addProperty("SendCap", l.maxAttempts());
-        o.addProperty("SecondCopies", l.allowsHedging());
-        o.addProperty("Cancelling", l.allowsCancellation());
-        o.addProperty("MayProbe", l.allowsHealthChecks());
-        o.addProperty("Peers", l.exchangesPeerSummaries());
-        o.addProperty("RetryAfter", l.allowsRetryAdvice());
-        o.addProperty("MaxRetryAfter", l.maxRetryAdviceMs());
-        o.addProperty("ConnectTimeout", l.connectTimeoutMs());
-        o.addProperty("IdleClose", l.idleTimeoutMs());
-        o.addProperty("Multiplex", l.maxStreamsPerConnection());
-        return o;
+    private static JsonObject limits(Limits limits) {
+        JsonObject json = new JsonObject();
+        json.addProperty("SendCap", limits.maxAttempts());
+        json.addProperty("SecondCopies", limits.allowsHedging());
+        json.addProperty("Cancelling", limits.allowsCancellation());
+        json.addProperty("MayProbe", limits.allowsHealthChecks());
+        json.addProperty("Peers", limits.exchangesPeerSummaries());
+        json.addProperty("RetryAfter", limits.allowsRetryAdvice());
+        json.addProperty("MaxRetryAfter", limits.maxRetryAdviceMs());
+        json.addProperty("ConnectTimeout", limits.connectTimeoutMs());
+        json.addProperty("IdleClose", limits.idleTimeoutMs());
+        json.addProperty("Multiplex", limits.maxStreamsPerConnection());
+        return json;
     }
 
-    private static JsonObject safety(Safety s) {
-        JsonObject o = new JsonObject();
-        o.addProperty("AskWithin", s.maxSubscribeDelayMs());
-        o.addProperty("Cold", s.slowStartMs());
-        o.addProperty("ColdShare", s.slowStartInitialShare());
-        o.addProperty("FallMultiple", s.slowStartOverloadFactor());
-        o.addProperty("TipAfter", s.slowStartOverloadMs());
-        return o;
+    private static JsonObject safety(Safety settings) {
+        JsonObject json = new JsonObject();
+        json.addProperty("AskWithin", settings.maxSubscribeDelayMs());
+        json.addProperty("Cold", settings.slowStartMs());
+        json.addProperty("ColdShare", settings.slowStartInitialShare());
+        json.addProperty("FallMultiple", settings.slowStartOverloadFactor());
+        json.addProperty("TipAfter", settings.slowStartOverloadMs());
+        return json;
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/loopback/SidecarProcess.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/SidecarProcess.java
@@ -7,7 +7,7 @@
 
 /** One sidecar as a process of its own, told what to do by a configuration file alone. */
 final class SidecarProcess {
-    private static final List<String> NOT_HANDED_ON = List.of("GW_NAME", "GW_LISTEN", "GW_DISCOVERY");
+    private static final List<String> REMOVED_VARIABLES = List.of("GW_NAME", "GW_LISTEN", "GW_DISCOVERY");
 
     private final ProgramProcess process;
     private final InetSocketAddress listen;
@@ -27,11 +27,11 @@
     }
 
     void start(String configuration) throws IOException {
-        process.start(configuration, NOT_HANDED_ON);
+        process.start(configuration, REMOVED_VARIABLES);
     }
 
-    boolean alive() {
-        return process.alive();
+    boolean isAlive() {
+        return process.isAlive();
     }
 
     void kill() {
--- a/emulator/src/test/java/dewplank/emulator/loopback/LoopbackTest.java
+++ b/emulator/src/test/java/dewplank/emulator/loopback/LoopbackTest.java
@@ -63,7 +63,7 @@
         RealTime time = new RealTime(loop);
         CountDownLatch held = new CountDownLatch(1);
         loop.execute(() -> {
-            time.watch();
+            time.monitorLateness();
             time.after(50, () -> {
                 try {
                     Thread.sleep(500); // this delay is what is tested
@@ -73,9 +73,9 @@
                 time.after(30, held::countDown);
             });
         });
-        assertFalse(time.unsound());
+        assertFalse(time.isUnsound());
         assertTrue(held.await(PATIENCE_S, TimeUnit.SECONDS));
-        assertTrue("latest " + time.latestMs(), time.unsound());
+        assertTrue("latest " + time.maxLatenessMs(), time.isUnsound());
     }
 
     /** A close that crosses a request which was not read harms nobody: it goes once more, on a new connection. */
@@ -157,9 +157,9 @@
 
     @Test
     public void addressesAreKeptApartForEachPair() {
-        assertEquals("127.64.0.1:0", Addresses.text(Addresses.server(0, 0, 9)));
-        assertEquals("127.64.0.10:0", Addresses.text(Addresses.server(1, 0, 9)));
-        assertEquals("127.65.0.1:0", Addresses.text(Addresses.server(62_500, 0, 1)));
+        assertEquals("127.64.0.1:0", Addresses.format(Addresses.server(0, 0, 9)));
+        assertEquals("127.64.0.10:0", Addresses.format(Addresses.server(1, 0, 9)));
+        assertEquals("127.65.0.1:0", Addresses.format(Addresses.server(62_500, 0, 1)));
         assertThrows(IllegalArgumentException.class, () -> Addresses.server(100_000, 0, 1_000));
     }
 }
--- a/lab/src/main/java/dewplank/lab/LiveTrial.java
+++ b/lab/src/main/java/dewplank/lab/LiveTrial.java
@@ -50,12 +50,12 @@
         try (LoopbackRun run = new LoopbackRun(onSockets, seed, command, trial)) {
             LoopbackRun.Outcome outcome = run.run();
             trial.auditor.end(trial.world.now());
-            if (outcome.unsound()) {
+            if (outcome.isUnsound()) {
                 output.accept("UNSOUND: the emulator itself ran late, by %.0f ms at the most; run it on quieter cores"
-                        .formatted(outcome.latestMs()));
+                        .formatted(outcome.maxLatenessMs()));
             }
             if (scenario.peerMessages().enabled()) {
-                output.accept(outcome.messages() + " datagrams between sidecars, " + outcome.messagesLost()
+                output.accept(outcome.datagrams() + " datagrams between sidecars, " + outcome.datagramsLost()
                         + " more were lost");
             }
             return new Trial(
@@ -69,7 +69,7 @@
                             outcome.directoryCalls(),
                             outcome.directoryLines(),
                             0),
-                    outcome.unsound(),
+                    outcome.isUnsound(),
                     null);
         }
     }
