--- a/cli/src/test/java/dewplank/fleet/ControlLossTest.java
+++ b/cli/src/test/java/dewplank/fleet/ControlLossTest.java
@@ -12,8 +12,8 @@
 import dewplank.emulator.fleet.FleetEvent.ChangeAttempted;
 import dewplank.emulator.fleet.FleetEvent.EndpointListRequested;
 import dewplank.emulator.fleet.FleetProcess;
+import dewplank.emulator.fleet.Futures;
 import dewplank.emulator.fleet.ServerIdentity;
-import dewplank.emulator.fleet.StandInOperator;
 import dewplank.emulator.fleet.SteadyLoad;
 import java.util.ArrayList;
 import java.util.List;
@@ -139,7 +139,7 @@
             for (FleetProcess control : story.fleet.control()) {
                 control.restart();
             }
-            assertEquals(200, StandInOperator.waitFor(change));
+            assertEquals(200, Futures.await(change));
             story.assertReadBack(6, 0);
         });
     }
@@ -163,7 +163,7 @@
             awaitRefusals(story, wiped);
             assertFalse(change.isDone());
             down.restart();
-            assertEquals(200, StandInOperator.waitFor(change));
+            assertEquals(200, Futures.await(change));
             story.fleet.history().awaitState("a new identity among the acceptors", () -> story.fleet.control().stream()
                     .allMatch(p -> holdsNewIdentity(story, p, wiped)));
             kept.kill();
--- a/cli/src/test/java/dewplank/fleet/DataPlaneTest.java
+++ b/cli/src/test/java/dewplank/fleet/DataPlaneTest.java
@@ -8,8 +8,8 @@
 import dewplank.emulator.fleet.FleetBounds;
 import dewplank.emulator.fleet.FleetEvent.StreamEventSent;
 import dewplank.emulator.fleet.FleetProcess;
+import dewplank.emulator.fleet.Futures;
 import dewplank.emulator.fleet.ModelServer;
-import dewplank.emulator.fleet.StandInOperator;
 import org.junit.jupiter.api.Test;
 
 /** Data planes end and start again. */
@@ -54,7 +54,7 @@
                                     == 0);
             assertFalse(stream.ended().isDone());
             story.decode.forEach(ModelServer::resumeStreams);
-            assertTrue(StandInOperator.waitFor(stream.ended()).served());
+            assertTrue(Futures.await(stream.ended()).served());
             assertTrue(process.awaitEnd(FleetBounds.GRACE_S), "it has to end within the grace");
         });
     }
--- a/cli/src/test/java/dewplank/fleet/FirstStartTest.java
+++ b/cli/src/test/java/dewplank/fleet/FirstStartTest.java
@@ -6,8 +6,8 @@
 import dewplank.emulator.fleet.ClientRequest;
 import dewplank.emulator.fleet.FleetConfiguration;
 import dewplank.emulator.fleet.FleetEvent.HandleFetched;
+import dewplank.emulator.fleet.Futures;
 import dewplank.emulator.fleet.RouteSpec;
-import dewplank.emulator.fleet.StandInOperator;
 import org.junit.jupiter.api.Test;
 
 /** A fleet that starts for the first time. */
@@ -33,7 +33,7 @@
             story.fleet.plainServer("other");
             RouteSpec added = RouteSpec.to("other", "added", RouteSpec.Kind.SAFE);
             FleetConfiguration next = FleetStory.FIRST.with(5, added).without(5, FleetStory.WRITE.name());
-            assertEquals(200, StandInOperator.waitFor(story.fleet.operator().patch(next, FleetStory.FIRST, 1)));
+            assertEquals(200, Futures.await(story.fleet.operator().patch(next, FleetStory.FIRST, 1)));
             for (int edge = 0; edge < 2; edge++) {
                 int at = edge;
                 story.fleet.history().awaitState("the new route at edge " + edge, () -> story.outcome(
--- a/cli/src/test/java/dewplank/fleet/FleetStory.java
+++ b/cli/src/test/java/dewplank/fleet/FleetStory.java
@@ -12,13 +12,13 @@
 import dewplank.emulator.fleet.FleetEvent.EndpointListRequested;
 import dewplank.emulator.fleet.FleetMachine;
 import dewplank.emulator.fleet.FleetProcess;
+import dewplank.emulator.fleet.Futures;
 import dewplank.emulator.fleet.ModelServer;
 import dewplank.emulator.fleet.PlainServer;
 import dewplank.emulator.fleet.RouteSpec;
-import dewplank.emulator.fleet.ServerIdentity;
+import dewplank.emulator.fleet.ServerStage;
 import dewplank.emulator.fleet.ServiceSpec;
 import dewplank.emulator.fleet.StandInFleet;
-import dewplank.emulator.fleet.StandInOperator;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -36,7 +36,7 @@
     static final FleetConfiguration FIRST = new FleetConfiguration(
             3,
             List.of(READ, WRITE, CHAT, TALK),
-            List.of(new ServiceSpec("plain", false), new ServiceSpec("other", false), new ServiceSpec("model", true)));
+            List.of(ServiceSpec.plain("plain"), ServiceSpec.plain("other"), ServiceSpec.model("model")));
     /** One request of every kind, as clients ask in turn. */
     static final List<ClientRequest> MIX = List.of(
             ClientRequest.plain(READ, "mix"),
@@ -84,7 +84,7 @@
     private void begin() throws IOException, InterruptedException, TimeoutException {
         servers();
         fleet.startFirst();
-        assertEquals(200, StandInOperator.waitFor(fleet.operator().put(FIRST, 0, 0)), "the first configuration");
+        assertEquals(200, Futures.await(fleet.operator().put(FIRST, 0, 0)), "the first configuration");
         awaitReady();
         awaitSettledBudget();
     }
@@ -99,8 +99,8 @@
     private void servers() throws IOException {
         for (int i = 0; i < 2; i++) {
             plain.add(fleet.plainServer("plain"));
-            prefill.add(fleet.modelServer("model", ServerIdentity.PREFILL));
-            decode.add(fleet.modelServer("model", ServerIdentity.DECODE));
+            prefill.add(fleet.modelServer("model", ServerStage.PREFILL));
+            decode.add(fleet.modelServer("model", ServerStage.DECODE));
         }
     }
 
@@ -153,13 +153,12 @@
 
     /** Sends a whole configuration; it must be taken. */
     void change(FleetConfiguration next, long base, int first) {
-        int status = StandInOperator.waitFor(fleet.operator().put(next, base, first));
+        int status = Futures.await(fleet.operator().put(next, base, first));
         assertEquals(200, status, "version " + next.version());
     }
 
     ClientAttempt.Outcome outcome(int edge, ClientRequest request) {
-        return StandInOperator.waitFor(
-                fleet.client().send(fleet.edge(edge), request).ended());
+        return Futures.await(fleet.client().send(fleet.edge(edge), request).ended());
     }
 
     void assertServed(int edge, ClientRequest request) {
@@ -169,7 +168,7 @@
 
     /** Reads the configuration back, from that control process first. */
     void assertReadBack(long version, int first) {
-        assertEquals(version, StandInOperator.waitFor(fleet.operator().read(first)));
+        assertEquals(version, Futures.await(fleet.operator().read(first)));
     }
 
     /** Shows the processes' logs where a test fails. */
--- a/cli/src/test/java/dewplank/fleet/OperatorTest.java
+++ b/cli/src/test/java/dewplank/fleet/OperatorTest.java
@@ -7,8 +7,8 @@
 import com.google.gson.JsonParser;
 import dewplank.emulator.fleet.ClientRequest;
 import dewplank.emulator.fleet.FleetConfiguration;
+import dewplank.emulator.fleet.Futures;
 import dewplank.emulator.fleet.RouteSpec;
-import dewplank.emulator.fleet.StandInOperator;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Set;
@@ -26,12 +26,12 @@
         FleetStory.tell(3, 1, story -> {
             int first = 0;
             for (Map.Entry<String, String> bad : invalid().entrySet()) {
-                int status = StandInOperator.waitFor(
+                int status = Futures.await(
                         story.fleet.operator().putInvalid(bad.getValue(), FleetStory.FIRST.version(), first++ % 3));
                 assertEquals(400, status, bad.getKey());
             }
             for (Map.Entry<String, String> bad : invalidPatches().entrySet()) {
-                int status = StandInOperator.waitFor(
+                int status = Futures.await(
                         story.fleet.operator().patchInvalid(bad.getValue(), FleetStory.FIRST.version(), first++ % 3));
                 assertEquals(400, status, bad.getKey());
             }
@@ -111,8 +111,8 @@
                         current.with(next + race % 2, RouteSpec.to("plain", "two" + race, RouteSpec.Kind.SAFE));
                 CompletableFuture<Integer> first = story.fleet.operator().put(one, current.version(), race % 3);
                 CompletableFuture<Integer> second = story.fleet.operator().patch(two, current, (race + 1) % 3);
-                int firstStatus = StandInOperator.waitFor(first);
-                assertEquals(Set.of(200, 412), Set.of(firstStatus, StandInOperator.waitFor(second)), "race " + race);
+                int firstStatus = Futures.await(first);
+                assertEquals(Set.of(200, 412), Set.of(firstStatus, Futures.await(second)), "race " + race);
                 current = firstStatus == 200 ? one : two;
                 story.assertReadBack(current.version(), (race + 2) % 3);
             }
--- a/cli/src/test/java/dewplank/fleet/ServerFaultTest.java
+++ b/cli/src/test/java/dewplank/fleet/ServerFaultTest.java
@@ -14,9 +14,9 @@
 import dewplank.emulator.fleet.FleetEvent.RunRejected;
 import dewplank.emulator.fleet.FleetEvent.RunStarted;
 import dewplank.emulator.fleet.FleetEvent.StreamEventSent;
+import dewplank.emulator.fleet.Futures;
 import dewplank.emulator.fleet.ModelServer;
 import dewplank.emulator.fleet.RouteSpec;
-import dewplank.emulator.fleet.StandInOperator;
 import dewplank.emulator.fleet.StandInServer.Behaviour;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -51,7 +51,7 @@
             Held held = hold(story, ClientRequest.split(FleetStory.TALK, "resumed", FleetStory.EVENTS));
             held.server().crash();
             story.decode.forEach(ModelServer::resumeStreams);
-            assertTrue(StandInOperator.waitFor(held.stream().ended()).served());
+            assertTrue(Futures.await(held.stream().ended()).served());
             List<StreamEventSent> emitted = story.fleet.history().events(StreamEventSent.class);
             assertEquals(
                     2,
@@ -68,8 +68,7 @@
             Held held = hold(story, ClientRequest.split(FleetStory.CHAT, "cut", FleetStory.EVENTS));
             held.server().crash();
             story.decode.forEach(ModelServer::resumeStreams);
-            ClientAttempt.Outcome outcome =
-                    StandInOperator.waitFor(held.stream().ended());
+            ClientAttempt.Outcome outcome = Futures.await(held.stream().ended());
             assertEquals(200, outcome.status());
             assertFalse(outcome.complete(), "a stream that was cut must not look complete");
             assertEquals(1, story.fleet.history().events(RunStarted.class).size());
@@ -149,7 +148,7 @@
             ClientAttempt stream = story.fleet
                     .client()
                     .send(story.fleet.edge(0), ClientRequest.split(FleetStory.CHAT, "refused", FleetStory.EVENTS));
-            assertEquals(503, StandInOperator.waitFor(stream.ended()).status());
+            assertEquals(503, Futures.await(stream.ended()).status());
             awaitFreed(story, stream);
         });
     }
@@ -192,7 +191,7 @@
                 .findFirst()
                 .orElseThrow()
                 .crash();
-        return StandInOperator.waitFor(sent.ended());
+        return Futures.await(sent.ended());
     }
 
     @Test
--- a/emulator/src/main/java/dewplank/emulator/fleet/AttemptLog.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/AttemptLog.java
@@ -9,6 +9,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.stream.Collectors;
 
 /** A history's events by the tries they belong to. */
@@ -29,13 +30,14 @@
         return sent.values();
     }
 
-    AttemptSent sent(String attemptId) {
-        return sent.get(attemptId);
+    /** Empty where no client sent it. */
+    Optional<AttemptSent> sent(String attemptId) {
+        return Optional.ofNullable(sent.get(attemptId));
     }
 
-    /** Null where the history ends before the try. */
-    AttemptEnded ended(String attemptId) {
-        return ended.get(attemptId);
+    /** Empty where the history ends before the attempt. */
+    Optional<AttemptEnded> ended(String attemptId) {
+        return Optional.ofNullable(ended.get(attemptId));
     }
 
     List<RunStarted> runs(String attemptId) {
--- a/emulator/src/main/java/dewplank/emulator/fleet/ConfigurationRules.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/ConfigurationRules.java
@@ -13,11 +13,13 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 
 /** What holds for configurations: which are acknowledged, read back and in force. */
 final class ConfigurationRules {
     private static final int OK = 200;
+    private static final int NOT_FOUND = 404;
 
     private final List<FleetEvent> events;
     private final AttemptLog attempts;
@@ -61,7 +63,7 @@
     private void checkAcknowledgements() {
         Map<Long, Set<String>> onBase = new HashMap<>();
         for (ChangeAnswered a : acknowledged) {
-            if (a.document() == null) {
+            if (a.document().isEmpty()) {
                 report(Rule.CONFIG, "an invalid configuration was acknowledged: " + a.text());
             }
             onBase.computeIfAbsent(a.base(), b -> new HashSet<>()).add(a.text());
@@ -75,43 +77,42 @@
 
     private void checkReadBack(ReadBack read) {
         long newest = acknowledged.stream()
-                .filter(a -> a.atMs() <= read.sentAtMs() && a.document() != null)
-                .mapToLong(a -> a.document().version())
+                .filter(a -> a.atMs() <= read.sentAtMs())
+                .flatMap(a -> a.document().stream())
+                .mapToLong(FleetConfiguration::version)
                 .max()
                 .orElse(0);
         long version = FleetConfiguration.versionOf(read.text());
         if (version < newest) {
             report(Rule.CONFIG, "read back was " + version + ", acknowledged " + newest);
         }
-        boolean asSent =
-                sent.stream().anyMatch(s -> s.document() != null && s.document().sameAs(read.text()));
+        boolean asSent = sent.stream().flatMap(s -> s.document().stream()).anyMatch(d -> d.sameAs(read.text()));
         if (version > 0 && !asSent) {
             report(Rule.CONFIG, "read back was what nobody sent: " + read.text());
         }
     }
 
     private void checkRoute(AttemptSent t, RunStarted run) {
-        if (sent.stream().noneMatch(s -> allows(s.document(), t, run))) {
+        if (sent.stream().flatMap(s -> s.document().stream()).noneMatch(d -> allows(d, t, run))) {
             report(Rule.ROUTE, t.attemptId() + " on " + t.request().route().name() + " ran at " + run.server());
         }
     }
 
     private static boolean allows(FleetConfiguration document, AttemptSent t, RunStarted run) {
-        return document != null
-                && document.allows(t.request().route().host(), t.request().target())
-                        .contains(run.server().service());
+        return document.allows(t.request().route().host(), t.request().target())
+                .contains(run.server().service());
     }
 
     /** A request sent long after an acknowledgement is handled as that version or a later one says. */
     private void checkCurrent(AttemptSent t) {
         long requiredVersion = requiredVersion(t);
-        AttemptEnded ended = attempts.ended(t.attemptId());
-        if (requiredVersion == 0 || ended == null) {
+        Optional<AttemptEnded> ended = attempts.ended(t.attemptId());
+        if (requiredVersion == 0 || ended.isEmpty()) {
             return;
         }
         List<FleetConfiguration> valid = sent.stream()
-                .map(ChangeSent::document)
-                .filter(d -> d != null && d.version() >= requiredVersion)
+                .flatMap(s -> s.document().stream())
+                .filter(d -> d.version() >= requiredVersion)
                 .toList();
         for (RunStarted run : attempts.runs(t.attemptId())) {
             if (valid.stream().noneMatch(d -> allows(d, t, run))) {
@@ -123,20 +124,18 @@
         boolean missing = valid.stream()
                 .anyMatch(d -> d.allows(t.request().route().host(), t.request().target())
                         .isEmpty());
-        if (ended.status() == 404 && !missing) {
+        if (ended.get().status() == NOT_FOUND && !missing) {
             report(Rule.STALE, t.attemptId() + " got 404 long after version " + requiredVersion);
         }
     }
 
     private long requiredVersion(AttemptSent t) {
-        long requiredVersion = 0;
-        for (ChangeAnswered a : acknowledged) {
-            boolean isInForce = t.atMs() > a.atMs() + FleetBounds.CONFIG_APPLY_MS && hadNoFaults(a.atMs(), t.atMs());
-            requiredVersion = isInForce && a.document() != null
-                    ? Math.max(requiredVersion, a.document().version())
-                    : requiredVersion;
-        }
-        return requiredVersion;
+        return acknowledged.stream()
+                .filter(a -> t.atMs() > a.atMs() + FleetBounds.CONFIG_APPLY_MS && hadNoFaults(a.atMs(), t.atMs()))
+                .flatMap(a -> a.document().stream())
+                .mapToLong(FleetConfiguration::version)
+                .max()
+                .orElse(0);
     }
 
     /** Whether nothing was done to any process from a while before the acknowledgement to the request. */
--- a/emulator/src/main/java/dewplank/emulator/fleet/FleetClient.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/FleetClient.java
@@ -7,6 +7,7 @@
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
+import java.util.Optional;
 import java.util.concurrent.atomic.AtomicLong;
 
 /** Stands in for clients: each try goes out on a connection of its own, and the history has it. */
@@ -35,7 +36,7 @@
         if (request.route().kind().streaming()) {
             message.header(WireFields.MODEL_NAME, "m")
                     .header(WireFields.TOKEN_COUNTS, "1050," + request.events())
-                    .header(WireFields.PROMPT_PREFIX, request.prompt());
+                    .header(WireFields.PROMPT_PREFIX, request.prompt().orElse(null));
         }
         return message.body(request.body().getBytes(StandardCharsets.UTF_8));
     }
@@ -44,27 +45,29 @@
         private final ClientAttempt attempt;
         private final ClientRequest request;
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
-        private ResponseParser head;
+        private Optional<ResponseParser> head = Optional.empty();
         private HttpClient client;
         private HttpClient.Call call;
         private boolean isOver;
+        private boolean isComplete;
 
         Exchange(String id, ClientRequest request) {
             this.request = request;
-            this.attempt = new ClientAttempt(id, () -> loop.execute(() -> giveUp(true)));
+            this.attempt = new ClientAttempt(id, () -> loop.execute(() -> cancel(true)));
         }
 
         void start(FleetMachine to) {
             history.add(new FleetEvent.AttemptSent(loop.now(), to.node(), attempt.id(), request));
             client = new HttpClient(loop, to.front(), 1);
             call = client.call(message(attempt.id(), request), this);
-            loop.after(request.timeoutMs(), () -> giveUp(false));
+            loop.after(request.timeoutMs(), () -> cancel(false));
         }
 
-        private void giveUp(boolean isAbandoned) {
+        /** {@code isAbandoned}: the client left; otherwise its time-out expired. */
+        private void cancel(boolean isAbandoned) {
             if (!isOver) {
                 call.cancel();
-                end(null, isAbandoned);
+                end(isAbandoned);
             }
         }
 
@@ -75,7 +78,7 @@
 
         @Override
         public void onBodyPart(ResponseParser parser, byte[] bytes) {
-            head = parser;
+            head = Optional.of(parser);
             body.writeBytes(bytes);
             if (request.route().kind().streaming()) {
                 history.add(new FleetEvent.StreamBytes(
@@ -89,20 +92,28 @@
 
         @Override
         public void answered(ResponseParser parser, byte[] none) {
-            end(parser, false);
+            if (parser != null) {
+                head = Optional.of(parser);
+                isComplete = true;
+            }
+            end(false);
         }
 
-        private void end(ResponseParser complete, boolean isAbandoned) {
+        private void end(boolean isAbandoned) {
             isOver = true;
-            ResponseParser seen = complete == null ? head : complete;
-            int status = seen == null ? 0 : seen.status();
-            String seal = seen == null ? null : seen.headers().get(WireFields.SEAL);
-            String retryAfter = seen == null ? null : seen.headers().get(WireFields.RETRY_AFTER);
+            int status = head.map(ResponseParser::status).orElse(0);
+            String seal = header(WireFields.SEAL);
             String text = body.toString(StandardCharsets.UTF_8);
-            history.add(new FleetEvent.AttemptEnded(
-                    loop.now(), attempt.id(), status, seal, text, complete != null, isAbandoned));
-            attempt.ended().complete(new ClientAttempt.Outcome(status, seal, retryAfter, text, complete != null));
+            history.add(
+                    new FleetEvent.AttemptEnded(loop.now(), attempt.id(), status, seal, text, isComplete, isAbandoned));
+            attempt.ended()
+                    .complete(
+                            new ClientAttempt.Outcome(status, seal, header(WireFields.RETRY_AFTER), text, isComplete));
             client.close();
         }
+
+        private String header(String name) {
+            return head.map(response -> response.headers().get(name)).orElse(null);
+        }
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/fleet/FleetConfiguration.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/FleetConfiguration.java
@@ -50,9 +50,9 @@
         return routes.stream()
                 .filter(r -> r.host().equals(host) && target.startsWith(r.prefix()))
                 .max((a, b) -> a.prefix().length() - b.prefix().length())
-                .map(r -> r.split().entrySet().stream()
-                        .filter(e -> e.getValue() > 0)
-                        .map(Map.Entry::getKey)
+                .map(r -> r.split().stream()
+                        .filter(s -> s.weight() > 0)
+                        .map(WeightedService::service)
                         .collect(Collectors.toSet()))
                 .orElse(Set.of());
     }
--- a/emulator/src/main/java/dewplank/emulator/fleet/FleetEvent.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/FleetEvent.java
@@ -1,6 +1,7 @@
 package dewplank.emulator.fleet;
 
 import java.util.List;
+import java.util.Optional;
 
 /** Something that a stand-in saw or did. Times are those of the stand-ins' loop, in milliseconds. */
 public sealed interface FleetEvent {
@@ -34,7 +35,12 @@
     /** The try is over. {@code status} 0: no answer came, or the client left. */
     record AttemptEnded(
             double atMs, String attemptId, int status, String seal, String body, boolean complete, boolean abandoned)
-            implements FleetEvent {}
+            implements FleetEvent {
+        /** Whether a complete response with a status from 200 to 299 came. */
+        boolean isSuccess() {
+            return complete && status / 100 == 2;
+        }
+    }
 
     // ---- servers --------------------------------------------------------------------------------------
 
@@ -86,13 +92,14 @@
     // ---- operator -------------------------------------------------------------------------------------
 
     /** The operator began to send a change; {@code document}: what is in force if it is taken, null: it is invalid. */
-    record ChangeSent(double atMs, long base, FleetConfiguration document, String text) implements FleetEvent {}
+    record ChangeSent(double atMs, long base, Optional<FleetConfiguration> document, String text)
+            implements FleetEvent {}
 
     /** One control sidecar's answer to a change; {@code status} 0: none came. */
     record ChangeAttempted(double atMs, String node, String text, int status) implements FleetEvent {}
 
     /** The operator has its answer to a change; {@code status} 0: none that is clear. */
-    record ChangeAnswered(double atMs, long base, FleetConfiguration document, String text, int status)
+    record ChangeAnswered(double atMs, long base, Optional<FleetConfiguration> document, String text, int status)
             implements FleetEvent {}
 
     /** A configuration was read back. */
@@ -100,7 +107,8 @@
 
     // ---- processes ------------------------------------------------------------------------------------
 
-    record ProcessFaulted(double atMs, String node, boolean core, ProcessFault fault) implements FleetEvent {}
+    record ProcessFaulted(double atMs, String node, MachineClass machineClass, ProcessFault fault)
+            implements FleetEvent {}
 
     /** The events of one kind. */
     static <T extends FleetEvent> List<T> only(List<FleetEvent> events, Class<T> kind) {
--- a/emulator/src/main/java/dewplank/emulator/fleet/FleetMachine.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/FleetMachine.java
@@ -4,7 +4,8 @@
 import java.net.InetSocketAddress;
 
 /** A machine of the fleet and its place in the network. */
-public record FleetMachine(String node, boolean core, InetAddress address, String zone, InetSocketAddress platform) {
+public record FleetMachine(
+        String node, MachineClass machineClass, InetAddress address, String zone, InetSocketAddress platform) {
     public InetSocketAddress front() {
         return new InetSocketAddress(address, FleetNetwork.FRONT_PORT);
     }
--- a/emulator/src/main/java/dewplank/emulator/fleet/FleetProcess.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/FleetProcess.java
@@ -9,6 +9,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
+import java.util.Optional;
 import java.util.stream.Stream;
 
 /** One process of the fleet: started, ended and troubled; what is done to it goes into the history. */
@@ -18,7 +19,7 @@
     private final FleetMachine machine;
     private final List<InetSocketAddress> seeds;
     private final ProgramProcess process;
-    private final Path disk; // null: the machine has none
+    private final Optional<Path> disk;
 
     FleetProcess(
             EventLoop loop,
@@ -32,7 +33,9 @@
         this.machine = machine;
         this.seeds = List.copyOf(seeds);
         this.process = new ProgramProcess(machine.node(), command, NodeSettings.VARIABLE, folder);
-        this.disk = machine.core() ? folder.resolve(machine.node() + "-disk") : null;
+        this.disk = machine.machineClass() == MachineClass.CORE
+                ? Optional.of(folder.resolve(machine.node() + "-disk"))
+                : Optional.empty();
     }
 
     public FleetMachine machine() {
@@ -54,8 +57,8 @@
     }
 
     private void start(boolean initialStart) throws IOException {
-        if (disk != null) {
-            Files.createDirectories(disk);
+        if (disk.isPresent()) {
+            Files.createDirectories(disk.get());
         }
         record(ProcessFault.STARTED);
         process.start(SettingsFile.of(machine, seeds, initialStart, disk), List.of());
@@ -104,7 +107,7 @@
     public void loseDisk() throws IOException {
         record(ProcessFault.WIPED);
         List<Path> all;
-        try (Stream<Path> files = Files.walk(disk)) {
+        try (Stream<Path> files = Files.walk(disk.orElseThrow())) {
             all = files.sorted((a, b) -> b.compareTo(a)).toList();
         }
         for (Path path : all) {
@@ -113,6 +116,6 @@
     }
 
     private void record(ProcessFault fault) {
-        history.add(new FleetEvent.ProcessFaulted(loop.now(), machine.node(), machine.core(), fault));
+        history.add(new FleetEvent.ProcessFaulted(loop.now(), machine.node(), machine.machineClass(), fault));
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/fleet/ModelServer.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/ModelServer.java
@@ -11,6 +11,13 @@
  * until it is let go on.
  */
 public final class ModelServer extends StandInServer {
+    /** What becomes of the fetch of a KV cache from a prefill server. */
+    private enum HandleFetches {
+        SUCCEED,
+        FAIL,
+        STALL
+    }
+
     private static final String HANDLE_PATH = "/kv-handle/";
     private static final double PREFILL_MS = 4;
     private static final double EVENT_INTERVAL_MS = 4;
@@ -18,8 +25,7 @@
 
     private final ContextHandles handles;
     private final Deque<Runnable> pausedStreams = new ArrayDeque<>();
-    private volatile boolean rejectsHandles;
-    private volatile boolean stallsHandleFetches;
+    private volatile HandleFetches handleFetches = HandleFetches.SUCCEED;
     private volatile int pauseStreamsAfter = NO_PAUSE;
     private int streams;
 
@@ -32,12 +38,12 @@
 
     /** From here on no handle can be fetched. */
     public void rejectHandles() {
-        rejectsHandles = true;
+        handleFetches = HandleFetches.FAIL;
     }
 
     /** From here on whatever is to be fetched is waited for, without end. */
     public void stallHandleFetches() {
-        stallsHandleFetches = true;
+        handleFetches = HandleFetches.STALL;
     }
 
     /** Streams stop behind the event of this id until {@link #resumeStreams}. */
@@ -57,13 +63,13 @@
 
     @Override
     void handle(Arrival arrival) {
-        boolean prefill = ServerIdentity.PREFILL.equals(arrival.header(WireFields.STAGE));
+        boolean isPrefill = ServerStage.PREFILL.isNamedBy(arrival.header(WireFields.STAGE));
         if (arrival.method.equals("DELETE") && arrival.target.startsWith(HANDLE_PATH)) {
             handles.free(loop.now(), identity(), arrival.target.substring(HANDLE_PATH.length()));
             arrival.answer(200, null, "");
-        } else if (prefill != ServerIdentity.PREFILL.equals(identity().stage())) {
+        } else if (isPrefill != (identity().stage() == ServerStage.PREFILL)) {
             arrival.reject(421);
-        } else if (prefill) {
+        } else if (isPrefill) {
             prefill(arrival);
         } else {
             decode(arrival);
@@ -85,10 +91,11 @@
 
     private void decode(Arrival arrival) {
         String from = arrival.header(WireFields.KV_FROM);
-        if (from != null && stallsHandleFetches) {
+        HandleFetches fetches = handleFetches;
+        if (from != null && fetches == HandleFetches.STALL) {
             return;
         }
-        if (from != null && (rejectsHandles || !handles.fetch(loop.now(), from, arrival.attemptId))) {
+        if (from != null && (fetches == HandleFetches.FAIL || !handles.fetch(loop.now(), from, arrival.attemptId))) {
             arrival.reject(503);
             return;
         }
--- a/emulator/src/main/java/dewplank/emulator/fleet/PlatformRules.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/PlatformRules.java
@@ -8,6 +8,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 
 /**
  * What holds for calls to the platform: one process makes them at a time. One that was relieved may be heard for a
@@ -28,20 +29,22 @@
 
     List<Violation> check() {
         List<Violation> found = new ArrayList<>();
-        String caller = null;
+        Optional<String> caller = Optional.empty();
         double callerSinceMs = Double.NEGATIVE_INFINITY;
         Map<String, Double> lastCall = new HashMap<>();
         for (EndpointListRequested call : calls) {
-            boolean isFormerCaller = !call.node().equals(caller) && lastCall.containsKey(call.node());
+            boolean isCaller = caller.filter(call.node()::equals).isPresent();
+            boolean isFormerCaller = !isCaller && lastCall.containsKey(call.node());
             boolean isWithinLease = isFormerCaller && call.atMs() - lastCall.get(call.node()) < FleetBounds.LEASE_MS;
             if (isWithinLease && call.atMs() - callerSinceMs < MAX_HAND_OVER_MS || isFormerCaller && justThawed(call)) {
                 continue; // the end of a hand-over
             }
             if (isWithinLease) {
-                found.add(new Violation(Rule.ONE, call.node() + " and " + caller + " took turns at " + call.atMs()));
+                found.add(new Violation(
+                        Rule.ONE, call.node() + " and " + caller.orElseThrow() + " took turns at " + call.atMs()));
             }
-            if (!call.node().equals(caller)) {
-                caller = call.node();
+            if (!isCaller) {
+                caller = Optional.of(call.node());
                 callerSinceMs = call.atMs();
             }
             lastCall.put(call.node(), call.atMs());
--- a/emulator/src/main/java/dewplank/emulator/fleet/RequestRules.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/RequestRules.java
@@ -12,6 +12,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 
 /** What holds for each request: where it may go, how often it may run, and what may be said of it. */
@@ -35,10 +36,10 @@
     List<Violation> check() {
         for (AttemptSent sent : attempts.all()) {
             checkRuns(sent);
-            AttemptEnded ended = attempts.ended(sent.attemptId());
-            boolean isSuccess = ended != null && ended.complete() && ended.status() / 100 == 2;
-            if (isSuccess && !sent.request().route().kind().streaming()) {
-                checkSuccess(sent, ended);
+            if (!sent.request().route().kind().streaming()) {
+                attempts.ended(sent.attemptId())
+                        .filter(AttemptEnded::isSuccess)
+                        .ifPresent(ended -> checkSuccess(sent, ended));
             }
         }
         FleetEvent.only(events, Arrived.class).forEach(this::checkArrival);
@@ -56,9 +57,11 @@
         if (!idempotent && runs.size() > 1) {
             report(Rule.TWICE, sent.attemptId() + " ran at " + runs);
         }
-        AttemptEnded ended = attempts.ended(sent.attemptId());
-        if (!idempotent && ended != null && NOT_EXECUTED_STATUSES.contains(ended.status()) && !runs.isEmpty()) {
-            report(Rule.REFUSED, sent.attemptId() + " got " + ended.status() + " and ran at " + runs);
+        if (!idempotent && !runs.isEmpty()) {
+            attempts.ended(sent.attemptId())
+                    .filter(ended -> NOT_EXECUTED_STATUSES.contains(ended.status()))
+                    .ifPresent(ended ->
+                            report(Rule.REFUSED, sent.attemptId() + " got " + ended.status() + " and ran at " + runs));
         }
     }
 
@@ -74,11 +77,12 @@
         if (arrived.target().startsWith(HANDLE_PATH) || arrived.target().equals("/health")) {
             return;
         }
-        AttemptSent sent = attempts.sent(arrived.attemptId());
-        boolean isUnchanged = sent != null
-                && sent.request().method().equals(arrived.method())
-                && sent.request().target().equals(arrived.target())
-                && sent.request().body().equals(arrived.body());
+        Optional<AttemptSent> sent = attempts.sent(arrived.attemptId());
+        boolean isUnchanged = sent.map(AttemptSent::request)
+                .filter(request -> request.method().equals(arrived.method())
+                        && request.target().equals(arrived.target())
+                        && request.body().equals(arrived.body()))
+                .isPresent();
         if (!isUnchanged) {
             report(Rule.UNASKED, "a server got " + arrived + ", sent was " + sent);
         }
--- a/emulator/src/main/java/dewplank/emulator/fleet/RouteSpec.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/RouteSpec.java
@@ -2,8 +2,7 @@
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
-import java.util.LinkedHashMap;
-import java.util.Map;
+import java.util.List;
 
 /** A route of a configuration that the operator sends. {@code split}: services and their weights. */
 public record RouteSpec(
@@ -11,7 +10,7 @@
         String host,
         String prefix,
         Kind kind,
-        Map<String, Integer> split,
+        List<WeightedService> split,
         int maxAttempts,
         int timeoutMs) {
     /** What may be repeated. */
@@ -45,17 +44,25 @@
     private static final int TARGET_GAP_MS = 250;
 
     public RouteSpec {
-        split = new LinkedHashMap<>(split);
+        split = List.copyOf(split);
     }
 
     /** A route to one service. */
     public static RouteSpec to(String service, String name, Kind kind) {
-        return new RouteSpec(name, "fleet.example", "/" + name + "/", kind, Map.of(service, 1), ATTEMPTS, TIMEOUT_MS);
+        return new RouteSpec(
+                name,
+                "fleet.example",
+                "/" + name + "/",
+                kind,
+                List.of(new WeightedService(service, 1)),
+                ATTEMPTS,
+                TIMEOUT_MS);
     }
 
     /** The same route to another service. */
     public RouteSpec movedTo(String service) {
-        return new RouteSpec(name, host, prefix, kind, Map.of(service, 1), maxAttempts, timeoutMs);
+        return new RouteSpec(
+                name, host, prefix, kind, List.of(new WeightedService(service, 1)), maxAttempts, timeoutMs);
     }
 
     JsonObject json() {
@@ -79,10 +86,10 @@
 
     private JsonArray weights() {
         JsonArray weights = new JsonArray();
-        split.forEach((service, weight) -> {
+        split.forEach(weighted -> {
             JsonObject part = new JsonObject();
-            part.addProperty("service", service);
-            part.addProperty("weight", weight);
+            part.addProperty("service", weighted.service());
+            part.addProperty("weight", weighted.weight());
             weights.add(part);
         });
         return weights;
--- a/emulator/src/main/java/dewplank/emulator/fleet/ServiceSpec.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/ServiceSpec.java
@@ -4,13 +4,31 @@
 import com.google.gson.JsonObject;
 
 /** A service of a configuration that the operator sends. {@code model}: whether its servers prefill and decode. */
-public record ServiceSpec(String name, boolean model) {
+public record ServiceSpec(String name, Kind kind) {
+    /** What the service's servers run. */
+    public enum Kind {
+        /** Complete requests. */
+        PLAIN,
+        /** Prefill and decode. */
+        MODEL
+    }
+
     private static final int MAX_CONNECTIONS = 300;
     private static final int SLOTS = 64;
     private static final int KV_TOKENS = 295_697;
     private static final int KV_TOKEN_BYTES = 163_840;
     private static final double LINK_MBPS = 1_300_000;
 
+    /** A service whose servers run complete requests. */
+    public static ServiceSpec plain(String name) {
+        return new ServiceSpec(name, Kind.PLAIN);
+    }
+
+    /** A service whose servers prefill and decode. */
+    public static ServiceSpec model(String name) {
+        return new ServiceSpec(name, Kind.MODEL);
+    }
+
     JsonObject json() {
         JsonObject o = new JsonObject();
         o.addProperty("name", name);
@@ -18,7 +36,7 @@
         o.addProperty("max_connections", MAX_CONNECTIONS);
         o.addProperty("protocol", "h1");
         o.addProperty("tls_mode", false);
-        if (model) {
+        if (kind == Kind.MODEL) {
             o.add("engine", engine());
         }
         return o;
--- a/emulator/src/main/java/dewplank/emulator/fleet/SettingsFile.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/SettingsFile.java
@@ -9,6 +9,7 @@
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.List;
+import java.util.Optional;
 
 /** The settings file of a process. */
 final class SettingsFile {
@@ -18,10 +19,10 @@
 
     private SettingsFile() {}
 
-    static String of(FleetMachine machine, List<InetSocketAddress> seeds, boolean initialStart, Path data) {
+    static String of(FleetMachine machine, List<InetSocketAddress> seeds, boolean initialStart, Optional<Path> data) {
         JsonObject settings = new JsonObject();
         settings.addProperty("node_name", machine.node());
-        settings.addProperty("machine_class", machine.core() ? "core" : "edge");
+        settings.addProperty("machine_class", machine.machineClass().settingsName());
         settings.addProperty("ip_address", machine.address().getHostAddress());
         settings.addProperty("zone", machine.zone());
         settings.add("listen_addresses", listen(machine));
@@ -36,9 +37,12 @@
                         .map(s -> new JsonPrimitive(Addresses.format(s)))
                         .toList()));
         settings.addProperty("initial_start", initialStart);
-        settings.addProperty("loss_counted", machine.core());
+        settings.addProperty("loss_counted", machine.machineClass() == MachineClass.CORE);
         settings.add("limits", limits());
-        settings.add("data_directory", data == null ? JsonNull.INSTANCE : new JsonPrimitive(data.toString()));
+        settings.add(
+                "data_directory",
+                data.<JsonElement>map(path -> new JsonPrimitive(path.toString()))
+                        .orElse(JsonNull.INSTANCE));
         settings.add("bounds", bounds());
         JsonObject platform = new JsonObject();
         platform.addProperty("address", Addresses.format(machine.platform()));
@@ -50,7 +54,7 @@
 
     private static JsonObject listen(FleetMachine machine) {
         JsonObject listen = new JsonObject();
-        if (machine.core()) {
+        if (machine.machineClass() == MachineClass.CORE) {
             listen.addProperty("control", Addresses.format(machine.control()));
         } else {
             listen.addProperty("front", Addresses.format(machine.front()));
--- a/emulator/src/main/java/dewplank/emulator/fleet/StandInFleet.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/StandInFleet.java
@@ -58,11 +58,11 @@
     }
 
     private FleetMachine controlMachine(int i) {
-        return new FleetMachine("core-" + i, true, network.control(i), zone(i), network.platform(i));
+        return new FleetMachine("core-" + i, MachineClass.CORE, network.control(i), zone(i), network.platform(i));
     }
 
     private FleetMachine dataMachine(int i) {
-        return new FleetMachine("edge-" + i, false, network.data(i), zone(i), network.platform(0));
+        return new FleetMachine("edge-" + i, MachineClass.EDGE, network.data(i), zone(i), network.platform(0));
     }
 
     private static String zone(int i) {
@@ -127,13 +127,13 @@
     /** A plain server, listed at once. */
     public PlainServer plainServer(String service) throws IOException {
         InetSocketAddress at = network.server(servers);
-        PlainServer server = new PlainServer(loop, history, identity(service, null, at), at);
+        PlainServer server = new PlainServer(loop, history, identity(service, ServerStage.NONE, at), at);
         platform.add(server.identity());
         return server;
     }
 
     /** A model server of a stage, listed at once. */
-    public ModelServer modelServer(String service, String stage) throws IOException {
+    public ModelServer modelServer(String service, ServerStage stage) throws IOException {
         InetSocketAddress at = network.server(servers);
         ModelServer server = new ModelServer(loop, history, identity(service, stage, at), at, handles);
         platform.add(server.identity());
@@ -144,10 +144,10 @@
     public PlainServer reuseAddress(StandInServer of, String service) throws IOException {
         of.crash();
         InetSocketAddress at = of.address();
-        return new PlainServer(loop, history, identity(service, null, at), at);
+        return new PlainServer(loop, history, identity(service, ServerStage.NONE, at), at);
     }
 
-    private ServerIdentity identity(String service, String stage, InetSocketAddress at) {
+    private ServerIdentity identity(String service, ServerStage stage, InetSocketAddress at) {
         int number = servers++;
         return StandInServer.identity("i-" + service + "-" + number, service, zone(number), stage, at);
     }
@@ -168,7 +168,7 @@
                 }
             });
         });
-        return StandInOperator.waitFor(status);
+        return Futures.await(status);
     }
 
     private void killAll() {
--- a/emulator/src/main/java/dewplank/emulator/fleet/StandInOperator.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/StandInOperator.java
@@ -9,10 +9,8 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
-import java.util.concurrent.ExecutionException;
-import java.util.concurrent.TimeUnit;
-import java.util.concurrent.TimeoutException;
 import java.util.function.Consumer;
 
 /**
@@ -24,7 +22,6 @@
     private static final double INITIAL_BACKOFF_MS = 40;
     private static final double MAX_BACKOFF_MS = 400;
     private static final double CALL_TIMEOUT_MS = 20_000;
-    private static final long AWAIT_TIMEOUT_S = 30;
     private static final String PATH = "/configuration";
 
     private static final int REDIRECT = 307;
@@ -47,26 +44,26 @@
 
     /** Sends a whole configuration, first to the machine of that index; the clear answer's status, 0: none came. */
     public CompletableFuture<Integer> put(FleetConfiguration next, long base, int first) {
-        return change("PUT", next.json().toString(), base, next, first);
+        return change("PUT", next.json().toString(), base, Optional.of(next), first);
     }
 
     /** Sends what turns the base into the next one. */
     public CompletableFuture<Integer> patch(FleetConfiguration next, FleetConfiguration base, int first) {
-        return change("PATCH", next.patchFrom(base).toString(), base.version(), next, first);
+        return change("PATCH", next.patchFrom(base).toString(), base.version(), Optional.of(next), first);
     }
 
     /** Sends a text that is no valid configuration. */
     public CompletableFuture<Integer> putInvalid(String text, long base, int first) {
-        return change("PUT", text, base, null, first);
+        return change("PUT", text, base, Optional.empty(), first);
     }
 
     /** Sends a change by names that is not valid. */
     public CompletableFuture<Integer> patchInvalid(String text, long base, int first) {
-        return change("PATCH", text, base, null, first);
+        return change("PATCH", text, base, Optional.empty(), first);
     }
 
     private CompletableFuture<Integer> change(
-            String method, String text, long base, FleetConfiguration document, int first) {
+            String method, String text, long base, Optional<FleetConfiguration> document, int first) {
         history.add(new FleetEvent.ChangeSent(loop.now(), base, document, text));
         CompletableFuture<Integer> status = new CompletableFuture<>();
         byte[] body = text.getBytes(StandardCharsets.UTF_8);
@@ -112,22 +109,10 @@
         CompletableFuture<Answer> got = new CompletableFuture<>();
         loop.execute(() -> request(
                 machine, MessageWriter.request("GET", path, machine.node()).noBody(), got::complete));
-        Answer answer = waitFor(got);
+        Answer answer = Futures.await(got);
         return answer.status() == 200 ? JsonParser.parseString(answer.body()).getAsJsonObject() : new JsonObject();
     }
 
-    /** Waits for an answer that was asked for here. */
-    public static <T> T waitFor(CompletableFuture<T> future) {
-        try {
-            return future.get(AWAIT_TIMEOUT_S, TimeUnit.SECONDS);
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-            throw new IllegalStateException(e);
-        } catch (ExecutionException | TimeoutException e) {
-            throw new IllegalStateException("no end came", e);
-        }
-    }
-
     private void request(FleetMachine machine, ByteBuffer message, Consumer<Answer> then) {
         HttpClient client = new HttpClient(loop, machine.control(), 1);
         boolean[] isOver = new boolean[1];
@@ -198,13 +183,13 @@
         private void answered(FleetMachine machine, Answer answer) {
             attemptListener.answered(machine, answer);
             int status = answer.status();
-            FleetMachine other = status == REDIRECT ? machineAt(answer.location()) : null;
-            if (other != null && redirects++ < MAX_REDIRECTS) {
-                send(other);
+            Optional<FleetMachine> redirect = status == REDIRECT ? machineAt(answer.location()) : Optional.empty();
+            if (redirect.isPresent() && redirects++ < MAX_REDIRECTS) {
+                send(redirect.get());
                 return;
             }
-            boolean moveOn = status == 0 || status == REDIRECT || status >= 500 || status == 408 || status == 429;
-            if (!moveOn) {
+            boolean isRetryable = status == 0 || status == REDIRECT || status >= 500 || status == 408 || status == 429;
+            if (!isRetryable) {
                 finalListener.answered(machine, answer);
             } else if (loop.now() >= deadlineMs) {
                 finalListener.answered(machine, Answer.NONE);
@@ -214,13 +199,12 @@
             }
         }
 
-        private FleetMachine machineAt(String location) {
+        private Optional<FleetMachine> machineAt(String location) {
             return machines.stream()
                     .filter(m -> location.startsWith(
                             "http://" + m.control().getAddress().getHostAddress() + ":"
                                     + m.control().getPort() + "/"))
-                    .findFirst()
-                    .orElse(null);
+                    .findFirst();
         }
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/fleet/StandInPlatform.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/StandInPlatform.java
@@ -93,8 +93,8 @@
         o.addProperty("slot_count", SLOTS);
         o.addProperty("state", draining.contains(s.instanceId()) ? "draining" : "ready");
         o.addProperty("cold_remaining_ms", 0);
-        if (s.stage() != null) {
-            o.addProperty("stage", s.stage());
+        if (s.stage() != ServerStage.NONE) {
+            o.addProperty("stage", s.stage().wireName());
         }
         return o;
     }
--- a/emulator/src/main/java/dewplank/emulator/fleet/StandInServer.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/StandInServer.java
@@ -49,7 +49,8 @@
         loop.execute(listener::accept);
     }
 
-    static ServerIdentity identity(String instanceId, String service, String zone, String stage, InetSocketAddress at) {
+    static ServerIdentity identity(
+            String instanceId, String service, String zone, ServerStage stage, InetSocketAddress at) {
         return new ServerIdentity(instanceId, service, zone, stage, Addresses.format(at));
     }
 
@@ -72,7 +73,7 @@
             down();
             down.complete(null);
         });
-        StandInOperator.waitFor(down);
+        Futures.await(down);
     }
 
     private void down() {
@@ -204,7 +205,7 @@
                     loop.now(),
                     identity,
                     arrival.attemptId,
-                    ServerIdentity.PREFILL.equals(arrival.header(WireFields.STAGE)),
+                    ServerStage.PREFILL.isNamedBy(arrival.header(WireFields.STAGE)),
                     arrival.method,
                     arrival.target,
                     arrival.body));
@@ -218,9 +219,12 @@
             }
         }
 
-        /** Another holder's order is always under way here, so that no stage changes but by the stories themselves. */
+        /** Always busy with another lease holder's order, so that only the tests change stages. */
         private String report() {
-            return "{\"stage\":\"" + identity.stage() + "\",\"models\":[],\"busy\":true,\"sequence_number\":1,"
+            String stage = identity.stage() == ServerStage.NONE
+                    ? "null"
+                    : identity.stage().wireName();
+            return "{\"stage\":\"" + stage + "\",\"models\":[],\"busy\":true,\"sequence_number\":1,"
                     + "\"queued\":0,\"active\":0,\"kv_used\":0,\"kv_capacity\":1,\"context_handles\":0}";
         }
 
--- a/emulator/src/main/java/dewplank/emulator/fleet/StreamRules.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/StreamRules.java
@@ -43,10 +43,12 @@
     }
 
     private void check(AttemptSent sent) {
-        AttemptEnded ended = attempts.ended(sent.attemptId());
-        if (ended == null || ended.status() / 100 != 2) {
-            return;
-        }
+        attempts.ended(sent.attemptId())
+                .filter(ended -> ended.status() / 100 == 2)
+                .ifPresent(ended -> check(sent, ended));
+    }
+
+    private void check(AttemptSent sent, AttemptEnded ended) {
         StreamBegun head = bySeal.get(ended.seal());
         if (head == null || !head.attemptId().equals(sent.attemptId())) {
             report(Rule.MIXED, sent.attemptId() + " got the head of " + head + " in " + ended);
--- a/emulator/src/test/java/dewplank/emulator/fleet/FleetAuditorTest.java
+++ b/emulator/src/test/java/dewplank/emulator/fleet/FleetAuditorTest.java
@@ -23,6 +23,7 @@
 import dewplank.emulator.fleet.Violation.Rule;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
 /** Histories made by hand: one that keeps the rules, and each rule broken once. */
@@ -33,11 +34,13 @@
     private static final FleetConfiguration FIRST = new FleetConfiguration(
             3,
             List.of(WRITE, READ, CHAT),
-            List.of(new ServiceSpec("plain", false), new ServiceSpec("other", false), new ServiceSpec("model", true)));
-    private static final ServerIdentity SERVER = new ServerIdentity("i-1", "plain", "ost", null, "127.0.0.1:1");
-    private static final ServerIdentity OTHER = new ServerIdentity("i-2", "other", "ost", null, "127.0.0.1:2");
+            List.of(ServiceSpec.plain("plain"), ServiceSpec.plain("other"), ServiceSpec.model("model")));
+    private static final ServerIdentity SERVER =
+            new ServerIdentity("i-1", "plain", "ost", ServerStage.NONE, "127.0.0.1:1");
+    private static final ServerIdentity OTHER =
+            new ServerIdentity("i-2", "other", "ost", ServerStage.NONE, "127.0.0.1:2");
     private static final ServerIdentity MODEL =
-            new ServerIdentity("i-3", "model", "ost", ServerIdentity.DECODE, "127.0.0.1:3");
+            new ServerIdentity("i-3", "model", "ost", ServerStage.DECODE, "127.0.0.1:3");
     private static final double LATE = 9_000;
 
     private final List<FleetEvent> events = new ArrayList<>();
@@ -48,8 +51,8 @@
 
     private void taken(FleetConfiguration document, long base, double at) {
         String text = document.json().toString();
-        events.add(new ChangeSent(at, base, document, text));
-        events.add(new ChangeAnswered(at, base, document, text, 200));
+        events.add(new ChangeSent(at, base, Optional.of(document), text));
+        events.add(new ChangeAnswered(at, base, Optional.of(document), text, 200));
     }
 
     private void assertBroken(Rule... rules) {
@@ -200,10 +203,10 @@
     @Test
     void aRunByAConfigurationThatWasRefusedIsFound() {
         FleetConfiguration refused = FIRST.with(5, WRITE.movedTo("other"));
-        events.add(new ChangeSent(1, 3, refused, refused.json().toString()));
+        events.add(new ChangeSent(1, 3, Optional.of(refused), refused.json().toString()));
         served(1, OTHER, "a", ClientRequest.plain(WRITE, "x"));
         assertBroken();
-        events.add(new ChangeAnswered(2, 3, refused, refused.json().toString(), 412));
+        events.add(new ChangeAnswered(2, 3, Optional.of(refused), refused.json().toString(), 412));
         assertBroken(Rule.ROUTE);
     }
 
@@ -244,7 +247,7 @@
 
     @Test
     void anAcknowledgedInvalidConfigurationIsFound() {
-        events.add(new ChangeAnswered(1, 3, null, "{", 200));
+        events.add(new ChangeAnswered(1, 3, Optional.empty(), "{", 200));
         assertBroken(Rule.CONFIG);
     }
 
@@ -255,7 +258,7 @@
         assertBroken();
         served(LATE, SERVER, "b", ClientRequest.plain(WRITE, "x"));
         assertBroken(Rule.STALE);
-        events.add(new ProcessFaulted(2, "core-0", true, ProcessFault.KILLED));
+        events.add(new ProcessFaulted(2, "core-0", MachineClass.CORE, ProcessFault.KILLED));
         assertBroken();
     }
 
@@ -278,7 +281,7 @@
     void oneThatWasJustThawedIsNoSecondCaller() {
         events.add(new EndpointListRequested(1, "core-0", 200));
         events.add(new EndpointListRequested(1_500, "core-1", 200));
-        events.add(new ProcessFaulted(2_400, "core-0", true, ProcessFault.THAWED));
+        events.add(new ProcessFaulted(2_400, "core-0", MachineClass.CORE, ProcessFault.THAWED));
         events.add(new EndpointListRequested(2_450, "core-0", 200));
         events.add(new EndpointListRequested(2_500, "core-1", 200));
         assertBroken();
