--- a/emulator/src/main/java/dewplank/emulator/loopback/Addresses.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/Addresses.java
@@ -32,8 +32,12 @@
             throw new IllegalArgumentException("127.0.0.0/8 has no room for so many pairs of sidecar and server");
         }
         try {
-            return InetAddress.getByAddress(
-                    new byte[] {127, (byte) secondOctet, (byte) (number / HOSTS_PER_OCTET % HOSTS_PER_OCTET), (byte) (1 + number % HOSTS_PER_OCTET)});
+            return InetAddress.getByAddress(new byte[] {
+                127,
+                (byte) secondOctet,
+                (byte) (number / HOSTS_PER_OCTET % HOSTS_PER_OCTET),
+                (byte) (1 + number % HOSTS_PER_OCTET)
+            });
         } catch (UnknownHostException e) {
             throw new IllegalStateException(e);
         }
--- a/emulator/src/main/java/dewplank/emulator/loopback/DirectoryEndpoint.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/DirectoryEndpoint.java
@@ -48,7 +48,10 @@
         for (Endpoint endpoint : entries) {
             JsonObject entry = new JsonObject();
             entry.addProperty("id", endpoint.server());
-            entry.addProperty("addr", Addresses.format(addresses.apply(sidecar, world.server(endpoint.server()).number())));
+            entry.addProperty(
+                    "addr",
+                    Addresses.format(addresses.apply(
+                            sidecar, world.server(endpoint.server()).number())));
             entry.addProperty("zone", endpoint.zone());
             entry.addProperty("kind", endpoint.kind());
             entry.addProperty("cell", endpoint.cell());
@@ -81,7 +84,10 @@
                 answer(MessageWriter.response(404).body(new byte[0]));
             } else if (indexAt < 0) {
                 answer(MessageWriter.response(world.directory().isDown() ? 503 : 200)
-                        .body(json(world.directory().version(), true, world.directory().endpoints())
+                        .body(json(
+                                        world.directory().version(),
+                                        true,
+                                        world.directory().endpoints())
                                 .toString()
                                 .getBytes(StandardCharsets.UTF_8)));
             } else {
@@ -126,7 +132,8 @@
         private void scheduleKeepAlive() {
             world.schedule(KEEP_ALIVE_MS / 4, () -> {
                 if (open()) {
-                    if (world.now() - lastWriteAtMs >= KEEP_ALIVE_MS && !world.directory().isStalled()) {
+                    if (world.now() - lastWriteAtMs >= KEEP_ALIVE_MS
+                            && !world.directory().isStalled()) {
                         writeLine("");
                     }
                     scheduleKeepAlive();
--- a/emulator/src/main/java/dewplank/emulator/loopback/LoopbackRun.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/LoopbackRun.java
@@ -1,50 +1,55 @@
 package dewplank.emulator.loopback;
 
-import com.google.gson.JsonArray;
-import com.google.gson.JsonObject;
-import dewplank.balancer.Settings.Idempotency;
 import dewplank.emulator.ClientAttempt;
 import dewplank.emulator.Clients;
 import dewplank.emulator.FaultInjector;
 import dewplank.emulator.RecordedEvent;
 import dewplank.emulator.RecordedEvent.Type;
-import dewplank.emulator.scenario.RequestClassSpec;
 import dewplank.emulator.scenario.Scenario;
 import dewplank.emulator.World;
-import dewplank.emulator.scenario.BalancerSettings;
-import dewplank.http.MessageWriter;
-import dewplank.http.ResponseParser;
 import dewplank.net.EventLoop;
 import java.io.Closeable;
 import java.io.IOException;
-import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
-import java.util.concurrent.CountDownLatch;
+import java.util.Optional;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.TimeoutException;
 
 /**
- * One run in real time: the scenario's world on loopback sockets, and a sidecar process for each of its sidecars. State
- * is the loop's; {@link #run} is called once, from another thread.
+ * One run in real time: the scenario's world on loopback sockets, and a process for each of its sidecars. The loop's
+ * thread owns all state; {@link #run} is called once, and {@link #close} once after it, from another thread.
  */
-public final class LoopbackRun implements Clients.SidecarConnector, Closeable {
+public final class LoopbackRun implements Closeable {
     private static final System.Logger LOG = System.getLogger(LoopbackRun.class.getName());
     private static final double POLL_INTERVAL_MS = 20;
-    private static final double MAX_STARTUP_MS = 30_000;
+    private static final double END_SLACK_MS = 1_000;
+    private static final double MAX_EFFECT_DELAY_MS = 2_000;
+    private static final double RUN_SLACK_MS = 10_000;
     private static final int MAX_CONNECTIONS = 10_000;
-    private static final double ATTEMPT_RETENTION_MS = 10_000;
 
-    /** Makes the figures as the parties act; both are called on the loop's thread. */
+    /** Collects the run's figures; called on the loop's thread. */
     public interface Observer extends RecordedEvent.Recorder {
+        /** The sidecars are ready and the clients start; what is returned gets the outcomes of their requests. */
         Clients.OutcomeListener begin(World world);
     }
 
-    /** What a run was like beside what its notes say. */
+    /**
+     * What a run cost, beside its recorded events.
+     *
+     * @param sends requests that servers received
+     * @param handshakes connections from clients to sidecars
+     * @param directoryCalls calls to the directory
+     * @param directoryLines lines that the directory sent
+     * @param datagrams summaries between sidecars that were delivered
+     * @param datagramsLost those that were lost
+     * @param maxLatenessMs how late the emulator's own timers were at the most
+     * @param isUnsound whether the emulator ran too late for the figures to describe the sidecars
+     */
     public record Outcome(
             long sends,
             long handshakes,
@@ -56,97 +61,113 @@
             boolean isUnsound) {}
 
     private final Scenario scenario;
-    private final long seed;
     private final Observer observer;
     private final EventLoop loop = new EventLoop();
     private final RealTime time = new RealTime(loop);
     private final World world;
-    private final Map<Long, ClientAttempt> attempts = new HashMap<>();
-    private final Map<Long, HttpClient.Call> calls = new HashMap<>();
     private final List<ServerEndpoint> servers = new ArrayList<>();
-    private final List<DirectoryEndpoint> directories = new ArrayList<>();
-    private final List<SidecarProcess> sidecars = new ArrayList<>();
     private final List<HttpClient> frontends = new ArrayList<>();
-    private final PeerRelay peers; // null where sidecars may not talk
+    private final SidecarClients sidecarClients;
+    private final SidecarProcesses sidecars;
+    private final Optional<PeerRelay> peers;
     private final Path folder;
-    private final CountDownLatch finished = new CountDownLatch(1);
+    private final CompletableFuture<Void> finished = new CompletableFuture<>();
     private Clients clients;
     private long receivedCount;
-    private int readyCount;
-    private volatile String failure;
 
-    /** {@code command}: starts a sidecar that reads {@code GW_CONFIG}. */
+    /**
+     * Opens the world's sockets; no sidecar runs yet.
+     *
+     * @param command starts a sidecar that reads the file named by {@code GW_CONFIG}
+     */
     public LoopbackRun(Scenario scenario, long seed, List<String> command, Observer observer) throws IOException {
         this.scenario = scenario;
-        this.seed = seed;
         this.observer = observer;
         this.folder = Files.createTempDirectory("dewplank-lab");
         this.world = new World(scenario, seed, time, this::record);
+        this.sidecarClients = new SidecarClients(world, frontends, this::onOutcome);
         try {
             for (int i = 0; i < world.servers().size(); i++) {
-                servers.add(new ServerEndpoint(loop, world, world.servers().get(i), attempts));
+                servers.add(new ServerEndpoint(loop, world, world.servers().get(i), sidecarClients.attempts()));
             }
+            List<DirectoryEndpoint> directories = new ArrayList<>();
+            List<SidecarProcess> processes = new ArrayList<>();
             for (int i = 0; i < scenario.sidecars(); i++) {
                 directories.add(new DirectoryEndpoint(
                         loop, world, i, (s, n) -> servers.get(n).address(s)));
                 SidecarProcess process = new SidecarProcess(command, folder, i, Addresses.sidecar(i));
-                sidecars.add(process);
+                processes.add(process);
                 frontends.add(new HttpClient(loop, process.listen(), MAX_CONNECTIONS));
             }
-            peers = scenario.peerMessages().enabled() ? new PeerRelay(loop, world, scenario.sidecars()) : null;
+            peers = scenario.peerMessages().enabled()
+                    ? Optional.of(new PeerRelay(loop, world, scenario.sidecars()))
+                    : Optional.empty();
+            sidecars = new SidecarProcesses(
+                    new SidecarProcesses.Surroundings(world, seed, time, directories, peers, this::record, this::fail),
+                    processes,
+                    frontends);
         } catch (IOException | RuntimeException e) {
             loop.stop();
             throw e;
         }
     }
 
-    /** Where the sidecars' logs are. */
+    /** The folder of the sidecars' logs. */
     public Path folder() {
         return folder;
     }
 
-    /** Starts all, plays the scenario, waits until every client has its end. */
+    /**
+     * Starts the sidecars, plays the scenario, and waits until each client's request has ended.
+     *
+     * @throws IllegalStateException when a sidecar or server does not start, or the run does not end in time
+     */
     public Outcome run() throws IOException, InterruptedException {
-        for (int i = 0; i < sidecars.size(); i++) {
-            start(i, 0);
-        }
-        loop.execute(() -> {
-            double startedAtMs = time.now();
-            for (int i = 0; i < sidecars.size(); i++) {
-                awaitReady(i, startedAtMs, () -> {
-                    if (++readyCount == sidecars.size()) {
-                        begin();
-                    }
-                });
-            }
-        });
-        double deadlineMs = MAX_STARTUP_MS + scenario.lengthMs() + 3 * scenario.longestDeadlineMs() + 10_000;
-        if (!finished.await((long) deadlineMs, TimeUnit.MILLISECONDS) && failure == null) {
-            failure = "the run did not end within " + (long) deadlineMs + " ms";
-        }
-        if (failure != null) {
-            throw new IllegalStateException(failure + "; the sidecars' logs are in " + folder);
-        }
-        long opened = frontends.stream().mapToLong(HttpClient::opened).sum();
+        sidecars.startAll();
+        loop.execute(() -> sidecars.awaitAllReady(this::begin));
+        awaitFinish();
         return new Outcome(
                 receivedCount,
-                opened,
+                frontends.stream().mapToLong(HttpClient::opened).sum(),
                 world.directory().calls(),
                 world.directory().linesSent(),
-                peers == null ? 0 : peers.delivered(),
-                peers == null ? 0 : peers.lost(),
+                peers.map(PeerRelay::delivered).orElse(0L),
+                peers.map(PeerRelay::lost).orElse(0L),
                 time.maxLatenessMs(),
                 time.isUnsound());
     }
 
+    private void awaitFinish() throws InterruptedException {
+        long maxRunMs = (long) (SidecarProcesses.MAX_STARTUP_MS
+                + scenario.lengthMs()
+                + 3 * scenario.longestDeadlineMs()
+                + RUN_SLACK_MS);
+        try {
+            finished.get(maxRunMs, TimeUnit.MILLISECONDS);
+        } catch (TimeoutException e) {
+            throw failure("the run did not end within " + maxRunMs + " ms", e);
+        } catch (ExecutionException e) {
+            throw failure(e.getCause().getMessage(), e);
+        }
+    }
+
+    private IllegalStateException failure(String message, Exception cause) {
+        return new IllegalStateException(message + "; the sidecars' logs are in " + folder, cause);
+    }
+
+    private void fail(String message) {
+        finished.completeExceptionally(new IllegalStateException(message));
+    }
+
+    /** Ends the sidecars and the world's sockets. */
     @Override
     public void close() {
-        sidecars.forEach(SidecarProcess::kill);
+        sidecars.killAll();
         loop.execute(time::end);
         loop.stop();
-        if (peers != null) {
+        if (peers.isPresent()) {
             try {
-                peers.close();
+                peers.get().close();
             } catch (IOException e) {
                 LOG.log(
                         System.Logger.Level.WARNING,
@@ -156,160 +177,44 @@
         }
     }
 
-    // ---- sidecars -------------------------------------------------------------------------------------
-
-    private void start(int sidecar, int incarnation) throws IOException {
-        JsonObject config = new JsonObject();
-        SidecarProcess process = sidecars.get(sidecar);
-        config.addProperty("name", "n" + sidecar);
-        config.addProperty("listen", Addresses.format(process.listen()));
-        config.addProperty("discovery", Addresses.format(directories.get(sidecar).address()));
-        config.addProperty("seed", Long.toHexString(dewplank.emulator.RandomStreams.mix(seed + 31L * sidecar + incarnation)));
-        config.add("known", directories.get(sidecar).json(world.directory().version(), true, world.directory().endpoints()));
-        config.add("settings", SidecarFile.settings(BalancerSettings.of(scenario, sidecar)));
-        if (peers != null) {
-            config.addProperty("peer_listen", Addresses.format(peers.listen(sidecar)));
-            JsonArray others = new JsonArray();
-            for (int i = 0; i < sidecars.size(); i++) {
-                others.add(Addresses.format(peers.address(sidecar, i)));
-            }
-            config.add("peers", others);
-        }
-        process.start(config.toString());
-    }
-
-    private void awaitReady(int sidecar, double startedAtMs, Runnable whenReady) {
-        ByteBuffer healthCheck = MessageWriter.request("GET", "/_health", "sidecar").noBody();
-        frontends.get(sidecar).call(healthCheck, (answer, body) -> {
-            if (answer != null && answer.status() == 200) {
-                record(new RecordedEvent(time.now(), Type.SIDECAR_UP, -1, -1, sidecar, -1, 0));
-                whenReady.run();
-            } else if (time.now() - startedAtMs > MAX_STARTUP_MS
-                    || !sidecars.get(sidecar).isAlive()) {
-                failure = "sidecar " + sidecar + " did not become ready";
-                finished.countDown();
-            } else {
-                time.after(POLL_INTERVAL_MS, () -> awaitReady(sidecar, startedAtMs, whenReady));
-            }
-        });
-    }
-
-    private void kill(int sidecar, double backAfterMs) {
-        SidecarProcess process = sidecars.get(sidecar);
-        record(new RecordedEvent(time.now(), Type.SIDECAR_KILLED, -1, -1, sidecar, -1, 0));
-        process.kill();
-        time.after(Math.max(50, backAfterMs), () -> {
-            try {
-                start(sidecar, 1);
-                awaitReady(sidecar, time.now(), () -> {});
-            } catch (IOException e) {
-                failure = "sidecar " + sidecar + " did not start again: " + e.getMessage();
-                finished.countDown();
-            }
-        });
-    }
-
-    // ---- the day --------------------------------------------------------------------------------------
-
     private void begin() {
-        clients = new Clients(world, this, observer.begin(world));
-        FaultInjector.schedule(world, this::kill);
+        clients = new Clients(world, sidecarClients, observer.begin(world));
+        FaultInjector.schedule(world, sidecars::kill);
         time.monitorLateness();
         clients.start();
-        double end = time.now() + scenario.lengthMs();
-        time.after(scenario.lengthMs(), () -> awaitEnd(end + 2 * scenario.longestDeadlineMs() + 1_000));
+        double endAtMs = time.now() + scenario.lengthMs();
+        time.after(scenario.lengthMs(), () -> awaitEnd(endAtMs + 2 * scenario.longestDeadlineMs() + END_SLACK_MS));
     }
 
     private void awaitEnd(double deadlineMs) {
         if (clients.openRequests() == 0 || time.now() > deadlineMs) {
-            time.after(Math.min(2_000, scenario.longestDeadlineMs()), finished::countDown); // late effects show
+            double effectDelayMs = Math.min(MAX_EFFECT_DELAY_MS, scenario.longestDeadlineMs());
+            time.after(effectDelayMs, () -> finished.complete(null)); // late effects at servers are recorded too
         } else {
             time.after(POLL_INTERVAL_MS, () -> awaitEnd(deadlineMs));
         }
     }
 
-    /** What the model says of a server is done on its sockets too. */
+    private void onOutcome(ClientAttempt attempt, Type type, double value) {
+        clients.answered(attempt, type, value);
+    }
+
+    /** Records an event, and does to a server's sockets what the model says of its process. */
     private void record(RecordedEvent event) {
         receivedCount += event.type() == Type.RECEIVED ? 1 : 0;
         observer.record(event);
         if (event.type() == Type.SERVER_DOWN && event.value() == 0) {
             loop.execute(() -> servers.get(event.server()).stop());
         } else if (event.type() == Type.SERVER_STARTED) {
-            loop.execute(() -> {
-                try {
-                    servers.get(event.server()).restart();
-                } catch (IOException e) {
-                    failure = "server " + event.server() + " can't listen again: " + e.getMessage();
-                    finished.countDown();
-                }
-            });
-        }
-    }
-
-    // ---- clients --------------------------------------------------------------------------------------
-
-    @Override
-    public void send(ClientAttempt attempt) {
-        attempts.put(attempt.id(), attempt);
-        world.schedule(ATTEMPT_RETENTION_MS, () -> attempts.remove(attempt.id()));
-        RequestClassSpec kind = scenario.classes().get(attempt.requestClass());
-        boolean safe = kind.idempotency() == Idempotency.SAFE;
-        MessageWriter request = MessageWriter.request(safe ? "GET" : "POST", "/api", "api.internal")
-                .header("X-Trace-Id", Long.toHexString(attempt.id()))
-                .header("X-Qos", kind.name())
-                .header("X-Expires-In-Ms", Long.toString(Math.max(1, Math.round(attempt.deadlineMs() - attempt.sentAtMs()))))
-                .header(
-                        "X-Customer",
-                        attempt.tenant() < 0
-                                ? null
-                                : scenario.tenantsAndKeys().tenants().get(attempt.tenant()).name())
-                .header("Cookie", attempt.subjectKey() < 0 ? null : "k=key-" + attempt.subjectKey())
-                .header(
-                        "X-Second-ClientAttempt",
-                        attempt.isRetry() && scenario.clients().marksRetries() ? "1" : null)
-                .header("Idempotency-Key", kind.idempotency() == Idempotency.KEYED ? Long.toHexString(attempt.key()) : null);
-        ByteBuffer bytes = safe ? request.noBody() : request.body("{\"lines\":[]}".getBytes(StandardCharsets.US_ASCII));
-        boolean[] hasEnded = new boolean[1];
-        HttpClient.Call call = frontends.get(attempt.sidecar()).call(bytes, (answer, body) -> {
-            hasEnded[0] = true;
-            calls.remove(attempt.id());
-            onResponse(attempt, answer, body);
-        });
-        if (!hasEnded[0]) {
-            calls.put(attempt.id(), call);
+            loop.execute(() -> restart(event.server()));
         }
     }
 
-    private void onResponse(ClientAttempt attempt, ResponseParser answer, byte[] body) {
-        if (answer == null) {
-            clients.answered(attempt, Type.UNREACHABLE, 0);
-        } else if (answer.status() == 200) {
-            clients.answered(attempt, Type.SERVED, madeFor(body));
-        } else if (answer.status() == 429 || answer.status() == 503) {
-            clients.answered(attempt, Type.REFUSED, 1000 * number(answer.headers().get("Retry-After")));
-        } else {
-            clients.answered(attempt, Type.FAILED, answer.status());
-        }
-    }
-
-    private static double madeFor(byte[] body) {
-        String text = new String(body, StandardCharsets.US_ASCII);
-        return text.startsWith("made for ") ? number(text.substring("made for ".length())) : -1;
-    }
-
-    private static double number(String text) {
+    private void restart(int server) {
         try {
-            return text == null ? 0 : Double.parseDouble(text);
-        } catch (NumberFormatException e) {
-            return 0;
-        }
-    }
-
-    @Override
-    public void abandon(ClientAttempt attempt) {
-        HttpClient.Call call = calls.remove(attempt.id());
-        if (call != null) {
-            call.cancel();
+            servers.get(server).restart();
+        } catch (IOException e) {
+            fail("server " + server + " can't listen again: " + e.getMessage());
         }
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/loopback/ServerEndpoint.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/ServerEndpoint.java
@@ -148,7 +148,10 @@
             requestsInProgress++;
             world.schedule(outboundMs, () -> {
                 if (listens() && open() && !world.losesMessage()) {
-                    server.offer(attempt, sidecar, (reply, inFlight) -> world.schedule(returnMs, () -> finish(attempt, reply, inFlight)));
+                    server.offer(
+                            attempt,
+                            sidecar,
+                            (reply, inFlight) -> world.schedule(returnMs, () -> finish(attempt, reply, inFlight)));
                 }
             });
         }
--- /dev/null
+++ b/emulator/src/main/java/dewplank/emulator/loopback/SidecarClients.java
@@ -0,0 +1,126 @@
+package dewplank.emulator.loopback;
+
+import dewplank.balancer.Settings.Idempotency;
+import dewplank.emulator.ClientAttempt;
+import dewplank.emulator.Clients;
+import dewplank.emulator.RecordedEvent.Type;
+import dewplank.emulator.scenario.RequestClassSpec;
+import dewplank.emulator.scenario.Scenario;
+import dewplank.emulator.World;
+import dewplank.http.MessageWriter;
+import dewplank.http.ResponseParser;
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+
+/** The clients' side of the sidecars: attempts as HTTP requests, responses as outcomes. On the loop's thread. */
+final class SidecarClients implements Clients.SidecarConnector {
+    /** How long a server may still look up an attempt; longer than any deadline. */
+    private static final double ATTEMPT_RETENTION_MS = 10_000;
+
+    private static final String RESPONSE_PREFIX = "made for ";
+    private static final byte[] BODY = "{\"lines\":[]}".getBytes(StandardCharsets.US_ASCII);
+
+    /** Takes the outcome of an attempt; {@code value} is as {@link Type} defines it. */
+    interface OutcomeSink {
+        void ended(ClientAttempt attempt, Type type, double value);
+    }
+
+    private final Scenario scenario;
+    private final World world;
+    private final List<HttpClient> frontends;
+    private final OutcomeSink outcomes;
+    private final Map<Long, ClientAttempt> attempts = new HashMap<>();
+    private final Map<Long, HttpClient.Call> calls = new HashMap<>();
+
+    /** {@code frontends}: the client of each sidecar, by the sidecar's number. */
+    SidecarClients(World world, List<HttpClient> frontends, OutcomeSink outcomes) {
+        this.scenario = world.scenario();
+        this.world = world;
+        this.frontends = frontends;
+        this.outcomes = outcomes;
+    }
+
+    /** The attempts that servers may receive, by id. */
+    Map<Long, ClientAttempt> attempts() {
+        return attempts;
+    }
+
+    @Override
+    public void send(ClientAttempt attempt) {
+        attempts.put(attempt.id(), attempt);
+        world.schedule(ATTEMPT_RETENTION_MS, () -> attempts.remove(attempt.id()));
+        boolean[] hasEnded = new boolean[1]; // a call may fail before it returns
+        HttpClient.Call call = frontends.get(attempt.sidecar()).call(message(attempt), (answer, body) -> {
+            hasEnded[0] = true;
+            calls.remove(attempt.id());
+            onResponse(attempt, answer, body);
+        });
+        if (!hasEnded[0]) {
+            calls.put(attempt.id(), call);
+        }
+    }
+
+    private ByteBuffer message(ClientAttempt attempt) {
+        RequestClassSpec kind = scenario.classes().get(attempt.requestClass());
+        boolean isSafe = kind.idempotency() == Idempotency.SAFE;
+        MessageWriter request = MessageWriter.request(isSafe ? "GET" : "POST", "/api", "api.internal")
+                .header("X-Trace-Id", Long.toHexString(attempt.id()))
+                .header("X-Qos", kind.name())
+                .header(
+                        "X-Expires-In-Ms",
+                        Long.toString(Math.max(1, Math.round(attempt.deadlineMs() - attempt.sentAtMs()))))
+                .header(
+                        "X-Customer",
+                        attempt.tenant() < 0
+                                ? null
+                                : scenario.tenantsAndKeys()
+                                        .tenants()
+                                        .get(attempt.tenant())
+                                        .name())
+                .header("Cookie", attempt.subjectKey() < 0 ? null : "k=key-" + attempt.subjectKey())
+                .header(
+                        "X-Second-ClientAttempt",
+                        attempt.isRetry() && scenario.clients().marksRetries() ? "1" : null)
+                .header(
+                        "Idempotency-Key",
+                        kind.idempotency() == Idempotency.KEYED ? Long.toHexString(attempt.key()) : null);
+        return isSafe ? request.noBody() : request.body(BODY);
+    }
+
+    private void onResponse(ClientAttempt attempt, ResponseParser answer, byte[] body) {
+        if (answer == null) {
+            outcomes.ended(attempt, Type.UNREACHABLE, 0);
+        } else if (answer.status() == 200) {
+            outcomes.ended(attempt, Type.SERVED, servedAttemptId(body));
+        } else if (answer.status() == 429 || answer.status() == 503) {
+            outcomes.ended(attempt, Type.REFUSED, 1000 * number(answer.headers().get("Retry-After")));
+        } else {
+            outcomes.ended(attempt, Type.FAILED, answer.status());
+        }
+    }
+
+    /** The id of the attempt that the server names in its response; -1 where it names none. */
+    private static double servedAttemptId(byte[] body) {
+        String text = new String(body, StandardCharsets.US_ASCII);
+        return text.startsWith(RESPONSE_PREFIX) ? number(text.substring(RESPONSE_PREFIX.length())) : -1;
+    }
+
+    private static double number(String text) {
+        try {
+            return text == null ? 0 : Double.parseDouble(text);
+        } catch (NumberFormatException e) {
+            return 0;
+        }
+    }
+
+    @Override
+    public void abandon(ClientAttempt attempt) {
+        HttpClient.Call call = calls.remove(attempt.id());
+        if (call != null) {
+            call.cancel();
+        }
+    }
+}
