--- a/emulator/src/main/java/dewplank/emulator/fleet/FleetClient.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/FleetClient.java
@@ -41,7 +41,7 @@
         return message.body(request.body().getBytes(StandardCharsets.UTF_8));
     }
 
-    private final class Exchange implements HttpClient.ResponseHandler {
+    private final class Exchange implements HttpClient.StreamHandler {
         private final ClientAttempt attempt;
         private final ClientRequest request;
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
@@ -71,11 +71,6 @@
             }
         }
 
-        @Override
-        public boolean streamsBody() {
-            return true;
-        }
-
         @Override
         public void onBodyPart(ResponseParser parser, byte[] bytes) {
             head = Optional.of(parser);
@@ -91,9 +86,9 @@
         }
 
         @Override
-        public void answered(ResponseParser parser, byte[] none) {
-            if (parser != null) {
-                head = Optional.of(parser);
+        public void onEnd(Optional<HttpClient.Response> response) {
+            if (response.isPresent()) {
+                head = response.map(HttpClient.Response::head);
                 isComplete = true;
             }
             end(false);
--- a/emulator/src/main/java/dewplank/emulator/fleet/StandInFleet.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/StandInFleet.java
@@ -158,9 +158,9 @@
         loop.execute(() -> {
             HttpClient http = new HttpClient(loop, machine.readiness(), 1);
             HttpClient.Call call = http.call(
-                    MessageWriter.request("GET", "/readiness", machine.node()).noBody(), (parser, body) -> {
+                    MessageWriter.request("GET", "/readiness", machine.node()).noBody(), response -> {
                         http.close();
-                        status.complete(parser == null ? 0 : parser.status());
+                        status.complete(response.map(r -> r.head().status()).orElse(0));
                     });
             loop.after(READINESS_TIMEOUT_MS, () -> {
                 if (status.complete(0)) {
--- a/emulator/src/main/java/dewplank/emulator/fleet/StandInOperator.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/StandInOperator.java
@@ -4,7 +4,6 @@
 import com.google.gson.JsonParser;
 import dewplank.emulator.loopback.HttpClient;
 import dewplank.http.MessageWriter;
-import dewplank.http.ResponseParser;
 import dewplank.net.EventLoop;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -30,6 +29,14 @@
     /** An answer; {@code status} 0: none. {@code location}: where a redirect leads, else empty. */
     private record Answer(int status, String body, String location) {
         private static final Answer NONE = new Answer(0, "", "");
+
+        private static Answer of(HttpClient.Response response) {
+            String location = response.head().headers().get("Location");
+            return new Answer(
+                    response.head().status(),
+                    new String(response.body(), StandardCharsets.UTF_8),
+                    location == null ? "" : location);
+        }
     }
 
     private final EventLoop loop;
@@ -116,13 +123,10 @@
     private void request(FleetMachine machine, ByteBuffer message, Consumer<Answer> then) {
         HttpClient client = new HttpClient(loop, machine.control(), 1);
         boolean[] isOver = new boolean[1];
-        HttpClient.Call call = client.call(message, (parser, body) -> {
+        HttpClient.Call call = client.call(message, response -> {
             isOver[0] = true;
             client.close();
-            then.accept(
-                    parser == null
-                            ? Answer.NONE
-                            : new Answer(parser.status(), new String(body, StandardCharsets.UTF_8), location(parser)));
+            then.accept(response.map(Answer::of).orElse(Answer.NONE));
         });
         loop.after(RESPONSE_TIMEOUT_MS, () -> {
             if (!isOver[0]) {
@@ -133,11 +137,6 @@
         });
     }
 
-    private static String location(ResponseParser parser) {
-        String location = parser.headers().get("Location");
-        return location == null ? "" : location;
-    }
-
     private interface Message {
         ByteBuffer to(FleetMachine machine);
     }
--- a/emulator/src/main/java/dewplank/emulator/loopback/HttpClient.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/HttpClient.java
@@ -12,74 +12,87 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.List;
+import java.util.Optional;
 
 /**
- * A client of one HTTP/1.1 address, on a loop: keeps its connections, opens more when all are busy, up to a bound;
- * calls beyond wait in line. A call that meets the close of a kept connection before any byte of its answer goes once
- * more on a new one.
+ * A client of one HTTP/1.1 address: keeps idle connections, opens more up to a bound when all are busy, and queues the
+ * calls beyond. A call on a reused connection that closes before any byte of the response is retried once, on a new
+ * connection. On the loop's thread only.
  */
 public final class HttpClient {
+    /** A complete response; {@code body} is empty for a {@link StreamHandler}. */
+    public record Response(ResponseParser head, byte[] body) {}
 
-    /** Told once. {@code parser} holds the answer's head; null: the connection never came up, or broke. */
+    /** Takes the end of a call. Called once, on the loop's thread; never after {@link Call#cancel}. */
     public interface ResponseHandler {
-        void answered(ResponseParser parser, byte[] body);
+        /** {@code response}: empty where no connection was established, or it closed before the response's end. */
+        void onEnd(Optional<Response> response);
+    }
 
-        /** Whether bodies are handed on as they come; then {@link #answered} gets none. */
-        default boolean streamsBody() {
-            return false;
-        }
+    /** Takes a response's body as its bytes arrive. */
+    public interface StreamHandler extends ResponseHandler {
+        /** The next bytes of the body; never empty. */
+        void onBodyPart(ResponseParser head, byte[] bytes);
+    }
 
-        /** The next bytes of the body. */
-        default void onBodyPart(ResponseParser parser, byte[] bytes) {}
+    private enum State {
+        /** In the client's queue. */
+        QUEUED,
+        /** A connection is being established. */
+        CONNECTING,
+        /** The request is written; the response is awaited. */
+        CONNECTED,
+        /** The handler was called, or the call cancelled. */
+        ENDED
     }
 
-    /** One exchange. */
+    /** One request and its response. */
     public final class Call implements Connection.Handler {
         private final ByteBuffer request;
         private final ResponseHandler handler;
         private final ResponseParser parser;
+        private State state = State.QUEUED;
         private Connection connection;
         private Connection.Connecting connecting;
         private boolean isReused;
         private boolean hasReceived;
-        private boolean hasEnded;
 
         private Call(ByteBuffer request, ResponseHandler handler) {
             this.request = request;
             this.handler = handler;
             this.parser = new ResponseParser(keepsBodies ? MessageParser.MAX_BODY_BYTES : Integer.MAX_VALUE);
-            if (request.remaining() > 5
-                    && request.get(request.position()) == 'H'
-                    && request.get(request.position() + 1) == 'E') {
+            if (isHeadRequest(request)) {
                 parser.expectHead();
             }
         }
 
-        /** The client gives up: its connection ends, and nothing is told. */
+        /** Gives the call up: its connection closes, and the handler is not called. Nothing after the call's end. */
         public void cancel() {
-            if (hasEnded) {
+            State last = state;
+            if (last == State.ENDED) {
                 return;
             }
-            hasEnded = true;
-            if (connection != null) {
-                connection.close();
-                openCount--;
-            } else if (connecting != null) {
-                connecting.cancel();
-                openCount--;
+            moveTo(State.ENDED); // first, as a close may call back
+            if (last == State.QUEUED) {
+                queue.remove(this);
             } else {
-                waiting.remove(this);
+                if (last == State.CONNECTED) {
+                    connection.close();
+                } else {
+                    connecting.cancel();
+                }
+                openCount--;
             }
-            next();
+            beginNext();
         }
 
         private void begin() {
-            Connection reusable = takeIdle();
-            if (reusable != null) {
+            Optional<Connection> idleConnection = takeIdle();
+            if (idleConnection.isPresent()) {
                 isReused = true;
-                connection = reusable;
-                reusable.setHandler(this);
-                reusable.write(request.duplicate(), () -> {});
+                established(idleConnection.get());
+                connection.setHandler(this);
+                write();
             } else {
                 openCount++;
                 openedCount++;
@@ -88,19 +101,28 @@
         }
 
         private void connect() {
+            moveTo(State.CONNECTING);
             isReused = false;
-            InetAddress from = sources.isEmpty() ? null : sources.get((int) (openedCount % sources.size()));
+            InetAddress source = sources.isEmpty() ? null : sources.get((int) (openedCount % sources.size()));
             connecting = Connection.open(
                     loop,
-                    from,
-                    to,
+                    source,
+                    address,
                     this,
-                    up -> {
-                        connecting = null;
-                        connection = up;
-                        up.write(request.duplicate(), () -> {});
+                    opened -> {
+                        established(opened);
+                        write();
                     },
-                    e -> end(null));
+                    e -> end(Optional.empty()));
+        }
+
+        private void established(Connection usable) {
+            moveTo(State.CONNECTED);
+            connection = usable;
+        }
+
+        private void write() {
+            connection.write(request.duplicate(), () -> {});
         }
 
         @Override
@@ -108,87 +130,102 @@
             hasReceived = true;
             try {
                 boolean isComplete = parser.feed(bytes);
-                if (handler.streamsBody()) {
-                    deliverPart(parser.takeBody());
+                if (handler instanceof StreamHandler streamHandler) {
+                    deliverPart(streamHandler, parser.takeBody());
                 } else if (!keepsBodies) {
                     parser.takeBody();
                 }
                 if (isComplete) {
-                    end(parser);
+                    end(Optional.of(parser));
                 }
             } catch (BadMessageException e) {
-                end(null);
+                end(Optional.empty());
             }
         }
 
-        private void deliverPart(byte[] part) {
-            if (part.length > 0 && !hasEnded) {
-                handler.onBodyPart(parser, part);
+        private void deliverPart(StreamHandler streamHandler, byte[] part) {
+            if (part.length > 0 && state != State.ENDED) {
+                streamHandler.onBodyPart(parser, part);
             }
         }
 
         @Override
-        public void closed(IOException why) {
-            if (isReused && !hasReceived && !hasEnded) {
-                connection = null;
+        public void closed(IOException cause) {
+            if (isReused && !hasReceived && state != State.ENDED) {
                 openedCount++;
                 connect();
             } else {
-                end(why == null && parser.endOfInput() ? parser : null);
+                end(cause == null && parser.endOfInput() ? Optional.of(parser) : Optional.empty());
             }
         }
 
-        private void end(ResponseParser answer) {
-            if (hasEnded) {
+        private void end(Optional<ResponseParser> response) {
+            State last = state;
+            if (last == State.ENDED) {
                 return;
             }
-            hasEnded = true;
-            if (answer != null && answer.keepAlive() && connection != null && !connection.isClosed()) {
+            moveTo(State.ENDED);
+            if (last == State.CONNECTED) {
+                release(response.isPresent() && response.get().keepAlive());
+            } else {
+                openCount--;
+            }
+            handler.onEnd(response.map(head -> new Response(head, head.takeBody())));
+            beginNext();
+        }
+
+        private void release(boolean isReusable) {
+            if (isReusable && !connection.isClosed()) {
                 putBack(connection);
             } else {
-                if (connection != null) {
-                    connection.close();
-                }
+                connection.close();
                 openCount--;
             }
-            handler.answered(answer, answer == null ? null : answer.takeBody());
-            next();
+        }
+
+        private void moveTo(State next) {
+            boolean isRetry = state == State.CONNECTED && next == State.CONNECTING && isReused;
+            if (next.ordinal() <= state.ordinal() && !isRetry) {
+                throw new IllegalStateException("a call can't change from " + state + " to " + next);
+            }
+            state = next;
         }
     }
 
     private final EventLoop loop;
-    private final InetSocketAddress to;
+    private final InetSocketAddress address;
     private final int maxConnections;
     private final List<InetAddress> sources;
     private final Deque<Connection> idle = new ArrayDeque<>();
-    private final Deque<Call> waiting = new ArrayDeque<>();
+    private final Deque<Call> queue = new ArrayDeque<>();
     private boolean keepsBodies = true;
     private int openCount;
     private long openedCount;
 
-    public HttpClient(EventLoop loop, InetSocketAddress to, int maxConnections) {
-        this(loop, to, maxConnections, List.of());
+    /** A client whose connections come from an address that the system chooses. */
+    public HttpClient(EventLoop loop, InetSocketAddress address, int maxConnections) {
+        this(loop, address, maxConnections, List.of());
     }
 
     /** {@code sources}: addresses to connect from, in turn; where empty, the system chooses. */
-    public HttpClient(EventLoop loop, InetSocketAddress to, int maxConnections, List<InetAddress> sources) {
+    public HttpClient(EventLoop loop, InetSocketAddress address, int maxConnections, List<InetAddress> sources) {
         this.loop = loop;
-        this.to = to;
+        this.address = address;
         this.maxConnections = maxConnections;
         this.sources = sources;
     }
 
-    /** From here on answers' bodies may be of any length, and are forgotten as they come. */
+    /** Drops the bodies of all later responses as they arrive, which may then be of any length. */
     public HttpClient forgetBodies() {
         keepsBodies = false;
         return this;
     }
 
-    /** On the loop's thread. The request's bytes are not changed. */
+    /** Sends a request, or queues it. The buffer's position is left as it is; its bytes must not change. */
     public Call call(ByteBuffer request, ResponseHandler handler) {
         Call call = new Call(request, handler);
         if (idle.isEmpty() && openCount >= maxConnections) {
-            waiting.addLast(call);
+            queue.addLast(call);
         } else {
             call.begin();
         }
@@ -202,23 +239,30 @@
 
     /** Calls that wait for a connection. */
     public int waiting() {
-        return waiting.size();
+        return queue.size();
     }
 
+    /** Closes the idle connections; calls in progress go on. */
     public void close() {
         idle.forEach(Connection::close);
         idle.clear();
     }
 
-    private Connection takeIdle() {
+    private static boolean isHeadRequest(ByteBuffer request) {
+        return request.remaining() > 5
+                && request.get(request.position()) == 'H'
+                && request.get(request.position() + 1) == 'E';
+    }
+
+    private Optional<Connection> takeIdle() {
         while (!idle.isEmpty()) {
-            Connection c = idle.removeLast();
-            if (!c.isClosed()) {
-                return c;
+            Connection connection = idle.removeLast();
+            if (!connection.isClosed()) {
+                return Optional.of(connection);
             }
             openCount--;
         }
-        return null;
+        return Optional.empty();
     }
 
     private void putBack(Connection connection) {
@@ -232,7 +276,7 @@
             }
 
             @Override
-            public void closed(IOException why) {
+            public void closed(IOException cause) {
                 drop();
             }
 
@@ -244,9 +288,9 @@
         });
     }
 
-    private void next() {
-        if (!waiting.isEmpty() && (!idle.isEmpty() || openCount < maxConnections)) {
-            waiting.removeFirst().begin();
+    private void beginNext() {
+        if (!queue.isEmpty() && (!idle.isEmpty() || openCount < maxConnections)) {
+            queue.removeFirst().begin();
         }
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/loopback/SidecarClients.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/SidecarClients.java
@@ -14,6 +14,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 
 /** The clients' side of the sidecars: attempts as HTTP requests, responses as outcomes. On the loop's thread. */
 final class SidecarClients implements Clients.SidecarConnector {
@@ -53,10 +54,10 @@
         attempts.put(attempt.id(), attempt);
         world.schedule(ATTEMPT_RETENTION_MS, () -> attempts.remove(attempt.id()));
         boolean[] hasEnded = new boolean[1]; // a call may fail before it returns
-        HttpClient.Call call = frontends.get(attempt.sidecar()).call(message(attempt), (answer, body) -> {
+        HttpClient.Call call = frontends.get(attempt.sidecar()).call(message(attempt), response -> {
             hasEnded[0] = true;
             calls.remove(attempt.id());
-            onResponse(attempt, answer, body);
+            onEnd(attempt, response);
         });
         if (!hasEnded[0]) {
             calls.put(attempt.id(), call);
@@ -90,15 +91,18 @@
         return isSafe ? request.noBody() : request.body(BODY);
     }
 
-    private void onResponse(ClientAttempt attempt, ResponseParser answer, byte[] body) {
-        if (answer == null) {
+    private void onEnd(ClientAttempt attempt, Optional<HttpClient.Response> response) {
+        if (response.isEmpty()) {
             outcomes.ended(attempt, Type.UNREACHABLE, 0);
-        } else if (answer.status() == 200) {
-            outcomes.ended(attempt, Type.SERVED, servedAttemptId(body));
-        } else if (answer.status() == 429 || answer.status() == 503) {
-            outcomes.ended(attempt, Type.REFUSED, 1000 * number(answer.headers().get("Retry-After")));
+            return;
+        }
+        ResponseParser head = response.get().head();
+        if (head.status() == 200) {
+            outcomes.ended(attempt, Type.SERVED, servedAttemptId(response.get().body()));
+        } else if (head.status() == 429 || head.status() == 503) {
+            outcomes.ended(attempt, Type.REFUSED, 1000 * number(head.headers().get("Retry-After")));
         } else {
-            outcomes.ended(attempt, Type.FAILED, answer.status());
+            outcomes.ended(attempt, Type.FAILED, head.status());
         }
     }
 
--- a/emulator/src/main/java/dewplank/emulator/loopback/SidecarProcesses.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/SidecarProcesses.java
@@ -122,8 +122,8 @@
     private void awaitReady(int sidecar, double startedAtMs, Runnable whenReady) {
         ByteBuffer healthCheck =
                 MessageWriter.request("GET", "/_health", "sidecar").noBody();
-        frontends.get(sidecar).call(healthCheck, (answer, body) -> {
-            if (answer != null && answer.status() == 200) {
+        frontends.get(sidecar).call(healthCheck, response -> {
+            if (response.filter(r -> r.head().status() == 200).isPresent()) {
                 record(Type.SIDECAR_UP, sidecar);
                 whenReady.run();
             } else if (time.now() - startedAtMs > MAX_STARTUP_MS
--- a/emulator/src/test/java/dewplank/emulator/loopback/LoopbackTest.java
+++ b/emulator/src/test/java/dewplank/emulator/loopback/LoopbackTest.java
@@ -53,8 +53,10 @@
     }
 
     private void call(HttpClient client) {
-        loop.execute(() ->
-                client.call(request(), (head, body) -> answers.add(head == null ? "broken" : "" + head.status())));
+        loop.execute(() -> client.call(
+                request(),
+                response ->
+                        answers.add(response.map(r -> "" + r.head().status()).orElse("broken"))));
     }
 
     /** An emulator that is late itself must say so: its figures are not the sidecar's. */
@@ -123,7 +125,7 @@
                 }),
                 1);
         HttpClient.Call[] calls = new HttpClient.Call[1];
-        loop.execute(() -> calls[0] = client.call(request(), (head, body) -> answers.add("cancelled one")));
+        loop.execute(() -> calls[0] = client.call(request(), response -> answers.add("cancelled one")));
         assertTrue(first.await(PATIENCE_S, TimeUnit.SECONDS));
         call(client);
         CountDownLatch seen = new CountDownLatch(1);
--- a/lab/src/main/java/dewplank/lab/load/LoadRun.java
+++ b/lab/src/main/java/dewplank/lab/load/LoadRun.java
@@ -3,7 +3,6 @@
 import dewplank.emulator.RandomStreams;
 import dewplank.emulator.loopback.HttpClient;
 import dewplank.http.MessageWriter;
-import dewplank.http.ResponseParser;
 import dewplank.net.EventLoop;
 import java.io.IOException;
 import java.lang.management.ManagementFactory;
@@ -12,6 +11,7 @@
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
@@ -177,10 +177,10 @@
                             Long.toHexString(((long) number << 48) + ++lastId + (plan.seed() << 20)));
             HttpClient.Call[] call = new HttpClient.Call[1];
             boolean[] isOver = new boolean[1];
-            call[0] = client.call(bytes, (answer, body) -> {
+            call[0] = client.call(bytes, response -> {
                 if (!isOver[0]) {
                     isOver[0] = true;
-                    completed(figures, intendedMs, answer);
+                    completed(figures, intendedMs, response);
                 }
             });
             if (!isOver[0]) {
@@ -206,13 +206,13 @@
             return classIndex;
         }
 
-        private void completed(ClassOutcome figures, double intendedMs, ResponseParser answer) {
+        private void completed(ClassOutcome figures, double intendedMs, Optional<HttpClient.Response> response) {
             inFlight--;
-            if (answer == null) {
+            if (response.isEmpty()) {
                 figures.broken++;
                 return;
             }
-            int status = answer.status();
+            int status = response.get().head().status();
             figures.ok += status / 100 == 2 ? 1 : 0;
             figures.refused += status == 429 || status == 503 ? 1 : 0;
             figures.otherStatus += status / 100 != 2 && status != 429 && status != 503 ? 1 : 0;
