--- a/cli/src/test/java/dewplank/fleet/PlatformTroubleTest.java
+++ b/cli/src/test/java/dewplank/fleet/PlatformTroubleTest.java
@@ -16,9 +16,9 @@
     void servesByTheLastListWhileThePlatformIsSilentOrTakesNoCalls() throws Exception {
         FleetStory.tell(1, 1, story -> {
             SteadyLoad load = story.fleet.load(FleetStory.MIX);
-            for (Behaviour mood : new Behaviour[] {Behaviour.SILENT, Behaviour.TOO_MANY_CALLS}) {
+            for (Behaviour mood : new Behaviour[] {Behaviour.UNRESPONSIVE, Behaviour.TOO_MANY_CALLS}) {
                 story.fleet.platform().behaviour(mood);
-                int status = mood == Behaviour.SILENT ? 0 : 429;
+                int status = mood == Behaviour.UNRESPONSIVE ? 0 : 429;
                 for (int calls = 0; calls < 2; calls++) {
                     double after = story.fleet.now();
                     story.fleet
--- a/cli/src/test/java/dewplank/fleet/ServerFaultTest.java
+++ b/cli/src/test/java/dewplank/fleet/ServerFaultTest.java
@@ -78,7 +78,7 @@
     @Test
     void anotherServerReadsThePromptWhereOnePrefillServerIsSilent() throws Exception {
         FleetStory.tell(1, 1, story -> {
-            story.prefill.get(0).behaviour(Behaviour.SILENT);
+            story.prefill.get(0).behaviour(Behaviour.UNRESPONSIVE);
             serveSplit(story);
             assertTrue(story.fleet.history().events(HandleCreated.class).stream()
                     .allMatch(h -> h.server().equals(story.prefill.get(1).identity())));
@@ -88,7 +88,7 @@
     @Test
     void aDecodeServerReadsThePromptWhereEveryPrefillServerIsSilent() throws Exception {
         FleetStory.tell(1, 1, story -> {
-            story.prefill.forEach(p -> p.behaviour(Behaviour.SILENT));
+            story.prefill.forEach(p -> p.behaviour(Behaviour.UNRESPONSIVE));
             serveSplit(story);
         });
     }
@@ -181,7 +181,7 @@
 
     /** The request's server dies while it works on it; the others answer. */
     private static ClientAttempt.Outcome dies(FleetStory story, ClientRequest request) throws Exception {
-        story.plain.forEach(p -> p.behaviour(Behaviour.SILENT));
+        story.plain.forEach(p -> p.behaviour(Behaviour.UNRESPONSIVE));
         ClientAttempt sent = story.fleet.client().send(story.fleet.edge(0), request);
         RunStarted ran = story.fleet.history().await("a run", RunStarted.class, r -> r.attemptId()
                 .equals(sent.id()));
@@ -212,7 +212,7 @@
                 RouteSpec route = i % 2 == 0 ? FleetStory.READ : FleetStory.WRITE;
                 story.assertServed(0, ClientRequest.plain(route, "full" + i));
             }
-            story.plain.get(0).behaviour(Behaviour.SILENT);
+            story.plain.get(0).behaviour(Behaviour.UNRESPONSIVE);
             for (int i = 0; i < 2; i++) {
                 story.assertServed(0, ClientRequest.plain(FleetStory.READ, "silent" + i));
             }
--- a/emulator/src/main/java/dewplank/emulator/fleet/ModelServer.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/ModelServer.java
@@ -77,7 +77,7 @@
     }
 
     private void prefill(Arrival arrival) {
-        if (behaviour == Behaviour.SILENT) {
+        if (behaviour == Behaviour.UNRESPONSIVE) {
             return;
         }
         loop.after(PREFILL_MS, () -> {
@@ -100,7 +100,7 @@
             return;
         }
         arrival.run();
-        if (behaviour != Behaviour.SILENT) {
+        if (behaviour != Behaviour.UNRESPONSIVE) {
             new Stream(arrival).begin();
         }
     }
--- a/emulator/src/main/java/dewplank/emulator/fleet/PlainServer.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/PlainServer.java
@@ -17,7 +17,7 @@
     @Override
     void handle(Arrival arrival) {
         arrival.run();
-        if (behaviour == Behaviour.SILENT) {
+        if (behaviour == Behaviour.UNRESPONSIVE) {
             return;
         }
         loop.after(WORK_MS, () -> {
--- a/emulator/src/main/java/dewplank/emulator/fleet/StandInPlatform.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/StandInPlatform.java
@@ -20,7 +20,7 @@
     /** How it takes calls. */
     public enum Behaviour {
         ANSWERS,
-        SILENT,
+        UNRESPONSIVE,
         TOO_MANY_CALLS
     }
 
@@ -121,7 +121,7 @@
                     record(429);
                     answer(MessageWriter.response(429).body(new byte[0]));
                 }
-                case SILENT -> record(0);
+                case UNRESPONSIVE -> record(0);
                 default -> throw new IllegalStateException("no such mood: " + behaviour);
             }
         }
--- a/emulator/src/main/java/dewplank/emulator/fleet/StandInServer.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/StandInServer.java
@@ -26,7 +26,7 @@
         /** Turns requests away: it has no room. */
         FULL,
         /** Takes requests and says nothing. */
-        SILENT
+        UNRESPONSIVE
     }
 
     private static final int MAX_CONNECTIONS = 1_024;
--- a/emulator/src/main/java/dewplank/emulator/loopback/DirectoryEndpoint.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/DirectoryEndpoint.java
@@ -1,5 +1,6 @@
 package dewplank.emulator.loopback;
 
+import java.util.Optional;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
 import dewplank.balancer.Endpoint;
@@ -55,11 +56,7 @@
             entry.addProperty("zone", endpoint.zone());
             entry.addProperty("kind", endpoint.kind());
             entry.addProperty("cell", endpoint.cell());
-            entry.addProperty(
-                    "state",
-                    endpoint.availability() == Availability.UP
-                            ? "active"
-                            : endpoint.availability() == Availability.DRAINING ? "leaving" : "left");
+            entry.addProperty("state", state(endpoint.availability()));
             entry.addProperty("weight", endpoint.rating());
             entry.addProperty("started_ms", endpoint.startedAtMs() == null ? 0 : endpoint.startedAtMs());
             servers.add(entry);
@@ -71,8 +68,16 @@
         return list;
     }
 
+    private static String state(Availability availability) {
+        return switch (availability) {
+            case UP -> "active";
+            case DRAINING -> "leaving";
+            case REMOVED -> "left";
+        };
+    }
+
     private final class WatchConnection extends HttpEndpoint implements EndpointDirectory.Watcher {
-        private EndpointDirectory.Watch watch;
+        private Optional<EndpointDirectory.Watch> watch = Optional.empty();
         private boolean headIsSent;
         private double lastWriteAtMs;
 
@@ -91,7 +96,7 @@
                                 .toString()
                                 .getBytes(StandardCharsets.UTF_8)));
             } else {
-                watch = world.directory().watch(sidecar, index(target.substring(indexAt + "index=".length())), this);
+                watch = Optional.of(world.directory().watch(sidecar, index(target.substring(indexAt + "index=".length())), this));
             }
         }
 
@@ -143,9 +148,7 @@
 
         @Override
         public void ended() {
-            if (watch != null) {
-                watch.close();
-            }
+            watch.ifPresent(EndpointDirectory.Watch::close);
             if (open()) {
                 if (!headIsSent) {
                     write(MessageWriter.response(503).body(new byte[0]));
--- a/emulator/src/main/java/dewplank/emulator/loopback/ProgramProcess.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/ProgramProcess.java
@@ -1,5 +1,6 @@
 package dewplank.emulator.loopback;
 
+import java.util.Optional;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -14,7 +15,7 @@
     private final List<String> command;
     private final String variable;
     private final Path folder;
-    private volatile Process process;
+    private volatile Optional<Process> process = Optional.empty();
 
     public ProgramProcess(String name, List<String> command, String variable, Path folder) {
         this.name = name;
@@ -37,22 +38,20 @@
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(log().toFile()));
         builder.environment().keySet().removeAll(removedVariables);
         builder.environment().put(variable, file.toString());
-        process = builder.start();
+        process = Optional.of(builder.start());
     }
 
     public boolean isAlive() {
-        return process != null && process.isAlive();
+        return process.filter(Process::isAlive).isPresent();
     }
 
     public void kill() {
-        if (process != null) {
-            process.destroyForcibly();
-        }
+        process.ifPresent(Process::destroyForcibly);
     }
 
     /** Sends a signal by its name, TERM say. */
     public void signal(String signal) throws IOException, InterruptedException {
-        int exitStatus = new ProcessBuilder("kill", "-" + signal, Long.toString(process.pid()))
+        int exitStatus = new ProcessBuilder("kill", "-" + signal, Long.toString(process.orElseThrow().pid()))
                 .start()
                 .waitFor();
         if (exitStatus != 0) {
@@ -69,6 +68,6 @@
 
     /** Whether it ended within so many seconds. */
     public boolean awaitEnd(int seconds) throws InterruptedException {
-        return process == null || process.waitFor(seconds, TimeUnit.SECONDS);
+        return process.isEmpty() || process.get().waitFor(seconds, TimeUnit.SECONDS);
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/virtualtime/VirtualRun.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/VirtualRun.java
@@ -31,6 +31,14 @@
         Balancer create(Settings settings, long seed, World world, int sidecar);
     }
 
+    /** How the sidecars of one tick decide; the result is the same. */
+    public enum Execution {
+        /** One after the other, for callers that play many runs at once. */
+        SEQUENTIAL,
+        /** On all cores, where enough sidecars decide in the tick. */
+        PARALLEL
+    }
+
     /** Makes a sidecar; for tests, which need broken ones. */
     public interface SidecarFactory {
         EmulatedSidecar create(VirtualRun run, int number);
@@ -49,7 +57,7 @@
     private final Scenario scenario;
     private final long seed;
     private final Policy policy;
-    private final boolean isParallel;
+    private final Execution execution;
     private final VirtualTime time = new VirtualTime();
     private final World world;
     private final Clients clients;
@@ -63,8 +71,8 @@
             Policy policy,
             RecordedEvent.Recorder recorder,
             Clients.OutcomeListener tally,
-            boolean isParallel) {
-        this(scenario, seed, policy, recorder, tally, isParallel, EmulatedSidecar::new);
+            Execution execution) {
+        this(scenario, seed, policy, recorder, tally, execution, EmulatedSidecar::new);
     }
 
     public VirtualRun(
@@ -73,12 +81,12 @@
             Policy policy,
             RecordedEvent.Recorder recorder,
             Clients.OutcomeListener tally,
-            boolean isParallel,
+            Execution execution,
             SidecarFactory sidecarFactory) {
         this.scenario = scenario;
         this.seed = seed;
         this.policy = policy;
-        this.isParallel = isParallel;
+        this.execution = execution;
         this.world = new World(scenario, seed, time, recorder);
         this.clients = new Clients(world, this, tally);
         for (int i = 0; i < scenario.sidecars(); i++) {
@@ -166,7 +174,7 @@
         scheduled = new ArrayList<>();
         now.sort(Comparator.comparingInt(s -> s.number));
         double at = time.now();
-        if (isParallel && now.size() >= MIN_PARALLEL_SIDECARS) {
+        if (execution == Execution.PARALLEL && now.size() >= MIN_PARALLEL_SIDECARS) {
             IntStream.range(0, now.size()).parallel().forEach(i -> now.get(i).decide(at));
         } else {
             now.forEach(s -> s.decide(at));
--- a/emulator/src/test/java/dewplank/emulator/EmulatorGoldenTest.java
+++ b/emulator/src/test/java/dewplank/emulator/EmulatorGoldenTest.java
@@ -59,7 +59,7 @@
                         tookMs,
                         attempts,
                         last)),
-                false);
+                VirtualRun.Execution.SEQUENTIAL);
         lines.add(run.run().toString().replaceAll("[A-Za-z]+", ""));
         return lines;
     }
--- a/lab/src/main/java/dewplank/lab/Trial.java
+++ b/lab/src/main/java/dewplank/lab/Trial.java
@@ -20,7 +20,9 @@
     public static Trial play(Scenario scenario, String policy, long seed, boolean decideInParallel) {
         Auditor auditor = new Auditor(scenario, SLACK_MS);
         Service service = new Service(scenario, 0);
-        VirtualRun run = new VirtualRun(scenario, seed, Policies.named(policy), auditor, service, decideInParallel);
+        VirtualRun.Execution execution =
+                decideInParallel ? VirtualRun.Execution.PARALLEL : VirtualRun.Execution.SEQUENTIAL;
+        VirtualRun run = new VirtualRun(scenario, seed, Policies.named(policy), auditor, service, execution);
         Cost cost = run.run();
         auditor.end(run.world().now());
         return new Trial(service, auditor, cost, false, null);
@@ -33,7 +35,7 @@
         Auditor auditor = new Auditor(scenario, SLACK_MS);
         Service service = new Service(scenario, 0);
         LossSplit losses = new LossSplit(scenario, auditor, service);
-        VirtualRun run = new VirtualRun(scenario, seed, Policies.named(policy), losses, losses, false);
+        VirtualRun run = new VirtualRun(scenario, seed, Policies.named(policy), losses, losses, VirtualRun.Execution.SEQUENTIAL);
         losses.attach(run.world());
         Cost cost = run.run();
         auditor.end(run.world().now());
--- a/lab/src/test/java/dewplank/lab/BuoysTest.java
+++ b/lab/src/test/java/dewplank/lab/BuoysTest.java
@@ -110,7 +110,7 @@
                             Policies.named("choice"),
                             auditor,
                             service,
-                            false,
+                            VirtualRun.Execution.SEQUENTIAL,
                             (r, n) -> n == 0 && lies ? new Liar(r, n) : new Plain(r, n));
                     run.run();
                     assertEquals(auditor.retainedViolations().toString(), 0, auditor.violations());
