--- a/emulator/src/main/java/dewplank/emulator/fleet/AttemptLog.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/AttemptLog.java
@@ -12,7 +12,7 @@
 import java.util.Optional;
 import java.util.stream.Collectors;
 
-/** A history's events by the tries they belong to. */
+/** A history's events by the attempts that they belong to. */
 final class AttemptLog {
     private final Map<String, AttemptSent> sent = new LinkedHashMap<>();
     private final Map<String, AttemptEnded> ended = new HashMap<>();
--- a/emulator/src/main/java/dewplank/emulator/fleet/Chunks.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/Chunks.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** The pieces of a body whose length is not known. */
+/** Chunks of a body whose length is not known (RFC 9112, section 7.1). */
 final class Chunks {
     private Chunks() {}
 
--- a/emulator/src/main/java/dewplank/emulator/fleet/ClientAttempt.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/ClientAttempt.java
@@ -2,10 +2,18 @@
 
 import java.util.concurrent.CompletableFuture;
 
-/** A try that a client has sent. */
+/** An attempt that a client has sent. */
 public final class ClientAttempt {
-    /** How it ended. {@code status} 0: no answer came, or the client left; {@code whole}: the answer has its end. */
+    /**
+     * How an attempt ended.
+     *
+     * @param status 0 where no head of a response came
+     * @param seal names the server's response; null where the response has none
+     * @param retryAfter the header's value; null where the response has none
+     * @param complete whether the response's end came
+     */
     public record Outcome(int status, String seal, String retryAfter, String body, boolean complete) {
+        /** Whether a complete response with status 200 came. */
         public boolean served() {
             return status == 200 && complete;
         }
@@ -20,16 +28,17 @@
         this.abandonAction = abandonAction;
     }
 
+    /** The id that the request carries. */
     public String id() {
         return id;
     }
 
-    /** Completed on the loop's thread. */
+    /** The end of the attempt; completed on the loop's thread. */
     public CompletableFuture<Outcome> ended() {
         return ended;
     }
 
-    /** The client closes its connection and waits no longer. */
+    /** Closes the client's connection; from any thread. Nothing once the attempt has ended. */
     public void abandon() {
         abandonAction.run();
     }
--- a/emulator/src/main/java/dewplank/emulator/fleet/ClientRequest.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/ClientRequest.java
@@ -3,8 +3,11 @@
 import java.util.Optional;
 
 /**
- * What a client asks for. {@code events}: how long a stream is wanted, in events; {@code prompt}: the parts of a
- * generation's prompt, null: none are named.
+ * A request that a client sends in one or more attempts.
+ *
+ * @param events the number of events of a stream; 0 for a plain request
+ * @param prompt the parts of a generation's prompt with their token counts; empty where none are named
+ * @param timeoutMs how long the client waits for the response's end
  */
 public record ClientRequest(
         RouteSpec route,
@@ -16,13 +19,13 @@
         int timeoutMs) {
     private static final int TIMEOUT_MS = 8_000;
 
-    /** A request that is answered whole. */
+    /** A request whose response is not a stream. */
     public static ClientRequest plain(RouteSpec route, String name) {
         return new ClientRequest(
                 route, "POST", route.prefix() + name, "body of " + name, 0, Optional.empty(), TIMEOUT_MS);
     }
 
-    /** A generation whose prompt has a part of its own: it is read by a prefill server first. */
+    /** A generation that names the parts of its prompt, so that a prefill server reads it first. */
     public static ClientRequest split(RouteSpec route, String name, int events) {
         return new ClientRequest(
                 route,
@@ -34,13 +37,13 @@
                 TIMEOUT_MS);
     }
 
-    /** A generation that names no parts: the decode server reads its prompt. */
+    /** A generation that names no parts, so that the decode server reads its prompt. */
     public static ClientRequest direct(RouteSpec route, String name, int events) {
         return new ClientRequest(
                 route, "POST", route.prefix() + name, "prompt of " + name, events, Optional.empty(), TIMEOUT_MS);
     }
 
-    /** The same with another time that the client waits. */
+    /** The same request with another time-out. */
     public ClientRequest withTimeout(int nextTimeoutMs) {
         return new ClientRequest(route, method, target, body, events, prompt, nextTimeoutMs);
     }
--- a/emulator/src/main/java/dewplank/emulator/fleet/ConfigurationRules.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/ConfigurationRules.java
@@ -16,14 +16,14 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** What holds for configurations: which are acknowledged, read back and in force. */
+/** Rules for configurations: which are acknowledged, read back and in force. */
 final class ConfigurationRules {
     private static final int OK = 200;
     private static final int NOT_FOUND = 404;
 
     private final List<FleetEvent> events;
     private final AttemptLog attempts;
-    private final List<ChangeSent> sent; // those that may be in force: no refusal came
+    private final List<ChangeSent> sent; // without those that were refused, which are never in force
     private final List<ChangeAnswered> acknowledged;
     private final List<ProcessFaulted> faults;
     private final List<Violation> found = new ArrayList<>();
@@ -103,7 +103,7 @@
                 .contains(run.server().service());
     }
 
-    /** A request sent long after an acknowledgement is handled as that version or a later one says. */
+    /** A request sent long after an acknowledgement is handled by that version or a later one. */
     private void checkCurrent(AttemptSent t) {
         long requiredVersion = requiredVersion(t);
         Optional<AttemptEnded> ended = attempts.ended(t.attemptId());
@@ -138,7 +138,7 @@
                 .orElse(0);
     }
 
-    /** Whether nothing was done to any process from a while before the acknowledgement to the request. */
+    /** Whether no process had a fault from shortly before the acknowledgement until the request. */
     private boolean hadNoFaults(double from, double to) {
         return faults.stream().noneMatch(t -> t.atMs() > from - FleetBounds.CONTACT_MS && t.atMs() < to);
     }
--- a/emulator/src/main/java/dewplank/emulator/fleet/ContextHandles.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/ContextHandles.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What prefill servers keep for decode servers to fetch; on the loop's thread only. */
+/** The KV caches that prefill servers keep for decode servers, by handle; on the loop's thread only. */
 final class ContextHandles {
     private final History history;
     private final Map<String, String> owners = new HashMap<>();
@@ -13,6 +13,7 @@
         this.history = history;
     }
 
+    /** Keeps a cache for an attempt; its handle. */
     String create(double now, ServerIdentity server, String attemptId) {
         String handle = "h" + ++createdCount;
         owners.put(server.address() + "/" + handle, attemptId);
@@ -20,7 +21,7 @@
         return handle;
     }
 
-    /** Whether what {@code IP:PORT/HANDLE} names could be fetched; it is gone then. */
+    /** Fetches and removes the cache of {@code IP:PORT/HANDLE}; whether there was one. */
     boolean fetch(double now, String from, String byAttemptId) {
         if (owners.remove(from) == null) {
             return false;
@@ -29,6 +30,7 @@
         return true;
     }
 
+    /** Drops a cache; nothing where it was fetched or freed before. */
     void free(double now, ServerIdentity server, String handle) {
         if (owners.remove(server.address() + "/" + handle) != null) {
             history.add(new FleetEvent.HandleFreed(now, handle));
--- a/emulator/src/main/java/dewplank/emulator/fleet/FleetAuditor.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/FleetAuditor.java
@@ -3,11 +3,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Checks a history after the fact. */
+/** Checks a history once the run is over. */
 public final class FleetAuditor {
     private FleetAuditor() {}
 
-    /** What the history breaks; empty where it keeps every rule. */
+    /** The rules that the history breaks, with where; empty where it keeps all. */
     public static List<Violation> audit(List<FleetEvent> events) {
         List<Violation> found = new ArrayList<>();
         AttemptLog attempts = new AttemptLog(events);
--- a/emulator/src/main/java/dewplank/emulator/fleet/FleetClient.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/FleetClient.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Stands in for clients: each try goes out on a connection of its own, and the history has it. */
+/** Stands in for clients: sends each attempt on a new connection and records it in the history. */
 public final class FleetClient {
     private final EventLoop loop;
     private final History history;
@@ -21,7 +21,7 @@
         this.history = history;
     }
 
-    /** Sends a try to a data plane. */
+    /** Sends an attempt to a data plane; from any thread. */
     public ClientAttempt send(FleetMachine to, ClientRequest request) {
         Exchange exchange = new Exchange(String.format("%016x", attemptCount.incrementAndGet()), request);
         loop.execute(() -> exchange.start(to));
@@ -63,7 +63,7 @@
             loop.after(request.timeoutMs(), () -> cancel(false));
         }
 
-        /** {@code isAbandoned}: the client left; otherwise its time-out expired. */
+        /** {@code isAbandoned}: the client closed the connection; otherwise its time-out expired. */
         private void cancel(boolean isAbandoned) {
             if (!isOver) {
                 call.cancel();
--- a/emulator/src/main/java/dewplank/emulator/fleet/FleetConfiguration.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/FleetConfiguration.java
@@ -12,16 +12,17 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-/** A configuration that the operator sends; immutable. */
+/** A configuration that the operator sends; immutable. Routes and services are unique by name. */
 public record FleetConfiguration(long version, List<RouteSpec> routes, List<ServiceSpec> services) {
     private static final List<String> LISTS = List.of("routes", "services");
 
+    /** Copies the lists. */
     public FleetConfiguration {
         routes = List.copyOf(routes);
         services = List.copyOf(services);
     }
 
-    /** The next one, with a route added or replaced by its name. */
+    /** The same with another version and a route added, or replaced by its name. */
     public FleetConfiguration with(long nextVersion, RouteSpec route) {
         List<RouteSpec> next = new ArrayList<>(routes);
         next.removeIf(r -> r.name().equals(route.name()));
@@ -29,23 +30,24 @@
         return new FleetConfiguration(nextVersion, next, services);
     }
 
-    /** The next one, without a route. */
+    /** The same with another version and without a route. */
     public FleetConfiguration without(long nextVersion, String route) {
         List<RouteSpec> next =
                 routes.stream().filter(r -> !r.name().equals(route)).toList();
         return new FleetConfiguration(nextVersion, next, services);
     }
 
-    /** The same under another number. */
+    /** The same with another version. */
     public FleetConfiguration withVersion(long nextVersion) {
         return new FleetConfiguration(nextVersion, routes, services);
     }
 
+    /** The route of that name; throws where there is none. */
     public RouteSpec route(String name) {
         return routes.stream().filter(r -> r.name().equals(name)).findFirst().orElseThrow();
     }
 
-    /** The services that a request may be sent to; none where it has no route. */
+    /** The services that a request may be sent to; empty where no route matches. */
     Set<String> allows(String host, String target) {
         return routes.stream()
                 .filter(r -> r.host().equals(host) && target.startsWith(r.prefix()))
@@ -57,6 +59,7 @@
                 .orElse(Set.of());
     }
 
+    /** The document as the operator's interface takes it. */
     public JsonObject json() {
         JsonObject o = new JsonObject();
         o.addProperty("config_version", version);
@@ -66,7 +69,7 @@
         return o;
     }
 
-    /** What turns the base into this one, by names. */
+    /** The patch that turns {@code base} into this configuration. */
     JsonObject patchFrom(FleetConfiguration base) {
         JsonObject o = new JsonObject();
         o.addProperty("config_version", version);
@@ -110,7 +113,7 @@
         return limits;
     }
 
-    /** Whether a text that was read back says the same, whatever the order of named items. */
+    /** Whether a text that was read back is this configuration, in any order of named items. */
     boolean sameAs(String text) {
         try {
             return byNames(JsonParser.parseString(text).getAsJsonObject()).equals(byNames(json()));
@@ -131,7 +134,7 @@
         return all;
     }
 
-    /** The version that a text gives; -1 where it gives none. */
+    /** The version that a text names; -1 where it is no configuration. */
     static long versionOf(String text) {
         try {
             return JsonParser.parseString(text)
--- a/emulator/src/main/java/dewplank/emulator/fleet/FleetEvent.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/FleetEvent.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Something that a stand-in saw or did. Times are those of the stand-ins' loop, in milliseconds. */
+/** An event that a stand-in observed or caused; {@code atMs} is the time of the stand-ins' loop. */
 public sealed interface FleetEvent {
     double atMs();
 
@@ -14,7 +14,7 @@
         CRASHED
     }
 
-    /** What is done to a process. */
+    /** What the test does to a process. */
     enum ProcessFault {
         STARTED,
         KILLED,
@@ -26,13 +26,15 @@
 
     // ---- clients --------------------------------------------------------------------------------------
 
-    /** A client sent a try. */
+    /** A client sent an attempt. */
     record AttemptSent(double atMs, String node, String attemptId, ClientRequest request) implements FleetEvent {}
 
     /** Bytes of a stream reached the client. */
     record StreamBytes(double atMs, String attemptId, int status, String seal, String text) implements FleetEvent {}
 
-    /** The try is over. {@code status} 0: no answer came, or the client left. */
+    /**
+     * An attempt ended; {@code status} 0: no head of a response came. {@code seal}: null where the response has none.
+     */
     record AttemptEnded(
             double atMs, String attemptId, int status, String seal, String body, boolean complete, boolean abandoned)
             implements FleetEvent {
@@ -58,10 +60,10 @@
     /** A server began to work on a request. */
     record RunStarted(double atMs, ServerIdentity server, String attemptId) implements FleetEvent {}
 
-    /** A server turned a request away without running it. */
+    /** A server rejected a request without running it. */
     record RunRejected(double atMs, ServerIdentity server, String attemptId, int status) implements FleetEvent {}
 
-    /** A server sent an answer that is not a stream. */
+    /** A server sent a response that is not a stream. */
     record Answered(double atMs, ServerIdentity server, String attemptId, int status, String seal, String body)
             implements FleetEvent {}
 
@@ -72,41 +74,45 @@
     record StreamEventSent(double atMs, ServerIdentity server, String attemptId, int id, String text)
             implements FleetEvent {}
 
+    /** A run at a server ended. */
     record RunEnded(double atMs, ServerIdentity server, String attemptId, RunEnd how) implements FleetEvent {}
 
+    /** A prefill server keeps a KV cache for an attempt. */
     record HandleCreated(double atMs, ServerIdentity server, String handle, String attemptId) implements FleetEvent {}
 
-    /** A decode server fetched what a prefill server kept. */
+    /** A decode server fetched a KV cache from a prefill server. */
     record HandleFetched(double atMs, String handle, String byAttemptId) implements FleetEvent {}
 
+    /** A prefill server dropped a KV cache. */
     record HandleFreed(double atMs, String handle) implements FleetEvent {}
 
     // ---- platform -------------------------------------------------------------------------------------
 
-    /** A process asked for a page of the list; {@code status} 0: no answer was given. */
+    /** A process requested a page of the endpoint list; {@code status} 0: the platform did not respond. */
     record EndpointListRequested(double atMs, String node, int status) implements FleetEvent {}
 
-    /** From here on the list shows the server as draining. */
+    /** The endpoint list shows the server as draining from now on. */
     record ListedDraining(double atMs, ServerIdentity server) implements FleetEvent {}
 
     // ---- operator -------------------------------------------------------------------------------------
 
-    /** The operator began to send a change; {@code document}: what is in force if it is taken, null: it is invalid. */
+    /** The operator began to send a change; {@code document}: the result of the change, empty where it is invalid. */
     record ChangeSent(double atMs, long base, Optional<FleetConfiguration> document, String text)
             implements FleetEvent {}
 
-    /** One control sidecar's answer to a change; {@code status} 0: none came. */
+    /** One control plane's response to a change; {@code status} 0: none came. */
     record ChangeAttempted(double atMs, String node, String text, int status) implements FleetEvent {}
 
-    /** The operator has its answer to a change; {@code status} 0: none that is clear. */
+    /** The operator has the final response to a change; {@code status} 0: no control plane gave one. */
     record ChangeAnswered(double atMs, long base, Optional<FleetConfiguration> document, String text, int status)
             implements FleetEvent {}
 
-    /** A configuration was read back. */
+    /** A configuration was read back; {@code text} is empty where none was served. */
     record ReadBack(double atMs, double sentAtMs, String node, String text) implements FleetEvent {}
 
     // ---- processes ------------------------------------------------------------------------------------
 
+    /** The test started, stopped or damaged a process. */
     record ProcessFaulted(double atMs, String node, MachineClass machineClass, ProcessFault fault)
             implements FleetEvent {}
 
--- a/emulator/src/main/java/dewplank/emulator/fleet/FleetNetwork.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/FleetNetwork.java
@@ -7,8 +7,8 @@
 import java.net.ServerSocket;
 
 /**
- * The addresses of a fleet's machines in 127.0.0.0/8: one for each machine, the same ports on all. A network is one's
- * own for as long as its first address is held.
+ * The addresses of a fleet's machines in 127.0.0.0/8: one for each machine, with the same ports on all. A network is
+ * reserved until {@link #close}, by a socket on its first address.
  */
 public final class FleetNetwork implements AutoCloseable {
     static final int FRONT_PORT = 18_144;
@@ -22,7 +22,8 @@
     private static final int GUARD = 0;
     private static final int FIRST_CONTROL = 10;
     private static final int FIRST_DATA = 40;
-    private static final int PLATFORM_OFFSET = 60; // where a machine finds the platform, beyond its own number
+    private static final int PLATFORM_OFFSET =
+            60; // from the number of a control machine to that of its platform address
     private static final int FIRST_SERVER = 150;
 
     private final int number;
@@ -33,7 +34,7 @@
         this.guard = guard;
     }
 
-    /** A network that nobody else on this machine uses. */
+    /** Reserves a network that no other process on this machine uses. */
     public static FleetNetwork reserve() throws IOException {
         IOException last = null;
         for (int i = 0; i < Addresses.MAX_FLEETS; i++) {
@@ -54,7 +55,7 @@
         return Addresses.machine(number, FIRST_DATA + machine);
     }
 
-    /** Where a control machine finds the platform: each at an address of its own, which tells who is calling. */
+    /** Where a control machine reaches the platform; one address each, so that the platform knows its caller. */
     InetSocketAddress platform(int controlMachine) {
         return new InetSocketAddress(
                 Addresses.machine(number, FIRST_CONTROL + PLATFORM_OFFSET + controlMachine), PLATFORM_PORT);
--- a/emulator/src/main/java/dewplank/emulator/fleet/FleetProcess.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/FleetProcess.java
@@ -12,7 +12,7 @@
 import java.util.Optional;
 import java.util.stream.Stream;
 
-/** One process of the fleet: started, ended and troubled; what is done to it goes into the history. */
+/** One process of the fleet. Whatever the test does to it is recorded in the history. Not thread-safe. */
 public final class FleetProcess {
     private final EventLoop loop;
     private final History history;
@@ -38,20 +38,22 @@
                 : Optional.empty();
     }
 
+    /** The machine that the process runs on. */
     public FleetMachine machine() {
         return machine;
     }
 
+    /** The file with the output of all its incarnations. */
     public Path log() {
         return process.log();
     }
 
-    /** Starts it, when the whole system starts for the first time. */
+    /** Starts the process as part of a fleet that starts for the first time. */
     public void startFirst() throws IOException {
         start(true);
     }
 
-    /** Starts it again, with whatever its disk holds. */
+    /** Starts the process again, with the present content of its disk. */
     public void restart() throws IOException {
         start(false);
     }
@@ -64,46 +66,47 @@
         process.start(SettingsFile.of(machine, seeds, initialStart, disk), List.of());
     }
 
+    /** Whether the process runs, frozen or not. */
     public boolean isAlive() {
         return process.isAlive();
     }
 
-    /** SIGKILL; returns when it has ended. */
+    /** Sends SIGKILL and waits for the end. */
     public void kill() throws InterruptedException {
         record(ProcessFault.KILLED);
         process.kill();
         process.awaitEnd();
     }
 
-    /** Ends with the test, whatever state it is in. */
+    /** Sends SIGKILL at the end of the test; not recorded. */
     void destroy() {
         process.kill();
     }
 
-    /** SIGTERM. */
+    /** Sends SIGTERM. */
     public void terminate() throws IOException, InterruptedException {
         record(ProcessFault.TERMINATED);
         process.signal("TERM");
     }
 
-    /** Whether it ended within so many seconds. */
+    /** Waits for the end; whether it came within so many seconds. */
     public boolean awaitEnd(int seconds) throws InterruptedException {
         return process.awaitEnd(seconds);
     }
 
-    /** SIGSTOP. */
+    /** Sends SIGSTOP. */
     public void freeze() throws IOException, InterruptedException {
         record(ProcessFault.FROZEN);
         process.signal("STOP");
     }
 
-    /** SIGCONT. */
+    /** Sends SIGCONT. */
     public void thaw() throws IOException, InterruptedException {
         record(ProcessFault.THAWED);
         process.signal("CONT");
     }
 
-    /** Loses the disk of a process that is not running. */
+    /** Deletes the disk of a control plane; its process must not run. */
     public void loseDisk() throws IOException {
         record(ProcessFault.WIPED);
         List<Path> all;
--- a/emulator/src/main/java/dewplank/emulator/fleet/HandleRules.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/HandleRules.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-/** What holds for handles: each is taken once at the most, and for the request that it was made for. */
+/** Rules for handles: each is fetched at most once, and for the request that it was created for. */
 final class HandleRules {
     private final List<FleetEvent> events;
 
--- a/emulator/src/main/java/dewplank/emulator/fleet/History.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/History.java
@@ -7,7 +7,7 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Predicate;
 
-/** All that the stand-ins saw, in order; whoever waits for something waits here for the event that tells it. */
+/** The events of all stand-ins, in order. Tests wait here for events and states; thread-safe. */
 public final class History {
     private static final long AWAIT_TIMEOUT_S = 20;
     private static final long MAX_POLL_INTERVAL_MS = 100;
@@ -23,16 +23,22 @@
         notifyAll();
     }
 
+    /** All events so far. */
     public synchronized List<FleetEvent> events() {
         return List.copyOf(events);
     }
 
-    /** Events of one kind so far. */
+    /** The events of one kind so far. */
     public <T extends FleetEvent> List<T> events(Class<T> kind) {
         return FleetEvent.only(events(), kind);
     }
 
-    /** Waits for an event, among those that were and those to come. */
+    /**
+     * Waits for an event, past or future.
+     *
+     * @param what names the event in the message of the exception
+     * @throws TimeoutException when there is none within 20 s
+     */
     public <T extends FleetEvent> T await(String what, Class<T> kind, Predicate<T> wanted)
             throws InterruptedException, TimeoutException {
         long deadlineNanos = deadlineFromNow();
@@ -57,8 +63,10 @@
     }
 
     /**
-     * Waits until a state that is asked for holds. It is asked for anew whenever the platform has been called: the beat
-     * at which the fleet learns.
+     * Waits until a state is reached. Checks it after each call to the platform, as the fleet's state changes with
+     * those, and at least every 100 ms.
+     *
+     * @throws TimeoutException when it is not reached within 20 s
      */
     public void awaitState(String what, BooleanSupplier state) throws InterruptedException, TimeoutException {
         long deadlineNanos = deadlineFromNow();
--- a/emulator/src/main/java/dewplank/emulator/fleet/ModelServer.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/ModelServer.java
@@ -6,10 +6,7 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/**
- * A model server: one that reads prompts and keeps them, or one that streams. A stream can be held behind an event
- * until it is let go on.
- */
+/** A model server of one stage, prefill or decode. Tests can pause its streams behind an event and resume them. */
 public final class ModelServer extends StandInServer {
     /** What becomes of the fetch of a KV cache from a prefill server. */
     private enum HandleFetches {
@@ -36,22 +33,22 @@
         this.handles = handles;
     }
 
-    /** From here on no handle can be fetched. */
+    /** Fetches of handles fail from now on. */
     public void rejectHandles() {
         handleFetches = HandleFetches.FAIL;
     }
 
-    /** From here on whatever is to be fetched is waited for, without end. */
+    /** Fetches of handles do not end from now on. */
     public void stallHandleFetches() {
         handleFetches = HandleFetches.STALL;
     }
 
-    /** Streams stop behind the event of this id until {@link #resumeStreams}. */
+    /** Pauses streams behind the event of this id until {@link #resumeStreams}. */
     public void pauseStreamsAfter(int id) {
         pauseStreamsAfter = id;
     }
 
-    /** Streams that were held, and all later ones, go on to their end. */
+    /** Resumes the paused streams; later ones are not paused. */
     public void resumeStreams() {
         pauseStreamsAfter = NO_PAUSE;
         loop.execute(() -> {
--- a/emulator/src/main/java/dewplank/emulator/fleet/PlainServer.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/PlainServer.java
@@ -4,7 +4,7 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 
-/** A server that answers each request whole. */
+/** A server that runs complete requests; its responses name the attempt and the request that they are for. */
 public final class PlainServer extends StandInServer {
     private static final double WORK_MS = 3;
     private int responseCount;
--- a/emulator/src/main/java/dewplank/emulator/fleet/PlatformRules.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/PlatformRules.java
@@ -11,8 +11,9 @@
 import java.util.Optional;
 
 /**
- * What holds for calls to the platform: one process makes them at a time. One that was relieved may be heard for a
- * moment longer, or for a moment after it was thawed; who comes back within a lease takes turns with the other.
+ * Rules for calls to the platform: one process, the lease holder, makes them at a time. A former holder may still call
+ * within the hand-over time, or shortly after it was thawed. A later call of a former holder within the length of a
+ * lease means that two processes call in turn.
  */
 final class PlatformRules {
     private static final double MAX_HAND_OVER_MS = 500;
@@ -37,7 +38,7 @@
             boolean isFormerCaller = !isCaller && lastCall.containsKey(call.node());
             boolean isWithinLease = isFormerCaller && call.atMs() - lastCall.get(call.node()) < FleetBounds.LEASE_MS;
             if (isWithinLease && call.atMs() - callerSinceMs < MAX_HAND_OVER_MS || isFormerCaller && justThawed(call)) {
-                continue; // the end of a hand-over
+                continue; // still part of the hand-over
             }
             if (isWithinLease) {
                 found.add(new Violation(
--- a/emulator/src/main/java/dewplank/emulator/fleet/RequestRules.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/RequestRules.java
@@ -15,7 +15,7 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** What holds for each request: where it may go, how often it may run, and what may be said of it. */
+/** Rules for each request: where it may arrive, how often it may run, and what its response may be. */
 final class RequestRules {
     private static final Set<Integer> NOT_EXECUTED_STATUSES = Set.of(408, 421, 429, 503);
     private static final String HANDLE_PATH = "/kv-handle/";
--- a/emulator/src/main/java/dewplank/emulator/fleet/RouteSpec.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/RouteSpec.java
@@ -4,7 +4,7 @@
 import com.google.gson.JsonObject;
 import java.util.List;
 
-/** A route of a configuration that the operator sends. {@code split}: services and their weights. */
+/** A route of a configuration that the operator sends; {@code timeoutMs} is the time that a request has. */
 public record RouteSpec(
         String name,
         String host,
@@ -13,7 +13,7 @@
         List<WeightedService> split,
         int maxAttempts,
         int timeoutMs) {
-    /** What may be repeated. */
+    /** The type of a route, by what may be retried. */
     public enum Kind {
         SAFE("safe", false),
         UNSAFE("unsafe", false),
@@ -28,11 +28,12 @@
             this.resumable = resumable;
         }
 
+        /** Whether the responses are streams of events. */
         public boolean streaming() {
             return type.equals("streaming");
         }
 
-        /** Whether a request may run more than once. */
+        /** Whether a request may run more than once (RFC 9110, section 9.2.2). */
         public boolean idempotent() {
             return this == SAFE || resumable;
         }
@@ -43,11 +44,12 @@
     private static final int TARGET_LATENCY_MS = 1_000;
     private static final int TARGET_GAP_MS = 250;
 
+    /** Copies the split. */
     public RouteSpec {
         split = List.copyOf(split);
     }
 
-    /** A route to one service. */
+    /** A route to one service, with a prefix after its name. */
     public static RouteSpec to(String service, String name, Kind kind) {
         return new RouteSpec(
                 name,
--- a/emulator/src/main/java/dewplank/emulator/fleet/ServiceSpec.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/ServiceSpec.java
@@ -3,7 +3,7 @@
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
 
-/** A service of a configuration that the operator sends. {@code model}: whether its servers prefill and decode. */
+/** A service of a configuration that the operator sends. */
 public record ServiceSpec(String name, Kind kind) {
     /** What the service's servers run. */
     public enum Kind {
--- a/emulator/src/main/java/dewplank/emulator/fleet/SettingsFile.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/SettingsFile.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** The settings file of a process. */
+/** The settings file of a control plane or data plane. */
 final class SettingsFile {
     private static final int MEMORY_MB = 430;
     private static final int DESCRIPTORS = 4_100;
@@ -19,6 +19,7 @@
 
     private SettingsFile() {}
 
+    /** The file's text; {@code data}: the directory of a machine that has a disk. */
     static String of(FleetMachine machine, List<InetSocketAddress> seeds, boolean initialStart, Optional<Path> data) {
         JsonObject settings = new JsonObject();
         settings.addProperty("node_name", machine.node());
--- a/emulator/src/main/java/dewplank/emulator/fleet/StandInFleet.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/StandInFleet.java
@@ -11,14 +11,14 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Function;
 
-/** A fleet of processes on loopback and all its surroundings. */
+/** A fleet of processes on loopback with stand-ins for its platform, servers, operator and clients. */
 public final class StandInFleet implements AutoCloseable {
     private static final int MAX_SEEDS = 3;
     private static final List<String> ZONES = List.of("ost", "vest", "sor");
     private static final double READINESS_TIMEOUT_MS = 1_000;
     private static final int EXIT_TIMEOUT_S = 10;
 
-    /** How the two programs are started. */
+    /** The command lines of the two programs. */
     public record Commands(List<String> control, List<String> data) {}
 
     private final EventLoop loop = new EventLoop();
@@ -33,7 +33,7 @@
     private final Thread shutdownHook = new Thread(this::killAll, "fleet");
     private int servers;
 
-    /** {@code folder}: for settings, logs and disks. */
+    /** Opens the sockets of the stand-ins; no process runs yet. {@code folder}: for settings, logs and disks. */
     public StandInFleet(Commands commands, Path folder, int controlMachines, int dataMachines) throws IOException {
         List<InetSocketAddress> seeds = new ArrayList<>();
         List<FleetMachine> core = machines(controlMachines, this::controlMachine);
@@ -46,7 +46,7 @@
             data.add(new FleetProcess(loop, history, machine, seeds, commands.data(), folder));
         }
         operator = new StandInOperator(loop, history, core);
-        Runtime.getRuntime().addShutdownHook(shutdownHook); // no process outlives the tests, however those end
+        Runtime.getRuntime().addShutdownHook(shutdownHook); // no process may outlive an aborted test
     }
 
     private static List<FleetMachine> machines(int count, Function<Integer, FleetMachine> machine) {
@@ -82,49 +82,58 @@
         return processes;
     }
 
+    /** The processes of control planes. */
     public List<FleetProcess> control() {
         return control;
     }
 
+    /** The process of one control plane, from 0. */
     public FleetProcess control(int i) {
         return control.get(i);
     }
 
+    /** The processes of data planes. */
     public List<FleetProcess> data() {
         return data;
     }
 
+    /** The machine of one data plane, from 0. */
     public FleetMachine edge(int i) {
         return data.get(i).machine();
     }
 
+    /** The events of all stand-ins. */
     public History history() {
         return history;
     }
 
+    /** The stand-in for the platform. */
     public StandInPlatform platform() {
         return platform;
     }
 
+    /** The stand-in for the operator. */
     public StandInOperator operator() {
         return operator;
     }
 
+    /** The stand-in for clients. */
     public FleetClient client() {
         return client;
     }
 
+    /** The loop's time in milliseconds, as events have it. */
     public double now() {
         return loop.now();
     }
 
-    /** Clients at every data plane, who keep asking for these in turn. */
+    /** Starts clients at every data plane, which send these requests in turn. */
     public SteadyLoad load(List<ClientRequest> requests) {
         return new SteadyLoad(
                 loop, client, data.stream().map(FleetProcess::machine).toList(), requests);
     }
 
-    /** A plain server, listed at once. */
+    /** Starts a plain server and adds it to the endpoint list. */
     public PlainServer plainServer(String service) throws IOException {
         InetSocketAddress at = network.server(servers);
         PlainServer server = new PlainServer(loop, history, identity(service, ServerStage.NONE, at), at);
@@ -132,7 +141,7 @@
         return server;
     }
 
-    /** A model server of a stage, listed at once. */
+    /** Starts a model server and adds it to the endpoint list. */
     public ModelServer modelServer(String service, ServerStage stage) throws IOException {
         InetSocketAddress at = network.server(servers);
         ModelServer server = new ModelServer(loop, history, identity(service, stage, at), at, handles);
@@ -140,7 +149,7 @@
         return server;
     }
 
-    /** The server's process ends, and one of another service gets its address; the list says nothing of it. */
+    /** Crashes a server and starts one of another service at its address; the endpoint list stays as it is. */
     public PlainServer reuseAddress(StandInServer of, String service) throws IOException {
         of.crash();
         InetSocketAddress at = of.address();
@@ -152,7 +161,7 @@
         return StandInServer.identity("i-" + service + "-" + number, service, zone(number), stage, at);
     }
 
-    /** The status of a data plane's readiness; 0 where it says nothing. */
+    /** The status of a data plane's readiness check; 0 where it does not respond. */
     public int readiness(FleetMachine machine) {
         CompletableFuture<Integer> status = new CompletableFuture<>();
         loop.execute(() -> {
@@ -175,7 +184,7 @@
         processes().forEach(FleetProcess::destroy);
     }
 
-    /** Ends all: kills what still runs. */
+    /** Kills all processes and closes the stand-ins. */
     @Override
     public void close() throws IOException, InterruptedException {
         killAll();
--- a/emulator/src/main/java/dewplank/emulator/fleet/StandInOperator.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/StandInOperator.java
@@ -13,8 +13,9 @@
 import java.util.function.Consumer;
 
 /**
- * Stands in for the operator: sends a change, unchanged, to one control sidecar after another until the answer is
- * clear; follows a redirect twice, and moves on after a failure, an answer that asks for it, or a second of silence.
+ * Stands in for the operator: sends a change, unchanged, to one control plane after another until one gives a final
+ * response. Follows at most two redirects, and goes to the next control plane after a failure, a retryable status, or a
+ * time-out of one second. Its methods may be called from any thread.
  */
 public final class StandInOperator {
     private static final double RESPONSE_TIMEOUT_MS = 1_000;
@@ -26,7 +27,9 @@
     private static final int REDIRECT = 307;
     private static final int MAX_REDIRECTS = 2;
 
-    /** An answer; {@code status} 0: none. {@code location}: where a redirect leads, else empty. */
+    /**
+     * A response; {@code status} 0: none came. {@code location}: the target of a redirect, empty where there is none.
+     */
     private record Answer(int status, String body, String location) {
         private static final Answer NONE = new Answer(0, "", "");
 
@@ -49,22 +52,22 @@
         this.machines = List.copyOf(machines);
     }
 
-    /** Sends a whole configuration, first to the machine of that index; the clear answer's status, 0: none came. */
+    /** Sends a complete configuration, first to the machine of that index; the final status, 0 where none came. */
     public CompletableFuture<Integer> put(FleetConfiguration next, long base, int first) {
         return change("PUT", next.json().toString(), base, Optional.of(next), first);
     }
 
-    /** Sends what turns the base into the next one. */
+    /** Sends the patch that turns {@code base} into {@code next}; the result is that of {@link #put}. */
     public CompletableFuture<Integer> patch(FleetConfiguration next, FleetConfiguration base, int first) {
         return change("PATCH", next.patchFrom(base).toString(), base.version(), Optional.of(next), first);
     }
 
-    /** Sends a text that is no valid configuration. */
+    /** Sends a text that is no valid configuration; the result is that of {@link #put}. */
     public CompletableFuture<Integer> putInvalid(String text, long base, int first) {
         return change("PUT", text, base, Optional.empty(), first);
     }
 
-    /** Sends a change by names that is not valid. */
+    /** Sends a patch that is not valid; the result is that of {@link #put}. */
     public CompletableFuture<Integer> patchInvalid(String text, long base, int first) {
         return change("PATCH", text, base, Optional.empty(), first);
     }
@@ -92,7 +95,7 @@
         return status;
     }
 
-    /** Reads the configuration back, first from the machine of that index; its version. */
+    /** Reads the configuration back, first from the machine of that index; its version, -1 where none was served. */
     public CompletableFuture<Long> read(int first) {
         CompletableFuture<Long> version = new CompletableFuture<>();
         double sentAtMs = loop.now();
@@ -111,7 +114,7 @@
         return version;
     }
 
-    /** What one control sidecar says at a path, as it stands; empty where it says nothing. */
+    /** One control plane's view at a path; an empty object where it does not respond with 200. */
     public JsonObject view(FleetMachine machine, String path) {
         CompletableFuture<Answer> got = new CompletableFuture<>();
         loop.execute(() -> request(
@@ -145,7 +148,7 @@
         void answered(FleetMachine machine, Answer answer);
     }
 
-    /** One call, sent on until its answer is clear. */
+    /** One call, sent to one control plane after another until the response is final. */
     private final class ConfigurationCall {
         private final Message message;
         private final ResponseListener finalListener;
--- a/emulator/src/main/java/dewplank/emulator/fleet/StandInPlatform.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/StandInPlatform.java
@@ -15,9 +15,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** Stands in for the platform: tells the list of servers, page by page, to whoever asks. */
+/** Stands in for the platform: serves the endpoint list page by page. Its public methods are thread-safe. */
 public final class StandInPlatform {
-    /** How it takes calls. */
+    /** What the platform does with calls. */
     public enum Behaviour {
         ANSWERS,
         UNRESPONSIVE,
@@ -41,7 +41,7 @@
         this.history = history;
     }
 
-    /** Listens for one machine's calls. */
+    /** Listens at the address at which one machine calls. */
     void listenFor(FleetMachine machine) throws IOException {
         Listener listener =
                 new Listener(loop, machine.platform(), MAX_CONNECTIONS, () -> new PlatformConnection(machine.node()));
@@ -49,22 +49,23 @@
         loop.execute(listener::accept);
     }
 
+    /** Changes what is done with calls from now on. */
     public void behaviour(Behaviour next) {
         behaviour = next;
     }
 
-    /** From the next call on the list holds the server. */
+    /** Adds a server to the list, from the next call on. */
     public synchronized void add(ServerIdentity server) {
         servers.put(server.instanceId(), server);
     }
 
-    /** From the next call on the list shows the server as draining. */
+    /** Shows a server as draining, from the next call on. */
     public synchronized void drain(ServerIdentity server) {
         draining.add(server.instanceId());
         history.add(new FleetEvent.ListedDraining(loop.now(), server));
     }
 
-    /** The server has left the list. */
+    /** Removes a server from the list, from the next call on. */
     public synchronized void remove(ServerIdentity server) {
         servers.remove(server.instanceId());
     }
--- a/emulator/src/main/java/dewplank/emulator/fleet/StandInServer.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/StandInServer.java
@@ -16,16 +16,19 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 
-/** Stands in for a server: takes requests that are meant for it, and tells the history what it did with them. */
+/**
+ * Stands in for a server: runs the requests that name its instance, and records what it did in the history. State
+ * belongs to the loop's thread; the public methods may be called from any thread.
+ */
 public abstract class StandInServer {
     private static final String REPORT_PATH = "/report";
 
-    /** How it takes requests. */
+    /** What the server does with requests. */
     public enum Behaviour {
         WORKS,
-        /** Turns requests away: it has no room. */
+        /** Rejects requests for lack of capacity. */
         FULL,
-        /** Takes requests and says nothing. */
+        /** Accepts requests and does not respond. */
         UNRESPONSIVE
     }
 
@@ -54,10 +57,12 @@
         return new ServerIdentity(instanceId, service, zone, stage, Addresses.format(at));
     }
 
+    /** The server as the endpoint list names it. */
     public ServerIdentity identity() {
         return identity;
     }
 
+    /** Changes what is done with requests from now on. */
     public void behaviour(Behaviour next) {
         behaviour = next;
     }
@@ -66,7 +71,7 @@
         return address;
     }
 
-    /** Its process ends at once, and all its connections with it. */
+    /** Ends the server and its connections; returns when that is done. */
     public void crash() {
         CompletableFuture<Void> down = new CompletableFuture<>();
         loop.execute(() -> {
@@ -81,14 +86,14 @@
         List.copyOf(connections).forEach(ServerConnection::crash);
     }
 
-    /** Takes a request that is meant for this server. */
+    /** Runs or rejects a request that names this instance, or none. */
     abstract void handle(Arrival arrival);
 
     final void record(FleetEvent event) {
         history.add(event);
     }
 
-    /** A request at this server, and the way to answer it. */
+    /** A request that has arrived, with the means to respond. */
     final class Arrival {
         final String attemptId;
         final String method;
@@ -115,13 +120,13 @@
             return connection.isOpen();
         }
 
-        /** Work begins. */
+        /** Records the start of the run. */
         void run() {
             running = true;
             record(new FleetEvent.RunStarted(loop.now(), identity, attemptId));
         }
 
-        /** Work ends; told once. */
+        /** Records the end of the run, once. */
         void ended(RunEnd end) {
             if (running) {
                 running = false;
@@ -129,12 +134,13 @@
             }
         }
 
+        /** Rejects the request without running it. */
         void reject(int status) {
             record(new FleetEvent.RunRejected(loop.now(), identity, attemptId, status));
             connection.reply(head(status).header(WireFields.NOT_EXECUTED, "1"), "");
         }
 
-        /** Sends the whole answer. */
+        /** Sends a complete response; {@code seal}: null for one without. */
         void answer(int status, String seal, String text) {
             ended(RunEnd.COMPLETED);
             record(new FleetEvent.Answered(loop.now(), identity, attemptId, status, seal, text));
--- a/emulator/src/main/java/dewplank/emulator/fleet/SteadyLoad.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/SteadyLoad.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeoutException;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Clients that keep asking, one request after another at each data plane, until they are stopped. */
+/** Clients that send one request after another to each data plane until they are stopped. */
 public final class SteadyLoad {
     private static final double PAUSE_MS = 15;
     private static final long STOP_TIMEOUT_S = 20;
@@ -44,16 +44,17 @@
         });
     }
 
+    /** Attempts that ended with a complete response of status 200. */
     public int served() {
         return served.get();
     }
 
-    /** AttemptLog that got anything but a success, whole. */
+    /** Attempts that ended without a complete response of status 200. */
     public int notServed() {
         return notServed.get();
     }
 
-    /** Ends once every try that is under way has its outcome. */
+    /** Stops the clients and waits until all attempts have ended. */
     public void stop() throws InterruptedException, ExecutionException, TimeoutException {
         isStopping = true;
         CompletableFuture.allOf(ends.toArray(new CompletableFuture<?>[0])).get(STOP_TIMEOUT_S, TimeUnit.SECONDS);
--- a/emulator/src/main/java/dewplank/emulator/fleet/StreamRules.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/StreamRules.java
@@ -14,7 +14,7 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-/** What holds for streams: rising ids without a gap or repeat, one head, and an end only behind the last event. */
+/** Rules for streams: consecutive ids, one head, and an end only behind the last event. */
 final class StreamRules {
     private final AttemptLog attempts;
     private final Map<String, StreamBegun> bySeal = new HashMap<>();
--- a/emulator/src/main/java/dewplank/emulator/fleet/Violation.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/Violation.java
@@ -1,30 +1,30 @@
 package dewplank.emulator.fleet;
 
-/** A rule that a history breaks, and where. */
+/** A rule that a history breaks, and where. The rules have the names of the bench. */
 public record Violation(Rule rule, String detail) {
-    /** What histories are checked for. */
+    /** The rules that histories are checked for. */
     public enum Rule {
-        /** A try that may run once at most ran again. */
+        /** An attempt that may run at most once ran again. */
         TWICE,
-        /** A try that was refused had run, or ran later. */
+        /** An attempt whose response promises that it did not run has run. */
         REFUSED,
-        /** A success without the seal, or with another body than the server's. */
+        /** A success without the server's seal, or with another body than the server's. */
         MIXED,
-        /** A request that no client sent reached a server, or a changed one. */
+        /** A request arrived at a server that no client sent, or that was changed. */
         UNASKED,
-        /** A stream with a piece missing or repeated, of two heads, or ended too early. */
+        /** A stream with an event missing or repeated, with two heads, or that ended too early. */
         ORDER,
-        /** A handle taken twice, or for another request than its own. */
+        /** A handle was fetched twice, or for another request. */
         HANDLE,
-        /** A run at a service that no configuration ever allowed. */
+        /** A request ran at a service that no configuration allowed. */
         ROUTE,
-        /** A request reached a draining server too late. */
+        /** A request arrived at a draining server too late. */
         DRAIN,
-        /** An acknowledged configuration was not read back, or two on one base were acknowledged, or an invalid one. */
+        /** An acknowledged configuration was lost, two on one base were acknowledged, or an invalid one was. */
         CONFIG,
-        /** A request was handled as only a configuration allowed that had been replaced long before. */
+        /** A request was handled by a configuration that had been replaced long before. */
         STALE,
-        /** Two callers asked the platform at the same time. */
+        /** Two processes called the platform at the same time. */
         ONE
     }
 
--- a/emulator/src/main/java/dewplank/emulator/loopback/Addresses.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/Addresses.java
@@ -8,8 +8,8 @@
 import java.net.UnknownHostException;
 
 /**
- * Addresses in 127.0.0.0/8. Each sidecar reaches every party at an address kept for it alone: so a party knows who is
- * calling, links can be cut pair by pair, and no pair of addresses runs out of ports.
+ * Addresses in 127.0.0.0/8. Each sidecar reaches every server, directory and peer at an address of its own: the callee
+ * knows its caller, each pair can be partitioned, and no pair of addresses runs out of ports.
  */
 public final class Addresses {
     private static final int HOSTS_PER_OCTET = 250;
@@ -19,9 +19,10 @@
     private static final int PEER_OCTET = 3;
     private static final int PEER_RELAY_OCTET = 4;
     private static final int FLEET_OCTET = 200;
-    /** Networks of fleets that there is room for, and machines in each. */
+    /** The number of networks of fleets. */
     public static final int MAX_FLEETS = HOSTS_PER_OCTET;
 
+    /** The number of machines in each. */
     public static final int MAX_MACHINES = HOSTS_PER_OCTET;
 
     private Addresses() {}
@@ -43,16 +44,17 @@
         }
     }
 
-    /** Port 0: any that is free there. */
+    /** Where a sidecar reaches a server; port 0, for any that is free there. */
     static InetSocketAddress server(int sidecar, int server, int servers) {
         return new InetSocketAddress(of(FIRST_SERVER_OCTET, sidecar * servers + server), 0);
     }
 
+    /** Where a sidecar reaches the directory; port 0. */
     static InetSocketAddress directory(int sidecar) {
         return new InetSocketAddress(of(DIRECTORY_OCTET, sidecar), 0);
     }
 
-    /** Where a sidecar hears the others; with a port for datagrams that is free now. */
+    /** Where a sidecar receives datagrams from its peers; with a port that is free now. */
     static InetSocketAddress peer(int sidecar) throws IOException {
         InetAddress address = of(PEER_OCTET, sidecar);
         try (DatagramSocket socket = new DatagramSocket(0, address)) {
@@ -60,12 +62,12 @@
         }
     }
 
-    /** Where one sidecar reaches another. */
+    /** Where one sidecar reaches another; port 0. */
     static InetSocketAddress peer(int sidecar, int other, int sidecars) {
         return new InetSocketAddress(of(PEER_RELAY_OCTET, sidecar * sidecars + other), 0);
     }
 
-    /** With a port that is free now. */
+    /** Where a sidecar takes requests; with a port that is free now. */
     static InetSocketAddress sidecar(int sidecar) throws IOException {
         InetAddress address = of(SIDECAR_OCTET, sidecar);
         try (ServerSocket socket = new ServerSocket(0, 1, address)) {
@@ -78,6 +80,7 @@
         return of(FLEET_OCTET, fleet * MAX_MACHINES + machine);
     }
 
+    /** {@code IP:PORT}, as settings files and lists have it. */
     public static String format(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
--- a/emulator/src/main/java/dewplank/emulator/loopback/DirectoryEndpoint.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/DirectoryEndpoint.java
@@ -1,6 +1,5 @@
 package dewplank.emulator.loopback;
 
-import java.util.Optional;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
 import dewplank.balancer.Endpoint;
@@ -16,11 +15,14 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
+import java.util.Optional;
 import java.util.function.BiFunction;
 
-/** The model's directory on sockets, for one sidecar: the whole list, and the watch as an endless chunked answer. */
+/** The model's directory on sockets, for one sidecar: the full list, and the watch as an endless chunked response. */
 final class DirectoryEndpoint {
+    /** After so long without an update a watch gets an empty line. */
     private static final double KEEP_ALIVE_MS = 2_000;
+
     private static final int MAX_CONNECTIONS = 1_000;
 
     private final World world;
@@ -28,7 +30,7 @@
     private final BiFunction<Integer, Integer, InetSocketAddress> addresses;
     private final Listener listener;
 
-    /** {@code addresses}: where a sidecar reaches a server, by their numbers. */
+    /** {@code addresses}: where a sidecar reaches a server, by the numbers of both. */
     DirectoryEndpoint(
             EventLoop loop, World world, int sidecar, BiFunction<Integer, Integer, InetSocketAddress> addresses)
             throws IOException {
@@ -43,7 +45,7 @@
         return (InetSocketAddress) listener.address();
     }
 
-    /** A list as the protocol has it. */
+    /** A list in the form of the discovery protocol; {@code full}: all endpoints, otherwise those that changed. */
     JsonObject json(long version, boolean full, List<Endpoint> entries) {
         JsonArray servers = new JsonArray();
         for (Endpoint endpoint : entries) {
@@ -96,7 +98,8 @@
                                 .toString()
                                 .getBytes(StandardCharsets.UTF_8)));
             } else {
-                watch = Optional.of(world.directory().watch(sidecar, index(target.substring(indexAt + "index=".length())), this));
+                watch = Optional.of(
+                        world.directory().watch(sidecar, index(target.substring(indexAt + "index=".length())), this));
             }
         }
 
@@ -104,7 +107,7 @@
             try {
                 return Long.parseLong(text.replaceAll("&.*", ""));
             } catch (NumberFormatException e) {
-                return 0; // knows nothing: gets all
+                return 0; // the watch begins with the full list
             }
         }
 
--- a/emulator/src/main/java/dewplank/emulator/loopback/HttpEndpoint.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/HttpEndpoint.java
@@ -9,20 +9,22 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** A server's side of one connection, with one request at a time on it. Also the load tool's stand-in target. */
+/** The server's side of one HTTP/1.1 connection, with one request at a time. Called on the loop's thread. */
 public abstract class HttpEndpoint implements Listener.Accepted {
     private final RequestParser parser = new RequestParser();
     private Connection connection;
     private boolean isBusy;
 
-    /** A request is whole. It is answered by {@link #answer}, now or later, or never. */
+    /** A complete request has arrived; {@link #answer} responds to it, at once or later. */
     protected abstract void request(RequestParser request);
 
+    /** The connection was accepted. */
     protected void opened() {}
 
+    /** The peer closed the connection, or it broke; not called after {@link #close}. */
     protected void ended() {}
 
-    /** Whether what comes in is looked at; a machine that has gone silent does not. */
+    /** Whether received bytes are read; a machine that vanished drops them. */
     protected boolean listens() {
         return true;
     }
@@ -59,7 +61,7 @@
         ended();
     }
 
-    /** Ends the request with this answer, and reads the next. */
+    /** Sends a response, or its last bytes, and reads the next request. */
     protected final void answer(ByteBuffer message) {
         if (connection.isClosed()) {
             return;
@@ -70,15 +72,17 @@
         connection.resume();
     }
 
-    /** Bytes of an answer that goes on; its last ones go to {@link #answer}. */
+    /** Sends bytes of a response; its last ones go to {@link #answer}. */
     protected final void write(ByteBuffer part) {
         connection.write(part, () -> {});
     }
 
+    /** Closes the connection. */
     protected final void close() {
         connection.close();
     }
 
+    /** Whether the connection was accepted and has not closed. */
     protected final boolean open() {
         return connection != null && !connection.isClosed();
     }
--- a/emulator/src/main/java/dewplank/emulator/loopback/PeerRelay.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/PeerRelay.java
@@ -10,14 +10,14 @@
 import java.nio.channels.Selector;
 
 /**
- * The network between sidecars. Each knows another by an address of its own for it, held here; a datagram sent there
- * comes to the other one late, or not at all, from the address by which that one knows the sender. One thread waits for
- * datagrams; when and whether they go on is settled on the loop, like all else of the world.
+ * The network between sidecars. Each sidecar sends to a peer at an address that belongs to the pair; the relay forwards
+ * the datagram, delayed, or drops it, and sends it from the address at which the receiver knows the sender. One thread
+ * receives datagrams; delay and loss are drawn on the loop's thread.
  */
 final class PeerRelay implements AutoCloseable {
-    /** The platform's bound on a datagram; a longer one is cut to one byte more, so that its receiver can tell. */
+    /** The platform's bound on a datagram. A longer one is cut to one byte more, so that its receiver can reject it. */
     private static final int MAX_DATAGRAM_BYTES = 256;
-    /** On their way at one time; what comes beyond that is lost, as in a full buffer. */
+    /** Datagrams in flight; those beyond are lost, as in a full buffer. */
     private static final int MAX_IN_FLIGHT = 4_096;
 
     private final EventLoop loop;
@@ -58,21 +58,22 @@
         reader.start();
     }
 
-    /** Where that sidecar listens for the others. */
+    /** Where a sidecar receives datagrams. */
     InetSocketAddress listen(int sidecar) {
         return listen[sidecar];
     }
 
-    /** Where sidecar {@code from} reaches the other; its own place holds an address that nobody is at. */
+    /** Where sidecar {@code from} reaches {@code to}; for itself, its own address, which it does not use. */
     InetSocketAddress address(int from, int to) throws IOException {
         return from == to ? listen[from] : (InetSocketAddress) channels[from][to].getLocalAddress();
     }
 
-    /** Datagrams that went on to their receivers. */
+    /** Datagrams delivered so far. */
     long delivered() {
         return delivered;
     }
 
+    /** Datagrams lost so far. */
     long lost() {
         return lost;
     }
@@ -94,7 +95,7 @@
                 selector.selectedKeys().clear();
             }
         } catch (IOException | java.nio.channels.ClosedSelectorException e) {
-            // the run is over
+            // the relay was closed
         }
     }
 
@@ -111,7 +112,7 @@
                 channels[pair.to()][pair.from()].send(ByteBuffer.wrap(datagram), listen[pair.to()]);
                 delivered++;
             } catch (IOException e) {
-                lost++; // nobody is there now
+                lost++; // the receiver does not run now
             }
         });
     }
--- a/emulator/src/main/java/dewplank/emulator/loopback/ProgramProcess.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/ProgramProcess.java
@@ -1,13 +1,13 @@
 package dewplank.emulator.loopback;
 
-import java.util.Optional;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 
-/** A program as a process of its own, told what to do by a settings file alone, which a variable names. */
+/** A program that runs as a process. It finds its settings file by an environment variable. */
 public final class ProgramProcess {
     private static final int EXIT_TIMEOUT_S = 10;
 
@@ -17,6 +17,7 @@
     private final Path folder;
     private volatile Optional<Process> process = Optional.empty();
 
+    /** {@code variable}: names the settings file to the program; {@code folder}: for settings and log. */
     public ProgramProcess(String name, List<String> command, String variable, Path folder) {
         this.name = name;
         this.command = List.copyOf(command);
@@ -24,12 +25,12 @@
         this.folder = folder;
     }
 
-    /** Its log, over all its lives. */
+    /** The file with the output of all its incarnations. */
     public Path log() {
         return folder.resolve(name + ".log");
     }
 
-    /** Starts it; variables named in {@code removedVariables} are not handed on to it. */
+    /** Writes the settings file and starts the process, without the environment variables named. */
     public void start(String settings, List<String> removedVariables) throws IOException {
         Path file = folder.resolve(name + ".json");
         Files.writeString(file, settings);
@@ -41,17 +42,22 @@
         process = Optional.of(builder.start());
     }
 
+    /** Whether the process was started and has not ended. */
     public boolean isAlive() {
         return process.filter(Process::isAlive).isPresent();
     }
 
+    /** Sends SIGKILL; nothing where the process was not started. */
     public void kill() {
         process.ifPresent(Process::destroyForcibly);
     }
 
-    /** Sends a signal by its name, TERM say. */
+    /** Sends a signal by its name, such as TERM. */
     public void signal(String signal) throws IOException, InterruptedException {
-        int exitStatus = new ProcessBuilder("kill", "-" + signal, Long.toString(process.orElseThrow().pid()))
+        int exitStatus = new ProcessBuilder(
+                        "kill",
+                        "-" + signal,
+                        Long.toString(process.orElseThrow().pid()))
                 .start()
                 .waitFor();
         if (exitStatus != 0) {
@@ -59,14 +65,14 @@
         }
     }
 
-    /** Waits until a process that was killed has ended. */
+    /** Waits for the end of a process that was killed; throws where it does not come. */
     public void awaitEnd() throws InterruptedException {
         if (!awaitEnd(EXIT_TIMEOUT_S)) {
             throw new IllegalStateException(name + " did not end when killed");
         }
     }
 
-    /** Whether it ended within so many seconds. */
+    /** Waits for the end; whether it came within so many seconds, or the process never ran. */
     public boolean awaitEnd(int seconds) throws InterruptedException {
         return process.isEmpty() || process.get().waitFor(seconds, TimeUnit.SECONDS);
     }
--- a/emulator/src/main/java/dewplank/emulator/loopback/RealTime.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/RealTime.java
@@ -3,7 +3,7 @@
 import dewplank.emulator.Scheduler;
 import dewplank.net.EventLoop;
 
-/** The loop's clock: Unix milliseconds. Watches how late its own tasks run. */
+/** The loop's clock, in Unix milliseconds. Measures how late its own tasks run. On the loop's thread. */
 final class RealTime implements Scheduler {
     private static final double SAMPLE_INTERVAL_MS = 20;
     private static final double LATE_THRESHOLD_MS = 25;
@@ -40,11 +40,12 @@
         }
     }
 
-    /** Nothing given so far, or later, runs from here on. */
+    /** Drops all tasks, scheduled and future ones. */
     void end() {
         hasEnded = true;
     }
 
+    /** Starts to measure lateness; called once. */
     void monitorLateness() {
         double dueAtMs = now() + SAMPLE_INTERVAL_MS;
         after(SAMPLE_INTERVAL_MS, () -> {
@@ -60,7 +61,7 @@
         return maxLatenessMs;
     }
 
-    /** Whether the emulator came too late, too often, for its figures to say anything of a sidecar. */
+    /** Whether the emulator ran so late, or late so often, that the figures do not describe the sidecars. */
     boolean isUnsound() {
         return maxLatenessMs > MAX_LATENESS_MS || lateCount > MAX_LATE_SHARE * Math.max(100, sampleCount);
     }
--- a/emulator/src/main/java/dewplank/emulator/loopback/ServerEndpoint.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/ServerEndpoint.java
@@ -18,10 +18,10 @@
 import java.util.Set;
 
 /**
- * One model server on sockets, with an address for each sidecar. What the model's server does is done here too: it
- * refuses when its process is dead, and says nothing when its machine has gone. The system still completes connections
- * to a silent one, which no user program can prevent: there a sidecar sees a time-out where on a real network it could
- * not connect.
+ * One server of the model on sockets, with an address for each sidecar. It refuses connections while the server's
+ * process has crashed, and does not respond while its machine has vanished. The operating system still accepts
+ * connections to a vanished one, which a user program can't prevent: a sidecar sees a time-out of the response there,
+ * where a real network would give a time-out of the connection. On the loop's thread.
  */
 final class ServerEndpoint {
     private static final int MAX_CONNECTIONS = 20_000;
@@ -60,16 +60,16 @@
         }
     }
 
-    /** Its process has ended: new connections are refused, those that it had end. */
+    /** The process has ended: closes its connections and refuses new ones. */
     void stop() {
         listeners.forEach(Listener::close);
         listeners.clear();
         new ArrayList<>(connections).forEach(ServerConnection::end);
     }
 
-    /** It has started again. */
+    /** The process has started again: accepts connections. */
     void restart() throws IOException {
-        new ArrayList<>(connections).forEach(ServerConnection::end); // those of a machine that went silently
+        new ArrayList<>(connections).forEach(ServerConnection::end); // left over from a machine that vanished
         if (listeners.isEmpty()) {
             listen();
         }
@@ -141,7 +141,7 @@
                 reply(MessageWriter.response(400).body("no client sent this\n".getBytes(StandardCharsets.US_ASCII)));
                 return;
             }
-            if (isStale) { // it had closed this one long ago, without a word
+            if (isStale) { // the server closed it when idle, and the sidecar had no notice
                 end();
                 return;
             }
@@ -156,7 +156,7 @@
             });
         }
 
-        /** One that stands idle for too long is closed, or forgotten without notice. */
+        /** Starts an idle period; when it exceeds the limit, the connection closes, or turns stale without notice. */
         private void idle() {
             double idleTimeoutMs = world.scenario().connections().idleMs();
             int period = ++idlePeriods;
--- a/emulator/src/main/java/dewplank/emulator/loopback/SidecarFile.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/SidecarFile.java
@@ -7,21 +7,13 @@
 import dewplank.balancer.Settings.RequestClass;
 import dewplank.balancer.Settings.Safety;
 
-/** The module's settings in the form that a sidecar's configuration has them. */
+/** A balancer's settings in the form of a sidecar's configuration file. */
 final class SidecarFile {
     private SidecarFile() {}
 
     static JsonObject settings(Settings settings) {
         JsonObject json = new JsonObject();
-        JsonArray accounts = new JsonArray();
-        settings.tenants().forEach(tenant -> {
-            JsonObject account = new JsonObject();
-            account.addProperty("Name", tenant.name());
-            account.addProperty("Share", tenant.share());
-            account.addProperty("AllowancePerS", tenant.allowancePerSecond());
-            accounts.add(account);
-        });
-        json.add("Accounts", accounts);
+        json.add("Accounts", accounts(settings));
         JsonObject family = new JsonObject();
         family.addProperty("WarmKeys", settings.serversCacheKeys());
         json.add("FamilyInfo", family);
@@ -55,6 +47,18 @@
         return json;
     }
 
+    private static JsonArray accounts(Settings settings) {
+        JsonArray accounts = new JsonArray();
+        settings.tenants().forEach(tenant -> {
+            JsonObject account = new JsonObject();
+            account.addProperty("Name", tenant.name());
+            account.addProperty("Share", tenant.share());
+            account.addProperty("AllowancePerS", tenant.allowancePerSecond());
+            accounts.add(account);
+        });
+        return accounts;
+    }
+
     private static JsonObject requestClass(RequestClass requestClass) {
         JsonObject json = new JsonObject();
         json.addProperty("Name", requestClass.name());
--- a/emulator/src/main/java/dewplank/emulator/loopback/SidecarProcess.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/SidecarProcess.java
@@ -5,7 +5,7 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** One sidecar as a process of its own, told what to do by a configuration file alone. */
+/** One sidecar that runs as a process, with nothing but a configuration file. */
 final class SidecarProcess {
     private static final List<String> REMOVED_VARIABLES = List.of("GW_NAME", "GW_LISTEN", "GW_DISCOVERY");
 
@@ -21,7 +21,7 @@
         return listen;
     }
 
-    /** Its log, over all its lives. */
+    /** The file with the output of all its incarnations. */
     Path log() {
         return process.log();
     }
--- a/emulator/src/main/java/dewplank/emulator/virtualtime/EmulatedSidecar.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/EmulatedSidecar.java
@@ -229,7 +229,9 @@
 
     // ---- peers ----------------------------------------------------------------------------------------
 
-    /** The bytes that go to the peers for the balancer's summary. Overridden by sidecars that tests break on purpose. */
+    /**
+     * The bytes that go to the peers for the balancer's summary. Overridden by sidecars that tests break on purpose.
+     */
     protected byte[] peerSummary(byte[] summary) {
         return summary;
     }
--- a/emulator/src/main/java/dewplank/emulator/virtualtime/VirtualRun.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/VirtualRun.java
@@ -18,14 +18,15 @@
 import java.util.stream.IntStream;
 
 /**
- * One run in virtual time. The world is moved by one thread; the modules of one tick decide side by side, each on its
- * own state, and their actions are carried out in the sidecars' order: the result does not hang on the number of cores.
+ * One run in virtual time. One thread moves the world. In each tick the balancers of the sidecars that have events
+ * decide, in parallel where the run was created so, each on its own state; their actions then take effect in the
+ * sidecars' order. The result depends on scenario, seed and policy alone, not on the number of cores.
  */
 public final class VirtualRun implements Clients.SidecarConnector {
     private static final int MIN_PARALLEL_SIDECARS = 8;
 
     /**
-     * Makes the decision module under test. {@code world}: for a policy that sees the true state; no other may look.
+     * Creates the balancer under test. {@code world} is for a policy that knows the true state; no other may use it.
      */
     public interface Policy {
         Balancer create(Settings settings, long seed, World world, int sidecar);
@@ -39,12 +40,21 @@
         PARALLEL
     }
 
-    /** Makes a sidecar; for tests, which need broken ones. */
+    /** Creates a sidecar; tests create ones that are broken on purpose. */
     public interface SidecarFactory {
         EmulatedSidecar create(VirtualRun run, int number);
     }
 
-    /** What a run cost, beside what its tally and its notes say. */
+    /**
+     * What a run cost, beside its recorded events and the outcomes of its requests.
+     *
+     * @param events tasks that virtual time ran
+     * @param sends attempts sent to servers
+     * @param handshakes connections begun to servers
+     * @param directoryCalls calls to the directory
+     * @param directoryLines lines that the directory sent
+     * @param connectionsAtEnd connections that sidecars still had open
+     */
     public record Cost(
             long events,
             long sends,
@@ -94,7 +104,7 @@
         }
     }
 
-    /** Plays the scenario, and on until every client has its end. */
+    /** Plays the scenario, and on until each client's request has ended; called once. */
     public Cost run() {
         List<Endpoint> endpoints = world.directory().endpoints();
         long version = world.directory().version();
@@ -107,7 +117,8 @@
         while (clients.openRequests() > 0 && time.now() < latestEndMs) {
             time.runUntil(time.now() + 50);
         }
-        time.runUntil(time.now() + scenario.longestDeadlineMs()); // what servers still hold may yet have an effect
+        time.runUntil(
+                time.now() + scenario.longestDeadlineMs()); // requests in progress at servers may still have effects
         return new Cost(
                 time.ran(),
                 sum(EmulatedSidecar::attemptsSent),
@@ -122,10 +133,12 @@
         return sidecars.stream().mapToLong(figure).sum();
     }
 
+    /** The world of this run. */
     public World world() {
         return world;
     }
 
+    /** The clients of this run. */
     public Clients clients() {
         return clients;
     }
@@ -148,7 +161,7 @@
         sidecars.get(request.sidecar()).abandon(request);
     }
 
-    /** To each other sidecar, late or not at all. */
+    /** Sends a summary to every other sidecar, delayed or lost. */
     void broadcast(int from, byte[] summary) {
         for (EmulatedSidecar to : sidecars) {
             double delay = to.number == from ? -1 : world.messageDelay();
@@ -158,7 +171,7 @@
         }
     }
 
-    /** The sidecar has something for its module; it is told at the next tick. */
+    /** Lets a sidecar decide at the next tick. */
     void wake(EmulatedSidecar sidecar) {
         scheduled.add(sidecar);
         if (!isTickScheduled) {
--- a/lab/src/main/java/dewplank/lab/Trial.java
+++ b/lab/src/main/java/dewplank/lab/Trial.java
@@ -35,7 +35,8 @@
         Auditor auditor = new Auditor(scenario, SLACK_MS);
         Service service = new Service(scenario, 0);
         LossSplit losses = new LossSplit(scenario, auditor, service);
-        VirtualRun run = new VirtualRun(scenario, seed, Policies.named(policy), losses, losses, VirtualRun.Execution.SEQUENTIAL);
+        VirtualRun run =
+                new VirtualRun(scenario, seed, Policies.named(policy), losses, losses, VirtualRun.Execution.SEQUENTIAL);
         losses.attach(run.world());
         Cost cost = run.run();
         auditor.end(run.world().now());
--- a/lab/src/test/java/dewplank/lab/AuditorTest.java
+++ b/lab/src/test/java/dewplank/lab/AuditorTest.java
@@ -76,7 +76,8 @@
     private static Auditor play(VirtualRun.Policy policy, VirtualRun.SidecarFactory sidecars) {
         Scenario day = busyDay();
         Auditor auditor = new Auditor(day, 50);
-        VirtualRun run = new VirtualRun(day, 11, policy, auditor, new Service(day, 0), VirtualRun.Execution.SEQUENTIAL, sidecars);
+        VirtualRun run = new VirtualRun(
+                day, 11, policy, auditor, new Service(day, 0), VirtualRun.Execution.SEQUENTIAL, sidecars);
         run.run();
         auditor.end(run.world().now());
         return auditor;
