--- /dev/null
+++ b/cli/src/main/java/dewplank/ConfigurationCommands.java
@@ -0,0 +1,116 @@
+package dewplank;
+
+import dewplank.client.Change;
+import dewplank.client.ConfigurationChanges;
+import dewplank.client.ConfigurationDifference;
+import dewplank.client.ConfigurationText;
+import dewplank.client.ControlResponse;
+import dewplank.client.JsonValues;
+import dewplank.configuration.Configuration;
+import dewplank.settings.InvalidInputException;
+import dewplank.settings.ResultCode;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.kohsuke.args4j.Argument;
+import org.kohsuke.args4j.Option;
+
+/** The commands that read or change the configuration. */
+final class ConfigurationCommands {
+    private ConfigurationCommands() {}
+
+    /** Prints the configuration. */
+    public static final class Get extends FleetCommand {
+        @Override
+        public void run() throws IOException, InterruptedException {
+            ControlResponse answer = new ConfigurationChanges(client()).read();
+            print(answer.text(), json() ? "" : ConfigurationText.of(ConfigurationChanges.parse(answer)));
+        }
+    }
+
+    /** A change out of a file. */
+    abstract static class FileChange extends FleetCommand {
+        @Argument(required = true, metaVar = "FILE", usage = "the change, as JSON")
+        private Path file;
+
+        @Option(
+                name = "--on",
+                metaVar = "VERSION",
+                usage = "the version that it builds on, 0 for the first; default: the current one, which is read first")
+        private Long on;
+
+        abstract ControlResponse send(ConfigurationChanges changes, byte[] body, Long version)
+                throws IOException, InterruptedException;
+
+        @Override
+        public void run() throws IOException, InterruptedException {
+            if (on != null && on < 0) {
+                throw new WrongUseException("--on should be 0 or above");
+            }
+            ControlResponse answer = send(new ConfigurationChanges(client()), bytes(file), on);
+            if (!answer.isSuccess() && json()) {
+                print(answer.text(), "");
+            }
+            answer.requireSuccess();
+            print(answer.text(), answer.result().replaceAll(": $", "") + " by " + answer.address());
+        }
+    }
+
+    /** Replaces the configuration. */
+    public static final class Put extends FileChange {
+        @Override
+        ControlResponse send(ConfigurationChanges changes, byte[] body, Long version)
+                throws IOException, InterruptedException {
+            return changes.put(body, version);
+        }
+    }
+
+    /** Changes items of the configuration. */
+    public static final class Patch extends FileChange {
+        @Override
+        ControlResponse send(ConfigurationChanges changes, byte[] body, Long version)
+                throws IOException, InterruptedException {
+            return changes.patch(body, version);
+        }
+    }
+
+    /** Shows what a file would change. */
+    public static final class Diff extends FleetCommand {
+        @Argument(required = true, metaVar = "FILE", usage = "a whole configuration, or a change with upsert or remove")
+        private Path file;
+
+        @Override
+        public void run() throws IOException, InterruptedException {
+            byte[] body = bytes(file);
+            Configuration current = new ConfigurationChanges(client()).current();
+            Configuration next = ConfigurationChanges.apply(current, body);
+            List<Change> changes = ConfigurationDifference.between(current, next);
+            StringBuilder text = new StringBuilder();
+            changes.forEach(c -> text.append(c.line()).append('\n'));
+            print(json(current, next, changes), changes.isEmpty() ? "no differences" : text.toString());
+            if (current != null && next.version() <= current.version()) {
+                throw InvalidInputException.of(
+                        ResultCode.INVALID_CONFIGURATION, "config_version: is not above " + current.version());
+            }
+        }
+
+        private static String json(Configuration current, Configuration next, List<Change> changes) {
+            Map<String, Object> out = new LinkedHashMap<>();
+            out.put("from", current == null ? 0 : current.version());
+            out.put("to", next.version());
+            out.put("changes", changes.stream().map(Change::fields).toList());
+            return JsonValues.toJson(out);
+        }
+    }
+
+    private static byte[] bytes(Path file) {
+        try {
+            return Files.readAllBytes(file);
+        } catch (IOException e) {
+            throw InvalidInputException.of(ResultCode.FILE_UNREADABLE, "the file " + file + " can't be read: " + e);
+        }
+    }
+}
--- a/cli/src/main/java/dewplank/OperatorMain.java
+++ b/cli/src/main/java/dewplank/OperatorMain.java
@@ -31,7 +31,7 @@
             new CmdLineParser(main).parseArgument(args);
             main.command.run();
             return CommandLine.OK;
-        } catch (CmdLineException | OperatorCommands.WrongUseException e) {
+        } catch (CmdLineException | WrongUseException e) {
             CommandLine.printError(e.getMessage() + "\n" + Help.usage(args));
             return CommandLine.WRONG_USAGE;
         } catch (NoResponseException e) {
