--- a/emulator/src/test/java/dewplank/emulator/EndpointDirectoryTest.java
+++ b/emulator/src/test/java/dewplank/emulator/EndpointDirectoryTest.java
@@ -14,8 +14,8 @@
 
 public class EndpointDirectoryTest {
     private final VirtualTime time = new VirtualTime();
-    private final List<RecordedEvent> notes = new ArrayList<>();
-    private final List<String> heard = new ArrayList<>();
+    private final List<RecordedEvent> events = new ArrayList<>();
+    private final List<String> updates = new ArrayList<>();
     private World world;
 
     private void world(String directory) {
@@ -37,19 +37,19 @@
                         "list.toml")),
                 1,
                 time,
-                notes::add);
+                events::add);
     }
 
     private EndpointDirectory.Watch watch(long since) {
         return world.directory().watch(0, since, new EndpointDirectory.Watcher() {
             @Override
             public void updated(long version, boolean full, List<Endpoint> entries) {
-                heard.add((full ? "full " : "changes ") + entries.size());
+                updates.add((full ? "full " : "changes ") + entries.size());
             }
 
             @Override
             public void ended() {
-                heard.add("ended at %.0f".formatted(time.now()));
+                updates.add("ended at %.0f".formatted(time.now()));
             }
         });
     }
@@ -66,12 +66,12 @@
         lost.crash();
         world.noticeCrash(lost);
         time.runUntil(900);
-        assertEquals(List.of("changes 0", "changes 1"), heard); // the quick one's new start
+        assertEquals(List.of("changes 0", "changes 1"), updates); // the quick one's new start
         time.runUntil(4_000);
-        assertEquals(List.of("changes 0", "changes 1", "changes 1"), heard);
+        assertEquals(List.of("changes 0", "changes 1", "changes 1"), updates);
         assertEquals(
                 1,
-                notes.stream()
+                events.stream()
                         .filter(n -> n.type() == Type.NOTIFIED_REMOVED && n.server() == 1)
                         .count());
     }
@@ -83,26 +83,26 @@
             watch(1);
         }
         time.runUntil(3_000);
-        assertEquals(3, heard.stream().filter(h -> h.equals("changes 0")).count());
-        assertEquals(2, heard.stream().filter(h -> h.equals("ended at 1000")).count());
+        assertEquals(3, updates.stream().filter(h -> h.equals("changes 0")).count());
+        assertEquals(2, updates.stream().filter(h -> h.equals("ended at 1000")).count());
     }
 
     @Test
-    public void watchesEndWhenItGoesDownAndASilentOneKeepsThemWithoutNews() {
+    public void watchesEndWhenItGoesDownAndStayWithoutUpdatesWhenItStalls() {
         world("period_ms = 100, calls_per_s = 1000");
         watch(1);
         time.runUntil(100);
         world.directory().setStalled(true);
         world.directory().set(world.servers().get(2), Availability.DRAINING);
         time.runUntil(1_000);
-        assertEquals(List.of("changes 0"), heard);
+        assertEquals(List.of("changes 0"), updates);
         world.directory().setDown(true);
-        assertEquals(2, heard.size());
-        assertTrue(heard.get(1).startsWith("ended"));
+        assertEquals(2, updates.size());
+        assertTrue(updates.get(1).startsWith("ended"));
     }
 
     @Test
-    public void whoIsFarBehindGetsTheWholeList() {
+    public void aWatchThatIsFarBehindGetsAFullUpdate() {
         world("period_ms = 100, calls_per_s = 1000");
         Server s = world.servers().get(0);
         for (int i = 0; i < 5_000; i++) {
@@ -110,6 +110,6 @@
         }
         watch(1);
         time.runUntil(50);
-        assertEquals(List.of("full 4"), heard);
+        assertEquals(List.of("full 4"), updates);
     }
 }
--- a/emulator/src/test/java/dewplank/emulator/ServerTest.java
+++ b/emulator/src/test/java/dewplank/emulator/ServerTest.java
@@ -14,15 +14,15 @@
 
 public class ServerTest {
     private final VirtualTime time = new VirtualTime();
-    private final List<RecordedEvent> notes = new ArrayList<>();
+    private final List<RecordedEvent> events = new ArrayList<>();
     private final List<Reply> replies = new ArrayList<>();
     private final List<Double> times = new ArrayList<>();
 
-    private World world(String more) {
-        return world(more, "", "");
+    private World world(String machineKeys) {
+        return world(machineKeys, "", "");
     }
 
-    private World world(String more, String ofClass, String top) {
+    private World world(String machineKeys, String classKeys, String topKeys) {
         return new World(
                 ScenarioFile.of(TomlFile.read(
                         """
@@ -41,11 +41,11 @@
             deadline_ms = 60000
             %s
             """
-                                .formatted(top, more, ofClass),
+                                .formatted(topKeys, machineKeys, classKeys),
                         "one.toml")),
                 7,
                 time,
-                notes::add);
+                events::add);
     }
 
     private void offer(World world, long id, double work) {
@@ -77,17 +77,17 @@
     }
 
     @Test
-    public void beyondSlotsAndQueueWorkIsTurnedAwayUnseen() {
+    public void beyondSlotsAndQueueRequestsAreRejected() {
         World world = world("name = \"small\", speed = 1");
         for (int i = 0; i < 1_003; i++) {
             offer(world, i, 100);
         }
         assertEquals(List.of(Reply.NEVER_RAN, Reply.NEVER_RAN, Reply.NEVER_RAN), replies);
-        assertEquals(3, notes.stream().filter(n -> n.type() == Type.REJECTED).count());
+        assertEquals(3, events.stream().filter(n -> n.type() == Type.REJECTED).count());
     }
 
     @Test
-    public void aProcessThatDiesResetsAndASilentMachineSaysNothing() {
+    public void aCrashedProcessResetsAndAVanishedMachineSendsNothing() {
         World world = world("cold_s = 0");
         offer(world, 1, 100);
         world.servers().get(0).crash();
@@ -97,11 +97,11 @@
         world.servers().get(0).vanish();
         time.runUntil(10_000);
         assertEquals(List.of(Reply.RESET), replies);
-        assertEquals(0, notes.stream().filter(n -> n.type() == Type.EFFECT).count());
+        assertEquals(0, events.stream().filter(n -> n.type() == Type.EFFECT).count());
     }
 
     @Test
-    public void aColdServerTakesLongerAndFallsUnderTooMuch() {
+    public void aColdServerTakesLongerAndCollapsesUnderTooMuchLoad() {
         World world = world("cold_s = 20, cold_share = 0.25");
         Server server = world.servers().get(0);
         server.crash();
@@ -114,11 +114,12 @@
         }
         assertEquals(Server.State.CRASHED, server.state());
         assertEquals(
-                1, notes.stream().filter(n -> n.type() == Type.SERVER_COLLAPSED).count());
+                1,
+                events.stream().filter(n -> n.type() == Type.SERVER_COLLAPSED).count());
     }
 
     @Test
-    public void oneThatIsCrowdedTurnsSlowAndRecoversOnlyAfterARest() {
+    public void anOverloadedServerSlowsDownAndRecoversOnlyAfterFewerRequests() {
         World world = world("choke = { at = 10, over_s = 1, slower = 4, rest_s = 2, below = 0.5, most_s = 100 }");
         Server server = world.servers().get(0);
         for (int i = 0; i < 20; i++) {
@@ -151,7 +152,7 @@
     }
 
     @Test
-    public void aKeyMetLatelySparesWorkUntilItIsForgotten() {
+    public void aCachedKeySavesWorkUntilItIsEvictedOrExpires() {
         World world = world("cold_s = 0", "", "subjects = { keys = 5, spared = 0.5, fresh_s = 2, per_core = 1 }");
         double first = alone(world, 1, 7);
         assertEquals(first / 2, alone(world, 1, 7), 1e-6);
@@ -175,7 +176,7 @@
     }
 
     @Test
-    public void aPauseStopsTheWorkAndTheRestGoesOn() {
+    public void aPauseStopsTheWorkWhichGoesOnAfterwards() {
         World world = world("speed = 2");
         offer(world, 1, 100);
         time.runUntil(10);
