--- a/dataplane/src/test/java/dewplank/dataplane/CallCrossingTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/CallCrossingTest.java
@@ -1,15 +1,15 @@
 package dewplank.dataplane;
 
-import static dewplank.dataplane.ForwarderFixture.NOT_EXECUTED;
-import static dewplank.dataplane.ForwarderFixture.PLAIN;
-import static dewplank.dataplane.ForwarderFixture.SEAL;
-import static dewplank.dataplane.ForwarderFixture.answer;
-import static dewplank.dataplane.ForwarderFixture.idOf;
-import static dewplank.dataplane.ForwarderFixture.request;
-import static dewplank.dataplane.ForwarderFixture.route;
-import static dewplank.dataplane.ForwarderFixture.serve;
-import static dewplank.dataplane.ForwarderFixture.target;
-import static dewplank.dataplane.ForwarderFixture.timeout;
+import static dewplank.dataplane.ClientRequests.HOST;
+import static dewplank.dataplane.ClientRequests.request;
+import static dewplank.dataplane.ServerAnswers.NOT_EXECUTED;
+import static dewplank.dataplane.ServerAnswers.SEAL;
+import static dewplank.dataplane.ServerAnswers.answer;
+import static dewplank.dataplane.ServerAnswers.idOf;
+import static dewplank.dataplane.ServerAnswers.serve;
+import static dewplank.dataplane.TestConfiguration.PLAIN;
+import static dewplank.dataplane.TestRoute.safeRoute;
+import static dewplank.dataplane.TestRoute.unsafeRoute;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNotSame;
@@ -44,12 +44,12 @@
         net = new ForwarderFixture()
                 .routes(
                         4 * LONG_BODY,
-                        route("safe", "safe", PLAIN, 3),
-                        route("once", "unsafe", PLAIN, 3),
-                        route("quick", "safe", PLAIN, 2, target(PATIENCE_MS * 2 / 5)),
-                        route("brief", "unsafe", PLAIN, 3, timeout(TIMEOUT_MS)),
-                        route("half", "unsafe", PLAIN, 3, timeout(LONG_TIMEOUT_MS)),
-                        route("briefly", "safe", PLAIN, 3, timeout(TIMEOUT_MS)));
+                        safeRoute("safe", 3),
+                        unsafeRoute("once", 3),
+                        safeRoute("quick", 2).withTargetLatency(PATIENCE_MS * 2 / 5),
+                        unsafeRoute("brief", 3).withTimeout(TIMEOUT_MS),
+                        unsafeRoute("half", 3).withTimeout(LONG_TIMEOUT_MS),
+                        safeRoute("briefly", 3).withTimeout(TIMEOUT_MS));
     }
 
     @AfterEach
@@ -65,7 +65,7 @@
         Call first = net.next();
         serve(first, "first");
         assertEquals("first", client.read().body());
-        OnLoop.pass(net.loop, RESTED_MS);
+        net.pass(RESTED_MS);
         return new Rested(client, first);
     }
 
@@ -88,7 +88,7 @@
 
     @Test
     void aLateAnswerOnAReusedConnectionIsNobodysWhateverItSays() throws Exception {
-        net.plain();
+        net.servers.plain();
         for (String target : BOTH) {
             for (String status : new String[] {"200 OK", "404 Not Found", "500 Internal Server Error"}) {
                 Rested rested = rested(target);
@@ -104,7 +104,7 @@
     /** Its promise is the first request's: the second one may run, and is neither refused nor sent elsewhere. */
     @Test
     void aLateRejectionOnAReusedConnectionRejectsNothing() throws Exception {
-        net.plain();
+        net.servers.plain();
         for (String target : BOTH) {
             Rested rested = rested(target);
             Call second = againOnTheSameWire(rested, target);
@@ -119,7 +119,7 @@
     /** Servers echo the id; what has none is another's, of the freeing of a handle say. */
     @Test
     void anAnswerWithoutAnIdIsNobodys() throws Exception {
-        net.plain();
+        net.servers.plain();
         for (String target : BOTH) {
             Rested rested = rested(target);
             Call second = againOnTheSameWire(rested, target);
@@ -134,7 +134,7 @@
 
     @Test
     void ofTwoAnswersInOnePieceTheFirstCountsAndTheConnectionEnds() throws Exception {
-        net.plain();
+        net.servers.plain();
         for (String target : BOTH) {
             Wire client = net.ask(target);
             Call call = net.next();
@@ -149,7 +149,7 @@
     /** The bytes of the second answer form none with those of the first one's. */
     @Test
     void bytesBehindAnAnswerAreNoPartOfTheNext() throws Exception {
-        net.plain();
+        net.servers.plain();
         for (String target : BOTH) {
             Rested rested = rested(target);
             Call second = againOnTheSameWire(rested, target);
@@ -172,14 +172,14 @@
      */
     @Test
     void aRequestSentAgainToItsServerGoesByAConnectionOfItsOwn() throws Exception {
-        ScriptedServer one = net.plain();
+        ScriptedServer one = net.servers.plain();
         Wire warm = net.ask("/once/");
         Call earlier = net.next();
         Wire client = net.ask("/once/");
         Call first = net.next();
         serve(earlier, ""); // its connection rests, ready for whoever comes next
         warm.read();
-        OnLoop.pass(net.loop, RESTED_MS);
+        net.pass(RESTED_MS);
         answer(first, "421 Misdirected Request", "", "");
         Call again = net.next();
         assertSame(one, again.server());
@@ -195,26 +195,27 @@
 
     @Test
     void aResetOfAnIdleConnectionThatIsKnownCostsNothing() throws Exception {
-        net.plain();
+        net.servers.plain();
         for (String target : BOTH) {
             Rested rested = rested(target);
             rested.first().wire().reset();
             OnLoop.await(
-                    net.loop, () -> net.view.allServers().iterator().next().pool.size() == 0);
+                    net.loop,
+                    () -> net.metadata.allServers().iterator().next().pool.size() == 0);
             rested.client().send(request(target, "", ""));
             Call second = net.next();
             assertNotSame(rested.first().wire(), second.wire());
             serve(second, "own");
             assertEquals("own", rested.client().read().body());
             net.assertQuiet();
-            OnLoop.pass(net.loop, RESTED_MS); // so that no further connection is opened
+            net.pass(RESTED_MS); // so that no further connection is opened
         }
     }
 
     @Test
     void aResetAfterTheRequestWasReadEndsAnUnsafeOne() throws Exception {
-        net.plain();
-        net.plain();
+        net.servers.plain();
+        net.servers.plain();
         Rested rested = rested("/once/");
         rested.client().send(request("/once/", "", ""));
         net.next().wire().reset();
@@ -229,7 +230,7 @@
      */
     @Test
     void aResetThatMeetsAnUnsafeRequestSendsItOnceAtMost() throws Exception {
-        net.plain();
+        net.servers.plain();
         for (boolean resetFirst : new boolean[] {true, false}) {
             Rested rested = rested("/once/");
             OnLoop.run(net.loop, () -> {
@@ -241,8 +242,10 @@
                     rested.first().wire().reset();
                 }
             });
-            OnLoop.await(net.loop, () -> !net.calls.isEmpty() || rested.client().hasBytes());
-            Call sent = net.calls.poll();
+            OnLoop.await(
+                    net.loop,
+                    () -> !net.servers.calls.isEmpty() || rested.client().hasBytes());
+            Call sent = net.servers.calls.poll();
             boolean read = sent != null && sent.wire() == rested.first().wire();
             boolean elsewhere = sent != null && !read;
             if (elsewhere) {
@@ -253,14 +256,14 @@
             assertEquals(elsewhere ? 200 : refused ? 503 : 502, got.status());
             assertEquals(elsewhere ? "own" : "", got.body());
             net.assertQuiet();
-            OnLoop.pass(net.loop, 2 * RESTED_MS); // a server that broke a connection is spared for 40 ms
+            net.pass(2 * RESTED_MS); // a server that broke a connection is spared for 40 ms
         }
     }
 
     @Test
     void anInterimAnswerIsNoPromiseThatTheRequestIsStillUnread() throws Exception {
-        net.plain();
-        net.plain();
+        net.servers.plain();
+        net.servers.plain();
         Wire client = net.ask("/once/");
         Call call = net.next();
         call.wire().send("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 102 Processing\r\n" + idOf(call) + "\r\n");
@@ -272,8 +275,8 @@
     /** Without a length the connection's end ends the answer, and a reset does not. */
     @Test
     void anAnswerWithoutALengthIsWholeAtItsEndAndNotAtAReset() throws Exception {
-        net.plain();
-        net.plain();
+        net.servers.plain();
+        net.servers.plain();
         for (String target : BOTH) {
             for (boolean whole : new boolean[] {true, false}) {
                 Wire client = net.ask(target);
@@ -291,7 +294,7 @@
                     assertEquals(502, client.read().status());
                 }
                 net.assertQuiet();
-                OnLoop.pass(net.loop, RESTED_MS);
+                net.pass(RESTED_MS);
             }
         }
     }
@@ -308,7 +311,7 @@
     @Test
     void anEarlyAnswerIsPassedOnAndItsConnectionCarriesNothingElse() throws Exception {
         try (ScriptedServer raw = ScriptedServer.raw()) {
-            net.list(raw, PLAIN, null);
+            net.servers.add(raw, PLAIN, null);
             for (String target : BOTH) {
                 Wire client = askLong(target);
                 Wire wire = raw.nextConnection();
@@ -333,11 +336,11 @@
     void aRequestThatIsTurnedAwayEarlyGoesWholeToAnotherServer() throws Exception {
         try (ScriptedServer raw = ScriptedServer.raw()) {
             for (String target : BOTH) {
-                net.list(raw, PLAIN, null);
+                net.servers.add(raw, PLAIN, null);
                 Wire client = askLong(target);
                 Wire wire = raw.nextConnection();
                 String id = wire.readHead().header("X-Dewplank-Request-Attempt-Id");
-                ScriptedServer other = net.plain();
+                ScriptedServer other = net.servers.plain();
                 wire.answer(
                         "503 Service Unavailable", "X-Dewplank-Request-Attempt-Id: " + id + "\r\n" + NOT_EXECUTED, "");
                 Call call = net.next();
@@ -347,8 +350,8 @@
                 serve(call, "own");
                 assertEquals("own", client.read().body());
                 net.assertQuiet();
-                net.remove(raw);
-                net.remove(other);
+                net.servers.remove(raw);
+                net.servers.remove(other);
             }
         }
     }
@@ -357,7 +360,7 @@
     @Test
     void anUnsafeRequestThatIsHalfSentAtItsDeadlineIsNotRefused() throws Exception {
         try (ScriptedServer raw = ScriptedServer.raw()) {
-            net.list(raw, PLAIN, null);
+            net.servers.add(raw, PLAIN, null);
             Wire client = askLong("/half/"); // its time counts from its first byte
             raw.nextConnection().readHead();
             assertEquals(504, client.read().status());
@@ -367,29 +370,14 @@
 
     // ---- time-outs ------------------------------------------------------------------------------------
 
-    /** Keeps the loop from looking until the deadline has passed, so that both events are there. */
-    private void withTheDeadlinePast(OnLoop.Task event) throws Exception {
-        withTimePast(2 * TIMEOUT_MS, event);
-    }
-
-    private void withTimePast(double ms, OnLoop.Task event) throws Exception {
-        OnLoop.run(net.loop, () -> {
-            event.run();
-            double until = net.loop.now() + ms;
-            while (net.loop.now() < until) {
-                Thread.onSpinWait();
-            }
-        });
-    }
-
     /** Whichever is looked at first: one answer, and the next request of the connection gets its own. */
     @Test
     void anAnswerThatMeetsTheDeadlineIsOneAnswer() throws Exception {
-        net.plain();
+        net.servers.plain();
         for (String target : new String[] {"/brief/", "/briefly/"}) {
             Wire client = net.ask(target);
             Call call = net.next();
-            withTheDeadlinePast(() -> serve(call, "just in time"));
+            net.runBeforePause(2 * TIMEOUT_MS, () -> serve(call, "just in time"));
             Wire.Message got = client.read();
             assertTrue(
                     got.status() == 200 && got.body().equals("just in time") || got.status() == 504, got.startLine());
@@ -399,7 +387,7 @@
 
     @Test
     void anAnswerAfterTheDeadlineIsNobodys() throws Exception {
-        net.plain();
+        net.servers.plain();
         for (String target : new String[] {"/brief/", "/briefly/"}) {
             Wire client = net.ask(target);
             Call call = net.next();
@@ -417,10 +405,10 @@
     /** A reset at the deadline: a request that may have run is not refused, in either order. */
     @Test
     void aResetThatMeetsTheDeadlineIsNoRefusal() throws Exception {
-        net.plain();
+        net.servers.plain();
         Wire client = net.ask("/brief/");
         Call call = net.next();
-        withTheDeadlinePast(() -> call.wire().reset());
+        net.runBeforePause(2 * TIMEOUT_MS, () -> call.wire().reset());
         int status = client.read().status();
         assertTrue(status == 502 || status == 504, "status " + status);
         net.assertQuiet();
@@ -434,8 +422,8 @@
     /** The silent server is left when another one is asked: its connection has ended, and its answer with it. */
     @Test
     void theAnswerOfAServerThatWasLeftIsNobodys() throws Exception {
-        net.plain();
-        net.plain();
+        net.servers.plain();
+        net.servers.plain();
         Wire client = net.ask("/quick/");
         Call first = net.next();
         Call second = net.next();
@@ -451,13 +439,13 @@
     /** Patience ends and the answer comes, at once: one of the two servers' answers, once, and two calls at most. */
     @Test
     void silenceThatMeetsAnAnswerIsOneAnswer() throws Exception {
-        net.plain();
-        net.plain();
+        net.servers.plain();
+        net.servers.plain();
         Wire client = net.ask("/quick/");
         Call first = net.next();
-        withTimePast(PATIENCE_MS + RESTED_MS, () -> serve(first, "first"));
-        OnLoop.await(net.loop, () -> !net.calls.isEmpty() || client.hasBytes());
-        Call second = net.calls.poll();
+        net.runBeforePause(PATIENCE_MS + RESTED_MS, () -> serve(first, "first"));
+        OnLoop.await(net.loop, () -> !net.servers.calls.isEmpty() || client.hasBytes());
+        Call second = net.servers.calls.poll();
         if (second != null) {
             serve(second, "second");
         }
@@ -468,12 +456,12 @@
     /** Patience ends and the connection breaks, at once: the request goes to one other server, not to two. */
     @Test
     void silenceThatMeetsAResetIsOneRepeat() throws Exception {
-        net.plain();
-        net.plain();
-        net.plain();
+        net.servers.plain();
+        net.servers.plain();
+        net.servers.plain();
         Wire client = net.ask("/quick/");
         Call first = net.next();
-        withTimePast(PATIENCE_MS + RESTED_MS, () -> first.wire().reset());
+        net.runBeforePause(PATIENCE_MS + RESTED_MS, () -> first.wire().reset());
         Call second = net.next();
         assertNotSame(first.server(), second.server());
         serve(second, "own");
@@ -483,11 +471,11 @@
 
     @Test
     void anUnsafeRequestIsNotRepeatedAfterSilenceWithAnEnd() throws Exception {
-        net.plain();
-        net.plain();
+        net.servers.plain();
+        net.servers.plain();
         Wire client = net.ask("/once/");
         Call call = net.next();
-        OnLoop.pass(net.loop, RESTED_MS);
+        net.pass(RESTED_MS);
         call.wire().close();
         assertEquals(502, client.read().status());
         net.assertQuiet();
@@ -498,7 +486,7 @@
     /** A caller leaves in the middle of its answer: the rest of it is on a connection that nobody uses. */
     @Test
     void theRestOfAnAnswerWhoseCallerHasLeftIsNobodys() throws Exception {
-        net.plain();
+        net.servers.plain();
         for (String target : BOTH) {
             Wire leaves = net.ask(target);
             Call call = net.next();
@@ -517,8 +505,8 @@
     /** Requests sent ahead: what becomes of one doesn't touch the next one's answer. */
     @Test
     void requestsSentAheadGetTheirOwnAnswersAlsoBehindAFailure() throws Exception {
-        net.plain();
-        net.plain();
+        net.servers.plain();
+        net.servers.plain();
         Wire client = net.client();
         client.send(request("/once/1", "", "")
                 + request("/safe/2", "", "")
@@ -549,10 +537,10 @@
     /** The length of an answer to a HEAD is that of a body which does not come. */
     @Test
     void theAnswerToAHeadEndsWithItsHeadOnBothSides() throws Exception {
-        net.plain();
+        net.servers.plain();
         Wire client = net.client();
-        client.send("HEAD /safe/ HTTP/1.1\r\nHost: " + ForwarderFixture.HOST
-                + "\r\nX-Dewplank-Request-Attempt-Id: h1\r\n\r\n" + request("/once/", "", ""));
+        client.send("HEAD /safe/ HTTP/1.1\r\nHost: " + HOST + "\r\nX-Dewplank-Request-Attempt-Id: h1\r\n\r\n"
+                + request("/once/", "", ""));
         Call head = net.next();
         assertEquals("HEAD", head.message().method());
         head.wire().send("HTTP/1.1 200 OK\r\n" + idOf(head) + SEAL + "Content-Length: 5\r\n\r\n");
--- a/dataplane/src/test/java/dewplank/dataplane/ClientTimeoutsTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/ClientTimeoutsTest.java
@@ -1,8 +1,9 @@
 package dewplank.dataplane;
 
-import static dewplank.dataplane.ForwarderFixture.PLAIN;
-import static dewplank.dataplane.ForwarderFixture.route;
-import static dewplank.dataplane.ForwarderFixture.serve;
+import static dewplank.dataplane.ClientRequests.HOST;
+import static dewplank.dataplane.ClientRequests.request;
+import static dewplank.dataplane.ServerAnswers.serve;
+import static dewplank.dataplane.TestRoute.unsafeRoute;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -64,7 +65,7 @@
     private static void assertOverdueAfter(ForwarderFixture net, double ms) throws Exception {
         OnLoop.run(net.loop, () -> {
             ClientTimeouts limits = new ClientTimeouts(APPLY_MS);
-            limits.update(0, net.view.configuration().limits());
+            limits.update(0, net.metadata.configuration().limits());
             InboundConnection c = net.forwarder.connections().get(0);
             double since = c.waitingSince();
             assertFalse(limits.isOverdue(since + 0.8 * ms, c));
@@ -76,12 +77,12 @@
     @Test
     void aHeadABodyAndARestHaveTimesOfTheirOwn() throws Exception {
         try (ForwarderFixture net = new ForwarderFixture()) {
-            net.routes(route("once", "unsafe", PLAIN, 1));
-            net.plain();
+            net.routes(unsafeRoute("once", 1));
+            net.servers.plain();
             Wire client = net.client();
             OnLoop.await(net.loop, () -> net.forwarder.openConnections() == 1);
             assertOverdueAfter(net, 15_000);
-            client.send("POST /once/ HTTP/1.1\r\nHost: " + ForwarderFixture.HOST + "\r\n");
+            client.send("POST /once/ HTTP/1.1\r\nHost: " + HOST + "\r\n");
             OnLoop.await(net.loop, () -> net.forwarder.connections().get(0).isHalfRead());
             assertOverdueAfter(net, 3_000);
             client.send("Content-Length: 4\r\n\r\nab");
@@ -99,8 +100,8 @@
     @Test
     void aRequestThatIsServedIsNeverOverdue() throws Exception {
         try (ForwarderFixture net = new ForwarderFixture()) {
-            net.routes(route("once", "unsafe", PLAIN, 1));
-            net.plain();
+            net.routes(unsafeRoute("once", 1));
+            net.servers.plain();
             Wire client = net.ask("/once/");
             Call call = net.next();
             OnLoop.run(
@@ -115,22 +116,22 @@
     // ---- heads ----------------------------------------------------------------------------------------
 
     private static String longHead(int bytes) {
-        return ForwarderFixture.request("/once/", "X-Long: " + "x".repeat(bytes) + "\r\n", "");
+        return request("/once/", "X-Long: " + "x".repeat(bytes) + "\r\n", "");
     }
 
     private static void bound(ForwarderFixture net, int maxHeaderBytes) throws Exception {
-        String json = new String(net.view.configuration().json(), StandardCharsets.UTF_8)
+        String json = new String(net.metadata.configuration().json(), StandardCharsets.UTF_8)
                 .replaceFirst("\"config_version\":[0-9]+", "\"config_version\":99")
                 .replaceFirst("\"max_header_bytes\":[0-9]+", "\"max_header_bytes\":" + maxHeaderBytes);
         Configuration next = Configuration.parse(json.getBytes(StandardCharsets.UTF_8));
-        OnLoop.run(net.loop, () -> net.view.updateConfiguration(next));
+        OnLoop.run(net.loop, () -> net.metadata.updateConfiguration(next));
     }
 
     @Test
     void aHeadMayBeAsLongAsTheConfigurationSays() throws Exception {
         try (ForwarderFixture net = new ForwarderFixture()) {
-            net.routes(route("once", "unsafe", PLAIN, 1));
-            net.plain();
+            net.routes(unsafeRoute("once", 1));
+            net.servers.plain();
             bound(net, 60 * KIB);
             Wire client = net.client();
             client.send(longHead(59 * KIB));
--- a/dataplane/src/test/java/dewplank/dataplane/FleetMetadataTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/FleetMetadataTest.java
@@ -1,13 +1,16 @@
 package dewplank.dataplane;
 
-import static dewplank.dataplane.ForwarderFixture.MODEL;
-import static dewplank.dataplane.ForwarderFixture.PLAIN;
-import static dewplank.dataplane.ForwarderFixture.PROMPT;
-import static dewplank.dataplane.ForwarderFixture.beginStream;
-import static dewplank.dataplane.ForwarderFixture.event;
-import static dewplank.dataplane.ForwarderFixture.request;
-import static dewplank.dataplane.ForwarderFixture.route;
-import static dewplank.dataplane.ForwarderFixture.serve;
+import static dewplank.dataplane.ClientRequests.HOST;
+import static dewplank.dataplane.ClientRequests.PROMPT;
+import static dewplank.dataplane.ClientRequests.request;
+import static dewplank.dataplane.ServerAnswers.beginStream;
+import static dewplank.dataplane.ServerAnswers.event;
+import static dewplank.dataplane.ServerAnswers.serve;
+import static dewplank.dataplane.TestConfiguration.OTHER;
+import static dewplank.dataplane.TestConfiguration.PLAIN;
+import static dewplank.dataplane.TestRoute.safeRoute;
+import static dewplank.dataplane.TestRoute.streamingRoute;
+import static dewplank.dataplane.TestRoute.unsafeRoute;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotSame;
@@ -47,34 +50,32 @@
 
     @Test
     void anOlderOrEqualConfigurationChangesNothing() throws Exception {
-        FleetMetadata view = net.view;
+        FleetMetadata view = net.metadata;
         OnLoop.run(net.loop, () -> {
-            view.updateConfiguration(ForwarderFixture.parse(5, 100, route("new", "safe", PLAIN, 1)));
-            view.updateConfiguration(ForwarderFixture.parse(4, 100, route("old", "safe", PLAIN, 1)));
-            view.updateConfiguration(ForwarderFixture.parse(5, 100, route("twin", "safe", PLAIN, 1)));
+            view.updateConfiguration(TestConfiguration.of(5, 100, safeRoute("new", 1)));
+            view.updateConfiguration(TestConfiguration.of(4, 100, safeRoute("old", 1)));
+            view.updateConfiguration(TestConfiguration.of(5, 100, safeRoute("twin", 1)));
         });
         assertEquals(5, view.configurationVersion());
-        assertEquals("new", view.routes().find(ForwarderFixture.HOST, "/new/").name());
-        net.plain();
+        assertEquals("new", view.routes().find(HOST, "/new/").name());
+        net.servers.plain();
         assertEquals(404, net.ask("/old/").read().status());
         assertEquals(404, net.ask("/twin/").read().status());
-        OnLoop.run(
-                net.loop,
-                () -> view.updateConfiguration(ForwarderFixture.parse(9, 100, route("newer", "safe", PLAIN, 1))));
+        OnLoop.run(net.loop, () -> view.updateConfiguration(TestConfiguration.of(9, 100, safeRoute("newer", 1))));
         assertEquals(404, net.ask("/new/").read().status());
     }
 
     private static EndpointList list(long number, long revision, String... instances) {
         List<Endpoint> entries = Arrays.stream(instances)
-                .map(i -> new Endpoint(i, PLAIN, "127.0.0.1:9", ForwarderFixture.ZONE, 4, false, 0, null))
+                .map(i -> new Endpoint(i, PLAIN, "127.0.0.1:9", ScriptedFleet.ZONE, 4, false, 0, null))
                 .toList();
         return new EndpointList(new EndpointListVersion(number, revision), entries);
     }
 
     private List<String> listed(EndpointList list) throws Exception {
         return OnLoop.get(net.loop, () -> {
-            net.view.updateServers(list);
-            return net.view.servers(PLAIN).stream()
+            net.metadata.updateServers(list);
+            return net.metadata.servers(PLAIN).stream()
                     .map(TrackedServer::instanceId)
                     .toList();
         });
@@ -86,7 +87,7 @@
         assertEquals(List.of("a"), listed(list(2, 6, "b")));
         assertEquals(List.of("a"), listed(list(2, 7, "b")));
         assertEquals(List.of("a"), listed(list(1, 99, "b")), "a higher count under a lower fencing number is older");
-        assertEquals(new EndpointListVersion(2, 7), net.view.listVersion());
+        assertEquals(new EndpointListVersion(2, 7), net.metadata.listVersion());
         assertEquals(List.of("b"), listed(list(3, 1, "b")), "a lower count under a higher fencing number is newer");
         assertEquals(List.of(), listed(list(3, 2)));
         assertEquals(List.of(), listed(list(3, 1, "b")));
@@ -94,52 +95,50 @@
 
     @Test
     void aListOfNoServersIsAList() throws Exception {
-        assertFalse(net.view.isComplete());
-        OnLoop.run(
-                net.loop,
-                () -> net.view.updateConfiguration(ForwarderFixture.parse(1, 100, route("r", "safe", PLAIN, 1))));
-        assertFalse(net.view.isComplete());
+        assertFalse(net.metadata.isComplete());
+        OnLoop.run(net.loop, () -> net.metadata.updateConfiguration(TestConfiguration.of(1, 100, safeRoute("r", 1))));
+        assertFalse(net.metadata.isComplete());
         listed(list(1, 1));
-        assertTrue(net.view.isComplete());
+        assertTrue(net.metadata.isComplete());
     }
 
     @Test
     void aServerKeepsItsStateFromListToList() throws Exception {
         listed(list(1, 1, "a", "b"));
-        TrackedServer a = OnLoop.get(net.loop, () -> net.view.servers(PLAIN).get(0));
+        TrackedServer a = OnLoop.get(net.loop, () -> net.metadata.servers(PLAIN).get(0));
         listed(list(1, 2, "c", "a"));
-        assertTrue(OnLoop.get(net.loop, () -> net.view.servers(PLAIN).contains(a)));
+        assertTrue(OnLoop.get(net.loop, () -> net.metadata.servers(PLAIN).contains(a)));
         assertTrue(a.isReady());
         listed(list(1, 3, "c"));
         assertFalse(a.isReady());
         listed(list(1, 4, "a"));
-        assertNotSame(a, OnLoop.get(net.loop, () -> net.view.servers(PLAIN).get(0)));
+        assertNotSame(a, OnLoop.get(net.loop, () -> net.metadata.servers(PLAIN).get(0)));
     }
 
     // ---- servers that leave ---------------------------------------------------------------------------
 
     @Test
     void idleConnectionsToADrainingServerEnd() throws Exception {
-        net.routes(route("once", "unsafe", PLAIN, 1));
-        ScriptedServer server = net.plain();
+        net.routes(unsafeRoute("once", 1));
+        ScriptedServer server = net.servers.plain();
         Wire client = net.ask("/once/");
         Call call = net.next();
         serve(call, "");
         client.read();
         assertFalse(call.wire().isEnded());
-        net.drain(server);
+        net.servers.drain(server);
         call.wire().awaitEnd();
         assertEquals(503, net.ask("/once/").read().status());
-        assertEquals(0, net.calls.size());
+        assertEquals(0, net.servers.calls.size());
     }
 
     @Test
     void aRequestAtADrainingServerIsServedAndItsConnectionEnds() throws Exception {
-        net.routes(route("once", "unsafe", PLAIN, 1));
-        ScriptedServer server = net.plain();
+        net.routes(unsafeRoute("once", 1));
+        ScriptedServer server = net.servers.plain();
         Wire drained = net.ask("/once/");
         Call atDrain = net.next();
-        net.drain(server);
+        net.servers.drain(server);
         serve(atDrain, "drained");
         assertEquals("drained", drained.read().body());
         atDrain.wire().awaitEnd();
@@ -147,11 +146,11 @@
 
     @Test
     void aRequestAtAServerThatHasLeftTheListIsServedAndItsConnectionEnds() throws Exception {
-        net.routes(route("once", "unsafe", PLAIN, 1));
-        ScriptedServer server = net.plain();
+        net.routes(unsafeRoute("once", 1));
+        ScriptedServer server = net.servers.plain();
         Wire client = net.ask("/once/");
         Call call = net.next();
-        net.remove(server);
+        net.servers.remove(server);
         serve(call, "gone");
         assertEquals("gone", client.read().body());
         call.wire().awaitEnd();
@@ -160,18 +159,18 @@
 
     @Test
     void aStreamAtADrainingServerGoesOn() throws Exception {
-        net.routes(route("gen", "streaming", MODEL, 1));
-        ScriptedServer server = net.decode();
+        net.routes(streamingRoute("gen", 1));
+        ScriptedServer server = net.servers.decode();
         Wire client = net.ask("/gen/", PROMPT);
         Call run = net.next();
         beginStream(run);
         run.wire().chunk(event(1));
         client.readHead();
         assertEquals(event(1), client.readChunk());
-        net.drain(server);
+        net.servers.drain(server);
         run.wire().chunk(event(2));
         assertEquals(event(2), client.readChunk());
-        net.remove(server);
+        net.servers.remove(server);
         run.wire().chunk(event(3));
         run.wire().lastChunk();
         assertEquals(event(3), client.readChunk());
@@ -182,12 +181,12 @@
     /** A server that breaks off after it has left the list: its request is repeated at one that is on it. */
     @Test
     void aRepeatGoesToTheServersOfTheNewList() throws Exception {
-        net.routes(route("safe", "safe", PLAIN, 3));
-        ScriptedServer old = net.plain();
+        net.routes(safeRoute("safe", 3));
+        ScriptedServer old = net.servers.plain();
         Wire client = net.ask("/safe/");
         Call call = net.next();
-        ScriptedServer next = net.plain();
-        net.remove(old);
+        ScriptedServer next = net.servers.plain();
+        net.servers.remove(old);
         call.wire().reset();
         Call again = net.next();
         assertSame(next, again.server());
@@ -200,16 +199,16 @@
 
     @Test
     void anOpenRequestEndsByTheOldConfigurationAndTheNextGoesByTheNewOne() throws Exception {
-        net.routes(route("r", "unsafe", PLAIN, 1), route("gone", "unsafe", PLAIN, 1));
-        ScriptedServer old = net.plain();
-        ScriptedServer other = net.server("other", null);
+        net.routes(unsafeRoute("r", 1), unsafeRoute("gone", 1));
+        ScriptedServer old = net.servers.plain();
+        ScriptedServer other = net.servers.server("other", null);
         Wire client = net.ask("/r/");
         Call before = net.next();
         Wire leaving = net.ask("/gone/");
         Call removed = net.next();
         assertSame(old, before.server());
         client.send(request("/r/ahead", "", ""));
-        net.routes(route("r", "unsafe", "other", 1), route("new", "unsafe", PLAIN, 1));
+        net.routes(unsafeRoute("r", 1).toService(OTHER), unsafeRoute("new", 1));
         serve(before, "by the old");
         assertEquals("by the old", client.read().body());
         Call after = net.next();
@@ -228,16 +227,16 @@
 
     @Test
     void aStreamIsContinuedAsItsConfigurationAllowed() throws Exception {
-        net.routes(ForwarderFixture.resumable(route("gen", "streaming", MODEL, 2)));
-        net.decode();
-        net.decode();
+        net.routes(streamingRoute("gen", 2).asResumable());
+        net.servers.decode();
+        net.servers.decode();
         Wire client = net.ask("/gen/", PROMPT);
         Call run = net.next();
         beginStream(run);
         run.wire().chunk(event(1));
         client.readHead();
         assertEquals(event(1), client.readChunk());
-        net.routes(route("gen", "streaming", MODEL, 1));
+        net.routes(streamingRoute("gen", 1));
         run.wire().reset();
         Call next = net.next();
         beginStream(next);
--- a/dataplane/src/test/java/dewplank/dataplane/GenerationTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/GenerationTest.java
@@ -1,17 +1,17 @@
 package dewplank.dataplane;
 
-import static dewplank.dataplane.ForwarderFixture.MODEL;
-import static dewplank.dataplane.ForwarderFixture.PROMPT;
-import static dewplank.dataplane.ForwarderFixture.SEAL;
-import static dewplank.dataplane.ForwarderFixture.SHORT_PROMPT;
-import static dewplank.dataplane.ForwarderFixture.answer;
-import static dewplank.dataplane.ForwarderFixture.beginStream;
-import static dewplank.dataplane.ForwarderFixture.event;
-import static dewplank.dataplane.ForwarderFixture.handOver;
-import static dewplank.dataplane.ForwarderFixture.resumable;
-import static dewplank.dataplane.ForwarderFixture.route;
-import static dewplank.dataplane.ForwarderFixture.timeout;
-import static dewplank.dataplane.ForwarderFixture.turnAway;
+import static dewplank.dataplane.ClientRequests.PROMPT;
+import static dewplank.dataplane.ClientRequests.SHORT_PROMPT;
+import static dewplank.dataplane.ClientRequests.prompt;
+import static dewplank.dataplane.ServerAnswers.SEAL;
+import static dewplank.dataplane.ServerAnswers.answer;
+import static dewplank.dataplane.ServerAnswers.beginStream;
+import static dewplank.dataplane.ServerAnswers.event;
+import static dewplank.dataplane.ServerAnswers.handOver;
+import static dewplank.dataplane.ServerAnswers.idOf;
+import static dewplank.dataplane.ServerAnswers.reject;
+import static dewplank.dataplane.TestConfiguration.MODEL;
+import static dewplank.dataplane.TestRoute.streamingRoute;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -42,15 +42,14 @@
         net = new ForwarderFixture().routes(routes());
     }
 
-    private static String[] routes() {
-        return new String[] {
-            route("gen", "streaming", MODEL, 3),
-            resumable(route("res", "streaming", MODEL, 3)),
-            route("one", "streaming", MODEL, 1),
-            route("two", "streaming", MODEL, 2),
-            route("brief", "streaming", MODEL, 3, timeout(200)),
-            route("paced", "streaming", MODEL, 3, r -> timeout(2_500)
-                    .apply(r.replace("\"gap_aim_ms\":0", "\"gap_aim_ms\":150")))
+    private static TestRoute[] routes() {
+        return new TestRoute[] {
+            streamingRoute("gen", 3),
+            streamingRoute("res", 3).asResumable(),
+            streamingRoute("one", 1),
+            streamingRoute("two", 2),
+            streamingRoute("brief", 3).withTimeout(200),
+            streamingRoute("paced", 3).withTimeout(2_500).withGapTarget(150)
         };
     }
 
@@ -73,9 +72,9 @@
     private void assertIsFreed(Call call, ScriptedServer at, String handle) {
         assertEquals("DELETE", call.message().method());
         assertEquals("/kv-handle/" + handle, call.message().target());
-        assertEquals(net.id(at), call.message().header("X-Dewplank-Target-Instance"));
+        assertEquals(net.servers.id(at), call.message().header("X-Dewplank-Target-Instance"));
         assertSame(at, call.server());
-        assertEquals(net.id(at), call.message().header("X-Dewplank-Target-Instance"));
+        assertEquals(net.servers.id(at), call.message().header("X-Dewplank-Target-Instance"));
     }
 
     /** The whole stream, and what the client sees of it. */
@@ -92,15 +91,15 @@
 
     @Test
     void aPromptIsReadAtOneServerAndStreamedByAnother() throws Exception {
-        ScriptedServer prefill = net.prefill();
-        ScriptedServer decode = net.decode();
+        ScriptedServer prefill = net.servers.prefill();
+        ScriptedServer decode = net.servers.decode();
         Wire client = net.ask("/gen/x?y", PROMPT);
         Call read = net.next();
         assertSame(prefill, read.server());
         assertIsPrefill(read);
         assertEquals("POST /gen/x?y HTTP/1.1", read.message().startLine());
         assertEquals("hi", read.message().body());
-        assertEquals(net.id(prefill), read.message().header("X-Dewplank-Target-Instance"));
+        assertEquals(net.servers.id(prefill), read.message().header("X-Dewplank-Target-Instance"));
         long left = Long.parseLong(read.message().header("X-Dewplank-Remaining-Time-Ms"));
         assertTrue(left > 0 && left <= 8_000);
         handOver(read, "3fa0");
@@ -109,7 +108,7 @@
         assertIsDecode(run, prefill.addressText() + "/3fa0");
         assertEquals("POST /gen/x?y HTTP/1.1", run.message().startLine());
         assertEquals("hi", run.message().body());
-        assertEquals(net.id(decode), run.message().header("X-Dewplank-Target-Instance"));
+        assertEquals(net.servers.id(decode), run.message().header("X-Dewplank-Target-Instance"));
         assertTrue(Long.parseLong(run.message().header("X-Dewplank-Remaining-Time-Ms")) <= left);
         assertEquals(
                 read.message().header("X-Dewplank-Request-Attempt-Id"),
@@ -123,8 +122,8 @@
     /** Which part of a generation a call is, and whose handle it takes, is the system's to say. */
     @Test
     void whatOnlyTheSystemSaysIsNotTakenFromTheClient() throws Exception {
-        net.prefill();
-        net.decode();
+        net.servers.prefill();
+        net.servers.decode();
         String own = "X-Dewplank-Processing-Stage: decode\r\nkv-from: 10.0.0.1:80/other\r\n"
                 + "X-Dewplank-Target-Instance: i-other\r\n";
         Wire client = net.ask("/gen/", PROMPT + own);
@@ -145,8 +144,8 @@
     /** At the end of a process: nobody has run it, so that its client may come again. */
     @Test
     void aPromptThatIsReadWhenTheProcessEndsIsRefused() throws Exception {
-        net.prefill();
-        net.decode();
+        net.servers.prefill();
+        net.servers.decode();
         Wire client = net.ask("/gen/", PROMPT);
         Call read = net.next();
         OnLoop.run(net.loop, net.forwarder::terminateAll);
@@ -157,8 +156,8 @@
 
     @Test
     void eachRequestGoesOnFromItsOwnHandle() throws Exception {
-        ScriptedServer prefill = net.prefill();
-        net.decode();
+        ScriptedServer prefill = net.servers.prefill();
+        net.servers.decode();
         Wire first = net.ask("/gen/1", PROMPT);
         Call readFirst = net.next();
         Wire second = net.ask("/gen/2", PROMPT);
@@ -179,8 +178,8 @@
     /** A late answer to an earlier prefill, in the place of this one's. */
     @Test
     void anotherRequestsHandleIsNotTaken() throws Exception {
-        ScriptedServer prefill = net.prefill();
-        net.decode();
+        ScriptedServer prefill = net.servers.prefill();
+        net.servers.decode();
         Wire client = net.ask("/gen/", PROMPT);
         Call read = net.next();
         read.wire()
@@ -197,8 +196,8 @@
     /** What the stage is and whose prompt is handed over is the system's to say, whatever a client sent. */
     @Test
     void aClientsOwnWordsOnStageAndHandleAreNotPassedOn() throws Exception {
-        ScriptedServer prefill = net.prefill();
-        net.decode();
+        ScriptedServer prefill = net.servers.prefill();
+        net.servers.decode();
         String fields = "X-Dewplank-Processing-Stage: prefill\r\nkv-from: 127.0.0.1:9/another\r\n";
         Wire client = net.ask("/gen/", PROMPT + fields);
         Call read = net.next();
@@ -219,7 +218,7 @@
 
     @Test
     void withoutAPrefillServerTheDecodeServerReadsThePrompt() throws Exception {
-        net.decode();
+        net.servers.decode();
         Wire client = net.ask("/gen/", PROMPT);
         Call run = net.next();
         assertIsDecode(run, null);
@@ -229,8 +228,8 @@
 
     @Test
     void withoutAPromptToReadTheDecodeServerIsAskedAtOnce() throws Exception {
-        net.prefill();
-        ScriptedServer decode = net.decode();
+        net.servers.prefill();
+        ScriptedServer decode = net.servers.decode();
         Wire client = net.ask("/gen/");
         Call run = net.next();
         assertSame(decode, run.server());
@@ -241,8 +240,8 @@
 
     @Test
     void aPrefillServerThatCannotBeReachedIsPassedBy() throws Exception {
-        net.prefill().close();
-        net.decode();
+        net.servers.prefill().close();
+        net.servers.decode();
         Wire client = net.ask("/one/", PROMPT);
         Call run = net.next();
         assertIsDecode(run, null);
@@ -253,13 +252,13 @@
     /** The prompt is read by nobody else before an attempt is spent: a prefill that breaks off is not a run. */
     @Test
     void aPrefillThatBreaksOffIsNoRun() throws Exception {
-        net.prefill();
-        net.decode();
+        net.servers.prefill();
+        net.servers.decode();
         Wire client = net.ask("/gen/", PROMPT);
         net.next().wire().reset();
         Call run = net.next();
         assertIsDecode(run, null);
-        turnAway(run);
+        reject(run);
         assertEquals(503, client.read().status(), "nothing has run");
         net.assertQuiet();
     }
@@ -276,8 +275,8 @@
 
     @Test
     void answersThatHoldNoHandleAreNone() throws Exception {
-        net.decode();
-        net.prefill();
+        net.servers.decode();
+        net.servers.prefill();
         for (String body : new String[] {
             "",
             "{}",
@@ -295,20 +294,20 @@
 
     @Test
     void aHandleThatIsNullIsNone() throws Exception {
-        net.decode();
-        net.prefill();
+        net.servers.decode();
+        net.servers.prefill();
         assertHoldsNoHandle("{\"context_handle\":null,\"token_count\":1}");
     }
 
     @Test
     void aPrefillServerThatIsFullIsPassedBy() throws Exception {
-        net.prefill();
-        net.prefill();
-        net.decode();
+        net.servers.prefill();
+        net.servers.prefill();
+        net.servers.decode();
         Wire client = net.ask("/gen/", PROMPT);
         Call full = net.next();
         assertIsPrefill(full);
-        turnAway(full);
+        reject(full);
         Call next = net.next();
         if (next.message().header("X-Dewplank-Processing-Stage") != null) { // else the decode server is to read it
             assertNotSame(full.server(), next.server());
@@ -324,18 +323,18 @@
     /** The first call that has the prompt read is free, one that is turned away is not: nothing is left for a run. */
     @Test
     void aRejectedPrefillCountsAsAnAttempt() throws Exception {
-        net.prefill();
-        net.decode();
+        net.servers.prefill();
+        net.servers.decode();
         Wire client = net.ask("/one/", PROMPT);
-        turnAway(net.next());
+        reject(net.next());
         assertEquals(503, client.read().status());
         net.assertQuiet();
     }
 
     @Test
     void aSilentPrefillServerIsLeft() throws Exception {
-        net.prefill();
-        ScriptedServer decode = net.decode();
+        net.servers.prefill();
+        ScriptedServer decode = net.servers.decode();
         Wire client = net.ask("/gen/", SHORT_PROMPT);
         Call read = net.next();
         Call run = net.next();
@@ -352,10 +351,10 @@
      */
     @Test
     void aLongPromptIsWaitedForBeforeADecodeServerHasToReadIt() throws Exception {
-        net.prefill();
-        ScriptedServer decode = net.decode();
+        net.servers.prefill();
+        ScriptedServer decode = net.servers.decode();
         long asked = System.nanoTime();
-        Wire client = net.ask("/paced/", ForwarderFixture.prompt("aa:2000,c0:2000"));
+        Wire client = net.ask("/paced/", prompt("aa:2000,c0:2000"));
         Call read = net.next();
         Call run = net.next();
         assertTrue(System.nanoTime() - asked >= 1_500_000_000L, "given away when it was overdue");
@@ -368,10 +367,10 @@
 
     @Test
     void aLongPromptThatIsOverdueGoesToAnotherPrefillServerAtOnce() throws Exception {
-        ScriptedServer one = net.prefill();
-        ScriptedServer two = net.prefill();
-        net.decode();
-        Wire client = net.ask("/paced/", ForwarderFixture.prompt("aa:2000,c0:2000"));
+        ScriptedServer one = net.servers.prefill();
+        ScriptedServer two = net.servers.prefill();
+        net.servers.decode();
+        Wire client = net.ask("/paced/", prompt("aa:2000,c0:2000"));
         Call first = net.next();
         Call second = net.next();
         first.wire().awaitEnd();
@@ -388,7 +387,7 @@
 
     @Test
     void aHandleIsFreedWhereNoDecodeServerIsThere() throws Exception {
-        ScriptedServer prefill = net.prefill();
+        ScriptedServer prefill = net.servers.prefill();
         Wire client = net.ask("/gen/", PROMPT);
         handOver(net.next(), "h1");
         Call freed = net.next();
@@ -402,8 +401,8 @@
 
     @Test
     void aHandleIsFreedWhereTheDecodeServerCannotBeReached() throws Exception {
-        ScriptedServer prefill = net.prefill();
-        net.decode().close();
+        ScriptedServer prefill = net.servers.prefill();
+        net.servers.decode().close();
         Wire client = net.ask("/gen/", PROMPT);
         handOver(net.next(), "h1");
         assertIsFreed(net.next(), prefill, "h1");
@@ -413,10 +412,10 @@
 
     @Test
     void aHandleThatWasNotSentGoesToTheNextDecodeServer() throws Exception {
-        ScriptedServer prefill = net.prefill();
-        net.decode().close();
-        ScriptedServer there = net.decode();
-        net.decode().close();
+        ScriptedServer prefill = net.servers.prefill();
+        net.servers.decode().close();
+        ScriptedServer there = net.servers.decode();
+        net.servers.decode().close();
         Wire client = net.ask("/one/", PROMPT);
         handOver(net.next(), "h1");
         Call run = net.next();
@@ -429,14 +428,14 @@
     /** A handle is taken a single time: whoever turned the request away may have taken it. */
     @Test
     void aHandleIsNeverGivenToTwo() throws Exception {
-        ScriptedServer prefill = net.prefill();
-        net.decode();
-        net.decode();
+        ScriptedServer prefill = net.servers.prefill();
+        net.servers.decode();
+        net.servers.decode();
         Wire client = net.ask("/gen/", PROMPT);
         handOver(net.next(), "h1");
         Call first = net.next();
         assertIsDecode(first, prefill.addressText() + "/h1");
-        turnAway(first);
+        reject(first);
         Call second = nextRun();
         assertNotSame(first.server(), second.server());
         assertNotEquals(prefill.addressText() + "/h1", second.message().header("Kv-From"));
@@ -445,9 +444,9 @@
 
     @Test
     void aHandleIsNotGivenAgainAfterABreakOfAResumableStream() throws Exception {
-        ScriptedServer prefill = net.prefill();
-        net.decode();
-        net.decode();
+        ScriptedServer prefill = net.servers.prefill();
+        net.servers.decode();
+        net.servers.decode();
         Wire client = net.ask("/res/", PROMPT);
         handOver(net.next(), "h1");
         Call first = net.next();
@@ -475,19 +474,19 @@
     /** The decode server was full: the handle lies at the prefill server, and nobody will come for it. */
     @Test
     void aHandleIsFreedWhereItsDecodeServerTurnedTheRequestAway() throws Exception {
-        ScriptedServer prefill = net.prefill();
-        net.decode();
+        ScriptedServer prefill = net.servers.prefill();
+        net.servers.decode();
         Wire client = net.ask("/one/", PROMPT);
         handOver(net.next(), "h1");
-        turnAway(net.next());
+        reject(net.next());
         assertEquals(503, client.read().status());
         assertIsFreed(net.next(), prefill, "h1");
     }
 
     @Test
     void aClientThatLeavesWhileItsPromptIsReadEndsThat() throws Exception {
-        net.prefill();
-        net.decode();
+        net.servers.prefill();
+        net.servers.decode();
         Wire client = net.ask("/gen/", PROMPT);
         Call read = net.next();
         client.close();
@@ -498,17 +497,17 @@
     /** The client's end and the handle, in this order: the handle comes on a connection that is ended. */
     @Test
     void aHandleThatComesAfterItsClientHasLeftIsNotTakenUp() throws Exception {
-        net.prefill();
-        net.decode();
+        net.servers.prefill();
+        net.servers.decode();
         Wire client = net.ask("/gen/", PROMPT);
         Call read = net.next();
         OnLoop.run(net.loop, () -> {
             client.close();
             handOver(read, "h1");
         });
-        OnLoop.await(net.loop, () -> net.forwarder.openRequests() == 0);
+        net.awaitNoOpenRequest();
         OnLoop.run(net.loop, () -> {});
-        while (!net.calls.isEmpty()) { // the handle came first after all
+        while (!net.servers.calls.isEmpty()) { // the handle came first after all
             assertNotEquals("POST", handleFreed(net.next()), "nothing runs for a client that has left");
         }
         net.assertQuiet();
@@ -521,33 +520,33 @@
 
     @Test
     void aClientThatLeavesBeforeItsStreamEndsIt() throws Exception {
-        net.prefill();
-        net.decode();
+        net.servers.prefill();
+        net.servers.decode();
         Wire client = net.ask("/gen/", PROMPT);
         handOver(net.next(), "h1");
         Call run = net.next();
         client.close();
         run.wire().awaitEnd();
-        OnLoop.await(net.loop, () -> net.forwarder.openRequests() == 0);
+        net.awaitNoOpenRequest();
     }
 
     /** The decode server's connection is not up yet: the handle was given to nobody. */
     @Test
     void aHandleThatWasNotSentYetIsFreedWhenTheClientLeaves() throws Exception {
-        ScriptedServer prefill = net.prefill();
-        ScriptedServer late = net.list(ScriptedServer.late(net.calls), MODEL, "decode");
+        ScriptedServer prefill = net.servers.prefill();
+        ScriptedServer late = net.servers.add(ScriptedServer.late(net.servers.calls), MODEL, "decode");
         Wire client = net.ask("/gen/", PROMPT);
         handOver(net.next(), "h1");
-        OnLoop.await(net.loop, () -> net.view.servers(MODEL).stream()
-                .anyMatch(s -> s.instanceId().equals(net.id(late)) && s.inFlight() == 1));
+        OnLoop.await(net.loop, () -> net.metadata.servers(MODEL).stream()
+                .anyMatch(s -> s.instanceId().equals(net.servers.id(late)) && s.inFlight() == 1));
         client.close();
         assertIsFreed(net.next(), prefill, "h1");
     }
 
     @Test
     void aHandleThatWasNotSentYetIsFreedAtTheDeadline() throws Exception {
-        ScriptedServer prefill = net.prefill();
-        net.list(ScriptedServer.late(net.calls), MODEL, "decode");
+        ScriptedServer prefill = net.servers.prefill();
+        net.servers.add(ScriptedServer.late(net.servers.calls), MODEL, "decode");
         for (int tries = 0; tries < MOST_TRIES && freed() == 0; tries++) {
             Wire client = net.ask("/brief/", PROMPT); // its 200 ms are over before the connection is up
             handOver(net.next(), "h1"); // on a busy machine that may be after the deadline: then once more
@@ -564,15 +563,15 @@
 
     @Test
     void aRejectedRunGoesToAnotherServerWithinTheAttempts() throws Exception {
-        net.decode();
-        net.decode();
-        net.decode();
+        net.servers.decode();
+        net.servers.decode();
+        net.servers.decode();
         Wire client = net.ask("/two/", PROMPT);
         Call first = net.next();
-        turnAway(first);
+        reject(first);
         Call second = net.next();
         assertNotSame(first.server(), second.server());
-        turnAway(second);
+        reject(second);
         Wire.Message answer = client.read();
         assertEquals(503, answer.status());
         assertTrue(Double.parseDouble(answer.header("Retry-After")) > 0);
@@ -581,12 +580,12 @@
 
     @Test
     void withoutABudgetARejectedRunIsRefused() throws Exception {
-        try (ForwarderFixture poor = new ForwarderFixture(ForwarderFixture.NONE)) {
+        try (ForwarderFixture poor = new ForwarderFixture(ForwarderFixture.NO_RETRIES)) {
             poor.routes(routes());
-            poor.decode();
-            poor.decode();
+            poor.servers.decode();
+            poor.servers.decode();
             Wire client = poor.ask("/gen/", PROMPT);
-            turnAway(poor.next());
+            reject(poor.next());
             assertEquals(503, client.read().status());
             poor.assertQuiet();
         }
@@ -597,10 +596,10 @@
     void aRunAfterARejectedPrefillIsPaidForOnce() throws Exception {
         try (ForwarderFixture poor = new ForwarderFixture(ONE_REPEAT)) {
             poor.routes(routes());
-            poor.prefill();
-            poor.decode();
+            poor.servers.prefill();
+            poor.servers.decode();
             Wire client = poor.ask("/gen/", PROMPT);
-            turnAway(poor.next());
+            reject(poor.next());
             streamOut(poor.next(), client);
             poor.assertQuiet();
         }
@@ -608,10 +607,10 @@
 
     @Test
     void withoutABudgetThePromptIsReadAllTheSame() throws Exception {
-        try (ForwarderFixture poor = new ForwarderFixture(ForwarderFixture.NONE)) {
+        try (ForwarderFixture poor = new ForwarderFixture(ForwarderFixture.NO_RETRIES)) {
             poor.routes(routes());
-            ScriptedServer prefill = poor.prefill();
-            poor.decode();
+            ScriptedServer prefill = poor.servers.prefill();
+            poor.servers.decode();
             Wire client = poor.ask("/gen/", PROMPT);
             handOver(poor.next(), "h1");
             Call run = poor.next();
@@ -623,8 +622,8 @@
 
     @Test
     void aMisdirectedRunGoesToAnotherServer() throws Exception {
-        net.decode();
-        net.decode();
+        net.servers.decode();
+        net.servers.decode();
         Wire client = net.ask("/gen/", PROMPT);
         Call first = net.next();
         answer(first, "421 Misdirected Request", "", "");
@@ -636,8 +635,8 @@
 
     @Test
     void aRunThatBreaksOffBeforeItsStreamIsNotRepeated() throws Exception {
-        net.decode();
-        net.decode();
+        net.servers.decode();
+        net.servers.decode();
         Wire client = net.ask("/gen/", PROMPT);
         net.next().wire().reset();
         assertEquals(502, client.read().status());
@@ -646,7 +645,7 @@
 
     @Test
     void aServersOwnFailureIsPassedOn() throws Exception {
-        net.decode();
+        net.servers.decode();
         for (String status : new String[] {"500 Internal Server Error", "504 Gateway Timeout", "400 Bad Request"}) {
             Wire client = net.ask("/gen/", PROMPT);
             answer(net.next(), status, SEAL, "its own");
@@ -659,7 +658,7 @@
 
     @Test
     void aFailureThatPromisesWhatCannotBeKnownIsNotPassedOn() throws Exception {
-        net.decode();
+        net.servers.decode();
         for (String status : new String[] {"503 Service Unavailable", "429 Too Many Requests"}) {
             Wire client = net.ask("/gen/", PROMPT);
             answer(net.next(), status, "", "");
@@ -669,10 +668,10 @@
 
     @Test
     void aStreamWithoutItsSealIsNoSuccess() throws Exception {
-        net.decode();
+        net.servers.decode();
         Wire client = net.ask("/gen/", PROMPT);
         Call run = net.next();
-        run.wire().send("HTTP/1.1 200 OK\r\n" + ForwarderFixture.idOf(run) + "Transfer-Encoding: chunked\r\n\r\n");
+        run.wire().send("HTTP/1.1 200 OK\r\n" + idOf(run) + "Transfer-Encoding: chunked\r\n\r\n");
         run.wire().chunk(event(1));
         run.wire().lastChunk();
         assertEquals(502, client.read().status());
@@ -683,7 +682,7 @@
 
     @Test
     void aRunThatAServerHoldsAtItsDeadlineIsNotRefused() throws Exception {
-        net.decode();
+        net.servers.decode();
         Wire client = net.ask("/brief/", PROMPT);
         Call run = net.next();
         assertEquals(504, client.read().status());
@@ -693,8 +692,8 @@
 
     @Test
     void aPromptThatIsStillReadAtTheDeadlineIsRefused() throws Exception {
-        net.prefill();
-        net.decode();
+        net.servers.prefill();
+        net.servers.decode();
         Wire client = net.ask("/brief/", PROMPT);
         Call read = net.next();
         assertIsPrefill(read);
@@ -705,11 +704,11 @@
 
     @Test
     void aServerThatIsLeavingGetsNothingNew() throws Exception {
-        ScriptedServer leaving = net.decode();
-        net.drain(leaving);
+        ScriptedServer leaving = net.servers.decode();
+        net.servers.drain(leaving);
         Wire refused = net.ask("/gen/", PROMPT);
         assertEquals(503, refused.read().status());
-        ScriptedServer stays = net.decode();
+        ScriptedServer stays = net.servers.decode();
         Wire client = net.ask("/gen/", PROMPT);
         Call run = net.next();
         assertSame(stays, run.server());
--- a/dataplane/src/test/java/dewplank/dataplane/PlainRouteTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/PlainRouteTest.java
@@ -1,15 +1,16 @@
 package dewplank.dataplane;
 
-import static dewplank.dataplane.ForwarderFixture.NOT_EXECUTED;
-import static dewplank.dataplane.ForwarderFixture.PLAIN;
-import static dewplank.dataplane.ForwarderFixture.SEAL;
-import static dewplank.dataplane.ForwarderFixture.answer;
-import static dewplank.dataplane.ForwarderFixture.request;
-import static dewplank.dataplane.ForwarderFixture.route;
-import static dewplank.dataplane.ForwarderFixture.serve;
-import static dewplank.dataplane.ForwarderFixture.target;
-import static dewplank.dataplane.ForwarderFixture.timeout;
-import static dewplank.dataplane.ForwarderFixture.turnAway;
+import static dewplank.dataplane.ClientRequests.HOST;
+import static dewplank.dataplane.ClientRequests.request;
+import static dewplank.dataplane.ServerAnswers.NOT_EXECUTED;
+import static dewplank.dataplane.ServerAnswers.SEAL;
+import static dewplank.dataplane.ServerAnswers.answer;
+import static dewplank.dataplane.ServerAnswers.idOf;
+import static dewplank.dataplane.ServerAnswers.reject;
+import static dewplank.dataplane.ServerAnswers.serve;
+import static dewplank.dataplane.TestConfiguration.PLAIN;
+import static dewplank.dataplane.TestRoute.safeRoute;
+import static dewplank.dataplane.TestRoute.unsafeRoute;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -42,12 +43,12 @@
     void begin() throws Exception {
         net = new ForwarderFixture()
                 .routes(
-                        route("safe", "safe", PLAIN, 3),
-                        route("once", "unsafe", PLAIN, 3),
-                        route("two", "safe", PLAIN, 2),
-                        route("quick", "safe", PLAIN, 3, target(20)),
-                        route("brief", "unsafe", PLAIN, 3, timeout(150)),
-                        route("briefly", "safe", PLAIN, 3, timeout(150)));
+                        safeRoute("safe", 3),
+                        unsafeRoute("once", 3),
+                        safeRoute("two", 2),
+                        safeRoute("quick", 3).withTargetLatency(20),
+                        unsafeRoute("brief", 3).withTimeout(150),
+                        safeRoute("briefly", 3).withTimeout(150));
     }
 
     @AfterEach
@@ -65,7 +66,7 @@
 
     @Test
     void aRequestAndItsAnswerArePassedOnUnchanged() throws Exception {
-        ScriptedServer server = net.plain();
+        ScriptedServer server = net.servers.plain();
         Wire client = net.client();
         client.send("PUT /safe/a%20b?c=d&e HTTP/1.1\r\nHost: H.example:80\r\nX-Dewplank-Request-Attempt-Id: q1\r\n"
                 + "X-Dewplank-Remaining-Time-Ms: 5000\r\nX-Own: 1\r\nConnection: X-Hop\r\nX-Hop: 2\r\n"
@@ -78,7 +79,7 @@
         assertEquals("q1", call.message().header("X-Dewplank-Request-Attempt-Id"));
         assertEquals("1", call.message().header("X-Own"));
         assertNull(call.message().header("X-Hop"));
-        assertEquals(net.id(server), call.message().header("X-Dewplank-Target-Instance"));
+        assertEquals(net.servers.id(server), call.message().header("X-Dewplank-Target-Instance"));
         assertEquals(1, call.message().count("X-Dewplank-Target-Instance"));
         assertEquals(1, call.message().count("X-Dewplank-Remaining-Time-Ms"));
         long left = Long.parseLong(call.message().header("X-Dewplank-Remaining-Time-Ms"));
@@ -96,20 +97,19 @@
 
     @Test
     void theTimeLeftIsTheRoutesWhereThatIsShorter() throws Exception {
-        net.plain();
+        net.servers.plain();
         net.ask("/brief/");
         long left = Long.parseLong(net.next().message().header("X-Dewplank-Remaining-Time-Ms"));
         assertTrue(left <= 150, "left " + left);
         Wire noTime = net.client();
-        noTime.send("GET /safe/ HTTP/1.1\r\nHost: " + ForwarderFixture.HOST
-                + "\r\nX-Dewplank-Remaining-Time-Ms: soon\r\n\r\n");
+        noTime.send("GET /safe/ HTTP/1.1\r\nHost: " + HOST + "\r\nX-Dewplank-Remaining-Time-Ms: soon\r\n\r\n");
         left = Long.parseLong(net.next().message().header("X-Dewplank-Remaining-Time-Ms"));
         assertTrue(left > 150 && left <= 8_000, "left " + left);
     }
 
     @Test
     void aServersOwnFailuresArePassedOn() throws Exception {
-        net.plain();
+        net.servers.plain();
         for (String status : new String[] {
             "400 Bad Request", "404 Not Found", "409 Conflict", "500 Internal Server Error", "504 Gateway Timeout"
         }) {
@@ -125,8 +125,8 @@
 
     @Test
     void aSafeRequestIsPassedOnceMoreAfterAServersFailure() throws Exception {
-        net.plain();
-        net.plain();
+        net.servers.plain();
+        net.servers.plain();
         Wire client = net.ask("/safe/");
         Call first = net.next();
         answer(first, "500 Internal Server Error", SEAL, "broken");
@@ -135,7 +135,7 @@
         assertEquals(
                 first.message().header("X-Dewplank-Request-Attempt-Id"),
                 second.message().header("X-Dewplank-Request-Attempt-Id"));
-        assertEquals(net.id(second.server()), second.message().header("X-Dewplank-Target-Instance"));
+        assertEquals(net.servers.id(second.server()), second.message().header("X-Dewplank-Target-Instance"));
         serve(second, "served");
         assertEquals("served", client.read().body());
         net.assertQuiet();
@@ -143,8 +143,8 @@
 
     @Test
     void theLastFailureIsPassedOn() throws Exception {
-        net.plain();
-        net.plain();
+        net.servers.plain();
+        net.servers.plain();
         Wire client = net.ask("/two/");
         answer(net.next(), "500 Internal Server Error", SEAL, "first");
         answer(net.next(), "500 Internal Server Error", SEAL, "second");
@@ -156,7 +156,7 @@
 
     @Test
     void whereThereIsNoRouteTheAnswerIs404() throws Exception {
-        net.plain();
+        net.servers.plain();
         for (String target : new String[] {"/", "/none/", "/safe", "/safer/x"}) {
             assertEquals(404, net.ask(target).read().status(), target);
         }
@@ -171,12 +171,12 @@
     void beforeConfigurationAndListRequestsAreRefused() throws Exception {
         try (ForwarderFixture empty = new ForwarderFixture()) {
             assertRefused(empty.ask("/safe/").read());
-            empty.routes(route("safe", "safe", PLAIN, 3));
+            empty.routes(safeRoute("safe", 3));
             assertRefused(empty.ask("/safe/").read());
-            empty.tell(); // a list without servers is a list
+            empty.servers.publish(); // a list without servers is a list
             assertRefused(empty.ask("/safe/").read());
             assertEquals(404, empty.ask("/none/").read().status());
-            empty.plain();
+            empty.servers.plain();
             Wire client = empty.ask("/safe/");
             serve(empty.next(), "");
             assertEquals(200, client.read().status());
@@ -187,8 +187,8 @@
 
     @Test
     void aSuccessWithoutItsSealIsNone() throws Exception {
-        net.plain();
-        net.plain();
+        net.servers.plain();
+        net.servers.plain();
         Wire client = net.ask("/safe/");
         answer(net.next(), "200 OK", "", "forged");
         serve(net.next(), "own");
@@ -201,8 +201,8 @@
 
     @Test
     void anEncodedSuccessIsNone() throws Exception {
-        net.plain();
-        net.plain();
+        net.servers.plain();
+        net.servers.plain();
         Wire client = net.ask("/safe/");
         answer(net.next(), "200 OK", SEAL + "Content-Encoding: gzip\r\n", "packed");
         serve(net.next(), "own");
@@ -215,11 +215,10 @@
 
     @Test
     void aSuccessThatIsCutOffIsNone() throws Exception {
-        net.plain();
+        net.servers.plain();
         Wire client = net.ask("/once/");
         Call call = net.next();
-        call.wire()
-                .send("HTTP/1.1 200 OK\r\n" + ForwarderFixture.idOf(call) + SEAL + "Content-Length: 9\r\n\r\n12345678");
+        call.wire().send("HTTP/1.1 200 OK\r\n" + idOf(call) + SEAL + "Content-Length: 9\r\n\r\n12345678");
         call.wire().close();
         assertEquals(502, client.read().status());
         net.assertQuiet();
@@ -227,7 +226,7 @@
 
     @Test
     void anotherRequestsAnswerIsPassedOver() throws Exception {
-        net.plain();
+        net.servers.plain();
         Wire client = net.ask("/once/");
         Call call = net.next();
         call.wire().answer("200 OK", "X-Dewplank-Request-Attempt-Id: another\r\n" + SEAL, "another's");
@@ -240,7 +239,7 @@
     /** A second answer comes while the connection rests: the next request goes by another one. */
     @Test
     void aSecondAnswerIsNobodys() throws Exception {
-        net.plain();
+        net.servers.plain();
         Wire first = net.ask("/once/");
         Call one = net.next();
         serve(one, "first");
@@ -256,12 +255,12 @@
 
     @Test
     void aRestedConnectionCarriesTheNextRequest() throws Exception {
-        net.plain();
+        net.servers.plain();
         Wire client = net.ask("/once/");
         Call one = net.next();
         serve(one, "first");
         client.read();
-        OnLoop.pass(net.loop, 30);
+        net.pass(30);
         client.send(request("/once/", "", ""));
         Call two = net.next();
         assertSame(one.wire(), two.wire());
@@ -273,8 +272,8 @@
 
     @Test
     void aSafeRequestIsRepeatedAfterABreak() throws Exception {
-        net.plain();
-        net.plain();
+        net.servers.plain();
+        net.servers.plain();
         Wire client = net.ask("/safe/");
         Call first = net.next();
         first.wire().reset();
@@ -287,8 +286,8 @@
 
     @Test
     void aSafeRequestIsRepeatedAfterSilence() throws Exception {
-        net.plain();
-        net.plain();
+        net.servers.plain();
+        net.servers.plain();
         Wire client = net.ask("/quick/");
         Call first = net.next();
         Call second = net.next();
@@ -301,25 +300,25 @@
 
     @Test
     void aRequestThatIsTurnedAwayGoesToAnotherServer() throws Exception {
-        net.plain();
-        net.plain();
+        net.servers.plain();
+        net.servers.plain();
         for (String target : new String[] {"/safe/", "/once/"}) {
             Wire client = net.ask(target);
             Call first = net.next();
-            turnAway(first);
+            reject(first);
             Call second = net.next();
             assertNotSame(first.server(), second.server());
             serve(second, "served");
             assertEquals("served", client.read().body());
-            OnLoop.pass(net.loop, 100); // the full server is left alone for a while
+            net.pass(100); // the full server is left alone for a while
         }
         net.assertQuiet();
     }
 
     @Test
     void aMisdirectedRequestGoesToAnotherServer() throws Exception {
-        net.plain();
-        net.plain();
+        net.servers.plain();
+        net.servers.plain();
         Wire client = net.ask("/once/");
         Call first = net.next();
         answer(first, "421 Misdirected Request", "", "");
@@ -332,8 +331,8 @@
 
     @Test
     void anUnsafeRequestIsNotRepeatedAfterABreak() throws Exception {
-        net.plain();
-        net.plain();
+        net.servers.plain();
+        net.servers.plain();
         Wire client = net.ask("/once/");
         net.next().wire().reset();
         assertEquals(502, client.read().status());
@@ -342,8 +341,8 @@
 
     @Test
     void anUnsafeRequestIsNotRepeatedAfterNoiseOrAFailureThatPromisesNothing() throws Exception {
-        net.plain();
-        net.plain();
+        net.servers.plain();
+        net.servers.plain();
         Wire noise = net.ask("/once/");
         net.next().wire().send("what?\r\n");
         assertEquals(502, noise.read().status());
@@ -359,14 +358,14 @@
 
     @Test
     void anUnsafeRequestThatNobodyRanIsRefused() throws Exception {
-        net.plain();
-        net.plain();
+        net.servers.plain();
+        net.servers.plain();
         Wire client = net.ask("/once/");
-        turnAway(net.next());
-        turnAway(net.next());
-        OnLoop.await(net.loop, () -> client.hasBytes() || !net.calls.isEmpty());
-        if (!net.calls.isEmpty()) { // on a slow machine the first server's rest of 40 ms is over by now
-            turnAway(net.next());
+        reject(net.next());
+        reject(net.next());
+        OnLoop.await(net.loop, () -> client.hasBytes() || !net.servers.calls.isEmpty());
+        if (!net.servers.calls.isEmpty()) { // on a slow machine the first server's rest of 40 ms is over by now
+            reject(net.next());
         }
         assertRefused(client.read());
         net.assertQuiet();
@@ -374,10 +373,10 @@
 
     @Test
     void anUnsafeRequestThatMayHaveRunIsNeverRefused() throws Exception {
-        net.plain();
-        net.plain();
+        net.servers.plain();
+        net.servers.plain();
         Wire client = net.ask("/once/");
-        turnAway(net.next());
+        reject(net.next());
         net.next().wire().reset();
         assertEquals(502, client.read().status());
         net.assertQuiet();
@@ -385,9 +384,9 @@
 
     @Test
     void aServerThatCannotBeReachedIsPassedBy() throws Exception {
-        ScriptedServer gone = net.plain();
+        ScriptedServer gone = net.servers.plain();
         gone.close();
-        ScriptedServer there = net.plain();
+        ScriptedServer there = net.servers.plain();
         for (int i = 0; i < 6; i++) {
             Wire client = net.ask("/once/");
             Call call = net.next();
@@ -400,8 +399,8 @@
 
     @Test
     void whereNoServerCanBeReachedTheRequestIsRefused() throws Exception {
-        net.plain().close();
-        net.plain().close();
+        net.servers.plain().close();
+        net.servers.plain().close();
         assertRefused(net.ask("/once/").read());
         assertRefused(net.ask("/safe/").read());
         net.assertQuiet();
@@ -409,17 +408,17 @@
 
     @Test
     void noMoreServersAreSentToThanTheRouteAllows() throws Exception {
-        net.plain();
-        net.plain();
-        net.plain();
+        net.servers.plain();
+        net.servers.plain();
+        net.servers.plain();
         Wire client = net.ask("/two/");
         net.next().wire().reset();
         net.next().wire().reset();
         assertEquals(502, client.read().status());
         net.assertQuiet();
         Wire turned = net.ask("/two/");
-        turnAway(net.next());
-        turnAway(net.next());
+        reject(net.next());
+        reject(net.next());
         assertRefused(turned.read());
         net.assertQuiet();
     }
@@ -454,8 +453,8 @@
     @Test
     void anUnsafeRequestThatBrokeWithinItsBodyIsNotSentAgain() throws Exception {
         try (ScriptedServer raw = ScriptedServer.raw()) {
-            net.list(raw, PLAIN, null);
-            net.routes(2 * MORE_THAN_SYSTEMS_HOLD, route("once", "unsafe", PLAIN, 3));
+            net.servers.add(raw, PLAIN, null);
+            net.routes(2 * MORE_THAN_SYSTEMS_HOLD, unsafeRoute("once", 3));
             AtomicInteger broken = breakWithinBodies(raw);
             assertEquals(502, askLong(net, "/once/").read().status());
             net.assertQuiet();
@@ -466,8 +465,8 @@
     @Test
     void aSafeRequestThatBreaksWithinItsBodyIsSentAgainWithinTheAttempts() throws Exception {
         try (ScriptedServer raw = ScriptedServer.raw()) {
-            net.list(raw, PLAIN, null);
-            net.routes(2 * MORE_THAN_SYSTEMS_HOLD, route("safe", "safe", PLAIN, 3));
+            net.servers.add(raw, PLAIN, null);
+            net.routes(2 * MORE_THAN_SYSTEMS_HOLD, safeRoute("safe", 3));
             AtomicInteger broken = breakWithinBodies(raw);
             assertEquals(502, askLong(net, "/safe/").read().status());
             net.assertQuiet();
@@ -479,15 +478,15 @@
 
     @Test
     void withoutABudgetNothingIsRepeated() throws Exception {
-        try (ForwarderFixture poor = new ForwarderFixture(ForwarderFixture.NONE)) {
-            poor.routes(route("safe", "safe", PLAIN, 3), route("once", "unsafe", PLAIN, 3));
-            poor.plain();
-            poor.plain();
+        try (ForwarderFixture poor = new ForwarderFixture(ForwarderFixture.NO_RETRIES)) {
+            poor.routes(safeRoute("safe", 3), unsafeRoute("once", 3));
+            poor.servers.plain();
+            poor.servers.plain();
             Wire broken = poor.ask("/safe/");
             poor.next().wire().reset();
             assertEquals(502, broken.read().status());
             Wire turned = poor.ask("/once/");
-            turnAway(poor.next());
+            reject(poor.next());
             assertRefused(turned.read());
             poor.assertQuiet();
         }
@@ -496,13 +495,13 @@
     /** A repeat that may not be made is no reason to end the only call there is. */
     @Test
     void withoutABudgetASlowServerIsWaitedFor() throws Exception {
-        try (ForwarderFixture poor = new ForwarderFixture(ForwarderFixture.NONE)) {
-            poor.routes(route("quick", "safe", PLAIN, 3, target(20)));
-            poor.plain();
-            poor.plain();
+        try (ForwarderFixture poor = new ForwarderFixture(ForwarderFixture.NO_RETRIES)) {
+            poor.routes(safeRoute("quick", 3).withTargetLatency(20));
+            poor.servers.plain();
+            poor.servers.plain();
             Wire client = poor.ask("/quick/");
             Call call = poor.next();
-            OnLoop.pass(poor.loop, PATIENCE * 20 + 30);
+            poor.pass(PATIENCE * 20 + 30);
             serve(call, "slow");
             Wire.Message answer = client.read();
             assertEquals(200, answer.status());
@@ -514,17 +513,18 @@
     @Test
     void theBudgetBoundsTheRepeats() throws Exception {
         try (ForwarderFixture scarce = new ForwarderFixture(new RetryBudgets.Limits(0.5, 600_000, 5))) {
-            scarce.routes(route("safe", "safe", PLAIN, 2));
-            scarce.plain();
-            scarce.plain();
-            scarce.plain();
+            scarce.routes(safeRoute("safe", 2));
+            scarce.servers.plain();
+            scarce.servers.plain();
+            scarce.servers.plain();
             int sends = 0;
             for (int i = 0; i < 6; i++) {
                 Wire client = scarce.ask("/safe/");
                 answer(scarce.next(), "500 Internal Server Error", SEAL, "");
                 sends++;
-                OnLoop.await(scarce.loop, () -> scarce.forwarder.openRequests() == 0 || !scarce.calls.isEmpty());
-                if (!scarce.calls.isEmpty()) {
+                OnLoop.await(
+                        scarce.loop, () -> scarce.forwarder.openRequests() == 0 || !scarce.servers.calls.isEmpty());
+                if (!scarce.servers.calls.isEmpty()) {
                     serve(scarce.next(), "");
                     sends++;
                 }
@@ -539,13 +539,13 @@
     @Test
     void noSlackIsUsedBeforeTheFleetsSizeHasSettled() throws Exception {
         try (ForwarderFixture alone = new ForwarderFixture(new RetryBudgets.Limits(0, 600_000, 1_000))) {
-            alone.routes(route("safe", "safe", PLAIN, 2));
-            alone.plain();
-            alone.plain();
-            Member peer = new Member("edge-1", Member.DATA, "127.0.0.1:1", ForwarderFixture.ZONE, 1);
+            alone.routes(safeRoute("safe", 2));
+            alone.servers.plain();
+            alone.servers.plain();
+            Member peer = new Member("edge-1", Member.DATA, "127.0.0.1:1", ScriptedFleet.ZONE, 1);
             for (List<Member> told : List.of(List.<Member>of(), List.of(peer))) {
                 OnLoop.run(alone.loop, () -> {
-                    alone.view.updateMembers(told);
+                    alone.metadata.updateMembers(told);
                     alone.forwarder.onFleetChanged();
                 });
                 Wire client = alone.ask("/safe/");
@@ -559,8 +559,8 @@
     // ---- deadlines ------------------------------------------------------------------------------------
 
     private static String half(String target, int remainingMs) {
-        return "POST " + target + " HTTP/1.1\r\nHost: " + ForwarderFixture.HOST + "\r\nX-Dewplank-Remaining-Time-Ms: "
-                + remainingMs + "\r\nContent-Length: 2\r\n\r\n";
+        return "POST " + target + " HTTP/1.1\r\nHost: " + HOST + "\r\nX-Dewplank-Remaining-Time-Ms: " + remainingMs
+                + "\r\nContent-Length: 2\r\n\r\n";
     }
 
     private void awaitHalfRead() throws Exception {
@@ -570,11 +570,11 @@
     /** The client has counted since it began to send, and servers are handed what is left of that. */
     @Test
     void timeIsCountedFromTheFirstByte() throws Exception {
-        net.plain();
+        net.servers.plain();
         Wire client = net.client();
         client.send(half("/once/", 4_000));
         awaitHalfRead();
-        OnLoop.pass(net.loop, 300);
+        net.pass(300);
         client.send("hi");
         Call call = net.next();
         int handed = Integer.parseInt(call.message().header("X-Dewplank-Remaining-Time-Ms"));
@@ -585,11 +585,11 @@
 
     @Test
     void aRequestThatBecomesWholeAfterItsTimeoutIsRefusedAtOnce() throws Exception {
-        net.plain();
+        net.servers.plain();
         Wire client = net.client();
         client.send(half("/brief/", 9_000));
         awaitHalfRead();
-        OnLoop.pass(net.loop, 160);
+        net.pass(160);
         client.send("hi");
         assertRefused(client.read());
         net.assertQuiet();
@@ -597,7 +597,7 @@
 
     @Test
     void aTimeThatIsNoneIsTheRoutesOwn() throws Exception {
-        net.plain();
+        net.servers.plain();
         for (String odd : List.of("NaN", "soon", "")) {
             Wire client = net.client();
             client.send(request("/once/", "", "hi").replace("Time-Ms: 9000", "Time-Ms: " + odd));
@@ -612,11 +612,11 @@
     /** Never more than is left; and the one that is sent later has less. */
     @Test
     void aRepeatIsHandedWhatIsLeftByThen() throws Exception {
-        net.plain();
-        net.plain();
+        net.servers.plain();
+        net.servers.plain();
         Wire client = net.ask("/safe/");
         Call first = net.next();
-        OnLoop.pass(net.loop, 200);
+        net.pass(200);
         answer(first, "500 Internal Server Error", SEAL, "");
         Call second = net.next();
         int before = Integer.parseInt(first.message().header("X-Dewplank-Remaining-Time-Ms"));
@@ -629,7 +629,7 @@
     /** It reached a server and may run there: 503 would promise that it never will. */
     @Test
     void anUnsafeRequestThatAServerHoldsAtItsDeadlineIsNotRefused() throws Exception {
-        net.plain();
+        net.servers.plain();
         Wire client = net.ask("/brief/");
         Call call = net.next();
         assertEquals(504, client.read().status());
@@ -639,7 +639,7 @@
 
     @Test
     void aSafeRequestThatAServerHoldsAtItsDeadlineFails() throws Exception {
-        net.plain();
+        net.servers.plain();
         Wire client = net.ask("/briefly/");
         Call call = net.next();
         assertTrue(client.read().status() >= 500);
@@ -650,7 +650,7 @@
     @Test
     void aRequestThatWasNotSentByItsDeadlineIsRefused() throws Exception {
         try (ScriptedServer late = ScriptedServer.late(new LinkedBlockingQueue<>())) {
-            net.list(late, PLAIN, null);
+            net.servers.add(late, PLAIN, null);
             assertRefused(net.ask("/brief/").read());
             net.assertQuiet();
         }
@@ -660,7 +660,7 @@
 
     @Test
     void aClientThatLeavesEndsItsCall() throws Exception {
-        net.plain();
+        net.servers.plain();
         for (String target : new String[] {"/safe/", "/once/"}) {
             Wire client = net.ask(target);
             Call call = net.next();
@@ -672,10 +672,10 @@
 
     @Test
     void aClientThatLeavesWithinAnAnswerEndsItsCall() throws Exception {
-        net.plain();
+        net.servers.plain();
         Wire client = net.ask("/safe/");
         Call call = net.next();
-        call.wire().send("HTTP/1.1 200 OK\r\n" + ForwarderFixture.idOf(call) + SEAL + "Content-Length: 9\r\n\r\n1234");
+        call.wire().send("HTTP/1.1 200 OK\r\n" + idOf(call) + SEAL + "Content-Length: 9\r\n\r\n1234");
         client.close();
         call.wire().awaitEnd();
         net.assertQuiet();
@@ -684,16 +684,16 @@
     /** The end of the client and the break of its server are there at once: whichever is looked at first. */
     @Test
     void aClientsEndThatMeetsABreakLeavesNothingOpen() throws Exception {
-        net.plain();
-        net.plain();
+        net.servers.plain();
+        net.servers.plain();
         Wire client = net.ask("/safe/");
         Call call = net.next();
         OnLoop.run(net.loop, () -> {
             client.close();
             call.wire().reset();
         });
-        OnLoop.await(net.loop, () -> net.forwarder.openRequests() == 0);
-        while (!net.calls.isEmpty()) {
+        net.awaitNoOpenRequest();
+        while (!net.servers.calls.isEmpty()) {
             net.next().wire().awaitEnd();
         }
         net.assertQuiet();
@@ -701,12 +701,12 @@
 
     @Test
     void requestsSentAheadAreServedInTheirOrder() throws Exception {
-        net.plain();
+        net.servers.plain();
         Wire client = net.client();
         client.send(request("/once/1", "", "") + request("/once/2", "", ""));
         Call one = net.next();
         assertEquals("/once/1", one.message().target());
-        assertTrue(net.calls.isEmpty());
+        assertTrue(net.servers.calls.isEmpty());
         serve(one, "1");
         assertEquals("1", client.read().body());
         Call two = net.next();
@@ -717,8 +717,8 @@
 
     @Test
     void aBodyOverTheConfiguredBoundIsRefused() throws Exception {
-        net.plain();
-        net.routes(10, route("once", "unsafe", PLAIN, 1));
+        net.servers.plain();
+        net.routes(10, unsafeRoute("once", 1));
         Wire tooLong = net.client();
         tooLong.send(request("/once/", "", "12345678901"));
         assertEquals(413, tooLong.read().status());
@@ -732,16 +732,16 @@
     /** A kept connection is not bound by what held when it was opened. */
     @Test
     void theBoundOnBodiesIsThatOfTheConfigurationInForce() throws Exception {
-        net.plain();
-        net.routes(10, route("once", "unsafe", PLAIN, 1));
+        net.servers.plain();
+        net.routes(10, unsafeRoute("once", 1));
         Wire client = net.client();
         client.send(request("/once/", "", "1234567890"));
         serve(net.next(), "");
         assertEquals(200, client.read().status());
-        net.routes(20, route("once", "unsafe", PLAIN, 1));
+        net.routes(20, unsafeRoute("once", 1));
         client.send(request("/once/", "", "12345678901234567890"));
-        OnLoop.await(net.loop, () -> !net.calls.isEmpty() || net.forwarder.openConnections() == 0);
-        assertFalse(net.calls.isEmpty(), "refused by the old bound");
+        OnLoop.await(net.loop, () -> !net.servers.calls.isEmpty() || net.forwarder.openConnections() == 0);
+        assertFalse(net.servers.calls.isEmpty(), "refused by the old bound");
         serve(net.next(), "");
         assertEquals(200, client.read().status());
     }
@@ -749,7 +749,7 @@
     /** The other part of the system's own words is looked at in GenerationTest. */
     @Test
     void aPlainRequestNamesNoStageAndNoHandle() throws Exception {
-        net.plain();
+        net.servers.plain();
         Wire client = net.ask("/once/", "X-Dewplank-Processing-Stage: prefill\r\nKv-From: 10.0.0.1:80/h\r\n");
         Call call = net.next();
         assertNull(call.message().header("X-Dewplank-Processing-Stage"));
@@ -768,7 +768,7 @@
             assertEquals(503, held.read().status());
             unready.assertQuiet();
         }
-        net.plain();
+        net.servers.plain();
         Wire client = net.ask("/once/");
         Call call = net.next();
         OnLoop.run(net.loop, net.forwarder::terminateAll);
@@ -779,7 +779,7 @@
 
     @Test
     void aClosingForwarderEndsConnectionsWithTheirAnswers() throws Exception {
-        net.plain();
+        net.servers.plain();
         Wire client = net.ask("/once/");
         Call call = net.next();
         OnLoop.run(net.loop, net.forwarder::close);
--- /dev/null
+++ b/dataplane/src/test/java/dewplank/dataplane/ScriptedFleet.java
@@ -0,0 +1,106 @@
+package dewplank.dataplane;
+
+import dewplank.exchange.OnLoop;
+import dewplank.exchange.ScriptedServer;
+import dewplank.exchange.ScriptedServer.Call;
+import dewplank.message.Endpoint;
+import dewplank.message.EndpointList;
+import dewplank.message.EndpointListVersion;
+import dewplank.net.EventLoop;
+import java.io.Closeable;
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.LinkedBlockingQueue;
+
+/** Scripted servers with one queue of calls, and the endpoint list that names them to the data plane. */
+final class ScriptedFleet implements Closeable {
+    static final String ZONE = "z";
+
+    private static final int CAPACITY = 64;
+
+    /** Requests that servers have got and the test has not taken. */
+    final BlockingQueue<Call> calls = new LinkedBlockingQueue<>();
+
+    private final EventLoop loop;
+    private final FleetMetadata metadata;
+    private final Map<ScriptedServer, String> instances = new HashMap<>();
+    private final List<Endpoint> endpoints = new ArrayList<>();
+    private long revision;
+
+    ScriptedFleet(EventLoop loop, FleetMetadata metadata) {
+        this.loop = loop;
+        this.metadata = metadata;
+    }
+
+    /** A new server of the plain service. */
+    ScriptedServer plain() throws Exception {
+        return server(TestConfiguration.PLAIN, null);
+    }
+
+    /** A new prefill server. */
+    ScriptedServer prefill() throws Exception {
+        return server(TestConfiguration.MODEL, "prefill");
+    }
+
+    /** A new decode server. */
+    ScriptedServer decode() throws Exception {
+        return server(TestConfiguration.MODEL, "decode");
+    }
+
+    ScriptedServer server(String service, String stage) throws Exception {
+        return add(new ScriptedServer(calls), service, stage);
+    }
+
+    /** Names the server in the next endpoint list. */
+    ScriptedServer add(ScriptedServer server, String service, String stage) throws Exception {
+        String id = "i-" + endpoints.size();
+        instances.put(server, id);
+        endpoints.add(endpoint(server, id, service, stage, false));
+        publish();
+        return server;
+    }
+
+    private static Endpoint endpoint(ScriptedServer server, String id, String service, String stage, boolean draining) {
+        return new Endpoint(id, service, server.addressText(), ZONE, CAPACITY, draining, 0, stage);
+    }
+
+    /** The next endpoint list has the server as draining. */
+    void drain(ScriptedServer server) throws Exception {
+        endpoints.replaceAll(
+                e -> e.instanceId.equals(id(server)) ? endpoint(server, e.instanceId, e.service, e.stage, true) : e);
+        publish();
+    }
+
+    /** The next endpoint list does not have the server. */
+    void remove(ScriptedServer server) throws Exception {
+        endpoints.removeIf(e -> e.instanceId.equals(id(server)));
+        publish();
+    }
+
+    /** Brings the next endpoint list to the data plane. */
+    void publish() throws Exception {
+        EndpointList next = new EndpointList(new EndpointListVersion(1, ++revision), new ArrayList<>(endpoints));
+        OnLoop.run(loop, () -> metadata.updateServers(next));
+    }
+
+    /** The instance id that the endpoint list gives the server. */
+    String id(ScriptedServer server) {
+        return instances.get(server);
+    }
+
+    /** The next request, whichever server it reached. */
+    Call next() throws InterruptedException {
+        return ScriptedServer.next(calls);
+    }
+
+    @Override
+    public void close() throws IOException {
+        for (ScriptedServer server : instances.keySet()) {
+            server.close();
+        }
+    }
+}
--- /dev/null
+++ b/dataplane/src/test/java/dewplank/dataplane/ServerAnswers.java
@@ -0,0 +1,63 @@
+package dewplank.dataplane;
+
+import dewplank.exchange.ScriptedServer.Call;
+import java.io.IOException;
+
+/** What the scripted servers answer. */
+final class ServerAnswers {
+    static final String SEAL = "X-Dewplank-Server-Seal: s.1\r\n";
+    static final String NOT_EXECUTED = "X-Dewplank-Not-Executed: 1\r\n";
+
+    private ServerAnswers() {}
+
+    /** The server answers with its seal and the request's id. */
+    static void serve(Call call, String body) throws IOException {
+        answer(call, "200 OK", SEAL, body);
+    }
+
+    /** The server answers with the request's id. */
+    static void answer(Call call, String status, String fields, String body) throws IOException {
+        call.wire().answer(status, idOf(call) + fields, body);
+    }
+
+    /** The start of an answer with the server's seal and the request's id; the fields are the last ones. */
+    static String sealedHead(Call call, String fields) {
+        return "HTTP/1.1 200 OK\r\n" + idOf(call) + SEAL + fields + "\r\n";
+    }
+
+    /** The field that bears the request's id; empty where the request has none. */
+    static String idOf(Call call) {
+        String id = call.message().header("X-Dewplank-Request-Attempt-Id");
+        return id == null ? "" : "X-Dewplank-Request-Attempt-Id: " + id + "\r\n";
+    }
+
+    /** The server is full. */
+    static void reject(Call call) throws IOException {
+        answer(call, "503 Service Unavailable", NOT_EXECUTED, "");
+    }
+
+    /** A prefill server answers with the handle of its KV cache. */
+    static void handOver(Call prefill, String handle) throws IOException {
+        answer(
+                prefill,
+                "200 OK",
+                "Content-Type: application/json\r\n",
+                "{\"context_handle\":\"" + handle + "\",\"token_count\":60,\"config_version\":1}");
+    }
+
+    /** A decode server begins its stream. */
+    static void beginStream(Call decode) throws IOException {
+        decode.wire().send(sealedHead(decode, "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n"));
+    }
+
+    /** A decode server sends a stream of one event. */
+    static void sendStream(Call decode, int eventId) throws IOException {
+        beginStream(decode);
+        decode.wire().chunk(event(eventId));
+        decode.wire().lastChunk();
+    }
+
+    static String event(int id) {
+        return "id: " + id + "\ndata: t" + id + "\n\n";
+    }
+}
--- a/dataplane/src/test/java/dewplank/dataplane/StreamCrossingTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/StreamCrossingTest.java
@@ -1,20 +1,20 @@
 package dewplank.dataplane;
 
-import static dewplank.dataplane.ForwarderFixture.MEDIUM_PROMPT;
-import static dewplank.dataplane.ForwarderFixture.MODEL;
-import static dewplank.dataplane.ForwarderFixture.NOT_EXECUTED;
-import static dewplank.dataplane.ForwarderFixture.PLAIN;
-import static dewplank.dataplane.ForwarderFixture.PROMPT;
-import static dewplank.dataplane.ForwarderFixture.SEAL;
-import static dewplank.dataplane.ForwarderFixture.SHORT_PROMPT;
-import static dewplank.dataplane.ForwarderFixture.answer;
-import static dewplank.dataplane.ForwarderFixture.beginStream;
-import static dewplank.dataplane.ForwarderFixture.event;
-import static dewplank.dataplane.ForwarderFixture.handOver;
-import static dewplank.dataplane.ForwarderFixture.idOf;
-import static dewplank.dataplane.ForwarderFixture.request;
-import static dewplank.dataplane.ForwarderFixture.resumable;
-import static dewplank.dataplane.ForwarderFixture.route;
+import static dewplank.dataplane.ClientRequests.HOST;
+import static dewplank.dataplane.ClientRequests.MEDIUM_PROMPT;
+import static dewplank.dataplane.ClientRequests.PROMPT;
+import static dewplank.dataplane.ClientRequests.SHORT_PROMPT;
+import static dewplank.dataplane.ClientRequests.request;
+import static dewplank.dataplane.ServerAnswers.NOT_EXECUTED;
+import static dewplank.dataplane.ServerAnswers.SEAL;
+import static dewplank.dataplane.ServerAnswers.answer;
+import static dewplank.dataplane.ServerAnswers.beginStream;
+import static dewplank.dataplane.ServerAnswers.event;
+import static dewplank.dataplane.ServerAnswers.handOver;
+import static dewplank.dataplane.ServerAnswers.idOf;
+import static dewplank.dataplane.TestConfiguration.MODEL;
+import static dewplank.dataplane.TestRoute.streamingRoute;
+import static dewplank.dataplane.TestRoute.unsafeRoute;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotSame;
@@ -49,9 +49,9 @@
         net = new ForwarderFixture()
                 .routes(
                         4 * LONG_BODY,
-                        route("gen", "streaming", MODEL, 2),
-                        resumable(route("res", "streaming", MODEL, 2)),
-                        route("plain", "unsafe", PLAIN, 1));
+                        streamingRoute("gen", 2),
+                        streamingRoute("res", 2).asResumable(),
+                        unsafeRoute("plain", 1));
     }
 
     @AfterEach
@@ -86,31 +86,21 @@
         assertEquals("", client.readChunk());
     }
 
-    private void withTimePast(double ms, OnLoop.Task event) throws Exception {
-        OnLoop.run(net.loop, () -> {
-            event.run();
-            double until = net.loop.now() + ms;
-            while (net.loop.now() < until) {
-                Thread.onSpinWait();
-            }
-        });
-    }
-
     // ---- the end of a stream --------------------------------------------------------------------------
 
     /** The end was sent before the reset; which of them is seen decides, and either way nothing is missing or twice. */
     @Test
     void anEndThatMeetsAResetIsWholeOrIsContinued() throws Exception {
-        net.decode();
-        net.decode();
+        net.servers.decode();
+        net.servers.decode();
         Begun stream = begun("/res/", PROMPT);
         OnLoop.run(net.loop, () -> {
             stream.run().wire().chunk(event(2));
             stream.run().wire().lastChunk();
             stream.run().wire().reset();
         });
-        OnLoop.await(net.loop, () -> !net.calls.isEmpty() || net.forwarder.openRequests() == 0);
-        Call next = net.calls.poll();
+        OnLoop.await(net.loop, () -> !net.servers.calls.isEmpty() || net.forwarder.openRequests() == 0);
+        Call next = net.servers.calls.poll();
         if (next == null) {
             assertEquals(event(2), stream.client().readChunk());
             assertEquals("", stream.client().readChunk());
@@ -132,8 +122,8 @@
 
     @Test
     void aResetAfterTheEndChangesNothing() throws Exception {
-        net.decode();
-        net.decode();
+        net.servers.decode();
+        net.servers.decode();
         for (String target : BOTH) {
             Begun stream = begun(target, PROMPT);
             stream.run().wire().lastChunk();
@@ -146,8 +136,8 @@
     /** Without a length the connection's end ends a stream, but not in the middle of an event. */
     @Test
     void anEndInTheMiddleOfAnEventIsABreak() throws Exception {
-        net.decode();
-        net.decode();
+        net.servers.decode();
+        net.servers.decode();
         for (String target : BOTH) {
             Wire client = net.ask(target, PROMPT);
             Call run = net.next();
@@ -168,8 +158,8 @@
 
     @Test
     void anEndBeforeTheFirstEventIsABreak() throws Exception {
-        net.decode();
-        net.decode();
+        net.servers.decode();
+        net.servers.decode();
         for (String target : BOTH) {
             Wire client = net.ask(target, PROMPT);
             Call run = net.next();
@@ -192,8 +182,8 @@
     /** Without an id nobody can say where the stream is to go on: it would repeat what was passed on. */
     @Test
     void aStreamIsNotContinuedBehindAnEventWithoutAnId() throws Exception {
-        net.decode();
-        net.decode();
+        net.servers.decode();
+        net.servers.decode();
         Wire client = net.ask("/res/", PROMPT);
         Call run = net.next();
         beginStream(run);
@@ -207,7 +197,7 @@
 
     @Test
     void aSecondAnswerBehindAStreamIsNobodys() throws Exception {
-        net.decode();
+        net.servers.decode();
         for (String target : BOTH) {
             Begun stream = begun(target, PROMPT);
             stream.run()
@@ -222,8 +212,8 @@
     /** It would be sent elsewhere with a part of its stream passed on: two runs in one answer. */
     @Test
     void nothingIsPassedOnOfAnAnswerThatSaysItDidNotRun() throws Exception {
-        net.decode();
-        net.decode();
+        net.servers.decode();
+        net.servers.decode();
         for (String target : BOTH) {
             Wire client = net.ask(target, PROMPT);
             Call first = net.next();
@@ -236,17 +226,17 @@
             second.wire().lastChunk();
             assertEquals(event(1), client.read().body());
             net.assertQuiet();
-            OnLoop.pass(net.loop, 2 * RESTED_MS); // the one that turned it away is spared for 40 ms
+            net.pass(2 * RESTED_MS); // the one that turned it away is spared for 40 ms
         }
     }
 
     /** The answer to a HEAD ends with its head, and needs neither a length nor events. */
     @Test
     void theAnswerToAHeadIsNoStreamThatIsCutOff() throws Exception {
-        net.decode();
+        net.servers.decode();
         Wire client = net.client();
-        client.send("HEAD /gen/ HTTP/1.1\r\nHost: " + ForwarderFixture.HOST
-                + "\r\nX-Dewplank-Request-Attempt-Id: h1\r\n\r\n" + request("/gen/", PROMPT, ""));
+        client.send("HEAD /gen/ HTTP/1.1\r\nHost: " + HOST + "\r\nX-Dewplank-Request-Attempt-Id: h1\r\n\r\n"
+                + request("/gen/", PROMPT, ""));
         Call head = net.next();
         head.wire().send("HTTP/1.1 200 OK\r\n" + idOf(head) + SEAL + "\r\n");
         assertEquals("h1", client.readHead().header("X-Dewplank-Request-Attempt-Id"));
@@ -261,7 +251,7 @@
     /** The rest of a stream whose client has left, and the next stream: they never share a connection. */
     @Test
     void theRestOfAStreamWhoseClientHasLeftIsNobodys() throws Exception {
-        net.decode();
+        net.servers.decode();
         for (String target : BOTH) {
             Begun left = begun(target, PROMPT);
             left.client().close();
@@ -271,18 +261,18 @@
             next.run().wire().lastChunk();
             assertEquals("", next.client().readChunk());
             net.assertQuiet();
-            OnLoop.pass(net.loop, RESTED_MS);
+            net.pass(RESTED_MS);
         }
     }
 
     @Test
     void aLateStreamOnAReusedConnectionIsNobodys() throws Exception {
-        net.decode();
+        net.servers.decode();
         for (String target : BOTH) {
             Begun first = begun(target, PROMPT);
             first.run().wire().lastChunk();
             assertEquals("", first.client().readChunk());
-            OnLoop.pass(net.loop, RESTED_MS);
+            net.pass(RESTED_MS);
             first.client().send(request(target, PROMPT, ""));
             Call second = net.next();
             assertSame(first.run().wire(), second.wire());
@@ -296,7 +286,7 @@
             second.wire().lastChunk();
             assertEquals(event(1), first.client().read().body());
             net.assertQuiet();
-            OnLoop.pass(net.loop, RESTED_MS);
+            net.pass(RESTED_MS);
         }
     }
 
@@ -305,8 +295,8 @@
     /** The stream is moved and its first server speaks on: its connection has ended, so no event comes twice. */
     @Test
     void whatASilentServerSendsAfterItsStreamWasMovedIsNobodys() throws Exception {
-        net.decode();
-        net.decode();
+        net.servers.decode();
+        net.servers.decode();
         Begun stream = begun("/res/", SHORT_PROMPT);
         Call next = net.next();
         stream.run().wire().awaitEnd();
@@ -318,18 +308,19 @@
     /** The silence ends and is over, at once: event 2 comes once, by the one server or by the other. */
     @Test
     void anEventThatMeetsTheEndOfPatienceComesOnce() throws Exception {
-        net.decode();
-        net.decode();
+        net.servers.decode();
+        net.servers.decode();
         Begun stream = begun("/res/", SHORT_PROMPT);
-        withTimePast(PAST_SILENCE_MS, () -> {
+        net.runBeforePause(PAST_SILENCE_MS, () -> {
             try {
                 stream.run().wire().chunk(event(2));
             } catch (IOException e) {
                 // patience has ended before, on a slow machine
             }
         });
-        OnLoop.await(net.loop, () -> !net.calls.isEmpty() || stream.client().hasBytes());
-        Call next = net.calls.poll();
+        OnLoop.await(
+                net.loop, () -> !net.servers.calls.isEmpty() || stream.client().hasBytes());
+        Call next = net.servers.calls.poll();
         if (next == null) {
             assertEquals(event(2), stream.client().readChunk());
             stream.run().wire().lastChunk();
@@ -353,12 +344,12 @@
     /** The prompt's handle and the end of patience are there at once: one run, with the handle or without it. */
     @Test
     void aHandleThatMeetsTheEndOfPatienceLeadsToOneRun() throws Exception {
-        ScriptedServer prefill = net.prefill();
-        net.decode();
+        ScriptedServer prefill = net.servers.prefill();
+        net.servers.decode();
         for (String target : BOTH) {
             Wire client = net.ask(target, SHORT_PROMPT);
             Call read = net.next();
-            withTimePast(PAST_PREFILL_MS, () -> handOver(read, "h1"));
+            net.runBeforePause(PAST_PREFILL_MS, () -> handOver(read, "h1"));
             Call run = net.next();
             String from = run.message().header("Kv-From");
             assertTrue(from == null || from.equals(prefill.addressText() + "/h1"), from);
@@ -367,14 +358,14 @@
             run.wire().lastChunk();
             assertEquals(event(1), client.read().body());
             net.assertQuiet();
-            OnLoop.pass(net.loop, RESTED_MS);
+            net.pass(RESTED_MS);
         }
     }
 
     @Test
     void twoAnswersToOnePrefillLeadToOneRun() throws Exception {
-        ScriptedServer prefill = net.prefill();
-        net.decode();
+        ScriptedServer prefill = net.servers.prefill();
+        net.servers.decode();
         for (String target : BOTH) {
             Wire client = net.ask(target, PROMPT);
             Call read = net.next();
@@ -394,8 +385,8 @@
     /** A late answer to an earlier prefill, on the connection that carries the next one, in the next one's place. */
     @Test
     void anEarlierRequestsHandleOnAReusedConnectionIsNotTaken() throws Exception {
-        ScriptedServer prefill = net.prefill();
-        net.decode();
+        ScriptedServer prefill = net.servers.prefill();
+        net.servers.decode();
         Call earlier = null;
         for (String handle : new String[] {"h1", "h2"}) {
             Wire client = net.ask("/gen/", PROMPT);
@@ -413,7 +404,7 @@
             run.wire().lastChunk();
             assertEquals(event(1), client.read().body());
             earlier = read;
-            OnLoop.pass(net.loop, RESTED_MS);
+            net.pass(RESTED_MS);
         }
         net.assertQuiet();
     }
@@ -421,9 +412,9 @@
     /** The decode server may have taken it: it is given back once and nobody else is told of it. */
     @Test
     void aHandleWhoseRunFallsSilentIsFreedOnceAndNotGivenAgain() throws Exception {
-        ScriptedServer prefill = net.prefill();
-        net.decode();
-        net.decode();
+        ScriptedServer prefill = net.servers.prefill();
+        net.servers.decode();
+        net.servers.decode();
         Wire client = net.ask("/res/", MEDIUM_PROMPT);
         handOver(net.next(), "h1");
         Call silent = net.next();
@@ -441,7 +432,7 @@
         run.wire().lastChunk();
         assertEquals(event(1), client.read().body());
         silent.wire().awaitEnd();
-        OnLoop.await(net.loop, () -> net.forwarder.openRequests() == 0);
+        net.awaitNoOpenRequest();
         Call late = frees == 0 ? net.next() : null; // the free may come behind the run
         assertTrue(late == null || isFree(late));
         net.assertQuiet();
@@ -450,9 +441,9 @@
     /** Half of the request was sent: the decode server may have come for the handle already. */
     @Test
     void aHandleOfARunThatBrokeWithinItsRequestIsNotGivenAgain() throws Exception {
-        ScriptedServer prefill = net.prefill();
+        ScriptedServer prefill = net.servers.prefill();
         try (ScriptedServer raw = ScriptedServer.raw()) {
-            net.list(raw, MODEL, "decode");
+            net.servers.add(raw, MODEL, "decode");
             Wire client = net.client();
             client.send(request("/gen/", PROMPT, "x".repeat(LONG_BODY)));
             handOver(net.next(), "h1");
@@ -471,7 +462,7 @@
     /** The answer to a free bears no id: its connection carries nothing else, before or after. */
     @Test
     void theAnswerToAFreeReachesNoOtherRequest() throws Exception {
-        net.prefill();
+        net.servers.prefill();
         Wire client = net.ask("/gen/", PROMPT); // no decode server is there
         Call read = net.next();
         handOver(read, "h1");
@@ -481,7 +472,7 @@
         assertEquals(503, client.read().status());
         free.wire().answer("404 Not Found", "", "gone");
         free.wire().awaitEnd();
-        OnLoop.pass(net.loop, RESTED_MS);
+        net.pass(RESTED_MS);
         Wire next = net.ask("/gen/", PROMPT);
         Call readNext = net.next();
         assertNotSame(free.wire(), readNext.wire());
--- a/dataplane/src/test/java/dewplank/dataplane/StreamTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/StreamTest.java
@@ -1,19 +1,17 @@
 package dewplank.dataplane;
 
-import static dewplank.dataplane.ForwarderFixture.MODEL;
-import static dewplank.dataplane.ForwarderFixture.PLAIN;
-import static dewplank.dataplane.ForwarderFixture.PROMPT;
-import static dewplank.dataplane.ForwarderFixture.SEAL;
-import static dewplank.dataplane.ForwarderFixture.SHORT_PROMPT;
-import static dewplank.dataplane.ForwarderFixture.answer;
-import static dewplank.dataplane.ForwarderFixture.beginStream;
-import static dewplank.dataplane.ForwarderFixture.event;
-import static dewplank.dataplane.ForwarderFixture.request;
-import static dewplank.dataplane.ForwarderFixture.resumable;
-import static dewplank.dataplane.ForwarderFixture.route;
-import static dewplank.dataplane.ForwarderFixture.serve;
-import static dewplank.dataplane.ForwarderFixture.timeout;
-import static dewplank.dataplane.ForwarderFixture.turnAway;
+import static dewplank.dataplane.ClientRequests.PROMPT;
+import static dewplank.dataplane.ClientRequests.SHORT_PROMPT;
+import static dewplank.dataplane.ClientRequests.request;
+import static dewplank.dataplane.ServerAnswers.SEAL;
+import static dewplank.dataplane.ServerAnswers.answer;
+import static dewplank.dataplane.ServerAnswers.beginStream;
+import static dewplank.dataplane.ServerAnswers.event;
+import static dewplank.dataplane.ServerAnswers.idOf;
+import static dewplank.dataplane.ServerAnswers.reject;
+import static dewplank.dataplane.ServerAnswers.serve;
+import static dewplank.dataplane.TestRoute.streamingRoute;
+import static dewplank.dataplane.TestRoute.unsafeRoute;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotSame;
@@ -40,14 +38,14 @@
         net = new ForwarderFixture().routes(routes());
     }
 
-    private static String[] routes() {
-        return new String[] {
-            route("gen", "streaming", MODEL, 3),
-            resumable(route("res", "streaming", MODEL, 3)),
-            resumable(route("two", "streaming", MODEL, 2)),
-            route("plain", "unsafe", PLAIN, 1),
-            resumable(route("brief", "streaming", MODEL, 3, timeout(500))),
-            resumable(route("last", "streaming", MODEL, 1))
+    private static TestRoute[] routes() {
+        return new TestRoute[] {
+            streamingRoute("gen", 3),
+            streamingRoute("res", 3).asResumable(),
+            streamingRoute("two", 2).asResumable(),
+            unsafeRoute("plain", 1),
+            streamingRoute("brief", 3).withTimeout(500).asResumable(),
+            streamingRoute("last", 1).asResumable()
         };
     }
 
@@ -86,7 +84,7 @@
     /** The server holds the second event back until the client has seen the first. */
     @Test
     void eachEventIsPassedOnAsItComes() throws Exception {
-        net.decode();
+        net.servers.decode();
         Begun stream = begun("/gen/");
         assertEquals("s.1", stream.head().header("X-Dewplank-Server-Seal"));
         assertEquals("text/event-stream", stream.head().header("Content-Type"));
@@ -104,7 +102,7 @@
 
     @Test
     void eventsInPiecesArePassedOnWhole() throws Exception {
-        net.decode();
+        net.servers.decode();
         Begun stream = begun("/gen/");
         Wire server = stream.run().wire();
         server.chunk("id: 2\nda");
@@ -118,13 +116,13 @@
 
     @Test
     void aStreamWithALengthOrWithoutIsPassedOnTheSame() throws Exception {
-        net.decode();
+        net.servers.decode();
         Wire client = net.ask("/gen/", PROMPT);
         serve(net.next(), event(1) + event(2));
         assertEquals(event(1) + event(2), client.read().body());
         Wire next = net.ask("/gen/", PROMPT);
         Call run = net.next();
-        run.wire().send("HTTP/1.1 200 OK\r\n" + ForwarderFixture.idOf(run) + SEAL + "\r\n" + event(1));
+        run.wire().send("HTTP/1.1 200 OK\r\n" + idOf(run) + SEAL + "\r\n" + event(1));
         run.wire().close();
         assertEquals(event(1), next.read().body());
         Wire empty = net.ask("/gen/", PROMPT);
@@ -137,8 +135,8 @@
 
     @Test
     void aStreamIsFollowedByTheNextRequestOfItsConnection() throws Exception {
-        net.decode();
-        net.plain();
+        net.servers.decode();
+        net.servers.plain();
         Begun stream = begun("/gen/");
         stream.client().send(request("/plain/", "", ""));
         stream.run().wire().lastChunk();
@@ -150,7 +148,7 @@
 
     @Test
     void anotherRequestsStreamIsPassedOver() throws Exception {
-        net.decode();
+        net.servers.decode();
         Wire client = net.ask("/gen/", PROMPT);
         Call run = net.next();
         run.wire()
@@ -169,8 +167,8 @@
 
     @Test
     void aBrokenStreamIsContinuedBehindItsLastWholeEvent() throws Exception {
-        net.decode();
-        net.decode();
+        net.servers.decode();
+        net.servers.decode();
         Begun stream = begun("/res/");
         stream.run().wire().chunk(event(2) + "id: 3\ndata: half");
         assertEquals(event(2), stream.client().readChunk());
@@ -179,7 +177,7 @@
         assertNotSame(stream.run().server(), next.server());
         assertEquals("2", next.message().header("Last-Event-Id"));
         assertEquals(1, next.message().count("Last-Event-Id"));
-        assertEquals(net.id(next.server()), next.message().header("X-Dewplank-Target-Instance"));
+        assertEquals(net.servers.id(next.server()), next.message().header("X-Dewplank-Target-Instance"));
         assertNull(next.message().header("Kv-From"));
         beginStream(next);
         next.wire().chunk(event(3));
@@ -194,10 +192,10 @@
     /** Cut, malformed or ended too soon: each is a break. */
     @Test
     void everyKindOfBreakIsContinued() throws Exception {
-        net.decode();
-        net.decode();
-        net.decode();
-        net.decode();
+        net.servers.decode();
+        net.servers.decode();
+        net.servers.decode();
+        net.servers.decode();
         for (String how : new String[] {"reset", "end", "noise"}) {
             Begun stream = begun("/res/");
             switch (how) {
@@ -218,8 +216,8 @@
 
     @Test
     void aStreamThatTheClientContinuesIsContinuedBehindItsEvents() throws Exception {
-        net.decode();
-        net.decode();
+        net.servers.decode();
+        net.servers.decode();
         Wire client = net.ask("/two/", PROMPT + "Last-Event-Id: 12\r\n");
         Call first = net.next();
         assertEquals("12", first.message().header("Last-Event-Id"));
@@ -237,8 +235,8 @@
 
     @Test
     void aBrokenStreamThatMayNotBeContinuedIsCut() throws Exception {
-        net.decode();
-        net.decode();
+        net.servers.decode();
+        net.servers.decode();
         Begun stream = begun("/gen/");
         stream.run().wire().chunk("id: 2\ndata: half");
         stream.run().wire().reset();
@@ -248,8 +246,8 @@
 
     @Test
     void aStreamThatEndsInAFailureBeforeItsFirstEventIsRepeatedOnlyWhereAllowed() throws Exception {
-        net.decode();
-        net.decode();
+        net.servers.decode();
+        net.servers.decode();
         Wire resumable = net.ask("/res/", PROMPT);
         Call first = net.next();
         beginStream(first);
@@ -272,9 +270,9 @@
 
     @Test
     void aStreamIsContinuedOnlyWithinTheAttempts() throws Exception {
-        net.decode();
-        net.decode();
-        net.decode();
+        net.servers.decode();
+        net.servers.decode();
+        net.servers.decode();
         Begun stream = begun("/two/");
         stream.run().wire().reset();
         Call next = net.next();
@@ -288,13 +286,13 @@
 
     @Test
     void aContinuationThatIsTurnedAwayOrFailsIsTriedElsewhereOrCut() throws Exception {
-        net.decode();
-        net.decode();
-        net.decode();
+        net.servers.decode();
+        net.servers.decode();
+        net.servers.decode();
         Begun stream = begun("/res/");
         stream.run().wire().reset();
         Call second = net.next();
-        turnAway(second);
+        reject(second);
         Call third = net.next();
         assertEquals("1", third.message().header("Last-Event-Id"));
         answer(third, "500 Internal Server Error", SEAL, "broken");
@@ -304,10 +302,10 @@
 
     @Test
     void withoutABudgetABrokenStreamIsCut() throws Exception {
-        try (ForwarderFixture poor = new ForwarderFixture(ForwarderFixture.NONE)) {
+        try (ForwarderFixture poor = new ForwarderFixture(ForwarderFixture.NO_RETRIES)) {
             poor.routes(routes());
-            poor.decode();
-            poor.decode();
+            poor.servers.decode();
+            poor.servers.decode();
             Begun stream = begun(poor, "/res/", PROMPT);
             stream.run().wire().reset();
             assertCut(stream.client());
@@ -319,8 +317,8 @@
 
     @Test
     void aSilentStreamIsMoved() throws Exception {
-        net.decode();
-        net.decode();
+        net.servers.decode();
+        net.servers.decode();
         Begun stream = begun(net, "/res/", SHORT_PROMPT);
         Call next = net.next();
         stream.run().wire().awaitEnd();
@@ -337,16 +335,16 @@
     /** The time that reading the prompt may take is over with the first event. */
     @Test
     void aStreamOfALongPromptIsMovedAsSoonOnceItHasBegun() throws Exception {
-        net.decode();
-        net.decode();
+        net.servers.decode();
+        net.servers.decode();
         Begun stream = begun("/res/");
-        OnLoop.pass(net.loop, 2 * SILENCE_MS);
+        net.pass(2 * SILENCE_MS);
         assertTrue(stream.run().wire().isEnded(), "still waited for");
         assertEquals("1", net.next().message().header("Last-Event-Id"));
     }
 
     private void assertIsWaitedFor(ForwarderFixture fleet, Begun stream) throws Exception {
-        OnLoop.pass(fleet.loop, SILENCE_MS);
+        fleet.pass(SILENCE_MS);
         assertFalse(stream.run().wire().isEnded(), "the only server that can go on was left");
         stream.run().wire().chunk(event(2));
         stream.run().wire().lastChunk();
@@ -357,31 +355,31 @@
 
     @Test
     void aSilentStreamThatMayNotBeContinuedIsWaitedFor() throws Exception {
-        net.decode();
-        net.decode();
+        net.servers.decode();
+        net.servers.decode();
         assertIsWaitedFor(net, begun(net, "/gen/", SHORT_PROMPT));
     }
 
     @Test
     void aSilentStreamAtTheLastAttemptIsWaitedFor() throws Exception {
-        net.decode();
-        net.decode();
+        net.servers.decode();
+        net.servers.decode();
         assertIsWaitedFor(net, begun(net, "/last/", SHORT_PROMPT));
     }
 
     /** That a server is silent is no reason to end an answer which nobody else can continue. */
     @Test
     void aSilentStreamThatNoOtherServerCanContinueIsWaitedFor() throws Exception {
-        net.decode();
+        net.servers.decode();
         assertIsWaitedFor(net, begun(net, "/res/", SHORT_PROMPT));
     }
 
     @Test
     void aSilentStreamIsWaitedForWhereTheBudgetIsSpent() throws Exception {
-        try (ForwarderFixture poor = new ForwarderFixture(ForwarderFixture.NONE)) {
+        try (ForwarderFixture poor = new ForwarderFixture(ForwarderFixture.NO_RETRIES)) {
             poor.routes(routes());
-            poor.decode();
-            poor.decode();
+            poor.servers.decode();
+            poor.servers.decode();
             assertIsWaitedFor(poor, begun(poor, "/res/", SHORT_PROMPT));
         }
     }
@@ -390,8 +388,8 @@
 
     @Test
     void aStreamAtItsDeadlineIsCutWithoutASecondHead() throws Exception {
-        net.decode();
-        net.decode();
+        net.servers.decode();
+        net.servers.decode();
         Begun stream = begun("/brief/");
         assertCut(stream.client());
         stream.run().wire().awaitEnd();
@@ -400,8 +398,8 @@
 
     @Test
     void aClientThatLeavesWithinItsStreamEndsIt() throws Exception {
-        net.decode();
-        net.decode();
+        net.servers.decode();
+        net.servers.decode();
         for (String target : new String[] {"/gen/", "/res/"}) {
             Begun stream = begun(target);
             stream.client().close();
@@ -413,15 +411,15 @@
     /** The client's end and the server's break are there at once: whichever is looked at first. */
     @Test
     void aClientsEndThatMeetsABreakLeavesNothingOpen() throws Exception {
-        net.decode();
-        net.decode();
+        net.servers.decode();
+        net.servers.decode();
         Begun stream = begun("/res/");
         OnLoop.run(net.loop, () -> {
             stream.client().reset();
             stream.run().wire().reset();
         });
-        OnLoop.await(net.loop, () -> net.forwarder.openRequests() == 0);
-        while (!net.calls.isEmpty()) {
+        net.awaitNoOpenRequest();
+        while (!net.servers.calls.isEmpty()) {
             net.next().wire().awaitEnd();
         }
         net.assertQuiet();
@@ -429,8 +427,8 @@
 
     @Test
     void aClientThatLeavesWhileItsStreamIsContinuedEndsThatToo() throws Exception {
-        net.decode();
-        net.decode();
+        net.servers.decode();
+        net.servers.decode();
         Begun stream = begun("/res/");
         stream.run().wire().reset();
         Call next = net.next();
@@ -441,11 +439,11 @@
 
     @Test
     void theConnectionOfAStreamThatHasEndedIsUsedAgain() throws Exception {
-        net.decode();
+        net.servers.decode();
         Begun stream = begun("/gen/");
         stream.run().wire().lastChunk();
         assertEquals("", stream.client().readChunk());
-        OnLoop.pass(net.loop, 30);
+        net.pass(30);
         stream.client().send(request("/gen/", PROMPT, ""));
         Call next = net.next();
         assertSame(stream.run().wire(), next.wire());
--- /dev/null
+++ b/dataplane/src/test/java/dewplank/dataplane/TestRoute.java
@@ -0,0 +1,66 @@
+package dewplank.dataplane;
+
+/** A route of a tests' configuration. Immutable: each setter answers a changed copy. */
+record TestRoute(
+        String name,
+        String type,
+        String service,
+        int maxAttempts,
+        int timeoutMs,
+        int targetLatencyMs,
+        int gapTargetMs,
+        boolean resumable) {
+    /** Longer than a test waits for anything, shorter than what {@link ClientRequests} say that clients wait for. */
+    static final int DEFAULT_TIMEOUT_MS = 8_000;
+
+    private static final int DEFAULT_TARGET_LATENCY_MS = 4_000;
+
+    private static TestRoute of(String name, String type, String service, int maxAttempts) {
+        return new TestRoute(name, type, service, maxAttempts, DEFAULT_TIMEOUT_MS, DEFAULT_TARGET_LATENCY_MS, 0, false);
+    }
+
+    /** A route to {@link TestConfiguration#PLAIN} whose requests may run more than once. */
+    static TestRoute safeRoute(String name, int maxAttempts) {
+        return of(name, "safe", TestConfiguration.PLAIN, maxAttempts);
+    }
+
+    /** A route to {@link TestConfiguration#PLAIN} whose requests may run once. */
+    static TestRoute unsafeRoute(String name, int maxAttempts) {
+        return of(name, "unsafe", TestConfiguration.PLAIN, maxAttempts);
+    }
+
+    /** A route to {@link TestConfiguration#MODEL}. */
+    static TestRoute streamingRoute(String name, int maxAttempts) {
+        return of(name, "streaming", TestConfiguration.MODEL, maxAttempts);
+    }
+
+    TestRoute toService(String other) {
+        return new TestRoute(name, type, other, maxAttempts, timeoutMs, targetLatencyMs, gapTargetMs, resumable);
+    }
+
+    TestRoute withTimeout(int ms) {
+        return new TestRoute(name, type, service, maxAttempts, ms, targetLatencyMs, gapTargetMs, resumable);
+    }
+
+    /** An answer is waited for two and a half times as long before a retry. */
+    TestRoute withTargetLatency(int ms) {
+        return new TestRoute(name, type, service, maxAttempts, timeoutMs, ms, gapTargetMs, resumable);
+    }
+
+    /** The longest pause between two events that is aimed at. */
+    TestRoute withGapTarget(int ms) {
+        return new TestRoute(name, type, service, maxAttempts, timeoutMs, targetLatencyMs, ms, resumable);
+    }
+
+    /** A stream that breaks may be resumed behind its last event. */
+    TestRoute asResumable() {
+        return new TestRoute(name, type, service, maxAttempts, timeoutMs, targetLatencyMs, gapTargetMs, true);
+    }
+
+    String json() {
+        return "{\"name\":\"" + name + "\",\"host_name\":\"" + ClientRequests.HOST + "\",\"path_prefix\":\"/" + name
+                + "/\",\"route_type\":\"" + type + "\",\"timeout_ms\":" + timeoutMs + ",\"target_latency_ms\":"
+                + targetLatencyMs + ",\"priority\":2,\"service\":\"" + service + "\",\"max_attempts\":" + maxAttempts
+                + ",\"sticky\":false,\"resumable\":" + resumable + ",\"gap_aim_ms\":" + gapTargetMs + "}";
+    }
+}
