--- /dev/null
+++ b/dataplane/src/test/java/dewplank/dataplane/BegunStream.java
@@ -0,0 +1,49 @@
+package dewplank.dataplane;
+
+import static dewplank.dataplane.ServerAnswers.beginStream;
+import static dewplank.dataplane.ServerAnswers.event;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import dewplank.exchange.ScriptedServer.Call;
+import dewplank.exchange.Wire;
+import java.io.IOException;
+
+/**
+ * A stream whose first event, number 1, has reached the client.
+ *
+ * @param head the start of the client's answer
+ */
+record BegunStream(Wire client, Call decode, Wire.Message head) {
+    /** Sends the request; the first call that comes is the decode server's. */
+    static BegunStream begin(ForwarderFixture net, String target, String prompt) throws Exception {
+        Wire client = net.ask(target, prompt);
+        return begin(net.next(), client);
+    }
+
+    /** The decode server begins its stream, and the client gets the first event. */
+    static BegunStream begin(Call decode, Wire client) throws IOException {
+        beginStream(decode);
+        decode.wire().chunk(event(1));
+        Wire.Message head = client.readHead();
+        assertEquals(200, head.status());
+        assertEquals(event(1), client.readChunk());
+        return new BegunStream(client, decode, head);
+    }
+
+    /** The server's end of the connection. */
+    Wire server() {
+        return decode.wire();
+    }
+
+    /** The server sends the event, and the client gets it. */
+    void assertRelays(int eventId) throws IOException {
+        server().chunk(event(eventId));
+        assertEquals(event(eventId), client.readChunk());
+    }
+
+    /** The server ends the stream, and the client gets the end. */
+    void assertEnds() throws IOException {
+        server().lastChunk();
+        assertEquals("", client.readChunk());
+    }
+}
--- a/dataplane/src/test/java/dewplank/dataplane/CallCrossingTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/CallCrossingTest.java
@@ -2,10 +2,12 @@
 
 import static dewplank.dataplane.ClientRequests.HOST;
 import static dewplank.dataplane.ClientRequests.request;
+import static dewplank.dataplane.Expectations.assertServed;
 import static dewplank.dataplane.ServerAnswers.NOT_EXECUTED;
 import static dewplank.dataplane.ServerAnswers.SEAL;
 import static dewplank.dataplane.ServerAnswers.answer;
 import static dewplank.dataplane.ServerAnswers.idOf;
+import static dewplank.dataplane.ServerAnswers.sealedHead;
 import static dewplank.dataplane.ServerAnswers.serve;
 import static dewplank.dataplane.TestConfiguration.PLAIN;
 import static dewplank.dataplane.TestRoute.safeRoute;
@@ -24,6 +26,8 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 
 /**
  * Two events that meet on the connections of plain routes, in either order: each caller gets the answer to its own
@@ -63,8 +67,7 @@
     private Rested rested(String target) throws Exception {
         Wire client = net.ask(target);
         Call first = net.next();
-        serve(first, "first");
-        assertEquals("first", client.read().body());
+        assertServed(first, client, "first");
         net.pass(RESTED_MS);
         return new Rested(client, first);
     }
@@ -79,91 +82,82 @@
     private void assertServes(Wire client, String target) throws Exception {
         client.send(request(target, "", ""));
         Call call = net.next();
-        serve(call, "next");
-        assertEquals("next", client.read().body());
+        assertServed(call, client, "next");
         net.assertQuiet();
     }
 
     // ---- two answers where one was due ----------------------------------------------------------------
 
-    @Test
-    void aLateAnswerOnAReusedConnectionIsNobodysWhateverItSays() throws Exception {
+    @ParameterizedTest
+    @ValueSource(strings = {"/safe/", "/once/"})
+    void aLateAnswerOnAReusedConnectionIsNobodysWhateverItSays(String target) throws Exception {
         net.servers.plain();
-        for (String target : BOTH) {
-            for (String status : new String[] {"200 OK", "404 Not Found", "500 Internal Server Error"}) {
-                Rested rested = rested(target);
-                Call second = againOnTheSameWire(rested, target);
-                answer(rested.first(), status, SEAL, "the first one's");
-                answer(second, "200 OK", SEAL, "own");
-                assertEquals("own", rested.client().read().body(), target + status);
-                net.assertQuiet();
-            }
+        for (String status : new String[] {"200 OK", "404 Not Found", "500 Internal Server Error"}) {
+            Rested rested = rested(target);
+            Call second = againOnTheSameWire(rested, target);
+            answer(rested.first(), status, SEAL, "the first one's");
+            answer(second, "200 OK", SEAL, "own");
+            assertEquals("own", rested.client().read().body(), target + status);
+            net.assertQuiet();
         }
     }
 
     /** Its promise is the first request's: the second one may run, and is neither refused nor sent elsewhere. */
-    @Test
-    void aLateRejectionOnAReusedConnectionRejectsNothing() throws Exception {
+    @ParameterizedTest
+    @ValueSource(strings = {"/safe/", "/once/"})
+    void aLateRejectionOnAReusedConnectionRejectsNothing(String target) throws Exception {
         net.servers.plain();
-        for (String target : BOTH) {
-            Rested rested = rested(target);
-            Call second = againOnTheSameWire(rested, target);
-            answer(rested.first(), "503 Service Unavailable", NOT_EXECUTED, "");
-            answer(rested.first(), "421 Misdirected Request", "", "");
-            serve(second, "own");
-            assertEquals("own", rested.client().read().body());
-            net.assertQuiet();
-        }
+        Rested rested = rested(target);
+        Call second = againOnTheSameWire(rested, target);
+        answer(rested.first(), "503 Service Unavailable", NOT_EXECUTED, "");
+        answer(rested.first(), "421 Misdirected Request", "", "");
+        assertServed(second, rested.client(), "own");
+        net.assertQuiet();
     }
 
     /** Servers echo the id; what has none is another's, of the freeing of a handle say. */
-    @Test
-    void anAnswerWithoutAnIdIsNobodys() throws Exception {
+    @ParameterizedTest
+    @ValueSource(strings = {"/safe/", "/once/"})
+    void anAnswerWithoutAnIdIsNobodys(String target) throws Exception {
         net.servers.plain();
-        for (String target : BOTH) {
-            Rested rested = rested(target);
-            Call second = againOnTheSameWire(rested, target);
-            second.wire().answer("404 Not Found", "", "nobody's");
-            second.wire().answer("200 OK", SEAL, "nobody's");
-            second.wire().answer("503 Service Unavailable", NOT_EXECUTED, "");
-            serve(second, "own");
-            assertEquals("own", rested.client().read().body());
-            net.assertQuiet();
-        }
+        Rested rested = rested(target);
+        Call second = againOnTheSameWire(rested, target);
+        second.wire().answer("404 Not Found", "", "nobody's");
+        second.wire().answer("200 OK", SEAL, "nobody's");
+        second.wire().answer("503 Service Unavailable", NOT_EXECUTED, "");
+        assertServed(second, rested.client(), "own");
+        net.assertQuiet();
     }
 
-    @Test
-    void ofTwoAnswersInOnePieceTheFirstCountsAndTheConnectionEnds() throws Exception {
+    @ParameterizedTest
+    @ValueSource(strings = {"/safe/", "/once/"})
+    void ofTwoAnswersInOnePieceTheFirstCountsAndTheConnectionEnds(String target) throws Exception {
         net.servers.plain();
-        for (String target : BOTH) {
-            Wire client = net.ask(target);
-            Call call = net.next();
-            String own = "HTTP/1.1 200 OK\r\n" + idOf(call) + SEAL + "Content-Length: 1\r\n\r\n";
-            call.wire().send(own + "1" + own + "2");
-            assertEquals("1", client.read().body());
-            call.wire().awaitEnd();
-            assertServes(client, target);
-        }
+        Wire client = net.ask(target);
+        Call call = net.next();
+        String own = sealedHead(call, "Content-Length: 1\r\n");
+        call.wire().send(own + "1" + own + "2");
+        assertEquals("1", client.read().body());
+        call.wire().awaitEnd();
+        assertServes(client, target);
     }
 
     /** The bytes of the second answer form none with those of the first one's. */
-    @Test
-    void bytesBehindAnAnswerAreNoPartOfTheNext() throws Exception {
+    @ParameterizedTest
+    @ValueSource(strings = {"/safe/", "/once/"})
+    void bytesBehindAnAnswerAreNoPartOfTheNext(String target) throws Exception {
         net.servers.plain();
-        for (String target : BOTH) {
-            Rested rested = rested(target);
-            Call second = againOnTheSameWire(rested, target);
-            second.wire().send("surplus\r\n");
-            if (target.equals("/once/")) {
-                assertEquals(502, rested.client().read().status());
-            } else {
-                Call third = net.next();
-                assertNotSame(second.wire(), third.wire());
-                serve(third, "own");
-                assertEquals("own", rested.client().read().body());
-            }
-            net.assertQuiet();
+        Rested rested = rested(target);
+        Call second = againOnTheSameWire(rested, target);
+        second.wire().send("surplus\r\n");
+        if (target.equals("/once/")) {
+            assertEquals(502, rested.client().read().status());
+        } else {
+            Call third = net.next();
+            assertNotSame(second.wire(), third.wire());
+            assertServed(third, rested.client(), "own");
         }
+        net.assertQuiet();
     }
 
     /**
@@ -186,30 +180,25 @@
         assertNotSame(first.wire(), again.wire());
         assertNotSame(earlier.wire(), again.wire(), "a connection that has carried another call");
         answer(first, "421 Misdirected Request", "", "");
-        serve(again, "own");
-        assertEquals("own", client.read().body());
+        assertServed(again, client, "own");
         net.assertQuiet();
     }
 
     // ---- resets ---------------------------------------------------------------------------------------
 
-    @Test
-    void aResetOfAnIdleConnectionThatIsKnownCostsNothing() throws Exception {
+    @ParameterizedTest
+    @ValueSource(strings = {"/safe/", "/once/"})
+    void aResetOfAnIdleConnectionThatIsKnownCostsNothing(String target) throws Exception {
         net.servers.plain();
-        for (String target : BOTH) {
-            Rested rested = rested(target);
-            rested.first().wire().reset();
-            OnLoop.await(
-                    net.loop,
-                    () -> net.metadata.allServers().iterator().next().pool.size() == 0);
-            rested.client().send(request(target, "", ""));
-            Call second = net.next();
-            assertNotSame(rested.first().wire(), second.wire());
-            serve(second, "own");
-            assertEquals("own", rested.client().read().body());
-            net.assertQuiet();
-            net.pass(RESTED_MS); // so that no further connection is opened
-        }
+        Rested rested = rested(target);
+        rested.first().wire().reset();
+        OnLoop.await(
+                net.loop, () -> net.metadata.allServers().iterator().next().pool.size() == 0);
+        rested.client().send(request(target, "", ""));
+        Call second = net.next();
+        assertNotSame(rested.first().wire(), second.wire());
+        assertServed(second, rested.client(), "own");
+        net.assertQuiet();
     }
 
     @Test
@@ -273,29 +262,27 @@
     }
 
     /** Without a length the connection's end ends the answer, and a reset does not. */
-    @Test
-    void anAnswerWithoutALengthIsWholeAtItsEndAndNotAtAReset() throws Exception {
+    @ParameterizedTest
+    @ValueSource(strings = {"/safe/", "/once/"})
+    void anAnswerWithoutALengthIsWholeAtItsEndAndNotAtAReset(String target) throws Exception {
         net.servers.plain();
         net.servers.plain();
-        for (String target : BOTH) {
-            for (boolean whole : new boolean[] {true, false}) {
-                Wire client = net.ask(target);
-                Call call = net.next();
-                call.wire().send("HTTP/1.1 200 OK\r\n" + idOf(call) + SEAL + "\r\nhalf");
-                if (whole) {
-                    call.wire().close();
-                    assertEquals("half", client.read().body());
-                } else if (target.equals("/safe/")) {
-                    call.wire().reset();
-                    serve(net.next(), "own");
-                    assertEquals("own", client.read().body());
-                } else {
-                    call.wire().reset();
-                    assertEquals(502, client.read().status());
-                }
-                net.assertQuiet();
-                net.pass(RESTED_MS);
+        for (boolean whole : new boolean[] {true, false}) {
+            Wire client = net.ask(target);
+            Call call = net.next();
+            call.wire().send(sealedHead(call, "") + "half");
+            if (whole) {
+                call.wire().close();
+                assertEquals("half", client.read().body());
+            } else if (target.equals("/safe/")) {
+                call.wire().reset();
+                assertServed(net.next(), client, "own");
+            } else {
+                call.wire().reset();
+                assertEquals(502, client.read().status());
             }
+            net.assertQuiet();
+            net.pass(RESTED_MS);
         }
     }
 
@@ -347,8 +334,7 @@
                 assertSame(other, call.server());
                 assertEquals(id, call.message().header("X-Dewplank-Request-Attempt-Id"));
                 assertEquals(LONG_BODY, call.message().body().length());
-                serve(call, "own");
-                assertEquals("own", client.read().body());
+                assertServed(call, client, "own");
                 net.assertQuiet();
                 net.servers.remove(raw);
                 net.servers.remove(other);
@@ -371,35 +357,31 @@
     // ---- time-outs ------------------------------------------------------------------------------------
 
     /** Whichever is looked at first: one answer, and the next request of the connection gets its own. */
-    @Test
-    void anAnswerThatMeetsTheDeadlineIsOneAnswer() throws Exception {
+    @ParameterizedTest
+    @ValueSource(strings = {"/brief/", "/briefly/"})
+    void anAnswerThatMeetsTheDeadlineIsOneAnswer(String target) throws Exception {
         net.servers.plain();
-        for (String target : new String[] {"/brief/", "/briefly/"}) {
-            Wire client = net.ask(target);
-            Call call = net.next();
-            net.runBeforePause(2 * TIMEOUT_MS, () -> serve(call, "just in time"));
-            Wire.Message got = client.read();
-            assertTrue(
-                    got.status() == 200 && got.body().equals("just in time") || got.status() == 504, got.startLine());
-            assertServes(client, "/safe/");
-        }
+        Wire client = net.ask(target);
+        Call call = net.next();
+        net.runBeforePause(2 * TIMEOUT_MS, () -> serve(call, "just in time"));
+        Wire.Message got = client.read();
+        assertTrue(got.status() == 200 && got.body().equals("just in time") || got.status() == 504, got.startLine());
+        assertServes(client, "/safe/");
     }
 
-    @Test
-    void anAnswerAfterTheDeadlineIsNobodys() throws Exception {
+    @ParameterizedTest
+    @ValueSource(strings = {"/brief/", "/briefly/"})
+    void anAnswerAfterTheDeadlineIsNobodys(String target) throws Exception {
         net.servers.plain();
-        for (String target : new String[] {"/brief/", "/briefly/"}) {
-            Wire client = net.ask(target);
-            Call call = net.next();
-            assertEquals(504, client.read().status());
-            call.wire().awaitEnd();
-            client.send(request("/safe/", "", ""));
-            Call next = net.next();
-            assertNotSame(call.wire(), next.wire());
-            serve(next, "own");
-            assertEquals("own", client.read().body());
-            net.assertQuiet();
-        }
+        Wire client = net.ask(target);
+        Call call = net.next();
+        assertEquals(504, client.read().status());
+        call.wire().awaitEnd();
+        client.send(request("/safe/", "", ""));
+        Call next = net.next();
+        assertNotSame(call.wire(), next.wire());
+        assertServed(next, client, "own");
+        net.assertQuiet();
     }
 
     /** A reset at the deadline: a request that may have run is not refused, in either order. */
@@ -431,8 +413,7 @@
                 first.message().header("X-Dewplank-Request-Attempt-Id"),
                 second.message().header("X-Dewplank-Request-Attempt-Id"));
         first.wire().awaitEnd();
-        serve(second, "second");
-        assertEquals("second", client.read().body());
+        assertServed(second, client, "second");
         assertServes(client, "/once/");
     }
 
@@ -464,8 +445,7 @@
         net.runBeforePause(PATIENCE_MS + RESTED_MS, () -> first.wire().reset());
         Call second = net.next();
         assertNotSame(first.server(), second.server());
-        serve(second, "own");
-        assertEquals("own", client.read().body());
+        assertServed(second, client, "own");
         net.assertQuiet();
     }
 
@@ -484,22 +464,20 @@
     // ---- callers --------------------------------------------------------------------------------------
 
     /** A caller leaves in the middle of its answer: the rest of it is on a connection that nobody uses. */
-    @Test
-    void theRestOfAnAnswerWhoseCallerHasLeftIsNobodys() throws Exception {
+    @ParameterizedTest
+    @ValueSource(strings = {"/safe/", "/once/"})
+    void theRestOfAnAnswerWhoseCallerHasLeftIsNobodys(String target) throws Exception {
         net.servers.plain();
-        for (String target : BOTH) {
-            Wire leaves = net.ask(target);
-            Call call = net.next();
-            call.wire().send("HTTP/1.1 200 OK\r\n" + idOf(call) + SEAL + "Content-Length: 8\r\n\r\nhalf");
-            leaves.close();
-            call.wire().awaitEnd();
-            Wire stays = net.ask(target);
-            Call next = net.next();
-            assertNotSame(call.wire(), next.wire());
-            serve(next, "own");
-            assertEquals("own", stays.read().body());
-            net.assertQuiet();
-        }
+        Wire leaves = net.ask(target);
+        Call call = net.next();
+        call.wire().send(sealedHead(call, "Content-Length: 8\r\n") + "half");
+        leaves.close();
+        call.wire().awaitEnd();
+        Wire stays = net.ask(target);
+        Call next = net.next();
+        assertNotSame(call.wire(), next.wire());
+        assertServed(next, stays, "own");
+        net.assertQuiet();
     }
 
     /** Requests sent ahead: what becomes of one doesn't touch the next one's answer. */
@@ -521,16 +499,14 @@
         two.wire().reset();
         Call again = net.next();
         assertEquals("/safe/2", again.message().target());
-        serve(again, "2");
-        assertEquals("2", client.read().body());
+        assertServed(again, client, "2");
         assertEquals(404, client.read().status());
         Call four = net.next();
         assertEquals("/once/4", four.message().target());
         assertNotEquals(
                 again.message().header("X-Dewplank-Request-Attempt-Id"),
                 four.message().header("X-Dewplank-Request-Attempt-Id"));
-        serve(four, "4");
-        assertEquals("4", client.read().body());
+        assertServed(four, client, "4");
         net.assertQuiet();
     }
 
@@ -543,13 +519,12 @@
                 + request("/once/", "", ""));
         Call head = net.next();
         assertEquals("HEAD", head.message().method());
-        head.wire().send("HTTP/1.1 200 OK\r\n" + idOf(head) + SEAL + "Content-Length: 5\r\n\r\n");
+        head.wire().send(sealedHead(head, "Content-Length: 5\r\n"));
         Wire.Message got = client.readHead();
         assertEquals(200, got.status());
         assertEquals("h1", got.header("X-Dewplank-Request-Attempt-Id"));
         Call next = net.next();
-        serve(next, "own");
-        assertEquals("own", client.read().body());
+        assertServed(next, client, "own");
         net.assertQuiet();
     }
 }
--- a/dataplane/src/test/java/dewplank/dataplane/FleetMetadataTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/FleetMetadataTest.java
@@ -3,8 +3,8 @@
 import static dewplank.dataplane.ClientRequests.HOST;
 import static dewplank.dataplane.ClientRequests.PROMPT;
 import static dewplank.dataplane.ClientRequests.request;
-import static dewplank.dataplane.ServerAnswers.beginStream;
-import static dewplank.dataplane.ServerAnswers.event;
+import static dewplank.dataplane.Expectations.assertResumed;
+import static dewplank.dataplane.Expectations.assertServed;
 import static dewplank.dataplane.ServerAnswers.serve;
 import static dewplank.dataplane.TestConfiguration.OTHER;
 import static dewplank.dataplane.TestConfiguration.PLAIN;
@@ -139,8 +139,7 @@
         Wire drained = net.ask("/once/");
         Call atDrain = net.next();
         net.servers.drain(server);
-        serve(atDrain, "drained");
-        assertEquals("drained", drained.read().body());
+        assertServed(atDrain, drained, "drained");
         atDrain.wire().awaitEnd();
     }
 
@@ -151,8 +150,7 @@
         Wire client = net.ask("/once/");
         Call call = net.next();
         net.servers.remove(server);
-        serve(call, "gone");
-        assertEquals("gone", client.read().body());
+        assertServed(call, client, "gone");
         call.wire().awaitEnd();
         assertEquals(503, net.ask("/once/").read().status());
     }
@@ -161,21 +159,13 @@
     void aStreamAtADrainingServerGoesOn() throws Exception {
         net.routes(streamingRoute("gen", 1));
         ScriptedServer server = net.servers.decode();
-        Wire client = net.ask("/gen/", PROMPT);
-        Call run = net.next();
-        beginStream(run);
-        run.wire().chunk(event(1));
-        client.readHead();
-        assertEquals(event(1), client.readChunk());
+        BegunStream stream = BegunStream.begin(net, "/gen/", PROMPT);
         net.servers.drain(server);
-        run.wire().chunk(event(2));
-        assertEquals(event(2), client.readChunk());
+        stream.assertRelays(2);
         net.servers.remove(server);
-        run.wire().chunk(event(3));
-        run.wire().lastChunk();
-        assertEquals(event(3), client.readChunk());
-        assertEquals("", client.readChunk());
-        run.wire().awaitEnd();
+        stream.assertRelays(3);
+        stream.assertEnds();
+        stream.server().awaitEnd();
     }
 
     /** A server that breaks off after it has left the list: its request is repeated at one that is on it. */
@@ -190,8 +180,7 @@
         call.wire().reset();
         Call again = net.next();
         assertSame(next, again.server());
-        serve(again, "served");
-        assertEquals("served", client.read().body());
+        assertServed(again, client, "served");
         net.assertQuiet();
     }
 
@@ -209,19 +198,15 @@
         assertSame(old, before.server());
         client.send(request("/r/ahead", "", ""));
         net.routes(unsafeRoute("r", 1).toService(OTHER), unsafeRoute("new", 1));
-        serve(before, "by the old");
-        assertEquals("by the old", client.read().body());
+        assertServed(before, client, "by the old");
         Call after = net.next();
         assertSame(other, after.server(), "sent ahead, and looked at once the new one is in force");
-        serve(after, "by the new");
-        assertEquals("by the new", client.read().body());
-        serve(removed, "still");
-        assertEquals("still", leaving.read().body());
+        assertServed(after, client, "by the new");
+        assertServed(removed, leaving, "still");
         leaving.send(request("/gone/", "", ""));
         assertEquals(404, leaving.read().status());
         leaving.send(request("/new/", "", ""));
-        serve(net.next(), "added");
-        assertEquals("added", leaving.read().body());
+        assertServed(net.next(), leaving, "added");
         net.assertQuiet();
     }
 
@@ -230,19 +215,9 @@
         net.routes(streamingRoute("gen", 2).asResumable());
         net.servers.decode();
         net.servers.decode();
-        Wire client = net.ask("/gen/", PROMPT);
-        Call run = net.next();
-        beginStream(run);
-        run.wire().chunk(event(1));
-        client.readHead();
-        assertEquals(event(1), client.readChunk());
+        BegunStream stream = BegunStream.begin(net, "/gen/", PROMPT);
         net.routes(streamingRoute("gen", 1));
-        run.wire().reset();
-        Call next = net.next();
-        beginStream(next);
-        next.wire().chunk(event(2));
-        next.wire().lastChunk();
-        assertEquals(event(2), client.readChunk());
-        assertEquals("", client.readChunk());
+        stream.server().reset();
+        assertResumed(net.next(), stream.client(), 2);
     }
 }
--- a/dataplane/src/test/java/dewplank/dataplane/GenerationTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/GenerationTest.java
@@ -5,7 +5,6 @@
 import static dewplank.dataplane.ClientRequests.prompt;
 import static dewplank.dataplane.ServerAnswers.SEAL;
 import static dewplank.dataplane.ServerAnswers.answer;
-import static dewplank.dataplane.ServerAnswers.beginStream;
 import static dewplank.dataplane.ServerAnswers.event;
 import static dewplank.dataplane.ServerAnswers.handOver;
 import static dewplank.dataplane.ServerAnswers.idOf;
@@ -79,12 +78,7 @@
 
     /** The whole stream, and what the client sees of it. */
     private static void streamOut(Call decode, Wire client) throws IOException {
-        beginStream(decode);
-        decode.wire().chunk(event(1));
-        assertEquals(200, client.readHead().status());
-        assertEquals(event(1), client.readChunk());
-        decode.wire().lastChunk();
-        assertEquals("", client.readChunk());
+        BegunStream.begin(decode, client).assertEnds();
     }
 
     // ---- the usual way --------------------------------------------------------------------------------
--- a/dataplane/src/test/java/dewplank/dataplane/PlainRouteTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/PlainRouteTest.java
@@ -2,11 +2,13 @@
 
 import static dewplank.dataplane.ClientRequests.HOST;
 import static dewplank.dataplane.ClientRequests.request;
+import static dewplank.dataplane.Expectations.assertRejected;
+import static dewplank.dataplane.Expectations.assertServed;
 import static dewplank.dataplane.ServerAnswers.NOT_EXECUTED;
 import static dewplank.dataplane.ServerAnswers.SEAL;
 import static dewplank.dataplane.ServerAnswers.answer;
-import static dewplank.dataplane.ServerAnswers.idOf;
 import static dewplank.dataplane.ServerAnswers.reject;
+import static dewplank.dataplane.ServerAnswers.sealedHead;
 import static dewplank.dataplane.ServerAnswers.serve;
 import static dewplank.dataplane.TestConfiguration.PLAIN;
 import static dewplank.dataplane.TestRoute.safeRoute;
@@ -31,6 +33,8 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 
 /** Requests that one server answers whole: what is passed on, what is repeated, and what the client is told. */
 class PlainRouteTest {
@@ -56,12 +60,6 @@
         net.close();
     }
 
-    private static void assertRefused(Wire.Message answer) {
-        assertEquals(503, answer.status());
-        assertTrue(Double.parseDouble(answer.header("Retry-After")) > 0);
-        assertNull(answer.header("X-Dewplank-Server-Seal"));
-    }
-
     // ---- passing on -----------------------------------------------------------------------------------
 
     @Test
@@ -136,8 +134,7 @@
                 first.message().header("X-Dewplank-Request-Attempt-Id"),
                 second.message().header("X-Dewplank-Request-Attempt-Id"));
         assertEquals(net.servers.id(second.server()), second.message().header("X-Dewplank-Target-Instance"));
-        serve(second, "served");
-        assertEquals("served", client.read().body());
+        assertServed(second, client, "served");
         net.assertQuiet();
     }
 
@@ -170,11 +167,11 @@
     @Test
     void beforeConfigurationAndListRequestsAreRefused() throws Exception {
         try (ForwarderFixture empty = new ForwarderFixture()) {
-            assertRefused(empty.ask("/safe/").read());
+            assertRejected(empty.ask("/safe/").read());
             empty.routes(safeRoute("safe", 3));
-            assertRefused(empty.ask("/safe/").read());
+            assertRejected(empty.ask("/safe/").read());
             empty.servers.publish(); // a list without servers is a list
-            assertRefused(empty.ask("/safe/").read());
+            assertRejected(empty.ask("/safe/").read());
             assertEquals(404, empty.ask("/none/").read().status());
             empty.servers.plain();
             Wire client = empty.ask("/safe/");
@@ -191,8 +188,7 @@
         net.servers.plain();
         Wire client = net.ask("/safe/");
         answer(net.next(), "200 OK", "", "forged");
-        serve(net.next(), "own");
-        assertEquals("own", client.read().body());
+        assertServed(net.next(), client, "own");
         Wire unsafe = net.ask("/once/");
         answer(net.next(), "200 OK", "", "forged");
         assertEquals(502, unsafe.read().status());
@@ -205,8 +201,7 @@
         net.servers.plain();
         Wire client = net.ask("/safe/");
         answer(net.next(), "200 OK", SEAL + "Content-Encoding: gzip\r\n", "packed");
-        serve(net.next(), "own");
-        assertEquals("own", client.read().body());
+        assertServed(net.next(), client, "own");
         Wire unsafe = net.ask("/once/");
         answer(net.next(), "200 OK", SEAL + "Content-Encoding: identity\r\n", "packed");
         assertEquals(502, unsafe.read().status());
@@ -218,7 +213,7 @@
         net.servers.plain();
         Wire client = net.ask("/once/");
         Call call = net.next();
-        call.wire().send("HTTP/1.1 200 OK\r\n" + idOf(call) + SEAL + "Content-Length: 9\r\n\r\n12345678");
+        call.wire().send(sealedHead(call, "Content-Length: 9\r\n") + "12345678");
         call.wire().close();
         assertEquals(502, client.read().status());
         net.assertQuiet();
@@ -231,8 +226,7 @@
         Call call = net.next();
         call.wire().answer("200 OK", "X-Dewplank-Request-Attempt-Id: another\r\n" + SEAL, "another's");
         call.wire().answer("503 Service Unavailable", "X-Dewplank-Request-Attempt-Id: another\r\n" + NOT_EXECUTED, "");
-        serve(call, "own");
-        assertEquals("own", client.read().body());
+        assertServed(call, client, "own");
         net.assertQuiet();
     }
 
@@ -242,15 +236,13 @@
         net.servers.plain();
         Wire first = net.ask("/once/");
         Call one = net.next();
-        serve(one, "first");
-        assertEquals("first", first.read().body());
+        assertServed(one, first, "first");
         serve(one, "first again");
         one.wire().awaitEnd();
         first.send(request("/once/", "", ""));
         Call two = net.next();
         assertNotSame(one.wire(), two.wire());
-        serve(two, "second");
-        assertEquals("second", first.read().body());
+        assertServed(two, first, "second");
     }
 
     @Test
@@ -264,8 +256,7 @@
         client.send(request("/once/", "", ""));
         Call two = net.next();
         assertSame(one.wire(), two.wire());
-        serve(two, "second");
-        assertEquals("second", client.read().body());
+        assertServed(two, client, "second");
     }
 
     // ---- repeats --------------------------------------------------------------------------------------
@@ -279,8 +270,7 @@
         first.wire().reset();
         Call second = net.next();
         assertNotSame(first.server(), second.server());
-        serve(second, "served");
-        assertEquals("served", client.read().body());
+        assertServed(second, client, "served");
         net.assertQuiet();
     }
 
@@ -293,25 +283,21 @@
         Call second = net.next();
         assertNotSame(first.server(), second.server());
         first.wire().awaitEnd();
-        serve(second, "served");
-        assertEquals("served", client.read().body());
+        assertServed(second, client, "served");
         net.assertQuiet();
     }
 
-    @Test
-    void aRequestThatIsTurnedAwayGoesToAnotherServer() throws Exception {
+    @ParameterizedTest
+    @ValueSource(strings = {"/safe/", "/once/"})
+    void aRequestThatIsTurnedAwayGoesToAnotherServer(String target) throws Exception {
         net.servers.plain();
         net.servers.plain();
-        for (String target : new String[] {"/safe/", "/once/"}) {
-            Wire client = net.ask(target);
-            Call first = net.next();
-            reject(first);
-            Call second = net.next();
-            assertNotSame(first.server(), second.server());
-            serve(second, "served");
-            assertEquals("served", client.read().body());
-            net.pass(100); // the full server is left alone for a while
-        }
+        Wire client = net.ask(target);
+        Call first = net.next();
+        reject(first);
+        Call second = net.next();
+        assertNotSame(first.server(), second.server());
+        assertServed(second, client, "served");
         net.assertQuiet();
     }
 
@@ -324,8 +310,7 @@
         answer(first, "421 Misdirected Request", "", "");
         Call second = net.next();
         assertNotSame(first.server(), second.server());
-        serve(second, "served");
-        assertEquals("served", client.read().body());
+        assertServed(second, client, "served");
         net.assertQuiet();
     }
 
@@ -367,7 +352,7 @@
         if (!net.servers.calls.isEmpty()) { // on a slow machine the first server's rest of 40 ms is over by now
             reject(net.next());
         }
-        assertRefused(client.read());
+        assertRejected(client.read());
         net.assertQuiet();
     }
 
@@ -391,8 +376,7 @@
             Wire client = net.ask("/once/");
             Call call = net.next();
             assertSame(there, call.server());
-            serve(call, "served");
-            assertEquals("served", client.read().body());
+            assertServed(call, client, "served");
         }
         net.assertQuiet();
     }
@@ -401,8 +385,8 @@
     void whereNoServerCanBeReachedTheRequestIsRefused() throws Exception {
         net.servers.plain().close();
         net.servers.plain().close();
-        assertRefused(net.ask("/once/").read());
-        assertRefused(net.ask("/safe/").read());
+        assertRejected(net.ask("/once/").read());
+        assertRejected(net.ask("/safe/").read());
         net.assertQuiet();
     }
 
@@ -419,7 +403,7 @@
         Wire turned = net.ask("/two/");
         reject(net.next());
         reject(net.next());
-        assertRefused(turned.read());
+        assertRejected(turned.read());
         net.assertQuiet();
     }
 
@@ -487,7 +471,7 @@
             assertEquals(502, broken.read().status());
             Wire turned = poor.ask("/once/");
             reject(poor.next());
-            assertRefused(turned.read());
+            assertRejected(turned.read());
             poor.assertQuiet();
         }
     }
@@ -591,22 +575,21 @@
         awaitHalfRead();
         net.pass(160);
         client.send("hi");
-        assertRefused(client.read());
+        assertRejected(client.read());
         net.assertQuiet();
     }
 
-    @Test
-    void aTimeThatIsNoneIsTheRoutesOwn() throws Exception {
+    @ParameterizedTest
+    @ValueSource(strings = {"NaN", "soon", ""})
+    void aTimeThatIsNoneIsTheRoutesOwn(String odd) throws Exception {
         net.servers.plain();
-        for (String odd : List.of("NaN", "soon", "")) {
-            Wire client = net.client();
-            client.send(request("/once/", "", "hi").replace("Time-Ms: 9000", "Time-Ms: " + odd));
-            Call call = net.next();
-            int handed = Integer.parseInt(call.message().header("X-Dewplank-Remaining-Time-Ms"));
-            assertTrue(handed > 0 && handed < 8_000, "handed " + handed);
-            serve(call, "");
-            assertEquals(200, client.read().status());
-        }
+        Wire client = net.client();
+        client.send(request("/once/", "", "hi").replace("Time-Ms: 9000", "Time-Ms: " + odd));
+        Call call = net.next();
+        int handed = Integer.parseInt(call.message().header("X-Dewplank-Remaining-Time-Ms"));
+        assertTrue(handed > 0 && handed < 8_000, "handed " + handed);
+        serve(call, "");
+        assertEquals(200, client.read().status());
     }
 
     /** Never more than is left; and the one that is sent later has less. */
@@ -651,23 +634,22 @@
     void aRequestThatWasNotSentByItsDeadlineIsRefused() throws Exception {
         try (ScriptedServer late = ScriptedServer.late(new LinkedBlockingQueue<>())) {
             net.servers.add(late, PLAIN, null);
-            assertRefused(net.ask("/brief/").read());
+            assertRejected(net.ask("/brief/").read());
             net.assertQuiet();
         }
     }
 
     // ---- clients --------------------------------------------------------------------------------------
 
-    @Test
-    void aClientThatLeavesEndsItsCall() throws Exception {
+    @ParameterizedTest
+    @ValueSource(strings = {"/safe/", "/once/"})
+    void aClientThatLeavesEndsItsCall(String target) throws Exception {
         net.servers.plain();
-        for (String target : new String[] {"/safe/", "/once/"}) {
-            Wire client = net.ask(target);
-            Call call = net.next();
-            client.close();
-            call.wire().awaitEnd();
-            net.assertQuiet();
-        }
+        Wire client = net.ask(target);
+        Call call = net.next();
+        client.close();
+        call.wire().awaitEnd();
+        net.assertQuiet();
     }
 
     @Test
@@ -675,7 +657,7 @@
         net.servers.plain();
         Wire client = net.ask("/safe/");
         Call call = net.next();
-        call.wire().send("HTTP/1.1 200 OK\r\n" + idOf(call) + SEAL + "Content-Length: 9\r\n\r\n1234");
+        call.wire().send(sealedHead(call, "Content-Length: 9\r\n") + "1234");
         client.close();
         call.wire().awaitEnd();
         net.assertQuiet();
@@ -707,12 +689,10 @@
         Call one = net.next();
         assertEquals("/once/1", one.message().target());
         assertTrue(net.servers.calls.isEmpty());
-        serve(one, "1");
-        assertEquals("1", client.read().body());
+        assertServed(one, client, "1");
         Call two = net.next();
         assertEquals("/once/2", two.message().target());
-        serve(two, "2");
-        assertEquals("2", client.read().body());
+        assertServed(two, client, "2");
     }
 
     @Test
--- a/dataplane/src/test/java/dewplank/dataplane/StreamCrossingTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/StreamCrossingTest.java
@@ -5,6 +5,8 @@
 import static dewplank.dataplane.ClientRequests.PROMPT;
 import static dewplank.dataplane.ClientRequests.SHORT_PROMPT;
 import static dewplank.dataplane.ClientRequests.request;
+import static dewplank.dataplane.Expectations.assertResumed;
+import static dewplank.dataplane.Expectations.assertStreamed;
 import static dewplank.dataplane.ServerAnswers.NOT_EXECUTED;
 import static dewplank.dataplane.ServerAnswers.SEAL;
 import static dewplank.dataplane.ServerAnswers.answer;
@@ -12,6 +14,7 @@
 import static dewplank.dataplane.ServerAnswers.event;
 import static dewplank.dataplane.ServerAnswers.handOver;
 import static dewplank.dataplane.ServerAnswers.idOf;
+import static dewplank.dataplane.ServerAnswers.sealedHead;
 import static dewplank.dataplane.TestConfiguration.MODEL;
 import static dewplank.dataplane.TestRoute.streamingRoute;
 import static dewplank.dataplane.TestRoute.unsafeRoute;
@@ -30,6 +33,8 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 
 /**
  * Two events that meet in a stream or in a hand-over, in either order: no event comes twice or is missing, no stream
@@ -40,7 +45,6 @@
     private static final double PAST_SILENCE_MS = 800; // a resumable stream that has begun is moved after 700 ms
     private static final double PAST_PREFILL_MS = 400; // a short prompt is waited for 300 ms
     private static final int LONG_BODY = 16 << 20; // more than the system holds
-    private static final String[] BOTH = {"/gen/", "/res/"};
 
     private ForwarderFixture net;
 
@@ -59,17 +63,8 @@
         net.close();
     }
 
-    /** A stream whose first event has reached the client. */
-    private record Begun(Wire client, Call run) {}
-
-    private Begun begun(String target, String prompt) throws Exception {
-        Wire client = net.ask(target, prompt);
-        Call run = net.next();
-        beginStream(run);
-        run.wire().chunk(event(1));
-        assertEquals(200, client.readHead().status());
-        assertEquals(event(1), client.readChunk());
-        return new Begun(client, run);
+    private BegunStream begin(String target) throws Exception {
+        return BegunStream.begin(net, target, PROMPT);
     }
 
     /** What comes before the connection ends is no end of the body and no second head. */
@@ -78,14 +73,6 @@
         assertEquals(rest, came);
     }
 
-    private static void goOn(Call call, Wire client, int id) throws IOException {
-        beginStream(call);
-        call.wire().chunk(event(id));
-        call.wire().lastChunk();
-        assertEquals(event(id), client.readChunk());
-        assertEquals("", client.readChunk());
-    }
-
     // ---- the end of a stream --------------------------------------------------------------------------
 
     /** The end was sent before the reset; which of them is seen decides, and either way nothing is missing or twice. */
@@ -93,11 +80,11 @@
     void anEndThatMeetsAResetIsWholeOrIsContinued() throws Exception {
         net.servers.decode();
         net.servers.decode();
-        Begun stream = begun("/res/", PROMPT);
+        BegunStream stream = begin("/res/");
         OnLoop.run(net.loop, () -> {
-            stream.run().wire().chunk(event(2));
-            stream.run().wire().lastChunk();
-            stream.run().wire().reset();
+            stream.server().chunk(event(2));
+            stream.server().lastChunk();
+            stream.server().reset();
         });
         OnLoop.await(net.loop, () -> !net.servers.calls.isEmpty() || net.forwarder.openRequests() == 0);
         Call next = net.servers.calls.poll();
@@ -120,63 +107,56 @@
         net.assertQuiet();
     }
 
-    @Test
-    void aResetAfterTheEndChangesNothing() throws Exception {
+    @ParameterizedTest
+    @ValueSource(strings = {"/gen/", "/res/"})
+    void aResetAfterTheEndChangesNothing(String target) throws Exception {
         net.servers.decode();
         net.servers.decode();
-        for (String target : BOTH) {
-            Begun stream = begun(target, PROMPT);
-            stream.run().wire().lastChunk();
-            assertEquals("", stream.client().readChunk());
-            stream.run().wire().reset();
-            net.assertQuiet();
-        }
+        BegunStream stream = begin(target);
+        stream.assertEnds();
+        stream.server().reset();
+        net.assertQuiet();
     }
 
     /** Without a length the connection's end ends a stream, but not in the middle of an event. */
-    @Test
-    void anEndInTheMiddleOfAnEventIsABreak() throws Exception {
+    @ParameterizedTest
+    @ValueSource(strings = {"/gen/", "/res/"})
+    void anEndInTheMiddleOfAnEventIsABreak(String target) throws Exception {
         net.servers.decode();
         net.servers.decode();
-        for (String target : BOTH) {
-            Wire client = net.ask(target, PROMPT);
-            Call run = net.next();
-            run.wire().send("HTTP/1.1 200 OK\r\n" + idOf(run) + SEAL + "\r\n" + event(1) + "id: 2\ndata: half");
-            assertEquals(200, client.readHead().status());
-            assertEquals(event(1), client.readChunk());
-            run.wire().close();
-            if (target.equals("/res/")) {
-                Call next = net.next();
-                assertEquals("1", next.message().header("Last-Event-Id"));
-                goOn(next, client, 2);
-            } else {
-                assertCut(client, "");
-            }
-            net.assertQuiet();
+        Wire client = net.ask(target, PROMPT);
+        Call run = net.next();
+        run.wire().send(sealedHead(run, "") + event(1) + "id: 2\ndata: half");
+        assertEquals(200, client.readHead().status());
+        assertEquals(event(1), client.readChunk());
+        run.wire().close();
+        if (target.equals("/res/")) {
+            Call next = net.next();
+            assertEquals("1", next.message().header("Last-Event-Id"));
+            assertResumed(next, client, 2);
+        } else {
+            assertCut(client, "");
         }
+        net.assertQuiet();
     }
 
-    @Test
-    void anEndBeforeTheFirstEventIsABreak() throws Exception {
+    @ParameterizedTest
+    @ValueSource(strings = {"/gen/", "/res/"})
+    void anEndBeforeTheFirstEventIsABreak(String target) throws Exception {
         net.servers.decode();
         net.servers.decode();
-        for (String target : BOTH) {
-            Wire client = net.ask(target, PROMPT);
-            Call run = net.next();
-            run.wire().send("HTTP/1.1 200 OK\r\n" + idOf(run) + SEAL + "\r\n");
-            run.wire().close();
-            if (target.equals("/res/")) {
-                Call next = net.next();
-                assertNull(next.message().header("Last-Event-Id"));
-                beginStream(next);
-                next.wire().chunk(event(1));
-                next.wire().lastChunk();
-                assertEquals(event(1), client.read().body());
-            } else {
-                assertEquals(502, client.read().status());
-            }
-            net.assertQuiet();
+        Wire client = net.ask(target, PROMPT);
+        Call run = net.next();
+        run.wire().send(sealedHead(run, ""));
+        run.wire().close();
+        if (target.equals("/res/")) {
+            Call next = net.next();
+            assertNull(next.message().header("Last-Event-Id"));
+            assertStreamed(next, client, 1);
+        } else {
+            assertEquals(502, client.read().status());
         }
+        net.assertQuiet();
     }
 
     /** Without an id nobody can say where the stream is to go on: it would repeat what was passed on. */
@@ -195,39 +175,32 @@
         net.assertQuiet();
     }
 
-    @Test
-    void aSecondAnswerBehindAStreamIsNobodys() throws Exception {
+    @ParameterizedTest
+    @ValueSource(strings = {"/gen/", "/res/"})
+    void aSecondAnswerBehindAStreamIsNobodys(String target) throws Exception {
         net.servers.decode();
-        for (String target : BOTH) {
-            Begun stream = begun(target, PROMPT);
-            stream.run()
-                    .wire()
-                    .send("0\r\n\r\nHTTP/1.1 200 OK\r\n" + idOf(stream.run()) + SEAL + "Content-Length: 2\r\n\r\nho");
-            assertEquals("", stream.client().readChunk());
-            stream.run().wire().awaitEnd();
-            net.assertQuiet();
-        }
+        BegunStream stream = begin(target);
+        stream.server()
+                .send("0\r\n\r\nHTTP/1.1 200 OK\r\n" + idOf(stream.decode()) + SEAL + "Content-Length: 2\r\n\r\nho");
+        assertEquals("", stream.client().readChunk());
+        stream.server().awaitEnd();
+        net.assertQuiet();
     }
 
     /** It would be sent elsewhere with a part of its stream passed on: two runs in one answer. */
-    @Test
-    void nothingIsPassedOnOfAnAnswerThatSaysItDidNotRun() throws Exception {
+    @ParameterizedTest
+    @ValueSource(strings = {"/gen/", "/res/"})
+    void nothingIsPassedOnOfAnAnswerThatSaysItDidNotRun(String target) throws Exception {
         net.servers.decode();
         net.servers.decode();
-        for (String target : BOTH) {
-            Wire client = net.ask(target, PROMPT);
-            Call first = net.next();
-            answer(first, "200 OK", SEAL + NOT_EXECUTED, "id: 7\ndata: not run\n\n");
-            Call second = net.next();
-            assertNotSame(first.server(), second.server());
-            assertNull(second.message().header("Last-Event-Id"));
-            beginStream(second);
-            second.wire().chunk(event(1));
-            second.wire().lastChunk();
-            assertEquals(event(1), client.read().body());
-            net.assertQuiet();
-            net.pass(2 * RESTED_MS); // the one that turned it away is spared for 40 ms
-        }
+        Wire client = net.ask(target, PROMPT);
+        Call first = net.next();
+        answer(first, "200 OK", SEAL + NOT_EXECUTED, "id: 7\ndata: not run\n\n");
+        Call second = net.next();
+        assertNotSame(first.server(), second.server());
+        assertNull(second.message().header("Last-Event-Id"));
+        assertStreamed(second, client, 1);
+        net.assertQuiet();
     }
 
     /** The answer to a HEAD ends with its head, and needs neither a length nor events. */
@@ -238,56 +211,44 @@
         client.send("HEAD /gen/ HTTP/1.1\r\nHost: " + HOST + "\r\nX-Dewplank-Request-Attempt-Id: h1\r\n\r\n"
                 + request("/gen/", PROMPT, ""));
         Call head = net.next();
-        head.wire().send("HTTP/1.1 200 OK\r\n" + idOf(head) + SEAL + "\r\n");
+        head.wire().send(sealedHead(head, ""));
         assertEquals("h1", client.readHead().header("X-Dewplank-Request-Attempt-Id"));
         Call next = net.next();
-        beginStream(next);
-        next.wire().chunk(event(1));
-        next.wire().lastChunk();
-        assertEquals(event(1), client.read().body());
+        assertStreamed(next, client, 1);
         net.assertQuiet();
     }
 
     /** The rest of a stream whose client has left, and the next stream: they never share a connection. */
-    @Test
-    void theRestOfAStreamWhoseClientHasLeftIsNobodys() throws Exception {
+    @ParameterizedTest
+    @ValueSource(strings = {"/gen/", "/res/"})
+    void theRestOfAStreamWhoseClientHasLeftIsNobodys(String target) throws Exception {
         net.servers.decode();
-        for (String target : BOTH) {
-            Begun left = begun(target, PROMPT);
-            left.client().close();
-            left.run().wire().awaitEnd();
-            Begun next = begun(target, PROMPT);
-            assertNotSame(left.run().wire(), next.run().wire());
-            next.run().wire().lastChunk();
-            assertEquals("", next.client().readChunk());
-            net.assertQuiet();
-            net.pass(RESTED_MS);
-        }
+        BegunStream left = begin(target);
+        left.client().close();
+        left.server().awaitEnd();
+        BegunStream next = begin(target);
+        assertNotSame(left.server(), next.server());
+        next.assertEnds();
+        net.assertQuiet();
     }
 
-    @Test
-    void aLateStreamOnAReusedConnectionIsNobodys() throws Exception {
+    @ParameterizedTest
+    @ValueSource(strings = {"/gen/", "/res/"})
+    void aLateStreamOnAReusedConnectionIsNobodys(String target) throws Exception {
         net.servers.decode();
-        for (String target : BOTH) {
-            Begun first = begun(target, PROMPT);
-            first.run().wire().lastChunk();
-            assertEquals("", first.client().readChunk());
-            net.pass(RESTED_MS);
-            first.client().send(request(target, PROMPT, ""));
-            Call second = net.next();
-            assertSame(first.run().wire(), second.wire());
-            beginStream(first.run());
-            second.wire().chunk("id: 9\ndata: the first one's\n\n");
-            second.wire().lastChunk();
-            answer(first.run(), "503 Service Unavailable", NOT_EXECUTED, "");
-            second.wire().answer("200 OK", SEAL, "id: 9\ndata: without an id\n\n");
-            beginStream(second);
-            second.wire().chunk(event(1));
-            second.wire().lastChunk();
-            assertEquals(event(1), first.client().read().body());
-            net.assertQuiet();
-            net.pass(RESTED_MS);
-        }
+        BegunStream first = begin(target);
+        first.assertEnds();
+        net.pass(RESTED_MS);
+        first.client().send(request(target, PROMPT, ""));
+        Call second = net.next();
+        assertSame(first.server(), second.wire());
+        beginStream(first.decode());
+        second.wire().chunk("id: 9\ndata: the first one's\n\n");
+        second.wire().lastChunk();
+        answer(first.decode(), "503 Service Unavailable", NOT_EXECUTED, "");
+        second.wire().answer("200 OK", SEAL, "id: 9\ndata: without an id\n\n");
+        assertStreamed(second, first.client(), 1);
+        net.assertQuiet();
     }
 
     // ---- silence --------------------------------------------------------------------------------------
@@ -297,11 +258,11 @@
     void whatASilentServerSendsAfterItsStreamWasMovedIsNobodys() throws Exception {
         net.servers.decode();
         net.servers.decode();
-        Begun stream = begun("/res/", SHORT_PROMPT);
+        BegunStream stream = BegunStream.begin(net, "/res/", SHORT_PROMPT);
         Call next = net.next();
-        stream.run().wire().awaitEnd();
+        stream.server().awaitEnd();
         assertEquals("1", next.message().header("Last-Event-Id"));
-        goOn(next, stream.client(), 2);
+        assertResumed(next, stream.client(), 2);
         net.assertQuiet();
     }
 
@@ -310,10 +271,10 @@
     void anEventThatMeetsTheEndOfPatienceComesOnce() throws Exception {
         net.servers.decode();
         net.servers.decode();
-        Begun stream = begun("/res/", SHORT_PROMPT);
+        BegunStream stream = BegunStream.begin(net, "/res/", SHORT_PROMPT);
         net.runBeforePause(PAST_SILENCE_MS, () -> {
             try {
-                stream.run().wire().chunk(event(2));
+                stream.server().chunk(event(2));
             } catch (IOException e) {
                 // patience has ended before, on a slow machine
             }
@@ -323,14 +284,13 @@
         Call next = net.servers.calls.poll();
         if (next == null) {
             assertEquals(event(2), stream.client().readChunk());
-            stream.run().wire().lastChunk();
-            assertEquals("", stream.client().readChunk());
+            stream.assertEnds();
         } else {
             String last = next.message().header("Last-Event-Id");
             if (last.equals("2")) {
                 assertEquals(event(2), stream.client().readChunk());
             }
-            goOn(next, stream.client(), last.equals("2") ? 3 : 2);
+            assertResumed(next, stream.client(), last.equals("2") ? 3 : 2);
         }
         net.assertQuiet();
     }
@@ -342,44 +302,35 @@
     }
 
     /** The prompt's handle and the end of patience are there at once: one run, with the handle or without it. */
-    @Test
-    void aHandleThatMeetsTheEndOfPatienceLeadsToOneRun() throws Exception {
+    @ParameterizedTest
+    @ValueSource(strings = {"/gen/", "/res/"})
+    void aHandleThatMeetsTheEndOfPatienceLeadsToOneRun(String target) throws Exception {
         ScriptedServer prefill = net.servers.prefill();
         net.servers.decode();
-        for (String target : BOTH) {
-            Wire client = net.ask(target, SHORT_PROMPT);
-            Call read = net.next();
-            net.runBeforePause(PAST_PREFILL_MS, () -> handOver(read, "h1"));
-            Call run = net.next();
-            String from = run.message().header("Kv-From");
-            assertTrue(from == null || from.equals(prefill.addressText() + "/h1"), from);
-            beginStream(run);
-            run.wire().chunk(event(1));
-            run.wire().lastChunk();
-            assertEquals(event(1), client.read().body());
-            net.assertQuiet();
-            net.pass(RESTED_MS);
-        }
+        Wire client = net.ask(target, SHORT_PROMPT);
+        Call read = net.next();
+        net.runBeforePause(PAST_PREFILL_MS, () -> handOver(read, "h1"));
+        Call run = net.next();
+        String from = run.message().header("Kv-From");
+        assertTrue(from == null || from.equals(prefill.addressText() + "/h1"), from);
+        assertStreamed(run, client, 1);
+        net.assertQuiet();
     }
 
-    @Test
-    void twoAnswersToOnePrefillLeadToOneRun() throws Exception {
+    @ParameterizedTest
+    @ValueSource(strings = {"/gen/", "/res/"})
+    void twoAnswersToOnePrefillLeadToOneRun(String target) throws Exception {
         ScriptedServer prefill = net.servers.prefill();
         net.servers.decode();
-        for (String target : BOTH) {
-            Wire client = net.ask(target, PROMPT);
-            Call read = net.next();
-            handOver(read, "h1");
-            Call run = net.next();
-            assertEquals(prefill.addressText() + "/h1", run.message().header("Kv-From"));
-            handOver(read, "h2");
-            read.wire().awaitEnd();
-            beginStream(run);
-            run.wire().chunk(event(1));
-            run.wire().lastChunk();
-            assertEquals(event(1), client.read().body());
-            net.assertQuiet();
-        }
+        Wire client = net.ask(target, PROMPT);
+        Call read = net.next();
+        handOver(read, "h1");
+        Call run = net.next();
+        assertEquals(prefill.addressText() + "/h1", run.message().header("Kv-From"));
+        handOver(read, "h2");
+        read.wire().awaitEnd();
+        assertStreamed(run, client, 1);
+        net.assertQuiet();
     }
 
     /** A late answer to an earlier prefill, on the connection that carries the next one, in the next one's place. */
@@ -399,10 +350,7 @@
             handOver(read, handle);
             Call run = net.next();
             assertEquals(prefill.addressText() + "/" + handle, run.message().header("Kv-From"));
-            beginStream(run);
-            run.wire().chunk(event(1));
-            run.wire().lastChunk();
-            assertEquals(event(1), client.read().body());
+            assertStreamed(run, client, 1);
             earlier = read;
             net.pass(RESTED_MS);
         }
@@ -427,10 +375,7 @@
             frees++;
         }
         assertNull(run.message().header("Kv-From"));
-        beginStream(run);
-        run.wire().chunk(event(1));
-        run.wire().lastChunk();
-        assertEquals(event(1), client.read().body());
+        assertStreamed(run, client, 1);
         silent.wire().awaitEnd();
         net.awaitNoOpenRequest();
         Call late = frees == 0 ? net.next() : null; // the free may come behind the run
--- a/dataplane/src/test/java/dewplank/dataplane/StreamTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/StreamTest.java
@@ -3,12 +3,16 @@
 import static dewplank.dataplane.ClientRequests.PROMPT;
 import static dewplank.dataplane.ClientRequests.SHORT_PROMPT;
 import static dewplank.dataplane.ClientRequests.request;
+import static dewplank.dataplane.Expectations.assertBrokenOff;
+import static dewplank.dataplane.Expectations.assertResumed;
+import static dewplank.dataplane.Expectations.assertServed;
+import static dewplank.dataplane.Expectations.assertStreamed;
 import static dewplank.dataplane.ServerAnswers.SEAL;
 import static dewplank.dataplane.ServerAnswers.answer;
 import static dewplank.dataplane.ServerAnswers.beginStream;
 import static dewplank.dataplane.ServerAnswers.event;
-import static dewplank.dataplane.ServerAnswers.idOf;
 import static dewplank.dataplane.ServerAnswers.reject;
+import static dewplank.dataplane.ServerAnswers.sealedHead;
 import static dewplank.dataplane.ServerAnswers.serve;
 import static dewplank.dataplane.TestRoute.streamingRoute;
 import static dewplank.dataplane.TestRoute.unsafeRoute;
@@ -26,6 +30,8 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 
 /** Streams as they come, break, fall silent and are continued. The decode servers read the prompts themselves here. */
 class StreamTest {
@@ -54,29 +60,8 @@
         net.close();
     }
 
-    /** A stream whose first event has reached the client, with its head. */
-    private record Begun(Wire client, Call run, Wire.Message head) {}
-
-    private static Begun begun(ForwarderFixture fleet, String target, String prompt) throws Exception {
-        Wire client = fleet.ask(target, prompt);
-        Call run = fleet.next();
-        beginStream(run);
-        run.wire().chunk(event(1));
-        Wire.Message head = client.readHead();
-        assertEquals(200, head.status());
-        assertEquals(event(1), client.readChunk());
-        return new Begun(client, run, head);
-    }
-
-    private Begun begun(String target) throws Exception {
-        return begun(net, target, PROMPT);
-    }
-
-    /** What comes before the connection ends is no end of the body and no second head. */
-    private static void assertCut(Wire client) throws IOException {
-        String rest = client.readToEnd();
-        assertFalse(rest.endsWith("0\r\n\r\n"), rest);
-        assertFalse(rest.contains("HTTP/1.1"), rest);
+    private BegunStream begin(String target) throws Exception {
+        return BegunStream.begin(net, target, PROMPT);
     }
 
     // ---- as it comes ----------------------------------------------------------------------------------
@@ -85,26 +70,24 @@
     @Test
     void eachEventIsPassedOnAsItComes() throws Exception {
         net.servers.decode();
-        Begun stream = begun("/gen/");
+        BegunStream stream = begin("/gen/");
         assertEquals("s.1", stream.head().header("X-Dewplank-Server-Seal"));
         assertEquals("text/event-stream", stream.head().header("Content-Type"));
         assertEquals(
-                stream.run().message().header("X-Dewplank-Request-Attempt-Id"),
+                stream.decode().message().header("X-Dewplank-Request-Attempt-Id"),
                 stream.head().header("X-Dewplank-Request-Attempt-Id"));
         for (int id = 2; id <= 5; id++) {
-            stream.run().wire().chunk(event(id));
-            assertEquals(event(id), stream.client().readChunk());
+            stream.assertRelays(id);
         }
-        stream.run().wire().lastChunk();
-        assertEquals("", stream.client().readChunk());
+        stream.assertEnds();
         net.assertQuiet();
     }
 
     @Test
     void eventsInPiecesArePassedOnWhole() throws Exception {
         net.servers.decode();
-        Begun stream = begun("/gen/");
-        Wire server = stream.run().wire();
+        BegunStream stream = begin("/gen/");
+        Wire server = stream.server();
         server.chunk("id: 2\nda");
         server.chunk("ta: t2\n\nid: 3\ndata: t3\n\nid");
         assertEquals(event(2) + event(3), stream.client().readChunk());
@@ -122,7 +105,7 @@
         assertEquals(event(1) + event(2), client.read().body());
         Wire next = net.ask("/gen/", PROMPT);
         Call run = net.next();
-        run.wire().send("HTTP/1.1 200 OK\r\n" + idOf(run) + SEAL + "\r\n" + event(1));
+        run.wire().send(sealedHead(run, "") + event(1));
         run.wire().close();
         assertEquals(event(1), next.read().body());
         Wire empty = net.ask("/gen/", PROMPT);
@@ -137,12 +120,10 @@
     void aStreamIsFollowedByTheNextRequestOfItsConnection() throws Exception {
         net.servers.decode();
         net.servers.plain();
-        Begun stream = begun("/gen/");
+        BegunStream stream = begin("/gen/");
         stream.client().send(request("/plain/", "", ""));
-        stream.run().wire().lastChunk();
-        assertEquals("", stream.client().readChunk());
-        serve(net.next(), "plain");
-        assertEquals("plain", stream.client().read().body());
+        stream.assertEnds();
+        assertServed(net.next(), stream.client(), "plain");
         net.assertQuiet();
     }
 
@@ -156,10 +137,7 @@
                         + "Transfer-Encoding: chunked\r\n\r\n");
         run.wire().chunk("id: 7\ndata: another's\n\n");
         run.wire().lastChunk();
-        beginStream(run);
-        run.wire().chunk(event(1));
-        run.wire().lastChunk();
-        assertEquals(event(1), client.read().body());
+        assertStreamed(run, client, 1);
         net.assertQuiet();
     }
 
@@ -169,12 +147,12 @@
     void aBrokenStreamIsContinuedBehindItsLastWholeEvent() throws Exception {
         net.servers.decode();
         net.servers.decode();
-        Begun stream = begun("/res/");
-        stream.run().wire().chunk(event(2) + "id: 3\ndata: half");
+        BegunStream stream = begin("/res/");
+        stream.server().chunk(event(2) + "id: 3\ndata: half");
         assertEquals(event(2), stream.client().readChunk());
-        stream.run().wire().reset();
+        stream.server().reset();
         Call next = net.next();
-        assertNotSame(stream.run().server(), next.server());
+        assertNotSame(stream.decode().server(), next.server());
         assertEquals("2", next.message().header("Last-Event-Id"));
         assertEquals(1, next.message().count("Last-Event-Id"));
         assertEquals(net.servers.id(next.server()), next.message().header("X-Dewplank-Target-Instance"));
@@ -190,27 +168,22 @@
     }
 
     /** Cut, malformed or ended too soon: each is a break. */
-    @Test
-    void everyKindOfBreakIsContinued() throws Exception {
+    @ParameterizedTest
+    @ValueSource(strings = {"reset", "end", "noise"})
+    void everyKindOfBreakIsContinued(String how) throws Exception {
         net.servers.decode();
         net.servers.decode();
         net.servers.decode();
         net.servers.decode();
-        for (String how : new String[] {"reset", "end", "noise"}) {
-            Begun stream = begun("/res/");
-            switch (how) {
-                case "reset" -> stream.run().wire().reset();
-                case "end" -> stream.run().wire().close();
-                default -> stream.run().wire().send("noise\r\n");
-            }
-            Call next = net.next();
-            assertEquals("1", next.message().header("Last-Event-Id"), how);
-            beginStream(next);
-            next.wire().chunk(event(2));
-            next.wire().lastChunk();
-            assertEquals(event(2), stream.client().readChunk());
-            assertEquals("", stream.client().readChunk());
+        BegunStream stream = begin("/res/");
+        switch (how) {
+            case "reset" -> stream.server().reset();
+            case "end" -> stream.server().close();
+            default -> stream.server().send("noise\r\n");
         }
+        Call next = net.next();
+        assertEquals("1", next.message().header("Last-Event-Id"), how);
+        assertResumed(next, stream.client(), 2);
         net.assertQuiet();
     }
 
@@ -229,7 +202,7 @@
         assertEquals(200, client.readHead().status());
         assertEquals(event(13), client.readChunk());
         second.wire().reset();
-        assertCut(client); // it comes again with 13
+        assertBrokenOff(client); // it comes again with 13
         net.assertQuiet();
     }
 
@@ -237,10 +210,10 @@
     void aBrokenStreamThatMayNotBeContinuedIsCut() throws Exception {
         net.servers.decode();
         net.servers.decode();
-        Begun stream = begun("/gen/");
-        stream.run().wire().chunk("id: 2\ndata: half");
-        stream.run().wire().reset();
-        assertCut(stream.client());
+        BegunStream stream = begin("/gen/");
+        stream.server().chunk("id: 2\ndata: half");
+        stream.server().reset();
+        assertBrokenOff(stream.client());
         net.assertQuiet();
     }
 
@@ -255,10 +228,7 @@
         first.wire().reset();
         Call second = net.next();
         assertNull(second.message().header("Last-Event-Id"));
-        beginStream(second);
-        second.wire().chunk(event(1));
-        second.wire().lastChunk();
-        assertEquals(event(1), resumable.read().body());
+        assertStreamed(second, resumable, 1);
         Wire once = net.ask("/gen/", PROMPT);
         Call run = net.next();
         beginStream(run);
@@ -273,14 +243,14 @@
         net.servers.decode();
         net.servers.decode();
         net.servers.decode();
-        Begun stream = begun("/two/");
-        stream.run().wire().reset();
+        BegunStream stream = begin("/two/");
+        stream.server().reset();
         Call next = net.next();
         beginStream(next);
         next.wire().chunk(event(2));
         assertEquals(event(2), stream.client().readChunk());
         next.wire().reset();
-        assertCut(stream.client());
+        assertBrokenOff(stream.client());
         net.assertQuiet();
     }
 
@@ -289,14 +259,14 @@
         net.servers.decode();
         net.servers.decode();
         net.servers.decode();
-        Begun stream = begun("/res/");
-        stream.run().wire().reset();
+        BegunStream stream = begin("/res/");
+        stream.server().reset();
         Call second = net.next();
         reject(second);
         Call third = net.next();
         assertEquals("1", third.message().header("Last-Event-Id"));
         answer(third, "500 Internal Server Error", SEAL, "broken");
-        assertCut(stream.client());
+        assertBrokenOff(stream.client());
         net.assertQuiet();
     }
 
@@ -306,9 +276,9 @@
             poor.routes(routes());
             poor.servers.decode();
             poor.servers.decode();
-            Begun stream = begun(poor, "/res/", PROMPT);
-            stream.run().wire().reset();
-            assertCut(stream.client());
+            BegunStream stream = BegunStream.begin(poor, "/res/", PROMPT);
+            stream.server().reset();
+            assertBrokenOff(stream.client());
             poor.assertQuiet();
         }
     }
@@ -319,16 +289,12 @@
     void aSilentStreamIsMoved() throws Exception {
         net.servers.decode();
         net.servers.decode();
-        Begun stream = begun(net, "/res/", SHORT_PROMPT);
+        BegunStream stream = BegunStream.begin(net, "/res/", SHORT_PROMPT);
         Call next = net.next();
-        stream.run().wire().awaitEnd();
-        assertNotSame(stream.run().server(), next.server());
+        stream.server().awaitEnd();
+        assertNotSame(stream.decode().server(), next.server());
         assertEquals("1", next.message().header("Last-Event-Id"));
-        beginStream(next);
-        next.wire().chunk(event(2));
-        next.wire().lastChunk();
-        assertEquals(event(2), stream.client().readChunk());
-        assertEquals("", stream.client().readChunk());
+        assertResumed(next, stream.client(), 2);
         net.assertQuiet();
     }
 
@@ -337,17 +303,17 @@
     void aStreamOfALongPromptIsMovedAsSoonOnceItHasBegun() throws Exception {
         net.servers.decode();
         net.servers.decode();
-        Begun stream = begun("/res/");
+        BegunStream stream = begin("/res/");
         net.pass(2 * SILENCE_MS);
-        assertTrue(stream.run().wire().isEnded(), "still waited for");
+        assertTrue(stream.server().isEnded(), "still waited for");
         assertEquals("1", net.next().message().header("Last-Event-Id"));
     }
 
-    private void assertIsWaitedFor(ForwarderFixture fleet, Begun stream) throws Exception {
+    private void assertIsWaitedFor(ForwarderFixture fleet, BegunStream stream) throws Exception {
         fleet.pass(SILENCE_MS);
-        assertFalse(stream.run().wire().isEnded(), "the only server that can go on was left");
-        stream.run().wire().chunk(event(2));
-        stream.run().wire().lastChunk();
+        assertFalse(stream.server().isEnded(), "the only server that can go on was left");
+        stream.server().chunk(event(2));
+        stream.server().lastChunk();
         assertEquals(event(2), stream.client().readChunk());
         assertEquals("", stream.client().readChunk());
         fleet.assertQuiet();
@@ -357,21 +323,21 @@
     void aSilentStreamThatMayNotBeContinuedIsWaitedFor() throws Exception {
         net.servers.decode();
         net.servers.decode();
-        assertIsWaitedFor(net, begun(net, "/gen/", SHORT_PROMPT));
+        assertIsWaitedFor(net, BegunStream.begin(net, "/gen/", SHORT_PROMPT));
     }
 
     @Test
     void aSilentStreamAtTheLastAttemptIsWaitedFor() throws Exception {
         net.servers.decode();
         net.servers.decode();
-        assertIsWaitedFor(net, begun(net, "/last/", SHORT_PROMPT));
+        assertIsWaitedFor(net, BegunStream.begin(net, "/last/", SHORT_PROMPT));
     }
 
     /** That a server is silent is no reason to end an answer which nobody else can continue. */
     @Test
     void aSilentStreamThatNoOtherServerCanContinueIsWaitedFor() throws Exception {
         net.servers.decode();
-        assertIsWaitedFor(net, begun(net, "/res/", SHORT_PROMPT));
+        assertIsWaitedFor(net, BegunStream.begin(net, "/res/", SHORT_PROMPT));
     }
 
     @Test
@@ -380,7 +346,7 @@
             poor.routes(routes());
             poor.servers.decode();
             poor.servers.decode();
-            assertIsWaitedFor(poor, begun(poor, "/res/", SHORT_PROMPT));
+            assertIsWaitedFor(poor, BegunStream.begin(poor, "/res/", SHORT_PROMPT));
         }
     }
 
@@ -390,22 +356,21 @@
     void aStreamAtItsDeadlineIsCutWithoutASecondHead() throws Exception {
         net.servers.decode();
         net.servers.decode();
-        Begun stream = begun("/brief/");
-        assertCut(stream.client());
-        stream.run().wire().awaitEnd();
+        BegunStream stream = begin("/brief/");
+        assertBrokenOff(stream.client());
+        stream.server().awaitEnd();
         net.assertQuiet();
     }
 
-    @Test
-    void aClientThatLeavesWithinItsStreamEndsIt() throws Exception {
+    @ParameterizedTest
+    @ValueSource(strings = {"/gen/", "/res/"})
+    void aClientThatLeavesWithinItsStreamEndsIt(String target) throws Exception {
         net.servers.decode();
         net.servers.decode();
-        for (String target : new String[] {"/gen/", "/res/"}) {
-            Begun stream = begun(target);
-            stream.client().close();
-            stream.run().wire().awaitEnd();
-            net.assertQuiet();
-        }
+        BegunStream stream = begin(target);
+        stream.client().close();
+        stream.server().awaitEnd();
+        net.assertQuiet();
     }
 
     /** The client's end and the server's break are there at once: whichever is looked at first. */
@@ -413,10 +378,10 @@
     void aClientsEndThatMeetsABreakLeavesNothingOpen() throws Exception {
         net.servers.decode();
         net.servers.decode();
-        Begun stream = begun("/res/");
+        BegunStream stream = begin("/res/");
         OnLoop.run(net.loop, () -> {
             stream.client().reset();
-            stream.run().wire().reset();
+            stream.server().reset();
         });
         net.awaitNoOpenRequest();
         while (!net.servers.calls.isEmpty()) {
@@ -429,8 +394,8 @@
     void aClientThatLeavesWhileItsStreamIsContinuedEndsThatToo() throws Exception {
         net.servers.decode();
         net.servers.decode();
-        Begun stream = begun("/res/");
-        stream.run().wire().reset();
+        BegunStream stream = begin("/res/");
+        stream.server().reset();
         Call next = net.next();
         stream.client().close();
         next.wire().awaitEnd();
@@ -440,12 +405,11 @@
     @Test
     void theConnectionOfAStreamThatHasEndedIsUsedAgain() throws Exception {
         net.servers.decode();
-        Begun stream = begun("/gen/");
-        stream.run().wire().lastChunk();
-        assertEquals("", stream.client().readChunk());
+        BegunStream stream = begin("/gen/");
+        stream.assertEnds();
         net.pass(30);
         stream.client().send(request("/gen/", PROMPT, ""));
         Call next = net.next();
-        assertSame(stream.run().wire(), next.wire());
+        assertSame(stream.server(), next.wire());
     }
 }
