--- a/dataplane/src/test/java/dewplank/dataplane/ForwarderFixture.java
+++ b/dataplane/src/test/java/dewplank/dataplane/ForwarderFixture.java
@@ -1,10 +1,12 @@
 package dewplank.dataplane;
 
+import static dewplank.dataplane.Expectations.assertRejected;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
 import dewplank.configuration.Configuration;
 import dewplank.exchange.OnLoop;
+import dewplank.exchange.ScriptedServer;
 import dewplank.exchange.ScriptedServer.Call;
 import dewplank.exchange.Wire;
 import dewplank.net.EventLoop;
@@ -16,7 +18,9 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
+import java.util.HashSet;
 import java.util.List;
+import java.util.Set;
 import java.util.SplittableRandom;
 
 /** A forwarder on an event loop, between plain-socket clients and the servers of a {@link ScriptedFleet}. */
@@ -30,6 +34,11 @@
     private static final double CONNECT_TIMEOUT_MS = 20_000;
 
     private static final int DEFAULT_MAX_BODY_BYTES = 4 << 20;
+    /** More than {@link dewplank.exchange.ConnectionPool#REUSE_DELAY_MS}. */
+    static final double REUSABLE_AFTER_MS = 30;
+
+    /** How often a request is sent anew that a slow machine has kept from where the test needs it. */
+    static final int MAX_SENDS = 20;
 
     final EventLoop loop = new EventLoop();
     final FleetMetadata metadata = new FleetMetadata(loop);
@@ -91,11 +100,81 @@
         return client;
     }
 
+    /** A client and the call by which its request is at a server. */
+    record InFlight(Wire client, Call call) {}
+
+    /**
+     * A request that is at a server before its deadline. Where the machine was too slow for that, the client must have
+     * been answered accordingly, and the request is sent anew.
+     */
+    InFlight askUntilAtServer(String target, String fields) throws Exception {
+        for (int sends = 0; sends < MAX_SENDS; sends++) {
+            String request = ClientRequests.request(target, fields, "hi");
+            Wire client = client();
+            client.send(request);
+            OnLoop.await(loop, () -> hasCallOf(request) || client.hasBytes());
+            if (hasCallOf(request)) {
+                return new InFlight(client, takeCallOf(request));
+            }
+            Wire.Message answer = client.read();
+            if (answer.status() == 503) {
+                assertRejected(answer);
+            } else {
+                assertEquals(504, answer.status());
+                OnLoop.await(loop, () -> hasCallOf(request));
+                takeCallOf(request);
+            }
+        }
+        throw new AssertionError("no request was at a server before its deadline");
+    }
+
+    private boolean hasCallOf(String request) {
+        return servers.calls.stream().anyMatch(c -> isCallOf(c, request));
+    }
+
+    private Call takeCallOf(String request) throws InterruptedException {
+        Call call = next();
+        while (!isCallOf(call, request)) { // of an earlier one, read late
+            call = next();
+        }
+        return call;
+    }
+
+    private static boolean isCallOf(Call call, String request) {
+        return request.contains(ServerAnswers.idOf(call));
+    }
+
+    /**
+     * Gives each server an idle connection that is reused for the next request: that is written as soon as it is taken,
+     * before any timer of it can fall due.
+     *
+     * @param target of a route to all servers
+     */
+    void openIdleConnections(String target) throws Exception {
+        Set<ScriptedServer> reached = new HashSet<>();
+        List<InFlight> open = new ArrayList<>();
+        while (reached.size() < servers.count()) {
+            Wire client = ask(target);
+            Call call = next();
+            reached.add(call.server());
+            open.add(new InFlight(client, call));
+        }
+        for (InFlight request : open) {
+            Expectations.assertServed(request.call(), request.client(), "");
+        }
+        pass(REUSABLE_AFTER_MS);
+    }
+
     /** The next request, whichever server it reached. */
     Call next() throws InterruptedException {
         return servers.next();
     }
 
+    /** The loop's clock, by which requests' times are counted. */
+    double now() {
+        return loop.now();
+    }
+
     /** Lets so much time pass by the loop's timers. */
     void pass(double ms) throws InterruptedException {
         OnLoop.pass(loop, ms);
--- a/dataplane/src/test/java/dewplank/dataplane/ScriptedFleet.java
+++ b/dataplane/src/test/java/dewplank/dataplane/ScriptedFleet.java
@@ -87,6 +87,26 @@
         OnLoop.run(loop, () -> metadata.updateServers(next));
     }
 
+    /** Servers that were added, with those that were removed since. */
+    int count() {
+        return instances.size();
+    }
+
+    /** A server of the plain service that refuses connections. */
+    ScriptedServer refusingPlain() throws Exception {
+        return add(ScriptedServer.refusing(), TestConfiguration.PLAIN, null);
+    }
+
+    /** A prefill server that refuses connections. */
+    ScriptedServer refusingPrefill() throws Exception {
+        return add(ScriptedServer.refusing(), TestConfiguration.MODEL, "prefill");
+    }
+
+    /** A decode server that refuses connections. */
+    ScriptedServer refusingDecode() throws Exception {
+        return add(ScriptedServer.refusing(), TestConfiguration.MODEL, "decode");
+    }
+
     /** The instance id that the endpoint list gives the server. */
     String id(ScriptedServer server) {
         return instances.get(server);
--- /dev/null
+++ b/transport/src/test/java/dewplank/exchange/ManualClock.java
@@ -0,0 +1,27 @@
+package dewplank.exchange;
+
+import dewplank.net.Scheduler;
+
+/** A clock that stands still until the test moves it. It has neither timers nor a thread. */
+final class ManualClock implements Scheduler {
+    private double now = 1_000_000;
+
+    synchronized void advance(double ms) {
+        now += ms;
+    }
+
+    @Override
+    public synchronized double now() {
+        return now;
+    }
+
+    @Override
+    public Timer after(double ms, Runnable task) {
+        throw new UnsupportedOperationException("no timers");
+    }
+
+    @Override
+    public void execute(Runnable task) {
+        throw new UnsupportedOperationException("no thread");
+    }
+}
