--- a/dataplane/src/test/java/dewplank/dataplane/BegunStream.java
+++ b/dataplane/src/test/java/dewplank/dataplane/BegunStream.java
@@ -16,8 +16,8 @@
 record BegunStream(Wire client, Call decode, Wire.Message head) {
     /** Sends the request; the first call that comes is the decode server's. */
     static BegunStream begin(ForwarderFixture net, String target, String prompt) throws Exception {
-        Wire client = net.ask(target, prompt);
-        return begin(net.next(), client);
+        Wire client = net.sendRequest(target, prompt);
+        return begin(net.nextCall(), client);
     }
 
     /** The decode server begins its stream, and the client gets the first event. */
--- a/dataplane/src/test/java/dewplank/dataplane/CallCrossingTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/CallCrossingTest.java
@@ -31,15 +31,15 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Two events that meet on the connections of plain routes, in either order: each caller gets the answer to its own
- * request or none, and what may run once is never sent again after a server can have read of it.
+ * Two events that meet on the connections of plain routes, in either order: each client gets the answer to its own
+ * request or none, and an unsafe request is never retried once a server can have read any of it.
  */
 class CallCrossingTest {
-    private static final double RESTED_MS = ForwarderFixture.REUSABLE_AFTER_MS;
+    private static final double REUSABLE_AFTER_MS = ForwarderFixture.REUSABLE_AFTER_MS;
     private static final int TIMEOUT_MS = 150;
     private static final int LONG_TIMEOUT_MS = 2_500; // for a long body to come in
-    private static final int PATIENCE_MS = 1_500; // two and a half times the target
-    private static final int LONG_BODY = 16 << 20; // more than the system holds
+    private static final int OVERDUE_AFTER_MS = 1_500; // two and a half times the target
+    private static final int LONG_BODY_BYTES = 16 << 20; // more than the socket buffers hold
     private static final String[] BOTH = {"/safe/", "/once/"};
 
     private ForwarderFixture net;
@@ -48,10 +48,10 @@
     void begin() throws Exception {
         net = new ForwarderFixture()
                 .routes(
-                        4 * LONG_BODY,
+                        4 * LONG_BODY_BYTES,
                         safeRoute("safe", 3),
                         unsafeRoute("once", 3),
-                        safeRoute("quick", 2).withTargetLatency(PATIENCE_MS * 2 / 5),
+                        safeRoute("quick", 2).withTargetLatency(OVERDUE_AFTER_MS * 2 / 5),
                         unsafeRoute("brief", 3).withTimeout(TIMEOUT_MS),
                         unsafeRoute("half", 3).withTimeout(LONG_TIMEOUT_MS),
                         safeRoute("briefly", 3).withTimeout(TIMEOUT_MS));
@@ -62,27 +62,27 @@
         net.close();
     }
 
-    /** A connection to the server, used once and rested, with the client that used it. */
-    private record Rested(Wire client, Call first) {}
+    /** An idle connection to the server that may be reused, with the client whose request it carried. */
+    private record IdleConnection(Wire client, Call first) {}
 
-    private Rested rested(String target) throws Exception {
-        Wire client = net.ask(target);
-        Call first = net.next();
+    private IdleConnection idleConnection(String target) throws Exception {
+        Wire client = net.sendRequest(target);
+        Call first = net.nextCall();
         assertServed(first, client, "first");
-        net.pass(RESTED_MS);
-        return new Rested(client, first);
+        net.pass(REUSABLE_AFTER_MS);
+        return new IdleConnection(client, first);
     }
 
-    private Call againOnTheSameWire(Rested rested, String target) throws Exception {
-        rested.client().send(request(target, "", "second"));
-        Call second = net.next();
-        assertSame(rested.first().wire(), second.wire());
+    private Call sendOnIdleConnection(IdleConnection idle, String target) throws Exception {
+        idle.client().send(request(target, "", "second"));
+        Call second = net.nextCall();
+        assertSame(idle.first().wire(), second.wire());
         return second;
     }
 
     private void assertServes(Wire client, String target) throws Exception {
         client.send(request(target, "", ""));
-        Call call = net.next();
+        Call call = net.nextCall();
         assertServed(call, client, "next");
         net.assertQuiet();
     }
@@ -91,51 +91,51 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"/safe/", "/once/"})
-    void aLateAnswerOnAReusedConnectionIsNobodysWhateverItSays(String target) throws Exception {
+    void aLateAnswerOnAReusedConnectionIsDiscarded(String target) throws Exception {
         net.servers.plain();
         for (String status : new String[] {"200 OK", "404 Not Found", "500 Internal Server Error"}) {
-            Rested rested = rested(target);
-            Call second = againOnTheSameWire(rested, target);
-            answer(rested.first(), status, SEAL, "the first one's");
+            IdleConnection idle = idleConnection(target);
+            Call second = sendOnIdleConnection(idle, target);
+            answer(idle.first(), status, SEAL, "the first one's");
             answer(second, "200 OK", SEAL, "own");
-            assertEquals("own", rested.client().read().body(), target + status);
+            assertEquals("own", idle.client().read().body(), target + status);
             net.assertQuiet();
         }
     }
 
-    /** Its promise is the first request's: the second one may run, and is neither refused nor sent elsewhere. */
+    /** The rejection answers the first request: the second one may run, and is neither rejected nor retried. */
     @ParameterizedTest
     @ValueSource(strings = {"/safe/", "/once/"})
-    void aLateRejectionOnAReusedConnectionRejectsNothing(String target) throws Exception {
+    void aLateRejectionOnAReusedConnectionIsDiscarded(String target) throws Exception {
         net.servers.plain();
-        Rested rested = rested(target);
-        Call second = againOnTheSameWire(rested, target);
-        answer(rested.first(), "503 Service Unavailable", NOT_EXECUTED, "");
-        answer(rested.first(), "421 Misdirected Request", "", "");
-        assertServed(second, rested.client(), "own");
+        IdleConnection idle = idleConnection(target);
+        Call second = sendOnIdleConnection(idle, target);
+        answer(idle.first(), "503 Service Unavailable", NOT_EXECUTED, "");
+        answer(idle.first(), "421 Misdirected Request", "", "");
+        assertServed(second, idle.client(), "own");
         net.assertQuiet();
     }
 
-    /** Servers echo the id; what has none is another's, of the freeing of a handle say. */
+    /** Servers echo the attempt id; an answer without one is to another request, for example that freed a KV handle. */
     @ParameterizedTest
     @ValueSource(strings = {"/safe/", "/once/"})
-    void anAnswerWithoutAnIdIsNobodys(String target) throws Exception {
+    void anAnswerWithoutAnAttemptIdIsDiscarded(String target) throws Exception {
         net.servers.plain();
-        Rested rested = rested(target);
-        Call second = againOnTheSameWire(rested, target);
+        IdleConnection idle = idleConnection(target);
+        Call second = sendOnIdleConnection(idle, target);
         second.wire().answer("404 Not Found", "", "nobody's");
         second.wire().answer("200 OK", SEAL, "nobody's");
         second.wire().answer("503 Service Unavailable", NOT_EXECUTED, "");
-        assertServed(second, rested.client(), "own");
+        assertServed(second, idle.client(), "own");
         net.assertQuiet();
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"/safe/", "/once/"})
-    void ofTwoAnswersInOnePieceTheFirstCountsAndTheConnectionEnds(String target) throws Exception {
+    void ofTwoAnswersInOneSegmentTheFirstCountsAndTheConnectionCloses(String target) throws Exception {
         net.servers.plain();
-        Wire client = net.ask(target);
-        Call call = net.next();
+        Wire client = net.sendRequest(target);
+        Call call = net.nextCall();
         String own = sealedHead(call, "Content-Length: 1\r\n");
         call.wire().send(own + "1" + own + "2");
         assertEquals("1", client.read().body());
@@ -143,40 +143,40 @@
         assertServes(client, target);
     }
 
-    /** The bytes of the second answer form none with those of the first one's. */
+    /** Bytes behind the first answer are not joined with those of the second one. */
     @ParameterizedTest
     @ValueSource(strings = {"/safe/", "/once/"})
-    void bytesBehindAnAnswerAreNoPartOfTheNext(String target) throws Exception {
+    void surplusBytesAreNotParsedAsTheNextAnswer(String target) throws Exception {
         net.servers.plain();
-        Rested rested = rested(target);
-        Call second = againOnTheSameWire(rested, target);
+        IdleConnection idle = idleConnection(target);
+        Call second = sendOnIdleConnection(idle, target);
         second.wire().send("surplus\r\n");
         if (target.equals("/once/")) {
-            assertEquals(502, rested.client().read().status());
+            assertEquals(502, idle.client().read().status());
         } else {
-            Call third = net.next();
+            Call third = net.nextCall();
             assertNotSame(second.wire(), third.wire());
-            assertServed(third, rested.client(), "own");
+            assertServed(third, idle.client(), "own");
         }
         net.assertQuiet();
     }
 
     /**
-     * The request itself is sent to the same server again: a second answer to the first send has the same id, and must
-     * not be taken for the answer to the next one, which may run.
+     * The request is retried at the same server: a second answer to the first attempt has the same attempt id, and must
+     * not be taken for the answer to the next attempt, which may run.
      */
     @Test
-    void aRequestSentAgainToItsServerGoesByAConnectionOfItsOwn() throws Exception {
+    void aRetryAtTheSameServerUsesADedicatedConnection() throws Exception {
         ScriptedServer one = net.servers.plain();
-        Wire warm = net.ask("/once/");
-        Call earlier = net.next();
-        Wire client = net.ask("/once/");
-        Call first = net.next();
-        serve(earlier, ""); // its connection rests, ready for whoever comes next
-        warm.read();
-        net.pass(RESTED_MS);
+        Wire other = net.sendRequest("/once/");
+        Call earlier = net.nextCall();
+        Wire client = net.sendRequest("/once/");
+        Call first = net.nextCall();
+        serve(earlier, ""); // its connection is idle, ready for the next request
+        other.read();
+        net.pass(REUSABLE_AFTER_MS);
         answer(first, "421 Misdirected Request", "", "");
-        Call again = net.next();
+        Call again = net.nextCall();
         assertSame(one, again.server());
         assertNotSame(first.wire(), again.wire());
         assertNotSame(earlier.wire(), again.wire(), "a connection that has carried another call");
@@ -189,73 +189,73 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"/safe/", "/once/"})
-    void aResetOfAnIdleConnectionThatIsKnownCostsNothing(String target) throws Exception {
+    void aResetOfAnIdleConnectionCostsNoAttempt(String target) throws Exception {
         net.servers.plain();
-        Rested rested = rested(target);
-        rested.first().wire().reset();
+        IdleConnection idle = idleConnection(target);
+        idle.first().wire().reset();
         OnLoop.await(
                 net.loop, () -> net.metadata.allServers().iterator().next().pool.size() == 0);
-        rested.client().send(request(target, "", ""));
-        Call second = net.next();
-        assertNotSame(rested.first().wire(), second.wire());
-        assertServed(second, rested.client(), "own");
+        idle.client().send(request(target, "", ""));
+        Call second = net.nextCall();
+        assertNotSame(idle.first().wire(), second.wire());
+        assertServed(second, idle.client(), "own");
         net.assertQuiet();
     }
 
     @Test
-    void aResetAfterTheRequestWasReadEndsAnUnsafeOne() throws Exception {
+    void aResetAfterTheRequestWasReadFailsAnUnsafeRequest() throws Exception {
         net.servers.plain();
         net.servers.plain();
-        Rested rested = rested("/once/");
-        rested.client().send(request("/once/", "", ""));
-        net.next().wire().reset();
-        assertEquals(502, rested.client().read().status());
+        IdleConnection idle = idleConnection("/once/");
+        idle.client().send(request("/once/", "", ""));
+        net.nextCall().wire().reset();
+        assertEquals(502, idle.client().read().status());
         net.assertQuiet();
-        assertServes(rested.client(), "/once/");
+        assertServes(idle.client(), "/once/");
     }
 
     /**
-     * The reset and the request are there at once. If the connection took no byte, the request goes by another one or
-     * is refused; if it did, nobody can tell whether it was read, and it is neither refused nor sent again.
+     * The reset and the request arrive at once. If the connection took no byte, the request goes by another one or
+     * is rejected; if it did, the request may have been read, and is neither rejected nor retried.
      */
     @Test
-    void aResetThatMeetsAnUnsafeRequestSendsItOnceAtMost() throws Exception {
+    void aResetThatMeetsAnUnsafeRequestSendsItAtMostOnce() throws Exception {
         net.servers.plain();
         for (boolean resetFirst : new boolean[] {true, false}) {
-            Rested rested = rested("/once/");
+            IdleConnection idle = idleConnection("/once/");
             OnLoop.run(net.loop, () -> {
                 if (resetFirst) {
-                    rested.first().wire().reset();
+                    idle.first().wire().reset();
                 }
-                rested.client().send(request("/once/", "", "meets"));
+                idle.client().send(request("/once/", "", "meets"));
                 if (!resetFirst) {
-                    rested.first().wire().reset();
+                    idle.first().wire().reset();
                 }
             });
             OnLoop.await(
                     net.loop,
-                    () -> !net.servers.calls.isEmpty() || rested.client().hasBytes());
+                    () -> !net.servers.calls.isEmpty() || idle.client().hasBytes());
             Call sent = net.servers.calls.poll();
-            boolean read = sent != null && sent.wire() == rested.first().wire();
+            boolean read = sent != null && sent.wire() == idle.first().wire();
             boolean elsewhere = sent != null && !read;
             if (elsewhere) {
                 serve(sent, "own");
             }
-            Wire.Message got = rested.client().read();
-            boolean refused = sent == null && got.status() == 503; // true, as no server has read of it or ever will
-            assertEquals(elsewhere ? 200 : refused ? 503 : 502, got.status());
+            Wire.Message got = idle.client().read();
+            boolean rejected = sent == null && got.status() == 503; // true, as no server has read any of it
+            assertEquals(elsewhere ? 200 : rejected ? 503 : 502, got.status());
             assertEquals(elsewhere ? "own" : "", got.body());
             net.assertQuiet();
-            net.pass(2 * RESTED_MS); // a server that broke a connection is spared for 40 ms
+            net.pass(2 * REUSABLE_AFTER_MS); // a server that reset a connection is not picked for 40 ms
         }
     }
 
     @Test
-    void anInterimAnswerIsNoPromiseThatTheRequestIsStillUnread() throws Exception {
+    void anInterimAnswerDoesNotMeanThatTheRequestDidNotRun() throws Exception {
         net.servers.plain();
         net.servers.plain();
-        Wire client = net.ask("/once/");
-        Call call = net.next();
+        Wire client = net.sendRequest("/once/");
+        Call call = net.nextCall();
         call.wire().send("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 102 Processing\r\n" + idOf(call) + "\r\n");
         call.wire().reset();
         assertEquals(502, client.read().status());
@@ -265,43 +265,43 @@
     /** Without a length the connection's end ends the answer, and a reset does not. */
     @ParameterizedTest
     @ValueSource(strings = {"/safe/", "/once/"})
-    void anAnswerWithoutALengthIsWholeAtItsEndAndNotAtAReset(String target) throws Exception {
+    void anAnswerWithoutALengthIsCompleteAtEndOfStreamAndTruncatedAtAReset(String target) throws Exception {
         net.servers.plain();
         net.servers.plain();
-        for (boolean whole : new boolean[] {true, false}) {
-            Wire client = net.ask(target);
-            Call call = net.next();
+        for (boolean complete : new boolean[] {true, false}) {
+            Wire client = net.sendRequest(target);
+            Call call = net.nextCall();
             call.wire().send(sealedHead(call, "") + "half");
-            if (whole) {
+            if (complete) {
                 call.wire().close();
                 assertEquals("half", client.read().body());
             } else if (target.equals("/safe/")) {
                 call.wire().reset();
-                assertServed(net.next(), client, "own");
+                assertServed(net.nextCall(), client, "own");
             } else {
                 call.wire().reset();
                 assertEquals(502, client.read().status());
             }
             net.assertQuiet();
-            net.pass(RESTED_MS);
+            net.pass(REUSABLE_AFTER_MS);
         }
     }
 
     // ---- early answers --------------------------------------------------------------------------------
 
-    private Wire askLong(String target) throws IOException {
+    private Wire sendLongRequest(String target) throws IOException {
         Wire client = net.client();
-        client.send(request(target, "", "x".repeat(LONG_BODY)));
+        client.send(request(target, "", "x".repeat(LONG_BODY_BYTES)));
         return client;
     }
 
-    /** The server reads on: only the rest of the body may come where it is due. */
+    /** The server reads on: nothing but the rest of the body may follow on the connection. */
     @Test
-    void anEarlyAnswerIsPassedOnAndItsConnectionCarriesNothingElse() throws Exception {
+    void anEarlyAnswerIsRelayedAndItsConnectionIsNotReused() throws Exception {
         try (ScriptedServer raw = ScriptedServer.raw()) {
             net.servers.add(raw, PLAIN, null);
             for (String target : BOTH) {
-                Wire client = askLong(target);
+                Wire client = sendLongRequest(target);
                 Wire wire = raw.nextConnection();
                 String id = wire.readHead().header("X-Dewplank-Request-Attempt-Id");
                 wire.answer("200 OK", "X-Dewplank-Request-Attempt-Id: " + id + "\r\n" + SEAL, "early");
@@ -319,22 +319,22 @@
         }
     }
 
-    /** Long requests are turned away before they are in: the next server gets all of it, once. */
+    /** Long requests are rejected before they are complete: the next server gets all of it, once. */
     @Test
-    void aRequestThatIsTurnedAwayEarlyGoesWholeToAnotherServer() throws Exception {
+    void aRequestThatIsRejectedEarlyIsRetriedWithItsCompleteBody() throws Exception {
         try (ScriptedServer raw = ScriptedServer.raw()) {
             for (String target : BOTH) {
                 net.servers.add(raw, PLAIN, null);
-                Wire client = askLong(target);
+                Wire client = sendLongRequest(target);
                 Wire wire = raw.nextConnection();
                 String id = wire.readHead().header("X-Dewplank-Request-Attempt-Id");
                 ScriptedServer other = net.servers.plain();
                 wire.answer(
                         "503 Service Unavailable", "X-Dewplank-Request-Attempt-Id: " + id + "\r\n" + NOT_EXECUTED, "");
-                Call call = net.next();
+                Call call = net.nextCall();
                 assertSame(other, call.server());
                 assertEquals(id, call.message().header("X-Dewplank-Request-Attempt-Id"));
-                assertEquals(LONG_BODY, call.message().body().length());
+                assertEquals(LONG_BODY_BYTES, call.message().body().length());
                 assertServed(call, client, "own");
                 net.assertQuiet();
                 net.servers.remove(raw);
@@ -349,16 +349,16 @@
         return raw.connectionsWaiting() > 0;
     }
 
-    /** The deadline comes while the body is still going out: the server may have begun, so nothing is promised. */
+    /** The deadline passes while the body is being written: the server may have begun, so 503 would be untrue. */
     @Test
-    void anUnsafeRequestThatIsHalfSentAtItsDeadlineIsNotRefused() throws Exception {
+    void anUnsafeRequestThatIsPartlySentAtItsDeadlineIsNotRejected() throws Exception {
         try (ScriptedServer raw = ScriptedServer.raw()) {
             net.servers.add(raw, PLAIN, null);
-            Wire client = askLong("/half/"); // its time counts from its first byte
+            Wire client = sendLongRequest("/half/"); // its time counts from its first byte
             for (int sends = 1; !reaches(raw, client); sends++) { // it came in after its deadline
                 assertTrue(sends < ForwarderFixture.MAX_SENDS, "no server is asked");
                 assertRejected(client.read());
-                client = askLong("/half/");
+                client = sendLongRequest("/half/");
             }
             raw.nextConnection().readHead();
             assertEquals(504, client.read().status());
@@ -368,12 +368,12 @@
 
     // ---- time-outs ------------------------------------------------------------------------------------
 
-    /** Whichever is looked at first: one answer, and the next request of the connection gets its own. */
+    /** In either order: one answer, and the next request of the connection gets its own. */
     @ParameterizedTest
     @ValueSource(strings = {"/brief/", "/briefly/"})
-    void anAnswerThatMeetsTheDeadlineIsOneAnswer(String target) throws Exception {
+    void anAnswerThatMeetsTheDeadlineGivesOneAnswer(String target) throws Exception {
         net.servers.plain();
-        ForwarderFixture.InFlight request = net.askUntilAtServer(target, "");
+        ForwarderFixture.InFlight request = net.sendUntilAtServer(target, "");
         Wire client = request.client();
         Call call = request.call();
         net.runBeforePause(2 * TIMEOUT_MS, () -> serve(call, "just in time"));
@@ -384,47 +384,47 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"/brief/", "/briefly/"})
-    void anAnswerAfterTheDeadlineIsNobodys(String target) throws Exception {
+    void anAnswerAfterTheDeadlineIsDiscarded(String target) throws Exception {
         net.servers.plain();
-        ForwarderFixture.InFlight request = net.askUntilAtServer(target, "");
+        ForwarderFixture.InFlight request = net.sendUntilAtServer(target, "");
         Wire client = request.client();
         Call call = request.call();
         assertEquals(504, client.read().status());
         call.wire().awaitEnd();
         client.send(request("/safe/", "", ""));
-        Call next = net.next();
+        Call next = net.nextCall();
         assertNotSame(call.wire(), next.wire());
         assertServed(next, client, "own");
         net.assertQuiet();
     }
 
-    /** A reset at the deadline: a request that may have run is not refused, in either order. */
+    /** A reset at the deadline: a request that may have run is not rejected, in either order. */
     @Test
-    void aResetThatMeetsTheDeadlineIsNoRefusal() throws Exception {
+    void aResetThatMeetsTheDeadlineIsNotARejection() throws Exception {
         net.servers.plain();
-        ForwarderFixture.InFlight request = net.askUntilAtServer("/brief/", "");
+        ForwarderFixture.InFlight request = net.sendUntilAtServer("/brief/", "");
         Wire client = request.client();
         Call call = request.call();
         net.runBeforePause(2 * TIMEOUT_MS, () -> call.wire().reset());
         int status = client.read().status();
         assertTrue(status == 502 || status == 504, "status " + status);
         net.assertQuiet();
-        client.send(request("/none/", "", "")); // its connection is in order
+        client.send(request("/none/", "", "")); // its connection is usable
         assertEquals(404, client.read().status());
         net.assertQuiet();
     }
 
-    // ---- silence --------------------------------------------------------------------------------------
+    // ---- overdue answers and stalls -------------------------------------------------------------------
 
-    /** The silent server is left when another one is asked: its connection has ended, and its answer with it. */
+    /** An overdue attempt is cancelled when the request is retried: its connection closes, its answer is discarded. */
     @Test
-    void theAnswerOfAServerThatWasLeftIsNobodys() throws Exception {
+    void theAnswerToACancelledAttemptIsDiscarded() throws Exception {
         net.servers.plain();
         net.servers.plain();
         net.openIdleConnections("/once/");
-        Wire client = net.ask("/quick/");
-        Call first = net.next();
-        Call second = net.next();
+        Wire client = net.sendRequest("/quick/");
+        Call first = net.nextCall();
+        Call second = net.nextCall();
         assertEquals(
                 first.message().header("X-Dewplank-Request-Attempt-Id"),
                 second.message().header("X-Dewplank-Request-Attempt-Id"));
@@ -433,15 +433,15 @@
         assertServes(client, "/once/");
     }
 
-    /** Patience ends and the answer comes, at once: one of the two servers' answers, once, and two calls at most. */
+    /** The answer is overdue and arrives, at once: one of the two servers' answers, once, and two attempts at most. */
     @Test
-    void silenceThatMeetsAnAnswerIsOneAnswer() throws Exception {
+    void anOverdueTimerThatMeetsTheAnswerGivesOneAnswer() throws Exception {
         net.servers.plain();
         net.servers.plain();
         net.openIdleConnections("/once/");
-        Wire client = net.ask("/quick/");
-        Call first = net.next();
-        net.runBeforePause(PATIENCE_MS + RESTED_MS, () -> serve(first, "first"));
+        Wire client = net.sendRequest("/quick/");
+        Call first = net.nextCall();
+        net.runBeforePause(OVERDUE_AFTER_MS + REUSABLE_AFTER_MS, () -> serve(first, "first"));
         OnLoop.await(net.loop, () -> !net.servers.calls.isEmpty() || client.hasBytes());
         Call second = net.servers.calls.poll();
         if (second != null) {
@@ -451,56 +451,57 @@
         assertServes(client, "/once/");
     }
 
-    /** Patience ends and the connection breaks, at once: the request goes to one other server, not to two. */
+    /** The answer is overdue and the connection is reset, at once: one retry, not two. */
     @Test
-    void silenceThatMeetsAResetIsOneRepeat() throws Exception {
+    void anOverdueTimerThatMeetsAResetGivesOneRetry() throws Exception {
         net.servers.plain();
         net.servers.plain();
         net.servers.plain();
         net.openIdleConnections("/once/");
-        Wire client = net.ask("/quick/");
-        Call first = net.next();
-        net.runBeforePause(PATIENCE_MS + RESTED_MS, () -> first.wire().reset());
-        Call second = net.next();
+        Wire client = net.sendRequest("/quick/");
+        Call first = net.nextCall();
+        net.runBeforePause(
+                OVERDUE_AFTER_MS + REUSABLE_AFTER_MS, () -> first.wire().reset());
+        Call second = net.nextCall();
         assertNotSame(first.server(), second.server());
         assertServed(second, client, "own");
         net.assertQuiet();
     }
 
     @Test
-    void anUnsafeRequestIsNotRepeatedAfterSilenceWithAnEnd() throws Exception {
+    void anUnsafeRequestIsNotRetriedAfterADelayedClose() throws Exception {
         net.servers.plain();
         net.servers.plain();
-        Wire client = net.ask("/once/");
-        Call call = net.next();
-        net.pass(RESTED_MS);
+        Wire client = net.sendRequest("/once/");
+        Call call = net.nextCall();
+        net.pass(REUSABLE_AFTER_MS);
         call.wire().close();
         assertEquals(502, client.read().status());
         net.assertQuiet();
     }
 
-    // ---- callers --------------------------------------------------------------------------------------
+    // ---- disconnects and pipelining -------------------------------------------------------------------
 
-    /** A caller leaves in the middle of its answer: the rest of it is on a connection that nobody uses. */
+    /** A client disconnects within its answer: the rest of it arrives on a connection that is not reused. */
     @ParameterizedTest
     @ValueSource(strings = {"/safe/", "/once/"})
-    void theRestOfAnAnswerWhoseCallerHasLeftIsNobodys(String target) throws Exception {
+    void theRestOfADisconnectedClientsAnswerIsDiscarded(String target) throws Exception {
         net.servers.plain();
-        Wire leaves = net.ask(target);
-        Call call = net.next();
+        Wire leaves = net.sendRequest(target);
+        Call call = net.nextCall();
         call.wire().send(sealedHead(call, "Content-Length: 8\r\n") + "half");
         leaves.close();
         call.wire().awaitEnd();
-        Wire stays = net.ask(target);
-        Call next = net.next();
+        Wire stays = net.sendRequest(target);
+        Call next = net.nextCall();
         assertNotSame(call.wire(), next.wire());
         assertServed(next, stays, "own");
         net.assertQuiet();
     }
 
-    /** Requests sent ahead: what becomes of one doesn't touch the next one's answer. */
+    /** Pipelined requests: the outcome of one does not touch the next one's answer. */
     @Test
-    void requestsSentAheadGetTheirOwnAnswersAlsoBehindAFailure() throws Exception {
+    void pipelinedRequestsGetTheirOwnAnswersBehindAFailure() throws Exception {
         net.servers.plain();
         net.servers.plain();
         Wire client = net.client();
@@ -508,18 +509,18 @@
                 + request("/safe/2", "", "")
                 + request("/none/3", "", "")
                 + request("/once/4", "", ""));
-        Call one = net.next();
+        Call one = net.nextCall();
         assertEquals("/once/1", one.message().target());
         one.wire().reset();
         assertEquals(502, client.read().status());
-        Call two = net.next();
+        Call two = net.nextCall();
         assertEquals("/safe/2", two.message().target());
         two.wire().reset();
-        Call again = net.next();
+        Call again = net.nextCall();
         assertEquals("/safe/2", again.message().target());
         assertServed(again, client, "2");
         assertEquals(404, client.read().status());
-        Call four = net.next();
+        Call four = net.nextCall();
         assertEquals("/once/4", four.message().target());
         assertNotEquals(
                 again.message().header("X-Dewplank-Request-Attempt-Id"),
@@ -530,18 +531,18 @@
 
     /** The length of an answer to a HEAD is that of a body which does not come. */
     @Test
-    void theAnswerToAHeadEndsWithItsHeadOnBothSides() throws Exception {
+    void theAnswerToAHeadRequestHasNoBodyOnEitherSide() throws Exception {
         net.servers.plain();
         Wire client = net.client();
         client.send("HEAD /safe/ HTTP/1.1\r\nHost: " + HOST + "\r\nX-Dewplank-Request-Attempt-Id: h1\r\n\r\n"
                 + request("/once/", "", ""));
-        Call head = net.next();
+        Call head = net.nextCall();
         assertEquals("HEAD", head.message().method());
         head.wire().send(sealedHead(head, "Content-Length: 5\r\n"));
         Wire.Message got = client.readHead();
         assertEquals(200, got.status());
         assertEquals("h1", got.header("X-Dewplank-Request-Attempt-Id"));
-        Call next = net.next();
+        Call next = net.nextCall();
         assertServed(next, client, "own");
         net.assertQuiet();
     }
--- a/dataplane/src/test/java/dewplank/dataplane/ClientTimeoutsTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/ClientTimeoutsTest.java
@@ -31,7 +31,7 @@
     // ---- changed limits -------------------------------------------------------------------------------
 
     @Test
-    void aLongerTimeHoldsAtOnce() {
+    void aLongerTimeoutAppliesAtOnce() {
         limits.update(0, limits(3_000, 5_000));
         limits.update(100_000, limits(4_000, 60_000));
         assertEquals(60_000, limits.idleMs(100_000));
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void aShorterTimeHoldsOnceEverybodyHasIt() {
+    void aShorterTimeoutAppliesOnceTheFleetHasApplied() {
         limits.update(0, limits(3_000, 60_000));
         limits.update(100_000, limits(1_000, 5_000));
         assertEquals(60_000, limits.idleMs(101_999));
@@ -48,9 +48,9 @@
         assertEquals(1_000, limits.headMs(102_000));
     }
 
-    /** The same limits, seen again and again, hold nothing up; two changes in quick succession forget neither. */
+    /** Updates without a change delay nothing; of two changes in quick succession neither is lost. */
     @Test
-    void ofSeveralChangesTheLongestHolds() {
+    void theLongestOfOverlappingTimeoutsApplies() {
         limits.update(0, limits(3_000, 60_000));
         limits.update(100_000, limits(3_000, 20_000));
         limits.update(101_000, limits(3_000, 5_000));
@@ -61,7 +61,7 @@
 
     // ---- connections ----------------------------------------------------------------------------------
 
-    /** The only connection is left alone for all of that time, four fifths of it and more, and no longer. */
+    /** The only connection times out after that time, and not before. */
     private static void assertOverdueAfter(ForwarderFixture net, double ms) throws Exception {
         OnLoop.run(net.loop, () -> {
             ClientTimeouts limits = new ClientTimeouts(APPLY_MS);
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void aHeadABodyAndARestHaveTimesOfTheirOwn() throws Exception {
+    void headBodyAndIdleTimeoutsAreSeparate() throws Exception {
         try (ForwarderFixture net = new ForwarderFixture()) {
             net.routes(unsafeRoute("once", 1));
             net.servers.plain();
@@ -89,21 +89,21 @@
             OnLoop.await(net.loop, () -> net.forwarder.connections().get(0).isHeadRead());
             assertOverdueAfter(net, 15_000);
             client.send("cd");
-            serve(net.next(), "");
+            serve(net.nextCall(), "");
             assertEquals(200, client.read().status());
             OnLoop.await(net.loop, () -> !net.forwarder.connections().get(0).isBusy());
             assertOverdueAfter(net, 15_000);
         }
     }
 
-    /** However long the answer takes, the connection's rest begins behind it. */
+    /** However long the answer takes, the idle time begins after it. */
     @Test
-    void aRequestThatIsServedIsNeverOverdue() throws Exception {
+    void aRequestBeingServedNeverTimesOut() throws Exception {
         try (ForwarderFixture net = new ForwarderFixture()) {
             net.routes(unsafeRoute("once", 1));
             net.servers.plain();
-            Wire client = net.ask("/once/");
-            Call call = net.next();
+            Wire client = net.sendRequest("/once/");
+            Call call = net.nextCall();
             OnLoop.run(
                     net.loop,
                     () -> assertFalse(limits.isOverdue(
@@ -128,14 +128,14 @@
     }
 
     @Test
-    void aHeadMayBeAsLongAsTheConfigurationSays() throws Exception {
+    void maxHeaderBytesIsThatOfTheConfiguration() throws Exception {
         try (ForwarderFixture net = new ForwarderFixture()) {
             net.routes(unsafeRoute("once", 1));
             net.servers.plain();
             bound(net, 60 * KIB);
             Wire client = net.client();
             client.send(longHead(59 * KIB));
-            serve(net.next(), "");
+            serve(net.nextCall(), "");
             assertEquals(200, client.read().status());
             Wire tooLong = net.client();
             tooLong.send(longHead(70 * KIB));
@@ -143,9 +143,9 @@
         }
     }
 
-    /** It can't be told yet what is too long, and what is refused for good may be allowed. */
+    /** Without a configuration the bound is unknown: a final answer such as 431 could be wrong. */
     @Test
-    void aLongHeadIsHeldAndRefusedForNowWhereThereIsNoConfiguration() throws Exception {
+    void aLongHeadIsRejectedWithRetryAfterWithoutAConfiguration() throws Exception {
         try (ForwarderFixture net = new ForwarderFixture()) {
             Wire client = net.client();
             client.send(longHead(60 * KIB));
--- a/dataplane/src/test/java/dewplank/dataplane/ControlAddressesTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/ControlAddressesTest.java
@@ -12,7 +12,7 @@
     private final ControlAddresses addresses = new ControlAddresses();
 
     @Test
-    void whatNobodyVouchesForIsForgottenButForSeedsAndThoseInUse() {
+    void expiredAddressesAreEvictedExceptSeedsAndThoseInUse() {
         addresses.setSeeds(0, List.of("seed:1"), Set.of());
         addresses.refresh(0, List.of("dead:1", "used:1", "live:1"), Set.of());
         double later = ControlAddresses.EXPIRY_MS;
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void theOneLongestUnheardOfMakesRoom() {
+    void theLeastRecentlyRefreshedAddressIsEvicted() {
         addresses.setSeeds(0, List.of("seed:1"), Set.of());
         for (int i = 1; i < ControlAddresses.MAX_ADDRESSES; i++) {
             addresses.refresh(i, List.of("a:" + i), Set.of());
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void oneThatIsLetBeIsNoCandidateBeforeItsTime() {
+    void anAddressInBackoffIsNotEligible() {
         addresses.refresh(0, List.of("a:1", "b:1"), Set.of());
         addresses.backOff("a:1", 50);
         addresses.backOff("a:1", 20);
--- a/dataplane/src/test/java/dewplank/dataplane/DrainScheduleTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/DrainScheduleTest.java
@@ -9,9 +9,9 @@
 
 /** How the time between SIGTERM and SIGKILL is divided. */
 class DrainScheduleTest {
-    /** The platform asks each second, and leaves after two misses: 4 s are allowed. */
+    /** The platform checks each second and removes the process after two misses: 4 s are allowed. */
     @Test
-    void aLongGraceLeavesThePlatformItsTime() {
+    void aLongGracePeriodIsCapped() {
         assertEquals(2_600, new DrainSchedule(8_000).acceptMs());
         assertEquals(7_300, new DrainSchedule(8_000).endMs());
         assertEquals(2_600, new DrainSchedule(60_000).acceptMs());
--- a/dataplane/src/test/java/dewplank/dataplane/Expectations.java
+++ b/dataplane/src/test/java/dewplank/dataplane/Expectations.java
@@ -22,7 +22,7 @@
         assertEquals(body, client.read().body());
     }
 
-    /** The server sends a stream of one event, and the client gets it as the whole body of its answer. */
+    /** The server sends a stream of one event, and the client gets it as the complete body of its answer. */
     static void assertStreamed(Call decode, Wire client, int eventId) throws IOException {
         sendStream(decode, eventId);
         assertEquals(event(eventId), client.read().body());
--- a/dataplane/src/test/java/dewplank/dataplane/FakeControlPlane.java
+++ b/dataplane/src/test/java/dewplank/dataplane/FakeControlPlane.java
@@ -21,13 +21,13 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A control sidecar whose words are the test's; it answers questions by itself as long as it is told to. */
+/** A stand-in for a control plane: the test sends the updates, it sends the acks of heartbeats. */
 final class FakeControlPlane implements Closeable {
     private final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     private final BlockingQueue<Session> sessions = new LinkedBlockingQueue<>();
     private final List<Socket> sockets = new ArrayList<>();
-    private volatile boolean answers = true;
-    private volatile boolean quorate = true;
+    private volatile boolean sendsAcks = true;
+    private volatile boolean withQuorum = true;
     private volatile List<String> controlAddresses = List.of();
 
     FakeControlPlane() throws IOException {
@@ -44,12 +44,12 @@
         });
     }
 
-    /** One session as this end sees it. */
+    /** One session, as the control plane sees it. */
     final class Session {
         private final Socket socket;
         private final MessageCodec codec = FleetMessages.codec();
         private final BlockingQueue<SessionOpen> opened = new LinkedBlockingQueue<>();
-        private final BlockingQueue<SessionHeartbeat> questions = new LinkedBlockingQueue<>();
+        private final BlockingQueue<SessionHeartbeat> heartbeats = new LinkedBlockingQueue<>();
         private final CountDownLatch ended = new CountDownLatch(1);
 
         Session(Socket socket) {
@@ -77,10 +77,10 @@
         private void take(Object message) throws IOException {
             if (message instanceof SessionOpen open) {
                 opened.add(open);
-            } else if (message instanceof SessionHeartbeat question) {
-                questions.add(question);
-                if (answers) {
-                    send(new HeartbeatAck(question.sequence, quorate, controlAddresses));
+            } else if (message instanceof SessionHeartbeat heartbeat) {
+                heartbeats.add(heartbeat);
+                if (sendsAcks) {
+                    send(new HeartbeatAck(heartbeat.sequence, withQuorum, controlAddresses));
                 }
             }
         }
@@ -109,17 +109,17 @@
             return next(opened);
         }
 
-        SessionHeartbeat question() throws InterruptedException {
-            return next(questions);
+        SessionHeartbeat heartbeat() throws InterruptedException {
+            return next(heartbeats);
         }
 
-        /** The next question by which that version is held. */
-        SessionHeartbeat questionHolding(long configurationVersion) throws InterruptedException {
-            SessionHeartbeat question = question();
-            while (question.configurationVersion != configurationVersion) {
-                question = question();
+        /** The next heartbeat that reports this version of the configuration as in force. */
+        SessionHeartbeat heartbeatWithVersion(long configurationVersion) throws InterruptedException {
+            SessionHeartbeat heartbeat = heartbeat();
+            while (heartbeat.configurationVersion != configurationVersion) {
+                heartbeat = heartbeat();
             }
-            return question;
+            return heartbeat;
         }
 
         void awaitEnd() throws InterruptedException {
@@ -175,17 +175,17 @@
         return sessions.isEmpty();
     }
 
-    FakeControlPlane silent() {
-        answers = false;
+    FakeControlPlane withoutAcks() {
+        sendsAcks = false;
         return this;
     }
 
     FakeControlPlane withoutQuorum() {
-        quorate = false;
+        withQuorum = false;
         return this;
     }
 
-    FakeControlPlane knowing(String... addresses) {
+    FakeControlPlane naming(String... addresses) {
         controlAddresses = List.of(addresses);
         return this;
     }
--- a/dataplane/src/test/java/dewplank/dataplane/FleetMetadataTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/FleetMetadataTest.java
@@ -32,7 +32,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What is known of the fleet, and the changes that come while requests are open. */
+/** Updates of the data plane's view of the fleet, also while requests are in flight. */
 class FleetMetadataTest {
     private ForwarderFixture net;
 
@@ -46,10 +46,10 @@
         net.close();
     }
 
-    // ---- never backwards ------------------------------------------------------------------------------
+    // ---- stale updates -------------------------------------------------------------------------------
 
     @Test
-    void anOlderOrEqualConfigurationChangesNothing() throws Exception {
+    void aStaleConfigurationIsDiscarded() throws Exception {
         FleetMetadata view = net.metadata;
         OnLoop.run(net.loop, () -> {
             view.updateConfiguration(TestConfiguration.of(5, 100, safeRoute("new", 1)));
@@ -59,10 +59,10 @@
         assertEquals(5, view.configurationVersion());
         assertEquals("new", view.routes().find(HOST, "/new/").name());
         net.servers.plain();
-        assertEquals(404, net.ask("/old/").read().status());
-        assertEquals(404, net.ask("/twin/").read().status());
+        assertEquals(404, net.sendRequest("/old/").read().status());
+        assertEquals(404, net.sendRequest("/twin/").read().status());
         OnLoop.run(net.loop, () -> view.updateConfiguration(TestConfiguration.of(9, 100, safeRoute("newer", 1))));
-        assertEquals(404, net.ask("/new/").read().status());
+        assertEquals(404, net.sendRequest("/new/").read().status());
     }
 
     private static EndpointList list(long number, long revision, String... instances) {
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void anOlderOrEqualListChangesNothing() throws Exception {
+    void aStaleEndpointListIsDiscarded() throws Exception {
         assertEquals(List.of("a"), listed(list(2, 7, "a")));
         assertEquals(List.of("a"), listed(list(2, 6, "b")));
         assertEquals(List.of("a"), listed(list(2, 7, "b")));
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void aListOfNoServersIsAList() throws Exception {
+    void anEmptyEndpointListCompletesTheMetadata() throws Exception {
         assertFalse(net.metadata.isComplete());
         OnLoop.run(net.loop, () -> net.metadata.updateConfiguration(TestConfiguration.of(1, 100, safeRoute("r", 1))));
         assertFalse(net.metadata.isComplete());
@@ -103,7 +103,7 @@
     }
 
     @Test
-    void aServerKeepsItsStateFromListToList() throws Exception {
+    void aServerKeepsItsStateAcrossEndpointLists() throws Exception {
         listed(list(1, 1, "a", "b"));
         TrackedServer a = OnLoop.get(net.loop, () -> net.metadata.servers(PLAIN).get(0));
         listed(list(1, 2, "c", "a"));
@@ -115,48 +115,48 @@
         assertNotSame(a, OnLoop.get(net.loop, () -> net.metadata.servers(PLAIN).get(0)));
     }
 
-    // ---- servers that leave ---------------------------------------------------------------------------
+    // ---- draining and removed servers ----------------------------------------------------------------
 
     @Test
-    void idleConnectionsToADrainingServerEnd() throws Exception {
+    void idleConnectionsToADrainingServerAreClosed() throws Exception {
         net.routes(unsafeRoute("once", 1));
         ScriptedServer server = net.servers.plain();
-        Wire client = net.ask("/once/");
-        Call call = net.next();
+        Wire client = net.sendRequest("/once/");
+        Call call = net.nextCall();
         serve(call, "");
         client.read();
         assertFalse(call.wire().isEnded());
         net.servers.drain(server);
         call.wire().awaitEnd();
-        assertEquals(503, net.ask("/once/").read().status());
+        assertEquals(503, net.sendRequest("/once/").read().status());
         assertEquals(0, net.servers.calls.size());
     }
 
     @Test
-    void aRequestAtADrainingServerIsServedAndItsConnectionEnds() throws Exception {
+    void aRequestInFlightAtADrainingServerIsServedAndItsConnectionClosed() throws Exception {
         net.routes(unsafeRoute("once", 1));
         ScriptedServer server = net.servers.plain();
-        Wire drained = net.ask("/once/");
-        Call atDrain = net.next();
+        Wire drained = net.sendRequest("/once/");
+        Call atDrain = net.nextCall();
         net.servers.drain(server);
         assertServed(atDrain, drained, "drained");
         atDrain.wire().awaitEnd();
     }
 
     @Test
-    void aRequestAtAServerThatHasLeftTheListIsServedAndItsConnectionEnds() throws Exception {
+    void aRequestInFlightAtARemovedServerIsServedAndItsConnectionClosed() throws Exception {
         net.routes(unsafeRoute("once", 1));
         ScriptedServer server = net.servers.plain();
-        Wire client = net.ask("/once/");
-        Call call = net.next();
+        Wire client = net.sendRequest("/once/");
+        Call call = net.nextCall();
         net.servers.remove(server);
         assertServed(call, client, "gone");
         call.wire().awaitEnd();
-        assertEquals(503, net.ask("/once/").read().status());
+        assertEquals(503, net.sendRequest("/once/").read().status());
     }
 
     @Test
-    void aStreamAtADrainingServerGoesOn() throws Exception {
+    void aStreamInFlightAtADrainingServerContinues() throws Exception {
         net.routes(streamingRoute("gen", 1));
         ScriptedServer server = net.servers.decode();
         BegunStream stream = BegunStream.begin(net, "/gen/", PROMPT);
@@ -168,17 +168,17 @@
         stream.server().awaitEnd();
     }
 
-    /** A server that breaks off after it has left the list: its request is repeated at one that is on it. */
+    /** A server resets a request after it was removed: the retry goes to a server of the new endpoint list. */
     @Test
-    void aRepeatGoesToTheServersOfTheNewList() throws Exception {
+    void aRetryUsesTheNewEndpointList() throws Exception {
         net.routes(safeRoute("safe", 3));
         ScriptedServer old = net.servers.plain();
-        Wire client = net.ask("/safe/");
-        Call call = net.next();
+        Wire client = net.sendRequest("/safe/");
+        Call call = net.nextCall();
         ScriptedServer next = net.servers.plain();
         net.servers.remove(old);
         call.wire().reset();
-        Call again = net.next();
+        Call again = net.nextCall();
         assertSame(next, again.server());
         assertServed(again, client, "served");
         net.assertQuiet();
@@ -187,37 +187,37 @@
     // ---- changes of configuration ---------------------------------------------------------------------
 
     @Test
-    void anOpenRequestEndsByTheOldConfigurationAndTheNextGoesByTheNewOne() throws Exception {
+    void aRequestInFlightKeepsItsConfigurationAndTheNextUsesTheNewOne() throws Exception {
         net.routes(unsafeRoute("r", 1), unsafeRoute("gone", 1));
         ScriptedServer old = net.servers.plain();
         ScriptedServer other = net.servers.server("other", null);
-        Wire client = net.ask("/r/");
-        Call before = net.next();
-        Wire leaving = net.ask("/gone/");
-        Call removed = net.next();
+        Wire client = net.sendRequest("/r/");
+        Call before = net.nextCall();
+        Wire leaving = net.sendRequest("/gone/");
+        Call removed = net.nextCall();
         assertSame(old, before.server());
         client.send(request("/r/ahead", "", ""));
         net.routes(unsafeRoute("r", 1).toService(OTHER), unsafeRoute("new", 1));
         assertServed(before, client, "by the old");
-        Call after = net.next();
+        Call after = net.nextCall();
         assertSame(other, after.server(), "sent ahead, and looked at once the new one is in force");
         assertServed(after, client, "by the new");
         assertServed(removed, leaving, "still");
         leaving.send(request("/gone/", "", ""));
         assertEquals(404, leaving.read().status());
         leaving.send(request("/new/", "", ""));
-        assertServed(net.next(), leaving, "added");
+        assertServed(net.nextCall(), leaving, "added");
         net.assertQuiet();
     }
 
     @Test
-    void aStreamIsContinuedAsItsConfigurationAllowed() throws Exception {
+    void aStreamIsResumedUnderTheConfigurationItBeganWith() throws Exception {
         net.routes(streamingRoute("gen", 2).asResumable());
         net.servers.decode();
         net.servers.decode();
         BegunStream stream = BegunStream.begin(net, "/gen/", PROMPT);
         net.routes(streamingRoute("gen", 1));
         stream.server().reset();
-        assertResumed(net.next(), stream.client(), 2);
+        assertResumed(net.nextCall(), stream.client(), 2);
     }
 }
--- a/dataplane/src/test/java/dewplank/dataplane/FleetUpdates.java
+++ b/dataplane/src/test/java/dewplank/dataplane/FleetUpdates.java
@@ -20,12 +20,12 @@
         return TestConfiguration.of(version, MAX_BODY_BYTES, routes);
     }
 
-    /** The whole configuration, and nothing else. */
+    /** The complete configuration, and nothing else. */
     static FleetUpdate complete(Configuration configuration) {
         return complete(configuration, null, null);
     }
 
-    /** The whole configuration; endpoints and members are null where the update names none. */
+    /** The complete configuration; endpoints and members are null where the update names none. */
     static FleetUpdate complete(Configuration configuration, EndpointList endpoints, List<Member> members) {
         return new FleetUpdate(
                 DeflateCodec.deflate(configuration.json()), configuration.version(), 0, endpoints, members);
--- a/dataplane/src/test/java/dewplank/dataplane/ForwarderFixture.java
+++ b/dataplane/src/test/java/dewplank/dataplane/ForwarderFixture.java
@@ -86,15 +86,15 @@
     }
 
     /** A client that has sent a request. */
-    Wire ask(String target) throws IOException {
-        return ask(target, "");
+    Wire sendRequest(String target) throws IOException {
+        return sendRequest(target, "");
     }
 
-    Wire ask(String target, String fields) throws IOException {
-        return ask(target, fields, "hi");
+    Wire sendRequest(String target, String fields) throws IOException {
+        return sendRequest(target, fields, "hi");
     }
 
-    Wire ask(String target, String fields, String body) throws IOException {
+    Wire sendRequest(String target, String fields, String body) throws IOException {
         Wire client = client();
         client.send(ClientRequests.request(target, fields, body));
         return client;
@@ -107,7 +107,7 @@
      * A request that is at a server before its deadline. Where the machine was too slow for that, the client must have
      * been answered accordingly, and the request is sent anew.
      */
-    InFlight askUntilAtServer(String target, String fields) throws Exception {
+    InFlight sendUntilAtServer(String target, String fields) throws Exception {
         for (int sends = 0; sends < MAX_SENDS; sends++) {
             String request = ClientRequests.request(target, fields, "hi");
             Wire client = client();
@@ -133,9 +133,9 @@
     }
 
     private Call takeCallOf(String request) throws InterruptedException {
-        Call call = next();
+        Call call = nextCall();
         while (!isCallOf(call, request)) { // of an earlier one, read late
-            call = next();
+            call = nextCall();
         }
         return call;
     }
@@ -154,8 +154,8 @@
         Set<ScriptedServer> reached = new HashSet<>();
         List<InFlight> open = new ArrayList<>();
         while (reached.size() < servers.count()) {
-            Wire client = ask(target);
-            Call call = next();
+            Wire client = sendRequest(target);
+            Call call = nextCall();
             reached.add(call.server());
             open.add(new InFlight(client, call));
         }
@@ -166,7 +166,7 @@
     }
 
     /** The next request, whichever server it reached. */
-    Call next() throws InterruptedException {
+    Call nextCall() throws InterruptedException {
         return servers.next();
     }
 
--- a/dataplane/src/test/java/dewplank/dataplane/GenerationTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/GenerationTest.java
@@ -29,10 +29,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Prompts read at one server and streams sent by another: what each is sent, and what becomes of the handles. */
+/** Prefill at one server and decode at another: what each is sent, and when KV handles are freed. */
 class GenerationTest {
-    /** Of one request, one repeat: of the ratio four fifths are used. */
-    private static final RetryBudgets.Limits ONE_REPEAT = new RetryBudgets.Limits(1.25, 10_000, 0);
+    /** One retry for one request: four fifths of the ratio are used. */
+    private static final RetryBudgets.Limits ONE_RETRY = new RetryBudgets.Limits(1.25, 10_000, 0);
 
     private ForwarderFixture net;
 
@@ -77,199 +77,200 @@
         assertEquals(net.servers.id(at), call.message().header("X-Dewplank-Target-Instance"));
     }
 
-    /** The whole stream, and what the client sees of it. */
-    private static void streamOut(Call decode, Wire client) throws IOException {
+    /** The decode server streams one event and the end, and the client gets both. */
+    private static void assertStreamsToEnd(Call decode, Wire client) throws IOException {
         BegunStream.begin(decode, client).assertEnds();
     }
 
-    // ---- the usual way --------------------------------------------------------------------------------
+    // ---- prefill and decode --------------------------------------------------------------------------
 
     @Test
-    void aPromptIsReadAtOneServerAndStreamedByAnother() throws Exception {
+    void aPromptIsPrefilledAtOneServerAndDecodedAtAnother() throws Exception {
         ScriptedServer prefill = net.servers.prefill();
         ScriptedServer decode = net.servers.decode();
-        Wire client = net.ask("/gen/x?y", PROMPT);
-        Call read = net.next();
-        assertSame(prefill, read.server());
-        assertIsPrefill(read);
-        assertEquals("POST /gen/x?y HTTP/1.1", read.message().startLine());
-        assertEquals("hi", read.message().body());
-        assertEquals(net.servers.id(prefill), read.message().header("X-Dewplank-Target-Instance"));
-        long left = Long.parseLong(read.message().header("X-Dewplank-Remaining-Time-Ms"));
+        Wire client = net.sendRequest("/gen/x?y", PROMPT);
+        Call prefillCall = net.nextCall();
+        assertSame(prefill, prefillCall.server());
+        assertIsPrefill(prefillCall);
+        assertEquals("POST /gen/x?y HTTP/1.1", prefillCall.message().startLine());
+        assertEquals("hi", prefillCall.message().body());
+        assertEquals(net.servers.id(prefill), prefillCall.message().header("X-Dewplank-Target-Instance"));
+        long left = Long.parseLong(prefillCall.message().header("X-Dewplank-Remaining-Time-Ms"));
         assertTrue(left > 0 && left <= 8_000);
-        handOver(read, "3fa0");
-        Call run = net.next();
-        assertSame(decode, run.server());
-        assertIsDecode(run, prefill.addressText() + "/3fa0");
-        assertEquals("POST /gen/x?y HTTP/1.1", run.message().startLine());
-        assertEquals("hi", run.message().body());
-        assertEquals(net.servers.id(decode), run.message().header("X-Dewplank-Target-Instance"));
-        assertTrue(Long.parseLong(run.message().header("X-Dewplank-Remaining-Time-Ms")) <= left);
+        handOver(prefillCall, "3fa0");
+        Call decodeCall = net.nextCall();
+        assertSame(decode, decodeCall.server());
+        assertIsDecode(decodeCall, prefill.addressText() + "/3fa0");
+        assertEquals("POST /gen/x?y HTTP/1.1", decodeCall.message().startLine());
+        assertEquals("hi", decodeCall.message().body());
+        assertEquals(net.servers.id(decode), decodeCall.message().header("X-Dewplank-Target-Instance"));
+        assertTrue(Long.parseLong(decodeCall.message().header("X-Dewplank-Remaining-Time-Ms")) <= left);
         assertEquals(
-                read.message().header("X-Dewplank-Request-Attempt-Id"),
-                run.message().header("X-Dewplank-Request-Attempt-Id"));
-        assertEquals("aa:30000,bb:20000,c0:30000", run.message().header("X-Dewplank-Prompt-Prefix"));
-        assertNull(run.message().header("Last-Event-Id"));
-        streamOut(run, client);
+                prefillCall.message().header("X-Dewplank-Request-Attempt-Id"),
+                decodeCall.message().header("X-Dewplank-Request-Attempt-Id"));
+        assertEquals("aa:30000,bb:20000,c0:30000", decodeCall.message().header("X-Dewplank-Prompt-Prefix"));
+        assertNull(decodeCall.message().header("Last-Event-Id"));
+        assertStreamsToEnd(decodeCall, client);
         net.assertQuiet();
     }
 
-    /** Which part of a generation a call is, and whose handle it takes, is the system's to say. */
+    /** The stage and the KV handle of a call are set by the data plane alone. */
     @Test
-    void whatOnlyTheSystemSaysIsNotTakenFromTheClient() throws Exception {
+    void fieldsSetByTheDataPlaneAreNotTakenFromTheClient() throws Exception {
         net.servers.prefill();
         net.servers.decode();
         String own = "X-Dewplank-Processing-Stage: decode\r\nkv-from: 10.0.0.1:80/other\r\n"
                 + "X-Dewplank-Target-Instance: i-other\r\n";
-        Wire client = net.ask("/gen/", PROMPT + own);
-        Call read = net.next();
-        assertIsPrefill(read);
-        assertEquals(1, read.message().count("X-Dewplank-Processing-Stage"));
-        assertEquals(1, read.message().count("X-Dewplank-Target-Instance"));
-        assertEquals(0, read.message().count("Kv-From"));
-        handOver(read, "h1");
-        Call decode = net.next();
-        assertIsDecode(decode, read.server().addressText() + "/h1");
+        Wire client = net.sendRequest("/gen/", PROMPT + own);
+        Call prefillCall = net.nextCall();
+        assertIsPrefill(prefillCall);
+        assertEquals(1, prefillCall.message().count("X-Dewplank-Processing-Stage"));
+        assertEquals(1, prefillCall.message().count("X-Dewplank-Target-Instance"));
+        assertEquals(0, prefillCall.message().count("Kv-From"));
+        handOver(prefillCall, "h1");
+        Call decode = net.nextCall();
+        assertIsDecode(decode, prefillCall.server().addressText() + "/h1");
         assertEquals(0, decode.message().count("X-Dewplank-Processing-Stage"));
         assertEquals(1, decode.message().count("Kv-From"));
-        streamOut(decode, client);
+        assertStreamsToEnd(decode, client);
         net.assertQuiet();
     }
 
-    /** At the end of a process: nobody has run it, so that its client may come again. */
+    /** At termination: prefill is no run, so that the client may retry. */
     @Test
-    void aPromptThatIsReadWhenTheProcessEndsIsRefused() throws Exception {
+    void aRequestInPrefillAtTerminationIsRejected() throws Exception {
         net.servers.prefill();
         net.servers.decode();
-        Wire client = net.ask("/gen/", PROMPT);
-        Call read = net.next();
+        Wire client = net.sendRequest("/gen/", PROMPT);
+        Call prefillCall = net.nextCall();
         OnLoop.run(net.loop, net.forwarder::terminateAll);
         assertEquals(503, client.read().status());
-        read.wire().awaitEnd();
+        prefillCall.wire().awaitEnd();
         net.assertQuiet();
     }
 
     @Test
-    void eachRequestGoesOnFromItsOwnHandle() throws Exception {
+    void eachRequestIsDecodedFromItsOwnKvHandle() throws Exception {
         ScriptedServer prefill = net.servers.prefill();
         net.servers.decode();
-        Wire first = net.ask("/gen/1", PROMPT);
-        Call readFirst = net.next();
-        Wire second = net.ask("/gen/2", PROMPT);
-        Call readSecond = net.next();
-        handOver(readSecond, "h2");
-        Call runSecond = net.next();
-        assertEquals("/gen/2", runSecond.message().target());
-        assertIsDecode(runSecond, prefill.addressText() + "/h2");
-        handOver(readFirst, "h1");
-        Call runFirst = net.next();
-        assertEquals("/gen/1", runFirst.message().target());
-        assertIsDecode(runFirst, prefill.addressText() + "/h1");
-        streamOut(runFirst, first);
-        streamOut(runSecond, second);
+        Wire first = net.sendRequest("/gen/1", PROMPT);
+        Call firstPrefill = net.nextCall();
+        Wire second = net.sendRequest("/gen/2", PROMPT);
+        Call secondPrefill = net.nextCall();
+        handOver(secondPrefill, "h2");
+        Call secondDecode = net.nextCall();
+        assertEquals("/gen/2", secondDecode.message().target());
+        assertIsDecode(secondDecode, prefill.addressText() + "/h2");
+        handOver(firstPrefill, "h1");
+        Call firstDecode = net.nextCall();
+        assertEquals("/gen/1", firstDecode.message().target());
+        assertIsDecode(firstDecode, prefill.addressText() + "/h1");
+        assertStreamsToEnd(firstDecode, first);
+        assertStreamsToEnd(secondDecode, second);
         net.assertQuiet();
     }
 
-    /** A late answer to an earlier prefill, in the place of this one's. */
+    /** A late answer to an earlier prefill arrives in place of this one's. */
     @Test
-    void anotherRequestsHandleIsNotTaken() throws Exception {
+    void aKvHandleForAnotherAttemptIdIsDiscarded() throws Exception {
         ScriptedServer prefill = net.servers.prefill();
         net.servers.decode();
-        Wire client = net.ask("/gen/", PROMPT);
-        Call read = net.next();
-        read.wire()
+        Wire client = net.sendRequest("/gen/", PROMPT);
+        Call prefillCall = net.nextCall();
+        prefillCall
+                .wire()
                 .answer(
                         "200 OK",
                         "X-Dewplank-Request-Attempt-Id: another\r\n",
                         "{\"context_handle\":\"wrong\",\"token_count\":60,\"config_version\":1}");
-        handOver(read, "own");
-        Call run = net.next();
-        assertIsDecode(run, prefill.addressText() + "/own");
-        streamOut(run, client);
+        handOver(prefillCall, "own");
+        Call decodeCall = net.nextCall();
+        assertIsDecode(decodeCall, prefill.addressText() + "/own");
+        assertStreamsToEnd(decodeCall, client);
     }
 
-    /** What the stage is and whose prompt is handed over is the system's to say, whatever a client sent. */
+    /** The stage and the KV handle are set by the data plane, whatever a client sent. */
     @Test
-    void aClientsOwnWordsOnStageAndHandleAreNotPassedOn() throws Exception {
+    void aClientsStageAndKvHandleAreNotForwarded() throws Exception {
         ScriptedServer prefill = net.servers.prefill();
         net.servers.decode();
         String fields = "X-Dewplank-Processing-Stage: prefill\r\nkv-from: 127.0.0.1:9/another\r\n";
-        Wire client = net.ask("/gen/", PROMPT + fields);
-        Call read = net.next();
-        assertIsPrefill(read);
-        assertEquals(1, read.message().count("X-Dewplank-Processing-Stage"));
-        handOver(read, "own");
-        Call run = net.next();
-        assertIsDecode(run, prefill.addressText() + "/own");
-        streamOut(run, client);
-        Wire direct = net.ask("/gen/", fields);
-        Call alone = net.next();
+        Wire client = net.sendRequest("/gen/", PROMPT + fields);
+        Call prefillCall = net.nextCall();
+        assertIsPrefill(prefillCall);
+        assertEquals(1, prefillCall.message().count("X-Dewplank-Processing-Stage"));
+        handOver(prefillCall, "own");
+        Call decodeCall = net.nextCall();
+        assertIsDecode(decodeCall, prefill.addressText() + "/own");
+        assertStreamsToEnd(decodeCall, client);
+        Wire direct = net.sendRequest("/gen/", fields);
+        Call alone = net.nextCall();
         assertIsDecode(alone, null);
-        streamOut(alone, direct);
+        assertStreamsToEnd(alone, direct);
         net.assertQuiet();
     }
 
     // ---- no prefill -----------------------------------------------------------------------------------
 
     @Test
-    void withoutAPrefillServerTheDecodeServerReadsThePrompt() throws Exception {
+    void withoutAPrefillServerTheDecodeServerPrefills() throws Exception {
         net.servers.decode();
-        Wire client = net.ask("/gen/", PROMPT);
-        Call run = net.next();
-        assertIsDecode(run, null);
-        streamOut(run, client);
+        Wire client = net.sendRequest("/gen/", PROMPT);
+        Call decodeCall = net.nextCall();
+        assertIsDecode(decodeCall, null);
+        assertStreamsToEnd(decodeCall, client);
         net.assertQuiet();
     }
 
     @Test
-    void withoutAPromptToReadTheDecodeServerIsAskedAtOnce() throws Exception {
+    void withoutAPromptPrefillIsSkipped() throws Exception {
         net.servers.prefill();
         ScriptedServer decode = net.servers.decode();
-        Wire client = net.ask("/gen/");
-        Call run = net.next();
-        assertSame(decode, run.server());
-        assertIsDecode(run, null);
-        streamOut(run, client);
+        Wire client = net.sendRequest("/gen/");
+        Call decodeCall = net.nextCall();
+        assertSame(decode, decodeCall.server());
+        assertIsDecode(decodeCall, null);
+        assertStreamsToEnd(decodeCall, client);
         net.assertQuiet();
     }
 
     @Test
-    void aPrefillServerThatCannotBeReachedIsPassedBy() throws Exception {
+    void anUnreachablePrefillServerCostsNoAttempt() throws Exception {
         net.servers.refusingPrefill();
         net.servers.decode();
-        Wire client = net.ask("/one/", PROMPT);
-        Call run = net.next();
-        assertIsDecode(run, null);
-        streamOut(run, client);
+        Wire client = net.sendRequest("/one/", PROMPT);
+        Call decodeCall = net.nextCall();
+        assertIsDecode(decodeCall, null);
+        assertStreamsToEnd(decodeCall, client);
         net.assertQuiet();
     }
 
-    /** The prompt is read by nobody else before an attempt is spent: a prefill that breaks off is not a run. */
+    /** A reset prefill is not retried before an attempt is spent, and does not count as a run. */
     @Test
-    void aPrefillThatBreaksOffIsNoRun() throws Exception {
+    void aResetPrefillDoesNotCountAsARun() throws Exception {
         net.servers.prefill();
         net.servers.decode();
-        Wire client = net.ask("/gen/", PROMPT);
-        net.next().wire().reset();
-        Call run = net.next();
-        assertIsDecode(run, null);
-        reject(run);
+        Wire client = net.sendRequest("/gen/", PROMPT);
+        net.nextCall().wire().reset();
+        Call decodeCall = net.nextCall();
+        assertIsDecode(decodeCall, null);
+        reject(decodeCall);
         assertEquals(503, client.read().status(), "nothing has run");
         net.assertQuiet();
     }
 
-    private void assertHoldsNoHandle(String body) throws Exception {
-        Wire client = net.ask("/gen/", PROMPT);
-        Call read = net.next();
-        assertIsPrefill(read);
-        answer(read, "200 OK", "", body);
-        Call run = net.next();
-        assertIsDecode(run, null);
-        streamOut(run, client);
+    private void assertCarriesNoKvHandle(String body) throws Exception {
+        Wire client = net.sendRequest("/gen/", PROMPT);
+        Call prefillCall = net.nextCall();
+        assertIsPrefill(prefillCall);
+        answer(prefillCall, "200 OK", "", body);
+        Call decodeCall = net.nextCall();
+        assertIsDecode(decodeCall, null);
+        assertStreamsToEnd(decodeCall, client);
     }
 
     @Test
-    void answersThatHoldNoHandleAreNone() throws Exception {
+    void answersWithoutAKvHandleLeadToDecodeWithoutOne() throws Exception {
         net.servers.decode();
         net.servers.prefill();
         for (String body : new String[] {
@@ -282,68 +283,68 @@
             "{\"context_handle\":\"a/b\",\"token_count\":1}",
             "{\"context_handle\":\"a\\r\\nX: y\",\"token_count\":1}"
         }) {
-            assertHoldsNoHandle(body);
+            assertCarriesNoKvHandle(body);
         }
         net.assertQuiet();
     }
 
     @Test
-    void aHandleThatIsNullIsNone() throws Exception {
+    void aNullKvHandleCountsAsAbsent() throws Exception {
         net.servers.decode();
         net.servers.prefill();
-        assertHoldsNoHandle("{\"context_handle\":null,\"token_count\":1}");
+        assertCarriesNoKvHandle("{\"context_handle\":null,\"token_count\":1}");
     }
 
     @Test
-    void aPrefillServerThatIsFullIsPassedBy() throws Exception {
+    void aRejectedPrefillGoesToAnotherServer() throws Exception {
         net.servers.prefill();
         net.servers.prefill();
         net.servers.decode();
-        Wire client = net.ask("/gen/", PROMPT);
-        Call full = net.next();
+        Wire client = net.sendRequest("/gen/", PROMPT);
+        Call full = net.nextCall();
         assertIsPrefill(full);
         reject(full);
-        Call next = net.next();
-        if (next.message().header("X-Dewplank-Processing-Stage") != null) { // else the decode server is to read it
+        Call next = net.nextCall();
+        if (next.message().header("X-Dewplank-Processing-Stage") != null) { // else the decode server prefills
             assertNotSame(full.server(), next.server());
             handOver(next, "h");
             ScriptedServer other = next.server();
-            next = net.next();
+            next = net.nextCall();
             assertIsDecode(next, other.addressText() + "/h");
         }
-        streamOut(next, client);
+        assertStreamsToEnd(next, client);
         net.assertQuiet();
     }
 
-    /** The first call that has the prompt read is free, one that is turned away is not: nothing is left for a run. */
+    /** The first prefill is free of charge unless it is rejected: then no attempt is left for decode. */
     @Test
     void aRejectedPrefillCountsAsAnAttempt() throws Exception {
         net.servers.prefill();
         net.servers.decode();
-        Wire client = net.ask("/one/", PROMPT);
-        reject(net.next());
+        Wire client = net.sendRequest("/one/", PROMPT);
+        reject(net.nextCall());
         assertEquals(503, client.read().status());
         net.assertQuiet();
     }
 
     @Test
-    void aSilentPrefillServerIsLeft() throws Exception {
+    void anOverduePrefillGivesWayToDecode() throws Exception {
         net.servers.prefill();
         ScriptedServer decode = net.servers.decode();
-        Wire client = net.ask("/gen/", SHORT_PROMPT);
-        Call read = net.next();
-        for (int sends = 1; read.server() == decode; sends++) { // the connection was not up in time
+        Wire client = net.sendRequest("/gen/", SHORT_PROMPT);
+        Call prefillCall = net.nextCall();
+        for (int sends = 1; prefillCall.server() == decode; sends++) { // the connection was not up in time
             assertTrue(sends < ForwarderFixture.MAX_SENDS, "no prefill server is asked");
-            streamOut(read, client);
-            client = net.ask("/gen/", SHORT_PROMPT);
-            read = net.next();
+            assertStreamsToEnd(prefillCall, client);
+            client = net.sendRequest("/gen/", SHORT_PROMPT);
+            prefillCall = net.nextCall();
         }
-        assertIsPrefill(read);
-        Call run = net.next();
-        read.wire().awaitEnd();
-        assertSame(decode, run.server());
-        assertIsDecode(run, null);
-        streamOut(run, client);
+        assertIsPrefill(prefillCall);
+        Call decodeCall = net.nextCall();
+        prefillCall.wire().awaitEnd();
+        assertSame(decode, decodeCall.server());
+        assertIsDecode(decodeCall, null);
+        assertStreamsToEnd(decodeCall, client);
         net.assertQuiet();
     }
 
@@ -353,47 +354,47 @@
      * target of 625 ms.
      */
     @Test
-    void aLongPromptIsWaitedForBeforeADecodeServerHasToReadIt() throws Exception {
+    void anOverdueLongPrefillIsWaitedForUntilTheLastResort() throws Exception {
         net.servers.prefill();
         ScriptedServer decode = net.servers.decode();
-        long asked = System.nanoTime();
-        Wire client = net.ask("/paced/", prompt("aa:2000,c0:2000"));
-        Call read = net.next();
-        Call run = net.next();
-        assertTrue(System.nanoTime() - asked >= 1_500_000_000L, "given away when it was overdue");
-        read.wire().awaitEnd();
-        assertSame(decode, run.server());
-        assertIsDecode(run, null);
-        streamOut(run, client);
+        long sentAt = System.nanoTime();
+        Wire client = net.sendRequest("/paced/", prompt("aa:2000,c0:2000"));
+        Call prefillCall = net.nextCall();
+        Call decodeCall = net.nextCall();
+        assertTrue(System.nanoTime() - sentAt >= 1_500_000_000L, "given away when it was overdue");
+        prefillCall.wire().awaitEnd();
+        assertSame(decode, decodeCall.server());
+        assertIsDecode(decodeCall, null);
+        assertStreamsToEnd(decodeCall, client);
         net.assertQuiet();
     }
 
     @Test
-    void aLongPromptThatIsOverdueGoesToAnotherPrefillServerAtOnce() throws Exception {
+    void anOverdueLongPrefillIsRetriedAtAnotherPrefillServer() throws Exception {
         ScriptedServer one = net.servers.prefill();
         ScriptedServer two = net.servers.prefill();
         net.servers.decode();
-        Wire client = net.ask("/gapped/", MEDIUM_PROMPT);
-        Call first = net.next();
-        Call second = net.next();
+        Wire client = net.sendRequest("/gapped/", MEDIUM_PROMPT);
+        Call first = net.nextCall();
+        Call second = net.nextCall();
         first.wire().awaitEnd();
         assertIsPrefill(second);
         assertSame(first.server() == one ? two : one, second.server());
         handOver(second, "h2");
-        Call run = net.next();
-        assertIsDecode(run, second.server().addressText() + "/h2");
-        streamOut(run, client);
+        Call decodeCall = net.nextCall();
+        assertIsDecode(decodeCall, second.server().addressText() + "/h2");
+        assertStreamsToEnd(decodeCall, client);
         net.assertQuiet();
     }
 
     // ---- handles --------------------------------------------------------------------------------------
 
     @Test
-    void aHandleIsFreedWhereNoDecodeServerIsThere() throws Exception {
+    void aKvHandleIsFreedWithoutADecodeServer() throws Exception {
         ScriptedServer prefill = net.servers.prefill();
-        Wire client = net.ask("/gen/", PROMPT);
-        handOver(net.next(), "h1");
-        Call freed = net.next();
+        Wire client = net.sendRequest("/gen/", PROMPT);
+        handOver(net.nextCall(), "h1");
+        Call freed = net.nextCall();
         assertIsFreed(freed, prefill, "h1");
         freed.wire().answer("200 OK", "", "");
         Wire.Message answer = client.read();
@@ -403,65 +404,65 @@
     }
 
     @Test
-    void aHandleIsFreedWhereTheDecodeServerCannotBeReached() throws Exception {
+    void aKvHandleIsFreedWhereTheDecodeServerIsUnreachable() throws Exception {
         ScriptedServer prefill = net.servers.prefill();
         net.servers.refusingDecode();
-        Wire client = net.ask("/gen/", PROMPT);
-        handOver(net.next(), "h1");
-        assertIsFreed(net.next(), prefill, "h1");
+        Wire client = net.sendRequest("/gen/", PROMPT);
+        handOver(net.nextCall(), "h1");
+        assertIsFreed(net.nextCall(), prefill, "h1");
         assertEquals(503, client.read().status());
         net.assertQuiet();
     }
 
     @Test
-    void aHandleThatWasNotSentGoesToTheNextDecodeServer() throws Exception {
+    void anUnsentKvHandleGoesToTheNextDecodeServer() throws Exception {
         ScriptedServer prefill = net.servers.prefill();
         net.servers.refusingDecode();
         ScriptedServer there = net.servers.decode();
         net.servers.refusingDecode();
-        Wire client = net.ask("/one/", PROMPT);
-        handOver(net.next(), "h1");
-        Call run = net.next();
-        assertSame(there, run.server());
-        assertIsDecode(run, prefill.addressText() + "/h1");
-        streamOut(run, client);
+        Wire client = net.sendRequest("/one/", PROMPT);
+        handOver(net.nextCall(), "h1");
+        Call decodeCall = net.nextCall();
+        assertSame(there, decodeCall.server());
+        assertIsDecode(decodeCall, prefill.addressText() + "/h1");
+        assertStreamsToEnd(decodeCall, client);
         net.assertQuiet();
     }
 
-    /** A handle is taken a single time: whoever turned the request away may have taken it. */
+    /** A KV handle can be fetched once: the server that rejected the request may have fetched it. */
     @Test
-    void aHandleIsNeverGivenToTwo() throws Exception {
+    void aKvHandleIsSentToOneDecodeServerOnly() throws Exception {
         ScriptedServer prefill = net.servers.prefill();
         net.servers.decode();
         net.servers.decode();
-        Wire client = net.ask("/gen/", PROMPT);
-        handOver(net.next(), "h1");
-        Call first = net.next();
+        Wire client = net.sendRequest("/gen/", PROMPT);
+        handOver(net.nextCall(), "h1");
+        Call first = net.nextCall();
         assertIsDecode(first, prefill.addressText() + "/h1");
         reject(first);
-        Call second = nextRun();
+        Call second = nextDecodeCall();
         assertNotSame(first.server(), second.server());
         assertNotEquals(prefill.addressText() + "/h1", second.message().header("Kv-From"));
-        streamOut(second, client);
+        assertStreamsToEnd(second, client);
     }
 
     @Test
-    void aHandleIsNotGivenAgainAfterABreakOfAResumableStream() throws Exception {
+    void aResumedStreamDoesNotSendItsKvHandleAgain() throws Exception {
         ScriptedServer prefill = net.servers.prefill();
         net.servers.decode();
         net.servers.decode();
-        Wire client = net.ask("/res/", PROMPT);
-        handOver(net.next(), "h1");
-        Call first = net.next();
+        Wire client = net.sendRequest("/res/", PROMPT);
+        handOver(net.nextCall(), "h1");
+        Call first = net.nextCall();
         first.wire().reset();
-        Call second = nextRun();
+        Call second = nextDecodeCall();
         assertNotEquals(prefill.addressText() + "/h1", second.message().header("Kv-From"));
-        streamOut(second, client);
+        assertStreamsToEnd(second, client);
     }
 
-    /** Past the frees of handles and further prefills. */
-    private Call nextRun() throws Exception {
-        Call call = net.next();
+    /** Skips requests that free KV handles and further prefills. */
+    private Call nextDecodeCall() throws Exception {
+        Call call = net.nextCall();
         while (call.message().method().equals("DELETE")
                 || "prefill".equals(call.message().header("X-Dewplank-Processing-Stage"))) {
             if (call.message().method().equals("DELETE")) {
@@ -469,49 +470,49 @@
             } else {
                 handOver(call, "again");
             }
-            call = net.next();
+            call = net.nextCall();
         }
         return call;
     }
 
-    /** The decode server was full: the handle lies at the prefill server, and nobody will come for it. */
+    /** The decode server was full: the KV handle is reserved at the prefill server, and nobody will fetch it. */
     @Test
-    void aHandleIsFreedWhereItsDecodeServerTurnedTheRequestAway() throws Exception {
+    void aKvHandleIsFreedWhereItsDecodeServerRejectsTheRequest() throws Exception {
         ScriptedServer prefill = net.servers.prefill();
         net.servers.decode();
-        Wire client = net.ask("/one/", PROMPT);
-        handOver(net.next(), "h1");
-        reject(net.next());
+        Wire client = net.sendRequest("/one/", PROMPT);
+        handOver(net.nextCall(), "h1");
+        reject(net.nextCall());
         assertEquals(503, client.read().status());
-        assertIsFreed(net.next(), prefill, "h1");
+        assertIsFreed(net.nextCall(), prefill, "h1");
     }
 
     @Test
-    void aClientThatLeavesWhileItsPromptIsReadEndsThat() throws Exception {
+    void aClientThatDisconnectsDuringPrefillCancelsIt() throws Exception {
         net.servers.prefill();
         net.servers.decode();
-        Wire client = net.ask("/gen/", PROMPT);
-        Call read = net.next();
+        Wire client = net.sendRequest("/gen/", PROMPT);
+        Call prefillCall = net.nextCall();
         client.close();
-        read.wire().awaitEnd();
+        prefillCall.wire().awaitEnd();
         net.assertQuiet();
     }
 
-    /** The client's end and the handle, in this order: the handle comes on a connection that is ended. */
+    /** The client disconnects, then the KV handle arrives: on a connection that is closed by then. */
     @Test
-    void aHandleThatComesAfterItsClientHasLeftIsNotTakenUp() throws Exception {
+    void aKvHandleThatArrivesAfterItsClientDisconnectedIsNotDecoded() throws Exception {
         net.servers.prefill();
         net.servers.decode();
-        Wire client = net.ask("/gen/", PROMPT);
-        Call read = net.next();
+        Wire client = net.sendRequest("/gen/", PROMPT);
+        Call prefillCall = net.nextCall();
         OnLoop.run(net.loop, () -> {
             client.close();
-            handOver(read, "h1");
+            handOver(prefillCall, "h1");
         });
         net.awaitNoOpenRequest();
         OnLoop.run(net.loop, () -> {});
-        while (!net.servers.calls.isEmpty()) { // the handle came first after all
-            assertNotEquals("POST", handleFreed(net.next()), "nothing runs for a client that has left");
+        while (!net.servers.calls.isEmpty()) { // the handle was read first
+            assertNotEquals("POST", handleFreed(net.nextCall()), "nothing runs for a client that has left");
         }
         net.assertQuiet();
     }
@@ -522,57 +523,57 @@
     }
 
     @Test
-    void aClientThatLeavesBeforeItsStreamEndsIt() throws Exception {
+    void aClientThatDisconnectsBeforeItsStreamCancelsDecode() throws Exception {
         net.servers.prefill();
         net.servers.decode();
-        Wire client = net.ask("/gen/", PROMPT);
-        handOver(net.next(), "h1");
-        Call run = net.next();
+        Wire client = net.sendRequest("/gen/", PROMPT);
+        handOver(net.nextCall(), "h1");
+        Call decodeCall = net.nextCall();
         client.close();
-        run.wire().awaitEnd();
+        decodeCall.wire().awaitEnd();
         net.awaitNoOpenRequest();
     }
 
-    /** The decode server's connection is not up yet: the handle was given to nobody. */
+    /** The connection to the decode server is not established: the KV handle was sent to nobody. */
     @Test
-    void aHandleThatWasNotSentYetIsFreedWhenTheClientLeaves() throws Exception {
+    void anUnsentKvHandleIsFreedWhenTheClientDisconnects() throws Exception {
         ScriptedServer prefill = net.servers.prefill();
         ScriptedServer late = net.servers.add(ScriptedServer.late(net.servers.calls), MODEL, "decode");
-        Wire client = net.ask("/gen/", PROMPT);
-        handOver(net.next(), "h1");
+        Wire client = net.sendRequest("/gen/", PROMPT);
+        handOver(net.nextCall(), "h1");
         OnLoop.await(net.loop, () -> net.metadata.servers(MODEL).stream()
                 .anyMatch(s -> s.instanceId().equals(net.servers.id(late)) && s.inFlight() == 1));
         client.close();
-        assertIsFreed(net.next(), prefill, "h1");
+        assertIsFreed(net.nextCall(), prefill, "h1");
     }
 
     @Test
-    void aHandleThatWasNotSentYetIsFreedAtTheDeadline() throws Exception {
+    void anUnsentKvHandleIsFreedAtTheDeadline() throws Exception {
         ScriptedServer prefill = net.servers.prefill();
         net.servers.add(ScriptedServer.late(net.servers.calls), MODEL, "decode");
         for (int sends = 0; sends < ForwarderFixture.MAX_SENDS && freed() == 0; sends++) {
-            Wire client = net.ask("/brief/", PROMPT); // its 200 ms are over before the connection is up
-            handOver(net.next(), "h1"); // on a busy machine that may be after the deadline: then once more
+            Wire client = net.sendRequest("/brief/", PROMPT); // its 200 ms are over before the connection is up
+            handOver(net.nextCall(), "h1"); // on a busy machine perhaps after the deadline: then once more
             assertEquals(503, client.read().status(), "nothing can have run");
         }
-        assertIsFreed(net.next(), prefill, "h1");
+        assertIsFreed(net.nextCall(), prefill, "h1");
     }
 
     private long freed() throws Exception {
         return OnLoop.get(net.loop, () -> net.forwarder.counters().of(Counters.Count.FREED));
     }
 
-    // ---- decode servers that turn it away -------------------------------------------------------------
+    // ---- rejected and failed decodes -----------------------------------------------------------------
 
     @Test
-    void aRejectedRunGoesToAnotherServerWithinTheAttempts() throws Exception {
+    void aRejectedDecodeIsRetriedWithinMaxAttempts() throws Exception {
         net.servers.decode();
         net.servers.decode();
         net.servers.decode();
-        Wire client = net.ask("/two/", PROMPT);
-        Call first = net.next();
+        Wire client = net.sendRequest("/two/", PROMPT);
+        Call first = net.nextCall();
         reject(first);
-        Call second = net.next();
+        Call second = net.nextCall();
         assertNotSame(first.server(), second.server());
         reject(second);
         Wire.Message answer = client.read();
@@ -582,76 +583,76 @@
     }
 
     @Test
-    void withoutABudgetARejectedRunIsRefused() throws Exception {
-        try (ForwarderFixture poor = new ForwarderFixture(ForwarderFixture.NO_RETRIES)) {
-            poor.routes(routes());
-            poor.servers.decode();
-            poor.servers.decode();
-            Wire client = poor.ask("/gen/", PROMPT);
-            reject(poor.next());
+    void withoutARetryBudgetARejectedDecodeIsRejected() throws Exception {
+        try (ForwarderFixture withoutRetries = new ForwarderFixture(ForwarderFixture.NO_RETRIES)) {
+            withoutRetries.routes(routes());
+            withoutRetries.servers.decode();
+            withoutRetries.servers.decode();
+            Wire client = withoutRetries.sendRequest("/gen/", PROMPT);
+            reject(withoutRetries.nextCall());
             assertEquals(503, client.read().status());
-            poor.assertQuiet();
+            withoutRetries.assertQuiet();
         }
     }
 
-    /** A rejected call to a prefill server counts as a send, and with the run there is one beyond the first. */
+    /** A rejected prefill counts as an attempt, and with the decode there is one beyond the first. */
     @Test
-    void aRunAfterARejectedPrefillIsPaidForOnce() throws Exception {
-        try (ForwarderFixture poor = new ForwarderFixture(ONE_REPEAT)) {
-            poor.routes(routes());
-            poor.servers.prefill();
-            poor.servers.decode();
-            Wire client = poor.ask("/gen/", PROMPT);
-            reject(poor.next());
-            streamOut(poor.next(), client);
-            poor.assertQuiet();
+    void aDecodeAfterARejectedPrefillIsChargedOnce() throws Exception {
+        try (ForwarderFixture withoutRetries = new ForwarderFixture(ONE_RETRY)) {
+            withoutRetries.routes(routes());
+            withoutRetries.servers.prefill();
+            withoutRetries.servers.decode();
+            Wire client = withoutRetries.sendRequest("/gen/", PROMPT);
+            reject(withoutRetries.nextCall());
+            assertStreamsToEnd(withoutRetries.nextCall(), client);
+            withoutRetries.assertQuiet();
         }
     }
 
     @Test
-    void withoutABudgetThePromptIsReadAllTheSame() throws Exception {
-        try (ForwarderFixture poor = new ForwarderFixture(ForwarderFixture.NO_RETRIES)) {
-            poor.routes(routes());
-            ScriptedServer prefill = poor.servers.prefill();
-            poor.servers.decode();
-            Wire client = poor.ask("/gen/", PROMPT);
-            handOver(poor.next(), "h1");
-            Call run = poor.next();
-            assertIsDecode(run, prefill.addressText() + "/h1");
-            streamOut(run, client);
-            poor.assertQuiet();
+    void withoutARetryBudgetThePromptIsStillPrefilled() throws Exception {
+        try (ForwarderFixture withoutRetries = new ForwarderFixture(ForwarderFixture.NO_RETRIES)) {
+            withoutRetries.routes(routes());
+            ScriptedServer prefill = withoutRetries.servers.prefill();
+            withoutRetries.servers.decode();
+            Wire client = withoutRetries.sendRequest("/gen/", PROMPT);
+            handOver(withoutRetries.nextCall(), "h1");
+            Call decodeCall = withoutRetries.nextCall();
+            assertIsDecode(decodeCall, prefill.addressText() + "/h1");
+            assertStreamsToEnd(decodeCall, client);
+            withoutRetries.assertQuiet();
         }
     }
 
     @Test
-    void aMisdirectedRunGoesToAnotherServer() throws Exception {
+    void aMisdirectedDecodeIsRetriedAtAnotherServer() throws Exception {
         net.servers.decode();
         net.servers.decode();
-        Wire client = net.ask("/gen/", PROMPT);
-        Call first = net.next();
+        Wire client = net.sendRequest("/gen/", PROMPT);
+        Call first = net.nextCall();
         answer(first, "421 Misdirected Request", "", "");
-        Call second = net.next();
+        Call second = net.nextCall();
         assertNotSame(first.server(), second.server());
-        streamOut(second, client);
+        assertStreamsToEnd(second, client);
         net.assertQuiet();
     }
 
     @Test
-    void aRunThatBreaksOffBeforeItsStreamIsNotRepeated() throws Exception {
+    void aDecodeThatIsResetBeforeItsStreamIsNotRetried() throws Exception {
         net.servers.decode();
         net.servers.decode();
-        Wire client = net.ask("/gen/", PROMPT);
-        net.next().wire().reset();
+        Wire client = net.sendRequest("/gen/", PROMPT);
+        net.nextCall().wire().reset();
         assertEquals(502, client.read().status());
         net.assertQuiet();
     }
 
     @Test
-    void aServersOwnFailureIsPassedOn() throws Exception {
+    void finalFailuresAreRelayed() throws Exception {
         net.servers.decode();
         for (String status : new String[] {"500 Internal Server Error", "504 Gateway Timeout", "400 Bad Request"}) {
-            Wire client = net.ask("/gen/", PROMPT);
-            answer(net.next(), status, SEAL, "its own");
+            Wire client = net.sendRequest("/gen/", PROMPT);
+            answer(net.nextCall(), status, SEAL, "its own");
             Wire.Message answer = client.read();
             assertEquals(status.substring(0, 3), Integer.toString(answer.status()));
             assertEquals("its own", answer.body());
@@ -660,23 +661,23 @@
     }
 
     @Test
-    void aFailureThatPromisesWhatCannotBeKnownIsNotPassedOn() throws Exception {
+    void a503Or429WithoutTheNotExecutedMarkIsNotRelayed() throws Exception {
         net.servers.decode();
         for (String status : new String[] {"503 Service Unavailable", "429 Too Many Requests"}) {
-            Wire client = net.ask("/gen/", PROMPT);
-            answer(net.next(), status, "", "");
+            Wire client = net.sendRequest("/gen/", PROMPT);
+            answer(net.nextCall(), status, "", "");
             assertEquals(502, client.read().status());
         }
     }
 
     @Test
-    void aStreamWithoutItsSealIsNoSuccess() throws Exception {
+    void aStreamWithoutASealIsAFailure() throws Exception {
         net.servers.decode();
-        Wire client = net.ask("/gen/", PROMPT);
-        Call run = net.next();
-        run.wire().send("HTTP/1.1 200 OK\r\n" + idOf(run) + "Transfer-Encoding: chunked\r\n\r\n");
-        run.wire().chunk(event(1));
-        run.wire().lastChunk();
+        Wire client = net.sendRequest("/gen/", PROMPT);
+        Call decodeCall = net.nextCall();
+        decodeCall.wire().send("HTTP/1.1 200 OK\r\n" + idOf(decodeCall) + "Transfer-Encoding: chunked\r\n\r\n");
+        decodeCall.wire().chunk(event(1));
+        decodeCall.wire().lastChunk();
         assertEquals(502, client.read().status());
         net.assertQuiet();
     }
@@ -684,19 +685,19 @@
     // ---- deadline before the stream -------------------------------------------------------------------
 
     @Test
-    void aRunThatAServerHoldsAtItsDeadlineIsNotRefused() throws Exception {
+    void aDecodeInFlightAtItsDeadlineIsNotRejected() throws Exception {
         net.servers.decode();
-        ForwarderFixture.InFlight request = net.askUntilAtServer("/brief/", PROMPT);
+        ForwarderFixture.InFlight request = net.sendUntilAtServer("/brief/", PROMPT);
         assertEquals(504, request.client().read().status());
         request.call().wire().awaitEnd();
         net.assertQuiet();
     }
 
     @Test
-    void aPromptThatIsStillReadAtTheDeadlineIsRefused() throws Exception {
+    void aPrefillInFlightAtItsDeadlineIsRejected() throws Exception {
         net.servers.prefill();
         net.servers.decode();
-        ForwarderFixture.InFlight request = net.askUntilAtServer("/brief/", PROMPT);
+        ForwarderFixture.InFlight request = net.sendUntilAtServer("/brief/", PROMPT);
         assertIsPrefill(request.call());
         assertEquals(503, request.client().read().status(), "nothing has run");
         request.call().wire().awaitEnd();
@@ -704,17 +705,17 @@
     }
 
     @Test
-    void aServerThatIsLeavingGetsNothingNew() throws Exception {
-        ScriptedServer leaving = net.servers.decode();
-        net.servers.drain(leaving);
-        Wire refused = net.ask("/gen/", PROMPT);
+    void aDrainingServerGetsNoNewRequest() throws Exception {
+        ScriptedServer draining = net.servers.decode();
+        net.servers.drain(draining);
+        Wire refused = net.sendRequest("/gen/", PROMPT);
         assertEquals(503, refused.read().status());
         ScriptedServer stays = net.servers.decode();
-        Wire client = net.ask("/gen/", PROMPT);
-        Call run = net.next();
-        assertSame(stays, run.server());
-        streamOut(run, client);
+        Wire client = net.sendRequest("/gen/", PROMPT);
+        Call decodeCall = net.nextCall();
+        assertSame(stays, decodeCall.server());
+        assertStreamsToEnd(decodeCall, client);
         net.assertQuiet();
-        assertFalse(leaving.connectionsWaiting() > 0);
+        assertFalse(draining.connectionsWaiting() > 0);
     }
 }
--- a/dataplane/src/test/java/dewplank/dataplane/PlainRouteTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/PlainRouteTest.java
@@ -36,16 +36,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Requests that one server answers whole: what is passed on, what is repeated, and what the client is told. */
+/** Requests of plain routes: what is forwarded, what is retried, and what the client is answered. */
 class PlainRouteTest {
-    private static final double PATIENCE = 2.5;
+    private static final double OVERDUE_TARGET_FACTOR = 2.5;
     /** The answer has to reach the client before it stops waiting. */
     private static final int ANSWER_MARGIN_MS = 5;
 
     /** So much more than the routes' time-outs that no pause of the machine hides which of them was taken. */
     private static final String LONG_REMAINING_TIME_MS = "60000";
 
-    private static final int MORE_THAN_SYSTEMS_HOLD = 16 << 20;
+    private static final int LONG_BODY_BYTES = 16 << 20;
 
     private ForwarderFixture net;
 
@@ -66,17 +66,17 @@
         net.close();
     }
 
-    // ---- passing on -----------------------------------------------------------------------------------
+    // ---- forwarding ----------------------------------------------------------------------------------
 
     @Test
-    void aRequestAndItsAnswerArePassedOnUnchanged() throws Exception {
+    void aRequestAndItsAnswerAreForwardedUnchanged() throws Exception {
         ScriptedServer server = net.servers.plain();
         Wire client = net.client();
         client.send("PUT /safe/a%20b?c=d&e HTTP/1.1\r\nHost: H.example:80\r\nX-Dewplank-Request-Attempt-Id: q1\r\n"
                 + "X-Dewplank-Remaining-Time-Ms: 5000\r\nX-Own: 1\r\nConnection: X-Hop\r\nX-Hop: 2\r\n"
                 + "X-Dewplank-Target-Instance: i-77\r\nTransfer-Encoding: chunked\r\n\r\n"
                 + "2\r\nhi\r\n3\r\n yo\r\n0\r\n\r\n");
-        Call call = net.next();
+        Call call = net.nextCall();
         assertEquals("PUT /safe/a%20b?c=d&e HTTP/1.1", call.message().startLine());
         assertEquals("hi yo", call.message().body());
         assertEquals("H.example:80", call.message().header("Host"));
@@ -100,28 +100,28 @@
     }
 
     @Test
-    void theTimeLeftIsTheRoutesWhereThatIsShorter() throws Exception {
+    void remainingTimeIsTheRoutesTimeoutWhereThatIsShorter() throws Exception {
         net.servers.plain();
         double sentAt = net.now();
         net.client().send(request("/safe/", "", LONG_REMAINING_TIME_MS, "hi"));
-        long left = Long.parseLong(net.next().message().header("X-Dewplank-Remaining-Time-Ms"));
+        long left = Long.parseLong(net.nextCall().message().header("X-Dewplank-Remaining-Time-Ms"));
         double elapsedMs = net.now() - sentAt;
         assertTrue(left <= TestRoute.DEFAULT_TIMEOUT_MS, "left " + left);
         assertTrue(left > TestRoute.DEFAULT_TIMEOUT_MS - ANSWER_MARGIN_MS - 1 - elapsedMs, left + " left " + elapsedMs);
         Wire noTime = net.client();
         noTime.send("GET /safe/ HTTP/1.1\r\nHost: " + HOST + "\r\nX-Dewplank-Remaining-Time-Ms: soon\r\n\r\n");
-        left = Long.parseLong(net.next().message().header("X-Dewplank-Remaining-Time-Ms"));
+        left = Long.parseLong(net.nextCall().message().header("X-Dewplank-Remaining-Time-Ms"));
         assertTrue(left > 150 && left <= TestRoute.DEFAULT_TIMEOUT_MS, "left " + left);
     }
 
     @Test
-    void aServersOwnFailuresArePassedOn() throws Exception {
+    void finalFailuresAreRelayed() throws Exception {
         net.servers.plain();
         for (String status : new String[] {
             "400 Bad Request", "404 Not Found", "409 Conflict", "500 Internal Server Error", "504 Gateway Timeout"
         }) {
-            Wire client = net.ask("/once/");
-            answer(net.next(), status, SEAL + "X-Why: x\r\n", "its own");
+            Wire client = net.sendRequest("/once/");
+            answer(net.nextCall(), status, SEAL + "X-Why: x\r\n", "its own");
             Wire.Message answer = client.read();
             assertEquals(status.substring(0, 3), Integer.toString(answer.status()));
             assertEquals("its own", answer.body());
@@ -131,13 +131,13 @@
     }
 
     @Test
-    void aSafeRequestIsPassedOnceMoreAfterAServersFailure() throws Exception {
+    void aSafeRequestIsRetriedAtAnotherServerAfterAServerFailure() throws Exception {
         net.servers.plain();
         net.servers.plain();
-        Wire client = net.ask("/safe/");
-        Call first = net.next();
+        Wire client = net.sendRequest("/safe/");
+        Call first = net.nextCall();
         answer(first, "500 Internal Server Error", SEAL, "broken");
-        Call second = net.next();
+        Call second = net.nextCall();
         assertNotSame(first.server(), second.server());
         assertEquals(
                 first.message().header("X-Dewplank-Request-Attempt-Id"),
@@ -148,12 +148,12 @@
     }
 
     @Test
-    void theLastFailureIsPassedOn() throws Exception {
+    void theLastAttemptsFailureIsRelayed() throws Exception {
         net.servers.plain();
         net.servers.plain();
-        Wire client = net.ask("/two/");
-        answer(net.next(), "500 Internal Server Error", SEAL, "first");
-        answer(net.next(), "500 Internal Server Error", SEAL, "second");
+        Wire client = net.sendRequest("/two/");
+        answer(net.nextCall(), "500 Internal Server Error", SEAL, "first");
+        answer(net.nextCall(), "500 Internal Server Error", SEAL, "second");
         Wire.Message answer = client.read();
         assertEquals(500, answer.status());
         assertEquals("second", answer.body());
@@ -161,10 +161,10 @@
     }
 
     @Test
-    void whereThereIsNoRouteTheAnswerIs404() throws Exception {
+    void withoutARouteTheAnswerIs404() throws Exception {
         net.servers.plain();
         for (String target : new String[] {"/", "/none/", "/safe", "/safer/x"}) {
-            assertEquals(404, net.ask(target).read().status(), target);
+            assertEquals(404, net.sendRequest(target).read().status(), target);
         }
         Wire client = net.client();
         client.send("GET /safe/ HTTP/1.1\r\nHost: other.example\r\n\r\nGET /safe/ HTTP/1.1\r\n\r\n");
@@ -174,54 +174,54 @@
     }
 
     @Test
-    void beforeConfigurationAndListRequestsAreRefused() throws Exception {
+    void requestsAreRejectedWithoutAConfigurationOrAnEndpointList() throws Exception {
         try (ForwarderFixture empty = new ForwarderFixture()) {
-            assertRejected(empty.ask("/safe/").read());
+            assertRejected(empty.sendRequest("/safe/").read());
             empty.routes(safeRoute("safe", 3));
-            assertRejected(empty.ask("/safe/").read());
-            empty.servers.publish(); // a list without servers is a list
-            assertRejected(empty.ask("/safe/").read());
-            assertEquals(404, empty.ask("/none/").read().status());
+            assertRejected(empty.sendRequest("/safe/").read());
+            empty.servers.publish(); // an empty endpoint list is one
+            assertRejected(empty.sendRequest("/safe/").read());
+            assertEquals(404, empty.sendRequest("/none/").read().status());
             empty.servers.plain();
-            Wire client = empty.ask("/safe/");
-            serve(empty.next(), "");
+            Wire client = empty.sendRequest("/safe/");
+            serve(empty.nextCall(), "");
             assertEquals(200, client.read().status());
         }
     }
 
-    // ---- answers that are no success ------------------------------------------------------------------
+    // ---- answers that are failures -------------------------------------------------------------------
 
     @Test
-    void aSuccessWithoutItsSealIsNone() throws Exception {
+    void aSuccessWithoutASealIsAFailure() throws Exception {
         net.servers.plain();
         net.servers.plain();
-        Wire client = net.ask("/safe/");
-        answer(net.next(), "200 OK", "", "forged");
-        assertServed(net.next(), client, "own");
-        Wire unsafe = net.ask("/once/");
-        answer(net.next(), "200 OK", "", "forged");
+        Wire client = net.sendRequest("/safe/");
+        answer(net.nextCall(), "200 OK", "", "forged");
+        assertServed(net.nextCall(), client, "own");
+        Wire unsafe = net.sendRequest("/once/");
+        answer(net.nextCall(), "200 OK", "", "forged");
         assertEquals(502, unsafe.read().status());
         net.assertQuiet();
     }
 
     @Test
-    void anEncodedSuccessIsNone() throws Exception {
+    void aSuccessWithAContentEncodingIsAFailure() throws Exception {
         net.servers.plain();
         net.servers.plain();
-        Wire client = net.ask("/safe/");
-        answer(net.next(), "200 OK", SEAL + "Content-Encoding: gzip\r\n", "packed");
-        assertServed(net.next(), client, "own");
-        Wire unsafe = net.ask("/once/");
-        answer(net.next(), "200 OK", SEAL + "Content-Encoding: identity\r\n", "packed");
+        Wire client = net.sendRequest("/safe/");
+        answer(net.nextCall(), "200 OK", SEAL + "Content-Encoding: gzip\r\n", "packed");
+        assertServed(net.nextCall(), client, "own");
+        Wire unsafe = net.sendRequest("/once/");
+        answer(net.nextCall(), "200 OK", SEAL + "Content-Encoding: identity\r\n", "packed");
         assertEquals(502, unsafe.read().status());
         net.assertQuiet();
     }
 
     @Test
-    void aSuccessThatIsCutOffIsNone() throws Exception {
+    void aTruncatedSuccessIsAFailure() throws Exception {
         net.servers.plain();
-        Wire client = net.ask("/once/");
-        Call call = net.next();
+        Wire client = net.sendRequest("/once/");
+        Call call = net.nextCall();
         call.wire().send(sealedHead(call, "Content-Length: 9\r\n") + "12345678");
         call.wire().close();
         assertEquals(502, client.read().status());
@@ -229,68 +229,68 @@
     }
 
     @Test
-    void anotherRequestsAnswerIsPassedOver() throws Exception {
+    void anAnswerToAnotherAttemptIdIsDiscarded() throws Exception {
         net.servers.plain();
-        Wire client = net.ask("/once/");
-        Call call = net.next();
+        Wire client = net.sendRequest("/once/");
+        Call call = net.nextCall();
         call.wire().answer("200 OK", "X-Dewplank-Request-Attempt-Id: another\r\n" + SEAL, "another's");
         call.wire().answer("503 Service Unavailable", "X-Dewplank-Request-Attempt-Id: another\r\n" + NOT_EXECUTED, "");
         assertServed(call, client, "own");
         net.assertQuiet();
     }
 
-    /** A second answer comes while the connection rests: the next request goes by another one. */
+    /** A second answer arrives on the idle connection: the next request uses another one. */
     @Test
-    void aSecondAnswerIsNobodys() throws Exception {
+    void aSecondAnswerOnAnIdleConnectionClosesIt() throws Exception {
         net.servers.plain();
-        Wire first = net.ask("/once/");
-        Call one = net.next();
+        Wire first = net.sendRequest("/once/");
+        Call one = net.nextCall();
         assertServed(one, first, "first");
         serve(one, "first again");
         one.wire().awaitEnd();
         first.send(request("/once/", "", ""));
-        Call two = net.next();
+        Call two = net.nextCall();
         assertNotSame(one.wire(), two.wire());
         assertServed(two, first, "second");
     }
 
     @Test
-    void aRestedConnectionCarriesTheNextRequest() throws Exception {
+    void anIdleConnectionIsReusedAfterTheReuseDelay() throws Exception {
         net.servers.plain();
-        Wire client = net.ask("/once/");
-        Call one = net.next();
+        Wire client = net.sendRequest("/once/");
+        Call one = net.nextCall();
         serve(one, "first");
         client.read();
         net.pass(30);
         client.send(request("/once/", "", ""));
-        Call two = net.next();
+        Call two = net.nextCall();
         assertSame(one.wire(), two.wire());
         assertServed(two, client, "second");
     }
 
-    // ---- repeats --------------------------------------------------------------------------------------
+    // ---- retries -------------------------------------------------------------------------------------
 
     @Test
-    void aSafeRequestIsRepeatedAfterABreak() throws Exception {
+    void aSafeRequestIsRetriedAfterAReset() throws Exception {
         net.servers.plain();
         net.servers.plain();
-        Wire client = net.ask("/safe/");
-        Call first = net.next();
+        Wire client = net.sendRequest("/safe/");
+        Call first = net.nextCall();
         first.wire().reset();
-        Call second = net.next();
+        Call second = net.nextCall();
         assertNotSame(first.server(), second.server());
         assertServed(second, client, "served");
         net.assertQuiet();
     }
 
     @Test
-    void aSafeRequestIsRepeatedAfterSilence() throws Exception {
+    void aSafeRequestIsRetriedWhenItsAnswerIsOverdue() throws Exception {
         net.servers.plain();
         net.servers.plain();
         net.openIdleConnections("/once/");
-        Wire client = net.ask("/quick/");
-        Call first = net.next();
-        Call second = net.next();
+        Wire client = net.sendRequest("/quick/");
+        Call first = net.nextCall();
+        Call second = net.nextCall();
         assertNotSame(first.server(), second.server());
         first.wire().awaitEnd();
         assertServed(second, client, "served");
@@ -299,91 +299,91 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"/safe/", "/once/"})
-    void aRequestThatIsTurnedAwayGoesToAnotherServer(String target) throws Exception {
+    void aRejectedRequestIsRetriedAtAnotherServer(String target) throws Exception {
         net.servers.plain();
         net.servers.plain();
-        Wire client = net.ask(target);
-        Call first = net.next();
+        Wire client = net.sendRequest(target);
+        Call first = net.nextCall();
         reject(first);
-        Call second = net.next();
+        Call second = net.nextCall();
         assertNotSame(first.server(), second.server());
         assertServed(second, client, "served");
         net.assertQuiet();
     }
 
     @Test
-    void aMisdirectedRequestGoesToAnotherServer() throws Exception {
+    void aMisdirectedRequestIsRetriedAtAnotherServer() throws Exception {
         net.servers.plain();
         net.servers.plain();
-        Wire client = net.ask("/once/");
-        Call first = net.next();
+        Wire client = net.sendRequest("/once/");
+        Call first = net.nextCall();
         answer(first, "421 Misdirected Request", "", "");
-        Call second = net.next();
+        Call second = net.nextCall();
         assertNotSame(first.server(), second.server());
         assertServed(second, client, "served");
         net.assertQuiet();
     }
 
     @Test
-    void anUnsafeRequestIsNotRepeatedAfterABreak() throws Exception {
+    void anUnsafeRequestIsNotRetriedAfterAReset() throws Exception {
         net.servers.plain();
         net.servers.plain();
-        Wire client = net.ask("/once/");
-        net.next().wire().reset();
+        Wire client = net.sendRequest("/once/");
+        net.nextCall().wire().reset();
         assertEquals(502, client.read().status());
         net.assertQuiet();
     }
 
     @Test
-    void anUnsafeRequestIsNotRepeatedAfterNoiseOrAFailureThatPromisesNothing() throws Exception {
+    void anUnsafeRequestIsNotRetriedAfterAMalformedAnswerOrAnUnmarkedFailure() throws Exception {
         net.servers.plain();
         net.servers.plain();
-        Wire noise = net.ask("/once/");
-        net.next().wire().send("what?\r\n");
+        Wire noise = net.sendRequest("/once/");
+        net.nextCall().wire().send("what?\r\n");
         assertEquals(502, noise.read().status());
         for (String status : new String[] {
             "503 Service Unavailable", "429 Too Many Requests", "502 Bad Gateway", "408 Request Timeout"
         }) {
-            Wire client = net.ask("/once/");
-            answer(net.next(), status, "", "");
+            Wire client = net.sendRequest("/once/");
+            answer(net.nextCall(), status, "", "");
             assertEquals(502, client.read().status(), status);
         }
         net.assertQuiet();
     }
 
     @Test
-    void anUnsafeRequestThatNobodyRanIsRefused() throws Exception {
+    void anUnsafeRequestThatEveryServerRejectsIsRejected() throws Exception {
         net.servers.plain();
         net.servers.plain();
-        Wire client = net.ask("/once/");
-        reject(net.next());
-        reject(net.next());
+        Wire client = net.sendRequest("/once/");
+        reject(net.nextCall());
+        reject(net.nextCall());
         OnLoop.await(net.loop, () -> client.hasBytes() || !net.servers.calls.isEmpty());
-        if (!net.servers.calls.isEmpty()) { // on a slow machine the first server's rest of 40 ms is over by now
-            reject(net.next());
+        if (!net.servers.calls.isEmpty()) { // on a slow machine the first server's backoff of 40 ms is over by now
+            reject(net.nextCall());
         }
         assertRejected(client.read());
         net.assertQuiet();
     }
 
     @Test
-    void anUnsafeRequestThatMayHaveRunIsNeverRefused() throws Exception {
+    void anUnsafeRequestThatMayHaveRunIsNeverRejected() throws Exception {
         net.servers.plain();
         net.servers.plain();
-        Wire client = net.ask("/once/");
-        reject(net.next());
-        net.next().wire().reset();
+        Wire client = net.sendRequest("/once/");
+        reject(net.nextCall());
+        net.nextCall().wire().reset();
         assertEquals(502, client.read().status());
         net.assertQuiet();
     }
 
     @Test
-    void aServerThatCannotBeReachedIsPassedBy() throws Exception {
+    void anUnreachableServerCostsNoAttempt() throws Exception {
         net.servers.refusingPlain();
         ScriptedServer there = net.servers.plain();
         for (int i = 0; i < 6; i++) {
-            Wire client = net.ask("/once/");
-            Call call = net.next();
+            Wire client = net.sendRequest("/once/");
+            Call call = net.nextCall();
             assertSame(there, call.server());
             assertServed(call, client, "served");
         }
@@ -391,39 +391,39 @@
     }
 
     @Test
-    void whereNoServerCanBeReachedTheRequestIsRefused() throws Exception {
+    void aRequestIsRejectedWhereNoServerIsReachable() throws Exception {
         net.servers.refusingPlain();
         net.servers.refusingPlain();
-        assertRejected(net.ask("/once/").read());
-        assertRejected(net.ask("/safe/").read());
+        assertRejected(net.sendRequest("/once/").read());
+        assertRejected(net.sendRequest("/safe/").read());
         net.assertQuiet();
     }
 
     @Test
-    void noMoreServersAreSentToThanTheRouteAllows() throws Exception {
+    void attemptsAreBoundedByTheRoutesMaxAttempts() throws Exception {
         net.servers.plain();
         net.servers.plain();
         net.servers.plain();
-        Wire client = net.ask("/two/");
-        net.next().wire().reset();
-        net.next().wire().reset();
+        Wire client = net.sendRequest("/two/");
+        net.nextCall().wire().reset();
+        net.nextCall().wire().reset();
         assertEquals(502, client.read().status());
         net.assertQuiet();
-        Wire turned = net.ask("/two/");
-        reject(net.next());
-        reject(net.next());
-        assertRejected(turned.read());
+        Wire rejected = net.sendRequest("/two/");
+        reject(net.nextCall());
+        reject(net.nextCall());
+        assertRejected(rejected.read());
         net.assertQuiet();
     }
 
-    private static Wire askLong(ForwarderFixture net, String target) throws IOException {
+    private static Wire sendLongRequest(ForwarderFixture net, String target) throws IOException {
         Wire client = net.client();
-        client.send(request(target, "", "x".repeat(MORE_THAN_SYSTEMS_HOLD)));
+        client.send(request(target, "", "x".repeat(LONG_BODY_BYTES)));
         return client;
     }
 
-    /** Counts the connections to it that brought a request's head, and breaks each within the body. */
-    private static AtomicInteger breakWithinBodies(ScriptedServer raw) {
+    /** Counts the connections that brought a request's head, and resets each within the body. */
+    private static AtomicInteger resetWithinBodies(ScriptedServer raw) {
         AtomicInteger broken = new AtomicInteger();
         Thread breaker = new Thread(() -> {
             try {
@@ -442,26 +442,26 @@
         return broken;
     }
 
-    /** A server may begin on a request before it has read a long body: what broke within it may have run. */
+    /** A server may run a request before it has read a long body: one that is reset within it may have run. */
     @Test
-    void anUnsafeRequestThatBrokeWithinItsBodyIsNotSentAgain() throws Exception {
+    void anUnsafeRequestThatIsResetWithinItsBodyIsNotRetried() throws Exception {
         try (ScriptedServer raw = ScriptedServer.raw()) {
             net.servers.add(raw, PLAIN, null);
-            net.routes(2 * MORE_THAN_SYSTEMS_HOLD, unsafeRoute("once", 3));
-            AtomicInteger broken = breakWithinBodies(raw);
-            assertEquals(502, askLong(net, "/once/").read().status());
+            net.routes(2 * LONG_BODY_BYTES, unsafeRoute("once", 3));
+            AtomicInteger broken = resetWithinBodies(raw);
+            assertEquals(502, sendLongRequest(net, "/once/").read().status());
             net.assertQuiet();
             assertEquals(1, broken.get());
         }
     }
 
     @Test
-    void aSafeRequestThatBreaksWithinItsBodyIsSentAgainWithinTheAttempts() throws Exception {
+    void aSafeRequestThatIsResetWithinItsBodyIsRetriedWithinMaxAttempts() throws Exception {
         try (ScriptedServer raw = ScriptedServer.raw()) {
             net.servers.add(raw, PLAIN, null);
-            net.routes(2 * MORE_THAN_SYSTEMS_HOLD, safeRoute("safe", 3));
-            AtomicInteger broken = breakWithinBodies(raw);
-            assertEquals(502, askLong(net, "/safe/").read().status());
+            net.routes(2 * LONG_BODY_BYTES, safeRoute("safe", 3));
+            AtomicInteger broken = resetWithinBodies(raw);
+            assertEquals(502, sendLongRequest(net, "/safe/").read().status());
             net.assertQuiet();
             assertTrue(broken.get() >= 1 && broken.get() <= 3, broken + " connections");
         }
@@ -470,31 +470,31 @@
     // ---- budget ---------------------------------------------------------------------------------------
 
     @Test
-    void withoutABudgetNothingIsRepeated() throws Exception {
-        try (ForwarderFixture poor = new ForwarderFixture(ForwarderFixture.NO_RETRIES)) {
-            poor.routes(safeRoute("safe", 3), unsafeRoute("once", 3));
-            poor.servers.plain();
-            poor.servers.plain();
-            Wire broken = poor.ask("/safe/");
-            poor.next().wire().reset();
+    void withoutARetryBudgetNothingIsRetried() throws Exception {
+        try (ForwarderFixture withoutRetries = new ForwarderFixture(ForwarderFixture.NO_RETRIES)) {
+            withoutRetries.routes(safeRoute("safe", 3), unsafeRoute("once", 3));
+            withoutRetries.servers.plain();
+            withoutRetries.servers.plain();
+            Wire broken = withoutRetries.sendRequest("/safe/");
+            withoutRetries.nextCall().wire().reset();
             assertEquals(502, broken.read().status());
-            Wire turned = poor.ask("/once/");
-            reject(poor.next());
-            assertRejected(turned.read());
-            poor.assertQuiet();
+            Wire rejected = withoutRetries.sendRequest("/once/");
+            reject(withoutRetries.nextCall());
+            assertRejected(rejected.read());
+            withoutRetries.assertQuiet();
         }
     }
 
-    /** A repeat that may not be made is no reason to end the only call there is. */
+    /** A retry that the budget refuses is no reason to cancel the only attempt. */
     @Test
-    void withoutABudgetASlowServerIsWaitedFor() throws Exception {
-        try (ForwarderFixture poor = new ForwarderFixture(ForwarderFixture.NO_RETRIES)) {
-            poor.routes(safeRoute("quick", 3).withTargetLatency(20));
-            poor.servers.plain();
-            poor.servers.plain();
-            Wire client = poor.ask("/quick/");
-            Call call = poor.next();
-            poor.pass(PATIENCE * 20 + 30);
+    void withoutARetryBudgetAnOverdueAnswerIsWaitedFor() throws Exception {
+        try (ForwarderFixture withoutRetries = new ForwarderFixture(ForwarderFixture.NO_RETRIES)) {
+            withoutRetries.routes(safeRoute("quick", 3).withTargetLatency(20));
+            withoutRetries.servers.plain();
+            withoutRetries.servers.plain();
+            Wire client = withoutRetries.sendRequest("/quick/");
+            Call call = withoutRetries.nextCall();
+            withoutRetries.pass(OVERDUE_TARGET_FACTOR * 20 + 30);
             serve(call, "slow");
             Wire.Message answer = client.read();
             assertEquals(200, answer.status());
@@ -502,35 +502,36 @@
         }
     }
 
-    /** The part that goes by own requests: none of the slack is used before it is known how many share it. */
+    /** The ratio of own requests alone: the slack is unused until the number of data planes that share it is stable. */
     @Test
-    void theBudgetBoundsTheRepeats() throws Exception {
-        try (ForwarderFixture scarce = new ForwarderFixture(new RetryBudgets.Limits(0.5, 600_000, 5))) {
-            scarce.routes(safeRoute("safe", 2));
-            scarce.servers.plain();
-            scarce.servers.plain();
-            scarce.servers.plain();
+    void retriesAreBoundedByTheRetryBudget() throws Exception {
+        try (ForwarderFixture withFewRetries = new ForwarderFixture(new RetryBudgets.Limits(0.5, 600_000, 5))) {
+            withFewRetries.routes(safeRoute("safe", 2));
+            withFewRetries.servers.plain();
+            withFewRetries.servers.plain();
+            withFewRetries.servers.plain();
             int sends = 0;
             for (int i = 0; i < 6; i++) {
-                Wire client = scarce.ask("/safe/");
-                answer(scarce.next(), "500 Internal Server Error", SEAL, "");
+                Wire client = withFewRetries.sendRequest("/safe/");
+                answer(withFewRetries.nextCall(), "500 Internal Server Error", SEAL, "");
                 sends++;
                 OnLoop.await(
-                        scarce.loop, () -> scarce.forwarder.openRequests() == 0 || !scarce.servers.calls.isEmpty());
-                if (!scarce.servers.calls.isEmpty()) {
-                    serve(scarce.next(), "");
+                        withFewRetries.loop,
+                        () -> withFewRetries.forwarder.openRequests() == 0 || !withFewRetries.servers.calls.isEmpty());
+                if (!withFewRetries.servers.calls.isEmpty()) {
+                    serve(withFewRetries.nextCall(), "");
                     sends++;
                 }
                 assertNotNull(client.read());
             }
             assertTrue(sends > 6 && sends <= 6 + 0.5 * 6, "sends " + sends);
-            scarce.assertQuiet();
+            withFewRetries.assertQuiet();
         }
     }
 
-    /** The slack is the fleet's: a sidecar that has just been told of others may be told of more in a moment. */
+    /** The slack is shared by the fleet: a data plane that has just learnt of others may learn of more in a moment. */
     @Test
-    void noSlackIsUsedBeforeTheFleetsSizeHasSettled() throws Exception {
+    void theBudgetsSlackIsUnusedUntilTheFleetsSizeIsStable() throws Exception {
         try (ForwarderFixture alone = new ForwarderFixture(new RetryBudgets.Limits(0, 600_000, 1_000))) {
             alone.routes(safeRoute("safe", 2));
             alone.servers.plain();
@@ -541,8 +542,8 @@
                     alone.metadata.updateMembers(told);
                     alone.forwarder.onFleetChanged();
                 });
-                Wire client = alone.ask("/safe/");
-                answer(alone.next(), "500 Internal Server Error", SEAL, "");
+                Wire client = alone.sendRequest("/safe/");
+                answer(alone.nextCall(), "500 Internal Server Error", SEAL, "");
                 assertEquals(502, client.read().status());
             }
             alone.assertQuiet();
@@ -560,24 +561,24 @@
         OnLoop.await(net.loop, () -> net.forwarder.connections().stream().anyMatch(c -> c.isHeadRead()));
     }
 
-    /** The client has counted since it began to send, and servers are handed what is left of that. */
+    /** The client counts from the first byte it sends, and servers get what remains of that. */
     @Test
-    void timeIsCountedFromTheFirstByte() throws Exception {
+    void theDeadlineCountsFromTheFirstByte() throws Exception {
         net.servers.plain();
         Wire client = net.client();
         client.send(half("/once/", 4_000));
         awaitHalfRead();
         net.pass(300);
         client.send("hi");
-        Call call = net.next();
-        int handed = Integer.parseInt(call.message().header("X-Dewplank-Remaining-Time-Ms"));
-        assertTrue(handed > 0 && handed <= 3_700, "handed " + handed);
+        Call call = net.nextCall();
+        int remainingMs = Integer.parseInt(call.message().header("X-Dewplank-Remaining-Time-Ms"));
+        assertTrue(remainingMs > 0 && remainingMs <= 3_700, "handed " + remainingMs);
         serve(call, "");
         assertEquals(200, client.read().status());
     }
 
     @Test
-    void aRequestThatBecomesWholeAfterItsTimeoutIsRefusedAtOnce() throws Exception {
+    void aRequestThatIsCompleteAfterItsDeadlineIsRejectedAtOnce() throws Exception {
         net.servers.plain();
         Wire client = net.client();
         client.send(half("/brief/", 9_000));
@@ -590,27 +591,27 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"NaN", "soon", ""})
-    void aTimeThatIsNoneIsTheRoutesOwn(String odd) throws Exception {
+    void aMalformedRemainingTimeCountsAsAbsent(String odd) throws Exception {
         net.servers.plain();
         Wire client = net.client();
         client.send(request("/once/", "", "hi").replace("Time-Ms: 9000", "Time-Ms: " + odd));
-        Call call = net.next();
-        int handed = Integer.parseInt(call.message().header("X-Dewplank-Remaining-Time-Ms"));
-        assertTrue(handed > 0 && handed < 8_000, "handed " + handed);
+        Call call = net.nextCall();
+        int remainingMs = Integer.parseInt(call.message().header("X-Dewplank-Remaining-Time-Ms"));
+        assertTrue(remainingMs > 0 && remainingMs < 8_000, "handed " + remainingMs);
         serve(call, "");
         assertEquals(200, client.read().status());
     }
 
-    /** Never more than is left; and the one that is sent later has less. */
+    /** Never more than remains; the later attempt has less. */
     @Test
-    void aRepeatIsHandedWhatIsLeftByThen() throws Exception {
+    void aRetryCarriesTheRemainingTimeOfItsOwnStart() throws Exception {
         net.servers.plain();
         net.servers.plain();
-        Wire client = net.ask("/safe/");
-        Call first = net.next();
+        Wire client = net.sendRequest("/safe/");
+        Call first = net.nextCall();
         net.pass(200);
         answer(first, "500 Internal Server Error", SEAL, "");
-        Call second = net.next();
+        Call second = net.nextCall();
         int before = Integer.parseInt(first.message().header("X-Dewplank-Remaining-Time-Ms"));
         int after = Integer.parseInt(second.message().header("X-Dewplank-Remaining-Time-Ms"));
         assertTrue(before < 8_000 && after <= before - 200, before + ", then " + after);
@@ -618,30 +619,30 @@
         assertEquals(200, client.read().status());
     }
 
-    /** It reached a server and may run there: 503 would promise that it never will. */
+    /** It reached a server and may run there: 503 would say that it never will. */
     @Test
-    void anUnsafeRequestThatAServerHoldsAtItsDeadlineIsNotRefused() throws Exception {
+    void anUnsafeRequestInFlightAtItsDeadlineIsNotRejected() throws Exception {
         net.servers.plain();
-        ForwarderFixture.InFlight request = net.askUntilAtServer("/brief/", "");
+        ForwarderFixture.InFlight request = net.sendUntilAtServer("/brief/", "");
         assertEquals(504, request.client().read().status());
         request.call().wire().awaitEnd();
         net.assertQuiet();
     }
 
     @Test
-    void aSafeRequestThatAServerHoldsAtItsDeadlineFails() throws Exception {
+    void aSafeRequestInFlightAtItsDeadlineFails() throws Exception {
         net.servers.plain();
-        ForwarderFixture.InFlight request = net.askUntilAtServer("/briefly/", "");
+        ForwarderFixture.InFlight request = net.sendUntilAtServer("/briefly/", "");
         assertTrue(request.client().read().status() >= 500);
         request.call().wire().awaitEnd();
         net.assertQuiet();
     }
 
     @Test
-    void aRequestThatWasNotSentByItsDeadlineIsRefused() throws Exception {
+    void aRequestThatIsUnsentAtItsDeadlineIsRejected() throws Exception {
         try (ScriptedServer late = ScriptedServer.late(new LinkedBlockingQueue<>())) {
             net.servers.add(late, PLAIN, null);
-            assertRejected(net.ask("/brief/").read());
+            assertRejected(net.sendRequest("/brief/").read());
             net.assertQuiet();
         }
     }
@@ -650,60 +651,60 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"/safe/", "/once/"})
-    void aClientThatLeavesEndsItsCall(String target) throws Exception {
+    void aDisconnectedClientsAttemptIsCancelled(String target) throws Exception {
         net.servers.plain();
-        Wire client = net.ask(target);
-        Call call = net.next();
+        Wire client = net.sendRequest(target);
+        Call call = net.nextCall();
         client.close();
         call.wire().awaitEnd();
         net.assertQuiet();
     }
 
     @Test
-    void aClientThatLeavesWithinAnAnswerEndsItsCall() throws Exception {
+    void aClientThatDisconnectsWithinAnAnswerCancelsItsAttempt() throws Exception {
         net.servers.plain();
-        Wire client = net.ask("/safe/");
-        Call call = net.next();
+        Wire client = net.sendRequest("/safe/");
+        Call call = net.nextCall();
         call.wire().send(sealedHead(call, "Content-Length: 9\r\n") + "1234");
         client.close();
         call.wire().awaitEnd();
         net.assertQuiet();
     }
 
-    /** The end of the client and the break of its server are there at once: whichever is looked at first. */
+    /** The client's disconnect and the server's reset arrive at once, handled in either order. */
     @Test
-    void aClientsEndThatMeetsABreakLeavesNothingOpen() throws Exception {
+    void aClientsDisconnectThatMeetsAServersResetLeavesNothingOpen() throws Exception {
         net.servers.plain();
         net.servers.plain();
-        Wire client = net.ask("/safe/");
-        Call call = net.next();
+        Wire client = net.sendRequest("/safe/");
+        Call call = net.nextCall();
         OnLoop.run(net.loop, () -> {
             client.close();
             call.wire().reset();
         });
         net.awaitNoOpenRequest();
         while (!net.servers.calls.isEmpty()) {
-            net.next().wire().awaitEnd();
+            net.nextCall().wire().awaitEnd();
         }
         net.assertQuiet();
     }
 
     @Test
-    void requestsSentAheadAreServedInTheirOrder() throws Exception {
+    void pipelinedRequestsAreServedInOrder() throws Exception {
         net.servers.plain();
         Wire client = net.client();
         client.send(request("/once/1", "", "") + request("/once/2", "", ""));
-        Call one = net.next();
+        Call one = net.nextCall();
         assertEquals("/once/1", one.message().target());
         assertTrue(net.servers.calls.isEmpty());
         assertServed(one, client, "1");
-        Call two = net.next();
+        Call two = net.nextCall();
         assertEquals("/once/2", two.message().target());
         assertServed(two, client, "2");
     }
 
     @Test
-    void aBodyOverTheConfiguredBoundIsRefused() throws Exception {
+    void aBodyOverMaxBodyBytesIsAnswered413() throws Exception {
         net.servers.plain();
         net.routes(10, unsafeRoute("once", 1));
         Wire tooLong = net.client();
@@ -711,53 +712,53 @@
         assertEquals(413, tooLong.read().status());
         Wire fits = net.client();
         fits.send(request("/once/", "", "1234567890"));
-        serve(net.next(), "");
+        serve(net.nextCall(), "");
         assertEquals(200, fits.read().status());
         net.assertQuiet();
     }
 
-    /** A kept connection is not bound by what held when it was opened. */
+    /** A persistent connection is not bound by the configuration under which it was opened. */
     @Test
-    void theBoundOnBodiesIsThatOfTheConfigurationInForce() throws Exception {
+    void maxBodyBytesIsThatOfTheConfigurationInForce() throws Exception {
         net.servers.plain();
         net.routes(10, unsafeRoute("once", 1));
         Wire client = net.client();
         client.send(request("/once/", "", "1234567890"));
-        serve(net.next(), "");
+        serve(net.nextCall(), "");
         assertEquals(200, client.read().status());
         net.routes(20, unsafeRoute("once", 1));
         client.send(request("/once/", "", "12345678901234567890"));
         OnLoop.await(net.loop, () -> !net.servers.calls.isEmpty() || net.forwarder.openConnections() == 0);
         assertFalse(net.servers.calls.isEmpty(), "refused by the old bound");
-        serve(net.next(), "");
+        serve(net.nextCall(), "");
         assertEquals(200, client.read().status());
     }
 
-    /** The other part of the system's own words is looked at in GenerationTest. */
+    /** That the data plane sets these fields itself where they are due is tested in GenerationTest. */
     @Test
-    void aPlainRequestNamesNoStageAndNoHandle() throws Exception {
+    void aPlainRequestCarriesNoStageAndNoKvHandle() throws Exception {
         net.servers.plain();
-        Wire client = net.ask("/once/", "X-Dewplank-Processing-Stage: prefill\r\nKv-From: 10.0.0.1:80/h\r\n");
-        Call call = net.next();
+        Wire client = net.sendRequest("/once/", "X-Dewplank-Processing-Stage: prefill\r\nKv-From: 10.0.0.1:80/h\r\n");
+        Call call = net.nextCall();
         assertNull(call.message().header("X-Dewplank-Processing-Stage"));
         assertNull(call.message().header("Kv-From"));
         serve(call, "");
         assertEquals(200, client.read().status());
     }
 
-    /** What may have run is not refused, and what nobody was offered is. */
+    /** A request that may have run is not rejected; one that was not sent is. */
     @Test
-    void whatIsOpenWhenTheProcessEndsIsAnswered() throws Exception {
+    void openRequestsAreAnsweredAtTermination() throws Exception {
         try (ForwarderFixture unready = new ForwarderFixture()) {
-            Wire held = unready.ask("/once/");
+            Wire queued = unready.sendRequest("/once/");
             OnLoop.await(unready.loop, () -> unready.forwarder.openRequests() == 1);
             OnLoop.run(unready.loop, unready.forwarder::terminateAll);
-            assertEquals(503, held.read().status());
+            assertEquals(503, queued.read().status());
             unready.assertQuiet();
         }
         net.servers.plain();
-        Wire client = net.ask("/once/");
-        Call call = net.next();
+        Wire client = net.sendRequest("/once/");
+        Call call = net.nextCall();
         OnLoop.run(net.loop, net.forwarder::terminateAll);
         assertEquals(502, client.read().status());
         call.wire().awaitEnd();
@@ -765,10 +766,10 @@
     }
 
     @Test
-    void aClosingForwarderEndsConnectionsWithTheirAnswers() throws Exception {
+    void aDrainingForwarderClosesConnectionsAfterTheirAnswers() throws Exception {
         net.servers.plain();
-        Wire client = net.ask("/once/");
-        Call call = net.next();
+        Wire client = net.sendRequest("/once/");
+        Call call = net.nextCall();
         OnLoop.run(net.loop, net.forwarder::close);
         serve(call, "last");
         Wire.Message answer = client.read();
--- a/dataplane/src/test/java/dewplank/dataplane/SessionClientTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/SessionClientTest.java
@@ -38,7 +38,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A data plane's sessions with stand-ins for control sidecars. */
+/** A data plane's sessions with stand-ins for control planes. */
 class SessionClientTest {
     /** So long that no test meets the end of it by chance; those that want it set it themselves. */
     private static final double CONTACT_MS = 120_000;
@@ -62,15 +62,15 @@
         net.close();
     }
 
-    // ---- what is asked and taken ----------------------------------------------------------------------
+    // ---- heartbeats and updates ----------------------------------------------------------------------
 
     @Test
-    void aSessionOpensWithItsMemberAndAsksWithWhatIsHeld() throws Exception {
+    void aSessionOpensWithItsMemberAndHeartbeatsCarryTheVersionsInForce() throws Exception {
         FakeControlPlane control = net.controlPlane();
         net.start(control);
         Session session = control.session();
         assertEquals(SELF, session.open().member);
-        SessionHeartbeat first = session.question();
+        SessionHeartbeat first = session.heartbeat();
         assertEquals(0, first.configurationVersion);
         assertEquals(EndpointListVersion.NONE, first.listVersion);
         assertEquals(0, first.membersDigest);
@@ -78,7 +78,7 @@
         Endpoint entry = new Endpoint("i", PLAIN, "127.0.0.1:9", "z", 4, false, 0, null);
         Configuration config = configuration(7, safeRoute("r", 1));
         session.send(complete(config, endpointList(new EndpointListVersion(2, 5), entry), members));
-        SessionHeartbeat next = session.questionHolding(7);
+        SessionHeartbeat next = session.heartbeatWithVersion(7);
         assertTrue(next.sequence > first.sequence);
         assertEquals(new EndpointListVersion(2, 5), next.listVersion);
         assertEquals(SessionTable.digest(members), next.membersDigest);
@@ -90,12 +90,12 @@
     }
 
     @Test
-    void partsOfAnUpdateThatAreAbsentStayAsTheyWere() throws Exception {
+    void absentSectionsOfAnUpdateChangeNothing() throws Exception {
         FakeControlPlane control = net.controlPlane();
         net.start(control);
         Session session = control.session();
         session.send(complete(configuration(7, safeRoute("r", 1))));
-        session.questionHolding(7);
+        session.heartbeatWithVersion(7);
         session.send(endpoints(endpointList(FIRST_LIST), null));
         OnLoop.await(net.loop, net.metadata::isComplete);
         session.send(members(List.of(SELF)));
@@ -105,16 +105,16 @@
     }
 
     @Test
-    void aDifferenceLeadsToTheNextVersion() throws Exception {
+    void aDeltaLeadsToTheNextVersion() throws Exception {
         FakeControlPlane control = net.controlPlane();
         net.start(control);
         Session session = control.session();
         Configuration first = configuration(7, safeRoute("a", 1), safeRoute("b", 1));
         Configuration second = configuration(8, safeRoute("b", 1), unsafeRoute("c", 2));
         session.send(complete(first));
-        session.questionHolding(7);
+        session.heartbeatWithVersion(7);
         session.send(delta(first, second));
-        session.questionHolding(8);
+        session.heartbeatWithVersion(8);
         assertNull(net.metadata.routes().find(HOST, "/a/"));
         assertEquals("c", net.metadata.routes().find(HOST, "/c/").name());
         assertEquals(
@@ -122,50 +122,50 @@
                 new String(net.metadata.configuration().json(), StandardCharsets.UTF_8));
     }
 
-    /** The difference is of a version that is not held: the session ends, and the next one asks for what is missing. */
+    /** The delta is from a version that is not in force: the session ends, and the next one brings what is missing. */
     @Test
-    void aDifferenceOfAnotherVersionEndsItsSession() throws Exception {
+    void aDeltaFromAnotherVersionEndsItsSession() throws Exception {
         FakeControlPlane control = net.controlPlane();
         net.start(control);
         Session session = control.session();
-        Configuration held = configuration(3, safeRoute("a", 1));
+        Configuration inForce = configuration(3, safeRoute("a", 1));
         Configuration other = configuration(7, safeRoute("b", 1));
         Configuration newest = configuration(8, safeRoute("c", 1));
-        session.send(complete(held));
-        session.questionHolding(3);
+        session.send(complete(inForce));
+        session.heartbeatWithVersion(3);
         session.send(delta(other, newest));
         session.awaitEnd();
         assertEquals(3, net.metadata.configurationVersion());
         Session next = control.session();
         assertEquals(SELF, next.open().member);
-        assertEquals(3, next.question().configurationVersion);
+        assertEquals(3, next.heartbeat().configurationVersion);
         next.send(complete(newest));
         net.awaitVersion(8);
         assertFalse(next.isEnded());
     }
 
     @Test
-    void anUpdateThatCannotBeReadEndsItsSessionAndChangesNothing() throws Exception {
+    void aMalformedUpdateEndsItsSessionAndChangesNothing() throws Exception {
         FakeControlPlane control = net.controlPlane();
         net.start(control);
-        Configuration held = configuration(3, safeRoute("a", 1));
+        Configuration inForce = configuration(3, safeRoute("a", 1));
         Session session = control.session();
-        session.send(complete(held));
-        session.questionHolding(3);
+        session.send(complete(inForce));
+        session.heartbeatWithVersion(3);
         for (byte[] bad : new byte[][] {{1, 2, 3}, DeflateCodec.deflate("{}".getBytes(StandardCharsets.UTF_8))}) {
             session.send(new FleetUpdate(bad, 9, 0, null, null));
             session.awaitEnd();
             session = control.session();
-            assertEquals(3, session.question().configurationVersion);
+            assertEquals(3, session.heartbeat().configurationVersion);
         }
         session.send(new FleetUpdate(DeflateCodec.deflate(new byte[] {1, 2, 3}), 9, 3, null, null));
         session.awaitEnd();
         assertEquals("a", net.metadata.routes().find(HOST, "/a/").name());
     }
 
-    /** Two sessions bring the same news, one later than the other: the later one is no trouble. */
+    /** Two sessions deliver the same updates, one later than the other: the later one's are no error. */
     @Test
-    void whatTheOtherSessionBroughtFirstIsPassedOver() throws Exception {
+    void anUpdateThatAnotherSessionDeliveredFirstIsSkipped() throws Exception {
         FakeControlPlane one = net.controlPlane();
         FakeControlPlane two = net.controlPlane();
         net.start(one, two);
@@ -180,7 +180,7 @@
         slow.send(delta(first, second));
         slow.send(complete(first));
         slow.send(new FleetUpdate(new byte[] {1, 2, 3}, 8, 0, endpointList(FIRST_LIST), null));
-        OnLoop.await(net.loop, net.metadata::isComplete); // so all before it was looked at
+        OnLoop.await(net.loop, net.metadata::isComplete); // so all updates before it were handled
         assertEquals(8, net.metadata.configurationVersion());
         assertEquals("b", net.metadata.routes().find(HOST, "/b/").name());
         assertFalse(slow.isEnded());
@@ -190,11 +190,11 @@
     // ---- which control sidecars -----------------------------------------------------------------------
 
     @Test
-    void twoSessionsStandAndNoMore() throws Exception {
+    void twoSessionsAreKeptOpenWithDifferentControlPlanes() throws Exception {
         FakeControlPlane[] three = {net.controlPlane(), net.controlPlane(), net.controlPlane()};
         net.start(three);
         net.awaitOpenSessions(2);
-        net.pass(400); // a beat
+        net.pass(400); // more than a heartbeat interval
         assertEquals(2, OnLoop.get(net.loop, net.client::openSessions));
         int used = 0;
         for (FakeControlPlane control : three) {
@@ -204,9 +204,9 @@
     }
 
     @Test
-    void furtherControlSidecarsAreLearnt() throws Exception {
+    void addressesOfFurtherControlPlanesAreLearntFromAcks() throws Exception {
         FakeControlPlane unknown = net.controlPlane();
-        FakeControlPlane seed = net.controlPlane().knowing(unknown.address());
+        FakeControlPlane seed = net.controlPlane().naming(unknown.address());
         net.start(seed);
         seed.session();
         assertEquals(SELF, unknown.session().open().member);
@@ -214,7 +214,7 @@
     }
 
     @Test
-    void oneThatCannotBeReachedIsPassedByAndTriedAgain() throws Exception {
+    void anUnreachableControlPlaneIsSkippedAndRedialled() throws Exception {
         ReservedPort nobody = new ReservedPort();
         FakeControlPlane control = net.controlPlane();
         OnLoop.run(net.loop, () -> net.client.setSeeds(List.of(nobody.addressText())));
@@ -229,7 +229,7 @@
     }
 
     @Test
-    void aSessionThatBreaksIsFollowedByOneWithAnother() throws Exception {
+    void aBrokenSessionIsReplacedByOneWithAnotherControlPlane() throws Exception {
         List<FakeControlPlane> used =
                 new ArrayList<>(List.of(net.controlPlane(), net.controlPlane(), net.controlPlane()));
         net.start(used.toArray(FakeControlPlane[]::new));
@@ -251,57 +251,57 @@
     }
 
     @Test
-    void aSilentControlSidecarIsLeft() throws Exception {
-        FakeControlPlane silent = net.controlPlane().silent();
-        FakeControlPlane speaking = net.controlPlane();
-        net.start(silent, speaking);
-        Session left = silent.session();
-        Session kept = speaking.session();
+    void aHeartbeatTimeoutEndsTheSession() throws Exception {
+        FakeControlPlane withoutAcks = net.controlPlane().withoutAcks();
+        FakeControlPlane withAcks = net.controlPlane();
+        net.start(withoutAcks, withAcks);
+        Session replaced = withoutAcks.session();
+        Session remaining = withAcks.session();
         FakeControlPlane third = net.controlPlane();
         net.addSeeds(third);
-        left.awaitEnd();
+        replaced.awaitEnd();
         assertEquals(SELF, third.session().open().member);
-        assertFalse(kept.isEnded());
+        assertFalse(remaining.isEnded());
     }
 
     @Test
-    void oneWithoutAQuorumIsLeftForAnother() throws Exception {
-        FakeControlPlane lost = net.controlPlane().withoutQuorum();
-        FakeControlPlane quorate = net.controlPlane();
-        net.start(lost, quorate);
-        Session left = lost.session();
-        Session kept = quorate.session();
-        kept.send(complete(configuration(3, safeRoute("a", 1))));
-        net.awaitVersion(3); // who holds something need not keep it as a last hope
+    void aControlPlaneWithoutAQuorumIsReplaced() throws Exception {
+        FakeControlPlane partitioned = net.controlPlane().withoutQuorum();
+        FakeControlPlane withQuorum = net.controlPlane();
+        net.start(partitioned, withQuorum);
+        Session replaced = partitioned.session();
+        Session remaining = withQuorum.session();
+        remaining.send(complete(configuration(3, safeRoute("a", 1))));
+        net.awaitVersion(3); // with a configuration in force there is no need to keep it
         FakeControlPlane third = net.controlPlane();
         net.addSeeds(third);
-        left.awaitEnd();
+        replaced.awaitEnd();
         assertEquals(SELF, third.session().open().member);
         net.pass(700);
-        assertTrue(lost.hasNoFurtherSession(), "it is let be for a while");
-        assertFalse(kept.isEnded());
+        assertTrue(partitioned.hasNoFurtherSession(), "it is let be for a while");
+        assertFalse(remaining.isEnded());
     }
 
-    /** What a control sidecar said of its quorum holds for the time of the question, however late it comes. */
+    /** An ack reports the quorum as of its heartbeat, however late it arrives. */
     @Test
-    void answersToAnOldQuestionDoNotShowAQuorumNow() throws Exception {
-        FakeControlPlane late = net.controlPlane().silent();
-        FakeControlPlane quorate = net.controlPlane();
-        net.start(late, quorate);
-        Session left = late.session();
-        quorate.session().send(complete(configuration(3, safeRoute("a", 1))));
+    void acksOfAnOldHeartbeatDoNotShowAQuorum() throws Exception {
+        FakeControlPlane late = net.controlPlane().withoutAcks();
+        FakeControlPlane withQuorum = net.controlPlane();
+        net.start(late, withQuorum);
+        Session replaced = late.session();
+        withQuorum.session().send(complete(configuration(3, safeRoute("a", 1))));
         net.awaitVersion(3);
         net.addSeeds(net.controlPlane());
-        long first = left.question().sequence;
-        for (int beats = 0; !left.isEnded(); beats++) {
-            assertTrue(beats < 60, "it is kept by answers to its first question");
-            left.sendIfOpen(new HeartbeatAck(first, true, List.of()));
+        long first = replaced.heartbeat().sequence;
+        for (int acks = 0; !replaced.isEnded(); acks++) {
+            assertTrue(acks < 60, "it is kept by answers to its first question");
+            replaced.sendIfOpen(new HeartbeatAck(first, true, List.of()));
             net.pass(100);
         }
     }
 
     @Test
-    void oneWithoutAQuorumIsKeptWhereThereIsNoOther() throws Exception {
+    void aControlPlaneWithoutAQuorumIsKeptWithoutAnAlternative() throws Exception {
         useContactTime(800);
         FakeControlPlane one = net.controlPlane().withoutQuorum();
         FakeControlPlane two = net.controlPlane().withoutQuorum();
@@ -310,39 +310,39 @@
         Session second = two.session();
         net.pass(2_200);
         assertFalse(first.isEnded() || second.isEnded());
-        Configuration news = configuration(7, safeRoute("a", 1));
-        first.send(complete(news));
-        net.awaitVersion(7); // what is chosen is true, quorum or not
+        Configuration newest = configuration(7, safeRoute("a", 1));
+        first.send(complete(newest));
+        net.awaitVersion(7); // a chosen value is true with and without a quorum
     }
 
-    /** After a restart of everything there may be no quorum for a while: what there is serves, after a time. */
+    /** After a restart of the whole fleet there may be no quorum: stale state is used after the deferral. */
     @Test
-    void whoHoldsNothingTakesOldStateOnlyAfterATime() throws Exception {
+    void withoutAConfigurationAStaleUpdateIsDeferred() throws Exception {
         useContactTime(2_000);
-        FakeControlPlane cutOff = net.controlPlane().withoutQuorum();
+        FakeControlPlane partitioned = net.controlPlane().withoutQuorum();
         double startedAt = net.loop.now();
-        net.start(cutOff);
-        Session session = cutOff.session();
-        session.question();
-        session.question(); // the first answer has told that there is no quorum
+        net.start(partitioned);
+        Session session = partitioned.session();
+        session.heartbeat();
+        session.heartbeat(); // the first ack has reported that there is no quorum
         session.send(complete(configuration(7, safeRoute("a", 1))));
         net.awaitVersion(7);
         assertTrue(OnLoop.get(net.loop, net.loop::now) - startedAt >= 1_000, "it was taken too soon");
     }
 
-    /** The cut-off one is asked first and tells first; what it tells is never in force here. */
+    /** The partitioned control plane is dialled first and sends first; its updates are never in force here. */
     @Test
-    void whoHoldsNothingWaitsForOneWithAQuorum() throws Exception {
-        FakeControlPlane cutOff = net.controlPlane().withoutQuorum();
-        net.start(cutOff);
-        Session old = cutOff.session();
-        old.question();
-        old.question();
+    void withoutAConfigurationAnUpdateFromAQuorumIsAwaited() throws Exception {
+        FakeControlPlane partitioned = net.controlPlane().withoutQuorum();
+        net.start(partitioned);
+        Session first = partitioned.session();
+        first.heartbeat();
+        first.heartbeat();
         Configuration stale = configuration(3, safeRoute("old", 1));
-        old.send(complete(stale));
-        old.send(endpoints(endpointList(FIRST_LIST), List.of(SELF)));
-        old.question();
-        old.question();
+        first.send(complete(stale));
+        first.send(endpoints(endpointList(FIRST_LIST), List.of(SELF)));
+        first.heartbeat();
+        first.heartbeat();
         assertEquals(0, OnLoop.get(net.loop, net.metadata::configurationVersion));
         assertFalse(OnLoop.get(net.loop, net.metadata::isComplete));
         FakeControlPlane fresh = net.controlPlane();
@@ -350,14 +350,14 @@
         Session session = fresh.session();
         session.send(complete(configuration(7, safeRoute("new", 1))));
         net.awaitVersion(7);
-        OnLoop.await(net.loop, () -> net.metadata.listVersion().equals(FIRST_LIST)); // the old one's updates follow
+        OnLoop.await(net.loop, () -> net.metadata.listVersion().equals(FIRST_LIST)); // the deferred updates follow
         assertEquals(7, net.metadata.configurationVersion());
         assertEquals("new", net.metadata.routes().find(HOST, "/new/").name());
     }
 
-    /** Both sessions may be with cut-off ones: while nothing is held another is asked beside them. */
+    /** Both sessions may be with partitioned control planes: extra sessions are opened beside them. */
     @Test
-    void whoHoldsNothingAsksBeyondTwoThatAreCutOff() throws Exception {
+    void withoutAConfigurationExtraSessionsBypassPartitionedControlPlanes() throws Exception {
         FakeControlPlane one = net.controlPlane().withoutQuorum();
         FakeControlPlane two = net.controlPlane().withoutQuorum();
         net.start(one, two);
@@ -373,30 +373,30 @@
         assertFalse(third.isEnded());
     }
 
-    /** One that is cut off hears of no sessions but its own; the budget of retries is divided by the members known. */
+    /** A partitioned control plane has no members but its own; the retry budget is divided by the number of members. */
     @Test
-    void membersAreTakenFromOneWithAQuorum() throws Exception {
+    void membersAreTakenFromAControlPlaneWithAQuorum() throws Exception {
         Member other = new Member("n2", Member.DATA, "10.0.0.8:1", "z", 4);
-        FakeControlPlane quorate = net.controlPlane();
-        FakeControlPlane lost = net.controlPlane().withoutQuorum();
-        net.start(quorate, lost);
-        Session good = quorate.session();
-        Session cutOff = lost.session();
+        FakeControlPlane withQuorum = net.controlPlane();
+        FakeControlPlane alone = net.controlPlane().withoutQuorum();
+        net.start(withQuorum, alone);
+        Session good = withQuorum.session();
+        Session partitioned = alone.session();
         good.send(complete(configuration(7, safeRoute("a", 1))));
         good.send(members(List.of(SELF, other)));
         OnLoop.await(net.loop, () -> net.metadata.members().size() == 2);
-        cutOff.question();
-        cutOff.question();
-        cutOff.send(endpoints(endpointList(FIRST_LIST), List.of(SELF)));
-        OnLoop.await(net.loop, net.metadata::isComplete); // so its members were looked at
+        partitioned.heartbeat();
+        partitioned.heartbeat();
+        partitioned.send(endpoints(endpointList(FIRST_LIST), List.of(SELF)));
+        OnLoop.await(net.loop, net.metadata::isComplete); // so its members were handled
         assertEquals(2, net.metadata.members().size());
         good.reset();
         OnLoop.await(net.loop, () -> net.metadata.members().size() == 1);
     }
 
-    /** 64 machines that were replaced must not keep a data plane from learning the 65th. */
+    /** 64 machines that were replaced must not keep a data plane from learning the 65th address. */
     @Test
-    void addressesThatNobodyVouchesForMakeRoom() throws Exception {
+    void seedsBeyondTheBoundEvictOlderAddresses() throws Exception {
         OnLoop.run(net.loop, () -> {
             for (int i = 0; i < 80; i++) {
                 net.client.setSeeds(List.of("127.0.1." + i + ":1"));
--- a/dataplane/src/test/java/dewplank/dataplane/SessionCrossingTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/SessionCrossingTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What an earlier connection, or an earlier life of a control sidecar, has sent: it is no word of the session's. */
+/** Messages of an earlier connection, or of an earlier incarnation of a control plane, that meet a session. */
 class SessionCrossingTest {
     private static final double CONTACT_MS = 4_000;
 
@@ -43,11 +43,11 @@
         return complete(configuration(version, safeRoute("r" + version, 1)), endpointList(list), null);
     }
 
-    /** The update lies at this end when the session's own end is decided: it is looked at no more. */
+    /** The update is received when the session is closed: it is not handled any more. */
     @Test
-    void anUpdateThatMeetsTheEndOfItsSessionIsNotTaken() throws Exception {
+    void anUpdateThatMeetsTheEndOfItsSessionIsDiscarded() throws Exception {
         Session session = control.session();
-        session.questionHolding(0);
+        session.heartbeatWithVersion(0);
         session.send(update(3, new EndpointListVersion(1, 1)));
         net.awaitVersion(3);
         OnLoop.run(net.loop, () -> {
@@ -60,50 +60,50 @@
         assertEquals(new EndpointListVersion(1, 1), net.metadata.listVersion());
     }
 
-    /** The connection breaks within an update: the next one's bytes are not taken for the rest of it. */
+    /** The connection breaks within an update: the next one's bytes are not decoded as the rest of it. */
     @Test
-    void halfAnUpdateOfAnEarlierConnectionIsForgotten() throws Exception {
+    void aPartialUpdateOfAnEarlierConnectionIsDiscarded() throws Exception {
         Session first = control.session();
-        first.questionHolding(0);
+        first.heartbeatWithVersion(0);
         first.send(update(3, new EndpointListVersion(1, 1)));
         net.awaitVersion(3);
         first.sendHalf(update(9, new EndpointListVersion(1, 9)));
         first.reset();
         Session second = control.session();
-        assertEquals(3, second.question().configurationVersion, "the session begins with what is held");
+        assertEquals(3, second.heartbeat().configurationVersion, "the session begins with what is held");
         second.send(update(4, new EndpointListVersion(1, 2)));
         net.awaitVersion(4);
         assertEquals(new EndpointListVersion(1, 2), OnLoop.get(net.loop, net.metadata::listVersion));
     }
 
-    /** A control sidecar that starts again with what its disk held tells older state: nothing goes back. */
+    /** A control plane that restarts with the state of its disk sends older versions: nothing goes back. */
     @Test
-    void theOlderStateOfALaterLifeTakesNothingBack() throws Exception {
+    void staleStateOfALaterIncarnationIsDiscarded() throws Exception {
         Session first = control.session();
-        first.questionHolding(0);
+        first.heartbeatWithVersion(0);
         first.send(update(9, new EndpointListVersion(2, 5)));
         net.awaitVersion(9);
         first.reset();
         Session second = control.session();
-        assertEquals(9, second.question().configurationVersion);
+        assertEquals(9, second.heartbeat().configurationVersion);
         second.send(update(3, new EndpointListVersion(1, 8)));
         second.send(update(8, new EndpointListVersion(2, 4)));
-        second.send(members(List.of(SELF))); // a mark behind them
+        second.send(members(List.of(SELF))); // handled after them
         OnLoop.await(net.loop, () -> net.metadata.members().size() == 1);
         assertEquals(9, net.metadata.configurationVersion());
         assertEquals(new EndpointListVersion(2, 5), net.metadata.listVersion());
         assertEquals("r9", net.metadata.routes().find(HOST, "/r9/").name());
     }
 
-    /** Each session opens with the member first, whatever the earlier one was in the middle of. */
+    /** Each session opens with the member, whatever message the earlier one broke in. */
     @Test
-    void aSessionThatFollowsOnesBreakOpensAnew() throws Exception {
+    void aSessionAfterABrokenOneOpensWithItsMember() throws Exception {
         Session first = control.session();
         assertEquals(SELF, first.open().member);
-        long asked = first.question().sequence;
+        long sequence = first.heartbeat().sequence;
         first.reset();
         Session second = control.session();
         assertEquals(SELF, second.open().member);
-        assertTrue(second.question().sequence > asked, "questions of two connections are never numbered alike");
+        assertTrue(second.heartbeat().sequence > sequence, "questions of two connections are never numbered alike");
     }
 }
--- a/dataplane/src/test/java/dewplank/dataplane/StreamCrossingTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/StreamCrossingTest.java
@@ -37,14 +37,15 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Two events that meet in a stream or in a hand-over, in either order: no event comes twice or is missing, no stream
- * seems whole that isn't, and a handle goes to one run of its own request.
+ * Two events that meet in a stream or a KV transfer, in either order: no event is duplicated or missing, no stream
+ * seems complete that is not, and a KV handle goes to one decode of its own request.
  */
 class StreamCrossingTest {
-    private static final double RESTED_MS = ForwarderFixture.REUSABLE_AFTER_MS;
-    private static final double PAST_SILENCE_MS = 800; // a resumable stream that has begun is moved after 700 ms
-    private static final double PAST_PREFILL_MS = 400; // a short prompt is waited for 300 ms
-    private static final int LONG_BODY = 16 << 20; // more than the system holds
+    private static final double REUSABLE_AFTER_MS = ForwarderFixture.REUSABLE_AFTER_MS;
+    private static final double PAST_STALL_TIMEOUT_MS =
+            800; // a stalled resumable stream that has begun is resumed after 700 ms
+    private static final double PAST_PREFILL_OVERDUE_MS = 400; // a short prompt is overdue after 300 ms
+    private static final int LONG_BODY_BYTES = 16 << 20; // more than the socket buffers hold
 
     private ForwarderFixture net;
 
@@ -52,7 +53,7 @@
     void begin() throws Exception {
         net = new ForwarderFixture()
                 .routes(
-                        4 * LONG_BODY,
+                        4 * LONG_BODY_BYTES,
                         streamingRoute("gen", 2),
                         streamingRoute("res", 2).asResumable(),
                         unsafeRoute("plain", 1));
@@ -68,16 +69,16 @@
     }
 
     /** What comes before the connection ends is no end of the body and no second head. */
-    private static void assertCut(Wire client, String rest) throws IOException {
+    private static void assertBrokenOffAfter(Wire client, String rest) throws IOException {
         String came = client.readToEnd();
         assertEquals(rest, came);
     }
 
     // ---- the end of a stream --------------------------------------------------------------------------
 
-    /** The end was sent before the reset; which of them is seen decides, and either way nothing is missing or twice. */
+    /** The end was sent before the reset; whichever is handled, no event is missing or duplicated. */
     @Test
-    void anEndThatMeetsAResetIsWholeOrIsContinued() throws Exception {
+    void anEndOfStreamThatMeetsAResetIsCompleteOrResumed() throws Exception {
         net.servers.decode();
         net.servers.decode();
         BegunStream stream = begin("/res/");
@@ -109,7 +110,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"/gen/", "/res/"})
-    void aResetAfterTheEndChangesNothing(String target) throws Exception {
+    void aResetAfterACompleteStreamHasNoEffect(String target) throws Exception {
         net.servers.decode();
         net.servers.decode();
         BegunStream stream = begin(target);
@@ -118,39 +119,39 @@
         net.assertQuiet();
     }
 
-    /** Without a length the connection's end ends a stream, but not in the middle of an event. */
+    /** Without a length the connection's end completes a stream, but not within an event. */
     @ParameterizedTest
     @ValueSource(strings = {"/gen/", "/res/"})
-    void anEndInTheMiddleOfAnEventIsABreak(String target) throws Exception {
+    void aCloseWithinAnEventIsABreak(String target) throws Exception {
         net.servers.decode();
         net.servers.decode();
-        Wire client = net.ask(target, PROMPT);
-        Call run = net.next();
-        run.wire().send(sealedHead(run, "") + event(1) + "id: 2\ndata: half");
+        Wire client = net.sendRequest(target, PROMPT);
+        Call decodeCall = net.nextCall();
+        decodeCall.wire().send(sealedHead(decodeCall, "") + event(1) + "id: 2\ndata: half");
         assertEquals(200, client.readHead().status());
         assertEquals(event(1), client.readChunk());
-        run.wire().close();
+        decodeCall.wire().close();
         if (target.equals("/res/")) {
-            Call next = net.next();
+            Call next = net.nextCall();
             assertEquals("1", next.message().header("Last-Event-Id"));
             assertResumed(next, client, 2);
         } else {
-            assertCut(client, "");
+            assertBrokenOffAfter(client, "");
         }
         net.assertQuiet();
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"/gen/", "/res/"})
-    void anEndBeforeTheFirstEventIsABreak(String target) throws Exception {
+    void aCloseBeforeTheFirstEventIsABreak(String target) throws Exception {
         net.servers.decode();
         net.servers.decode();
-        Wire client = net.ask(target, PROMPT);
-        Call run = net.next();
-        run.wire().send(sealedHead(run, ""));
-        run.wire().close();
+        Wire client = net.sendRequest(target, PROMPT);
+        Call decodeCall = net.nextCall();
+        decodeCall.wire().send(sealedHead(decodeCall, ""));
+        decodeCall.wire().close();
         if (target.equals("/res/")) {
-            Call next = net.next();
+            Call next = net.nextCall();
             assertNull(next.message().header("Last-Event-Id"));
             assertStreamed(next, client, 1);
         } else {
@@ -159,25 +160,25 @@
         net.assertQuiet();
     }
 
-    /** Without an id nobody can say where the stream is to go on: it would repeat what was passed on. */
+    /** Without an event id the position to resume at is unknown: relayed events would be duplicated. */
     @Test
-    void aStreamIsNotContinuedBehindAnEventWithoutAnId() throws Exception {
+    void aStreamIsNotResumedBehindAnEventWithoutAnId() throws Exception {
         net.servers.decode();
         net.servers.decode();
-        Wire client = net.ask("/res/", PROMPT);
-        Call run = net.next();
-        beginStream(run);
-        run.wire().chunk(event(1) + "data: nameless\n\n");
+        Wire client = net.sendRequest("/res/", PROMPT);
+        Call decodeCall = net.nextCall();
+        beginStream(decodeCall);
+        decodeCall.wire().chunk(event(1) + "data: nameless\n\n");
         assertEquals(200, client.readHead().status());
         assertEquals(event(1) + "data: nameless\n\n", client.readChunk());
-        run.wire().reset();
-        assertCut(client, "");
+        decodeCall.wire().reset();
+        assertBrokenOffAfter(client, "");
         net.assertQuiet();
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"/gen/", "/res/"})
-    void aSecondAnswerBehindAStreamIsNobodys(String target) throws Exception {
+    void aSecondAnswerBehindAStreamIsDiscarded(String target) throws Exception {
         net.servers.decode();
         BegunStream stream = begin(target);
         stream.server()
@@ -187,16 +188,16 @@
         net.assertQuiet();
     }
 
-    /** It would be sent elsewhere with a part of its stream passed on: two runs in one answer. */
+    /** It is retried elsewhere: with a part of its stream relayed, two runs would be in one answer. */
     @ParameterizedTest
     @ValueSource(strings = {"/gen/", "/res/"})
-    void nothingIsPassedOnOfAnAnswerThatSaysItDidNotRun(String target) throws Exception {
+    void anAnswerMarkedNotExecutedIsNotRelayed(String target) throws Exception {
         net.servers.decode();
         net.servers.decode();
-        Wire client = net.ask(target, PROMPT);
-        Call first = net.next();
+        Wire client = net.sendRequest(target, PROMPT);
+        Call first = net.nextCall();
         answer(first, "200 OK", SEAL + NOT_EXECUTED, "id: 7\ndata: not run\n\n");
-        Call second = net.next();
+        Call second = net.nextCall();
         assertNotSame(first.server(), second.server());
         assertNull(second.message().header("Last-Event-Id"));
         assertStreamed(second, client, 1);
@@ -205,23 +206,23 @@
 
     /** The answer to a HEAD ends with its head, and needs neither a length nor events. */
     @Test
-    void theAnswerToAHeadIsNoStreamThatIsCutOff() throws Exception {
+    void theAnswerToAHeadRequestIsNotATruncatedStream() throws Exception {
         net.servers.decode();
         Wire client = net.client();
         client.send("HEAD /gen/ HTTP/1.1\r\nHost: " + HOST + "\r\nX-Dewplank-Request-Attempt-Id: h1\r\n\r\n"
                 + request("/gen/", PROMPT, ""));
-        Call head = net.next();
+        Call head = net.nextCall();
         head.wire().send(sealedHead(head, ""));
         assertEquals("h1", client.readHead().header("X-Dewplank-Request-Attempt-Id"));
-        Call next = net.next();
+        Call next = net.nextCall();
         assertStreamed(next, client, 1);
         net.assertQuiet();
     }
 
-    /** The rest of a stream whose client has left, and the next stream: they never share a connection. */
+    /** The rest of a disconnected client's stream and the next stream never share a connection. */
     @ParameterizedTest
     @ValueSource(strings = {"/gen/", "/res/"})
-    void theRestOfAStreamWhoseClientHasLeftIsNobodys(String target) throws Exception {
+    void theRestOfADisconnectedClientsStreamIsDiscarded(String target) throws Exception {
         net.servers.decode();
         BegunStream left = begin(target);
         left.client().close();
@@ -234,13 +235,13 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"/gen/", "/res/"})
-    void aLateStreamOnAReusedConnectionIsNobodys(String target) throws Exception {
+    void aLateStreamOnAReusedConnectionIsDiscarded(String target) throws Exception {
         net.servers.decode();
         BegunStream first = begin(target);
         first.assertEnds();
-        net.pass(RESTED_MS);
+        net.pass(REUSABLE_AFTER_MS);
         first.client().send(request(target, PROMPT, ""));
-        Call second = net.next();
+        Call second = net.nextCall();
         assertSame(first.server(), second.wire());
         beginStream(first.decode());
         second.wire().chunk("id: 9\ndata: the first one's\n\n");
@@ -251,32 +252,32 @@
         net.assertQuiet();
     }
 
-    // ---- silence --------------------------------------------------------------------------------------
+    // ---- overdue answers and stalls -------------------------------------------------------------------
 
-    /** The stream is moved and its first server speaks on: its connection has ended, so no event comes twice. */
+    /** The stream is resumed elsewhere and its first server sends on: no event is duplicated. */
     @Test
-    void whatASilentServerSendsAfterItsStreamWasMovedIsNobodys() throws Exception {
+    void eventsOfAStalledServerAreDiscardedAfterResumption() throws Exception {
         net.servers.decode();
         net.servers.decode();
         BegunStream stream = BegunStream.begin(net, "/res/", PROMPT);
-        Call next = net.next();
+        Call next = net.nextCall();
         stream.server().awaitEnd();
         assertEquals("1", next.message().header("Last-Event-Id"));
         assertResumed(next, stream.client(), 2);
         net.assertQuiet();
     }
 
-    /** The silence ends and is over, at once: event 2 comes once, by the one server or by the other. */
+    /** The stall time-out passes and the event arrives, at once: event 2 is relayed once, from one of the servers. */
     @Test
-    void anEventThatMeetsTheEndOfPatienceComesOnce() throws Exception {
+    void anEventThatMeetsTheStallTimeoutIsRelayedOnce() throws Exception {
         net.servers.decode();
         net.servers.decode();
         BegunStream stream = BegunStream.begin(net, "/res/", PROMPT);
-        net.runBeforePause(PAST_SILENCE_MS, () -> {
+        net.runBeforePause(PAST_STALL_TIMEOUT_MS, () -> {
             try {
                 stream.server().chunk(event(2));
             } catch (IOException e) {
-                // patience has ended before, on a slow machine
+                // the stall time-out has passed before, on a slow machine
             }
         });
         OnLoop.await(
@@ -295,141 +296,142 @@
         net.assertQuiet();
     }
 
-    // ---- hand-overs -----------------------------------------------------------------------------------
+    // ---- KV transfer ---------------------------------------------------------------------------------
 
-    private static boolean isFree(Call call) {
+    private static boolean isFreeOfKvHandle(Call call) {
         return call.message().method().equals("DELETE");
     }
 
-    /** The prompt's handle and the end of patience are there at once: one run, with the handle or without it. */
+    /** The KV handle arrives and the prefill is overdue, at once: one decode, with the handle or without it. */
     @ParameterizedTest
     @ValueSource(strings = {"/gen/", "/res/"})
-    void aHandleThatMeetsTheEndOfPatienceLeadsToOneRun(String target) throws Exception {
+    void aKvHandleThatMeetsTheOverdueTimerLeadsToOneDecode(String target) throws Exception {
         ScriptedServer prefill = net.servers.prefill();
         net.servers.decode();
-        Wire client = net.ask(target, SHORT_PROMPT);
-        Call read = net.next();
-        for (int sends = 1; read.server() != prefill; sends++) { // the connection was not up in time
+        Wire client = net.sendRequest(target, SHORT_PROMPT);
+        Call prefillCall = net.nextCall();
+        for (int sends = 1; prefillCall.server() != prefill; sends++) { // the connection was not up in time
             assertTrue(sends < ForwarderFixture.MAX_SENDS, "no prefill server is asked");
-            assertStreamed(read, client, 1);
-            client = net.ask(target, SHORT_PROMPT);
-            read = net.next();
+            assertStreamed(prefillCall, client, 1);
+            client = net.sendRequest(target, SHORT_PROMPT);
+            prefillCall = net.nextCall();
         }
-        Call prefillCall = read;
-        net.runBeforePause(PAST_PREFILL_MS, () -> handOver(prefillCall, "h1"));
-        Call run = net.next();
-        String from = run.message().header("Kv-From");
+        Call reached = prefillCall;
+        net.runBeforePause(PAST_PREFILL_OVERDUE_MS, () -> handOver(reached, "h1"));
+        Call decodeCall = net.nextCall();
+        String from = decodeCall.message().header("Kv-From");
         assertTrue(from == null || from.equals(prefill.addressText() + "/h1"), from);
-        assertStreamed(run, client, 1);
+        assertStreamed(decodeCall, client, 1);
         net.assertQuiet();
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"/gen/", "/res/"})
-    void twoAnswersToOnePrefillLeadToOneRun(String target) throws Exception {
+    void twoAnswersToOnePrefillLeadToOneDecode(String target) throws Exception {
         ScriptedServer prefill = net.servers.prefill();
         net.servers.decode();
-        Wire client = net.ask(target, PROMPT);
-        Call read = net.next();
-        handOver(read, "h1");
-        Call run = net.next();
-        assertEquals(prefill.addressText() + "/h1", run.message().header("Kv-From"));
-        handOver(read, "h2");
-        read.wire().awaitEnd();
-        assertStreamed(run, client, 1);
+        Wire client = net.sendRequest(target, PROMPT);
+        Call prefillCall = net.nextCall();
+        handOver(prefillCall, "h1");
+        Call decodeCall = net.nextCall();
+        assertEquals(prefill.addressText() + "/h1", decodeCall.message().header("Kv-From"));
+        handOver(prefillCall, "h2");
+        prefillCall.wire().awaitEnd();
+        assertStreamed(decodeCall, client, 1);
         net.assertQuiet();
     }
 
-    /** A late answer to an earlier prefill, on the connection that carries the next one, in the next one's place. */
+    /** A late answer to an earlier prefill, on the connection that carries the next one, in place of its answer. */
     @Test
-    void anEarlierRequestsHandleOnAReusedConnectionIsNotTaken() throws Exception {
+    void anEarlierRequestsKvHandleOnAReusedConnectionIsDiscarded() throws Exception {
         ScriptedServer prefill = net.servers.prefill();
         net.servers.decode();
         Call earlier = null;
         for (String handle : new String[] {"h1", "h2"}) {
-            Wire client = net.ask("/gen/", PROMPT);
-            Call read = net.next();
+            Wire client = net.sendRequest("/gen/", PROMPT);
+            Call prefillCall = net.nextCall();
             if (earlier != null) {
-                assertSame(earlier.wire(), read.wire());
+                assertSame(earlier.wire(), prefillCall.wire());
                 handOver(earlier, "late");
-                read.wire().answer("200 OK", "", "{\"context_handle\":\"nobodys\",\"token_count\":60}");
+                prefillCall.wire().answer("200 OK", "", "{\"context_handle\":\"nobodys\",\"token_count\":60}");
             }
-            handOver(read, handle);
-            Call run = net.next();
-            assertEquals(prefill.addressText() + "/" + handle, run.message().header("Kv-From"));
-            assertStreamed(run, client, 1);
-            earlier = read;
-            net.pass(RESTED_MS);
+            handOver(prefillCall, handle);
+            Call decodeCall = net.nextCall();
+            assertEquals(
+                    prefill.addressText() + "/" + handle, decodeCall.message().header("Kv-From"));
+            assertStreamed(decodeCall, client, 1);
+            earlier = prefillCall;
+            net.pass(REUSABLE_AFTER_MS);
         }
         net.assertQuiet();
     }
 
-    /** The decode server may have taken it: it is given back once and nobody else is told of it. */
+    /** The stalled decode server may have fetched it: it is freed once and sent to no other. */
     @Test
-    void aHandleWhoseRunFallsSilentIsFreedOnceAndNotGivenAgain() throws Exception {
+    void theKvHandleOfAStalledDecodeIsFreedOnceAndNotSentAgain() throws Exception {
         ScriptedServer prefill = net.servers.prefill();
         net.servers.decode();
         net.servers.decode();
-        Wire client = net.ask("/res/", MEDIUM_PROMPT);
-        handOver(net.next(), "h1");
-        Call silent = net.next();
-        assertEquals(prefill.addressText() + "/h1", silent.message().header("Kv-From"));
+        Wire client = net.sendRequest("/res/", MEDIUM_PROMPT);
+        handOver(net.nextCall(), "h1");
+        Call stalled = net.nextCall();
+        assertEquals(prefill.addressText() + "/h1", stalled.message().header("Kv-From"));
         int frees = 0;
-        Call run = net.next();
-        for (; isFree(run); run = net.next()) {
-            assertEquals("/kv-handle/h1", run.message().target());
-            run.wire().answer("200 OK", "", "");
+        Call decodeCall = net.nextCall();
+        for (; isFreeOfKvHandle(decodeCall); decodeCall = net.nextCall()) {
+            assertEquals("/kv-handle/h1", decodeCall.message().target());
+            decodeCall.wire().answer("200 OK", "", "");
             frees++;
         }
-        assertNull(run.message().header("Kv-From"));
-        assertStreamed(run, client, 1);
-        silent.wire().awaitEnd();
+        assertNull(decodeCall.message().header("Kv-From"));
+        assertStreamed(decodeCall, client, 1);
+        stalled.wire().awaitEnd();
         net.awaitNoOpenRequest();
-        Call late = frees == 0 ? net.next() : null; // the free may come behind the run
-        assertTrue(late == null || isFree(late));
+        Call late = frees == 0 ? net.nextCall() : null; // the free may arrive after the decode
+        assertTrue(late == null || isFreeOfKvHandle(late));
         net.assertQuiet();
     }
 
-    /** Half of the request was sent: the decode server may have come for the handle already. */
+    /** A part of the request was sent: the decode server may have fetched the KV handle already. */
     @Test
-    void aHandleOfARunThatBrokeWithinItsRequestIsNotGivenAgain() throws Exception {
+    void theKvHandleOfADecodeThatIsResetWithinItsRequestIsNotSentAgain() throws Exception {
         ScriptedServer prefill = net.servers.prefill();
         try (ScriptedServer raw = ScriptedServer.raw()) {
             net.servers.add(raw, MODEL, "decode");
             Wire client = net.client();
-            client.send(request("/gen/", PROMPT, "x".repeat(LONG_BODY)));
-            handOver(net.next(), "h1");
+            client.send(request("/gen/", PROMPT, "x".repeat(LONG_BODY_BYTES)));
+            handOver(net.nextCall(), "h1");
             Wire wire = raw.nextConnection();
             assertEquals(prefill.addressText() + "/h1", wire.readHead().header("Kv-From"));
             wire.reset();
             assertEquals(502, client.read().status());
-            Call free = net.next();
-            assertTrue(isFree(free));
+            Call free = net.nextCall();
+            assertTrue(isFreeOfKvHandle(free));
             assertEquals("/kv-handle/h1", free.message().target());
             assertEquals(0, raw.connectionsWaiting(), "sent again");
             net.assertQuiet();
         }
     }
 
-    /** The answer to a free bears no id: its connection carries nothing else, before or after. */
+    /** The answer to a free bears no attempt id: its connection carries nothing else, before or after. */
     @Test
-    void theAnswerToAFreeReachesNoOtherRequest() throws Exception {
+    void theAnswerToAFreedKvHandleReachesNoOtherRequest() throws Exception {
         net.servers.prefill();
-        Wire client = net.ask("/gen/", PROMPT); // no decode server is there
-        Call read = net.next();
-        handOver(read, "h1");
-        Call free = net.next();
-        assertTrue(isFree(free));
-        assertNotSame(read.wire(), free.wire());
+        Wire client = net.sendRequest("/gen/", PROMPT); // no decode server is there
+        Call prefillCall = net.nextCall();
+        handOver(prefillCall, "h1");
+        Call free = net.nextCall();
+        assertTrue(isFreeOfKvHandle(free));
+        assertNotSame(prefillCall.wire(), free.wire());
         assertEquals(503, client.read().status());
         free.wire().answer("404 Not Found", "", "gone");
         free.wire().awaitEnd();
-        net.pass(RESTED_MS);
-        Wire next = net.ask("/gen/", PROMPT);
-        Call readNext = net.next();
-        assertNotSame(free.wire(), readNext.wire());
-        handOver(readNext, "h2");
-        assertTrue(isFree(net.next()));
+        net.pass(REUSABLE_AFTER_MS);
+        Wire next = net.sendRequest("/gen/", PROMPT);
+        Call nextPrefill = net.nextCall();
+        assertNotSame(free.wire(), nextPrefill.wire());
+        handOver(nextPrefill, "h2");
+        assertTrue(isFreeOfKvHandle(net.nextCall()));
         assertEquals(503, next.read().status());
         assertFalse(next.hasBytes());
         net.assertQuiet();
