--- a/dataplane/src/test/java/dewplank/dataplane/StreamTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/StreamTest.java
@@ -33,9 +33,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Streams as they come, break, fall silent and are continued. The decode servers read the prompts themselves here. */
+/** Streams that are relayed, break, stall and are resumed. The decode servers prefill the prompts themselves here. */
 class StreamTest {
-    private static final double SILENCE_MS = 800; // a resumable stream is moved after less
+    private static final double PAST_STALL_TIMEOUT_MS = 800; // a stalled resumable stream is resumed after 700 ms
 
     private ForwarderFixture net;
 
@@ -64,11 +64,11 @@
         return BegunStream.begin(net, target, PROMPT);
     }
 
-    // ---- as it comes ----------------------------------------------------------------------------------
+    // ---- relaying ------------------------------------------------------------------------------------
 
-    /** The server holds the second event back until the client has seen the first. */
+    /** The server sends the next event once the client has got the one before. */
     @Test
-    void eachEventIsPassedOnAsItComes() throws Exception {
+    void eachEventIsRelayedAsItArrives() throws Exception {
         net.servers.decode();
         BegunStream stream = begin("/gen/");
         assertEquals("s.1", stream.head().header("X-Dewplank-Server-Seal"));
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void eventsInPiecesArePassedOnWhole() throws Exception {
+    void fragmentedEventsAreRelayedComplete() throws Exception {
         net.servers.decode();
         BegunStream stream = begin("/gen/");
         Wire server = stream.server();
@@ -98,18 +98,18 @@
     }
 
     @Test
-    void aStreamWithALengthOrWithoutIsPassedOnTheSame() throws Exception {
+    void aStreamIsRelayedWithAndWithoutAContentLength() throws Exception {
         net.servers.decode();
-        Wire client = net.ask("/gen/", PROMPT);
-        serve(net.next(), event(1) + event(2));
+        Wire client = net.sendRequest("/gen/", PROMPT);
+        serve(net.nextCall(), event(1) + event(2));
         assertEquals(event(1) + event(2), client.read().body());
-        Wire next = net.ask("/gen/", PROMPT);
-        Call run = net.next();
-        run.wire().send(sealedHead(run, "") + event(1));
-        run.wire().close();
+        Wire next = net.sendRequest("/gen/", PROMPT);
+        Call decodeCall = net.nextCall();
+        decodeCall.wire().send(sealedHead(decodeCall, "") + event(1));
+        decodeCall.wire().close();
         assertEquals(event(1), next.read().body());
-        Wire empty = net.ask("/gen/", PROMPT);
-        serve(net.next(), "");
+        Wire empty = net.sendRequest("/gen/", PROMPT);
+        serve(net.nextCall(), "");
         Wire.Message answer = empty.read();
         assertEquals(200, answer.status());
         assertEquals("", answer.body());
@@ -117,41 +117,42 @@
     }
 
     @Test
-    void aStreamIsFollowedByTheNextRequestOfItsConnection() throws Exception {
+    void aStreamIsFollowedByThePipelinedRequest() throws Exception {
         net.servers.decode();
         net.servers.plain();
         BegunStream stream = begin("/gen/");
         stream.client().send(request("/plain/", "", ""));
         stream.assertEnds();
-        assertServed(net.next(), stream.client(), "plain");
+        assertServed(net.nextCall(), stream.client(), "plain");
         net.assertQuiet();
     }
 
     @Test
-    void anotherRequestsStreamIsPassedOver() throws Exception {
+    void aStreamForAnotherAttemptIdIsDiscarded() throws Exception {
         net.servers.decode();
-        Wire client = net.ask("/gen/", PROMPT);
-        Call run = net.next();
-        run.wire()
+        Wire client = net.sendRequest("/gen/", PROMPT);
+        Call decodeCall = net.nextCall();
+        decodeCall
+                .wire()
                 .send("HTTP/1.1 200 OK\r\nX-Dewplank-Request-Attempt-Id: another\r\n" + SEAL
                         + "Transfer-Encoding: chunked\r\n\r\n");
-        run.wire().chunk("id: 7\ndata: another's\n\n");
-        run.wire().lastChunk();
-        assertStreamed(run, client, 1);
+        decodeCall.wire().chunk("id: 7\ndata: another's\n\n");
+        decodeCall.wire().lastChunk();
+        assertStreamed(decodeCall, client, 1);
         net.assertQuiet();
     }
 
-    // ---- breaks ---------------------------------------------------------------------------------------
+    // ---- breaks and resumption -----------------------------------------------------------------------
 
     @Test
-    void aBrokenStreamIsContinuedBehindItsLastWholeEvent() throws Exception {
+    void aBrokenStreamIsResumedBehindItsLastCompleteEvent() throws Exception {
         net.servers.decode();
         net.servers.decode();
         BegunStream stream = begin("/res/");
         stream.server().chunk(event(2) + "id: 3\ndata: half");
         assertEquals(event(2), stream.client().readChunk());
         stream.server().reset();
-        Call next = net.next();
+        Call next = net.nextCall();
         assertNotSame(stream.decode().server(), next.server());
         assertEquals("2", next.message().header("Last-Event-Id"));
         assertEquals(1, next.message().count("Last-Event-Id"));
@@ -167,10 +168,10 @@
         net.assertQuiet();
     }
 
-    /** Cut, malformed or ended too soon: each is a break. */
+    /** Reset, closed too soon or malformed: each is a break. */
     @ParameterizedTest
     @ValueSource(strings = {"reset", "end", "noise"})
-    void everyKindOfBreakIsContinued(String how) throws Exception {
+    void everyKindOfBreakIsResumed(String how) throws Exception {
         net.servers.decode();
         net.servers.decode();
         net.servers.decode();
@@ -181,33 +182,33 @@
             case "end" -> stream.server().close();
             default -> stream.server().send("noise\r\n");
         }
-        Call next = net.next();
+        Call next = net.nextCall();
         assertEquals("1", next.message().header("Last-Event-Id"), how);
         assertResumed(next, stream.client(), 2);
         net.assertQuiet();
     }
 
     @Test
-    void aStreamThatTheClientContinuesIsContinuedBehindItsEvents() throws Exception {
+    void aStreamThatTheClientResumesIsResumedBehindItsLastEventId() throws Exception {
         net.servers.decode();
         net.servers.decode();
-        Wire client = net.ask("/two/", PROMPT + "Last-Event-Id: 12\r\n");
-        Call first = net.next();
+        Wire client = net.sendRequest("/two/", PROMPT + "Last-Event-Id: 12\r\n");
+        Call first = net.nextCall();
         assertEquals("12", first.message().header("Last-Event-Id"));
         first.wire().reset();
-        Call second = net.next();
+        Call second = net.nextCall();
         assertEquals("12", second.message().header("Last-Event-Id"));
         beginStream(second);
         second.wire().chunk(event(13));
         assertEquals(200, client.readHead().status());
         assertEquals(event(13), client.readChunk());
         second.wire().reset();
-        assertBrokenOff(client); // it comes again with 13
+        assertBrokenOff(client); // it may resume behind 13
         net.assertQuiet();
     }
 
     @Test
-    void aBrokenStreamThatMayNotBeContinuedIsCut() throws Exception {
+    void aBrokenStreamThatIsNotResumableIsBrokenOff() throws Exception {
         net.servers.decode();
         net.servers.decode();
         BegunStream stream = begin("/gen/");
@@ -218,34 +219,34 @@
     }
 
     @Test
-    void aStreamThatEndsInAFailureBeforeItsFirstEventIsRepeatedOnlyWhereAllowed() throws Exception {
+    void aStreamThatBreaksBeforeItsFirstEventIsRetriedOnlyIfResumable() throws Exception {
         net.servers.decode();
         net.servers.decode();
-        Wire resumable = net.ask("/res/", PROMPT);
-        Call first = net.next();
+        Wire resumable = net.sendRequest("/res/", PROMPT);
+        Call first = net.nextCall();
         beginStream(first);
         first.wire().chunk("id: 1\nda");
         first.wire().reset();
-        Call second = net.next();
+        Call second = net.nextCall();
         assertNull(second.message().header("Last-Event-Id"));
         assertStreamed(second, resumable, 1);
-        Wire once = net.ask("/gen/", PROMPT);
-        Call run = net.next();
-        beginStream(run);
-        run.wire().chunk("id: 1\nda");
-        run.wire().reset();
+        Wire once = net.sendRequest("/gen/", PROMPT);
+        Call decodeCall = net.nextCall();
+        beginStream(decodeCall);
+        decodeCall.wire().chunk("id: 1\nda");
+        decodeCall.wire().reset();
         assertEquals(502, once.read().status());
         net.assertQuiet();
     }
 
     @Test
-    void aStreamIsContinuedOnlyWithinTheAttempts() throws Exception {
+    void aStreamIsResumedOnlyWithinMaxAttempts() throws Exception {
         net.servers.decode();
         net.servers.decode();
         net.servers.decode();
         BegunStream stream = begin("/two/");
         stream.server().reset();
-        Call next = net.next();
+        Call next = net.nextCall();
         beginStream(next);
         next.wire().chunk(event(2));
         assertEquals(event(2), stream.client().readChunk());
@@ -255,15 +256,15 @@
     }
 
     @Test
-    void aContinuationThatIsTurnedAwayOrFailsIsTriedElsewhereOrCut() throws Exception {
+    void aRejectedResumptionIsRetriedAndAFailedOneIsBrokenOff() throws Exception {
         net.servers.decode();
         net.servers.decode();
         net.servers.decode();
         BegunStream stream = begin("/res/");
         stream.server().reset();
-        Call second = net.next();
+        Call second = net.nextCall();
         reject(second);
-        Call third = net.next();
+        Call third = net.nextCall();
         assertEquals("1", third.message().header("Last-Event-Id"));
         answer(third, "500 Internal Server Error", SEAL, "broken");
         assertBrokenOff(stream.client());
@@ -271,26 +272,26 @@
     }
 
     @Test
-    void withoutABudgetABrokenStreamIsCut() throws Exception {
-        try (ForwarderFixture poor = new ForwarderFixture(ForwarderFixture.NO_RETRIES)) {
-            poor.routes(routes());
-            poor.servers.decode();
-            poor.servers.decode();
-            BegunStream stream = BegunStream.begin(poor, "/res/", PROMPT);
+    void withoutARetryBudgetABrokenStreamIsBrokenOff() throws Exception {
+        try (ForwarderFixture withoutRetries = new ForwarderFixture(ForwarderFixture.NO_RETRIES)) {
+            withoutRetries.routes(routes());
+            withoutRetries.servers.decode();
+            withoutRetries.servers.decode();
+            BegunStream stream = BegunStream.begin(withoutRetries, "/res/", PROMPT);
             stream.server().reset();
             assertBrokenOff(stream.client());
-            poor.assertQuiet();
+            withoutRetries.assertQuiet();
         }
     }
 
-    // ---- silence --------------------------------------------------------------------------------------
+    // ---- overdue answers and stalls -------------------------------------------------------------------
 
     @Test
-    void aSilentStreamIsMoved() throws Exception {
+    void aStalledStreamIsResumedAtAnotherServer() throws Exception {
         net.servers.decode();
         net.servers.decode();
         BegunStream stream = BegunStream.begin(net, "/res/", PROMPT);
-        Call next = net.next();
+        Call next = net.nextCall();
         stream.server().awaitEnd();
         assertNotSame(stream.decode().server(), next.server());
         assertEquals("1", next.message().header("Last-Event-Id"));
@@ -298,16 +299,16 @@
         net.assertQuiet();
     }
 
-    /** The time that reading the prompt may take is over with the first event. */
+    /** The time allowed for prefill ends with the first event. */
     @Test
-    void aStreamOfALongPromptIsMovedAsSoonOnceItHasBegun() throws Exception {
+    void aStalledStreamOfALongPromptIsResumedAsSoonOnceItHasBegun() throws Exception {
         net.servers.decode();
         net.servers.decode();
         BegunStream stream = begin("/res/");
-        net.pass(2 * SILENCE_MS);
+        net.pass(2 * PAST_STALL_TIMEOUT_MS);
         assertFalse(isInFlight(net, stream), "still waited for");
         stream.server().awaitEnd();
-        assertEquals("1", net.next().message().header("Last-Event-Id"));
+        assertEquals("1", net.nextCall().message().header("Last-Event-Id"));
     }
 
     /** Whether the forwarder has an attempt open at the stream's server: known at once, unlike the connection's end. */
@@ -318,7 +319,7 @@
     }
 
     private void assertIsWaitedFor(ForwarderFixture fleet, BegunStream stream) throws Exception {
-        fleet.pass(SILENCE_MS);
+        fleet.pass(PAST_STALL_TIMEOUT_MS);
         assertTrue(isInFlight(fleet, stream), "the only server that can go on was left");
         assertFalse(stream.server().isEnded(), "the only server that can go on was left");
         stream.server().chunk(event(2));
@@ -329,42 +330,42 @@
     }
 
     @Test
-    void aSilentStreamThatMayNotBeContinuedIsWaitedFor() throws Exception {
+    void aStalledStreamThatIsNotResumableIsWaitedFor() throws Exception {
         net.servers.decode();
         net.servers.decode();
         assertIsWaitedFor(net, BegunStream.begin(net, "/gen/", PROMPT));
     }
 
     @Test
-    void aSilentStreamAtTheLastAttemptIsWaitedFor() throws Exception {
+    void aStalledStreamAtItsLastAttemptIsWaitedFor() throws Exception {
         net.servers.decode();
         net.servers.decode();
         assertIsWaitedFor(net, BegunStream.begin(net, "/last/", PROMPT));
     }
 
-    /** That a server is silent is no reason to end an answer which nobody else can continue. */
+    /** A stall is no reason to cancel a decode that no other server can resume. */
     @Test
-    void aSilentStreamThatNoOtherServerCanContinueIsWaitedFor() throws Exception {
+    void aStalledStreamThatNoOtherServerCanResumeIsWaitedFor() throws Exception {
         net.servers.decode();
         assertIsWaitedFor(net, BegunStream.begin(net, "/res/", PROMPT));
     }
 
     @Test
-    void aSilentStreamIsWaitedForWhereTheBudgetIsSpent() throws Exception {
-        try (ForwarderFixture poor = new ForwarderFixture(ForwarderFixture.NO_RETRIES)) {
-            poor.routes(routes());
-            poor.servers.decode();
-            poor.servers.decode();
-            assertIsWaitedFor(poor, BegunStream.begin(poor, "/res/", PROMPT));
+    void aStalledStreamIsWaitedForWithoutARetryBudget() throws Exception {
+        try (ForwarderFixture withoutRetries = new ForwarderFixture(ForwarderFixture.NO_RETRIES)) {
+            withoutRetries.routes(routes());
+            withoutRetries.servers.decode();
+            withoutRetries.servers.decode();
+            assertIsWaitedFor(withoutRetries, BegunStream.begin(withoutRetries, "/res/", PROMPT));
         }
     }
 
-    // ---- ends -----------------------------------------------------------------------------------------
+    // ---- deadlines and disconnects -------------------------------------------------------------------
 
     /** Where the machine was too slow for an event before the deadline, the request is sent anew. */
     private BegunStream beginBeforeDeadline(String target) throws Exception {
         for (int sends = 0; sends < ForwarderFixture.MAX_SENDS; sends++) {
-            ForwarderFixture.InFlight request = net.askUntilAtServer(target, PROMPT);
+            ForwarderFixture.InFlight request = net.sendUntilAtServer(target, PROMPT);
             try {
                 beginStream(request.call());
                 request.call().wire().chunk(event(1));
@@ -382,7 +383,7 @@
     }
 
     @Test
-    void aStreamAtItsDeadlineIsCutWithoutASecondHead() throws Exception {
+    void aStreamAtItsDeadlineIsBrokenOffWithoutASecondHead() throws Exception {
         net.servers.decode();
         net.servers.decode();
         BegunStream stream = beginBeforeDeadline("/brief/");
@@ -393,7 +394,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"/gen/", "/res/"})
-    void aClientThatLeavesWithinItsStreamEndsIt(String target) throws Exception {
+    void aClientThatDisconnectsWithinItsStreamCancelsIt(String target) throws Exception {
         net.servers.decode();
         net.servers.decode();
         BegunStream stream = begin(target);
@@ -402,9 +403,9 @@
         net.assertQuiet();
     }
 
-    /** The client's end and the server's break are there at once: whichever is looked at first. */
+    /** The client's disconnect and the server's reset arrive at once, handled in either order. */
     @Test
-    void aClientsEndThatMeetsABreakLeavesNothingOpen() throws Exception {
+    void aClientsDisconnectThatMeetsAServersResetLeavesNothingOpen() throws Exception {
         net.servers.decode();
         net.servers.decode();
         BegunStream stream = begin("/res/");
@@ -414,31 +415,31 @@
         });
         net.awaitNoOpenRequest();
         while (!net.servers.calls.isEmpty()) {
-            net.next().wire().awaitEnd();
+            net.nextCall().wire().awaitEnd();
         }
         net.assertQuiet();
     }
 
     @Test
-    void aClientThatLeavesWhileItsStreamIsContinuedEndsThatToo() throws Exception {
+    void aClientThatDisconnectsDuringResumptionCancelsIt() throws Exception {
         net.servers.decode();
         net.servers.decode();
         BegunStream stream = begin("/res/");
         stream.server().reset();
-        Call next = net.next();
+        Call next = net.nextCall();
         stream.client().close();
         next.wire().awaitEnd();
         net.assertQuiet();
     }
 
     @Test
-    void theConnectionOfAStreamThatHasEndedIsUsedAgain() throws Exception {
+    void theConnectionOfACompleteStreamIsReused() throws Exception {
         net.servers.decode();
         BegunStream stream = begin("/gen/");
         stream.assertEnds();
         net.pass(30);
         stream.client().send(request("/gen/", PROMPT, ""));
-        Call next = net.next();
+        Call next = net.nextCall();
         assertSame(stream.server(), next.wire());
     }
 }
--- a/transport/src/test/java/dewplank/exchange/ConnectionPoolTest.java
+++ b/transport/src/test/java/dewplank/exchange/ConnectionPoolTest.java
@@ -23,7 +23,7 @@
     private ScriptedServer server;
 
     /** A connection from both sides. */
-    private record Pair(Connection here, Wire there) {}
+    private record ConnectedPair(Connection client, Wire server) {}
 
     @BeforeEach
     void begin() throws IOException {
@@ -37,7 +37,7 @@
         loop.stop();
     }
 
-    private Pair connect() throws Exception {
+    private ConnectedPair connect() throws Exception {
         CompletableFuture<Connection> up = new CompletableFuture<>();
         loop.execute(() -> Connection.open(
                 loop,
@@ -53,12 +53,12 @@
                 },
                 up::complete,
                 up::completeExceptionally));
-        return new Pair(up.get(Wire.PATIENCE_S, TimeUnit.SECONDS), server.nextConnection());
+        return new ConnectedPair(up.get(Wire.PATIENCE_S, TimeUnit.SECONDS), server.nextConnection());
     }
 
-    private void put(ConnectionPool pool, Pair... pairs) throws Exception {
-        for (Pair p : pairs) {
-            OnLoop.run(loop, () -> pool.put(p.here(), server.address()));
+    private void put(ConnectionPool pool, ConnectedPair... pairs) throws Exception {
+        for (ConnectedPair p : pairs) {
+            OnLoop.run(loop, () -> pool.put(p.client(), server.address()));
         }
     }
 
@@ -67,105 +67,105 @@
     }
 
     @Test
-    void theOneUsedLastIsTakenFirst() throws Exception {
+    void theMostRecentlyUsedConnectionIsTakenFirst() throws Exception {
         ConnectionPool pool = new ConnectionPool(clock, 0, LONG_MS);
-        Pair first = connect();
-        Pair second = connect();
+        ConnectedPair first = connect();
+        ConnectedPair second = connect();
         put(pool, first, second);
-        assertSame(second.here(), take(pool));
-        assertSame(first.here(), take(pool));
+        assertSame(second.client(), take(pool));
+        assertSame(first.client(), take(pool));
         assertNull(take(pool));
     }
 
     @Test
-    void oneThatHasNotRestedIsPassedOver() throws Exception {
+    void aConnectionWithinItsReuseDelayIsSkipped() throws Exception {
         ConnectionPool pool = new ConnectionPool(clock, 200, LONG_MS);
-        Pair rested = connect();
-        put(pool, rested);
+        ConnectedPair reusable = connect();
+        put(pool, reusable);
         clock.advance(200);
-        Pair fresh = connect();
+        ConnectedPair fresh = connect();
         put(pool, fresh);
-        assertSame(rested.here(), take(pool));
+        assertSame(reusable.client(), take(pool));
         assertNull(take(pool));
         assertEquals(1, pool.size());
     }
 
     @Test
-    void oneIdleForTooLongIsClosed() throws Exception {
+    void aConnectionIdleForTooLongIsClosed() throws Exception {
         ConnectionPool pool = new ConnectionPool(clock, 0, 30);
-        Pair old = connect();
+        ConnectedPair old = connect();
         put(pool, old);
         clock.advance(30);
         assertNull(take(pool));
-        old.there().awaitEnd();
+        old.server().awaitEnd();
     }
 
     @Test
-    void oneWhoseServerEndsItSoonIsClosedWhateverItsPlace() throws Exception {
+    void aConnectionPastItsStatedIdleTimeIsClosedWhateverItsPosition() throws Exception {
         ConnectionPool pool = new ConnectionPool(clock, 0, LONG_MS);
-        Pair kept = connect();
-        Pair brief = connect();
-        Pair last = connect();
+        ConnectedPair kept = connect();
+        ConnectedPair brief = connect();
+        ConnectedPair last = connect();
         put(pool, kept);
-        OnLoop.run(loop, () -> pool.put(brief.here(), server.address(), 20));
+        OnLoop.run(loop, () -> pool.put(brief.client(), server.address(), 20));
         put(pool, last);
         clock.advance(20);
         OnLoop.run(loop, pool::closeExpired);
-        brief.there().awaitEnd();
+        brief.server().awaitEnd();
         assertEquals(2, pool.size());
-        assertSame(last.here(), take(pool));
-        assertSame(kept.here(), take(pool));
+        assertSame(last.client(), take(pool));
+        assertSame(kept.client(), take(pool));
     }
 
     @Test
-    void oneToAnAddressThatTheServerHasLeftIsClosed() throws Exception {
+    void aConnectionToAFormerAddressIsClosed() throws Exception {
         ConnectionPool pool = new ConnectionPool(clock, 0, LONG_MS);
-        Pair old = connect();
+        ConnectedPair old = connect();
         put(pool, old);
         try (ScriptedServer elsewhere = new ScriptedServer()) {
             assertNull(OnLoop.get(loop, () -> pool.take(elsewhere.address())));
         }
-        old.there().awaitEnd();
+        old.server().awaitEnd();
         assertEquals(0, pool.size());
     }
 
     @Test
-    void oneThatItsServerEndsOrSpeaksOnIsForgotten() throws Exception {
+    void aConnectionThatItsServerClosesOrWritesToLeavesThePool() throws Exception {
         ConnectionPool pool = new ConnectionPool(clock, 0, LONG_MS);
-        Pair ended = connect();
-        Pair spoken = connect();
+        ConnectedPair ended = connect();
+        ConnectedPair spoken = connect();
         put(pool, ended, spoken);
-        ended.there().close();
+        ended.server().close();
         OnLoop.await(loop, () -> pool.size() == 1);
-        spoken.there().send("HTTP/1.1 408 Request Timeout\r\n\r\n");
-        spoken.there().awaitEnd();
+        spoken.server().send("HTTP/1.1 408 Request Timeout\r\n\r\n");
+        spoken.server().awaitEnd();
         OnLoop.await(loop, () -> pool.size() == 0);
         assertNull(take(pool));
     }
 
     @Test
-    void aClosedPoolKeepsNothing() throws Exception {
+    void aClosedPoolKeepsNoConnection() throws Exception {
         ConnectionPool pool = new ConnectionPool(clock, 0, LONG_MS);
-        Pair idle = connect();
-        Pair used = connect();
+        ConnectedPair idle = connect();
+        ConnectedPair used = connect();
         put(pool, idle);
         OnLoop.run(loop, pool::close);
-        idle.there().awaitEnd();
-        put(pool, used); // its call ends after the server has left
-        used.there().awaitEnd();
+        idle.server().awaitEnd();
+        put(pool, used); // its call ends after the pool was closed
+        used.server().awaitEnd();
         assertEquals(0, pool.size());
     }
 
     @Test
-    void theOldestIsClosedFirst() throws Exception {
+    void theOldestConnectionIsClosedFirst() throws Exception {
         ConnectionPool pool = new ConnectionPool(clock, 0, LONG_MS);
-        Pair first = connect();
-        Pair second = connect();
+        ConnectedPair first = connect();
+        ConnectedPair second = connect();
         put(pool, first, second);
         assertTrue(OnLoop.get(loop, pool::closeOldest));
-        first.there().awaitEnd();
+        first.server().awaitEnd();
         assertTrue(OnLoop.get(loop, pool::closeOldest));
-        second.there().awaitEnd();
+        second.server().awaitEnd();
         assertEquals(false, OnLoop.get(loop, pool::closeOldest));
     }
 }
--- a/transport/src/test/java/dewplank/exchange/InboundConnectionTest.java
+++ b/transport/src/test/java/dewplank/exchange/InboundConnectionTest.java
@@ -23,32 +23,32 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Callers' connections: the caller is a plain socket, and the test answers the requests. */
+/** Inbound connections: the caller is a plain socket, and the test answers the requests. */
 class InboundConnectionTest {
-    private static final int MOST_BODY = 100;
+    private static final int MAX_BODY_BYTES = 100;
 
     private EventLoop loop;
     private Listener listener;
-    private final Scripted service = new Scripted();
+    private final ScriptedService service = new ScriptedService();
     private final BlockingQueue<InboundConnection> connections = new LinkedBlockingQueue<>();
 
-    /** A request that was handed over, and where its answer goes. */
-    private record Handed(InboundConnection.Request request, InboundConnection connection) {
+    /** A request that the service was given, and the connection that its answer goes to. */
+    private record HandledRequest(InboundConnection.Request request, InboundConnection connection) {
         String body() {
             return new String(request.body(), StandardCharsets.ISO_8859_1);
         }
     }
 
-    private static final class Scripted implements InboundConnection.Service {
-        private final BlockingQueue<Handed> handed = new LinkedBlockingQueue<>();
-        private final BlockingQueue<InboundConnection> gone = new LinkedBlockingQueue<>();
-        private final BlockingQueue<InboundConnection> left = new LinkedBlockingQueue<>();
+    private static final class ScriptedService implements InboundConnection.Service {
+        private final BlockingQueue<HandledRequest> handled = new LinkedBlockingQueue<>();
+        private final BlockingQueue<InboundConnection> disconnected = new LinkedBlockingQueue<>();
+        private final BlockingQueue<InboundConnection> closed = new LinkedBlockingQueue<>();
         private volatile boolean closing;
         private volatile boolean fails;
 
         @Override
         public void handle(InboundConnection.Request request, InboundConnection connection) {
-            handed.add(new Handed(request, connection));
+            handled.add(new HandledRequest(request, connection));
             if (fails) {
                 throw new IllegalStateException("as scripted");
             }
@@ -56,12 +56,12 @@
 
         @Override
         public void callerGone(InboundConnection connection) {
-            gone.add(connection);
+            disconnected.add(connection);
         }
 
         @Override
         public void connectionEnded(InboundConnection connection) {
-            left.add(connection);
+            closed.add(connection);
         }
 
         @Override
@@ -71,11 +71,11 @@
 
         @Override
         public int maxBodyBytes() {
-            return MOST_BODY;
+            return MAX_BODY_BYTES;
         }
 
-        Handed next() throws InterruptedException {
-            Handed next = handed.poll(Wire.PATIENCE_S, TimeUnit.SECONDS);
+        HandledRequest next() throws InterruptedException {
+            HandledRequest next = handled.poll(Wire.PATIENCE_S, TimeUnit.SECONDS);
             assertNotNull(next, "no request was handed over");
             return next;
         }
@@ -112,13 +112,13 @@
                 + body;
     }
 
-    private void answer(Handed handed, int status, String body) throws Exception {
-        OnLoop.run(loop, () -> handed.connection()
+    private void answer(HandledRequest handled, int status, String body) throws Exception {
+        OnLoop.run(loop, () -> handled.connection()
                 .answer(status, List.of(new Headers.Field("Own", "x")), body.getBytes(StandardCharsets.ISO_8859_1)));
     }
 
-    private void onLoop(Handed handed, java.util.function.Consumer<InboundConnection> step) throws Exception {
-        OnLoop.run(loop, () -> step.accept(handed.connection()));
+    private void onLoop(HandledRequest handled, java.util.function.Consumer<InboundConnection> step) throws Exception {
+        OnLoop.run(loop, () -> step.accept(handled.connection()));
     }
 
     private static byte[] bytes(String text) {
@@ -128,43 +128,43 @@
     // ---- requests and answers -------------------------------------------------------------------------
 
     @Test
-    void aRequestIsHandedOverWholeAndAnswered() throws Exception {
+    void aCompleteRequestIsHandledAndAnswered() throws Exception {
         Wire caller = caller();
         caller.send("PUT /a/b?c=d HTTP/1.1\r\nHost: h\r\nX: 1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n");
         caller.send("4\r\n two\r\n0\r\n\r\n");
-        Handed handed = service.next();
-        assertEquals("PUT", handed.request().method());
-        assertEquals("/a/b?c=d", handed.request().target());
-        assertEquals("1", handed.request().headers().get("x"));
-        assertEquals("one two", handed.body());
-        assertTrue(OnLoop.get(loop, handed.connection()::isBusy));
-        answer(handed, 200, "answer");
+        HandledRequest handled = service.next();
+        assertEquals("PUT", handled.request().method());
+        assertEquals("/a/b?c=d", handled.request().target());
+        assertEquals("1", handled.request().headers().get("x"));
+        assertEquals("one two", handled.body());
+        assertTrue(OnLoop.get(loop, handled.connection()::isBusy));
+        answer(handled, 200, "answer");
         Wire.Message answer = caller.read();
         assertEquals("HTTP/1.1 200 OK", answer.startLine());
         assertEquals("x", answer.header("Own"));
         assertEquals("answer", answer.body());
         assertNull(answer.header("Connection"));
-        assertTrue(handed.connection().hasAnswered());
-        assertFalse(handed.connection().isBusy());
+        assertTrue(handled.connection().hasAnswered());
+        assertFalse(handled.connection().isBusy());
     }
 
     @Test
-    void requestsSentAheadAreHandedOverOneByOne() throws Exception {
+    void pipelinedRequestsAreHandledOneByOne() throws Exception {
         Wire caller = caller();
         caller.send(request("/1", "", "a") + request("/2", "", "b") + request("/3", "", "c"));
         for (String n : List.of("1", "2", "3")) {
-            Handed handed = service.next();
-            assertEquals("/" + n, handed.request().target());
+            HandledRequest handled = service.next();
+            assertEquals("/" + n, handled.request().target());
             OnLoop.run(loop, () -> {});
-            assertTrue(service.handed.isEmpty(), "the next one waits for this one's answer");
-            answer(handed, 200, n);
+            assertTrue(service.handled.isEmpty(), "the next one waits for this one's answer");
+            answer(handled, 200, n);
             assertEquals(n, caller.read().body());
         }
     }
 
     /** A caller takes the answer to a HEAD to end with its head: a body would stand where its next answer is due. */
     @Test
-    void anAnswerToAHeadHasNoBodyAndTheNextAnswerFollows() throws Exception {
+    void theAnswerToAHeadRequestHasNoBodyAndTheNextAnswerFollows() throws Exception {
         Wire caller = caller();
         caller.send("HEAD /1 HTTP/1.1\r\nHost: h\r\n\r\n" + request("/2", "", ""));
         answer(service.next(), 200, "not for a HEAD");
@@ -176,11 +176,11 @@
     }
 
     @Test
-    void aStreamedAnswerToAHeadHasNoBodyEither() throws Exception {
+    void aStreamedAnswerToAHeadRequestHasNoBody() throws Exception {
         Wire caller = caller();
         caller.send("HEAD /1 HTTP/1.1\r\nHost: h\r\n\r\n" + request("/2", "", ""));
-        Handed handed = service.next();
-        onLoop(handed, c -> {
+        HandledRequest handled = service.next();
+        onLoop(handled, c -> {
             c.beginAnswer(200, List.of());
             c.writePart(bytes("event"));
             c.endAnswer();
@@ -206,20 +206,20 @@
     }
 
     @Test
-    void aCallerThatHoldsItsBodyBackIsToldToGoOnOnce() throws Exception {
+    void expect100ContinueIsAnsweredOnce() throws Exception {
         Wire caller = caller();
         caller.send("POST / HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n");
         assertEquals(100, caller.readHead().status());
         caller.send("ab");
         caller.send("cd");
-        Handed handed = service.next();
-        assertEquals("abcd", handed.body());
-        answer(handed, 200, "");
+        HandledRequest handled = service.next();
+        assertEquals("abcd", handled.body());
+        answer(handled, 200, "");
         assertEquals(200, caller.read().status());
     }
 
     @Test
-    void theLastRequestOfACallerIsTheLastOfItsConnection() throws Exception {
+    void aRequestWithConnectionCloseIsTheLastOfItsConnection() throws Exception {
         for (String fields : List.of("Connection: close\r\n", "Connection: Close, x\r\n")) {
             Wire caller = caller();
             caller.send(request("/", fields, "") + request("/ahead", "", ""));
@@ -227,55 +227,55 @@
             Wire.Message answer = caller.read();
             assertEquals("close", answer.header("Connection"));
             assertNull(caller.read());
-            assertNotNull(service.left.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
+            assertNotNull(service.closed.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
         }
-        assertTrue(service.handed.isEmpty(), "what follows is not looked at");
+        assertTrue(service.handled.isEmpty(), "what follows is not looked at");
     }
 
     @Test
-    void anAnswerOfAServiceThatClosesIsTheLast() throws Exception {
+    void aClosingServicesAnswerIsTheLastOfItsConnection() throws Exception {
         Wire caller = caller();
         caller.send(request("/", "", ""));
-        Handed handed = service.next();
+        HandledRequest handled = service.next();
         service.closing = true;
-        answer(handed, 200, "1");
+        answer(handled, 200, "1");
         assertEquals("close", caller.read().header("Connection"));
         assertNull(caller.read());
     }
 
     @Test
-    void aServiceThatFailsIsAnsweredFor() throws Exception {
+    void aServiceThatThrowsIsAnswered500() throws Exception {
         service.fails = true;
         Wire caller = caller();
         caller.send(request("/", "", ""));
         assertEquals(500, caller.read().status());
         assertNull(caller.read());
-        assertNotNull(service.gone.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
+        assertNotNull(service.disconnected.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
     }
 
     // ---- malformed and too long -----------------------------------------------------------------------
 
     @Test
-    void aBodyOverTheBoundIsRefusedAndItsConnectionEnds() throws Exception {
-        String tooLong = "x".repeat(MOST_BODY + 1);
+    void aBodyOverMaxBodyBytesIsAnswered413AndItsConnectionClosed() throws Exception {
+        String tooLong = "x".repeat(MAX_BODY_BYTES + 1);
         for (String message : List.of(
                 request("/", "", tooLong),
                 request("/", "Expect: 100-continue\r\n", tooLong).replace(tooLong, ""),
-                "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(MOST_BODY) + "\r\n"
-                        + "x".repeat(MOST_BODY) + "\r\n1\r\nx\r\n0\r\n\r\n")) {
+                "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(MAX_BODY_BYTES) + "\r\n"
+                        + "x".repeat(MAX_BODY_BYTES) + "\r\n1\r\nx\r\n0\r\n\r\n")) {
             Wire caller = caller();
             caller.send(message);
             assertEquals(413, caller.read().status());
             assertNull(caller.read());
         }
-        assertTrue(service.handed.isEmpty());
+        assertTrue(service.handled.isEmpty());
         Wire caller = caller();
-        caller.send(request("/", "", "x".repeat(MOST_BODY)));
-        assertEquals(MOST_BODY, service.next().body().length());
+        caller.send(request("/", "", "x".repeat(MAX_BODY_BYTES)));
+        assertEquals(MAX_BODY_BYTES, service.next().body().length());
     }
 
     @Test
-    void aMalformedRequestIsRefusedAndItsConnectionEnds() throws Exception {
+    void aMalformedRequestIsAnswered400AndItsConnectionClosed() throws Exception {
         for (String message : List.of(
                 "what?\r\n\r\n",
                 "GET http://h/ HTTP/1.1\r\n\r\n",
@@ -288,24 +288,24 @@
             assertEquals(400, caller.read().status(), message);
             assertNull(caller.read());
         }
-        assertTrue(service.handed.isEmpty(), "nothing is read behind what can't be read");
-        assertTrue(service.gone.isEmpty(), "nothing was handed over");
+        assertTrue(service.handled.isEmpty(), "nothing is read behind what can't be read");
+        assertTrue(service.disconnected.isEmpty(), "nothing was handed over");
     }
 
-    /** What comes behind a request can't be read: its answer is out by then, whole. */
+    /** The bytes behind a request are malformed: its answer is sent before, complete. */
     @Test
-    void noiseBehindARequestEndsTheConnectionAfterItsAnswer() throws Exception {
+    void malformedBytesBehindARequestCloseTheConnectionAfterItsAnswer() throws Exception {
         Wire caller = caller();
         caller.send(request("/", "", "") + "what?\r\n\r\n");
         answer(service.next(), 200, "own");
         assertEquals("own", caller.read().body());
         assertEquals(400, caller.read().status());
         assertNull(caller.read());
-        assertTrue(service.gone.isEmpty());
+        assertTrue(service.disconnected.isEmpty());
     }
 
     @Test
-    void halfARequestThatTakesTooLongIsRefused() throws Exception {
+    void aPartialRequestThatTimesOutIsAnswered408() throws Exception {
         Wire caller = caller();
         InboundConnection connection = accepted();
         caller.send("POST / HTTP/1.1\r\nContent-Length: 4\r\n\r\nab");
@@ -313,68 +313,68 @@
         OnLoop.run(loop, connection::timeOut);
         assertEquals(408, caller.read().status());
         assertNull(caller.read());
-        assertTrue(service.handed.isEmpty());
+        assertTrue(service.handled.isEmpty());
     }
 
     @Test
-    void aConnectionWithoutARequestIsGivenUpWithoutAWord() throws Exception {
+    void anIdleConnectionThatTimesOutIsClosedWithoutAnAnswer() throws Exception {
         Wire caller = caller();
         InboundConnection connection = accepted();
         OnLoop.run(loop, connection::timeOut);
         assertNull(caller.read());
-        assertNotNull(service.left.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
+        assertNotNull(service.closed.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
     }
 
     @Test
-    void aConnectionThatRestsIsGivenUpOnceItHasRestedLongEnough() throws Exception {
+    void theIdleTimeoutCountsFromTheLastAnswer() throws Exception {
         Wire caller = caller();
         InboundConnection connection = accepted();
         OnLoop.run(loop, () -> connection.timeOutAfter(60_000));
         caller.send(request("/", "", ""));
-        Handed handed = service.next();
+        HandledRequest handled = service.next();
         OnLoop.pass(loop, 20);
-        onLoop(handed, c -> c.timeOutAfter(0));
-        answer(handed, 200, "still served");
+        onLoop(handled, c -> c.timeOutAfter(0));
+        answer(handled, 200, "still served");
         assertEquals("still served", caller.read().body());
         OnLoop.pass(loop, 20);
         OnLoop.run(loop, () -> connection.timeOutAfter(10));
         assertNull(caller.read());
-        assertNotNull(service.left.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
+        assertNotNull(service.closed.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
     }
 
-    // ---- callers that leave ---------------------------------------------------------------------------
+    // ---- disconnects ---------------------------------------------------------------------------------
 
     @Test
-    void aCallerThatLeavesBeforeItsAnswerIsToldOfOnce() throws Exception {
+    void aDisconnectBeforeTheAnswerIsReportedOnce() throws Exception {
         Wire caller = caller();
         caller.send(request("/", "", ""));
-        Handed handed = service.next();
+        HandledRequest handled = service.next();
         caller.close();
-        assertEquals(handed.connection(), service.gone.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
-        assertNotNull(service.left.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
-        answer(handed, 200, "too late"); // harmless
-        onLoop(handed, c -> c.beginAnswer(200, List.of()));
-        onLoop(handed, c -> c.writePart(bytes("too late")));
-        onLoop(handed, InboundConnection::endAnswer);
-        assertTrue(service.gone.isEmpty());
+        assertEquals(handled.connection(), service.disconnected.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
+        assertNotNull(service.closed.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
+        answer(handled, 200, "too late"); // harmless
+        onLoop(handled, c -> c.beginAnswer(200, List.of()));
+        onLoop(handled, c -> c.writePart(bytes("too late")));
+        onLoop(handled, InboundConnection::endAnswer);
+        assertTrue(service.disconnected.isEmpty());
     }
 
     @Test
-    void aCallerThatLeavesWithinItsAnswerIsToldOf() throws Exception {
+    void aDisconnectWithinTheAnswerIsReported() throws Exception {
         Wire caller = caller();
         caller.send(request("/", "", ""));
-        Handed handed = service.next();
-        onLoop(handed, c -> c.beginAnswer(200, List.of()));
-        onLoop(handed, c -> c.writePart(bytes("one")));
+        HandledRequest handled = service.next();
+        onLoop(handled, c -> c.beginAnswer(200, List.of()));
+        onLoop(handled, c -> c.writePart(bytes("one")));
         caller.readHead();
         assertEquals("one", caller.readChunk());
         caller.reset();
-        assertEquals(handed.connection(), service.gone.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
+        assertEquals(handled.connection(), service.disconnected.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
     }
 
-    /** The end lies right behind the request: the request is not handed over. */
+    /** The caller's close is right behind the request: the request is not handled. */
     @Test
-    void aRequestWhoseCallerHasLeftIsNotHandedOver() throws Exception {
+    void aRequestOfADisconnectedClientIsNotHandled() throws Exception {
         Wire caller = caller();
         InboundConnection connection = accepted();
         OnLoop.run(loop, () -> {
@@ -384,47 +384,47 @@
         OnLoop.await(loop, connection::isClosed);
         OnLoop.run(loop, () -> {});
         OnLoop.run(loop, () -> {});
-        assertTrue(service.handed.isEmpty());
-        assertTrue(service.gone.isEmpty());
-        assertNotNull(service.left.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(service.handled.isEmpty());
+        assertTrue(service.disconnected.isEmpty());
+        assertNotNull(service.closed.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
     }
 
     @Test
-    void aCallerThatLeavesBehindRequestsSentAheadIsToldOf() throws Exception {
+    void aDisconnectBehindPipelinedRequestsIsReported() throws Exception {
         Wire caller = caller();
         caller.send(request("/1", "", "") + request("/2", "", "x".repeat(50)) + request("/3", "", ""));
-        Handed handed = service.next();
+        HandledRequest handled = service.next();
         caller.close();
-        assertEquals(handed.connection(), service.gone.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
+        assertEquals(handled.connection(), service.disconnected.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
         OnLoop.run(loop, () -> {});
-        assertTrue(service.handed.isEmpty());
+        assertTrue(service.handled.isEmpty());
     }
 
     @Test
-    void aCallerThatLeavesInTheMiddleOfItsRequestLeavesNothing() throws Exception {
+    void aDisconnectWithinARequestLeavesNothing() throws Exception {
         Wire caller = caller();
         InboundConnection connection = accepted();
         caller.send("POST / HTTP/1.1\r\nContent-Length: 4\r\n\r\nab");
         OnLoop.await(loop, connection::isHalfRead);
         caller.close();
-        assertNotNull(service.left.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
-        assertTrue(service.gone.isEmpty());
-        assertTrue(service.handed.isEmpty());
+        assertNotNull(service.closed.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(service.disconnected.isEmpty());
+        assertTrue(service.handled.isEmpty());
     }
 
     @Test
-    void aCallerThatSendsTooMuchAheadLosesItsRequest() throws Exception {
+    void readAheadOverTheBoundFailsTheRequest() throws Exception {
         Wire caller = caller();
         caller.send(request("/", "", ""));
-        Handed handed = service.next();
+        HandledRequest handled = service.next();
         caller.send("x".repeat(80 * 1024));
         assertEquals(400, caller.read().status());
-        assertEquals(handed.connection(), service.gone.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
+        assertEquals(handled.connection(), service.disconnected.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
     }
 
-    /** The flood is seen after the request was taken and before it is handed over. */
+    /** The read-ahead bound is exceeded after the request was parsed and before it is handled. */
     @Test
-    void aRequestThatWasRefusedForAFloodIsNotHandedOver() throws Exception {
+    void aRequestFailedForReadAheadIsNotHandled() throws Exception {
         Wire caller = caller();
         InboundConnection connection = accepted();
         OnLoop.run(loop, () -> {
@@ -434,59 +434,59 @@
         assertEquals(400, caller.read().status());
         OnLoop.run(loop, () -> {});
         OnLoop.run(loop, () -> {});
-        assertTrue(service.handed.isEmpty(), "a request that has its answer must not run");
+        assertTrue(service.handled.isEmpty(), "a request that has its answer must not run");
     }
 
     // ---- streams --------------------------------------------------------------------------------------
 
     @Test
-    void aStreamIsFollowedByTheNextRequestOfItsConnection() throws Exception {
+    void aStreamIsFollowedByThePipelinedRequest() throws Exception {
         Wire caller = caller();
         caller.send(request("/1", "", "") + request("/2", "", ""));
-        Handed handed = service.next();
-        onLoop(handed, c -> c.beginAnswer(200, List.of(new Headers.Field("Own", "x"))));
+        HandledRequest handled = service.next();
+        onLoop(handled, c -> c.beginAnswer(200, List.of(new Headers.Field("Own", "x"))));
         Wire.Message head = caller.readHead();
         assertEquals("chunked", head.header("Transfer-Encoding"));
         assertNull(head.header("Content-Length"));
         assertEquals("x", head.header("Own"));
-        onLoop(handed, c -> c.writePart(bytes("one")));
+        onLoop(handled, c -> c.writePart(bytes("one")));
         assertEquals("one", caller.readChunk());
-        onLoop(handed, c -> c.writePart(bytes(""))); // must not look like the end
-        onLoop(handed, c -> c.writePart(bytes("two".repeat(10))));
+        onLoop(handled, c -> c.writePart(bytes(""))); // must not look like the end
+        onLoop(handled, c -> c.writePart(bytes("two".repeat(10))));
         assertEquals("two".repeat(10), caller.readChunk());
-        assertTrue(service.handed.isEmpty());
-        onLoop(handed, InboundConnection::endAnswer);
+        assertTrue(service.handled.isEmpty());
+        onLoop(handled, InboundConnection::endAnswer);
         assertEquals("", caller.readChunk());
-        Handed next = service.next();
+        HandledRequest next = service.next();
         assertEquals("/2", next.request().target());
         answer(next, 200, "plain");
         assertEquals("plain", caller.read().body());
     }
 
     @Test
-    void aStreamOfACallerThatIsDoneIsTheLastOfItsConnection() throws Exception {
+    void aStreamWithConnectionCloseIsTheLastOfItsConnection() throws Exception {
         Wire caller = caller();
         caller.send(request("/", "Connection: close\r\n", ""));
-        Handed handed = service.next();
-        onLoop(handed, c -> c.beginAnswer(200, List.of()));
+        HandledRequest handled = service.next();
+        onLoop(handled, c -> c.beginAnswer(200, List.of()));
         assertEquals("close", caller.readHead().header("Connection"));
-        onLoop(handed, c -> c.writePart(bytes("one")));
-        onLoop(handed, InboundConnection::endAnswer);
+        onLoop(handled, c -> c.writePart(bytes("one")));
+        onLoop(handled, InboundConnection::endAnswer);
         assertEquals("one", caller.readChunk());
         assertEquals("", caller.readChunk());
         assertNull(caller.read());
     }
 
-    /** What a head has promised holds, whatever has begun since. */
+    /** The head has said that the connection persists; that holds although the service is closing. */
     @Test
-    void aStreamThatBeganBeforeTheServiceClosesKeepsItsWord() throws Exception {
+    void aStreamThatBeganBeforeTheServiceClosesKeepsItsConnection() throws Exception {
         Wire caller = caller();
         caller.send(request("/1", "", ""));
-        Handed handed = service.next();
-        onLoop(handed, c -> c.beginAnswer(200, List.of()));
+        HandledRequest handled = service.next();
+        onLoop(handled, c -> c.beginAnswer(200, List.of()));
         assertNull(caller.readHead().header("Connection"));
         service.closing = true;
-        onLoop(handed, InboundConnection::endAnswer);
+        onLoop(handled, InboundConnection::endAnswer);
         assertEquals("", caller.readChunk());
         caller.send(request("/2", "", ""));
         answer(service.next(), 200, "");
@@ -494,17 +494,17 @@
     }
 
     @Test
-    void anAnswerThatIsBrokenOffNeverLooksWhole() throws Exception {
+    void anAbortedAnswerNeverLooksComplete() throws Exception {
         Wire caller = caller();
         caller.send(request("/1", "", "") + request("/2", "", ""));
-        Handed handed = service.next();
-        onLoop(handed, c -> {
+        HandledRequest handled = service.next();
+        onLoop(handled, c -> {
             c.beginAnswer(200, List.of());
             c.writePart(bytes("one"));
         });
         caller.readHead();
         assertEquals("one", caller.readChunk());
-        onLoop(handed, InboundConnection::abort);
+        onLoop(handled, InboundConnection::abort);
         boolean cut = false;
         try {
             caller.readChunk();
@@ -512,19 +512,19 @@
             cut = true;
         }
         assertTrue(cut);
-        assertNotNull(service.left.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
+        assertNotNull(service.closed.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
         OnLoop.run(loop, () -> {});
-        assertTrue(service.handed.isEmpty(), "what was sent ahead is not taken any more");
-        assertTrue(service.gone.isEmpty(), "whoever broke it off knows");
+        assertTrue(service.handled.isEmpty(), "what was sent ahead is not taken any more");
+        assertTrue(service.disconnected.isEmpty(), "whoever broke it off knows");
     }
 
-    /** All in one task: the pieces lie unwritten when the connection ends. */
+    /** All in one task: the chunks are unwritten when the connection is aborted. */
     @Test
-    void anAnswerThatIsBrokenOffAtOnceNeverLooksWhole() throws Exception {
+    void anAnswerThatIsAbortedAtOnceNeverLooksComplete() throws Exception {
         Wire caller = caller();
         caller.send(request("/", "", ""));
-        Handed handed = service.next();
-        onLoop(handed, c -> {
+        HandledRequest handled = service.next();
+        onLoop(handled, c -> {
             c.beginAnswer(200, List.of());
             c.writePart(bytes("one"));
             c.abort();
@@ -535,35 +535,35 @@
     }
 
     @Test
-    void aFloodWithinAStreamBreaksItOff() throws Exception {
+    void readAheadOverTheBoundAbortsAStream() throws Exception {
         Wire caller = caller();
         caller.send(request("/", "", ""));
-        Handed handed = service.next();
-        onLoop(handed, c -> c.beginAnswer(200, List.of()));
+        HandledRequest handled = service.next();
+        onLoop(handled, c -> c.beginAnswer(200, List.of()));
         caller.send("x".repeat(80 * 1024));
-        assertEquals(handed.connection(), service.gone.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
+        assertEquals(handled.connection(), service.disconnected.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
         String all = caller.readToEnd();
         assertFalse(all.endsWith("0\r\n\r\n"));
         assertEquals(all.lastIndexOf("HTTP/1.1 "), all.indexOf("HTTP/1.1 "), "no second status line");
     }
 
-    // ---- ends -----------------------------------------------------------------------------------------
+    // ---- closing -------------------------------------------------------------------------------------
 
     @Test
-    void aRestingConnectionEndsWithoutAWord() throws Exception {
+    void anIdleConnectionIsClosedWithoutAnAnswer() throws Exception {
         Wire caller = caller();
         caller.send(request("/", "", ""));
-        Handed handed = service.next();
-        onLoop(handed, c -> c.endIfIdle(true)); // busy: it stays
-        answer(handed, 200, "");
+        HandledRequest handled = service.next();
+        onLoop(handled, c -> c.endIfIdle(true)); // busy: it stays
+        answer(handled, 200, "");
         assertEquals(200, caller.read().status());
-        onLoop(handed, c -> c.endIfIdle(false));
+        onLoop(handled, c -> c.endIfIdle(false));
         assertNull(caller.read());
     }
 
-    /** The request lies unread when its connection is ended: it is neither taken nor answered by a reset. */
+    /** The request is unread when its connection is closed: it is neither handled nor answered by a reset. */
     @Test
-    void aRequestThatCrossesItsConnectionsEndIsLeftToItsCaller() throws Exception {
+    void aRequestThatMeetsItsConnectionsCloseIsNotHandled() throws Exception {
         Wire caller = caller();
         InboundConnection connection = accepted();
         OnLoop.run(loop, () -> {
@@ -572,11 +572,11 @@
         });
         assertNull(caller.read());
         OnLoop.run(loop, () -> {});
-        assertTrue(service.handed.isEmpty());
+        assertTrue(service.handled.isEmpty());
     }
 
     @Test
-    void halfARequestKeepsItsConnectionUnlessItIsGivenUp() throws Exception {
+    void aPartialRequestKeepsItsConnectionUnlessForced() throws Exception {
         Wire caller = caller();
         InboundConnection connection = accepted();
         caller.send("POST / HTTP/1.1\r\nContent-Length: 4\r\n\r\nab");
@@ -591,6 +591,6 @@
         OnLoop.run(loop, () -> connection.endIfIdle(true));
         caller.send("cd");
         assertNull(caller.read());
-        assertTrue(service.handed.isEmpty());
+        assertTrue(service.handled.isEmpty());
     }
 }
--- a/transport/src/test/java/dewplank/exchange/OnLoop.java
+++ b/transport/src/test/java/dewplank/exchange/OnLoop.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
-/** What a test does on the loop's thread, and what it waits for there. */
+/** Runs steps of a test on the loop's thread, and waits for conditions there. */
 public final class OnLoop {
     private OnLoop() {}
 
@@ -15,7 +15,7 @@
         void run() throws Exception;
     }
 
-    /** What the task gives on the loop's thread. */
+    /** The task's result on the loop's thread. */
     public static <T> T get(EventLoop loop, Callable<T> task) throws Exception {
         CompletableFuture<T> done = new CompletableFuture<>();
         loop.execute(() -> {
@@ -36,7 +36,7 @@
         });
     }
 
-    /** Waits until that is so; it is looked at anew at each tick of the loop. */
+    /** Waits until the condition holds; it is evaluated at each tick of the loop. */
     public static void await(EventLoop loop, Callable<Boolean> reached) throws Exception {
         CompletableFuture<Void> done = new CompletableFuture<>();
         loop.execute(() -> look(loop, reached, done));
--- a/transport/src/test/java/dewplank/exchange/ScriptedServer.java
+++ b/transport/src/test/java/dewplank/exchange/ScriptedServer.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A server whose answers the test gives: it takes connections, reads requests from them and puts both in line. */
+/** A server whose answers the test gives: it accepts connections, reads requests from them and queues both. */
 public final class ScriptedServer implements Closeable {
     /** Null where connections are refused. */
     private final ServerSocket listener;
@@ -29,15 +29,15 @@
     private final List<Wire> wires = new ArrayList<>();
     private final Thread accepting;
 
-    /** A whole request, the connection that brought it and the server that got it. */
+    /** A complete request, the connection that brought it and the server that got it. */
     public record Call(ScriptedServer server, Wire wire, Wire.Message message) {}
 
-    /** A server with a line of calls of its own. */
+    /** A server with its own queue of calls. */
     public ScriptedServer() throws IOException {
         this(new LinkedBlockingQueue<>());
     }
 
-    /** A server that puts its calls in a line which others may use too. */
+    /** A server that puts its calls into a queue which others may share. */
     public ScriptedServer(BlockingQueue<Call> calls) throws IOException {
         this(calls, true, 50);
         open.countDown();
@@ -146,7 +146,7 @@
         return next(calls);
     }
 
-    /** The next request in that line. */
+    /** The next request of that queue. */
     public static Call next(BlockingQueue<Call> calls) throws InterruptedException {
         Call call = calls.poll(Wire.PATIENCE_S, TimeUnit.SECONDS);
         if (call == null) {
@@ -164,7 +164,7 @@
         return wire;
     }
 
-    /** Connections that were accepted, of which {@link #nextConnection} has not told yet. */
+    /** Connections that were accepted and not yet taken by {@link #nextConnection}. */
     public int connectionsWaiting() {
         return accepted.size();
     }
--- a/transport/src/test/java/dewplank/exchange/Wire.java
+++ b/transport/src/test/java/dewplank/exchange/Wire.java
@@ -23,7 +23,7 @@
     private final InputStream in;
     private final CountDownLatch ended = new CountDownLatch(1);
 
-    /** A message: its first line, its fields and its whole body. */
+    /** A message: its first line, its fields and its complete body. */
     public record Message(String startLine, List<String> fields, String body) {
         /** The field's value, or null. */
         public String header(String name) {
@@ -90,7 +90,7 @@
         send("0\r\n\r\n");
     }
 
-    /** The next whole message, or null where the other side has ended the connection before its first byte. */
+    /** The next complete message, or null where the other side has ended the connection before its first byte. */
     public Message read() throws IOException {
         Message head = readHead();
         if (head == null) {
@@ -128,7 +128,7 @@
         return new Message(start, fields, "");
     }
 
-    /** The next chunk; empty where the body is whole. */
+    /** The next chunk; empty where the body is complete. */
     public String readChunk() throws IOException {
         String size = readLine();
         if (size == null) {
@@ -185,7 +185,7 @@
         return all.toString(StandardCharsets.ISO_8859_1);
     }
 
-    /** Notes that nothing more comes; whoever reads the connection in the background calls it. */
+    /** Records that nothing more arrives; called by the thread that reads the connection in the background. */
     void hasEnded() {
         ended.countDown();
     }
--- a/transport/src/test/java/dewplank/http/ParserTest.java
+++ b/transport/src/test/java/dewplank/http/ParserTest.java
@@ -23,7 +23,7 @@
     }
 
     @Test
-    public void aRequestByteByByteIsWholeAtItsLastByteOnly() throws BadMessageException {
+    public void aRequestIsCompleteAtItsLastByteOnly() throws BadMessageException {
         for (String body : List.of(
                 "Content-Length: 3\r\n\r\nabc",
                 "Transfer-Encoding: chunked\r\n\r\n1\r\na\r\n2;x=y\r\nbc\r\n0\r\nT: 1\r\n\r\n")) {
@@ -78,7 +78,7 @@
 
     /** Noise may never bring a line end: waiting for one would use up the request's time. */
     @Test
-    public void noiseIsToldFromAResponseAtOnce() throws BadMessageException {
+    public void aMalformedResponseIsDetectedAtOnce() throws BadMessageException {
         for (String noise : new String[] {"x", "HTTP/2", "\u0000\u0001"}) {
             assertThrows(BadMessageException.class, () -> new ResponseParser(100).feed(bytes(noise)));
         }
@@ -86,7 +86,7 @@
     }
 
     @Test
-    public void aResponseCutOffIsNotWhole() throws BadMessageException {
+    public void aTruncatedResponseIsNotComplete() throws BadMessageException {
         ResponseParser parser = new ResponseParser(100);
         assertFalse(parser.feed(bytes("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc")));
         assertFalse(parser.endOfInput());
--- a/transport/src/test/java/dewplank/net/ConnectionTest.java
+++ b/transport/src/test/java/dewplank/net/ConnectionTest.java
@@ -23,11 +23,11 @@
     private static final int PATIENCE_S = 20;
 
     /**
-     * The system's poller reads on a thread of its own. What it reads while a handler looks at bytes that were left
+     * The system's poller reads on a separate thread. What it reads while a handler looks at bytes that were left
      * unread must not fall among them: the handler waits here until that read is done.
      */
     @Test
-    public void bytesThatComeWhileEarlierOnesAreLookedAtDoNotFallAmongThem() throws Exception {
+    public void bytesReadDuringAHandlerDoNotMixWithUnreadOnes() throws Exception {
         EventLoop loop = new EventLoop();
         BlockingQueue<String> seen = new LinkedBlockingQueue<>();
         try (ServerSocket listener = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
@@ -39,7 +39,7 @@
 
                 @Override
                 public void received(ByteBuffer bytes) {
-                    if (++calls == 1) { // not now: they stay unread, and a read is pending behind them
+                    if (++calls == 1) { // the bytes stay unread, and a read is pending behind them
                         seen.add("left");
                         return;
                     }
@@ -76,9 +76,9 @@
         }
     }
 
-    /** Whoever asked is owed an end: an exception would leave its attempt out for good. */
+    /** The failure is reported to the callback: an exception would leave the attempt open for good. */
     @Test
-    public void anAddressThatCannotBeConnectedToFails() throws Exception {
+    public void anUnresolvedAddressFails() throws Exception {
         EventLoop loop = new EventLoop();
         try {
             CompletableFuture<IOException> failure = new CompletableFuture<>();
--- a/transport/src/test/java/dewplank/net/EventLoopTest.java
+++ b/transport/src/test/java/dewplank/net/EventLoopTest.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.Test;
 
-/** The probe behind the design: everything runs on the loop's one thread, without a lock. */
+/** Everything runs on the loop's one thread, without a lock. */
 public class EventLoopTest {
     private final Set<String> threads = ConcurrentHashMap.newKeySet();
     private final CountDownLatch ends = new CountDownLatch(2);
--- a/transport/src/test/java/dewplank/net/TimerWheelTest.java
+++ b/transport/src/test/java/dewplank/net/TimerWheelTest.java
@@ -25,7 +25,7 @@
     }
 
     @Test
-    public void aTimerFurtherThanOneTurnOfTheWheelWaits() {
+    public void aTimerBeyondOneTurnOfTheWheelWaits() {
         wheel.add(1_000 + 3 * 512 * 5, () -> ran.add("late"));
         runAt(1_000 + 3 * 512 * 5 - 1);
         assertEquals(List.of(), ran);
