--- a/dataplane/src/test/java/dewplank/dataplane/CallCrossingTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/CallCrossingTest.java
@@ -204,8 +204,7 @@
 
     @Test
     void aResetAfterTheRequestWasReadFailsAnUnsafeRequest() throws Exception {
-        net.servers.plain();
-        net.servers.plain();
+        net.servers.plainServers(2);
         IdleConnection idle = idleConnection("/once/");
         idle.client().send(request("/once/", "", ""));
         net.nextCall().wire().reset();
@@ -252,8 +251,7 @@
 
     @Test
     void anInterimAnswerDoesNotMeanThatTheRequestDidNotRun() throws Exception {
-        net.servers.plain();
-        net.servers.plain();
+        net.servers.plainServers(2);
         Wire client = net.sendRequest("/once/");
         Call call = net.nextCall();
         call.wire().send("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 102 Processing\r\n" + idOf(call) + "\r\n");
@@ -266,8 +264,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"/safe/", "/once/"})
     void anAnswerWithoutALengthIsCompleteAtEndOfStreamAndTruncatedAtAReset(String target) throws Exception {
-        net.servers.plain();
-        net.servers.plain();
+        net.servers.plainServers(2);
         for (boolean complete : new boolean[] {true, false}) {
             Wire client = net.sendRequest(target);
             Call call = net.nextCall();
@@ -356,7 +353,7 @@
             net.servers.add(raw, PLAIN, null);
             Wire client = sendLongRequest("/half/"); // its time counts from its first byte
             for (int sends = 1; !reaches(raw, client); sends++) { // it came in after its deadline
-                assertTrue(sends < ForwarderFixture.MAX_SENDS, "no server is asked");
+                assertTrue(sends < ForwarderFixture.MAX_SENDS, "no request reached the server");
                 assertRejected(client.read());
                 client = sendLongRequest("/half/");
             }
@@ -419,8 +416,7 @@
     /** An overdue attempt is cancelled when the request is retried: its connection closes, its answer is discarded. */
     @Test
     void theAnswerToACancelledAttemptIsDiscarded() throws Exception {
-        net.servers.plain();
-        net.servers.plain();
+        net.servers.plainServers(2);
         net.openIdleConnections("/once/");
         Wire client = net.sendRequest("/quick/");
         Call first = net.nextCall();
@@ -436,8 +432,7 @@
     /** The answer is overdue and arrives, at once: one of the two servers' answers, once, and two attempts at most. */
     @Test
     void anOverdueTimerThatMeetsTheAnswerGivesOneAnswer() throws Exception {
-        net.servers.plain();
-        net.servers.plain();
+        net.servers.plainServers(2);
         net.openIdleConnections("/once/");
         Wire client = net.sendRequest("/quick/");
         Call first = net.nextCall();
@@ -454,9 +449,7 @@
     /** The answer is overdue and the connection is reset, at once: one retry, not two. */
     @Test
     void anOverdueTimerThatMeetsAResetGivesOneRetry() throws Exception {
-        net.servers.plain();
-        net.servers.plain();
-        net.servers.plain();
+        net.servers.plainServers(3);
         net.openIdleConnections("/once/");
         Wire client = net.sendRequest("/quick/");
         Call first = net.nextCall();
@@ -470,8 +463,7 @@
 
     @Test
     void anUnsafeRequestIsNotRetriedAfterADelayedClose() throws Exception {
-        net.servers.plain();
-        net.servers.plain();
+        net.servers.plainServers(2);
         Wire client = net.sendRequest("/once/");
         Call call = net.nextCall();
         net.pass(REUSABLE_AFTER_MS);
@@ -502,8 +494,7 @@
     /** Pipelined requests: the outcome of one does not touch the next one's answer. */
     @Test
     void pipelinedRequestsGetTheirOwnAnswersBehindAFailure() throws Exception {
-        net.servers.plain();
-        net.servers.plain();
+        net.servers.plainServers(2);
         Wire client = net.client();
         client.send(request("/once/1", "", "")
                 + request("/safe/2", "", "")
--- a/dataplane/src/test/java/dewplank/dataplane/FleetMetadataTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/FleetMetadataTest.java
@@ -213,8 +213,7 @@
     @Test
     void aStreamIsResumedUnderTheConfigurationItBeganWith() throws Exception {
         net.routes(streamingRoute("gen", 2).asResumable());
-        net.servers.decode();
-        net.servers.decode();
+        net.servers.decodeServers(2);
         BegunStream stream = BegunStream.begin(net, "/gen/", PROMPT);
         net.routes(streamingRoute("gen", 1));
         stream.server().reset();
--- a/dataplane/src/test/java/dewplank/dataplane/GenerationTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/GenerationTest.java
@@ -297,8 +297,7 @@
 
     @Test
     void aRejectedPrefillGoesToAnotherServer() throws Exception {
-        net.servers.prefill();
-        net.servers.prefill();
+        net.servers.prefillServers(2);
         net.servers.decode();
         Wire client = net.sendRequest("/gen/", PROMPT);
         Call full = net.nextCall();
@@ -334,7 +333,7 @@
         Wire client = net.sendRequest("/gen/", SHORT_PROMPT);
         Call prefillCall = net.nextCall();
         for (int sends = 1; prefillCall.server() == decode; sends++) { // the connection was not up in time
-            assertTrue(sends < ForwarderFixture.MAX_SENDS, "no prefill server is asked");
+            assertTrue(sends < ForwarderFixture.MAX_SENDS, "no request was prefilled");
             assertStreamsToEnd(prefillCall, client);
             client = net.sendRequest("/gen/", SHORT_PROMPT);
             prefillCall = net.nextCall();
@@ -361,7 +360,7 @@
         Wire client = net.sendRequest("/paced/", prompt("aa:2000,c0:2000"));
         Call prefillCall = net.nextCall();
         Call decodeCall = net.nextCall();
-        assertTrue(System.nanoTime() - sentAt >= 1_500_000_000L, "given away when it was overdue");
+        assertTrue(System.nanoTime() - sentAt >= 1_500_000_000L, "decoded as soon as it was overdue");
         prefillCall.wire().awaitEnd();
         assertSame(decode, decodeCall.server());
         assertIsDecode(decodeCall, null);
@@ -433,8 +432,7 @@
     @Test
     void aKvHandleIsSentToOneDecodeServerOnly() throws Exception {
         ScriptedServer prefill = net.servers.prefill();
-        net.servers.decode();
-        net.servers.decode();
+        net.servers.decodeServers(2);
         Wire client = net.sendRequest("/gen/", PROMPT);
         handOver(net.nextCall(), "h1");
         Call first = net.nextCall();
@@ -449,8 +447,7 @@
     @Test
     void aResumedStreamDoesNotSendItsKvHandleAgain() throws Exception {
         ScriptedServer prefill = net.servers.prefill();
-        net.servers.decode();
-        net.servers.decode();
+        net.servers.decodeServers(2);
         Wire client = net.sendRequest("/res/", PROMPT);
         handOver(net.nextCall(), "h1");
         Call first = net.nextCall();
@@ -567,9 +564,7 @@
 
     @Test
     void aRejectedDecodeIsRetriedWithinMaxAttempts() throws Exception {
-        net.servers.decode();
-        net.servers.decode();
-        net.servers.decode();
+        net.servers.decodeServers(3);
         Wire client = net.sendRequest("/two/", PROMPT);
         Call first = net.nextCall();
         reject(first);
@@ -586,8 +581,7 @@
     void withoutARetryBudgetARejectedDecodeIsRejected() throws Exception {
         try (ForwarderFixture withoutRetries = new ForwarderFixture(ForwarderFixture.NO_RETRIES)) {
             withoutRetries.routes(routes());
-            withoutRetries.servers.decode();
-            withoutRetries.servers.decode();
+            withoutRetries.servers.decodeServers(2);
             Wire client = withoutRetries.sendRequest("/gen/", PROMPT);
             reject(withoutRetries.nextCall());
             assertEquals(503, client.read().status());
@@ -626,8 +620,7 @@
 
     @Test
     void aMisdirectedDecodeIsRetriedAtAnotherServer() throws Exception {
-        net.servers.decode();
-        net.servers.decode();
+        net.servers.decodeServers(2);
         Wire client = net.sendRequest("/gen/", PROMPT);
         Call first = net.nextCall();
         answer(first, "421 Misdirected Request", "", "");
@@ -639,8 +632,7 @@
 
     @Test
     void aDecodeThatIsResetBeforeItsStreamIsNotRetried() throws Exception {
-        net.servers.decode();
-        net.servers.decode();
+        net.servers.decodeServers(2);
         Wire client = net.sendRequest("/gen/", PROMPT);
         net.nextCall().wire().reset();
         assertEquals(502, client.read().status());
--- a/dataplane/src/test/java/dewplank/dataplane/PlainRouteTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/PlainRouteTest.java
@@ -1,6 +1,7 @@
 package dewplank.dataplane;
 
 import static dewplank.dataplane.ClientRequests.HOST;
+import static dewplank.dataplane.ClientRequests.headOfTwoByteBody;
 import static dewplank.dataplane.ClientRequests.request;
 import static dewplank.dataplane.Expectations.assertRejected;
 import static dewplank.dataplane.Expectations.assertServed;
@@ -132,8 +133,7 @@
 
     @Test
     void aSafeRequestIsRetriedAtAnotherServerAfterAServerFailure() throws Exception {
-        net.servers.plain();
-        net.servers.plain();
+        net.servers.plainServers(2);
         Wire client = net.sendRequest("/safe/");
         Call first = net.nextCall();
         answer(first, "500 Internal Server Error", SEAL, "broken");
@@ -149,8 +149,7 @@
 
     @Test
     void theLastAttemptsFailureIsRelayed() throws Exception {
-        net.servers.plain();
-        net.servers.plain();
+        net.servers.plainServers(2);
         Wire client = net.sendRequest("/two/");
         answer(net.nextCall(), "500 Internal Server Error", SEAL, "first");
         answer(net.nextCall(), "500 Internal Server Error", SEAL, "second");
@@ -193,8 +192,7 @@
 
     @Test
     void aSuccessWithoutASealIsAFailure() throws Exception {
-        net.servers.plain();
-        net.servers.plain();
+        net.servers.plainServers(2);
         Wire client = net.sendRequest("/safe/");
         answer(net.nextCall(), "200 OK", "", "forged");
         assertServed(net.nextCall(), client, "own");
@@ -206,8 +204,7 @@
 
     @Test
     void aSuccessWithAContentEncodingIsAFailure() throws Exception {
-        net.servers.plain();
-        net.servers.plain();
+        net.servers.plainServers(2);
         Wire client = net.sendRequest("/safe/");
         answer(net.nextCall(), "200 OK", SEAL + "Content-Encoding: gzip\r\n", "packed");
         assertServed(net.nextCall(), client, "own");
@@ -272,8 +269,7 @@
 
     @Test
     void aSafeRequestIsRetriedAfterAReset() throws Exception {
-        net.servers.plain();
-        net.servers.plain();
+        net.servers.plainServers(2);
         Wire client = net.sendRequest("/safe/");
         Call first = net.nextCall();
         first.wire().reset();
@@ -285,8 +281,7 @@
 
     @Test
     void aSafeRequestIsRetriedWhenItsAnswerIsOverdue() throws Exception {
-        net.servers.plain();
-        net.servers.plain();
+        net.servers.plainServers(2);
         net.openIdleConnections("/once/");
         Wire client = net.sendRequest("/quick/");
         Call first = net.nextCall();
@@ -300,8 +295,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"/safe/", "/once/"})
     void aRejectedRequestIsRetriedAtAnotherServer(String target) throws Exception {
-        net.servers.plain();
-        net.servers.plain();
+        net.servers.plainServers(2);
         Wire client = net.sendRequest(target);
         Call first = net.nextCall();
         reject(first);
@@ -313,8 +307,7 @@
 
     @Test
     void aMisdirectedRequestIsRetriedAtAnotherServer() throws Exception {
-        net.servers.plain();
-        net.servers.plain();
+        net.servers.plainServers(2);
         Wire client = net.sendRequest("/once/");
         Call first = net.nextCall();
         answer(first, "421 Misdirected Request", "", "");
@@ -326,8 +319,7 @@
 
     @Test
     void anUnsafeRequestIsNotRetriedAfterAReset() throws Exception {
-        net.servers.plain();
-        net.servers.plain();
+        net.servers.plainServers(2);
         Wire client = net.sendRequest("/once/");
         net.nextCall().wire().reset();
         assertEquals(502, client.read().status());
@@ -336,8 +328,7 @@
 
     @Test
     void anUnsafeRequestIsNotRetriedAfterAMalformedAnswerOrAnUnmarkedFailure() throws Exception {
-        net.servers.plain();
-        net.servers.plain();
+        net.servers.plainServers(2);
         Wire noise = net.sendRequest("/once/");
         net.nextCall().wire().send("what?\r\n");
         assertEquals(502, noise.read().status());
@@ -353,8 +344,7 @@
 
     @Test
     void anUnsafeRequestThatEveryServerRejectsIsRejected() throws Exception {
-        net.servers.plain();
-        net.servers.plain();
+        net.servers.plainServers(2);
         Wire client = net.sendRequest("/once/");
         reject(net.nextCall());
         reject(net.nextCall());
@@ -368,8 +358,7 @@
 
     @Test
     void anUnsafeRequestThatMayHaveRunIsNeverRejected() throws Exception {
-        net.servers.plain();
-        net.servers.plain();
+        net.servers.plainServers(2);
         Wire client = net.sendRequest("/once/");
         reject(net.nextCall());
         net.nextCall().wire().reset();
@@ -401,9 +390,7 @@
 
     @Test
     void attemptsAreBoundedByTheRoutesMaxAttempts() throws Exception {
-        net.servers.plain();
-        net.servers.plain();
-        net.servers.plain();
+        net.servers.plainServers(3);
         Wire client = net.sendRequest("/two/");
         net.nextCall().wire().reset();
         net.nextCall().wire().reset();
@@ -473,8 +460,7 @@
     void withoutARetryBudgetNothingIsRetried() throws Exception {
         try (ForwarderFixture withoutRetries = new ForwarderFixture(ForwarderFixture.NO_RETRIES)) {
             withoutRetries.routes(safeRoute("safe", 3), unsafeRoute("once", 3));
-            withoutRetries.servers.plain();
-            withoutRetries.servers.plain();
+            withoutRetries.servers.plainServers(2);
             Wire broken = withoutRetries.sendRequest("/safe/");
             withoutRetries.nextCall().wire().reset();
             assertEquals(502, broken.read().status());
@@ -490,8 +476,7 @@
     void withoutARetryBudgetAnOverdueAnswerIsWaitedFor() throws Exception {
         try (ForwarderFixture withoutRetries = new ForwarderFixture(ForwarderFixture.NO_RETRIES)) {
             withoutRetries.routes(safeRoute("quick", 3).withTargetLatency(20));
-            withoutRetries.servers.plain();
-            withoutRetries.servers.plain();
+            withoutRetries.servers.plainServers(2);
             Wire client = withoutRetries.sendRequest("/quick/");
             Call call = withoutRetries.nextCall();
             withoutRetries.pass(OVERDUE_TARGET_FACTOR * 20 + 30);
@@ -507,9 +492,7 @@
     void retriesAreBoundedByTheRetryBudget() throws Exception {
         try (ForwarderFixture withFewRetries = new ForwarderFixture(new RetryBudgets.Limits(0.5, 600_000, 5))) {
             withFewRetries.routes(safeRoute("safe", 2));
-            withFewRetries.servers.plain();
-            withFewRetries.servers.plain();
-            withFewRetries.servers.plain();
+            withFewRetries.servers.plainServers(3);
             int sends = 0;
             for (int i = 0; i < 6; i++) {
                 Wire client = withFewRetries.sendRequest("/safe/");
@@ -534,8 +517,7 @@
     void theBudgetsSlackIsUnusedUntilTheFleetsSizeIsStable() throws Exception {
         try (ForwarderFixture alone = new ForwarderFixture(new RetryBudgets.Limits(0, 600_000, 1_000))) {
             alone.routes(safeRoute("safe", 2));
-            alone.servers.plain();
-            alone.servers.plain();
+            alone.servers.plainServers(2);
             Member peer = new Member("edge-1", Member.DATA, "127.0.0.1:1", ScriptedFleet.ZONE, 1);
             for (List<Member> told : List.of(List.<Member>of(), List.of(peer))) {
                 OnLoop.run(alone.loop, () -> {
@@ -552,11 +534,6 @@
 
     // ---- deadlines ------------------------------------------------------------------------------------
 
-    private static String half(String target, int remainingMs) {
-        return "POST " + target + " HTTP/1.1\r\nHost: " + HOST + "\r\nX-Dewplank-Remaining-Time-Ms: " + remainingMs
-                + "\r\nContent-Length: 2\r\n\r\n";
-    }
-
     private void awaitHalfRead() throws Exception {
         OnLoop.await(net.loop, () -> net.forwarder.connections().stream().anyMatch(c -> c.isHeadRead()));
     }
@@ -566,7 +543,7 @@
     void theDeadlineCountsFromTheFirstByte() throws Exception {
         net.servers.plain();
         Wire client = net.client();
-        client.send(half("/once/", 4_000));
+        client.send(headOfTwoByteBody("/once/", 4_000));
         awaitHalfRead();
         net.pass(300);
         client.send("hi");
@@ -581,7 +558,7 @@
     void aRequestThatIsCompleteAfterItsDeadlineIsRejectedAtOnce() throws Exception {
         net.servers.plain();
         Wire client = net.client();
-        client.send(half("/brief/", 9_000));
+        client.send(headOfTwoByteBody("/brief/", 9_000));
         awaitHalfRead();
         net.pass(160);
         client.send("hi");
@@ -594,7 +571,7 @@
     void aMalformedRemainingTimeCountsAsAbsent(String odd) throws Exception {
         net.servers.plain();
         Wire client = net.client();
-        client.send(request("/once/", "", "hi").replace("Time-Ms: 9000", "Time-Ms: " + odd));
+        client.send(request("/once/", "", odd, "hi"));
         Call call = net.nextCall();
         int remainingMs = Integer.parseInt(call.message().header("X-Dewplank-Remaining-Time-Ms"));
         assertTrue(remainingMs > 0 && remainingMs < 8_000, "handed " + remainingMs);
@@ -605,8 +582,7 @@
     /** Never more than remains; the later attempt has less. */
     @Test
     void aRetryCarriesTheRemainingTimeOfItsOwnStart() throws Exception {
-        net.servers.plain();
-        net.servers.plain();
+        net.servers.plainServers(2);
         Wire client = net.sendRequest("/safe/");
         Call first = net.nextCall();
         net.pass(200);
@@ -674,8 +650,7 @@
     /** The client's disconnect and the server's reset arrive at once, handled in either order. */
     @Test
     void aClientsDisconnectThatMeetsAServersResetLeavesNothingOpen() throws Exception {
-        net.servers.plain();
-        net.servers.plain();
+        net.servers.plainServers(2);
         Wire client = net.sendRequest("/safe/");
         Call call = net.nextCall();
         OnLoop.run(net.loop, () -> {
--- a/dataplane/src/test/java/dewplank/dataplane/ScriptedFleet.java
+++ b/dataplane/src/test/java/dewplank/dataplane/ScriptedFleet.java
@@ -51,6 +51,27 @@
         return server(TestConfiguration.MODEL, "decode");
     }
 
+    /** So many new servers of the plain service. */
+    void plainServers(int count) throws Exception {
+        for (int i = 0; i < count; i++) {
+            plain();
+        }
+    }
+
+    /** So many new prefill servers. */
+    void prefillServers(int count) throws Exception {
+        for (int i = 0; i < count; i++) {
+            prefill();
+        }
+    }
+
+    /** So many new decode servers. */
+    void decodeServers(int count) throws Exception {
+        for (int i = 0; i < count; i++) {
+            decode();
+        }
+    }
+
     ScriptedServer server(String service, String stage) throws Exception {
         return add(new ScriptedServer(calls), service, stage);
     }
--- a/dataplane/src/test/java/dewplank/dataplane/SessionClientTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/SessionClientTest.java
@@ -33,6 +33,7 @@
 import java.net.ServerSocket;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -66,9 +67,7 @@
 
     @Test
     void aSessionOpensWithItsMemberAndHeartbeatsCarryTheVersionsInForce() throws Exception {
-        FakeControlPlane control = net.controlPlane();
-        net.start(control);
-        Session session = control.session();
+        Session session = net.startSession();
         assertEquals(SELF, session.open().member);
         SessionHeartbeat first = session.heartbeat();
         assertEquals(0, first.configurationVersion);
@@ -91,9 +90,7 @@
 
     @Test
     void absentSectionsOfAnUpdateChangeNothing() throws Exception {
-        FakeControlPlane control = net.controlPlane();
-        net.start(control);
-        Session session = control.session();
+        Session session = net.startSession();
         session.send(complete(configuration(7, safeRoute("r", 1))));
         session.heartbeatWithVersion(7);
         session.send(endpoints(endpointList(FIRST_LIST), null));
@@ -106,9 +103,7 @@
 
     @Test
     void aDeltaLeadsToTheNextVersion() throws Exception {
-        FakeControlPlane control = net.controlPlane();
-        net.start(control);
-        Session session = control.session();
+        Session session = net.startSession();
         Configuration first = configuration(7, safeRoute("a", 1), safeRoute("b", 1));
         Configuration second = configuration(8, safeRoute("b", 1), unsafeRoute("c", 2));
         session.send(complete(first));
@@ -187,20 +182,23 @@
         assertEquals(2, OnLoop.get(net.loop, net.client::openSessions));
     }
 
-    // ---- which control sidecars -----------------------------------------------------------------------
+    // ---- which control planes -------------------------------------------------------------------------
+
+    private static long countWithSession(FakeControlPlane... controlPlanes) {
+        return Arrays.stream(controlPlanes)
+                .filter(c -> !c.hasNoFurtherSession())
+                .count();
+    }
 
     @Test
     void twoSessionsAreKeptOpenWithDifferentControlPlanes() throws Exception {
         FakeControlPlane[] three = {net.controlPlane(), net.controlPlane(), net.controlPlane()};
         net.start(three);
         net.awaitOpenSessions(2);
+        OnLoop.await(net.loop, () -> countWithSession(three) == 2); // a control plane's thread may be behind
         net.pass(400); // more than a heartbeat interval
         assertEquals(2, OnLoop.get(net.loop, net.client::openSessions));
-        int used = 0;
-        for (FakeControlPlane control : three) {
-            used += control.hasNoFurtherSession() ? 0 : 1;
-        }
-        assertEquals(2, used, "with different control sidecars");
+        assertEquals(2, countWithSession(three), "with different control planes");
     }
 
     @Test
@@ -234,12 +232,7 @@
                 new ArrayList<>(List.of(net.controlPlane(), net.controlPlane(), net.controlPlane()));
         net.start(used.toArray(FakeControlPlane[]::new));
         net.awaitOpenSessions(2);
-        OnLoop.await(
-                net.loop,
-                () -> used.stream()
-                                .filter(FakeControlPlane::hasNoFurtherSession)
-                                .count()
-                        == 1);
+        OnLoop.await(net.loop, () -> countWithSession(used.toArray(FakeControlPlane[]::new)) == 2);
         FakeControlPlane third = used.stream()
                 .filter(FakeControlPlane::hasNoFurtherSession)
                 .findFirst()
@@ -278,7 +271,7 @@
         replaced.awaitEnd();
         assertEquals(SELF, third.session().open().member);
         net.pass(700);
-        assertTrue(partitioned.hasNoFurtherSession(), "it is let be for a while");
+        assertTrue(partitioned.hasNoFurtherSession(), "it is not in backoff");
         assertFalse(remaining.isEnded());
     }
 
@@ -294,7 +287,7 @@
         net.addSeeds(net.controlPlane());
         long first = replaced.heartbeat().sequence;
         for (int acks = 0; !replaced.isEnded(); acks++) {
-            assertTrue(acks < 60, "it is kept by answers to its first question");
+            assertTrue(acks < 60, "it is kept open by acks of its first heartbeat");
             replaced.sendIfOpen(new HeartbeatAck(first, true, List.of()));
             net.pass(100);
         }
--- a/dataplane/src/test/java/dewplank/dataplane/SessionFixture.java
+++ b/dataplane/src/test/java/dewplank/dataplane/SessionFixture.java
@@ -56,6 +56,13 @@
         });
     }
 
+    /** Starts the client with one control plane as its seed; the session that it opens there. */
+    FakeControlPlane.Session startSession() throws Exception {
+        FakeControlPlane seed = controlPlane();
+        start(seed);
+        return seed.session();
+    }
+
     private void setSeeds(FakeControlPlane... seeds) {
         for (FakeControlPlane seed : seeds) {
             client.setSeeds(List.of(seed.address()));
--- a/dataplane/src/test/java/dewplank/dataplane/StreamCrossingTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/StreamCrossingTest.java
@@ -79,8 +79,7 @@
     /** The end was sent before the reset; whichever is handled, no event is missing or duplicated. */
     @Test
     void anEndOfStreamThatMeetsAResetIsCompleteOrResumed() throws Exception {
-        net.servers.decode();
-        net.servers.decode();
+        net.servers.decodeServers(2);
         BegunStream stream = begin("/res/");
         OnLoop.run(net.loop, () -> {
             stream.server().chunk(event(2));
@@ -111,8 +110,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"/gen/", "/res/"})
     void aResetAfterACompleteStreamHasNoEffect(String target) throws Exception {
-        net.servers.decode();
-        net.servers.decode();
+        net.servers.decodeServers(2);
         BegunStream stream = begin(target);
         stream.assertEnds();
         stream.server().reset();
@@ -123,8 +121,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"/gen/", "/res/"})
     void aCloseWithinAnEventIsABreak(String target) throws Exception {
-        net.servers.decode();
-        net.servers.decode();
+        net.servers.decodeServers(2);
         Wire client = net.sendRequest(target, PROMPT);
         Call decodeCall = net.nextCall();
         decodeCall.wire().send(sealedHead(decodeCall, "") + event(1) + "id: 2\ndata: half");
@@ -144,8 +141,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"/gen/", "/res/"})
     void aCloseBeforeTheFirstEventIsABreak(String target) throws Exception {
-        net.servers.decode();
-        net.servers.decode();
+        net.servers.decodeServers(2);
         Wire client = net.sendRequest(target, PROMPT);
         Call decodeCall = net.nextCall();
         decodeCall.wire().send(sealedHead(decodeCall, ""));
@@ -163,8 +159,7 @@
     /** Without an event id the position to resume at is unknown: relayed events would be duplicated. */
     @Test
     void aStreamIsNotResumedBehindAnEventWithoutAnId() throws Exception {
-        net.servers.decode();
-        net.servers.decode();
+        net.servers.decodeServers(2);
         Wire client = net.sendRequest("/res/", PROMPT);
         Call decodeCall = net.nextCall();
         beginStream(decodeCall);
@@ -192,8 +187,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"/gen/", "/res/"})
     void anAnswerMarkedNotExecutedIsNotRelayed(String target) throws Exception {
-        net.servers.decode();
-        net.servers.decode();
+        net.servers.decodeServers(2);
         Wire client = net.sendRequest(target, PROMPT);
         Call first = net.nextCall();
         answer(first, "200 OK", SEAL + NOT_EXECUTED, "id: 7\ndata: not run\n\n");
@@ -257,8 +251,7 @@
     /** The stream is resumed elsewhere and its first server sends on: no event is duplicated. */
     @Test
     void eventsOfAStalledServerAreDiscardedAfterResumption() throws Exception {
-        net.servers.decode();
-        net.servers.decode();
+        net.servers.decodeServers(2);
         BegunStream stream = BegunStream.begin(net, "/res/", PROMPT);
         Call next = net.nextCall();
         stream.server().awaitEnd();
@@ -270,8 +263,7 @@
     /** The stall time-out passes and the event arrives, at once: event 2 is relayed once, from one of the servers. */
     @Test
     void anEventThatMeetsTheStallTimeoutIsRelayedOnce() throws Exception {
-        net.servers.decode();
-        net.servers.decode();
+        net.servers.decodeServers(2);
         BegunStream stream = BegunStream.begin(net, "/res/", PROMPT);
         net.runBeforePause(PAST_STALL_TIMEOUT_MS, () -> {
             try {
@@ -311,7 +303,7 @@
         Wire client = net.sendRequest(target, SHORT_PROMPT);
         Call prefillCall = net.nextCall();
         for (int sends = 1; prefillCall.server() != prefill; sends++) { // the connection was not up in time
-            assertTrue(sends < ForwarderFixture.MAX_SENDS, "no prefill server is asked");
+            assertTrue(sends < ForwarderFixture.MAX_SENDS, "no request was prefilled");
             assertStreamed(prefillCall, client, 1);
             client = net.sendRequest(target, SHORT_PROMPT);
             prefillCall = net.nextCall();
@@ -370,8 +362,7 @@
     @Test
     void theKvHandleOfAStalledDecodeIsFreedOnceAndNotSentAgain() throws Exception {
         ScriptedServer prefill = net.servers.prefill();
-        net.servers.decode();
-        net.servers.decode();
+        net.servers.decodeServers(2);
         Wire client = net.sendRequest("/res/", MEDIUM_PROMPT);
         handOver(net.nextCall(), "h1");
         Call stalled = net.nextCall();
--- a/dataplane/src/test/java/dewplank/dataplane/StreamTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/StreamTest.java
@@ -146,8 +146,7 @@
 
     @Test
     void aBrokenStreamIsResumedBehindItsLastCompleteEvent() throws Exception {
-        net.servers.decode();
-        net.servers.decode();
+        net.servers.decodeServers(2);
         BegunStream stream = begin("/res/");
         stream.server().chunk(event(2) + "id: 3\ndata: half");
         assertEquals(event(2), stream.client().readChunk());
@@ -172,10 +171,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"reset", "end", "noise"})
     void everyKindOfBreakIsResumed(String how) throws Exception {
-        net.servers.decode();
-        net.servers.decode();
-        net.servers.decode();
-        net.servers.decode();
+        net.servers.decodeServers(4);
         BegunStream stream = begin("/res/");
         switch (how) {
             case "reset" -> stream.server().reset();
@@ -190,8 +186,7 @@
 
     @Test
     void aStreamThatTheClientResumesIsResumedBehindItsLastEventId() throws Exception {
-        net.servers.decode();
-        net.servers.decode();
+        net.servers.decodeServers(2);
         Wire client = net.sendRequest("/two/", PROMPT + "Last-Event-Id: 12\r\n");
         Call first = net.nextCall();
         assertEquals("12", first.message().header("Last-Event-Id"));
@@ -209,8 +204,7 @@
 
     @Test
     void aBrokenStreamThatIsNotResumableIsBrokenOff() throws Exception {
-        net.servers.decode();
-        net.servers.decode();
+        net.servers.decodeServers(2);
         BegunStream stream = begin("/gen/");
         stream.server().chunk("id: 2\ndata: half");
         stream.server().reset();
@@ -220,8 +214,7 @@
 
     @Test
     void aStreamThatBreaksBeforeItsFirstEventIsRetriedOnlyIfResumable() throws Exception {
-        net.servers.decode();
-        net.servers.decode();
+        net.servers.decodeServers(2);
         Wire resumable = net.sendRequest("/res/", PROMPT);
         Call first = net.nextCall();
         beginStream(first);
@@ -241,9 +234,7 @@
 
     @Test
     void aStreamIsResumedOnlyWithinMaxAttempts() throws Exception {
-        net.servers.decode();
-        net.servers.decode();
-        net.servers.decode();
+        net.servers.decodeServers(3);
         BegunStream stream = begin("/two/");
         stream.server().reset();
         Call next = net.nextCall();
@@ -257,9 +248,7 @@
 
     @Test
     void aRejectedResumptionIsRetriedAndAFailedOneIsBrokenOff() throws Exception {
-        net.servers.decode();
-        net.servers.decode();
-        net.servers.decode();
+        net.servers.decodeServers(3);
         BegunStream stream = begin("/res/");
         stream.server().reset();
         Call second = net.nextCall();
@@ -275,8 +264,7 @@
     void withoutARetryBudgetABrokenStreamIsBrokenOff() throws Exception {
         try (ForwarderFixture withoutRetries = new ForwarderFixture(ForwarderFixture.NO_RETRIES)) {
             withoutRetries.routes(routes());
-            withoutRetries.servers.decode();
-            withoutRetries.servers.decode();
+            withoutRetries.servers.decodeServers(2);
             BegunStream stream = BegunStream.begin(withoutRetries, "/res/", PROMPT);
             stream.server().reset();
             assertBrokenOff(stream.client());
@@ -288,8 +276,7 @@
 
     @Test
     void aStalledStreamIsResumedAtAnotherServer() throws Exception {
-        net.servers.decode();
-        net.servers.decode();
+        net.servers.decodeServers(2);
         BegunStream stream = BegunStream.begin(net, "/res/", PROMPT);
         Call next = net.nextCall();
         stream.server().awaitEnd();
@@ -302,8 +289,7 @@
     /** The time allowed for prefill ends with the first event. */
     @Test
     void aStalledStreamOfALongPromptIsResumedAsSoonOnceItHasBegun() throws Exception {
-        net.servers.decode();
-        net.servers.decode();
+        net.servers.decodeServers(2);
         BegunStream stream = begin("/res/");
         net.pass(2 * PAST_STALL_TIMEOUT_MS);
         assertFalse(isInFlight(net, stream), "still waited for");
@@ -312,34 +298,32 @@
     }
 
     /** Whether the forwarder has an attempt open at the stream's server: known at once, unlike the connection's end. */
-    private static boolean isInFlight(ForwarderFixture fleet, BegunStream stream) throws Exception {
-        String instance = fleet.servers.id(stream.decode().server());
-        return OnLoop.get(fleet.loop, () -> fleet.metadata.servers(MODEL).stream()
+    private static boolean isInFlight(ForwarderFixture fixture, BegunStream stream) throws Exception {
+        String instance = fixture.servers.id(stream.decode().server());
+        return OnLoop.get(fixture.loop, () -> fixture.metadata.servers(MODEL).stream()
                 .anyMatch(s -> s.instanceId().equals(instance) && s.inFlight() > 0));
     }
 
-    private void assertIsWaitedFor(ForwarderFixture fleet, BegunStream stream) throws Exception {
-        fleet.pass(PAST_STALL_TIMEOUT_MS);
-        assertTrue(isInFlight(fleet, stream), "the only server that can go on was left");
-        assertFalse(stream.server().isEnded(), "the only server that can go on was left");
+    private void assertIsWaitedFor(ForwarderFixture fixture, BegunStream stream) throws Exception {
+        fixture.pass(PAST_STALL_TIMEOUT_MS);
+        assertTrue(isInFlight(fixture, stream), "the only attempt that can continue was cancelled");
+        assertFalse(stream.server().isEnded(), "the only attempt that can continue was cancelled");
         stream.server().chunk(event(2));
         stream.server().lastChunk();
         assertEquals(event(2), stream.client().readChunk());
         assertEquals("", stream.client().readChunk());
-        fleet.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void aStalledStreamThatIsNotResumableIsWaitedFor() throws Exception {
-        net.servers.decode();
-        net.servers.decode();
+        net.servers.decodeServers(2);
         assertIsWaitedFor(net, BegunStream.begin(net, "/gen/", PROMPT));
     }
 
     @Test
     void aStalledStreamAtItsLastAttemptIsWaitedFor() throws Exception {
-        net.servers.decode();
-        net.servers.decode();
+        net.servers.decodeServers(2);
         assertIsWaitedFor(net, BegunStream.begin(net, "/last/", PROMPT));
     }
 
@@ -354,8 +338,7 @@
     void aStalledStreamIsWaitedForWithoutARetryBudget() throws Exception {
         try (ForwarderFixture withoutRetries = new ForwarderFixture(ForwarderFixture.NO_RETRIES)) {
             withoutRetries.routes(routes());
-            withoutRetries.servers.decode();
-            withoutRetries.servers.decode();
+            withoutRetries.servers.decodeServers(2);
             assertIsWaitedFor(withoutRetries, BegunStream.begin(withoutRetries, "/res/", PROMPT));
         }
     }
@@ -384,8 +367,7 @@
 
     @Test
     void aStreamAtItsDeadlineIsBrokenOffWithoutASecondHead() throws Exception {
-        net.servers.decode();
-        net.servers.decode();
+        net.servers.decodeServers(2);
         BegunStream stream = beginBeforeDeadline("/brief/");
         assertBrokenOff(stream.client());
         stream.server().awaitEnd();
@@ -395,8 +377,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"/gen/", "/res/"})
     void aClientThatDisconnectsWithinItsStreamCancelsIt(String target) throws Exception {
-        net.servers.decode();
-        net.servers.decode();
+        net.servers.decodeServers(2);
         BegunStream stream = begin(target);
         stream.client().close();
         stream.server().awaitEnd();
@@ -406,8 +387,7 @@
     /** The client's disconnect and the server's reset arrive at once, handled in either order. */
     @Test
     void aClientsDisconnectThatMeetsAServersResetLeavesNothingOpen() throws Exception {
-        net.servers.decode();
-        net.servers.decode();
+        net.servers.decodeServers(2);
         BegunStream stream = begin("/res/");
         OnLoop.run(net.loop, () -> {
             stream.client().reset();
@@ -422,8 +402,7 @@
 
     @Test
     void aClientThatDisconnectsDuringResumptionCancelsIt() throws Exception {
-        net.servers.decode();
-        net.servers.decode();
+        net.servers.decodeServers(2);
         BegunStream stream = begin("/res/");
         stream.server().reset();
         Call next = net.nextCall();
--- a/transport/src/test/java/dewplank/exchange/HttpCallTest.java
+++ b/transport/src/test/java/dewplank/exchange/HttpCallTest.java
@@ -83,16 +83,42 @@
         }
     }
 
-    private HttpCall call(String request, RecordingListener listener) {
-        return new HttpCall(loop, server.address(), pool, bytes(request), listener);
+    private HttpCall call(ScriptedServer to, String request, HttpCall.Listener listener) {
+        return new HttpCall(loop, to.address(), pool, bytes(request), listener);
+    }
+
+    private HttpCall call(String request, HttpCall.Listener listener) {
+        return call(server, request, listener);
     }
 
     private HttpCall started(String request, RecordingListener listener) {
         HttpCall call = call(request, listener);
-        loop.execute(() -> call.start(CONNECT_TIMEOUT_MS));
+        start(call);
         return call;
     }
 
+    private void start(HttpCall call) {
+        loop.execute(() -> call.start(CONNECT_TIMEOUT_MS));
+    }
+
+    /** The server answers with a length, and the listener gets all of the answer. */
+    private static void assertAnswered(Wire wire, RecordingListener listener, String body) throws Exception {
+        wire.answer("200 OK", "", body);
+        listener.expect("head 200");
+        if (!body.isEmpty()) {
+            listener.expect("body " + body);
+        }
+        listener.expect("complete");
+    }
+
+    /** The connection of a call that was answered. */
+    private Wire answeredCall(String body) throws Exception {
+        RecordingListener listener = startCall();
+        Wire wire = server.next().wire();
+        assertAnswered(wire, listener, body);
+        return wire;
+    }
+
     private RecordingListener startCall() {
         RecordingListener listener = new RecordingListener();
         started(REQUEST, listener);
@@ -147,8 +173,7 @@
         RecordingListener listener = startCall();
         Wire wire = server.next().wire();
         wire.send("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n");
-        wire.answer("200 OK", "", "it");
-        listener.expect("head 200", "body it", "complete");
+        assertAnswered(wire, listener, "it");
     }
 
     @Test
@@ -233,23 +258,20 @@
         pool = new ConnectionPool(clock, ConnectionPool.REUSE_DELAY_MS, 60_000);
         RecordingListener first = startCall();
         ScriptedServer.Call one = server.next();
-        one.wire().answer("200 OK", "", "1");
-        first.expect("head 200", "body 1", "complete");
+        assertAnswered(one.wire(), first, "1");
         RecordingListener second = new RecordingListener();
         HttpCall early = started(REQUEST, second); // within the reuse delay: on another connection
         ScriptedServer.Call two = server.next();
         assertNotSame(one.wire(), two.wire());
         assertFalse(early.isReused());
-        two.wire().answer("200 OK", "", "2");
-        second.expect("head 200", "body 2", "complete");
+        assertAnswered(two.wire(), second, "2");
         clock.advance(ConnectionPool.REUSE_DELAY_MS);
         RecordingListener third = new RecordingListener();
         HttpCall idle = started(REQUEST, third);
         ScriptedServer.Call three = server.next();
         assertSame(two.wire(), three.wire(), "the one used last is taken first");
         assertTrue(idle.isReused());
-        three.wire().answer("200 OK", "", "3");
-        third.expect("head 200", "body 3", "complete");
+        assertAnswered(three.wire(), third, "3");
     }
 
     @Test
@@ -306,27 +328,20 @@
     /** The second answer arrives on the idle connection, before the next call could take it for its own. */
     @Test
     void aSecondAnswerOnAnIdleConnectionClosesIt() throws Exception {
-        RecordingListener listener = startCall();
-        Wire wire = server.next().wire();
-        wire.answer("200 OK", "", "hi");
-        listener.expect("head 200", "body hi", "complete");
+        Wire wire = answeredCall("hi");
         wire.answer("200 OK", "", "ho");
         wire.awaitEnd();
         assertEquals(0, OnLoop.get(loop, pool::size));
         RecordingListener next = startCall();
         ScriptedServer.Call call = server.next();
         assertNotSame(wire, call.wire());
-        call.wire().answer("200 OK", "", "own");
-        next.expect("head 200", "body own", "complete");
+        assertAnswered(call.wire(), next, "own");
     }
 
     /** The other order: the next call is in flight when the late answer to the last one arrives. */
     @Test
     void anAnswerToAnotherCallIsDiscardedByItsId() throws Exception {
-        RecordingListener first = startCall();
-        Wire wire = server.next().wire();
-        wire.answer("200 OK", "", "hi");
-        first.expect("head 200", "body hi", "complete");
+        Wire wire = answeredCall("hi");
         RecordingListener listener = new RecordingListener();
         listener.expectedId = "b";
         started(REQUEST, listener);
@@ -377,10 +392,10 @@
 
     @Test
     void aRefusedConnectionFailsAsNotConnected() throws Exception {
-        try (ReservedPort nobody = new ReservedPort()) {
+        try (ScriptedServer nobody = ScriptedServer.refusing()) {
             RecordingListener listener = new RecordingListener();
-            HttpCall call = new HttpCall(loop, nobody.address(), pool, bytes(REQUEST), listener);
-            loop.execute(() -> call.start(CONNECT_TIMEOUT_MS));
+            HttpCall call = call(nobody, REQUEST, listener);
+            start(call);
             listener.expect("failed NOT_CONNECTED");
             assertFalse(OnLoop.get(loop, call::isConnected));
         }
@@ -390,7 +405,7 @@
     void aConnectTimeoutFailsAsNotConnected() throws Exception {
         try (ScriptedServer late = ScriptedServer.late(new LinkedBlockingQueue<>())) {
             RecordingListener listener = new RecordingListener();
-            HttpCall call = new HttpCall(loop, late.address(), pool, bytes(REQUEST), listener);
+            HttpCall call = call(late, REQUEST, listener);
             loop.execute(() -> call.start(30));
             listener.expect("failed NOT_CONNECTED");
             assertFalse(OnLoop.get(loop, call::isSent));
@@ -420,8 +435,8 @@
     void aResetWithinTheRequestFailsAsBroken() throws Exception {
         try (ScriptedServer raw = ScriptedServer.raw()) {
             RecordingListener listener = new RecordingListener();
-            HttpCall call = new HttpCall(loop, raw.address(), pool, bytes(longRequest()), listener);
-            loop.execute(() -> call.start(CONNECT_TIMEOUT_MS));
+            HttpCall call = call(raw, longRequest(), listener);
+            start(call);
             Wire wire = raw.nextConnection();
             wire.readHead();
             wire.reset();
@@ -453,12 +468,11 @@
     void theConnectionOfAnEarlyAnswerIsNotReused() throws Exception {
         try (ScriptedServer raw = ScriptedServer.raw()) {
             RecordingListener listener = new RecordingListener();
-            HttpCall call = new HttpCall(loop, raw.address(), pool, bytes(longRequest()), listener);
-            loop.execute(() -> call.start(CONNECT_TIMEOUT_MS));
+            HttpCall call = call(raw, longRequest(), listener);
+            start(call);
             Wire wire = raw.nextConnection();
             wire.readHead();
-            wire.answer("200 OK", "", "early");
-            listener.expect("head 200", "body early", "complete");
+            assertAnswered(wire, listener, "early");
             assertEquals(0, OnLoop.get(loop, pool::size));
             String rest = wire.readToEnd();
             assertTrue(rest.chars().allMatch(c -> c == 'x'), "other bytes where the body is due");
@@ -473,26 +487,20 @@
         String body = "y".repeat(SOCKET_BUFFER_BYTES);
         try (ScriptedServer raw = ScriptedServer.raw()) {
             RecordingListener listener = new RecordingListener();
-            HttpCall first = new HttpCall(
-                    loop,
-                    raw.address(),
-                    pool,
-                    bytes("POST /1 HTTP/1.1\r\nContent-Length: " + body.length() + "\r\n\r\n" + body),
-                    listener);
-            loop.execute(() -> first.start(CONNECT_TIMEOUT_MS));
+            HttpCall first =
+                    call(raw, "POST /1 HTTP/1.1\r\nContent-Length: " + body.length() + "\r\n\r\n" + body, listener);
+            start(first);
             Wire wire = raw.nextConnection();
             assertEquals("/1", wire.readHead().target());
             OnLoop.await(loop, first::isSent);
-            wire.answer("200 OK", "", "early");
-            listener.expect("head 200", "body early", "complete");
+            assertAnswered(wire, listener, "early");
             RecordingListener next = new RecordingListener();
-            HttpCall second = new HttpCall(loop, raw.address(), pool, bytes("GET /2 HTTP/1.1\r\n\r\n"), next);
-            loop.execute(() -> second.start(CONNECT_TIMEOUT_MS));
+            HttpCall second = call(raw, "GET /2 HTTP/1.1\r\n\r\n", next);
+            start(second);
             assertEquals(body, wire.readBytes(body.length()));
             assertEquals("/2", wire.readHead().target());
             assertTrue(second.isReused());
-            wire.answer("200 OK", "", "own");
-            next.expect("head 200", "body own", "complete");
+            assertAnswered(wire, next, "own");
         }
     }
 
@@ -500,18 +508,14 @@
 
     @Test
     void anExclusiveCallNeitherTakesNorLeavesAPooledConnection() throws Exception {
-        RecordingListener first = startCall();
-        Wire wire = server.next().wire();
-        wire.answer("200 OK", "", "");
-        first.expect("head 200", "complete");
+        Wire wire = answeredCall("");
         OnLoop.await(loop, () -> pool.size() == 1);
         RecordingListener listener = new RecordingListener();
         HttpCall alone = call(REQUEST, listener).exclusive();
-        loop.execute(() -> alone.start(CONNECT_TIMEOUT_MS));
+        start(alone);
         Wire own = server.next().wire();
         assertNotSame(wire, own);
-        own.answer("200 OK", "", "");
-        listener.expect("head 200", "complete");
+        assertAnswered(own, listener, "");
         own.awaitEnd();
         assertEquals(1, OnLoop.get(loop, pool::size), "the resting one");
     }
@@ -521,7 +525,7 @@
     void theAnswerToAHeadRequestHasNoBody() throws Exception {
         RecordingListener listener = new RecordingListener();
         HttpCall call = call("HEAD /x HTTP/1.1\r\nHost: h\r\n\r\n", listener).expectHead();
-        loop.execute(() -> call.start(CONNECT_TIMEOUT_MS));
+        start(call);
         server.next().wire().send("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n");
         listener.expect("head 200", "complete");
         OnLoop.await(loop, () -> pool.size() == 1);
@@ -530,26 +534,19 @@
     /** The server's close of an idle connection is noticed before the next call: that opens a new one. */
     @Test
     void anIdleConnectionThatItsServerClosedIsNotReused() throws Exception {
-        RecordingListener first = startCall();
-        Wire wire = server.next().wire();
-        wire.answer("200 OK", "", "");
-        first.expect("head 200", "complete");
+        Wire wire = answeredCall("");
         wire.close();
         OnLoop.await(loop, () -> pool.size() == 0);
         RecordingListener second = startCall();
         ScriptedServer.Call call = server.next();
         assertNotSame(wire, call.wire());
-        call.wire().answer("200 OK", "", "");
-        second.expect("head 200", "complete");
+        assertAnswered(call.wire(), second, "");
     }
 
     /** The other order: the close meets the call, which may have run. */
     @Test
     void anIdleConnectionThatIsResetUnderACallFailsIt() throws Exception {
-        RecordingListener first = startCall();
-        Wire wire = server.next().wire();
-        wire.answer("200 OK", "", "");
-        first.expect("head 200", "complete");
+        Wire wire = answeredCall("");
         OnLoop.await(loop, () -> pool.size() == 1);
         RecordingListener second = new RecordingListener();
         OnLoop.run(
@@ -567,7 +564,7 @@
     void aCallCancelledBeforeItIsConnectedSendsNothing() throws Exception {
         try (ScriptedServer late = ScriptedServer.late(new LinkedBlockingQueue<>())) {
             RecordingListener listener = new RecordingListener();
-            HttpCall call = new HttpCall(loop, late.address(), pool, bytes(REQUEST), listener);
+            HttpCall call = call(late, REQUEST, listener);
             OnLoop.run(loop, () -> {
                 call.start(30);
                 call.cancel();
@@ -652,8 +649,7 @@
         RecordingListener listener = new RecordingListener();
         HttpCall call = started(REQUEST, listener);
         Wire wire = server.next().wire();
-        wire.answer("200 OK", "", "");
-        listener.expect("head 200", "complete");
+        assertAnswered(wire, listener, "");
         OnLoop.run(loop, call::cancel);
         assertEquals(1, OnLoop.get(loop, pool::size));
         assertFalse(wire.isEnded());
@@ -680,17 +676,13 @@
 
     @Test
     void theConditionAppliesToReusedConnections() throws Exception {
-        RecordingListener first = startCall();
-        Wire wire = server.next().wire();
-        wire.answer("200 OK", "", "");
-        first.expect("head 200", "complete");
+        answeredCall("");
         RecordingListener second = new RecordingListener();
         HttpCall failing = call(REQUEST, second).sendOnlyIf(() -> false);
-        loop.execute(() -> failing.start(CONNECT_TIMEOUT_MS));
+        start(failing);
         second.expect("failed NOT_SENT");
         assertTrue(OnLoop.get(loop, failing::isOver));
         RecordingListener third = startCall();
-        server.next().wire().answer("200 OK", "", "");
-        third.expect("head 200", "complete");
+        assertAnswered(server.next().wire(), third, "");
     }
 }
--- a/transport/src/test/java/dewplank/exchange/InboundConnectionTest.java
+++ b/transport/src/test/java/dewplank/exchange/InboundConnectionTest.java
@@ -74,6 +74,14 @@
             return MAX_BODY_BYTES;
         }
 
+        void expectDisconnect(InboundConnection connection) throws InterruptedException {
+            assertEquals(connection, disconnected.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
+        }
+
+        void expectClose() throws InterruptedException {
+            assertNotNull(closed.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
+        }
+
         HandledRequest next() throws InterruptedException {
             HandledRequest next = handled.poll(Wire.PATIENCE_S, TimeUnit.SECONDS);
             assertNotNull(next, "no request was handed over");
@@ -101,6 +109,21 @@
         return Wire.to((InetSocketAddress) listener.address());
     }
 
+    /** A caller that has sent a request without a body. */
+    private Wire callerWithRequest() throws IOException {
+        Wire caller = caller();
+        caller.send(request("/", "", ""));
+        return caller;
+    }
+
+    /** A connection of a caller that has sent a part of a request. */
+    private InboundConnection sendPartialRequest(Wire caller) throws Exception {
+        InboundConnection connection = accepted();
+        caller.send("POST / HTTP/1.1\r\nContent-Length: 4\r\n\r\nab");
+        OnLoop.await(loop, connection::isHalfRead);
+        return connection;
+    }
+
     private InboundConnection accepted() throws InterruptedException {
         InboundConnection connection = connections.poll(Wire.PATIENCE_S, TimeUnit.SECONDS);
         assertNotNull(connection, "no connection was accepted");
@@ -121,6 +144,14 @@
         OnLoop.run(loop, () -> step.accept(handled.connection()));
     }
 
+    private void beginAnswer(HandledRequest handled) throws Exception {
+        onLoop(handled, c -> c.beginAnswer(200, List.of()));
+    }
+
+    private void writePart(HandledRequest handled, String text) throws Exception {
+        onLoop(handled, c -> c.writePart(bytes(text)));
+    }
+
     private static byte[] bytes(String text) {
         return text.getBytes(StandardCharsets.ISO_8859_1);
     }
@@ -227,15 +258,14 @@
             Wire.Message answer = caller.read();
             assertEquals("close", answer.header("Connection"));
             assertNull(caller.read());
-            assertNotNull(service.closed.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
+            service.expectClose();
         }
         assertTrue(service.handled.isEmpty(), "what follows is not looked at");
     }
 
     @Test
     void aClosingServicesAnswerIsTheLastOfItsConnection() throws Exception {
-        Wire caller = caller();
-        caller.send(request("/", "", ""));
+        Wire caller = callerWithRequest();
         HandledRequest handled = service.next();
         service.closing = true;
         answer(handled, 200, "1");
@@ -246,8 +276,7 @@
     @Test
     void aServiceThatThrowsIsAnswered500() throws Exception {
         service.fails = true;
-        Wire caller = caller();
-        caller.send(request("/", "", ""));
+        Wire caller = callerWithRequest();
         assertEquals(500, caller.read().status());
         assertNull(caller.read());
         assertNotNull(service.disconnected.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
@@ -307,9 +336,7 @@
     @Test
     void aPartialRequestThatTimesOutIsAnswered408() throws Exception {
         Wire caller = caller();
-        InboundConnection connection = accepted();
-        caller.send("POST / HTTP/1.1\r\nContent-Length: 4\r\n\r\nab");
-        OnLoop.await(loop, connection::isHalfRead);
+        InboundConnection connection = sendPartialRequest(caller);
         OnLoop.run(loop, connection::timeOut);
         assertEquals(408, caller.read().status());
         assertNull(caller.read());
@@ -322,7 +349,7 @@
         InboundConnection connection = accepted();
         OnLoop.run(loop, connection::timeOut);
         assertNull(caller.read());
-        assertNotNull(service.closed.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
+        service.expectClose();
     }
 
     @Test
@@ -339,37 +366,35 @@
         OnLoop.pass(loop, 20);
         OnLoop.run(loop, () -> connection.timeOutAfter(10));
         assertNull(caller.read());
-        assertNotNull(service.closed.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
+        service.expectClose();
     }
 
     // ---- disconnects ---------------------------------------------------------------------------------
 
     @Test
     void aDisconnectBeforeTheAnswerIsReportedOnce() throws Exception {
-        Wire caller = caller();
-        caller.send(request("/", "", ""));
+        Wire caller = callerWithRequest();
         HandledRequest handled = service.next();
         caller.close();
-        assertEquals(handled.connection(), service.disconnected.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
-        assertNotNull(service.closed.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
+        service.expectDisconnect(handled.connection());
+        service.expectClose();
         answer(handled, 200, "too late"); // harmless
-        onLoop(handled, c -> c.beginAnswer(200, List.of()));
-        onLoop(handled, c -> c.writePart(bytes("too late")));
+        beginAnswer(handled);
+        writePart(handled, "too late");
         onLoop(handled, InboundConnection::endAnswer);
         assertTrue(service.disconnected.isEmpty());
     }
 
     @Test
     void aDisconnectWithinTheAnswerIsReported() throws Exception {
-        Wire caller = caller();
-        caller.send(request("/", "", ""));
+        Wire caller = callerWithRequest();
         HandledRequest handled = service.next();
-        onLoop(handled, c -> c.beginAnswer(200, List.of()));
-        onLoop(handled, c -> c.writePart(bytes("one")));
+        beginAnswer(handled);
+        writePart(handled, "one");
         caller.readHead();
         assertEquals("one", caller.readChunk());
         caller.reset();
-        assertEquals(handled.connection(), service.disconnected.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
+        service.expectDisconnect(handled.connection());
     }
 
     /** The caller's close is right behind the request: the request is not handled. */
@@ -386,7 +411,7 @@
         OnLoop.run(loop, () -> {});
         assertTrue(service.handled.isEmpty());
         assertTrue(service.disconnected.isEmpty());
-        assertNotNull(service.closed.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
+        service.expectClose();
     }
 
     @Test
@@ -395,7 +420,7 @@
         caller.send(request("/1", "", "") + request("/2", "", "x".repeat(50)) + request("/3", "", ""));
         HandledRequest handled = service.next();
         caller.close();
-        assertEquals(handled.connection(), service.disconnected.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
+        service.expectDisconnect(handled.connection());
         OnLoop.run(loop, () -> {});
         assertTrue(service.handled.isEmpty());
     }
@@ -403,23 +428,20 @@
     @Test
     void aDisconnectWithinARequestLeavesNothing() throws Exception {
         Wire caller = caller();
-        InboundConnection connection = accepted();
-        caller.send("POST / HTTP/1.1\r\nContent-Length: 4\r\n\r\nab");
-        OnLoop.await(loop, connection::isHalfRead);
+        sendPartialRequest(caller);
         caller.close();
-        assertNotNull(service.closed.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
+        service.expectClose();
         assertTrue(service.disconnected.isEmpty());
         assertTrue(service.handled.isEmpty());
     }
 
     @Test
     void readAheadOverTheBoundFailsTheRequest() throws Exception {
-        Wire caller = caller();
-        caller.send(request("/", "", ""));
+        Wire caller = callerWithRequest();
         HandledRequest handled = service.next();
         caller.send("x".repeat(80 * 1024));
         assertEquals(400, caller.read().status());
-        assertEquals(handled.connection(), service.disconnected.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
+        service.expectDisconnect(handled.connection());
     }
 
     /** The read-ahead bound is exceeded after the request was parsed and before it is handled. */
@@ -449,10 +471,10 @@
         assertEquals("chunked", head.header("Transfer-Encoding"));
         assertNull(head.header("Content-Length"));
         assertEquals("x", head.header("Own"));
-        onLoop(handled, c -> c.writePart(bytes("one")));
+        writePart(handled, "one");
         assertEquals("one", caller.readChunk());
-        onLoop(handled, c -> c.writePart(bytes(""))); // must not look like the end
-        onLoop(handled, c -> c.writePart(bytes("two".repeat(10))));
+        writePart(handled, ""); // must not look like the end
+        writePart(handled, "two".repeat(10));
         assertEquals("two".repeat(10), caller.readChunk());
         assertTrue(service.handled.isEmpty());
         onLoop(handled, InboundConnection::endAnswer);
@@ -468,9 +490,9 @@
         Wire caller = caller();
         caller.send(request("/", "Connection: close\r\n", ""));
         HandledRequest handled = service.next();
-        onLoop(handled, c -> c.beginAnswer(200, List.of()));
+        beginAnswer(handled);
         assertEquals("close", caller.readHead().header("Connection"));
-        onLoop(handled, c -> c.writePart(bytes("one")));
+        writePart(handled, "one");
         onLoop(handled, InboundConnection::endAnswer);
         assertEquals("one", caller.readChunk());
         assertEquals("", caller.readChunk());
@@ -483,7 +505,7 @@
         Wire caller = caller();
         caller.send(request("/1", "", ""));
         HandledRequest handled = service.next();
-        onLoop(handled, c -> c.beginAnswer(200, List.of()));
+        beginAnswer(handled);
         assertNull(caller.readHead().header("Connection"));
         service.closing = true;
         onLoop(handled, InboundConnection::endAnswer);
@@ -512,7 +534,7 @@
             cut = true;
         }
         assertTrue(cut);
-        assertNotNull(service.closed.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
+        service.expectClose();
         OnLoop.run(loop, () -> {});
         assertTrue(service.handled.isEmpty(), "what was sent ahead is not taken any more");
         assertTrue(service.disconnected.isEmpty(), "whoever broke it off knows");
@@ -521,8 +543,7 @@
     /** All in one task: the chunks are unwritten when the connection is aborted. */
     @Test
     void anAnswerThatIsAbortedAtOnceNeverLooksComplete() throws Exception {
-        Wire caller = caller();
-        caller.send(request("/", "", ""));
+        Wire caller = callerWithRequest();
         HandledRequest handled = service.next();
         onLoop(handled, c -> {
             c.beginAnswer(200, List.of());
@@ -536,12 +557,11 @@
 
     @Test
     void readAheadOverTheBoundAbortsAStream() throws Exception {
-        Wire caller = caller();
-        caller.send(request("/", "", ""));
+        Wire caller = callerWithRequest();
         HandledRequest handled = service.next();
-        onLoop(handled, c -> c.beginAnswer(200, List.of()));
+        beginAnswer(handled);
         caller.send("x".repeat(80 * 1024));
-        assertEquals(handled.connection(), service.disconnected.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
+        service.expectDisconnect(handled.connection());
         String all = caller.readToEnd();
         assertFalse(all.endsWith("0\r\n\r\n"));
         assertEquals(all.lastIndexOf("HTTP/1.1 "), all.indexOf("HTTP/1.1 "), "no second status line");
@@ -551,8 +571,7 @@
 
     @Test
     void anIdleConnectionIsClosedWithoutAnAnswer() throws Exception {
-        Wire caller = caller();
-        caller.send(request("/", "", ""));
+        Wire caller = callerWithRequest();
         HandledRequest handled = service.next();
         onLoop(handled, c -> c.endIfIdle(true)); // busy: it stays
         answer(handled, 200, "");
@@ -578,9 +597,7 @@
     @Test
     void aPartialRequestKeepsItsConnectionUnlessForced() throws Exception {
         Wire caller = caller();
-        InboundConnection connection = accepted();
-        caller.send("POST / HTTP/1.1\r\nContent-Length: 4\r\n\r\nab");
-        OnLoop.await(loop, connection::isHalfRead);
+        InboundConnection connection = sendPartialRequest(caller);
         OnLoop.run(loop, () -> connection.endIfIdle(false));
         assertFalse(connection.isClosed());
         caller.send("cd");
