--- a/cli/src/main/java/dewplank/LoadCommands.java
+++ b/cli/src/main/java/dewplank/LoadCommands.java
@@ -1,11 +1,15 @@
 package dewplank;
 
 import dewplank.emulator.scenario.Distribution;
-import dewplank.lab.load.Arrivals;
+import dewplank.lab.load.LoadOutcome;
 import dewplank.lab.load.LoadPlan;
 import dewplank.lab.load.LoadReport;
 import dewplank.lab.load.LoadRun;
+import dewplank.lab.load.Schedule;
+import dewplank.lab.load.ShapedSchedule;
+import dewplank.lab.load.ShapedSchedule.Shape;
 import dewplank.lab.load.StandIn;
+import dewplank.lab.load.TraceSchedule;
 import dewplank.settings.InvalidInputException;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -92,7 +96,7 @@
                 System.err.println("warming up");
                 new LoadRun(plan.warmUp(1000 * warmUp), line -> {}).run();
             }
-            LoadRun.Outcome outcome = new LoadRun(plan, System.err::println).run();
+            LoadOutcome outcome = new LoadRun(plan, System.err::println).run();
             System.out.print(LoadReport.table(outcome));
             if (json != null) {
                 Files.writeString(json, LoadReport.json(outcome));
@@ -100,6 +104,28 @@
         }
 
         private LoadPlan plan() {
+            checkBounds();
+            Shape form = form();
+            List<Double> stepRates = stepRates();
+            check(form != Shape.STEPS || !stepRates.isEmpty(), "--shape steps needs --steps");
+            check(form != Shape.RAMP || to > 0, "--shape ramp needs --to");
+            List<LoadPlan.RequestClass> classes = kinds.isEmpty()
+                    ? List.of(LoadPlan.RequestClass.parse("request:1"))
+                    : kinds.stream().map(LoadPlan.RequestClass::parse).toList();
+            return new LoadPlan(
+                    urls.stream().map(LoadPlan.Target::parse).toList(),
+                    schedule(form, stepRates),
+                    form == Shape.STEPS ? stepRates.get(0) : rate,
+                    classes,
+                    headers,
+                    connections,
+                    threads,
+                    timeout,
+                    sources,
+                    seed);
+        }
+
+        private void checkBounds() {
             check(rate > 0 && rate <= 10_000_000, "--rate should be above 0 and at most 10,000,000");
             check(seconds > 0 && seconds <= 86_400, "--seconds should be above 0 and at most 86,400");
             check(threads > 0 && threads <= 256, "--threads should be from 1 to 256");
@@ -110,36 +136,34 @@
             check(timeout > 0 && timeout <= 600_000, "--timeout-ms should be above 0 and at most 600,000");
             check(warmUp >= 0 && warmUp <= 3_600, "--warm-up-s should be from 0 to 3,600");
             check(swing >= 0 && period > 0, "--swing and --period-s can't be below 0");
-            headers.forEach(h -> check(h.indexOf(':') > 0, "--header " + h + ": should be NAME: VALUE"));
-            Arrivals.Shape form = Stream.of(Arrivals.Shape.values())
-                    .filter(s -> s.name().toLowerCase(Locale.ROOT).equals(shape))
+            headers.forEach(header -> check(header.indexOf(':') > 0, "--header " + header + ": should be NAME: VALUE"));
+        }
+
+        private Shape form() {
+            return Stream.of(Shape.values())
+                    .filter(candidate ->
+                            candidate.name().toLowerCase(Locale.ROOT).equals(shape))
                     .findFirst()
                     .orElseThrow(() -> new InvalidInputException(
                             "--shape " + shape + ": should be poisson, uniform, bursts, ramp or steps"));
+        }
+
+        private List<Double> stepRates() {
             List<Double> rates = new ArrayList<>();
             try {
-                for (String s : steps.isEmpty() ? new String[0] : steps.split(",")) {
-                    rates.add(Double.parseDouble(s));
+                for (String step : steps.isEmpty() ? new String[0] : steps.split(",")) {
+                    rates.add(Double.parseDouble(step));
                 }
             } catch (NumberFormatException e) {
                 throw new InvalidInputException("--steps " + steps + ": should be numbers with commas between");
             }
-            check(form != Arrivals.Shape.STEPS || !rates.isEmpty(), "--shape steps needs --steps");
-            check(form != Arrivals.Shape.RAMP || to > 0, "--shape ramp needs --to");
-            List<LoadPlan.RequestClass> classes = kinds.isEmpty()
-                    ? List.of(LoadPlan.parseClass("request:1"))
-                    : kinds.stream().map(LoadPlan::parseClass).toList();
-            return new LoadPlan(
-                    urls.stream().map(LoadPlan::parseTarget).toList(),
-                    new Arrivals.Plan(form, rate, to, rates, swing, 1000 * period, 1000 * seconds),
-                    trace == null ? null : LoadPlan.readTrace(trace),
-                    classes,
-                    headers,
-                    connections,
-                    threads,
-                    timeout,
-                    sources,
-                    seed);
+            return rates;
+        }
+
+        private Schedule schedule(Shape form, List<Double> stepRates) {
+            return trace == null
+                    ? new ShapedSchedule(form, rate, to, stepRates, swing, 1000 * period, 1000 * seconds)
+                    : TraceSchedule.read(trace);
         }
     }
 
@@ -172,7 +196,7 @@
                     .orElseThrow(() -> new InvalidInputException(
                             "--distribution " + distribution + ": should be fixed, exp, lognormal or gamma"));
             List<InetSocketAddress> at = addresses.stream()
-                    .map(a -> LoadPlan.parseTarget("http://" + a).address())
+                    .map(a -> LoadPlan.Target.parse("http://" + a).address())
                     .toList();
             try (StandIn standIn = new StandIn(at, drawn, mean, cv, 1)) {
                 System.out.println("answering on " + standIn.addresses());
--- a/lab/src/main/java/dewplank/lab/load/LoadReport.java
+++ b/lab/src/main/java/dewplank/lab/load/LoadReport.java
@@ -3,19 +3,18 @@
 import com.google.gson.GsonBuilder;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
-import dewplank.lab.load.LoadRun.ClassOutcome;
-import dewplank.lab.load.LoadRun.Outcome;
 import java.util.List;
 import java.util.Locale;
 import org.HdrHistogram.Histogram;
 
-/** A load run's figures as a table for a terminal and as JSON. */
+/** A load run's figures as a table for a terminal and as JSON, both with fixed names, which scripts read. */
 public final class LoadReport {
     private static final List<Double> PERCENTILES = List.of(50.0, 75.0, 90.0, 95.0, 99.0, 99.9, 99.99, 100.0);
 
     private LoadReport() {}
 
-    public static String table(Outcome outcome) {
+    /** A table for a terminal, with a warning where the run was not sound. */
+    public static String table(LoadOutcome outcome) {
         StringBuilder text = new StringBuilder(String.format(
                 Locale.ROOT,
                 "%-14s %9s %9s %8s %7s %7s %8s %9s %9s %9s %9s%n",
@@ -55,24 +54,26 @@
         text.append(String.format(
                 Locale.ROOT,
                 "%-14s %9d %9d %8d %7d %7d %8d %9.2f %9.2f %9.2f %9.2f%n",
-                requestClass.name,
-                requestClass.sent,
-                requestClass.ok,
-                requestClass.refused,
-                requestClass.otherStatus,
-                requestClass.broken,
-                requestClass.timedOut,
-                percentileMs(requestClass.latencyUs, 50),
-                percentileMs(requestClass.latencyUs, 99),
-                percentileMs(requestClass.latencyUs, 99.9),
-                percentileMs(requestClass.latencyUs, 100)));
+                requestClass.name(),
+                requestClass.sent(),
+                requestClass.ok(),
+                requestClass.refused(),
+                requestClass.otherStatus(),
+                requestClass.broken(),
+                requestClass.timedOut(),
+                percentileMs(requestClass.latencyUs(), 50),
+                percentileMs(requestClass.latencyUs(), 99),
+                percentileMs(requestClass.latencyUs(), 99.9),
+                percentileMs(requestClass.latencyUs(), 100)));
     }
 
+    /** The percentile in milliseconds of values in microseconds. */
     static double percentileMs(Histogram valuesUs, double percentile) {
         return valuesUs.getValueAtPercentile(percentile) / 1000.0;
     }
 
-    public static String json(Outcome outcome) {
+    /** A JSON object on several lines; times in milliseconds, but where the name says otherwise. */
+    public static String json(LoadOutcome outcome) {
         JsonObject all = new JsonObject();
         all.addProperty("seconds", outcome.elapsedS());
         all.addProperty("answered_per_s", outcome.all().answered() / outcome.elapsedS());
@@ -83,14 +84,14 @@
         JsonArray classes = new JsonArray();
         for (ClassOutcome requestClass : outcome.classes()) {
             JsonObject entry = new JsonObject();
-            entry.addProperty("class", requestClass.name);
-            entry.addProperty("sent", requestClass.sent);
-            entry.addProperty("ok", requestClass.ok);
-            entry.addProperty("refused", requestClass.refused);
-            entry.addProperty("other_status", requestClass.otherStatus);
-            entry.addProperty("broken", requestClass.broken);
-            entry.addProperty("timed_out", requestClass.timedOut);
-            entry.add("latency_ms", percentiles(requestClass.latencyUs));
+            entry.addProperty("class", requestClass.name());
+            entry.addProperty("sent", requestClass.sent());
+            entry.addProperty("ok", requestClass.ok());
+            entry.addProperty("refused", requestClass.refused());
+            entry.addProperty("other_status", requestClass.otherStatus());
+            entry.addProperty("broken", requestClass.broken());
+            entry.addProperty("timed_out", requestClass.timedOut());
+            entry.add("latency_ms", percentiles(requestClass.latencyUs()));
             classes.add(entry);
         }
         all.add("classes", classes);
--- a/lab/src/main/java/dewplank/lab/load/StandIn.java
+++ b/lab/src/main/java/dewplank/lab/load/StandIn.java
@@ -14,11 +14,12 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.DoubleSupplier;
+import java.util.function.Function;
 import java.util.function.IntFunction;
 
 /**
- * A target that does no work: it answers at once, or after a drawn time. One loop an address. It can be told to stall,
- * as a long collection would have it.
+ * A target that does no work: it answers each request at once, or after a drawn time. One loop an address. Any thread
+ * may call it.
  */
 public final class StandIn implements Closeable {
     private static final int MAX_CONNECTIONS = 100_000;
@@ -27,38 +28,59 @@
     private final List<EventLoop> loops = new ArrayList<>();
     private final List<InetSocketAddress> addresses = new ArrayList<>();
 
-    /** {@code meanMs} 0: at once. */
+    /**
+     * Begins to answer.
+     *
+     * @param meanMs of the time that an answer takes; 0: none
+     * @param cv the distribution's coefficient of variation
+     * @throws IOException if an address cannot be bound
+     */
     public StandIn(List<InetSocketAddress> bindTo, Distribution distribution, double meanMs, double cv, long seed)
             throws IOException {
-        this(bindTo, index -> {
-            DoubleSupplier answerTimeMs =
-                    RandomStreams.around(distribution, cv, new RandomStreams(seed).stream("stand-in", index));
-            return () -> meanMs * answerTimeMs.getAsDouble();
-        });
+        this(
+                bindTo,
+                index -> {
+                    DoubleSupplier factor =
+                            RandomStreams.around(distribution, cv, new RandomStreams(seed).stream("stand-in", index));
+                    return () -> meanMs * factor.getAsDouble();
+                },
+                LoadClock::of);
     }
 
-    /** {@code answerTimesMs}: for each address, by its place, how long the next answer takes, in milliseconds. */
-    StandIn(List<InetSocketAddress> bindTo, IntFunction<DoubleSupplier> answerTimesMs) throws IOException {
+    /**
+     * Begins to answer.
+     *
+     * @param answerTimesMs for each address, by its index: how long the next answer takes, asked on the address's loop
+     * @param clocks gives each address's loop its clock
+     * @throws IOException if an address cannot be bound
+     */
+    StandIn(
+            List<InetSocketAddress> bindTo,
+            IntFunction<DoubleSupplier> answerTimesMs,
+            Function<EventLoop, LoadClock> clocks)
+            throws IOException {
         for (InetSocketAddress address : bindTo) {
             EventLoop loop = new EventLoop();
             DoubleSupplier answerTimeMs = answerTimesMs.apply(loops.size());
             loops.add(loop);
-            Listener listener = new Listener(loop, address, MAX_CONNECTIONS, () -> new Endpoint(loop, answerTimeMs));
+            LoadClock clock = clocks.apply(loop);
+            Listener listener = new Listener(loop, address, MAX_CONNECTIONS, () -> new Endpoint(clock, answerTimeMs));
             addresses.add((InetSocketAddress) listener.address());
             loop.execute(listener::accept);
         }
     }
 
+    /** Where it listens, in the order given, with the ports that the system chose. */
     public List<InetSocketAddress> addresses() {
         return addresses;
     }
 
-    /** For so long nothing at all moves. */
-    public void stall(long ms) {
+    /** Blocks all loops for so long, as a long garbage collection would. */
+    public void stall(long durationMs) {
         for (EventLoop loop : loops) {
             loop.execute(() -> {
                 try {
-                    Thread.sleep(ms);
+                    Thread.sleep(durationMs);
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
@@ -72,11 +94,11 @@
     }
 
     private static final class Endpoint extends HttpEndpoint {
-        private final EventLoop loop;
+        private final LoadClock clock;
         private final DoubleSupplier answerTimeMs;
 
-        Endpoint(EventLoop loop, DoubleSupplier answerTimeMs) {
-            this.loop = loop;
+        Endpoint(LoadClock clock, DoubleSupplier answerTimeMs) {
+            this.clock = clock;
             this.answerTimeMs = answerTimeMs;
         }
 
@@ -87,7 +109,7 @@
             if (delayMs <= 0) {
                 answer(ANSWER.duplicate());
             } else {
-                loop.afterExactly(delayMs, () -> answer(ANSWER.duplicate()));
+                clock.schedule(delayMs, () -> answer(ANSWER.duplicate()));
             }
         }
     }
--- a/lab/src/test/java/dewplank/lab/load/LoadRunTest.java
+++ b/lab/src/test/java/dewplank/lab/load/LoadRunTest.java
@@ -11,8 +11,7 @@
 import dewplank.emulator.scenario.Distribution;
 import dewplank.http.MessageWriter;
 import dewplank.http.RequestParser;
-import dewplank.lab.load.Arrivals.Plan;
-import dewplank.lab.load.Arrivals.Shape;
+import dewplank.lab.load.ShapedSchedule.Shape;
 import dewplank.net.EventLoop;
 import dewplank.net.Listener;
 import dewplank.settings.InvalidInputException;
@@ -27,13 +26,13 @@
 public class LoadRunTest {
     private static final InetSocketAddress ANY = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
 
-    private static LoadPlan plan(StandIn target, Plan arrivals, int connections) {
+    private static LoadPlan plan(StandIn target, Schedule schedule, int connections) {
         InetSocketAddress at = target.addresses().get(0);
         return new LoadPlan(
-                List.of(LoadPlan.parseTarget("http://" + at.getHostString() + ":" + at.getPort() + "/a?b=c")),
-                arrivals,
-                null,
-                List.of(LoadPlan.parseClass("read:3"), LoadPlan.parseClass("write:1:POST:100")),
+                List.of(LoadPlan.Target.parse("http://" + at.getHostString() + ":" + at.getPort() + "/a?b=c")),
+                schedule,
+                0,
+                List.of(LoadPlan.RequestClass.parse("read:3"), LoadPlan.RequestClass.parse("write:1:POST:100")),
                 List.of("X-Id: {id}"),
                 connections,
                 2,
@@ -42,8 +41,8 @@
                 1);
     }
 
-    private static Plan steady(Shape shape, double ratePerSecond, double seconds) {
-        return new Plan(shape, ratePerSecond, 0, List.of(), 0, 1, 1000 * seconds);
+    private static Schedule steady(Shape shape, double ratePerSecond, double seconds) {
+        return new ShapedSchedule(shape, ratePerSecond, 0, List.of(), 0, 1, 1000 * seconds);
     }
 
     /** The target's own draws are the known distribution; the tool must find its percentiles. */
@@ -52,19 +51,23 @@
         DoubleSupplier drawn =
                 RandomStreams.around(Distribution.LOGNORMAL, 0.5, new RandomStreams(5).stream("times", 0));
         ConcurrentLinkedQueue<Double> times = new ConcurrentLinkedQueue<>();
-        try (StandIn target = new StandIn(List.of(ANY), index -> () -> {
-            double ms = 250 * drawn.getAsDouble();
-            times.add(ms);
-            return ms;
-        })) {
+        try (StandIn target = new StandIn(
+                List.of(ANY),
+                index -> () -> {
+                    double ms = 250 * drawn.getAsDouble();
+                    times.add(ms);
+                    return ms;
+                },
+                LoadClock::of)) {
             new LoadRun(plan(target, steady(Shape.POISSON, 600, 2), 800), line -> {}).run(); // code gets warm
             times.clear();
-            LoadRun.Outcome outcome = new LoadRun(plan(target, steady(Shape.POISSON, 600, 5), 800), line -> {}).run();
+            LoadOutcome outcome = new LoadRun(plan(target, steady(Shape.POISSON, 600, 5), 800), line -> {}).run();
             double[] sorted = times.stream().mapToDouble(d -> d).sorted().toArray();
-            assertEquals(sorted.length, outcome.all().ok);
+            assertEquals(sorted.length, outcome.all().ok());
             for (double p : new double[] {50, 90, 99}) {
                 double expected = sorted[(int) Math.ceil(p / 100 * sorted.length) - 1];
-                assertEquals("p" + p, expected, LoadReport.percentileMs(outcome.all().latencyUs, p), 0.02 * expected);
+                assertEquals(
+                        "p" + p, expected, LoadReport.percentileMs(outcome.all().latencyUs(), p), 0.02 * expected);
             }
         }
     }
@@ -76,19 +79,19 @@
     public void aTargetThatStallsForASecondShowsInTheHighPercentiles() throws Exception {
         try (StandIn target = new StandIn(List.of(ANY), Distribution.FIXED, 0, 0, 1)) {
             int[] seconds = new int[1];
-            LoadRun.Outcome outcome = new LoadRun(plan(target, steady(Shape.UNIFORM, 400, 5), 40), line -> {
+            LoadOutcome outcome = new LoadRun(plan(target, steady(Shape.UNIFORM, 400, 5), 40), line -> {
                         if (++seconds[0] == 2) {
                             target.stall(1_000);
                         }
                     })
                     .run();
-            assertEquals(2_000, outcome.all().ok);
+            assertEquals(2_000, outcome.all().ok());
             assertTrue(
-                    "p99 " + LoadReport.percentileMs(outcome.all().latencyUs, 99),
-                    LoadReport.percentileMs(outcome.all().latencyUs, 99) > 800);
+                    "p99 " + LoadReport.percentileMs(outcome.all().latencyUs(), 99),
+                    LoadReport.percentileMs(outcome.all().latencyUs(), 99) > 800);
             assertTrue(
-                    "p50 " + LoadReport.percentileMs(outcome.all().latencyUs, 50),
-                    LoadReport.percentileMs(outcome.all().latencyUs, 50) < 100);
+                    "p50 " + LoadReport.percentileMs(outcome.all().latencyUs(), 50),
+                    LoadReport.percentileMs(outcome.all().latencyUs(), 50) < 100);
         }
     }
 
@@ -97,17 +100,17 @@
         try (StandIn target = new StandIn(List.of(ANY), Distribution.FIXED, 60_000, 0, 1)) {
             LoadPlan p = plan(target, steady(Shape.UNIFORM, 50, 1), 100);
             LoadPlan withShortTimeout =
-                    new LoadPlan(p.targets(), p.arrivals(), null, p.classes(), p.headers(), 100, 2, 300, 0, 1);
-            LoadRun.Outcome outcome = new LoadRun(withShortTimeout, line -> {}).run();
-            assertEquals(50, outcome.all().timedOut);
-            assertTrue(LoadReport.percentileMs(outcome.all().latencyUs, 50) >= 299);
+                    new LoadPlan(p.targets(), p.schedule(), 0, p.classes(), p.headers(), 100, 2, 300, 0, 1);
+            LoadOutcome outcome = new LoadRun(withShortTimeout, line -> {}).run();
+            assertEquals(50, outcome.all().timedOut());
+            assertTrue(LoadReport.percentileMs(outcome.all().latencyUs(), 50) >= 299);
             JsonObject json = JsonParser.parseString(LoadReport.json(outcome)).getAsJsonObject();
             assertEquals(2, json.getAsJsonArray("classes").size());
         }
         StandIn gone = new StandIn(List.of(ANY), Distribution.FIXED, 0, 0, 1);
         gone.close();
         LoadPlan nobody = plan(gone, steady(Shape.UNIFORM, 50, 1), 10);
-        assertEquals(50, new LoadRun(nobody, line -> {}).run().all().broken);
+        assertEquals(50, new LoadRun(nobody, line -> {}).run().all().broken());
     }
 
     /** Any target: long bodies, whatever their framing, no body where there must be none, and statuses of all kinds. */
@@ -127,15 +130,15 @@
             });
             loop.execute(listener::accept);
             InetSocketAddress at = (InetSocketAddress) listener.address();
-            LoadRun.Outcome outcome = new LoadRun(
+            LoadOutcome outcome = new LoadRun(
                             new LoadPlan(
-                                    List.of(LoadPlan.parseTarget("http://127.0.0.1:" + at.getPort())),
+                                    List.of(LoadPlan.Target.parse("http://127.0.0.1:" + at.getPort())),
                                     steady(Shape.UNIFORM, 100, 1),
-                                    null,
+                                    0,
                                     List.of(
-                                            LoadPlan.parseClass("long:1"),
-                                            LoadPlan.parseClass("head:1:HEAD"),
-                                            LoadPlan.parseClass("bad:1:PUT:10")),
+                                            LoadPlan.RequestClass.parse("long:1"),
+                                            LoadPlan.RequestClass.parse("head:1:HEAD"),
+                                            LoadPlan.RequestClass.parse("bad:1:PUT:10")),
                                     List.of(),
                                     10,
                                     1,
@@ -145,8 +148,10 @@
                             line -> {})
                     .run();
             assertEquals(100, outcome.all().answered());
-            assertEquals(outcome.classes().get(2).sent, outcome.classes().get(2).otherStatus);
-            assertEquals(outcome.classes().get(1).sent, outcome.classes().get(1).ok);
+            assertEquals(
+                    outcome.classes().get(2).sent(), outcome.classes().get(2).otherStatus());
+            assertEquals(
+                    outcome.classes().get(1).sent(), outcome.classes().get(1).ok());
             assertTrue(outcome.connectionsOpened() <= 10);
         } finally {
             loop.stop();
@@ -157,21 +162,21 @@
     public void eachShapeSendsWhatItSays() {
         assertEquals(5_000, count(steady(Shape.POISSON, 500, 10), 0, 10_000), 250);
         assertEquals(5_000, count(steady(Shape.UNIFORM, 500, 10), 0, 10_000), 2);
-        Plan ramp = new Plan(Shape.RAMP, 100, 900, List.of(), 0, 1, 10_000);
+        Schedule ramp = new ShapedSchedule(Shape.RAMP, 100, 900, List.of(), 0, 1, 10_000);
         assertEquals(100 + 40 * 2.5, count(ramp, 0, 2_500) / 2.5, 25);
         assertEquals(500, count(ramp, 0, 10_000) / 10.0, 25);
-        Plan steps = new Plan(Shape.STEPS, 0, 0, List.of(100.0, 0.0, 300.0), 0, 1, 9_000);
+        Schedule steps = new ShapedSchedule(Shape.STEPS, 0, 0, List.of(100.0, 0.0, 300.0), 0, 1, 9_000);
         assertEquals(0, count(steps, 3_000, 6_000));
         assertEquals(900, count(steps, 6_000, 9_000), 100);
-        Plan bursts = new Plan(Shape.BURSTS, 100, 0, List.of(), 1, 2_000, 10_000);
+        Schedule bursts = new ShapedSchedule(Shape.BURSTS, 100, 0, List.of(), 1, 2_000, 10_000);
         assertEquals(0, count(bursts, 1_000, 2_000));
         assertEquals(200, count(bursts, 2_000, 3_000), 50);
     }
 
-    private static int count(Plan plan, double from, double to) {
+    private static int count(Schedule schedule, double from, double to) {
         int n = 0;
         for (int part = 0; part < 3; part++) {
-            Arrivals arrivals = Arrivals.of(plan, part, 3, 9);
+            Arrivals arrivals = schedule.arrivals(part, 3, 9);
             for (double atMs = arrivals.nextMs(); atMs < Arrivals.END; atMs = arrivals.nextMs()) {
                 n += atMs >= from && atMs < to ? 1 : 0;
             }
@@ -183,11 +188,11 @@
     public void wrongInputIsNamed() {
         assertEquals(
                 "class x:0: should be NAME:WEIGHT[:METHOD[:BODY_BYTES]], with a weight above 0",
-                assertThrows(InvalidInputException.class, () -> LoadPlan.parseClass("x:0"))
+                assertThrows(InvalidInputException.class, () -> LoadPlan.RequestClass.parse("x:0"))
                         .getMessage());
         assertEquals(
                 "target ftp://h/: only http://host:port/path is known",
-                assertThrows(InvalidInputException.class, () -> LoadPlan.parseTarget("ftp://h/"))
+                assertThrows(InvalidInputException.class, () -> LoadPlan.Target.parse("ftp://h/"))
                         .getMessage());
     }
 }
