--- a/cli/src/main/java/dewplank/TrialOutput.java
+++ b/cli/src/main/java/dewplank/TrialOutput.java
@@ -1,8 +1,8 @@
 package dewplank;
 
-import dewplank.lab.Auditor;
 import dewplank.lab.Service;
 import dewplank.lab.Trial;
+import dewplank.lab.audit.Violation;
 import java.util.Locale;
 
 /** Prints trials: the service that clients got, and what the auditor found. */
@@ -16,15 +16,15 @@
         trial.auditor().retainedViolations().stream().limit(3).forEach(TrialOutput::print);
     }
 
-    static void print(Auditor.Violation v) {
+    static void print(Violation violation) {
         System.out.printf(
                 Locale.ROOT,
                 "%s at %.0f ms, request %d: %s%n%s%n",
-                v.rule().printedName(),
-                v.atMs(),
-                v.request(),
-                v.description(),
-                v.timeline());
+                violation.rule().printedName(),
+                violation.atMs(),
+                violation.request(),
+                violation.description(),
+                violation.timelineText());
     }
 
     static void print(Service service) {
--- a/lab/src/main/java/dewplank/lab/LiveTrial.java
+++ b/lab/src/main/java/dewplank/lab/LiveTrial.java
@@ -7,6 +7,7 @@
 import dewplank.emulator.loopback.LoopbackRun;
 import dewplank.emulator.scenario.Scenario;
 import dewplank.emulator.virtualtime.VirtualRun.Cost;
+import dewplank.lab.audit.Auditor;
 import java.io.IOException;
 import java.util.List;
 import java.util.Locale;
--- a/lab/src/main/java/dewplank/lab/Trial.java
+++ b/lab/src/main/java/dewplank/lab/Trial.java
@@ -3,6 +3,7 @@
 import dewplank.emulator.scenario.Scenario;
 import dewplank.emulator.virtualtime.VirtualRun;
 import dewplank.emulator.virtualtime.VirtualRun.Cost;
+import dewplank.lab.audit.Auditor;
 import dewplank.lab.policies.Policies;
 import java.util.LinkedHashMap;
 import java.util.Map;
--- /dev/null
+++ b/lab/src/main/java/dewplank/lab/audit/Auditor.java
@@ -0,0 +1,136 @@
+package dewplank.lab.audit;
+
+import dewplank.emulator.RecordedEvent;
+import dewplank.emulator.RecordedEvent.Type;
+import dewplank.emulator.scenario.Rules;
+import dewplank.emulator.scenario.Scenario;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.EnumMap;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Locale;
+import java.util.Map;
+import java.util.stream.Collectors;
+
+/**
+ * Checks the four rules from what clients, servers and the directory recorded. Knows nothing of the decision module and
+ * nothing of a sidecar.
+ *
+ * <p>Events come in the order of their times, on the thread that runs the world; results are read there or after the
+ * run. An attempt is forgotten some time after its deadline, so a run may be of any length.
+ */
+public final class Auditor implements RecordedEvent.Recorder {
+    private static final int MAX_RETAINED_VIOLATIONS = 50;
+    /** How long an attempt is remembered after the longest deadline, for events that come late. */
+    private static final double RETENTION_MS = 3_000;
+
+    private final Scenario scenario;
+    private final List<RuleCheck> checks;
+    private final Map<Long, ObservedAttempt> attempts = new HashMap<>();
+    private final ArrayDeque<ObservedAttempt> attemptsByAge = new ArrayDeque<>();
+    private final Map<Rule, Integer> counts = new EnumMap<>(Rule.class);
+    private final List<Violation> retainedViolations = new ArrayList<>();
+    private long requestsSent;
+
+    /**
+     * An auditor of one run.
+     *
+     * @param messageSlackMs how much later than its cause an event may be recorded, by the way that messages take
+     */
+    public Auditor(Scenario scenario, double messageSlackMs) {
+        Rules rules = scenario.rules();
+        this.scenario = scenario;
+        this.checks = List.of(
+                new ColdServerCheck(rules, messageSlackMs, this::report),
+                new DrainCheck(rules.drainMs() + messageSlackMs, this::report),
+                new AnswerCheck(rules.answerSlackMs(), messageSlackMs, this::report),
+                new RepetitionCheck(scenario, messageSlackMs, this::report));
+    }
+
+    @Override
+    public void record(RecordedEvent event) {
+        if (event.type() == Type.SENT) {
+            begin(event);
+            return;
+        }
+        ObservedAttempt attempt = attempts.get(event.request());
+        if (attempt == null) {
+            checks.forEach(check -> check.observe(event));
+            return;
+        }
+        attempt.append(event);
+        checks.forEach(check -> check.observe(event, attempt));
+        attempt.apply(event);
+    }
+
+    private void begin(RecordedEvent sent) {
+        requestsSent++;
+        ObservedAttempt attempt = new ObservedAttempt(sent, scenario.classes().get(sent.requestClass()));
+        attempts.put(sent.request(), attempt);
+        attemptsByAge.addLast(attempt);
+        double oldestMs = sent.atMs() - scenario.longestDeadlineMs() - RETENTION_MS;
+        while (attemptsByAge.peekFirst().sent().atMs() < oldestMs) {
+            ObservedAttempt expired = attemptsByAge.removeFirst();
+            checks.forEach(check -> check.attemptExpired(expired));
+            attempts.remove(expired.sent().request());
+        }
+    }
+
+    /**
+     * Ends the run: whoever still waits past its deadline was not answered. Called once, after the last event.
+     *
+     * @param nowMs on the run's clock
+     */
+    public void end(double nowMs) {
+        for (ObservedAttempt attempt : attemptsByAge) {
+            if (attempt.deadlineMs() < nowMs) {
+                checks.forEach(check -> check.attemptExpired(attempt));
+            }
+        }
+    }
+
+    private void report(Rule rule, RecordedEvent event, String description) {
+        counts.merge(rule, 1, Integer::sum);
+        if (retainedViolations.size() < MAX_RETAINED_VIOLATIONS) {
+            ObservedAttempt attempt = attempts.get(event.request());
+            List<RecordedEvent> timeline = attempt == null ? List.of(event) : attempt.timeline();
+            retainedViolations.add(new Violation(rule, event, description, timeline));
+        }
+    }
+
+    /** Attempts that clients sent. */
+    public long requestsSent() {
+        return requestsSent;
+    }
+
+    /** How many violations were found, of all rules together. */
+    public int violations() {
+        return counts.values().stream().mapToInt(Integer::intValue).sum();
+    }
+
+    /** How many violations of each rule were found; rules that were kept are not in it. */
+    public Map<Rule, Integer> counts() {
+        return Collections.unmodifiableMap(counts);
+    }
+
+    /** The first violations, {@value #MAX_RETAINED_VIOLATIONS} at most, in the order of their finding. */
+    public List<Violation> retainedViolations() {
+        return Collections.unmodifiableList(retainedViolations);
+    }
+
+    /** One line for a terminal. */
+    public String verdict() {
+        if (counts.isEmpty()) {
+            return "kept all rules (" + requestsSent + " requests)";
+        }
+        return counts.entrySet().stream()
+                .map(entry -> words(entry.getKey()) + ": " + entry.getValue())
+                .collect(Collectors.joining(", ", "broken: ", ""));
+    }
+
+    private static String words(Rule rule) {
+        return rule.printedName().toLowerCase(Locale.ROOT).replace('_', ' ');
+    }
+}
--- a/lab/src/main/java/dewplank/lab/Rule.java
+++ b/lab/src/main/java/dewplank/lab/audit/Rule.java
@@ -1,4 +1,4 @@
-package dewplank.lab;
+package dewplank.lab.audit;
 
 /** A rule that a run may break, as the {@link Auditor} checks it. */
 public enum Rule {
--- a/lab/src/test/java/dewplank/lab/BuoysTest.java
+++ b/lab/src/test/java/dewplank/lab/BuoysTest.java
@@ -9,6 +9,7 @@
 import dewplank.emulator.scenario.ScenarioFile;
 import dewplank.emulator.virtualtime.EmulatedSidecar;
 import dewplank.emulator.virtualtime.VirtualRun;
+import dewplank.lab.audit.Auditor;
 import dewplank.lab.policies.Policies;
 import java.util.List;
 import java.util.function.ToDoubleFunction;
--- a/lab/src/test/java/dewplank/lab/Broken.java
+++ b/lab/src/test/java/dewplank/lab/audit/Broken.java
@@ -1,4 +1,4 @@
-package dewplank.lab;
+package dewplank.lab.audit;
 
 import dewplank.balancer.Action;
 import dewplank.balancer.Action.Fail;
