--- a/cli/src/main/java/dewplank/ExperimentCommands.java
+++ b/cli/src/main/java/dewplank/ExperimentCommands.java
@@ -2,6 +2,8 @@
 
 import dewplank.lab.Comparison;
 import dewplank.lab.Experiment;
+import dewplank.lab.ExperimentFile;
+import dewplank.lab.Figure;
 import dewplank.lab.Report;
 import dewplank.lab.Result;
 import dewplank.lab.Runner;
@@ -32,7 +34,7 @@
 
         @Override
         public void run() throws IOException, InterruptedException {
-            Experiment experiment = Experiment.read(file);
+            Experiment experiment = ExperimentFile.read(file);
             Path folder = out == null ? Path.of("lab-results", experiment.name()) : out;
             List<Result> results = new Runner(folder, Math.max(1, threads), System.err::println).run(experiment);
             report(results, experiment.name(), experiment.about(), experiment.baseline(), folder);
@@ -43,9 +45,10 @@
             throws IOException {
         Path page = folder.resolve("report.html");
         Report.write(results, name, about, baseline, page);
-        System.out.print(Comparison.table(Comparison.withBaseline(results, baseline, "service"), "service"));
+        System.out.print(Comparison.table(Comparison.withBaseline(results, baseline, Figure.SERVICE), Figure.SERVICE));
         System.out.println(results.size() + " runs; "
-                + results.stream().filter(r -> r.figure("violations") > 0).count() + " broke a rule; report: " + page);
+                + results.stream().filter(r -> r.figure(Figure.VIOLATIONS) > 0).count() + " broke a rule; report: "
+                + page);
     }
 
     /** Writes the report of a folder's results again, also of an experiment that was cut short. */
@@ -84,12 +87,11 @@
 
         @Override
         public void run() {
-            if (!Result.FIGURES.contains(figure)) {
-                throw new InvalidInputException(
-                        "there is no figure " + figure + "; known: " + String.join(", ", Result.FIGURES));
-            }
-            System.out.print(
-                    Comparison.table(Comparison.ofFolders(Runner.read(first), Runner.read(second), figure), figure));
+            Figure compared = Figure.ofColumn(figure)
+                    .orElseThrow(() -> new InvalidInputException(
+                            "there is no figure " + figure + "; known: " + Figure.columnList()));
+            System.out.print(Comparison.table(
+                    Comparison.ofFolders(Runner.read(first), Runner.read(second), compared), compared));
         }
     }
 }
--- a/cli/src/main/java/dewplank/LabCommands.java
+++ b/cli/src/main/java/dewplank/LabCommands.java
@@ -1,7 +1,7 @@
 package dewplank;
 
 import dewplank.emulator.scenario.ScenarioFile;
-import dewplank.lab.Result;
+import dewplank.lab.Figure;
 import dewplank.lab.policies.Policies;
 import java.io.IOException;
 import org.kohsuke.args4j.Argument;
@@ -41,7 +41,7 @@
         public void run() {
             System.out.println("scenarios: " + String.join(", ", ScenarioFile.names()));
             System.out.println("policies:  " + String.join(", ", Policies.names()));
-            System.out.println("figures:   " + String.join(", ", Result.FIGURES));
+            System.out.println("figures:   " + Figure.columnList());
         }
     }
 }
--- a/cli/src/main/java/dewplank/TrialCommands.java
+++ b/cli/src/main/java/dewplank/TrialCommands.java
@@ -105,7 +105,8 @@
                     played = withFigure(played, change);
                 }
                 for (String policy : policies.isEmpty() ? List.of("choice", "oracle") : policies) {
-                    Trial trial = Trial.playSplittingLosses(played, policy, seed);
+                    Trial.WithLosses split = Trial.playSplittingLosses(played, policy, seed);
+                    Trial trial = split.trial();
                     System.out.printf(
                             Locale.ROOT,
                             "%s, %s: service %.3f, %s%n%s",
@@ -113,7 +114,7 @@
                             policy,
                             trial.service().valueRatio(),
                             trial.auditor().verdict(),
-                            trial.losses().table());
+                            split.losses().table());
                 }
             }
         }
--- a/cli/src/main/java/dewplank/TrialOutput.java
+++ b/cli/src/main/java/dewplank/TrialOutput.java
@@ -44,13 +44,17 @@
                         Locale.ROOT,
                         "  %-14s %6d asked, in aim %.3f, p50 %.0f ms, p99 %.0f ms%n",
                         c.name(),
-                        c.latency().getTotalCount(),
+                        c.latencyUs().getTotalCount(),
                         c.withinTargetRatio(),
-                        c.latency().getValueAtPercentile(50) / 1000.0,
-                        c.latency().getValueAtPercentile(99) / 1000.0));
+                        c.latencyUs().getValueAtPercentile(50) / 1000.0,
+                        c.latencyUs().getValueAtPercentile(99) / 1000.0));
         StringBuilder line = new StringBuilder("  by second:");
         service.seconds()
-                .forEach(s -> line.append(s[0] == 0 ? " -" : String.format(Locale.ROOT, " %.0f", 100 * s[1] / s[0])));
+                .forEach(second -> line.append(
+                        second.isEmpty()
+                                ? " -"
+                                : String.format(
+                                        Locale.ROOT, " %.0f", 100 * second.withinTarget() / second.requested())));
         System.out.println(line);
     }
 }
--- a/lab/src/main/java/dewplank/lab/Comparison.java
+++ b/lab/src/main/java/dewplank/lab/Comparison.java
@@ -13,7 +13,7 @@
  * so that what the seeds alone do to a figure cancels.
  */
 public final class Comparison {
-    /** {@code difference}: of the second to the first. */
+    /** One cell of an experiment. {@code difference}: what the second has more than the first, pair by pair. */
     public record Row(
             String cell,
             String firstPolicy,
@@ -22,73 +22,82 @@
             Statistics firstFigures,
             Statistics secondFigures) {}
 
+    /** One figure of two runs in the same world. */
+    private record Pair(double first, double second) {
+        double difference() {
+            return second - first;
+        }
+    }
+
     private Comparison() {}
 
     /** Pairs runs of the same policy in two folders. */
-    public static List<Row> ofFolders(List<Result> firstRuns, List<Result> secondRuns, String figure) {
+    public static List<Row> ofFolders(List<Result> firstRuns, List<Result> secondRuns, Figure figure) {
         List<Row> rows = new ArrayList<>();
         for (String policy : policies(firstRuns)) {
             if (policies(secondRuns).contains(policy)) {
-                rows.addAll(pair(ofPolicy(firstRuns, policy), ofPolicy(secondRuns, policy), policy, policy, figure));
+                rows.addAll(rows(ofPolicy(firstRuns, policy), ofPolicy(secondRuns, policy), figure));
             }
         }
         return rows;
     }
 
     /** Pairs each policy with the baseline, within one folder. */
-    public static List<Row> withBaseline(List<Result> all, String baseline, String figure) {
+    public static List<Row> withBaseline(List<Result> all, String baseline, Figure figure) {
         List<Row> rows = new ArrayList<>();
         for (String policy : policies(all)) {
             if (!policy.equals(baseline)) {
-                rows.addAll(pair(ofPolicy(all, baseline), ofPolicy(all, policy), baseline, policy, figure));
+                rows.addAll(rows(ofPolicy(all, baseline), ofPolicy(all, policy), figure));
             }
         }
         return rows;
     }
 
+    /** The policies' names, in the order of their first runs. */
     static Set<String> policies(List<Result> results) {
         Set<String> names = new LinkedHashSet<>();
-        results.forEach(r -> names.add(r.policy()));
+        results.forEach(result -> names.add(result.policy()));
         return names;
     }
 
     private static List<Result> ofPolicy(List<Result> all, String policy) {
-        return all.stream().filter(r -> r.policy().equals(policy)).toList();
+        return all.stream().filter(result -> result.policy().equals(policy)).toList();
     }
 
-    private static List<Row> pair(
-            List<Result> firstRuns, List<Result> secondRuns, String firstPolicy, String secondPolicy, String figure) {
+    /** One row a cell, of two sets of runs that are each of one policy. */
+    private static List<Row> rows(List<Result> firstRuns, List<Result> secondRuns, Figure figure) {
         Map<String, Result> firstByWorld = new LinkedHashMap<>();
-        firstRuns.forEach(r -> firstByWorld.put(r.worldName(), r));
-        Map<String, List<double[]>> pairs = new LinkedHashMap<>();
-        for (Result r : secondRuns) {
-            Result other = firstByWorld.get(r.worldName());
-            if (other != null) {
-                pairs.computeIfAbsent(r.cellName(), p -> new ArrayList<>())
-                        .add(new double[] {other.figure(figure), r.figure(figure)});
+        firstRuns.forEach(result -> firstByWorld.put(result.worldName(), result));
+        Map<String, List<Pair>> pairsByCell = new LinkedHashMap<>();
+        for (Result second : secondRuns) {
+            Result first = firstByWorld.get(second.worldName());
+            if (first != null) {
+                pairsByCell
+                        .computeIfAbsent(second.cellName(), cell -> new ArrayList<>())
+                        .add(new Pair(first.figure(figure), second.figure(figure)));
             }
         }
         List<Row> rows = new ArrayList<>();
-        pairs.forEach((cellName, values) -> rows.add(new Row(
-                cellName,
-                firstPolicy,
-                secondPolicy,
-                Statistics.of(values.stream().map(v -> v[1] - v[0]).toList()),
-                Statistics.of(values.stream().map(v -> v[0]).toList()),
-                Statistics.of(values.stream().map(v -> v[1]).toList()))));
+        pairsByCell.forEach((cell, pairs) -> rows.add(new Row(
+                cell,
+                firstRuns.get(0).policy(),
+                secondRuns.get(0).policy(),
+                Statistics.of(pairs.stream().map(Pair::difference).toList()),
+                Statistics.of(pairs.stream().map(Pair::first).toList()),
+                Statistics.of(pairs.stream().map(Pair::second).toList()))));
         return rows;
     }
 
     /** A table for a terminal; a star marks differences that are more than chance. */
-    public static String table(List<Row> rows, String figure) {
+    public static String table(List<Row> rows, Figure figure) {
         StringBuilder text = new StringBuilder(String.format(
                 Locale.ROOT,
                 "%-34s %-18s %-18s %9s %9s %9s %9s  n%n",
                 "scenario",
                 "first",
                 "second",
-                figure + " 1",
-                figure + " 2",
+                figure.column() + " 1",
+                figure.column() + " 2",
                 "change",
                 "+-"));
         for (Row row : rows) {
--- a/lab/src/main/java/dewplank/lab/Result.java
+++ b/lab/src/main/java/dewplank/lab/Result.java
@@ -2,91 +2,68 @@
 
 import dewplank.settings.InvalidInputException;
 import java.util.ArrayList;
-import java.util.LinkedHashMap;
+import java.util.Collections;
+import java.util.EnumMap;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
 
 /**
- * One run's place in an experiment and its figures. {@code parameters}: what was varied, as {@code load.share=0.7}, or
- * empty. Figures are held in the order of {@link #FIGURES}; shares are parts of 1, times are milliseconds.
+ * One run's place in an experiment, and its figures.
+ *
+ * @param parameters what was varied, as {@code load.share=0.7}, with blanks between several; or empty
+ * @param figures all of them; NaN for one that the file read does not have
  */
-public record Result(String scenario, String parameters, String policy, long seed, Map<String, Double> figures) {
-    public static final List<String> FIGURES = List.of(
-            "service",
-            "worst_class",
-            "worst_spell",
-            "refused",
-            "failed",
-            "tries_each",
-            "sends_each",
-            "p50_ms",
-            "p90_ms",
-            "p99_ms",
-            "requests",
-            "violations",
-            "probes",
-            "handshakes",
-            "directory_calls",
-            "directory_lines",
-            "events",
-            "unsound",
-            "worst_tenant");
+public record Result(String scenario, String parameters, String policy, long seed, Map<Figure, Double> figures) {
+    private static final String KEYS = "scenario,parameters,policy,seed,";
     private static final int KEY_COLUMNS = 4;
+    /** Whole numbers below this are written without decimals. */
+    private static final double MAX_PLAIN_INTEGER = 1e12;
 
-    static String csvHeader() {
-        return "scenario,parameters,policy,seed," + String.join(",", FIGURES);
+    public Result {
+        figures = Collections.unmodifiableMap(new EnumMap<>(figures));
     }
 
-    public double figure(String name) {
-        return figures.get(name);
+    public double figure(Figure figure) {
+        return figures.get(figure);
     }
 
-    /** What a run of another policy with the same world has in common. */
+    /** What a run of another policy in the same world has in common. */
     public String worldName() {
         return scenario + " " + parameters + " " + seed;
     }
 
+    /** The scenario and what was varied, for people. */
     public String cellName() {
         return parameters.isEmpty() ? scenario : scenario + " " + parameters;
     }
 
+    static String csvHeader() {
+        return KEYS + String.join(",", Figure.columns());
+    }
+
     String csvLine() {
         StringBuilder line = new StringBuilder(scenario + "," + parameters + "," + policy + "," + seed);
-        for (String figure : FIGURES) {
-            double value = figures.get(figure);
-            line.append(',')
-                    .append(
-                            value == Math.rint(value) && Math.abs(value) < 1e12
-                                    ? Long.toString((long) value)
-                                    : String.format(Locale.ROOT, "%.6f", value));
+        for (Figure figure : Figure.values()) {
+            line.append(',').append(csvValue(figures.get(figure)));
         }
         return line.toString();
     }
 
-    /** Reads a line again; {@code columns}: the file's header. */
-    static Result parse(String line, List<String> columns, String location) {
-        String[] parts = line.split(",", -1);
-        if (parts.length != columns.size()) {
-            throw new InvalidInputException(
-                    location + ": " + parts.length + " values where the header has " + columns.size());
-        }
-        Map<String, Double> figures = new LinkedHashMap<>();
-        try {
-            for (int i = KEY_COLUMNS; i < parts.length; i++) {
-                figures.put(columns.get(i), Double.parseDouble(parts[i]));
-            }
-            for (String figure : FIGURES) {
-                figures.putIfAbsent(figure, Double.NaN);
-            }
-            return new Result(parts[0], parts[1], parts[2], Long.parseLong(parts[3]), figures);
-        } catch (NumberFormatException e) {
-            throw new InvalidInputException(location + ": " + e.getMessage());
-        }
+    private static String csvValue(double value) {
+        boolean isPlainInteger = value == Math.rint(value) && Math.abs(value) < MAX_PLAIN_INTEGER;
+        return isPlainInteger ? Long.toString((long) value) : String.format(Locale.ROOT, "%.6f", value);
     }
 
+    /**
+     * Reads a table that {@link #csvHeader} and {@link #csvLine} gave. Columns that are none of today's figures are
+     * skipped.
+     *
+     * @param file its name, for messages
+     * @throws InvalidInputException if it is no such table, or a line is damaged
+     */
     static List<Result> parseTable(List<String> lines, String file) {
-        if (lines.isEmpty() || !lines.get(0).startsWith("scenario,parameters,policy,seed,")) {
+        if (lines.isEmpty() || !lines.get(0).startsWith(KEYS)) {
             throw new InvalidInputException(file + ": not a table of runs");
         }
         List<String> columns = List.of(lines.get(0).split(","));
@@ -98,4 +75,25 @@
         }
         return results;
     }
+
+    private static Result parse(String line, List<String> columns, String location) {
+        String[] values = line.split(",", -1);
+        if (values.length != columns.size()) {
+            throw new InvalidInputException(
+                    location + ": " + values.length + " values where the header has " + columns.size());
+        }
+        Map<Figure, Double> figures = new EnumMap<>(Figure.class);
+        for (Figure figure : Figure.values()) {
+            figures.put(figure, Double.NaN);
+        }
+        try {
+            for (int i = KEY_COLUMNS; i < values.length; i++) {
+                double value = Double.parseDouble(values[i]);
+                Figure.ofColumn(columns.get(i)).ifPresent(figure -> figures.put(figure, value));
+            }
+            return new Result(values[0], values[1], values[2], Long.parseLong(values[3]), figures);
+        } catch (NumberFormatException e) {
+            throw new InvalidInputException(location + ": " + e.getMessage());
+        }
+    }
 }
--- a/lab/src/main/java/dewplank/lab/Runner.java
+++ b/lab/src/main/java/dewplank/lab/Runner.java
@@ -8,9 +8,7 @@
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.List;
-import java.util.Objects;
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.ExecutorCompletionService;
 import java.util.concurrent.ExecutorService;
@@ -20,8 +18,8 @@
 
 /**
  * Plays an experiment's runs over some threads, one run a thread. Each result is on disk as soon as it is there, in a
- * file beside the table; the table itself is replaced whole, in the jobs' order, so that the same experiment gives the
- * same bytes on any number of threads. What was finished when a run was cut short stays readable.
+ * file beside the table; the table itself is replaced in one step, in the jobs' order, so that the same experiment
+ * gives the same bytes on any number of threads. What was finished when a run was interrupted stays readable.
  */
 public final class Runner {
     static final String TABLE = "runs.csv";
@@ -31,85 +29,109 @@
     private final int threads;
     private final Consumer<String> progress;
 
+    /**
+     * A runner of one experiment.
+     *
+     * @param folder for the results; is made if it is not there
+     * @param progress gets a line for each finished run, on the thread that calls {@link #run}
+     */
     public Runner(Path folder, int threads, Consumer<String> progress) {
         this.folder = folder;
         this.threads = threads;
         this.progress = progress;
     }
 
-    /** Plays all; the results in the jobs' order. A run that breaks ends the experiment with its seed named. */
+    /**
+     * Plays all runs and returns their results in the jobs' order.
+     *
+     * @throws IllegalStateException if a run breaks, with its seed named; the others are ended
+     */
     public List<Result> run(Experiment experiment) throws IOException, InterruptedException {
         Files.createDirectories(folder);
         Files.deleteIfExists(folder.resolve(TABLE));
-        List<Job> jobs = experiment.jobs();
-        Result[] results = new Result[jobs.size()];
         ExecutorService executor = Executors.newFixedThreadPool(threads, task -> {
             Thread thread = new Thread(task, "trial");
             thread.setDaemon(true);
             return thread;
         });
+        List<Result> results;
+        try {
+            results = runAll(experiment.jobs(), executor);
+        } finally {
+            executor.shutdownNow();
+        }
+        write(results, folder);
+        Files.deleteIfExists(folder.resolve(PARTIAL_TABLE));
+        return results;
+    }
+
+    private List<Result> runAll(List<Job> jobs, ExecutorService executor) throws IOException, InterruptedException {
         try (Writer partialTable = Files.newBufferedWriter(folder.resolve(PARTIAL_TABLE))) {
             partialTable.write(Result.csvHeader() + "\n");
-            ExecutorCompletionService<Integer> completions = new ExecutorCompletionService<>(executor);
-            for (int i = 0; i < jobs.size(); i++) {
-                int index = i;
-                completions.submit(() -> {
-                    results[index] = play(jobs.get(index));
-                    return index;
-                });
-            }
-            for (int finished = 1; finished <= jobs.size(); finished++) {
-                Result result = results[indexOf(completions.take())];
+            ExecutorCompletionService<Result> completions = new ExecutorCompletionService<>(executor);
+            List<Future<Result>> runs = jobs.stream()
+                    .map(job -> completions.submit(() -> play(job)))
+                    .toList();
+            for (int finished = 1; finished <= runs.size(); finished++) {
+                Result result = resultOf(completions.take());
                 partialTable.write(result.csvLine() + "\n");
                 partialTable.flush();
-                progress.accept("%d of %d: %s %s seed %d: service %.3f%s"
-                        .formatted(
-                                finished,
-                                jobs.size(),
-                                result.cellName(),
-                                result.policy(),
-                                result.seed(),
-                                result.figure("service"),
-                                result.figure("violations") > 0 ? ", RULES BROKEN" : ""));
+                progress.accept(progressLine(finished, runs.size(), result));
             }
-        } finally {
-            executor.shutdownNow();
+            List<Result> inOrder = new ArrayList<>();
+            for (Future<Result> run : runs) {
+                inOrder.add(resultOf(run));
+            }
+            return inOrder;
         }
-        List<Result> all = Arrays.stream(results).filter(Objects::nonNull).toList();
-        write(all, folder);
-        Files.deleteIfExists(folder.resolve(PARTIAL_TABLE));
-        return all;
+    }
+
+    private static String progressLine(int finished, int all, Result result) {
+        return "%d of %d: %s %s seed %d: service %.3f%s"
+                .formatted(
+                        finished,
+                        all,
+                        result.cellName(),
+                        result.policy(),
+                        result.seed(),
+                        result.figure(Figure.SERVICE),
+                        result.figure(Figure.VIOLATIONS) > 0 ? ", RULES BROKEN" : "");
     }
 
     private static Result play(Job job) {
+        Experiment.Cell cell = job.cell();
         try {
-            return Trial.play(job.cell().scenario(), job.policy(), job.seed(), false)
-                    .result(job.cell().scenarioName(), job.cell().parameters(), job.policy(), job.seed());
-        } catch (RuntimeException e) {
+            return Trial.play(cell.scenario(), job.policy(), job.seed(), false)
+                    .result(cell.scenarioName(), cell.parameters(), job.policy(), job.seed());
+        } catch (RuntimeException e) { // of any kind: only here is it known which run it was
             throw new IllegalStateException(
-                    "scenario " + job.cell().scenarioName() + " " + job.cell().parameters() + ", policy " + job.policy()
-                            + ", seed " + job.seed() + ": " + e,
+                    "scenario " + cell.scenarioName() + " " + cell.parameters() + ", policy " + job.policy() + ", seed "
+                            + job.seed() + ": " + e,
                     e);
         }
     }
 
-    private static int indexOf(Future<Integer> future) throws InterruptedException {
+    private static Result resultOf(Future<Result> finished) throws InterruptedException {
         try {
-            return future.get();
+            return finished.get();
         } catch (ExecutionException e) {
-            throw e.getCause() instanceof RuntimeException r ? r : new IllegalStateException(e.getCause());
+            throw e.getCause() instanceof RuntimeException cause ? cause : new IllegalStateException(e.getCause());
         }
     }
 
-    static void write(List<Result> results, Path folder) throws IOException {
+    private static void write(List<Result> results, Path folder) throws IOException {
         List<String> lines = new ArrayList<>(List.of(Result.csvHeader()));
-        results.forEach(r -> lines.add(r.csvLine()));
+        results.forEach(result -> lines.add(result.csvLine()));
         Path temporary = folder.resolve(TABLE + ".new");
         Files.writeString(temporary, String.join("\n", lines) + "\n");
         Files.move(temporary, folder.resolve(TABLE), StandardCopyOption.ATOMIC_MOVE);
     }
 
-    /** What a folder holds, of an experiment that ended or of one that was cut short. */
+    /**
+     * Reads the results in a folder, of an experiment that ended or of one that was interrupted.
+     *
+     * @throws InvalidInputException if there are none, or they are damaged
+     */
     public static List<Result> read(Path folder) {
         Path table = folder.resolve(TABLE);
         Path file = Files.exists(table) ? table : folder.resolve(PARTIAL_TABLE);
--- a/lab/src/main/java/dewplank/lab/Statistics.java
+++ b/lab/src/main/java/dewplank/lab/Statistics.java
@@ -4,20 +4,38 @@
 import org.apache.commons.math3.distribution.TDistribution;
 import org.apache.commons.math3.stat.descriptive.SummaryStatistics;
 
-/** A mean and the half width of its 95 % interval (Student's t); NaN where one value alone gives none. */
+/**
+ * A mean with its 95 % interval by Student's t.
+ *
+ * @param count how many values; of none, all figures are NaN
+ * @param halfWidth of the interval; NaN for fewer than two values
+ */
 public record Statistics(int count, double mean, double halfWidth, double min, double max) {
+    /** Of the two-sided interval of 95 %. */
     private static final double UPPER_QUANTILE = 0.975;
 
     public static Statistics of(List<Double> values) {
         SummaryStatistics summary = new SummaryStatistics();
         values.forEach(summary::addValue);
         int count = (int) summary.getN();
-        double halfWidth = count < 2
-                ? Double.NaN
-                : new TDistribution(null, count - 1).inverseCumulativeProbability(UPPER_QUANTILE)
-                        * summary.getStandardDeviation()
-                        / Math.sqrt(count);
-        return new Statistics(count, summary.getMean(), halfWidth, summary.getMin(), summary.getMax());
+        return new Statistics(count, summary.getMean(), halfWidth(summary), summary.getMin(), summary.getMax());
+    }
+
+    /** Of one figure of one policy's runs. */
+    static Statistics of(List<Result> runs, String policy, Figure figure) {
+        return of(runs.stream()
+                .filter(run -> run.policy().equals(policy))
+                .map(run -> run.figure(figure))
+                .toList());
+    }
+
+    private static double halfWidth(SummaryStatistics summary) {
+        int count = (int) summary.getN();
+        if (count < 2) {
+            return Double.NaN;
+        }
+        double t = new TDistribution(null, count - 1).inverseCumulativeProbability(UPPER_QUANTILE);
+        return t * summary.getStandardDeviation() / Math.sqrt(count);
     }
 
     /** Whether 0 lies outside the interval: a difference that is more than chance. */
--- a/lab/src/main/java/dewplank/lab/Trial.java
+++ b/lab/src/main/java/dewplank/lab/Trial.java
@@ -5,71 +5,87 @@
 import dewplank.emulator.virtualtime.VirtualRun.Cost;
 import dewplank.lab.audit.Auditor;
 import dewplank.lab.policies.Policies;
-import java.util.LinkedHashMap;
+import java.util.EnumMap;
 import java.util.Map;
 import org.HdrHistogram.Histogram;
 
 /**
- * One run, judged: scenario, policy, seed in; service, cost and the auditor's findings out. {@code losses} is null
- * unless they were asked for.
+ * One run, judged.
+ *
+ * @param service what clients got
+ * @param auditor with its findings
+ * @param unsound whether the emulator itself ran late, so that the run says nothing of the sidecars; only on sockets
  */
-public record Trial(Service service, Auditor auditor, Cost cost, boolean unsound, LossSplit losses) {
-    /** Messages take a few milliseconds at the most in virtual time, a handshake included. */
-    private static final double SLACK_MS = 50;
+public record Trial(Service service, Auditor auditor, Cost cost, boolean unsound) {
+    /** Messages take a few milliseconds at most in virtual time, a handshake included. */
+    private static final double MESSAGE_SLACK_MS = 50;
 
-    /** {@code decideInParallel}: whether the sidecars of one tick decide on all cores. */
+    /** A trial, and what became of the value that it lost. */
+    public record WithLosses(Trial trial, LossSplit losses) {}
+
+    /**
+     * Plays a run in virtual time. The same arguments give the same trial.
+     *
+     * @param policy a name of {@link Policies}
+     * @param decideInParallel whether the sidecars of one tick decide on all cores; the trial is the same
+     * @throws dewplank.settings.InvalidInputException if there is no such policy
+     */
     public static Trial play(Scenario scenario, String policy, long seed, boolean decideInParallel) {
-        Auditor auditor = new Auditor(scenario, SLACK_MS);
+        Auditor auditor = new Auditor(scenario, MESSAGE_SLACK_MS);
         Service service = new Service(scenario, 0);
         VirtualRun.Execution execution =
                 decideInParallel ? VirtualRun.Execution.PARALLEL : VirtualRun.Execution.SEQUENTIAL;
         VirtualRun run = new VirtualRun(scenario, seed, Policies.named(policy), auditor, service, execution);
-        Cost cost = run.run();
-        auditor.end(run.world().now());
-        return new Trial(service, auditor, cost, false, null);
+        return play(run, service, auditor);
     }
 
     /**
-     * The same, with the losses split by cause; slower, since each refusal is held against every server's true state.
+     * The same, with the losses split by cause; slower, since each refusal is compared with every server's true state.
      */
-    public static Trial playSplittingLosses(Scenario scenario, String policy, long seed) {
-        Auditor auditor = new Auditor(scenario, SLACK_MS);
+    public static WithLosses playSplittingLosses(Scenario scenario, String policy, long seed) {
+        Auditor auditor = new Auditor(scenario, MESSAGE_SLACK_MS);
         Service service = new Service(scenario, 0);
         LossSplit losses = new LossSplit(scenario, auditor, service);
         VirtualRun run =
                 new VirtualRun(scenario, seed, Policies.named(policy), losses, losses, VirtualRun.Execution.SEQUENTIAL);
         losses.attach(run.world());
+        return new WithLosses(play(run, service, auditor), losses);
+    }
+
+    private static Trial play(VirtualRun run, Service service, Auditor auditor) {
         Cost cost = run.run();
         auditor.end(run.world().now());
-        return new Trial(service, auditor, cost, false, losses);
+        return new Trial(service, auditor, cost, false);
     }
 
+    /** The trial as a line of an experiment, whose keys are given. */
     public Result result(String scenario, String parameters, String policy, long seed) {
         return new Result(scenario, parameters, policy, seed, figures());
     }
 
-    private Map<String, Double> figures() {
-        Histogram latency = service.latency();
-        Map<String, Double> figures = new LinkedHashMap<>();
-        figures.put("service", service.valueRatio());
-        figures.put("worst_class", service.worstClass());
-        figures.put("worst_spell", service.worstWindow());
-        figures.put("refused", service.refusedRatio());
-        figures.put("failed", service.failedRatio());
-        figures.put("tries_each", service.attemptsPerRequest());
-        figures.put("sends_each", auditor.requestsSent() == 0 ? 0 : (double) cost.sends() / auditor.requestsSent());
-        figures.put("p50_ms", latency.getValueAtPercentile(50) / 1000.0);
-        figures.put("p90_ms", latency.getValueAtPercentile(90) / 1000.0);
-        figures.put("p99_ms", latency.getValueAtPercentile(99) / 1000.0);
-        figures.put("requests", (double) service.requests());
-        figures.put("violations", (double) auditor.violations());
-        figures.put("probes", (double) cost.healthChecks());
-        figures.put("handshakes", (double) cost.handshakes());
-        figures.put("directory_calls", (double) cost.directoryCalls());
-        figures.put("directory_lines", (double) cost.directoryLines());
-        figures.put("events", (double) cost.events());
-        figures.put("unsound", unsound ? 1.0 : 0.0);
-        figures.put("worst_tenant", service.worstTenant());
+    private Map<Figure, Double> figures() {
+        Histogram latencyUs = service.latencyUs();
+        long sentByClients = auditor.requestsSent();
+        Map<Figure, Double> figures = new EnumMap<>(Figure.class);
+        figures.put(Figure.SERVICE, service.valueRatio());
+        figures.put(Figure.WORST_CLASS, service.worstClass());
+        figures.put(Figure.WORST_WINDOW, service.worstWindow());
+        figures.put(Figure.REFUSED, service.refusedRatio());
+        figures.put(Figure.FAILED, service.failedRatio());
+        figures.put(Figure.ATTEMPTS_PER_REQUEST, service.attemptsPerRequest());
+        figures.put(Figure.SENDS_PER_ATTEMPT, sentByClients == 0 ? 0 : (double) cost.sends() / sentByClients);
+        figures.put(Figure.P50_MS, latencyUs.getValueAtPercentile(50) / 1000.0);
+        figures.put(Figure.P90_MS, latencyUs.getValueAtPercentile(90) / 1000.0);
+        figures.put(Figure.P99_MS, latencyUs.getValueAtPercentile(99) / 1000.0);
+        figures.put(Figure.REQUESTS, (double) service.requests());
+        figures.put(Figure.VIOLATIONS, (double) auditor.violations());
+        figures.put(Figure.HEALTH_CHECKS, (double) cost.healthChecks());
+        figures.put(Figure.HANDSHAKES, (double) cost.handshakes());
+        figures.put(Figure.DIRECTORY_CALLS, (double) cost.directoryCalls());
+        figures.put(Figure.DIRECTORY_LINES, (double) cost.directoryLines());
+        figures.put(Figure.EVENTS, (double) cost.events());
+        figures.put(Figure.UNSOUND, unsound ? 1.0 : 0.0);
+        figures.put(Figure.WORST_TENANT, service.worstTenant());
         return figures;
     }
 }
--- a/lab/src/test/java/dewplank/lab/BuoysTest.java
+++ b/lab/src/test/java/dewplank/lab/BuoysTest.java
@@ -1,7 +1,7 @@
 package dewplank.lab;
 
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dewplank.balancer.health.PeerSummary;
 import dewplank.emulator.World;
@@ -14,10 +14,10 @@
 import java.util.List;
 import java.util.function.ToDoubleFunction;
 import java.util.stream.IntStream;
-import org.junit.Test;
+import org.junit.jupiter.api.Test;
 
-/** The hard cases of a fleet as the buoys' operators have: each by name, several seeds, the auditor on all of them. */
-public class BuoysTest {
+/** The hard cases of a fleet as the buoys' operators have it: each on several seeds, with the auditor on all. */
+class BuoysTest {
     private static final int SEEDS = 6;
 
     private static Scenario scenario(String name) {
@@ -32,9 +32,9 @@
                     Trial trial = Trial.play(scenario, policy, seed, false);
                     if (policy.equals("choice")) {
                         assertEquals(
-                                "seed " + seed + ": " + trial.auditor().retainedViolations(),
                                 0,
-                                trial.auditor().violations());
+                                trial.auditor().violations(),
+                                () -> "seed " + seed + ": " + trial.auditor().retainedViolations());
                     }
                     return figure.applyAsDouble(trial);
                 })
@@ -47,58 +47,58 @@
     }
 
     @Test
-    public void aCalmFleetServesNearlyAllAndRefusesHardlyAnybody() {
+    void aCalmFleetServesNearlyAllAndRefusesHardlyAny() {
         assertTrue(service("buoys") > 0.97);
         assertTrue(mean(scenario("buoys"), "choice", t -> t.service().refusedRatio()) < 0.005);
     }
 
-    /** Three of twelve servers and a quarter of the sidecars are gone for 12 s: what those held is their own loss. */
+    /** Three of twelve servers and a quarter of the sidecars are gone for 12 s: what was in flight there is lost. */
     @Test
-    public void aBuildingLostWithItsSidecarsAndBackColdBreaksNoRule() {
-        double near =
+    void aBuildingLostWithItsSidecarsAndBackColdCostsLittleMoreThanTheOracle() {
+        double oracle =
                 mean(scenario("buoys-building"), "oracle", t -> t.service().valueRatio());
         double service = service("buoys-building");
-        assertTrue(service + " of the oracle's " + near, service > near - 0.04);
+        assertTrue(service > oracle - 0.04, service + " of the oracle's " + oracle);
     }
 
     @Test
-    public void aSixthOfTheServersSilentWithNoResetCostsLittle() {
+    void aSixthOfTheServersSilentWithoutAResetCostsLittle() {
         double service = service("buoys-silent");
-        assertTrue("service " + service, service > 0.92);
+        assertTrue(service > 0.92, "service " + service);
     }
 
-    /** A fast failure must not look like a fast server: a policy that sees times and loads alone sends them all. */
+    /** A fast failure must not look like a fast server: a policy that sees latencies and loads alone sends them all. */
     @Test
-    public void serversThatFailQuicklyGetNoMoreThanTheirTrials() {
+    void serversThatFailQuicklyDrawLessThanHalfTheFailuresOfABlindPolicy() {
         double blind =
                 mean(scenario("buoys-errors"), "two-choices", t -> t.service().failedRatio());
         double failed =
                 mean(scenario("buoys-errors"), "choice", t -> t.service().failedRatio());
-        assertTrue(failed + " failed, blind " + blind, failed < 0.5 * blind);
+        assertTrue(failed < 0.5 * blind, failed + " failed, blind " + blind);
     }
 
     @Test
-    public void aNeighbourOnHalfOfTheMachinesBreaksNoRule() {
+    void aNoisyNeighbourOnHalfOfTheMachinesCostsLittle() {
         double service = service("buoys-neighbour");
-        assertTrue("service " + service, service > 0.85);
+        assertTrue(service > 0.85, "service " + service);
     }
 
     @Test
-    public void aDeployOfNineInTenWithinTwentyTwoSecondsPushesNobodyOver() {
+    void aDeployOfNineInTenWithinTwentyTwoSecondsOverloadsNoColdServer() {
         double service = service("buoys-deploy");
-        assertTrue("service " + service, service > 0.82);
+        assertTrue(service > 0.82, "service " + service);
     }
 
-    /** Little room to spare, so that the flood has to be somebody's loss: it is its own. */
+    /** Little spare capacity, so that some tenant has to lose by the flood: it is the one that causes it. */
     @Test
-    public void aDepartmentAtTenTimesItsShareLeavesTheOthersTheirs() {
+    void aTenantAtTenTimesItsQuotaLeavesTheOthersTheirs() {
         Scenario flood = scenario("buoys-flood").with("load.share", 0.8);
         double worst = mean(flood, "choice", t -> t.service().worstTenant());
         double blind = mean(flood, "two-choices", t -> t.service().worstTenant());
-        assertTrue("worst department " + worst + ", blind " + blind, worst > 0.83 && worst > blind + 0.05);
+        assertTrue(worst > 0.83 && worst > blind + 0.05, "worst tenant " + worst + ", blind " + blind);
     }
 
-    /** One sidecar of five that tells the others what it likes. */
+    /** The service with one sidecar of five that sends the others false summaries, or none. */
     private static double withLiar(Scenario scenario, boolean lies) {
         return IntStream.rangeClosed(1, SEEDS)
                 .parallel()
@@ -114,7 +114,8 @@
                             VirtualRun.Execution.SEQUENTIAL,
                             (r, n) -> n == 0 && lies ? new Liar(r, n) : new Plain(r, n));
                     run.run();
-                    assertEquals(auditor.retainedViolations().toString(), 0, auditor.violations());
+                    assertEquals(0, auditor.violations(), () -> auditor.retainedViolations()
+                            .toString());
                     return service.valueRatio();
                 })
                 .average()
@@ -146,19 +147,19 @@
     }
 
     @Test
-    public void aPeerThatSaysThatAThirdOfTheServersIsIllIsOutvoted() {
+    void aPeerThatReportsAThirdOfTheServersUnhealthyIsOutvoted() {
         Scenario busy = scenario("buoys").with("load.share", 0.75);
         double honest = withLiar(busy, false);
         double lied = withLiar(busy, true);
-        assertTrue(lied + " with a liar, " + honest + " without", lied > honest - 0.03);
+        assertTrue(lied > honest - 0.03, lied + " with a liar, " + honest + " without");
     }
 
     @Test
-    public void aSidecarThatHearsNoPeerGoesByItsOwnSight() {
+    void aSidecarWithoutPeerSummariesGoesByItsOwnAttempts() {
         Scenario errors = scenario("buoys-errors");
-        double heard = mean(errors, "choice", t -> t.service().valueRatio());
+        double withPeers = mean(errors, "choice", t -> t.service().valueRatio());
         double alone =
                 mean(errors.with("messages.lost", 1), "choice", t -> t.service().valueRatio());
-        assertTrue(alone + " alone, " + heard + " with peers", alone > heard - 0.04);
+        assertTrue(alone > withPeers - 0.04, alone + " alone, " + withPeers + " with peers");
     }
 }
--- /dev/null
+++ b/lab/src/test/java/dewplank/lab/ExperimentFileTest.java
@@ -0,0 +1,36 @@
+package dewplank.lab;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import dewplank.emulator.scenario.TomlFile;
+import dewplank.settings.InvalidInputException;
+import org.junit.jupiter.api.Test;
+
+/** What is wrong in an experiment file is named before anything runs. */
+class ExperimentFileTest {
+    private static String messageOf(String text) {
+        return assertThrows(InvalidInputException.class, () -> ExperimentFile.parse(TomlFile.read(text, "x.toml")))
+                .getMessage();
+    }
+
+    @Test
+    void anUnknownPolicyIsNamedWithItsLineAndWhatThereIs() {
+        assertEquals(
+                "x.toml:3: key policies is wrong: there is no policy best; known: choice, random, round-robin, "
+                        + "least-outstanding, two-choices, oracle",
+                messageOf("name = \"x\"\nscenarios = [\"crash\"]\npolicies = [\"best\"]"));
+    }
+
+    @Test
+    void anUnknownScenarioIsNamed() {
+        assertTrue(messageOf("name = \"x\"\nscenarios = [\"nowhere\"]").contains("there is no scenario file nowhere"));
+    }
+
+    @Test
+    void anUnknownParameterIsNamed() {
+        assertTrue(messageOf("name = \"x\"\nscenarios = [\"crash\"]\n[[vary]]\nparameter = \"moon\"\nvalues = [1]")
+                .contains("no such parameter: moon"));
+    }
+}
--- a/lab/src/test/java/dewplank/lab/LossSplitTest.java
+++ b/lab/src/test/java/dewplank/lab/LossSplitTest.java
@@ -1,38 +1,50 @@
 package dewplank.lab;
 
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dewplank.emulator.scenario.ScenarioFile;
 import dewplank.lab.LossSplit.Cause;
 import java.util.Map;
-import org.junit.Test;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 
-public class LossSplitTest {
-
-    private static Trial split(String scenario, String policy) {
+class LossSplitTest {
+    private static Trial.WithLosses split(String scenario, String policy) {
         return Trial.playSplittingLosses(ScenarioFile.named(scenario).with("length_s", 25), policy, 2);
     }
 
-    /** What was lost and what was served make up all that was asked for, whatever the fault. */
+    private static Map<Cause, Double> lostFractions(String scenario, String policy) {
+        return split(scenario, policy).losses().lostFractions();
+    }
+
+    /** The tolerance is the first second's, which counts here and not in the service. */
+    @ParameterizedTest
+    @ValueSource(strings = {"overload", "sidecar-kill", "class-errors"})
+    void theCausesAddUpToAllThatWasLost(String scenario) {
+        Trial.WithLosses split = split(scenario, "choice");
+        double lost = split.losses().lostFractions().values().stream()
+                .mapToDouble(fraction -> fraction)
+                .sum();
+        assertEquals(1 - split.trial().service().valueRatio(), lost, 0.03);
+        assertTrue(lost > 0);
+    }
+
+    @Test
+    void aKilledSidecarShowsAsUnreachable() {
+        Map<Cause, Double> killed = lostFractions("sidecar-kill", "choice");
+        assertTrue(killed.getOrDefault(Cause.UNREACHABLE, 0.0) > 0, killed.toString());
+    }
+
     @Test
-    public void theCausesAddUpToAllThatWasLost() {
-        for (String scenario : new String[] {"overload", "sidecar-kill", "class-errors"}) {
-            Trial trial = split(scenario, "choice");
-            double lost = trial.losses().lostFractions().values().stream()
-                    .mapToDouble(d -> d)
-                    .sum();
-            assertEquals(scenario, 1 - trial.service().valueRatio(), lost, 0.03); // the first second counts here only
-            assertTrue(lost > 0);
-        }
+    void serversErrorsShowAsFailuresOfRequestsSent() {
+        Map<Cause, Double> errors = lostFractions("class-errors", "random");
+        assertTrue(errors.getOrDefault(Cause.FAILED_SENT, 0.0) > 0.02, errors.toString());
     }
 
     @Test
-    public void eachFaultShowsAsItsCause() {
-        Map<Cause, Double> killed = split("sidecar-kill", "choice").losses().lostFractions();
-        assertTrue(killed.toString(), killed.getOrDefault(Cause.UNREACHABLE, 0.0) > 0);
-        Map<Cause, Double> errors = split("class-errors", "random").losses().lostFractions();
-        assertTrue(errors.toString(), errors.getOrDefault(Cause.FAILED_SENT, 0.0) > 0.02);
+    void theTableHasTheCausesPrintedNames() {
         assertTrue(split("overload", "choice").losses().table().contains("refused needlessly"));
     }
 }
