--- a/lab/src/main/java/dewplank/lab/bench/DecisionBench.java
+++ b/lab/src/main/java/dewplank/lab/bench/DecisionBench.java
@@ -42,7 +42,8 @@
 
 /**
  * What the decision module costs, without sockets and without a world: one request from its arrival to its served end,
- * with some in flight, and one change of the list followed by a request, by the number of servers listed.
+ * with some in flight, and one change of the endpoint list followed by a request, by the number of servers listed. JMH
+ * makes one for each thread and calls it there.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -52,6 +53,7 @@
     private static final double GAP_MS = 0.06;
     private static final double SERVED_MS = 1;
 
+    /** A timer that the balancer set. */
     private record Due(double atMs, long timer) {}
 
     /** Servers listed. */
@@ -67,6 +69,7 @@
     private long request;
     private int changedServer;
 
+    /** Starts a balancer with its endpoint list. */
     @Setup
     public void setUp() {
         Scenario scenario = ScenarioFile.named("fleet").with("sidecars", 1);
@@ -94,6 +97,7 @@
         });
     }
 
+    /** One request arrives, and one that is in flight is served. */
     @Benchmark
     public void request() {
         nowMs += GAP_MS;
@@ -109,6 +113,7 @@
         }
     }
 
+    /** The same after one server's rating has changed. */
     @Benchmark
     public void requestAfterAChangeOfTheList() {
         changedServer = (changedServer + 1) % servers;
@@ -116,7 +121,12 @@
         request();
     }
 
-    /** Runs both and returns a table: servers, microseconds, half width of the 99.9 % interval. */
+    /**
+     * Runs both and returns a table: servers, microseconds, half width of the 99.9 % interval.
+     *
+     * @param forks JVMs, one after the other
+     * @param seconds of each of eight iterations
+     */
     public static String table(int forks, int seconds) throws RunnerException {
         Options options = new OptionsBuilder()
                 .include(DecisionBench.class.getName())
--- a/lab/src/main/java/dewplank/lab/bench/package-info.java
+++ b/lab/src/main/java/dewplank/lab/bench/package-info.java
@@ -1,2 +1,2 @@
-/** Microbenchmarks on JMH, by the command {@code lab bench}; none runs in the tests. */
+/** Microbenchmarks on JMH, run by the command {@code lab bench}. None runs in the tests. */
 package dewplank.lab.bench;
