--- a/lab/src/test/java/dewplank/lab/BuoysTest.java
+++ b/lab/src/test/java/dewplank/lab/BuoysTest.java
@@ -19,6 +19,7 @@
 /** The hard cases of a fleet as the buoys' operators have it: each on several seeds, with the auditor on all. */
 class BuoysTest {
     private static final int SEEDS = 6;
+    private static final double MESSAGE_SLACK_MS = 50;
 
     private static Scenario scenario(String name) {
         return ScenarioFile.named(name).with("length_s", 30);
@@ -43,20 +44,20 @@
     }
 
     private static double service(String name) {
-        return mean(scenario(name), "choice", t -> t.service().valueRatio());
+        return mean(scenario(name), "choice", trial -> trial.service().valueRatio());
     }
 
     @Test
     void aCalmFleetServesNearlyAllAndRefusesHardlyAny() {
         assertTrue(service("buoys") > 0.97);
-        assertTrue(mean(scenario("buoys"), "choice", t -> t.service().refusedRatio()) < 0.005);
+        assertTrue(mean(scenario("buoys"), "choice", trial -> trial.service().refusedRatio()) < 0.005);
     }
 
     /** Three of twelve servers and a quarter of the sidecars are gone for 12 s: what was in flight there is lost. */
     @Test
     void aBuildingLostWithItsSidecarsAndBackColdCostsLittleMoreThanTheOracle() {
-        double oracle =
-                mean(scenario("buoys-building"), "oracle", t -> t.service().valueRatio());
+        double oracle = mean(
+                scenario("buoys-building"), "oracle", trial -> trial.service().valueRatio());
         double service = service("buoys-building");
         assertTrue(service > oracle - 0.04, service + " of the oracle's " + oracle);
     }
@@ -70,10 +71,10 @@
     /** A fast failure must not look like a fast server: a policy that sees latencies and loads alone sends them all. */
     @Test
     void serversThatFailQuicklyDrawLessThanHalfTheFailuresOfABlindPolicy() {
-        double blind =
-                mean(scenario("buoys-errors"), "two-choices", t -> t.service().failedRatio());
-        double failed =
-                mean(scenario("buoys-errors"), "choice", t -> t.service().failedRatio());
+        double blind = mean(scenario("buoys-errors"), "two-choices", trial -> trial.service()
+                .failedRatio());
+        double failed = mean(
+                scenario("buoys-errors"), "choice", trial -> trial.service().failedRatio());
         assertTrue(failed < 0.5 * blind, failed + " failed, blind " + blind);
     }
 
@@ -93,8 +94,8 @@
     @Test
     void aTenantAtTenTimesItsQuotaLeavesTheOthersTheirs() {
         Scenario flood = scenario("buoys-flood").with("load.share", 0.8);
-        double worst = mean(flood, "choice", t -> t.service().worstTenant());
-        double blind = mean(flood, "two-choices", t -> t.service().worstTenant());
+        double worst = mean(flood, "choice", trial -> trial.service().worstTenant());
+        double blind = mean(flood, "two-choices", trial -> trial.service().worstTenant());
         assertTrue(worst > 0.83 && worst > blind + 0.05, "worst tenant " + worst + ", blind " + blind);
     }
 
@@ -103,7 +104,7 @@
         return IntStream.rangeClosed(1, SEEDS)
                 .parallel()
                 .mapToDouble(seed -> {
-                    Auditor auditor = new Auditor(scenario, 50);
+                    Auditor auditor = new Auditor(scenario, MESSAGE_SLACK_MS);
                     Service service = new Service(scenario, 0);
                     VirtualRun run = new VirtualRun(
                             scenario,
@@ -112,7 +113,8 @@
                             auditor,
                             service,
                             VirtualRun.Execution.SEQUENTIAL,
-                            (r, n) -> n == 0 && lies ? new Liar(r, n) : new Plain(r, n));
+                            (playing, number) ->
+                                    number == 0 && lies ? new Liar(playing, number) : new Plain(playing, number));
                     run.run();
                     assertEquals(0, auditor.violations(), () -> auditor.retainedViolations()
                             .toString());
@@ -140,7 +142,7 @@
         protected byte[] peerSummary(byte[] summary) {
             List<Integer> some = world.servers().stream()
                     .limit(world.servers().size() / 3)
-                    .map(s -> s.id().hashCode())
+                    .map(server -> server.id().hashCode())
                     .toList();
             return new PeerSummary(PeerSummary.decode(summary).createdAtMs(), some).encode();
         }
@@ -157,9 +159,9 @@
     @Test
     void aSidecarWithoutPeerSummariesGoesByItsOwnAttempts() {
         Scenario errors = scenario("buoys-errors");
-        double withPeers = mean(errors, "choice", t -> t.service().valueRatio());
-        double alone =
-                mean(errors.with("messages.lost", 1), "choice", t -> t.service().valueRatio());
+        double withPeers = mean(errors, "choice", trial -> trial.service().valueRatio());
+        double alone = mean(errors.with("messages.lost", 1), "choice", trial -> trial.service()
+                .valueRatio());
         assertTrue(alone > withPeers - 0.04, alone + " alone, " + withPeers + " with peers");
     }
 }
--- a/lab/src/test/java/dewplank/lab/audit/AuditorTest.java
+++ b/lab/src/test/java/dewplank/lab/audit/AuditorTest.java
@@ -9,7 +9,7 @@
 import dewplank.emulator.virtualtime.VirtualRun;
 import dewplank.lab.Service;
 import dewplank.lab.Trial;
-import dewplank.lab.audit.Broken.Way;
+import dewplank.lab.audit.BrokenBalancer.Way;
 import dewplank.lab.policies.Policies;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -104,7 +104,7 @@
     }
 
     private static VirtualRun.Policy plainBalancer(Way way) {
-        return (settings, seed, world, sidecar) -> new Broken.Plain(settings, seed, way);
+        return (settings, seed, world, sidecar) -> new BrokenBalancer(settings, seed, way);
     }
 
     private static Auditor play(Way way) {
@@ -122,13 +122,13 @@
 
         @Test
         void ofASidecarThatAnswersTwiceAreFoundAndNoOthers() {
-            Auditor auditor = play(plainBalancer(Way.NONE), Broken.AnswersTwice::new);
+            Auditor auditor = play(plainBalancer(Way.NONE), BrokenSidecars.AnswersTwice::new);
             assertEquals(Set.of(Rule.ANSWERED_TWICE), auditor.counts().keySet());
         }
 
         @Test
         void ofASidecarThatMixesUpAnswersAreFoundAndNoOthers() {
-            Auditor auditor = play(plainBalancer(Way.NONE), Broken.MixesUp::new);
+            Auditor auditor = play(plainBalancer(Way.NONE), BrokenSidecars.MixesUp::new);
             assertEquals(Set.of(Rule.WRONG_ANSWER), auditor.counts().keySet());
         }
 
