--- a/balancer/src/main/java/dewplank/balancer/adaptive/AdaptiveBalancer.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/AdaptiveBalancer.java
@@ -62,29 +62,30 @@
         ValueModel values = new ValueModel(settings, step, random);
         LoadShedder shedder = new LoadShedder(settings, step, fleet, latency);
         PlacementCost cost = new PlacementCost(settings, step, latency, shedder, values);
+        EligibleServers eligible = new EligibleServers(step, rules, workingSet, backoff, slowStart, latency);
         ServerPicker picker = new ServerPicker(
-                settings, step, fleet, rules, workingSet, trials, backoff, slowStart, latency, cost, random);
+                settings,
+                workingSet,
+                trials,
+                eligible,
+                new TwoChoices(settings, fleet, slowStart, latency, cost, random),
+                latency,
+                cost);
         Consumer<Attempt> overdue = this::onOverdue;
         AttemptScheduler scheduler =
                 new AttemptScheduler(settings, step, rules, retries, slowStart, latency, workingSet, overdue);
         completion = new RequestCompletion(settings, step, fleet, requests, rules, latency, random);
         hedging = new HedgingPolicy(settings, step, outcomes, latency, retries, picker, shedder, scheduler);
         tracker = new AttemptTracker(
-                settings, step, requests, outcomes, latency, backoff, retries, picker, scheduler, completion);
-        WaitingRequests waiting = new WaitingRequests(
-                step, fleet, subscription, endpoints, rules, latency, picker, scheduler, completion);
-        admission = new Admission(
                 requests,
-                values,
-                retries,
-                trials,
-                workingSet,
-                picker,
-                latency,
-                shedder,
-                scheduler,
-                waiting,
+                new OutcomeRecorder(settings, step, outcomes, latency, backoff),
+                new RetryPolicy(settings, step, retries, picker, scheduler, completion),
                 completion);
+        WaitingRequests waiting = new WaitingRequests(
+                step, fleet, subscription, endpoints, rules, latency, picker, scheduler, completion);
+        ArrivalRecorder arrivals = new ArrivalRecorder(requests, values, retries, trials, workingSet);
+        OverloadCheck overload = new OverloadCheck(picker, latency, shedder);
+        admission = new Admission(arrivals, picker, trials, overload, scheduler, waiting, completion);
     }
 
     @Override
