--- a/emulator/src/main/java/dewplank/emulator/loopback/SidecarClients.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/SidecarClients.java
@@ -21,6 +21,7 @@
     /** How long a server may still look up an attempt; longer than any deadline. */
     private static final double ATTEMPT_RETENTION_MS = 10_000;
 
+    private static final String RETRY_HEADER = "X-Second-Try";
     private static final String RESPONSE_PREFIX = "made for ";
     private static final byte[] BODY = "{\"lines\":[]}".getBytes(StandardCharsets.US_ASCII);
 
@@ -54,7 +55,7 @@
         attempts.put(attempt.id(), attempt);
         world.schedule(ATTEMPT_RETENTION_MS, () -> attempts.remove(attempt.id()));
         boolean[] hasEnded = new boolean[1]; // a call may fail before it returns
-        HttpClient.Call call = frontends.get(attempt.sidecar()).call(message(attempt), response -> {
+        HttpClient.Call call = frontends.get(attempt.sidecar()).call(message(scenario, attempt), response -> {
             hasEnded[0] = true;
             calls.remove(attempt.id());
             onEnd(attempt, response);
@@ -64,7 +65,8 @@
         }
     }
 
-    private ByteBuffer message(ClientAttempt attempt) {
+    /** The HTTP request of an attempt, with the header fields that {@code sidecar.RequestDecoder} reads. */
+    static ByteBuffer message(Scenario scenario, ClientAttempt attempt) {
         RequestClassSpec kind = scenario.classes().get(attempt.requestClass());
         boolean isSafe = kind.idempotency() == Idempotency.SAFE;
         MessageWriter request = MessageWriter.request(isSafe ? "GET" : "POST", "/api", "api.internal")
@@ -82,9 +84,7 @@
                                         .get(attempt.tenant())
                                         .name())
                 .header("Cookie", attempt.subjectKey() < 0 ? null : "k=key-" + attempt.subjectKey())
-                .header(
-                        "X-Second-ClientAttempt",
-                        attempt.isRetry() && scenario.clients().marksRetries() ? "1" : null)
+                .header(RETRY_HEADER, attempt.isRetry() && scenario.clients().marksRetries() ? "1" : null)
                 .header(
                         "Idempotency-Key",
                         kind.idempotency() == Idempotency.KEYED ? Long.toHexString(attempt.key()) : null);
