--- a/cli/src/test/java/dewplank/LiveTest.java
+++ b/cli/src/test/java/dewplank/LiveTest.java
@@ -27,8 +27,8 @@
     }
 
     /**
-     * Plays a run, and plays it again where the emulator itself ran late and rules seem broken: violations of an unsound
-     * run describe the busy machine and not the sidecars. The last run counts, sound or not.
+     * Plays a run, and plays it again where the emulator itself ran late and rules seem broken: violations of an
+     * unsound run describe the busy machine and not the sidecars. The last run counts, sound or not.
      *
      * @param lines gets the live table's lines of the run that counts
      */
