--- a/cli/src/test/java/dewplank/fleet/ServerFaultTest.java
+++ b/cli/src/test/java/dewplank/fleet/ServerFaultTest.java
@@ -96,9 +96,13 @@
     @Test
     void aRequestWhoseHandleIsRejectedIsServedAllTheSame() throws Exception {
         FleetStory.tell(1, 1, story -> {
-            story.decode.get(0).rejectHandles();
+            story.decode.forEach(ModelServer::rejectHandles);
             serveSplit(story);
-            assertFalse(story.fleet.history().events(RunRejected.class).isEmpty(), "no handle was rejected");
+            long rejected = story.fleet.history().events(RunRejected.class).stream()
+                    .map(RunRejected::attemptId)
+                    .distinct()
+                    .count();
+            assertEquals(REQUESTS, rejected, "requests whose handle was rejected");
         });
     }
 
