--- a/dataplane/src/test/java/dewplank/dataplane/FakeControlPlane.java
+++ b/dataplane/src/test/java/dewplank/dataplane/FakeControlPlane.java
@@ -1,6 +1,5 @@
 package dewplank.dataplane;
 
-import dewplank.exchange.Wire;
 import dewplank.message.CorruptFrameException;
 import dewplank.message.FleetMessages;
 import dewplank.message.HeartbeatAck;
@@ -11,37 +10,53 @@
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetAddress;
+import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.nio.ByteBuffer;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.BlockingQueue;
-import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.Callable;
+import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.LinkedBlockingQueue;
-import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicLong;
 
-/** A stand-in for a control plane: the test sends the updates, it sends the acks of heartbeats. */
+/**
+ * A stand-in for a control plane: the test sends the updates, it sends the acks of heartbeats. Its waits go by the
+ * test's clock.
+ */
 final class FakeControlPlane implements Closeable {
-    private final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+    private static final int BACKLOG = 50;
+    private static final int BUFFER_BYTES = 4_096;
+
+    /** Waits by the test's clock until a condition holds. */
+    interface Waiter {
+        void await(Callable<Boolean> reached) throws Exception;
+    }
+
+    private final Waiter waiter;
+    private final ServerSocket listener = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
+    /** Those that the test has not taken. */
     private final BlockingQueue<Session> sessions = new LinkedBlockingQueue<>();
-    private final List<Socket> sockets = new ArrayList<>();
+    /** All of them, in the order in which they came. */
+    private final List<Session> acceptedSessions = new CopyOnWriteArrayList<>();
+
     private volatile boolean sendsAcks = true;
     private volatile boolean withQuorum = true;
     private volatile List<String> controlAddresses = List.of();
 
-    FakeControlPlane() throws IOException {
-        background(() -> {
-            while (true) {
-                Socket socket = listener.accept();
-                synchronized (sockets) {
-                    sockets.add(socket);
-                }
-                Session session = new Session(socket);
-                sessions.add(session);
-                background(session::read);
-            }
-        });
+    FakeControlPlane(Waiter waiter) throws IOException {
+        this.waiter = waiter;
+        background(this::accept);
+    }
+
+    private void accept() throws IOException {
+        while (true) {
+            Session session = new Session(listener.accept());
+            sessions.add(session);
+            acceptedSessions.add(session);
+            background(session::read);
+        }
     }
 
     /** One session, as the control plane sees it. */
@@ -50,7 +65,9 @@
         private final MessageCodec codec = FleetMessages.codec();
         private final BlockingQueue<SessionOpen> opened = new LinkedBlockingQueue<>();
         private final BlockingQueue<SessionHeartbeat> heartbeats = new LinkedBlockingQueue<>();
-        private final CountDownLatch ended = new CountDownLatch(1);
+        private final AtomicLong sentCount = new AtomicLong();
+        private final AtomicLong receivedCount = new AtomicLong();
+        private volatile boolean ended;
 
         Session(Socket socket) {
             this.socket = socket;
@@ -58,23 +75,28 @@
 
         private void read() throws IOException {
             MessageCodec.Decoder reader = codec.newDecoder();
-            byte[] bytes = new byte[4096];
-            InputStream in = socket.getInputStream();
+            byte[] bytes = new byte[BUFFER_BYTES];
+            InputStream input = socket.getInputStream();
             try {
-                for (int n = in.read(bytes); n >= 0; n = in.read(bytes)) {
-                    ByteBuffer piece = ByteBuffer.wrap(bytes, 0, n);
-                    for (Object m = reader.decode(piece); m != null; m = reader.decode(piece)) {
-                        take(m);
-                    }
+                for (int length = input.read(bytes); length >= 0; length = input.read(bytes)) {
+                    receiveAll(reader, ByteBuffer.wrap(bytes, 0, length));
                 }
             } catch (CorruptFrameException e) {
                 throw new IOException(e);
             } finally {
-                ended.countDown();
+                ended = true;
+            }
+        }
+
+        private void receiveAll(MessageCodec.Decoder reader, ByteBuffer piece)
+                throws IOException, CorruptFrameException {
+            for (Object message = reader.decode(piece); message != null; message = reader.decode(piece)) {
+                receive(message);
+                receivedCount.incrementAndGet(); // its ack was counted before it
             }
         }
 
-        private void take(Object message) throws IOException {
+        private void receive(Object message) throws IOException {
             if (message instanceof SessionOpen open) {
                 opened.add(open);
             } else if (message instanceof SessionHeartbeat heartbeat) {
@@ -88,6 +110,17 @@
         synchronized void send(Object message) throws IOException {
             ByteBuffer frame = codec.encode(message);
             socket.getOutputStream().write(frame.array(), 0, frame.limit());
+            sentCount.incrementAndGet();
+        }
+
+        /** Messages that were sent completely. */
+        long sentCount() {
+            return sentCount.get();
+        }
+
+        /** Messages that were received, and acknowledged where they are heartbeats. */
+        long receivedCount() {
+            return receivedCount.get();
         }
 
         /** The first half of the message's bytes. */
@@ -105,16 +138,16 @@
             }
         }
 
-        SessionOpen open() throws InterruptedException {
+        SessionOpen open() throws Exception {
             return next(opened);
         }
 
-        SessionHeartbeat heartbeat() throws InterruptedException {
+        SessionHeartbeat heartbeat() throws Exception {
             return next(heartbeats);
         }
 
         /** The next heartbeat that reports this version of the configuration as in force. */
-        SessionHeartbeat heartbeatWithVersion(long configurationVersion) throws InterruptedException {
+        SessionHeartbeat heartbeatWithVersion(long configurationVersion) throws Exception {
             SessionHeartbeat heartbeat = heartbeat();
             while (heartbeat.configurationVersion != configurationVersion) {
                 heartbeat = heartbeat();
@@ -122,28 +155,24 @@
             return heartbeat;
         }
 
-        void awaitEnd() throws InterruptedException {
-            if (!ended.await(Wire.PATIENCE_S, TimeUnit.SECONDS)) {
-                throw new AssertionError("the session still stands");
-            }
+        void awaitEnd() throws Exception {
+            waiter.await(this::isEnded);
         }
 
         boolean isEnded() {
-            return ended.getCount() == 0;
+            return ended;
         }
 
         void reset() throws IOException {
+            ended = true;
             socket.setSoLinger(true, 0);
             socket.close();
         }
     }
 
-    private static <T> T next(BlockingQueue<T> from) throws InterruptedException {
-        T next = from.poll(Wire.PATIENCE_S, TimeUnit.SECONDS);
-        if (next == null) {
-            throw new AssertionError("nothing came");
-        }
-        return next;
+    private <T> T next(BlockingQueue<T> queue) throws Exception {
+        waiter.await(() -> !queue.isEmpty());
+        return queue.remove();
     }
 
     private interface Work {
@@ -166,8 +195,17 @@
         return "127.0.0.1:" + listener.getLocalPort();
     }
 
+    InetSocketAddress socketAddress() {
+        return SocketAddresses.parse(address());
+    }
+
+    /** The session that was accepted after so many others; null where there were not so many yet. */
+    Session acceptedSession(int index) {
+        return index < acceptedSessions.size() ? acceptedSessions.get(index) : null;
+    }
+
     /** The next session that is opened here. */
-    Session session() throws InterruptedException {
+    Session session() throws Exception {
         return next(sessions);
     }
 
@@ -193,10 +231,8 @@
     @Override
     public void close() throws IOException {
         listener.close();
-        synchronized (sockets) {
-            for (Socket s : sockets) {
-                s.close();
-            }
+        for (Session session : acceptedSessions) {
+            session.socket.close();
         }
     }
 }
--- a/dataplane/src/test/java/dewplank/dataplane/SessionClientTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/SessionClientTest.java
@@ -39,11 +39,13 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A data plane's sessions with stand-ins for control planes. */
+/** A data plane's sessions with stand-ins for control planes, over TCP and by the test's clock. */
 class SessionClientTest {
     /** So long that no test meets the end of it by chance; those that want it set it themselves. */
     private static final double CONTACT_MS = 120_000;
 
+    private static final SessionParameters PARAMETERS = SessionParameters.DEFAULTS;
+
     private static final EndpointListVersion FIRST_LIST = new EndpointListVersion(1, 1);
 
     private SessionFixture net;
@@ -94,9 +96,9 @@
         session.send(complete(configuration(7, safeRoute("r", 1))));
         session.heartbeatWithVersion(7);
         session.send(endpoints(endpointList(FIRST_LIST), null));
-        OnLoop.await(net.loop, net.metadata::isComplete);
+        net.await(net.metadata::isComplete);
         session.send(members(List.of(SELF)));
-        OnLoop.await(net.loop, () -> net.metadata.members().size() == 1);
+        net.await(() -> net.metadata.members().size() == 1);
         assertEquals(7, net.metadata.configurationVersion());
         assertEquals(FIRST_LIST, net.metadata.listVersion());
     }
@@ -147,8 +149,8 @@
         Session session = control.session();
         session.send(complete(inForce));
         session.heartbeatWithVersion(3);
-        for (byte[] bad : new byte[][] {{1, 2, 3}, DeflateCodec.deflate("{}".getBytes(StandardCharsets.UTF_8))}) {
-            session.send(new FleetUpdate(bad, 9, 0, null, null));
+        for (byte[] malformed : new byte[][] {{1, 2, 3}, DeflateCodec.deflate("{}".getBytes(StandardCharsets.UTF_8))}) {
+            session.send(new FleetUpdate(malformed, 9, 0, null, null));
             session.awaitEnd();
             session = control.session();
             assertEquals(3, session.heartbeat().configurationVersion);
@@ -175,7 +177,7 @@
         slow.send(delta(first, second));
         slow.send(complete(first));
         slow.send(new FleetUpdate(new byte[] {1, 2, 3}, 8, 0, endpointList(FIRST_LIST), null));
-        OnLoop.await(net.loop, net.metadata::isComplete); // so all updates before it were handled
+        net.await(net.metadata::isComplete); // so all updates before it were handled
         assertEquals(8, net.metadata.configurationVersion());
         assertEquals("b", net.metadata.routes().find(HOST, "/b/").name());
         assertFalse(slow.isEnded());
@@ -186,7 +188,7 @@
 
     private static long countWithSession(FakeControlPlane... controlPlanes) {
         return Arrays.stream(controlPlanes)
-                .filter(c -> !c.hasNoFurtherSession())
+                .filter(controlPlane -> !controlPlane.hasNoFurtherSession())
                 .count();
     }
 
@@ -195,7 +197,7 @@
         FakeControlPlane[] three = {net.controlPlane(), net.controlPlane(), net.controlPlane()};
         net.start(three);
         net.awaitOpenSessions(2);
-        OnLoop.await(net.loop, () -> countWithSession(three) == 2); // a control plane's thread may be behind
+        net.await(() -> countWithSession(three) == 2);
         net.pass(400); // more than a heartbeat interval
         assertEquals(2, OnLoop.get(net.loop, net.client::openSessions));
         assertEquals(2, countWithSession(three), "with different control planes");
@@ -221,6 +223,7 @@
         net.awaitOpenSessions(1);
         try (nobody;
                 ServerSocket later = nobody.listen()) {
+            net.awaitConnection(nobody.address());
             later.setSoTimeout(Wire.PATIENCE_S * 1_000);
             later.accept().close();
         }
@@ -232,7 +235,7 @@
                 new ArrayList<>(List.of(net.controlPlane(), net.controlPlane(), net.controlPlane()));
         net.start(used.toArray(FakeControlPlane[]::new));
         net.awaitOpenSessions(2);
-        OnLoop.await(net.loop, () -> countWithSession(used.toArray(FakeControlPlane[]::new)) == 2);
+        net.await(() -> countWithSession(used.toArray(FakeControlPlane[]::new)) == 2);
         FakeControlPlane third = used.stream()
                 .filter(FakeControlPlane::hasNoFurtherSession)
                 .findFirst()
@@ -243,6 +246,13 @@
         assertFalse(used.get(1).session().isEnded());
     }
 
+    /** The time-out was exceeded, and by no more than the interval between looks at the sessions. */
+    private void assertElapsed(double timeoutMs, double since) {
+        double elapsedMs = net.now() - since;
+        assertTrue(elapsedMs >= timeoutMs, "too soon: " + elapsedMs);
+        assertTrue(elapsedMs <= timeoutMs + PARAMETERS.heartbeatIntervalMs(), "too late: " + elapsedMs);
+    }
+
     @Test
     void aHeartbeatTimeoutEndsTheSession() throws Exception {
         FakeControlPlane withoutAcks = net.controlPlane().withoutAcks();
@@ -252,7 +262,9 @@
         Session remaining = withAcks.session();
         FakeControlPlane third = net.controlPlane();
         net.addSeeds(third);
+        double silentSince = net.now();
         replaced.awaitEnd();
+        assertElapsed(PARAMETERS.heartbeatTimeoutMs(), silentSince);
         assertEquals(SELF, third.session().open().member);
         assertFalse(remaining.isEnded());
     }
@@ -261,6 +273,7 @@
     void aControlPlaneWithoutAQuorumIsReplaced() throws Exception {
         FakeControlPlane partitioned = net.controlPlane().withoutQuorum();
         FakeControlPlane withQuorum = net.controlPlane();
+        double startedAt = net.now();
         net.start(partitioned, withQuorum);
         Session replaced = partitioned.session();
         Session remaining = withQuorum.session();
@@ -269,6 +282,7 @@
         FakeControlPlane third = net.controlPlane();
         net.addSeeds(third);
         replaced.awaitEnd();
+        assertElapsed(PARAMETERS.quorumTimeoutMs(), startedAt);
         assertEquals(SELF, third.session().open().member);
         net.pass(700);
         assertTrue(partitioned.hasNoFurtherSession(), "it is not in backoff");
@@ -313,14 +327,14 @@
     void withoutAConfigurationAStaleUpdateIsDeferred() throws Exception {
         useContactTime(2_000);
         FakeControlPlane partitioned = net.controlPlane().withoutQuorum();
-        double startedAt = net.loop.now();
+        double startedAt = net.now();
         net.start(partitioned);
         Session session = partitioned.session();
         session.heartbeat();
         session.heartbeat(); // the first ack has reported that there is no quorum
         session.send(complete(configuration(7, safeRoute("a", 1))));
         net.awaitVersion(7);
-        assertTrue(OnLoop.get(net.loop, net.loop::now) - startedAt >= 1_000, "it was taken too soon");
+        assertElapsed(1_000, startedAt); // half of the contact time
     }
 
     /** The partitioned control plane is dialled first and sends first; its updates are never in force here. */
@@ -343,7 +357,7 @@
         Session session = fresh.session();
         session.send(complete(configuration(7, safeRoute("new", 1))));
         net.awaitVersion(7);
-        OnLoop.await(net.loop, () -> net.metadata.listVersion().equals(FIRST_LIST)); // the deferred updates follow
+        net.await(() -> net.metadata.listVersion().equals(FIRST_LIST)); // the deferred updates follow
         assertEquals(7, net.metadata.configurationVersion());
         assertEquals("new", net.metadata.routes().find(HOST, "/new/").name());
     }
@@ -377,22 +391,22 @@
         Session partitioned = alone.session();
         good.send(complete(configuration(7, safeRoute("a", 1))));
         good.send(members(List.of(SELF, other)));
-        OnLoop.await(net.loop, () -> net.metadata.members().size() == 2);
+        net.await(() -> net.metadata.members().size() == 2);
         partitioned.heartbeat();
         partitioned.heartbeat();
         partitioned.send(endpoints(endpointList(FIRST_LIST), List.of(SELF)));
-        OnLoop.await(net.loop, net.metadata::isComplete); // so its members were handled
+        net.await(net.metadata::isComplete); // so its members were handled
         assertEquals(2, net.metadata.members().size());
         good.reset();
-        OnLoop.await(net.loop, () -> net.metadata.members().size() == 1);
+        net.await(() -> net.metadata.members().size() == 1);
     }
 
     /** 64 machines that were replaced must not keep a data plane from learning the 65th address. */
     @Test
     void seedsBeyondTheBoundEvictOlderAddresses() throws Exception {
         OnLoop.run(net.loop, () -> {
-            for (int i = 0; i < 80; i++) {
-                net.client.setSeeds(List.of("127.0.1." + i + ":1"));
+            for (int machine = 0; machine < 80; machine++) {
+                net.client.setSeeds(List.of("127.0.1." + machine + ":1"));
             }
             assertEquals(64, net.client.addressCount());
         });
--- a/dataplane/src/test/java/dewplank/dataplane/SessionCrossingTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/SessionCrossingTest.java
@@ -89,7 +89,7 @@
         second.send(update(3, new EndpointListVersion(1, 8)));
         second.send(update(8, new EndpointListVersion(2, 4)));
         second.send(members(List.of(SELF))); // handled after them
-        OnLoop.await(net.loop, () -> net.metadata.members().size() == 1);
+        net.await(() -> net.metadata.members().size() == 1);
         assertEquals(9, net.metadata.configurationVersion());
         assertEquals(new EndpointListVersion(2, 5), net.metadata.listVersion());
         assertEquals("r9", net.metadata.routes().find(HOST, "/r9/").name());
--- a/dataplane/src/test/java/dewplank/dataplane/SessionFixture.java
+++ b/dataplane/src/test/java/dewplank/dataplane/SessionFixture.java
@@ -2,43 +2,54 @@
 
 import dewplank.exchange.OnLoop;
 import dewplank.membership.Member;
-import dewplank.message.FleetMessages;
-import dewplank.message.TcpTransport;
 import dewplank.net.EventLoop;
 import java.io.Closeable;
 import java.io.IOException;
-import java.util.ArrayList;
+import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.SplittableRandom;
+import java.util.concurrent.Callable;
+import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A data plane's sessions on an event loop, with stand-ins for control planes. */
+/**
+ * A data plane's sessions over TCP on an event loop, with stand-ins for control planes. The clock is the test's: it
+ * moves from one timer to the next while the test waits, and only once all that was sent was handled.
+ */
 final class SessionFixture implements Closeable {
     static final Member SELF = new Member("n1", Member.DATA, "10.0.0.9:1", ScriptedFleet.ZONE, 17);
 
+    private static final int RANDOM_SEED = 3;
+
+    /** By the test's clock, after which a wait fails. */
+    private static final double MAX_WAIT_MS = 20_000;
+
     final EventLoop loop = new EventLoop();
-    final FleetMetadata metadata = new FleetMetadata(loop);
+    final FleetMetadata metadata;
     final SessionClient client;
     /** How often the client has reported a change of the fleet. */
     final AtomicInteger changes = new AtomicInteger();
 
-    private final List<FakeControlPlane> controlPlanes = new ArrayList<>();
+    private final ManualScheduler scheduler = new ManualScheduler(loop);
+    private final ObservedTransport transport = new ObservedTransport(loop);
+    private final List<FakeControlPlane> controlPlanes = new CopyOnWriteArrayList<>();
 
     /** A client, not yet started, that takes {@code contactMs} for the time within which a quorum is contacted. */
     SessionFixture(double contactMs) throws IOException {
+        metadata = new FleetMetadata(scheduler);
         client = new SessionClient(
-                loop,
-                new TcpTransport(loop, FleetMessages.codec()),
+                scheduler,
+                transport,
                 SELF,
                 metadata,
-                new SplittableRandom(3),
+                new SplittableRandom(RANDOM_SEED),
                 contactMs,
                 changes::incrementAndGet);
     }
 
     /** A new control plane, which the client does not know yet; it is closed with the fixture. */
     FakeControlPlane controlPlane() throws IOException {
-        FakeControlPlane controlPlane = new FakeControlPlane();
+        FakeControlPlane controlPlane = new FakeControlPlane(this::await);
         controlPlanes.add(controlPlane);
         return controlPlane;
     }
@@ -69,18 +80,54 @@
         }
     }
 
-    /** Lets so much time pass by the loop's timers. */
-    void pass(double ms) throws InterruptedException {
-        OnLoop.pass(loop, ms);
+    /** The test's clock in milliseconds. */
+    double now() {
+        return scheduler.now();
+    }
+
+    /** Moves the clock on by so much: all timers within that time run, and what they send is handled. */
+    void pass(double ms) throws Exception {
+        double until = now() + ms;
+        settle();
+        while (now() < until) {
+            advance(until);
+        }
+    }
+
+    /** Moves the clock until the condition holds, which is evaluated on the loop's thread after each timer. */
+    void await(Callable<Boolean> reached) throws Exception {
+        double until = now() + MAX_WAIT_MS;
+        settle();
+        while (!OnLoop.get(loop, reached)) {
+            if (now() >= until) {
+                throw new AssertionError("not within " + MAX_WAIT_MS + " ms by the test's clock");
+            }
+            advance(until);
+        }
+    }
+
+    private void advance(double until) throws Exception {
+        OnLoop.run(loop, () -> scheduler.advance(until));
+        settle();
+    }
+
+    /** Waits until everything that was sent was handled; the clock stands still. */
+    private void settle() throws Exception {
+        OnLoop.await(loop, () -> transport.isSettled(controlPlanes));
     }
 
     /** Waits until that version of the configuration is in force. */
     void awaitVersion(long version) throws Exception {
-        OnLoop.await(loop, () -> metadata.configurationVersion() == version);
+        await(() -> metadata.configurationVersion() == version);
     }
 
     void awaitOpenSessions(int count) throws Exception {
-        OnLoop.await(loop, () -> client.openSessions() == count);
+        await(() -> client.openSessions() == count);
+    }
+
+    /** Waits until the client has a connection with that address. */
+    void awaitConnection(InetSocketAddress address) throws Exception {
+        await(() -> transport.isOpen(address));
     }
 
     @Override
