--- a/transport/src/test/java/dewplank/http/ParserTest.java
+++ b/transport/src/test/java/dewplank/http/ParserTest.java
@@ -1,16 +1,17 @@
 package dewplank.http;
 
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertFalse;
-import static org.junit.Assert.assertThrows;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import org.junit.Test;
+import org.junit.jupiter.api.Test;
 
-public class ParserTest {
+/** What the parsers take for a complete message, and what they reject with which status. */
+class ParserTest {
     private static final String POST = "POST /api?x=1 HTTP/1.1\r\nHost: a\r\nX-Qos: menu-read\r\n";
 
     private static ByteBuffer bytes(String text) {
@@ -18,12 +19,12 @@
     }
 
     private static int status(String request) {
-        return assertThrows(request, BadMessageException.class, () -> new RequestParser().feed(bytes(request)))
+        return assertThrows(BadMessageException.class, () -> new RequestParser().feed(bytes(request)), request)
                 .status();
     }
 
     @Test
-    public void aRequestIsCompleteAtItsLastByteOnly() throws BadMessageException {
+    void aRequestIsCompleteAtItsLastByteOnly() throws BadMessageException {
         for (String body : List.of(
                 "Content-Length: 3\r\n\r\nabc",
                 "Transfer-Encoding: chunked\r\n\r\n1\r\na\r\n2;x=y\r\nbc\r\n0\r\nT: 1\r\n\r\n")) {
@@ -40,7 +41,7 @@
     }
 
     @Test
-    public void bytesPastTheMessageStayInTheBuffer() throws BadMessageException {
+    void bytesPastTheMessageStayInTheBuffer() throws BadMessageException {
         RequestParser parser = new RequestParser();
         ByteBuffer two = bytes(POST + "\r\nGET /b HTTP/1.1\r\n\r\n");
         assertTrue(parser.feed(two));
@@ -52,7 +53,7 @@
 
     /** Where two ways to find a message's end disagree, one request could hide in another. */
     @Test
-    public void ambiguousAndMalformedRequestsAreNamedByTheirStatus() {
+    void ambiguousAndMalformedRequestsAreNamedByTheirStatus() {
         assertEquals(400, status(POST + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n"));
         assertEquals(400, status(POST + "Content-Length: 3\r\nContent-Length: 3\r\n\r\n"));
         assertEquals(400, status(POST + "Content-Length: -3\r\n\r\n"));
@@ -68,7 +69,7 @@
     }
 
     @Test
-    public void aResponseWithoutALengthEndsWithTheConnection() throws BadMessageException {
+    void aResponseWithoutALengthEndsWithTheConnection() throws BadMessageException {
         ResponseParser parser = new ResponseParser(100);
         assertFalse(parser.feed(bytes("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nX: 1\r\n\r\nabc")));
         assertEquals(200, parser.status());
@@ -78,7 +79,7 @@
 
     /** Noise may never bring a line end: waiting for one would use up the request's time. */
     @Test
-    public void aMalformedResponseIsDetectedAtOnce() throws BadMessageException {
+    void aMalformedResponseIsDetectedAtOnce() throws BadMessageException {
         for (String noise : new String[] {"x", "HTTP/2", "\u0000\u0001"}) {
             assertThrows(BadMessageException.class, () -> new ResponseParser(100).feed(bytes(noise)));
         }
@@ -86,14 +87,14 @@
     }
 
     @Test
-    public void aTruncatedResponseIsNotComplete() throws BadMessageException {
+    void aTruncatedResponseIsNotComplete() throws BadMessageException {
         ResponseParser parser = new ResponseParser(100);
         assertFalse(parser.feed(bytes("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc")));
         assertFalse(parser.endOfInput());
     }
 
     @Test
-    public void whatIsMeantForOneHopIsNotPassedOn() throws BadMessageException {
+    void whatIsMeantForOneHopIsNotPassedOn() throws BadMessageException {
         RequestParser parser = new RequestParser();
         parser.feed(bytes(POST + "Connection: close, X-Local\r\nX-Local: 1\r\nExpect: 100-continue\r\n\r\n"));
         assertEquals(
--- a/transport/src/test/java/dewplank/net/ConnectionTest.java
+++ b/transport/src/test/java/dewplank/net/ConnectionTest.java
@@ -1,7 +1,7 @@
 package dewplank.net;
 
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -16,10 +16,10 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import org.junit.Test;
+import org.junit.jupiter.api.Test;
 
 /** What another thread and the peer may do to a connection while the loop is busy with it. */
-public class ConnectionTest {
+class ConnectionTest {
     private static final int PATIENCE_S = 20;
 
     /**
@@ -27,7 +27,7 @@
      * unread must not fall among them: the handler waits here until that read is done.
      */
     @Test
-    public void bytesReadDuringAHandlerDoNotMixWithUnreadOnes() throws Exception {
+    void bytesReadDuringAHandlerDoNotMixWithUnreadOnes() throws Exception {
         EventLoop loop = new EventLoop();
         BlockingQueue<String> seen = new LinkedBlockingQueue<>();
         try (ServerSocket listener = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
@@ -78,7 +78,7 @@
 
     /** The failure is reported to the callback: an exception would leave the attempt open for good. */
     @Test
-    public void anUnresolvedAddressFails() throws Exception {
+    void anUnresolvedAddressFails() throws Exception {
         EventLoop loop = new EventLoop();
         try {
             CompletableFuture<IOException> failure = new CompletableFuture<>();
--- a/transport/src/test/java/dewplank/net/EventLoopTest.java
+++ b/transport/src/test/java/dewplank/net/EventLoopTest.java
@@ -1,6 +1,7 @@
 package dewplank.net;
 
-import static org.junit.Assert.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -9,10 +10,14 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.CountDownLatch;
-import org.junit.Test;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
 
 /** Everything runs on the loop's one thread, without a lock. */
-public class EventLoopTest {
+class EventLoopTest {
+    /** Only bounds how long a test takes to fail. */
+    private static final int PATIENCE_S = 20;
+
     private final Set<String> threads = ConcurrentHashMap.newKeySet();
     private final CountDownLatch ends = new CountDownLatch(2);
 
@@ -51,7 +56,7 @@
     }
 
     @Test
-    public void handlersAndTimersRunOnTheLoopsThreadOnly() throws Exception {
+    void handlersAndTimersRunOnTheLoopsThreadOnly() throws Exception {
         EventLoop loop = new EventLoop();
         Listener listener =
                 new Listener(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 10, Echo::new);
@@ -63,14 +68,14 @@
                 open(loop, listener, client);
             });
         });
-        ends.await();
+        assertTrue(ends.await(PATIENCE_S, TimeUnit.SECONDS), "a connection is still open");
         loop.stop();
         assertEquals(Set.of("loop"), threads);
     }
 
     /** Guards the ticks: a scheduled task that throws is never run again. */
     @Test
-    public void aTaskThatThrowsEndsNeitherTheLoopNorTheTicks() throws Exception {
+    void aTaskThatThrowsEndsNeitherTheLoopNorTheTicks() throws Exception {
         EventLoop loop = new EventLoop();
         CountDownLatch after = new CountDownLatch(1);
         loop.execute(() -> {
@@ -79,7 +84,7 @@
             });
             loop.after(20, after::countDown);
         });
-        after.await();
+        assertTrue(after.await(PATIENCE_S, TimeUnit.SECONDS), "the ticks have ended");
         loop.stop();
     }
 
--- a/transport/src/test/java/dewplank/net/TimerWheelTest.java
+++ b/transport/src/test/java/dewplank/net/TimerWheelTest.java
@@ -1,12 +1,13 @@
 package dewplank.net;
 
-import static org.junit.Assert.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.ArrayList;
 import java.util.List;
-import org.junit.Test;
+import org.junit.jupiter.api.Test;
 
-public class TimerWheelTest {
+/** When a wheel of 512 slots with ticks of 5 ms runs its tasks. */
+class TimerWheelTest {
     private final TimerWheel wheel = new TimerWheel(1_000, 5);
     private final List<String> ran = new ArrayList<>();
 
@@ -15,7 +16,7 @@
     }
 
     @Test
-    public void aTimerFiresInTheFirstTickAtOrPastItsTimeAndOnlyOnce() {
+    void aTimerFiresInTheFirstTickAtOrPastItsTimeAndOnlyOnce() {
         wheel.add(1_012, () -> ran.add("a"));
         runAt(1_014.9);
         assertEquals(List.of(), ran);
@@ -25,7 +26,7 @@
     }
 
     @Test
-    public void aTimerBeyondOneTurnOfTheWheelWaits() {
+    void aTimerBeyondOneTurnOfTheWheelWaits() {
         wheel.add(1_000 + 3 * 512 * 5, () -> ran.add("late"));
         runAt(1_000 + 3 * 512 * 5 - 1);
         assertEquals(List.of(), ran);
@@ -38,7 +39,7 @@
      * the first led to the final answer and cancelled the second, which ran all the same and answered again.
      */
     @Test
-    public void aTimerCancelledByOneDueInTheSameRunStaysCancelled() {
+    void aTimerCancelledByOneDueInTheSameRunStaysCancelled() {
         TimerWheel.Timer lastResort = wheel.add(1_020, () -> ran.add("last resort"));
         wheel.add(1_010, () -> {
             ran.add("time-out");
