--- a/cli/src/test/java/dewplank/fleet/ServerFaultTest.java
+++ b/cli/src/test/java/dewplank/fleet/ServerFaultTest.java
@@ -16,6 +16,7 @@
 import dewplank.emulator.fleet.FleetEvent.StreamEventSent;
 import dewplank.emulator.fleet.Futures;
 import dewplank.emulator.fleet.ModelServer;
+import dewplank.emulator.fleet.PlainServer;
 import dewplank.emulator.fleet.RouteSpec;
 import dewplank.emulator.fleet.StandInServer.Behaviour;
 import java.util.List;
@@ -78,10 +79,26 @@
     @Test
     void anotherServerReadsThePromptWhereOnePrefillServerIsSilent() throws Exception {
         FleetStory.tell(1, 1, story -> {
-            story.prefill.get(0).behaviour(Behaviour.UNRESPONSIVE);
+            story.prefill.forEach(p -> p.behaviour(Behaviour.UNRESPONSIVE));
+            ClientAttempt first = story.fleet
+                    .client()
+                    .send(story.fleet.edge(0), ClientRequest.split(FleetStory.CHAT, "first", FleetStory.EVENTS));
+            Arrived silent = story.fleet
+                    .history()
+                    .await(
+                            "the prompt at a silent prefill server",
+                            Arrived.class,
+                            a -> a.attemptId().equals(first.id()) && a.prefill());
+            ModelServer working = story.prefill.stream()
+                    .filter(p -> !p.identity().equals(silent.server()))
+                    .findFirst()
+                    .orElseThrow();
+            working.behaviour(Behaviour.WORKS);
+            assertTrue(Futures.await(first.ended()).served());
             serveSplit(story);
-            assertTrue(story.fleet.history().events(HandleCreated.class).stream()
-                    .allMatch(h -> h.server().equals(story.prefill.get(1).identity())));
+            List<HandleCreated> created = story.fleet.history().events(HandleCreated.class);
+            assertFalse(created.isEmpty(), "no prefill server read a prompt");
+            assertTrue(created.stream().allMatch(h -> h.server().equals(working.identity())), created.toString());
         });
     }
 
@@ -201,25 +218,79 @@
     @Test
     void aServerThatHasTheAddressOfAnotherRunsNothingOfIt() throws Exception {
         FleetStory.tell(1, 1, story -> {
-            story.fleet.reuseAddress(story.plain.get(0), "other");
+            PlainServer replaced = idlePlainServer(story);
+            PlainServer other = story.fleet.reuseAddress(replaced, "other");
             for (int i = 0; i < REQUESTS; i++) {
                 story.assertServed(0, ClientRequest.plain(i % 2 == 0 ? FleetStory.READ : FleetStory.WRITE, "r" + i));
             }
+            assertEquals(REQUESTS, rejections(story, other).size(), "requests that reached the other server");
+            assertTrue(story.fleet.history().events(RunStarted.class).stream()
+                    .noneMatch(r -> r.server().equals(other.identity())));
         });
     }
 
     @Test
-    void aFullServerIsPassedByAndASilentOneIsLeftWhereTheRequestMayRunAgain() throws Exception {
+    void aFullServerIsPassedBy() throws Exception {
         FleetStory.tell(1, 1, story -> {
-            story.plain.get(0).behaviour(Behaviour.FULL);
+            PlainServer full = idlePlainServer(story);
+            full.behaviour(Behaviour.FULL);
             for (int i = 0; i < REQUESTS; i++) {
                 RouteSpec route = i % 2 == 0 ? FleetStory.READ : FleetStory.WRITE;
                 story.assertServed(0, ClientRequest.plain(route, "full" + i));
             }
-            story.plain.get(0).behaviour(Behaviour.UNRESPONSIVE);
+            for (RouteSpec route : List.of(FleetStory.READ, FleetStory.WRITE)) {
+                story.fleet
+                        .history()
+                        .awaitState(
+                                "a rejected request of " + route.name(),
+                                () -> isServedAfterRejection(story, ClientRequest.plain(route, "rejected"), full));
+            }
+        });
+    }
+
+    /** The data plane doesn't send to a server for a while after it rejected a request. */
+    private static boolean isServedAfterRejection(FleetStory story, ClientRequest request, PlainServer full) {
+        ClientAttempt attempt = story.fleet.client().send(story.fleet.edge(0), request);
+        ClientAttempt.Outcome outcome = Futures.await(attempt.ended());
+        assertTrue(outcome.served(), outcome.toString());
+        return rejections(story, full).stream().anyMatch(r -> r.attemptId().equals(attempt.id()));
+    }
+
+    @Test
+    void aSilentServerIsLeftWhereTheRequestMayRunAgain() throws Exception {
+        FleetStory.tell(1, 1, story -> {
+            PlainServer silent = idlePlainServer(story);
+            silent.behaviour(Behaviour.UNRESPONSIVE);
             for (int i = 0; i < 2; i++) {
                 story.assertServed(0, ClientRequest.plain(FleetStory.READ, "silent" + i));
             }
+            assertTrue(
+                    story.fleet.history().events(RunStarted.class).stream()
+                            .anyMatch(r -> r.server().equals(silent.identity())),
+                    "no request reached the silent server");
         });
     }
+
+    /**
+     * Keeps a request in flight at one plain server. The other one, which is returned, certainly gets the next request:
+     * of two servers a data plane picks the one with fewer requests in flight.
+     */
+    private static PlainServer idlePlainServer(FleetStory story) throws Exception {
+        story.plain.forEach(p -> p.behaviour(Behaviour.UNRESPONSIVE));
+        ClientAttempt pending =
+                story.fleet.client().send(story.fleet.edge(0), ClientRequest.plain(FleetStory.WRITE, "pending"));
+        RunStarted run = story.fleet.history().await("a run", RunStarted.class, r -> r.attemptId()
+                .equals(pending.id()));
+        story.plain.forEach(p -> p.behaviour(Behaviour.WORKS));
+        return story.plain.stream()
+                .filter(p -> !p.identity().equals(run.server()))
+                .findFirst()
+                .orElseThrow();
+    }
+
+    private static List<RunRejected> rejections(FleetStory story, PlainServer server) {
+        return story.fleet.history().events(RunRejected.class).stream()
+                .filter(r -> r.server().equals(server.identity()))
+                .toList();
+    }
 }
