--- a/cli/src/test/java/dewplank/fleet/ControlLossTest.java
+++ b/cli/src/test/java/dewplank/fleet/ControlLossTest.java
@@ -6,6 +6,7 @@
 
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
+import dewplank.emulator.fleet.ClientRequest;
 import dewplank.emulator.fleet.FleetBounds;
 import dewplank.emulator.fleet.FleetConfiguration;
 import dewplank.emulator.fleet.FleetEvent.AttemptSent;
@@ -23,11 +24,14 @@
 /** Control processes are killed, frozen and lose their disks, while clients keep asking. */
 class ControlLossTest {
     private static final double BEYOND_MS = 400; // requests are sent for so long after a drain has to be in force
+    /** At each data plane; one that still used the drained server would miss it with all in about 2^-16. */
+    private static final int REQUESTS_AFTER_DRAIN = 16;
 
     @Test
     void aDrainToldAfterTheDutysHolderWasKilledIsInForceInTime() throws Exception {
         FleetStory.tell(3, 2, story -> {
-            FleetProcess holder = story.holder();
+            FleetStory.Lease lease = story.awaitLease();
+            FleetProcess holder = lease.holder();
             SteadyLoad load = story.fleet.load(FleetStory.MIX);
             holder.kill();
             ServerIdentity leaving = story.plain.get(0).identity();
@@ -46,9 +50,15 @@
                             "requests after the drain",
                             AttemptSent.class,
                             t -> t.atMs() > told + FleetBounds.DRAIN_MS + BEYOND_MS);
+            for (int request = 0; request < REQUESTS_AFTER_DRAIN; request++) {
+                story.assertServed(0, ClientRequest.plain(FleetStory.READ, "drained"));
+                story.assertServed(1, ClientRequest.plain(FleetStory.READ, "drained"));
+            }
             load.stop();
             assertEquals(0, load.notServed());
-            assertTrue(story.holder() != holder);
+            FleetStory.Lease next = story.awaitLease();
+            assertTrue(next.holder() != holder);
+            assertTrue(next.fencingNumber() > lease.fencingNumber(), next + " after " + lease);
         });
     }
 
@@ -62,16 +72,10 @@
     @Test
     void aFrozenHolderOfTheDutyServesTheNewestOnceItGoesOn() throws Exception {
         FleetStory.tell(3, 2, story -> {
-            FleetProcess holder = story.holder();
-            double frozenAt = story.fleet.now();
-            changeWhileFrozen(story, holder);
-            story.fleet
-                    .history()
-                    .await(
-                            "a call of another control process",
-                            EndpointListRequested.class,
-                            c -> c.atMs() > frozenAt
-                                    && !c.node().equals(holder.machine().node()));
+            FleetStory.Lease lease = story.awaitLease();
+            changeWhileFrozen(story, lease.holder());
+            FleetStory.Lease next = story.awaitLease();
+            assertTrue(next.fencingNumber() > lease.fencingNumber(), next + " after " + lease);
         });
     }
 
@@ -110,13 +114,7 @@
             for (FleetProcess control : story.fleet.control()) {
                 control.kill();
             }
-            int before = load.served();
-            story.fleet
-                    .history()
-                    .await(
-                            "requests served without a control plane",
-                            AttemptSent.class,
-                            t -> load.served() > before + 2 * FleetStory.MIX.size());
+            story.awaitServed("requests served without a control plane", load);
             for (FleetProcess control : story.fleet.control()) {
                 control.restart();
             }
@@ -128,11 +126,35 @@
         });
     }
 
+    /** The moment of the kills is left to chance: before, in the midst of, or after the decision. */
+    @Test
+    void aChangeSentWhileAllControlProcessesAreKilledIsTakenOnce() throws Exception {
+        FleetStory.tell(3, 1, story -> {
+            FleetConfiguration next = FleetStory.FIRST.withVersion(6);
+            CompletableFuture<Integer> change = story.fleet.operator().put(next, FleetStory.FIRST.version(), 1);
+            for (FleetProcess control : story.fleet.control()) {
+                control.kill();
+            }
+            for (FleetProcess control : story.fleet.control()) {
+                control.restart();
+            }
+            assertEquals(200, Futures.await(change));
+            story.assertReadBack(6, 0);
+        });
+    }
+
+    /** Two of three acceptors are frozen, so that the change is certainly not decided when all are killed. */
     @Test
     void aChangeUnderWayWhileAllControlProcessesAreKilledIsTakenOnce() throws Exception {
         FleetStory.tell(3, 1, story -> {
             FleetConfiguration next = FleetStory.FIRST.withVersion(6);
+            FleetProcess running = story.fleet.control(1);
+            story.fleet.control(0).freeze();
+            story.fleet.control(2).freeze();
             CompletableFuture<Integer> change = story.fleet.operator().put(next, FleetStory.FIRST.version(), 1);
+            story.fleet.history().await("an attempt without a quorum", ChangeAttempted.class, t -> t.node()
+                    .equals(running.machine().node()));
+            assertFalse(change.isDone());
             for (FleetProcess control : story.fleet.control()) {
                 control.kill();
             }
--- a/cli/src/test/java/dewplank/fleet/FleetStory.java
+++ b/cli/src/test/java/dewplank/fleet/FleetStory.java
@@ -9,6 +9,7 @@
 import dewplank.emulator.fleet.FleetAuditor;
 import dewplank.emulator.fleet.FleetBounds;
 import dewplank.emulator.fleet.FleetConfiguration;
+import dewplank.emulator.fleet.FleetEvent.AttemptSent;
 import dewplank.emulator.fleet.FleetEvent.EndpointListRequested;
 import dewplank.emulator.fleet.FleetMachine;
 import dewplank.emulator.fleet.FleetProcess;
@@ -19,11 +20,13 @@
 import dewplank.emulator.fleet.ServerStage;
 import dewplank.emulator.fleet.ServiceSpec;
 import dewplank.emulator.fleet.StandInFleet;
+import dewplank.emulator.fleet.SteadyLoad;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.TimeoutException;
 
 /** A fleet of processes with its servers and first configuration, as the tests of this package begin. */
@@ -137,18 +140,34 @@
 
     /** The control process that asks the platform, once one does. */
     FleetProcess holder() throws InterruptedException, TimeoutException {
-        List<FleetProcess> holders = new ArrayList<>();
+        return awaitLease().holder();
+    }
+
+    /** The lease of the duty to ask the platform: who holds it, and under which fencing number. */
+    record Lease(FleetProcess holder, long fencingNumber) {}
+
+    /** The lease, once a control process says that it holds it. */
+    Lease awaitLease() throws InterruptedException, TimeoutException {
+        List<Lease> leases = new ArrayList<>();
         fleet.history().awaitState("a holder of the duty", () -> {
-            fleet.control().stream().filter(this::holdsDuty).forEach(holders::add);
-            return !holders.isEmpty();
+            fleet.control().forEach(p -> lease(p).ifPresent(leases::add));
+            return !leases.isEmpty();
         });
-        return holders.get(0);
+        return leases.get(0);
     }
 
-    private boolean holdsDuty(FleetProcess process) {
+    private Optional<Lease> lease(FleetProcess process) {
         JsonObject duties = process.isAlive() ? view(process, DUTIES) : new JsonObject();
-        return duties.has("list")
-                && duties.getAsJsonObject("list").get("held_here").getAsBoolean();
+        JsonObject list = duties.has("list") ? duties.getAsJsonObject("list") : new JsonObject();
+        return list.has("held_here") && list.get("held_here").getAsBoolean()
+                ? Optional.of(new Lease(process, list.get("fencing_number").getAsLong()))
+                : Optional.empty();
+    }
+
+    /** Waits until clients under this load have been served twice as many requests more as the mix has. */
+    void awaitServed(String what, SteadyLoad load) throws InterruptedException, TimeoutException {
+        int before = load.served();
+        fleet.history().await(what, AttemptSent.class, t -> load.served() > before + 2 * MIX.size());
     }
 
     /** Sends a whole configuration; it must be taken. */
--- a/cli/src/test/java/dewplank/fleet/PlatformTroubleTest.java
+++ b/cli/src/test/java/dewplank/fleet/PlatformTroubleTest.java
@@ -28,6 +28,7 @@
                                     EndpointListRequested.class,
                                     c -> c.atMs() > after && c.status() == status);
                 }
+                story.awaitServed("requests served by the last list", load);
             }
             PlainServer added = story.fleet.plainServer("plain");
             story.fleet.platform().behaviour(Behaviour.ANSWERS);
