--- a/cli/src/test/java/dewplank/OperatorMainTest.java
+++ b/cli/src/test/java/dewplank/OperatorMainTest.java
@@ -11,11 +11,13 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
+import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterAll;
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
@@ -23,7 +25,13 @@
 
 /** The operators' command line in front of a control plane of one process, on loopback. */
 class OperatorMainTest {
-    private static final int MOST_LOOKS = 20_000; // only a failing test looks so often
+    private static final long LIST_TIMEOUT_S = 30; // only a failing test waits so long
+    /**
+     * The control plane's address. On an address that nothing else uses its ports can't be taken by a connection of
+     * another process between their choice and the start.
+     */
+    private static final String CONTROL_HOST = "127.0.0.2";
+
     private static final String INSTANCES = "{\"instances\":[{\"service\":\"s\",\"address\":\"127.0.0.1:9\",\"zone\":"
             + "\"z\",\"slot_count\":4,\"state\":\"ready\",\"cold_remaining_ms\":0,"
             + "\"instance_id\":\"i-1\"}],\"next_token\":null}";
@@ -47,7 +55,7 @@
         });
         platform.start();
         List<Integer> ports = freePorts();
-        control = "127.0.0.1:" + ports.get(0);
+        control = CONTROL_HOST + ":" + ports.get(0);
         settings = write("node.json", settings(control, ports.get(1), ports.get(2), "\"" + folder + "\""));
         plane = new ControlPlane(NodeSettings.read(settings).requireControlPlaneKeys());
         plane.start();
@@ -62,7 +70,7 @@
     private static List<Integer> freePorts() throws IOException {
         List<ServerSocket> sockets = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            sockets.add(new ServerSocket(0, 1, InetAddress.getLoopbackAddress()));
+            sockets.add(new ServerSocket(0, 1, InetAddress.getByName(CONTROL_HOST)));
         }
         List<Integer> ports = new ArrayList<>(
                 sockets.stream().map(ServerSocket::getLocalPort).sorted().toList());
@@ -74,7 +82,7 @@
 
     private static String settings(String at, int firstPort, int lastPort, String directory) {
         return """
-            {"node_name":"core-1","ip_address":"127.0.0.1","zone":"z","listen_addresses":{"control":"%s"},
+            {"node_name":"core-1","ip_address":"127.0.0.2","zone":"z","listen_addresses":{"control":"%s"},
              "internal_port_range":[%d,%d],"seed_nodes":["%s"],"initial_start":true,"loss_counted":true,
              "limits":{"max_file_descriptors":4100,"disk_mb":64},"data_directory":%s,
              "bounds":{"drain_ms":3000,"grace_s":8,"config_apply_ms":2000,"retry_budget_ratio":0.2,"budget_window_s":10,
@@ -170,8 +178,9 @@
 
     /** Looks until the list of servers has come. */
     private static void listed() {
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(LIST_TIMEOUT_S);
         Streams one = fleet("servers", "i-1");
-        for (int i = 0; i < MOST_LOOKS && one.code() != 0; i++) {
+        while (one.code() != 0 && System.nanoTime() < deadlineNanos) {
             one = fleet("servers", "i-1");
         }
         assertTrue(done(one).contains("127.0.0.1:9"));
@@ -205,9 +214,12 @@
 
     @Test
     void noControlSidecarEndsWithThree() throws IOException {
-        String nobody = "127.0.0.1:" + freePorts().get(0);
-        failed(3, "801 NO_ANSWER: " + nobody, run("fleet", "get", "--at", nobody, "--rounds", "1"));
-        failed(3, "801 NO_ANSWER: " + nobody, run("fleet", "status", "--at", nobody));
+        try (Socket bound = new Socket()) { // nobody listens, and nobody else can: connections are refused
+            bound.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+            String nobody = "127.0.0.1:" + bound.getLocalPort();
+            failed(3, "801 NO_ANSWER: " + nobody, run("fleet", "get", "--at", nobody, "--rounds", "1"));
+            failed(3, "801 NO_ANSWER: " + nobody, run("fleet", "status", "--at", nobody));
+        }
     }
 
     @Test
--- a/cli/src/test/java/dewplank/sidecar/ReloadTest.java
+++ b/cli/src/test/java/dewplank/sidecar/ReloadTest.java
@@ -16,9 +16,11 @@
 /** The program itself, with real signals. */
 public class ReloadTest {
     private static final long PATIENCE_MS = 60_000; // only a failing test waits so long
+    /** Nothing else uses it: its ports can't be taken by connections of other processes before the program listens. */
+    private static final String LISTEN_HOST = "127.0.0.2";
 
     /** Found on the first day of new configurations: a JVM that is not told otherwise ends on SIGHUP, with 129. */
-    @Test
+    @Test(timeout = PATIENCE_MS)
     public void aHangupReloadsAndABadFileChangesNothing() throws Exception {
         Path file = Files.createTempFile("config", ".json");
         try (LoopbackNetwork.ScriptedPeer first = new LoopbackNetwork.ScriptedPeer();
@@ -48,7 +50,7 @@
     }
 
     /** The configuration is a pipe that holds the start up: a hangup meanwhile must not end the program. */
-    @Test
+    @Test(timeout = PATIENCE_MS)
     public void aHangupDuringTheStartReloadsAfterIt() throws Exception {
         Path pipe = Files.createTempDirectory("config").resolve("pipe");
         assertEquals(0, new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor());
@@ -151,7 +153,8 @@
     }
 
     private static String configuration(LoopbackNetwork.ScriptedPeer discovery) throws IOException {
-        return "{\"name\":\"n0\",\"listen\":\"127.0.0.1:" + LoopbackNetwork.freePort() + "\",\"discovery\":\"127.0.0.1:"
+        return "{\"name\":\"n0\",\"listen\":\"" + LISTEN_HOST + ":" + LoopbackNetwork.freePort()
+                + "\",\"discovery\":\"127.0.0.1:"
                 + discovery.address().getPort() + "\",\"seed\":\"5\",\"known\":"
                 + LoopbackNetwork.catalogJson(7, true, List.of())
                 + ",\"settings\":" + LoopbackNetwork.SETTINGS + "}";
