--- a/balancer/src/test/java/dewplank/balancer/PurityTest.java
+++ b/balancer/src/test/java/dewplank/balancer/BalancerArchitectureTest.java
@@ -9,7 +9,7 @@
 import org.junit.Test;
 
 /** Decisions are pure steps: whoever needs I/O, a thread or a clock for one has it in the wrong module. */
-public class PurityTest {
+public class BalancerArchitectureTest {
     private static final JavaClasses DECISIONS = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
             .importPackages("dewplank.balancer");
--- a/balancer/src/test/java/dewplank/balancer/LimitsTest.java
+++ b/balancer/src/test/java/dewplank/balancer/PolicyFilesTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The operators' limits on the decision logic: the files that their settings name as {@code policy}, together. */
-class LimitsTest {
+class PolicyFilesTest {
     private static final Path ROOT = Path.of("..");
     private static final Path MODULE = ROOT.resolve("balancer/src/main/java/dewplank/balancer");
 
@@ -46,7 +46,7 @@
     @Test
     void linesOfDecisionLogicAreAtMost110Characters() throws IOException {
         List<String> lines = new ArrayList<>();
-        for (Path file : policy()) {
+        for (Path file : policyFiles()) {
             lines.addAll(Files.readAllLines(file));
         }
         int longest = lines.stream().mapToInt(String::length).max().orElse(0);
@@ -57,28 +57,28 @@
     @Test
     void thePolicyNamesEveryFileOfDecisions() throws IOException {
         Set<String> named = new TreeSet<>();
-        for (Path file : policy()) {
+        for (Path file : policyFiles()) {
             assertTrue(file.startsWith(MODULE), file + " is none of the module's");
             assertTrue(named.add(MODULE.relativize(file).toString()), file + " is named twice");
         }
-        Set<String> there = new TreeSet<>();
+        Set<String> present = new TreeSet<>();
         try (Stream<Path> files = Files.walk(MODULE)) {
             files.filter(Files::isRegularFile)
-                    .map(f -> MODULE.relativize(f).toString())
-                    .filter(f -> !NO_DECISIONS.contains(f) && !f.endsWith("package-info.java"))
-                    .forEach(there::add);
+                    .map(file -> MODULE.relativize(file).toString())
+                    .filter(file -> !NO_DECISIONS.contains(file) && !file.endsWith("package-info.java"))
+                    .forEach(present::add);
         }
-        assertEquals(there, named);
+        assertEquals(present, named);
     }
 
-    private static List<Path> policy() throws IOException {
+    private static List<Path> policyFiles() throws IOException {
         String settings = Files.readString(ROOT.resolve("deploy/balancer.toml"));
         Matcher list = Pattern.compile("(?m)^policy = \\[([^]]*)]").matcher(settings);
         assertTrue(list.find());
         return Pattern.compile("\"([^\"]+)\"")
                 .matcher(list.group(1))
                 .results()
-                .map(m -> ROOT.resolve(m.group(1)))
+                .map(match -> ROOT.resolve(match.group(1)))
                 .toList();
     }
 }
--- a/balancer/src/test/java/dewplank/balancer/WeightedDrawTest.java
+++ b/balancer/src/test/java/dewplank/balancer/WeightedDrawTest.java
@@ -17,10 +17,10 @@
 
     private final SplittableRandom random = new SplittableRandom(3);
 
-    private Map<String, Integer> draws(List<String> from, String but) {
+    private Map<String, Integer> draws(List<String> from, String excluded) {
         Map<String, Integer> drawn = new HashMap<>();
-        for (int i = 0; i < DRAWS; i++) {
-            drawn.merge(WeightedDraw.draw(from, but, WEIGHTS::get, random), 1, Integer::sum);
+        for (int index = 0; index < DRAWS; index++) {
+            drawn.merge(WeightedDraw.draw(from, excluded, WEIGHTS::get, random), 1, Integer::sum);
         }
         return drawn;
     }
@@ -53,15 +53,15 @@
 
     @Test
     void whereAllWeighNothingTheLastIsDrawn() {
-        assertEquals("y", WeightedDraw.draw(List.of("x", "y"), null, s -> 0, random));
+        assertEquals("y", WeightedDraw.draw(List.of("x", "y"), null, server -> 0, random));
     }
 
     /** AdaptiveBalancer's decisions are repeated by seed: how many numbers a draw takes is part of what it promises. */
     @Test
     void oneNumberIsTakenForEachDraw() {
-        SplittableRandom other = new SplittableRandom(3);
+        SplittableRandom expected = new SplittableRandom(3);
         WeightedDraw.draw(ALL, "b", WEIGHTS::get, random);
-        other.nextDouble();
-        assertEquals(other.nextLong(), random.nextLong());
+        expected.nextDouble();
+        assertEquals(expected.nextLong(), random.nextLong());
     }
 }
--- a/balancer/src/test/java/dewplank/balancer/adaptive/EffectTest.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/RetrySafetyTest.java
@@ -1,8 +1,8 @@
 package dewplank.balancer.adaptive;
 
-import static dewplank.balancer.adaptive.Host.entry;
-import static dewplank.balancer.adaptive.Host.of;
-import static dewplank.balancer.adaptive.Host.sent;
+import static dewplank.balancer.adaptive.BalancerFixture.actionsOf;
+import static dewplank.balancer.adaptive.BalancerFixture.endpoint;
+import static dewplank.balancer.adaptive.BalancerFixture.firstSend;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import dewplank.balancer.Action;
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** No effect happens twice: what may follow each outcome, by class and scope. */
-class EffectTest {
+class RetrySafetyTest {
 
     /** The first attempt went to z1, cell 0; the only other server is the named one. */
     @ParameterizedTest(name = "{0} {1}, {2} after {3} ms, other server in {4} cell {5}: {6}")
@@ -45,15 +45,15 @@
         "UNSAFE, ALL, NEVER_SENT,     10, z2, 1, refuse",
     })
     void afterOneAttempt(
-            Idempotency effect,
-            DeduplicationScope scope,
+            Idempotency idempotency,
+            DeduplicationScope deduplicationScope,
             Outcome outcome,
-            double ms,
+            double elapsedMs,
             String zone,
             long cell,
             String expected) {
-        Host.Setup setup = new Host.Setup();
-        assertEquals(expected, after(setup, effect, scope, outcome, ms, zone, cell));
+        BalancerFixture.Setup setup = new BalancerFixture.Setup();
+        assertEquals(expected, decisionAfter(setup, idempotency, deduplicationScope, outcome, elapsedMs, zone, cell));
     }
 
     /** The same, where a server may turn away what it had begun: full proves nothing, the rest is as before. */
@@ -73,57 +73,61 @@
         "UNSAFE, ALL, NEVER_SENT,     10, z2, 1, refuse",
     })
     void afterOneAttemptWhereARejectionIsNoProof(
-            Idempotency effect,
-            DeduplicationScope scope,
+            Idempotency idempotency,
+            DeduplicationScope deduplicationScope,
             Outcome outcome,
-            double ms,
+            double elapsedMs,
             String zone,
             long cell,
             String expected) {
-        Host.Setup setup = new Host.Setup();
+        BalancerFixture.Setup setup = new BalancerFixture.Setup();
         setup.rejectedMayHaveRun = true;
-        assertEquals(expected, after(setup, effect, scope, outcome, ms, zone, cell));
+        assertEquals(expected, decisionAfter(setup, idempotency, deduplicationScope, outcome, elapsedMs, zone, cell));
     }
 
-    private static String after(
-            Host.Setup setup,
-            Idempotency effect,
-            DeduplicationScope scope,
+    private static String decisionAfter(
+            BalancerFixture.Setup setup,
+            Idempotency idempotency,
+            DeduplicationScope deduplicationScope,
             Outcome outcome,
-            double ms,
+            double elapsedMs,
             String zone,
             long cell) {
-        setup.effect = effect;
-        setup.scope = scope;
-        Host h = new Host(setup);
-        h.list(UpdateKind.CACHED, entry("a", "z1", 0, Availability.UP, null));
-        Send first = sent(h.arrive("act"));
-        h.list(UpdateKind.FULL, entry("b", zone, cell, Availability.UP, null)); // a is gone, b is new
-        h.now += ms;
-        List<Action> then = h.end(first, 0, outcome, ms, false);
-        return what(then);
+        setup.idempotency = idempotency;
+        setup.deduplicationScope = deduplicationScope;
+        BalancerFixture fixture = new BalancerFixture(setup);
+        fixture.updateEndpoints(UpdateKind.CACHED, endpoint("a", "z1", 0, Availability.UP, null));
+        Send first = firstSend(fixture.arrive("act"));
+        fixture.updateEndpoints(
+                UpdateKind.FULL, endpoint("b", zone, cell, Availability.UP, null)); // a is gone, b is new
+        fixture.nowMs += elapsedMs;
+        List<Action> actions = fixture.endAttempt(first, 0, outcome, elapsedMs, false);
+        return describe(actions);
     }
 
-    private static String what(List<Action> actions) {
-        if (!of(actions, Send.class).isEmpty()) {
+    private static String describe(List<Action> actions) {
+        if (!actionsOf(actions, Send.class).isEmpty()) {
             return "send";
         }
-        if (!of(actions, Reject.class).isEmpty()) {
+        if (!actionsOf(actions, Reject.class).isEmpty()) {
             return "refuse";
         }
-        return of(actions, Fail.class).isEmpty() ? "nothing" : "fail";
+        return actionsOf(actions, Fail.class).isEmpty() ? "nothing" : "fail";
     }
 
     /** Its connection may take long to come up, and servers drop a repeat only for so long. */
     @Test
     void aKeyedRepeatIsWrittenWithinTheWindowOfTheFirst() {
-        Host.Setup setup = new Host.Setup();
-        setup.effect = Idempotency.KEYED;
-        Host h = Host.with(setup, 2);
-        Send first = sent(h.arrive("act"));
+        BalancerFixture.Setup setup = new BalancerFixture.Setup();
+        setup.idempotency = Idempotency.KEYED;
+        BalancerFixture fixture = BalancerFixture.with(setup, 2);
+        Send first = firstSend(fixture.arrive("act"));
         assertEquals(399, first.writeWithinMs());
-        h.now += 100;
-        assertEquals(299, sent(h.end(first, 0, Outcome.ERROR, 100, false)).writeWithinMs());
-        assertEquals(Double.POSITIVE_INFINITY, sent(h.arrive("read")).writeWithinMs());
+        fixture.nowMs += 100;
+        assertEquals(
+                299,
+                firstSend(fixture.endAttempt(first, 0, Outcome.ERROR, 100, false))
+                        .writeWithinMs());
+        assertEquals(Double.POSITIVE_INFINITY, firstSend(fixture.arrive("read")).writeWithinMs());
     }
 }
--- a/balancer/src/test/java/dewplank/balancer/health/PeerVotesTest.java
+++ b/balancer/src/test/java/dewplank/balancer/health/PeerVotesTest.java
@@ -12,12 +12,12 @@
 
     private final PeerVotes<String> votes = new PeerVotes<>();
 
-    private void hear(String peer, double toldAt, String... unhealthy) {
+    private void receive(String peer, double sentAtMs, String... unhealthy) {
         votes.receive(
                 NOW,
                 peer,
                 new PeerSummary(
-                        toldAt,
+                        sentAtMs,
                         List.of(unhealthy).stream().map(String::hashCode).toList()));
     }
 
@@ -29,8 +29,8 @@
 
     @Test
     void aSimpleMajorityDecides() {
-        hear("a", NOW, "s");
-        hear("b", NOW, "s", "t");
+        receive("a", NOW, "s");
+        receive("b", NOW, "s", "t");
         assertTrue(votes.isUnhealthy(NOW, "s", false), "two of three");
         assertFalse(votes.isUnhealthy(NOW, "t", false), "one of three");
         assertFalse(votes.isUnhealthy(NOW, "u", true), "one of three, its own");
@@ -38,15 +38,15 @@
 
     @Test
     void aTieGoesByTheOwnVote() {
-        hear("a", NOW, "s");
+        receive("a", NOW, "s");
         assertFalse(votes.isUnhealthy(NOW, "s", false));
         assertTrue(votes.isUnhealthy(NOW, "t", true));
     }
 
     @Test
     void aVoteCountsForThreeSeconds() {
-        hear("a", NOW, "s");
-        hear("b", NOW, "s");
+        receive("a", NOW, "s");
+        receive("b", NOW, "s");
         assertTrue(votes.isUnhealthy(NOW + 3_000, "s", false));
         assertFalse(votes.isUnhealthy(NOW + 3_001, "s", false));
         assertTrue(votes.isUnhealthy(NOW + 3_001, "t", true), "those that lapsed do not vote for it either");
@@ -54,31 +54,31 @@
 
     @Test
     void summariesFromFarOffTimesAreIgnored() {
-        for (double wrong : new double[] {NOW - 3_001, NOW + 3_001}) {
-            hear("a", wrong, "s");
-            hear("b", wrong, "s");
+        for (double sentAtMs : new double[] {NOW - 3_001, NOW + 3_001}) {
+            receive("a", sentAtMs, "s");
+            receive("b", sentAtMs, "s");
             assertFalse(votes.isUnhealthy(NOW, "s", false));
         }
     }
 
     @Test
     void anOlderSummaryOrTheSameAgainChangesNothing() {
-        hear("a", NOW, "s");
-        hear("b", NOW, "s");
-        hear("a", NOW - 1);
-        hear("b", NOW);
+        receive("a", NOW, "s");
+        receive("b", NOW, "s");
+        receive("a", NOW - 1);
+        receive("b", NOW);
         assertTrue(votes.isUnhealthy(NOW, "s", false));
-        hear("a", NOW + 1);
+        receive("a", NOW + 1);
         assertFalse(votes.isUnhealthy(NOW, "s", false), "a newer one does");
     }
 
     @Test
     void aPeerThatLeftHasNoVote() {
-        hear("a", NOW, "s");
-        hear("b", NOW, "s");
+        receive("a", NOW, "s");
+        receive("b", NOW, "s");
         votes.remove("a");
         assertFalse(votes.isUnhealthy(NOW, "s", false));
-        hear("a", NOW - 1, "s");
+        receive("a", NOW - 1, "s");
         assertTrue(votes.isUnhealthy(NOW, "s", false), "it may come again");
     }
 }
--- a/balancer/src/test/java/dewplank/balancer/health/ServerHealthTest.java
+++ b/balancer/src/test/java/dewplank/balancer/health/ServerHealthTest.java
@@ -10,9 +10,9 @@
 class ServerHealthTest {
     private final ServerHealth health = new ServerHealth();
 
-    private void observe(String context, double from, boolean... outcomes) {
-        for (int i = 0; i < outcomes.length; i++) {
-            health.observe(from + i, context, outcomes[i]);
+    private void observe(String context, double firstAtMs, boolean... outcomes) {
+        for (int index = 0; index < outcomes.length; index++) {
+            health.observe(firstAtMs + index, context, outcomes[index]);
         }
     }
 
@@ -80,8 +80,8 @@
         assertEquals(0.05, health.weight(), "no less");
         observe("read", 5, true);
         assertEquals(0.1, health.weight(), 1e-12);
-        for (int i = 0; i < 30; i++) {
-            observe("read", 6 + i, true);
+        for (int index = 0; index < 30; index++) {
+            observe("read", 6 + index, true);
         }
         assertEquals(1, health.weight(), "no more");
     }
