--- a/balancer/src/test/java/dewplank/balancer/adaptive/AdmissionTest.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/AdmissionTest.java
@@ -2,7 +2,10 @@
 
 import static dewplank.balancer.adaptive.BalancerFixture.actionsOf;
 import static dewplank.balancer.adaptive.BalancerFixture.endpoint;
+import static dewplank.balancer.adaptive.BalancerFixture.endpointIn;
 import static dewplank.balancer.adaptive.BalancerFixture.firstSend;
+import static dewplank.balancer.adaptive.SettingsBuilder.DEADLINE_MS;
+import static dewplank.balancer.adaptive.SettingsBuilder.settings;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -10,9 +13,7 @@
 import dewplank.balancer.Action.Reject;
 import dewplank.balancer.Action.Send;
 import dewplank.balancer.Endpoint.Availability;
-import dewplank.balancer.Event.RequestArrived;
 import dewplank.balancer.Event.UpdateKind;
-import dewplank.balancer.Outcome;
 import dewplank.balancer.Settings.Tenant;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -33,7 +34,7 @@
                 if (send == null) {
                     rejected[requestClass.equals("read") ? 0 : 1]++;
                 } else {
-                    fixture.endAttempt(send, 0, Outcome.SERVED, elapsedMs, true);
+                    fixture.endServed(send, elapsedMs);
                 }
             }
         }
@@ -42,7 +43,7 @@
 
     @Test
     void anOverloadedFleetRejectsTheLeastValuableFirst() {
-        BalancerFixture fixture = BalancerFixture.with(new BalancerFixture.Setup(), 4);
+        BalancerFixture fixture = BalancerFixture.withServers(4);
         load(fixture, 100, 20);
         load(fixture, 100, 60);
         int[] rejected = load(fixture, 200, 60); // a fifth of the aim, three times the idle time, at every server
@@ -53,7 +54,7 @@
     /** Servers that always took a quarter of the aim are no crowd: only times over the idle ones shed so early. */
     @Test
     void aFleetThatWasNeverQuickerRejectsNobody() {
-        BalancerFixture fixture = BalancerFixture.with(new BalancerFixture.Setup(), 4);
+        BalancerFixture fixture = BalancerFixture.withServers(4);
         load(fixture, 30_000, 80);
         int[] rejected = load(fixture, 200, 80);
         assertEquals(0, rejected[0] + rejected[1]);
@@ -69,13 +70,13 @@
         int rejected = 0;
         for (int seed = 1; seed <= 10; seed++) {
             RandomGenerator random = new SplittableRandom(seed);
-            BalancerFixture fixture = BalancerFixture.with(new BalancerFixture.Setup(), 8);
+            BalancerFixture fixture = BalancerFixture.withServers(8);
             for (int index = 0; index < 1_000; index++) {
                 Send send = firstSend(fixture.arrive("read"));
                 fixture.nowMs += 10;
                 rejected += send == null ? 1 : 0;
                 if (send != null) {
-                    fixture.endAttempt(send, 0, Outcome.SERVED, serviceTime.ms(index, send, random), true);
+                    fixture.endServed(send, serviceTime.ms(index, send, random));
                 }
             }
         }
@@ -101,7 +102,7 @@
     /** Lasting lateness is news of the last answers: it may not keep a quiet sidecar shut long after them. */
     @Test
     void aQuietInstanceDoesNotRejectForLatenessOfLongAgo() {
-        BalancerFixture fixture = BalancerFixture.with(new BalancerFixture.Setup(), 4);
+        BalancerFixture fixture = BalancerFixture.withServers(4);
         load(fixture, 100, 20);
         load(fixture, 200, 150);
         int rejected = 0;
@@ -109,7 +110,7 @@
             fixture.nowMs += 5_000;
             Send send = firstSend(fixture.arrive("read"));
             if (send != null) {
-                fixture.endAttempt(send, 0, Outcome.SERVED, 150, true);
+                fixture.endServed(send, 150);
             }
             rejected += send == null ? 1 : 0;
         }
@@ -118,14 +119,14 @@
 
     @Test
     void aQuickFleetRejectsNobody() {
-        BalancerFixture fixture = BalancerFixture.with(new BalancerFixture.Setup(), 4);
+        BalancerFixture fixture = BalancerFixture.withServers(4);
         int[] rejected = load(fixture, 300, 30);
         assertEquals(0, rejected[0] + rejected[1]);
     }
 
     @Test
     void rejectionsCarryAdviceWithinTheClientsLimit() {
-        BalancerFixture fixture = BalancerFixture.with(new BalancerFixture.Setup(), 4);
+        BalancerFixture fixture = BalancerFixture.withServers(4);
         load(fixture, 100, 20);
         load(fixture, 300, 250);
         List<Reject> rejections = actionsOf(fixture.actions, Reject.class);
@@ -140,7 +141,7 @@
     /** Found on the paused days: two slow draws turned work away while other servers stood idle. */
     @Test
     void slowServersBesideQuickOnesCauseNoRejections() {
-        BalancerFixture fixture = BalancerFixture.with(new BalancerFixture.Setup(), 6);
+        BalancerFixture fixture = BalancerFixture.withServers(6);
         int rejected = 0;
         for (int index = 0; index < 600; index++) {
             Send send = firstSend(fixture.arrive("read"));
@@ -149,7 +150,7 @@
                 rejected++;
             } else {
                 boolean slow = send.server().equals("s0") || send.server().equals("s1");
-                fixture.endAttempt(send, 0, Outcome.SERVED, slow ? 250 : 20, true);
+                fixture.endServed(send, slow ? 250 : 20);
             }
         }
         assertTrue(rejected <= 3, rejected + " refused");
@@ -158,28 +159,21 @@
     /** Found in the first score: a heavy request was predicted late in proportion to fixed delays. */
     @Test
     void aHeavyRequestIsNotPredictedLateByFixedDelays() {
-        BalancerFixture fixture = BalancerFixture.with(new BalancerFixture.Setup(), 4);
+        BalancerFixture fixture = BalancerFixture.withServers(4);
         for (int index = 0; index < 400; index++) {
             double cost = 5 + index % 10;
-            Send send = firstSend(fixture.handle(new RequestArrived(
-                    fixture.nextRequest++, null, null, false, "read", BalancerFixture.DEADLINE_MS, cost)));
+            Send send = firstSend(fixture.arriveWithCost(cost));
             fixture.nowMs += 5;
-            fixture.endAttempt(send, 0, Outcome.SERVED, 40 + cost, true);
+            fixture.endServed(send, 40 + cost);
         }
-        List<Action> heavy = fixture.handle(new RequestArrived(
-                fixture.nextRequest++, null, null, false, "read", BalancerFixture.DEADLINE_MS, 80.0));
+        List<Action> heavy = fixture.arriveWithCost(80.0);
         assertEquals(1, actionsOf(heavy, Send.class).size());
     }
 
     /** One server at home, one away. */
     private static BalancerFixture localAndRemote(double crossPrice) {
-        BalancerFixture.Setup setup = new BalancerFixture.Setup();
-        setup.crossZonePrice = crossPrice;
-        BalancerFixture fixture = new BalancerFixture(setup);
-        fixture.updateEndpoints(
-                UpdateKind.CACHED,
-                endpoint("h", "z1", 0, Availability.UP, null),
-                endpoint("a", "z2", 1, Availability.UP, null));
+        BalancerFixture fixture = BalancerFixture.withoutEndpoints(settings().prices(crossPrice, 0));
+        fixture.updateEndpoints(UpdateKind.CACHED, endpoint("h", Availability.UP), endpointIn("z2", 1, "a"));
         return fixture;
     }
 
@@ -196,7 +190,7 @@
             boolean local = send != null && send.server().equals("h");
             remote += send != null && !local ? 1 : 0;
             if (send != null) {
-                fixture.endAttempt(send, 0, Outcome.SERVED, local ? 280 : 25, true);
+                fixture.endServed(send, local ? 280 : 25);
             }
         }
         assertTrue(remote > 30, remote + " crossed");
@@ -210,23 +204,15 @@
     }
 
     private static void expectRejectedFirst(String within, String over) {
-        BalancerFixture.Setup setup = new BalancerFixture.Setup();
-        setup.tenants = List.of(new Tenant("big", 0.5, 50), new Tenant("small", 0.5, 50));
-        BalancerFixture fixture = BalancerFixture.with(setup, 4);
+        BalancerFixture fixture = BalancerFixture.withServers(
+                settings().tenants(new Tenant("big", 0.5, 50), new Tenant("small", 0.5, 50)), 4);
         int[] rejected = new int[2];
         for (int index = 0; index < 1_500; index++) {
             boolean small = index % 10 == 0;
-            Send send = firstSend(fixture.handle(new RequestArrived(
-                    fixture.nextRequest++,
-                    small ? within : over,
-                    null,
-                    false,
-                    "read",
-                    BalancerFixture.DEADLINE_MS,
-                    20.0)));
+            Send send = firstSend(fixture.arriveFromTenant(small ? within : over));
             fixture.nowMs += 5;
             if (send != null) {
-                fixture.endAttempt(send, 0, Outcome.SERVED, index < 200 ? 20 : 80, true);
+                fixture.endServed(send, index < 200 ? 20 : 80);
             } else {
                 rejected[small ? 1 : 0]++;
             }
@@ -245,7 +231,7 @@
             fixture.nowMs += 10;
             boolean local = send.server().equals("h");
             remote += local ? 0 : 1;
-            fixture.endAttempt(send, 0, Outcome.SERVED, local ? 75 : 30, true); // a quarter of the aim at home
+            fixture.endServed(send, local ? 75 : 30); // a quarter of the aim at home
         }
         assertTrue(remote > 100, remote + " crossed");
     }
@@ -253,7 +239,7 @@
     /** Found in i39c3b0: a share refused that only follows lateness leaves the servers crowded for good. */
     @Test
     void lastingLatenessRejectsMoreAndMoreAndThenLess() {
-        BalancerFixture fixture = BalancerFixture.with(new BalancerFixture.Setup(), 4);
+        BalancerFixture fixture = BalancerFixture.withServers(4);
         load(fixture, 50, 20);
         int[] first = load(fixture, 60, 170);
         load(fixture, 200, 170);
@@ -272,16 +258,14 @@
      */
     @Test
     void whereNothingMayBeCancelledOnlyAttemptsAtASuspectServerTimeOutEarly() {
-        BalancerFixture.Setup setup = new BalancerFixture.Setup();
-        setup.allowsCancellation = false;
-        BalancerFixture fixture = BalancerFixture.with(setup, 1);
+        BalancerFixture fixture = BalancerFixture.withServers(settings().allowsCancellation(false), 1);
         List<Action> first = fixture.arrive("read");
         assertEquals(0, firstSend(first).timeoutMs());
         assertTrue(actionsOf(fixture.fireTimers(first), Send.class).isEmpty()); // overdue: there is nobody else to ask
         Send second = firstSend(fixture.arrive("read"));
-        assertTrue(second.timeoutMs() > 0 && second.timeoutMs() < BalancerFixture.DEADLINE_MS, "" + second.timeoutMs());
+        assertTrue(second.timeoutMs() > 0 && second.timeoutMs() < DEADLINE_MS, "" + second.timeoutMs());
         fixture.nowMs += 10;
-        fixture.endAttempt(second, 0, Outcome.SERVED, 10, true);
+        fixture.endServed(second, 10);
         assertEquals(0, firstSend(fixture.arrive("read")).timeoutMs());
     }
 }
--- a/balancer/src/test/java/dewplank/balancer/adaptive/BalancerFixture.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/BalancerFixture.java
@@ -3,7 +3,6 @@
 import dewplank.balancer.Action;
 import dewplank.balancer.Action.Send;
 import dewplank.balancer.Action.SetTimer;
-import dewplank.balancer.Balancer;
 import dewplank.balancer.Endpoint;
 import dewplank.balancer.Endpoint.Availability;
 import dewplank.balancer.Event;
@@ -13,119 +12,69 @@
 import dewplank.balancer.Event.TimerFired;
 import dewplank.balancer.Event.UpdateKind;
 import dewplank.balancer.Outcome;
-import dewplank.balancer.Settings;
-import dewplank.balancer.Settings.DeduplicationScope;
-import dewplank.balancer.Settings.Goal;
-import dewplank.balancer.Settings.Idempotency;
-import dewplank.balancer.Settings.Limits;
-import dewplank.balancer.Settings.Prices;
-import dewplank.balancer.Settings.RequestClass;
-import dewplank.balancer.Settings.Safety;
-import dewplank.balancer.Settings.Tenant;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** Drives one balancer on a clock of its own: builds settings, passes events, records and answers its actions. */
+/**
+ * Stands in for the host of one {@link AdaptiveBalancer}: hands it events, records its actions and answers them.
+ *
+ * <p>Time is {@link #nowMs}, which only the test moves; random numbers come from a fixed seed. So a test repeats to
+ * the last bit, whatever the machine does.
+ */
 final class BalancerFixture {
-    static final double LATENCY_TARGET_MS = 300;
-    static final double DEADLINE_MS = 600;
+    /** The expected work of a request that states nothing else, in milliseconds of a standard core. */
+    static final double DEFAULT_COST_MS = 20;
+
+    private static final long DEFAULT_SEED = 7;
 
     double nowMs = 1_000;
-    long nextRequest = 1;
     final List<Action> actions = new ArrayList<>();
-    final Balancer balancer;
-
-    static final class Setup {
-        boolean allowsHedging;
-        boolean allowsCancellation = true;
-        boolean allowsHealthChecks;
-        boolean exchangesPeerSummaries;
-        boolean endpointListIsPushed = true;
-        boolean onlyDrainingIsBinding;
-        boolean rejectedMayHaveRun;
-        boolean serversAreRated;
-        boolean serversCacheKeys;
-        int maxAttempts = 4;
-        int replicaCount = 4;
-        int replicaIndex;
-        double tailWeight;
-        double crossZonePrice;
-        Idempotency idempotency = Idempotency.SAFE;
-        DeduplicationScope deduplicationScope = DeduplicationScope.ALL;
-        boolean readsAreStreams;
-        double latencyTargetPerWork;
-        List<Tenant> tenants = List.of();
-        List<RequestClass> extraClasses = List.of();
-
-        Settings settings() {
-            List<RequestClass> classes = new ArrayList<>();
-            classes.add(new RequestClass(
-                    "read",
-                    Idempotency.SAFE,
-                    DeduplicationScope.ALL,
-                    0,
-                    LATENCY_TARGET_MS,
-                    latencyTargetPerWork,
-                    DEADLINE_MS,
-                    1,
-                    0,
-                    readsAreStreams));
-            classes.add(new RequestClass(
-                    "act", idempotency, deduplicationScope, 400, LATENCY_TARGET_MS, 0, DEADLINE_MS, 5, 0, false));
-            classes.addAll(extraClasses);
-            return new Settings(
-                    replicaIndex,
-                    replicaCount,
-                    "z1",
-                    1,
-                    endpointListIsPushed,
-                    false,
-                    serversAreRated,
-                    serversCacheKeys,
-                    0.1,
-                    List.of("busy"),
-                    false,
-                    classes,
-                    tenants,
-                    new Limits(
-                            maxAttempts,
-                            allowsHedging,
-                            allowsCancellation,
-                            allowsHealthChecks,
-                            exchangesPeerSummaries,
-                            true,
-                            300,
-                            100,
-                            15_000,
-                            100),
-                    new Safety(10_000, 10_000, 0.3, 3, 1_000, onlyDrainingIsBinding, rejectedMayHaveRun),
-                    new Prices(crossZonePrice, 0),
-                    new Goal(0.9, 0.1, tailWeight, tailWeight > 0 ? 0.01 : 0));
-        }
+    final AdaptiveBalancer balancer;
+    private long nextRequest = 1;
+
+    private BalancerFixture(SettingsBuilder settings, long seed) {
+        balancer = new AdaptiveBalancer(settings.build(), new SplittableRandom(seed));
     }
 
-    BalancerFixture(Setup setup) {
-        this(setup, 7);
+    /** A balancer that has received no endpoint list yet. */
+    static BalancerFixture withoutEndpoints(SettingsBuilder settings) {
+        return withoutEndpoints(settings, DEFAULT_SEED);
     }
 
-    BalancerFixture(Setup setup, long seed) {
-        balancer = new AdaptiveBalancer(setup.settings(), new SplittableRandom(seed));
+    static BalancerFixture withoutEndpoints(SettingsBuilder settings, long seed) {
+        return new BalancerFixture(settings, seed);
     }
 
-    /** A fixture whose endpoint list names the running servers s0, s1, … in zone z1 and cell 0. */
-    static BalancerFixture with(Setup setup, int serverCount) {
-        BalancerFixture fixture = new BalancerFixture(setup);
-        Endpoint[] entries = new Endpoint[serverCount];
+    /** A balancer with the default settings and the servers of {@link #withServers(SettingsBuilder, int)}. */
+    static BalancerFixture withServers(int serverCount) {
+        return withServers(SettingsBuilder.settings(), serverCount);
+    }
+
+    /** A balancer whose endpoint list names the running servers s0, s1, … in zone z1 and cell 0. */
+    static BalancerFixture withServers(SettingsBuilder settings, int serverCount) {
+        BalancerFixture fixture = withoutEndpoints(settings);
+        Endpoint[] endpoints = new Endpoint[serverCount];
         for (int index = 0; index < serverCount; index++) {
-            entries[index] = endpoint("s" + index, "z1", 0, Availability.UP, null);
+            endpoints[index] = endpoint("s" + index, Availability.UP);
         }
-        fixture.handle(new EndpointUpdate(UpdateKind.CACHED, List.of(entries)));
+        fixture.updateEndpoints(UpdateKind.CACHED, endpoints);
         return fixture;
     }
 
-    static Endpoint endpoint(String id, String zone, long cell, Availability availability, Double startedAt) {
-        return new Endpoint(id, zone, "k", cell, availability, 1, startedAt);
+    /** An endpoint in zone z1 and cell 0 that has run for long. */
+    static Endpoint endpoint(String server, Availability availability) {
+        return new Endpoint(server, "z1", "k", 0, availability, 1, null);
+    }
+
+    /** A running endpoint in the given failure domain that has run for long. */
+    static Endpoint endpointIn(String zone, long cell, String server) {
+        return new Endpoint(server, zone, "k", cell, Availability.UP, 1, null);
+    }
+
+    /** A running endpoint in zone z1 and cell 0 whose process started at the given time. */
+    static Endpoint endpointStartedAt(double startedAtMs, String server) {
+        return new Endpoint(server, "z1", "k", 0, Availability.UP, 1, startedAtMs);
     }
 
     List<Action> handle(Event event) {
@@ -135,14 +84,32 @@
         return emitted;
     }
 
-    List<Action> updateEndpoints(UpdateKind kind, Endpoint... entries) {
-        return handle(new EndpointUpdate(kind, List.of(entries)));
+    List<Action> updateEndpoints(UpdateKind kind, Endpoint... endpoints) {
+        return handle(new EndpointUpdate(kind, List.of(endpoints)));
     }
 
     List<Action> arrive(String requestClass) {
-        return handle(new RequestArrived(nextRequest++, null, null, false, requestClass, DEADLINE_MS, 20.0));
+        return arrive(requestClass, null, null, DEFAULT_COST_MS);
+    }
+
+    List<Action> arriveFromTenant(String tenant) {
+        return arrive("read", tenant, null, DEFAULT_COST_MS);
     }
 
+    List<Action> arriveWithKey(String key) {
+        return arrive("read", null, key, DEFAULT_COST_MS);
+    }
+
+    List<Action> arriveWithCost(double costMs) {
+        return arrive("read", null, null, costMs);
+    }
+
+    private List<Action> arrive(String requestClass, String tenant, String key, double costMs) {
+        return handle(new RequestArrived(
+                nextRequest++, tenant, key, false, requestClass, SettingsBuilder.DEADLINE_MS, costMs));
+    }
+
+    /** The first attempt that these actions send, or null. */
     static Send firstSend(List<Action> emitted) {
         return actionsOf(emitted, Send.class).stream().findFirst().orElse(null);
     }
@@ -156,20 +123,25 @@
                 new AttemptEnded(send.request(), attempt, send.server(), outcome, elapsedMs, requestIsOver, null));
     }
 
+    /** Ends a first attempt as served. */
+    void endServed(Send send, double elapsedMs) {
+        endAttempt(send, 0, Outcome.SERVED, elapsedMs, true);
+    }
+
     /** One request, sent and served after {@code elapsedMs}; returns the server that served it. */
     String serve(String requestClass, double elapsedMs) {
         Send send = firstSend(arrive(requestClass));
         nowMs += elapsedMs;
-        endAttempt(send, 0, Outcome.SERVED, elapsedMs, true);
+        endServed(send, elapsedMs);
         return send.server();
     }
 
     /** Fires the timers that these actions set, in their order, with the clock moved to each. */
     List<Action> fireTimers(List<Action> setting) {
         List<Action> emitted = new ArrayList<>();
-        double from = nowMs;
+        double setAtMs = nowMs;
         for (SetTimer timer : actionsOf(setting, SetTimer.class)) {
-            nowMs = Math.max(nowMs, from + timer.delayMs());
+            nowMs = Math.max(nowMs, setAtMs + timer.delayMs());
             emitted.addAll(handle(new TimerFired(timer.timer())));
         }
         return emitted;
--- a/balancer/src/test/java/dewplank/balancer/adaptive/RequestLifecycleTest.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/RequestLifecycleTest.java
@@ -2,7 +2,10 @@
 
 import static dewplank.balancer.adaptive.BalancerFixture.actionsOf;
 import static dewplank.balancer.adaptive.BalancerFixture.endpoint;
+import static dewplank.balancer.adaptive.BalancerFixture.endpointStartedAt;
 import static dewplank.balancer.adaptive.BalancerFixture.firstSend;
+import static dewplank.balancer.adaptive.SettingsBuilder.DEADLINE_MS;
+import static dewplank.balancer.adaptive.SettingsBuilder.settings;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -37,12 +40,10 @@
 
     @Test
     void aTimeOutAtTheDeadlineIsAnsweredAtOnceAndOnlyOnce() {
-        BalancerFixture.Setup setup = new BalancerFixture.Setup();
-        setup.idempotency = Idempotency.UNSAFE;
-        BalancerFixture fixture = BalancerFixture.with(setup, 3);
+        BalancerFixture fixture = BalancerFixture.withServers(settings().actIdempotency(Idempotency.UNSAFE), 3);
         Send send = firstSend(fixture.arrive("act"));
-        fixture.nowMs += BalancerFixture.DEADLINE_MS;
-        List<Action> actions = fixture.endAttempt(send, 0, Outcome.TIMED_OUT, BalancerFixture.DEADLINE_MS, false);
+        fixture.nowMs += DEADLINE_MS;
+        List<Action> actions = fixture.endAttempt(send, 0, Outcome.TIMED_OUT, DEADLINE_MS, false);
         assertEquals(List.of(new Fail(send.request())), actions);
         assertTrue(fixture.handle(new RequestAbandoned(send.request())).isEmpty());
         assertTrue(fixture.endAttempt(send, 0, Outcome.SERVED, 700, true).isEmpty());
@@ -50,7 +51,7 @@
 
     @Test
     void nothingIsSentAfterTheClientHasLeft() {
-        BalancerFixture fixture = BalancerFixture.with(new BalancerFixture.Setup(), 3);
+        BalancerFixture fixture = BalancerFixture.withServers(3);
         List<Action> first = fixture.arrive("read");
         List<Action> left = fixture.handle(new RequestAbandoned(1));
         assertEquals(1, actionsOf(left, Cancel.class).size());
@@ -62,8 +63,8 @@
     @Test
     void nothingGoesToAServerThatDrainsOrIsGone() {
         for (Availability availability : List.of(Availability.DRAINING, Availability.REMOVED)) {
-            BalancerFixture fixture = BalancerFixture.with(new BalancerFixture.Setup(), 2);
-            fixture.updateEndpoints(UpdateKind.INCREMENTAL, endpoint("s0", "z1", 0, availability, null));
+            BalancerFixture fixture = BalancerFixture.withServers(2);
+            fixture.updateEndpoints(UpdateKind.INCREMENTAL, endpoint("s0", availability));
             for (int index = 0; index < 50; index++) {
                 assertEquals("s1", fixture.serve("read", 10));
             }
@@ -72,33 +73,29 @@
 
     @Test
     void whereOnlyDrainingIsBindingAServerThatHasGoneStaysInUse() {
-        BalancerFixture.Setup setup = new BalancerFixture.Setup();
-        setup.onlyDrainingIsBinding = true;
-        BalancerFixture fixture = BalancerFixture.with(setup, 1);
+        BalancerFixture fixture = BalancerFixture.withServers(settings().onlyDrainingIsBinding(true), 1);
         fixture.updateEndpoints(UpdateKind.FULL);
         assertEquals("s0", fixture.serve("read", 10));
-        fixture.updateEndpoints(UpdateKind.INCREMENTAL, endpoint("s0", "z1", 0, Availability.DRAINING, null));
-        fixture.updateEndpoints(UpdateKind.INCREMENTAL, endpoint("s0", "z1", 0, Availability.REMOVED, null));
+        fixture.updateEndpoints(UpdateKind.INCREMENTAL, endpoint("s0", Availability.DRAINING));
+        fixture.updateEndpoints(UpdateKind.INCREMENTAL, endpoint("s0", Availability.REMOVED));
         assertNull(firstSend(fixture.arrive("read")));
     }
 
     /** Wrong lists, where only draining binds: servers that do not exist, live ones called gone, an old list. */
     @Test
     void outcomesDecideWhereTheListIsWrong() {
-        BalancerFixture.Setup setup = new BalancerFixture.Setup();
-        setup.onlyDrainingIsBinding = true;
-        BalancerFixture fixture = BalancerFixture.with(setup, 4);
+        BalancerFixture fixture = BalancerFixture.withServers(settings().onlyDrainingIsBinding(true), 4);
         for (int index = 0; index < 40; index++) {
             fixture.serve("read", 10);
         }
         List<Endpoint> unreachable = new ArrayList<>();
         for (int index = 0; index < 3; index++) {
-            unreachable.add(endpoint("ghost" + index, "z1", 0, Availability.UP, null));
+            unreachable.add(endpoint("ghost" + index, Availability.UP));
         }
-        unreachable.add(endpoint("s0", "z1", 0, Availability.DRAINING, null));
+        unreachable.add(endpoint("s0", Availability.DRAINING));
         fixture.updateEndpoints(
                 UpdateKind.FULL, unreachable.toArray(Endpoint[]::new)); // s1 to s3 left out, though they serve
-        fixture.updateEndpoints(UpdateKind.INCREMENTAL, endpoint("s0", "z1", 0, Availability.REMOVED, null));
+        fixture.updateEndpoints(UpdateKind.INCREMENTAL, endpoint("s0", Availability.REMOVED));
         int served = 0;
         for (int index = 0; index < 300; index++) {
             Send send = firstSend(fixture.arrive("read"));
@@ -116,31 +113,27 @@
 
     @Test
     void anEmptyListRejectsAtOnce() {
-        BalancerFixture fixture = new BalancerFixture(new BalancerFixture.Setup());
+        BalancerFixture fixture = BalancerFixture.withoutEndpoints(settings());
         fixture.updateEndpoints(UpdateKind.CACHED);
         assertEquals(1, actionsOf(fixture.arrive("read"), Reject.class).size());
     }
 
     @Test
     void aRequestWaitsForAListThatIsSubscribedTo() {
-        BalancerFixture.Setup setup = new BalancerFixture.Setup();
-        setup.endpointListIsPushed = false;
-        BalancerFixture fixture = new BalancerFixture(setup);
+        BalancerFixture fixture = BalancerFixture.withoutEndpoints(settings().endpointListIsPushed(false));
         assertEquals(
                 1,
                 actionsOf(fixture.updateEndpoints(UpdateKind.CACHED), Subscribe.class)
                         .size());
         List<Action> waiting = fixture.arrive("read");
         assertTrue(actionsOf(waiting, Reject.class).isEmpty());
-        fixture.updateEndpoints(UpdateKind.FULL, endpoint("a", "z1", 0, Availability.UP, null));
+        fixture.updateEndpoints(UpdateKind.FULL, endpoint("a", Availability.UP));
         assertEquals("a", firstSend(fixture.fireTimers(waiting)).server());
     }
 
     @Test
     void aBrokenSubscriptionIsRenewedWithGrowingWaits() {
-        BalancerFixture.Setup setup = new BalancerFixture.Setup();
-        setup.endpointListIsPushed = false;
-        BalancerFixture fixture = BalancerFixture.with(setup, 2);
+        BalancerFixture fixture = BalancerFixture.withServers(settings().endpointListIsPushed(false), 2);
         double longest = 0;
         for (int index = 0; index < 4; index++) {
             List<Action> broken = fixture.updateEndpoints(UpdateKind.BROKEN);
@@ -154,16 +147,14 @@
 
     @Test
     void aServerWarmingUpGetsNoMoreThanItsBudget() {
-        BalancerFixture.Setup setup = new BalancerFixture.Setup();
-        setup.idempotency = Idempotency.SAFE;
-        BalancerFixture fixture = new BalancerFixture(setup);
-        fixture.updateEndpoints(UpdateKind.CACHED, endpoint("cold", "z1", 0, Availability.UP, fixture.nowMs));
+        BalancerFixture fixture = BalancerFixture.withoutEndpoints(settings().actIdempotency(Idempotency.SAFE));
+        fixture.updateEndpoints(UpdateKind.CACHED, endpointStartedAt(fixture.nowMs, "cold"));
         int sends = 0;
         for (int index = 0; index < 200; index++) {
             Send send = firstSend(fixture.arrive("read"));
             if (send != null) {
                 sends++;
-                fixture.endAttempt(send, 0, Outcome.SERVED, 1, true);
+                fixture.endServed(send, 1);
             }
             fixture.nowMs += 5; // 200 requests in one span of a second
         }
@@ -179,14 +170,14 @@
         int newcomers = 0;
         int sends = 0;
         for (int seed = 1; seed <= 20; seed++) { // heavy-tailed times: one play says little
-            BalancerFixture fixture = BalancerFixture.with(new BalancerFixture.Setup(), 4);
+            BalancerFixture fixture = BalancerFixture.withServers(4);
             RandomGenerator random = new SplittableRandom(seed);
             for (int index = 0; index < 800; index++) { // one request at a time: others crowd the old servers
                 if (index == 400) {
                     fixture.updateEndpoints(
                             UpdateKind.INCREMENTAL,
-                            endpoint("n0", "z1", 0, Availability.UP, fixture.nowMs),
-                            endpoint("n1", "z1", 0, Availability.UP, fixture.nowMs));
+                            endpointStartedAt(fixture.nowMs, "n0"),
+                            endpointStartedAt(fixture.nowMs, "n1"));
                 }
                 Send send = firstSend(fixture.arrive("read"));
                 fixture.nowMs += 10;
@@ -194,7 +185,7 @@
                     boolean newcomer = send.server().startsWith("n");
                     newcomers += newcomer ? 1 : 0;
                     sends += index >= 400 ? 1 : 0;
-                    fixture.endAttempt(send, 0, Outcome.SERVED, random.nextExponential() * (newcomer ? 90 : 60), true);
+                    fixture.endServed(send, random.nextExponential() * (newcomer ? 90 : 60));
                 }
             }
         }
@@ -209,10 +200,9 @@
         double work = 20;
         int[] sends = new int[60]; // spans of a second
         for (int index = 0; index < replicaCount; index++) {
-            BalancerFixture.Setup setup = new BalancerFixture.Setup();
-            setup.replicaCount = replicaCount;
-            BalancerFixture fixture = new BalancerFixture(setup, index);
-            fixture.updateEndpoints(UpdateKind.CACHED, endpoint("cold", "z1", 0, Availability.UP, fixture.nowMs));
+            BalancerFixture fixture =
+                    BalancerFixture.withoutEndpoints(settings().replica(0, replicaCount), index);
+            fixture.updateEndpoints(UpdateKind.CACHED, endpointStartedAt(fixture.nowMs, "cold"));
             double start = fixture.nowMs;
             fixture.nowMs += index % 100 * 10; // one request a second each
             for (int attempt = 0; attempt < 8; attempt++) {
@@ -220,7 +210,7 @@
                 Send send = firstSend(fixture.arrive("read"));
                 if (send != null) {
                     sends[span]++;
-                    fixture.endAttempt(send, 0, Outcome.SERVED, 1, true);
+                    fixture.endServed(send, 1);
                 }
                 fixture.nowMs += 1_000;
             }
@@ -239,9 +229,7 @@
 
     @Test
     void anOverdueSafeRequestIsHedgedAndTheLoserIsCancelled() {
-        BalancerFixture.Setup setup = new BalancerFixture.Setup();
-        setup.allowsHedging = true;
-        BalancerFixture fixture = BalancerFixture.with(setup, 3);
+        BalancerFixture fixture = BalancerFixture.withServers(settings().allowsHedging(true), 3);
         List<Action> first = fixture.arrive("read");
         Send hedge = firstSend(fixture.fireTimers(first));
         assertNotEquals(firstSend(first).server(), hedge.server());
@@ -251,10 +239,10 @@
     /** The first one overdue is long, for all that is known: sent again it would take as long. The next is stuck. */
     @Test
     void withoutHedgingTheOverdueAttemptAtASuspectServerIsCancelledBeforeTheNext() {
-        BalancerFixture fixture = BalancerFixture.with(new BalancerFixture.Setup(), 1);
+        BalancerFixture fixture = BalancerFixture.withServers(1);
         List<Action> first = fixture.arrive("read");
         List<Action> second = fixture.arrive("read");
-        fixture.updateEndpoints(UpdateKind.INCREMENTAL, BalancerFixture.endpoint("s1", "z1", 0, Availability.UP, null));
+        fixture.updateEndpoints(UpdateKind.INCREMENTAL, endpoint("s1", Availability.UP));
         List<Action> overdue = fixture.fireTimers(first);
         assertTrue(actionsOf(overdue, Cancel.class).isEmpty());
         assertNull(firstSend(overdue));
@@ -267,10 +255,8 @@
 
     @Test
     void anUnsafeRequestIsNeverHedged() {
-        BalancerFixture.Setup setup = new BalancerFixture.Setup();
-        setup.allowsHedging = true;
-        setup.idempotency = Idempotency.UNSAFE;
-        BalancerFixture fixture = BalancerFixture.with(setup, 3);
+        BalancerFixture fixture =
+                BalancerFixture.withServers(settings().allowsHedging(true).actIdempotency(Idempotency.UNSAFE), 3);
         List<Action> overdue = fixture.fireTimers(fixture.arrive("act"));
         assertTrue(actionsOf(overdue, Send.class).isEmpty());
         assertTrue(actionsOf(overdue, Cancel.class).isEmpty());
@@ -278,7 +264,7 @@
 
     @Test
     void retriesStopWhenEverythingFails() {
-        BalancerFixture fixture = BalancerFixture.with(new BalancerFixture.Setup(), 8);
+        BalancerFixture fixture = BalancerFixture.withServers(8);
         int requests = 300;
         int sends = 0;
         for (int index = 0; index < requests; index++) {
@@ -294,7 +280,7 @@
 
     @Test
     void aPoisonRequestReachesTwoServersAtMost() {
-        BalancerFixture fixture = BalancerFixture.with(new BalancerFixture.Setup(), 8);
+        BalancerFixture fixture = BalancerFixture.withServers(8);
         Send send = firstSend(fixture.arrive("read"));
         Set<String> reached = new HashSet<>();
         for (int attempt = 0; send != null; attempt++) {
@@ -306,10 +292,8 @@
 
     @Test
     void aStartedStreamIsNeitherHedgedNorRetried() {
-        BalancerFixture.Setup setup = new BalancerFixture.Setup();
-        setup.allowsHedging = true;
-        setup.readsAreStreams = true;
-        BalancerFixture fixture = BalancerFixture.with(setup, 3);
+        BalancerFixture fixture =
+                BalancerFixture.withServers(settings().allowsHedging(true).readsAreStreams(true), 3);
         List<Action> first = fixture.arrive("read");
         assertTrue(fixture.handle(new StreamStarted(1, 0, 10)).isEmpty());
         assertTrue(fixture.fireTimers(first).isEmpty());
@@ -321,7 +305,7 @@
     void equalEventsGiveEqualActions() {
         List<List<Action>> runs = new ArrayList<>();
         for (int run = 0; run < 2; run++) {
-            BalancerFixture fixture = BalancerFixture.with(new BalancerFixture.Setup(), 6);
+            BalancerFixture fixture = BalancerFixture.withServers(6);
             for (int index = 0; index < 500; index++) {
                 Send send = firstSend(fixture.arrive(index % 3 == 0 ? "act" : "read"));
                 fixture.nowMs += 3;
--- a/balancer/src/test/java/dewplank/balancer/adaptive/RetrySafetyTest.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/RetrySafetyTest.java
@@ -2,7 +2,9 @@
 
 import static dewplank.balancer.adaptive.BalancerFixture.actionsOf;
 import static dewplank.balancer.adaptive.BalancerFixture.endpoint;
+import static dewplank.balancer.adaptive.BalancerFixture.endpointIn;
 import static dewplank.balancer.adaptive.BalancerFixture.firstSend;
+import static dewplank.balancer.adaptive.SettingsBuilder.settings;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import dewplank.balancer.Action;
@@ -52,8 +54,8 @@
             String zone,
             long cell,
             String expected) {
-        BalancerFixture.Setup setup = new BalancerFixture.Setup();
-        assertEquals(expected, decisionAfter(setup, idempotency, deduplicationScope, outcome, elapsedMs, zone, cell));
+        assertEquals(
+                expected, decisionAfter(settings(), idempotency, deduplicationScope, outcome, elapsedMs, zone, cell));
     }
 
     /** The same, where a server may turn away what it had begun: full proves nothing, the rest is as before. */
@@ -80,26 +82,24 @@
             String zone,
             long cell,
             String expected) {
-        BalancerFixture.Setup setup = new BalancerFixture.Setup();
-        setup.rejectedMayHaveRun = true;
-        assertEquals(expected, decisionAfter(setup, idempotency, deduplicationScope, outcome, elapsedMs, zone, cell));
+        SettingsBuilder settings = settings().rejectedMayHaveRun(true);
+        assertEquals(
+                expected, decisionAfter(settings, idempotency, deduplicationScope, outcome, elapsedMs, zone, cell));
     }
 
     private static String decisionAfter(
-            BalancerFixture.Setup setup,
+            SettingsBuilder settings,
             Idempotency idempotency,
             DeduplicationScope deduplicationScope,
             Outcome outcome,
             double elapsedMs,
             String zone,
             long cell) {
-        setup.idempotency = idempotency;
-        setup.deduplicationScope = deduplicationScope;
-        BalancerFixture fixture = new BalancerFixture(setup);
-        fixture.updateEndpoints(UpdateKind.CACHED, endpoint("a", "z1", 0, Availability.UP, null));
+        BalancerFixture fixture = BalancerFixture.withoutEndpoints(
+                settings.actIdempotency(idempotency).actDeduplicationScope(deduplicationScope));
+        fixture.updateEndpoints(UpdateKind.CACHED, endpoint("a", Availability.UP));
         Send first = firstSend(fixture.arrive("act"));
-        fixture.updateEndpoints(
-                UpdateKind.FULL, endpoint("b", zone, cell, Availability.UP, null)); // a is gone, b is new
+        fixture.updateEndpoints(UpdateKind.FULL, endpointIn(zone, cell, "b")); // a is gone, b is new
         fixture.nowMs += elapsedMs;
         List<Action> actions = fixture.endAttempt(first, 0, outcome, elapsedMs, false);
         return describe(actions);
@@ -118,9 +118,7 @@
     /** Its connection may take long to come up, and servers drop a repeat only for so long. */
     @Test
     void aKeyedRepeatIsWrittenWithinTheWindowOfTheFirst() {
-        BalancerFixture.Setup setup = new BalancerFixture.Setup();
-        setup.idempotency = Idempotency.KEYED;
-        BalancerFixture fixture = BalancerFixture.with(setup, 2);
+        BalancerFixture fixture = BalancerFixture.withServers(settings().actIdempotency(Idempotency.KEYED), 2);
         Send first = firstSend(fixture.arrive("act"));
         assertEquals(399, first.writeWithinMs());
         fixture.nowMs += 100;
--- a/balancer/src/test/java/dewplank/balancer/adaptive/ServerEjectionTest.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/ServerEjectionTest.java
@@ -1,7 +1,10 @@
 package dewplank.balancer.adaptive;
 
 import static dewplank.balancer.adaptive.BalancerFixture.actionsOf;
+import static dewplank.balancer.adaptive.BalancerFixture.endpoint;
 import static dewplank.balancer.adaptive.BalancerFixture.firstSend;
+import static dewplank.balancer.adaptive.SettingsBuilder.DEADLINE_MS;
+import static dewplank.balancer.adaptive.SettingsBuilder.settings;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -13,7 +16,6 @@
 import dewplank.balancer.Action.Send;
 import dewplank.balancer.Endpoint.Availability;
 import dewplank.balancer.Event.PeerSummaryReceived;
-import dewplank.balancer.Event.RequestArrived;
 import dewplank.balancer.Event.TimerFired;
 import dewplank.balancer.Event.UpdateKind;
 import dewplank.balancer.Outcome;
@@ -49,7 +51,7 @@
 
     @Test
     void threeErrorsEjectAndTrialsComeOnceASecond() {
-        BalancerFixture fixture = BalancerFixture.with(new BalancerFixture.Setup(), 4);
+        BalancerFixture fixture = BalancerFixture.withServers(4);
         playRequests(fixture, 1_200, 5, "s0");
         Map<String, Integer> later = playRequests(fixture, 500, 10, "s0"); // five seconds
         int trials = later.getOrDefault("s0", 0);
@@ -58,7 +60,7 @@
 
     @Test
     void twoErrorsEjectNobody() {
-        BalancerFixture fixture = BalancerFixture.with(new BalancerFixture.Setup(), 2);
+        BalancerFixture fixture = BalancerFixture.withServers(2);
         int errors = 0;
         while (errors < 2) {
             Send send = firstSend(fixture.arrive("read"));
@@ -76,7 +78,7 @@
     /** Found at Sado: an eighth of all refusals were trials, refused for the very server's lateness that they try. */
     @Test
     void aTrialIsSentHoweverSlowItsServerWas() {
-        BalancerFixture fixture = BalancerFixture.with(new BalancerFixture.Setup(), 4);
+        BalancerFixture fixture = BalancerFixture.withServers(4);
         playRequests(fixture, 1_200, 5, "s0");
         int rejected = 0;
         int trials = 0;
@@ -87,10 +89,10 @@
             fixture.nowMs += 20;
             if (send != null && send.server().equals("s0")) {
                 trials++;
-                fixture.nowMs += BalancerFixture.DEADLINE_MS;
-                fixture.endAttempt(send, 0, Outcome.TIMED_OUT, BalancerFixture.DEADLINE_MS, true);
+                fixture.nowMs += DEADLINE_MS;
+                fixture.endAttempt(send, 0, Outcome.TIMED_OUT, DEADLINE_MS, true);
             } else if (send != null) {
-                fixture.endAttempt(send, 0, Outcome.SERVED, 20, true);
+                fixture.endServed(send, 20);
             }
         }
         assertEquals(0, rejected);
@@ -99,7 +101,7 @@
 
     @Test
     void aServerThatServesAgainReturnsToTheDraw() {
-        BalancerFixture fixture = BalancerFixture.with(new BalancerFixture.Setup(), 4);
+        BalancerFixture fixture = BalancerFixture.withServers(4);
         playRequests(fixture, 1_200, 5, "s0");
         playRequests(fixture, 1_200, 10); // twelve seconds of health
         assertTrue(playRequests(fixture, 400, 5).getOrDefault("s0", 0) > 60);
@@ -107,7 +109,7 @@
 
     @Test
     void whileMoreThanHalfAreEjectedAllAreDrawn() {
-        BalancerFixture fixture = BalancerFixture.with(new BalancerFixture.Setup(), 4);
+        BalancerFixture fixture = BalancerFixture.withServers(4);
         playRequests(fixture, 400, 5, "s0", "s1", "s2");
         fixture.nowMs += 1_100; // doubts lapse, verdicts last
         long elsewhere = 0;
@@ -119,7 +121,7 @@
 
     @Test
     void rejectionsAndCancellationsAreNeitherHealthyNorUnhealthy() {
-        BalancerFixture fixture = BalancerFixture.with(new BalancerFixture.Setup(), 2);
+        BalancerFixture fixture = BalancerFixture.withServers(2);
         for (int index = 0; index < 50; index++) {
             Send send = firstSend(fixture.arrive("read"));
             fixture.nowMs += 700;
@@ -136,9 +138,7 @@
     /** Found among resets: a server looked slower the longer ago its error was, and got nothing to mend that with. */
     @Test
     void anErrorDoesNotMakeItsServerLookSlowerWithTime() {
-        BalancerFixture.Setup setup = new BalancerFixture.Setup();
-        setup.idempotency = Idempotency.UNSAFE;
-        BalancerFixture fixture = BalancerFixture.with(setup, 1);
+        BalancerFixture fixture = BalancerFixture.withServers(settings().actIdempotency(Idempotency.UNSAFE), 1);
         playRequests(fixture, 20, 5);
         Send send = firstSend(fixture.arrive("act"));
         fixture.endAttempt(send, 0, Outcome.RESET, 1, false);
@@ -152,7 +152,7 @@
      */
     @Test
     void requestsRejectedTogetherBeginOneBackoff() {
-        BalancerFixture fixture = BalancerFixture.with(new BalancerFixture.Setup(), 1);
+        BalancerFixture fixture = BalancerFixture.withServers(1);
         List<Send> sends = new ArrayList<>();
         for (int index = 0; index < 6; index++) {
             sends.add(firstSend(fixture.arrive("read")));
@@ -166,7 +166,7 @@
     /** Hung servers may turn all away at once; the rest after full grows until they draw next to nothing. */
     @Test
     void aServerThatOnlyRejectsIsRarelyDrawn() {
-        BalancerFixture fixture = BalancerFixture.with(new BalancerFixture.Setup(), 4);
+        BalancerFixture fixture = BalancerFixture.withServers(4);
         int drawn = 0;
         for (int index = 0; index < 1_000; index++) {
             Send send = firstSend(fixture.arrive("read"));
@@ -183,7 +183,7 @@
 
     @Test
     void aServerThatAnswersNothingIsEjectedBeforeAnyTimeOut() {
-        BalancerFixture fixture = BalancerFixture.with(new BalancerFixture.Setup(), 4);
+        BalancerFixture fixture = BalancerFixture.withServers(4);
         playRequests(fixture, 100, 5);
         int hung = 0;
         for (int index = 0; index < 100; index++) {
@@ -198,7 +198,7 @@
                 }
             } else {
                 fixture.nowMs += 10;
-                fixture.endAttempt(send, 0, Outcome.SERVED, 10, true);
+                fixture.endServed(send, 10);
             }
         }
         assertTrue(hung <= 6, hung + " sends to a hung server");
@@ -206,9 +206,7 @@
 
     @Test
     void unsafeRequestsTakeNoTrials() {
-        BalancerFixture.Setup setup = new BalancerFixture.Setup();
-        setup.idempotency = Idempotency.UNSAFE;
-        BalancerFixture fixture = BalancerFixture.with(setup, 4);
+        BalancerFixture fixture = BalancerFixture.withServers(settings().actIdempotency(Idempotency.UNSAFE), 4);
         playRequests(fixture, 1_200, 5, "s0");
         for (int index = 0; index < 100; index++) {
             fixture.nowMs += 100;
@@ -225,9 +223,7 @@
      */
     @Test
     void aServerThatServesAnotherClassSinceIsNotEjected() {
-        BalancerFixture.Setup setup = new BalancerFixture.Setup();
-        setup.idempotency = Idempotency.UNSAFE;
-        BalancerFixture fixture = BalancerFixture.with(setup, 1);
+        BalancerFixture fixture = BalancerFixture.withServers(settings().actIdempotency(Idempotency.UNSAFE), 1);
         for (int index = 0; index < 8; index++) {
             fixture.serve("act", 5);
         }
@@ -236,7 +232,7 @@
             fixture.nowMs += 5;
             fixture.endAttempt(send, 0, Outcome.RESET, 5, false);
         }
-        fixture.updateEndpoints(UpdateKind.INCREMENTAL, BalancerFixture.endpoint("s1", "z1", 0, Availability.UP, null));
+        fixture.updateEndpoints(UpdateKind.INCREMENTAL, endpoint("s1", Availability.UP));
         fixture.nowMs += 1_100;
         Map<String, Integer> firstSends = playRequests(fixture, 200, 5);
         assertTrue(firstSends.getOrDefault("s0", 0) > 40, firstSends.toString());
@@ -245,9 +241,7 @@
     /** Found where connections fall silent: one that hung made its server look as slow as the hanging was long. */
     @Test
     void aRequestThatHangsAloneDoesNotMakeItsServerLate() {
-        BalancerFixture.Setup setup = new BalancerFixture.Setup();
-        setup.idempotency = Idempotency.UNSAFE;
-        BalancerFixture fixture = BalancerFixture.with(setup, 1);
+        BalancerFixture fixture = BalancerFixture.withServers(settings().actIdempotency(Idempotency.UNSAFE), 1);
         playRequests(fixture, 100, 5);
         List<Action> hanging = fixture.arrive("act");
         fixture.fireTimers(hanging);
@@ -259,7 +253,7 @@
 
     @Test
     void fewerInFlightWins() {
-        BalancerFixture fixture = BalancerFixture.with(new BalancerFixture.Setup(), 2);
+        BalancerFixture fixture = BalancerFixture.withServers(2);
         Send first = firstSend(fixture.arrive("read"));
         Send second = firstSend(fixture.arrive("read"));
         assertNotEquals(first.server(), second.server());
@@ -292,11 +286,9 @@
     /** Found at Sado: each sidecar warmed a server of its own for a key, and servers remember a few keys only. */
     @Test
     void instancesAgreeOnAKeysServerWithoutMessages() {
-        BalancerFixture.Setup setup = new BalancerFixture.Setup();
-        setup.serversCacheKeys = true;
-        BalancerFixture one = BalancerFixture.with(setup, 4);
-        setup.replicaIndex = 1;
-        BalancerFixture two = BalancerFixture.with(setup, 4);
+        SettingsBuilder settings = settings().serversCacheKeys(true);
+        BalancerFixture one = BalancerFixture.withServers(settings, 4);
+        BalancerFixture two = BalancerFixture.withServers(settings.replica(1, 4), 4);
         int agreed = 0;
         Map<String, Integer> keysByServer = new HashMap<>();
         for (int index = 0; index < 200; index++) {
@@ -311,10 +303,9 @@
     }
 
     private static String serveKey(BalancerFixture fixture, String key) {
-        Send send = firstSend(fixture.handle(new RequestArrived(
-                fixture.nextRequest++, null, key, false, "read", BalancerFixture.DEADLINE_MS, 20.0)));
+        Send send = firstSend(fixture.arriveWithKey(key));
         fixture.nowMs += 50;
-        fixture.endAttempt(send, 0, Outcome.SERVED, 50, true);
+        fixture.endServed(send, 50);
         return send.server();
     }
 
@@ -326,7 +317,7 @@
         fixture.handle(new PeerSummaryReceived(1, summaryAgainst(fixture.nowMs)));
         fixture.nowMs += 300;
         fixture.arrive("read");
-        assertTrue(((AdaptiveBalancer) fixture.balancer).isEjected("s0"), "one of two votes, and its own");
+        assertTrue(fixture.balancer.isEjected("s0"), "one of two votes, and its own");
     }
 
     @Test
@@ -372,9 +363,7 @@
     }
 
     private static BalancerFixture withPeerSummaries() {
-        BalancerFixture.Setup setup = new BalancerFixture.Setup();
-        setup.exchangesPeerSummaries = true;
-        BalancerFixture fixture = BalancerFixture.with(setup, 4);
+        BalancerFixture fixture = BalancerFixture.withServers(settings().exchangesPeerSummaries(true), 4);
         playRequests(fixture, 100, 5);
         return fixture;
     }
--- a/balancer/src/test/java/dewplank/balancer/adaptive/WorkingSetTest.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/WorkingSetTest.java
@@ -2,7 +2,10 @@
 
 import static dewplank.balancer.adaptive.BalancerFixture.actionsOf;
 import static dewplank.balancer.adaptive.BalancerFixture.endpoint;
+import static dewplank.balancer.adaptive.BalancerFixture.endpointIn;
 import static dewplank.balancer.adaptive.BalancerFixture.firstSend;
+import static dewplank.balancer.adaptive.SettingsBuilder.DEADLINE_MS;
+import static dewplank.balancer.adaptive.SettingsBuilder.settings;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -25,10 +28,7 @@
 class WorkingSetTest {
 
     private static BalancerFixture instance(int replicaIndex, int replicaCount, int servers) {
-        BalancerFixture.Setup setup = new BalancerFixture.Setup();
-        setup.replicaIndex = replicaIndex;
-        setup.replicaCount = replicaCount;
-        return BalancerFixture.with(setup, servers);
+        return BalancerFixture.withServers(settings().replica(replicaIndex, replicaCount), servers);
     }
 
     /** A thin sidecar: one request a second. */
@@ -52,15 +52,15 @@
     void serversThatHaveGoneAreForgottenOnceNothingIsInFlight() {
         BalancerFixture fixture = instance(0, 2, 1);
         Send open = firstSend(fixture.arrive("read"));
-        fixture.updateEndpoints(UpdateKind.INCREMENTAL, endpoint("s0", "z1", 0, Availability.REMOVED, null));
+        fixture.updateEndpoints(UpdateKind.INCREMENTAL, endpoint("s0", Availability.REMOVED));
         for (int index = 0; index < 100; index++) {
-            fixture.updateEndpoints(UpdateKind.INCREMENTAL, endpoint("n" + index, "z1", 0, Availability.UP, null));
-            fixture.updateEndpoints(UpdateKind.INCREMENTAL, endpoint("n" + index, "z1", 0, Availability.REMOVED, null));
+            fixture.updateEndpoints(UpdateKind.INCREMENTAL, endpoint("n" + index, Availability.UP));
+            fixture.updateEndpoints(UpdateKind.INCREMENTAL, endpoint("n" + index, Availability.REMOVED));
         }
-        assertEquals(1, ((AdaptiveBalancer) fixture.balancer).serverCount());
-        fixture.endAttempt(open, 0, Outcome.SERVED, 10, true);
+        assertEquals(1, fixture.balancer.serverCount());
+        fixture.endServed(open, 10);
         fixture.updateEndpoints(UpdateKind.INCREMENTAL);
-        assertEquals(0, ((AdaptiveBalancer) fixture.balancer).serverCount());
+        assertEquals(0, fixture.balancer.serverCount());
     }
 
     @Test
@@ -129,7 +129,7 @@
     /** New connections grew slow; the servers answer as ever on open ones. Nobody is condemned for that. */
     @Test
     void aSlowConnectionIsNoLateServer() {
-        BalancerFixture fixture = BalancerFixture.with(new BalancerFixture.Setup(), 4);
+        BalancerFixture fixture = BalancerFixture.withServers(4);
         used(fixture, 100);
         fixture.nowMs += 60_000; // all connections are closed as idle
         Set<String> contacted = new HashSet<>();
@@ -137,7 +137,7 @@
             Send send = firstSend(fixture.arrive("read"));
             double elapsedMs = contacted.add(send.server()) ? 200 : 10;
             fixture.nowMs += elapsedMs;
-            fixture.endAttempt(send, 0, Outcome.SERVED, elapsedMs, true);
+            fixture.endServed(send, elapsedMs);
         }
         assertTrue(used(fixture, 60).size() >= 3, "nobody is condemned");
         assertTrue(actionsOf(fixture.actions, Reject.class).isEmpty());
@@ -146,13 +146,11 @@
     /** The way to the far zone grows to most of the aim, no queue does: once that shows, nothing is refused. */
     @Test
     void aSlowNetworkIsNoQueue() {
-        BalancerFixture fixture = new BalancerFixture(new BalancerFixture.Setup());
-        fixture.updateEndpoints(UpdateKind.CACHED, endpoint("near", "z1", 0, Availability.UP, null));
+        BalancerFixture fixture = BalancerFixture.withoutEndpoints(settings());
+        fixture.updateEndpoints(UpdateKind.CACHED, endpoint("near", Availability.UP));
         used(fixture, 100);
         fixture.updateEndpoints(
-                UpdateKind.INCREMENTAL,
-                endpoint("near", "z1", 0, Availability.DRAINING, null),
-                endpoint("far", "z2", 1, Availability.UP, null));
+                UpdateKind.INCREMENTAL, endpoint("near", Availability.DRAINING), endpointIn("z2", 1, "far"));
         used(fixture, 100);
         int rejected = 0;
         for (int index = 0; index < 600; index++) {
@@ -160,7 +158,7 @@
             Send send = firstSend(actions);
             fixture.nowMs += 240;
             if (send != null) {
-                fixture.endAttempt(send, 0, Outcome.SERVED, 240, true);
+                fixture.endServed(send, 240);
             }
             rejected += index < 400 ? 0 : actionsOf(actions, Reject.class).size();
         }
@@ -172,14 +170,13 @@
     void withATailMoreIsRejectedEarly() {
         int[] rejected = new int[2];
         for (int tail = 0; tail < 2; tail++) {
-            BalancerFixture.Setup setup = new BalancerFixture.Setup();
-            setup.tailWeight = tail * 0.3;
-            BalancerFixture fixture = BalancerFixture.with(setup, 4);
+            BalancerFixture fixture =
+                    BalancerFixture.withServers(settings().tail(tail * 0.3, tail * 0.3 > 0 ? 0.01 : 0), 4);
             for (int index = 0; index < 600; index++) {
                 Send send = firstSend(fixture.arrive("read"));
                 fixture.nowMs += 20;
                 if (send != null) {
-                    fixture.endAttempt(send, 0, Outcome.SERVED, index < 100 ? 20 : 60, true);
+                    fixture.endServed(send, index < 100 ? 20 : 60);
                 }
             }
             rejected[tail] = actionsOf(fixture.actions, Reject.class).size();
@@ -190,13 +187,13 @@
     /** Found at full fleet: jammed servers let requests run out of time, and got as many as the others. */
     @Test
     void aServerThatAnswersTooLateIsNotTakenForQuick() {
-        BalancerFixture fixture = BalancerFixture.with(new BalancerFixture.Setup(), 4);
+        BalancerFixture fixture = BalancerFixture.withServers(4);
         used(fixture, 40);
         int sentToSlow = 0;
         for (int index = 0; index < 40; index++) {
             Send send = firstSend(fixture.arrive("read"));
             boolean jammed = List.of("s0", "s1").contains(send.server());
-            double elapsedMs = jammed ? BalancerFixture.DEADLINE_MS : 10;
+            double elapsedMs = jammed ? DEADLINE_MS : 10;
             fixture.nowMs += elapsedMs;
             fixture.endAttempt(send, 0, jammed ? Outcome.TIMED_OUT : Outcome.SERVED, elapsedMs, true);
             sentToSlow += jammed ? 1 : 0;
