--- a/balancer/src/test/java/dewplank/balancer/BalancerArchitectureTest.java
+++ b/balancer/src/test/java/dewplank/balancer/BalancerArchitectureTest.java
@@ -6,25 +6,25 @@
 import com.tngtech.archunit.core.domain.JavaClasses;
 import com.tngtech.archunit.core.importer.ClassFileImporter;
 import com.tngtech.archunit.core.importer.ImportOption;
-import org.junit.Test;
+import org.junit.jupiter.api.Test;
 
-/** Decisions are pure steps: whoever needs I/O, a thread or a clock for one has it in the wrong module. */
-public class BalancerArchitectureTest {
-    private static final JavaClasses DECISIONS = new ClassFileImporter()
+/** The balancer is a pure function of its events: it uses the JDK alone, no I/O, no thread and no clock. */
+class BalancerArchitectureTest {
+    private static final JavaClasses BALANCER = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
             .importPackages("dewplank.balancer");
 
     @Test
-    public void decisionsUseTheJdkAlone() {
+    void usesTheJdkAlone() {
         classes()
                 .should()
                 .onlyDependOnClassesThat()
                 .resideInAnyPackage("dewplank.balancer..", "java.lang..", "java.util..", "java.nio")
-                .check(DECISIONS);
+                .check(BALANCER);
     }
 
     @Test
-    public void decisionsDoNoInputOrOutput() {
+    void doesNoInputOrOutput() {
         noClasses()
                 .should()
                 .dependOnClassesThat()
@@ -35,7 +35,7 @@
                         "java.nio.file..",
                         "java.util.logging..",
                         "java.util.zip..")
-                .check(DECISIONS);
+                .check(BALANCER);
         noClasses()
                 .should()
                 .accessField(System.class, "out")
@@ -43,11 +43,11 @@
                 .accessField(System.class, "err")
                 .orShould()
                 .callMethod(System.class, "getLogger", String.class)
-                .check(DECISIONS);
+                .check(BALANCER);
     }
 
     @Test
-    public void decisionsStartNoThreadAndReadNoClock() {
+    void startsNoThreadAndReadsNoClock() {
         noClasses()
                 .should()
                 .dependOnClassesThat()
@@ -59,6 +59,6 @@
                 .callMethod(System.class, "currentTimeMillis")
                 .orShould()
                 .callMethod(System.class, "nanoTime")
-                .check(DECISIONS);
+                .check(BALANCER);
     }
 }
--- a/balancer/src/test/java/dewplank/balancer/PolicyFilesTest.java
+++ b/balancer/src/test/java/dewplank/balancer/PolicyFilesTest.java
@@ -15,12 +15,12 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The operators' limits on the decision logic: the files that their settings name as {@code policy}, together. */
+/** The files that {@code deploy/balancer.toml} names as {@code policy}: complete, without repeats, short lines. */
 class PolicyFilesTest {
     private static final Path ROOT = Path.of("..");
     private static final Path MODULE = ROOT.resolve("balancer/src/main/java/dewplank/balancer");
 
-    /** Types and events, plain holders and running figures, a wire format, and the wiring of timers. */
+    /** Files without decisions: types and events, state, statistics, a wire format, the wiring of timers. */
     private static final Set<String> NO_DECISIONS = Set.of(
             "Action.java",
             "Balancer.java",
@@ -44,7 +44,7 @@
             "health/PeerSummary.java");
 
     @Test
-    void linesOfDecisionLogicAreAtMost110Characters() throws IOException {
+    void linesOfPolicyFilesAreAtMost110Characters() throws IOException {
         List<String> lines = new ArrayList<>();
         for (Path file : policyFiles()) {
             lines.addAll(Files.readAllLines(file));
@@ -55,10 +55,10 @@
     }
 
     @Test
-    void thePolicyNamesEveryFileOfDecisions() throws IOException {
+    void thePolicyNamesEveryFileWithDecisions() throws IOException {
         Set<String> named = new TreeSet<>();
         for (Path file : policyFiles()) {
-            assertTrue(file.startsWith(MODULE), file + " is none of the module's");
+            assertTrue(file.startsWith(MODULE), file + " is not in the module");
             assertTrue(named.add(MODULE.relativize(file).toString()), file + " is named twice");
         }
         Set<String> present = new TreeSet<>();
--- a/balancer/src/test/java/dewplank/balancer/WeightedDrawTest.java
+++ b/balancer/src/test/java/dewplank/balancer/WeightedDrawTest.java
@@ -9,7 +9,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Draws by weight. */
+/** Draws of one candidate in proportion to the weights, and the random numbers that a draw consumes. */
 class WeightedDrawTest {
     private static final Map<String, Double> WEIGHTS = Map.of("a", 1.0, "b", 0.5, "c", 0.25, "d", 0.25, "none", 0.0);
     private static final List<String> ALL = List.of("a", "b", "c", "d", "none");
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void sharesFollowTheWeights() {
+    void drawsFollowTheWeights() {
         Map<String, Integer> drawn = draws(ALL, null);
         assertEquals(0.5, drawn.get("a") / (double) DRAWS, 0.02);
         assertEquals(0.25, drawn.get("b") / (double) DRAWS, 0.02);
@@ -36,29 +36,29 @@
     }
 
     @Test
-    void theExcludedOneIsNeverDrawnAndTheOthersAreDrawnByWeight() {
+    void theExcludedCandidateIsNeverDrawnAndTheOthersAreDrawnByWeight() {
         Map<String, Integer> drawn = draws(ALL, "a");
         assertNull(drawn.get("a"));
         assertEquals(0.5, drawn.get("b") / (double) DRAWS, 0.02);
         assertEquals(0.25, drawn.get("c") / (double) DRAWS, 0.02);
         drawn = draws(List.of("b", "c"), "c");
-        assertEquals(Map.of("b", DRAWS), drawn, "also where it stands last");
+        assertEquals(Map.of("b", DRAWS), drawn, "also where it is the last");
     }
 
     @Test
-    void withNoOtherThereIsNoDraw() {
+    void withoutAnotherCandidateNothingIsDrawn() {
         assertNull(WeightedDraw.draw(List.of(), null, WEIGHTS::get, random));
         assertNull(WeightedDraw.draw(List.of("a"), "a", WEIGHTS::get, random));
     }
 
     @Test
-    void whereAllWeighNothingTheLastIsDrawn() {
+    void whereAllWeightsAreZeroTheLastIsDrawn() {
         assertEquals("y", WeightedDraw.draw(List.of("x", "y"), null, server -> 0, random));
     }
 
-    /** AdaptiveBalancer's decisions are repeated by seed: how many numbers a draw takes is part of what it promises. */
+    /** Decisions repeat by seed, so how many random numbers a draw consumes is part of its contract. */
     @Test
-    void oneNumberIsTakenForEachDraw() {
+    void eachDrawConsumesOneRandomNumber() {
         SplittableRandom expected = new SplittableRandom(3);
         WeightedDraw.draw(ALL, "b", WEIGHTS::get, random);
         expected.nextDouble();
--- a/balancer/src/test/java/dewplank/balancer/adaptive/BalancerFixture.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/BalancerFixture.java
@@ -13,7 +13,11 @@
 import dewplank.balancer.Event.UpdateKind;
 import dewplank.balancer.Outcome;
 import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
 import java.util.List;
+import java.util.Map;
+import java.util.Set;
 import java.util.SplittableRandom;
 
 /**
@@ -136,14 +140,47 @@
         return send.server();
     }
 
+    /** Serves reads, one a second, each after 10 ms; returns the servers that served them. */
+    Set<String> serveOnePerSecond(int requests) {
+        Set<String> servers = new HashSet<>();
+        for (int request = 0; request < requests; request++) {
+            servers.add(serve("read", 10));
+            nowMs += 1_000;
+        }
+        return servers;
+    }
+
     /** Fires the timers that these actions set, in their order, with the clock moved to each. */
-    List<Action> fireTimers(List<Action> setting) {
+    List<Action> fireTimers(List<Action> emittedEarlier) {
         List<Action> emitted = new ArrayList<>();
         double setAtMs = nowMs;
-        for (SetTimer timer : actionsOf(setting, SetTimer.class)) {
+        for (SetTimer timer : actionsOf(emittedEarlier, SetTimer.class)) {
             nowMs = Math.max(nowMs, setAtMs + timer.delayMs());
             emitted.addAll(handle(new TimerFired(timer.timer())));
         }
         return emitted;
     }
+
+    /**
+     * Plays reads, one every {@code intervalMs}, and their retries; each attempt takes 10 ms.
+     *
+     * @param failing servers that end each attempt with an error; the others serve
+     * @return the number of first attempts by server
+     */
+    Map<String, Integer> playReads(int requests, double intervalMs, String... failing) {
+        Map<String, Integer> firstSends = new HashMap<>();
+        for (int request = 0; request < requests; request++) {
+            Send send = firstSend(arrive("read"));
+            nowMs += intervalMs;
+            if (send == null) {
+                continue;
+            }
+            firstSends.merge(send.server(), 1, Integer::sum);
+            for (int attempt = 0; send != null; attempt++) {
+                boolean fails = List.of(failing).contains(send.server());
+                send = firstSend(endAttempt(send, attempt, fails ? Outcome.ERROR : Outcome.SERVED, 10, !fails));
+            }
+        }
+        return firstSends;
+    }
 }
--- /dev/null
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/LatencyEstimatesTest.java
@@ -0,0 +1,121 @@
+package dewplank.balancer.adaptive;
+
+import static dewplank.balancer.adaptive.BalancerFixture.actionsOf;
+import static dewplank.balancer.adaptive.BalancerFixture.endpoint;
+import static dewplank.balancer.adaptive.BalancerFixture.endpointIn;
+import static dewplank.balancer.adaptive.BalancerFixture.firstSend;
+import static dewplank.balancer.adaptive.SettingsBuilder.DEADLINE_MS;
+import static dewplank.balancer.adaptive.SettingsBuilder.settings;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import dewplank.balancer.Action;
+import dewplank.balancer.Action.Reject;
+import dewplank.balancer.Action.Send;
+import dewplank.balancer.Endpoint.Availability;
+import dewplank.balancer.Event.UpdateKind;
+import dewplank.balancer.Outcome;
+import dewplank.balancer.Settings.Idempotency;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+
+/** The predicted latency of a server: what slow connects, the network, errors and hung requests do to it. */
+class LatencyEstimatesTest {
+
+    /** Connecting takes longer; the servers answer as before on open connections. None is ejected for that. */
+    @Test
+    void aSlowConnectDoesNotMakeItsServerLookSlow() {
+        BalancerFixture fixture = BalancerFixture.withServers(4);
+        fixture.serveOnePerSecond(100);
+        fixture.nowMs += 60_000; // all connections are closed as idle
+        Set<String> contacted = new HashSet<>();
+        for (int request = 0; request < 40; request++) {
+            Send send = firstSend(fixture.arrive("read"));
+            double elapsedMs = contacted.add(send.server()) ? 200 : 10;
+            fixture.nowMs += elapsedMs;
+            fixture.endServed(send, elapsedMs);
+        }
+        assertTrue(fixture.serveOnePerSecond(60).size() >= 3, "no server is ejected");
+        assertTrue(actionsOf(fixture.actions, Reject.class).isEmpty());
+    }
+
+    /** Latency to the remote zone takes most of the latency target: once that is learned, nothing is rejected. */
+    @Test
+    void networkLatencyIsNotTakenForQueueing() {
+        BalancerFixture fixture = BalancerFixture.withoutEndpoints(settings());
+        fixture.updateEndpoints(UpdateKind.CACHED, endpoint("near", Availability.UP));
+        fixture.serveOnePerSecond(100);
+        fixture.updateEndpoints(
+                UpdateKind.INCREMENTAL, endpoint("near", Availability.DRAINING), endpointIn("z2", 1, "far"));
+        fixture.serveOnePerSecond(100);
+        int rejected = 0;
+        for (int request = 0; request < 600; request++) {
+            List<Action> actions = fixture.arrive("read");
+            Send send = firstSend(actions);
+            fixture.nowMs += 240;
+            if (send != null) {
+                fixture.endServed(send, 240);
+            }
+            rejected += request < 400 ? 0 : actionsOf(actions, Reject.class).size();
+        }
+        assertEquals(0, rejected);
+    }
+
+    /** Regression: servers whose requests timed out got as many requests as the others. */
+    @Test
+    void aServerWhoseRequestsTimeOutIsNotTakenForFast() {
+        BalancerFixture fixture = BalancerFixture.withServers(4);
+        fixture.serveOnePerSecond(40);
+        int sentToSlow = 0;
+        for (int request = 0; request < 40; request++) {
+            Send send = firstSend(fixture.arrive("read"));
+            boolean timesOut = List.of("s0", "s1").contains(send.server());
+            double elapsedMs = timesOut ? DEADLINE_MS : 10;
+            fixture.nowMs += elapsedMs;
+            fixture.endAttempt(send, 0, timesOut ? Outcome.TIMED_OUT : Outcome.SERVED, elapsedMs, true);
+            sentToSlow += timesOut ? 1 : 0;
+            fixture.nowMs += 1_100; // suspicion expires in between
+        }
+        assertTrue(sentToSlow <= 8, sentToSlow + " of 40 sent to servers whose requests time out");
+    }
+
+    /** Regression: the predicted latency of a costly request scaled the fixed delays with its cost. */
+    @Test
+    void aCostlyRequestIsNotPredictedLateByFixedDelays() {
+        BalancerFixture fixture = BalancerFixture.withServers(4);
+        for (int request = 0; request < 400; request++) {
+            double cost = 5 + request % 10;
+            Send send = firstSend(fixture.arriveWithCost(cost));
+            fixture.nowMs += 5;
+            fixture.endServed(send, 40 + cost);
+        }
+        List<Action> costly = fixture.arriveWithCost(80.0);
+        assertEquals(1, actionsOf(costly, Send.class).size());
+    }
+
+    /** Regression: a server looked slower the longer ago its error was, and got no request to correct that. */
+    @Test
+    void anErrorDoesNotMakeItsServerLookSlowerWithTime() {
+        BalancerFixture fixture = BalancerFixture.withServers(settings().actIdempotency(Idempotency.UNSAFE), 1);
+        fixture.playReads(20, 5);
+        Send send = firstSend(fixture.arrive("act"));
+        fixture.endAttempt(send, 0, Outcome.RESET, 1, false);
+        fixture.nowMs += 600;
+        assertTrue(firstSend(fixture.arrive("read")) != null);
+    }
+
+    /** Regression: one request that hung made its server look as slow as it hung. */
+    @Test
+    void aRequestThatHangsAloneDoesNotMakeItsServerLate() {
+        BalancerFixture fixture = BalancerFixture.withServers(settings().actIdempotency(Idempotency.UNSAFE), 1);
+        fixture.playReads(100, 5);
+        List<Action> hanging = fixture.arrive("act");
+        fixture.fireTimers(hanging);
+        for (int request = 0; request < 40; request++) {
+            fixture.serve("read", 10);
+        }
+        assertTrue(actionsOf(fixture.actions, Reject.class).isEmpty());
+    }
+}
--- a/balancer/src/test/java/dewplank/balancer/adaptive/RecordedDecisionsTest.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/RecordedDecisionsTest.java
@@ -1,9 +1,15 @@
 package dewplank.balancer.adaptive;
 
+import static dewplank.balancer.adaptive.BalancerFixture.firstSend;
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dewplank.balancer.Action;
+import dewplank.balancer.Action.Send;
+import dewplank.balancer.Outcome;
+import java.util.ArrayList;
+import java.util.List;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -63,4 +69,27 @@
             assertTrue(counts.getOrDefault(action.getSimpleName(), 0) >= MIN_OF_EACH_ACTION, counts.toString());
         }
     }
+
+    @Test
+    void equalEventsGiveEqualActions() {
+        List<List<Action>> runs = new ArrayList<>();
+        for (int run = 0; run < 2; run++) {
+            BalancerFixture fixture = BalancerFixture.withServers(6);
+            for (int request = 0; request < 500; request++) {
+                Send send = firstSend(fixture.arrive(request % 3 == 0 ? "act" : "read"));
+                fixture.nowMs += 3;
+                if (send != null) {
+                    fixture.endAttempt(
+                            send,
+                            0,
+                            request % 7 == 0 ? Outcome.ERROR : Outcome.SERVED,
+                            3 + request % 5,
+                            request % 7 != 0);
+                }
+            }
+            runs.add(fixture.actions);
+        }
+        assertEquals(runs.get(0), runs.get(1));
+        assertFalse(runs.get(0).isEmpty());
+    }
 }
--- a/balancer/src/test/java/dewplank/balancer/adaptive/RetrySafetyTest.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/RetrySafetyTest.java
@@ -21,7 +21,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** No effect happens twice: what may follow each outcome, by class and scope. */
+/**
+ * No effect happens twice: what follows each outcome of an attempt, by idempotency and deduplication scope of the
+ * request's class. An attempt is retried, the request is rejected (nothing was done), or it fails (outcome unknown).
+ */
 class RetrySafetyTest {
 
     /** The first attempt went to z1, cell 0; the only other server is the named one. */
@@ -30,7 +33,7 @@
         "SAFE,  ALL,  ERROR,          10, z2, 1, send",
         "SAFE,  ALL,  RESET,          10, z2, 1, send",
         "KEYED, ALL,  ERROR,          10, z2, 1, send",
-        "KEYED, ALL,  ERROR,         450, z2, 1, refuse",
+        "KEYED, ALL,  ERROR,         450, z2, 1, reject",
         "KEYED, ZONE, ERROR,          10, z1, 1, send",
         "KEYED, ZONE, ERROR,          10, z2, 0, fail",
         "KEYED, ZONE, ERROR,         450, z1, 1, fail",
@@ -44,9 +47,9 @@
         "UNSAFE, ALL, CANCELLED,      10, z1, 0, fail",
         "UNSAFE, ALL, REJECTED,       10, z2, 1, send",
         "UNSAFE, ALL, CONNECT_FAILED, 10, z2, 1, send",
-        "UNSAFE, ALL, NEVER_SENT,     10, z2, 1, refuse",
+        "UNSAFE, ALL, NEVER_SENT,     10, z2, 1, reject",
     })
-    void afterOneAttempt(
+    void decisionAfterOneAttempt(
             Idempotency idempotency,
             DeduplicationScope deduplicationScope,
             Outcome outcome,
@@ -58,12 +61,12 @@
                 expected, decisionAfter(settings(), idempotency, deduplicationScope, outcome, elapsedMs, zone, cell));
     }
 
-    /** The same, where a server may turn away what it had begun: full proves nothing, the rest is as before. */
-    @ParameterizedTest(name = "full may have run: {0} {1}, {2} after {3} ms, other server in {4} cell {5}: {6}")
+    /** The same, where a server may reject work that it had begun: only a rejection proves less than before. */
+    @ParameterizedTest(name = "rejected may have run: {0} {1}, {2} after {3} ms, other server in {4} cell {5}: {6}")
     @CsvSource({
         "SAFE,  ALL,  REJECTED,       10, z2, 1, send",
         "KEYED, ALL,  REJECTED,       10, z2, 1, send",
-        "KEYED, ALL,  REJECTED,          450, z2, 1, refuse",
+        "KEYED, ALL,  REJECTED,          450, z2, 1, reject",
         "KEYED, ZONE, REJECTED,       10, z1, 1, send",
         "KEYED, ZONE, REJECTED,       10, z2, 0, fail",
         "KEYED, ZONE, REJECTED,          450, z1, 0, fail",
@@ -72,9 +75,9 @@
         "KEYED, CELL, CONNECT_FAILED, 10, z2, 1, send",
         "UNSAFE, ALL, REJECTED,       10, z1, 0, fail",
         "UNSAFE, ALL, CONNECT_FAILED, 10, z2, 1, send",
-        "UNSAFE, ALL, NEVER_SENT,     10, z2, 1, refuse",
+        "UNSAFE, ALL, NEVER_SENT,     10, z2, 1, reject",
     })
-    void afterOneAttemptWhereARejectionIsNoProof(
+    void decisionAfterOneAttemptWhereARejectionIsNoProof(
             Idempotency idempotency,
             DeduplicationScope deduplicationScope,
             Outcome outcome,
@@ -99,7 +102,7 @@
                 settings.actIdempotency(idempotency).actDeduplicationScope(deduplicationScope));
         fixture.updateEndpoints(UpdateKind.CACHED, endpoint("a", Availability.UP));
         Send first = firstSend(fixture.arrive("act"));
-        fixture.updateEndpoints(UpdateKind.FULL, endpointIn(zone, cell, "b")); // a is gone, b is new
+        fixture.updateEndpoints(UpdateKind.FULL, endpointIn(zone, cell, "b")); // a is removed, b is added
         fixture.nowMs += elapsedMs;
         List<Action> actions = fixture.endAttempt(first, 0, outcome, elapsedMs, false);
         return describe(actions);
@@ -110,14 +113,14 @@
             return "send";
         }
         if (!actionsOf(actions, Reject.class).isEmpty()) {
-            return "refuse";
+            return "reject";
         }
         return actionsOf(actions, Fail.class).isEmpty() ? "nothing" : "fail";
     }
 
-    /** Its connection may take long to come up, and servers drop a repeat only for so long. */
+    /** Connecting may take long, and servers drop a repeat only within the deduplication window. */
     @Test
-    void aKeyedRepeatIsWrittenWithinTheWindowOfTheFirst() {
+    void aKeyedRetryIsWrittenWithinTheWindowOfTheFirst() {
         BalancerFixture fixture = BalancerFixture.withServers(settings().actIdempotency(Idempotency.KEYED), 2);
         Send first = firstSend(fixture.arrive("act"));
         assertEquals(399, first.writeWithinMs());
--- a/balancer/src/test/java/dewplank/balancer/health/GoldenPeerSummaryTest.java
+++ b/balancer/src/test/java/dewplank/balancer/health/GoldenPeerSummaryTest.java
@@ -1,14 +1,17 @@
 package dewplank.balancer.health;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
 import java.util.ArrayList;
 import java.util.HexFormat;
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 
-/** Datagrams between sidecars, byte for byte as an earlier release sent them. */
+/** The wire format of {@link PeerSummary}, byte for byte as an earlier release sent it. */
 class GoldenPeerSummaryTest {
     private static final String TWO_SERVERS = "01" // version
             + "4278bcfe5687b800" // milliseconds, a double
@@ -25,28 +28,29 @@
     }
 
     @Test
-    void unhealthyServers() {
+    void writesAndReadsUnhealthyServers() {
         PeerSummary summary = new PeerSummary(1_700_000_000_123.5, List.of("i-1".hashCode(), -2));
         assertEquals(TWO_SERVERS, encoded(summary));
         assertEquals(summary, decoded(TWO_SERVERS));
     }
 
     @Test
-    void noServers() {
+    void writesAndReadsAnEmptySummary() {
         PeerSummary summary = new PeerSummary(0, List.of());
         assertEquals(NO_SERVERS, encoded(summary));
         assertEquals(summary, decoded(NO_SERVERS));
     }
 
-    @Test
-    void anotherVersionIsNotRead() {
-        assertNull(decoded("02" + TWO_SERVERS.substring(2)));
-        assertNull(decoded("00" + TWO_SERVERS.substring(2)));
+    @ParameterizedTest
+    @ValueSource(strings = {"02", "00"})
+    void anotherVersionIsNotRead(String version) {
+        assertNotNull(decoded(TWO_SERVERS), "version 1 is read");
+        assertNull(decoded(version + TWO_SERVERS.substring(2)));
     }
 
-    /** Of 70 servers 61 find room in 256 bytes. */
+    /** Of 70 servers, 61 fit into 256 bytes. */
     @Test
-    void noMoreServersThanFitInto256Bytes() {
+    void writesNoMoreServersThanFitInto256Bytes() {
         List<Integer> servers = new ArrayList<>();
         StringBuilder expected = new StringBuilder("01" + "4014000000000000");
         for (int index = 0; index < 70; index++) {
--- a/balancer/src/test/java/dewplank/balancer/health/PeerVotesTest.java
+++ b/balancer/src/test/java/dewplank/balancer/health/PeerVotesTest.java
@@ -5,16 +5,18 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 
-/** Peers' summaries as votes. */
+/** The vote on a server: this instance's own and those of its peers, by majority, age and order. */
 class PeerVotesTest {
-    private static final double NOW = 50_000;
+    private static final double NOW_MS = 50_000;
 
     private final PeerVotes<String> votes = new PeerVotes<>();
 
     private void receive(String peer, double sentAtMs, String... unhealthy) {
         votes.receive(
-                NOW,
+                NOW_MS,
                 peer,
                 new PeerSummary(
                         sentAtMs,
@@ -22,63 +24,63 @@
     }
 
     @Test
-    void aloneTheOwnVoteDecides() {
-        assertTrue(votes.isUnhealthy(NOW, "s", true));
-        assertFalse(votes.isUnhealthy(NOW, "s", false));
+    void withoutPeersTheOwnVoteDecides() {
+        assertTrue(votes.isUnhealthy(NOW_MS, "s", true));
+        assertFalse(votes.isUnhealthy(NOW_MS, "s", false));
     }
 
     @Test
     void aSimpleMajorityDecides() {
-        receive("a", NOW, "s");
-        receive("b", NOW, "s", "t");
-        assertTrue(votes.isUnhealthy(NOW, "s", false), "two of three");
-        assertFalse(votes.isUnhealthy(NOW, "t", false), "one of three");
-        assertFalse(votes.isUnhealthy(NOW, "u", true), "one of three, its own");
+        receive("a", NOW_MS, "s");
+        receive("b", NOW_MS, "s", "t");
+        assertTrue(votes.isUnhealthy(NOW_MS, "s", false), "two of three");
+        assertFalse(votes.isUnhealthy(NOW_MS, "t", false), "one of three");
+        assertFalse(votes.isUnhealthy(NOW_MS, "u", true), "one of three, the own one");
     }
 
     @Test
     void aTieGoesByTheOwnVote() {
-        receive("a", NOW, "s");
-        assertFalse(votes.isUnhealthy(NOW, "s", false));
-        assertTrue(votes.isUnhealthy(NOW, "t", true));
+        receive("a", NOW_MS, "s");
+        assertFalse(votes.isUnhealthy(NOW_MS, "s", false));
+        assertTrue(votes.isUnhealthy(NOW_MS, "t", true));
     }
 
     @Test
     void aVoteCountsForThreeSeconds() {
-        receive("a", NOW, "s");
-        receive("b", NOW, "s");
-        assertTrue(votes.isUnhealthy(NOW + 3_000, "s", false));
-        assertFalse(votes.isUnhealthy(NOW + 3_001, "s", false));
-        assertTrue(votes.isUnhealthy(NOW + 3_001, "t", true), "those that lapsed do not vote for it either");
+        receive("a", NOW_MS, "s");
+        receive("b", NOW_MS, "s");
+        assertTrue(votes.isUnhealthy(NOW_MS + 3_000, "s", false));
+        assertFalse(votes.isUnhealthy(NOW_MS + 3_001, "s", false));
+        assertTrue(
+                votes.isUnhealthy(NOW_MS + 3_001, "t", true), "an expired vote does not count for the server either");
     }
 
-    @Test
-    void summariesFromFarOffTimesAreIgnored() {
-        for (double sentAtMs : new double[] {NOW - 3_001, NOW + 3_001}) {
-            receive("a", sentAtMs, "s");
-            receive("b", sentAtMs, "s");
-            assertFalse(votes.isUnhealthy(NOW, "s", false));
-        }
+    @ParameterizedTest
+    @ValueSource(doubles = {NOW_MS - 3_001, NOW_MS + 3_001})
+    void aSummaryOfAnotherTimeIsIgnored(double sentAtMs) {
+        receive("a", sentAtMs, "s");
+        receive("b", sentAtMs, "s");
+        assertFalse(votes.isUnhealthy(NOW_MS, "s", false));
     }
 
     @Test
     void anOlderSummaryOrTheSameAgainChangesNothing() {
-        receive("a", NOW, "s");
-        receive("b", NOW, "s");
-        receive("a", NOW - 1);
-        receive("b", NOW);
-        assertTrue(votes.isUnhealthy(NOW, "s", false));
-        receive("a", NOW + 1);
-        assertFalse(votes.isUnhealthy(NOW, "s", false), "a newer one does");
+        receive("a", NOW_MS, "s");
+        receive("b", NOW_MS, "s");
+        receive("a", NOW_MS - 1);
+        receive("b", NOW_MS);
+        assertTrue(votes.isUnhealthy(NOW_MS, "s", false));
+        receive("a", NOW_MS + 1);
+        assertFalse(votes.isUnhealthy(NOW_MS, "s", false), "a newer one counts");
     }
 
     @Test
     void aPeerThatLeftHasNoVote() {
-        receive("a", NOW, "s");
-        receive("b", NOW, "s");
+        receive("a", NOW_MS, "s");
+        receive("b", NOW_MS, "s");
         votes.remove("a");
-        assertFalse(votes.isUnhealthy(NOW, "s", false));
-        receive("a", NOW - 1, "s");
-        assertTrue(votes.isUnhealthy(NOW, "s", false), "it may come again");
+        assertFalse(votes.isUnhealthy(NOW_MS, "s", false));
+        receive("a", NOW_MS - 1, "s");
+        assertTrue(votes.isUnhealthy(NOW_MS, "s", false), "it may return");
     }
 }
--- a/balancer/src/test/java/dewplank/balancer/health/ServerHealthTest.java
+++ b/balancer/src/test/java/dewplank/balancer/health/ServerHealthTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** One server's observations, the vote that follows from them, and its weight. */
+/** The outcomes observed at one server, the verdict that follows from them, and the server's weight. */
 class ServerHealthTest {
     private final ServerHealth health = new ServerHealth();
 
@@ -18,7 +18,7 @@
 
     @Test
     void threeUnhealthyOutcomesInOneContextGiveAVerdictAndTwoDoNot() {
-        assertFalse(health.isUnhealthy(0), "nothing is known");
+        assertFalse(health.isUnhealthy(0), "nothing was observed");
         observe("read", 0, false, false);
         assertFalse(health.isUnhealthy(2));
         observe("read", 2, false);
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void contextsAreCountedEachByItself() {
+    void contextsAreCountedSeparately() {
         observe("read", 0, false, false);
         observe("act", 2, false, false);
         assertFalse(health.isUnhealthy(4));
@@ -39,11 +39,11 @@
         observe("read", 0, true, true, true, true, true, false, true, false, true, false);
         assertTrue(health.isUnhealthy(10), "three of ten, the last one too");
         observe("read", 10, true);
-        assertFalse(health.isUnhealthy(11), "three of eleven, and served since");
+        assertFalse(health.isUnhealthy(11), "three of eleven, and a success since");
     }
 
     @Test
-    void halfOfTheWindowGivesAVerdictThoughServedSince() {
+    void halfOfTheWindowGivesAVerdictDespiteALaterSuccess() {
         observe("read", 0, false, false, false, true, true, true);
         assertTrue(health.isUnhealthy(6), "three of six");
         observe("read", 6, true);
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void whatAnotherContextWasServedSinceIsTheLatestStatus() {
+    void aSuccessInAnotherContextIsTheLatestStatus() {
         observe("act", 0, true, true, true, true, true, true, false, false, false);
         assertTrue(health.isUnhealthy(9));
         observe("read", 9, true);
@@ -59,7 +59,7 @@
         observe("act", 10, false);
         assertTrue(health.isUnhealthy(11), "four of ten, the last one too");
         health.recordLateSuccess(11);
-        assertFalse(health.isUnhealthy(12), "late, but alive");
+        assertFalse(health.isUnhealthy(12), "late, but it answers");
     }
 
     @Test
@@ -77,13 +77,13 @@
         observe("read", 0, false, false);
         assertEquals(0.25, health.weight());
         observe("act", 2, false, false, false);
-        assertEquals(0.05, health.weight(), "no less");
+        assertEquals(0.05, health.weight(), "the floor");
         observe("read", 5, true);
         assertEquals(0.1, health.weight(), 1e-12);
         for (int index = 0; index < 30; index++) {
             observe("read", 6 + index, true);
         }
-        assertEquals(1, health.weight(), "no more");
+        assertEquals(1, health.weight(), "the ceiling");
     }
 
     @Test
@@ -105,6 +105,6 @@
         health.reset();
         assertFalse(health.isUnhealthy(4));
         assertEquals(1, health.weight());
-        assertEquals(0, health.lastSuccessAtMs(), "when it last served stands");
+        assertEquals(0, health.lastSuccessAtMs(), "the time of the last success stays");
     }
 }
