--- a/dataplane/src/test/java/dewplank/dataplane/CallCrossingTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/CallCrossingTest.java
@@ -1,5 +1,6 @@
 package dewplank.dataplane;
 
+import static dewplank.dataplane.CallFields.attemptId;
 import static dewplank.dataplane.ClientRequests.HOST;
 import static dewplank.dataplane.ClientRequests.request;
 import static dewplank.dataplane.Expectations.assertRejected;
@@ -28,6 +29,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
@@ -40,7 +42,6 @@
     private static final int LONG_TIMEOUT_MS = 2_500; // for a long body to come in
     private static final int OVERDUE_AFTER_MS = 1_500; // two and a half times the target
     private static final int LONG_BODY_BYTES = 16 << 20; // more than the socket buffers hold
-    private static final String[] BOTH = {"/safe/", "/once/"};
 
     private ForwarderFixture net;
 
@@ -91,22 +92,26 @@
     // ---- two answers where one was due ----------------------------------------------------------------
 
     @ParameterizedTest
-    @ValueSource(strings = {"/safe/", "/once/"})
-    void aLateAnswerOnAReusedConnectionIsDiscarded(String target) throws Exception {
+    @CsvSource({
+        "/safe/, 200 OK",
+        "/safe/, 404 Not Found",
+        "/safe/, 500 Internal Server Error",
+        "/once/, 200 OK",
+        "/once/, 404 Not Found",
+        "/once/, 500 Internal Server Error"
+    })
+    void aLateAnswerOnAReusedConnectionIsDiscarded(String target, String status) throws Exception {
         net.servers.plain();
-        for (String status : new String[] {"200 OK", "404 Not Found", "500 Internal Server Error"}) {
-            IdleConnection idle = idleConnection(target);
-            Call second = sendOnIdleConnection(idle, target);
-            answer(idle.first(), status, SEAL, "the first one's");
-            answer(second, "200 OK", SEAL, "own");
-            assertEquals("own", idle.client().read().body(), target + status);
-            net.assertQuiet();
-        }
+        IdleConnection idle = idleConnection(target);
+        Call second = sendOnIdleConnection(idle, target);
+        answer(idle.first(), status, SEAL, "the first one's");
+        answer(second, "200 OK", SEAL, "own");
+        assertEquals("own", idle.client().read().body(), target + status);
+        net.assertQuiet();
     }
 
     /** The rejection answers the first request: the second one may run, and is neither rejected nor retried. */
-    @ParameterizedTest
-    @ValueSource(strings = {"/safe/", "/once/"})
+    @SafeAndUnsafeTest
     void aLateRejectionOnAReusedConnectionIsDiscarded(String target) throws Exception {
         net.servers.plain();
         IdleConnection idle = idleConnection(target);
@@ -118,8 +123,7 @@
     }
 
     /** Servers echo the attempt id; an answer without one is to another request, for example that freed a KV handle. */
-    @ParameterizedTest
-    @ValueSource(strings = {"/safe/", "/once/"})
+    @SafeAndUnsafeTest
     void anAnswerWithoutAnAttemptIdIsDiscarded(String target) throws Exception {
         net.servers.plain();
         IdleConnection idle = idleConnection(target);
@@ -131,8 +135,7 @@
         net.assertQuiet();
     }
 
-    @ParameterizedTest
-    @ValueSource(strings = {"/safe/", "/once/"})
+    @SafeAndUnsafeTest
     void ofTwoAnswersInOneSegmentTheFirstCountsAndTheConnectionCloses(String target) throws Exception {
         net.servers.plain();
         Wire client = net.sendRequest(target);
@@ -145,8 +148,7 @@
     }
 
     /** Bytes behind the first answer are not joined with those of the second one. */
-    @ParameterizedTest
-    @ValueSource(strings = {"/safe/", "/once/"})
+    @SafeAndUnsafeTest
     void surplusBytesAreNotParsedAsTheNextAnswer(String target) throws Exception {
         net.servers.plain();
         IdleConnection idle = idleConnection(target);
@@ -188,8 +190,7 @@
 
     // ---- resets ---------------------------------------------------------------------------------------
 
-    @ParameterizedTest
-    @ValueSource(strings = {"/safe/", "/once/"})
+    @SafeAndUnsafeTest
     void aResetOfAnIdleConnectionCostsNoAttempt(String target) throws Exception {
         net.servers.plain();
         IdleConnection idle = idleConnection(target);
@@ -218,36 +219,33 @@
      * The reset and the request arrive at once. If the connection took no byte, the request goes by another one or
      * is rejected; if it did, the request may have been read, and is neither rejected nor retried.
      */
-    @Test
-    void aResetThatMeetsAnUnsafeRequestSendsItAtMostOnce() throws Exception {
+    @ParameterizedTest
+    @ValueSource(booleans = {true, false})
+    void aResetThatMeetsAnUnsafeRequestSendsItAtMostOnce(boolean resetFirst) throws Exception {
         net.servers.plain();
-        for (boolean resetFirst : new boolean[] {true, false}) {
-            IdleConnection idle = idleConnection("/once/");
-            OnLoop.run(net.loop, () -> {
-                if (resetFirst) {
-                    idle.first().wire().reset();
-                }
-                idle.client().send(request("/once/", "", "meets"));
-                if (!resetFirst) {
-                    idle.first().wire().reset();
-                }
-            });
-            OnLoop.await(
-                    net.loop,
-                    () -> !net.servers.calls.isEmpty() || idle.client().hasBytes());
-            Call sent = net.servers.calls.poll();
-            boolean read = sent != null && sent.wire() == idle.first().wire();
-            boolean elsewhere = sent != null && !read;
-            if (elsewhere) {
-                serve(sent, "own");
+        IdleConnection idle = idleConnection("/once/");
+        OnLoop.run(net.loop, () -> {
+            if (resetFirst) {
+                idle.first().wire().reset();
             }
-            Wire.Message got = idle.client().read();
-            boolean rejected = sent == null && got.status() == 503; // true, as no server has read any of it
-            assertEquals(elsewhere ? 200 : rejected ? 503 : 502, got.status());
-            assertEquals(elsewhere ? "own" : "", got.body());
-            net.assertQuiet();
-            net.pass(2 * REUSABLE_AFTER_MS); // a server that reset a connection is not picked for 40 ms
+            idle.client().send(request("/once/", "", "meets"));
+            if (!resetFirst) {
+                idle.first().wire().reset();
+            }
+        });
+        OnLoop.await(
+                net.loop, () -> !net.servers.calls.isEmpty() || idle.client().hasBytes());
+        Call sent = net.servers.calls.poll();
+        boolean read = sent != null && sent.wire() == idle.first().wire();
+        boolean elsewhere = sent != null && !read;
+        if (elsewhere) {
+            serve(sent, "own");
         }
+        Wire.Message got = idle.client().read();
+        boolean rejected = sent == null && got.status() == 503; // true, as no server has read any of it
+        assertEquals(elsewhere ? 200 : rejected ? 503 : 502, got.status());
+        assertEquals(elsewhere ? "own" : "", got.body());
+        net.assertQuiet();
     }
 
     @Test
@@ -261,28 +259,31 @@
         net.assertQuiet();
     }
 
-    /** Without a length the connection's end ends the answer, and a reset does not. */
-    @ParameterizedTest
-    @ValueSource(strings = {"/safe/", "/once/"})
-    void anAnswerWithoutALengthIsCompleteAtEndOfStreamAndTruncatedAtAReset(String target) throws Exception {
+    /** Without a length the connection's end ends the answer. */
+    @SafeAndUnsafeTest
+    void anAnswerWithoutALengthIsCompleteAtEndOfStream(String target) throws Exception {
         net.servers.plainServers(2);
-        for (boolean complete : new boolean[] {true, false}) {
-            Wire client = net.sendRequest(target);
-            Call call = net.nextCall();
-            call.wire().send(sealedHead(call, "") + "half");
-            if (complete) {
-                call.wire().close();
-                assertEquals("half", client.read().body());
-            } else if (target.equals("/safe/")) {
-                call.wire().reset();
-                assertServed(net.nextCall(), client, "own");
-            } else {
-                call.wire().reset();
-                assertEquals(502, client.read().status());
-            }
-            net.assertQuiet();
-            net.pass(REUSABLE_AFTER_MS);
+        Wire client = net.sendRequest(target);
+        Call call = net.nextCall();
+        call.wire().send(sealedHead(call, "") + "half");
+        call.wire().close();
+        assertEquals("half", client.read().body());
+        net.assertQuiet();
+    }
+
+    @SafeAndUnsafeTest
+    void anAnswerWithoutALengthIsTruncatedAtAReset(String target) throws Exception {
+        net.servers.plainServers(2);
+        Wire client = net.sendRequest(target);
+        Call call = net.nextCall();
+        call.wire().send(sealedHead(call, "") + "half");
+        call.wire().reset();
+        if (target.equals("/safe/")) {
+            assertServed(net.nextCall(), client, "own");
+        } else {
+            assertEquals(502, client.read().status());
         }
+        net.assertQuiet();
     }
 
     // ---- early answers --------------------------------------------------------------------------------
@@ -293,51 +294,48 @@
         return client;
     }
 
+    /** A raw server answers the request that bears this id. */
+    private static void answerById(Wire wire, String id, String status, String fields, String body) throws IOException {
+        wire.answer(status, "X-Dewplank-Request-Attempt-Id: " + id + "\r\n" + fields, body);
+    }
+
     /** The server reads on: nothing but the rest of the body may follow on the connection. */
-    @Test
-    void anEarlyAnswerIsRelayedAndItsConnectionIsNotReused() throws Exception {
+    @SafeAndUnsafeTest
+    void anEarlyAnswerIsRelayedAndItsConnectionIsNotReused(String target) throws Exception {
         try (ScriptedServer raw = ScriptedServer.raw()) {
             net.servers.add(raw, PLAIN, null);
-            for (String target : BOTH) {
-                Wire client = sendLongRequest(target);
-                Wire wire = raw.nextConnection();
-                String id = wire.readHead().header("X-Dewplank-Request-Attempt-Id");
-                wire.answer("200 OK", "X-Dewplank-Request-Attempt-Id: " + id + "\r\n" + SEAL, "early");
-                assertEquals("early", client.read().body());
-                client.send(request(target, "", ""));
-                Wire next = raw.nextConnection();
-                assertNotSame(wire, next);
-                assertTrue(wire.readToEnd().chars().allMatch(c -> c == 'x'), "other bytes where the body is due");
-                id = next.read().header("X-Dewplank-Request-Attempt-Id");
-                next.answer(
-                        "200 OK", "X-Dewplank-Request-Attempt-Id: " + id + "\r\nConnection: close\r\n" + SEAL, "own");
-                assertEquals("own", client.read().body());
-                net.assertQuiet();
-            }
+            Wire client = sendLongRequest(target);
+            Wire wire = raw.nextConnection();
+            String id = wire.readHead().header("X-Dewplank-Request-Attempt-Id");
+            answerById(wire, id, "200 OK", SEAL, "early");
+            assertEquals("early", client.read().body());
+            client.send(request(target, "", ""));
+            Wire next = raw.nextConnection();
+            assertNotSame(wire, next);
+            assertTrue(wire.readToEnd().chars().allMatch(sent -> sent == 'x'), "other bytes where the body is due");
+            id = next.read().header("X-Dewplank-Request-Attempt-Id");
+            answerById(next, id, "200 OK", "Connection: close\r\n" + SEAL, "own");
+            assertEquals("own", client.read().body());
+            net.assertQuiet();
         }
     }
 
     /** Long requests are rejected before they are complete: the next server gets all of it, once. */
-    @Test
-    void aRequestThatIsRejectedEarlyIsRetriedWithItsCompleteBody() throws Exception {
+    @SafeAndUnsafeTest
+    void aRequestThatIsRejectedEarlyIsRetriedWithItsCompleteBody(String target) throws Exception {
         try (ScriptedServer raw = ScriptedServer.raw()) {
-            for (String target : BOTH) {
-                net.servers.add(raw, PLAIN, null);
-                Wire client = sendLongRequest(target);
-                Wire wire = raw.nextConnection();
-                String id = wire.readHead().header("X-Dewplank-Request-Attempt-Id");
-                ScriptedServer other = net.servers.plain();
-                wire.answer(
-                        "503 Service Unavailable", "X-Dewplank-Request-Attempt-Id: " + id + "\r\n" + NOT_EXECUTED, "");
-                Call call = net.nextCall();
-                assertSame(other, call.server());
-                assertEquals(id, call.message().header("X-Dewplank-Request-Attempt-Id"));
-                assertEquals(LONG_BODY_BYTES, call.message().body().length());
-                assertServed(call, client, "own");
-                net.assertQuiet();
-                net.servers.remove(raw);
-                net.servers.remove(other);
-            }
+            net.servers.add(raw, PLAIN, null);
+            Wire client = sendLongRequest(target);
+            Wire wire = raw.nextConnection();
+            String id = wire.readHead().header("X-Dewplank-Request-Attempt-Id");
+            ScriptedServer other = net.servers.plain();
+            answerById(wire, id, "503 Service Unavailable", NOT_EXECUTED, "");
+            Call call = net.nextCall();
+            assertSame(other, call.server());
+            assertEquals(id, attemptId(call));
+            assertEquals(LONG_BODY_BYTES, call.message().body().length());
+            assertServed(call, client, "own");
+            net.assertQuiet();
         }
     }
 
@@ -422,9 +420,7 @@
         Wire client = net.sendRequest("/quick/");
         Call first = net.nextCall();
         Call second = net.nextCall();
-        assertEquals(
-                first.message().header("X-Dewplank-Request-Attempt-Id"),
-                second.message().header("X-Dewplank-Request-Attempt-Id"));
+        assertEquals(attemptId(first), attemptId(second));
         first.wire().awaitEnd();
         assertServed(second, client, "second");
         assertServes(client, "/once/");
@@ -476,8 +472,7 @@
     // ---- disconnects and pipelining -------------------------------------------------------------------
 
     /** A client disconnects within its answer: the rest of it arrives on a connection that is not reused. */
-    @ParameterizedTest
-    @ValueSource(strings = {"/safe/", "/once/"})
+    @SafeAndUnsafeTest
     void theRestOfADisconnectedClientsAnswerIsDiscarded(String target) throws Exception {
         net.servers.plain();
         Wire leaves = net.sendRequest(target);
@@ -514,9 +509,7 @@
         assertEquals(404, client.read().status());
         Call four = net.nextCall();
         assertEquals("/once/4", four.message().target());
-        assertNotEquals(
-                again.message().header("X-Dewplank-Request-Attempt-Id"),
-                four.message().header("X-Dewplank-Request-Attempt-Id"));
+        assertNotEquals(attemptId(again), attemptId(four));
         assertServed(four, client, "4");
         net.assertQuiet();
     }
--- /dev/null
+++ b/dataplane/src/test/java/dewplank/dataplane/CallFields.java
@@ -0,0 +1,33 @@
+package dewplank.dataplane;
+
+import dewplank.exchange.ScriptedServer.Call;
+
+/** Header fields of the calls that servers get, by the protocol's names; null where a call has none, if not said. */
+final class CallFields {
+    private CallFields() {}
+
+    static String attemptId(Call call) {
+        return call.message().header("X-Dewplank-Request-Attempt-Id");
+    }
+
+    /** The field must be there. */
+    static long remainingTimeMs(Call call) {
+        return Long.parseLong(call.message().header("X-Dewplank-Remaining-Time-Ms"));
+    }
+
+    static String targetInstance(Call call) {
+        return call.message().header("X-Dewplank-Target-Instance");
+    }
+
+    static String stage(Call call) {
+        return call.message().header("X-Dewplank-Processing-Stage");
+    }
+
+    static String kvFrom(Call call) {
+        return call.message().header("Kv-From");
+    }
+
+    static String lastEventId(Call call) {
+        return call.message().header("Last-Event-Id");
+    }
+}
--- a/dataplane/src/test/java/dewplank/dataplane/ForwarderFixture.java
+++ b/dataplane/src/test/java/dewplank/dataplane/ForwarderFixture.java
@@ -67,7 +67,6 @@
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                 MAX_CONNECTIONS,
                 forwarder::newConnection);
-        loop.execute(listener::accept);
     }
 
     /** A forwarder with ample retries and all mechanisms, and without a configuration, unless said otherwise. */
@@ -109,6 +108,7 @@
 
         ForwarderFixture start() throws Exception {
             ForwarderFixture fixture = new ForwarderFixture(retryLimits, policy);
+            OnLoop.run(fixture.loop, fixture.listener::accept);
             if (routes.length > 0) {
                 fixture.routes(maxBodyBytes, routes);
             }
--- a/dataplane/src/test/java/dewplank/dataplane/GenerationTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/GenerationTest.java
@@ -1,5 +1,11 @@
 package dewplank.dataplane;
 
+import static dewplank.dataplane.CallFields.attemptId;
+import static dewplank.dataplane.CallFields.kvFrom;
+import static dewplank.dataplane.CallFields.lastEventId;
+import static dewplank.dataplane.CallFields.remainingTimeMs;
+import static dewplank.dataplane.CallFields.stage;
+import static dewplank.dataplane.CallFields.targetInstance;
 import static dewplank.dataplane.ClientRequests.MEDIUM_PROMPT;
 import static dewplank.dataplane.ClientRequests.PROMPT;
 import static dewplank.dataplane.ClientRequests.SHORT_PROMPT;
@@ -28,6 +34,8 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 
 /** Prefill at one server and decode at another: what each is sent, and when KV handles are freed. */
 class GenerationTest {
@@ -53,28 +61,41 @@
                         streamingRoute("gapped", 3).withGapTarget(150));
     }
 
+    /** Begins anew, with so many retries. */
+    private void limitRetries(RetryBudgets.Limits limits) throws Exception {
+        net.close();
+        net = fixture().retryLimits(limits).start();
+    }
+
+    /** A request whose prompt the next server has prefilled: that server has answered with the handle. */
+    private Wire sendPrefilled(String target, String handle) throws Exception {
+        Wire client = net.sendRequest(target, PROMPT);
+        handOver(net.nextCall(), handle);
+        return client;
+    }
+
     @AfterEach
     void end() throws IOException {
         net.close();
     }
 
     private static void assertIsPrefill(Call call) {
-        assertEquals("prefill", call.message().header("X-Dewplank-Processing-Stage"));
-        assertNull(call.message().header("Kv-From"));
+        assertEquals("prefill", stage(call));
+        assertNull(kvFrom(call));
     }
 
     private static void assertIsDecode(Call call, String kvFrom) {
-        assertNull(call.message().header("X-Dewplank-Processing-Stage"));
-        assertEquals(kvFrom, call.message().header("Kv-From"));
+        assertNull(stage(call));
+        assertEquals(kvFrom, kvFrom(call));
         assertEquals(kvFrom == null ? 0 : 1, call.message().count("Kv-From"));
     }
 
     private void assertIsFreed(Call call, ScriptedServer at, String handle) {
         assertEquals("DELETE", call.message().method());
         assertEquals("/kv-handle/" + handle, call.message().target());
-        assertEquals(net.servers.id(at), call.message().header("X-Dewplank-Target-Instance"));
+        assertEquals(net.servers.id(at), targetInstance(call));
         assertSame(at, call.server());
-        assertEquals(net.servers.id(at), call.message().header("X-Dewplank-Target-Instance"));
+        assertEquals(net.servers.id(at), targetInstance(call));
     }
 
     /** The decode server streams one event and the end, and the client gets both. */
@@ -94,8 +115,8 @@
         assertIsPrefill(prefillCall);
         assertEquals("POST /gen/x?y HTTP/1.1", prefillCall.message().startLine());
         assertEquals("hi", prefillCall.message().body());
-        assertEquals(net.servers.id(prefill), prefillCall.message().header("X-Dewplank-Target-Instance"));
-        long left = Long.parseLong(prefillCall.message().header("X-Dewplank-Remaining-Time-Ms"));
+        assertEquals(net.servers.id(prefill), targetInstance(prefillCall));
+        long left = remainingTimeMs(prefillCall);
         assertTrue(left > 0 && left <= 8_000);
         handOver(prefillCall, "3fa0");
         Call decodeCall = net.nextCall();
@@ -103,36 +124,42 @@
         assertIsDecode(decodeCall, prefill.addressText() + "/3fa0");
         assertEquals("POST /gen/x?y HTTP/1.1", decodeCall.message().startLine());
         assertEquals("hi", decodeCall.message().body());
-        assertEquals(net.servers.id(decode), decodeCall.message().header("X-Dewplank-Target-Instance"));
-        assertTrue(Long.parseLong(decodeCall.message().header("X-Dewplank-Remaining-Time-Ms")) <= left);
-        assertEquals(
-                prefillCall.message().header("X-Dewplank-Request-Attempt-Id"),
-                decodeCall.message().header("X-Dewplank-Request-Attempt-Id"));
+        assertEquals(net.servers.id(decode), targetInstance(decodeCall));
+        assertTrue(remainingTimeMs(decodeCall) <= left);
+        assertEquals(attemptId(prefillCall), attemptId(decodeCall));
         assertEquals("aa:30000,bb:20000,c0:30000", decodeCall.message().header("X-Dewplank-Prompt-Prefix"));
-        assertNull(decodeCall.message().header("Last-Event-Id"));
+        assertNull(lastEventId(decodeCall));
         assertStreamsToEnd(decodeCall, client);
         net.assertQuiet();
     }
 
-    /** The stage and the KV handle of a call are set by the data plane alone. */
-    @Test
-    void fieldsSetByTheDataPlaneAreNotTakenFromTheClient() throws Exception {
-        net.servers.prefill();
+    /** They are set by the data plane alone, whatever a client sent. */
+    @ParameterizedTest
+    @ValueSource(
+            strings = {
+                "X-Dewplank-Processing-Stage: decode\r\nkv-from: 10.0.0.1:80/other\r\n"
+                        + "X-Dewplank-Target-Instance: i-other\r\n",
+                "X-Dewplank-Processing-Stage: prefill\r\nkv-from: 127.0.0.1:9/another\r\n"
+            })
+    void aClientsStageKvHandleAndInstanceAreNotForwarded(String fields) throws Exception {
+        ScriptedServer prefill = net.servers.prefill();
         net.servers.decode();
-        String own = "X-Dewplank-Processing-Stage: decode\r\nkv-from: 10.0.0.1:80/other\r\n"
-                + "X-Dewplank-Target-Instance: i-other\r\n";
-        Wire client = net.sendRequest("/gen/", PROMPT + own);
+        Wire client = net.sendRequest("/gen/", PROMPT + fields);
         Call prefillCall = net.nextCall();
         assertIsPrefill(prefillCall);
         assertEquals(1, prefillCall.message().count("X-Dewplank-Processing-Stage"));
         assertEquals(1, prefillCall.message().count("X-Dewplank-Target-Instance"));
         assertEquals(0, prefillCall.message().count("Kv-From"));
-        handOver(prefillCall, "h1");
-        Call decode = net.nextCall();
-        assertIsDecode(decode, prefillCall.server().addressText() + "/h1");
-        assertEquals(0, decode.message().count("X-Dewplank-Processing-Stage"));
-        assertEquals(1, decode.message().count("Kv-From"));
-        assertStreamsToEnd(decode, client);
+        handOver(prefillCall, "own");
+        Call decodeCall = net.nextCall();
+        assertIsDecode(decodeCall, prefill.addressText() + "/own");
+        assertEquals(0, decodeCall.message().count("X-Dewplank-Processing-Stage"));
+        assertEquals(1, decodeCall.message().count("Kv-From"));
+        assertStreamsToEnd(decodeCall, client);
+        Wire direct = net.sendRequest("/gen/", fields);
+        Call alone = net.nextCall();
+        assertIsDecode(alone, null);
+        assertStreamsToEnd(alone, direct);
         net.assertQuiet();
     }
 
@@ -189,27 +216,6 @@
         assertStreamsToEnd(decodeCall, client);
     }
 
-    /** The stage and the KV handle are set by the data plane, whatever a client sent. */
-    @Test
-    void aClientsStageAndKvHandleAreNotForwarded() throws Exception {
-        ScriptedServer prefill = net.servers.prefill();
-        net.servers.decode();
-        String fields = "X-Dewplank-Processing-Stage: prefill\r\nkv-from: 127.0.0.1:9/another\r\n";
-        Wire client = net.sendRequest("/gen/", PROMPT + fields);
-        Call prefillCall = net.nextCall();
-        assertIsPrefill(prefillCall);
-        assertEquals(1, prefillCall.message().count("X-Dewplank-Processing-Stage"));
-        handOver(prefillCall, "own");
-        Call decodeCall = net.nextCall();
-        assertIsDecode(decodeCall, prefill.addressText() + "/own");
-        assertStreamsToEnd(decodeCall, client);
-        Wire direct = net.sendRequest("/gen/", fields);
-        Call alone = net.nextCall();
-        assertIsDecode(alone, null);
-        assertStreamsToEnd(alone, direct);
-        net.assertQuiet();
-    }
-
     // ---- no prefill -----------------------------------------------------------------------------------
 
     @Test
@@ -259,7 +265,22 @@
         net.assertQuiet();
     }
 
-    private void assertCarriesNoKvHandle(String body) throws Exception {
+    @ParameterizedTest
+    @ValueSource(
+            strings = {
+                "",
+                "{}",
+                "[]",
+                "{\"context_handle\":\"\",\"token_count\":1}",
+                "{\"context_handle\":null,\"token_count\":1}",
+                "null",
+                "{\"contex",
+                "{\"context_handle\":\"a/b\",\"token_count\":1}",
+                "{\"context_handle\":\"a\\r\\nX: y\",\"token_count\":1}"
+            })
+    void anAnswerWithoutAKvHandleLeadsToDecodeWithoutOne(String body) throws Exception {
+        net.servers.decode();
+        net.servers.prefill();
         Wire client = net.sendRequest("/gen/", PROMPT);
         Call prefillCall = net.nextCall();
         assertIsPrefill(prefillCall);
@@ -267,34 +288,9 @@
         Call decodeCall = net.nextCall();
         assertIsDecode(decodeCall, null);
         assertStreamsToEnd(decodeCall, client);
-    }
-
-    @Test
-    void answersWithoutAKvHandleLeadToDecodeWithoutOne() throws Exception {
-        net.servers.decode();
-        net.servers.prefill();
-        for (String body : new String[] {
-            "",
-            "{}",
-            "[]",
-            "{\"context_handle\":\"\",\"token_count\":1}",
-            "null",
-            "{\"contex",
-            "{\"context_handle\":\"a/b\",\"token_count\":1}",
-            "{\"context_handle\":\"a\\r\\nX: y\",\"token_count\":1}"
-        }) {
-            assertCarriesNoKvHandle(body);
-        }
         net.assertQuiet();
     }
 
-    @Test
-    void aNullKvHandleCountsAsAbsent() throws Exception {
-        net.servers.decode();
-        net.servers.prefill();
-        assertCarriesNoKvHandle("{\"context_handle\":null,\"token_count\":1}");
-    }
-
     @Test
     void aRejectedPrefillGoesToAnotherServer() throws Exception {
         net.servers.prefillServers(2);
@@ -304,7 +300,7 @@
         assertIsPrefill(full);
         reject(full);
         Call next = net.nextCall();
-        if (next.message().header("X-Dewplank-Processing-Stage") != null) { // else the decode server prefills
+        if (stage(next) != null) { // else the decode server prefills
             assertNotSame(full.server(), next.server());
             handOver(next, "h");
             ScriptedServer other = next.server();
@@ -391,8 +387,7 @@
     @Test
     void aKvHandleIsFreedWithoutADecodeServer() throws Exception {
         ScriptedServer prefill = net.servers.prefill();
-        Wire client = net.sendRequest("/gen/", PROMPT);
-        handOver(net.nextCall(), "h1");
+        Wire client = sendPrefilled("/gen/", "h1");
         Call freed = net.nextCall();
         assertIsFreed(freed, prefill, "h1");
         freed.wire().answer("200 OK", "", "");
@@ -406,8 +401,7 @@
     void aKvHandleIsFreedWhereTheDecodeServerIsUnreachable() throws Exception {
         ScriptedServer prefill = net.servers.prefill();
         net.servers.refusingDecode();
-        Wire client = net.sendRequest("/gen/", PROMPT);
-        handOver(net.nextCall(), "h1");
+        Wire client = sendPrefilled("/gen/", "h1");
         assertIsFreed(net.nextCall(), prefill, "h1");
         assertEquals(503, client.read().status());
         net.assertQuiet();
@@ -419,8 +413,7 @@
         net.servers.refusingDecode();
         ScriptedServer there = net.servers.decode();
         net.servers.refusingDecode();
-        Wire client = net.sendRequest("/one/", PROMPT);
-        handOver(net.nextCall(), "h1");
+        Wire client = sendPrefilled("/one/", "h1");
         Call decodeCall = net.nextCall();
         assertSame(there, decodeCall.server());
         assertIsDecode(decodeCall, prefill.addressText() + "/h1");
@@ -433,14 +426,13 @@
     void aKvHandleIsSentToOneDecodeServerOnly() throws Exception {
         ScriptedServer prefill = net.servers.prefill();
         net.servers.decodeServers(2);
-        Wire client = net.sendRequest("/gen/", PROMPT);
-        handOver(net.nextCall(), "h1");
+        Wire client = sendPrefilled("/gen/", "h1");
         Call first = net.nextCall();
         assertIsDecode(first, prefill.addressText() + "/h1");
         reject(first);
         Call second = nextDecodeCall();
         assertNotSame(first.server(), second.server());
-        assertNotEquals(prefill.addressText() + "/h1", second.message().header("Kv-From"));
+        assertNotEquals(prefill.addressText() + "/h1", kvFrom(second));
         assertStreamsToEnd(second, client);
     }
 
@@ -448,20 +440,18 @@
     void aResumedStreamDoesNotSendItsKvHandleAgain() throws Exception {
         ScriptedServer prefill = net.servers.prefill();
         net.servers.decodeServers(2);
-        Wire client = net.sendRequest("/res/", PROMPT);
-        handOver(net.nextCall(), "h1");
+        Wire client = sendPrefilled("/res/", "h1");
         Call first = net.nextCall();
         first.wire().reset();
         Call second = nextDecodeCall();
-        assertNotEquals(prefill.addressText() + "/h1", second.message().header("Kv-From"));
+        assertNotEquals(prefill.addressText() + "/h1", kvFrom(second));
         assertStreamsToEnd(second, client);
     }
 
     /** Skips requests that free KV handles and further prefills. */
     private Call nextDecodeCall() throws Exception {
         Call call = net.nextCall();
-        while (call.message().method().equals("DELETE")
-                || "prefill".equals(call.message().header("X-Dewplank-Processing-Stage"))) {
+        while (call.message().method().equals("DELETE") || "prefill".equals(stage(call))) {
             if (call.message().method().equals("DELETE")) {
                 call.wire().answer("200 OK", "", "");
             } else {
@@ -477,8 +467,7 @@
     void aKvHandleIsFreedWhereItsDecodeServerRejectsTheRequest() throws Exception {
         ScriptedServer prefill = net.servers.prefill();
         net.servers.decode();
-        Wire client = net.sendRequest("/one/", PROMPT);
-        handOver(net.nextCall(), "h1");
+        Wire client = sendPrefilled("/one/", "h1");
         reject(net.nextCall());
         assertEquals(503, client.read().status());
         assertIsFreed(net.nextCall(), prefill, "h1");
@@ -523,8 +512,7 @@
     void aClientThatDisconnectsBeforeItsStreamCancelsDecode() throws Exception {
         net.servers.prefill();
         net.servers.decode();
-        Wire client = net.sendRequest("/gen/", PROMPT);
-        handOver(net.nextCall(), "h1");
+        Wire client = sendPrefilled("/gen/", "h1");
         Call decodeCall = net.nextCall();
         client.close();
         decodeCall.wire().awaitEnd();
@@ -536,8 +524,7 @@
     void anUnsentKvHandleIsFreedWhenTheClientDisconnects() throws Exception {
         ScriptedServer prefill = net.servers.prefill();
         ScriptedServer late = net.servers.add(ScriptedServer.late(net.servers.calls), MODEL, "decode");
-        Wire client = net.sendRequest("/gen/", PROMPT);
-        handOver(net.nextCall(), "h1");
+        Wire client = sendPrefilled("/gen/", "h1");
         OnLoop.await(net.loop, () -> net.metadata.servers(MODEL).stream()
                 .anyMatch(server -> server.instanceId().equals(net.servers.id(late)) && server.inFlight() == 1));
         client.close();
@@ -579,42 +566,36 @@
 
     @Test
     void withoutARetryBudgetARejectedDecodeIsRejected() throws Exception {
-        try (ForwarderFixture withoutRetries =
-                fixture().retryLimits(ForwarderFixture.NO_RETRIES).start()) {
-            withoutRetries.servers.decodeServers(2);
-            Wire client = withoutRetries.sendRequest("/gen/", PROMPT);
-            reject(withoutRetries.nextCall());
-            assertEquals(503, client.read().status());
-            withoutRetries.assertQuiet();
-        }
+        limitRetries(ForwarderFixture.NO_RETRIES);
+        net.servers.decodeServers(2);
+        Wire client = net.sendRequest("/gen/", PROMPT);
+        reject(net.nextCall());
+        assertEquals(503, client.read().status());
+        net.assertQuiet();
     }
 
     /** A rejected prefill counts as an attempt, and with the decode there is one beyond the first. */
     @Test
     void aDecodeAfterARejectedPrefillIsChargedOnce() throws Exception {
-        try (ForwarderFixture withoutRetries = fixture().retryLimits(ONE_RETRY).start()) {
-            withoutRetries.servers.prefill();
-            withoutRetries.servers.decode();
-            Wire client = withoutRetries.sendRequest("/gen/", PROMPT);
-            reject(withoutRetries.nextCall());
-            assertStreamsToEnd(withoutRetries.nextCall(), client);
-            withoutRetries.assertQuiet();
-        }
+        limitRetries(ONE_RETRY);
+        net.servers.prefill();
+        net.servers.decode();
+        Wire client = net.sendRequest("/gen/", PROMPT);
+        reject(net.nextCall());
+        assertStreamsToEnd(net.nextCall(), client);
+        net.assertQuiet();
     }
 
     @Test
     void withoutARetryBudgetThePromptIsStillPrefilled() throws Exception {
-        try (ForwarderFixture withoutRetries =
-                fixture().retryLimits(ForwarderFixture.NO_RETRIES).start()) {
-            ScriptedServer prefill = withoutRetries.servers.prefill();
-            withoutRetries.servers.decode();
-            Wire client = withoutRetries.sendRequest("/gen/", PROMPT);
-            handOver(withoutRetries.nextCall(), "h1");
-            Call decodeCall = withoutRetries.nextCall();
-            assertIsDecode(decodeCall, prefill.addressText() + "/h1");
-            assertStreamsToEnd(decodeCall, client);
-            withoutRetries.assertQuiet();
-        }
+        limitRetries(ForwarderFixture.NO_RETRIES);
+        ScriptedServer prefill = net.servers.prefill();
+        net.servers.decode();
+        Wire client = sendPrefilled("/gen/", "h1");
+        Call decodeCall = net.nextCall();
+        assertIsDecode(decodeCall, prefill.addressText() + "/h1");
+        assertStreamsToEnd(decodeCall, client);
+        net.assertQuiet();
     }
 
     @Test
@@ -638,27 +619,26 @@
         net.assertQuiet();
     }
 
-    @Test
-    void finalFailuresAreRelayed() throws Exception {
+    @ParameterizedTest
+    @ValueSource(strings = {"500 Internal Server Error", "504 Gateway Timeout", "400 Bad Request"})
+    void aFinalFailureIsRelayed(String status) throws Exception {
         net.servers.decode();
-        for (String status : new String[] {"500 Internal Server Error", "504 Gateway Timeout", "400 Bad Request"}) {
-            Wire client = net.sendRequest("/gen/", PROMPT);
-            answer(net.nextCall(), status, SEAL, "its own");
-            Wire.Message answer = client.read();
-            assertEquals(status.substring(0, 3), Integer.toString(answer.status()));
-            assertEquals("its own", answer.body());
-        }
+        Wire client = net.sendRequest("/gen/", PROMPT);
+        answer(net.nextCall(), status, SEAL, "its own");
+        Wire.Message answer = client.read();
+        assertEquals(status.substring(0, 3), Integer.toString(answer.status()));
+        assertEquals("its own", answer.body());
         net.assertQuiet();
     }
 
-    @Test
-    void a503Or429WithoutTheNotExecutedMarkIsNotRelayed() throws Exception {
+    @ParameterizedTest
+    @ValueSource(strings = {"503 Service Unavailable", "429 Too Many Requests"})
+    void a503Or429WithoutTheNotExecutedMarkIsNotRelayed(String status) throws Exception {
         net.servers.decode();
-        for (String status : new String[] {"503 Service Unavailable", "429 Too Many Requests"}) {
-            Wire client = net.sendRequest("/gen/", PROMPT);
-            answer(net.nextCall(), status, "", "");
-            assertEquals(502, client.read().status());
-        }
+        Wire client = net.sendRequest("/gen/", PROMPT);
+        answer(net.nextCall(), status, "", "");
+        assertEquals(502, client.read().status());
+        net.assertQuiet();
     }
 
     @Test
--- a/dataplane/src/test/java/dewplank/dataplane/PlainRouteTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/PlainRouteTest.java
@@ -1,5 +1,10 @@
 package dewplank.dataplane;
 
+import static dewplank.dataplane.CallFields.attemptId;
+import static dewplank.dataplane.CallFields.kvFrom;
+import static dewplank.dataplane.CallFields.remainingTimeMs;
+import static dewplank.dataplane.CallFields.stage;
+import static dewplank.dataplane.CallFields.targetInstance;
 import static dewplank.dataplane.ClientRequests.HOST;
 import static dewplank.dataplane.ClientRequests.headOfTwoByteBody;
 import static dewplank.dataplane.ClientRequests.request;
@@ -22,6 +27,7 @@
 import static org.junit.jupiter.api.Assertions.assertSame;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import dewplank.exchange.InboundConnection;
 import dewplank.exchange.OnLoop;
 import dewplank.exchange.ScriptedServer;
 import dewplank.exchange.ScriptedServer.Call;
@@ -35,6 +41,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Requests of plain routes: what is forwarded, what is retried, and what the client is answered. */
@@ -82,13 +89,13 @@
         assertEquals("PUT /safe/a%20b?c=d&e HTTP/1.1", call.message().startLine());
         assertEquals("hi yo", call.message().body());
         assertEquals("H.example:80", call.message().header("Host"));
-        assertEquals("q1", call.message().header("X-Dewplank-Request-Attempt-Id"));
+        assertEquals("q1", attemptId(call));
         assertEquals("1", call.message().header("X-Own"));
         assertNull(call.message().header("X-Hop"));
-        assertEquals(net.servers.id(server), call.message().header("X-Dewplank-Target-Instance"));
+        assertEquals(net.servers.id(server), targetInstance(call));
         assertEquals(1, call.message().count("X-Dewplank-Target-Instance"));
         assertEquals(1, call.message().count("X-Dewplank-Remaining-Time-Ms"));
-        long left = Long.parseLong(call.message().header("X-Dewplank-Remaining-Time-Ms"));
+        long left = remainingTimeMs(call);
         assertTrue(left > 0 && left <= 5_000, "left " + left);
         answer(call, "201 Created", SEAL + "X-Server: 3\r\nKeep-Alive: timeout=5\r\n", "made");
         Wire.Message answer = client.read();
@@ -106,45 +113,33 @@
         net.servers.plain();
         double sentAt = net.now();
         net.client().send(request("/safe/", "", LONG_REMAINING_TIME_MS, "hi"));
-        long left = Long.parseLong(net.nextCall().message().header("X-Dewplank-Remaining-Time-Ms"));
+        long left = remainingTimeMs(net.nextCall());
         double elapsedMs = net.now() - sentAt;
         assertTrue(left <= TestRoute.DEFAULT_TIMEOUT_MS, "left " + left);
         assertTrue(left > TestRoute.DEFAULT_TIMEOUT_MS - ANSWER_MARGIN_MS - 1 - elapsedMs, left + " left " + elapsedMs);
         Wire noTime = net.client();
         noTime.send("GET /safe/ HTTP/1.1\r\nHost: " + HOST + "\r\nX-Dewplank-Remaining-Time-Ms: soon\r\n\r\n");
-        left = Long.parseLong(net.nextCall().message().header("X-Dewplank-Remaining-Time-Ms"));
+        left = remainingTimeMs(net.nextCall());
         assertTrue(left > 150 && left <= TestRoute.DEFAULT_TIMEOUT_MS, "left " + left);
     }
 
-    @Test
-    void finalFailuresAreRelayed() throws Exception {
+    @ParameterizedTest
+    @ValueSource(
+            strings = {
+                "400 Bad Request",
+                "404 Not Found",
+                "409 Conflict",
+                "500 Internal Server Error",
+                "504 Gateway Timeout"
+            })
+    void aFinalFailureIsRelayed(String status) throws Exception {
         net.servers.plain();
-        for (String status : new String[] {
-            "400 Bad Request", "404 Not Found", "409 Conflict", "500 Internal Server Error", "504 Gateway Timeout"
-        }) {
-            Wire client = net.sendRequest("/once/");
-            answer(net.nextCall(), status, SEAL + "X-Why: x\r\n", "its own");
-            Wire.Message answer = client.read();
-            assertEquals(status.substring(0, 3), Integer.toString(answer.status()));
-            assertEquals("its own", answer.body());
-            assertEquals("x", answer.header("X-Why"));
-        }
-        net.assertQuiet();
-    }
-
-    @Test
-    void aSafeRequestIsRetriedAtAnotherServerAfterAServerFailure() throws Exception {
-        net.servers.plainServers(2);
-        Wire client = net.sendRequest("/safe/");
-        Call first = net.nextCall();
-        answer(first, "500 Internal Server Error", SEAL, "broken");
-        Call second = net.nextCall();
-        assertNotSame(first.server(), second.server());
-        assertEquals(
-                first.message().header("X-Dewplank-Request-Attempt-Id"),
-                second.message().header("X-Dewplank-Request-Attempt-Id"));
-        assertEquals(net.servers.id(second.server()), second.message().header("X-Dewplank-Target-Instance"));
-        assertServed(second, client, "served");
+        Wire client = net.sendRequest("/once/");
+        answer(net.nextCall(), status, SEAL + "X-Why: x\r\n", "its own");
+        Wire.Message answer = client.read();
+        assertEquals(status.substring(0, 3), Integer.toString(answer.status()));
+        assertEquals("its own", answer.body());
+        assertEquals("x", answer.header("X-Why"));
         net.assertQuiet();
     }
 
@@ -160,12 +155,17 @@
         net.assertQuiet();
     }
 
+    @ParameterizedTest
+    @ValueSource(strings = {"/", "/none/", "/safe", "/safer/x"})
+    void withoutARouteForItsPathARequestIsAnswered404(String target) throws Exception {
+        net.servers.plain();
+        assertEquals(404, net.sendRequest(target).read().status(), target);
+        net.assertQuiet();
+    }
+
     @Test
-    void withoutARouteTheAnswerIs404() throws Exception {
+    void withoutARouteForItsHostARequestIsAnswered404() throws Exception {
         net.servers.plain();
-        for (String target : new String[] {"/", "/none/", "/safe", "/safer/x"}) {
-            assertEquals(404, net.sendRequest(target).read().status(), target);
-        }
         Wire client = net.client();
         client.send("GET /safe/ HTTP/1.1\r\nHost: other.example\r\n\r\nGET /safe/ HTTP/1.1\r\n\r\n");
         assertEquals(404, client.read().status());
@@ -191,26 +191,15 @@
 
     // ---- answers that are failures -------------------------------------------------------------------
 
-    @Test
-    void aSuccessWithoutASealIsAFailure() throws Exception {
-        net.servers.plainServers(2);
-        Wire client = net.sendRequest("/safe/");
-        answer(net.nextCall(), "200 OK", "", "forged");
-        assertServed(net.nextCall(), client, "own");
-        Wire unsafe = net.sendRequest("/once/");
-        answer(net.nextCall(), "200 OK", "", "forged");
-        assertEquals(502, unsafe.read().status());
-        net.assertQuiet();
-    }
-
-    @Test
-    void aSuccessWithAContentEncodingIsAFailure() throws Exception {
+    @ParameterizedTest
+    @ValueSource(strings = {"", SEAL + "Content-Encoding: gzip\r\n", SEAL + "Content-Encoding: identity\r\n"})
+    void aSuccessWithoutASealOrWithAContentEncodingIsAFailure(String fields) throws Exception {
         net.servers.plainServers(2);
         Wire client = net.sendRequest("/safe/");
-        answer(net.nextCall(), "200 OK", SEAL + "Content-Encoding: gzip\r\n", "packed");
+        answer(net.nextCall(), "200 OK", fields, "not the server's");
         assertServed(net.nextCall(), client, "own");
         Wire unsafe = net.sendRequest("/once/");
-        answer(net.nextCall(), "200 OK", SEAL + "Content-Encoding: identity\r\n", "packed");
+        answer(net.nextCall(), "200 OK", fields, "not the server's");
         assertEquals(502, unsafe.read().status());
         net.assertQuiet();
     }
@@ -268,14 +257,43 @@
 
     // ---- retries -------------------------------------------------------------------------------------
 
-    @Test
-    void aSafeRequestIsRetriedAfterAReset() throws Exception {
+    /** What a server does with an attempt that is retried. */
+    private enum AttemptFault {
+        RESET,
+        SERVER_FAILURE,
+        REJECTED,
+        MISDIRECTED;
+
+        void inject(Call attempt) throws IOException {
+            switch (this) {
+                case RESET -> attempt.wire().reset();
+                case SERVER_FAILURE -> answer(attempt, "500 Internal Server Error", SEAL, "broken");
+                case REJECTED -> reject(attempt);
+                case MISDIRECTED -> answer(attempt, "421 Misdirected Request", "", "");
+                default -> throw new AssertionError(this);
+            }
+        }
+    }
+
+    /** The retry has the attempt id of the request, and the instance id of its own server. */
+    @ParameterizedTest
+    @CsvSource({
+        "/safe/, RESET",
+        "/safe/, SERVER_FAILURE",
+        "/safe/, REJECTED",
+        "/once/, REJECTED",
+        "/safe/, MISDIRECTED",
+        "/once/, MISDIRECTED"
+    })
+    void aRequestIsRetriedAtAnotherServer(String target, AttemptFault fault) throws Exception {
         net.servers.plainServers(2);
-        Wire client = net.sendRequest("/safe/");
+        Wire client = net.sendRequest(target);
         Call first = net.nextCall();
-        first.wire().reset();
+        fault.inject(first);
         Call second = net.nextCall();
         assertNotSame(first.server(), second.server());
+        assertEquals(attemptId(first), attemptId(second));
+        assertEquals(net.servers.id(second.server()), targetInstance(second));
         assertServed(second, client, "served");
         net.assertQuiet();
     }
@@ -293,53 +311,32 @@
         net.assertQuiet();
     }
 
-    @ParameterizedTest
-    @ValueSource(strings = {"/safe/", "/once/"})
-    void aRejectedRequestIsRetriedAtAnotherServer(String target) throws Exception {
-        net.servers.plainServers(2);
-        Wire client = net.sendRequest(target);
-        Call first = net.nextCall();
-        reject(first);
-        Call second = net.nextCall();
-        assertNotSame(first.server(), second.server());
-        assertServed(second, client, "served");
-        net.assertQuiet();
-    }
-
     @Test
-    void aMisdirectedRequestIsRetriedAtAnotherServer() throws Exception {
+    void anUnsafeRequestIsNotRetriedAfterAReset() throws Exception {
         net.servers.plainServers(2);
         Wire client = net.sendRequest("/once/");
-        Call first = net.nextCall();
-        answer(first, "421 Misdirected Request", "", "");
-        Call second = net.nextCall();
-        assertNotSame(first.server(), second.server());
-        assertServed(second, client, "served");
+        net.nextCall().wire().reset();
+        assertEquals(502, client.read().status());
         net.assertQuiet();
     }
 
     @Test
-    void anUnsafeRequestIsNotRetriedAfterAReset() throws Exception {
+    void anUnsafeRequestIsNotRetriedAfterAMalformedAnswer() throws Exception {
         net.servers.plainServers(2);
         Wire client = net.sendRequest("/once/");
-        net.nextCall().wire().reset();
+        net.nextCall().wire().send("what?\r\n");
         assertEquals(502, client.read().status());
         net.assertQuiet();
     }
 
-    @Test
-    void anUnsafeRequestIsNotRetriedAfterAMalformedAnswerOrAnUnmarkedFailure() throws Exception {
+    @ParameterizedTest
+    @ValueSource(
+            strings = {"503 Service Unavailable", "429 Too Many Requests", "502 Bad Gateway", "408 Request Timeout"})
+    void anUnsafeRequestIsNotRetriedAfterAFailureWithoutTheNotExecutedMark(String status) throws Exception {
         net.servers.plainServers(2);
-        Wire noise = net.sendRequest("/once/");
-        net.nextCall().wire().send("what?\r\n");
-        assertEquals(502, noise.read().status());
-        for (String status : new String[] {
-            "503 Service Unavailable", "429 Too Many Requests", "502 Bad Gateway", "408 Request Timeout"
-        }) {
-            Wire client = net.sendRequest("/once/");
-            answer(net.nextCall(), status, "", "");
-            assertEquals(502, client.read().status(), status);
-        }
+        Wire client = net.sendRequest("/once/");
+        answer(net.nextCall(), status, "", "");
+        assertEquals(502, client.read().status(), status);
         net.assertQuiet();
     }
 
@@ -371,7 +368,7 @@
     void anUnreachableServerCostsNoAttempt() throws Exception {
         net.servers.refusingPlain();
         ScriptedServer there = net.servers.plain();
-        for (int i = 0; i < 6; i++) {
+        for (int request = 0; request < 6; request++) {
             Wire client = net.sendRequest("/once/");
             Call call = net.nextCall();
             assertSame(there, call.server());
@@ -501,7 +498,7 @@
                 .start()) {
             withFewRetries.servers.plainServers(3);
             int sends = 0;
-            for (int i = 0; i < 6; i++) {
+            for (int request = 0; request < 6; request++) {
                 Wire client = withFewRetries.sendRequest("/safe/");
                 answer(withFewRetries.nextCall(), "500 Internal Server Error", SEAL, "");
                 sends++;
@@ -544,7 +541,7 @@
     // ---- deadlines ------------------------------------------------------------------------------------
 
     private void awaitHalfRead() throws Exception {
-        OnLoop.await(net.loop, () -> net.forwarder.connections().stream().anyMatch(c -> c.isHeadRead()));
+        OnLoop.await(net.loop, () -> net.forwarder.connections().stream().anyMatch(InboundConnection::isHeadRead));
     }
 
     /** The client counts from the first byte it sends, and servers get what remains of that. */
@@ -557,7 +554,7 @@
         net.pass(300);
         client.send("hi");
         Call call = net.nextCall();
-        int remainingMs = Integer.parseInt(call.message().header("X-Dewplank-Remaining-Time-Ms"));
+        long remainingMs = remainingTimeMs(call);
         assertTrue(remainingMs > 0 && remainingMs <= 3_700, "handed " + remainingMs);
         serve(call, "");
         assertEquals(200, client.read().status());
@@ -582,7 +579,7 @@
         Wire client = net.client();
         client.send(request("/once/", "", odd, "hi"));
         Call call = net.nextCall();
-        int remainingMs = Integer.parseInt(call.message().header("X-Dewplank-Remaining-Time-Ms"));
+        long remainingMs = remainingTimeMs(call);
         assertTrue(remainingMs > 0 && remainingMs < 8_000, "handed " + remainingMs);
         serve(call, "");
         assertEquals(200, client.read().status());
@@ -597,8 +594,8 @@
         net.pass(200);
         answer(first, "500 Internal Server Error", SEAL, "");
         Call second = net.nextCall();
-        int before = Integer.parseInt(first.message().header("X-Dewplank-Remaining-Time-Ms"));
-        int after = Integer.parseInt(second.message().header("X-Dewplank-Remaining-Time-Ms"));
+        long before = remainingTimeMs(first);
+        long after = remainingTimeMs(second);
         assertTrue(before < 8_000 && after <= before - 200, before + ", then " + after);
         serve(second, "");
         assertEquals(200, client.read().status());
@@ -634,8 +631,7 @@
 
     // ---- clients --------------------------------------------------------------------------------------
 
-    @ParameterizedTest
-    @ValueSource(strings = {"/safe/", "/once/"})
+    @SafeAndUnsafeTest
     void aDisconnectedClientsAttemptIsCancelled(String target) throws Exception {
         net.servers.plain();
         Wire client = net.sendRequest(target);
@@ -724,8 +720,8 @@
         net.servers.plain();
         Wire client = net.sendRequest("/once/", "X-Dewplank-Processing-Stage: prefill\r\nKv-From: 10.0.0.1:80/h\r\n");
         Call call = net.nextCall();
-        assertNull(call.message().header("X-Dewplank-Processing-Stage"));
-        assertNull(call.message().header("Kv-From"));
+        assertNull(stage(call));
+        assertNull(kvFrom(call));
         serve(call, "");
         assertEquals(200, client.read().status());
     }
--- a/dataplane/src/test/java/dewplank/dataplane/ServerAnswers.java
+++ b/dataplane/src/test/java/dewplank/dataplane/ServerAnswers.java
@@ -30,7 +30,7 @@
 
     /** The field that bears the request's id; empty where the request has none. */
     static String idOf(Call call) {
-        String id = call.message().header("X-Dewplank-Request-Attempt-Id");
+        String id = CallFields.attemptId(call);
         return id == null ? "" : "X-Dewplank-Request-Attempt-Id: " + id + "\r\n";
     }
 
--- a/dataplane/src/test/java/dewplank/dataplane/StreamCrossingTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/StreamCrossingTest.java
@@ -1,5 +1,7 @@
 package dewplank.dataplane;
 
+import static dewplank.dataplane.CallFields.kvFrom;
+import static dewplank.dataplane.CallFields.lastEventId;
 import static dewplank.dataplane.ClientRequests.HOST;
 import static dewplank.dataplane.ClientRequests.MEDIUM_PROMPT;
 import static dewplank.dataplane.ClientRequests.PROMPT;
@@ -33,8 +35,6 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.ValueSource;
 
 /**
  * Two events that meet in a stream or a KV transfer, in either order: no event is duplicated or missing, no stream
@@ -100,12 +100,12 @@
             assertEquals(event(2), stream.client().readChunk());
             assertEquals("", stream.client().readChunk());
         } else {
-            boolean second = "2".equals(next.message().header("Last-Event-Id"));
+            boolean second = "2".equals(lastEventId(next));
             beginStream(next);
             if (second) {
                 assertEquals(event(2), stream.client().readChunk());
             } else {
-                assertEquals("1", next.message().header("Last-Event-Id"));
+                assertEquals("1", lastEventId(next));
                 next.wire().chunk(event(2));
                 assertEquals(event(2), stream.client().readChunk());
             }
@@ -115,8 +115,7 @@
         net.assertQuiet();
     }
 
-    @ParameterizedTest
-    @ValueSource(strings = {"/gen/", "/res/"})
+    @ResumableAndNotTest
     void aResetAfterACompleteStreamHasNoEffect(String target) throws Exception {
         disableHedging();
         net.servers.decodeServers(2);
@@ -127,8 +126,7 @@
     }
 
     /** Without a length the connection's end completes a stream, but not within an event. */
-    @ParameterizedTest
-    @ValueSource(strings = {"/gen/", "/res/"})
+    @ResumableAndNotTest
     void aCloseWithinAnEventIsABreak(String target) throws Exception {
         disableHedging();
         net.servers.decodeServers(2);
@@ -140,7 +138,7 @@
         decodeCall.wire().close();
         if (target.equals("/res/")) {
             Call next = net.nextCall();
-            assertEquals("1", next.message().header("Last-Event-Id"));
+            assertEquals("1", lastEventId(next));
             assertResumed(next, client, 2);
         } else {
             assertBrokenOffAfter(client, "");
@@ -148,8 +146,7 @@
         net.assertQuiet();
     }
 
-    @ParameterizedTest
-    @ValueSource(strings = {"/gen/", "/res/"})
+    @ResumableAndNotTest
     void aCloseBeforeTheFirstEventIsABreak(String target) throws Exception {
         net.servers.decodeServers(2);
         Wire client = net.sendRequest(target, PROMPT);
@@ -158,7 +155,7 @@
         decodeCall.wire().close();
         if (target.equals("/res/")) {
             Call next = net.nextCall();
-            assertNull(next.message().header("Last-Event-Id"));
+            assertNull(lastEventId(next));
             assertStreamed(next, client, 1);
         } else {
             assertEquals(502, client.read().status());
@@ -181,8 +178,7 @@
         net.assertQuiet();
     }
 
-    @ParameterizedTest
-    @ValueSource(strings = {"/gen/", "/res/"})
+    @ResumableAndNotTest
     void aSecondAnswerBehindAStreamIsDiscarded(String target) throws Exception {
         net.servers.decode();
         BegunStream stream = begin(target);
@@ -194,8 +190,7 @@
     }
 
     /** It is retried elsewhere: with a part of its stream relayed, two runs would be in one answer. */
-    @ParameterizedTest
-    @ValueSource(strings = {"/gen/", "/res/"})
+    @ResumableAndNotTest
     void anAnswerMarkedNotExecutedIsNotRelayed(String target) throws Exception {
         net.servers.decodeServers(2);
         Wire client = net.sendRequest(target, PROMPT);
@@ -203,7 +198,7 @@
         answer(first, "200 OK", SEAL + NOT_EXECUTED, "id: 7\ndata: not run\n\n");
         Call second = net.nextCall();
         assertNotSame(first.server(), second.server());
-        assertNull(second.message().header("Last-Event-Id"));
+        assertNull(lastEventId(second));
         assertStreamed(second, client, 1);
         net.assertQuiet();
     }
@@ -224,8 +219,7 @@
     }
 
     /** The rest of a disconnected client's stream and the next stream never share a connection. */
-    @ParameterizedTest
-    @ValueSource(strings = {"/gen/", "/res/"})
+    @ResumableAndNotTest
     void theRestOfADisconnectedClientsStreamIsDiscarded(String target) throws Exception {
         net.servers.decode();
         BegunStream left = begin(target);
@@ -237,8 +231,7 @@
         net.assertQuiet();
     }
 
-    @ParameterizedTest
-    @ValueSource(strings = {"/gen/", "/res/"})
+    @ResumableAndNotTest
     void aLateStreamOnAReusedConnectionIsDiscarded(String target) throws Exception {
         net.servers.decode();
         BegunStream first = begin(target);
@@ -265,7 +258,7 @@
         BegunStream stream = BegunStream.begin(net, "/res/", PROMPT);
         Call next = net.nextCall();
         stream.server().awaitEnd();
-        assertEquals("1", next.message().header("Last-Event-Id"));
+        assertEquals("1", lastEventId(next));
         assertResumed(next, stream.client(), 2);
         net.assertQuiet();
     }
@@ -289,7 +282,7 @@
             assertEquals(event(2), stream.client().readChunk());
             stream.assertEnds();
         } else {
-            String last = next.message().header("Last-Event-Id");
+            String last = lastEventId(next);
             if (last.equals("2")) {
                 assertEquals(event(2), stream.client().readChunk());
             }
@@ -305,8 +298,7 @@
     }
 
     /** The KV handle arrives and the prefill is overdue, at once: one decode, with the handle or without it. */
-    @ParameterizedTest
-    @ValueSource(strings = {"/gen/", "/res/"})
+    @ResumableAndNotTest
     void aKvHandleThatMeetsTheOverdueTimerLeadsToOneDecode(String target) throws Exception {
         ScriptedServer prefill = net.servers.prefill();
         net.servers.decode();
@@ -321,14 +313,13 @@
         Call reached = prefillCall;
         net.runBeforePause(PAST_PREFILL_OVERDUE_MS, () -> handOver(reached, "h1"));
         Call decodeCall = net.nextCall();
-        String from = decodeCall.message().header("Kv-From");
+        String from = kvFrom(decodeCall);
         assertTrue(from == null || from.equals(prefill.addressText() + "/h1"), from);
         assertStreamed(decodeCall, client, 1);
         net.assertQuiet();
     }
 
-    @ParameterizedTest
-    @ValueSource(strings = {"/gen/", "/res/"})
+    @ResumableAndNotTest
     void twoAnswersToOnePrefillLeadToOneDecode(String target) throws Exception {
         ScriptedServer prefill = net.servers.prefill();
         net.servers.decode();
@@ -336,7 +327,7 @@
         Call prefillCall = net.nextCall();
         handOver(prefillCall, "h1");
         Call decodeCall = net.nextCall();
-        assertEquals(prefill.addressText() + "/h1", decodeCall.message().header("Kv-From"));
+        assertEquals(prefill.addressText() + "/h1", kvFrom(decodeCall));
         handOver(prefillCall, "h2");
         prefillCall.wire().awaitEnd();
         assertStreamed(decodeCall, client, 1);
@@ -359,8 +350,7 @@
             }
             handOver(prefillCall, handle);
             Call decodeCall = net.nextCall();
-            assertEquals(
-                    prefill.addressText() + "/" + handle, decodeCall.message().header("Kv-From"));
+            assertEquals(prefill.addressText() + "/" + handle, kvFrom(decodeCall));
             assertStreamed(decodeCall, client, 1);
             earlier = prefillCall;
             net.pass(REUSABLE_AFTER_MS);
@@ -376,7 +366,7 @@
         Wire client = net.sendRequest("/res/", MEDIUM_PROMPT);
         handOver(net.nextCall(), "h1");
         Call stalled = net.nextCall();
-        assertEquals(prefill.addressText() + "/h1", stalled.message().header("Kv-From"));
+        assertEquals(prefill.addressText() + "/h1", kvFrom(stalled));
         int frees = 0;
         Call decodeCall = net.nextCall();
         for (; isFreeOfKvHandle(decodeCall); decodeCall = net.nextCall()) {
@@ -384,7 +374,7 @@
             decodeCall.wire().answer("200 OK", "", "");
             frees++;
         }
-        assertNull(decodeCall.message().header("Kv-From"));
+        assertNull(kvFrom(decodeCall));
         assertStreamed(decodeCall, client, 1);
         stalled.wire().awaitEnd();
         net.awaitNoOpenRequest();
--- a/dataplane/src/test/java/dewplank/dataplane/StreamTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/StreamTest.java
@@ -1,5 +1,8 @@
 package dewplank.dataplane;
 
+import static dewplank.dataplane.CallFields.kvFrom;
+import static dewplank.dataplane.CallFields.lastEventId;
+import static dewplank.dataplane.CallFields.targetInstance;
 import static dewplank.dataplane.ClientRequests.PROMPT;
 import static dewplank.dataplane.ClientRequests.request;
 import static dewplank.dataplane.Expectations.assertBrokenOff;
@@ -160,10 +163,10 @@
         stream.server().reset();
         Call next = net.nextCall();
         assertNotSame(stream.decode().server(), next.server());
-        assertEquals("2", next.message().header("Last-Event-Id"));
+        assertEquals("2", lastEventId(next));
         assertEquals(1, next.message().count("Last-Event-Id"));
-        assertEquals(net.servers.id(next.server()), next.message().header("X-Dewplank-Target-Instance"));
-        assertNull(next.message().header("Kv-From"));
+        assertEquals(net.servers.id(next.server()), targetInstance(next));
+        assertNull(kvFrom(next));
         beginStream(next);
         next.wire().chunk(event(3));
         assertEquals(event(3), stream.client().readChunk());
@@ -187,7 +190,7 @@
             default -> stream.server().send("noise\r\n");
         }
         Call next = net.nextCall();
-        assertEquals("1", next.message().header("Last-Event-Id"), how);
+        assertEquals("1", lastEventId(next), how);
         assertResumed(next, stream.client(), 2);
         net.assertQuiet();
     }
@@ -197,10 +200,10 @@
         net.servers.decodeServers(2);
         Wire client = net.sendRequest("/two/", PROMPT + "Last-Event-Id: 12\r\n");
         Call first = net.nextCall();
-        assertEquals("12", first.message().header("Last-Event-Id"));
+        assertEquals("12", lastEventId(first));
         first.wire().reset();
         Call second = net.nextCall();
-        assertEquals("12", second.message().header("Last-Event-Id"));
+        assertEquals("12", lastEventId(second));
         beginStream(second);
         second.wire().chunk(event(13));
         assertEquals(200, client.readHead().status());
@@ -229,7 +232,7 @@
         first.wire().chunk("id: 1\nda");
         first.wire().reset();
         Call second = net.nextCall();
-        assertNull(second.message().header("Last-Event-Id"));
+        assertNull(lastEventId(second));
         assertStreamed(second, resumable, 1);
         Wire once = net.sendRequest("/gen/", PROMPT);
         Call decodeCall = net.nextCall();
@@ -263,7 +266,7 @@
         Call second = net.nextCall();
         reject(second);
         Call third = net.nextCall();
-        assertEquals("1", third.message().header("Last-Event-Id"));
+        assertEquals("1", lastEventId(third));
         answer(third, "500 Internal Server Error", SEAL, "broken");
         assertBrokenOff(stream.client());
         net.assertQuiet();
@@ -290,7 +293,7 @@
         Call next = net.nextCall();
         stream.server().awaitEnd();
         assertNotSame(stream.decode().server(), next.server());
-        assertEquals("1", next.message().header("Last-Event-Id"));
+        assertEquals("1", lastEventId(next));
         assertResumed(next, stream.client(), 2);
         net.assertQuiet();
     }
@@ -383,8 +386,7 @@
         net.assertQuiet();
     }
 
-    @ParameterizedTest
-    @ValueSource(strings = {"/gen/", "/res/"})
+    @ResumableAndNotTest
     void aClientThatDisconnectsWithinItsStreamCancelsIt(String target) throws Exception {
         disableHedging();
         net.servers.decodeServers(2);
