--- a/dataplane/src/test/java/dewplank/dataplane/GenerationTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/GenerationTest.java
@@ -214,6 +214,7 @@
         Call decodeCall = net.nextCall();
         assertIsDecode(decodeCall, prefill.addressText() + "/own");
         assertStreamsToEnd(decodeCall, client);
+        net.assertQuiet();
     }
 
     // ---- no prefill -----------------------------------------------------------------------------------
--- a/dataplane/src/test/java/dewplank/dataplane/PlainRouteTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/PlainRouteTest.java
@@ -186,6 +186,7 @@
             Wire client = empty.sendRequest("/safe/");
             serve(empty.nextCall(), "");
             assertEquals(200, client.read().status());
+            empty.assertQuiet();
         }
     }
 
@@ -239,6 +240,7 @@
         Call two = net.nextCall();
         assertNotSame(one.wire(), two.wire());
         assertServed(two, first, "second");
+        net.assertQuiet();
     }
 
     @Test
@@ -253,6 +255,7 @@
         Call two = net.nextCall();
         assertSame(one.wire(), two.wire());
         assertServed(two, client, "second");
+        net.assertQuiet();
     }
 
     // ---- retries -------------------------------------------------------------------------------------
@@ -486,6 +489,7 @@
             Wire.Message answer = client.read();
             assertEquals(200, answer.status());
             assertEquals("slow", answer.body());
+            withoutRetries.assertQuiet();
         }
     }
 
@@ -558,6 +562,7 @@
         assertTrue(remainingMs > 0 && remainingMs <= 3_700, "handed " + remainingMs);
         serve(call, "");
         assertEquals(200, client.read().status());
+        net.assertQuiet();
     }
 
     @Test
@@ -583,6 +588,7 @@
         assertTrue(remainingMs > 0 && remainingMs < 8_000, "handed " + remainingMs);
         serve(call, "");
         assertEquals(200, client.read().status());
+        net.assertQuiet();
     }
 
     /** Never more than remains; the later attempt has less. */
@@ -599,6 +605,7 @@
         assertTrue(before < 8_000 && after <= before - 200, before + ", then " + after);
         serve(second, "");
         assertEquals(200, client.read().status());
+        net.assertQuiet();
     }
 
     /** It reached a server and may run there: 503 would say that it never will. */
@@ -681,6 +688,7 @@
         Call two = net.nextCall();
         assertEquals("/once/2", two.message().target());
         assertServed(two, client, "2");
+        net.assertQuiet();
     }
 
     @Test
@@ -712,6 +720,7 @@
         assertFalse(net.servers.calls.isEmpty(), "refused by the old bound");
         serve(net.nextCall(), "");
         assertEquals(200, client.read().status());
+        net.assertQuiet();
     }
 
     /** That the data plane sets these fields itself where they are due is tested in GenerationTest. */
@@ -724,6 +733,7 @@
         assertNull(kvFrom(call));
         serve(call, "");
         assertEquals(200, client.read().status());
+        net.assertQuiet();
     }
 
     /** A request that may have run is not rejected; one that was not sent is. */
@@ -757,5 +767,6 @@
         assertEquals("close", answer.header("Connection"));
         assertNull(client.read());
         OnLoop.await(net.loop, () -> net.forwarder.openConnections() == 0);
+        net.assertQuiet();
     }
 }
