--- a/dataplane/src/test/java/dewplank/dataplane/SessionFixture.java
+++ b/dataplane/src/test/java/dewplank/dataplane/SessionFixture.java
@@ -1,6 +1,7 @@
 package dewplank.dataplane;
 
 import dewplank.exchange.OnLoop;
+import dewplank.exchange.Wire;
 import dewplank.membership.Member;
 import dewplank.net.EventLoop;
 import java.io.Closeable;
@@ -22,7 +23,7 @@
     private static final int RANDOM_SEED = 3;
 
     /** By the test's clock, after which a wait fails. */
-    private static final double MAX_WAIT_MS = 20_000;
+    private static final double MAX_WAIT_MS = Wire.PATIENCE_S * 1_000.0;
 
     final EventLoop loop = new EventLoop();
     final FleetMetadata metadata;
@@ -111,7 +112,7 @@
         settle();
     }
 
-    /** Waits until everything that was sent was handled; the clock stands still. */
+    /** Waits until everything that was sent was handled; the clock does not move. */
     private void settle() throws Exception {
         OnLoop.await(loop, () -> transport.isSettled(controlPlanes));
     }
