--- a/dataplane/src/test/java/dewplank/dataplane/CallCrossingTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/CallCrossingTest.java
@@ -39,7 +39,7 @@
 class CallCrossingTest {
     private static final double REUSABLE_AFTER_MS = ForwarderFixture.REUSABLE_AFTER_MS;
     private static final int TIMEOUT_MS = 150;
-    private static final int LONG_TIMEOUT_MS = 2_500; // for a long body to come in
+    private static final int LONG_TIMEOUT_MS = 2_500; // for a long body to be received
     private static final int OVERDUE_AFTER_MS = 1_500; // two and a half times the target
     private static final int LONG_BODY_BYTES = 16 << 20; // more than the socket buffers hold
 
@@ -170,7 +170,7 @@
      */
     @Test
     void aRetryAtTheSameServerUsesADedicatedConnection() throws Exception {
-        ScriptedServer one = net.servers.plain();
+        ScriptedServer server = net.servers.plain();
         Wire other = net.sendRequest("/once/");
         Call earlier = net.nextCall();
         Wire client = net.sendRequest("/once/");
@@ -179,12 +179,12 @@
         other.read();
         net.pass(REUSABLE_AFTER_MS);
         answer(first, "421 Misdirected Request", "", "");
-        Call again = net.nextCall();
-        assertSame(one, again.server());
-        assertNotSame(first.wire(), again.wire());
-        assertNotSame(earlier.wire(), again.wire(), "a connection that has carried another call");
+        Call retry = net.nextCall();
+        assertSame(server, retry.server());
+        assertNotSame(first.wire(), retry.wire());
+        assertNotSame(earlier.wire(), retry.wire(), "a connection that has carried another call");
         answer(first, "421 Misdirected Request", "", "");
-        assertServed(again, client, "own");
+        assertServed(retry, client, "own");
         net.assertQuiet();
     }
 
@@ -241,10 +241,10 @@
         if (elsewhere) {
             serve(sent, "own");
         }
-        Wire.Message got = idle.client().read();
-        boolean rejected = sent == null && got.status() == 503; // true, as no server has read any of it
-        assertEquals(elsewhere ? 200 : rejected ? 503 : 502, got.status());
-        assertEquals(elsewhere ? "own" : "", got.body());
+        Wire.Message response = idle.client().read();
+        boolean rejected = sent == null && response.status() == 503; // true, as no server has read any of it
+        assertEquals(elsewhere ? 200 : rejected ? 503 : 502, response.status());
+        assertEquals(elsewhere ? "own" : "", response.body());
         net.assertQuiet();
     }
 
@@ -339,7 +339,7 @@
         }
     }
 
-    /** Whether a connection has come rather than an answer. */
+    /** Whether a connection was opened rather than an answer received. */
     private boolean reaches(ScriptedServer raw, Wire client) throws Exception {
         OnLoop.await(net.loop, () -> raw.connectionsWaiting() > 0 || client.hasBytes());
         return raw.connectionsWaiting() > 0;
@@ -351,7 +351,7 @@
         try (ScriptedServer raw = ScriptedServer.raw()) {
             net.servers.add(raw, PLAIN, null);
             Wire client = sendLongRequest("/half/"); // its time counts from its first byte
-            for (int sends = 1; !reaches(raw, client); sends++) { // it came in after its deadline
+            for (int sends = 1; !reaches(raw, client); sends++) { // it was received after its deadline
                 assertTrue(sends < ForwarderFixture.MAX_SENDS, "no request reached the server");
                 assertRejected(client.read());
                 client = sendLongRequest("/half/");
@@ -373,8 +373,10 @@
         Wire client = request.client();
         Call call = request.call();
         net.runBeforePause(2 * TIMEOUT_MS, () -> serve(call, "just in time"));
-        Wire.Message got = client.read();
-        assertTrue(got.status() == 200 && got.body().equals("just in time") || got.status() == 504, got.startLine());
+        Wire.Message response = client.read();
+        assertTrue(
+                response.status() == 200 && response.body().equals("just in time") || response.status() == 504,
+                response.startLine());
         assertServes(client, "/safe/");
     }
 
@@ -475,15 +477,15 @@
     @SafeAndUnsafeTest
     void theRestOfADisconnectedClientsAnswerIsDiscarded(String target) throws Exception {
         net.servers.plain();
-        Wire leaves = net.sendRequest(target);
+        Wire disconnected = net.sendRequest(target);
         Call call = net.nextCall();
         call.wire().send(sealedHead(call, "Content-Length: 8\r\n") + "half");
-        leaves.close();
+        disconnected.close();
         call.wire().awaitEnd();
-        Wire stays = net.sendRequest(target);
+        Wire client = net.sendRequest(target);
         Call next = net.nextCall();
         assertNotSame(call.wire(), next.wire());
-        assertServed(next, stays, "own");
+        assertServed(next, client, "own");
         net.assertQuiet();
     }
 
@@ -496,21 +498,21 @@
                 + request("/safe/2", "", "")
                 + request("/none/3", "", "")
                 + request("/once/4", "", ""));
-        Call one = net.nextCall();
-        assertEquals("/once/1", one.message().target());
-        one.wire().reset();
+        Call first = net.nextCall();
+        assertEquals("/once/1", first.message().target());
+        first.wire().reset();
         assertEquals(502, client.read().status());
-        Call two = net.nextCall();
-        assertEquals("/safe/2", two.message().target());
-        two.wire().reset();
-        Call again = net.nextCall();
-        assertEquals("/safe/2", again.message().target());
-        assertServed(again, client, "2");
+        Call second = net.nextCall();
+        assertEquals("/safe/2", second.message().target());
+        second.wire().reset();
+        Call retry = net.nextCall();
+        assertEquals("/safe/2", retry.message().target());
+        assertServed(retry, client, "2");
         assertEquals(404, client.read().status());
-        Call four = net.nextCall();
-        assertEquals("/once/4", four.message().target());
-        assertNotEquals(attemptId(again), attemptId(four));
-        assertServed(four, client, "4");
+        Call fourth = net.nextCall();
+        assertEquals("/once/4", fourth.message().target());
+        assertNotEquals(attemptId(retry), attemptId(fourth));
+        assertServed(fourth, client, "4");
         net.assertQuiet();
     }
 
@@ -524,9 +526,9 @@
         Call head = net.nextCall();
         assertEquals("HEAD", head.message().method());
         head.wire().send(sealedHead(head, "Content-Length: 5\r\n"));
-        Wire.Message got = client.readHead();
-        assertEquals(200, got.status());
-        assertEquals("h1", got.header("X-Dewplank-Request-Attempt-Id"));
+        Wire.Message response = client.readHead();
+        assertEquals(200, response.status());
+        assertEquals("h1", response.header("X-Dewplank-Request-Attempt-Id"));
         Call next = net.nextCall();
         assertServed(next, client, "own");
         net.assertQuiet();
--- a/dataplane/src/test/java/dewplank/dataplane/CallFields.java
+++ b/dataplane/src/test/java/dewplank/dataplane/CallFields.java
@@ -2,7 +2,7 @@
 
 import dewplank.exchange.ScriptedServer.Call;
 
-/** Header fields of the calls that servers get, by the protocol's names; null where a call has none, if not said. */
+/** Header fields of the calls that servers get, by the protocol's names; null where a call has none. */
 final class CallFields {
     private CallFields() {}
 
--- a/dataplane/src/test/java/dewplank/dataplane/ClientRequests.java
+++ b/dataplane/src/test/java/dewplank/dataplane/ClientRequests.java
@@ -5,7 +5,7 @@
 /** Requests as the tests' clients send them. */
 final class ClientRequests {
     static final String HOST = "h.example";
-    /** What each request says that its client waits for: more than {@link TestRoute#DEFAULT_TIMEOUT_MS}. */
+    /** The remaining time that each request states: more than {@link TestRoute#DEFAULT_TIMEOUT_MS}. */
     static final int REMAINING_TIME_MS = 9_000;
     /** Two shared segments and one of the request's own: its prefill is not overdue before seconds have passed. */
     static final String PROMPT = prompt("aa:30000,bb:20000,c0:30000");
@@ -28,7 +28,7 @@
         return request(target, fields, Integer.toString(REMAINING_TIME_MS), body);
     }
 
-    /** The same, of a client that says this of the time for which it waits. */
+    /** The same, with this value of the field for the remaining time. */
     static String request(String target, String fields, String remainingTimeMs, String body) {
         return "POST " + target + " HTTP/1.1\r\nHost: " + HOST + "\r\nX-Dewplank-Request-Attempt-Id: r"
                 + IDS.incrementAndGet() + "\r\nX-Dewplank-Remaining-Time-Ms: " + remainingTimeMs + "\r\n" + fields
--- a/dataplane/src/test/java/dewplank/dataplane/ControlAddressesTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/ControlAddressesTest.java
@@ -8,6 +8,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
+/** Which addresses of control planes are retained, evicted and eligible. */
 class ControlAddressesTest {
     private final ControlAddresses addresses = new ControlAddresses();
 
@@ -26,14 +27,14 @@
     @Test
     void theLeastRecentlyRefreshedAddressIsEvicted() {
         addresses.setSeeds(0, List.of("seed:1"), Set.of());
-        for (int i = 1; i < ControlAddresses.MAX_ADDRESSES; i++) {
-            addresses.refresh(i, List.of("a:" + i), Set.of());
+        for (int number = 1; number < ControlAddresses.MAX_ADDRESSES; number++) {
+            addresses.refresh(number, List.of("a:" + number), Set.of());
         }
         addresses.refresh(100, List.of("b:1"), Set.of("a:1"));
-        List<String> known = addresses.eligible(100, Set.of());
-        assertEquals(ControlAddresses.MAX_ADDRESSES, known.size());
-        assertTrue(known.containsAll(List.of("seed:1", "a:1", "b:1")));
-        assertFalse(known.contains("a:2"));
+        List<String> eligible = addresses.eligible(100, Set.of());
+        assertEquals(ControlAddresses.MAX_ADDRESSES, eligible.size());
+        assertTrue(eligible.containsAll(List.of("seed:1", "a:1", "b:1")));
+        assertFalse(eligible.contains("a:2"));
     }
 
     @Test
--- a/dataplane/src/test/java/dewplank/dataplane/Expectations.java
+++ b/dataplane/src/test/java/dewplank/dataplane/Expectations.java
@@ -44,8 +44,8 @@
 
     /** What comes before the connection ends is no end of the body and no second head. */
     static void assertBrokenOff(Wire client) throws IOException {
-        String rest = client.readToEnd();
-        assertFalse(rest.endsWith("0\r\n\r\n"), rest);
-        assertFalse(rest.contains("HTTP/1.1"), rest);
+        String received = client.readToEnd();
+        assertFalse(received.endsWith("0\r\n\r\n"), received);
+        assertFalse(received.contains("HTTP/1.1"), received);
     }
 }
--- a/dataplane/src/test/java/dewplank/dataplane/FleetMetadataTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/FleetMetadataTest.java
@@ -180,9 +180,9 @@
         ScriptedServer next = net.servers.plain();
         net.servers.remove(old);
         call.wire().reset();
-        Call again = net.nextCall();
-        assertSame(next, again.server());
-        assertServed(again, client, "served");
+        Call retry = net.nextCall();
+        assertSame(next, retry.server());
+        assertServed(retry, client, "served");
         net.assertQuiet();
     }
 
--- a/dataplane/src/test/java/dewplank/dataplane/ForwarderFixture.java
+++ b/dataplane/src/test/java/dewplank/dataplane/ForwarderFixture.java
@@ -32,7 +32,7 @@
 
     static final RetryBudgets.Limits NO_RETRIES = new RetryBudgets.Limits(0, 10_000, 0);
 
-    /** Longer than any test lasts: on a busy machine the usual one would pass before the loop hears of a connection. */
+    /** Longer than any test lasts: on a busy machine the usual one would pass before the loop handles a connection. */
     private static final double CONNECT_TIMEOUT_MS = 20_000;
 
     private static final int DEFAULT_MAX_BODY_BYTES = 4 << 20;
--- a/dataplane/src/test/java/dewplank/dataplane/GenerationTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/GenerationTest.java
@@ -680,12 +680,12 @@
     void aDrainingServerGetsNoNewRequest() throws Exception {
         ScriptedServer draining = net.servers.decode();
         net.servers.drain(draining);
-        Wire refused = net.sendRequest("/gen/", PROMPT);
-        assertEquals(503, refused.read().status());
-        ScriptedServer stays = net.servers.decode();
+        Wire rejected = net.sendRequest("/gen/", PROMPT);
+        assertEquals(503, rejected.read().status());
+        ScriptedServer ready = net.servers.decode();
         Wire client = net.sendRequest("/gen/", PROMPT);
         Call decodeCall = net.nextCall();
-        assertSame(stays, decodeCall.server());
+        assertSame(ready, decodeCall.server());
         assertStreamsToEnd(decodeCall, client);
         net.assertQuiet();
         assertFalse(draining.connectionsWaiting() > 0);
--- a/dataplane/src/test/java/dewplank/dataplane/ManualScheduler.java
+++ b/dataplane/src/test/java/dewplank/dataplane/ManualScheduler.java
@@ -6,7 +6,7 @@
 import java.util.PriorityQueue;
 
 /**
- * A scheduler whose clock stands still until the test moves it. Its tasks run on the event loop's thread, and so must
+ * A scheduler whose clock moves only when the test moves it. Its tasks run on the event loop's thread, and so must
  * all calls but that of {@link #now}. Times in milliseconds.
  */
 final class ManualScheduler implements Scheduler {
--- a/dataplane/src/test/java/dewplank/dataplane/ObservedTransport.java
+++ b/dataplane/src/test/java/dewplank/dataplane/ObservedTransport.java
@@ -14,11 +14,11 @@
 import java.util.function.Supplier;
 
 /**
- * Connections over TCP that are observed, so that a test whose clock stands still knows when everything that was sent
+ * Connections over TCP that are observed, so that a test with a clock of its own can tell when everything that was sent
  * was also handled. On the event loop's thread only.
  */
 final class ObservedTransport implements MessageTransport {
-    /** Only bounds how long a test takes to fail: connecting may take any time while the test's clock stands still. */
+    /** Only bounds how long a test takes to fail: the test's clock does not move while a connection is opened. */
     private static final double CONNECT_TIMEOUT_MS = 20_000;
 
     private final TcpTransport transport;
--- a/dataplane/src/test/java/dewplank/dataplane/PlainRouteTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/PlainRouteTest.java
@@ -231,15 +231,15 @@
     @Test
     void aSecondAnswerOnAnIdleConnectionClosesIt() throws Exception {
         net.servers.plain();
-        Wire first = net.sendRequest("/once/");
-        Call one = net.nextCall();
-        assertServed(one, first, "first");
-        serve(one, "first again");
-        one.wire().awaitEnd();
-        first.send(request("/once/", "", ""));
-        Call two = net.nextCall();
-        assertNotSame(one.wire(), two.wire());
-        assertServed(two, first, "second");
+        Wire client = net.sendRequest("/once/");
+        Call idle = net.nextCall();
+        assertServed(idle, client, "first");
+        serve(idle, "a second answer");
+        idle.wire().awaitEnd();
+        client.send(request("/once/", "", ""));
+        Call next = net.nextCall();
+        assertNotSame(idle.wire(), next.wire());
+        assertServed(next, client, "second");
         net.assertQuiet();
     }
 
@@ -247,14 +247,14 @@
     void anIdleConnectionIsReusedAfterTheReuseDelay() throws Exception {
         net.servers.plain();
         Wire client = net.sendRequest("/once/");
-        Call one = net.nextCall();
-        serve(one, "first");
+        Call idle = net.nextCall();
+        serve(idle, "first");
         client.read();
         net.pass(30);
         client.send(request("/once/", "", ""));
-        Call two = net.nextCall();
-        assertSame(one.wire(), two.wire());
-        assertServed(two, client, "second");
+        Call next = net.nextCall();
+        assertSame(idle.wire(), next.wire());
+        assertServed(next, client, "second");
         net.assertQuiet();
     }
 
@@ -529,9 +529,9 @@
                 .start()) {
             alone.servers.plainServers(2);
             Member peer = new Member("edge-1", Member.DATA, "127.0.0.1:1", ScriptedFleet.ZONE, 1);
-            for (List<Member> told : List.of(List.<Member>of(), List.of(peer))) {
+            for (List<Member> members : List.of(List.<Member>of(), List.of(peer))) {
                 OnLoop.run(alone.loop, () -> {
-                    alone.metadata.updateMembers(told);
+                    alone.metadata.updateMembers(members);
                     alone.forwarder.onFleetChanged();
                 });
                 Wire client = alone.sendRequest("/safe/");
@@ -579,10 +579,10 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"NaN", "soon", ""})
-    void aMalformedRemainingTimeCountsAsAbsent(String odd) throws Exception {
+    void aMalformedRemainingTimeCountsAsAbsent(String remainingTime) throws Exception {
         net.servers.plain();
         Wire client = net.client();
-        client.send(request("/once/", "", odd, "hi"));
+        client.send(request("/once/", "", remainingTime, "hi"));
         Call call = net.nextCall();
         long remainingMs = remainingTimeMs(call);
         assertTrue(remainingMs > 0 && remainingMs < 8_000, "handed " + remainingMs);
@@ -681,13 +681,13 @@
         net.servers.plain();
         Wire client = net.client();
         client.send(request("/once/1", "", "") + request("/once/2", "", ""));
-        Call one = net.nextCall();
-        assertEquals("/once/1", one.message().target());
+        Call first = net.nextCall();
+        assertEquals("/once/1", first.message().target());
         assertTrue(net.servers.calls.isEmpty());
-        assertServed(one, client, "1");
-        Call two = net.nextCall();
-        assertEquals("/once/2", two.message().target());
-        assertServed(two, client, "2");
+        assertServed(first, client, "1");
+        Call second = net.nextCall();
+        assertEquals("/once/2", second.message().target());
+        assertServed(second, client, "2");
         net.assertQuiet();
     }
 
--- a/dataplane/src/test/java/dewplank/dataplane/ScriptedFleet.java
+++ b/dataplane/src/test/java/dewplank/dataplane/ScriptedFleet.java
@@ -91,14 +91,15 @@
 
     /** The next endpoint list has the server as draining. */
     void drain(ScriptedServer server) throws Exception {
-        endpoints.replaceAll(
-                e -> e.instanceId.equals(id(server)) ? endpoint(server, e.instanceId, e.service, e.stage, true) : e);
+        endpoints.replaceAll(endpoint -> endpoint.instanceId.equals(id(server))
+                ? endpoint(server, endpoint.instanceId, endpoint.service, endpoint.stage, true)
+                : endpoint);
         publish();
     }
 
     /** The next endpoint list does not have the server. */
     void remove(ScriptedServer server) throws Exception {
-        endpoints.removeIf(e -> e.instanceId.equals(id(server)));
+        endpoints.removeIf(endpoint -> endpoint.instanceId.equals(id(server)));
         publish();
     }
 
--- a/dataplane/src/test/java/dewplank/dataplane/ServerAnswers.java
+++ b/dataplane/src/test/java/dewplank/dataplane/ServerAnswers.java
@@ -8,7 +8,7 @@
     static final String SEAL = "X-Dewplank-Server-Seal: s.1\r\n";
     static final String NOT_EXECUTED = "X-Dewplank-Not-Executed: 1\r\n";
 
-    /** A server that says nothing is trusted to keep its connection for a second, which a slow machine may exceed. */
+    /** Without it a connection counts as kept open for a second, which a slow machine may exceed. */
     private static final String KEEP_ALIVE = "Keep-Alive: timeout=60\r\n";
 
     private ServerAnswers() {}
--- a/dataplane/src/test/java/dewplank/dataplane/SessionClientTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/SessionClientTest.java
@@ -246,7 +246,7 @@
         assertFalse(used.get(1).session().isEnded());
     }
 
-    /** The time-out was exceeded, and by no more than the interval between looks at the sessions. */
+    /** The time-out was exceeded, and by no more than one heartbeat interval. */
     private void assertElapsed(double timeoutMs, double since) {
         double elapsedMs = net.now() - since;
         assertTrue(elapsedMs >= timeoutMs, "too soon: " + elapsedMs);
--- a/dataplane/src/test/java/dewplank/dataplane/SessionCrossingTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/SessionCrossingTest.java
@@ -70,7 +70,7 @@
         first.sendHalf(update(9, new EndpointListVersion(1, 9)));
         first.reset();
         Session second = control.session();
-        assertEquals(3, second.heartbeat().configurationVersion, "the session begins with what is held");
+        assertEquals(3, second.heartbeat().configurationVersion, "the session begins with the version in force");
         second.send(update(4, new EndpointListVersion(1, 2)));
         net.awaitVersion(4);
         assertEquals(new EndpointListVersion(1, 2), OnLoop.get(net.loop, net.metadata::listVersion));
@@ -104,6 +104,6 @@
         first.reset();
         Session second = control.session();
         assertEquals(SELF, second.open().member);
-        assertTrue(second.heartbeat().sequence > sequence, "questions of two connections are never numbered alike");
+        assertTrue(second.heartbeat().sequence > sequence, "no two sessions use one sequence number");
     }
 }
--- a/dataplane/src/test/java/dewplank/dataplane/StreamCrossingTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/StreamCrossingTest.java
@@ -76,9 +76,9 @@
     }
 
     /** What comes before the connection ends is no end of the body and no second head. */
-    private static void assertBrokenOffAfter(Wire client, String rest) throws IOException {
-        String came = client.readToEnd();
-        assertEquals(rest, came);
+    private static void assertBrokenOffAfter(Wire client, String expected) throws IOException {
+        String received = client.readToEnd();
+        assertEquals(expected, received);
     }
 
     // ---- the end of a stream --------------------------------------------------------------------------
@@ -222,11 +222,11 @@
     @ResumableAndNotTest
     void theRestOfADisconnectedClientsStreamIsDiscarded(String target) throws Exception {
         net.servers.decode();
-        BegunStream left = begin(target);
-        left.client().close();
-        left.server().awaitEnd();
+        BegunStream disconnected = begin(target);
+        disconnected.client().close();
+        disconnected.server().awaitEnd();
         BegunStream next = begin(target);
-        assertNotSame(left.server(), next.server());
+        assertNotSame(disconnected.server(), next.server());
         next.assertEnds();
         net.assertQuiet();
     }
@@ -293,7 +293,7 @@
 
     // ---- KV transfer ---------------------------------------------------------------------------------
 
-    private static boolean isFreeOfKvHandle(Call call) {
+    private static boolean isKvHandleFreed(Call call) {
         return call.message().method().equals("DELETE");
     }
 
@@ -369,7 +369,7 @@
         assertEquals(prefill.addressText() + "/h1", kvFrom(stalled));
         int frees = 0;
         Call decodeCall = net.nextCall();
-        for (; isFreeOfKvHandle(decodeCall); decodeCall = net.nextCall()) {
+        for (; isKvHandleFreed(decodeCall); decodeCall = net.nextCall()) {
             assertEquals("/kv-handle/h1", decodeCall.message().target());
             decodeCall.wire().answer("200 OK", "", "");
             frees++;
@@ -379,7 +379,7 @@
         stalled.wire().awaitEnd();
         net.awaitNoOpenRequest();
         Call late = frees == 0 ? net.nextCall() : null; // the free may arrive after the decode
-        assertTrue(late == null || isFreeOfKvHandle(late));
+        assertTrue(late == null || isKvHandleFreed(late));
         net.assertQuiet();
     }
 
@@ -397,7 +397,7 @@
             wire.reset();
             assertEquals(502, client.read().status());
             Call free = net.nextCall();
-            assertTrue(isFreeOfKvHandle(free));
+            assertTrue(isKvHandleFreed(free));
             assertEquals("/kv-handle/h1", free.message().target());
             assertEquals(0, raw.connectionsWaiting(), "sent again");
             net.assertQuiet();
@@ -412,7 +412,7 @@
         Call prefillCall = net.nextCall();
         handOver(prefillCall, "h1");
         Call free = net.nextCall();
-        assertTrue(isFreeOfKvHandle(free));
+        assertTrue(isKvHandleFreed(free));
         assertNotSame(prefillCall.wire(), free.wire());
         assertEquals(503, client.read().status());
         free.wire().answer("404 Not Found", "", "gone");
@@ -422,7 +422,7 @@
         Call nextPrefill = net.nextCall();
         assertNotSame(free.wire(), nextPrefill.wire());
         handOver(nextPrefill, "h2");
-        assertTrue(isFreeOfKvHandle(net.nextCall()));
+        assertTrue(isKvHandleFreed(net.nextCall()));
         assertEquals(503, next.read().status());
         assertFalse(next.hasBytes());
         net.assertQuiet();
--- a/dataplane/src/test/java/dewplank/dataplane/TestRoute.java
+++ b/dataplane/src/test/java/dewplank/dataplane/TestRoute.java
@@ -1,6 +1,6 @@
 package dewplank.dataplane;
 
-/** A route of a tests' configuration. Immutable: each setter answers a changed copy. */
+/** A route of a test's configuration. Immutable: each method returns a changed copy. */
 record TestRoute(
         String name,
         String type,
@@ -10,7 +10,7 @@
         int targetLatencyMs,
         int gapTargetMs,
         boolean resumable) {
-    /** Longer than a test waits for anything, shorter than what {@link ClientRequests} say that clients wait for. */
+    /** Longer than a test waits for anything, shorter than the remaining time that {@link ClientRequests} state. */
     static final int DEFAULT_TIMEOUT_MS = 8_000;
 
     private static final int DEFAULT_TARGET_LATENCY_MS = 4_000;
--- a/transport/src/test/java/dewplank/exchange/ConnectionPoolTest.java
+++ b/transport/src/test/java/dewplank/exchange/ConnectionPoolTest.java
@@ -15,6 +15,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
+/** Which idle connection is reused, and when idle connections are closed. */
 class ConnectionPoolTest {
     private static final double LONG_MS = 60_000;
 
@@ -57,8 +58,8 @@
     }
 
     private void put(ConnectionPool pool, ConnectedPair... pairs) throws Exception {
-        for (ConnectedPair p : pairs) {
-            OnLoop.run(loop, () -> pool.put(p.client(), server.address()));
+        for (ConnectedPair pair : pairs) {
+            OnLoop.run(loop, () -> pool.put(pair.client(), server.address()));
         }
     }
 
@@ -103,10 +104,10 @@
     @Test
     void aConnectionPastItsStatedIdleTimeIsClosedWhateverItsPosition() throws Exception {
         ConnectionPool pool = new ConnectionPool(clock, 0, LONG_MS);
-        ConnectedPair kept = connect();
+        ConnectedPair lasting = connect();
         ConnectedPair brief = connect();
         ConnectedPair last = connect();
-        put(pool, kept);
+        put(pool, lasting);
         OnLoop.run(loop, () -> pool.put(brief.client(), server.address(), 20));
         put(pool, last);
         clock.advance(20);
@@ -114,7 +115,7 @@
         brief.server().awaitEnd();
         assertEquals(2, pool.size());
         assertSame(last.client(), take(pool));
-        assertSame(kept.client(), take(pool));
+        assertSame(lasting.client(), take(pool));
     }
 
     @Test
@@ -133,12 +134,12 @@
     void aConnectionThatItsServerClosesOrWritesToLeavesThePool() throws Exception {
         ConnectionPool pool = new ConnectionPool(clock, 0, LONG_MS);
         ConnectedPair ended = connect();
-        ConnectedPair spoken = connect();
-        put(pool, ended, spoken);
+        ConnectedPair writtenTo = connect();
+        put(pool, ended, writtenTo);
         ended.server().close();
         OnLoop.await(loop, () -> pool.size() == 1);
-        spoken.server().send("HTTP/1.1 408 Request Timeout\r\n\r\n");
-        spoken.server().awaitEnd();
+        writtenTo.server().send("HTTP/1.1 408 Request Timeout\r\n\r\n");
+        writtenTo.server().awaitEnd();
         OnLoop.await(loop, () -> pool.size() == 0);
         assertNull(take(pool));
     }
--- a/transport/src/test/java/dewplank/exchange/HttpCallTest.java
+++ b/transport/src/test/java/dewplank/exchange/HttpCallTest.java
@@ -51,9 +51,9 @@
 
         @Override
         public boolean head(int status, Headers headers) {
-            boolean mine = expectedId == null || expectedId.equals(headers.get("Id"));
-            events.add(mine ? "head " + status : "discarded " + status);
-            return mine;
+            boolean accepted = expectedId == null || expectedId.equals(headers.get("Id"));
+            events.add(accepted ? "head " + status : "discarded " + status);
+            return accepted;
         }
 
         @Override
@@ -77,8 +77,8 @@
         }
 
         void expect(String... expected) throws InterruptedException {
-            for (String e : expected) {
-                assertEquals(e, next());
+            for (String event : expected) {
+                assertEquals(event, next());
             }
         }
     }
@@ -474,8 +474,8 @@
             wire.readHead();
             assertAnswered(wire, listener, "early");
             assertEquals(0, OnLoop.get(loop, pool::size));
-            String rest = wire.readToEnd();
-            assertTrue(rest.chars().allMatch(c -> c == 'x'), "other bytes where the body is due");
+            String received = wire.readToEnd();
+            assertTrue(received.chars().allMatch(character -> character == 'x'), "other bytes where the body is due");
         }
     }
 
@@ -511,16 +511,16 @@
         Wire wire = answeredCall("");
         OnLoop.await(loop, () -> pool.size() == 1);
         RecordingListener listener = new RecordingListener();
-        HttpCall alone = call(REQUEST, listener).exclusive();
-        start(alone);
+        HttpCall exclusive = call(REQUEST, listener).exclusive();
+        start(exclusive);
         Wire own = server.next().wire();
         assertNotSame(wire, own);
         assertAnswered(own, listener, "");
         own.awaitEnd();
-        assertEquals(1, OnLoop.get(loop, pool::size), "the resting one");
+        assertEquals(1, OnLoop.get(loop, pool::size), "the idle one");
     }
 
-    /** The length of an answer to a HEAD is that of a body which does not come. */
+    /** The length of an answer to a HEAD is that of a body that is not sent. */
     @Test
     void theAnswerToAHeadRequestHasNoBody() throws Exception {
         RecordingListener listener = new RecordingListener();
@@ -575,7 +575,7 @@
                 assertEquals("/mark", late.next().message().target());
             }
             OnLoop.pass(loop, 30);
-            assertNull(listener.events.poll(), "a cancelled call says nothing, not at its connect time-out either");
+            assertNull(listener.events.poll(), "a cancelled call reports nothing, also not at its connect time-out");
         }
     }
 
@@ -668,7 +668,7 @@
             OnLoop.run(loop, () -> condition[0] = false);
             late.letIn();
             listener.expect("failed NOT_SENT");
-            for (int i = 0; i < 3; i++) { // the crowd's two connections, and the call's
+            for (int i = 0; i < 3; i++) { // the two that fill the backlog, and the call's
                 late.nextConnection().awaitEnd();
             }
         }
--- a/transport/src/test/java/dewplank/exchange/InboundConnectionTest.java
+++ b/transport/src/test/java/dewplank/exchange/InboundConnectionTest.java
@@ -13,12 +13,14 @@
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
+import java.net.SocketException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -32,7 +34,7 @@
     private final ScriptedService service = new ScriptedService();
     private final BlockingQueue<InboundConnection> connections = new LinkedBlockingQueue<>();
 
-    /** A request that the service was given, and the connection that its answer goes to. */
+    /** A request that the service has got, and the connection that its answer goes to. */
     private record HandledRequest(InboundConnection.Request request, InboundConnection connection) {
         String body() {
             return new String(request.body(), StandardCharsets.ISO_8859_1);
@@ -84,7 +86,7 @@
 
         HandledRequest next() throws InterruptedException {
             HandledRequest next = handled.poll(Wire.PATIENCE_S, TimeUnit.SECONDS);
-            assertNotNull(next, "no request was handed over");
+            assertNotNull(next, "no request was handled");
             return next;
         }
     }
@@ -140,16 +142,16 @@
                 .answer(status, List.of(new Headers.Field("Own", "x")), body.getBytes(StandardCharsets.ISO_8859_1)));
     }
 
-    private void onLoop(HandledRequest handled, java.util.function.Consumer<InboundConnection> step) throws Exception {
+    private void onLoop(HandledRequest handled, Consumer<InboundConnection> step) throws Exception {
         OnLoop.run(loop, () -> step.accept(handled.connection()));
     }
 
     private void beginAnswer(HandledRequest handled) throws Exception {
-        onLoop(handled, c -> c.beginAnswer(200, List.of()));
+        onLoop(handled, connection -> connection.beginAnswer(200, List.of()));
     }
 
     private void writePart(HandledRequest handled, String text) throws Exception {
-        onLoop(handled, c -> c.writePart(bytes(text)));
+        onLoop(handled, connection -> connection.writePart(bytes(text)));
     }
 
     private static byte[] bytes(String text) {
@@ -183,17 +185,17 @@
     void pipelinedRequestsAreHandledOneByOne() throws Exception {
         Wire caller = caller();
         caller.send(request("/1", "", "a") + request("/2", "", "b") + request("/3", "", "c"));
-        for (String n : List.of("1", "2", "3")) {
+        for (String number : List.of("1", "2", "3")) {
             HandledRequest handled = service.next();
-            assertEquals("/" + n, handled.request().target());
+            assertEquals("/" + number, handled.request().target());
             OnLoop.run(loop, () -> {});
             assertTrue(service.handled.isEmpty(), "the next one waits for this one's answer");
-            answer(handled, 200, n);
-            assertEquals(n, caller.read().body());
+            answer(handled, 200, number);
+            assertEquals(number, caller.read().body());
         }
     }
 
-    /** A caller takes the answer to a HEAD to end with its head: a body would stand where its next answer is due. */
+    /** A caller takes the answer to a HEAD to end with its head: a body would be read as its next answer. */
     @Test
     void theAnswerToAHeadRequestHasNoBodyAndTheNextAnswerFollows() throws Exception {
         Wire caller = caller();
@@ -211,10 +213,10 @@
         Wire caller = caller();
         caller.send("HEAD /1 HTTP/1.1\r\nHost: h\r\n\r\n" + request("/2", "", ""));
         HandledRequest handled = service.next();
-        onLoop(handled, c -> {
-            c.beginAnswer(200, List.of());
-            c.writePart(bytes("event"));
-            c.endAnswer();
+        onLoop(handled, connection -> {
+            connection.beginAnswer(200, List.of());
+            connection.writePart(bytes("event"));
+            connection.endAnswer();
         });
         Wire.Message head = caller.readHead();
         assertEquals(200, head.status());
@@ -360,7 +362,7 @@
         caller.send(request("/", "", ""));
         HandledRequest handled = service.next();
         OnLoop.pass(loop, 20);
-        onLoop(handled, c -> c.timeOutAfter(0));
+        onLoop(handled, busy -> busy.timeOutAfter(0));
         answer(handled, 200, "still served");
         assertEquals("still served", caller.read().body());
         OnLoop.pass(loop, 20);
@@ -466,14 +468,14 @@
         Wire caller = caller();
         caller.send(request("/1", "", "") + request("/2", "", ""));
         HandledRequest handled = service.next();
-        onLoop(handled, c -> c.beginAnswer(200, List.of(new Headers.Field("Own", "x"))));
+        onLoop(handled, connection -> connection.beginAnswer(200, List.of(new Headers.Field("Own", "x"))));
         Wire.Message head = caller.readHead();
         assertEquals("chunked", head.header("Transfer-Encoding"));
         assertNull(head.header("Content-Length"));
         assertEquals("x", head.header("Own"));
         writePart(handled, "one");
         assertEquals("one", caller.readChunk());
-        writePart(handled, ""); // must not look like the end
+        writePart(handled, ""); // must not be sent as the last chunk
         writePart(handled, "two".repeat(10));
         assertEquals("two".repeat(10), caller.readChunk());
         assertTrue(service.handled.isEmpty());
@@ -499,7 +501,7 @@
         assertNull(caller.read());
     }
 
-    /** The head has said that the connection persists; that holds although the service is closing. */
+    /** The head states that the connection persists, although the service is closing. */
     @Test
     void aStreamThatBeganBeforeTheServiceClosesKeepsItsConnection() throws Exception {
         Wire caller = caller();
@@ -516,13 +518,13 @@
     }
 
     @Test
-    void anAbortedAnswerNeverLooksComplete() throws Exception {
+    void anAbortedAnswerIsNeverComplete() throws Exception {
         Wire caller = caller();
         caller.send(request("/1", "", "") + request("/2", "", ""));
         HandledRequest handled = service.next();
-        onLoop(handled, c -> {
-            c.beginAnswer(200, List.of());
-            c.writePart(bytes("one"));
+        onLoop(handled, connection -> {
+            connection.beginAnswer(200, List.of());
+            connection.writePart(bytes("one"));
         });
         caller.readHead();
         assertEquals("one", caller.readChunk());
@@ -530,27 +532,27 @@
         boolean cut = false;
         try {
             caller.readChunk();
-        } catch (EOFException | java.net.SocketException e) {
+        } catch (EOFException | SocketException e) {
             cut = true;
         }
         assertTrue(cut);
         service.expectClose();
         OnLoop.run(loop, () -> {});
-        assertTrue(service.handled.isEmpty(), "what was sent ahead is not taken any more");
-        assertTrue(service.disconnected.isEmpty(), "whoever broke it off knows");
+        assertTrue(service.handled.isEmpty(), "a pipelined request is not handled any more");
+        assertTrue(service.disconnected.isEmpty(), "the service has aborted it itself");
     }
 
     /** All in one task: the chunks are unwritten when the connection is aborted. */
     @Test
-    void anAnswerThatIsAbortedAtOnceNeverLooksComplete() throws Exception {
+    void anAnswerThatIsAbortedAtOnceIsNeverComplete() throws Exception {
         Wire caller = callerWithRequest();
         HandledRequest handled = service.next();
-        onLoop(handled, c -> {
-            c.beginAnswer(200, List.of());
-            c.writePart(bytes("one"));
-            c.abort();
-            c.writePart(bytes("two"));
-            c.endAnswer();
+        onLoop(handled, connection -> {
+            connection.beginAnswer(200, List.of());
+            connection.writePart(bytes("one"));
+            connection.abort();
+            connection.writePart(bytes("two"));
+            connection.endAnswer();
         });
         assertFalse(caller.readToEnd().endsWith("0\r\n\r\n"));
     }
@@ -573,10 +575,10 @@
     void anIdleConnectionIsClosedWithoutAnAnswer() throws Exception {
         Wire caller = callerWithRequest();
         HandledRequest handled = service.next();
-        onLoop(handled, c -> c.endIfIdle(true)); // busy: it stays
+        onLoop(handled, connection -> connection.endIfIdle(true)); // busy: it is not closed
         answer(handled, 200, "");
         assertEquals(200, caller.read().status());
-        onLoop(handled, c -> c.endIfIdle(false));
+        onLoop(handled, connection -> connection.endIfIdle(false));
         assertNull(caller.read());
     }
 
@@ -601,8 +603,8 @@
         OnLoop.run(loop, () -> connection.endIfIdle(false));
         assertFalse(connection.isClosed());
         caller.send("cd");
-        answer(service.next(), 200, "whole");
-        assertEquals("whole", caller.read().body());
+        answer(service.next(), 200, "complete");
+        assertEquals("complete", caller.read().body());
         caller.send("POST / HTTP/1.1\r\nContent-Length: 4\r\n\r\nab");
         OnLoop.await(loop, connection::isHalfRead);
         OnLoop.run(loop, () -> connection.endIfIdle(true));
--- a/transport/src/test/java/dewplank/exchange/OnLoop.java
+++ b/transport/src/test/java/dewplank/exchange/OnLoop.java
@@ -39,7 +39,7 @@
     /** Waits until the condition holds; it is evaluated at each tick of the loop. */
     public static void await(EventLoop loop, Callable<Boolean> reached) throws Exception {
         CompletableFuture<Void> done = new CompletableFuture<>();
-        loop.execute(() -> look(loop, reached, done));
+        loop.execute(() -> poll(loop, reached, done));
         try {
             done.get(Wire.PATIENCE_S, TimeUnit.SECONDS);
         } finally {
@@ -47,12 +47,12 @@
         }
     }
 
-    private static void look(EventLoop loop, Callable<Boolean> reached, CompletableFuture<Void> done) {
+    private static void poll(EventLoop loop, Callable<Boolean> reached, CompletableFuture<Void> done) {
         try {
             if (reached.call()) {
                 done.complete(null);
             } else if (!done.isDone()) {
-                loop.after(1, () -> look(loop, reached, done));
+                loop.after(1, () -> poll(loop, reached, done));
             }
         } catch (Exception | AssertionError e) {
             done.completeExceptionally(e);
--- a/transport/src/test/java/dewplank/exchange/PathRouterTest.java
+++ b/transport/src/test/java/dewplank/exchange/PathRouterTest.java
@@ -8,6 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Which handler a path and a method lead to. */
 class PathRouterTest {
     private final PathRouter<String> tree = new PathRouter<>();
 
@@ -17,7 +18,7 @@
     }
 
     @Test
-    void findsByPathAndMethod() {
+    void aHandlerIsFoundByPathAndMethod() {
         assertEquals("read", tree.find("GET", "/configuration?x=1").handler());
         assertEquals("change", tree.find("PUT", "/configuration/").handler());
         PathRouter.Match<String> one = tree.find("GET", "/servers/i-1");
@@ -26,7 +27,7 @@
     }
 
     @Test
-    void tellsAWrongMethodFromAWrongPath() {
+    void aWrongMethodIsDistinguishedFromAWrongPath() {
         PathRouter.Match<String> method = tree.find("DELETE", "/configuration");
         assertNull(method.handler());
         assertTrue(method.pathExists());
--- a/transport/src/test/java/dewplank/exchange/ScriptedServer.java
+++ b/transport/src/test/java/dewplank/exchange/ScriptedServer.java
@@ -25,7 +25,7 @@
     private final BlockingQueue<Wire> accepted = new LinkedBlockingQueue<>();
     private final boolean reads;
     private final CountDownLatch open = new CountDownLatch(1);
-    private final List<Socket> crowd = new ArrayList<>();
+    private final List<Socket> backlogFillers = new ArrayList<>();
     private final List<Wire> wires = new ArrayList<>();
     private final Thread accepting;
 
@@ -71,20 +71,20 @@
         return server;
     }
 
-    /** Connections to it do not come up before {@link #letIn}, and then at the system's next try. */
+    /** Connections to it are not established before {@link #letIn}, and then at the system's next retry. */
     public static ScriptedServer late(BlockingQueue<Call> calls) throws IOException {
         ScriptedServer server = new ScriptedServer(calls, true, 1);
-        for (int i = 0; i < 2; i++) { // the system's queue holds one more than asked for
-            server.crowd.add(new Socket(
+        for (int i = 0; i < 2; i++) { // the backlog of the system is one more than its argument
+            server.backlogFillers.add(new Socket(
                     InetAddress.getLoopbackAddress(), server.address().getPort()));
         }
         return server;
     }
 
-    /** From now on connections to a late server come up. */
+    /** From now on connections to a late server are established. */
     public void letIn() throws IOException {
-        for (Socket s : crowd) {
-            s.close();
+        for (Socket filler : backlogFillers) {
+            filler.close();
         }
         open.countDown();
     }
@@ -188,8 +188,8 @@
                 wire.close();
             }
         }
-        for (Socket s : crowd) {
-            s.close();
+        for (Socket filler : backlogFillers) {
+            filler.close();
         }
     }
 }
--- a/transport/src/test/java/dewplank/exchange/Wire.java
+++ b/transport/src/test/java/dewplank/exchange/Wire.java
@@ -8,19 +8,20 @@
 import java.io.InputStream;
 import java.net.InetSocketAddress;
 import java.net.Socket;
+import java.net.SocketTimeoutException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
-/** A peer's end of a connection, with a plain socket: what is sent and when is the test's to say. */
+/** A peer's end of a connection, with a plain socket: the test decides what is sent and when. */
 public final class Wire implements Closeable {
     /** Only a failing test waits so long. */
     public static final int PATIENCE_S = 5;
 
     private final Socket socket;
-    private final InputStream in;
+    private final InputStream input;
     private final CountDownLatch ended = new CountDownLatch(1);
 
     /** A message: its first line, its fields and its complete body. */
@@ -35,10 +36,10 @@
             return null;
         }
 
-        /** How often the field stands there. */
+        /** How many fields have that name. */
         public long count(String name) {
             return fields.stream()
-                    .filter(f -> f.regionMatches(true, 0, name + ":", 0, name.length() + 1))
+                    .filter(field -> field.regionMatches(true, 0, name + ":", 0, name.length() + 1))
                     .count();
         }
 
@@ -62,7 +63,7 @@
         this.socket = socket;
         socket.setSoTimeout(PATIENCE_S * 1000);
         socket.setTcpNoDelay(true);
-        in = new BufferedInputStream(socket.getInputStream());
+        input = new BufferedInputStream(socket.getInputStream());
     }
 
     /** A connection to that address. */
@@ -99,7 +100,7 @@
         String length = head.header("Content-Length");
         ByteArrayOutputStream body = new ByteArrayOutputStream();
         if (length != null) {
-            byte[] bytes = in.readNBytes(Integer.parseInt(length));
+            byte[] bytes = input.readNBytes(Integer.parseInt(length));
             if (bytes.length < Integer.parseInt(length)) {
                 throw new EOFException("the body is cut off");
             }
@@ -135,7 +136,7 @@
             throw new EOFException("the body is cut off");
         }
         int length = Integer.parseInt(size, 16);
-        byte[] bytes = in.readNBytes(length);
+        byte[] bytes = input.readNBytes(length);
         if (bytes.length < length || !"".equals(readLine())) {
             throw new EOFException("a chunk is cut off");
         }
@@ -144,40 +145,40 @@
 
     private String readLine() throws IOException {
         StringBuilder line = new StringBuilder();
-        for (int b = in.read(); b != '\n'; b = in.read()) {
-            if (b < 0) {
+        for (int next = input.read(); next != '\n'; next = input.read()) {
+            if (next < 0) {
                 if (line.length() > 0) {
                     throw new EOFException("a line is cut off: " + line);
                 }
                 return null;
             }
-            if (b != '\r') {
-                line.append((char) b);
+            if (next != '\r') {
+                line.append((char) next);
             }
         }
         return line.toString();
     }
 
-    /** Whether bytes have come that were not read yet. */
+    /** Whether bytes were received and not read yet. */
     public boolean hasBytes() throws IOException {
-        return in.available() > 0;
+        return input.available() > 0;
     }
 
     /** The next so many bytes, whatever they are. */
     public String readBytes(int count) throws IOException {
-        byte[] bytes = in.readNBytes(count);
+        byte[] bytes = input.readNBytes(count);
         if (bytes.length < count) {
             throw new EOFException("cut off after " + bytes.length + " bytes");
         }
         return new String(bytes, StandardCharsets.ISO_8859_1);
     }
 
-    /** All that comes until the other side ends or breaks the connection. */
+    /** All bytes until the other side ends or breaks the connection. */
     public String readToEnd() throws IOException {
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         try {
-            in.transferTo(all);
-        } catch (java.net.SocketTimeoutException e) {
+            input.transferTo(all);
+        } catch (SocketTimeoutException e) {
             throw e;
         } catch (IOException e) {
             // a reset is an end too
@@ -202,7 +203,7 @@
         return ended.getCount() == 0;
     }
 
-    /** Says that nothing more will be sent, and goes on reading. */
+    /** Ends the output; the input stays open. */
     public void endOutput() throws IOException {
         socket.shutdownOutput();
     }
--- a/transport/src/test/java/dewplank/net/ConnectionTest.java
+++ b/transport/src/test/java/dewplank/net/ConnectionTest.java
@@ -29,7 +29,7 @@
     @Test
     void bytesReadDuringAHandlerDoNotMixWithUnreadOnes() throws Exception {
         EventLoop loop = new EventLoop();
-        BlockingQueue<String> seen = new LinkedBlockingQueue<>();
+        BlockingQueue<String> received = new LinkedBlockingQueue<>();
         try (ServerSocket listener = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
                 AsynchronousSocketChannel channel = AsynchronousSocketChannel.open(loop.group())) {
             channel.connect(listener.getLocalSocketAddress()).get();
@@ -40,7 +40,7 @@
                 @Override
                 public void received(ByteBuffer bytes) {
                     if (++calls == 1) { // the bytes stay unread, and a read is pending behind them
-                        seen.add("left");
+                        received.add("left");
                         return;
                     }
                     if (calls == 2) {
@@ -49,11 +49,11 @@
                     }
                     byte[] taken = new byte[bytes.remaining()];
                     bytes.get(taken);
-                    seen.add(new String(taken, StandardCharsets.US_ASCII));
+                    received.add(new String(taken, StandardCharsets.US_ASCII));
                 }
 
                 @Override
-                public void closed(IOException why) {}
+                public void closed(IOException cause) {}
             };
             CompletableFuture<Connection> connection = new CompletableFuture<>();
             loop.execute(() -> {
@@ -66,24 +66,28 @@
             });
             connection.get();
             send(peer, "first");
-            assertEquals("left", seen.poll(PATIENCE_S, TimeUnit.SECONDS));
+            assertEquals("left", received.poll(PATIENCE_S, TimeUnit.SECONDS));
             loop.execute(connection.join()::resume);
-            assertEquals("first", seen.poll(PATIENCE_S, TimeUnit.SECONDS));
-            assertEquals("second", seen.poll(PATIENCE_S, TimeUnit.SECONDS));
+            assertEquals("first", received.poll(PATIENCE_S, TimeUnit.SECONDS));
+            assertEquals("second", received.poll(PATIENCE_S, TimeUnit.SECONDS));
             peer.close();
         } finally {
             loop.stop();
         }
     }
 
-    /** The failure is reported to the callback: an exception would leave the attempt open for good. */
+    /** The failure is reported to the callback: an exception would leave the attempt open. */
     @Test
     void anUnresolvedAddressFails() throws Exception {
         EventLoop loop = new EventLoop();
         try {
             CompletableFuture<IOException> failure = new CompletableFuture<>();
             loop.execute(() -> Connection.open(
-                    loop, InetSocketAddress.createUnresolved("nowhere.invalid", 1), null, up -> {}, failure::complete));
+                    loop,
+                    InetSocketAddress.createUnresolved("nowhere.invalid", 1),
+                    null,
+                    established -> {},
+                    failure::complete));
             assertTrue(failure.get(PATIENCE_S, TimeUnit.SECONDS).getMessage().contains("Unresolved"));
         } finally {
             loop.stop();
--- a/transport/src/test/java/dewplank/net/EventLoopTest.java
+++ b/transport/src/test/java/dewplank/net/EventLoopTest.java
@@ -21,36 +21,36 @@
     private final Set<String> threads = ConcurrentHashMap.newKeySet();
     private final CountDownLatch ends = new CountDownLatch(2);
 
-    private void mark() {
+    private void recordThread() {
         threads.add(Thread.currentThread().getName());
     }
 
-    /** Echoes what comes; says goodbye at the tenth round. */
+    /** Echoes what it receives, and closes the connection at the tenth round. */
     private final class Echo implements Listener.Accepted {
         private Connection connection;
         private int rounds;
 
         @Override
         public void accepted(Connection accepted) {
-            mark();
+            recordThread();
             connection = accepted;
         }
 
         @Override
         public void received(ByteBuffer bytes) {
-            mark();
+            recordThread();
             ByteBuffer copy = ByteBuffer.allocate(bytes.remaining()).put(bytes).flip();
             if (++rounds == 10) {
                 connection.close();
                 ends.countDown();
             } else {
-                connection.write(copy, EventLoopTest.this::mark);
+                connection.write(copy, EventLoopTest.this::recordThread);
             }
         }
 
         @Override
-        public void closed(IOException why) {
-            mark();
+        public void closed(IOException cause) {
+            recordThread();
             ends.countDown();
         }
     }
@@ -64,7 +64,7 @@
         loop.execute(() -> {
             listener.accept();
             loop.after(1, () -> {
-                mark();
+                recordThread();
                 open(loop, listener, client);
             });
         });
@@ -94,11 +94,11 @@
                     loop,
                     (InetSocketAddress) listener.address(),
                     client,
-                    up -> {
-                        client.accepted(up);
-                        up.write(ByteBuffer.wrap(new byte[] {1}), this::mark);
+                    established -> {
+                        client.accepted(established);
+                        established.write(ByteBuffer.wrap(new byte[] {1}), this::recordThread);
                     },
-                    e -> {});
+                    failure -> {});
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
--- a/transport/src/test/java/dewplank/net/TimerWheelTest.java
+++ b/transport/src/test/java/dewplank/net/TimerWheelTest.java
@@ -35,8 +35,8 @@
     }
 
     /**
-     * Found in a day's log: after a pause, a call's time-out and its request's last resort fell due together;
-     * the first led to the final answer and cancelled the second, which ran all the same and answered again.
+     * After a pause a call's time-out and its request's last resort are due together;
+     * the first leads to the final answer and cancels the second, which must not answer once more.
      */
     @Test
     void aTimerCancelledByOneDueInTheSameRunStaysCancelled() {
