--- a/sidecar/src/test/java/dewplank/discovery/CatalogWatchTest.java
+++ b/sidecar/src/test/java/dewplank/discovery/CatalogWatchTest.java
@@ -1,7 +1,7 @@
 package dewplank.discovery;
 
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dewplank.net.EventLoop;
 import java.net.InetAddress;
@@ -11,22 +11,22 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
-import org.junit.Test;
+import org.junit.jupiter.api.Test;
 
-public class CatalogWatchTest {
+class CatalogWatchTest {
 
     /**
      * Found on a day of discovery troubles: 5 s of a silent watch during a release of the servers. A line is due every
      * 2 s, and what discovery has to tell counts as told 4 s after a move.
      */
     @Test
-    public void theIdleTimeoutLeavesTimeForAnotherWatch() {
+    void theIdleTimeoutLeavesTimeForAnotherWatch() {
         assertTrue(CatalogWatch.IDLE_TIMEOUT_MS > 2_000 && CatalogWatch.IDLE_TIMEOUT_MS < 4_000);
     }
 
     /** A discovery that is cut off keeps the connection open and says nothing; TCP does not notice. */
     @Test
-    public void aSilentDiscoveryEndsTheWatchAndItsConnection() throws Exception {
+    void aSilentDiscoveryEndsTheWatchAndItsConnection() throws Exception {
         BlockingQueue<String> ends = new LinkedBlockingQueue<>();
         EventLoop loop = new EventLoop();
         try (ServerSocket silent = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
@@ -44,7 +44,7 @@
             assertEquals("idle timeout after 20 ms", ends.take());
             try (Socket given = silent.accept()) {
                 String call = new String(given.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
-                assertTrue(call, call.startsWith("GET /catalog/members?stream=1&index=3 HTTP/1.1\r\n"));
+                assertTrue(call.startsWith("GET /catalog/members?stream=1&index=3 HTTP/1.1\r\n"), call);
             }
         }
         loop.stop();
--- a/sidecar/src/test/java/dewplank/peers/PeerChannelTest.java
+++ b/sidecar/src/test/java/dewplank/peers/PeerChannelTest.java
@@ -1,10 +1,10 @@
 package dewplank.peers;
 
-import static org.junit.Assert.assertArrayEquals;
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertNull;
-import static org.junit.Assert.assertThrows;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dewplank.net.EventLoop;
 import dewplank.settings.InvalidInputException;
@@ -19,12 +19,12 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import org.junit.After;
-import org.junit.Before;
-import org.junit.Test;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
 
 /** One sidecar's datagrams, between two scripted peers and a stranger. */
-public class PeerChannelTest {
+class PeerChannelTest {
     private static final int TIMEOUT_S = 20;
 
     private record Said(int peer, byte[] bytes) {}
@@ -50,8 +50,8 @@
         return (InetSocketAddress) socket.getLocalSocketAddress();
     }
 
-    @Before
-    public void open() throws Exception {
+    @BeforeEach
+    void open() throws Exception {
         loop = new EventLoop();
         peers = peers(null);
         peers.start();
@@ -67,8 +67,8 @@
                 (peer, bytes) -> heard.add(new Said(peer, bytes)));
     }
 
-    @After
-    public void close() {
+    @AfterEach
+    void close() {
         peers.close();
         loop.stop();
         List.of(one, two, stranger).forEach(DatagramSocket::close);
@@ -86,12 +86,12 @@
 
     private Said nextHeard() throws Exception {
         Said said = heard.poll(TIMEOUT_S, TimeUnit.SECONDS);
-        assertTrue("nothing was heard", said != null);
+        assertTrue(said != null, "nothing was heard");
         return said;
     }
 
     @Test
-    public void onlyDatagramsOfPeersAreDelivered() throws Exception {
+    void onlyDatagramsOfPeersAreDelivered() throws Exception {
         send(stranger, (byte) 1, (byte) 9);
         send(one, (byte) 2, (byte) 9); // not readable
         send(one, new byte[0]);
@@ -107,7 +107,7 @@
     }
 
     @Test
-    public void aBroadcastReachesEachPeerButItself() throws Exception {
+    void aBroadcastReachesEachPeerButItself() throws Exception {
         loop.execute(() -> peers.broadcast(new byte[] {1, 5}));
         assertArrayEquals(new byte[] {1, 5}, next(one));
         assertArrayEquals(new byte[] {1, 5}, next(two));
@@ -120,7 +120,7 @@
 
     /** A flood from a peer that went wrong neither fills the memory nor ends the hearing. */
     @Test
-    public void datagramsBeyondTheBoundAreDropped() throws Exception {
+    void datagramsBeyondTheBoundAreDropped() throws Exception {
         CountDownLatch busy = new CountDownLatch(1);
         loop.execute(() -> {
             try {
@@ -148,7 +148,7 @@
     }
 
     @Test
-    public void anAddressInUseIsNamed() throws Exception {
+    void anAddressInUseIsNamed() throws Exception {
         PeerAddresses taken = new PeerAddresses(at(one), List.of(), null);
         assertTrue(assertThrows(
                         InvalidInputException.class, () -> new PeerChannel(loop, taken, 0, b -> true, (p, b) -> {}))
--- a/sidecar/src/test/java/dewplank/sidecar/AttemptWriteTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/AttemptWriteTest.java
@@ -1,10 +1,10 @@
 package dewplank.sidecar;
 
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertNotSame;
-import static org.junit.Assert.assertNull;
-import static org.junit.Assert.assertSame;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotSame;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertSame;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dewplank.balancer.Event.AttemptEnded;
 import dewplank.balancer.Event.RequestAbandoned;
@@ -26,13 +26,13 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.function.UnaryOperator;
-import org.junit.Test;
+import org.junit.jupiter.api.Test;
 
 /** What may change between the decision to send and the writing: each crossing in the order that does harm. */
-public class AttemptWriteTest {
+class AttemptWriteTest {
     /** Found on a zone day: a connection took long to come up, and the repeat was written past the window. */
     @Test
-    public void aRepeatIsNotWrittenOnceItsWindowIsOver() throws Exception {
+    void aRepeatIsNotWrittenOnceItsWindowIsOver() throws Exception {
         BalancerEventLatch listed = BalancerEventLatch.forUpdateOf("late");
         UnaryOperator<String> keyed = s -> LoopbackNetwork.NO_CONNECT_TIMEOUT
                 .apply(s)
@@ -59,7 +59,7 @@
 
     /** The time that it may take to come up can be longer than the grace period after a drain was announced. */
     @Test
-    public void aServerThatDrainsWhileConnectingGetsNoRequest() throws Exception {
+    void aServerThatDrainsWhileConnectingGetsNoRequest() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(0, LoopbackNetwork.NO_CONNECT_TIMEOUT, m -> m);
                 ScriptedPeer late = ScriptedPeer.withDelayedAccept()) {
             ReceivedRequest watch = listOf(net, late);
@@ -78,7 +78,7 @@
 
     /** Where nothing may be cancelled as well: what was never written is not an attempt yet. */
     @Test
-    public void aClientThatDisconnectsWhileConnectingIsNotForwarded() throws Exception {
+    void aClientThatDisconnectsWhileConnectingIsNotForwarded() throws Exception {
         BalancerEventLatch abandoned = new BalancerEventLatch(e -> e instanceof RequestAbandoned);
         UnaryOperator<String> fixed =
                 s -> LoopbackNetwork.NO_CONNECT_TIMEOUT.apply(s).replace("\"Cancelling\":true", "\"Cancelling\":false");
@@ -98,7 +98,7 @@
 
     /** Nothing was written, so nothing ran: the client may try again, and an order too. */
     @Test
-    public void aTimeoutBeforeTheConnectionIsUpIsRejected() throws Exception {
+    void aTimeoutBeforeTheConnectionIsUpIsRejected() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(0, LoopbackNetwork.NO_CONNECT_TIMEOUT, m -> m);
                 ScriptedPeer late = ScriptedPeer.withDelayedAccept()) {
             listOf(net, late);
@@ -114,7 +114,7 @@
      * it is after some twenty completions in one task, from where on they wait in line.
      */
     @Test
-    public void aResetSeenBeforeTheWritesCompletionProvesNothing() throws Exception {
+    void aResetSeenBeforeTheWritesCompletionProvesNothing() throws Exception {
         BlockingQueue<Outcome> ends = new LinkedBlockingQueue<>();
         EventLoop loop = new EventLoop();
         try (ScriptedPeer server = new ScriptedPeer()) {
@@ -146,7 +146,7 @@
 
     /** A server begins a request with its last byte: what it says before that answers something else. */
     @Test
-    public void aResponseBeforeTheRequestIsWrittenIsNotItsResponse() throws Exception {
+    void aResponseBeforeTheRequestIsWrittenIsNotItsResponse() throws Exception {
         BlockingQueue<Outcome> ends = new LinkedBlockingQueue<>();
         EventLoop loop = new EventLoop();
         try (ScriptedPeer server = new ScriptedPeer()) {
@@ -167,7 +167,7 @@
 
     /** Between two sweeps a connection may get older than the server lets it: it is not used again. */
     @Test
-    public void aConnectionThatTheServerIsAboutToCloseIsNotReused() throws Exception {
+    void aConnectionThatTheServerIsAboutToCloseIsNotReused() throws Exception {
         try (LoopbackNetwork net =
                 new LoopbackNetwork(1, s -> s.replace("\"IdleClose\":60000", "\"IdleClose\":50"), m -> m)) {
             Client client = net.client();
@@ -188,7 +188,7 @@
 
     /** Seen on a join day: some servers answer twice, the second time some milliseconds later. */
     @Test
-    public void aConnectionIsNotReusedUntilADuplicateResponseWouldHaveCome() throws Exception {
+    void aConnectionIsNotReusedUntilADuplicateResponseWouldHaveCome() throws Exception {
         EventLoop loop = new EventLoop();
         try (ScriptedPeer server = new ScriptedPeer()) {
             CompletableFuture<Connection> up = new CompletableFuture<>();
@@ -245,12 +245,12 @@
                 new Socket(late.address().getAddress(), late.address().getPort())) {
             mark.getOutputStream().write("GET /mark HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
             String first = late.nextRequest().message();
-            assertTrue(first, first.startsWith("GET /mark "));
+            assertTrue(first.startsWith("GET /mark "), first);
         }
     }
 
     private static void assertStatus(String status, String answer) {
-        assertEquals(answer, "HTTP/1.1 " + status, answer.substring(0, Math.min(12, answer.length())));
+        assertEquals("HTTP/1.1 " + status, answer.substring(0, Math.min(12, answer.length())), answer);
     }
 
     private static final class Ignored implements Connection.Handler {
--- a/sidecar/src/test/java/dewplank/sidecar/ClientDisconnectTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/ClientDisconnectTest.java
@@ -1,7 +1,7 @@
 package dewplank.sidecar;
 
-import static org.junit.Assert.assertNull;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dewplank.balancer.Balancer;
 import dewplank.balancer.Event.AttemptEnded;
@@ -15,13 +15,13 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.UnaryOperator;
-import org.junit.Test;
+import org.junit.jupiter.api.Test;
 
 /** Clients that disconnect, and connections that close while bytes arrive on them. */
-public class ClientDisconnectTest {
+class ClientDisconnectTest {
     /** Its end waits right behind its request, and is read first: the loop is blocked until both have come. */
     @Test
-    public void aRequestWhoseClientDisconnectsBeforeItIsReadIsNotForwarded() throws Exception {
+    void aRequestWhoseClientDisconnectsBeforeItIsReadIsNotForwarded() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client before = net.client();
             before.sendRequest("menu-read");
@@ -38,7 +38,7 @@
             Client stays = net.client();
             stays.send(Client.request("menu-read", "Content-Length: 4\r\n") + "mark");
             ReceivedRequest first = net.servers.get(0).next();
-            assertTrue(first.message(), first.message().endsWith("\r\n\r\nmark"));
+            assertTrue(first.message().endsWith("\r\n\r\nmark"), first.message());
             first.respond("200 OK", "");
             assertTrue(stays.read().startsWith("HTTP/1.1 200"));
         }
@@ -46,7 +46,7 @@
 
     /** Queued for lack of a server: the list with one comes after the client has disconnected. */
     @Test
-    public void aClientThatDisconnectsWhileItsRequestIsQueuedIsNotForwarded() throws Exception {
+    void aClientThatDisconnectsWhileItsRequestIsQueuedIsNotForwarded() throws Exception {
         BalancerEventLatch abandoned = new BalancerEventLatch(e -> e instanceof RequestAbandoned);
         try (LoopbackNetwork net = new LoopbackNetwork(0, s -> s, abandoned);
                 ScriptedPeer server = new ScriptedPeer()) {
@@ -62,14 +62,14 @@
             BalancerEventLatch.awaitHealthStatus(stays, "200");
             stays.send(Client.request("menu-read", "Content-Length: 4\r\n") + "mark");
             ReceivedRequest first = server.nextRequest();
-            assertTrue(first.message(), first.message().endsWith("\r\n\r\nmark"));
+            assertTrue(first.message().endsWith("\r\n\r\nmark"), first.message());
             assertTrue(server.hasNoRequest());
         }
     }
 
     /** More than a buffer's fill was sent ahead: the end behind it is seen all the same. */
     @Test
-    public void aClientThatDisconnectsBehindUnreadBytesIsNotForwarded() throws Exception {
+    void aClientThatDisconnectsBehindUnreadBytesIsNotForwarded() throws Exception {
         BalancerEventLatch abandoned = new BalancerEventLatch(e -> e instanceof RequestAbandoned);
         try (LoopbackNetwork net = new LoopbackNetwork(0, LoopbackNetwork.NO_CONNECT_TIMEOUT, abandoned);
                 ScriptedPeer late = ScriptedPeer.withDelayedAccept()) {
@@ -84,7 +84,7 @@
 
     /** Who sends without end can't be seen to leave: that one gets an error, and its request goes nowhere. */
     @Test
-    public void tooManyBytesAheadOfAResponseEndTheirRequest() throws Exception {
+    void tooManyBytesAheadOfAResponseEndTheirRequest() throws Exception {
         BalancerEventLatch abandoned = new BalancerEventLatch(e -> e instanceof RequestAbandoned);
         try (LoopbackNetwork net = new LoopbackNetwork(0, LoopbackNetwork.NO_CONNECT_TIMEOUT, abandoned);
                 ScriptedPeer late = ScriptedPeer.withDelayedAccept()) {
@@ -92,7 +92,7 @@
             client.send("x".repeat(400_000));
             abandoned.await();
             String answer = client.read();
-            assertTrue(answer, answer.startsWith("HTTP/1.1 400") && answer.contains("too much was sent ahead"));
+            assertTrue(answer.startsWith("HTTP/1.1 400") && answer.contains("too much was sent ahead"), answer);
             assertNull(client.read());
             late.startAccepting();
             assertNoRequestCame(late);
@@ -101,7 +101,7 @@
 
     /** One that only ends its sending can't be told from one that has closed, and counts as that. */
     @Test
-    public void aHalfClosedClientCountsAsDisconnected() throws Exception {
+    void aHalfClosedClientCountsAsDisconnected() throws Exception {
         BalancerEventLatch abandoned = new BalancerEventLatch(e -> e instanceof RequestAbandoned);
         try (LoopbackNetwork net = new LoopbackNetwork(0, LoopbackNetwork.NO_CONNECT_TIMEOUT, abandoned);
                 ScriptedPeer late = ScriptedPeer.withDelayedAccept()) {
@@ -116,7 +116,7 @@
 
     /** The process's end would reset a connection on which bytes have come, and an answer on its way with it. */
     @Test
-    public void aDrainingSidecarEndsNoSoonerThanItsClientsHaveClosed() throws Exception {
+    void aDrainingSidecarEndsNoSoonerThanItsClientsHaveClosed() throws Exception {
         AtomicBoolean closed = new AtomicBoolean();
         CompletableFuture<Client> clients = new CompletableFuture<>();
         CompletableFuture<LoopbackNetwork> nets = new CompletableFuture<>();
@@ -151,7 +151,7 @@
             }
             call.respond("200 OK", "");
             String answer = client.read();
-            assertTrue(answer, answer.startsWith("HTTP/1.1 200") && answer.contains("Connection: close"));
+            assertTrue(answer.startsWith("HTTP/1.1 200") && answer.contains("Connection: close"), answer);
             assertNull(client.read());
             assertTrue(ended.get(20, TimeUnit.SECONDS));
         }
@@ -173,6 +173,6 @@
         Client mark = new Client(late.address().getPort());
         mark.send("GET /mark HTTP/1.1\r\n\r\n");
         String first = late.nextRequest().message();
-        assertTrue(first, first.startsWith("GET /mark "));
+        assertTrue(first.startsWith("GET /mark "), first);
     }
 }
--- a/sidecar/src/test/java/dewplank/sidecar/ConnectionCloseTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/ConnectionCloseTest.java
@@ -1,9 +1,9 @@
 package dewplank.sidecar;
 
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertNull;
-import static org.junit.Assert.assertThrows;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dewplank.balancer.Outcome;
 import dewplank.exchange.ConnectionPool;
@@ -19,15 +19,15 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
-import org.junit.Test;
+import org.junit.jupiter.api.Test;
 
 /** Requests that meet their connection's end, and attempts on which two endings meet: each order is brought about. */
-public class ConnectionCloseTest {
+class ConnectionCloseTest {
     private static final int TIMEOUT_S = 20;
 
     /** The request lies unread when its idle connection is closed: no reset, and it is not forwarded either. */
     @Test
-    public void aRequestThatCrossesItsConnectionsCloseIsNotForwarded() throws Exception {
+    void aRequestThatCrossesItsConnectionsCloseIsNotForwarded() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = resting(net);
             BalancerEventLatch.callOnLoop(net, () -> {
@@ -41,7 +41,7 @@
     }
 
     @Test
-    public void aRequestThatWasReadBeforeItsConnectionsCloseGetsItsResponse() throws Exception {
+    void aRequestThatWasReadBeforeItsConnectionsCloseGetsItsResponse() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = resting(net);
             client.sendRequest("menu-read");
@@ -56,7 +56,7 @@
     }
 
     @Test
-    public void aHalfReadRequestIsAwaitedAndThenDropped() throws Exception {
+    void aHalfReadRequestIsAwaitedAndThenDropped() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client first = halfRead(net, 1);
             Client second = halfRead(net, 2);
@@ -66,7 +66,7 @@
             });
             first.send("cd");
             ReceivedRequest call = net.servers.get(0).nextRequest();
-            assertTrue(call.message(), call.message().endsWith("\r\n\r\nabcd"));
+            assertTrue(call.message().endsWith("\r\n\r\nabcd"), call.message());
             call.respond("200 OK", "whole");
             assertTrue(first.read().endsWith("\r\n\r\nwhole"));
             BalancerEventLatch.callOnLoop(net, () -> {
@@ -81,7 +81,7 @@
 
     /** The loop is blocked until both have happened: whichever is handled first is the only outcome. */
     @Test
-    public void aTimeoutAndAResponseThatMeetAreOneOutcome() throws Exception {
+    void aTimeoutAndAResponseThatMeetAreOneOutcome() throws Exception {
         BlockingQueue<Outcome> ends = new LinkedBlockingQueue<>();
         EventLoop loop = new EventLoop();
         try (ScriptedPeer server = new ScriptedPeer()) {
@@ -105,8 +105,8 @@
             Outcome outcome = ends.poll(TIMEOUT_S, TimeUnit.SECONDS);
             int pooledCount = pooled.poll(TIMEOUT_S, TimeUnit.SECONDS);
             assertTrue(
-                    outcome + " and " + pooledCount + " pooled",
-                    outcome == Outcome.SERVED && pooledCount == 1 || outcome == Outcome.TIMED_OUT && pooledCount == 0);
+                    outcome == Outcome.SERVED && pooledCount == 1 || outcome == Outcome.TIMED_OUT && pooledCount == 0,
+                    outcome + " and " + pooledCount + " pooled");
             assertTrue(ends.isEmpty());
         } finally {
             loop.stop();
@@ -115,7 +115,7 @@
 
     /** Without a length only the connection's end can end it, and a reset is none. */
     @Test
-    public void aResponseWithoutALengthIsCompleteAtACloseAndNotAtAReset() throws Exception {
+    void aResponseWithoutALengthIsCompleteAtACloseAndNotAtAReset() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = net.client();
             client.sendRequest("order-place");
@@ -132,7 +132,7 @@
     }
 
     @Test
-    public void aResponseThatNeverEndsFailsItsAttemptAndItsConnection() throws Exception {
+    void aResponseThatNeverEndsFailsItsAttemptAndItsConnection() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = net.client();
             client.sendRequest("order-place");
@@ -149,7 +149,7 @@
 
     /** Nothing of a request is retained however it ends: served, failed, rejected, abandoned, malformed, overdue. */
     @Test
-    public void nothingIsRetainedHoweverARequestEnds() throws Exception {
+    void nothingIsRetainedHoweverARequestEnds() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             ScriptedPeer server = net.servers.get(0);
             Client served = net.client();
@@ -229,7 +229,7 @@
         Client client = net.client();
         client.send(Client.request("menu-read", "Content-Length: " + body.length() + "\r\n") + body);
         ReceivedRequest next = net.servers.get(0).nextRequest();
-        assertTrue(next.message(), next.message().endsWith("\r\n\r\n" + body));
+        assertTrue(next.message().endsWith("\r\n\r\n" + body), next.message());
         next.respond("200 OK", "");
         assertEquals("HTTP/1.1 200", client.read().substring(0, 12));
     }
--- a/sidecar/src/test/java/dewplank/sidecar/DiscoveryClientTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/DiscoveryClientTest.java
@@ -1,9 +1,9 @@
 package dewplank.sidecar;
 
-import static org.junit.Assert.assertFalse;
-import static org.junit.Assert.assertNotNull;
-import static org.junit.Assert.assertThrows;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dewplank.balancer.Action;
 import dewplank.balancer.Action.Subscribe;
@@ -25,18 +25,18 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.function.UnaryOperator;
-import org.junit.Test;
+import org.junit.jupiter.api.Test;
 
 /** Lists of discovery that come late, twice, in chunks, or from two addresses at once. */
-public class DiscoveryClientTest {
+class DiscoveryClientTest {
     private static final UnaryOperator<String> PUSHED = settings -> settings.replace("\"on_request\"", "\"pushed\"");
 
     /** Found on the days of a deployment whose lists are pushed: no watch was ever opened, and drains were missed. */
     @Test
-    public void whereListsArePushedTheWatchIsReopenedAtOnce() throws Exception {
+    void whereListsArePushedTheWatchIsReopenedAtOnce() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1, PUSHED, m -> m)) {
             ReceivedRequest watch = net.discovery.next();
-            assertTrue(watch.message(), watch.message().startsWith("GET /catalog/members?stream=1&index=7 "));
+            assertTrue(watch.message().startsWith("GET /catalog/members?stream=1&index=7 "), watch.message());
             watch.beginWatch();
             watch.sendLine("");
             Client client = net.client();
@@ -52,7 +52,7 @@
 
     /** What the agent has counts as delivered from a process's start: its initial list may be out of date. */
     @Test
-    public void whereListsArePushedNothingIsSentBeforeTheFirst() throws Exception {
+    void whereListsArePushedNothingIsSentBeforeTheFirst() throws Exception {
         BlockingQueue<UpdateKind> updates = new LinkedBlockingQueue<>();
         EventLoop loop = new EventLoop();
         try (ScriptedPeer agent = new ScriptedPeer();
@@ -83,7 +83,7 @@
     }
 
     @Test
-    public void aListMayComeIndentedAndInChunks() throws Exception {
+    void aListMayComeIndentedAndInChunks() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(0)) {
             ReceivedRequest watch = net.beginWatch();
             String list = LoopbackNetwork.catalogJson(
@@ -100,7 +100,7 @@
 
     /** A list that was long on its way, or from a replica that lags, would bring a draining server back. */
     @Test
-    public void anOlderListThatComesLastIsIgnored() throws Exception {
+    void anOlderListThatComesLastIsIgnored() throws Exception {
         BalancerEventLatch last = BalancerEventLatch.forUpdateOf("last");
         try (LoopbackNetwork net = new LoopbackNetwork(1, s -> s, last)) {
             ScriptedPeer server = net.servers.get(0);
@@ -117,7 +117,7 @@
 
     /** Else each break of a quiet watch would be followed by a longer wait, and drains be missed meanwhile. */
     @Test
-    public void anEmptyLineCountsAsAnUpdate() throws Exception {
+    void anEmptyLineCountsAsAnUpdate() throws Exception {
         BalancerEventLatch answered = new BalancerEventLatch(
                 e -> e instanceof EndpointUpdate update && update.kind() == UpdateKind.INCREMENTAL);
         try (LoopbackNetwork net = new LoopbackNetwork(1, s -> s, answered)) {
@@ -129,7 +129,7 @@
 
     /** SIGHUP between a watch's end and the subscribe that follows: that finds a watch open and keeps it. */
     @Test
-    public void aSubscribeDueWhenDiscoveryMovedOpensNoSecondWatch() throws Exception {
+    void aSubscribeDueWhenDiscoveryMovedOpensNoSecondWatch() throws Exception {
         BalancerEventLatch broken =
                 new BalancerEventLatch(e -> e instanceof EndpointUpdate update && update.kind() == UpdateKind.BROKEN);
         BlockingQueue<Action> calls = new LinkedBlockingQueue<>();
@@ -158,7 +158,7 @@
 
     /** The old address's words, on their way when discovery moved, are heard no more. */
     @Test
-    public void aListOfTheOldDiscoveryAfterAMoveIsIgnored() throws Exception {
+    void aListOfTheOldDiscoveryAfterAMoveIsIgnored() throws Exception {
         BalancerEventLatch listed = BalancerEventLatch.forUpdateOf("s1");
         BalancerEventLatch up = new BalancerEventLatch(
                 e -> e instanceof EndpointUpdate update && update.kind() == UpdateKind.INCREMENTAL);
@@ -183,7 +183,7 @@
             Client client = net.client();
             client.send("GET /_health HTTP/1.1\r\n\r\n");
             String answer = client.read();
-            assertTrue(answer, answer.startsWith("HTTP/1.1 200"));
+            assertTrue(answer.startsWith("HTTP/1.1 200"), answer);
             assertThrows(
                     IOException.class,
                     () -> { // and its connection is closed
--- a/sidecar/src/test/java/dewplank/sidecar/LoopbackNetwork.java
+++ b/sidecar/src/test/java/dewplank/sidecar/LoopbackNetwork.java
@@ -1,6 +1,6 @@
 package dewplank.sidecar;
 
-import static org.junit.Assert.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
 
 import dewplank.balancer.Balancer;
 import dewplank.balancer.Settings;
@@ -297,7 +297,7 @@
 
         ReceivedRequest next() throws InterruptedException {
             ReceivedRequest exchange = requests.poll(TIMEOUT_S, TimeUnit.SECONDS);
-            assertNotNull("no request came", exchange);
+            assertNotNull(exchange, "no request came");
             return exchange;
         }
 
--- a/sidecar/src/test/java/dewplank/sidecar/RequestAttributesTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/RequestAttributesTest.java
@@ -1,18 +1,18 @@
 package dewplank.sidecar;
 
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertNull;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dewplank.balancer.Event.RequestArrived;
 import dewplank.sidecar.LoopbackNetwork.Client;
 import dewplank.sidecar.LoopbackNetwork.ReceivedRequest;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
-import org.junit.Test;
+import org.junit.jupiter.api.Test;
 
 /** Found at Sado: on sockets the balancer got neither the tenant nor the key, both null. */
-public class RequestAttributesTest {
+class RequestAttributesTest {
     private static final String TENANTS = "\"Accounts\":[{\"Name\":\"porto\",\"Share\":0.6,\"AllowancePerS\":9},"
             + "{\"Name\":\"praias\",\"Share\":0.4,\"AllowancePerS\":6}]";
 
@@ -31,7 +31,7 @@
             client.send(Client.request("menu-read", fields + "Content-Length: 0\r\n"));
             ReceivedRequest call = net.servers.get(0).next();
             for (String field : fields.split("\r\n")) {
-                assertTrue(call.message(), call.message().contains(field));
+                assertTrue(call.message().contains(field), call.message());
             }
             call.respond("200 OK", "");
             assertTrue(client.read().startsWith("HTTP/1.1 200"));
@@ -40,16 +40,16 @@
     }
 
     @Test
-    public void tenantKeyAndCostReachTheBalancer() throws Exception {
+    void tenantKeyAndCostReachTheBalancer() throws Exception {
         RequestArrived a = arrivedWith(
                 "X-Customer: porto\r\nCookie: session=1; k=7f3a=c2; lang=pt\r\nX-Props: Work=12.5,other=3\r\n");
         assertEquals("porto", a.tenant());
         assertEquals("7f3a=c2", a.key());
-        assertEquals(12.5, a.costMs(), 0);
+        assertEquals(12.5, a.costMs());
     }
 
     @Test
-    public void ambiguousOrInvalidAttributesAreNull() throws Exception {
+    void ambiguousOrInvalidAttributesAreNull() throws Exception {
         String[] strange = {
             "X-Customer: pesca\r\nCookie: kk=1; xk=2\r\nX-Props: Work=NaN\r\n",
             "X-Customer: porto\r\nX-Customer: praias\r\nCookie: k=1\r\nCookie: k=2\r\nX-Props: Work=1,Work=2\r\n",
@@ -59,14 +59,14 @@
         };
         for (String fields : strange) {
             RequestArrived a = arrivedWith(fields);
-            assertNull(fields, a.tenant());
-            assertNull(fields, a.key());
-            assertNull(fields, a.costMs());
+            assertNull(a.tenant(), fields);
+            assertNull(a.key(), fields);
+            assertNull(a.costMs(), fields);
         }
     }
 
     @Test
-    public void theSameKeyTwiceIsThatKey() throws Exception {
+    void theSameKeyTwiceIsThatKey() throws Exception {
         assertEquals("k1", arrivedWith("Cookie: k=k1\r\nCookie: a=b; k=k1\r\n").key());
     }
 }
--- a/sidecar/src/test/java/dewplank/sidecar/SidecarTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/SidecarTest.java
@@ -1,10 +1,10 @@
 package dewplank.sidecar;
 
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertFalse;
-import static org.junit.Assert.assertNull;
-import static org.junit.Assert.assertSame;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertSame;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dewplank.balancer.Action.Reject;
 import dewplank.balancer.Action.Send;
@@ -24,21 +24,21 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.FutureTask;
 import java.util.function.UnaryOperator;
-import org.junit.Test;
+import org.junit.jupiter.api.Test;
 
 /** Stories of the sidecar between scripted peers. */
-public class SidecarTest {
+class SidecarTest {
 
     /** Found on the first calm day: every answered call closed its connection instead of pooling it. */
     @Test
-    public void aServerConnectionCarriesOneRequestAfterAnother() throws Exception {
+    void aServerConnectionCarriesOneRequestAfterAnother() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = net.client();
             client.sendRequest("menu-read");
             ReceivedRequest first = net.servers.get(0).next();
-            assertTrue(first.message(), first.message().startsWith("POST /api?q=1 HTTP/1.1\r\n"));
-            assertTrue(first.message(), first.message().contains("X-Trace-Id: t"));
-            assertTrue(first.message(), first.message().endsWith("\r\n\r\nhi"));
+            assertTrue(first.message().startsWith("POST /api?q=1 HTTP/1.1\r\n"), first.message());
+            assertTrue(first.message().contains("X-Trace-Id: t"), first.message());
+            assertTrue(first.message().endsWith("\r\n\r\nhi"), first.message());
             first.respond("200 OK", "one");
             assertTrue(client.read().endsWith("\r\n\r\none"));
             BalancerEventLatch.awaitConnectionReusable(net);
@@ -52,7 +52,7 @@
 
     /** A request written to a connection that the server closes at that moment ends as a reset. */
     @Test
-    public void anIdleServerConnectionIsClosedBeforeTheServerDoes() throws Exception {
+    void anIdleServerConnectionIsClosedBeforeTheServerDoes() throws Exception {
         try (LoopbackNetwork net =
                 new LoopbackNetwork(1, s -> s.replace("\"IdleClose\":60000", "\"IdleClose\":1"), m -> m)) {
             Client client = net.client();
@@ -67,7 +67,7 @@
 
     /** What may have run is neither sent again nor refused: a refusal tells the client to try again. */
     @Test
-    public void anOrderWhoseServerResetsHasFailed() throws Exception {
+    void anOrderWhoseServerResetsHasFailed() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = net.client();
             client.sendRequest("order-place");
@@ -77,7 +77,7 @@
     }
 
     @Test
-    public void aResponseThatIsNotHttpFailsItsRequestOnly() throws Exception {
+    void aResponseThatIsNotHttpFailsItsRequestOnly() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = net.client();
             client.sendRequest("order-place");
@@ -93,19 +93,19 @@
 
     /** Rejected before it ran, with no other server: a retry is safe, and Retry-After says when. */
     @Test
-    public void anOrderThatTheServerRejectedIsRejected() throws Exception {
+    void anOrderThatTheServerRejectedIsRejected() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = net.client();
             client.sendRequest("order-place");
             net.servers.get(0).next().respond("503 Busy\r\nX-Never-Ran: 1", "");
             String answer = client.read();
             assertStatus("503", answer);
-            assertTrue(answer, answer.contains("\r\nRetry-After: "));
+            assertTrue(answer.contains("\r\nRetry-After: "), answer);
         }
     }
 
     @Test
-    public void anOrderThatNeverRanGoesToAnotherServer() throws Exception {
+    void anOrderThatNeverRanGoesToAnotherServer() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(2)) {
             net.servers.get(1).close(); // refuses connections
             for (int i = 0; i < 8; i++) {
@@ -119,7 +119,7 @@
 
     /** A read stays pending on the client's side, and a cancelled call's connection is closed, not pooled. */
     @Test
-    public void aClientThatDisconnectsCancelsItsAttempt() throws Exception {
+    void aClientThatDisconnectsCancelsItsAttempt() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = net.client();
             client.sendRequest("menu-read");
@@ -131,7 +131,7 @@
     }
 
     @Test
-    public void aRequestSentAheadWaitsForItsTurn() throws Exception {
+    void aRequestSentAheadWaitsForItsTurn() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = net.client();
             String one = Client.request("menu-read", "Content-Length: 1\r\n");
@@ -147,7 +147,7 @@
 
     /** A plain close would reset the connection where the body lies unread, and take the answer with it. */
     @Test
-    public void aMalformedRequestGetsAnErrorAndTheConnectionCloses() throws Exception {
+    void aMalformedRequestGetsAnErrorAndTheConnectionCloses() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             String[][] cases = {
                 {"413", Client.request("menu-read", "Content-Length: 24000000\r\n") + "x".repeat(24_000_000)},
@@ -168,7 +168,7 @@
 
     /** Sent on, the second could run beside the first as its repeat; the servers know a request by its id only. */
     @Test
-    public void theIdOfAnOpenRequestIsRejected() throws Exception {
+    void theIdOfAnOpenRequestIsRejected() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             String order = Client.request("order-place", "");
             Client first = net.client();
@@ -186,13 +186,13 @@
     }
 
     @Test
-    public void theWatchDeliversServersAndResumesFromItsVersion() throws Exception {
+    void theWatchDeliversServersAndResumesFromItsVersion() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(0)) {
             Client client = net.client();
             client.send("GET /_health HTTP/1.1\r\n\r\n");
             assertStatus("503", client.read());
             ReceivedRequest watch = net.discovery.next();
-            assertTrue(watch.message(), watch.message().startsWith("GET /catalog/members?stream=1&index=7 "));
+            assertTrue(watch.message().startsWith("GET /catalog/members?stream=1&index=7 "), watch.message());
             LoopbackNetwork.ScriptedPeer server = new LoopbackNetwork.ScriptedPeer();
             watch.beginWatch();
             watch.sendLine("");
@@ -200,7 +200,7 @@
             watch.reset();
             ReceivedRequest again = net.discovery.next();
             again = again.message() == null ? net.discovery.next() : again;
-            assertTrue(again.message(), again.message().contains("index=9 "));
+            assertTrue(again.message().contains("index=9 "), again.message());
             client.send("GET /_health HTTP/1.1\r\n\r\n");
             assertStatus("200", client.read());
             client.sendRequest("menu-read");
@@ -211,7 +211,7 @@
     }
 
     @Test
-    public void aBalancerThatThrowsFailsThatRequestOnly() throws Exception {
+    void aBalancerThatThrowsFailsThatRequestOnly() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1, settings -> settings, balancer -> (now, event, out) -> {
             if (event instanceof RequestArrived a && a.requestClass().equals("order-place")) {
                 throw new IllegalStateException("on purpose, for the test");
@@ -232,7 +232,7 @@
      * and no others were accepted. On the day of bad clients, silent ones and half requests did the same.
      */
     @Test
-    public void connectionsWithoutRequestsAreClosedForCapacity() throws Exception {
+    void connectionsWithoutRequestsAreClosedForCapacity() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             List<Client> idle = new ArrayList<>();
             for (int i = 0; i <= net.config.maxClientConnections() / ClientConnections.IDLE_CAPACITY_DIVISOR; i++) {
@@ -259,7 +259,7 @@
 
     /** Found on an incident: 128 clients sent one request and kept their connections, and could open no more. */
     @Test
-    public void aboveTheIdleCapacityAResponseIsTheLastOnItsConnection() throws Exception {
+    void aboveTheIdleCapacityAResponseIsTheLastOnItsConnection() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             List<Client> idle = clientsUpToIdleCapacity(net);
             Client more = net.client();
@@ -275,7 +275,7 @@
      * sidecar.
      */
     @Test
-    public void aDrainingSidecarClosesNoConnectionForCapacity() throws Exception {
+    void aDrainingSidecarClosesNoConnectionForCapacity() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             List<Client> idle = clientsUpToIdleCapacity(net);
             Client more = net.client();
@@ -300,7 +300,7 @@
             one.send("GET /_health HTTP/1.1\r\n\r\n");
             String answer = one.read();
             assertStatus("200", answer);
-            assertFalse(answer, answer.contains("Connection: close"));
+            assertFalse(answer.contains("Connection: close"), answer);
             idle.add(one);
         }
         return idle;
@@ -308,7 +308,7 @@
 
     /** Idle connections save their clients the opening of new ones: they stay as long as there is room. */
     @Test
-    public void anIdleClientStaysWhileThereIsCapacity() throws Exception {
+    void anIdleClientStaysWhileThereIsCapacity() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = net.client();
             for (int i = 0; i < 2; i++) {
@@ -328,7 +328,7 @@
 
     /** Silent connections must not keep out one with a request until their 2 s are over. */
     @Test
-    public void silentConnectionsAtTheBoundAreClosedSoon() throws Exception {
+    void silentConnectionsAtTheBoundAreClosedSoon() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             List<Client> silent = new ArrayList<>();
             for (int i = 0; i < net.config.maxClientConnections(); i++) {
@@ -344,7 +344,7 @@
 
     /** Over a long day servers come and go with ever new ids: what is retained for one must go with it. */
     @Test
-    public void theConnectionsToAServerCloseWhenItIsRemoved() throws Exception {
+    void theConnectionsToAServerCloseWhenItIsRemoved() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             ReceivedRequest watch = net.discovery.next();
             LoopbackNetwork.ScriptedPeer server = net.servers.get(0);
@@ -372,7 +372,7 @@
 
     /** A reload moves the watch at once: the old address ends its watches soon, and tells nothing new. */
     @Test
-    public void theWatchFollowsDiscoveryToANewAddress() throws Exception {
+    void theWatchFollowsDiscoveryToANewAddress() throws Exception {
         UnaryOperator<Balancer> neverResubscribes = balancer -> (now, event, out) -> {
             if (!(event instanceof EndpointUpdate update && update.kind() == UpdateKind.BROKEN)) {
                 balancer.handle(now, event, out);
@@ -384,7 +384,7 @@
             old.beginWatch();
             net.sidecar.reload(net.withDiscovery(moved.address()));
             ReceivedRequest watch = moved.next();
-            assertTrue(watch.message(), watch.message().startsWith("GET /catalog/members?stream=1&index=7 "));
+            assertTrue(watch.message().startsWith("GET /catalog/members?stream=1&index=7 "), watch.message());
             assertNull(net.discovery.next().message());
             watch.beginWatch();
             watch.sendLine(LoopbackNetwork.catalogJson(8, true, List.of()));
@@ -395,7 +395,7 @@
 
     /** Found while the other sidecar was down: servers were rested, one and all, for this one's lack of connections. */
     @Test
-    public void anAttemptWithoutAFreeConnectionIsNeverSent() throws Exception {
+    void anAttemptWithoutAFreeConnectionIsNeverSent() throws Exception {
         List<Outcome> outcomes = new CopyOnWriteArrayList<>();
         UnaryOperator<Balancer> sendsAll = balancer -> (now, event, out) -> {
             if (event instanceof RequestArrived a) {
@@ -419,7 +419,7 @@
 
     /** Clients come once the sidecar is well: not before its code is warm. */
     @Test
-    public void untilItsRehearsalEndsTheSidecarIsNotReady() throws Exception {
+    void untilItsRehearsalEndsTheSidecarIsNotReady() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             FutureTask<Boolean> ready = new FutureTask<>(net.sidecar::isReady);
             CompletableFuture<Void> rehearsed = net.sidecar.rehearse();
@@ -440,7 +440,7 @@
 
     /** At a planned restart clients still come for a while. */
     @Test
-    public void aDrainingSidecarServesNewClients() throws Exception {
+    void aDrainingSidecarServesNewClients() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client before = net.client();
             serve(net, before, "one");
@@ -453,7 +453,7 @@
     }
 
     @Test
-    public void aDrainingSidecarEndsWhenAllAcceptedRequestsAreComplete() throws Exception {
+    void aDrainingSidecarEndsWhenAllAcceptedRequestsAreComplete() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = net.client();
             client.sendRequest("menu-read");
@@ -468,7 +468,7 @@
     }
 
     @Test
-    public void aDrainingSidecarClosesAnAcceptedConnectionWithoutARequest() throws Exception {
+    void aDrainingSidecarClosesAnAcceptedConnectionWithoutARequest() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client idle = net.client();
             Client busy = net.client();
@@ -483,7 +483,7 @@
 
     /** The system resets what is in the backlog when the listener closes; the sidecar never saw that connection. */
     @Test
-    public void aConnectionInTheBacklogOfADrainingSidecarGetsNoResponse() throws Exception {
+    void aConnectionInTheBacklogOfADrainingSidecarGetsNoResponse() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             for (int i = 1; i < net.config.maxClientConnections(); i++) {
                 net.client().send("POST"); // half a request: a silent connection would be closed at the bound
@@ -514,7 +514,7 @@
 
     /** What SIGKILL finds unanswered is lost: an order that may have run is failed before that, never refused. */
     @Test
-    public void requestsStillOpenBeforeAKillAreFailed() throws Exception {
+    void requestsStillOpenBeforeAKillAreFailed() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = net.client();
             client.sendRequest("order-place");
@@ -527,7 +527,7 @@
 
     /** By the protocol's figures: 0.7 s after the longest deadline, which counts as 3 s at the most. */
     @Test
-    public void requestsAreAcceptedUntilTheyCouldNotCompleteBeforeAKill() {
+    void requestsAreAcceptedUntilTheyCouldNotCompleteBeforeAKill() {
         assertEquals(new DrainSchedule(2_750, 3_500), DrainSchedule.of(6_000, 750));
         assertEquals(new DrainSchedule(1_300, 1_700), DrainSchedule.of(1_200, 400));
         assertEquals(new DrainSchedule(600, 1_500), DrainSchedule.of(1_000, 2_000));
@@ -553,11 +553,11 @@
     private static void assertLast(Client client, String status) throws IOException {
         String answer = client.read();
         assertStatus(status, answer);
-        assertTrue(answer, answer.contains("Connection: close\r\n"));
+        assertTrue(answer.contains("Connection: close\r\n"), answer);
         assertNull(client.read());
     }
 
     private static void assertStatus(String status, String answer) {
-        assertEquals(answer, "HTTP/1.1 " + status, answer.substring(0, Math.min(12, answer.length())));
+        assertEquals("HTTP/1.1 " + status, answer.substring(0, Math.min(12, answer.length())), answer);
     }
 }
--- a/sidecar/src/test/java/dewplank/sidecar/config/SidecarConfigTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/config/SidecarConfigTest.java
@@ -1,7 +1,7 @@
 package dewplank.sidecar.config;
 
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import dewplank.settings.Fields;
 import dewplank.settings.InvalidInputException;
@@ -11,9 +11,9 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
-import org.junit.Test;
+import org.junit.jupiter.api.Test;
 
-public class SidecarConfigTest {
+class SidecarConfigTest {
 
     private static String complaint(String json) {
         return assertThrows(
@@ -23,7 +23,7 @@
     }
 
     @Test
-    public void theKeyAtFaultIsNamed() {
+    void theKeyAtFaultIsNamed() {
         assertEquals("configuration key name is missing", complaint("{}"));
         assertEquals(
                 "configuration key listen should be an address and a port, such as 10.0.0.4:5000",
@@ -40,7 +40,7 @@
     }
 
     @Test
-    public void settingsOutOfRangeAreNamed() {
+    void settingsOutOfRangeAreNamed() {
         Fields none = new Fields(Json.object("{\"Me\":0,\"ReplicasOfMe\":0}"), "setting ");
         assertEquals(
                 "setting ReplicasOfMe should be a number above 0",
@@ -54,7 +54,7 @@
     }
 
     @Test
-    public void anEnvironmentWithoutAFileIsNamed() {
+    void anEnvironmentWithoutAFileIsNamed() {
         assertEquals(
                 "environment variable GW_CONFIG is missing",
                 assertThrows(InvalidInputException.class, () -> SidecarConfig.fromEnvironment(Map.of()))
@@ -63,7 +63,7 @@
 
     /** The environment is that of the start: standing above a reloaded file, it would bring the old address back. */
     @Test
-    public void onReloadTheFilesDiscoveryAddressApplies() throws IOException {
+    void onReloadTheFilesDiscoveryAddressApplies() throws IOException {
         Path file = Files.createTempFile("config", ".json");
         Files.writeString(
                 file,
@@ -83,21 +83,21 @@
 
     /** Request ids and seeds do not fit a double. */
     @Test
-    public void integersStayExact() {
+    void integersStayExact() {
         assertEquals(
                 9223372036854775807L, Json.object("{\"a\":9223372036854775807}").get("a"));
         assertEquals(1.5e3, Json.object("{\"a\":1.5e3}").get("a"));
     }
 
     @Test
-    public void whatIsNotStrictJsonIsRejected() {
+    void whatIsNotStrictJsonIsRejected() {
         for (String text : new String[] {"{a:1}", "{\"a\":NaN}", "{\"a\":1}x", "{\"a\":1", "", "[1]"}) {
-            assertThrows(text, InvalidInputException.class, () -> Json.object(text));
+            assertThrows(InvalidInputException.class, () -> Json.object(text), text);
         }
     }
 
     @Test
-    public void peersThatCannotBeUsedAreNamed() {
+    void peersThatCannotBeUsedAreNamed() {
         assertEquals("configuration key peer_listen is missing", withPeers(""));
         assertEquals("configuration key peers is missing", withPeers("\"peer_listen\":\"10.0.0.4:7946\","));
         String listen = "\"peer_listen\":\"10.0.0.4:7946\",\"peers\":[\"10.0.0.5:7946\"";
