--- a/sidecar/src/test/java/dewplank/discovery/CatalogWatchTest.java
+++ b/sidecar/src/test/java/dewplank/discovery/CatalogWatchTest.java
@@ -27,7 +27,7 @@
     /** A discovery that is cut off keeps the connection open and says nothing; TCP does not notice. */
     @Test
     void aSilentDiscoveryEndsTheWatchAndItsConnection() throws Exception {
-        BlockingQueue<String> ends = new LinkedBlockingQueue<>();
+        BlockingQueue<String> events = new LinkedBlockingQueue<>();
         EventLoop loop = new EventLoop();
         try (ServerSocket silent = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             loop.execute(() -> {
@@ -36,15 +36,15 @@
                         (InetSocketAddress) silent.getLocalSocketAddress(),
                         3,
                         20,
-                        list -> ends.add("list " + list),
-                        () -> ends.add("alive"),
-                        ends::add);
+                        list -> events.add("list " + list),
+                        () -> events.add("alive"),
+                        events::add);
                 watch.start();
             });
-            assertEquals("idle timeout after 20 ms", ends.take());
-            try (Socket given = silent.accept()) {
-                String call = new String(given.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
-                assertTrue(call.startsWith("GET /catalog/members?stream=1&index=3 HTTP/1.1\r\n"), call);
+            assertEquals("idle timeout after 20 ms", events.take());
+            try (Socket connection = silent.accept()) {
+                String request = new String(connection.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
+                assertTrue(request.startsWith("GET /catalog/members?stream=1&index=3 HTTP/1.1\r\n"), request);
             }
         }
         loop.stop();
--- a/sidecar/src/test/java/dewplank/peers/PeerChannelTest.java
+++ b/sidecar/src/test/java/dewplank/peers/PeerChannelTest.java
@@ -27,12 +27,12 @@
 class PeerChannelTest {
     private static final int TIMEOUT_S = 20;
 
-    private record Said(int peer, byte[] bytes) {}
+    private record ReceivedDatagram(int peer, byte[] bytes) {}
 
-    private final BlockingQueue<Said> heard = new LinkedBlockingQueue<>();
-    private final DatagramSocket one = socket();
-    private final DatagramSocket two = socket();
-    private final DatagramSocket stranger = socket();
+    private final BlockingQueue<ReceivedDatagram> received = new LinkedBlockingQueue<>();
+    private final DatagramSocket first = socket();
+    private final DatagramSocket second = socket();
+    private final DatagramSocket unknownSender = socket();
     private EventLoop loop;
     private PeerChannel peers;
 
@@ -46,7 +46,7 @@
         }
     }
 
-    private static InetSocketAddress at(DatagramSocket socket) {
+    private static InetSocketAddress addressOf(DatagramSocket socket) {
         return (InetSocketAddress) socket.getLocalSocketAddress();
     }
 
@@ -57,50 +57,50 @@
         peers.start();
     }
 
-    private PeerChannel peers(InetSocketAddress all) {
-        InetSocketAddress free = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+    private PeerChannel peers(InetSocketAddress broadcast) {
+        InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         return new PeerChannel(
                 loop,
-                new PeerAddresses(free, List.of(at(one), free, at(two)), all),
+                new PeerAddresses(anyPort, List.of(addressOf(first), anyPort, addressOf(second)), broadcast),
                 1,
                 bytes -> bytes.length > 0 && bytes[0] == 1,
-                (peer, bytes) -> heard.add(new Said(peer, bytes)));
+                (peer, bytes) -> received.add(new ReceivedDatagram(peer, bytes)));
     }
 
     @AfterEach
     void close() {
         peers.close();
         loop.stop();
-        List.of(one, two, stranger).forEach(DatagramSocket::close);
+        List.of(first, second, unknownSender).forEach(DatagramSocket::close);
     }
 
     private void send(DatagramSocket from, byte... bytes) throws Exception {
         from.send(new DatagramPacket(bytes, bytes.length, peers.address()));
     }
 
-    private static byte[] next(DatagramSocket at) throws Exception {
+    private static byte[] next(DatagramSocket socket) throws Exception {
         DatagramPacket packet = new DatagramPacket(new byte[512], 512);
-        at.receive(packet);
+        socket.receive(packet);
         return java.util.Arrays.copyOf(packet.getData(), packet.getLength());
     }
 
-    private Said nextHeard() throws Exception {
-        Said said = heard.poll(TIMEOUT_S, TimeUnit.SECONDS);
-        assertTrue(said != null, "nothing was heard");
-        return said;
+    private ReceivedDatagram nextReceived() throws Exception {
+        ReceivedDatagram datagram = received.poll(TIMEOUT_S, TimeUnit.SECONDS);
+        assertTrue(datagram != null, "no datagram was received");
+        return datagram;
     }
 
     @Test
     void onlyDatagramsOfPeersAreDelivered() throws Exception {
-        send(stranger, (byte) 1, (byte) 9);
-        send(one, (byte) 2, (byte) 9); // not readable
-        send(one, new byte[0]);
-        send(one, new byte[257]); // cut off at 257, so longer than allowed
-        send(two, (byte) 1, (byte) 7);
-        Said said = nextHeard();
-        assertEquals(2, said.peer());
-        assertArrayEquals(new byte[] {1, 7}, said.bytes());
-        assertNull(heard.poll());
+        send(unknownSender, (byte) 1, (byte) 9);
+        send(first, (byte) 2, (byte) 9); // not readable
+        send(first, new byte[0]);
+        send(first, new byte[257]); // cut off at 257, so longer than allowed
+        send(second, (byte) 1, (byte) 7);
+        ReceivedDatagram datagram = nextReceived();
+        assertEquals(2, datagram.peer());
+        assertArrayEquals(new byte[] {1, 7}, datagram.bytes());
+        assertNull(received.poll());
         PeerChannel.DatagramCounts counts = peers.counts();
         assertEquals(1, counts.unknownSender());
         assertEquals(3, counts.invalid());
@@ -109,13 +109,13 @@
     @Test
     void aBroadcastReachesEachPeerButItself() throws Exception {
         loop.execute(() -> peers.broadcast(new byte[] {1, 5}));
-        assertArrayEquals(new byte[] {1, 5}, next(one));
-        assertArrayEquals(new byte[] {1, 5}, next(two));
+        assertArrayEquals(new byte[] {1, 5}, next(first));
+        assertArrayEquals(new byte[] {1, 5}, next(second));
         assertThrows(IllegalArgumentException.class, () -> peers.broadcast(new byte[257]));
         peers.close();
-        peers = peers(at(stranger)); // one address for all of the tier
+        peers = peers(addressOf(unknownSender)); // one address for all of the tier
         loop.execute(() -> peers.broadcast(new byte[256]));
-        assertEquals(256, next(stranger).length);
+        assertEquals(256, next(unknownSender).length);
     }
 
     /** A flood from a peer that went wrong neither fills the memory nor ends the hearing. */
@@ -129,29 +129,30 @@
                 Thread.currentThread().interrupt();
             }
         });
-        for (int i = 0; i < 20_000 && peers.counts().overflowed() == 0; i++) {
-            send(one, (byte) 1);
-            Thread.sleep(i % 10 == 0 ? 1 : 0);
+        for (int index = 0; index < 20_000 && peers.counts().overflowed() == 0; index++) {
+            send(first, (byte) 1);
+            Thread.sleep(index % 10 == 0 ? 1 : 0);
         }
         assertTrue(peers.counts().overflowed() > 0);
-        assertTrue(heard.isEmpty());
+        assertTrue(received.isEmpty());
         busy.countDown();
-        for (int i = 0; i < PeerChannel.MAX_QUEUED; i++) {
-            nextHeard();
+        for (int index = 0; index < PeerChannel.MAX_QUEUED; index++) {
+            nextReceived();
         }
-        send(two, (byte) 1, (byte) 8);
-        Said said = nextHeard();
-        while (said.peer() != 2) {
-            said = nextHeard();
+        send(second, (byte) 1, (byte) 8);
+        ReceivedDatagram datagram = nextReceived();
+        while (datagram.peer() != 2) {
+            datagram = nextReceived();
         }
-        assertArrayEquals(new byte[] {1, 8}, said.bytes());
+        assertArrayEquals(new byte[] {1, 8}, datagram.bytes());
     }
 
     @Test
     void anAddressInUseIsNamed() throws Exception {
-        PeerAddresses taken = new PeerAddresses(at(one), List.of(), null);
+        PeerAddresses taken = new PeerAddresses(addressOf(first), List.of(), null);
         assertTrue(assertThrows(
-                        InvalidInputException.class, () -> new PeerChannel(loop, taken, 0, b -> true, (p, b) -> {}))
+                        InvalidInputException.class,
+                        () -> new PeerChannel(loop, taken, 0, bytes -> true, (peer, bytes) -> {}))
                 .getMessage()
                 .startsWith("configuration key peer_listen: cannot listen on /127.0.0.1:"));
     }
--- a/sidecar/src/test/java/dewplank/sidecar/AttemptWriteTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/AttemptWriteTest.java
@@ -34,74 +34,77 @@
     @Test
     void aRepeatIsNotWrittenOnceItsWindowIsOver() throws Exception {
         BalancerEventLatch listed = BalancerEventLatch.forUpdateOf("late");
-        UnaryOperator<String> keyed = s -> LoopbackNetwork.NO_CONNECT_TIMEOUT
-                .apply(s)
+        UnaryOperator<String> keyed = settings -> LoopbackNetwork.NO_CONNECT_TIMEOUT
+                .apply(settings)
                 .replace(
                         "\"Idempotency\":\"non_idempotent\"",
                         "\"Idempotency\":\"idempotency_key\",\"KeyScope\":\"all\",\"KeyTtl\":300");
-        BalancerEventLatch reset = new BalancerEventLatch(e -> e instanceof AttemptEnded);
-        try (LoopbackNetwork net = new LoopbackNetwork(1, keyed, m -> reset.apply(listed.apply(m)));
-                ScriptedPeer late = ScriptedPeer.withDelayedAccept()) {
+        BalancerEventLatch reset = new BalancerEventLatch(event -> event instanceof AttemptEnded);
+        try (LoopbackNetwork net = new LoopbackNetwork(1, keyed, balancer -> reset.apply(listed.apply(balancer)));
+                ScriptedPeer delayed = ScriptedPeer.withDelayedAccept()) {
             ReceivedRequest watch = net.beginWatch();
             Client client = net.client();
             client.send(Client.request("order-place", "Idempotency-Key: k\r\n"));
             ReceivedRequest first = net.servers.get(0).next();
-            watch.sendLine(LoopbackNetwork.catalogJson(8, false, List.of(late.endpointJson("late", "active"))));
+            watch.sendLine(LoopbackNetwork.catalogJson(8, false, List.of(delayed.endpointJson("late", "active"))));
             listed.await();
             first.reset(); // it may have run: the repeat goes to the other server, whose connection is not up yet
             reset.await();
             BalancerEventLatch.callOnLoop(net, () -> null); // by now the connection is requested
-            late.startAccepting();
+            delayed.startAccepting();
             assertStatus("503", client.read());
-            assertNothingCame(late);
+            assertNothingCame(delayed);
         }
     }
 
     /** The time that it may take to come up can be longer than the grace period after a drain was announced. */
     @Test
     void aServerThatDrainsWhileConnectingGetsNoRequest() throws Exception {
-        try (LoopbackNetwork net = new LoopbackNetwork(0, LoopbackNetwork.NO_CONNECT_TIMEOUT, m -> m);
-                ScriptedPeer late = ScriptedPeer.withDelayedAccept()) {
-            ReceivedRequest watch = listOf(net, late);
+        try (LoopbackNetwork net =
+                        new LoopbackNetwork(0, LoopbackNetwork.NO_CONNECT_TIMEOUT, UnaryOperator.identity());
+                ScriptedPeer delayed = ScriptedPeer.withDelayedAccept()) {
+            ReceivedRequest watch = beginWatchListing(net, delayed);
             Client client = net.client();
             BalancerEventLatch.awaitHealthStatus(client, "200");
             Client order = net.client();
             order.sendRequest("order-place");
             BalancerEventLatch.awaitRequestAccepted(net);
-            watch.sendLine(LoopbackNetwork.catalogJson(9, false, List.of(late.endpointJson("late", "leaving"))));
+            watch.sendLine(LoopbackNetwork.catalogJson(9, false, List.of(delayed.endpointJson("late", "leaving"))));
             BalancerEventLatch.awaitHealthStatus(client, "503");
-            late.startAccepting();
+            delayed.startAccepting();
             assertStatus("503", order.read());
-            assertItsConnectionEndsUnused(late);
+            assertItsConnectionEndsUnused(delayed);
         }
     }
 
     /** Where nothing may be cancelled as well: what was never written is not an attempt yet. */
     @Test
     void aClientThatDisconnectsWhileConnectingIsNotForwarded() throws Exception {
-        BalancerEventLatch abandoned = new BalancerEventLatch(e -> e instanceof RequestAbandoned);
-        UnaryOperator<String> fixed =
-                s -> LoopbackNetwork.NO_CONNECT_TIMEOUT.apply(s).replace("\"Cancelling\":true", "\"Cancelling\":false");
+        BalancerEventLatch abandoned = new BalancerEventLatch(event -> event instanceof RequestAbandoned);
+        UnaryOperator<String> fixed = settings -> LoopbackNetwork.NO_CONNECT_TIMEOUT
+                .apply(settings)
+                .replace("\"Cancelling\":true", "\"Cancelling\":false");
         try (LoopbackNetwork net = new LoopbackNetwork(0, fixed, abandoned);
-                ScriptedPeer late = ScriptedPeer.withDelayedAccept()) {
-            listOf(net, late);
+                ScriptedPeer delayed = ScriptedPeer.withDelayedAccept()) {
+            beginWatchListing(net, delayed);
             BalancerEventLatch.awaitHealthStatus(net.client(), "200");
             Client client = net.client();
             client.sendRequest("order-place");
             BalancerEventLatch.awaitRequestAccepted(net);
             client.socket.close();
             abandoned.await();
-            late.startAccepting();
-            assertItsConnectionEndsUnused(late);
+            delayed.startAccepting();
+            assertItsConnectionEndsUnused(delayed);
         }
     }
 
     /** Nothing was written, so nothing ran: the client may try again, and an order too. */
     @Test
     void aTimeoutBeforeTheConnectionIsUpIsRejected() throws Exception {
-        try (LoopbackNetwork net = new LoopbackNetwork(0, LoopbackNetwork.NO_CONNECT_TIMEOUT, m -> m);
-                ScriptedPeer late = ScriptedPeer.withDelayedAccept()) {
-            listOf(net, late);
+        try (LoopbackNetwork net =
+                        new LoopbackNetwork(0, LoopbackNetwork.NO_CONNECT_TIMEOUT, UnaryOperator.identity());
+                ScriptedPeer delayed = ScriptedPeer.withDelayedAccept()) {
+            beginWatchListing(net, delayed);
             BalancerEventLatch.awaitHealthStatus(net.client(), "200");
             Client client = net.client();
             client.send(Client.request("order-place", "").replace("5000", "300"));
@@ -115,29 +118,29 @@
      */
     @Test
     void aResetSeenBeforeTheWritesCompletionProvesNothing() throws Exception {
-        BlockingQueue<Outcome> ends = new LinkedBlockingQueue<>();
+        BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
         EventLoop loop = new EventLoop();
         try (ScriptedPeer server = new ScriptedPeer()) {
             ConnectionPool pool = new ConnectionPool(loop, 0, Double.POSITIVE_INFINITY);
             CompletableFuture<Connection> other = new CompletableFuture<>();
-            loop.execute(() -> Connection.open(loop, server.address(), new Ignored(), other::complete, e -> {}));
-            Connection many = other.get();
+            loop.execute(() -> Connection.open(loop, server.address(), new Ignored(), other::complete, failure -> {}));
+            Connection otherConnection = other.get();
             loop.execute(() -> Connection.open(
                     loop,
                     server.address(),
                     new Ignored(),
-                    up -> {
-                        for (int i = 0; i < 20; i++) {
-                            many.write(ByteBuffer.wrap(new byte[] {'x'}), () -> {});
+                    connection -> {
+                        for (int index = 0; index < 20; index++) {
+                            otherConnection.write(ByteBuffer.wrap(new byte[] {'x'}), () -> {});
                         }
-                        pool.put(up, server.address());
-                        HttpAttempt attempt = attempt(loop, server, pool, "GET /x HTTP/1.1\r\n\r\n", ends);
+                        pool.put(connection, server.address());
+                        HttpAttempt attempt = attempt(loop, server, pool, "GET /x HTTP/1.1\r\n\r\n", outcomes);
                         attempt.start(5_000, 0, Double.POSITIVE_INFINITY);
-                        up.close();
+                        connection.close();
                         attempt.closed(null);
                     },
-                    e -> {}));
-            assertEquals(Outcome.RESET, ends.take());
+                    failure -> {}));
+            assertEquals(Outcome.RESET, outcomes.take());
             assertTrue(server.next().message().startsWith("GET /x "));
         } finally {
             loop.stop();
@@ -147,7 +150,7 @@
     /** A server begins a request with its last byte: what it says before that answers something else. */
     @Test
     void aResponseBeforeTheRequestIsWrittenIsNotItsResponse() throws Exception {
-        BlockingQueue<Outcome> ends = new LinkedBlockingQueue<>();
+        BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
         EventLoop loop = new EventLoop();
         try (ScriptedPeer server = new ScriptedPeer()) {
             String more = "x".repeat(32 << 20); // beyond all that the system holds for a peer that does not read
@@ -156,10 +159,10 @@
                             server,
                             new ConnectionPool(loop, 0, Double.POSITIVE_INFINITY),
                             "GET /x HTTP/1.1\r\n\r\n" + more,
-                            ends)
+                            outcomes)
                     .start(5_000, 0, Double.POSITIVE_INFINITY));
             server.next().respond("200 OK", "another's");
-            assertEquals(Outcome.CONNECT_FAILED, ends.take());
+            assertEquals(Outcome.CONNECT_FAILED, outcomes.take());
         } finally {
             loop.stop();
         }
@@ -168,16 +171,16 @@
     /** Between two sweeps a connection may get older than the server lets it: it is not used again. */
     @Test
     void aConnectionThatTheServerIsAboutToCloseIsNotReused() throws Exception {
-        try (LoopbackNetwork net =
-                new LoopbackNetwork(1, s -> s.replace("\"IdleClose\":60000", "\"IdleClose\":50"), m -> m)) {
+        try (LoopbackNetwork net = new LoopbackNetwork(
+                1, settings -> settings.replace("\"IdleClose\":60000", "\"IdleClose\":50"), UnaryOperator.identity())) {
             Client client = net.client();
             client.sendRequest("menu-read");
             ReceivedRequest first = net.servers.get(0).next();
             first.respond("200 OK", "");
             assertTrue(client.read().startsWith("HTTP/1.1 200"));
-            CountDownLatch old = new CountDownLatch(1);
-            BalancerEventLatch.callOnLoop(net, () -> net.sidecar.loop().after(50, old::countDown));
-            old.await();
+            CountDownLatch aged = new CountDownLatch(1);
+            BalancerEventLatch.callOnLoop(net, () -> net.sidecar.loop().after(50, aged::countDown));
+            aged.await();
             client.sendRequest("menu-read");
             ReceivedRequest second = net.servers.get(0).nextRequest();
             assertNotSame(first.connection(), second.connection());
@@ -191,19 +194,20 @@
     void aConnectionIsNotReusedUntilADuplicateResponseWouldHaveCome() throws Exception {
         EventLoop loop = new EventLoop();
         try (ScriptedPeer server = new ScriptedPeer()) {
-            CompletableFuture<Connection> up = new CompletableFuture<>();
-            loop.execute(() -> Connection.open(loop, server.address(), new Ignored(), up::complete, e -> {}));
-            Connection connection = up.get();
-            ConnectionPool resting = new ConnectionPool(loop, 60_000, Double.POSITIVE_INFINITY);
-            ConnectionPool rested = new ConnectionPool(loop, 0, Double.POSITIVE_INFINITY);
+            CompletableFuture<Connection> connected = new CompletableFuture<>();
+            loop.execute(
+                    () -> Connection.open(loop, server.address(), new Ignored(), connected::complete, failure -> {}));
+            Connection connection = connected.get();
+            ConnectionPool reuseDelayed = new ConnectionPool(loop, 60_000, Double.POSITIVE_INFINITY);
+            ConnectionPool reusable = new ConnectionPool(loop, 0, Double.POSITIVE_INFINITY);
             CompletableFuture<Void> done = new CompletableFuture<>();
             loop.execute(() -> {
                 try {
-                    resting.put(connection, server.address());
-                    assertNull(resting.take(server.address()));
-                    assertEquals(1, resting.size());
-                    rested.put(connection, server.address());
-                    assertSame(connection, rested.take(server.address()));
+                    reuseDelayed.put(connection, server.address());
+                    assertNull(reuseDelayed.take(server.address()));
+                    assertEquals(1, reuseDelayed.size());
+                    reusable.put(connection, server.address());
+                    assertSame(connection, reusable.take(server.address()));
                     done.complete(null);
                 } catch (AssertionError e) {
                     done.completeExceptionally(e);
@@ -216,35 +220,35 @@
     }
 
     private static HttpAttempt attempt(
-            EventLoop loop, ScriptedPeer server, ConnectionPool pool, String request, BlockingQueue<Outcome> ends) {
+            EventLoop loop, ScriptedPeer server, ConnectionPool pool, String request, BlockingQueue<Outcome> outcomes) {
         return new HttpAttempt(
                 loop,
                 server.address(),
                 pool,
                 ByteBuffer.wrap(request.getBytes(StandardCharsets.US_ASCII)),
                 () -> true,
-                (a, end) -> ends.add(end.outcome()));
+                (attempt, end) -> outcomes.add(end.outcome()));
     }
 
-    private static ReceivedRequest listOf(LoopbackNetwork net, ScriptedPeer late) throws Exception {
+    private static ReceivedRequest beginWatchListing(LoopbackNetwork net, ScriptedPeer delayed) throws Exception {
         ReceivedRequest watch = net.beginWatch();
-        watch.sendLine(LoopbackNetwork.catalogJson(8, false, List.of(late.endpointJson("late", "active"))));
+        watch.sendLine(LoopbackNetwork.catalogJson(8, false, List.of(delayed.endpointJson("late", "active"))));
         return watch;
     }
 
     /** The crowd's two connections end, and the sidecar's: none brings a request. */
-    private static void assertItsConnectionEndsUnused(ScriptedPeer late) throws Exception {
-        for (int i = 0; i < 3; i++) {
-            assertNull(late.next().message());
+    private static void assertItsConnectionEndsUnused(ScriptedPeer delayed) throws Exception {
+        for (int index = 0; index < 3; index++) {
+            assertNull(delayed.next().message());
         }
     }
 
     /** The connection was given up before it came up: a mark set now would come after a request on it. */
-    private static void assertNothingCame(ScriptedPeer late) throws Exception {
+    private static void assertNothingCame(ScriptedPeer delayed) throws Exception {
         try (Socket mark =
-                new Socket(late.address().getAddress(), late.address().getPort())) {
+                new Socket(delayed.address().getAddress(), delayed.address().getPort())) {
             mark.getOutputStream().write("GET /mark HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-            String first = late.nextRequest().message();
+            String first = delayed.nextRequest().message();
             assertTrue(first.startsWith("GET /mark "), first);
         }
     }
@@ -260,6 +264,6 @@
         }
 
         @Override
-        public void closed(IOException why) {}
+        public void closed(IOException cause) {}
     }
 }
--- a/sidecar/src/test/java/dewplank/sidecar/BalancerEventLatch.java
+++ b/sidecar/src/test/java/dewplank/sidecar/BalancerEventLatch.java
@@ -24,7 +24,7 @@
 
     /** Opens once the balancer has handled an update whose first endpoint is this server. */
     static BalancerEventLatch forUpdateOf(String server) {
-        return new BalancerEventLatch(e -> e instanceof EndpointUpdate update
+        return new BalancerEventLatch(event -> event instanceof EndpointUpdate update
                 && !update.endpoints().isEmpty()
                 && update.endpoints().get(0).server().equals(server));
     }
--- a/sidecar/src/test/java/dewplank/sidecar/ClientDisconnectTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/ClientDisconnectTest.java
@@ -35,20 +35,20 @@
                 disconnected.socket.close();
                 return null;
             });
-            Client stays = net.client();
-            stays.send(Client.request("menu-read", "Content-Length: 4\r\n") + "mark");
+            Client staying = net.client();
+            staying.send(Client.request("menu-read", "Content-Length: 4\r\n") + "mark");
             ReceivedRequest first = net.servers.get(0).next();
             assertTrue(first.message().endsWith("\r\n\r\nmark"), first.message());
             first.respond("200 OK", "");
-            assertTrue(stays.read().startsWith("HTTP/1.1 200"));
+            assertTrue(staying.read().startsWith("HTTP/1.1 200"));
         }
     }
 
     /** Queued for lack of a server: the list with one comes after the client has disconnected. */
     @Test
     void aClientThatDisconnectsWhileItsRequestIsQueuedIsNotForwarded() throws Exception {
-        BalancerEventLatch abandoned = new BalancerEventLatch(e -> e instanceof RequestAbandoned);
-        try (LoopbackNetwork net = new LoopbackNetwork(0, s -> s, abandoned);
+        BalancerEventLatch abandoned = new BalancerEventLatch(event -> event instanceof RequestAbandoned);
+        try (LoopbackNetwork net = new LoopbackNetwork(0, UnaryOperator.identity(), abandoned);
                 ScriptedPeer server = new ScriptedPeer()) {
             ReceivedRequest watch = net.discovery.next();
             Client client = net.client();
@@ -58,9 +58,9 @@
             abandoned.await();
             watch.beginWatch();
             watch.sendLine(LoopbackNetwork.catalogJson(8, false, List.of(server.endpointJson("s0", "active"))));
-            Client stays = net.client();
-            BalancerEventLatch.awaitHealthStatus(stays, "200");
-            stays.send(Client.request("menu-read", "Content-Length: 4\r\n") + "mark");
+            Client staying = net.client();
+            BalancerEventLatch.awaitHealthStatus(staying, "200");
+            staying.send(Client.request("menu-read", "Content-Length: 4\r\n") + "mark");
             ReceivedRequest first = server.nextRequest();
             assertTrue(first.message().endsWith("\r\n\r\nmark"), first.message());
             assertTrue(server.hasNoRequest());
@@ -70,46 +70,46 @@
     /** More than a buffer's fill was sent ahead: the end behind it is seen all the same. */
     @Test
     void aClientThatDisconnectsBehindUnreadBytesIsNotForwarded() throws Exception {
-        BalancerEventLatch abandoned = new BalancerEventLatch(e -> e instanceof RequestAbandoned);
+        BalancerEventLatch abandoned = new BalancerEventLatch(event -> event instanceof RequestAbandoned);
         try (LoopbackNetwork net = new LoopbackNetwork(0, LoopbackNetwork.NO_CONNECT_TIMEOUT, abandoned);
-                ScriptedPeer late = ScriptedPeer.withDelayedAccept()) {
-            Client client = waitingAt(net, late);
+                ScriptedPeer delayed = ScriptedPeer.withDelayedAccept()) {
+            Client client = waitingAt(net, delayed);
             client.send("POST /ahead HTTP/1.1\r\nContent-Length: 40000\r\n\r\n" + "x".repeat(40_000));
             client.socket.close();
             abandoned.await();
-            late.startAccepting();
-            assertNoRequestCame(late);
+            delayed.startAccepting();
+            assertNoRequestCame(delayed);
         }
     }
 
     /** Who sends without end can't be seen to leave: that one gets an error, and its request goes nowhere. */
     @Test
     void tooManyBytesAheadOfAResponseEndTheirRequest() throws Exception {
-        BalancerEventLatch abandoned = new BalancerEventLatch(e -> e instanceof RequestAbandoned);
+        BalancerEventLatch abandoned = new BalancerEventLatch(event -> event instanceof RequestAbandoned);
         try (LoopbackNetwork net = new LoopbackNetwork(0, LoopbackNetwork.NO_CONNECT_TIMEOUT, abandoned);
-                ScriptedPeer late = ScriptedPeer.withDelayedAccept()) {
-            Client client = waitingAt(net, late);
+                ScriptedPeer delayed = ScriptedPeer.withDelayedAccept()) {
+            Client client = waitingAt(net, delayed);
             client.send("x".repeat(400_000));
             abandoned.await();
             String answer = client.read();
             assertTrue(answer.startsWith("HTTP/1.1 400") && answer.contains("too much was sent ahead"), answer);
             assertNull(client.read());
-            late.startAccepting();
-            assertNoRequestCame(late);
+            delayed.startAccepting();
+            assertNoRequestCame(delayed);
         }
     }
 
     /** One that only ends its sending can't be told from one that has closed, and counts as that. */
     @Test
     void aHalfClosedClientCountsAsDisconnected() throws Exception {
-        BalancerEventLatch abandoned = new BalancerEventLatch(e -> e instanceof RequestAbandoned);
+        BalancerEventLatch abandoned = new BalancerEventLatch(event -> event instanceof RequestAbandoned);
         try (LoopbackNetwork net = new LoopbackNetwork(0, LoopbackNetwork.NO_CONNECT_TIMEOUT, abandoned);
-                ScriptedPeer late = ScriptedPeer.withDelayedAccept()) {
-            Client client = waitingAt(net, late);
+                ScriptedPeer delayed = ScriptedPeer.withDelayedAccept()) {
+            Client client = waitingAt(net, delayed);
             client.socket.shutdownOutput();
             abandoned.await();
-            late.startAccepting();
-            assertNoRequestCame(late);
+            delayed.startAccepting();
+            assertNoRequestCame(delayed);
             assertNull(client.read());
         }
     }
@@ -118,32 +118,32 @@
     @Test
     void aDrainingSidecarEndsNoSoonerThanItsClientsHaveClosed() throws Exception {
         AtomicBoolean closed = new AtomicBoolean();
-        CompletableFuture<Client> clients = new CompletableFuture<>();
-        CompletableFuture<LoopbackNetwork> nets = new CompletableFuture<>();
-        UnaryOperator<Balancer> round = balancer -> (now, event, out) -> {
+        CompletableFuture<Client> clientReady = new CompletableFuture<>();
+        CompletableFuture<LoopbackNetwork> networkReady = new CompletableFuture<>();
+        UnaryOperator<Balancer> closesClientLater = balancer -> (now, event, out) -> {
             balancer.handle(now, event, out);
             if (event
                     instanceof AttemptEnded) { // its answer is written, and the sidecar's side shut; on the same wheel
-                nets.join().sidecar.loop().after(200, () -> {
+                networkReady.join().sidecar.loop().after(200, () -> {
                     closed.set(true);
                     try {
-                        clients.join().socket.close();
+                        clientReady.join().socket.close();
                     } catch (IOException e) {
                         throw new IllegalStateException(e);
                     }
                 });
             }
         };
-        try (LoopbackNetwork net = new LoopbackNetwork(1, s -> s, round)) {
-            nets.complete(net);
+        try (LoopbackNetwork net = new LoopbackNetwork(1, UnaryOperator.identity(), closesClientLater)) {
+            networkReady.complete(net);
             Client client = net.client();
-            clients.complete(client);
+            clientReady.complete(client);
             client.sendRequest("menu-read");
             ReceivedRequest call = net.servers.get(0).next();
-            CompletableFuture<Boolean> ended = new CompletableFuture<>();
+            CompletableFuture<Boolean> drained = new CompletableFuture<>();
             LoopbackNetwork.background(() -> {
                 net.sidecar.drain(new DrainSchedule(1, 5_000));
-                ended.complete(closed.get());
+                drained.complete(closed.get());
             });
             while (!BalancerEventLatch.callOnLoop(
                     net, () -> net.sidecar.clients().isClosing())) {
@@ -153,14 +153,14 @@
             String answer = client.read();
             assertTrue(answer.startsWith("HTTP/1.1 200") && answer.contains("Connection: close"), answer);
             assertNull(client.read());
-            assertTrue(ended.get(20, TimeUnit.SECONDS));
+            assertTrue(drained.get(20, TimeUnit.SECONDS));
         }
     }
 
     /** A client whose request has been taken, and waits for a connection to come up. */
-    private static Client waitingAt(LoopbackNetwork net, ScriptedPeer late) throws Exception {
+    private static Client waitingAt(LoopbackNetwork net, ScriptedPeer delayed) throws Exception {
         ReceivedRequest watch = net.beginWatch();
-        watch.sendLine(LoopbackNetwork.catalogJson(8, false, List.of(late.endpointJson("late", "active"))));
+        watch.sendLine(LoopbackNetwork.catalogJson(8, false, List.of(delayed.endpointJson("late", "active"))));
         BalancerEventLatch.awaitHealthStatus(net.client(), "200");
         Client client = net.client();
         client.sendRequest("order-place");
@@ -169,10 +169,10 @@
     }
 
     /** The crowd's two connections end, and the sidecar's where it came up: none brings a request before the mark. */
-    private static void assertNoRequestCame(ScriptedPeer late) throws Exception {
-        Client mark = new Client(late.address().getPort());
+    private static void assertNoRequestCame(ScriptedPeer delayed) throws Exception {
+        Client mark = new Client(delayed.address().getPort());
         mark.send("GET /mark HTTP/1.1\r\n\r\n");
-        String first = late.nextRequest().message();
+        String first = delayed.nextRequest().message();
         assertTrue(first.startsWith("GET /mark "), first);
     }
 }
--- a/sidecar/src/test/java/dewplank/sidecar/ConnectionCloseTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/ConnectionCloseTest.java
@@ -29,7 +29,7 @@
     @Test
     void aRequestThatCrossesItsConnectionsCloseIsNotForwarded() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
-            Client client = resting(net);
+            Client client = idleClient(net);
             BalancerEventLatch.callOnLoop(net, () -> {
                 client.sendRequest("menu-read");
                 net.sidecar.clients().closeIdle(true);
@@ -43,7 +43,7 @@
     @Test
     void aRequestThatWasReadBeforeItsConnectionsCloseGetsItsResponse() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
-            Client client = resting(net);
+            Client client = idleClient(net);
             client.sendRequest("menu-read");
             ReceivedRequest call = net.servers.get(0).next();
             BalancerEventLatch.callOnLoop(net, () -> {
@@ -82,7 +82,7 @@
     /** The loop is blocked until both have happened: whichever is handled first is the only outcome. */
     @Test
     void aTimeoutAndAResponseThatMeetAreOneOutcome() throws Exception {
-        BlockingQueue<Outcome> ends = new LinkedBlockingQueue<>();
+        BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
         EventLoop loop = new EventLoop();
         try (ScriptedPeer server = new ScriptedPeer()) {
             ConnectionPool pool = new ConnectionPool(loop, 0, Double.POSITIVE_INFINITY);
@@ -92,7 +92,7 @@
                             pool,
                             bytes("GET /x HTTP/1.1\r\n\r\n"),
                             () -> true,
-                            (a, end) -> ends.add(end.outcome()))
+                            (attempt, end) -> outcomes.add(end.outcome()))
                     .start(50, 0, Double.POSITIVE_INFINITY));
             ReceivedRequest call = server.next();
             BlockingQueue<Integer> pooled = new LinkedBlockingQueue<>();
@@ -102,12 +102,12 @@
                 await(() -> loop.now() > started + 60);
                 loop.after(0, () -> loop.execute(() -> pooled.add(pool.size()))); // after both were looked at
             });
-            Outcome outcome = ends.poll(TIMEOUT_S, TimeUnit.SECONDS);
+            Outcome outcome = outcomes.poll(TIMEOUT_S, TimeUnit.SECONDS);
             int pooledCount = pooled.poll(TIMEOUT_S, TimeUnit.SECONDS);
             assertTrue(
                     outcome == Outcome.SERVED && pooledCount == 1 || outcome == Outcome.TIMED_OUT && pooledCount == 0,
                     outcome + " and " + pooledCount + " pooled");
-            assertTrue(ends.isEmpty());
+            assertTrue(outcomes.isEmpty());
         } finally {
             loop.stop();
         }
@@ -139,7 +139,7 @@
             ReceivedRequest call = net.servers.get(0).nextRequest();
             call.connection().send("HTTP/1.1 200 OK\r\n\r\n");
             assertThrows(IOException.class, () -> {
-                for (int i = 0; i < 100_000; i++) {
+                for (int index = 0; index < 100_000; index++) {
                     call.connection().send("x".repeat(1_000));
                 }
             });
@@ -160,10 +160,10 @@
             failed.sendRequest("order-place");
             server.nextRequest().reset();
             failed.read();
-            Client refused = net.client();
-            refused.sendRequest("order-place");
+            Client rejected = net.client();
+            rejected.sendRequest("order-place");
             server.nextRequest().respond("503 Busy\r\nX-Never-Ran: 1", "");
-            refused.read();
+            rejected.read();
             Client malformed = net.client();
             malformed.send("what?\r\n\r\n");
             malformed.read();
@@ -172,8 +172,8 @@
             overdue.read();
             Client disconnected = net.client();
             disconnected.sendRequest("order-place");
-            for (Client c : new Client[] {served, failed, refused, malformed, overdue, disconnected}) {
-                c.socket.close();
+            for (Client client : new Client[] {served, failed, rejected, malformed, overdue, disconnected}) {
+                client.socket.close();
             }
             await(() -> onLoop(net, net.sidecar::hasReleasedEverything));
         }
@@ -210,7 +210,7 @@
     }
 
     /** A client whose connection has had an answer. */
-    private static Client resting(LoopbackNetwork net) throws Exception {
+    private static Client idleClient(LoopbackNetwork net) throws Exception {
         Client client = net.client();
         client.sendRequest("menu-read");
         net.servers.get(0).nextRequest().respond("200 OK", "");
@@ -218,10 +218,10 @@
         return client;
     }
 
-    private static Client halfRead(LoopbackNetwork net, int heard) throws Exception {
+    private static Client halfRead(LoopbackNetwork net, int activeCount) throws Exception {
         Client client = net.client();
         client.send(Client.request("menu-read", "Content-Length: 4\r\n") + "ab");
-        await(() -> onLoop(net, () -> net.sidecar.clients().activeCount()) == heard);
+        await(() -> onLoop(net, () -> net.sidecar.clients().activeCount()) == activeCount);
         return client;
     }
 
--- a/sidecar/src/test/java/dewplank/sidecar/DiscoveryClientTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/DiscoveryClientTest.java
@@ -34,7 +34,7 @@
     /** Found on the days of a deployment whose lists are pushed: no watch was ever opened, and drains were missed. */
     @Test
     void whereListsArePushedTheWatchIsReopenedAtOnce() throws Exception {
-        try (LoopbackNetwork net = new LoopbackNetwork(1, PUSHED, m -> m)) {
+        try (LoopbackNetwork net = new LoopbackNetwork(1, PUSHED, UnaryOperator.identity())) {
             ReceivedRequest watch = net.discovery.next();
             assertTrue(watch.message().startsWith("GET /catalog/members?stream=1&index=7 "), watch.message());
             watch.beginWatch();
@@ -42,9 +42,9 @@
             Client client = net.client();
             BalancerEventLatch.awaitHealthStatus(client, "200");
             watch.reset();
-            ReceivedRequest again = net.discovery.nextRequest();
-            again.beginWatch();
-            again.sendLine(LoopbackNetwork.catalogJson(
+            ReceivedRequest reopened = net.discovery.nextRequest();
+            reopened.beginWatch();
+            reopened.sendLine(LoopbackNetwork.catalogJson(
                     8, false, List.of(net.servers.get(0).endpointJson("s0", "leaving"))));
             BalancerEventLatch.awaitHealthStatus(client, "503");
         }
@@ -59,24 +59,24 @@
                 ScriptedPeer server = new ScriptedPeer()) {
             DiscoveryClient discovery =
                     new DiscoveryClient(loop, agent.address(), false, true, update -> updates.add(update.kind()));
-            CatalogUpdate known = CatalogUpdate.of(new Fields(
+            CatalogUpdate initialCatalog = CatalogUpdate.of(new Fields(
                     Json.object(LoopbackNetwork.catalogJson(7, true, List.of(server.endpointJson("s0", "active")))),
                     "known "));
-            FutureTask<Boolean> early = new FutureTask<>(() -> {
-                discovery.start(known);
+            FutureTask<Boolean> beforeUpdates = new FutureTask<>(() -> {
+                discovery.start(initialCatalog);
                 return discovery.hasAvailableServer() || discovery.acceptsRequests("s0");
             });
-            loop.execute(early);
-            assertFalse(early.get());
+            loop.execute(beforeUpdates);
+            assertFalse(beforeUpdates.get());
             ReceivedRequest watch = agent.next();
             watch.beginWatch();
             watch.sendLine(LoopbackNetwork.catalogJson(8, false, List.of(server.endpointJson("s1", "active"))));
             assertNotNull(updates.poll(20, TimeUnit.SECONDS));
             assertNotNull(updates.poll(20, TimeUnit.SECONDS));
-            FutureTask<Boolean> then =
+            FutureTask<Boolean> afterUpdates =
                     new FutureTask<>(() -> discovery.hasAvailableServer() && discovery.acceptsRequests("s0"));
-            loop.execute(then);
-            assertTrue(then.get());
+            loop.execute(afterUpdates);
+            assertTrue(afterUpdates.get());
         } finally {
             loop.stop();
         }
@@ -102,7 +102,7 @@
     @Test
     void anOlderListThatComesLastIsIgnored() throws Exception {
         BalancerEventLatch last = BalancerEventLatch.forUpdateOf("last");
-        try (LoopbackNetwork net = new LoopbackNetwork(1, s -> s, last)) {
+        try (LoopbackNetwork net = new LoopbackNetwork(1, UnaryOperator.identity(), last)) {
             ScriptedPeer server = net.servers.get(0);
             ReceivedRequest watch = net.beginWatch();
             watch.sendLine(LoopbackNetwork.catalogJson(9, false, List.of(server.endpointJson("s0", "leaving"))));
@@ -119,8 +119,8 @@
     @Test
     void anEmptyLineCountsAsAnUpdate() throws Exception {
         BalancerEventLatch answered = new BalancerEventLatch(
-                e -> e instanceof EndpointUpdate update && update.kind() == UpdateKind.INCREMENTAL);
-        try (LoopbackNetwork net = new LoopbackNetwork(1, s -> s, answered)) {
+                event -> event instanceof EndpointUpdate update && update.kind() == UpdateKind.INCREMENTAL);
+        try (LoopbackNetwork net = new LoopbackNetwork(1, UnaryOperator.identity(), answered)) {
             ReceivedRequest watch = net.beginWatch();
             watch.sendLine("");
             answered.await();
@@ -130,24 +130,26 @@
     /** SIGHUP between a watch's end and the subscribe that follows: that finds a watch open and keeps it. */
     @Test
     void aSubscribeDueWhenDiscoveryMovedOpensNoSecondWatch() throws Exception {
-        BalancerEventLatch broken =
-                new BalancerEventLatch(e -> e instanceof EndpointUpdate update && update.kind() == UpdateKind.BROKEN);
-        BlockingQueue<Action> calls = new LinkedBlockingQueue<>();
-        UnaryOperator<Balancer> counted = balancer -> (now, event, out) -> balancer.handle(now, event, action -> {
-            out.accept(action);
-            if (action instanceof Subscribe) {
-                calls.add(action);
-            }
-        });
-        try (LoopbackNetwork net = new LoopbackNetwork(1, s -> s, m -> counted.apply(broken.apply(m)));
+        BalancerEventLatch broken = new BalancerEventLatch(
+                event -> event instanceof EndpointUpdate update && update.kind() == UpdateKind.BROKEN);
+        BlockingQueue<Action> subscribes = new LinkedBlockingQueue<>();
+        UnaryOperator<Balancer> recordsSubscribes =
+                balancer -> (now, event, out) -> balancer.handle(now, event, action -> {
+                    out.accept(action);
+                    if (action instanceof Subscribe) {
+                        subscribes.add(action);
+                    }
+                });
+        try (LoopbackNetwork net = new LoopbackNetwork(
+                        1, UnaryOperator.identity(), balancer -> recordsSubscribes.apply(broken.apply(balancer)));
                 ScriptedPeer moved = new ScriptedPeer()) {
-            assertNotNull(calls.poll(20, TimeUnit.SECONDS));
+            assertNotNull(subscribes.poll(20, TimeUnit.SECONDS));
             net.discovery.next().reset();
             broken.await(); // the next call is due in a quarter of a second at the soonest
             net.sidecar.reload(net.withDiscovery(moved.address()));
             ReceivedRequest watch = moved.next();
             watch.beginWatch();
-            assertNotNull(calls.poll(20, TimeUnit.SECONDS));
+            assertNotNull(subscribes.poll(20, TimeUnit.SECONDS));
             BalancerEventLatch.callOnLoop(net, () -> null);
             watch.sendLine(LoopbackNetwork.catalogJson(
                     8, false, List.of(net.servers.get(0).endpointJson("s0", "leaving"))));
@@ -160,14 +162,15 @@
     @Test
     void aListOfTheOldDiscoveryAfterAMoveIsIgnored() throws Exception {
         BalancerEventLatch listed = BalancerEventLatch.forUpdateOf("s1");
-        BalancerEventLatch up = new BalancerEventLatch(
-                e -> e instanceof EndpointUpdate update && update.kind() == UpdateKind.INCREMENTAL);
-        try (LoopbackNetwork net = new LoopbackNetwork(1, s -> s, m -> listed.apply(up.apply(m)));
+        BalancerEventLatch watchOpened = new BalancerEventLatch(
+                event -> event instanceof EndpointUpdate update && update.kind() == UpdateKind.INCREMENTAL);
+        try (LoopbackNetwork net = new LoopbackNetwork(
+                        1, UnaryOperator.identity(), balancer -> listed.apply(watchOpened.apply(balancer)));
                 ScriptedPeer moved = new ScriptedPeer()) {
             ReceivedRequest old = net.discovery.next();
             old.beginWatch();
             old.sendLine("");
-            up.await(); // all that came so far is read: what comes now arrives after the move
+            watchOpened.await(); // all that came so far is read: what comes now arrives after the move
             BalancerEventLatch.callOnLoop(
                     net,
                     () -> { // the move stands in line before what the old one says now
@@ -187,7 +190,7 @@
             assertThrows(
                     IOException.class,
                     () -> { // and its connection is closed
-                        for (int i = 0; i < 100_000; i++) {
+                        for (int index = 0; index < 100_000; index++) {
                             old.sendLine("");
                         }
                     });
--- a/sidecar/src/test/java/dewplank/sidecar/LoopbackNetwork.java
+++ b/sidecar/src/test/java/dewplank/sidecar/LoopbackNetwork.java
@@ -30,7 +30,9 @@
 
 /** A sidecar between scripted peers, all on loopback. Tests wait for what arrives, never for a time to pass. */
 final class LoopbackNetwork implements Closeable {
-    private static final int TIMEOUT_S = 20; // only a failing test waits so long
+    /** Only a failing test waits this long. */
+    private static final int TIMEOUT_S = 20;
+
     static final int MAX_SOCKETS = 256;
     static final String SETTINGS =
             """
@@ -61,9 +63,9 @@
     LoopbackNetwork(int serverCount, UnaryOperator<String> settingsChange, UnaryOperator<Balancer> wrapper)
             throws IOException {
         List<String> entries = new ArrayList<>();
-        for (int i = 0; i < serverCount; i++) {
+        for (int index = 0; index < serverCount; index++) {
             servers.add(new ScriptedPeer());
-            entries.add(servers.get(i).endpointJson("s" + i, "active"));
+            entries.add(servers.get(index).endpointJson("s" + index, "active"));
         }
         Fields known = new Fields(Json.object(catalogJson(7, true, entries)), "known ");
         Settings settings =
@@ -87,11 +89,11 @@
     }
 
     /** The same configuration with its discovery elsewhere. */
-    SidecarConfig withDiscovery(InetSocketAddress at) {
+    SidecarConfig withDiscovery(InetSocketAddress discoveryAddress) {
         return new SidecarConfig(
                 config.name(),
                 config.listen(),
-                at,
+                discoveryAddress,
                 config.seed(),
                 config.maxSockets(),
                 config.initialCatalog(),
@@ -114,8 +116,8 @@
     public void close() throws IOException {
         sidecar.stop();
         discovery.close();
-        for (ScriptedPeer p : servers) {
-            p.close();
+        for (ScriptedPeer server : servers) {
+            server.close();
         }
     }
 
@@ -162,14 +164,15 @@
         String read() throws IOException {
             StringBuilder head = new StringBuilder();
             while (head.indexOf("\r\n\r\n") < 0) {
-                int b = in.read();
-                if (b < 0) {
+                int next = in.read();
+                if (next < 0) {
                     return null;
                 }
-                head.append((char) b);
+                head.append((char) next);
             }
-            int at = head.indexOf("Content-Length: ");
-            int length = at < 0 ? 0 : Integer.parseInt(head.substring(at + 16, head.indexOf("\r", at)));
+            int lengthAt = head.indexOf("Content-Length: ");
+            int length =
+                    lengthAt < 0 ? 0 : Integer.parseInt(head.substring(lengthAt + 16, head.indexOf("\r", lengthAt)));
             return head + new String(in.readNBytes(length), StandardCharsets.ISO_8859_1);
         }
     }
@@ -194,9 +197,9 @@
             }
         }
 
-        static String request(String requestClass, String more) {
+        static String request(String requestClass, String moreFields) {
             return "POST /api?q=1 HTTP/1.1\r\nHost: api\r\nX-Trace-Id: t" + nextId.incrementAndGet() + "\r\nX-Qos: "
-                    + requestClass + "\r\nX-Expires-In-Ms: 5000\r\n" + more + "\r\n";
+                    + requestClass + "\r\nX-Expires-In-Ms: 5000\r\n" + moreFields + "\r\n";
         }
 
         void sendRequest(String requestClass) throws IOException {
@@ -257,16 +260,17 @@
 
         /** Connections to it come up late: not before {@link #startAccepting}, and then at the system's next try. */
         static ScriptedPeer withDelayedAccept() throws IOException {
-            ScriptedPeer late = new ScriptedPeer(1);
-            for (int i = 0; i < 2; i++) { // the system's queue, which holds one more than asked for
-                late.backlogFillers.add(new Socket(InetAddress.getLoopbackAddress(), late.listener.getLocalPort()));
+            ScriptedPeer delayed = new ScriptedPeer(1);
+            for (int index = 0; index < 2; index++) { // the system's queue, which holds one more than asked for
+                delayed.backlogFillers.add(
+                        new Socket(InetAddress.getLoopbackAddress(), delayed.listener.getLocalPort()));
             }
-            return late;
+            return delayed;
         }
 
         void startAccepting() throws IOException {
-            for (Socket s : backlogFillers) {
-                s.close();
+            for (Socket filler : backlogFillers) {
+                filler.close();
             }
             open.countDown();
         }
--- a/sidecar/src/test/java/dewplank/sidecar/RequestAttributesTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/RequestAttributesTest.java
@@ -20,10 +20,10 @@
 
     /** What the balancer gets of a request with these headers; the server gets them as they came. */
     private RequestArrived arrivedWith(String fields) throws Exception {
-        try (LoopbackNetwork net =
-                new LoopbackNetwork(1, s -> s.replace("\"Accounts\":[]", TENANTS), balancer -> (now, event, out) -> {
-                    if (event instanceof RequestArrived a) {
-                        arrived.add(a);
+        try (LoopbackNetwork net = new LoopbackNetwork(
+                1, settings -> settings.replace("\"Accounts\":[]", TENANTS), balancer -> (now, event, out) -> {
+                    if (event instanceof RequestArrived arrival) {
+                        arrived.add(arrival);
                     }
                     balancer.handle(now, event, out);
                 })) {
@@ -41,27 +41,27 @@
 
     @Test
     void tenantKeyAndCostReachTheBalancer() throws Exception {
-        RequestArrived a = arrivedWith(
+        RequestArrived arrival = arrivedWith(
                 "X-Customer: porto\r\nCookie: session=1; k=7f3a=c2; lang=pt\r\nX-Props: Work=12.5,other=3\r\n");
-        assertEquals("porto", a.tenant());
-        assertEquals("7f3a=c2", a.key());
-        assertEquals(12.5, a.costMs());
+        assertEquals("porto", arrival.tenant());
+        assertEquals("7f3a=c2", arrival.key());
+        assertEquals(12.5, arrival.costMs());
     }
 
     @Test
     void ambiguousOrInvalidAttributesAreNull() throws Exception {
-        String[] strange = {
+        String[] invalidFields = {
             "X-Customer: pesca\r\nCookie: kk=1; xk=2\r\nX-Props: Work=NaN\r\n",
             "X-Customer: porto\r\nX-Customer: praias\r\nCookie: k=1\r\nCookie: k=2\r\nX-Props: Work=1,Work=2\r\n",
             "X-Customer: \r\nCookie: k=a\u00e9b\r\nX-Props: Work=-1\r\n",
             "X-Customer: PORTO\r\nCookie: k=" + "x".repeat(8 * 1024) + "\r\nX-Props: ,=,Work\r\n",
             "Cookie: k=\r\nX-Props: Work=1e300\r\n"
         };
-        for (String fields : strange) {
-            RequestArrived a = arrivedWith(fields);
-            assertNull(a.tenant(), fields);
-            assertNull(a.key(), fields);
-            assertNull(a.costMs(), fields);
+        for (String fields : invalidFields) {
+            RequestArrived arrival = arrivedWith(fields);
+            assertNull(arrival.tenant(), fields);
+            assertNull(arrival.key(), fields);
+            assertNull(arrival.costMs(), fields);
         }
     }
 
--- a/sidecar/src/test/java/dewplank/sidecar/SidecarTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/SidecarTest.java
@@ -53,8 +53,8 @@
     /** A request written to a connection that the server closes at that moment ends as a reset. */
     @Test
     void anIdleServerConnectionIsClosedBeforeTheServerDoes() throws Exception {
-        try (LoopbackNetwork net =
-                new LoopbackNetwork(1, s -> s.replace("\"IdleClose\":60000", "\"IdleClose\":1"), m -> m)) {
+        try (LoopbackNetwork net = new LoopbackNetwork(
+                1, settings -> settings.replace("\"IdleClose\":60000", "\"IdleClose\":1"), UnaryOperator.identity())) {
             Client client = net.client();
             client.sendRequest("menu-read");
             ReceivedRequest call = net.servers.get(0).next();
@@ -108,7 +108,7 @@
     void anOrderThatNeverRanGoesToAnotherServer() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(2)) {
             net.servers.get(1).close(); // refuses connections
-            for (int i = 0; i < 8; i++) {
+            for (int index = 0; index < 8; index++) {
                 Client client = net.client();
                 client.sendRequest("order-place");
                 net.servers.get(0).next().respond("200 OK", "placed");
@@ -134,8 +134,8 @@
     void aRequestSentAheadWaitsForItsTurn() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = net.client();
-            String one = Client.request("menu-read", "Content-Length: 1\r\n");
-            client.send(one + "a" + one + "b");
+            String first = Client.request("menu-read", "Content-Length: 1\r\n");
+            client.send(first + "a" + first + "b");
             net.servers.get(0).next().respond("200 OK", "A");
             assertTrue(client.read().endsWith("\r\n\r\nA"));
             ReceivedRequest second = net.servers.get(0).next();
@@ -157,10 +157,10 @@
                 {"400", Client.request("menu-read", "").replace("X-Trace-Id: t", "X-Trace-Id: \u00e4 ")},
                 {"400", "GET /api HTTP/1.1\r\nX-Trace-Id: t\r\nX-Qos: menu-read\r\nX-Expires-In-Ms: soon\r\n\r\n"},
             };
-            for (String[] c : cases) {
+            for (String[] malformed : cases) {
                 Client client = net.client();
-                client.send(c[1]);
-                assertStatus(c[0], client.read());
+                client.send(malformed[1]);
+                assertStatus(malformed[0], client.read());
                 assertNull(client.read());
             }
         }
@@ -198,9 +198,9 @@
             watch.sendLine("");
             watch.sendLine(LoopbackNetwork.catalogJson(9, false, List.of(server.endpointJson("new", "active"))));
             watch.reset();
-            ReceivedRequest again = net.discovery.next();
-            again = again.message() == null ? net.discovery.next() : again;
-            assertTrue(again.message().contains("index=9 "), again.message());
+            ReceivedRequest reopened = net.discovery.next();
+            reopened = reopened.message() == null ? net.discovery.next() : reopened;
+            assertTrue(reopened.message().contains("index=9 "), reopened.message());
             client.send("GET /_health HTTP/1.1\r\n\r\n");
             assertStatus("200", client.read());
             client.sendRequest("menu-read");
@@ -213,7 +213,8 @@
     @Test
     void aBalancerThatThrowsFailsThatRequestOnly() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1, settings -> settings, balancer -> (now, event, out) -> {
-            if (event instanceof RequestArrived a && a.requestClass().equals("order-place")) {
+            if (event instanceof RequestArrived arrival
+                    && arrival.requestClass().equals("order-place")) {
                 throw new IllegalStateException("on purpose, for the test");
             }
             balancer.handle(now, event, out);
@@ -235,10 +236,12 @@
     void connectionsWithoutRequestsAreClosedForCapacity() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             List<Client> idle = new ArrayList<>();
-            for (int i = 0; i <= net.config.maxClientConnections() / ClientConnections.IDLE_CAPACITY_DIVISOR; i++) {
+            for (int index = 0;
+                    index <= net.config.maxClientConnections() / ClientConnections.IDLE_CAPACITY_DIVISOR;
+                    index++) {
                 idle.add(net.client());
-                idle.get(i).send("GET /_health HTTP/1.1\r\n\r\n");
-                assertStatus("200", idle.get(i).read());
+                idle.get(index).send("GET /_health HTTP/1.1\r\n\r\n");
+                assertStatus("200", idle.get(index).read());
             }
             Client silent = net.client();
             Client half = net.client();
@@ -249,8 +252,8 @@
             awaitOnLoop(net, () -> net.sidecar.closeOverdue(net.sidecar.loop().now() + 3_000));
             assertNull(silent.read());
             assertLast(half, "408");
-            for (Client c : idle) {
-                assertNull(c.read());
+            for (Client client : idle) {
+                assertNull(client.read());
             }
             call.respond("200 OK", "");
             assertStatus("200", busy.read());
@@ -288,20 +291,22 @@
     }
 
     private static void close(List<Client> clients) throws IOException {
-        for (Client c : clients) {
-            c.socket.close();
+        for (Client client : clients) {
+            client.socket.close();
         }
     }
 
     private static List<Client> clientsUpToIdleCapacity(LoopbackNetwork net) throws IOException {
         List<Client> idle = new ArrayList<>();
-        for (int i = 0; i < net.config.maxClientConnections() / ClientConnections.IDLE_CAPACITY_DIVISOR; i++) {
-            Client one = net.client();
-            one.send("GET /_health HTTP/1.1\r\n\r\n");
-            String answer = one.read();
+        for (int index = 0;
+                index < net.config.maxClientConnections() / ClientConnections.IDLE_CAPACITY_DIVISOR;
+                index++) {
+            Client first = net.client();
+            first.send("GET /_health HTTP/1.1\r\n\r\n");
+            String answer = first.read();
             assertStatus("200", answer);
             assertFalse(answer.contains("Connection: close"), answer);
-            idle.add(one);
+            idle.add(first);
         }
         return idle;
     }
@@ -311,7 +316,7 @@
     void anIdleClientStaysWhileThereIsCapacity() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = net.client();
-            for (int i = 0; i < 2; i++) {
+            for (int index = 0; index < 2; index++) {
                 client.send("GET /_health HTTP/1.1\r\n\r\n");
                 assertStatus("200", client.read());
                 awaitOnLoop(
@@ -331,13 +336,13 @@
     void silentConnectionsAtTheBoundAreClosedSoon() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             List<Client> silent = new ArrayList<>();
-            for (int i = 0; i < net.config.maxClientConnections(); i++) {
+            for (int index = 0; index < net.config.maxClientConnections(); index++) {
                 silent.add(net.client());
             }
-            Client late = net.client();
-            late.sendRequest("menu-read");
+            Client newClient = net.client();
+            newClient.sendRequest("menu-read");
             net.servers.get(0).next().respond("200 OK", "");
-            assertStatus("200", late.read());
+            assertStatus("200", newClient.read());
             assertNull(silent.get(0).read());
         }
     }
@@ -348,20 +353,20 @@
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             ReceivedRequest watch = net.discovery.next();
             LoopbackNetwork.ScriptedPeer server = net.servers.get(0);
-            Client one = net.client();
-            one.sendRequest("menu-read");
-            ReceivedRequest first = server.next();
-            Client two = net.client();
-            two.sendRequest("menu-read");
-            ReceivedRequest second = server.next();
-            first.respond("200 OK", "");
-            assertStatus("200", one.read()); // its connection is idle now
+            Client first = net.client();
+            first.sendRequest("menu-read");
+            ReceivedRequest firstCall = server.next();
+            Client second = net.client();
+            second.sendRequest("menu-read");
+            ReceivedRequest secondCall = server.next();
+            firstCall.respond("200 OK", "");
+            assertStatus("200", first.read()); // its connection is idle now
             watch.beginWatch();
             watch.sendLine(LoopbackNetwork.catalogJson(8, false, List.of(server.endpointJson("s0", "left"))));
-            assertEnd(first, server.next());
-            second.respond("200 OK", "");
-            assertStatus("200", two.read());
-            assertEnd(second, server.next());
+            assertEnd(firstCall, server.next());
+            secondCall.respond("200 OK", "");
+            assertStatus("200", second.read());
+            assertEnd(secondCall, server.next());
         }
     }
 
@@ -378,7 +383,7 @@
                 balancer.handle(now, event, out);
             }
         };
-        try (LoopbackNetwork net = new LoopbackNetwork(1, s -> s, neverResubscribes);
+        try (LoopbackNetwork net = new LoopbackNetwork(1, UnaryOperator.identity(), neverResubscribes);
                 LoopbackNetwork.ScriptedPeer moved = new LoopbackNetwork.ScriptedPeer()) {
             ReceivedRequest old = net.discovery.next();
             old.beginWatch();
@@ -398,21 +403,21 @@
     void anAttemptWithoutAFreeConnectionIsNeverSent() throws Exception {
         List<Outcome> outcomes = new CopyOnWriteArrayList<>();
         UnaryOperator<Balancer> sendsAll = balancer -> (now, event, out) -> {
-            if (event instanceof RequestArrived a) {
-                out.accept(new Send(a.request(), "s0", 0));
-            } else if (event instanceof AttemptEnded e) {
-                outcomes.add(e.outcome());
-                out.accept(new Reject(e.request(), 0));
+            if (event instanceof RequestArrived arrival) {
+                out.accept(new Send(arrival.request(), "s0", 0));
+            } else if (event instanceof AttemptEnded attempt) {
+                outcomes.add(attempt.outcome());
+                out.accept(new Reject(attempt.request(), 0));
             }
         };
-        try (LoopbackNetwork net = new LoopbackNetwork(1, s -> s, sendsAll)) {
-            for (int i = 0; i < net.config.maxServerConnections(); i++) {
+        try (LoopbackNetwork net = new LoopbackNetwork(1, UnaryOperator.identity(), sendsAll)) {
+            for (int index = 0; index < net.config.maxServerConnections(); index++) {
                 net.client().sendRequest("order-place");
                 net.servers.get(0).next();
             }
-            Client one = net.client();
-            one.sendRequest("order-place");
-            assertStatus("503", one.read());
+            Client first = net.client();
+            first.sendRequest("order-place");
+            assertStatus("503", first.read());
             assertEquals(List.of(Outcome.NEVER_SENT), outcomes);
         }
     }
@@ -485,7 +490,7 @@
     @Test
     void aConnectionInTheBacklogOfADrainingSidecarGetsNoResponse() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
-            for (int i = 1; i < net.config.maxClientConnections(); i++) {
+            for (int index = 1; index < net.config.maxClientConnections(); index++) {
                 net.client().send("POST"); // half a request: a silent connection would be closed at the bound
             }
             Client last = net.client();
--- a/sidecar/src/test/java/dewplank/sidecar/config/SidecarConfigTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/config/SidecarConfigTest.java
@@ -15,7 +15,7 @@
 
 class SidecarConfigTest {
 
-    private static String complaint(String json) {
+    private static String errorMessage(String json) {
         return assertThrows(
                         InvalidInputException.class,
                         () -> SidecarConfig.of(new Fields(Json.object(json), "configuration key ")))
@@ -24,27 +24,28 @@
 
     @Test
     void theKeyAtFaultIsNamed() {
-        assertEquals("configuration key name is missing", complaint("{}"));
+        assertEquals("configuration key name is missing", errorMessage("{}"));
         assertEquals(
                 "configuration key listen should be an address and a port, such as 10.0.0.4:5000",
-                complaint("{\"name\":\"n\",\"listen\":\"here\"}"));
+                errorMessage("{\"name\":\"n\",\"listen\":\"here\"}"));
         assertEquals(
-                "configuration key limits.sockets should be at least 256", complaint("{\"limits\":{\"sockets\":3}}"));
+                "configuration key limits.sockets should be at least 256",
+                errorMessage("{\"limits\":{\"sockets\":3}}"));
         String start = "{\"name\":\"n\",\"listen\":\"127.0.0.1:5000\",\"discovery\":\"127.0.0.1:8500\",\"seed\":";
         assertEquals(
                 "configuration key seed should be a hexadecimal number of 64 bits at the most",
-                complaint(start + "\"x\"}"));
+                errorMessage(start + "\"x\"}"));
         assertEquals(
                 "configuration key settings.Me is missing",
-                complaint(start + "\"8c1f30d27a5be964\",\"known\":{},\"settings\":{}}"));
+                errorMessage(start + "\"8c1f30d27a5be964\",\"known\":{},\"settings\":{}}"));
     }
 
     @Test
     void settingsOutOfRangeAreNamed() {
-        Fields none = new Fields(Json.object("{\"Me\":0,\"ReplicasOfMe\":0}"), "setting ");
+        Fields outOfRange = new Fields(Json.object("{\"Me\":0,\"ReplicasOfMe\":0}"), "setting ");
         assertEquals(
                 "setting ReplicasOfMe should be a number above 0",
-                assertThrows(InvalidInputException.class, () -> BalancerSettingsReader.read(none))
+                assertThrows(InvalidInputException.class, () -> BalancerSettingsReader.read(outOfRange))
                         .getMessage());
         Fields word = new Fields(Json.object("{\"a\":\"x\"}"), "setting ");
         assertEquals(
@@ -106,16 +107,17 @@
         assertEquals(
                 "configuration key peers[1] should be another address than those before it",
                 withPeers(listen + ",\"10.0.0.5:7946\"],"));
-        for (String foreign : List.of("8.8.8.8:53", "224.0.0.1:7946", "0.0.0.0:7946", "[::1]:7946", "100.128.0.1:1")) {
+        for (String notPrivate :
+                List.of("8.8.8.8:53", "224.0.0.1:7946", "0.0.0.0:7946", "[::1]:7946", "100.128.0.1:1")) {
             assertEquals(
                     "configuration key peers[1] should be an IPv4 address of a private network or of loopback",
-                    withPeers(listen + ",\"" + foreign + "\"],"));
+                    withPeers(listen + ",\"" + notPrivate + "\"],"));
         }
         assertEquals("configuration key peers_all" + address, withPeers(listen + "],\"peers_all\":\"all\","));
     }
 
     private static String withPeers(String keys) {
-        return complaint(
+        return errorMessage(
                 "{" + keys
                         + """
             "name":"n","listen":"127.0.0.1:5000","discovery":"127.0.0.1:2","seed":"1","known":{},"settings":
--- a/sidecar/src/test/java/dewplank/simhost/SimulatorHostTest.java
+++ b/sidecar/src/test/java/dewplank/simhost/SimulatorHostTest.java
@@ -34,7 +34,7 @@
         return out.toString().replaceFirst("^\n", "").replaceAll("\n+", "\n");
     }
 
-    private static String complaint(String input) {
+    private static String errorMessage(String input) {
         return assertThrows(InvalidInputException.class, () -> run(input)).getMessage();
     }
 
@@ -82,23 +82,23 @@
                 "[\"TURN\",1,2] | line 5: TURN inside a batch",
                 "[\"CREATE\",5,1,{\"Me\":0}] | line 5: setting ReplicasOfMe is missing",
             })
-    void badInputIsNamedWithItsLine(String line, String complaint) {
-        assertEquals(complaint, complaint(START + line + "\n[\"END\"]\n"));
+    void badInputIsNamedWithItsLine(String line, String errorMessage) {
+        assertEquals(errorMessage, errorMessage(START + line + "\n[\"END\"]\n"));
     }
 
     @Test
     void inputMayNotEndInsideABatch() {
-        assertEquals("line 4: input ends inside a batch", complaint(START));
+        assertEquals("line 4: input ends inside a batch", errorMessage(START));
     }
 
     @Test
     void newSettingsOfTheWrongTypeAreNamed() {
-        String safety =
-                complaint(START.replace("\"DrainGrace\"", "\"FullMayHaveRun\":\"yes\",\"DrainGrace\"") + "[\"END\"]\n");
+        String safety = errorMessage(
+                START.replace("\"DrainGrace\"", "\"FullMayHaveRun\":\"yes\",\"DrainGrace\"") + "[\"END\"]\n");
         assertTrue(safety.contains("Safety.FullMayHaveRun should be true or false"), safety);
-        String goal = complaint(START.replace("{\"Whole\":1.0}", "{\"Whole\":1.0,\"Tail\":[]}") + "[\"END\"]\n");
+        String goal = errorMessage(START.replace("{\"Whole\":1.0}", "{\"Whole\":1.0,\"Tail\":[]}") + "[\"END\"]\n");
         assertTrue(goal.contains("Goal.Tail should be a number"), goal);
-        String share = complaint(
+        String share = errorMessage(
                 START.replace("{\"Whole\":1.0}", "{\"Whole\":1.0,\"Tail\":0.2,\"MissAllowed\":true}") + "[\"END\"]\n");
         assertTrue(share.contains("Goal.MissAllowed should be a number"), share);
     }
