--- a/sidecar/src/test/java/dewplank/sidecar/AttemptWriteTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/AttemptWriteTest.java
@@ -40,7 +40,10 @@
                         "\"Idempotency\":\"non_idempotent\"",
                         "\"Idempotency\":\"idempotency_key\",\"KeyScope\":\"all\",\"KeyTtl\":300");
         BalancerEventLatch reset = new BalancerEventLatch(event -> event instanceof AttemptEnded);
-        try (LoopbackNetwork net = new LoopbackNetwork(1, keyed, balancer -> reset.apply(listed.apply(balancer)));
+        try (LoopbackNetwork net = LoopbackNetwork.builder(1)
+                        .settings(keyed)
+                        .balancer(balancer -> reset.apply(listed.apply(balancer)))
+                        .start();
                 ScriptedPeer delayed = ScriptedPeer.withDelayedAccept()) {
             ReceivedRequest watch = net.beginWatch();
             Client client = net.client();
@@ -50,7 +53,7 @@
             listed.await();
             first.reset(); // it may have run: the repeat goes to the other server, whose connection is not up yet
             reset.await();
-            BalancerEventLatch.callOnLoop(net, () -> null); // by now the connection is requested
+            net.callOnLoop(() -> null); // by now the connection is requested
             delayed.startAccepting();
             assertStatus("503", client.read());
             assertNothingCame(delayed);
@@ -60,17 +63,18 @@
     /** The time that it may take to come up can be longer than the grace period after a drain was announced. */
     @Test
     void aServerThatDrainsWhileConnectingGetsNoRequest() throws Exception {
-        try (LoopbackNetwork net =
-                        new LoopbackNetwork(0, LoopbackNetwork.NO_CONNECT_TIMEOUT, UnaryOperator.identity());
+        try (LoopbackNetwork net = LoopbackNetwork.builder(0)
+                        .settings(LoopbackNetwork.NO_CONNECT_TIMEOUT)
+                        .start();
                 ScriptedPeer delayed = ScriptedPeer.withDelayedAccept()) {
             ReceivedRequest watch = beginWatchListing(net, delayed);
             Client client = net.client();
-            BalancerEventLatch.awaitHealthStatus(client, "200");
+            client.awaitHealthStatus("200");
             Client order = net.client();
             order.sendRequest("order-place");
-            BalancerEventLatch.awaitRequestAccepted(net);
+            net.awaitRequestAccepted();
             watch.sendLine(LoopbackNetwork.catalogJson(9, false, List.of(delayed.endpointJson("late", "leaving"))));
-            BalancerEventLatch.awaitHealthStatus(client, "503");
+            client.awaitHealthStatus("503");
             delayed.startAccepting();
             assertStatus("503", order.read());
             assertItsConnectionEndsUnused(delayed);
@@ -84,13 +88,16 @@
         UnaryOperator<String> fixed = settings -> LoopbackNetwork.NO_CONNECT_TIMEOUT
                 .apply(settings)
                 .replace("\"Cancelling\":true", "\"Cancelling\":false");
-        try (LoopbackNetwork net = new LoopbackNetwork(0, fixed, abandoned);
+        try (LoopbackNetwork net = LoopbackNetwork.builder(0)
+                        .settings(fixed)
+                        .balancer(abandoned)
+                        .start();
                 ScriptedPeer delayed = ScriptedPeer.withDelayedAccept()) {
             beginWatchListing(net, delayed);
-            BalancerEventLatch.awaitHealthStatus(net.client(), "200");
+            net.client().awaitHealthStatus("200");
             Client client = net.client();
             client.sendRequest("order-place");
-            BalancerEventLatch.awaitRequestAccepted(net);
+            net.awaitRequestAccepted();
             client.socket.close();
             abandoned.await();
             delayed.startAccepting();
@@ -101,11 +108,12 @@
     /** Nothing was written, so nothing ran: the client may try again, and an order too. */
     @Test
     void aTimeoutBeforeTheConnectionIsUpIsRejected() throws Exception {
-        try (LoopbackNetwork net =
-                        new LoopbackNetwork(0, LoopbackNetwork.NO_CONNECT_TIMEOUT, UnaryOperator.identity());
+        try (LoopbackNetwork net = LoopbackNetwork.builder(0)
+                        .settings(LoopbackNetwork.NO_CONNECT_TIMEOUT)
+                        .start();
                 ScriptedPeer delayed = ScriptedPeer.withDelayedAccept()) {
             beginWatchListing(net, delayed);
-            BalancerEventLatch.awaitHealthStatus(net.client(), "200");
+            net.client().awaitHealthStatus("200");
             Client client = net.client();
             client.send(Client.request("order-place", "").replace("5000", "300"));
             assertStatus("503", client.read());
@@ -171,15 +179,16 @@
     /** Between two sweeps a connection may get older than the server lets it: it is not used again. */
     @Test
     void aConnectionThatTheServerIsAboutToCloseIsNotReused() throws Exception {
-        try (LoopbackNetwork net = new LoopbackNetwork(
-                1, settings -> settings.replace("\"IdleClose\":60000", "\"IdleClose\":50"), UnaryOperator.identity())) {
+        try (LoopbackNetwork net = LoopbackNetwork.builder(1)
+                .settings(settings -> settings.replace("\"IdleClose\":60000", "\"IdleClose\":50"))
+                .start()) {
             Client client = net.client();
             client.sendRequest("menu-read");
             ReceivedRequest first = net.servers.get(0).next();
             first.respond("200 OK", "");
             assertTrue(client.read().startsWith("HTTP/1.1 200"));
             CountDownLatch aged = new CountDownLatch(1);
-            BalancerEventLatch.callOnLoop(net, () -> net.sidecar.loop().after(50, aged::countDown));
+            net.callOnLoop(() -> net.sidecar.loop().after(50, aged::countDown));
             aged.await();
             client.sendRequest("menu-read");
             ReceivedRequest second = net.servers.get(0).nextRequest();
--- a/sidecar/src/test/java/dewplank/sidecar/ClientDisconnectTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/ClientDisconnectTest.java
@@ -27,9 +27,8 @@
             before.sendRequest("menu-read");
             net.servers.get(0).next().respond("200 OK", "");
             assertTrue(before.read().startsWith("HTTP/1.1 200"));
-            BalancerEventLatch.awaitConnectionReusable(
-                    net); // a connection is at hand: nothing but reading lies before the sending
-            BalancerEventLatch.callOnLoop(net, () -> {
+            net.awaitConnectionReusable(); // a connection is at hand: nothing but reading lies before the sending
+            net.callOnLoop(() -> {
                 Client disconnected = net.client();
                 disconnected.sendRequest("menu-read");
                 disconnected.socket.close();
@@ -48,18 +47,19 @@
     @Test
     void aClientThatDisconnectsWhileItsRequestIsQueuedIsNotForwarded() throws Exception {
         BalancerEventLatch abandoned = new BalancerEventLatch(event -> event instanceof RequestAbandoned);
-        try (LoopbackNetwork net = new LoopbackNetwork(0, UnaryOperator.identity(), abandoned);
+        try (LoopbackNetwork net =
+                        LoopbackNetwork.builder(0).balancer(abandoned).start();
                 ScriptedPeer server = new ScriptedPeer()) {
             ReceivedRequest watch = net.discovery.next();
             Client client = net.client();
             client.sendRequest("menu-read");
-            BalancerEventLatch.awaitRequestAccepted(net);
+            net.awaitRequestAccepted();
             client.socket.close();
             abandoned.await();
             watch.beginWatch();
             watch.sendLine(LoopbackNetwork.catalogJson(8, false, List.of(server.endpointJson("s0", "active"))));
             Client staying = net.client();
-            BalancerEventLatch.awaitHealthStatus(staying, "200");
+            staying.awaitHealthStatus("200");
             staying.send(Client.request("menu-read", "Content-Length: 4\r\n") + "mark");
             ReceivedRequest first = server.nextRequest();
             assertTrue(first.message().endsWith("\r\n\r\nmark"), first.message());
@@ -71,7 +71,10 @@
     @Test
     void aClientThatDisconnectsBehindUnreadBytesIsNotForwarded() throws Exception {
         BalancerEventLatch abandoned = new BalancerEventLatch(event -> event instanceof RequestAbandoned);
-        try (LoopbackNetwork net = new LoopbackNetwork(0, LoopbackNetwork.NO_CONNECT_TIMEOUT, abandoned);
+        try (LoopbackNetwork net = LoopbackNetwork.builder(0)
+                        .settings(LoopbackNetwork.NO_CONNECT_TIMEOUT)
+                        .balancer(abandoned)
+                        .start();
                 ScriptedPeer delayed = ScriptedPeer.withDelayedAccept()) {
             Client client = waitingAt(net, delayed);
             client.send("POST /ahead HTTP/1.1\r\nContent-Length: 40000\r\n\r\n" + "x".repeat(40_000));
@@ -86,7 +89,10 @@
     @Test
     void tooManyBytesAheadOfAResponseEndTheirRequest() throws Exception {
         BalancerEventLatch abandoned = new BalancerEventLatch(event -> event instanceof RequestAbandoned);
-        try (LoopbackNetwork net = new LoopbackNetwork(0, LoopbackNetwork.NO_CONNECT_TIMEOUT, abandoned);
+        try (LoopbackNetwork net = LoopbackNetwork.builder(0)
+                        .settings(LoopbackNetwork.NO_CONNECT_TIMEOUT)
+                        .balancer(abandoned)
+                        .start();
                 ScriptedPeer delayed = ScriptedPeer.withDelayedAccept()) {
             Client client = waitingAt(net, delayed);
             client.send("x".repeat(400_000));
@@ -103,7 +109,10 @@
     @Test
     void aHalfClosedClientCountsAsDisconnected() throws Exception {
         BalancerEventLatch abandoned = new BalancerEventLatch(event -> event instanceof RequestAbandoned);
-        try (LoopbackNetwork net = new LoopbackNetwork(0, LoopbackNetwork.NO_CONNECT_TIMEOUT, abandoned);
+        try (LoopbackNetwork net = LoopbackNetwork.builder(0)
+                        .settings(LoopbackNetwork.NO_CONNECT_TIMEOUT)
+                        .balancer(abandoned)
+                        .start();
                 ScriptedPeer delayed = ScriptedPeer.withDelayedAccept()) {
             Client client = waitingAt(net, delayed);
             client.socket.shutdownOutput();
@@ -134,7 +143,8 @@
                 });
             }
         };
-        try (LoopbackNetwork net = new LoopbackNetwork(1, UnaryOperator.identity(), closesClientLater)) {
+        try (LoopbackNetwork net =
+                LoopbackNetwork.builder(1).balancer(closesClientLater).start()) {
             networkReady.complete(net);
             Client client = net.client();
             clientReady.complete(client);
@@ -145,8 +155,7 @@
                 net.sidecar.drain(new DrainSchedule(1, 5_000));
                 drained.complete(closed.get());
             });
-            while (!BalancerEventLatch.callOnLoop(
-                    net, () -> net.sidecar.clients().isClosing())) {
+            while (!net.callOnLoop(() -> net.sidecar.clients().isClosing())) {
                 Thread.onSpinWait();
             }
             call.respond("200 OK", "");
@@ -161,10 +170,10 @@
     private static Client waitingAt(LoopbackNetwork net, ScriptedPeer delayed) throws Exception {
         ReceivedRequest watch = net.beginWatch();
         watch.sendLine(LoopbackNetwork.catalogJson(8, false, List.of(delayed.endpointJson("late", "active"))));
-        BalancerEventLatch.awaitHealthStatus(net.client(), "200");
+        net.client().awaitHealthStatus("200");
         Client client = net.client();
         client.sendRequest("order-place");
-        BalancerEventLatch.awaitRequestAccepted(net);
+        net.awaitRequestAccepted();
         return client;
     }
 
--- a/sidecar/src/test/java/dewplank/sidecar/ConnectionCloseTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/ConnectionCloseTest.java
@@ -30,7 +30,7 @@
     void aRequestThatCrossesItsConnectionsCloseIsNotForwarded() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = idleClient(net);
-            BalancerEventLatch.callOnLoop(net, () -> {
+            net.callOnLoop(() -> {
                 client.sendRequest("menu-read");
                 net.sidecar.clients().closeIdle(true);
                 return null;
@@ -46,7 +46,7 @@
             Client client = idleClient(net);
             client.sendRequest("menu-read");
             ReceivedRequest call = net.servers.get(0).next();
-            BalancerEventLatch.callOnLoop(net, () -> {
+            net.callOnLoop(() -> {
                 net.sidecar.clients().closeIdle(true);
                 return null;
             });
@@ -60,7 +60,7 @@
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client first = halfRead(net, 1);
             Client second = halfRead(net, 2);
-            BalancerEventLatch.callOnLoop(net, () -> {
+            net.callOnLoop(() -> {
                 net.sidecar.clients().closeIdle(false);
                 return null;
             });
@@ -69,7 +69,7 @@
             assertTrue(call.message().endsWith("\r\n\r\nabcd"), call.message());
             call.respond("200 OK", "whole");
             assertTrue(first.read().endsWith("\r\n\r\nwhole"));
-            BalancerEventLatch.callOnLoop(net, () -> {
+            net.callOnLoop(() -> {
                 second.send("cd"); // the rest crosses the end
                 net.sidecar.clients().closeIdle(true);
                 return null;
@@ -181,7 +181,7 @@
 
     private static <T> T onLoop(LoopbackNetwork net, Callable<T> task) {
         try {
-            return BalancerEventLatch.callOnLoop(net, task);
+            return net.callOnLoop(task);
         } catch (Exception e) {
             throw new IllegalStateException(e);
         }
--- a/sidecar/src/test/java/dewplank/sidecar/DiscoveryClientTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/DiscoveryClientTest.java
@@ -34,19 +34,19 @@
     /** Found on the days of a deployment whose lists are pushed: no watch was ever opened, and drains were missed. */
     @Test
     void whereListsArePushedTheWatchIsReopenedAtOnce() throws Exception {
-        try (LoopbackNetwork net = new LoopbackNetwork(1, PUSHED, UnaryOperator.identity())) {
+        try (LoopbackNetwork net = LoopbackNetwork.builder(1).settings(PUSHED).start()) {
             ReceivedRequest watch = net.discovery.next();
             assertTrue(watch.message().startsWith("GET /catalog/members?stream=1&index=7 "), watch.message());
             watch.beginWatch();
             watch.sendLine("");
             Client client = net.client();
-            BalancerEventLatch.awaitHealthStatus(client, "200");
+            client.awaitHealthStatus("200");
             watch.reset();
             ReceivedRequest reopened = net.discovery.nextRequest();
             reopened.beginWatch();
             reopened.sendLine(LoopbackNetwork.catalogJson(
                     8, false, List.of(net.servers.get(0).endpointJson("s0", "leaving"))));
-            BalancerEventLatch.awaitHealthStatus(client, "503");
+            client.awaitHealthStatus("503");
         }
     }
 
@@ -94,7 +94,7 @@
             for (int index = 0; index < list.length(); index++) {
                 watch.connection().send("1\r\n" + list.charAt(index) + "\r\n");
             }
-            BalancerEventLatch.awaitHealthStatus(net.client(), "200");
+            net.client().awaitHealthStatus("200");
         }
     }
 
@@ -102,7 +102,7 @@
     @Test
     void anOlderListThatComesLastIsIgnored() throws Exception {
         BalancerEventLatch last = BalancerEventLatch.forUpdateOf("last");
-        try (LoopbackNetwork net = new LoopbackNetwork(1, UnaryOperator.identity(), last)) {
+        try (LoopbackNetwork net = LoopbackNetwork.builder(1).balancer(last).start()) {
             ScriptedPeer server = net.servers.get(0);
             ReceivedRequest watch = net.beginWatch();
             watch.sendLine(LoopbackNetwork.catalogJson(9, false, List.of(server.endpointJson("s0", "leaving"))));
@@ -120,7 +120,7 @@
     void anEmptyLineCountsAsAnUpdate() throws Exception {
         BalancerEventLatch answered = new BalancerEventLatch(
                 event -> event instanceof EndpointUpdate update && update.kind() == UpdateKind.INCREMENTAL);
-        try (LoopbackNetwork net = new LoopbackNetwork(1, UnaryOperator.identity(), answered)) {
+        try (LoopbackNetwork net = LoopbackNetwork.builder(1).balancer(answered).start()) {
             ReceivedRequest watch = net.beginWatch();
             watch.sendLine("");
             answered.await();
@@ -140,8 +140,9 @@
                         subscribes.add(action);
                     }
                 });
-        try (LoopbackNetwork net = new LoopbackNetwork(
-                        1, UnaryOperator.identity(), balancer -> recordsSubscribes.apply(broken.apply(balancer)));
+        try (LoopbackNetwork net = LoopbackNetwork.builder(1)
+                        .balancer(balancer -> recordsSubscribes.apply(broken.apply(balancer)))
+                        .start();
                 ScriptedPeer moved = new ScriptedPeer()) {
             assertNotNull(subscribes.poll(20, TimeUnit.SECONDS));
             net.discovery.next().reset();
@@ -150,10 +151,10 @@
             ReceivedRequest watch = moved.next();
             watch.beginWatch();
             assertNotNull(subscribes.poll(20, TimeUnit.SECONDS));
-            BalancerEventLatch.callOnLoop(net, () -> null);
+            net.callOnLoop(() -> null);
             watch.sendLine(LoopbackNetwork.catalogJson(
                     8, false, List.of(net.servers.get(0).endpointJson("s0", "leaving"))));
-            BalancerEventLatch.awaitHealthStatus(net.client(), "503");
+            net.client().awaitHealthStatus("503");
             assertTrue(moved.hasNoRequest());
         }
     }
@@ -164,15 +165,15 @@
         BalancerEventLatch listed = BalancerEventLatch.forUpdateOf("s1");
         BalancerEventLatch watchOpened = new BalancerEventLatch(
                 event -> event instanceof EndpointUpdate update && update.kind() == UpdateKind.INCREMENTAL);
-        try (LoopbackNetwork net = new LoopbackNetwork(
-                        1, UnaryOperator.identity(), balancer -> listed.apply(watchOpened.apply(balancer)));
+        try (LoopbackNetwork net = LoopbackNetwork.builder(1)
+                        .balancer(balancer -> listed.apply(watchOpened.apply(balancer)))
+                        .start();
                 ScriptedPeer moved = new ScriptedPeer()) {
             ReceivedRequest old = net.discovery.next();
             old.beginWatch();
             old.sendLine("");
             watchOpened.await(); // all that came so far is read: what comes now arrives after the move
-            BalancerEventLatch.callOnLoop(
-                    net,
+            net.callOnLoop(
                     () -> { // the move stands in line before what the old one says now
                         net.sidecar.reload(net.withDiscovery(moved.address()));
                         old.sendLine(LoopbackNetwork.catalogJson(20, true, List.of()));
--- a/sidecar/src/test/java/dewplank/sidecar/LoopbackNetwork.java
+++ b/sidecar/src/test/java/dewplank/sidecar/LoopbackNetwork.java
@@ -5,6 +5,7 @@
 import dewplank.balancer.Balancer;
 import dewplank.balancer.Settings;
 import dewplank.balancer.adaptive.AdaptiveBalancer;
+import dewplank.exchange.ConnectionPool;
 import dewplank.settings.Fields;
 import dewplank.settings.Json;
 import dewplank.sidecar.config.BalancerSettingsReader;
@@ -22,13 +23,19 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.Callable;
 import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.Executors;
+import java.util.concurrent.FutureTask;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.UnaryOperator;
 
-/** A sidecar between scripted peers, all on loopback. Tests wait for what arrives, never for a time to pass. */
+/**
+ * A sidecar between scripted peers, all on loopback: clients, servers and discovery. Tests wait for what arrives, never
+ * for a time to pass.
+ */
 final class LoopbackNetwork implements Closeable {
     /** Only a failing test waits this long. */
     private static final int TIMEOUT_S = 20;
@@ -55,21 +62,49 @@
     final Sidecar sidecar;
     private final int sidecarPort; // asked for at the start: a closed listener does not tell it
 
+    /** A network with other settings, or with a wrapper around the balancer. */
+    static final class Builder {
+        private final int serverCount;
+        private UnaryOperator<String> settingsChange = UnaryOperator.identity();
+        private UnaryOperator<Balancer> wrapper = UnaryOperator.identity();
+
+        private Builder(int serverCount) {
+            this.serverCount = serverCount;
+        }
+
+        /** Changes the text of {@link #SETTINGS}. */
+        Builder settings(UnaryOperator<String> change) {
+            settingsChange = change;
+            return this;
+        }
+
+        Builder balancer(UnaryOperator<Balancer> newWrapper) {
+            wrapper = newWrapper;
+            return this;
+        }
+
+        LoopbackNetwork start() throws IOException {
+            return new LoopbackNetwork(this);
+        }
+    }
+
+    static Builder builder(int serverCount) {
+        return new Builder(serverCount);
+    }
+
     LoopbackNetwork(int serverCount) throws IOException {
-        this(serverCount, UnaryOperator.identity(), UnaryOperator.identity());
+        this(builder(serverCount));
     }
 
-    /** With other settings, and a wrapper of the balancer. */
-    LoopbackNetwork(int serverCount, UnaryOperator<String> settingsChange, UnaryOperator<Balancer> wrapper)
-            throws IOException {
+    private LoopbackNetwork(Builder builder) throws IOException {
         List<String> entries = new ArrayList<>();
-        for (int index = 0; index < serverCount; index++) {
+        for (int index = 0; index < builder.serverCount; index++) {
             servers.add(new ScriptedPeer());
             entries.add(servers.get(index).endpointJson("s" + index, "active"));
         }
         Fields known = new Fields(Json.object(catalogJson(7, true, entries)), "known ");
-        Settings settings =
-                BalancerSettingsReader.read(new Fields(Json.object(settingsChange.apply(SETTINGS)), "setting "));
+        Settings settings = BalancerSettingsReader.read(
+                new Fields(Json.object(builder.settingsChange.apply(SETTINGS)), "setting "));
         config = new SidecarConfig(
                 "n0",
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
@@ -79,7 +114,7 @@
                 known,
                 settings,
                 null);
-        sidecar = new Sidecar(config, wrapper.apply(new AdaptiveBalancer(settings, new SplittableRandom(5))));
+        sidecar = new Sidecar(config, builder.wrapper.apply(new AdaptiveBalancer(settings, new SplittableRandom(5))));
         sidecarPort = ((InetSocketAddress) sidecar.address()).getPort();
         sidecar.start();
     }
@@ -112,6 +147,35 @@
         return new Client(sidecarPort);
     }
 
+    /** Runs a task on the sidecar's event loop; returns its result. */
+    <T> T callOnLoop(Callable<T> task) throws Exception {
+        FutureTask<T> done = new FutureTask<>(task);
+        sidecar.loop().execute(done);
+        return done.get();
+    }
+
+    void runOnLoop(Runnable task) throws Exception {
+        callOnLoop(Executors.callable(task));
+    }
+
+    /** Waits until the sidecar has accepted a request. */
+    void awaitRequestAccepted() throws Exception {
+        long untilNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
+        while (callOnLoop(sidecar::openRequestCount) == 0) {
+            if (System.nanoTime() > untilNanos) {
+                throw new AssertionError("no request was accepted");
+            }
+            Thread.onSpinWait();
+        }
+    }
+
+    /** Waits until the server connections that are idle now may be reused. */
+    void awaitConnectionReusable() throws Exception {
+        CountDownLatch reusable = new CountDownLatch(1);
+        runOnLoop(() -> sidecar.loop().after(ConnectionPool.REUSE_DELAY_MS, reusable::countDown));
+        reusable.await();
+    }
+
     @Override
     public void close() throws IOException {
         sidecar.stop();
@@ -197,6 +261,19 @@
             }
         }
 
+        /** Asks for the sidecar's health until it answers with this status. */
+        void awaitHealthStatus(String status) throws IOException {
+            long untilNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
+            String answer;
+            do {
+                if (System.nanoTime() > untilNanos) {
+                    throw new AssertionError("/_health never answered " + status);
+                }
+                send("GET /_health HTTP/1.1\r\n\r\n");
+                answer = read();
+            } while (!answer.startsWith("HTTP/1.1 " + status));
+        }
+
         static String request(String requestClass, String moreFields) {
             return "POST /api?q=1 HTTP/1.1\r\nHost: api\r\nX-Trace-Id: t" + nextId.incrementAndGet() + "\r\nX-Qos: "
                     + requestClass + "\r\nX-Expires-In-Ms: 5000\r\n" + moreFields + "\r\n";
--- a/sidecar/src/test/java/dewplank/sidecar/RequestAttributesTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/RequestAttributesTest.java
@@ -20,13 +20,15 @@
 
     /** What the balancer gets of a request with these headers; the server gets them as they came. */
     private RequestArrived arrivedWith(String fields) throws Exception {
-        try (LoopbackNetwork net = new LoopbackNetwork(
-                1, settings -> settings.replace("\"Accounts\":[]", TENANTS), balancer -> (now, event, out) -> {
+        try (LoopbackNetwork net = LoopbackNetwork.builder(1)
+                .settings(settings -> settings.replace("\"Accounts\":[]", TENANTS))
+                .balancer(balancer -> (now, event, out) -> {
                     if (event instanceof RequestArrived arrival) {
                         arrived.add(arrival);
                     }
                     balancer.handle(now, event, out);
-                })) {
+                })
+                .start()) {
             Client client = net.client();
             client.send(Client.request("menu-read", fields + "Content-Length: 0\r\n"));
             ReceivedRequest call = net.servers.get(0).next();
--- a/sidecar/src/test/java/dewplank/sidecar/SidecarTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/SidecarTest.java
@@ -41,7 +41,7 @@
             assertTrue(first.message().endsWith("\r\n\r\nhi"), first.message());
             first.respond("200 OK", "one");
             assertTrue(client.read().endsWith("\r\n\r\none"));
-            BalancerEventLatch.awaitConnectionReusable(net);
+            net.awaitConnectionReusable();
             client.sendRequest("menu-read");
             ReceivedRequest second = net.servers.get(0).next();
             assertSame(first.connection(), second.connection());
@@ -53,8 +53,9 @@
     /** A request written to a connection that the server closes at that moment ends as a reset. */
     @Test
     void anIdleServerConnectionIsClosedBeforeTheServerDoes() throws Exception {
-        try (LoopbackNetwork net = new LoopbackNetwork(
-                1, settings -> settings.replace("\"IdleClose\":60000", "\"IdleClose\":1"), UnaryOperator.identity())) {
+        try (LoopbackNetwork net = LoopbackNetwork.builder(1)
+                .settings(settings -> settings.replace("\"IdleClose\":60000", "\"IdleClose\":1"))
+                .start()) {
             Client client = net.client();
             client.sendRequest("menu-read");
             ReceivedRequest call = net.servers.get(0).next();
@@ -212,13 +213,16 @@
 
     @Test
     void aBalancerThatThrowsFailsThatRequestOnly() throws Exception {
-        try (LoopbackNetwork net = new LoopbackNetwork(1, settings -> settings, balancer -> (now, event, out) -> {
-            if (event instanceof RequestArrived arrival
-                    && arrival.requestClass().equals("order-place")) {
-                throw new IllegalStateException("on purpose, for the test");
-            }
-            balancer.handle(now, event, out);
-        })) {
+        try (LoopbackNetwork net = LoopbackNetwork.builder(1)
+                .settings(settings -> settings)
+                .balancer(balancer -> (now, event, out) -> {
+                    if (event instanceof RequestArrived arrival
+                            && arrival.requestClass().equals("order-place")) {
+                        throw new IllegalStateException("on purpose, for the test");
+                    }
+                    balancer.handle(now, event, out);
+                })
+                .start()) {
             Client client = net.client();
             client.sendRequest("order-place");
             assertStatus("502", client.read());
@@ -249,7 +253,7 @@
             Client busy = net.client();
             busy.sendRequest("menu-read");
             ReceivedRequest call = net.servers.get(0).next(); // all are accepted by now
-            awaitOnLoop(net, () -> net.sidecar.closeOverdue(net.sidecar.loop().now() + 3_000));
+            net.runOnLoop(() -> net.sidecar.closeOverdue(net.sidecar.loop().now() + 3_000));
             assertNull(silent.read());
             assertLast(half, "408");
             for (Client client : idle) {
@@ -319,18 +323,11 @@
             for (int index = 0; index < 2; index++) {
                 client.send("GET /_health HTTP/1.1\r\n\r\n");
                 assertStatus("200", client.read());
-                awaitOnLoop(
-                        net, () -> net.sidecar.closeOverdue(net.sidecar.loop().now() + 3_000));
+                net.runOnLoop(() -> net.sidecar.closeOverdue(net.sidecar.loop().now() + 3_000));
             }
         }
     }
 
-    private static void awaitOnLoop(LoopbackNetwork net, Runnable task) throws Exception {
-        FutureTask<Void> done = new FutureTask<>(task, null);
-        net.sidecar.loop().execute(done);
-        done.get();
-    }
-
     /** Silent connections must not keep out one with a request until their 2 s are over. */
     @Test
     void silentConnectionsAtTheBoundAreClosedSoon() throws Exception {
@@ -383,7 +380,8 @@
                 balancer.handle(now, event, out);
             }
         };
-        try (LoopbackNetwork net = new LoopbackNetwork(1, UnaryOperator.identity(), neverResubscribes);
+        try (LoopbackNetwork net =
+                        LoopbackNetwork.builder(1).balancer(neverResubscribes).start();
                 LoopbackNetwork.ScriptedPeer moved = new LoopbackNetwork.ScriptedPeer()) {
             ReceivedRequest old = net.discovery.next();
             old.beginWatch();
@@ -394,7 +392,7 @@
             watch.beginWatch();
             watch.sendLine(LoopbackNetwork.catalogJson(8, true, List.of()));
             Client client = net.client();
-            awaitStatus(client, "GET /_health HTTP/1.1\r\n\r\n", "503");
+            client.awaitHealthStatus("503");
         }
     }
 
@@ -410,7 +408,7 @@
                 out.accept(new Reject(attempt.request(), 0));
             }
         };
-        try (LoopbackNetwork net = new LoopbackNetwork(1, UnaryOperator.identity(), sendsAll)) {
+        try (LoopbackNetwork net = LoopbackNetwork.builder(1).balancer(sendsAll).start()) {
             for (int index = 0; index < net.config.maxServerConnections(); index++) {
                 net.client().sendRequest("order-place");
                 net.servers.get(0).next();
@@ -431,18 +429,10 @@
             net.sidecar.loop().execute(ready);
             assertFalse(ready.get());
             rehearsed.get();
-            awaitOnLoop(net, () -> assertTrue(net.sidecar.isReady()));
+            net.runOnLoop(() -> assertTrue(net.sidecar.isReady()));
         }
     }
 
-    private static void awaitStatus(Client client, String request, String status) throws IOException {
-        String answer;
-        do {
-            client.send(request);
-            answer = client.read();
-        } while (!answer.startsWith("HTTP/1.1 " + status));
-    }
-
     /** At a planned restart clients still come for a while. */
     @Test
     void aDrainingSidecarServesNewClients() throws Exception {
