--- a/sidecar/src/test/java/dewplank/peers/PeerChannelTest.java
+++ b/sidecar/src/test/java/dewplank/peers/PeerChannelTest.java
@@ -18,6 +18,7 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.Semaphore;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -30,6 +31,7 @@
     private record ReceivedDatagram(int peer, byte[] bytes) {}
 
     private final BlockingQueue<ReceivedDatagram> received = new LinkedBlockingQueue<>();
+    private final Semaphore validated = new Semaphore(0);
     private final DatagramSocket first = socket();
     private final DatagramSocket second = socket();
     private final DatagramSocket unknownSender = socket();
@@ -57,13 +59,19 @@
         peers.start();
     }
 
+    /** Called on the receiving thread. */
+    private boolean isValid(byte[] bytes) {
+        validated.release();
+        return bytes.length > 0 && bytes[0] == 1;
+    }
+
     private PeerChannel peers(InetSocketAddress broadcast) {
         InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         return new PeerChannel(
                 loop,
                 new PeerAddresses(anyPort, List.of(addressOf(first), anyPort, addressOf(second)), broadcast),
                 1,
-                bytes -> bytes.length > 0 && bytes[0] == 1,
+                this::isValid,
                 (peer, bytes) -> received.add(new ReceivedDatagram(peer, bytes)));
     }
 
@@ -129,9 +137,10 @@
                 Thread.currentThread().interrupt();
             }
         });
-        for (int index = 0; index < 20_000 && peers.counts().overflowed() == 0; index++) {
+        // Each datagram is counted before the next one is validated, so the last but one has overflowed by then.
+        for (int sent = 0; sent < PeerChannel.MAX_QUEUED + 2; sent++) {
             send(first, (byte) 1);
-            Thread.sleep(index % 10 == 0 ? 1 : 0);
+            assertTrue(validated.tryAcquire(TIMEOUT_S, TimeUnit.SECONDS), "the datagram was not received");
         }
         assertTrue(peers.counts().overflowed() > 0);
         assertTrue(received.isEmpty());
