--- a/dataplane/src/test/java/dewplank/dataplane/GenerationTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/GenerationTest.java
@@ -300,15 +300,13 @@
         Call full = net.nextCall();
         assertIsPrefill(full);
         reject(full);
-        Call next = net.nextCall();
-        if (stage(next) != null) { // else the decode server prefills
-            assertNotSame(full.server(), next.server());
-            handOver(next, "h");
-            ScriptedServer other = next.server();
-            next = net.nextCall();
-            assertIsDecode(next, other.addressText() + "/h");
-        }
-        assertStreamsToEnd(next, client);
+        Call retry = net.nextCall();
+        assertIsPrefill(retry);
+        assertNotSame(full.server(), retry.server());
+        handOver(retry, "h");
+        Call decodeCall = net.nextCall();
+        assertIsDecode(decodeCall, retry.server().addressText() + "/h");
+        assertStreamsToEnd(decodeCall, client);
         net.assertQuiet();
     }
 
--- a/dataplane/src/test/java/dewplank/dataplane/PlainRouteTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/PlainRouteTest.java
@@ -622,7 +622,7 @@
     void aSafeRequestInFlightAtItsDeadlineFails() throws Exception {
         net.servers.plain();
         ForwarderFixture.InFlight request = net.sendUntilAtServer("/briefly/", "");
-        assertTrue(request.client().read().status() >= 500);
+        assertEquals(504, request.client().read().status());
         request.call().wire().awaitEnd();
         net.assertQuiet();
     }
