--- a/controlplane/src/test/java/dewplank/controlplane/ControlMeshTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/ControlMeshTest.java
@@ -35,7 +35,7 @@
     private ControlMesh mesh;
     private final List<FramedPeer> others = new ArrayList<>();
     private final BlockingQueue<String> linked = new LinkedBlockingQueue<>();
-    private final Set<String> kept = new HashSet<>();
+    private final Set<String> retained = new HashSet<>();
     private final BlockingQueue<Object> own = new LinkedBlockingQueue<>();
 
     @BeforeEach
@@ -63,7 +63,7 @@
 
                     @Override
                     public boolean isRetained(String address) {
-                        return kept.contains(address);
+                        return retained.contains(address);
                     }
                 });
     }
@@ -140,12 +140,12 @@
 
     @Test
     void reconnectsAfterAHeartbeatTimeoutOnly() throws Exception {
-        FramedPeer silent = other();
+        FramedPeer unresponsive = other();
         FramedPeer speaking = other().answering();
-        start(silent.address(), speaking.address());
-        MessageLink first = silent.connection();
-        assertEquals(first, silent.ended());
-        assertNotSame(first, silent.connection());
+        start(unresponsive.address(), speaking.address());
+        MessageLink first = unresponsive.connection();
+        assertEquals(first, unresponsive.ended());
+        assertNotSame(first, unresponsive.connection());
         assertTrue(speaking.hasLostNone());
     }
 
@@ -173,9 +173,9 @@
         assertEquals("disk-1", peer.identity());
         OnLoop.pass(loop, 20);
         OnLoop.run(loop, () -> mesh.helloReceived(new ControlHello(member, "disk-1", true)));
-        ControlMesh.Peer again = OnLoop.get(loop, () -> mesh.peers(5_000)).get(0);
-        assertEquals(peer.firstReceivedAt(), again.firstReceivedAt());
-        assertTrue(again.lastReceivedAt() > peer.lastReceivedAt());
+        ControlMesh.Peer later = OnLoop.get(loop, () -> mesh.peers(5_000)).get(0);
+        assertEquals(peer.firstReceivedAt(), later.firstReceivedAt());
+        assertTrue(later.lastReceivedAt() > peer.lastReceivedAt());
         OnLoop.run(
                 loop,
                 () -> mesh.helloReceived(new ControlHello(member, "disk-2", true))); // it came back without its disk
@@ -189,7 +189,7 @@
     }
 
     @Test
-    void connectsToMaxPeersAtMost() throws Exception {
+    void opensNoMoreThanMaxPeersLinks() throws Exception {
         OnLoop.run(loop, () -> {
             List<String> many = new ArrayList<>();
             for (int i = 0; i < 500; i++) {
@@ -200,11 +200,11 @@
         });
     }
 
-    /** 64 machines that were replaced must not keep the 65th from being known. */
+    /** 64 machines that were replaced must not prevent a link to the 65th. */
     @Test
     void evictsTheLongestDeadPeerButNoSeedAndNoAcceptor() throws Exception {
         OnLoop.run(loop, () -> {
-            kept.add("127.0.1.1:1");
+            retained.add("127.0.1.1:1");
             List<String> dead = new ArrayList<>();
             for (int i = 1; i <= ControlMesh.MAX_PEERS; i++) {
                 dead.add("127.0.1." + i + ":1");
@@ -212,10 +212,10 @@
             mesh.addAddresses(dead);
             assertEquals(ControlMesh.MAX_PEERS, mesh.addressCount());
             mesh.addAddresses(List.of("127.0.2.1:1"));
-            List<String> known = mesh.addressesLiveFirst();
-            assertTrue(known.contains("127.0.2.1:1"));
-            assertTrue(known.contains("127.0.1.1:1"));
-            assertFalse(known.contains("127.0.1.2:1"));
+            List<String> addresses = mesh.addressesLiveFirst();
+            assertTrue(addresses.contains("127.0.2.1:1"));
+            assertTrue(addresses.contains("127.0.1.1:1"));
+            assertFalse(addresses.contains("127.0.1.2:1"));
             assertEquals(ControlMesh.MAX_PEERS, mesh.addressCount());
         });
     }
--- a/controlplane/src/test/java/dewplank/controlplane/EndpointPollerTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/EndpointPollerTest.java
@@ -60,13 +60,13 @@
     }
 
     private static final class TestRole implements SingletonRole {
-        private boolean held = true;
+        private boolean leaseHeld = true;
         private long number = 7;
         private final List<Double> pauses = new ArrayList<>();
 
         @Override
         public boolean isHeld() {
-            return held;
+            return leaseHeld;
         }
 
         @Override
@@ -77,12 +77,12 @@
         @Override
         public void stepDown(double minimumMs) {
             pauses.add(minimumMs);
-            held = false;
+            leaseHeld = false;
         }
 
         void reacquire() {
             number++;
-            held = true;
+            leaseHeld = true;
         }
     }
 
@@ -124,7 +124,7 @@
 
     @Test
     void anAnswerUnderALapsedLeaseIsNotPublished() {
-        role.held = false;
+        role.leaseHeld = false;
         answer(2);
         assertEquals(List.of(), published);
         assertEquals(EndpointListVersion.NONE, poller.newest().version);
@@ -210,7 +210,7 @@
     @Test
     void doesNotPollWithoutTheLease() {
         answer(2);
-        role.held = false;
+        role.leaseHeld = false;
         time.run(5_000);
         assertTrue(polls.isEmpty());
     }
@@ -240,10 +240,12 @@
     /** Where the platform is down for all, the lease moves ever more slowly; a response ends that. */
     @Test
     void theLeaseMovesEverMoreSlowlyWhileThePlatformIsDownForAll() {
-        double[] patience = {1, 2, 4, 8, 16, 16};
-        for (double each : patience) {
+        double[] backoffFactors = {1, 2, 4, 8, 16, 16};
+        for (double backoffFactor : backoffFactors) {
             double took = millisUntilReleased();
-            assertTrue(took >= each * DRAIN_MS / 2 && took <= each * DRAIN_MS / 2 + POLLING_MS, each + " took " + took);
+            assertTrue(
+                    took >= backoffFactor * DRAIN_MS / 2 && took <= backoffFactor * DRAIN_MS / 2 + POLLING_MS,
+                    backoffFactor + " took " + took);
             role.reacquire();
         }
         time.run(400);
--- a/controlplane/src/test/java/dewplank/controlplane/FramedPeer.java
+++ b/controlplane/src/test/java/dewplank/controlplane/FramedPeer.java
@@ -18,7 +18,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** Another process of the fleet, on a loop of its own: it notes what comes, and says what the test has it say. */
+/** Another process of the fleet, on its own loop: records the messages that arrive and sends those of the test. */
 final class FramedPeer implements MessageLink.Handler, Closeable {
     private final EventLoop loop = new EventLoop();
     private final MessageCodec codec = FleetMessages.codec();
@@ -51,8 +51,8 @@
     @Override
     public void received(MessageLink connection, Object message) {
         messages.add(message);
-        if (answers && message instanceof ControlHeartbeat told) {
-            connection.send(new HeartbeatAck(told.sequence, true, told.controlAddresses));
+        if (answers && message instanceof ControlHeartbeat heartbeat) {
+            connection.send(new HeartbeatAck(heartbeat.sequence, true, heartbeat.controlAddresses));
         }
     }
 
@@ -61,10 +61,10 @@
         closed.add(connection);
     }
 
-    private static <T> T next(BlockingQueue<T> from) throws InterruptedException {
-        T next = from.poll(Wire.PATIENCE_S, TimeUnit.SECONDS);
+    private static <T> T next(BlockingQueue<T> queue) throws InterruptedException {
+        T next = queue.poll(Wire.PATIENCE_S, TimeUnit.SECONDS);
         if (next == null) {
-            throw new AssertionError("nothing came");
+            throw new AssertionError("nothing arrived");
         }
         return next;
     }
@@ -89,7 +89,7 @@
         return messages.isEmpty();
     }
 
-    /** The next message of that kind; others are passed over. */
+    /** The next message of that kind; others are skipped. */
     <T> T message(Class<T> kind) throws InterruptedException {
         Object next = next(messages);
         while (!kind.isInstance(next)) {
--- a/controlplane/src/test/java/dewplank/controlplane/HttpPlatformClientTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/HttpPlatformClientTest.java
@@ -41,7 +41,7 @@
         platform.close();
     }
 
-    private CompletableFuture<List<Endpoint>> ask() throws Exception {
+    private CompletableFuture<List<Endpoint>> fetchInstances() throws Exception {
         CompletableFuture<List<Endpoint>> done = new CompletableFuture<>();
         OnLoop.run(
                 loop,
@@ -74,7 +74,7 @@
     @Test
     void pagesAreRequestedWithinTheRateLimit() throws Exception {
         double begun = loop.now();
-        CompletableFuture<List<Endpoint>> servers = ask();
+        CompletableFuture<List<Endpoint>> servers = fetchInstances();
         for (int i = 0; i < 5; i++) {
             Call call = platform.next();
             assertEquals(
@@ -97,7 +97,7 @@
     void theNextReadingWaitsForTheRateLimitToo() throws Exception {
         double begun = loop.now();
         for (int i = 0; i < 3; i++) {
-            CompletableFuture<List<Endpoint>> servers = ask();
+            CompletableFuture<List<Endpoint>> servers = fetchInstances();
             page(platform.next(), i, null);
             servers.get(Wire.PATIENCE_S, TimeUnit.SECONDS);
         }
@@ -106,7 +106,7 @@
 
     @Test
     void aRefusalFailsTheReadingAndNamesItsStatus() throws Exception {
-        CompletableFuture<List<Endpoint>> servers = ask();
+        CompletableFuture<List<Endpoint>> servers = fetchInstances();
         platform.next().wire().answer("429 Too Many Requests", "", "");
         String why = null;
         try {
@@ -115,8 +115,8 @@
             why = e.getCause().getMessage();
         }
         assertEquals("status 429", why);
-        CompletableFuture<List<Endpoint>> again = ask();
+        CompletableFuture<List<Endpoint>> second = fetchInstances();
         page(platform.next(), 7, null);
-        assertNull(again.get(Wire.PATIENCE_S, TimeUnit.SECONDS).get(0).stage);
+        assertNull(second.get(Wire.PATIENCE_S, TimeUnit.SECONDS).get(0).stage);
     }
 }
--- a/controlplane/src/test/java/dewplank/controlplane/OperatorApiTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/OperatorApiTest.java
@@ -25,7 +25,7 @@
 
 /** The operators' interface over loopback, in front of a register of one process. */
 class OperatorApiTest {
-    private static final int PATIENCE_S = 20; // only a failing test waits so long
+    private static final int MAX_WAIT_S = 20; // only a failing test waits so long
     private static final String ROUTE = "{\"name\":\"r-1\",\"host_name\":\"a.example\",\"path_prefix\":\"/a/\","
             + "\"route_type\":\"safe\",\"timeout_ms\":2500,\"service\":\"s\"}";
     private static final String LIMITS = "\"limits\":{\"max_body_bytes\":1000}";
@@ -101,7 +101,7 @@
         }
     }
 
-    private static String whole(long version) {
+    private static String configuration(long version) {
         return "{\"config_version\":" + version + ",\"routes\":[" + ROUTE + "],\"services\":[{\"name\":\"s\"}],"
                 + LIMITS + "}";
     }
@@ -118,7 +118,7 @@
     private HttpResponse<String> call(String method, String path, String ifMatch, String body) {
         try {
             return client.sendAsync(request(method, path, ifMatch, body), HttpResponse.BodyHandlers.ofString())
-                    .get(PATIENCE_S, TimeUnit.SECONDS);
+                    .get(MAX_WAIT_S, TimeUnit.SECONDS);
         } catch (Exception e) {
             throw new IllegalStateException(e);
         }
@@ -143,32 +143,34 @@
     @Test
     void acceptsAConfigurationAndReturnsIt() {
         result(ResultCode.NO_CONFIGURATION, get("/configuration"));
-        result(ResultCode.OK, call("PUT", "/configuration", "0", whole(3)));
+        result(ResultCode.OK, call("PUT", "/configuration", "0", configuration(3)));
         HttpResponse<String> read = get("/configuration");
         assertEquals(200, read.statusCode());
-        assertEquals(whole(3), read.body());
+        assertEquals(configuration(3), read.body());
     }
 
     @Test
     void aRetriedChangeIsAppliedOnce() {
-        result(ResultCode.OK, call("PUT", "/configuration", "0", whole(3)));
+        result(ResultCode.OK, call("PUT", "/configuration", "0", configuration(3)));
         result(
                 ResultCode.OK,
                 call("PATCH", "/configuration", "3", "{\"config_version\":4,\"remove\":{\"routes\":[\"r-1\"]}}"));
-        result(ResultCode.ALREADY_TAKEN, call("PUT", "/configuration", "0", whole(3)));
+        result(ResultCode.ALREADY_TAKEN, call("PUT", "/configuration", "0", configuration(3)));
     }
 
     @Test
-    void namesTheVersionInPlace() {
-        result(ResultCode.OK, call("PUT", "/configuration", "\"0\"", whole(3)));
-        Map<String, Object> fields = result(ResultCode.VERSION_MISMATCH, call("PUT", "/configuration", "2", whole(9)));
+    void reportsTheVersionInForce() {
+        result(ResultCode.OK, call("PUT", "/configuration", "\"0\"", configuration(3)));
+        Map<String, Object> fields =
+                result(ResultCode.VERSION_MISMATCH, call("PUT", "/configuration", "2", configuration(9)));
         assertEquals(3L, fields.get("version"));
     }
 
     @Test
     void namesTheKeyAtFault() {
         Map<String, Object> fields = result(
-                ResultCode.INVALID_CONFIGURATION, call("PUT", "/configuration", "0", whole(3).replace("2500", "0")));
+                ResultCode.INVALID_CONFIGURATION,
+                call("PUT", "/configuration", "0", configuration(3).replace("2500", "0")));
         assertEquals("routes[r-1].timeout_ms", fields.get("key"));
         assertEquals("BAD_TIMEOUT", fields.get("reason"));
         fields = result(ResultCode.INVALID_CONFIGURATION, call("PUT", "/configuration", "0", "{\"config"));
@@ -179,16 +181,16 @@
 
     @Test
     void aChangeNeedsIfMatch() {
-        result(ResultCode.IF_MATCH_MISSING, call("PUT", "/configuration", null, whole(3)));
+        result(ResultCode.IF_MATCH_MISSING, call("PUT", "/configuration", null, configuration(3)));
         for (String ifMatch : List.of("", "*", "W/3", "-1", "3.5", "99999999999999999999")) {
-            result(ResultCode.IF_MATCH_MALFORMED, call("PATCH", "/configuration", ifMatch, whole(3)));
+            result(ResultCode.IF_MATCH_MALFORMED, call("PATCH", "/configuration", ifMatch, configuration(3)));
         }
     }
 
     @Test
     void reportsThatNoQuorumAnswers() {
         register.loseQuorum();
-        Map<String, Object> fields = result(ResultCode.NO_QUORUM, call("PUT", "/configuration", "0", whole(3)));
+        Map<String, Object> fields = result(ResultCode.NO_QUORUM, call("PUT", "/configuration", "0", configuration(3)));
         assertEquals("2 of 3 acceptors are silent", fields.get("detail"));
         result(ResultCode.NO_QUORUM, get("/configuration"));
     }
@@ -197,13 +199,13 @@
     @Test
     void withoutAQuorumItNamesOtherEndpointsAtOnce() {
         redirects.current = false;
-        String[] bodies = {whole(3), "{", ""};
+        String[] bodies = {configuration(3), "{", ""};
         for (String body : bodies) {
             Map<String, Object> fields = result(ResultCode.NOT_CURRENT, call("PUT", "/configuration", "0", body));
             assertEquals(List.of("10.0.0.4:8080", "10.0.0.5:8080"), fields.get("elsewhere"));
             result(ResultCode.NOT_CURRENT, call("PATCH", "/configuration", "7", body));
         }
-        result(ResultCode.NOT_CURRENT, call("PUT", "/configuration", null, whole(3)));
+        result(ResultCode.NOT_CURRENT, call("PUT", "/configuration", null, configuration(3)));
         result(ResultCode.NOT_CURRENT, get("/configuration"));
         assertEquals(List.of(), register.waits());
         assertEquals(200, get("/status").statusCode());
@@ -223,8 +225,8 @@
 
     @Test
     void answersBeforeCallersTimeOut() {
-        call("PUT", "/configuration", "0", whole(3));
-        call("PUT", "/configuration", "0", whole(3) + " ".repeat(100_000));
+        call("PUT", "/configuration", "0", configuration(3));
+        call("PUT", "/configuration", "0", configuration(3) + " ".repeat(100_000));
         get("/configuration");
         List<Double> waits = register.waits();
         assertTrue(waits.get(0) < 1_000 && waits.get(2) < 1_000, waits.toString());
@@ -272,18 +274,18 @@
 
     @Test
     void callsInFlightAreAnsweredWhenDraining() throws Exception {
-        register.fallSilent();
+        register.stopAnswering();
         CompletableFuture<HttpResponse<String>> answer =
                 client.sendAsync(request("GET", "/configuration", null, ""), HttpResponse.BodyHandlers.ofString());
-        endOnceAsked();
-        result(ResultCode.ENDING, answer.get(PATIENCE_S, TimeUnit.SECONDS));
+        endOnceCalled();
+        result(ResultCode.ENDING, answer.get(MAX_WAIT_S, TimeUnit.SECONDS));
     }
 
     /** Ends the interface as soon as a call is under way. */
-    private void endOnceAsked() {
+    private void endOnceCalled() {
         loop.execute(() -> {
             if (register.waits().isEmpty()) {
-                endOnceAsked();
+                endOnceCalled();
             } else {
                 api.close();
                 api.endAll();
--- a/controlplane/src/test/java/dewplank/controlplane/OperatorRequestsTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/OperatorRequestsTest.java
@@ -88,7 +88,7 @@
         loop.stop();
     }
 
-    private static String whole(long version) {
+    private static String configuration(long version) {
         return "{\"config_version\":" + version + ",\"routes\":[" + ROUTE + "],\"services\":[{\"name\":\"s\"}]}";
     }
 
@@ -109,46 +109,46 @@
     @ParameterizedTest
     @ValueSource(strings = {"3", "\"3\"", " 3 ", "03"})
     void theVersionMayStandInQuotes(String ifMatch) throws IOException {
-        assertEquals(200, status("PUT", "0", whole(3)));
-        assertEquals(200, status("PUT", ifMatch, whole(4)));
+        assertEquals(200, status("PUT", "0", configuration(3)));
+        assertEquals(200, status("PUT", ifMatch, configuration(4)));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"*", "W/\"3\"", "3, 4", "3.0", "-3", "three", "", "\"\"", "99999999999999999999"})
     void whatNamesNoVersionIsRefused(String ifMatch) throws IOException {
-        assertEquals(200, status("PUT", "0", whole(3)));
-        assertEquals(400, status("PUT", ifMatch, whole(4)));
+        assertEquals(200, status("PUT", "0", configuration(3)));
+        assertEquals(400, status("PUT", ifMatch, configuration(4)));
         assertEquals(400, status("PATCH", ifMatch, "{\"config_version\":4}"));
     }
 
     // ---- the same again -------------------------------------------------------------------------------
 
     @Test
-    void theVerySameChangeIsAcknowledgedAgainWhateverCameSince() throws IOException {
+    void anAcceptedChangeIsAcknowledgedAgainWhateverFollowed() throws IOException {
         String patch = "{\"config_version\":8,\"remove\":{\"routes\":[\"r-1\"]}}";
-        assertEquals(200, status("PUT", "0", whole(3)));
-        assertEquals(200, status("PUT", "0", whole(3)));
+        assertEquals(200, status("PUT", "0", configuration(3)));
+        assertEquals(200, status("PUT", "0", configuration(3)));
         assertEquals(200, status("PATCH", "3", patch));
-        assertEquals(200, status("PUT", "8", whole(9)));
-        assertEquals(200, status("PUT", "0", whole(3)));
+        assertEquals(200, status("PUT", "8", configuration(9)));
+        assertEquals(200, status("PUT", "0", configuration(3)));
         assertEquals(200, status("PATCH", "3", patch));
-        assertEquals(200, status("PUT", "8", whole(9)));
+        assertEquals(200, status("PUT", "8", configuration(9)));
     }
 
     /** The same number for another change, the same bytes on another version, the same bytes by the other method. */
     @Test
-    void whatOnlyLooksTheSameIsRefused() throws IOException {
-        assertEquals(200, status("PUT", "0", whole(3)));
-        assertEquals(412, status("PUT", "0", whole(3) + " "));
-        assertEquals(412, status("PUT", "2", whole(3)));
-        assertEquals(400, status("PUT", "3", whole(3)));
-        assertEquals(412, status("PATCH", "0", whole(3)));
+    void aSimilarChangeIsRejected() throws IOException {
+        assertEquals(200, status("PUT", "0", configuration(3)));
+        assertEquals(412, status("PUT", "0", configuration(3) + " "));
+        assertEquals(412, status("PUT", "2", configuration(3)));
+        assertEquals(400, status("PUT", "3", configuration(3)));
+        assertEquals(412, status("PATCH", "0", configuration(3)));
     }
 
     @ParameterizedTest
     @CsvSource({"PUT,3", "PATCH,3", "PUT,2", "PATCH,2"})
     void whatCannotBeReadIsInvalidWhateverItBuildsOn(String method, String ifMatch) throws IOException {
-        assertEquals(200, status("PUT", "0", whole(3)));
+        assertEquals(200, status("PUT", "0", configuration(3)));
         assertEquals(400, status(method, ifMatch, "{\"config_version\":4,"));
         assertEquals(400, status(method, ifMatch, ""));
     }
@@ -161,12 +161,22 @@
 
     @Test
     void aLargeConfigurationIsTaken() throws IOException {
-        assertEquals(200, status("PUT", "0", whole(3) + " ".repeat(4 * MIB - whole(3).length())));
+        assertEquals(
+                200,
+                status(
+                        "PUT",
+                        "0",
+                        configuration(3) + " ".repeat(4 * MIB - configuration(3).length())));
     }
 
     @Test
     void aLongerOneIsInvalid() throws IOException {
-        assertEquals(400, status("PUT", "0", whole(3) + " ".repeat(4 * MIB - whole(3).length() + 1)));
+        assertEquals(
+                400,
+                status(
+                        "PUT",
+                        "0",
+                        configuration(3) + " ".repeat(4 * MIB - configuration(3).length() + 1)));
     }
 
     /** Told by the head alone, so that nobody sends it. */
@@ -177,15 +187,15 @@
             assertEquals(413, caller.read().status());
             assertNull(caller.read());
         }
-        assertEquals(200, status("PUT", "0", whole(3)));
+        assertEquals(200, status("PUT", "0", configuration(3)));
     }
 
     @Test
     void aBodyMayComeInChunks() throws IOException {
         try (Wire caller = caller()) {
             caller.send(head("Transfer-Encoding: chunked\r\n"));
-            caller.chunk(whole(3).substring(0, 20));
-            caller.chunk(whole(3).substring(20));
+            caller.chunk(configuration(3).substring(0, 20));
+            caller.chunk(configuration(3).substring(20));
             caller.lastChunk();
             assertEquals(200, caller.read().status());
         }
@@ -213,7 +223,7 @@
                 assertNull(caller.read(), first);
             }
         }
-        assertEquals(200, status("PUT", "0", whole(3)));
+        assertEquals(200, status("PUT", "0", configuration(3)));
     }
 
     @Test
@@ -226,6 +236,6 @@
                 assertTrue(answer.body().contains("NO_SUCH_PATH"), answer.body());
             }
         }
-        assertEquals(405, status("POST", "0", whole(3)));
+        assertEquals(405, status("POST", "0", configuration(3)));
     }
 }
--- a/controlplane/src/test/java/dewplank/controlplane/StageControllerTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/StageControllerTest.java
@@ -38,16 +38,16 @@
 
     /** A lease that is held from the first check on; it records when that was. */
     private final class TestRole implements SingletonRole {
-        private double firstAsked = Double.POSITIVE_INFINITY;
+        private double firstRequestedAt = Double.POSITIVE_INFINITY;
 
         @Override
         public synchronized boolean isHeld() {
-            firstAsked = Math.min(firstAsked, loop.now());
+            firstRequestedAt = Math.min(firstRequestedAt, loop.now());
             return true;
         }
 
         synchronized double since() {
-            return firstAsked;
+            return firstRequestedAt;
         }
 
         @Override
--- a/controlplane/src/test/java/dewplank/controlplane/StandInRegister.java
+++ b/controlplane/src/test/java/dewplank/controlplane/StandInRegister.java
@@ -16,7 +16,7 @@
     private final List<Double> waits = new ArrayList<>();
     private byte[] payload;
     private boolean quorum = true;
-    private boolean silent;
+    private boolean unresponsive;
 
     /** From now on no majority answers. */
     synchronized void loseQuorum() {
@@ -24,8 +24,8 @@
     }
 
     /** From now on nothing is answered at all. */
-    synchronized void fallSilent() {
-        silent = true;
+    synchronized void stopAnswering() {
+        unresponsive = true;
     }
 
     /** How long each call was willing to wait. */
@@ -58,7 +58,7 @@
     }
 
     private void answer(Answer<ChangeResult> answer, Consumer<Outcome<ChangeResult>> then) {
-        if (!silent) {
+        if (!unresponsive) {
             RegisterValue value = new RegisterValue(AcceptorSet.of(List.of()), 1, payload);
             then.accept(new Outcome.Confirmed<>(value, answer, false));
         }
--- a/settings/src/test/java/dewplank/settings/FileWatchTest.java
+++ b/settings/src/test/java/dewplank/settings/FileWatchTest.java
@@ -14,7 +14,7 @@
 import org.junit.Test;
 import org.junit.rules.TemporaryFolder;
 
-/** Times are set by hand: nothing here waits for one to pass. */
+/** Which changes of a file {@link FileWatch} reports. Times of files are set, so that no test waits. */
 public class FileWatchTest {
     private static final long AT_MS = 1_700_000_000_000L;
 
@@ -36,46 +36,46 @@
         Files.setLastModifiedTime(to, FileTime.fromMillis(atMs));
     }
 
-    private void assertToldOnceAtTheSecondLook() {
-        assertFalse("at the first look it may still be written", watch.pollChanged());
+    private void assertReportedOnceAtTheSecondPoll() {
+        assertFalse("at the first poll it may still be written", watch.pollChanged());
         assertTrue(watch.pollChanged());
-        assertFalse("told again", watch.pollChanged());
+        assertFalse("reported again", watch.pollChanged());
     }
 
     @Test
-    public void aFileThatStaysIsNoChange() {
+    public void anUnchangedFileIsNotReported() {
         assertFalse(watch.pollChanged());
         assertFalse(watch.pollChanged());
     }
 
     @Test
-    public void anotherTimeIsTold() throws IOException {
+    public void aChangedTimeIsReported() throws IOException {
         write(file, "other", AT_MS + 5);
-        assertToldOnceAtTheSecondLook();
+        assertReportedOnceAtTheSecondPoll();
     }
 
     @Test
-    public void anOlderTimeIsToldToo() throws IOException {
+    public void anOlderTimeIsReportedToo() throws IOException {
         write(file, "other", AT_MS - 86_400_000);
-        assertToldOnceAtTheSecondLook();
+        assertReportedOnceAtTheSecondPoll();
     }
 
     @Test
-    public void anotherSizeAtTheSameTimeIsTold() throws IOException {
+    public void aChangedSizeAtTheSameTimeIsReported() throws IOException {
         write(file, "longer by some", AT_MS);
-        assertToldOnceAtTheSecondLook();
+        assertReportedOnceAtTheSecondPoll();
     }
 
     @Test
-    public void anotherFileOfTheSameTimeAndSizeInItsPlaceIsTold() throws IOException {
+    public void aReplacedFileOfTheSameTimeAndSizeIsReported() throws IOException {
         Path next = file.resolveSibling("next");
         write(next, "other", AT_MS);
         Files.move(next, file, StandardCopyOption.REPLACE_EXISTING);
-        assertToldOnceAtTheSecondLook();
+        assertReportedOnceAtTheSecondPoll();
     }
 
     @Test
-    public void aLinkThatPointsElsewhereIsTold() throws IOException {
+    public void aLinkToAnotherFileIsReported() throws IOException {
         Path link = Files.createSymbolicLink(file.resolveSibling("link"), file);
         watch = new FileWatch(link);
         assertFalse(watch.pollChanged());
@@ -83,20 +83,20 @@
         Path other = file.resolveSibling("other");
         write(other, "other", AT_MS);
         Files.createSymbolicLink(link, other);
-        assertToldOnceAtTheSecondLook();
+        assertReportedOnceAtTheSecondPoll();
     }
 
     @Test
-    public void aFileIsNotToldWhileItIsWritten() throws IOException {
-        for (int i = 1; i <= 5; i++) {
-            write(file, "x".repeat(i), AT_MS + i);
+    public void aFileIsNotReportedWhileItIsWritten() throws IOException {
+        for (int length = 1; length <= 5; length++) {
+            write(file, "x".repeat(length), AT_MS + length);
             assertFalse(watch.pollChanged());
         }
         assertTrue(watch.pollChanged());
     }
 
     @Test
-    public void whatWasReadMeanwhileIsNotTold() throws IOException {
+    public void aChangeThatWasReadMeanwhileIsNotReported() throws IOException {
         write(file, "other", AT_MS + 5);
         assertFalse(watch.pollChanged());
         watch.markRead();
@@ -105,34 +105,34 @@
     }
 
     @Test
-    public void whatChangedSinceTheReadingIsTold() throws IOException {
+    public void aChangeAfterTheReadIsReported() throws IOException {
         write(file, "other", AT_MS + 5);
         watch.markRead();
         write(file, "third", AT_MS + 6);
-        assertToldOnceAtTheSecondLook();
+        assertReportedOnceAtTheSecondPoll();
     }
 
     @Test
-    public void aMissingFileIsNoChangeAndItsReturnIsOneIfItIsAnother() throws IOException {
+    public void aMissingFileIsNotReportedAndItsReplacementIs() throws IOException {
         Files.delete(file);
         assertFalse(watch.pollChanged());
         assertFalse(watch.pollChanged());
         write(file, "other", AT_MS + 5);
-        assertToldOnceAtTheSecondLook();
+        assertReportedOnceAtTheSecondPoll();
     }
 
     @Test
-    public void aFileThatWasMissingFromTheStartIsToldOnceItIsThere() throws IOException {
+    public void aFileThatWasMissingAtTheStartIsReportedOnceItExists() throws IOException {
         Path later = file.resolveSibling("later");
         watch = new FileWatch(later);
         assertFalse(watch.pollChanged());
         write(later, "first", AT_MS);
-        assertToldOnceAtTheSecondLook();
+        assertReportedOnceAtTheSecondPoll();
     }
 
     /** Reading a pipe would wait for its writer for good. */
     @Test
-    public void aPipeIsNeverAChange() throws Exception {
+    public void aPipeIsNeverReported() throws Exception {
         Files.delete(file);
         assertEquals(0, new ProcessBuilder("mkfifo", file.toString()).start().waitFor());
         assertFalse(watch.pollChanged());
--- a/settings/src/test/java/dewplank/settings/NodeSettingsTest.java
+++ b/settings/src/test/java/dewplank/settings/NodeSettingsTest.java
@@ -21,8 +21,8 @@
 /** Reads a sample file, then that file with one key at a time missing, of another type, or out of range. */
 class NodeSettingsTest {
     private static final Gson GSON = new GsonBuilder().serializeNulls().create();
-    /** Keys that a settings file has to hold. */
-    private static final List<String> NEEDED = List.of(
+    /** Keys that a settings file must have. */
+    private static final List<String> REQUIRED = List.of(
             "node_name",
             "ip_address",
             "zone",
@@ -107,44 +107,55 @@
     }
 
     private static String sample() {
-        try (InputStream in = NodeSettingsTest.class.getResourceAsStream("/node.json")) {
-            return new String(in.readAllBytes(), StandardCharsets.UTF_8);
+        try (InputStream input = NodeSettingsTest.class.getResourceAsStream("/node.json")) {
+            return new String(input.readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    /** The object that holds the key, and the key's last part. */
-    @SuppressWarnings("unchecked")
-    private static Map.Entry<Map<String, Object>, String> place(Map<String, Object> whole, String key) {
-        int dot = key.indexOf('.');
-        return dot < 0
-                ? Map.entry(whole, key)
-                : Map.entry((Map<String, Object>) whole.get(key.substring(0, dot)), key.substring(dot + 1));
+    /**
+     * One key of a settings document.
+     *
+     * @param parent the object that contains the key
+     * @param name the key's last part
+     */
+    private record Field(Map<String, Object> parent, String name) {
+        @SuppressWarnings("unchecked")
+        static Field of(Map<String, Object> document, String key) {
+            int dot = key.indexOf('.');
+            return dot < 0
+                    ? new Field(document, key)
+                    : new Field((Map<String, Object>) document.get(key.substring(0, dot)), key.substring(dot + 1));
+        }
+
+        Object value() {
+            return parent.get(name);
+        }
     }
 
     private static String with(String key, Object value) {
-        Map<String, Object> whole = Json.object(sample());
-        Map.Entry<Map<String, Object>, String> place = place(whole, key);
-        place.getKey().put(place.getValue(), value);
-        return GSON.toJson(whole);
+        Map<String, Object> document = Json.object(sample());
+        Field field = Field.of(document, key);
+        field.parent().put(field.name(), value);
+        return GSON.toJson(document);
     }
 
     private static String without(String key) {
-        Map<String, Object> whole = Json.object(sample());
-        Map.Entry<Map<String, Object>, String> place = place(whole, key);
-        assertTrue(place.getKey().containsKey(place.getValue()), key);
-        place.getKey().remove(place.getValue());
-        return GSON.toJson(whole);
+        Map<String, Object> document = Json.object(sample());
+        Field field = Field.of(document, key);
+        assertTrue(field.parent().containsKey(field.name()), key);
+        field.parent().remove(field.name());
+        return GSON.toJson(document);
     }
 
-    private static void refused(String text, ResultCode code, String key) {
+    private static void assertRejected(String text, ResultCode code, String key) {
         InvalidInputException fault = assertThrows(InvalidInputException.class, () -> NodeSettings.parse(text), key);
         assertSame(code, fault.code(), fault.getMessage());
         String beginning = code.number() + " " + code + ": " + key;
         assertTrue(fault.getMessage().startsWith(beginning), fault.getMessage());
-        String rest = fault.getMessage().substring(beginning.length());
-        assertTrue(rest.startsWith(" ") || rest.startsWith("["), fault.getMessage());
+        String remainder = fault.getMessage().substring(beginning.length());
+        assertTrue(remainder.startsWith(" ") || remainder.startsWith("["), fault.getMessage());
     }
 
     @Test
@@ -164,15 +175,15 @@
     }
 
     @Test
-    void namesEachNeededKeyThatIsMissing() {
-        for (String key : NEEDED) {
-            refused(without(key), ResultCode.KEY_MISSING, key);
-            refused(with(key, null), ResultCode.KEY_MISSING, key);
+    void reportsEachMissingRequiredKey() {
+        for (String key : REQUIRED) {
+            assertRejected(without(key), ResultCode.KEY_MISSING, key);
+            assertRejected(with(key, null), ResultCode.KEY_MISSING, key);
         }
     }
 
     @Test
-    void doesWithoutEachOptionalKey() {
+    void acceptsTheAbsenceOfEachOptionalKey() {
         for (String key : OPTIONAL) {
             NodeSettings.parse(without(key));
             NodeSettings.parse(with(key, null));
@@ -180,42 +191,43 @@
     }
 
     @Test
-    void namesEachKeyOfTheWrongType() {
-        for (List<String> keys : List.of(NEEDED, OPTIONAL)) {
+    void reportsEachKeyOfTheWrongType() {
+        for (List<String> keys : List.of(REQUIRED, OPTIONAL)) {
             for (String key : keys) {
-                Map.Entry<Map<String, Object>, String> place = place(Json.object(sample()), key);
-                Object right = place.getKey().get(place.getValue());
-                refused(with(key, right instanceof String ? 7 : "seven"), ResultCode.KEY_OF_WRONG_TYPE, key);
-                refused(with(key, right instanceof List ? Map.of() : List.of()), ResultCode.KEY_OF_WRONG_TYPE, key);
+                Object right = Field.of(Json.object(sample()), key).value();
+                assertRejected(with(key, right instanceof String ? 7 : "seven"), ResultCode.KEY_OF_WRONG_TYPE, key);
+                assertRejected(
+                        with(key, right instanceof List ? Map.of() : List.of()), ResultCode.KEY_OF_WRONG_TYPE, key);
             }
         }
     }
 
     @Test
-    void namesElementsOfTheWrongType() {
-        refused(with("seed_nodes", List.of(7)), ResultCode.KEY_OF_WRONG_TYPE, "seed_nodes[0]");
-        refused(with("seed_nodes", List.of("10.0.0.4:1", "x")), ResultCode.KEY_OUT_OF_RANGE, "seed_nodes[1]");
-        refused(with("internal_port_range", List.of(7)), ResultCode.KEY_MISSING, "internal_port_range[1]");
-        refused(with("internal_port_range", List.of(7, 8.5)), ResultCode.KEY_OF_WRONG_TYPE, "internal_port_range[1]");
+    void reportsElementsOfTheWrongType() {
+        assertRejected(with("seed_nodes", List.of(7)), ResultCode.KEY_OF_WRONG_TYPE, "seed_nodes[0]");
+        assertRejected(with("seed_nodes", List.of("10.0.0.4:1", "x")), ResultCode.KEY_OUT_OF_RANGE, "seed_nodes[1]");
+        assertRejected(with("internal_port_range", List.of(7)), ResultCode.KEY_MISSING, "internal_port_range[1]");
+        assertRejected(
+                with("internal_port_range", List.of(7, 8.5)), ResultCode.KEY_OF_WRONG_TYPE, "internal_port_range[1]");
     }
 
     @Test
-    void namesEachKeyOutOfRange() {
+    void reportsEachKeyOutOfRange() {
         OUT_OF_RANGE.forEach((key, values) -> {
             for (Object value : values) {
-                refused(with(key, value), ResultCode.KEY_OUT_OF_RANGE, key);
+                assertRejected(with(key, value), ResultCode.KEY_OUT_OF_RANGE, key);
             }
         });
     }
 
     @Test
-    void passesOverUnknownKeys() {
+    void ignoresUnknownKeys() {
         NodeSettings.parse(with("surprise", Map.of("a", List.of(1))));
         NodeSettings.parse(with("bounds.surprise", true));
     }
 
     @Test
-    void saysWhatIsNoJson() {
+    void reportsTextThatIsNotJson() {
         for (String text : List.of("", "{", "[]", sample() + "x", "{\"node_name\": nan}")) {
             InvalidInputException fault =
                     assertThrows(InvalidInputException.class, () -> NodeSettings.parse(text), text);
@@ -225,7 +237,7 @@
     }
 
     @Test
-    void saysWhyTheFileCantBeFound() {
+    void reportsWhyTheFileIsNotFound() {
         InvalidInputException unset =
                 assertThrows(InvalidInputException.class, () -> NodeSettings.fromEnvironment(Map.of()));
         assertSame(ResultCode.VARIABLE_NOT_SET, unset.code());
@@ -237,7 +249,7 @@
     }
 
     @Test
-    void eachProgramAsksForWhatItNeeds() {
+    void eachProgramRequiresItsOwnKeys() {
         for (String key : List.of("listen_addresses.front", "listen_addresses.readiness")) {
             NodeSettings settings = NodeSettings.parse(without(key));
             InvalidInputException fault = assertThrows(InvalidInputException.class, settings::requireDataPlaneKeys);
@@ -269,7 +281,7 @@
 
     /** The sidecar's messages have no numbers: they stay as its operators know them. */
     @Test
-    void leavesOtherReadersMessagesAsTheyWere() {
+    void leavesTheMessagesOfOtherReadersUnnumbered() {
         Fields fields = new Fields(Map.of("a", -1L), "configuration key ");
         assertEquals(
                 "configuration key b is missing",
