--- a/simulation/src/test/java/dewplank/simulation/ContactTracker.java
+++ b/simulation/src/test/java/dewplank/simulation/ContactTracker.java
@@ -48,22 +48,25 @@
     void check() {
         double now = fleet.time().now();
         List<ControlMachine> core = fleet.core();
-        for (ControlMachine c : core) {
-            if (lacksTime(c) && core.stream().anyMatch(o -> o != c && reachesMajority(o, core) && joined(o, c))) {
-                servedMs.merge(c, now - lastCheckAt, Double::sum);
+        for (ControlMachine control : core) {
+            if (lacksTime(control)
+                    && core.stream()
+                            .anyMatch(other ->
+                                    other != control && reachesMajority(other, core) && joined(other, control))) {
+                servedMs.merge(control, now - lastCheckAt, Double::sum);
             }
         }
         lastCheckAt = now;
         List<ControlMachine> connected =
-                core.stream().filter(c -> reachesMajority(c, core)).toList();
+                core.stream().filter(control -> reachesMajority(control, core)).toList();
         if (connected.isEmpty()) {
             coreFaultAt = now;
         }
-        if (!fleet.network().isWhole()) {
+        if (!fleet.network().isFullyConnected()) {
             linksFaultAt = now;
         }
         for (DataMachine data : fleet.edge()) {
-            if (!data.runs() || connected.stream().anyMatch(c -> !joined(data, c))) {
+            if (!data.runs() || connected.stream().anyMatch(control -> !joined(data, control))) {
                 lastFaultAt.put(data, now);
             }
         }
@@ -73,7 +76,9 @@
         return from.runs()
                 && 2
                                 * core.stream()
-                                        .filter(c -> c.runs() && joined(from, c) && !(beyondTolerance && lacksTime(c)))
+                                        .filter(control -> control.runs()
+                                                && joined(from, control)
+                                                && !(beyondTolerance && lacksTime(control)))
                                         .count()
                         > core.size();
     }
@@ -83,11 +88,11 @@
                 && servedMs.getOrDefault(machine, SimulatedFleet.CATCH_UP_MS) < SimulatedFleet.CATCH_UP_MS;
     }
 
-    private boolean joined(Machine a, Machine b) {
-        return fleet.network().reaches(a, b) && fleet.network().reaches(b, a);
+    private boolean joined(Machine one, Machine other) {
+        return fleet.network().reaches(one, other) && fleet.network().reaches(other, one);
     }
 
-    boolean inTouch(DataMachine data) {
+    boolean isInTouch(DataMachine data) {
         double calmSince = Math.max(coreFaultAt, lastFaultAt.getOrDefault(data, 0.0));
         return fleet.time().now() - calmSince > SimulatedFleet.CONTACT_MS;
     }
--- a/simulation/src/test/java/dewplank/simulation/ControlMachine.java
+++ b/simulation/src/test/java/dewplank/simulation/ControlMachine.java
@@ -21,7 +21,7 @@
 
     private final SimulatedDisk disk;
     private final boolean durable;
-    private final SimulatedDiskExecutor.DiskTrouble diskTrouble = new SimulatedDiskExecutor.DiskTrouble();
+    private final SimulatedDiskExecutor.DiskFaults diskFaults = new SimulatedDiskExecutor.DiskFaults();
     private List<String> seeds;
     private boolean initialStart;
     private ControlProcess process;
@@ -67,8 +67,8 @@
         return disk;
     }
 
-    SimulatedDiskExecutor.DiskTrouble diskTrouble() {
-        return diskTrouble;
+    SimulatedDiskExecutor.DiskFaults diskFaults() {
+        return diskFaults;
     }
 
     /** The settings file is written anew; the process reads it now or at its next start. */
@@ -93,7 +93,7 @@
 
     @Override
     boolean begin(ProcessIncarnation begun) {
-        executor = new SimulatedDiskExecutor(fleet().time(), begun, disk, diskTrouble, random().split());
+        executor = new SimulatedDiskExecutor(fleet().time(), begun, disk, diskFaults, random().split());
         incarnationName = name() + "#" + incarnationCount();
         try {
             process = new ControlProcess(settings(), new Given(begun), FleetMessages.codec());
@@ -180,7 +180,7 @@
 
         @Override
         public void list(Consumer<List<Endpoint>> then) {
-            fleet().platform().ask(ControlMachine.this, begun, then);
+            fleet().platform().fetchInstances(ControlMachine.this, begun, then);
         }
     }
 }
--- a/simulation/src/test/java/dewplank/simulation/ControlPlaneHistoriesTest.java
+++ b/simulation/src/test/java/dewplank/simulation/ControlPlaneHistoriesTest.java
@@ -16,13 +16,13 @@
  * that a deployment knows. {@code -Dhistories=N -Dseed=S} plays N histories from seed S on; a seed plays again exactly.
  */
 class ControlPlaneHistoriesTest {
-    private static final int USUAL_HISTORIES = 2_000;
+    private static final int DEFAULT_HISTORIES = 2_000;
     private static final int SHOWN = 12;
 
     @Test
     void everyHistoryKeepsTheRules() {
         long first = Long.getLong("seed", 0);
-        int histories = Integer.getInteger("histories", System.getProperty("seed") == null ? USUAL_HISTORIES : 1);
+        int histories = Integer.getInteger("histories", System.getProperty("seed") == null ? DEFAULT_HISTORIES : 1);
         Map<Long, Throwable> failures = new ConcurrentSkipListMap<>();
         AtomicLong answers = new AtomicLong();
         long began = System.nanoTime();
@@ -54,7 +54,7 @@
 
     /** Nothing that a history does depends on more than its seed. */
     @Test
-    void aSeedPlaysAgainExactly() {
+    void aSeedReplaysExactly() {
         for (long seed : List.of(1L, 2L, 3L, 4L, 5L)) {
             assertEquals(digest(seed), digest(seed), "seed " + seed);
         }
--- a/simulation/src/test/java/dewplank/simulation/FaultInjector.java
+++ b/simulation/src/test/java/dewplank/simulation/FaultInjector.java
@@ -8,16 +8,16 @@
  * is back or its successor has started; or without it, any number at once, with disks kept.
  */
 final class FaultInjector {
-    private static final double USUAL_PAUSE_MS = 900;
-    private static final double LONGEST_LOSS_MS = 3_500;
+    private static final double MEAN_PAUSE_MS = 900;
+    private static final double MAX_LOSS_MS = 3_500;
     private static final double SHORT_LOSS_MS = 700;
     private static final double MAX_CLOCK_STEP_MS = 8_000;
 
     private final SimulatedFleet fleet;
     private final SplittableRandom random;
-    private double until;
+    private double endMs;
     private boolean wiped;
-    private int under;
+    private int activeFaults;
 
     FaultInjector(SimulatedFleet fleet, SplittableRandom random) {
         this.fleet = fleet;
@@ -26,37 +26,37 @@
 
     /** Whether no counted machine has a fault. */
     boolean isOver() {
-        return under == 0;
+        return activeFaults == 0;
     }
 
     // ---- within the tolerance --------------------------------------------------------------------------------
 
     /** Loses one counted machine after the other; the last is back before the end. */
     void tolerated(double from, double end) {
-        until = end;
+        endMs = end;
         fleet.time().at(from, this::loseNext);
-        fleet.time().at(from + random.nextDouble() * USUAL_PAUSE_MS, this::uncounted);
+        fleet.time().at(from + random.nextDouble() * MEAN_PAUSE_MS, this::uncounted);
     }
 
     private void loseNext() {
-        if (fleet.time().now() >= until) {
+        if (fleet.time().now() >= endMs) {
             return;
         }
         List<ControlMachine> core = fleet.core();
-        lose(core.get(random.nextInt(core.size())), random.nextInt(9), this::backAgain);
+        lose(core.get(random.nextInt(core.size())), random.nextInt(9), this::scheduleNextLoss);
     }
 
-    private void backAgain() {
+    private void scheduleNextLoss() {
         double spare = random.nextBoolean() ? 0 : random.nextDouble() * 2_000;
         fleet.time().after(SimulatedFleet.CATCH_UP_MS + spare, this::loseNext);
     }
 
     /** Brings a loss of that kind; the last argument is told when the machine is back or its successor starts. */
     void lose(ControlMachine machine, int kind, Runnable back) {
-        double length = random.nextInt(3) == 0 ? SHORT_LOSS_MS : random.nextDouble() * LONGEST_LOSS_MS;
-        under++;
+        double length = random.nextInt(3) == 0 ? SHORT_LOSS_MS : random.nextDouble() * MAX_LOSS_MS;
+        activeFaults++;
         Runnable over = () -> {
-            under--;
+            activeFaults--;
             back.run();
         };
         switch (kind) {
@@ -72,7 +72,7 @@
         }
     }
 
-    private void again(Machine machine, double length, Runnable back) {
+    private void restartAfter(Machine machine, double length, Runnable back) {
         fleet.time().after(length, () -> {
             machine.start();
             fleet.contact().disturbed(machine);
@@ -83,13 +83,13 @@
     void kill(Machine machine, double length, Runnable back) {
         fleet.contact().disturbed(machine);
         machine.kill();
-        again(machine, length, back);
+        restartAfter(machine, length, back);
     }
 
     void powerLoss(Machine machine, double length, Runnable back) {
         fleet.contact().disturbed(machine);
         machine.losePower();
-        again(machine, length, back);
+        restartAfter(machine, length, back);
     }
 
     void wipe(ControlMachine machine, double length, Runnable back) {
@@ -101,7 +101,7 @@
         }
         machine.wipe();
         fleet.contact().startedEmpty(machine);
-        again(machine, length, back);
+        restartAfter(machine, length, back);
     }
 
     void terminate(ControlMachine machine, Runnable back) {
@@ -190,7 +190,7 @@
         if (begins) {
             fleet.network().cut(from, to);
         } else {
-            fleet.network().mend(from, to);
+            fleet.network().heal(from, to);
         }
     }
 
@@ -201,13 +201,13 @@
         if (kind == 0) {
             machine.disk().fill(true);
         } else if (kind == 1) {
-            machine.diskTrouble().stalledUntil = fleet.time().now() + length;
+            machine.diskFaults().stalledUntil = fleet.time().now() + length;
         } else {
-            machine.diskTrouble().slowerBy = 30 + random.nextInt(200);
+            machine.diskFaults().slowerBy = 30 + random.nextInt(200);
         }
         fleet.time().after(length, () -> {
             machine.disk().fill(false);
-            machine.diskTrouble().slowerBy = 0;
+            machine.diskFaults().slowerBy = 0;
             fleet.contact().disturbed(machine);
             fleet.log("the disk of " + machine.name() + " is well");
             back.run();
@@ -216,13 +216,13 @@
 
     /** What is not counted: data planes, clocks, seeds, the platform. */
     private void uncounted() {
-        if (fleet.time().now() >= until) {
+        if (fleet.time().now() >= endMs) {
             return;
         }
         DataMachine data = fleet.edge().get(random.nextInt(fleet.edge().size()));
         List<ControlMachine> core = fleet.core();
         ControlMachine control = core.get(random.nextInt(core.size()));
-        double length = random.nextDouble() * LONGEST_LOSS_MS / 2;
+        double length = random.nextDouble() * MAX_LOSS_MS / 2;
         switch (random.nextInt(6)) {
             case 0 -> kill(data, SHORT_LOSS_MS, () -> {});
             case 1 -> freeze(data, length, () -> {});
@@ -237,7 +237,7 @@
                 control.seeds(fleet.seedsNow(random));
             }
         }
-        fleet.time().after(random.nextDouble() * 2 * USUAL_PAUSE_MS, this::uncounted);
+        fleet.time().after(random.nextDouble() * 2 * MEAN_PAUSE_MS, this::uncounted);
     }
 
     private void cutDataPlane(DataMachine data, ControlMachine control, double length) {
@@ -251,14 +251,14 @@
 
     /** Any number of troubles at once. Disks last, but for one machine's at the most. */
     void unbounded(double from, double end) {
-        until = end;
+        endMs = end;
         fleet.contact().beyondTolerance();
         fleet.time().at(from, this::any);
-        fleet.time().at(from + random.nextDouble() * USUAL_PAUSE_MS, this::uncounted);
+        fleet.time().at(from + random.nextDouble() * MEAN_PAUSE_MS, this::uncounted);
     }
 
     private void any() {
-        if (fleet.time().now() >= until) {
+        if (fleet.time().now() >= endMs) {
             return;
         }
         List<ControlMachine> core = fleet.core();
@@ -273,7 +273,7 @@
         } else {
             lose(machine, kind, () -> {});
         }
-        fleet.time().after(random.nextDouble() * 2 * USUAL_PAUSE_MS, this::any);
+        fleet.time().after(random.nextDouble() * 2 * MEAN_PAUSE_MS, this::any);
     }
 
     /** All processes are killed, or lose power; the core's alone, or all. */
--- a/simulation/src/test/java/dewplank/simulation/History.java
+++ b/simulation/src/test/java/dewplank/simulation/History.java
@@ -7,18 +7,18 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 
-/** One history: a start, troubles for some seconds, then all is well, and the whole is checked. */
+/** One history: a start, faults for some seconds, then none; in the end every process must have caught up. */
 final class History {
-    private static final double TROUBLE_FROM_MS = 1_500;
-    private static final double SHORTEST_MS = 2_500;
-    private static final double MORE_MS = 3_000;
+    private static final double FAULTS_FROM_MS = 1_500;
+    private static final double MIN_LENGTH_MS = 2_500;
+    private static final double EXTRA_LENGTH_MS = 3_000;
     /** Time for a second loss, catch_up_s after the first. */
-    private static final double TOLERATED_MORE_MS = 6_000;
+    private static final double EXTRA_LENGTH_WITHIN_TOLERANCE_MS = 6_000;
 
-    private static final double LAST_TROUBLE_MS = 2_500;
-    private static final double USUAL_PAUSE_MS = 250;
-    /** After the last trouble: who was gone dials, hears, fetches; an acceptor gone for good is replaced. */
-    private static final double CAUGHT_UP_MS = 12_000;
+    private static final double MIN_FAULT_FREE_MS = 2_500;
+    private static final double MEAN_PAUSE_MS = 250;
+    /** After the last fault: a process that was down connects and fetches; an acceptor gone for good is replaced. */
+    private static final double MAX_CATCH_UP_MS = 12_000;
 
     private static final double STEP_MS = 100;
 
@@ -35,22 +35,25 @@
         operators = new Operators(fleet, random.split());
         faults = new FaultInjector(fleet, random.split());
         tolerated = random.nextInt(5) < 2;
-        end = TROUBLE_FROM_MS + SHORTEST_MS + random.nextDouble() * MORE_MS + (tolerated ? TOLERATED_MORE_MS : 0);
+        end = FAULTS_FROM_MS
+                + MIN_LENGTH_MS
+                + random.nextDouble() * EXTRA_LENGTH_MS
+                + (tolerated ? EXTRA_LENGTH_WITHIN_TOLERANCE_MS : 0);
     }
 
     /** Plays it; returns a number that two plays of the same seed have in common. */
     long play() {
         fleet.start();
         fleet.platform().changes(end);
-        operators.begin(end, USUAL_PAUSE_MS);
+        operators.begin(end, MEAN_PAUSE_MS);
         if (tolerated) {
-            faults.tolerated(TROUBLE_FROM_MS + (fleet.core().size() > 3 ? SimulatedFleet.CATCH_UP_MS : 500), end);
+            faults.tolerated(FAULTS_FROM_MS + (fleet.core().size() > 3 ? SimulatedFleet.CATCH_UP_MS : 500), end);
         } else {
-            faults.unbounded(TROUBLE_FROM_MS, end);
+            faults.unbounded(FAULTS_FROM_MS, end);
         }
         acknowledgesInTime();
         fleet.time().playUntil(end);
-        while (!faults.isOver() || fleet.time().now() < end + LAST_TROUBLE_MS) {
+        while (!faults.isOver() || fleet.time().now() < end + MIN_FAULT_FREE_MS) {
             fleet.time().playUntil(fleet.time().now() + STEP_MS);
         }
         double over = fleet.time().now();
@@ -61,8 +64,8 @@
             done = isCaughtUp();
             fleet.invariants()
                     .check(
-                            done || now < over + CAUGHT_UP_MS,
-                            "not all is well long after the last trouble: " + whatLags());
+                            done || now < over + MAX_CATCH_UP_MS,
+                            "a process lags long after the last fault: " + whatLags());
         }
         readAll();
         return fleet.invariants().digest();
@@ -72,7 +75,7 @@
         return fleet;
     }
 
-    /** While the core is stable and no link in trouble, a change has its answer in time. */
+    /** While the core is stable and no link has a fault, a change is answered in time. */
     private void acknowledgesInTime() {
         double now = fleet.time().now();
         for (OperatorChange order : operators.open()) {
@@ -92,45 +95,47 @@
         }
         Set<AcceptorId> live = new HashSet<>();
         long newest = fleet.invariants().floor();
-        for (ControlMachine c : fleet.core()) {
-            if (!c.runs() || c.process().version() < newest) {
-                return c.name() + " has " + (c.runs() ? c.process().version() : "no process");
+        for (ControlMachine control : fleet.core()) {
+            if (!control.runs() || control.process().version() < newest) {
+                return control.name() + " has "
+                        + (control.runs() ? control.process().version() : "no process");
             }
         }
         AcceptorSet set = fleet.core().get(0).process().acceptors();
-        for (ControlMachine c : fleet.core()) {
-            if (!c.process().acceptors().equals(set)) {
-                return c.name() + " knows other acceptors";
+        for (ControlMachine control : fleet.core()) {
+            if (!control.process().acceptors().equals(set)) {
+                return control.name() + " knows other acceptors";
             }
             live.add(new AcceptorId(
-                    c.ip() + ":" + Machine.INTERNAL_PORT, c.process().identity()));
+                    control.ip() + ":" + Machine.INTERNAL_PORT,
+                    control.process().identity()));
         }
         long alive = set.members().stream().filter(live::contains).count();
         if (set.isJoint() || 2 * (alive - 1) <= set.members().size()) { // one loss more has to be borne
             return "acceptors are " + set.members();
         }
-        for (DataMachine d : fleet.edge()) {
-            if (!d.runs()
-                    || d.process().version() < newest
-                    || !d.process().instances().equals(fleet.platform().instances())) {
-                return d.name() + " has "
-                        + (d.runs()
-                                ? d.process().version()
-                                        + d.process().instances().toString()
+        for (DataMachine data : fleet.edge()) {
+            if (!data.runs()
+                    || data.process().version() < newest
+                    || !data.process().instances().equals(fleet.platform().instances())) {
+                return data.name() + " has "
+                        + (data.runs()
+                                ? data.process().version()
+                                        + data.process().instances().toString()
                                 : "no process");
             }
         }
         return "";
     }
 
-    /** What was acknowledged is read back at every control sidecar. */
+    /** What was acknowledged is read back at every control plane. */
     private void readAll() {
-        operators.losesNone();
+        operators.loseNoAnswers();
         Set<ControlMachine> answered = new HashSet<>();
         List<ControlMachine> core = fleet.core();
         double until = fleet.time().now() + SimulatedFleet.CONTACT_MS;
-        for (ControlMachine c : core) {
-            readUntilAnswered(c, answered);
+        for (ControlMachine control : core) {
+            readUntilAnswered(control, answered);
         }
         while (answered.size() < core.size()) {
             fleet.invariants().check(fleet.time().now() < until, "not all answer a reading");
--- a/simulation/src/test/java/dewplank/simulation/InvariantChecker.java
+++ b/simulation/src/test/java/dewplank/simulation/InvariantChecker.java
@@ -12,7 +12,7 @@
 
 /** What was seen of one history from outside and of what its processes know, and whether the rules allow it. */
 final class InvariantChecker {
-    private static final double LOOK_EVERY_MS = 50;
+    private static final double CHECK_INTERVAL_MS = 50;
 
     private record Seen(Set<Integer> markers, byte[] json) {}
 
@@ -23,12 +23,12 @@
     private final TreeMap<Long, Seen> versions = new TreeMap<>();
     private final Map<Long, Integer> confirmedOn = new HashMap<>();
     private final Set<Integer> confirmed = new TreeSet<>();
-    private final Set<Integer> refused = new TreeSet<>();
+    private final Set<Integer> rejected = new TreeSet<>();
     private final TreeMap<Double, Long> acknowledged = new TreeMap<>();
     private final Map<Long, String> holders = new HashMap<>();
     private final Map<String, Long> learned = new HashMap<>();
-    private final Map<Machine, Lists> held = new HashMap<>();
-    private final Map<ControlMachine, String> holding = new HashMap<>();
+    private final Map<Machine, Lists> lastListsOf = new HashMap<>();
+    private final Map<ControlMachine, String> leaseHolders = new HashMap<>();
     private long floor;
     private long digest = 1;
     private long answers;
@@ -67,7 +67,7 @@
     void watch() {
         contact.check();
         inForce();
-        fleet.time().after(LOOK_EVERY_MS, this::watch);
+        fleet.time().after(CHECK_INTERVAL_MS, this::watch);
     }
 
     // ---- what processes know ------------------------------------------------------------------------------
@@ -85,7 +85,7 @@
         if (control.process().holdsList()) {
             holds(control, incarnation);
         } else {
-            holding.remove(control);
+            leaseHolders.remove(control);
         }
     }
 
@@ -95,19 +95,23 @@
         check(
                 other == null || other.equals(incarnation),
                 "number " + number + " was won by " + other + " and by " + incarnation);
-        holding.put(control, incarnation);
-        for (Map.Entry<ControlMachine, String> e : holding.entrySet()) {
-            ControlMachine c = e.getKey();
-            if (c != control && c.isUp() && c.incarnation().isOver()) {
+        leaseHolders.put(control, incarnation);
+        for (Map.Entry<ControlMachine, String> entry : leaseHolders.entrySet()) {
+            ControlMachine otherControl = entry.getKey();
+            if (otherControl != control
+                    && otherControl.isUp()
+                    && otherControl.incarnation().isOver()) {
                 continue;
             }
-            boolean both = c != control && c.runs() && c.process().holdsList();
-            check(!both, e.getValue() + " and " + incarnation + " hold the duty at once");
+            boolean both = otherControl != control
+                    && otherControl.runs()
+                    && otherControl.process().holdsList();
+            check(!both, entry.getValue() + " and " + incarnation + " hold the duty at once");
         }
     }
 
     /** The platform is asked for the list: only by the holder of the duty. */
-    void asked(ControlMachine control) {
+    void platformPolled(ControlMachine control) {
         check(control.process().holdsList(), control.name() + " asks the platform and does not hold the duty");
     }
 
@@ -115,7 +119,7 @@
     void observe(DataMachine data) {
         long version = data.process().version();
         long[] order = data.process().listOrder();
-        Lists before = held.get(data);
+        Lists before = lastListsOf.get(data);
         if (before != null && before.version == version && Arrays.equals(before.order, order)) {
             return;
         }
@@ -126,20 +130,20 @@
         if (version != 0 && (before == null || before.version != version)) {
             observed(data.process().configuration());
         }
-        held.put(data, new Lists(version, order));
+        lastListsOf.put(data, new Lists(version, order));
         mark(data.name() + " holds " + version + " and " + Arrays.toString(order));
     }
 
     /** A data plane's life is over: the next one begins with nothing. */
     void ended(DataMachine data) {
-        held.remove(data);
+        lastListsOf.remove(data);
     }
 
     private void observed(Configuration configuration) {
-        Seen known = versions.get(configuration.version());
-        if (known != null) {
+        Seen earlier = versions.get(configuration.version());
+        if (earlier != null) {
             check(
-                    Arrays.equals(known.json, configuration.json()),
+                    Arrays.equals(earlier.json, configuration.json()),
                     "two configurations under " + configuration.version());
             return;
         }
@@ -152,7 +156,7 @@
 
     private void observed(long version, Set<Integer> markers, byte[] json) {
         versions.put(version, new Seen(markers, json));
-        for (int id : refused) {
+        for (int id : rejected) {
             check(!markers.contains(id), "change " + id + " was refused and is in force in " + version);
         }
         Map.Entry<Long, Seen> below = versions.lowerEntry(version);
@@ -176,7 +180,7 @@
         answers++;
         mark(order + " is confirmed");
         check(order.valid, order + " is invalid and was confirmed");
-        check(!refused.contains(order.id), order + " was refused and then confirmed");
+        check(!rejected.contains(order.id), order + " was refused and then confirmed");
         Integer other = confirmedOn.putIfAbsent(order.base, order.id);
         check(other == null || other == order.id, order + " and change " + other + " were both confirmed");
         confirmed.add(order.id);
@@ -184,15 +188,15 @@
         floor = Math.max(floor, order.version);
     }
 
-    void refused(OperatorChange order, int status) {
+    void rejected(OperatorChange order, int status) {
         answers++;
         mark(order + " is refused by " + status);
         check(!confirmed.contains(order.id), order + " was confirmed and then refused by " + status);
-        refused.add(order.id);
-        for (Map.Entry<Long, Seen> e : versions.entrySet()) {
+        rejected.add(order.id);
+        for (Map.Entry<Long, Seen> entry : versions.entrySet()) {
             check(
-                    !e.getValue().markers.contains(order.id),
-                    order + " was refused by " + status + " and is in force in " + e.getKey());
+                    !entry.getValue().markers.contains(order.id),
+                    order + " was refused by " + status + " and is in force in " + entry.getKey());
         }
     }
 
@@ -200,9 +204,9 @@
     void read(long version, Set<Integer> markers, long floorAtStart) {
         answers++;
         check(version >= floorAtStart, "read " + version + " after " + floorAtStart);
-        Seen known = versions.get(version);
-        check(known == null || known.markers.equals(markers), "read another configuration under " + version);
-        if (known == null) {
+        Seen earlier = versions.get(version);
+        check(earlier == null || earlier.markers.equals(markers), "read another configuration under " + version);
+        if (earlier == null) {
             observed(version, markers, null);
             versions.remove(version); // its bytes have yet to be seen
         }
@@ -217,7 +221,7 @@
         Map.Entry<Double, Long> due = acknowledged.floorEntry(now - SimulatedFleet.APPLY_MS);
         Set<String> gone = fleet.platform().goneBefore(now - SimulatedFleet.DRAIN_MS);
         for (DataMachine data : fleet.edge()) {
-            if (!contact.inTouch(data)) {
+            if (!contact.isInTouch(data)) {
                 continue;
             }
             long needed = due == null ? 0 : newestUntil(due.getKey());
@@ -227,9 +231,9 @@
                             + " was acknowledged long ago");
             if (!gone.isEmpty()) {
                 Set<String> listed = data.process().instances();
-                Set<String> late = new HashSet<>(gone);
-                late.retainAll(listed);
-                check(late.isEmpty(), data.name() + " is in touch and still has " + late);
+                Set<String> stillListed = new HashSet<>(gone);
+                stillListed.retainAll(listed);
+                check(stillListed.isEmpty(), data.name() + " is in touch and still has " + stillListed);
             }
         }
     }
@@ -244,11 +248,11 @@
     /** When all is over and one configuration is everywhere. */
     void checkEnd(Configuration last) {
         Set<Integer> markers = new TreeSet<>();
-        last.routes().forEach(r -> markers.add(Integer.parseInt(r.name().substring(2))));
+        last.routes().forEach(route -> markers.add(Integer.parseInt(route.name().substring(2))));
         for (int id : confirmed) {
             check(markers.contains(id), "change " + id + " was confirmed and is lost");
         }
-        for (int id : refused) {
+        for (int id : rejected) {
             check(!markers.contains(id), "change " + id + " was refused and is in force");
         }
         check(last.version() >= floor, "the last configuration is " + last.version() + ", " + floor + " was seen");
--- a/simulation/src/test/java/dewplank/simulation/OperatorChange.java
+++ b/simulation/src/test/java/dewplank/simulation/OperatorChange.java
@@ -9,7 +9,7 @@
     enum State {
         OPEN,
         CONFIRMED,
-        REFUSED
+        REJECTED
     }
 
     private static final String SERVICE = "{\"name\":\"engines\",\"health_path\":\"/health\",\"max_connections\":370,"
@@ -48,7 +48,7 @@
         this.markers = markers;
     }
 
-    static OperatorChange whole(int id, long base, long version, Set<Integer> baseMarkers, double now) {
+    static OperatorChange complete(int id, long base, long version, Set<Integer> baseMarkers, double now) {
         Set<Integer> markers = new TreeSet<>(baseMarkers);
         markers.add(id);
         StringBuilder routes = new StringBuilder();
--- a/simulation/src/test/java/dewplank/simulation/Operators.java
+++ b/simulation/src/test/java/dewplank/simulation/Operators.java
@@ -22,53 +22,53 @@
 final class Operators {
     static final String IP = "10.250.0.1";
     static final int MAX_AT_ONCE = 8;
-    private static final double SILENCE_MS = 1_000;
-    private static final double SHORTEST_PAUSE_MS = 30;
-    private static final double LONGEST_PAUSE_MS = 400;
-    private static final int MOST_REDIRECTS = 2;
+    private static final double CALL_TIMEOUT_MS = 1_000;
+    private static final double MIN_BACKOFF_MS = 30;
+    private static final double MAX_BACKOFF_MS = 400;
+    private static final int MAX_REDIRECTS = 2;
     private static final Pattern MARKER = Pattern.compile("\"m-(\\d+)\"");
     private static final Pattern VERSION = Pattern.compile("\"config_version\":\\s*(\\d+)");
 
     private final SimulatedFleet fleet;
     private final SplittableRandom random;
-    private final TreeMap<Long, Set<Integer>> known = new TreeMap<>();
+    private final TreeMap<Long, Set<Integer>> markersByVersion = new TreeMap<>();
     private final List<OperatorChange> open = new ArrayList<>();
-    private final List<ControlMachine> ever = new ArrayList<>();
+    private final List<ControlMachine> everListed = new ArrayList<>();
     private int lastId;
-    private int lost = 20; // one answer in so many
+    private int lostAnswerOneIn = 20; // one answer in so many
     private int reads;
 
     Operators(SimulatedFleet fleet, SplittableRandom random) {
         this.fleet = fleet;
         this.random = random;
-        known.put(0L, Set.of());
+        markersByVersion.put(0L, Set.of());
     }
 
     /** From now on no answer is lost on its way. */
-    void losesNone() {
-        lost = 0;
+    void loseNoAnswers() {
+        lostAnswerOneIn = 0;
     }
 
     /** Sends changes and readings until that time. */
-    void begin(double until, double usualPauseMs) {
-        fleet.time().after(random.nextDouble() * 2 * usualPauseMs, () -> {
+    void begin(double until, double meanPauseMs) {
+        fleet.time().after(random.nextDouble() * 2 * meanPauseMs, () -> {
             if (fleet.time().now() < until) {
                 if (random.nextInt(4) == 0) {
                     read(anyControl(), answer -> {});
                 } else {
                     change();
                 }
-                begin(until, usualPauseMs);
+                begin(until, meanPauseMs);
             }
         });
     }
 
     private void change() {
         int atOnce = random.nextInt(5) == 0 ? 2 : 1; // two operators on one base, mostly under one number
-        long base = random.nextInt(15) == 0 ? any(known.keySet()) : known.lastKey();
+        long base = random.nextInt(15) == 0 ? any(markersByVersion.keySet()) : markersByVersion.lastKey();
         long version = base + 1 + random.nextInt(3);
-        for (int i = 0; i < atOnce && open.size() < MAX_AT_ONCE; i++) {
-            send(order(base, random.nextInt(4) == 0 ? version + i : version), then -> {});
+        for (int index = 0; index < atOnce && open.size() < MAX_AT_ONCE; index++) {
+            send(order(base, random.nextInt(4) == 0 ? version + index : version), then -> {});
         }
     }
 
@@ -81,18 +81,22 @@
         double now = fleet.time().now();
         lastId++;
         if (base == 0 || random.nextInt(4) == 0) {
-            return OperatorChange.whole(lastId, base, version, known.get(base), now);
+            return OperatorChange.complete(lastId, base, version, markersByVersion.get(base), now);
         }
         return OperatorChange.patch(lastId, base, version, random.nextInt(12) != 0, now);
     }
 
     /** A valid change on top of the newest version that is known here. */
     OperatorChange next() {
-        long base = known.lastKey();
+        long base = markersByVersion.lastKey();
         if (base == 0) {
             lastId++;
-            return OperatorChange.whole(
-                    lastId, base, base + 1, known.get(base), fleet.time().now());
+            return OperatorChange.complete(
+                    lastId,
+                    base,
+                    base + 1,
+                    markersByVersion.get(base),
+                    fleet.time().now());
         }
         return nextPatch();
     }
@@ -101,13 +105,21 @@
     OperatorChange nextPatch() {
         lastId++;
         return OperatorChange.patch(
-                lastId, known.lastKey(), known.lastKey() + 1, true, fleet.time().now());
+                lastId,
+                markersByVersion.lastKey(),
+                markersByVersion.lastKey() + 1,
+                true,
+                fleet.time().now());
     }
 
     /** A patch of a route that is there already: many of them leave the configuration as small as it is. */
     OperatorChange nextSmall() {
         return OperatorChange.patch(
-                1, known.lastKey(), known.lastKey() + 1, true, fleet.time().now());
+                1,
+                markersByVersion.lastKey(),
+                markersByVersion.lastKey() + 1,
+                true,
+                fleet.time().now());
     }
 
     /** Sends a change until it has a clear answer. */
@@ -127,9 +139,9 @@
     private void attempt(OperatorChange order, Consumer<OperatorChange> then) {
         order.sent++;
         ControlMachine to = anyControl();
-        call(to, order.patch ? "PATCH" : "PUT", order, MOST_REDIRECTS, answer -> {
+        call(to, order.patch ? "PATCH" : "PUT", order, MAX_REDIRECTS, answer -> {
             if (answer == null || !answered(order, answer.status())) {
-                double pause = Math.min(LONGEST_PAUSE_MS, SHORTEST_PAUSE_MS * (1 << Math.min(order.sent, 10)));
+                double pause = Math.min(MAX_BACKOFF_MS, MIN_BACKOFF_MS * (1 << Math.min(order.sent, 10)));
                 fleet.time().after(pause * (0.5 + random.nextDouble()), () -> attempt(order, then));
             } else {
                 open.remove(order);
@@ -149,17 +161,17 @@
         if (status == 200) {
             order.state = OperatorChange.State.CONFIRMED;
             fleet.invariants().confirmed(order);
-            Set<Integer> base = known.get(order.base);
+            Set<Integer> base = markersByVersion.get(order.base);
             if (order.markers != null || base != null) {
                 Set<Integer> markers = new TreeSet<>(order.markers != null ? order.markers : base);
                 markers.add(order.id);
-                known.put(order.version, markers);
+                markersByVersion.put(order.version, markers);
             }
             return true;
         }
         if (status == 400 || status == 409 || status == 412 || status == 413 || status == 422) {
-            order.state = OperatorChange.State.REFUSED;
-            fleet.invariants().refused(order, status);
+            order.state = OperatorChange.State.REJECTED;
+            fleet.invariants().rejected(order, status);
             return true;
         }
         return false;
@@ -168,7 +180,7 @@
     /** Reads the configuration from a machine; null where no clear answer came. */
     void read(ControlMachine from, Consumer<Long> then) {
         long floor = fleet.invariants().floor();
-        call(from, "GET", null, MOST_REDIRECTS, answer -> {
+        call(from, "GET", null, MAX_REDIRECTS, answer -> {
             if (answer != null && answer.status() == 200) {
                 then.accept(taken(answer.body(), floor));
             } else {
@@ -192,19 +204,19 @@
         }
         long read = Long.parseLong(version.group(1));
         fleet.invariants().read(read, markers, floor);
-        known.put(read, markers);
+        markersByVersion.put(read, markers);
         reads++;
         return read;
     }
 
     /** From a list that lags: machines that have been taken away stand there too. */
     private ControlMachine anyControl() {
-        for (ControlMachine c : fleet.core()) {
-            if (!ever.contains(c)) {
-                ever.add(c);
+        for (ControlMachine control : fleet.core()) {
+            if (!everListed.contains(control)) {
+                everListed.add(control);
             }
         }
-        List<ControlMachine> from = random.nextInt(10) == 0 ? ever : fleet.core();
+        List<ControlMachine> from = random.nextInt(10) == 0 ? everListed : fleet.core();
         return from.get(random.nextInt(from.size()));
     }
 
@@ -215,7 +227,7 @@
             int redirects,
             Consumer<ControlProcess.Answer> then) {
         Call call = new Call(then);
-        fleet.time().after(SILENCE_MS, () -> call.ends(null));
+        fleet.time().after(CALL_TIMEOUT_MS, () -> call.ends(null));
         fleet.time().after(fleet.network().delay(), () -> arrive(to, method, order, redirects, call));
     }
 
@@ -227,10 +239,10 @@
             fleet.time().after(fleet.network().delay(), () -> call.ends(null));
             return;
         }
-        boolean readsLate = random.nextBoolean();
+        boolean handlesAbandonedCall = random.nextBoolean();
         ProcessIncarnation incarnation = to.incarnation();
         incarnation.run(() -> {
-            if (call.over && !readsLate) {
+            if (call.over && !handlesAbandonedCall) {
                 return; // it has read of the caller's leaving, too
             }
             to.process()
@@ -251,7 +263,9 @@
             Call call,
             ControlProcess.Answer answer) {
         fleet.time().after(fleet.network().delay(), () -> {
-            if (call.over || !fleet.network().reaches(from.ip(), IP) || lost > 0 && random.nextInt(lost) == 0) {
+            if (call.over
+                    || !fleet.network().reaches(from.ip(), IP)
+                    || lostAnswerOneIn > 0 && random.nextInt(lostAnswerOneIn) == 0) {
                 return;
             }
             ControlMachine next = answer.status() == 307 && redirects > 0 ? machine(answer.location()) : null;
--- a/simulation/src/test/java/dewplank/simulation/Schedule.java
+++ b/simulation/src/test/java/dewplank/simulation/Schedule.java
@@ -25,7 +25,7 @@
         fleet = new SimulatedFleet(controls, relays, 3, random.split());
         operators = new Operators(fleet, random.split());
         faults = new FaultInjector(fleet, random.split());
-        operators.losesNone();
+        operators.loseNoAnswers();
         fleet.start();
         play(STARTED_MS);
         change();
@@ -59,7 +59,7 @@
     /** So many changes, one after the other. */
     List<OperatorChange> changes(int count) {
         List<OperatorChange> made = new ArrayList<>();
-        for (int i = 0; i < count; i++) {
+        for (int index = 0; index < count; index++) {
             made.add(change());
         }
         return made;
@@ -67,7 +67,7 @@
 
     /** So many changes that leave the configuration as small as it is. */
     void smallChanges(int count) {
-        for (int i = 0; i < count; i++) {
+        for (int index = 0; index < count; index++) {
             confirmed(operators.nextSmall());
         }
     }
@@ -77,7 +77,7 @@
     }
 
     /** The status of one try at one machine; 0 where nothing came within the caller's second. */
-    int tryAt(ControlMachine at, OperatorChange order) {
+    int attemptAt(ControlMachine at, OperatorChange order) {
         int[] status = {-1};
         operators.call(at, order, answer -> status[0] = answer == null ? 0 : answer.status());
         until(SimulatedFleet.ACK_MS, "a try ends", () -> status[0] >= 0);
@@ -85,15 +85,16 @@
     }
 
     /** Everyone that runs has what was confirmed last. */
-    void everyoneCatchesUp(double within) {
+    void awaitAllCaughtUp(double within) {
         long newest = fleet.invariants().floor();
         until(
                 within,
                 "all have " + newest,
                 () -> fleet.core().stream()
-                                .allMatch(c -> !c.runs() || c.process().version() >= newest)
+                                .allMatch(control ->
+                                        !control.runs() || control.process().version() >= newest)
                         && fleet.edge().stream()
-                                .allMatch(d -> !d.runs() || d.process().version() >= newest));
+                                .allMatch(data -> !data.runs() || data.process().version() >= newest));
     }
 
     /** Cuts a machine off from these, both ways, or joins it again. */
@@ -104,8 +105,8 @@
                 fleet.network().cut(machine.ip(), other.ip());
                 fleet.network().cut(other.ip(), machine.ip());
             } else if (other != machine) {
-                fleet.network().mend(machine.ip(), other.ip());
-                fleet.network().mend(other.ip(), machine.ip());
+                fleet.network().heal(machine.ip(), other.ip());
+                fleet.network().heal(other.ip(), machine.ip());
             }
         }
     }
--- a/simulation/src/test/java/dewplank/simulation/SimulatedDisk.java
+++ b/simulation/src/test/java/dewplank/simulation/SimulatedDisk.java
@@ -37,7 +37,7 @@
     private final TreeMap<Path, Content> syncedNames = new TreeMap<>();
     private boolean full;
     private int writesLeft = Integer.MAX_VALUE;
-    private long longest;
+    private long maxTotalBytes;
     private long written;
 
     SimulatedDisk(SplittableRandom random) {
@@ -60,8 +60,8 @@
     }
 
     /** The most bytes that all files ever had together. */
-    long longest() {
-        return longest;
+    long maxTotalBytes() {
+        return maxTotalBytes;
     }
 
     /** All bytes ever written. */
@@ -81,7 +81,7 @@
 
     void losePower() {
         List<Path> all = new ArrayList<>(names.keySet());
-        syncedNames.keySet().stream().filter(p -> !names.containsKey(p)).forEach(all::add);
+        syncedNames.keySet().stream().filter(path -> !names.containsKey(path)).forEach(all::add);
         boolean nothingLater = random.nextInt(4) == 0; // at some losses every later write is gone
         for (Path name : all) {
             Content after = random.nextBoolean() && !nothingLater ? names.get(name) : syncedNames.get(name);
@@ -172,7 +172,7 @@
         for (Content content : names.values()) {
             sum += content.now.length;
         }
-        longest = Math.max(longest, sum);
+        maxTotalBytes = Math.max(maxTotalBytes, sum);
     }
 
     private final class SimulatedFile implements StoreFile {
--- a/simulation/src/test/java/dewplank/simulation/SimulatedDiskExecutor.java
+++ b/simulation/src/test/java/dewplank/simulation/SimulatedDiskExecutor.java
@@ -12,22 +12,22 @@
 /** A process's work on its disk: one piece after the other, each as slow as the disk is. */
 final class SimulatedDiskExecutor implements DiskExecutor {
     private static final double SYNC_MS = 1;
-    private static final double MOST_MORE_MS = 2;
-    private static final int MOST_WRITES_DONE = 6;
+    private static final double MAX_EXTRA_MS = 2;
+    private static final int MAX_WRITES_DONE = 6;
 
     private record Submission(Task task, Consumer<DiskResult> completion) {}
 
     private final VirtualTime time;
     private final ProcessIncarnation incarnation;
     private final SimulatedDisk disk;
-    private final DiskTrouble trouble;
+    private final DiskFaults faults;
     private final SplittableRandom random;
     private final Deque<Submission> waiting = new ArrayDeque<>();
     private Submission active;
     private boolean closed;
 
     /** How slow a machine's disk is. */
-    static final class DiskTrouble {
+    static final class DiskFaults {
         double slowerBy;
         double stalledUntil;
     }
@@ -36,12 +36,12 @@
             VirtualTime time,
             ProcessIncarnation incarnation,
             SimulatedDisk disk,
-            DiskTrouble trouble,
+            DiskFaults faults,
             SplittableRandom random) {
         this.time = time;
         this.incarnation = incarnation;
         this.disk = disk;
-        this.trouble = trouble;
+        this.faults = faults;
         this.random = random;
     }
 
@@ -60,15 +60,15 @@
             return;
         }
         active = waiting.poll();
-        time.after(SYNC_MS + random.nextDouble() * MOST_MORE_MS + trouble.slowerBy, this::perform);
+        time.after(SYNC_MS + random.nextDouble() * MAX_EXTRA_MS + faults.slowerBy, this::perform);
     }
 
     private void perform() {
         if (incarnation.isOver()) {
             return;
         }
-        if (trouble.stalledUntil > time.now()) {
-            time.at(trouble.stalledUntil, this::perform);
+        if (faults.stalledUntil > time.now()) {
+            time.at(faults.stalledUntil, this::perform);
         } else {
             incarnation.run(this::work);
         }
@@ -94,7 +94,7 @@
     /** The process dies: the work under way is not begun, or done in part, or done and never told of. */
     void die() {
         if (active != null && random.nextBoolean()) {
-            disk.dieAfterWrites(1 + random.nextInt(MOST_WRITES_DONE));
+            disk.dieAfterWrites(1 + random.nextInt(MAX_WRITES_DONE));
             try {
                 active.task.run();
             } catch (StoreException cutShort) {
--- a/simulation/src/test/java/dewplank/simulation/SimulatedFleet.java
+++ b/simulation/src/test/java/dewplank/simulation/SimulatedFleet.java
@@ -38,23 +38,24 @@
         network = new SimulatedNetwork(time, random.split());
         invariants = new InvariantChecker(this);
         platform = new SimulatedPlatform(this, random.split());
-        for (int i = 0; i < Math.min(MAX_SEEDS, relayCount); i++) {
-            firstSeeds.add(relayIp(i + 1) + ":" + Machine.CONTROL_PORT);
+        for (int index = 0; index < Math.min(MAX_SEEDS, relayCount); index++) {
+            firstSeeds.add(relayIp(index + 1) + ":" + Machine.CONTROL_PORT);
         }
-        for (int i = 0; firstSeeds.size() < MAX_SEEDS && i < controls; i++) {
-            firstSeeds.add(coreIp(i + 1) + ":" + Machine.CONTROL_PORT);
+        for (int index = 0; firstSeeds.size() < MAX_SEEDS && index < controls; index++) {
+            firstSeeds.add(coreIp(index + 1) + ":" + Machine.CONTROL_PORT);
         }
-        for (int i = 0; i < controls; i++) {
+        for (int index = 0; index < controls; index++) {
             newControl(firstSeeds, true);
         }
-        for (int i = 1; i <= relayCount; i++) {
-            ControlMachine relay = ControlMachine.relay(this, "relay-" + i, relayIp(i), firstSeeds, random.split());
+        for (int index = 1; index <= relayCount; index++) {
+            ControlMachine relay =
+                    ControlMachine.relay(this, "relay-" + index, relayIp(index), firstSeeds, random.split());
             relays.add(relay);
             network.add(relay);
         }
-        for (int i = 0; i < dataPlanes; i++) {
+        for (int index = 0; index < dataPlanes; index++) {
             DataMachine data =
-                    new DataMachine(this, "edge-" + (i + 1), "10.1.0." + (i + 1), firstSeeds, random.split());
+                    new DataMachine(this, "edge-" + (index + 1), "10.1.0." + (index + 1), firstSeeds, random.split());
             edge.add(data);
             network.add(data);
         }
@@ -108,7 +109,7 @@
 
     /** The core machines that have not been taken away. */
     List<ControlMachine> core() {
-        return core.stream().filter(c -> !c.isRemoved()).toList();
+        return core.stream().filter(control -> !control.isRemoved()).toList();
     }
 
     /** Control processes on machines without a disk. */
@@ -134,8 +135,8 @@
     /** Control addresses of up to three machines that run now, as an operator's list would have them. */
     List<String> seedsNow(SplittableRandom drawn) {
         List<String> seeds = new ArrayList<>();
-        for (ControlMachine c : core()) {
-            seeds.add(c.ip() + ":" + Machine.CONTROL_PORT);
+        for (ControlMachine control : core()) {
+            seeds.add(control.ip() + ":" + Machine.CONTROL_PORT);
         }
         while (seeds.size() > 3) {
             seeds.remove(drawn.nextInt(seeds.size()));
--- a/simulation/src/test/java/dewplank/simulation/SimulatedLink.java
+++ b/simulation/src/test/java/dewplank/simulation/SimulatedLink.java
@@ -17,10 +17,13 @@
     private Handler handler;
     private SimulatedLink peer;
     private double lastArrival;
-    private boolean held;
+    /** Messages wait, as the way to the peer is partitioned. */
+    private boolean partitioned;
+
     private boolean established;
     private boolean over;
-    private boolean silent;
+    /** The sender has lost power: neither data nor a close is sent any more. */
+    private boolean senderLostPower;
 
     SimulatedLink(SimulatedNetwork network, Machine from, Machine to, ProcessIncarnation incarnation, Handler handler) {
         this.network = network;
@@ -30,7 +33,7 @@
         this.handler = handler;
     }
 
-    /** The dialler hears that it is connected; the other side takes the connection a little later. */
+    /** The caller is connected at once; the other side accepts a little later. */
     void establish(Machine there, ProcessIncarnation peerIncarnation, Supplier<? extends Handler> handlers) {
         SimulatedLink accepted = new SimulatedLink(network, there, from, peerIncarnation, null);
         accepted.peer = this;
@@ -66,19 +69,19 @@
     }
 
     private void schedule(double delay) {
-        if (!held) {
+        if (!partitioned) {
             lastArrival = Math.max(lastArrival, network.time().now() + delay);
             network.time().at(lastArrival, this::arrive);
         }
     }
 
     private void arrive() {
-        if (held || flight.isEmpty()) {
+        if (partitioned || flight.isEmpty()) {
             return;
         }
         if (!network.reaches(from, to)) {
-            held = !silent; // who has lost power sends nothing again
-            if (silent) {
+            partitioned = !senderLostPower; // a sender without power sends nothing again
+            if (senderLostPower) {
                 flight.clear();
             }
             return;
@@ -114,12 +117,12 @@
         }
     }
 
-    /** A cut is mended: what it held up comes after a while. */
+    /** A partition has healed: what waited is sent again after a while. */
     void resend(double delay) {
-        if (held) {
-            held = false;
+        if (partitioned) {
+            partitioned = false;
             lastArrival = network.time().now() + delay;
-            for (int i = 0; i < flight.size(); i++) {
+            for (int resent = 0; resent < flight.size(); resent++) {
                 network.time().at(lastArrival, this::arrive);
             }
         }
@@ -149,20 +152,20 @@
         }
     }
 
-    /** The process has ended: the machine's kernel closes the connection, or resets it, or has no power to say so. */
+    /** The process has ended: the kernel closes the connection, or resets it, or has no power to send anything. */
     void vanish(boolean powerLost, boolean reset) {
         if (over) {
-            silent = powerLost;
+            senderLostPower = powerLost;
             return;
         }
         over = true;
-        silent = powerLost;
+        senderLostPower = powerLost;
         if (peer == null) {
             return;
         }
-        if (held && (powerLost || reset)) {
+        if (partitioned && (powerLost || reset)) {
             flight.clear();
-            held = false;
+            partitioned = false;
         }
         if (!powerLost) {
             if (reset) {
@@ -172,9 +175,9 @@
         }
     }
 
-    /** Whether nothing comes of it any more. */
+    /** Whether nothing can arrive by it any more. */
     boolean isForgotten() {
-        return over && flight.isEmpty() || silent && !held && peer != null && peer.over;
+        return over && flight.isEmpty() || senderLostPower && !partitioned && peer != null && peer.over;
     }
 
     Machine from() {
--- a/simulation/src/test/java/dewplank/simulation/SimulatedNetwork.java
+++ b/simulation/src/test/java/dewplank/simulation/SimulatedNetwork.java
@@ -16,10 +16,10 @@
  * when it is mended, also after what a later connection brought.
  */
 final class SimulatedNetwork {
-    private static final double SHORTEST_MS = 0.8;
-    private static final double USUAL_MS = 1.5;
-    private static final double LONGEST_MS = 60;
-    private static final int LATE_IN = 40;
+    private static final double MIN_MS = 0.8;
+    private static final double TYPICAL_EXTRA_MS = 1.5;
+    private static final double SLOW_EXTRA_MS = 60;
+    private static final int DELAYED_ONE_IN = 40;
     private static final double RESENT_AFTER_MS = 400;
 
     private final VirtualTime time;
@@ -46,8 +46,8 @@
     }
 
     double delay() {
-        double longest = random.nextInt(LATE_IN) == 0 ? LONGEST_MS : USUAL_MS;
-        return SHORTEST_MS + random.nextDouble() * longest;
+        double maxExtraMs = random.nextInt(DELAYED_ONE_IN) == 0 ? SLOW_EXTRA_MS : TYPICAL_EXTRA_MS;
+        return MIN_MS + random.nextDouble() * maxExtraMs;
     }
 
     boolean reaches(String from, String to) {
@@ -62,7 +62,7 @@
         cuts.merge(from + ">" + to, 1, Integer::sum);
     }
 
-    void mend(String from, String to) {
+    void heal(String from, String to) {
         cuts.computeIfPresent(from + ">" + to, (k, n) -> n == 1 ? null : n - 1);
         if (reaches(from, to)) {
             links.removeIf(SimulatedLink::isForgotten);
@@ -74,7 +74,7 @@
         }
     }
 
-    boolean isWhole() {
+    boolean isFullyConnected() {
         return cuts.isEmpty();
     }
 
--- a/simulation/src/test/java/dewplank/simulation/SimulatedPlatform.java
+++ b/simulation/src/test/java/dewplank/simulation/SimulatedPlatform.java
@@ -12,9 +12,9 @@
 /** The platform's list of servers, which changes as servers come, drain and go. */
 final class SimulatedPlatform {
     static final String IP = "10.200.0.4";
-    private static final double USUAL_PAUSE_MS = 1_500;
+    private static final double MEAN_PAUSE_MS = 1_500;
     private static final int LEAST_SERVERS = 2;
-    private static final int MOST_SERVERS = 6;
+    private static final int MAX_SERVERS = 6;
 
     private record Change(double at, Set<String> gone) {}
 
@@ -31,7 +31,7 @@
     SimulatedPlatform(SimulatedFleet fleet, SplittableRandom random) {
         this.fleet = fleet;
         this.random = random;
-        for (int i = 0; i < LEAST_SERVERS + 1; i++) {
+        for (int index = 0; index < LEAST_SERVERS + 1; index++) {
             add();
         }
         changes.add(new Change(0, Set.of()));
@@ -44,7 +44,7 @@
 
     /** Begins to change the list now and then, until that time. */
     void changes(double until) {
-        fleet.time().after(random.nextDouble() * 2 * USUAL_PAUSE_MS, () -> {
+        fleet.time().after(random.nextDouble() * 2 * MEAN_PAUSE_MS, () -> {
             if (fleet.time().now() < until) {
                 change();
                 changes(until);
@@ -53,7 +53,7 @@
     }
 
     private void change() {
-        boolean adds = servers.size() <= LEAST_SERVERS || servers.size() < MOST_SERVERS && random.nextBoolean();
+        boolean adds = servers.size() <= LEAST_SERVERS || servers.size() < MAX_SERVERS && random.nextBoolean();
         if (adds) {
             add();
         } else {
@@ -69,9 +69,9 @@
     }
 
     /** One call, which costs one of the platform's few. */
-    void ask(ControlMachine from, ProcessIncarnation asking, Consumer<List<Endpoint>> then) {
+    void fetchInstances(ControlMachine from, ProcessIncarnation caller, Consumer<List<Endpoint>> then) {
         calls++;
-        fleet.invariants().asked(from);
+        fleet.invariants().platformPolled(from);
         fleet.time().after(fleet.network().delay(), () -> {
             boolean answered =
                     fleet.time().now() >= downUntil && fleet.network().reaches(from.ip(), IP);
@@ -79,7 +79,7 @@
             fleet.time()
                     .after(
                             answered ? fleet.network().delay() : 1_000,
-                            () -> asking.run(
+                            () -> caller.run(
                                     () -> then.accept(fleet.network().reaches(IP, from.ip()) ? listed : null)));
         });
     }
@@ -104,7 +104,7 @@
 
     Set<String> instances() {
         Set<String> ids = new TreeSet<>();
-        servers.forEach(s -> ids.add(s.instanceId));
+        servers.forEach(server -> ids.add(server.instanceId));
         return ids;
     }
 }
