--- a/emulator/src/main/java/dewplank/emulator/FaultInjector.java
+++ b/emulator/src/main/java/dewplank/emulator/FaultInjector.java
@@ -94,19 +94,30 @@
         switch (fault.kind()) {
             case CRASH -> affected.forEach(server -> crash(server, fault.durationMs()));
             case VANISH -> affected.forEach(server -> vanish(server, fault.durationMs()));
-            case SLOW -> during(fault, affected, s -> s.setSlowdown(Math.max(1, magnitude)), s -> s.setSlowdown(1));
+            case SLOW -> during(
+                    fault,
+                    affected,
+                    server -> server.setSlowdown(Math.max(1, magnitude)),
+                    server -> server.setSlowdown(1));
             case PAUSE -> pause(fault, affected, endMs);
             case NEIGHBOUR -> alternateNeighbour(fault, affected, endMs, true);
             case DEPLOY -> deploy(fault, affected, 0);
             case CLASS_ERRORS -> failClass(fault, affected);
             case LOST_ANSWERS -> during(
-                    fault, affected, s -> s.faultRates().setLostResponseRate(magnitude), s -> s.faultRates()
-                            .setLostResponseRate(0));
-            case RESETS -> during(fault, affected, s -> s.faultRates().setResetRate(magnitude), s -> s.faultRates()
-                    .setResetRate(0));
+                    fault,
+                    affected,
+                    server -> server.faultRates().setLostResponseRate(magnitude),
+                    server -> server.faultRates().setLostResponseRate(0));
+            case RESETS -> during(
+                    fault,
+                    affected,
+                    server -> server.faultRates().setResetRate(magnitude),
+                    server -> server.faultRates().setResetRate(0));
             case ERRORS -> during(
-                    fault, affected, s -> s.faultRates().setImmediateErrorRate(magnitude), s -> s.faultRates()
-                            .setImmediateErrorRate(0));
+                    fault,
+                    affected,
+                    server -> server.faultRates().setImmediateErrorRate(magnitude),
+                    server -> server.faultRates().setImmediateErrorRate(0));
             default -> throw new IllegalArgumentException(fault.kind() + " is no fault of servers");
         }
     }
--- a/emulator/src/main/java/dewplank/emulator/KeyedRequests.java
+++ b/emulator/src/main/java/dewplank/emulator/KeyedRequests.java
@@ -47,7 +47,7 @@
     /** A server received a keyed request: whether it will recognise its key when it takes effect. */
     boolean isWithinWindow(ClientAttempt request, Server server) {
         double windowMs = scenario.classes().get(request.requestClass()).deduplicationWindowMs() + WINDOW_SLACK_MS;
-        Entry entry = entries.computeIfAbsent(scopedKey(request, server), k -> new Entry(time.now()));
+        Entry entry = entries.computeIfAbsent(scopedKey(request, server), any -> new Entry(time.now()));
         if (entry.attempt != request.id()) {
             entry.attempt = request.id();
             entry.firstReceivedAtMs = time.now();
--- a/emulator/src/main/java/dewplank/emulator/TenantTraffic.java
+++ b/emulator/src/main/java/dewplank/emulator/TenantTraffic.java
@@ -46,7 +46,8 @@
         }
         loadFactor = usual <= 0 ? 1 : present / usual;
         double sum = present;
-        cumulativeFractions =
-                Arrays.stream(cumulative).map(c -> sum <= 0 ? 1 : c / sum).toArray();
+        cumulativeFractions = Arrays.stream(cumulative)
+                .map(value -> sum <= 0 ? 1 : value / sum)
+                .toArray();
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/VirtualTime.java
+++ b/emulator/src/main/java/dewplank/emulator/VirtualTime.java
@@ -23,7 +23,7 @@
     }
 
     /** Number of tasks that have run: the events of a discrete-event simulation. */
-    public long ran() {
+    public long tasksRun() {
         return tasksRun;
     }
 
--- a/emulator/src/main/java/dewplank/emulator/fleet/AttemptLog.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/AttemptLog.java
@@ -20,8 +20,8 @@
     private final Map<String, List<Arrived>> arrivals;
 
     AttemptLog(List<FleetEvent> events) {
-        FleetEvent.only(events, AttemptSent.class).forEach(t -> sent.put(t.attemptId(), t));
-        FleetEvent.only(events, AttemptEnded.class).forEach(t -> ended.put(t.attemptId(), t));
+        FleetEvent.only(events, AttemptSent.class).forEach(event -> sent.put(event.attemptId(), event));
+        FleetEvent.only(events, AttemptEnded.class).forEach(event -> ended.put(event.attemptId(), event));
         runs = FleetEvent.only(events, RunStarted.class).stream().collect(Collectors.groupingBy(RunStarted::attemptId));
         arrivals = FleetEvent.only(events, Arrived.class).stream().collect(Collectors.groupingBy(Arrived::attemptId));
     }
--- a/emulator/src/main/java/dewplank/emulator/fleet/ConfigurationRules.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/ConfigurationRules.java
@@ -33,25 +33,26 @@
         this.attempts = attempts;
         List<ChangeAnswered> answers = FleetEvent.only(events, ChangeAnswered.class);
         this.sent = FleetEvent.only(events, ChangeSent.class).stream()
-                .filter(s -> answers.stream().noneMatch(a -> wasRefused(a, s)))
+                .filter(change -> answers.stream().noneMatch(answer -> wasRefused(answer, change)))
                 .toList();
-        this.acknowledged = answers.stream().filter(a -> a.status() == OK).toList();
+        this.acknowledged =
+                answers.stream().filter(answer -> answer.status() == OK).toList();
         this.faults = FleetEvent.only(events, ProcessFaulted.class);
     }
 
-    private static boolean wasRefused(ChangeAnswered a, ChangeSent s) {
-        return a.status() != 0
-                && a.status() != OK
-                && a.base() == s.base()
-                && a.text().equals(s.text());
+    private static boolean wasRefused(ChangeAnswered answer, ChangeSent change) {
+        return answer.status() != 0
+                && answer.status() != OK
+                && answer.base() == change.base()
+                && answer.text().equals(change.text());
     }
 
     List<Violation> check() {
         checkAcknowledgements();
         FleetEvent.only(events, ReadBack.class).forEach(this::checkReadBack);
-        for (AttemptSent t : attempts.all()) {
-            attempts.runs(t.attemptId()).forEach(r -> checkRoute(t, r));
-            checkCurrent(t);
+        for (AttemptSent attempt : attempts.all()) {
+            attempts.runs(attempt.attemptId()).forEach(run -> checkRoute(attempt, run));
+            checkCurrent(attempt);
         }
         return found;
     }
@@ -62,11 +63,11 @@
 
     private void checkAcknowledgements() {
         Map<Long, Set<String>> onBase = new HashMap<>();
-        for (ChangeAnswered a : acknowledged) {
-            if (a.document().isEmpty()) {
-                report(Rule.CONFIG, "an invalid configuration was acknowledged: " + a.text());
+        for (ChangeAnswered answer : acknowledged) {
+            if (answer.document().isEmpty()) {
+                report(Rule.CONFIG, "an invalid configuration was acknowledged: " + answer.text());
             }
-            onBase.computeIfAbsent(a.base(), b -> new HashSet<>()).add(a.text());
+            onBase.computeIfAbsent(answer.base(), any -> new HashSet<>()).add(answer.text());
         }
         onBase.forEach((base, texts) -> {
             if (texts.size() > 1) {
@@ -77,8 +78,8 @@
 
     private void checkReadBack(ReadBack read) {
         long newest = acknowledged.stream()
-                .filter(a -> a.atMs() <= read.sentAtMs())
-                .flatMap(a -> a.document().stream())
+                .filter(answer -> answer.atMs() <= read.sentAtMs())
+                .flatMap(answer -> answer.document().stream())
                 .mapToLong(FleetConfiguration::version)
                 .max()
                 .orElse(0);
@@ -86,53 +87,62 @@
         if (version < newest) {
             report(Rule.CONFIG, "read back was " + version + ", acknowledged " + newest);
         }
-        boolean asSent = sent.stream().flatMap(s -> s.document().stream()).anyMatch(d -> d.sameAs(read.text()));
+        boolean asSent = sent.stream()
+                .flatMap(change -> change.document().stream())
+                .anyMatch(document -> document.sameAs(read.text()));
         if (version > 0 && !asSent) {
             report(Rule.CONFIG, "read back was what nobody sent: " + read.text());
         }
     }
 
-    private void checkRoute(AttemptSent t, RunStarted run) {
-        if (sent.stream().flatMap(s -> s.document().stream()).noneMatch(d -> allows(d, t, run))) {
-            report(Rule.ROUTE, t.attemptId() + " on " + t.request().route().name() + " ran at " + run.server());
+    private void checkRoute(AttemptSent attempt, RunStarted run) {
+        if (sent.stream()
+                .flatMap(change -> change.document().stream())
+                .noneMatch(document -> allows(document, attempt, run))) {
+            report(
+                    Rule.ROUTE,
+                    attempt.attemptId() + " on " + attempt.request().route().name() + " ran at " + run.server());
         }
     }
 
-    private static boolean allows(FleetConfiguration document, AttemptSent t, RunStarted run) {
-        return document.allows(t.request().route().host(), t.request().target())
+    private static boolean allows(FleetConfiguration document, AttemptSent attempt, RunStarted run) {
+        return document.allows(
+                        attempt.request().route().host(), attempt.request().target())
                 .contains(run.server().service());
     }
 
     /** A request sent long after an acknowledgement is handled by that version or a later one. */
-    private void checkCurrent(AttemptSent t) {
-        long requiredVersion = requiredVersion(t);
-        Optional<AttemptEnded> ended = attempts.ended(t.attemptId());
+    private void checkCurrent(AttemptSent attempt) {
+        long requiredVersion = requiredVersion(attempt);
+        Optional<AttemptEnded> ended = attempts.ended(attempt.attemptId());
         if (requiredVersion == 0 || ended.isEmpty()) {
             return;
         }
         List<FleetConfiguration> valid = sent.stream()
-                .flatMap(s -> s.document().stream())
-                .filter(d -> d.version() >= requiredVersion)
+                .flatMap(change -> change.document().stream())
+                .filter(document -> document.version() >= requiredVersion)
                 .toList();
-        for (RunStarted run : attempts.runs(t.attemptId())) {
-            if (valid.stream().noneMatch(d -> allows(d, t, run))) {
+        for (RunStarted run : attempts.runs(attempt.attemptId())) {
+            if (valid.stream().noneMatch(document -> allows(document, attempt, run))) {
                 report(
                         Rule.STALE,
-                        t.attemptId() + " ran at " + run.server().service() + " long after version " + requiredVersion);
+                        attempt.attemptId() + " ran at " + run.server().service() + " long after version "
+                                + requiredVersion);
             }
         }
-        boolean missing = valid.stream()
-                .anyMatch(d -> d.allows(t.request().route().host(), t.request().target())
-                        .isEmpty());
+        boolean missing = valid.stream().anyMatch(document -> document.allows(
+                        attempt.request().route().host(), attempt.request().target())
+                .isEmpty());
         if (ended.get().status() == NOT_FOUND && !missing) {
-            report(Rule.STALE, t.attemptId() + " got 404 long after version " + requiredVersion);
+            report(Rule.STALE, attempt.attemptId() + " got 404 long after version " + requiredVersion);
         }
     }
 
-    private long requiredVersion(AttemptSent t) {
+    private long requiredVersion(AttemptSent attempt) {
         return acknowledged.stream()
-                .filter(a -> t.atMs() > a.atMs() + FleetBounds.CONFIG_APPLY_MS && hadNoFaults(a.atMs(), t.atMs()))
-                .flatMap(a -> a.document().stream())
+                .filter(answer -> attempt.atMs() > answer.atMs() + FleetBounds.CONFIG_APPLY_MS
+                        && hadNoFaults(answer.atMs(), attempt.atMs()))
+                .flatMap(answer -> answer.document().stream())
                 .mapToLong(FleetConfiguration::version)
                 .max()
                 .orElse(0);
@@ -140,6 +150,6 @@
 
     /** Whether no process had a fault from shortly before the acknowledgement until the request. */
     private boolean hadNoFaults(double from, double to) {
-        return faults.stream().noneMatch(t -> t.atMs() > from - FleetBounds.CONTACT_MS && t.atMs() < to);
+        return faults.stream().noneMatch(fault -> fault.atMs() > from - FleetBounds.CONTACT_MS && fault.atMs() < to);
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/fleet/FleetConfiguration.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/FleetConfiguration.java
@@ -6,6 +6,7 @@
 import com.google.gson.JsonParseException;
 import com.google.gson.JsonParser;
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -25,7 +26,7 @@
     /** The same with another version and a route added, or replaced by its name. */
     public FleetConfiguration with(long nextVersion, RouteSpec route) {
         List<RouteSpec> next = new ArrayList<>(routes);
-        next.removeIf(r -> r.name().equals(route.name()));
+        next.removeIf(present -> present.name().equals(route.name()));
         next.add(route);
         return new FleetConfiguration(nextVersion, next, services);
     }
@@ -33,7 +34,7 @@
     /** The same with another version and without a route. */
     public FleetConfiguration without(long nextVersion, String route) {
         List<RouteSpec> next =
-                routes.stream().filter(r -> !r.name().equals(route)).toList();
+                routes.stream().filter(present -> !present.name().equals(route)).toList();
         return new FleetConfiguration(nextVersion, next, services);
     }
 
@@ -44,16 +45,19 @@
 
     /** The route of that name; throws where there is none. */
     public RouteSpec route(String name) {
-        return routes.stream().filter(r -> r.name().equals(name)).findFirst().orElseThrow();
+        return routes.stream()
+                .filter(route -> route.name().equals(name))
+                .findFirst()
+                .orElseThrow();
     }
 
     /** The services that a request may be sent to; empty where no route matches. */
     Set<String> allows(String host, String target) {
         return routes.stream()
-                .filter(r -> r.host().equals(host) && target.startsWith(r.prefix()))
-                .max((a, b) -> a.prefix().length() - b.prefix().length())
-                .map(r -> r.split().stream()
-                        .filter(s -> s.weight() > 0)
+                .filter(route -> route.host().equals(host) && target.startsWith(route.prefix()))
+                .max(Comparator.comparingInt(route -> route.prefix().length()))
+                .map(route -> route.split().stream()
+                        .filter(weighted -> weighted.weight() > 0)
                         .map(WeightedService::service)
                         .collect(Collectors.toSet()))
                 .orElse(Set.of());
@@ -61,41 +65,41 @@
 
     /** The document as the operator's interface takes it. */
     public JsonObject json() {
-        JsonObject o = new JsonObject();
-        o.addProperty("config_version", version);
-        o.add("routes", array(routes.stream().map(RouteSpec::json).toList()));
-        o.add("services", array(services.stream().map(ServiceSpec::json).toList()));
-        o.add("limits", limits());
-        return o;
+        JsonObject document = new JsonObject();
+        document.addProperty("config_version", version);
+        document.add("routes", array(routes.stream().map(RouteSpec::json).toList()));
+        document.add("services", array(services.stream().map(ServiceSpec::json).toList()));
+        document.add("limits", limits());
+        return document;
     }
 
     /** The patch that turns {@code base} into this configuration. */
     JsonObject patchFrom(FleetConfiguration base) {
-        JsonObject o = new JsonObject();
-        o.addProperty("config_version", version);
+        JsonObject patch = new JsonObject();
+        patch.addProperty("config_version", version);
         JsonObject upsert = new JsonObject();
         JsonObject remove = new JsonObject();
         upsert.add(
                 "routes",
                 array(routes.stream()
-                        .filter(r -> !base.routes.contains(r))
+                        .filter(route -> !base.routes.contains(route))
                         .map(RouteSpec::json)
                         .toList()));
         upsert.add(
                 "services",
                 array(services.stream()
-                        .filter(s -> !base.services.contains(s))
+                        .filter(service -> !base.services.contains(service))
                         .map(ServiceSpec::json)
                         .toList()));
         JsonArray removedRoutes = new JsonArray();
         base.routes.stream()
                 .map(RouteSpec::name)
-                .filter(n -> routes.stream().noneMatch(r -> r.name().equals(n)))
+                .filter(name -> routes.stream().noneMatch(route -> route.name().equals(name)))
                 .forEach(removedRoutes::add);
         remove.add("routes", removedRoutes);
-        o.add("upsert", upsert);
-        o.add("remove", remove);
-        return o;
+        patch.add("upsert", upsert);
+        patch.add("remove", remove);
+        return patch;
     }
 
     private static JsonArray array(List<JsonObject> objects) {
--- a/emulator/src/main/java/dewplank/emulator/fleet/FleetProcess.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/FleetProcess.java
@@ -8,6 +8,7 @@
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.Comparator;
 import java.util.List;
 import java.util.Optional;
 import java.util.stream.Stream;
@@ -111,7 +112,7 @@
         record(ProcessFault.WIPED);
         List<Path> all;
         try (Stream<Path> files = Files.walk(disk.orElseThrow())) {
-            all = files.sorted((a, b) -> b.compareTo(a)).toList();
+            all = files.sorted(Comparator.reverseOrder()).toList();
         }
         for (Path path : all) {
             Files.delete(path);
--- a/emulator/src/main/java/dewplank/emulator/fleet/PlatformRules.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/PlatformRules.java
@@ -24,7 +24,7 @@
     PlatformRules(List<FleetEvent> events) {
         this.calls = FleetEvent.only(events, EndpointListRequested.class);
         this.thaws = FleetEvent.only(events, ProcessFaulted.class).stream()
-                .filter(t -> t.fault() == ProcessFault.THAWED)
+                .filter(fault -> fault.fault() == ProcessFault.THAWED)
                 .toList();
     }
 
@@ -55,8 +55,8 @@
 
     private boolean justThawed(EndpointListRequested call) {
         return thaws.stream()
-                .anyMatch(t -> t.node().equals(call.node())
-                        && call.atMs() >= t.atMs()
-                        && call.atMs() - t.atMs() <= FleetBounds.THAW_SLACK_MS);
+                .anyMatch(thaw -> thaw.node().equals(call.node())
+                        && call.atMs() >= thaw.atMs()
+                        && call.atMs() - thaw.atMs() <= FleetBounds.THAW_SLACK_MS);
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/fleet/RequestRules.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/RequestRules.java
@@ -105,8 +105,8 @@
 
     private boolean wasForAnotherInstance(Arrived arrival) {
         return FleetEvent.only(events, RunRejected.class).stream()
-                .anyMatch(t -> t.status() == 421
-                        && t.attemptId().equals(arrival.attemptId())
-                        && t.server().equals(arrival.server()));
+                .anyMatch(rejected -> rejected.status() == 421
+                        && rejected.attemptId().equals(arrival.attemptId())
+                        && rejected.server().equals(arrival.server()));
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/fleet/RouteSpec.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/RouteSpec.java
@@ -68,22 +68,22 @@
     }
 
     JsonObject json() {
-        JsonObject o = new JsonObject();
-        o.addProperty("name", name);
-        o.addProperty("host_name", host);
-        o.addProperty("path_prefix", prefix);
-        o.addProperty("route_type", kind.type);
-        o.addProperty("timeout_ms", timeoutMs);
-        o.addProperty("target_latency_ms", TARGET_LATENCY_MS);
-        o.addProperty("priority", 0);
-        o.add("weighted_split", weights());
-        o.addProperty("max_attempts", maxAttempts);
-        o.addProperty("sticky", kind.streaming());
-        o.addProperty("resumable", kind.resumable);
+        JsonObject document = new JsonObject();
+        document.addProperty("name", name);
+        document.addProperty("host_name", host);
+        document.addProperty("path_prefix", prefix);
+        document.addProperty("route_type", kind.type);
+        document.addProperty("timeout_ms", timeoutMs);
+        document.addProperty("target_latency_ms", TARGET_LATENCY_MS);
+        document.addProperty("priority", 0);
+        document.add("weighted_split", weights());
+        document.addProperty("max_attempts", maxAttempts);
+        document.addProperty("sticky", kind.streaming());
+        document.addProperty("resumable", kind.resumable);
         if (kind.streaming()) {
-            o.addProperty("gap_aim_ms", TARGET_GAP_MS);
+            document.addProperty("gap_aim_ms", TARGET_GAP_MS);
         }
-        return o;
+        return document;
     }
 
     private JsonArray weights() {
--- a/emulator/src/main/java/dewplank/emulator/fleet/ServiceSpec.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/ServiceSpec.java
@@ -30,16 +30,16 @@
     }
 
     JsonObject json() {
-        JsonObject o = new JsonObject();
-        o.addProperty("name", name);
-        o.addProperty("health_path", "/health");
-        o.addProperty("max_connections", MAX_CONNECTIONS);
-        o.addProperty("protocol", "h1");
-        o.addProperty("tls_mode", false);
+        JsonObject document = new JsonObject();
+        document.addProperty("name", name);
+        document.addProperty("health_path", "/health");
+        document.addProperty("max_connections", MAX_CONNECTIONS);
+        document.addProperty("protocol", "h1");
+        document.addProperty("tls_mode", false);
         if (kind == Kind.MODEL) {
-            o.add("engine", engine());
+            document.add("engine", engine());
         }
-        return o;
+        return document;
     }
 
     private static JsonObject engine() {
--- a/emulator/src/main/java/dewplank/emulator/fleet/SettingsFile.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/SettingsFile.java
@@ -35,7 +35,7 @@
         settings.add(
                 "seed_nodes",
                 array(seeds.stream()
-                        .map(s -> new JsonPrimitive(Addresses.format(s)))
+                        .map(seed -> new JsonPrimitive(Addresses.format(seed)))
                         .toList()));
         settings.addProperty("initial_start", initialStart);
         settings.addProperty("loss_counted", machine.machineClass() == MachineClass.CORE);
--- a/emulator/src/main/java/dewplank/emulator/fleet/StandInFleet.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/StandInFleet.java
@@ -37,7 +37,7 @@
     public StandInFleet(Commands commands, Path folder, int controlMachines, int dataMachines) throws IOException {
         List<InetSocketAddress> seeds = new ArrayList<>();
         List<FleetMachine> core = machines(controlMachines, this::controlMachine);
-        core.stream().limit(MAX_SEEDS).forEach(m -> seeds.add(m.control()));
+        core.stream().limit(MAX_SEEDS).forEach(machine -> seeds.add(machine.control()));
         for (FleetMachine machine : core) {
             platform.listenFor(machine);
             control.add(new FleetProcess(loop, history, machine, seeds, commands.control(), folder));
@@ -57,16 +57,18 @@
         return machines;
     }
 
-    private FleetMachine controlMachine(int i) {
-        return new FleetMachine("core-" + i, MachineClass.CORE, network.control(i), zone(i), network.platform(i));
+    private FleetMachine controlMachine(int index) {
+        return new FleetMachine(
+                "core-" + index, MachineClass.CORE, network.control(index), zone(index), network.platform(index));
     }
 
-    private FleetMachine dataMachine(int i) {
-        return new FleetMachine("edge-" + i, MachineClass.EDGE, network.data(i), zone(i), network.platform(0));
+    private FleetMachine dataMachine(int index) {
+        return new FleetMachine(
+                "edge-" + index, MachineClass.EDGE, network.data(index), zone(index), network.platform(0));
     }
 
-    private static String zone(int i) {
-        return ZONES.get(i % ZONES.size());
+    private static String zone(int index) {
+        return ZONES.get(index % ZONES.size());
     }
 
     /** Starts all processes for the first time. */
@@ -88,8 +90,8 @@
     }
 
     /** The process of one control plane, from 0. */
-    public FleetProcess control(int i) {
-        return control.get(i);
+    public FleetProcess control(int index) {
+        return control.get(index);
     }
 
     /** The processes of data planes. */
@@ -98,8 +100,8 @@
     }
 
     /** The machine of one data plane, from 0. */
-    public FleetMachine edge(int i) {
-        return data.get(i).machine();
+    public FleetMachine edge(int index) {
+        return data.get(index).machine();
     }
 
     /** The events of all stand-ins. */
@@ -169,7 +171,8 @@
             HttpClient.Call call = http.call(
                     MessageWriter.request("GET", "/readiness", machine.node()).noBody(), response -> {
                         http.close();
-                        status.complete(response.map(r -> r.head().status()).orElse(0));
+                        status.complete(
+                                response.map(answer -> answer.head().status()).orElse(0));
                     });
             loop.after(READINESS_TIMEOUT_MS, () -> {
                 if (status.complete(0)) {
--- a/emulator/src/main/java/dewplank/emulator/fleet/StandInOperator.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/StandInOperator.java
@@ -203,9 +203,9 @@
 
         private Optional<FleetMachine> machineAt(String location) {
             return machines.stream()
-                    .filter(m -> location.startsWith(
-                            "http://" + m.control().getAddress().getHostAddress() + ":"
-                                    + m.control().getPort() + "/"))
+                    .filter(machine -> location.startsWith(
+                            "http://" + machine.control().getAddress().getHostAddress() + ":"
+                                    + machine.control().getPort() + "/"))
                     .findFirst();
         }
     }
--- a/emulator/src/main/java/dewplank/emulator/fleet/StandInPlatform.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/StandInPlatform.java
@@ -73,7 +73,7 @@
     private synchronized JsonObject page(int from) {
         List<ServerIdentity> all = List.copyOf(servers.values());
         JsonArray instances = new JsonArray();
-        all.stream().skip(from).limit(PAGE_SIZE).forEach(s -> instances.add(entry(s)));
+        all.stream().skip(from).limit(PAGE_SIZE).forEach(server -> instances.add(entry(server)));
         JsonObject page = new JsonObject();
         page.add("instances", instances);
         if (from + PAGE_SIZE < all.size()) {
@@ -84,20 +84,20 @@
         return page;
     }
 
-    private JsonObject entry(ServerIdentity s) {
-        JsonObject o = new JsonObject();
-        o.addProperty("instance_id", s.instanceId());
-        o.addProperty("service", s.service());
-        o.addProperty("address", s.address());
-        o.addProperty("zone", s.zone());
-        o.addProperty("config_version", "v1");
-        o.addProperty("slot_count", SLOTS);
-        o.addProperty("state", draining.contains(s.instanceId()) ? "draining" : "ready");
-        o.addProperty("cold_remaining_ms", 0);
-        if (s.stage() != ServerStage.NONE) {
-            o.addProperty("stage", s.stage().wireName());
+    private JsonObject entry(ServerIdentity server) {
+        JsonObject entry = new JsonObject();
+        entry.addProperty("instance_id", server.instanceId());
+        entry.addProperty("service", server.service());
+        entry.addProperty("address", server.address());
+        entry.addProperty("zone", server.zone());
+        entry.addProperty("config_version", "v1");
+        entry.addProperty("slot_count", SLOTS);
+        entry.addProperty("state", draining.contains(server.instanceId()) ? "draining" : "ready");
+        entry.addProperty("cold_remaining_ms", 0);
+        if (server.stage() != ServerStage.NONE) {
+            entry.addProperty("stage", server.stage().wireName());
         }
-        return o;
+        return entry;
     }
 
     private final class PlatformConnection extends HttpEndpoint {
@@ -123,7 +123,7 @@
                     answer(MessageWriter.response(429).body(new byte[0]));
                 }
                 case UNRESPONSIVE -> record(0);
-                default -> throw new IllegalStateException("no such mood: " + behaviour);
+                default -> throw new IllegalStateException("no such behaviour: " + behaviour);
             }
         }
 
--- a/emulator/src/main/java/dewplank/emulator/fleet/StreamRules.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/StreamRules.java
@@ -24,7 +24,7 @@
 
     StreamRules(List<FleetEvent> events, AttemptLog attempts) {
         this.attempts = attempts;
-        FleetEvent.only(events, StreamBegun.class).forEach(b -> bySeal.put(b.seal(), b));
+        FleetEvent.only(events, StreamBegun.class).forEach(begun -> bySeal.put(begun.seal(), begun));
         sentEvents = FleetEvent.only(events, StreamEventSent.class).stream()
                 .collect(Collectors.groupingBy(StreamEventSent::attemptId));
         receivedParts = FleetEvent.only(events, StreamBytes.class).stream()
@@ -33,7 +33,7 @@
 
     List<Violation> check() {
         attempts.all().stream()
-                .filter(t -> t.request().route().kind().streaming())
+                .filter(attempt -> attempt.request().route().kind().streaming())
                 .forEach(this::check);
         return found;
     }
@@ -70,7 +70,7 @@
             report(Rule.ORDER, sent.attemptId() + " got events " + ended.body());
         }
         Set<String> seals = new HashSet<>();
-        receivedParts.getOrDefault(sent.attemptId(), List.of()).forEach(p -> seals.add(p.seal()));
+        receivedParts.getOrDefault(sent.attemptId(), List.of()).forEach(part -> seals.add(part.seal()));
         if (seals.size() > 1) {
             report(Rule.ORDER, sent.attemptId() + " got the heads " + seals);
         }
--- a/emulator/src/main/java/dewplank/emulator/loopback/HttpClient.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/HttpClient.java
@@ -113,7 +113,7 @@
                         established(opened);
                         write();
                     },
-                    e -> end(Optional.empty()));
+                    failure -> end(Optional.empty()));
         }
 
         private void established(Connection usable) {
--- a/emulator/src/main/java/dewplank/emulator/loopback/LoopbackRun.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/LoopbackRun.java
@@ -94,7 +94,7 @@
             List<SidecarProcess> processes = new ArrayList<>();
             for (int i = 0; i < scenario.sidecars(); i++) {
                 directories.add(new DirectoryEndpoint(
-                        loop, world, i, (s, n) -> servers.get(n).address(s)));
+                        loop, world, i, (sidecar, server) -> servers.get(server).address(sidecar)));
                 SidecarProcess process = new SidecarProcess(command, folder, i, Addresses.sidecar(i));
                 processes.add(process);
                 frontends.add(new HttpClient(loop, process.listen(), MAX_CONNECTIONS));
--- a/emulator/src/main/java/dewplank/emulator/scenario/Scenario.java
+++ b/emulator/src/main/java/dewplank/emulator/scenario/Scenario.java
@@ -37,7 +37,7 @@
     public double meanWork() {
         double weights = classes.stream().mapToDouble(RequestClassSpec::weight).sum();
         return classes.stream()
-                .mapToDouble(c -> c.weight() / weights * c.work())
+                .mapToDouble(requestClass -> requestClass.weight() / weights * requestClass.work())
                 .sum();
     }
 
@@ -70,7 +70,7 @@
                 servers.machines().stream().mapToDouble(MachineType::weight).sum();
         return servers.count()
                 * servers.machines().stream()
-                        .mapToDouble(m -> m.weight() / weights * m.cores() * m.speed())
+                        .mapToDouble(machine -> machine.weight() / weights * machine.cores() * machine.speed())
                         .sum();
     }
 
--- a/emulator/src/main/java/dewplank/emulator/scenario/ScenarioFile.java
+++ b/emulator/src/main/java/dewplank/emulator/scenario/ScenarioFile.java
@@ -23,7 +23,7 @@
 
     /** The scenarios that come with the laboratory. */
     public static List<String> names() {
-        return shipped("index").lines().filter(l -> !l.isBlank()).toList();
+        return shipped("index").lines().filter(line -> !line.isBlank()).toList();
     }
 
     /** A file of that name, or one of the scenarios that come with the laboratory. */
@@ -76,7 +76,9 @@
                 rules(table.table("rules")),
                 tenantsAndKeys(table),
                 peerMessages(table.table("messages")),
-                table.tables("fault").stream().map(f -> fault(f, lengthMs)).toList());
+                table.tables("fault").stream()
+                        .map(entry -> fault(entry, lengthMs))
+                        .toList());
         table.text("about", "");
         table.text("like", "");
         table.rejectUnknownKeys();
--- a/emulator/src/main/java/dewplank/emulator/scenario/TomlFile.java
+++ b/emulator/src/main/java/dewplank/emulator/scenario/TomlFile.java
@@ -42,7 +42,7 @@
         TomlParseResult result = Toml.parse(text);
         if (result.hasErrors()) {
             throw new InvalidInputException(result.errors().stream()
-                    .map(e -> file + ":" + e.position().line() + ": " + e.getMessage())
+                    .map(error -> file + ":" + error.position().line() + ": " + error.getMessage())
                     .collect(Collectors.joining("\n")));
         }
         return new TomlFile(file).new Table(result, "");
@@ -109,8 +109,8 @@
         /** The text under the key, which must be there. */
         public String text(String key) {
             Object value = value(key);
-            if (value instanceof String s) {
-                return s;
+            if (value instanceof String text) {
+                return text;
             }
             throw error(key, value == null ? "is missing" : "should be text");
         }
@@ -118,10 +118,10 @@
         /** The number under the key, which must be there and from {@code min} to {@code max}. */
         public double number(String key, double min, double max) {
             Object value = value(key);
-            if (!(value instanceof Number n)) {
+            if (!(value instanceof Number found)) {
                 throw error(key, value == null ? "is missing" : "should be a number");
             }
-            double number = n.doubleValue();
+            double number = found.doubleValue();
             if (!(number >= min && number <= max)) {
                 throw error(key, "should be from " + format(min) + " to " + format(max));
             }
@@ -173,7 +173,7 @@
                     key,
                     "should be one of "
                             + Stream.of(type.getEnumConstants())
-                                    .map(e -> e.name().toLowerCase(Locale.ROOT))
+                                    .map(constant -> constant.name().toLowerCase(Locale.ROOT))
                                     .collect(Collectors.joining(", ")));
         }
 
@@ -190,11 +190,11 @@
 
         private List<String> texts(List<Object> values, String key) {
             List<String> texts = new ArrayList<>();
-            for (Object o : values) {
-                if (!(o instanceof String s)) {
+            for (Object value : values) {
+                if (!(value instanceof String text)) {
                     throw error(key, "should hold texts");
                 }
-                texts.add(s);
+                texts.add(text);
             }
             return texts;
         }
@@ -202,11 +202,11 @@
         /** The numbers under the key, which must be there. */
         public List<Double> numbers(String key) {
             List<Double> numbers = new ArrayList<>();
-            for (Object o : array(key, true)) {
-                if (!(o instanceof Number n)) {
+            for (Object value : array(key, true)) {
+                if (!(value instanceof Number number)) {
                     throw error(key, "should hold numbers");
                 }
-                numbers.add(n.doubleValue());
+                numbers.add(number.doubleValue());
             }
             return numbers;
         }
@@ -238,11 +238,11 @@
         /** The tables of the array under the key; empty where there is none. */
         public List<Table> tables(String key) {
             List<Table> tables = new ArrayList<>();
-            for (Object o : array(key, false)) {
-                if (!(o instanceof TomlTable t)) {
+            for (Object value : array(key, false)) {
+                if (!(value instanceof TomlTable entry)) {
                     throw error(key, "should hold tables");
                 }
-                tables.add(new Table(t, path + key + "[" + tables.size() + "]."));
+                tables.add(new Table(entry, path + key + "[" + tables.size() + "]."));
             }
             return tables;
         }
--- a/emulator/src/main/java/dewplank/emulator/virtualtime/AttemptSender.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/AttemptSender.java
@@ -103,8 +103,8 @@
 
     void cancel(Cancel action) {
         requests.find(action.request())
-                .flatMap(r -> r.attempt(action.attempt()))
-                .ifPresent(a -> end(a, Outcome.CANCELLED, NO_LOAD_REPORT));
+                .flatMap(request -> request.attempt(action.attempt()))
+                .ifPresent(attempt -> end(attempt, Outcome.CANCELLED, NO_LOAD_REPORT));
     }
 
     private void connect(Attempt attempt) {
@@ -223,8 +223,8 @@
     }
 
     private static void disconnect(Server server, Attempt.State last) {
-        if (last instanceof Attempt.Connected c) {
-            server.disconnect(c.serverIncarnation());
+        if (last instanceof Attempt.Connected connected) {
+            server.disconnect(connected.serverIncarnation());
         }
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/virtualtime/ConnectionPool.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/ConnectionPool.java
@@ -50,7 +50,7 @@
 
     /** Returns a connection to the process that the server runs now. */
     void putBack(Server server) {
-        idle.computeIfAbsent(server.number(), n -> new ArrayDeque<>())
+        idle.computeIfAbsent(server.number(), any -> new ArrayDeque<>())
                 .addLast(new IdleConnection(server.incarnation(), world.now()));
     }
 
@@ -58,14 +58,14 @@
     void close(Server server) {
         Deque<IdleConnection> connections = idle.remove(server.number());
         if (connections != null) {
-            connections.forEach(c -> server.disconnect(c.serverIncarnation()));
+            connections.forEach(connection -> server.disconnect(connection.serverIncarnation()));
         }
     }
 
     /** Closes all idle connections. */
     void closeAll() {
-        idle.forEach((server, connections) ->
-                connections.forEach(c -> world.servers().get(server).disconnect(c.serverIncarnation())));
+        idle.forEach((server, connections) -> connections.forEach(
+                connection -> world.servers().get(server).disconnect(connection.serverIncarnation())));
         idle.clear();
     }
 
--- a/emulator/src/main/java/dewplank/emulator/virtualtime/EmulatedSidecar.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/EmulatedSidecar.java
@@ -200,25 +200,25 @@
     }
 
     private void perform(Action action) {
-        if (action instanceof Send a) {
-            attempts.send(a);
-        } else if (action instanceof Cancel a) {
-            attempts.cancel(a);
-        } else if (action instanceof Reject a) {
-            finish(a.request(), Type.REFUSED, scenario.rules().retryAdvice() ? a.retryAfterMs() : 0);
-        } else if (action instanceof Fail a) {
-            finish(a.request(), Type.FAILED, 0);
-        } else if (action instanceof SetTimer a) {
+        if (action instanceof Send send) {
+            attempts.send(send);
+        } else if (action instanceof Cancel cancel) {
+            attempts.cancel(cancel);
+        } else if (action instanceof Reject reject) {
+            finish(reject.request(), Type.REFUSED, scenario.rules().retryAdvice() ? reject.retryAfterMs() : 0);
+        } else if (action instanceof Fail fail) {
+            finish(fail.request(), Type.FAILED, 0);
+        } else if (action instanceof SetTimer timer) {
             int incarnation = inbox.incarnation();
-            world.schedule(a.delayMs(), () -> inbox.add(incarnation, new TimerFired(a.timer())));
+            world.schedule(timer.delayMs(), () -> inbox.add(incarnation, new TimerFired(timer.timer())));
         } else if (action instanceof Subscribe) {
             directory.subscribe();
-        } else if (action instanceof CheckHealth a) {
-            server(a.server()).ifPresent(healthChecker::check);
-        } else if (action instanceof CloseIdleConnections a) {
-            server(a.server()).ifPresent(connections::close);
-        } else if (action instanceof BroadcastSummary a) {
-            run.broadcast(number, peerSummary(a.bytes()));
+        } else if (action instanceof CheckHealth check) {
+            server(check.server()).ifPresent(healthChecker::check);
+        } else if (action instanceof CloseIdleConnections close) {
+            server(close.server()).ifPresent(connections::close);
+        } else if (action instanceof BroadcastSummary broadcast) {
+            run.broadcast(number, peerSummary(broadcast.bytes()));
         }
     }
 
--- a/emulator/src/main/java/dewplank/emulator/virtualtime/PendingRequest.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/PendingRequest.java
@@ -78,6 +78,6 @@
 
     /** The attempts that have not ended, in their order. */
     List<Attempt> inFlight() {
-        return attempts.values().stream().filter(a -> !a.hasEnded()).toList();
+        return attempts.values().stream().filter(attempt -> !attempt.hasEnded()).toList();
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/virtualtime/RequestTable.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/RequestTable.java
@@ -42,7 +42,7 @@
     /** Empties the table; what it held, by id. */
     List<PendingRequest> removeAll() {
         List<PendingRequest> removed = new ArrayList<>(requests.values());
-        removed.sort(Comparator.comparingLong(r -> r.client.id()));
+        removed.sort(Comparator.comparingLong(request -> request.client.id()));
         requests.clear();
         return removed;
     }
--- a/emulator/src/main/java/dewplank/emulator/virtualtime/VirtualRun.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/VirtualRun.java
@@ -108,7 +108,7 @@
     public Cost run() {
         List<Endpoint> endpoints = world.directory().endpoints();
         long version = world.directory().version();
-        sidecars.forEach(s -> s.start(endpoints, version));
+        sidecars.forEach(sidecar -> sidecar.start(endpoints, version));
         FaultInjector.schedule(world, (n, back) -> sidecars.get(n).kill(back));
         clients.start();
         double end = scenario.lengthMs();
@@ -120,7 +120,7 @@
         time.runUntil(
                 time.now() + scenario.longestDeadlineMs()); // requests in progress at servers may still have effects
         return new Cost(
-                time.ran(),
+                time.tasksRun(),
                 sum(EmulatedSidecar::attemptsSent),
                 sum(EmulatedSidecar::healthChecks),
                 sum(EmulatedSidecar::handshakes),
@@ -185,12 +185,13 @@
         isTickScheduled = false;
         List<EmulatedSidecar> now = scheduled;
         scheduled = new ArrayList<>();
-        now.sort(Comparator.comparingInt(s -> s.number));
+        now.sort(Comparator.comparingInt(sidecar -> sidecar.number));
         double at = time.now();
         if (execution == Execution.PARALLEL && now.size() >= MIN_PARALLEL_SIDECARS) {
-            IntStream.range(0, now.size()).parallel().forEach(i -> now.get(i).decide(at));
+            IntStream.range(0, now.size()).parallel().forEach(index -> now.get(index)
+                    .decide(at));
         } else {
-            now.forEach(s -> s.decide(at));
+            now.forEach(sidecar -> sidecar.decide(at));
         }
         now.forEach(EmulatedSidecar::act);
     }
--- a/lab/src/main/java/dewplank/lab/Statistics.java
+++ b/lab/src/main/java/dewplank/lab/Statistics.java
@@ -34,8 +34,8 @@
         if (count < 2) {
             return Double.NaN;
         }
-        double t = new TDistribution(null, count - 1).inverseCumulativeProbability(UPPER_QUANTILE);
-        return t * summary.getStandardDeviation() / Math.sqrt(count);
+        double quantile = new TDistribution(null, count - 1).inverseCumulativeProbability(UPPER_QUANTILE);
+        return quantile * summary.getStandardDeviation() / Math.sqrt(count);
     }
 
     /** Whether 0 lies outside the interval: a difference that is more than chance. */
