--- a/emulator/src/main/java/dewplank/emulator/EndpointDirectory.java
+++ b/emulator/src/main/java/dewplank/emulator/EndpointDirectory.java
@@ -253,7 +253,7 @@
     }
 
     private void record(int sidecar, Endpoint endpoint) {
-        int server = world.server(endpoint.server()).number();
+        int server = world.server(endpoint.server()).orElseThrow().number();
         switch (endpoint.availability()) {
             case DRAINING -> world.record(Type.NOTIFIED_DRAINING, null, sidecar, server, 0);
             case REMOVED -> world.record(Type.NOTIFIED_REMOVED, null, sidecar, server, 0);
--- a/emulator/src/main/java/dewplank/emulator/World.java
+++ b/emulator/src/main/java/dewplank/emulator/World.java
@@ -8,6 +8,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.DoubleSupplier;
 import org.apache.commons.rng.UniformRandomProvider;
 
@@ -99,9 +100,9 @@
         return Collections.unmodifiableList(servers);
     }
 
-    /** The server of that identifier, or null where there is none. */
-    public Server server(String id) {
-        return serversById.get(id);
+    /** The server of that identifier; empty where there is none. */
+    public Optional<Server> server(String id) {
+        return Optional.ofNullable(serversById.get(id));
     }
 
     /** What the sidecars learn the endpoints from. */
--- a/emulator/src/main/java/dewplank/emulator/fleet/ClientAttempt.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/ClientAttempt.java
@@ -1,5 +1,6 @@
 package dewplank.emulator.fleet;
 
+import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
 /** An attempt that a client has sent. */
@@ -8,11 +9,12 @@
      * How an attempt ended.
      *
      * @param status 0 where no head of a response came
-     * @param seal names the server's response; null where the response has none
-     * @param retryAfter the header's value; null where the response has none
+     * @param seal names the server's response; empty where the response has none
+     * @param retryAfter the header's value; empty where the response has none
      * @param complete whether the response's end came
      */
-    public record Outcome(int status, String seal, String retryAfter, String body, boolean complete) {
+    public record Outcome(
+            int status, Optional<String> seal, Optional<String> retryAfter, String body, boolean complete) {
         /** Whether a complete response with status 200 came. */
         public boolean served() {
             return status == 200 && complete;
--- a/emulator/src/main/java/dewplank/emulator/fleet/FleetClient.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/FleetClient.java
@@ -80,7 +80,7 @@
                         loop.now(),
                         attempt.id(),
                         parser.status(),
-                        parser.headers().get(WireFields.SEAL),
+                        Optional.ofNullable(parser.headers().get(WireFields.SEAL)),
                         new String(bytes, StandardCharsets.UTF_8)));
             }
         }
@@ -97,7 +97,7 @@
         private void end(boolean isAbandoned) {
             isOver = true;
             int status = head.map(ResponseParser::status).orElse(0);
-            String seal = header(WireFields.SEAL);
+            Optional<String> seal = header(WireFields.SEAL);
             String text = body.toString(StandardCharsets.UTF_8);
             history.add(
                     new FleetEvent.AttemptEnded(loop.now(), attempt.id(), status, seal, text, isComplete, isAbandoned));
@@ -107,8 +107,8 @@
             client.close();
         }
 
-        private String header(String name) {
-            return head.map(response -> response.headers().get(name)).orElse(null);
+        private Optional<String> header(String name) {
+            return head.map(response -> response.headers().get(name));
         }
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/fleet/FleetEvent.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/FleetEvent.java
@@ -29,14 +29,21 @@
     /** A client sent an attempt. */
     record AttemptSent(double atMs, String node, String attemptId, ClientRequest request) implements FleetEvent {}
 
-    /** Bytes of a stream reached the client. */
-    record StreamBytes(double atMs, String attemptId, int status, String seal, String text) implements FleetEvent {}
+    /** Bytes of a stream reached the client. {@code seal}: empty where the response has none. */
+    record StreamBytes(double atMs, String attemptId, int status, Optional<String> seal, String text)
+            implements FleetEvent {}
 
     /**
-     * An attempt ended; {@code status} 0: no head of a response came. {@code seal}: null where the response has none.
+     * An attempt ended; {@code status} 0: no head of a response came. {@code seal}: empty where the response has none.
      */
     record AttemptEnded(
-            double atMs, String attemptId, int status, String seal, String body, boolean complete, boolean abandoned)
+            double atMs,
+            String attemptId,
+            int status,
+            Optional<String> seal,
+            String body,
+            boolean complete,
+            boolean abandoned)
             implements FleetEvent {
         /** Whether a complete response with a status from 200 to 299 came. */
         boolean isSuccess() {
@@ -63,8 +70,9 @@
     /** A server rejected a request without running it. */
     record RunRejected(double atMs, ServerIdentity server, String attemptId, int status) implements FleetEvent {}
 
-    /** A server sent a response that is not a stream. */
-    record Answered(double atMs, ServerIdentity server, String attemptId, int status, String seal, String body)
+    /** A server sent a response that is not a stream. {@code seal}: empty for one without. */
+    record Answered(
+            double atMs, ServerIdentity server, String attemptId, int status, Optional<String> seal, String body)
             implements FleetEvent {}
 
     /** A server sent the head of a stream. */
--- a/emulator/src/main/java/dewplank/emulator/fleet/ModelServer.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/ModelServer.java
@@ -63,7 +63,7 @@
         boolean isPrefill = ServerStage.PREFILL.isNamedBy(arrival.header(WireFields.STAGE));
         if (arrival.method.equals("DELETE") && arrival.target.startsWith(HANDLE_PATH)) {
             handles.free(loop.now(), identity(), arrival.target.substring(HANDLE_PATH.length()));
-            arrival.answer(200, null, "");
+            arrival.answer(200, "");
         } else if (isPrefill != (identity().stage() == ServerStage.PREFILL)) {
             arrival.reject(421);
         } else if (isPrefill) {
@@ -81,7 +81,7 @@
             if (arrival.open()) {
                 String handle = handles.create(loop.now(), identity(), arrival.attemptId);
                 arrival.answer(
-                        200, null, "{\"context_handle\":\"" + handle + "\",\"token_count\":1050,\"config_version\":1}");
+                        200, "{\"context_handle\":\"" + handle + "\",\"token_count\":1050,\"config_version\":1}");
             }
         });
     }
--- a/emulator/src/main/java/dewplank/emulator/fleet/RequestRules.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/RequestRules.java
@@ -28,9 +28,8 @@
     RequestRules(List<FleetEvent> events, AttemptLog attempts) {
         this.events = events;
         this.attempts = attempts;
-        FleetEvent.only(events, Answered.class).stream()
-                .filter(arrival -> arrival.seal() != null)
-                .forEach(arrival -> bySeal.put(arrival.seal(), arrival));
+        FleetEvent.only(events, Answered.class)
+                .forEach(answer -> answer.seal().ifPresent(seal -> bySeal.put(seal, answer)));
     }
 
     List<Violation> check() {
@@ -66,13 +65,19 @@
     }
 
     private void checkSuccess(AttemptSent sent, AttemptEnded ended) {
-        Answered answer = bySeal.get(ended.seal());
-        boolean isOwn = answer != null && answer.attemptId().equals(sent.attemptId());
-        if (!isOwn || answer.status() != ended.status() || !answer.body().equals(ended.body())) {
+        Optional<Answered> answer = ended.seal().map(bySeal::get);
+        if (answer.filter(own -> isReceived(own, sent, ended)).isEmpty()) {
             report(Rule.MIXED, sent.attemptId() + " got " + ended + " where the server gave " + answer);
         }
     }
 
+    /** Whether the client's attempt ended with this answer, and the answer is to that attempt. */
+    private static boolean isReceived(Answered answer, AttemptSent sent, AttemptEnded ended) {
+        return answer.attemptId().equals(sent.attemptId())
+                && answer.status() == ended.status()
+                && answer.body().equals(ended.body());
+    }
+
     private void checkArrival(Arrived arrived) {
         if (arrived.target().startsWith(HANDLE_PATH) || arrived.target().equals("/health")) {
             return;
--- a/emulator/src/main/java/dewplank/emulator/fleet/StandInServer.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/StandInServer.java
@@ -13,6 +13,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.HashSet;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 
@@ -140,11 +141,20 @@
             connection.reply(head(status).header(WireFields.NOT_EXECUTED, "1"), "");
         }
 
-        /** Sends a complete response; {@code seal}: null for one without. */
+        /** Sends a complete response without a seal. */
+        void answer(int status, String text) {
+            answer(status, Optional.empty(), text);
+        }
+
+        /** Sends a complete response; {@code seal}: names it in the history. */
         void answer(int status, String seal, String text) {
+            answer(status, Optional.of(seal), text);
+        }
+
+        private void answer(int status, Optional<String> seal, String text) {
             ended(RunEnd.COMPLETED);
             record(new FleetEvent.Answered(loop.now(), identity, attemptId, status, seal, text));
-            connection.reply(head(status).header(WireFields.SEAL, seal), text);
+            connection.reply(head(status).header(WireFields.SEAL, seal.orElse(null)), text);
         }
 
         private MessageWriter head(int status) {
--- a/emulator/src/main/java/dewplank/emulator/fleet/StreamRules.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/StreamRules.java
@@ -11,6 +11,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.stream.Collectors;
 
@@ -49,8 +50,8 @@
     }
 
     private void check(AttemptSent sent, AttemptEnded ended) {
-        StreamBegun head = bySeal.get(ended.seal());
-        if (head == null || !head.attemptId().equals(sent.attemptId())) {
+        Optional<StreamBegun> head = ended.seal().map(bySeal::get);
+        if (head.filter(begun -> begun.attemptId().equals(sent.attemptId())).isEmpty()) {
             report(Rule.MIXED, sent.attemptId() + " got the head of " + head + " in " + ended);
         }
         checkEvents(sent, ended);
@@ -69,7 +70,7 @@
         if (!complete.equals(expected)) {
             report(Rule.ORDER, sent.attemptId() + " got events " + ended.body());
         }
-        Set<String> seals = new HashSet<>();
+        Set<Optional<String>> seals = new HashSet<>();
         receivedParts.getOrDefault(sent.attemptId(), List.of()).forEach(part -> seals.add(part.seal()));
         if (seals.size() > 1) {
             report(Rule.ORDER, sent.attemptId() + " got the heads " + seals);
--- a/emulator/src/main/java/dewplank/emulator/loopback/DirectoryEndpoint.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/DirectoryEndpoint.java
@@ -54,7 +54,8 @@
             entry.addProperty(
                     "addr",
                     Addresses.format(addresses.apply(
-                            sidecar, world.server(endpoint.server()).number())));
+                            sidecar,
+                            world.server(endpoint.server()).orElseThrow().number())));
             entry.addProperty("zone", endpoint.zone());
             entry.addProperty("kind", endpoint.kind());
             entry.addProperty("cell", endpoint.cell());
--- a/emulator/src/main/java/dewplank/emulator/virtualtime/AttemptSender.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/AttemptSender.java
@@ -62,13 +62,17 @@
 
     void send(Send action) {
         Optional<PendingRequest> request = requests.find(action.request());
-        Server server = world.server(action.server());
-        if (request.isEmpty() || server == null || !maySend(request.get(), action)) {
+        Optional<Server> server = world.server(action.server());
+        if (request.isEmpty() || server.isEmpty() || !maySend(request.get(), action)) {
             reportNeverSent(action, request);
             return;
         }
+        send(action, request.get(), server.get());
+    }
+
+    private void send(Send action, PendingRequest request, Server server) {
         sentCount++;
-        Attempt attempt = request.get().addAttempt(server, world.now());
+        Attempt attempt = request.addAttempt(server, world.now());
         double remainingMs = remainingMs(attempt.request);
         world.schedule(
                 action.timeoutMs() == 0 ? remainingMs : Math.min(action.timeoutMs(), remainingMs),
--- a/emulator/src/main/java/dewplank/emulator/virtualtime/EmulatedSidecar.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/EmulatedSidecar.java
@@ -19,12 +19,10 @@
 import dewplank.balancer.Event.TimerFired;
 import dewplank.emulator.ClientAttempt;
 import dewplank.emulator.RecordedEvent.Type;
-import dewplank.emulator.Server;
 import dewplank.emulator.World;
 import dewplank.emulator.scenario.Scenario;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Optional;
 
 /**
  * One sidecar in virtual time: a balancer and the host around it. Events wait in the inbox until the sidecar's next
@@ -214,19 +212,14 @@
         } else if (action instanceof Subscribe) {
             directory.subscribe();
         } else if (action instanceof CheckHealth check) {
-            server(check.server()).ifPresent(healthChecker::check);
+            world.server(check.server()).ifPresent(healthChecker::check);
         } else if (action instanceof CloseIdleConnections close) {
-            server(close.server()).ifPresent(connections::close);
+            world.server(close.server()).ifPresent(connections::close);
         } else if (action instanceof BroadcastSummary broadcast) {
             run.broadcast(number, peerSummary(broadcast.bytes()));
         }
     }
 
-    /** Empty for an id that the world does not have. */
-    private Optional<Server> server(String id) {
-        return Optional.ofNullable(world.server(id));
-    }
-
     // ---- peers ----------------------------------------------------------------------------------------
 
     /**
--- a/emulator/src/test/java/dewplank/emulator/fleet/FleetAuditorTest.java
+++ b/emulator/src/test/java/dewplank/emulator/fleet/FleetAuditorTest.java
@@ -73,8 +73,8 @@
     }
 
     private void answered(double at, String id, String seal, String body, String received) {
-        events.add(new Answered(at, SERVER, id, 200, seal, body));
-        events.add(new AttemptEnded(at, id, 200, seal, received, true, false));
+        events.add(new Answered(at, SERVER, id, 200, Optional.of(seal), body));
+        events.add(new AttemptEnded(at, id, 200, Optional.of(seal), received, true, false));
     }
 
     private void served(double at, ServerIdentity server, String id, ClientRequest request) {
@@ -92,9 +92,9 @@
             events.add(new StreamEventSent(1, MODEL, id, i, StreamEvents.text(id, i)));
         }
         for (String seal : seals) {
-            events.add(new StreamBytes(1, id, 200, seal, received));
+            events.add(new StreamBytes(1, id, 200, Optional.of(seal), received));
         }
-        events.add(new AttemptEnded(2, id, 200, "seal", received, whole, false));
+        events.add(new AttemptEnded(2, id, 200, Optional.of("seal"), received, whole, false));
     }
 
     @Test
@@ -125,7 +125,7 @@
     void aRunBehindARefusalIsFound() {
         ClientRequest write = ClientRequest.plain(WRITE, "x");
         sent(1, "a", write);
-        events.add(new AttemptEnded(2, "a", 503, null, "", true, false));
+        events.add(new AttemptEnded(2, "a", 503, Optional.empty(), "", true, false));
         assertBroken();
         ran(3, SERVER, "a", write);
         assertBroken(Rule.REFUSED);
@@ -143,7 +143,7 @@
     @Test
     void aSuccessWithoutSealIsFound() {
         sent(1, "a", ClientRequest.plain(WRITE, "x"));
-        events.add(new AttemptEnded(2, "a", 200, null, "body", true, false));
+        events.add(new AttemptEnded(2, "a", 200, Optional.empty(), "body", true, false));
         assertBroken(Rule.MIXED);
     }
 
@@ -265,7 +265,7 @@
     @Test
     void aRouteThatIsNotFoundLongAfterItWasAddedIsFound() {
         sent(LATE, "a", ClientRequest.plain(READ, "x"));
-        events.add(new AttemptEnded(LATE, "a", 404, null, "", true, false));
+        events.add(new AttemptEnded(LATE, "a", 404, Optional.empty(), "", true, false));
         assertBroken(Rule.STALE);
     }
 
--- a/lab/src/main/java/dewplank/lab/policies/OraclePolicy.java
+++ b/lab/src/main/java/dewplank/lab/policies/OraclePolicy.java
@@ -65,11 +65,15 @@
 
     /** How long a request of mean work would take there, from now. */
     private double expectedMs(ServerState state) {
-        Server server = world.server(state.id());
+        Server server = serverOf(state);
         return server.expectedMs(
                 world.scenario().meanWork(), inTransitTo(server).size());
     }
 
+    private Server serverOf(ServerState state) {
+        return world.server(state.id()).orElseThrow();
+    }
+
     private ArrayDeque<Double> inTransitTo(Server server) {
         ArrayDeque<Double> sentAtMs = inTransit.computeIfAbsent(server, any -> new ArrayDeque<>());
         while (!sentAtMs.isEmpty() && sentAtMs.peekFirst() < nowMs() - MAX_IN_TRANSIT_MS) {
@@ -80,7 +84,7 @@
 
     @Override
     void attemptStarted(ServerState server) {
-        inTransitTo(world.server(server.id())).addLast(nowMs());
+        inTransitTo(serverOf(server)).addLast(nowMs());
     }
 
     /** Where not all can be served, value by work decides. */
