--- a/emulator/src/main/java/dewplank/emulator/loopback/HttpEndpoint.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/HttpEndpoint.java
@@ -11,9 +11,25 @@
 
 /** The server's side of one HTTP/1.1 connection, with one request at a time. Called on the loop's thread. */
 public abstract class HttpEndpoint implements Listener.Accepted {
+    /** Where the connection is in its exchanges; whether it has closed is the {@link Connection}'s to say. */
+    private enum State {
+        NOT_ACCEPTED,
+        /** No complete request has arrived since the last response. */
+        AWAITING_REQUEST,
+        /** The response to a request is not complete; further bytes are not read. */
+        RESPONDING;
+
+        private boolean canBecome(State next) {
+            return switch (this) {
+                case NOT_ACCEPTED, RESPONDING -> next == AWAITING_REQUEST;
+                case AWAITING_REQUEST -> next == RESPONDING;
+            };
+        }
+    }
+
     private final RequestParser parser = new RequestParser();
     private Connection connection;
-    private boolean isBusy;
+    private State state = State.NOT_ACCEPTED;
 
     /** A complete request has arrived; {@link #answer} responds to it, at once or later. */
     protected abstract void request(RequestParser request);
@@ -32,6 +48,7 @@
     @Override
     public final void accepted(Connection accepted) {
         connection = accepted;
+        become(State.AWAITING_REQUEST);
         opened();
     }
 
@@ -42,8 +59,8 @@
             return;
         }
         try {
-            while (!isBusy && !connection.isClosed() && parser.feed(bytes)) {
-                isBusy = true;
+            while (state == State.AWAITING_REQUEST && !connection.isClosed() && parser.feed(bytes)) {
+                become(State.RESPONDING);
                 request(parser);
             }
         } catch (BadMessageException e) {
@@ -61,14 +78,18 @@
         ended();
     }
 
-    /** Sends a response, or its last bytes, and reads the next request. */
+    /**
+     * Sends a response, or its last bytes, and reads the next request; does nothing once the connection has closed.
+     *
+     * @throws IllegalStateException if no request waits for a response
+     */
     protected final void answer(ByteBuffer message) {
         if (connection.isClosed()) {
             return;
         }
+        become(State.AWAITING_REQUEST);
         connection.write(message, () -> {});
         parser.reset();
-        isBusy = false;
         connection.resume();
     }
 
@@ -84,6 +105,13 @@
 
     /** Whether the connection was accepted and has not closed. */
     protected final boolean open() {
-        return connection != null && !connection.isClosed();
+        return state != State.NOT_ACCEPTED && !connection.isClosed();
+    }
+
+    private void become(State next) {
+        if (!state.canBecome(next)) {
+            throw new IllegalStateException("a connection can't change from " + state + " to " + next);
+        }
+        state = next;
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/loopback/ServerEndpoint.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/ServerEndpoint.java
@@ -75,14 +75,31 @@
         }
     }
 
+    /** What a connection is to the model's server; whether it has closed is the {@link HttpEndpoint}'s to say. */
+    private enum ConnectionState {
+        /** The operating system accepted it; the server has no process, or no place left in its connection table. */
+        UNCOUNTED,
+        /** It has a place in the server's connection table. */
+        COUNTED,
+        /** The server closed it when it was idle, and the sidecar had no notice; it still has its place. */
+        STALE;
+
+        private boolean canBecome(ConnectionState next) {
+            return switch (this) {
+                case UNCOUNTED -> next == COUNTED;
+                case COUNTED -> next == STALE;
+                case STALE -> false;
+            };
+        }
+    }
+
     private final class ServerConnection extends HttpEndpoint {
         private final int sidecar;
         private final int incarnation = server.incarnation();
-        private boolean isCounted;
+        private ConnectionState state = ConnectionState.UNCOUNTED;
         private double readyAtMs;
         private int requestsInProgress;
         private int idlePeriods;
-        private boolean isStale;
 
         ServerConnection(int sidecar) {
             this.sidecar = sidecar;
@@ -95,8 +112,8 @@
             if (server.state() == Server.State.VANISHED) {
                 return;
             }
-            isCounted = server.connect();
-            if (isCounted) {
+            if (server.connect()) {
+                become(ConnectionState.COUNTED);
                 idle();
             } else {
                 end();
@@ -106,7 +123,7 @@
         @Override
         protected void ended() {
             connections.remove(this);
-            if (isCounted) {
+            if (state != ConnectionState.UNCOUNTED) {
                 server.disconnect(incarnation);
             }
         }
@@ -141,7 +158,7 @@
                 reply(MessageWriter.response(400).body("no client sent this\n".getBytes(StandardCharsets.US_ASCII)));
                 return;
             }
-            if (isStale) { // the server closed it when idle, and the sidecar had no notice
+            if (state == ConnectionState.STALE) {
                 end();
                 return;
             }
@@ -156,7 +173,7 @@
             });
         }
 
-        /** Starts an idle period; when it exceeds the limit, the connection closes, or turns stale without notice. */
+        /** Starts an idle period; when it exceeds the limit, the connection closes, or becomes stale without notice. */
         private void idle() {
             double idleTimeoutMs = world.scenario().connections().idleMs();
             int period = ++idlePeriods;
@@ -166,13 +183,21 @@
                         if (world.scenario().connections().closeIsNoticed()) {
                             end();
                         } else {
-                            isStale = true;
+                            become(ConnectionState.STALE);
                         }
                     }
                 });
             }
         }
 
+        private void become(ConnectionState next) {
+            if (!state.canBecome(next)) {
+                throw new IllegalStateException("a connection of sidecar " + sidecar + " to server " + server.number()
+                        + " can't change from " + state + " to " + next);
+            }
+            state = next;
+        }
+
         private void finish(ClientAttempt attempt, Server.Reply reply, double inFlight) {
             requestsInProgress--;
             idle();
--- /dev/null
+++ b/emulator/src/test/java/dewplank/emulator/loopback/HttpEndpointTest.java
@@ -0,0 +1,81 @@
+package dewplank.emulator.loopback;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import dewplank.http.MessageWriter;
+import dewplank.http.RequestParser;
+import dewplank.net.EventLoop;
+import dewplank.net.Listener;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.nio.ByteBuffer;
+import java.util.Optional;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+
+/** The states of the server's side of a connection. */
+class HttpEndpointTest {
+    private static final int MAX_WAIT_S = 20;
+
+    private final EventLoop loop;
+    private final BlockingQueue<Optional<RuntimeException>> secondAnswers = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Integer> statuses = new LinkedBlockingQueue<>();
+
+    HttpEndpointTest() throws Exception {
+        loop = new EventLoop();
+    }
+
+    @AfterEach
+    void stop() {
+        loop.stop();
+    }
+
+    private static ByteBuffer response() {
+        return MessageWriter.response(200).body(new byte[0]);
+    }
+
+    /** Answers each request, and then once more. */
+    private final class AnswersTwice extends HttpEndpoint {
+        @Override
+        protected void request(RequestParser request) {
+            answer(response());
+            try {
+                answer(response());
+                secondAnswers.add(Optional.empty());
+            } catch (IllegalStateException e) {
+                secondAnswers.add(Optional.of(e));
+            }
+        }
+    }
+
+    @Test
+    void aSecondAnswerToARequestIsRefusedAndTheConnectionGoesOn() throws Exception {
+        Listener listener =
+                new Listener(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 1, AnswersTwice::new);
+        loop.execute(listener::accept);
+        HttpClient client = new HttpClient(loop, (InetSocketAddress) listener.address(), 1);
+        for (int call = 0; call < 2; call++) {
+            loop.execute(() -> client.call(
+                    MessageWriter.request("GET", "/", "x").noBody(),
+                    received -> statuses.add(
+                            received.map(answer -> answer.head().status()).orElse(0))));
+            assertEquals(200, statuses.poll(MAX_WAIT_S, TimeUnit.SECONDS));
+            Optional<RuntimeException> refusal = secondAnswers.poll(MAX_WAIT_S, TimeUnit.SECONDS);
+            assertTrue(refusal.isPresent());
+            assertEquals(
+                    "a connection can't change from AWAITING_REQUEST to AWAITING_REQUEST",
+                    refusal.get().getMessage());
+        }
+        assertEquals(1, client.opened());
+    }
+
+    @Test
+    void anEndpointThatWasNotAcceptedIsNotOpen() {
+        assertFalse(new AnswersTwice().open());
+    }
+}
