--- a/emulator/src/main/java/dewplank/emulator/virtualtime/AttemptSender.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/AttemptSender.java
@@ -34,19 +34,13 @@
     private long sentCount;
     private long handshakeCount;
 
-    AttemptSender(
-            World world,
-            int sidecar,
-            RequestTable requests,
-            ConnectionPool connections,
-            EventInbox inbox,
-            Responder responder) {
-        this.world = world;
+    AttemptSender(SidecarContext context, RequestTable requests, ConnectionPool connections, Responder responder) {
+        this.world = context.world();
         this.scenario = world.scenario();
-        this.sidecar = sidecar;
+        this.sidecar = context.number();
+        this.inbox = context.inbox();
         this.requests = requests;
         this.connections = connections;
-        this.inbox = inbox;
         this.responder = responder;
     }
 
--- a/emulator/src/main/java/dewplank/emulator/virtualtime/DirectorySubscription.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/DirectorySubscription.java
@@ -19,10 +19,10 @@
     private Optional<EndpointDirectory.Watch> watch = Optional.empty();
     private long version;
 
-    DirectorySubscription(World world, int sidecar, EventInbox inbox) {
-        this.world = world;
-        this.sidecar = sidecar;
-        this.inbox = inbox;
+    DirectorySubscription(SidecarContext context) {
+        this.world = context.world();
+        this.sidecar = context.number();
+        this.inbox = context.inbox();
     }
 
     /** Starts from a list that was stored before the sidecar's process was started. */
--- a/emulator/src/main/java/dewplank/emulator/virtualtime/EmulatedSidecar.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/EmulatedSidecar.java
@@ -57,9 +57,10 @@
         this.scenario = world.scenario();
         this.number = number;
         this.connections = new ConnectionPool(world);
-        this.attempts = new AttemptSender(world, number, requests, connections, inbox, this::respond);
-        this.directory = new DirectorySubscription(world, number, inbox);
-        this.healthChecker = new HealthChecker(world, number, inbox);
+        SidecarContext context = new SidecarContext(world, number, inbox);
+        this.attempts = new AttemptSender(context, requests, connections, this::respond);
+        this.directory = new DirectorySubscription(context);
+        this.healthChecker = new HealthChecker(context);
     }
 
     private void wake() {
--- a/emulator/src/main/java/dewplank/emulator/virtualtime/HealthChecker.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/HealthChecker.java
@@ -13,10 +13,10 @@
     private final EventInbox inbox;
     private long sentCount;
 
-    HealthChecker(World world, int sidecar, EventInbox inbox) {
-        this.world = world;
-        this.sidecar = sidecar;
-        this.inbox = inbox;
+    HealthChecker(SidecarContext context) {
+        this.world = context.world();
+        this.sidecar = context.number();
+        this.inbox = context.inbox();
     }
 
     /** Health checks sent so far. */
--- a/emulator/src/main/java/dewplank/emulator/virtualtime/VirtualRun.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/VirtualRun.java
@@ -75,32 +75,88 @@
     private List<EmulatedSidecar> scheduled = new ArrayList<>();
     private boolean isTickScheduled;
 
+    /** A run with plain sidecars; short for the {@link #builder}. */
     public VirtualRun(
             Scenario scenario,
             long seed,
             Policy policy,
             RecordedEvent.Recorder recorder,
-            Clients.OutcomeListener tally,
+            Clients.OutcomeListener outcomeListener,
             Execution execution) {
-        this(scenario, seed, policy, recorder, tally, execution, EmulatedSidecar::new);
+        this(builder(scenario, seed, policy)
+                .recorder(recorder)
+                .outcomeListener(outcomeListener)
+                .execution(execution));
     }
 
-    public VirtualRun(
-            Scenario scenario,
-            long seed,
-            Policy policy,
-            RecordedEvent.Recorder recorder,
-            Clients.OutcomeListener tally,
-            Execution execution,
-            SidecarFactory sidecarFactory) {
-        this.scenario = scenario;
-        this.seed = seed;
-        this.policy = policy;
-        this.execution = execution;
-        this.world = new World(scenario, seed, time, recorder);
-        this.clients = new Clients(world, this, tally);
+    private VirtualRun(Builder builder) {
+        this.scenario = builder.scenario;
+        this.seed = builder.seed;
+        this.policy = builder.policy;
+        this.execution = builder.execution;
+        this.world = new World(scenario, seed, time, builder.recorder);
+        this.clients = new Clients(world, this, builder.outcomeListener);
         for (int i = 0; i < scenario.sidecars(); i++) {
-            sidecars.add(sidecarFactory.create(this, i));
+            sidecars.add(builder.sidecarFactory.create(this, i));
+        }
+    }
+
+    /**
+     * Begins the description of a run.
+     *
+     * @param seed of all random numbers; the same scenario, seed and policy give the same run
+     */
+    public static Builder builder(Scenario scenario, long seed, Policy policy) {
+        return new Builder(scenario, seed, policy);
+    }
+
+    /**
+     * Describes a run: by default nothing is recorded, the sidecars decide one after the other, and they are plain
+     * ones. Used by one thread.
+     */
+    public static final class Builder {
+        private final Scenario scenario;
+        private final long seed;
+        private final Policy policy;
+        private RecordedEvent.Recorder recorder = event -> {};
+        private Clients.OutcomeListener outcomeListener =
+                (requestClass, tenant, firstSentAtMs, tookMs, attempts, lastType) -> {};
+        private Execution execution = Execution.SEQUENTIAL;
+        private SidecarFactory sidecarFactory = EmulatedSidecar::new;
+
+        private Builder(Scenario scenario, long seed, Policy policy) {
+            this.scenario = scenario;
+            this.seed = seed;
+            this.policy = policy;
+        }
+
+        /** {@code next} gets each event at its time, on the thread that runs the world. */
+        public Builder recorder(RecordedEvent.Recorder next) {
+            recorder = next;
+            return this;
+        }
+
+        /** {@code next} gets the end of each request, on the thread that runs the world. */
+        public Builder outcomeListener(Clients.OutcomeListener next) {
+            outcomeListener = next;
+            return this;
+        }
+
+        /** How the sidecars of one tick decide. */
+        public Builder execution(Execution next) {
+            execution = next;
+            return this;
+        }
+
+        /** {@code next} creates the sidecars, in the order of their numbers. */
+        public Builder sidecars(SidecarFactory next) {
+            sidecarFactory = next;
+            return this;
+        }
+
+        /** Creates the world, its clients and its sidecars; nothing runs yet. */
+        public VirtualRun build() {
+            return new VirtualRun(this);
         }
     }
 
--- a/lab/src/main/java/dewplank/lab/Trial.java
+++ b/lab/src/main/java/dewplank/lab/Trial.java
@@ -35,7 +35,11 @@
         Service service = new Service(scenario, 0);
         VirtualRun.Execution execution =
                 decideInParallel ? VirtualRun.Execution.PARALLEL : VirtualRun.Execution.SEQUENTIAL;
-        VirtualRun run = new VirtualRun(scenario, seed, Policies.named(policy), auditor, service, execution);
+        VirtualRun run = VirtualRun.builder(scenario, seed, Policies.named(policy))
+                .recorder(auditor)
+                .outcomeListener(service)
+                .execution(execution)
+                .build();
         return play(run, service, auditor);
     }
 
@@ -46,8 +50,10 @@
         Auditor auditor = new Auditor(scenario, MESSAGE_SLACK_MS);
         Service service = new Service(scenario, 0);
         LossSplit losses = new LossSplit(scenario, auditor, service);
-        VirtualRun run =
-                new VirtualRun(scenario, seed, Policies.named(policy), losses, losses, VirtualRun.Execution.SEQUENTIAL);
+        VirtualRun run = VirtualRun.builder(scenario, seed, Policies.named(policy))
+                .recorder(losses)
+                .outcomeListener(losses)
+                .build();
         losses.attach(run.world());
         return new WithLosses(play(run, service, auditor), losses);
     }
--- a/lab/src/test/java/dewplank/lab/BuoysTest.java
+++ b/lab/src/test/java/dewplank/lab/BuoysTest.java
@@ -106,16 +106,13 @@
                 .mapToDouble(seed -> {
                     Auditor auditor = new Auditor(scenario, MESSAGE_SLACK_MS);
                     Service service = new Service(scenario, 0);
-                    VirtualRun run = new VirtualRun(
-                            scenario,
-                            seed,
-                            Policies.named("choice"),
-                            auditor,
-                            service,
-                            VirtualRun.Execution.SEQUENTIAL,
-                            (playing, number) ->
-                                    number == 0 && lies ? new Liar(playing, number) : new Plain(playing, number));
-                    run.run();
+                    VirtualRun.builder(scenario, seed, Policies.named("choice"))
+                            .recorder(auditor)
+                            .outcomeListener(service)
+                            .sidecars((run, number) ->
+                                    number == 0 && lies ? new Liar(run, number) : new Plain(run, number))
+                            .build()
+                            .run();
                     assertEquals(0, auditor.violations(), () -> auditor.retainedViolations()
                             .toString());
                     return service.valueRatio();
--- a/lab/src/test/java/dewplank/lab/audit/AuditorTest.java
+++ b/lab/src/test/java/dewplank/lab/audit/AuditorTest.java
@@ -92,8 +92,11 @@
     private static Auditor play(VirtualRun.Policy policy, VirtualRun.SidecarFactory sidecars) {
         Scenario day = busyDay();
         Auditor auditor = new Auditor(day, MESSAGE_SLACK_MS);
-        VirtualRun run = new VirtualRun(
-                day, SEED, policy, auditor, new Service(day, 0), VirtualRun.Execution.SEQUENTIAL, sidecars);
+        VirtualRun run = VirtualRun.builder(day, SEED, policy)
+                .recorder(auditor)
+                .outcomeListener(new Service(day, 0))
+                .sidecars(sidecars)
+                .build();
         run.run();
         auditor.end(run.world().now());
         return auditor;
