--- a/lab/src/main/java/dewplank/lab/Report.java
+++ b/lab/src/main/java/dewplank/lab/Report.java
@@ -24,6 +24,8 @@
             + "th:first-child{text-align:left}.bad{background:#fdd}.best{font-weight:bold}"
             + "svg{max-width:100%;"
             + "height:auto}";
+    private static final String LEGEND =
+            "<p>Bold: the best policy of those that do not see the true state. Red: a rule was broken.</p>";
     private static final List<Figure> COLUMNS = List.of(
             Figure.SERVICE,
             Figure.WORST_CLASS,
@@ -54,12 +56,15 @@
                 .append(escape(about))
                 .append("</p><p>")
                 .append(results.size())
-                .append(" runs. Service: worth answered within its aim, over the worth "
-                        + "asked for. Means over seeds, with 95 % intervals (Student's t).</p>")
+                .append(" runs. Service: value served within the latency target over the value "
+                        + "requested. Means over seeds, with 95 % intervals (Student's t).</p>")
                 .append(ReportCharts.svg(results))
                 .append(overview(results));
         if (Comparison.policies(results).size() > 1) {
-            html.append("<h2>Against ").append(escape(baseline)).append("</h2>").append(differences(results, baseline));
+            html.append("<h2>Difference from ")
+                    .append(escape(baseline))
+                    .append("</h2>")
+                    .append(differences(results, baseline));
         }
         byCell(results)
                 .forEach((cell, runs) ->
@@ -87,8 +92,7 @@
         policies.forEach(policy -> html.append("<th>").append(escape(policy)).append("</th>"));
         html.append("</tr>");
         byCell(results).forEach((cell, runs) -> html.append(overviewRow(cell, runs, policies)));
-        return html.append("</table><p>Bold: the best that does not see the true state. Red: a rule was broken.</p>")
-                .toString();
+        return html.append("</table>").append(LEGEND).toString();
     }
 
     private static String overviewRow(String cell, List<Result> runs, Set<String> policies) {
@@ -113,9 +117,8 @@
     }
 
     private static String differences(List<Result> results, String baseline) {
-        StringBuilder html =
-                new StringBuilder("<table><tr><th>scenario</th><th>policy</th><th>service</th><th>less the "
-                        + "baseline's</th><th>&plusmn;</th><th>pairs</th></tr>");
+        StringBuilder html = new StringBuilder("<table><tr><th>scenario</th><th>policy</th><th>service</th>"
+                + "<th>difference</th><th>&plusmn;</th><th>pairs</th></tr>");
         for (Comparison.Row row : Comparison.withBaseline(results, baseline, Figure.SERVICE)) {
             html.append("<tr><td>")
                     .append(escape(row.cell()))
--- a/lab/src/main/java/dewplank/lab/audit/AnswerCheck.java
+++ b/lab/src/main/java/dewplank/lab/audit/AnswerCheck.java
@@ -9,7 +9,7 @@
  * Each request gets one final answer, its own, in time. A sidecar that was down in between is excused for what it lost.
  */
 final class AnswerCheck implements RuleCheck {
-    private static final String NEVER_ENDED = "nobody heard of it again";
+    private static final String NEVER_ENDED = "no end of it was recorded";
 
     private final double answerSlackMs;
     private final double messageSlackMs;
@@ -42,7 +42,7 @@
     public void observe(RecordedEvent event, ObservedAttempt attempt) {
         boolean isComplete = event.type() == Type.SERVED || event.type() == Type.REFUSED || event.type() == Type.FAILED;
         if (isComplete && attempt.hasCompleteAnswer()) {
-            reporter.report(Rule.ANSWERED_TWICE, event, "it had an answer before");
+            reporter.report(Rule.ANSWERED_TWICE, event, "it had a complete answer already");
         }
         if (attempt.isOver()) {
             return; // an answer that was in flight when the client left
@@ -72,13 +72,13 @@
             reporter.report(
                     Rule.ANSWERED_AFTER_DEADLINE,
                     event,
-                    "%.0f ms after its time".formatted(event.atMs() - attempt.deadlineMs()));
+                    "%.0f ms after its deadline".formatted(event.atMs() - attempt.deadlineMs()));
         }
     }
 
     private void checkOrigin(RecordedEvent event, ObservedAttempt attempt) {
         if (!attempt.wasReceived()) {
-            reporter.report(Rule.WRONG_ANSWER, event, "no server ever had it");
+            reporter.report(Rule.WRONG_ANSWER, event, "no server received it");
         } else if (event.value() != event.request()) {
             reporter.report(Rule.WRONG_ANSWER, event, "the answer was made for another request");
         }
@@ -86,7 +86,7 @@
 
     private void checkLoss(RecordedEvent event, ObservedAttempt attempt) {
         if (!wasDownBetween(event.sidecar(), attempt.sent().atMs() - messageSlackMs, event.atMs())) {
-            reporter.report(Rule.LOST, event, "its sidecar was up all the time");
+            reporter.report(Rule.LOST, event, "its sidecar ran the whole time");
         }
     }
 
@@ -102,7 +102,7 @@
     private void checkPatience(RecordedEvent event) {
         boolean leftByChoice = event.value() != 0;
         if (!leftByChoice) {
-            reporter.report(Rule.NOT_ANSWERED, event, "the client waited for its whole time");
+            reporter.report(Rule.NOT_ANSWERED, event, "the client waited until its deadline");
         }
     }
 }
--- a/lab/src/main/java/dewplank/lab/audit/ColdServerCheck.java
+++ b/lab/src/main/java/dewplank/lab/audit/ColdServerCheck.java
@@ -85,7 +85,7 @@
             reporter.report(
                     Rule.COLD_SERVER_OVERLOADED,
                     event,
-                    "server %d got %.0f ms of work in %.1f s, %.0f %% from those told"
+                    "server %d received %.0f ms of work in %.1f s, %.0f %% of it from notified sidecars"
                             .formatted(event.server(), all, rules.collapseWindowMs() / 1000, 100 * notified / all));
         }
     }
--- a/lab/src/main/java/dewplank/lab/audit/DrainCheck.java
+++ b/lab/src/main/java/dewplank/lab/audit/DrainCheck.java
@@ -35,7 +35,7 @@
             reporter.report(
                     Rule.SENT_TO_DRAINED,
                     event,
-                    "its sidecar was told %.0f ms before".formatted(event.atMs() - notifiedAtMs));
+                    "its sidecar had been notified %.0f ms earlier".formatted(event.atMs() - notifiedAtMs));
         }
     }
 }
--- a/lab/src/main/java/dewplank/lab/audit/RepetitionCheck.java
+++ b/lab/src/main/java/dewplank/lab/audit/RepetitionCheck.java
@@ -35,13 +35,15 @@
         if (attempt.mayHaveRun()) {
             switch (attempt.requestClass().idempotency()) {
                 case UNSAFE -> reporter.report(
-                        Rule.SENT_TWICE, event, "server " + attempt.firstServer() + " had it, and it may have run");
+                        Rule.SENT_TWICE,
+                        event,
+                        "server " + attempt.firstServer() + " had received it, and it may have run");
                 case KEYED -> repeatedByKey(event, attempt);
                 case SAFE -> {}
             }
         }
         if (attempt.wasRefused() && !attempt.isRefusableAfterRun()) {
-            reporter.report(Rule.REFUSED_AFTER_RUN, event, "the client had been told that it never ran");
+            reporter.report(Rule.REFUSED_AFTER_RUN, event, "its client had been refused, which says that it never ran");
         }
     }
 
@@ -49,11 +51,14 @@
         RequestClassSpec requestClass = attempt.requestClass();
         double sinceFirstMs = event.atMs() - attempt.firstReceivedAtMs();
         if (sinceFirstMs > requestClass.deduplicationWindowMs() + messageSlackMs) {
-            reporter.report(Rule.KEYED_AFTER_WINDOW, event, "%.0f ms after the first".formatted(sinceFirstMs));
+            reporter.report(
+                    Rule.KEYED_AFTER_WINDOW, event, "%.0f ms after it was first received".formatted(sinceFirstMs));
         }
         if (group(requestClass, event.server()) != group(requestClass, attempt.firstServer())) {
             reporter.report(
-                    Rule.KEYED_OUTSIDE_SCOPE, event, "server " + attempt.firstServer() + " had it, in another group");
+                    Rule.KEYED_OUTSIDE_SCOPE,
+                    event,
+                    "server " + attempt.firstServer() + " of another group had received it");
         }
     }
 
@@ -68,13 +73,13 @@
 
     private void effect(RecordedEvent event, ObservedAttempt attempt) {
         if (attempt.hadEffect() && attempt.requestClass().idempotency() != Idempotency.SAFE) {
-            reporter.report(Rule.EFFECT_TWICE, event, "its effect had taken place before");
+            reporter.report(Rule.EFFECT_TWICE, event, "it had taken effect before");
         }
     }
 
     private void refused(RecordedEvent event, ObservedAttempt attempt) {
         if (!attempt.isOver() && attempt.mayHaveRun() && !attempt.isRefusableAfterRun()) {
-            reporter.report(Rule.REFUSED_AFTER_RUN, event, "server " + attempt.firstServer() + " had it");
+            reporter.report(Rule.REFUSED_AFTER_RUN, event, "server " + attempt.firstServer() + " had received it");
         }
     }
 }
--- a/lab/src/main/java/dewplank/lab/audit/Violation.java
+++ b/lab/src/main/java/dewplank/lab/audit/Violation.java
@@ -34,24 +34,30 @@
         return timeline.stream().map(Violation::line).collect(Collectors.joining("\n"));
     }
 
+    /** The violation for a person: rule, time, parties and what was wrong; below them the timeline, indented. */
+    public String describe() {
+        return String.format(Locale.ROOT, "%s at %.3f ms,%s: %s", rule, atMs(), parties(event), description)
+                + timeline.stream().map(entry -> "\n    " + line(entry)).collect(Collectors.joining());
+    }
+
+    /** As {@link #describe}, so that a failed test shows it in full. */
+    @Override
+    public String toString() {
+        return describe();
+    }
+
     private static String line(RecordedEvent event) {
-        StringBuilder text = new StringBuilder(String.format(
-                Locale.ROOT,
-                "%12.3f  %-13s",
-                event.atMs(),
-                event.type().name().toLowerCase(Locale.ROOT).replace('_', ' ')));
-        if (event.request() >= 0) {
-            text.append(" request ").append(event.request());
-        }
-        if (event.sidecar() >= 0) {
-            text.append(" sidecar ").append(event.sidecar());
-        }
-        if (event.server() >= 0) {
-            text.append(" server ").append(event.server());
-        }
-        if (event.value() != 0) {
-            text.append(String.format(Locale.ROOT, " (%.3f)", event.value()));
-        }
-        return text.toString();
+        String type = event.type().name().toLowerCase(Locale.ROOT).replace('_', ' ');
+        String value = event.value() == 0 ? "" : String.format(Locale.ROOT, " (%.3f)", event.value());
+        return String.format(Locale.ROOT, "%12.3f  %-13s%s%s", event.atMs(), type, parties(event), value);
+    }
+
+    /** The request, sidecar and server that the event names, each after a space. */
+    private static String parties(RecordedEvent event) {
+        return party("request", event.request()) + party("sidecar", event.sidecar()) + party("server", event.server());
+    }
+
+    private static String party(String name, long number) {
+        return number < 0 ? "" : " " + name + " " + number;
     }
 }
