--- a/sidecar/src/test/java/dewplank/sidecar/AttemptWriteTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/AttemptWriteTest.java
@@ -1,5 +1,6 @@
 package dewplank.sidecar;
 
+import static dewplank.sidecar.ResponseAssertions.assertStatus;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotSame;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -186,7 +187,7 @@
             client.sendRequest("menu-read");
             ReceivedRequest first = net.servers.get(0).next();
             first.respond("200 OK", "");
-            assertTrue(client.read().startsWith("HTTP/1.1 200"));
+            assertStatus("200", client.read());
             CountDownLatch aged = new CountDownLatch(1);
             net.callOnLoop(() -> net.sidecar.loop().after(50, aged::countDown));
             aged.await();
@@ -194,7 +195,7 @@
             ReceivedRequest second = net.servers.get(0).nextRequest();
             assertNotSame(first.connection(), second.connection());
             second.respond("200 OK", "");
-            assertTrue(client.read().startsWith("HTTP/1.1 200"));
+            assertStatus("200", client.read());
         }
     }
 
@@ -262,10 +263,6 @@
         }
     }
 
-    private static void assertStatus(String status, String answer) {
-        assertEquals("HTTP/1.1 " + status, answer.substring(0, Math.min(12, answer.length())), answer);
-    }
-
     private static final class Ignored implements Connection.Handler {
         @Override
         public void received(ByteBuffer bytes) {
--- a/sidecar/src/test/java/dewplank/sidecar/ClientDisconnectTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/ClientDisconnectTest.java
@@ -1,5 +1,6 @@
 package dewplank.sidecar;
 
+import static dewplank.sidecar.ResponseAssertions.assertStatus;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -26,7 +27,7 @@
             Client before = net.client();
             before.sendRequest("menu-read");
             net.servers.get(0).next().respond("200 OK", "");
-            assertTrue(before.read().startsWith("HTTP/1.1 200"));
+            assertStatus("200", before.read());
             net.awaitConnectionReusable(); // a connection is at hand: nothing but reading lies before the sending
             net.callOnLoop(() -> {
                 Client disconnected = net.client();
@@ -39,7 +40,7 @@
             ReceivedRequest first = net.servers.get(0).next();
             assertTrue(first.message().endsWith("\r\n\r\nmark"), first.message());
             first.respond("200 OK", "");
-            assertTrue(staying.read().startsWith("HTTP/1.1 200"));
+            assertStatus("200", staying.read());
         }
     }
 
--- a/sidecar/src/test/java/dewplank/sidecar/ConnectionCloseTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/ConnectionCloseTest.java
@@ -1,6 +1,6 @@
 package dewplank.sidecar;
 
-import static org.junit.jupiter.api.Assertions.assertEquals;
+import static dewplank.sidecar.ResponseAssertions.assertStatus;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -127,7 +127,7 @@
             ReceivedRequest reset = net.servers.get(0).nextRequest();
             reset.connection().send("HTTP/1.1 200 OK\r\n\r\npart");
             reset.reset();
-            assertTrue(client.read().startsWith("HTTP/1.1 502"));
+            assertStatus("502", client.read());
         }
     }
 
@@ -143,7 +143,7 @@
                     call.connection().send("x".repeat(1_000));
                 }
             });
-            assertTrue(client.read().startsWith("HTTP/1.1 502"));
+            assertStatus("502", client.read());
         }
     }
 
@@ -214,7 +214,7 @@
         Client client = net.client();
         client.sendRequest("menu-read");
         net.servers.get(0).nextRequest().respond("200 OK", "");
-        assertTrue(client.read().startsWith("HTTP/1.1 200"));
+        assertStatus("200", client.read());
         return client;
     }
 
@@ -231,6 +231,6 @@
         ReceivedRequest next = net.servers.get(0).nextRequest();
         assertTrue(next.message().endsWith("\r\n\r\n" + body), next.message());
         next.respond("200 OK", "");
-        assertEquals("HTTP/1.1 200", client.read().substring(0, 12));
+        assertStatus("200", client.read());
     }
 }
--- a/sidecar/src/test/java/dewplank/sidecar/DiscoveryClientTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/DiscoveryClientTest.java
@@ -1,5 +1,6 @@
 package dewplank.sidecar;
 
+import static dewplank.sidecar.ResponseAssertions.assertStatus;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -111,7 +112,7 @@
             last.await();
             Client client = net.client();
             client.send("GET /_health HTTP/1.1\r\n\r\n");
-            assertTrue(client.read().startsWith("HTTP/1.1 503"));
+            assertStatus("503", client.read());
         }
     }
 
@@ -187,7 +188,7 @@
             Client client = net.client();
             client.send("GET /_health HTTP/1.1\r\n\r\n");
             String answer = client.read();
-            assertTrue(answer.startsWith("HTTP/1.1 200"), answer);
+            assertStatus("200", answer);
             assertThrows(
                     IOException.class,
                     () -> { // and its connection is closed
--- a/sidecar/src/test/java/dewplank/sidecar/LoopbackNetwork.java
+++ b/sidecar/src/test/java/dewplank/sidecar/LoopbackNetwork.java
@@ -1,5 +1,6 @@
 package dewplank.sidecar;
 
+import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 
 import dewplank.balancer.Balancer;
@@ -147,6 +148,21 @@
         return new Client(sidecarPort);
     }
 
+    /** Opens as many client connections as may be idle, each with one answered request. */
+    List<Client> openClientsUpToIdleCapacity() throws IOException {
+        int idleCapacity = config.maxClientConnections() / ClientConnections.IDLE_CAPACITY_DIVISOR;
+        List<Client> clients = new ArrayList<>();
+        while (clients.size() < idleCapacity) {
+            Client client = client();
+            client.send("GET /_health HTTP/1.1\r\n\r\n");
+            String answer = client.read();
+            ResponseAssertions.assertStatus("200", answer);
+            assertFalse(answer.contains("Connection: close"), answer);
+            clients.add(client);
+        }
+        return clients;
+    }
+
     /** Runs a task on the sidecar's event loop; returns its result. */
     <T> T callOnLoop(Callable<T> task) throws Exception {
         FutureTask<T> done = new FutureTask<>(task);
--- a/sidecar/src/test/java/dewplank/sidecar/RequestAttributesTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/RequestAttributesTest.java
@@ -1,5 +1,6 @@
 package dewplank.sidecar;
 
+import static dewplank.sidecar.ResponseAssertions.assertStatus;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -36,7 +37,7 @@
                 assertTrue(call.message().contains(field), call.message());
             }
             call.respond("200 OK", "");
-            assertTrue(client.read().startsWith("HTTP/1.1 200"));
+            assertStatus("200", client.read());
             return arrived.take();
         }
     }
