--- a/sidecar/src/test/java/dewplank/sidecar/RequestAttributesTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/RequestAttributesTest.java
@@ -10,16 +10,19 @@
 import dewplank.sidecar.LoopbackNetwork.ReceivedRequest;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
+import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.MethodSource;
 
-/** Found at Sado: on sockets the balancer got neither the tenant nor the key, both null. */
+/** Tenant, key and cost of a request as the balancer gets them from its header fields. */
 class RequestAttributesTest {
     private static final String TENANTS = "\"Accounts\":[{\"Name\":\"porto\",\"Share\":0.6,\"AllowancePerS\":9},"
             + "{\"Name\":\"praias\",\"Share\":0.4,\"AllowancePerS\":6}]";
 
     private final BlockingQueue<RequestArrived> arrived = new LinkedBlockingQueue<>();
 
-    /** What the balancer gets of a request with these headers; the server gets them as they came. */
+    /** What the balancer gets of a request with these header fields; the server gets the fields unchanged. */
     private RequestArrived arrivedWith(String fields) throws Exception {
         try (LoopbackNetwork net = LoopbackNetwork.builder(1)
                 .settings(settings -> settings.replace("\"Accounts\":[]", TENANTS))
@@ -51,25 +54,26 @@
         assertEquals(12.5, arrival.costMs());
     }
 
-    @Test
-    void ambiguousOrInvalidAttributesAreNull() throws Exception {
-        String[] invalidFields = {
-            "X-Customer: pesca\r\nCookie: kk=1; xk=2\r\nX-Props: Work=NaN\r\n",
-            "X-Customer: porto\r\nX-Customer: praias\r\nCookie: k=1\r\nCookie: k=2\r\nX-Props: Work=1,Work=2\r\n",
-            "X-Customer: \r\nCookie: k=a\u00e9b\r\nX-Props: Work=-1\r\n",
-            "X-Customer: PORTO\r\nCookie: k=" + "x".repeat(8 * 1024) + "\r\nX-Props: ,=,Work\r\n",
-            "Cookie: k=\r\nX-Props: Work=1e300\r\n"
-        };
-        for (String fields : invalidFields) {
-            RequestArrived arrival = arrivedWith(fields);
-            assertNull(arrival.tenant(), fields);
-            assertNull(arrival.key(), fields);
-            assertNull(arrival.costMs(), fields);
-        }
+    static Stream<String> invalidFields() {
+        return Stream.of(
+                "X-Customer: pesca\r\nCookie: kk=1; xk=2\r\nX-Props: Work=NaN\r\n",
+                "X-Customer: porto\r\nX-Customer: praias\r\nCookie: k=1\r\nCookie: k=2\r\nX-Props: Work=1,Work=2\r\n",
+                "X-Customer: \r\nCookie: k=a\u00e9b\r\nX-Props: Work=-1\r\n",
+                "X-Customer: PORTO\r\nCookie: k=" + "x".repeat(8 * 1024) + "\r\nX-Props: ,=,Work\r\n",
+                "Cookie: k=\r\nX-Props: Work=1e300\r\n");
+    }
+
+    @ParameterizedTest(name = "case {index}")
+    @MethodSource("invalidFields")
+    void ambiguousOrInvalidAttributesAreNull(String fields) throws Exception {
+        RequestArrived arrival = arrivedWith(fields);
+        assertNull(arrival.tenant(), fields);
+        assertNull(arrival.key(), fields);
+        assertNull(arrival.costMs(), fields);
     }
 
     @Test
-    void theSameKeyTwiceIsThatKey() throws Exception {
+    void aRepeatedEqualKeyIsThatKey() throws Exception {
         assertEquals("k1", arrivedWith("Cookie: k=k1\r\nCookie: a=b; k=k1\r\n").key());
     }
 }
--- a/sidecar/src/test/java/dewplank/sidecar/config/SidecarConfigTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/config/SidecarConfigTest.java
@@ -2,6 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.params.provider.Arguments.arguments;
 
 import dewplank.settings.Fields;
 import dewplank.settings.InvalidInputException;
@@ -9,10 +10,15 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.List;
 import java.util.Map;
+import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.Arguments;
+import org.junit.jupiter.params.provider.MethodSource;
+import org.junit.jupiter.params.provider.ValueSource;
 
+/** The configuration of a sidecar: which key an invalid one names, its environment, and strict JSON. */
 class SidecarConfigTest {
 
     private static String errorMessage(String json) {
@@ -22,22 +28,26 @@
                 .getMessage();
     }
 
-    @Test
-    void theKeyAtFaultIsNamed() {
-        assertEquals("configuration key name is missing", errorMessage("{}"));
-        assertEquals(
-                "configuration key listen should be an address and a port, such as 10.0.0.4:5000",
-                errorMessage("{\"name\":\"n\",\"listen\":\"here\"}"));
-        assertEquals(
-                "configuration key limits.sockets should be at least 256",
-                errorMessage("{\"limits\":{\"sockets\":3}}"));
+    static Stream<Arguments> invalidConfigurations() {
         String start = "{\"name\":\"n\",\"listen\":\"127.0.0.1:5000\",\"discovery\":\"127.0.0.1:8500\",\"seed\":";
-        assertEquals(
-                "configuration key seed should be a hexadecimal number of 64 bits at the most",
-                errorMessage(start + "\"x\"}"));
-        assertEquals(
-                "configuration key settings.Me is missing",
-                errorMessage(start + "\"8c1f30d27a5be964\",\"known\":{},\"settings\":{}}"));
+        return Stream.of(
+                arguments("{}", "configuration key name is missing"),
+                arguments(
+                        "{\"name\":\"n\",\"listen\":\"here\"}",
+                        "configuration key listen should be an address and a port, such as 10.0.0.4:5000"),
+                arguments("{\"limits\":{\"sockets\":3}}", "configuration key limits.sockets should be at least 256"),
+                arguments(
+                        start + "\"x\"}",
+                        "configuration key seed should be a hexadecimal number of 64 bits at the most"),
+                arguments(
+                        start + "\"8c1f30d27a5be964\",\"known\":{},\"settings\":{}}",
+                        "configuration key settings.Me is missing"));
+    }
+
+    @ParameterizedTest(name = "{1}")
+    @MethodSource("invalidConfigurations")
+    void anInvalidKeyIsNamed(String json, String message) {
+        assertEquals(message, errorMessage(json));
     }
 
     @Test
@@ -62,7 +72,7 @@
                         .getMessage());
     }
 
-    /** The environment is that of the start: standing above a reloaded file, it would bring the old address back. */
+    /** The environment is that of the start: if it took precedence on reload, the old address would return. */
     @Test
     void onReloadTheFilesDiscoveryAddressApplies() throws IOException {
         Path file = Files.createTempFile("config", ".json");
@@ -90,11 +100,10 @@
         assertEquals(1.5e3, Json.object("{\"a\":1.5e3}").get("a"));
     }
 
-    @Test
-    void whatIsNotStrictJsonIsRejected() {
-        for (String text : new String[] {"{a:1}", "{\"a\":NaN}", "{\"a\":1}x", "{\"a\":1", "", "[1]"}) {
-            assertThrows(InvalidInputException.class, () -> Json.object(text), text);
-        }
+    @ParameterizedTest
+    @ValueSource(strings = {"{a:1}", "{\"a\":NaN}", "{\"a\":1}x", "{\"a\":1", "", "[1]"})
+    void whatIsNotStrictJsonIsRejected(String text) {
+        assertThrows(InvalidInputException.class, () -> Json.object(text), text);
     }
 
     @Test
@@ -107,15 +116,17 @@
         assertEquals(
                 "configuration key peers[1] should be another address than those before it",
                 withPeers(listen + ",\"10.0.0.5:7946\"],"));
-        for (String notPrivate :
-                List.of("8.8.8.8:53", "224.0.0.1:7946", "0.0.0.0:7946", "[::1]:7946", "100.128.0.1:1")) {
-            assertEquals(
-                    "configuration key peers[1] should be an IPv4 address of a private network or of loopback",
-                    withPeers(listen + ",\"" + notPrivate + "\"],"));
-        }
         assertEquals("configuration key peers_all" + address, withPeers(listen + "],\"peers_all\":\"all\","));
     }
 
+    @ParameterizedTest
+    @ValueSource(strings = {"8.8.8.8:53", "224.0.0.1:7946", "0.0.0.0:7946", "[::1]:7946", "100.128.0.1:1"})
+    void aPeerOutsideOfPrivateNetworksIsNamed(String address) {
+        assertEquals(
+                "configuration key peers[1] should be an IPv4 address of a private network or of loopback",
+                withPeers("\"peer_listen\":\"10.0.0.4:7946\",\"peers\":[\"10.0.0.5:7946\",\"" + address + "\"],"));
+    }
+
     private static String withPeers(String keys) {
         return errorMessage(
                 "{" + keys
