--- a/sidecar/src/test/java/dewplank/discovery/CatalogWatchTest.java
+++ b/sidecar/src/test/java/dewplank/discovery/CatalogWatchTest.java
@@ -13,18 +13,19 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import org.junit.jupiter.api.Test;
 
+/** The idle timeout of a watch, by which a discovery that is partitioned off is noticed. */
 class CatalogWatchTest {
 
     /**
-     * Found on a day of discovery troubles: 5 s of a silent watch during a release of the servers. A line is due every
-     * 2 s, and what discovery has to tell counts as told 4 s after a move.
+     * Regression: a watch was idle for 5 s during a release of the servers. A line is due every 2 s, and an update
+     * counts as delivered 4 s after a move.
      */
     @Test
     void theIdleTimeoutLeavesTimeForAnotherWatch() {
         assertTrue(CatalogWatch.IDLE_TIMEOUT_MS > 2_000 && CatalogWatch.IDLE_TIMEOUT_MS < 4_000);
     }
 
-    /** A discovery that is cut off keeps the connection open and says nothing; TCP does not notice. */
+    /** A discovery that is partitioned off keeps the connection open and sends nothing; TCP does not notice. */
     @Test
     void aSilentDiscoveryEndsTheWatchAndItsConnection() throws Exception {
         BlockingQueue<String> events = new LinkedBlockingQueue<>();
--- a/sidecar/src/test/java/dewplank/peers/PeerChannelTest.java
+++ b/sidecar/src/test/java/dewplank/peers/PeerChannelTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** One sidecar's datagrams, between two scripted peers and a stranger. */
+/** Datagrams between a sidecar, two scripted peers and an unknown sender. */
 class PeerChannelTest {
     private static final int TIMEOUT_S = 20;
 
@@ -101,9 +101,9 @@
     @Test
     void onlyDatagramsOfPeersAreDelivered() throws Exception {
         send(unknownSender, (byte) 1, (byte) 9);
-        send(first, (byte) 2, (byte) 9); // not readable
+        send(first, (byte) 2, (byte) 9); // invalid
         send(first, new byte[0]);
-        send(first, new byte[257]); // cut off at 257, so longer than allowed
+        send(first, new byte[257]); // longer than allowed
         send(second, (byte) 1, (byte) 7);
         ReceivedDatagram datagram = nextReceived();
         assertEquals(2, datagram.peer());
@@ -121,12 +121,12 @@
         assertArrayEquals(new byte[] {1, 5}, next(second));
         assertThrows(IllegalArgumentException.class, () -> peers.broadcast(new byte[257]));
         peers.close();
-        peers = peers(addressOf(unknownSender)); // one address for all of the tier
+        peers = peers(addressOf(unknownSender)); // one broadcast address
         loop.execute(() -> peers.broadcast(new byte[256]));
         assertEquals(256, next(unknownSender).length);
     }
 
-    /** A flood from a peer that went wrong neither fills the memory nor ends the hearing. */
+    /** A flood from a faulty peer neither fills the memory nor stops the receiving of later datagrams. */
     @Test
     void datagramsBeyondTheBoundAreDropped() throws Exception {
         CountDownLatch busy = new CountDownLatch(1);
--- a/sidecar/src/test/java/dewplank/sidecar/AttemptWriteTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/AttemptWriteTest.java
@@ -29,12 +29,12 @@
 import java.util.function.UnaryOperator;
 import org.junit.jupiter.api.Test;
 
-/** What may change between the decision to send and the writing: each crossing in the order that does harm. */
+/** What may change between the decision to send an attempt and its write, in the order that does harm. */
 class AttemptWriteTest {
-    /** Found on a zone day: a connection took long to come up, and the repeat was written past the window. */
+    /** Regression: a connect took long, and a retry was written after its deduplication window. */
     @Test
-    void aRepeatIsNotWrittenOnceItsWindowIsOver() throws Exception {
-        BalancerEventLatch listed = BalancerEventLatch.forUpdateOf("late");
+    void aRetryIsNotWrittenOnceItsWindowIsOver() throws Exception {
+        BalancerEventLatch listed = BalancerEventLatch.forUpdateOf("delayed");
         UnaryOperator<String> keyed = settings -> LoopbackNetwork.NO_CONNECT_TIMEOUT
                 .apply(settings)
                 .replace(
@@ -50,9 +50,10 @@
             Client client = net.client();
             client.send(Client.request("order-place", "Idempotency-Key: k\r\n"));
             ReceivedRequest first = net.servers.get(0).next();
-            watch.sendLine(LoopbackNetwork.catalogJson(8, false, List.of(delayed.endpointJson("late", "active"))));
+            watch.sendLine(LoopbackNetwork.catalogJson(8, false, List.of(delayed.endpointJson("delayed", "active"))));
             listed.await();
-            first.reset(); // it may have run: the repeat goes to the other server, whose connection is not up yet
+            first.reset(); // it may have run: the retry goes to the other server, whose connection is not
+            // established yet
             reset.await();
             net.callOnLoop(() -> null); // by now the connection is requested
             delayed.startAccepting();
@@ -61,7 +62,7 @@
         }
     }
 
-    /** The time that it may take to come up can be longer than the grace period after a drain was announced. */
+    /** A connect may take longer than the grace period after a drain was announced. */
     @Test
     void aServerThatDrainsWhileConnectingGetsNoRequest() throws Exception {
         try (LoopbackNetwork net = LoopbackNetwork.builder(0)
@@ -74,7 +75,7 @@
             Client order = net.client();
             order.sendRequest("order-place");
             net.awaitRequestAccepted();
-            watch.sendLine(LoopbackNetwork.catalogJson(9, false, List.of(delayed.endpointJson("late", "leaving"))));
+            watch.sendLine(LoopbackNetwork.catalogJson(9, false, List.of(delayed.endpointJson("delayed", "leaving"))));
             client.awaitHealthStatus("503");
             delayed.startAccepting();
             assertStatus("503", order.read());
@@ -82,7 +83,7 @@
         }
     }
 
-    /** Where nothing may be cancelled as well: what was never written is not an attempt yet. */
+    /** This holds where nothing may be cancelled, too: what was never written is not an attempt yet. */
     @Test
     void aClientThatDisconnectsWhileConnectingIsNotForwarded() throws Exception {
         BalancerEventLatch abandoned = new BalancerEventLatch(event -> event instanceof RequestAbandoned);
@@ -106,7 +107,7 @@
         }
     }
 
-    /** Nothing was written, so nothing ran: the client may try again, and an order too. */
+    /** Nothing was written, so nothing ran: the client may retry, even an order. */
     @Test
     void aTimeoutBeforeTheConnectionIsUpIsRejected() throws Exception {
         try (LoopbackNetwork net = LoopbackNetwork.builder(0)
@@ -122,8 +123,8 @@
     }
 
     /**
-     * The system has the complete request when the reset is seen, and only the write's completion is still to come: so
-     * it is after some twenty completions in one task, from where on they wait in line.
+     * The system has the complete request when the reset is seen, and only the completion of the write is pending: it
+     * is queued after some twenty completions in one task.
      */
     @Test
     void aResetSeenBeforeTheWritesCompletionProvesNothing() throws Exception {
@@ -156,13 +157,13 @@
         }
     }
 
-    /** A server begins a request with its last byte: what it says before that answers something else. */
+    /** A server starts a request at its last byte: a response before that belongs to another request. */
     @Test
     void aResponseBeforeTheRequestIsWrittenIsNotItsResponse() throws Exception {
         BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
         EventLoop loop = new EventLoop();
         try (ScriptedPeer server = new ScriptedPeer()) {
-            String more = "x".repeat(32 << 20); // beyond all that the system holds for a peer that does not read
+            String more = "x".repeat(32 << 20); // more than the system buffers for a peer that does not read
             loop.execute(() -> attempt(
                             loop,
                             server,
@@ -177,7 +178,7 @@
         }
     }
 
-    /** Between two sweeps a connection may get older than the server lets it: it is not used again. */
+    /** Between two sweeps a connection may exceed the idle timeout of the server: it is not reused. */
     @Test
     void aConnectionThatTheServerIsAboutToCloseIsNotReused() throws Exception {
         try (LoopbackNetwork net = LoopbackNetwork.builder(1)
@@ -199,7 +200,7 @@
         }
     }
 
-    /** Seen on a join day: some servers answer twice, the second time some milliseconds later. */
+    /** Some servers answer twice, the second time some milliseconds later. */
     @Test
     void aConnectionIsNotReusedUntilADuplicateResponseWouldHaveCome() throws Exception {
         EventLoop loop = new EventLoop();
@@ -242,18 +243,18 @@
 
     private static ReceivedRequest beginWatchListing(LoopbackNetwork net, ScriptedPeer delayed) throws Exception {
         ReceivedRequest watch = net.beginWatch();
-        watch.sendLine(LoopbackNetwork.catalogJson(8, false, List.of(delayed.endpointJson("late", "active"))));
+        watch.sendLine(LoopbackNetwork.catalogJson(8, false, List.of(delayed.endpointJson("delayed", "active"))));
         return watch;
     }
 
-    /** The crowd's two connections end, and the sidecar's: none brings a request. */
+    /** The two connections that filled the backlog end, and the sidecar's: none has brought a request. */
     private static void assertItsConnectionEndsUnused(ScriptedPeer delayed) throws Exception {
         for (int index = 0; index < 3; index++) {
             assertNull(delayed.next().message());
         }
     }
 
-    /** The connection was given up before it came up: a mark set now would come after a request on it. */
+    /** The connect was cancelled: a request on that connection would come before this marker. */
     private static void assertNothingCame(ScriptedPeer delayed) throws Exception {
         try (Socket mark =
                 new Socket(delayed.address().getAddress(), delayed.address().getPort())) {
--- a/sidecar/src/test/java/dewplank/sidecar/ClientDisconnectTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/ClientDisconnectTest.java
@@ -20,7 +20,7 @@
 
 /** Clients that disconnect, and connections that close while bytes arrive on them. */
 class ClientDisconnectTest {
-    /** Its end waits right behind its request, and is read first: the loop is blocked until both have come. */
+    /** The loop is blocked until the request and the close behind it have arrived, so both are read at once. */
     @Test
     void aRequestWhoseClientDisconnectsBeforeItIsReadIsNotForwarded() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
@@ -28,7 +28,7 @@
             before.sendRequest("menu-read");
             net.servers.get(0).next().respond("200 OK", "");
             assertStatus("200", before.read());
-            net.awaitConnectionReusable(); // a connection is at hand: nothing but reading lies before the sending
+            net.awaitConnectionReusable(); // a connection is free: only reading comes before sending
             net.callOnLoop(() -> {
                 Client disconnected = net.client();
                 disconnected.sendRequest("menu-read");
@@ -44,7 +44,7 @@
         }
     }
 
-    /** Queued for lack of a server: the list with one comes after the client has disconnected. */
+    /** The request is queued for lack of a server; the update with a server comes after the client has disconnected. */
     @Test
     void aClientThatDisconnectsWhileItsRequestIsQueuedIsNotForwarded() throws Exception {
         BalancerEventLatch abandoned = new BalancerEventLatch(event -> event instanceof RequestAbandoned);
@@ -68,7 +68,7 @@
         }
     }
 
-    /** More than a buffer's fill was sent ahead: the end behind it is seen all the same. */
+    /** More bytes than a buffer holds were sent ahead: the close behind them is noticed nevertheless. */
     @Test
     void aClientThatDisconnectsBehindUnreadBytesIsNotForwarded() throws Exception {
         BalancerEventLatch abandoned = new BalancerEventLatch(event -> event instanceof RequestAbandoned);
@@ -86,7 +86,7 @@
         }
     }
 
-    /** Who sends without end can't be seen to leave: that one gets an error, and its request goes nowhere. */
+    /** The close of a client that sends without end cannot be noticed: it gets an error, and nothing is forwarded. */
     @Test
     void tooManyBytesAheadOfAResponseEndTheirRequest() throws Exception {
         BalancerEventLatch abandoned = new BalancerEventLatch(event -> event instanceof RequestAbandoned);
@@ -106,7 +106,7 @@
         }
     }
 
-    /** One that only ends its sending can't be told from one that has closed, and counts as that. */
+    /** A half-closed connection cannot be distinguished from a closed one, and counts as closed. */
     @Test
     void aHalfClosedClientCountsAsDisconnected() throws Exception {
         BalancerEventLatch abandoned = new BalancerEventLatch(event -> event instanceof RequestAbandoned);
@@ -124,7 +124,7 @@
         }
     }
 
-    /** The process's end would reset a connection on which bytes have come, and an answer on its way with it. */
+    /** The end of the process would reset a connection with unread bytes, and lose a response in flight. */
     @Test
     void aDrainingSidecarEndsNoSoonerThanItsClientsHaveClosed() throws Exception {
         AtomicBoolean closed = new AtomicBoolean();
@@ -167,10 +167,10 @@
         }
     }
 
-    /** A client whose request has been taken, and waits for a connection to come up. */
+    /** A client whose request was accepted and waits for a connect to complete. */
     private static Client waitingAt(LoopbackNetwork net, ScriptedPeer delayed) throws Exception {
         ReceivedRequest watch = net.beginWatch();
-        watch.sendLine(LoopbackNetwork.catalogJson(8, false, List.of(delayed.endpointJson("late", "active"))));
+        watch.sendLine(LoopbackNetwork.catalogJson(8, false, List.of(delayed.endpointJson("delayed", "active"))));
         net.client().awaitHealthStatus("200");
         Client client = net.client();
         client.sendRequest("order-place");
@@ -178,7 +178,7 @@
         return client;
     }
 
-    /** The crowd's two connections end, and the sidecar's where it came up: none brings a request before the mark. */
+    /** None of the connections that were pending brings a request before the marker. */
     private static void assertNoRequestCame(ScriptedPeer delayed) throws Exception {
         Client mark = new Client(delayed.address().getPort());
         mark.send("GET /mark HTTP/1.1\r\n\r\n");
--- a/sidecar/src/test/java/dewplank/sidecar/ConnectionCloseTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/ConnectionCloseTest.java
@@ -21,11 +21,11 @@
 import java.util.function.BooleanSupplier;
 import org.junit.jupiter.api.Test;
 
-/** Requests that meet their connection's end, and attempts on which two endings meet: each order is brought about. */
+/** Requests that cross the close of their connection, and attempts with two outcomes at once, in either order. */
 class ConnectionCloseTest {
     private static final int TIMEOUT_S = 20;
 
-    /** The request lies unread when its idle connection is closed: no reset, and it is not forwarded either. */
+    /** The request is unread when its idle connection is closed: it is neither reset nor forwarded. */
     @Test
     void aRequestThatCrossesItsConnectionsCloseIsNotForwarded() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
@@ -50,8 +50,8 @@
                 net.sidecar.clients().closeIdle(true);
                 return null;
             });
-            call.respond("200 OK", "whole");
-            assertTrue(client.read().endsWith("\r\n\r\nwhole"));
+            call.respond("200 OK", "complete");
+            assertTrue(client.read().endsWith("\r\n\r\ncomplete"));
         }
     }
 
@@ -67,10 +67,10 @@
             first.send("cd");
             ReceivedRequest call = net.servers.get(0).nextRequest();
             assertTrue(call.message().endsWith("\r\n\r\nabcd"), call.message());
-            call.respond("200 OK", "whole");
-            assertTrue(first.read().endsWith("\r\n\r\nwhole"));
+            call.respond("200 OK", "complete");
+            assertTrue(first.read().endsWith("\r\n\r\ncomplete"));
             net.callOnLoop(() -> {
-                second.send("cd"); // the rest crosses the end
+                second.send("cd"); // the remaining bytes cross the close
                 net.sidecar.clients().closeIdle(true);
                 return null;
             });
@@ -100,7 +100,7 @@
                 double started = loop.now();
                 answer(call);
                 await(() -> loop.now() > started + 60);
-                loop.after(0, () -> loop.execute(() -> pooled.add(pool.size()))); // after both were looked at
+                loop.after(0, () -> loop.execute(() -> pooled.add(pool.size()))); // after both were handled
             });
             Outcome outcome = outcomes.poll(TIMEOUT_S, TimeUnit.SECONDS);
             int pooledCount = pooled.poll(TIMEOUT_S, TimeUnit.SECONDS);
@@ -113,16 +113,16 @@
         }
     }
 
-    /** Without a length only the connection's end can end it, and a reset is none. */
+    /** Without a length only the close of the connection completes a response; a reset does not. */
     @Test
     void aResponseWithoutALengthIsCompleteAtACloseAndNotAtAReset() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = net.client();
             client.sendRequest("order-place");
             ReceivedRequest ends = net.servers.get(0).nextRequest();
-            ends.connection().send("HTTP/1.1 200 OK\r\n\r\nwhole");
+            ends.connection().send("HTTP/1.1 200 OK\r\n\r\ncomplete");
             ends.connection().socket.close();
-            assertTrue(client.read().endsWith("\r\n\r\nwhole"));
+            assertTrue(client.read().endsWith("\r\n\r\ncomplete"));
             client.sendRequest("order-place");
             ReceivedRequest reset = net.servers.get(0).nextRequest();
             reset.connection().send("HTTP/1.1 200 OK\r\n\r\npart");
@@ -191,7 +191,7 @@
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
         while (!reached.getAsBoolean()) {
             if (System.nanoTime() > until) {
-                throw new AssertionError("never reached");
+                throw new AssertionError("the condition was not reached in time");
             }
             Thread.onSpinWait();
         }
@@ -209,7 +209,7 @@
         }
     }
 
-    /** A client whose connection has had an answer. */
+    /** A client whose connection is idle after one response. */
     private static Client idleClient(LoopbackNetwork net) throws Exception {
         Client client = net.client();
         client.sendRequest("menu-read");
--- a/sidecar/src/test/java/dewplank/sidecar/DiscoveryClientTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/DiscoveryClientTest.java
@@ -28,11 +28,11 @@
 import java.util.function.UnaryOperator;
 import org.junit.jupiter.api.Test;
 
-/** Lists of discovery that come late, twice, in chunks, or from two addresses at once. */
+/** Endpoint lists that are late, repeated, out of order, chunked, or from two addresses of discovery at once. */
 class DiscoveryClientTest {
     private static final UnaryOperator<String> PUSHED = settings -> settings.replace("\"on_request\"", "\"pushed\"");
 
-    /** Found on the days of a deployment whose lists are pushed: no watch was ever opened, and drains were missed. */
+    /** Regression: where lists are pushed no watch was opened, so draining servers were not noticed. */
     @Test
     void whereListsArePushedTheWatchIsReopenedAtOnce() throws Exception {
         try (LoopbackNetwork net = LoopbackNetwork.builder(1).settings(PUSHED).start()) {
@@ -51,7 +51,7 @@
         }
     }
 
-    /** What the agent has counts as delivered from a process's start: its initial list may be out of date. */
+    /** The agent's updates count as delivered from the start of the process: its initial list may be out of date. */
     @Test
     void whereListsArePushedNothingIsSentBeforeTheFirst() throws Exception {
         BlockingQueue<UpdateKind> updates = new LinkedBlockingQueue<>();
@@ -99,7 +99,7 @@
         }
     }
 
-    /** A list that was long on its way, or from a replica that lags, would bring a draining server back. */
+    /** A delayed list, or one from a replica that lags, would undo the draining of a server. */
     @Test
     void anOlderListThatComesLastIsIgnored() throws Exception {
         BalancerEventLatch last = BalancerEventLatch.forUpdateOf("last");
@@ -116,7 +116,7 @@
         }
     }
 
-    /** Else each break of a quiet watch would be followed by a longer wait, and drains be missed meanwhile. */
+    /** Otherwise each break of an idle watch would lengthen the backoff, and draining servers be missed meanwhile. */
     @Test
     void anEmptyLineCountsAsAnUpdate() throws Exception {
         BalancerEventLatch answered = new BalancerEventLatch(
@@ -160,7 +160,7 @@
         }
     }
 
-    /** The old address's words, on their way when discovery moved, are heard no more. */
+    /** Updates of the old address that are in flight when discovery moves are ignored. */
     @Test
     void aListOfTheOldDiscoveryAfterAMoveIsIgnored() throws Exception {
         BalancerEventLatch listed = BalancerEventLatch.forUpdateOf("s1");
@@ -175,7 +175,7 @@
             old.sendLine("");
             watchOpened.await(); // all that came so far is read: what comes now arrives after the move
             net.callOnLoop(
-                    () -> { // the move stands in line before what the old one says now
+                    () -> { // the move is queued before what the old one sends now
                         net.sidecar.reload(net.withDiscovery(moved.address()));
                         old.sendLine(LoopbackNetwork.catalogJson(20, true, List.of()));
                         return null;
--- a/sidecar/src/test/java/dewplank/sidecar/LoopbackNetwork.java
+++ b/sidecar/src/test/java/dewplank/sidecar/LoopbackNetwork.java
@@ -53,7 +53,7 @@
          "Safety":{"AskWithin":10000,"Cold":22000,"ColdShare":0.12,"FallMultiple":4,"TipAfter":2000},
          "Tick":5.0,"Weights":"none"}""";
 
-    /** Only the attempt's own time-out ends a connection that does not come up. */
+    /** Only the timeout of the attempt ends a connect that does not complete. */
     static final UnaryOperator<String> NO_CONNECT_TIMEOUT =
             settings -> settings.replace("\"ConnectTimeout\":2000", "\"ConnectTimeout\":0");
 
@@ -61,7 +61,7 @@
     final ScriptedPeer discovery = new ScriptedPeer();
     final SidecarConfig config;
     final Sidecar sidecar;
-    private final int sidecarPort; // asked for at the start: a closed listener does not tell it
+    private final int sidecarPort; // read at the start: a closed listener has none
 
     /** A network with other settings, or with a wrapper around the balancer. */
     static final class Builder {
@@ -351,10 +351,10 @@
             });
         }
 
-        /** Connections to it come up late: not before {@link #startAccepting}, and then at the system's next try. */
+        /** Connects to it complete only after {@link #startAccepting}, at the next retry of the system. */
         static ScriptedPeer withDelayedAccept() throws IOException {
             ScriptedPeer delayed = new ScriptedPeer(1);
-            for (int index = 0; index < 2; index++) { // the system's queue, which holds one more than asked for
+            for (int index = 0; index < 2; index++) { // fills the backlog, which holds one more than requested
                 delayed.backlogFillers.add(
                         new Socket(InetAddress.getLoopbackAddress(), delayed.listener.getLocalPort()));
             }
@@ -398,7 +398,7 @@
             return exchange;
         }
 
-        /** From here on connections are refused: until the accepting has ended, the system may still take one. */
+        /** Connects are refused from here on: until the accepting thread has ended, the system may still accept one. */
         @Override
         public void close() throws IOException {
             listener.close();
--- a/sidecar/src/test/java/dewplank/simhost/SimulatorHostTest.java
+++ b/sidecar/src/test/java/dewplank/simhost/SimulatorHostTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A whole transcript through the adapter, and what it says of bad input. */
+/** The adapter to the simulator: a complete transcript, and the error messages on invalid input. */
 class SimulatorHostTest {
     private static final String CREATE = "[\"CREATE\",3,99,{\"Accounts\":[],\"Az\":\"z1\",\"Classes\":[{"
             + "\"Deadline\":600.0,\"Idempotency\":\"read_like\",\"KeyScope\":\"all\",\"KeyTtl\":5000.0,"
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void aTranscript() throws IOException {
+    void aTranscriptIsAnswered() throws IOException {
         String out = run(START + "[\"END\"]\n"
                 + "[\"TURN\",1004.25,2]\n"
                 + "[\"INBOUND\",3,2565059112505796,null,\"user:a\",1,\"look\",540.0,12.0]\n[\"END\"]\n"
