--- a/emulator/src/test/java/dewplank/emulator/EndpointDirectoryTest.java
+++ b/emulator/src/test/java/dewplank/emulator/EndpointDirectoryTest.java
@@ -1,47 +1,34 @@
 package dewplank.emulator;
 
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dewplank.balancer.Endpoint;
 import dewplank.balancer.Endpoint.Availability;
 import dewplank.emulator.RecordedEvent.Type;
-import dewplank.emulator.scenario.ScenarioFile;
-import dewplank.emulator.scenario.TomlFile;
 import java.util.ArrayList;
 import java.util.List;
-import org.junit.Test;
+import org.junit.jupiter.api.Test;
+
+/** What sidecars that watch the directory are sent, and when. */
+class EndpointDirectoryTest {
+    private static final int MORE_CHANGES_THAN_THE_HISTORY_HAS = 5_000;
+    private static final String FREQUENT_UPDATES = "period_ms = 100, calls_per_s = 1000";
 
-public class EndpointDirectoryTest {
     private final VirtualTime time = new VirtualTime();
     private final List<RecordedEvent> events = new ArrayList<>();
     private final List<String> updates = new ArrayList<>();
-    private World world;
 
-    private void world(String directory) {
-        world = new World(
-                ScenarioFile.of(TomlFile.read(
-                        """
-            name = "list"
-            length_s = 10
-            sidecars = 2
-            servers = { count = 4 }
-            directory = { %s }
-            load = { per_s = 1 }
-            [[class]]
-            name = "k"
-            work_ms = 1
-            deadline_ms = 100
-            """
-                                .formatted(directory),
-                        "list.toml")),
-                1,
-                time,
-                events::add);
+    /** A world of four servers and two sidecars. */
+    private World world(String directoryKeys) {
+        return new WorldBuilder(time, events::add)
+                .directory(directoryKeys)
+                .servers("count = 4")
+                .build();
     }
 
-    private EndpointDirectory.Watch watch(long since) {
-        return world.directory().watch(0, since, new EndpointDirectory.Watcher() {
+    private EndpointDirectory.Watch watch(World world, long sinceVersion) {
+        return world.directory().watch(0, sinceVersion, new EndpointDirectory.Watcher() {
             @Override
             public void updated(long version, boolean full, List<Endpoint> entries) {
                 updates.add((full ? "full " : "changes ") + entries.size());
@@ -55,42 +42,44 @@
     }
 
     @Test
-    public void aLossIsNoticedLateAndAReturnThatWasQuickerIsNoLoss() {
-        world("notice_s = 2, add_s = 0.5, period_ms = 100, calls_per_s = 1000");
-        watch(world.directory().version());
-        Server quick = world.servers().get(0);
+    void aLossIsNoticedAfterADelayAndAnEarlierRestartIsNoLoss() {
+        World world = world("notice_s = 2, add_s = 0.5, " + FREQUENT_UPDATES);
+        watch(world, world.directory().version());
+        Server restarted = world.servers().get(0);
         Server lost = world.servers().get(1);
-        quick.crash();
-        world.noticeCrash(quick);
-        world.restart(quick, 100);
+        restarted.crash();
+        world.noticeCrash(restarted);
+        world.restart(restarted, 100);
         lost.crash();
         world.noticeCrash(lost);
         time.runUntil(900);
-        assertEquals(List.of("changes 0", "changes 1"), updates); // the quick one's new start
+        assertEquals(List.of("changes 0", "changes 1"), updates); // the new start of the restarted one
         time.runUntil(4_000);
         assertEquals(List.of("changes 0", "changes 1", "changes 1"), updates);
-        assertEquals(
-                1,
-                events.stream()
-                        .filter(n -> n.type() == Type.NOTIFIED_REMOVED && n.server() == 1)
-                        .count());
+        assertEquals(1, removalsOf(lost));
+    }
+
+    private long removalsOf(Server server) {
+        return events.stream()
+                .filter(event -> event.type() == Type.NOTIFIED_REMOVED && event.server() == server.number())
+                .count();
     }
 
     @Test
-    public void callsWaitTheirTurnAndFailWhenTheyHaveWaitedTooLong() {
-        world("calls_per_s = 2, timeout_ms = 1000");
-        for (int i = 0; i < 5; i++) {
-            watch(1);
+    void callsAreQueuedAndFailAtTheirTimeout() {
+        World world = world("calls_per_s = 2, timeout_ms = 1000");
+        for (int call = 0; call < 5; call++) {
+            watch(world, 1);
         }
         time.runUntil(3_000);
-        assertEquals(3, updates.stream().filter(h -> h.equals("changes 0")).count());
-        assertEquals(2, updates.stream().filter(h -> h.equals("ended at 1000")).count());
+        assertEquals(3, updates.stream().filter("changes 0"::equals).count());
+        assertEquals(2, updates.stream().filter("ended at 1000"::equals).count());
     }
 
     @Test
-    public void watchesEndWhenItGoesDownAndStayWithoutUpdatesWhenItStalls() {
-        world("period_ms = 100, calls_per_s = 1000");
-        watch(1);
+    void watchesGetNoUpdatesWhileItIsStalledAndEndWhenItGoesDown() {
+        World world = world(FREQUENT_UPDATES);
+        watch(world, 1);
         time.runUntil(100);
         world.directory().setStalled(true);
         world.directory().set(world.servers().get(2), Availability.DRAINING);
@@ -98,17 +87,17 @@
         assertEquals(List.of("changes 0"), updates);
         world.directory().setDown(true);
         assertEquals(2, updates.size());
-        assertTrue(updates.get(1).startsWith("ended"));
+        assertTrue(updates.get(1).startsWith("ended"), updates::toString);
     }
 
     @Test
-    public void aWatchThatIsFarBehindGetsAFullUpdate() {
-        world("period_ms = 100, calls_per_s = 1000");
-        Server s = world.servers().get(0);
-        for (int i = 0; i < 5_000; i++) {
-            world.directory().set(s, i % 2 == 0 ? Availability.DRAINING : Availability.UP);
+    void aWatchFromBeforeTheHistoryGetsAFullUpdate() {
+        World world = world(FREQUENT_UPDATES);
+        Server server = world.servers().get(0);
+        for (int change = 0; change < MORE_CHANGES_THAN_THE_HISTORY_HAS; change++) {
+            world.directory().set(server, change % 2 == 0 ? Availability.DRAINING : Availability.UP);
         }
-        watch(1);
+        watch(world, 1);
         time.runUntil(50);
         assertEquals(List.of("full 4"), updates);
     }
--- a/emulator/src/test/java/dewplank/emulator/VirtualTimeTest.java
+++ b/emulator/src/test/java/dewplank/emulator/VirtualTimeTest.java
@@ -1,42 +1,45 @@
 package dewplank.emulator;
 
-import static org.junit.Assert.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
 import java.util.Random;
-import org.junit.Test;
+import org.junit.jupiter.api.Test;
 
-public class VirtualTimeTest {
+/** The order in which virtual time runs its tasks. */
+class VirtualTimeTest {
+    private static final int TASKS = 5_000;
+
+    private final VirtualTime time = new VirtualTime();
 
     @Test
-    public void tasksRunByTimeAndThoseOfOneMomentInTheirOrder() {
-        VirtualTime time = new VirtualTime();
+    void tasksRunByTimeAndThoseOfOneMomentInTheOrderOfTheirCalls() {
         Random random = new Random(3);
-        List<String> ran = new ArrayList<>();
         List<String> expected = new ArrayList<>();
-        for (int i = 0; i < 5_000; i++) {
-            int at = random.nextInt(500);
-            String name = "%04d %05d".formatted(at, i);
+        List<String> actual = new ArrayList<>();
+        for (int order = 0; order < TASKS; order++) {
+            int atMs = random.nextInt(500);
+            String name = "%04d %05d".formatted(atMs, order);
             expected.add(name);
-            time.after(at, () -> ran.add(name));
+            time.after(atMs, () -> actual.add(name));
         }
         Collections.sort(expected);
         time.runUntil(1_000);
-        assertEquals(expected, ran);
-        assertEquals(1_000, time.now(), 0);
+        assertEquals(expected, actual);
+        assertEquals(1_000, time.now());
+        assertEquals(TASKS, time.tasksRun());
     }
 
     @Test
-    public void aTaskOfThePastRunsNowAndNotInsideTheCall() {
-        VirtualTime time = new VirtualTime();
-        List<Double> at = new ArrayList<>();
+    void aTaskWithANegativeDelayRunsAtThePresentTimeAfterTheCall() {
+        List<Double> ranAtMs = new ArrayList<>();
         time.after(10, () -> {
-            time.after(-5, () -> at.add(time.now()));
-            at.add(-1.0);
+            time.after(-5, () -> ranAtMs.add(time.now()));
+            ranAtMs.add(-1.0);
         });
         time.runUntil(20);
-        assertEquals(List.of(-1.0, 10.0), at);
+        assertEquals(List.of(-1.0, 10.0), ranAtMs);
     }
 }
--- /dev/null
+++ b/emulator/src/test/java/dewplank/emulator/WorldBuilder.java
@@ -0,0 +1,87 @@
+package dewplank.emulator;
+
+import dewplank.emulator.scenario.ScenarioFile;
+import dewplank.emulator.scenario.TomlFile;
+
+/**
+ * Builds a world with one class of requests for a test of its parts. Keys are those of a scenario file; what a test
+ * does not set has the file's defaults.
+ */
+final class WorldBuilder {
+    private static final String FILE = "small.toml";
+
+    private final VirtualTime time;
+    private final RecordedEvent.Recorder recorder;
+    private String topLevelKeys = "";
+    private String serverKeys = "count = 1";
+    private String directoryKeys = "";
+    private String classKeys = "";
+    private double workMs = 1;
+    private double deadlineMs = 100;
+    private long seed = 1;
+
+    /** {@code recorder} gets what the world records. */
+    WorldBuilder(VirtualTime time, RecordedEvent.Recorder recorder) {
+        this.time = time;
+        this.recorder = recorder;
+    }
+
+    /** Lines outside all tables. */
+    WorldBuilder topLevel(String keys) {
+        topLevelKeys = keys;
+        return this;
+    }
+
+    /** Lines of the table {@code servers}. */
+    WorldBuilder servers(String keys) {
+        serverKeys = keys;
+        return this;
+    }
+
+    /** Keys of the inline table {@code directory}, with commas between. */
+    WorldBuilder directory(String keys) {
+        directoryKeys = keys;
+        return this;
+    }
+
+    /** More lines of the one class. */
+    WorldBuilder requestClass(String keys) {
+        classKeys = keys;
+        return this;
+    }
+
+    /** Mean work of a request, in milliseconds of a standard core, and its client's deadline. */
+    WorldBuilder requests(double meanWorkMs, double clientDeadlineMs) {
+        workMs = meanWorkMs;
+        deadlineMs = clientDeadlineMs;
+        return this;
+    }
+
+    WorldBuilder seed(long value) {
+        seed = value;
+        return this;
+    }
+
+    World build() {
+        return new World(ScenarioFile.of(TomlFile.read(text(), FILE)), seed, time, recorder);
+    }
+
+    private String text() {
+        return """
+            name = "small"
+            length_s = 10
+            sidecars = 2
+            directory = { %s }
+            load = { per_s = 1 }
+            %s
+            [servers]
+            %s
+            [[class]]
+            name = "k"
+            work_ms = %s
+            deadline_ms = %s
+            %s
+            """
+                .formatted(directoryKeys, topLevelKeys, serverKeys, workMs, deadlineMs, classKeys);
+    }
+}
--- /dev/null
+++ b/emulator/src/test/java/dewplank/emulator/WorldTest.java
@@ -0,0 +1,25 @@
+package dewplank.emulator;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.Optional;
+import org.junit.jupiter.api.Test;
+
+/** How servers are found in a world. */
+class WorldTest {
+    private final World world = new WorldBuilder(new VirtualTime(), event -> {})
+            .servers("count = 3")
+            .build();
+
+    @Test
+    void aServerIsFoundByItsIdentifier() {
+        for (Server server : world.servers()) {
+            assertEquals(Optional.of(server), world.server(server.id()));
+        }
+    }
+
+    @Test
+    void anUnknownIdentifierHasNoServer() {
+        assertEquals(Optional.empty(), world.server("s-none"));
+    }
+}
--- a/emulator/src/test/java/dewplank/emulator/fleet/FleetAuditorTest.java
+++ b/emulator/src/test/java/dewplank/emulator/fleet/FleetAuditorTest.java
@@ -26,7 +26,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** Histories made by hand: one that keeps the rules, and each rule broken once. */
+/** Histories written by hand: some that keep the rules, and each rule broken. */
 class FleetAuditorTest {
     private static final RouteSpec WRITE = RouteSpec.to("plain", "write", RouteSpec.Kind.UNSAFE);
     private static final RouteSpec READ = RouteSpec.to("plain", "read", RouteSpec.Kind.SAFE);
@@ -41,18 +41,26 @@
             new ServerIdentity("i-2", "other", "ost", ServerStage.NONE, "127.0.0.1:2");
     private static final ServerIdentity MODEL =
             new ServerIdentity("i-3", "model", "ost", ServerStage.DECODE, "127.0.0.1:3");
-    private static final double LATE = 9_000;
+    /** Long after all that happens at the start of a history must be in effect. */
+    private static final double LATE_MS = 9_000;
+
+    private static final double START_MS = 1;
 
     private final List<FleetEvent> events = new ArrayList<>();
 
     FleetAuditorTest() {
-        taken(FIRST, 0, 0);
+        acknowledged(FIRST, 0, 0);
     }
 
-    private void taken(FleetConfiguration document, long base, double at) {
+    /** The operator sent a configuration, and it was acknowledged at once. */
+    private void acknowledged(FleetConfiguration document, long base, double atMs) {
         String text = document.json().toString();
-        events.add(new ChangeSent(at, base, Optional.of(document), text));
-        events.add(new ChangeAnswered(at, base, Optional.of(document), text, 200));
+        events.add(new ChangeSent(atMs, base, Optional.of(document), text));
+        events.add(new ChangeAnswered(atMs, base, Optional.of(document), text, 200));
+    }
+
+    private void assertKept() {
+        assertBroken();
     }
 
     private void assertBroken(Rule... rules) {
@@ -63,105 +71,117 @@
         assertEquals(List.of(rules), found, () -> FleetAuditor.audit(events).toString());
     }
 
-    private void sent(double at, String id, ClientRequest request) {
-        events.add(new AttemptSent(at, "edge", id, request));
+    private void sent(double atMs, String id, ClientRequest request) {
+        events.add(new AttemptSent(atMs, "edge", id, request));
     }
 
-    private void ran(double at, ServerIdentity server, String id, ClientRequest r) {
-        events.add(new Arrived(at, server, id, false, r.method(), r.target(), r.body()));
-        events.add(new RunStarted(at, server, id));
+    private void ran(double atMs, ServerIdentity server, String id, ClientRequest request) {
+        events.add(new Arrived(atMs, server, id, false, request.method(), request.target(), request.body()));
+        events.add(new RunStarted(atMs, server, id));
     }
 
-    private void answered(double at, String id, String seal, String body, String received) {
-        events.add(new Answered(at, SERVER, id, 200, Optional.of(seal), body));
-        events.add(new AttemptEnded(at, id, 200, Optional.of(seal), received, true, false));
+    /** A server sent {@code body} with a success, and the client received {@code received}. */
+    private void answered(double atMs, String id, String seal, String body, String received) {
+        events.add(new Answered(atMs, SERVER, id, 200, Optional.of(seal), body));
+        events.add(new AttemptEnded(atMs, id, 200, Optional.of(seal), received, true, false));
     }
 
-    private void served(double at, ServerIdentity server, String id, ClientRequest request) {
-        sent(at, id, request);
-        ran(at, server, id, request);
-        answered(at, id, "seal-" + id, "body", "body");
+    private void served(double atMs, ServerIdentity server, String id, ClientRequest request) {
+        sent(atMs, id, request);
+        ran(atMs, server, id, request);
+        answered(atMs, id, "seal-" + id, "body", "body");
     }
 
-    private void stream(String id, int emitted, String received, boolean whole, String... seals) {
+    /** A server sent so many events, and the client received {@code received} under each of the seals. */
+    private void stream(String id, int emitted, String received, boolean isComplete, String... seals) {
         ClientRequest request = ClientRequest.direct(CHAT, "s", 3);
-        sent(1, id, request);
-        ran(1, MODEL, id, request);
-        events.add(new StreamBegun(1, MODEL, id, "seal"));
-        for (int i = 1; i <= emitted; i++) {
-            events.add(new StreamEventSent(1, MODEL, id, i, StreamEvents.text(id, i)));
+        sent(START_MS, id, request);
+        ran(START_MS, MODEL, id, request);
+        events.add(new StreamBegun(START_MS, MODEL, id, "seal"));
+        for (int event = 1; event <= emitted; event++) {
+            events.add(new StreamEventSent(START_MS, MODEL, id, event, StreamEvents.text(id, event)));
         }
         for (String seal : seals) {
-            events.add(new StreamBytes(1, id, 200, Optional.of(seal), received));
+            events.add(new StreamBytes(START_MS, id, 200, Optional.of(seal), received));
         }
-        events.add(new AttemptEnded(2, id, 200, Optional.of("seal"), received, whole, false));
+        events.add(new AttemptEnded(2, id, 200, Optional.of("seal"), received, isComplete, false));
     }
 
     @Test
-    void aHistoryThatKeepsTheRulesIsPassed() {
-        served(1, SERVER, "a", ClientRequest.plain(WRITE, "x"));
+    void aHistoryThatKeepsTheRulesHasNoViolation() {
+        served(START_MS, SERVER, "a", ClientRequest.plain(WRITE, "x"));
         stream("b", 3, StreamEvents.stream("b", 3), true, "seal", "seal");
         events.add(new ReadBack(5, 4, "core", FIRST.json().toString()));
-        events.add(new EndpointListRequested(1, "core-0", 200));
+        events.add(new EndpointListRequested(START_MS, "core-0", 200));
         events.add(new EndpointListRequested(2, "core-1", 200));
         events.add(new EndpointListRequested(100, "core-0", 200));
         events.add(new EndpointListRequested(900, "core-1", 200));
-        assertBroken();
+        assertKept();
     }
 
     @Test
-    void aSecondRunIsFoundWhereOneIsAllowed() {
+    void aSecondRunIsFoundUnlessTheRequestIsIdempotent() {
         ClientRequest read = ClientRequest.plain(READ, "x");
-        served(1, SERVER, "a", read);
+        served(START_MS, SERVER, "a", read);
         ran(2, SERVER, "a", read);
-        assertBroken();
+        assertKept();
         ClientRequest write = ClientRequest.plain(WRITE, "x");
-        served(1, SERVER, "b", write);
+        served(START_MS, SERVER, "b", write);
         ran(2, SERVER, "b", write);
         assertBroken(Rule.TWICE);
     }
 
     @Test
-    void aRunBehindARefusalIsFound() {
+    void aRunOfARejectedRequestIsFound() {
         ClientRequest write = ClientRequest.plain(WRITE, "x");
-        sent(1, "a", write);
+        sent(START_MS, "a", write);
         events.add(new AttemptEnded(2, "a", 503, Optional.empty(), "", true, false));
-        assertBroken();
+        assertKept();
         ran(3, SERVER, "a", write);
         assertBroken(Rule.REFUSED);
     }
 
     @Test
-    void aSuccessThatIsNotTheServersIsFound() {
+    void aSuccessWithAnotherBodyThanTheServersIsFound() {
         ClientRequest write = ClientRequest.plain(WRITE, "x");
-        sent(1, "a", write);
-        ran(1, SERVER, "a", write);
-        answered(1, "a", "seal", "body", "bod");
+        sent(START_MS, "a", write);
+        ran(START_MS, SERVER, "a", write);
+        answered(START_MS, "a", "seal", "body", "bod");
         assertBroken(Rule.MIXED);
     }
 
     @Test
     void aSuccessWithoutSealIsFound() {
-        sent(1, "a", ClientRequest.plain(WRITE, "x"));
+        sent(START_MS, "a", ClientRequest.plain(WRITE, "x"));
         events.add(new AttemptEnded(2, "a", 200, Optional.empty(), "body", true, false));
         assertBroken(Rule.MIXED);
     }
 
     @Test
-    void aRequestThatNobodySentIsFound() {
-        sent(1, "a", ClientRequest.plain(WRITE, "x"));
-        events.add(new Arrived(1, SERVER, "a", false, "POST", "/write/x", "another body"));
+    void aStreamWithoutSealIsFound() {
+        ClientRequest request = ClientRequest.direct(CHAT, "s", 0);
+        sent(START_MS, "a", request);
+        ran(START_MS, MODEL, "a", request);
+        events.add(new StreamBegun(START_MS, MODEL, "a", "seal"));
+        events.add(new AttemptEnded(2, "a", 200, Optional.empty(), "", false, false));
+        assertBroken(Rule.MIXED);
+    }
+
+    @Test
+    void aRequestThatNoClientSentIsFound() {
+        sent(START_MS, "a", ClientRequest.plain(WRITE, "x"));
+        events.add(new Arrived(START_MS, SERVER, "a", false, "POST", "/write/x", "another body"));
         assertBroken(Rule.UNASKED);
     }
 
     @Test
-    void aStreamThatIsCutMayEndWithinAnEvent() {
+    void anInterruptedStreamMayEndWithinAnEvent() {
         stream("a", 2, StreamEvents.stream("a", 1) + "id: 2", false, "seal");
-        assertBroken();
+        assertKept();
     }
 
     @Test
-    void aStreamThatEndsTooEarlyIsFound() {
+    void aCompleteStreamWithoutItsLastEventIsFound() {
         stream("a", 3, StreamEvents.stream("a", 2), true, "seal");
         assertBroken(Rule.ORDER);
     }
@@ -179,111 +199,114 @@
     }
 
     @Test
-    void aHandleTakenTwiceOrForAnotherIsFound() {
-        events.add(new HandleCreated(1, MODEL, "h", "a"));
+    void aHandleThatIsFetchedTwiceIsFound() {
+        events.add(new HandleCreated(START_MS, MODEL, "h", "a"));
         events.add(new HandleFetched(2, "h", "a"));
-        assertBroken();
+        assertKept();
         events.add(new HandleFetched(3, "h", "a"));
         assertBroken(Rule.HANDLE);
     }
 
     @Test
-    void aHandleTakenForAnotherRequestIsFound() {
-        events.add(new HandleCreated(1, MODEL, "h", "a"));
+    void aHandleThatIsFetchedForAnotherRequestIsFound() {
+        events.add(new HandleCreated(START_MS, MODEL, "h", "a"));
         events.add(new HandleFetched(2, "h", "b"));
         assertBroken(Rule.HANDLE);
     }
 
     @Test
-    void aRunWhereNoConfigurationSendsItIsFound() {
-        served(1, OTHER, "a", ClientRequest.plain(WRITE, "x"));
+    void aRunAtAServiceOfNoConfigurationIsFound() {
+        served(START_MS, OTHER, "a", ClientRequest.plain(WRITE, "x"));
         assertBroken(Rule.ROUTE);
     }
 
     @Test
-    void aRunByAConfigurationThatWasRefusedIsFound() {
-        FleetConfiguration refused = FIRST.with(5, WRITE.movedTo("other"));
-        events.add(new ChangeSent(1, 3, Optional.of(refused), refused.json().toString()));
-        served(1, OTHER, "a", ClientRequest.plain(WRITE, "x"));
-        assertBroken();
-        events.add(new ChangeAnswered(2, 3, Optional.of(refused), refused.json().toString(), 412));
+    void aRunByARejectedConfigurationIsFound() {
+        FleetConfiguration rejected = FIRST.with(5, WRITE.movedTo("other"));
+        events.add(new ChangeSent(
+                START_MS, 3, Optional.of(rejected), rejected.json().toString()));
+        served(START_MS, OTHER, "a", ClientRequest.plain(WRITE, "x"));
+        assertKept();
+        events.add(
+                new ChangeAnswered(2, 3, Optional.of(rejected), rejected.json().toString(), 412));
         assertBroken(Rule.ROUTE);
     }
 
     @Test
     void aRequestThatReachesADrainingServerLateIsFound() {
-        events.add(new ListedDraining(1, SERVER));
+        events.add(new ListedDraining(START_MS, SERVER));
         served(1 + FleetBounds.DRAIN_MS, SERVER, "a", ClientRequest.plain(WRITE, "x"));
-        ClientRequest meantForAnother = ClientRequest.plain(WRITE, "y");
-        sent(LATE, "b", meantForAnother);
-        events.add(new Arrived(LATE, SERVER, "b", false, "POST", meantForAnother.target(), meantForAnother.body()));
-        events.add(new RunRejected(LATE, SERVER, "b", 421));
-        assertBroken();
+        ClientRequest forAnotherInstance = ClientRequest.plain(WRITE, "y");
+        sent(LATE_MS, "b", forAnotherInstance);
+        events.add(new Arrived(
+                LATE_MS, SERVER, "b", false, "POST", forAnotherInstance.target(), forAnotherInstance.body()));
+        events.add(new RunRejected(LATE_MS, SERVER, "b", 421));
+        assertKept();
         served(2 + FleetBounds.DRAIN_MS, SERVER, "c", ClientRequest.plain(WRITE, "x"));
         assertBroken(Rule.DRAIN);
     }
 
     @Test
     void aLostConfigurationIsFound() {
-        taken(FIRST.withVersion(5), 3, 1);
+        acknowledged(FIRST.withVersion(5), 3, 1);
         events.add(new ReadBack(3, 2, "core", FIRST.json().toString()));
         assertBroken(Rule.CONFIG);
     }
 
     @Test
-    void aConfigurationThatNobodySentIsFound() {
+    void aConfigurationThatNoOperatorSentIsFound() {
         events.add(new ReadBack(3, 2, "core", FIRST.without(3, "read").json().toString()));
         assertBroken(Rule.CONFIG);
     }
 
     @Test
     void twoAcknowledgementsOnOneBaseAreFound() {
-        taken(FIRST.withVersion(5), 3, 1);
-        taken(FIRST.withVersion(5), 3, 1);
-        assertBroken();
-        taken(FIRST.withVersion(6), 3, 1);
+        acknowledged(FIRST.withVersion(5), 3, 1);
+        acknowledged(FIRST.withVersion(5), 3, 1);
+        assertKept();
+        acknowledged(FIRST.withVersion(6), 3, 1);
         assertBroken(Rule.CONFIG);
     }
 
     @Test
     void anAcknowledgedInvalidConfigurationIsFound() {
-        events.add(new ChangeAnswered(1, 3, Optional.empty(), "{", 200));
+        events.add(new ChangeAnswered(START_MS, 3, Optional.empty(), "{", 200));
         assertBroken(Rule.CONFIG);
     }
 
     @Test
-    void aRequestHandledByAnOldConfigurationIsFound() {
-        taken(FIRST.with(5, WRITE.movedTo("other")), 3, 1);
+    void aRequestHandledByAReplacedConfigurationIsFoundUnlessAProcessHadAFault() {
+        acknowledged(FIRST.with(5, WRITE.movedTo("other")), 3, 1);
         served(FleetBounds.CONFIG_APPLY_MS, SERVER, "a", ClientRequest.plain(WRITE, "x"));
-        assertBroken();
-        served(LATE, SERVER, "b", ClientRequest.plain(WRITE, "x"));
+        assertKept();
+        served(LATE_MS, SERVER, "b", ClientRequest.plain(WRITE, "x"));
         assertBroken(Rule.STALE);
         events.add(new ProcessFaulted(2, "core-0", MachineClass.CORE, ProcessFault.KILLED));
-        assertBroken();
+        assertKept();
     }
 
     @Test
     void aRouteThatIsNotFoundLongAfterItWasAddedIsFound() {
-        sent(LATE, "a", ClientRequest.plain(READ, "x"));
-        events.add(new AttemptEnded(LATE, "a", 404, Optional.empty(), "", true, false));
+        sent(LATE_MS, "a", ClientRequest.plain(READ, "x"));
+        events.add(new AttemptEnded(LATE_MS, "a", 404, Optional.empty(), "", true, false));
         assertBroken(Rule.STALE);
     }
 
     @Test
-    void callersThatTakeTurnsAtThePlatformAreFound() {
-        events.add(new EndpointListRequested(1, "core-0", 200));
+    void twoProcessesThatAlternateAtThePlatformAreFound() {
+        events.add(new EndpointListRequested(START_MS, "core-0", 200));
         events.add(new EndpointListRequested(2, "core-1", 200));
         events.add(new EndpointListRequested(900, "core-0", 200));
         assertBroken(Rule.ONE);
     }
 
     @Test
-    void oneThatWasJustThawedIsNoSecondCaller() {
-        events.add(new EndpointListRequested(1, "core-0", 200));
+    void aProcessThatWasJustThawedIsNoSecondCaller() {
+        events.add(new EndpointListRequested(START_MS, "core-0", 200));
         events.add(new EndpointListRequested(1_500, "core-1", 200));
         events.add(new ProcessFaulted(2_400, "core-0", MachineClass.CORE, ProcessFault.THAWED));
         events.add(new EndpointListRequested(2_450, "core-0", 200));
         events.add(new EndpointListRequested(2_500, "core-1", 200));
-        assertBroken();
+        assertKept();
     }
 }
--- a/emulator/src/test/java/dewplank/emulator/loopback/SidecarClientsTest.java
+++ b/emulator/src/test/java/dewplank/emulator/loopback/SidecarClientsTest.java
@@ -1,6 +1,7 @@
 package dewplank.emulator.loopback;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dewplank.emulator.ClientAttempt;
@@ -19,7 +20,7 @@
     void aRetryIsMarkedWhereClientsMarkRetries() {
         assertTrue(scenario.clients().marksRetries());
         assertTrue(head(true).contains("\r\nX-Second-Try: 1\r\n"), head(true));
-        assertTrue(!head(false).contains("X-Second"), head(false));
+        assertFalse(head(false).contains("X-Second"), head(false));
     }
 
     @Test
--- a/emulator/src/test/java/dewplank/emulator/scenario/ScenarioFileTest.java
+++ b/emulator/src/test/java/dewplank/emulator/scenario/ScenarioFileTest.java
@@ -1,76 +1,138 @@
 package dewplank.emulator.scenario;
 
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertThrows;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dewplank.settings.InvalidInputException;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import org.junit.Test;
+import java.util.List;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Nested;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.Arguments;
+import org.junit.jupiter.params.provider.MethodSource;
 
-public class ScenarioFileTest {
+/** Scenario files: what is wrong in one is named with its place, and one may be based on another. */
+class ScenarioFileTest {
+    private static final String ONE_SERVER = "servers = { count = 1 }\n";
+    private static final String TENANT = "{ name = \"a\", share = 1 }";
 
-    private static String fault(String text) {
+    /** A scenario without servers; {@code more} begins on its line 5. */
+    private static String scenario(String more) {
+        return """
+            name = "x"
+            length_s = 5
+            sidecars = 1
+            load = { share = 0.5 }
+            %s
+            [[class]]
+            name = "k"
+            work_ms = 1
+            deadline_ms = 100
+            """
+                .formatted(more);
+    }
+
+    private static String scenarioWithFault(String faultKeys) {
+        return scenario(ONE_SERVER + "[[fault]]\nat_s = 1\n" + faultKeys);
+    }
+
+    private static String errorOf(String text) {
         return assertThrows(InvalidInputException.class, () -> ScenarioFile.of(TomlFile.read(text, "x.toml")))
                 .getMessage();
     }
 
-    private static String scenario(String more) {
-        return "name = \"x\"\nlength_s = 5\nsidecars = 1\nload = { share = 0.5 }\n" + more
-                + "\n[[class]]\nname = \"k\"\nwork_ms = 1\ndeadline_ms = 100\n";
+    private static Stream<Arguments> wrongKeys() {
+        return Stream.of(
+                Arguments.of("x.toml:6: key servers.count should be from 1 to 10000", scenario("[servers]\ncount = 0")),
+                Arguments.of("x.toml:6: key servers.count should be a number", scenario("[servers]\ncount = \"many\"")),
+                Arguments.of("x.toml: key servers.count is missing", scenario("")),
+                Arguments.of(
+                        "x.toml:8: key fault[0].what should be one of crash, vanish, slow, neighbour, pause, deploy, "
+                                + "class_errors, poison, lost_answers, resets, cut, loss, load, directory_down, "
+                                + "directory_silent, sidecar_kill, zone_loss, errors, tenant_load",
+                        scenarioWithFault("what = \"fire\"")));
     }
 
-    @Test
-    public void aWrongKeyIsNamedWithFileAndLine() {
-        assertTrue(fault(scenario("[servers]\ncount = 3\ncoutn = 4"))
-                .startsWith("x.toml:7: key servers.coutn is unknown; known here: "));
-        assertEquals("x.toml:6: key servers.count should be from 1 to 10000", fault(scenario("[servers]\ncount = 0")));
-        assertEquals("x.toml:6: key servers.count should be a number", fault(scenario("[servers]\ncount = \"many\"")));
-        assertEquals("x.toml: key servers.count is missing", fault(scenario("")));
-        assertEquals(
-                "x.toml:8: key fault[0].what should be one of crash, vanish, slow, neighbour, pause, deploy, "
-                        + "class_errors, poison, lost_answers, resets, cut, loss, load, directory_down, "
-                        + "directory_silent, sidecar_kill, zone_loss, errors, tenant_load",
-                fault(scenario("servers = { count = 1 }\n[[fault]]\nat_s = 1\nwhat = \"fire\"")));
-        assertTrue(fault("name = ").startsWith("x.toml:1: "));
+    private static Stream<Arguments> wrongReferences() {
+        return Stream.of(
+                Arguments.of("names the class zz", scenarioWithFault("what = \"poison\"\nclass = \"zz\"")),
+                Arguments.of(
+                        "names the tenant zz",
+                        scenario(ONE_SERVER + "[[tenant]]\nname = \"a\"\nshare = 1\n[[fault]]\nat_s = 1\n"
+                                + "what = \"tenant_load\"\ntenant = \"zz\"")),
+                Arguments.of("key fault[0].tenant is missing", scenarioWithFault("what = \"tenant_load\"")),
+                Arguments.of(
+                        "key tenant has one name twice",
+                        scenario(ONE_SERVER + "tenant = [ " + TENANT + ", " + TENANT + " ]")));
     }
 
-    @Test
-    public void aFaultMustNameAClassThatIsThere() {
-        assertTrue(fault(scenario("servers = { count = 1 }\n[[fault]]\nat_s = 1\nwhat = \"poison\"\nclass = \"zz\""))
-                .contains("names the class zz"));
-        assertTrue(fault(scenario("servers = { count = 1 }\n[[tenant]]\nname = \"a\"\nshare = 1\n[[fault]]\nat_s = 1\n"
-                        + "what = \"tenant_load\"\ntenant = \"zz\""))
-                .contains("names the tenant zz"));
-        assertTrue(fault(scenario("servers = { count = 1 }\n[[fault]]\nat_s = 1\nwhat = \"tenant_load\""))
-                .contains("key fault[0].tenant is missing"));
-        assertTrue(fault(scenario("servers = { count = 1 }\ntenant = [ { name = \"a\", share = 1 }, "
-                        + "{ name = \"a\", share = 1 } ]"))
-                .contains("key tenant has one name twice"));
+    @Nested
+    class AnError {
+        @ParameterizedTest
+        @MethodSource("dewplank.emulator.scenario.ScenarioFileTest#wrongKeys")
+        void ofAKeyIsNamedWithFileAndLine(String expected, String text) {
+            assertEquals(expected, errorOf(text));
+        }
+
+        @ParameterizedTest
+        @MethodSource("dewplank.emulator.scenario.ScenarioFileTest#wrongReferences")
+        void ofAReferenceIsNamed(String expected, String text) {
+            String error = errorOf(text);
+            assertTrue(error.contains(expected), error);
+        }
+
+        @Test
+        void ofAnUnknownKeyListsTheKnownOnes() {
+            String error = errorOf(scenario("[servers]\ncount = 3\ncoutn = 4"));
+            assertTrue(error.startsWith("x.toml:7: key servers.coutn is unknown; known here: "), error);
+        }
+
+        @Test
+        void ofTheSyntaxIsNamedWithItsLine() {
+            String error = errorOf("name = ");
+            assertTrue(error.startsWith("x.toml:1: "), error);
+        }
     }
 
     @Test
-    public void whatComesWithTheLaboratoryCanBeRead() {
-        assertTrue(ScenarioFile.names().size() >= 15);
-        for (String name : ScenarioFile.names()) {
+    void eachScenarioOfTheLaboratoryCanBeReadByItsName() {
+        List<String> names = ScenarioFile.names();
+        assertTrue(names.size() >= 15, names::toString);
+        for (String name : names) {
             assertEquals(name, ScenarioFile.named(name).name());
         }
     }
 
-    @Test
-    public void aFileSaysOnlyWhatDiffersFromAnother() throws IOException {
-        Path file = Files.createTempFile("scenario", ".toml");
-        Files.writeString(file, "name = \"mine\"\nlike = \"crash\"\n[load]\nshare = 0.1\n");
-        Scenario mine = ScenarioFile.named(file.toString());
-        assertEquals(0.1, mine.load().utilization(), 0);
-        assertEquals(LoadShape.WAVE, mine.load().shape());
-        assertEquals(1, mine.faults().size());
-        Files.writeString(file, "name = \"mine\"\nlike = \"" + file + "\"\n");
-        assertTrue(assertThrows(InvalidInputException.class, () -> ScenarioFile.named(file.toString()))
-                .getMessage()
-                .endsWith("key like leads in a circle"));
-        Files.delete(file);
+    @Nested
+    class AFileBasedOnAnother {
+        @TempDir
+        private Path folder;
+
+        private Path write(String text) throws IOException {
+            return Files.writeString(folder.resolve("mine.toml"), text);
+        }
+
+        @Test
+        void hasTheOthersValuesWhereItSaysNothing() throws IOException {
+            Path file = write("name = \"mine\"\nlike = \"crash\"\n[load]\nshare = 0.1\n");
+            Scenario mine = ScenarioFile.named(file.toString());
+            assertEquals(0.1, mine.load().utilization());
+            assertEquals(LoadShape.WAVE, mine.load().shape());
+            assertEquals(1, mine.faults().size());
+        }
+
+        @Test
+        void mayNotBeBasedOnItself() throws IOException {
+            Path file = write("name = \"mine\"\nlike = \"" + folder.resolve("mine.toml") + "\"\n");
+            String error = assertThrows(InvalidInputException.class, () -> ScenarioFile.named(file.toString()))
+                    .getMessage();
+            assertTrue(error.endsWith("key like leads in a circle"), error);
+        }
     }
 }
