--- a/lab/src/test/java/dewplank/lab/BuoysTest.java
+++ b/lab/src/test/java/dewplank/lab/BuoysTest.java
@@ -16,7 +16,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** The hard cases of a fleet as the buoys' operators have it: each on several seeds, with the auditor on all. */
+/** Bounds on the service in the difficult cases of the buoys' fleet, over several seeds; the auditor checks each. */
 class BuoysTest {
     private static final int SEEDS = 6;
     private static final double MESSAGE_SLACK_MS = 50;
@@ -25,7 +25,7 @@
         return ScenarioFile.named(name).with("length_s", 30);
     }
 
-    /** The mean of a figure over the seeds; a broken rule on any fails. */
+    /** The mean of a figure over the seeds; the module must break no rule on any of them. */
     private static double mean(Scenario scenario, String policy, ToDoubleFunction<Trial> figure) {
         return IntStream.rangeClosed(1, SEEDS)
                 .parallel()
@@ -48,14 +48,14 @@
     }
 
     @Test
-    void aCalmFleetServesNearlyAllAndRefusesHardlyAny() {
+    void aFleetWithoutFaultsServesNearlyAllAndRefusesHardlyAny() {
         assertTrue(service("buoys") > 0.97);
         assertTrue(mean(scenario("buoys"), "choice", trial -> trial.service().refusedRatio()) < 0.005);
     }
 
-    /** Three of twelve servers and a quarter of the sidecars are gone for 12 s: what was in flight there is lost. */
+    /** Three of twelve servers and a quarter of the sidecars stop for 12 s: their requests in flight are lost. */
     @Test
-    void aBuildingLostWithItsSidecarsAndBackColdCostsLittleMoreThanTheOracle() {
+    void theLossOfABuildingCostsLittleMoreThanWithTheOracle() {
         double oracle = mean(
                 scenario("buoys-building"), "oracle", trial -> trial.service().valueRatio());
         double service = service("buoys-building");
@@ -63,19 +63,19 @@
     }
 
     @Test
-    void aSixthOfTheServersSilentWithoutAResetCostsLittle() {
+    void aSixthOfTheServersVanishingWithoutAResetCostsLittle() {
         double service = service("buoys-silent");
         assertTrue(service > 0.92, "service " + service);
     }
 
-    /** A fast failure must not look like a fast server: a policy that sees latencies and loads alone sends them all. */
+    /** A fast failure must not count as a fast response, as it does for a policy that sees only latencies and loads. */
     @Test
-    void serversThatFailQuicklyDrawLessThanHalfTheFailuresOfABlindPolicy() {
-        double blind = mean(scenario("buoys-errors"), "two-choices", trial -> trial.service()
+    void serversThatFailQuicklyCauseLessThanHalfTheFailuresThatTwoChoicesHas() {
+        double withTwoChoices = mean(scenario("buoys-errors"), "two-choices", trial -> trial.service()
                 .failedRatio());
         double failed = mean(
                 scenario("buoys-errors"), "choice", trial -> trial.service().failedRatio());
-        assertTrue(failed < 0.5 * blind, failed + " failed, blind " + blind);
+        assertTrue(failed < 0.5 * withTwoChoices, failed + " failed, with two choices " + withTwoChoices);
     }
 
     @Test
@@ -90,17 +90,20 @@
         assertTrue(service > 0.82, "service " + service);
     }
 
-    /** Little spare capacity, so that some tenant has to lose by the flood: it is the one that causes it. */
+    /** There is little spare capacity, so some tenant must lose value: the one that exceeds its quota. */
     @Test
-    void aTenantAtTenTimesItsQuotaLeavesTheOthersTheirs() {
+    void aTenantAtTenTimesItsQuotaDoesNotTakeTheOthersQuotas() {
         Scenario flood = scenario("buoys-flood").with("load.share", 0.8);
         double worst = mean(flood, "choice", trial -> trial.service().worstTenant());
-        double blind = mean(flood, "two-choices", trial -> trial.service().worstTenant());
-        assertTrue(worst > 0.83 && worst > blind + 0.05, "worst tenant " + worst + ", blind " + blind);
+        double withTwoChoices =
+                mean(flood, "two-choices", trial -> trial.service().worstTenant());
+        assertTrue(
+                worst > 0.83 && worst > withTwoChoices + 0.05,
+                "worst tenant " + worst + ", with two choices " + withTwoChoices);
     }
 
-    /** The service with one sidecar of five that sends the others false summaries, or none. */
-    private static double withLiar(Scenario scenario, boolean lies) {
+    /** The mean service where the first of five sidecars is created by {@code first}, and the others are plain. */
+    private static double serviceWith(VirtualRun.SidecarFactory first, Scenario scenario) {
         return IntStream.rangeClosed(1, SEEDS)
                 .parallel()
                 .mapToDouble(seed -> {
@@ -110,7 +113,7 @@
                             .recorder(auditor)
                             .outcomeListener(service)
                             .sidecars((run, number) ->
-                                    number == 0 && lies ? new Liar(run, number) : new Plain(run, number))
+                                    number == 0 ? first.create(run, number) : new PlainSidecar(run, number))
                             .build()
                             .run();
                     assertEquals(0, auditor.violations(), () -> auditor.retainedViolations()
@@ -121,40 +124,43 @@
                 .orElseThrow();
     }
 
-    private static class Plain extends EmulatedSidecar {
-        Plain(VirtualRun run, int number) {
+    private static class PlainSidecar extends EmulatedSidecar {
+        PlainSidecar(VirtualRun run, int number) {
             super(run, number);
         }
     }
 
-    private static final class Liar extends Plain {
+    /** Reports a third of the servers as unhealthy to its peers, whatever it has seen. */
+    private static final class FalselyReportingSidecar extends PlainSidecar {
         private final World world;
 
-        Liar(VirtualRun run, int number) {
+        FalselyReportingSidecar(VirtualRun run, int number) {
             super(run, number);
             this.world = run.world();
         }
 
         @Override
         protected byte[] peerSummary(byte[] summary) {
-            List<Integer> some = world.servers().stream()
+            List<Integer> reported = world.servers().stream()
                     .limit(world.servers().size() / 3)
                     .map(server -> server.id().hashCode())
                     .toList();
-            return new PeerSummary(PeerSummary.decode(summary).createdAtMs(), some).encode();
+            return new PeerSummary(PeerSummary.decode(summary).createdAtMs(), reported).encode();
         }
     }
 
     @Test
     void aPeerThatReportsAThirdOfTheServersUnhealthyIsOutvoted() {
         Scenario busy = scenario("buoys").with("load.share", 0.75);
-        double honest = withLiar(busy, false);
-        double lied = withLiar(busy, true);
-        assertTrue(lied > honest - 0.03, lied + " with a liar, " + honest + " without");
+        double withTrueReports = serviceWith(PlainSidecar::new, busy);
+        double withFalseReports = serviceWith(FalselyReportingSidecar::new, busy);
+        assertTrue(
+                withFalseReports > withTrueReports - 0.03,
+                withFalseReports + " with false reports, " + withTrueReports + " without");
     }
 
     @Test
-    void aSidecarWithoutPeerSummariesGoesByItsOwnAttempts() {
+    void sidecarsWithoutPeerSummariesServeNearlyAsMuchByTheirOwnAttempts() {
         Scenario errors = scenario("buoys-errors");
         double withPeers = mean(errors, "choice", trial -> trial.service().valueRatio());
         double alone = mean(errors.with("messages.lost", 1), "choice", trial -> trial.service()
--- a/lab/src/test/java/dewplank/lab/ExperimentFileTest.java
+++ b/lab/src/test/java/dewplank/lab/ExperimentFileTest.java
@@ -16,7 +16,7 @@
     }
 
     @Test
-    void anUnknownPolicyIsNamedWithItsLineAndWhatThereIs() {
+    void anUnknownPolicyIsNamedWithItsLineAndTheKnownOnes() {
         assertEquals(
                 "x.toml:3: key policies is wrong: there is no policy best; known: choice, random, round-robin, "
                         + "least-outstanding, two-choices, oracle",
--- a/lab/src/test/java/dewplank/lab/LossSplitTest.java
+++ b/lab/src/test/java/dewplank/lab/LossSplitTest.java
@@ -10,6 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** Each cause of lost value shows under its name, and together they are all that was lost. */
 class LossSplitTest {
     private static Trial.WithLosses split(String scenario, String policy) {
         return Trial.playSplittingLosses(ScenarioFile.named(scenario).with("length_s", 25), policy, 2);
@@ -22,7 +23,7 @@
     /** The tolerance is the first second's, which counts here and not in the service. */
     @ParameterizedTest
     @ValueSource(strings = {"overload", "sidecar-kill", "class-errors"})
-    void theCausesAddUpToAllThatWasLost(String scenario) {
+    void theCausesAddUpToTheWholeLoss(String scenario) {
         Trial.WithLosses split = split(scenario, "choice");
         double lost = split.losses().lostFractions().values().stream()
                 .mapToDouble(fraction -> fraction)
@@ -32,19 +33,19 @@
     }
 
     @Test
-    void aKilledSidecarShowsAsUnreachable() {
+    void requestsOfAKilledSidecarAreLostAsUnreachable() {
         Map<Cause, Double> killed = lostFractions("sidecar-kill", "choice");
         assertTrue(killed.getOrDefault(Cause.UNREACHABLE, 0.0) > 0, killed.toString());
     }
 
     @Test
-    void serversErrorsShowAsFailuresOfRequestsSent() {
+    void requestsThatServersFailAreLostAsFailedAfterSending() {
         Map<Cause, Double> errors = lostFractions("class-errors", "random");
         assertTrue(errors.getOrDefault(Cause.FAILED_SENT, 0.0) > 0.02, errors.toString());
     }
 
     @Test
-    void theTableHasTheCausesPrintedNames() {
+    void theTablePrintsTheCausesPrintedNames() {
         assertTrue(split("overload", "choice").losses().table().contains("refused needlessly"));
     }
 }
--- a/lab/src/test/java/dewplank/lab/RunnerTest.java
+++ b/lab/src/test/java/dewplank/lab/RunnerTest.java
@@ -13,8 +13,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** An experiment's runs: the same bytes on any number of threads, and readable after an interruption. */
 class RunnerTest {
-    private static final int RUNS = 24;
+    private static final int RUNS = 24; // 2 scenarios, 3 policies, 2 loads, 2 seeds
 
     @TempDir
     private Path folder;
@@ -22,7 +23,7 @@
     private static Experiment experiment() {
         return ExperimentFile.parse(TomlFile.read(
                 """
-            name = "e"
+            name = "load"
             scenarios = ["crash", "overload"]
             policies = ["choice", "two-choices", "oracle"]
             seeds = 2
@@ -31,7 +32,7 @@
             parameter = "load.share"
             values = [0.5, 0.8]
             """,
-                "e.toml"));
+                "load.toml"));
     }
 
     @Test
@@ -43,19 +44,22 @@
         assertArrayEquals(
                 Files.readAllBytes(one.resolve(Runner.TABLE)), Files.readAllBytes(eight.resolve(Runner.TABLE)));
         assertEquals(RUNS, results.size());
-        double reread = Runner.read(eight).get(3).figure(Figure.SERVICE);
-        assertEquals(results.get(3).figure(Figure.SERVICE), reread, 1e-6);
-        Report.write(results, "e", "<about>", "choice", eight.resolve("report.html"));
+        double written = results.get(3).figure(Figure.SERVICE);
+        double read = Runner.read(eight).get(3).figure(Figure.SERVICE);
+        assertEquals(written, read, 1e-6);
+        Report.write(results, "load", "<about>", "choice", eight.resolve("report.html"));
         String html = Files.readString(eight.resolve("report.html"));
         assertTrue(html.contains("<svg") && html.contains("&lt;about&gt;") && !html.contains("http-equiv"));
+        assertTrue(html.contains("24 runs. Service: value served within the latency target over the value requested."));
+        assertTrue(html.contains("<h2>Difference from choice</h2>"));
     }
 
     @Test
     void sidecarsThatDecideInParallelDecideTheSame() {
         Scenario scenario = ScenarioFile.named("deploy").with("sidecars", 40).with("length_s", 10);
-        Result alone = Trial.play(scenario, "choice", 3, false).result("s", "", "choice", 3);
-        Result together = Trial.play(scenario, "choice", 3, true).result("s", "", "choice", 3);
-        assertEquals(alone.csvLine(), together.csvLine());
+        Result sequential = Trial.play(scenario, "choice", 3, false).result("s", "", "choice", 3);
+        Result parallel = Trial.play(scenario, "choice", 3, true).result("s", "", "choice", 3);
+        assertEquals(sequential.csvLine(), parallel.csvLine());
     }
 
     @Test
--- a/lab/src/test/java/dewplank/lab/StatisticsTest.java
+++ b/lab/src/test/java/dewplank/lab/StatisticsTest.java
@@ -6,9 +6,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Means over seeds with their 95 % intervals. */
 class StatisticsTest {
     @Test
-    void theIntervalIsStudents() {
+    void theHalfWidthIsThatOfStudentsInterval() {
         Statistics statistics = Statistics.of(List.of(0.10, 0.12, 0.11, 0.13));
         assertEquals(0.115, statistics.mean(), 1e-12);
         assertEquals(0.02054, statistics.halfWidth(), 1e-4); // t(3) = 3.182, deviation 0.01291, over the root of 4
@@ -16,12 +17,12 @@
     }
 
     @Test
-    void anIntervalWithZeroInItIsChance() {
+    void anIntervalThatContainsZeroIsNoDifference() {
         assertTrue(!Statistics.of(List.of(-0.1, 0.1, 0.02)).differs());
     }
 
     @Test
-    void oneValueHasNoInterval() {
+    void aSingleValueHasNoInterval() {
         assertTrue(Double.isNaN(Statistics.of(List.of(1.0)).halfWidth()));
     }
 }
--- a/lab/src/test/java/dewplank/lab/audit/AuditorTest.java
+++ b/lab/src/test/java/dewplank/lab/audit/AuditorTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Eight ways to break a rule, each found; and the decision module, with nothing to find on the same day. */
+/** The auditor finds each of eight ways to break a rule, and nothing where the decision module plays the same day. */
 class AuditorTest {
     private static final double MESSAGE_SLACK_MS = 50;
     private static final long SEED = 11;
@@ -43,8 +43,8 @@
         return ScenarioFile.names().stream().flatMap(name -> Stream.of(Arguments.of(name, 1L), Arguments.of(name, 2L)));
     }
 
-    /** A day on which every way of breaking a rule has its occasion. */
-    private static Scenario busyDay() {
+    /** A scenario with faults that give each way of breaking a rule its occasion. */
+    private static Scenario scenarioWithFaults() {
         try {
             Path file = Files.createTempFile("day", ".toml");
             Files.writeString(
@@ -90,11 +90,11 @@
     }
 
     private static Auditor play(VirtualRun.Policy policy, VirtualRun.SidecarFactory sidecars) {
-        Scenario day = busyDay();
-        Auditor auditor = new Auditor(day, MESSAGE_SLACK_MS);
-        VirtualRun run = VirtualRun.builder(day, SEED, policy)
+        Scenario scenario = scenarioWithFaults();
+        Auditor auditor = new Auditor(scenario, MESSAGE_SLACK_MS);
+        VirtualRun run = VirtualRun.builder(scenario, SEED, policy)
                 .recorder(auditor)
-                .outcomeListener(new Service(day, 0))
+                .outcomeListener(new Service(scenario, 0))
                 .sidecars(sidecars)
                 .build();
         run.run();
@@ -102,16 +102,16 @@
         return auditor;
     }
 
-    private static VirtualRun.SidecarFactory soundSidecars() {
+    private static VirtualRun.SidecarFactory plainSidecars() {
         return (run, number) -> new EmulatedSidecar(run, number) {};
     }
 
-    private static VirtualRun.Policy plainBalancer(Way way) {
+    private static VirtualRun.Policy brokenBalancer(Way way) {
         return (settings, seed, world, sidecar) -> new BrokenBalancer(settings, seed, way);
     }
 
     private static Auditor play(Way way) {
-        return play(plainBalancer(way), soundSidecars());
+        return play(brokenBalancer(way), plainSidecars());
     }
 
     @Nested
@@ -125,13 +125,13 @@
 
         @Test
         void ofASidecarThatAnswersTwiceAreFoundAndNoOthers() {
-            Auditor auditor = play(plainBalancer(Way.NONE), BrokenSidecars.AnswersTwice::new);
+            Auditor auditor = play(brokenBalancer(Way.NONE), BrokenSidecars.AnswersTwice::new);
             assertEquals(Set.of(Rule.ANSWERED_TWICE), auditor.counts().keySet());
         }
 
         @Test
         void ofASidecarThatMixesUpAnswersAreFoundAndNoOthers() {
-            Auditor auditor = play(plainBalancer(Way.NONE), BrokenSidecars.MixesUp::new);
+            Auditor auditor = play(brokenBalancer(Way.NONE), BrokenSidecars.MixesUp::new);
             assertEquals(Set.of(Rule.WRONG_ANSWER), auditor.counts().keySet());
         }
 
@@ -149,14 +149,14 @@
     @Nested
     class NoRuleIsBroken {
         @Test
-        void byTheDecisionModuleOnThatDay() {
+        void byTheDecisionModuleUnderTheSameFaults() {
             assertEquals(
                     KEPT,
-                    play(Policies.named("choice"), soundSidecars()).verdict().substring(0, KEPT.length()));
+                    play(Policies.named("choice"), plainSidecars()).verdict().substring(0, KEPT.length()));
         }
 
         @Test
-        void byAPlainBalancerOnThatDay() {
+        void byAPlainBalancerUnderTheSameFaults() {
             assertEquals(KEPT, play(Way.NONE).verdict().substring(0, KEPT.length()));
         }
 
@@ -169,9 +169,9 @@
         }
 
         @Test
-        void byTheRequestsInFlightOfAKilledSidecar() {
-            Scenario kill = ScenarioFile.named("sidecar-kill").with("length_s", 20);
-            Trial trial = Trial.play(kill, "choice", 4, false);
+        void byTheLossOfAKilledSidecarsRequestsInFlight() {
+            Scenario scenario = ScenarioFile.named("sidecar-kill").with("length_s", 20);
+            Trial trial = Trial.play(scenario, "choice", 4, false);
             assertEquals(0, trial.auditor().violations());
             assertTrue(trial.service().failedRatio() + trial.service().refusedRatio() > 0);
         }
--- a/lab/src/test/java/dewplank/lab/audit/BrokenBalancer.java
+++ b/lab/src/test/java/dewplank/lab/audit/BrokenBalancer.java
@@ -25,7 +25,7 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 
-/** A plain balancer that keeps the rules but for its one way of breaking them. */
+/** A random balancer that breaks the rules in one way and keeps them otherwise. */
 final class BrokenBalancer implements Balancer {
     /** How it breaks a rule. */
     enum Way {
--- a/lab/src/test/java/dewplank/lab/load/ExchangeLog.java
+++ b/lab/src/test/java/dewplank/lab/load/ExchangeLog.java
@@ -6,8 +6,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What a load run and its target did, so that a test can wait until nothing is on its way between them. Any thread may
- * call it.
+ * Counts what a load run and its target did, so that a test can wait until no message is in flight between them. Any
+ * thread may call it.
  */
 final class ExchangeLog implements LoadListener {
     private static final long MAX_WAIT_S = 60;
--- a/lab/src/test/java/dewplank/lab/load/LoadRunTest.java
+++ b/lab/src/test/java/dewplank/lab/load/LoadRunTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The load tool on loopback sockets. */
+/** The load tool against targets on loopback sockets: what it counts and which latencies it reports. */
 class LoadRunTest {
     private static final InetSocketAddress ANY_PORT = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
 
@@ -36,9 +36,10 @@
     }
 
     private static LoadPlan plan(StandIn target, Schedule schedule, int connections, double timeoutMs) {
-        InetSocketAddress at = target.addresses().get(0);
+        InetSocketAddress address = target.addresses().get(0);
         return new LoadPlan(
-                List.of(LoadPlan.Target.parse("http://" + at.getHostString() + ":" + at.getPort() + "/a?b=c")),
+                List.of(LoadPlan.Target.parse(
+                        "http://" + address.getHostString() + ":" + address.getPort() + "/a?b=c")),
                 schedule,
                 0,
                 List.of(LoadPlan.RequestClass.parse("read:3"), LoadPlan.RequestClass.parse("write:1:POST:100")),
@@ -62,10 +63,10 @@
         return sorted[(int) Math.ceil(percentile / 100 * sorted.length) - 1];
     }
 
-    /** A target that draws each answer's time from a known distribution, and remembers it. */
+    /** Against a target that draws each answer's time from a known distribution and logs it. */
     @Nested
     class Percentiles {
-        private static final double[] CHECKED = {50, 90, 99};
+        private static final double[] PERCENTILES = {50, 90, 99};
 
         private final ExchangeLog log = new ExchangeLog();
 
@@ -75,7 +76,7 @@
             return index -> () -> 250 * factor.getAsDouble();
         }
 
-        /** By a clock that the test owns only the target's times pass: the machine's pace is not in the figures. */
+        /** Only the target's times pass by this clock, so the machine's speed has no part in the figures. */
         @Test
         void areThoseOfTheTargetByAClockThatTheTestOwns() throws Exception {
             ManualClock clock = new ManualClock();
@@ -84,9 +85,9 @@
                 LoadOutcome outcome = runByClock(plan, clock);
                 double[] drawnMs = log.drawnMs();
                 assertEquals(drawnMs.length, outcome.all().ok());
-                for (double p : CHECKED) {
-                    double expectedMs = percentile(drawnMs, p);
-                    assertEquals(expectedMs, percentileMs(outcome, p), 0.005 * expectedMs, "p" + p);
+                for (double percentile : PERCENTILES) {
+                    double expectedMs = percentile(drawnMs, percentile);
+                    assertEquals(expectedMs, percentileMs(outcome, percentile), 0.005 * expectedMs, "p" + percentile);
                 }
                 assertEquals(0, outcome.lagUs().getValueAtPercentile(50), "no wake-up is late by this clock");
             }
@@ -129,26 +130,28 @@
             return outcome.get();
         }
 
-        /** By the system's clock: never less than the target took, and what passed until each answer was there. */
+        /** Never less than the target took, and as long as the log has it until each answer had arrived. */
         @Test
         void areThoseOfTheTimeThatPassedByTheSystemsClock() throws Exception {
             try (StandIn target = new StandIn(List.of(ANY_PORT), drawnTimes(), loop -> logged(LoadClock.of(loop)))) {
-                run(plan(target, ShapedSchedule.poisson(600, 2_000), 800)); // code gets warm
+                run(plan(target, ShapedSchedule.poisson(600, 2_000), 800)); // lets the JIT compile
                 log.clear();
                 LoadPlan plan = plan(target, ShapedSchedule.poisson(600, 5_000), 800);
                 LoadOutcome outcome = new LoadRun(plan, line -> {}, LoadClock::of, log).run();
                 double[] drawnMs = log.drawnMs();
                 assertEquals(drawnMs.length, outcome.all().ok());
-                for (double p : CHECKED) {
-                    double passedMs = percentile(log.observedMs(), p);
-                    assertEquals(passedMs, percentileMs(outcome, p), 0.02 * passedMs, "p" + p);
-                    assertTrue(percentileMs(outcome, p) >= 0.999 * percentile(drawnMs, p), "p" + p);
+                for (double percentile : PERCENTILES) {
+                    double passedMs = percentile(log.observedMs(), percentile);
+                    assertEquals(passedMs, percentileMs(outcome, percentile), 0.02 * passedMs, "p" + percentile);
+                    assertTrue(
+                            percentileMs(outcome, percentile) >= 0.999 * percentile(drawnMs, percentile),
+                            "p" + percentile);
                 }
             }
         }
     }
 
-    /** A tool that waits for answers before it sends again would send nothing then, and see one slow answer. */
+    /** A closed loop would send nothing during the stall, and report one slow answer. */
     @Test
     void aStallOfOneSecondShowsInTheHighPercentiles() throws Exception {
         try (StandIn target = new StandIn(List.of(ANY_PORT), Distribution.FIXED, 0, 0, 1)) {
@@ -177,23 +180,24 @@
     }
 
     @Test
-    void requestsToATargetThatIsGoneAreCountedAsBroken() throws Exception {
-        StandIn gone = new StandIn(List.of(ANY_PORT), Distribution.FIXED, 0, 0, 1);
-        gone.close();
+    void requestsToAClosedTargetAreCountedAsBroken() throws Exception {
+        StandIn closed = new StandIn(List.of(ANY_PORT), Distribution.FIXED, 0, 0, 1);
+        closed.close();
         assertEquals(
-                50, run(plan(gone, ShapedSchedule.uniform(50, 1_000), 10)).all().broken());
+                50,
+                run(plan(closed, ShapedSchedule.uniform(50, 1_000), 10)).all().broken());
     }
 
-    /** Any target: long bodies, whatever their framing, no body where there must be none, and statuses of all kinds. */
+    /** A long body, a response to HEAD that announces a body and has none, and a status that is an error. */
     @Test
-    void longBodiesAndAnswersToHeadAreRead() throws Exception {
+    void longBodiesAnswersToHeadAndErrorsAreCounted() throws Exception {
         EventLoop loop = new EventLoop();
         try {
             Listener listener = new Listener(loop, ANY_PORT, 100, LongBodies::new);
             loop.execute(listener::accept);
-            InetSocketAddress at = (InetSocketAddress) listener.address();
+            InetSocketAddress address = (InetSocketAddress) listener.address();
             LoadOutcome outcome = run(new LoadPlan(
-                    List.of(LoadPlan.Target.parse("http://127.0.0.1:" + at.getPort())),
+                    List.of(LoadPlan.Target.parse("http://127.0.0.1:" + address.getPort())),
                     ShapedSchedule.uniform(100, 1_000),
                     0,
                     List.of(
@@ -217,7 +221,7 @@
         }
     }
 
-    /** Answers with 300 kB; to HEAD with their head alone, to PUT with an error. */
+    /** Answers with 300 kB; to HEAD with the head alone, to PUT with an error. */
     private static final class LongBodies extends HttpEndpoint {
         @Override
         protected void request(RequestParser request) {
--- a/lab/src/test/java/dewplank/lab/load/ManualClock.java
+++ b/lab/src/test/java/dewplank/lab/load/ManualClock.java
@@ -8,15 +8,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A clock that moves only from one scheduled task to the next, when the test says so, and is shared by several loops.
- * What happens on sockets meanwhile takes no time by it, however long the machine takes.
+ * A clock that the test advances from one scheduled task to the next, shared by several loops. Work on sockets takes no
+ * time by this clock, however slow the machine. Any thread may call it.
  */
 final class ManualClock {
     private record Task(double atMs, long order, EventLoop loop, Runnable action) {}
 
     private final PriorityQueue<Task> tasks =
             new PriorityQueue<>(Comparator.comparingDouble(Task::atMs).thenComparingLong(Task::order));
-    private double nowMs = 1_000_000; // as a real clock's, not 0
+    private double nowMs = 1_000_000; // not 0, which a real clock never shows
     private long scheduled;
 
     /** The view of one loop. */
--- a/lab/src/test/java/dewplank/lab/load/ShapedScheduleTest.java
+++ b/lab/src/test/java/dewplank/lab/load/ShapedScheduleTest.java
@@ -33,21 +33,21 @@
     }
 
     @Test
-    void aRampGoesFromOneRateToTheOther() {
+    void aRampChangesLinearlyFromOneRateToTheOther() {
         Schedule ramp = new ShapedSchedule(Shape.RAMP, 100, 900, List.of(), 0, 1, 10_000);
         assertEquals(100 + 40 * 2.5, startsBetween(ramp, 0, 2_500) / 2.5, 25);
         assertEquals(500, startsBetween(ramp, 0, 10_000) / 10.0, 25);
     }
 
     @Test
-    void stepsAreEquallyLong() {
+    void stepsHaveEqualLengths() {
         Schedule steps = new ShapedSchedule(Shape.STEPS, 0, 0, List.of(100.0, 0.0, 300.0), 0, 1, 9_000);
         assertEquals(0, startsBetween(steps, 3_000, 6_000));
         assertEquals(900, startsBetween(steps, 6_000, 9_000), 100);
     }
 
     @Test
-    void burstsTakeTurnsWithWhatLiesBetween() {
+    void burstsAlternateWithPausesOfTheSameLength() {
         Schedule bursts = new ShapedSchedule(Shape.BURSTS, 100, 0, List.of(), 1, 2_000, 10_000);
         assertEquals(0, startsBetween(bursts, 1_000, 2_000));
         assertEquals(200, startsBetween(bursts, 2_000, 3_000), 50);
