--- a/client/src/test/java/dewplank/client/ConfigurationDifferenceTest.java
+++ b/client/src/test/java/dewplank/client/ConfigurationDifferenceTest.java
@@ -73,7 +73,7 @@
         Map<String, Object> other = complete(random);
         Set<Change> there = Set.copyOf(ConfigurationDifference.between(one, other));
         Set<Change> back = ConfigurationDifference.between(other, one).stream()
-                .map(c -> new Change(turned(c.kind()), c.path(), c.after(), c.before()))
+                .map(change -> new Change(turned(change.kind()), change.path(), change.after(), change.before()))
                 .collect(Collectors.toSet());
         assertEquals(there, back);
         assertEquals(there.isEmpty(), JsonValues.areEqual(one, other));
--- a/configuration/src/test/java/dewplank/configuration/ConfigurationPropertyTest.java
+++ b/configuration/src/test/java/dewplank/configuration/ConfigurationPropertyTest.java
@@ -80,8 +80,8 @@
         }
         Collections.shuffle(routes, random);
         String text = Samples.document(version, String.join(",", routes), services(random));
-        String note = "\"note\":" + unknown(random) + ",\"limits\"";
-        return random.nextBoolean() ? text : text.replace("\"limits\"", note);
+        String unknownField = "\"note\":" + unknown(random) + ",\"limits\"";
+        return random.nextBoolean() ? text : text.replace("\"limits\"", unknownField);
     }
 
     private static String patch(Random random, long version) {
@@ -95,11 +95,11 @@
     @Property
     void aWrittenConfigurationIsReadTheSame(@ForAll long seed) throws InvalidConfigurationException {
         Configuration configuration = Samples.parse(document(new Random(seed), 1));
-        Configuration again = Configuration.parse(configuration.json());
-        assertArrayEquals(configuration.json(), again.json());
-        assertEquals(configuration.routes(), again.routes());
-        assertEquals(configuration.services(), again.services());
-        assertEquals(configuration.limits(), again.limits());
+        Configuration reparsed = Configuration.parse(configuration.json());
+        assertArrayEquals(configuration.json(), reparsed.json());
+        assertEquals(configuration.routes(), reparsed.routes());
+        assertEquals(configuration.services(), reparsed.services());
+        assertEquals(configuration.limits(), reparsed.limits());
     }
 
     @Property
@@ -120,9 +120,9 @@
     void aPatchedConfigurationEqualsItsTextReadAnew(@ForAll long seed) throws InvalidConfigurationException {
         Random random = new Random(seed);
         Configuration patched = Samples.parse(document(random, 1)).patched(Samples.bytes(patch(random, 2)));
-        Configuration again = Configuration.parse(patched.json());
-        assertArrayEquals(patched.json(), again.json());
-        assertEquals(patched.routes(), again.routes());
+        Configuration reparsed = Configuration.parse(patched.json());
+        assertArrayEquals(patched.json(), reparsed.json());
+        assertEquals(patched.routes(), reparsed.routes());
     }
 
     @Property(tries = 200)
--- a/configuration/src/test/java/dewplank/configuration/DeflateCodecTest.java
+++ b/configuration/src/test/java/dewplank/configuration/DeflateCodecTest.java
@@ -75,8 +75,8 @@
         deflater.finish();
         length += deflater.deflate(bomb, length, bomb.length - length);
         deflater.end();
-        byte[] whole = Arrays.copyOf(bomb, length);
-        assertTrue(whole.length < 100_000);
-        assertThrows(CorruptDeflateException.class, () -> inflate(whole));
+        byte[] tooLong = Arrays.copyOf(bomb, length);
+        assertTrue(tooLong.length < 100_000);
+        assertThrows(CorruptDeflateException.class, () -> inflate(tooLong));
     }
 }
--- a/configuration/src/test/java/dewplank/configuration/GoldenConfigurationTest.java
+++ b/configuration/src/test/java/dewplank/configuration/GoldenConfigurationTest.java
@@ -78,9 +78,9 @@
     /** The bytes behind the first one are deflated; how they are packed is the library's matter. */
     @Test
     void aCompressedPayload() throws IOException {
-        byte[] kept = resource("compressed.payload");
-        assertEquals("407801", HexFormat.of().formatHex(kept, 0, 3));
-        ConfigurationDocument document = ConfigurationDocument.decode(kept);
+        byte[] stored = resource("compressed.payload");
+        assertEquals("407801", HexFormat.of().formatHex(stored, 0, 3));
+        ConfigurationDocument document = ConfigurationDocument.decode(stored);
         assertEquals(12, document.version());
         Configuration configuration = document.configuration();
         assertEquals(40, configuration.routes().size());
@@ -94,7 +94,7 @@
         assertEquals(new AlreadyAccepted(12), document.apply(new ChangeRequest(false, 9, Samples.bytes(third))));
         byte[] payload = document.encode();
         assertEquals("407801", HexFormat.of().formatHex(payload, 0, 3));
-        assertArrayEquals(plain(kept), plain(payload));
+        assertArrayEquals(plain(stored), plain(payload));
     }
 
     @Test
--- a/configuration/src/test/java/dewplank/configuration/VersionOrderTest.java
+++ b/configuration/src/test/java/dewplank/configuration/VersionOrderTest.java
@@ -28,7 +28,7 @@
     private static final int HISTORIES = 60;
     private static final int STEPS = 1500;
     private static final double STEP_MS = 3;
-    private static final double PATIENCE = 400;
+    private static final double TIMEOUT_MS = 400;
 
     private record Sent(int to, RegisterMessage message) {}
 
@@ -44,7 +44,7 @@
     /** One process; its disk takes no time. */
     private final class Node implements Register.Effects<ChangeResult> {
         private final Register<ChangeResult> register;
-        private final Map<Long, Long> asked = new HashMap<>();
+        private final Map<Long, Long> versionByRequest = new HashMap<>();
         private long learnedVersion;
 
         Node(int index, List<AcceptorId> members) {
@@ -84,7 +84,7 @@
             if (outcome instanceof Outcome.Confirmed<ChangeResult> confirmed
                     && confirmed.answer() instanceof Answer.OfChange<ChangeResult> answer
                     && answer.result() instanceof ChangeResult.VersionMismatch) {
-                refused.add(asked.get(request));
+                refused.add(versionByRequest.get(request));
             }
         }
 
@@ -95,7 +95,7 @@
                     false,
                     learnedVersion,
                     Samples.bytes(Samples.document(version).replaceFirst("}$", ",\"by\":" + ++requests + "}")));
-            asked.put(requests, version);
+            versionByRequest.put(requests, version);
             register.change(
                     now,
                     requests,
@@ -106,12 +106,12 @@
                                 ? new Decision<>(accepted.next().encode(), result)
                                 : new Decision<>(null, result);
                     },
-                    now + PATIENCE,
+                    now + TIMEOUT_MS,
                     this);
         }
 
         void replace(List<AcceptorId> wanted) {
-            register.reconfigure(now, ++requests, register.acceptors().generation(), wanted, now + PATIENCE, this);
+            register.reconfigure(now, ++requests, register.acceptors().generation(), wanted, now + TIMEOUT_MS, this);
         }
     }
 
--- a/messages/src/test/java/dewplank/message/FramedConnectionTest.java
+++ b/messages/src/test/java/dewplank/message/FramedConnectionTest.java
@@ -167,10 +167,10 @@
 
     @Test
     void closesWhenItIsNotEstablishedInTime() throws Exception {
-        try (ScriptedServer late = ScriptedServer.late(new LinkedBlockingQueue<>())) {
-            FramedConnection given = open(late.address(), 30);
+        try (ScriptedServer slowListener = ScriptedServer.late(new LinkedBlockingQueue<>())) {
+            FramedConnection given = open(slowListener.address(), 30);
             assertEquals(given, RecordingHandler.next(local.closed));
-            late.letIn();
+            slowListener.letIn();
             assertTrue(OnLoop.get(loop, given::isClosed));
             assertTrue(local.opened.isEmpty());
         }
@@ -178,13 +178,13 @@
 
     @Test
     void isNeverOpenedWhenClosedBefore() throws Exception {
-        try (ScriptedServer late = ScriptedServer.late(new LinkedBlockingQueue<>())) {
-            FramedConnection given = open(late.address(), OPEN_MS);
+        try (ScriptedServer slowListener = ScriptedServer.late(new LinkedBlockingQueue<>())) {
+            FramedConnection given = open(slowListener.address(), OPEN_MS);
             OnLoop.run(loop, given::close);
             assertEquals(given, RecordingHandler.next(local.closed));
-            late.letIn();
-            late.nextConnection().awaitEnd();
-            late.nextConnection().awaitEnd(); // the crowd's
+            slowListener.letIn();
+            slowListener.nextConnection().awaitEnd();
+            slowListener.nextConnection().awaitEnd(); // the crowd's
             OnLoop.run(loop, () -> {});
             assertTrue(local.opened.isEmpty());
         }
@@ -228,9 +228,9 @@
 
     /** A peer that reads nothing: the bytes that wait for it are bounded. */
     @Test
-    void closesWhenAPeerIsStuck() throws Exception {
-        try (ScriptedServer stuck = ScriptedServer.raw()) {
-            FramedConnection dialled = open(stuck.address(), OPEN_MS);
+    void closesWhenAPeerDoesNotRead() throws Exception {
+        try (ScriptedServer unresponsive = ScriptedServer.raw()) {
+            FramedConnection dialled = open(unresponsive.address(), OPEN_MS);
             RecordingHandler.next(local.opened);
             FleetUpdate large = new FleetUpdate(new byte[4 << 20], 1, 0, null, null);
             for (int i = 0; i < 40 && !OnLoop.get(loop, dialled::isClosed); i++) {
--- a/messages/src/test/java/dewplank/message/MessageCodecTest.java
+++ b/messages/src/test/java/dewplank/message/MessageCodecTest.java
@@ -47,9 +47,9 @@
     // ---- all kinds ------------------------------------------------------------------------------------
 
     @Test
-    void knowsAllTypesOfMessages() {
+    void listsAllMessageTypes() {
         Set<Class<?>> types = new HashSet<>();
-        Messages.kinds().forEach(m -> types.add(m.getClass()));
+        Messages.kinds().forEach(message -> types.add(message.getClass()));
         assertTrue(types.containsAll(RegisterMessages.TYPES));
         assertTrue(types.containsAll(List.of(
                 VoteRequest.class,
@@ -66,8 +66,9 @@
     /** The numbers on the wire are those of the version before: kinds are added at the end. */
     @Test
     void numbersTypesInAFixedOrder() {
-        List<String> names =
-                Messages.kinds().stream().map(m -> m.getClass().getSimpleName()).toList();
+        List<String> names = Messages.kinds().stream()
+                .map(message -> message.getClass().getSimpleName())
+                .toList();
         assertEquals(
                 List.of(
                         "ControlHello",
@@ -112,8 +113,8 @@
         for (int at = 0; at < bytes.length; ) {
             int end = Math.min(bytes.length, at + 1 + random.nextInt(maxChunkBytes));
             ByteBuffer chunk = ByteBuffer.wrap(bytes, at, end - at);
-            for (Object m = reader.decode(chunk); m != null; m = reader.decode(chunk)) {
-                received.add(m);
+            for (Object message = reader.decode(chunk); message != null; message = reader.decode(chunk)) {
+                received.add(message);
             }
             assertFalse(chunk.hasRemaining());
             at = end;
@@ -164,15 +165,15 @@
 
     @Test
     void decodesAnEqualRegisterValue() throws Exception {
-        AcceptorId a = new AcceptorId("10.0.0.1:1", "founder@10.0.0.1:1");
-        AcceptorId b = new AcceptorId("10.0.0.2:1", "");
+        AcceptorId founder = new AcceptorId("10.0.0.1:1", "founder@10.0.0.1:1");
+        AcceptorId successor = new AcceptorId("10.0.0.2:1", "");
         byte[] large = new byte[4 << 20];
         new Random(1).nextBytes(large);
         for (byte[] payload : new byte[][] {null, new byte[0], {0}, large}) {
             for (AcceptorSet set : List.of(
                     AcceptorSet.of(List.of()),
-                    AcceptorSet.of(List.of(a)),
-                    new AcceptorSet(7, List.of(a, b), List.of(b)))) {
+                    AcceptorSet.of(List.of(founder)),
+                    new AcceptorSet(7, List.of(founder, successor), List.of(successor)))) {
                 RegisterValue value = new RegisterValue(set, 9, payload);
                 Promise promise = roundTrip(new Promise("s", "si", "ri", new Ballot(3, "p"), Ballot.NONE, value));
                 assertEquals(value, promise.acceptedValue());
--- a/messages/src/test/java/dewplank/message/Messages.java
+++ b/messages/src/test/java/dewplank/message/Messages.java
@@ -65,8 +65,8 @@
 
     private static List<Field> fields(Class<?> type) {
         List<Field> fields = new ArrayList<>();
-        for (Class<?> c = type; c != Object.class; c = c.getSuperclass()) {
-            for (Field field : c.getDeclaredFields()) {
+        for (Class<?> declaring = type; declaring != Object.class; declaring = declaring.getSuperclass()) {
+            for (Field field : declaring.getDeclaredFields()) {
                 if (!Modifier.isStatic(field.getModifiers())) {
                     field.setAccessible(true);
                     fields.add(field);
@@ -116,24 +116,24 @@
     }
 
     /** Where the two differ, or null. */
-    static String difference(Object a, Object b) throws ReflectiveOperationException {
-        return difference("", a, b);
+    static String difference(Object expected, Object actual) throws ReflectiveOperationException {
+        return difference("", expected, actual);
     }
 
-    private static String difference(String path, Object a, Object b) throws ReflectiveOperationException {
-        if (a == null || b == null) {
-            return a == b ? null : path + ": " + a + " and " + b;
-        } else if (a instanceof List<?> left && b instanceof List<?> right) {
+    private static String difference(String path, Object expected, Object actual) throws ReflectiveOperationException {
+        if (expected == null || actual == null) {
+            return expected == actual ? null : path + ": " + expected + " and " + actual;
+        } else if (expected instanceof List<?> left && actual instanceof List<?> right) {
             return elements(path, left.toArray(), right.toArray());
-        } else if (a instanceof byte[] left && b instanceof byte[] right) {
+        } else if (expected instanceof byte[] left && actual instanceof byte[] right) {
             return Arrays.equals(left, right) ? null : path + ": other bytes";
-        } else if (a.getClass() != b.getClass()) {
-            return path + ": " + a.getClass() + " and " + b.getClass();
-        } else if (a.getClass().getName().startsWith("java.") || a instanceof Enum) {
-            return a.equals(b) ? null : path + ": " + a + " and " + b;
+        } else if (expected.getClass() != actual.getClass()) {
+            return path + ": " + expected.getClass() + " and " + actual.getClass();
+        } else if (expected.getClass().getName().startsWith("java.") || expected instanceof Enum) {
+            return expected.equals(actual) ? null : path + ": " + expected + " and " + actual;
         }
-        for (Field field : fields(a.getClass())) {
-            String found = difference(path + "." + field.getName(), field.get(a), field.get(b));
+        for (Field field : fields(expected.getClass())) {
+            String found = difference(path + "." + field.getName(), field.get(expected), field.get(actual));
             if (found != null) {
                 return found;
             }
@@ -141,12 +141,13 @@
         return null;
     }
 
-    private static String elements(String path, Object[] a, Object[] b) throws ReflectiveOperationException {
-        if (a.length != b.length) {
-            return path + ": " + a.length + " and " + b.length + " elements";
+    private static String elements(String path, Object[] expected, Object[] actual)
+            throws ReflectiveOperationException {
+        if (expected.length != actual.length) {
+            return path + ": " + expected.length + " and " + actual.length + " elements";
         }
-        for (int i = 0; i < a.length; i++) {
-            String found = difference(path + "[" + i + "]", a[i], b[i]);
+        for (int i = 0; i < expected.length; i++) {
+            String found = difference(path + "[" + i + "]", expected[i], actual[i]);
             if (found != null) {
                 return found;
             }
--- a/routing/src/test/java/dewplank/routing/GoldenHealthSummaryTest.java
+++ b/routing/src/test/java/dewplank/routing/GoldenHealthSummaryTest.java
@@ -63,7 +63,7 @@
 
     /** Of 50 suspected servers 40 find room in 256 bytes, and no healthy one. */
     @Test
-    void noMoreThanFindRoom() {
+    void noMoreThanFit() {
         List<HealthSummary.Suspected> suspected = new ArrayList<>();
         StringBuilder expected = new StringBuilder("02" + "0000000000000005" + "00000006" + "28");
         for (int index = 0; index < 50; index++) {
--- a/routing/src/test/java/dewplank/routing/HealthVotesTest.java
+++ b/routing/src/test/java/dewplank/routing/HealthVotesTest.java
@@ -146,10 +146,10 @@
     @Test
     void aSummaryOfManyServersKeepsToItsBoundAndNamesSuspectedServersFirst() {
         List<HealthSummary.Suspected> suspected = IntStream.range(0, 30)
-                .mapToObj(i -> new HealthSummary.Suspected(i, 1_000, 1_000_000))
+                .mapToObj(hash -> new HealthSummary.Suspected(hash, 1_000, 1_000_000))
                 .toList();
         List<HealthSummary.Healthy> healthy = IntStream.range(100, 200)
-                .mapToObj(i -> new HealthSummary.Healthy(i, 0))
+                .mapToObj(hash -> new HealthSummary.Healthy(hash, 0))
                 .toList();
         byte[] bytes = new HealthSummary(LATER, 1, suspected, healthy).encode();
         assertTrue(bytes.length <= HealthSummary.MAX_BYTES);
--- a/routing/src/test/java/dewplank/routing/PolicyTest.java
+++ b/routing/src/test/java/dewplank/routing/PolicyTest.java
@@ -29,7 +29,7 @@
     private static long picks(ServerPicker picker, double nowMs, List<TrackedServer> servers, TrackedServer of) {
         long picks = 0;
         for (int i = 0; i < 1_000; i++) {
-            picks += picker.pick(nowMs, ServerPicker.PickArguments.byInFlight(servers, s -> true, false))
+            picks += picker.pick(nowMs, ServerPicker.PickArguments.byInFlight(servers, server -> true, false))
                                     .orElseThrow()
                             == of
                     ? 1
@@ -127,17 +127,18 @@
         PromptPrefix prompt = PromptPrefix.parse("5c1e07a2:8000,91bd3f06:410");
         PrefillDecodePicker withAffinity = new PrefillDecodePicker(without());
         PrefillDecodePicker withoutAffinity = new PrefillDecodePicker(without(Mechanism.HOMES));
-        TrackedServer owner =
-                withAffinity.pickPrefillServer(0, servers, prompt, s -> true).orElseThrow();
+        TrackedServer owner = withAffinity
+                .pickPrefillServer(0, servers, prompt, server -> true)
+                .orElseThrow();
         int elsewhere = 0;
         for (int i = 0; i < 100; i++) {
             assertEquals(
                     owner,
                     withAffinity
-                            .pickPrefillServer(0, servers, prompt, s -> true)
+                            .pickPrefillServer(0, servers, prompt, server -> true)
                             .orElseThrow());
             elsewhere += withoutAffinity
-                                    .pickPrefillServer(0, servers, prompt, s -> true)
+                                    .pickPrefillServer(0, servers, prompt, server -> true)
                                     .orElseThrow()
                             == owner
                     ? 0
--- a/routing/src/test/java/dewplank/routing/RetryBudgetTest.java
+++ b/routing/src/test/java/dewplank/routing/RetryBudgetTest.java
@@ -49,9 +49,12 @@
         }
         for (double end : retries) {
             double start = end - WINDOW_MS;
-            long sent = retries.stream().filter(t -> t > start && t <= end).count();
-            long requested =
-                    requests.stream().filter(t -> t > start && t <= end).count();
+            long sent = retries.stream()
+                    .filter(sentAtMs -> sentAtMs > start && sentAtMs <= end)
+                    .count();
+            long requested = requests.stream()
+                    .filter(sentAtMs -> sentAtMs > start && sentAtMs <= end)
+                    .count();
             assertTrue(
                     sent <= RATIO * requested + SLACK, sent + " repeats of " + requested + " requests, seed " + seed);
         }
@@ -89,7 +92,9 @@
         }
         for (double end : retries) {
             double start = end - WINDOW_MS;
-            long sent = retries.stream().filter(t -> t > start && t <= end).count();
+            long sent = retries.stream()
+                    .filter(sentAtMs -> sentAtMs > start && sentAtMs <= end)
+                    .count();
             assertTrue(sent <= SLACK, sent + " repeats, seed " + seed);
         }
     }
--- a/routing/src/test/java/dewplank/routing/StagePlannerTest.java
+++ b/routing/src/test/java/dewplank/routing/StagePlannerTest.java
@@ -29,11 +29,12 @@
     }
 
     private static List<ModelServer> after(List<ModelServer> servers, List<StageChange> changes) {
-        Map<String, StageChange> byId = changes.stream().collect(Collectors.toMap(StageChange::instanceId, c -> c));
+        Map<String, StageChange> byId =
+                changes.stream().collect(Collectors.toMap(StageChange::instanceId, change -> change));
         return servers.stream()
-                .map(e -> byId.containsKey(e.instanceId())
-                        ? e.whileChanging(byId.get(e.instanceId()).toPrefill())
-                        : e)
+                .map(server -> byId.containsKey(server.instanceId())
+                        ? server.whileChanging(byId.get(server.instanceId()).toPrefill())
+                        : server)
                 .toList();
     }
 
@@ -44,9 +45,11 @@
         assertEquals(21, changes.size()); // a quarter of 63, rounded up, goes on to decode
         List<ModelServer> then = after(servers, changes);
         Map<String, Long> decode = then.stream()
-                .filter(e -> !e.isPrefill())
+                .filter(server -> !server.isPrefill())
                 .collect(Collectors.groupingBy(ModelServer::zone, Collectors.counting()));
-        assertTrue(decode.values().stream().allMatch(n -> n >= 5 && n <= 6), "decode servers by zone " + decode);
+        assertTrue(
+                decode.values().stream().allMatch(count -> count >= 5 && count <= 6),
+                "decode servers by zone " + decode);
         assertEquals(List.of(), StagePlanner.planChanges(then), "nothing is ordered twice");
     }
 
@@ -62,7 +65,8 @@
     @Test
     void crowdedDecodeServersGetAsManyMoreAsTheyNeed() {
         List<ModelServer> servers = new ArrayList<>(modelServers(40, 30, 1));
-        servers.replaceAll(e -> e.isPrefill() ? e : modelServer(e.instanceId(), e.zone(), false, 28));
+        servers.replaceAll(
+                server -> server.isPrefill() ? server : modelServer(server.instanceId(), server.zone(), false, 28));
         List<StageChange> changes = StagePlanner.planChanges(servers);
         assertEquals(2, changes.size()); // 280 requests, half the places of 10 servers 240, of 12 servers 288
         assertTrue(changes.stream().noneMatch(StageChange::toPrefill));
