--- a/sidecar/src/test/java/dewplank/sidecar/RequestForwardingTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/RequestForwardingTest.java
@@ -197,6 +197,7 @@
             client.send(request);
             assertStatus(status, client.read());
             assertNull(client.read());
+            net.client().awaitHealthStatus("200"); // other clients are served
         }
     }
 
