--- a/cli/src/test/java/dewplank/LiveTest.java
+++ b/cli/src/test/java/dewplank/LiveTest.java
@@ -44,7 +44,7 @@
     }
 
     @Test
-    public void aServerThatCrashesAndComesBackColdBreaksNoRule() throws Exception {
+    public void aServerThatCrashesAndRestartsBreaksNoRule() throws Exception {
         List<String> lines = new ArrayList<>();
         Trial trial = play(scenario("try", 9, 2), 1, lines);
         assertEquals(
@@ -62,7 +62,7 @@
      * building goes with its servers and its sidecar, another's servers fail quickly; all of it comes back.
      */
     @Test
-    public void aBuildingLostWithItsSidecarLeavesTheOthersServing() throws Exception {
+    public void aZoneLostWithItsSidecarLeavesTheOthersServing() throws Exception {
         Path file = Files.createTempFile("building", ".toml");
         Files.writeString(
                 file,
@@ -104,7 +104,7 @@
     }
 
     @Test
-    public void aSidecarKilledInTheMiddleLosesWhatItHeldAndNoRuleIsSaidToBeBroken() throws Exception {
+    public void aKilledSidecarLosesItsRequestsInFlightAndBreaksNoRule() throws Exception {
         List<String> lines = new ArrayList<>();
         Trial trial = play(scenario("sidecar-kill", 16, 2), 1, lines);
         assertTrue(lines.toString(), lines.stream().anyMatch(l -> l.endsWith("was killed")));
--- a/cli/src/test/java/dewplank/OperatorMainTest.java
+++ b/cli/src/test/java/dewplank/OperatorMainTest.java
@@ -40,7 +40,7 @@
     private static Path folder;
 
     private static HttpServer platform;
-    private static ControlPlane plane;
+    private static ControlPlane controlPlane;
     private static Path settings;
     private static String control;
 
@@ -57,13 +57,13 @@
         List<Integer> ports = freePorts();
         control = CONTROL_HOST + ":" + ports.get(0);
         settings = write("node.json", settings(control, ports.get(1), ports.get(2), "\"" + folder + "\""));
-        plane = new ControlPlane(NodeSettings.read(settings).requireControlPlaneKeys());
-        plane.start();
+        controlPlane = new ControlPlane(NodeSettings.read(settings).requireControlPlaneKeys());
+        controlPlane.start();
     }
 
     @AfterAll
     static void stop() throws InterruptedException {
-        plane.drain();
+        controlPlane.drain();
         platform.stop(0);
     }
 
@@ -112,24 +112,24 @@
         return Streams.of(() -> OperatorMain.run(all));
     }
 
-    private static String done(Streams streams) {
+    private static String succeeded(Streams streams) {
         assertEquals(0, streams.code(), streams.err());
-        assertEquals("", said(streams));
+        assertEquals("", errorMessage(streams));
         return streams.out();
     }
 
     /** What the command said on standard error; the control plane of this process logs there too. */
-    private static String said(Streams streams) {
+    private static String errorMessage(Streams streams) {
         int start = streams.err().indexOf("dewplank: ");
         return start < 0 ? "" : streams.err().substring(start);
     }
 
     private static void failed(int code, String beginning, Streams streams) {
         assertEquals(code, streams.code(), streams.err());
-        assertTrue(said(streams).startsWith("dewplank: " + beginning), streams.err());
+        assertTrue(errorMessage(streams).startsWith("dewplank: " + beginning), streams.err());
     }
 
-    private static String whole(int version, int timeoutMs) {
+    private static String configuration(int version, int timeoutMs) {
         return "{\"config_version\":" + version + ",\"routes\":[{\"name\":\"r-1\",\"host_name\":\"a.example\","
                 + "\"path_prefix\":\"/a/\",\"route_type\":\"safe\",\"timeout_ms\":" + timeoutMs
                 + ",\"service\":\"s\"}],"
@@ -138,17 +138,17 @@
 
     /** One operator's day: what follows builds on what came before. */
     @Test
-    void anOperatorsDay() throws IOException {
+    void putsPatchesAndExplainsAConfiguration() throws IOException {
         failed(1, "206 NO_CONFIGURATION", fleet("get"));
-        Path first = write("first.json", whole(5, 900));
-        assertTrue(done(fleet("diff", first.toString())).contains("+ routes[r-1] "));
-        assertEquals("100 OK by " + control + "\n", done(fleet("put", first.toString())));
-        assertEquals(whole(5, 900) + "\n", done(fleet("get", "--json")));
-        assertTrue(done(fleet("get")).startsWith("configuration 5\n"));
-        assertEquals("101 ALREADY_TAKEN by " + control + "\n", done(fleet("put", first.toString(), "--on", "0")));
+        Path first = write("first.json", configuration(5, 900));
+        assertTrue(succeeded(fleet("diff", first.toString())).contains("+ routes[r-1] "));
+        assertEquals("100 OK by " + control + "\n", succeeded(fleet("put", first.toString())));
+        assertEquals(configuration(5, 900) + "\n", succeeded(fleet("get", "--json")));
+        assertTrue(succeeded(fleet("get")).startsWith("configuration 5\n"));
+        assertEquals("101 ALREADY_TAKEN by " + control + "\n", succeeded(fleet("put", first.toString(), "--on", "0")));
         assertEquals("no differences\n", fleet("diff", first.toString()).out());
 
-        Path second = write("second.json", whole(9, 0));
+        Path second = write("second.json", configuration(9, 0));
         failed(1, "205 VERSION_MISMATCH: version 5 is in place", fleet("put", second.toString(), "--on", "4"));
         failed(1, "204 INVALID_CONFIGURATION: routes[r-1].timeout_ms", fleet("put", second.toString()));
         Streams json = fleet("put", second.toString(), "--json");
@@ -158,47 +158,47 @@
         Path patch = write(
                 "patch.json",
                 "{\"config_version\":7,\"upsert\":{\"routes\":["
-                        + whole(7, 800).replaceAll(".*\"routes\":\\[(.*?)\\],.*", "$1") + "]}}");
+                        + configuration(7, 800).replaceAll(".*\"routes\":\\[(.*?)\\],.*", "$1") + "]}}");
         assertEquals(
                 "~ config_version 5 -> 7\n~ routes[r-1].timeout_ms 900 -> 800\n",
-                done(fleet("diff", patch.toString())));
+                succeeded(fleet("diff", patch.toString())));
         assertEquals(
                 2,
-                ((List<?>) Json.object(done(fleet("diff", patch.toString(), "--json")))
+                ((List<?>) Json.object(succeeded(fleet("diff", patch.toString(), "--json")))
                                 .get("changes"))
                         .size());
-        done(fleet("patch", patch.toString()));
+        succeeded(fleet("patch", patch.toString()));
         failed(1, "204 INVALID_CONFIGURATION: config_version: is not above 7", fleet("diff", first.toString()));
 
-        listed();
-        assertTrue(done(fleet("explain", "a.example", "/a/b")).contains("i-1"));
-        assertTrue(done(fleet("explain", "a.example", "/a/b", "--json")).startsWith("{\"config_version\":7,"));
+        awaitEndpointList();
+        assertTrue(succeeded(fleet("explain", "a.example", "/a/b")).contains("i-1"));
+        assertTrue(succeeded(fleet("explain", "a.example", "/a/b", "--json")).startsWith("{\"config_version\":7,"));
         failed(1, "208 NO_SUCH_ROUTE", fleet("explain", "a.example", "/b/"));
     }
 
     /** Looks until the list of servers has come. */
-    private static void listed() {
+    private static void awaitEndpointList() {
         long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(LIST_TIMEOUT_S);
         Streams one = fleet("servers", "i-1");
         while (one.code() != 0 && System.nanoTime() < deadlineNanos) {
             one = fleet("servers", "i-1");
         }
-        assertTrue(done(one).contains("127.0.0.1:9"));
+        assertTrue(succeeded(one).contains("127.0.0.1:9"));
     }
 
     @Test
-    void showsWhatControlSidecarsKnow() {
-        assertTrue(done(fleet("members")).startsWith("as known to core-1"));
-        assertTrue(done(fleet("duties")).contains("core-1"));
-        assertTrue(done(fleet("status")).contains(control));
-        assertTrue(done(run("fleet", "status", "--settings", settings.toString(), "--json"))
+    void showsMembersRolesAndStatus() {
+        assertTrue(succeeded(fleet("members")).startsWith("as known to core-1"));
+        assertTrue(succeeded(fleet("duties")).contains("core-1"));
+        assertTrue(succeeded(fleet("status")).contains(control));
+        assertTrue(succeeded(run("fleet", "status", "--settings", settings.toString(), "--json"))
                 .contains("\"quorate\""));
-        assertTrue(done(fleet("servers", "--service", "other")).startsWith("list "));
+        assertTrue(succeeded(fleet("servers", "--service", "other")).startsWith("list "));
         failed(1, "207 NO_SUCH_SERVER", fleet("servers", "no such"));
     }
 
     @Test
-    void aWrongCommandLineEndsWithTwo() {
+    void anInvalidCommandLineExitsWith2() {
         failed(2, "where control sidecars are", run("fleet", "get"));
         failed(2, "", run("fleet"));
         failed(2, "", run("fleet", "nothing"));
@@ -213,7 +213,7 @@
     }
 
     @Test
-    void noControlSidecarEndsWithThree() throws IOException {
+    void noReachableControlPlaneExitsWith3() throws IOException {
         try (Socket bound = new Socket()) { // nobody listens, and nobody else can: connections are refused
             bound.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             String nobody = "127.0.0.1:" + bound.getLocalPort();
@@ -223,7 +223,7 @@
     }
 
     @Test
-    void aFileThatCantBeReadEndsWithOne() {
+    void anUnreadableFileExitsWith1() {
         failed(1, "602 FILE_UNREADABLE", fleet("put", "no/such/file"));
         failed(1, "602 FILE_UNREADABLE", run("fleet", "get", "--settings", "no/such/file"));
         failed(1, "602 FILE_UNREADABLE", run("check-settings", "no/such/file"));
@@ -234,7 +234,7 @@
         assertEquals(
                 "settings of core-1 can be used: control plane (verb control-plane) for operators at " + control
                         + ", disk in " + folder + "\n",
-                done(run("check-settings", settings.toString())));
+                succeeded(run("check-settings", settings.toString())));
         Path noDisk = write("no-disk.json", settings(control, 1, 2, "null"));
         failed(1, "604 KEY_MISSING: data_directory is missing", run("check-settings", noDisk.toString()));
         Path relay = write(
@@ -243,19 +243,19 @@
         assertEquals(
                 "settings of core-1 can be used: relay without a disk (verb control-plane) for operators at " + control
                         + "\n",
-                done(run("check-settings", relay.toString())));
+                succeeded(run("check-settings", relay.toString())));
         Path edge = write("edge.json", settings(control, 1, 2, "null").replace("\"control\":", "\"front\":"));
         failed(1, "604 KEY_MISSING: listen_addresses.readiness is missing", run("check-settings", edge.toString()));
         Path both = write(
                 "both.json",
                 settings(control, 1, 2, "null").replace("\"control\":", "\"front\":\"127.0.0.1:1\",\"readiness\":"));
-        assertTrue(done(run("check-settings", both.toString())).contains("data plane (verb data-plane)"));
+        assertTrue(succeeded(run("check-settings", both.toString())).contains("data plane (verb data-plane)"));
         Path none = write("none.json", settings(control, 1, 2, "null").replace("\"control\":", "\"other\":"));
         failed(1, "607 NO_ROLE", run("check-settings", none.toString()));
     }
 
     @Test
-    void namesAStartThatFails() throws Exception {
+    void namesTheCauseOfAFailedStart() throws Exception {
         Path taken = write("taken.json", settings(control, 1, 2, "\"" + folder.resolve("other") + "\""));
         Files.createDirectories(folder.resolve("other"));
         assertTrue(startFault(taken).startsWith("702 ADDRESS_NOT_USABLE: "), startFault(taken));
--- a/cli/src/test/java/dewplank/fleet/FleetStory.java
+++ b/cli/src/test/java/dewplank/fleet/FleetHarness.java
@@ -29,81 +29,88 @@
 import java.util.Optional;
 import java.util.concurrent.TimeoutException;
 
-/** A fleet of processes with its servers and first configuration, as the tests of this package begin. */
-final class FleetStory implements AutoCloseable {
+/**
+ * A fleet of real processes on loopback between stand-ins for servers, platform, operator and clients, with an initial
+ * configuration. Its methods are called by the test's thread.
+ */
+final class FleetHarness implements AutoCloseable {
     static final RouteSpec READ = RouteSpec.to("plain", "read", RouteSpec.Kind.SAFE);
     static final RouteSpec WRITE = RouteSpec.to("plain", "write", RouteSpec.Kind.UNSAFE);
     static final RouteSpec CHAT = RouteSpec.to("model", "chat", RouteSpec.Kind.STREAM);
     static final RouteSpec TALK = RouteSpec.to("model", "talk", RouteSpec.Kind.RESUMABLE);
-    static final int EVENTS = 12;
-    static final FleetConfiguration FIRST = new FleetConfiguration(
+    static final int EVENT_COUNT = 12;
+    static final FleetConfiguration INITIAL = new FleetConfiguration(
             3,
             List.of(READ, WRITE, CHAT, TALK),
             List.of(ServiceSpec.plain("plain"), ServiceSpec.plain("other"), ServiceSpec.model("model")));
-    /** One request of every kind, as clients ask in turn. */
-    static final List<ClientRequest> MIX = List.of(
+    /** One request of every kind, as clients send them in turn. */
+    static final List<ClientRequest> ONE_OF_EACH_KIND = List.of(
             ClientRequest.plain(READ, "mix"),
             ClientRequest.plain(WRITE, "mix"),
-            ClientRequest.split(CHAT, "mix", EVENTS),
-            ClientRequest.direct(TALK, "mix", EVENTS));
+            ClientRequest.split(CHAT, "mix", EVENT_COUNT),
+            ClientRequest.direct(TALK, "mix", EVENT_COUNT));
 
-    private static final double SETTLED_PART = 0.4; // of a window: 0.3, and the time until the first members are known
+    private static final double SETTLED_FRACTION = 0.4; // of a window: 0.3, and the time until members are known
     private static final int MS_PER_S = 1_000;
-    private static final String DUTIES = "/duties";
+    private static final String DUTIES_PATH = "/duties";
 
     private final Path folder;
     final StandInFleet fleet;
-    final List<PlainServer> plain = new ArrayList<>();
-    final List<ModelServer> prefill = new ArrayList<>();
-    final List<ModelServer> decode = new ArrayList<>();
+    final List<PlainServer> plainServers = new ArrayList<>();
+    final List<ModelServer> prefillServers = new ArrayList<>();
+    final List<ModelServer> decodeServers = new ArrayList<>();
 
-    private FleetStory(int control, int data) throws IOException {
+    private FleetHarness(int control, int data) throws IOException {
         folder = Files.createTempDirectory("fleet");
         fleet = new StandInFleet(Programs.commands(), folder, control, data);
     }
 
-    /** What happens in a story. */
-    interface Plot {
-        void play(FleetStory story) throws Exception;
+    /** What a test does with a fleet that serves. */
+    interface Scenario {
+        void run(FleetHarness harness) throws Exception;
     }
 
     /**
-     * Servers are there, processes start, the first configuration is taken, the data planes are ready; then the plot is
-     * played. In the end the history must keep every rule. Whatever fails, the processes' logs are shown.
+     * Starts the servers and processes, puts the initial configuration, waits until the data planes are ready and runs
+     * the scenario. Afterwards the history must keep every rule. Where anything fails, the processes' logs are printed.
      */
-    static void tell(int control, int data, Plot plot) throws Exception {
-        try (FleetStory story = new FleetStory(control, data)) {
+    static void run(int control, int data, Scenario scenario) throws Exception {
+        try (FleetHarness harness = new FleetHarness(control, data)) {
             try {
-                story.begin();
-                plot.play(story);
-                assertEquals(List.of(), FleetAuditor.audit(story.fleet.history().events()));
+                harness.start();
+                scenario.run(harness);
+                assertEquals(
+                        List.of(), FleetAuditor.audit(harness.fleet.history().events()));
             } catch (Exception | AssertionError e) {
-                story.tellLogs();
+                harness.printLogs();
                 throw e;
             }
         }
     }
 
-    private void begin() throws IOException, InterruptedException, TimeoutException {
-        servers();
+    private void start() throws IOException, InterruptedException, TimeoutException {
+        startServers();
         fleet.startFirst();
-        assertEquals(200, Futures.await(fleet.operator().put(FIRST, 0, 0)), "the first configuration");
+        assertEquals(200, Futures.await(fleet.operator().put(INITIAL, 0, 0)), "the first configuration");
         awaitReady();
-        awaitSettledBudget();
+        awaitRetryBudget();
     }
 
-    /** Before, data planes do not know how many share the budget of repeated sends, and use none of its slack. */
-    private void awaitSettledBudget() throws InterruptedException, TimeoutException {
-        double settled = fleet.now() + SETTLED_PART * FleetBounds.BUDGET_WINDOW_S * MS_PER_S;
+    /** Before, data planes don't know how many share the retry budget, and use none of its slack. */
+    private void awaitRetryBudget() throws InterruptedException, TimeoutException {
+        double settled = fleet.now() + SETTLED_FRACTION * FleetBounds.BUDGET_WINDOW_S * MS_PER_S;
         fleet.history()
-                .await("a call to the platform after that", EndpointListRequested.class, c -> c.atMs() > settled);
+                .await(
+                        "a call to the platform once the budget is known",
+                        EndpointListRequested.class,
+                        c -> c.atMs() > settled);
     }
 
-    private void servers() throws IOException {
+    private void startServers() throws IOException {
         for (int i = 0; i < 2; i++) {
-            plain.add(fleet.plainServer("plain"));
-            prefill.add(fleet.modelServer("model", ServerStage.PREFILL));
-            decode.add(fleet.modelServer("model", ServerStage.DECODE));
+            plainServers.add(fleet.plainServer("plain"));
+            prefillServers.add(fleet.modelServer("model", ServerStage.PREFILL));
+            decodeServers.add(fleet.modelServer("model", ServerStage.DECODE));
         }
     }
 
@@ -118,38 +125,41 @@
                 .awaitState("readiness " + status + " of " + machine.node(), () -> fleet.readiness(machine) == status);
     }
 
-    /** What a control process says at a path. */
+    /** A control process's response at a path; an empty object where it doesn't respond with 200. */
     JsonObject view(FleetProcess process, String path) {
         return fleet.operator().view(process.machine(), path);
     }
 
-    /** Whether a control process says that this version is chosen. */
-    boolean knows(FleetProcess process, long version) {
+    /** Whether a control process reports that this version is chosen. */
+    boolean reportsVersion(FleetProcess process, long version) {
         JsonObject status = view(process, "/status");
         return status.has("config_version") && status.get("config_version").getAsLong() == version;
     }
 
-    /** Another control process than that one. */
-    FleetProcess another(FleetProcess than) {
-        return fleet.control().stream().filter(p -> p != than).findFirst().orElseThrow();
+    /** A control process that is not the excluded one. */
+    FleetProcess controlOtherThan(FleetProcess excluded) {
+        return fleet.control().stream()
+                .filter(process -> process != excluded)
+                .findFirst()
+                .orElseThrow();
     }
 
-    int index(FleetProcess control) {
+    int indexOf(FleetProcess control) {
         return fleet.control().indexOf(control);
     }
 
-    /** The control process that asks the platform, once one does. */
-    FleetProcess holder() throws InterruptedException, TimeoutException {
+    /** The control process that holds the lease of the role to poll the platform, once one does. */
+    FleetProcess awaitLeaseHolder() throws InterruptedException, TimeoutException {
         return awaitLease().holder();
     }
 
-    /** The lease of the duty to ask the platform: who holds it, and under which fencing number. */
-    record Lease(FleetProcess holder, long fencingNumber) {}
+    /** The lease of the role to poll the platform: its holder and its fencing token. */
+    record Lease(FleetProcess holder, long fencingToken) {}
 
-    /** The lease, once a control process says that it holds it. */
+    /** The lease, once a control process reports that it holds it. */
     Lease awaitLease() throws InterruptedException, TimeoutException {
         List<Lease> leases = new ArrayList<>();
-        fleet.history().awaitState("a holder of the duty", () -> {
+        fleet.history().awaitState("a lease holder", () -> {
             fleet.control().forEach(p -> lease(p).ifPresent(leases::add));
             return !leases.isEmpty();
         });
@@ -157,41 +167,40 @@
     }
 
     private Optional<Lease> lease(FleetProcess process) {
-        JsonObject duties = process.isAlive() ? view(process, DUTIES) : new JsonObject();
+        JsonObject duties = process.isAlive() ? view(process, DUTIES_PATH) : new JsonObject();
         JsonObject list = duties.has("list") ? duties.getAsJsonObject("list") : new JsonObject();
         return list.has("held_here") && list.get("held_here").getAsBoolean()
                 ? Optional.of(new Lease(process, list.get("fencing_number").getAsLong()))
                 : Optional.empty();
     }
 
-    /** Waits until clients under this load have been served twice as many requests more as the mix has. */
+    /** Waits until the load has been served more than two further rounds of {@link #ONE_OF_EACH_KIND}. */
     void awaitServed(String what, SteadyLoad load) throws InterruptedException, TimeoutException {
         int before = load.served();
-        fleet.history().await(what, AttemptSent.class, t -> load.served() > before + 2 * MIX.size());
+        fleet.history().await(what, AttemptSent.class, t -> load.served() > before + 2 * ONE_OF_EACH_KIND.size());
     }
 
-    /** Sends a whole configuration; it must be taken. */
-    void change(FleetConfiguration next, long base, int first) {
+    /** Puts a complete configuration, first to the control process of that index; it must be committed. */
+    void putConfiguration(FleetConfiguration next, long base, int first) {
         int status = Futures.await(fleet.operator().put(next, base, first));
         assertEquals(200, status, "version " + next.version());
     }
 
-    ClientAttempt.Outcome outcome(int edge, ClientRequest request) {
+    ClientAttempt.Outcome awaitOutcome(int edge, ClientRequest request) {
         return Futures.await(fleet.client().send(fleet.edge(edge), request).ended());
     }
 
     void assertServed(int edge, ClientRequest request) {
-        ClientAttempt.Outcome outcome = outcome(edge, request);
+        ClientAttempt.Outcome outcome = awaitOutcome(edge, request);
         assertTrue(outcome.served(), request.route().name() + " at edge " + edge + ": " + outcome);
     }
 
-    /** Reads the configuration back, from that control process first. */
+    /** Reads the configuration back, first from the control process of that index. */
     void assertReadBack(long version, int first) {
         assertEquals(version, Futures.await(fleet.operator().read(first)));
     }
 
-    /** Shows the processes' logs where a test fails. */
-    private void tellLogs() throws IOException {
+    private void printLogs() throws IOException {
         List<FleetProcess> all = new ArrayList<>(fleet.control());
         all.addAll(fleet.data());
         for (FleetProcess process : all) {
--- a/cli/src/test/java/dewplank/fleet/OperatorTest.java
+++ b/cli/src/test/java/dewplank/fleet/OperatorTest.java
@@ -23,22 +23,26 @@
     private static final long NEXT = 5;
 
     @Test
-    void noKindOfInvalidConfigurationIsTaken() throws Exception {
-        FleetStory.tell(3, 1, story -> {
+    void everyKindOfInvalidConfigurationIsRejected() throws Exception {
+        FleetHarness.run(3, 1, harness -> {
             int first = 0;
-            for (Map.Entry<String, String> bad : invalid().entrySet()) {
-                int status = Futures.await(
-                        story.fleet.operator().putInvalid(bad.getValue(), FleetStory.FIRST.version(), first++ % 3));
-                assertEquals(400, status, bad.getKey());
+            for (Map.Entry<String, String> invalid : invalid().entrySet()) {
+                int status = Futures.await(harness.fleet
+                        .operator()
+                        .putInvalid(invalid.getValue(), FleetHarness.INITIAL.version(), first++ % 3));
+                assertEquals(400, status, invalid.getKey());
             }
-            for (Map.Entry<String, String> bad : invalidPatches().entrySet()) {
-                int status = Futures.await(
-                        story.fleet.operator().patchInvalid(bad.getValue(), FleetStory.FIRST.version(), first++ % 3));
-                assertEquals(400, status, bad.getKey());
+            for (Map.Entry<String, String> invalid : invalidPatches().entrySet()) {
+                int status = Futures.await(harness.fleet
+                        .operator()
+                        .patchInvalid(invalid.getValue(), FleetHarness.INITIAL.version(), first++ % 3));
+                assertEquals(400, status, invalid.getKey());
             }
-            story.assertReadBack(FleetStory.FIRST.version(), 2);
-            assertEquals(404, story.outcome(0, ClientRequest.plain(ADDED, "x")).status());
-            story.change(FleetStory.FIRST.withVersion(NEXT), FleetStory.FIRST.version(), 0);
+            harness.assertReadBack(FleetHarness.INITIAL.version(), 2);
+            assertEquals(
+                    404,
+                    harness.awaitOutcome(0, ClientRequest.plain(ADDED, "x")).status());
+            harness.putConfiguration(FleetHarness.INITIAL.withVersion(NEXT), FleetHarness.INITIAL.version(), 0);
         });
     }
 
@@ -48,7 +52,7 @@
 
     /** A configuration that differs from the one in force by a new route, and is spoiled. */
     private static String spoiled(Spoiling spoiling) {
-        JsonObject document = FleetStory.FIRST.with(NEXT, ADDED).json();
+        JsonObject document = FleetHarness.INITIAL.with(NEXT, ADDED).json();
         JsonArray routes = document.getAsJsonArray("routes");
         spoiling.spoil(document, routes.get(routes.size() - 1).getAsJsonObject());
         return document.toString();
@@ -56,7 +60,7 @@
 
     private static Map<String, String> invalid() {
         Map<String, String> invalid = new LinkedHashMap<>();
-        String whole = FleetStory.FIRST.with(NEXT, ADDED).json().toString();
+        String whole = FleetHarness.INITIAL.with(NEXT, ADDED).json().toString();
         invalid.put("cut short", whole.substring(0, whole.length() - 1));
         invalid.put("no JSON", "never");
         invalid.put("something after it", whole + "}");
@@ -66,7 +70,7 @@
                         r.add("weighted_split", JsonParser.parseString("[{\"service\":\"nobody\",\"weight\":1}]"))));
         invalid.put(
                 "host and prefix of another",
-                spoiled((d, r) -> r.addProperty("path_prefix", FleetStory.READ.prefix())));
+                spoiled((d, r) -> r.addProperty("path_prefix", FleetHarness.READ.prefix())));
         invalid.put(
                 "weights of nothing",
                 spoiled((d, r) -> r.add(
@@ -74,12 +78,14 @@
                         JsonParser.parseString(
                                 "[{\"service\":\"plain\",\"weight\":0},{\"service\":\"other\",\"weight\":0}]"))));
         invalid.put("no time", spoiled((d, r) -> r.addProperty("timeout_ms", 0)));
-        invalid.put("version in place", spoiled((d, r) -> d.addProperty("config_version", FleetStory.FIRST.version())));
         invalid.put(
-                "version below", spoiled((d, r) -> d.addProperty("config_version", FleetStory.FIRST.version() - 1)));
+                "version in place", spoiled((d, r) -> d.addProperty("config_version", FleetHarness.INITIAL.version())));
+        invalid.put(
+                "version below",
+                spoiled((d, r) -> d.addProperty("config_version", FleetHarness.INITIAL.version() - 1)));
         invalid.put("no version", spoiled((d, r) -> d.remove("config_version")));
         invalid.put("no routes", spoiled((d, r) -> d.remove("routes")));
-        invalid.put("name of another", spoiled((d, r) -> r.addProperty("name", FleetStory.READ.name())));
+        invalid.put("name of another", spoiled((d, r) -> r.addProperty("name", FleetHarness.READ.name())));
         return invalid;
     }
 
@@ -88,7 +94,7 @@
         invalid.put("a service that is used goes", "{\"config_version\":5,\"remove\":{\"services\":[\"plain\"]}}");
         invalid.put("version in place", "{\"config_version\":3,\"remove\":{\"routes\":[\"read\"]}}");
         invalid.put("cut short", "{\"config_version\":5,\"remove\":{\"routes\":[\"read\"]}");
-        String route = FleetStory.FIRST
+        String route = FleetHarness.INITIAL
                 .with(NEXT, ADDED)
                 .json()
                 .getAsJsonArray("routes")
@@ -102,22 +108,22 @@
     }
 
     @Test
-    void ofTwoChangesOnOneBaseOneIsTaken() throws Exception {
-        FleetStory.tell(3, 1, story -> {
-            FleetConfiguration current = FleetStory.FIRST;
+    void ofTwoChangesOnOneBaseOneIsCommitted() throws Exception {
+        FleetHarness.run(3, 1, harness -> {
+            FleetConfiguration current = FleetHarness.INITIAL;
             for (int race = 0; race < RACES; race++) {
                 long next = current.version() + 2;
                 FleetConfiguration one = current.with(next, RouteSpec.to("plain", "one", RouteSpec.Kind.SAFE));
                 FleetConfiguration two =
                         current.with(next + race % 2, RouteSpec.to("plain", "two" + race, RouteSpec.Kind.SAFE));
-                CompletableFuture<Integer> first = story.fleet.operator().put(one, current.version(), race % 3);
-                CompletableFuture<Integer> second = story.fleet.operator().patch(two, current, (race + 1) % 3);
+                CompletableFuture<Integer> first = harness.fleet.operator().put(one, current.version(), race % 3);
+                CompletableFuture<Integer> second = harness.fleet.operator().patch(two, current, (race + 1) % 3);
                 int firstStatus = Futures.await(first);
                 List<Integer> statuses =
                         Stream.of(firstStatus, Futures.await(second)).sorted().toList();
                 assertEquals(List.of(200, 412), statuses, "race " + race);
                 current = firstStatus == 200 ? one : two;
-                story.assertReadBack(current.version(), (race + 2) % 3);
+                harness.assertReadBack(current.version(), (race + 2) % 3);
             }
         });
     }
--- a/cli/src/test/java/dewplank/fleet/ServerFaultTest.java
+++ b/cli/src/test/java/dewplank/fleet/ServerFaultTest.java
@@ -28,32 +28,33 @@
     private static final int REQUESTS = 4;
 
     /** A stream that is held in its middle, and the server that sends it. */
-    private record Held(ClientAttempt stream, ModelServer server) {}
+    private record PausedStream(ClientAttempt stream, ModelServer server) {}
 
-    private static Held hold(FleetStory story, ClientRequest request) throws Exception {
-        story.decode.forEach(d -> d.pauseStreamsAfter(PAUSED_AFTER));
-        ClientAttempt stream = story.fleet.client().send(story.fleet.edge(0), request);
-        StreamEventSent emitted = story.fleet
+    private static PausedStream pauseStream(FleetHarness harness, ClientRequest request) throws Exception {
+        harness.decodeServers.forEach(d -> d.pauseStreamsAfter(PAUSED_AFTER));
+        ClientAttempt stream = harness.fleet.client().send(harness.fleet.edge(0), request);
+        StreamEventSent emitted = harness.fleet
                 .history()
                 .await(
                         "the stream is under way",
                         StreamEventSent.class,
                         e -> e.id() == PAUSED_AFTER && e.attemptId().equals(stream.id()));
-        ModelServer server = story.decode.stream()
+        ModelServer server = harness.decodeServers.stream()
                 .filter(d -> d.identity().equals(emitted.server()))
                 .findFirst()
                 .orElseThrow();
-        return new Held(stream, server);
+        return new PausedStream(stream, server);
     }
 
     @Test
-    void aResumableStreamIsContinuedAtAnotherServerWithinOneAnswer() throws Exception {
-        FleetStory.tell(1, 1, story -> {
-            Held held = hold(story, ClientRequest.split(FleetStory.TALK, "resumed", FleetStory.EVENTS));
-            held.server().crash();
-            story.decode.forEach(ModelServer::resumeStreams);
-            assertTrue(Futures.await(held.stream().ended()).served());
-            List<StreamEventSent> emitted = story.fleet.history().events(StreamEventSent.class);
+    void aResumableStreamIsContinuedAtAnotherServerWithinOneResponse() throws Exception {
+        FleetHarness.run(1, 1, harness -> {
+            PausedStream paused =
+                    pauseStream(harness, ClientRequest.split(FleetHarness.TALK, "resumed", FleetHarness.EVENT_COUNT));
+            paused.server().crash();
+            harness.decodeServers.forEach(ModelServer::resumeStreams);
+            assertTrue(Futures.await(paused.stream().ended()).served());
+            List<StreamEventSent> emitted = harness.fleet.history().events(StreamEventSent.class);
             assertEquals(
                     2,
                     emitted.stream()
@@ -64,58 +65,61 @@
     }
 
     @Test
-    void aStreamThatMayNotBeResumedIsCutAndNotCompleted() throws Exception {
-        FleetStory.tell(1, 1, story -> {
-            Held held = hold(story, ClientRequest.split(FleetStory.CHAT, "cut", FleetStory.EVENTS));
-            held.server().crash();
-            story.decode.forEach(ModelServer::resumeStreams);
-            ClientAttempt.Outcome outcome = Futures.await(held.stream().ended());
+    void aStreamThatIsNotResumableIsBrokenOffAndNotCompleted() throws Exception {
+        FleetHarness.run(1, 1, harness -> {
+            PausedStream paused =
+                    pauseStream(harness, ClientRequest.split(FleetHarness.CHAT, "cut", FleetHarness.EVENT_COUNT));
+            paused.server().crash();
+            harness.decodeServers.forEach(ModelServer::resumeStreams);
+            ClientAttempt.Outcome outcome = Futures.await(paused.stream().ended());
             assertEquals(200, outcome.status());
             assertFalse(outcome.complete(), "a stream that was cut must not look complete");
-            assertEquals(1, story.fleet.history().events(RunStarted.class).size());
+            assertEquals(1, harness.fleet.history().events(RunStarted.class).size());
         });
     }
 
     @Test
-    void anotherServerReadsThePromptWhereOnePrefillServerIsSilent() throws Exception {
-        FleetStory.tell(1, 1, story -> {
-            story.prefill.forEach(p -> p.behaviour(Behaviour.UNRESPONSIVE));
-            ClientAttempt first = story.fleet
+    void anotherPrefillServerIsUsedWhereOneIsUnresponsive() throws Exception {
+        FleetHarness.run(1, 1, harness -> {
+            harness.prefillServers.forEach(p -> p.behaviour(Behaviour.UNRESPONSIVE));
+            ClientAttempt first = harness.fleet
                     .client()
-                    .send(story.fleet.edge(0), ClientRequest.split(FleetStory.CHAT, "first", FleetStory.EVENTS));
-            Arrived silent = story.fleet
+                    .send(
+                            harness.fleet.edge(0),
+                            ClientRequest.split(FleetHarness.CHAT, "first", FleetHarness.EVENT_COUNT));
+            Arrived silent = harness.fleet
                     .history()
                     .await(
                             "the prompt at a silent prefill server",
                             Arrived.class,
                             a -> a.attemptId().equals(first.id()) && a.prefill());
-            ModelServer working = story.prefill.stream()
+            ModelServer working = harness.prefillServers.stream()
                     .filter(p -> !p.identity().equals(silent.server()))
                     .findFirst()
                     .orElseThrow();
             working.behaviour(Behaviour.WORKS);
             assertTrue(Futures.await(first.ended()).served());
-            serveSplit(story);
-            List<HandleCreated> created = story.fleet.history().events(HandleCreated.class);
+            assertGenerationsServed(harness);
+            List<HandleCreated> created = harness.fleet.history().events(HandleCreated.class);
             assertFalse(created.isEmpty(), "no prefill server read a prompt");
             assertTrue(created.stream().allMatch(h -> h.server().equals(working.identity())), created.toString());
         });
     }
 
     @Test
-    void aDecodeServerReadsThePromptWhereEveryPrefillServerIsSilent() throws Exception {
-        FleetStory.tell(1, 1, story -> {
-            story.prefill.forEach(p -> p.behaviour(Behaviour.UNRESPONSIVE));
-            serveSplit(story);
+    void aDecodeServerPrefillsWhereEveryPrefillServerIsUnresponsive() throws Exception {
+        FleetHarness.run(1, 1, harness -> {
+            harness.prefillServers.forEach(p -> p.behaviour(Behaviour.UNRESPONSIVE));
+            assertGenerationsServed(harness);
         });
     }
 
     @Test
-    void aRequestWhoseHandleIsRejectedIsServedAllTheSame() throws Exception {
-        FleetStory.tell(1, 1, story -> {
-            story.decode.forEach(ModelServer::rejectHandles);
-            serveSplit(story);
-            long rejected = story.fleet.history().events(RunRejected.class).stream()
+    void aRequestWhoseHandleIsRejectedIsServed() throws Exception {
+        FleetHarness.run(1, 1, harness -> {
+            harness.decodeServers.forEach(ModelServer::rejectHandles);
+            assertGenerationsServed(harness);
+            long rejected = harness.fleet.history().events(RunRejected.class).stream()
                     .map(RunRejected::attemptId)
                     .distinct()
                     .count();
@@ -123,91 +127,97 @@
         });
     }
 
-    private static void serveSplit(FleetStory story) {
+    private static void assertGenerationsServed(FleetHarness harness) {
         for (int i = 0; i < REQUESTS; i++) {
-            story.assertServed(0, ClientRequest.split(FleetStory.CHAT, "split" + i, FleetStory.EVENTS));
+            harness.assertServed(0, ClientRequest.split(FleetHarness.CHAT, "split" + i, FleetHarness.EVENT_COUNT));
         }
     }
 
     @Test
-    void theWorkOfAClientThatLeavesIsEndedAtTheServer() throws Exception {
-        FleetStory.tell(1, 1, story -> {
-            Held held = hold(story, ClientRequest.split(FleetStory.CHAT, "left", FleetStory.EVENTS));
-            held.stream().abandon();
-            story.fleet
+    void aRunIsCancelledAtTheServerWhenItsClientDisconnects() throws Exception {
+        FleetHarness.run(1, 1, harness -> {
+            PausedStream paused =
+                    pauseStream(harness, ClientRequest.split(FleetHarness.CHAT, "left", FleetHarness.EVENT_COUNT));
+            paused.stream().abandon();
+            harness.fleet
                     .history()
                     .await(
                             "the run ends",
                             RunEnded.class,
-                            e -> e.attemptId().equals(held.stream().id()) && e.how() == RunEnd.CALLER_LEFT);
+                            e -> e.attemptId().equals(paused.stream().id()) && e.how() == RunEnd.CALLER_LEFT);
         });
     }
 
     /** The decode server had not fetched what the prefill server keeps: nobody will. */
     @Test
-    void theHandleOfAClientThatLeavesBeforeItIsFetchedIsFreed() throws Exception {
-        FleetStory.tell(1, 1, story -> {
-            story.decode.forEach(ModelServer::stallHandleFetches);
-            ClientAttempt stream = story.fleet
+    void anUnfetchedHandleIsFreedWhenItsClientDisconnects() throws Exception {
+        FleetHarness.run(1, 1, harness -> {
+            harness.decodeServers.forEach(ModelServer::stallHandleFetches);
+            ClientAttempt stream = harness.fleet
                     .client()
-                    .send(story.fleet.edge(0), ClientRequest.split(FleetStory.CHAT, "left", FleetStory.EVENTS));
-            story.fleet
+                    .send(
+                            harness.fleet.edge(0),
+                            ClientRequest.split(FleetHarness.CHAT, "left", FleetHarness.EVENT_COUNT));
+            harness.fleet
                     .history()
                     .await(
                             "the request waits at a decode server",
                             Arrived.class,
                             a -> a.attemptId().equals(stream.id()) && !a.prefill());
             stream.abandon();
-            awaitFreed(story, stream);
+            awaitHandleFreed(harness, stream);
         });
     }
 
     @Test
-    void theHandleOfARequestThatNoDecodeServerHasRoomForIsFreed() throws Exception {
-        FleetStory.tell(1, 1, story -> {
-            story.decode.forEach(d -> d.behaviour(Behaviour.FULL));
-            ClientAttempt stream = story.fleet
+    void theHandleOfARequestThatEveryDecodeServerRejectsIsFreed() throws Exception {
+        FleetHarness.run(1, 1, harness -> {
+            harness.decodeServers.forEach(d -> d.behaviour(Behaviour.FULL));
+            ClientAttempt stream = harness.fleet
                     .client()
-                    .send(story.fleet.edge(0), ClientRequest.split(FleetStory.CHAT, "refused", FleetStory.EVENTS));
+                    .send(
+                            harness.fleet.edge(0),
+                            ClientRequest.split(FleetHarness.CHAT, "refused", FleetHarness.EVENT_COUNT));
             assertEquals(503, Futures.await(stream.ended()).status());
-            awaitFreed(story, stream);
+            awaitHandleFreed(harness, stream);
         });
     }
 
-    private static void awaitFreed(FleetStory story, ClientAttempt stream) throws Exception {
-        HandleCreated made = story.fleet.history().await("a handle", HandleCreated.class, h -> h.attemptId()
+    private static void awaitHandleFreed(FleetHarness harness, ClientAttempt stream) throws Exception {
+        HandleCreated made = harness.fleet.history().await("a handle", HandleCreated.class, h -> h.attemptId()
                 .equals(stream.id()));
-        story.fleet.history().await(made.handle() + " is freed", HandleFreed.class, f -> f.handle()
+        harness.fleet.history().await(made.handle() + " is freed", HandleFreed.class, f -> f.handle()
                 .equals(made.handle()));
     }
 
     @Test
-    void anUnsafeRequestWhoseServerDiesRunsNoSecondTime() throws Exception {
-        FleetStory.tell(1, 1, story -> {
+    void anUnsafeRequestWhoseServerCrashesIsNotRetried() throws Exception {
+        FleetHarness.run(1, 1, harness -> {
             assertEquals(
                     502,
-                    dies(story, ClientRequest.plain(FleetStory.WRITE, "once")).status());
-            assertEquals(1, story.fleet.history().events(RunStarted.class).size());
+                    crashDuringRun(harness, ClientRequest.plain(FleetHarness.WRITE, "once"))
+                            .status());
+            assertEquals(1, harness.fleet.history().events(RunStarted.class).size());
         });
     }
 
     @Test
-    void aSafeRequestWhoseServerDiesIsServedByAnother() throws Exception {
-        FleetStory.tell(
+    void aSafeRequestWhoseServerCrashesIsRetriedAtAnother() throws Exception {
+        FleetHarness.run(
                 1,
                 1,
-                story -> assertTrue(dies(story, ClientRequest.plain(FleetStory.READ, "again"))
+                harness -> assertTrue(crashDuringRun(harness, ClientRequest.plain(FleetHarness.READ, "again"))
                         .served()));
     }
 
     /** The request's server dies while it works on it; the others answer. */
-    private static ClientAttempt.Outcome dies(FleetStory story, ClientRequest request) throws Exception {
-        story.plain.forEach(p -> p.behaviour(Behaviour.UNRESPONSIVE));
-        ClientAttempt sent = story.fleet.client().send(story.fleet.edge(0), request);
-        RunStarted ran = story.fleet.history().await("a run", RunStarted.class, r -> r.attemptId()
+    private static ClientAttempt.Outcome crashDuringRun(FleetHarness harness, ClientRequest request) throws Exception {
+        harness.plainServers.forEach(p -> p.behaviour(Behaviour.UNRESPONSIVE));
+        ClientAttempt sent = harness.fleet.client().send(harness.fleet.edge(0), request);
+        RunStarted ran = harness.fleet.history().await("a run", RunStarted.class, r -> r.attemptId()
                 .equals(sent.id()));
-        story.plain.forEach(p -> p.behaviour(Behaviour.WORKS));
-        story.plain.stream()
+        harness.plainServers.forEach(p -> p.behaviour(Behaviour.WORKS));
+        harness.plainServers.stream()
                 .filter(p -> p.identity().equals(ran.server()))
                 .findFirst()
                 .orElseThrow()
@@ -216,56 +226,57 @@
     }
 
     @Test
-    void aServerThatHasTheAddressOfAnotherRunsNothingOfIt() throws Exception {
-        FleetStory.tell(1, 1, story -> {
-            PlainServer replaced = idlePlainServer(story);
-            PlainServer other = story.fleet.reuseAddress(replaced, "other");
+    void aServerAtTheAddressOfAnotherRunsNoneOfItsRequests() throws Exception {
+        FleetHarness.run(1, 1, harness -> {
+            PlainServer replaced = serverOfNextRequest(harness);
+            PlainServer other = harness.fleet.reuseAddress(replaced, "other");
             for (int i = 0; i < REQUESTS; i++) {
-                story.assertServed(0, ClientRequest.plain(i % 2 == 0 ? FleetStory.READ : FleetStory.WRITE, "r" + i));
+                harness.assertServed(
+                        0, ClientRequest.plain(i % 2 == 0 ? FleetHarness.READ : FleetHarness.WRITE, "r" + i));
             }
-            assertEquals(REQUESTS, rejections(story, other).size(), "requests that reached the other server");
-            assertTrue(story.fleet.history().events(RunStarted.class).stream()
+            assertEquals(REQUESTS, rejections(harness, other).size(), "requests that reached the other server");
+            assertTrue(harness.fleet.history().events(RunStarted.class).stream()
                     .noneMatch(r -> r.server().equals(other.identity())));
         });
     }
 
     @Test
-    void aFullServerIsPassedBy() throws Exception {
-        FleetStory.tell(1, 1, story -> {
-            PlainServer full = idlePlainServer(story);
+    void aRequestThatAFullServerRejectsIsServedByAnother() throws Exception {
+        FleetHarness.run(1, 1, harness -> {
+            PlainServer full = serverOfNextRequest(harness);
             full.behaviour(Behaviour.FULL);
             for (int i = 0; i < REQUESTS; i++) {
-                RouteSpec route = i % 2 == 0 ? FleetStory.READ : FleetStory.WRITE;
-                story.assertServed(0, ClientRequest.plain(route, "full" + i));
+                RouteSpec route = i % 2 == 0 ? FleetHarness.READ : FleetHarness.WRITE;
+                harness.assertServed(0, ClientRequest.plain(route, "full" + i));
             }
-            for (RouteSpec route : List.of(FleetStory.READ, FleetStory.WRITE)) {
-                story.fleet
+            for (RouteSpec route : List.of(FleetHarness.READ, FleetHarness.WRITE)) {
+                harness.fleet
                         .history()
                         .awaitState(
                                 "a rejected request of " + route.name(),
-                                () -> isServedAfterRejection(story, ClientRequest.plain(route, "rejected"), full));
+                                () -> isServedAfterRejection(harness, ClientRequest.plain(route, "rejected"), full));
             }
         });
     }
 
     /** The data plane doesn't send to a server for a while after it rejected a request. */
-    private static boolean isServedAfterRejection(FleetStory story, ClientRequest request, PlainServer full) {
-        ClientAttempt attempt = story.fleet.client().send(story.fleet.edge(0), request);
+    private static boolean isServedAfterRejection(FleetHarness harness, ClientRequest request, PlainServer full) {
+        ClientAttempt attempt = harness.fleet.client().send(harness.fleet.edge(0), request);
         ClientAttempt.Outcome outcome = Futures.await(attempt.ended());
         assertTrue(outcome.served(), outcome.toString());
-        return rejections(story, full).stream().anyMatch(r -> r.attemptId().equals(attempt.id()));
+        return rejections(harness, full).stream().anyMatch(r -> r.attemptId().equals(attempt.id()));
     }
 
     @Test
-    void aSilentServerIsLeftWhereTheRequestMayRunAgain() throws Exception {
-        FleetStory.tell(1, 1, story -> {
-            PlainServer silent = idlePlainServer(story);
+    void aSafeRequestAtAnUnresponsiveServerIsRetriedAtAnother() throws Exception {
+        FleetHarness.run(1, 1, harness -> {
+            PlainServer silent = serverOfNextRequest(harness);
             silent.behaviour(Behaviour.UNRESPONSIVE);
             for (int i = 0; i < 2; i++) {
-                story.assertServed(0, ClientRequest.plain(FleetStory.READ, "silent" + i));
+                harness.assertServed(0, ClientRequest.plain(FleetHarness.READ, "silent" + i));
             }
             assertTrue(
-                    story.fleet.history().events(RunStarted.class).stream()
+                    harness.fleet.history().events(RunStarted.class).stream()
                             .anyMatch(r -> r.server().equals(silent.identity())),
                     "no request reached the silent server");
         });
@@ -275,21 +286,21 @@
      * Keeps a request in flight at one plain server. The other one, which is returned, certainly gets the next request:
      * of two servers a data plane picks the one with fewer requests in flight.
      */
-    private static PlainServer idlePlainServer(FleetStory story) throws Exception {
-        story.plain.forEach(p -> p.behaviour(Behaviour.UNRESPONSIVE));
+    private static PlainServer serverOfNextRequest(FleetHarness harness) throws Exception {
+        harness.plainServers.forEach(p -> p.behaviour(Behaviour.UNRESPONSIVE));
         ClientAttempt pending =
-                story.fleet.client().send(story.fleet.edge(0), ClientRequest.plain(FleetStory.WRITE, "pending"));
-        RunStarted run = story.fleet.history().await("a run", RunStarted.class, r -> r.attemptId()
+                harness.fleet.client().send(harness.fleet.edge(0), ClientRequest.plain(FleetHarness.WRITE, "pending"));
+        RunStarted run = harness.fleet.history().await("a run", RunStarted.class, r -> r.attemptId()
                 .equals(pending.id()));
-        story.plain.forEach(p -> p.behaviour(Behaviour.WORKS));
-        return story.plain.stream()
+        harness.plainServers.forEach(p -> p.behaviour(Behaviour.WORKS));
+        return harness.plainServers.stream()
                 .filter(p -> !p.identity().equals(run.server()))
                 .findFirst()
                 .orElseThrow();
     }
 
-    private static List<RunRejected> rejections(FleetStory story, PlainServer server) {
-        return story.fleet.history().events(RunRejected.class).stream()
+    private static List<RunRejected> rejections(FleetHarness harness, PlainServer server) {
+        return harness.fleet.history().events(RunRejected.class).stream()
                 .filter(r -> r.server().equals(server.identity()))
                 .toList();
     }
--- a/cli/src/test/java/dewplank/sidecar/VotesTest.java
+++ b/cli/src/test/java/dewplank/sidecar/PeerHealthVotesTest.java
@@ -32,57 +32,57 @@
  * Three processes of the program behind a stand-in network for their datagrams, which can lose them. A server fails for
  * the first two and serves the third, whose own traffic says nothing against it: what it avoids, it has heard of.
  */
-public class VotesTest {
+public class PeerHealthVotesTest {
     private static final int PROCESSES = 3;
     private static final int QUIET = 2; // the process without traffic; those before it have some
     private static final int SERVERS = 4;
-    private static final int BAD = 0;
+    private static final int FAILING = 0;
     private static final int HEALTHY = 1;
-    private static final int MOST_BLOCKS = 200;
-    private static final int BLOCK = 200; // requests, of which a server that is drawn takes about a quarter
-    private static final int PATIENCE_S = 30;
+    private static final int MAX_BLOCKS = 200;
+    private static final int BLOCK_SIZE = 200; // requests, of which a server that is drawn takes about a quarter
+    private static final int TIMEOUT_S = 30;
 
     private final List<ScriptedPeer> servers = new ArrayList<>();
     private final List<Program> programs = new ArrayList<>();
-    private final AtomicIntegerArray quietAt = new AtomicIntegerArray(SERVERS);
+    private final AtomicIntegerArray quietRequests = new AtomicIntegerArray(SERVERS);
     private Network network;
     private ScriptedPeer discovery;
-    private volatile boolean over;
+    private volatile boolean isOver;
 
     /**
      * Takes each sidecar's datagrams at an address of its own, and passes them on from its address in {@code peers}.
      */
     private static final class Network implements Closeable {
-        final List<DatagramSocket> all = new ArrayList<>();
+        final List<DatagramSocket> outgoing = new ArrayList<>();
         final List<DatagramSocket> senders = new ArrayList<>();
-        final List<InetSocketAddress> listens = new ArrayList<>();
+        final List<InetSocketAddress> peerAddresses = new ArrayList<>();
         final BlockingQueue<Integer> accusers = new LinkedBlockingQueue<>();
-        volatile boolean lossy = true;
+        volatile boolean losesAll = true;
 
         Network() throws SocketException {
             for (int i = 0; i < PROCESSES; i++) {
-                all.add(new DatagramSocket(0, InetAddress.getLoopbackAddress()));
+                outgoing.add(new DatagramSocket(0, InetAddress.getLoopbackAddress()));
                 senders.add(new DatagramSocket(0, InetAddress.getLoopbackAddress()));
                 try (DatagramSocket free = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
-                    listens.add((InetSocketAddress) free.getLocalSocketAddress());
+                    peerAddresses.add((InetSocketAddress) free.getLocalSocketAddress());
                 }
                 int from = i;
-                LoopbackNetwork.background(() -> carry(from));
+                LoopbackNetwork.background(() -> forward(from));
             }
         }
 
-        private void carry(int from) throws IOException {
+        private void forward(int from) throws IOException {
             DatagramPacket packet = new DatagramPacket(new byte[512], 512);
             while (true) {
                 packet.setLength(512);
-                all.get(from).receive(packet);
+                outgoing.get(from).receive(packet);
                 byte[] bytes = java.util.Arrays.copyOf(packet.getData(), packet.getLength());
                 if (!PeerSummary.decode(bytes).unhealthyServers().isEmpty()) {
                     accusers.add(from);
                 }
-                for (int to = 0; to < PROCESSES && !lossy; to++) {
+                for (int to = 0; to < PROCESSES && !losesAll; to++) {
                     if (to != from) {
-                        senders.get(from).send(new DatagramPacket(bytes, bytes.length, listens.get(to)));
+                        senders.get(from).send(new DatagramPacket(bytes, bytes.length, peerAddresses.get(to)));
                     }
                 }
             }
@@ -90,7 +90,7 @@
 
         @Override
         public void close() {
-            all.forEach(DatagramSocket::close);
+            outgoing.forEach(DatagramSocket::close);
             senders.forEach(DatagramSocket::close);
         }
     }
@@ -100,7 +100,7 @@
         final Process process;
         final int port;
 
-        Program(int me) throws IOException {
+        Program(int number) throws IOException {
             port = LoopbackNetwork.freePort();
             Path file = Files.createTempFile("config", ".json");
             file.toFile().deleteOnExit();
@@ -114,17 +114,17 @@
             }
             String settings = LoopbackNetwork.SETTINGS
                     .replace("\"Peers\":false", "\"Peers\":true")
-                    .replace("\"Me\":0", "\"Me\":" + me)
+                    .replace("\"Me\":0", "\"Me\":" + number)
                     .replace("\"ReplicasOfMe\":1", "\"ReplicasOfMe\":" + PROCESSES);
             Files.writeString(
                     file,
-                    "{\"name\":\"n" + me + "\",\"listen\":\"127.0.0.1:" + port
+                    "{\"name\":\"n" + number + "\",\"listen\":\"127.0.0.1:" + port
                             + "\",\"discovery\":\"127.0.0.1:"
-                            + discovery.address().getPort() + "\",\"seed\":\"" + (me + 5)
+                            + discovery.address().getPort() + "\",\"seed\":\"" + (number + 5)
                             + "\",\"peer_listen\":\"127.0.0.1:"
-                            + network.listens.get(me).getPort() + "\",\"peers\":" + peers
+                            + network.peerAddresses.get(number).getPort() + "\",\"peers\":" + peers
                             + ",\"peers_all\":\"127.0.0.1:"
-                            + network.all.get(me).getLocalPort() + "\",\"known\":"
+                            + network.outgoing.get(number).getLocalPort() + "\",\"known\":"
                             + LoopbackNetwork.catalogJson(7, true, entries) + ",\"settings\":" + settings + "}");
             ProcessBuilder builder = new ProcessBuilder(
                             Path.of(System.getProperty("java.home"), "bin", "java")
@@ -155,7 +155,7 @@
         }
     }
 
-    private static void ask(Client client, String from) throws IOException {
+    private static void sendRequest(Client client, String from) throws IOException {
         client.send(Client.request("menu-read", "X-From: " + from + "\r\nContent-Length: 0\r\n"));
         client.read();
     }
@@ -173,9 +173,9 @@
                     ReceivedRequest e = server.next();
                     if (e.message() != null) {
                         if (e.message().contains("X-From: quiet")) {
-                            quietAt.incrementAndGet(number);
+                            quietRequests.incrementAndGet(number);
                         }
-                        boolean fails = number == BAD && e.message().contains("X-From: busy");
+                        boolean fails = number == FAILING && e.message().contains("X-From: busy");
                         e.respond(fails ? "500 Bad" : "200 OK", "");
                     }
                 }
@@ -190,8 +190,8 @@
         for (int i = 0; i < QUIET; i++) {
             Client client = programs.get(i).client();
             LoopbackNetwork.background(() -> {
-                while (!over) {
-                    ask(client, "busy");
+                while (!isOver) {
+                    sendRequest(client, "busy");
                     Thread.sleep(10);
                 }
             });
@@ -200,7 +200,7 @@
 
     @After
     public void stop() throws Exception {
-        over = true;
+        isOver = true;
         for (Program p : programs) {
             p.process.destroyForcibly().waitFor();
         }
@@ -215,7 +215,7 @@
         ConcurrentHashMap.KeySetView<Integer, Boolean> seen = ConcurrentHashMap.newKeySet();
         network.accusers.clear();
         while (seen.size() < QUIET) {
-            Integer from = network.accusers.poll(PATIENCE_S, TimeUnit.SECONDS);
+            Integer from = network.accusers.poll(TIMEOUT_S, TimeUnit.SECONDS);
             assertTrue("no process has judged the failing server", from != null);
             seen.add(from);
         }
@@ -224,43 +224,43 @@
     /**
      * Whether a block of requests of the quiet one's client met this server more often than trials would, one a second.
      */
-    private boolean drawn(Client client, int server) throws IOException {
-        int before = quietAt.get(server);
+    private boolean isPicked(Client client, int server) throws IOException {
+        int before = quietRequests.get(server);
         long began = System.nanoTime();
-        for (int i = 0; i < BLOCK; i++) {
-            ask(client, "quiet");
+        for (int i = 0; i < BLOCK_SIZE; i++) {
+            sendRequest(client, "quiet");
         }
-        return quietAt.get(server) - before > 2 + (System.nanoTime() - began) / 1_000_000_000L;
+        return quietRequests.get(server) - before > 2 + (System.nanoTime() - began) / 1_000_000_000L;
     }
 
     /** As many strangers as there are processes call a healthy server ill. */
-    private void forge() throws IOException {
+    private void sendForgedVotes() throws IOException {
         byte[] forged = new PeerSummary(System.currentTimeMillis(), List.of(("s" + HEALTHY).hashCode())).encode();
         for (int i = 0; i < PROCESSES; i++) {
             try (DatagramSocket stranger = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
-                stranger.send(new DatagramPacket(forged, forged.length, network.listens.get(QUIET)));
+                stranger.send(new DatagramPacket(forged, forged.length, network.peerAddresses.get(QUIET)));
             }
         }
     }
 
     @Test
-    public void votesAreHeardLostForgedAndLapse() throws Exception {
+    public void onlyVotesReceivedFromLivePeersCount() throws Exception {
         awaitAccusationsOfBoth();
         Client quiet = programs.get(QUIET).client();
-        for (int i = 0; !drawn(quiet, BAD); i++) { // one slow answer keeps a server from being drawn for seconds
-            assertTrue("votes that were lost are heard", i < MOST_BLOCKS);
+        for (int i = 0; !isPicked(quiet, FAILING); i++) { // one slow answer keeps a server from being drawn for seconds
+            assertTrue("votes that were lost are heard", i < MAX_BLOCKS);
         }
-        for (int i = 0; i == 0 || !drawn(quiet, HEALTHY); i++) {
-            assertTrue("strangers are believed", i < MOST_BLOCKS);
-            forge();
+        for (int i = 0; i == 0 || !isPicked(quiet, HEALTHY); i++) {
+            assertTrue("strangers are believed", i < MAX_BLOCKS);
+            sendForgedVotes();
         }
-        network.lossy = false;
+        network.losesAll = false;
         awaitAccusationsOfBoth();
         awaitAccusationsOfBoth(); // what was sent before this has arrived
-        assertFalse("it is sent to a server that both others call ill", drawn(quiet, BAD));
+        assertFalse("it is sent to a server that both others call ill", isPicked(quiet, FAILING));
         programs.get(0).process.destroyForcibly().waitFor();
-        for (int i = 0; !drawn(quiet, BAD); i++) { // one vote of two is no majority
-            assertTrue("the votes of one that was killed still count", i < MOST_BLOCKS);
+        for (int i = 0; !isPicked(quiet, FAILING); i++) { // one vote of two is no majority
+            assertTrue("the votes of one that was killed still count", i < MAX_BLOCKS);
         }
     }
 }
--- a/cli/src/test/java/dewplank/sidecar/ReloadTest.java
+++ b/cli/src/test/java/dewplank/sidecar/ReloadTest.java
@@ -15,13 +15,13 @@
 
 /** The program itself, with real signals. */
 public class ReloadTest {
-    private static final long PATIENCE_MS = 60_000; // only a failing test waits so long
+    private static final long TIMEOUT_MS = 60_000; // only a failing test waits so long
     /** Nothing else uses it: its ports can't be taken by connections of other processes before the program listens. */
     private static final String LISTEN_HOST = "127.0.0.2";
 
     /** Found on the first day of new configurations: a JVM that is not told otherwise ends on SIGHUP, with 129. */
-    @Test(timeout = PATIENCE_MS)
-    public void aHangupReloadsAndABadFileChangesNothing() throws Exception {
+    @Test(timeout = TIMEOUT_MS)
+    public void sighupReloadsTheFileAndAnInvalidFileChangesNothing() throws Exception {
         Path file = Files.createTempFile("config", ".json");
         try (LoopbackNetwork.ScriptedPeer first = new LoopbackNetwork.ScriptedPeer();
                 LoopbackNetwork.ScriptedPeer second = new LoopbackNetwork.ScriptedPeer();
@@ -50,8 +50,8 @@
     }
 
     /** The configuration is a pipe that holds the start up: a hangup meanwhile must not end the program. */
-    @Test(timeout = PATIENCE_MS)
-    public void aHangupDuringTheStartReloadsAfterIt() throws Exception {
+    @Test(timeout = TIMEOUT_MS)
+    public void sighupDuringTheStartReloadsAfterIt() throws Exception {
         Path pipe = Files.createTempDirectory("config").resolve("pipe");
         assertEquals(0, new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor());
         try (LoopbackNetwork.ScriptedPeer first = new LoopbackNetwork.ScriptedPeer();
@@ -77,8 +77,8 @@
     }
 
     /** Started as by nohup: such a JVM leaves the signal alone, and the sidecar used to lose reloads without a word. */
-    @Test(timeout = PATIENCE_MS)
-    public void whereHangupsAreIgnoredTheFilesTimeReloads() throws Exception {
+    @Test(timeout = TIMEOUT_MS)
+    public void aChangedFileIsReloadedWhereSighupIsIgnored() throws Exception {
         Path file = Files.createTempFile("config", ".json");
         try (LoopbackNetwork.ScriptedPeer first = new LoopbackNetwork.ScriptedPeer();
                 LoopbackNetwork.ScriptedPeer second = new LoopbackNetwork.ScriptedPeer();
@@ -105,8 +105,8 @@
         Files.delete(file);
     }
 
-    @Test(timeout = PATIENCE_MS)
-    public void aHangupAfterTheFilesTimeWasSeenBringsNothingNew() throws Exception {
+    @Test(timeout = TIMEOUT_MS)
+    public void sighupAfterTheReloadOfAChangedFileIsSkipped() throws Exception {
         Path file = Files.createTempFile("config", ".json");
         try (LoopbackNetwork.ScriptedPeer first = new LoopbackNetwork.ScriptedPeer();
                 LoopbackNetwork.ScriptedPeer second = new LoopbackNetwork.ScriptedPeer()) {
