--- a/cli/src/test/java/dewplank/fleet/BootstrapTest.java
+++ b/cli/src/test/java/dewplank/fleet/BootstrapTest.java
@@ -1,5 +1,8 @@
 package dewplank.fleet;
 
+import static dewplank.fleet.FleetHarness.INITIAL;
+import static dewplank.fleet.FleetHarness.ONE_OF_EACH_KIND;
+import static dewplank.fleet.FleetHarness.WRITE;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 
@@ -10,20 +13,20 @@
 import dewplank.emulator.fleet.RouteSpec;
 import org.junit.jupiter.api.Test;
 
-/** A fleet that starts for the first time. */
+/** A fleet starts for the first time, and its first configuration is patched. */
 class BootstrapTest {
 
     @Test
     void servesEveryKindOfRequestOnceTheFirstConfigurationIsCommitted() throws Exception {
         FleetHarness.run(3, 2, harness -> {
             for (int edge = 0; edge < 2; edge++) {
-                for (ClientRequest request : FleetHarness.ONE_OF_EACH_KIND) {
+                for (ClientRequest request : ONE_OF_EACH_KIND) {
                     harness.assertServed(edge, request);
                 }
                 assertEquals(200, harness.fleet.readiness(harness.fleet.edge(edge)));
             }
-            assertFalse(harness.fleet.history().events(HandleFetched.class).isEmpty(), "no stream was split");
-            harness.assertReadBack(FleetHarness.INITIAL.version(), 1);
+            assertFalse(harness.events(HandleFetched.class).isEmpty(), "no stream was split");
+            harness.assertReadBack(INITIAL.version(), 1);
         });
     }
 
@@ -32,16 +35,16 @@
         FleetHarness.run(3, 2, harness -> {
             harness.fleet.plainServer("other");
             RouteSpec added = RouteSpec.to("other", "added", RouteSpec.Kind.SAFE);
-            FleetConfiguration next = FleetHarness.INITIAL.with(5, added).without(5, FleetHarness.WRITE.name());
-            assertEquals(200, Futures.await(harness.fleet.operator().patch(next, FleetHarness.INITIAL, 1)));
+            FleetConfiguration next = INITIAL.with(5, added).without(5, WRITE.name());
+            assertEquals(200, Futures.await(harness.operator().patch(next, INITIAL, 1)));
             for (int edge = 0; edge < 2; edge++) {
                 int at = edge;
-                harness.fleet.history().awaitState("the new route at edge " + edge, () -> harness.awaitOutcome(
-                                at, ClientRequest.plain(added, "a"))
-                        .served());
+                harness.awaitState(
+                        "the new route at edge " + edge, () -> harness.awaitOutcome(at, ClientRequest.plain(added, "a"))
+                                .served());
                 assertEquals(
                         404,
-                        harness.awaitOutcome(edge, ClientRequest.plain(FleetHarness.WRITE, "b"))
+                        harness.awaitOutcome(edge, ClientRequest.plain(WRITE, "b"))
                                 .status());
             }
             harness.assertReadBack(next.version(), 2);
--- a/cli/src/test/java/dewplank/fleet/ControlPlaneFaultTest.java
+++ b/cli/src/test/java/dewplank/fleet/ControlPlaneFaultTest.java
@@ -1,5 +1,7 @@
 package dewplank.fleet;
 
+import static dewplank.fleet.FleetHarness.INITIAL;
+import static dewplank.fleet.FleetHarness.READ;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -21,7 +23,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-/** Control processes are killed, frozen and lose their disks, while clients keep asking. */
+/** Control processes are killed, are frozen or lose their disks while clients send requests. */
 class ControlPlaneFaultTest {
     private static final double BEYOND_MS = 400; // requests are sent for so long after a drain has to be in force
     /** At each data plane; one that still used the drained server would miss it with all in about 2^-16. */
@@ -32,27 +34,19 @@
         FleetHarness.run(3, 2, harness -> {
             FleetHarness.Lease lease = harness.awaitLease();
             FleetProcess holder = lease.holder();
-            SteadyLoad load = harness.fleet.load(FleetHarness.ONE_OF_EACH_KIND);
+            SteadyLoad load = harness.startLoad();
             holder.kill();
-            ServerIdentity leaving = harness.plainServers.get(0).identity();
-            double told = harness.fleet.now();
-            harness.fleet.platform().drain(leaving);
-            harness.fleet
-                    .history()
-                    .await(
-                            "a call of another control process",
-                            EndpointListRequested.class,
-                            c -> c.atMs() > told
-                                    && !c.node().equals(holder.machine().node()));
-            harness.fleet
-                    .history()
-                    .await(
-                            "requests after the drain",
-                            AttemptSent.class,
-                            t -> t.atMs() > told + FleetBounds.DRAIN_MS + BEYOND_MS);
+            ServerIdentity draining = harness.plainServers.get(0).identity();
+            double listedAtMs = harness.now();
+            harness.platform().drain(draining);
+            awaitCallByAnother(harness, holder, listedAtMs);
+            harness.await(
+                    "requests after the drain",
+                    AttemptSent.class,
+                    attempt -> attempt.atMs() > listedAtMs + FleetBounds.DRAIN_MS + BEYOND_MS);
             for (int request = 0; request < REQUESTS_AFTER_DRAIN; request++) {
-                harness.assertServed(0, ClientRequest.plain(FleetHarness.READ, "drained"));
-                harness.assertServed(1, ClientRequest.plain(FleetHarness.READ, "drained"));
+                harness.assertServed(0, ClientRequest.plain(READ, "after-drain"));
+                harness.assertServed(1, ClientRequest.plain(READ, "after-drain"));
             }
             load.stop();
             assertEquals(0, load.notServed());
@@ -62,6 +56,16 @@
         });
     }
 
+    /** Waits for a call to the platform, after that time, by another control process than the excluded one. */
+    private static void awaitCallByAnother(FleetHarness harness, FleetProcess excluded, double afterMs)
+            throws Exception {
+        String node = excluded.machine().node();
+        harness.await(
+                "a call to the platform by another than " + node,
+                EndpointListRequested.class,
+                call -> call.atMs() > afterMs && !call.node().equals(node));
+    }
+
     @Test
     void aFrozenFollowerServesTheNewestConfigurationOnceThawed() throws Exception {
         FleetHarness.run(3, 2, harness -> {
@@ -80,29 +84,17 @@
     }
 
     private static void changeWhileFrozen(FleetHarness harness, FleetProcess frozen) throws Exception {
-        SteadyLoad load = harness.fleet.load(FleetHarness.ONE_OF_EACH_KIND);
+        SteadyLoad load = harness.startLoad();
         frozen.freeze();
-        FleetConfiguration next = FleetHarness.INITIAL.withVersion(8);
-        harness.putConfiguration(
-                next, FleetHarness.INITIAL.version(), harness.indexOf(harness.controlOtherThan(frozen)));
-        double after = harness.fleet.now();
-        harness.fleet
-                .history()
-                .await(
-                        "a call to the platform by one that runs",
-                        EndpointListRequested.class,
-                        c -> c.atMs() > after
-                                && !c.node().equals(frozen.machine().node()));
+        FleetConfiguration next = INITIAL.withVersion(8);
+        harness.putConfiguration(next, INITIAL.version(), harness.indexOf(harness.controlOtherThan(frozen)));
+        double changedAtMs = harness.now();
+        awaitCallByAnother(harness, frozen, changedAtMs);
         frozen.thaw();
-        harness.fleet
-                .history()
-                .awaitState("the newest at the one that was frozen", () -> harness.reportsVersion(frozen, 8));
-        JsonObject[] read = new JsonObject[1]; // until it has met a majority again it answers nothing
-        harness.fleet.history().awaitState("a configuration from the one that was frozen", () -> {
-            read[0] = harness.view(frozen, "/configuration");
-            return read[0].has("config_version");
-        });
-        assertEquals(8, read[0].get("config_version").getAsLong());
+        harness.awaitState("the newest version at the thawed process", () -> harness.reportsVersion(frozen, 8));
+        // it serves none until it has reached a majority again
+        JsonObject read = harness.awaitView(frozen, "/configuration", "config_version");
+        assertEquals(8, read.get("config_version").getAsLong());
         load.stop();
         assertEquals(0, load.notServed());
         harness.assertReadBack(8, harness.indexOf(frozen));
@@ -111,16 +103,12 @@
     @Test
     void anAcknowledgedConfigurationSurvivesTheLossOfAllControlProcesses() throws Exception {
         FleetHarness.run(3, 2, harness -> {
-            SteadyLoad load = harness.fleet.load(FleetHarness.ONE_OF_EACH_KIND);
-            FleetConfiguration next = FleetHarness.INITIAL.withVersion(6);
-            harness.putConfiguration(next, FleetHarness.INITIAL.version(), 1);
-            for (FleetProcess control : harness.fleet.control()) {
-                control.kill();
-            }
+            SteadyLoad load = harness.startLoad();
+            FleetConfiguration next = INITIAL.withVersion(6);
+            harness.putConfiguration(next, INITIAL.version(), 1);
+            harness.killAllControl();
             harness.awaitServed("requests served without a control plane", load);
-            for (FleetProcess control : harness.fleet.control()) {
-                control.restart();
-            }
+            harness.restartAllControl();
             harness.assertReadBack(6, 0);
             harness.putConfiguration(next.withVersion(7), 6, 2);
             harness.assertReadBack(7, 1);
@@ -133,14 +121,10 @@
     @Test
     void aChangeSentWhileAllControlProcessesAreKilledIsCommittedOnce() throws Exception {
         FleetHarness.run(3, 1, harness -> {
-            FleetConfiguration next = FleetHarness.INITIAL.withVersion(6);
-            CompletableFuture<Integer> change = harness.fleet.operator().put(next, FleetHarness.INITIAL.version(), 1);
-            for (FleetProcess control : harness.fleet.control()) {
-                control.kill();
-            }
-            for (FleetProcess control : harness.fleet.control()) {
-                control.restart();
-            }
+            FleetConfiguration next = INITIAL.withVersion(6);
+            CompletableFuture<Integer> change = harness.operator().put(next, INITIAL.version(), 1);
+            harness.killAllControl();
+            harness.restartAllControl();
             assertEquals(200, Futures.await(change));
             harness.assertReadBack(6, 0);
         });
@@ -150,73 +134,65 @@
     @Test
     void aPendingChangeIsCommittedOnceAllControlProcessesHaveRestarted() throws Exception {
         FleetHarness.run(3, 1, harness -> {
-            FleetConfiguration next = FleetHarness.INITIAL.withVersion(6);
-            FleetProcess running = harness.fleet.control(1);
-            harness.fleet.control(0).freeze();
-            harness.fleet.control(2).freeze();
-            CompletableFuture<Integer> change = harness.fleet.operator().put(next, FleetHarness.INITIAL.version(), 1);
-            harness.fleet.history().await("an attempt without a quorum", ChangeAttempted.class, t -> t.node()
+            FleetConfiguration next = INITIAL.withVersion(6);
+            FleetProcess running = harness.control(1);
+            harness.control(0).freeze();
+            harness.control(2).freeze();
+            CompletableFuture<Integer> change = harness.operator().put(next, INITIAL.version(), 1);
+            harness.await("an attempt without a quorum", ChangeAttempted.class, attempt -> attempt.node()
                     .equals(running.machine().node()));
             assertFalse(change.isDone());
-            for (FleetProcess control : harness.fleet.control()) {
-                control.kill();
-            }
-            for (FleetProcess control : harness.fleet.control()) {
-                control.restart();
-            }
+            harness.killAllControl();
+            harness.restartAllControl();
             assertEquals(200, Futures.await(change));
             harness.assertReadBack(6, 0);
         });
     }
 
-    /** Of three acceptors one is down and one has forgotten what it promised: they must not decide anything. */
+    /** Of three acceptors one is down and one has lost its promises: the remaining two must not decide anything. */
     @Test
     void anAcceptorThatLostItsDiskVotesOnlyAfterAReconfiguration() throws Exception {
         FleetHarness.run(3, 1, harness -> {
-            FleetProcess kept = harness.fleet.control(0);
-            FleetProcess down = harness.fleet.control(1);
-            FleetProcess wiped = harness.fleet.control(2);
-            FleetConfiguration next = FleetHarness.INITIAL.withVersion(6);
+            FleetProcess running = harness.control(0);
+            FleetProcess down = harness.control(1);
+            FleetProcess wiped = harness.control(2);
+            FleetConfiguration next = INITIAL.withVersion(6);
             down.kill();
             wiped.kill();
             wiped.loseDisk();
             wiped.restart();
-            harness.fleet.history().awaitState("the empty one is up", () -> !harness.view(wiped, "/status")
+            harness.awaitState("the process with an empty disk is up", () -> !harness.view(wiped, "/status")
                     .isEmpty());
-            CompletableFuture<Integer> change = harness.fleet.operator().put(next, FleetHarness.INITIAL.version(), 0);
-            awaitNoQuorum(harness, kept);
+            CompletableFuture<Integer> change = harness.operator().put(next, INITIAL.version(), 0);
+            awaitNoQuorum(harness, running);
             awaitNoQuorum(harness, wiped);
             assertFalse(change.isDone());
             down.restart();
             assertEquals(200, Futures.await(change));
-            harness.fleet
-                    .history()
-                    .awaitState("a new identity among the acceptors", () -> harness.fleet.control().stream()
-                            .allMatch(p -> reportsNewIdentity(harness, p, wiped)));
-            kept.kill();
+            harness.awaitState("a new identity among the acceptors", () -> harness.control().stream()
+                    .allMatch(process -> reportsNewIdentity(harness, process, wiped)));
+            running.kill();
             harness.putConfiguration(next.withVersion(9), 6, harness.indexOf(wiped));
             harness.assertReadBack(9, harness.indexOf(down));
         });
     }
 
     private static void awaitNoQuorum(FleetHarness harness, FleetProcess control) throws Exception {
-        harness.fleet
-                .history()
-                .await(
-                        "no quorum at " + control.machine().node(),
-                        ChangeAttempted.class,
-                        t -> t.status() == 503
-                                && t.node().equals(control.machine().node()));
+        harness.await(
+                "no quorum at " + control.machine().node(),
+                ChangeAttempted.class,
+                attempt -> attempt.status() == 503
+                        && attempt.node().equals(control.machine().node()));
     }
 
-    private static boolean reportsNewIdentity(FleetHarness harness, FleetProcess asked, FleetProcess wiped) {
-        JsonObject status = harness.view(asked, "/status");
+    private static boolean reportsNewIdentity(FleetHarness harness, FleetProcess process, FleetProcess wiped) {
+        JsonObject status = harness.view(process, "/status");
         List<String> identities = new ArrayList<>();
         if (status.has("acceptors")) {
-            for (JsonElement e : status.getAsJsonArray("acceptors")) {
-                String address = e.getAsJsonObject().get("address").getAsString();
+            for (JsonElement acceptor : status.getAsJsonArray("acceptors")) {
+                String address = acceptor.getAsJsonObject().get("address").getAsString();
                 if (address.startsWith(wiped.machine().address().getHostAddress() + ":")) {
-                    identities.add(e.getAsJsonObject().get("identity").getAsString());
+                    identities.add(acceptor.getAsJsonObject().get("identity").getAsString());
                 }
             }
         }
--- a/cli/src/test/java/dewplank/fleet/DataPlaneRestartTest.java
+++ b/cli/src/test/java/dewplank/fleet/DataPlaneRestartTest.java
@@ -1,5 +1,9 @@
 package dewplank.fleet;
 
+import static dewplank.fleet.FleetHarness.CHAT;
+import static dewplank.fleet.FleetHarness.ONE_OF_EACH_KIND;
+import static dewplank.fleet.FleetHarness.READ;
+import static dewplank.fleet.FleetHarness.WRITE;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -12,7 +16,7 @@
 import dewplank.emulator.fleet.ModelServer;
 import org.junit.jupiter.api.Test;
 
-/** Data planes end and start again. */
+/** Data planes are killed and restarted, or shut down gracefully on SIGTERM. */
 class DataPlaneRestartTest {
     private static final int PAUSED_AFTER = 3;
     private static final double MS_PER_S = 1_000;
@@ -22,12 +26,12 @@
         FleetHarness.run(1, 2, harness -> {
             FleetProcess process = harness.fleet.data().get(0);
             process.kill();
-            for (ClientRequest request : FleetHarness.ONE_OF_EACH_KIND) {
+            for (ClientRequest request : ONE_OF_EACH_KIND) {
                 harness.assertServed(1, request);
             }
             process.restart();
             harness.awaitReadiness(process.machine(), 200);
-            for (ClientRequest request : FleetHarness.ONE_OF_EACH_KIND) {
+            for (ClientRequest request : ONE_OF_EACH_KIND) {
                 harness.assertServed(0, request);
             }
         });
@@ -37,30 +41,24 @@
     void completesAStreamAfterItHasReportedNotReady() throws Exception {
         FleetHarness.run(1, 1, harness -> {
             FleetProcess process = harness.fleet.data().get(0);
-            harness.decodeServers.forEach(d -> d.pauseStreamsAfter(PAUSED_AFTER));
-            ClientAttempt stream = harness.fleet
-                    .client()
-                    .send(process.machine(), ClientRequest.split(FleetHarness.CHAT, "long", FleetHarness.EVENT_COUNT));
-            harness.fleet
-                    .history()
-                    .await("the stream is under way", StreamEventSent.class, e -> e.id() == PAUSED_AFTER);
-            double terminatedAtMs = harness.fleet.now();
+            harness.decodeServers.forEach(server -> server.pauseStreamsAfter(PAUSED_AFTER));
+            ClientAttempt stream = harness.send(0, FleetHarness.generation(CHAT, "long"));
+            harness.await("the stream is under way", StreamEventSent.class, event -> event.id() == PAUSED_AFTER);
+            double terminatedAtMs = harness.now();
             process.terminate();
             harness.awaitReadiness(process.machine(), 503);
             assertFalse(stream.ended().isDone());
-            harness.assertServed(0, ClientRequest.plain(FleetHarness.WRITE, "ending"));
-            harness.fleet
-                    .history()
-                    .awaitState(
-                            "no new connection is taken",
-                            () -> harness.awaitOutcome(0, ClientRequest.plain(FleetHarness.READ, "late"))
-                                            .status()
-                                    == 0);
+            harness.assertServed(0, ClientRequest.plain(WRITE, "ending"));
+            harness.awaitState(
+                    "no new connection is taken",
+                    () -> harness.awaitOutcome(0, ClientRequest.plain(READ, "late"))
+                                    .status()
+                            == 0);
             assertFalse(stream.ended().isDone());
             harness.decodeServers.forEach(ModelServer::resumeStreams);
             assertTrue(Futures.await(stream.ended()).served());
             assertTrue(process.awaitEnd(FleetBounds.GRACE_S), "it has to end within the grace");
-            assertTrue(harness.fleet.now() - terminatedAtMs < FleetBounds.GRACE_S * MS_PER_S, "it ended too late");
+            assertTrue(harness.now() - terminatedAtMs < FleetBounds.GRACE_S * MS_PER_S, "it ended too late");
         });
     }
 }
--- a/cli/src/test/java/dewplank/fleet/FleetHarness.java
+++ b/cli/src/test/java/dewplank/fleet/FleetHarness.java
@@ -9,17 +9,23 @@
 import dewplank.emulator.fleet.FleetAuditor;
 import dewplank.emulator.fleet.FleetBounds;
 import dewplank.emulator.fleet.FleetConfiguration;
+import dewplank.emulator.fleet.FleetEvent;
 import dewplank.emulator.fleet.FleetEvent.AttemptSent;
 import dewplank.emulator.fleet.FleetEvent.EndpointListRequested;
 import dewplank.emulator.fleet.FleetMachine;
 import dewplank.emulator.fleet.FleetProcess;
 import dewplank.emulator.fleet.Futures;
+import dewplank.emulator.fleet.History;
 import dewplank.emulator.fleet.ModelServer;
 import dewplank.emulator.fleet.PlainServer;
 import dewplank.emulator.fleet.RouteSpec;
+import dewplank.emulator.fleet.ServerIdentity;
 import dewplank.emulator.fleet.ServerStage;
 import dewplank.emulator.fleet.ServiceSpec;
 import dewplank.emulator.fleet.StandInFleet;
+import dewplank.emulator.fleet.StandInOperator;
+import dewplank.emulator.fleet.StandInPlatform;
+import dewplank.emulator.fleet.StandInServer;
 import dewplank.emulator.fleet.SteadyLoad;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -28,6 +34,9 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.concurrent.TimeoutException;
+import java.util.concurrent.atomic.AtomicReference;
+import java.util.function.BooleanSupplier;
+import java.util.function.Predicate;
 
 /**
  * A fleet of real processes on loopback between stand-ins for servers, platform, operator and clients, with an initial
@@ -99,11 +108,10 @@
     /** Before, data planes don't know how many share the retry budget, and use none of its slack. */
     private void awaitRetryBudget() throws InterruptedException, TimeoutException {
         double settled = fleet.now() + SETTLED_FRACTION * FleetBounds.BUDGET_WINDOW_S * MS_PER_S;
-        fleet.history()
-                .await(
-                        "a call to the platform once the budget is known",
-                        EndpointListRequested.class,
-                        c -> c.atMs() > settled);
+        await(
+                "a call to the platform once the budget is known",
+                EndpointListRequested.class,
+                call -> call.atMs() > settled);
     }
 
     private void startServers() throws IOException {
@@ -114,6 +122,86 @@
         }
     }
 
+    /** A request with a prompt to prefill, for a stream of {@link #EVENT_COUNT} events. */
+    static ClientRequest generation(RouteSpec route, String name) {
+        return ClientRequest.split(route, name, EVENT_COUNT);
+    }
+
+    /** The time of the stand-ins' loop in milliseconds, as events have it. */
+    double now() {
+        return fleet.now();
+    }
+
+    StandInOperator operator() {
+        return fleet.operator();
+    }
+
+    StandInPlatform platform() {
+        return fleet.platform();
+    }
+
+    List<FleetProcess> control() {
+        return fleet.control();
+    }
+
+    FleetProcess control(int index) {
+        return fleet.control(index);
+    }
+
+    void killAllControl() throws InterruptedException {
+        for (FleetProcess process : control()) {
+            process.kill();
+        }
+    }
+
+    void restartAllControl() throws IOException {
+        for (FleetProcess process : control()) {
+            process.restart();
+        }
+    }
+
+    /** The one of these servers that the endpoint list names so. */
+    static <S extends StandInServer> S serverOf(List<S> servers, ServerIdentity identity) {
+        return servers.stream()
+                .filter(server -> server.identity().equals(identity))
+                .findFirst()
+                .orElseThrow();
+    }
+
+    /** The first of these servers that is not the excluded one. */
+    static <S extends StandInServer> S serverOtherThan(List<S> servers, ServerIdentity excluded) {
+        return servers.stream()
+                .filter(server -> !server.identity().equals(excluded))
+                .findFirst()
+                .orElseThrow();
+    }
+
+    /** Sends an attempt to the data plane of that index. */
+    ClientAttempt send(int edge, ClientRequest request) {
+        return fleet.client().send(fleet.edge(edge), request);
+    }
+
+    /** Starts clients at every data plane, which send {@link #ONE_OF_EACH_KIND} in turn. */
+    SteadyLoad startLoad() {
+        return fleet.load(ONE_OF_EACH_KIND);
+    }
+
+    /** The events of one kind so far. */
+    <T extends FleetEvent> List<T> events(Class<T> kind) {
+        return fleet.history().events(kind);
+    }
+
+    /** As {@link History#await}. */
+    <T extends FleetEvent> T await(String what, Class<T> kind, Predicate<T> wanted)
+            throws InterruptedException, TimeoutException {
+        return fleet.history().await(what, kind, wanted);
+    }
+
+    /** As {@link History#awaitState}. */
+    void awaitState(String what, BooleanSupplier state) throws InterruptedException, TimeoutException {
+        fleet.history().awaitState(what, state);
+    }
+
     void awaitReady() throws InterruptedException, TimeoutException {
         for (FleetProcess process : fleet.data()) {
             awaitReadiness(process.machine(), 200);
@@ -121,8 +209,7 @@
     }
 
     void awaitReadiness(FleetMachine machine, int status) throws InterruptedException, TimeoutException {
-        fleet.history()
-                .awaitState("readiness " + status + " of " + machine.node(), () -> fleet.readiness(machine) == status);
+        awaitState("readiness " + status + " of " + machine.node(), () -> fleet.readiness(machine) == status);
     }
 
     /** A control process's response at a path; an empty object where it doesn't respond with 200. */
@@ -130,6 +217,16 @@
         return fleet.operator().view(process.machine(), path);
     }
 
+    /** A control process's response at a path, once it has this key. */
+    JsonObject awaitView(FleetProcess process, String path, String key) throws InterruptedException, TimeoutException {
+        AtomicReference<JsonObject> view = new AtomicReference<>();
+        awaitState(key + " from " + process.machine().node(), () -> {
+            view.set(view(process, path));
+            return view.get().has(key);
+        });
+        return view.get();
+    }
+
     /** Whether a control process reports that this version is chosen. */
     boolean reportsVersion(FleetProcess process, long version) {
         JsonObject status = view(process, "/status");
@@ -159,8 +256,8 @@
     /** The lease, once a control process reports that it holds it. */
     Lease awaitLease() throws InterruptedException, TimeoutException {
         List<Lease> leases = new ArrayList<>();
-        fleet.history().awaitState("a lease holder", () -> {
-            fleet.control().forEach(p -> lease(p).ifPresent(leases::add));
+        awaitState("a lease holder", () -> {
+            fleet.control().forEach(process -> lease(process).ifPresent(leases::add));
             return !leases.isEmpty();
         });
         return leases.get(0);
@@ -177,7 +274,7 @@
     /** Waits until the load has been served more than two further rounds of {@link #ONE_OF_EACH_KIND}. */
     void awaitServed(String what, SteadyLoad load) throws InterruptedException, TimeoutException {
         int before = load.served();
-        fleet.history().await(what, AttemptSent.class, t -> load.served() > before + 2 * ONE_OF_EACH_KIND.size());
+        fleet.history().await(what, AttemptSent.class, attempt -> load.served() > before + 2 * ONE_OF_EACH_KIND.size());
     }
 
     /** Puts a complete configuration, first to the control process of that index; it must be committed. */
@@ -187,7 +284,7 @@
     }
 
     ClientAttempt.Outcome awaitOutcome(int edge, ClientRequest request) {
-        return Futures.await(fleet.client().send(fleet.edge(edge), request).ended());
+        return Futures.await(send(edge, request).ended());
     }
 
     void assertServed(int edge, ClientRequest request) {
--- a/cli/src/test/java/dewplank/fleet/ServerFaultTest.java
+++ b/cli/src/test/java/dewplank/fleet/ServerFaultTest.java
@@ -1,5 +1,9 @@
 package dewplank.fleet;
 
+import static dewplank.fleet.FleetHarness.CHAT;
+import static dewplank.fleet.FleetHarness.READ;
+import static dewplank.fleet.FleetHarness.TALK;
+import static dewplank.fleet.FleetHarness.WRITE;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -22,43 +26,40 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Servers die, are silent or turn requests away; clients leave. */
+/**
+ * Servers crash, don't respond, reject requests or are replaced, and clients disconnect. A data plane picks one of two
+ * servers of a kind, so each test makes certain that the faulty one gets a request.
+ */
 class ServerFaultTest {
     private static final int PAUSED_AFTER = 4;
     private static final int REQUESTS = 4;
 
-    /** A stream that is held in its middle, and the server that sends it. */
+    /** A stream that is paused behind {@link #PAUSED_AFTER} events, and the server that sends it. */
     private record PausedStream(ClientAttempt stream, ModelServer server) {}
 
     private static PausedStream pauseStream(FleetHarness harness, ClientRequest request) throws Exception {
-        harness.decodeServers.forEach(d -> d.pauseStreamsAfter(PAUSED_AFTER));
-        ClientAttempt stream = harness.fleet.client().send(harness.fleet.edge(0), request);
-        StreamEventSent emitted = harness.fleet
-                .history()
-                .await(
-                        "the stream is under way",
-                        StreamEventSent.class,
-                        e -> e.id() == PAUSED_AFTER && e.attemptId().equals(stream.id()));
-        ModelServer server = harness.decodeServers.stream()
-                .filter(d -> d.identity().equals(emitted.server()))
-                .findFirst()
-                .orElseThrow();
+        harness.decodeServers.forEach(server -> server.pauseStreamsAfter(PAUSED_AFTER));
+        ClientAttempt stream = harness.send(0, request);
+        StreamEventSent sent = harness.await(
+                "the stream is under way",
+                StreamEventSent.class,
+                event -> event.id() == PAUSED_AFTER && event.attemptId().equals(stream.id()));
+        ModelServer server = FleetHarness.serverOf(harness.decodeServers, sent.server());
         return new PausedStream(stream, server);
     }
 
     @Test
     void aResumableStreamIsContinuedAtAnotherServerWithinOneResponse() throws Exception {
         FleetHarness.run(1, 1, harness -> {
-            PausedStream paused =
-                    pauseStream(harness, ClientRequest.split(FleetHarness.TALK, "resumed", FleetHarness.EVENT_COUNT));
+            PausedStream paused = pauseStream(harness, FleetHarness.generation(TALK, "resumed"));
             paused.server().crash();
             harness.decodeServers.forEach(ModelServer::resumeStreams);
             assertTrue(Futures.await(paused.stream().ended()).served());
-            List<StreamEventSent> emitted = harness.fleet.history().events(StreamEventSent.class);
+            List<StreamEventSent> sent = harness.events(StreamEventSent.class);
             assertEquals(
                     2,
-                    emitted.stream()
-                            .map(e -> e.server().instanceId())
+                    sent.stream()
+                            .map(event -> event.server().instanceId())
                             .distinct()
                             .count());
         });
@@ -67,49 +68,41 @@
     @Test
     void aStreamThatIsNotResumableIsBrokenOffAndNotCompleted() throws Exception {
         FleetHarness.run(1, 1, harness -> {
-            PausedStream paused =
-                    pauseStream(harness, ClientRequest.split(FleetHarness.CHAT, "cut", FleetHarness.EVENT_COUNT));
+            PausedStream paused = pauseStream(harness, FleetHarness.generation(CHAT, "cut"));
             paused.server().crash();
             harness.decodeServers.forEach(ModelServer::resumeStreams);
             ClientAttempt.Outcome outcome = Futures.await(paused.stream().ended());
             assertEquals(200, outcome.status());
-            assertFalse(outcome.complete(), "a stream that was cut must not look complete");
-            assertEquals(1, harness.fleet.history().events(RunStarted.class).size());
+            assertFalse(outcome.complete(), "a stream that was broken off must not look complete");
+            assertEquals(1, harness.events(RunStarted.class).size());
         });
     }
 
     @Test
     void anotherPrefillServerIsUsedWhereOneIsUnresponsive() throws Exception {
         FleetHarness.run(1, 1, harness -> {
-            harness.prefillServers.forEach(p -> p.behaviour(Behaviour.UNRESPONSIVE));
-            ClientAttempt first = harness.fleet
-                    .client()
-                    .send(
-                            harness.fleet.edge(0),
-                            ClientRequest.split(FleetHarness.CHAT, "first", FleetHarness.EVENT_COUNT));
-            Arrived silent = harness.fleet
-                    .history()
-                    .await(
-                            "the prompt at a silent prefill server",
-                            Arrived.class,
-                            a -> a.attemptId().equals(first.id()) && a.prefill());
-            ModelServer working = harness.prefillServers.stream()
-                    .filter(p -> !p.identity().equals(silent.server()))
-                    .findFirst()
-                    .orElseThrow();
+            harness.prefillServers.forEach(server -> server.behaviour(Behaviour.UNRESPONSIVE));
+            ClientAttempt first = harness.send(0, FleetHarness.generation(CHAT, "first"));
+            Arrived unanswered = harness.await(
+                    "the prompt at an unresponsive prefill server",
+                    Arrived.class,
+                    arrival -> arrival.attemptId().equals(first.id()) && arrival.prefill());
+            ModelServer working = FleetHarness.serverOtherThan(harness.prefillServers, unanswered.server());
             working.behaviour(Behaviour.WORKS);
             assertTrue(Futures.await(first.ended()).served());
             assertGenerationsServed(harness);
-            List<HandleCreated> created = harness.fleet.history().events(HandleCreated.class);
+            List<HandleCreated> created = harness.events(HandleCreated.class);
             assertFalse(created.isEmpty(), "no prefill server read a prompt");
-            assertTrue(created.stream().allMatch(h -> h.server().equals(working.identity())), created.toString());
+            assertTrue(
+                    created.stream().allMatch(handle -> handle.server().equals(working.identity())),
+                    created.toString());
         });
     }
 
     @Test
     void aDecodeServerPrefillsWhereEveryPrefillServerIsUnresponsive() throws Exception {
         FleetHarness.run(1, 1, harness -> {
-            harness.prefillServers.forEach(p -> p.behaviour(Behaviour.UNRESPONSIVE));
+            harness.prefillServers.forEach(server -> server.behaviour(Behaviour.UNRESPONSIVE));
             assertGenerationsServed(harness);
         });
     }
@@ -119,7 +112,7 @@
         FleetHarness.run(1, 1, harness -> {
             harness.decodeServers.forEach(ModelServer::rejectHandles);
             assertGenerationsServed(harness);
-            long rejected = harness.fleet.history().events(RunRejected.class).stream()
+            long rejected = harness.events(RunRejected.class).stream()
                     .map(RunRejected::attemptId)
                     .distinct()
                     .count();
@@ -129,41 +122,32 @@
 
     private static void assertGenerationsServed(FleetHarness harness) {
         for (int i = 0; i < REQUESTS; i++) {
-            harness.assertServed(0, ClientRequest.split(FleetHarness.CHAT, "split" + i, FleetHarness.EVENT_COUNT));
+            harness.assertServed(0, FleetHarness.generation(CHAT, "split" + i));
         }
     }
 
     @Test
     void aRunIsCancelledAtTheServerWhenItsClientDisconnects() throws Exception {
         FleetHarness.run(1, 1, harness -> {
-            PausedStream paused =
-                    pauseStream(harness, ClientRequest.split(FleetHarness.CHAT, "left", FleetHarness.EVENT_COUNT));
+            PausedStream paused = pauseStream(harness, FleetHarness.generation(CHAT, "left"));
             paused.stream().abandon();
-            harness.fleet
-                    .history()
-                    .await(
-                            "the run ends",
-                            RunEnded.class,
-                            e -> e.attemptId().equals(paused.stream().id()) && e.how() == RunEnd.CALLER_LEFT);
+            harness.await(
+                    "the run ends",
+                    RunEnded.class,
+                    event -> event.attemptId().equals(paused.stream().id()) && event.how() == RunEnd.CALLER_LEFT);
         });
     }
 
-    /** The decode server had not fetched what the prefill server keeps: nobody will. */
+    /** The decode server hasn't fetched the KV cache from the prefill server by then. */
     @Test
     void anUnfetchedHandleIsFreedWhenItsClientDisconnects() throws Exception {
         FleetHarness.run(1, 1, harness -> {
             harness.decodeServers.forEach(ModelServer::stallHandleFetches);
-            ClientAttempt stream = harness.fleet
-                    .client()
-                    .send(
-                            harness.fleet.edge(0),
-                            ClientRequest.split(FleetHarness.CHAT, "left", FleetHarness.EVENT_COUNT));
-            harness.fleet
-                    .history()
-                    .await(
-                            "the request waits at a decode server",
-                            Arrived.class,
-                            a -> a.attemptId().equals(stream.id()) && !a.prefill());
+            ClientAttempt stream = harness.send(0, FleetHarness.generation(CHAT, "left"));
+            harness.await(
+                    "the request waits at a decode server",
+                    Arrived.class,
+                    arrival -> arrival.attemptId().equals(stream.id()) && !arrival.prefill());
             stream.abandon();
             awaitHandleFreed(harness, stream);
         });
@@ -172,22 +156,18 @@
     @Test
     void theHandleOfARequestThatEveryDecodeServerRejectsIsFreed() throws Exception {
         FleetHarness.run(1, 1, harness -> {
-            harness.decodeServers.forEach(d -> d.behaviour(Behaviour.FULL));
-            ClientAttempt stream = harness.fleet
-                    .client()
-                    .send(
-                            harness.fleet.edge(0),
-                            ClientRequest.split(FleetHarness.CHAT, "refused", FleetHarness.EVENT_COUNT));
+            harness.decodeServers.forEach(server -> server.behaviour(Behaviour.FULL));
+            ClientAttempt stream = harness.send(0, FleetHarness.generation(CHAT, "refused"));
             assertEquals(503, Futures.await(stream.ended()).status());
             awaitHandleFreed(harness, stream);
         });
     }
 
     private static void awaitHandleFreed(FleetHarness harness, ClientAttempt stream) throws Exception {
-        HandleCreated made = harness.fleet.history().await("a handle", HandleCreated.class, h -> h.attemptId()
-                .equals(stream.id()));
-        harness.fleet.history().await(made.handle() + " is freed", HandleFreed.class, f -> f.handle()
-                .equals(made.handle()));
+        HandleCreated created = harness.await(
+                "a handle", HandleCreated.class, handle -> handle.attemptId().equals(stream.id()));
+        harness.await(created.handle() + " is freed", HandleFreed.class, freed -> freed.handle()
+                .equals(created.handle()));
     }
 
     @Test
@@ -195,9 +175,8 @@
         FleetHarness.run(1, 1, harness -> {
             assertEquals(
                     502,
-                    crashDuringRun(harness, ClientRequest.plain(FleetHarness.WRITE, "once"))
-                            .status());
-            assertEquals(1, harness.fleet.history().events(RunStarted.class).size());
+                    crashDuringRun(harness, ClientRequest.plain(WRITE, "once")).status());
+            assertEquals(1, harness.events(RunStarted.class).size());
         });
     }
 
@@ -206,23 +185,19 @@
         FleetHarness.run(
                 1,
                 1,
-                harness -> assertTrue(crashDuringRun(harness, ClientRequest.plain(FleetHarness.READ, "again"))
+                harness -> assertTrue(crashDuringRun(harness, ClientRequest.plain(READ, "again"))
                         .served()));
     }
 
-    /** The request's server dies while it works on it; the others answer. */
+    /** Crashes the server that runs the request; the other one responds to what it gets. */
     private static ClientAttempt.Outcome crashDuringRun(FleetHarness harness, ClientRequest request) throws Exception {
-        harness.plainServers.forEach(p -> p.behaviour(Behaviour.UNRESPONSIVE));
-        ClientAttempt sent = harness.fleet.client().send(harness.fleet.edge(0), request);
-        RunStarted ran = harness.fleet.history().await("a run", RunStarted.class, r -> r.attemptId()
-                .equals(sent.id()));
-        harness.plainServers.forEach(p -> p.behaviour(Behaviour.WORKS));
-        harness.plainServers.stream()
-                .filter(p -> p.identity().equals(ran.server()))
-                .findFirst()
-                .orElseThrow()
-                .crash();
-        return Futures.await(sent.ended());
+        harness.plainServers.forEach(server -> server.behaviour(Behaviour.UNRESPONSIVE));
+        ClientAttempt attempt = harness.send(0, request);
+        RunStarted run = harness.await(
+                "a run", RunStarted.class, started -> started.attemptId().equals(attempt.id()));
+        harness.plainServers.forEach(server -> server.behaviour(Behaviour.WORKS));
+        FleetHarness.serverOf(harness.plainServers, run.server()).crash();
+        return Futures.await(attempt.ended());
     }
 
     @Test
@@ -231,12 +206,11 @@
             PlainServer replaced = serverOfNextRequest(harness);
             PlainServer other = harness.fleet.reuseAddress(replaced, "other");
             for (int i = 0; i < REQUESTS; i++) {
-                harness.assertServed(
-                        0, ClientRequest.plain(i % 2 == 0 ? FleetHarness.READ : FleetHarness.WRITE, "r" + i));
+                harness.assertServed(0, ClientRequest.plain(i % 2 == 0 ? READ : WRITE, "r" + i));
             }
             assertEquals(REQUESTS, rejections(harness, other).size(), "requests that reached the other server");
-            assertTrue(harness.fleet.history().events(RunStarted.class).stream()
-                    .noneMatch(r -> r.server().equals(other.identity())));
+            assertTrue(harness.events(RunStarted.class).stream()
+                    .noneMatch(run -> run.server().equals(other.identity())));
         });
     }
 
@@ -246,39 +220,38 @@
             PlainServer full = serverOfNextRequest(harness);
             full.behaviour(Behaviour.FULL);
             for (int i = 0; i < REQUESTS; i++) {
-                RouteSpec route = i % 2 == 0 ? FleetHarness.READ : FleetHarness.WRITE;
+                RouteSpec route = i % 2 == 0 ? READ : WRITE;
                 harness.assertServed(0, ClientRequest.plain(route, "full" + i));
             }
-            for (RouteSpec route : List.of(FleetHarness.READ, FleetHarness.WRITE)) {
-                harness.fleet
-                        .history()
-                        .awaitState(
-                                "a rejected request of " + route.name(),
-                                () -> isServedAfterRejection(harness, ClientRequest.plain(route, "rejected"), full));
+            for (RouteSpec route : List.of(READ, WRITE)) {
+                harness.awaitState(
+                        "a rejected request of " + route.name(),
+                        () -> isServedAfterRejection(harness, ClientRequest.plain(route, "rejected"), full));
             }
         });
     }
 
     /** The data plane doesn't send to a server for a while after it rejected a request. */
     private static boolean isServedAfterRejection(FleetHarness harness, ClientRequest request, PlainServer full) {
-        ClientAttempt attempt = harness.fleet.client().send(harness.fleet.edge(0), request);
+        ClientAttempt attempt = harness.send(0, request);
         ClientAttempt.Outcome outcome = Futures.await(attempt.ended());
         assertTrue(outcome.served(), outcome.toString());
-        return rejections(harness, full).stream().anyMatch(r -> r.attemptId().equals(attempt.id()));
+        return rejections(harness, full).stream()
+                .anyMatch(run -> run.attemptId().equals(attempt.id()));
     }
 
     @Test
     void aSafeRequestAtAnUnresponsiveServerIsRetriedAtAnother() throws Exception {
         FleetHarness.run(1, 1, harness -> {
-            PlainServer silent = serverOfNextRequest(harness);
-            silent.behaviour(Behaviour.UNRESPONSIVE);
+            PlainServer unresponsive = serverOfNextRequest(harness);
+            unresponsive.behaviour(Behaviour.UNRESPONSIVE);
             for (int i = 0; i < 2; i++) {
-                harness.assertServed(0, ClientRequest.plain(FleetHarness.READ, "silent" + i));
+                harness.assertServed(0, ClientRequest.plain(READ, "unanswered" + i));
             }
             assertTrue(
-                    harness.fleet.history().events(RunStarted.class).stream()
-                            .anyMatch(r -> r.server().equals(silent.identity())),
-                    "no request reached the silent server");
+                    harness.events(RunStarted.class).stream()
+                            .anyMatch(run -> run.server().equals(unresponsive.identity())),
+                    "no request reached the unresponsive server");
         });
     }
 
@@ -287,21 +260,17 @@
      * of two servers a data plane picks the one with fewer requests in flight.
      */
     private static PlainServer serverOfNextRequest(FleetHarness harness) throws Exception {
-        harness.plainServers.forEach(p -> p.behaviour(Behaviour.UNRESPONSIVE));
-        ClientAttempt pending =
-                harness.fleet.client().send(harness.fleet.edge(0), ClientRequest.plain(FleetHarness.WRITE, "pending"));
-        RunStarted run = harness.fleet.history().await("a run", RunStarted.class, r -> r.attemptId()
-                .equals(pending.id()));
-        harness.plainServers.forEach(p -> p.behaviour(Behaviour.WORKS));
-        return harness.plainServers.stream()
-                .filter(p -> !p.identity().equals(run.server()))
-                .findFirst()
-                .orElseThrow();
+        harness.plainServers.forEach(server -> server.behaviour(Behaviour.UNRESPONSIVE));
+        ClientAttempt pending = harness.send(0, ClientRequest.plain(WRITE, "pending"));
+        RunStarted run = harness.await(
+                "a run", RunStarted.class, started -> started.attemptId().equals(pending.id()));
+        harness.plainServers.forEach(server -> server.behaviour(Behaviour.WORKS));
+        return FleetHarness.serverOtherThan(harness.plainServers, run.server());
     }
 
     private static List<RunRejected> rejections(FleetHarness harness, PlainServer server) {
-        return harness.fleet.history().events(RunRejected.class).stream()
-                .filter(r -> r.server().equals(server.identity()))
+        return harness.events(RunRejected.class).stream()
+                .filter(run -> run.server().equals(server.identity()))
                 .toList();
     }
 }
