--- a/cli/src/test/java/dewplank/fleet/ServerFaultTest.java
+++ b/cli/src/test/java/dewplank/fleet/ServerFaultTest.java
@@ -1,6 +1,7 @@
 package dewplank.fleet;
 
 import static dewplank.fleet.FleetHarness.CHAT;
+import static dewplank.fleet.FleetHarness.EVENT_COUNT;
 import static dewplank.fleet.FleetHarness.READ;
 import static dewplank.fleet.FleetHarness.TALK;
 import static dewplank.fleet.FleetHarness.WRITE;
@@ -111,7 +112,10 @@
     void aRequestWhoseHandleIsRejectedIsServed() throws Exception {
         FleetHarness.run(1, 1, harness -> {
             harness.decodeServers.forEach(ModelServer::rejectHandles);
-            assertGenerationsServed(harness);
+            for (int i = 0; i < REQUESTS; i++) {
+                harness.assertServed(0, FleetHarness.generation(CHAT, "rejected" + i));
+                awaitRunAtEachDecodeServer(harness);
+            }
             long rejected = harness.events(RunRejected.class).stream()
                     .map(RunRejected::attemptId)
                     .distinct()
@@ -120,6 +124,23 @@
         });
     }
 
+    /**
+     * Runs generations without a handle, which no server rejects, until each server has run one. A server that rejected
+     * isn't picked for a while: a request that the other one rejects in that time would find none and be answered 503.
+     */
+    private static void awaitRunAtEachDecodeServer(FleetHarness harness) throws Exception {
+        for (ModelServer server : harness.decodeServers) {
+            String instance = server.identity().instanceId();
+            harness.awaitState("a run at " + instance, () -> {
+                ClientAttempt attempt = harness.send(0, ClientRequest.direct(CHAT, "direct", EVENT_COUNT));
+                assertTrue(Futures.await(attempt.ended()).served());
+                return harness.events(RunStarted.class).stream()
+                        .filter(run -> run.attemptId().equals(attempt.id()))
+                        .anyMatch(run -> run.server().equals(server.identity()));
+            });
+        }
+    }
+
     private static void assertGenerationsServed(FleetHarness harness) {
         for (int i = 0; i < REQUESTS; i++) {
             harness.assertServed(0, FleetHarness.generation(CHAT, "split" + i));
