--- a/cli/src/test/java/dewplank/sidecar/PeerHealthVotesTest.java
+++ b/cli/src/test/java/dewplank/sidecar/PeerHealthVotesTest.java
@@ -1,7 +1,8 @@
 package dewplank.sidecar;
 
-import static org.junit.Assert.assertFalse;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dewplank.balancer.health.PeerSummary;
 import dewplank.sidecar.LoopbackNetwork.Client;
@@ -15,32 +16,44 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.SocketException;
+import java.net.UnknownHostException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.HashMap;
 import java.util.List;
+import java.util.Map;
 import java.util.concurrent.BlockingQueue;
-import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicIntegerArray;
-import org.junit.After;
-import org.junit.Before;
-import org.junit.Test;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
 
 /**
- * Three processes of the program behind a stand-in network for their datagrams, which can lose them. A server fails for
- * the first two and serves the third, whose own traffic says nothing against it: what it avoids, it has heard of.
+ * Health votes between sidecars: three processes of the program behind a stand-in network for their datagrams, which
+ * can lose them. A server fails for the first two and serves the third, the quiet one, whose own traffic says nothing
+ * against it: where the quiet one avoids the server, it does so by the votes of the others.
  */
-public class PeerHealthVotesTest {
+class PeerHealthVotesTest {
     private static final int PROCESSES = 3;
-    private static final int QUIET = 2; // the process without traffic; those before it have some
+    /** The process without traffic of its own; those before it have some. */
+    private static final int QUIET = 2;
+
     private static final int SERVERS = 4;
     private static final int FAILING = 0;
     private static final int HEALTHY = 1;
     private static final int MAX_BLOCKS = 200;
-    private static final int BLOCK_SIZE = 200; // requests, of which a server that is drawn takes about a quarter
+    /** Requests, of which a server that is picked gets about a quarter. */
+    private static final int BLOCK_SIZE = 200;
+
     private static final int TIMEOUT_S = 30;
+    /** How long a vote counts after it was sent. */
+    private static final long VOTE_VALID_MS = 3_000;
+
+    private static final int MAX_DATAGRAM_BYTES = 512;
 
     private final List<ScriptedPeer> servers = new ArrayList<>();
     private final List<Program> programs = new ArrayList<>();
@@ -49,48 +62,62 @@
     private ScriptedPeer discovery;
     private volatile boolean isOver;
 
+    /** A vote against a server, by the number of its sender, and when the network received it. */
+    private record Accusation(int sender, long receivedAtNanos) {}
+
     /**
-     * Takes each sidecar's datagrams at an address of its own, and passes them on from its address in {@code peers}.
+     * Receives each sidecar's datagrams at an address of its own, and forwards them from the sidecar's address in
+     * {@code peers}. One thread for each sender.
      */
     private static final class Network implements Closeable {
-        final List<DatagramSocket> outgoing = new ArrayList<>();
+        final List<DatagramSocket> receivers = new ArrayList<>();
         final List<DatagramSocket> senders = new ArrayList<>();
         final List<InetSocketAddress> peerAddresses = new ArrayList<>();
-        final BlockingQueue<Integer> accusers = new LinkedBlockingQueue<>();
+        final BlockingQueue<Accusation> accusations = new LinkedBlockingQueue<>();
         volatile boolean losesAll = true;
 
-        Network() throws SocketException {
-            for (int i = 0; i < PROCESSES; i++) {
-                outgoing.add(new DatagramSocket(0, InetAddress.getLoopbackAddress()));
+        Network() throws IOException {
+            for (int sender = 0; sender < PROCESSES; sender++) {
+                receivers.add(new DatagramSocket(0, InetAddress.getLoopbackAddress()));
                 senders.add(new DatagramSocket(0, InetAddress.getLoopbackAddress()));
-                try (DatagramSocket free = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
-                    peerAddresses.add((InetSocketAddress) free.getLocalSocketAddress());
-                }
-                int from = i;
-                LoopbackNetwork.background(() -> forward(from));
+                peerAddresses.add(freePeerAddress(sender));
+                int number = sender;
+                LoopbackNetwork.background(() -> forwardAll(number));
+            }
+        }
+
+        /** On an address that nothing else uses: no other process takes the port before the program binds it. */
+        private static InetSocketAddress freePeerAddress(int number) throws UnknownHostException, SocketException {
+            InetAddress host = InetAddress.getByName("127.0.0." + (2 + number));
+            try (DatagramSocket socket = new DatagramSocket(0, host)) {
+                return (InetSocketAddress) socket.getLocalSocketAddress();
             }
         }
 
-        private void forward(int from) throws IOException {
-            DatagramPacket packet = new DatagramPacket(new byte[512], 512);
+        private void forwardAll(int sender) throws IOException {
+            DatagramPacket packet = new DatagramPacket(new byte[MAX_DATAGRAM_BYTES], MAX_DATAGRAM_BYTES);
             while (true) {
-                packet.setLength(512);
-                outgoing.get(from).receive(packet);
-                byte[] bytes = java.util.Arrays.copyOf(packet.getData(), packet.getLength());
+                packet.setLength(MAX_DATAGRAM_BYTES);
+                receivers.get(sender).receive(packet);
+                byte[] bytes = Arrays.copyOf(packet.getData(), packet.getLength());
                 if (!PeerSummary.decode(bytes).unhealthyServers().isEmpty()) {
-                    accusers.add(from);
+                    accusations.add(new Accusation(sender, System.nanoTime()));
                 }
-                for (int to = 0; to < PROCESSES && !losesAll; to++) {
-                    if (to != from) {
-                        senders.get(from).send(new DatagramPacket(bytes, bytes.length, peerAddresses.get(to)));
-                    }
+                forward(sender, bytes);
+            }
+        }
+
+        private void forward(int sender, byte[] bytes) throws IOException {
+            for (int to = 0; to < PROCESSES && !losesAll; to++) {
+                if (to != sender) {
+                    senders.get(sender).send(new DatagramPacket(bytes, bytes.length, peerAddresses.get(to)));
                 }
             }
         }
 
         @Override
         public void close() {
-            outgoing.forEach(DatagramSocket::close);
+            receivers.forEach(DatagramSocket::close);
             senders.forEach(DatagramSocket::close);
         }
     }
@@ -104,35 +131,10 @@
             port = LoopbackNetwork.freePort();
             Path file = Files.createTempFile("config", ".json");
             file.toFile().deleteOnExit();
-            List<String> peers = new ArrayList<>();
-            for (DatagramSocket s : network.senders) {
-                peers.add("\"127.0.0.1:" + s.getLocalPort() + "\"");
-            }
-            List<String> entries = new ArrayList<>();
-            for (int i = 0; i < servers.size(); i++) {
-                entries.add(servers.get(i).endpointJson("s" + i, "active"));
-            }
-            String settings = LoopbackNetwork.SETTINGS
-                    .replace("\"Peers\":false", "\"Peers\":true")
-                    .replace("\"Me\":0", "\"Me\":" + number)
-                    .replace("\"ReplicasOfMe\":1", "\"ReplicasOfMe\":" + PROCESSES);
-            Files.writeString(
-                    file,
-                    "{\"name\":\"n" + number + "\",\"listen\":\"127.0.0.1:" + port
-                            + "\",\"discovery\":\"127.0.0.1:"
-                            + discovery.address().getPort() + "\",\"seed\":\"" + (number + 5)
-                            + "\",\"peer_listen\":\"127.0.0.1:"
-                            + network.peerAddresses.get(number).getPort() + "\",\"peers\":" + peers
-                            + ",\"peers_all\":\"127.0.0.1:"
-                            + network.outgoing.get(number).getLocalPort() + "\",\"known\":"
-                            + LoopbackNetwork.catalogJson(7, true, entries) + ",\"settings\":" + settings + "}");
-            ProcessBuilder builder = new ProcessBuilder(
-                            Path.of(System.getProperty("java.home"), "bin", "java")
-                                    .toString(),
-                            "-cp",
-                            System.getProperty("java.class.path"),
-                            "dewplank.Main",
-                            "serve")
+            Files.writeString(file, configuration(number, port));
+            Path java = Path.of(System.getProperty("java.home"), "bin", "java");
+            String classPath = System.getProperty("java.class.path");
+            ProcessBuilder builder = new ProcessBuilder(java.toString(), "-cp", classPath, "dewplank.Main", "serve")
                     .redirectErrorStream(true);
             builder.environment().put("GW_CONFIG", file.toString());
             process = builder.start();
@@ -144,7 +146,7 @@
             while (line != null && !line.contains(" serves on ")) {
                 line = log.readLine();
             }
-            assertTrue("it has ended", line != null);
+            assertNotNull(line, "the process has ended");
             LoopbackNetwork.background(() -> {
                 while (log.readLine() != null) {}
             });
@@ -155,85 +157,139 @@
         }
     }
 
+    private String configuration(int number, int port) {
+        List<String> peers = new ArrayList<>();
+        for (DatagramSocket sender : network.senders) {
+            peers.add("\"127.0.0.1:" + sender.getLocalPort() + "\"");
+        }
+        List<String> endpoints = new ArrayList<>();
+        for (int i = 0; i < servers.size(); i++) {
+            endpoints.add(servers.get(i).endpointJson("s" + i, "active"));
+        }
+        String settings = LoopbackNetwork.SETTINGS
+                .replace("\"Peers\":false", "\"Peers\":true")
+                .replace("\"Me\":0", "\"Me\":" + number)
+                .replace("\"ReplicasOfMe\":1", "\"ReplicasOfMe\":" + PROCESSES);
+        InetSocketAddress peerListen = network.peerAddresses.get(number);
+        return "{\"name\":\"n" + number + "\",\"listen\":\"127.0.0.1:" + port
+                + "\",\"discovery\":\"127.0.0.1:" + discovery.address().getPort()
+                + "\",\"seed\":\"" + (number + 5)
+                + "\",\"peer_listen\":\"" + peerListen.getAddress().getHostAddress() + ":" + peerListen.getPort()
+                + "\",\"peers\":" + peers
+                + ",\"peers_all\":\"127.0.0.1:" + network.receivers.get(number).getLocalPort()
+                + "\",\"known\":" + LoopbackNetwork.catalogJson(7, true, endpoints)
+                + ",\"settings\":" + settings + "}";
+    }
+
     private static void sendRequest(Client client, String from) throws IOException {
         client.send(Client.request("menu-read", "X-From: " + from + "\r\nContent-Length: 0\r\n"));
         client.read();
     }
 
-    @Before
-    public void start() throws Exception {
+    @BeforeEach
+    void start() throws Exception {
         network = new Network();
         discovery = new ScriptedPeer();
-        for (int i = 0; i < SERVERS; i++) {
-            ScriptedPeer server = new ScriptedPeer();
-            int number = i;
-            servers.add(server);
-            LoopbackNetwork.background(() -> {
-                while (true) {
-                    ReceivedRequest e = server.next();
-                    if (e.message() != null) {
-                        if (e.message().contains("X-From: quiet")) {
-                            quietRequests.incrementAndGet(number);
-                        }
-                        boolean fails = number == FAILING && e.message().contains("X-From: busy");
-                        e.respond(fails ? "500 Bad" : "200 OK", "");
-                    }
-                }
-            });
+        for (int number = 0; number < SERVERS; number++) {
+            startServer(number);
         }
-        for (int i = 0; i < PROCESSES; i++) {
-            programs.add(new Program(i));
+        for (int number = 0; number < PROCESSES; number++) {
+            programs.add(new Program(number));
         }
-        for (Program p : programs) {
-            p.awaitServing();
+        for (Program program : programs) {
+            program.awaitServing();
         }
-        for (int i = 0; i < QUIET; i++) {
-            Client client = programs.get(i).client();
-            LoopbackNetwork.background(() -> {
-                while (!isOver) {
-                    sendRequest(client, "busy");
-                    Thread.sleep(10);
+        for (int number = 0; number < QUIET; number++) {
+            startClient(programs.get(number));
+        }
+    }
+
+    private void startServer(int number) throws IOException {
+        ScriptedPeer server = new ScriptedPeer();
+        servers.add(server);
+        LoopbackNetwork.background(() -> {
+            while (true) {
+                ReceivedRequest request = server.next();
+                if (request.message() != null) {
+                    respond(request, number);
                 }
-            });
+            }
+        });
+    }
+
+    private void respond(ReceivedRequest request, int server) throws IOException {
+        if (request.message().contains("X-From: quiet")) {
+            quietRequests.incrementAndGet(server);
         }
+        boolean fails = server == FAILING && request.message().contains("X-From: busy");
+        request.respond(fails ? "500 Bad" : "200 OK", "");
     }
 
-    @After
-    public void stop() throws Exception {
+    private void startClient(Program program) throws IOException {
+        Client client = program.client();
+        LoopbackNetwork.background(() -> {
+            while (!isOver) {
+                sendRequest(client, "busy");
+                Thread.sleep(10);
+            }
+        });
+    }
+
+    @AfterEach
+    void stop() throws Exception {
         isOver = true;
-        for (Program p : programs) {
-            p.process.destroyForcibly().waitFor();
+        for (Program program : programs) {
+            program.process.destroyForcibly().waitFor();
         }
         network.close();
         discovery.close();
-        for (ScriptedPeer p : servers) {
-            p.close();
+        for (ScriptedPeer server : servers) {
+            server.close();
         }
     }
 
-    private void awaitAccusationsOfBoth() throws Exception {
-        ConcurrentHashMap.KeySetView<Integer, Boolean> seen = ConcurrentHashMap.newKeySet();
-        network.accusers.clear();
-        while (seen.size() < QUIET) {
-            Integer from = network.accusers.poll(TIMEOUT_S, TimeUnit.SECONDS);
-            assertTrue("no process has judged the failing server", from != null);
-            seen.add(from);
+    /** Waits for a new accusation by each busy process; when the network received the older of them. */
+    private long awaitAccusationsOfBoth() throws InterruptedException {
+        Map<Integer, Accusation> newest = new HashMap<>();
+        network.accusations.clear();
+        while (newest.size() < QUIET) {
+            Accusation accusation = network.accusations.poll(TIMEOUT_S, TimeUnit.SECONDS);
+            assertNotNull(accusation, "a busy process sent no vote against the failing server");
+            newest.put(accusation.sender(), accusation);
         }
+        return newest.values().stream()
+                .mapToLong(Accusation::receivedAtNanos)
+                .min()
+                .orElseThrow();
     }
 
     /**
-     * Whether a block of requests of the quiet one's client met this server more often than trials would, one a second.
+     * Whether a server got more of a block of requests of the quiet process's client than trials would bring it, of
+     * which there is one a second.
      */
     private boolean isPicked(Client client, int server) throws IOException {
         int before = quietRequests.get(server);
-        long began = System.nanoTime();
+        long beganAtNanos = System.nanoTime();
         for (int i = 0; i < BLOCK_SIZE; i++) {
             sendRequest(client, "quiet");
         }
-        return quietRequests.get(server) - before > 2 + (System.nanoTime() - began) / 1_000_000_000L;
+        long maxTrials = 2 + TimeUnit.NANOSECONDS.toSeconds(System.nanoTime() - beganAtNanos);
+        return quietRequests.get(server) - before > maxTrials;
+    }
+
+    /** As {@link #isPicked} for the failing server, of a block that ended while the votes of both busy ones counted. */
+    private boolean isFailingServerPickedWhileBothVotesCount(Client client) throws Exception {
+        for (int block = 0; block < MAX_BLOCKS; block++) {
+            long votedAtNanos = awaitAccusationsOfBoth();
+            boolean isPicked = isPicked(client, FAILING);
+            if (System.nanoTime() - votedAtNanos < TimeUnit.MILLISECONDS.toNanos(VOTE_VALID_MS)) {
+                return isPicked;
+            }
+        }
+        throw new AssertionError("no block of requests ended while both votes counted");
     }
 
-    /** As many strangers as there are processes call a healthy server ill. */
+    /** As many strangers as there are processes vote against a healthy server. */
     private void sendForgedVotes() throws IOException {
         byte[] forged = new PeerSummary(System.currentTimeMillis(), List.of(("s" + HEALTHY).hashCode())).encode();
         for (int i = 0; i < PROCESSES; i++) {
@@ -243,24 +299,31 @@
         }
     }
 
+    /** One slow response keeps a server from being picked for seconds, so more than one block may be needed. */
+    private void awaitPicked(Client client, int server, String otherwise) throws IOException {
+        for (int block = 0; !isPicked(client, server); block++) {
+            assertTrue(block < MAX_BLOCKS, otherwise);
+        }
+    }
+
     @Test
-    public void onlyVotesReceivedFromLivePeersCount() throws Exception {
+    void onlyVotesReceivedFromLivePeersCount() throws Exception {
         awaitAccusationsOfBoth();
         Client quiet = programs.get(QUIET).client();
-        for (int i = 0; !isPicked(quiet, FAILING); i++) { // one slow answer keeps a server from being drawn for seconds
-            assertTrue("votes that were lost are heard", i < MAX_BLOCKS);
-        }
-        for (int i = 0; i == 0 || !isPicked(quiet, HEALTHY); i++) {
-            assertTrue("strangers are believed", i < MAX_BLOCKS);
+        awaitPicked(quiet, FAILING, "lost votes count");
+
+        sendForgedVotes();
+        for (int block = 0; !isPicked(quiet, HEALTHY); block++) {
+            assertTrue(block < MAX_BLOCKS, "votes of strangers count");
             sendForgedVotes();
         }
+
         network.losesAll = false;
         awaitAccusationsOfBoth();
         awaitAccusationsOfBoth(); // what was sent before this has arrived
-        assertFalse("it is sent to a server that both others call ill", isPicked(quiet, FAILING));
+        assertFalse(isFailingServerPickedWhileBothVotesCount(quiet), "votes of both others don't count");
+
         programs.get(0).process.destroyForcibly().waitFor();
-        for (int i = 0; !isPicked(quiet, FAILING); i++) { // one vote of two is no majority
-            assertTrue("the votes of one that was killed still count", i < MAX_BLOCKS);
-        }
+        awaitPicked(quiet, FAILING, "the vote of a killed process still counts"); // one vote of two is no majority
     }
 }
