--- a/cli/src/test/java/dewplank/ArchitectureTest.java
+++ b/cli/src/test/java/dewplank/ArchitectureTest.java
@@ -8,10 +8,10 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import com.tngtech.archunit.library.Architectures.LayeredArchitecture;
 import java.util.List;
-import org.junit.Test;
+import org.junit.jupiter.api.Test;
 
 /** Modules use only what is below them; docs/architecture.md draws them. */
-public class ArchitectureTest {
+class ArchitectureTest {
     private static final JavaClasses ALL = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
             .importPackages("dewplank");
@@ -85,7 +85,7 @@
             new Module("balancer", List.of("dewplank.balancer.."), "routing", "sidecar", "emulator", "lab", "cli"));
 
     @Test
-    public void modulesAreUsedOnlyByThoseAbove() {
+    void modulesAreUsedOnlyByThoseAbove() {
         LayeredArchitecture architecture = layeredArchitecture().consideringOnlyDependenciesInLayers();
         for (Module module : MODULES) {
             architecture = architecture
@@ -104,7 +104,7 @@
 
     /** Guards against a codec that can only be tested with sockets. */
     @Test
-    public void codecsKnowNoSockets() {
+    void codecsKnowNoSockets() {
         noClasses()
                 .that()
                 .resideInAPackage("dewplank.http..")
@@ -116,7 +116,7 @@
 
     /** Decisions of the fleet are pure steps: whoever can't test them in virtual time has them in the wrong place. */
     @Test
-    public void theFleetsDecisionsDoNoInputOrOutput() {
+    void theFleetsDecisionsDoNoInputOrOutput() {
         noClasses()
                 .that()
                 .resideInAnyPackage(
@@ -139,7 +139,7 @@
 
     /** Nor may what the programs load grow with the operators' client. */
     @Test
-    public void theProgramsNeedNothingOfTheOperatorsClient() {
+    void theProgramsNeedNothingOfTheOperatorsClient() {
         noClasses()
                 .that()
                 .haveSimpleName("Main")
@@ -159,7 +159,7 @@
 
     /** What serve loads must not grow with the laboratory: its classes live in a jar that serve never opens. */
     @Test
-    public void servingNeedsNothingOfTheLaboratory() {
+    void servingNeedsNothingOfTheLaboratory() {
         noClasses()
                 .that()
                 .haveSimpleName("Main")
--- a/cli/src/test/java/dewplank/OperatorMainTest.java
+++ b/cli/src/test/java/dewplank/OperatorMainTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The operators' command line in front of a control plane of one process, on loopback. */
+/** The operators' command line against a control plane in this process, on loopback. */
 class OperatorMainTest {
     private static final long LIST_TIMEOUT_S = 30; // only a failing test waits so long
     /**
@@ -118,7 +118,7 @@
         return streams.out();
     }
 
-    /** What the command said on standard error; the control plane of this process logs there too. */
+    /** What the command printed on standard error; the control plane of this process logs there too. */
     private static String errorMessage(Streams streams) {
         int start = streams.err().indexOf("dewplank: ");
         return start < 0 ? "" : streams.err().substring(start);
@@ -136,7 +136,7 @@
                 + "\"services\":[{\"name\":\"s\"}]}";
     }
 
-    /** One operator's day: what follows builds on what came before. */
+    /** An operator's first commands in their order: each step builds on those before. */
     @Test
     void putsPatchesAndExplainsAConfiguration() throws IOException {
         failed(1, "206 NO_CONFIGURATION", fleet("get"));
@@ -176,7 +176,7 @@
         failed(1, "208 NO_SUCH_ROUTE", fleet("explain", "a.example", "/b/"));
     }
 
-    /** Looks until the list of servers has come. */
+    /** Repeats the command until the control plane has the endpoint list. */
     private static void awaitEndpointList() {
         long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(LIST_TIMEOUT_S);
         Streams one = fleet("servers", "i-1");
--- a/cli/src/test/java/dewplank/sidecar/ReloadTest.java
+++ b/cli/src/test/java/dewplank/sidecar/ReloadTest.java
@@ -1,7 +1,8 @@
 package dewplank.sidecar;
 
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -11,17 +12,22 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import org.junit.Test;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
 
-/** The program itself, with real signals. */
-public class ReloadTest {
-    private static final long TIMEOUT_MS = 60_000; // only a failing test waits so long
+/**
+ * Reloads of the configuration by the program itself, with real signals. Each test runs in a thread of its own for its
+ * time-out, as a wait for a line of the log can't be interrupted.
+ */
+@Timeout(value = ReloadTest.TIMEOUT_S, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
+class ReloadTest {
+    static final long TIMEOUT_S = 60; // only a failing test waits so long
     /** Nothing else uses it: its ports can't be taken by connections of other processes before the program listens. */
     private static final String LISTEN_HOST = "127.0.0.2";
 
-    /** Found on the first day of new configurations: a JVM that is not told otherwise ends on SIGHUP, with 129. */
-    @Test(timeout = TIMEOUT_MS)
-    public void sighupReloadsTheFileAndAnInvalidFileChangesNothing() throws Exception {
+    /** A JVM without a handler ends on SIGHUP, with 129. */
+    @Test
+    void sighupReloadsTheFileAndAnInvalidFileChangesNothing() throws Exception {
         Path file = Files.createTempFile("config", ".json");
         try (LoopbackNetwork.ScriptedPeer first = new LoopbackNetwork.ScriptedPeer();
                 LoopbackNetwork.ScriptedPeer second = new LoopbackNetwork.ScriptedPeer();
@@ -49,9 +55,9 @@
         Files.delete(file);
     }
 
-    /** The configuration is a pipe that holds the start up: a hangup meanwhile must not end the program. */
-    @Test(timeout = TIMEOUT_MS)
-    public void sighupDuringTheStartReloadsAfterIt() throws Exception {
+    /** The configuration is a pipe, at which the start blocks: SIGHUP meanwhile must not end the program. */
+    @Test
+    void sighupDuringTheStartReloadsAfterIt() throws Exception {
         Path pipe = Files.createTempDirectory("config").resolve("pipe");
         assertEquals(0, new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor());
         try (LoopbackNetwork.ScriptedPeer first = new LoopbackNetwork.ScriptedPeer();
@@ -76,9 +82,9 @@
         Files.delete(pipe.getParent());
     }
 
-    /** Started as by nohup: such a JVM leaves the signal alone, and the sidecar used to lose reloads without a word. */
-    @Test(timeout = TIMEOUT_MS)
-    public void aChangedFileIsReloadedWhereSighupIsIgnored() throws Exception {
+    /** Started as by nohup: such a JVM keeps ignoring SIGHUP, so that only the file's attributes show a change. */
+    @Test
+    void aChangedFileIsReloadedWhereSighupIsIgnored() throws Exception {
         Path file = Files.createTempFile("config", ".json");
         try (LoopbackNetwork.ScriptedPeer first = new LoopbackNetwork.ScriptedPeer();
                 LoopbackNetwork.ScriptedPeer second = new LoopbackNetwork.ScriptedPeer();
@@ -105,8 +111,8 @@
         Files.delete(file);
     }
 
-    @Test(timeout = TIMEOUT_MS)
-    public void sighupAfterTheReloadOfAChangedFileIsSkipped() throws Exception {
+    @Test
+    void sighupAfterTheReloadOfAChangedFileIsSkipped() throws Exception {
         Path file = Files.createTempFile("config", ".json");
         try (LoopbackNetwork.ScriptedPeer first = new LoopbackNetwork.ScriptedPeer();
                 LoopbackNetwork.ScriptedPeer second = new LoopbackNetwork.ScriptedPeer()) {
@@ -119,9 +125,8 @@
                 second.next();
                 awaitLine(log, "configuration reloaded discovery=");
                 signal(program, "HUP");
-                assertTrue(
-                        "a second reload",
-                        awaitLine(log, "configuration re").contains("reload skipped reason=unchanged"));
+                String line = awaitLine(log, "configuration re");
+                assertTrue(line.contains("reload skipped reason=unchanged"), "a second reload: " + line);
                 signal(program, "TERM");
                 awaitLine(log, "drained");
                 assertEquals(143, program.waitFor());
@@ -173,7 +178,7 @@
         while (line != null && !line.contains(part)) {
             line = log.readLine();
         }
-        assertTrue("the log ends without: " + part, line != null);
+        assertNotNull(line, "the log ends without: " + part);
         return line;
     }
 }
