--- a/routing/src/main/java/dewplank/quota/HeldShare.java
+++ b/routing/src/main/java/dewplank/quota/HeldShare.java
@@ -1,12 +1,12 @@
 package dewplank.quota;
 
 /**
- * The share of all tenants' limits that one control plane holds under a lease, which the lease holder of the role
- * {@code list} grants ({@link ShareAssigner}). The lease counts from when the acknowledged heartbeat was sent, so it
- * ends here before the assigner counts it as ended.
+ * The share of all tenants' limits that one control plane has under a lease. The lease holder of the role {@code list}
+ * grants it ({@link ShareAssigner}). The lease starts when the acknowledged heartbeat was sent, so it expires here
+ * before the assigner regards it as expired.
  *
- * <p>Not thread-safe; the control plane calls it on its event loop. No I/O; time is given with each call, in
- * milliseconds of the loop's clock.
+ * <p>Not thread-safe; the control plane calls it on its event loop. No I/O; the caller passes the time with each call,
+ * in milliseconds of the loop's clock.
  */
 public final class HeldShare {
     private double fraction;
@@ -15,12 +15,12 @@
     private long number;
 
     /**
-     * Applies a grant, unless a newer one was applied before: one under a higher fencing token, or one of the same
-     * assigner with a higher number. The caller hands the share on to its {@link QuotaBuckets} before it sends the next
+     * Applies a grant unless a newer one has been applied already: one with a higher fencing token, or one with the
+     * same token and a higher number. The caller passes the share to its {@link QuotaBuckets} before it sends the next
      * report.
      *
-     * @param nowMs the time by the loop's clock, read after the grant arrived
-     * @param sentAtMs when this process sent the heartbeat that the grant acknowledges, by the same clock
+     * @param nowMs the current time on the loop's clock, read after the grant arrived
+     * @param sentAtMs when this process sent the heartbeat that the grant acknowledges, on the same clock
      * @param grant the grant
      */
     public void onGrant(double nowMs, double sentAtMs, ShareGrant grant) {
@@ -28,7 +28,7 @@
             return;
         }
         fraction = grant.renewalOnly() ? Math.min(grant.fraction(), fraction(nowMs)) : grant.fraction();
-        endsAtMs = sentAtMs + ShareLease.USER_MS;
+        endsAtMs = sentAtMs + ShareLease.USABLE_MS;
         fencingToken = grant.fencingToken();
         number = grant.number();
     }
@@ -38,23 +38,23 @@
     }
 
     /**
-     * The share that is held; 0 once its lease has ended.
+     * The current share; 0 once its lease has expired.
      *
-     * @param nowMs the time by the loop's clock
+     * @param nowMs the current time on the loop's clock
      */
     public double fraction(double nowMs) {
         return nowMs < endsAtMs ? fraction : 0;
     }
 
-    /** When the share ends unless it is renewed, by the loop's clock; negative infinity before the first grant. */
+    /** When the lease of the share expires unless it is renewed; negative infinity before the first grant. */
     public double endsAtMs() {
         return endsAtMs;
     }
 
     /**
-     * What the next heartbeat tells of the share.
+     * The report on the share for the next heartbeat.
      *
-     * @param nowMs the time by the loop's clock
+     * @param nowMs the current time on the loop's clock
      */
     public ShareReport report(double nowMs) {
         return new ShareReport(fraction(nowMs), fencingToken, number);
--- a/routing/src/main/java/dewplank/quota/QuotaBuckets.java
+++ b/routing/src/main/java/dewplank/quota/QuotaBuckets.java
@@ -7,31 +7,32 @@
 import java.util.Set;
 
 /**
- * One control plane's token buckets: one for each limited tenant of the configuration, with this control plane's share
- * of the tenant's rate and burst. The shares of all control planes add up to at most 1, so their buckets together keep
- * to the limits; therefore a bucket's tokens are lost with the share that they came from, and all buckets begin empty.
+ * The token buckets of one control plane: one for each limited tenant of the configuration, with this control plane's
+ * share of the tenant's rate and burst. The shares of all control planes add up to at most 1, so their buckets together
+ * stay within the limits. For this reason a bucket loses its tokens when the share that filled it expires, and new
+ * buckets are empty.
  *
- * <p>Not thread-safe; the control plane calls it on its event loop. No I/O; time is given with each call, in
- * milliseconds of the loop's clock.
+ * <p>Not thread-safe; the control plane calls it on its event loop. No I/O; the caller passes the time with each call,
+ * in milliseconds of the loop's clock.
  */
 public final class QuotaBuckets {
     private final QuotaTerms terms;
     private final Map<String, TenantLimit> limits = new HashMap<>();
     private final Map<String, TokenBucket> buckets = new HashMap<>();
     private double fraction;
-    private double shareEndsAtMs = Double.NEGATIVE_INFINITY;
+    private double shareExpiresAtMs = Double.NEGATIVE_INFINITY;
 
-    /** Without tenants and without a share. */
+    /** Creates a set of buckets that has no tenants and no share yet. */
     public QuotaBuckets(QuotaTerms terms) {
         this.terms = terms;
     }
 
     /**
-     * Takes the limits of a configuration. The buckets of tenants that it has no more, or does not limit, are dropped;
-     * a tenant that comes back begins with an empty one.
+     * Applies the limits of a configuration. Removes the buckets of tenants that it does not contain or does not limit;
+     * a tenant that is added again starts with an empty bucket.
      *
-     * @param nowMs the time by the loop's clock
-     * @param newLimits one for each tenant, limited or not
+     * @param nowMs the current time on the loop's clock
+     * @param newLimits one entry for each tenant, limited or not
      */
     public void updateLimits(double nowMs, Collection<TenantLimit> newLimits) {
         expireShare(nowMs);
@@ -49,26 +50,26 @@
     }
 
     /**
-     * Takes this control plane's share of all limits. To be called for each grant of it; a share that ended before
-     * that took its tokens with it.
+     * Sets this control plane's share of all limits. The caller calls this for each grant. If the previous share has
+     * expired by then, its tokens are lost.
      *
-     * @param nowMs the time by the loop's clock
+     * @param nowMs the current time on the loop's clock
      * @param newFraction the share, from 0 to 1; 0 empties all buckets
-     * @param endsAtMs when it ends, by the loop's clock, unless another call comes before
+     * @param endsAtMs when the share expires, on the loop's clock, unless another call replaces it earlier
      */
     public void updateShare(double nowMs, double newFraction, double endsAtMs) {
         expireShare(nowMs);
         fraction = nowMs < endsAtMs ? newFraction : 0;
-        shareEndsAtMs = endsAtMs;
+        shareExpiresAtMs = endsAtMs;
         configureBuckets(nowMs);
     }
 
     /**
-     * Takes tokens of a tenant, as many as there are up to the number wanted.
+     * Takes up to the requested number of tokens from a tenant's bucket.
      *
-     * @param nowMs the time by the loop's clock
+     * @param nowMs the current time on the loop's clock
      * @param tenant the tenant's name
-     * @param tokens how many are wanted, at least 1
+     * @param tokens the requested number of tokens, at least 1
      */
     public TakeResult take(double nowMs, String tenant, int tokens) {
         expireShare(nowMs);
@@ -87,13 +88,13 @@
         return taken > 0 ? new TakeResult.Granted(taken) : new TakeResult.Exhausted(bucket.untilNextMs(nowMs));
     }
 
-    /** How many buckets there are: one for each limited tenant. */
+    /** The number of buckets, which is the number of limited tenants. */
     int size() {
         return buckets.size();
     }
 
     private void expireShare(double nowMs) {
-        if (fraction > 0 && nowMs >= shareEndsAtMs) {
+        if (fraction > 0 && nowMs >= shareExpiresAtMs) {
             fraction = 0;
             configureBuckets(nowMs);
         }
--- a/routing/src/main/java/dewplank/quota/ShareAssigner.java
+++ b/routing/src/main/java/dewplank/quota/ShareAssigner.java
@@ -5,59 +5,60 @@
 import java.util.Optional;
 
 /**
- * Assigns the shares of all tenants' limits to the control planes, so that those in force never add up to more than 1
- * and every live control plane comes to hold the same. Only the lease holder of the role {@code list} assigns; the
- * grants go out in the acknowledgements of heartbeats, to its own process like to any other.
+ * Assigns shares of all tenants' limits to the control planes. The shares in force never add up to more than 1, and all
+ * live control planes converge to equal shares. Only the lease holder of the role {@code list} assigns shares. It sends
+ * the grants in the acknowledgements of heartbeats, also to its own process.
  *
- * <p>A new assigner does not know what its predecessor assigned. Until those shares have lapsed it only renews what
- * control planes hold; later everything in force is its own. A control plane's smaller share frees the difference only
- * when its report shows that it was applied, or when the larger one has lapsed.
+ * <p>A new assigner does not know which shares its predecessor assigned. Until those shares have expired it only renews
+ * the shares that control planes report; after that it has granted every share in force itself. When a control plane's
+ * share is reduced, the difference becomes available only after a report shows that the smaller share was applied, or
+ * after the larger one has expired.
  *
- * <p>Not thread-safe; the control plane calls it on its event loop, and checks its lease of the role immediately before
- * each call. No I/O; time is given with each call, in milliseconds of the loop's clock.
+ * <p>Not thread-safe; the control plane calls it on its event loop and checks its lease of the role immediately before
+ * each call. No I/O; the caller passes the time with each call, in milliseconds of the loop's clock.
  */
 public final class ShareAssigner {
     private final Map<String, OutstandingShare> sharesByAddress = new HashMap<>();
     private boolean assigning;
     private long fencingToken;
-    private long lastNumber;
-    private double assignsFromMs;
+    private long lastGrantNumber;
+    private double renewalOnlyUntilMs;
 
     /**
-     * The role was won.
+     * Starts assigning after this process acquired the lease of the role.
      *
-     * @param nowMs the time by the loop's clock; the predecessor granted nothing later
-     * @param newFencingToken the fencing token of the role's lease
+     * @param nowMs the current time on the loop's clock; the predecessor grants nothing after this time
+     * @param newFencingToken the fencing token of the lease
      */
     public void begin(double nowMs, long newFencingToken) {
         sharesByAddress.clear();
         assigning = true;
         fencingToken = newFencingToken;
-        lastNumber = 0;
-        assignsFromMs = nowMs + ShareLease.ASSIGNER_MS;
+        lastGrantNumber = 0;
+        renewalOnlyUntilMs = nowMs + ShareLease.IN_FORCE_MS;
     }
 
-    /** The role was lost. */
+    /** Stops assigning after this process lost the lease of the role. */
     public void end() {
         assigning = false;
         sharesByAddress.clear();
     }
 
     /**
-     * Takes the report in a control plane's heartbeat.
+     * Handles the report in a control plane's heartbeat.
      *
-     * @param nowMs the time by the loop's clock, read after the heartbeat arrived
+     * @param nowMs the current time on the loop's clock, read after the heartbeat arrived
      * @param address the control plane's address
-     * @param report what it holds
-     * @return the grant for the acknowledgement of this heartbeat; empty while this process assigns nothing
+     * @param report the control plane's current share
+     * @return the grant to send in the acknowledgement of this heartbeat; empty while this process is not the assigner
      */
     public Optional<ShareGrant> onReport(double nowMs, String address, ShareReport report) {
         if (!assigning) {
             return Optional.empty();
         }
-        dropLapsed(nowMs);
+        evictExpired(nowMs);
         OutstandingShare share = sharesByAddress.computeIfAbsent(address, unknown -> new OutstandingShare());
-        share.recordHeard(nowMs);
+        share.recordHeartbeat(nowMs);
         if (report.fencingToken() == fencingToken) {
             share.recordApplied(report.number());
         }
@@ -67,24 +68,24 @@
     }
 
     private ShareGrant nextGrant(double nowMs, OutstandingShare share, ShareReport report) {
-        lastNumber++;
-        boolean renewalOnly = nowMs < assignsFromMs;
+        lastGrantNumber++;
+        boolean renewalOnly = nowMs < renewalOnlyUntilMs;
         double fraction = renewalOnly ? report.fraction() : assignment(nowMs, share);
-        return new ShareGrant(fraction, fencingToken, lastNumber, renewalOnly);
+        return new ShareGrant(fraction, fencingToken, lastGrantNumber, renewalOnly);
     }
 
-    /** An equal part of the whole, or what the others leave while they hold more than theirs. */
+    /** An equal part of the whole, or the remainder while the shares of other control planes leave less than that. */
     private double assignment(double nowMs, OutstandingShare share) {
-        double others = 0;
-        int heard = 0;
-        for (OutstandingShare each : sharesByAddress.values()) {
-            others += each == share ? 0 : each.fraction(nowMs);
-            heard += each.isHeard(nowMs) ? 1 : 0;
+        double assignedToOthers = 0;
+        int live = 0;
+        for (OutstandingShare other : sharesByAddress.values()) {
+            assignedToOthers += other == share ? 0 : other.fraction(nowMs);
+            live += other.isLive(nowMs) ? 1 : 0;
         }
-        return Math.max(0, Math.min(1.0 / heard, 1 - others));
+        return Math.max(0, Math.min(1.0 / live, 1 - assignedToOthers));
     }
 
-    private void dropLapsed(double nowMs) {
-        sharesByAddress.values().removeIf(share -> !share.isHeard(nowMs) && share.fraction(nowMs) <= 0);
+    private void evictExpired(double nowMs) {
+        sharesByAddress.values().removeIf(share -> !share.isLive(nowMs) && share.fraction(nowMs) <= 0);
     }
 }
--- a/routing/src/main/java/dewplank/quota/TakeResult.java
+++ b/routing/src/main/java/dewplank/quota/TakeResult.java
@@ -1,27 +1,29 @@
 package dewplank.quota;
 
-/** What a control plane answers to a request for tokens of a tenant. Immutable. */
+/** The result of a request to a control plane for tokens of a tenant. Immutable. */
 public sealed interface TakeResult {
     /**
      * Tokens were taken out of the bucket.
      *
-     * @param tokens how many, at least one; may be fewer than were asked for
+     * @param tokens the number of tokens, at least 1; may be lower than requested
      */
     record Granted(int tokens) implements TakeResult {}
 
     /**
-     * The bucket has no whole token.
+     * The bucket contains less than one token.
      *
-     * @param untilNextMs in how many milliseconds it has one; infinity where its capacity is below one token
+     * @param untilNextMs the time until it contains one token; infinity if its capacity is below 1
      */
     record Exhausted(double untilNextMs) implements TakeResult {}
 
-    /** The tenant needs no tokens. */
+    /** The tenant has no limit, so its requests need no tokens. */
     record Unlimited() implements TakeResult {}
 
-    /** The configuration in force here has no such tenant. */
+    /** The configuration in force at this control plane does not contain the tenant. */
     record UnknownTenant() implements TakeResult {}
 
-    /** This control plane has no share of the limits at present: it can tell nothing of what is left. */
+    /**
+     * This control plane currently has no share of the limits, so it does not know whether tokens are left elsewhere.
+     */
     record NoShare() implements TakeResult {}
 }
--- a/routing/src/main/java/dewplank/quota/TenantLimit.java
+++ b/routing/src/main/java/dewplank/quota/TenantLimit.java
@@ -4,8 +4,8 @@
  * The limit of one tenant over the whole fleet. Immutable.
  *
  * @param tenant the tenant's name
- * @param ratePerSecond requests that are admitted in a second; 0 where they are not limited
- * @param burst requests that are admitted beyond the rate
+ * @param ratePerSecond the number of requests admitted per second; 0 if the tenant is not limited
+ * @param burst the number of requests admitted beyond the rate
  */
 public record TenantLimit(String tenant, double ratePerSecond, double burst) {
     private static final double MS_PER_SECOND = 1000;
@@ -15,7 +15,7 @@
         return ratePerSecond > 0;
     }
 
-    /** Requests that are admitted in a millisecond. */
+    /** The number of requests admitted per millisecond. */
     double ratePerMs() {
         return ratePerSecond / MS_PER_SECOND;
     }
--- a/routing/src/main/java/dewplank/quota/TokenBucket.java
+++ b/routing/src/main/java/dewplank/quota/TokenBucket.java
@@ -1,11 +1,11 @@
 package dewplank.quota;
 
 /**
- * A token bucket, as in Turner, "New Directions in Communications" (1986): tokens come in at a steady rate up to a
- * capacity, and what is granted takes whole tokens out. It begins empty, so that a bucket made anew gives nothing that
- * an earlier one gave already.
+ * A token bucket, as in Turner, "New Directions in Communications" (1986): it fills at a constant rate up to its
+ * capacity, and each grant removes whole tokens. A new bucket is empty, so that it cannot grant tokens again that a
+ * previous bucket has already granted.
  *
- * <p>Not thread-safe. No I/O; time is given with each call, in milliseconds of one steady clock.
+ * <p>Not thread-safe. No I/O; the caller passes the time with each call, in milliseconds of one monotonic clock.
  */
 public final class TokenBucket {
     private double tokensPerMs;
@@ -14,9 +14,9 @@
     private double refilledAtMs;
 
     /**
-     * An empty bucket that stays empty until it is configured.
+     * Creates an empty bucket that stays empty until it is configured.
      *
-     * @param nowMs the time by the caller's steady clock
+     * @param nowMs the current time on the caller's monotonic clock
      */
     public TokenBucket(double nowMs) {
         refilledAtMs = nowMs;
@@ -25,9 +25,9 @@
     /**
      * Sets the rate and the capacity from now on; tokens above the new capacity are lost.
      *
-     * @param nowMs the time by the caller's steady clock
+     * @param nowMs the current time on the caller's monotonic clock
      * @param tokensPerMs the rate
-     * @param capacity the most that the bucket holds, in tokens; below 1 it grants nothing
+     * @param capacity the largest number of tokens in the bucket; below 1 the bucket grants nothing
      */
     public void configure(double nowMs, double tokensPerMs, double capacity) {
         refill(nowMs);
@@ -37,11 +37,11 @@
     }
 
     /**
-     * Takes so many tokens, or all whole ones that there are where these are fewer.
+     * Takes the requested number of tokens, or all whole tokens if there are fewer.
      *
-     * @param nowMs the time by the caller's steady clock
-     * @param tokens how many are wanted
-     * @return how many were taken
+     * @param nowMs the current time on the caller's monotonic clock
+     * @param tokens the requested number
+     * @return the number of tokens taken
      */
     public int tryTake(double nowMs, int tokens) {
         refill(nowMs);
@@ -51,9 +51,9 @@
     }
 
     /**
-     * In how many milliseconds the bucket holds a whole token; infinity where it never does as it is configured.
+     * The time in milliseconds until the bucket contains a whole token; infinity if its rate or capacity prevents that.
      *
-     * @param nowMs the time by the caller's steady clock
+     * @param nowMs the current time on the caller's monotonic clock
      */
     public double untilNextMs(double nowMs) {
         refill(nowMs);
--- a/routing/src/main/java/dewplank/quota/TokenStock.java
+++ b/routing/src/main/java/dewplank/quota/TokenStock.java
@@ -5,23 +5,23 @@
 import java.util.PriorityQueue;
 
 /**
- * The tokens of one limited tenant that a data plane holds, each until its lifetime after it was asked for, and how
- * many to ask for next. A tenant of which this data plane sees many requests gets several tokens at once, so that not
- * every request waits for a round trip to a control plane. A refusal is remembered, so that the requests that follow
- * it ask nobody.
+ * A data plane's tokens of one limited tenant, and the number of tokens to request next. A token expires when its
+ * lifetime has passed since it was requested. If this data plane receives many requests of the tenant, it requests
+ * several tokens at once, so that not every request waits for a round trip to a control plane. After a control plane
+ * reported that no token is left, requests are rejected for a while without another query.
  *
- * <p>Not thread-safe; the data plane calls it on its event loop. No I/O; time is given with each call, in milliseconds
- * of the loop's clock.
+ * <p>Not thread-safe; the data plane calls it on its event loop. No I/O; the caller passes the time with each call, in
+ * milliseconds of the loop's clock.
  */
 public final class TokenStock {
-    /** However large a tenant's rate: no data plane takes more than this out of a bucket that all of them share. */
+    /** Limits what one data plane takes at once from a bucket that all of them share, whatever the tenant's rate. */
     static final int MAX_TOKENS_PER_REQUEST = 64;
-    /** A refusal is forgotten after it, in milliseconds, as limits and shares may have grown. */
+    /** The longest time for which a refusal counts, in milliseconds, as limits and shares may have grown since. */
     static final double MAX_REFUSAL_MS = 1_000;
-    /** Of a token's lifetime: what is asked for by the load of so long is used up well before it ends. */
+    /** Fraction of a token's lifetime over which load is measured; tokens for this load are used before they expire. */
     private static final double LOAD_WINDOW_FRACTION = 1.0 / 4;
 
-    /** Tokens that were asked for together. */
+    /** Tokens that were requested together. */
     private static final class Batch {
         private final double endsAtMs;
         private int tokens;
@@ -39,18 +39,19 @@
     private double refusedUntilMs = Double.NEGATIVE_INFINITY;
 
     /**
-     * An empty stock.
+     * Creates an empty stock.
      *
-     * @param lifetimeMs how long a token may be used, from when it was asked for ({@link QuotaTerms#tokenLifetimeMs})
+     * @param lifetimeMs how long a token may be used after it was requested ({@link QuotaTerms#tokenLifetimeMs})
      */
     public TokenStock(double lifetimeMs) {
         this.lifetimeMs = lifetimeMs;
     }
 
     /**
-     * A request of the tenant arrived; to be called once for each, before a token is taken or asked for.
+     * Records that a request of the tenant arrived. The caller calls this once for each request, before it takes or
+     * requests a token.
      *
-     * @param nowMs the time by the loop's clock
+     * @param nowMs the current time on the loop's clock
      */
     public void recordRequest(double nowMs) {
         requestsAtMs.addLast(nowMs);
@@ -58,9 +59,9 @@
     }
 
     /**
-     * Takes a token for one request; false where none is left.
+     * Takes a token for one request; returns false if none is left.
      *
-     * @param nowMs the time by the loop's clock
+     * @param nowMs the current time on the loop's clock
      */
     public boolean tryTake(double nowMs) {
         evictBatches(nowMs);
@@ -76,11 +77,11 @@
     }
 
     /**
-     * Adds tokens that a control plane granted; they end a refusal.
+     * Adds tokens that a control plane granted; this ends a refusal.
      *
-     * @param nowMs the time by the loop's clock
-     * @param tokens how many were granted
-     * @param requestedAtMs when they were asked for, by the loop's clock; their lifetime counts from then
+     * @param nowMs the current time on the loop's clock
+     * @param tokens the number of tokens granted
+     * @param requestedAtMs when the tokens were requested, on the loop's clock; their lifetime starts then
      */
     public void add(double nowMs, int tokens, double requestedAtMs) {
         evictBatches(nowMs);
@@ -92,11 +93,11 @@
     }
 
     /**
-     * How many tokens to ask for when none is left: one for the request at hand, and one for each other request of the
-     * tenant that arrived here within the last quarter of a token's lifetime. At a steady load that lasts for about the
-     * next quarter, so a token that is granted is mostly used.
+     * The number of tokens to request when none is left: one for the current request, and one for each other request of
+     * the tenant that arrived here within the last quarter of a token's lifetime. At a steady load these tokens last
+     * for about another quarter of the lifetime, so most granted tokens are used.
      *
-     * @param nowMs the time by the loop's clock
+     * @param nowMs the current time on the loop's clock
      */
     public int tokensToRequest(double nowMs) {
         evictRequests(nowMs);
@@ -104,25 +105,25 @@
     }
 
     /**
-     * A control plane found no token in any bucket.
+     * Records that a control plane found no token in any bucket.
      *
-     * @param nowMs the time by the loop's clock
-     * @param untilNextMs in how many milliseconds there will be one
+     * @param nowMs the current time on the loop's clock
+     * @param untilNextMs the time in milliseconds until a token will be available
      */
     public void recordRefusal(double nowMs, double untilNextMs) {
         refusedUntilMs = nowMs + Math.min(untilNextMs, MAX_REFUSAL_MS);
     }
 
     /**
-     * Whether requests without a token are to be refused here, without asking a control plane.
+     * Whether requests without a token have to be rejected without querying a control plane.
      *
-     * @param nowMs the time by the loop's clock
+     * @param nowMs the current time on the loop's clock
      */
     public boolean isRefused(double nowMs) {
         return nowMs < refusedUntilMs;
     }
 
-    /** When the last refusal ends, by the loop's clock; negative infinity where there was none since the last grant. */
+    /** When the last refusal ends, on the loop's clock; negative infinity if there was none since the last grant. */
     public double refusedUntilMs() {
         return refusedUntilMs;
     }
--- a/routing/src/main/java/dewplank/quota/package-info.java
+++ b/routing/src/main/java/dewplank/quota/package-info.java
@@ -1,12 +1,13 @@
 /**
- * The decisions by which the fleet keeps tenants to their quotas: token buckets on all control planes, each with a
- * share of every limit. Here live one control plane's buckets ({@link dewplank.quota.QuotaBuckets}), the lease of
- * its share ({@link dewplank.quota.HeldShare}), who assigns the shares ({@link dewplank.quota.ShareAssigner}), and what
- * a data plane holds of the tokens ({@link dewplank.quota.TokenStock}). {@code docs/design-quotas.md} has the design,
- * and the argument for the bound.
+ * Enforces the tenants' quotas over the fleet: every control plane has token buckets with a share of each limit. This
+ * package contains the buckets of one control plane ({@link dewplank.quota.QuotaBuckets}), the lease of its share
+ * ({@link dewplank.quota.HeldShare}), the assignment of shares to control planes
+ * ({@link dewplank.quota.ShareAssigner}), and the tokens that a data plane has obtained
+ * ({@link dewplank.quota.TokenStock}). {@code docs/design-quotas.md} describes the design and the argument for the
+ * bound.
  *
- * <p>Everything here is state and arithmetic. A caller on an event loop gives the time with each call, in milliseconds
- * of a steady clock that is read after what it reacts to has arrived. Messages, timers, clocks and the parsing of
- * limits must not live here: the control plane and the data plane have these and call in here.
+ * <p>The package contains only state and arithmetic. Callers run on an event loop and pass the time with each call, in
+ * milliseconds of a monotonic clock that they read after the event that they handle has arrived. Messages, timers,
+ * clocks and the parsing of limits belong to the control plane and the data plane, which call this package.
  */
 package dewplank.quota;
--- a/routing/src/main/java/dewplank/routing/EventSplitter.java
+++ b/routing/src/main/java/dewplank/routing/EventSplitter.java
@@ -5,34 +5,34 @@
 import java.util.Optional;
 
 /**
- * Splits a stream of server-sent events (WHATWG HTML, section 9.2) at their ends, so that a stream which breaks off can
- * be continued behind the last complete event. Bytes pass through unchanged and in order. One for each stream, called
- * on the event loop; no I/O.
+ * Splits a stream of server-sent events (WHATWG HTML, section 9.2) at the ends of events, so that an interrupted stream
+ * can be resumed after the last complete event. Bytes are forwarded unchanged and in order. Each stream has its own
+ * instance, which is called on the event loop. No I/O.
  */
 public final class EventSplitter {
-    /** An incomplete event beyond this is passed on as it is, so that memory stays bounded. */
+    /** An incomplete event that exceeds this size is forwarded as it is, to limit the use of memory. */
     static final int MAX_INCOMPLETE_BYTES = 256 * 1024;
-    /** Of a line, what is looked at for its field name and an id. */
+    /** The part of a line in which the field name and an id are searched for. */
     private static final int MAX_FIELD_CHARS = 64;
 
     private final ByteArrayOutputStream incomplete = new ByteArrayOutputStream();
     /** Null before the first complete event with an id. */
     private String lastEventId;
-    /** Null while the event that has begun has no id. */
+    /** Null while the incomplete event has no id. */
     private String incompleteId;
 
     private boolean incompleteHasData;
-    /** Whether data was passed on behind the last id, which would come twice if the stream were continued there. */
-    private boolean passedBeyondId;
+    /** Whether data was forwarded after the last id; it would be sent twice if the stream were resumed there. */
+    private boolean forwardedAfterLastId;
 
     private final StringBuilder line = new StringBuilder();
     private int lineLength;
     private boolean carriageReturn;
 
     /**
-     * Takes bytes of the stream, cut anywhere.
+     * Processes the next bytes of the stream, which may end anywhere.
      *
-     * @return the events that they complete, together; empty if there are none
+     * @return the events that these bytes complete, concatenated; empty if there are none
      */
     public byte[] feed(byte[] bytes) {
         ByteArrayOutputStream complete = new ByteArrayOutputStream(bytes.length + incomplete.size());
@@ -47,7 +47,7 @@
         }
         incomplete.write(bytes, start, bytes.length - start);
         if (incomplete.size() > MAX_INCOMPLETE_BYTES) {
-            passedBeyondId = true;
+            forwardedAfterLastId = true;
             complete.writeBytes(drainIncompleteEvent());
         }
         return complete.toByteArray();
@@ -73,9 +73,9 @@
     private void endEvent() {
         if (incompleteId != null) {
             lastEventId = incompleteId;
-            passedBeyondId = false;
+            forwardedAfterLastId = false;
         } else {
-            passedBeyondId |= incompleteHasData;
+            forwardedAfterLastId |= incompleteHasData;
         }
         incompleteId = null;
         incompleteHasData = false;
@@ -92,14 +92,14 @@
         carriageReturn = false;
     }
 
-    /** The bytes of an event that is not complete, which are dropped here; for the end of a stream. */
+    /** Removes and returns the bytes of an incomplete event, at the end of a stream. */
     public byte[] drainIncompleteEvent() {
         byte[] bytes = incomplete.toByteArray();
         incomplete.reset();
         return bytes;
     }
 
-    /** Drops an incomplete event: another server continues the stream behind the last complete one. */
+    /** Discards an incomplete event, because another server resumes the stream after the last complete one. */
     public void discardIncompleteEvent() {
         incomplete.reset();
         incompleteId = null;
@@ -109,20 +109,20 @@
         carriageReturn = false;
     }
 
-    /** Whether an event has begun and is not complete. */
+    /** Whether the stream is within an event that is not complete yet. */
     public boolean isMidEvent() {
         return incomplete.size() > 0;
     }
 
     /**
-     * Whether the stream can be continued behind {@link #lastEventId} with nothing sent twice: no event without an id,
-     * and no part of one, has been passed on since.
+     * Whether the stream can be resumed after {@link #lastEventId} without sending anything twice: since that event, no
+     * data of an event without an id and no part of an incomplete event has been forwarded.
      */
     public boolean isResumable() {
-        return !passedBeyondId;
+        return !forwardedAfterLastId;
     }
 
-    /** The id of the last complete event, as the server wrote it; empty before the first. */
+    /** The id of the last complete event that has one, as the server sent it; empty before the first. */
     public Optional<String> lastEventId() {
         return Optional.ofNullable(lastEventId);
     }
--- a/routing/src/main/java/dewplank/routing/FleetSizeEstimator.java
+++ b/routing/src/main/java/dewplank/routing/FleetSizeEstimator.java
@@ -1,31 +1,32 @@
 package dewplank.routing;
 
 /**
- * How many data planes share a retry budget, rather too many than too few: the membership is short while sessions are
- * opened anew after a restart of control planes, and on each side of a partition, but who is missing from it goes on
- * sending. So the largest number of the recent past counts.
+ * Estimates how many data planes share a retry budget. The estimate may be too high but should not be too low: while
+ * sessions are reopened after a restart of control planes, and on each side of a partition, the membership is
+ * incomplete, but the missing data planes continue to send requests. The estimate is therefore the largest recent
+ * number.
  *
- * <p>Owned and called by the forwarder, on the event loop. No I/O; time is given with each call, in milliseconds of the
- * loop's clock.
+ * <p>Owned and called by the forwarder, on the event loop. No I/O; the caller passes the time with each call, in
+ * milliseconds of the loop's clock.
  */
 public final class FleetSizeEstimator {
     private static final RoutingParameters.FleetSizing SIZING = RoutingParameters.DEFAULTS.fleetSize();
 
     private final double settleMs;
-    private final double retainedMs;
+    private final double retentionMs;
     private boolean hasMembership;
     private double firstMembershipAtMs;
-    private int latest;
-    private int largest;
+    private int latestCount;
+    private int largestCount;
     private double largestAtMs;
 
-    /** An estimate for a budget over windows of that length. */
+    /** Creates an estimator for a budget with a window of this length. */
     public FleetSizeEstimator(double windowMs) {
         this.settleMs = SIZING.settleFraction() * windowMs;
-        this.retainedMs = SIZING.retainedWindows() * windowMs;
+        this.retentionMs = SIZING.retainedWindows() * windowMs;
     }
 
-    /** The newest membership has so many data planes; 0 says nothing and changes nothing. */
+    /** Records the number of data planes in the newest membership; 0 means unknown and is ignored. */
     public void recordMembership(double nowMs, int dataPlanes) {
         if (dataPlanes == 0) {
             return;
@@ -35,24 +36,24 @@
             firstMembershipAtMs = nowMs;
         }
         refreshLargest(nowMs);
-        latest = dataPlanes;
+        latestCount = dataPlanes;
         refreshLargest(nowMs);
     }
 
-    /** Whether the number can be relied on; until then none of the slack may be used. */
+    /** Whether the estimate is reliable; none of the slack may be used before that. */
     public boolean isSettled(double nowMs) {
         return hasMembership && nowMs - firstMembershipAtMs >= settleMs;
     }
 
-    /** The largest number of the recent past; 0 before the first membership. */
+    /** The largest recent number of data planes; 0 before the first membership. */
     public int dataPlanes(double nowMs) {
         refreshLargest(nowMs);
-        return largest;
+        return largestCount;
     }
 
     private void refreshLargest(double nowMs) {
-        if (latest >= largest || nowMs - largestAtMs > retainedMs) {
-            largest = latest;
+        if (latestCount >= largestCount || nowMs - largestAtMs > retentionMs) {
+            largestCount = latestCount;
             largestAtMs = nowMs;
         }
     }
--- a/routing/src/main/java/dewplank/routing/HealthSummary.java
+++ b/routing/src/main/java/dewplank/routing/HealthSummary.java
@@ -6,21 +6,21 @@
 import java.util.Optional;
 
 /**
- * What one data plane observed of servers lately, as it is sent to peers in one datagram: suspected servers with their
- * failures, and healthy ones, each with the age of its newest outcome of that kind. A server in neither list has no
- * vote of this data plane. Immutable; encoded and decoded on any thread.
+ * One data plane's recent observations of servers, sent to its peers in one datagram. It lists suspected servers with
+ * their failures, and healthy servers, each with the age of its newest failure or success. A server in neither list
+ * gets no vote from this data plane. Immutable; encoded and decoded on any thread.
  *
- * <p>On the wire, big-endian and of at most {@link #MAX_BYTES} bytes: version (1 byte), incarnation (8), sequence
- * number (4), number of suspected servers (1); for each of these the hash of its id (4), failures (1), age (1); then
- * for healthy ones, as many as fit, hash (4) and age (1). Ages are in tenths of a second, 25.5 s at most.
+ * <p>The encoding is big-endian and has at most {@link #MAX_BYTES} bytes: version (1 byte), incarnation (8), sequence
+ * number (4), number of suspected servers (1); for each suspected server the hash of its id (4), failures (1), age (1);
+ * then for as many healthy servers as fit, hash (4) and age (1). Ages are in tenths of a second, 25.5 s at most.
  *
- * @param incarnation of the sending process; begins with the time of its start, so that later ones are larger
- * @param sequence counts the summaries of an incarnation
- * @param suspected servers whose requests fail
- * @param healthy servers that served, the newest first
+ * @param incarnation of the sending process; derived from its start time, so that later incarnations are larger
+ * @param sequence the number of this summary within the incarnation
+ * @param suspected servers whose requests failed
+ * @param healthy servers that served requests, the most recent first
  */
 public record HealthSummary(long incarnation, int sequence, List<Suspected> suspected, List<Healthy> healthy) {
-    /** The longest encoded summary. */
+    /** The maximum length of an encoded summary. */
     public static final int MAX_BYTES = 256;
 
     private static final byte VERSION = 2;
@@ -31,11 +31,11 @@
     private static final double AGE_UNIT_MS = 100;
 
     /**
-     * A server whose requests fail at the sender.
+     * A server at which requests of the sender failed.
      *
      * @param server the hash of its id
-     * @param failures within the window; 255 means so many or more
-     * @param ageMs since the last failure
+     * @param failures number within the window; 255 means 255 or more
+     * @param ageMs time since the last failure
      */
     public record Suspected(int server, int failures, double ageMs) {}
 
@@ -43,11 +43,11 @@
      * A server that served a request of the sender.
      *
      * @param server the hash of its id
-     * @param ageMs since then
+     * @param ageMs time since the last success
      */
     public record Healthy(int server, double ageMs) {}
 
-    /** The summary as bytes; suspected servers first, as with many of them only they fit. */
+    /** Encodes the summary. Suspected servers come first; if there are many, healthy servers are left out. */
     public byte[] encode() {
         int suspectedCount = Math.min(suspected.size(), (MAX_BYTES - HEADER_BYTES) / SUSPECTED_BYTES);
         int maxHealthy = (MAX_BYTES - HEADER_BYTES - suspectedCount * SUSPECTED_BYTES) / HEALTHY_BYTES;
@@ -70,7 +70,7 @@
         return (byte) Math.max(0, Math.min(BYTE_MASK, Math.round(ageMs / AGE_UNIT_MS)));
     }
 
-    /** The summary that these bytes encode; empty if they are torn, foreign or of another version. */
+    /** Decodes a summary; empty if the bytes are truncated, invalid or of another version. */
     public static Optional<HealthSummary> decode(byte[] bytes) {
         if (bytes.length < HEADER_BYTES || bytes.length > MAX_BYTES) {
             return Optional.empty();
@@ -99,7 +99,7 @@
         return (in.get() & BYTE_MASK) * AGE_UNIT_MS;
     }
 
-    /** Whether it is newer than the other one of the same data plane. */
+    /** Whether this summary is newer than another one of the same data plane. */
     boolean isNewerThan(HealthSummary other) {
         return incarnation > other.incarnation || incarnation == other.incarnation && sequence > other.sequence;
     }
--- a/routing/src/main/java/dewplank/routing/HealthVotes.java
+++ b/routing/src/main/java/dewplank/routing/HealthVotes.java
@@ -5,23 +5,23 @@
 import java.util.Map;
 
 /**
- * The fleet's verdict on a server: a vote over what this data plane and its peers observed of it. Fed by the receiver
- * of health summaries, used by {@link ServerPicker}; both on the event loop. No I/O, and time is given with each call,
- * in milliseconds of the loop's clock.
+ * Decides by a vote of this data plane and its peers whether a server is ejected. The receiver of health summaries
+ * records the votes and {@link ServerPicker} queries the result, both on the event loop. No I/O; the caller passes the
+ * time with each call, in milliseconds of the loop's clock.
  *
- * <p>Outlier ejection as in Envoy and gRPC, with two differences. Only those vote that sent to the server lately: of
- * many data planes few see a failing server, and the silence of the others must not acquit it. And the least number of
- * failures is met by all voters together: of ninety data planes none sees three failures of one server within its
- * window.
+ * <p>This is outlier ejection as in Envoy and gRPC, with two differences. First, only data planes that recently sent
+ * requests to the server vote: in a large fleet few data planes use a failing server, and the others must not count as
+ * votes for it. Second, the minimum number of failures applies to the sum over all voters: with ninety data planes no
+ * single one observes three failures of a server within its window.
  */
 public final class HealthVotes {
     private static final RoutingParameters.Ejection EJECTION = RoutingParameters.DEFAULTS.ejection();
     private static final RoutingParameters.HealthGossip GOSSIP = RoutingParameters.DEFAULTS.healthGossip();
 
-    /** A server's failures at one peer; the time is of this data plane's clock. */
+    /** The failures of a server that one peer reported, with the time on this data plane's clock. */
     private record Suspicion(int failures, double lastFailureAtMs) {}
 
-    /** A peer's newest summary, by hashes of servers' ids, its ages turned into times of this data plane's clock. */
+    /** A peer's newest summary by hash of the server's id, with ages converted to times on this data plane's clock. */
     private record PeerReport(
             double receivedAtMs,
             HealthSummary summary,
@@ -44,21 +44,21 @@
         }
     }
 
-    /** The count of one vote, this data plane's own voice first. */
+    /** Counts the votes on one server, starting with this data plane's own vote. */
     private static final class Tally {
-        private final int minFailuresOfVoter;
+        private final int minFailuresPerVoter;
         private final double servedAtMs;
         private final boolean ownVote;
         private int failures;
-        private int votesAgainst;
+        private int votesForEjection;
         private int voters = 1;
 
-        Tally(int minFailuresOfVoter, double servedAtMs, boolean ownVote, int ownFailures) {
-            this.minFailuresOfVoter = minFailuresOfVoter;
+        Tally(int minFailuresPerVoter, double servedAtMs, boolean ownVote, int ownFailures) {
+            this.minFailuresPerVoter = minFailuresPerVoter;
             this.servedAtMs = servedAtMs;
             this.ownVote = ownVote;
             this.failures = ownVote ? ownFailures : 0;
-            this.votesAgainst = ownVote ? 1 : 0;
+            this.votesForEjection = ownVote ? 1 : 0;
         }
 
         void add(PeerReport report, Integer serverHash) {
@@ -68,15 +68,15 @@
                 return;
             }
             voters++;
-            if (suspicion.failures() >= minFailuresOfVoter
+            if (suspicion.failures() >= minFailuresPerVoter
                     && suspicion.lastFailureAtMs() >= servedAtMs - EJECTION.outdatedAfterMs()) {
                 failures += suspicion.failures();
-                votesAgainst++;
+                votesForEjection++;
             }
         }
 
-        boolean isAgainst() {
-            boolean majority = 2 * votesAgainst > voters || 2 * votesAgainst == voters && ownVote;
+        boolean isForEjection() {
+            boolean majority = 2 * votesForEjection > voters || 2 * votesForEjection == voters && ownVote;
             return failures >= EJECTION.minFailures() && majority;
         }
     }
@@ -84,21 +84,21 @@
     private final Policy policy;
     private final Map<String, PeerReport> reportsByPeer = new HashMap<>();
 
-    /** Votes with all mechanisms enabled. */
+    /** Creates an instance with all mechanisms enabled. */
     public HealthVotes() {
         this(Policy.ALL_ENABLED);
     }
 
-    /** Votes under a policy, which may disable ejection or the pooling of failures. */
+    /** Creates an instance with a policy, which may disable ejection or the pooling of failures. */
     public HealthVotes(Policy policy) {
         this.policy = policy;
     }
 
     /**
-     * Takes a peer's summary in; one that is overdue, a duplicate or older than the last changes nothing, and beyond
-     * the bound on peers nor does a new peer's.
+     * Records a peer's summary. Ignores a summary that is not newer than the last one of the peer, and summaries of new
+     * peers once the maximum number of peers is reached.
      *
-     * @param peer the address that it came from
+     * @param peer the address of the sender
      */
     public void recordSummary(double nowMs, String peer, HealthSummary summary) {
         PeerReport last = reportsByPeer.get(peer);
@@ -109,7 +109,7 @@
         }
     }
 
-    /** Removes summaries that count no more; their peers are then accepted with any incarnation. */
+    /** Removes summaries that are no longer valid; after that any incarnation of their peers is accepted. */
     public void evictStale(double nowMs) {
         for (Iterator<PeerReport> reports = reportsByPeer.values().iterator(); reports.hasNext(); ) {
             if (!reports.next().isValid(nowMs)) {
@@ -119,29 +119,29 @@
     }
 
     /**
-     * Whether a simple majority of the voters finds the server unhealthy, and enough requests failed there. A tie goes
-     * by this data plane's own vote.
+     * Whether a simple majority of the voters finds the server unhealthy and enough of its requests failed. In a tie
+     * this data plane's own vote decides.
      *
      * @param instanceId the server's id
-     * @param own what this data plane observed of it
+     * @param own this data plane's outcomes at the server
      */
     public boolean isEjected(double nowMs, String instanceId, OutcomeWindow own) {
         if (!policy.isEnabled(Mechanism.CONDEMNATION)) {
             return false;
         }
-        int minFailuresOfVoter = policy.isEnabled(Mechanism.POOLED_FAILURES) ? 1 : EJECTION.minFailures();
+        int minFailuresPerVoter = policy.isEnabled(Mechanism.POOLED_FAILURES) ? 1 : EJECTION.minFailures();
         Integer serverHash = instanceId.hashCode();
         double servedAtMs = newestSuccessAtMs(nowMs, serverHash, own);
-        // a failure that is outdated by what the server served since is no vote
-        boolean ownVote = own.isUnhealthy(nowMs, minFailuresOfVoter)
+        // a failure does not count if a sufficiently later success was observed
+        boolean ownVote = own.isUnhealthy(nowMs, minFailuresPerVoter)
                 && own.lastFailureAtMs() >= servedAtMs - EJECTION.outdatedAfterMs();
-        Tally tally = new Tally(minFailuresOfVoter, servedAtMs, ownVote, ownVote ? own.failureCount(nowMs) : 0);
+        Tally tally = new Tally(minFailuresPerVoter, servedAtMs, ownVote, ownVote ? own.failureCount(nowMs) : 0);
         for (PeerReport report : reportsByPeer.values()) {
             if (report.isValid(nowMs)) {
                 tally.add(report, serverHash);
             }
         }
-        return tally.isAgainst();
+        return tally.isForEjection();
     }
 
     private double newestSuccessAtMs(double nowMs, Integer serverHash, OutcomeWindow own) {
--- a/routing/src/main/java/dewplank/routing/Mechanism.java
+++ b/routing/src/main/java/dewplank/routing/Mechanism.java
@@ -5,52 +5,54 @@
 import java.util.stream.Stream;
 
 /**
- * A mechanism that decides where, when or whether a request is sent. Each can be disabled by {@code --without} for a
- * trial, which shows its value; {@code docs/policy.md} has the last measurement of each. {@link Policy} holds the
- * disabled ones. Names of the constants are names of options and so stay as they are.
+ * A mechanism that decides where, when or whether a request is sent. The option {@code --without} disables a mechanism
+ * to measure its value; {@code docs/policy.md} has the last measurement of each. {@link Policy} contains the disabled
+ * mechanisms. The names of the constants are option values, so they must not change.
  */
 public enum Mechanism {
-    /** Unhealthy servers are ejected: they get trial requests only. */
+    /** Unhealthy servers are ejected and get only trial requests. */
     CONDEMNATION,
-    /** The failures that a verdict needs are counted over the fleet; else each data plane counts its own. */
+    /** The failures required for an ejection are counted over the fleet; otherwise each data plane counts its own. */
     POOLED_FAILURES,
-    /** Trials of an ejected server are paced over the fleet; else each data plane sends one a second. */
+    /**
+     * The rate of trials of an ejected server is limited over the fleet; otherwise each data plane sends one a second.
+     */
     FLEET_TRIALS,
-    /** A server that fails is drawn less often. */
+    /** A server with failures has a lower weight in random draws. */
     WEIGHTS,
-    /** Of two drawn servers the one with the lesser load is taken; else the first. */
+    /** Of two drawn servers the one with the lower load is picked; otherwise the first one. */
     TWO_CHOICES,
-    /** Servers of the own zone, or of the zone where the prompt was read, are preferred. */
+    /** Servers in the data plane's zone, or in the zone where the prompt was prefilled, are preferred. */
     ZONE,
-    /** Prompts that begin alike go to one prefill server, which has their KV cache. */
+    /** Prompts with the same prefix go to the same prefill server, which has the prefix in its KV cache. */
     HOMES,
-    /** Where there are many prefill servers some are reserved for short prompts. */
+    /** If there are many prefill servers, some of them are reserved for short prompts. */
     LANES,
-    /** A server whose oldest prefill waits for longer than expected counts as stalled. */
+    /** A server whose oldest prefill has waited longer than expected counts as stalled. */
     STUCK,
-    /** Queue delays that prompts met at a prefill server lately count as its load. */
+    /** Recent queue delays of prompts at a prefill server count as its load. */
     QUEUE_MEMORY,
-    /** Of two decode servers alike the one with an idle connection is preferred. */
+    /** Of two decode servers with equal load the one with an idle connection is preferred. */
     REUSE,
-    /** A server that rejected a request, or let no connection in, gets none during a backoff. */
+    /** A server that rejected a request or a connection gets no requests during a backoff. */
     RESTING,
-    /** An overdue request is hedged: another server gets it. */
+    /** An overdue request is hedged: it is sent to another server. */
     PATIENCE,
-    /** An overdue long prompt that may go to no other prefill server is waited for, not given to a decode server. */
+    /** An overdue long prompt without another prefill server continues to wait and does not go to a decode server. */
     LONG_WAIT,
-    /** Short prompts are prefilled before long ones, urgent routes are decoded before others. */
+    /** Short prompts are prefilled before long ones, and urgent routes are decoded before others. */
     PRIORITY,
     /** Model servers are ordered to change their stage. */
     STAGE_ORDERS,
-    /** Several servers change their stage at once; else one after the other. */
+    /** Several servers change their stage at the same time; otherwise one after the other. */
     SEVERAL_ORDERS;
 
-    /** The name as {@code --without} takes and prints it. */
+    /** The name as the option {@code --without} reads and prints it. */
     public String optionName() {
         return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    /** The mechanism of that name; empty where there is none. */
+    /** The mechanism with this option name; empty if there is none. */
     public static Optional<Mechanism> ofOptionName(String text) {
         return Stream.of(values())
                 .filter(mechanism -> mechanism.optionName().equals(text))
--- a/routing/src/main/java/dewplank/routing/OutcomeWindow.java
+++ b/routing/src/main/java/dewplank/routing/OutcomeWindow.java
@@ -8,10 +8,11 @@
 /**
  * The outcomes of this data plane's requests to one server within a sliding window, by request class. Written by
  * {@link ServerPicker#recordOutcome}, read by {@link HealthVotes} and by the sender of health summaries, all on the
- * event loop. No I/O; time is given with each call, in milliseconds of the loop's clock.
+ * event loop. No I/O; the caller passes the time with each call, in milliseconds of the loop's clock.
  *
- * <p>The tests for an unhealthy server are those of {@link ServerHealth}, which keeps the draw weight too. Only the
- * least number of failures is given by the caller, as {@link HealthVotes} counts those of the whole fleet.
+ * <p>The criteria for an unhealthy server are those of {@link ServerHealth}, which also computes the draw weight. The
+ * only difference is that the caller passes the minimum number of failures, because {@link HealthVotes} counts the
+ * failures of the whole fleet.
  */
 public final class OutcomeWindow {
     private static final RoutingParameters.Ejection EJECTION = RoutingParameters.DEFAULTS.ejection();
@@ -23,10 +24,10 @@
     private double lastFailureAtMs = Double.NEGATIVE_INFINITY;
 
     /**
-     * Takes the outcome of one request.
+     * Records the outcome of one request.
      *
      * @param requestClass the class of the request: the name of its route
-     * @param healthy whether the server did its part
+     * @param healthy whether the server handled the request without a failure of its own
      */
     public void record(double nowMs, String requestClass, boolean healthy) {
         health.observe(nowMs, requestClass, healthy);
@@ -37,8 +38,8 @@
     }
 
     /**
-     * Whether some class with at least so many failures is unhealthy: because its newest outcome is a failure and the
-     * server served no other class since, or because half of its outcomes or more are failures.
+     * Whether a class with at least this number of failures is unhealthy: its newest outcome is a failure and the
+     * server has served no request of any class since, or at least half of its outcomes are failures.
      */
     boolean isUnhealthy(double nowMs, int minFailures) {
         evictExpired(nowMs);
@@ -53,12 +54,12 @@
         return false;
     }
 
-    /** Whether the server is unhealthy by any number of failures, so that a summary names it as suspected. */
+    /** Whether the server is unhealthy with a minimum of one failure, so that a summary lists it as suspected. */
     public boolean isSuspect(double nowMs) {
         return lastFailureAtMs >= nowMs - EJECTION.outcomeWindowMs() && isUnhealthy(nowMs, 1);
     }
 
-    /** Requests of all classes that failed within the window. */
+    /** The number of requests of all classes that failed within the window. */
     public int failureCount(double nowMs) {
         evictExpired(nowMs);
         long count = 0;
--- a/routing/src/main/java/dewplank/routing/Policy.java
+++ b/routing/src/main/java/dewplank/routing/Policy.java
@@ -5,26 +5,27 @@
 import java.util.Set;
 
 /**
- * Which mechanisms decide: all of them, but for trials that measure what one is worth. Given to a program by its
- * command line at its start and not changed; {@link RoutingParameters} says how each decides. Immutable.
+ * The enabled mechanisms: all of them, except in measurements of the value of a mechanism. A program sets the policy
+ * from its command line when it starts and does not change it afterwards. {@link RoutingParameters} configures the
+ * mechanisms. Immutable.
  *
- * @param disabled the mechanisms that do not decide
+ * @param disabled the disabled mechanisms
  */
 public record Policy(Set<Mechanism> disabled) {
-    /** All mechanisms decide, as in service. */
+    /** The policy in production, with all mechanisms enabled. */
     public static final Policy ALL_ENABLED = new Policy(EnumSet.noneOf(Mechanism.class));
 
-    /** Takes a copy of the set. */
+    /** Creates a policy with a copy of the set. */
     public Policy(Set<Mechanism> disabled) {
         this.disabled = Set.copyOf(disabled);
     }
 
-    /** For a trial: all mechanisms but these; one that is named twice is disabled once. */
+    /** Creates a policy for a measurement, with all mechanisms enabled except these; duplicates are allowed. */
     public static Policy without(Collection<Mechanism> disabled) {
         return new Policy(Set.copyOf(disabled));
     }
 
-    /** Whether the mechanism decides. */
+    /** Whether the mechanism is enabled. */
     public boolean isEnabled(Mechanism mechanism) {
         return !disabled.contains(mechanism);
     }
--- a/routing/src/main/java/dewplank/routing/PrefillDecodePicker.java
+++ b/routing/src/main/java/dewplank/routing/PrefillDecodePicker.java
@@ -5,30 +5,31 @@
 import java.util.function.Predicate;
 
 /**
- * Picks the prefill server and the decode server of a generation. Shared parts of its prompt are likely cached where
- * they were read before, so a prompt goes to the owner of its prefix unless another server is likely sooner by more
- * than the cache saves.
+ * Picks the prefill server and the decode server of a generation. Shared parts of the prompt are likely to be cached
+ * where they were prefilled before, so the prompt goes to the owner of its prefix unless another server is expected to
+ * be sooner by more than the cache saves.
  *
- * <p>Called by generations for each attempt, on the event loop. No I/O; time is given with each call, in milliseconds
- * of the loop's clock. Draws are those of the {@link ServerPicker} below.
+ * <p>Called by generations for each attempt, on the event loop. No I/O; the caller passes the time with each call, in
+ * milliseconds of the loop's clock. The {@link ServerPicker} makes all random draws.
  *
- * <p>Ruled out by measurement: prompts read by decode servers, which makes the streams there pause. Always up to 250,
- * 800, 2,500 uncached tokens gave the longer streams 0.88, 0.76, 0.37 of their value, never 0.91; only where prefill
- * servers are crowded gave 0.60 on a busy day instead of 0.99.
+ * <p>Decode servers don't prefill short prompts, because this interrupts their streams. When they always prefilled
+ * prompts of up to 250, 800 or 2,500 uncached tokens, the longer streams reached 0.88, 0.76 or 0.37 of their value,
+ * compared with 0.91 when they never did. When they did so only while prefill servers were overloaded, the value was
+ * 0.60 instead of 0.99 in a run at high load.
  */
 public final class PrefillDecodePicker {
     private static final RoutingParameters.PrefillLoad PREFILL = RoutingParameters.DEFAULTS.prefillLoad();
     private static final RoutingParameters.DecodeLoad DECODE = RoutingParameters.DEFAULTS.decodeLoad();
 
     /**
-     * What one pick of a decode server is made from.
+     * The arguments for picking a decode server.
      *
-     * @param servers all that decode for the service
+     * @param servers all decode servers of the service
      * @param prompt the request's prompt
-     * @param prefillZone the zone in which the prompt was read; empty if the decode server is to prefill it
-     * @param connected whether an idle connection to a server is there, so that none has to be opened
+     * @param prefillZone the zone in which the prompt was prefilled; empty if the decode server has to prefill it
+     * @param connected whether there is an idle connection to a server, so that none has to be opened
      * @param allowed which of the servers the request may go to
-     * @param allowsTrial whether the request may be the trial of an ejected server
+     * @param allowsTrial whether the request may be a trial of an ejected server
      */
     public record DecodeArguments(
             List<TrackedServer> servers,
@@ -41,26 +42,26 @@
     private final ServerPicker picker;
     private final PrefillQueues queues = new PrefillQueues();
 
-    /** A picker of both servers by another one, with whose policy it decides. */
+    /** Creates a picker that uses a {@link ServerPicker} and its policy. */
     public PrefillDecodePicker(ServerPicker picker) {
         this.picker = picker;
     }
 
-    /** A prompt arrived: lengths are learned from it. To be called once for each, before the picks for it. */
+    /** Records the length of a prompt that arrived. Must be called once for each prompt, before the picks for it. */
     public void recordPrompt(PromptPrefix prompt) {
         queues.recordPrompt(prompt.tokens());
     }
 
     /**
-     * The prefill server; empty if none may be sent to.
+     * Picks the prefill server; empty if no server is available.
      *
-     * @param servers all that prefill for the service
+     * @param servers all prefill servers of the service
      * @param allowed which of them the request may go to
      */
     public Optional<TrackedServer> pickPrefillServer(
             double nowMs, List<TrackedServer> servers, PromptPrefix prompt, Predicate<TrackedServer> allowed) {
-        boolean splits = picker.policy().isEnabled(Mechanism.LANES);
-        List<TrackedServer> queue = splits ? queues.serversFor(servers, prompt.tokens()) : servers;
+        boolean splitsByLength = picker.policy().isEnabled(Mechanism.LANES);
+        List<TrackedServer> queue = splitsByLength ? queues.serversFor(servers, prompt.tokens()) : servers;
         return picker.pick(
                 nowMs,
                 new ServerPicker.PickArguments(
@@ -73,8 +74,9 @@
     }
 
     /**
-     * Milliseconds until a prompt that is sent there now is begun: the longer of what this data plane has in flight
-     * there and what others met lately, and a penalty for a stalled server.
+     * The estimated time in milliseconds until the server starts on a prompt that is sent now. It is the longer of two
+     * times, the prefill of this data plane's tokens in flight and the queue delay of recent prompts, plus a penalty if
+     * the server is stalled.
      */
     public double estimatedPrefillWaitMs(double nowMs, TrackedServer server) {
         Policy policy = picker.policy();
@@ -85,17 +87,17 @@
         return waitMs + (stalled ? PREFILL.stalledPenaltyMs() : 0);
     }
 
-    /** Milliseconds that a prefill server takes for a prompt by itself. */
+    /** The time in milliseconds in which a prefill server processes a prompt, without queueing. */
     public static double prefillMs(long tokens) {
         return tokens / PREFILL.tokensPerMs();
     }
 
-    /** Milliseconds that a decode server takes for a prompt, between the tokens of its streams. */
+    /** The time in milliseconds in which a decode server prefills a prompt, interleaved with its streams. */
     public static double prefillAtDecodeServerMs(long tokens) {
         return DECODE.prefillSlowdown() * prefillMs(tokens);
     }
 
-    /** The decode server; empty if none may be sent to. */
+    /** Picks the decode server; empty if no server is available. */
     public Optional<TrackedServer> pickDecodeServer(double nowMs, DecodeArguments arguments) {
         return picker.pick(
                 nowMs,
@@ -105,7 +107,7 @@
                         .orElseGet(() -> byPrefixOwner(nowMs, arguments)));
     }
 
-    /** The KV cache comes from another server: what counts is the way from there. */
+    /** For a KV cache that is transferred from another server: compares load, zone and connection. */
     private ServerPicker.PickArguments byZoneAndConnection(
             double nowMs, DecodeArguments arguments, String prefillZone) {
         return new ServerPicker.PickArguments(
@@ -119,7 +121,7 @@
                 arguments.allowsTrial());
     }
 
-    /** The decode server prefills the prompt itself: what counts is whether it has the prefix cached. */
+    /** For a prompt that the decode server prefills itself: prefers the server that has the prefix cached. */
     private ServerPicker.PickArguments byPrefixOwner(double nowMs, DecodeArguments arguments) {
         return new ServerPicker.PickArguments(
                 arguments.servers(),
@@ -146,7 +148,7 @@
                 + DECODE.requestTokens() * server.inFlight();
     }
 
-    /** The eligible server that owns the prompt's shared prefix; empty where nothing is shared. */
+    /** The eligible server that owns the prompt's shared prefix; empty if the prompt shares none. */
     private Optional<TrackedServer> prefixOwner(double nowMs, List<TrackedServer> servers, PromptPrefix prompt) {
         Optional<String> key = prompt.affinityKey();
         return key.isEmpty() || !picker.policy().isEnabled(Mechanism.HOMES)
--- a/routing/src/main/java/dewplank/routing/PrefillQueues.java
+++ b/routing/src/main/java/dewplank/routing/PrefillQueues.java
@@ -5,25 +5,25 @@
 import java.util.List;
 
 /**
- * Splits prefill servers between short and long prompts where there are many, so that short ones don't wait behind long
- * ones: size interval task assignment (Crovella, Harchol-Balter and Murta, 1998). Owned and called by
- * {@link PrefillDecodePicker}, on the event loop. Pure but for the lengths that it learns.
+ * Splits the prefill servers between short and long prompts if there are enough servers, so that short prompts don't
+ * wait behind long ones: size interval task assignment (Crovella, Harchol-Balter and Murta, 1998). Owned and called by
+ * {@link PrefillDecodePicker}, on the event loop. Its only state is the estimate of prompt lengths.
  */
 public final class PrefillQueues {
     private static final RoutingParameters.PromptSplit SPLIT = RoutingParameters.DEFAULTS.promptSplit();
 
     private final PromptLengthEstimator lengths = new PromptLengthEstimator();
 
-    /** A prompt of so many tokens arrived. */
+    /** Records the arrival of a prompt with this number of tokens. */
     public void recordPrompt(long tokens) {
         lengths.recordPrompt(tokens);
     }
 
     /**
-     * The servers among which a prompt's is picked: all of them while either side would be too small.
+     * The servers from which to pick for a prompt; all servers while either side of the split would be too small.
      *
-     * @param servers all that prefill for the service
-     * @param tokens of the prompt
+     * @param servers all prefill servers of the service
+     * @param tokens the length of the prompt
      */
     public List<TrackedServer> serversFor(List<TrackedServer> servers, long tokens) {
         List<TrackedServer> ready = new ArrayList<>(servers);
@@ -32,7 +32,8 @@
         if (reserved < SPLIT.minServers() || ready.size() - reserved < SPLIT.minServers()) {
             return servers;
         }
-        ready.sort(Comparator.comparingLong(PrefillQueues::rank)); // alike at all data planes, and stable
+        ready.sort(
+                Comparator.comparingLong(PrefillQueues::rank)); // the same order at all data planes, and a stable one
         return lengths.isShort(tokens) ? ready.subList(0, reserved) : ready.subList(reserved, ready.size());
     }
 
--- a/routing/src/main/java/dewplank/routing/PrefixAffinity.java
+++ b/routing/src/main/java/dewplank/routing/PrefixAffinity.java
@@ -4,18 +4,19 @@
 import java.util.Optional;
 
 /**
- * Which server owns the prompts that begin alike, and so has their KV cache: rendezvous hashing (Thaler and
- * Ravishankar, 1998) of the key with each server's id. All data planes agree on it without a message, and a server that
- * comes or goes moves its own keys only. Pure; called by {@link PrefillDecodePicker}.
+ * Determines which server owns the prompts with a common prefix and therefore has the prefix in its KV cache. It uses
+ * rendezvous hashing (Thaler and Ravishankar, 1998) of the key with each server's id. All data planes agree on the
+ * owner without communication, and when a server is added or removed, only its own keys change their owner. Pure
+ * function; called by {@link PrefillDecodePicker}.
  */
 public final class PrefixAffinity {
     private PrefixAffinity() {}
 
     /**
-     * The owner of a key; empty where there are no servers.
+     * Returns the owner of a key; empty if there are no servers.
      *
-     * @param key the last shared part of a prompt
-     * @param servers the eligible servers, in any order; of two with one rank the first owns it
+     * @param key the id of the last shared segment of a prompt
+     * @param servers the eligible servers, in any order; of servers with the same rank the first one is the owner
      */
     public static Optional<TrackedServer> ownerOf(String key, List<TrackedServer> servers) {
         TrackedServer owner = null;
@@ -30,7 +31,7 @@
         return Optional.ofNullable(owner);
     }
 
-    /** Spreads a value over all 64 bits, with the multipliers of SplitMix64 (Steele, Lea and Flood, 2014). */
+    /** Hashes a value to 64 bits with the multipliers of SplitMix64 (Steele, Lea and Flood, 2014). */
     static long mix(long value) {
         long mixed = value * 0xBF58476D1CE4E5B9L;
         mixed = (mixed ^ mixed >>> 29) * 0x94D049BB133111EBL;
--- a/routing/src/main/java/dewplank/routing/PromptLengthEstimator.java
+++ b/routing/src/main/java/dewplank/routing/PromptLengthEstimator.java
@@ -1,8 +1,8 @@
 package dewplank.routing;
 
 /**
- * Learns how long prompts are from those that arrive, by exponential averages: up to which length one is short, and
- * what fraction of all tokens short ones bring. Owned and called by {@link PrefillQueues}, on the event loop.
+ * Estimates, with exponential averages over the prompts that arrive, up to which length a prompt is short and which
+ * fraction of all tokens belongs to short prompts. Owned and called by {@link PrefillQueues}, on the event loop.
  */
 public final class PromptLengthEstimator {
     private static final RoutingParameters.PromptSplit SPLIT = RoutingParameters.DEFAULTS.promptSplit();
@@ -10,10 +10,10 @@
     private double meanTokens;
     private double meanSquaredTokens;
     private double meanShortTokens;
-    private double reportedFraction;
+    private double roundedFraction;
     private int prompts;
 
-    /** A prompt of so many tokens arrived. */
+    /** Records the arrival of a prompt with this number of tokens. */
     public void recordPrompt(long tokens) {
         double weight = Math.max(SPLIT.sampleWeight(), 1.0 / (prompts + 1));
         prompts = Math.min(prompts + 1, Integer.MAX_VALUE - 1);
@@ -22,19 +22,19 @@
         double shortTokens = isShort(tokens) ? tokens : 0;
         meanShortTokens += (shortTokens - meanShortTokens) * weight;
         double fraction = meanTokens == 0 ? 0 : meanShortTokens / meanTokens;
-        // twice as far as rounding moves it, so that it does not go to and fro
-        if (Math.abs(fraction - reportedFraction) > SPLIT.fractionStep()) {
-            reportedFraction = Math.round(fraction / SPLIT.fractionStep()) * SPLIT.fractionStep();
+        // the threshold is twice the largest rounding error, so that the rounded fraction does not oscillate
+        if (Math.abs(fraction - roundedFraction) > SPLIT.fractionStep()) {
+            roundedFraction = Math.round(fraction / SPLIT.fractionStep()) * SPLIT.fractionStep();
         }
     }
 
-    /** Whether a prompt is short: up to half of the length in which the average token arrives. */
+    /** Whether a prompt is short: at most half of the mean prompt length weighted by tokens. */
     public boolean isShort(long tokens) {
         return meanTokens > 0 && tokens <= SPLIT.shortLengthFraction() * meanSquaredTokens / meanTokens;
     }
 
-    /** The fraction of all tokens that short prompts bring, in steps; 0 until enough prompts arrived. */
+    /** The fraction of all tokens that belongs to short prompts, rounded to steps; 0 until enough prompts arrived. */
     public double shortTokenFraction() {
-        return prompts < SPLIT.minPrompts() ? 0 : reportedFraction;
+        return prompts < SPLIT.minPrompts() ? 0 : roundedFraction;
     }
 }
--- a/routing/src/main/java/dewplank/routing/PromptPrefix.java
+++ b/routing/src/main/java/dewplank/routing/PromptPrefix.java
@@ -5,27 +5,28 @@
 import java.util.Optional;
 
 /**
- * The segments of a prompt in order, as the header {@code X-Dewplank-Prompt-Prefix} names them. The last one belongs to
- * the request itself; those before it are shared with other requests. Immutable.
+ * The segments of a prompt in order, as listed in the header {@code X-Dewplank-Prompt-Prefix}. The last segment belongs
+ * to the request alone; the segments before it are shared with other requests. Immutable.
  *
- * @param segments none where the request has no such header
+ * @param segments empty if the request has no such header
  */
 public record PromptPrefix(List<Segment> segments) {
-    /** A longer chain is cut: what follows hardly changes the pick. */
+    /** Further segments are ignored, because they hardly affect the pick. */
     private static final int MAX_SEGMENTS = 64;
 
     /**
      * A segment of a prompt.
      *
-     * @param id the same wherever the text and all before it are the same
-     * @param tokens its length, 0 where it can't be read
+     * @param id equal for segments with the same text and the same preceding segments
+     * @param tokens the length of the segment; 0 if it is not a valid number
      */
     public record Segment(String id, long tokens) {}
 
     /**
-     * Reads a header such as {@code 5c1e07a2:800,91bd3f06:410}; never fails. A segment without a colon ends the chain.
+     * Parses a header such as {@code 5c1e07a2:800,91bd3f06:410} and never fails. Parsing ends at a segment without a
+     * colon.
      *
-     * @param header its value; null where the request has none
+     * @param header the value of the header; null if the request has none
      */
     public static PromptPrefix parse(String header) {
         List<Segment> segments = new ArrayList<>();
@@ -46,12 +47,12 @@
     private static long parseTokens(String text) {
         try {
             return Math.max(0, Long.parseLong(text));
-        } catch (NumberFormatException unreadable) {
+        } catch (NumberFormatException invalid) {
             return 0;
         }
     }
 
-    /** All tokens of the prompt. */
+    /** The number of tokens of the prompt. */
     public long tokens() {
         long tokens = 0;
         for (Segment segment : segments) {
@@ -60,14 +61,14 @@
         return tokens;
     }
 
-    /** Tokens of the segments that are shared with other requests. */
+    /** The number of tokens in the segments that are shared with other requests. */
     public long sharedTokens() {
         return segments.isEmpty()
                 ? 0
                 : tokens() - segments.get(segments.size() - 1).tokens();
     }
 
-    /** The id of the last shared segment, which identifies all before it too; empty where nothing is shared. */
+    /** The id of the last shared segment, which also identifies all segments before it; empty if none is shared. */
     public Optional<String> affinityKey() {
         return segments.size() < 2
                 ? Optional.empty()
--- a/routing/src/main/java/dewplank/routing/RetryBudget.java
+++ b/routing/src/main/java/dewplank/routing/RetryBudget.java
@@ -3,19 +3,19 @@
 import java.util.ArrayDeque;
 
 /**
- * This data plane's part of the fleet's budget of retries to one service, over a sliding window: a ratio of its own
- * requests, and its part of a slack that all data planes share. A retry is every send of a request beyond its first.
- * The idea is that of Finagle's and gRPC's retry throttling: retries are bounded by the load, so that a failing service
- * is not sent a multiple of it.
+ * This data plane's part of the fleet's retry budget for one service, over a sliding window: a ratio of this data
+ * plane's own requests, plus its part of a slack that all data planes share. Every attempt of a request after the first
+ * is a retry. As in the retry throttling of Finagle and gRPC, retries are limited in proportion to the load, so that
+ * a failing service does not receive a multiple of it.
  *
- * <p>Owned and called by the forwarder, on the event loop. No I/O; time is given with each call, in milliseconds of the
- * loop's clock, and does not go back.
+ * <p>Owned and called by the forwarder, on the event loop. No I/O; the caller passes the time with each call, in
+ * milliseconds of the loop's clock. The time must not decrease.
  */
 public final class RetryBudget {
-    /** As the number of data planes while it is not known: none of the slack is used. */
+    /** Number of data planes to pass while the actual number is unknown, so that none of the slack is used. */
     public static final int NO_SLACK = Integer.MAX_VALUE;
 
-    private static final RoutingParameters.RetryBudgetUse USE = RoutingParameters.DEFAULTS.retryBudget();
+    private static final RoutingParameters.RetryBudgetMargins MARGINS = RoutingParameters.DEFAULTS.retryBudget();
 
     private final double ratio;
     private final double windowMs;
@@ -24,11 +24,11 @@
     private final ArrayDeque<Double> retriesAtMs = new ArrayDeque<>();
 
     /**
-     * An unused budget.
+     * Creates an unused budget.
      *
-     * @param ratio retries allowed for each request in the window
-     * @param windowMs the window's length
-     * @param slack retries allowed besides, by all data planes together
+     * @param ratio the number of retries allowed per request in the window
+     * @param windowMs the length of the window
+     * @param slack the number of further retries allowed to all data planes together
      */
     public RetryBudget(double ratio, double windowMs, double slack) {
         this.ratio = ratio;
@@ -36,21 +36,21 @@
         this.slack = slack;
     }
 
-    /** A client's request for the service arrived. */
+    /** Records that a client's request for the service arrived. */
     public void recordRequest(double nowMs) {
         requestsAtMs.addLast(nowMs);
         evictExpired(nowMs);
     }
 
     /**
-     * Takes one retry out of the budget; false, and nothing is taken, where none is left.
+     * Takes one retry from the budget; returns false and takes nothing if none is left.
      *
-     * @param dataPlanes how many share the slack, this one among them
+     * @param dataPlanes the number of data planes that share the slack, including this one
      */
     public boolean tryAcquire(double nowMs, int dataPlanes) {
         evictExpired(nowMs);
-        double allowed = USE.ratioFraction() * ratio * requestsAtMs.size()
-                + USE.slackFraction() * slack / Math.max(1, dataPlanes);
+        double allowed = MARGINS.ratioFraction() * ratio * requestsAtMs.size()
+                + MARGINS.slackFraction() * slack / Math.max(1, dataPlanes);
         if (retriesAtMs.size() + 1 > allowed) {
             return false;
         }
@@ -58,7 +58,7 @@
         return true;
     }
 
-    /** Counts a send that turned out to be a retry after it was made; the budget may be overdrawn by it. */
+    /** Counts an attempt that was identified as a retry only after it was sent; this may exceed the budget. */
     public void recordRetry(double nowMs) {
         retriesAtMs.addLast(nowMs);
     }
@@ -67,7 +67,7 @@
         while (!requestsAtMs.isEmpty() && requestsAtMs.peekFirst() < nowMs - windowMs) {
             requestsAtMs.removeFirst();
         }
-        while (!retriesAtMs.isEmpty() && retriesAtMs.peekFirst() < nowMs - USE.windowFactor() * windowMs) {
+        while (!retriesAtMs.isEmpty() && retriesAtMs.peekFirst() < nowMs - MARGINS.windowFactor() * windowMs) {
             retriesAtMs.removeFirst();
         }
     }
--- a/routing/src/main/java/dewplank/routing/ServerPicker.java
+++ b/routing/src/main/java/dewplank/routing/ServerPicker.java
@@ -10,12 +10,13 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Picks a server for each request: the power of two choices (Mitzenmacher, 2001) over weighted draws, among the ready
- * servers that are not ejected; of the two drawn the one with the lesser load. An ejected server gets a trial request
- * now and then, which ends its ejection if it is served.
+ * Picks a server for each request by the power of two choices (Mitzenmacher, 2001): it makes two weighted random draws
+ * among the ready servers that are not ejected and takes the server with the lower load. An ejected server gets an
+ * occasional trial request, which ends the ejection if it is served.
  *
- * <p>Called by requests for each attempt, and with the outcome of each, on the event loop. No I/O; time is given with
- * each call, in milliseconds of the loop's clock. Draws come from one generator, in the order of the calls.
+ * <p>Requests call it for each attempt and for the outcome of each attempt, on the event loop. No I/O; the caller
+ * passes the time with each call, in milliseconds of the loop's clock. All draws use one random number generator, in
+ * the order of the calls.
  */
 public final class ServerPicker {
     private static final RoutingParameters.Ejection EJECTION = RoutingParameters.DEFAULTS.ejection();
@@ -23,14 +24,14 @@
     private static final double MS_PER_SECOND = 1_000;
 
     /**
-     * What one pick is made from.
+     * The arguments of one pick.
      *
      * @param servers the service's servers, ready or not
-     * @param allowed which of them the request may go to at all
-     * @param load the load that is compared; its unit is the caller's
-     * @param preferred the server that takes the first draw's place where it may be picked; empty for none
-     * @param preferredCredit load that the preferred server is excused
-     * @param allowsTrial whether the request may be the trial of an ejected server: only one that can be retried
+     * @param allowed which of them the request may go to
+     * @param load the load to compare, in a unit chosen by the caller
+     * @param preferred the server that replaces the first draw if it is available; empty for none
+     * @param preferredCredit the amount subtracted from the load of the preferred server
+     * @param allowsTrial whether the request may be a trial of an ejected server; only for requests that can be retried
      */
     public record PickArguments(
             List<TrackedServer> servers,
@@ -39,22 +40,22 @@
             Optional<TrackedServer> preferred,
             double preferredCredit,
             boolean allowsTrial) {
-        /** A pick by this data plane's requests in flight, without a preferred server. */
+        /** Arguments that compare this data plane's requests in flight, without a preferred server. */
         public static PickArguments byInFlight(
                 List<TrackedServer> servers, Predicate<TrackedServer> allowed, boolean allowsTrial) {
             return new PickArguments(servers, allowed, TrackedServer::inFlight, Optional.empty(), 0, allowsTrial);
         }
     }
 
-    /** The ready servers, and those of them that are not ejected, both in the order of the endpoint list. */
+    /** The ready servers, and the ready servers that are not ejected, in the order of the endpoint list. */
     private record Candidates(List<TrackedServer> ready, List<TrackedServer> notEjected) {
-        /** With more than half ejected the fault is likelier elsewhere, and verdicts are not heeded. */
-        boolean heedsVerdicts() {
+        /** Whether ejections apply. If more than half of the servers are ejected, the fault is probably elsewhere. */
+        boolean appliesEjections() {
             return 2 * notEjected.size() >= ready.size();
         }
 
         List<TrackedServer> eligible() {
-            return heedsVerdicts() ? notEjected : ready;
+            return appliesEjections() ? notEjected : ready;
         }
     }
 
@@ -64,19 +65,19 @@
     private final RandomGenerator random;
     private final Policy policy;
 
-    /** A picker of a data plane by itself, with all mechanisms enabled. */
+    /** Creates a picker for a single data plane with all mechanisms enabled. */
     public ServerPicker(String ownZone, HealthVotes votes, RandomGenerator random) {
         this(ownZone, votes, () -> 1, random, Policy.ALL_ENABLED);
     }
 
     /**
-     * A picker.
+     * Creates a picker.
      *
      * @param ownZone the zone of this data plane
-     * @param votes the fleet's verdicts
-     * @param dataPlanes how many data planes send to the same servers, this one among them
-     * @param random the source of all draws
-     * @param policy the mechanisms that decide
+     * @param votes the votes that decide on ejection
+     * @param dataPlanes the number of data planes that send to the same servers, including this one
+     * @param random the generator for all draws
+     * @param policy the enabled mechanisms
      */
     public ServerPicker(
             String ownZone, HealthVotes votes, IntSupplier dataPlanes, RandomGenerator random, Policy policy) {
@@ -87,38 +88,38 @@
         this.random = random;
     }
 
-    /** The mechanisms that decide. */
+    /** The enabled mechanisms. */
     public Policy policy() {
         return policy;
     }
 
-    /** Whether the fleet's vote finds the server unhealthy; the verdict may be older by its validity. */
+    /** Whether the fleet's vote ejects the server; the cached decision is used for as long as it is valid. */
     public boolean isEjected(double nowMs, TrackedServer server) {
-        if (nowMs - server.verdictAtMs() >= EJECTION.verdictValidMs()) {
-            updateVerdict(nowMs, server);
+        if (nowMs - server.ejectionDecidedAtMs() >= EJECTION.decisionValidMs()) {
+            updateEjection(nowMs, server);
         }
         return server.isEjected();
     }
 
     /**
-     * Takes the outcome of one request; the verdict on the server may change by it.
+     * Records the outcome of one request and updates the decision on the server's ejection.
      *
      * @param requestClass the name of the request's route
-     * @param healthy whether the server did its part
+     * @param healthy whether the server handled the request without a failure of its own
      */
     public void recordOutcome(double nowMs, TrackedServer server, String requestClass, boolean healthy) {
         server.outcomes().record(nowMs, requestClass, healthy);
-        updateVerdict(nowMs, server);
+        updateEjection(nowMs, server);
         if (healthy) {
             server.resetBackoff();
         }
     }
 
-    private void updateVerdict(double nowMs, TrackedServer server) {
+    private void updateEjection(double nowMs, TrackedServer server) {
         boolean wasEjected = server.isEjected();
-        server.recordVerdict(nowMs, votes.isEjected(nowMs, server.instanceId(), server.outcomes()));
+        server.recordEjectionDecision(nowMs, votes.isEjected(nowMs, server.instanceId(), server.outcomes()));
         if (server.isEjected() && !wasEjected) {
-            // the first trial comes at a random time, so that data planes take turns
+            // the first trial is due at a random time, so that the trials of the data planes are spread out
             server.recordTrial(nowMs - random.nextDouble() * trialIntervalMs());
         }
     }
@@ -129,10 +130,12 @@
         return Math.max(EJECTION.minTrialIntervalMs(), MS_PER_SECOND * secondsBetween);
     }
 
-    /** The server for a request; empty if none may be sent to. A due trial goes before any draw. */
+    /**
+     * Picks the server for a request; empty if no server is available. A trial that is due takes precedence over draws.
+     */
     public Optional<TrackedServer> pick(double nowMs, PickArguments arguments) {
         Candidates candidates = candidates(nowMs, arguments.servers());
-        if (candidates.heedsVerdicts() && arguments.allowsTrial()) {
+        if (candidates.appliesEjections() && arguments.allowsTrial()) {
             TrackedServer trial = takeDueTrial(nowMs, candidates.ready(), arguments);
             if (trial != null) {
                 return Optional.of(trial);
@@ -141,7 +144,7 @@
         return pickOfTwo(nowMs, candidates.eligible(), arguments);
     }
 
-    /** The servers among which draws are made now. */
+    /** The servers that draws choose from at this time. */
     public List<TrackedServer> eligibleServers(double nowMs, List<TrackedServer> servers) {
         return candidates(nowMs, servers).eligible();
     }
--- a/routing/src/main/java/dewplank/routing/StagePlanner.java
+++ b/routing/src/main/java/dewplank/routing/StagePlanner.java
@@ -8,25 +8,26 @@
 import java.util.Optional;
 
 /**
- * Plans which of a service's model servers change between prefill and decode. Prefill is what long prompts wait for;
- * decode servers run many streams at once, so only as many decode as the streams need. Pure: called by the control
- * plane that has the stage role, with the newest reports, on its event loop.
+ * Plans which model servers of a service change between prefill and decode. Long prompts wait for prefill servers,
+ * whereas one decode server runs many streams at once; so only as many servers decode as the streams need. Pure
+ * function: the control plane that is the lease holder of the stage role calls it on its event loop with the newest
+ * reports.
  */
 public final class StagePlanner {
     private static final RoutingParameters.StagePlanning PLANNING = RoutingParameters.DEFAULTS.stagePlanning();
 
     /**
-     * A model server as it reported itself.
+     * The state of a model server according to its report.
      *
      * @param instanceId its id
      * @param zone the name of its zone
-     * @param isPrefill whether it prefills, or will at the end of a change; else it decodes
-     * @param isChanging whether it is between two stages
-     * @param queuedRequests that wait there
-     * @param activeRequests that run there
-     * @param slotCount requests that can run at once
-     * @param memoryUsed of its KV cache, in the unit of the next
-     * @param memoryCapacity of its KV cache; 0 where it reports none
+     * @param isPrefill whether it prefills, or will prefill after the current change; otherwise it decodes
+     * @param isChanging whether it is changing its stage
+     * @param queuedRequests the number of waiting requests
+     * @param activeRequests the number of running requests
+     * @param slotCount the number of requests that can run at once
+     * @param memoryUsed the used part of its KV cache, in the unit of the capacity
+     * @param memoryCapacity the capacity of its KV cache; 0 if it reports none
      */
     public record ModelServer(
             String instanceId,
@@ -42,7 +43,7 @@
             return queuedRequests + activeRequests;
         }
 
-        /** The same while it changes to that stage. */
+        /** A copy of this server that is changing to the given stage. */
         public ModelServer whileChanging(boolean toPrefill) {
             return new ModelServer(
                     instanceId,
@@ -58,27 +59,27 @@
     }
 
     /**
-     * A change to be ordered.
+     * A stage change to order.
      *
      * @param instanceId the server's id
-     * @param toPrefill whether it is to prefill; else to decode
+     * @param toPrefill whether the server changes to prefill; otherwise to decode
      */
     public record StageChange(String instanceId, boolean toPrefill) {}
 
     private StagePlanner() {}
 
     /**
-     * The changes that may begin now for the ready servers of one service that have reported; none where the
-     * split is as it should be. While no request runs nobody misses a server, so all changes begin at once.
+     * Returns the changes that may start now; none if the split already matches the target. While no request is queued
+     * or running, a server that is changing is not needed, so all changes may start at once.
      *
-     * @param servers those that are changing have the stage that they will have
-     * @return in the order in which they are to be ordered
+     * @param servers the ready servers of one service that have reported; servers that are changing have the new stage
+     * @return the changes, in the order in which to order them
      */
     public static List<StageChange> planChanges(List<ModelServer> servers) {
         List<StageChange> changes = new ArrayList<>();
         List<ModelServer> planned = new ArrayList<>(servers);
         long changing = servers.stream().filter(ModelServer::isChanging).count();
-        for (long freeChanges = maxChanging(servers) - changing; freeChanges > 0; freeChanges--) {
+        for (long remaining = maxChanging(servers) - changing; remaining > 0; remaining--) {
             Optional<StageChange> next = nextChange(planned);
             if (next.isEmpty()) {
                 break;
@@ -105,15 +106,15 @@
         List<ModelServer> prefill =
                 servers.stream().filter(ModelServer::isPrefill).toList();
         int target = targetDecodeCount(servers, decode);
-        boolean lacksDecode = isOverloaded(decode) || decode.size() + PLANNING.toleratedAbsent() < target;
-        if (decode.size() < target && lacksDecode) {
+        boolean needsDecode = isOverloaded(decode) || decode.size() + PLANNING.toleratedAbsent() < target;
+        if (decode.size() < target && needsDecode) {
             return prefill.stream()
                     .filter(server -> !server.isChanging())
                     .min(Comparator.comparingInt(ModelServer::load))
                     .map(server -> new StageChange(server.instanceId(), false));
         }
         if (decode.size() > target) {
-            return leastNeeded(decode).map(server -> new StageChange(server.instanceId(), true));
+            return leastLoadedOfLargestZone(decode).map(server -> new StageChange(server.instanceId(), true));
         }
         return Optional.empty();
     }
@@ -138,7 +139,7 @@
         return load > PLANNING.maxSlotFraction() * slots || memoryFraction(decode) > PLANNING.maxMemoryFraction();
     }
 
-    /** Whether one server fewer would be far from overloaded. */
+    /** Whether the load would be far from the overload limits with one decode server fewer. */
     private static boolean isOverprovisioned(List<ModelServer> decode) {
         double slots = decode.stream().mapToInt(ModelServer::slotCount).sum();
         double load = decode.stream().mapToInt(ModelServer::load).sum();
@@ -154,8 +155,8 @@
                 : decode.stream().mapToLong(ModelServer::memoryUsed).sum() / capacity;
     }
 
-    /** The least loaded decode server of the zone that has most of them; none while all are changing. */
-    private static Optional<ModelServer> leastNeeded(List<ModelServer> decode) {
+    /** The decode server with the lowest load in the zone with most decode servers; empty if all are changing. */
+    private static Optional<ModelServer> leastLoadedOfLargestZone(List<ModelServer> decode) {
         Map<String, Integer> countByZone = new HashMap<>();
         decode.forEach(server -> countByZone.merge(server.zone(), 1, Integer::sum));
         List<ModelServer> sorted = new ArrayList<>(decode);
--- a/routing/src/main/java/dewplank/routing/TrackedServer.java
+++ b/routing/src/main/java/dewplank/routing/TrackedServer.java
@@ -5,34 +5,34 @@
 import java.util.Set;
 
 /**
- * One incarnation of a server as this data plane tracks it: what the endpoint list says, this data plane's own load
- * there, its health and its backoff. Owned by the data plane's view of the fleet, which feeds it endpoint lists; calls
- * report their start, prefill and end; {@link ServerPicker} reads it. All on the event loop. No I/O; time is given with
- * each call, in milliseconds of the loop's clock.
+ * This data plane's state of one incarnation of a server: its entry in the endpoint list, this data plane's load on it,
+ * its health and its backoff. The data plane's view of the fleet owns it and updates it from endpoint lists, requests
+ * report their start, the end of their prefill and their end, and {@link ServerPicker} reads it, all on the event loop.
+ * No I/O; the caller passes the time with each call, in milliseconds of the loop's clock.
  */
 public final class TrackedServer {
     private static final RoutingParameters.QueueDelay QUEUE_DELAY = RoutingParameters.DEFAULTS.queueDelay();
 
-    /** The part of a generation that a server takes. */
+    /** The stage of a generation that a server processes. */
     public enum Stage {
-        /** A server that generates nothing: it takes plain requests. */
+        /** Not a model server: it serves plain requests. */
         PLAIN,
-        /** It prefills prompts. */
+        /** The server prefills prompts. */
         PREFILL,
-        /** It decodes tokens. */
+        /** The server decodes tokens. */
         DECODE,
-        /** Between two stages: it takes nothing new. */
+        /** The server is changing its stage and accepts no new requests. */
         CHANGING
     }
 
-    /** One of this data plane's requests in flight at the server; identity counts. */
+    /** One of this data plane's requests in flight at the server; compared by identity. */
     public static final class InFlightRequest {
         private final double startedAtMs;
-        private long unreadTokens;
+        private long tokensToPrefill;
 
-        private InFlightRequest(double startedAtMs, long unreadTokens) {
+        private InFlightRequest(double startedAtMs, long tokensToPrefill) {
             this.startedAtMs = startedAtMs;
-            this.unreadTokens = unreadTokens;
+            this.tokensToPrefill = tokensToPrefill;
         }
     }
 
@@ -44,7 +44,7 @@
     private boolean ready = true;
 
     private boolean ejected;
-    private double verdictAtMs = Double.NEGATIVE_INFINITY;
+    private double ejectionDecidedAtMs = Double.NEGATIVE_INFINITY;
     private double lastTrialAtMs = Double.NEGATIVE_INFINITY;
 
     private double backoffUntilMs = Double.NEGATIVE_INFINITY;
@@ -58,12 +58,12 @@
     private double queueDelayAtMs = Double.NEGATIVE_INFINITY;
 
     /**
-     * A server that the endpoint list names as ready.
+     * Creates the state of a server that is ready according to the endpoint list.
      *
      * @param instanceId the id of this incarnation
      * @param service the name of its service
      * @param zone the name of its zone
-     * @param stage the stage that the list states
+     * @param stage the stage in the endpoint list
      */
     public TrackedServer(String instanceId, String service, String zone, Stage stage) {
         this.instanceId = instanceId;
@@ -87,43 +87,43 @@
         return zone;
     }
 
-    /** The stage that the newest endpoint list states. */
+    /** The stage in the newest endpoint list. */
     public Stage stage() {
         return stage;
     }
 
-    /** What requests met there lately. */
+    /** The outcomes of recent requests at this server. */
     public OutcomeWindow outcomes() {
         return outcomes;
     }
 
-    /** Whether the newest endpoint list names it as ready; requests go to no other. */
+    /** Whether the server is ready according to the newest endpoint list; only ready servers get requests. */
     public boolean isReady() {
         return ready;
     }
 
-    /** Takes over what a newer endpoint list says of it. */
-    public void updateListing(boolean nowReady, Stage nowStage) {
-        ready = nowReady;
-        stage = nowStage;
+    /** Updates the server from a newer endpoint list. */
+    public void updateListing(boolean newReady, Stage newStage) {
+        ready = newReady;
+        stage = newStage;
     }
 
     // ---- load -----------------------------------------------------------------------------------------
 
-    /** This data plane's requests in flight there. */
+    /** The number of this data plane's requests in flight at the server. */
     public int inFlight() {
         return inFlight.size();
     }
 
-    /** Tokens of the prompts in flight there that have not been read. */
+    /** The number of tokens of prompts in flight that have not been prefilled. */
     public long tokensInFlight() {
         return tokensInFlight;
     }
 
     /**
-     * A request is sent there.
+     * Records that a request is sent to the server.
      *
-     * @param tokens of its prompt that the server has to read
+     * @param tokens the number of tokens of its prompt that the server has to prefill
      */
     public InFlightRequest requestStarted(double nowMs, long tokens) {
         InFlightRequest request = new InFlightRequest(nowMs, tokens);
@@ -132,24 +132,24 @@
         return request;
     }
 
-    /** The prompt of a request in flight has been read. */
+    /** Records that the prompt of a request in flight has been prefilled. */
     public void promptPrefilled(InFlightRequest request) {
-        tokensInFlight -= request.unreadTokens;
-        request.unreadTokens = 0;
+        tokensInFlight -= request.tokensToPrefill;
+        request.tokensToPrefill = 0;
         inFlight.remove(request);
-        inFlight.add(request); // behind those that wait, as what has been read is no sign of a stalled server
+        inFlight.add(request); // after the waiting requests, as a prefilled one does not indicate a stalled server
         prefilled.add(request);
         prefilled.retainAll(inFlight);
     }
 
-    /** A request in flight has ended, however; the second call for one changes nothing. */
+    /** Records that a request in flight has ended in any way; a second call for the same request has no effect. */
     public void requestEnded(InFlightRequest request) {
         if (inFlight.remove(request)) {
-            tokensInFlight -= request.unreadTokens;
+            tokensInFlight -= request.tokensToPrefill;
         }
     }
 
-    /** How long the oldest request whose prompt has not been read is in flight; 0 where there is none. */
+    /** How long the oldest request that has not been prefilled has been in flight; 0 if there is none. */
     public double oldestPrefillWaitMs(double nowMs) {
         for (InFlightRequest request : inFlight) {
             if (!prefilled.contains(request)) {
@@ -160,9 +160,9 @@
     }
 
     /**
-     * A prompt was read there.
+     * Records the queue delay of a prompt that the server has prefilled.
      *
-     * @param delayMs beyond what its tokens need: others were before it; below 0 counts as 0
+     * @param delayMs the time beyond the prefill of its tokens, spent behind other prompts; negative values count as 0
      */
     public void recordQueueDelay(double nowMs, double delayMs) {
         queueDelayMs = estimatedQueueDelayMs(nowMs)
@@ -170,7 +170,7 @@
         queueDelayAtMs = nowMs;
     }
 
-    /** The delay that a prompt is likely to meet there, by what others met lately. */
+    /** The expected queue delay of a prompt at this server, from the delays of recent prompts. */
     public double estimatedQueueDelayMs(double nowMs) {
         return queueDelayMs * Math.exp((queueDelayAtMs - nowMs) / QUEUE_DELAY.decayMs());
     }
@@ -178,18 +178,18 @@
     // ---- backoff --------------------------------------------------------------------------------------
 
     /**
-     * The server rejected a request or let no connection in: it is left alone for a while, twice as long each time in a
-     * row.
+     * Starts a backoff after the server rejected a request or a connection. Each consecutive backoff is twice as long
+     * as the previous one.
      *
-     * @param firstMs the first backoff in a row
-     * @param maxMs the longest
+     * @param firstMs the duration of the first backoff
+     * @param maxMs the maximum duration
      */
     public void backOff(double nowMs, double firstMs, double maxMs) {
         lastBackoffMs = lastBackoffMs == 0 ? firstMs : Math.min(maxMs, 2 * lastBackoffMs);
         backoffUntilMs = nowMs + lastBackoffMs;
     }
 
-    /** The server served a request: the next backoff is a first one again. */
+    /** Resets the backoff after the server served a request: the next one has the initial duration again. */
     public void resetBackoff() {
         lastBackoffMs = 0;
     }
@@ -198,19 +198,19 @@
         return nowMs < backoffUntilMs;
     }
 
-    // ---- verdict --------------------------------------------------------------------------------------
+    // ---- ejection -------------------------------------------------------------------------------------
 
     boolean isEjected() {
         return ejected;
     }
 
-    void recordVerdict(double nowMs, boolean nowEjected) {
-        ejected = nowEjected;
-        verdictAtMs = nowMs;
+    void recordEjectionDecision(double nowMs, boolean newEjected) {
+        ejected = newEjected;
+        ejectionDecidedAtMs = nowMs;
     }
 
-    double verdictAtMs() {
-        return verdictAtMs;
+    double ejectionDecidedAtMs() {
+        return ejectionDecidedAtMs;
     }
 
     double lastTrialAtMs() {
--- a/routing/src/test/java/dewplank/quota/HeldShareTest.java
+++ b/routing/src/test/java/dewplank/quota/HeldShareTest.java
@@ -6,7 +6,7 @@
 
 class HeldShareTest {
     private static final double SENT_AT_MS = 1_000;
-    private static final double ENDS_AT_MS = SENT_AT_MS + ShareLease.USER_MS;
+    private static final double EXPIRES_AT_MS = SENT_AT_MS + ShareLease.USABLE_MS;
 
     private final HeldShare share = new HeldShare();
 
@@ -19,28 +19,28 @@
     }
 
     @Test
-    void holdsNothingBeforeTheFirstGrant() {
+    void hasNoShareBeforeTheFirstGrant() {
         assertEquals(0, share.fraction(0));
         assertEquals(new ShareReport(0, 0, 0), share.report(0));
     }
 
     @Test
-    void theLeaseCountsFromWhenTheHeartbeatWasSent() {
+    void theLeaseStartsWhenTheHeartbeatIsSent() {
         share.onGrant(SENT_AT_MS + 500, SENT_AT_MS, assigned(0.2, 7, 3));
-        assertEquals(ENDS_AT_MS, share.endsAtMs());
-        assertEquals(0.2, share.fraction(ENDS_AT_MS - 1));
-        assertEquals(0, share.fraction(ENDS_AT_MS));
+        assertEquals(EXPIRES_AT_MS, share.endsAtMs());
+        assertEquals(0.2, share.fraction(EXPIRES_AT_MS - 1));
+        assertEquals(0, share.fraction(EXPIRES_AT_MS));
     }
 
     @Test
-    void reportsTheGrantThatWasAppliedLastEvenOnceItEnded() {
+    void reportsTheLastAppliedGrantAfterItsExpiry() {
         share.onGrant(SENT_AT_MS, SENT_AT_MS, assigned(0.2, 7, 3));
         assertEquals(new ShareReport(0.2, 7, 3), share.report(SENT_AT_MS));
-        assertEquals(new ShareReport(0, 7, 3), share.report(ENDS_AT_MS));
+        assertEquals(new ShareReport(0, 7, 3), share.report(EXPIRES_AT_MS));
     }
 
     @Test
-    void grantsThatWereOvertakenAreIgnored() {
+    void outdatedGrantsAreIgnored() {
         share.onGrant(SENT_AT_MS, SENT_AT_MS, assigned(0.2, 7, 3));
         share.onGrant(SENT_AT_MS, SENT_AT_MS, assigned(0.5, 7, 2));
         share.onGrant(SENT_AT_MS, SENT_AT_MS, assigned(0.5, 7, 3));
@@ -49,33 +49,33 @@
     }
 
     @Test
-    void aSuccessorsGrantsGoBeforeThoseOfItsPredecessor() {
+    void grantsOfASuccessorReplaceThoseOfItsPredecessor() {
         share.onGrant(SENT_AT_MS, SENT_AT_MS, assigned(0.2, 7, 3));
         share.onGrant(SENT_AT_MS, SENT_AT_MS, assigned(0.5, 8, 1));
         assertEquals(new ShareReport(0.5, 8, 1), share.report(SENT_AT_MS));
     }
 
     @Test
-    void aLaterGrantMayEndTheShareEarlier() {
+    void aLaterGrantMayShortenTheLease() {
         share.onGrant(SENT_AT_MS, SENT_AT_MS, assigned(0.2, 7, 3));
         share.onGrant(SENT_AT_MS, SENT_AT_MS - 300, assigned(0.2, 7, 4));
-        assertEquals(ENDS_AT_MS - 300, share.endsAtMs());
+        assertEquals(EXPIRES_AT_MS - 300, share.endsAtMs());
     }
 
     @Test
-    void aRenewalLengthensWhatIsHeld() {
+    void aRenewalExtendsTheLease() {
         share.onGrant(SENT_AT_MS, SENT_AT_MS, assigned(0.2, 7, 3));
-        share.onGrant(ENDS_AT_MS - 1, ENDS_AT_MS - 300, renewed(0.2, 8, 1));
-        assertEquals(0.2, share.fraction(ENDS_AT_MS));
+        share.onGrant(EXPIRES_AT_MS - 1, EXPIRES_AT_MS - 300, renewed(0.2, 8, 1));
+        assertEquals(0.2, share.fraction(EXPIRES_AT_MS));
     }
 
     @Test
-    void aRenewalNeitherRaisesNorRevivesAShare() {
+    void aRenewalNeitherRaisesNorRestoresAShare() {
         share.onGrant(SENT_AT_MS, SENT_AT_MS, assigned(0.2, 7, 3));
         share.onGrant(SENT_AT_MS, SENT_AT_MS, renewed(0.5, 8, 1));
         assertEquals(0.2, share.fraction(SENT_AT_MS));
-        share.onGrant(ENDS_AT_MS, ENDS_AT_MS - 1, renewed(0.2, 8, 2));
-        assertEquals(0, share.fraction(ENDS_AT_MS));
+        share.onGrant(EXPIRES_AT_MS, EXPIRES_AT_MS - 1, renewed(0.2, 8, 2));
+        assertEquals(0, share.fraction(EXPIRES_AT_MS));
     }
 
     @Test
--- a/routing/src/test/java/dewplank/quota/QuotaBucketsTest.java
+++ b/routing/src/test/java/dewplank/quota/QuotaBucketsTest.java
@@ -18,12 +18,12 @@
     }
 
     @Test
-    void aShareIsOfTheRateAndOfTheCapacity() {
+    void aShareAppliesToRateAndCapacity() {
         buckets.updateLimits(0, List.of(LIMIT));
         buckets.updateShare(0, 0.25, LONG_MS);
         assertEquals(new TakeResult.Exhausted(40), buckets.take(0, "crew", 1));
         assertEquals(new TakeResult.Granted(2), buckets.take(100, "crew", 5));
-        assertEquals(10, granted(10_000, 100), "a quarter of the burst and of half the slack");
+        assertEquals(10, granted(10_000, 100), "a quarter of the burst and a quarter of half the slack");
     }
 
     @Test
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void tokensEndWithTheShareEvenIfNobodyAskedMeanwhile() {
+    void tokensExpireWithTheShareEvenWithoutARequestInBetween() {
         buckets.updateLimits(0, List.of(LIMIT));
         buckets.updateShare(0, 1, 4_000);
         buckets.updateShare(9_000, 1, 13_000);
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void aSmallerShareLosesWhatIsAboveItsCapacity() {
+    void aSmallerShareLosesTokensAboveItsCapacity() {
         buckets.updateLimits(0, List.of(LIMIT));
         buckets.updateShare(0, 1, LONG_MS);
         buckets.updateShare(10_000, 0.5, LONG_MS);
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void unlimitedAndUnknownTenantsAreToldApart() {
+    void unlimitedAndUnknownTenantsGetDifferentResults() {
         buckets.updateLimits(0, List.of(LIMIT, new TenantLimit("kitchen", 0, 5)));
         assertInstanceOf(TakeResult.Unlimited.class, buckets.take(0, "kitchen", 1));
         assertInstanceOf(TakeResult.UnknownTenant.class, buckets.take(0, "pilot", 1));
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void aTenantThatComesBackBeginsEmpty() {
+    void aTenantThatIsAddedAgainStartsEmpty() {
         buckets.updateLimits(0, List.of(LIMIT));
         buckets.updateShare(0, 1, LONG_MS);
         buckets.updateLimits(10_000, List.of());
@@ -88,7 +88,7 @@
     }
 
     @Test
-    void aTenantThatBecomesLimitedBeginsEmpty() {
+    void aTenantThatBecomesLimitedStartsEmpty() {
         buckets.updateLimits(0, List.of(new TenantLimit("crew", 0, 30)));
         buckets.updateShare(0, 1, LONG_MS);
         buckets.updateLimits(10_000, List.of(LIMIT));
@@ -96,7 +96,7 @@
     }
 
     @Test
-    void aLimitThatDidNotChangeKeepsItsTokens() {
+    void anUnchangedLimitKeepsItsTokens() {
         buckets.updateLimits(0, List.of(LIMIT));
         buckets.updateShare(0, 1, LONG_MS);
         buckets.updateLimits(10_000, List.of(LIMIT, new TenantLimit("pilot", 1, 1)));
--- a/routing/src/test/java/dewplank/quota/QuotaPropertyTest.java
+++ b/routing/src/test/java/dewplank/quota/QuotaPropertyTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dewplank.quota.QuotaSimulation.Admitted;
-import dewplank.quota.QuotaSimulation.LimitInForce;
+import dewplank.quota.QuotaSimulation.AppliedLimit;
+import dewplank.quota.QuotaSimulation.CountAt;
 import dewplank.quota.QuotaSimulation.SimulatedControlPlane;
 import java.util.ArrayList;
 import java.util.List;
@@ -15,41 +15,41 @@
 import net.jqwik.api.ShrinkingMode;
 import net.jqwik.api.lifecycle.AfterContainer;
 
-/** The bounds of shares and tokens, and what tenants get when all is well, over random histories. */
+/** Checks the bounds on shares and tokens, and the tokens granted without faults, over random sequences of events. */
 class QuotaPropertyTest {
     private static final double DRIFT = ShareLease.MAX_CLOCK_DRIFT;
     private static final double FAULTS_MS = 40_000;
     private static final double STEADY_MS = 10_000;
-    /** Two leases by the slowest clock, and heartbeats for what was freed last. */
-    private static final double SETTLE_MS = 2 * ShareLease.ASSIGNER_MS / (1 - DRIFT) + 5 * QuotaSimulation.HEARTBEAT_MS;
+    /** Two leases on the slowest clock, and five heartbeats to assign the shares that became available last. */
+    private static final double SETTLE_MS = 2 * ShareLease.IN_FORCE_MS / (1 - DRIFT) + 5 * QuotaSimulation.HEARTBEAT_MS;
 
     private static final double ROUNDING = 1e-9;
 
     private static double largestSumOfShares;
     private static double largestGrantedFraction;
-    private static double largestUsedFraction;
+    private static double largestAdmittedFraction;
 
     @AfterContainer
-    static void printTheMostThatWasReached() {
+    static void printLargestValues() {
         System.out.printf(
                 "MEASURED quotas: shares in force %.6f of the whole at most, tokens granted %.3f and requests admitted"
                         + " %.3f of their bound at most%n",
-                largestSumOfShares, largestGrantedFraction, largestUsedFraction);
+                largestSumOfShares, largestGrantedFraction, largestAdmittedFraction);
     }
 
-    // ---- histories ------------------------------------------------------------------------------------
+    // ---- random sequences of events -------------------------------------------------------------------
 
     private static <T> T pick(Random random, List<T> values) {
         return values.get(random.nextInt(values.size()));
     }
 
-    private static QuotaTerms drawTerms(Random random) {
+    private static QuotaTerms randomTerms(Random random) {
         double overshoot = pick(random, List.of(0.0, 0.05, 0.1, 0.1, 0.3));
         double slack = pick(random, List.of(0.0, 8.0, 20.0));
         return new QuotaTerms(2_000 + random.nextInt(8_000), overshoot, slack);
     }
 
-    private static List<TenantLimit> drawLimits(Random random) {
+    private static List<TenantLimit> randomLimits(Random random) {
         List<TenantLimit> limits = new ArrayList<>();
         for (String tenant : QuotaSimulation.TENANTS) {
             double ratePerSecond = Math.pow(10, random.nextDouble() * 3);
@@ -66,65 +66,65 @@
         SimulatedControlPlane other = pick(random, simulation.controlPlanes());
         switch (random.nextInt(12)) {
             case 0, 1 -> {
-                victim.kill();
+                victim.crash();
                 simulation.after(random.nextDouble() * 6_000, victim::start);
             }
-            case 2, 3 -> victim.freeze(random.nextDouble() * 6_000);
-            case 4, 5, 6 -> simulation.loseRole(random.nextBoolean() ? 50 : random.nextDouble() * 2_000);
+            case 2, 3 -> victim.pause(random.nextDouble() * 6_000);
+            case 4, 5, 6 -> simulation.endRoleLease(random.nextBoolean() ? 50 : random.nextDouble() * 2_000);
             case 7 -> simulation.injectMessageFaults(random.nextDouble() * 0.4, random.nextDouble() * 0.3);
             case 8, 9 -> {
-                victim.cut(other);
-                other.cut(victim);
+                victim.blockMessagesTo(other);
+                other.blockMessagesTo(victim);
             }
-            case 10 -> simulation.changeLimits(drawLimits(random));
-            default -> simulation.healAll();
+            case 10 -> simulation.changeLimits(randomLimits(random));
+            default -> simulation.clearFaults();
         }
     }
 
     private static void runFaults(QuotaSimulation simulation, Random random) {
-        simulation.changeLimits(drawLimits(random));
-        simulation.loseRole(0);
+        simulation.changeLimits(randomLimits(random));
+        simulation.endRoleLease(0);
         simulation.runUntil(random.nextDouble() * SETTLE_MS);
         while (simulation.nowMs() < FAULTS_MS) {
             simulation.runUntil(simulation.nowMs() + random.nextDouble() * 1_500);
             injectFault(simulation, random);
             if (simulation.isRoleVacant()) {
-                simulation.loseRole(random.nextDouble() * 2_000);
+                simulation.endRoleLease(random.nextDouble() * 2_000);
             }
         }
     }
 
-    /** Nearly all that there is, with pauses in which buckets fill. */
-    private static void takeGreedily(QuotaSimulation simulation, Random random) {
-        for (SimulatedControlPlane asked : simulation.controlPlanes()) {
+    /** Takes nearly all tokens that are available, with pauses in which the buckets fill. */
+    private static void takeRepeatedly(QuotaSimulation simulation, Random random) {
+        for (SimulatedControlPlane controlPlane : simulation.controlPlanes()) {
             for (String tenant : QuotaSimulation.TENANTS) {
-                asked.take(tenant, 1 + random.nextInt(60));
+                controlPlane.take(tenant, 1 + random.nextInt(60));
             }
         }
         double pauseMs = random.nextInt(200) == 0 ? 2_000 : 40;
-        simulation.after(random.nextDouble() * pauseMs, () -> takeGreedily(simulation, random));
+        simulation.after(random.nextDouble() * pauseMs, () -> takeRepeatedly(simulation, random));
     }
 
-    // ---- the bound of requests ------------------------------------------------------------------------
+    // ---- the bound on requests ------------------------------------------------------------------------
 
     /**
      * The largest fraction of its bound that a tenant's requests reached in any span.
      *
-     * @param lifetimeMs how long before they are counted their tokens may have been granted
+     * @param lifetimeMs the longest time between the grant of a token and the moment at which its use is counted
      */
     private static double largestFraction(
-            List<Admitted> admitted, double spanMs, double lifetimeMs, QuotaTerms terms, List<LimitInForce> limits) {
+            List<CountAt> admitted, double spanMs, double lifetimeMs, QuotaTerms terms, List<AppliedLimit> limits) {
         double largest = 0;
         for (String tenant : QuotaSimulation.TENANTS) {
-            List<Admitted> ofTenant = admitted.stream()
+            List<CountAt> ofTenant = admitted.stream()
                     .filter(each -> each.tenant().equals(tenant))
                     .toList();
-            List<LimitInForce> limitsOfTenant = limits.stream()
+            List<AppliedLimit> limitsOfTenant = limits.stream()
                     .filter(each -> each.limit().tenant().equals(tenant))
                     .toList();
             int sum = 0;
             int last = 0;
-            for (Admitted first : ofTenant) {
+            for (CountAt first : ofTenant) {
                 double endMs = first.atMs() + spanMs;
                 for (; last < ofTenant.size() && ofTenant.get(last).atMs() <= endMs; last++) {
                     sum += ofTenant.get(last).count();
@@ -136,11 +136,11 @@
         return largest;
     }
 
-    /** By the largest limit that any control plane acted on within the span. */
-    private static double bound(double startMs, double endMs, QuotaTerms terms, List<LimitInForce> limits) {
+    /** The bound that follows from the largest limit that any control plane applied within the span. */
+    private static double bound(double startMs, double endMs, QuotaTerms terms, List<AppliedLimit> limits) {
         double rate = 0;
         double burst = 0;
-        for (LimitInForce each : limits) {
+        for (AppliedLimit each : limits) {
             if (each.fromMs() <= endMs
                     && each.untilMs() >= startMs
                     && each.limit().isLimited()) {
@@ -151,61 +151,61 @@
         return (rate * terms.windowMs() / 1_000 + burst) * (1 + terms.overshoot()) + terms.slack();
     }
 
-    /** In true time, by the slowest clock of a data plane. */
+    /** The lifetime of a token in real time, on the slowest clock that a data plane may have. */
     private static double longestLifetimeMs(QuotaTerms terms) {
         return terms.tokenLifetimeMs() / (1 - DRIFT);
     }
 
     @Property(tries = 400, shrinking = ShrinkingMode.OFF)
-    void sharesAndTokensKeepToTheirBounds(@ForAll long seed) {
+    void sharesAndTokensStayWithinTheirBounds(@ForAll long seed) {
         Random random = new Random(seed);
-        QuotaTerms terms = drawTerms(random);
+        QuotaTerms terms = randomTerms(random);
         QuotaSimulation simulation = new QuotaSimulation(random, terms, 2 + random.nextInt(5));
-        takeGreedily(simulation, random);
+        takeRepeatedly(simulation, random);
         runFaults(simulation, random);
         double spanMs = terms.windowMs() + longestLifetimeMs(terms);
-        double fraction = largestFraction(simulation.granted(), spanMs, 0, terms, simulation.limitsInForce());
+        double fraction = largestFraction(simulation.granted(), spanMs, 0, terms, simulation.appliedLimits());
         largestSumOfShares = Math.max(largestSumOfShares, simulation.largestSumOfShares());
         largestGrantedFraction = Math.max(largestGrantedFraction, fraction);
         assertTrue(fraction <= 1, "granted " + fraction + " of the bound");
     }
 
     @Property(tries = 200, shrinking = ShrinkingMode.OFF)
-    void requestsAdmittedByDataPlanesKeepToTheQuota(@ForAll long seed) {
+    void requestsAdmittedByDataPlanesStayWithinTheQuota(@ForAll long seed) {
         Random random = new Random(seed);
-        QuotaTerms terms = drawTerms(random);
+        QuotaTerms terms = randomTerms(random);
         QuotaSimulation simulation = new QuotaSimulation(random, terms, 2 + random.nextInt(5));
         for (int dataPlane = 0; dataPlane < 12; dataPlane++) {
             simulation.new SimulatedDataPlane(pick(random, QuotaSimulation.TENANTS), 5 + random.nextInt(100));
         }
         runFaults(simulation, random);
         double fraction = largestFraction(
-                simulation.used(), terms.windowMs(), longestLifetimeMs(terms), terms, simulation.limitsInForce());
-        largestUsedFraction = Math.max(largestUsedFraction, fraction);
+                simulation.admitted(), terms.windowMs(), longestLifetimeMs(terms), terms, simulation.appliedLimits());
+        largestAdmittedFraction = Math.max(largestAdmittedFraction, fraction);
         assertTrue(fraction <= 1, "admitted " + fraction + " of the bound");
     }
 
-    // ---- when all is well -----------------------------------------------------------------------------
+    // ---- without faults -------------------------------------------------------------------------------
 
     @Property(tries = 200, shrinking = ShrinkingMode.OFF)
-    void liveControlPlanesHoldEqualSharesAndATenantWithinItsLimitIsNotRefused(@ForAll long seed) {
+    void liveControlPlanesHaveEqualSharesAndATenantWithinItsLimitIsNotRejected(@ForAll long seed) {
         Random random = new Random(seed);
         QuotaTerms terms = new QuotaTerms(5_000, 0.1, 20);
         int controlPlanes = 2 + random.nextInt(5);
         QuotaSimulation simulation = new QuotaSimulation(random, terms, controlPlanes);
         runFaults(simulation, random);
-        // what the faults still scheduled happens first
+        // events that the faults have scheduled run first
         simulation.runUntil(simulation.nowMs() + 6_000);
-        simulation.healAll();
+        simulation.clearFaults();
         TenantLimit limit = new TenantLimit("crew", 2 + random.nextInt(200), 2);
         simulation.changeLimits(List.of(limit));
         if (random.nextBoolean() || simulation.isRoleVacant()) {
-            simulation.loseRole(0);
+            simulation.endRoleLease(0);
         }
         simulation.injectMessageFaults(0.05, 0);
         simulation.runUntil(simulation.nowMs() + SETTLE_MS);
         for (SimulatedControlPlane controlPlane : simulation.controlPlanes()) {
-            askEvenly(simulation, controlPlane, limit.ratePerSecond());
+            requestAtEqualIntervals(simulation, controlPlane, limit.ratePerSecond());
         }
         double endMs = simulation.nowMs() + STEADY_MS;
         while (simulation.nowMs() < endMs) {
@@ -216,14 +216,16 @@
         }
     }
 
-    /** Asks for the control plane's part of what the slowest clock makes of the tenant's rate. */
-    private static void askEvenly(QuotaSimulation simulation, SimulatedControlPlane asked, double ratePerSecond) {
+    /** Requests tokens at the control plane's part of the tenant's rate, as the slowest clock measures it. */
+    private static void requestAtEqualIntervals(
+            QuotaSimulation simulation, SimulatedControlPlane controlPlane, double ratePerSecond) {
         double intervalMs = simulation.controlPlanes().size() * 1_000 / (ratePerSecond * (1 - DRIFT)) + ROUNDING;
-        simulation.after(intervalMs, () -> askAndRepeat(simulation, asked, intervalMs));
+        simulation.after(intervalMs, () -> requestAndReschedule(simulation, controlPlane, intervalMs));
     }
 
-    private static void askAndRepeat(QuotaSimulation simulation, SimulatedControlPlane asked, double intervalMs) {
-        assertInstanceOf(TakeResult.Granted.class, asked.take("crew", 1));
-        simulation.after(intervalMs, () -> askAndRepeat(simulation, asked, intervalMs));
+    private static void requestAndReschedule(
+            QuotaSimulation simulation, SimulatedControlPlane controlPlane, double intervalMs) {
+        assertInstanceOf(TakeResult.Granted.class, controlPlane.take("crew", 1));
+        simulation.after(intervalMs, () -> requestAndReschedule(simulation, controlPlane, intervalMs));
     }
 }
--- a/routing/src/test/java/dewplank/quota/QuotaSimulation.java
+++ b/routing/src/test/java/dewplank/quota/QuotaSimulation.java
@@ -8,24 +8,25 @@
 import java.util.Random;
 
 /**
- * Control planes and data planes under a quota in virtual time, with drifting clocks and faults: the truth about which
- * shares are in force at a moment, and about every token that was granted and used. The lease of the assigner's role is
- * taken as kept: at most one control plane holds it at a time, under a higher fencing token each time.
+ * Simulates control planes and data planes that enforce a quota, in virtual time, with drifting clocks and faults. It
+ * records which shares are in force at each moment, every granted token and every admitted request. The lease of the
+ * assigner's role is assumed to be exclusive: at most one control plane has it at a time, with a higher fencing token
+ * each time.
  */
 final class QuotaSimulation {
     static final double HEARTBEAT_MS = 300;
     static final List<String> TENANTS = List.of("crew", "kitchen", "pilot");
     private static final double ROUNDING = 1e-9;
 
-    /** Tokens that were granted, or requests that were admitted, at one moment of true time. */
-    record Admitted(double atMs, String tenant, int count) {}
+    /** The number of tokens that were granted, or of requests that were admitted, at one moment of real time. */
+    record CountAt(double atMs, String tenant, int count) {}
 
-    /** A limit that a control plane acted on, in true time. */
-    record LimitInForce(double fromMs, double untilMs, TenantLimit limit) {}
+    /** A limit that a control plane applied during an interval of real time. */
+    record AppliedLimit(double fromMs, double untilMs, TenantLimit limit) {}
 
-    private record Event(double atMs, long order, Runnable action) implements Comparable<Event> {
+    private record ScheduledEvent(double atMs, long order, Runnable action) implements Comparable<ScheduledEvent> {
         @Override
-        public int compareTo(Event other) {
+        public int compareTo(ScheduledEvent other) {
             int byTime = Double.compare(atMs, other.atMs);
             return byTime != 0 ? byTime : Long.compare(order, other.order);
         }
@@ -33,11 +34,11 @@
 
     private final Random random;
     private final QuotaTerms terms;
-    private final PriorityQueue<Event> events = new PriorityQueue<>();
+    private final PriorityQueue<ScheduledEvent> events = new PriorityQueue<>();
     private final List<SimulatedControlPlane> controlPlanes = new ArrayList<>();
-    private final List<Admitted> granted = new ArrayList<>();
-    private final List<Admitted> used = new ArrayList<>();
-    private final List<LimitInForce> pastLimits = new ArrayList<>();
+    private final List<CountAt> granted = new ArrayList<>();
+    private final List<CountAt> admitted = new ArrayList<>();
+    private final List<AppliedLimit> pastLimits = new ArrayList<>();
     private List<TenantLimit> newestLimits = List.of();
     private double nowMs;
     private long eventsAdded;
@@ -64,7 +65,7 @@
 
     void runUntil(double untilMs) {
         while (!events.isEmpty() && events.peek().atMs() <= untilMs) {
-            Event event = events.poll();
+            ScheduledEvent event = events.poll();
             nowMs = event.atMs();
             event.action().run();
         }
@@ -72,7 +73,7 @@
     }
 
     void after(double delayMs, Runnable action) {
-        events.add(new Event(nowMs + delayMs, eventsAdded++, action));
+        events.add(new ScheduledEvent(nowMs + delayMs, eventsAdded++, action));
     }
 
     // ---- faults ---------------------------------------------------------------------------------------
@@ -86,11 +87,11 @@
         delayRate = newDelayRate;
     }
 
-    void healAll() {
+    void clearFaults() {
         injectMessageFaults(0, 0);
         for (SimulatedControlPlane controlPlane : controlPlanes) {
-            controlPlane.unreachable.clear();
-            controlPlane.frozenUntilMs = nowMs;
+            controlPlane.unreachablePeers.clear();
+            controlPlane.pausedUntilMs = nowMs;
             controlPlane.start();
         }
     }
@@ -98,30 +99,32 @@
     void changeLimits(List<TenantLimit> limits) {
         newestLimits = limits;
         for (SimulatedControlPlane controlPlane : controlPlanes) {
-            after(random.nextDouble() * 1_000, () -> controlPlane.handle(() -> controlPlane.takeLimits(limits)));
+            after(
+                    random.nextDouble() * 1_000,
+                    () -> controlPlane.runWhenResumed(() -> controlPlane.applyLimits(limits)));
         }
     }
 
-    /** The role's lease ends; another one is won after a vacancy, by whichever control plane is then up. */
-    void loseRole(double vacancyMs) {
+    /** Ends the lease of the role. After a vacancy a random control plane acquires it if it is running. */
+    void endRoleLease(double vacancyMs) {
         if (roleHolder != null) {
-            SimulatedControlPlane loser = roleHolder;
+            SimulatedControlPlane previousHolder = roleHolder;
             roleHolder = null;
-            loser.handle(() -> {
-                if (roleHolder != loser) {
-                    loser.assigner.end();
+            previousHolder.runWhenResumed(() -> {
+                if (roleHolder != previousHolder) {
+                    previousHolder.assigner.end();
                 }
             });
         }
-        after(vacancyMs, this::winRole);
+        after(vacancyMs, this::acquireRole);
     }
 
-    private void winRole() {
-        SimulatedControlPlane winner = controlPlanes.get(random.nextInt(controlPlanes.size()));
-        if (roleHolder == null && winner.isRunning()) {
-            roleHolder = winner;
+    private void acquireRole() {
+        SimulatedControlPlane newHolder = controlPlanes.get(random.nextInt(controlPlanes.size()));
+        if (roleHolder == null && newHolder.isRunning()) {
+            roleHolder = newHolder;
             fencingToken++;
-            winner.assigner.begin(winner.clockMs(), fencingToken);
+            newHolder.assigner.begin(newHolder.clockMs(), fencingToken);
         }
     }
 
@@ -129,36 +132,36 @@
         return roleHolder == null;
     }
 
-    // ---- the truth ------------------------------------------------------------------------------------
+    // ---- results --------------------------------------------------------------------------------------
 
     double largestSumOfShares() {
         return largestSumOfShares;
     }
 
-    List<Admitted> granted() {
+    List<CountAt> granted() {
         return granted;
     }
 
-    List<Admitted> used() {
-        return used;
+    List<CountAt> admitted() {
+        return admitted;
     }
 
-    /** All limits that any control plane has acted on up to now. */
-    List<LimitInForce> limitsInForce() {
-        List<LimitInForce> all = new ArrayList<>(pastLimits);
+    /** All limits that any control plane has applied up to now. */
+    List<AppliedLimit> appliedLimits() {
+        List<AppliedLimit> all = new ArrayList<>(pastLimits);
         for (SimulatedControlPlane controlPlane : controlPlanes) {
             for (TenantLimit limit : controlPlane.limits) {
-                all.add(new LimitInForce(controlPlane.limitsFromMs, nowMs, limit));
+                all.add(new AppliedLimit(controlPlane.limitsFromMs, nowMs, limit));
             }
         }
         return all;
     }
 
-    /** Shares only grow when a grant is applied, so it is enough to look then. */
+    /** Checks the sum after each applied grant, which suffices because shares grow only then. */
     private void checkSumOfShares() {
         double sum = 0;
         for (SimulatedControlPlane controlPlane : controlPlanes) {
-            sum += controlPlane.isUp ? controlPlane.fraction() : 0;
+            sum += controlPlane.isStarted ? controlPlane.fraction() : 0;
         }
         largestSumOfShares = Math.max(largestSumOfShares, sum);
         assertTrue(sum <= 1 + ROUNDING, "shares of " + sum + " in force at " + nowMs + " ms");
@@ -168,26 +171,26 @@
         return random.nextDouble() < delayRate ? random.nextDouble() * 5_000 : 1 + random.nextDouble() * 20;
     }
 
-    /** Often the fastest or the slowest that a clock may be. */
-    private double drawClockRate() {
+    /** A random rate, often the fastest or the slowest that a clock may have. */
+    private double randomClockRate() {
         double drift = Math.max(-1, Math.min(1, 4 * random.nextDouble() - 2));
         return 1 + drift * ShareLease.MAX_CLOCK_DRIFT;
     }
 
-    /** One control plane's process, which loses all it knows with each restart, and its machine's clock. */
+    /** One control plane's process, which loses its state with each restart, and the clock of its machine. */
     final class SimulatedControlPlane {
         private final String address;
-        private final double clockRate = drawClockRate();
+        private final double clockRate = randomClockRate();
         private final double clockOffsetMs = random.nextDouble() * 1e6;
-        private final List<SimulatedControlPlane> unreachable = new ArrayList<>();
-        private HeldShare held;
+        private final List<SimulatedControlPlane> unreachablePeers = new ArrayList<>();
+        private HeldShare share;
         private QuotaBuckets buckets;
         private ShareAssigner assigner;
         private List<TenantLimit> limits = List.of();
         private double limitsFromMs;
-        private boolean isUp;
+        private boolean isStarted;
         private int incarnation;
-        private double frozenUntilMs;
+        private double pausedUntilMs;
 
         private SimulatedControlPlane(String address) {
             this.address = address;
@@ -198,74 +201,74 @@
         }
 
         private boolean isRunning() {
-            return isUp && nowMs >= frozenUntilMs;
+            return isStarted && nowMs >= pausedUntilMs;
         }
 
-        /** The share in force here at this moment. */
+        /** The share that is in force at this control plane now. */
         double fraction() {
-            return held.fraction(clockMs());
+            return share.fraction(clockMs());
         }
 
         void start() {
-            if (isUp) {
+            if (isStarted) {
                 return;
             }
-            isUp = true;
+            isStarted = true;
             incarnation++;
-            frozenUntilMs = nowMs;
-            held = new HeldShare();
+            pausedUntilMs = nowMs;
+            share = new HeldShare();
             buckets = new QuotaBuckets(terms);
             assigner = new ShareAssigner();
-            takeLimits(newestLimits);
-            after(random.nextDouble() * HEARTBEAT_MS, () -> handle(this::sendHeartbeats));
+            applyLimits(newestLimits);
+            after(random.nextDouble() * HEARTBEAT_MS, () -> runWhenResumed(this::sendHeartbeats));
         }
 
-        void kill() {
-            if (!isUp) {
+        void crash() {
+            if (!isStarted) {
                 return;
             }
-            isUp = false;
-            takeLimits(List.of());
+            isStarted = false;
+            applyLimits(List.of());
             if (roleHolder == this) {
                 roleHolder = null;
-                after(random.nextDouble() * 2_000, QuotaSimulation.this::winRole);
+                after(random.nextDouble() * 2_000, QuotaSimulation.this::acquireRole);
             }
         }
 
-        void freeze(double durationMs) {
-            frozenUntilMs = nowMs + durationMs;
+        void pause(double durationMs) {
+            pausedUntilMs = nowMs + durationMs;
         }
 
-        void cut(SimulatedControlPlane other) {
-            unreachable.add(other);
+        void blockMessagesTo(SimulatedControlPlane other) {
+            unreachablePeers.add(other);
         }
 
-        /** Runs in this incarnation, now or as soon as it is not frozen; what waits for that then runs in any order. */
-        private void handle(Runnable action) {
+        /** Runs the action in this incarnation, now or after the pause; delayed actions then run in any order. */
+        private void runWhenResumed(Runnable action) {
             int expected = incarnation;
-            if (!isUp) {
+            if (!isStarted) {
                 return;
             }
-            if (nowMs >= frozenUntilMs) {
+            if (nowMs >= pausedUntilMs) {
                 action.run();
                 return;
             }
-            after(frozenUntilMs - nowMs + random.nextDouble() * 5, () -> {
+            after(pausedUntilMs - nowMs + random.nextDouble() * 5, () -> {
                 if (incarnation == expected) {
-                    handle(action);
+                    runWhenResumed(action);
                 }
             });
         }
 
         private void send(SimulatedControlPlane receiver, Runnable action) {
-            boolean lost = random.nextDouble() < lossRate || unreachable.contains(receiver);
+            boolean lost = random.nextDouble() < lossRate || unreachablePeers.contains(receiver);
             if (receiver != this && lost) {
                 return;
             }
             int expected = receiver.incarnation;
             after(receiver == this ? 0 : messageDelayMs(), () -> {
                 if (receiver.incarnation == expected) {
-                    receiver.handle(action);
+                    receiver.runWhenResumed(action);
                 }
             });
         }
@@ -273,11 +276,11 @@
         private void sendHeartbeats() {
             double sentAtMs = clockMs();
             int senderIncarnation = incarnation;
-            ShareReport report = held.report(sentAtMs);
+            ShareReport report = share.report(sentAtMs);
             for (SimulatedControlPlane receiver : controlPlanes) {
                 send(receiver, () -> receiver.acknowledge(this, senderIncarnation, sentAtMs, report));
             }
-            after(HEARTBEAT_MS / clockRate, () -> handle(this::sendHeartbeats));
+            after(HEARTBEAT_MS / clockRate, () -> runWhenResumed(this::sendHeartbeats));
         }
 
         private void acknowledge(
@@ -294,39 +297,39 @@
         }
 
         private void applyGrant(double sentAtMs, ShareGrant grant) {
-            held.onGrant(clockMs(), sentAtMs, grant);
-            buckets.updateShare(clockMs(), held.fraction(clockMs()), held.endsAtMs());
+            share.onGrant(clockMs(), sentAtMs, grant);
+            buckets.updateShare(clockMs(), share.fraction(clockMs()), share.endsAtMs());
             checkSumOfShares();
         }
 
-        private void takeLimits(List<TenantLimit> newLimits) {
+        private void applyLimits(List<TenantLimit> newLimits) {
             for (TenantLimit limit : limits) {
-                pastLimits.add(new LimitInForce(limitsFromMs, nowMs, limit));
+                pastLimits.add(new AppliedLimit(limitsFromMs, nowMs, limit));
             }
             limits = newLimits;
             limitsFromMs = nowMs;
             buckets.updateLimits(clockMs(), newLimits);
         }
 
-        /** Asks this control plane for tokens, if it can answer at this moment. */
+        /** Requests tokens from this control plane; it replies only if it is running now. */
         TakeResult take(String tenant, int tokens) {
             if (!isRunning()) {
                 return new TakeResult.NoShare();
             }
             TakeResult result = buckets.take(clockMs(), tenant, tokens);
             if (result instanceof TakeResult.Granted grant) {
-                granted.add(new Admitted(nowMs, tenant, grant.tokens()));
+                granted.add(new CountAt(nowMs, tenant, grant.tokens()));
             }
             return result;
         }
     }
 
-    /** One data plane's stock of one tenant's tokens, at a tenant that sends at a steady rate on average. */
+    /** One data plane's stock of a tenant's tokens; the tenant sends requests at a constant average rate. */
     final class SimulatedDataPlane {
         private final String tenant;
         private final double intervalMs;
         private final TokenStock stock = new TokenStock(terms.tokenLifetimeMs());
-        private final double clockRate = drawClockRate();
+        private final double clockRate = randomClockRate();
 
         SimulatedDataPlane(String tenant, double intervalMs) {
             this.tenant = tenant;
@@ -340,26 +343,26 @@
 
         private void onRequest() {
             stock.recordRequest(clockMs());
-            if (!tryUse() && !stock.isRefused(clockMs())) {
-                ask();
+            if (!tryAdmit() && !stock.isRefused(clockMs())) {
+                requestTokens();
             }
             after(random.nextDouble() * 2 * intervalMs, this::onRequest);
         }
 
-        private boolean tryUse() {
+        private boolean tryAdmit() {
             boolean taken = stock.tryTake(clockMs());
             if (taken) {
-                used.add(new Admitted(nowMs, tenant, 1));
+                admitted.add(new CountAt(nowMs, tenant, 1));
             }
             return taken;
         }
 
-        private void ask() {
+        private void requestTokens() {
             double requestedAtMs = clockMs();
             int tokens = stock.tokensToRequest(requestedAtMs);
-            SimulatedControlPlane asked = controlPlanes.get(random.nextInt(controlPlanes.size()));
+            SimulatedControlPlane controlPlane = controlPlanes.get(random.nextInt(controlPlanes.size()));
             after(messageDelayMs(), () -> {
-                TakeResult result = asked.take(tenant, tokens);
+                TakeResult result = controlPlane.take(tenant, tokens);
                 after(messageDelayMs(), () -> onResult(result, requestedAtMs));
             });
         }
@@ -367,7 +370,7 @@
         private void onResult(TakeResult result, double requestedAtMs) {
             if (result instanceof TakeResult.Granted grant) {
                 stock.add(clockMs(), grant.tokens(), requestedAtMs);
-                tryUse();
+                tryAdmit();
             } else if (result instanceof TakeResult.Exhausted exhausted) {
                 stock.recordRefusal(clockMs(), exhausted.untilNextMs());
             }
--- a/routing/src/test/java/dewplank/quota/QuotaTermsTest.java
+++ b/routing/src/test/java/dewplank/quota/QuotaTermsTest.java
@@ -11,23 +11,25 @@
     private static final double WINDOW_MS = 5_000;
 
     @Test
-    void aTenthOfOvershootPaysForTheLifetimeAndTheDrift() {
+    void anOvershootOfATenthCoversLifetimeAndClockDrift() {
         QuotaTerms terms = new QuotaTerms(WINDOW_MS, 0.1, 20);
         assertEquals(384.3, terms.tokenLifetimeMs(), 0.1);
         assertEquals(1, terms.rateFraction(), 1e-9);
     }
 
     @Test
-    void withoutOvershootTokensStillLiveLongEnoughAndBucketsFillLess() {
+    void withoutOvershootTokensHaveTheMinimumLifetimeAndBucketsFillSlower() {
         QuotaTerms terms = new QuotaTerms(WINDOW_MS, 0, 20);
         assertEquals(100, terms.tokenLifetimeMs());
         assertEquals(0.96, terms.rateFraction(), 0.01);
     }
 
-    /** What fills too fast for a window and a token's lifetime, by the worst clocks, is within the rate's overshoot. */
+    /**
+     * With the worst clocks, what buckets fill in a window plus a token's lifetime stays within the rate's overshoot.
+     */
     @ParameterizedTest
     @ValueSource(doubles = {0, 0.01, 0.02, 0.04, 0.1, 0.5, 2})
-    void theRateKeepsToItsBoundByTheWorstClocks(double overshoot) {
+    void theRateStaysWithinItsBoundOnTheWorstClocks(double overshoot) {
         QuotaTerms terms = new QuotaTerms(WINDOW_MS, overshoot, 0);
         double drift = ShareLease.MAX_CLOCK_DRIFT;
         double spanMs = WINDOW_MS + terms.tokenLifetimeMs() / (1 - drift);
--- a/routing/src/test/java/dewplank/quota/ShareAssignerTest.java
+++ b/routing/src/test/java/dewplank/quota/ShareAssignerTest.java
@@ -8,8 +8,8 @@
 
 class ShareAssignerTest {
     private static final long TOKEN = 7;
-    private static final ShareReport NOTHING = new ShareReport(0, 0, 0);
-    private static final double ASSIGNS_FROM_MS = ShareLease.ASSIGNER_MS;
+    private static final ShareReport NO_SHARE = new ShareReport(0, 0, 0);
+    private static final double RENEWAL_ONLY_UNTIL_MS = ShareLease.IN_FORCE_MS;
 
     private final ShareAssigner assigner = new ShareAssigner();
 
@@ -23,103 +23,104 @@
 
     @Test
     void grantsNothingWithoutTheRole() {
-        assertTrue(assigner.onReport(0, "a", NOTHING).isEmpty());
+        assertTrue(assigner.onReport(0, "a", NO_SHARE).isEmpty());
         assigner.begin(0, TOKEN);
-        assertFalse(assigner.onReport(1, "a", NOTHING).isEmpty());
+        assertFalse(assigner.onReport(1, "a", NO_SHARE).isEmpty());
         assigner.end();
-        assertTrue(assigner.onReport(2, "a", NOTHING).isEmpty());
+        assertTrue(assigner.onReport(2, "a", NO_SHARE).isEmpty());
     }
 
     @Test
-    void aNewAssignerOnlyRenewsUntilItsPredecessorsSharesHaveLapsed() {
+    void aNewAssignerOnlyRenewsUntilItsPredecessorsSharesHaveExpired() {
         assigner.begin(0, TOKEN);
         assertEquals(new ShareGrant(0.3, TOKEN, 1, true), grant(200, "a", new ShareReport(0.3, TOKEN - 1, 99)));
-        assertEquals(new ShareGrant(0, TOKEN, 2, true), grant(ASSIGNS_FROM_MS - 1, "b", NOTHING));
-        assertEquals(new ShareGrant(0.5, TOKEN, 3, false), grant(ASSIGNS_FROM_MS, "b", NOTHING));
+        assertEquals(new ShareGrant(0, TOKEN, 2, true), grant(RENEWAL_ONLY_UNTIL_MS - 1, "b", NO_SHARE));
+        assertEquals(new ShareGrant(0.5, TOKEN, 3, false), grant(RENEWAL_ONLY_UNTIL_MS, "b", NO_SHARE));
     }
 
     @Test
-    void theFirstOneHeardGetsAllAndTheOthersWhatItGivesBack() {
+    void theFirstToReportGetsTheWholeAndOthersGetWhatItReleases() {
         assigner.begin(0, TOKEN);
-        ShareGrant whole = grant(ASSIGNS_FROM_MS, "a", NOTHING);
+        ShareGrant whole = grant(RENEWAL_ONLY_UNTIL_MS, "a", NO_SHARE);
         assertEquals(1, whole.fraction());
-        assertEquals(0, grant(ASSIGNS_FROM_MS + 1, "b", NOTHING).fraction());
-        ShareGrant half = grant(ASSIGNS_FROM_MS + 300, "a", applied(whole));
+        assertEquals(0, grant(RENEWAL_ONLY_UNTIL_MS + 1, "b", NO_SHARE).fraction());
+        ShareGrant half = grant(RENEWAL_ONLY_UNTIL_MS + 300, "a", applied(whole));
         assertEquals(0.5, half.fraction());
-        assertEquals(0, grant(ASSIGNS_FROM_MS + 301, "b", NOTHING).fraction(), "not known to be applied");
-        grant(ASSIGNS_FROM_MS + 600, "a", applied(half));
-        assertEquals(0.5, grant(ASSIGNS_FROM_MS + 601, "b", NOTHING).fraction());
+        assertEquals(
+                0, grant(RENEWAL_ONLY_UNTIL_MS + 301, "b", NO_SHARE).fraction(), "no report shows that it was applied");
+        grant(RENEWAL_ONLY_UNTIL_MS + 600, "a", applied(half));
+        assertEquals(0.5, grant(RENEWAL_ONLY_UNTIL_MS + 601, "b", NO_SHARE).fraction());
     }
 
     @Test
-    void aReductionThatIsNeverReportedFreesTheDifferenceWhenTheLargerGrantLapses() {
+    void anUnreportedReductionReleasesTheDifferenceWhenTheLargerGrantExpires() {
         assigner.begin(0, TOKEN);
-        grant(ASSIGNS_FROM_MS, "a", NOTHING);
-        grant(ASSIGNS_FROM_MS + 1, "b", NOTHING);
-        grant(ASSIGNS_FROM_MS + 2, "a", NOTHING);
-        double lapsesAtMs = ASSIGNS_FROM_MS + ShareLease.ASSIGNER_MS;
-        assertEquals(0, grant(lapsesAtMs - 1, "b", NOTHING).fraction());
-        assertEquals(0.5, grant(lapsesAtMs, "b", NOTHING).fraction());
+        grant(RENEWAL_ONLY_UNTIL_MS, "a", NO_SHARE);
+        grant(RENEWAL_ONLY_UNTIL_MS + 1, "b", NO_SHARE);
+        grant(RENEWAL_ONLY_UNTIL_MS + 2, "a", NO_SHARE);
+        double expiresAtMs = RENEWAL_ONLY_UNTIL_MS + ShareLease.IN_FORCE_MS;
+        assertEquals(0, grant(expiresAtMs - 1, "b", NO_SHARE).fraction());
+        assertEquals(0.5, grant(expiresAtMs, "b", NO_SHARE).fraction());
     }
 
     @Test
-    void aReportUnderAnotherTokenFreesNothing() {
+    void aReportUnderAnotherTokenReleasesNothing() {
         assigner.begin(0, TOKEN);
-        grant(ASSIGNS_FROM_MS, "a", NOTHING);
-        grant(ASSIGNS_FROM_MS + 1, "b", NOTHING);
-        ShareGrant half = grant(ASSIGNS_FROM_MS + 2, "a", NOTHING);
-        grant(ASSIGNS_FROM_MS + 3, "a", new ShareReport(0, TOKEN - 1, half.number()));
-        assertEquals(0, grant(ASSIGNS_FROM_MS + 4, "b", NOTHING).fraction());
+        grant(RENEWAL_ONLY_UNTIL_MS, "a", NO_SHARE);
+        grant(RENEWAL_ONLY_UNTIL_MS + 1, "b", NO_SHARE);
+        ShareGrant half = grant(RENEWAL_ONLY_UNTIL_MS + 2, "a", NO_SHARE);
+        grant(RENEWAL_ONLY_UNTIL_MS + 3, "a", new ShareReport(0, TOKEN - 1, half.number()));
+        assertEquals(0, grant(RENEWAL_ONLY_UNTIL_MS + 4, "b", NO_SHARE).fraction());
     }
 
     @Test
-    void whatALostControlPlaneHeldIsAssignedAnewOnceItLapsed() {
+    void theShareOfALostControlPlaneIsReassignedAfterItsExpiry() {
         assigner.begin(0, TOKEN);
-        ShareGrant first = grant(ASSIGNS_FROM_MS - 1, "b", NOTHING);
-        ShareGrant half = grant(ASSIGNS_FROM_MS, "a", NOTHING);
+        ShareGrant first = grant(RENEWAL_ONLY_UNTIL_MS - 1, "b", NO_SHARE);
+        ShareGrant half = grant(RENEWAL_ONLY_UNTIL_MS, "a", NO_SHARE);
         assertEquals(0.5, half.fraction());
-        assertEquals(0.5, grant(ASSIGNS_FROM_MS + 1, "b", applied(first)).fraction());
-        double lapsesAtMs = ASSIGNS_FROM_MS + ShareLease.ASSIGNER_MS;
-        assertEquals(0.5, grant(lapsesAtMs - 1, "b", NOTHING).fraction());
-        assertEquals(1, grant(lapsesAtMs, "b", NOTHING).fraction());
+        assertEquals(0.5, grant(RENEWAL_ONLY_UNTIL_MS + 1, "b", applied(first)).fraction());
+        double expiresAtMs = RENEWAL_ONLY_UNTIL_MS + ShareLease.IN_FORCE_MS;
+        assertEquals(0.5, grant(expiresAtMs - 1, "b", NO_SHARE).fraction());
+        assertEquals(1, grant(expiresAtMs, "b", NO_SHARE).fraction());
     }
 
     @Test
-    void aRestartedControlPlaneGetsItsShareAtOnce() {
+    void aRestartedControlPlaneGetsItsShareImmediately() {
         assigner.begin(0, TOKEN);
-        grant(ASSIGNS_FROM_MS - 1, "b", NOTHING);
-        ShareGrant half = grant(ASSIGNS_FROM_MS, "a", NOTHING);
-        grant(ASSIGNS_FROM_MS + 1, "b", NOTHING);
-        grant(ASSIGNS_FROM_MS + 2, "a", applied(half));
-        assertEquals(0.5, grant(ASSIGNS_FROM_MS + 3, "a", NOTHING).fraction());
+        grant(RENEWAL_ONLY_UNTIL_MS - 1, "b", NO_SHARE);
+        ShareGrant half = grant(RENEWAL_ONLY_UNTIL_MS, "a", NO_SHARE);
+        grant(RENEWAL_ONLY_UNTIL_MS + 1, "b", NO_SHARE);
+        grant(RENEWAL_ONLY_UNTIL_MS + 2, "a", applied(half));
+        assertEquals(0.5, grant(RENEWAL_ONLY_UNTIL_MS + 3, "a", NO_SHARE).fraction());
     }
 
     @Test
-    void aLateReportOfAnEarlierIncarnationFreesNothingOfItsSuccessors() {
+    void aLateReportOfAnEarlierIncarnationDoesNotReleaseTheShareOfItsSuccessor() {
         assigner.begin(0, TOKEN);
-        ShareGrant whole = grant(ASSIGNS_FROM_MS, "a", NOTHING);
-        grant(ASSIGNS_FROM_MS + 1, "a", NOTHING);
-        grant(ASSIGNS_FROM_MS + 2, "b", NOTHING);
-        grant(ASSIGNS_FROM_MS + 3, "a", applied(whole));
-        assertEquals(0, grant(ASSIGNS_FROM_MS + 4, "b", NOTHING).fraction());
+        ShareGrant whole = grant(RENEWAL_ONLY_UNTIL_MS, "a", NO_SHARE);
+        grant(RENEWAL_ONLY_UNTIL_MS + 1, "a", NO_SHARE);
+        grant(RENEWAL_ONLY_UNTIL_MS + 2, "b", NO_SHARE);
+        grant(RENEWAL_ONLY_UNTIL_MS + 3, "a", applied(whole));
+        assertEquals(0, grant(RENEWAL_ONLY_UNTIL_MS + 4, "b", NO_SHARE).fraction());
     }
 
-    /** Two delayed reports may name more than there is: neither is raised before one of them has lapsed. */
+    /** Two delayed reports may add up to more than 1; neither share is raised before one of them has expired. */
     @Test
-    void renewalsThatAddUpToMoreThanTheWholeAreLowered() {
+    void renewalsThatAddUpToMoreThanTheWholeAreReduced() {
         assigner.begin(0, TOKEN);
-        grant(ASSIGNS_FROM_MS - 2, "a", new ShareReport(0.6, TOKEN - 1, 9));
-        grant(ASSIGNS_FROM_MS - 1, "b", new ShareReport(0.6, TOKEN - 1, 8));
-        assertEquals(0.4, grant(ASSIGNS_FROM_MS, "a", NOTHING).fraction(), 1e-9);
-        assertEquals(0.4, grant(ASSIGNS_FROM_MS, "b", NOTHING).fraction(), 1e-9);
+        grant(RENEWAL_ONLY_UNTIL_MS - 2, "a", new ShareReport(0.6, TOKEN - 1, 9));
+        grant(RENEWAL_ONLY_UNTIL_MS - 1, "b", new ShareReport(0.6, TOKEN - 1, 8));
+        assertEquals(0.4, grant(RENEWAL_ONLY_UNTIL_MS, "a", NO_SHARE).fraction(), 1e-9);
+        assertEquals(0.4, grant(RENEWAL_ONLY_UNTIL_MS, "b", NO_SHARE).fraction(), 1e-9);
     }
 
     @Test
-    void aNewLeaseOfTheSameProcessWaitsAnew() {
+    void aNewLeaseOfTheSameProcessRenewsOnlyAtFirst() {
         assigner.begin(0, TOKEN);
-        grant(ASSIGNS_FROM_MS, "a", NOTHING);
+        grant(RENEWAL_ONLY_UNTIL_MS, "a", NO_SHARE);
         assigner.end();
         assigner.begin(10_000, TOKEN + 1);
-        assertEquals(new ShareGrant(0, TOKEN + 1, 1, true), grant(10_001, "a", NOTHING));
+        assertEquals(new ShareGrant(0, TOKEN + 1, 1, true), grant(10_001, "a", NO_SHARE));
     }
 }
--- a/routing/src/test/java/dewplank/quota/TokenBucketTest.java
+++ b/routing/src/test/java/dewplank/quota/TokenBucketTest.java
@@ -12,7 +12,7 @@
     }
 
     @Test
-    void beginsEmptyAndFillsAtItsRate() {
+    void startsEmptyAndFillsAtItsRate() {
         TokenBucket bucket = bucketAt(1_000, 0.01, 5);
         assertEquals(0, bucket.tryTake(1_000, 1));
         assertEquals(100, bucket.untilNextMs(1_000), 1e-9);
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void holdsNoMoreThanItsCapacity() {
+    void containsNoMoreThanItsCapacity() {
         TokenBucket bucket = bucketAt(0, 0.01, 2.5);
         assertEquals(2, bucket.tryTake(1e9, 10));
         assertEquals(50, bucket.untilNextMs(1e9), 1e-6);
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void losesWhatIsAboveALowerCapacityForGood() {
+    void tokensAboveAReducedCapacityAreLost() {
         TokenBucket bucket = bucketAt(0, 0.01, 10);
         bucket.configure(1_000, 0.01, 3);
         bucket.configure(1_000, 0.01, 10);
@@ -45,21 +45,21 @@
     }
 
     @Test
-    void aNewRateCountsFromItsConfigurationOn() {
+    void aNewRateAppliesFromItsConfigurationOn() {
         TokenBucket bucket = bucketAt(0, 0.01, 100);
         bucket.configure(1_000, 0.02, 100);
         assertEquals(30, bucket.tryTake(2_000.001, 100));
     }
 
     @Test
-    void neverHasATokenWithoutRateOrWithACapacityBelowOne() {
+    void grantsNothingWithoutARateOrWithACapacityBelowOne() {
         assertEquals(Double.POSITIVE_INFINITY, bucketAt(0, 0, 5).untilNextMs(1_000));
         assertEquals(Double.POSITIVE_INFINITY, bucketAt(0, 1, 0.9).untilNextMs(1_000));
         assertEquals(0, bucketAt(0, 1, 0.9).tryTake(1_000, 1));
     }
 
     @Test
-    void aTimeThatWentBackAddsNothing() {
+    void anEarlierTimeAddsNoTokens() {
         TokenBucket bucket = bucketAt(1_000, 0.01, 10);
         assertEquals(0, bucket.tryTake(0, 1));
         assertEquals(1, bucket.tryTake(1_101, 10));
--- a/routing/src/test/java/dewplank/quota/TokenStockTest.java
+++ b/routing/src/test/java/dewplank/quota/TokenStockTest.java
@@ -12,7 +12,7 @@
     private final TokenStock stock = new TokenStock(LIFETIME_MS);
 
     @Test
-    void tokensEndTheirLifetimeAfterTheyWereAskedFor() {
+    void tokensExpireOneLifetimeAfterTheyWereRequested() {
         assertFalse(stock.tryTake(0));
         stock.add(100, 2, 50);
         assertTrue(stock.tryTake(449));
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void tokensThatCameTooLateAreDropped() {
+    void tokensThatArriveAfterTheirLifetimeAreDropped() {
         stock.add(450, 3, 50);
         assertFalse(stock.tryTake(450));
     }
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void theTokensThatEndFirstAreTakenFirst() {
+    void theTokensThatExpireFirstAreTakenFirst() {
         stock.add(100, 1, 90);
         stock.add(100, 1, 10);
         assertTrue(stock.tryTake(200));
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void asksForAsManyAsArrivedWithinAQuarterOfTheLifetime() {
+    void requestsATokenForEachArrivalWithinAQuarterOfTheLifetime() {
         assertEquals(1, stock.tokensToRequest(0));
         stock.recordRequest(0);
         assertEquals(1, stock.tokensToRequest(0));
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void asksForNoMoreThanItsBound() {
+    void requestsNoMoreTokensThanItsMaximum() {
         for (int request = 0; request < 1_000; request++) {
             stock.recordRequest(request * 0.01);
         }
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void aRefusalLastsUntilTheTimeThatWasNamed() {
+    void aRefusalLastsForTheReportedTime() {
         assertFalse(stock.isRefused(0));
         stock.recordRefusal(100, 250);
         assertTrue(stock.isRefused(349));
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void aRefusalIsForgottenAfterItsBound() {
+    void aRefusalEndsAfterItsMaximumTime() {
         stock.recordRefusal(0, Double.POSITIVE_INFINITY);
         assertTrue(stock.isRefused(TokenStock.MAX_REFUSAL_MS - 1));
         assertFalse(stock.isRefused(TokenStock.MAX_REFUSAL_MS));
--- a/routing/src/test/java/dewplank/routing/EventSplitterTest.java
+++ b/routing/src/test/java/dewplank/routing/EventSplitterTest.java
@@ -23,16 +23,16 @@
     }
 
     @Test
-    void onlyCompleteEventsArePassedOn() {
+    void onlyCompleteEventsAreForwarded() {
         EventSplitter events = new EventSplitter();
         assertEquals("", text(events.feed(bytes("id: 1\ndata: a\n"))));
-        assertEquals(Optional.empty(), events.lastEventId(), "an incomplete event has not been passed on");
+        assertEquals(Optional.empty(), events.lastEventId(), "an incomplete event has not been forwarded");
         assertEquals("id: 1\ndata: a\n\n", text(events.feed(bytes("\nid: 2\nda"))));
         assertEquals(Optional.of("1"), events.lastEventId());
     }
 
     @Test
-    void anIncompleteEventIsDiscardedWhereAnotherServerContinues() {
+    void anIncompleteEventIsDiscardedWhenAnotherServerResumesTheStream() {
         EventSplitter events = new EventSplitter();
         events.feed(bytes("id: 1\ndata: a\n\nid: 2\ndata: b"));
         events.discardIncompleteEvent();
@@ -41,9 +41,9 @@
         assertEquals(Optional.of("2"), events.lastEventId());
     }
 
-    /** The first line of an event at which the version of the weights changes. */
+    /** The line is the first one of an event at which the version of the model weights changes. */
     @Test
-    void aLineWithAVersionIsPassedOnUnchanged() {
+    void aLineWithAVersionIsForwardedUnchanged() {
         EventSplitter events = new EventSplitter();
         String event = "versions: 3\nid: 4\ndata: a\n\n";
         assertEquals(event, text(events.feed(bytes(event))));
@@ -51,14 +51,14 @@
     }
 
     @Test
-    void linesMayEndWithCarriageReturns() {
+    void linesMayEndWithCarriageReturnAndLineFeed() {
         EventSplitter events = new EventSplitter();
         assertEquals("id: 7\r\ndata: a\r\n\r\n", text(events.feed(bytes("id: 7\r\ndata: a\r\n\r\nda"))));
         assertEquals(Optional.of("7"), events.lastEventId());
     }
 
     @Test
-    void anEventBeyondTheBoundIsPassedOnIncomplete() {
+    void anEventAboveTheMaximumSizeIsForwardedIncomplete() {
         EventSplitter events = new EventSplitter();
         byte[] line = new byte[EventSplitter.MAX_INCOMPLETE_BYTES];
         java.util.Arrays.fill(line, (byte) 'x');
@@ -66,13 +66,13 @@
         assertEquals(line.length + 1, events.feed(bytes("x")).length);
     }
 
-    /** What was passed on behind the last id would come twice. */
+    /** Data that was forwarded after the last id would be sent twice. */
     @Test
-    void aStreamIsResumableOnlyBehindTheLastIdThatWasPassedOn() {
+    void aStreamIsResumableOnlyWithoutDataAfterTheLastId() {
         EventSplitter events = new EventSplitter();
         assertTrue(events.isResumable());
         events.feed(bytes("id: 1\ndata: a\n\nid: 2\ndata: b"));
-        assertTrue(events.isResumable() && events.isMidEvent(), "what is unfinished has not been passed on");
+        assertTrue(events.isResumable() && events.isMidEvent(), "the incomplete event has not been forwarded");
         events.feed(bytes("\n\n: a comment\n\n"));
         assertTrue(events.isResumable() && !events.isMidEvent());
         events.feed(bytes("data: without an id\n\n"));
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void aStreamIsNotResumableAfterAnIncompleteEventWasPassedOn() {
+    void aStreamIsNotResumableAfterAnIncompleteEventWasForwarded() {
         EventSplitter events = new EventSplitter();
         events.feed(bytes("id: 1\ndata: a\n\n"));
         byte[] line = new byte[EventSplitter.MAX_INCOMPLETE_BYTES + 1];
@@ -95,9 +95,9 @@
         assertTrue(events.isResumable());
     }
 
-    /** However a stream is cut into pieces, the same bytes come out in the same order. */
+    /** The output has the same bytes in the same order, no matter how the stream is split into chunks. */
     @Property(tries = 300)
-    void noByteIsLostOrReorderedHoweverTheStreamIsCut(
+    void noByteIsLostOrReorderedForAnyChunkLengths(
             @ForAll @Size(max = 12) java.util.List<@IntRange(min = 1, max = 40) Integer> chunkLengths) {
         StringBuilder stream = new StringBuilder();
         for (int i = 1; i <= 20; i++) {
--- a/routing/src/test/java/dewplank/routing/FleetSizeEstimatorTest.java
+++ b/routing/src/test/java/dewplank/routing/FleetSizeEstimatorTest.java
@@ -12,7 +12,7 @@
     private final FleetSizeEstimator estimator = new FleetSizeEstimator(WINDOW_MS);
 
     @Test
-    void isSettledOnlySomeTimeAfterTheFirstMembership() {
+    void isSettledOnlyAfterADelayFromTheFirstMembership() {
         assertFalse(estimator.isSettled(0));
         estimator.recordMembership(100_000, 0);
         assertFalse(estimator.isSettled(200_000));
@@ -24,9 +24,9 @@
         assertEquals(8, estimator.dataPlanes(203_000));
     }
 
-    /** A restarted control plane sends a membership of the few sessions that it has by then. */
+    /** A restarted control plane sends a membership with only the few sessions that have been opened by then. */
     @Test
-    void aShortMembershipDoesNotLowerTheNumber() {
+    void anIncompleteMembershipDoesNotReduceTheNumber() {
         estimator.recordMembership(0, 8);
         estimator.recordMembership(500_000, 2);
         assertEquals(8, estimator.dataPlanes(500_000));
@@ -34,9 +34,9 @@
         assertEquals(8, estimator.dataPlanes(501_000));
     }
 
-    /** The count that stood is remembered from when it was last true, however long ago it was told. */
+    /** The retention of a number starts when it was last current, even if it was received long before. */
     @Test
-    void aLargerNumberIsDroppedOnceItWasNotCurrentForItsRetention() {
+    void aLargerNumberIsDroppedAfterItsRetention() {
         estimator.recordMembership(0, 8);
         estimator.recordMembership(500_000, 5);
         assertEquals(8, estimator.dataPlanes(560_000));
--- a/routing/src/test/java/dewplank/routing/GoldenHealthSummaryTest.java
+++ b/routing/src/test/java/dewplank/routing/GoldenHealthSummaryTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Datagrams between data planes, byte for byte as an earlier release sent them. */
+/** Checks that datagrams between data planes have the same bytes as in an earlier release. */
 class GoldenHealthSummaryTest {
     private static final String FULL = "02" // version
             + "0000018bcfe5687b" // incarnation
@@ -16,7 +16,7 @@
             + "02" // suspected servers: hash, failures, age in tenths of a second
             + "00018fcd" + "03" + "0c"
             + "fffffffe" + "ff" + "ff"
-            + "00018fce" + "00" // healthy ones: hash, age
+            + "00018fce" + "00" // healthy servers: hash, age
             + "00000007" + "31";
     private static final String EMPTY = "02" + "ffffffffffffffff" + "00000001" + "00";
 
@@ -61,9 +61,9 @@
         assertNull(decoded("03" + FULL.substring(2)));
     }
 
-    /** Of 50 suspected servers 40 find room in 256 bytes, and no healthy one. */
+    /** 256 bytes contain 40 of the 50 suspected servers, and no healthy server. */
     @Test
-    void noMoreThanFit() {
+    void serversThatDoNotFitAreLeftOut() {
         List<HealthSummary.Suspected> suspected = new ArrayList<>();
         StringBuilder expected = new StringBuilder("02" + "0000000000000005" + "00000006" + "28");
         for (int index = 0; index < 50; index++) {
--- a/routing/src/test/java/dewplank/routing/HealthVotesTest.java
+++ b/routing/src/test/java/dewplank/routing/HealthVotesTest.java
@@ -10,13 +10,13 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Peers' summaries that are overdue, doubled, of an earlier incarnation, or of another machine at the same address. */
+/** Checks votes with summaries that are delayed, duplicated, of an earlier incarnation, or of a replaced machine. */
 class HealthVotesTest {
     private static final String SERVER = "i-1";
     private static final String PEER = "10.0.0.1";
     private static final int SERVER_HASH = SERVER.hashCode();
-    private static final long EARLIER = 1_000;
-    private static final long LATER = 2_000;
+    private static final long EARLIER_INCARNATION = 1_000;
+    private static final long LATER_INCARNATION = 2_000;
     private static final double SUMMARY_VALID_MS = 3_000;
 
     private final HealthVotes votes = new HealthVotes();
@@ -30,7 +30,7 @@
         return new HealthSummary(incarnation, sequence, List.of(), List.of(new HealthSummary.Healthy(SERVER_HASH, 0)));
     }
 
-    /** With a failure of its own at that moment. */
+    /** Whether the server is ejected if this data plane observes a failure at that time. */
     private boolean isEjectedAfterOwnFailure(double nowMs) {
         OutcomeWindow own = new OutcomeWindow();
         own.record(nowMs, "class", false);
@@ -42,58 +42,62 @@
     }
 
     @Test
-    void aSummaryOfAnEarlierIncarnationThatArrivesLastChangesNothing() {
-        votes.recordSummary(0, PEER, healthy(LATER, 1));
-        votes.recordSummary(1, "10.0.0.2", healthy(LATER, 1));
-        votes.recordSummary(2, PEER, unhealthy(EARLIER, 900));
+    void aDelayedSummaryOfAnEarlierIncarnationIsIgnored() {
+        votes.recordSummary(0, PEER, healthy(LATER_INCARNATION, 1));
+        votes.recordSummary(1, "10.0.0.2", healthy(LATER_INCARNATION, 1));
+        votes.recordSummary(2, PEER, unhealthy(EARLIER_INCARNATION, 900));
         assertFalse(isEjectedAfterOwnFailure(3));
     }
 
     @Test
     void aNewIncarnationCountsFromItsFirstSummary() {
-        votes.recordSummary(0, PEER, healthy(EARLIER, 900));
-        votes.recordSummary(0, "10.0.0.2", healthy(EARLIER, 900));
-        votes.recordSummary(1, PEER, unhealthy(LATER, 1));
-        votes.recordSummary(1, "10.0.0.2", unhealthy(LATER, 1));
+        votes.recordSummary(0, PEER, healthy(EARLIER_INCARNATION, 900));
+        votes.recordSummary(0, "10.0.0.2", healthy(EARLIER_INCARNATION, 900));
+        votes.recordSummary(1, PEER, unhealthy(LATER_INCARNATION, 1));
+        votes.recordSummary(1, "10.0.0.2", unhealthy(LATER_INCARNATION, 1));
         assertTrue(isEjectedAfterOwnFailure(2));
     }
 
     @Test
-    void aDuplicateOrOverdueSummaryChangesNothing() {
-        votes.recordSummary(0, PEER, healthy(LATER, 2));
-        votes.recordSummary(1, PEER, unhealthy(LATER, 1));
-        votes.recordSummary(2, PEER, healthy(LATER, 2));
+    void aDuplicateOrDelayedSummaryIsIgnored() {
+        votes.recordSummary(0, PEER, healthy(LATER_INCARNATION, 2));
+        votes.recordSummary(1, PEER, unhealthy(LATER_INCARNATION, 1));
+        votes.recordSummary(2, PEER, healthy(LATER_INCARNATION, 2));
         assertFalse(isEjectedByPeersAlone(3));
-        assertFalse(isEjectedByPeersAlone(SUMMARY_VALID_MS + 1), "received at 0, the duplicate does not count");
+        assertFalse(
+                isEjectedByPeersAlone(SUMMARY_VALID_MS + 1),
+                "received at 0; the duplicate does not extend its validity");
     }
 
-    /** Another machine at the address, its clock behind: it counts once the last summary is stale. */
+    /** The clock of the new machine is behind, so its incarnation is lower than that of the previous machine. */
     @Test
-    void anotherMachineAtTheAddressCountsOnceTheLastSummaryIsStale() {
-        votes.recordSummary(0, PEER, healthy(LATER, 5));
-        votes.recordSummary(0, "10.0.0.2", healthy(LATER, 5));
-        votes.recordSummary(SUMMARY_VALID_MS, PEER, unhealthy(EARLIER, 1));
+    void aNewMachineAtTheAddressCountsOnceTheLastSummaryIsStale() {
+        votes.recordSummary(0, PEER, healthy(LATER_INCARNATION, 5));
+        votes.recordSummary(0, "10.0.0.2", healthy(LATER_INCARNATION, 5));
+        votes.recordSummary(SUMMARY_VALID_MS, PEER, unhealthy(EARLIER_INCARNATION, 1));
         assertFalse(isEjectedAfterOwnFailure(SUMMARY_VALID_MS));
         votes.evictStale(SUMMARY_VALID_MS + 1);
-        votes.recordSummary(SUMMARY_VALID_MS + 2, PEER, unhealthy(EARLIER, 2));
+        votes.recordSummary(SUMMARY_VALID_MS + 2, PEER, unhealthy(EARLIER_INCARNATION, 2));
         assertTrue(isEjectedAfterOwnFailure(SUMMARY_VALID_MS + 3));
     }
 
     @Test
-    void aVerdictEndsWithTheSummariesThatGaveIt() {
-        votes.recordSummary(0, PEER, unhealthy(LATER, 1));
+    void anEjectionEndsWhenItsSummariesExpire() {
+        votes.recordSummary(0, PEER, unhealthy(LATER_INCARNATION, 1));
         assertTrue(isEjectedAfterOwnFailure(SUMMARY_VALID_MS));
         assertFalse(isEjectedByPeersAlone(SUMMARY_VALID_MS + 1));
     }
 
     private static HealthSummary failed(int failures, double ageMs) {
         return new HealthSummary(
-                LATER, 1, List.of(new HealthSummary.Suspected(SERVER_HASH, failures, ageMs)), List.of());
+                LATER_INCARNATION, 1, List.of(new HealthSummary.Suspected(SERVER_HASH, failures, ageMs)), List.of());
     }
 
-    /** Of ninety data planes none sees three failures of one server: one each at three of them are as many. */
+    /**
+     * In a large fleet no single data plane observes three failures of a server, but three of them observe one each.
+     */
     @Test
-    void theFailuresThatAVerdictNeedsAreCountedOverTheFleet() {
+    void theFailuresRequiredForAnEjectionAreCountedOverTheFleet() {
         votes.recordSummary(0, "10.0.0.1", failed(1, 0));
         assertFalse(isEjectedByPeersAlone(1));
         assertFalse(isEjectedAfterOwnFailure(1), "two failures");
@@ -101,21 +105,21 @@
         assertFalse(isEjectedByPeersAlone(3), "two failures");
         assertTrue(isEjectedAfterOwnFailure(3), "three failures");
         votes.recordSummary(4, "10.0.0.3", failed(1, 0));
-        assertTrue(isEjectedByPeersAlone(5), "three failures, none of them here");
+        assertTrue(isEjectedByPeersAlone(5), "three failures, none of them at this data plane");
     }
 
     @Test
-    void aMajorityOfThoseThatSentToTheServerDecides() {
+    void aMajorityOfTheDataPlanesThatUsedTheServerDecides() {
         votes.recordSummary(0, "10.0.0.1", failed(3, 0));
-        votes.recordSummary(0, "10.0.0.2", healthy(LATER, 1));
-        votes.recordSummary(0, "10.0.0.3", healthy(LATER, 1));
+        votes.recordSummary(0, "10.0.0.2", healthy(LATER_INCARNATION, 1));
+        votes.recordSummary(0, "10.0.0.3", healthy(LATER_INCARNATION, 1));
         assertFalse(isEjectedByPeersAlone(1));
-        assertTrue(isEjectedAfterOwnFailure(1), "two of four, and a tie goes by own traffic");
+        assertTrue(isEjectedAfterOwnFailure(1), "two of four votes, and its own vote decides a tie");
     }
 
-    /** One success after the failures tells all who hear of it that the server is back. */
+    /** A success after the failures shows every data plane that receives it that the server is healthy again. */
     @Test
-    void aLaterSuccessOutdatesFailures() {
+    void aLaterSuccessInvalidatesFailures() {
         votes.recordSummary(0, "10.0.0.1", failed(9, 0));
         votes.recordSummary(0, "10.0.0.2", failed(9, 100));
         votes.recordSummary(0, "10.0.0.4", failed(9, 0));
@@ -124,19 +128,20 @@
         votes.recordSummary(
                 400,
                 "10.0.0.3",
-                new HealthSummary(LATER, 1, List.of(), List.of(new HealthSummary.Healthy(SERVER_HASH, 0))));
-        assertTrue(isEjectedByPeersAlone(401), "served at much the same time as it failed");
+                new HealthSummary(LATER_INCARNATION, 1, List.of(), List.of(new HealthSummary.Healthy(SERVER_HASH, 0))));
+        assertTrue(isEjectedByPeersAlone(401), "the success is not sufficiently later than the failures");
         votes.recordSummary(
                 900,
                 "10.0.0.3",
-                new HealthSummary(LATER, 2, List.of(), List.of(new HealthSummary.Healthy(SERVER_HASH, 100))));
+                new HealthSummary(
+                        LATER_INCARNATION, 2, List.of(), List.of(new HealthSummary.Healthy(SERVER_HASH, 100))));
         assertFalse(isEjectedByPeersAlone(901));
     }
 
     @Test
     void aSummaryIsDecodedAsItWasEncoded() {
         HealthSummary sent = new HealthSummary(
-                LATER,
+                LATER_INCARNATION,
                 7,
                 List.of(new HealthSummary.Suspected(SERVER_HASH, 3, 1_200)),
                 List.of(new HealthSummary.Healthy(-SERVER_HASH, 400)));
@@ -144,21 +149,23 @@
     }
 
     @Test
-    void aSummaryOfManyServersKeepsToItsBoundAndNamesSuspectedServersFirst() {
+    void aSummaryOfManyServersStaysWithinItsMaximumLengthAndListsSuspectedServersFirst() {
         List<HealthSummary.Suspected> suspected = IntStream.range(0, 30)
                 .mapToObj(hash -> new HealthSummary.Suspected(hash, 1_000, 1_000_000))
                 .toList();
         List<HealthSummary.Healthy> healthy = IntStream.range(100, 200)
                 .mapToObj(hash -> new HealthSummary.Healthy(hash, 0))
                 .toList();
-        byte[] bytes = new HealthSummary(LATER, 1, suspected, healthy).encode();
+        byte[] bytes = new HealthSummary(LATER_INCARNATION, 1, suspected, healthy).encode();
         assertTrue(bytes.length <= HealthSummary.MAX_BYTES);
         HealthSummary read = HealthSummary.decode(bytes).orElseThrow();
         assertEquals(30, read.suspected().size());
         assertEquals(
                 new HealthSummary.Suspected(0, 255, 25_500), read.suspected().get(0));
         assertTrue(read.healthy().size() >= 10, "healthy " + read.healthy().size());
-        for (int length = 0; length < bytes.length; length++) { // torn ones are refused or shorter, never a fault
+        for (int length = 0;
+                length < bytes.length;
+                length++) { // truncated summaries are rejected or shorter, without an exception
             HealthSummary.decode(Arrays.copyOf(bytes, length));
         }
     }
--- a/routing/src/test/java/dewplank/routing/OutcomeWindowTest.java
+++ b/routing/src/test/java/dewplank/routing/OutcomeWindowTest.java
@@ -9,22 +9,22 @@
 import org.junit.jupiter.api.Test;
 
 class OutcomeWindowTest {
-    /** With the design's number of failures the verdict is the decision module's own, on any course of outcomes. */
+    /** With the default minimum number of failures the result equals that of the balancer, for random outcomes. */
     @Test
-    void agreesWithTheBalancersServerHealth() {
+    void agreesWithServerHealthOfTheBalancer() {
         SplittableRandom random = new SplittableRandom(9);
         int unhealthy = 0;
-        for (int course = 0; course < 200; course++) {
+        for (int sequence = 0; sequence < 200; sequence++) {
             ServerHealth health = new ServerHealth();
             OutcomeWindow outcomes = new OutcomeWindow();
-            double failing = random.nextDouble();
+            double failureRate = random.nextDouble();
             double now = 0;
             for (int i = 0; i < 100; i++) {
                 now += random.nextDouble() * 800;
-                String context = "class-" + random.nextInt(3);
-                boolean healthy = random.nextDouble() >= failing;
-                health.observe(now, context, healthy);
-                outcomes.record(now, context, healthy);
+                String requestClass = "class-" + random.nextInt(3);
+                boolean healthy = random.nextDouble() >= failureRate;
+                health.observe(now, requestClass, healthy);
+                outcomes.record(now, requestClass, healthy);
                 assertEquals(
                         health.isUnhealthy(now),
                         outcomes.isUnhealthy(
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void oneFailureMakesASuspectUntilItExpiresOrIsOutdated() {
+    void aServerIsSuspectedUntilItsOnlyFailureExpiresOrSuccessesFollow() {
         OutcomeWindow outcomes = new OutcomeWindow();
         assertFalse(outcomes.isSuspect(0));
         outcomes.record(0, "a", false);
--- a/routing/src/test/java/dewplank/routing/PolicyTest.java
+++ b/routing/src/test/java/dewplank/routing/PolicyTest.java
@@ -11,7 +11,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Each mechanism that is switched off for a trial decides no more. */
+/** Checks that a disabled mechanism has no effect. */
 class PolicyTest {
     private static List<TrackedServer> servers(String... zones) {
         List<TrackedServer> servers = new ArrayList<>();
@@ -21,8 +21,8 @@
         return servers;
     }
 
-    private static ServerPicker without(Mechanism... off) {
-        Policy policy = Policy.without(List.of(off));
+    private static ServerPicker without(Mechanism... disabled) {
+        Policy policy = Policy.without(List.of(disabled));
         return new ServerPicker("here", new HealthVotes(policy), () -> 90, new SplittableRandom(5), policy);
     }
 
@@ -45,7 +45,7 @@
             assertTrue(Policy.ALL_ENABLED.isEnabled(mechanism));
             assertFalse(Policy.without(List.of(mechanism)).isEnabled(mechanism));
         }
-        assertEquals(Optional.empty(), Mechanism.ofOptionName("luck"));
+        assertEquals(Optional.empty(), Mechanism.ofOptionName("unknown"));
     }
 
     @Test
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void withoutPooledFailuresOneDataPlaneHasToSeeThree() {
+    void withoutPooledFailuresOneDataPlaneMustObserveAllFailures() {
         HealthVotes votes = new HealthVotes(Policy.without(List.of(Mechanism.POOLED_FAILURES)));
         HealthSummary one =
                 new HealthSummary(1, 1, List.of(new HealthSummary.Suspected("i-0".hashCode(), 1, 0)), List.of());
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void withoutWeightsAFailingServerIsDrawnAsOften() {
+    void withoutWeightsAFailingServerIsDrawnAsOftenAsOthers() {
         List<TrackedServer> servers = servers("here", "here", "here");
         ServerPicker picker = without(Mechanism.WEIGHTS);
         picker.recordOutcome(0, servers.get(0), "class", false);
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void withoutZonesAnotherZoneIsDrawnAsOften() {
+    void withoutZoneAServerInAnotherZoneIsDrawnAsOftenAsOthers() {
         List<TrackedServer> servers = servers("here", "there", "here");
         assertTrue(picks(without(Mechanism.ZONE), 0, servers, servers.get(1)) > 250);
     }
@@ -101,28 +101,29 @@
     }
 
     @Test
-    void withoutReuseAServerWithoutAConnectionIsPickedAsOften() {
+    void withoutReuseAServerWithoutAConnectionIsPickedAsOftenAsOthers() {
         List<TrackedServer> servers = servers("here", "here");
         PromptPrefix prompt = PromptPrefix.parse("5c1e07a2:8000,91bd3f06:410");
         TrackedServer connected = servers.get(1);
         PrefillDecodePicker.DecodeArguments arguments = new PrefillDecodePicker.DecodeArguments(
                 servers, prompt, Optional.of("here"), server -> server == connected, server -> true, false);
-        PrefillDecodePicker reusing = new PrefillDecodePicker(without());
-        PrefillDecodePicker other = new PrefillDecodePicker(without(Mechanism.REUSE));
-        int fresh = 0;
+        PrefillDecodePicker withReuse = new PrefillDecodePicker(without());
+        PrefillDecodePicker withoutReuse = new PrefillDecodePicker(without(Mechanism.REUSE));
+        int picksWithoutConnection = 0;
         for (int i = 0; i < 100; i++) {
-            assertEquals(connected, reusing.pickDecodeServer(0, arguments).orElseThrow());
-            fresh += other.pickDecodeServer(0, arguments).orElseThrow() == connected ? 0 : 1;
+            assertEquals(connected, withReuse.pickDecodeServer(0, arguments).orElseThrow());
+            picksWithoutConnection +=
+                    withoutReuse.pickDecodeServer(0, arguments).orElseThrow() == connected ? 0 : 1;
         }
-        assertTrue(fresh > 25);
-        for (int i = 0; i < 2; i++) { // a little load weighs more than a connection
+        assertTrue(picksWithoutConnection > 25);
+        for (int i = 0; i < 2; i++) { // a small additional load outweighs a connection
             connected.requestStarted(0, 0);
         }
-        assertNotEquals(connected, reusing.pickDecodeServer(0, arguments).orElseThrow());
+        assertNotEquals(connected, withReuse.pickDecodeServer(0, arguments).orElseThrow());
     }
 
     @Test
-    void withoutHomesPromptsOfOnePrefixSpread() {
+    void withoutHomesPromptsWithTheSamePrefixGoToSeveralServers() {
         List<TrackedServer> servers = servers("here", "here", "here", "here");
         PromptPrefix prompt = PromptPrefix.parse("5c1e07a2:8000,91bd3f06:410");
         PrefillDecodePicker withAffinity = new PrefillDecodePicker(without());
--- a/routing/src/test/java/dewplank/routing/PrefillQueuesTest.java
+++ b/routing/src/test/java/dewplank/routing/PrefillQueuesTest.java
@@ -22,7 +22,7 @@
         return servers;
     }
 
-    private static PrefillQueues queuesThatLearned(long seed, int prompts) {
+    private static PrefillQueues queuesAfterPrompts(long seed, int prompts) {
         SplittableRandom random = new SplittableRandom(seed);
         PrefillQueues queues = new PrefillQueues();
         for (int i = 0; i < prompts; i++) {
@@ -35,24 +35,24 @@
     @Test
     void aFewOfManyServersAreReservedForShortPrompts() {
         List<TrackedServer> servers = servers(47);
-        PrefillQueues queues = queuesThatLearned(1, 200);
+        PrefillQueues queues = queuesAfterPrompts(1, 200);
         List<TrackedServer> forShort = queues.serversFor(servers, SHORT);
         List<TrackedServer> forLong = queues.serversFor(servers, LONG);
-        assertTrue(forShort.size() >= 4 && forShort.size() <= 12, forShort.size() + " for short ones");
+        assertTrue(forShort.size() >= 4 && forShort.size() <= 12, forShort.size() + " for short prompts");
         assertEquals(47, forShort.size() + forLong.size());
         Set<TrackedServer> both = new HashSet<>(forShort);
         both.retainAll(forLong);
         assertEquals(Set.of(), both);
     }
 
-    /** Each sees prompts of its own, so a few servers are in one's long queue and in another's short one. */
+    /** Each data plane estimates lengths from its own prompts, so the data planes assign a few servers differently. */
     @Test
-    void dataPlanesMostlyAgree() {
+    void dataPlanesAgreeOnMostServers() {
         List<TrackedServer> servers = servers(47);
         Set<TrackedServer> inAny = new HashSet<>();
         Set<TrackedServer> inAll = new HashSet<>(servers);
         for (long seed = 0; seed < 90; seed++) {
-            List<TrackedServer> queue = queuesThatLearned(seed, 60).serversFor(servers, SHORT);
+            List<TrackedServer> queue = queuesAfterPrompts(seed, 60).serversFor(servers, SHORT);
             inAny.addAll(queue);
             inAll.retainAll(queue);
         }
@@ -61,21 +61,21 @@
     }
 
     @Test
-    void noneAreReservedOfFewServersForOneLengthOrBeforeEnoughPrompts() {
-        assertEquals(5, queuesThatLearned(1, 200).serversFor(servers(5), SHORT).size());
-        assertEquals(47, queuesThatLearned(1, 5).serversFor(servers(47), SHORT).size());
-        PrefillQueues alike = new PrefillQueues();
+    void noServersAreReservedWithFewServersOrEqualLengthsOrTooFewPrompts() {
+        assertEquals(5, queuesAfterPrompts(1, 200).serversFor(servers(5), SHORT).size());
+        assertEquals(47, queuesAfterPrompts(1, 5).serversFor(servers(47), SHORT).size());
+        PrefillQueues equalLengths = new PrefillQueues();
         for (int i = 0; i < 200; i++) {
-            alike.recordPrompt(LONG);
+            equalLengths.recordPrompt(LONG);
         }
-        assertEquals(47, alike.serversFor(servers(47), LONG).size());
-        assertEquals(47, alike.serversFor(servers(47), SHORT).size());
+        assertEquals(47, equalLengths.serversFor(servers(47), LONG).size());
+        assertEquals(47, equalLengths.serversFor(servers(47), SHORT).size());
     }
 
     @Test
     void aServerThatIsNotReadyIsInNeitherQueue() {
         List<TrackedServer> servers = servers(47);
-        PrefillQueues queues = queuesThatLearned(1, 200);
+        PrefillQueues queues = queuesAfterPrompts(1, 200);
         TrackedServer draining = queues.serversFor(servers, SHORT).get(0);
         draining.updateListing(false, TrackedServer.Stage.PREFILL);
         assertTrue(!queues.serversFor(servers, SHORT).contains(draining));
--- a/routing/src/test/java/dewplank/routing/PromptPrefixTest.java
+++ b/routing/src/test/java/dewplank/routing/PromptPrefixTest.java
@@ -15,7 +15,7 @@
     }
 
     @Test
-    void unreadableHeadersCountAsEmpty() {
+    void invalidSegmentsHaveNoTokensAndMissingHeadersNoKey() {
         assertEquals(Optional.empty(), PromptPrefix.parse(null).affinityKey());
         assertEquals(Optional.empty(), PromptPrefix.parse("").affinityKey());
         assertEquals(0, PromptPrefix.parse("a:-5,b:x").tokens());
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void theNumberOfSegmentsIsBounded() {
+    void theNumberOfSegmentsIsLimited() {
         assertEquals(64, PromptPrefix.parse("a:1,".repeat(1_000)).segments().size());
     }
 }
--- a/routing/src/test/java/dewplank/routing/RetryBudgetTest.java
+++ b/routing/src/test/java/dewplank/routing/RetryBudgetTest.java
@@ -17,20 +17,21 @@
     private static final double SLACK = 56;
 
     @Test
-    void aDataPlaneHasItsPartOfTheSlackOnly() {
+    void aDataPlaneUsesOnlyItsPartOfTheSlack() {
         RetryBudget budget = new RetryBudget(RATIO, WINDOW_MS, SLACK);
         int acquired = 0;
         while (budget.tryAcquire(0, 8)) {
             acquired++;
         }
         assertTrue(acquired > 0 && acquired <= SLACK / 8, "acquired " + acquired);
-        assertFalse(budget.tryAcquire(WINDOW_MS, 8), "what was sent still counts");
+        assertFalse(budget.tryAcquire(WINDOW_MS, 8), "the retries that were sent still count");
         assertTrue(budget.tryAcquire(1.2 * WINDOW_MS, 8));
     }
 
-    /** The sum over data planes keeps to the rule in every window, whatever they ask for. */
+    /** In every window the sum over all data planes stays within the budget, for random requests and retries. */
     @Property(tries = 200)
-    void theFleetKeepsToTheBudget(@ForAll @IntRange(min = 1, max = 12) int dataPlanes, @ForAll @LongRange long seed) {
+    void theFleetStaysWithinTheBudget(
+            @ForAll @IntRange(min = 1, max = 12) int dataPlanes, @ForAll @LongRange long seed) {
         java.util.SplittableRandom random = new java.util.SplittableRandom(seed);
         List<RetryBudget> budgets = new ArrayList<>();
         for (int i = 0; i < dataPlanes; i++) {
@@ -56,16 +57,16 @@
                     .filter(sentAtMs -> sentAtMs > start && sentAtMs <= end)
                     .count();
             assertTrue(
-                    sent <= RATIO * requested + SLACK, sent + " repeats of " + requested + " requests, seed " + seed);
+                    sent <= RATIO * requested + SLACK, sent + " retries of " + requested + " requests, seed " + seed);
         }
     }
 
     /**
-     * The same while the membership that each data plane has is short: after a restart of the control planes, and on
-     * both sides of a partition. All request all that they may have.
+     * The fleet stays within the budget while the membership at each data plane is incomplete: after a restart of the
+     * control planes, and on both sides of a partition. All data planes take as many retries as they can.
      */
     @Property(tries = 200)
-    void theFleetKeepsToTheBudgetWhileMembershipsAreShort(
+    void theFleetStaysWithinTheBudgetWhileMembershipsAreIncomplete(
             @ForAll @IntRange(min = 2, max = 12) int dataPlanes, @ForAll @LongRange long seed) {
         java.util.SplittableRandom random = new java.util.SplittableRandom(seed);
         List<RetryBudget> budgets = new ArrayList<>();
@@ -74,19 +75,21 @@
             budgets.add(new RetryBudget(RATIO, WINDOW_MS, SLACK));
             estimators.add(new FleetSizeEstimator(WINDOW_MS));
         }
-        // by then all sessions are open, and every membership is complete
+        // from this time on all sessions are open and every membership is complete
         double completeFromMs = 0.2 * WINDOW_MS * random.nextDouble();
         double partitionedFromMs = WINDOW_MS + 2 * WINDOW_MS * random.nextDouble();
         double partitionedUntilMs = partitionedFromMs + 4 * WINDOW_MS * random.nextDouble();
         List<Double> retries = new ArrayList<>();
         for (double nowMs = 0; nowMs < 8 * WINDOW_MS; nowMs += 100 * random.nextDouble()) {
-            int asking = random.nextInt(dataPlanes);
-            boolean isShort = nowMs < completeFromMs || nowMs >= partitionedFromMs && nowMs < partitionedUntilMs;
-            estimators.get(asking).recordMembership(nowMs, isShort ? 1 + random.nextInt(dataPlanes) : dataPlanes);
-            int sharers = estimators.get(asking).isSettled(nowMs)
-                    ? estimators.get(asking).dataPlanes(nowMs)
+            int dataPlane = random.nextInt(dataPlanes);
+            boolean isIncomplete = nowMs < completeFromMs || nowMs >= partitionedFromMs && nowMs < partitionedUntilMs;
+            estimators
+                    .get(dataPlane)
+                    .recordMembership(nowMs, isIncomplete ? 1 + random.nextInt(dataPlanes) : dataPlanes);
+            int estimatedDataPlanes = estimators.get(dataPlane).isSettled(nowMs)
+                    ? estimators.get(dataPlane).dataPlanes(nowMs)
                     : RetryBudget.NO_SLACK;
-            while (budgets.get(asking).tryAcquire(nowMs, sharers)) {
+            while (budgets.get(dataPlane).tryAcquire(nowMs, estimatedDataPlanes)) {
                 retries.add(nowMs);
             }
         }
@@ -95,7 +98,7 @@
             long sent = retries.stream()
                     .filter(sentAtMs -> sentAtMs > start && sentAtMs <= end)
                     .count();
-            assertTrue(sent <= SLACK, sent + " repeats, seed " + seed);
+            assertTrue(sent <= SLACK, sent + " retries, seed " + seed);
         }
     }
 }
--- a/routing/src/test/java/dewplank/routing/RoutingParametersTest.java
+++ b/routing/src/test/java/dewplank/routing/RoutingParametersTest.java
@@ -4,12 +4,12 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Pins each figure by its name: their constructors take several numbers in a row, which could change places unseen. */
+/** Checks each value by name, because constructors with several numbers in a row do not detect swapped arguments. */
 class RoutingParametersTest {
     private static final RoutingParameters DEFAULTS = RoutingParameters.DEFAULTS;
 
     @Test
-    void loadOfServersIsCountedWithTheMeasuredFigures() {
+    void parametersOfServerLoad() {
         assertEquals(38, DEFAULTS.prefillLoad().tokensPerMs());
         assertEquals(2, DEFAULTS.prefillLoad().cachedPrefixCredit());
         assertEquals(150, DEFAULTS.prefillLoad().stalledAfterMs());
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void shortPromptsGetTheirServersByTheseFigures() {
+    void parametersOfThePromptSplit() {
         assertEquals(4, DEFAULTS.promptSplit().minServers());
         assertEquals(1.25, DEFAULTS.promptSplit().shortHeadroom());
         assertEquals(0.03125, DEFAULTS.promptSplit().sampleWeight());
@@ -35,11 +35,11 @@
     }
 
     @Test
-    void unhealthyServersAreEjectedAndTriedByTheseFigures() {
+    void parametersOfEjectionAndHealthGossip() {
         assertEquals(3, DEFAULTS.ejection().minFailures());
         assertEquals(10_000, DEFAULTS.ejection().outcomeWindowMs());
         assertEquals(500, DEFAULTS.ejection().outdatedAfterMs());
-        assertEquals(100, DEFAULTS.ejection().verdictValidMs());
+        assertEquals(100, DEFAULTS.ejection().decisionValidMs());
         assertEquals(3, DEFAULTS.ejection().trialsPerSecond());
         assertEquals(1_000, DEFAULTS.ejection().minTrialIntervalMs());
         assertEquals(1_000, DEFAULTS.healthGossip().intervalMs());
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void stagesArePlannedByTheseFigures() {
+    void parametersOfStagePlanning() {
         assertEquals(0.25, DEFAULTS.stagePlanning().minDecodeFraction());
         assertEquals(0.5, DEFAULTS.stagePlanning().maxSlotFraction());
         assertEquals(0.8, DEFAULTS.stagePlanning().maxMemoryFraction());
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void retriesBackoffAndHedgingUseTheseFigures() {
+    void parametersOfRetriesBackoffAndHedging() {
         assertEquals(0.6, DEFAULTS.retryBudget().slackFraction());
         assertEquals(0.8, DEFAULTS.retryBudget().ratioFraction());
         assertEquals(1.1, DEFAULTS.retryBudget().windowFactor());
