--- a/routing/src/test/java/dewplank/routing/ServerPickerTest.java
+++ b/routing/src/test/java/dewplank/routing/ServerPickerTest.java
@@ -24,7 +24,7 @@
         return servers;
     }
 
-    private static HealthSummary suspecting() {
+    private static HealthSummary suspicionOfFirstServer() {
         return new HealthSummary(1, 1, List.of(new HealthSummary.Suspected("i-0".hashCode(), 3, 0)), List.of());
     }
 
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void ofTwoTheServerWithFewerRequestsInFlightIsPicked() {
+    void theServerWithFewerRequestsInFlightIsPicked() {
         List<TrackedServer> servers = servers(2);
         servers.get(0).requestStarted(0, 0);
         for (int i = 0; i < 50; i++) {
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void anEjectedServerGetsOneTrialASecondUntilOneIsServed() {
+    void anEjectedServerGetsOneTrialPerSecondUntilOneIsServed() {
         List<TrackedServer> servers = servers(4);
         TrackedServer unhealthy = servers.get(0);
         recordFailures(unhealthy, 0, 3);
@@ -63,11 +63,11 @@
         for (int i = 0; i < 200; i++) {
             picked.merge(pick(13_100, servers, false), 1, Integer::sum);
         }
-        assertTrue(picked.containsKey(unhealthy), "it is drawn again");
+        assertTrue(picked.containsKey(unhealthy), "the server is drawn again");
     }
 
     @Test
-    void onlyRequestsThatAllowItAreTrials() {
+    void onlyRequestsThatAllowTrialsAreTrials() {
         List<TrackedServer> servers = servers(4);
         recordFailures(servers.get(0), 0, 3);
         for (double nowMs = 10; nowMs < 2_000; nowMs += 10) {
@@ -88,28 +88,28 @@
     }
 
     @Test
-    void votesOfPeersEjectAServerThatServedHere() {
+    void votesOfPeersEjectAServerThatIsHealthyAtThisDataPlane() {
         List<TrackedServer> servers = servers(3);
         picker.recordOutcome(0, servers.get(0), "class", true);
         for (String peer : List.of("a", "b", "c")) {
-            votes.recordSummary(1, peer, suspecting());
+            votes.recordSummary(1, peer, suspicionOfFirstServer());
         }
         assertTrue(picker.isEjected(200, servers.get(0)));
-        assertTrue(!picker.isEjected(4_000, servers.get(0)), "summaries grow stale");
+        assertTrue(!picker.isEjected(4_000, servers.get(0)), "the summaries have expired");
     }
 
     @Test
-    void onlyPeersThatSentToTheServerVote() {
+    void onlyPeersThatUsedTheServerVote() {
         List<TrackedServer> servers = servers(4);
         for (int i = 0; i < 20; i++) {
             votes.recordSummary(1, "silent" + i, new HealthSummary(1, 1, List.of(), List.of()));
         }
-        votes.recordSummary(1, "a", suspecting());
-        votes.recordSummary(1, "b", suspecting());
-        assertTrue(picker.isEjected(200, servers.get(0)), "two of the three that vote");
+        votes.recordSummary(1, "a", suspicionOfFirstServer());
+        votes.recordSummary(1, "b", suspicionOfFirstServer());
+        assertTrue(picker.isEjected(200, servers.get(0)), "two of three votes");
         votes.recordSummary(
                 1, "c", new HealthSummary(1, 1, List.of(), List.of(new HealthSummary.Healthy("i-0".hashCode(), 0))));
-        assertTrue(!picker.isEjected(400, servers.get(0)), "two of four, and own traffic is well");
+        assertTrue(!picker.isEjected(400, servers.get(0)), "two of four votes, and its own vote decides a tie");
     }
 
     @Test
@@ -124,7 +124,7 @@
     }
 
     @Test
-    void theOwnerOfAPrefixIsPickedUnlessItsLoadIsHigherByMoreThanTheCredit() {
+    void theOwnerOfAPrefixIsPickedUnlessItsLoadExceedsTheCredit() {
         List<TrackedServer> servers = servers(3);
         TrackedServer owner = PrefixAffinity.ownerOf("5c1e07a2", servers).orElseThrow();
         ServerPicker.PickArguments arguments = new ServerPicker.PickArguments(
@@ -136,7 +136,7 @@
     }
 
     @Test
-    void onlyTheKeysOfARemovedServerChangeTheirOwner() {
+    void onlyKeysOfARemovedServerChangeTheirOwner() {
         List<TrackedServer> servers = servers(5);
         List<TrackedServer> fewer = servers.subList(0, 4);
         int moved = 0;
@@ -152,9 +152,9 @@
         assertTrue(moved > 120 && moved < 280, "moved " + moved);
     }
 
-    /** Ninety data planes together send an ejected server a few trials a second, however many requests they have. */
+    /** Ninety data planes together send an ejected server a few trials per second, regardless of the request rate. */
     @Test
-    void trialsArePacedOverTheFleet() {
+    void theRateOfTrialsIsLimitedOverTheFleet() {
         int dataPlanes = 90;
         SplittableRandom random = new SplittableRandom(3);
         List<ServerPicker> fleet = new ArrayList<>();
--- a/routing/src/test/java/dewplank/routing/StagePlannerTest.java
+++ b/routing/src/test/java/dewplank/routing/StagePlannerTest.java
@@ -15,7 +15,9 @@
     private static final int SLOTS = 48;
     private static final List<String> ZONES = List.of("a", "b", "c");
 
-    /** So many servers in three zones, of which the first ones prefill; each has so many requests. */
+    /**
+     * Creates servers in three zones; the first {@code prefill} of them prefill, and each has {@code load} requests.
+     */
     private static List<ModelServer> modelServers(int count, int prefill, int load) {
         List<ModelServer> servers = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -39,42 +41,42 @@
     }
 
     @Test
-    void whileNothingRunsAllThatDecodeNeedlesslyChangeAtOnceAndZonesKeepEvenShares() {
+    void withoutRequestsAllExcessDecodeServersChangeAtOnceAndZonesStayBalanced() {
         List<ModelServer> servers = modelServers(63, 26, 0);
         List<StageChange> changes = StagePlanner.planChanges(servers);
-        assertEquals(21, changes.size()); // a quarter of 63, rounded up, goes on to decode
-        List<ModelServer> then = after(servers, changes);
-        Map<String, Long> decode = then.stream()
+        assertEquals(21, changes.size()); // a quarter of 63, rounded up, continues to decode
+        List<ModelServer> planned = after(servers, changes);
+        Map<String, Long> decode = planned.stream()
                 .filter(server -> !server.isPrefill())
                 .collect(Collectors.groupingBy(ModelServer::zone, Collectors.counting()));
         assertTrue(
                 decode.values().stream().allMatch(count -> count >= 5 && count <= 6),
                 "decode servers by zone " + decode);
-        assertEquals(List.of(), StagePlanner.planChanges(then), "nothing is ordered twice");
+        assertEquals(List.of(), StagePlanner.planChanges(planned), "no change is ordered twice");
     }
 
     @Test
-    void whileRequestsRunNoMoreThanATenthChangeAtOnce() {
+    void whileRequestsRunAtMostATenthOfTheServersChangeAtOnce() {
         List<ModelServer> servers = modelServers(63, 26, 1);
         List<StageChange> first = StagePlanner.planChanges(servers);
         assertEquals(6, first.size());
-        assertEquals(List.of(), StagePlanner.planChanges(after(servers, first)), "those under way count");
-        assertEquals(1, StagePlanner.planChanges(modelServers(8, 3, 1)).size(), "of few servers one");
+        assertEquals(List.of(), StagePlanner.planChanges(after(servers, first)), "changes in progress count");
+        assertEquals(1, StagePlanner.planChanges(modelServers(8, 3, 1)).size(), "one change with few servers");
     }
 
     @Test
-    void crowdedDecodeServersGetAsManyMoreAsTheyNeed() {
+    void overloadedDecodeServersGetAsManyMoreAsTheyNeed() {
         List<ModelServer> servers = new ArrayList<>(modelServers(40, 30, 1));
         servers.replaceAll(
                 server -> server.isPrefill() ? server : modelServer(server.instanceId(), server.zone(), false, 28));
         List<StageChange> changes = StagePlanner.planChanges(servers);
-        assertEquals(2, changes.size()); // 280 requests, half the places of 10 servers 240, of 12 servers 288
+        assertEquals(2, changes.size()); // 280 requests; half of the slots are 240 with 10 servers and 288 with 12
         assertTrue(changes.stream().noneMatch(StageChange::toPrefill));
         assertEquals(2, changes.stream().map(StageChange::instanceId).distinct().count());
     }
 
     @Test
-    void aLoneServerIsLeftAsItIs() {
+    void aSingleServerDoesNotChange() {
         assertEquals(List.of(), StagePlanner.planChanges(modelServers(1, 0, 0)));
         assertEquals(List.of(), StagePlanner.planChanges(List.of()));
     }
