--- a/routing/src/main/java/dewplank/quota/QuotaBuckets.java
+++ b/routing/src/main/java/dewplank/quota/QuotaBuckets.java
@@ -55,12 +55,12 @@
      *
      * @param nowMs the current time on the loop's clock
      * @param newFraction the share, from 0 to 1; 0 empties all buckets
-     * @param endsAtMs when the share expires, on the loop's clock, unless another call replaces it earlier
+     * @param expiresAtMs when the share expires, on the loop's clock, unless another call replaces it earlier
      */
-    public void updateShare(double nowMs, double newFraction, double endsAtMs) {
+    public void updateShare(double nowMs, double newFraction, double expiresAtMs) {
         expireShare(nowMs);
-        fraction = nowMs < endsAtMs ? newFraction : 0;
-        shareExpiresAtMs = endsAtMs;
+        fraction = nowMs < expiresAtMs ? newFraction : 0;
+        shareExpiresAtMs = expiresAtMs;
         configureBuckets(nowMs);
     }
 
--- a/routing/src/main/java/dewplank/quota/TokenStock.java
+++ b/routing/src/main/java/dewplank/quota/TokenStock.java
@@ -14,7 +14,7 @@
  * milliseconds of the loop's clock.
  */
 public final class TokenStock {
-    /** Limits what one data plane takes at once from a bucket that all of them share, whatever the tenant's rate. */
+    /** Limits what one data plane takes at once from a bucket that all share, regardless of the tenant's rate. */
     static final int MAX_TOKENS_PER_REQUEST = 64;
     /** The longest time for which a refusal counts, in milliseconds, as limits and shares may have grown since. */
     static final double MAX_REFUSAL_MS = 1_000;
@@ -23,18 +23,18 @@
 
     /** Tokens that were requested together. */
     private static final class Batch {
-        private final double endsAtMs;
+        private final double expiresAtMs;
         private int tokens;
 
-        private Batch(int tokens, double endsAtMs) {
+        private Batch(int tokens, double expiresAtMs) {
             this.tokens = tokens;
-            this.endsAtMs = endsAtMs;
+            this.expiresAtMs = expiresAtMs;
         }
     }
 
     private final double lifetimeMs;
     private final PriorityQueue<Batch> batches =
-            new PriorityQueue<>(Comparator.comparingDouble((Batch batch) -> batch.endsAtMs));
+            new PriorityQueue<>(Comparator.comparingDouble((Batch batch) -> batch.expiresAtMs));
     private final ArrayDeque<Double> requestsAtMs = new ArrayDeque<>();
     private double refusedUntilMs = Double.NEGATIVE_INFINITY;
 
@@ -85,9 +85,9 @@
      */
     public void add(double nowMs, int tokens, double requestedAtMs) {
         evictBatches(nowMs);
-        double endsAtMs = requestedAtMs + lifetimeMs;
-        if (tokens > 0 && nowMs < endsAtMs) {
-            batches.add(new Batch(tokens, endsAtMs));
+        double expiresAtMs = requestedAtMs + lifetimeMs;
+        if (tokens > 0 && nowMs < expiresAtMs) {
+            batches.add(new Batch(tokens, expiresAtMs));
             refusedUntilMs = Double.NEGATIVE_INFINITY;
         }
     }
@@ -129,7 +129,7 @@
     }
 
     private void evictBatches(double nowMs) {
-        while (!batches.isEmpty() && nowMs >= batches.peek().endsAtMs) {
+        while (!batches.isEmpty() && nowMs >= batches.peek().expiresAtMs) {
             batches.remove();
         }
     }
