--- a/controlplane/src/main/java/dewplank/controlplane/AcceptorReconfigurer.java
+++ b/controlplane/src/main/java/dewplank/controlplane/AcceptorReconfigurer.java
@@ -11,19 +11,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Changes the register's acceptors to those that {@link AcceptorPlacement} computes from the live control planes: a
- * lost acceptor is replaced, and the set grows as machines with a disk appear.
+ * Changes the register's acceptor set to the one that {@link AcceptorPlacement} computes from the live control planes:
+ * replaces lost acceptors, and grows the set as machines with a disk appear.
  *
- * <p>Only the lease holder changes the set, one change at a time. Every control plane runs the computation all the
- * same: a new lease holder then knows already for how long a machine has been missing. On the loop's thread only; a
- * change that fails is computed anew at a later check.
+ * <p>Only the lease holder changes the set, one change at a time. Every control plane runs the computation
+ * nevertheless, so that a new lease holder already knows how long a machine has been missing. Runs on the loop's thread
+ * only. A change that fails is computed again at a later check.
  */
 final class AcceptorReconfigurer {
     private static final Logger LOG = LoggerFactory.getLogger(AcceptorReconfigurer.class);
     private static final double CHECK_INTERVAL_MS = 100;
-    /** A quorum that answered within this is taken to be reachable still: more than two anti-entropy rounds. */
+    /** A quorum that replied within this time is assumed to be reachable. Covers more than two anti-entropy rounds. */
     private static final double QUORUM_VALIDITY_MS = 1_000;
-    /** A change that has not completed by then is computed anew from what is known then. */
+    /** A change that has not completed within this time is computed again from the state at that time. */
     private static final double CHANGE_TIMEOUT_MS = 1_000;
 
     private final Scheduler loop;
@@ -68,7 +68,7 @@
     private List<PeerObservation> observations() {
         double now = loop.now();
         List<PeerObservation> observations = new ArrayList<>();
-        // Only a process with a disk runs this, and it has always been in touch with itself.
+        // Only a process with a disk runs this check, and its own heartbeat is always current.
         observations.add(new PeerObservation(self, true, now, Double.NEGATIVE_INFINITY));
         for (ControlMesh.Peer p : mesh.peers(Double.POSITIVE_INFINITY)) {
             AcceptorId peer = new AcceptorId(p.member().address, p.identity());
--- a/controlplane/src/main/java/dewplank/controlplane/ConfigurationCalls.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ConfigurationCalls.java
@@ -11,15 +11,15 @@
 import java.util.function.Consumer;
 
 /**
- * Operators' reads and changes of the configuration: turns a call into a request of the register, and its outcome into
- * a numbered result. Called by {@link OperatorApi}, on the loop's thread only.
+ * Handles operators' calls that read or change the configuration: converts a call to a request to the register, and the
+ * outcome of the request to a numbered result. Called by {@link OperatorApi} on the loop's thread only.
  */
 final class ConfigurationCalls {
-    /** Callers move on after a second without a response. */
+    /** Below one second, after which a caller without a response calls another control plane. */
     private static final double CHANGE_TIMEOUT_MS = 850;
 
     private static final double READ_TIMEOUT_MS = 850;
-    /** A large configuration takes longer to send, to parse and to store. */
+    /** Longer, because a large configuration takes more time to send, to parse and to store. */
     private static final double LARGE_CHANGE_TIMEOUT_MS = 1_500;
 
     private static final int LARGE_CHANGE_BYTES = 64 * 1024;
@@ -30,7 +30,7 @@
         this.configurations = configurations;
     }
 
-    /** Reads the newest configuration at a quorum. */
+    /** Reads the newest configuration from a quorum. */
     void read(Consumer<OperatorResponse> respond) {
         configurations.read(READ_TIMEOUT_MS, outcome -> respond.accept(responseToRead(outcome)));
     }
@@ -38,18 +38,18 @@
     /**
      * Changes the configuration.
      *
-     * @param patch whether the body is a patch; a whole configuration otherwise
-     * @throws RejectedCallException if the call does not name the version that it builds on
+     * @param patch whether the body is a patch; otherwise it is a complete configuration
+     * @throws RejectedCallException if the {@code If-Match} header is missing or is not a version
      */
     void change(InboundConnection.Request request, boolean patch, Consumer<OperatorResponse> respond)
             throws RejectedCallException {
         long baseVersion = baseVersion(request.headers().get("If-Match"));
         ChangeRequest change = new ChangeRequest(patch, baseVersion, request.body());
-        double withinMs = request.body().length > LARGE_CHANGE_BYTES ? LARGE_CHANGE_TIMEOUT_MS : CHANGE_TIMEOUT_MS;
-        configurations.change(change, withinMs, outcome -> respond.accept(responseToChange(outcome)));
+        double timeoutMs = request.body().length > LARGE_CHANGE_BYTES ? LARGE_CHANGE_TIMEOUT_MS : CHANGE_TIMEOUT_MS;
+        configurations.change(change, timeoutMs, outcome -> respond.accept(responseToChange(outcome)));
     }
 
-    /** The version that If-Match names, with or without quotes. */
+    /** Parses the version in the {@code If-Match} header, with or without quotes. */
     private static long baseVersion(String ifMatch) throws RejectedCallException {
         if (ifMatch == null) {
             throw new RejectedCallException(
--- a/controlplane/src/main/java/dewplank/controlplane/ConfigurationHistory.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ConfigurationHistory.java
@@ -8,39 +8,39 @@
 import java.util.Map;
 
 /**
- * The last configurations that the register has chosen, and the encoded updates that lead from each to the newest.
+ * The most recent configurations that the register has chosen, and the encoded updates from each of them to the newest.
  *
- * <p>Updates are encoded once per base version, however many data planes need them. On the loop's thread only.
+ * <p>Each update is encoded once, regardless of the number of data planes that need it. Used on the loop's thread only.
  */
 final class ConfigurationHistory {
-    /** Versions to compute a difference from; a data plane with an older one gets the full text. */
+    /** Versions from which a delta can be computed; data planes with older ones receive the full configuration. */
     private static final int MAX_VERSIONS = 8;
 
     /**
-     * An update as it is sent, compressed.
+     * A compressed update, ready to be sent.
      *
-     * @param baseVersion the version that it is a difference to; 0 for a full text
+     * @param baseVersion the version to which the delta applies; 0 for a full configuration
      */
     record EncodedUpdate(byte[] bytes, long baseVersion) {}
 
     private final ArrayDeque<Configuration> versions = new ArrayDeque<>();
     private final Map<Long, EncodedUpdate> encoded = new HashMap<>();
 
-    /** Null before the first. */
+    /** The newest configuration; null if none has been chosen yet. */
     Configuration newest() {
         return versions.peekLast();
     }
 
-    /** Version of the newest; 0 before the first. */
+    /** The version of the newest configuration; 0 if none has been chosen yet. */
     long version() {
         return versions.isEmpty() ? 0 : newest().version();
     }
 
     /**
-     * Adds a configuration that was chosen.
+     * Adds a configuration that the register has chosen.
      *
-     * @param configuration null where the register has none yet
-     * @return whether it was newer than the newest here, and was added
+     * @param configuration null if the register has none yet
+     * @return whether the configuration was added, because it is newer than all configurations added before
      */
     boolean add(Configuration configuration) {
         if (configuration == null || configuration.version() <= version()) {
@@ -54,7 +54,7 @@
         return true;
     }
 
-    /** The update to the newest configuration from that version; 0 for none. */
+    /** The update from the given version, 0 for no configuration, to the newest configuration. */
     EncodedUpdate updateFrom(long baseVersion) {
         return encoded.computeIfAbsent(baseVersion, this::encode);
     }
--- a/controlplane/src/main/java/dewplank/controlplane/ConfigurationStore.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ConfigurationStore.java
@@ -25,36 +25,36 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The configuration in the replicated register: drives {@link Register}, which is pure, with messages, the disk and
- * time.
+ * Stores the configuration in the replicated register. Supplies {@link Register}, which does no I/O itself, with
+ * messages, disk writes and timer ticks.
  *
- * <p>On the loop's thread only. A request ends with exactly one {@link Outcome}, at its deadline at the latest; none
- * throws.
+ * <p>Used on the loop's thread only. Each request completes with exactly one {@link Outcome}, at its deadline at the
+ * latest, and none throws.
  */
 final class ConfigurationStore
         implements Register.Effects<ChangeResult>, OperatorApi.Configurations, SingletonRoles.Voters {
     private static final Logger LOG = LoggerFactory.getLogger(ConfigurationStore.class);
     private static final double TICK_INTERVAL_MS = 25;
-    /** A round takes two round trips and two synced writes: a few milliseconds on an idle machine. */
+    /** A round consists of two round trips and two synced writes, which take a few milliseconds on an idle machine. */
     private static final double ROUND_TIMEOUT_MS = 250;
     /** Bounds of the random backoff before a round is retried. */
     private static final double RETRY_MIN_MS = 10;
 
     private static final double RETRY_MAX_MS = 120;
-    /** Peers compare what they have chosen this often. */
+    /** How often peers compare the values that they know to be chosen. */
     private static final double ANTI_ENTROPY_INTERVAL_MS = 400;
 
-    /** Where the acceptor's states are stored. */
+    /** Stores the acceptor's state. */
     interface Disk {
         /**
-         * Saves and syncs.
+         * Writes and syncs the state.
          *
-         * @param done receives whether that succeeded, in a later task of the loop
+         * @param done receives the result of the write, in a later task of the loop
          */
         void save(DurableState state, Consumer<DiskResult> done);
     }
 
-    /** What the register needs of its environment. On the loop's thread. */
+    /** Sends the register's messages and receives the configurations that it chooses. Called on the loop's thread. */
     interface RegisterEnvironment {
         void send(String address, RegisterMessage message);
 
@@ -108,12 +108,12 @@
         register.handleMessage(loop.now(), message, this);
     }
 
-    /** A control plane has become reachable: queries it for what it has chosen, which may be newer. */
+    /** Queries a control plane that has become reachable for its chosen value, which may be newer. */
     void queryPeer(String address) {
         register.queryStatus(loop.now(), address, this);
     }
 
-    // ---- effects of the register ------ -----------------------------------------------------------------
+    // ---- effects of the register -----------------------------------------------------------------------
 
     @Override
     public void send(String address, RegisterMessage message) {
@@ -121,12 +121,12 @@
     }
 
     @Override
-    public void store(long ticket, DurableState state) {
+    public void store(long storeId, DurableState state) {
         disk.save(state, result -> {
             if (result.isSuccess()) {
-                register.handleStored(loop.now(), ticket, this);
+                register.handleStored(loop.now(), storeId, this);
             } else {
-                register.handleStoreFailed(loop.now(), ticket, this);
+                register.handleStoreFailed(loop.now(), storeId, this);
             }
         });
     }
@@ -142,17 +142,22 @@
 
     @Override
     public void completed(long request, Outcome<ChangeResult> outcome) {
-        Consumer<Outcome<ChangeResult>> then = pendingRequests.remove(request);
-        if (then != null) {
-            then.accept(outcome);
+        Consumer<Outcome<ChangeResult>> callback = pendingRequests.remove(request);
+        if (callback != null) {
+            callback.accept(outcome);
         }
     }
 
     // ---- requests -------------------------------------------------------------------------------------
 
     @Override
-    public void change(ChangeRequest change, double withinMs, Consumer<Outcome<ChangeResult>> then) {
-        register.change(loop.now(), request(then), payload -> decide(change, payload), loop.now() + withinMs, this);
+    public void change(ChangeRequest change, double timeoutMs, Consumer<Outcome<ChangeResult>> callback) {
+        register.change(
+                loop.now(),
+                addPendingRequest(callback),
+                payload -> decide(change, payload),
+                loop.now() + timeoutMs,
+                this);
     }
 
     private static Decision<ChangeResult> decide(ChangeRequest change, byte[] payload) {
@@ -163,26 +168,27 @@
     }
 
     @Override
-    public void read(double withinMs, Consumer<Outcome<ChangeResult>> then) {
-        register.read(loop.now(), request(then), loop.now() + withinMs, this);
+    public void read(double timeoutMs, Consumer<Outcome<ChangeResult>> callback) {
+        register.read(loop.now(), addPendingRequest(callback), loop.now() + timeoutMs, this);
     }
 
     /**
      * Changes the set of acceptors.
      *
-     * @param expectedGeneration of the set that the change was computed from; nothing is changed if another is in force
-     * @param then runs when the change has ended, whatever its outcome
+     * @param expectedGeneration the generation of the set from which the change was computed; the set is not changed if
+     *     another generation is in force
+     * @param callback runs when the request has completed, with any outcome
      */
-    void replaceAcceptors(long expectedGeneration, List<AcceptorId> target, double withinMs, Runnable then) {
+    void replaceAcceptors(long expectedGeneration, List<AcceptorId> target, double timeoutMs, Runnable callback) {
         register.reconfigure(
                 loop.now(),
-                request(outcome -> {
-                    then.run();
+                addPendingRequest(outcome -> {
+                    callback.run();
                     logAcceptorChange(outcome);
                 }),
                 expectedGeneration,
                 target,
-                loop.now() + withinMs,
+                loop.now() + timeoutMs,
                 this);
     }
 
@@ -196,9 +202,9 @@
         }
     }
 
-    private long request(Consumer<Outcome<ChangeResult>> then) {
+    private long addPendingRequest(Consumer<Outcome<ChangeResult>> callback) {
         long request = ++nextRequest;
-        pendingRequests.put(request, then);
+        pendingRequests.put(request, callback);
         return request;
     }
 
@@ -217,7 +223,7 @@
         return register.endedAcceptors();
     }
 
-    /** Replaces the acceptors before the first chosen value. */
+    /** Replaces the initial acceptors, which are in force until a value is known to be chosen. */
     void updateInitialAcceptors(AcceptorSet initialAcceptors) {
         register.updateInitialAcceptors(initialAcceptors);
     }
@@ -227,28 +233,28 @@
         return register.chosenValue() != null;
     }
 
-    /** Whether none is, and the initial acceptors, without a disk, have all ended. */
+    /** Whether no value is known to be chosen and the initial acceptors, all without a disk, have ended. */
     boolean areInitialAcceptorsEnded() {
         return register.areInitialAcceptorsEnded();
     }
 
-    /** Milliseconds since the last request that a quorum answered was sent; -1 where none was in this incarnation. */
+    /** Age of the last request to which a quorum replied, in milliseconds; -1 if there is none in this incarnation. */
     long quorumAgeMs() {
         double at = register.lastQuorumAtMs();
         return at == Double.NEGATIVE_INFINITY ? -1 : Math.round(loop.now() - at);
     }
 
-    /** Whether a quorum has confirmed within so many milliseconds that the value here is the newest. */
+    /** Whether a quorum has confirmed within the last {@code withinMs} that the value stored here is the newest. */
     boolean isCurrent(double withinMs) {
         return register.isCurrent(loop.now(), withinMs);
     }
 
-    /** A time by when nothing newer than the value here had been chosen; negative infinity where none is known. */
+    /** The latest time at which the value stored here is known to have been the newest; negative infinity if none. */
     double lastCurrentAtMs() {
         return register.lastCurrentAtMs();
     }
 
-    /** Whether a quorum has answered within so many milliseconds. */
+    /** Whether a quorum has replied within the last {@code withinMs}. */
     boolean hasQuorum(double withinMs) {
         return register.lastQuorumAtMs() >= loop.now() - withinMs;
     }
--- a/controlplane/src/main/java/dewplank/controlplane/ControlComponents.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ControlComponents.java
@@ -27,16 +27,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The parts of a control plane and the wiring between them: who is notified of what. {@link ControlPlane} starts and
- * ends them.
+ * Creates the components of a control plane and connects them to each other. {@link ControlPlane} starts and stops
+ * them.
  *
- * <p>Parts are created in a fixed order, since some draw from the process's random numbers; a simulation replays it.
- * After construction on the loop's thread only.
+ * <p>The components are created in a fixed order, because some draw random numbers when they are created and a
+ * simulation has to be able to replay them. After construction, used on the loop's thread only.
  */
 final class ControlComponents {
     private static final Logger LOG = LoggerFactory.getLogger(ControlComponents.class);
 
-    /** A data plane whose heartbeats are missing for so long is no member any more. */
+    /** A data plane stops being a member when no heartbeat has arrived for this time. */
     private static final double SESSION_LEASE_MS = 2_000;
 
     private final Scheduler loop;
@@ -66,30 +66,31 @@
     private Set<String> seeds = Set.of();
 
     /**
-     * Opens the disk and creates all parts; nothing runs yet.
+     * Opens the disk and creates all components, without starting them.
      *
-     * @param diskUsable told on the loop's thread when a disk that failed now can be used
+     * @param onDiskUsable called on the loop's thread when a disk that could not be opened here has become usable
      */
     ControlComponents(
             NodeSettings settings,
             ControlEnvironment environment,
             MessageCodec codec,
             Policy policy,
-            Runnable diskUsable) {
+            Runnable onDiskUsable) {
         NodeSettings.Bounds bounds = settings.bounds();
         loop = environment.scheduler();
         node = settings.nodeName();
         address = settings.address() + ":" + settings.internalPorts()[0];
         RandomGenerator random = environment.random();
-        Bootstrap.OpenedStorage opened = Bootstrap.storage(settings, environment, codec, address);
+        Bootstrap.OpenedStorage opened = Bootstrap.openStorage(settings, environment, codec, address);
         storage = opened.storage();
         durable = storage.isDurable();
         diskFailure = opened.diskFailure();
         diskRecovery = new DiskRecovery(
                 loop,
                 environment.disk(),
-                () -> Bootstrap.onDisk(settings, environment, codec, address).closeFiles(),
-                diskUsable);
+                () -> Bootstrap.openDiskStorage(settings, environment, codec, address)
+                        .closeFiles(),
+                onDiskUsable);
         AcceptorId self = new AcceptorId(address, storage.identity());
         Member member = new Member(node, Member.CONTROL, address, settings.zone(), environment.wallClockMs());
         ControlHello hello = new ControlHello(member, storage.identity(), durable);
@@ -109,12 +110,12 @@
         double roleLeaseMs = LeaseTiming.leaseMs(bounds.catchUpMs(), bounds.contactMs(), bounds.drainMs());
         roles = new SingletonRoles(loop, self, roleLeaseMs, storage, random, configuration, mesh::send);
         SingletonRole role = roles.endpointList();
-        poller = new EndpointPoller(loop, environment.platform(), role, bounds.drainMs(), this::listPublished);
+        poller = new EndpointPoller(loop, environment.platform(), role, bounds.drainMs(), this::onListPublished);
         sessions = new DataPlaneSessions(
                 loop,
                 sessionTable,
                 new FleetUpdateSource(loop, durable, configuration, history, poller, sessionTable, mesh));
-        stallDetector = new StallDetector(loop, this::stalled);
+        stallDetector = new StallDetector(loop, this::onStall);
         reconfigurer = new AcceptorReconfigurer(loop, self, bounds.catchUpMs(), mesh, configuration, role);
         stageController =
                 new StageController(loop, node, bounds.leaseMs(), poller, role, environment.modelServers(), policy);
@@ -132,7 +133,7 @@
         dispatcher = newDispatcher();
     }
 
-    /** Called once the parts that it hands messages to are there. */
+    /** Creates the dispatcher. Called after the components that receive its messages have been created. */
     private PeerMessageDispatcher newDispatcher() {
         return new PeerMessageDispatcher(
                 loop,
@@ -153,24 +154,24 @@
         return new QuotaTerms(quota.windowMs(), quota.overshoot(), quota.slack());
     }
 
-    /** Sets the seeds that the settings name and connects to new ones. */
+    /** Replaces the seeds by those of the settings and connects to the new ones. */
     void updateSeeds(NodeSettings settings) {
         seeds = new LinkedHashSet<>(Bootstrap.seeds(settings));
         mesh.addAddresses(seeds);
     }
 
-    /** Serves a connection that another process opens. */
+    /** Creates the handler of a connection that another process has opened. */
     MessageLink.Handler inboundLink() {
         return new InboundLink(durable, mesh, sessions, confirmation, dispatcher, quotaShares, quotaTokens);
     }
 
-    private void stalled(double stalledMs) {
+    private void onStall(double stalledMs) {
         LOG.info("event loop stalled stalledMs={}", Math.round(stalledMs));
-        mesh.stalled(stalledMs);
+        mesh.extendTimeouts(stalledMs);
         sessions.stalled(stalledMs);
     }
 
-    private void listPublished(EndpointList list) {
+    private void onListPublished(EndpointList list) {
         mesh.broadcast(list);
         sessions.pushUpdates();
         storage.saveList(list);
@@ -228,7 +229,7 @@
         }
     }
 
-    /** The other control planes with a disk whose links are up. */
+    /** The other control planes that have a disk and whose links are up. */
     private final class QuotaPeers implements QuotaTokens.Peers {
         @Override
         public List<String> addresses() {
@@ -243,7 +244,7 @@
         }
     }
 
-    // ---- the parts ------------------------------------------------------------------------------------
+    // ---- the components -------------------------------------------------------------------------------
 
     Scheduler loop() {
         return loop;
@@ -253,17 +254,17 @@
         return node;
     }
 
-    /** Where this process listens to the others, as IP:PORT. */
+    /** The address at which this process accepts links from the others, as IP:PORT. */
     String address() {
         return address;
     }
 
-    /** Whether this process uses a disk; one without is a relay. */
+    /** Whether this process uses a disk; a process that does not is a relay. */
     boolean isDurable() {
         return durable;
     }
 
-    /** Why the disk could not be used when this process started; empty where it is used, or there is none. */
+    /** Why the disk could not be used when this process started; empty if it is in use or there is none. */
     Optional<StoreException> diskFailure() {
         return diskFailure;
     }
--- a/controlplane/src/main/java/dewplank/controlplane/ControlEnvironment.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ControlEnvironment.java
@@ -9,19 +9,20 @@
 import java.util.random.RandomGenerator;
 
 /**
- * All that a control plane takes from outside: time, random numbers, links, the disk, the platform, model servers and
- * the operators' calls. {@link SystemEnvironment} is the machine's; a simulation supplies its own.
+ * The external dependencies of a control plane: clock, random numbers, links, disk, platform, model servers and
+ * operators' calls. {@link SystemEnvironment} implements it for a real machine; simulations have another
+ * implementation.
  */
 interface ControlEnvironment {
     Scheduler scheduler();
 
-    /** The time of day in milliseconds, which may jump. */
+    /** The wall-clock time in milliseconds, which may jump. */
     long wallClockMs();
 
-    /** Seeded anew for each incarnation of a process. */
+    /** A random number generator with a new seed for each incarnation of a process. */
     RandomGenerator random();
 
-    /** A new identity for an empty disk, different from all others. */
+    /** Creates a unique identity for an empty disk. */
     String newIdentity();
 
     MessageTransport transport();
@@ -35,12 +36,12 @@
     ModelServerClient modelServers();
 
     /**
-     * Opens the address on which operators call; it accepts calls from {@link ServerEndpoint#accept} on.
+     * Binds the address for operators' calls, which are accepted after {@link ServerEndpoint#accept} has been called.
      *
-     * @throws IOException where the address can't be listened on
+     * @throws IOException if the process can't listen on the address
      */
     ServerEndpoint operators(OperatorApi api) throws IOException;
 
-    /** Ends links and timers: the process is about to exit. */
+    /** Closes links and stops timers before the process exits. */
     void stop();
 }
--- a/controlplane/src/main/java/dewplank/controlplane/ControlMesh.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ControlMesh.java
@@ -17,47 +17,48 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The full mesh of links between control planes: each one connects to every other one that it knows, and sends on its
- * own links only; what others send arrives on theirs.
+ * The full mesh of links between control planes: each control plane connects to all others that it knows. It sends
+ * messages on the links that it has opened, and receives the others' messages on the links that they have opened.
  *
- * <p>A heartbeat on each link carries the sessions of data planes and detects a dead peer, since a network partition
- * closes no connection. {@link ControlPlane} wires it; all methods run on the loop's thread only and none throws. Links
- * and peers are iterated in the order in which they were added, so that a simulation can be replayed.
+ * <p>A heartbeat on each link carries the sessions of data planes and detects a dead peer, because a network partition
+ * does not close connections. {@link ControlComponents} creates the mesh; all methods run on the loop's thread only and
+ * none throws. Links and peers are iterated in the order in which they were added, so that a simulation can be
+ * replayed.
  */
 final class ControlMesh {
     private static final Logger LOG = LoggerFactory.getLogger(ControlMesh.class);
 
     private static final double HEARTBEAT_INTERVAL_MS = 300;
-    /** Links at once. Beyond, the one that has been dead for longest is evicted. */
+    /** Maximum number of links. A further link evicts the one that has been down for longest. */
     static final int MAX_PEERS = 64;
-    /** A replaced machine never answers again: its address is evicted after this, unless it is retained. */
+    /** A replaced machine never responds again: its address is evicted after this time, unless it is retained. */
     static final double DEAD_PEER_RETENTION_MS = 60_000;
-    /** What a peer reports of its quorum is valid for three heartbeats. */
+    /** A peer's report that it reaches a quorum is valid for three heartbeat intervals. */
     private static final double QUORUM_REPORT_VALIDITY_MS = 1_000;
 
     /**
-     * A control plane that has said hello to this one.
+     * A control plane whose hello this one has received.
      *
-     * @param member who it is
-     * @param identity of its disk, or of its memory where it has none
-     * @param durable whether it has a disk; one without is a relay
+     * @param member its node name, address, zone and incarnation
+     * @param identity the identity of its disk, or of its process if it has no disk
+     * @param durable whether it has a disk; a control plane without a disk is a relay
      * @param lastReceivedAt when its last message arrived, on the loop's clock in milliseconds
      * @param firstReceivedAt when its first message under this identity arrived
      */
     record Peer(Member member, String identity, boolean durable, double lastReceivedAt, double firstReceivedAt) {}
 
-    /** Supplies what peers have to know, and takes what they send. On the loop's thread. */
+    /** Supplies the heartbeats for peers and receives their messages. Called on the loop's thread. */
     interface Handler {
-        /** The heartbeat that goes to all peers now. */
+        /** Creates the heartbeat that is sent to all peers now. */
         ControlHeartbeat heartbeat(long sequence);
 
-        /** A message from this process to itself, or a peer's reply on the link to it. */
+        /** A message has arrived: from this process to itself, or a peer's reply on the link to that peer. */
         void received(String address, Object message);
 
-        /** A link to the peer is up: what the peer may lack is sent. */
+        /** A link to the peer has come up. Sends the state that the peer may lack. */
         void linkUp(String address);
 
-        /** Whether the address is never evicted: a seed's, or an acceptor's. */
+        /** Whether the address is never evicted, because it belongs to a seed or an acceptor. */
         boolean isRetained(String address);
     }
 
@@ -70,7 +71,7 @@
     private final Map<String, Peer> peers = new LinkedHashMap<>();
     private long sequence;
 
-    /** @param hello the first message on each link, which names this process and its disk */
+    /** @param hello the first message on each link, which identifies this process and its disk */
     ControlMesh(Scheduler loop, MessageTransport transport, ControlHello hello, Handler handler) {
         this.loop = loop;
         this.transport = transport;
@@ -82,7 +83,7 @@
         sendHeartbeats();
     }
 
-    /** Connects to those of the addresses that are new, as far as there is capacity. */
+    /** Connects to each address that is new, within the limit of {@link #MAX_PEERS} links. */
     void addAddresses(Collection<String> addresses) {
         for (String address : addresses) {
             if (!address.equals(hello.member.address) && !links.containsKey(address) && ensureCapacity()) {
@@ -93,7 +94,7 @@
         }
     }
 
-    /** Whether one more link fits, after the one that has been dead for longest was evicted where need be. */
+    /** Evicts the link that has been down for longest if the limit is reached; returns whether another link fits. */
     private boolean ensureCapacity() {
         if (links.size() < MAX_PEERS) {
             return true;
@@ -130,17 +131,17 @@
         link.remove();
     }
 
-    /** The control plane at that address; empty where nothing was received from it recently. */
+    /** The control plane at the address; empty if no message from it arrived recently. */
     Optional<Peer> peer(String address) {
         return Optional.ofNullable(peers.get(address));
     }
 
-    /** The event loop stood still for so long: nobody's acknowledgement is overdue by that time. */
-    void stalled(double stalledMs) {
+    /** Extends the acknowledgement timeouts of all links by the time for which the event loop stalled. */
+    void extendTimeouts(double stalledMs) {
         links.values().forEach(l -> l.extendTimeout(stalledMs));
     }
 
-    /** Number of addresses that this process connects to. */
+    /** The number of addresses to which this process connects. */
     int addressCount() {
         return links.size();
     }
@@ -151,12 +152,12 @@
         return link != null && link.isUp();
     }
 
-    /** Whether the links to all control planes that are known are up, but for those to relays. */
+    /** Whether the links to all known control planes, except relays, are up. */
     boolean areAllControlPlanesUp() {
         return links.values().stream().allMatch(link -> link.isUp() || isRelay(link.address()));
     }
 
-    /** Own address and those of the links that are up, without relays. */
+    /** The addresses of this process and of the links that are up, excluding relays. */
     List<String> liveAddresses() {
         List<String> live = new ArrayList<>();
         if (hello.durable) {
@@ -172,14 +173,14 @@
         return peer != null && !peer.durable();
     }
 
-    /** All addresses without relays, those that are up first: for a caller that does not know which ones are alive. */
+    /** All addresses except those of relays, live ones first, for use when it is not certain which ones are alive. */
     List<String> addressesLiveFirst() {
         Set<String> all = new LinkedHashSet<>(liveAddresses());
         links.keySet().stream().filter(a -> !isRelay(a)).forEach(all::add);
         return new ArrayList<>(all);
     }
 
-    /** A control plane that recently reported that it reaches a quorum; empty where none did. */
+    /** The address of a control plane that recently reported that it reaches a quorum; empty if none did. */
     Optional<String> quorateAddress() {
         double since = loop.now() - QUORUM_REPORT_VALIDITY_MS;
         return links.values().stream()
@@ -188,15 +189,15 @@
                 .findFirst();
     }
 
-    /** Control planes from which a message arrived within so many milliseconds, this one not among them. */
+    /** The other control planes from which a message arrived within the last {@code withinMs}. */
     List<Peer> peers(double withinMs) {
         double since = loop.now() - withinMs;
         return peers.values().stream().filter(p -> p.lastReceivedAt() >= since).toList();
     }
 
     /**
-     * Sends a message, which is lost where the link is down. A message to this process itself is handled in a later
-     * task of the loop, never within this call.
+     * Sends a message, which is lost if the link is down. A message to this process itself is handled in a later task
+     * of the loop, never within this call.
      */
     void send(String address, Object message) {
         if (address.equals(hello.member.address)) {
@@ -209,7 +210,7 @@
         }
     }
 
-    /** Sends to all that are up, but for relays. */
+    /** Sends a message on all links that are up, except those to relays. */
     void broadcast(Object message) {
         for (PeerLink link : links.values()) {
             if (!isRelay(link.address())) {
@@ -218,10 +219,10 @@
         }
     }
 
-    /** A control plane has connected to this one and said hello. */
+    /** A control plane has connected to this one and sent its hello. */
     void helloReceived(ControlHello from) {
         recordReceived(from);
-        if (from.durable) { // a relay only requests; nothing is ever requested from it
+        if (from.durable) { // a relay only sends requests and never receives any
             addAddresses(List.of(from.member.address));
         }
         PeerLink link = links.get(from.member.address);
@@ -231,8 +232,9 @@
     }
 
     /**
-     * A message arrived on a connection that began with this hello. Delayed messages of an earlier incarnation at the
-     * same address show another identity, until the present one sends again: its time then begins anew.
+     * Records that a message arrived on a connection that began with this hello. Delayed messages of an earlier
+     * incarnation at the same address have another identity and replace the record of the current incarnation until its
+     * next message, from which {@link Peer#firstReceivedAt} is then counted.
      */
     void recordReceived(ControlHello from) {
         String address = from.member.address;
--- a/controlplane/src/main/java/dewplank/controlplane/ControlPlane.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ControlPlane.java
@@ -20,50 +20,52 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The control plane's program: its start, the reload of its settings, and its graceful shutdown.
+ * The program of the control plane: start, reload of the settings, and graceful shutdown.
  *
- * <p>On a machine without a disk it is a relay: it names the control planes with a disk to operators and data planes,
- * holds no lease and no session, and is an acceptor only until the first set, which the seeds name, has moved to
- * machines with a disk. So is it where the disk can't be used at the start, though no acceptor then.
+ * <p>On a machine without a disk the control plane is a relay: it reports the addresses of control planes with a disk
+ * to operators and data planes, holds no lease and no session, and is an acceptor only until the initial set, which
+ * consists of the seeds, has been moved to machines with a disk. It is also a relay if the disk can't be used at the
+ * start, but then it is not an acceptor.
  *
- * <p>The public methods may be called from any thread; the work is done on the event loop's.
+ * <p>The public methods may be called from any thread; the work is done on the event loop's thread.
  */
 public final class ControlPlane {
     private static final Logger LOG = LoggerFactory.getLogger(ControlPlane.class);
 
-    /** How often data planes are sent the members, where these have changed. */
+    /** How often the members are checked for changes that have to be sent to data planes. */
     private static final double MEMBERS_CHECK_INTERVAL_MS = 250;
 
     private static final double DRAIN_CHECK_INTERVAL_MS = 20;
-    /** Operators' calls that are not answered by then are answered with {@code ENDING}. */
+    /** Operators' calls that are still in flight after this time get the result {@code ENDING}. */
     private static final double MAX_DRAIN_MS = 1_500;
-    /** On each of the two listening addresses. */
+    /** The limit for each of the two listening addresses. */
     static final int MAX_CONNECTIONS = 1_024;
 
     private final NodeSettings settings;
     private final ControlEnvironment environment;
     private final Scheduler loop;
     private final ControlComponents components;
-    private final ServerEndpoint control;
-    private final ServerEndpoint internal;
+    private final ServerEndpoint operatorEndpoint;
+    private final ServerEndpoint internalEndpoint;
     private long pushedMembersDigest;
 
     /**
      * Opens the disk and the sockets of this machine.
      *
      * @param policy the mechanisms that are enabled
-     * @param diskUsable told on the loop's thread, where the disk failed now, when it can be used: the control plane is
-     *     then to be drained and another one to be created
-     * @throws IOException where an address can't be listened on
-     * @throws StoreException where the data directory is none that this process may use
+     * @param onDiskUsable called on the loop's thread when a disk that could not be opened here has become usable; the
+     *     caller then has to drain this control plane and to create a new one
+     * @throws IOException if the process can't listen on an address
+     * @throws StoreException if the data directory is not a directory that this process can write to
      */
-    public ControlPlane(NodeSettings settings, Policy policy, Runnable diskUsable) throws IOException, StoreException {
-        this(settings, FleetMessages.codec(), policy, diskUsable);
+    public ControlPlane(NodeSettings settings, Policy policy, Runnable onDiskUsable)
+            throws IOException, StoreException {
+        this(settings, FleetMessages.codec(), policy, onDiskUsable);
     }
 
-    private ControlPlane(NodeSettings settings, MessageCodec codec, Policy policy, Runnable diskUsable)
+    private ControlPlane(NodeSettings settings, MessageCodec codec, Policy policy, Runnable onDiskUsable)
             throws IOException, StoreException {
-        this(settings, SystemEnvironment.of(settings, codec), codec, policy, diskUsable);
+        this(settings, SystemEnvironment.of(settings, codec), codec, policy, onDiskUsable);
     }
 
     ControlPlane(
@@ -71,26 +73,26 @@
             ControlEnvironment environment,
             MessageCodec codec,
             Policy policy,
-            Runnable diskUsable)
+            Runnable onDiskUsable)
             throws IOException {
         this.settings = settings;
         this.environment = environment;
         loop = environment.scheduler();
-        components = new ControlComponents(settings, environment, codec, policy, diskUsable);
-        control = environment.operators(components.operatorApi());
-        internal = environment
+        components = new ControlComponents(settings, environment, codec, policy, onDiskUsable);
+        operatorEndpoint = environment.operators(components.operatorApi());
+        internalEndpoint = environment
                 .transport()
                 .listen(SocketAddresses.socketAddress(components.address()), MAX_CONNECTIONS, components::inboundLink);
     }
 
-    /** Begins to listen, to connect to the others, and to take part in the fleet. Returns at once. */
+    /** Starts to listen, to connect to the others, and to take part in the fleet. Returns immediately. */
     public void start() {
         loop.execute(this::startOnLoop);
     }
 
     private void startOnLoop() {
-        internal.accept();
-        control.accept();
+        internalEndpoint.accept();
+        operatorEndpoint.accept();
         components.updateSeeds(settings);
         components.storage().savedList().ifPresent(components.poller()::receive);
         boolean durable = components.isDurable();
@@ -136,14 +138,14 @@
         loop.after(MEMBERS_CHECK_INTERVAL_MS, this::pushMembers);
     }
 
-    /** The settings file has changed: connects to new seeds; all else takes effect at the next start. */
+    /** Applies a changed settings file: connects to new seeds. All other settings take effect at the next start. */
     public void reload(NodeSettings next) {
         loop.execute(() -> components.updateSeeds(next));
     }
 
     /**
-     * Shuts down gracefully, on SIGTERM: releases the lease, answers the calls in flight, closes links and disk. Blocks
-     * until that is done, 3 s at the most.
+     * Shuts down gracefully, on SIGTERM: releases the lease, completes the calls in flight, closes links and disk.
+     * Blocks until that is done, for 3 s at most.
      */
     public void drain() throws InterruptedException {
         CountDownLatch drained = new CountDownLatch(1);
@@ -154,27 +156,27 @@
         components.diskRecovery().close();
     }
 
-    /** The same without blocking, and without closing links and disk. */
-    void drain(Runnable then) {
+    /** Shuts down gracefully without blocking, and without closing links and disk. */
+    void drain(Runnable callback) {
         loop.execute(() -> {
             LOG.info("draining");
             components.roles().releaseAll();
-            control.close();
-            endWhenIdle(loop.now() + MAX_DRAIN_MS, then);
+            operatorEndpoint.close();
+            completeDrainWhenIdle(loop.now() + MAX_DRAIN_MS, callback);
         });
     }
 
-    private void endWhenIdle(double deadline, Runnable then) {
+    private void completeDrainWhenIdle(double deadline, Runnable callback) {
         OperatorApi operatorApi = components.operatorApi();
         if (operatorApi.close() || loop.now() >= deadline) {
-            operatorApi.endAll();
-            loop.after(DRAIN_CHECK_INTERVAL_MS, then);
+            operatorApi.abortCallsInFlight();
+            loop.after(DRAIN_CHECK_INTERVAL_MS, callback);
         } else {
-            loop.after(DRAIN_CHECK_INTERVAL_MS, () -> endWhenIdle(deadline, then));
+            loop.after(DRAIN_CHECK_INTERVAL_MS, () -> completeDrainWhenIdle(deadline, callback));
         }
     }
 
-    /** The parts, for a simulation to look into. */
+    /** The components, for inspection by simulations. */
     ControlComponents components() {
         return components;
     }
--- a/controlplane/src/main/java/dewplank/controlplane/ControlPlaneRunner.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ControlPlaneRunner.java
@@ -8,10 +8,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Runs a control plane until it is drained. Where the disk could not be used at the start, the control plane serves
- * without a vote, and gives way to another one in the same process once the disk can be used.
+ * Runs a control plane until it is drained. If the disk can't be used at the start, the control plane serves without a
+ * vote, and is replaced by a new one in the same process once the disk can be used.
  *
- * <p>Any thread may call the methods; those that drain block meanwhile.
+ * <p>The methods may be called from any thread; those that drain block until the control plane is drained.
  */
 public final class ControlPlaneRunner {
     private static final Logger LOG = LoggerFactory.getLogger(ControlPlaneRunner.class);
@@ -19,52 +19,52 @@
 
     private final Policy policy;
     private NodeSettings settings;
-    private ControlPlane plane;
-    private boolean isEnded;
+    private ControlPlane controlPlane;
+    private boolean isDrained;
 
     /**
      * Opens the disk and the sockets of this machine.
      *
-     * @throws IOException where an address can't be listened on
-     * @throws StoreException where the data directory is none that this process may use
+     * @throws IOException if the process can't listen on an address
+     * @throws StoreException if the data directory is not a directory that this process can write to
      */
     public ControlPlaneRunner(NodeSettings settings) throws IOException, StoreException {
         this(settings, Policy.ALL_ENABLED);
     }
 
     /**
-     * The same for a trial.
+     * Opens the disk and the sockets of this machine, for an experiment with some mechanisms disabled.
      *
      * @param policy the mechanisms that are enabled
-     * @throws IOException where an address can't be listened on
-     * @throws StoreException where the data directory is none that this process may use
+     * @throws IOException if the process can't listen on an address
+     * @throws StoreException if the data directory is not a directory that this process can write to
      */
     public ControlPlaneRunner(NodeSettings settings, Policy policy) throws IOException, StoreException {
         this.settings = settings;
         this.policy = policy;
-        plane = new ControlPlane(settings, policy, this::onDiskUsable);
+        controlPlane = new ControlPlane(settings, policy, this::onDiskUsable);
     }
 
-    /** Begins to serve. Returns at once. */
+    /** Starts to serve. Returns immediately. */
     public synchronized void start() {
-        plane.start();
+        controlPlane.start();
     }
 
-    /** The settings file has changed. */
+    /** Applies a changed settings file. */
     public synchronized void reload(NodeSettings next) {
         settings = next;
-        plane.reload(next);
+        controlPlane.reload(next);
     }
 
-    /** Shuts down gracefully, on SIGTERM. Blocks until that is done, 3 s at the most. */
+    /** Shuts down gracefully, on SIGTERM. Blocks until that is done, for 3 s at most. */
     public synchronized void drain() throws InterruptedException {
-        if (!isEnded) {
-            isEnded = true;
-            plane.drain();
+        if (!isDrained) {
+            isDrained = true;
+            controlPlane.drain();
         }
     }
 
-    /** Called on the loop of the control plane that is to end, so the work is done by another thread. */
+    /** Called on the event loop of the control plane that has to be drained, so another thread drains it. */
     private void onDiskUsable() {
         new Thread(this::restartOrExit, "restart").start();
     }
@@ -74,20 +74,20 @@
             restart();
         } catch (IOException | StoreException | RuntimeException failure) {
             LOG.error("control plane can't start with its disk, process ends cause={}", failure.toString());
-            System.exit(FAILURE_EXIT_CODE); // the platform starts the process again
+            System.exit(FAILURE_EXIT_CODE); // the platform restarts the process
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
 
     private synchronized void restart() throws IOException, StoreException, InterruptedException {
-        if (isEnded) {
+        if (isDrained) {
             return;
         }
-        isEnded = true; // until another one has been created there is nothing to drain
-        plane.drain();
-        plane = new ControlPlane(settings, policy, this::onDiskUsable);
-        isEnded = false;
-        plane.start();
+        isDrained = true; // there is nothing to drain until the new control plane has been created
+        controlPlane.drain();
+        controlPlane = new ControlPlane(settings, policy, this::onDiskUsable);
+        isDrained = false;
+        controlPlane.start();
     }
 }
--- a/controlplane/src/main/java/dewplank/controlplane/DiskRecovery.java
+++ b/controlplane/src/main/java/dewplank/controlplane/DiskRecovery.java
@@ -8,38 +8,39 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Watches a disk that could not be used when the process started. The process meanwhile serves as a relay and has no
- * vote, as its disk may hold votes that it does not know. Once the disk can be used, the process is to begin anew with
- * it, exactly as after a restart. On the loop's thread only, but for the probe.
+ * Probes a disk that could not be used when the process started. Until the disk can be used, the process serves as a
+ * relay and has no vote, because the disk may contain votes that the process does not know. Then the control plane is
+ * started again with the disk, exactly as after a restart of the process. Runs on the loop's thread only, except for
+ * the probe.
  */
 final class DiskRecovery {
     private static final Logger LOG = LoggerFactory.getLogger(DiskRecovery.class);
-    /** A disk that hangs or is full is so for seconds; opening its files takes some synced writes at the most. */
+    /** A disk that hangs or is full stays so for seconds; opening its files takes a few synced writes at most. */
     static final double PROBE_INTERVAL_MS = 1_000;
 
     private final Scheduler loop;
     private final DiskExecutor disk;
     private final DiskExecutor.Task probe;
-    private final Runnable usable;
+    private final Runnable onUsable;
 
     /**
-     * @param probe opens the process's files and closes them again; run by the disk's executor
-     * @param usable told once, when the probe has succeeded
+     * @param probe opens the process's files and closes them again; run by the disk executor
+     * @param onUsable called once, when the probe has succeeded
      */
-    DiskRecovery(Scheduler loop, DiskExecutor disk, DiskExecutor.Task probe, Runnable usable) {
+    DiskRecovery(Scheduler loop, DiskExecutor disk, DiskExecutor.Task probe, Runnable onUsable) {
         this.loop = loop;
         this.disk = disk;
         this.probe = probe;
-        this.usable = usable;
+        this.onUsable = onUsable;
     }
 
-    /** Begins to probe the disk. */
+    /** Logs the failure and starts to probe the disk. */
     void start(StoreException failure) {
         LOG.warn(
                 "{}",
                 ResultCode.DISK_NOT_USABLE.line(
                         "serving without a vote until the disk can be used cause=" + describe(failure)));
-        probeLater();
+        scheduleProbe();
     }
 
     private static String describe(StoreException failure) {
@@ -48,15 +49,15 @@
                 : failure.getMessage() + ": " + failure.getCause().getMessage();
     }
 
-    private void probeLater() {
+    private void scheduleProbe() {
         loop.after(
                 PROBE_INTERVAL_MS,
                 () -> disk.submit(probe, result -> {
                     if (result.isSuccess()) {
                         LOG.info("disk can be used, starting with it");
-                        usable.run();
+                        onUsable.run();
                     } else {
-                        probeLater();
+                        scheduleProbe();
                     }
                 }));
     }
--- a/controlplane/src/main/java/dewplank/controlplane/DiskStorage.java
+++ b/controlplane/src/main/java/dewplank/controlplane/DiskStorage.java
@@ -19,7 +19,7 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** The storage of a process with a disk: files below its data directory, written by the disk's executor. */
+/** The storage of a process with a disk: files in its data directory, written by the disk executor. */
 final class DiskStorage implements Storage {
     private final AcceptorStore store;
     private final DiskExecutor executor;
@@ -27,16 +27,16 @@
     private final MessageCodec codec;
     private final FleetBootstrap bootstrap;
     private final FounderIdentities founderIdentities;
-    private final FounderIdentities.Record founderIdentitiesWhenOpened;
+    private final FounderIdentities.Record loadedFounderIdentities;
     private EndpointList pendingList;
     private boolean listSavePending;
 
     /**
      * Opens the files, or creates them.
      *
-     * @param identityIfNew the identity that an empty disk gets
-     * @param seeds addresses of the first acceptors as the settings name them now; stored at the first start, and of no
-     *     effect later
+     * @param identityIfNew the identity that the disk gets if it is empty
+     * @param seeds addresses of the initial acceptors in the current settings; stored at the first start, and ignored
+     *     afterwards
      * @throws StoreException if the directory or a file in it can't be used
      */
     DiskStorage(
@@ -55,7 +55,7 @@
                 settings.dataDirectory(), files, settings.resources().diskBytes(), identityIfNew);
         bootstrap = new FleetBootstrap(founders, settings.initialStart() && store.isNew());
         founderIdentities = new FounderIdentities(files, settings.dataDirectory());
-        founderIdentitiesWhenOpened = founderIdentities.load();
+        loadedFounderIdentities = founderIdentities.load();
         serverList = new ChecksummedFile(files, settings.dataDirectory(), "servers");
     }
 
@@ -91,7 +91,7 @@
 
     @Override
     public FounderIdentities.Record founderIdentities() {
-        return founderIdentitiesWhenOpened;
+        return loadedFounderIdentities;
     }
 
     @Override
@@ -138,7 +138,7 @@
         executor.close();
     }
 
-    /** Closes the files only; what was stored stays. For a caller that only wants to know whether they can be used. */
+    /** Closes the files and leaves their contents, for a caller that only checks whether they can be opened. */
     void closeFiles() {
         store.close();
     }
--- a/controlplane/src/main/java/dewplank/controlplane/FleetBootstrap.java
+++ b/controlplane/src/main/java/dewplank/controlplane/FleetBootstrap.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * The bootstrap of the fleet as a process's storage recorded it when the process started.
+ * The bootstrap of the fleet, as recorded in the storage of a process when the process started.
  *
- * @param founders addresses of the acceptors that the fleet was bootstrapped with, as IP:PORT; not null
- * @param firstStart whether the fleet starts for the first time: no vote and no promise can have been given before
+ * @param founders addresses of the acceptors with which the fleet was bootstrapped, as IP:PORT; not null
+ * @param firstStart whether the fleet starts for the first time, so that no vote or promise can exist yet
  */
 record FleetBootstrap(List<String> founders, boolean firstStart) {}
--- a/controlplane/src/main/java/dewplank/controlplane/FounderTracker.java
+++ b/controlplane/src/main/java/dewplank/controlplane/FounderTracker.java
@@ -15,41 +15,45 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Forms the initial acceptor set at the bootstrap of the fleet, while some of its members, the founders, have no disk.
+ * Determines the initial acceptor set during the bootstrap of the fleet. Its members are the founders, some of which
+ * may have no disk.
  *
- * <p>The identity of a founder without a disk is unknown until its first hello. It is stored before it becomes part of
- * the set, and stays: a successor, which has forgotten its predecessor's votes, is no acceptor. Where no founder has a
- * disk, control planes first agree on the identities: they exchange what is stored by heartbeats, and count votes
- * once it has been the same everywhere for a while. Where all founders have ended before anything was chosen, or the
- * identities differ, nobody can tell what was decided. The bootstrap then begins anew with the founders' successors,
- * once every known control plane with a disk has been reachable for a while and none has a chosen value; until then
- * operators get {@link ResultCode#FOUNDERS_LOST}. The argument is invariant 13 in {@code docs/register.md}.
+ * <p>The identity of a founder without a disk is unknown until its first hello arrives. It is stored before it becomes
+ * part of the set, and is not replaced: a successor at the same address has lost the votes of its predecessor, so it is
+ * not an acceptor. If no founder has a disk, the control planes first agree on the identities: they exchange the stored
+ * identities in heartbeats, and count votes once these have been the same everywhere for {@link #AGREEMENT_MS}.
  *
- * <p>On the loop's thread only; ends as soon as a value is chosen.
+ * <p>If all founders have ended before a value was chosen, or if the identities differ, it is impossible to determine
+ * what was decided. The bootstrap is then restarted with the founders' successors, once every known control plane with
+ * a disk has been reachable for {@link #restartAfterMs} and none has a chosen value. Until then operators get {@link
+ * ResultCode#FOUNDERS_LOST}. Invariant 13 in {@code docs/register.md} explains why this is safe.
+ *
+ * <p>Runs on the loop's thread only, and stops as soon as a value is chosen.
  */
 final class FounderTracker {
     private static final Logger LOG = LoggerFactory.getLogger(FounderTracker.class);
     private static final double CHECK_INTERVAL_MS = 50;
     /**
-     * How long the stored identities have to be the same everywhere: a control plane that lost its link to a restarted
-     * founder has dialled it again (0.55 s), been named by it and dialled from here, and sent a heartbeat (0.3 s).
+     * How long the stored identities have to be the same everywhere. Within this time a control plane that lost its
+     * link to a restarted founder reconnects to it (0.55 s), the founder reports the address of that control plane,
+     * this process connects to it, and it sends a heartbeat (0.3 s).
      */
     private static final double AGREEMENT_MS = 1_000;
-    /** An initial set of a later bootstrap has a higher generation, so fencing tokens begin above all earlier ones. */
+    /** The initial set of a later round has a higher generation, so that its fencing tokens exceed all earlier ones. */
     private static final int GENERATIONS_PER_ROUND = 2;
 
-    /** A peer that has been heard so lately is asked for its agreement. */
+    /** Only peers whose last message arrived within this time have to agree. */
     private static final double PEER_VALIDITY_MS = 1_000;
 
-    /** A disk that refused a record is asked again after this: it is full, or hangs, for seconds. */
+    /** Delay before a failed write is retried: a disk that is full or hangs stays so for seconds. */
     private static final double SAVE_RETRY_MS = 1_000;
 
-    /** Where the identities are stored. */
+    /** Stores the identities. */
     interface Store {
-        /** The identities as they were stored when this process started. */
+        /** The identities that were stored when this process started. */
         FounderIdentities.Record founderIdentities();
 
-        /** Stores them; {@code done} receives whether they are on the disk, in a later task of the loop. */
+        /** Stores the identities; {@code done} receives the result of the write, in a later task of the loop. */
         void saveFounderIdentities(FounderIdentities.Record record, Consumer<DiskResult> done);
     }
 
@@ -63,17 +67,17 @@
     private FounderIdentities.Record stored;
     private double storedAtMs;
     private boolean isActive;
-    private boolean isContested;
+    private boolean hasConflict;
     private boolean isSavePending;
     private double saveRetryAtMs = Double.NEGATIVE_INFINITY;
     private boolean isLossLogged;
     private double allReachableSinceMs = Double.NaN;
 
     /**
-     * @param founders the initial acceptors, as if all had a disk; empty for a process that took no part in the
-     *     bootstrap
-     * @param restartAfterMs how long all control planes have to be reachable before the bootstrap begins anew; longer
-     *     than any vote or lease lasts
+     * @param founders the initial acceptors, on the assumption that all have a disk; empty for a process that took no
+     *     part in the bootstrap
+     * @param restartAfterMs how long all control planes have to be reachable before the bootstrap is restarted; longer
+     *     than the duration of any vote or lease
      */
     FounderTracker(
             Scheduler loop,
@@ -99,19 +103,19 @@
         }
     }
 
-    /** Whether nothing is known to be chosen, and what the founders, without a disk, decided is lost. */
+    /** Whether no value is known to be chosen and the decisions of the founders, which had no disk, are lost. */
     boolean areFoundersLost() {
-        boolean isFounding = !founders.isEmpty() && !configuration.hasChosenValue();
-        return isFounding && (isContested || configuration.areInitialAcceptorsEnded());
+        boolean isBootstrapping = !founders.isEmpty() && !configuration.hasChosenValue();
+        return isBootstrapping && (hasConflict || configuration.areInitialAcceptorsEnded());
     }
 
-    /** What heartbeats tell the others: the stored identities until a value is chosen, then nothing. */
+    /** The content of heartbeats to the others: the stored identities until a value is chosen, then nothing. */
     List<String> report() {
-        boolean isFounding = !founders.isEmpty() && !configuration.hasChosenValue();
-        return isFounding ? List.of(stored.encode()) : List.of();
+        boolean isBootstrapping = !founders.isEmpty() && !configuration.hasChosenValue();
+        return isBootstrapping ? List.of(stored.encode()) : List.of();
     }
 
-    /** A control plane's heartbeat told what it has stored; anything else than one readable record is ignored. */
+    /** Handles the identities in a control plane's heartbeat; anything other than one valid record is ignored. */
     void reported(String from, List<String> texts) {
         if (texts.size() != 1 || founders.isEmpty() || configuration.hasChosenValue()) {
             return;
@@ -139,11 +143,11 @@
     // ---- agreement on the identities -------------------------------------------------------------------
 
     private void recordNewFounders() {
-        Map<String, String> known = new LinkedHashMap<>(stored.byAddress());
+        Map<String, String> identities = new LinkedHashMap<>(stored.byAddress());
         for (AcceptorId founder : founders) {
-            volatilePeer(founder).ifPresent(peer -> known.putIfAbsent(founder.address(), peer.identity()));
+            volatilePeer(founder).ifPresent(peer -> identities.putIfAbsent(founder.address(), peer.identity()));
         }
-        saveIfNew(known);
+        saveIfNew(identities);
     }
 
     private Optional<ControlMesh.Peer> volatilePeer(AcceptorId founder) {
@@ -155,40 +159,40 @@
         if (other.bootstrapRound() > stored.bootstrapRound()) {
             save(other);
         } else if (other.bootstrapRound() == stored.bootstrapRound() && !isActive) {
-            Map<String, String> known = new LinkedHashMap<>(other.byAddress());
-            known.putAll(stored.byAddress());
-            isContested |= other.byAddress().entrySet().stream()
-                    .anyMatch(entry -> !entry.getValue().equals(known.get(entry.getKey())));
-            saveIfNew(known);
+            Map<String, String> identities = new LinkedHashMap<>(other.byAddress());
+            identities.putAll(stored.byAddress());
+            hasConflict |= other.byAddress().entrySet().stream()
+                    .anyMatch(entry -> !entry.getValue().equals(identities.get(entry.getKey())));
+            saveIfNew(identities);
         }
     }
 
-    private void saveIfNew(Map<String, String> known) {
-        if (!known.equals(stored.byAddress())) {
-            save(new FounderIdentities.Record(stored.bootstrapRound(), known));
+    private void saveIfNew(Map<String, String> identities) {
+        if (!identities.equals(stored.byAddress())) {
+            save(new FounderIdentities.Record(stored.bootstrapRound(), identities));
         }
     }
 
-    private boolean isNoFounderDurable() {
+    private boolean areAllFoundersVolatile() {
         return founders.stream().allMatch(founder -> stored.byAddress().containsKey(founder.address()));
     }
 
     private void activateOnceAgreed() {
-        boolean isSettled = loop.now() - storedAtMs >= AGREEMENT_MS && !isSavePending;
-        if (!isActive && isNoFounderDurable() && isSettled && isAgreed()) {
+        boolean isStable = loop.now() - storedAtMs >= AGREEMENT_MS && !isSavePending;
+        if (!isActive && areAllFoundersVolatile() && isStable && isAgreed()) {
             isActive = true;
             updateInitialAcceptors();
         }
     }
 
-    /** Whether no control plane with a disk that is linked has stored anything else. */
+    /** Whether no active control plane with a disk has reported other identities. */
     private boolean isAgreed() {
         return mesh.peers(PEER_VALIDITY_MS).stream()
                 .map(peer -> recordsOfPeers.get(peer.member().address))
                 .allMatch(record -> record == null || record.equals(stored));
     }
 
-    // ---- a bootstrap that begins anew ------------------------------------------------------------------
+    // ---- restart of the bootstrap ----------------------------------------------------------------------
 
     private void checkRestart() {
         logLossOnce();
@@ -218,7 +222,7 @@
         }
     }
 
-    /** The identities of the founders that are linked now, by address. */
+    /** The identities of the founders without a disk whose links are up, by address. */
     private Map<String, String> reachableFounders() {
         Map<String, String> reachable = new LinkedHashMap<>();
         for (AcceptorId founder : founders) {
@@ -229,7 +233,7 @@
         return reachable;
     }
 
-    // ---- what is stored --------------------------------------------------------------------------------
+    // ---- stored identities -----------------------------------------------------------------------------
 
     private void save(FounderIdentities.Record next) {
         if (isSavePending || loop.now() < saveRetryAtMs) {
@@ -239,19 +243,19 @@
         store.saveFounderIdentities(next, result -> {
             isSavePending = false;
             if (result.isSuccess()) {
-                stored(next);
+                onStored(next);
             } else {
                 saveRetryAtMs = loop.now() + SAVE_RETRY_MS;
             }
         });
     }
 
-    private void stored(FounderIdentities.Record next) {
+    private void onStored(FounderIdentities.Record next) {
         boolean isNewRound = next.bootstrapRound() > stored.bootstrapRound();
         stored = next;
         storedAtMs = loop.now();
         if (isNewRound) {
-            isContested = false;
+            hasConflict = false;
             isActive = false;
             isLossLogged = false;
         }
@@ -259,14 +263,17 @@
     }
 
     private void updateInitialAcceptors() {
-        List<AcceptorId> members = founders.stream().map(this::countedAs).toList();
+        List<AcceptorId> members = founders.stream().map(this::initialAcceptor).toList();
         long generation = (long) GENERATIONS_PER_ROUND * stored.bootstrapRound();
         configuration.updateInitialAcceptors(new AcceptorSet(generation, members, List.of()));
     }
 
-    /** Under the name of a disk, to which no founder without one answers, until its identity is agreed on. */
-    private AcceptorId countedAs(AcceptorId founder) {
+    /**
+     * The founder as it is counted in the initial set. While no founder has a disk and their identities are not agreed
+     * on, it has the identity of a disk: a founder without a disk does not reply to that, so its votes are not counted.
+     */
+    private AcceptorId initialAcceptor(AcceptorId founder) {
         String identity = stored.byAddress().getOrDefault(founder.address(), founder.identity());
-        return isNoFounderDurable() && !isActive ? founder : new AcceptorId(founder.address(), identity);
+        return areAllFoundersVolatile() && !isActive ? founder : new AcceptorId(founder.address(), identity);
     }
 }
--- a/controlplane/src/main/java/dewplank/controlplane/JsonText.java
+++ b/controlplane/src/main/java/dewplank/controlplane/JsonText.java
@@ -2,31 +2,31 @@
 
 import java.util.List;
 
-/** Writes JSON texts of the operator's interface. */
+/** Formats the JSON of the operators' interface. */
 final class JsonText {
     private JsonText() {}
 
-    /** An object of these fields. */
+    /** Formats an object with these fields. */
     static String object(String... fields) {
         return "{" + String.join(",", fields) + "}";
     }
 
-    /** An array of these values. */
+    /** Formats an array of these values, which are JSON already. */
     static String array(List<String> values) {
         return "[" + String.join(",", values) + "]";
     }
 
-    /** A field whose value is a text, or null. */
+    /** Formats a field whose value is a string, or null. */
     static String field(String name, String text) {
         return plain(name, text == null ? "null" : quoted(text));
     }
 
-    /** A field whose value is JSON already: a number, true or false, an object or an array. */
+    /** Formats a field whose value is JSON already: a number, true or false, an object or an array. */
     static String plain(String name, Object json) {
         return quoted(name) + ":" + json;
     }
 
-    /** The text as a JSON string. */
+    /** Formats the text as a JSON string. */
     static String quoted(String text) {
         StringBuilder out = new StringBuilder(text.length() + 2).append('"');
         for (int i = 0; i < text.length(); i++) {
--- a/controlplane/src/main/java/dewplank/controlplane/MemoryStorage.java
+++ b/controlplane/src/main/java/dewplank/controlplane/MemoryStorage.java
@@ -10,18 +10,18 @@
 import java.util.function.Consumer;
 
 /**
- * The storage of a process without a disk, which lasts as long as the process. Such a process is an acceptor only at
- * the bootstrap of the fleet, if its address is among the seeds, until a process with a disk has replaced it. Its
- * identity is volatile, another one in each incarnation.
+ * The storage of a process without a disk, which is lost when the process ends. Such a process is an acceptor only
+ * during the bootstrap of the fleet, if its address is among the seeds, until a process with a disk replaces it. Its
+ * identity is volatile: it differs in each incarnation.
  */
 final class MemoryStorage implements Storage {
     private final Scheduler loop;
-    private final DurableState fresh;
+    private final DurableState initialState;
     private final FleetBootstrap bootstrap;
 
     MemoryStorage(Scheduler loop, String identity, FleetBootstrap bootstrap) {
         this.loop = loop;
-        this.fresh = DurableState.fresh(identity);
+        this.initialState = DurableState.fresh(identity);
         this.bootstrap = bootstrap;
     }
 
@@ -32,7 +32,7 @@
 
     @Override
     public DurableState recovered() {
-        return fresh;
+        return initialState;
     }
 
     @Override
@@ -71,7 +71,7 @@
     }
 
     @Override
-    public void saveList(EndpointList list) {} // nothing outlasts the process
+    public void saveList(EndpointList list) {} // nothing is preserved beyond the end of the process
 
     @Override
     public void close() {}
--- a/controlplane/src/main/java/dewplank/controlplane/OperatorApi.java
+++ b/controlplane/src/main/java/dewplank/controlplane/OperatorApi.java
@@ -15,23 +15,24 @@
 import java.util.function.Consumer;
 
 /**
- * The operators' interface over HTTP: paths, redirects to a control plane with a quorum, and the calls in flight.
+ * The operators' HTTP interface: routes calls by path, redirects them to a control plane with a quorum, and tracks the
+ * calls in flight.
  *
- * <p>Connections call it on the loop's thread only. Each call is answered at most once; one whose caller has gone is
- * not answered.
+ * <p>Connections call it on the loop's thread only. Each call gets at most one response, and none if its caller has
+ * closed the connection or sent malformed bytes.
  */
 final class OperatorApi implements InboundConnection.Service {
-    /** Also for a body of 4 MiB over a slow link. */
+    /** Long enough to receive a body of 4 MiB over a slow link. */
     static final double MAX_IDLE_MS = 60_000;
 
-    /** A configuration's limit and some more, so that a body slightly beyond it is answered as invalid. */
+    /** Above the limit for configurations, so that a slightly larger body gets the result for an invalid one. */
     private static final int MAX_BODY_BYTES = 4 * 1024 * 1024 + 64 * 1024;
 
-    private interface Call {
+    private interface CallHandler {
         void run(InboundConnection.Request request, Responder caller, List<String> parameters);
     }
 
-    /** Read-only views of this control plane, as JSON. */
+    /** Read-only views of the state of this control plane, as JSON. */
     interface Views {
         String members();
 
@@ -39,45 +40,43 @@
 
         String servers();
 
-        /** One server; empty where the list has no such instance. */
+        /** The server with this instance id; empty if the endpoint list does not contain it. */
         Optional<String> server(String instanceId);
 
         String status();
 
-        /** Which configuration each data plane acts on, as far as this control plane knows. */
+        /** The configuration version that each data plane uses, as far as this control plane knows. */
         String dataPlanes();
     }
 
     /** The configuration in the register. */
     interface Configurations {
-        /** Changes it; the outcome's answer is a {@link ChangeResult}. */
-        void change(ChangeRequest change, double withinMs, Consumer<Outcome<ChangeResult>> then);
+        /** Changes the configuration; the outcome contains a {@link ChangeResult}. */
+        void change(ChangeRequest change, double timeoutMs, Consumer<Outcome<ChangeResult>> callback);
 
-        /** Reads the newest at a quorum. */
-        void read(double withinMs, Consumer<Outcome<ChangeResult>> then);
+        /** Reads the newest configuration from a quorum. */
+        void read(double timeoutMs, Consumer<Outcome<ChangeResult>> callback);
     }
 
-    /** Whether this control plane may answer for the fleet, and which others an operator may call instead. */
+    /** Whether this control plane can serve calls for the fleet, and which others an operator can call instead. */
     interface Redirects {
         /** Whether a quorum of acceptors was reached recently, so that a call may succeed. */
         boolean hasQuorum();
 
-        /** Whether the first acceptors, without a disk, have all ended before this process knew of a chosen value. */
+        /** Whether the initial acceptors, all without a disk, ended before this process knew of a chosen value. */
         boolean areFoundersLost();
 
-        /**
-         * Where a control plane that recently had a quorum takes operators' calls, as IP:PORT; empty if none is known.
-         */
+        /** The operators' endpoint of a control plane with a recent quorum, as IP:PORT; empty if none is known. */
         Optional<String> quorateEndpoint();
 
-        /** Where all control planes that are known take operators' calls, those that are up first. */
+        /** The operators' endpoints of all known control planes, those whose links are up first. */
         List<String> knownEndpoints();
     }
 
     private final ConfigurationCalls configurationCalls;
     private final Redirects redirects;
     private final Views views;
-    private final PathRouter<Call> router = new PathRouter<>();
+    private final PathRouter<CallHandler> router = new PathRouter<>();
     private final Set<InboundConnection> connections = new HashSet<>();
     private final Set<Responder> callsInFlight = new HashSet<>();
     private boolean closing;
@@ -87,23 +86,24 @@
         this.redirects = redirects;
         this.views = views;
         router.path("configuration")
-                .on("GET", (request, caller, parameters) -> ifCurrent(request, caller, () -> read(caller)))
+                .on("GET", (request, caller, parameters) -> runIfQuorate(request, caller, () -> read(caller)))
                 .on(
                         "PUT",
                         (request, caller, parameters) ->
-                                ifCurrent(request, caller, () -> change(request, caller, false)))
+                                runIfQuorate(request, caller, () -> change(request, caller, false)))
                 .on(
                         "PATCH",
                         (request, caller, parameters) ->
-                                ifCurrent(request, caller, () -> change(request, caller, true)));
-        router.path("members").on("GET", (request, caller, parameters) -> document(caller, views.members()));
-        router.path("duties").on("GET", (request, caller, parameters) -> document(caller, views.duties()));
+                                runIfQuorate(request, caller, () -> change(request, caller, true)));
+        router.path("members").on("GET", (request, caller, parameters) -> respondWithDocument(caller, views.members()));
+        router.path("duties").on("GET", (request, caller, parameters) -> respondWithDocument(caller, views.duties()));
         router.path("servers")
-                .on("GET", (request, caller, parameters) -> document(caller, views.servers()))
+                .on("GET", (request, caller, parameters) -> respondWithDocument(caller, views.servers()))
                 .path("*")
-                .on("GET", (request, caller, parameters) -> server(caller, parameters.get(0)));
-        router.path("status").on("GET", (request, caller, parameters) -> document(caller, views.status()));
-        router.path("data-planes").on("GET", (request, caller, parameters) -> document(caller, views.dataPlanes()));
+                .on("GET", (request, caller, parameters) -> respondWithServer(caller, parameters.get(0)));
+        router.path("status").on("GET", (request, caller, parameters) -> respondWithDocument(caller, views.status()));
+        router.path("data-planes")
+                .on("GET", (request, caller, parameters) -> respondWithDocument(caller, views.dataPlanes()));
     }
 
     InboundConnection connection(EventLoop loop) {
@@ -137,18 +137,18 @@
         handle(request, (Responder) caller);
     }
 
-    /** Serves one call. */
+    /** Handles one call. */
     void handle(InboundConnection.Request request, Responder caller) {
         callsInFlight.add(caller);
-        PathRouter.Match<Call> match = router.find(request.method(), request.target());
+        PathRouter.Match<CallHandler> match = router.find(request.method(), request.target());
         if (match.handler() != null) {
             match.handler().run(request, caller, match.parameters());
         } else {
-            noSuch(request, caller, match.methods());
+            respondNoHandler(request, caller, match.methods());
         }
     }
 
-    private void noSuch(InboundConnection.Request request, Responder caller, Set<String> methods) {
+    private void respondNoHandler(InboundConnection.Request request, Responder caller, Set<String> methods) {
         if (methods.isEmpty()) {
             String detail = request.target() + " is none of this interface's paths";
             respond(caller, OperatorResponse.result(ResultCode.NO_SUCH_PATH, detail));
@@ -159,10 +159,10 @@
         respond(caller, OperatorResponse.resultWithHeader(ResultCode.NO_SUCH_METHOD, detail, "Allow", allowed));
     }
 
-    private void server(Responder caller, String instanceId) {
+    private void respondWithServer(Responder caller, String instanceId) {
         Optional<String> server = views.server(instanceId);
         if (server.isPresent()) {
-            document(caller, server.get());
+            respondWithDocument(caller, server.get());
         } else {
             String detail = "the list of servers has no instance " + instanceId;
             respond(caller, OperatorResponse.result(ResultCode.NO_SUCH_SERVER, detail));
@@ -170,24 +170,25 @@
     }
 
     /**
-     * Runs the call if a quorum was reached recently. Without one this control plane could only wait until its caller
-     * gives up, so it says at once that it neither confirms nor refuses, and where to go. A redirect names one that is
-     * up and recently had a quorum itself; where none is known, a redirect might lead to a machine that is gone.
+     * Runs the call if a quorum was reached recently. Otherwise the call could only wait until its caller times out, so
+     * the response is sent immediately: it neither confirms nor rejects the call, and names other control planes. A
+     * redirect leads to a control plane whose link is up and that recently had a quorum itself. If none is known there
+     * is no redirect, because it might lead to a machine that no longer exists.
      */
-    private void ifCurrent(InboundConnection.Request request, Responder caller, Runnable call) {
+    private void runIfQuorate(InboundConnection.Request request, Responder caller, Runnable call) {
         if (redirects.hasQuorum()) {
             call.run();
             return;
         }
-        Optional<String> better = redirects.quorateEndpoint();
-        if (better.isPresent() && request.target().startsWith("/")) {
+        Optional<String> quorate = redirects.quorateEndpoint();
+        if (quorate.isPresent() && request.target().startsWith("/")) {
             respond(
                     caller,
                     OperatorResponse.resultWithHeader(
                             ResultCode.ELSEWHERE,
                             "no majority of acceptors was reached lately from here",
                             "Location",
-                            "http://" + better.get() + request.target()));
+                            "http://" + quorate.get() + request.target()));
             return;
         }
         List<String> others =
@@ -215,7 +216,7 @@
         }
     }
 
-    private void document(Responder caller, String json) {
+    private void respondWithDocument(Responder caller, String json) {
         respond(caller, OperatorResponse.document(json));
     }
 
@@ -225,20 +226,20 @@
         }
     }
 
-    /** Closes connections that were idle for long: behind a network partition their close may never arrive. */
-    void sweep() {
+    /** Closes connections after a long idle time: behind a network partition the caller's close may never arrive. */
+    void closeIdleConnections() {
         List.copyOf(connections).forEach(c -> c.timeOutAfter(MAX_IDLE_MS));
     }
 
-    /** Takes no further calls; returns whether none is in flight any more. */
+    /** Stops accepting calls and closes idle connections; returns whether no call is in flight. */
     boolean close() {
         closing = true;
         List.copyOf(connections).forEach(c -> c.endIfIdle(true));
         return callsInFlight.isEmpty();
     }
 
-    /** Answers all calls in flight before the process ends. */
-    void endAll() {
+    /** Responds to all calls in flight with {@link ResultCode#ENDING} before the process exits. */
+    void abortCallsInFlight() {
         for (Responder caller : List.copyOf(callsInFlight)) {
             respond(caller, OperatorResponse.result(ResultCode.ENDING, "this control sidecar ends"));
         }
--- a/controlplane/src/main/java/dewplank/controlplane/OperatorResponse.java
+++ b/controlplane/src/main/java/dewplank/controlplane/OperatorResponse.java
@@ -7,36 +7,36 @@
 import java.util.List;
 
 /**
- * A response of the operators' interface, all of whose bodies are JSON.
+ * A response of the operators' interface. Its body is always JSON.
  *
- * @param status of HTTP
- * @param headers besides those that frame the body
+ * @param status the HTTP status
+ * @param headers the headers, except those that frame the body
  */
 record OperatorResponse(int status, List<Headers.Field> headers, byte[] body) {
     private static final int STATUS_OK = 200;
     private static final Headers.Field JSON = new Headers.Field("Content-Type", "application/json");
 
-    /** A document, as it is. */
+    /** A successful response whose body is the given JSON document. */
     static OperatorResponse document(byte[] json) {
         return new OperatorResponse(STATUS_OK, List.of(JSON), json);
     }
 
-    /** A document, as it is. */
+    /** A successful response whose body is the given JSON document. */
     static OperatorResponse document(String json) {
         return document(json.getBytes(StandardCharsets.UTF_8));
     }
 
     /**
-     * A numbered result with the status that goes with it.
+     * A numbered result, with the HTTP status of that result.
      *
-     * @param detail for the person who reads it
-     * @param fields further fields of the body, as {@link JsonText} writes them
+     * @param detail an explanation for operators
+     * @param fields further fields of the body, as formatted by {@link JsonText}
      */
     static OperatorResponse result(ResultCode code, String detail, String... fields) {
         return new OperatorResponse(code.status(), List.of(JSON), body(code, detail, fields));
     }
 
-    /** The same with one more header. */
+    /** A numbered result, with the HTTP status of that result and one additional header. */
     static OperatorResponse resultWithHeader(ResultCode code, String detail, String headerName, String headerValue) {
         return new OperatorResponse(
                 code.status(), List.of(JSON, new Headers.Field(headerName, headerValue)), body(code, detail));
--- a/controlplane/src/main/java/dewplank/controlplane/OperatorViews.java
+++ b/controlplane/src/main/java/dewplank/controlplane/OperatorViews.java
@@ -7,8 +7,8 @@
 import java.util.Optional;
 
 /**
- * What this control plane knows, as JSON for the operator's client. Field names are those of the documentation; on
- * the loop's thread only.
+ * The state that this control plane knows, as JSON for the operators' client. The documentation specifies the field
+ * names. Used on the loop's thread only.
  */
 final class OperatorViews implements OperatorApi.Views {
     private final ControlComponents components;
--- a/controlplane/src/main/java/dewplank/controlplane/QuorumConfirmation.java
+++ b/controlplane/src/main/java/dewplank/controlplane/QuorumConfirmation.java
@@ -5,15 +5,18 @@
 import java.util.Optional;
 
 /**
- * Whether operators' calls may be confirmed here: only a quorum confirms, and only one of acceptors with a disk.
+ * Determines whether this control plane can confirm operators' calls, which requires a quorum, and that all acceptors
+ * have a disk.
  *
- * <p>Asked at each operator's call and each heartbeat of a peer, on the loop's thread only.
+ * <p>Evaluated at each operator's call and at each heartbeat of a peer, on the loop's thread only.
  */
 final class QuorumConfirmation {
-    /** A quorum that answered within this is taken to be reachable still: more than three anti-entropy rounds. */
+    /**
+     * A quorum that replied within this time is assumed to be reachable. Covers more than three anti-entropy rounds.
+     */
     static final double QUORUM_VALIDITY_MS = 1_500;
-    /** Every control plane that started together with this one has said hello by then. */
-    private static final double PEER_INTRODUCTION_MS = 5_000;
+    /** Within this time, every control plane that was started together with this one has sent its hello. */
+    private static final double PEER_HELLO_TIMEOUT_MS = 5_000;
 
     private final Scheduler loop;
     private final String identity;
@@ -24,7 +27,7 @@
     private final double startedAt;
 
     /**
-     * @param identity of the acceptor of this process
+     * @param identity the identity of this process as an acceptor
      * @param durable whether this process has a disk
      */
     QuorumConfirmation(
@@ -48,12 +51,12 @@
     }
 
     /**
-     * Whether all acceptors have a disk as far as is known. Before the first configuration each has to have said so in
-     * its hello, until all that started together have had time for it. Later the set has none without a disk, so one
-     * that is unreachable counts as durable.
+     * Whether all acceptors have a disk, as far as is known. Before the first configuration, each acceptor has to have
+     * stated this in its hello, until all control planes that were started together have had time for it. Later the set
+     * contains no acceptor without a disk, so an unreachable acceptor counts as durable.
      */
     private boolean acceptorsAreDurable() {
-        boolean helloRequired = history.version() == 0 && loop.now() - startedAt < PEER_INTRODUCTION_MS;
+        boolean helloRequired = history.version() == 0 && loop.now() - startedAt < PEER_HELLO_TIMEOUT_MS;
         for (AcceptorId acceptor : configuration.acceptors().all()) {
             if (!acceptor.identity().equals(identity) && !isDurable(acceptor, helloRequired)) {
                 return false;
@@ -66,8 +69,8 @@
         if (acceptor.isVolatile()) {
             return false;
         }
-        Optional<ControlMesh.Peer> introduced =
+        Optional<ControlMesh.Peer> peer =
                 mesh.peer(acceptor.address()).filter(p -> p.identity().equals(acceptor.identity()));
-        return introduced.isPresent() ? introduced.get().durable() : !helloRequired;
+        return peer.isPresent() ? peer.get().durable() : !helloRequired;
     }
 }
--- a/controlplane/src/main/java/dewplank/controlplane/QuorumLog.java
+++ b/controlplane/src/main/java/dewplank/controlplane/QuorumLog.java
@@ -7,13 +7,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Logs when this control plane loses and regains its quorum: one line each, with the numbered code that operators get
- * meanwhile. A loss shorter than the time that calls rely on a quorum is none. On the loop's thread only.
+ * Logs when this control plane loses and regains its quorum, one line for each. The line for a loss contains the
+ * numbered result that operators get until the quorum is regained. A loss that is shorter than the time for which calls
+ * rely on the last quorum is not logged. Used on the loop's thread only.
  */
 final class QuorumLog {
     private static final Logger LOG = LoggerFactory.getLogger(QuorumLog.class);
 
-    /** What {@link #check} found. */
+    /** The change that {@link #check} detected. */
     enum Transition {
         NONE,
         LOST,
@@ -25,13 +26,13 @@
     private boolean wasQuorate;
     private double lastQuorateAtMs;
 
-    /** @param quorate whether a quorum was reached within the time that calls rely on */
+    /** @param quorate whether a quorum was reached within the time for which calls rely on it */
     QuorumLog(Scheduler loop, BooleanSupplier quorate) {
         this.loop = loop;
         this.quorate = quorate;
     }
 
-    /** To be called a few times a second; returns what was logged. */
+    /** Logs a change and returns it. Called a few times per second. */
     Transition check() {
         boolean isQuorate = quorate.getAsBoolean();
         if (isQuorate == wasQuorate) {
--- a/controlplane/src/main/java/dewplank/controlplane/QuorumRedirects.java
+++ b/controlplane/src/main/java/dewplank/controlplane/QuorumRedirects.java
@@ -4,7 +4,10 @@
 import java.util.Optional;
 import java.util.function.BooleanSupplier;
 
-/** Where operators' calls may go instead, by what the mesh knows of other control planes. On the loop's thread only. */
+/**
+ * Finds other control planes that operators can call instead of this one, from the state of the mesh. Used on the
+ * loop's thread only.
+ */
 final class QuorumRedirects implements OperatorApi.Redirects {
     private final int controlPort;
     private final String self;
@@ -13,12 +16,12 @@
     private final BooleanSupplier foundersLost;
 
     /**
-     * Ports are alike on all machines.
+     * Assumes that the ports are the same on all machines.
      *
-     * @param controlPort where operators call, here and elsewhere
-     * @param self the own address on the links
-     * @param quorate whether a majority was reached recently
-     * @param foundersLost whether the first acceptors are known to be gone for good
+     * @param controlPort the port for operators' calls, on this machine and on others
+     * @param self the address of this process on the links between control planes
+     * @param quorate whether a quorum was reached recently
+     * @param foundersLost whether the initial acceptors are known to be lost permanently
      */
     QuorumRedirects(
             int controlPort, String self, ControlMesh mesh, BooleanSupplier quorate, BooleanSupplier foundersLost) {
--- a/controlplane/src/main/java/dewplank/controlplane/RejectedCallException.java
+++ b/controlplane/src/main/java/dewplank/controlplane/RejectedCallException.java
@@ -2,11 +2,11 @@
 
 import dewplank.settings.ResultCode;
 
-/** An operator's call can't be carried out as it was sent; the caller gets the numbered result. */
+/** Thrown if an operator's call is invalid; the caller gets the numbered result. */
 final class RejectedCallException extends Exception {
     private final ResultCode code;
 
-    /** @param detail for the person who reads it */
+    /** @param detail an explanation for operators */
     RejectedCallException(ResultCode code, String detail) {
         super(detail);
         this.code = code;
--- a/controlplane/src/main/java/dewplank/controlplane/SocketAddresses.java
+++ b/controlplane/src/main/java/dewplank/controlplane/SocketAddresses.java
@@ -4,11 +4,11 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Parses addresses as messages and lists write them. */
+/** Parses addresses in the format of messages and endpoint lists. */
 final class SocketAddresses {
     private SocketAddresses() {}
 
-    /** Reads an address of the form IP:PORT; never looks a name up. */
+    /** Parses an address of the form IP:PORT, without name resolution. */
     static InetSocketAddress socketAddress(String text) {
         int colon = text.lastIndexOf(':');
         String[] parts = text.substring(0, colon).split("\\.");
--- a/controlplane/src/main/java/dewplank/controlplane/Storage.java
+++ b/controlplane/src/main/java/dewplank/controlplane/Storage.java
@@ -9,23 +9,24 @@
 import java.util.function.Consumer;
 
 /**
- * What a control plane stores: its acceptor's state, the fencing tokens that it has voted for, the last endpoint list.
+ * The stored state of a control plane: the state of its acceptor, the fencing tokens that it has voted for, and the
+ * last endpoint list.
  *
- * <p>Called on the loop's thread only; writes are done apart from it, and their results arrive on it in a later task.
+ * <p>Called on the loop's thread only. Writes are asynchronous: their results arrive in a later task of the loop.
  */
 interface Storage extends ConfigurationStore.Disk, FounderTracker.Store {
-    /** Whether what is saved outlasts the process, so that it may vote. */
+    /** Whether saved state is preserved when the process ends, so that the process may vote. */
     boolean isDurable();
 
-    /** The acceptor's state as it was when this process started. */
+    /** The state of the acceptor when this process started. */
     DurableState recovered();
 
-    /** The acceptor's identity. */
+    /** The identity of the acceptor. */
     default String identity() {
         return recovered().identity();
     }
 
-    /** The bootstrap of the fleet. */
+    /** The recorded bootstrap of the fleet. */
     FleetBootstrap bootstrap();
 
     /** {@link FleetBootstrap#founders}. */
@@ -38,22 +39,22 @@
         return bootstrap().firstStart();
     }
 
-    /** The highest fencing token voted for, by role, as it was when this process started. */
+    /** The highest fencing token voted for when this process started, by role. */
     Map<String, Long> fencingTokens();
 
     /**
-     * Saves the highest fencing token voted for.
+     * Saves the highest fencing token voted for in a role.
      *
-     * @param done receives whether the token is on the disk, in a later task of the loop
+     * @param done receives the result of the write, in a later task of the loop
      */
     void saveFencingToken(String role, long token, Consumer<DiskResult> done);
 
-    /** The endpoint list as it was last saved; empty where there is none, or none that can be read. */
+    /** The endpoint list that was saved last; empty if there is none or it can't be read. */
     Optional<EndpointList> savedList();
 
-    /** Saves the newest endpoint list, for a quicker start; a failure only costs that. */
+    /** Saves the newest endpoint list to speed up the next start. A failure has no other effect than a slower start. */
     void saveList(EndpointList list);
 
-    /** Stops writing; writes that are still queued are dropped. */
+    /** Stops writing; queued writes are dropped. */
     void close();
 }
--- a/controlplane/src/main/java/dewplank/controlplane/SystemEnvironment.java
+++ b/controlplane/src/main/java/dewplank/controlplane/SystemEnvironment.java
@@ -21,9 +21,9 @@
 import java.util.SplittableRandom;
 import java.util.random.RandomGenerator;
 
-/** The machine's own clock, sockets and disk. */
+/** The environment of a real process: the clock, sockets and disk of the machine. */
 final class SystemEnvironment implements ControlEnvironment {
-    private static final double IDLE_SWEEP_INTERVAL_MS = 1_000;
+    private static final double IDLE_CHECK_INTERVAL_MS = 1_000;
 
     private final NodeSettings settings;
     private final EventLoop loop;
@@ -33,10 +33,10 @@
     private final MessageTransport transport;
 
     /**
-     * The environment of a process with these settings.
+     * Creates the environment of a process with these settings.
      *
      * @throws IOException if sockets can't be opened
-     * @throws StoreException if the data directory is none that this process may write to
+     * @throws StoreException if the data directory is not a directory that this process can write to
      */
     static SystemEnvironment of(NodeSettings settings, MessageCodec codec) throws IOException, StoreException {
         Path directory = settings.dataDirectory();
@@ -101,13 +101,13 @@
 
     @Override
     public ServerEndpoint operators(OperatorApi api) throws IOException {
-        loop.execute(() -> sweep(api));
+        loop.execute(() -> closeIdleConnections(api));
         return new Listener(loop, settings.control(), ControlPlane.MAX_CONNECTIONS, () -> api.connection(loop));
     }
 
-    private void sweep(OperatorApi api) {
-        api.sweep();
-        loop.after(IDLE_SWEEP_INTERVAL_MS, () -> sweep(api));
+    private void closeIdleConnections(OperatorApi api) {
+        api.closeIdleConnections();
+        loop.after(IDLE_CHECK_INTERVAL_MS, () -> closeIdleConnections(api));
     }
 
     @Override
--- a/controlplane/src/test/java/dewplank/controlplane/ControlMeshTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/ControlMeshTest.java
@@ -26,20 +26,20 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Links to other control sidecars, which are stand-ins here. */
+/** Tests the links to other control planes, which are replaced by instances of {@link FramedPeer}. */
 class ControlMeshTest {
-    private static final String OWN = "127.0.0.1:9";
-    private static final Member SELF = new Member("c0", Member.CONTROL, OWN, "z", 3);
+    private static final String SELF_ADDRESS = "127.0.0.1:9";
+    private static final Member SELF = new Member("c0", Member.CONTROL, SELF_ADDRESS, "z", 3);
 
     private EventLoop loop;
     private ControlMesh mesh;
-    private final List<FramedPeer> others = new ArrayList<>();
-    private final BlockingQueue<String> linked = new LinkedBlockingQueue<>();
+    private final List<FramedPeer> peers = new ArrayList<>();
+    private final BlockingQueue<String> linkUps = new LinkedBlockingQueue<>();
     private final Set<String> retained = new HashSet<>();
-    private final BlockingQueue<Object> own = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Object> messagesToSelf = new LinkedBlockingQueue<>();
 
     @BeforeEach
-    void begin() throws IOException {
+    void setUp() throws IOException {
         loop = new EventLoop();
         mesh = new ControlMesh(
                 loop,
@@ -53,12 +53,12 @@
 
                     @Override
                     public void received(String address, Object message) {
-                        own.add(message);
+                        messagesToSelf.add(message);
                     }
 
                     @Override
                     public void linkUp(String address) {
-                        linked.add(address);
+                        linkUps.add(address);
                     }
 
                     @Override
@@ -69,14 +69,14 @@
     }
 
     @AfterEach
-    void end() {
+    void tearDown() {
         loop.stop();
-        others.forEach(FramedPeer::close);
+        peers.forEach(FramedPeer::close);
     }
 
-    private FramedPeer other() throws IOException {
-        others.add(new FramedPeer());
-        return others.get(others.size() - 1);
+    private FramedPeer newPeer() throws IOException {
+        peers.add(new FramedPeer());
+        return peers.get(peers.size() - 1);
     }
 
     private void start(String... addresses) throws Exception {
@@ -86,88 +86,88 @@
         });
     }
 
-    private String nextLinked() throws InterruptedException {
-        return linked.poll(Wire.PATIENCE_S, TimeUnit.SECONDS);
+    private String nextLinkUp() throws InterruptedException {
+        return linkUps.poll(Wire.PATIENCE_S, TimeUnit.SECONDS);
     }
 
     @Test
     void connectsOnceToEachPeerSendsHelloAndHeartbeats() throws Exception {
-        FramedPeer other = other().answering();
-        start(other.address(), OWN, other.address());
-        assertEquals(other.address(), nextLinked());
+        FramedPeer other = newPeer().acknowledging();
+        start(other.address(), SELF_ADDRESS, other.address());
+        assertEquals(other.address(), nextLinkUp());
         ControlHello hello = other.nextIs(ControlHello.class);
         assertEquals(SELF, hello.member);
         assertEquals("disk-0", hello.identity);
         ControlHeartbeat first = other.message(ControlHeartbeat.class);
         assertEquals(List.of(SELF), first.sessions);
-        assertTrue(first.controlAddresses.containsAll(List.of(OWN, other.address())));
+        assertTrue(first.controlAddresses.containsAll(List.of(SELF_ADDRESS, other.address())));
         assertTrue(other.message(ControlHeartbeat.class).sequence > first.sequence);
         other.connection();
         assertTrue(other.hasNoFurtherConnection());
-        assertEquals(List.of(OWN, other.address()), OnLoop.get(loop, mesh::liveAddresses));
+        assertEquals(List.of(SELF_ADDRESS, other.address()), OnLoop.get(loop, mesh::liveAddresses));
         assertEquals(1, OnLoop.get(loop, mesh::addressCount));
     }
 
     @Test
-    void sendReachesOnePeerAndBroadcastAll() throws Exception {
-        FramedPeer one = other().answering();
-        FramedPeer two = other().answering();
+    void sendsToOnePeerAndBroadcastsToAll() throws Exception {
+        FramedPeer one = newPeer().acknowledging();
+        FramedPeer two = newPeer().acknowledging();
         start(one.address(), two.address());
-        nextLinked();
-        nextLinked();
+        nextLinkUp();
+        nextLinkUp();
         OnLoop.run(loop, () -> {
             mesh.send(one.address(), new ControlHello(SELF, "for one", true));
-            mesh.send("127.0.0.1:1", new ControlHello(SELF, "for nobody", true));
+            mesh.send("127.0.0.1:1", new ControlHello(SELF, "for an unknown peer", true));
             mesh.broadcast(new ControlHello(SELF, "for all", true));
         });
-        one.message(ControlHello.class); // of the link itself
+        one.message(ControlHello.class); // the hello of the link itself
         assertEquals("for one", one.message(ControlHello.class).identity);
         assertEquals("for all", one.message(ControlHello.class).identity);
         two.message(ControlHello.class);
         assertEquals("for all", two.message(ControlHello.class).identity);
     }
 
-    /** What a step sends to itself is handed over after that step. */
+    /** A message that a task sends to its own process is delivered after that task. */
     @Test
-    void aMessageToItselfArrivesInALaterTask() throws Exception {
+    void aMessageToSelfArrivesInALaterTask() throws Exception {
         start();
         OnLoop.run(loop, () -> {
-            mesh.send(OWN, "own");
-            assertTrue(own.isEmpty());
+            mesh.send(SELF_ADDRESS, "own");
+            assertTrue(messagesToSelf.isEmpty());
         });
-        assertEquals("own", own.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
+        assertEquals("own", messagesToSelf.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
     }
 
     @Test
-    void reconnectsAfterAHeartbeatTimeoutOnly() throws Exception {
-        FramedPeer unresponsive = other();
-        FramedPeer speaking = other().answering();
-        start(unresponsive.address(), speaking.address());
+    void reconnectsOnlyAfterAHeartbeatTimeout() throws Exception {
+        FramedPeer unresponsive = newPeer();
+        FramedPeer responsive = newPeer().acknowledging();
+        start(unresponsive.address(), responsive.address());
         MessageLink first = unresponsive.connection();
         assertEquals(first, unresponsive.ended());
         assertNotSame(first, unresponsive.connection());
-        assertTrue(speaking.hasLostNone());
+        assertTrue(responsive.hasNoClosedConnection());
     }
 
     @Test
     void reconnectsABrokenLink() throws Exception {
-        FramedPeer other = other().answering();
+        FramedPeer other = newPeer().acknowledging();
         start(other.address());
         MessageLink first = other.connection();
         other.message(ControlHeartbeat.class);
         other.end(first);
         assertNotSame(first, other.connection());
-        assertEquals(other.address(), nextLinked());
-        assertEquals(other.address(), nextLinked());
+        assertEquals(other.address(), nextLinkUp());
+        assertEquals(other.address(), nextLinkUp());
     }
 
     @Test
-    void aHelloAddsThePeerAndRecordsWhenItArrived() throws Exception {
-        FramedPeer other = other().answering();
+    void aHelloAddsThePeerAndRecordsItsArrivalTime() throws Exception {
+        FramedPeer other = newPeer().acknowledging();
         start();
         Member member = new Member("c1", Member.CONTROL, other.address(), "z", 5);
         OnLoop.run(loop, () -> mesh.helloReceived(new ControlHello(member, "disk-1", true)));
-        assertEquals(other.address(), nextLinked());
+        assertEquals(other.address(), nextLinkUp());
         ControlMesh.Peer peer = OnLoop.get(loop, () -> mesh.peers(5_000)).get(0);
         assertEquals(member, peer.member());
         assertEquals("disk-1", peer.identity());
@@ -177,8 +177,7 @@
         assertEquals(peer.firstReceivedAt(), later.firstReceivedAt());
         assertTrue(later.lastReceivedAt() > peer.lastReceivedAt());
         OnLoop.run(
-                loop,
-                () -> mesh.helloReceived(new ControlHello(member, "disk-2", true))); // it came back without its disk
+                loop, () -> mesh.helloReceived(new ControlHello(member, "disk-2", true))); // restarted without its disk
         ControlMesh.Peer changed = OnLoop.get(loop, () -> mesh.peers(5_000)).get(0);
         assertEquals("disk-2", changed.identity());
         assertTrue(changed.firstReceivedAt() > peer.firstReceivedAt());
@@ -200,9 +199,9 @@
         });
     }
 
-    /** 64 machines that were replaced must not prevent a link to the 65th. */
+    /** Guards against 64 addresses of replaced machines preventing a link to the 65th machine. */
     @Test
-    void evictsTheLongestDeadPeerButNoSeedAndNoAcceptor() throws Exception {
+    void evictsTheLongestDeadPeerThatIsNotRetained() throws Exception {
         OnLoop.run(loop, () -> {
             retained.add("127.0.1.1:1");
             List<String> dead = new ArrayList<>();
--- a/controlplane/src/test/java/dewplank/controlplane/FramedPeer.java
+++ b/controlplane/src/test/java/dewplank/controlplane/FramedPeer.java
@@ -18,7 +18,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** Another process of the fleet, on its own loop: records the messages that arrive and sends those of the test. */
+/** A process of the fleet that runs on a separate loop, records received messages and sends those of the test. */
 final class FramedPeer implements MessageLink.Handler, Closeable {
     private final EventLoop loop = new EventLoop();
     private final MessageCodec codec = FleetMessages.codec();
@@ -26,7 +26,7 @@
     private final BlockingQueue<MessageLink> opened = new LinkedBlockingQueue<>();
     private final BlockingQueue<Object> messages = new LinkedBlockingQueue<>();
     private final BlockingQueue<MessageLink> closed = new LinkedBlockingQueue<>();
-    private volatile boolean answers;
+    private volatile boolean acknowledgesHeartbeats;
 
     FramedPeer() throws IOException {
         listener = new Listener(
@@ -37,9 +37,9 @@
         loop.execute(listener::accept);
     }
 
-    /** Acknowledges every heartbeat of a control plane. */
-    FramedPeer answering() {
-        answers = true;
+    /** Makes this peer acknowledge every heartbeat of a control plane. */
+    FramedPeer acknowledging() {
+        acknowledgesHeartbeats = true;
         return this;
     }
 
@@ -51,7 +51,7 @@
     @Override
     public void received(MessageLink connection, Object message) {
         messages.add(message);
-        if (answers && message instanceof ControlHeartbeat heartbeat) {
+        if (acknowledgesHeartbeats && message instanceof ControlHeartbeat heartbeat) {
             connection.send(new HeartbeatAck(heartbeat.sequence, true, heartbeat.controlAddresses));
         }
     }
@@ -64,7 +64,7 @@
     private static <T> T next(BlockingQueue<T> queue) throws InterruptedException {
         T next = queue.poll(Wire.PATIENCE_S, TimeUnit.SECONDS);
         if (next == null) {
-            throw new AssertionError("nothing arrived");
+            throw new AssertionError("nothing arrived in time");
         }
         return next;
     }
@@ -77,7 +77,7 @@
         return next(closed);
     }
 
-    boolean hasLostNone() {
+    boolean hasNoClosedConnection() {
         return closed.isEmpty();
     }
 
@@ -89,18 +89,18 @@
         return messages.isEmpty();
     }
 
-    /** The next message of that kind; others are skipped. */
-    <T> T message(Class<T> kind) throws InterruptedException {
+    /** The next message of the given type; others are skipped. */
+    <T> T message(Class<T> type) throws InterruptedException {
         Object next = next(messages);
-        while (!kind.isInstance(next)) {
+        while (!type.isInstance(next)) {
             next = next(messages);
         }
-        return kind.cast(next);
+        return type.cast(next);
     }
 
-    /** The next message, which must be of that kind. */
-    <T> T nextIs(Class<T> kind) throws InterruptedException {
-        return kind.cast(next(messages));
+    /** The next message, which must be of the given type. */
+    <T> T nextIs(Class<T> type) throws InterruptedException {
+        return type.cast(next(messages));
     }
 
     MessageLink dial(InetSocketAddress to) throws Exception {
--- a/controlplane/src/test/java/dewplank/controlplane/GoldenDiskTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/GoldenDiskTest.java
@@ -31,7 +31,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A data directory as an earlier release left it: of one of the first acceptors, after one change. */
+/** Opens the data directory that an earlier release wrote for an initial acceptor, after one change. */
 class GoldenDiskTest {
     private static final List<String> FILES = List.of("acceptor.mv", "founders", "servers");
     private static final List<String> FOUNDERS = List.of("10.0.0.1:7600", "10.0.0.2:7600", "10.0.0.3:7600");
@@ -41,7 +41,7 @@
     @TempDir
     private Path directory;
 
-    /** Does all at once, on the caller's thread. */
+    /** Runs each task immediately, on the caller's thread. */
     private static final class ImmediateDisk implements DiskExecutor {
         @Override
         public void submit(Task task, Consumer<DiskResult> completion) {
@@ -64,8 +64,8 @@
         }
     }
 
-    /** A store writes to its file as soon as it opens it: the directory that is kept is copied first. */
-    private void copy() throws IOException {
+    /** Copies the golden directory, because a store writes to its file when it opens it. */
+    private void copyGoldenFiles() throws IOException {
         for (String file : FILES) {
             Files.write(directory.resolve(file), resource("data/" + file));
         }
@@ -92,8 +92,8 @@
     }
 
     @Test
-    void theStateOfTheRegister() throws IOException, StoreException {
-        copy();
+    void readsTheRegisterState() throws IOException, StoreException {
+        copyGoldenFiles();
         DiskStorage storage = open(LATER_SEEDS);
         assertFalse(storage.firstStart());
         assertEquals("founder@10.0.0.1:7600", storage.identity());
@@ -101,13 +101,13 @@
         assertEquals("4/founder@10.0.0.1:7600#1", state.promisedBallot().toString());
         assertEquals("4/founder@10.0.0.1:7600#1", state.acceptedBallot().toString());
         assertEquals("4/founder@10.0.0.1:7600#1", state.chosenBallot().toString());
-        assertIsValue(state.acceptedValue());
-        assertIsValue(state.chosenValue());
+        assertIsGoldenValue(state.acceptedValue());
+        assertIsGoldenValue(state.chosenValue());
         assertEquals(Map.of("list", 2L), storage.fencingTokens());
         storage.close();
     }
 
-    private static void assertIsValue(RegisterValue value) throws IOException {
+    private static void assertIsGoldenValue(RegisterValue value) throws IOException {
         assertEquals(0, value.acceptors().generation());
         assertEquals(founders(), value.acceptors().members());
         assertEquals(List.of(), value.acceptors().joining());
@@ -130,8 +130,8 @@
     }
 
     @Test
-    void theFirstAcceptorsWhateverTheSettingsNameNow() throws IOException, StoreException {
-        copy();
+    void keepsTheStoredFoundersWhenTheSettingsNameOtherSeeds() throws IOException, StoreException {
+        copyGoldenFiles();
         DiskStorage storage = open(LATER_SEEDS);
         assertEquals(FOUNDERS, storage.founders());
         assertEquals(founders(), Bootstrap.initialAcceptors(storage, "10.0.0.1:7600"));
@@ -140,8 +140,8 @@
     }
 
     @Test
-    void theListOfServers() throws IOException, StoreException {
-        copy();
+    void readsTheEndpointList() throws IOException, StoreException {
+        copyGoldenFiles();
         DiskStorage storage = open(LATER_SEEDS);
         EndpointList list = storage.savedList().orElseThrow();
         assertEquals(2, list.version.fencingToken);
@@ -168,9 +168,9 @@
         storage.close();
     }
 
-    /** The same is written on an empty disk: the same files, and the same bytes in those without a store in them. */
+    /** The current release creates the same files on an empty disk, with the same bytes except in acceptor.mv. */
     @Test
-    void theFilesOfAnEmptyDisk() throws IOException, StoreException {
+    void createsTheSameFilesOnAnEmptyDisk() throws IOException, StoreException {
         DiskStorage storage = open(FOUNDERS);
         assertTrue(storage.firstStart());
         assertEquals("founder@10.0.0.1:7600", storage.identity());
--- a/controlplane/src/test/java/dewplank/controlplane/JsonTextTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/JsonTextTest.java
@@ -9,17 +9,17 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** Whatever a detail holds, a client can read the answer. */
+/** A client can parse the response whatever characters its fields contain. */
 class JsonTextTest {
     @Property(tries = 300)
-    void anyTextReadsBack(@ForAll String name, @ForAll String text) {
+    void anyTextRoundTrips(@ForAll String name, @ForAll String text) {
         String object = JsonText.object(JsonText.field(name, text), JsonText.plain(name + "2", 7));
         assertEquals(text, Json.object(object).get(name));
         assertEquals(7L, Json.object(object).get(name + "2"));
     }
 
     @Property(tries = 100)
-    void anyListReadsBack(@ForAll List<String> texts) {
+    void anyListRoundTrips(@ForAll List<String> texts) {
         String array = JsonText.array(texts.stream().map(JsonText::quoted).toList());
         assertEquals(texts, Json.array(array));
     }
--- a/controlplane/src/test/java/dewplank/controlplane/OperatorApiTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/OperatorApiTest.java
@@ -24,17 +24,17 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The operators' interface over loopback, in front of a register of one process. */
+/** Tests the operators' interface over loopback, with a register of a single process. */
 class OperatorApiTest {
-    private static final int MAX_WAIT_S = 20; // only a failing test waits so long
+    private static final int MAX_WAIT_S = 20; // reached only if a test fails
     private static final String ROUTE = "{\"name\":\"r-1\",\"host_name\":\"a.example\",\"path_prefix\":\"/a/\","
             + "\"route_type\":\"safe\",\"timeout_ms\":2500,\"service\":\"s\"}";
     private static final String LIMITS = "\"limits\":{\"max_body_bytes\":1000}";
 
-    private final StandInRegister register = new StandInRegister();
+    private final FakeRegister register = new FakeRegister();
     private final HttpClient client =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
-    private final StandInRedirects redirects = new StandInRedirects();
+    private final FakeRedirects redirects = new FakeRedirects();
     private EventLoop loop;
     private OperatorApi api;
     private String base;
@@ -54,15 +54,15 @@
         loop.stop();
     }
 
-    /** What the control sidecar knows of a majority and of others. */
-    private static final class StandInRedirects implements OperatorApi.Redirects {
-        private volatile boolean current = true;
-        private volatile String better;
+    /** Redirects with a quorum and other control planes that the test sets. */
+    private static final class FakeRedirects implements OperatorApi.Redirects {
+        private volatile boolean hasQuorum = true;
+        private volatile String quorateEndpoint;
         private volatile boolean foundersLost;
 
         @Override
         public boolean hasQuorum() {
-            return current;
+            return hasQuorum;
         }
 
         @Override
@@ -72,7 +72,7 @@
 
         @Override
         public Optional<String> quorateEndpoint() {
-            return Optional.ofNullable(better);
+            return Optional.ofNullable(quorateEndpoint);
         }
 
         @Override
@@ -140,12 +140,13 @@
         return call("GET", path, null, "");
     }
 
-    /** The answer's fields, after its number, name and status were looked at. */
-    private static Map<String, Object> result(ResultCode code, HttpResponse<String> answer) {
-        assertEquals(code.status(), answer.statusCode(), answer.body());
+    /** Checks the status, number and name of the result, and returns the fields of the response. */
+    private static Map<String, Object> result(ResultCode code, HttpResponse<String> response) {
+        assertEquals(code.status(), response.statusCode(), response.body());
         assertEquals(
-                "application/json", answer.headers().firstValue("Content-Type").orElse(""));
-        Map<String, Object> fields = Json.object(answer.body());
+                "application/json",
+                response.headers().firstValue("Content-Type").orElse(""));
+        Map<String, Object> fields = Json.object(response.body());
         assertEquals((long) code.number(), fields.get("code"));
         assertEquals(code.name(), fields.get("result"));
         assertTrue(fields.get("detail") instanceof String);
@@ -179,7 +180,7 @@
     }
 
     @Test
-    void namesTheKeyAtFault() {
+    void reportsTheInvalidKey() {
         Map<String, Object> fields = result(
                 ResultCode.INVALID_CONFIGURATION,
                 call("PUT", "/configuration", "0", configuration(3).replace("2500", "0")));
@@ -191,23 +192,23 @@
         result(ResultCode.INVALID_CONFIGURATION, call("PUT", "/configuration", "0", ""));
     }
 
-    /** Two tenants hold one key: the answer names the field and the tenants, and nobody's key. */
+    /** If two tenants have the same key, the response contains the field and the tenant, but no key. */
     @Test
-    void anInvalidListOfTenantsIsAnsweredWithoutItsKeys() {
-        String key = "key-of-nobody-else";
+    void theResponseToInvalidTenantsContainsNoKeys() {
+        String key = "key-of-two-tenants";
         String tenants = "[{\"name\":\"a\",\"access_keys\":[\"" + key + "\"]},{\"name\":\"b\",\"access_keys\":[\"" + key
                 + "\"]}]";
-        for (HttpResponse<String> answer : List.of(
+        for (HttpResponse<String> response : List.of(
                 call(
                         "PUT",
                         "/configuration",
                         "0",
                         configuration(3).replace("\"services\"", "\"tenants\":" + tenants + ",\"services\"")),
                 patchOfTenants(tenants))) {
-            Map<String, Object> fields = result(ResultCode.INVALID_CONFIGURATION, answer);
+            Map<String, Object> fields = result(ResultCode.INVALID_CONFIGURATION, response);
             assertEquals("tenants[b].access_keys", fields.get("key"));
             assertEquals("SHARED_KEY", fields.get("reason"));
-            assertFalse(answer.body().contains(key), answer.body());
+            assertFalse(response.body().contains(key), response.body());
         }
     }
 
@@ -217,7 +218,7 @@
         return call("PATCH", "/configuration", "3", patch);
     }
 
-    /** Operators' programs read the configuration back: the interface gives it whole, keys too. */
+    /** Operators' programs read the configuration back, so the response is complete and includes the keys. */
     @Test
     void theInterfaceReturnsKeysAsTheyWereSent() {
         String tenants = "\"tenants\":[{\"name\":\"a\",\"access_keys\":[\"k-1\"]}],\"services\"";
@@ -235,17 +236,17 @@
     }
 
     @Test
-    void reportsThatNoQuorumAnswers() {
+    void reportsThatNoQuorumReplies() {
         register.loseQuorum();
         Map<String, Object> fields = result(ResultCode.NO_QUORUM, call("PUT", "/configuration", "0", configuration(3)));
-        assertEquals("2 of 3 acceptors are silent", fields.get("detail"));
+        assertEquals("2 of 3 acceptors did not reply", fields.get("detail"));
         result(ResultCode.NO_QUORUM, get("/configuration"));
     }
 
-    /** Without a quorum it neither confirms nor rejects, not even what is evidently wrong, and queries nobody. */
+    /** Without a quorum the call is neither confirmed nor rejected, even if it is invalid, and sends no request. */
     @Test
-    void withoutAQuorumItNamesOtherEndpointsAtOnce() {
-        redirects.current = false;
+    void withoutAQuorumItReturnsOtherEndpointsImmediately() {
+        redirects.hasQuorum = false;
         String[] bodies = {configuration(3), "{", ""};
         for (String body : bodies) {
             Map<String, Object> fields = result(ResultCode.NOT_CURRENT, call("PUT", "/configuration", "0", body));
@@ -254,66 +255,66 @@
         }
         result(ResultCode.NOT_CURRENT, call("PUT", "/configuration", null, configuration(3)));
         result(ResultCode.NOT_CURRENT, get("/configuration"));
-        assertEquals(List.of(), register.waits());
+        assertEquals(List.of(), register.timeouts());
         assertEquals(200, get("/status").statusCode());
     }
 
     @Test
-    void saysThatTheFoundersAreLostUnlessAnotherHasAQuorum() {
-        redirects.current = false;
+    void reportsLostFoundersUnlessAnotherControlPlaneHasAQuorum() {
+        redirects.hasQuorum = false;
         redirects.foundersLost = true;
         Map<String, Object> fields = result(ResultCode.FOUNDERS_LOST, get("/configuration"));
         assertEquals(List.of("10.0.0.4:8080", "10.0.0.5:8080"), fields.get("elsewhere"));
         result(ResultCode.FOUNDERS_LOST, call("PUT", "/configuration", "0", configuration(3)));
-        redirects.better = "10.0.0.4:8080";
+        redirects.quorateEndpoint = "10.0.0.4:8080";
         result(ResultCode.ELSEWHERE, get("/configuration"));
-        assertEquals(List.of(), register.waits());
+        assertEquals(List.of(), register.timeouts());
     }
 
     @Test
-    void redirectsToOneThatLatelyHadAQuorum() {
-        redirects.current = false;
-        redirects.better = "10.0.0.4:8080";
-        HttpResponse<String> answer = call("PATCH", "/configuration", "7", "{}");
-        result(ResultCode.ELSEWHERE, answer);
+    void redirectsToAControlPlaneWithARecentQuorum() {
+        redirects.hasQuorum = false;
+        redirects.quorateEndpoint = "10.0.0.4:8080";
+        HttpResponse<String> response = call("PATCH", "/configuration", "7", "{}");
+        result(ResultCode.ELSEWHERE, response);
         assertEquals(
                 "http://10.0.0.4:8080/configuration",
-                answer.headers().firstValue("Location").orElse(""));
-        assertEquals(List.of(), register.waits());
+                response.headers().firstValue("Location").orElse(""));
+        assertEquals(List.of(), register.timeouts());
     }
 
     @Test
-    void answersBeforeCallersTimeOut() {
+    void respondsBeforeCallersTimeOut() {
         call("PUT", "/configuration", "0", configuration(3));
         call("PUT", "/configuration", "0", configuration(3) + " ".repeat(100_000));
         get("/configuration");
-        List<Double> waits = register.waits();
-        assertTrue(waits.get(0) < 1_000 && waits.get(2) < 1_000, waits.toString());
-        assertTrue(waits.get(1) > 1_000, waits.toString());
+        List<Double> timeouts = register.timeouts();
+        assertTrue(timeouts.get(0) < 1_000 && timeouts.get(2) < 1_000, timeouts.toString());
+        assertTrue(timeouts.get(1) > 1_000, timeouts.toString());
     }
 
     @Test
     void servesItsViews() {
         for (String path : List.of(
                 "/members", "/duties", "/servers", "/status", "/data-planes", "/status?pretty=1", "/servers/?zone=x")) {
-            HttpResponse<String> answer = get(path);
-            assertEquals(200, answer.statusCode(), path);
-            Json.object(answer.body());
+            HttpResponse<String> response = get(path);
+            assertEquals(200, response.statusCode(), path);
+            Json.object(response.body());
         }
     }
 
     @Test
-    void showsOneServer() {
+    void returnsOneServer() {
         assertEquals("{\"instance_id\":\"i-1\"}", get("/servers/i-1?verbose").body());
         Map<String, Object> fields = result(ResultCode.NO_SUCH_SERVER, get("/servers/i-2"));
         assertEquals("the list of servers has no instance i-2", fields.get("detail"));
     }
 
     @Test
-    void aWrongMethodIsAnsweredWithTheAllowedOnes() {
-        HttpResponse<String> answer = call("DELETE", "/configuration", null, "");
-        result(ResultCode.NO_SUCH_METHOD, answer);
-        assertEquals("GET, PUT, PATCH", answer.headers().firstValue("Allow").orElse(""));
+    void theResponseToAnUnsupportedMethodListsTheAllowedOnes() {
+        HttpResponse<String> response = call("DELETE", "/configuration", null, "");
+        result(ResultCode.NO_SUCH_METHOD, response);
+        assertEquals("GET, PUT, PATCH", response.headers().firstValue("Allow").orElse(""));
         assertEquals(
                 "GET",
                 call("PUT", "/servers/i-1", "0", "")
@@ -323,7 +324,7 @@
     }
 
     @Test
-    void aWrongPathIsNamed() {
+    void theResponseToAnUnknownPathContainsThePath() {
         for (String path : List.of("/", "/nothing?x=1", "/configuration/x", "/servers/i-1/x", "/%22%5C")) {
             String detail =
                     String.valueOf(result(ResultCode.NO_SUCH_PATH, get(path)).get("detail"));
@@ -332,22 +333,22 @@
     }
 
     @Test
-    void callsInFlightAreAnsweredWhenDraining() throws Exception {
-        register.stopAnswering();
-        CompletableFuture<HttpResponse<String>> answer =
+    void callsInFlightGetAResponseWhenDraining() throws Exception {
+        register.stopResponding();
+        CompletableFuture<HttpResponse<String>> response =
                 client.sendAsync(request("GET", "/configuration", null, ""), HttpResponse.BodyHandlers.ofString());
-        endOnceCalled();
-        result(ResultCode.ENDING, answer.get(MAX_WAIT_S, TimeUnit.SECONDS));
+        closeOnceCalled();
+        result(ResultCode.ENDING, response.get(MAX_WAIT_S, TimeUnit.SECONDS));
     }
 
-    /** Ends the interface as soon as a call is under way. */
-    private void endOnceCalled() {
+    /** Closes the interface as soon as a call is in flight. */
+    private void closeOnceCalled() {
         loop.execute(() -> {
-            if (register.waits().isEmpty()) {
-                endOnceCalled();
+            if (register.timeouts().isEmpty()) {
+                closeOnceCalled();
             } else {
                 api.close();
-                api.endAll();
+                api.abortCallsInFlight();
             }
         });
     }
--- a/controlplane/src/test/java/dewplank/controlplane/OperatorRequestsTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/OperatorRequestsTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The operators' interface byte by byte: what callers may write, what is refused, and with which status. */
+/** Tests the operators' interface at the level of bytes: which requests it accepts, and the status of rejected ones. */
 class OperatorRequestsTest {
     private static final String ROUTE = "{\"name\":\"r-1\",\"host_name\":\"a.example\",\"path_prefix\":\"/a/\","
             + "\"route_type\":\"safe\",\"timeout_ms\":2500,\"service\":\"s\"}";
@@ -28,7 +28,7 @@
     private EventLoop loop;
     private Listener listener;
 
-    /** Nothing to see. */
+    /** Views without content. */
     private static final class NoViews implements OperatorApi.Views {
         @Override
         public String members() {
@@ -61,7 +61,7 @@
         }
     }
 
-    /** A control sidecar that reaches a majority. */
+    /** A control plane that reaches a quorum. */
     private static final class WithQuorum implements OperatorApi.Redirects {
         @Override
         public boolean hasQuorum() {
@@ -87,7 +87,7 @@
     @BeforeEach
     void start() throws IOException {
         loop = new EventLoop();
-        OperatorApi api = new OperatorApi(new StandInRegister(), new WithQuorum(), new NoViews());
+        OperatorApi api = new OperatorApi(new FakeRegister(), new WithQuorum(), new NoViews());
         listener = new Listener(
                 loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 64, () -> api.connection(loop));
         loop.execute(listener::accept);
@@ -118,23 +118,23 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"3", "\"3\"", " 3 ", "03"})
-    void theVersionMayStandInQuotes(String ifMatch) throws IOException {
+    void ifMatchMayBeQuoted(String ifMatch) throws IOException {
         assertEquals(200, status("PUT", "0", configuration(3)));
         assertEquals(200, status("PUT", ifMatch, configuration(4)));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"*", "W/\"3\"", "3, 4", "3.0", "-3", "three", "", "\"\"", "99999999999999999999"})
-    void whatNamesNoVersionIsRefused(String ifMatch) throws IOException {
+    void anIfMatchWithoutAVersionIsRejected(String ifMatch) throws IOException {
         assertEquals(200, status("PUT", "0", configuration(3)));
         assertEquals(400, status("PUT", ifMatch, configuration(4)));
         assertEquals(400, status("PATCH", ifMatch, "{\"config_version\":4}"));
     }
 
-    // ---- the same again -------------------------------------------------------------------------------
+    // ---- repeated changes -----------------------------------------------------------------------------
 
     @Test
-    void anAcceptedChangeIsAcknowledgedAgainWhateverFollowed() throws IOException {
+    void aRepeatedChangeIsAcknowledgedDespiteLaterChanges() throws IOException {
         String patch = "{\"config_version\":8,\"remove\":{\"routes\":[\"r-1\"]}}";
         assertEquals(200, status("PUT", "0", configuration(3)));
         assertEquals(200, status("PUT", "0", configuration(3)));
@@ -145,9 +145,9 @@
         assertEquals(200, status("PUT", "8", configuration(9)));
     }
 
-    /** The same number for another change, the same bytes on another version, the same bytes by the other method. */
+    /** A different body with the same version, and the same body with another base version or another method. */
     @Test
-    void aSimilarChangeIsRejected() throws IOException {
+    void aDifferentChangeIsNotTakenForARepeatedOne() throws IOException {
         assertEquals(200, status("PUT", "0", configuration(3)));
         assertEquals(412, status("PUT", "0", configuration(3) + " "));
         assertEquals(412, status("PUT", "2", configuration(3)));
@@ -157,7 +157,7 @@
 
     @ParameterizedTest
     @CsvSource({"PUT,3", "PATCH,3", "PUT,2", "PATCH,2"})
-    void whatCannotBeReadIsInvalidWhateverItBuildsOn(String method, String ifMatch) throws IOException {
+    void anUnreadableBodyIsInvalidForAnyBaseVersion(String method, String ifMatch) throws IOException {
         assertEquals(200, status("PUT", "0", configuration(3)));
         assertEquals(400, status(method, ifMatch, "{\"config_version\":4,"));
         assertEquals(400, status(method, ifMatch, ""));
@@ -170,7 +170,7 @@
     }
 
     @Test
-    void aLargeConfigurationIsTaken() throws IOException {
+    void acceptsAConfigurationOfTheMaximumSize() throws IOException {
         assertEquals(
                 200,
                 status(
@@ -180,7 +180,7 @@
     }
 
     @Test
-    void aLongerOneIsInvalid() throws IOException {
+    void aConfigurationAboveTheMaximumSizeIsInvalid() throws IOException {
         assertEquals(
                 400,
                 status(
@@ -189,9 +189,9 @@
                         configuration(3) + " ".repeat(4 * MIB - configuration(3).length() + 1)));
     }
 
-    /** Told by the head alone, so that nobody sends it. */
+    /** The request is rejected after its head, so that the caller does not have to send the body. */
     @Test
-    void aBodyBeyondAllBoundsIsNotRead() throws IOException {
+    void aBodyAboveTheBodyLimitIsNotRead() throws IOException {
         try (Wire caller = caller()) {
             caller.send(head("Content-Length: " + 5 * MIB + "\r\n"));
             assertEquals(413, caller.read().status());
@@ -201,7 +201,7 @@
     }
 
     @Test
-    void aBodyMayComeInChunks() throws IOException {
+    void acceptsAChunkedBody() throws IOException {
         try (Wire caller = caller()) {
             caller.send(head("Transfer-Encoding: chunked\r\n"));
             caller.chunk(configuration(3).substring(0, 20));
@@ -211,10 +211,10 @@
         }
     }
 
-    // ---- what is no request ---------------------------------------------------------------------------
+    // ---- malformed requests ---------------------------------------------------------------------------
 
     @Test
-    void aRequestWithoutPathOrMethodIsRefusedAndNothingElseEnds() throws IOException {
+    void aMalformedRequestIsRejectedWithoutAffectingOtherConnections() throws IOException {
         for (String first : List.of(
                 "GET  HTTP/1.1",
                 "GET HTTP/1.1",
@@ -227,9 +227,9 @@
                 "\u0000\u0001\u0002")) {
             try (Wire caller = caller()) {
                 caller.send(first + "\r\nHost: c\r\n\r\n");
-                Wire.Message answer = caller.read();
-                assertEquals(400, answer.status(), first);
-                assertEquals("close", answer.header("Connection"), first);
+                Wire.Message response = caller.read();
+                assertEquals(400, response.status(), first);
+                assertEquals("close", response.header("Connection"), first);
                 assertNull(caller.read(), first);
             }
         }
@@ -237,13 +237,13 @@
     }
 
     @Test
-    void aMethodOrAPathThatIsNotThereIsNamed() throws IOException {
+    void anUnknownPathOrMethodIsReported() throws IOException {
         for (String target : List.of("/", "//", "/configuration/1", "/?x=/configuration")) {
             try (Wire caller = caller()) {
                 caller.send("GET " + target + " HTTP/1.1\r\nHost: c\r\n\r\n");
-                Wire.Message answer = caller.read();
-                assertEquals(404, answer.status(), target);
-                assertTrue(answer.body().contains("NO_SUCH_PATH"), answer.body());
+                Wire.Message response = caller.read();
+                assertEquals(404, response.status(), target);
+                assertTrue(response.body().contains("NO_SUCH_PATH"), response.body());
             }
         }
         assertEquals(405, status("POST", "0", configuration(3)));
--- a/controlplane/src/test/java/dewplank/controlplane/QuorumLogTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/QuorumLogTest.java
@@ -9,9 +9,9 @@
 class QuorumLogTest {
     private double now = 1_000;
     private boolean quorate;
-    private final QuorumLog log = new QuorumLog(new Clock(), () -> quorate);
+    private final QuorumLog log = new QuorumLog(new ManualClock(), () -> quorate);
 
-    private final class Clock implements Scheduler {
+    private final class ManualClock implements Scheduler {
         @Override
         public double now() {
             return now;
@@ -33,8 +33,8 @@
     }
 
     @Test
-    void eachLossAndEachReturnIsLoggedOnce() {
-        assertEquals(Transition.NONE, checkAt(1_000, false), "nothing is lost before the first quorum");
+    void logsEachLossAndEachRecoveryOnce() {
+        assertEquals(Transition.NONE, checkAt(1_000, false), "no quorum can be lost before the first one");
         assertEquals(Transition.REGAINED, checkAt(1_250, true));
         assertEquals(Transition.NONE, checkAt(1_500, true));
         assertEquals(Transition.LOST, checkAt(1_750, false));
--- a/controlplane/src/test/java/dewplank/controlplane/StallDetectorTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/StallDetectorTest.java
@@ -8,8 +8,8 @@
 import org.junit.jupiter.api.Test;
 
 class StallDetectorTest {
-    /** A clock that is set, and tasks that are run, by the test. */
-    private static final class Hand implements Scheduler {
+    /** A scheduler whose clock is set and whose tasks are run by the test. */
+    private static final class ManualScheduler implements Scheduler {
         private double now;
         private final List<Runnable> tasks = new ArrayList<>();
 
@@ -29,7 +29,7 @@
             tasks.add(task);
         }
 
-        void turn(double at) {
+        void advanceTo(double at) {
             now = at;
             List<Runnable> due = List.copyOf(tasks);
             tasks.clear();
@@ -37,28 +37,28 @@
         }
     }
 
-    private final Hand loop = new Hand();
+    private final ManualScheduler loop = new ManualScheduler();
     private final List<Double> stalls = new ArrayList<>();
     private final StallDetector detector = new StallDetector(loop, stalls::add);
 
     @Test
-    void checksInTimeReportNoStall() {
+    void regularChecksReportNoStall() {
         detector.start();
         for (double at = 50; at <= 1_000; at += 60) {
-            loop.turn(at);
+            loop.advanceTo(at);
         }
         assertEquals(List.of(), stalls);
     }
 
-    /** Within one long task: before the timer has had a turn, and once only. */
+    /** A check within the long task reports the stall before the timer fires, and only once. */
     @Test
-    void aLongTaskIsReportedOnceByTheFirstCheck() {
+    void theFirstCheckAfterALongDelayReportsItOnce() {
         detector.start();
-        loop.turn(50);
+        loop.advanceTo(50);
         loop.now = 1_250;
         detector.check();
         detector.check();
-        loop.turn(1_260);
+        loop.advanceTo(1_260);
         assertEquals(List.of(1_200.0), stalls);
     }
 }
--- a/controlplane/src/test/java/dewplank/controlplane/UnreachableTransport.java
+++ b/controlplane/src/test/java/dewplank/controlplane/UnreachableTransport.java
@@ -6,7 +6,7 @@
 import java.net.InetSocketAddress;
 import java.util.function.Supplier;
 
-/** Opens connections that never come up, and accepts none. */
+/** A transport whose connections are never established, and which does not listen. */
 final class UnreachableTransport implements MessageTransport {
     @Override
     public MessageLink open(InetSocketAddress to, double timeoutMs, MessageLink.Handler handler) {
@@ -16,7 +16,7 @@
     @Override
     public ServerEndpoint listen(
             InetSocketAddress at, int maxConnections, Supplier<? extends MessageLink.Handler> handlers) {
-        throw new UnsupportedOperationException("nobody listens here");
+        throw new UnsupportedOperationException("this transport does not listen");
     }
 
     private static final class ConnectingLink implements MessageLink {
--- a/controlplane/src/test/java/dewplank/controlplane/VirtualTime.java
+++ b/controlplane/src/test/java/dewplank/controlplane/VirtualTime.java
@@ -4,9 +4,9 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** A clock with timers that begins at 0 and moves only when the test moves it, on its thread. In milliseconds. */
+/** A clock with timers, in milliseconds. It starts at 0 and advances only when the test advances it, on its thread. */
 final class VirtualTime implements Scheduler {
-    /** A task and its time; those of one time run in the order in which they were added. */
+    /** A task and its due time; tasks with the same due time run in the order in which they were added. */
     private record Task(double at, long order, Runnable action) {}
 
     private final PriorityQueue<Task> tasks =
@@ -31,7 +31,7 @@
         after(0, task);
     }
 
-    /** Moves the clock on by so much; all timers within that time run. */
+    /** Advances the clock by the given time and runs all tasks that become due. */
     void run(double ms) {
         double end = now + ms;
         while (!tasks.isEmpty() && tasks.peek().at() <= end) {
