--- a/consensus/src/main/java/dewplank/singleton/Candidate.java
+++ b/consensus/src/main/java/dewplank/singleton/Candidate.java
@@ -9,30 +9,30 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * One control plane's candidacy for one singleton role: elects itself lease holder among the {@link LeaseVoter}s where
- * the role is vacant, and renews the lease while it has it. Leases are those of Gray and Cheriton (Leases: an efficient
- * fault-tolerant mechanism for distributed file cache consistency, SOSP 1989); every lease has a fencing token above
- * all earlier ones. {@code docs/control-state.md}, point 6, numbers the invariants that the comments here refer to, and
- * argues for them.
+ * One control plane's candidate for the lease of one singleton role. While the role is vacant, it requests votes from
+ * the {@link LeaseVoter}s to become the lease holder; as lease holder, it renews the lease. The leases follow Gray and
+ * Cheriton (Leases: an efficient fault-tolerant mechanism for distributed file cache consistency, SOSP 1989). Every
+ * lease has a higher fencing token than all earlier leases. {@code docs/control-state.md}, point 6, numbers the
+ * invariants that the comments here refer to, and explains why they hold.
  *
- * <p>A state machine without input or output: the caller hands in the time, the voters' replies and the voters, and
- * does what {@link Effects} say. Not thread-safe; the control plane calls it on its event loop. Times are in
- * milliseconds of one steady clock, which must never run backwards. No method throws but for a fault in the program.
+ * <p>A state machine that does no I/O: the caller passes in the time, the voters' replies and the voter set, and
+ * implements {@link Effects}. Not thread-safe; the control plane calls it on its event loop. Times are in milliseconds
+ * of one monotonic clock. Methods throw only on a programming error.
  */
 public final class Candidate {
-    /** What the candidate wants done; called on the caller's thread, before the method that was called returns. */
+    /** Actions of the candidate; called on the caller's thread, before the candidate's method returns. */
     public interface Effects {
         /**
-         * Sends a request to a voter, which may be this process's own. The request may be lost; it must not be
-         * delivered, nor a reply to it, before the candidate's method has returned.
+         * Sends a request to a voter, which may be this process's own voter. The request may be lost. Neither the
+         * request nor a reply to it may be delivered before the candidate's method has returned.
          *
-         * @param voter where the voter is, and the identity that the request is meant for
+         * @param voter the voter's address, and the identity that the request is addressed to
          * @param request the request
          */
         void send(AcceptorId voter, VoteRequest request);
 
         /**
-         * The candidate is lease holder from now on.
+         * The candidate has become the lease holder.
          *
          * @param duty the role
          * @param fencingToken the token of the lease
@@ -40,7 +40,7 @@
         void leaseAcquired(String duty, long fencingToken);
 
         /**
-         * The candidate is lease holder no more.
+         * The candidate is no longer the lease holder.
          *
          * @param duty the role
          * @param fencingToken the token of the lease
@@ -48,7 +48,7 @@
         void leaseLost(String duty, long fencingToken);
     }
 
-    /** Tokens for each set of voters: an election every quarter of a second takes three days to use them up. */
+    /** Fencing tokens of each voter set generation: enough for three days with an election every 250 ms. */
     private static final long TOKENS_PER_GENERATION = 1 << 20;
 
     private final String duty;
@@ -58,7 +58,7 @@
 
     private CandidateState state;
     private AcceptorSet voters = AcceptorSet.of(List.of());
-    private Set<AcceptorId> ended = Set.of();
+    private Set<AcceptorId> terminatedVoters = Set.of();
     private int failedElections;
     private long roundNumber;
     private long highestToken;
@@ -67,13 +67,13 @@
     private double leaseReleasedAtMs = Double.NEGATIVE_INFINITY;
 
     /**
-     * A candidacy at the start of a process.
+     * Creates a candidate at the start of a process; it begins as a follower.
      *
      * @param duty the role
-     * @param name the candidate's name, another one in each incarnation of its process
-     * @param timing the times
-     * @param random draws numbers from 0 up to 1
-     * @param nowMs the time by the candidate's steady clock
+     * @param name the candidate's name, which differs in each incarnation of its process
+     * @param timing the lease and election times
+     * @param random returns random numbers from 0 (inclusive) to 1 (exclusive)
+     * @param nowMs the time by the candidate's monotonic clock
      */
     public Candidate(String duty, String name, LeaseTiming timing, DoubleSupplier random, double nowMs) {
         this.duty = duty;
@@ -84,34 +84,35 @@
     }
 
     /**
-     * Takes the newest set of voters known to be chosen, or the initial set, whose members may change within its
-     * generation; a lease holder renews by a newer one at the next tick.
+     * Sets the newest voter set that is known to be chosen, or the initial set, whose members may change within its
+     * generation. If the set has a newer generation, a lease holder renews its lease at the next tick.
      *
-     * @param nowMs the time by the candidate's steady clock
-     * @param chosen the set; an older one than the last is ignored
-     * @param endedVoters volatile voters that are known to have ended; rounds that are sent from now on leave them out
+     * @param nowMs the time by the candidate's monotonic clock
+     * @param chosen the voter set; ignored if its generation is older than that of the current set
+     * @param terminated voters without a disk that are known to have terminated; later rounds exclude them from quorums
      */
-    public void updateVoterSet(double nowMs, AcceptorSet chosen, Set<AcceptorId> endedVoters) {
+    public void updateVoterSet(double nowMs, AcceptorSet chosen, Set<AcceptorId> terminated) {
         boolean newer = chosen.generation() > voters.generation();
         if (chosen.generation() >= voters.generation()) {
             voters = chosen;
         }
-        ended = endedVoters;
+        terminatedVoters = terminated;
         if (newer && state instanceof LeaseHolderState lease) {
             lease.renewNoLaterThan(nowMs);
         }
     }
 
-    /** When {@link #tick} is due next, by the candidate's steady clock; infinity after a shutdown. */
+    /** When {@link #tick} is due next, by the candidate's monotonic clock; infinity after a shutdown. */
     public double nextTickAtMs() {
         return state.nextTickAtMs();
     }
 
     /**
-     * Does what is due. To be called at {@link #nextTickAtMs}; an earlier call does nothing.
+     * Starts an election or a renewal that is due, and handles time-outs. To be called at {@link #nextTickAtMs}; an
+     * earlier call does nothing.
      *
-     * @param nowMs the time by the candidate's steady clock
-     * @param effects takes what is to be done
+     * @param nowMs the time by the candidate's monotonic clock
+     * @param effects carries out the resulting actions
      */
     public void tick(double nowMs, Effects effects) {
         endExpiredLease(nowMs, effects);
@@ -130,11 +131,11 @@
     }
 
     /**
-     * Takes a voter's reply; one to another role, candidate, incarnation or round is ignored.
+     * Processes a voter's reply. Replies to another role, candidate, incarnation or round are ignored.
      *
-     * @param nowMs the time by the candidate's steady clock
+     * @param nowMs the time by the candidate's monotonic clock
      * @param reply the reply
-     * @param effects takes what is to be done
+     * @param effects carries out the resulting actions
      */
     public void onVoteReply(double nowMs, VoteReply reply, Effects effects) {
         endExpiredLease(nowMs, effects);
@@ -152,9 +153,10 @@
     }
 
     /**
-     * The voter of this process learned that a holder released the lease: the next election begins after a short delay.
+     * To be called when this process's voter receives the release of a lease: starts the next election after a short
+     * delay.
      *
-     * @param nowMs the time by the candidate's steady clock
+     * @param nowMs the time by the candidate's monotonic clock
      */
     public void onLeaseReleased(double nowMs) {
         leaseReleasedAtMs = nowMs;
@@ -164,12 +166,12 @@
     }
 
     /**
-     * Releases the lease, where there is one, and takes part in no election for a while: another process may be able to
-     * do what this one can't.
+     * Releases the lease if this candidate has it, and starts no election during the backoff, so that another process
+     * can take over work that this process can't do.
      *
-     * @param nowMs the time by the candidate's steady clock
-     * @param backoffMs how long it takes part in no election
-     * @param effects takes what is to be done
+     * @param nowMs the time by the candidate's monotonic clock
+     * @param backoffMs how long the candidate starts no election
+     * @param effects carries out the resulting actions
      */
     public void stepDown(double nowMs, double backoffMs, Effects effects) {
         endExpiredLease(nowMs, effects);
@@ -186,15 +188,15 @@
     }
 
     /**
-     * Releases the lease, where there is one, and takes part in no election any more.
+     * Releases the lease if this candidate has it, and starts no further election.
      *
-     * @param nowMs the time by the candidate's steady clock
-     * @param effects takes what is to be done
+     * @param nowMs the time by the candidate's monotonic clock
+     * @param effects carries out the resulting actions
      */
     public void shutDown(double nowMs, Effects effects) {
         endExpiredLease(nowMs, effects);
         if (state instanceof LeaseHolderState) {
-            drawElectionDelayMs(); // not used; a seed gives the same history only if each end of a lease draws one
+            drawElectionDelayMs(); // unused; every end of a lease draws one delay, so that a seed stays reproducible
             endLease(new StoppedState(), effects);
             return;
         }
@@ -205,20 +207,21 @@
     }
 
     /**
-     * Whether the candidate is lease holder: to be checked immediately before each act that rests on it (invariant 6).
+     * Whether the candidate is the lease holder. To be checked immediately before every action that requires the lease
+     * (invariant 6).
      *
-     * @param nowMs the time by the candidate's steady clock
+     * @param nowMs the time by the candidate's monotonic clock
      */
     public boolean isLeaseHolder(double nowMs) {
         return state instanceof LeaseHolderState lease && !lease.isExpired(nowMs);
     }
 
-    /** The fencing token of the present or the last lease; 0 where there never was one. */
+    /** The fencing token of the current lease, or of the last one; 0 before the first lease. */
     public long fencingToken() {
         return fencingToken;
     }
 
-    /** When the lease was acquired: its previous holder had released it, or let it expire, by then. */
+    /** When the lease was acquired. By then, the previous holder's lease had been released or had expired. */
     public double leaseAcquiredAtMs() {
         return leaseAcquiredAtMs;
     }
@@ -260,8 +263,9 @@
     }
 
     /**
-     * Above all that was seen or requested, as a late withdrawal of one round must not undo the votes of another, and
-     * above all that earlier sets granted, which these voters may not know (invariant 10).
+     * Returns a token above all tokens seen or requested so far, so that a delayed withdrawal of one round does not
+     * revoke the votes of another. It is also above all tokens that earlier voter sets granted, which the current
+     * voters may not know (invariant 10).
      */
     private long nextToken() {
         return Math.max(highestToken, voters.generation() * TOKENS_PER_GENERATION) + 1;
@@ -283,9 +287,9 @@
     }
 
     /**
-     * The next election waits until a majority may be free; a time-out, with nobody bound, counts as a failure. A
-     * voter that rejected the probe may have done so just before the release of the lease reached it too, so this
-     * wait is left out shortly after a release.
+     * Delays the next election until a majority of the voters may be free. If a majority may be free already, for
+     * example after a time-out without replies, the probe counts as a failed election. Shortly after a release of the
+     * lease the voters count as free, because a voter may have rejected the probe just before it received the release.
      */
     private void failProbe(double nowMs, VoteRound round) {
         boolean justReleased = nowMs - leaseReleasedAtMs < timing.voteTimeoutMs();
@@ -295,8 +299,8 @@
     }
 
     /**
-     * Withdraws the votes that were requested. The candidate that got the others may be withdrawing them too, so only
-     * the delay parts the two.
+     * Withdraws the requested votes and waits for a random delay. Another candidate that received the remaining votes
+     * may withdraw them at the same time, so only the delay prevents another split vote.
      */
     private void failElection(double nowMs, VoteRound round, Effects effects) {
         withdraw(round, effects);
@@ -335,7 +339,10 @@
         }
     }
 
-    /** The release goes out after an expiry too: a holder that receives nothing may still bind voters by renewals. */
+    /**
+     * Sends the release after an expiry too: the renewals of a holder that receives no replies may still have bound
+     * voters.
+     */
     private void endLease(CandidateState next, Effects effects) {
         transitionTo(next);
         effects.leaseLost(duty, fencingToken);
@@ -346,7 +353,7 @@
 
     private VoteRound nextRound(double nowMs, long token) {
         roundNumber++;
-        return new VoteRound(voters, ended, roundNumber, token, nowMs);
+        return new VoteRound(voters, terminatedVoters, roundNumber, token, nowMs);
     }
 
     private void sendAll(List<AcceptorId> to, Kind kind, long token, Effects effects) {
--- a/consensus/src/main/java/dewplank/singleton/CandidateState.java
+++ b/consensus/src/main/java/dewplank/singleton/CandidateState.java
@@ -1,8 +1,8 @@
 package dewplank.singleton;
 
 /**
- * What a {@link Candidate} is doing; one class for each state, with the fields that only this state has. The candidate
- * alone creates states, and goes from one to the next through one checked transition:
+ * The state of a {@link Candidate}. Each state is a class with the fields that only this state needs. Only the
+ * candidate creates states, and one method of it checks and makes all transitions:
  *
  * <pre>
  * FollowerState --> ProbingState --> RequestingVotesState --> LeaseHolderState --> FollowerState
@@ -12,9 +12,9 @@
  */
 sealed interface CandidateState
         permits FollowerState, ProbingState, RequestingVotesState, LeaseHolderState, StoppedState {
-    /** When the state is to be acted on, by the candidate's clock; infinity where never. */
+    /** When the candidate's next tick is due in this state, by the candidate's clock; infinity if never. */
     double nextTickAtMs();
 
-    /** Whether this state may be left for the other. */
+    /** Whether a transition from this state to the other is allowed. */
     boolean allowsTransitionTo(CandidateState next);
 }
--- a/consensus/src/main/java/dewplank/singleton/FollowerState.java
+++ b/consensus/src/main/java/dewplank/singleton/FollowerState.java
@@ -1,32 +1,32 @@
 package dewplank.singleton;
 
-/** Waits for the next election: at the start, after an election that failed, after a lease, and after a step-down. */
+/** Waits for the next election: after the start, a failed election, the end of a lease, or a step-down. */
 final class FollowerState implements CandidateState {
     private final double eligibleAtMs;
     private double nextElectionAtMs;
 
-    /** Waits for an election that a released lease may bring forward at any time. */
+    /** Creates a state in which the release of a lease may bring the election forward at any time. */
     FollowerState(double nextElectionAtMs) {
         this(nextElectionAtMs, Double.NEGATIVE_INFINITY);
     }
 
     /**
-     * Waits for an election.
+     * Creates a state that waits for an election.
      *
      * @param nextElectionAtMs when the election begins
-     * @param eligibleAtMs the time before which no released lease brings it forward
+     * @param eligibleAtMs the time before which the release of a lease does not bring the election forward
      */
     FollowerState(double nextElectionAtMs, double eligibleAtMs) {
         this.nextElectionAtMs = nextElectionAtMs;
         this.eligibleAtMs = eligibleAtMs;
     }
 
-    /** Whether a released lease brings the election forward; not while the candidate has stepped down. */
+    /** Whether the release of a lease may bring the election forward; false during the backoff after a step-down. */
     boolean isEligible(double nowMs) {
         return nowMs >= eligibleAtMs;
     }
 
-    /** Brings the election forward; never puts it off. */
+    /** Brings the election forward to this time; never postpones it. */
     void electNoLaterThan(double electionAtMs) {
         nextElectionAtMs = Math.min(nextElectionAtMs, electionAtMs);
     }
--- a/consensus/src/main/java/dewplank/singleton/LeaseHolderState.java
+++ b/consensus/src/main/java/dewplank/singleton/LeaseHolderState.java
@@ -3,7 +3,7 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** Has won an election: holds the lease until it expires by the candidate's own clock, and renews it before. */
+/** The candidate won an election and has the lease until it expires by the candidate's own clock or is renewed. */
 final class LeaseHolderState implements CandidateState {
     private final LeaseTiming timing;
     private final Deque<VoteRound> renewals = new ArrayDeque<>();
@@ -11,7 +11,7 @@
     private double renewAtMs;
     private long generation;
 
-    /** Begins the lease at the time at which the winning round was sent (invariant 6). */
+    /** Starts the lease at the time at which the winning round was sent (invariant 6). */
     LeaseHolderState(LeaseTiming timing, VoteRound won) {
         this.timing = timing;
         expiresAtMs = won.sentAtMs() + timing.holderLeaseMs();
@@ -23,19 +23,19 @@
         return nowMs >= expiresAtMs;
     }
 
-    /** Brings the next renewal forward; never puts it off. */
+    /** Brings the next renewal forward to this time; never postpones it. */
     void renewNoLaterThan(double atMs) {
         renewAtMs = Math.min(renewAtMs, atMs);
     }
 
-    /** Adds a renewal that is sent now; those that can extend the lease no more are forgotten. */
+    /** Adds a renewal that is sent now, and removes renewals that can no longer extend the lease. */
     void addRenewal(VoteRound renewal, double nowMs) {
         renewals.removeIf(earlier -> nowMs >= earlier.sentAtMs() + timing.holderLeaseMs());
         renewals.add(renewal);
         renewAtMs = nowMs + timing.renewIntervalMs();
     }
 
-    /** Records a reply to a renewal that is pending or was granted, and extends the lease once a majority granted. */
+    /** Records a reply to a pending or granted renewal, and extends the lease once a quorum has granted the renewal. */
     void onVoteReply(VoteReply reply) {
         for (VoteRound renewal : renewals) {
             if (renewal.number() == reply.round()) {
@@ -48,7 +48,10 @@
         }
     }
 
-    /** A newer set extends the lease only while the older one's lasts for a vote time-out more (invariant 9). */
+    /**
+     * A renewal by a newer voter set extends the lease only if it was sent at least one vote time-out before the lease
+     * granted by the older set expires (invariant 9).
+     */
     private boolean mayExtendBy(VoteRound renewal) {
         return renewal.generation() <= generation || renewal.sentAtMs() <= expiresAtMs - timing.voteTimeoutMs();
     }
--- a/consensus/src/main/java/dewplank/singleton/LeaseTiming.java
+++ b/consensus/src/main/java/dewplank/singleton/LeaseTiming.java
@@ -1,50 +1,57 @@
 package dewplank.singleton;
 
 /**
- * The times of the lease of a singleton role and of the elections for it, in milliseconds. Immutable; every
- * {@link Candidate} and {@link LeaseVoter} of a fleet must have the same.
+ * The durations of a singleton role's lease and of its elections, in milliseconds. Immutable; every {@link Candidate}
+ * and {@link LeaseVoter} of a fleet must use the same values.
  *
  * @param leaseMs how long a vote binds its voter
- * @param marginMs how much earlier than its voters a lease holder ends its lease: it covers clocks that run at
- *        different speeds, and the time between a call of {@link Candidate#isLeaseHolder} and the act that rests on it
+ * @param marginMs how much earlier than its voters a lease holder considers its lease expired; covers clocks that run
+ *        at different speeds, and the time between a call of {@link Candidate#isLeaseHolder} and the action that
+ *        requires the lease
  * @param voteTimeoutMs how long a candidate waits for the replies to a probe or to a request for votes
- * @param electionDelayMs the bound below which the delay before an election is drawn; doubles with each failed one
+ * @param electionDelayMs the upper bound of the random delay before an election; doubles with each failed election
  */
 public record LeaseTiming(double leaseMs, double marginMs, double voteTimeoutMs, double electionDelayMs) {
-    /** A twentieth is far beyond the drift of steady clocks, and leaves the holder two attempts at every renewal. */
+    /** Far more than the drift of monotonic clocks, and leaves the holder two attempts to renew before the expiry. */
     private static final double MARGIN_FRACTION = 1.0 / 20;
     /**
-     * Short, as each round with a voter that is down waits it out. It must cover a round trip to the furthest voter and
-     * a synced write, so a lease below two seconds between regions needs other times.
+     * Short, because a round with a voter that is down may last for the whole time-out. It must cover a round trip to
+     * the most distant voter and a synced write, so a lease below two seconds between regions needs other values.
      */
     private static final double VOTE_TIMEOUT_FRACTION = 1.0 / 10;
-    /** A few round trips wide, so that the first candidate has mostly won before the second begins. */
+    /** A few round trips, so that the first candidate has usually won before the second one starts its election. */
     private static final double ELECTION_DELAY_FRACTION = 1.0 / 12;
-    /** Two renewals may be lost before a lease expires. */
+    /** A lease expires once two renewals in a row are lost. */
     private static final double RENEWALS_PER_LEASE = 3;
-    /** Five candidates part within it; a longer delay only keeps a vacant role waiting. */
+    /** Enough to separate the elections of five candidates; a longer delay only prolongs a vacancy. */
     private static final double MAX_ELECTION_DELAY_FRACTION = 1.0 / 4;
 
     /**
-     * Of {@code catch_up_s}, by when a loss is made good. A vacancy ends within two leases (measured by the tests), so
-     * within 0.6 of it. A loss is noticed and a newcomer settles meanwhile, on all control planes alike. What is left
-     * is for the reconfigurer's next check (0.5 s) and the change of the set: 1.6 s of 4 s.
+     * Fraction of {@code catch_up_s}, the time within which a lost process must be replaced. A vacancy ends within two
+     * leases (measured by the tests), which is 0.6 of that time. Meanwhile every control plane detects the loss, and a
+     * new process becomes eligible as a replacement. The remaining 1.6 s of 4 s are for the reconfigurer's next check
+     * (0.5 s) and the change of the voter set.
      */
     private static final double LEASE_FRACTION_OF_CATCH_UP = 0.3;
     /**
-     * Of {@code contact_ms} and {@code drain_ms}, by when a drain must be in force that the platform reports just as
-     * the holder ends: 0.8 of it for the vacancy, 0.6 s of 3 s to query the platform (each 0.4 s) and to publish.
+     * Fraction of {@code contact_ms} and {@code drain_ms}, the time within which a drain must take effect even if the
+     * platform reports it just as the lease holder terminates. The vacancy may take 0.8 of it. The remaining 0.6 s of
+     * 3 s are for the query to the platform (sent every 0.4 s) and for publishing the list.
      */
     private static final double LEASE_FRACTION_OF_CONTACT = 0.4;
-    /** Below it a vote's time-out would not cover a round trip with a synced write: no shorter bound can be kept. */
+    /**
+     * With a shorter lease, the vote time-out would not cover a round trip with a synced write. Shorter bounds of the
+     * operators therefore can't be met.
+     */
     private static final double MIN_LEASE_MS = 600;
 
     /**
-     * The lease that the operators' bounds leave time for; the same on all machines, as the bounds are.
+     * Returns the lease duration that satisfies the operators' bounds, or the shortest possible one. All machines
+     * compute the same value, because the bounds are the same on all of them.
      *
-     * @param catchUpMs the time in which a loss is to be made good
-     * @param contactMs the time after which a machine counts as in touch again
-     * @param drainMs the time in which a drain is to be in force
+     * @param catchUpMs the time within which a lost process must be replaced
+     * @param contactMs the time after which a machine counts as being in contact again
+     * @param drainMs the time within which a drain must take effect
      */
     public static double leaseMs(double catchUpMs, double contactMs, double drainMs) {
         return Math.max(
@@ -55,7 +62,7 @@
     }
 
     /**
-     * The times that go with a lease.
+     * Returns the durations that belong to a lease.
      *
      * @param leaseMs how long a vote binds its voter
      */
@@ -69,12 +76,12 @@
         return leaseMs / RENEWALS_PER_LEASE;
     }
 
-    /** How long a holder may count on votes, from the moment at which it sent the request for them. */
+    /** How long a lease holder may rely on its votes, counted from the time at which it sent the request for them. */
     double holderLeaseMs() {
         return leaseMs - marginMs;
     }
 
-    /** The bound below which the delay before an election is drawn, after so many that failed in a row. */
+    /** The upper bound of the random delay before an election, after this number of consecutive failed elections. */
     double maxElectionDelayMs(int failedElections) {
         return Math.min(Math.scalb(electionDelayMs, failedElections), leaseMs * MAX_ELECTION_DELAY_FRACTION);
     }
--- a/consensus/src/main/java/dewplank/singleton/LeaseVoter.java
+++ b/consensus/src/main/java/dewplank/singleton/LeaseVoter.java
@@ -6,24 +6,24 @@
 import java.util.Map;
 
 /**
- * One control plane's vote in the elections of lease holders: for each singleton role it is bound to one {@link
- * Candidate} at a time, for the length of a lease, and never votes twice under one fencing token. Invariants 1 to 5 and
- * 8 of {@code docs/control-state.md}, point 6, are enforced here; the comments refer to them by number.
+ * One control plane's voter in the elections of lease holders. For each singleton role, the voter is bound to at most
+ * one {@link Candidate} at a time, for the duration of a lease, and never votes twice under one fencing token. It
+ * enforces invariants 1 to 5 and 8 of {@code docs/control-state.md}, point 6; the comments refer to them by number.
  *
- * <p>A state machine without input or output, like the candidate: the caller hands in the time, the requests and the
- * sets of voters, and does what {@link Effects} say. Not thread-safe; the control plane calls it on its event loop.
- * Times are in milliseconds of one steady clock. No method throws but for a fault in the program.
+ * <p>A state machine that does no I/O, like the candidate: the caller passes in the time, the requests and the
+ * generations of the voter sets, and implements {@link Effects}. Not thread-safe; the control plane calls it on its
+ * event loop. Times are in milliseconds of one monotonic clock. Methods throw only on a programming error.
  */
 public final class LeaseVoter {
-    /** What the voter wants done; called on the caller's thread, before the method that was called returns. */
+    /** Actions of the voter; called on the caller's thread, before the voter's method returns. */
     public interface Effects {
         /**
          * Persists the reply's token, and only then calls {@link LeaseVoter#onTokenPersisted} and sends the reply
-         * (invariant 1). Where it can't be persisted the reply must not be sent, and
-         * {@link LeaseVoter#onPersistFailed} is called. Tokens of one role are persisted in the order of these calls.
+         * (invariant 1). If the token can't be persisted, calls {@link LeaseVoter#onPersistFailed} instead and must not
+         * send the reply. Tokens of one role are persisted in the order of these calls.
          *
-         * @param request the request that the token is granted to
-         * @param reply what to send afterwards
+         * @param request the request for which the token is granted
+         * @param reply the reply to send once the token is persisted
          */
         void persistToken(VoteRequest request, VoteReply reply);
 
@@ -35,19 +35,19 @@
         void send(VoteReply reply);
 
         /**
-         * A lease holder released its lease: this process's own candidate may begin an election at once.
+         * A lease holder released its lease, so this process's candidate may start an election.
          *
          * @param duty the role
          */
         void leaseReleased(String duty);
     }
 
-    /** The vote for one role. */
+    /** The state of the vote for one role. */
     private static final class Vote {
         private long highestToken;
         private long persistedToken;
         private long releasedToken;
-        /** The candidate that the vote is granted to; null where it is granted to none. */
+        /** The candidate that the vote is granted to; null if there is none. */
         private String grantedTo;
 
         private double expiresAtMs;
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Of a lease: for so long after a failed write no token that needs the disk is granted; it may recover. */
+    /** Fraction of a lease for which, after a failed write, no token that must be persisted is granted. */
     private static final double PERSIST_BACKOFF_FRACTION = 1.0 / 4;
 
     private final String identity;
@@ -75,13 +75,13 @@
     private double persistBackoffUntilMs = Double.NEGATIVE_INFINITY;
 
     /**
-     * A voter at the start of a process.
+     * Creates a voter at the start of a process.
      *
-     * @param identity the identity drawn with its disk (invariant 4)
-     * @param leaseMs how long a vote binds it
-     * @param abstainsUntilMs the time before which it grants nothing: one lease after the start, or 0 where it can't
-     *        have voted before (invariant 3)
-     * @param persistedTokens the highest token that is on disk, by role
+     * @param identity the identity that was generated for its disk (invariant 4)
+     * @param leaseMs how long a vote binds the voter
+     * @param abstainsUntilMs the time before which the voter grants nothing: one lease after the start, or 0 if it
+     *        can't have voted before (invariant 3)
+     * @param persistedTokens the highest persisted token of each role
      */
     public LeaseVoter(String identity, double leaseMs, double abstainsUntilMs, Map<String, Long> persistedTokens) {
         this.identity = identity;
@@ -95,13 +95,14 @@
     }
 
     /**
-     * Takes what this process knows of the sets of voters (invariant 8). To be called before the acceptance of a newer
-     * set leaves the process: candidates that count by an older set are rejected from then on. A set that was only
-     * accepted may give way to an older generation; then it never was chosen.
+     * Sets the generations of the voter sets that this process knows to be chosen or has accepted (invariant 8). To be
+     * called before the process sends its acceptance of a newer set, because from then on the voter rejects candidates
+     * that count by an older set. An accepted set may be replaced by one of an older generation; in this case it was
+     * never chosen.
      *
-     * @param nowMs the time by the voter's steady clock
-     * @param chosen the generation of the newest set known to be chosen
-     * @param accepted the generation of the set accepted last, whether or not it is known to be chosen
+     * @param nowMs the time by the voter's monotonic clock
+     * @param chosen the generation of the newest voter set that is known to be chosen
+     * @param accepted the generation of the most recently accepted voter set, which may or may not be chosen
      */
     public void updateVoterSet(double nowMs, long chosen, long accepted) {
         long generationBefore = generation();
@@ -117,11 +118,11 @@
     }
 
     /**
-     * Takes a candidate's request, and replies to it unless it withdraws or releases.
+     * Processes a candidate's request, and replies to it unless it is a withdrawal or a release.
      *
-     * @param nowMs the time by the voter's steady clock
-     * @param request the request; one that is meant for another identity is replied to, but neither binds nor frees
-     * @param effects takes what is to be done
+     * @param nowMs the time by the voter's monotonic clock
+     * @param request the request; a request to another identity gets a reply, but neither binds nor frees the voter
+     * @param effects carries out the resulting actions
      */
     public void onVoteRequest(double nowMs, VoteRequest request, Effects effects) {
         Vote vote = vote(request.duty());
@@ -140,9 +141,9 @@
     }
 
     /**
-     * The token is on disk: replies under it need not wait for the disk any more.
+     * To be called when the token has been persisted: later replies under it are sent without a write.
      *
-     * @param request the request that {@link Effects#persistToken} was called with
+     * @param request the request that was passed to {@link Effects#persistToken}
      */
     public void onTokenPersisted(VoteRequest request) {
         Vote vote = vote(request.duty());
@@ -150,12 +151,13 @@
     }
 
     /**
-     * The token could not be persisted: the vote is not granted, and the candidate gets a reply, so that it does not
-     * wait. No other candidate is granted the token, as the disk may hold it after all.
+     * To be called when the token could not be persisted. The vote is not granted, and the voter replies so that the
+     * candidate need not wait for the time-out. The token is not granted to another candidate either, because the
+     * failed write may have reached the disk.
      *
-     * @param nowMs the time by the voter's steady clock
-     * @param request the request that {@link Effects#persistToken} was called with
-     * @param effects takes what is to be done
+     * @param nowMs the time by the voter's monotonic clock
+     * @param request the request that was passed to {@link Effects#persistToken}
+     * @param effects carries out the resulting actions
      */
     public void onPersistFailed(double nowMs, VoteRequest request, Effects effects) {
         Vote vote = vote(request.duty());
@@ -166,7 +168,7 @@
         reply(nowMs, request, vote, Verdict.ABSTAINED, effects);
     }
 
-    /** A disk that is no member must neither vote nor leave the candidate waiting. */
+    /** A disk that is not in the voter set must not vote, but replies so that the candidate need not wait. */
     private void rejectForWrongIdentity(double nowMs, VoteRequest request, Vote vote, Effects effects) {
         switch (request.kind()) {
             case PROBE, REQUEST_VOTE, RENEW -> reply(nowMs, request, vote, Verdict.WRONG_IDENTITY, effects);
@@ -194,7 +196,7 @@
         return nowMs < noVoteUntilMs() ? Verdict.ABSTAINED : Verdict.GRANTED;
     }
 
-    /** A change of the set does not interrupt the holder, so what keeps new holders away does not stop a renewal. */
+    /** Renewals are granted while new lease holders are excluded: a change of the voter set must not end the lease. */
     private Verdict verdictOnRenewal(double nowMs, VoteRequest request, Vote vote) {
         if (nowMs < abstainsUntilMs) {
             return Verdict.ABSTAINED;
@@ -214,7 +216,10 @@
         return request.voterSetGeneration() < generation() || vote.bindsToAnother(request.candidate(), nowMs);
     }
 
-    /** Only the winner of a token renews it, so a voter that forgot whom it granted the token to may follow. */
+    /**
+     * Only the candidate that won a token sends renewals for it. A voter that no longer knows to which candidate it
+     * granted the token may therefore grant them.
+     */
     private static boolean isRenewable(VoteRequest request, Vote vote) {
         return request.fencingToken() >= vote.highestToken && request.fencingToken() > vote.releasedToken;
     }
@@ -259,8 +264,8 @@
     }
 
     /**
-     * Only the winner of a token releases it, so a release counts at a voter that did not vote for it too: the holder's
-     * requests that are still on their way must not bind this vote.
+     * Only the candidate that won a token releases it. The release is therefore recorded even by a voter that did not
+     * vote for the candidate, so that requests of the former lease holder that arrive later do not bind the vote.
      */
     private static void release(VoteRequest request, Vote vote, Effects effects) {
         long token = request.fencingToken();
@@ -279,7 +284,10 @@
         effects.send(new VoteReply(request, identity, verdict, stateOf(vote, nowMs)));
     }
 
-    /** Nobody else gets the vote before the remaining time is over; after a restart it is not known who had it. */
+    /**
+     * Returns the state for a reply. No other candidate is granted the vote during the remaining time. While the voter
+     * abstains after a restart, it does not know which candidate it had granted the vote to.
+     */
     private VoteState stateOf(Vote vote, double nowMs) {
         if (nowMs < abstainsUntilMs) {
             return new VoteState(vote.highestToken, null, abstainsUntilMs - nowMs);
--- a/consensus/src/main/java/dewplank/singleton/ProbingState.java
+++ b/consensus/src/main/java/dewplank/singleton/ProbingState.java
@@ -1,15 +1,15 @@
 package dewplank.singleton;
 
-/** Has sent a probe, to learn whether a majority is free; binds no voter, like a pre-vote of Raft. */
+/** The candidate sent a probe to check whether a majority is free; it binds no voter, like the pre-vote of Raft. */
 final class ProbingState implements CandidateState {
     private final VoteRound round;
     private final double timeoutAtMs;
 
     /**
-     * Waits for the replies to a probe.
+     * Creates a state that waits for the replies to a probe.
      *
      * @param round the probe
-     * @param timeoutAtMs when the probe has failed
+     * @param timeoutAtMs when the probe times out
      */
     ProbingState(VoteRound round, double timeoutAtMs) {
         this.round = round;
--- a/consensus/src/main/java/dewplank/singleton/RequestingVotesState.java
+++ b/consensus/src/main/java/dewplank/singleton/RequestingVotesState.java
@@ -1,15 +1,15 @@
 package dewplank.singleton;
 
-/** Has requested votes under a new fencing token; those granted bind their voters until they are withdrawn. */
+/** The candidate requested votes under a new fencing token; granted votes bind their voters until withdrawn. */
 final class RequestingVotesState implements CandidateState {
     private final VoteRound round;
     private final double timeoutAtMs;
 
     /**
-     * Waits for votes.
+     * Creates a state that waits for votes.
      *
-     * @param round the request
-     * @param timeoutAtMs when the election has failed; a vote that comes then counts no more (invariant 9)
+     * @param round the request for votes
+     * @param timeoutAtMs when the election times out; votes that arrive later don't count (invariant 9)
      */
     RequestingVotesState(VoteRound round, double timeoutAtMs) {
         this.round = round;
--- a/consensus/src/main/java/dewplank/singleton/StoppedState.java
+++ b/consensus/src/main/java/dewplank/singleton/StoppedState.java
@@ -1,6 +1,6 @@
 package dewplank.singleton;
 
-/** Shut down for good: takes part in no election, and is never left. */
+/** The candidate is shut down: it starts no election and never leaves this state. */
 final class StoppedState implements CandidateState {
     @Override
     public double nextTickAtMs() {
--- a/consensus/src/main/java/dewplank/singleton/VoteReply.java
+++ b/consensus/src/main/java/dewplank/singleton/VoteReply.java
@@ -1,20 +1,20 @@
 package dewplank.singleton;
 
 /**
- * A {@link LeaseVoter}'s message back to a {@link Candidate}. Immutable once received; safe to share between threads.
- * Not a record: Protostuff fills messages in field by field, and numbers the fields by their place in this class, which
- * therefore never changes; nor does the order of the enum's constants.
+ * A {@link LeaseVoter}'s reply to a {@link Candidate}. Immutable once received; safe to share between threads.
+ * Not a record, because Protostuff sets the fields of a message one by one. It numbers the fields by their position in
+ * this class, so neither the order of the fields nor that of the enum's constants may change.
  */
 public final class VoteReply {
     /** The voter's decision. */
     public enum Verdict {
-        /** The vote is given; in reply to a probe, it would be. */
+        /** The vote is granted; in reply to a probe, it would be granted. */
         GRANTED,
-        /** The voter is bound to another, the token is too low, or the candidate counts by a superseded set. */
+        /** The voter is bound to another candidate, the token is too low, or the candidate's voter set is outdated. */
         REJECTED,
-        /** The voter may have voted before a restart, has just learned of a set, or can't persist a token. */
+        /** The voter may have voted before a restart, recently received a new voter set, or can't persist a token. */
         ABSTAINED,
-        /** The disk that replies has another identity than the one requested; it never votes in its stead. */
+        /** The voter's disk has another identity than the requested one, and must not vote for it. */
         WRONG_IDENTITY
     }
 
@@ -29,12 +29,12 @@
     private final String requestedIdentity;
 
     /**
-     * A reply.
+     * Creates a reply.
      *
      * @param request the request that it replies to
-     * @param voterIdentity the identity of the disk that replies
+     * @param voterIdentity the identity of the voter's disk
      * @param verdict the decision
-     * @param state the vote as it is after the decision
+     * @param state the state of the vote after the decision
      */
     VoteReply(VoteRequest request, String voterIdentity, Verdict verdict, VoteState state) {
         this.duty = request.duty();
@@ -49,11 +49,11 @@
     }
 
     /**
-     * A voter's vote for one role.
+     * The state of a voter's vote for one role.
      *
-     * @param highestToken the highest token that was granted
-     * @param grantedTo the candidate that the voter is bound to; null where to none, or where it does not know
-     * @param remainingMs how much longer it grants nothing to any other candidate
+     * @param highestToken the highest token that the voter has granted
+     * @param grantedTo the candidate that the voter is bound to; null if there is none or it is unknown
+     * @param remainingMs how much longer the voter grants no vote to any other candidate
      */
     record VoteState(long highestToken, String grantedTo, double remainingMs) {}
 
@@ -62,7 +62,7 @@
         return duty;
     }
 
-    /** The identity of the disk that replies. */
+    /** The identity of the voter's disk. */
     public String voterIdentity() {
         return voterIdentity;
     }
@@ -72,7 +72,7 @@
         return requestedIdentity;
     }
 
-    /** Whether the vote is given, or to a probe would be, by the very disk whose vote was requested. */
+    /** Whether the disk whose vote was requested granted it, or would grant it if the request is a probe. */
     boolean isGranted() {
         return verdict == Verdict.GRANTED && voterIdentity.equals(requestedIdentity);
     }
@@ -82,7 +82,7 @@
         return candidate;
     }
 
-    /** The candidate's number of the round. */
+    /** The candidate's round number. */
     public long round() {
         return round;
     }
@@ -97,12 +97,12 @@
         return highestToken;
     }
 
-    /** The candidate that the voter is bound to; null where to none, or where it does not know. */
+    /** The candidate that the voter is bound to; null if there is none or it is unknown. */
     public String grantedTo() {
         return grantedTo;
     }
 
-    /** How many milliseconds longer the voter is bound, or abstains. */
+    /** How many milliseconds longer the voter is bound or abstains. */
     public double remainingMs() {
         return remainingMs;
     }
--- a/consensus/src/main/java/dewplank/singleton/VoteRequest.java
+++ b/consensus/src/main/java/dewplank/singleton/VoteRequest.java
@@ -1,22 +1,22 @@
 package dewplank.singleton;
 
 /**
- * A message from a {@link Candidate} to a {@link LeaseVoter}. Immutable once received; safe to share between threads.
- * Not a record: Protostuff fills messages in field by field, and numbers the fields by their place in this class, which
- * therefore never changes; nor does the order of the enum's constants.
+ * A request from a {@link Candidate} to a {@link LeaseVoter}. Immutable once received; safe to share between threads.
+ * Not a record, because Protostuff sets the fields of a message one by one. It numbers the fields by their position in
+ * this class, so neither the order of the fields nor that of the enum's constants may change.
  */
 public final class VoteRequest {
-    /** What a request wants of the voter. */
+    /** The purpose of a request. */
     public enum Kind {
-        /** To learn whether the voter is free to vote; binds nobody. */
+        /** Queries whether the voter is free to vote; does not bind it. */
         PROBE,
-        /** The vote under a new fencing token. */
+        /** Requests the vote under a new fencing token. */
         REQUEST_VOTE,
-        /** The vote for another lease; from the lease holder, under its token. */
+        /** Requests the vote for another lease duration; sent by the lease holder, under its fencing token. */
         RENEW,
-        /** To free the voter: the election failed. No reply. */
+        /** Frees the voter after a failed election. The voter does not reply. */
         WITHDRAW,
-        /** To free the voter: the lease is over. No reply. */
+        /** Frees the voter at the end of the lease. The voter does not reply. */
         RELEASE
     }
 
@@ -29,15 +29,16 @@
     private final String voterIdentity;
 
     /**
-     * A request; no argument may be null.
+     * Creates a request; no argument may be null.
      *
-     * @param kind what it wants
+     * @param kind the purpose of the request
      * @param duty the singleton role
-     * @param candidate the name of the candidate that sends it, another one in each incarnation of a process
+     * @param candidate the name of the candidate that sends it, which differs in each incarnation of a process
      * @param voterIdentity the identity of the disk whose vote is requested
-     * @param round the candidate's number of the round, which the reply brings back
-     * @param fencingToken the token that is requested, renewed or given up; for a probe, the highest token seen
-     * @param voterSetGeneration the generation of the set of voters by which the candidate counts
+     * @param round the candidate's round number, which the reply repeats
+     * @param fencingToken the token that is requested, renewed, withdrawn or released; for a probe, the highest token
+     *        seen
+     * @param voterSetGeneration the generation of the voter set by which the candidate counts the votes
      */
     public VoteRequest(
             Kind kind,
@@ -56,7 +57,7 @@
         this.voterSetGeneration = voterSetGeneration;
     }
 
-    /** What the request wants. */
+    /** The purpose of the request. */
     public Kind kind() {
         return kind;
     }
@@ -66,17 +67,17 @@
         return duty;
     }
 
-    /** The name of the candidate that sent it. */
+    /** The name of the candidate that sent the request. */
     public String candidate() {
         return candidate;
     }
 
-    /** The identity of the disk whose vote is requested; another disk at the same address must not give it. */
+    /** The identity of the disk whose vote is requested; another disk at the same address must not grant it. */
     public String voterIdentity() {
         return voterIdentity;
     }
 
-    /** The candidate's number of the round. */
+    /** The candidate's round number. */
     public long round() {
         return round;
     }
@@ -86,7 +87,7 @@
         return fencingToken;
     }
 
-    /** The generation of the set of voters by which the candidate counts. */
+    /** The generation of the voter set by which the candidate counts the votes. */
     public long voterSetGeneration() {
         return voterSetGeneration;
     }
--- a/consensus/src/main/java/dewplank/singleton/VoteRound.java
+++ b/consensus/src/main/java/dewplank/singleton/VoteRound.java
@@ -9,65 +9,65 @@
 import java.util.Set;
 
 /**
- * The replies to one round of a candidate's requests (a probe, a request for votes or a renewal), counted by the set of
- * voters that was in force when the round was sent (invariant 7).
+ * One round of a candidate's requests (a probe, a request for votes or a renewal) and the replies to it, counted by the
+ * voter set that was current when the round was sent (invariant 7).
  */
 final class VoteRound {
     private final AcceptorSet voters;
-    private final Set<AcceptorId> ended;
+    private final Set<AcceptorId> terminatedVoters;
     private final long number;
     private final long fencingToken;
     private final double sentAtMs;
     private final Map<String, VoteReply> repliesByIdentity = new HashMap<>();
 
     /**
-     * A round without replies.
+     * Creates a round without replies.
      *
-     * @param voters the set that the requests go to
-     * @param ended volatile voters that are known to have ended before the requests are sent
-     * @param number the candidate's number of the round, which replies bring back
-     * @param fencingToken the token that the requests name
+     * @param voters the voter set that the requests are sent to
+     * @param terminatedVoters voters without a disk that are known to have terminated before the requests are sent
+     * @param number the candidate's round number, which the replies repeat
+     * @param fencingToken the token in the requests
      * @param sentAtMs when the requests are sent, by the candidate's clock
      */
-    VoteRound(AcceptorSet voters, Set<AcceptorId> ended, long number, long fencingToken, double sentAtMs) {
-        this.ended = ended;
+    VoteRound(AcceptorSet voters, Set<AcceptorId> terminatedVoters, long number, long fencingToken, double sentAtMs) {
+        this.terminatedVoters = terminatedVoters;
         this.voters = voters;
         this.number = number;
         this.fencingToken = fencingToken;
         this.sentAtMs = sentAtMs;
     }
 
-    /** The generation of the set of voters. */
+    /** The generation of the voter set. */
     long generation() {
         return voters.generation();
     }
 
-    /** All voters that the requests go to. */
+    /** All voters that the requests are sent to. */
     List<AcceptorId> voters() {
         return voters.all();
     }
 
-    /** The candidate's number of the round. */
+    /** The candidate's round number. */
     long number() {
         return number;
     }
 
-    /** The token that the requests name. */
+    /** The token in the requests. */
     long fencingToken() {
         return fencingToken;
     }
 
-    /** When the requests were sent: votes are counted from then on. */
+    /** When the requests were sent; a lease that the votes grant starts then. */
     double sentAtMs() {
         return sentAtMs;
     }
 
-    /** Takes a reply; the first for each requested identity counts. */
+    /** Records a reply; only the first reply for each requested identity counts. */
     void add(VoteReply reply) {
         repliesByIdentity.putIfAbsent(reply.requestedIdentity(), reply);
     }
 
-    /** Whether a quorum of the voters granted: a majority of disks, as {@link AcceptorSet} defines it. */
+    /** Whether a quorum of the voters granted the vote: a majority of disks, as {@link AcceptorSet} defines it. */
     boolean isVoteGranted() {
         Set<AcceptorId> granted = new HashSet<>();
         for (AcceptorId voter : voters.all()) {
@@ -76,10 +76,10 @@
                 granted.add(voter);
             }
         }
-        return voters.isQuorum(granted, ended);
+        return voters.isQuorum(granted, terminatedVoters);
     }
 
-    /** Whether no majority can grant any more, whatever the voters that have not replied yet will reply. */
+    /** Whether a quorum is impossible even if all voters that have not replied yet grant their votes. */
     boolean isVoteRejected() {
         Set<AcceptorId> granting = new HashSet<>();
         for (AcceptorId voter : voters.all()) {
@@ -87,16 +87,16 @@
                 granting.add(voter);
             }
         }
-        return !voters.isQuorum(granting, ended);
+        return !voters.isQuorum(granting, terminatedVoters);
     }
 
-    /** Whether the voter replied and granted nothing, so that this round does not bind it. */
+    /** Whether the voter replied without granting its vote, so that this round does not bind it. */
     boolean hasRejected(AcceptorId voter) {
         VoteReply reply = replyOf(voter);
         return reply != null && !reply.isGranted();
     }
 
-    /** In how many milliseconds a quorum may be free, by the replies; voters that have not replied count as free. */
+    /** Milliseconds until a quorum may be free, according to the replies; voters without a reply count as free. */
     double quorumFreeInMs() {
         double[] freeInMs =
                 voters.all().stream().mapToDouble(this::freeInMs).sorted().toArray();
@@ -107,7 +107,7 @@
                     free.add(voter);
                 }
             }
-            if (voters.isQuorum(free, ended)) {
+            if (voters.isQuorum(free, terminatedVoters)) {
                 return waitMs;
             }
         }
--- a/consensus/src/test/java/dewplank/singleton/CandidateStateTest.java
+++ b/consensus/src/test/java/dewplank/singleton/CandidateStateTest.java
@@ -21,7 +21,7 @@
     private static final List<CandidateState> ALL = List.of(FOLLOWER, PROBING, REQUESTING_VOTES, LEASE_HOLDER, STOPPED);
 
     @Test
-    void allowsNoTransitionButThoseOfTheTable() {
+    void allowsOnlyTheListedTransitions() {
         Map<CandidateState, List<CandidateState>> allowed = Map.of(
                 FOLLOWER, List.of(FOLLOWER, PROBING, STOPPED),
                 PROBING, List.of(FOLLOWER, REQUESTING_VOTES, STOPPED),
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void aFollowerThatSteppedDownIsNotEligibleBefore() {
+    void aFollowerThatSteppedDownIsEligibleOnlyAfterTheBackoff() {
         FollowerState follower = new FollowerState(5_000, 4_000);
         assertEquals(List.of(false, true), List.of(follower.isEligible(3_999), follower.isEligible(4_000)));
         follower.electNoLaterThan(6_000);
--- a/consensus/src/test/java/dewplank/singleton/CandidateTest.java
+++ b/consensus/src/test/java/dewplank/singleton/CandidateTest.java
@@ -22,7 +22,7 @@
     private static final List<AcceptorId> VOTERS =
             List.of(new AcceptorId("x", "x1"), new AcceptorId("y", "y1"), new AcceptorId("z", "z1"));
 
-    /** What a candidate wanted done, by kind, and the last request to each voter. */
+    /** Records the candidate's actions in order, and the last request to each voter. */
     private static final class RecordedEffects implements Candidate.Effects {
         private final List<String> events = new ArrayList<>();
         private final Map<String, VoteRequest> lastRequests = new TreeMap<>();
@@ -64,7 +64,7 @@
                 now, new VoteReply(effects.lastRequests.get(voter), voter + "1", verdict, state), effects);
     }
 
-    /** Probed at 125, votes requested at 150, lease acquired at 160. */
+    /** Sends the probe at 125 ms, requests votes at 150 ms, and acquires the lease at 160 ms. */
     private void acquireLease() {
         candidate.tick(125, effects);
         reply(150, "x", Verdict.GRANTED, 7, 0);
@@ -73,7 +73,7 @@
         reply(160, "y", Verdict.GRANTED, 8, 3_000);
     }
 
-    /** Probed at 125, votes requested at 150, none granted yet. */
+    /** Sends the probe at 125 ms and requests votes at 150 ms; no vote is granted yet. */
     private void requestVotes() {
         candidate.tick(125, effects);
         reply(150, "x", Verdict.GRANTED, 7, 0);
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void probesThenRequestsVotesUnderATokenAboveAllSeen() {
+    void probesThenRequestsVotesUnderATokenAboveAllSeenTokens() {
         candidate.tick(124, effects);
         assertEquals(List.of(), effects.drain());
         candidate.tick(125, effects);
@@ -106,7 +106,7 @@
     }
 
     @Test
-    void countsItsLeaseFromTheRequestForVotes() {
+    void itsLeaseStartsAtTheRequestForVotes() {
         acquireLease();
         assertTrue(candidate.isLeaseHolder(160));
         assertTrue(candidate.isLeaseHolder(150 + 2_849));
@@ -130,7 +130,7 @@
     }
 
     @Test
-    void aHolderWhoseLeaseExpiredMustWinUnderANewToken() {
+    void aHolderWhoseLeaseExpiredRequestsVotesUnderANewToken() {
         acquireLease();
         candidate.tick(1_150, effects);
         effects.drain();
@@ -146,7 +146,7 @@
     }
 
     @Test
-    void electsAgainOnceAMajorityMayBeFree() {
+    void startsTheNextElectionOnceAMajorityMayBeFree() {
         candidate.tick(125, effects);
         effects.drain();
         reply(150, "x", Verdict.REJECTED, 3, 2_000);
@@ -195,7 +195,7 @@
     }
 
     @Test
-    void releasesAtShutdownAndElectsNoMore() {
+    void releasesTheLeaseAtShutdownAndStartsNoFurtherElection() {
         acquireLease();
         effects.drain();
         candidate.shutDown(200, effects);
@@ -207,7 +207,7 @@
     }
 
     @Test
-    void electsSoonAfterTheLeaseWasReleased() {
+    void startsAnElectionSoonAfterARelease() {
         candidate.tick(125, effects);
         reply(150, "x", Verdict.REJECTED, 3, 2_000);
         reply(150, "y", Verdict.REJECTED, 3, 2_000);
@@ -215,9 +215,9 @@
         assertEquals(425, candidate.nextTickAtMs());
     }
 
-    /** The release reached this process's voter, and the other voters only after they had rejected the probe. */
+    /** The release reached this process's voter, but the others rejected the probe before they received the release. */
     @Test
-    void aProbeThatCrossesTheReleaseIsRepeatedAfterTheUsualDelay() {
+    void aProbeThatIsRejectedJustAfterAReleaseIsRepeatedAfterTheElectionDelay() {
         candidate.tick(125, effects);
         candidate.onLeaseReleased(140);
         reply(150, "x", Verdict.REJECTED, 3, 2_000);
@@ -230,7 +230,7 @@
     }
 
     @Test
-    void repliesToAnotherIncarnationAreIgnored() {
+    void ignoresRepliesToAnotherIncarnation() {
         candidate.tick(125, effects);
         for (AcceptorId voter : VOTERS) {
             VoteRequest earlier = new VoteRequest(Kind.PROBE, "list", "me/earlier", voter.identity(), 1, 0, 0);
@@ -249,7 +249,7 @@
     }
 
     @Test
-    void aVoteOfAnotherDiskAtTheAddressDoesNotCountAndIsNotWaitedFor() {
+    void aReplyOfAnotherDiskAtTheAddressCountsAsARejection() {
         candidate.tick(125, effects);
         for (String address : List.of("x", "y")) {
             VoteReply other = new VoteReply(
@@ -262,7 +262,7 @@
     }
 
     @Test
-    void aJointSetNeedsBothMajorities() {
+    void aJointSetRequiresBothMajorities() {
         List<AcceptorId> joining = List.of(VOTERS.get(0), new AcceptorId("y", "y2"), new AcceptorId("w", "w1"));
         candidate.updateVoterSet(0, new AcceptorSet(1, VOTERS, joining), Set.of());
         candidate.tick(125, effects);
@@ -274,7 +274,7 @@
     }
 
     @Test
-    void votesAfterTheVoteTimeoutWinNoLease() {
+    void votesAfterTheVoteTimeoutDoNotCount() {
         candidate.tick(125, effects);
         reply(150, "x", Verdict.GRANTED, 7, 0);
         reply(150, "z", Verdict.GRANTED, 4, 0);
@@ -284,7 +284,7 @@
     }
 
     @Test
-    void renewsByANewSetAtOnceButNotWithinAVoteTimeoutOfTheExpiry() {
+    void aRenewalByANewSetExtendsTheLeaseUnlessSentWithinAVoteTimeoutOfTheExpiry() {
         acquireLease();
         candidate.updateVoterSet(1_000, new AcceptorSet(1, VOTERS, List.of()), Set.of());
         assertEquals(1_000, candidate.nextTickAtMs());
@@ -301,7 +301,7 @@
     }
 
     @Test
-    void aHolderThatStepsDownReleasesAndElectsAgainAfterTheBackoff() {
+    void aHolderThatStepsDownReleasesTheLeaseAndStartsAnElectionAfterTheBackoff() {
         acquireLease();
         effects.drain();
         candidate.stepDown(200, 5_000, effects);
@@ -326,7 +326,7 @@
     }
 
     @Test
-    void aCandidateThatStepsDownDuringAnElectionWithdrawsAndWaits() {
+    void aCandidateThatStepsDownDuringAnElectionWithdrawsAndStartsTheNextOneAfterTheBackoff() {
         requestVotes();
         candidate.stepDown(160, 5_000, effects);
         assertEquals(List.of("WITHDRAW x", "WITHDRAW y", "WITHDRAW z"), effects.drain());
@@ -337,9 +337,12 @@
         assertEquals(List.of("PROBE x", "PROBE y", "PROBE z"), effects.drain());
     }
 
-    /** Where a voter without a disk has ended, the others decide; a round that was sent before waits for it. */
+    /**
+     * Once a voter without a disk is known to have terminated, the votes of the other voters suffice, but only in
+     * rounds that are sent later.
+     */
     @Test
-    void roundsLeaveOutVotersThatHadEndedBeforeTheyWereSent() {
+    void roundsExcludeVotersThatTerminatedBeforeTheyWereSent() {
         AcceptorId founder = new AcceptorId("x", AcceptorId.volatileIdentity("x", "1"));
         AcceptorId other = new AcceptorId("y", AcceptorId.volatileIdentity("y", "1"));
         AcceptorSet founders = AcceptorSet.of(List.of(founder, other));
@@ -349,7 +352,7 @@
         assertEquals(List.of("PROBE x", "PROBE y"), effects.drain());
         candidate.updateVoterSet(160, founders, Set.of(founder));
         replyAs(170, other, Verdict.GRANTED);
-        assertEquals(List.of(), effects.drain(), "the probe was sent before");
+        assertEquals(List.of(), effects.drain(), "the probe was sent before the voter was known to have terminated");
         candidate.tick(10_000, effects);
         candidate.tick(20_000, effects);
         assertEquals(List.of("PROBE x", "PROBE y"), effects.drain());
--- a/consensus/src/test/java/dewplank/singleton/LeaseClockDriftTest.java
+++ b/consensus/src/test/java/dewplank/singleton/LeaseClockDriftTest.java
@@ -6,19 +6,19 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Clocks that run at different speeds, and messages far faster than they differ over a lease: a holder that is cut off
- * must have ended its lease before its voters elect another. {@link LeaseSimulation} fails a history in which there are
- * two holders at once.
+ * Tests with clocks that run at different speeds, and with message delays far below the clock difference that builds up
+ * over a lease. A partitioned lease holder must consider its lease expired before the voters elect another one.
+ * {@link LeaseSimulation} fails if there are two lease holders at the same time.
  */
 class LeaseClockDriftTest {
     private static final double LEASE_MS = LeaseSimulation.LEASE_MS;
-    /** Under a tenth of the 30 ms that two clocks may differ by over a lease. */
+    /** Delays below a tenth of the 30 ms by which two clocks may diverge over a lease. */
     private static final Times FAST = new Times(LEASE_MS, 2, 0.5);
 
     private static final int HISTORIES = 3_000;
 
     @Test
-    void aHolderThatIsCutOffEndsItsLeaseBeforeAnotherIsElected() {
+    void aPartitionedHoldersLeaseExpiresBeforeAnotherIsElected() {
         for (long seed = 0; seed < HISTORIES; seed++) {
             Random random = new Random(seed);
             LeaseSimulation simulation = new LeaseSimulation(random, 3, FAST);
@@ -26,8 +26,8 @@
             simulation.runUntil(simulation.nowMs() + random.nextDouble() * 2 * LEASE_MS);
             SimulatedNode holder = simulation.leaseHolder();
             for (SimulatedNode other : simulation.voters()) {
-                simulation.cut(holder.name(), other.name());
-                simulation.cut(other.name(), holder.name());
+                simulation.blockLink(holder.name(), other.name());
+                simulation.blockLink(other.name(), holder.name());
             }
             simulation.runUntilAcquired(holder, 2 * LEASE_MS);
         }
--- a/consensus/src/test/java/dewplank/singleton/LeasePropertyTest.java
+++ b/consensus/src/test/java/dewplank/singleton/LeasePropertyTest.java
@@ -14,12 +14,14 @@
 import net.jqwik.api.ShrinkingMode;
 
 /**
- * One lease holder at a time, rising fencing tokens, and a successor in time, over random histories; a failure prints
- * its seed.
+ * Random simulation runs with faults. Checks that there is at most one lease holder at a time, that fencing tokens
+ * increase, and that a lease holder is elected in time after the faults. A failure prints its seed.
  */
 class LeasePropertyTest {
     private static final double LEASE_MS = LeaseSimulation.LEASE_MS;
-    /** Votes bind, and restarted voters abstain, for one lease; then come an election delay and vote rounds. */
+    /**
+     * Votes bind, and restarted voters abstain, for one lease duration; the election delay and the vote rounds follow.
+     */
     private static final double HEALED_BOUND_MS = 2.5 * LEASE_MS;
 
     private static final double FAULTS_MS = 10 * LEASE_MS;
@@ -38,10 +40,10 @@
                 simulation.at(laterMs, () -> node.start(LEASE_MS));
             }
             case 2, 3 -> {
-                node.freeze();
-                simulation.at(laterMs, node::thaw);
+                node.pause();
+                simulation.at(laterMs, node::resume);
             }
-            case 4 -> simulation.cut(node.name(), other.name());
+            case 4 -> simulation.blockLink(node.name(), other.name());
             case 5 -> simulation.injectMessageFaults(
                     random.nextDouble() * 0.3, random.nextDouble() * 0.2, random.nextDouble() * 0.2);
             case 6 -> simulation.healAll();
@@ -55,17 +57,17 @@
         }
     }
 
-    /** The new identity replaces the lost one early, late, or not before all is healed. */
+    /** Wipes a disk. Its new identity replaces the lost one early, late, or only after all faults are repaired. */
     private static void wipe(LeaseSimulation simulation, SimulatedNode node, double laterMs, Random random) {
         if (!simulation.toleratesWipeOf(node)) {
             return;
         }
         node.wipe();
         simulation.at(simulation.nowMs() + random.nextDouble() * 1_000, () -> node.start(LEASE_MS));
-        simulation.at(laterMs, () -> repair(simulation));
+        simulation.at(laterMs, () -> replaceWipedMember(simulation));
     }
 
-    private static void repair(LeaseSimulation simulation) {
+    private static void replaceWipedMember(LeaseSimulation simulation) {
         List<AcceptorId> wiped = simulation.wipedMembers();
         if (!wiped.isEmpty() && !simulation.isChanging()) {
             simulation.replace(wiped.get(0), simulation.identityAt(wiped.get(0)));
@@ -75,7 +77,7 @@
     private static void shutDownOrPartition(
             LeaseSimulation simulation, Random random, SimulatedNode node, double laterMs) {
         if (random.nextBoolean()) {
-            if (node.isUp()) {
+            if (node.isRunning()) {
                 node.shutDown();
             }
             simulation.at(simulation.nowMs() + 100, node::kill);
@@ -85,7 +87,7 @@
         for (SimulatedNode near : simulation.voters()) {
             for (SimulatedNode far : simulation.voters()) {
                 if (near.name().compareTo(node.name()) < 0 != far.name().compareTo(node.name()) < 0) {
-                    simulation.cut(near.name(), far.name());
+                    simulation.blockLink(near.name(), far.name());
                 }
             }
         }
@@ -101,18 +103,18 @@
         return simulation;
     }
 
-    /** Heals everything but a minority, which stays down; changes of the set are completed before. */
+    /** Repairs all faults and completes changes of the voter set; then leaves a minority of the nodes down. */
     private static void heal(LeaseSimulation simulation, Random random) {
         simulation.healAll();
         for (SimulatedNode node : simulation.nodes()) {
             node.failDisk(false);
-            node.thaw();
+            node.resume();
             node.start(LEASE_MS);
         }
         double end = simulation.nowMs() + 10 * LEASE_MS;
         while (simulation.isChanging() || !simulation.wipedMembers().isEmpty()) {
-            assertTrue(simulation.nowMs() < end, "the set of voters does not settle");
-            repair(simulation);
+            assertTrue(simulation.nowMs() < end, "the change of the voter set does not complete");
+            replaceWipedMember(simulation);
             simulation.runUntil(simulation.nowMs() + 50);
         }
         List<SimulatedNode> nodes = new ArrayList<>(simulation.voters());
@@ -122,20 +124,20 @@
             node.kill();
         }
         for (SimulatedNode node : nodes.subList(down, nodes.size())) {
-            node.thaw();
+            node.resume();
             node.start(LEASE_MS);
         }
     }
 
     @Property(tries = 1000, shrinking = ShrinkingMode.OFF)
-    void oneLeaseHolderAtATimeAndASuccessorOnceAMajorityIsHealthy(@ForAll long seed) {
+    void hasOneLeaseHolderAtATimeAndElectsOneOnceAMajorityIsHealthy(@ForAll long seed) {
         Random random = new Random(seed);
         LeaseSimulation simulation = afterFaults(random);
         heal(simulation, random);
-        // what the faults still scheduled (late starts, messages seconds late) happens first
+        // Waits for events that the faults have scheduled: late restarts, and messages delayed by seconds.
         simulation.runUntil(simulation.nowMs() + 2 * LEASE_MS);
         heal(simulation, random);
-        // changes planned before may have begun since: their voters grant nothing to a new holder for a lease
+        // Scheduled changes of the voter set may have begun since; the voters then grant no new lease for 1 LEASE_MS.
         simulation.runUntilAcquired(null, HEALED_BOUND_MS);
         simulation.runUntil(simulation.nowMs() + HEALED_BOUND_MS);
         SimulatedNode holder = simulation.leaseHolder();
--- a/consensus/src/test/java/dewplank/singleton/LeaseSimulation.java
+++ b/consensus/src/test/java/dewplank/singleton/LeaseSimulation.java
@@ -14,12 +14,13 @@
 import java.util.TreeSet;
 
 /**
- * Control planes, each a voter and a candidate, in simulated time: messages are lost, late and duplicated, links are
- * cut, processes are frozen, killed and started again, disks are late, refuse writes or are wiped, clocks differ. The
- * set of voters changes as the register changes it: a joint set is accepted by majorities of both, then the new one by
- * a majority of its own, one after the other within milliseconds, and those that were not needed learn of it
- * late. After every event the lease holders are counted, each by its own clock; every fencing token must be above all
- * before it.
+ * Simulates control planes, each with a voter and a candidate, in virtual time. Messages are lost, delayed and
+ * duplicated; links are blocked; processes are paused, killed and restarted; disks are slow, fail writes or are wiped;
+ * clocks run at different speeds. The voter set changes in the same way as the register changes it: majorities of both
+ * sets accept a joint set, then a majority of the new set accepts that one. Both steps take only milliseconds, and
+ * nodes that were not needed for the quorums may receive the new set late. After every event, the simulation checks
+ * that there is at most one lease holder, each by its own clock. Every fencing token must be higher than all earlier
+ * ones.
  */
 final class LeaseSimulation {
     static final double LEASE_MS = 3_000;
@@ -27,13 +28,13 @@
     private static final double MAX_DRIFT = 0.005;
     private static final double PROPOSE_RETRY_INTERVAL_MS = 300;
 
-    /** A lease, and how long a message and a synced write take at the most. */
+    /** The duration of a lease, and the maximum durations of a message and of a synced write. */
     record Times(double leaseMs, double maxDelayMs, double maxSyncMs) {}
 
-    /** Far slower than the sites' machines are, next to the lease, so that many messages cross. */
+    /** Far slower than on the sites' machines, relative to the lease, so that many messages are reordered. */
     static final Times SLOW = new Times(LEASE_MS, 41, 10);
 
-    /** Something that happens at a time. */
+    /** An action that is scheduled for a time. */
     private record Event(double atMs, long order, Runnable action) {}
 
     private final Random random;
@@ -41,10 +42,10 @@
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparingDouble(Event::atMs).thenComparingLong(Event::order));
     private final Map<String, SimulatedNode> nodes = new HashMap<>();
-    private final Set<String> cuts = new TreeSet<>();
+    private final Set<String> blockedLinks = new TreeSet<>();
     private final Set<AcceptorId> acceptedBy = new HashSet<>();
     private AcceptorSet chosen;
-    /** Proposed and not chosen yet; null where nothing is under way. */
+    /** The proposed voter set that is not chosen yet; null if there is none. */
     private AcceptorSet proposed;
 
     private long proposal;
@@ -66,7 +67,7 @@
         this.times = times;
         List<AcceptorId> members = new ArrayList<>();
         for (int index = 0; index < count; index++) {
-            members.add(add().self());
+            members.add(addNode().self());
         }
         chosen = AcceptorSet.of(members);
         for (SimulatedNode node : voters()) {
@@ -75,20 +76,20 @@
         }
     }
 
-    private SimulatedNode add() {
+    private SimulatedNode addNode() {
         SimulatedNode node = new SimulatedNode("n" + nodes.size());
         nodes.put(node.name, node);
         return node;
     }
 
-    /** A node with an empty disk that is no voter yet, and started after all others may have voted. */
-    SimulatedNode spare() {
-        SimulatedNode spare = add();
+    /** Adds and starts a node with an empty disk that is not a voter yet; it abstains for a lease duration. */
+    SimulatedNode addSpare() {
+        SimulatedNode spare = addNode();
         spare.start(times.leaseMs());
         return spare;
     }
 
-    /** The fractions of messages that are lost, that are seconds late, and that arrive twice. */
+    /** Sets the fractions of messages that are lost, that are delayed by seconds, and that arrive twice. */
     void injectMessageFaults(double lost, double late, double twice) {
         lossRate = lost;
         lateRate = late;
@@ -111,14 +112,14 @@
                 .toList();
     }
 
-    /** All nodes that there ever were. */
+    /** All nodes that were ever added. */
     List<SimulatedNode> nodes() {
         return nodes.values().stream()
                 .sorted(Comparator.comparing(SimulatedNode::name))
                 .toList();
     }
 
-    /** The identity at the address of this member now. */
+    /** The current identity at the address of this member. */
     AcceptorId identityAt(AcceptorId member) {
         return nodes.get(member.address()).self();
     }
@@ -127,14 +128,14 @@
         return proposed != null || chosen.isJoint();
     }
 
-    /** Members whose disk was wiped: no identity there can vote. */
+    /** Members whose disk was wiped, so that no process can vote with their identity. */
     List<AcceptorId> wipedMembers() {
         return chosen.members().stream()
                 .filter(voter -> !nodes.get(voter.address()).self().equals(voter))
                 .toList();
     }
 
-    /** Whether the node may lose its disk with a majority left in each set that counts. */
+    /** Whether a majority of each current and proposed set remains if the node loses its disk. */
     boolean toleratesWipeOf(SimulatedNode node) {
         return toleratesWipeOf(node, chosen.members())
                 && toleratesWipeOf(node, chosen.joining())
@@ -143,42 +144,42 @@
     }
 
     private boolean toleratesWipeOf(SimulatedNode node, List<AcceptorId> part) {
-        long left = part.stream()
+        long remaining = part.stream()
                 .filter(voter -> !voter.address().equals(node.name)
                         && nodes.get(voter.address()).self().equals(voter))
                 .count();
-        return part.isEmpty() || left > part.size() / 2;
+        return part.isEmpty() || remaining > part.size() / 2;
     }
 
-    /** Begins to replace one member; by the identity at its address now, where it was wiped. */
+    /** Starts the replacement of one member, for example by the current identity at its address after a wipe. */
     void replace(AcceptorId member, AcceptorId by) {
-        List<AcceptorId> wanted = new ArrayList<>(chosen.members());
-        wanted.set(wanted.indexOf(member), by);
-        change(wanted);
+        List<AcceptorId> target = new ArrayList<>(chosen.members());
+        target.set(target.indexOf(member), by);
+        change(target);
     }
 
-    /** Changes the set in a way that is drawn: one out, one in, one for another, or growth by two. */
+    /** Changes the set in a random way: removes one member, replaces one, adds one, or adds two. */
     void changeVoters() {
-        List<AcceptorId> wanted = new ArrayList<>(chosen.members());
+        List<AcceptorId> target = new ArrayList<>(chosen.members());
         int kind = random.nextInt(4);
-        if (kind == 0 && wanted.size() > 1) {
-            wanted.remove(random.nextInt(wanted.size()));
+        if (kind == 0 && target.size() > 1) {
+            target.remove(random.nextInt(target.size()));
         } else if (kind == 1) {
-            wanted.set(random.nextInt(wanted.size()), spare().self());
-        } else if (wanted.size() < 7) {
-            wanted.add(spare().self());
+            target.set(random.nextInt(target.size()), addSpare().self());
+        } else if (target.size() < 7) {
+            target.add(addSpare().self());
             if (kind == 2) {
-                wanted.add(spare().self());
+                target.add(addSpare().self());
             }
         }
-        change(wanted);
+        change(target);
     }
 
-    void change(List<AcceptorId> wanted) {
-        long present =
-                wanted.stream().filter(voter -> identityAt(voter).equals(voter)).count();
-        if (!isChanging() && !chosen.consistsOf(wanted) && 2 * present > wanted.size()) {
-            propose(new AcceptorSet(chosen.generation() + 1, chosen.members(), wanted));
+    void change(List<AcceptorId> target) {
+        long available =
+                target.stream().filter(voter -> identityAt(voter).equals(voter)).count();
+        if (!isChanging() && !chosen.consistsOf(target) && 2 * available > target.size()) {
+            propose(new AcceptorSet(chosen.generation() + 1, chosen.members(), target));
         }
     }
 
@@ -189,12 +190,13 @@
         retryProposal(proposal);
     }
 
-    /** A node that is up proposes; another one goes on with it where that one ends or is cut off. */
+    /** Lets a random running node propose the set, and repeats this until the set is chosen. */
     private void retryProposal(long number) {
         if (number != proposal || proposed == null) {
             return;
         }
-        List<SimulatedNode> up = nodes().stream().filter(SimulatedNode::isUp).toList();
+        List<SimulatedNode> up =
+                nodes().stream().filter(SimulatedNode::isRunning).toList();
         if (!up.isEmpty()) {
             SimulatedNode proposer = up.get(random.nextInt(up.size()));
             for (AcceptorId acceptor : proposed.all()) {
@@ -223,22 +225,22 @@
 
     private void publish(AcceptorSet set) {
         for (SimulatedNode node : nodes()) {
-            double lag = random.nextInt(4) == 0 ? random.nextDouble() * 3 * times.leaseMs() : delay();
-            at(nowMs + lag, () -> node.run(node.incarnation, () -> node.onSetChosen(set)));
+            double delayMs = random.nextInt(4) == 0 ? random.nextDouble() * 3 * times.leaseMs() : delay();
+            at(nowMs + delayMs, () -> node.run(node.incarnation, () -> node.onSetChosen(set)));
             at(nowMs + 4 * times.leaseMs(), () -> node.onSetChosen(set));
         }
     }
 
-    void cut(String from, String to) {
-        cuts.add(from + ">" + to);
+    void blockLink(String from, String to) {
+        blockedLinks.add(from + ">" + to);
     }
 
     void healAll() {
-        cuts.clear();
+        blockedLinks.clear();
         injectMessageFaults(0, 0, 0);
     }
 
-    /** The lease holder, each by its own clock; null where there is none. */
+    /** The lease holder by its own clock; null if there is none. Fails if there is more than one. */
     SimulatedNode leaseHolder() {
         SimulatedNode holder = null;
         for (SimulatedNode node : nodes.values()) {
@@ -260,7 +262,7 @@
         nowMs = Math.max(nowMs, end);
     }
 
-    /** Runs until a node other than the excluded one holds the lease; returns how long this took, in milliseconds. */
+    /** Runs until a node other than the excluded one has the lease; returns how long this took, in milliseconds. */
     double runUntilAcquired(SimulatedNode excluded, double boundMs) {
         double start = nowMs;
         while (nowMs < start + boundMs && !events.isEmpty()) {
@@ -289,7 +291,7 @@
             at(nowMs, action);
             return;
         }
-        if (cuts.contains(from + ">" + to) || random.nextDouble() < lossRate) {
+        if (blockedLinks.contains(from + ">" + to) || random.nextDouble() < lossRate) {
             return;
         }
         at(nowMs + delay(), action);
@@ -304,11 +306,11 @@
                 : times.maxDelayMs() * (1 + 40 * random.nextDouble()) / 41;
     }
 
-    /** A control plane: its disk outlives its processes. */
+    /** A control plane; its disk state survives the end of its processes. */
     final class SimulatedNode {
         private final String name;
-        private final double rate = 1 + (random.nextDouble() * 2 - 1) * MAX_DRIFT;
-        private final double offset = random.nextDouble() * 1e6;
+        private final double clockRate = 1 + (random.nextDouble() * 2 - 1) * MAX_DRIFT;
+        private final double clockOffset = random.nextDouble() * 1e6;
         private final Map<String, Long> persistedTokens = new HashMap<>();
         private final List<Runnable> deferred = new ArrayList<>();
         private double diskIdleAtMs;
@@ -318,7 +320,7 @@
         private boolean diskFails;
         private int incarnations;
         private String incarnation;
-        private boolean frozen;
+        private boolean paused;
         private LeaseVoter voter;
         private Candidate candidate;
 
@@ -330,17 +332,17 @@
             return name;
         }
 
-        /** The address and the identity of the disk that is there now. */
+        /** The address, and the identity of the current disk. */
         AcceptorId self() {
             return new AcceptorId(name, name + "#" + diskCount);
         }
 
-        boolean isUp() {
+        boolean isRunning() {
             return voter != null;
         }
 
         boolean isLeaseHolder() {
-            return isUp() && candidate.isLeaseHolder(clock());
+            return isRunning() && candidate.isLeaseHolder(clock());
         }
 
         long fencingToken() {
@@ -348,11 +350,11 @@
         }
 
         double clock() {
-            return offset + nowMs * rate;
+            return clockOffset + nowMs * clockRate;
         }
 
         void start(double abstainMs) {
-            if (isUp()) {
+            if (isRunning()) {
                 return;
             }
             incarnations++;
@@ -364,7 +366,7 @@
             schedule();
         }
 
-        /** A chosen set is on disk before anything else is done with it. */
+        /** Persists a chosen set before it is used. */
         private void onSetChosen(AcceptorSet set) {
             if (chosenSet.all().isEmpty() || set.generation() > chosenSet.generation()) {
                 chosenSet = set;
@@ -372,7 +374,7 @@
             }
         }
 
-        /** The acceptance is on disk before it is sent. */
+        /** Persists the acceptance before it is sent. */
         private void accept(long number, AcceptorId as, SimulatedNode proposer) {
             run(incarnation, () -> {
                 if (number == proposal && proposed != null && as.equals(self())) {
@@ -384,13 +386,13 @@
         }
 
         private void updateVoterSets() {
-            if (isUp()) {
+            if (isRunning()) {
                 voter.updateVoterSet(clock(), chosenSet.generation(), acceptedGeneration);
                 candidate.updateVoterSet(clock(), chosenSet, Set.of());
             }
         }
 
-        /** Ends it and takes its disk: the next one at the address has another identity and no state. */
+        /** Kills the process and wipes its disk: the next process at the address has a new identity and no state. */
         void wipe() {
             kill();
             diskCount++;
@@ -410,16 +412,16 @@
         void kill() {
             voter = null;
             candidate = null;
-            frozen = false;
+            paused = false;
             deferred.clear();
         }
 
-        void freeze() {
-            frozen = isUp();
+        void pause() {
+            paused = isRunning();
         }
 
-        void thaw() {
-            frozen = false;
+        void resume() {
+            paused = false;
             List<Runnable> due = new ArrayList<>(deferred);
             deferred.clear();
             due.forEach(Runnable::run);
@@ -429,12 +431,12 @@
             run(incarnation, () -> candidate.shutDown(clock(), new CandidateEffects()));
         }
 
-        /** Runs an action of an incarnation of this node: later where it is frozen, never after the end of that one. */
+        /** Runs an action of one incarnation of this node; deferred while it is paused, dropped once it has ended. */
         private void run(String ofIncarnation, Runnable action) {
-            if (!isUp() || !incarnation.equals(ofIncarnation)) {
+            if (!isRunning() || !incarnation.equals(ofIncarnation)) {
                 return;
             }
-            if (frozen) {
+            if (paused) {
                 deferred.add(() -> run(ofIncarnation, action));
             } else {
                 action.run();
@@ -446,7 +448,7 @@
             String ofIncarnation = incarnation;
             double nextTickAtMs = candidate.nextTickAtMs();
             if (nextTickAtMs < Double.POSITIVE_INFINITY) {
-                double time = Math.max(nowMs, (nextTickAtMs - offset) / rate) + random.nextDouble();
+                double time = Math.max(nowMs, (nextTickAtMs - clockOffset) / clockRate) + random.nextDouble();
                 at(time, () -> tick(ofIncarnation, nextTickAtMs));
             }
         }
@@ -463,7 +465,7 @@
             run(incarnation, () -> voter.onVoteRequest(clock(), request, new VoterEffects(from, fromIncarnation)));
         }
 
-        /** Sends the candidate's requests, and checks that fencing tokens rise. */
+        /** Sends the candidate's requests, and checks that fencing tokens increase. */
         private final class CandidateEffects implements Candidate.Effects {
             @Override
             public void send(AcceptorId to, VoteRequest request) {
@@ -485,7 +487,7 @@
             @Override
             public void leaseLost(String duty, long fencingToken) {
                 if (candidate.isLeaseHolder(clock())) {
-                    throw new AssertionError(incarnation + " lost " + fencingToken + " and holds it");
+                    throw new AssertionError(incarnation + " lost " + fencingToken + " but is still lease holder");
                 }
             }
         }
@@ -511,7 +513,7 @@
                 boolean torn = diskFails && random.nextBoolean();
                 if (!diskFails || torn) {
                     if (reply.highestToken() < persistedTokens.getOrDefault(request.duty(), 0L)) {
-                        throw new AssertionError(name + " fell back to " + reply.highestToken());
+                        throw new AssertionError(name + " persists the lower token " + reply.highestToken());
                     }
                     persistedTokens.put(request.duty(), reply.highestToken());
                 }
--- a/consensus/src/test/java/dewplank/singleton/LeaseSuccessionTest.java
+++ b/consensus/src/test/java/dewplank/singleton/LeaseSuccessionTest.java
@@ -13,10 +13,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** How long a singleton role stays vacant where links and disks are healthy. */
+/** Tests how long a singleton role stays vacant while links and disks are healthy. */
 class LeaseSuccessionTest {
     private static final double LEASE_MS = LeaseSimulation.LEASE_MS;
-    /** A delay, a probe and a vote round; the worst of 3,000 histories split votes for half a lease. */
+    /** An election delay, a probe and a vote round. In the worst of 3,000 runs, votes were split for half a lease. */
     private static final double ELECTION_MS = LEASE_MS;
 
     private static LeaseSimulation withHolder(long seed) {
@@ -35,7 +35,7 @@
     }
 
     @Property(tries = 300, shrinking = ShrinkingMode.OFF)
-    void aKilledHolderIsSucceededOnceItsLeaseHasExpired(@ForAll long seed) {
+    void aKilledHolderIsSucceededAfterTheExpiryOfItsLease(@ForAll long seed) {
         LeaseSimulation simulation = withHolder(seed);
         SimulatedNode holder = simulation.leaseHolder();
         holder.kill();
@@ -43,20 +43,20 @@
     }
 
     @Property(tries = 300, shrinking = ShrinkingMode.OFF)
-    void aFrozenHolderIsSucceededAndHasNoLeaseAfterThawing(@ForAll long seed) {
+    void aPausedHolderIsSucceededAndHasNoLeaseAfterResuming(@ForAll long seed) {
         LeaseSimulation simulation = withHolder(seed);
         SimulatedNode holder = simulation.leaseHolder();
-        holder.freeze();
+        holder.pause();
         simulation.runUntilAcquired(holder, LEASE_MS + ELECTION_MS);
         SimulatedNode successor = simulation.leaseHolder();
-        holder.thaw();
+        holder.resume();
         simulation.runUntil(simulation.nowMs() + 5 * LEASE_MS);
         assertEquals(successor, simulation.leaseHolder());
         assertEquals(2, simulation.leasesAcquired());
     }
 
     @Property(tries = 300, shrinking = ShrinkingMode.OFF)
-    void aHolderThatReleasesTheLeaseIsSucceededAtOnce(@ForAll long seed) {
+    void aHolderThatReleasesTheLeaseIsSucceededWithinOneElection(@ForAll long seed) {
         LeaseSimulation simulation = withHolder(seed);
         SimulatedNode holder = simulation.leaseHolder();
         holder.shutDown();
@@ -64,7 +64,7 @@
     }
 
     @Property(tries = 300, shrinking = ShrinkingMode.OFF)
-    void afterARestartOfAllTheLeaseIsAcquiredOnceTheAbstentionIsOver(@ForAll long seed) {
+    void theLeaseIsAcquiredAfterARestartOfAllVotersOnceTheyNoLongerAbstain(@ForAll long seed) {
         LeaseSimulation simulation = withHolder(seed);
         for (SimulatedNode node : simulation.voters()) {
             node.kill();
@@ -86,7 +86,7 @@
         }
     }
 
-    /** The set still contains the lost disk: the two that are left elect, and the winner can repair the set. */
+    /** The set still contains the lost disk. The two remaining voters elect a holder, which can repair the set. */
     @Property(tries = 300, shrinking = ShrinkingMode.OFF)
     void aWipedHolderOfThreeIsSucceededBeforeTheSetIsRepaired(@ForAll long seed) {
         LeaseSimulation simulation = new LeaseSimulation(new Random(seed), 3);
@@ -104,7 +104,7 @@
     }
 
     @Property(tries = 300, shrinking = ShrinkingMode.OFF)
-    void aHolderThatStepsDownIsSucceededAndStaysBackForItsBackoff(@ForAll long seed) {
+    void aHolderThatStepsDownIsSucceededByAnotherCandidate(@ForAll long seed) {
         LeaseSimulation simulation = withHolder(seed);
         SimulatedNode holder = simulation.leaseHolder();
         holder.stepDown(4 * LEASE_MS);
@@ -117,7 +117,10 @@
         releaseWithAVoterThatCannotPersist(seed);
     }
 
-    /** The release crossed a probe in the first, and overtook a renewal in the others. */
+    /**
+     * Seeds of runs in which the role stayed vacant for a lease. With the first seed, a probe was rejected just before
+     * the release arrived; with the others, the release overtook a renewal.
+     */
     @ParameterizedTest
     @ValueSource(
             longs = {
@@ -131,7 +134,7 @@
                 1818257679834831530L,
                 2126169683034152654L
             })
-    void historiesInWhichTheRoleWasVacantForALease(long seed) {
+    void aReleaseThatCrossesOtherMessagesDoesNotLeaveTheRoleVacantForALease(long seed) {
         releaseWithAVoterThatCannotPersist(seed);
     }
 
--- a/consensus/src/test/java/dewplank/singleton/LeaseVacancyTest.java
+++ b/consensus/src/test/java/dewplank/singleton/LeaseVacancyTest.java
@@ -16,13 +16,14 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * How long a singleton role stays vacant at the lease that the operators' bounds give, and at times as on the sites:
- * from the moment the holder is lost until another one has the lease. Prints what it measures.
+ * Measures how long a singleton role stays vacant, from the loss of the lease holder until another control plane has
+ * the lease. Uses the lease duration that follows from the operators' bounds, and delays like those of the sites.
+ * Prints the results.
  */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class LeaseVacancyTest {
     private static final double LEASE_MS = LeaseTiming.leaseMs(4_000, 3_000, 3_000);
-    /** Within a region; the sites name 12 ms between regions. */
+    /** Delays within a region; the sites specify 12 ms as the delay between regions. */
     private static final Times TIMES = new Times(LEASE_MS, 12, 5);
 
     private static final int SEEDS = 2_000;
@@ -30,10 +31,10 @@
 
     private enum Loss {
         KILLED,
-        FROZEN,
-        CUT_OFF,
-        DEAF,
-        MUTE,
+        PAUSED,
+        PARTITIONED,
+        INBOUND_BLOCKED,
+        OUTBOUND_BLOCKED,
         WIPED
     }
 
@@ -85,21 +86,21 @@
     private static void lose(LeaseSimulation simulation, SimulatedNode holder, Loss loss) {
         switch (loss) {
             case KILLED -> holder.kill();
-            case FROZEN -> holder.freeze();
+            case PAUSED -> holder.pause();
             case WIPED -> {
                 holder.wipe();
                 holder.start(LEASE_MS);
             }
-            default -> simulation.voters().forEach(other -> cut(simulation, holder, other, loss));
+            default -> simulation.voters().forEach(other -> blockLinks(simulation, holder, other, loss));
         }
     }
 
-    private static void cut(LeaseSimulation simulation, SimulatedNode holder, SimulatedNode other, Loss loss) {
-        if (other != holder && loss != Loss.MUTE) {
-            simulation.cut(other.name(), holder.name());
+    private static void blockLinks(LeaseSimulation simulation, SimulatedNode holder, SimulatedNode other, Loss loss) {
+        if (other != holder && loss != Loss.OUTBOUND_BLOCKED) {
+            simulation.blockLink(other.name(), holder.name());
         }
-        if (other != holder && loss != Loss.DEAF) {
-            simulation.cut(holder.name(), other.name());
+        if (other != holder && loss != Loss.INBOUND_BLOCKED) {
+            simulation.blockLink(holder.name(), other.name());
         }
     }
 }
--- a/consensus/src/test/java/dewplank/singleton/LeaseVoterTest.java
+++ b/consensus/src/test/java/dewplank/singleton/LeaseVoterTest.java
@@ -15,7 +15,7 @@
 class LeaseVoterTest {
     private static final double LEASE_MS = 3_000;
 
-    /** What a voter wanted done; its disk writes at once, or fails. */
+    /** Records the voter's actions; a write completes or fails immediately. */
     private final class RecordedEffects implements LeaseVoter.Effects {
         private final List<VoteReply> replies = new ArrayList<>();
         private final List<Long> persistedTokens = new ArrayList<>();
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void renewsUnderTheSameTokenWithoutTheDisk() {
+    void renewsUnderTheSameTokenWithoutAWrite() {
         vote(0, Kind.REQUEST_VOTE, "a", 1);
         assertEquals(Verdict.GRANTED, vote(2_000, Kind.RENEW, "a", 1).verdict());
         assertEquals(Verdict.REJECTED, vote(4_999, Kind.REQUEST_VOTE, "b", 2).verdict());
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void isFreeAtOnceWhenTheLeaseIsReleased() {
+    void isFreeImmediatelyAfterTheReleaseOfTheLease() {
         vote(0, Kind.REQUEST_VOTE, "a", 1);
         assertNull(vote(10, Kind.RELEASE, "b", 1));
         assertEquals(Verdict.REJECTED, vote(10, Kind.REQUEST_VOTE, "b", 2).verdict());
@@ -108,7 +108,7 @@
         assertEquals(Verdict.GRANTED, vote(10, Kind.REQUEST_VOTE, "b", 2).verdict());
     }
 
-    /** A voter whose vote the holder did not need: the release overtakes the holder's requests. */
+    /** The release overtakes the holder's requests to a voter whose vote the holder did not need. */
     @ParameterizedTest
     @EnumSource(
             value = Kind.class,
@@ -133,7 +133,7 @@
     }
 
     @Test
-    void aWithdrawnVoteIsNoReleasedLease() {
+    void aWithdrawalIsNotReportedAsARelease() {
         vote(0, Kind.REQUEST_VOTE, "a", 1);
         vote(10, Kind.WITHDRAW, "a", 1);
         assertEquals(List.of(), effects.released);
@@ -176,7 +176,7 @@
     }
 
     @Test
-    void grantsNothingToANewHolderForALeaseAfterANewSet() {
+    void grantsNoVoteToANewHolderForOneLeaseAfterANewSet() {
         vote(0, Kind.REQUEST_VOTE, "a", 1);
         voter.updateVoterSet(1_000, 0, 1);
         assertEquals(Verdict.REJECTED, vote(voter, 1_000, Kind.RENEW, "a", 1, 0).verdict());
@@ -194,7 +194,7 @@
     }
 
     @Test
-    void learnsOfASetFromTheCandidateThatCountsByIt() {
+    void adoptsTheSetGenerationOfACandidatesRequest() {
         assertEquals(
                 Verdict.ABSTAINED, vote(voter, 0, Kind.REQUEST_VOTE, "a", 1, 2).verdict());
         assertEquals(
@@ -206,7 +206,7 @@
     }
 
     @Test
-    void aSetThatWasAcceptedAndNeverChosenBindsNoLonger() {
+    void anAcceptedSetThatIsReplacedByAnOlderOneNoLongerExcludesCandidates() {
         voter.updateVoterSet(0, 2, 3);
         assertEquals(
                 Verdict.REJECTED,
@@ -218,7 +218,7 @@
     }
 
     @Test
-    void abstainsWithAReplyWhereATokenCannotBePersisted() {
+    void repliesWithAnAbstentionWhenATokenCannotBePersisted() {
         diskFails = true;
         VoteReply reply = vote(0, Kind.REQUEST_VOTE, "a", 1);
         assertEquals(Verdict.ABSTAINED, reply.verdict());
@@ -234,7 +234,7 @@
     }
 
     @Test
-    void onlyARenewalThatNeedsTheDiskWaitsForIt() {
+    void aRenewalPersistsItsTokenOnlyOnce() {
         diskFails = true;
         vote(0, Kind.REQUEST_VOTE, "a", 3);
         diskFails = false;
@@ -256,9 +256,9 @@
                 Verdict.GRANTED, vote(voter, 0, Kind.REQUEST_VOTE, "a", 1, 3).verdict());
     }
 
-    /** A holder whose token is on disk renews without it; one whose token is not waits until the disk may be back. */
+    /** A renewal is granted during the backoff after a failed write only if its token is already persisted. */
     @Test
-    void aRenewalWaitsForADiskThatFailedOnlyWhereItNeedsOne() {
+    void aRenewalWaitsForTheBackoffOnlyIfItsTokenMustBePersisted() {
         vote(0, Kind.REQUEST_VOTE, "a", 1);
         diskFails = true;
         failedAt = LEASE_MS;
