--- a/consensus/src/main/java/dewplank/singleton/LeaseVoter.java
+++ b/consensus/src/main/java/dewplank/singleton/LeaseVoter.java
@@ -61,7 +61,10 @@
         }
     }
 
-    /** Fraction of a lease for which, after a failed write, no token that must be persisted is granted. */
+    /**
+     * Fraction of a lease for which, after a failed write, no token that must be persisted is granted. The disk may
+     * recover in the meantime.
+     */
     private static final double PERSIST_BACKOFF_FRACTION = 1.0 / 4;
 
     private final String identity;
--- a/consensus/src/test/java/dewplank/singleton/LeasePropertyTest.java
+++ b/consensus/src/test/java/dewplank/singleton/LeasePropertyTest.java
@@ -137,7 +137,8 @@
         // Waits for events that the faults have scheduled: late restarts, and messages delayed by seconds.
         simulation.runUntil(simulation.nowMs() + 2 * LEASE_MS);
         heal(simulation, random);
-        // Scheduled changes of the voter set may have begun since; the voters then grant no new lease for 1 LEASE_MS.
+        // Scheduled changes of the voter set may have begun since. Their voters grant nothing to a new holder for the
+        // duration of a lease.
         simulation.runUntilAcquired(null, HEALED_BOUND_MS);
         simulation.runUntil(simulation.nowMs() + HEALED_BOUND_MS);
         SimulatedNode holder = simulation.leaseHolder();
--- a/messages/src/main/java/dewplank/message/ControlHeartbeat.java
+++ b/messages/src/main/java/dewplank/message/ControlHeartbeat.java
@@ -5,9 +5,9 @@
 import java.util.List;
 
 /**
- * The heartbeat between two control planes: the sender's open sessions and the control planes that it knows.
+ * The heartbeat between two control planes, with the sender's open sessions and the control planes that it knows.
  *
- * <p>The receiver replies by a {@link HeartbeatAck}. From the sessions of all peers each control plane makes the
+ * <p>The receiver replies with a {@link HeartbeatAck}. Each control plane combines the sessions of all peers into the
  * membership that it sends to data planes.
  */
 public final class ControlHeartbeat {
@@ -15,14 +15,14 @@
     public final List<Member> sessions;
     public final List<String> controlAddresses;
     /**
-     * While the fleet is founded, what the sender has stored of founders without a disk, one text in the form of its
-     * file; empty later, and from processes of releases before this field.
+     * While the fleet is bootstrapped: the contents of the file in which the sender stores the founders without a disk,
+     * as a single text. Empty afterwards, and in messages from releases that lack this field.
      */
     public final List<String> founders;
-    /** The sender's share of tenants' quotas; null from processes of releases before this field. */
+    /** The sender's share of tenants' quotas; null in messages from releases that lack this field. */
     public final QuotaShareReport quotaShare;
 
-    /** For Protostuff, which sets the fields and does not send an empty list. */
+    /** Used by Protostuff, which then sets the fields; it does not send empty lists, so they are set here. */
     private ControlHeartbeat() {
         this.sequence = 0;
         this.sessions = new ArrayList<>();
@@ -31,12 +31,12 @@
         this.quotaShare = null;
     }
 
-    /** A heartbeat once the fleet is founded. */
+    /** Creates a heartbeat for use after the fleet's bootstrap. */
     public ControlHeartbeat(long sequence, List<Member> sessions, List<String> controlAddresses) {
         this(sequence, sessions, controlAddresses, List.of(), null);
     }
 
-    /** A heartbeat while the fleet is founded. */
+    /** Creates a heartbeat for use during the fleet's bootstrap. */
     public ControlHeartbeat(
             long sequence,
             List<Member> sessions,
--- a/messages/src/main/java/dewplank/message/Endpoint.java
+++ b/messages/src/main/java/dewplank/message/Endpoint.java
@@ -16,10 +16,10 @@
 
     public final int slotCount;
     public final boolean draining;
-    /** How long the server still warms up, as reported; 0 once it is warm. */
+    /** The reported remaining warm-up time of the server; 0 once it is warm. */
     public final double warmupRemainingMs;
 
-    /** The stage of a server that is changing to another one: it gets no new requests. */
+    /** The stage of a server that is changing to another stage; it receives no new requests. */
     public static final String CHANGING = "changing";
 
     /** prefill, decode, {@link #CHANGING}, or null for a plain server. */
@@ -49,7 +49,10 @@
         return new Endpoint(instanceId, service, address, zone, slotCount, draining, warmupRemainingMs, newStage);
     }
 
-    /** Whether all but the remaining warm-up is equal, which counts down by itself and would make every list new. */
+    /**
+     * Whether the endpoints are equal in all fields but the remaining warm-up time. That time decreases continuously,
+     * so comparing it would make every reported list a new one.
+     */
     public boolean equalsIgnoringWarmup(Endpoint other) {
         return other.instanceId.equals(instanceId)
                 && other.service.equals(service)
--- a/messages/src/main/java/dewplank/message/EndpointListVersion.java
+++ b/messages/src/main/java/dewplank/message/EndpointListVersion.java
@@ -1,11 +1,11 @@
 package dewplank.message;
 
 /**
- * The version of an {@link EndpointList}: the fencing token of the lease under which the list was requested, then a
- * revision that counts the lists under that token.
+ * The version of an {@link EndpointList}: the fencing token of the lease under which the list was requested, and a
+ * revision that counts the lists under that token. Versions are ordered by token first, then by revision.
  */
 public final class EndpointListVersion implements Comparable<EndpointListVersion> {
-    /** Lower than that of any list. */
+    /** A version lower than that of any list. */
     public static final EndpointListVersion NONE = new EndpointListVersion(0, 0);
 
     public final long fencingToken;
--- a/messages/src/main/java/dewplank/message/FleetMessages.java
+++ b/messages/src/main/java/dewplank/message/FleetMessages.java
@@ -6,11 +6,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The types of all messages between the fleet's processes. Their order numbers them on the wire: add at the end. */
+/** All message types between the fleet's processes. A type's index is its number on the wire: add types at the end. */
 public final class FleetMessages {
     private FleetMessages() {}
 
-    /** Returns a codec of these types; each event loop needs its own. */
+    /** Returns a codec for these types; each event loop needs its own codec. */
     public static MessageCodec codec() {
         List<Class<?>> types = new ArrayList<>(List.of(
                 ControlHello.class,
--- a/messages/src/main/java/dewplank/message/FleetUpdate.java
+++ b/messages/src/main/java/dewplank/message/FleetUpdate.java
@@ -3,16 +3,16 @@
 import dewplank.membership.Member;
 import java.util.List;
 
-/** Sends a data plane what is newer than it has; a part that has not changed is null. */
+/** Sends a data plane newer state than it has; a part that has not changed is null. */
 public final class FleetUpdate {
     /**
-     * The configuration, compressed by {@link dewplank.configuration.DeflateCodec}: complete, or as a delta on
+     * The configuration, compressed by {@link dewplank.configuration.DeflateCodec}: either complete, or a delta against
      * {@link #baseVersion}.
      */
     public final byte[] configuration;
 
     public final long configurationVersion;
-    /** The version that a delta applies to; 0 when the configuration is complete. */
+    /** The version to which the delta applies; 0 if the configuration is complete. */
     public final long baseVersion;
 
     public final EndpointList endpointList;
--- a/messages/src/main/java/dewplank/message/FramedConnection.java
+++ b/messages/src/main/java/dewplank/message/FramedConnection.java
@@ -10,10 +10,11 @@
 /**
  * A {@link MessageLink} that carries messages as frames over one TCP connection.
  *
- * <p>It closes on a corrupt frame, and when the peer does not read. On the event loop's thread only.
+ * <p>It closes on a corrupt frame, and if the peer does not read. All methods must be called on the event loop's
+ * thread.
  */
 public final class FramedConnection implements Listener.Accepted, MessageLink {
-    /** Bytes that may wait to be sent. A peer that is further behind is stuck, and the connection closes. */
+    /** Maximum number of unsent bytes. Beyond it, the peer is considered unresponsive and the connection closes. */
     private static final long MAX_UNSENT_BYTES = 32L * 1024 * 1024;
 
     private final MessageCodec codec;
@@ -24,7 +25,7 @@
     private long unsentBytes;
     private boolean closed;
 
-    /** For a connection that a listener will accept. */
+    /** Creates a connection for a listener to accept. */
     public FramedConnection(MessageCodec codec, Handler handler) {
         this.codec = codec;
         this.decoder = codec.newDecoder();
@@ -34,7 +35,7 @@
     /**
      * Opens a connection.
      *
-     * @param timeoutMs the time to establish it, after which it closes
+     * @param timeoutMs the time within which the connection must be established; otherwise it closes
      */
     public static FramedConnection open(
             EventLoop loop, InetSocketAddress to, double timeoutMs, MessageCodec codec, Handler handler) {
@@ -76,7 +77,7 @@
         send(codec.encode(message));
     }
 
-    /** Sends an encoded frame, so that a message for many connections is encoded once. */
+    /** Sends an encoded frame, so that a message for many connections needs to be encoded only once. */
     public void send(ByteBuffer frame) {
         if (closed || connection == null) {
             return;
--- a/messages/src/main/java/dewplank/message/HeartbeatAck.java
+++ b/messages/src/main/java/dewplank/message/HeartbeatAck.java
@@ -4,24 +4,24 @@
 import java.util.List;
 
 /**
- * A control plane's reply to a {@link SessionHeartbeat} or a {@link ControlHeartbeat}, sent at once.
+ * A control plane's reply to a {@link SessionHeartbeat} or a {@link ControlHeartbeat}, sent immediately.
  *
- * <p>Without it the sender's heartbeat times out and it closes the connection.
+ * <p>If the reply does not arrive, the heartbeat times out and its sender closes the connection.
  */
 public final class HeartbeatAck {
-    /** That of the heartbeat. */
+    /** The sequence number of the heartbeat. */
     public final long sequence;
 
     /** Whether a quorum of the register recently confirmed that this control plane has the newest configuration. */
     public final boolean quorate;
-    /** Addresses of all control planes that this one knows, for a session when this one fails. */
+    /** Addresses of all control planes known to this one; a data plane can open a session to them if this one fails. */
     public final List<String> controlAddresses;
-    /** Null where no quorum has confirmed any, and from processes of releases before this field. */
+    /** Null if no quorum has confirmed a configuration, and in messages from releases that lack this field. */
     public final ConfirmedConfiguration confirmed;
-    /** Of tenants' quotas, to a control plane by the one that assigns shares; null from all others. */
+    /** The receiver's share of tenants' quotas; null unless the sender assigns shares to this control plane. */
     public final QuotaShareGrant quotaShare;
 
-    /** For Protostuff, which sets the fields and does not send an empty list. */
+    /** Used by Protostuff, which then sets the fields; it does not send empty lists, so the list is set here. */
     private HeartbeatAck() {
         this.sequence = 0;
         this.quorate = false;
@@ -30,21 +30,21 @@
         this.quotaShare = null;
     }
 
-    /** A reply that confirms no configuration. */
+    /** Creates a reply without a confirmed configuration. */
     public HeartbeatAck(long sequence, boolean quorate, List<String> controlAddresses) {
         this(sequence, quorate, controlAddresses, null, null);
     }
 
-    /** A reply to a data plane.
+    /** Creates a reply to a data plane.
      *
-     * @param confirmed null where no quorum has confirmed any
+     * @param confirmed null if no quorum has confirmed a configuration
      */
     public HeartbeatAck(
             long sequence, boolean quorate, List<String> controlAddresses, ConfirmedConfiguration confirmed) {
         this(sequence, quorate, controlAddresses, confirmed, null);
     }
 
-    /** A reply to a control plane.
+    /** Creates a reply to a control plane.
      *
      * @param quotaShare null unless the sender assigns shares
      */
--- a/messages/src/main/java/dewplank/message/MessageCodec.java
+++ b/messages/src/main/java/dewplank/message/MessageCodec.java
@@ -11,14 +11,14 @@
 import java.util.Map;
 
 /**
- * Encodes messages as frames and decodes them.
+ * Encodes messages as frames, and decodes frames.
  *
- * <p>A frame is the length of the body as four bytes, one byte for the type, and the body in Protostuff's format. The
- * type's number is its index in the list of types, and a field's number is its position in its class; both ends of a
- * connection must agree on them. Not thread-safe: one codec per event loop.
+ * <p>A frame consists of the length of the body (four bytes), the number of the message type (one byte), and the body
+ * in Protostuff's format. A type's number is its index in the list of types, and a field's number is its position in
+ * its class; both ends of a connection must agree on them. Not thread-safe: use one codec per event loop.
  */
 public final class MessageCodec {
-    /** The largest body. One configuration has to fit, of which operators may submit up to 4 MiB. */
+    /** Maximum length of a body. It must be sufficient for a configuration; operators may submit up to 4 MiB. */
     public static final int MAX_BODY_BYTES = 8 * 1024 * 1024;
 
     private static final int HEADER_BYTES = Integer.BYTES + 1;
@@ -28,7 +28,7 @@
     private final Map<Class<?>, Integer> typeNumbers = new HashMap<>();
     private final LinkedBuffer buffer = LinkedBuffer.allocate(BUFFER_BYTES);
 
-    /** Builds the schemas of these types. */
+    /** Creates a codec for these types. */
     public MessageCodec(List<Class<?>> types) {
         for (Class<?> type : types) {
             typeNumbers.put(type, schemas.size());
@@ -42,16 +42,16 @@
     }
 
     /**
-     * Encodes a message as one frame, ready to be read.
+     * Encodes a message as one frame. The returned buffer is ready to be read.
      *
-     * @param message of one of the codec's types
-     * @throws IllegalArgumentException if the message is of another type, an error of the caller
+     * @param message a message of one of the codec's types
+     * @throws IllegalArgumentException if the message is of another type, which is a programming error of the caller
      */
     public ByteBuffer encode(Object message) {
         Integer number = typeNumbers.get(message.getClass());
         if (number == null) {
             throw new IllegalArgumentException(
-                    "no message type: " + message.getClass().getName());
+                    "not a message type: " + message.getClass().getName());
         }
         byte[] body;
         try {
@@ -68,7 +68,7 @@
 
     private Object decodeBody(int number, byte[] body) throws CorruptFrameException {
         if (number < 0 || number >= schemas.size()) {
-            throw new CorruptFrameException("no message has the number " + number);
+            throw new CorruptFrameException("unknown message type number " + number);
         }
         try {
             Schema<Object> schema = schemas.get(number);
@@ -76,9 +76,9 @@
             ProtostuffIOUtil.mergeFrom(body, message, schema);
             return message;
         } catch (RuntimeException | OutOfMemoryError e) {
-            // The boundary to bytes of another process. Protostuff reports a malformed body by many runtime exceptions,
-            // and allocates by lengths within the body, which may exceed all memory.
-            throw new CorruptFrameException("a message's body can't be read: " + e);
+            // The bytes come from another process. Protostuff throws many different runtime exceptions for a malformed
+            // body, and allocates memory according to lengths within the body, which may exceed the available memory.
+            throw new CorruptFrameException("can't decode the body of the message: " + e);
         }
     }
 
@@ -87,7 +87,7 @@
         return new Decoder();
     }
 
-    /** Assembles frames from the bytes of one connection, however they are split. */
+    /** Assembles frames from the bytes of one connection, which may be split at any position. */
     public final class Decoder {
         private final ByteBuffer header = ByteBuffer.allocate(HEADER_BYTES);
         private byte[] body;
@@ -96,8 +96,8 @@
         /**
          * Consumes bytes up to the end of the next frame.
          *
-         * @return the frame's message, or null once the buffer is empty and the frame is not complete; the next call
-         *     goes on with it
+         * @return the frame's message, or null if the buffer ends before the frame is complete; the next call continues
+         *     with this frame
          * @throws CorruptFrameException if the frame is not valid; the decoder must not be used again
          */
         public Object decode(ByteBuffer in) throws CorruptFrameException {
@@ -110,7 +110,7 @@
             if (body == null) {
                 int length = header.getInt(0);
                 if (length < 0 || length > MAX_BODY_BYTES) {
-                    throw new CorruptFrameException("a frame of " + length + " bytes");
+                    throw new CorruptFrameException("invalid body length of " + length + " bytes");
                 }
                 body = new byte[length];
                 bodyBytesRead = 0;
--- a/messages/src/main/java/dewplank/message/MessageTransport.java
+++ b/messages/src/main/java/dewplank/message/MessageTransport.java
@@ -6,22 +6,22 @@
 import java.util.function.Supplier;
 
 /**
- * Opens and accepts the connections between the fleet's processes. {@link TcpTransport} is the real one; simulations
- * have one in virtual time. Called on the event loop's thread.
+ * Opens and accepts the connections between the fleet's processes. {@link TcpTransport} is used in production;
+ * simulations implement a transport in virtual time. Called on the event loop's thread.
  */
 public interface MessageTransport {
     /**
      * Opens a connection.
      *
-     * @param timeoutMs the time to establish it, after which it closes
-     * @param handler receives its events
+     * @param timeoutMs the time within which the connection must be established; otherwise it closes
+     * @param handler receives the connection's events
      */
     MessageLink open(InetSocketAddress to, double timeoutMs, MessageLink.Handler handler);
 
     /**
      * Binds to an address and accepts connections.
      *
-     * @param maxConnections how many may be open at once; further ones wait in the kernel's backlog
+     * @param maxConnections the maximum number of open connections; further ones wait in the kernel's backlog
      * @param handlers supplies the handler of each accepted connection
      * @throws IOException if the address cannot be bound
      */
--- a/messages/src/main/java/dewplank/message/QuotaReply.java
+++ b/messages/src/main/java/dewplank/message/QuotaReply.java
@@ -2,23 +2,23 @@
 
 /** A control plane's reply to a {@link QuotaRequest}. */
 public final class QuotaReply {
-    /** What became of the request. */
+    /** The outcome of the request. */
     public enum Outcome {
-        /** One token at least is granted. */
+        /** At least one token is granted. */
         GRANTED,
         /** The tenant has used up its quota. */
         EXHAUSTED,
-        /** This control plane cannot tell: it has no share of the quota, or does not know the tenant. */
+        /** The control plane can't decide, because it has no share of the quota or does not know the tenant. */
         UNAVAILABLE
     }
 
-    /** That of the request. */
+    /** The id of the request. */
     public final long id;
 
     public final Outcome outcome;
-    /** 0 unless granted; at most as many as were asked for. */
+    /** The number of granted tokens, at most the requested number; 0 unless granted. */
     public final int tokens;
-    /** After how many milliseconds there may be a token; 0 unless exhausted. */
+    /** Milliseconds after which a token may be available; 0 unless exhausted. */
     public final double retryAfterMs;
 
     private QuotaReply(long id, Outcome outcome, int tokens, double retryAfterMs) {
--- a/messages/src/main/java/dewplank/message/QuotaRequest.java
+++ b/messages/src/main/java/dewplank/message/QuotaRequest.java
@@ -1,17 +1,20 @@
 package dewplank.message;
 
 /**
- * Asks a control plane for tokens of a tenant's quota: by a data plane for requests that wait, or by another control
- * plane that has none left. Replied by a {@link QuotaReply}.
+ * Requests tokens of a tenant's quota from a control plane. Sent by a data plane for waiting requests, or by another
+ * control plane that has no tokens left. The reply is a {@link QuotaReply}.
  */
 public final class QuotaRequest {
     /** Chosen by the sender; the reply repeats it. */
     public final long id;
 
     public final String tenant;
-    /** Above 0. */
+    /** The requested number of tokens, above 0. */
     public final int tokens;
-    /** Whether another control plane asks, which has asked or will ask the others itself. */
+    /**
+     * Whether another control plane forwarded the request. That one sends it to further control planes itself, so the
+     * receiver does not forward it again.
+     */
     public final boolean forwarded;
 
     public QuotaRequest(long id, String tenant, int tokens, boolean forwarded) {
--- a/messages/src/main/java/dewplank/message/QuotaShareGrant.java
+++ b/messages/src/main/java/dewplank/message/QuotaShareGrant.java
@@ -1,14 +1,14 @@
 package dewplank.message;
 
-/** The share of all tenants' quotas that the sender of a heartbeat may hold. Part of a {@link HeartbeatAck}. */
+/** The share of all tenants' quotas that is granted to the sender of a heartbeat. Part of a {@link HeartbeatAck}. */
 public final class QuotaShareGrant {
-    /** From 0 to 1. */
+    /** The share as a fraction from 0 to 1. */
     public final double fraction;
-    /** That of the assigner. */
+    /** The fencing token of the control plane that assigns the shares. */
     public final long fencingToken;
-    /** Above those of all earlier grants of the assigner under this token. */
+    /** The number of the grant; higher than those of all earlier grants under this fencing token. */
     public final long number;
-    /** Whether the receiver may hold no more than what it still holds when the grant arrives. */
+    /** Whether the grant must not increase the share that the receiver still has when the grant arrives. */
     public final boolean renewalOnly;
 
     public QuotaShareGrant(double fraction, long fencingToken, long number, boolean renewalOnly) {
--- a/messages/src/main/java/dewplank/message/QuotaShareReport.java
+++ b/messages/src/main/java/dewplank/message/QuotaShareReport.java
@@ -1,12 +1,12 @@
 package dewplank.message;
 
-/** The share of all tenants' quotas that a control plane holds. Part of a {@link ControlHeartbeat}. */
+/** The current share of a control plane in all tenants' quotas. Part of a {@link ControlHeartbeat}. */
 public final class QuotaShareReport {
-    /** From 0 to 1. */
+    /** The share as a fraction from 0 to 1. */
     public final double fraction;
-    /** That of the assigner of the grant applied last; 0 before the first. */
+    /** The fencing token of the last applied grant; 0 before the first grant. */
     public final long fencingToken;
-    /** That of the grant applied last; 0 before the first. */
+    /** The number of the last applied grant; 0 before the first grant. */
     public final long number;
 
     public QuotaShareReport(double fraction, long fencingToken, long number) {
--- a/messages/src/main/java/dewplank/message/SessionHeartbeat.java
+++ b/messages/src/main/java/dewplank/message/SessionHeartbeat.java
@@ -1,20 +1,20 @@
 package dewplank.message;
 
 /**
- * A data plane's heartbeat: renews its session and says which versions it has.
+ * A data plane's heartbeat, which renews its session and reports the versions that it has.
  *
- * <p>The control plane replies at once by a {@link HeartbeatAck}, and by a {@link FleetUpdate} as soon as it has
- * something newer.
+ * <p>The control plane immediately replies with a {@link HeartbeatAck}, and sends a {@link FleetUpdate} as soon as it
+ * has newer versions.
  */
 public final class SessionHeartbeat {
-    /** Counts the heartbeats of one session; the ack repeats it. */
+    /** The heartbeat's number within the session; the {@link HeartbeatAck} repeats it. */
     public final long sequence;
 
-    /** 0 before the first. */
+    /** The version of the data plane's configuration; 0 before the first. */
     public final long configurationVersion;
 
     public final EndpointListVersion listVersion;
-    /** Digest of the membership that the data plane has; 0 before the first. */
+    /** Digest of the membership that the data plane has; 0 before the first membership. */
     public final long membersDigest;
 
     public SessionHeartbeat(
--- a/messages/src/main/java/dewplank/message/TcpTransport.java
+++ b/messages/src/main/java/dewplank/message/TcpTransport.java
@@ -7,12 +7,12 @@
 import java.net.InetSocketAddress;
 import java.util.function.Supplier;
 
-/** The {@link MessageTransport} of real processes: frames over TCP on one event loop. */
+/** The {@link MessageTransport} that processes use in production: frames over TCP on one event loop. */
 public final class TcpTransport implements MessageTransport {
     private final EventLoop loop;
     private final MessageCodec codec;
 
-    /** Connections share the codec, so that it must be of the same event loop. */
+    /** Creates a transport. Its connections share the codec, which must be used only on the same event loop. */
     public TcpTransport(EventLoop loop, MessageCodec codec) {
         this.loop = loop;
         this.codec = codec;
--- a/messages/src/test/java/dewplank/message/FramedConnectionTest.java
+++ b/messages/src/test/java/dewplank/message/FramedConnectionTest.java
@@ -61,7 +61,7 @@
 
         private static <T> T next(BlockingQueue<T> from) throws InterruptedException {
             T next = from.poll(Wire.PATIENCE_S, TimeUnit.SECONDS);
-            assertNotNull(next, "nothing came");
+            assertNotNull(next, "no event was recorded in time");
             return next;
         }
 
@@ -105,40 +105,40 @@
 
     @Test
     void carriesMessagesBothWaysInOrder() throws Exception {
-        FramedConnection dialled = open(address(), OPEN_MS);
-        assertEquals(dialled, RecordingHandler.next(local.opened));
+        FramedConnection outgoing = open(address(), OPEN_MS);
+        assertEquals(outgoing, RecordingHandler.next(local.opened));
         FramedConnection accepted = RecordingHandler.next(remote.opened);
         byte[] large = new byte[1 << 20];
         OnLoop.run(loop, () -> {
-            dialled.send(heartbeat(1));
-            dialled.send(new FleetUpdate(large, 7, 0, null, null));
-            dialled.send(heartbeat(2));
+            outgoing.send(heartbeat(1));
+            outgoing.send(new FleetUpdate(large, 7, 0, null, null));
+            outgoing.send(heartbeat(2));
             accepted.send(heartbeat(3));
         });
         assertEquals(1, remote.nextSequence());
         assertEquals(large.length, ((FleetUpdate) RecordingHandler.next(remote.messages)).configuration.length);
         assertEquals(2, remote.nextSequence());
         assertEquals(3, local.nextSequence());
-        assertTrue(OnLoop.get(loop, () -> dialled.isOpen() && accepted.isOpen()));
+        assertTrue(OnLoop.get(loop, () -> outgoing.isOpen() && accepted.isOpen()));
     }
 
     @Test
-    void notifiesBothEndsOfACloseOnce() throws Exception {
-        FramedConnection dialled = open(address(), OPEN_MS);
+    void notifiesBothHandlersOfACloseOnce() throws Exception {
+        FramedConnection outgoing = open(address(), OPEN_MS);
         RecordingHandler.next(local.opened);
         FramedConnection accepted = RecordingHandler.next(remote.opened);
         OnLoop.run(loop, () -> {
-            dialled.close();
-            dialled.close();
+            outgoing.close();
+            outgoing.close();
         });
-        assertEquals(dialled, RecordingHandler.next(local.closed));
+        assertEquals(outgoing, RecordingHandler.next(local.closed));
         assertEquals(accepted, RecordingHandler.next(remote.closed));
         OnLoop.run(loop, () -> {
-            dialled.send(heartbeat(1)); // lost
+            outgoing.send(heartbeat(1)); // dropped
             accepted.send(heartbeat(2));
             accepted.close();
         });
-        assertTrue(OnLoop.get(loop, () -> dialled.isClosed() && accepted.isClosed() && !dialled.isOpen()));
+        assertTrue(OnLoop.get(loop, () -> outgoing.isClosed() && accepted.isClosed() && !outgoing.isOpen()));
         assertTrue(local.closed.isEmpty() && remote.closed.isEmpty());
         assertTrue(local.messages.isEmpty() && remote.messages.isEmpty());
     }
@@ -147,44 +147,44 @@
     void dropsMessagesSentBeforeItIsOpen() throws Exception {
         OnLoop.run(loop, () -> FramedConnection.open(loop, address(), OPEN_MS, codec, local)
                 .send(heartbeat(1)));
-        FramedConnection dialled = RecordingHandler.next(local.opened);
-        OnLoop.run(loop, () -> dialled.send(heartbeat(2)));
+        FramedConnection outgoing = RecordingHandler.next(local.opened);
+        OnLoop.run(loop, () -> outgoing.send(heartbeat(2)));
         assertEquals(2, remote.nextSequence());
     }
 
     @Test
-    void notifiesOfARefusedConnection() throws Exception {
-        InetSocketAddress nobody;
+    void notifiesTheHandlerOfARefusedConnection() throws Exception {
+        InetSocketAddress closedPort;
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            nobody = (InetSocketAddress) socket.getLocalSocketAddress();
+            closedPort = (InetSocketAddress) socket.getLocalSocketAddress();
         }
-        FramedConnection refused = open(nobody, 30);
+        FramedConnection refused = open(closedPort, 30);
         assertEquals(refused, RecordingHandler.next(local.closed));
         OnLoop.pass(loop, 30);
-        assertTrue(local.closed.isEmpty(), "notified once, not at its time-out too");
+        assertTrue(local.closed.isEmpty(), "the handler must not be notified again at the time-out");
         assertTrue(local.opened.isEmpty());
     }
 
     @Test
-    void closesWhenItIsNotEstablishedInTime() throws Exception {
+    void closesWhenItIsNotEstablishedWithinTheTimeout() throws Exception {
         try (ScriptedServer slowListener = ScriptedServer.late(new LinkedBlockingQueue<>())) {
-            FramedConnection given = open(slowListener.address(), 30);
-            assertEquals(given, RecordingHandler.next(local.closed));
+            FramedConnection connection = open(slowListener.address(), 30);
+            assertEquals(connection, RecordingHandler.next(local.closed));
             slowListener.letIn();
-            assertTrue(OnLoop.get(loop, given::isClosed));
+            assertTrue(OnLoop.get(loop, connection::isClosed));
             assertTrue(local.opened.isEmpty());
         }
     }
 
     @Test
-    void isNeverOpenedWhenClosedBefore() throws Exception {
+    void isNeverOpenedAfterACloseDuringTheConnect() throws Exception {
         try (ScriptedServer slowListener = ScriptedServer.late(new LinkedBlockingQueue<>())) {
-            FramedConnection given = open(slowListener.address(), OPEN_MS);
-            OnLoop.run(loop, given::close);
-            assertEquals(given, RecordingHandler.next(local.closed));
+            FramedConnection connection = open(slowListener.address(), OPEN_MS);
+            OnLoop.run(loop, connection::close);
+            assertEquals(connection, RecordingHandler.next(local.closed));
             slowListener.letIn();
             slowListener.nextConnection().awaitEnd();
-            slowListener.nextConnection().awaitEnd(); // the crowd's
+            slowListener.nextConnection().awaitEnd(); // the two connections that fill the server's backlog
             OnLoop.run(loop, () -> {});
             assertTrue(local.opened.isEmpty());
         }
@@ -208,7 +208,7 @@
         for (String noise : List.of("GET / HTTP/1.1\r\n\r\n", "\0\0\0\0\177", "\377\377\377\377\0")) {
             Wire peer = Wire.to(address());
             peer.send(text(heartbeat(1)) + noise + text(heartbeat(2)));
-            assertEquals(1, remote.nextSequence(), "what came before it counts");
+            assertEquals(1, remote.nextSequence(), "the message before the corrupt frame must be received");
             assertEquals(RecordingHandler.next(remote.opened), RecordingHandler.next(remote.closed));
             assertEquals("", peer.readToEnd());
             assertNull(remote.messages.poll());
@@ -216,7 +216,7 @@
     }
 
     @Test
-    void aHandlerThatClosesReceivesNoFurtherMessage() throws Exception {
+    void aHandlerThatClosesTheConnectionReceivesNoFurtherMessage() throws Exception {
         remote.closesOnMessage = true;
         Wire peer = Wire.to(address());
         peer.send(text(heartbeat(1)) + text(heartbeat(2)));
@@ -226,31 +226,31 @@
         assertTrue(remote.closed.isEmpty());
     }
 
-    /** A peer that reads nothing: the bytes that wait for it are bounded. */
+    /** The number of unsent bytes to a peer that does not read is limited. */
     @Test
     void closesWhenAPeerDoesNotRead() throws Exception {
         try (ScriptedServer unresponsive = ScriptedServer.raw()) {
-            FramedConnection dialled = open(unresponsive.address(), OPEN_MS);
+            FramedConnection outgoing = open(unresponsive.address(), OPEN_MS);
             RecordingHandler.next(local.opened);
             FleetUpdate large = new FleetUpdate(new byte[4 << 20], 1, 0, null, null);
-            for (int i = 0; i < 40 && !OnLoop.get(loop, dialled::isClosed); i++) {
-                OnLoop.run(loop, () -> dialled.send(large));
+            for (int i = 0; i < 40 && !OnLoop.get(loop, outgoing::isClosed); i++) {
+                OnLoop.run(loop, () -> outgoing.send(large));
             }
-            assertTrue(OnLoop.get(loop, dialled::isClosed));
-            assertEquals(dialled, RecordingHandler.next(local.closed));
-            assertFalse(OnLoop.get(loop, dialled::isOpen));
+            assertTrue(OnLoop.get(loop, outgoing::isClosed));
+            assertEquals(outgoing, RecordingHandler.next(local.closed));
+            assertFalse(OnLoop.get(loop, outgoing::isOpen));
         }
     }
 
     @Test
     void sentBytesDoNotCountAsUnsent() throws Exception {
-        FramedConnection dialled = open(address(), OPEN_MS);
+        FramedConnection outgoing = open(address(), OPEN_MS);
         RecordingHandler.next(local.opened);
         ByteBuffer frame = codec.encode(new FleetUpdate(new byte[4 << 20], 1, 0, null, null));
-        for (int i = 0; i < 12; i++) { // more than may be unsent at once
-            OnLoop.run(loop, () -> dialled.send(frame.duplicate()));
+        for (int i = 0; i < 12; i++) { // in total more than the maximum number of unsent bytes
+            OnLoop.run(loop, () -> outgoing.send(frame.duplicate()));
             RecordingHandler.next(remote.messages);
         }
-        assertTrue(OnLoop.get(loop, dialled::isOpen));
+        assertTrue(OnLoop.get(loop, outgoing::isOpen));
     }
 }
--- a/messages/src/test/java/dewplank/message/GoldenFramesTest.java
+++ b/messages/src/test/java/dewplank/message/GoldenFramesTest.java
@@ -37,8 +37,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Frames as an earlier release sent them: each message is encoded to the same bytes, and the bytes are read field by
- * field. A type goes by its label and its number, so that a class may get another name.
+ * Tests the compatibility with frames that an earlier release sent: each message must be encoded to the same bytes, and
+ * the bytes must be decoded to the same fields. Types are identified by label and number, so classes can be renamed.
  */
 class GoldenFramesTest {
     private static final String RESOURCE = "/golden/frames.txt";
@@ -72,7 +72,7 @@
     private final MessageCodec codec = FleetMessages.codec();
     private final Map<String, byte[]> frames = frames();
 
-    /** Each line holds a label, the type's number and the frame in hexadecimal digits, apart by tabs. */
+    /** Each line contains a label, the type number and the frame in hexadecimal digits, separated by tabs. */
     private static Map<String, byte[]> frames() {
         Map<String, byte[]> frames = new LinkedHashMap<>();
         for (String line : lines()) {
@@ -117,8 +117,8 @@
     @Test
     void eachFrameIsDecodedToTheSameMessage() throws Exception {
         for (Map.Entry<String, Object> message : GoldenMessages.byLabel().entrySet()) {
-            Object back = decoded(message.getKey(), message.getValue().getClass());
-            assertNull(Messages.difference(message.getValue(), back), message.getKey());
+            Object actual = decoded(message.getKey(), message.getValue().getClass());
+            assertNull(Messages.difference(message.getValue(), actual), message.getKey());
         }
     }
 
@@ -129,13 +129,13 @@
         Map<String, Integer> expected = new LinkedHashMap<>();
         TYPES.forEach(type -> expected.put(type, expected.size()));
         assertEquals(expected, numbers);
-        assertEquals(TYPES.size(), Messages.kinds().size());
+        assertEquals(TYPES.size(), Messages.emptyMessages().size());
     }
 
     // ---- sessions -------------------------------------------------------------------------------------
 
     @Test
-    void hellosOfControlPlanes() throws Exception {
+    void decodesHellosOfControlPlanes() throws Exception {
         ControlHello durable = decoded("control-hello durable", ControlHello.class);
         assertIsControlPlane(durable.member);
         assertEquals("founder@10.0.0.1:7600", durable.identity);
@@ -163,7 +163,7 @@
     }
 
     @Test
-    void sessionsOfDataPlanes() throws Exception {
+    void decodesSessionMessagesOfDataPlanes() throws Exception {
         assertIsDataPlane(decoded("session-open", SessionOpen.class).member);
         SessionHeartbeat heartbeat = decoded("session-heartbeat", SessionHeartbeat.class);
         assertEquals(17, heartbeat.sequence);
@@ -171,25 +171,25 @@
         assertEquals(9, heartbeat.listVersion.fencingToken);
         assertEquals(130, heartbeat.listVersion.revision);
         assertEquals(-2, heartbeat.membersDigest);
-        SessionHeartbeat emptyHanded = decoded("session-heartbeat empty-handed", SessionHeartbeat.class);
-        assertEquals(1, emptyHanded.sequence);
-        assertEquals(0, emptyHanded.configurationVersion);
-        assertEquals(0, emptyHanded.listVersion.fencingToken);
-        assertEquals(0, emptyHanded.listVersion.revision);
-        assertEquals(0, emptyHanded.membersDigest);
+        SessionHeartbeat initial = decoded("session-heartbeat empty-handed", SessionHeartbeat.class);
+        assertEquals(1, initial.sequence);
+        assertEquals(0, initial.configurationVersion);
+        assertEquals(0, initial.listVersion.fencingToken);
+        assertEquals(0, initial.listVersion.revision);
+        assertEquals(0, initial.membersDigest);
         HeartbeatAck quorate = decoded("heartbeat-ack quorate", HeartbeatAck.class);
         assertEquals(17, quorate.sequence);
         assertTrue(quorate.quorate);
         assertEquals(List.of("10.0.0.1:7600", "10.0.0.2:7600"), quorate.controlAddresses);
-        HeartbeatAck alone = decoded("heartbeat-ack alone", HeartbeatAck.class);
-        assertEquals(18, alone.sequence);
-        assertFalse(alone.quorate);
-        assertEquals(List.of(), alone.controlAddresses);
+        HeartbeatAck withoutQuorum = decoded("heartbeat-ack alone", HeartbeatAck.class);
+        assertEquals(18, withoutQuorum.sequence);
+        assertFalse(withoutQuorum.quorate);
+        assertEquals(List.of(), withoutQuorum.controlAddresses);
     }
 
-    /** Both ends of a session work it out by themselves. */
+    /** Both ends of a session compute the digest independently, so it must not change between releases. */
     @Test
-    void theDigestOfMembers() {
+    void theDigestOfMembersIsUnchanged() {
         assertEquals(MEMBERS_DIGEST, SessionTable.digest(List.of(GoldenMessages.DATA_PLANE)));
         assertEquals(
                 MEMBERS_DIGEST_OF_TWO,
@@ -199,12 +199,12 @@
     // ---- updates --------------------------------------------------------------------------------------
 
     @Test
-    void updatesOfDataPlanes() throws Exception {
+    void decodesUpdatesOfDataPlanes() throws Exception {
         FleetUpdate complete = decoded("update whole", FleetUpdate.class);
         assertArrayEquals(new byte[] {120, 1, -1}, complete.configuration);
         assertEquals(200, complete.configurationVersion);
         assertEquals(0, complete.baseVersion);
-        assertAreThreeKinds(complete.endpointList);
+        assertHasTheThreeEndpoints(complete.endpointList);
         assertEquals(2, complete.members.size());
         assertIsDataPlane(complete.members.get(0));
         assertIsControlPlane(complete.members.get(1));
@@ -229,15 +229,15 @@
     }
 
     @Test
-    void listsOfEndpoints() throws Exception {
-        assertAreThreeKinds(decoded("endpoint-list", EndpointList.class));
+    void decodesEndpointLists() throws Exception {
+        assertHasTheThreeEndpoints(decoded("endpoint-list", EndpointList.class));
         EndpointList empty = decoded("endpoint-list empty", EndpointList.class);
         assertEquals(2, empty.version.fencingToken);
         assertEquals(3, empty.version.revision);
         assertEquals(List.of(), empty.endpoints);
     }
 
-    private static void assertAreThreeKinds(EndpointList list) {
+    private static void assertHasTheThreeEndpoints(EndpointList list) {
         assertEquals(9, list.version.fencingToken);
         assertEquals(130, list.version.revision);
         assertEquals(3, list.endpoints.size());
@@ -271,7 +271,7 @@
     }
 
     @Test
-    void heartbeatsOfControlPlanes() throws Exception {
+    void decodesHeartbeatsOfControlPlanes() throws Exception {
         ControlHeartbeat heartbeat = decoded("control-heartbeat", ControlHeartbeat.class);
         assertEquals(77, heartbeat.sequence);
         assertEquals(2, heartbeat.sessions.size());
@@ -284,9 +284,9 @@
         assertEquals(List.of(), empty.controlAddresses);
     }
 
-    /** Configurations in updates are deflated with a zlib head, for the greatest speed. */
+    /** Configurations in updates are compressed with DEFLATE at the fastest level, with a zlib header. */
     @Test
-    void deflatedConfigurations() throws Exception {
+    void inflatesAndDeflatesConfigurations() throws Exception {
         String text = "{\"config_version\":5}{\"config_version\":5}";
         byte[] plain = text.getBytes(StandardCharsets.US_ASCII);
         assertArrayEquals(plain, DeflateCodec.inflate(HexFormat.of().parseHex(DEFLATED), MessageCodec.MAX_BODY_BYTES));
@@ -298,7 +298,7 @@
     // ---- votes ----------------------------------------------------------------------------------------
 
     @Test
-    void requestsForVotes() throws Exception {
+    void decodesVoteRequests() throws Exception {
         assertIsRequest(VoteRequest.Kind.PROBE, 21, "vote-request probe");
         assertIsRequest(VoteRequest.Kind.REQUEST_VOTE, 22, "vote-request ask");
         assertIsRequest(VoteRequest.Kind.RENEW, 23, "vote-request renew");
@@ -318,13 +318,13 @@
     }
 
     @Test
-    void repliesOfVoters() throws Exception {
+    void decodesVoteReplies() throws Exception {
         VoteReply granted = decoded("vote-reply granted", VoteReply.class);
         assertEquals(VoteReply.Verdict.GRANTED, granted.verdict());
         assertIsReply(granted, "3kq0z", "10.0.0.1:7600#1f", 22, 6, "10.0.0.1:7600#1f", 3_000);
-        VoteReply refused = decoded("vote-reply refused", VoteReply.class);
-        assertEquals(VoteReply.Verdict.REJECTED, refused.verdict());
-        assertIsReply(refused, "3kq0z", "10.0.0.3:7600#2e", 31, 6, "10.0.0.1:7600#1f", 2_500);
+        VoteReply rejected = decoded("vote-reply refused", VoteReply.class);
+        assertEquals(VoteReply.Verdict.REJECTED, rejected.verdict());
+        assertIsReply(rejected, "3kq0z", "10.0.0.3:7600#2e", 31, 6, "10.0.0.1:7600#1f", 2_500);
         VoteReply abstained = decoded("vote-reply abstained", VoteReply.class);
         assertEquals(VoteReply.Verdict.ABSTAINED, abstained.verdict());
         assertIsReply(abstained, "3kq0z", "c#3", 40, 0, null, 500);
@@ -338,93 +338,93 @@
             String voter,
             String candidate,
             long round,
-            long number,
-            String holder,
+            long highestToken,
+            String grantedTo,
             double remainingMs) {
         assertEquals("list", reply.duty());
         assertEquals(voter, reply.voterIdentity());
         assertEquals("3kq0z", reply.requestedIdentity());
         assertEquals(candidate, reply.candidate());
         assertEquals(round, reply.round());
-        assertEquals(number, reply.highestToken());
-        assertEquals(holder, reply.grantedTo());
+        assertEquals(highestToken, reply.highestToken());
+        assertEquals(grantedTo, reply.grantedTo());
         assertEquals(remainingMs, reply.remainingMs());
     }
 
     // ---- register -------------------------------------------------------------------------------------
 
     @Test
-    void firstPhaseOfTheRegister() throws Exception {
+    void decodesPrepareAndPromise() throws Exception {
         Prepare prepare = decoded("prepare", Prepare.class);
-        assertAreParties(prepare, "b91xy");
+        assertHasParties(prepare, "b91xy");
         assertIsBallot(prepare.ballot());
         assertIsEarlierBallot(prepare.chosenBallot());
         Promise promise = decoded("promise", Promise.class);
-        assertAreParties(promise, "b91xy");
+        assertHasParties(promise, "b91xy");
         assertIsBallot(promise.ballot());
         assertIsEarlierBallot(promise.acceptedBallot());
         assertIsJointValue(promise.acceptedValue());
         Promise withoutValue = decoded("promise without-value", Promise.class);
-        assertAreParties(withoutValue, "b91xy");
+        assertHasParties(withoutValue, "b91xy");
         assertIsBallot(withoutValue.ballot());
         assertIsNone(withoutValue.acceptedBallot());
         assertNull(withoutValue.acceptedValue());
     }
 
     @Test
-    void secondPhaseOfTheRegister() throws Exception {
+    void decodesAcceptAcceptedAndReject() throws Exception {
         Accept accept = decoded("accept", Accept.class);
-        assertAreParties(accept, "b91xy");
+        assertHasParties(accept, "b91xy");
         assertIsBallot(accept.ballot());
         assertIsJointValue(accept.value());
         Accept withoutPayload = decoded("accept without-payload", Accept.class);
-        assertAreParties(withoutPayload, "b91xy");
+        assertHasParties(withoutPayload, "b91xy");
         assertIsBallot(withoutPayload.ballot());
         assertIsValueWithoutPayload(withoutPayload.value());
         Accepted accepted = decoded("accepted", Accepted.class);
-        assertAreParties(accepted, "b91xy");
+        assertHasParties(accepted, "b91xy");
         assertIsBallot(accepted.ballot());
         Reject reject = decoded("reject", Reject.class);
-        assertAreParties(reject, "b91xy");
+        assertHasParties(reject, "b91xy");
         assertIsBallot(reject.ballot());
         assertIsEarlierBallot(reject.promisedBallot());
     }
 
     @Test
-    void catchingUpOfTheRegister() throws Exception {
+    void decodesCatchUpMessagesOfTheRegister() throws Exception {
         StatusQuery fetching = decoded("status-query fetching", StatusQuery.class);
-        assertAreParties(fetching, "");
+        assertHasParties(fetching, "");
         assertEquals(600, fetching.queryId());
         assertIsEarlierBallot(fetching.chosenBallot());
         assertTrue(fetching.wantsValue());
         StatusQuery query = decoded("status-query", StatusQuery.class);
-        assertAreParties(query, "");
+        assertHasParties(query, "");
         assertEquals(-601, query.queryId());
         assertIsEarlierBallot(query.chosenBallot());
         assertFalse(query.wantsValue());
         StatusReport report = decoded("status-report", StatusReport.class);
-        assertAreParties(report, "b91xy");
+        assertHasParties(report, "b91xy");
         assertEquals(600, report.queryId());
         assertIsBallot(report.acceptedBallot());
         assertIsJointSet(report.acceptedAcceptors());
         assertIsEarlierBallot(report.chosenBallot());
         assertEquals(40, report.chosenRevision());
         assertIsValueWithoutPayload(report.chosenValue());
-        StatusReport nothing = decoded("status-report nothing", StatusReport.class);
-        assertAreParties(nothing, "b91xy");
-        assertEquals(5, nothing.queryId());
-        assertIsNone(nothing.acceptedBallot());
-        assertNull(nothing.acceptedAcceptors());
-        assertIsNone(nothing.chosenBallot());
-        assertEquals(0, nothing.chosenRevision());
-        assertNull(nothing.chosenValue());
+        StatusReport empty = decoded("status-report nothing", StatusReport.class);
+        assertHasParties(empty, "b91xy");
+        assertEquals(5, empty.queryId());
+        assertIsNone(empty.acceptedBallot());
+        assertNull(empty.acceptedAcceptors());
+        assertIsNone(empty.chosenBallot());
+        assertEquals(0, empty.chosenRevision());
+        assertNull(empty.chosenValue());
         Chosen chosen = decoded("chosen", Chosen.class);
-        assertAreParties(chosen, "b91xy");
+        assertHasParties(chosen, "b91xy");
         assertIsBallot(chosen.ballot());
         assertEquals(42, chosen.revision());
     }
 
-    private static void assertAreParties(RegisterMessage message, String recipientIdentity) {
+    private static void assertHasParties(RegisterMessage message, String recipientIdentity) {
         assertEquals("10.0.0.2:7600", message.senderAddress());
         assertEquals("3kq0z", message.senderIdentity());
         assertEquals(recipientIdentity, message.recipientIdentity());
--- a/messages/src/test/java/dewplank/message/GoldenMessages.java
+++ b/messages/src/test/java/dewplank/message/GoldenMessages.java
@@ -21,7 +21,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The messages whose frames are recorded in {@code golden/frames.txt}, by label; no two fields of one are equal. */
+/** The messages whose frames are recorded in {@code golden/frames.txt}, by label. The fields of a message differ. */
 final class GoldenMessages {
     static final Member DATA_PLANE = new Member("node-4", Member.DATA, "10.0.0.4:7601", "zone-b", 1_700_000_000_123L);
     static final Member CONTROL_PLANE = new Member("node-1", Member.CONTROL, "10.0.0.1:7600", null, -5);
@@ -42,7 +42,7 @@
 
     private GoldenMessages() {}
 
-    /** A list with a plain server, one for prefill, and one that changes its stage. */
+    /** A list with a plain server, a prefill server, and a server that is changing its stage. */
     private static EndpointList endpoints() {
         return new EndpointList(
                 new EndpointListVersion(9, 130),
@@ -121,11 +121,11 @@
         return new VoteRequest(kind, "list", "10.0.0.1:7600#1f", SENDER_IDENTITY, round, 6, 3);
     }
 
-    private static VoteRequest voteRequest(String candidate, long round, long number) {
-        return new VoteRequest(VoteRequest.Kind.REQUEST_VOTE, "list", candidate, SENDER_IDENTITY, round, number, 0);
+    private static VoteRequest voteRequest(String candidate, long round, long token) {
+        return new VoteRequest(VoteRequest.Kind.REQUEST_VOTE, "list", candidate, SENDER_IDENTITY, round, token, 0);
     }
 
-    /** The last reply of a voter that takes these requests one after another, 500 ms apart. */
+    /** Returns the last reply of a voter that receives these requests one after another, 500 ms apart. */
     private static VoteReply reply(String identity, double abstainsUntil, double now, List<VoteRequest> requests) {
         List<VoteReply> replies = new ArrayList<>();
         LeaseVoter voter = new LeaseVoter(identity, LEASE_MS, abstainsUntil, Map.of());
--- a/messages/src/test/java/dewplank/message/MessageCodecTest.java
+++ b/messages/src/test/java/dewplank/message/MessageCodecTest.java
@@ -38,18 +38,18 @@
     private final MessageCodec codec = FleetMessages.codec();
 
     private <T> T roundTrip(T message) throws CorruptFrameException {
-        Object back = codec.newDecoder().decode(codec.encode(message));
+        Object decoded = codec.newDecoder().decode(codec.encode(message));
         @SuppressWarnings("unchecked")
-        T same = (T) back;
-        return same;
+        T typed = (T) decoded;
+        return typed;
     }
 
-    // ---- all kinds ------------------------------------------------------------------------------------
+    // ---- all types ------------------------------------------------------------------------------------
 
     @Test
     void listsAllMessageTypes() {
         Set<Class<?>> types = new HashSet<>();
-        Messages.kinds().forEach(message -> types.add(message.getClass()));
+        Messages.emptyMessages().forEach(message -> types.add(message.getClass()));
         assertTrue(types.containsAll(RegisterMessages.TYPES));
         assertTrue(types.containsAll(List.of(
                 VoteRequest.class,
@@ -63,10 +63,10 @@
                 EndpointList.class)));
     }
 
-    /** The numbers on the wire are those of the version before: kinds are added at the end. */
+    /** The type numbers on the wire must equal those of earlier releases; new types are added at the end. */
     @Test
     void numbersTypesInAFixedOrder() {
-        List<String> names = Messages.kinds().stream()
+        List<String> names = Messages.emptyMessages().stream()
                 .map(message -> message.getClass().getSimpleName())
                 .toList();
         assertEquals(
@@ -91,19 +91,20 @@
                 names.subList(0, 17));
     }
 
-    /** Encoded one behind another, cut anywhere, decoded: equal field by field and in order. */
+    /** Encodes a sequence of messages, splits the bytes at random positions, and compares the decoded messages. */
     @Property(tries = 300)
-    void decodesWhatWasEncodedHoweverItIsSplit(
+    void decodesEncodedMessagesFromAnyChunks(
             @ForAll long seed,
             @ForAll @IntRange(min = 1, max = 6) int count,
             @ForAll @IntRange(min = 1, max = 2_000) int maxChunkBytes)
             throws Exception {
         Random random = new Random(seed);
-        List<Object> kinds = Messages.kinds();
+        List<Object> emptyMessages = Messages.emptyMessages();
         List<Object> sent = new ArrayList<>();
         ByteBuffer all = ByteBuffer.allocate(1 << 20);
         for (int i = 0; i < count; i++) {
-            Object message = withoutEmptyMembers(Messages.drawn(kinds.get(random.nextInt(kinds.size())), random));
+            Object message = withoutEmptyMembers(
+                    Messages.randomMessage(emptyMessages.get(random.nextInt(emptyMessages.size())), random));
             sent.add(message);
             all.put(codec.encode(message));
         }
@@ -127,7 +128,7 @@
         }
     }
 
-    /** An update's list of members never is empty: it has at least the data plane that receives it. */
+    /** The list of members in an update is never empty: it contains at least the data plane that receives it. */
     private static Object withoutEmptyMembers(Object message) {
         if (message instanceof FleetUpdate u && u.members != null && u.members.isEmpty()) {
             return new FleetUpdate(u.configuration, u.configurationVersion, u.baseVersion, u.endpointList, null);
@@ -138,15 +139,15 @@
     @Property(tries = 20)
     void decodesEachTypeAsEncoded(@ForAll long seed) throws Exception {
         Random random = new Random(seed);
-        for (Object kind : Messages.kinds()) {
-            Object message = withoutEmptyMembers(Messages.drawn(kind, random));
+        for (Object emptyMessage : Messages.emptyMessages()) {
+            Object message = withoutEmptyMembers(Messages.randomMessage(emptyMessage, random));
             assertNull(
                     Messages.difference(message, roundTrip(message)),
-                    kind.getClass().getSimpleName());
+                    emptyMessage.getClass().getSimpleName());
         }
     }
 
-    // ---- what must not get lost -----------------------------------------------------------------------
+    // ---- particular values ----------------------------------------------------------------------------
 
     @Test
     void decodesEmptyListsAsEmptyAndNotAsNull() throws Exception {
@@ -217,15 +218,15 @@
                     i / 2.0,
                     i % 5 == 0 ? null : "prefill"));
         }
-        EndpointList back = roundTrip(new EndpointList(new EndpointListVersion(1, 2), servers));
+        EndpointList decoded = roundTrip(new EndpointList(new EndpointListVersion(1, 2), servers));
         for (int i = 0; i < servers.size(); i++) {
-            assertTrue(servers.get(i).equalsIgnoringWarmup(back.endpoints.get(i)));
-            assertEquals(servers.get(i).warmupRemainingMs, back.endpoints.get(i).warmupRemainingMs);
+            assertTrue(servers.get(i).equalsIgnoringWarmup(decoded.endpoints.get(i)));
+            assertEquals(servers.get(i).warmupRemainingMs, decoded.endpoints.get(i).warmupRemainingMs);
         }
     }
 
     @Test
-    void oneFrameServesManyConnections() throws Exception {
+    void oneFrameCanBeSentOnManyConnections() throws Exception {
         ByteBuffer frame = codec.encode(new SessionOpen(new Member("n", Member.DATA, "a", null, 1)));
         for (int i = 0; i < 3; i++) {
             SessionOpen open = (SessionOpen) codec.newDecoder().decode(frame.duplicate());
@@ -243,8 +244,8 @@
 
     @Test
     void rejectsUnknownTypesAndInvalidLengths() {
-        int kinds = Messages.kinds().size();
-        for (int number : new int[] {kinds, 127, -1, -128}) {
+        int typeCount = Messages.emptyMessages().size();
+        for (int number : new int[] {typeCount, 127, -1, -128}) {
             assertThrows(
                     CorruptFrameException.class, () -> codec.newDecoder().decode(Messages.frame(number, new byte[0])));
         }
@@ -270,24 +271,24 @@
         for (int length = 0; length < frame.limit(); length++) {
             MessageCodec.Decoder reader = codec.newDecoder();
             assertNull(reader.decode(frame.duplicate().limit(length)));
-            HeartbeatAck answer = (HeartbeatAck) reader.decode(frame.duplicate().position(length));
-            assertEquals(List.of("a", "b"), answer.controlAddresses);
+            HeartbeatAck ack = (HeartbeatAck) reader.decode(frame.duplicate().position(length));
+            assertEquals(List.of("a", "b"), ack.controlAddresses);
         }
     }
 
-    /** Any body is decoded or rejected as corrupt, and never an error. */
+    /** Any body is either decoded or rejected as corrupt; it causes no other exception or error. */
     @Property(tries = 400)
     void decodesOrRejectsAnyBody(@ForAll @IntRange(min = 0, max = 16) int number, @ForAll @Size(max = 60) byte[] body) {
         assertDecodesOrRejects(number, body);
     }
 
-    /** The same close to real messages: bytes changed, cut out or repeated. */
+    /** The same check for real messages with changed or truncated bytes. */
     @Property(tries = 400)
     void decodesOrRejectsACorruptedMessage(@ForAll long seed) throws Exception {
         Random random = new Random(seed);
-        List<Object> kinds = Messages.kinds();
-        int number = random.nextInt(kinds.size());
-        ByteBuffer frame = codec.encode(Messages.drawn(kinds.get(number), random));
+        List<Object> emptyMessages = Messages.emptyMessages();
+        int number = random.nextInt(emptyMessages.size());
+        ByteBuffer frame = codec.encode(Messages.randomMessage(emptyMessages.get(number), random));
         byte[] body = Arrays.copyOfRange(frame.array(), 5, frame.limit());
         for (int i = 0; i < 1 + random.nextInt(3) && body.length > 0; i++) {
             switch (random.nextInt(3)) {
@@ -304,17 +305,17 @@
             assertNotNull(codec.newDecoder().decode(Messages.frame(number, body)));
         } catch (CorruptFrameException e) {
             assertNotNull(e.getMessage());
-        } catch (OutOfMemoryError e) { // which would end the whole run
-            fail("kind " + number + " asks for memory: " + e.getMessage());
+        } catch (OutOfMemoryError e) { // otherwise this would end the whole test run
+            fail("type " + number + " allocates too much memory: " + e.getMessage());
         }
     }
 
-    /** Lengths within a body that lie beyond all memory. */
+    /** Lengths within a body that exceed the available memory. */
     @Test
     void rejectsLengthsBeyondTheBody() {
-        List<Object> kinds = Messages.kinds();
-        byte[] length = {-1, -1, -1, -1, 7}; // the largest number, as a varint
-        for (int number = 0; number < kinds.size(); number++) {
+        List<Object> emptyMessages = Messages.emptyMessages();
+        byte[] length = {-1, -1, -1, -1, 7}; // the maximum value, as a varint
+        for (int number = 0; number < emptyMessages.size(); number++) {
             for (int field = 1; field <= 9; field++) {
                 byte[] body = ByteBuffer.allocate(8)
                         .put((byte) (field << 3 | 2))
@@ -328,8 +329,8 @@
     }
 
     @Test
-    void namesATypeThatIsNoMessage() {
+    void theExceptionNamesATypeThatIsNotAMessage() {
         IllegalArgumentException failure = assertThrows(IllegalArgumentException.class, () -> codec.encode("text"));
-        assertEquals("no message type: java.lang.String", failure.getMessage());
+        assertEquals("not a message type: java.lang.String", failure.getMessage());
     }
 }
--- a/messages/src/test/java/dewplank/message/Messages.java
+++ b/messages/src/test/java/dewplank/message/Messages.java
@@ -11,30 +11,30 @@
 import java.util.List;
 import java.util.Random;
 
-/** Fills messages of any kind with drawn values and compares them field by field, so that a new kind is tested too. */
+/** Fills messages of any type with random values and compares them field by field, so new types are tested as well. */
 final class Messages {
     private static final int MAX_ELEMENTS = 4;
     private static final String[] TEXTS = {"", "a", "10.0.0.1:80", "é∂\uD83D\uDE00\u0000", "x".repeat(3_000)};
     private static final long[] NUMBERS = {0, 1, -1, 127, 128, Integer.MAX_VALUE, Long.MAX_VALUE, Long.MIN_VALUE};
 
-    private static final List<Object> KINDS = readKinds();
+    private static final List<Object> EMPTY_MESSAGES = decodeEmptyMessages();
 
     private Messages() {}
 
-    /** One empty message of each kind that the codec knows, by their numbers. */
-    static List<Object> kinds() {
-        return KINDS;
+    /** Returns one empty message of each type of the codec, in the order of the type numbers. */
+    static List<Object> emptyMessages() {
+        return EMPTY_MESSAGES;
     }
 
-    private static List<Object> readKinds() {
-        List<Object> kinds = new ArrayList<>();
+    private static List<Object> decodeEmptyMessages() {
+        List<Object> messages = new ArrayList<>();
         MessageCodec codec = FleetMessages.codec();
         try {
             while (true) {
-                kinds.add(codec.newDecoder().decode(frame(kinds.size(), new byte[0])));
+                messages.add(codec.newDecoder().decode(frame(messages.size(), new byte[0])));
             }
         } catch (CorruptFrameException e) {
-            return kinds; // none has that number
+            return messages; // no type has this number
         }
     }
 
@@ -46,14 +46,14 @@
                 .flip();
     }
 
-    /** A message of the same kind with drawn values. */
-    static Object drawn(Object kind, Random random) throws ReflectiveOperationException {
-        Object message = fresh(kind.getClass());
+    /** Returns a message of the same type with random values. */
+    static Object randomMessage(Object sameType, Random random) throws ReflectiveOperationException {
+        Object message = newInstance(sameType.getClass());
         fill(message, random);
         return message;
     }
 
-    private static Object fresh(Class<?> type) {
+    private static Object newInstance(Class<?> type) {
         return RuntimeSchema.getSchema(type).newMessage();
     }
 
@@ -98,7 +98,7 @@
         } else if (type.isEnum()) {
             return type.getEnumConstants()[random.nextInt(type.getEnumConstants().length)];
         }
-        Object part = fresh(type);
+        Object part = newInstance(type);
         fill(part, random);
         return part;
     }
@@ -108,14 +108,14 @@
         List<Object> list = new ArrayList<>();
         for (int count = random.nextInt(MAX_ELEMENTS); list.size() < count; ) {
             Object value = value(element, element, random);
-            if (value != null) { // no list of ours holds a hole
+            if (value != null) { // lists in messages contain no null
                 list.add(value);
             }
         }
         return list;
     }
 
-    /** Where the two differ, or null. */
+    /** Returns the path and the values of the first difference, or null if the messages are equal. */
     static String difference(Object expected, Object actual) throws ReflectiveOperationException {
         return difference("", expected, actual);
     }
@@ -126,7 +126,7 @@
         } else if (expected instanceof List<?> left && actual instanceof List<?> right) {
             return elements(path, left.toArray(), right.toArray());
         } else if (expected instanceof byte[] left && actual instanceof byte[] right) {
-            return Arrays.equals(left, right) ? null : path + ": other bytes";
+            return Arrays.equals(left, right) ? null : path + ": different bytes";
         } else if (expected.getClass() != actual.getClass()) {
             return path + ": " + expected.getClass() + " and " + actual.getClass();
         } else if (expected.getClass().getName().startsWith("java.") || expected instanceof Enum) {
