--- a/consensus/src/main/java/dewplank/singleton/LeaseHolderState.java
+++ b/consensus/src/main/java/dewplank/singleton/LeaseHolderState.java
@@ -3,7 +3,7 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** The candidate won an election and has the lease until it expires by the candidate's own clock or is renewed. */
+/** The candidate won an election and has the lease until it expires by its own clock; it renews the lease before. */
 final class LeaseHolderState implements CandidateState {
     private final LeaseTiming timing;
     private final Deque<VoteRound> renewals = new ArrayDeque<>();
