--- a/balancer/src/main/java/dewplank/balancer/Action.java
+++ b/balancer/src/main/java/dewplank/balancer/Action.java
@@ -1,15 +1,17 @@
 package dewplank.balancer;
 
-/** What the host is to do, in the order of emission. Times are in milliseconds. */
+/** An action that the host carries out, in the order of emission. Times are in milliseconds. */
 public sealed interface Action {
 
     /**
-     * Sends an attempt of a request. Attempts of a request are numbered from 0 in this order.
+     * Sends an attempt of a request. The attempts of a request are numbered from 0 in the order of their
+     * sends.
      *
-     * @param timeoutMs after which the attempt ends as timed out; 0: when the client gives up
-     * @param writeWithinMs what is not fully written by then is not sent and ends as {@code CONNECT_FAILED},
-     *     because the right to repeat may end while a connection is being opened; infinite where nothing ends
-     *     it
+     * @param timeoutMs the time after which the attempt ends as timed out; 0: it may run until the
+     *     request's deadline
+     * @param writeWithinMs the time within which the attempt must be written completely; otherwise it is
+     *     not sent and ends as {@code CONNECT_FAILED}, because the deduplication window for a repeat may
+     *     close while a connection is being opened; infinite without such a limit
      */
     record Send(long request, String server, double timeoutMs, double writeWithinMs) implements Action {
         public Send(long request, String server, double timeoutMs) {
@@ -20,13 +22,13 @@
     /** Cancels an attempt in flight. */
     record Cancel(long request, int attempt) implements Action {}
 
-    /** Answers the client that nothing was done and that a retry is harmless. */
+    /** Responds to the client that the request had no effect and that a retry is harmless. */
     record Reject(long request, double retryAfterMs) implements Action {}
 
-    /** Answers the client that the outcome is unknown. */
+    /** Responds to the client that the outcome of the request is unknown. */
     record Fail(long request) implements Action {}
 
-    /** Asks for an {@link Event.TimerFired} after this time. */
+    /** Sets a timer, which fires as {@link Event.TimerFired} after the delay. */
     record SetTimer(long timer, double delayMs) implements Action {}
 
     /** Subscribes to the endpoint list. */
@@ -38,6 +40,6 @@
     /** Closes this instance's idle connections to the server. */
     record CloseIdleConnections(String server) implements Action {}
 
-    /** Sends a summary to every peer; 256 bytes at most. */
+    /** Sends a summary of at most 256 bytes to every peer. */
     record BroadcastSummary(byte[] bytes) implements Action {}
 }
--- a/balancer/src/main/java/dewplank/balancer/Endpoint.java
+++ b/balancer/src/main/java/dewplank/balancer/Endpoint.java
@@ -1,12 +1,12 @@
 package dewplank.balancer;
 
 /**
- * One server as the endpoint list names it.
+ * One server in the endpoint list.
  *
  * @param server its id, unique in the list
  * @param cell its failure domain within the zone
- * @param rating its stated capacity, relative to the others
- * @param startedAtMs when its process started; null where it has run for long
+ * @param rating its configured capacity, relative to the other servers
+ * @param startedAtMs when its process started; null if that is unknown or long ago
  */
 public record Endpoint(
         String server,
@@ -17,7 +17,7 @@
         double rating,
         Double startedAtMs) {
 
-    /** Whether a server takes new requests, as the list says. */
+    /** Whether a server accepts new requests, according to the endpoint list. */
     public enum Availability {
         UP,
         DRAINING,
--- a/balancer/src/main/java/dewplank/balancer/Event.java
+++ b/balancer/src/main/java/dewplank/balancer/Event.java
@@ -2,32 +2,32 @@
 
 import java.util.List;
 
-/** What has happened at the host, as handed to {@link Balancer#handle}. Times are in milliseconds. */
+/** An event at the host, passed to {@link Balancer#handle}. Times are in milliseconds. */
 public sealed interface Event {
 
-    /** What an {@link EndpointUpdate} holds. */
+    /** The content of an {@link EndpointUpdate}. */
     enum UpdateKind {
-        /** The endpoints that changed. */
+        /** Only the endpoints that changed. */
         INCREMENTAL,
-        /** All endpoints: one that is not named has gone. */
+        /** All endpoints; an endpoint that is missing has been removed. */
         FULL,
-        /** A full list from the host's own store, which may be out of date. */
+        /** A full list from the host's cache, which may be out of date. */
         CACHED,
-        /** Nothing: the subscription broke. */
+        /** No endpoints: the subscription was interrupted. */
         BROKEN
     }
 
-    /** News of the endpoint list, or of its subscription. */
+    /** A change of the endpoint list or of its subscription. */
     record EndpointUpdate(UpdateKind kind, List<Endpoint> endpoints) implements Event {}
 
     /**
-     * A client's request has come.
+     * A request arrived from a client.
      *
-     * @param tenant null where none is stated
-     * @param key that identifies repeats and cached work; null where none is stated
-     * @param isRepeat whether the client has sent it before
-     * @param requestClass a class that the settings name
-     * @param budgetMs the time left until the client gives up
+     * @param tenant null if the request names none
+     * @param key identifies repeats of the request and its cached result; null if the request has none
+     * @param isRepeat whether the client has sent the request before
+     * @param requestClass the name of a class in the settings
+     * @param budgetMs the remaining time until the client's deadline
      * @param costMs expected work in milliseconds of a standard core, or null
      */
     record RequestArrived(
@@ -40,14 +40,14 @@
             Double costMs)
             implements Event {}
 
-    /** An attempt's answer, a stream, has started. */
+    /** The streaming response to an attempt has started. */
     record StreamStarted(long request, int attempt, double elapsedMs) implements Event {}
 
     /**
-     * An attempt has ended. Each {@link Action.Send} is followed by exactly one.
+     * An attempt has ended. Each {@link Action.Send} is followed by exactly one such event.
      *
-     * @param requestIsOver whether the request has its final answer, by this outcome or earlier
-     * @param loadReport the figures that the settings name, or null
+     * @param requestIsOver whether the request has its final response, from this outcome or an earlier one
+     * @param loadReport the values of the load report fields in the settings, or null
      */
     record AttemptEnded(
             long request,
@@ -59,15 +59,15 @@
             double[] loadReport)
             implements Event {}
 
-    /** The client has left, or its time ran out. */
+    /** The client has disconnected, or the request's deadline has passed. */
     record RequestAbandoned(long request) implements Event {}
 
-    /** A timer set by {@link Action.SetTimer} has run out. */
+    /** A timer set by {@link Action.SetTimer} has expired. */
     record TimerFired(long timer) implements Event {}
 
-    /** A health check, sent for {@link Action.CheckHealth}, has ended. */
+    /** A health check requested by {@link Action.CheckHealth} has ended. */
     record HealthChecked(String server, boolean isServing, double elapsedMs, double[] loadReport) implements Event {}
 
-    /** A peer's summary has come: untrusted bytes, possibly torn, late or repeated. */
+    /** A peer's summary was received. The bytes are untrusted: possibly truncated, delayed or duplicated. */
     record PeerSummaryReceived(int peer, byte[] bytes) implements Event {}
 }
--- a/balancer/src/main/java/dewplank/balancer/Outcome.java
+++ b/balancer/src/main/java/dewplank/balancer/Outcome.java
@@ -1,16 +1,16 @@
 package dewplank.balancer;
 
-/** How an attempt ended. What it proves about the request's effect is for the balancer to decide. */
+/** How an attempt ended. The balancer infers whether the request may have had its effect. */
 public enum Outcome {
     SERVED,
     ERROR,
-    /** The server had no capacity for it. */
+    /** The server rejected the attempt for lack of capacity. */
     REJECTED,
     TIMED_OUT,
     CONNECT_FAILED,
-    /** The connection ended before the answer did. */
+    /** The connection closed before the response was complete. */
     RESET,
     CANCELLED,
-    /** Nothing of it left the host. */
+    /** The host sent no part of the attempt. */
     NEVER_SENT
 }
--- a/balancer/src/main/java/dewplank/balancer/Settings.java
+++ b/balancer/src/main/java/dewplank/balancer/Settings.java
@@ -3,20 +3,21 @@
 import java.util.List;
 
 /**
- * What a balancer is told once, at its start: its place among its replicas, what its clients and servers are
- * like, and what the host allows.
+ * The settings of a balancer, fixed at its start: its position among its replicas, the properties of its
+ * clients and servers, and the limits of the host.
  *
- * @param replicaIndex this instance's number among its replicas, from 0
- * @param replicaCount how many instances share the servers
- * @param zone this instance's own zone, where crossing costs nothing
- * @param tickMs the host's timer resolution; what depends on an exact time keeps so much distance from it
- * @param endpointListIsPushed whether the host keeps the list current by itself; else it is subscribed to
- * @param valueIsPerWork whether a class's value holds for one unit of work rather than for one request
- * @param serversAreRated whether servers are drawn in proportion to their stated rating
- * @param serversCacheKeys whether a server answers faster for a key that it has served before
- * @param overShareValueFactor the part of its value that a request of a tenant beyond its share keeps
- * @param loadReportFields the names of the figures in a load report, in its order
- * @param loadReportsComeWithHealthChecks whether load reports come with health checks only
+ * @param replicaIndex this instance's index among its replicas, from 0
+ * @param replicaCount the number of instances that share the servers
+ * @param zone this instance's own zone; requests within it have no cross-zone cost
+ * @param tickMs the host's timer resolution; subtracted as a margin from limits that must be met exactly
+ * @param endpointListIsPushed whether the host keeps the list current; otherwise the balancer subscribes to
+ *     it
+ * @param valueIsPerWork whether a class's value applies to one unit of work rather than to one request
+ * @param serversAreRated whether servers are drawn in proportion to their rating
+ * @param serversCacheKeys whether a server responds faster to a key that it has served before
+ * @param overShareValueFactor the factor on the value of requests beyond their tenant's share
+ * @param loadReportFields the names of the values in a load report, in order
+ * @param loadReportsComeWithHealthChecks whether only health checks return load reports
  */
 public record Settings(
         int replicaIndex,
@@ -37,14 +38,17 @@
         Prices prices,
         Goal goal) {
 
-    /** What a repeated request does, after RFC 9110, section 9.2: nothing, nothing by its key, or harm. */
+    /**
+     * The effect of a repeated request (RFC 9110, section 9.2): none, none if the key is the same, or a
+     * second effect.
+     */
     public enum Idempotency {
         SAFE,
         KEYED,
         UNSAFE
     }
 
-    /** The servers that drop one another's repeats of a keyed request. */
+    /** The set of servers that deduplicate the repeats of a keyed request among themselves. */
     public enum DeduplicationScope {
         ALL,
         ZONE,
@@ -52,15 +56,15 @@
     }
 
     /**
-     * A class of requests, with what its clients expect.
+     * A class of requests, with the expectations of its clients.
      *
-     * @param deduplicationWindowMs how long a keyed repeat is dropped; 0 unless keyed
-     * @param latencyTargetMs an answer within this time has its full value
-     * @param latencyTargetPerWork milliseconds added to the latency target for each unit of a request's work
-     * @param deadlineMs when the client gives up
-     * @param value of an answer in time
-     * @param lateValue the part of the value that a late answer keeps, from 0 to 1
-     * @param streaming whether answers are streams: once one has started, nothing more is sent
+     * @param deduplicationWindowMs how long repeats of a keyed request are dropped; 0 unless keyed
+     * @param latencyTargetMs a response within this time has its full value
+     * @param latencyTargetPerWork milliseconds added to the latency target per unit of the request's work
+     * @param deadlineMs the time after which the client gives up
+     * @param value the value of a response within the latency target
+     * @param lateValue the fraction of the value that a late response has, from 0 to 1
+     * @param streaming whether responses are streams: once one has started, no further attempt is sent
      */
     public record RequestClass(
             String name,
@@ -75,25 +79,25 @@
             boolean streaming) {}
 
     /**
-     * A tenant whose share of the servers is agreed on.
+     * A tenant with an agreed share of the servers.
      *
-     * @param allowancePerSecond requests per second within the share; 0: not bounded
+     * @param allowancePerSecond requests per second within the share; 0: unlimited
      */
     public record Tenant(String name, double share, double allowancePerSecond) {}
 
     /**
-     * What the host allows and can bear.
+     * The limits and features of the host.
      *
-     * @param maxAttempts attempts of one request, the first one included
+     * @param maxAttempts the maximum number of attempts of one request, the first one included
      * @param allowsHedging whether a request may have several attempts in flight
      * @param allowsCancellation whether an attempt in flight may be cancelled
-     * @param allowsHealthChecks whether servers may be sent health checks
-     * @param exchangesPeerSummaries whether peers tell each other which servers they find unhealthy
-     * @param allowsRetryAdvice whether a rejection may say when to retry
-     * @param maxRetryAdviceMs the longest such time
-     * @param connectTimeoutMs after which a connection attempt has failed
-     * @param idleTimeoutMs after which a server closes an idle connection
-     * @param maxStreamsPerConnection requests in flight on one connection
+     * @param allowsHealthChecks whether the balancer may send health checks to servers
+     * @param exchangesPeerSummaries whether peers send each other the servers that they find unhealthy
+     * @param allowsRetryAdvice whether a rejection may state when to retry
+     * @param maxRetryAdviceMs the longest retry delay that a rejection may state
+     * @param connectTimeoutMs the timeout of a connection attempt
+     * @param idleTimeoutMs the time after which a server closes an idle connection
+     * @param maxStreamsPerConnection the maximum number of requests in flight on one connection
      */
     public record Limits(
             int maxAttempts,
@@ -108,16 +112,17 @@
             int maxStreamsPerConnection) {}
 
     /**
-     * What must hold whatever it costs.
+     * Constraints that the balancer must not violate.
      *
-     * @param maxSubscribeDelayMs a broken subscription is renewed within this time
+     * @param maxSubscribeDelayMs the maximum time until an interrupted subscription is renewed
      * @param slowStartMs how long a server takes to warm up after its start
-     * @param slowStartInitialShare the share of its capacity that a server has at its start
-     * @param slowStartOverloadFactor the load, as a multiple of its present capacity, that a server does not
-     *     survive
-     * @param slowStartOverloadMs how long it bears that load
-     * @param onlyDrainingIsBinding a server listed as gone, but never as draining, may still be used
-     * @param rejectedMayHaveRun whether a server may reject work that it had begun
+     * @param slowStartInitialShare the fraction of its capacity that a server has at its start
+     * @param slowStartOverloadFactor the load, as a multiple of its current capacity, at which a server
+     *     fails
+     * @param slowStartOverloadMs how long a server withstands that load
+     * @param onlyDrainingIsBinding whether a server may still be used if it was removed from the list
+     *     without draining first
+     * @param rejectedMayHaveRun whether a server may reject a request after starting to execute it
      */
     public record Safety(
             double maxSubscribeDelayMs,
@@ -128,13 +133,17 @@
             boolean onlyDrainingIsBinding,
             boolean rejectedMayHaveRun) {}
 
-    /** Points off the result, each for one event per first attempt. */
+    /**
+     * Deductions from the result, each for one cross-zone request or one connection handshake per first
+     * attempt.
+     */
     public record Prices(double crossZone, double handshake) {}
 
     /**
-     * How the result is weighed: all traffic (with its worst spell), the class served worst, and the tail.
+     * The weights of the optimization goal: all traffic (including its worst interval), the worst-served
+     * class, and the tail.
      *
-     * @param tail the weight of the value served while no more than {@code allowedMissShare} of a class's
+     * @param tail the weight of the value served while at most {@code allowedMissShare} of a class's
      *     requests miss their latency target
      */
     public record Goal(double all, double worstClass, double tail, double allowedMissShare) {}
--- a/balancer/src/main/java/dewplank/balancer/WeightedDraw.java
+++ b/balancer/src/main/java/dewplank/balancer/WeightedDraw.java
@@ -5,18 +5,19 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Draws at random by weight; a second draw that excludes the first gives "the power of two choices"
+ * Weighted random selection. A second draw that excludes the first implements the power of two choices
  * (Mitzenmacher, IEEE TPDS 12(10), 2001). Stateless.
  */
 public final class WeightedDraw {
     private WeightedDraw() {}
 
     /**
-     * Draws one by weight and takes exactly one number from the generator, whatever the list holds.
+     * Draws one item by weight. Consumes exactly one random number, for an empty list too.
      *
      * @param excluded never drawn; may be null
-     * @param weight 0 or more; called up to twice for each item, so it must not change in between
-     * @return null if there is no other than the excluded one; the last one where all weigh nothing
+     * @param weight 0 or more; evaluated up to twice per item, so it must not change in between
+     * @return null if the list holds no other item than the excluded one; the last item if all weights are
+     *     0
      */
     public static <T> T draw(List<T> items, T excluded, ToDoubleFunction<T> weight, RandomGenerator random) {
         double total = 0;
--- a/balancer/src/main/java/dewplank/balancer/adaptive/AdaptiveBalancer.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/AdaptiveBalancer.java
@@ -17,12 +17,12 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The balancer in service: it learns what servers take from the outcomes of its own requests, and adapts to
- * it. This class wires the decisions, of which each is a class, and hands each event to the one that it
- * concerns.
+ * The production balancer: it estimates the performance of servers from the outcomes of its own requests,
+ * and adapts to it. This class creates the decision classes, connects them, and passes each event to the
+ * class that handles it.
  *
- * <p>As for every {@link Balancer}, all calls come from the host's one thread. Decisions share their state
- * ({@link ServerState}, {@link PendingRequest}, {@link FleetStats}) within the package.
+ * <p>As for every {@link Balancer}, all calls come from the host's one thread. The decision classes share
+ * their state ({@link ServerState}, {@link PendingRequest}, {@link FleetStats}) within the package.
  */
 public final class AdaptiveBalancer implements Balancer {
     private final Settings settings;
@@ -40,10 +40,10 @@
     private boolean hasList;
 
     /**
-     * A balancer that knows no server yet.
+     * Creates a balancer without any servers.
      *
-     * @param settings what holds for this instance; not null
-     * @param random the only source of chance: equal seeds and equal events give equal actions
+     * @param settings the settings of this instance; not null
+     * @param random the only source of randomness: equal seeds and equal events give equal actions
      */
     public AdaptiveBalancer(Settings settings, RandomGenerator random) {
         this.settings = settings;
@@ -100,7 +100,7 @@
         } else if (event instanceof AttemptEnded ended) {
             tracker.onEnded(ended);
         } else if (event instanceof RequestAbandoned abandoned) {
-            completion.close(requests.find(abandoned.request()));
+            completion.complete(requests.find(abandoned.request()));
         } else if (event instanceof TimerFired fired) {
             step.fire(fired.timer());
         } else if (event instanceof HealthChecked checked) {
@@ -133,12 +133,12 @@
         hedging.onOverdue(attempt);
     }
 
-    /** How many servers are remembered, those that have gone included. */
+    /** The number of servers in the table, including removed servers with attempts in flight. */
     int serverCount() {
         return endpoints.servers().size();
     }
 
-    /** Whether the server is ejected as of the last review; it must be one that is remembered. */
+    /** Whether the server was ejected at the last review; the server must be in the table. */
     boolean isEjected(String server) {
         return endpoints.find(server).isEjected;
     }
--- a/balancer/src/main/java/dewplank/balancer/adaptive/Admission.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/Admission.java
@@ -2,7 +2,9 @@
 
 import dewplank.balancer.Event.RequestArrived;
 
-/** Decides on a request at its arrival: sent, queued until a server is there, or rejected. */
+/**
+ * Decides on each request at its arrival: send it, queue it until a server becomes available, or reject it.
+ */
 final class Admission {
     private final ArrivalRecorder arrivals;
     private final ServerPicker picker;
@@ -35,7 +37,7 @@
         ServerState server = picker.pick(request);
         if (server == null) {
             waiting.add(request);
-        } else if (trials.isTrial(server)) { // lateness there is no reason to reject
+        } else if (trials.isTrial(server)) { // the latency of an ejected server must not cause a rejection
             scheduler.send(request, server);
         } else {
             admit(request, server, rank);
--- a/balancer/src/main/java/dewplank/balancer/adaptive/ArrivalRecorder.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/ArrivalRecorder.java
@@ -3,8 +3,9 @@
 import dewplank.balancer.Event.RequestArrived;
 
 /**
- * Takes each request that arrives into account: its value, the budgets of retries and trials that it refills,
- * the rate by which the working set is sized. Called by {@link Admission}, once for each request.
+ * Records each request that arrives: evaluates it, refills the budgets of retries and trials, and updates
+ * the request rate that determines the size of the working set. Called by {@link Admission}, once per
+ * request.
  */
 final class ArrivalRecorder {
     private final RequestTable requests;
@@ -26,7 +27,7 @@
         this.workingSet = workingSet;
     }
 
-    /** The request that arrived, which is pending from now on. */
+    /** Returns the request, which is pending from now on. */
     PendingRequest record(RequestArrived event) {
         PendingRequest request = values.evaluate(event);
         retries.recordArrival();
@@ -36,7 +37,10 @@
         return request;
     }
 
-    /** Where the request ranks among recent ones by value per work, from 0 to 1; called once for each. */
+    /**
+     * The request's rank among recent requests by value per unit of work, from 0 to 1; call once per
+     * request.
+     */
     double rank(PendingRequest request) {
         return values.rank(request);
     }
--- a/balancer/src/main/java/dewplank/balancer/adaptive/Attempt.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/Attempt.java
@@ -3,7 +3,7 @@
 /** One attempt of a request at a server. */
 final class Attempt {
 
-    /** In flight, or what the outcome proves. */
+    /** Whether the attempt is in flight; after that, whether the server may have executed it. */
     enum State {
         IN_FLIGHT,
         NEVER_RAN,
--- a/balancer/src/main/java/dewplank/balancer/adaptive/AttemptRules.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/AttemptRules.java
@@ -6,9 +6,9 @@
 import dewplank.balancer.Settings.RequestClass;
 
 /**
- * What must hold for every attempt and every rejection, whatever the other decisions want: no effect
- * happens twice, and what is rejected may be retried. Every send passes {@link #allowsAttempt}, every
- * rejection {@link #allowsRejection}.
+ * Invariants of every attempt and every rejection, which the other decisions cannot override: no effect
+ * happens twice, and a rejected request may be retried. Every send is checked by {@link #allowsAttempt},
+ * every rejection by {@link #allowsRejection}.
  */
 final class AttemptRules {
     private final Settings settings;
@@ -22,10 +22,11 @@
     }
 
     /**
-     * Whether the request may be sent to the server now: membership, attempts, hedging, and no second effect.
+     * Whether the request may be sent to the server now: checks membership, the number of attempts,
+     * hedging, and that no second effect is possible.
      */
     boolean allowsAttempt(PendingRequest request, ServerState server) {
-        if (request.isOver
+        if (request.isComplete
                 || request.isStreaming
                 || !endpoints.isListed(server)
                 || request.attempts.size() >= settings.limits().maxAttempts()) {
@@ -42,45 +43,46 @@
         return true;
     }
 
-    /** Whether what may have run there can be sent to this server without a second effect. */
+    /** Whether a repeat of this attempt at the server cannot have a second effect. */
     private boolean allowsRepeat(Attempt attempt, ServerState server) {
-        RequestClass rules = attempt.request.rules();
+        RequestClass requestClass = attempt.request.requestClass();
         boolean sharesDeduplication =
-                switch (rules.deduplicationScope()) {
+                switch (requestClass.deduplicationScope()) {
                     case ALL -> true;
                     case ZONE -> attempt.zone.equals(server.endpoint.zone());
                     case CELL -> attempt.cell == server.endpoint.cell();
                 };
-        double windowMs = rules.deduplicationWindowMs() - settings.tickMs();
+        double windowMs = requestClass.deduplicationWindowMs() - settings.tickMs();
         boolean isWithinWindow = step.nowMs() - attempt.sentAtMs <= windowMs;
         boolean isDeduplicated = sharesDeduplication && isWithinWindow;
-        boolean isKeyed = rules.idempotency() == Idempotency.KEYED;
+        boolean isKeyed = requestClass.idempotency() == Idempotency.KEYED;
         return attempt.request.isSafe() || isKeyed && isDeduplicated;
     }
 
     /**
-     * How long an attempt may wait for its connection: servers drop a repeat only for so long after the first
-     * attempt that may have run. Each keyed attempt is bound, since one sent later may be written before it.
-     * Infinite where nothing binds.
+     * The time within which an attempt must be written, which includes waiting for a connection: servers
+     * drop a repeat only within the deduplication window of the first attempt that may have run. The limit
+     * applies to every keyed attempt, because an attempt sent later may be written before it. Infinite
+     * without such a limit.
      */
     double writeWithinMs(PendingRequest request) {
-        RequestClass rules = request.rules();
-        boolean isKeyed = rules.idempotency() == Idempotency.KEYED;
-        double windowMs = isKeyed ? rules.deduplicationWindowMs() - settings.tickMs() : 0;
-        double leastMs = Double.POSITIVE_INFINITY;
+        RequestClass requestClass = request.requestClass();
+        boolean isKeyed = requestClass.idempotency() == Idempotency.KEYED;
+        double windowMs = isKeyed ? requestClass.deduplicationWindowMs() - settings.tickMs() : 0;
+        double minMs = Double.POSITIVE_INFINITY;
         for (Attempt attempt : request.attempts) {
             if (windowMs > 0 && attempt.state != Attempt.State.NEVER_RAN) {
-                leastMs = Math.min(leastMs, attempt.sentAtMs + windowMs - step.nowMs());
+                minMs = Math.min(minMs, attempt.sentAtMs + windowMs - step.nowMs());
             }
         }
-        return leastMs;
+        return minMs;
     }
 
-    /** Whether the request may be rejected: a rejection promises that a retry is harmless. */
+    /** Whether the request may be rejected: a rejection promises the client that a retry is harmless. */
     boolean allowsRejection(PendingRequest request) {
-        RequestClass rules = request.rules();
-        boolean isKeyed = rules.idempotency() == Idempotency.KEYED;
-        boolean isKeyedEverywhere = isKeyed && rules.deduplicationScope() == DeduplicationScope.ALL;
+        RequestClass requestClass = request.requestClass();
+        boolean isKeyed = requestClass.idempotency() == Idempotency.KEYED;
+        boolean isKeyedEverywhere = isKeyed && requestClass.deduplicationScope() == DeduplicationScope.ALL;
         return request.isSafe() || isKeyedEverywhere || request.attemptsThatMayHaveRun() == 0;
     }
 }
--- a/balancer/src/main/java/dewplank/balancer/adaptive/AttemptScheduler.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/AttemptScheduler.java
@@ -4,7 +4,7 @@
 import dewplank.balancer.Settings;
 import java.util.function.Consumer;
 
-/** Sends attempts, and notes when one is overdue. */
+/** Sends attempts, and sets a timer for the moment at which each becomes overdue. */
 final class AttemptScheduler {
     private final Settings settings;
     private final Step step;
@@ -16,8 +16,8 @@
     private final Consumer<Attempt> onOverdue;
 
     /**
-     * {@code onOverdue} takes each attempt that may be overdue; it looks whether the attempt still is in
-     * flight.
+     * {@code onOverdue} receives each attempt whose timer has expired, and must check whether the attempt
+     * is still in flight.
      */
     AttemptScheduler(
             Settings settings,
@@ -38,7 +38,7 @@
         this.onOverdue = onOverdue;
     }
 
-    /** Sends the request's next attempt to a server that {@link AttemptRules#allowsAttempt} allows. */
+    /** Sends the request's next attempt to a server for which {@link AttemptRules#allowsAttempt} is true. */
     void send(PendingRequest request, ServerState server) {
         retries.recordAttempt(request);
         int load = latency.load(server);
@@ -49,7 +49,7 @@
         server.connections += attempt.opensConnection ? 1 : 0;
         slowStart.recordSend(server, request.workMs(), workingSet.working());
         double overdueAfterMs = latency.overdueAfterMs(request, server);
-        double timeoutMs = endsWhenOverdue(request, server) ? overdueAfterMs : 0;
+        double timeoutMs = timesOutWhenOverdue(request, server) ? overdueAfterMs : 0;
         step.emit(new Send(request.id, server.id, timeoutMs, rules.writeWithinMs(request)));
         if (overdueAfterMs < request.deadlineAtMs - step.nowMs()) {
             step.schedule(overdueAfterMs, () -> onOverdue.accept(attempt));
@@ -57,9 +57,10 @@
     }
 
     /**
-     * Where an overdue attempt can neither be cancelled nor hedged, it times out, unless it may just be long.
+     * Whether the attempt times out as soon as it is overdue. This replaces cancellation and hedging if
+     * neither is allowed, but only at a suspect server: elsewhere the request may just take long.
      */
-    private boolean endsWhenOverdue(PendingRequest request, ServerState server) {
+    private boolean timesOutWhenOverdue(PendingRequest request, ServerState server) {
         return !settings.limits().allowsCancellation()
                 && !settings.limits().allowsHedging()
                 && !request.isUnsafe()
--- a/balancer/src/main/java/dewplank/balancer/adaptive/AttemptTracker.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/AttemptTracker.java
@@ -3,7 +3,7 @@
 import dewplank.balancer.Event.AttemptEnded;
 import dewplank.balancer.Event.StreamStarted;
 
-/** Follows attempts to their outcome: what it says of the server, and whether the request is retried. */
+/** Handles the events of attempts in flight: records outcomes, retries requests, and completes them. */
 final class AttemptTracker {
     private final RequestTable requests;
     private final OutcomeRecorder recorder;
@@ -40,10 +40,10 @@
         PendingRequest request = attempt.request;
         recorder.recordEnd(attempt, event);
         if (event.requestIsOver()) {
-            completion.close(request);
+            completion.complete(request);
         }
-        if (!request.isOver && !request.isStreaming && !request.hasAttemptInFlight()) {
-            retries.retryOrAnswer(request, event.outcome());
+        if (!request.isComplete && !request.isStreaming && !request.hasAttemptInFlight()) {
+            retries.retryOrComplete(request, event.outcome());
         }
         requests.removeIfDone(request);
     }
--- a/balancer/src/main/java/dewplank/balancer/adaptive/ClassStats.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/ClassStats.java
@@ -2,25 +2,25 @@
 
 import dewplank.balancer.Settings.RequestClass;
 
-/** A class of requests: its rules, its value so far, and the times that its requests take. */
+/** A class of requests, its value requested and served, and the latencies of its requests. */
 final class ClassStats {
-    final RequestClass rules;
-    /** Work of a request, in milliseconds of a standard core. */
+    final RequestClass requestClass;
+    /** The work of a request, in milliseconds of a standard core. */
     final RunningMean work;
 
     final RunningMean elapsed = new RunningMean(0);
     double idleElapsedMs;
-    double lastAnswerAtMs;
+    double lastResponseAtMs;
     double valueRequested;
     double valueServed;
 
-    ClassStats(RequestClass rules, double firstGuessMs) {
-        this.rules = rules;
-        this.work = new RunningMean(firstGuessMs);
-        this.idleElapsedMs = firstGuessMs;
+    ClassStats(RequestClass requestClass, double initialMs) {
+        this.requestClass = requestClass;
+        this.work = new RunningMean(initialMs);
+        this.idleElapsedMs = initialMs;
     }
 
-    double servedShare() {
+    double servedFraction() {
         return valueRequested <= 0 ? 1 : valueServed / valueRequested;
     }
 }
--- a/balancer/src/main/java/dewplank/balancer/adaptive/DecayingSum.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/DecayingSum.java
@@ -1,6 +1,6 @@
 package dewplank.balancer.adaptive;
 
-/** A sum that decays exponentially with time; {@code value} is as of the last addition. */
+/** A sum that decays exponentially over time; {@code value} is its value at the last addition. */
 final class DecayingSum {
     double value;
     private final double timeConstantMs;
@@ -11,11 +11,11 @@
     }
 
     void add(double nowMs, double amount) {
-        value = at(nowMs) + amount;
+        value = valueAt(nowMs) + amount;
         lastAtMs = nowMs;
     }
 
-    double at(double nowMs) {
+    double valueAt(double nowMs) {
         return value * Math.exp((lastAtMs - nowMs) / timeConstantMs);
     }
 }
--- a/balancer/src/main/java/dewplank/balancer/adaptive/EjectionTrials.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/EjectionTrials.java
@@ -6,13 +6,13 @@
 import java.util.function.Predicate;
 
 /**
- * Sends an ejected server a safe first attempt now and then, to learn whether it serves again. A health check
- * that failed defers the trial.
+ * Periodically sends an ejected server the first attempt of a safe request, to detect whether it serves
+ * again. A failed health check delays the trial.
  */
 final class EjectionTrials {
     private static final double TRIAL_INTERVAL_MS = 1_000;
-    private static final double FAILED_CHECK_DEFERS_MS = 5_000;
-    private static final double TRIALS_PER_REQUEST = 0.1; // lest all be trials
+    private static final double FAILED_CHECK_DELAY_MS = 5_000;
+    private static final double TRIALS_PER_REQUEST = 0.1; // limits the fraction of requests sent as trials
     private static final double MAX_TOKENS = 1;
 
     private final Settings settings;
@@ -39,10 +39,10 @@
         }
     }
 
-    /** An ejected server that this request tries, or null. */
+    /** The ejected server to which this request is sent as a trial, or null. */
     ServerState pick(PendingRequest request, Predicate<ServerState> isEligible) {
         boolean isFirstAttempt = request.attempts.isEmpty();
-        if (!isFirstAttempt || !request.isSafe() || !workingSet.ejectionsBind() || tokens < 1) {
+        if (!isFirstAttempt || !request.isSafe() || !workingSet.ejectionsApply() || tokens < 1) {
             return null;
         }
         for (ServerState server : workingSet.ejected()) {
@@ -55,7 +55,7 @@
         return null;
     }
 
-    /** Whether the server was picked for a trial at this moment. */
+    /** Whether the server was picked for a trial at the current time. */
     boolean isTrial(ServerState server) {
         return server.isEjected && server.lastTrialAtMs == step.nowMs();
     }
@@ -70,6 +70,6 @@
             server.lastHealthCheckAtMs = nowMs;
             step.emit(new CheckHealth(server.id));
         }
-        return server.passedLastHealthCheck || nowMs - server.lastTrialAtMs > FAILED_CHECK_DEFERS_MS;
+        return server.passedLastHealthCheck || nowMs - server.lastTrialAtMs > FAILED_CHECK_DELAY_MS;
     }
 }
--- a/balancer/src/main/java/dewplank/balancer/adaptive/EligibleServers.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/EligibleServers.java
@@ -4,7 +4,10 @@
 import java.util.List;
 import java.util.function.Predicate;
 
-/** The servers that a request's next attempt may go to, the better ones where there are any. */
+/**
+ * Selects the servers to which a request's next attempt may be sent, and prefers the better ones among
+ * them.
+ */
 final class EligibleServers {
     private final Step step;
     private final AttemptRules rules;
@@ -31,13 +34,14 @@
     /** Whether the request may be sent to the server now. */
     boolean isEligible(ServerState server, PendingRequest request) {
         return rules.allowsAttempt(request, server)
-                && backoff.isOver(server)
-                && slowStart.allows(server, request); // last: its first call for a server draws a number
+                && backoff.hasEnded(server)
+                && slowStart.allows(server, request); // last: its first call may draw a random number
     }
 
     /**
-     * The servers to draw among: of the working set, else of the healthy ones, else of all; those that the
-     * request has not been sent to, where there are any. Empty if none is eligible.
+     * The servers to draw from: the eligible ones of the working set, otherwise of the healthy servers,
+     * otherwise of all listed servers; among these, servers to which the request has not been sent yet, if
+     * there are any. Empty if no server is eligible.
      */
     List<ServerState> candidates(PendingRequest request, Predicate<ServerState> isEligible) {
         return preferred(request, eligible(isEligible));
@@ -53,7 +57,7 @@
 
     private List<ServerState> preferred(PendingRequest request, List<ServerState> from) {
         List<ServerState> found = prefer(from, server -> !request.wasSentTo(server));
-        if (request.isUnsafe()) { // there is no retry: only where the latest outcome was good
+        if (request.isUnsafe()) { // it cannot be retried: prefer servers whose latest outcome was healthy
             found = prefer(found, this::isProvenHealthy);
         }
         return found;
@@ -63,7 +67,7 @@
         return !latency.isSuspect(server) && server.health.hasRecentSuccess(step.nowMs());
     }
 
-    /** Those of the servers that pass the test, in the same order. */
+    /** The servers that match the predicate, in the same order. */
     static List<ServerState> filter(List<ServerState> from, Predicate<ServerState> test) {
         List<ServerState> found = new ArrayList<>(from.size());
         for (ServerState server : from) {
--- a/balancer/src/main/java/dewplank/balancer/adaptive/EndpointSubscription.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/EndpointSubscription.java
@@ -5,8 +5,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Renews the subscription to the endpoint list, with exponential backoff and jitter; idle where lists are
- * pushed.
+ * Renews the subscription to the endpoint list, with exponential backoff and jitter; does nothing if the
+ * list is pushed.
  */
 final class EndpointSubscription {
     private static final double MIN_BACKOFF_MS = 500;
@@ -23,7 +23,7 @@
         this.random = random;
     }
 
-    /** Whether a subscription was asked for and has brought nothing yet. */
+    /** Whether a subscription was requested and no update has been received yet. */
     boolean isPending() {
         return isPending;
     }
--- a/balancer/src/main/java/dewplank/balancer/adaptive/EndpointTable.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/EndpointTable.java
@@ -9,7 +9,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The servers by the endpoint list, in the order in which they were first listed. */
+/** The servers of the endpoint list, in the order in which they were first listed. */
 final class EndpointTable {
     private static final long GOLDEN_RATIO = 0x9E3779B97F4A7C15L;
 
@@ -31,14 +31,14 @@
         return servers.get(id);
     }
 
-    /** Takes an update that is not broken. */
+    /** Applies an update that is not {@link UpdateKind#BROKEN}. */
     void apply(EndpointUpdate update) {
         if (update.kind() != UpdateKind.INCREMENTAL) {
-            servers.values().forEach(server -> server.isGone = true);
+            servers.values().forEach(server -> server.isRemoved = true);
         }
         update.endpoints().forEach(this::apply);
-        // What is known of servers that have gone must not add up.
-        servers.values().removeIf(server -> server.isGone && !isListed(server) && server.inFlight.isEmpty());
+        // The state of removed servers must not accumulate.
+        servers.values().removeIf(entry -> entry.isRemoved && !isListed(entry) && entry.inFlight.isEmpty());
     }
 
     private void apply(Endpoint endpoint) {
@@ -46,7 +46,7 @@
         boolean hasRestarted = server.endpoint != null
                 && endpoint.startedAtMs() != null
                 && !endpoint.startedAtMs().equals(server.endpoint.startedAtMs());
-        if (hasRestarted) { // a new process: what was seen of the old one says nothing of it
+        if (hasRestarted) { // observations of the previous process do not apply to the new one
             server.health.reset();
             server.suspicions = 0;
             server.backoffUntilMs = 0;
@@ -55,26 +55,29 @@
         server.endpoint = endpoint;
         server.isLocal = endpoint.zone().equals(settings.zone());
         server.zone = fleet.zones.computeIfAbsent(endpoint.zone(), zone -> new ZoneStats());
-        server.isGone = endpoint.availability() == Availability.REMOVED;
-        if (!server.isGone) {
+        server.isRemoved = endpoint.availability() == Availability.REMOVED;
+        if (!server.isRemoved) {
             server.wasDraining = endpoint.availability() == Availability.DRAINING;
         }
     }
 
     /**
-     * Whether the server may be sent requests. Draining is binding from the update that says so; a server
-     * that is only gone stays in use where the settings say so.
+     * Whether requests may be sent to the server. Draining takes effect with the update that states it; a
+     * server that was removed without draining stays in use if the settings allow it.
      */
     boolean isListed(ServerState server) {
-        return !server.wasDraining && (!server.isGone || settings.safety().onlyDrainingIsBinding());
+        return !server.wasDraining && (!server.isRemoved || settings.safety().onlyDrainingIsBinding());
     }
 
     private ServerState newServer(String id) {
-        return new ServerState(id, spreadOrder(id));
+        return new ServerState(id, subsettingOrder(id));
     }
 
-    /** A number that orders the servers, otherwise for each instance: it spreads the working sets evenly. */
-    private long spreadOrder(String id) {
+    /**
+     * The server's position in this instance's order of servers. The order differs between instances, so
+     * that their working sets are spread evenly.
+     */
+    private long subsettingOrder(String id) {
         return Hashing.mix(id.hashCode() + GOLDEN_RATIO * (settings.replicaIndex() + 1));
     }
 }
--- a/balancer/src/main/java/dewplank/balancer/adaptive/Hashing.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/Hashing.java
@@ -1,12 +1,12 @@
 package dewplank.balancer.adaptive;
 
-/** A fixed hash for orders of servers: equal on all instances and in all releases. */
+/** A fixed hash function for orders of servers: the same on all instances and in all releases. */
 final class Hashing {
     private Hashing() {}
 
     /**
-     * Spreads the value's bits over all 64, by the finalizer of SplitMix64 (Steele, Lea and Flood, OOPSLA
-     * '14).
+     * Distributes the value's bits over all 64 with the finalizer of SplitMix64 (Steele, Lea and Flood,
+     * OOPSLA '14).
      */
     static long mix(long value) {
         long mixed = value * 0xBF58476D1CE4E5B9L;
--- a/balancer/src/main/java/dewplank/balancer/adaptive/HedgingPolicy.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/HedgingPolicy.java
@@ -4,8 +4,8 @@
 import dewplank.balancer.Settings;
 
 /**
- * What to do about an attempt that is in flight for longer than is usual: hedge it ("The Tail at Scale", Dean
- * and Barroso, CACM 56(2), 2013), or cancel it so that a retry may follow.
+ * Handles an attempt that has been in flight for unusually long: hedges it ("The Tail at Scale", Dean and
+ * Barroso, CACM 56(2), 2013), or cancels it so that a retry can follow.
  */
 final class HedgingPolicy {
     private final Settings settings;
@@ -36,7 +36,10 @@
         this.scheduler = scheduler;
     }
 
-    /** An attempt pending past the fleet's usual time is an unhealthy observation before any time-out. */
+    /**
+     * Records an overdue attempt as an unhealthy observation of its server, before any timeout, and hedges
+     * or cancels it.
+     */
     void onOverdue(Attempt attempt) {
         PendingRequest request = attempt.request;
         if (!attempt.isInFlight() || request.isStreaming) {
@@ -45,23 +48,23 @@
         attempt.isOverdue = true;
         attempt.overdueAtMs = step.nowMs();
         boolean wasSuspect = latency.isSuspect(attempt.server);
-        outcomes.suspectAsStuck(attempt);
+        outcomes.suspectAfterNoResponse(attempt);
         latency.recordOverdue(attempt);
-        if (request.isOver || step.nowMs() >= request.targetAtMs() || !retries.allowsRetry(request)) {
+        if (request.isComplete || step.nowMs() >= request.targetAtMs() || !retries.allowsRetry(request)) {
             return;
         }
         if (settings.limits().allowsHedging()) {
             hedge(attempt);
         } else if (wasSuspect && settings.limits().allowsCancellation() && !request.isUnsafe()) {
-            step.emit(new Cancel(request.id, attempt.number)); // the outcome decides on the next attempt
+            step.emit(new Cancel(request.id, attempt.number)); // the retry is decided when the attempt ends
         }
     }
 
     private void hedge(Attempt attempt) {
         ServerState server = picker.pick(attempt.request);
-        boolean isElsewhere = server != null && server != attempt.server;
-        // To a crowded server a hedge only adds work.
-        if (isElsewhere && shedder.rejectedShare(attempt.request, server) <= 0) {
+        boolean isOtherServer = server != null && server != attempt.server;
+        // At an overloaded server, a hedge only adds load.
+        if (isOtherServer && shedder.rejectionFraction(attempt.request, server) <= 0) {
             scheduler.send(attempt.request, server);
         }
     }
--- a/balancer/src/main/java/dewplank/balancer/adaptive/LatencyEstimates.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/LatencyEstimates.java
@@ -2,35 +2,38 @@
 
 import dewplank.balancer.Settings;
 
-/** What servers take: learned from their answers, and expected of the next request by what they hold. */
+/**
+ * Estimates how long servers take to respond, from the responses received so far, and predicts the latency
+ * of the next request from a server's load.
+ */
 final class LatencyEstimates {
-    /** Of the fleet's figures: each follows a sample so far. */
-    static final double FLEET_STEP = 0.02;
-    /** Of a zone's least time: it rises so far with each sample. */
-    static final double ZONE_STEP = 0.05;
-    /** Of what connecting takes, and of how often it fails. */
-    static final double CONNECT_STEP = 0.1;
-    /** Recent slowness of a server is forgotten at this time scale. */
+    /** Smoothing factor (weight of a new sample) of the fleet's moving averages. */
+    static final double FLEET_ALPHA = 0.02;
+    /** Fraction by which a zone's minimum response time rises towards each larger sample. */
+    static final double ZONE_ALPHA = 0.05;
+    /** Smoothing factor of the connection time and the connection failure rate. */
+    static final double CONNECT_ALPHA = 0.1;
+    /** Time constant with which a server's recent slowness decays. */
     static final double RECENT_TIME_CONSTANT_MS = 1_000;
-    /** The fleet's recent time over its idle time follows at this scale, or by samples. */
+    /** Time constant of the fleet's recent slowdown over its idle time, if samples are sparse. */
     static final double FLEET_TIME_CONSTANT_MS = 1_000;
 
-    private static final int MAX_SUSPICIONS_AS_LOAD = 5;
-    private static final double SUSPICION_LASTS_MS = 1_000; // without a new one; a verdict is what lasts
-    private static final double OVERDUE_DEVIATIONS = 4; // mean deviations over the fleet's usual time
-    private static final double MIN_OVERDUE_FACTOR = 2.5; // usual times
-    private static final double MAX_OVERDUE_TARGET_SHARE = 0.5; // of the latency target
-    private static final double RECENT_STEP = 0.3;
-    private static final double LASTING_STEP = 0.05;
-    private static final double USUAL_STEP = 0.005; // slower, lest a change counts twice
-    private static final double LASTING_TIME_CONSTANT_MS = 5_000;
-    private static final double IDLE_STEP = 0.01; // of an average whose least is the idle time
-    private static final int MIN_IDLE_SAMPLES = 20; // answers before it replaces the first guess
-    private static final double MAX_IDLE_SHARE = 0.8; // of the target that a class may take in an idle fleet
-    private static final double IDLE_TIME_CONSTANT_MS = 60_000; // the idle time rises at this
-    private static final double CACHED_KEY_FACTOR = 0.6; // of the time elsewhere: servers do 26 to 68 % less
+    private static final int MAX_SUSPICION_LOAD = 5;
+    private static final double SUSPICION_TIMEOUT_MS = 1_000; // only ejection lasts longer
+    private static final double OVERDUE_DEVIATIONS = 4; // mean deviations above the fleet's slowdown
+    private static final double MIN_OVERDUE_FACTOR = 2.5; // multiple of the typical time
+    private static final double MAX_OVERDUE_TARGET_FRACTION = 0.5; // of the latency target
+    private static final double RECENT_ALPHA = 0.3;
+    private static final double LONG_TERM_ALPHA = 0.05;
+    private static final double TYPICAL_ALPHA = 0.005; // small, so that a change is not counted twice
+    private static final double LONG_TERM_DECAY_MS = 5_000;
+    private static final double IDLE_ALPHA = 0.01; // for the mean whose minimum is the idle time
+    private static final int MIN_IDLE_SAMPLES = 20; // before the initial estimate is replaced
+    private static final double MAX_IDLE_FRACTION = 0.8; // bound on idle time over latency target
+    private static final double IDLE_TIME_CONSTANT_MS = 60_000; // with which the idle time rises to the mean
+    private static final double CACHED_KEY_FACTOR = 0.6; // a cached key saves a server 26 to 68 % of the work
     private static final double MAX_LATENESS = 2;
-    private static final double MIN_MS = 1e-3; // keeps quotients finite
+    private static final double MIN_MS = 1e-3; // avoids division by zero
 
     private final Settings settings;
     private final Step step;
@@ -44,101 +47,107 @@
         this.slowStart = slowStart;
     }
 
-    // ---- learned from answers ----
+    // ---- estimates from responses ----
 
-    /** An attempt was served, or its stream started, after this time. */
-    void recordAnswer(Attempt attempt, double elapsedMs) {
-        fleet.lastAnswerAtMs = step.nowMs();
+    /** Records that an attempt was served, or that its stream started, after the elapsed time. */
+    void recordResponse(Attempt attempt, double elapsedMs) {
+        fleet.lastResponseAtMs = step.nowMs();
         PendingRequest request = attempt.request;
         ServerState server = attempt.server;
-        if (attempt.opensConnection) { // the connection's time is not the server's
-            double expectedMs = slowdown(server) / slowStart.expectedCapacity(server) * usualMs(request);
+        if (attempt.opensConnection) { // the time to connect does not count as the server's
+            double expectedMs = slowdown(server) / slowStart.expectedCapacity(server) * typicalMs(request);
             double extraMs = Math.max(0, elapsedMs - expectedMs);
-            fleet.connectMs += (extraMs - fleet.connectMs) * CONNECT_STEP;
+            fleet.connectMs += (extraMs - fleet.connectMs) * CONNECT_ALPHA;
             return;
         }
         if (slowStart.isWarm(server)) {
             recordClassTime(request.stats, Math.max(0, elapsedMs - extraNetworkMs(server)));
         }
-        double ratio = elapsedMs / usualMs(request);
-        recordUsualTime(request, elapsedMs);
-        fleet.slowdownDeviation += (Math.abs(ratio - fleet.slowdown) - fleet.slowdownDeviation) * FLEET_STEP;
-        fleet.slowdown += (ratio - fleet.slowdown) * FLEET_STEP;
-        // In usual times: a change of the usual must not count twice.
+        double ratio = elapsedMs / typicalMs(request);
+        recordTypicalTime(request, elapsedMs);
+        fleet.slowdownDeviation += (Math.abs(ratio - fleet.slowdown) - fleet.slowdownDeviation) * FLEET_ALPHA;
+        fleet.slowdown += (ratio - fleet.slowdown) * FLEET_ALPHA;
+        // Relative to the typical time, so that a change of the typical time is not counted twice.
         double normalizedMs = ratio * slowStart.expectedCapacity(server) * fleet.elapsed.value;
         recordZoneTime(server.zone, elapsedMs);
         recordServerTime(server, normalizedMs);
-        server.usualLoad += (attempt.loadAtSend - server.usualLoad) * RECENT_STEP;
+        server.typicalLoad += (attempt.loadAtSend - server.typicalLoad) * RECENT_ALPHA;
     }
 
-    private void recordUsualTime(PendingRequest request, double elapsedMs) {
-        fleet.elapsed.add(elapsedMs, USUAL_STEP);
+    private void recordTypicalTime(PendingRequest request, double elapsedMs) {
+        fleet.elapsed.add(elapsedMs, TYPICAL_ALPHA);
         if (request.costMs == null) {
-            request.stats.work.add(elapsedMs, USUAL_STEP);
+            request.stats.work.add(elapsedMs, TYPICAL_ALPHA);
         } else {
-            double usualStep = Math.max(1.0 / fleet.elapsed.count, USUAL_STEP);
-            fleet.elapsedByCost.add(request.costMs, elapsedMs, usualStep);
+            double typicalAlpha = Math.max(1.0 / fleet.elapsed.count, TYPICAL_ALPHA);
+            fleet.elapsedByCost.add(request.costMs, elapsedMs, typicalAlpha);
         }
     }
 
     private static void recordZoneTime(ZoneStats zone, double elapsedMs) {
-        double risenMs = zone.minElapsedMs + (elapsedMs - zone.minElapsedMs) * ZONE_STEP;
-        zone.minElapsedMs = zone.minElapsedMs == 0 ? elapsedMs : Math.min(elapsedMs, risenMs);
+        double raisedMs = zone.minElapsedMs + (elapsedMs - zone.minElapsedMs) * ZONE_ALPHA;
+        zone.minElapsedMs = zone.minElapsedMs == 0 ? elapsedMs : Math.min(elapsedMs, raisedMs);
     }
 
-    /** Each class by its own idle time: more of a slow class among the answers is no slower fleet. */
+    /**
+     * Compares each class with its own idle time: a larger proportion of requests of a slow class does not
+     * mean that the fleet is slower.
+     */
     private void recordClassTime(ClassStats stats, double elapsedMs) {
-        double sinceMs = stats.lastAnswerAtMs == 0 ? 0 : step.nowMs() - stats.lastAnswerAtMs;
-        stats.elapsed.add(elapsedMs, IDLE_STEP);
-        double riseShare = 1 - Math.exp(-sinceMs / IDLE_TIME_CONSTANT_MS);
-        double risenMs = (stats.elapsed.value - stats.idleElapsedMs) * riseShare;
-        double leastMs = Math.min(stats.elapsed.value, stats.idleElapsedMs + risenMs);
+        double sinceLastMs = stats.lastResponseAtMs == 0 ? 0 : step.nowMs() - stats.lastResponseAtMs;
+        stats.elapsed.add(elapsedMs, IDLE_ALPHA);
+        double riseFraction = 1 - Math.exp(-sinceLastMs / IDLE_TIME_CONSTANT_MS);
+        double raisedMs = (stats.elapsed.value - stats.idleElapsedMs) * riseFraction;
+        double minMs = Math.min(stats.elapsed.value, stats.idleElapsedMs + raisedMs);
         if (stats.elapsed.count >= MIN_IDLE_SAMPLES) {
-            double idleMs = stats.elapsed.count == MIN_IDLE_SAMPLES ? stats.elapsed.value : leastMs;
+            double idleMs = stats.elapsed.count == MIN_IDLE_SAMPLES ? stats.elapsed.value : minMs;
             stats.idleElapsedMs = Math.max(MIN_MS, idleMs);
         }
-        stats.lastAnswerAtMs = step.nowMs();
-        double sinceAnyMs = fleet.lastWarmAnswerAtMs == 0 ? 0 : step.nowMs() - fleet.lastWarmAnswerAtMs;
-        double fleetStep = Math.max(FLEET_STEP, 1 - Math.exp(-sinceAnyMs / FLEET_TIME_CONSTANT_MS));
-        fleet.timesOverIdle += (elapsedMs / stats.idleElapsedMs - fleet.timesOverIdle) * fleetStep;
-        fleet.lastWarmAnswerAtMs = step.nowMs();
+        stats.lastResponseAtMs = step.nowMs();
+        double sinceWarmMs = fleet.lastWarmSampleAtMs == 0 ? 0 : step.nowMs() - fleet.lastWarmSampleAtMs;
+        double fleetAlpha = Math.max(FLEET_ALPHA, 1 - Math.exp(-sinceWarmMs / FLEET_TIME_CONSTANT_MS));
+        fleet.slowdownOverIdle += (elapsedMs / stats.idleElapsedMs - fleet.slowdownOverIdle) * fleetAlpha;
+        fleet.lastWarmSampleAtMs = step.nowMs();
     }
 
     /**
-     * No answer for so long: this server's time was that much at least. Guards against a server that answers
-     * after its callers' time: by answers alone it looks as quick as the few that came, to each of many.
+     * Records that a server did not respond within the elapsed time, as a lower bound of its response time.
+     * Guards against a server that responds only after its callers' timeouts: judged by its responses
+     * alone, it looks as fast as the few that arrived in time, to each of many instances.
      */
     void recordTimeout(Attempt attempt, double elapsedMs) {
         ServerState server = attempt.server;
-        double ratio = elapsedMs / usualMs(attempt.request);
+        double ratio = elapsedMs / typicalMs(attempt.request);
         double normalizedMs = ratio * slowStart.expectedCapacity(server) * fleet.elapsed.value;
         if (fleet.elapsed.count > 0 && normalizedMs > slowdown(server) * fleet.elapsed.value) {
             recordServerTime(server, normalizedMs);
         }
     }
 
-    /** An attempt is overdue: the way to its zone may have become longer. */
+    /** Records that an attempt is overdue: the network latency to its zone may have increased. */
     void recordOverdue(Attempt attempt) {
         ZoneStats zone = attempt.server.zone;
         double extraMs = Math.max(0, step.nowMs() - attempt.sentAtMs - zone.minElapsedMs);
-        zone.minElapsedMs += extraMs * ZONE_STEP;
+        zone.minElapsedMs += extraMs * ZONE_ALPHA;
     }
 
-    /** A connection attempt came to its end. */
+    /** Records the result of a connection attempt. */
     void recordConnect(boolean hasFailed) {
-        fleet.connectFailureShare += ((hasFailed ? 1 : 0) - fleet.connectFailureShare) * CONNECT_STEP;
+        fleet.connectFailureFraction += ((hasFailed ? 1 : 0) - fleet.connectFailureFraction) * CONNECT_ALPHA;
     }
 
     private void recordServerTime(ServerState server, double normalizedMs) {
-        server.lastingElapsed.add(normalizedMs, LASTING_STEP);
-        server.recentElapsed.add(normalizedMs, RECENT_STEP);
+        server.longTermElapsed.add(normalizedMs, LONG_TERM_ALPHA);
+        server.recentElapsed.add(normalizedMs, RECENT_ALPHA);
         server.lastSampleAtMs = step.nowMs();
     }
 
-    // ---- expected of the next request ----
+    // ---- predictions for the next request ----
 
-    /** What such a request usually takes in this fleet: a fixed part and a part that grows with its work. */
-    double usualMs(PendingRequest request) {
+    /**
+     * The typical time of such a request in this fleet: a fixed part, and a part proportional to its work.
+     */
+    double typicalMs(PendingRequest request) {
         if (request.costMs == null || fleet.elapsed.count == 0) {
             return Math.max(MIN_MS, request.stats.work.value);
         }
@@ -148,40 +157,46 @@
         return Math.max(MIN_MS, fleet.elapsed.value + slope * (request.costMs - meanCostMs));
     }
 
-    /** The time there over the usual: recent at first, then lasting, then no more than the usual. */
+    /**
+     * The ratio of the server's time to the typical time. It decays from the recent to the long-term
+     * average, and from that to 1.
+     */
     private double slowdown(ServerState server) {
-        if (server.lastingElapsed.count == 0) {
+        if (server.longTermElapsed.count == 0) {
             return fleet.slowdown;
         }
         double minusAgeMs = server.lastSampleAtMs - step.nowMs();
-        double slowMs = server.lastingElapsed.value;
-        double usualMs = fleet.elapsed.value;
-        double lastingMs = usualMs + (slowMs - usualMs) * Math.exp(minusAgeMs / LASTING_TIME_CONSTANT_MS);
+        double slowMs = server.longTermElapsed.value;
+        double typicalMs = fleet.elapsed.value;
+        double longTermMs = typicalMs + (slowMs - typicalMs) * Math.exp(minusAgeMs / LONG_TERM_DECAY_MS);
         double recency = Math.exp(minusAgeMs / RECENT_TIME_CONSTANT_MS);
         double recentMs = (server.recentElapsed.value - slowMs) * recency;
-        return (lastingMs + recentMs) / Math.max(MIN_MS, usualMs);
+        return (longTermMs + recentMs) / Math.max(MIN_MS, typicalMs);
     }
 
-    /** Whether there was an unhealthy outcome since the last success. It lapses: a verdict is what lasts. */
+    /**
+     * Whether the server had an unhealthy outcome since its last success. The suspicion expires; only
+     * ejection lasts longer.
+     */
     boolean isSuspect(ServerState server) {
-        if (step.nowMs() - server.lastSuspicionAtMs > SUSPICION_LASTS_MS) {
+        if (step.nowMs() - server.lastSuspicionAtMs > SUSPICION_TIMEOUT_MS) {
             server.suspicions = 0;
         }
         return server.suspicions > 0;
     }
 
-    /** Whether the server's latest time is recent enough to tell its queue. */
+    /** Whether the server's latest response time is recent enough to indicate the length of its queue. */
     boolean hasRecentSample(ServerState server) {
         return step.nowMs() - server.lastSampleAtMs < RECENT_TIME_CONSTANT_MS;
     }
 
-    /** Own requests in flight, and those that may still be stuck there. */
+    /** The number of own requests in flight, plus those that may still be hung at the server. */
     int load(ServerState server) {
-        int stuck = isSuspect(server) ? Math.min(server.suspicions, MAX_SUSPICIONS_AS_LOAD) : 0;
-        return server.inFlight.size() + stuck;
+        int hung = isSuspect(server) ? Math.min(server.suspicions, MAX_SUSPICION_LOAD) : 0;
+        return server.inFlight.size() + hung;
     }
 
-    /** Whether an attempt there now would have to wait for a new connection. */
+    /** Whether an attempt at the server now would have to wait for a new connection. */
     boolean needsConnection(ServerState server) {
         boolean isIdle = server.inFlight.isEmpty()
                 && step.nowMs() - server.lastUseAtMs > settings.limits().idleTimeoutMs();
@@ -191,16 +206,19 @@
         return server.inFlight.size() >= server.connections * settings.limits().maxStreamsPerConnection();
     }
 
-    /** The time the request would likely take there, by learned speed, own load and what is overdue. */
+    /**
+     * The predicted time of the request at the server, from its measured speed, its own load and its
+     * overdue attempts.
+     */
     double predictedMs(ServerState server, PendingRequest request) {
         double keyFactor = server == request.cachingServer ? CACHED_KEY_FACTOR : 1;
         double timeMs = slowdown(server)
                 / slowStart.expectedCapacity(server)
-                * usualMs(request)
+                * typicalMs(request)
                 * keyFactor
                 * (2 + load(server))
-                / (2 + server.usualLoad);
-        for (Attempt attempt : server.inFlight) { // by age: the oldest tells, unless it is stuck by itself
+                / (2 + server.typicalLoad);
+        for (Attempt attempt : server.inFlight) { // the oldest attempt counts, unless only that one hangs
             boolean isOvertaken = attempt.isOverdue && attempt.overdueAtMs <= server.lastServedSentAtMs;
             if (!isOvertaken) {
                 timeMs = Math.max(timeMs, step.nowMs() - attempt.sentAtMs);
@@ -212,8 +230,9 @@
     }
 
     /**
-     * What the network takes to its zone beyond what it takes within the own one, by the least times seen
-     * lately. Guards against a slow link being read as a queue there: rejecting does not shorten a link.
+     * The network latency to the server's zone beyond that within the own zone, from recent minimum
+     * response times. Prevents a slow link from being mistaken for a queue: rejections do not make a link
+     * faster.
      */
     double extraNetworkMs(ServerState server) {
         ZoneStats own = fleet.zones.get(settings.zone());
@@ -222,33 +241,33 @@
     }
 
     /**
-     * Likely lateness there by queues: the predicted time as a part of the target, the network taken off
-     * both.
+     * The predicted time at the server as a fraction of the remaining time to the latency target, with the
+     * network latency subtracted from both. This is the lateness caused by queues.
      */
     double predictedLateness(ServerState server, PendingRequest request) {
         double networkMs = extraNetworkMs(server);
-        double leftMs = request.targetAtMs() - step.nowMs() - networkMs;
-        return leftMs <= 0
+        double remainingMs = request.targetAtMs() - step.nowMs() - networkMs;
+        return remainingMs <= 0
                 ? MAX_LATENESS
-                : Math.min(MAX_LATENESS, Math.max(0, predictedMs(server, request) - networkMs) / leftMs);
+                : Math.min(MAX_LATENESS, Math.max(0, predictedMs(server, request) - networkMs) / remainingMs);
     }
 
     /**
-     * Of the time that the target leaves above the class's idle time, the part that queues take. Guards
-     * against rejecting in a calm fleet whose idle times are a larger part of its targets than elsewhere.
+     * The fraction of the time between the class's idle time and its latency target that queues consume.
+     * Prevents rejections in an idle fleet whose idle times are a large fraction of its targets.
      */
-    double queueShare(ServerState server, PendingRequest request) {
+    double queueFraction(ServerState server, PendingRequest request) {
         double targetMs = Math.max(MIN_MS, request.targetMs() - extraNetworkMs(server));
-        double idleShare = Math.min(MAX_IDLE_SHARE, request.stats.idleElapsedMs / targetMs);
-        return Math.max(0, (predictedLateness(server, request) - idleShare) / (1 - idleShare));
+        double idleFraction = Math.min(MAX_IDLE_FRACTION, request.stats.idleElapsedMs / targetMs);
+        return Math.max(0, (predictedLateness(server, request) - idleFraction) / (1 - idleFraction));
     }
 
-    /** After this time an attempt there is unusually late. */
+    /** The time after which an attempt at the server is overdue. */
     double overdueAfterMs(PendingRequest request, ServerState server) {
-        double usualMs = usualMs(request) / slowStart.expectedCapacity(server);
-        double leastMs = MIN_OVERDUE_FACTOR * fleet.slowdown * usualMs;
-        double mostMs = Math.max(leastMs, MAX_OVERDUE_TARGET_SHARE * request.targetMs());
-        double spreadMs = usualMs * (fleet.slowdown + OVERDUE_DEVIATIONS * fleet.slowdownDeviation);
-        return Math.min(mostMs, Math.max(leastMs, spreadMs)) + extraNetworkMs(server);
+        double typicalMs = typicalMs(request) / slowStart.expectedCapacity(server);
+        double minMs = MIN_OVERDUE_FACTOR * fleet.slowdown * typicalMs;
+        double maxMs = Math.max(minMs, MAX_OVERDUE_TARGET_FRACTION * request.targetMs());
+        double spreadMs = typicalMs * (fleet.slowdown + OVERDUE_DEVIATIONS * fleet.slowdownDeviation);
+        return Math.min(maxMs, Math.max(minMs, spreadMs)) + extraNetworkMs(server);
     }
 }
--- a/balancer/src/main/java/dewplank/balancer/adaptive/LoadShedder.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/LoadShedder.java
@@ -4,35 +4,37 @@
 import dewplank.balancer.Settings.Goal;
 
 /**
- * How much of the traffic to reject early, the least valuable first, as queues come near to missing the
- * latency target. An overloaded fleet that answers everything answers late ("Overload Control for Scaling
- * WeChat Microservices", SoCC '18).
+ * Determines what fraction of the traffic to reject early, least valuable requests first, as queueing
+ * brings latency close to the target. An overloaded fleet that serves every request serves all of them late
+ * ("Overload Control for Scaling WeChat Microservices", SoCC '18).
  */
 final class LoadShedder {
-    private static final double LATENESS_FROM = 0.4; // predicted time over target that starts rejections
-    private static final double LATENESS_FULL = 0.9; // and at which all that may be rejected is
-    // A server takes twice its idle time once as much waits there as runs: sending it more brings no more
-    // answers, only later ones, and crowds it for long. A fleet so slow sheds early, by averaged lateness.
-    private static final double SLOWDOWN_FROM = 1; // fleet's time over its idle time
-    private static final double SLOWDOWN_FULL = 2;
-    private static final double QUEUE_SHARE_FROM = 0.06; // averaged part of the target in queues
-    private static final double QUEUE_SHARE_FULL = 0.35; // at which one in ten is late
-    private static final double PRESSURE_STEP = 0.05; // the fleet's lateness is averaged over 20 requests
-    private static final double MAX_PRESSURE_SAMPLE = 2;
-    private static final double SHORTAGE_FROM = 0.09; // pressure that is taken to last; 0.12 does worse
-    private static final double SHORTAGE_TIME_CONSTANT_MS = 1_000;
-    private static final double MAX_SHORTAGE_GAP_MS = 100; // of a gap between requests
-    private static final double MAX_SHORTAGE = 0.7; // of traffic that lasting lateness alone rejects
+    // The fraction to reject rises linearly from 0 at the low threshold to 1 at the high one.
+    private static final double LOW_LATENESS = 0.4; // predicted time over target
+    private static final double HIGH_LATENESS = 0.9;
+    // A server takes twice its idle time once as many requests wait as run. Sending it more does not increase
+    // its throughput, only latency, and keeps it overloaded for long. A fleet that slow sheds load early,
+    // according to its average lateness.
+    private static final double LOW_SLOWDOWN = 1; // ratio of the fleet's time to its idle time
+    private static final double HIGH_SLOWDOWN = 2;
+    private static final double LOW_QUEUE_FRACTION = 0.06; // mean fraction of the target spent in queues
+    private static final double HIGH_QUEUE_FRACTION = 0.35; // at which one response in ten is late
+    private static final double QUEUE_ALPHA = 0.05; // smoothing factor: averages over 20 requests
+    private static final double MAX_SAMPLE = 2;
+    private static final double OVERLOAD_QUEUE_FRACTION = 0.09; // counts as overload; 0.12 performs worse
+    private static final double OVERLOAD_TIME_CONSTANT_MS = 1_000;
+    private static final double MAX_SAMPLE_GAP_MS = 100; // the part of a gap between requests that counts
+    private static final double MAX_OVERLOAD_FRACTION = 0.7; // also bounds early rejections
 
     private final Step step;
     private final FleetStats fleet;
     private final LatencyEstimates latency;
-    /** Where the goal has a tail, an early rejection is better than a late answer. */
+    /** Below 1 if the goal has a tail weight: then an early rejection is better than a late response. */
     private final double strictness;
 
-    private double pressure;
-    private double pressureAtMs;
-    private double shortage;
+    private double meanQueueFraction;
+    private double lastQueueSampleAtMs;
+    private double sustainedOverload;
 
     LoadShedder(Settings settings, Step step, FleetStats fleet, LatencyEstimates latency) {
         this.step = step;
@@ -43,43 +45,43 @@
     }
 
     /**
-     * The share of the least valuable traffic to reject, going by this server. While the whole fleet is
-     * slower than when idle, it begins earlier: many instances would each wait for late answers. Below 0 it
-     * offsets lasting lateness.
+     * The fraction of the least valuable traffic to reject, judged by this server. While the whole fleet is
+     * slower than when idle, rejections start earlier: otherwise each of many instances would wait for its
+     * own late responses. A negative value offsets the fraction for sustained overload.
      */
-    double rejectedShare(PendingRequest request, ServerState server) {
+    double rejectionFraction(PendingRequest request, ServerState server) {
         double lateness = latency.predictedLateness(server, request) / strictness;
-        double minusAgeMs = fleet.lastWarmAnswerAtMs - step.nowMs();
-        double freshness = Math.exp(minusAgeMs / LatencyEstimates.FLEET_TIME_CONSTANT_MS);
-        double slowdown = 1 + (fleet.timesOverIdle - 1) * freshness;
-        double bySlowdown = (slowdown - SLOWDOWN_FROM) / (SLOWDOWN_FULL - SLOWDOWN_FROM);
-        double queues = Math.min(latency.queueShare(server, request), pressure) / strictness;
-        double byQueues = (queues - QUEUE_SHARE_FROM) / (QUEUE_SHARE_FULL - QUEUE_SHARE_FROM);
-        double early = Math.min(MAX_SHORTAGE, Math.min(bySlowdown, byQueues));
-        double byLateness = (lateness - LATENESS_FROM) / (LATENESS_FULL - LATENESS_FROM);
-        return early > 0 ? Math.max(early, byLateness) : byLateness;
+        double negativeAgeMs = fleet.lastWarmSampleAtMs - step.nowMs();
+        double freshness = Math.exp(negativeAgeMs / LatencyEstimates.FLEET_TIME_CONSTANT_MS);
+        double slowdown = 1 + (fleet.slowdownOverIdle - 1) * freshness;
+        double slowdownFraction = (slowdown - LOW_SLOWDOWN) / (HIGH_SLOWDOWN - LOW_SLOWDOWN);
+        double queues = Math.min(latency.queueFraction(server, request), meanQueueFraction) / strictness;
+        double queueingFraction = (queues - LOW_QUEUE_FRACTION) / (HIGH_QUEUE_FRACTION - LOW_QUEUE_FRACTION);
+        double earlyFraction = Math.min(MAX_OVERLOAD_FRACTION, Math.min(slowdownFraction, queueingFraction));
+        double latenessFraction = (lateness - LOW_LATENESS) / (HIGH_LATENESS - LOW_LATENESS);
+        return earlyFraction > 0 ? Math.max(earlyFraction, latenessFraction) : latenessFraction;
     }
 
     /**
-     * The share to reject on top of that because lateness lasts, at a server with this part of the target in
-     * its queue.
+     * The additional fraction to reject because of sustained overload, at a server whose queue consumes
+     * this fraction of the target.
      */
-    double lastingShare(double queueShare) {
-        double freshness = Math.exp((fleet.lastAnswerAtMs - step.nowMs()) / SHORTAGE_TIME_CONSTANT_MS);
-        return shortage * freshness * Math.min(1, queueShare / SHORTAGE_FROM);
+    double sustainedRejectionFraction(double queueFraction) {
+        double freshness = Math.exp((fleet.lastResponseAtMs - step.nowMs()) / OVERLOAD_TIME_CONSTANT_MS);
+        return sustainedOverload * freshness * Math.min(1, queueFraction / OVERLOAD_QUEUE_FRACTION);
     }
 
     /**
-     * Takes the shortest queue among the servers that answered lately. Lateness that lasts adds to the share
-     * rejected until queues are short again. Guards against servers that do less the more they hold: a share
-     * that only follows lateness would leave them crowded for good. While one server has capacity, choose
-     * rather than reject.
+     * Records the shortest queue among the servers that responded recently. Sustained lateness increases
+     * the fraction rejected until queues are short again. Guards against servers whose throughput falls
+     * under load: a fraction that only follows the current lateness would leave them overloaded
+     * permanently. As long as one server has capacity, requests are routed to it rather than rejected.
      */
-    void recordShortestQueue(double queueShare) {
-        pressure += (Math.min(MAX_PRESSURE_SAMPLE, queueShare) - pressure) * PRESSURE_STEP;
-        double sinceMs = Math.min(MAX_SHORTAGE_GAP_MS, step.nowMs() - pressureAtMs);
-        pressureAtMs = step.nowMs();
-        double change = (pressure - SHORTAGE_FROM) * sinceMs / SHORTAGE_TIME_CONSTANT_MS;
-        shortage = Math.max(0, Math.min(MAX_SHORTAGE, shortage + change));
+    void recordShortestQueue(double queueFraction) {
+        meanQueueFraction += (Math.min(MAX_SAMPLE, queueFraction) - meanQueueFraction) * QUEUE_ALPHA;
+        double gapMs = Math.min(MAX_SAMPLE_GAP_MS, step.nowMs() - lastQueueSampleAtMs);
+        lastQueueSampleAtMs = step.nowMs();
+        double change = (meanQueueFraction - OVERLOAD_QUEUE_FRACTION) * gapMs / OVERLOAD_TIME_CONSTANT_MS;
+        sustainedOverload = Math.max(0, Math.min(MAX_OVERLOAD_FRACTION, sustainedOverload + change));
     }
 }
--- a/balancer/src/main/java/dewplank/balancer/adaptive/OutcomeMonitor.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/OutcomeMonitor.java
@@ -1,8 +1,8 @@
 package dewplank.balancer.adaptive;
 
 /**
- * Turns what became of attempts into observations of their servers, and into suspicions of servers that may
- * hang.
+ * Converts outcomes of attempts into health observations of their servers, and into suspicions against
+ * servers that may be hung.
  */
 final class OutcomeMonitor {
     private final Step step;
@@ -15,7 +15,7 @@
         this.workingSet = workingSet;
     }
 
-    /** A request of that class was answered, or was not. */
+    /** Records whether a request of this class was served. */
     void observe(ServerState server, String requestClass, boolean isHealthy) {
         server.health.observe(step.nowMs(), requestClass, isHealthy);
         if (isHealthy) {
@@ -23,37 +23,41 @@
             server.nextBackoffMs = 0;
         }
         if (!isHealthy || server.isEjected) {
-            workingSet.requestReview(); // the verdict may change
+            workingSet.requestReview(); // the ejection of the server may change
         }
     }
 
     /**
-     * An answer came, but after the attempt was overdue: the server is alive, and its lateness stands as
-     * observed.
+     * Records a response to an overdue attempt. The server is alive; its lateness has already been recorded
+     * as an unhealthy observation.
      */
-    void observeLateAnswer(ServerState server) {
+    void observeLateResponse(ServerState server) {
         server.suspicions = 0;
         server.health.recordLateSuccess(step.nowMs());
     }
 
-    /** The server failed at once: an unhealthy observation. The error took the time that it took. */
+    /**
+     * Records an error: an unhealthy observation, and a suspicion that does not raise the predicted
+     * latency.
+     */
     void suspectAfterError(Attempt attempt) {
         suspect(attempt, Double.POSITIVE_INFINITY);
     }
 
     /**
-     * No outcome in time: an unhealthy observation, and a suspicion that holds from the attempt's send on.
+     * Records a missing response: an unhealthy observation, and a suspicion that starts at the attempt's
+     * send time.
      */
-    void suspectAsStuck(Attempt attempt) {
+    void suspectAfterNoResponse(Attempt attempt) {
         suspect(attempt, attempt.sentAtMs);
     }
 
-    private void suspect(Attempt attempt, double sinceMs) {
+    private void suspect(Attempt attempt, double startedAtMs) {
         ServerState server = attempt.server;
-        double earliestMs = Math.min(server.suspectSinceMs, sinceMs);
-        server.suspectSinceMs = latency.isSuspect(server) ? earliestMs : sinceMs;
+        double earliestMs = Math.min(server.suspectSinceMs, startedAtMs);
+        server.suspectSinceMs = latency.isSuspect(server) ? earliestMs : startedAtMs;
         server.suspicions++;
         server.lastSuspicionAtMs = step.nowMs();
-        observe(server, attempt.request.rules().name(), false);
+        observe(server, attempt.request.requestClass().name(), false);
     }
 }
--- a/balancer/src/main/java/dewplank/balancer/adaptive/OutcomeRecorder.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/OutcomeRecorder.java
@@ -5,8 +5,8 @@
 import dewplank.balancer.Settings;
 
 /**
- * Records what the outcome of an attempt says of its server: its latency, its health, its backoff. Called by
- * {@link AttemptTracker}, once for each start of a stream and each end of an attempt.
+ * Updates a server's latency estimates, health and backoff with the outcome of an attempt. Called by {@link
+ * AttemptTracker}, once for each start of a stream and each end of an attempt.
  */
 final class OutcomeRecorder {
     private final Settings settings;
@@ -28,13 +28,13 @@
         this.backoff = serverBackoff;
     }
 
-    /** The first part of a stream came: the server has answered. */
+    /** Records the first part of a stream, which counts as the server's response. */
     void recordStreamStarted(Attempt attempt, double elapsedMs) {
-        latency.recordAnswer(attempt, elapsedMs);
-        outcomes.observe(attempt.server, attempt.request.rules().name(), true);
+        latency.recordResponse(attempt, elapsedMs);
+        outcomes.observe(attempt.server, attempt.request.requestClass().name(), true);
     }
 
-    /** The attempt has ended and is in flight no more. */
+    /** Records the end of an attempt, which is no longer in flight. */
     void recordEnd(Attempt attempt, AttemptEnded event) {
         attempt.server.inFlight.remove(attempt);
         attempt.server.lastUseAtMs = step.nowMs();
@@ -72,34 +72,37 @@
         PendingRequest request = attempt.request;
         server.lastServedSentAtMs = Math.max(server.lastServedSentAtMs, attempt.sentAtMs);
         if (!request.isStreaming) {
-            latency.recordAnswer(attempt, elapsedMs);
+            latency.recordResponse(attempt, elapsedMs);
         }
         boolean isInTime = step.nowMs() <= request.targetAtMs();
         request.stats.valueServed +=
-                request.value * (isInTime ? 1 : request.rules().lateValue());
+                request.value * (isInTime ? 1 : request.requestClass().lateValue());
         if (attempt.isOverdue) {
-            outcomes.observeLateAnswer(server);
+            outcomes.observeLateResponse(server);
         } else {
-            outcomes.observe(server, request.rules().name(), true);
+            outcomes.observe(server, request.requestClass().name(), true);
         }
     }
 
     private void recordTimedOut(Attempt attempt, double elapsedMs) {
         if (!attempt.isOverdue) {
-            outcomes.suspectAsStuck(attempt);
+            outcomes.suspectAfterNoResponse(attempt);
         }
         latency.recordTimeout(attempt, elapsedMs);
     }
 
-    /** A server that answers on its open connections has a full connection table; else it may be dead. */
+    /**
+     * Records a connection failure. A server that still responds on its open connections has a full
+     * connection table; otherwise it may be down.
+     */
     private void recordConnectFailure(Attempt attempt) {
         ServerState server = attempt.server;
         if (server.inFlight.isEmpty()) {
             server.connections = 0;
         }
-        double sinceSuccessMs = step.nowMs() - server.health.lastSuccessAtMs();
-        if (sinceSuccessMs > 2 * settings.limits().connectTimeoutMs()) {
-            outcomes.suspectAsStuck(attempt);
+        double timeSinceSuccessMs = step.nowMs() - server.health.lastSuccessAtMs();
+        if (timeSinceSuccessMs > 2 * settings.limits().connectTimeoutMs()) {
+            outcomes.suspectAfterNoResponse(attempt);
         }
         backoff.begin(attempt, ServerBackoff.AFTER_CONNECT_FAILURE_MS);
     }
--- a/balancer/src/main/java/dewplank/balancer/adaptive/OverloadCheck.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/OverloadCheck.java
@@ -1,6 +1,9 @@
 package dewplank.balancer.adaptive;
 
-/** Whether a request that arrives is shed, by the queues that it would meet. Called by {@link Admission}. */
+/**
+ * Decides whether to shed an arriving request, based on the queues at the servers. Called by {@link
+ * Admission}.
+ */
 final class OverloadCheck {
     private final ServerPicker picker;
     private final LatencyEstimates latency;
@@ -13,19 +16,20 @@
     }
 
     /**
-     * The server by which the request is judged, and to which it is sent unless it is rejected: the one
-     * drawn, or the cheapest candidate where the draw was bad, as a bad draw is no reason to reject.
+     * The server to which the request is sent unless it is rejected, and by which the rejection is decided:
+     * the drawn server, or the candidate with the lowest cost if the drawn one is overloaded, because a bad
+     * draw is no reason to reject.
      */
     ServerState serverFor(PendingRequest request, ServerState drawn, double rank) {
-        boolean isBadDraw = shedder.rejectedShare(request, drawn) > rank;
+        boolean isBadDraw = shedder.rejectionFraction(request, drawn) > rank;
         return isBadDraw ? picker.cheapestCandidate(request) : drawn;
     }
 
-    /** Whether the request is to be rejected; the queue at the server is learned from. */
+    /** Whether to reject the request; also records the current queues. */
     boolean rejects(PendingRequest request, ServerState server, double rank) {
-        double queueShare = latency.queueShare(server, request);
-        shedder.recordShortestQueue(picker.shortestQueueShare(request, queueShare));
-        double currentShare = shedder.rejectedShare(request, server);
-        return currentShare + shedder.lastingShare(queueShare) > rank;
+        double queueFraction = latency.queueFraction(server, request);
+        shedder.recordShortestQueue(picker.shortestQueueFraction(request, queueFraction));
+        double currentFraction = shedder.rejectionFraction(request, server);
+        return currentFraction + shedder.sustainedRejectionFraction(queueFraction) > rank;
     }
 }
--- a/balancer/src/main/java/dewplank/balancer/adaptive/PeerExchange.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/PeerExchange.java
@@ -9,7 +9,10 @@
 import java.util.List;
 import java.util.random.RandomGenerator;
 
-/** Sends this instance's own verdicts to its peers once a second, and takes theirs as votes. */
+/**
+ * Broadcasts this instance's own health votes to its peers once a second, and counts the votes of its
+ * peers.
+ */
 final class PeerExchange {
     private static final double BROADCAST_INTERVAL_MS = 1_000;
 
@@ -26,7 +29,7 @@
         this.random = random;
     }
 
-    /** Starts at a random moment of the interval, so that peers do not all send at once. */
+    /** Starts at a random time within the interval, so that peers do not all send at the same time. */
     void start() {
         step.schedule(BROADCAST_INTERVAL_MS * random.nextDouble(), this::broadcast);
     }
@@ -49,8 +52,8 @@
         }
     }
 
-    /** Whether the server is to be ejected, by this instance's vote and its peers'. */
-    boolean findsUnhealthy(ServerState server) {
+    /** Whether the server is to be ejected, according to the votes of this instance and its peers. */
+    boolean isVotedUnhealthy(ServerState server) {
         return votes.isUnhealthy(step.nowMs(), server.id, server.health.isUnhealthy(step.nowMs()));
     }
 }
--- a/balancer/src/main/java/dewplank/balancer/adaptive/PendingRequest.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/PendingRequest.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A request from its arrival until it is over and none of its attempts is in flight. */
+/** A request, from its arrival until it is complete and none of its attempts is in flight. */
 final class PendingRequest {
     final long id;
     final ClassStats stats;
@@ -15,14 +15,14 @@
     final double deadlineAtMs;
     final Double costMs;
     final double value;
-    /** Value per unit of work, weighed by the goal. */
+    /** The value per unit of work, weighted by the goal. */
     final double density;
 
     final List<Attempt> attempts = new ArrayList<>();
-    /** The server that most likely has the key cached; null where none is preferred. */
+    /** The server that most likely has the key cached, or null. */
     ServerState cachingServer;
 
-    boolean isOver;
+    boolean isComplete;
     boolean isStreaming;
 
     PendingRequest(RequestArrived event, ClassStats stats, double nowMs, double value, double density) {
@@ -36,28 +36,31 @@
         this.density = density;
     }
 
-    RequestClass rules() {
-        return stats.rules;
+    RequestClass requestClass() {
+        return stats.requestClass;
     }
 
     boolean isSafe() {
-        return stats.rules.idempotency() == Idempotency.SAFE;
+        return stats.requestClass.idempotency() == Idempotency.SAFE;
     }
 
     boolean isUnsafe() {
-        return stats.rules.idempotency() == Idempotency.UNSAFE;
+        return stats.requestClass.idempotency() == Idempotency.UNSAFE;
     }
 
-    /** In milliseconds of a standard core, as stated or as its class usually takes. */
+    /**
+     * The work in milliseconds of a standard core: as stated by the request, otherwise typical of its
+     * class.
+     */
     double workMs() {
         return costMs == null ? stats.work.value : costMs;
     }
 
     double targetAtMs() {
-        RequestClass rules = stats.rules;
-        double statedMs = costMs == null ? 0 : costMs;
-        double targetMs = rules.latencyTargetMs() + rules.latencyTargetPerWork() * statedMs;
-        return arrivedAtMs + Math.min(targetMs, rules.deadlineMs());
+        RequestClass requestClass = stats.requestClass;
+        double costOrZeroMs = costMs == null ? 0 : costMs;
+        double targetMs = requestClass.latencyTargetMs() + requestClass.latencyTargetPerWork() * costOrZeroMs;
+        return arrivedAtMs + Math.min(targetMs, requestClass.deadlineMs());
     }
 
     double targetMs() {
@@ -73,7 +76,7 @@
         return false;
     }
 
-    /** Attempts that may have had their effect, those in flight included. */
+    /** The number of attempts that may have had their effect, including those in flight. */
     int attemptsThatMayHaveRun() {
         int count = 0;
         for (Attempt attempt : attempts) {
--- a/balancer/src/main/java/dewplank/balancer/adaptive/PlacementCost.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/PlacementCost.java
@@ -2,7 +2,10 @@
 
 import dewplank.balancer.Settings;
 
-/** What a request loses at a server: value by lateness, and the price of crossing zones and connecting. */
+/**
+ * The expected loss of placing a request at a server: value lost to lateness, and the price of crossing
+ * zones and of connecting.
+ */
 final class PlacementCost {
     private static final double MIN_VALUE = 1e-9;
 
@@ -25,15 +28,16 @@
         this.values = valueModel;
     }
 
-    /** As a part of the request's value; may exceed 1. */
+    /** The cost as a fraction of the request's value; may exceed 1. */
     double of(ServerState server, PendingRequest request) {
         double servedAtMs = latency.predictedMs(server, request) + step.nowMs();
         double lateness = (servedAtMs - request.arrivedAtMs) / request.targetMs();
         double price = latency.needsConnection(server) ? settings.prices().handshake() : 0;
         price += server.isLocal ? 0 : settings.prices().crossZone();
-        // The larger of lateness and the odds of a rejection: without the second, the local zone would reject
-        // what another one still serves. Linear: where crossing is cheap, the local zone must not be crowded.
-        double atRisk = Math.max(lateness, Math.min(1, shedder.rejectedShare(request, server)));
-        return atRisk + price * values.meanValue() / Math.max(request.value, MIN_VALUE);
+        // The larger of lateness and rejection probability. Without the latter, the local zone would reject
+        // requests that another zone can still serve. The cost is linear in lateness, so that the local zone
+        // is not overloaded if crossing zones is cheap.
+        double expectedLoss = Math.max(lateness, Math.min(1, shedder.rejectionFraction(request, server)));
+        return expectedLoss + price * values.meanValue() / Math.max(request.value, MIN_VALUE);
     }
 }
--- a/balancer/src/main/java/dewplank/balancer/adaptive/RequestCompletion.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/RequestCompletion.java
@@ -6,7 +6,7 @@
 import dewplank.balancer.Settings;
 import java.util.random.RandomGenerator;
 
-/** Ends requests: by an answer of this instance's own, or because the host has the final one. */
+/** Completes requests: with a response from this instance, or when the host has the final response. */
 final class RequestCompletion {
     private final Settings settings;
     private final Step step;
@@ -33,35 +33,35 @@
         this.random = random;
     }
 
-    /** Rejects the request where a retry is harmless, else reports that its outcome is unknown. */
+    /** Rejects the request if a retry is harmless, otherwise reports that its outcome is unknown. */
     void rejectOrFail(PendingRequest request) {
         if (rules.allowsRejection(request)) {
             step.emit(new Reject(request.id, retryAfterMs(request)));
         } else {
             step.emit(new Fail(request.id));
         }
-        close(request);
+        complete(request);
     }
 
     private double retryAfterMs(PendingRequest request) {
-        double usualMs = fleet.slowdown * latency.usualMs(request);
-        double delayMs = settings.limits().allowsRetryAdvice() ? usualMs * (1 + random.nextDouble()) : 0;
+        double typicalMs = fleet.slowdown * latency.typicalMs(request);
+        double delayMs = settings.limits().allowsRetryAdvice() ? typicalMs * (1 + random.nextDouble()) : 0;
         return Math.min(settings.limits().maxRetryAdviceMs(), delayMs);
     }
 
-    /** The request has its final answer or needs none; null and a closed one are ignored. */
-    void close(PendingRequest request) {
-        if (request == null || request.isOver) {
+    /** Marks the request as complete; does nothing if it is null or already complete. */
+    void complete(PendingRequest request) {
+        if (request == null || request.isComplete) {
             return;
         }
-        request.isOver = true;
-        if (!request.isStreaming) { // a stream that has started is the client's
+        request.isComplete = true;
+        if (!request.isStreaming) { // a stream that has started is the response, so it continues
             cancelOthers(request, null);
         }
         requests.removeIfDone(request);
     }
 
-    /** Cancels the request's attempts in flight but this one, where that is allowed. */
+    /** Cancels the request's other attempts in flight, if cancellation is allowed. */
     void cancelOthers(PendingRequest request, Attempt except) {
         for (Attempt attempt : request.attempts) {
             boolean isOther = attempt.isInFlight() && attempt != except;
--- a/balancer/src/main/java/dewplank/balancer/adaptive/RequestTable.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/RequestTable.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The requests that are not over, and those of which an attempt is still in flight. */
+/** The requests that are not complete or still have attempts in flight. */
 final class RequestTable {
     private final Map<Long, PendingRequest> requests = new HashMap<>();
 
@@ -16,14 +16,14 @@
         return requests.get(id);
     }
 
-    /** The attempt of a request, or null if it was never sent or its request is forgotten. */
+    /** The attempt, or null if it was never sent or its request has been removed. */
     Attempt findAttempt(long id, int number) {
         PendingRequest request = requests.get(id);
         return request == null || number >= request.attempts.size() ? null : request.attempts.get(number);
     }
 
     void removeIfDone(PendingRequest request) {
-        if (request.isOver && !request.hasAttemptInFlight()) {
+        if (request.isComplete && !request.hasAttemptInFlight()) {
             requests.remove(request.id);
         }
     }
--- a/balancer/src/main/java/dewplank/balancer/adaptive/RetryPolicy.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/RetryPolicy.java
@@ -4,8 +4,8 @@
 import dewplank.balancer.Settings;
 
 /**
- * Decides on a request whose attempts have all ended without an answer: another attempt, or the final answer
- * at once. Called by {@link AttemptTracker}.
+ * Decides on a request whose attempts have all ended without a response: either retries it or completes it
+ * immediately. Called by {@link AttemptTracker}.
  */
 final class RetryPolicy {
     private final Settings settings;
@@ -30,8 +30,11 @@
         this.completion = completion;
     }
 
-    /** No attempt is in flight and the request is not over; {@code last} is its latest attempt's outcome. */
-    void retryOrAnswer(PendingRequest request, Outcome last) {
+    /**
+     * Requires that the request is not complete and has no attempt in flight; {@code last} is the outcome
+     * of its latest attempt.
+     */
+    void retryOrComplete(PendingRequest request, Outcome last) {
         boolean mayRetry = step.nowMs() + settings.tickMs() < request.deadlineAtMs
                 && last != Outcome.NEVER_SENT
                 && retries.allowsRetry(request);
--- a/balancer/src/main/java/dewplank/balancer/adaptive/RunningMean.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/RunningMean.java
@@ -1,15 +1,15 @@
 package dewplank.balancer.adaptive;
 
-/** An average: of all samples at first, then one that follows each sample by a fixed step. */
+/** A mean of all samples at first, later an exponential moving average. */
 final class RunningMean {
     double value;
     long count;
 
-    RunningMean(double firstGuess) {
-        this.value = firstGuess;
+    RunningMean(double initialValue) {
+        this.value = initialValue;
     }
 
-    void add(double sample, double minStep) {
-        value += (sample - value) * Math.max(1.0 / ++count, minStep);
+    void add(double sample, double minAlpha) {
+        value += (sample - value) * Math.max(1.0 / ++count, minAlpha);
     }
 }
--- a/balancer/src/main/java/dewplank/balancer/adaptive/RunningRegression.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/RunningRegression.java
@@ -1,15 +1,15 @@
 package dewplank.balancer.adaptive;
 
-/** Running averages of pairs, and the slope of the least-squares line through them. */
+/** A linear regression of y on x, by least squares over exponential moving averages. */
 final class RunningRegression {
     double meanX;
     private double meanSquare;
     private double meanProduct;
 
-    void add(double x, double y, double step) {
-        meanX += (x - meanX) * step;
-        meanSquare += (x * x - meanSquare) * step;
-        meanProduct += (x * y - meanProduct) * step;
+    void add(double x, double y, double alpha) {
+        meanX += (x - meanX) * alpha;
+        meanSquare += (x * x - meanSquare) * alpha;
+        meanProduct += (x * y - meanProduct) * alpha;
     }
 
     double slope(double meanY) {
--- a/balancer/src/main/java/dewplank/balancer/adaptive/ServerBackoff.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/ServerBackoff.java
@@ -3,8 +3,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Keeps a server that rejected work, or let no connection in, out of the draw for a while: exponential
- * backoff with jitter, up to seconds, since a server that only rejects is no server.
+ * Excludes a server that rejected an attempt or refused a connection from draws for a time: exponential
+ * backoff with jitter, up to several seconds, because a server that only rejects is of no use.
  */
 final class ServerBackoff {
     static final double AFTER_REJECTION_MS = 40;
@@ -20,18 +20,21 @@
         this.random = random;
     }
 
-    /** Answers to what was sent before a backoff began say no more than the one that began it. */
+    /**
+     * Starts a backoff. Outcomes of attempts sent before the current backoff began are ignored, because
+     * they give no new information.
+     */
     void begin(Attempt attempt, double minMs) {
         ServerState server = attempt.server;
-        if (attempt.sentAtMs >= server.backoffFromMs) {
-            server.backoffFromMs = step.nowMs();
+        if (attempt.sentAtMs >= server.backoffStartedAtMs) {
+            server.backoffStartedAtMs = step.nowMs();
             server.nextBackoffMs = Math.max(server.nextBackoffMs, minMs);
             server.backoffUntilMs = step.nowMs() + server.nextBackoffMs * (0.5 + random.nextDouble());
             server.nextBackoffMs = Math.min(server.nextBackoffMs * MULTIPLIER, MAX_BACKOFF_MS);
         }
     }
 
-    boolean isOver(ServerState server) {
+    boolean hasEnded(ServerState server) {
         return step.nowMs() >= server.backoffUntilMs;
     }
 }
--- a/balancer/src/main/java/dewplank/balancer/adaptive/ServerPicker.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/ServerPicker.java
@@ -7,8 +7,8 @@
 import java.util.function.Predicate;
 
 /**
- * Picks the server of an attempt: a due trial first; else the better of two drawn by weight, in the local
- * zone and in the others; of both the cheaper one.
+ * Picks the server for an attempt: an ejected server that is due for a trial; otherwise the better of two
+ * drawn by weight in the local zone or in the other zones, whichever has the lower cost.
  */
 final class ServerPicker {
     private static final long KEY_HASH_MULTIPLIER = 31;
@@ -39,7 +39,7 @@
         this.cost = cost;
     }
 
-    /** The server for the request's next attempt, or null if there is none now. */
+    /** The server for the request's next attempt, or null if none is available now. */
     ServerState pick(PendingRequest request) {
         workingSet.review();
         Predicate<ServerState> isEligible = server -> eligibility.isEligible(server, request);
@@ -49,8 +49,8 @@
             return trial;
         }
         candidates = eligibility.candidates(request, isEligible);
-        boolean usesCaches = request.key != null && settings.serversCacheKeys();
-        request.cachingServer = usesCaches ? serverOfKey(request.key) : null;
+        boolean usesCache = request.key != null && settings.serversCacheKeys();
+        request.cachingServer = usesCache ? serverOfKey(request.key) : null;
         ServerState local = twoChoices.betterOfTwo(filter(candidates, server -> server.isLocal), request);
         ServerState remote = twoChoices.betterOfTwo(filter(candidates, server -> !server.isLocal), request);
         if (local == null || remote == null) {
@@ -60,8 +60,8 @@
     }
 
     /**
-     * The least costly of all servers that the last {@link #pick} chose from; never null after one that found
-     * any.
+     * The server with the lowest cost among the candidates of the last {@link #pick}; not null if that call
+     * found a server.
      */
     ServerState cheapestCandidate(PendingRequest request) {
         ServerState cheapest = null;
@@ -76,13 +76,16 @@
         return cheapest;
     }
 
-    /** The least queue among those candidates that answered lately; the other one if none did. */
-    double shortestQueueShare(PendingRequest request, double otherwise) {
+    /**
+     * The shortest queue among the candidates with recent responses, or {@code otherwise} if there are
+     * none.
+     */
+    double shortestQueueFraction(PendingRequest request, double otherwise) {
         double shortest = Double.POSITIVE_INFINITY;
         boolean hasRecentSample = false;
         for (ServerState server : candidates) {
             if (latency.hasRecentSample(server)) {
-                shortest = Math.min(shortest, latency.queueShare(server, request));
+                shortest = Math.min(shortest, latency.queueFraction(server, request));
                 hasRecentSample = true;
             }
         }
@@ -90,9 +93,10 @@
     }
 
     /**
-     * The candidate that owns the key by rendezvous hashing ("Using Name-Based Mappings to Increase Hit
-     * Rates", Thaler and Ravishankar, IEEE/ACM ToN 6(1), 1998): all instances agree on it without messages,
-     * and only the keys of a server that comes or goes change theirs. It most likely has the key cached.
+     * The candidate to which rendezvous hashing assigns the key ("Using Name-Based Mappings to Increase Hit
+     * Rates", Thaler and Ravishankar, IEEE/ACM ToN 6(1), 1998): all instances compute the same assignment
+     * without messages, and adding or removing a server only reassigns that server's keys. The server most
+     * likely has the key cached.
      */
     private ServerState serverOfKey(String key) {
         ServerState owner = null;
--- a/balancer/src/main/java/dewplank/balancer/adaptive/ServerState.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/ServerState.java
@@ -5,19 +5,19 @@
 import java.util.LinkedHashSet;
 
 /**
- * A server as listed, and what this instance knows of it. Each group of figures belongs to one of the
- * decisions.
+ * A server's entry in the endpoint list, and this instance's state for it. Each group of fields belongs to
+ * one of the decision classes.
  */
 final class ServerState {
     final String id;
-    /** Where it stands in this instance's own order of servers. */
-    final long spreadOrder;
+    /** The server's position in this instance's order of servers. */
+    final long subsettingOrder;
 
     // EndpointTable
     Endpoint endpoint;
     ZoneStats zone;
     boolean isLocal;
-    boolean isGone;
+    boolean isRemoved;
     boolean wasDraining;
 
     // WorkingSet
@@ -36,14 +36,14 @@
     boolean passedLastHealthCheck = true;
 
     // ServerBackoff
-    double backoffFromMs;
+    double backoffStartedAtMs;
     double backoffUntilMs;
     double nextBackoffMs;
 
     // LatencyEstimates
     final RunningMean recentElapsed = new RunningMean(0);
-    final RunningMean lastingElapsed = new RunningMean(0);
-    double usualLoad = 1;
+    final RunningMean longTermElapsed = new RunningMean(0);
+    double typicalLoad = 1;
     double lastSampleAtMs;
     double lastServedSentAtMs = Double.NEGATIVE_INFINITY;
 
@@ -53,11 +53,11 @@
     double lastUseAtMs;
 
     // SlowStartBudget
-    double slowStartCountedAtMs;
-    double slowStartSavedMs;
+    double slowStartUpdatedAtMs;
+    double slowStartBalanceMs;
 
-    ServerState(String id, long spreadOrder) {
+    ServerState(String id, long subsettingOrder) {
         this.id = id;
-        this.spreadOrder = spreadOrder;
+        this.subsettingOrder = subsettingOrder;
     }
 }
--- a/balancer/src/main/java/dewplank/balancer/adaptive/SlowStartBudget.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/SlowStartBudget.java
@@ -5,12 +5,12 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Slow start: the capacity that a server has at its age, and this instance's part of the work that servers
- * still warming up may be sent.
+ * Slow start: estimates a server's capacity from its age, and limits the work that this instance sends to
+ * servers that are warming up.
  */
 final class SlowStartBudget {
-    private static final double SHARE_OF_USUAL_RATE = 0.6; // of this instance's usual rate to a warm server
-    private static final double MIN_SERVER_CORES = 0.25; // standard cores that even the smallest server has
+    private static final double WARM_RATE_FRACTION = 0.6; // of this instance's average rate to a warm server
+    private static final double MIN_SERVER_CORES = 0.25; // standard cores of the smallest server
     private static final double RATE_TIME_CONSTANT_MS = 3_000;
 
     private final Settings settings;
@@ -24,7 +24,7 @@
         this.random = random;
     }
 
-    /** The share of its capacity that a server surely has by now; 1 once it is warm. */
+    /** The fraction of its capacity that a server is guaranteed to have at its age; 1 once it is warm. */
     double guaranteedCapacity(ServerState server) {
         Double startedAtMs = server.endpoint.startedAtMs();
         double slowStartMs = settings.safety().slowStartMs();
@@ -32,8 +32,8 @@
             return 1;
         }
         double age = Math.max(0, step.nowMs() - startedAtMs) / slowStartMs;
-        double initialShare = settings.safety().slowStartInitialShare();
-        return Math.min(1, initialShare + (1 - initialShare) * age);
+        double initialCapacity = settings.safety().slowStartInitialShare();
+        return Math.min(1, initialCapacity + (1 - initialCapacity) * age);
     }
 
     boolean isWarm(ServerState server) {
@@ -41,44 +41,49 @@
     }
 
     /**
-     * The share that it is expected to have: the geometric mean of what it surely has and all. By the
-     * guaranteed share, on which the budget rests, an overloaded fleet would leave its newcomers idle.
+     * The expected fraction of the server's capacity: the geometric mean of the guaranteed fraction and 1.
+     * With the guaranteed fraction, on which the budget is based, an overloaded fleet would leave new
+     * servers idle.
      */
     double expectedCapacity(ServerState server) {
         return Math.sqrt(guaranteedCapacity(server));
     }
 
     /**
-     * Whether the server may be sent the request: always once it is warm, else while this instance's part of
-     * the stated budget lasts, as work saved up since the server's start; trials and hedges count. A part of
-     * less than one request starts with a debt drawn at random: of hundreds of instances only so many send at
-     * once as the budget bears, instead of one request each.
+     * Whether the request may be sent to the server: always once the server is warm, otherwise while this
+     * instance's part of the budget lasts. The budget accumulates, in work, since the server was first
+     * considered; trials and hedges count against it. An instance starts with a random debt of up to one
+     * request. Otherwise hundreds of instances, each with a part of less than one request, would all send
+     * one at the same time and exceed the total budget.
      */
     boolean allows(ServerState server, PendingRequest request) {
         double capacity = guaranteedCapacity(server);
         if (capacity >= 1) {
-            server.slowStartCountedAtMs = 0;
+            server.slowStartUpdatedAtMs = 0;
             return true;
         }
         double minShare = MIN_SERVER_CORES / Math.max(1, settings.replicaCount());
         double workPerMs = settings.safety().slowStartOverloadFactor()
                 * capacity
-                * Math.max(SHARE_OF_USUAL_RATE * warmRate.value, minShare);
-        if (server.slowStartCountedAtMs == 0) {
-            server.slowStartCountedAtMs = step.nowMs();
-            server.slowStartSavedMs = -random.nextDouble() * request.stats.work.value;
+                * Math.max(WARM_RATE_FRACTION * warmRate.value, minShare);
+        if (server.slowStartUpdatedAtMs == 0) {
+            server.slowStartUpdatedAtMs = step.nowMs();
+            server.slowStartBalanceMs = -random.nextDouble() * request.stats.work.value;
         }
-        double maxSavedMs = workPerMs * settings.safety().slowStartOverloadMs() / 2;
-        double earnedMs = workPerMs * (step.nowMs() - server.slowStartCountedAtMs);
-        server.slowStartSavedMs = Math.min(maxSavedMs, server.slowStartSavedMs + earnedMs);
-        server.slowStartCountedAtMs = step.nowMs();
-        return server.isInWorkingSet && server.slowStartSavedMs >= 0;
+        double maxBalanceMs = workPerMs * settings.safety().slowStartOverloadMs() / 2;
+        double earnedMs = workPerMs * (step.nowMs() - server.slowStartUpdatedAtMs);
+        server.slowStartBalanceMs = Math.min(maxBalanceMs, server.slowStartBalanceMs + earnedMs);
+        server.slowStartUpdatedAtMs = step.nowMs();
+        return server.isInWorkingSet && server.slowStartBalanceMs >= 0;
     }
 
-    /** Takes what is sent to a server warming up off its budget; what warm ones get sets the pace of that. */
+    /**
+     * Deducts the work sent to a server that is warming up from its budget; work sent to warm servers sets
+     * the rate at which budgets grow.
+     */
     void recordSend(ServerState server, double workMs, List<ServerState> workingServers) {
         if (guaranteedCapacity(server) < 1) {
-            server.slowStartSavedMs -= workMs;
+            server.slowStartBalanceMs -= workMs;
             return;
         }
         int warm = 0;
--- a/balancer/src/main/java/dewplank/balancer/adaptive/TwoChoices.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/TwoChoices.java
@@ -7,8 +7,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The better of two servers drawn by weight ("The Power of Two Choices in Randomized Load Balancing",
- * Mitzenmacher, IEEE TPDS 12(10), 2001). Called by {@link ServerPicker}, which decides the order of draws.
+ * Chooses the better of two servers drawn by weight ("The Power of Two Choices in Randomized Load
+ * Balancing", Mitzenmacher, IEEE TPDS 12(10), 2001). Called by {@link ServerPicker}, which determines the
+ * order of draws.
  */
 final class TwoChoices {
     private final Settings settings;
@@ -34,8 +35,9 @@
     }
 
     /**
-     * Of two by weight, the key's server always one: that with fewer in flight, or of lesser cost; null if
-     * there are no servers.
+     * Draws two servers by weight, or one besides the server that has the key cached, and returns the one
+     * with fewer requests in flight, or with the lower cost if the numbers are equal; null if there are no
+     * servers.
      */
     ServerState betterOfTwo(List<ServerState> from, PendingRequest request) {
         if (from.isEmpty()) {
@@ -48,18 +50,18 @@
             return first;
         }
         ServerState second = WeightedDraw.draw(from, first, this::drawWeight, random);
-        int extraLoad = latency.load(first) - latency.load(second);
-        if (extraLoad == 0) {
+        int loadDifference = latency.load(first) - latency.load(second);
+        if (loadDifference == 0) {
             return cost.of(first, request) <= cost.of(second, request) ? first : second;
         }
-        return extraLoad < 0 ? first : second;
+        return loadDifference < 0 ? first : second;
     }
 
     private double drawWeight(ServerState server) {
-        double statedRating = Math.max(server.endpoint.rating(), ServerHealth.WEIGHT_FLOOR);
-        double rating = settings.serversAreRated() ? statedRating : 1;
+        double boundedRating = Math.max(server.endpoint.rating(), ServerHealth.WEIGHT_FLOOR);
+        double rating = settings.serversAreRated() ? boundedRating : 1;
         double reachability = latency.needsConnection(server)
-                ? Math.max(ServerHealth.WEIGHT_FLOOR, 1 - fleet.connectFailureShare)
+                ? Math.max(ServerHealth.WEIGHT_FLOOR, 1 - fleet.connectFailureFraction)
                 : 1;
         return server.health.weight() * rating * reachability * slowStart.expectedCapacity(server);
     }
--- a/balancer/src/main/java/dewplank/balancer/adaptive/ValueModel.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/ValueModel.java
@@ -8,14 +8,14 @@
 import java.util.Map;
 import java.util.random.RandomGenerator;
 
-/** What a request is worth to the goal, by its class, its tenant's use of its share, and its work. */
+/** The value of a request for the goal, from its class, its tenant's use of its share, and its work. */
 final class ValueModel {
-    private static final double FIRST_GUESS_OF_TARGET = 0.15; // a class's time before any is known
+    private static final double INITIAL_TARGET_FRACTION = 0.15; // initial estimate of a class's time
     private static final double TENANT_TIME_CONSTANT_MS = 5_000;
     private static final double MILLIS_PER_SECOND = 1_000;
     private static final double MIN_WORK_MS = 1e-3;
 
-    /** A tenant and the rate of its requests. */
+    /** A tenant and its request rate. */
     private record TenantUsage(Tenant tenant, DecayingSum requestsPerSecond) {}
 
     private final Settings settings;
@@ -30,9 +30,9 @@
         this.settings = settings;
         this.step = step;
         this.random = random;
-        for (Settings.RequestClass rules : settings.classes()) {
-            double firstGuessMs = rules.latencyTargetMs() * FIRST_GUESS_OF_TARGET;
-            classes.put(rules.name(), new ClassStats(rules, firstGuessMs));
+        for (Settings.RequestClass requestClass : settings.classes()) {
+            double initialMs = requestClass.latencyTargetMs() * INITIAL_TARGET_FRACTION;
+            classes.put(requestClass.name(), new ClassStats(requestClass, initialMs));
         }
         for (Tenant tenant : settings.tenants()) {
             tenants.put(tenant.name(), new TenantUsage(tenant, new DecayingSum(TENANT_TIME_CONSTANT_MS)));
@@ -40,59 +40,59 @@
     }
 
     /**
-     * The arrived request with its value.
+     * Returns the request with its value.
      *
-     * @throws IllegalArgumentException if the settings have no such class
+     * @throws IllegalArgumentException if the request's class is not in the settings
      */
     PendingRequest evaluate(RequestArrived event) {
         ClassStats stats = classes.get(event.requestClass());
         if (stats == null) {
-            throw new IllegalArgumentException("unknown class " + event.requestClass());
+            throw new IllegalArgumentException("unknown request class " + event.requestClass());
         }
         if (event.costMs() != null) {
-            stats.work.add(event.costMs(), LatencyEstimates.FLEET_STEP);
+            stats.work.add(event.costMs(), LatencyEstimates.FLEET_ALPHA);
         }
         double workMs = event.costMs() == null ? stats.work.value : event.costMs();
         double units = settings.valueIsPerWork() ? workMs : 1;
-        double value = stats.rules.value() * units * withinShare(event.tenant());
+        double value = stats.requestClass.value() * units * tenantValueFactor(event.tenant());
         stats.valueRequested += value;
         double density = value * goalWeight(stats) / Math.max(workMs, MIN_WORK_MS);
-        double meanStep = meanValue == 0 ? 1 : LatencyEstimates.FLEET_STEP;
-        meanValue += (value - meanValue) * meanStep;
+        double alpha = meanValue == 0 ? 1 : LatencyEstimates.FLEET_ALPHA;
+        meanValue += (value - meanValue) * alpha;
         return new PendingRequest(event, stats, step.nowMs(), value, density);
     }
 
-    /** The mean value of a request lately. */
+    /** The moving average of the values of recent requests. */
     double meanValue() {
         return meanValue;
     }
 
-    /** Where the request stands among recent ones by value per work: from 0, the least, to 1. */
+    /** The request's rank among recent requests by value per unit of work, from 0 (lowest) to 1. */
     double rank(PendingRequest request) {
         return densities.add(request.density, random.nextDouble());
     }
 
-    /** The goal also counts the class served worst: its requests are worth that much more while it is. */
+    /**
+     * The weight of the class's value in the goal. The goal also includes the worst-served class, so its
+     * requests weigh more.
+     */
     private double goalWeight(ClassStats stats) {
         boolean isWorst = true;
         for (ClassStats other : classes.values()) {
-            isWorst &= !(other.servedShare() < stats.servedShare());
+            isWorst &= !(other.servedFraction() < stats.servedFraction());
         }
         double requested =
                 classes.values().stream().mapToDouble(c -> c.valueRequested).sum();
-        if (!isWorst || stats.valueRequested <= 0) { // a class may be worth nothing
+        if (!isWorst || stats.valueRequested <= 0) { // the value of a class may be 0
             return settings.goal().all();
         }
         return settings.goal().all() + settings.goal().worstClass() * requested / stats.valueRequested;
     }
 
-    /**
-     * The part of its value that a request is expected to have: less while its tenant uses more than its
-     * share.
-     */
-    private double withinShare(String tenant) {
+    /** The factor on the value of a tenant's requests: below 1 while the tenant exceeds its share. */
+    private double tenantValueFactor(String tenant) {
         TenantUsage own = tenant == null ? null : tenants.get(tenant);
-        if (own == null && !tenants.isEmpty()) { // a tenant that the settings do not name has no share
+        if (own == null && !tenants.isEmpty()) { // a tenant that is not in the settings has no share
             return settings.overShareValueFactor();
         }
         if (own == null || own.tenant().allowancePerSecond() <= 0) {
@@ -102,11 +102,11 @@
         double rates = 0;
         double allowances = 0;
         for (Tenant other : settings.tenants()) {
-            rates += tenants.get(other.name()).requestsPerSecond().at(step.nowMs());
+            rates += tenants.get(other.name()).requestsPerSecond().valueAt(step.nowMs());
             allowances += other.allowancePerSecond();
         }
         double fairRate = rates * own.tenant().allowancePerSecond() / allowances;
-        double within = Math.min(1, fairRate / own.requestsPerSecond().value);
-        return within + (1 - within) * settings.overShareValueFactor();
+        double fractionWithinShare = Math.min(1, fairRate / own.requestsPerSecond().value);
+        return fractionWithinShare + (1 - fractionWithinShare) * settings.overShareValueFactor();
     }
 }
--- a/balancer/src/main/java/dewplank/balancer/adaptive/WaitingRequests.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/WaitingRequests.java
@@ -1,8 +1,8 @@
 package dewplank.balancer.adaptive;
 
 /**
- * Requests for which there is no server now. Each waits only while that can help: a list may come, a backoff
- * may end, a slow start's budget refills.
+ * Queues requests for which no server is available. Each waits only while a server may become available: by
+ * an endpoint list, the end of a backoff, or a refill of a slow start budget.
  */
 final class WaitingRequests {
     private static final double POLL_INTERVAL_MS = 20;
@@ -38,18 +38,18 @@
         this.completion = completion;
     }
 
-    /** Takes the request, or rejects it at once if no wait can help. */
+    /** Queues the request, or rejects it immediately if waiting cannot help. */
     void add(PendingRequest request) {
-        double usualMs = fleet.slowdown * latency.usualMs(request);
-        double lastMomentMs = Math.min(request.targetAtMs(), request.deadlineAtMs) - usualMs;
-        if (mayHelp(request) && step.nowMs() + POLL_INTERVAL_MS < lastMomentMs) {
+        double typicalMs = fleet.slowdown * latency.typicalMs(request);
+        double latestSendAtMs = Math.min(request.targetAtMs(), request.deadlineAtMs) - typicalMs;
+        if (waitMayHelp(request) && step.nowMs() + POLL_INTERVAL_MS < latestSendAtMs) {
             step.schedule(POLL_INTERVAL_MS, () -> poll(request));
         } else {
             completion.rejectOrFail(request);
         }
     }
 
-    private boolean mayHelp(PendingRequest request) {
+    private boolean waitMayHelp(PendingRequest request) {
         if (subscription.isPending()) {
             return true;
         }
@@ -62,7 +62,7 @@
     }
 
     private void poll(PendingRequest request) {
-        if (request.isOver) {
+        if (request.isComplete) {
             return;
         }
         ServerState server = picker.pick(request);
--- a/balancer/src/main/java/dewplank/balancer/adaptive/WorkingSet.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/WorkingSet.java
@@ -11,16 +11,16 @@
 import java.util.Set;
 
 /**
- * Which servers are ejected, and the few that this instance mostly uses: the first ones of each zone, in an
- * order of its own. This is deterministic subsetting ("Site Reliability Engineering", O'Reilly 2016, chapter
- * 20). If all instances met all servers, observation windows would not fill, connections would go idle and
- * tables overflow.
+ * Determines which servers are ejected, and the small subset of servers that this instance mostly uses: the
+ * first ones of each zone, in an order that differs between instances. This is deterministic subsetting
+ * ("Site Reliability Engineering", O'Reilly 2016, chapter 20). If all instances used all servers,
+ * observation windows would not fill, connections would be idle, and connection tables would overflow.
  */
 final class WorkingSet {
     private static final double REVIEW_INTERVAL_MS = 250;
     private static final double MIN_LOCAL_SERVERS = 2; // half as many in other zones
-    private static final double CONNECTIONS_PER_SERVER = 20; // of all instances: borne with ease
-    private static final double VISIT_INTERVAL_MS = 300; // own traffic widens the set by one server for each
+    private static final double CONNECTIONS_PER_SERVER = 20; // from all instances; an easy load
+    private static final double SERVER_REQUEST_INTERVAL_MS = 300; // between own requests to each added server
     private static final double CLOSE_UNUSED_AFTER_MS = 5_000;
     private static final double RATE_TIME_CONSTANT_MS = 5_000;
 
@@ -33,7 +33,7 @@
     private final List<ServerState> healthy = new ArrayList<>();
     private final List<ServerState> ejected = new ArrayList<>();
     private final List<ServerState> working = new ArrayList<>();
-    private double reviewAtMs = Double.NEGATIVE_INFINITY;
+    private double nextReviewAtMs = Double.NEGATIVE_INFINITY;
 
     WorkingSet(Settings settings, Step step, EndpointTable endpoints, PeerExchange peers) {
         this.settings = settings;
@@ -42,12 +42,12 @@
         this.peers = peers;
     }
 
-    /** Listed servers; one that has gone and is ejected does not count. */
+    /** The listed servers, except removed servers that are ejected. */
     List<ServerState> listed() {
         return listed;
     }
 
-    /** Listed servers that are not ejected. */
+    /** The listed servers that are not ejected. */
     List<ServerState> healthy() {
         return healthy;
     }
@@ -56,13 +56,13 @@
         return ejected;
     }
 
-    /** The servers mostly used. */
+    /** The servers in the working set. */
     List<ServerState> working() {
         return working;
     }
 
-    /** Ejections bind while at least half of the servers are free of one; below that they bind nobody. */
-    boolean ejectionsBind() {
+    /** Whether ejections are in effect: only while at least half of the servers are not ejected. */
+    boolean ejectionsApply() {
         return 2 * healthy.size() >= listed.size();
     }
 
@@ -70,17 +70,17 @@
         ownRate.add(step.nowMs(), 1 / RATE_TIME_CONSTANT_MS);
     }
 
-    /** The next {@link #review} is due now: the list changed, or a verdict may have. */
+    /** Makes the next {@link #review} due now, because the list or a server's health has changed. */
     void requestReview() {
-        reviewAtMs = step.nowMs();
+        nextReviewAtMs = step.nowMs();
     }
 
-    /** Brings ejections and the set up to date, if that is due. */
+    /** Updates ejections and the working set, if a review is due. */
     void review() {
-        if (step.nowMs() < reviewAtMs) {
+        if (step.nowMs() < nextReviewAtMs) {
             return;
         }
-        reviewAtMs = step.nowMs() + REVIEW_INTERVAL_MS;
+        nextReviewAtMs = step.nowMs() + REVIEW_INTERVAL_MS;
         reviewEjections();
         reviewWorkingServers();
     }
@@ -91,9 +91,9 @@
         ejected.clear();
         for (ServerState server : endpoints.servers()) {
             if (endpoints.isListed(server)) {
-                server.isEjected = peers.findsUnhealthy(server);
+                server.isEjected = peers.isVotedUnhealthy(server);
                 server.isInWorkingSet = false;
-                if (!server.isGone || !server.isEjected) { // does not count for the floor
+                if (!server.isRemoved || !server.isEjected) { // others do not count in ejectionsApply()
                     listed.add(server);
                 }
                 (server.isEjected ? ejected : healthy).add(server);
@@ -103,13 +103,13 @@
 
     private void reviewWorkingServers() {
         working.clear();
-        List<ServerState> eligible = new ArrayList<>(ejectionsBind() ? healthy : listed);
-        eligible.sort(Comparator.comparingLong(server -> server.spreadOrder));
+        List<ServerState> eligible = new ArrayList<>(ejectionsApply() ? healthy : listed);
+        eligible.sort(Comparator.comparingLong(server -> server.subsettingOrder));
         double maxLocal = maxLocalServers();
-        Map<String, Integer> taken = new HashMap<>();
+        Map<String, Integer> countByZone = new HashMap<>();
         for (ServerState server : eligible) {
             double max = server.isLocal ? maxLocal : maxLocal / 2;
-            if (taken.merge(server.endpoint.zone(), 1, Integer::sum) <= max) {
+            if (countByZone.merge(server.endpoint.zone(), 1, Integer::sum) <= max) {
                 working.add(server);
                 server.isInWorkingSet = true;
             } else {
@@ -124,11 +124,14 @@
             zones.add(server.endpoint.zone());
         }
         double size = CONNECTIONS_PER_SERVER * listed.size() / Math.max(1, settings.replicaCount())
-                + ownRate.at(step.nowMs()) * VISIT_INTERVAL_MS;
+                + ownRate.valueAt(step.nowMs()) * SERVER_REQUEST_INTERVAL_MS;
         return Math.max(MIN_LOCAL_SERVERS, 2 * size / (zones.size() + 1));
     }
 
-    /** A full connection table slows its server, and keeps other instances out. */
+    /**
+     * Closes connections that are no longer used: a full connection table slows its server and keeps other
+     * instances from connecting.
+     */
     private void closeUnusedConnections(ServerState server) {
         double unusedMs = step.nowMs() - server.lastUseAtMs;
         boolean isUnused = server.inFlight.isEmpty() && unusedMs > CLOSE_UNUSED_AFTER_MS;
--- a/balancer/src/main/java/dewplank/balancer/adaptive/ZoneStats.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/ZoneStats.java
@@ -1,6 +1,6 @@
 package dewplank.balancer.adaptive;
 
-/** A zone: the least time lately from a send there to its answer. */
+/** The recent minimum response time of the servers in a zone. */
 final class ZoneStats {
     double minElapsedMs;
 }
--- a/balancer/src/main/java/dewplank/balancer/health/ObservationWindow.java
+++ b/balancer/src/main/java/dewplank/balancer/health/ObservationWindow.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayDeque;
 
-/** The recent observations of one context, oldest first. */
+/** The recent observations of one server in one context, oldest first. */
 final class ObservationWindow {
     private final ArrayDeque<Double> timesMs = new ArrayDeque<>();
     private final ArrayDeque<Boolean> outcomes = new ArrayDeque<>();
--- a/balancer/src/main/java/dewplank/balancer/health/PeerSummary.java
+++ b/balancer/src/main/java/dewplank/balancer/health/PeerSummary.java
@@ -5,13 +5,14 @@
 import java.util.List;
 
 /**
- * What one instance sends its peers: the servers that it finds unhealthy, by the hashes of their ids.
+ * The message that one instance sends to its peers: the servers that it finds unhealthy, as hashes of their
+ * ids.
  *
- * <p>On the wire, 256 bytes at most: a version (1), the time of creation (a double), and a hash (4 bytes)
- * for each server, as many as fit; all big-endian.
+ * <p>The encoding has at most 256 bytes, all big-endian: a version (1 byte), the creation time (a double),
+ * and a hash (4 bytes) for each server, as many as fit.
  *
- * @param createdAtMs in milliseconds of the clock that all machines read; orders an instance's summaries
- *     and gives their age, across its restarts too
+ * @param createdAtMs in milliseconds of the clock that all machines share; orders an instance's summaries
+ *     and gives their age, across restarts too
  * @param unhealthyServers {@link String#hashCode} of each server's id
  */
 public record PeerSummary(double createdAtMs, List<Integer> unhealthyServers) {
@@ -19,7 +20,7 @@
     private static final byte VERSION = 1;
     private static final int HEADER_BYTES = 1 + Double.BYTES;
 
-    /** The bytes to send; servers beyond those that fit are left out. */
+    /** Encodes the summary; servers that do not fit are omitted. */
     public byte[] encode() {
         int count = Math.min(unhealthyServers.size(), (MAX_BYTES - HEADER_BYTES) / Integer.BYTES);
         ByteBuffer out = ByteBuffer.allocate(HEADER_BYTES + Integer.BYTES * count);
@@ -28,9 +29,7 @@
         return out.array();
     }
 
-    /**
-     * The summary that these untrusted bytes hold, or null if they are torn, foreign or of another version.
-     */
+    /** Decodes untrusted bytes; returns null if they are truncated, malformed or of another version. */
     public static PeerSummary decode(byte[] bytes) {
         boolean hasValidLength = bytes.length >= HEADER_BYTES
                 && bytes.length <= MAX_BYTES
--- a/balancer/src/main/java/dewplank/balancer/health/PeerVotes.java
+++ b/balancer/src/main/java/dewplank/balancer/health/PeerVotes.java
@@ -4,19 +4,19 @@
 import java.util.Map;
 
 /**
- * The peers' latest summaries, each counted as a vote while it is fresh. Times are in milliseconds of the
- * clock that all machines read. Not thread-safe.
+ * The peers' latest summaries, each of which counts as a vote until it expires. Times are in milliseconds
+ * of the clock that all machines share. Not thread-safe.
  *
- * @param <P> the identity of a peer, such as its number
+ * @param <P> the identity of a peer, such as its index
  */
 public final class PeerVotes<P> {
-    private static final double MAX_AGE_MS = 3_000; // a summary counts so long
+    private static final double MAX_AGE_MS = 3_000; // older summaries do not count
 
     private final Map<P, PeerSummary> summaries = new LinkedHashMap<>();
 
     /**
-     * Takes a summary; one that is overdue, repeated, overtaken by a newer one, or from the future changes
-     * nothing.
+     * Stores a summary. One that has expired, is a duplicate, is older than the stored one, or has a
+     * creation time too far in the future is ignored.
      */
     public void receive(double nowMs, P peer, PeerSummary summary) {
         if (Math.abs(nowMs - summary.createdAtMs()) <= MAX_AGE_MS) {
@@ -28,16 +28,16 @@
         return last.createdAtMs() < received.createdAtMs() ? received : last;
     }
 
-    /** The peer has left; it has no vote until its next summary. */
+    /** Removes a peer's vote; the peer has no vote until its next summary. */
     public void remove(P peer) {
         summaries.remove(peer);
     }
 
     /**
-     * Whether a simple majority of votes finds the server unhealthy. A tie goes by own traffic: a quiet
-     * peer that has seen nothing must not outvote the only other.
+     * Whether a simple majority of votes finds the server unhealthy. In a tie the own vote decides: a peer
+     * that sent no requests to the server must not outvote the only other one.
      *
-     * @param ownVote whether this process finds it unhealthy
+     * @param ownVote whether this process finds the server unhealthy
      */
     public boolean isUnhealthy(double nowMs, String server, boolean ownVote) {
         int votes = ownVote ? 1 : 0;
--- a/balancer/src/main/java/dewplank/balancer/health/ServerHealth.java
+++ b/balancer/src/main/java/dewplank/balancer/health/ServerHealth.java
@@ -4,30 +4,33 @@
 import java.util.Map;
 
 /**
- * What one process has observed of one server: recent outcomes by context, its vote, and the weight in
- * draws.
+ * The observations that one process has made of one server: recent outcomes by context, the resulting vote,
+ * and the server's weight in draws.
  *
  * <p>After "Capturing and Enhancing In Situ System Observability for Failure Detection" (Huang et al., OSDI
- * '18). Times are in milliseconds of one clock that never goes back. Not thread-safe: its owner's thread
- * makes all calls.
+ * '18). Times are in milliseconds of one monotonic clock. Not thread-safe: all calls come from the owner's
+ * thread.
  */
 public final class ServerHealth {
-    /** The least weight, as a part of the mean: errors halve the weight down to it. */
+    /**
+     * The minimum weight, relative to the full weight of 1. Each unhealthy outcome halves the weight down
+     * to it.
+     */
     public static final double WEIGHT_FLOOR = 0.05;
 
-    private static final double WINDOW_MS = 10_000; // recent observations
-    private static final double WEIGHT_STEP = 0.05; // of the mean; each success restores so much
-    private static final int MIN_UNHEALTHY = 3; // unhealthy ones in the window before any verdict
+    private static final double WINDOW_MS = 10_000; // age up to which observations count
+    private static final double WEIGHT_STEP = 0.05; // added to the weight by each success
+    private static final int MIN_UNHEALTHY = 3; // outcomes in the window; fewer are no evidence
 
     private final Map<String, ObservationWindow> contexts = new HashMap<>();
     private double weight = 1;
     private double lastSuccessAtMs = Double.NEGATIVE_INFINITY;
 
     /**
-     * Takes the outcome of one request.
+     * Records the outcome of one request.
      *
-     * @param context the request's class; each is judged by itself
-     * @param isHealthy whether it was served; false: an error, a time-out or a reset
+     * @param context the request's class; each class is evaluated separately
+     * @param isHealthy whether the request was served; false for an error, a timeout or a reset
      */
     public void observe(double nowMs, String context, boolean isHealthy) {
         contexts.computeIfAbsent(context, name -> new ObservationWindow()).add(nowMs, isHealthy);
@@ -35,23 +38,31 @@
         lastSuccessAtMs = isHealthy ? nowMs : lastSuccessAtMs;
     }
 
-    /** A request was served, but so late that it stands as observed before: the server is alive, no more. */
+    /**
+     * Records a request that was served late and has already been recorded as unhealthy. It only shows that
+     * the server is alive.
+     */
     public void recordLateSuccess(double nowMs) {
         lastSuccessAtMs = nowMs;
     }
 
-    /** The server is a new process: what was seen of the old one says nothing of it. */
+    /**
+     * Discards the observations after a restart of the server, because they describe the previous process.
+     */
     public void reset() {
         contexts.clear();
         weight = 1;
     }
 
-    /** This process's vote: whether any context is unhealthy by its latest observation or by a majority. */
+    /**
+     * This process's vote: the server is unhealthy if in any context the latest or at least half of the
+     * outcomes are unhealthy.
+     */
     public boolean isUnhealthy(double nowMs) {
         boolean vote = false;
         for (ObservationWindow window : contexts.values()) {
             window.removeBefore(nowMs - WINDOW_MS);
-            // What another context was served since is the server's latest status: some take no trials.
+            // A later success in any context counts as the latest status: some contexts send no trials.
             boolean latestIsUnhealthy = window.latestIsUnhealthy() && window.latestAtMs() > lastSuccessAtMs;
             boolean isMajority = 2 * window.unhealthyCount() >= window.size();
             vote |= window.unhealthyCount() >= MIN_UNHEALTHY && (latestIsUnhealthy || isMajority);
@@ -59,12 +70,12 @@
         return vote;
     }
 
-    /** The weight in draws, from the floor to 1. */
+    /** The server's weight in draws, from {@link #WEIGHT_FLOOR} to 1. */
     public double weight() {
         return weight;
     }
 
-    /** When a request was last served, or negative infinity. */
+    /** The time of the latest served request, or negative infinity. */
     public double lastSuccessAtMs() {
         return lastSuccessAtMs;
     }
--- a/balancer/src/main/java/dewplank/balancer/package-info.java
+++ b/balancer/src/main/java/dewplank/balancer/package-info.java
@@ -1,9 +1,9 @@
 /**
- * The events that a balancer gets and the actions that it may take: the contract between the decisions and their
- * hosts, which are the sidecar, the emulator and the simulator's adapter.
+ * The contract between a balancer and its hosts (the sidecar, the emulator and the simulator's adapter):
+ * the events that a balancer handles and the actions that it emits.
  *
- * <p>Everything in this module is pure: an event and a time go in, actions come out. No class here reads a
- * clock, starts a thread, does I/O or uses a library beyond the JDK. Sockets, settings files and wire formats
- * of the hosts do not belong here.
+ * <p>Everything in this module is a pure function of events and their times. No class here reads a clock,
+ * starts a thread, does I/O or uses a library beyond the JDK. The hosts' sockets, settings files and wire
+ * formats do not belong here.
  */
 package dewplank.balancer;
