--- a/balancer/src/test/java/dewplank/balancer/BalancerArchitectureTest.java
+++ b/balancer/src/test/java/dewplank/balancer/BalancerArchitectureTest.java
@@ -8,14 +8,16 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** The balancer is a pure function of its events: it uses the JDK alone, no I/O, no thread and no clock. */
+/**
+ * The balancer is a pure function of its events: it depends only on the JDK and uses no I/O, no threads and no clock.
+ */
 class BalancerArchitectureTest {
     private static final JavaClasses BALANCER = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
             .importPackages("dewplank.balancer");
 
     @Test
-    void usesTheJdkAlone() {
+    void dependsOnlyOnTheJdk() {
         classes()
                 .should()
                 .onlyDependOnClassesThat()
@@ -47,7 +49,7 @@
     }
 
     @Test
-    void startsNoThreadAndReadsNoClock() {
+    void usesNoThreadsAndNoClock() {
         noClasses()
                 .should()
                 .dependOnClassesThat()
--- a/balancer/src/test/java/dewplank/balancer/PolicyFilesTest.java
+++ b/balancer/src/test/java/dewplank/balancer/PolicyFilesTest.java
@@ -15,12 +15,14 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The files that {@code deploy/balancer.toml} names as {@code policy}: complete, without repeats, short lines. */
+/**
+ * The files listed as {@code policy} in {@code deploy/balancer.toml}: complete, without duplicates, with short lines.
+ */
 class PolicyFilesTest {
     private static final Path ROOT = Path.of("..");
     private static final Path MODULE = ROOT.resolve("balancer/src/main/java/dewplank/balancer");
 
-    /** Files without decisions: types and events, state, statistics, a wire format, the wiring of timers. */
+    /** Files that make no decisions: types and events, state, statistics, a wire format, timers. */
     private static final Set<String> NO_DECISIONS = Set.of(
             "Action.java",
             "Balancer.java",
@@ -50,16 +52,16 @@
             lines.addAll(Files.readAllLines(file));
         }
         int longest = lines.stream().mapToInt(String::length).max().orElse(0);
-        assertTrue(!lines.isEmpty(), "the policy names no lines");
+        assertTrue(!lines.isEmpty(), "the policy files have no lines");
         assertTrue(longest <= 110, longest + " characters");
     }
 
     @Test
-    void thePolicyNamesEveryFileWithDecisions() throws IOException {
-        Set<String> named = new TreeSet<>();
+    void thePolicyListsEveryFileWithDecisions() throws IOException {
+        Set<String> listed = new TreeSet<>();
         for (Path file : policyFiles()) {
-            assertTrue(file.startsWith(MODULE), file + " is not in the module");
-            assertTrue(named.add(MODULE.relativize(file).toString()), file + " is named twice");
+            assertTrue(file.startsWith(MODULE), file + " is outside the module");
+            assertTrue(listed.add(MODULE.relativize(file).toString()), file + " is listed twice");
         }
         Set<String> present = new TreeSet<>();
         try (Stream<Path> files = Files.walk(MODULE)) {
@@ -68,7 +70,7 @@
                     .filter(file -> !NO_DECISIONS.contains(file) && !file.endsWith("package-info.java"))
                     .forEach(present::add);
         }
-        assertEquals(present, named);
+        assertEquals(present, listed);
     }
 
     private static List<Path> policyFiles() throws IOException {
--- a/balancer/src/test/java/dewplank/balancer/WeightedDrawTest.java
+++ b/balancer/src/test/java/dewplank/balancer/WeightedDrawTest.java
@@ -9,7 +9,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Draws of one candidate in proportion to the weights, and the random numbers that a draw consumes. */
+/** Draws in proportion to the weights, and the random numbers that each draw consumes. */
 class WeightedDrawTest {
     private static final Map<String, Double> WEIGHTS = Map.of("a", 1.0, "b", 0.5, "c", 0.25, "d", 0.25, "none", 0.0);
     private static final List<String> ALL = List.of("a", "b", "c", "d", "none");
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void drawsFollowTheWeights() {
+    void drawsAreProportionalToTheWeights() {
         Map<String, Integer> drawn = draws(ALL, null);
         assertEquals(0.5, drawn.get("a") / (double) DRAWS, 0.02);
         assertEquals(0.25, drawn.get("b") / (double) DRAWS, 0.02);
@@ -42,21 +42,24 @@
         assertEquals(0.5, drawn.get("b") / (double) DRAWS, 0.02);
         assertEquals(0.25, drawn.get("c") / (double) DRAWS, 0.02);
         drawn = draws(List.of("b", "c"), "c");
-        assertEquals(Map.of("b", DRAWS), drawn, "also where it is the last");
+        assertEquals(Map.of("b", DRAWS), drawn, "the excluded candidate is last in the list");
     }
 
     @Test
-    void withoutAnotherCandidateNothingIsDrawn() {
+    void returnsNullWithoutAnotherCandidate() {
         assertNull(WeightedDraw.draw(List.of(), null, WEIGHTS::get, random));
         assertNull(WeightedDraw.draw(List.of("a"), "a", WEIGHTS::get, random));
     }
 
     @Test
-    void whereAllWeightsAreZeroTheLastIsDrawn() {
+    void drawsTheLastCandidateIfAllWeightsAreZero() {
         assertEquals("y", WeightedDraw.draw(List.of("x", "y"), null, server -> 0, random));
     }
 
-    /** Decisions repeat by seed, so how many random numbers a draw consumes is part of its contract. */
+    /**
+     * Decisions are reproducible by seed, so the number of random numbers that a draw consumes is part of its
+     * contract.
+     */
     @Test
     void eachDrawConsumesOneRandomNumber() {
         SplittableRandom expected = new SplittableRandom(3);
--- a/balancer/src/test/java/dewplank/balancer/adaptive/AdmissionTest.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/AdmissionTest.java
@@ -22,15 +22,15 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Load shedding: the least valuable requests are rejected first, only where the fleet lacks capacity, and not for one
- * slow server.
+ * Load shedding: the least valuable requests are rejected first, only if the fleet lacks capacity, and not because of
+ * a single slow server.
  */
 class AdmissionTest {
 
     /**
      * Sends requests of both classes, one every 5 ms, each of which takes {@code elapsedMs}.
      *
-     * @return how many reads, and how many acts, were rejected
+     * @return the number of reads and the number of acts that were rejected
      */
     private static int[] load(BalancerFixture fixture, int rounds, double elapsedMs) {
         int[] rejected = new int[2];
@@ -54,15 +54,15 @@
         BalancerFixture fixture = BalancerFixture.withServers(4);
         load(fixture, 100, 20);
         load(fixture, 100, 60);
-        // A fifth of the latency target, three times the idle time, at every server.
+        // At every server, responses take a fifth of the latency target, three times the idle time.
         int[] rejected = load(fixture, 200, 60);
         assertTrue(rejected[0] > 10, rejected[0] + " reads rejected");
         assertTrue(rejected[1] < rejected[0] / 4, rejected[1] + " acts rejected");
     }
 
-    /** A service time of a quarter of the latency target is no overload where it is also the idle service time. */
+    /** A service time of a quarter of the latency target is no overload if it is also the idle service time. */
     @Test
-    void aFleetThatWasNeverFasterRejectsNobody() {
+    void aFleetAtItsIdleServiceTimeRejectsNoRequests() {
         BalancerFixture fixture = BalancerFixture.withServers(4);
         load(fixture, 30_000, 80);
         int[] rejected = load(fixture, 200, 80);
@@ -70,15 +70,18 @@
     }
 
     @Test
-    void aFastFleetRejectsNobody() {
+    void aFastFleetRejectsNoRequests() {
         BalancerFixture fixture = BalancerFixture.withServers(4);
         int[] rejected = load(fixture, 300, 30);
         assertEquals(0, rejected[0] + rejected[1]);
     }
 
-    /** Regression: a rejected share that only follows lateness leaves the servers overloaded for good. */
+    /**
+     * Regression: a rejected fraction that only follows the current lateness leaves the servers overloaded
+     * permanently.
+     */
     @Test
-    void lastingLatenessRejectsMoreAndMoreAndThenLess() {
+    void sustainedLatenessIncreasesRejectionsUntilQueuesAreShort() {
         BalancerFixture fixture = BalancerFixture.withServers(4);
         load(fixture, 50, 20);
         int[] first = load(fixture, 60, 170);
@@ -86,15 +89,15 @@
         int[] later = load(fixture, 60, 170);
         assertTrue(
                 later[0] + later[1] > first[0] + first[1] + 10,
-                "from " + (first[0] + first[1]) + " to " + (later[0] + later[1]));
+                "increased from " + (first[0] + first[1]) + " to " + (later[0] + later[1]));
         load(fixture, 600, 20);
         int[] after = load(fixture, 60, 20);
         assertEquals(0, after[0] + after[1]);
     }
 
-    /** What was learned from the last answers must not make an idle instance reject long after them. */
+    /** Old latency samples must not make an idle instance reject requests. */
     @Test
-    void anIdleInstanceDoesNotRejectForLatenessOfLongAgo() {
+    void anIdleInstanceDoesNotRejectBecauseOfOldSamples() {
         BalancerFixture fixture = BalancerFixture.withServers(4);
         load(fixture, 100, 20);
         load(fixture, 200, 150);
@@ -107,19 +110,19 @@
             }
             rejected += send == null ? 1 : 0;
         }
-        // Half of the latency target alone calls for a fifth.
+        // A response time of half the latency target alone justifies rejecting a fifth.
         assertTrue(rejected <= 8, rejected + " of 20 rejected");
     }
 
-    /** Where the goal weighs the tail, a late answer costs more than a rejection: load shedding starts earlier. */
+    /** If the goal has a tail weight, a late response costs more than a rejection: load shedding starts earlier. */
     @Test
-    void whereTheGoalWeighsTheTailMoreIsRejected() {
+    void aTailWeightInTheGoalIncreasesRejections() {
         int without = rejectedReads(settings());
         int with = rejectedReads(settings().tail(0.3, 0.01));
         assertTrue(with > without, without + " without, " + with + " with");
     }
 
-    /** How many of 600 reads are rejected at four servers that slow down from 20 ms to 60 ms. */
+    /** The number of 600 reads that are rejected at four servers that slow down from 20 ms to 60 ms. */
     private static int rejectedReads(SettingsBuilder settings) {
         BalancerFixture fixture = BalancerFixture.withServers(settings, 4);
         for (int request = 0; request < 600; request++) {
@@ -132,8 +135,8 @@
         return actionsOf(fixture.actions, Reject.class).size();
     }
 
-    /** A tenant at ten times its share, or one that has none, does not displace a tenant within its share. */
-    @ParameterizedTest(name = "{0} within its share, {1} over it")
+    /** A tenant at ten times its share, or one without a share, does not displace a tenant within its share. */
+    @ParameterizedTest(name = "{0} within its share, {1} above its share")
     @CsvSource({"small, big", "small,"})
     void theTenantFarOverItsShareIsRejectedFirst(String within, String over) {
         BalancerFixture fixture = BalancerFixture.withServers(
@@ -167,12 +170,12 @@
         }
     }
 
-    /** How long a request takes at the server that it was sent to. */
+    /** The service time of a request at the server to which it was sent. */
     private interface ServiceTime {
         double ms(int request, Send send, RandomGenerator random);
     }
 
-    /** How many of 10,000 reads are rejected: ten seeds, eight servers, one read every 10 ms. */
+    /** The number of 10,000 reads that are rejected: ten seeds, eight servers, one read every 10 ms. */
     private static int rejected(ServiceTime serviceTime) {
         int rejected = 0;
         for (int seed = 1; seed <= 10; seed++) {
@@ -190,25 +193,28 @@
         return rejected;
     }
 
-    /** Regression: an idle fleet with heavy-tailed times of a quarter of the target rejected a tenth. */
+    /**
+     * Regression: an idle fleet with heavy-tailed service times of a quarter of the target rejected a tenth of the
+     * requests.
+     */
     @Test
-    void anIdleFleetWhoseTimesAreALargePartOfTheTargetRejectsHardlyAnybody() {
+    void anIdleFleetWithServiceTimesCloseToTheTargetRejectsAlmostNoRequests() {
         // Log-normal: mean and standard deviation are a quarter of the latency target.
         int rejected = rejected((request, send, random) -> 75 * Math.exp(0.83 * random.nextGaussian() - 0.35));
         assertTrue(rejected <= 50, rejected + " of 10,000 rejected");
     }
 
-    /** Regression: the lateness of slow servers had requests rejected although other servers had capacity. */
+    /** Regression: the lateness of slow servers caused rejections although other servers had capacity. */
     @Test
-    void slowServersWithHeavyTailedTimesCauseHardlyAnyRejections() {
+    void slowServersWithHeavyTailedServiceTimesCauseAlmostNoRejections() {
         int rejected = rejected((request, send, random) -> random.nextExponential()
                 * (request >= 300 && !List.of("s0", "s1", "s2").contains(send.server()) ? 240 : 40));
         assertTrue(rejected <= 50, rejected + " of 10,000 rejected");
     }
 
-    /** Regression: two slow picks led to rejections while other servers were idle. */
+    /** Regression: drawing two slow servers led to rejections while other servers were idle. */
     @Test
-    void slowServersBesideFastOnesCauseNoRejections() {
+    void slowServersInAFleetOfFastOnesCauseNoRejections() {
         BalancerFixture fixture = BalancerFixture.withServers(6);
         int rejected = 0;
         for (int request = 0; request < 600; request++) {
@@ -224,11 +230,11 @@
         assertTrue(rejected <= 3, rejected + " rejected");
     }
 
-    /** Its share of the goal is a fraction with a divisor of zero. */
+    /** For a class of value 0, the weight of the worst-served class would divide by zero. */
     @Test
-    void aClassThatIsWorthNothingIsServedByAnIdleFleetAndRejectedFirst() {
-        SettingsBuilder worthless = settings().classes(requestClass("read", 0), requestClass("act", 5));
-        BalancerFixture fixture = BalancerFixture.withServers(worthless, 4);
+    void aClassOfValueZeroIsServedByAnIdleFleetAndRejectedFirst() {
+        SettingsBuilder zeroValue = settings().classes(requestClass("read", 0), requestClass("act", 5));
+        BalancerFixture fixture = BalancerFixture.withServers(zeroValue, 4);
         assertArrayEquals(new int[] {0, 0}, load(fixture, 100, 20));
         load(fixture, 100, 60);
         int[] rejected = load(fixture, 200, 60);
--- a/balancer/src/test/java/dewplank/balancer/adaptive/BalancerFixture.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/BalancerFixture.java
@@ -21,13 +21,13 @@
 import java.util.SplittableRandom;
 
 /**
- * Stands in for the host of one {@link AdaptiveBalancer}: hands it events, records its actions and answers them.
+ * A simulated host of one {@link AdaptiveBalancer}: passes events to it and records its actions.
  *
- * <p>Time is {@link #nowMs}, which only the test moves; random numbers come from a fixed seed. So a test repeats to
- * the last bit, whatever the machine does.
+ * <p>The time is {@link #nowMs}, which only the test advances; random numbers come from a fixed seed. A test is
+ * therefore reproducible bit for bit on any machine.
  */
 final class BalancerFixture {
-    /** The expected work of a request that states nothing else, in milliseconds of a standard core. */
+    /** The default expected work of a request, in milliseconds of a standard core. */
     static final double DEFAULT_COST_MS = 20;
 
     private static final long DEFAULT_SEED = 7;
@@ -55,7 +55,7 @@
         return withServers(SettingsBuilder.settings(), serverCount);
     }
 
-    /** A balancer whose endpoint list names the running servers s0, s1, … in zone z1 and cell 0. */
+    /** A balancer with an endpoint list of the running servers s0, s1, … in zone z1 and cell 0. */
     static BalancerFixture withServers(SettingsBuilder settings, int serverCount) {
         BalancerFixture fixture = withoutEndpoints(settings);
         Endpoint[] endpoints = new Endpoint[serverCount];
@@ -66,12 +66,12 @@
         return fixture;
     }
 
-    /** An endpoint in zone z1 and cell 0 that has run for long. */
+    /** An endpoint in zone z1 and cell 0 that started long ago. */
     static Endpoint endpoint(String server, Availability availability) {
         return new Endpoint(server, "z1", "k", 0, availability, 1, null);
     }
 
-    /** A running endpoint in the given failure domain that has run for long. */
+    /** A running endpoint in the given failure domain that started long ago. */
     static Endpoint endpointIn(String zone, long cell, String server) {
         return new Endpoint(server, zone, "k", cell, Availability.UP, 1, null);
     }
@@ -113,7 +113,7 @@
                 nextRequest++, tenant, key, false, requestClass, SettingsBuilder.DEADLINE_MS, costMs));
     }
 
-    /** The first attempt that these actions send, or null. */
+    /** The first attempt that these actions send, or null if there is none. */
     static Send firstSend(List<Action> emitted) {
         return actionsOf(emitted, Send.class).stream().findFirst().orElse(null);
     }
@@ -132,7 +132,7 @@
         endAttempt(send, 0, Outcome.SERVED, elapsedMs, true);
     }
 
-    /** One request, sent and served after {@code elapsedMs}; returns the server that served it. */
+    /** Sends one request and serves it after {@code elapsedMs}; returns the server. */
     String serve(String requestClass, double elapsedMs) {
         Send send = firstSend(arrive(requestClass));
         nowMs += elapsedMs;
@@ -140,7 +140,7 @@
         return send.server();
     }
 
-    /** Serves reads, one a second, each after 10 ms; returns the servers that served them. */
+    /** Serves one read per second, each after 10 ms; returns the servers. */
     Set<String> serveOnePerSecond(int requests) {
         Set<String> servers = new HashSet<>();
         for (int request = 0; request < requests; request++) {
@@ -150,7 +150,7 @@
         return servers;
     }
 
-    /** Fires the timers that these actions set, in their order, with the clock moved to each. */
+    /** Fires the timers that these actions set, in the order in which they were set, and advances the clock to each. */
     List<Action> fireTimers(List<Action> emittedEarlier) {
         List<Action> emitted = new ArrayList<>();
         double setAtMs = nowMs;
@@ -162,12 +162,12 @@
     }
 
     /**
-     * Plays reads, one every {@code intervalMs}, and their retries; each attempt takes 10 ms.
+     * Sends reads, one every {@code intervalMs}, and their retries; each attempt takes 10 ms.
      *
      * @param failing servers that end each attempt with an error; the others serve
      * @return the number of first attempts by server
      */
-    Map<String, Integer> playReads(int requests, double intervalMs, String... failing) {
+    Map<String, Integer> runReads(int requests, double intervalMs, String... failing) {
         Map<String, Integer> firstSends = new HashMap<>();
         for (int request = 0; request < requests; request++) {
             Send send = firstSend(arrive("read"));
--- a/balancer/src/test/java/dewplank/balancer/adaptive/EndpointListTest.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/EndpointListTest.java
@@ -26,14 +26,14 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Updates of the endpoint list: which servers get requests after them, what holds where the list is wrong, and the
- * subscription of a polled list.
+ * Updates of the endpoint list: which servers receive requests after an update, the behaviour if the list is wrong,
+ * and the subscription of a polled list.
  */
 class EndpointListTest {
 
     @ParameterizedTest
     @EnumSource(names = {"DRAINING", "REMOVED"})
-    void aDrainingOrRemovedServerGetsNoRequests(Availability availability) {
+    void aDrainingOrRemovedServerReceivesNoRequests(Availability availability) {
         BalancerFixture fixture = BalancerFixture.withServers(2);
         fixture.updateEndpoints(UpdateKind.INCREMENTAL, endpoint("s0", availability));
         for (int request = 0; request < 50; request++) {
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void whereOnlyDrainingIsBindingARemovedServerStaysInUse() {
+    void aRemovedServerStaysInUseIfOnlyDrainingIsBinding() {
         BalancerFixture fixture = BalancerFixture.withServers(settings().onlyDrainingIsBinding(true), 1);
         fixture.updateEndpoints(UpdateKind.FULL);
         assertEquals("s0", fixture.serve("read", 10));
@@ -51,9 +51,9 @@
         assertNull(firstSend(fixture.arrive("read")));
     }
 
-    /** Wrong lists: servers that do not exist, running ones left out, an out-of-date list. */
+    /** Wrong lists: servers that do not exist, running servers that are missing, an outdated list. */
     @Test
-    void outcomesDecideWhereTheListIsWrong() {
+    void outcomesOverrideAWrongList() {
         BalancerFixture fixture = BalancerFixture.withServers(settings().onlyDrainingIsBinding(true), 4);
         for (int request = 0; request < 40; request++) {
             fixture.serve("read", 10);
@@ -63,7 +63,7 @@
             listed.add(endpoint("unreachable" + index, Availability.UP));
         }
         listed.add(endpoint("s0", Availability.DRAINING));
-        // s1 to s3 are left out, though they serve.
+        // s1 to s3 are missing, although they serve requests.
         fixture.updateEndpoints(UpdateKind.FULL, listed.toArray(Endpoint[]::new));
         fixture.updateEndpoints(UpdateKind.INCREMENTAL, endpoint("s0", Availability.REMOVED));
         int served = 0;
@@ -81,9 +81,9 @@
         assertTrue(served > 190, served + " of 200 served");
     }
 
-    /** Over a long day, servers with ever new ids are added and removed: their state must not accumulate. */
+    /** Over time, servers with new ids are added and removed: their state must not accumulate. */
     @Test
-    void removedServersAreForgottenOnceNothingIsInFlight() {
+    void theStateOfARemovedServerIsDiscardedOnceNoAttemptIsInFlight() {
         BalancerFixture fixture = BalancerFixture.withServers(settings().replica(0, 2), 1);
         Send open = firstSend(fixture.arrive("read"));
         fixture.updateEndpoints(UpdateKind.INCREMENTAL, endpoint("s0", Availability.REMOVED));
@@ -98,14 +98,14 @@
     }
 
     @Test
-    void anEmptyListRejectsAtOnce() {
+    void anEmptyListRejectsImmediately() {
         BalancerFixture fixture = BalancerFixture.withoutEndpoints(settings());
         fixture.updateEndpoints(UpdateKind.CACHED);
         assertEquals(1, actionsOf(fixture.arrive("read"), Reject.class).size());
     }
 
     @Test
-    void aRequestWaitsForAListThatIsSubscribedTo() {
+    void aRequestWaitsForTheSubscribedList() {
         BalancerFixture fixture = BalancerFixture.withoutEndpoints(settings().endpointListIsPushed(false));
         assertEquals(
                 1,
--- a/balancer/src/test/java/dewplank/balancer/adaptive/HedgingPolicyTest.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/HedgingPolicyTest.java
@@ -21,11 +21,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Overdue attempts: when they are hedged, when they are cancelled for a retry, and when they are left alone. */
+/** Overdue attempts: when they are hedged, when they are cancelled for a retry, and when they continue. */
 class HedgingPolicyTest {
 
     @Test
-    void anOverdueSafeRequestIsHedgedAndTheLoserIsCancelled() {
+    void anOverdueSafeRequestIsHedgedAndTheSlowerAttemptIsCancelled() {
         BalancerFixture fixture = BalancerFixture.withServers(settings().allowsHedging(true), 3);
         List<Action> first = fixture.arrive("read");
         Send hedge = firstSend(fixture.fireTimers(first));
@@ -53,9 +53,12 @@
                 .isEmpty());
     }
 
-    /** The first overdue attempt may just be long: a retry would take as long. The second makes its server suspect. */
+    /**
+     * The first overdue attempt may just be slow: a retry would take as long. The second one makes its server
+     * suspect.
+     */
     @Test
-    void withoutHedgingTheOverdueAttemptAtASuspectServerIsCancelledBeforeTheNext() {
+    void withoutHedgingAnOverdueAttemptAtASuspectServerIsCancelledBeforeItsRetry() {
         BalancerFixture fixture = BalancerFixture.withServers(1);
         List<Action> first = fixture.arrive("read");
         List<Action> second = fixture.arrive("read");
@@ -71,11 +74,11 @@
     }
 
     /**
-     * Regression: where neither cancellation nor hedging is allowed, 2,359 attempts of 3,760 requests timed out early.
-     * Servers went on with them, and long ones took as long when retried.
+     * Regression: with neither cancellation nor hedging allowed, 2,359 attempts of 3,760 requests timed out early.
+     * The servers continued to execute them, and long requests took as long when retried.
      */
     @Test
-    void whereNothingMayBeCancelledOnlyAttemptsAtASuspectServerTimeOutEarly() {
+    void withoutCancellationOnlyAttemptsAtASuspectServerTimeOutEarly() {
         BalancerFixture fixture = BalancerFixture.withServers(settings().allowsCancellation(false), 1);
         List<Action> first = fixture.arrive("read");
         assertEquals(0, firstSend(first).timeoutMs());
--- a/balancer/src/test/java/dewplank/balancer/adaptive/LatencyEstimatesTest.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/LatencyEstimatesTest.java
@@ -21,10 +21,10 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The predicted latency of a server: what slow connects, the network, errors and hung requests do to it. */
+/** The predicted latency of a server: the effect of slow connects, network latency, errors and hung requests. */
 class LatencyEstimatesTest {
 
-    /** Connecting takes longer; the servers answer as before on open connections. None is ejected for that. */
+    /** Connecting becomes slower, but servers respond as before on open connections. None is ejected. */
     @Test
     void aSlowConnectDoesNotMakeItsServerLookSlow() {
         BalancerFixture fixture = BalancerFixture.withServers(4);
@@ -41,9 +41,12 @@
         assertTrue(actionsOf(fixture.actions, Reject.class).isEmpty());
     }
 
-    /** Latency to the remote zone takes most of the latency target: once that is learned, nothing is rejected. */
+    /**
+     * The network latency to the remote zone takes most of the latency target. Once that has been measured, no
+     * request is rejected.
+     */
     @Test
-    void networkLatencyIsNotTakenForQueueing() {
+    void networkLatencyIsNotMistakenForQueueing() {
         BalancerFixture fixture = BalancerFixture.withoutEndpoints(settings());
         fixture.updateEndpoints(UpdateKind.CACHED, endpoint("near", Availability.UP));
         fixture.serveOnePerSecond(100);
@@ -63,9 +66,9 @@
         assertEquals(0, rejected);
     }
 
-    /** Regression: servers whose requests timed out got as many requests as the others. */
+    /** Regression: servers whose requests timed out received as many requests as the others. */
     @Test
-    void aServerWhoseRequestsTimeOutIsNotTakenForFast() {
+    void aServerWhoseRequestsTimeOutIsNotEstimatedAsFast() {
         BalancerFixture fixture = BalancerFixture.withServers(4);
         fixture.serveOnePerSecond(40);
         int sentToSlow = 0;
@@ -76,12 +79,12 @@
             fixture.nowMs += elapsedMs;
             fixture.endAttempt(send, 0, timesOut ? Outcome.TIMED_OUT : Outcome.SERVED, elapsedMs, true);
             sentToSlow += timesOut ? 1 : 0;
-            fixture.nowMs += 1_100; // suspicion expires in between
+            fixture.nowMs += 1_100; // the suspicion expires
         }
         assertTrue(sentToSlow <= 8, sentToSlow + " of 40 sent to servers whose requests time out");
     }
 
-    /** Regression: the predicted latency of a costly request scaled the fixed delays with its cost. */
+    /** Regression: the predicted latency of a costly request scaled fixed delays with its cost. */
     @Test
     void aCostlyRequestIsNotPredictedLateByFixedDelays() {
         BalancerFixture fixture = BalancerFixture.withServers(4);
@@ -95,22 +98,22 @@
         assertEquals(1, actionsOf(costly, Send.class).size());
     }
 
-    /** Regression: a server looked slower the longer ago its error was, and got no request to correct that. */
+    /** Regression: a server looked slower the older its error was, and received no request that could correct this. */
     @Test
     void anErrorDoesNotMakeItsServerLookSlowerWithTime() {
         BalancerFixture fixture = BalancerFixture.withServers(settings().actIdempotency(Idempotency.UNSAFE), 1);
-        fixture.playReads(20, 5);
+        fixture.runReads(20, 5);
         Send send = firstSend(fixture.arrive("act"));
         fixture.endAttempt(send, 0, Outcome.RESET, 1, false);
         fixture.nowMs += 600;
         assertTrue(firstSend(fixture.arrive("read")) != null);
     }
 
-    /** Regression: one request that hung made its server look as slow as it hung. */
+    /** Regression: one hung request raised its server's predicted latency to the time for which it had hung. */
     @Test
-    void aRequestThatHangsAloneDoesNotMakeItsServerLate() {
+    void aSingleHungRequestDoesNotRaiseItsServersPredictedLatency() {
         BalancerFixture fixture = BalancerFixture.withServers(settings().actIdempotency(Idempotency.UNSAFE), 1);
-        fixture.playReads(100, 5);
+        fixture.runReads(100, 5);
         List<Action> hanging = fixture.arrive("act");
         fixture.fireTimers(hanging);
         for (int request = 0; request < 40; request++) {
--- a/balancer/src/test/java/dewplank/balancer/adaptive/PeerExchangeTest.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/PeerExchangeTest.java
@@ -16,12 +16,12 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Summaries that peers exchange: what a received one changes, and what a sent one holds. */
+/** Exchange of peer summaries: the effect of received summaries, and the content of sent ones. */
 class PeerExchangeTest {
 
     private static BalancerFixture withPeerSummaries() {
         BalancerFixture fixture = BalancerFixture.withServers(settings().exchangesPeerSummaries(true), 4);
-        fixture.playReads(100, 5);
+        fixture.runReads(100, 5);
         return fixture;
     }
 
@@ -32,43 +32,43 @@
     }
 
     @Test
-    void aMajorityOfVotesDecidesWherePeersExchangeSummaries() {
+    void aMajorityOfVotesDecidesIfPeersExchangeSummaries() {
         BalancerFixture fixture = withPeerSummaries();
         fixture.handle(new PeerSummaryReceived(1, summaryAgainst(fixture.nowMs, "s0")));
         fixture.handle(new PeerSummaryReceived(2, summaryAgainst(fixture.nowMs, "s0")));
-        assertTrue(fixture.playReads(100, 1).getOrDefault("s0", 0) <= 1, "two of three votes eject");
+        assertTrue(fixture.runReads(100, 1).getOrDefault("s0", 0) <= 1, "two of three votes eject");
         fixture.nowMs += 4_000;
-        assertTrue(fixture.playReads(100, 5).getOrDefault("s0", 0) > 5, "old votes expire");
+        assertTrue(fixture.runReads(100, 5).getOrDefault("s0", 0) > 5, "old votes expire");
     }
 
-    /** Regression: a failing server stayed in use, since the only peer had not sent it requests. */
+    /** Regression: a failing server stayed in use, because the only peer had sent it no requests. */
     @Test
-    void aQuietPeerDoesNotOutvoteOwnTraffic() {
+    void aPeerWithoutTrafficDoesNotOutvoteTheOwnVote() {
         BalancerFixture fixture = withPeerSummaries();
-        fixture.playReads(1_200, 5, "s0");
+        fixture.runReads(1_200, 5, "s0");
         fixture.handle(new PeerSummaryReceived(1, summaryAgainst(fixture.nowMs)));
         fixture.nowMs += 300;
         fixture.arrive("read");
-        assertTrue(fixture.balancer.isEjected("s0"), "one of two votes, and it is the own one");
+        assertTrue(fixture.balancer.isEjected("s0"), "one of two votes, the own vote");
     }
 
     @Test
-    void aPeerThatFindsAllUnhealthyEjectsNobodyAlone() {
+    void aSinglePeerThatFindsAllServersUnhealthyEjectsNone() {
         BalancerFixture fixture = withPeerSummaries();
         fixture.handle(new PeerSummaryReceived(1, summaryAgainst(fixture.nowMs, "s0", "s1", "s2", "s3")));
-        assertEquals(4, fixture.playReads(100, 1).size(), "one of two votes is no majority");
+        assertEquals(4, fixture.runReads(100, 1).size(), "one of two votes is no majority");
         fixture.handle(new PeerSummaryReceived(2, summaryAgainst(fixture.nowMs, "s0", "s1", "s2", "s3")));
-        assertEquals(4, fixture.playReads(100, 1).size(), "where all are ejected, all are picked");
+        assertEquals(4, fixture.runReads(100, 1).size(), "if all are ejected, all are picked");
     }
 
-    /** Late, repeated, reordered, of a future time, of an unknown peer, truncated, or of another version. */
+    /** Delayed, duplicated, reordered, from the future, from an unknown peer, truncated, or of another version. */
     @Test
-    void invalidDatagramsChangeNothing() {
+    void invalidDatagramsAreIgnored() {
         BalancerFixture fixture = withPeerSummaries();
         byte[] valid = summaryAgainst(fixture.nowMs, "s0");
         fixture.handle(new PeerSummaryReceived(1, summaryAgainst(fixture.nowMs + 1)));
         fixture.handle(new PeerSummaryReceived(2, summaryAgainst(fixture.nowMs + 1)));
-        fixture.handle(new PeerSummaryReceived(1, valid)); // a newer one came first
+        fixture.handle(new PeerSummaryReceived(1, valid)); // a newer summary was received before
         fixture.handle(new PeerSummaryReceived(2, valid));
         fixture.handle(new PeerSummaryReceived(4, valid)); // peers are numbered 0 to 3
         fixture.handle(new PeerSummaryReceived(-1, valid));
@@ -83,13 +83,13 @@
             assertNull(PeerSummary.decode(invalid));
             fixture.handle(new PeerSummaryReceived(3, invalid));
         }
-        assertTrue(fixture.playReads(100, 1).getOrDefault("s0", 0) > 5);
+        assertTrue(fixture.runReads(100, 1).getOrDefault("s0", 0) > 5);
     }
 
     @Test
-    void aSummaryNamesTheServersFoundUnhealthy() {
+    void aSummaryContainsTheServersFoundUnhealthy() {
         BalancerFixture fixture = withPeerSummaries();
-        fixture.playReads(600, 5, "s0");
+        fixture.runReads(600, 5, "s0");
         PeerSummary summary = PeerSummary.decode(
                 actionsOf(fixture.fireTimers(fixture.handle(new TimerFired(1))), BroadcastSummary.class).stream()
                         .findFirst()
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void aSummaryHoldsAsManyServersAsFitInto256Bytes() {
+    void aSummaryContainsAsManyServersAsFitInto256Bytes() {
         List<Integer> many = IntStream.range(0, 300).boxed().toList();
         byte[] bytes = new PeerSummary(5, many).encode();
         assertEquals(253, bytes.length);
--- a/balancer/src/test/java/dewplank/balancer/adaptive/PlacementCostTest.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/PlacementCostTest.java
@@ -12,7 +12,7 @@
 import dewplank.balancer.Event.UpdateKind;
 import org.junit.jupiter.api.Test;
 
-/** The choice between the local zone and a remote one, by the price of crossing zones and the load. */
+/** The choice between the local zone and a remote one, based on the cross-zone price and the load. */
 class PlacementCostTest {
 
     /** One server in the local zone, one in another. */
@@ -23,13 +23,13 @@
     }
 
     @Test
-    void workStaysInTheLocalZoneUntilThatIsOverloaded() {
+    void requestsStayInTheLocalZoneUntilItIsOverloaded() {
         BalancerFixture fixture = localAndRemote(0.2);
         for (int request = 0; request < 100; request++) {
             assertEquals("local", fixture.serve("read", 20));
         }
         int remote = 0;
-        for (int request = 0; request < 60; request++) { // the local server no longer answers in time
+        for (int request = 0; request < 60; request++) { // the local server's responses no longer meet the target
             Send send = firstSend(fixture.arrive("read"));
             fixture.nowMs += 10;
             boolean local = send != null && send.server().equals("local");
@@ -41,9 +41,9 @@
         assertTrue(remote > 30, remote + " sent to the remote zone");
     }
 
-    /** Regression: where crossing costs almost nothing, the local zone was loaded to a quarter of the target. */
+    /** Regression: with a cross-zone price of almost zero, local latency rose to a quarter of the target. */
     @Test
-    void cheapCrossingSpreadsLoadBeforeTheLocalZoneIsLate() {
+    void aLowCrossZonePriceSpreadsLoadBeforeTheLocalZoneIsLate() {
         BalancerFixture fixture = localAndRemote(0.01);
         int remote = 0;
         for (int request = 0; request < 200; request++) {
@@ -51,7 +51,7 @@
             fixture.nowMs += 10;
             boolean local = send.server().equals("local");
             remote += local ? 0 : 1;
-            fixture.endServed(send, local ? 75 : 30); // a quarter of the latency target in the local zone
+            fixture.endServed(send, local ? 75 : 30); // the local zone takes a quarter of the latency target
         }
         assertTrue(remote > 100, remote + " sent to the remote zone");
     }
--- a/balancer/src/test/java/dewplank/balancer/adaptive/RecordedDecisionsTest.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/RecordedDecisionsTest.java
@@ -16,14 +16,16 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Every action of the balancer over long simulated days is, to the last bit, as recorded in a digest: a refactoring
+ * The balancer's actions over long simulations match a recorded digest bit for bit, which shows that a refactoring
  * changes no decision.
  *
- * <p>A change that means to decide otherwise records the digests anew and says so. The last bits of {@code Math.exp}
- * are those of x86-64.
+ * <p>A change that intentionally affects decisions records new digests and states so. The last bits of {@code
+ * Math.exp} are those of x86-64.
  */
 class RecordedDecisionsTest {
-    /** Fewer than this many of an action in all days together, and the digests would say little of it. */
+    /**
+     * The minimum number of each action over all simulations; with fewer, the digests would hardly cover that action.
+     */
     private static final int MIN_OF_EACH_ACTION = 10;
 
     @ParameterizedTest(name = "workload {0}, seed {1}")
@@ -53,17 +55,17 @@
         "LARGE, 2, 1b728435b8255001",
         "LARGE, 3, 750bbbb065bb271d",
     })
-    void everyActionIsAsRecorded(RecordedWorkload workload, long seed, String digest) {
-        assertEquals(digest, new SimulatedDay(workload, seed).digest());
+    void actionsMatchTheRecordedDigest(RecordedWorkload workload, long seed, String digest) {
+        assertEquals(digest, new WorkloadSimulation(workload, seed).digest());
     }
 
     @Test
-    void theDaysCallForEveryAction() {
+    void theSimulationsEmitEveryAction() {
         TreeMap<String, Integer> counts = new TreeMap<>();
         for (RecordedWorkload workload : RecordedWorkload.values()) {
-            SimulatedDay day = new SimulatedDay(workload, 1);
-            day.digest();
-            day.actionCounts().forEach((action, count) -> counts.merge(action, count, Integer::sum));
+            WorkloadSimulation simulation = new WorkloadSimulation(workload, 1);
+            simulation.digest();
+            simulation.actionCounts().forEach((action, count) -> counts.merge(action, count, Integer::sum));
         }
         for (Class<?> action : Action.class.getPermittedSubclasses()) {
             assertTrue(counts.getOrDefault(action.getSimpleName(), 0) >= MIN_OF_EACH_ACTION, counts.toString());
--- a/balancer/src/test/java/dewplank/balancer/adaptive/RecordedWorkload.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/RecordedWorkload.java
@@ -6,11 +6,11 @@
 import dewplank.balancer.Settings.RequestClass;
 import dewplank.balancer.Settings.Tenant;
 
-/** The settings and loads under which decisions were recorded; a {@link SimulatedDay} plays one of them. */
+/** The settings and loads for which decisions are recorded; a {@link WorkloadSimulation} runs one of them. */
 enum RecordedWorkload {
     DEFAULT(base().classes(read(0.5), act(Idempotency.KEYED, DeduplicationScope.ZONE), pay(), stream())),
 
-    /** The endpoint list is polled, a connection carries one request, and removals do not bind. */
+    /** The endpoint list is polled, a connection carries one request, and removed servers may still be used. */
     POLLED(base().endpointListIsPushed(false)
             .serversAreRated(true)
             .maxStreamsPerConnection(1)
@@ -23,7 +23,7 @@
             .rejectedMayHaveRun(true)
             .prices(0, 0.02)),
 
-    /** Few attempts, neither hedging nor cancellation nor retry advice nor slow start. */
+    /** Few attempts, without hedging, cancellation, retry advice or slow start. */
     MINIMAL(base().maxAttempts(2)
             .allowsCancellation(false)
             .allowsHealthChecks(true)
@@ -46,7 +46,7 @@
             .exchangesPeerSummaries(true)
             .tenants(agreedTenants())),
 
-    /** Many replicas and servers, little traffic at each replica. */
+    /** Many replicas and servers, with little traffic per replica. */
     LARGE(
             base().replica(1, 200)
                     .valueIsPerWork(true)
@@ -59,7 +59,7 @@
             80,
             40);
 
-    /** The mean work of a request on an idle server, before its class's factor. */
+    /** The mean work of a request at an idle server, before the factor of its class. */
     static final double WORK_MS = 15;
 
     private static final int DEFAULT_SERVERS = 9;
@@ -87,7 +87,7 @@
         return servers;
     }
 
-    /** The mean time between two requests, outside of peaks. */
+    /** The mean time between two requests outside of peaks. */
     double requestIntervalMs() {
         return requestIntervalMs;
     }
--- a/balancer/src/test/java/dewplank/balancer/adaptive/RequestCompletionTest.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/RequestCompletionTest.java
@@ -20,11 +20,11 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The end of a request: its final answer, an abandoned request, and the bounds of its retries. */
+/** Completion of requests: the final response, abandoned requests, and the limits of retries. */
 class RequestCompletionTest {
 
     @Test
-    void aTimeoutAtTheDeadlineIsAnsweredAtOnceAndOnlyOnce() {
+    void aTimeoutAtTheDeadlineFailsTheRequestImmediatelyAndOnce() {
         BalancerFixture fixture = BalancerFixture.withServers(settings().actIdempotency(Idempotency.UNSAFE), 3);
         Send send = firstSend(fixture.arrive("act"));
         fixture.nowMs += DEADLINE_MS;
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void nothingIsSentAfterTheClientHasLeft() {
+    void noAttemptIsSentAfterTheClientHasDisconnected() {
         BalancerFixture fixture = BalancerFixture.withServers(3);
         List<Action> first = fixture.arrive("read");
         List<Action> afterAbandoning = fixture.handle(new RequestAbandoned(1));
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void retriesStopWhenEverythingFails() {
+    void retriesAreLimitedIfAllAttemptsFail() {
         BalancerFixture fixture = BalancerFixture.withServers(8);
         int requestCount = 300;
         int sends = 0;
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void aPoisonRequestReachesTwoServersAtMost() {
+    void aRequestThatCrashesServersReachesAtMostTwo() {
         BalancerFixture fixture = BalancerFixture.withServers(8);
         Send send = firstSend(fixture.arrive("read"));
         Set<String> reached = new HashSet<>();
--- a/balancer/src/test/java/dewplank/balancer/adaptive/RetrySafetyTest.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/RetrySafetyTest.java
@@ -22,12 +22,12 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * No effect happens twice: what follows each outcome of an attempt, by idempotency and deduplication scope of the
- * request's class. An attempt is retried, the request is rejected (nothing was done), or it fails (outcome unknown).
+ * No effect happens twice: the decision after each outcome of an attempt, by idempotency and deduplication scope of
+ * the request's class. The request is retried, rejected (it had no effect), or fails (its outcome is unknown).
  */
 class RetrySafetyTest {
 
-    /** The first attempt went to z1, cell 0; the only other server is the named one. */
+    /** The first attempt was sent to z1, cell 0; the only other server is in the given zone and cell. */
     @ParameterizedTest(name = "{0} {1}, {2} after {3} ms, other server in {4} cell {5}: {6}")
     @CsvSource({
         "SAFE,  ALL,  ERROR,          10, z2, 1, send",
@@ -61,7 +61,10 @@
                 expected, decisionAfter(settings(), idempotency, deduplicationScope, outcome, elapsedMs, zone, cell));
     }
 
-    /** The same, where a server may reject work that it had begun: only a rejection proves less than before. */
+    /**
+     * The same if a server may reject a request after starting to execute it: only the rejections differ, because
+     * they no longer prove that there was no effect.
+     */
     @ParameterizedTest(name = "rejected may have run: {0} {1}, {2} after {3} ms, other server in {4} cell {5}: {6}")
     @CsvSource({
         "SAFE,  ALL,  REJECTED,       10, z2, 1, send",
@@ -77,7 +80,7 @@
         "UNSAFE, ALL, CONNECT_FAILED, 10, z2, 1, send",
         "UNSAFE, ALL, NEVER_SENT,     10, z2, 1, reject",
     })
-    void decisionAfterOneAttemptWhereARejectionIsNoProof(
+    void decisionAfterOneAttemptIfRejectedRequestsMayHaveRun(
             Idempotency idempotency,
             DeduplicationScope deduplicationScope,
             Outcome outcome,
@@ -118,9 +121,9 @@
         return actionsOf(actions, Fail.class).isEmpty() ? "nothing" : "fail";
     }
 
-    /** Connecting may take long, and servers drop a repeat only within the deduplication window. */
+    /** Connecting may be slow, and servers drop repeats only within the deduplication window. */
     @Test
-    void aKeyedRetryIsWrittenWithinTheWindowOfTheFirst() {
+    void aKeyedRetryIsWrittenWithinTheDeduplicationWindowOfTheFirstAttempt() {
         BalancerFixture fixture = BalancerFixture.withServers(settings().actIdempotency(Idempotency.KEYED), 2);
         Send first = firstSend(fixture.arrive("act"));
         assertEquals(399, first.writeWithinMs());
--- a/balancer/src/test/java/dewplank/balancer/adaptive/ServerBackoffTest.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/ServerBackoffTest.java
@@ -13,11 +13,11 @@
 class ServerBackoffTest {
 
     /**
-     * Regression: a dozen requests rejected together each lengthened the backoff fourfold. Idle servers were not used
-     * for four seconds while requests were rejected.
+     * Regression: a dozen requests rejected at the same time each multiplied the backoff by four. Idle servers were
+     * not used for four seconds while requests were rejected.
      */
     @Test
-    void requestsRejectedTogetherBeginOneBackoff() {
+    void simultaneousRejectionsStartOneBackoff() {
         BalancerFixture fixture = BalancerFixture.withServers(1);
         List<Send> sends = new ArrayList<>();
         for (int request = 0; request < 6; request++) {
@@ -25,11 +25,11 @@
         }
         fixture.nowMs += 5;
         sends.forEach(send -> fixture.endAttempt(send, 0, Outcome.REJECTED, 5, false));
-        fixture.nowMs += 65; // past the longest first backoff
+        fixture.nowMs += 65; // longer than the longest first backoff
         assertTrue(firstSend(fixture.arrive("read")) != null);
     }
 
-    /** A hung server may reject everything at once; its backoff grows until it gets almost nothing. */
+    /** A hung server may reject every request immediately; its backoff grows until it receives almost none. */
     @Test
     void aServerThatOnlyRejectsIsRarelyPicked() {
         BalancerFixture fixture = BalancerFixture.withServers(4);
--- a/balancer/src/test/java/dewplank/balancer/adaptive/ServerEjectionTest.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/ServerEjectionTest.java
@@ -20,20 +20,20 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Ejection of unhealthy servers, the trials that end it, and outcomes that say nothing of a server's health. */
+/** Ejection of unhealthy servers, the trials that end it, and outcomes that do not affect a server's health. */
 class ServerEjectionTest {
 
     @Test
-    void threeErrorsEjectAndTrialsComeOnceASecond() {
+    void threeErrorsEjectAServerAndTrialsAreSentOncePerSecond() {
         BalancerFixture fixture = BalancerFixture.withServers(4);
-        fixture.playReads(1_200, 5, "s0");
-        Map<String, Integer> later = fixture.playReads(500, 10, "s0"); // five seconds
+        fixture.runReads(1_200, 5, "s0");
+        Map<String, Integer> later = fixture.runReads(500, 10, "s0"); // five seconds
         int trials = later.getOrDefault("s0", 0);
         assertTrue(trials >= 3 && trials <= 6, trials + " trials");
     }
 
     @Test
-    void twoErrorsEjectNobody() {
+    void twoErrorsDoNotEjectAServer() {
         BalancerFixture fixture = BalancerFixture.withServers(2);
         int errors = 0;
         while (errors < 2) {
@@ -46,14 +46,16 @@
                 fixture.endAttempt(retry, 1, Outcome.SERVED, 5, true);
             }
         }
-        assertTrue(fixture.playReads(300, 5).getOrDefault("s0", 0) > 30);
+        assertTrue(fixture.runReads(300, 5).getOrDefault("s0", 0) > 30);
     }
 
-    /** Regression: an eighth of all rejections were trials, rejected for the lateness of the server under trial. */
+    /**
+     * Regression: an eighth of all rejections were trials, rejected because of the latency of the server under trial.
+     */
     @Test
-    void aTrialIsSentHoweverSlowItsServerWas() {
+    void aTrialIsSentRegardlessOfTheServersLatency() {
         BalancerFixture fixture = BalancerFixture.withServers(4);
-        fixture.playReads(1_200, 5, "s0");
+        fixture.runReads(1_200, 5, "s0");
         int rejected = 0;
         int trials = 0;
         for (int request = 0; request < 600; request++) {
@@ -76,18 +78,18 @@
     @Test
     void aServerThatServesAgainIsPickedAgain() {
         BalancerFixture fixture = BalancerFixture.withServers(4);
-        fixture.playReads(1_200, 5, "s0");
-        fixture.playReads(1_200, 10); // twelve seconds without a fault
-        assertTrue(fixture.playReads(400, 5).getOrDefault("s0", 0) > 60);
+        fixture.runReads(1_200, 5, "s0");
+        fixture.runReads(1_200, 10); // twelve seconds without errors
+        assertTrue(fixture.runReads(400, 5).getOrDefault("s0", 0) > 60);
     }
 
     @Test
     void whileMoreThanHalfAreEjectedAllArePicked() {
         BalancerFixture fixture = BalancerFixture.withServers(4);
-        fixture.playReads(400, 5, "s0", "s1", "s2");
-        fixture.nowMs += 1_100; // suspicion expires, ejection lasts
+        fixture.runReads(400, 5, "s0", "s1", "s2");
+        fixture.nowMs += 1_100; // the suspicions expire, the ejections remain
         long elsewhere = 0;
-        // None is answered: s3 alone would get them all if only servers that are not ejected were picked.
+        // No request completes: s3 would receive all of them if only servers that are not ejected were picked.
         for (int request = 0; request < 4; request++) {
             elsewhere += firstSend(fixture.arrive("read")).server().equals("s3") ? 0 : 1;
         }
@@ -95,7 +97,7 @@
     }
 
     @Test
-    void rejectionsAndCancellationsAreNeitherHealthyNorUnhealthy() {
+    void rejectionsAndCancellationsDoNotAffectHealth() {
         BalancerFixture fixture = BalancerFixture.withServers(2);
         for (int request = 0; request < 50; request++) {
             Send send = firstSend(fixture.arrive("read"));
@@ -106,14 +108,14 @@
                 fixture.endAttempt(retry, 1, Outcome.SERVED, 5, true);
             }
         }
-        fixture.nowMs += 6_500; // its backoff ends before an ejection would
-        assertTrue(fixture.playReads(200, 5).getOrDefault("s0", 0) > 20);
+        fixture.nowMs += 6_500; // s0's backoff has ended, an ejection would not have
+        assertTrue(fixture.runReads(200, 5).getOrDefault("s0", 0) > 20);
     }
 
     @Test
-    void aServerThatAnswersNothingIsEjectedBeforeAnyTimeout() {
+    void aServerThatDoesNotRespondIsEjectedBeforeAnyTimeout() {
         BalancerFixture fixture = BalancerFixture.withServers(4);
-        fixture.playReads(100, 5);
+        fixture.runReads(100, 5);
         int hung = 0;
         for (int request = 0; request < 100; request++) {
             List<Action> first = fixture.arrive("read");
@@ -134,24 +136,24 @@
     }
 
     @Test
-    void unsafeRequestsTakeNoTrials() {
+    void unsafeRequestsAreNotSentAsTrials() {
         BalancerFixture fixture = BalancerFixture.withServers(settings().actIdempotency(Idempotency.UNSAFE), 4);
-        fixture.playReads(1_200, 5, "s0");
+        fixture.runReads(1_200, 5, "s0");
         for (int request = 0; request < 100; request++) {
             fixture.nowMs += 100;
             if (request % 5 == 0) {
-                fixture.playReads(10, 1, "s0");
+                fixture.runReads(10, 1, "s0");
             }
             assertNotEquals("s0", fixture.serve("act", 10));
         }
     }
 
     /**
-     * Regression: where one answer in twenty failed, nearly all servers were ejected for the last outcome of one class
-     * while they served the others. A class that takes no trials could not revoke that.
+     * Regression: with one response in twenty failing, nearly all servers were ejected because of the last outcome of
+     * one class while they served the others. A class that sends no trials could not end the ejection.
      */
     @Test
-    void aServerThatServesAnotherClassSinceIsNotEjected() {
+    void aServerThatServesAnotherClassAfterwardsIsNotEjected() {
         BalancerFixture fixture = BalancerFixture.withServers(settings().actIdempotency(Idempotency.UNSAFE), 1);
         for (int request = 0; request < 8; request++) {
             fixture.serve("act", 5);
@@ -163,7 +165,7 @@
         }
         fixture.updateEndpoints(UpdateKind.INCREMENTAL, endpoint("s1", Availability.UP));
         fixture.nowMs += 1_100;
-        Map<String, Integer> firstSends = fixture.playReads(200, 5);
+        Map<String, Integer> firstSends = fixture.runReads(200, 5);
         assertTrue(firstSends.getOrDefault("s0", 0) > 40, firstSends.toString());
     }
 }
--- a/balancer/src/test/java/dewplank/balancer/adaptive/ServerPickerTest.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/ServerPickerTest.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The pick among eligible servers: by requests in flight, and by key where servers cache keys. */
+/** The choice among eligible servers, by requests in flight, and by key if servers cache keys. */
 class ServerPickerTest {
 
     @Test
@@ -24,9 +24,9 @@
         assertTrue(actionsOf(fixture.actions, Reject.class).isEmpty());
     }
 
-    /** Regression: each instance filled the cache of another server for a key, and servers cache few keys. */
+    /** Regression: each instance used a different server for the same key, although servers cache only few keys. */
     @Test
-    void instancesAgreeOnAKeysServerWithoutMessages() {
+    void instancesAgreeOnTheServerOfAKeyWithoutMessages() {
         SettingsBuilder settings = settings().serversCacheKeys(true);
         BalancerFixture first = BalancerFixture.withServers(settings, 4);
         BalancerFixture second = BalancerFixture.withServers(settings.replica(1, 4), 4);
@@ -40,7 +40,7 @@
         assertTrue(agreed > 150, agreed + " of 200 keys");
         assertTrue(
                 keysByServer.size() == 4 && keysByServer.values().stream().allMatch(count -> count > 25),
-                "evenly: " + keysByServer);
+                "keys by server: " + keysByServer);
     }
 
     private static String serveKey(BalancerFixture fixture, String key) {
--- a/balancer/src/test/java/dewplank/balancer/adaptive/SettingsBuilder.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/SettingsBuilder.java
@@ -14,8 +14,8 @@
 /**
  * Builds the settings of a balancer under test.
  *
- * <p>The defaults: four replicas in zone {@code z1}, a pushed endpoint list, cancellation but no hedging, and two
- * classes: {@code read} (safe) and {@code act} (safe unless set otherwise, five times as valuable).
+ * <p>The defaults are four replicas in zone {@code z1}, a pushed endpoint list, cancellation but no hedging, and two
+ * classes: {@code read} (safe) and {@code act} (safe by default, with five times the value).
  */
 final class SettingsBuilder {
     static final double LATENCY_TARGET_MS = 300;
--- a/balancer/src/test/java/dewplank/balancer/adaptive/SlowStartTest.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/SlowStartTest.java
@@ -12,11 +12,11 @@
 import java.util.random.RandomGenerator;
 import org.junit.jupiter.api.Test;
 
-/** How much work a server gets while it warms up, from one instance and from all of them together. */
+/** The work that a server receives while it warms up, from one instance and from all instances together. */
 class SlowStartTest {
 
     @Test
-    void aServerWarmingUpGetsNoMoreThanItsBudget() {
+    void aServerThatIsWarmingUpReceivesAtMostItsBudget() {
         BalancerFixture fixture = BalancerFixture.withoutEndpoints(settings());
         fixture.updateEndpoints(UpdateKind.CACHED, endpointStartedAt(fixture.nowMs, "starting"));
         int sends = 0;
@@ -28,21 +28,21 @@
             }
             fixture.nowMs += 5; // 200 requests in one second
         }
-        // 3 x 0.4 of a quarter core over four instances for a second is 75 ms of work; each costs 20 ms.
+        // 3 x 0.4 of a quarter core, divided by four instances, is 75 ms of work in a second; each request costs 20 ms.
         assertTrue(sends >= 1 && sends <= 4, sends + " sends");
         fixture.nowMs += 10_000;
         assertNotNull(firstSend(fixture.arrive("read")));
     }
 
-    /** Regression: new servers stayed idle for seconds beside overloaded ones, at all instances alike. */
+    /** Regression: new servers stayed idle for seconds at all instances while the other servers were overloaded. */
     @Test
-    void newServersTakeTheirShareOfABusyFleetsWork() {
+    void newServersReceiveTheirShareOfABusyFleetsRequests() {
         int sendsToNew = 0;
         int sends = 0;
-        for (int seed = 1; seed <= 20; seed++) { // times are heavy-tailed: one run shows little
+        for (int seed = 1; seed <= 20; seed++) { // one run is not enough, as service times are heavy-tailed
             BalancerFixture fixture = BalancerFixture.withServers(4);
             RandomGenerator random = new SplittableRandom(seed);
-            // One request at a time: the old servers are loaded by other instances.
+            // One request at a time; the load of the old servers comes from other instances.
             for (int request = 0; request < 800; request++) {
                 if (request == 400) {
                     fixture.updateEndpoints(
@@ -60,23 +60,23 @@
                 }
             }
         }
-        // Slow start gives them 0.55 to 0.8 of their capacity in these 4 s.
-        // The regression gave them 0.155 of the sends; full weight would give them 0.25.
+        // Slow start allows the new servers 0.55 to 0.8 of their capacity in these 4 s.
+        // They received 0.155 of the sends in the regression, and would receive 0.25 at full weight.
         assertTrue(sendsToNew >= 0.175 * sends, sendsToNew + " of " + sends + " sends");
     }
 
-    /** Hundreds of instances, each with a budget of less than one request: together they keep to the total. */
+    /** Hundreds of instances, each with a budget of less than one request, do not exceed the total budget. */
     @Test
-    void allInstancesTogetherKeepToTheSlowStartBudget() {
+    void allInstancesTogetherStayWithinTheSlowStartBudget() {
         int replicaCount = 400;
         double workMs = BalancerFixture.DEFAULT_COST_MS;
-        int[] sends = new int[60]; // in each second
+        int[] sends = new int[60]; // by second
         for (int replica = 0; replica < replicaCount; replica++) {
             BalancerFixture fixture =
                     BalancerFixture.withoutEndpoints(settings().replica(0, replicaCount), replica);
             fixture.updateEndpoints(UpdateKind.CACHED, endpointStartedAt(fixture.nowMs, "starting"));
             double startMs = fixture.nowMs;
-            fixture.nowMs += replica % 100 * 10; // one request a second each
+            fixture.nowMs += replica % 100 * 10; // each instance sends one request per second
             for (int request = 0; request < 8; request++) {
                 int second = (int) ((fixture.nowMs - startMs) / 1_000);
                 Send send = firstSend(fixture.arrive("read"));
@@ -98,6 +98,6 @@
                     sends[second] * workMs <= 2 * 3 * capacity * 250,
                     "second " + second + ": " + sends[second] + " sends");
         }
-        assertTrue(total > 20, "the server warms up: " + total + " sends");
+        assertTrue(total > 20, "the server receives requests: " + total + " sends");
     }
 }
--- a/balancer/src/test/java/dewplank/balancer/adaptive/WorkingSetTest.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/WorkingSetTest.java
@@ -18,7 +18,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The working set of servers that one of many instances uses, and the connections outside of it. */
+/** The working set of servers of one of many instances, and the connections to servers outside of it. */
 class WorkingSetTest {
 
     private static BalancerFixture instance(int replicaIndex, int replicaCount, int servers) {
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void aFewInstancesUseTheCompleteFleet() {
+    void withFewInstancesEachUsesTheCompleteFleet() {
         assertEquals(10, instance(0, 4, 10).serveOnePerSecond(400).size());
     }
 
@@ -50,17 +50,17 @@
     }
 
     @Test
-    void moreTrafficWidensTheWorkingSet() {
+    void theWorkingSetGrowsWithTraffic() {
         BalancerFixture fixture = instance(3, 500, 100);
         Set<String> used = new HashSet<>();
-        for (int request = 0; request < 2_000; request++) { // a hundred requests a second
+        for (int request = 0; request < 2_000; request++) { // a hundred requests per second
             used.add(fixture.serve("read", 10));
         }
         assertTrue(used.size() > 20, used.size() + " servers");
     }
 
     @Test
-    void anEjectedMemberOfTheWorkingSetIsReplaced() {
+    void anEjectedServerIsReplacedInTheWorkingSet() {
         BalancerFixture fixture = instance(3, 500, 100);
         Set<String> before = fixture.serveOnePerSecond(40);
         String failing = before.iterator().next();
@@ -89,7 +89,7 @@
         for (int request = 0; request < 1_000; request++) {
             fixture.serve("read", 10);
         }
-        fixture.nowMs += 30_000; // little traffic from here on
+        fixture.nowMs += 30_000; // little traffic from now on
         fixture.serveOnePerSecond(20);
         assertTrue(actionsOf(fixture.actions, CloseIdleConnections.class).size() > 10);
     }
--- a/balancer/src/test/java/dewplank/balancer/adaptive/WorkloadSimulation.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/WorkloadSimulation.java
@@ -38,13 +38,12 @@
 import java.util.TreeMap;
 
 /**
- * One balancer's simulated day: servers that slow down, fail, hang, restart and are removed, endpoint updates, peers'
- * summaries and clients' requests, all drawn from one seed.
+ * A simulation of one balancer: servers that slow down, fail, hang, restart and are removed, endpoint updates, peer
+ * summaries and client requests, all generated from one seed.
  *
- * <p>Each action goes into a digest, with its time. The order in which random numbers are drawn is part of what is
- * recorded.
+ * <p>Each action is added to a digest with its time. The order in which random numbers are drawn affects the digest.
  */
-final class SimulatedDay {
+final class WorkloadSimulation {
     private static final int EVENTS = 40_000;
     private static final int DIGEST_CHARACTERS = 16;
 
@@ -56,12 +55,12 @@
     private final MessageDigest digest;
     private final PriorityQueue<ScheduledTask> schedule = new PriorityQueue<>();
     private final List<SimulatedServer> servers = new ArrayList<>();
-    private final TreeMap<Long, SimulatedClient> clients = new TreeMap<>();
+    private final TreeMap<Long, SimulatedRequest> requestsById = new TreeMap<>();
     private long scheduledCount;
-    private long requests;
+    private long requestCount;
     private double nowMs = 5_000;
 
-    SimulatedDay(RecordedWorkload workload, long seed) {
+    WorkloadSimulation(RecordedWorkload workload, long seed) {
         this.workload = workload;
         this.random = new SplittableRandom(seed);
         this.balancerRandom = new SplittableRandom(seed + 1_000);
@@ -73,7 +72,7 @@
         }
     }
 
-    /** Plays the day, once; returns the digest of all actions. */
+    /** Runs the simulation; may be called once. Returns the digest of all actions. */
     String digest() {
         for (int index = 0; index < workload.servers(); index++) {
             servers.add(new SimulatedServer(index, index % 3 == 2 ? "z2" : "z1", index % 4, 1 + index % 3));
@@ -88,12 +87,12 @@
             nowMs = Math.max(nowMs, next.time());
             next.task().run();
         }
-        // The next number shows how many the balancer has drawn.
+        // The next number depends on how many the balancer has drawn.
         recordLine("drawn up to " + balancerRandom.nextLong());
         return HexFormat.of().formatHex(digest.digest()).substring(0, DIGEST_CHARACTERS);
     }
 
-    /** How many of each action the day called for, by the simple name of its type. */
+    /** The number of actions emitted, by the simple name of their type. */
     Map<String, Integer> actionCounts() {
         return actionCounts;
     }
@@ -116,7 +115,7 @@
         digest.update((nowMs + " " + line + "\n").getBytes(StandardCharsets.UTF_8));
     }
 
-    /** The form in which an action was recorded. It stays when types and components are renamed. */
+    /** The recorded form of an action. It does not change when types and components are renamed. */
     private static String recordedForm(Action action) {
         if (action instanceof Send send) {
             return "Send[request=" + send.request() + ", server=" + send.server() + ", timeoutMs=" + send.timeoutMs()
@@ -143,12 +142,12 @@
         } else if (action instanceof Send send) {
             serve(send);
         } else if (action instanceof Cancel cancel) {
-            SimulatedClient client = clients.get(cancel.request());
-            at(nowMs, () -> end(client, cancel.attempt(), Outcome.CANCELLED, nowMs));
+            SimulatedRequest request = requestsById.get(cancel.request());
+            at(nowMs, () -> end(request, cancel.attempt(), Outcome.CANCELLED, nowMs));
         } else if (action instanceof Reject rejection) {
-            clients.get(rejection.request()).isOver = true;
+            requestsById.get(rejection.request()).isComplete = true;
         } else if (action instanceof Fail failure) {
-            clients.get(failure.request()).isOver = true;
+            requestsById.get(failure.request()).isComplete = true;
         } else if (action instanceof Subscribe) {
             double delayMs = 50 + 200 * random.nextDouble();
             boolean broken = random.nextInt(3) == 0;
@@ -160,17 +159,17 @@
     }
 
     private void serve(Send send) {
-        SimulatedClient client = clients.get(send.request());
+        SimulatedRequest request = requestsById.get(send.request());
         SimulatedServer server = server(send.server());
-        int attempt = client.attemptCount++;
-        client.attemptsInFlight.add(attempt);
-        client.serversOfAttempts.add(send.server());
+        int attempt = request.attemptCount++;
+        request.attemptsInFlight.add(attempt);
+        request.serversOfAttempts.add(send.server());
         server.inFlight++;
         double elapsedMs = RecordedWorkload.WORK_MS
                         * server.slowdown
                         * (0.3 - Math.log(1 - random.nextDouble()))
                         * (1 + server.inFlight / 4.0)
-                        * (1 + 0.2 * client.kind)
+                        * (1 + 0.2 * request.classIndex)
                 + (server.zone.equals("z1") ? 1 : 12);
         Outcome outcome = Outcome.SERVED;
         if (random.nextDouble() < server.failureProbability) {
@@ -186,58 +185,59 @@
         }
         double sentAt = nowMs;
         Outcome finalOutcome = outcome;
-        if (client.kind == 3 && finalOutcome == Outcome.SERVED) {
-            at(nowMs + elapsedMs / 2, () -> startStream(client, attempt, nowMs - sentAt));
+        if (request.classIndex == 3 && finalOutcome == Outcome.SERVED) {
+            at(nowMs + elapsedMs / 2, () -> startStream(request, attempt, nowMs - sentAt));
         }
-        at(nowMs + elapsedMs, () -> end(client, attempt, finalOutcome, sentAt));
+        at(nowMs + elapsedMs, () -> end(request, attempt, finalOutcome, sentAt));
     }
 
-    private void startStream(SimulatedClient client, int attempt, double elapsedMs) {
-        if (client.attemptsInFlight.contains(attempt) && !client.isOver) {
-            client.hasStarted = true;
-            handle(new StreamStarted(client.id, attempt, elapsedMs));
+    private void startStream(SimulatedRequest request, int attempt, double elapsedMs) {
+        if (request.attemptsInFlight.contains(attempt) && !request.isComplete) {
+            request.isStreaming = true;
+            handle(new StreamStarted(request.id, attempt, elapsedMs));
         }
     }
 
-    private void end(SimulatedClient client, int attempt, Outcome outcome, double sentAt) {
-        if (!client.attemptsInFlight.remove((Integer) attempt)) {
+    private void end(SimulatedRequest request, int attempt, Outcome outcome, double sentAt) {
+        if (!request.attemptsInFlight.remove((Integer) attempt)) {
             return;
         }
-        String server = client.serversOfAttempts.get(attempt);
+        String server = request.serversOfAttempts.get(attempt);
         server(server).inFlight--;
-        client.isOver |= outcome == Outcome.SERVED || client.hasStarted;
-        handle(new AttemptEnded(client.id, attempt, server, outcome, nowMs - sentAt, client.isOver, null));
+        request.isComplete |= outcome == Outcome.SERVED || request.isStreaming;
+        handle(new AttemptEnded(request.id, attempt, server, outcome, nowMs - sentAt, request.isComplete, null));
     }
 
     private void sendRequest() {
         int kind = random.nextInt(10);
-        SimulatedClient client = new SimulatedClient(++requests, kind < 5 ? 0 : kind < 7 ? 1 : kind < 8 ? 2 : 3);
-        clients.put(client.id, client);
-        RequestClass rules = workload.settings().classes().get(client.kind);
+        SimulatedRequest request = new SimulatedRequest(++requestCount, kind < 5 ? 0 : kind < 7 ? 1 : kind < 8 ? 2 : 3);
+        requestsById.put(request.id, request);
+        RequestClass requestClass = workload.settings().classes().get(request.classIndex);
         List<String> tenants = Arrays.asList("a", "b", "c", "stranger", null);
-        double budget = rules.deadlineMs() * (0.3 + 0.7 * random.nextDouble());
-        Double cost = random.nextInt(4) == 0 || client.kind == 1 ? null : 5 + 30 * random.nextDouble();
+        double budget = requestClass.deadlineMs() * (0.3 + 0.7 * random.nextDouble());
+        Double cost = random.nextInt(4) == 0 || request.classIndex == 1 ? null : 5 + 30 * random.nextDouble();
         String key = random.nextBoolean() ? "k" + random.nextInt(12) : null;
-        handle(new RequestArrived(client.id, tenants.get(random.nextInt(5)), key, false, rules.name(), budget, cost));
-        double patienceMs = random.nextInt(50) == 0 ? budget * random.nextDouble() : budget;
-        at(nowMs + patienceMs, () -> abandon(client));
+        handle(new RequestArrived(
+                request.id, tenants.get(random.nextInt(5)), key, false, requestClass.name(), budget, cost));
+        double abandonAfterMs = random.nextInt(50) == 0 ? budget * random.nextDouble() : budget;
+        at(nowMs + abandonAfterMs, () -> abandon(request));
         double intervalFactor = nowMs % 20_000 < 4_000 ? 0.3 : 1;
         at(
                 nowMs + workload.requestIntervalMs() * intervalFactor * -Math.log(1 - random.nextDouble()),
                 this::sendRequest);
     }
 
-    private void abandon(SimulatedClient client) {
-        if (!client.isOver) {
-            client.isOver = true;
-            handle(new RequestAbandoned(client.id));
+    private void abandon(SimulatedRequest request) {
+        if (!request.isComplete) {
+            request.isComplete = true;
+            handle(new RequestAbandoned(request.id));
         }
-        for (Integer attempt : List.copyOf(client.attemptsInFlight)) {
-            at(nowMs, () -> end(client, attempt, Outcome.TIMED_OUT, nowMs - 600));
+        for (Integer attempt : List.copyOf(request.attemptsInFlight)) {
+            at(nowMs, () -> end(request, attempt, Outcome.TIMED_OUT, nowMs - 600));
         }
     }
 
-    /** A server becomes slow, unhealthy or healthy. */
+    /** Makes a random server slow, unhealthy or healthy. */
     private void changeServerHealth() {
         SimulatedServer server = servers.get(random.nextInt(servers.size()));
         server.slowdown = random.nextInt(3) == 0 ? 1 + 6 * random.nextDouble() : 1;
@@ -253,7 +253,7 @@
         at(nowMs + 900 * random.nextDouble(), this::changeServerHealth);
     }
 
-    /** A server drains, is removed, restarts or returns; then an update of any kind, or a broken subscription. */
+    /** Drains, removes, restarts or re-adds a random server, then sends an update of a random kind. */
     private void changeEndpoints() {
         SimulatedServer server = servers.get(random.nextInt(servers.size()));
         switch (random.nextInt(6)) {
@@ -281,8 +281,8 @@
     private void updateEndpoints(UpdateKind kind) {
         List<Endpoint> entries = new ArrayList<>();
         for (SimulatedServer server : servers) {
-            boolean isListed = kind == UpdateKind.INCREMENTAL || server.availability != Availability.REMOVED;
-            if (kind != UpdateKind.BROKEN && isListed && (kind != UpdateKind.INCREMENTAL || random.nextInt(3) == 0)) {
+            boolean isIncluded = kind == UpdateKind.INCREMENTAL || server.availability != Availability.REMOVED;
+            if (kind != UpdateKind.BROKEN && isIncluded && (kind != UpdateKind.INCREMENTAL || random.nextInt(3) == 0)) {
                 entries.add(new Endpoint(
                         server.id,
                         server.zone,
@@ -300,7 +300,7 @@
         return servers.get(Integer.parseInt(id.substring(1)));
     }
 
-    /** A task of the simulation; tasks of the same time run in the order in which they were scheduled. */
+    /** A scheduled task; tasks with the same time run in the order in which they were scheduled. */
     private record ScheduledTask(double time, long order, Runnable task) implements Comparable<ScheduledTask> {
         @Override
         public int compareTo(ScheduledTask other) {
@@ -309,7 +309,7 @@
         }
     }
 
-    /** The true state of a server, which the balancer sees only by outcomes and endpoint updates. */
+    /** The actual state of a server, which the balancer observes only through outcomes and endpoint updates. */
     private static final class SimulatedServer {
         final String id;
         final String zone;
@@ -330,19 +330,19 @@
         }
     }
 
-    /** One client request with its attempts. */
-    private static final class SimulatedClient {
+    /** A client request and its attempts. */
+    private static final class SimulatedRequest {
         final long id;
-        final int kind;
+        final int classIndex;
         final List<Integer> attemptsInFlight = new ArrayList<>();
         final List<String> serversOfAttempts = new ArrayList<>();
         int attemptCount;
-        boolean isOver;
-        boolean hasStarted;
+        boolean isComplete;
+        boolean isStreaming;
 
-        SimulatedClient(long id, int kind) {
+        SimulatedRequest(long id, int classIndex) {
             this.id = id;
-            this.kind = kind;
+            this.classIndex = classIndex;
         }
     }
 }
--- a/balancer/src/test/java/dewplank/balancer/health/GoldenPeerSummaryTest.java
+++ b/balancer/src/test/java/dewplank/balancer/health/GoldenPeerSummaryTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The wire format of {@link PeerSummary}, byte for byte as an earlier release sent it. */
+/** The wire format of {@link PeerSummary}, compared byte for byte with that of an earlier release. */
 class GoldenPeerSummaryTest {
     private static final String TWO_SERVERS = "01" // version
             + "4278bcfe5687b800" // milliseconds, a double
@@ -43,12 +43,12 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"02", "00"})
-    void anotherVersionIsNotRead(String version) {
-        assertNotNull(decoded(TWO_SERVERS), "version 1 is read");
+    void rejectsAnotherVersion(String version) {
+        assertNotNull(decoded(TWO_SERVERS), "version 1 is accepted");
         assertNull(decoded(version + TWO_SERVERS.substring(2)));
     }
 
-    /** Of 70 servers, 61 fit into 256 bytes. */
+    /** 61 of the 70 servers fit into 256 bytes. */
     @Test
     void writesNoMoreServersThanFitInto256Bytes() {
         List<Integer> servers = new ArrayList<>();
--- a/balancer/src/test/java/dewplank/balancer/health/ServerHealthTest.java
+++ b/balancer/src/test/java/dewplank/balancer/health/ServerHealthTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The outcomes observed at one server, the verdict that follows from them, and the server's weight. */
+/** The observed outcomes of one server, the resulting vote on its health, and its weight. */
 class ServerHealthTest {
     private final ServerHealth health = new ServerHealth();
 
@@ -17,8 +17,8 @@
     }
 
     @Test
-    void threeUnhealthyOutcomesInOneContextGiveAVerdictAndTwoDoNot() {
-        assertFalse(health.isUnhealthy(0), "nothing was observed");
+    void threeUnhealthyOutcomesInOneContextMakeAServerUnhealthyAndTwoDoNot() {
+        assertFalse(health.isUnhealthy(0), "no observations");
         observe("read", 0, false, false);
         assertFalse(health.isUnhealthy(2));
         observe("read", 2, false);
@@ -31,19 +31,19 @@
         observe("act", 2, false, false);
         assertFalse(health.isUnhealthy(4));
         observe("act", 4, false);
-        assertTrue(health.isUnhealthy(5), "one is enough");
+        assertTrue(health.isUnhealthy(5), "one unhealthy context suffices");
     }
 
     @Test
-    void theLatestObservationDecidesAgainstAHealthyMajority() {
+    void theLatestObservationOverridesAHealthyMajority() {
         observe("read", 0, true, true, true, true, true, false, true, false, true, false);
-        assertTrue(health.isUnhealthy(10), "three of ten, the last one too");
+        assertTrue(health.isUnhealthy(10), "three of ten, including the last one");
         observe("read", 10, true);
-        assertFalse(health.isUnhealthy(11), "three of eleven, and a success since");
+        assertFalse(health.isUnhealthy(11), "three of eleven, followed by a success");
     }
 
     @Test
-    void halfOfTheWindowGivesAVerdictDespiteALaterSuccess() {
+    void halfOfTheWindowMakesAServerUnhealthyDespiteALaterSuccess() {
         observe("read", 0, false, false, false, true, true, true);
         assertTrue(health.isUnhealthy(6), "three of six");
         observe("read", 6, true);
@@ -57,22 +57,22 @@
         observe("read", 9, true);
         assertFalse(health.isUnhealthy(10));
         observe("act", 10, false);
-        assertTrue(health.isUnhealthy(11), "four of ten, the last one too");
+        assertTrue(health.isUnhealthy(11), "four of ten, including the last one");
         health.recordLateSuccess(11);
-        assertFalse(health.isUnhealthy(12), "late, but it answers");
+        assertFalse(health.isUnhealthy(12), "the server responds, though late");
     }
 
     @Test
-    void observationsCountForTenSeconds() {
+    void observationsExpireAfterTenSeconds() {
         observe("read", 1_000, false, false, false);
         assertTrue(health.isUnhealthy(11_000));
-        assertFalse(health.isUnhealthy(11_001), "two are left");
+        assertFalse(health.isUnhealthy(11_001), "two remain");
         observe("read", 11_001, false);
         assertTrue(health.isUnhealthy(11_001));
     }
 
     @Test
-    void theWeightHalvesDownToTheFloorAndClimbsByStepsToOne() {
+    void theWeightHalvesDownToTheFloorAndRisesInStepsToOne() {
         assertEquals(1, health.weight());
         observe("read", 0, false, false);
         assertEquals(0.25, health.weight());
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void recentSuccessGoesByTheLatestRequestServed() {
+    void recentSuccessDependsOnTheLatestServedRequest() {
         assertEquals(Double.NEGATIVE_INFINITY, health.lastSuccessAtMs());
         assertFalse(health.hasRecentSuccess(0));
         observe("read", 500, true, false);
@@ -96,15 +96,15 @@
         assertFalse(health.hasRecentSuccess(10_500));
         health.recordLateSuccess(600);
         assertTrue(health.hasRecentSuccess(10_500));
-        assertEquals(0.5, health.weight(), "a late one restores nothing");
+        assertEquals(0.5, health.weight(), "a late success does not raise the weight");
     }
 
     @Test
-    void aNewProcessStartsWithoutVerdictAtFullWeight() {
+    void aNewProcessStartsHealthyAtFullWeight() {
         observe("read", 0, true, false, false, false);
         health.reset();
         assertFalse(health.isUnhealthy(4));
         assertEquals(1, health.weight());
-        assertEquals(0, health.lastSuccessAtMs(), "the time of the last success stays");
+        assertEquals(0, health.lastSuccessAtMs(), "the time of the last success is kept");
     }
 }
