--- a/balancer/src/main/java/dewplank/balancer/WeightedDraw.java
+++ b/balancer/src/main/java/dewplank/balancer/WeightedDraw.java
@@ -12,12 +12,12 @@
     private WeightedDraw() {}
 
     /**
-     * Draws one item by weight. Consumes exactly one random number, for an empty list too.
+     * Draws one item by weight. Always consumes exactly one random number, even for an empty list.
      *
      * @param excluded never drawn; may be null
      * @param weight 0 or more; evaluated up to twice per item, so it must not change in between
-     * @return null if the list holds no other item than the excluded one; the last item if all weights are
-     *     0
+     * @return null if the list contains no item other than the excluded one; the last item if all weights
+     *     are 0
      */
     public static <T> T draw(List<T> items, T excluded, ToDoubleFunction<T> weight, RandomGenerator random) {
         double total = 0;
--- a/balancer/src/main/java/dewplank/balancer/adaptive/LoadShedder.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/LoadShedder.java
@@ -23,14 +23,14 @@
     private static final double MAX_SAMPLE = 2;
     private static final double OVERLOAD_QUEUE_FRACTION = 0.09; // counts as overload; 0.12 performs worse
     private static final double OVERLOAD_TIME_CONSTANT_MS = 1_000;
-    private static final double MAX_SAMPLE_GAP_MS = 100; // the part of a gap between requests that counts
+    private static final double MAX_SAMPLE_GAP_MS = 100; // longer gaps between requests count as this
     private static final double MAX_OVERLOAD_FRACTION = 0.7; // also bounds early rejections
 
     private final Step step;
     private final FleetStats fleet;
     private final LatencyEstimates latency;
     /** Below 1 if the goal has a tail weight: then an early rejection is better than a late response. */
-    private final double strictness;
+    private final double lateTolerance;
 
     private double meanQueueFraction;
     private double lastQueueSampleAtMs;
@@ -41,7 +41,7 @@
         this.fleet = fleet;
         this.latency = latency;
         Goal goal = settings.goal();
-        this.strictness = 1 - goal.tail() / Math.max(1e-9, goal.all() + goal.worstClass() + goal.tail());
+        this.lateTolerance = 1 - goal.tail() / Math.max(1e-9, goal.all() + goal.worstClass() + goal.tail());
     }
 
     /**
@@ -50,12 +50,12 @@
      * own late responses. A negative value offsets the fraction for sustained overload.
      */
     double rejectionFraction(PendingRequest request, ServerState server) {
-        double lateness = latency.predictedLateness(server, request) / strictness;
+        double lateness = latency.predictedLateness(server, request) / lateTolerance;
         double negativeAgeMs = fleet.lastWarmSampleAtMs - step.nowMs();
         double freshness = Math.exp(negativeAgeMs / LatencyEstimates.FLEET_TIME_CONSTANT_MS);
         double slowdown = 1 + (fleet.slowdownOverIdle - 1) * freshness;
         double slowdownFraction = (slowdown - LOW_SLOWDOWN) / (HIGH_SLOWDOWN - LOW_SLOWDOWN);
-        double queues = Math.min(latency.queueFraction(server, request), meanQueueFraction) / strictness;
+        double queues = Math.min(latency.queueFraction(server, request), meanQueueFraction) / lateTolerance;
         double queueingFraction = (queues - LOW_QUEUE_FRACTION) / (HIGH_QUEUE_FRACTION - LOW_QUEUE_FRACTION);
         double earlyFraction = Math.min(MAX_OVERLOAD_FRACTION, Math.min(slowdownFraction, queueingFraction));
         double latenessFraction = (lateness - LOW_LATENESS) / (HIGH_LATENESS - LOW_LATENESS);
--- a/balancer/src/main/java/dewplank/balancer/adaptive/ServerPicker.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/ServerPicker.java
@@ -77,10 +77,10 @@
     }
 
     /**
-     * The shortest queue among the candidates with recent responses, or {@code otherwise} if there are
+     * The shortest queue among the candidates with recent responses, or {@code fallback} if there are
      * none.
      */
-    double shortestQueueFraction(PendingRequest request, double otherwise) {
+    double shortestQueueFraction(PendingRequest request, double fallback) {
         double shortest = Double.POSITIVE_INFINITY;
         boolean hasRecentSample = false;
         for (ServerState server : candidates) {
@@ -89,7 +89,7 @@
                 hasRecentSample = true;
             }
         }
-        return hasRecentSample ? shortest : otherwise;
+        return hasRecentSample ? shortest : fallback;
     }
 
     /**
