--- a/balancer/src/test/java/dewplank/balancer/adaptive/AdmissionTest.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/AdmissionTest.java
@@ -198,7 +198,7 @@
      * requests.
      */
     @Test
-    void anIdleFleetWithServiceTimesCloseToTheTargetRejectsAlmostNoRequests() {
+    void anIdleFleetWithServiceTimesOfAQuarterOfTheTargetRejectsAlmostNoRequests() {
         // Log-normal: mean and standard deviation are a quarter of the latency target.
         int rejected = rejected((request, send, random) -> 75 * Math.exp(0.83 * random.nextGaussian() - 0.35));
         assertTrue(rejected <= 50, rejected + " of 10,000 rejected");
--- a/balancer/src/test/java/dewplank/balancer/adaptive/WorkloadSimulation.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/WorkloadSimulation.java
@@ -78,10 +78,10 @@
             servers.add(new SimulatedServer(index, index % 3 == 2 ? "z2" : "z1", index % 4, 1 + index % 3));
         }
         updateEndpoints(UpdateKind.CACHED);
-        at(nowMs, this::sendRequest);
-        at(nowMs + 400, this::changeServerHealth);
-        at(nowMs + 700, this::changeEndpoints);
-        at(nowMs + 150, this::receivePeerSummary);
+        scheduleAt(nowMs, this::sendRequest);
+        scheduleAt(nowMs + 400, this::changeServerHealth);
+        scheduleAt(nowMs + 700, this::changeEndpoints);
+        scheduleAt(nowMs + 150, this::receivePeerSummary);
         for (int index = 0; index < EVENTS && !schedule.isEmpty(); index++) {
             ScheduledTask next = schedule.poll();
             nowMs = Math.max(nowMs, next.time());
@@ -97,7 +97,7 @@
         return actionCounts;
     }
 
-    private void at(double time, Runnable task) {
+    private void scheduleAt(double time, Runnable task) {
         schedule.add(new ScheduledTask(time, scheduledCount++, task));
     }
 
@@ -138,12 +138,12 @@
 
     private void perform(Action action) {
         if (action instanceof SetTimer timer) {
-            at(nowMs + timer.delayMs(), () -> handle(new TimerFired(timer.timer())));
+            scheduleAt(nowMs + timer.delayMs(), () -> handle(new TimerFired(timer.timer())));
         } else if (action instanceof Send send) {
             serve(send);
         } else if (action instanceof Cancel cancel) {
             SimulatedRequest request = requestsById.get(cancel.request());
-            at(nowMs, () -> end(request, cancel.attempt(), Outcome.CANCELLED, nowMs));
+            scheduleAt(nowMs, () -> end(request, cancel.attempt(), Outcome.CANCELLED, nowMs));
         } else if (action instanceof Reject rejection) {
             requestsById.get(rejection.request()).isComplete = true;
         } else if (action instanceof Fail failure) {
@@ -151,10 +151,12 @@
         } else if (action instanceof Subscribe) {
             double delayMs = 50 + 200 * random.nextDouble();
             boolean broken = random.nextInt(3) == 0;
-            at(nowMs + delayMs, () -> updateEndpoints(broken ? UpdateKind.BROKEN : UpdateKind.FULL));
+            scheduleAt(nowMs + delayMs, () -> updateEndpoints(broken ? UpdateKind.BROKEN : UpdateKind.FULL));
         } else if (action instanceof CheckHealth check) {
             SimulatedServer server = server(check.server());
-            at(nowMs + 5, () -> handle(new HealthChecked(check.server(), server.failureProbability < 0.3, 5, null)));
+            scheduleAt(
+                    nowMs + 5,
+                    () -> handle(new HealthChecked(check.server(), server.failureProbability < 0.3, 5, null)));
         }
     }
 
@@ -186,9 +188,9 @@
         double sentAt = nowMs;
         Outcome finalOutcome = outcome;
         if (request.classIndex == 3 && finalOutcome == Outcome.SERVED) {
-            at(nowMs + elapsedMs / 2, () -> startStream(request, attempt, nowMs - sentAt));
+            scheduleAt(nowMs + elapsedMs / 2, () -> startStream(request, attempt, nowMs - sentAt));
         }
-        at(nowMs + elapsedMs, () -> end(request, attempt, finalOutcome, sentAt));
+        scheduleAt(nowMs + elapsedMs, () -> end(request, attempt, finalOutcome, sentAt));
     }
 
     private void startStream(SimulatedRequest request, int attempt, double elapsedMs) {
@@ -220,9 +222,9 @@
         handle(new RequestArrived(
                 request.id, tenants.get(random.nextInt(5)), key, false, requestClass.name(), budget, cost));
         double abandonAfterMs = random.nextInt(50) == 0 ? budget * random.nextDouble() : budget;
-        at(nowMs + abandonAfterMs, () -> abandon(request));
+        scheduleAt(nowMs + abandonAfterMs, () -> abandon(request));
         double intervalFactor = nowMs % 20_000 < 4_000 ? 0.3 : 1;
-        at(
+        scheduleAt(
                 nowMs + workload.requestIntervalMs() * intervalFactor * -Math.log(1 - random.nextDouble()),
                 this::sendRequest);
     }
@@ -233,7 +235,7 @@
             handle(new RequestAbandoned(request.id));
         }
         for (Integer attempt : List.copyOf(request.attemptsInFlight)) {
-            at(nowMs, () -> end(request, attempt, Outcome.TIMED_OUT, nowMs - 600));
+            scheduleAt(nowMs, () -> end(request, attempt, Outcome.TIMED_OUT, nowMs - 600));
         }
     }
 
@@ -250,7 +252,7 @@
                 Outcome.RESET,
                 Outcome.ERROR);
         server.failure = failures.get(random.nextInt(failures.size()));
-        at(nowMs + 900 * random.nextDouble(), this::changeServerHealth);
+        scheduleAt(nowMs + 900 * random.nextDouble(), this::changeServerHealth);
     }
 
     /** Drains, removes, restarts or re-adds a random server, then sends an update of a random kind. */
@@ -264,7 +266,7 @@
         }
         UpdateKind[] kinds = UpdateKind.values();
         updateEndpoints(kinds[random.nextInt(kinds.length)]);
-        at(nowMs + 2_500 * random.nextDouble(), this::changeEndpoints);
+        scheduleAt(nowMs + 2_500 * random.nextDouble(), this::changeEndpoints);
     }
 
     private void receivePeerSummary() {
@@ -275,7 +277,7 @@
                 .toList();
         byte[] bytes = new PeerSummary(nowMs - 3_500 * random.nextDouble() + 200, unhealthy).encode();
         handle(new PeerSummaryReceived(peer, random.nextInt(20) == 0 ? new byte[3] : bytes));
-        at(nowMs + 600 * random.nextDouble(), this::receivePeerSummary);
+        scheduleAt(nowMs + 600 * random.nextDouble(), this::receivePeerSummary);
     }
 
     private void updateEndpoints(UpdateKind kind) {
