--- a/consensus/src/main/java/dewplank/membership/AcceptorPlacement.java
+++ b/consensus/src/main/java/dewplank/membership/AcceptorPlacement.java
@@ -9,47 +9,50 @@
 import java.util.Map;
 
 /**
- * Computes which control planes should be the register's acceptors, from the control planes that are live: a lost disk
- * is replaced by the identity that runs at its address, an unresponsive acceptor by a control plane that is no acceptor
- * yet, and the set grows to an odd number.
+ * Computes which of the live control planes should be the register's acceptors. A lost disk is replaced by the identity
+ * that now runs at its address, an unresponsive acceptor by a control plane that is not an acceptor yet, and the set
+ * grows to an odd number of acceptors.
  *
- * <p>An unresponsive acceptor stays where nobody can replace it: a smaller set tolerates fewer faults, and the machine
- * may come back with its disk. Where somebody can, little is lost if it does come back: it takes the next free place.
+ * <p>An unresponsive acceptor remains in the set if no spare can replace it: a smaller set tolerates fewer faults, and
+ * the machine may return with its disk. If a spare can replace it, the replacement costs little even if the machine
+ * returns later, because the returning acceptor then becomes a spare itself.
  *
- * <p>No input or output: the caller hands in the time and the observations, and proposes what comes back to the
- * register. Not thread-safe; the control plane calls it on its event loop. Times are in milliseconds of one steady
- * clock. No method throws, and none takes or returns null.
+ * <p>Does no I/O: the caller passes in the time and the observations, and proposes the result to the register. Not
+ * thread-safe; the control plane calls it on its event loop. Times are in milliseconds of one monotonic clock. No
+ * method throws, and none takes or returns null.
  */
 public final class AcceptorPlacement {
-    /** More acceptors than this tolerate no fault that a deployment asks for, and each change waits for more disks. */
+    /** No deployment requires more acceptors to tolerate its faults, and each change would wait for more disks. */
     public static final int MAX_ACCEPTORS = 9;
 
     /**
-     * The time-outs of a placement, in milliseconds.
+     * The timeouts of a placement, in milliseconds.
      *
-     * @param heartbeatTimeoutMs a peer is live for so long after its last heartbeat
-     * @param minUptimeMs a newcomer is eligible once its identity has sent heartbeats for so long
-     * @param replaceAfterMs an acceptor that has not been live for so long is replaced
-     * @param bootstrapGraceMs all that started together with this process have sent a heartbeat by then
+     * @param heartbeatTimeoutMs how long a peer counts as live after its last heartbeat
+     * @param minUptimeMs how long a new identity has to send heartbeats before it is eligible
+     * @param replaceAfterMs how long an acceptor has to be missing before it is replaced
+     * @param bootstrapGraceMs the time until all processes that started together with this one have sent a heartbeat
      */
     public record Timing(
             double heartbeatTimeoutMs, double minUptimeMs, double replaceAfterMs, double bootstrapGraceMs) {
-        /** Machines start within 0.3 s of each other, a process takes up to 2 s on a slow one, then it is linked. */
+        /** Machines start within 0.3 s of each other; on a slow one a process takes up to 2 s before it connects. */
         private static final double BOOTSTRAP_GRACE_MS = 5_000;
 
-        private static final double HEARTBEAT_TIMEOUT_MS = 1_000; // three heartbeats of 300 ms and their transmission
-        /** More than a heartbeat and its transmission: late messages of an earlier incarnation have arrived by then. */
+        private static final double HEARTBEAT_TIMEOUT_MS = 1_000; // three intervals of 300 ms and transmission
+        /**
+         * Longer than a heartbeat interval and transmission, so late messages of an earlier incarnation have arrived.
+         */
         private static final double MIN_UPTIME_MS = 400;
 
         private static final double REPLACE_FRACTION_OF_CATCH_UP = 1 / 4.0;
         private static final double MAX_REPLACE_AFTER_MS = 2_000;
 
         /**
-         * The time-outs for a deployment in which the next loss may come {@code catchUpMs} after a successor's start.
-         * Of 4 s: 1 s until the successor's process runs and is linked, 0.4 s of minimum uptime, 0.1 s to the next
-         * check and 0.1 s for the change leave more than half for a vacant singleton role and for slow disks. The
-         * heartbeat time-out and the wait for a replacement, 1 s each, run from the loss, at the latest from the
-         * successor's start.
+         * Returns the timeouts for a deployment in which the next loss may occur {@code catchUpMs} after the start of a
+         * successor. With 4 s, the successor's process takes 1 s to start and connect, the minimum uptime is 0.4 s, and
+         * the next check and the change take 0.1 s each. More than half of the time remains for a vacant singleton role
+         * and for slow disks. The heartbeat timeout and the wait before a replacement, 1 s each, start at the loss, or
+         * at the latest at the start of the successor.
          */
         public static Timing ofCatchUp(double catchUpMs) {
             double replaceAfterMs = Math.min(MAX_REPLACE_AFTER_MS, catchUpMs * REPLACE_FRACTION_OF_CATCH_UP);
@@ -61,9 +64,9 @@
      * A control plane that has sent a heartbeat.
      *
      * @param acceptor its address and the identity of its disk
-     * @param durable whether it has a disk: one without is an acceptor only until another can replace it
-     * @param lastHeartbeatAtMs when its last heartbeat arrived
-     * @param firstHeartbeatAtMs when the first one of that very identity arrived
+     * @param durable whether it has a disk; one without a disk remains an acceptor only until a spare can replace it
+     * @param lastHeartbeatAtMs the arrival time of its last heartbeat
+     * @param firstHeartbeatAtMs the arrival time of the first heartbeat with this identity
      */
     public record PeerObservation(
             AcceptorId acceptor, boolean durable, double lastHeartbeatAtMs, double firstHeartbeatAtMs) {}
@@ -72,19 +75,19 @@
     private final Map<AcceptorId, Double> missingSinceMs = new HashMap<>();
     private double firstCallAtMs = Double.NaN;
 
-    /** A placement that has observed nobody yet. */
+    /** Creates a placement without any observations. */
     public AcceptorPlacement(Timing timing) {
         this.timing = timing;
     }
 
     /**
-     * Returns the acceptors that there should be: those of the set where it is as it should be, or where a change of it
-     * is not complete. Records which acceptors are missing; to be called at least a few times within {@link
-     * Timing#replaceAfterMs}, also where nobody acts on the result.
+     * Returns the target acceptors, which are the current members if the set needs no change or is joint. Also records
+     * which acceptors are missing, so it has to be called at least a few times within {@link Timing#replaceAfterMs},
+     * even if the result is not used.
      *
      * @param nowMs the time
-     * @param set the acceptors in force
-     * @param peers all control planes observed, this one among them
+     * @param set the current acceptors
+     * @param peers all observed control planes, including this one
      */
     public List<AcceptorId> targetMembers(double nowMs, AcceptorSet set, Collection<PeerObservation> peers) {
         List<PeerObservation> live = peers.stream()
@@ -127,18 +130,19 @@
     }
 
     private static List<AcceptorId> disklessMembers(AcceptorSet set, Collection<PeerObservation> peers) {
-        List<AcceptorId> relays = peers.stream()
+        List<AcceptorId> disklessPeers = peers.stream()
                 .filter(peer -> !peer.durable())
                 .map(PeerObservation::acceptor)
                 .toList();
         return set.members().stream()
-                .filter(member -> member.isVolatile() || relays.contains(member))
+                .filter(member -> member.isVolatile() || disklessPeers.contains(member))
                 .toList();
     }
 
     /**
-     * Acceptors without a disk, which the first set may contain where the seeds name such processes, are replaced one
-     * by one. Where there are no spares they are removed, once all that started together had the time for a heartbeat.
+     * Replaces acceptors without a disk one by one. The first set contains them if the seeds name such processes. If
+     * there is no spare, such acceptors are removed once all processes that started together have had time to send a
+     * heartbeat.
      */
     private List<AcceptorId> withoutDiskless(
             double nowMs, List<AcceptorId> members, List<AcceptorId> diskless, List<AcceptorId> spares) {
@@ -151,7 +155,7 @@
         return bootstrapped && !durable.isEmpty() ? durable : members;
     }
 
-    /** One replacement: a lost disk's first, as that acceptor is certain not to come back. */
+    /** Returns the members with at most one replacement, of a lost disk first because its acceptor cannot return. */
     private List<AcceptorId> repaired(double nowMs, List<AcceptorId> members, List<AcceptorId> spares) {
         for (AcceptorId member : members) {
             for (AcceptorId spare : spares) {
@@ -175,7 +179,9 @@
         return target;
     }
 
-    /** Growth by as many as make the number odd; while an acceptor is missing the spares are for its place. */
+    /**
+     * Adds spares up to the largest odd number; not used while an acceptor is missing, which a spare has to replace.
+     */
     private static List<AcceptorId> grown(List<AcceptorId> members, List<AcceptorId> spares) {
         int size = Math.min(MAX_ACCEPTORS, members.size() + spares.size());
         size -= size % 2 == 0 ? 1 : 0;
--- a/consensus/src/main/java/dewplank/membership/Member.java
+++ b/consensus/src/main/java/dewplank/membership/Member.java
@@ -3,10 +3,10 @@
 import java.util.Objects;
 
 /**
- * One process of the fleet, in one incarnation. Immutable; two are equal where all their fields are.
+ * One process of the fleet, in one incarnation. Immutable; two members are equal if all their fields are equal.
  *
- * <p>Part of messages: Protostuff fills it in field by field, and numbers the fields by their place in this class,
- * which therefore never changes.
+ * <p>Part of messages: Protostuff sets the fields directly and numbers them by their position in this class, so fields
+ * must not be moved, added or removed.
  */
 public final class Member {
     /** The role of a control plane. */
@@ -18,14 +18,14 @@
     public final String node;
     /** {@link #CONTROL} or {@link #DATA}. */
     public final String role;
-    /** IP:PORT at which other processes of the fleet reach it. */
+    /** The address for other processes of the fleet, as IP:PORT. */
     public final String address;
-    /** The failure domain; null where the settings name none. */
+    /** The failure domain; null if the settings name none. */
     public final String zone;
-    /** The wall clock at the start of the process, in milliseconds: larger in a later one, unless it was set back. */
+    /** The wall clock at the start of the process, in milliseconds; larger for later incarnations unless set back. */
     public final long incarnation;
 
-    /** A process; only the zone may be null. */
+    /** Creates a member; only the zone may be null. */
     public Member(String node, String role, String address, String zone, long incarnation) {
         this.node = node;
         this.role = role;
--- a/consensus/src/main/java/dewplank/membership/SessionTable.java
+++ b/consensus/src/main/java/dewplank/membership/SessionTable.java
@@ -9,21 +9,21 @@
 import java.util.Map;
 
 /**
- * The sessions of data planes with control planes, as one control plane knows them: the local ones, each with a lease,
- * and those that its peers reported. A data plane is a member while it has a session with any control plane.
+ * The sessions of data planes with control planes that one control plane knows: its local sessions, each with a lease,
+ * and the sessions reported by its peers. A data plane is a member while it has a session with any control plane.
  *
- * <p>Not thread-safe; the control plane calls it on its event loop. Times are in milliseconds of one steady clock. No
- * method throws, and none takes or returns null.
+ * <p>Not thread-safe; the control plane calls it on its event loop. Times are in milliseconds of one monotonic clock.
+ * No method throws, and none takes or returns null.
  */
 public final class SessionTable {
-    /** Local sessions, beyond which none is opened: guards the memory of a small machine. */
+    /** Limits the open local sessions, to bound the memory use on a small machine. */
     public static final int MAX_SESSIONS = 4_096;
 
-    /** What became of a request to open or renew a session. */
+    /** The result of a request to open or renew a session. */
     public enum Renewal {
         /** The session is open, with a new lease. */
         RENEWED,
-        /** The session was not open, and {@link #MAX_SESSIONS} are; nothing changed. */
+        /** The session was not open, and {@link #MAX_SESSIONS} others are open; nothing changed. */
         REJECTED_MAX_SESSIONS
     }
 
@@ -34,20 +34,20 @@
     private final Map<String, RemoteSessions> remoteByAddress = new HashMap<>();
 
     /**
-     * An empty table.
+     * Creates an empty table.
      *
-     * @param leaseMs how long a session lasts without being renewed, and how long a peer's report counts
+     * @param leaseMs how long a session lasts without renewal, and how long a peer's report is valid
      */
     public SessionTable(double leaseMs) {
         this.leaseMs = leaseMs;
     }
 
-    /** How long a session lasts without being renewed. */
+    /** How long a session lasts without renewal. */
     public double leaseMs() {
         return leaseMs;
     }
 
-    /** Opens or renews a local session, unless it would be one too many. */
+    /** Opens or renews a local session; does not open one beyond {@link #MAX_SESSIONS}. */
     public Renewal renew(double nowMs, Member member) {
         if (localRenewedAtMs.size() >= MAX_SESSIONS && !localRenewedAtMs.containsKey(member)) {
             return Renewal.REJECTED_MAX_SESSIONS;
@@ -56,13 +56,13 @@
         return Renewal.RENEWED;
     }
 
-    /** Ends a local session, as its connection has ended. */
+    /** Closes a local session whose connection is closed. */
     public void close(Member member) {
         localRenewedAtMs.remove(member);
     }
 
     /**
-     * A peer reported all its local sessions; the report replaces its earlier one.
+     * Handles a peer's report of all its local sessions, which replaces its earlier report.
      *
      * @param nowMs the time
      * @param controlAddress the address of the peer
@@ -72,20 +72,20 @@
         remoteByAddress.put(controlAddress, new RemoteSessions(nowMs, List.copyOf(sessions)));
     }
 
-    /** Extends all leases by the time for which this process received nothing, as it did not run or was busy. */
+    /** Extends all leases by a period in which this process received nothing because it was suspended or busy. */
     public void extendLeases(double stalledMs) {
         localRenewedAtMs.replaceAll((member, renewedAtMs) -> renewedAtMs + stalledMs);
         remoteByAddress.replaceAll(
                 (address, remote) -> new RemoteSessions(remote.reportedAtMs() + stalledMs, remote.sessions()));
     }
 
-    /** The local sessions whose leases have not expired, by the name of the node. */
+    /** The local sessions whose leases have not expired, sorted by node name. */
     public List<Member> localSessions(double nowMs) {
         localRenewedAtMs.values().removeIf(renewedAtMs -> nowMs - renewedAtMs > leaseMs);
         return sorted(localRenewedAtMs.keySet());
     }
 
-    /** All members, by the name of the node; of several incarnations of one node the latest. */
+    /** All members, sorted by node name; only the latest incarnation of each node. */
     public List<Member> members(double nowMs) {
         Map<String, Member> byNode = new HashMap<>();
         for (Iterator<RemoteSessions> reports = remoteByAddress.values().iterator(); reports.hasNext(); ) {
@@ -110,7 +110,7 @@
         return list;
     }
 
-    /** A digest of the members, which data planes send back; differs where the members do, and is never 0. */
+    /** A digest of the members, which data planes send back. It differs for different members and is never 0. */
     public static long digest(List<Member> members) {
         long digest = 1;
         for (Member member : members) {
--- a/consensus/src/main/java/dewplank/membership/package-info.java
+++ b/consensus/src/main/java/dewplank/membership/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Who belongs to the fleet: the sessions of data planes with control planes and their leases
- * ({@link dewplank.membership.SessionTable}), a process as messages name it ({@link dewplank.membership.Member}), and
- * which control planes should be the register's acceptors ({@link dewplank.membership.AcceptorPlacement}). Input and
- * output, threads and clocks must not live here, nor the agreement on a change of the acceptors, which is the
- * register's ({@code dewplank.register}).
+ * Membership of the fleet: the sessions of data planes with control planes and their leases
+ * ({@link dewplank.membership.SessionTable}), the description of a process in messages
+ * ({@link dewplank.membership.Member}), and the selection of the control planes that should be the register's acceptors
+ * ({@link dewplank.membership.AcceptorPlacement}). This package must not contain I/O, threads or clocks, nor the
+ * agreement on a change of the acceptors, which belongs to the register ({@code dewplank.register}).
  */
 package dewplank.membership;
--- a/consensus/src/main/java/dewplank/register/Accept.java
+++ b/consensus/src/main/java/dewplank/register/Accept.java
@@ -3,7 +3,8 @@
 import java.util.Objects;
 
 /**
- * Second phase of a ballot: requests that an acceptor accept a value. Answered by {@link Accepted} or {@link Reject}.
+ * Second phase of a ballot: requests that an acceptor accept a value. The reply is {@link Accepted} or
+ * {@link Reject}.
  */
 public final class Accept extends RegisterMessage {
     private final Ballot ballot;
--- a/consensus/src/main/java/dewplank/register/Accepted.java
+++ b/consensus/src/main/java/dewplank/register/Accepted.java
@@ -2,11 +2,11 @@
 
 import java.util.Objects;
 
-/** Positive answer to {@link Accept}: the sender has accepted the value and synced it. */
+/** Positive reply to {@link Accept}: the sender has accepted the value and synced it. */
 public final class Accepted extends RegisterMessage {
     private final Ballot ballot;
 
-    /** Creates the answer; no argument may be null. */
+    /** Creates the reply; no argument may be null. */
     public Accepted(String senderAddress, String senderIdentity, String recipientIdentity, Ballot ballot) {
         super(senderAddress, senderIdentity, recipientIdentity);
         this.ballot = Objects.requireNonNull(ballot);
--- a/consensus/src/main/java/dewplank/register/Acceptor.java
+++ b/consensus/src/main/java/dewplank/register/Acceptor.java
@@ -5,11 +5,14 @@
 
 /**
  * The acceptor of one process (CASPaxos, Rystsov 2018, section 2.2). {@link Register} calls it on its own thread. It
- * answers only what its disk has synced: while a store is in flight, later votes are collected and go together into the
- * next one. The argument for a failed store is invariant 4 in {@code docs/register.md}.
+ * replies only when the state behind the reply is synced to disk: while a store is in flight, later votes are collected
+ * and written together by the next store. Invariant 4 in {@code docs/register.md} covers failed stores.
  */
 final class Acceptor {
-    /** Replies that may wait for the disk. More are dropped as if lost, so a stalled disk costs no memory. */
+    /**
+     * Limits the replies that wait for the disk, to bound memory use while the disk stalls. Further replies are dropped
+     * as if they were lost.
+     */
     static final int MAX_PENDING_REPLIES = 256;
 
     private record PendingReply(String address, RegisterMessage message) {}
@@ -29,12 +32,12 @@
         this.durable = recovered;
     }
 
-    /** The state that is synced for certain. */
+    /** The state that is known to be synced. */
     DurableState durable() {
         return durable;
     }
 
-    /** The newest state, which the disk may not hold yet. */
+    /** The newest state, which may not be on disk yet. */
     DurableState current() {
         return current;
     }
@@ -77,8 +80,8 @@
     }
 
     /**
-     * Stores a value that is chosen. It counts as accepted whatever is promised: a proposer with a promise for a higher
-     * ballot has met the choosing quorum and read the value there.
+     * Stores a chosen value. The value counts as accepted even if a higher ballot is promised: the proposer of that
+     * ballot reads the value from the quorum that chose it.
      */
     void storeChosen(Ballot ballot, RegisterValue value, Register.Effects<?> effects) {
         DurableState next = current.choosing(ballot, value);
@@ -86,7 +89,7 @@
         startStoreIfIdle(effects);
     }
 
-    /** The store with this id is synced: sends the replies that waited for it. */
+    /** Handles the completion of the store with this id: sends the replies that waited for it. */
     void handleStored(long id, Register.Effects<?> effects) {
         if (storeInFlight == null || id != storeId) {
             return;
@@ -102,8 +105,8 @@
     }
 
     /**
-     * The store with this id failed: drops every vote that is not synced for certain, with its reply. What is chosen
-     * stays in memory and goes into a later store.
+     * Handles the failure of the store with this id: drops every vote that is not known to be synced, with its reply.
+     * The chosen value stays in memory and is written by a later store.
      */
     void handleStoreFailed(long id) {
         if (storeInFlight == null || id != storeId) {
@@ -116,7 +119,7 @@
         repliesToNextStore.clear();
     }
 
-    /** Retries to store the chosen value after a failed store. */
+    /** Stores the chosen value again after a failed store. */
     void retryStoreOfChosen(Register.Effects<?> effects) {
         if (storeInFlight == null && current.chosenBallot().isAfter(durable.chosenBallot())) {
             storeChosen(current.chosenBallot(), current.chosenValue(), effects);
--- a/consensus/src/main/java/dewplank/register/AcceptorId.java
+++ b/consensus/src/main/java/dewplank/register/AcceptorId.java
@@ -3,12 +3,12 @@
 import java.util.Objects;
 
 /**
- * Names one acceptor by its address and the identity of its disk. The identity is drawn when the disk is first used, so
- * an emptied disk at the same address is a different acceptor. A process without a disk is <em>volatile</em>: it draws
- * an identity at each start, as it forgets its votes when it ends. Immutable; neither part is null.
+ * Identifies an acceptor by its address and the identity of its disk. The identity is generated when the disk is first
+ * used, so an emptied disk at the same address is a different acceptor. A process without a disk is <em>volatile</em>:
+ * it loses its votes when it exits, so it generates a new identity at each start. Immutable; neither part is null.
  */
 public final class AcceptorId {
-    /** Begins volatile identities only; identities of disks never begin with it. */
+    /** Prefix of volatile identities; identities of disks never start with it. */
     private static final String VOLATILE_PREFIX = "memory:";
 
     private static final String INCARNATION_SEPARATOR = "#";
@@ -16,23 +16,23 @@
     private final String address;
     private final String identity;
 
-    /** Names the acceptor at {@code address} (IP:PORT) whose disk has the identity {@code identity}. */
+    /** Creates the id of the acceptor at {@code address} (IP:PORT) whose disk has the identity {@code identity}. */
     public AcceptorId(String address, String identity) {
         this.address = Objects.requireNonNull(address);
         this.identity = Objects.requireNonNull(identity);
     }
 
     /**
-     * The identity of one incarnation of a process without a disk.
+     * Returns the identity of one incarnation of a process without a disk.
      *
-     * @param name what all incarnations share
-     * @param incarnation differs from incarnation to incarnation
+     * @param name the part that all incarnations share
+     * @param incarnation the part that differs for each incarnation
      */
     public static String volatileIdentity(String name, String incarnation) {
         return VOLATILE_PREFIX + name + INCARNATION_SEPARATOR + incarnation;
     }
 
-    /** Whether the acceptor has no disk, so that it is gone for good when its process ends. */
+    /** Whether the acceptor has no disk, so that it ceases to exist when its process exits. */
     public boolean isVolatile() {
         return identity.startsWith(VOLATILE_PREFIX);
     }
--- a/consensus/src/main/java/dewplank/register/AcceptorSet.java
+++ b/consensus/src/main/java/dewplank/register/AcceptorSet.java
@@ -6,18 +6,18 @@
 import java.util.Set;
 
 /**
- * The acceptors that decide on the next value. A quorum of a list of acceptors is a majority of it whose votes are on
- * disks, or all of it but the volatile acceptors that are known to have ended, at least one: invariant 13 in {@code
- * docs/register.md}. While the set is joint, a quorum needs one of the members and one of the joining acceptors.
- * Immutable. Source: joint consensus, Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm",
- * 2014, section 6.
+ * The acceptors that decide on the next value. A quorum of a list of acceptors is either a majority of the list whose
+ * votes are on disks, or all acceptors of the list except the volatile ones that are known to have ended, but at least
+ * one: invariant 13 in {@code docs/register.md}. While the set is joint, both a quorum of the members and a quorum of
+ * the joining acceptors are needed. Immutable. Source: joint consensus, Ongaro and Ousterhout, "In Search of an
+ * Understandable Consensus Algorithm", 2014, section 6.
  */
 public final class AcceptorSet {
     private final long generation;
     private final List<AcceptorId> members;
     private final List<AcceptorId> joining;
 
-    /** For Protostuff, which sets the fields and omits empty lists on the wire. */
+    /** Used by Protostuff, which sets the fields afterwards and omits empty lists on the wire. */
     private AcceptorSet() {
         this.generation = 0;
         this.members = new ArrayList<>();
@@ -31,17 +31,17 @@
         this.joining = List.copyOf(joining);
     }
 
-    /** The first set of a fleet: generation 0, not joint. */
+    /** Returns the first set of a fleet, which has generation 0 and is not joint. */
     public static AcceptorSet of(List<AcceptorId> members) {
         return new AcceptorSet(0, members, List.of());
     }
 
-    /** Incremented by each of the two steps of a reconfiguration. */
+    /** The generation, which each of the two steps of a reconfiguration increments. */
     public long generation() {
         return generation;
     }
 
-    /** The acceptors in force. */
+    /** The current acceptors. */
     public List<AcceptorId> members() {
         return members;
     }
@@ -51,7 +51,7 @@
         return joining;
     }
 
-    /** Whether a reconfiguration is half done, so that both majorities are needed. */
+    /** Whether a reconfiguration is in progress, so that quorums of both lists are needed. */
     public boolean isJoint() {
         return !joining.isEmpty();
     }
@@ -63,7 +63,7 @@
         return new ArrayList<>(union);
     }
 
-    /** Whether these acceptors form a quorum while no volatile one is known to have ended; an empty set has none. */
+    /** Whether these acceptors form a quorum if no volatile one is known to have ended; an empty set has no quorum. */
     public boolean isQuorum(Set<AcceptorId> acceptors) {
         return isQuorum(acceptors, Set.of());
     }
@@ -71,7 +71,7 @@
     /**
      * Whether these acceptors form a quorum.
      *
-     * @param ended volatile acceptors that were known to have ended when the first of these votes was requested
+     * @param ended volatile acceptors that were known to have ended before the first of these votes was requested
      */
     public boolean isQuorum(Set<AcceptorId> acceptors, Set<AcceptorId> ended) {
         if (!isJoint()) {
@@ -81,31 +81,31 @@
         return isMembersQuorum && isQuorumOf(joining, acceptors, ended);
     }
 
-    /** Whether all members are volatile and known to have ended: nothing can be chosen by them alone any more. */
+    /** Whether all members are volatile and known to have ended, so that they alone cannot choose a value any more. */
     boolean isEnded(Set<AcceptorId> ended) {
         return !members.isEmpty() && ended.containsAll(members);
     }
 
-    /** Whether the set is not joint and its members are these, in any order. */
+    /** Whether the set is not joint and has exactly these members, in any order. */
     public boolean consistsOf(List<AcceptorId> acceptors) {
         return !isJoint() && Set.copyOf(members).equals(Set.copyOf(acceptors));
     }
 
-    /** The joint set that leads from this set to the target members: first step of a reconfiguration. */
+    /** Returns the joint set for the transition to the target members: the first step of a reconfiguration. */
     AcceptorSet beginTransition(List<AcceptorId> target) {
         return new AcceptorSet(generation + 1, members, target);
     }
 
-    /** The set in which the joining acceptors are the members: second step of a reconfiguration. */
+    /** Returns the set whose members are the joining acceptors: the second step of a reconfiguration. */
     AcceptorSet completeTransition() {
         return new AcceptorSet(generation + 1, joining, List.of());
     }
 
-    private static boolean isQuorumOf(List<AcceptorId> electorate, Set<AcceptorId> acceptors, Set<AcceptorId> ended) {
+    private static boolean isQuorumOf(List<AcceptorId> voters, Set<AcceptorId> acceptors, Set<AcceptorId> ended) {
         int durableVotes = 0;
         int remaining = 0;
         int remainingVotes = 0;
-        for (AcceptorId acceptor : electorate) {
+        for (AcceptorId acceptor : voters) {
             boolean hasVoted = acceptors.contains(acceptor);
             if (hasVoted && !acceptor.isVolatile()) {
                 durableVotes++;
@@ -115,7 +115,7 @@
                 remainingVotes += hasVoted ? 1 : 0;
             }
         }
-        boolean isDurableMajority = durableVotes * 2 > electorate.size();
+        boolean isDurableMajority = durableVotes * 2 > voters.size();
         return isDurableMajority || remaining > 0 && remainingVotes == remaining;
     }
 
--- a/consensus/src/main/java/dewplank/register/Answer.java
+++ b/consensus/src/main/java/dewplank/register/Answer.java
@@ -1,25 +1,25 @@
 package dewplank.register;
 
 /**
- * What a chosen decision answers to its caller, by the kind of request.
+ * The result that a request returns to its caller once its decision is chosen, one type for each kind of request.
  *
  * @param <A> the result of the callers' changes
  */
 public sealed interface Answer<A> {
-    /** Nothing but the value: of a read, or of a step after which its request is not complete. */
+    /** No result besides the value: for a read, or for a step that does not complete its request. */
     record None<A>() implements Answer<A> {}
 
     /**
-     * The answer of a {@link Change}.
+     * The result of a {@link Change}.
      *
-     * @param result what the change decided; not null
+     * @param result the result returned by the change; not null
      */
     record OfChange<A>(A result) implements Answer<A> {}
 
     /**
-     * The answer of a reconfiguration.
+     * The result of a reconfiguration.
      *
-     * @param result what became of the target acceptors; not null
+     * @param result whether the target acceptors took effect; not null
      */
     record OfReconfiguration<A>(Reconfiguration result) implements Answer<A> {}
 }
--- a/consensus/src/main/java/dewplank/register/AntiEntropy.java
+++ b/consensus/src/main/java/dewplank/register/AntiEntropy.java
@@ -7,27 +7,27 @@
 
 /**
  * Periodic anti-entropy: queries the status of all acceptors, announces the newest chosen value to those that lack it,
- * and derives from the same reports when a quorum last answered. {@link Register} calls it on its own thread.
+ * and derives from the same reports when a quorum last replied. {@link Register} calls it on its own thread.
  *
  * @param <A> the result of the callers' changes
  */
 final class AntiEntropy<A> {
-    /** The fixed fraction of the period between two runs; the rest is jitter, so that processes do not synchronise. */
+    /** The minimum interval between two runs, as a fraction of the period. */
     private static final double FIXED_PERIOD_FRACTION = 0.75;
 
-    /** The fraction of the period that is drawn. */
+    /** The maximum random addition to the interval, as a fraction of the period; keeps processes from synchronising. */
     private static final double JITTER_FRACTION = 0.5;
 
     private final Register.Settings settings;
     private final AcceptorId self;
     private final Learner learner;
     private final RoundCompleter<A> roundCompleter;
-    private final RequestIds requestIds;
+    private final QueryIds queryIds;
     private final RandomGenerator random;
     private final Set<AcceptorId> reporters = new HashSet<>();
     private Set<AcceptorId> queried = Set.of();
     private Set<AcceptorId> endedAtQuery = Set.of();
-    private long queryId = RequestIds.FETCH;
+    private long queryId = QueryIds.FETCH;
     private double queriedAtMs;
     private double nextRunAtMs;
     private double lastQuorumAtMs = Double.NEGATIVE_INFINITY;
@@ -40,34 +40,36 @@
             AcceptorId self,
             Learner learner,
             Proposer<A> proposer,
-            RequestIds requestIds,
+            QueryIds queryIds,
             RandomGenerator random) {
         this.settings = settings;
         this.self = self;
         this.learner = learner;
         this.roundCompleter = new RoundCompleter<>(settings, learner, proposer, random);
-        this.requestIds = requestIds;
+        this.queryIds = queryIds;
         this.random = random;
         this.nextRunAtMs = Double.NEGATIVE_INFINITY;
     }
 
-    /** When the last run that a quorum answered was started; negative infinity before. */
+    /** The start time of the last run to which a quorum replied; negative infinity before the first. */
     double lastQuorumAtMs() {
         return lastQuorumAtMs;
     }
 
     /**
-     * When the last run that a quorum answered was started, if nothing reported in it is newer than what is chosen
-     * here; else negative infinity. Invariant 8 in {@code docs/register.md}.
+     * The start time of the last run to which a quorum replied, if no ballot reported in it is newer than the newest
+     * one known here to be chosen; otherwise negative infinity. Invariant 8 in {@code docs/register.md}.
      */
     double lastCurrentAtMs() {
         return newestReportedByQuorum.isAfter(learner.chosenBallot()) ? Double.NEGATIVE_INFINITY : lastQuorumAtMs;
     }
 
     /**
-     * Runs when the period is over, and at the first tick with a new acceptor set, so that a joining acceptor that
-     * missed the value gets it at once; returns whether it did. A joining acceptor lacks the value for at most the time
-     * to the next tick and two message delays, or one period and three delays when all of that is lost.
+     * Starts a run when the interval has elapsed, and at the first tick with a new acceptor set, so that a joining
+     * acceptor that missed the value receives it immediately. A joining acceptor receives the value within the time to
+     * the next tick and two message delays, or within one period and three delays if all those messages are lost.
+     *
+     * @return whether a run was started
      */
     boolean tick(double nowMs, Register.Effects<A> effects) {
         roundCompleter.tick(nowMs, effects);
@@ -100,12 +102,13 @@
     }
 
     /**
-     * A volatile acceptor whose address answers this query under another identity has ended: it was alive before the
-     * query was sent, the one that answers was after that, and incarnations at one address do not overlap.
+     * Marks a volatile acceptor as ended if a process with another identity replies to this query from its address. The
+     * acceptor was alive before the query was sent, the sender of the report was alive afterwards, and incarnations at
+     * one address do not overlap.
      */
-    private void markEndedPredecessors(AcceptorId answering) {
+    private void markEndedPredecessors(AcceptorId reporter) {
         for (AcceptorId acceptor : queried) {
-            boolean isSuccessor = acceptor.address().equals(answering.address()) && !acceptor.equals(answering);
+            boolean isSuccessor = acceptor.address().equals(reporter.address()) && !acceptor.equals(reporter);
             if (isSuccessor && acceptor.isVolatile()) {
                 learner.markEnded(acceptor);
             }
@@ -128,7 +131,7 @@
     }
 
     private void queryAll(double nowMs, Register.Effects<A> effects) {
-        queryId = requestIds.next();
+        queryId = queryIds.next();
         queriedAtMs = nowMs;
         reporters.clear();
         endedAtQuery = learner.endedAcceptors();
--- a/consensus/src/main/java/dewplank/register/Ballot.java
+++ b/consensus/src/main/java/dewplank/register/Ballot.java
@@ -3,9 +3,9 @@
 import java.util.Objects;
 
 /**
- * Number of one attempt to change the register, ordered by round and then by proposer. The proposer part is unique to
- * one incarnation of one process, so no ballot is used for two values. Immutable. Source: ballot numbers of CASPaxos,
- * Rystsov, "CASPaxos: Replicated State Machines without logs", 2018.
+ * The number of one attempt to change the register, ordered by round and then by proposer. The proposer part is unique
+ * to one incarnation of one process, so no ballot is used for two values. Immutable. Source: ballot numbers of
+ * CASPaxos, Rystsov, "CASPaxos: Replicated State Machines without logs", 2018.
  */
 public final class Ballot implements Comparable<Ballot> {
     /** Lower than every ballot in use. */
@@ -25,7 +25,7 @@
         return round;
     }
 
-    /** Identity and incarnation of the proposing process. */
+    /** The name of the proposer, which is unique to one incarnation of one process. */
     public String proposer() {
         return proposer;
     }
--- a/consensus/src/main/java/dewplank/register/CompletionTask.java
+++ b/consensus/src/main/java/dewplank/register/CompletionTask.java
@@ -1,7 +1,7 @@
 package dewplank.register;
 
 /**
- * Completes what another proposer may have abandoned: a value that is accepted but not known to be chosen, or the
+ * Completes work that another proposer may have abandoned: a value that is accepted but not known to be chosen, or the
  * second step of a reconfiguration. Added by {@link RoundCompleter}; no caller waits for it.
  */
 final class CompletionTask<A> implements Task<A> {
@@ -12,8 +12,8 @@
     }
 
     /**
-     * Proposes the second step of a reconfiguration if the joint set is known to be chosen, else the value unchanged.
-     * The reason is invariant 5 in {@code docs/register.md}.
+     * Proposes the second step of a reconfiguration if the joint set is known to be chosen, otherwise the unchanged
+     * value. Invariant 5 in {@code docs/register.md} gives the reason.
      */
     static <A> Proposal<A> completeTransition(RegisterValue read, RegisterValue newestChosen) {
         boolean isJointSetChosen =
@@ -46,6 +46,6 @@
 
     @Override
     public void complete(Outcome<A> outcome, Register.Effects<A> effects) {
-        // No caller waits.
+        // No caller waits for the outcome.
     }
 }
--- a/consensus/src/main/java/dewplank/register/DurableState.java
+++ b/consensus/src/main/java/dewplank/register/DurableState.java
@@ -3,9 +3,9 @@
 import java.util.Objects;
 
 /**
- * What an acceptor keeps on disk: its identity, its promise, the value it accepted last and the newest value that it
- * knows to be chosen. Immutable. A ballot that does not exist yet is {@link Ballot#NONE}, and the value that belongs to
- * it is null.
+ * The state that an acceptor stores on disk: its identity, the highest promised ballot, the last accepted value and the
+ * newest value that is known to be chosen. Immutable. A ballot that does not exist yet is {@link Ballot#NONE}, and its
+ * value is null.
  */
 public final class DurableState {
     private final String identity;
@@ -31,7 +31,7 @@
         this.chosenValue = chosenValue;
     }
 
-    /** The state of an acceptor that has promised nothing. */
+    /** Returns the state of an acceptor that has not promised any ballot. */
     public static DurableState fresh(String identity) {
         return new DurableState(identity, Ballot.NONE, Ballot.NONE, null, Ballot.NONE, null);
     }
@@ -41,7 +41,7 @@
         return identity;
     }
 
-    /** The highest ballot promised. */
+    /** The highest promised ballot. */
     public Ballot promisedBallot() {
         return promisedBallot;
     }
@@ -51,7 +51,7 @@
         return acceptedBallot;
     }
 
-    /** The value accepted last, which is not always chosen; null before the first. */
+    /** The last accepted value, which is not necessarily chosen; null if no value is accepted. */
     public RegisterValue acceptedValue() {
         return acceptedValue;
     }
@@ -61,23 +61,23 @@
         return chosenBallot;
     }
 
-    /** The newest value known to be chosen; null before the first. */
+    /** The newest value known to be chosen; null if there is none. */
     public RegisterValue chosenValue() {
         return chosenValue;
     }
 
-    /** This state with a ballot promised. */
+    /** Returns this state with the given promised ballot. */
     DurableState promising(Ballot ballot) {
         return new DurableState(identity, ballot, acceptedBallot, acceptedValue, chosenBallot, chosenValue);
     }
 
-    /** This state with a value accepted; a higher promise stays. */
+    /** Returns this state with the given accepted value; a higher promised ballot is kept. */
     DurableState accepting(Ballot ballot, RegisterValue value) {
         Ballot highest = ballot.isAfter(promisedBallot) ? ballot : promisedBallot;
         return new DurableState(identity, highest, ballot, value, chosenBallot, chosenValue);
     }
 
-    /** This state with a newer chosen value. */
+    /** Returns this state with the given chosen value. */
     DurableState choosing(Ballot ballot, RegisterValue value) {
         return new DurableState(identity, promisedBallot, acceptedBallot, acceptedValue, ballot, value);
     }
--- a/consensus/src/main/java/dewplank/register/Learner.java
+++ b/consensus/src/main/java/dewplank/register/Learner.java
@@ -5,9 +5,9 @@
 import java.util.Set;
 
 /**
- * The learner of one process: the newest value known to be chosen, the newest ballot seen accepted beyond it, and the
- * fetch of a value that is announced but not present here. {@link Register} calls it on its own thread. Ballot,
- * revision, generation and configuration version grow together along the chosen values: invariant 1 in {@code
+ * The learner of one process. It tracks the newest value known to be chosen and the newest accepted ballot beyond it,
+ * and fetches values that are announced but missing here. {@link Register} calls it on its own thread. Ballot,
+ * revision, generation and configuration version increase together along the chosen values: invariant 1 in {@code
  * docs/register.md}.
  */
 final class Learner {
@@ -46,17 +46,17 @@
         return chosenBallot;
     }
 
-    /** The newest value known to be chosen; null before the first. */
+    /** The newest value known to be chosen; null if there is none. */
     RegisterValue chosenValue() {
         return chosenValue;
     }
 
-    /** The acceptors of the newest chosen value, or the initial ones. */
+    /** The acceptors of the newest value known to be chosen, or the initial acceptors if there is none. */
     AcceptorSet acceptors() {
         return chosenValue == null ? initialAcceptors : chosenValue.acceptors();
     }
 
-    /** Replaces the acceptors before the first chosen value; of no effect after it. */
+    /** Replaces the initial acceptors, which have no effect once a value is known to be chosen. */
     void updateInitialAcceptors(AcceptorSet acceptors) {
         initialAcceptors = acceptors;
     }
@@ -71,12 +71,12 @@
         endedAcceptors.add(acceptor);
     }
 
-    /** The newest accepted ballot seen that is not known to be chosen, or {@link Ballot#NONE}. */
+    /** The newest ballot that was seen accepted and is not known to be chosen, or {@link Ballot#NONE}. */
     Ballot unconfirmedBallot() {
         return newestAccepted.isAfter(chosenBallot) ? newestAccepted : Ballot.NONE;
     }
 
-    /** The acceptors of the newest unconfirmed value seen; empty where there is none, or only its ballot was seen. */
+    /** The acceptors of the value at the unconfirmed ballot; empty if there is none or only the ballot is known. */
     Optional<AcceptorSet> unconfirmedAcceptors() {
         return newestAccepted.isAfter(chosenBallot) ? Optional.ofNullable(newestAcceptedSet) : Optional.empty();
     }
@@ -91,9 +91,9 @@
     }
 
     /**
-     * Records a ballot seen accepted.
+     * Records that a ballot was seen accepted.
      *
-     * @param acceptors the acceptors of its value; null where the message left the value out
+     * @param acceptors the acceptors of its value; null if the message omitted them
      */
     void observeAccepted(Ballot ballot, AcceptorSet acceptors) {
         observeRound(ballot);
@@ -103,7 +103,7 @@
         }
     }
 
-    /** Records a value known to be chosen at this ballot, stores it, and reports it to the caller if it is new. */
+    /** Records and stores a value known to be chosen at this ballot, and reports it if its revision is new. */
     void learnChosen(Ballot ballot, RegisterValue value, Register.Effects<?> effects) {
         observeRound(ballot);
         if (!ballot.isAfter(chosenBallot)) {
@@ -139,8 +139,8 @@
     }
 
     /**
-     * Handles the report to a fetch. If it included a value, what was announced meanwhile is fetched next. If not, the
-     * sender has forgotten what it announced, and a further query at once would loop.
+     * Handles the report that replies to a fetch. If it included a value, a newer value announced in the meantime is
+     * fetched next. If not, the sender has lost the value that it announced, and an immediate further query would loop.
      */
     void handleFetchReport(double nowMs, boolean isValueIncluded, Register.Effects<?> effects) {
         fetchStartedAtMs = Double.NEGATIVE_INFINITY;
@@ -149,7 +149,7 @@
         }
     }
 
-    /** Starts a fetch; one is in flight at a time: invariant 9 in {@code docs/register.md}. */
+    /** Starts a fetch; at most one is in flight: invariant 9 in {@code docs/register.md}. */
     private void fetch(double nowMs, Register.Effects<?> effects) {
         fetchStartedAtMs = nowMs;
         effects.send(
@@ -158,7 +158,7 @@
                         self.address(),
                         self.identity(),
                         RegisterMessage.ANY_IDENTITY,
-                        RequestIds.FETCH,
+                        QueryIds.FETCH,
                         chosenBallot,
                         true));
     }
--- a/consensus/src/main/java/dewplank/register/Outcome.java
+++ b/consensus/src/main/java/dewplank/register/Outcome.java
@@ -7,18 +7,18 @@
  */
 public sealed interface Outcome<A> permits Outcome.Confirmed, Outcome.Unknown {
     /**
-     * The decision holds: the value it was taken on, or the new one, is chosen at its ballot.
+     * The decision is final: the value that it is based on, or the new value, is chosen at its ballot.
      *
      * @param value the chosen value; not null
-     * @param answer the answer of the request; not null
+     * @param answer the result of the request; not null
      * @param changed whether this request changed the value
      */
     record Confirmed<A>(RegisterValue value, Answer<A> answer, boolean changed) implements Outcome<A> {}
 
     /**
-     * The request may have taken effect, may take effect later, or never.
+     * The request may have taken effect, may take effect later, or may never take effect.
      *
-     * @param reason why the result is not known, as text for operators
+     * @param reason why the outcome is unknown, as text for operators
      */
     record Unknown<A>(String reason) implements Outcome<A> {
         static <A> Unknown<A> noQuorum() {
@@ -30,7 +30,7 @@
         }
 
         static <A> Unknown<A> noTargetAcceptors() {
-            return new Unknown<>("no acceptors wanted");
+            return new Unknown<>("the list of target acceptors is empty");
         }
     }
 }
--- a/consensus/src/main/java/dewplank/register/Prepare.java
+++ b/consensus/src/main/java/dewplank/register/Prepare.java
@@ -2,7 +2,7 @@
 
 import java.util.Objects;
 
-/** First phase of a ballot: requests a promise from an acceptor. Answered by {@link Promise} or {@link Reject}. */
+/** First phase of a ballot: requests a promise from an acceptor. The reply is {@link Promise} or {@link Reject}. */
 public final class Prepare extends RegisterMessage {
     private final Ballot ballot;
     private final Ballot chosenBallot;
@@ -20,7 +20,7 @@
         return ballot;
     }
 
-    /** The newest chosen ballot of the proposer when the ballot began; the promise omits values up to it. */
+    /** The newest ballot known to be chosen when the proposer started the round; the promise omits values up to it. */
     public Ballot chosenBallot() {
         return chosenBallot;
     }
--- a/consensus/src/main/java/dewplank/register/Promise.java
+++ b/consensus/src/main/java/dewplank/register/Promise.java
@@ -2,13 +2,13 @@
 
 import java.util.Objects;
 
-/** Positive answer to {@link Prepare}: the sender accepts nothing below the ballot any more, and has synced that. */
+/** Positive reply to {@link Prepare}: the sender has synced its promise to accept no lower ballot any more. */
 public final class Promise extends RegisterMessage {
     private final Ballot ballot;
     private final Ballot acceptedBallot;
     private final RegisterValue acceptedValue;
 
-    /** Creates the answer; only {@code acceptedValue} may be null. */
+    /** Creates the reply; only {@code acceptedValue} may be null. */
     public Promise(
             String senderAddress,
             String senderIdentity,
@@ -22,17 +22,17 @@
         this.acceptedValue = acceptedValue;
     }
 
-    /** The ballot promised. */
+    /** The promised ballot. */
     public Ballot ballot() {
         return ballot;
     }
 
-    /** The ballot of the value accepted last. */
+    /** The ballot of the last accepted value. */
     public Ballot acceptedBallot() {
         return acceptedBallot;
     }
 
-    /** The value accepted last; null if there is none, or if it is not newer than {@link Prepare#chosenBallot}. */
+    /** The last accepted value; null if there is none, or if it is not newer than {@link Prepare#chosenBallot}. */
     public RegisterValue acceptedValue() {
         return acceptedValue;
     }
--- a/consensus/src/main/java/dewplank/register/Proposal.java
+++ b/consensus/src/main/java/dewplank/register/Proposal.java
@@ -1,10 +1,10 @@
 package dewplank.register;
 
 /**
- * What a {@link Task} proposes on top of the value read.
+ * The proposal that a {@link Task} derives from the value read.
  *
  * @param value the value for the accept phase
- * @param answer the answer once it is chosen
+ * @param answer the result of the request once the value is chosen
  * @param changed whether the value differs from the one read
  * @param <A> the result of the callers' changes
  */
--- a/consensus/src/main/java/dewplank/register/Proposer.java
+++ b/consensus/src/main/java/dewplank/register/Proposer.java
@@ -9,23 +9,24 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The proposer of one process (CASPaxos, Rystsov 2018, section 2.2): one task at a time, each by rounds with jittered
- * backoff until it is complete. Repairs run before callers' requests: a repair waits for one round of a request at
- * most, whatever the queue. {@link Register} calls it on its own thread; {@link Task#complete} may call {@link #add}
- * again.
+ * The proposer of one process (CASPaxos, Rystsov 2018, section 2.2). It runs one task at a time, in rounds with
+ * jittered backoff until the task is complete. Repairs run before callers' requests, so a repair waits for at most one
+ * round of a request, regardless of the queue length. {@link Register} calls it on its own thread; {@link
+ * Task#complete} may call {@link #add} again.
  *
  * @param <A> the result of the callers' changes
  */
 final class Proposer<A> {
     /**
-     * A round after one without a quorum gets up to this many times the first round's time, to allow for slow disks.
+     * Limits the growth of the round timeout with each attempt, as a multiple of the first timeout. It grows to allow
+     * for slow disks.
      */
     static final int MAX_ROUND_TIMEOUT_FACTOR = 4;
 
-    /** Doublings of the minimum backoff; beyond them the maximum backoff applies anyway. */
+    /** Limits the doublings of the minimum backoff; beyond them the maximum backoff applies anyway. */
     private static final int MAX_BACKOFF_DOUBLINGS = 10;
 
-    /** A repair backs off for four times the minimum at most, so that it soon falls into the requests' backoff. */
+    /** Limits the backoff of a repair to four times the minimum, so that it soon retries while requests back off. */
     private static final int MAX_REPAIR_BACKOFF_DOUBLINGS = 2;
 
     private final Register.Settings settings;
@@ -59,26 +60,26 @@
         return repairs.size() + (active != null && active.isRepair() ? 1 : 0);
     }
 
-    /** When the phase was started that a quorum answered last; negative infinity before. */
+    /** The start time of the last phase to which a quorum replied; negative infinity before the first. */
     double lastQuorumAtMs() {
         return lastQuorumAtMs;
     }
 
     /**
-     * When the accept phase was started that last chose a value here; negative infinity before. A quorum accepted the
-     * value after that, so nothing newer was chosen before.
+     * The start time of the last accept phase of this proposer that chose a value; negative infinity before the first.
+     * A quorum accepted the value after that time, so nothing newer was chosen before it.
      */
     double lastChosenAtMs() {
         return lastChosenAtMs;
     }
 
-    /** Queues a task, and starts it at once if none is active. */
+    /** Queues a task, and starts it immediately if no task is active. */
     void add(double nowMs, Task<A> task, Register.Effects<A> effects) {
         (task.isRepair() ? repairs : requests).add(task);
         startNextIfIdle(nowMs, effects);
     }
 
-    /** Completes overdue tasks, ends rounds that timed out, retries after backoff. */
+    /** Completes overdue tasks, ends rounds that timed out, and retries after the backoff. */
     void tick(double nowMs, Register.Effects<A> effects) {
         completeOverdue(nowMs, effects);
         if (state instanceof ProposerState.InRound<A> inRound && isTimedOut(nowMs, inRound)) {
@@ -139,9 +140,9 @@
         }
     }
 
-    /** Enters a state; throws if it does not follow the present one. */
+    /** Enters a state; throws if the transition from the current state is not allowed. */
     private void transitionTo(ProposerState<A> next) {
-        if (!state.mayBeFollowedBy(next)) {
+        if (!state.canTransitionTo(next)) {
             throw new IllegalStateException("illegal transition of the proposer from "
                     + state.getClass().getSimpleName() + " to "
                     + next.getClass().getSimpleName());
@@ -157,7 +158,7 @@
         startRound(nowMs, next, 1, effects);
     }
 
-    /** Puts a request whose round got no quorum back in front of the queue if a repair waits. */
+    /** Returns a request that is backing off to the front of the queue if a repair is waiting. */
     private void yieldToRepairs() {
         if (state instanceof ProposerState.BackingOff<A> backingOff
                 && !backingOff.task().isRepair()
@@ -243,7 +244,10 @@
         }
     }
 
-    /** Votes that arrive later do not count: a process that was suspended ends its round instead. */
+    /**
+     * Whether the phase has timed out. Votes that arrive afterwards are not counted: a process that was suspended ends
+     * its round instead.
+     */
     private boolean isTimedOut(double nowMs, ProposerState.InRound<A> inRound) {
         return nowMs - inRound.round().phaseStartedAtMs() >= roundTimeoutMs(inRound.attempt());
     }
@@ -262,7 +266,8 @@
     }
 
     /**
-     * Completes overdue tasks as unknown. Callers, who may add tasks at once, are called when the queues are in order.
+     * Completes overdue tasks as unknown. Callers are notified only when the queues are consistent, because they may
+     * add tasks within the call.
      */
     private void completeOverdue(double nowMs, Register.Effects<A> effects) {
         List<Task<A>> overdue = new ArrayList<>();
--- a/consensus/src/main/java/dewplank/register/ProposerState.java
+++ b/consensus/src/main/java/dewplank/register/ProposerState.java
@@ -1,8 +1,8 @@
 package dewplank.register;
 
 /**
- * What the {@link Proposer} is doing. The order of the states is in {@code docs/register.md}. The states are classes,
- * not records, because the model's test copies and resets their fields.
+ * The state of the {@link Proposer}. The transitions are described in {@code docs/register.md}. The states are classes,
+ * not records, because the model test copies and resets their fields.
  *
  * @param <A> the result of the callers' changes
  */
@@ -11,8 +11,8 @@
     /** The active task; null in {@link Idle} only. */
     Task<A> task();
 
-    /** Whether the proposer may enter this state next. */
-    boolean mayBeFollowedBy(ProposerState<A> next);
+    /** Whether the proposer may change from this state to the given one. */
+    boolean canTransitionTo(ProposerState<A> next);
 
     /** No task is active. */
     final class Idle<A> implements ProposerState<A> {
@@ -22,7 +22,7 @@
         }
 
         @Override
-        public boolean mayBeFollowedBy(ProposerState<A> next) {
+        public boolean canTransitionTo(ProposerState<A> next) {
             return next instanceof InRound;
         }
     }
@@ -44,7 +44,7 @@
             return task;
         }
 
-        /** Counts the rounds of the task from 1, anew after each chosen value. */
+        /** The number of this round of the task, which starts at 1 and restarts at 1 after each chosen value. */
         int attempt() {
             return attempt;
         }
@@ -54,7 +54,7 @@
         }
 
         @Override
-        public boolean mayBeFollowedBy(ProposerState<A> next) {
+        public boolean canTransitionTo(ProposerState<A> next) {
             return !(next instanceof InRound);
         }
     }
@@ -73,7 +73,7 @@
         }
 
         @Override
-        public boolean mayBeFollowedBy(ProposerState<A> next) {
+        public boolean canTransitionTo(ProposerState<A> next) {
             return next instanceof Idle || next instanceof InRound;
         }
     }
@@ -95,18 +95,18 @@
             return task;
         }
 
-        /** The attempt that got no quorum. */
+        /** The number of the round that got no quorum. */
         int attempt() {
             return attempt;
         }
 
-        /** When the next round starts. */
+        /** The time at which the next round starts. */
         double retryAtMs() {
             return retryAtMs;
         }
 
         @Override
-        public boolean mayBeFollowedBy(ProposerState<A> next) {
+        public boolean canTransitionTo(ProposerState<A> next) {
             return next instanceof Idle || next instanceof InRound;
         }
     }
--- a/consensus/src/main/java/dewplank/register/Reader.java
+++ b/consensus/src/main/java/dewplank/register/Reader.java
@@ -7,9 +7,9 @@
 import java.util.Set;
 
 /**
- * Linearizable reads in one message round trip. The value chosen here is the answer if a quorum, queried after the read
- * began, has accepted nothing newer; otherwise a full ballot completes what is in progress. Invariant 7 in {@code
- * docs/register.md}. {@link Register} calls it on its own thread.
+ * Linearizable reads in one message round trip. The result is the newest value known here to be chosen, if a quorum
+ * that is queried after the start of the read has accepted nothing newer. Otherwise a full ballot completes the ballot
+ * in progress. Invariant 7 in {@code docs/register.md}. {@link Register} calls it on its own thread.
  *
  * @param <A> the result of the callers' changes
  */
@@ -35,24 +35,24 @@
     private final AcceptorId self;
     private final Learner learner;
     private final Proposer<A> proposer;
-    private final RequestIds requestIds;
+    private final QueryIds queryIds;
     private final List<Read> reads = new ArrayList<>();
 
-    Reader(Register.Settings settings, AcceptorId self, Learner learner, Proposer<A> proposer, RequestIds requestIds) {
+    Reader(Register.Settings settings, AcceptorId self, Learner learner, Proposer<A> proposer, QueryIds queryIds) {
         this.settings = settings;
         this.self = self;
         this.learner = learner;
         this.proposer = proposer;
-        this.requestIds = requestIds;
+        this.queryIds = queryIds;
     }
 
-    /** Reads that wait for reports; those that went on by a ballot are counted by the proposer. */
+    /** The number of reads that wait for reports; reads passed on to the proposer are counted there. */
     int pendingReads() {
         return reads.size();
     }
 
     void start(double nowMs, long requestId, double deadlineMs, Register.Effects<A> effects) {
-        Read read = new Read(requestId, requestIds.next(), learner.endedAcceptors(), nowMs, deadlineMs);
+        Read read = new Read(requestId, queryIds.next(), learner.endedAcceptors(), nowMs, deadlineMs);
         reads.add(read);
         for (AcceptorId acceptor : learner.acceptors().all()) {
             effects.send(
@@ -79,7 +79,7 @@
         }
     }
 
-    /** Hands reads that have waited for a round's time, or are past their deadline, to the proposer. */
+    /** Passes reads that have waited for the round timeout, or are past their deadline, to the proposer. */
     void tick(double nowMs, Register.Effects<A> effects) {
         List<Read> overdue = new ArrayList<>();
         for (Read read : reads) {
--- a/consensus/src/main/java/dewplank/register/Reconfiguration.java
+++ b/consensus/src/main/java/dewplank/register/Reconfiguration.java
@@ -1,13 +1,16 @@
 package dewplank.register;
 
-/** Result of a confirmed reconfiguration, given by {@link Answer.OfReconfiguration}. */
+/** Result of a confirmed reconfiguration, contained in {@link Answer.OfReconfiguration}. */
 public enum Reconfiguration {
-    /** The target acceptors are in force, by the step from the expected generation. */
+    /** The target acceptors are in effect, as the result of a transition from the expected generation. */
     APPLIED,
 
-    /** The target acceptors are in force, and no step from the expected generation was needed or led there. */
+    /** The target acceptors are in effect, but not as the result of a transition from the expected generation. */
     ALREADY_IN_FORCE,
 
-    /** Another reconfiguration came first and the target acceptors are not in force: decide again on the set given. */
+    /**
+     * Another reconfiguration took effect first and the target acceptors are not in effect. The caller has to decide
+     * again, based on the acceptor set of the confirmed value.
+     */
     SUPERSEDED
 }
--- a/consensus/src/main/java/dewplank/register/ReconfigureTask.java
+++ b/consensus/src/main/java/dewplank/register/ReconfigureTask.java
@@ -3,8 +3,9 @@
 import java.util.List;
 
 /**
- * Replaces the acceptors by way of a joint set, if the set in force still has the expected generation. A joint set that
- * it finds is completed first. Generations as fencing tokens are invariant 6 in {@code docs/register.md}.
+ * Replaces the acceptors through a joint set if the current set still has the expected generation. If the current set
+ * is joint, its transition is completed first. Generations serve as fencing tokens: invariant 6 in {@code
+ * docs/register.md}.
  */
 final class ReconfigureTask<A> implements Task<A> {
     /** A reconfiguration takes two generations: the joint set and the set that completes it. */
@@ -63,7 +64,7 @@
         if (!set.consistsOf(target)) {
             return Reconfiguration.SUPERSEDED;
         }
-        boolean isByThisStep = set.generation() == expectedGeneration + GENERATIONS_PER_RECONFIGURATION;
-        return isByThisStep ? Reconfiguration.APPLIED : Reconfiguration.ALREADY_IN_FORCE;
+        boolean isFromExpectedGeneration = set.generation() == expectedGeneration + GENERATIONS_PER_RECONFIGURATION;
+        return isFromExpectedGeneration ? Reconfiguration.APPLIED : Reconfiguration.ALREADY_IN_FORCE;
     }
 }
--- a/consensus/src/main/java/dewplank/register/Register.java
+++ b/consensus/src/main/java/dewplank/register/Register.java
@@ -9,27 +9,27 @@
  * One process of the replicated register: acceptor, proposer and learner of CASPaxos (Rystsov, "CASPaxos: Replicated
  * State Machines without logs", 2018), with acceptor sets changed by joint consensus (Raft, section 6).
  *
- * <p>The control plane's event loop calls it; it is confined to that thread and not thread-safe. Each method is one
- * step: it never blocks, reads no clock and does no I/O, but passes what is to be done to the {@link Effects} given.
- * All times are milliseconds of the caller's monotonic clock, given as {@code nowMs} and never decreasing. A request
- * ends with exactly one {@link Effects#completed} unless the incarnation ends before. Invariants and their arguments
- * are in {@code docs/register.md}.
+ * <p>The control plane's event loop calls it; it is confined to that thread and not thread-safe. Each method performs
+ * one step: it never blocks, reads no clock and does no I/O, but calls the given {@link Effects} to have I/O done. All
+ * times are milliseconds of the caller's monotonic clock; {@code nowMs} never decreases. Each request ends with exactly
+ * one call of {@link Effects#completed}, unless the incarnation ends first. {@code docs/register.md} contains the
+ * invariants and the arguments for them.
  *
  * @param <A> the result of the callers' changes
  */
 public final class Register<A> {
-    /** Changes and reads that may be pending at one process; more end as {@link Outcome.Unknown} at once. */
+    /** Limits the pending changes and reads of a process; further ones end immediately as {@link Outcome.Unknown}. */
     public static final int MAX_PENDING_REQUESTS = 64;
 
-    /** Reconfigurations that may be pending besides. One lease holder asks for one at a time. */
+    /** Limits the pending reconfigurations, which are counted separately. A lease holder requests one at a time. */
     static final int MAX_PENDING_REPAIRS = 4;
 
     /**
-     * What is fixed for an incarnation.
+     * The settings, which do not change during an incarnation.
      *
      * @param address the address of this process, as IP:PORT
      * @param initialAcceptors the acceptors before the first chosen value, until {@link #updateInitialAcceptors}
-     *     replaces them; an empty set where they are not known
+     *     replaces them; an empty set if they are unknown
      * @param roundTimeoutMs how long one phase of a round waits for a quorum
      * @param retryBackoffMinMs the minimum backoff before the next round
      * @param retryBackoffMaxMs the maximum backoff before the next round
@@ -43,9 +43,11 @@
             double retryBackoffMaxMs,
             double antiEntropyPeriodMs) {}
 
-    /** What a step wants done. Implemented by the owner of the register and called within the step, on its thread. */
+    /**
+     * The side effects of a step. Implemented by the owner of the register and called within the step, on its thread.
+     */
     public interface Effects<A> {
-        /** Sends a message, also to the own address; it may be lost, delayed or duplicated. */
+        /** Sends a message, possibly to this process itself; the message may be lost, delayed or duplicated. */
         void send(String address, RegisterMessage message);
 
         /**
@@ -54,10 +56,10 @@
          */
         void store(long storeId, DurableState state);
 
-        /** A value of a higher revision is known to be chosen; revisions never decrease. */
+        /** Reports that a value with a higher revision is known to be chosen; revisions never decrease. */
         void learned(RegisterValue value);
 
-        /** A request ended. The implementation may start further requests within the call. */
+        /** Reports the outcome of a request. The implementation may start further requests within the call. */
         void completed(long requestId, Outcome<A> outcome);
     }
 
@@ -69,22 +71,22 @@
     private final AntiEntropy<A> antiEntropy;
 
     /**
-     * Starts an incarnation from what its disk holds.
+     * Starts an incarnation from the state recovered from its disk.
      *
-     * @param random differs from incarnation to incarnation: names of ballots and ids of queries are drawn from it
+     * @param random a generator seeded differently for each incarnation; it provides proposer names and query ids
      */
     public Register(Settings settings, DurableState recovered, RandomGenerator random) {
         Objects.requireNonNull(settings.initialAcceptors());
-        RequestIds requestIds = new RequestIds(random);
+        QueryIds queryIds = new QueryIds(random);
         self = new AcceptorId(settings.address(), recovered.identity());
         acceptor = new Acceptor(self, recovered);
         learner = new Learner(settings, self, acceptor);
         proposer = new Proposer<>(settings, self, learner, random);
-        reader = new Reader<>(settings, self, learner, proposer, requestIds);
-        antiEntropy = new AntiEntropy<>(settings, self, learner, proposer, requestIds, random);
+        reader = new Reader<>(settings, self, learner, proposer, queryIds);
+        antiEntropy = new AntiEntropy<>(settings, self, learner, proposer, queryIds, random);
     }
 
-    /** Handles a message; one for another identity is dropped. */
+    /** Handles a message; a message for another identity is dropped. */
     public void handleMessage(double nowMs, RegisterMessage message, Effects<A> effects) {
         boolean isForThisDisk = message.recipientIdentity().equals(self.identity());
         boolean isForAnyDisk = message.recipientIdentity().equals(RegisterMessage.ANY_IDENTITY);
@@ -103,19 +105,19 @@
         }
     }
 
-    /** The store with this id is synced. */
+    /** Handles the completion of the store with this id. */
     public void handleStored(double nowMs, long storeId, Effects<A> effects) {
         acceptor.handleStored(storeId, effects);
     }
 
-    /** The store with this id failed: its votes are dropped. */
+    /** Handles the failure of the store with this id: its votes are dropped. */
     public void handleStoreFailed(double nowMs, long storeId, Effects<A> effects) {
         acceptor.handleStoreFailed(storeId);
     }
 
     /**
-     * Changes the payload. Confirmed with the result of {@code change} once its decision is certain, unknown at the
-     * first tick after the deadline.
+     * Changes the payload. The outcome is confirmed, with the result of {@code change}, once the decision is chosen, or
+     * unknown at the first tick after the deadline.
      */
     public void change(double nowMs, long requestId, Change<A> change, double deadlineMs, Effects<A> effects) {
         if (admitRequest(requestId, effects)) {
@@ -123,7 +125,7 @@
         }
     }
 
-    /** Reads the newest chosen value; linearizable. */
+    /** Reads the newest chosen value; the read is linearizable. */
     public void read(double nowMs, long requestId, double deadlineMs, Effects<A> effects) {
         if (admitRequest(requestId, effects)) {
             reader.start(nowMs, requestId, deadlineMs, effects);
@@ -131,10 +133,10 @@
     }
 
     /**
-     * Replaces the acceptors by way of a joint set if the set in force has the expected generation. Confirmed with a
-     * {@link Reconfiguration} as its result.
+     * Replaces the acceptors through a joint set if the current set has the expected generation. A confirmed outcome
+     * has a {@link Reconfiguration} as its result.
      *
-     * @param target the acceptors that are to be in force; an empty list ends as unknown
+     * @param target the new acceptors; if the list is empty, the outcome is unknown
      */
     public void reconfigure(
             double nowMs,
@@ -158,12 +160,12 @@
                         self.address(),
                         self.identity(),
                         RegisterMessage.ANY_IDENTITY,
-                        RequestIds.FETCH,
+                        QueryIds.FETCH,
                         learner.chosenBallot(),
                         true));
     }
 
-    /** Time passes: time-outs, retries, anti-entropy. Called every few tens of milliseconds. */
+    /** Runs timeouts, retries and anti-entropy. To be called every few tens of milliseconds. */
     public void tick(double nowMs, Effects<A> effects) {
         reader.tick(nowMs, effects);
         proposer.tick(nowMs, effects);
@@ -172,56 +174,56 @@
         }
     }
 
-    /** The acceptors of the newest chosen value, or the initial ones. */
+    /** The acceptors of the newest value known to be chosen, or the initial acceptors if there is none. */
     public AcceptorSet acceptors() {
         return learner.acceptors();
     }
 
     /**
-     * Replaces the initial acceptors, whose volatile members become known one by one; of no effect once a value is
-     * known to be chosen. What the caller has to make sure of is invariant 13 in {@code docs/register.md}.
+     * Replaces the initial acceptors, whose volatile members become known one by one. Has no effect once a value is
+     * known to be chosen. Invariant 13 in {@code docs/register.md} lists what the caller has to ensure.
      */
     public void updateInitialAcceptors(AcceptorSet initialAcceptors) {
         learner.updateInitialAcceptors(initialAcceptors);
     }
 
-    /** Volatile acceptors that are known to have ended; their votes are not waited for. */
+    /** Volatile acceptors that are known to have ended; a quorum does not need their votes. */
     public Set<AcceptorId> endedAcceptors() {
         return learner.endedAcceptors();
     }
 
-    /** Whether nothing is known to be chosen and all initial acceptors, without a disk, are known to have ended. */
+    /** Whether no value is known to be chosen and all initial acceptors are volatile and known to have ended. */
     public boolean areInitialAcceptorsEnded() {
         return learner.chosenValue() == null && learner.acceptors().isEnded(learner.endedAcceptors());
     }
 
-    /** The generation of the acceptors in the value accepted last, also when the disk does not hold it yet. */
+    /** The generation of the acceptors in the last accepted value, even if that value is not on disk yet. */
     public long acceptedGeneration() {
         RegisterValue accepted = acceptor.current().acceptedValue();
         return accepted == null ? 0 : accepted.acceptors().generation();
     }
 
-    /** The newest value known to be chosen; null before the first. */
+    /** The newest value known to be chosen; null if there is none. */
     public RegisterValue chosenValue() {
         return learner.chosenValue();
     }
 
-    /** When the query or phase was started that a quorum answered last; negative infinity before. */
+    /** The start time of the last query or phase to which a quorum replied; negative infinity before the first. */
     public double lastQuorumAtMs() {
         return Math.max(proposer.lastQuorumAtMs(), antiEntropy.lastQuorumAtMs());
     }
 
     /**
-     * Whether the value chosen here was the newest at some time within the last {@code withinMs}. A process with a
-     * quorum that has not caught up is not current: invariant 8 in {@code docs/register.md}.
+     * Whether {@link #chosenValue} was the newest chosen value at some time within the last {@code withinMs}. A process
+     * that has a quorum but has not caught up is not current: invariant 8 in {@code docs/register.md}.
      */
     public boolean isCurrent(double nowMs, double withinMs) {
         return lastCurrentAtMs() >= nowMs - withinMs;
     }
 
     /**
-     * The latest time at which the value chosen here is known to have been the newest; negative infinity where that is
-     * known of none. Invariant 8 in {@code docs/register.md}.
+     * The latest time at which {@link #chosenValue} is known to have been the newest chosen value; negative infinity if
+     * no such time is known. Invariant 8 in {@code docs/register.md}.
      */
     public double lastCurrentAtMs() {
         return Math.max(proposer.lastChosenAtMs(), antiEntropy.lastCurrentAtMs());
@@ -289,7 +291,7 @@
         } else {
             learner.handleAnnouncement(nowMs, report.senderAddress(), report.chosenBallot(), effects);
         }
-        if (report.queryId() == RequestIds.FETCH) {
+        if (report.queryId() == QueryIds.FETCH) {
             learner.handleFetchReport(nowMs, report.chosenValue() != null, effects);
         }
         learner.observeAccepted(report.acceptedBallot(), report.acceptedAcceptors());
--- a/consensus/src/main/java/dewplank/register/RegisterMessage.java
+++ b/consensus/src/main/java/dewplank/register/RegisterMessage.java
@@ -3,15 +3,16 @@
 import java.util.Objects;
 
 /**
- * A message between two processes of one register. Messages may be lost, duplicated, delayed and reordered. Immutable;
- * Protostuff numbers the fields by their place in the class, so fields may be renamed but not moved, added or removed.
+ * A message between two processes of one register. Messages may be lost, duplicated, delayed and reordered. Immutable.
+ * Protostuff numbers the fields by their position in the class, so fields may be renamed but not moved, added or
+ * removed.
  */
 public abstract sealed class RegisterMessage
         permits Prepare, Promise, Accept, Accepted, Reject, StatusQuery, StatusReport, Chosen {
     /**
-     * Recipient identity of a message for any disk at the address. Only status queries use it: a process that was
-     * suspended while all members' disks were replaced would otherwise address identities that are gone. The report
-     * names the identity that counts.
+     * Recipient identity of a message to any disk at the address. Only status queries use it: a process that was
+     * suspended while the disks of all members were replaced would otherwise address identities that no longer exist.
+     * The report contains the actual identity.
      */
     static final String ANY_IDENTITY = "";
 
@@ -35,12 +36,12 @@
         return senderIdentity;
     }
 
-    /** The identity of the disk that the message is for; empty for any. */
+    /** The identity of the recipient's disk; empty for any disk. */
     public String recipientIdentity() {
         return recipientIdentity;
     }
 
-    /** The sender as an acceptor. */
+    /** The acceptor id of the sender. */
     AcceptorId senderId() {
         return new AcceptorId(senderAddress, senderIdentity);
     }
--- a/consensus/src/main/java/dewplank/register/RegisterMessages.java
+++ b/consensus/src/main/java/dewplank/register/RegisterMessages.java
@@ -2,9 +2,9 @@
 
 import java.util.List;
 
-/** The message types of the register in the order that numbers them on the wire. */
+/** The message types of the register, in the order of their numbers on the wire. */
 public final class RegisterMessages {
-    /** All types. The position is the type's number on the wire: append only, never reorder. */
+    /** All types. The index of a type is its number on the wire: only append, never reorder. */
     public static final List<Class<? extends RegisterMessage>> TYPES = List.of(
             Prepare.class,
             Promise.class,
--- a/consensus/src/main/java/dewplank/register/RegisterValue.java
+++ b/consensus/src/main/java/dewplank/register/RegisterValue.java
@@ -4,8 +4,8 @@
 import java.util.Objects;
 
 /**
- * A value of the register: the acceptors that decide what follows it, a revision and the payload. Immutable, provided
- * that nobody writes to the payload, which is not copied.
+ * A value of the register: the acceptors that decide on the next value, a revision and the payload. Immutable, provided
+ * that the payload, which is not copied, is not modified.
  */
 public final class RegisterValue {
     private final AcceptorSet acceptors;
@@ -19,12 +19,12 @@
         this.payload = payload;
     }
 
-    /** The acceptors that decide what follows this value; not null. */
+    /** The acceptors that decide on the next value; not null. */
     public AcceptorSet acceptors() {
         return acceptors;
     }
 
-    /** Incremented by each change of payload or acceptors. */
+    /** The revision, which each change of payload or acceptors increments. */
     public long revision() {
         return revision;
     }
@@ -34,12 +34,12 @@
         return payload;
     }
 
-    /** The next revision, with this payload. */
+    /** Returns the next revision, with the given payload. */
     RegisterValue withPayload(byte[] next) {
         return new RegisterValue(acceptors, revision + 1, next);
     }
 
-    /** The next revision, with these acceptors. */
+    /** Returns the next revision, with the given acceptors. */
     RegisterValue withAcceptors(AcceptorSet next) {
         return new RegisterValue(next, revision + 1, payload);
     }
--- a/consensus/src/main/java/dewplank/register/Reject.java
+++ b/consensus/src/main/java/dewplank/register/Reject.java
@@ -2,12 +2,12 @@
 
 import java.util.Objects;
 
-/** Negative answer to {@link Prepare} or {@link Accept}: the sender has promised a higher ballot. */
+/** Negative reply to {@link Prepare} or {@link Accept}: the sender has promised a higher ballot. */
 public final class Reject extends RegisterMessage {
     private final Ballot ballot;
     private final Ballot promisedBallot;
 
-    /** Creates the answer; no argument may be null. */
+    /** Creates the reply; no argument may be null. */
     public Reject(
             String senderAddress,
             String senderIdentity,
@@ -19,7 +19,7 @@
         this.promisedBallot = Objects.requireNonNull(promisedBallot);
     }
 
-    /** The ballot rejected. */
+    /** The rejected ballot. */
     public Ballot ballot() {
         return ballot;
     }
--- a/consensus/src/main/java/dewplank/register/Round.java
+++ b/consensus/src/main/java/dewplank/register/Round.java
@@ -4,8 +4,8 @@
 import java.util.Set;
 
 /**
- * One ballot of the proposer: the prepare phase collects promises, the accept phase acceptances of one proposal. The
- * phase changes once, by {@link #startAcceptPhase}.
+ * One ballot of the proposer: the prepare phase collects promises, then the accept phase collects acceptances of one
+ * proposal. {@link #startAcceptPhase} starts the second phase.
  *
  * @param <A> the result of the callers' changes
  */
@@ -23,9 +23,9 @@
     private double phaseStartedAtMs;
 
     /**
-     * Starts a round, before any of its requests is sent.
+     * Creates a round; to be called before any of its requests is sent.
      *
-     * @param ended volatile acceptors that are known to have ended; what is learned later is left out, see invariant 13
+     * @param ended volatile acceptors known to have ended; later knowledge does not affect the round, see invariant 13
      */
     Round(Ballot ballot, Ballot readBallot, RegisterValue read, Set<AcceptorId> ended, double nowMs) {
         this.ballot = ballot;
@@ -58,8 +58,8 @@
     }
 
     /**
-     * The ballot of the value that the round began with; promises omit values up to it. It stays the same while newer
-     * values are learned, or a newer value would be omitted that the round has not read.
+     * The newest ballot known to be chosen at the start of the round; promises omit values up to it. It does not change
+     * when newer values are learned, because promises would then omit values that the round has not read.
      */
     Ballot chosenAtStart() {
         return chosenAtStart;
@@ -69,7 +69,7 @@
         return phaseStartedAtMs;
     }
 
-    /** Marks the acceptor as sent a prepare; returns whether it was not before. */
+    /** Records that the acceptor is sent a prepare request; returns whether this is the first one. */
     boolean markPrepared(AcceptorId acceptor) {
         return prepared.add(acceptor);
     }
@@ -82,12 +82,12 @@
         }
     }
 
-    /** Whether a quorum of the value read has promised: invariant 2 in {@code docs/register.md}. */
+    /** Whether a quorum of the acceptors of the value read has promised: invariant 2 in {@code docs/register.md}. */
     boolean isPromisedByQuorum() {
         return read.acceptors().isQuorum(promised, endedAtStart);
     }
 
-    /** Ends the prepare phase; throws if it has ended before. */
+    /** Ends the prepare phase; throws if it has already ended. */
     void startAcceptPhase(Proposal<A> next, double nowMs) {
         if (!isPreparing()) {
             throw new IllegalStateException("ballot " + ballot + " already has a proposal");
@@ -101,7 +101,7 @@
         accepted.add(acceptor);
     }
 
-    /** Whether the proposal is chosen: the acceptors of the value it was built on decide. */
+    /** Whether the proposal is chosen, which the acceptors of the value read decide. */
     boolean isAcceptedByQuorum() {
         return read.acceptors().isQuorum(accepted, endedAtStart);
     }
@@ -110,7 +110,7 @@
         rejected.add(acceptor);
     }
 
-    /** Whether the acceptors that have not rejected the ballot are no quorum any more. */
+    /** Whether the acceptors that have not rejected the ballot no longer form a quorum. */
     boolean isRejected() {
         Set<AcceptorId> remaining = new HashSet<>(read.acceptors().all());
         remaining.removeAll(rejected);
--- a/consensus/src/main/java/dewplank/register/RoundCompleter.java
+++ b/consensus/src/main/java/dewplank/register/RoundCompleter.java
@@ -3,23 +3,23 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Completes what stays unfinished for longer than a round takes, because its proposer may be gone. {@link AntiEntropy}
- * calls it at each tick. The delay is drawn, so that processes do not start competing ballots.
+ * Completes work that remains unfinished for longer than a round takes, because its proposer may have stopped. {@link
+ * AntiEntropy} calls it at each tick. The delay is random, so that processes do not start competing ballots.
  *
  * @param <A> the result of the callers' changes
  */
 final class RoundCompleter<A> {
-    /** What is unfinished; equal as long as it is the same work. */
+    /** The unfinished work; two instances are equal if they denote the same work. */
     private sealed interface Unfinished permits Nothing, JointSet, UnconfirmedBallot {}
 
     private enum Nothing implements Unfinished {
         NOTHING
     }
 
-    /** A joint set: its generation stays the same while requests are chosen by it. */
+    /** A joint set, identified by its generation, which does not change while the set decides on requests. */
     private record JointSet(long generation) implements Unfinished {}
 
-    /** A ballot that is accepted and not known to be chosen. */
+    /** A ballot that is accepted but not known to be chosen. */
     private record UnconfirmedBallot(Ballot ballot) implements Unfinished {}
 
     private final Register.Settings settings;
@@ -55,7 +55,10 @@
         return unconfirmed.isNone() ? Nothing.NOTHING : new UnconfirmedBallot(unconfirmed);
     }
 
-    /** A pending request completes an unconfirmed ballot by its own rounds, but does not complete a joint set. */
+    /**
+     * Whether a pending task will complete the work. The rounds of a request complete an unconfirmed ballot, but not a
+     * joint set.
+     */
     private boolean isBeingCompleted() {
         boolean isByRequest = !learner.acceptors().isJoint() && proposer.pendingRequests() > 0;
         return proposer.pendingRepairs() > 0 || isByRequest;
--- a/consensus/src/main/java/dewplank/register/StatusQuery.java
+++ b/consensus/src/main/java/dewplank/register/StatusQuery.java
@@ -3,8 +3,8 @@
 import java.util.Objects;
 
 /**
- * Asks a process for its newest accepted and chosen ballots. Sent to read, by anti-entropy, and to fetch a value.
- * Answered by {@link StatusReport}.
+ * Queries the newest accepted and chosen ballots of a process. Sent by reads and by anti-entropy, and to fetch a value.
+ * The reply is {@link StatusReport}.
  */
 public final class StatusQuery extends RegisterMessage {
     private final long queryId;
@@ -25,17 +25,17 @@
         this.wantsValue = wantsValue;
     }
 
-    /** Correlates the report; see {@link RequestIds}. */
+    /** The id that the report repeats; see {@link QueryIds}. */
     public long queryId() {
         return queryId;
     }
 
-    /** The newest chosen ballot of the sender. */
+    /** The newest ballot that the sender knows to be chosen. */
     public Ballot chosenBallot() {
         return chosenBallot;
     }
 
-    /** Whether the report is to include a chosen value that is newer than {@link #chosenBallot}. */
+    /** Whether the report should include a chosen value that is newer than {@link #chosenBallot}. */
     public boolean wantsValue() {
         return wantsValue;
     }
--- a/consensus/src/main/java/dewplank/register/StatusReport.java
+++ b/consensus/src/main/java/dewplank/register/StatusReport.java
@@ -2,7 +2,7 @@
 
 import java.util.Objects;
 
-/** Answer to {@link StatusQuery}: what the sender has synced as accepted, and what it knows to be chosen. */
+/** Reply to {@link StatusQuery}: the sender's accepted ballot, which is synced, and its newest chosen ballot. */
 public final class StatusReport extends RegisterMessage {
     private final long queryId;
     private final Ballot acceptedBallot;
@@ -31,12 +31,12 @@
         this.chosenValue = chosenValue;
     }
 
-    /** The id of the query answered. */
+    /** The id of the query to which this report replies. */
     public long queryId() {
         return queryId;
     }
 
-    /** The ballot accepted last and synced. */
+    /** The last accepted ballot that is synced. */
     public Ballot acceptedBallot() {
         return acceptedBallot;
     }
@@ -51,7 +51,7 @@
         return chosenBallot;
     }
 
-    /** The revision of the chosen value; 0 before the first. */
+    /** The revision of the chosen value; 0 if there is none. */
     public long chosenRevision() {
         return chosenRevision;
     }
--- a/consensus/src/main/java/dewplank/register/Task.java
+++ b/consensus/src/main/java/dewplank/register/Task.java
@@ -1,13 +1,13 @@
 package dewplank.register;
 
 /**
- * Work that the {@link Proposer} carries through one or more ballots until it is complete or its deadline passes.
+ * A unit of work that the {@link Proposer} runs in one or more ballots until it is complete or its deadline passes.
  *
  * @param <A> the result of the callers' changes
  */
 interface Task<A> {
     /**
-     * Decides what to propose on top of the value read; called once per ballot, so it must have no effects.
+     * Derives a proposal from the value read. Called once per ballot, so it must have no side effects.
      *
      * @param read the newest value that a quorum has accepted
      * @param newestChosen the newest value known to be chosen, or null
@@ -17,14 +17,16 @@
     /** Whether the task is complete once this proposal is chosen. */
     boolean isCompletedBy(Proposal<A> proposal);
 
-    /** Whether it repairs the acceptor set or an abandoned ballot, and so runs before callers' requests. */
+    /**
+     * Whether the task repairs the acceptor set or an abandoned ballot, and therefore runs before callers' requests.
+     */
     default boolean isRepair() {
         return false;
     }
 
-    /** When it is abandoned, in milliseconds of the register's clock. */
+    /** The time at which the task is abandoned, in milliseconds of the register's clock. */
     double deadlineMs();
 
-    /** Passes the outcome to the caller, if there is one. */
+    /** Passes the outcome to the caller, if any. */
     void complete(Outcome<A> outcome, Register.Effects<A> effects);
 }
--- a/consensus/src/test/java/dewplank/register/CatchUpTest.java
+++ b/consensus/src/test/java/dewplank/register/CatchUpTest.java
@@ -247,9 +247,7 @@
         register.handleMessage(0, new Chosen("b", "2", "1", announced, 3), effects);
         for (int answer = 0; answer < 3; answer++) {
             register.handleMessage(
-                    1,
-                    new StatusReport("b", "2", "1", RequestIds.FETCH, announced, null, Ballot.NONE, 0, null),
-                    effects);
+                    1, new StatusReport("b", "2", "1", QueryIds.FETCH, announced, null, Ballot.NONE, 0, null), effects);
         }
         Assertions.assertEquals(1, effects.messages(StatusQuery.class).size());
         register.handleMessage(2, new Chosen("b", "2", "1", announced, 3), effects);
--- a/consensus/src/test/java/dewplank/register/CurrentRulesTest.java
+++ b/consensus/src/test/java/dewplank/register/CurrentRulesTest.java
@@ -64,7 +64,7 @@
         Assertions.assertEquals(QUERIED_AT_MS, register.lastQuorumAtMs());
         Assertions.assertFalse(register.isCurrent(QUERIED_AT_MS, WITHIN_MS));
         register.handleMessage(
-                QUERIED_AT_MS, new StatusReport("b", "2", "1", RequestIds.FETCH, NEW, null, NEW, 2, value(2)), effects);
+                QUERIED_AT_MS, new StatusReport("b", "2", "1", QueryIds.FETCH, NEW, null, NEW, 2, value(2)), effects);
         Assertions.assertTrue(register.isCurrent(QUERIED_AT_MS, WITHIN_MS), "it has caught up");
     }
 
--- a/consensus/src/test/java/dewplank/register/RegisterSnapshot.java
+++ b/consensus/src/test/java/dewplank/register/RegisterSnapshot.java
@@ -26,7 +26,7 @@
             Reader.class,
             AntiEntropy.class,
             RoundCompleter.class,
-            RequestIds.class,
+            QueryIds.class,
             Round.class,
             ProposerState.InRound.class,
             ProposerState.BackingOff.class);
@@ -39,7 +39,7 @@
             "AntiEntropy.reporters",
             "AntiEntropy.newestReported",
             "AntiEntropy.newestReportedByQuorum",
-            "RequestIds.last",
+            "QueryIds.last",
             "InRound.attempt",
             "BackingOff.attempt",
             "Acceptor.storeId",
@@ -94,7 +94,7 @@
             if (field.getType() == double.class) {
                 boolean isInThePast = Set.of("nextRunAtMs", "fetchStartedAtMs").contains(field.getName());
                 set(field, part, isInThePast ? Double.NEGATIVE_INFINITY : 0.0);
-            } else if (nameOf(field).equals("RequestIds.last")) {
+            } else if (nameOf(field).equals("QueryIds.last")) {
                 set(field, part, 0L);
             } else if (field.getName().equals("attempt")) {
                 set(field, part, 1);
--- a/consensus/src/test/java/dewplank/register/RoundSequenceTest.java
+++ b/consensus/src/test/java/dewplank/register/RoundSequenceTest.java
@@ -242,7 +242,7 @@
         register.tick(626, effects);
         assertEquals(6, effects.messages(StatusQuery.class).size());
         RegisterValue grown = new RegisterValue(new AcceptorSet(2, List.of(A, B, D), List.of()), 2, new byte[] {1});
-        report(B, RequestIds.FETCH, ballot(6), ballot(6), grown);
+        report(B, QueryIds.FETCH, ballot(6), ballot(6), grown);
         register.tick(627, effects);
         assertEquals(9, effects.messages(StatusQuery.class).size());
         assertTrue(register.isAcceptor());
@@ -251,7 +251,7 @@
     @Test
     void aProcessOutsideTheSetIsNoAcceptor() {
         assertTrue(register.isAcceptor());
-        report(B, RequestIds.FETCH, ballot(1), ballot(1), new RegisterValue(AcceptorSet.of(List.of(B, C, D)), 1, null));
+        report(B, QueryIds.FETCH, ballot(1), ballot(1), new RegisterValue(AcceptorSet.of(List.of(B, C, D)), 1, null));
         assertFalse(register.isAcceptor());
     }
 }
