--- a/consensus/src/main/java/dewplank/membership/AcceptorPlacement.java
+++ b/consensus/src/main/java/dewplank/membership/AcceptorPlacement.java
@@ -103,9 +103,9 @@
         if (!diskless.isEmpty()) {
             return withoutDiskless(nowMs, set.members(), diskless, spares);
         }
-        List<AcceptorId> repaired = repaired(nowMs, set.members(), spares);
-        boolean complete = missingSinceMs.isEmpty();
-        return complete && repaired.equals(set.members()) ? grown(set.members(), spares) : repaired;
+        List<AcceptorId> repaired = withReplacement(nowMs, set.members(), spares);
+        boolean isComplete = missingSinceMs.isEmpty();
+        return isComplete && repaired.equals(set.members()) ? expand(set.members(), spares) : repaired;
     }
 
     private void updateMissing(double nowMs, AcceptorSet set, List<PeerObservation> live) {
@@ -147,33 +147,33 @@
     private List<AcceptorId> withoutDiskless(
             double nowMs, List<AcceptorId> members, List<AcceptorId> diskless, List<AcceptorId> spares) {
         if (!spares.isEmpty()) {
-            return replaced(members, diskless.get(0), spares.get(0));
+            return replaceMember(members, diskless.get(0), spares.get(0));
         }
         List<AcceptorId> durable = new ArrayList<>(members);
         durable.removeAll(diskless);
-        boolean bootstrapped = nowMs - firstCallAtMs >= timing.bootstrapGraceMs();
-        return bootstrapped && !durable.isEmpty() ? durable : members;
+        boolean isBootstrapped = nowMs - firstCallAtMs >= timing.bootstrapGraceMs();
+        return isBootstrapped && !durable.isEmpty() ? durable : members;
     }
 
     /** Returns the members with at most one replacement, of a lost disk first because its acceptor cannot return. */
-    private List<AcceptorId> repaired(double nowMs, List<AcceptorId> members, List<AcceptorId> spares) {
+    private List<AcceptorId> withReplacement(double nowMs, List<AcceptorId> members, List<AcceptorId> spares) {
         for (AcceptorId member : members) {
             for (AcceptorId spare : spares) {
                 if (spare.address().equals(member.address())) {
-                    return replaced(members, member, spare);
+                    return replaceMember(members, member, spare);
                 }
             }
         }
         for (AcceptorId member : members) {
             double missingMs = nowMs - missingSinceMs.getOrDefault(member, nowMs);
             if (missingMs >= timing.replaceAfterMs() && !spares.isEmpty()) {
-                return replaced(members, member, spares.get(0));
+                return replaceMember(members, member, spares.get(0));
             }
         }
         return members;
     }
 
-    private static List<AcceptorId> replaced(List<AcceptorId> members, AcceptorId lost, AcceptorId successor) {
+    private static List<AcceptorId> replaceMember(List<AcceptorId> members, AcceptorId lost, AcceptorId successor) {
         List<AcceptorId> target = new ArrayList<>(members);
         target.set(target.indexOf(lost), successor);
         return target;
@@ -182,7 +182,7 @@
     /**
      * Adds spares up to the largest odd number; not used while an acceptor is missing, which a spare has to replace.
      */
-    private static List<AcceptorId> grown(List<AcceptorId> members, List<AcceptorId> spares) {
+    private static List<AcceptorId> expand(List<AcceptorId> members, List<AcceptorId> spares) {
         int size = Math.min(MAX_ACCEPTORS, members.size() + spares.size());
         size -= size % 2 == 0 ? 1 : 0;
         if (size <= members.size()) {
--- a/consensus/src/main/java/dewplank/membership/SessionTable.java
+++ b/consensus/src/main/java/dewplank/membership/SessionTable.java
@@ -9,8 +9,9 @@
 import java.util.Map;
 
 /**
- * The sessions of data planes with control planes that one control plane knows: its local sessions, each with a lease,
- * and the sessions reported by its peers. A data plane is a member while it has a session with any control plane.
+ * The sessions of data planes with control planes as recorded by one control plane: its local sessions, each with a
+ * lease, and the sessions reported by its peers. A data plane is a member while it has a session with any control
+ * plane.
  *
  * <p>Not thread-safe; the control plane calls it on its event loop. Times are in milliseconds of one monotonic clock.
  * No method throws, and none takes or returns null.
--- a/consensus/src/main/java/dewplank/register/StatusQuery.java
+++ b/consensus/src/main/java/dewplank/register/StatusQuery.java
@@ -30,7 +30,7 @@
         return queryId;
     }
 
-    /** The newest ballot that the sender knows to be chosen. */
+    /** The newest chosen ballot that is recorded at the sender. */
     public Ballot chosenBallot() {
         return chosenBallot;
     }
--- a/consensus/src/main/java/dewplank/register/StatusReport.java
+++ b/consensus/src/main/java/dewplank/register/StatusReport.java
@@ -46,7 +46,7 @@
         return acceptedAcceptors;
     }
 
-    /** The newest ballot that the sender knows to be chosen. */
+    /** The newest chosen ballot that is recorded at the sender. */
     public Ballot chosenBallot() {
         return chosenBallot;
     }
--- a/consensus/src/test/java/dewplank/membership/AcceptorPlacementTest.java
+++ b/consensus/src/test/java/dewplank/membership/AcceptorPlacementTest.java
@@ -29,7 +29,7 @@
         return AcceptorSet.of(List.of(members));
     }
 
-    /** A peer whose last heartbeat has just arrived, and its first one long ago. */
+    /** A peer whose last heartbeat has just arrived and whose first heartbeat arrived long ago. */
     private static PeerObservation settledPeer(double now, AcceptorId acceptor) {
         return new PeerObservation(acceptor, true, now, now - 60_000);
     }
@@ -39,14 +39,14 @@
     }
 
     @Test
-    void leavesACompleteSetAsItIs() {
+    void keepsACompleteSet() {
         assertEquals(List.of(A, B, C), placement.targetMembers(0, set(A, B, C), settled(0, A, B, C)));
     }
 
-    /** The bound that a second loss after a replacement rests on: the whole has to fit into catch_up_s. */
+    /** The whole replacement has to fit into catch_up_s, so that a second loss afterwards is tolerated. */
     @Test
-    void aSuccessorReplacesALostAcceptorWithinHalfOfTheCatchUpTime() {
-        double startedAt = 1_000; // the last heartbeat of the lost one arrived at 0
+    void successorReplacesALostAcceptorWithinHalfOfTheCatchUpTime() {
+        double startedAt = 1_000; // the last heartbeat of the lost acceptor arrived at 0
         double linkedAt = startedAt + 1_000;
         double replacedAt = Double.NaN;
         for (double now = 0; now < 10_000 && Double.isNaN(replacedAt); now += CHECK_INTERVAL_MS) {
@@ -60,12 +60,12 @@
                 replacedAt = now;
             }
         }
-        assertTrue(replacedAt <= startedAt + CATCH_UP_MS / 2, "replaced only at " + replacedAt);
+        assertTrue(replacedAt <= startedAt + CATCH_UP_MS / 2, "replaced too late, at " + replacedAt);
     }
 
-    /** As many as may be lost at once are replaced, one after the other. */
+    /** Two of five acceptors may be lost simultaneously; they are replaced one after the other. */
     @Test
-    void replacesTwoUnresponsiveAcceptorsOfFiveOneAfterTheOther() {
+    void replacesTwoUnresponsiveAcceptorsOfFiveInSuccession() {
         AcceptorSet set = set(A, B, C, D, E);
         AcceptorId f = new AcceptorId("f:1", "disk-f");
         AcceptorId g = new AcceptorId("g:1", "disk-g");
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void aLostDiskIsReplacedByTheIdentityAtItsAddressAfterTheMinimumUptime() {
+    void replacesALostDiskByTheIdentityAtItsAddressAfterTheMinimumUptime() {
         PeerObservation wiped = new PeerObservation(A_WIPED, true, 100, 0);
         assertEquals(
                 List.of(A, B, C),
@@ -96,9 +96,9 @@
                                 settledPeer(eligibleAt, C))));
     }
 
-    /** Late messages of an earlier incarnation make its identity a new one at the address, not the other way round. */
+    /** Late messages of an earlier incarnation make its old identity appear as a new one at the address. */
     @Test
-    void anIdentityBelowTheMinimumUptimeReplacesNobody() {
+    void identityBelowTheMinimumUptimeReplacesNoAcceptor() {
         PeerObservation changed = new PeerObservation(A, true, 5_000, 4_990);
         assertEquals(
                 List.of(A_WIPED, B, C),
@@ -107,14 +107,14 @@
     }
 
     @Test
-    void anUnresponsiveAcceptorStaysWhereNobodyCanReplaceIt() {
+    void keepsAnUnresponsiveAcceptorIfThereIsNoSpare() {
         for (double now = 0; now < 60_000; now += CHECK_INTERVAL_MS) {
             assertEquals(List.of(A, B, C), placement.targetMembers(now, set(A, B, C), settled(now, B, C)));
         }
     }
 
     @Test
-    void anAcceptorThatIsLiveAgainInTimeStays() {
+    void keepsAnAcceptorThatReturnsBeforeItsReplacement() {
         placement.targetMembers(0, set(A, B, C), settled(0, B, C, D));
         double returnedAt = TIMING.replaceAfterMs() - 1;
         assertEquals(
@@ -140,7 +140,7 @@
     }
 
     @Test
-    void aJointSetIsCompletedFirst() {
+    void keepsTheMembersOfAJointSetWithAMissingAcceptor() {
         AcceptorSet joint = new AcceptorSet(1, List.of(A, B, C), List.of(D, B, C));
         assertEquals(joint.members(), placement.targetMembers(9_000, joint, settled(9_000, B, C, D, E)));
     }
@@ -149,9 +149,9 @@
         return new AcceptorId(address, AcceptorId.volatileIdentity(address, "1"));
     }
 
-    /** Also one from which nothing was ever received here: its identity says that it has no disk. */
+    /** An acceptor from which no heartbeat ever arrived is replaced as well: its identity shows that it has no disk. */
     @Test
-    void aSpareReplacesAnAcceptorWithoutADiskAtOnce() {
+    void replacesAnAcceptorWithoutADiskImmediately() {
         AcceptorId x = volatileAcceptor("x:1");
         AcceptorId y = volatileAcceptor("y:1");
         assertEquals(List.of(A, y), placement.targetMembers(0, set(x, y), settled(0, A)));
@@ -159,7 +159,7 @@
     }
 
     @Test
-    void acceptorsWithoutADiskAreRemovedOnceAllThatStartedTogetherHadTime() {
+    void removesAcceptorsWithoutADiskAfterTheBootstrapGracePeriod() {
         AcceptorId x = volatileAcceptor("x:1");
         AcceptorSet mixed = set(A, x);
         assertEquals(List.of(A, x), placement.targetMembers(0, mixed, settled(0, A)));
@@ -167,11 +167,11 @@
         assertEquals(List.of(A, x), placement.targetMembers(early, mixed, settled(early, A)));
         double late = TIMING.bootstrapGraceMs();
         assertEquals(List.of(A), placement.targetMembers(late, mixed, settled(late, A)));
-        assertEquals(List.of(x), placement.targetMembers(late, set(x), List.of()), "some acceptor has to stay");
+        assertEquals(List.of(x), placement.targetMembers(late, set(x), List.of()), "the last acceptor is not removed");
     }
 
     @Test
-    void aJointSetIsLeftToItsCompletion() {
+    void keepsTheMembersOfAJointSet() {
         AcceptorSet joint = new AcceptorSet(1, List.of(A, B, C), List.of(A, B, D));
         assertEquals(List.of(A, B, C), placement.targetMembers(0, joint, settled(0, A, B, D, E)));
     }
--- a/consensus/src/test/java/dewplank/membership/SessionTableTest.java
+++ b/consensus/src/test/java/dewplank/membership/SessionTableTest.java
@@ -15,7 +15,7 @@
     }
 
     @Test
-    void aDataPlaneIsAMemberWhileItHasASessionAnywhere() {
+    void dataPlaneIsAMemberWhileItHasASessionWithAnyControlPlane() {
         table.renew(0, member("a", 1));
         table.onSessionsReported(0, "other", List.of(member("a", 1), member("b", 1)));
         assertEquals(2, table.members(1_900).size());
@@ -26,21 +26,21 @@
     }
 
     @Test
-    void aMemberThatIsReportedNoMoreIsRemoved() {
+    void memberThatIsNoLongerReportedIsRemoved() {
         table.onSessionsReported(0, "other", List.of(member("a", 1)));
         table.onSessionsReported(300, "other", List.of());
         assertTrue(table.members(301).isEmpty());
     }
 
     @Test
-    void ofTwoIncarnationsTheLaterOneIsTheMember() {
+    void laterIncarnationReplacesTheEarlierOne() {
         table.onSessionsReported(0, "other", List.of(member("a", 1)));
         table.renew(0, member("a", 2));
         assertEquals(List.of(member("a", 2)), table.members(1));
     }
 
     @Test
-    void theDigestDiffersWhereMembersDo() {
+    void digestDiffersForDifferentMembers() {
         long one = SessionTable.digest(List.of(member("a", 1)));
         assertEquals(one, SessionTable.digest(List.of(member("a", 1))));
         assertNotEquals(one, SessionTable.digest(List.of(member("a", 2))));
@@ -48,16 +48,16 @@
     }
 
     @Test
-    void localSessionsAreBoundedAndThoseThatAreOpenRenewed() {
+    void localSessionsAreLimitedButOpenOnesCanBeRenewed() {
         for (int i = 0; i < SessionTable.MAX_SESSIONS; i++) {
             assertEquals(SessionTable.Renewal.RENEWED, table.renew(0, member("n" + i, 1)));
         }
         assertEquals(SessionTable.Renewal.REJECTED_MAX_SESSIONS, table.renew(0, member("one more", 1)));
-        assertEquals(SessionTable.Renewal.RENEWED, table.renew(0, member("n0", 1)), "one that is there is renewed");
+        assertEquals(SessionTable.Renewal.RENEWED, table.renew(0, member("n0", 1)), "an open session can be renewed");
     }
 
     @Test
-    void leasesLastToTheirEndAndAreExtendedByTheTimeOfAStall() {
+    void leasesExpireOnTimeAndAreExtendedByAStall() {
         assertEquals(2_000, table.leaseMs());
         table.renew(0, member("a", 1));
         table.onSessionsReported(0, "other", List.of(member("b", 1)));
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void membersAreInTheOrderOfTheirNodes() {
+    void membersAreSortedByNode() {
         table.renew(0, member("c", 1));
         table.renew(0, member("a", 1));
         table.onSessionsReported(0, "other", List.of(member("b", 1)));
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void theDigestDependsOnTheOrder() {
+    void digestDependsOnTheOrder() {
         long inOrder = SessionTable.digest(List.of(member("a", 1), member("b", 1)));
         assertNotEquals(inOrder, SessionTable.digest(List.of(member("b", 1), member("a", 1))));
     }
--- a/consensus/src/test/java/dewplank/register/AcceptorRulesTest.java
+++ b/consensus/src/test/java/dewplank/register/AcceptorRulesTest.java
@@ -4,7 +4,7 @@
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** What an acceptor may answer, and when. */
+/** Tests which replies an acceptor sends, and when. */
 class AcceptorRulesTest {
     private static final AcceptorId SELF = RegisterBuilder.A;
     private static final AcceptorId PROPOSER = RegisterBuilder.B;
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void answersOnlyOnceStored() {
+    void repliesOnlyAfterTheStateIsStored() {
         prepare(LOW);
         Assertions.assertTrue(effects.sent.isEmpty());
         finishStore();
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void votesDuringAStoreAreBatchedIntoTheNext() {
+    void votesDuringAStoreAreWrittenByTheNextStore() {
         prepare(LOW);
         prepare(HIGH);
         accept(HIGH);
@@ -86,13 +86,13 @@
     }
 
     @Test
-    void failedStoreDropsItsVotesAndThoseQueued() {
+    void failedStoreDropsItsVotesAndQueuedVotes() {
         prepare(LOW);
         accept(LOW);
         failStore();
         Assertions.assertTrue(effects.sent.isEmpty());
         accept(LOW);
-        Assertions.assertTrue(effects.sent.isEmpty(), "a repeated message was answered without a store");
+        Assertions.assertTrue(effects.sent.isEmpty(), "the reply to a repeated message was sent without a store");
         Assertions.assertEquals(2, effects.stored.size());
         finishStore();
         Assertions.assertEquals(1, effects.messages(Accepted.class).size());
@@ -133,7 +133,7 @@
     }
 
     @Test
-    void statusReportContainsOnlyWhatIsStored() {
+    void statusReportContainsOnlyStoredState() {
         accept(LOW);
         register.handleMessage(
                 0, new StatusQuery(PROPOSER.address(), PROPOSER.identity(), "", 7, Ballot.NONE, true), effects);
--- a/consensus/src/test/java/dewplank/register/AcceptorSetTest.java
+++ b/consensus/src/test/java/dewplank/register/AcceptorSetTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Quorums among acceptors with and without a disk: invariant 13 in {@code docs/register.md}. */
+/** Tests quorums of acceptors with and without a disk: invariant 13 in {@code docs/register.md}. */
 class AcceptorSetTest {
     private static final AcceptorId A = new AcceptorId("a", "a0");
     private static final AcceptorId B = new AcceptorId("b", "b0");
@@ -31,14 +31,14 @@
     }
 
     @Test
-    void identitiesOfDisksAreNotVolatile() {
+    void diskIdentitiesAreNotVolatile() {
         assertTrue(X.isVolatile());
         assertFalse(A.isVolatile());
         assertFalse(new AcceptorId("10.0.0.1:7", "founder@10.0.0.1:7").isVolatile());
     }
 
     @Test
-    void amongDisksAMajorityDecides() {
+    void majorityIsAQuorumOfAcceptorsWithDisks() {
         assertTrue(isQuorum(List.of(A, B, C), Set.of(A, B), Set.of()));
         assertFalse(isQuorum(List.of(A, B, C), Set.of(A), Set.of()));
         assertFalse(isQuorum(List.of(A, B), Set.of(A), Set.of()));
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void votesWithoutADiskCountInFullOnly() {
+    void quorumWithVolatileVotesNeedsAllAcceptors() {
         assertFalse(isQuorum(List.of(X, Y, Z), Set.of(X, Y), Set.of()));
         assertTrue(isQuorum(List.of(X, Y, Z), Set.of(X, Y, Z), Set.of()));
         assertFalse(isQuorum(List.of(A, X, Y), Set.of(X, Y), Set.of()));
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void endedAcceptorsAreNotWaitedForButOneRemains() {
+    void quorumExcludesEndedAcceptorsButNeedsOneVote() {
         assertTrue(isQuorum(List.of(X, Y, Z), Set.of(Z), Set.of(X, Y)));
         assertFalse(isQuorum(List.of(X, Y, Z), Set.of(X, Y), Set.of(X, Y)));
         assertFalse(isQuorum(List.of(X, Y, Z), Set.of(X, Y, Z), Set.of(X, Y, Z)));
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void aJointSetOutlivesMembersThatHaveAllEnded() {
+    void jointSetHasAQuorumAfterAllMembersHaveEnded() {
         AcceptorSet joint = AcceptorSet.of(List.of(X, Y)).beginTransition(List.of(A, B, C));
         assertFalse(joint.isQuorum(Set.of(A, B, C), Set.of()));
         assertFalse(joint.isQuorum(Set.of(A, B, C), Set.of(X)));
@@ -75,24 +75,24 @@
     }
 
     /**
-     * Any two quorums of one set meet, whoever of its members has a disk, unless each was counted without a member of
-     * the other, which no order of events allows: {@code docs/register.md}.
+     * Any two quorums of one set intersect, regardless of which members have a disk. The exception, two quorums that
+     * each exclude a member of the other as ended, cannot occur in any order of events: {@code docs/register.md}.
      */
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3, 4, 5})
-    void anyTwoQuorumsMeet(int size) {
+    void anyTwoQuorumsIntersect(int size) {
         for (int withoutDisk = 0; withoutDisk < 1 << size; withoutDisk++) {
             List<AcceptorId> members = members(size, withoutDisk);
             List<Set<AcceptorId>> subsets = subsets(members);
             for (Set<AcceptorId> ended : subsets) {
                 if (ended.stream().allMatch(AcceptorId::isVolatile)) {
-                    assertQuorumsMeet(members, subsets, ended);
+                    assertQuorumsIntersect(members, subsets, ended);
                 }
             }
         }
     }
 
-    private static void assertQuorumsMeet(
+    private static void assertQuorumsIntersect(
             List<AcceptorId> members, List<Set<AcceptorId>> subsets, Set<AcceptorId> ended) {
         for (Set<AcceptorId> one : subsets) {
             for (Set<AcceptorId> other : subsets) {
--- a/consensus/src/test/java/dewplank/register/CatchUpTest.java
+++ b/consensus/src/test/java/dewplank/register/CatchUpTest.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A member that restarts after thousands of changes to a value of hundreds of routes, while changes continue: time and
- * bytes until it has a value as new as the newest at its restart, and its lag afterwards. Virtual time; a link has 2 ms
- * of delay and 1 Gbit/s, a store takes 5 ms.
+ * Restarts a member after hundreds or thousands of changes, while changes continue. The value has the size of hundreds
+ * of routes. Measures the time and the bytes until the member has the value that was newest at its restart, and its lag
+ * afterwards. Runs in virtual time; a link has a delay of 2 ms and 1 Gbit/s, a store takes 5 ms.
  */
 class CatchUpTest {
     private static final int VALUE_BYTES = 200_000;
@@ -26,18 +26,19 @@
     private static final double CHANGE_INTERVAL_MS = 200;
 
     /**
-     * The longest period of anti-entropy, three message delays, the transfer of one value, and the ticks of the steps.
+     * The longest anti-entropy interval, three message delays, the transfer of one value, and two ticks.
      */
     private static final double MAX_CATCH_UP_MS =
             ANTI_ENTROPY_PERIOD_MS * 1.25 + 3 * LINK_DELAY_MS + VALUE_BYTES / BYTES_PER_MS + 2 * TICK_MS;
 
     /**
-     * Values sent for each change to a process that cannot accept it, as its disk is full or the acceptance is for the
-     * disk it lost: that one and one fetch; and the one fetch in two seconds that was in flight before.
+     * Values sent per change to a process that cannot accept the change because its disk is full or because the accept
+     * request is addressed to its lost disk: one by the accept request and one by a fetch. In addition, one fetch may
+     * be in flight at the start of the two seconds.
      */
     private static final double MAX_VALUES_BY_ACCEPT_AND_FETCH = 2.11; // ten changes: 2 + 1 / 10
 
-    /** What a lost fetch adds: the time of a round, and an anti-entropy period until the value is announced again. */
+    /** The delay added by a lost fetch: a round timeout, and an anti-entropy interval until the next announcement. */
     private static final double REFETCH_MS = ROUND_TIMEOUT_MS + ANTI_ENTROPY_PERIOD_MS * 1.25;
 
     private final EventQueue events = new EventQueue();
@@ -49,7 +50,7 @@
     private boolean dropsAccepts;
     private int proposingNodes = 2;
 
-    /** A process with its disk, and the bytes of values sent to it. */
+    /** A process with its disk, which counts the bytes of values sent to it. */
     private final class Node implements Register.Effects<String> {
         private final String address;
         private AcceptorSet initialAcceptors;
@@ -129,7 +130,7 @@
 
         @Override
         public void completed(long requestId, Outcome<String> outcome) {
-            // Changes continue whatever the outcome of one.
+            // Changes continue regardless of the outcome.
         }
 
         long version() {
@@ -163,7 +164,7 @@
         return ByteBuffer.wrap(value.payload()).getLong();
     }
 
-    private void begin(double intervalMs, int changesBefore) {
+    private void startFleet(double intervalMs, int changesBefore) {
         changeIntervalMs = intervalMs;
         List<AcceptorId> members = new ArrayList<>();
         for (int index = 0; index < 3; index++) {
@@ -174,78 +175,78 @@
             node.initialAcceptors = AcceptorSet.of(members);
             node.start();
         }
-        keepChanging();
-        events.playUntil(1000);
+        changePeriodically();
+        events.runUntil(1000);
         nodes.get(2).register = null;
-        events.playUntil(1000 + changesBefore * intervalMs);
+        events.runUntil(1000 + changesBefore * intervalMs);
     }
 
-    /** Periodic changes at a member that stays up; the payload is as long as that of hundreds of routes. */
-    private void keepChanging() {
+    /** Changes the value periodically at a member that stays up; the payload has the size of hundreds of routes. */
+    private void changePeriodically() {
         changes++;
         Node node = nodes.get((int) (changes % proposingNodes));
         byte[] payload = new byte[VALUE_BYTES];
         ByteBuffer.wrap(payload).putLong(changes);
         node.register.change(
                 events.nowMs(), changes, old -> new Decision<>(payload, "applied"), events.nowMs() + 2000, node);
-        events.after(changeIntervalMs, this::keepChanging);
+        events.after(changeIntervalMs, this::changePeriodically);
     }
 
     private double catchUpMs(Node node) {
         long newest = nodes.get(0).version();
-        double beganMs = events.nowMs();
+        double startedAtMs = events.nowMs();
         node.receivedBytes = 0;
         node.start();
         while (node.version() < newest) {
-            Assertions.assertTrue(events.playOne(beganMs + 60_000), "never catches up");
+            Assertions.assertTrue(events.runNext(startedAtMs + 60_000), "does not catch up");
         }
-        return events.nowMs() - beganMs;
+        return events.nowMs() - startedAtMs;
     }
 
-    /** Checks the maximum lag for two seconds, and that the node is sent no more values than it needs. */
+    /** Measures the maximum lag over two seconds, and checks that the node is not sent more values than it needs. */
     private void checkLag(
             String scenario, Node node, double caughtUpMs, double maxCatchUpMs, double maxValuesPerChange) {
         long first = node.receivedBytes;
         long lag = 0;
         double end = events.nowMs() + 2000;
         long from = nodes.get(0).version();
-        while (events.playOne(end)) {
+        while (events.runNext(end)) {
             lag = Math.max(lag, nodes.get(0).version() - node.version());
         }
         double values = (double) (node.receivedBytes - first)
                 / VALUE_BYTES
                 / Math.max(1, nodes.get(0).version() - from);
         System.out.printf(
-                "%s: caught up after %.0f ms and %d bytes; then %d changes behind at most, %.2f values sent "
-                        + "for each change%n",
+                "%s: caught up after %.0f ms and %d bytes; then at most %d changes behind, %.2f values sent "
+                        + "per change%n",
                 scenario, caughtUpMs, first, lag, values);
-        Assertions.assertTrue(caughtUpMs < maxCatchUpMs, scenario + " took " + caughtUpMs);
-        Assertions.assertTrue(first <= 6L * VALUE_BYTES, scenario + " took " + first + " bytes");
-        Assertions.assertTrue(values < maxValuesPerChange, scenario + " is sent " + values);
+        Assertions.assertTrue(caughtUpMs < maxCatchUpMs, scenario + ", catch-up in ms: " + caughtUpMs);
+        Assertions.assertTrue(first <= 6L * VALUE_BYTES, scenario + ", catch-up took " + first + " bytes");
+        Assertions.assertTrue(values < maxValuesPerChange, scenario + ", values sent per change: " + values);
     }
 
-    /** The printed state of a process: as long after thousands of changes as after the first hundred. */
+    /** The printed state of a process is about as long after thousands of changes as after the first hundred. */
     @Test
-    void stateOfAProcessIsBounded() {
-        begin(CHANGE_INTERVAL_MS, 100);
+    void processStateIsBounded() {
+        startFleet(CHANGE_INTERVAL_MS, 100);
         nodes.get(2).start();
-        events.playUntil(events.nowMs() + 1000);
+        events.runUntil(events.nowMs() + 1000);
         int early = RegisterSnapshot.print(nodes.get(0).register).length();
-        events.playUntil(events.nowMs() + 3000 * CHANGE_INTERVAL_MS);
+        events.runUntil(events.nowMs() + 3000 * CHANGE_INTERVAL_MS);
         int late = RegisterSnapshot.print(nodes.get(0).register).length();
         Assertions.assertTrue(late < early * 1.5, "grew from " + early + " to " + late);
     }
 
-    /** A sender that restarted and lost what it announced is not queried in a loop. */
+    /** A sender that restarted and lost the value that it announced is not queried in a loop. */
     @Test
-    void reportWithoutAValueIsNotFetchedAgainAtOnce() {
+    void reportWithoutAValueDoesNotTriggerAnImmediateFetch() {
         RecordedEffects effects = new RecordedEffects();
         AcceptorId other = new AcceptorId("b", "2");
         Register<String> register =
                 new Register<>(settings("a", AcceptorSet.of(List.of(other))), DurableState.fresh("1"), random);
         Ballot announced = new Ballot(7, "b.1");
         register.handleMessage(0, new Chosen("b", "2", "1", announced, 3), effects);
-        for (int answer = 0; answer < 3; answer++) {
+        for (int reply = 0; reply < 3; reply++) {
             register.handleMessage(
                     1, new StatusReport("b", "2", "1", QueryIds.FETCH, announced, null, Ballot.NONE, 0, null), effects);
         }
@@ -255,7 +256,7 @@
     }
 
     @AfterEach
-    void everyProcessHasAValue() {
+    void checkThatEveryProcessHasAValue() {
         for (Node node : nodes) {
             Assertions.assertTrue(node.register.chosenValue() != null);
         }
@@ -263,14 +264,14 @@
 
     @Test
     void staleDiskCatchesUp() {
-        begin(CHANGE_INTERVAL_MS, 3000);
+        startFleet(CHANGE_INTERVAL_MS, 3000);
         double tookMs = catchUpMs(nodes.get(2));
         checkLag("stale disk, 3000 changes behind", nodes.get(2), tookMs, MAX_CATCH_UP_MS, 1.5);
     }
 
     @Test
     void emptyDiskCatchesUp() {
-        begin(CHANGE_INTERVAL_MS, 3000);
+        startFleet(CHANGE_INTERVAL_MS, 3000);
         Node node = nodes.get(2);
         node.disk = DurableState.fresh("other");
         node.initialAcceptors = AcceptorSet.of(List.of());
@@ -279,8 +280,8 @@
     }
 
     @Test
-    void fullDiskStillLearns() {
-        begin(CHANGE_INTERVAL_MS, 1000);
+    void processWithAFullDiskCatchesUp() {
+        startFleet(CHANGE_INTERVAL_MS, 1000);
         nodes.get(2).isDiskFull = true;
         double tookMs = catchUpMs(nodes.get(2));
         checkLag(
@@ -291,11 +292,11 @@
                 MAX_VALUES_BY_ACCEPT_AND_FETCH);
     }
 
-    /** A link on which a value takes 67 ms, 40 changes a second: each is announced, and values are only fetched. */
+    /** A value takes 67 ms on the link, 40 changes per second are announced, and values arrive only by fetches. */
     @Test
-    void changesFasterThanTheTransferDoNotDelayCatchUp() {
+    void frequentChangesOnASlowLinkDoNotDelayCatchUp() {
         proposingNodes = 1;
-        begin(25, 1000);
+        startFleet(25, 1000);
         Node node = nodes.get(2);
         node.bytesPerMs = 3000;
         dropsAccepts = true;
@@ -306,7 +307,7 @@
 
     @Test
     void lostReportIsFetchedAgain() {
-        begin(CHANGE_INTERVAL_MS, 200);
+        startFleet(CHANGE_INTERVAL_MS, 200);
         dropsReportedValues = true;
         events.after(300, () -> dropsReportedValues = false);
         double tookMs = catchUpMs(nodes.get(2));
@@ -314,24 +315,24 @@
     }
 
     @Test
-    void fetchFailsOverWhenTheSenderDies() {
-        begin(CHANGE_INTERVAL_MS, 200);
+    void fetchFailsOverWhenTheSenderIsKilled() {
+        startFleet(CHANGE_INTERVAL_MS, 200);
         changeIntervalMs = 1e9;
-        events.playUntil(events.nowMs() + 1000);
+        events.runUntil(events.nowMs() + 1000);
         Node node = nodes.get(2);
         node.receivedBytes = 0;
         dropsReportedValues = true;
-        double beganMs = events.nowMs();
+        double startedAtMs = events.nowMs();
         long newest = nodes.get(0).version();
         node.start();
-        events.playUntil(beganMs + 100);
+        events.runUntil(startedAtMs + 100);
         Assertions.assertTrue(node.version() < newest);
         dropsReportedValues = false;
         nodes.get(0).register = null;
         while (node.version() < newest) {
-            Assertions.assertTrue(events.playOne(beganMs + 60_000), "never catches up");
+            Assertions.assertTrue(events.runNext(startedAtMs + 60_000), "does not catch up");
         }
-        double tookMs = events.nowMs() - beganMs;
+        double tookMs = events.nowMs() - startedAtMs;
         nodes.get(0).start();
         System.out.printf("sender killed: caught up after %.0f ms%n", tookMs);
         Assertions.assertTrue(tookMs < MAX_CATCH_UP_MS + REFETCH_MS, "took " + tookMs);
--- a/consensus/src/test/java/dewplank/register/CurrentRulesTest.java
+++ b/consensus/src/test/java/dewplank/register/CurrentRulesTest.java
@@ -4,7 +4,7 @@
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** When a process is current: its chosen value was the newest one within a given time. */
+/** Tests when a process is current, that is, its chosen value was the newest one within a given time. */
 class CurrentRulesTest {
     private static final AcceptorId A = RegisterBuilder.A;
     private static final AcceptorId B = RegisterBuilder.B;
@@ -24,7 +24,7 @@
         return new RegisterValue(SET, revision, new byte[] {(byte) revision});
     }
 
-    /** Reports to the newest anti-entropy query. */
+    /** Delivers a report for the newest anti-entropy query. */
     private void report(AcceptorId from, Ballot acceptedBallot, Ballot chosenBallot) {
         long queryId = 0;
         for (StatusQuery query : effects.messages(StatusQuery.class)) {
@@ -46,10 +46,10 @@
     }
 
     @Test
-    void currentForTheGivenTimeAfterAQuorumReportsNothingNewer() {
+    void currentForTheGivenTimeAfterAQuorumReportsNoNewerBallot() {
         register.tick(QUERIED_AT_MS, effects);
         report(A, OLD, OLD);
-        Assertions.assertFalse(register.isCurrent(QUERIED_AT_MS, WITHIN_MS), "one of three is no quorum");
+        Assertions.assertFalse(register.isCurrent(QUERIED_AT_MS, WITHIN_MS), "one of three is not a quorum");
         report(B, OLD, Ballot.NONE);
         Assertions.assertTrue(register.isCurrent(QUERIED_AT_MS, WITHIN_MS));
         Assertions.assertTrue(register.isCurrent(QUERIED_AT_MS + WITHIN_MS, WITHIN_MS));
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void notCurrentWithAQuorumBeforeCatchUp() {
+    void notCurrentBeforeCatchUpDespiteAQuorum() {
         register.tick(QUERIED_AT_MS, effects);
         report(B, NEW, NEW);
         report(C, NEW, NEW);
@@ -108,7 +108,7 @@
     }
 
     @Test
-    void ownChosenBallotCountsFromItsAcceptPhase() {
+    void currentFromTheStartOfItsOwnAcceptPhase() {
         register.change(
                 QUERIED_AT_MS,
                 1,
--- a/consensus/src/test/java/dewplank/register/EarlierIncarnationsTest.java
+++ b/consensus/src/test/java/dewplank/register/EarlierIncarnationsTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** Delayed answers to requests of an earlier incarnation of a process: they count for nothing. */
+/** Delayed replies to requests of an earlier incarnation of a process are not counted. */
 class EarlierIncarnationsTest {
     private static final AcceptorId B = RegisterBuilder.B;
     private static final AcceptorId C = RegisterBuilder.C;
@@ -15,13 +15,13 @@
     private static final int INCARNATIONS = 200;
     private static final int PROCESS_SEED = 4711;
 
-    /** An incarnation starts from what the disk holds; only the random numbers differ. */
+    /** Starts an incarnation from the state on disk; incarnations differ only in their random numbers. */
     private static Register<String> incarnation(DurableState disk, long seed) {
         return new RegisterBuilder().recovered(disk).seed(seed).build();
     }
 
     @Test
-    void promisesToAnEarlierIncarnationLeadToNoProposal() {
+    void promisesToAnEarlierIncarnationAreNotCounted() {
         RecordedEffects earlierEffects = new RecordedEffects();
         incarnation(DurableState.fresh("1"), 1).change(0, 1, APPLYING, 1000, earlierEffects);
         RecordedEffects effects = new RecordedEffects();
@@ -29,7 +29,7 @@
         present.change(0, 1, APPLYING, 1000, effects);
         Ballot old = earlierEffects.lastMessage(Prepare.class).ballot();
         Ballot current = effects.lastMessage(Prepare.class).ballot();
-        Assertions.assertEquals(old.round(), current.round(), "the case that could be confused");
+        Assertions.assertEquals(old.round(), current.round(), "both incarnations use the same round");
         present.handleMessage(1, RegisterBuilder.promise(B, old), effects);
         present.handleMessage(1, RegisterBuilder.promise(C, old), effects);
         Assertions.assertEquals(0, effects.messages(Accept.class).size());
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void acceptancesOfAnEarlierIncarnationsBallotConfirmNothing() {
+    void acceptancesOfAnEarlierIncarnationAreNotCounted() {
         RecordedEffects earlierEffects = new RecordedEffects();
         Register<String> before = incarnation(DurableState.fresh("1"), 1);
         before.change(0, 1, APPLYING, 1000, earlierEffects);
@@ -55,14 +55,16 @@
         Assertions.assertTrue(effects.completed.isEmpty());
         present.handleMessage(3, RegisterBuilder.accepted(B, current), effects);
         present.handleMessage(3, RegisterBuilder.accepted(C, old), effects);
-        Assertions.assertTrue(effects.completed.isEmpty(), "one of each ballot is no quorum");
+        Assertions.assertTrue(effects.completed.isEmpty(), "one acceptance of each ballot is not a quorum");
         present.handleMessage(3, RegisterBuilder.accepted(C, current), effects);
         Assertions.assertEquals(1, effects.completed.size());
     }
 
-    /** Reports to the earlier incarnation's query contain what was newest then, not what is newest now. */
+    /**
+     * Reports to the query of an earlier incarnation contain the newest ballots of that time, which may be outdated.
+     */
     @Test
-    void reportsToAnEarlierIncarnationsQueryConfirmNoRead() {
+    void reportsToAnEarlierIncarnationAreNotCounted() {
         RegisterValue value = new RegisterValue(RegisterBuilder.SET, 1, new byte[] {1});
         Ballot ballot = new Ballot(1, "b");
         DurableState disk = DurableState.fresh("1").accepting(ballot, value).choosing(ballot, value);
@@ -86,7 +88,7 @@
         Assertions.assertEquals(1, effects.completed.size());
     }
 
-    /** Names of ballots are 64 bits drawn for each incarnation, and first query ids 62: successive ones share none. */
+    /** Incarnations draw proposer names of 64 bits and first query ids of 62 bits at random, so they share none. */
     @Test
     void incarnationsShareNoBallotAndNoQueryId() {
         SplittableRandom seeds = new SplittableRandom(PROCESS_SEED);
--- a/consensus/src/test/java/dewplank/register/EndedAcceptorsTest.java
+++ b/consensus/src/test/java/dewplank/register/EndedAcceptorsTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Founders without a disk that end: who is known to have ended, and which rounds leave them out. Process A has a disk
- * and is no member of the first set, X and Y.
+ * Founders without a disk that end: tests which acceptors are known to have ended, and which rounds exclude them.
+ * Process A has a disk and is not a member of the first set, which consists of X and Y.
  */
 class EndedAcceptorsTest {
     private static final AcceptorId A = RegisterBuilder.A;
@@ -31,7 +31,7 @@
         return new AcceptorId(address, AcceptorId.volatileIdentity(address, String.valueOf(number)));
     }
 
-    private long queryIdAt(double nowMs) {
+    private long startQueryAt(double nowMs) {
         register.tick(nowMs, effects);
         return effects.lastMessage(StatusQuery.class).queryId();
     }
@@ -42,8 +42,8 @@
         register.handleMessage(nowMs, report, effects);
     }
 
-    private void endAt(double nowMs, AcceptorId... successors) {
-        long queryId = queryIdAt(nowMs);
+    private void startQueryAndReport(double nowMs, AcceptorId... successors) {
+        long queryId = startQueryAt(nowMs);
         for (AcceptorId successor : successors) {
             report(nowMs, successor, queryId);
         }
@@ -63,46 +63,48 @@
     }
 
     @Test
-    void anAnswerUnderAnotherIdentityShowsThatTheAcceptorHasEnded() {
-        long queryId = queryIdAt(0);
+    void reportWithAnotherIdentityMarksTheAcceptorAsEnded() {
+        long queryId = startQueryAt(0);
         report(0, Y, queryId);
         assertEquals(Set.of(), register.endedAcceptors());
         report(0, X_NEXT, queryId);
         assertEquals(Set.of(X), register.endedAcceptors());
     }
 
-    /** An answer to an earlier query may have been sent before the acceptor was known. */
+    /** A report to an earlier query may have been sent before the acceptor was known. */
     @Test
-    void anAnswerToAnEarlierQueryShowsNothing() {
-        long earlier = queryIdAt(0);
-        queryIdAt(10_000);
+    void reportToAnEarlierQueryDoesNotMarkTheAcceptor() {
+        long earlier = startQueryAt(0);
+        startQueryAt(10_000);
         report(10_000, X_NEXT, earlier);
         assertEquals(Set.of(), register.endedAcceptors());
     }
 
-    /** A disk that was emptied may come back in another process; only a reconfiguration removes its acceptor. */
+    /** An acceptor with a disk may return in another process, so only a reconfiguration removes it. */
     @Test
-    void anAcceptorWithADiskIsNeverTakenToHaveEnded() {
+    void acceptorWithADiskIsNeverMarkedAsEnded() {
         AcceptorId durable = new AcceptorId("x", "disk");
         register.updateInitialAcceptors(AcceptorSet.of(List.of(durable, Y)));
-        endAt(0, X_NEXT);
+        startQueryAndReport(0, X_NEXT);
         assertEquals(Set.of(), register.endedAcceptors());
     }
 
     @Test
-    void aRoundThatBeginsLaterLeavesThemOut() {
-        endAt(0, X_NEXT);
+    void laterRoundExcludesEndedAcceptors() {
+        startQueryAndReport(0, X_NEXT);
         Ballot ballot = change(1);
         promise(1, Y, ballot);
         accept(1, Y, ballot);
         assertInstanceOf(Outcome.Confirmed.class, effects.completed.get(0).outcome());
     }
 
-    /** With what is known when the votes are counted, two rounds could each leave out the other's only voter. */
+    /**
+     * If a round used later knowledge when it counts votes, two rounds could each exclude the only voter of the other.
+     */
     @Test
-    void aRoundThatBeganBeforeWaitsForThem() {
+    void roundInProgressStillNeedsEndedAcceptors() {
         Ballot ballot = change(0);
-        endAt(1, X_NEXT);
+        startQueryAndReport(1, X_NEXT);
         promise(2, Y, ballot);
         assertEquals(List.of(), effects.messages(Accept.class));
         promise(3, X, ballot);
@@ -113,9 +115,9 @@
         assertEquals(1, effects.completed.size());
     }
 
-    /** A process that was suspended must not count what it finds in its buffers: the fleet may have gone on. */
+    /** A process that was suspended must not count buffered votes, because the fleet may have made progress since. */
     @Test
-    void votesAfterTheTimeoutOfARoundDoNotCount() {
+    void votesAfterTheRoundTimeoutAreNotCounted() {
         Ballot ballot = change(0);
         promise(0, X, ballot);
         promise(300, Y, ballot);
@@ -129,8 +131,8 @@
     }
 
     @Test
-    void aReadLeavesThemOutToo() {
-        endAt(0, X_NEXT);
+    void readExcludesEndedAcceptors() {
+        startQueryAndReport(0, X_NEXT);
         Ballot ballot = change(1);
         promise(1, Y, ballot);
         accept(1, Y, ballot);
@@ -141,21 +143,21 @@
     }
 
     @Test
-    void allFoundersHaveEndedOnlyWhereNoneIsLeft() {
+    void initialAcceptorsAreEndedOnlyIfAllHaveEnded() {
         assertFalse(register.areInitialAcceptorsEnded());
-        endAt(0, X_NEXT);
+        startQueryAndReport(0, X_NEXT);
         assertFalse(register.areInitialAcceptorsEnded());
-        endAt(10_000, Y_NEXT);
+        startQueryAndReport(10_000, Y_NEXT);
         assertTrue(register.areInitialAcceptorsEnded());
         Ballot ballot = change(10_001);
         promise(10_001, X, ballot);
         promise(10_001, Y, ballot);
-        assertEquals(List.of(), effects.messages(Accept.class), "nothing can be chosen by them any more");
+        assertEquals(List.of(), effects.messages(Accept.class), "they cannot choose a value any more");
     }
 
     @Test
-    void successorsDecideOnceTheyAreTheInitialAcceptors() {
-        endAt(0, X_NEXT, Y_NEXT);
+    void successorsFormAQuorumAfterReplacingTheInitialAcceptors() {
+        startQueryAndReport(0, X_NEXT, Y_NEXT);
         AcceptorSet next = new AcceptorSet(2, List.of(X_NEXT, Y_NEXT), List.of());
         register.updateInitialAcceptors(next);
         assertFalse(register.areInitialAcceptorsEnded());
@@ -170,7 +172,7 @@
     }
 
     @Test
-    void initialAcceptorsAreOfNoEffectOnceAValueIsChosen() {
+    void initialAcceptorsHaveNoEffectAfterAValueIsChosen() {
         Ballot ballot = change(0);
         promise(0, X, ballot);
         promise(0, Y, ballot);
@@ -178,13 +180,13 @@
         accept(0, Y, ballot);
         register.updateInitialAcceptors(AcceptorSet.of(List.of(X_NEXT, Y_NEXT)));
         assertEquals(FOUNDERS, register.acceptors());
-        endAt(1, X_NEXT, Y_NEXT);
+        startQueryAndReport(1, X_NEXT, Y_NEXT);
         assertEquals(Set.of(X, Y), register.endedAcceptors());
         assertFalse(register.areInitialAcceptorsEnded(), "a value is chosen");
     }
 
     @Test
-    void moreRequestsThanTheBoundAreNotAdmitted() {
+    void requestsBeyondTheLimitAreNotAdmitted() {
         for (int request = 0; request < Register.MAX_PENDING_REQUESTS; request++) {
             register.change(0, request, RegisterBuilder.APPLYING, DEADLINE_MS, effects);
         }
@@ -194,7 +196,7 @@
     }
 
     @Test
-    void moreRepairsThanTheBoundAreNotAdmittedNorIsAnEmptyTarget() {
+    void repairsBeyondTheLimitAndEmptyTargetsAreNotAdmitted() {
         register.reconfigure(0, REQUEST, 0, List.of(), DEADLINE_MS, effects);
         assertEquals(
                 Outcome.Unknown.noTargetAcceptors(), effects.completed.get(0).outcome());
--- a/consensus/src/test/java/dewplank/register/EventQueue.java
+++ b/consensus/src/test/java/dewplank/register/EventQueue.java
@@ -2,7 +2,9 @@
 
 import java.util.PriorityQueue;
 
-/** Virtual time in milliseconds: plays steps in the order of their time, and those of one time in insertion order. */
+/**
+ * Runs steps in virtual time, in milliseconds: in the order of their time, and steps of one time in insertion order.
+ */
 final class EventQueue {
     private record Event(double atMs, long number, Runnable step) implements Comparable<Event> {
         @Override
@@ -25,8 +27,8 @@
         events.add(new Event(nowMs + delayMs, lastNumber, step));
     }
 
-    /** Plays one step; false when the next is not before the end. */
-    boolean playOne(double endMs) {
+    /** Runs the next step; returns false if there is none before the end. */
+    boolean runNext(double endMs) {
         Event next = events.peek();
         if (next == null || next.atMs >= endMs) {
             return false;
@@ -37,10 +39,10 @@
         return true;
     }
 
-    void playUntil(double endMs) {
+    void runUntil(double endMs) {
         boolean hasMore = true;
         while (hasMore) {
-            hasMore = playOne(endMs);
+            hasMore = runNext(endMs);
         }
         nowMs = endMs;
     }
--- a/consensus/src/test/java/dewplank/register/Faults.java
+++ b/consensus/src/test/java/dewplank/register/Faults.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** Injects faults at random: kills, wipes, freezes, full or stalled disks, partitions; and changes acceptor sets. */
+/** Injects random faults: kills, wipes, pauses, full or stalled disks, partitions. Also changes acceptor sets. */
 final class Faults {
     private static final double MEAN_INTERVAL_MS = 260;
     private static final double MAX_FAULT_MS = 1500;
@@ -27,21 +27,21 @@
         injectNext();
     }
 
-    /** Ends all faults; a wiped acceptor is still replaced. */
+    /** Ends all faults, except that the replacement of a wiped acceptor continues. */
     void stop() {
         isStopped = true;
         fleet.network().heal();
         for (SimulatedProcess process : fleet.processes()) {
             process.setDiskFull(false);
             process.stallDisk(0);
-            process.thaw();
+            process.resume();
             if (!process.isUp()) {
                 process.start();
             }
         }
     }
 
-    boolean isWipedReplaced() {
+    boolean isWipedDiskReplaced() {
         return wiped == null;
     }
 
@@ -57,7 +57,7 @@
         switch (random.nextInt(8)) {
             case 0 -> kill(process, durationMs / 4);
             case 1 -> killAll();
-            case 2 -> freeze(process, durationMs);
+            case 2 -> pause(process, durationMs);
             case 3 -> fillDisk(process, durationMs);
             case 4 -> process.stallDisk(fleet.nowMs() + durationMs);
             case 5 -> partition(process, durationMs, random.nextInt(3));
@@ -86,9 +86,9 @@
         }
     }
 
-    private void freeze(SimulatedProcess process, double durationMs) {
-        process.freeze();
-        fleet.events().after(durationMs, process::thaw);
+    private void pause(SimulatedProcess process, double durationMs) {
+        process.pause();
+        fleet.events().after(durationMs, process::resume);
     }
 
     private void fillDisk(SimulatedProcess process, double durationMs) {
@@ -96,7 +96,7 @@
         fleet.events().after(durationMs, () -> process.setDiskFull(false));
     }
 
-    /** Partitions a process from all others: in both directions, or only what it sends, or only what it is sent. */
+    /** Partitions a process from all others, in both directions or for sent or received messages only. */
     private void partition(SimulatedProcess process, double durationMs, int kind) {
         for (SimulatedProcess other : fleet.processes()) {
             if (kind != 0) {
@@ -121,7 +121,7 @@
         process.wipe();
         fleet.events().after(durationMs, () -> {
             restart(process);
-            if (fleet.rules().wipedKeepsIdentity()) {
+            if (fleet.rules().wipedDiskKeepsIdentity()) {
                 wiped = null;
             } else {
                 replaceLost();
--- a/consensus/src/test/java/dewplank/register/FixedRandom.java
+++ b/consensus/src/test/java/dewplank/register/FixedRandom.java
@@ -2,7 +2,7 @@
 
 import java.util.random.RandomGenerator;
 
-/** Always draws the same number, one for each incarnation of a process. */
+/** Always returns the same number; each incarnation of a process uses a different one. */
 record FixedRandom(long number) implements RandomGenerator {
     @Override
     public long nextLong() {
--- a/consensus/src/test/java/dewplank/register/HistoryChecker.java
+++ b/consensus/src/test/java/dewplank/register/HistoryChecker.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** What was observed of the register in one simulated history, and whether one register could have shown it. */
+/** Records the observations of one simulated history and checks that a single register could have produced them. */
 final class HistoryChecker {
     private final Map<Long, RegisterValue> chosenByRevision = new HashMap<>();
     private final List<Integer> chain = new ArrayList<>();
@@ -16,7 +16,7 @@
     private long newestRevision;
     private int confirmed;
 
-    /** The revision that whatever starts now must see at least. */
+    /** The minimum revision that a request started now has to observe. */
     long minRevision() {
         return newestRevision;
     }
@@ -25,49 +25,47 @@
         return confirmed;
     }
 
-    void check(boolean holds, String rule) {
-        if (!holds) {
+    void check(boolean isSatisfied, String rule) {
+        if (!isSatisfied) {
             throw new AssertionError(rule);
         }
     }
 
-    /** A value is reported as chosen: one value for each revision, one chain for all. */
+    /** Records a chosen value. There is one value for each revision, and all values form one chain of changes. */
     void observeChosen(RegisterValue value) {
         RegisterValue other = chosenByRevision.putIfAbsent(value.revision(), value);
-        check(other == null || other.equals(value), "two values at one revision");
+        check(other == null || other.equals(value), "two values have the same revision");
         List<Integer> versions = VersionHistory.read(value.payload());
         check(new HashSet<>(versions).size() == versions.size(), "a change was applied twice");
         int common = Math.min(versions.size(), chain.size());
-        check(versions.subList(0, common).equals(chain.subList(0, common)), "two chains of changes");
+        check(versions.subList(0, common).equals(chain.subList(0, common)), "the changes form two chains");
         for (int index = common; index < versions.size(); index++) {
             chain.add(versions.get(index));
         }
     }
 
-    /** A request was confirmed that was started when {@code minRevision} was the newest. */
+    /** Records the confirmation of a request that started when {@code minRevision} was the newest revision. */
     void observeConfirmed(RegisterValue value, long minRevision) {
         observeChosen(value);
         confirmed++;
-        check(
-                value.revision() >= minRevision,
-                "went backwards: revision " + value.revision() + " after " + minRevision);
+        check(value.revision() >= minRevision, "the revision decreased: " + value.revision() + " after " + minRevision);
         newestRevision = Math.max(newestRevision, value.revision());
     }
 
-    void observeChangeAnswer(int version, RegisterValue value, Answer<String> answer) {
+    void observeChangeResult(int version, RegisterValue value, Answer<String> answer) {
         if (answer.equals(new Answer.OfChange<>(VersionHistory.APPLIED))) {
             applied.add(version);
-            check(VersionHistory.read(value.payload()).contains(version), "acknowledged but not in the value");
+            check(VersionHistory.read(value.payload()).contains(version), "an applied change is not in the value");
         } else {
             rejected.add(version);
         }
     }
 
-    /** After the final read. */
+    /** Checks the complete history; called after the final read. */
     void checkEnd() {
-        check(chain.containsAll(applied), "an acknowledged change is lost");
+        check(chain.containsAll(applied), "an applied change is lost");
         for (Integer version : rejected) {
-            check(!chain.contains(version), "a rejected change is in force");
+            check(!chain.contains(version), "a rejected change is in the value");
         }
     }
 }
--- a/consensus/src/test/java/dewplank/register/Interner.java
+++ b/consensus/src/test/java/dewplank/register/Interner.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Assigns one number to equal values; numbers start with 1. */
+/** Assigns the same number to equal values; numbers start at 1. */
 final class Interner<T> {
     private final Map<String, Integer> numbers = new HashMap<>();
     private final List<T> values = new ArrayList<>();
--- a/consensus/src/test/java/dewplank/register/JoiningProcessTest.java
+++ b/consensus/src/test/java/dewplank/register/JoiningProcessTest.java
@@ -4,7 +4,7 @@
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** How a process without initial acceptors learns the newest value. */
+/** Tests how a process without initial acceptors learns the newest value. */
 class JoiningProcessTest {
     private static final AcceptorId OLD = RegisterBuilder.A;
     private static final AcceptorId JOINING = new AcceptorId("n", "9");
@@ -27,8 +27,8 @@
     }
 
     /**
-     * The report to the joining process was lost, as there was no connection to it yet, and it has no acceptors to
-     * query by anti-entropy: the query of a process that has the value triggers a fetch.
+     * The report to the joining process is lost because there is no connection to it yet, and its anti-entropy has no
+     * acceptors to query. The query of a process that has the value therefore triggers a fetch.
      */
     @Test
     void queryFromANewerProcessTriggersAFetch() {
--- a/consensus/src/test/java/dewplank/register/LoadedFleetTest.java
+++ b/consensus/src/test/java/dewplank/register/LoadedFleetTest.java
@@ -6,16 +6,16 @@
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** Eight operators that send requests as fast as they are answered, at all processes: repairs and deadlines hold. */
+/** Tests repairs and deadlines while eight operators send a new request as soon as the previous one is completed. */
 class LoadedFleetTest {
     private static final int OPERATORS = 8;
     private static final double TIMEOUT_MS = 900;
     private static final double REPAIR_TIMEOUT_MS = 1500;
-    private static final double LOADED_FROM_MS = 1000;
+    private static final double WARM_UP_MS = 1000;
     private static final double TICK_MS = 50;
     private static final int SEEDS = 40;
 
-    /** Half of the time that the deployment allows for catching up after a loss. */
+    /** Half of the time that a deployment allows for catching up after a loss. */
     private static final double MAX_REPAIR_MS = 2000;
 
     private SimulatedFleet fleet;
@@ -23,17 +23,17 @@
     private int confirmed;
     private int version;
 
-    private void begin(int size, int members, long seed) {
+    private void startFleet(int size, int members, long seed) {
         random = new SplittableRandom(seed);
         fleet = new SimulatedFleet(size, members, new SimulationRules(false, false, false), random.split());
         for (int operator = 0; operator < OPERATORS; operator++) {
             sendNext();
         }
-        fleet.events().playUntil(LOADED_FROM_MS);
+        fleet.events().runUntil(WARM_UP_MS);
         confirmed = 0;
     }
 
-    /** The payload stays small: each change is rejected, which takes the same rounds. */
+    /** Sends a change that is rejected, so that the payload stays small; a rejection takes the same rounds. */
     private void sendNext() {
         version++;
         SimulatedProcess process = fleet.any(random);
@@ -47,11 +47,11 @@
         });
     }
 
-    private double reconfiguredAt(int observer, long generation) {
+    private double awaitGeneration(int observer, long generation) {
         while (fleet.process(observer).register().acceptors().generation() < generation) {
             Assertions.assertTrue(
-                    fleet.events().playOne(LOADED_FROM_MS + 10 * MAX_REPAIR_MS),
-                    "the set never becomes generation " + generation);
+                    fleet.events().runNext(WARM_UP_MS + 10 * MAX_REPAIR_MS),
+                    "the acceptor set does not reach generation " + generation);
         }
         return fleet.nowMs();
     }
@@ -60,30 +60,31 @@
     void requestsDoNotDelayAReconfiguration() {
         double maxMs = 0;
         for (long seed = 0; seed < SEEDS; seed++) {
-            begin(5, 3, seed);
-            double beganMs = fleet.nowMs();
+            startFleet(5, 3, seed);
+            double startedAtMs = fleet.nowMs();
             fleet.reconfigure(fleet.process(1), 0, fleet.acceptors(3, 1, 2), REPAIR_TIMEOUT_MS, outcome -> {});
-            maxMs = Math.max(maxMs, reconfiguredAt(1, 2) - beganMs);
+            maxMs = Math.max(maxMs, awaitGeneration(1, 2) - startedAtMs);
         }
-        System.out.println("reconfiguration under eight operators: " + Math.round(maxMs) + " ms at most");
-        Assertions.assertTrue(maxMs < MAX_REPAIR_MS, "took " + maxMs);
+        System.out.println("longest reconfiguration under eight operators: " + Math.round(maxMs) + " ms");
+        Assertions.assertTrue(maxMs < MAX_REPAIR_MS, "longest time in ms: " + maxMs);
     }
 
     @Test
     void abandonedReconfigurationIsCompletedUnderLoad() {
         double maxMs = 0;
         for (long seed = 0; seed < SEEDS; seed++) {
-            begin(5, 3, seed);
+            startFleet(5, 3, seed);
             fleet.reconfigure(fleet.process(0), 0, fleet.acceptors(3, 1, 2), REPAIR_TIMEOUT_MS, outcome -> {});
             while (!fleet.process(1).register().acceptors().isJoint()) {
-                Assertions.assertTrue(fleet.events().playOne(LOADED_FROM_MS + MAX_REPAIR_MS));
+                Assertions.assertTrue(fleet.events().runNext(WARM_UP_MS + MAX_REPAIR_MS));
             }
             fleet.process(0).kill();
-            double beganMs = fleet.nowMs();
-            maxMs = Math.max(maxMs, reconfiguredAt(1, 2) - beganMs);
+            double startedAtMs = fleet.nowMs();
+            maxMs = Math.max(maxMs, awaitGeneration(1, 2) - startedAtMs);
         }
-        System.out.println("completed for another under eight operators: " + Math.round(maxMs) + " ms at most");
-        Assertions.assertTrue(maxMs < MAX_REPAIR_MS, "took " + maxMs);
+        System.out.println(
+                "longest completion for another process under eight operators: " + Math.round(maxMs) + " ms");
+        Assertions.assertTrue(maxMs < MAX_REPAIR_MS, "longest time in ms: " + maxMs);
     }
 
     @Test
@@ -114,28 +115,30 @@
     }
 
     @Test
-    void requestsWithoutAQuorumEndUnknownAtTheirDeadline() {
+    void requestsWithoutAQuorumAreUnknownAtTheirDeadline() {
         fleet = new SimulatedFleet(3, 3, new SimulationRules(false, false, false), new SplittableRandom(2));
-        fleet.events().playUntil(500);
+        fleet.events().runUntil(500);
         fleet.process(1).kill();
         fleet.process(2).kill();
         List<Double> latenessMs = new ArrayList<>();
-        double beganMs = fleet.nowMs();
+        double startedAtMs = fleet.nowMs();
         for (int request = 0; request < Register.MAX_PENDING_REQUESTS; request++) {
             double timeoutMs = 600 + 10 * request;
             if (request % 2 == 0) {
                 fleet.read(
-                        fleet.process(0), timeoutMs, outcome -> latenessMs.add(lateMs(outcome, beganMs + timeoutMs)));
+                        fleet.process(0),
+                        timeoutMs,
+                        outcome -> latenessMs.add(lateMs(outcome, startedAtMs + timeoutMs)));
             } else {
                 fleet.change(
                         fleet.process(0),
                         request,
                         0,
                         timeoutMs,
-                        outcome -> latenessMs.add(lateMs(outcome, beganMs + timeoutMs)));
+                        outcome -> latenessMs.add(lateMs(outcome, startedAtMs + timeoutMs)));
             }
         }
-        fleet.events().playUntil(5000);
+        fleet.events().runUntil(5000);
         Assertions.assertEquals(Register.MAX_PENDING_REQUESTS, latenessMs.size());
         for (double lateMs : latenessMs) {
             Assertions.assertTrue(lateMs >= 0 && lateMs <= TICK_MS, "ended " + lateMs + " ms after its deadline");
--- a/consensus/src/test/java/dewplank/register/ModelProcess.java
+++ b/consensus/src/test/java/dewplank/register/ModelProcess.java
@@ -4,9 +4,9 @@
 import java.util.List;
 import java.util.Set;
 
-/** The state of one process between two steps, and the steps it can take; immutable. */
+/** The state of one process between two steps, and the steps that it can perform; immutable. */
 final class ModelProcess {
-    /** Longer than every timeout and backoff, so that one tick ends a round and the next starts another. */
+    /** Longer than every timeout and backoff, so that one tick ends a round and the next tick starts another. */
     private static final double AFTER_ALL_TIMEOUTS_MS = 1e9;
 
     /** The result of the store that a step starts. */
@@ -21,8 +21,8 @@
      * A process after a step.
      *
      * @param process its next state
-     * @param output what it sent and answered
-     * @param stored the states that its disk stored for certain, in order
+     * @param output the messages that it sent and the requests that it confirmed
+     * @param stored the states that are known to be synced to its disk, in order
      * @param uncertain the state that a failed store may have left on the disk, or null
      * @param proposals its proposals, each with the acceptors that decide
      */
@@ -33,7 +33,7 @@
             DurableState uncertain,
             List<ModelProposal> proposals) {}
 
-    /** A step of a register with its effects. */
+    /** An action that runs on a register, with its effects. */
     interface Action {
         void run(Register<String> register, ModelStep effects);
     }
@@ -60,7 +60,7 @@
         return new ModelProcess(settings, droppedTypes, register, incarnation);
     }
 
-    /** What distinguishes it from other states. */
+    /** A text that identifies this state. */
     String print() {
         return settings.address() + " " + print;
     }
@@ -77,7 +77,7 @@
         return started(settings, droppedTypes, disk, incarnation + 1);
     }
 
-    /** A process with an emptied disk has no initial acceptors. */
+    /** Returns the process restarted with an emptied disk, without initial acceptors. */
     ModelProcess wiped(String identity) {
         Register.Settings blank = new Register.Settings(
                 settings.address(),
@@ -93,7 +93,7 @@
         return step((next, effects) -> next.handleMessage(0, message, effects), disk);
     }
 
-    /** Every timeout passes: a round ends and is retried, what is unfinished is completed. */
+    /** Lets every timeout expire: a round ends and is retried, and unfinished work is completed. */
     Result timeout(Disk disk) {
         return step(
                 (next, effects) -> {
@@ -103,7 +103,7 @@
                 disk);
     }
 
-    /** The result of the store in flight, where stores take time. */
+    /** Delivers the result of the store in flight; used if stores take time. */
     Result stored(boolean succeeds) {
         long storeId = (Long) RegisterSnapshot.at(register, "acceptor", "storeId");
         DurableState state = storeInFlight();
@@ -124,7 +124,7 @@
                 result.proposals);
     }
 
-    /** A step with all that follows from it in the same process: messages to itself are delivered at once. */
+    /** Runs a step and its consequences in the same process: messages to itself are delivered immediately. */
     Result step(Action action, Disk disk) {
         ModelStep effects = new ModelStep(settings.address(), droppedTypes);
         Register<String> next = RegisterSnapshot.copy(register, settings, new FixedRandom(incarnation));
--- a/consensus/src/test/java/dewplank/register/ModelProposal.java
+++ b/consensus/src/test/java/dewplank/register/ModelProposal.java
@@ -6,9 +6,9 @@
 /**
  * A value proposed at a ballot, and the acceptors that decide on it.
  *
- * @param ballot where
- * @param value what
- * @param deciders the acceptors of the value that it was built on
+ * @param ballot the ballot of the proposal
+ * @param value the proposed value
+ * @param deciders the acceptors of the value that the proposal is based on
  */
 record ModelProposal(Ballot ballot, RegisterValue value, AcceptorSet deciders) {
     boolean isChosenBy(Set<AcceptorId> voters) {
@@ -19,7 +19,7 @@
         return deciders.all().stream().anyMatch(AcceptorId::isVolatile);
     }
 
-    /** Whether a chain of chosen values may hold both: one is the other, or comes after it and contains it. */
+    /** Whether both values may be in one chain of chosen values: they are equal, or the newer one extends the older. */
     boolean agreesWith(ModelProposal other) {
         if (value.revision() == other.value.revision()) {
             return value.equals(other.value);
@@ -36,7 +36,7 @@
                 && before.equals(after.subList(0, before.size()));
     }
 
-    boolean holds(int version) {
+    boolean containsVersion(int version) {
         return versions(this).contains(version);
     }
 
--- a/consensus/src/test/java/dewplank/register/ModelScenario.java
+++ b/consensus/src/test/java/dewplank/register/ModelScenario.java
@@ -19,11 +19,11 @@
     final Set<Integer> wiped = new HashSet<>();
     private final Set<Integer> withoutDisk;
     boolean slowDisks;
-    boolean wipedKeepsIdentity;
+    boolean wipedDiskKeepsIdentity;
 
     /**
-     * Processes {@code 0} to {@code size - 1}; the first {@code members} are the acceptors, the others have no initial
-     * acceptors.
+     * Creates processes {@code 0} to {@code size - 1}. The first {@code members} processes are the acceptors; the
+     * others have no initial acceptors.
      */
     ModelScenario(String name, int size, int members, Class<?>... droppedTypes) {
         this.name = name;
@@ -40,8 +40,8 @@
     }
 
     /**
-     * A bootstrap: all processes know the same initial acceptors, of which some have no disk. Anti-entropy's queries
-     * are delivered, as its reports tell who has ended.
+     * A bootstrap: all processes have the same initial acceptors, some of which have no disk. The queries of
+     * anti-entropy are delivered, because the reports show which acceptors have ended.
      */
     ModelScenario(String name, int size, List<Integer> members, Set<Integer> withoutDisk, Class<?>... droppedTypes) {
         this.name = name;
@@ -72,9 +72,9 @@
         return identityOf(index, 0);
     }
 
-    /** The identity after the disk was emptied, or after a process without a disk has started again. */
+    /** The identity after the disk is emptied, or after a process without a disk restarts. */
     String nextIdentity(int index) {
-        return identityOf(index, wipedKeepsIdentity ? 0 : 1);
+        return identityOf(index, wipedDiskKeepsIdentity ? 0 : 1);
     }
 
     private String identityOf(int index, int wipeCount) {
@@ -83,12 +83,12 @@
                 : identity(index, wipeCount);
     }
 
-    /** Retries of the process; one without a disk proposes nothing. */
+    /** The number of timeouts of the process; 0 for one without a disk, which proposes nothing. */
     int timeoutsOf(int index) {
         return withoutDisk.contains(index) ? 0 : timeouts;
     }
 
-    /** The acceptor of a process whose disk was emptied so many times. */
+    /** The acceptor of a process whose disk was emptied {@code wipes} times. */
     static AcceptorId acceptor(int index, int wipes) {
         return new AcceptorId(address(index), identity(index, wipes));
     }
@@ -103,7 +103,7 @@
                 register.reconfigure(0, generation + 1000, generation, List.of(target), NO_DEADLINE_MS, effects);
     }
 
-    ModelScenario with(int maxTimeoutsPerProcess, int maxKills, int maxStoreFailures) {
+    ModelScenario withLimits(int maxTimeoutsPerProcess, int maxKills, int maxStoreFailures) {
         timeouts = maxTimeoutsPerProcess;
         kills = maxKills;
         failures = maxStoreFailures;
@@ -116,16 +116,16 @@
         return this;
     }
 
-    /** Processes without a disk end and start again, each of them once at most. */
+    /** Lets these processes without a disk restart, each at most once. */
     ModelScenario restarting(Integer... processes) {
         wipes = processes.length;
         wiped.addAll(List.of(processes));
         return this;
     }
 
-    /** Breaks the rule that a new disk is a new acceptor, to see that the model notices. */
+    /** Violates the rule that a new disk is a new acceptor, to test that the model detects it. */
     ModelScenario keepingIdentity() {
-        wipedKeepsIdentity = true;
+        wipedDiskKeepsIdentity = true;
         return this;
     }
 
--- a/consensus/src/test/java/dewplank/register/ModelState.java
+++ b/consensus/src/test/java/dewplank/register/ModelState.java
@@ -3,8 +3,8 @@
 import java.util.Arrays;
 
 /**
- * One state of the whole model, all parts by their numbers. Messages stay once they are sent: each may be delivered at
- * any time, repeatedly, or never.
+ * One state of the whole model; all parts are stored as their numbers. Sent messages are never removed: each may be
+ * delivered at any time, repeatedly, or never.
  */
 final class ModelState {
     int[] processes;
@@ -16,13 +16,13 @@
     int wipes;
     int rejected;
     int[] messages = new int[0];
-    /** Proposals made, sorted, each followed by the set of acceptors that voted for it, or by -1 once chosen. */
+    /** The sorted proposals, each followed by the set of acceptors that voted for it, or by -1 if it is chosen. */
     int[] votes = new int[0];
 
-    ModelState before;
+    ModelState previous;
     String step;
 
-    ModelState next(String by, boolean traced) {
+    ModelState next(String byStep, boolean traced) {
         ModelState next = new ModelState();
         next.processes = processes;
         next.disks = disks;
@@ -34,12 +34,12 @@
         next.rejected = rejected;
         next.messages = messages;
         next.votes = votes;
-        next.before = traced ? this : null;
-        next.step = traced ? by : null;
+        next.previous = traced ? this : null;
+        next.step = traced ? byStep : null;
         return next;
     }
 
-    static int[] with(int[] numbers, int index, int number) {
+    static int[] withElement(int[] numbers, int index, int number) {
         if (numbers[index] == number) {
             return numbers;
         }
@@ -73,7 +73,7 @@
         }
     }
 
-    /** A hash of 64 bits over everything. */
+    /** A 64-bit hash of the state. */
     long hash() {
         long hash = mix(kills * 1_000_000L + failures * 10_000L + wipes * 1000L + rejected);
         for (int[] part : new int[][] {processes, disks, uncertain, timeouts, messages, votes}) {
@@ -85,7 +85,7 @@
         return hash;
     }
 
-    /** The finalizer of SplitMix64, a bijection that spreads each bit over all. */
+    /** The finalizer of SplitMix64, a bijection in which each input bit affects all output bits. */
     private static long mix(long number) {
         long mixed = number + 0x9E3779B97F4A7C15L;
         mixed = (mixed ^ (mixed >>> 30)) * 0xBF58476D1CE4E5B9L;
@@ -94,6 +94,6 @@
     }
 
     String trace() {
-        return (before == null ? "" : before.trace()) + (step == null ? "" : step + "\n");
+        return (previous == null ? "" : previous.trace()) + (step == null ? "" : step + "\n");
     }
 }
--- a/consensus/src/test/java/dewplank/register/ModelStep.java
+++ b/consensus/src/test/java/dewplank/register/ModelStep.java
@@ -6,16 +6,16 @@
 import java.util.List;
 import java.util.Set;
 
-/** Records what one step of one process sent, stored and answered. */
+/** Records the messages, stores and confirmations of one step of one process. */
 final class ModelStep implements Register.Effects<String> {
     /** A confirmed request. */
-    record Answer(long requestId, Outcome.Confirmed<String> outcome) {}
+    record Confirmation(long requestId, Outcome.Confirmed<String> outcome) {}
 
-    /** A message and where it goes. */
+    /** A message and the address of its recipient. */
     record Sent(String address, RegisterMessage message) {}
 
     final List<Sent> sent = new ArrayList<>();
-    final List<Answer> answers = new ArrayList<>();
+    final List<Confirmation> confirmations = new ArrayList<>();
     private final Deque<RegisterMessage> selfMessages = new ArrayDeque<>();
     private final String address;
     private final Set<Class<?>> droppedTypes;
@@ -25,15 +25,15 @@
     private long storeId;
 
     /**
-     * A step of the process at this address; messages of the types given are dropped, and with {@link AntiEntropy}
-     * among them its queries. Without it the queries of fetches are.
+     * Creates a step of the process at this address. Messages of the given types are dropped. If {@link AntiEntropy} is
+     * among the types, its queries are dropped, otherwise the queries of fetches.
      */
     ModelStep(String address, Set<Class<?>> droppedTypes) {
         this.address = address;
         this.droppedTypes = droppedTypes;
     }
 
-    /** Names the register that takes the step, whose proposals are recorded as they are made. */
+    /** Sets the register that runs the step; its proposals are recorded when it makes them. */
     ModelStep of(Register<String> stepping) {
         register = stepping;
         return this;
@@ -47,12 +47,12 @@
         }
     }
 
-    /** Takes the next message of the process to itself, or null. */
+    /** Removes and returns the next message of the process to itself, or null. */
     RegisterMessage takeSelfMessage() {
         return selfMessages.poll();
     }
 
-    /** Takes the store without a result, or null. */
+    /** Removes and returns the state whose store has no result yet, or null. */
     DurableState takePending() {
         DurableState taken = pending;
         pending = null;
@@ -91,7 +91,7 @@
     @Override
     public void completed(long requestId, Outcome<String> outcome) {
         if (outcome instanceof Outcome.Confirmed<String> confirmed) {
-            answers.add(new Answer(requestId, confirmed));
+            confirmations.add(new Confirmation(requestId, confirmed));
         }
     }
 }
--- a/consensus/src/test/java/dewplank/register/ProposerRulesTest.java
+++ b/consensus/src/test/java/dewplank/register/ProposerRulesTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** What a proposer may confirm, and what it may propose. */
+/** Tests which values a proposer proposes and which outcomes it confirms. */
 class ProposerRulesTest {
     private static final AcceptorId A = RegisterBuilder.A;
     private static final AcceptorId B = RegisterBuilder.B;
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void negativeAnswerWaitsForTheAcceptPhase() {
+    void rejectedChangeIsConfirmedOnlyAfterTheAcceptPhase() {
         register.change(0, 1, REJECTING, 1000, effects);
         promise(B, Ballot.NONE, null);
         promise(C, Ballot.NONE, null);
@@ -41,7 +41,7 @@
         accepted(B);
         Assertions.assertTrue(effects.completed.isEmpty());
         accepted(B);
-        Assertions.assertTrue(effects.completed.isEmpty(), "one acceptor counted twice");
+        Assertions.assertTrue(effects.completed.isEmpty(), "one acceptor was counted twice");
         accepted(C);
         Outcome.Confirmed<String> outcome =
                 (Outcome.Confirmed<String>) effects.completed.get(0).outcome();
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void valueAcceptedByOneIsBuiltOn() {
+    void proposalIsBasedOnAValueAcceptedByOneAcceptor() {
         RegisterValue accepted = new RegisterValue(SET, 4, new byte[] {4});
         register.change(0, 1, APPLYING, 1000, effects);
         promise(B, new Ballot(1, "x"), accepted);
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void newDiskAtAMembersAddressIsNotCounted() {
+    void promiseOfANewDiskAtAMembersAddressIsNotCounted() {
         register.change(0, 1, APPLYING, 1000, effects);
         promise(new AcceptorId("b", "wiped"), Ballot.NONE, null);
         promise(new AcceptorId("c", "wiped too"), Ballot.NONE, null);
@@ -68,19 +68,20 @@
     }
 
     @Test
-    void newerSetReadInAPromiseDecides() {
+    void newerAcceptorSetInAPromiseDeterminesTheQuorum() {
         AcceptorSet joint = new AcceptorSet(1, SET.members(), List.of(C, D));
         register.change(0, 1, APPLYING, 1000, effects);
         promise(B, new Ballot(1, "x"), new RegisterValue(joint, 1, null));
         promise(C, Ballot.NONE, null);
-        Assertions.assertTrue(effects.messages(Accept.class).isEmpty(), "the joining majority was not waited for");
+        Assertions.assertTrue(
+                effects.messages(Accept.class).isEmpty(), "the majority of the joining acceptors was not required");
         Assertions.assertEquals("4", effects.messages(Prepare.class).get(3).recipientIdentity());
         promise(D, Ballot.NONE, null);
         Assertions.assertEquals(4, effects.messages(Accept.class).size());
     }
 
     @Test
-    void secondStepWaitsUntilTheJointSetIsChosen() {
+    void transitionCompletesOnlyAfterTheJointSetIsChosen() {
         RegisterValue joint = new RegisterValue(new AcceptorSet(1, SET.members(), List.of(C, D)), 1, null);
         Assertions.assertEquals(Proposal.unchanged(joint), CompletionTask.completeTransition(joint, null));
         RegisterValue other = new RegisterValue(new AcceptorSet(1, SET.members(), List.of(B, D)), 1, null);
@@ -91,7 +92,7 @@
     }
 
     @Test
-    void laterPreparesOfARoundNameTheValueItBeganWith() {
+    void laterPreparesOfARoundContainItsInitialChosenBallot() {
         AcceptorSet joint = new AcceptorSet(1, SET.members(), List.of(C, D));
         RegisterValue learned = new RegisterValue(SET, 1, new byte[] {1});
         register.change(0, 1, APPLYING, 1000, effects);
@@ -114,7 +115,7 @@
     }
 
     @Test
-    void overdueRequestEndsUnknown() {
+    void overdueRequestIsUnknown() {
         register.change(0, 1, APPLYING, 1000, effects);
         register.tick(999, effects);
         Assertions.assertTrue(effects.completed.isEmpty());
@@ -124,7 +125,7 @@
     }
 
     @Test
-    void requestsBeyondTheLimitEndUnknownAtOnce() {
+    void requestsBeyondTheLimitAreImmediatelyUnknown() {
         for (int request = 0; request <= Register.MAX_PENDING_REQUESTS; request++) {
             register.change(0, request, APPLYING, 1000, effects);
         }
@@ -150,15 +151,15 @@
             @ForAll @IntRange(min = 0, max = 255) int first, @ForAll @IntRange(min = 0, max = 255) int second) {
         AcceptorSet joint = new AcceptorSet(1, List.of(A, B, C), List.of(B, C, D));
         AcceptorSet completed = joint.completeTransition();
-        Set<AcceptorId> one = chosenBy(first);
-        Set<AcceptorId> two = chosenBy(second);
+        Set<AcceptorId> one = acceptorsFromBits(first);
+        Set<AcceptorId> two = acceptorsFromBits(second);
         if (joint.isQuorum(one) && (completed.isQuorum(two) || SET.isQuorum(two))) {
             one.retainAll(two);
             Assertions.assertFalse(one.isEmpty());
         }
     }
 
-    private static Set<AcceptorId> chosenBy(int bits) {
+    private static Set<AcceptorId> acceptorsFromBits(int bits) {
         Set<AcceptorId> chosen = new HashSet<>();
         List<AcceptorId> all = List.of(A, B, C, D);
         for (int index = 0; index < all.size(); index++) {
--- a/consensus/src/test/java/dewplank/register/ReconfigurationRulesTest.java
+++ b/consensus/src/test/java/dewplank/register/ReconfigurationRulesTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** A reconfiguration takes effect only on the acceptor set that it was decided on. */
+/** A reconfiguration takes effect only if the acceptor set on which it was decided is still current. */
 class ReconfigurationRulesTest {
     private static final double TIMEOUT_MS = 3000;
     private static final double RECONFIGURED_MS = 1500;
@@ -19,7 +19,7 @@
         fleet.reconfigure(fleet.process(proposing), expectedGeneration, target, TIMEOUT_MS, outcomes::add);
     }
 
-    private Reconfiguration answer(int index) {
+    private Reconfiguration result(int index) {
         Outcome.Confirmed<?> confirmed = Assertions.assertInstanceOf(Outcome.Confirmed.class, outcomes.get(index));
         return Assertions.assertInstanceOf(Answer.OfReconfiguration.class, confirmed.answer())
                 .result();
@@ -39,24 +39,24 @@
     @Test
     void staleReconfigurationDoesNotRestoreAReplacedAcceptor() {
         fleet.change(fleet.process(0), 1, 0, TIMEOUT_MS, outcome -> {});
-        fleet.events().playUntil(RECONFIGURED_MS);
+        fleet.events().runUntil(RECONFIGURED_MS);
         reconfigure(1, 0, fleet.acceptors(0, 1, 3));
-        fleet.events().playUntil(2 * RECONFIGURED_MS);
-        // Decided on generation 0, in which 2 was a member: it would restore 2 and remove 3.
+        fleet.events().runUntil(2 * RECONFIGURED_MS);
+        // This was decided on generation 0, in which 2 was a member: it would restore 2 and remove 3.
         reconfigure(0, 0, fleet.acceptors(0, 4, 2));
-        fleet.events().playUntil(3 * RECONFIGURED_MS);
-        Assertions.assertEquals(Reconfiguration.APPLIED, answer(0));
-        Assertions.assertEquals(Reconfiguration.SUPERSEDED, answer(1));
+        fleet.events().runUntil(3 * RECONFIGURED_MS);
+        Assertions.assertEquals(Reconfiguration.APPLIED, result(0));
+        Assertions.assertEquals(Reconfiguration.SUPERSEDED, result(1));
         assertSet(2, fleet.acceptors(0, 1, 3));
     }
 
     @Test
-    void staleReconfigurationDoesNotUndoAGrowth() {
+    void staleReconfigurationDoesNotUndoAnExpansion() {
         reconfigure(1, 0, fleet.acceptors(0, 1, 2, 3, 4));
-        fleet.events().playUntil(RECONFIGURED_MS);
+        fleet.events().runUntil(RECONFIGURED_MS);
         reconfigure(0, 0, fleet.acceptors(0, 1, 3));
-        fleet.events().playUntil(2 * RECONFIGURED_MS);
-        Assertions.assertEquals(Reconfiguration.SUPERSEDED, answer(1));
+        fleet.events().runUntil(2 * RECONFIGURED_MS);
+        Assertions.assertEquals(Reconfiguration.SUPERSEDED, result(1));
         assertSet(2, fleet.acceptors(0, 1, 2, 3, 4));
     }
 
@@ -64,43 +64,43 @@
     void oneOfTwoConcurrentReconfigurationsIsSuperseded() {
         reconfigure(0, 0, fleet.acceptors(0, 1, 3));
         reconfigure(1, 0, fleet.acceptors(0, 1, 4));
-        fleet.events().playUntil(2 * RECONFIGURED_MS);
-        List<Reconfiguration> answers = new ArrayList<>(List.of(answer(0), answer(1)));
-        Assertions.assertTrue(answers.remove(Reconfiguration.APPLIED), "none was applied");
-        Assertions.assertEquals(List.of(Reconfiguration.SUPERSEDED), answers);
+        fleet.events().runUntil(2 * RECONFIGURED_MS);
+        List<Reconfiguration> results = new ArrayList<>(List.of(result(0), result(1)));
+        Assertions.assertTrue(results.remove(Reconfiguration.APPLIED), "none was applied");
+        Assertions.assertEquals(List.of(Reconfiguration.SUPERSEDED), results);
         Assertions.assertEquals(2, fleet.process(0).register().acceptors().generation());
     }
 
     @Test
-    void twoEqualReconfigurationsAreBothApplied() {
+    void twoEqualConcurrentReconfigurationsAreBothApplied() {
         reconfigure(0, 0, fleet.acceptors(0, 1, 3));
         reconfigure(1, 0, fleet.acceptors(0, 1, 3));
-        fleet.events().playUntil(2 * RECONFIGURED_MS);
-        Assertions.assertEquals(Reconfiguration.APPLIED, answer(0));
-        Assertions.assertEquals(Reconfiguration.APPLIED, answer(1));
+        fleet.events().runUntil(2 * RECONFIGURED_MS);
+        Assertions.assertEquals(Reconfiguration.APPLIED, result(0));
+        Assertions.assertEquals(Reconfiguration.APPLIED, result(1));
         assertSet(2, fleet.acceptors(0, 1, 3));
     }
 
     @Test
-    void targetInForceIsReportedAsAlreadyInForce() {
+    void currentTargetIsReportedAsAlreadyInForce() {
         reconfigure(0, 0, fleet.acceptors(2, 0, 1));
         reconfigure(1, 7, fleet.acceptors(0, 1, 2));
-        fleet.events().playUntil(RECONFIGURED_MS);
-        Assertions.assertEquals(Reconfiguration.ALREADY_IN_FORCE, answer(0));
-        Assertions.assertEquals(Reconfiguration.ALREADY_IN_FORCE, answer(1));
+        fleet.events().runUntil(RECONFIGURED_MS);
+        Assertions.assertEquals(Reconfiguration.ALREADY_IN_FORCE, result(0));
+        Assertions.assertEquals(Reconfiguration.ALREADY_IN_FORCE, result(1));
         assertSet(0, fleet.acceptors(0, 1, 2));
     }
 
     @Test
-    void halfDoneReconfigurationIsCompletedAndSupersedesTheNext() {
+    void incompleteReconfigurationIsCompletedAndSupersedesTheNext() {
         reconfigure(0, 0, fleet.acceptors(0, 1, 3));
         while (!fleet.process(0).register().acceptors().isJoint()) {
-            Assertions.assertTrue(fleet.events().playOne(TIMEOUT_MS));
+            Assertions.assertTrue(fleet.events().runNext(TIMEOUT_MS));
         }
         fleet.process(0).kill();
         reconfigure(1, 0, fleet.acceptors(1, 2, 4));
-        fleet.events().playUntil(2 * RECONFIGURED_MS);
-        Assertions.assertEquals(Reconfiguration.SUPERSEDED, answer(0));
+        fleet.events().runUntil(2 * RECONFIGURED_MS);
+        Assertions.assertEquals(Reconfiguration.SUPERSEDED, result(0));
         assertSet(2, fleet.acceptors(0, 1, 3));
     }
 
--- a/consensus/src/test/java/dewplank/register/RecordedEffects.java
+++ b/consensus/src/test/java/dewplank/register/RecordedEffects.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Records what a register wanted done. */
+/** Records the effects of a register. */
 final class RecordedEffects implements Register.Effects<String> {
     record Sent(String address, RegisterMessage message) {}
 
--- a/consensus/src/test/java/dewplank/register/RegisterBuilder.java
+++ b/consensus/src/test/java/dewplank/register/RegisterBuilder.java
@@ -4,7 +4,9 @@
 import java.util.SplittableRandom;
 import java.util.random.RandomGenerator;
 
-/** Builds a register for a test of single steps; by default the fresh acceptor {@link #A} of three, with seed 1. */
+/**
+ * Builds a register for a test of single steps; by default acceptor {@link #A} of three, with empty state and seed 1.
+ */
 final class RegisterBuilder {
     static final AcceptorId A = new AcceptorId("a", "1");
     static final AcceptorId B = new AcceptorId("b", "2");
--- a/consensus/src/test/java/dewplank/register/RegisterModel.java
+++ b/consensus/src/test/java/dewplank/register/RegisterModel.java
@@ -9,7 +9,7 @@
 import java.util.function.Predicate;
 import java.util.function.Supplier;
 
-/** Plays every order of the steps of a scenario, breadth first, and checks each state. */
+/** Explores every order of the steps of a scenario, breadth first, and checks each state. */
 final class RegisterModel {
     private static final int CHOSEN = -1;
     private static final int TIMEOUT = 0;
@@ -18,14 +18,14 @@
 
     private record Key(int process, int action, ModelProcess.Disk disk) {}
 
-    /** A result by the numbers of its parts; null means that the step does not exist. */
+    /** The result of a step, with the numbers of its parts; null means that the step does not exist. */
     private record Effect(
             int process,
             int[] stored,
             int uncertain,
             int[] proposals,
             int[] sent,
-            List<ModelStep.Answer> answers,
+            List<ModelStep.Confirmation> confirmations,
             Ballot learned) {}
 
     private record Outgoing(int recipient, String identity, RegisterMessage message) {}
@@ -38,9 +38,9 @@
     private final Interner<ModelProposal> proposals = new Interner<>();
     private final Interner<AcceptorId> acceptors = new Interner<>();
     private final Map<Key, Effect> effects = new HashMap<>();
-    private final Set<Long> seen = new HashSet<>();
+    private final Set<Long> seenStates = new HashSet<>();
     private List<ModelState> frontier = new ArrayList<>();
-    private List<ModelState> following = new ArrayList<>();
+    private List<ModelState> nextFrontier = new ArrayList<>();
     private int depth;
     private int maxChosen;
 
@@ -63,7 +63,7 @@
         first.failures = scenario.failures;
         first.wipes = scenario.wipes;
         frontier.add(first);
-        seen.add(first.hash());
+        seenStates.add(first.hash());
     }
 
     String name() {
@@ -71,7 +71,7 @@
     }
 
     int states() {
-        return seen.size();
+        return seenStates.size();
     }
 
     int depth() {
@@ -83,56 +83,58 @@
         return maxChosen;
     }
 
-    /** Whether there is no further state at any depth. */
+    /** Whether all states at any depth have been explored. */
     boolean isExhausted() {
         return frontier.isEmpty();
     }
 
-    /** Runs a step at a process in the initial state. */
-    RegisterModel begin(int process, ModelProcess.Action action) {
+    /** Runs a step of a process in the initial state. */
+    RegisterModel runInitially(int process, ModelProcess.Action action) {
         ModelState state = frontier.get(0);
         ModelProcess before = processes.get(state.processes[process]);
-        ModelState next = next(state, () -> "begin at " + process);
+        ModelState next = next(state, () -> "initial step at " + process);
         apply(next, process, effect(before.step(action, ModelProcess.Disk.SUCCEEDS)));
-        restart(next);
+        resetTo(next);
         return this;
     }
 
-    /** Plays one order of steps without faults until the target state; messages in flight are lost then. */
-    RegisterModel playUntil(Predicate<List<Register>> target) {
+    /**
+     * Runs the initial state in one order of steps without faults to the target state, then drops messages in flight.
+     */
+    RegisterModel runUntil(Predicate<List<Register>> target) {
         ModelState state = frontier.get(0);
-        Set<Long> played = new HashSet<>(List.of(state.hash()));
+        Set<Long> visited = new HashSet<>(List.of(state.hash()));
         while (!target.test(registers(state))) {
             ModelState next = null;
             for (int index = 0; index < state.messages.length && next == null; index++) {
                 next = received(state, state.messages[index], ModelProcess.Disk.SUCCEEDS);
-                next = next == null || played.contains(next.hash()) ? null : next;
+                next = next == null || visited.contains(next.hash()) ? null : next;
             }
             if (next == null) {
                 throw new IllegalStateException("the target state is not reached");
             }
-            played.add(next.hash());
+            visited.add(next.hash());
             state = next;
         }
         state.messages = new int[0];
-        restart(state);
+        resetTo(state);
         return this;
     }
 
-    /** Starts a process without a disk anew in the initial state. */
+    /** Restarts a process without a disk in the initial state. */
     RegisterModel restarted(int process) {
         ModelState state = frontier.get(0);
         state.wipes++;
         wipe(state, process);
-        restart(following.get(0));
+        resetTo(nextFrontier.get(0));
         return this;
     }
 
-    private void restart(ModelState state) {
+    private void resetTo(ModelState state) {
         frontier = new ArrayList<>(List.of(state));
-        seen.clear();
-        seen.add(state.hash());
-        following.clear();
+        seenStates.clear();
+        seenStates.add(state.hash());
+        nextFrontier.clear();
     }
 
     private List<Register> registers(ModelState state) {
@@ -143,36 +145,36 @@
         return registers;
     }
 
-    /** Explores to this depth, or to the end. */
+    /** Explores up to this depth, or until there are no further states. */
     RegisterModel explore(int maxDepth) {
         while (depth < maxDepth && !frontier.isEmpty()) {
             for (ModelState state : frontier) {
                 expand(state);
             }
-            frontier = following;
-            following = new ArrayList<>();
+            frontier = nextFrontier;
+            nextFrontier = new ArrayList<>();
             depth++;
         }
         return this;
     }
 
     private void expand(ModelState state) {
-        ModelProcess.Disk usual = scenario.slowDisks ? ModelProcess.Disk.IN_FLIGHT : ModelProcess.Disk.SUCCEEDS;
+        ModelProcess.Disk usualDisk = scenario.slowDisks ? ModelProcess.Disk.IN_FLIGHT : ModelProcess.Disk.SUCCEEDS;
         for (int message : state.messages) {
-            add(received(state, message, usual));
+            add(received(state, message, usualDisk));
             if (!scenario.slowDisks) {
                 add(state.failures > 0 ? received(state, message, ModelProcess.Disk.FAILS) : null);
                 add(state.kills > 0 ? received(state, message, ModelProcess.Disk.KILLED_AFTER_WRITE) : null);
             }
         }
         for (int process = 0; process < state.processes.length; process++) {
-            expand(state, process, usual);
+            expand(state, process, usualDisk);
         }
     }
 
-    private void expand(ModelState state, int process, ModelProcess.Disk usual) {
+    private void expand(ModelState state, int process, ModelProcess.Disk usualDisk) {
         if (state.timeouts[process] > 0) {
-            add(timeout(state, process, usual));
+            add(timeout(state, process, usualDisk));
         }
         if (scenario.slowDisks && processes.get(state.processes[process]).storeInFlight() != null) {
             add(stored(state, process, true));
@@ -188,8 +190,8 @@
     }
 
     private void add(ModelState state) {
-        if (state != null && seen.add(state.hash())) {
-            following.add(state);
+        if (state != null && seenStates.add(state.hash())) {
+            nextFrontier.add(state);
         }
     }
 
@@ -206,10 +208,12 @@
                 key -> effect(before.receive(outgoing.message, disk)));
         boolean fails = disk == ModelProcess.Disk.FAILS;
         boolean killed = disk == ModelProcess.Disk.KILLED_AFTER_WRITE;
-        if (fails && effect.uncertain == 0 || killed && effect.stored.length == 0 || skips(state, effect, outgoing)) {
+        if (fails && effect.uncertain == 0
+                || killed && effect.stored.length == 0
+                || isRedundant(state, effect, outgoing)) {
             return null;
         }
-        ModelState next = next(state, () -> disk + ": " + process + " gets " + print(outgoing));
+        ModelState next = next(state, () -> disk + ": " + process + " receives " + print(outgoing));
         next.failures -= fails ? 1 : 0;
         next.kills -= killed ? 1 : 0;
         apply(next, process, effect);
@@ -217,17 +221,18 @@
     }
 
     /**
-     * A step that changes nothing is none. Answers that do not complete a quorum are taken in the order of their
-     * senders only: they change nothing but the proposer's count, so that one can wait for the other.
+     * Whether a step can be skipped: it changes nothing, or another order of steps covers it. Replies that do not
+     * complete a quorum are delivered only in the order of their senders, because they change only the proposer's count
+     * and so their order has no other effect.
      */
-    private boolean skips(ModelState state, Effect effect, Outgoing outgoing) {
+    private boolean isRedundant(ModelState state, Effect effect, Outgoing outgoing) {
         int process = outgoing.recipient;
         if (effect.process == state.processes[process] && effect.sent.length == 0 && effect.stored.length == 0) {
             return true;
         }
         RegisterMessage message = outgoing.message;
         boolean isCounted = message instanceof Promise || message instanceof Accepted;
-        if (!isCounted || effect.sent.length > 0 || !effect.answers.isEmpty()) {
+        if (!isCounted || effect.sent.length > 0 || !effect.confirmations.isEmpty()) {
             return false;
         }
         String countedBy = message instanceof Promise ? "promised" : "accepted";
@@ -245,7 +250,7 @@
         Effect effect = effects.computeIfAbsent(
                 new Key(state.processes[process], TIMEOUT, disk), key -> effect(before.timeout(disk)));
         ModelState next = next(state, () -> "timeout at " + process);
-        next.timeouts = ModelState.with(state.timeouts, process, state.timeouts[process] - 1);
+        next.timeouts = ModelState.withElement(state.timeouts, process, state.timeouts[process] - 1);
         apply(next, process, effect);
         return next;
     }
@@ -262,7 +267,7 @@
         return next;
     }
 
-    /** Kills and restarts it: the disk has what is certain, what a failed store left, or what is in flight. */
+    /** Kills and restarts a process. Its disk contains the last synced state, a failed store or the store in flight. */
     private void kill(ModelState state, int process) {
         ModelProcess before = processes.get(state.processes[process]);
         List<Integer> possible = new ArrayList<>(List.of(state.disks[process]));
@@ -276,7 +281,7 @@
             DurableState found = disks.get(disk);
             ModelState next = next(state, () -> "killed " + process + " with " + RegisterSnapshot.print(found));
             next.kills--;
-            apply(next, process, begun(before.restarted(found), found));
+            apply(next, process, restartEffect(before.restarted(found), found));
             add(next);
         }
     }
@@ -286,7 +291,7 @@
         ModelState next = next(state, () -> "wiped " + process);
         next.wipes--;
         ModelProcess wiped = processes.get(state.processes[process]).wiped(identity);
-        apply(next, process, begun(wiped, DurableState.fresh(identity)));
+        apply(next, process, restartEffect(wiped, DurableState.fresh(identity)));
         add(next);
     }
 
@@ -294,7 +299,7 @@
         return state.next(traced ? step.get() : null, traced);
     }
 
-    private Effect begun(ModelProcess process, DurableState found) {
+    private Effect restartEffect(ModelProcess process, DurableState found) {
         return new Effect(
                 processes.number(process.print(), process),
                 new int[] {number(found)},
@@ -312,7 +317,7 @@
                 result.uncertain() == null ? 0 : number(result.uncertain()),
                 result.proposals().stream().mapToInt(this::number).toArray(),
                 result.output().sent.stream().mapToInt(this::number).toArray(),
-                result.output().answers,
+                result.output().confirmations,
                 learnedBallot(result.process()));
     }
 
@@ -321,25 +326,25 @@
     }
 
     private void apply(ModelState next, int process, Effect effect) {
-        next.processes = ModelState.with(next.processes, process, effect.process);
+        next.processes = ModelState.withElement(next.processes, process, effect.process);
         for (int proposal : effect.proposals) {
             next.propose(proposal);
         }
         for (int stored : effect.stored) {
-            next.disks = ModelState.with(next.disks, process, stored);
-            next.uncertain = ModelState.with(next.uncertain, process, 0);
+            next.disks = ModelState.withElement(next.disks, process, stored);
+            next.uncertain = ModelState.withElement(next.uncertain, process, 0);
             DurableState state = disks.get(stored);
             vote(next, new AcceptorId(ModelScenario.address(process), state.identity()), state);
         }
         if (effect.uncertain != 0) {
-            next.uncertain = ModelState.with(next.uncertain, process, effect.uncertain);
+            next.uncertain = ModelState.withElement(next.uncertain, process, effect.uncertain);
         }
         for (int message : effect.sent) {
             next.send(message);
         }
-        learned(next, effect.learned);
-        for (ModelStep.Answer answer : effect.answers) {
-            answered(next, answer);
+        recordLearned(next, effect.learned);
+        for (ModelStep.Confirmation confirmation : effect.confirmations) {
+            checkConfirmed(next, confirmation);
         }
     }
 
@@ -349,9 +354,9 @@
             ModelProposal proposal = proposals.get(state.votes[at]);
             int voters = state.votes[at + 1];
             if (voters != CHOSEN && proposal.ballot().equals(stored.acceptedBallot()) && (voters & bit) == 0) {
-                state.votes = ModelState.with(state.votes, at + 1, voters | bit);
+                state.votes = ModelState.withElement(state.votes, at + 1, voters | bit);
                 if (proposal.isChosenBy(voters(voters | bit))) {
-                    state.votes = ModelState.with(state.votes, at + 1, CHOSEN);
+                    state.votes = ModelState.withElement(state.votes, at + 1, CHOSEN);
                     checkChosen(state, proposal);
                 }
             }
@@ -359,15 +364,15 @@
     }
 
     /**
-     * What a process has learned is chosen by the votes of a quorum; or, among acceptors without a disk, by those that
-     * the process that counted knew to remain.
+     * Checks that a learned value is chosen by the votes of a quorum. With volatile acceptors a smaller quorum is
+     * possible, which depends on the acceptors that the counting process knew to have ended.
      */
-    private void learned(ModelState state, Ballot ballot) {
+    private void recordLearned(ModelState state, Ballot ballot) {
         for (int at = 0; at < state.votes.length; at += 2) {
             ModelProposal proposal = proposals.get(state.votes[at]);
             if (state.votes[at + 1] != CHOSEN && proposal.ballot().equals(ballot)) {
                 check(state, proposal.hasVolatileDeciders(), "learned but not chosen: " + proposal);
-                state.votes = ModelState.with(state.votes, at + 1, CHOSEN);
+                state.votes = ModelState.withElement(state.votes, at + 1, CHOSEN);
                 checkChosen(state, proposal);
             }
         }
@@ -401,24 +406,30 @@
         }
         for (int version = 0; version < Integer.SIZE; version++) {
             boolean isRejected = (state.rejected & 1 << version) != 0;
-            check(state, !isRejected || !proposal.holds(version), "version " + version + " was rejected and is chosen");
+            check(
+                    state,
+                    !isRejected || !proposal.containsVersion(version),
+                    "version " + version + " was rejected and is chosen");
         }
     }
 
-    private void answered(ModelState state, ModelStep.Answer answer) {
-        RegisterValue value = answer.outcome().value();
+    private void checkConfirmed(ModelState state, ModelStep.Confirmation confirmation) {
+        RegisterValue value = confirmation.outcome().value();
         List<ModelProposal> chosen = chosen(state);
         check(state, chosen.stream().anyMatch(each -> each.value().equals(value)), "confirmed but not chosen");
-        boolean isRejected = answer.outcome().answer().equals(new Answer.OfChange<>(VersionHistory.REJECTED));
+        boolean isRejected = confirmation.outcome().answer().equals(new Answer.OfChange<>(VersionHistory.REJECTED));
         if (isRejected) {
-            int version = (int) answer.requestId();
+            int version = (int) confirmation.requestId();
             state.rejected |= 1 << version;
-            check(state, chosen.stream().noneMatch(each -> each.holds(version)), "rejected though it is chosen");
+            check(
+                    state,
+                    chosen.stream().noneMatch(each -> each.containsVersion(version)),
+                    "rejected although it is chosen");
         }
     }
 
-    private static void check(ModelState state, boolean holds, String rule) {
-        if (!holds) {
+    private static void check(ModelState state, boolean isSatisfied, String rule) {
+        if (!isSatisfied) {
             throw new AssertionError(rule + "\n" + state.trace());
         }
     }
--- a/consensus/src/test/java/dewplank/register/RegisterModelTest.java
+++ b/consensus/src/test/java/dewplank/register/RegisterModelTest.java
@@ -6,15 +6,16 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Every order of deliveries, losses and duplicates up to a depth, through the register as it is shipped: three
- * acceptors and a joining one, two proposers. Depths are steps: a delivery, a timeout, the end of a store, a kill, a
- * wipe. They are chosen so that all take under 40 s; {@code -Dregister.model.deeper=N} adds N to each, which costs
- * about three times as much for each step, and {@code -Dregister.model.traced=true} prints the steps to a violation.
+ * Runs the production code of the register through every order of deliveries, losses and duplicates up to a depth, with
+ * three acceptors, a joining acceptor and two proposers. The depth counts steps: a delivery, a timeout, the end of a
+ * store, a kill or a wipe. The depths are chosen so that all tests take less than 40 s. {@code
+ * -Dregister.model.deeper=N} adds N to each depth, which takes about three times as long per step. {@code
+ * -Dregister.model.traced=true} prints the steps that lead to a violation.
  *
- * <p>Checked in each state: of any two values chosen by a quorum's votes one extends the other (nothing confirmed is
- * lost); what is confirmed is chosen; what was rejected is in no chosen value, before or after. Messages of a process
- * to itself are delivered at once; answers that do not complete a quorum are counted in one order only, as their order
- * changes nothing else.
+ * <p>Each state is checked: of any two values chosen by the votes of a quorum one extends the other, so no confirmed
+ * change is lost; each confirmed value is chosen; a rejected change is in no chosen value, before or after the
+ * rejection. Messages of a process to itself are delivered immediately. Replies that do not complete a quorum are
+ * counted in one order only, because their order has no other effect.
  */
 class RegisterModelTest {
     private static final AcceptorId A = ModelScenario.acceptor(0, 0);
@@ -23,9 +24,7 @@
     private static final AcceptorId D = ModelScenario.acceptor(3, 0);
     private static final AcceptorId C_WIPED = ModelScenario.acceptor(2, 1);
 
-    /**
-     * Messages that only speed up learning, dropped where they would only add states: their loss is one of the cases.
-     */
+    /** Messages that only speed up learning. Dropping them, which is a possible loss, reduces the number of states. */
     private static final Class<?>[] OPTIONAL_TYPES = {StatusQuery.class, Chosen.class, Reject.class};
 
     private static RegisterModel model(ModelScenario scenario) {
@@ -36,39 +35,44 @@
         long beganNanos = System.nanoTime();
         model.explore(depth + Integer.getInteger("register.model.deeper", 0));
         System.out.println("register model, " + model.name() + ": " + model.states() + " states, depth "
-                + model.depth() + (model.isExhausted() ? " (all there are)" : "") + ", " + model.maxChosen()
+                + model.depth() + (model.isExhausted() ? " (exhausted)" : "") + ", " + model.maxChosen()
                 + " values chosen, " + (System.nanoTime() - beganNanos) / 1_000_000 + " ms");
-        Assertions.assertTrue(model.maxChosen() >= minChosen, "hardly anything was chosen: " + model.maxChosen());
+        Assertions.assertTrue(model.maxChosen() >= minChosen, "too few values were chosen: " + model.maxChosen());
     }
 
-    private static RegisterModel twoChanges(ModelScenario scenario) {
-        return model(scenario).begin(0, ModelScenario.change(1, 0)).begin(1, ModelScenario.change(2, 0));
+    private static RegisterModel modelOfTwoChanges(ModelScenario scenario) {
+        return model(scenario).runInitially(0, ModelScenario.change(1, 0)).runInitially(1, ModelScenario.change(2, 0));
     }
 
-    private static RegisterModel changeAndReconfiguration(ModelScenario scenario, AcceptorId... target) {
-        return model(scenario).begin(0, ModelScenario.change(1, 0)).begin(1, ModelScenario.reconfigure(0, target));
+    private static RegisterModel modelOfChangeAndReconfiguration(ModelScenario scenario, AcceptorId... target) {
+        return model(scenario)
+                .runInitially(0, ModelScenario.change(1, 0))
+                .runInitially(1, ModelScenario.reconfigure(0, target));
     }
 
     @Test
     void twoChangesWithTimeouts() {
-        explore(twoChanges(new ModelScenario("two changes", 3, 3, OPTIONAL_TYPES).with(1, 0, 0)), 10, 3);
+        explore(modelOfTwoChanges(new ModelScenario("two changes", 3, 3, OPTIONAL_TYPES).withLimits(1, 0, 0)), 10, 3);
     }
 
     @Test
     void twoChangesWithAllMessages() {
-        explore(twoChanges(new ModelScenario("two changes, all messages", 3, 3).with(1, 0, 0)), 7, 2);
+        explore(modelOfTwoChanges(new ModelScenario("two changes, all messages", 3, 3).withLimits(1, 0, 0)), 7, 2);
     }
 
     @Test
-    void failedStoreThatIsFoundAfterAKill() {
-        explore(twoChanges(new ModelScenario("failed store and kill", 3, 3, OPTIONAL_TYPES).with(1, 1, 1)), 7, 2);
+    void failedStoreThatIsOnDiskAfterAKill() {
+        explore(
+                modelOfTwoChanges(new ModelScenario("failed store and kill", 3, 3, OPTIONAL_TYPES).withLimits(1, 1, 1)),
+                7,
+                2);
     }
 
     @Test
     void slowDisksWithAFailureAndAKill() {
         explore(
-                twoChanges(new ModelScenario("slow disks", 3, 3, OPTIONAL_TYPES)
-                        .with(1, 1, 1)
+                modelOfTwoChanges(new ModelScenario("slow disks", 3, 3, OPTIONAL_TYPES)
+                        .withLimits(1, 1, 1)
                         .withSlowDisks()),
                 7,
                 1);
@@ -76,14 +80,17 @@
 
     @Test
     void changeDuringAReconfiguration() {
-        explore(changeAndReconfiguration(new ModelScenario("reconfiguration", 4, 3, OPTIONAL_TYPES), A, B, D), 15, 3);
+        explore(
+                modelOfChangeAndReconfiguration(new ModelScenario("reconfiguration", 4, 3, OPTIONAL_TYPES), A, B, D),
+                15,
+                3);
     }
 
     @Test
     void reconfigurationWithTimeouts() {
         explore(
-                changeAndReconfiguration(
-                        new ModelScenario("reconfiguration with timeouts", 4, 3, OPTIONAL_TYPES).with(1, 0, 0),
+                modelOfChangeAndReconfiguration(
+                        new ModelScenario("reconfiguration with timeouts", 4, 3, OPTIONAL_TYPES).withLimits(1, 0, 0),
                         A,
                         B,
                         D),
@@ -94,9 +101,9 @@
     @Test
     void reconfigurationWithAKillAndAFailedStore() {
         explore(
-                changeAndReconfiguration(
+                modelOfChangeAndReconfiguration(
                         new ModelScenario("reconfiguration with kill and failed store", 4, 3, OPTIONAL_TYPES)
-                                .with(0, 1, 1),
+                                .withLimits(0, 1, 1),
                         A,
                         B,
                         D),
@@ -108,18 +115,18 @@
     void twoReconfigurationsWithDifferentTargets() {
         explore(
                 model(new ModelScenario("two reconfigurations", 4, 3, OPTIONAL_TYPES))
-                        .begin(0, ModelScenario.reconfigure(0, A, B, D))
-                        .begin(1, ModelScenario.reconfigure(0, B, C, D)),
+                        .runInitially(0, ModelScenario.reconfigure(0, A, B, D))
+                        .runInitially(1, ModelScenario.reconfigure(0, B, C, D)),
                 13,
                 2);
     }
 
     @Test
-    void wipeAndReplacementOfTheDisk() {
+    void wipedDiskIsReplaced() {
         explore(
-                changeAndReconfiguration(
+                modelOfChangeAndReconfiguration(
                         new ModelScenario("wipe", 3, 3, OPTIONAL_TYPES)
-                                .with(1, 0, 0)
+                                .withLimits(1, 0, 0)
                                 .wiping(2),
                         A,
                         B,
@@ -128,54 +135,56 @@
                 2);
     }
 
-    /** The joint set is chosen and learned by one process, which may be killed; the others may complete it. */
+    /**
+     * One process learns that the joint set is chosen and may then be killed; the others may complete the transition.
+     */
     @Test
-    void windowBetweenJointSetAndCompletion() {
+    void killBetweenJointSetAndCompletion() {
         explore(
-                model(new ModelScenario("joint", 4, 3, OPTIONAL_TYPES).with(1, 1, 0))
-                        .begin(1, ModelScenario.reconfigure(0, A, B, D))
-                        .playUntil(registers -> registers.get(1).acceptors().isJoint())
-                        .begin(0, ModelScenario.change(2, 0)),
+                model(new ModelScenario("joint", 4, 3, OPTIONAL_TYPES).withLimits(1, 1, 0))
+                        .runInitially(1, ModelScenario.reconfigure(0, A, B, D))
+                        .runUntil(registers -> registers.get(1).acceptors().isJoint())
+                        .runInitially(0, ModelScenario.change(2, 0)),
                 8,
                 3);
     }
 
-    /** The transition is completed and two have learned it; then the disk of an old member is lost and replaced. */
+    /** Two processes learn that the transition is completed; then the disk of an old member is lost and replaced. */
     @Test
-    void lossRightAfterTheTransitionCompleted() {
+    void diskLossImmediatelyAfterTheTransition() {
         explore(
                 model(new ModelScenario("transition completed, then a wipe", 4, 3, StatusQuery.class, Reject.class)
-                                .with(1, 0, 0)
+                                .withLimits(1, 0, 0)
                                 .wiping(2))
-                        .begin(1, ModelScenario.change(1, 0))
-                        .begin(1, ModelScenario.reconfigure(0, D, B, C))
-                        .playUntil(registers -> registers.get(3).acceptors().generation() == 2)
-                        .begin(1, ModelScenario.reconfigure(2, D, B, C_WIPED))
-                        .begin(3, ModelScenario.change(2, 1)),
+                        .runInitially(1, ModelScenario.change(1, 0))
+                        .runInitially(1, ModelScenario.reconfigure(0, D, B, C))
+                        .runUntil(registers -> registers.get(3).acceptors().generation() == 2)
+                        .runInitially(1, ModelScenario.reconfigure(2, D, B, C_WIPED))
+                        .runInitially(3, ModelScenario.change(2, 1)),
                 8,
                 3);
     }
 
-    /** Both founders have no disk. A value is chosen and learned by one process; then any of them restart. */
+    /** Neither founder has a disk. One process learns that a value is chosen; then founders restart. */
     @Test
-    void foundersWithoutADiskRestartOnceAValueIsChosen() {
+    void foundersWithoutADiskRestartAfterAValueIsChosen() {
         explore(
                 model(foundersWithoutADisk(2).restarting(2, 3))
-                        .begin(0, ModelScenario.change(1, 0))
-                        .playUntil(registers -> registers.get(0).chosenValue() != null)
-                        .begin(1, ModelScenario.change(2, 0))
-                        .begin(0, ModelScenario.change(3, 1)),
+                        .runInitially(0, ModelScenario.change(1, 0))
+                        .runUntil(registers -> registers.get(0).chosenValue() != null)
+                        .runInitially(1, ModelScenario.change(2, 0))
+                        .runInitially(0, ModelScenario.change(3, 1)),
                 8,
                 2);
     }
 
-    /** The same from the start: any of them restart before, between and after the phases of two proposers. */
+    /** Neither founder has a disk. Founders restart before, between and after the phases of two proposers. */
     @Test
     void foundersWithoutADiskRestartBetweenThePhases() {
-        explore(twoChanges(foundersWithoutADisk(1).restarting(2, 3)), 9, 1);
+        explore(modelOfTwoChanges(foundersWithoutADisk(1).restarting(2, 3)), 9, 1);
     }
 
-    /** One founder of three has a disk, and proposes; the others restart. */
+    /** One founder of three has a disk and proposes; the others restart. */
     @Test
     void foundersWithAndWithoutADisk() {
         ModelScenario mixed = new ModelScenario(
@@ -185,47 +194,47 @@
                         Set.of(2, 3),
                         Chosen.class,
                         Reject.class)
-                .with(1, 0, 0)
+                .withLimits(1, 0, 0)
                 .restarting(2, 3);
-        explore(twoChanges(mixed), 8, 1);
+        explore(modelOfTwoChanges(mixed), 8, 1);
     }
 
-    /** A set without a disk is replaced by one with, and all its members restart: the joint set stays decidable. */
+    /** Acceptors with disks replace a set without disks, whose members all restart: the joint set can still decide. */
     @Test
     void foundersWithoutADiskRestartDuringTheirReplacement() {
         explore(
                 model(foundersWithoutADisk(2))
-                        .begin(0, ModelScenario.reconfigure(0, A, B))
-                        .playUntil(registers -> registers.get(0).acceptors().isJoint())
+                        .runInitially(0, ModelScenario.reconfigure(0, A, B))
+                        .runUntil(registers -> registers.get(0).acceptors().isJoint())
                         .restarted(2)
                         .restarted(3)
-                        .begin(1, ModelScenario.change(1, 0)),
+                        .runInitially(1, ModelScenario.change(1, 0)),
                 12,
                 2);
     }
 
     private static ModelScenario foundersWithoutADisk(int timeouts) {
         return new ModelScenario("founders without a disk", 4, List.of(2, 3), Set.of(2, 3), Chosen.class, Reject.class)
-                .with(timeouts, 0, 0);
+                .withLimits(timeouts, 0, 0);
     }
 
     @Test
     void detectsAFounderWithoutADiskThatKeepsItsIdentity() {
         RegisterModel model = model(foundersWithoutADisk(1).restarting(2, 3).keepingIdentity())
-                .begin(0, ModelScenario.change(1, 0))
-                .playUntil(registers -> registers.get(0).chosenValue() != null)
-                .begin(1, ModelScenario.change(2, 0));
+                .runInitially(0, ModelScenario.change(1, 0))
+                .runUntil(registers -> registers.get(0).chosenValue() != null)
+                .runInitially(1, ModelScenario.change(2, 0));
         AssertionError noticed = Assertions.assertThrows(AssertionError.class, () -> model.explore(14));
         Assertions.assertTrue(noticed.getMessage().startsWith("chosen are"), noticed.getMessage());
     }
 
     @Test
     void detectsAWipedDiskThatKeepsItsIdentity() {
-        ModelScenario broken = new ModelScenario("kept identity", 3, 3, OPTIONAL_TYPES)
+        ModelScenario broken = new ModelScenario("reused identity", 3, 3, OPTIONAL_TYPES)
                 .wiping(2)
                 .keepingIdentity();
         AssertionError noticed = Assertions.assertThrows(
-                AssertionError.class, () -> twoChanges(broken).explore(10));
+                AssertionError.class, () -> modelOfTwoChanges(broken).explore(10));
         Assertions.assertTrue(noticed.getMessage().startsWith("chosen are"), noticed.getMessage());
     }
 }
--- a/consensus/src/test/java/dewplank/register/RegisterSnapshot.java
+++ b/consensus/src/test/java/dewplank/register/RegisterSnapshot.java
@@ -13,11 +13,11 @@
 import java.util.Set;
 
 /**
- * Copies, compares and prints the state of a register by reflection, so that a model can branch at any step. Times and
- * query ids are reset after each step: the model lets every timeout occur at any time.
+ * Copies and prints the state of a register by reflection, so that a model can branch at any step. Times and query ids
+ * are reset after each step, because the model lets every timeout occur at any time.
  */
 final class RegisterSnapshot {
-    /** The mutable parts of a register; everything else is immutable or a collection. */
+    /** The mutable parts of a register; all other objects are immutable or collections. */
     private static final Set<Class<?>> MUTABLE_PARTS = Set.of(
             Register.class,
             Acceptor.class,
@@ -32,8 +32,8 @@
             ProposerState.BackingOff.class);
 
     /**
-     * Fields without influence on messages or votes: the reports counted by anti-entropy, attempts and ids. It
-     * uses one query id in all runs, as ids are reset: a report to any of its queries counts for the last.
+     * Fields without influence on messages or votes: the reports counted by anti-entropy, attempts and ids. Because ids
+     * are reset, all runs of anti-entropy use the same query id, and a report to any of them counts for the last run.
      */
     private static final Set<String> EXCLUDED_FIELDS = Set.of(
             "AntiEntropy.reporters",
@@ -45,7 +45,7 @@
             "Acceptor.storeId",
             "ChangeTask.change");
 
-    /** Superclasses of the platform, whose fields are not looked at. */
+    /** Superclasses of the platform, whose fields are ignored. */
     private static final Set<Class<?>> ROOTS = Set.of(Object.class, Record.class, Enum.class);
 
     private static final Map<Class<?>, List<Field>> FIELDS = new HashMap<>();
@@ -64,7 +64,7 @@
         return text.toString();
     }
 
-    /** The value of a field found by its path. */
+    /** Returns the value of the field at this path, or null. */
     static Object at(Object from, String... path) {
         Object found = from;
         for (String name : path) {
@@ -80,7 +80,7 @@
         return found;
     }
 
-    /** Resets times, ids and the reports counted. */
+    /** Resets times, ids and the counted reports. */
     static void resetClocks(Register<String> register) {
         reset(register, new IdentityHashMap<>());
     }
@@ -208,16 +208,16 @@
     private static Object get(Field field, Object object) {
         try {
             return field.get(object);
-        } catch (IllegalAccessException impossible) {
-            throw new IllegalStateException(impossible);
+        } catch (IllegalAccessException exception) {
+            throw new IllegalStateException(exception);
         }
     }
 
     private static void set(Field field, Object object, Object value) {
         try {
             field.set(object, value);
-        } catch (IllegalAccessException impossible) {
-            throw new IllegalStateException(impossible);
+        } catch (IllegalAccessException exception) {
+            throw new IllegalStateException(exception);
         }
     }
 }
--- a/consensus/src/test/java/dewplank/register/RoundSequenceTest.java
+++ b/consensus/src/test/java/dewplank/register/RoundSequenceTest.java
@@ -9,7 +9,7 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** Which ballots a process uses, whom it sends them to, when it retries, and when a read needs one. */
+/** Tests which ballots a process uses, their recipients, when it retries, and when a read needs a ballot. */
 class RoundSequenceTest {
     private static final AcceptorId A = RegisterBuilder.A;
     private static final AcceptorId B = RegisterBuilder.B;
@@ -63,7 +63,7 @@
     // ---- ballots --------------------------------------------------------------------------------------
 
     @Test
-    void aRestartedProcessGoesAboveWhatItPromisedAcceptedAndChose() {
+    void restartedProcessUsesAHigherRoundThanItsStoredBallots() {
         recover(ballot(7), Ballot.NONE, SET, Ballot.NONE);
         assertEquals(8, nextRound());
         recover(ballot(7), ballot(9), SET, Ballot.NONE);
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void aBallotSeenInAnyMessageIsGoneAbove() {
+    void nextRoundIsHigherThanAnyReceivedBallot() {
         register.handleMessage(0, new Prepare("b", "2", "1", ballot(20), Ballot.NONE), effects);
         assertEquals(21, nextRound());
         register = new RegisterBuilder().build();
@@ -89,14 +89,14 @@
     }
 
     @Test
-    void aRoundAlsoAsksTheAcceptorsOfAnUnconfirmedValue() {
+    void roundIncludesTheAcceptorsOfAnUnconfirmedValue() {
         recover(Ballot.NONE, ballot(2), new AcceptorSet(1, List.of(A, B, C), List.of(A, B, D)), Ballot.NONE);
         change(0);
         assertEquals(Set.of("a", "b", "c", "d"), recipientsOf(Prepare.class));
     }
 
     @Test
-    void aChosenValueIsAnnouncedToAllButItself() {
+    void chosenValueIsAnnouncedToAllOtherAcceptors() {
         change(0);
         Ballot own = effects.lastMessage(Prepare.class).ballot();
         register.handleMessage(0, RegisterBuilder.promise(B, own), effects);
@@ -109,9 +109,9 @@
 
     // ---- retries --------------------------------------------------------------------------------------
 
-    /** Attempt n times out after n times the first one's time, up to four, and backs off for 400 ms at most. */
+    /** Attempt n times out after n times the first timeout, at most four times, and backs off for at most 400 ms. */
     @Test
-    void roundsThatGetNoQuorumAreRetriedAtGrowingIntervals() {
+    void roundsWithoutAQuorumAreRetriedAtIncreasingIntervals() {
         change(0);
         double startedAtMs = 0;
         for (int attempt = 1; attempt <= 6; attempt++) {
@@ -131,7 +131,7 @@
     }
 
     @Test
-    void anUnconfirmedBallotIsCompletedOnceItsProposerHadTheTimeOfARound() {
+    void unconfirmedBallotIsCompletedAfterTheRoundTimeout() {
         recover(Ballot.NONE, ballot(2), SET, ballot(1));
         register.tick(0, effects);
         register.tick(ROUND_TIMEOUT_MS - 1, effects);
@@ -141,7 +141,7 @@
     }
 
     @Test
-    void aRequestThatIsPendingCompletesAnUnconfirmedBallotByItself() {
+    void pendingRequestCompletesAnUnconfirmedBallot() {
         recover(Ballot.NONE, ballot(2), SET, ballot(1));
         register.tick(0, effects);
         change(1);
@@ -158,7 +158,7 @@
     }
 
     @Test
-    void aReadNeedsNoBallotWhereAQuorumReportsNothingNewer() {
+    void readNeedsNoBallotIfAQuorumReportsNothingNewer() {
         recover(ballot(1), ballot(1), SET, ballot(1));
         long queryId = startRead(0);
         report(B, queryId, ballot(1), ballot(1), null);
@@ -169,7 +169,7 @@
     }
 
     @Test
-    void aReadRunsABallotWhereSomethingNewerIsAccepted() {
+    void readRunsABallotIfANewerBallotIsAccepted() {
         recover(ballot(1), ballot(1), SET, ballot(1));
         report(B, startRead(0), ballot(4), ballot(1), null);
         assertEquals(3, effects.messages(Prepare.class).size());
@@ -177,7 +177,7 @@
     }
 
     @Test
-    void aReadRunsABallotWhereNothingIsKnownToBeChosen() {
+    void readRunsABallotIfNoValueIsKnownToBeChosen() {
         long queryId = startRead(0);
         report(B, queryId, Ballot.NONE, Ballot.NONE, null);
         assertEquals(List.of(), effects.messages(Prepare.class));
@@ -186,7 +186,7 @@
     }
 
     @Test
-    void aReadRunsABallotWhenAQuorumDoesNotReportInTheTimeOfARound() {
+    void readRunsABallotIfNoQuorumReportsWithinTheRoundTimeout() {
         recover(ballot(1), ballot(1), SET, ballot(1));
         long queryId = startRead(0);
         register.tick(ROUND_TIMEOUT_MS - 1, effects);
@@ -195,11 +195,11 @@
         assertEquals(3, effects.messages(Prepare.class).size());
         report(B, queryId, ballot(1), ballot(1), null);
         report(C, queryId, ballot(1), ballot(1), null);
-        assertEquals(List.of(), effects.completed, "the ballot answers the read now");
+        assertEquals(List.of(), effects.completed, "the ballot now completes the read");
     }
 
     @Test
-    void aReadIsAnsweredByTheValueItsBallotFinds() {
+    void readReturnsTheValueFoundByItsBallot() {
         long queryId = startRead(0);
         report(B, queryId, Ballot.NONE, Ballot.NONE, null);
         report(C, queryId, Ballot.NONE, Ballot.NONE, null);
@@ -219,7 +219,7 @@
     // ---- anti-entropy ---------------------------------------------------------------------------------
 
     @Test
-    void anAcceptorThatLagsIsToldWhatIsChosenAndOthersAreNot() {
+    void chosenBallotIsAnnouncedOnlyToAcceptorsThatLackIt() {
         recover(ballot(4), ballot(4), SET, ballot(4));
         register.tick(0, effects);
         long queryId = effects.lastMessage(StatusQuery.class).queryId();
@@ -228,12 +228,12 @@
         report(C, queryId, ballot(1), ballot(1), null);
         assertEquals(Set.of("c"), recipientsOf(Chosen.class));
         report(D, queryId, ballot(1), ballot(1), null);
-        assertEquals(Set.of("c"), recipientsOf(Chosen.class), "no acceptor");
+        assertEquals(Set.of("c"), recipientsOf(Chosen.class), "it is not an acceptor");
     }
 
-    /** Mean 500 ms: each run between 375 and 625 ms after the last, or at once with another acceptor set. */
+    /** The mean interval is 500 ms: each run starts 375 to 625 ms after the last, or immediately with a new set. */
     @Test
-    void acceptorsAreQueriedPeriodicallyAndAtOnceWhenTheSetChanges() {
+    void acceptorsAreQueriedPeriodicallyAndImmediatelyAfterASetChange() {
         recover(ballot(4), ballot(4), SET, ballot(4));
         register.tick(0, effects);
         assertEquals(3, effects.messages(StatusQuery.class).size());
@@ -249,7 +249,7 @@
     }
 
     @Test
-    void aProcessOutsideTheSetIsNoAcceptor() {
+    void processOutsideTheSetIsNotAnAcceptor() {
         assertTrue(register.isAcceptor());
         report(B, QueryIds.FETCH, ballot(1), ballot(1), new RegisterValue(AcceptorSet.of(List.of(B, C, D)), 1, null));
         assertFalse(register.isAcceptor());
--- a/consensus/src/test/java/dewplank/register/SimulatedFleet.java
+++ b/consensus/src/test/java/dewplank/register/SimulatedFleet.java
@@ -7,7 +7,7 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 
-/** Processes, their network, and the requests that wait for an outcome. */
+/** The simulated processes, their network, and the requests without an outcome. */
 final class SimulatedFleet {
     private final EventQueue events = new EventQueue();
     private final HistoryChecker history = new HistoryChecker();
@@ -62,7 +62,7 @@
         return processes.get(index);
     }
 
-    /** The acceptors of these processes, in this order. */
+    /** The acceptors of the given processes, in this order. */
     List<AcceptorId> acceptors(int... indices) {
         List<AcceptorId> acceptors = new ArrayList<>();
         for (int index : indices) {
@@ -101,13 +101,13 @@
         return newest;
     }
 
-    /** Changes the payload at a process; the listener gets the outcome, Unknown if the incarnation ends before. */
+    /** Changes the payload at a process. The listener receives the outcome, unknown if the incarnation ends first. */
     void change(SimulatedProcess process, int version, int base, double timeoutMs, Consumer<Outcome<String>> listener) {
         long minRevision = history.minRevision();
         long requestId = track(timeoutMs, outcome -> {
             if (outcome instanceof Outcome.Confirmed<String> confirmed) {
                 history.observeConfirmed(confirmed.value(), minRevision);
-                history.observeChangeAnswer(version, confirmed.value(), confirmed.answer());
+                history.observeChangeResult(version, confirmed.value(), confirmed.answer());
             }
             listener.accept(outcome);
         });
@@ -120,7 +120,7 @@
         run(process, () -> process.register().read(nowMs(), requestId, nowMs() + timeoutMs, process));
     }
 
-    /** Replaces the acceptors, expecting the generation that the process has. */
+    /** Replaces the acceptors; the expected generation is that of the process. */
     void reconfigure(
             SimulatedProcess process, List<AcceptorId> target, double timeoutMs, Consumer<Outcome<String>> listener) {
         long current = process.isUp() ? process.register().acceptors().generation() : 0;
@@ -158,7 +158,7 @@
         lastRequestId++;
         long requestId = lastRequestId;
         requests.put(requestId, listener);
-        events.after(timeoutMs * 2, () -> completed(requestId, new Outcome.Unknown<>("no outcome")));
+        events.after(timeoutMs * 2, () -> completed(requestId, new Outcome.Unknown<>("no outcome was reported")));
         return requestId;
     }
 
--- a/consensus/src/test/java/dewplank/register/SimulatedHistory.java
+++ b/consensus/src/test/java/dewplank/register/SimulatedHistory.java
@@ -4,7 +4,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 
-/** One history: faults for some seconds, then none; every process reads once, and all observations are checked. */
+/** One history: faults for some seconds, then a read by every process without faults; checks all observations. */
 final class SimulatedHistory {
     private static final double FAULTS_END_MS = 4000;
     private static final double FINAL_READS_END_MS = 40_000;
@@ -14,7 +14,7 @@
     private final SimulatedFleet fleet;
     private final OperatorLoad operators;
     private final Faults faults;
-    private final Set<SimulatedProcess> finished = new HashSet<>();
+    private final Set<SimulatedProcess> finishedProcesses = new HashSet<>();
 
     SimulatedHistory(long seed, SimulationRules rules) {
         SplittableRandom random = new SplittableRandom(seed);
@@ -25,17 +25,17 @@
         faults = new Faults(fleet, random.split());
     }
 
-    /** Half of the histories lose disks, the other half change their acceptors at random. */
+    /** Creates a history: with an even seed disks are lost, with an odd seed the acceptors change at random. */
     static SimulatedHistory of(long seed) {
         boolean wipes = (seed & 1) == 0;
         return new SimulatedHistory(seed, new SimulationRules(wipes, !wipes, false));
     }
 
-    /** Plays it; returns how many requests were confirmed. */
-    int play() {
+    /** Runs the history; returns the number of confirmed requests. */
+    int run() {
         operators.start();
         faults.start();
-        fleet.events().playUntil(FAULTS_END_MS);
+        fleet.events().runUntil(FAULTS_END_MS);
         operators.stop();
         faults.stop();
         for (SimulatedProcess process : fleet.processes()) {
@@ -43,9 +43,9 @@
         }
         boolean isDone = false;
         while (!isDone) {
-            boolean hasPlayed = fleet.events().playOne(FINAL_READS_END_MS);
-            isDone = finished.size() == fleet.processes().size() && faults.isWipedReplaced();
-            fleet.history().check(hasPlayed || isDone, "no answer long after all faults ended");
+            boolean hasRun = fleet.events().runNext(FINAL_READS_END_MS);
+            isDone = finishedProcesses.size() == fleet.processes().size() && faults.isWipedDiskReplaced();
+            fleet.history().check(hasRun || isDone, "not all reads are confirmed long after the end of all faults");
         }
         fleet.history().checkEnd();
         return fleet.history().confirmed();
@@ -54,7 +54,7 @@
     private void readUntilConfirmed(SimulatedProcess process) {
         fleet.read(process, TIMEOUT_MS, outcome -> {
             if (outcome instanceof Outcome.Confirmed) {
-                finished.add(process);
+                finishedProcesses.add(process);
             } else {
                 fleet.events().after(RETRY_BACKOFF_MS, () -> readUntilConfirmed(process));
             }
--- a/consensus/src/test/java/dewplank/register/SimulatedNetwork.java
+++ b/consensus/src/test/java/dewplank/register/SimulatedNetwork.java
@@ -4,7 +4,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 
-/** Delivers messages with delay, duplicated, out of order or not at all. */
+/** Delays, duplicates, reorders and drops messages. */
 final class SimulatedNetwork {
     private static final double MIN_DELAY_MS = 0.5;
     private static final double USUAL_DELAY_RANGE_MS = 20;
--- a/consensus/src/test/java/dewplank/register/SimulatedProcess.java
+++ b/consensus/src/test/java/dewplank/register/SimulatedProcess.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** One process with its disk: it can be killed, lose its disk, or freeze; the disk can be full or stall. */
+/** One process with its disk. The process can be killed, paused or lose its disk; the disk can be full or stall. */
 final class SimulatedProcess implements Register.Effects<String> {
     private static final double TICK_MS = 50;
     private static final double MAX_SYNC_MS = 3;
@@ -12,14 +12,14 @@
     private final String address;
     private final SimulatedFleet fleet;
     private final SplittableRandom random;
-    private final List<Runnable> suspendedSteps = new ArrayList<>();
+    private final List<Runnable> deferredSteps = new ArrayList<>();
     private AcceptorSet initialAcceptors;
     private DurableState disk;
     private DurableState storeInFlight;
     private Register<String> register;
     private int incarnation;
     private long learnedRevision;
-    private boolean isFrozen;
+    private boolean isPaused;
     private boolean isDiskFull;
     private double stalledUntilMs;
 
@@ -64,29 +64,29 @@
 
     void kill() {
         register = null;
-        suspendedSteps.clear();
-        isFrozen = false;
+        deferredSteps.clear();
+        isPaused = false;
         if (storeInFlight != null && random.nextBoolean()) {
             disk = storeInFlight;
         }
         storeInFlight = null;
     }
 
-    /** Kills it and empties its disk: it restarts as a new acceptor without initial acceptors. */
+    /** Kills the process and empties its disk, so that it restarts as a new acceptor without initial acceptors. */
     void wipe() {
         kill();
-        disk = DurableState.fresh(fleet.rules().wipedKeepsIdentity() ? disk.identity() : drawIdentity());
+        disk = DurableState.fresh(fleet.rules().wipedDiskKeepsIdentity() ? disk.identity() : drawIdentity());
         initialAcceptors = AcceptorSet.of(List.of());
     }
 
-    void freeze() {
-        isFrozen = true;
+    void pause() {
+        isPaused = true;
     }
 
-    void thaw() {
-        isFrozen = false;
-        List<Runnable> steps = new ArrayList<>(suspendedSteps);
-        suspendedSteps.clear();
+    void resume() {
+        isPaused = false;
+        List<Runnable> steps = new ArrayList<>(deferredSteps);
+        deferredSteps.clear();
         for (Runnable step : steps) {
             step.run();
         }
@@ -100,13 +100,13 @@
         stalledUntilMs = untilMs;
     }
 
-    /** Runs a step of this incarnation: later if the process is frozen, never if the incarnation has ended. */
+    /** Runs a step of an incarnation: deferred while the process is paused, not at all if the incarnation has ended. */
     void run(int inIncarnation, Runnable step) {
         if (register == null || incarnation != inIncarnation) {
             return;
         }
-        if (isFrozen) {
-            suspendedSteps.add(() -> run(inIncarnation, step));
+        if (isPaused) {
+            deferredSteps.add(() -> run(inIncarnation, step));
         } else {
             step.run();
         }
--- a/consensus/src/test/java/dewplank/register/SuccessiveLossesTest.java
+++ b/consensus/src/test/java/dewplank/register/SuccessiveLossesTest.java
@@ -7,62 +7,62 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Losses immediately after a repair. Each step of a reconfiguration is a write of the complete value, accepted by
- * majorities of both sets before the next step begins. So a leaving member never has the only replica, and a joining
- * one counts towards no quorum before a majority of its set has the value. The losses are forced at each event from the
- * start of the reconfiguration until well after its end.
+ * Tests losses immediately after a repair. Each step of a reconfiguration writes the complete value, which majorities
+ * of both sets accept before the next step starts. Therefore a leaving member never has the only replica, and a joining
+ * member counts towards no quorum before a majority of its set has the value. The tests force the losses after each
+ * number of events, from the start of the reconfiguration until well after its end.
  */
 class SuccessiveLossesTest {
     private static final double TIMEOUT_MS = 3000;
     private static final double RETRY_BACKOFF_MS = 100;
     private static final int MAX_ATTEMPTS = 60;
 
-    /** This many events reach beyond the end of a reconfiguration, which the tests check. */
-    private static final int MOMENTS = 300;
+    /** Enough events to complete a reconfiguration, which the tests check. */
+    private static final int MAX_EVENTS_BEFORE_LOSS = 300;
 
-    /** A period of anti-entropy is at most 625 ms here; reports, the value and its store take some 50 ms more. */
+    /** An anti-entropy interval is at most 625 ms here; reports, the value and its store take about 50 ms more. */
     private static final double CAUGHT_UP_MS = 700;
 
     private SimulatedFleet fleet;
     private int version;
 
-    private void begin(int size, int members) {
+    private void startFleet(int size, int members) {
         fleet = new SimulatedFleet(size, members, new SimulationRules(true, false, false), new SplittableRandom(11));
         version = 0;
     }
 
-    private void change(int at) {
+    private void change(int processIndex) {
         version++;
         for (int attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
             List<Outcome<String>> outcomes = new ArrayList<>();
-            fleet.change(fleet.process(at), version, version - 1, TIMEOUT_MS, outcomes::add);
+            fleet.change(fleet.process(processIndex), version, version - 1, TIMEOUT_MS, outcomes::add);
             while (outcomes.isEmpty()) {
-                fleet.events().playOne(Double.MAX_VALUE);
+                fleet.events().runNext(Double.MAX_VALUE);
             }
             if (outcomes.get(0) instanceof Outcome.Confirmed<String> confirmed) {
                 Assertions.assertEquals(new Answer.OfChange<>(VersionHistory.APPLIED), confirmed.answer());
                 return;
             }
         }
-        Assertions.fail("change " + version + " found no majority");
+        Assertions.fail("change " + version + " was not confirmed by a quorum");
     }
 
-    /** Replaces one acceptor by another, with retries until it is done. */
-    private void replace(int at, AcceptorId old, AcceptorId successor) {
+    /** Replaces one acceptor by another; retries until the replacement is complete. */
+    private void replace(int processIndex, AcceptorId old, AcceptorId successor) {
         for (int attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
-            AcceptorSet set = fleet.process(at).register().acceptors();
+            AcceptorSet set = fleet.process(processIndex).register().acceptors();
             if (!set.isJoint() && !set.members().contains(old)) {
                 return;
             }
             List<AcceptorId> target = new ArrayList<>(set.isJoint() ? set.joining() : set.members());
             target.replaceAll(each -> each.equals(old) ? successor : each);
-            fleet.reconfigure(fleet.process(at), set.generation(), target, TIMEOUT_MS, outcome -> {});
-            fleet.events().playUntil(fleet.nowMs() + RETRY_BACKOFF_MS);
+            fleet.reconfigure(fleet.process(processIndex), set.generation(), target, TIMEOUT_MS, outcome -> {});
+            fleet.events().runUntil(fleet.nowMs() + RETRY_BACKOFF_MS);
         }
-        Assertions.fail("the lost acceptor is not replaced");
+        Assertions.fail("the lost acceptor was not replaced");
     }
 
-    /** Loses a machine with its disk; it restarts at once with an empty disk. */
+    /** Simulates the loss of a machine with its disk; the process restarts immediately with an empty disk. */
     private AcceptorId lose(int index) {
         AcceptorId lost = fleet.process(index).acceptor();
         fleet.process(index).wipe();
@@ -71,7 +71,7 @@
     }
 
     private void catchUp() {
-        fleet.events().playUntil(fleet.nowMs() + CAUGHT_UP_MS);
+        fleet.events().runUntil(fleet.nowMs() + CAUGHT_UP_MS);
         RegisterValue newest = fleet.newestChosen();
         for (SimulatedProcess process : fleet.processes()) {
             if (process.isUp() && newest.acceptors().members().contains(process.acceptor())) {
@@ -80,28 +80,29 @@
         }
     }
 
-    private void checkGenerationAtEnds(int moment, int last) {
-        if (moment == 0 || moment == last) {
+    private void checkGenerationAtEnds(int eventsBeforeLoss, int last) {
+        if (eventsBeforeLoss == 0 || eventsBeforeLoss == last) {
             Assertions.assertEquals(
-                    moment == 0 ? 0 : 2, fleet.process(1).register().acceptors().generation());
+                    eventsBeforeLoss == 0 ? 0 : 2,
+                    fleet.process(1).register().acceptors().generation());
         }
     }
 
-    private void play(int events) {
+    private void runEvents(int events) {
         for (int event = 0; event < events; event++) {
-            fleet.events().playOne(Double.MAX_VALUE);
+            fleet.events().runNext(Double.MAX_VALUE);
         }
     }
 
     @Test
-    void ofThreeOneIsLostDuringAReconfigurationAndThenTheNext() {
-        for (int moment = 0; moment < MOMENTS; moment++) {
-            begin(5, 3);
+    void threeAcceptorsTolerateALossDuringAReconfigurationAndAnotherAfterIt() {
+        for (int eventsBeforeLoss = 0; eventsBeforeLoss < MAX_EVENTS_BEFORE_LOSS; eventsBeforeLoss++) {
+            startFleet(5, 3);
             change(1);
             AcceptorId leaving = fleet.process(0).acceptor();
             fleet.reconfigure(fleet.process(1), 0, fleet.acceptors(3, 1, 2), TIMEOUT_MS, outcome -> {});
-            play(moment);
-            checkGenerationAtEnds(moment, MOMENTS - 1);
+            runEvents(eventsBeforeLoss);
+            checkGenerationAtEnds(eventsBeforeLoss, MAX_EVENTS_BEFORE_LOSS - 1);
             AcceptorId lost = lose(1);
             replace(2, lost, fleet.process(4).acceptor());
             replace(2, leaving, fleet.process(3).acceptor());
@@ -117,8 +118,8 @@
     }
 
     @Test
-    void ofThreeAllAreLostInSuccession() {
-        begin(5, 3);
+    void threeAcceptorsTolerateTheSuccessiveLossOfAll() {
+        startFleet(5, 3);
         change(1);
         for (int index : new int[] {0, 1, 2}) {
             AcceptorId lost = lose(index);
@@ -132,15 +133,15 @@
     }
 
     @Test
-    void ofFiveTwoAreLostDuringAReconfigurationAndThenTwoMore() {
-        for (int moment = 0; moment < MOMENTS; moment += 3) {
-            begin(7, 5);
+    void fiveAcceptorsTolerateTwoLossesDuringAReconfigurationAndTwoAfterIt() {
+        for (int eventsBeforeLoss = 0; eventsBeforeLoss < MAX_EVENTS_BEFORE_LOSS; eventsBeforeLoss += 3) {
+            startFleet(7, 5);
             change(1);
             AcceptorId leaving = fleet.process(0).acceptor();
             List<AcceptorId> target = fleet.acceptors(5, 1, 2, 3, 4);
             fleet.reconfigure(fleet.process(1), 0, target, TIMEOUT_MS, outcome -> {});
-            play(moment);
-            checkGenerationAtEnds(moment, MOMENTS - 3);
+            runEvents(eventsBeforeLoss);
+            checkGenerationAtEnds(eventsBeforeLoss, MAX_EVENTS_BEFORE_LOSS - 3);
             AcceptorId first = lose(1);
             AcceptorId second = lose(2);
             replace(3, first, fleet.process(1).acceptor());
@@ -159,17 +160,17 @@
         }
     }
 
-    /** All messages to the joining acceptor are lost during the reconfiguration: anti-entropy delivers the value. */
+    /** All messages to the joining acceptor are lost during the reconfiguration, so anti-entropy delivers the value. */
     @Test
-    void joiningAcceptorThatMissedTheValueGetsItByAntiEntropy() {
-        begin(4, 3);
+    void joiningAcceptorReceivesAMissedValueByAntiEntropy() {
+        startFleet(4, 3);
         change(1);
         fleet.network().block(fleet.process(0).address(), fleet.process(3).address());
         fleet.network().block(fleet.process(1).address(), fleet.process(3).address());
         fleet.network().block(fleet.process(2).address(), fleet.process(3).address());
         fleet.reconfigure(fleet.process(1), 0, fleet.acceptors(3, 1, 2), TIMEOUT_MS, outcome -> {});
         while (fleet.process(1).register().acceptors().generation() < 2) {
-            Assertions.assertTrue(fleet.events().playOne(Double.MAX_VALUE));
+            Assertions.assertTrue(fleet.events().runNext(Double.MAX_VALUE));
         }
         Assertions.assertNull(fleet.process(3).register().chosenValue());
         fleet.network().heal();
--- a/consensus/src/test/java/dewplank/register/VersionHistory.java
+++ b/consensus/src/test/java/dewplank/register/VersionHistory.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The payload of the simulation: the numbers of the changes applied, in their order. */
+/** The payload of the simulation: the numbers of the applied changes, in their order. */
 final class VersionHistory {
     static final String APPLIED = "applied";
     static final String REJECTED = "rejected";
@@ -27,7 +27,7 @@
         return versions.isEmpty() ? 0 : versions.get(versions.size() - 1);
     }
 
-    /** A change that is applied once, and only on top of its base. */
+    /** Returns a change that is applied once, and only if the newest version is {@code base}. */
     static Change<String> change(int version, int base) {
         return payload -> {
             if (read(payload).contains(version)) {
