--- a/controlplane/src/main/java/dewplank/controlplane/DataPlaneReports.java
+++ b/controlplane/src/main/java/dewplank/controlplane/DataPlaneReports.java
@@ -9,23 +9,23 @@
 import java.util.Map;
 
 /**
- * Which configuration each data plane reported last, and since when: for operators, who ask all control planes and
- * compare. A data plane whose session ended stays for a day, as far as there is room. Times are in milliseconds of the
- * loop's clock; on its thread only.
+ * Stores which configuration each data plane last reported, and since when. Operators query all control planes and
+ * compare the reports. The report of a data plane whose session has ended is retained for a day, unless it is evicted
+ * because {@link #MAX_REPORTS} is reached. Times are in milliseconds of the loop's clock; on its thread only.
  */
 final class DataPlaneReports {
-    /** As many as there may be sessions. */
+    /** Equals the maximum number of sessions. */
     static final int MAX_REPORTS = SessionTable.MAX_SESSIONS;
 
     static final double RETENTION_MS = 24 * 3_600_000.0;
 
     /**
-     * What one data plane reported.
+     * The configuration version that one data plane reported.
      *
      * @param member the process
-     * @param configurationVersion the version that it acts on; 0 where it has none
-     * @param sinceMs when it reported that version for the first time
-     * @param lastHeartbeatAtMs when it reported it last
+     * @param configurationVersion the version that it has applied; 0 if it has none
+     * @param sinceMs time of its first heartbeat with that version
+     * @param lastHeartbeatAtMs time of its last heartbeat
      * @param hasSession whether its session with this control plane is open
      */
     record Report(
@@ -33,7 +33,7 @@
 
     private final Map<String, Report> reportsByNode = new HashMap<>();
 
-    /** A heartbeat of the data plane arrived. */
+    /** Records a heartbeat of a data plane. */
     void onHeartbeat(double nowMs, Member member, long configurationVersion) {
         Report last = reportsByNode.get(member.node);
         boolean isSame = last != null
@@ -46,7 +46,7 @@
         reportsByNode.put(member.node, new Report(member, configurationVersion, sinceMs, nowMs, true));
     }
 
-    /** The session of that very process has ended. */
+    /** Marks the report as without a session, unless a newer process has reported for the same node since. */
     void sessionEnded(Member member) {
         reportsByNode.computeIfPresent(
                 member.node,
@@ -56,7 +56,7 @@
                         : last);
     }
 
-    /** All reports that are kept, by the name of the node. */
+    /** All retained reports, sorted by node name. */
     List<Report> reports(double nowMs) {
         reportsByNode
                 .values()
--- a/controlplane/src/main/java/dewplank/controlplane/DataPlaneSessions.java
+++ b/controlplane/src/main/java/dewplank/controlplane/DataPlaneSessions.java
@@ -17,27 +17,30 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The sessions of data planes with this control plane: each heartbeat renews a session's lease and is acknowledged, and
- * whatever is newer than what the data plane has is sent as soon as it is there.
+ * The sessions of data planes with this control plane. Each heartbeat renews the session's lease and is acknowledged;
+ * state that is newer than the data plane's versions is sent as soon as it is available.
  *
- * <p>{@link ControlPlane} hands in connections and messages, on the loop's thread only. A session ends with its
- * connection; nothing here throws.
+ * <p>{@link ControlPlane} passes in connections and messages, on the loop's thread only. A session ends when its
+ * connection closes; no method throws.
  */
 final class DataPlaneSessions {
     private static final Logger LOG = LoggerFactory.getLogger(DataPlaneSessions.class);
 
-    /** The state of the fleet as data planes receive it. On the loop's thread. */
+    /** The fleet state that is sent to data planes. On the loop's thread. */
     interface UpdateSource {
-        /** The part of the fleet's state that is newer than these versions; empty if nothing is. */
+        /** The part of the fleet state that is newer than these versions; empty if there is none. */
         Optional<FleetUpdate> newerThan(DataPlaneVersions versions);
 
-        /** Whether a quorum has recently confirmed to this process that its state is the newest. */
+        /** Whether a quorum has recently confirmed that this process has the newest state. */
         boolean isCurrent();
 
-        /** The newest configuration here, if a quorum has ever confirmed that none was newer at some time. */
+        /**
+         * The version of this process's configuration, and the time since a quorum last confirmed that none was newer;
+         * empty if no quorum has confirmed it yet.
+         */
         Optional<ConfirmedConfiguration> confirmedConfiguration();
 
-        /** Control planes that a data plane may open a session with. */
+        /** Addresses of the control planes that a data plane may open a session with. */
         List<String> controlAddresses();
     }
 
@@ -45,7 +48,7 @@
     private final SessionTable table;
     private final UpdateSource source;
     private final DataPlaneReports reports = new DataPlaneReports();
-    private final Set<Session> sessions = new LinkedHashSet<>(); // updates go out in the order of opening
+    private final Set<Session> sessions = new LinkedHashSet<>(); // updates are sent in the order of opening
 
     DataPlaneSessions(Scheduler loop, SessionTable table, UpdateSource source) {
         this.loop = loop;
@@ -53,7 +56,7 @@
         this.source = source;
     }
 
-    /** Opens a session; empty where the table is full, and the connection is ended then. */
+    /** Opens a session. If the session table is full, closes the connection and returns empty. */
     Optional<Session> open(MessageLink connection, SessionOpen message) {
         if (table.renew(loop.now(), message.member) == SessionTable.Renewal.REJECTED_MAX_SESSIONS) {
             LOG.warn("session rejected node={} reason=max-sessions", message.member.node);
@@ -66,12 +69,12 @@
         return Optional.of(session);
     }
 
-    /** The state of the fleet has changed: sends it to every data plane that has an older one. */
+    /** Sends the changed fleet state to every data plane that has an older version. */
     void pushUpdates() {
         List.copyOf(sessions).forEach(Session::sendUpdateOrClose);
     }
 
-    /** The event loop stood still for so long: heartbeats could not be read meanwhile, so leases are extended. */
+    /** The event loop stalled for this time and could not read heartbeats, so the leases are extended by it. */
     void stalled(double stalledMs) {
         sessions.forEach(s -> s.lastHeartbeatAt += stalledMs);
         table.extendLeases(stalledMs);
@@ -81,12 +84,12 @@
         return sessions.size();
     }
 
-    /** Which configuration each data plane acts on, as it told this control plane. */
+    /** The configuration that each data plane acts on, as reported to this control plane. */
     List<DataPlaneReports.Report> reports() {
         return reports.reports(loop.now());
     }
 
-    /** One data plane's session, from its opening to the end of its connection. */
+    /** One data plane's session, from its opening until its connection closes. */
     final class Session {
         private final MessageLink connection;
         private final Member member;
@@ -99,7 +102,7 @@
             this.lastHeartbeatAt = loop.now();
         }
 
-        /** Renews the lease, acknowledges, and sends what is newer than the data plane's versions. */
+        /** Renews the lease, acknowledges the heartbeat, and sends state newer than the data plane's versions. */
         void heartbeat(SessionHeartbeat heartbeat) {
             lastHeartbeatAt = loop.now();
             table.renew(lastHeartbeatAt, member);
@@ -113,7 +116,10 @@
             sendUpdate();
         }
 
-        /** A data plane whose lease has expired may be gone without closing: updates to it would pile up. */
+        /**
+         * Closes the connection if the lease has expired: the data plane may have failed without closing it, and
+         * updates to it would accumulate.
+         */
         private void sendUpdateOrClose() {
             if (loop.now() - lastHeartbeatAt > table.leaseMs()) {
                 connection.close();
@@ -133,7 +139,7 @@
             connection.send(update);
         }
 
-        /** The connection has ended. */
+        /** The connection has closed. */
         void closed() {
             sessions.remove(this);
             table.close(member);
--- a/controlplane/src/main/java/dewplank/controlplane/DataPlaneVersions.java
+++ b/controlplane/src/main/java/dewplank/controlplane/DataPlaneVersions.java
@@ -6,9 +6,9 @@
 import dewplank.message.SessionHeartbeat;
 
 /**
- * The versions of the fleet's state that a data plane has: as it reported them in its first heartbeat, and as they were
- * sent to it since. Links deliver in order, so what was sent counts as received. One per session; on the loop's thread
- * only.
+ * The versions of the fleet state that a data plane has: those that it reported in its first heartbeat, replaced by
+ * those of updates sent to it since. Links deliver in order, so an update that was sent counts as received. One
+ * instance per session; on the loop's thread only.
  */
 final class DataPlaneVersions {
     private long configurationVersion;
@@ -16,7 +16,7 @@
     private long membersDigest;
     private boolean reported;
 
-    /** Version of its configuration; 0 where it has none. */
+    /** Version of its configuration; 0 if it has none. */
     long configurationVersion() {
         return configurationVersion;
     }
@@ -31,12 +31,12 @@
         return membersDigest;
     }
 
-    /** Whether the data plane has reported its versions; before that no difference to them can be computed. */
+    /** Whether the data plane has reported its versions; until then no update can be computed for it. */
     boolean areReported() {
         return reported;
     }
 
-    /** Takes the report of the first heartbeat; later ones may be older than what was sent meanwhile. */
+    /** Stores the versions of the first heartbeat; later heartbeats may report versions older than those sent since. */
     void onHeartbeat(SessionHeartbeat heartbeat) {
         if (!reported) {
             reported = true;
@@ -46,7 +46,7 @@
         }
     }
 
-    /** The update is about to be sent. */
+    /** Records the versions of an update that is about to be sent. */
     void onUpdate(FleetUpdate update) {
         configurationVersion = Math.max(configurationVersion, update.configurationVersion);
         listVersion = update.endpointList == null ? listVersion : update.endpointList.version;
--- a/controlplane/src/main/java/dewplank/controlplane/EndpointPoller.java
+++ b/controlplane/src/main/java/dewplank/controlplane/EndpointPoller.java
@@ -13,32 +13,39 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The endpoint list of the fleet: the lease holder polls the platform and publishes what changed; every other control
- * plane takes the newest list that it receives.
+ * The endpoint list of the fleet: the lease holder polls the platform and publishes changes; every other control plane
+ * accepts the newest list that it receives.
  *
- * <p>A list is published only under the fencing token under which the platform was polled, so no list of a former lease
- * holder can pass for a newer one. On the loop's thread only. A failed poll changes nothing: the last list stays.
+ * <p>A list is published only under the fencing token under which the platform was polled, so a list of a former lease
+ * holder can't be taken for a newer one. On the loop's thread only. A failed poll leaves the last list in place.
  */
 final class EndpointPoller {
     private static final Logger LOG = LoggerFactory.getLogger(EndpointPoller.class);
 
     private static final double POLL_INTERVAL_MS = 400;
-    /** How soon a new lease holder notices that it may poll. */
+    /** How soon a new lease holder starts to poll. */
     private static final double CHECK_INTERVAL_MS = 50;
     /**
-     * The lease is released when polls have failed for this fraction of {@code drain_ms}: as much is left for a
-     * successor to acquire it, which takes a few round trips after a release, and for its first poll.
+     * The lease is released when polls have failed for this fraction of {@code drain_ms}. The remaining half is for a
+     * successor to acquire the lease, which takes a few round trips after a release, and for its first poll.
      */
     private static final double MAX_FAILING_FRACTION_OF_DRAIN = 0.5;
-    /** Where the platform answers nobody, the lease moves on ever more slowly: after 1.5 s, 3 s, up to 24 s. */
+    /**
+     * While the platform responds to no control plane, the lease passes to another one at increasing intervals: after
+     * 1.5 s, 3 s, and so on up to 24 s.
+     */
     private static final double MAX_BACKOFF_FACTOR = 16;
-    /** Long enough for another process to acquire it: at most one lease where all are up. */
+    /**
+     * Time without a candidacy after a release. It is long enough for another process to acquire the lease, which takes
+     * at most one lease duration if all processes are up.
+     */
     private static final double STEP_DOWN_FRACTION_OF_DRAIN = 1;
 
     /**
-     * The stage of a server that was ordered to change it. It replaces the stage in the platform's list, which lags.
+     * The stage of a server that was ordered to change its stage. It takes precedence over the stage in the platform's
+     * list, which is updated with a delay.
      *
-     * @param expiresAt when the platform's list is trusted again, on the loop's clock in milliseconds
+     * @param expiresAt when the platform's list takes precedence again, on the loop's clock in milliseconds
      */
     private record StageOverride(String stage, double expiresAt) {}
 
@@ -57,8 +64,8 @@
     private double backoffFactor = 1;
 
     /**
-     * @param drainMs within which a drained server has to be known to all data planes
-     * @param onPublished takes each list that this process publishes, within the call that publishes it
+     * @param drainMs time within which all data planes must be notified of a draining server
+     * @param onPublished receives each list that this process publishes, within the call that publishes it
      */
     EndpointPoller(
             Scheduler loop,
@@ -78,31 +85,35 @@
     }
 
     /**
-     * The newest list that was published or received here; version {@link EndpointListVersion#NONE} before the first.
+     * The newest list that this process published or received; version {@link EndpointListVersion#NONE} before the
+     * first.
      */
     EndpointList newest() {
         return newest;
     }
 
     /**
-     * Sets the stage of a server in what is published, until the platform's list agrees or for so many milliseconds.
-     * Takes effect with the next list, or with {@link #publishStageOverrides}.
+     * Sets the stage of a server in published lists until the platform's list agrees or {@code validMs} milliseconds
+     * have passed. Takes effect with the next list, or with {@link #publishStageOverrides}.
      */
     void overrideStage(String instanceId, String stage, double validMs) {
         stageOverrides.put(instanceId, new StageOverride(stage, loop.now() + validMs));
     }
 
-    /** Removes all overrides: they belong to a lease that has ended. */
+    /** Removes all overrides because they belong to a lease that has ended. */
     void clearStageOverrides() {
         stageOverrides.clear();
     }
 
-    /** Removes the override of a server whose order was rejected. */
+    /** Removes the override for a server whose order was rejected. */
     void clearStageOverride(String instanceId) {
         stageOverrides.remove(instanceId);
     }
 
-    /** Publishes at once what {@link #overrideStage} changed, if the lease is held under that fencing token. */
+    /**
+     * Publishes the changes made by {@link #overrideStage} immediately, if this process holds the lease under that
+     * fencing token.
+     */
     void publishStageOverrides(long fencingToken) {
         if (newest.version.fencingToken == fencingToken && role.isLeaseHolder(fencingToken)) {
             List<Endpoint> endpoints = withStageOverrides(newest.endpoints);
@@ -122,7 +133,7 @@
         return override == null ? endpoint : endpoint.withStage(override.stage());
     }
 
-    private void dropConfirmedOverrides(List<Endpoint> listed) {
+    private void removeConfirmedOverrides(List<Endpoint> listed) {
         for (Endpoint endpoint : listed) {
             StageOverride override = stageOverrides.get(endpoint.instanceId);
             if (override != null && override.stage().equals(endpoint.stage)) {
@@ -132,9 +143,9 @@
     }
 
     /**
-     * Takes a list that another control plane published.
+     * Receives a list that another control plane published.
      *
-     * @return whether it was newer than the one in place, and replaced it
+     * @return whether it was newer than the current list and replaced it
      */
     boolean receive(EndpointList list) {
         if (list.version.compareTo(newest.version) <= 0) {
@@ -163,8 +174,9 @@
     }
 
     /**
-     * One poll of the platform. Its result counts only while the lease is held under the token that it began under:
-     * after a lapse a successor may have published newer lists, even if the lease was acquired here again since.
+     * One poll of the platform. Its result is published only if this process still holds the lease under the token that
+     * the poll started with. After a lease has expired, a successor may have published newer lists, even if this
+     * process has acquired the lease again since.
      */
     private final class Poll implements PlatformClient.Callback {
         private final long fencingToken;
@@ -183,7 +195,7 @@
             backoffFactor = 1;
             failingSince = loop.now();
             listed.sort(Comparator.comparing(e -> e.instanceId));
-            dropConfirmedOverrides(listed);
+            removeConfirmedOverrides(listed);
             List<Endpoint> endpoints = withStageOverrides(listed);
             boolean firstUnderToken = newest.version.fencingToken != fencingToken;
             if ((firstUnderToken || differsFromNewest(endpoints)) && role.isLeaseHolder(fencingToken)) {
@@ -223,7 +235,10 @@
         return false;
     }
 
-    /** The first list under a token is published even if nothing changed: lists still in flight are older than it. */
+    /**
+     * Publishes the list. The first one under a token is published even if nothing has changed, so that lists still in
+     * flight are older than it.
+     */
     private void publish(List<Endpoint> endpoints, long fencingToken) {
         long revision = newest.version.fencingToken == fencingToken ? newest.version.revision + 1 : 1;
         newest = new EndpointList(new EndpointListVersion(fencingToken, revision), endpoints);
--- a/controlplane/src/main/java/dewplank/controlplane/FleetUpdateSource.java
+++ b/controlplane/src/main/java/dewplank/controlplane/FleetUpdateSource.java
@@ -10,8 +10,9 @@
 import java.util.Optional;
 
 /**
- * Composes the updates of data planes: of configuration, endpoint list and members whatever is newer than the versions
- * that a data plane has. A control plane without a disk sends none, it only names others. On the loop's thread only.
+ * Creates the updates for data planes. An update contains the configuration and the endpoint list if they are newer
+ * than the data plane's versions, and the members if they differ. A control plane without a disk sends no updates, only
+ * the addresses of other control planes. On the loop's thread only.
  */
 final class FleetUpdateSource implements DataPlaneSessions.UpdateSource {
     private final Scheduler loop;
@@ -43,11 +44,11 @@
     @Override
     public Optional<FleetUpdate> newerThan(DataPlaneVersions versions) {
         boolean newerConfiguration = history.version() > versions.configurationVersion();
-        EndpointList servers = poller.newest();
-        boolean newerList = servers.version.compareTo(versions.listVersion()) > 0;
+        EndpointList endpointList = poller.newest();
+        boolean newerList = endpointList.version.compareTo(versions.listVersion()) > 0;
         List<Member> members = table.members(loop.now());
-        boolean otherMembers = SessionTable.digest(members) != versions.membersDigest();
-        if (!durable || !newerConfiguration && !newerList && !otherMembers) {
+        boolean membersDiffer = SessionTable.digest(members) != versions.membersDigest();
+        if (!durable || !newerConfiguration && !newerList && !membersDiffer) {
             return Optional.empty();
         }
         ConfigurationHistory.EncodedUpdate update = newerConfiguration
@@ -57,8 +58,8 @@
                 update.bytes(),
                 newerConfiguration ? history.version() : 0,
                 update.baseVersion(),
-                newerList ? servers : null,
-                otherMembers ? members : null));
+                newerList ? endpointList : null,
+                membersDiffer ? members : null));
     }
 
     @Override
--- a/controlplane/src/main/java/dewplank/controlplane/HttpModelServerClient.java
+++ b/controlplane/src/main/java/dewplank/controlplane/HttpModelServerClient.java
@@ -15,11 +15,14 @@
 import java.util.Map;
 import java.util.function.BooleanSupplier;
 
-/** Requests to model servers over HTTP, on pooled connections. On the loop's thread only. */
+/** Sends requests to model servers over HTTP, on pooled connections. On the loop's thread only. */
 final class HttpModelServerClient implements ModelServerClient {
     private static final double CALL_TIMEOUT_MS = 600;
     private static final double CONNECT_TIMEOUT_MS = 300;
-    /** Whoever else has the address by now answers 421, and neither reports for it nor takes its orders. */
+    /**
+     * Header with the instance that a request is meant for. If another instance has the address by now, it responds
+     * with 421 and neither sends a report nor executes the order.
+     */
     private static final String TARGET_INSTANCE = "X-Dewplank-Target-Instance";
 
     private static final double MAX_IDLE_MS = 5_000;
@@ -46,7 +49,8 @@
                 .header(TARGET_INSTANCE, server.instanceId)
                 .body(body);
         Call call = call(server, message, onlyIf, handler);
-        call.http().exclusive(); // nothing in an answer tells a late one to a report from one to an order
+        // a late response to a report request can't be distinguished from the response to an order
+        call.http().exclusive();
         start(call);
     }
 
@@ -55,7 +59,7 @@
         pools.keySet().retainAll(addresses);
     }
 
-    /** A call that has not begun. */
+    /** A call that has not been started. */
     private record Call(HttpCall http, ResponseCollector response) {}
 
     private Call call(Endpoint server, ByteBuffer message, BooleanSupplier onlyIf, ResponseHandler handler) {
@@ -81,8 +85,8 @@
         }
 
         @Override
-        public boolean head(int answerStatus, Headers headers) {
-            status = answerStatus;
+        public boolean head(int responseStatus, Headers headers) {
+            status = responseStatus;
             return true;
         }
 
--- a/controlplane/src/main/java/dewplank/controlplane/HttpPlatformClient.java
+++ b/controlplane/src/main/java/dewplank/controlplane/HttpPlatformClient.java
@@ -14,15 +14,18 @@
 import java.util.List;
 
 /**
- * Reads the platform's list of servers over HTTP, page by page, within its rate limit. On the loop's thread only; any
- * failure ends the poll.
+ * Fetches the platform's list of servers over HTTP, page by page, within its rate limit. On the loop's thread only; any
+ * failure ends the fetch.
  */
 final class HttpPlatformClient implements PlatformClient {
     private static final double CALL_TIMEOUT_MS = 1_000;
     private static final double CONNECT_TIMEOUT_MS = 500;
     private static final int MAX_PAGES = 1_000;
-    /** Of the rate that the platform allows: for a moment two processes may take themselves for the lease holder. */
-    private static final double OWN_FRACTION_OF_RATE = 0.5;
+    /**
+     * Fraction of the platform's rate limit that this process uses: for a short time, two processes may consider
+     * themselves the lease holder.
+     */
+    private static final double RATE_LIMIT_FRACTION = 0.5;
 
     private static final double SECOND_MS = 1_000;
     private static final int STATUS_OK = 200;
@@ -37,7 +40,7 @@
     HttpPlatformClient(EventLoop loop, InetSocketAddress address, double callsPerSecond) {
         this.loop = loop;
         this.address = address;
-        this.maxCallsPerSecond = (int) Math.max(1, OWN_FRACTION_OF_RATE * callsPerSecond);
+        this.maxCallsPerSecond = (int) Math.max(1, RATE_LIMIT_FRACTION * callsPerSecond);
         this.pool = new ConnectionPool(loop, 0, Double.POSITIVE_INFINITY);
     }
 
@@ -47,11 +50,11 @@
 
     @Override
     public void fetchInstances(Callback callback) {
-        new Reading(callback).page(null);
+        new ListFetch(callback).requestPage(null);
     }
 
-    /** One reading of all pages. */
-    private final class Reading implements HttpCall.Listener {
+    /** One fetch of all pages. */
+    private final class ListFetch implements HttpCall.Listener {
         private final Callback callback;
         private final List<Endpoint> servers = new ArrayList<>();
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
@@ -60,25 +63,25 @@
         private int status;
         private int pages;
 
-        Reading(Callback callback) {
+        ListFetch(Callback callback) {
             this.callback = callback;
         }
 
-        /** Requests the page as soon as the rate limit allows: a rejected page would fail the whole poll. */
-        void page(String token) {
+        /** Requests the page as soon as the rate limit allows it: a rejected request would fail the whole fetch. */
+        void requestPage(String token) {
             double now = loop.now();
             while (!recentCallsAt.isEmpty() && recentCallsAt.peekFirst() <= now - SECOND_MS) {
                 recentCallsAt.removeFirst();
             }
             if (recentCallsAt.size() >= maxCallsPerSecond) {
-                loop.after(recentCallsAt.peekFirst() + SECOND_MS - now, () -> page(token));
+                loop.after(recentCallsAt.peekFirst() + SECOND_MS - now, () -> requestPage(token));
                 return;
             }
             recentCallsAt.addLast(now);
-            call(token);
+            sendRequest(token);
         }
 
-        private void call(String token) {
+        private void sendRequest(String token) {
             calls++;
             pages++;
             body.reset();
@@ -92,14 +95,14 @@
                     this);
             timeout = loop.after(CALL_TIMEOUT_MS, () -> {
                 call.cancel();
-                callback.failed("no answer");
+                callback.failed("no response");
             });
             call.start(CONNECT_TIMEOUT_MS);
         }
 
         @Override
-        public boolean head(int answerStatus, Headers headers) {
-            status = answerStatus;
+        public boolean head(int responseStatus, Headers headers) {
+            status = responseStatus;
             return true;
         }
 
@@ -119,7 +122,7 @@
             try {
                 page = InstancePage.parse(body.toByteArray());
             } catch (UnreadableResponseException e) {
-                callback.failed("an answer that can't be read");
+                callback.failed("unreadable response");
                 return;
             }
             servers.addAll(page.instances());
@@ -128,7 +131,7 @@
             } else if (pages == MAX_PAGES) {
                 callback.failed("more than " + MAX_PAGES + " pages");
             } else {
-                page(page.nextToken().get());
+                requestPage(page.nextToken().get());
             }
         }
 
--- a/controlplane/src/main/java/dewplank/controlplane/InboundLink.java
+++ b/controlplane/src/main/java/dewplank/controlplane/InboundLink.java
@@ -10,8 +10,8 @@
 import java.util.List;
 
 /**
- * A connection that another process has opened. Its first message says whether it is a control plane's link or a data
- * plane's session; a message that does not fit closes the connection. On the loop's thread only.
+ * A connection that another process has opened. Its first message determines whether it is a control plane's link or a
+ * data plane's session. An unexpected message closes the connection. On the loop's thread only.
  */
 final class InboundLink implements MessageLink.Handler {
     private final boolean durable;
@@ -54,7 +54,7 @@
         } else if (message instanceof SessionHeartbeat heartbeat && session != null) {
             session.heartbeat(heartbeat);
         } else if (message instanceof QuotaRequest request && session != null) {
-            quotaTokens.requested(request, connection::send);
+            quotaTokens.onRequest(request, connection::send);
         } else {
             connection.close();
         }
@@ -69,13 +69,14 @@
                     addressesFor(peer),
                     quotaShares.grantFor(peer.member.address, heartbeat)));
         } else if (message instanceof QuotaRequest request) {
-            quotaTokens.requested(request, connection::send);
+            quotaTokens.onRequest(request, connection::send);
         }
         dispatcher.dispatch(peer.member.address, message);
     }
 
     /**
-     * Control planes with a disk learn of each other by heartbeats; an acknowledgement names them to or from a relay.
+     * Addresses to report in an acknowledgement: none if both processes have a disk, because these receive each other's
+     * addresses in heartbeats. An acknowledgement from or to a relay (a control plane without a disk) contains them.
      */
     private List<String> addressesFor(ControlHello other) {
         return durable && other.durable ? List.of() : mesh.liveAddresses();
--- a/controlplane/src/main/java/dewplank/controlplane/InstancePage.java
+++ b/controlplane/src/main/java/dewplank/controlplane/InstancePage.java
@@ -12,10 +12,10 @@
 /**
  * One page of the platform's list: the body of {@code GET /instances}.
  *
- * @param nextToken names the next page; empty on the last one
+ * @param nextToken token of the next page; empty on the last page
  */
 record InstancePage(List<Endpoint> instances, Optional<String> nextToken) {
-    /** Reads a page; an instance without its names, address or zone makes the page unreadable. */
+    /** Parses a page; an instance without its id, service, address or zone makes the page unreadable. */
     static InstancePage parse(byte[] body) throws UnreadableResponseException {
         try {
             Any page = JsonIterator.deserialize(body);
@@ -30,7 +30,7 @@
             return new InstancePage(
                     instances,
                     token.valueType() == ValueType.STRING ? Optional.of(token.toString()) : Optional.empty());
-        } catch (JsonException | ArrayIndexOutOfBoundsException e) { // the latter: jsoniter on a text that breaks off
+        } catch (JsonException | ArrayIndexOutOfBoundsException e) { // the latter: jsoniter on truncated text
             throw new UnreadableResponseException(e);
         }
     }
--- a/controlplane/src/main/java/dewplank/controlplane/ModelServerClient.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ModelServerClient.java
@@ -4,9 +4,9 @@
 import java.util.Collection;
 import java.util.function.BooleanSupplier;
 
-/** Requests to model servers' own interface. Called by {@link StageController}, on the loop's thread only. */
+/** Sends requests to the interface of model servers. Called by {@link StageController}, on the loop's thread only. */
 interface ModelServerClient {
-    /** Takes a response that arrived in full, on the loop's thread; a call that failed is not reported. */
+    /** Receives a complete response, on the loop's thread. Failed calls are not reported. */
     interface ResponseHandler {
         void responded(int status, byte[] body);
     }
@@ -14,17 +14,17 @@
     /**
      * Requests a server's report of its state.
      *
-     * @param onlyIf checked immediately before the request is written; nothing is sent where it is false
+     * @param onlyIf checked immediately before the request is written; if false, nothing is sent
      */
     void requestReport(Endpoint server, BooleanSupplier onlyIf, ResponseHandler handler);
 
     /**
-     * Sends an order.
+     * Sends an order to a server.
      *
-     * @param onlyIf checked immediately before the request is written; nothing is sent where it is false
+     * @param onlyIf checked immediately before the request is written; if false, nothing is sent
      */
     void sendOrder(Endpoint server, byte[] body, BooleanSupplier onlyIf, ResponseHandler handler);
 
-    /** Drops the connections to all servers at other addresses than these. */
+    /** Discards the connections to all addresses other than these. */
     void retainOnly(Collection<String> addresses);
 }
--- a/controlplane/src/main/java/dewplank/controlplane/ModelServerReport.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ModelServerReport.java
@@ -7,13 +7,13 @@
 import dewplank.routing.StagePlanner;
 
 /**
- * What a model server reported of itself: the body of {@code GET /report}.
+ * The state that a model server reported: the body of {@code GET /report}.
  *
- * @param engine the server as the planner sees it
+ * @param engine the reported state, as input of the planner
  * @param receivedAt when the report arrived, on the loop's clock in milliseconds
  */
 record ModelServerReport(StagePlanner.ModelServer engine, double receivedAt) {
-    /** Reads a report of that server; a field that is missing is an error. */
+    /** Parses a report of that server; a missing field is an error. */
     static ModelServerReport parse(Endpoint server, byte[] body, double receivedAt) throws UnreadableResponseException {
         try {
             Any report = JsonIterator.deserialize(body);
@@ -28,7 +28,7 @@
                     report.toLong("kv_used"),
                     report.toLong("kv_capacity"));
             return new ModelServerReport(engine, receivedAt);
-        } catch (JsonException | ArrayIndexOutOfBoundsException e) { // the latter: jsoniter on a text that breaks off
+        } catch (JsonException | ArrayIndexOutOfBoundsException e) { // the latter: jsoniter on truncated text
             throw new UnreadableResponseException(e);
         }
     }
--- a/controlplane/src/main/java/dewplank/controlplane/PeerLink.java
+++ b/controlplane/src/main/java/dewplank/controlplane/PeerLink.java
@@ -13,30 +13,30 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The outgoing link to one other control plane: connects, reconnects, and ends a connection whose heartbeats are not
+ * The outgoing link to one other control plane: connects, reconnects, and closes a connection whose heartbeats are not
  * acknowledged.
  *
- * <p>{@link ControlMesh} owns it and calls it on the loop's thread only. Nothing here throws: a connection that fails
- * is replaced at a later heartbeat.
+ * <p>{@link ControlMesh} owns it and calls it on the loop's thread only. No method throws: a failed connection is
+ * replaced at a later heartbeat.
  */
 final class PeerLink implements MessageLink.Handler {
     private static final Logger LOG = LoggerFactory.getLogger(PeerLink.class);
 
-    /** A link without an acknowledgement for so long counts as dead: four heartbeats. */
+    /** A connection without an acknowledgement for this time, four heartbeat intervals, is considered dead. */
     private static final double HEARTBEAT_TIMEOUT_MS = 1_200;
 
     private static final double CONNECT_TIMEOUT_MS = 700;
     private static final double RECONNECT_BACKOFF_MS = 250;
 
-    /** Takes what the link finds out. */
+    /** Receives the link's events. */
     interface Listener {
-        /** A connection is up and has said hello. */
+        /** A connection is open, and the hello was sent on it. */
         void linkUp(String address);
 
         /** The peer replied to a request, or acknowledged a heartbeat. */
         void received(String address, Object message);
 
-        /** The peer named control planes that it knows. */
+        /** The peer reported addresses of control planes. */
         void addressesReported(List<String> addresses);
     }
 
@@ -71,12 +71,12 @@
         return connection != null && connection.isOpen();
     }
 
-    /** When it was last up, or when it was created, on the loop's clock in milliseconds. */
+    /** When the link was last up, or when it was created, on the loop's clock in milliseconds. */
     double lastUpAt() {
         return lastUpAt;
     }
 
-    /** Whether the peer reported since then that it reaches a quorum. */
+    /** Whether the peer has reported since then that it reaches a quorum. */
     boolean hasReportedQuorumSince(double since) {
         return quorumReportedAt >= since;
     }
@@ -85,7 +85,7 @@
         connection = transport.open(socketAddress, CONNECT_TIMEOUT_MS, this);
     }
 
-    /** Ends the link for good. */
+    /** Removes the link: closes its connection, even one that is still being opened. */
     void remove() {
         removed = true;
         if (connection != null) {
@@ -93,26 +93,26 @@
         }
     }
 
-    /** The peer has connected from its side, so it lives: no backoff before the next attempt. */
+    /** The peer has connected to this process, so it is running: skips the backoff before the next attempt. */
     void skipBackoff() {
         if (connection == null) {
             reconnectAt = loop.now();
         }
     }
 
-    /** The event loop stood still for so long: acknowledgements could not be read meanwhile. */
+    /** The event loop stalled for this time and could not read acknowledgements, so the timeout is extended by it. */
     void extendTimeout(double stalledMs) {
         lastAckAt += stalledMs;
     }
 
-    /** Sends a message; it is dropped where the link is down. */
+    /** Sends a message; it is dropped if the link is down. */
     void send(Object message) {
         if (isUp()) {
             connection.send(message);
         }
     }
 
-    /** One interval has passed: connects, sends the heartbeat, or ends a connection that has timed out. */
+    /** Called once per interval: connects, sends the heartbeat, or closes a connection that has timed out. */
     void sendHeartbeat(ControlHeartbeat heartbeat) {
         if (connection == null) {
             if (loop.now() >= reconnectAt) {
--- a/controlplane/src/main/java/dewplank/controlplane/PeerMessageDispatcher.java
+++ b/controlplane/src/main/java/dewplank/controlplane/PeerMessageDispatcher.java
@@ -11,11 +11,11 @@
 import dewplank.singleton.VoteRequest;
 
 /**
- * Hands each message of a control plane to the part that it is meant for: register, sessions, endpoint list, election,
- * quotas.
+ * Passes each message from a control plane to the component that handles it: register, sessions, endpoint list,
+ * election or quotas.
  *
- * <p>Called for messages of peers and for those that this process sends to itself, on the loop's thread only. A message
- * of any other type is ignored.
+ * <p>Called for messages from peers and for those that this process sends to itself, on the loop's thread only. A
+ * message of any other type is ignored.
  */
 final class PeerMessageDispatcher {
     private final Scheduler loop;
@@ -72,7 +72,7 @@
         } else if (message instanceof HeartbeatAck ack) {
             quotaShares.onAcknowledged(ack);
         } else if (message instanceof QuotaReply reply) {
-            quotaTokens.replied(reply);
+            quotaTokens.onReply(reply);
         }
     }
 
--- a/controlplane/src/main/java/dewplank/controlplane/PendingStageOrders.java
+++ b/controlplane/src/main/java/dewplank/controlplane/PendingStageOrders.java
@@ -6,22 +6,22 @@
 import java.util.Map;
 
 /**
- * Orders that were sent under the present lease and that no report has confirmed yet. Held by {@link StageController},
+ * Stage orders that belong to the current lease and that no report has confirmed yet. Used by {@link StageController},
  * on the loop's thread only.
  */
 final class PendingStageOrders {
-    /** An order that no report has confirmed by then was not taken, or its server is gone. */
+    /** If no report confirms an order within this time, the server did not execute it or no longer exists. */
     static final double ORDER_TIMEOUT_MS = 10_000;
 
-    /** What a report says of an order. */
+    /** The progress of an order according to a report. */
     enum Progress {
-        /** There is no order to this server. */
+        /** No order to this server is pending. */
         NONE,
         /** The order is not confirmed yet. */
         PENDING,
-        /** The report shows the stage that was ordered; the order is over. */
+        /** The report shows the stage that was ordered; the order is removed. */
         CONFIRMED,
-        /** Nothing has confirmed the order in time; it is over. */
+        /** No report has confirmed the order in time; the order is removed. */
         TIMED_OUT
     }
 
@@ -38,7 +38,7 @@
         return orders.containsKey(instanceId);
     }
 
-    /** Whether the pending order to that server is one to prefill; there has to be one. */
+    /** Whether the pending order to that server changes its stage to prefill; requires a pending order. */
     boolean isToPrefill(String instanceId) {
         return orders.get(instanceId).toPrefill();
     }
@@ -47,7 +47,7 @@
         orders.remove(instanceId);
     }
 
-    /** Forgets the orders to all other servers: they are gone. */
+    /** Removes the orders to all other servers, which are no longer available. */
     void retainOnly(Collection<String> instanceIds) {
         orders.keySet().retainAll(instanceIds);
     }
@@ -56,7 +56,7 @@
         orders.clear();
     }
 
-    /** Compares a server's last report with the order to it, and removes an order that is over. */
+    /** Compares a server's last report with the order to it; removes an order that is confirmed or has timed out. */
     Progress update(ModelServerReport report, double now) {
         StagePlanner.ModelServer engine = report.engine();
         String instanceId = engine.instanceId();
--- a/controlplane/src/main/java/dewplank/controlplane/PlatformClient.java
+++ b/controlplane/src/main/java/dewplank/controlplane/PlatformClient.java
@@ -3,17 +3,17 @@
 import dewplank.message.Endpoint;
 import java.util.List;
 
-/** The platform, which knows what model servers there are. Called by {@link EndpointPoller}, on the loop's thread. */
+/** Client of the platform, which lists the model servers. Called by {@link EndpointPoller}, on the loop's thread. */
 interface PlatformClient {
-    /** How one reading of the list ended; exactly one of the two is called, on the loop's thread. */
+    /** Receives the result of one fetch; exactly one of the two methods is called, on the loop's thread. */
     interface Callback {
-        /** The list was read; {@code instances} are all of them, in a list that the receiver may change. */
+        /** The fetch succeeded; {@code instances} is the complete list, which the receiver may modify. */
         void completed(List<Endpoint> instances);
 
-        /** The list could not be read; {@code reason} is a few words for the log. */
+        /** The fetch failed; {@code reason} is a short description for the log. */
         void failed(String reason);
     }
 
-    /** Reads the whole list. The caller waits for the end of one reading before it begins the next. */
+    /** Fetches the complete list. The caller waits for the result of one fetch before it starts the next. */
     void fetchInstances(Callback callback);
 }
--- a/controlplane/src/main/java/dewplank/controlplane/QuotaShares.java
+++ b/controlplane/src/main/java/dewplank/controlplane/QuotaShares.java
@@ -17,22 +17,25 @@
 
 /**
  * This control plane's share of all tenants' quotas, and the assignment of shares while it holds the lease of the role
- * {@code list}. Shares are asked for by the heartbeats between control planes and granted by their acknowledgements
- * ({@code docs/design-quotas.md}). On the loop's thread only.
+ * {@code list}. Control planes report and request shares in their heartbeats; the lease holder grants them in the
+ * acknowledgements ({@code docs/design-quotas.md}). On the loop's thread only.
  */
 final class QuotaShares {
     private static final Logger LOG = LoggerFactory.getLogger(QuotaShares.class);
 
-    /** More heartbeats than a share lasts for: an acknowledgement that comes later counts for nothing. */
-    private static final int MAX_HEARTBEATS = 16;
+    /**
+     * More heartbeats than are sent during a share's lease. An acknowledgement of an older heartbeat has no effect
+     * because its grant would have expired.
+     */
+    private static final int MAX_SENT_HEARTBEATS = 16;
 
-    /** Takes the share of this process whenever a grant was applied. On the loop's thread. */
+    /** Receives this process's share after each grant that is applied. On the loop's thread. */
     interface Listener {
         /**
-         * This process holds that share from now on.
+         * This process holds the given share from now on.
          *
-         * @param fraction from 0 to 1
-         * @param endsAtMs when it ends unless it is renewed, by the loop's clock
+         * @param fraction of all quotas, from 0 to 1
+         * @param endsAtMs when the share expires unless it is renewed, on the loop's clock
          */
         void shareHeld(double nowMs, double fraction, double endsAtMs);
     }
@@ -44,14 +47,14 @@
     private final SingletonRole role;
     private final Listener listener;
     private final ShareAssigner assigner = new ShareAssigner();
-    private final HeldShare held = new HeldShare();
-    private final Deque<SentHeartbeat> sent = new ArrayDeque<>();
-    /** Of the lease under which the assigner began; 0 while it is not assigning. */
-    private long assigningUnder;
+    private final HeldShare heldShare = new HeldShare();
+    private final Deque<SentHeartbeat> sentHeartbeats = new ArrayDeque<>();
+    /** Fencing token of the lease under which the assigner began; 0 while it is not assigning. */
+    private long assigningToken;
 
     private double loggedFraction;
 
-    /** @param address where this process listens to the others, as IP:PORT */
+    /** @param address where this process accepts links of other control planes, as IP:PORT */
     QuotaShares(Scheduler loop, String address, SingletonRole role, Listener listener) {
         this.loop = loop;
         this.address = address;
@@ -59,30 +62,33 @@
         this.listener = listener;
     }
 
-    /** A heartbeat is about to be sent to all peers; what it reports. The lease holder grants its own share by it. */
+    /**
+     * Returns the share report for a heartbeat that is about to be sent to all peers. The lease holder grants its own
+     * share with this call.
+     */
     QuotaShareReport beginHeartbeat(long sequence) {
         double now = loop.now();
-        ShareReport report = held.report(now);
+        ShareReport report = heldShare.report(now);
         assign(address, report).ifPresent(grant -> apply(now, grant));
-        sent.addLast(new SentHeartbeat(sequence, now));
-        if (sent.size() > MAX_HEARTBEATS) {
-            sent.removeFirst();
+        sentHeartbeats.addLast(new SentHeartbeat(sequence, now));
+        if (sentHeartbeats.size() > MAX_SENT_HEARTBEATS) {
+            sentHeartbeats.removeFirst();
         }
         return new QuotaShareReport(report.fraction(), report.fencingToken(), report.number());
     }
 
     private void apply(double sentAtMs, ShareGrant grant) {
         double now = loop.now();
-        held.onGrant(now, sentAtMs, grant);
-        double fraction = held.fraction(now);
-        listener.shareHeld(now, fraction, held.endsAtMs());
+        heldShare.onGrant(now, sentAtMs, grant);
+        double fraction = heldShare.fraction(now);
+        listener.shareHeld(now, fraction, heldShare.endsAtMs());
         if (fraction != loggedFraction) {
             loggedFraction = fraction;
             LOG.info("quota share fraction={}", fraction);
         }
     }
 
-    /** The grant for a peer's heartbeat; null where this process assigns no shares, or the peer reports none. */
+    /** The grant for a peer's heartbeat; null if this process does not assign shares or the peer reports none. */
     QuotaShareGrant grantFor(String peer, ControlHeartbeat heartbeat) {
         QuotaShareReport reported = heartbeat.quotaShare;
         if (reported == null) {
@@ -95,31 +101,31 @@
                 .orElse(null);
     }
 
-    private Optional<ShareGrant> assign(String user, ShareReport report) {
-        double now = loop.now(); // before the check: the grant counts from no later than when the role was held
+    private Optional<ShareGrant> assign(String senderAddress, ShareReport report) {
+        double now = loop.now(); // before the check, so that a grant never starts after it
         updateRole();
-        return assigningUnder == 0 ? Optional.empty() : assigner.onReport(now, user, report);
+        return assigningToken == 0 ? Optional.empty() : assigner.onReport(now, senderAddress, report);
     }
 
     private void updateRole() {
-        if (assigningUnder != 0 && !role.isLeaseHolder(assigningUnder)) {
-            assigningUnder = 0;
+        if (assigningToken != 0 && !role.isLeaseHolder(assigningToken)) {
+            assigningToken = 0;
             assigner.end();
         }
-        if (assigningUnder == 0 && role.isLeaseHolder()) {
-            assigningUnder = role.fencingToken();
-            assigner.begin(loop.now(), assigningUnder);
+        if (assigningToken == 0 && role.isLeaseHolder()) {
+            assigningToken = role.fencingToken();
+            assigner.begin(loop.now(), assigningToken);
         }
     }
 
-    /** A peer has acknowledged a heartbeat of this process. */
+    /** A peer has acknowledged a heartbeat of this process: applies the grant in the acknowledgement. */
     void onAcknowledged(HeartbeatAck ack) {
         if (ack.quotaShare == null) {
             return;
         }
         QuotaShareGrant granted = ack.quotaShare;
         ShareGrant grant = new ShareGrant(granted.fraction, granted.fencingToken, granted.number, granted.renewalOnly);
-        for (SentHeartbeat heartbeat : sent) {
+        for (SentHeartbeat heartbeat : sentHeartbeats) {
             if (heartbeat.sequence() == ack.sequence) {
                 apply(heartbeat.sentAtMs(), grant);
             }
--- a/controlplane/src/main/java/dewplank/controlplane/QuotaTokens.java
+++ b/controlplane/src/main/java/dewplank/controlplane/QuotaTokens.java
@@ -21,14 +21,17 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Grants tokens of tenants' quotas out of this control plane's share, and where that is used up out of the others',
- * which are asked one after the other ({@code docs/design-quotas.md}). On the loop's thread only; each request is
- * replied to once.
+ * Grants tokens of tenants' quotas from this control plane's share. If that is exhausted, forwards the request to the
+ * other control planes, one after the other ({@code docs/design-quotas.md}). On the loop's thread only; each request
+ * receives exactly one reply.
  */
 final class QuotaTokens {
-    /** A peer is in another zone at most and replies at once; one that has not by then is skipped. */
+    /** A peer is at most in another zone and replies immediately, so one without a reply by then is skipped. */
     private static final double PEER_TIMEOUT_MS = 50;
-    /** Requests for which peers are asked at the moment; beyond, a request is replied to from here alone. */
+    /**
+     * Maximum number of requests that are forwarded to peers at a time. The reply to further requests depends on this
+     * process's share only.
+     */
     private static final int MAX_FORWARDED = 1_024;
 
     private static final double MIN_RETRY_AFTER_MS = 50;
@@ -36,7 +39,7 @@
 
     /** The other control planes. */
     interface Peers {
-        /** Addresses of those that can be asked now. */
+        /** Addresses of the control planes that can be queried now. */
         List<String> addresses();
 
         void send(String address, QuotaRequest request);
@@ -47,13 +50,13 @@
     private final Peers peers;
     private final RandomGenerator random;
     private final Map<Long, ForwardedRequest> forwarded = new HashMap<>();
-    /** Until when all control planes together have no token of a tenant, by its name. */
+    /** The time until which no control plane has a token of a tenant, by the tenant's name. */
     private final Map<String, Double> exhaustedUntil = new HashMap<>();
 
     private long lastId;
 
     /**
-     * @param random draws the order in which peers are asked
+     * @param random determines the order in which peers are queried
      */
     QuotaTokens(Scheduler loop, QuotaTerms terms, Peers peers, RandomGenerator random) {
         this.loop = loop;
@@ -62,7 +65,7 @@
         this.random = random;
     }
 
-    /** A newer configuration has been chosen: its limits are in force here from now on. */
+    /** A newer configuration has been chosen: applies its limits. */
     void configurationChosen(Configuration configuration) {
         List<TenantLimit> limits = new ArrayList<>();
         for (Tenant tenant : configuration.tenants()) {
@@ -72,13 +75,13 @@
         exhaustedUntil.clear();
     }
 
-    /** This process holds that share of all quotas until then. */
+    /** This process holds the given share of all quotas until {@code endsAtMs}. */
     void shareHeld(double nowMs, double fraction, double endsAtMs) {
         buckets.updateShare(nowMs, fraction, endsAtMs);
     }
 
-    /** A data plane or a peer asks for tokens. */
-    void requested(QuotaRequest request, Consumer<QuotaReply> replyTo) {
+    /** A data plane or a peer requests tokens. */
+    void onRequest(QuotaRequest request, Consumer<QuotaReply> replyTo) {
         double now = loop.now();
         TakeResult taken = buckets.take(now, request.tenant, request.tokens);
         if (taken instanceof TakeResult.Granted granted) {
@@ -94,79 +97,85 @@
         }
     }
 
-    private void onExhausted(QuotaRequest request, double untilNextMs, Consumer<QuotaReply> replyTo) {
+    private void onExhausted(QuotaRequest request, double nextTokenAfterMs, Consumer<QuotaReply> replyTo) {
         double now = loop.now();
-        double otherwiseMs = exhaustedUntil.getOrDefault(request.tenant, now) - now;
+        double fleetExhaustedMs = exhaustedUntil.getOrDefault(request.tenant, now) - now;
         if (request.forwarded) {
-            replyTo.accept(exhausted(request, untilNextMs));
-        } else if (otherwiseMs > 0) {
-            replyTo.accept(exhausted(request, otherwiseMs));
+            replyTo.accept(exhaustedOrUnavailable(request, nextTokenAfterMs));
+        } else if (fleetExhaustedMs > 0) {
+            replyTo.accept(exhaustedOrUnavailable(request, fleetExhaustedMs));
         } else if (forwarded.size() >= MAX_FORWARDED) {
-            replyTo.accept(exhausted(request, untilNextMs));
+            replyTo.accept(exhaustedOrUnavailable(request, nextTokenAfterMs));
         } else {
-            new ForwardedRequest(request, untilNextMs, replyTo).askNext();
+            new ForwardedRequest(request, nextTokenAfterMs, replyTo).queryNextPeer();
         }
     }
 
-    /** Infinity, as of a bucket without a share, says that this process cannot tell. */
-    private static QuotaReply exhausted(QuotaRequest request, double untilNextMs) {
-        if (untilNextMs == Double.POSITIVE_INFINITY) {
+    /**
+     * Replies unavailable if the time is infinite, as without a share: this process can't determine when the next token
+     * will be available.
+     */
+    private static QuotaReply exhaustedOrUnavailable(QuotaRequest request, double nextTokenAfterMs) {
+        if (nextTokenAfterMs == Double.POSITIVE_INFINITY) {
             return QuotaReply.unavailable(request.id);
         }
-        double retryAfterMs = Math.max(MIN_RETRY_AFTER_MS, Math.min(MAX_RETRY_AFTER_MS, untilNextMs));
+        double retryAfterMs = Math.max(MIN_RETRY_AFTER_MS, Math.min(MAX_RETRY_AFTER_MS, nextTokenAfterMs));
         return QuotaReply.exhausted(request.id, retryAfterMs);
     }
 
-    /** A peer has replied; a reply that comes too late is ignored, and its tokens lapse. */
-    void replied(QuotaReply reply) {
+    /** A peer has replied; a reply after the timeout is ignored, and the tokens that it grants are lost. */
+    void onReply(QuotaReply reply) {
         ForwardedRequest request = forwarded.get(reply.id);
         if (request != null) {
-            request.replied(reply);
+            request.onReply(reply);
         }
     }
 
-    /** A data plane's request for which the peers are asked, one after the other in random order. */
+    /** A data plane's request that is forwarded to the peers, one after the other in random order. */
     private final class ForwardedRequest {
         private final QuotaRequest request;
         private final Consumer<QuotaReply> replyTo;
-        private final Deque<String> unasked;
-        /** Infinity while no control plane with a share was met. */
-        private double untilNextMs;
+        private final Deque<String> remainingPeers;
+        /**
+         * Shortest time until a control plane's next token, of those queried so far; infinity as long as none of them
+         * has a share.
+         */
+        private double nextTokenAfterMs;
 
         private long id;
         private Scheduler.Timer timeout = () -> {};
 
-        ForwardedRequest(QuotaRequest request, double untilNextMs, Consumer<QuotaReply> replyTo) {
+        ForwardedRequest(QuotaRequest request, double nextTokenAfterMs, Consumer<QuotaReply> replyTo) {
             this.request = request;
-            this.untilNextMs = untilNextMs;
+            this.nextTokenAfterMs = nextTokenAfterMs;
             this.replyTo = replyTo;
             List<String> order = new ArrayList<>(peers.addresses());
             Collections.shuffle(order, new Random(random.nextLong()));
-            this.unasked = new ArrayDeque<>(order);
+            this.remainingPeers = new ArrayDeque<>(order);
         }
 
-        void askNext() {
+        void queryNextPeer() {
             forwarded.remove(id);
             timeout.cancel();
-            if (unasked.isEmpty()) {
-                end();
+            if (remainingPeers.isEmpty()) {
+                complete();
                 return;
             }
             id = ++lastId;
             forwarded.put(id, this);
-            timeout = loop.after(PEER_TIMEOUT_MS, this::askNext);
-            peers.send(unasked.remove(), new QuotaRequest(id, request.tenant, request.tokens, true));
+            timeout = loop.after(PEER_TIMEOUT_MS, this::queryNextPeer);
+            peers.send(remainingPeers.remove(), new QuotaRequest(id, request.tenant, request.tokens, true));
         }
 
-        private void end() {
-            QuotaReply reply = exhausted(request, untilNextMs);
+        private void complete() {
+            QuotaReply reply = exhaustedOrUnavailable(request, nextTokenAfterMs);
             if (reply.outcome == QuotaReply.Outcome.EXHAUSTED) {
                 exhaustedUntil.put(request.tenant, loop.now() + reply.retryAfterMs);
             }
             replyTo.accept(reply);
         }
 
-        void replied(QuotaReply reply) {
+        void onReply(QuotaReply reply) {
             switch (reply.outcome) {
                 case GRANTED -> {
                     forwarded.remove(id);
@@ -174,10 +183,10 @@
                     replyTo.accept(QuotaReply.granted(request.id, reply.tokens));
                 }
                 case EXHAUSTED -> {
-                    untilNextMs = Math.min(untilNextMs, reply.retryAfterMs);
-                    askNext();
+                    nextTokenAfterMs = Math.min(nextTokenAfterMs, reply.retryAfterMs);
+                    queryNextPeer();
                 }
-                default -> askNext();
+                default -> queryNextPeer();
             }
         }
     }
--- a/controlplane/src/main/java/dewplank/controlplane/ServiceSnapshot.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ServiceSnapshot.java
@@ -4,24 +4,24 @@
 import java.util.List;
 
 /**
- * The model servers of one service as their reports and the pending orders show them, and which changes of stage may be
- * ordered on that ground. Pure: {@link StageController} takes it at each check and acts on it.
+ * The state of one service's model servers according to their reports and the pending orders, and the stage changes
+ * that may be ordered based on it. Pure: {@link StageController} creates a snapshot at each check and acts on it.
  *
- * @param engines servers with a valid report; one with a pending order has the stage that it will have
- * @param serverCount all servers of the service that have a stage
- * @param unknownOrderInProgress whether a server changes its stage without an order from this process: a former lease
- *     holder ordered it, to a stage that is not known here
+ * @param engines servers with a valid report; one with a pending order has the stage that was ordered
+ * @param serverCount the number of servers of the service that have a stage
+ * @param unknownOrderInProgress whether a server is changing its stage without an order from this process: a former
+ *     lease holder sent the order, and the stage ordered is unknown to this process
  */
 record ServiceSnapshot(List<StagePlanner.ModelServer> engines, int serverCount, boolean unknownOrderInProgress) {
-    /** Below this fraction of servers with a report, nothing can be said of the zones of the others. */
+    /** If a smaller fraction of the servers has reported, the state of the zones of the others is unknown. */
     private static final double MIN_REPORTED_FRACTION = 0.8;
 
-    /** A change takes a second or two to show in reports. */
+    /** A stage change takes one to two seconds to appear in reports. */
     private static final double ORDER_INTERVAL_MS = 2_500;
-    /** While no request is queued or active, a change disturbs nobody. */
+    /** While no request is queued or active, a stage change affects no requests. */
     private static final double IDLE_ORDER_INTERVAL_MS = 300;
 
-    /** Whether enough is known of the service to order a change. */
+    /** Whether enough servers have reported, and no unknown order is in progress. */
     boolean allowsOrders() {
         return engines.size() >= MIN_REPORTED_FRACTION * serverCount && !unknownOrderInProgress;
     }
@@ -31,13 +31,13 @@
         return engines.stream().allMatch(e -> e.queuedRequests() + e.activeRequests() == 0);
     }
 
-    /** The least time between two orders to the service, in milliseconds. */
+    /** The minimum time between two orders to the service, in milliseconds. */
     double orderIntervalMs() {
         return isIdle() ? IDLE_ORDER_INTERVAL_MS : ORDER_INTERVAL_MS;
     }
 
     /**
-     * The changes to order now.
+     * The stage changes to order now.
      *
      * @param severalAtOnce whether more than one server of the service may change at a time
      */
@@ -46,7 +46,7 @@
         if (severalAtOnce) {
             return changes;
         }
-        boolean waitsForAnother = engines.stream().anyMatch(StagePlanner.ModelServer::isChanging);
-        return changes.stream().limit(waitsForAnother ? 0 : 1).toList();
+        boolean changeInProgress = engines.stream().anyMatch(StagePlanner.ModelServer::isChanging);
+        return changes.stream().limit(changeInProgress ? 0 : 1).toList();
     }
 }
--- a/controlplane/src/main/java/dewplank/controlplane/SingletonRole.java
+++ b/controlplane/src/main/java/dewplank/controlplane/SingletonRole.java
@@ -10,18 +10,21 @@
     /** Whether this process holds the lease now. */
     boolean isLeaseHolder();
 
-    /** The token of the lease that was acquired here last; tokens grow from lease to lease over the whole fleet. */
+    /** The token of the lease that this process acquired last; tokens increase with each lease across the fleet. */
     long fencingToken();
 
-    /** Whether the lease was held without a break since it was acquired under this token. Checked before each act. */
+    /**
+     * Whether this process has held the lease without interruption since it acquired it under this token. Checked
+     * before each action.
+     */
     default boolean isLeaseHolder(long fencingToken) {
         return isLeaseHolder() && fencingToken() == fencingToken;
     }
 
     /**
-     * Releases the lease, so that another process may do what this one can't.
+     * Releases the lease so that another process can acquire it and do the work that this process can't do.
      *
-     * @param minimumMs no candidacy here for at least so many milliseconds
+     * @param minimumMs the minimum time before this process becomes a candidate again, in milliseconds
      */
     default void stepDown(double minimumMs) {}
 }
--- a/controlplane/src/main/java/dewplank/controlplane/SingletonRoles.java
+++ b/controlplane/src/main/java/dewplank/controlplane/SingletonRoles.java
@@ -14,31 +14,31 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * This control plane's votes and its candidacy for the fleet's singleton roles. The voters are the register's
+ * This control plane's votes and candidacy for the fleet's singleton roles. The voters are the register's
  * acceptors.
  *
- * <p>Drives {@link LeaseVoter} and {@link Candidate} with messages, time and the disk, on the loop's thread only. A
- * token that can't be saved costs the vote, nothing else.
+ * <p>Drives {@link LeaseVoter} and {@link Candidate} with messages, time and the disk, on the loop's thread only. If
+ * a token can't be saved, the vote is not granted; nothing else is affected.
  */
 final class SingletonRoles {
     private static final Logger LOG = LoggerFactory.getLogger(SingletonRoles.class);
     private static final double TICK_INTERVAL_MS = 20;
     private static final String ENDPOINT_LIST_ROLE = "list";
 
-    /** Sends to a control plane; a message to this process itself arrives in a later task. */
+    /** Sends messages to control planes; a message to this process itself arrives in a later task. */
     interface MessageSender {
         void send(String address, Object message);
     }
 
-    /** The sets of acceptors as this control plane knows them. */
+    /** The acceptor sets that are known to this control plane. */
     interface Voters {
         /** The newest set known to be chosen. */
         AcceptorSet acceptors();
 
-        /** Volatile acceptors that are known to have ended. */
+        /** Volatile acceptors whose processes are known to have terminated. */
         Set<AcceptorId> endedAcceptors();
 
-        /** The generation of the set accepted here last, whether or not it is chosen. */
+        /** The generation of the set that this process accepted last, whether or not it is chosen. */
         long acceptedGeneration();
     }
 
@@ -82,29 +82,32 @@
         loop.after(TICK_INTERVAL_MS, this::tick);
     }
 
-    /** Called before each vote: an acceptance leaves this process only after it was stored, so it is counted here. */
+    /**
+     * Called before each vote. An acceptance is stored before it leaves this process, so the generation that is read
+     * here includes it.
+     */
     private void updateVoters() {
         voter.updateVoterSet(loop.now(), voters.acceptors().generation(), voters.acceptedGeneration());
         candidate.updateVoterSet(loop.now(), voters.acceptors(), voters.endedAcceptors());
     }
 
-    /** A candidate requests a vote; it may be this process's own. */
+    /** A candidate requests a vote; the candidate may belong to this process. */
     void voteRequested(String from, VoteRequest request) {
         updateVoters();
         voter.onVoteRequest(loop.now(), request, new VoterActions(from));
     }
 
-    /** A voter has answered this process's candidate. */
+    /** A voter has replied to this process's candidate. */
     void voteReplied(VoteReply reply) {
         candidate.onVoteReply(loop.now(), reply, new CandidateActions());
     }
 
-    /** The process drains: the lease is released, and no candidacy follows. */
+    /** The process is draining: releases the lease and does not become a candidate again. */
     void releaseAll() {
         candidate.shutDown(loop.now(), new CandidateActions());
     }
 
-    /** The role of polling the platform, ordering stages, and changing the acceptors. */
+    /** The role whose lease holder polls the platform, orders stage changes and changes the acceptors. */
     SingletonRole endpointList() {
         return new SingletonRole() {
             @Override
--- a/controlplane/src/main/java/dewplank/controlplane/StageController.java
+++ b/controlplane/src/main/java/dewplank/controlplane/StageController.java
@@ -15,32 +15,33 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Orders model servers to change their stage (prefill or decode) to what {@link StagePlanner} computes from their
- * reports.
+ * Orders model servers to change their stage (prefill or decode) to the one that {@link StagePlanner} computes from
+ * their reports.
  *
  * <p>Only the lease holder polls reports and sends orders. For each service it reads the reports ({@link #snapshot}),
- * decides ({@link ServiceSnapshot}), limits the rate of orders, announces a change to data planes, and then sends it. A
- * new lease holder waits until no order of its predecessor can arrive any more. On the loop's thread only; a call that
- * fails is followed by a new report before the next order.
+ * decides ({@link ServiceSnapshot}), limits the rate of orders, announces a change to data planes, and then sends the
+ * order. A new lease holder waits until no order of its predecessor can arrive any more. On the loop's thread only;
+ * after a failed call, the next order requires a new report.
  */
 final class StageController {
     private static final Logger LOG = LoggerFactory.getLogger(StageController.class);
 
     private static final double CHECK_INTERVAL_MS = 250;
     private static final double POLL_INTERVAL_MS = 1_200;
-    /** Reports are priced and cost time, so a larger fleet is polled in turns. */
+    /** Report requests are charged and take time, so the servers of a larger fleet are polled in rotation. */
     private static final int MAX_REPORTS_PER_POLL = 32;
-    /** Two polls may fail before a report is too old to decide on. */
+    /** Two polls may fail before a report is too old to base a decision on. */
     private static final double REPORT_VALIDITY_MS = 3_000;
     /**
-     * Time between the announcement of a change to data planes and the order: a request that has not begun at the
-     * server when the order arrives is rejected. A list is in force within a heartbeat (0.3 s), and what was sent until
-     * then has begun by the end of this time.
+     * Time between the announcement of a change to data planes and the order. The server rejects requests that have not
+     * begun when the order arrives. Data planes apply a list within a heartbeat interval (0.3 s), and requests sent
+     * before that have begun by the end of this time.
      */
     private static final double ANNOUNCEMENT_LEAD_MS = 500;
     /**
-     * Wait of a new lease holder beyond the lease. The last order of a predecessor was written before its lease lapsed,
-     * so before the lease was acquired here, and its call times out 600 ms later, delivered or not.
+     * Time that a new lease holder waits in addition to the lease. Its predecessor wrote the last order before its own
+     * lease expired, so before this process acquired the lease. The call of that order times out after 600 ms, whether
+     * or not the order was delivered.
      */
     private static final double LEASE_MARGIN_MS = 700;
 
@@ -64,8 +65,8 @@
     private long ordersSent;
 
     /**
-     * @param node named in orders as their sender
-     * @param leaseMs the lease that the operators' rules name
+     * @param node the sender's name in orders
+     * @param leaseMs the duration of a lease according to the settings
      */
     StageController(
             Scheduler loop,
@@ -88,7 +89,7 @@
         check();
     }
 
-    /** Orders sent in this incarnation. */
+    /** The number of orders sent in this incarnation. */
     long ordersSent() {
         return ordersSent;
     }
@@ -99,7 +100,7 @@
             checkAsLeaseHolder(now);
         } else {
             leaseAcquiredAt = Double.POSITIVE_INFINITY;
-            forgetReportsAndOrders();
+            clearReportsAndOrders();
         }
         loop.after(CHECK_INTERVAL_MS, this::check);
     }
@@ -108,7 +109,7 @@
         if (role.fencingToken() != leaseToken) { // another process may have held the lease between two checks
             leaseToken = role.fencingToken();
             leaseAcquiredAt = now;
-            forgetReportsAndOrders();
+            clearReportsAndOrders();
         }
         leaseAcquiredAt = Math.min(leaseAcquiredAt, now);
         if (now >= nextPollAt) {
@@ -120,7 +121,7 @@
         }
     }
 
-    private void forgetReportsAndOrders() {
+    private void clearReportsAndOrders() {
         reports.clear();
         pendingOrders.clear();
         poller.clearStageOverrides();
@@ -166,7 +167,7 @@
         }
     }
 
-    /** Reads the reports of a service's servers; orders that they confirm, or that have timed out, are over by it. */
+    /** Evaluates the reports of a service's servers; removes orders that they confirm or that have timed out. */
     private ServiceSnapshot snapshot(List<Endpoint> servers, double now) {
         List<StagePlanner.ModelServer> engines = new ArrayList<>();
         boolean unknownOrderInProgress = false;
@@ -181,7 +182,7 @@
         return new ServiceSnapshot(engines, servers.size(), unknownOrderInProgress);
     }
 
-    /** The server as it reported itself; one with a pending order as it will be. */
+    /** The state that the server reported; for a server with a pending order, the state while it changes. */
     private StagePlanner.ModelServer expectedEngine(ModelServerReport report) {
         StagePlanner.ModelServer engine = report.engine();
         switch (pendingOrders.update(report, loop.now())) {
@@ -216,7 +217,7 @@
         return now - lastOrderAt.getOrDefault(service, Double.NEGATIVE_INFINITY) < intervalMs;
     }
 
-    /** Data planes are notified before the servers are, unless nothing runs that could be rejected. */
+    /** Notifies data planes before it sends the orders, unless no request is running that could be rejected. */
     private void announce(List<Endpoint> servers, List<StagePlanner.StageChange> changes, boolean idle) {
         long fencingToken = role.fencingToken();
         for (StagePlanner.StageChange change : changes) {
@@ -243,7 +244,7 @@
         ordersSent++;
         LOG.info("stage order sent server={} stage={} token={}", server.instanceId, stage, fencingToken);
         client.sendOrder(
-                server, orderBody(stage, fencingToken), () -> role.isLeaseHolder(fencingToken), (status, answer) -> {
+                server, orderBody(stage, fencingToken), () -> role.isLeaseHolder(fencingToken), (status, body) -> {
                     if (status != STATUS_OK && status != STATUS_ACCEPTED) {
                         LOG.info("stage order rejected server={} status={}", server.instanceId, status);
                         pendingOrders.remove(server.instanceId);
--- a/controlplane/src/test/java/dewplank/controlplane/DataPlaneReportsTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/DataPlaneReportsTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which configuration data planes act on, since when, as their heartbeats told. */
+/** The configurations that data planes report in heartbeats, and since when they have reported them. */
 class DataPlaneReportsTest {
     private static final double DAY_MS = DataPlaneReports.RETENTION_MS;
 
@@ -18,7 +18,7 @@
         return new Member(node, Member.DATA, "10.0.0.1:1", "z", incarnation);
     }
 
-    private DataPlaneReports.Report only(double nowMs) {
+    private DataPlaneReports.Report onlyReport(double nowMs) {
         List<DataPlaneReports.Report> all = reports.reports(nowMs);
         assertEquals(1, all.size());
         return all.get(0);
@@ -29,7 +29,7 @@
         reports.onHeartbeat(100, member("edge", 1), 0);
         reports.onHeartbeat(400, member("edge", 1), 7);
         reports.onHeartbeat(700, member("edge", 1), 7);
-        DataPlaneReports.Report report = only(800);
+        DataPlaneReports.Report report = onlyReport(800);
         assertEquals(7, report.configurationVersion());
         assertEquals(400, report.sinceMs());
         assertEquals(700, report.lastHeartbeatAtMs());
@@ -37,25 +37,25 @@
     }
 
     @Test
-    void aSessionThatIsOpenedAgainContinuesTheReport() {
+    void aReopenedSessionContinuesTheReport() {
         reports.onHeartbeat(100, member("edge", 1), 7);
         reports.sessionEnded(member("edge", 1));
-        assertFalse(only(150).hasSession());
+        assertFalse(onlyReport(150).hasSession());
         reports.onHeartbeat(900, member("edge", 1), 7);
-        assertEquals(100, only(1_000).sinceMs());
+        assertEquals(100, onlyReport(1_000).sinceMs());
     }
 
     @Test
-    void aNewIncarnationBeginsAnewAndOutlastsTheEndOfTheEarlierSession() {
+    void aNewIncarnationStartsANewReportThatTheEndOfTheOldSessionDoesNotChange() {
         reports.onHeartbeat(100, member("edge", 1), 7);
         reports.onHeartbeat(900, member("edge", 2), 7);
         reports.sessionEnded(member("edge", 1));
-        assertEquals(900, only(1_000).sinceMs());
-        assertTrue(only(1_000).hasSession());
+        assertEquals(900, onlyReport(1_000).sinceMs());
+        assertTrue(onlyReport(1_000).hasSession());
     }
 
     @Test
-    void aDataPlaneWithoutASessionIsForgottenAfterADay() {
+    void theReportOfADataPlaneWithoutASessionIsRemovedAfterADay() {
         reports.onHeartbeat(100, member("edge", 1), 7);
         assertEquals(1, reports.reports(100 + 2 * DAY_MS).size());
         reports.sessionEnded(member("edge", 1));
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void beyondTheBoundTheOneHeardLongestAgoIsForgotten() {
+    void theReportWithTheOldestHeartbeatIsEvictedBeyondMaxReports() {
         for (int index = 0; index <= DataPlaneReports.MAX_REPORTS; index++) {
             reports.onHeartbeat(index, member("edge-" + index, 1), 7);
         }
--- a/controlplane/src/test/java/dewplank/controlplane/DataPlaneSessionsTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/DataPlaneSessionsTest.java
@@ -31,9 +31,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** DataPlaneSessions of data planes here: what they are told, when, and by what they are known to hold. */
+/** Acknowledgements and updates that a data plane receives in its session, and which versions it is assumed to have. */
 class DataPlaneSessionsTest {
-    /** Longer than any test takes. */
+    /** Longer than any test runs. */
     private static final double LEASE_MS = 60_000;
 
     private static final Member DATA = new Member("n1", Member.DATA, "10.0.0.9:1", "z", 17);
@@ -43,11 +43,11 @@
     private final DataPlaneSessions sessions;
     private final Listener listener;
     private final FramedPeer dataPlane;
-    /** The versions that the source was queried with (configuration, list, members), and the update that it has. */
+    /** The versions that the source was queried with: configuration, list, members. */
     private final List<String> queries = new ArrayList<>();
 
     private FleetUpdate pendingUpdate;
-    private double ahead;
+    private double clockOffsetMs;
 
     DataPlaneSessionsTest() throws IOException {
         loop = new EventLoop();
@@ -81,14 +81,14 @@
                 loop,
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                 10,
-                () -> new FramedConnection(FleetMessages.codec(), new Serving()));
+                () -> new FramedConnection(FleetMessages.codec(), new SessionHandler()));
     }
 
-    /** The loop, whose clock a test may set ahead. */
+    /** The loop with a clock that a test can advance. */
     private final class ShiftedClock implements Scheduler {
         @Override
         public double now() {
-            return loop.now() + ahead;
+            return loop.now() + clockOffsetMs;
         }
 
         @Override
@@ -102,8 +102,8 @@
         }
     }
 
-    /** Hands what comes to the sessions, as the control plane does. */
-    private final class Serving implements MessageLink.Handler {
+    /** Passes messages to the sessions, as the control plane does. */
+    private final class SessionHandler implements MessageLink.Handler {
         private DataPlaneSessions.Session session;
 
         @Override
@@ -134,7 +134,7 @@
         loop.stop();
     }
 
-    private MessageLink opened() throws Exception {
+    private MessageLink openSession() throws Exception {
         MessageLink connection = dataPlane.dial((InetSocketAddress) listener.address());
         dataPlane.send(connection, new SessionOpen(DATA));
         return connection;
@@ -152,8 +152,8 @@
     }
 
     @Test
-    void theVersionInAHeartbeatIsReportedUntilAfterTheSession() throws Exception {
-        MessageLink connection = opened();
+    void theReportedVersionIsRetainedAfterTheSessionEnds() throws Exception {
+        MessageLink connection = openSession();
         dataPlane.send(connection, new SessionHeartbeat(1, 7, EndpointListVersion.NONE, 0));
         dataPlane.nextIs(HeartbeatAck.class);
         DataPlaneReports.Report open = OnLoop.get(loop, sessions::reports).get(0);
@@ -166,25 +166,25 @@
 
     @Test
     void aHeartbeatIsAcknowledgedWithOrWithoutAnUpdate() throws Exception {
-        MessageLink connection = opened();
+        MessageLink connection = openSession();
         dataPlane.send(connection, new SessionHeartbeat(41, 7, new EndpointListVersion(2, 3), 5));
-        HeartbeatAck answer = dataPlane.nextIs(HeartbeatAck.class);
-        assertEquals(41, answer.sequence);
-        assertTrue(answer.quorate);
-        assertEquals(List.of("10.0.0.1:1", "10.0.0.2:1"), answer.controlAddresses);
+        HeartbeatAck ack = dataPlane.nextIs(HeartbeatAck.class);
+        assertEquals(41, ack.sequence);
+        assertTrue(ack.quorate);
+        assertEquals(List.of("10.0.0.1:1", "10.0.0.2:1"), ack.controlAddresses);
         assertEquals(List.of("7 2.3 5"), OnLoop.get(loop, () -> queries));
         assertTrue(dataPlane.hasNoFurtherMessage());
         assertEquals(List.of(DATA), OnLoop.get(loop, () -> table.members(loop.now())));
     }
 
     @Test
-    void anUpdateIsSentAtOnceAndOnlyOnce() throws Exception {
-        MessageLink connection = opened();
+    void anUpdateIsSentImmediatelyAndOnlyOnce() throws Exception {
+        MessageLink connection = openSession();
         dataPlane.send(connection, new SessionHeartbeat(1, 7, EndpointListVersion.NONE, 0));
         dataPlane.nextIs(HeartbeatAck.class);
         push(configuration(8));
         assertEquals(8, dataPlane.nextIs(FleetUpdate.class).configurationVersion);
-        push(pendingUpdate); // the data plane is taken to hold it now, though it has not said so yet
+        push(pendingUpdate); // the data plane is assumed to have it, although it has not reported it yet
         dataPlane.send(connection, new SessionHeartbeat(2, 7, EndpointListVersion.NONE, 0));
         assertEquals(2, dataPlane.nextIs(HeartbeatAck.class).sequence);
         push(configuration(9));
@@ -195,15 +195,15 @@
     @Test
     void aPendingUpdateFollowsTheFirstAcknowledgement() throws Exception {
         push(configuration(8));
-        dataPlane.send(opened(), new SessionHeartbeat(1, 0, EndpointListVersion.NONE, 0));
+        dataPlane.send(openSession(), new SessionHeartbeat(1, 0, EndpointListVersion.NONE, 0));
         dataPlane.nextIs(HeartbeatAck.class);
         assertEquals(8, dataPlane.nextIs(FleetUpdate.class).configurationVersion);
     }
 
-    /** Its versions are unknown before its first heartbeat: no difference to them can be computed. */
+    /** A data plane's versions are unknown before its first heartbeat, so no update can be computed. */
     @Test
     void noUpdateIsSentBeforeTheFirstHeartbeat() throws Exception {
-        MessageLink connection = opened();
+        MessageLink connection = openSession();
         OnLoop.await(loop, () -> sessions.size() == 1);
         push(configuration(8));
         assertEquals(List.of(), OnLoop.get(loop, () -> queries));
@@ -215,7 +215,7 @@
     @Test
     void versionsThatWereSentCountAsReceived() throws Exception {
         List<Member> members = List.of(DATA);
-        MessageLink connection = opened();
+        MessageLink connection = openSession();
         dataPlane.send(connection, new SessionHeartbeat(1, 7, new EndpointListVersion(1, 1), 0));
         dataPlane.nextIs(HeartbeatAck.class);
         push(new FleetUpdate(
@@ -228,8 +228,8 @@
     }
 
     @Test
-    void aClosedSessionIsNoMemberAndGetsNoUpdate() throws Exception {
-        MessageLink connection = opened();
+    void aDataPlaneWithAClosedSessionIsNotAMemberAndReceivesNoUpdates() throws Exception {
+        MessageLink connection = openSession();
         dataPlane.send(connection, new SessionHeartbeat(1, 0, EndpointListVersion.NONE, 0));
         dataPlane.nextIs(HeartbeatAck.class);
         dataPlane.end(connection);
@@ -239,28 +239,28 @@
         assertEquals(1, OnLoop.get(loop, queries::size));
     }
 
-    /** After a power loss nothing closes the connection: updates to it would pile up. */
+    /** After a power loss nothing closes the connection, so updates would accumulate. */
     @Test
     void anExpiredSessionIsClosedInsteadOfUpdated() throws Exception {
-        MessageLink connection = opened();
+        MessageLink connection = openSession();
         dataPlane.send(connection, new SessionHeartbeat(1, 0, EndpointListVersion.NONE, 0));
         dataPlane.nextIs(HeartbeatAck.class);
         push(configuration(8));
         dataPlane.nextIs(FleetUpdate.class);
-        OnLoop.run(loop, () -> ahead = LEASE_MS + 1);
+        OnLoop.run(loop, () -> clockOffsetMs = LEASE_MS + 1);
         push(configuration(9));
         assertEquals(connection, dataPlane.ended());
         assertEquals(0, OnLoop.get(loop, sessions::size));
     }
 
     @Test
-    void rejectsASessionBeyondMaxSessions() throws Exception {
+    void aSessionBeyondMaxSessionsIsRejected() throws Exception {
         OnLoop.run(loop, () -> {
             for (int i = 0; i < SessionTable.MAX_SESSIONS; i++) {
                 table.renew(loop.now(), new Member("other" + i, Member.DATA, "a", "z", 1));
             }
         });
-        MessageLink connection = opened();
+        MessageLink connection = openSession();
         assertEquals(connection, dataPlane.ended());
         assertEquals(0, OnLoop.get(loop, sessions::size));
         assertNull(pendingUpdate);
--- a/controlplane/src/test/java/dewplank/controlplane/EndpointPollerTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/EndpointPollerTest.java
@@ -14,16 +14,16 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Under whose lease the list is published, in virtual time: the platform answers when the test lets it. */
+/** The lease under which lists are published, in virtual time. The test determines when the platform responds. */
 class EndpointPollerTest {
     private static final double DRAIN_MS = 3_000;
-    /** The first poll under a token and the last that fails each wait for their interval: 400 ms and a check. */
+    /** Delay of the first poll under a token and of the last failed poll: each waits 400 ms and for the next check. */
     private static final double POLLING_MS = 2 * (400 + 50);
 
     private static final class TestRole implements SingletonRole {
         private boolean leaseHeld = true;
-        private long number = 7;
-        private final List<Double> pauses = new ArrayList<>();
+        private long fencingToken = 7;
+        private final List<Double> stepDownDurationsMs = new ArrayList<>();
 
         @Override
         public boolean isLeaseHolder() {
@@ -32,17 +32,17 @@
 
         @Override
         public long fencingToken() {
-            return number;
+            return fencingToken;
         }
 
         @Override
         public void stepDown(double minimumMs) {
-            pauses.add(minimumMs);
+            stepDownDurationsMs.add(minimumMs);
             leaseHeld = false;
         }
 
         void reacquire() {
-            number++;
+            fencingToken++;
             leaseHeld = true;
         }
     }
@@ -66,17 +66,17 @@
         return servers;
     }
 
-    private void answer(int count) {
+    private void completePoll(int count) {
         polls.remove().completed(servers(count));
     }
 
     @Test
-    void changesArePublishedUnderTheTokenOfTheLease() {
-        answer(2);
+    void changesArePublishedUnderTheLeasesFencingToken() {
+        completePoll(2);
         time.run(400);
-        answer(2);
+        completePoll(2);
         time.run(400);
-        answer(3);
+        completePoll(3);
         assertEquals(
                 List.of(new EndpointListVersion(7, 1), new EndpointListVersion(7, 2)),
                 published.stream().map(l -> l.version).toList());
@@ -84,31 +84,31 @@
     }
 
     @Test
-    void anAnswerUnderALapsedLeaseIsNotPublished() {
+    void aPollThatCompletesAfterTheLeaseExpiredIsNotPublished() {
         role.leaseHeld = false;
-        answer(2);
+        completePoll(2);
         assertEquals(List.of(), published);
         assertEquals(EndpointListVersion.NONE, poller.newest().version);
     }
 
-    /** A successor may have published a newer list between the poll and its response. */
+    /** A successor may have published a newer list between the poll's request and its response. */
     @Test
-    void aPollBegunBeforeALapseIsNotPublishedUnderANewToken() {
+    void aPollStartedUnderAnOlderTokenIsNotPublishedUnderANewOne() {
         role.reacquire();
-        answer(2);
+        completePoll(2);
         assertEquals(List.of(), published);
         time.run(400);
-        answer(3);
+        completePoll(3);
         assertEquals(new EndpointListVersion(8, 1), published.get(0).version);
     }
 
-    /** One that a predecessor published last may still be under way, and must not be taken for newer. */
+    /** The predecessor's last list may still be in flight and must not be taken for a newer one. */
     @Test
     void theFirstListUnderATokenIsPublishedEvenIfUnchanged() {
-        answer(2);
+        completePoll(2);
         role.reacquire();
         time.run(400);
-        answer(2);
+        completePoll(2);
         assertEquals(new EndpointListVersion(8, 1), poller.newest().version);
         assertFalse(poller.receive(new EndpointList(new EndpointListVersion(7, 9), servers(1))));
         assertEquals(2, published.size());
@@ -126,7 +126,7 @@
         return poller.newest().endpoints.stream().map(s -> s.stage).toList();
     }
 
-    /** The platform's list lags: the stage that a server was ordered to is published at once, until the list agrees. */
+    /** The platform's list lags, so an ordered stage is published immediately, and until the list agrees. */
     @Test
     void aStageOverrideIsPublishedUntilThePlatformAgrees() {
         polls.remove().completed(engines("decode", "decode"));
@@ -136,22 +136,22 @@
         assertEquals(2, published.size());
         time.run(400);
         polls.remove().completed(engines("decode", "decode"));
-        assertEquals(2, published.size(), "nothing new");
+        assertEquals(2, published.size(), "no list without a change");
         poller.overrideStage("i-1", "prefill", 10_000);
         poller.publishStageOverrides(7);
         assertEquals(List.of("decode", "prefill"), stages());
         time.run(400);
         polls.remove().completed(engines("decode", "decode"));
-        assertEquals(List.of("decode", "prefill"), stages(), "the list lags");
+        assertEquals(List.of("decode", "prefill"), stages(), "the platform's list lags");
         time.run(400);
         polls.remove().completed(engines("decode", "prefill"));
         time.run(400);
         polls.remove().completed(engines("decode", "decode"));
-        assertEquals(List.of("decode", "decode"), stages(), "the list had agreed: it is believed again");
+        assertEquals(List.of("decode", "decode"), stages(), "the override ended when the platform's list agreed");
     }
 
     @Test
-    void aStageOverrideNeedsTheTokenAndExpires() {
+    void aStageOverrideRequiresTheCurrentTokenAndExpires() {
         polls.remove().completed(engines("decode"));
         role.reacquire();
         poller.overrideStage("i-0", Endpoint.CHANGING, 1_000);
@@ -165,25 +165,25 @@
         polls.remove().completed(engines("decode"));
         time.run(400);
         polls.remove().completed(engines("decode"));
-        assertEquals(List.of("decode"), stages(), "it has lapsed");
+        assertEquals(List.of("decode"), stages(), "the override has expired");
     }
 
     @Test
     void doesNotPollWithoutTheLease() {
-        answer(2);
+        completePoll(2);
         role.leaseHeld = false;
         time.run(5_000);
         assertTrue(polls.isEmpty());
     }
 
-    /** Fails every poll until the lease is released; returns how long that took. */
-    private double millisUntilReleased() {
+    /** Fails every poll until the lease is released, and returns the time until then. */
+    private double millisUntilLeaseReleased() {
         double start = time.now();
-        int before = role.pauses.size();
-        while (role.pauses.size() == before) {
-            assertTrue(time.now() < start + 100_000, "never laid down");
+        int before = role.stepDownDurationsMs.size();
+        while (role.stepDownDurationsMs.size() == before) {
+            assertTrue(time.now() < start + 100_000, "lease never released");
             while (!polls.isEmpty()) {
-                polls.remove().failed("no answer");
+                polls.remove().failed("no response");
             }
             time.run(50);
         }
@@ -191,27 +191,27 @@
     }
 
     @Test
-    void aHolderThatCannotReachThePlatformReleasesTheLease() {
-        answer(2);
-        double took = millisUntilReleased();
+    void aLeaseHolderThatCannotReachThePlatformReleasesTheLease() {
+        completePoll(2);
+        double took = millisUntilLeaseReleased();
         assertTrue(took >= DRAIN_MS / 2 && took <= DRAIN_MS / 2 + 500, "took " + took);
-        assertEquals(List.of(DRAIN_MS), role.pauses);
+        assertEquals(List.of(DRAIN_MS), role.stepDownDurationsMs);
     }
 
-    /** Where the platform is down for all, the lease moves ever more slowly; a response ends that. */
+    /** While no control plane reaches the platform, the lease moves at increasing intervals; a response resets them. */
     @Test
-    void theLeaseMovesEverMoreSlowlyWhileThePlatformIsDownForAll() {
+    void theLeaseIsReleasedAtIncreasingIntervalsWhileThePlatformIsDown() {
         double[] backoffFactors = {1, 2, 4, 8, 16, 16};
         for (double backoffFactor : backoffFactors) {
-            double took = millisUntilReleased();
+            double took = millisUntilLeaseReleased();
             assertTrue(
                     took >= backoffFactor * DRAIN_MS / 2 && took <= backoffFactor * DRAIN_MS / 2 + POLLING_MS,
                     backoffFactor + " took " + took);
             role.reacquire();
         }
         time.run(400);
-        answer(2);
-        assertTrue(millisUntilReleased() <= DRAIN_MS / 2 + POLLING_MS);
+        completePoll(2);
+        assertTrue(millisUntilLeaseReleased() <= DRAIN_MS / 2 + POLLING_MS);
     }
 
     @Test
@@ -224,6 +224,6 @@
             }
             time.run(400);
         }
-        assertEquals(List.of(), role.pauses);
+        assertEquals(List.of(), role.stepDownDurationsMs);
     }
 }
--- a/controlplane/src/test/java/dewplank/controlplane/HttpPlatformClientTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/HttpPlatformClientTest.java
@@ -19,20 +19,20 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The platform's list, page by page, within the rate that the platform allows. */
+/** Fetches the platform's list page by page, within the platform's rate limit. */
 class HttpPlatformClientTest {
-    private static final double RATE = 4; // of which half is used
+    private static final double RATE_LIMIT_PER_S = 4; // the client uses half of it
     private static final double SECOND_MS = 1_000;
 
     private EventLoop loop;
     private ScriptedServer platform;
-    private HttpPlatformClient list;
+    private HttpPlatformClient client;
 
     @BeforeEach
     void begin() throws IOException {
         loop = new EventLoop();
         platform = new ScriptedServer();
-        list = new HttpPlatformClient(loop, platform.address(), RATE);
+        client = new HttpPlatformClient(loop, platform.address(), RATE_LIMIT_PER_S);
     }
 
     @AfterEach
@@ -42,24 +42,24 @@
     }
 
     private CompletableFuture<List<Endpoint>> fetchInstances() throws Exception {
-        CompletableFuture<List<Endpoint>> done = new CompletableFuture<>();
+        CompletableFuture<List<Endpoint>> result = new CompletableFuture<>();
         OnLoop.run(
                 loop,
-                () -> list.fetchInstances(new HttpPlatformClient.Callback() {
+                () -> client.fetchInstances(new HttpPlatformClient.Callback() {
                     @Override
                     public void completed(List<Endpoint> servers) {
-                        done.complete(servers);
+                        result.complete(servers);
                     }
 
                     @Override
-                    public void failed(String why) {
-                        done.completeExceptionally(new IOException(why));
+                    public void failed(String reason) {
+                        result.completeExceptionally(new IOException(reason));
                     }
                 }));
-        return done;
+        return result;
     }
 
-    private static void page(Call call, int number, String next) throws IOException {
+    private static void respondWithPage(Call call, int number, String next) throws IOException {
         call.wire()
                 .answer(
                         "200 OK",
@@ -70,10 +70,10 @@
                                 + (next == null ? "null" : "\"" + next + "\"") + "}");
     }
 
-    /** Five pages at two calls a second: the third waits for the first to be a second old, and so on. */
+    /** Five pages at two requests a second: the third is sent no sooner than one second after the first, and so on. */
     @Test
     void pagesAreRequestedWithinTheRateLimit() throws Exception {
-        double begun = loop.now();
+        double startedAt = loop.now();
         CompletableFuture<List<Endpoint>> servers = fetchInstances();
         for (int i = 0; i < 5; i++) {
             Call call = platform.next();
@@ -82,8 +82,9 @@
                     call.message().target());
             int completedPairs = i / 2;
             assertTrue(
-                    loop.now() - begun >= completedPairs * SECOND_MS, "page " + i + " after " + (loop.now() - begun));
-            page(call, i, i < 4 ? "p" + (i + 1) : null);
+                    loop.now() - startedAt >= completedPairs * SECOND_MS,
+                    "page " + i + " after " + (loop.now() - startedAt));
+            respondWithPage(call, i, i < 4 ? "p" + (i + 1) : null);
         }
         assertEquals(
                 List.of("i-0", "i-1", "i-2", "i-3", "i-4"),
@@ -92,31 +93,31 @@
                         .toList());
     }
 
-    /** Readings in a row share the rate. */
+    /** Consecutive fetches share the rate limit. */
     @Test
-    void theNextReadingWaitsForTheRateLimitToo() throws Exception {
-        double begun = loop.now();
+    void theNextFetchIsLimitedByTheSameRate() throws Exception {
+        double startedAt = loop.now();
         for (int i = 0; i < 3; i++) {
             CompletableFuture<List<Endpoint>> servers = fetchInstances();
-            page(platform.next(), i, null);
+            respondWithPage(platform.next(), i, null);
             servers.get(Wire.PATIENCE_S, TimeUnit.SECONDS);
         }
-        assertTrue(loop.now() - begun >= SECOND_MS);
+        assertTrue(loop.now() - startedAt >= SECOND_MS);
     }
 
     @Test
-    void aRefusalFailsTheReadingAndNamesItsStatus() throws Exception {
+    void aRejectedRequestFailsTheFetchWithItsStatus() throws Exception {
         CompletableFuture<List<Endpoint>> servers = fetchInstances();
         platform.next().wire().answer("429 Too Many Requests", "", "");
-        String why = null;
+        String reason = null;
         try {
             servers.get(Wire.PATIENCE_S, TimeUnit.SECONDS);
         } catch (ExecutionException e) {
-            why = e.getCause().getMessage();
+            reason = e.getCause().getMessage();
         }
-        assertEquals("status 429", why);
+        assertEquals("status 429", reason);
         CompletableFuture<List<Endpoint>> second = fetchInstances();
-        page(platform.next(), 7, null);
+        respondWithPage(platform.next(), 7, null);
         assertNull(second.get(Wire.PATIENCE_S, TimeUnit.SECONDS).get(0).stage);
     }
 }
--- a/controlplane/src/test/java/dewplank/controlplane/InboundLinkTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/InboundLinkTest.java
@@ -20,14 +20,14 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** The first message of a connection says what it is for, and it stays that. */
+/** The first message of a connection determines its purpose, which later messages can't change. */
 class InboundLinkTest {
     private static final Member DATA = new Member("d", Member.DATA, "10.0.0.9:1", "z", 1);
     private static final Member CONTROL = new Member("c", Member.CONTROL, "10.0.0.8:1", "z", 1);
     private static final ControlHello HELLO = new ControlHello(CONTROL, "disk", true);
 
     /** A connection that records whether it was closed. */
-    private static final class OpenLink implements MessageLink {
+    private static final class RecordingLink implements MessageLink {
         private boolean closed;
 
         @Override
@@ -49,8 +49,8 @@
         }
     }
 
-    /** A clock that stands, and no timers. */
-    private static final class StandingClock implements Scheduler {
+    /** A clock that does not advance, without timers. */
+    private static final class FixedClock implements Scheduler {
         @Override
         public double now() {
             return 0;
@@ -105,8 +105,8 @@
         }
     }
 
-    private final OpenLink connection = new OpenLink();
-    private final Scheduler clock = new StandingClock();
+    private final RecordingLink connection = new RecordingLink();
+    private final Scheduler clock = new FixedClock();
     private final SessionTable table = new SessionTable(2_000);
     private final DataPlaneSessions sessions = new DataPlaneSessions(clock, table, new NoUpdates());
     private final MessageTransport transport = new UnreachableTransport();
@@ -114,7 +114,7 @@
     private final InboundLink link = new InboundLink(true, mesh, sessions, null, null, null, null);
 
     @Test
-    void aSessionThatSaysAControlPlanesHelloIsClosedAndBecomesNoPeer() {
+    void aHelloInASessionClosesTheConnectionAndAddsNoPeer() {
         link.received(connection, new SessionOpen(DATA));
         assertEquals(List.of(DATA), table.localSessions(0));
         ControlHello other = new ControlHello(new Member("x", Member.CONTROL, "10.0.0.7:1", "z", 1), "disk", true);
@@ -126,7 +126,7 @@
     }
 
     @Test
-    void aHelloMakesAPeer() {
+    void aHelloAddsAPeer() {
         link.received(connection, new ControlHello(CONTROL, "other disk", true));
         assertFalse(connection.isClosed());
         assertEquals("other disk", mesh.peer(CONTROL.address).orElseThrow().identity());
--- a/controlplane/src/test/java/dewplank/controlplane/QuotaSharesTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/QuotaSharesTest.java
@@ -13,27 +13,27 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Shares of quotas as heartbeats ask for them, and as the lease holder of the role grants them. */
+/** Quota shares that control planes request in heartbeats, and that the role's lease holder grants. */
 class QuotaSharesTest {
     private static final double HEARTBEAT_INTERVAL_MS = 300;
     /** The lease of a share as its assigner counts it. */
     private static final double ASSIGNER_LEASE_MS = 4_080;
     /** The lease of a share as its user counts it. */
     private static final double USER_LEASE_MS = 3_920;
-    /** Of heartbeats, until everything of an earlier assigner has lapsed and reductions were reported. */
+    /** Rounds of heartbeats in which all grants of an earlier assigner expire and reductions are reported. */
     private static final int SETTLING_ROUNDS = 20;
-    /** More heartbeats than are remembered. */
+    /** More heartbeats than {@link QuotaShares} stores. */
     private static final int MANY_HEARTBEATS = 20;
 
     private static final double ROUNDING_ERROR = 1e-9;
 
     private static final class TestRole implements SingletonRole {
-        private boolean held;
+        private boolean leaseHeld;
         private long token;
 
         @Override
         public boolean isLeaseHolder() {
-            return held;
+            return leaseHeld;
         }
 
         @Override
@@ -42,29 +42,30 @@
         }
     }
 
-    /** A share as its holder was told of it. */
-    private record Held(double fraction, double endsAtMs) {}
+    /** An update of a control plane's share. */
+    private record ShareUpdate(double fraction, double endsAtMs) {}
 
-    /** One control plane, and what it was told of its share. */
+    /** One control plane, and the updates of its share. */
     private final class Node {
         private final String address;
         private final TestRole role = new TestRole();
-        private final List<Held> held = new ArrayList<>();
+        private final List<ShareUpdate> shareUpdates = new ArrayList<>();
         private final QuotaShares shares;
         private long sequence;
 
         private Node(String address) {
             this.address = address;
-            shares = new QuotaShares(time, address, role, (now, fraction, end) -> held.add(new Held(fraction, end)));
+            shares = new QuotaShares(
+                    time, address, role, (now, fraction, end) -> shareUpdates.add(new ShareUpdate(fraction, end)));
         }
 
-        private void winRole() {
-            role.held = true;
+        private void acquireRole() {
+            role.leaseHeld = true;
             role.token = ++lastToken;
         }
 
         private void loseRole() {
-            role.held = false;
+            role.leaseHeld = false;
         }
 
         private ControlHeartbeat beginHeartbeat() {
@@ -76,9 +77,10 @@
             return new HeartbeatAck(heartbeat.sequence, true, List.of(), shares.grantFor(sender.address, heartbeat));
         }
 
-        /** The share that it counts on now. */
+        /** The share that is in force now. */
         private double fraction() {
-            Held last = held.isEmpty() ? new Held(0, 0) : held.get(held.size() - 1);
+            ShareUpdate last =
+                    shareUpdates.isEmpty() ? new ShareUpdate(0, 0) : shareUpdates.get(shareUpdates.size() - 1);
             return time.now() < last.endsAtMs() ? last.fraction() : 0;
         }
     }
@@ -89,7 +91,7 @@
     private final Node second = new Node("10.0.0.2:1");
     private final List<Node> nodes = List.of(first, second);
 
-    /** All send a heartbeat to all others, which acknowledge it at once. */
+    /** Each node sends a heartbeat to all others, which acknowledge it immediately. */
     private void exchangeHeartbeats() {
         for (Node sender : nodes) {
             ControlHeartbeat heartbeat = sender.beginHeartbeat();
@@ -99,7 +101,9 @@
                 }
             }
         }
-        assertTrue(first.fraction() + second.fraction() <= 1 + ROUNDING_ERROR, "more than the whole is in force");
+        assertTrue(
+                first.fraction() + second.fraction() <= 1 + ROUNDING_ERROR,
+                "the shares in force add up to more than 1");
     }
 
     private void exchangeHeartbeats(int rounds) {
@@ -109,13 +113,13 @@
         }
     }
 
-    /** The first control plane holds the role, and both hold half of all limits. */
+    /** The first control plane holds the role, and both have half of all limits. */
     private void settle() {
-        first.winRole();
+        first.acquireRole();
         exchangeHeartbeats(SETTLING_ROUNDS);
     }
 
-    // ---- who assigns -----------------------------------------------------------------------------------
+    // ---- assignment ------------------------------------------------------------------------------------
 
     @Test
     void theLeaseHolderAssignsAnEqualShareToItselfAndToItsPeer() {
@@ -125,8 +129,8 @@
     }
 
     @Test
-    void aNewLeaseHolderAssignsNothingThatItsPredecessorMayHaveAssigned() {
-        first.winRole();
+    void aNewLeaseHolderGrantsNoSharesThatItsPredecessorMayHaveAssigned() {
+        first.acquireRole();
         exchangeHeartbeats();
         int roundsOfLease = (int) (ASSIGNER_LEASE_MS / HEARTBEAT_INTERVAL_MS);
         for (int round = 0; round < roundsOfLease; round++) {
@@ -138,10 +142,10 @@
     }
 
     @Test
-    void sharesAreRenewedWithoutABreakWhenTheRolePassesOn() {
+    void sharesAreRenewedWithoutInterruptionWhenTheLeaseHolderChanges() {
         settle();
         first.loseRole();
-        second.winRole();
+        second.acquireRole();
         for (int round = 0; round < 2 * SETTLING_ROUNDS; round++) {
             time.run(HEARTBEAT_INTERVAL_MS);
             exchangeHeartbeats();
@@ -151,25 +155,25 @@
     }
 
     @Test
-    void nobodyIsGrantedAnythingByOneWithoutTheRole() {
+    void aControlPlaneWithoutTheRoleGrantsNoShares() {
         exchangeHeartbeats(SETTLING_ROUNDS);
         assertNull(first.acknowledge(second, second.beginHeartbeat()).quotaShare);
-        assertEquals(List.of(), first.held);
-        assertEquals(List.of(), second.held);
+        assertEquals(List.of(), first.shareUpdates);
+        assertEquals(List.of(), second.shareUpdates);
     }
 
     @Test
-    void nothingIsGrantedOnceTheRoleIsLost() {
+    void aControlPlaneGrantsNoSharesAfterItLosesTheRole() {
         settle();
         first.loseRole();
         assertNull(first.acknowledge(second, second.beginHeartbeat()).quotaShare);
-        first.held.clear();
+        first.shareUpdates.clear();
         first.beginHeartbeat();
-        assertEquals(List.of(), first.held, "it renews its own share no more");
+        assertEquals(List.of(), first.shareUpdates, "renewed its own share without the role");
     }
 
     @Test
-    void sharesEndALeaseAfterTheRoleIsVacant() {
+    void sharesExpireOneLeaseAfterTheRoleBecomesVacant() {
         settle();
         first.loseRole();
         time.run(USER_LEASE_MS - 1);
@@ -180,20 +184,20 @@
         assertEquals(0, second.beginHeartbeat().quotaShare.fraction);
     }
 
-    /** Another control plane may have held the role, and assigned shares, between two heartbeats. */
+    /** Between two heartbeats, another control plane may have held the role and assigned shares. */
     @Test
-    void aRoleThatWasLostAndWonAgainBeginsWithRenewals() {
+    void aReacquiredRoleStartsWithRenewals() {
         settle();
-        first.winRole();
+        first.acquireRole();
         QuotaShareGrant grant = first.acknowledge(second, second.beginHeartbeat()).quotaShare;
         assertEquals(lastToken, grant.fencingToken);
         assertTrue(grant.renewalOnly);
         assertEquals(0.5, grant.fraction, ROUNDING_ERROR);
     }
 
-    /** A relay, or a process of an earlier release. */
+    /** Such a peer is a relay or a process of an earlier release. */
     @Test
-    void aPeerThatReportsNoShareIsGrantedNone() {
+    void aPeerThatReportsNoShareReceivesNoGrant() {
         settle();
         assertNull(first.shares.grantFor("10.0.0.3:1", new ControlHeartbeat(1, List.of(), List.of())));
         exchangeHeartbeats(SETTLING_ROUNDS);
@@ -201,7 +205,7 @@
     }
 
     @Test
-    void theShareOfOneThatIsNotHeardAnyMoreIsAssignedAnew() {
+    void theShareOfAPeerWithoutHeartbeatsIsReassigned() {
         settle();
         for (int round = 0; round < SETTLING_ROUNDS; round++) {
             time.run(HEARTBEAT_INTERVAL_MS);
@@ -211,10 +215,10 @@
         assertEquals(1, first.fraction(), ROUNDING_ERROR);
     }
 
-    // ---- from when a grant counts ----------------------------------------------------------------------
+    // ---- start of a grant's lease ----------------------------------------------------------------------
 
     @Test
-    void aGrantCountsFromWhenExactlyItsHeartbeatWasSent() {
+    void theLeaseOfAGrantStartsWhenItsHeartbeatWasSent() {
         settle();
         ControlHeartbeat delayed = second.beginHeartbeat();
         double sentAt = time.now();
@@ -222,51 +226,51 @@
         HeartbeatAck ack = first.acknowledge(second, delayed);
         second.beginHeartbeat();
         time.run(HEARTBEAT_INTERVAL_MS);
-        second.held.clear();
+        second.shareUpdates.clear();
         second.shares.onAcknowledged(ack);
-        assertEquals(List.of(new Held(0.5, sentAt + USER_LEASE_MS)), second.held);
+        assertEquals(List.of(new ShareUpdate(0.5, sentAt + USER_LEASE_MS)), second.shareUpdates);
     }
 
     @Test
-    void anAcknowledgementOfAForgottenHeartbeatGrantsNothing() {
+    void anAcknowledgementOfADiscardedHeartbeatIsIgnored() {
         settle();
-        ControlHeartbeat forgotten = second.beginHeartbeat();
-        HeartbeatAck ack = first.acknowledge(second, forgotten);
+        ControlHeartbeat discarded = second.beginHeartbeat();
+        HeartbeatAck ack = first.acknowledge(second, discarded);
         assertNotNull(ack.quotaShare);
         for (int i = 0; i < MANY_HEARTBEATS; i++) {
             second.beginHeartbeat();
         }
-        second.held.clear();
+        second.shareUpdates.clear();
         second.shares.onAcknowledged(ack);
-        assertEquals(List.of(), second.held);
+        assertEquals(List.of(), second.shareUpdates);
     }
 
-    /** An earlier incarnation's, at the same address. */
+    /** The heartbeat was sent by an earlier incarnation at the same address. */
     @Test
-    void anAcknowledgementOfAHeartbeatThatWasNotSentGrantsNothing() {
+    void anAcknowledgementOfAHeartbeatThatWasNotSentIsIgnored() {
         settle();
-        second.held.clear();
+        second.shareUpdates.clear();
         QuotaShareGrant grant = new QuotaShareGrant(1, lastToken, Long.MAX_VALUE, false);
         second.shares.onAcknowledged(new HeartbeatAck(second.sequence + 1, true, List.of(), grant));
-        assertEquals(List.of(), second.held);
+        assertEquals(List.of(), second.shareUpdates);
     }
 
     @Test
-    void anEarlierGrantThatArrivesLateChangesNothing() {
+    void anOlderGrantThatArrivesLateIsIgnored() {
         settle();
         HeartbeatAck late = first.acknowledge(second, second.beginHeartbeat());
         time.run(HEARTBEAT_INTERVAL_MS);
         exchangeHeartbeats();
-        Held newest = second.held.get(second.held.size() - 1);
+        ShareUpdate newest = second.shareUpdates.get(second.shareUpdates.size() - 1);
         second.shares.onAcknowledged(late);
-        assertEquals(newest, second.held.get(second.held.size() - 1));
+        assertEquals(newest, second.shareUpdates.get(second.shareUpdates.size() - 1));
     }
 
     @Test
-    void anAcknowledgementWithoutAGrantChangesNothing() {
+    void anAcknowledgementWithoutAGrantIsIgnored() {
         settle();
-        second.held.clear();
+        second.shareUpdates.clear();
         second.shares.onAcknowledged(new HeartbeatAck(second.sequence, true, List.of()));
-        assertEquals(List.of(), second.held);
+        assertEquals(List.of(), second.shareUpdates);
     }
 }
--- a/controlplane/src/test/java/dewplank/controlplane/QuotaTokensTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/QuotaTokensTest.java
@@ -27,31 +27,31 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Which requests for tokens are granted here, for which the other control planes are asked, and what is replied. */
+/** Token requests that are granted from this process's share or forwarded to peers, and the replies to them. */
 class QuotaTokensTest {
     private static final String TENANT = "acme";
     private static final double RATE_PER_S = 10;
     private static final double BURST = 20;
-    /** Of all limits: the bucket gets five tokens a second, up to ten. */
+    /** Share of all limits: the bucket is refilled with five tokens a second, up to ten. */
     private static final double FRACTION = 0.5;
-    /** The time in which the bucket gets one token. */
+    /** The time in which the bucket is refilled with one token. */
     private static final double TOKEN_INTERVAL_MS = 200;
 
     private static final double SHARE_ENDS_AT_MS = 1_000_000;
-    /** Longer than a peer has to reply. */
+    /** Longer than the timeout of a peer's reply. */
     private static final double PEER_TIMEOUT_MS = 60;
-    /** More requests at once than peers are asked for. */
+    /** More concurrent requests than are forwarded to peers. */
     private static final int MANY_REQUESTS = 1_100;
 
     private static final QuotaTerms TERMS = new QuotaTerms(10_000, 0.05, 0);
     private static final long RANDOM_SEED = 5;
 
-    /** A request that a peer was asked. */
-    private record Asked(String address, QuotaRequest request) {}
+    /** A request that was sent to a peer. */
+    private record SentRequest(String address, QuotaRequest request) {}
 
-    /** Peers that record what they are asked; the test replies for them. */
+    /** Peers that record the requests that they receive; the test replies for them. */
     private static final class ScriptedPeers implements QuotaTokens.Peers {
-        private final List<Asked> asked = new ArrayList<>();
+        private final List<SentRequest> sentRequests = new ArrayList<>();
         private List<String> addresses = List.of("b", "c", "d");
 
         @Override
@@ -61,15 +61,15 @@
 
         @Override
         public void send(String address, QuotaRequest request) {
-            asked.add(new Asked(address, request));
+            sentRequests.add(new SentRequest(address, request));
         }
 
-        private Asked last() {
-            return asked.get(asked.size() - 1);
+        private SentRequest last() {
+            return sentRequests.get(sentRequests.size() - 1);
         }
 
-        private Set<String> askedAddresses() {
-            return asked.stream().map(Asked::address).collect(Collectors.toCollection(TreeSet::new));
+        private Set<String> queriedAddresses() {
+            return sentRequests.stream().map(SentRequest::address).collect(Collectors.toCollection(TreeSet::new));
         }
     }
 
@@ -101,14 +101,14 @@
         tokens.configurationChosen(Configuration.parse(json.getBytes(StandardCharsets.UTF_8)));
     }
 
-    /** Gets the share; the bucket is empty. */
-    private void holdShare() {
+    /** Sets the share; the bucket is empty. */
+    private void setShare() {
         tokens.shareHeld(time.now(), FRACTION, SHARE_ENDS_AT_MS);
     }
 
-    /** Gets the share, and has so many tokens in the bucket. */
-    private void holdTokens(int count) {
-        holdShare();
+    /** Sets the share, and waits until the bucket has {@code count} tokens. */
+    private void setShareAndFillBucket(int count) {
+        setShare();
         time.run(count * TOKEN_INTERVAL_MS);
     }
 
@@ -116,32 +116,32 @@
         return request(TENANT, count, false);
     }
 
-    /** A request that arrives here. */
+    /** Receives a request. */
     private QuotaRequest request(String tenant, int count, boolean forwarded) {
         QuotaRequest request = new QuotaRequest(++lastId, tenant, count, forwarded);
-        tokens.requested(request, replies::add);
+        tokens.onRequest(request, replies::add);
         return request;
     }
 
-    /** The peer that was asked last replies that it has no token. */
+    /** The peer that was queried last replies that it has no token. */
     private void replyExhausted(double retryAfterMs) {
-        tokens.replied(QuotaReply.exhausted(peers.last().request().id, retryAfterMs));
+        tokens.onReply(QuotaReply.exhausted(peers.last().request().id, retryAfterMs));
     }
 
-    /** All peers that are asked from now on have no token for so long. */
+    /** All peers that are queried from now on reply that they have no token for {@code retryAfterMs}. */
     private void replyExhaustedByAll(double retryAfterMs) {
         for (int i = 0; i < peers.addresses.size(); i++) {
             replyExhausted(retryAfterMs);
         }
     }
 
-    /** Lets all peers' time run out, for any reply that may still come. */
-    private void awaitPeers() {
+    /** Advances the time beyond the timeouts of all peers, for replies that are still outstanding. */
+    private void awaitPeerTimeouts() {
         time.run(peers.addresses.size() * PEER_TIMEOUT_MS);
     }
 
     private void assertRepliedOnce(QuotaRequest request, Outcome outcome, int count) {
-        awaitPeers();
+        awaitPeerTimeouts();
         List<QuotaReply> own =
                 replies.stream().filter(reply -> reply.id == request.id).toList();
         assertEquals(1, own.size(), "replies");
@@ -155,82 +155,82 @@
         return replies.get(0).retryAfterMs;
     }
 
-    private void assertAskedNobody() {
-        assertEquals(List.of(), peers.asked);
+    private void assertNoPeerQueried() {
+        assertEquals(List.of(), peers.sentRequests);
     }
 
     // ---- tokens of this control plane ------------------------------------------------------------------
 
     @Test
-    void ownTokensAreGrantedWithoutAskingPeers() {
-        holdTokens(5);
+    void ownTokensAreGrantedWithoutQueryingPeers() {
+        setShareAndFillBucket(5);
         assertRepliedOnce(request(3), Outcome.GRANTED, 3);
-        assertAskedNobody();
+        assertNoPeerQueried();
     }
 
     @Test
-    void asManyOwnTokensAsThereAreAreGrantedWithoutAskingPeers() {
-        holdTokens(5);
+    void aRequestIsGrantedTheRemainingOwnTokensWithoutQueryingPeers() {
+        setShareAndFillBucket(5);
         assertRepliedOnce(request(9), Outcome.GRANTED, 5);
-        assertAskedNobody();
+        assertNoPeerQueried();
     }
 
     @Test
     void tokensOfAnUnlimitedTenantAreGrantedWithoutAShare() throws Exception {
         limitTo(0, 0);
         assertRepliedOnce(request(7), Outcome.GRANTED, 7);
-        assertAskedNobody();
+        assertNoPeerQueried();
     }
 
     @Test
-    void nothingIsToldOfAnUnknownTenantAndNobodyIsAsked() {
-        holdTokens(5);
+    void theQuotaOfAnUnknownTenantIsUnavailableWithoutQueryingPeers() {
+        setShareAndFillBucket(5);
         assertRepliedOnce(request("birch", 1, false), Outcome.UNAVAILABLE, 0);
-        assertAskedNobody();
+        assertNoPeerQueried();
     }
 
-    // ---- requests of peers -----------------------------------------------------------------------------
+    // ---- requests from peers ---------------------------------------------------------------------------
 
     @Test
     void aPeersRequestIsGrantedOwnTokens() {
-        holdTokens(5);
+        setShareAndFillBucket(5);
         assertRepliedOnce(request(TENANT, 2, true), Outcome.GRANTED, 2);
-        assertAskedNobody();
+        assertNoPeerQueried();
     }
 
     @Test
-    void aPeersRequestAsksNobodyOn() {
-        holdShare();
+    void aPeersRequestIsNotForwarded() {
+        setShare();
         assertRepliedOnce(request(TENANT, 1, true), Outcome.EXHAUSTED, 0);
         assertEquals(TOKEN_INTERVAL_MS, replies.get(0).retryAfterMs);
-        assertAskedNobody();
+        assertNoPeerQueried();
     }
 
     @Test
-    void aPeerIsToldNothingByAControlPlaneWithoutAShare() {
+    void aPeersRequestIsUnavailableWithoutAShare() {
         assertRepliedOnce(request(TENANT, 1, true), Outcome.UNAVAILABLE, 0);
-        assertAskedNobody();
+        assertNoPeerQueried();
     }
 
-    // ---- asking peers ----------------------------------------------------------------------------------
+    // ---- forwarding to peers ---------------------------------------------------------------------------
 
     @Test
-    void peersAreAskedOneAfterTheOtherAndEachOnce() {
-        holdShare();
+    void peersAreQueriedOneAfterTheOtherAndEachOnce() {
+        setShare();
         QuotaRequest request = request(3);
         for (int count = 1; count <= peers.addresses.size(); count++) {
-            assertEquals(count, peers.asked.size(), "asked so far");
+            assertEquals(count, peers.sentRequests.size(), "requests sent so far");
             assertEquals(List.of(), replies);
             replyExhausted(TOKEN_INTERVAL_MS);
         }
-        assertEquals(Set.of("b", "c", "d"), peers.askedAddresses());
+        assertEquals(Set.of("b", "c", "d"), peers.queriedAddresses());
         assertRepliedOnce(request, Outcome.EXHAUSTED, 0);
-        assertEquals(peers.addresses.size(), peers.asked.size());
+        assertEquals(peers.addresses.size(), peers.sentRequests.size());
     }
 
     @Test
-    void aPeerIsAskedForTheSameTokensByAForwardedRequest() {
-        holdShare();
+    void aForwardedRequestIsForTheSameTenantAndTokens() {
+        setShare();
         request(3);
         QuotaRequest forwarded = peers.last().request();
         assertEquals(TENANT, forwarded.tenant);
@@ -239,102 +239,102 @@
     }
 
     @Test
-    void whatAPeerGrantsIsHandedOn() {
-        holdShare();
+    void tokensGrantedByAPeerAreGranted() {
+        setShare();
         QuotaRequest request = request(3);
         replyExhausted(TOKEN_INTERVAL_MS);
-        tokens.replied(QuotaReply.granted(peers.last().request().id, 2));
+        tokens.onReply(QuotaReply.granted(peers.last().request().id, 2));
         assertRepliedOnce(request, Outcome.GRANTED, 2);
-        assertEquals(2, peers.asked.size(), "no further peer is asked");
+        assertEquals(2, peers.sentRequests.size(), "no further peer is queried");
     }
 
     @Test
-    void peersAreAskedWhereThereIsNoShareHere() {
+    void peersAreQueriedWithoutAShare() {
         QuotaRequest request = request(1);
-        tokens.replied(QuotaReply.granted(peers.last().request().id, 1));
+        tokens.onReply(QuotaReply.granted(peers.last().request().id, 1));
         assertRepliedOnce(request, Outcome.GRANTED, 1);
     }
 
     @Test
-    void aPeerThatCannotTellIsSkipped() {
-        holdShare();
+    void aPeerThatRepliesUnavailableIsSkipped() {
+        setShare();
         QuotaRequest request = request(1);
-        tokens.replied(QuotaReply.unavailable(peers.last().request().id));
-        tokens.replied(QuotaReply.granted(peers.last().request().id, 1));
+        tokens.onReply(QuotaReply.unavailable(peers.last().request().id));
+        tokens.onReply(QuotaReply.granted(peers.last().request().id, 1));
         assertRepliedOnce(request, Outcome.GRANTED, 1);
     }
 
     @Test
-    void aPeerThatDoesNotReplyInTimeIsSkippedAndItsLateReplyIgnored() {
-        holdShare();
+    void aPeerThatTimesOutIsSkippedAndItsLateReplyIgnored() {
+        setShare();
         QuotaRequest request = request(1);
-        Asked silent = peers.last();
+        SentRequest unansweredRequest = peers.last();
         time.run(PEER_TIMEOUT_MS);
-        assertEquals(2, peers.asked.size());
-        tokens.replied(QuotaReply.granted(silent.request().id, 1));
+        assertEquals(2, peers.sentRequests.size());
+        tokens.onReply(QuotaReply.granted(unansweredRequest.request().id, 1));
         assertEquals(List.of(), replies);
-        tokens.replied(QuotaReply.granted(peers.last().request().id, 1));
-        tokens.replied(QuotaReply.granted(silent.request().id, 1));
+        tokens.onReply(QuotaReply.granted(peers.last().request().id, 1));
+        tokens.onReply(QuotaReply.granted(unansweredRequest.request().id, 1));
         assertRepliedOnce(request, Outcome.GRANTED, 1);
     }
 
     @Test
-    void aRequestIsRepliedToWhereNoPeerReplies() {
-        holdShare();
+    void aRequestReceivesAReplyIfNoPeerReplies() {
+        setShare();
         assertRepliedOnce(request(1), Outcome.EXHAUSTED, 0);
     }
 
     @Test
-    void nobodyCanTellWhereNoControlPlaneHasAShare() {
+    void theQuotaIsUnavailableIfNoControlPlaneHasAShare() {
         QuotaRequest request = request(1);
         for (int i = 0; i < peers.addresses.size(); i++) {
-            tokens.replied(QuotaReply.unavailable(peers.last().request().id));
+            tokens.onReply(QuotaReply.unavailable(peers.last().request().id));
         }
         assertRepliedOnce(request, Outcome.UNAVAILABLE, 0);
     }
 
     @Test
-    void nobodyCanTellWithoutAShareAndWithoutPeers() {
+    void theQuotaIsUnavailableWithoutAShareAndWithoutPeers() {
         peers.addresses = List.of();
         assertRepliedOnce(request(1), Outcome.UNAVAILABLE, 0);
     }
 
-    /** Two requests are open at once: each peer's reply goes to its own. */
+    /** Two requests are forwarded at the same time; each reply belongs to one of them. */
     @Test
-    void repliesAreToldApartByTheirNumbers() {
+    void repliesAreMatchedToRequestsById() {
         QuotaRequest first = request(1);
-        Asked ofFirst = peers.last();
+        SentRequest forwardedFirst = peers.last();
         QuotaRequest second = request(2);
-        Asked ofSecond = peers.last();
-        tokens.replied(QuotaReply.granted(ofSecond.request().id, 2));
-        tokens.replied(QuotaReply.granted(ofFirst.request().id, 1));
+        SentRequest forwardedSecond = peers.last();
+        tokens.onReply(QuotaReply.granted(forwardedSecond.request().id, 2));
+        tokens.onReply(QuotaReply.granted(forwardedFirst.request().id, 1));
         assertRepliedOnce(first, Outcome.GRANTED, 1);
         assertRepliedOnce(second, Outcome.GRANTED, 2);
     }
 
     // ---- exhaustion ------------------------------------------------------------------------------------
 
-    /** The bucket here has its next token after 200 ms. */
+    /** The bucket of this control plane has its next token after 200 ms. */
     @ParameterizedTest
     @CsvSource({"120,120", "400,200", "1,50"})
-    void theSoonestOfAllNextTokensIsNamedButNoTimeBelowTheBound(double peersMs, double namedMs) {
-        holdShare();
+    void theRetryTimeIsTheShortestOfAllButNotBelowTheMinimum(double peerRetryAfterMs, double retryAfterMs) {
+        setShare();
         request(1);
-        replyExhaustedByAll(peersMs);
-        assertEquals(namedMs, onlyRetryAfterMs());
+        replyExhaustedByAll(peerRetryAfterMs);
+        assertEquals(retryAfterMs, onlyRetryAfterMs());
     }
 
     @Test
-    void aTenantWithALowRateIsToldToComeBackWithinASecond() throws Exception {
+    void theRetryTimeOfATenantWithALowRateIsAtMostOneSecond() throws Exception {
         limitTo(0.1, BURST);
-        holdShare();
+        setShare();
         request(1);
         replyExhaustedByAll(60_000);
         assertEquals(1_000, onlyRetryAfterMs());
     }
 
     @Test
-    void onceAllAreExhaustedNobodyIsAskedUntilTheTimeNamed() {
+    void noPeerIsQueriedUntilTheRetryTimeAfterAllWereExhausted() {
         peers.addresses = List.of("b");
         request(1);
         replyExhausted(500);
@@ -342,16 +342,16 @@
         time.run(400);
         QuotaRequest second = request(1);
         assertEquals(100, onlyRetryAfterMs());
-        assertEquals(1, peers.asked.size());
+        assertEquals(1, peers.sentRequests.size());
         assertRepliedOnce(second, Outcome.EXHAUSTED, 0);
         time.run(100);
         request(1);
-        assertEquals(2, peers.asked.size());
+        assertEquals(2, peers.sentRequests.size());
     }
 
     @Test
-    void ownTokensAreGrantedThoughAllWereExhausted() {
-        holdShare();
+    void ownTokensAreGrantedAfterAllWereExhausted() {
+        setShare();
         request(1);
         replyExhaustedByAll(1_000);
         replies.clear();
@@ -359,44 +359,44 @@
         assertRepliedOnce(request(1), Outcome.GRANTED, 1);
     }
 
-    /** That nobody could tell is no reason not to ask again. */
+    /** Unavailable replies do not prevent further queries; only an exhausted quota does. */
     @Test
-    void peersAreAskedAgainAfterNobodyCouldTell() {
+    void peersAreQueriedAgainAfterUnavailableReplies() {
         peers.addresses = List.of("b");
         request(1);
-        tokens.replied(QuotaReply.unavailable(peers.last().request().id));
+        tokens.onReply(QuotaReply.unavailable(peers.last().request().id));
         request(1);
-        assertEquals(2, peers.asked.size());
+        assertEquals(2, peers.sentRequests.size());
     }
 
     // ---- configurations and shares ----------------------------------------------------------------------
 
     @Test
-    void aNewerConfigurationsLimitsHoldAtOnce() throws Exception {
-        holdTokens(10);
+    void theLimitsOfANewerConfigurationApplyImmediately() throws Exception {
+        setShareAndFillBucket(10);
         limitTo(RATE_PER_S, 4);
         assertRepliedOnce(request(10), Outcome.GRANTED, 2);
     }
 
     @Test
-    void aTenantWhoseLimitIsLiftedIsGrantedAtOnce() throws Exception {
-        holdShare();
+    void aTenantWhoseLimitIsRemovedIsGrantedTokensImmediately() throws Exception {
+        setShare();
         limitTo(0, 0);
         assertRepliedOnce(request(3), Outcome.GRANTED, 3);
     }
 
     @Test
-    void aNewerConfigurationForgetsTheExhaustion() throws Exception {
+    void aNewerConfigurationResetsTheExhaustion() throws Exception {
         peers.addresses = List.of("b");
         request(1);
         replyExhausted(1_000);
         limitTo(RATE_PER_S, BURST);
         request(1);
-        assertEquals(2, peers.asked.size());
+        assertEquals(2, peers.sentRequests.size());
     }
 
     @Test
-    void tokensEndWithTheShare() {
+    void tokensExpireWithTheShare() {
         tokens.shareHeld(time.now(), FRACTION, 1_000);
         time.run(1_000);
         assertRepliedOnce(request(TENANT, 1, true), Outcome.UNAVAILABLE, 0);
@@ -405,46 +405,46 @@
     // ---- many requests ---------------------------------------------------------------------------------
 
     @Test
-    void peersAreAskedForABoundedNumberOfRequestsAtOnce() {
-        holdShare();
+    void theNumberOfForwardedRequestsIsLimited() {
+        setShare();
         for (int i = 0; i < MANY_REQUESTS; i++) {
             request(1);
         }
-        assertEquals(1_024, peers.asked.size());
+        assertEquals(1_024, peers.sentRequests.size());
         assertEquals(MANY_REQUESTS - 1_024, replies.size());
-        awaitPeers();
+        awaitPeerTimeouts();
         assertEquals(MANY_REQUESTS, replies.size());
     }
 
-    /** It has no share, and asks nobody: that the tenant has used up its quota is not known. */
+    /** Without a share and without replies of peers, it is unknown whether the tenant's quota is exhausted. */
     @Test
-    void aControlPlaneWithoutAShareCannotTellWhereItAsksNobodyFurther() {
+    void requestsBeyondTheForwardingLimitAreUnavailableWithoutAShare() {
         for (int i = 0; i < MANY_REQUESTS; i++) {
             request(1);
         }
         assertEquals(Outcome.UNAVAILABLE, replies.get(0).outcome);
     }
 
-    /** What may happen while requests are open. */
+    /** Events that may occur while requests are open. */
     enum Step {
         REQUEST,
-        REQUEST_OF_A_PEER,
-        GRANT,
-        EXHAUST,
-        CANNOT_TELL,
-        REPLY_AGAIN,
-        TIME_PASSES,
-        SHARE_IS_HELD,
-        SHARE_IS_LOST,
-        LIMIT_CHANGES
+        PEER_REQUEST,
+        REPLY_GRANTED,
+        REPLY_EXHAUSTED,
+        REPLY_UNAVAILABLE,
+        DUPLICATE_REPLIES,
+        ADVANCE_TIME,
+        SET_SHARE,
+        REMOVE_SHARE,
+        CHANGE_LIMIT
     }
 
     @Property(tries = 300)
-    void eachRequestIsRepliedToExactlyOnce(@ForAll @Size(max = 60) List<Step> steps) throws Exception {
+    void eachRequestReceivesExactlyOneReply(@ForAll @Size(max = 60) List<Step> steps) throws Exception {
         for (Step step : steps) {
-            take(step);
+            execute(step);
         }
-        awaitPeers();
+        awaitPeerTimeouts();
         Map<Long, Integer> counts = new TreeMap<>();
         replies.forEach(reply -> counts.merge(reply.id, 1, Integer::sum));
         assertEquals(requestIds(), counts.keySet());
@@ -459,29 +459,30 @@
         return ids;
     }
 
-    private void take(Step step) throws Exception {
+    private void execute(Step step) throws Exception {
         switch (step) {
             case REQUEST -> request(2);
-            case REQUEST_OF_A_PEER -> request(TENANT, 1, true);
-            case GRANT -> replyToLast(QuotaReply::granted, 1);
-            case EXHAUST -> replyToLast((id, ms) -> QuotaReply.exhausted(id, ms), 100);
-            case CANNOT_TELL -> replyToLast((id, unused) -> QuotaReply.unavailable(id), 0);
-            case REPLY_AGAIN -> peers.asked.forEach(asked -> tokens.replied(QuotaReply.granted(asked.request().id, 1)));
-            case TIME_PASSES -> time.run(PEER_TIMEOUT_MS);
-            case SHARE_IS_HELD -> holdShare();
-            case SHARE_IS_LOST -> tokens.shareHeld(time.now(), 0, time.now());
-            case LIMIT_CHANGES -> limitTo(version % 3 * RATE_PER_S, BURST);
+            case PEER_REQUEST -> request(TENANT, 1, true);
+            case REPLY_GRANTED -> replyToLast(QuotaReply::granted, 1);
+            case REPLY_EXHAUSTED -> replyToLast((id, ms) -> QuotaReply.exhausted(id, ms), 100);
+            case REPLY_UNAVAILABLE -> replyToLast((id, unused) -> QuotaReply.unavailable(id), 0);
+            case DUPLICATE_REPLIES -> peers.sentRequests.forEach(
+                    sent -> tokens.onReply(QuotaReply.granted(sent.request().id, 1)));
+            case ADVANCE_TIME -> time.run(PEER_TIMEOUT_MS);
+            case SET_SHARE -> setShare();
+            case REMOVE_SHARE -> tokens.shareHeld(time.now(), 0, time.now());
+            case CHANGE_LIMIT -> limitTo(version % 3 * RATE_PER_S, BURST);
         }
     }
 
-    /** A reply with this number for the request, and a number of tokens or milliseconds. */
+    /** Creates a reply to the request {@code id} with an amount of tokens or milliseconds. */
     private interface ReplyFactory {
         QuotaReply reply(long id, int amount);
     }
 
     private void replyToLast(ReplyFactory factory, int amount) {
-        if (!peers.asked.isEmpty()) {
-            tokens.replied(factory.reply(peers.last().request().id, amount));
+        if (!peers.sentRequests.isEmpty()) {
+            tokens.onReply(factory.reply(peers.last().request().id, amount));
         }
     }
 }
--- a/controlplane/src/test/java/dewplank/controlplane/StageControllerTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/StageControllerTest.java
@@ -22,10 +22,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Reports and orders as model servers see them. */
+/** Report requests and orders that model servers receive. */
 class StageControllerTest {
-    private static final String TARGET = "X-Dewplank-Target-Instance";
-    private static final long NUMBER = 41;
+    private static final String TARGET_INSTANCE = "X-Dewplank-Target-Instance";
+    private static final long FENCING_TOKEN = 41;
     private static final double LEASE_MARGIN_MS = 700;
 
     private final BlockingQueue<Call> calls = new LinkedBlockingQueue<>();
@@ -36,23 +36,23 @@
     private EndpointPoller poller;
     private int active;
 
-    /** A lease that is held from the first check on; it records when that was. */
+    /** A role whose lease is always held; it records the time of the first check. */
     private final class TestRole implements SingletonRole {
-        private double firstRequestedAt = Double.POSITIVE_INFINITY;
+        private double firstCheckedAt = Double.POSITIVE_INFINITY;
 
         @Override
         public synchronized boolean isLeaseHolder() {
-            firstRequestedAt = Math.min(firstRequestedAt, loop.now());
+            firstCheckedAt = Math.min(firstCheckedAt, loop.now());
             return true;
         }
 
-        synchronized double since() {
-            return firstRequestedAt;
+        synchronized double firstCheckedAt() {
+            return firstCheckedAt;
         }
 
         @Override
         public long fencingToken() {
-            return NUMBER;
+            return FENCING_TOKEN;
         }
     }
 
@@ -66,7 +66,7 @@
             servers.add(server);
             entries.add(new Endpoint("i-" + i, "model", server.addressText(), "z", 64, false, 0, "decode"));
         }
-        poller.receive(new EndpointList(new EndpointListVersion(NUMBER, 1), entries));
+        poller.receive(new EndpointList(new EndpointListVersion(FENCING_TOKEN, 1), entries));
     }
 
     @AfterEach
@@ -77,23 +77,26 @@
         }
     }
 
-    private void control(double leaseMs) {
+    private void startController(double leaseMs) {
         StageController controller = new StageController(
                 loop, "core-1", leaseMs, poller, role, new HttpModelServerClient(loop), Policy.ALL_ENABLED);
         loop.execute(controller::start);
     }
 
-    /** Answers reports as of servers with so many requests each, until something else comes. */
-    private Call answerReports(int active) throws Exception {
+    /** Responds to report requests with {@code active} requests per server, until another request arrives. */
+    private Call respondToReports(int active) throws Exception {
         this.active = active;
-        return answerReports();
+        return respondToReports();
     }
 
-    /** Answers reports, each of which names the instance that it is meant for, until something else comes. */
-    private Call answerReports() throws Exception {
+    /**
+     * Responds to report requests until another request arrives. Checks that each request names the instance that it is
+     * meant for.
+     */
+    private Call respondToReports() throws Exception {
         while (true) {
             Call call = ScriptedServer.next(calls);
-            assertEquals("i-" + servers.indexOf(call.server()), call.message().header(TARGET));
+            assertEquals("i-" + servers.indexOf(call.server()), call.message().header(TARGET_INSTANCE));
             if (!call.message().method().equals("GET")) {
                 return call;
             }
@@ -108,50 +111,54 @@
     }
 
     @Test
-    void anOrderNamesItsHolderItsTokenAndItsInstance() throws Exception {
-        control(0);
-        Call order = answerReports();
+    void anOrderContainsTheLeaseHolderTheTokenAndTheInstance() throws Exception {
+        startController(0);
+        Call order = respondToReports();
         assertEquals("POST", order.message().method());
         assertEquals("/order", order.message().target());
         Map<String, Object> body = Json.object(order.message().body());
         assertEquals("stage", body.get("operation"));
         assertEquals("prefill", body.get("stage"));
         assertEquals("core-1", body.get("holder"));
-        assertEquals(NUMBER, body.get("fence_number"));
+        assertEquals(FENCING_TOKEN, body.get("fence_number"));
         assertNull(body.get("expected_count"));
         order.wire().answer("202 Accepted", "", "");
     }
 
-    /** What has not begun at a server when the order comes is turned away: data planes hear of it before. */
+    /** A server rejects requests that have not begun when the order arrives, so data planes are notified before. */
     @Test
     void dataPlanesAreNotifiedBeforeABusyServerIsOrdered() throws Exception {
-        control(0);
-        Call order = answerReports(1);
-        double lastOrderAt = loop.now();
+        startController(0);
+        Call order = respondToReports(1);
+        double orderedAt = loop.now();
         assertEquals("/order", order.message().target());
         EndpointList list = published.remove();
         int index = servers.indexOf(order.server());
         for (int i = 0; i < servers.size(); i++) {
             assertEquals(i == index ? Endpoint.CHANGING : "decode", list.endpoints.get(i).stage);
         }
-        assertTrue(lastOrderAt - role.since() >= 500, "ordered after " + (lastOrderAt - role.since()) + " ms");
+        assertTrue(
+                orderedAt - role.firstCheckedAt() >= 500,
+                "ordered after " + (orderedAt - role.firstCheckedAt()) + " ms");
         order.wire().answer("409 Conflict", "", "");
     }
 
-    /** An order of the last lease holder may still be in flight. */
+    /** An order of the previous lease holder may still be in flight. */
     @Test
     void aNewLeaseHolderWaitsForTheLeaseAndAMargin() throws Exception {
-        control(700);
-        Call order = answerReports();
-        double at = loop.now();
+        startController(700);
+        Call order = respondToReports();
+        double orderedAt = loop.now();
         assertEquals("POST", order.message().method());
-        assertTrue(at - role.since() >= 700 + LEASE_MARGIN_MS, "ordered after " + (at - role.since()) + " ms");
+        assertTrue(
+                orderedAt - role.firstCheckedAt() >= 700 + LEASE_MARGIN_MS,
+                "ordered after " + (orderedAt - role.firstCheckedAt()) + " ms");
     }
 
-    /** A response of another instance that has the address by now is no report of the one that was queried. */
+    /** A response of another instance that now has the address is not a report of the one that was queried. */
     @Test
-    void noOrderFollowsFromAMisdirectedReport() throws Exception {
-        control(0);
+    void aMisdirectedReportIsNotUsedForOrders() throws Exception {
+        startController(0);
         for (int i = 0; i < 6; i++) {
             Call call = ScriptedServer.next(calls);
             assertEquals("/report", call.message().target());
