--- a/store/src/main/java/dewplank/store/AcceptorStore.java
+++ b/store/src/main/java/dewplank/store/AcceptorStore.java
@@ -9,23 +9,23 @@
 import java.util.Map;
 
 /**
- * The durable state of an acceptor and of the lease voter beside it, in one MVStore file.
+ * The durable state of an acceptor and of the lease voter in the same process, in one MVStore file.
  *
- * <p>The file only grows. When it is too large, or a write has failed, the whole state is rewritten into a new file,
- * which then takes the name; until then the old file stays as it was. Thus a power loss at any moment leaves the state
- * last saved or the one being saved.
+ * <p>The file only grows. When it is too large, or a write has failed, the whole state is written to a new file, which
+ * is then renamed over the old one; until then the old file is unchanged. So after a power loss at any time the store
+ * contains the last saved state or the one that was being saved.
  *
- * <p>Opening and saving block on syncs. One thread at a time may save, which is the disk thread once a process runs;
- * {@link #fencingTokens()} may be called by any thread.
+ * <p>Opening and saving block on syncs. Only one thread at a time may save; in a running process this is the disk
+ * thread. {@link #fencingTokens()} may be called by any thread.
  */
 public final class AcceptorStore implements AutoCloseable {
     private static final String FILE_NAME = "acceptor.mv";
     private static final String NEXT_FILE_NAME = "acceptor.mv.next";
 
-    /** A file may fill one of so many parts of the disk quota: a rewrite holds two files, and others need disk too. */
-    private static final int QUOTA_PARTS = 4;
+    /** The disk quota divided by this is the maximum file size: a rewrite needs two files, and others need disk too. */
+    private static final int QUOTA_DIVISOR = 4;
 
-    /** Larger files would only cost disk, since a rewrite writes a few hundred kilobytes at most. */
+    /** Larger files would only waste disk space, since a rewrite writes a few hundred kilobytes at most. */
     private static final long MAX_FILE_BYTES = 8L << 20;
 
     private static final int IDENTITY_BITS = 80;
@@ -43,25 +43,25 @@
     private AcceptorStore(Path directory, StoreFiles files, long diskQuotaBytes) {
         this.directory = directory;
         this.files = files;
-        this.maxFileBytes = Math.min(MAX_FILE_BYTES, diskQuotaBytes / QUOTA_PARTS);
+        this.maxFileBytes = Math.min(MAX_FILE_BYTES, diskQuotaBytes / QUOTA_DIVISOR);
     }
 
     /**
-     * Opens the store of this directory. A disk without one gets a random identity.
+     * Opens the store in this directory. If there is none, creates one with a random identity.
      *
-     * @param diskQuotaBytes what the process may use of the disk
-     * @throws StoreException if the store cannot be read or created; a file that is there stays
+     * @param diskQuotaBytes the disk space that the process may use
+     * @throws StoreException if the store cannot be read or created; an existing file is not deleted
      */
     public static AcceptorStore open(Path directory, StoreFiles files, long diskQuotaBytes) throws StoreException {
         return open(directory, files, diskQuotaBytes, randomIdentity());
     }
 
     /**
-     * Opens the store of this directory. What it finds or creates is synced before this returns.
+     * Opens the store in this directory. The state that it reads or creates is synced before this method returns.
      *
-     * @param diskQuotaBytes what the process may use of the disk
-     * @param identityIfNew the identity of a disk without a store
-     * @throws StoreException if the store cannot be read or created; a file that is there stays
+     * @param diskQuotaBytes the disk space that the process may use
+     * @param identityIfNew the identity to use if the directory has no store
+     * @throws StoreException if the store cannot be read or created; an existing file is not deleted
      */
     public static AcceptorStore open(Path directory, StoreFiles files, long diskQuotaBytes, String identityIfNew)
             throws StoreException {
@@ -80,17 +80,17 @@
         return store;
     }
 
-    /** Draws the identity of a new disk. */
+    /** Generates a random identity for a new disk. */
     public static String randomIdentity() {
         return new BigInteger(IDENTITY_BITS, new SecureRandom()).toString(IDENTITY_RADIX);
     }
 
-    /** Returns the state last saved, or the one recovered when the store was opened. */
+    /** Returns the last saved state, or the one recovered when the store was opened. */
     public DurableState recovered() {
         return state;
     }
 
-    /** Whether opening found no store, so that the identity has never voted. */
+    /** Whether this store was created when it was opened, so that its identity has never voted. */
     public boolean isNew() {
         return isNew;
     }
@@ -98,17 +98,17 @@
     /**
      * Saves and syncs a state.
      *
-     * @throws StoreException if it may not be durable: the stored state is then the one before, or this one
+     * @throws StoreException if the state may not be durable; the stored state is then the previous one or this one
      */
     public void save(DurableState next) throws StoreException {
         if (!next.identity().equals(state.identity())) {
-            throw new StoreException("the state of another identity: " + next.identity());
+            throw new StoreException("cannot save the state of another identity: " + next.identity());
         }
         write(next, fencingTokens);
         state = next;
     }
 
-    /** Returns a copy of the highest fencing token saved per singleton role. */
+    /** Returns a copy of the highest saved fencing token of each singleton role. */
     public synchronized Map<String, Long> fencingTokens() {
         return Map.copyOf(fencingTokens);
     }
@@ -116,7 +116,7 @@
     /**
      * Saves and syncs the highest fencing token that this acceptor has voted for in a singleton role.
      *
-     * @throws StoreException if it may not be durable: the stored token is then the one before, or this one
+     * @throws StoreException if the token may not be durable; the stored token is then the previous one or this one
      */
     public void saveFencingToken(String role, long token) throws StoreException {
         Map<String, Long> next = new HashMap<>(fencingTokens());
@@ -125,7 +125,7 @@
         setFencingTokens(next);
     }
 
-    /** Closes the file. A later save would rewrite it. */
+    /** Closes the file. A later save would write a new file. */
     @Override
     public void close() {
         if (current != null) {
@@ -136,8 +136,8 @@
     }
 
     /**
-     * Reads the file, and syncs it before anyone relies on it. After a kill the operating system may still cache a save
-     * that was interrupted before its sync, which a later power loss would take back.
+     * Reads the file, and syncs it before its state is used. After the process was killed, the operating system may
+     * still cache a save that was interrupted before its sync, and a later power loss would undo that save.
      */
     private void recover() throws IOException {
         current = new StateFile(files, directory.resolve(FILE_NAME));
@@ -173,8 +173,8 @@
     }
 
     /**
-     * Writes the whole state into a new file, which gets the name once it is synced. This is the only way on after a
-     * failed sync, since nothing written to the old file since its last sync can be trusted.
+     * Writes the whole state to a new file, which replaces the old one once it is synced. This is the only way to
+     * continue after a failed sync, since data written to the old file after its last successful sync can't be trusted.
      */
     private void rewrite(DurableState nextState, Map<String, Long> nextTokens) throws IOException {
         Path nextPath = directory.resolve(NEXT_FILE_NAME);
--- a/store/src/main/java/dewplank/store/BootstrapSeeds.java
+++ b/store/src/main/java/dewplank/store/BootstrapSeeds.java
@@ -6,30 +6,31 @@
 import java.util.Optional;
 
 /**
- * The seed addresses that the fleet was bootstrapped with, as the settings named them at the first start.
+ * The seed addresses with which the fleet was bootstrapped, as listed in the settings at the first start.
  *
- * <p>They are the register's first acceptor set. Settings may name other seeds later, while no value is chosen yet: two
- * processes that took different seeds for the first acceptors could each gather a majority of theirs. Hence the first
- * ones are stored and win over the settings. Called once, at the start of a process, before its event loop runs.
+ * <p>They are the register's first acceptor set. The settings may list other seeds later, while no value is chosen yet.
+ * Two processes that used different seeds as the first acceptors could then each obtain a majority of their own set.
+ * Hence the first seeds are stored and take precedence over the settings. Called once, at the start of a process,
+ * before its event loop runs.
  */
 public final class BootstrapSeeds {
-    /** The file's name in the data directory; earlier releases wrote it too. */
+    /** The file's name in the data directory, which earlier releases use too. */
     private static final String FILE_NAME = "founders";
 
     private static final String SEPARATOR = "\n";
 
     private final ChecksummedFile file;
 
-    /** Names the file in a data directory; does not touch the disk. */
+    /** Uses the file in a data directory; this constructor does not access the disk. */
     public BootstrapSeeds(StoreFiles files, Path directory) {
         file = new ChecksummedFile(files, directory, FILE_NAME);
     }
 
     /**
-     * Returns the stored seeds. Without any, an initial start stores those of the settings, synced, before it returns
-     * them; it has to be called before anything else makes the disk look used.
+     * Returns the stored seeds. If there are none, an initial start stores and syncs the configured seeds before it
+     * returns them. Must be called before anything else is written that makes the disk appear used.
      *
-     * @param configuredSeeds the seeds of the current settings; returned as they are for a disk that has none stored
+     * @param configuredSeeds the seeds of the current settings; returned unchanged if none are stored
      * @param initialStart whether the fleet starts for the first time
      * @throws StoreException if the seeds of an initial start cannot be stored
      */
--- a/store/src/main/java/dewplank/store/ChecksummedFile.java
+++ b/store/src/main/java/dewplank/store/ChecksummedFile.java
@@ -7,16 +7,16 @@
 import java.util.zip.CRC32;
 
 /**
- * A small file that is replaced atomically and checked by a checksum when it is read.
+ * A small file that is replaced atomically and verified by a checksum when it is read.
  *
- * <p>The new content is written under another name, synced and renamed. A file that is unreadable or damaged counts as
- * missing, so that it is only for state that a process can do without, or can take from its settings. The layout is a
- * CRC-32 as a long of eight bytes, then the content. Not thread-safe: one thread at a time.
+ * <p>The new content is written to a temporary file, which is synced and renamed. An unreadable or damaged file is
+ * treated as missing, so this class is only suitable for state that a process can do without, or can take from its
+ * settings. The layout is a CRC-32 as a long of eight bytes, then the content. Not thread-safe: one thread at a time.
  */
 public final class ChecksummedFile {
     private static final int CHECKSUM_BYTES = Long.BYTES;
 
-    /** Far above the largest list of endpoints; a larger file was not written here, and would not fit into memory. */
+    /** Far above the largest endpoint list. A larger file was not written here, and would not fit into memory. */
     static final long MAX_FILE_BYTES = 16 * 1024 * 1024;
 
     private static final String NEXT_SUFFIX = ".next";
@@ -26,7 +26,7 @@
     private final Path path;
     private final Path nextPath;
 
-    /** Names a file of this directory; does not touch the disk. */
+    /** Uses a file in this directory; this constructor does not access the disk. */
     public ChecksummedFile(StoreFiles files, Path directory, String name) {
         this.files = files;
         this.directory = directory;
@@ -34,7 +34,7 @@
         this.nextPath = directory.resolve(name + NEXT_SUFFIX);
     }
 
-    /** Returns the content of the last completed replacement; empty if there is none or the file is damaged. */
+    /** Returns the content that was last written completely; empty if there is none or the file is damaged. */
     public Optional<byte[]> read() {
         if (!files.exists(path)) {
             return Optional.empty();
@@ -61,11 +61,11 @@
     }
 
     /**
-     * Replaces the content. It is durable when this returns. Blocks on syncs: called on the disk thread, or before the
-     * event loop runs.
+     * Replaces the content, which is durable when this method returns. Blocks on syncs: called on the disk thread, or
+     * before the event loop runs.
      *
      * @throws StoreException if the content is too large, or the disk failed; the file then has the old content, or
-     *     after a failure the new one
+     *     after a disk failure possibly the new one
      */
     public void replace(byte[] content) throws StoreException {
         if (content.length > MAX_FILE_BYTES - CHECKSUM_BYTES) {
--- a/store/src/main/java/dewplank/store/FounderIdentities.java
+++ b/store/src/main/java/dewplank/store/FounderIdentities.java
@@ -8,11 +8,11 @@
 import java.util.Optional;
 
 /**
- * The identities under which a process first heard of the founders that have no disk.
+ * The first identity that a process received of each founder without a disk.
  *
- * <p>Such a founder has another identity in each incarnation. The one heard of first is stored before any vote of it is
- * counted, and stays, so that a process that restarts does not take a successor, which has forgotten its votes, for the
- * acceptor itself. Loaded before the event loop runs, stored on the disk thread.
+ * <p>Such a founder has another identity in each incarnation. The first one that a process receives is stored before
+ * any vote of it is counted, and is not replaced. Otherwise a process that restarts could mistake a later incarnation,
+ * which has lost its votes, for the original acceptor. Loaded before the event loop runs, stored on the disk thread.
  */
 public final class FounderIdentities {
     private static final String FILE_NAME = "founder-identities";
@@ -20,20 +20,20 @@
     private static final String FIELD_SEPARATOR = " ";
 
     /**
-     * What is stored.
+     * The content of the file.
      *
-     * @param bootstrapRound how often the fleet's bootstrap was begun anew as all founders had ended
-     * @param byAddress the identity of each founder without a disk that was heard of, by its address (IP:PORT)
+     * @param bootstrapRound how often the fleet's bootstrap was restarted because all founders had terminated
+     * @param byAddress the first identity received of each founder without a disk, by its address (IP:PORT)
      */
     public record Record(int bootstrapRound, Map<String, String> byAddress) {
-        /** Nothing was heard of any founder. */
+        /** No identity of any founder was received. */
         public static final Record NONE = new Record(0, Map.of());
 
         public Record {
             byAddress = Collections.unmodifiableMap(new LinkedHashMap<>(byAddress));
         }
 
-        /** The text that the file holds; control planes exchange it too. */
+        /** Encodes the record as the text of the file, which control planes also exchange. */
         public String encode() {
             StringBuilder text = new StringBuilder().append(bootstrapRound);
             byAddress.forEach((address, identity) -> text.append(LINE_SEPARATOR)
@@ -43,7 +43,7 @@
             return text.toString();
         }
 
-        /** Reads what {@link #encode} wrote; empty for any other text. */
+        /** Decodes a text of {@link #encode}; empty for any other text. */
         public static Optional<Record> decode(String text) {
             String[] lines = text.split(LINE_SEPARATOR);
             Map<String, String> byAddress = new LinkedHashMap<>();
@@ -64,12 +64,12 @@
 
     private final ChecksummedFile file;
 
-    /** Names the file in a data directory; does not touch the disk. */
+    /** Uses the file in a data directory; this constructor does not access the disk. */
     public FounderIdentities(StoreFiles files, Path directory) {
         file = new ChecksummedFile(files, directory, FILE_NAME);
     }
 
-    /** Returns what was stored last; {@link Record#NONE} where nothing was, or the file is damaged. */
+    /** Returns the record stored last; {@link Record#NONE} if there is none or the file is damaged. */
     public Record load() {
         Optional<byte[]> stored = file.read();
         return stored.flatMap(content -> Record.decode(new String(content, StandardCharsets.UTF_8)))
@@ -77,7 +77,7 @@
     }
 
     /**
-     * Replaces what is stored; durable when this returns.
+     * Replaces the stored record; the new one is durable when this method returns.
      *
      * @throws StoreException if the disk failed; the file then has the old content, or the new one
      */
--- a/store/src/main/java/dewplank/store/SingleThreadDiskExecutor.java
+++ b/store/src/main/java/dewplank/store/SingleThreadDiskExecutor.java
@@ -9,14 +9,14 @@
 
 /** A {@link DiskExecutor} with one daemon thread, named {@code disk}. */
 public final class SingleThreadDiskExecutor implements DiskExecutor {
-    /** Tasks that may be queued. A disk that falls this far behind counts as failed. */
+    /** Maximum number of queued tasks. A disk that falls this far behind is treated as failed. */
     public static final int MAX_QUEUED_TASKS = 64;
 
     private static final Logger LOG = LoggerFactory.getLogger(SingleThreadDiskExecutor.class);
 
     private record Submission(Task task, Consumer<DiskResult> completion) {}
 
-    /** Wakes the thread, which then sees that the executor is closed; never run. */
+    /** Unblocks the thread, which then checks whether the executor is closed; this task itself never runs. */
     private static final Submission WAKE_UP = new Submission(() -> {}, result -> {});
 
     private final BlockingQueue<Submission> queue = new ArrayBlockingQueue<>(MAX_QUEUED_TASKS);
@@ -46,7 +46,7 @@
     public void close() {
         closed = true;
         queue.clear();
-        queue.add(WAKE_UP); // an interrupt would close the channel that the task in progress writes to
+        queue.add(WAKE_UP); // an interrupt would close the channel that the current task writes to
     }
 
     private void runQueue() {
@@ -67,8 +67,8 @@
             task.run();
             return DiskResult.Succeeded.INSTANCE;
         } catch (StoreException | RuntimeException failure) {
-            // The boundary of the disk thread. An unexpected error must fail its own task only: without the thread no
-            // later save would ever complete.
+            // An unexpected exception must fail only its own task. If it terminated the disk thread, no later save
+            // would ever complete.
             LOG.warn("disk task failed cause=\"{}\"", failure.toString());
             return new DiskResult.Failed(failure);
         }
--- a/store/src/main/java/dewplank/store/StateCodec.java
+++ b/store/src/main/java/dewplank/store/StateCodec.java
@@ -13,10 +13,11 @@
 import java.util.List;
 
 /**
- * The stored bytes of a state's header and of register values.
+ * Encodes and decodes the stored bytes of state headers and register values.
  *
- * <p>The first byte is the version of the format. Strings are in {@link DataOutputStream}'s modified UTF-8, numbers
- * big-endian. Later releases read what this one writes: a change of the layout needs another version.
+ * <p>The first byte is the version of the format. Strings are in the modified UTF-8 of {@link DataOutputStream}, and
+ * numbers are big-endian. Later releases read the bytes that this one writes, so a change of the layout needs a new
+ * version.
  */
 final class StateCodec {
     private static final int VERSION = 1;
--- a/store/src/main/java/dewplank/store/StateFile.java
+++ b/store/src/main/java/dewplank/store/StateFile.java
@@ -15,16 +15,16 @@
  * One MVStore file with one acceptor's state: its identity, its header, the values that the header refers to, and
  * fencing tokens.
  *
- * <p>Space is never reused, so that a torn write cannot damage what was synced before. The file thus only grows;
- * {@link AcceptorStore} rewrites it when it is too large. Not thread-safe. MVStore reports errors by runtime
- * exceptions; they leave this class as an {@link IOException}, after which the file must not be written again.
+ * <p>Space is never reused, so that a torn write cannot damage data that was synced before. The file thus only grows;
+ * {@link AcceptorStore} rewrites it when it is too large. Not thread-safe. MVStore reports errors as runtime
+ * exceptions. This class rethrows them as an {@link IOException}, after which the file must not be written again.
  */
 final class StateFile {
     private static final int CACHE_MB = 1;
     private static final int MAX_PAGE_BYTES = 4096;
     private static final long NO_VALUE = 0;
 
-    // Names of maps and keys in the file: earlier releases wrote them too.
+    // Names of maps and keys in the file, which earlier releases use too.
     private static final String HEADERS_MAP = "heads";
     private static final String HEADER_KEY = "heads";
     private static final String METADATA_MAP = "names";
@@ -40,16 +40,16 @@
     private final MVMap<String, Long> fencingTokens;
     private long lastKey;
 
-    // The values of the last header read or written, and their keys: equal values are not written again.
+    // The values of the last header that was read or written, with their keys, so that equal values are not rewritten.
     private RegisterValue storedValue;
     private long storedValueKey = NO_VALUE;
     private RegisterValue storedChosen;
     private long storedChosenKey = NO_VALUE;
 
     /**
-     * Opens the file, or creates it empty.
+     * Opens the file, or creates an empty one.
      *
-     * @throws IOException if it is damaged or not an MVStore; the file is closed then
+     * @throws IOException if the file is damaged or not an MVStore; the file is then closed
      */
     StateFile(StoreFiles files, Path path) throws IOException {
         file = files.open(path);
@@ -70,14 +70,14 @@
     /**
      * Reads the state.
      *
-     * @throws IOException if it is damaged or absent; a file gets its name only with a state in it
+     * @throws IOException if the state is damaged or absent; a file gets its final name only once it contains a state
      */
     DurableState read() throws IOException {
         try {
             String identity = metadata.get(IDENTITY_KEY);
             byte[] bytes = headers.get(HEADER_KEY);
             if (identity == null || bytes == null) {
-                throw new IOException("the store holds no state");
+                throw new IOException("the store contains no state");
             }
             StateCodec.StateHeader header = StateCodec.decodeHeader(bytes);
             storedValueKey = header.valueKey();
@@ -96,7 +96,7 @@
         return new HashMap<>(fencingTokens);
     }
 
-    /** Writes and syncs a state and tokens. A value that is stored already is not written again. */
+    /** Writes and syncs a state and fencing tokens. A value that is already stored is not written again. */
     void write(DurableState state, Map<String, Long> newTokens) throws IOException {
         try {
             metadata.putIfAbsent(IDENTITY_KEY, state.identity());
@@ -117,7 +117,7 @@
         }
     }
 
-    /** Syncs what the operating system still caches of earlier writes. */
+    /** Syncs the data of earlier writes that the operating system still caches. */
     void sync() throws IOException {
         file.sync();
     }
@@ -126,7 +126,7 @@
         return file.size();
     }
 
-    /** Closes the file without writing; all that counts is synced. */
+    /** Closes the file without writing; all acknowledged writes are synced. */
     void close() {
         closeQuietly(store, file);
     }
@@ -150,7 +150,7 @@
         }
         byte[] bytes = values.get(key);
         if (bytes == null) {
-            throw new IOException("the store lacks value " + key);
+            throw new IOException("the store does not contain value " + key);
         }
         return StateCodec.decodeValue(bytes);
     }
@@ -192,7 +192,7 @@
             }
             file.close();
         } catch (MVStoreException | IOException failure) {
-            // Nothing is lost: all acknowledged writes are synced.
+            // No data is lost, since all acknowledged writes are synced.
         }
     }
 }
--- a/store/src/main/java/dewplank/store/StoreException.java
+++ b/store/src/main/java/dewplank/store/StoreException.java
@@ -1,18 +1,18 @@
 package dewplank.store;
 
 /**
- * A save, or the opening of a store, failed: the disk is full or failing, or the stored state cannot be read. The
- * caller must not acknowledge what it tried to save; it may save again later.
+ * Saving a state or opening a store failed: the disk is full or failing, or the stored state cannot be read. The caller
+ * must not acknowledge the state that it tried to save; it may retry the save later.
  */
 public final class StoreException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** Says what was attempted; the cause is the file layer's error. */
+    /** Creates an exception for a failed operation, caused by an exception of the file layer. */
     public StoreException(String message, Throwable cause) {
         super(message, cause);
     }
 
-    /** Says what is wrong, where the disk itself is not the cause. */
+    /** Creates an exception for an error that the disk did not cause. */
     public StoreException(String message) {
         super(message);
     }
--- a/store/src/main/java/dewplank/store/StoreFile.java
+++ b/store/src/main/java/dewplank/store/StoreFile.java
@@ -12,19 +12,19 @@
     /**
      * Reads into the buffer until it is full.
      *
-     * @throws java.io.EOFException if the file ends before
+     * @throws java.io.EOFException if the file ends before the buffer is full
      */
     void read(ByteBuffer target, long position) throws IOException;
 
-    /** Writes all bytes of the buffer. They survive a power loss only after the next {@link #sync}. */
+    /** Writes all bytes of the buffer. They are durable only after the next {@link #sync}. */
     void write(ByteBuffer source, long position) throws IOException;
 
-    /** Shortens the file to this size. */
+    /** Truncates the file to this size. */
     void truncate(long size) throws IOException;
 
     /**
-     * Makes all earlier writes durable. After a failure nothing written since the last sync may be relied on, even if a
-     * later sync succeeds.
+     * Makes all earlier writes durable. After a failure, data written since the last successful sync must not be relied
+     * on, even if a later sync succeeds.
      */
     void sync() throws IOException;
 
--- a/store/src/main/java/dewplank/store/StoreFileChannel.java
+++ b/store/src/main/java/dewplank/store/StoreFileChannel.java
@@ -7,8 +7,8 @@
 import org.h2.store.fs.FileBaseDefault;
 
 /**
- * A {@link StoreFile} as the channel that an MVStore reads and writes. Locks are granted without effect, since one
- * process owns a data directory.
+ * Adapts a {@link StoreFile} to the channel that an MVStore reads and writes. Locks always succeed and have no effect,
+ * since only one process uses a data directory.
  */
 final class StoreFileChannel extends FileBaseDefault {
     private final StoreFile file;
--- a/store/src/main/java/dewplank/store/StoreFilePath.java
+++ b/store/src/main/java/dewplank/store/StoreFilePath.java
@@ -9,11 +9,11 @@
 import org.h2.store.fs.FilePath;
 
 /**
- * The {@code FilePath} by which an MVStore opens a {@link StoreFile}.
+ * The {@code FilePath} through which an MVStore opens a {@link StoreFile}.
  *
- * <p>H2 opens files only by a name whose scheme is registered, never an object. So each file is registered under a name
- * that is used once, and taken out when the MVStore opens that name. Thread-safe: stores of several processes may be
- * opened in one machine by tests. Operations that an MVStore with one open file never calls are unsupported.
+ * <p>H2 opens files only by name, with a registered scheme, and accepts no file objects. So each file is registered
+ * under a unique name, and removed when the MVStore opens that name. Thread-safe, since tests may open the stores of
+ * several processes in one virtual machine. Operations that an MVStore with one open file never calls are unsupported.
  */
 final class StoreFilePath extends FilePath {
     private static final String SCHEME = "layered";
@@ -28,7 +28,7 @@
         this.name = name;
     }
 
-    /** Returns the name by which an MVStore may open this file, once. */
+    /** Registers a file and returns the name by which an MVStore may open it once. */
     static String register(StoreFile file) {
         String name = SCHEME + ":" + NEXT_NAME.incrementAndGet();
         PENDING_FILES.put(name, file);
--- a/store/src/test/java/dewplank/store/AcceptorStoreStepsTest.java
+++ b/store/src/test/java/dewplank/store/AcceptorStoreStepsTest.java
@@ -15,24 +15,24 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * The process ends between each two steps of an opening, of saves and of rewrites: writes, syncs, renames and removals.
- * It is then started again, with or without a loss of power in between.
+ * Terminates the process between any two steps of opening, saving and rewriting (writes, syncs, renames and deletions),
+ * and restarts it, with or without a power loss in between.
  */
 class AcceptorStoreStepsTest {
     private static final Path DIRECTORY = Path.of("data");
-    /** A file is rewritten beyond a quarter of it, which is every third save. */
+    /** A file larger than a quarter of the quota is rewritten, which happens every third save. */
     private static final long DISK_QUOTA_BYTES = 40_000;
 
     private static final int VALUE_BYTES = 3_000;
     private static final int SAVES = 10;
     private static final String ROLE = "list";
-    private static final int DRAWS = 4;
+    private static final int RANDOM_TRIALS = 4;
 
-    /** How the process ends. */
-    enum End {
+    /** How the process terminates. */
+    enum Termination {
         KILLED,
-        POWER_LOST_UNSYNCED_GONE,
-        POWER_LOST_UNSYNCED_DRAWN
+        POWER_LOSS_UNSYNCED_LOST,
+        POWER_LOSS_UNSYNCED_RANDOM
     }
 
     private final MemoryFiles disk = new MemoryFiles();
@@ -42,26 +42,28 @@
     private long nextToken;
 
     @ParameterizedTest
-    @EnumSource(End.class)
-    void whatIsSavedLastsWhereverTheProcessEnds(End end) throws StoreException {
-        for (int draw = 0; draw < (end == End.POWER_LOST_UNSYNCED_DRAWN ? DRAWS : 1); draw++) {
+    @EnumSource(Termination.class)
+    void savedStateSurvivesTerminationAtAnyStep(Termination termination) throws StoreException {
+        for (int trial = 0;
+                trial < (termination == Termination.POWER_LOSS_UNSYNCED_RANDOM ? RANDOM_TRIALS : 1);
+                trial++) {
             int steps = 0;
-            while (!new AcceptorStoreStepsTest().lastsAfter(steps, end, draw)) {
+            while (!new AcceptorStoreStepsTest().survivesTerminationAfter(steps, termination, trial)) {
                 steps++;
             }
             assertTrue(steps > 10 * SAVES, steps + " steps");
         }
     }
 
-    /** Whether all was saved before the process ended. */
-    private boolean lastsAfter(int steps, End end, int draw) throws StoreException {
-        disk.endAfterSteps(steps);
-        boolean isComplete = isSavedCompletely();
-        restart(end, new SplittableRandom(steps * DRAWS + draw));
+    /** Returns whether all saves completed before the process terminated. */
+    private boolean survivesTerminationAfter(int steps, Termination termination, int trial) throws StoreException {
+        disk.terminateAfterSteps(steps);
+        boolean isComplete = saveAll();
+        restart(termination, new SplittableRandom(steps * RANDOM_TRIALS + trial));
         return isComplete;
     }
 
-    private boolean isSavedCompletely() {
+    private boolean saveAll() {
         try {
             AcceptorStore store = open();
             saved = store.recovered();
@@ -75,17 +77,19 @@
                 savedToken = nextToken;
             }
             return true;
-        } catch (StoreException ended) {
+        } catch (StoreException terminated) {
             return false;
         }
     }
 
-    /** Finds the state saved last, or the one being saved, and the same again after a loss of power. */
-    private void restart(End end, SplittableRandom random) throws StoreException {
+    /** Recovers the last saved state or the one being saved, and the same state again after a power loss. */
+    private void restart(Termination termination, SplittableRandom random) throws StoreException {
         disk.recoverWrites();
-        if (end != End.KILLED) {
+        if (termination != Termination.KILLED) {
             disk.losePower(
-                    end == End.POWER_LOST_UNSYNCED_GONE ? MemoryFiles.Unsynced.GONE : MemoryFiles.Unsynced.DRAWN,
+                    termination == Termination.POWER_LOSS_UNSYNCED_LOST
+                            ? MemoryFiles.Unsynced.LOST
+                            : MemoryFiles.Unsynced.RANDOM,
                     random);
         }
         AcceptorStore found = open();
@@ -94,15 +98,16 @@
             assertEquals(saved.identity(), found.recovered().identity());
             assertTrue(ballot.equals(saved.promisedBallot()) || ballot.equals(next.promisedBallot()), "has " + ballot);
             long token = found.fencingTokens().getOrDefault(ROLE, 0L);
-            assertTrue(token == savedToken || token == nextToken, token + " is neither");
+            assertTrue(
+                    token == savedToken || token == nextToken, token + " is neither the saved token nor the next one");
         }
-        disk.losePower(MemoryFiles.Unsynced.GONE, random);
+        disk.losePower(MemoryFiles.Unsynced.LOST, random);
         AcceptorStore again = open();
         assertEquals(found.recovered().identity(), again.recovered().identity());
         assertEquals(found.recovered().promisedBallot(), again.recovered().promisedBallot());
         assertEquals(found.recovered().acceptedValue(), again.recovered().acceptedValue());
         assertEquals(found.fencingTokens(), again.fencingTokens());
-        assertEquals(1, disk.count(), "files left behind");
+        assertEquals(1, disk.count(), "number of files");
     }
 
     private AcceptorStore open() throws StoreException {
--- a/store/src/test/java/dewplank/store/AcceptorStoreTest.java
+++ b/store/src/test/java/dewplank/store/AcceptorStoreTest.java
@@ -22,12 +22,12 @@
     private static final int LARGE_VALUE_BYTES = 120_000;
     private static final int LARGEST_VALUE_BYTES = 200_000;
 
-    /** The largest file, one save beyond it, and the file of a rewrite: two values in each state. */
+    /** The largest file, one save that exceeds it, and the file of a rewrite; each state has two values. */
     private static final long MAX_FILES_BYTES = (8L << 20) + 5 * LARGEST_VALUE_BYTES;
 
     private static final int LARGE_SAVES = 2000;
 
-    /** Of each 250 saves 20 meet a full disk, and the last of each 500 is torn. */
+    /** Of every 250 saves, 20 fail on a full disk, and the last of every 500 is torn. */
     private static final int EXPECTED_FAILED_SAVES = LARGE_SAVES / 250 * 20 + LARGE_SAVES / 500;
 
     private final MemoryFiles files = new MemoryFiles();
@@ -44,7 +44,7 @@
         return new RegisterValue(new AcceptorSet(revision, members, members), revision, payload);
     }
 
-    /** A state in which the newest value is accepted and the one before it chosen. */
+    /** A state in which the newest value is accepted and the previous one is chosen. */
     private static DurableState state(String identity, long round, int length) {
         Ballot ballot = new Ballot(round, "p");
         return new DurableState(
@@ -69,7 +69,7 @@
     void aNewDiskGetsADurableIdentity() throws StoreException {
         AcceptorStore first = open();
         Assertions.assertTrue(first.isNew());
-        files.losePower(MemoryFiles.Unsynced.GONE, random);
+        files.losePower(MemoryFiles.Unsynced.LOST, random);
         AcceptorStore reopened = open();
         Assertions.assertFalse(reopened.isNew());
         assertSame(first.recovered(), reopened.recovered());
@@ -118,51 +118,51 @@
         }
     }
 
-    /** Some saves succeed, then power goes in the middle of the next: what lasts is the last or the next. */
+    /** Loses power during a save that follows successful ones; the last saved state or the next one is recovered. */
     private void losePowerDuringASave(int trial) throws StoreException {
         MemoryFiles disk = new MemoryFiles();
-        SplittableRandom drawn = new SplittableRandom(trial);
+        SplittableRandom trialRandom = new SplittableRandom(trial);
         long quotaBytes = trial % 2 == 0 ? DISK_QUOTA_BYTES : 200_000;
         AcceptorStore store = AcceptorStore.open(DIRECTORY, disk, quotaBytes);
         DurableState saved = store.recovered();
-        int saves = drawn.nextInt(30);
+        int saves = trialRandom.nextInt(30);
         for (int round = 1; round <= saves; round++) {
-            saved = state(saved.identity(), round, drawn.nextInt(6000));
+            saved = state(saved.identity(), round, trialRandom.nextInt(6000));
             store.save(saved);
         }
         DurableState next = state(saved.identity(), saves + 1, 3000);
-        disk.failAfterWrites(drawn.nextInt(6));
+        disk.failAfterWrites(trialRandom.nextInt(6));
         try {
             store.save(next);
             saved = next;
-        } catch (StoreException refused) {
-            // Intended: the power goes before the end.
+        } catch (StoreException expected) {
+            // Expected: the power loss interrupts the save.
         }
-        disk.losePower(MemoryFiles.Unsynced.DRAWN, drawn);
+        disk.losePower(MemoryFiles.Unsynced.RANDOM, trialRandom);
         DurableState found = AcceptorStore.open(DIRECTORY, disk, quotaBytes).recovered();
         boolean isNext = found.promisedBallot().equals(next.promisedBallot());
         assertSame(isNext ? next : saved, found);
     }
 
     @Test
-    void anInterruptedFirstOpeningIsRepeated() throws StoreException {
+    void aFirstOpeningIsRepeatedIfItWasInterrupted() throws StoreException {
         for (int writes = 0; writes < 8; writes++) {
             MemoryFiles disk = new MemoryFiles();
             boolean opened = opensWith(disk, writes);
-            disk.losePower(MemoryFiles.Unsynced.GONE, random);
+            disk.losePower(MemoryFiles.Unsynced.LOST, random);
             Assertions.assertEquals(
                     !opened,
                     AcceptorStore.open(DIRECTORY, disk, DISK_QUOTA_BYTES).isNew());
         }
     }
 
-    /** Its file may have got its name just before, unsynced: then it is complete, and its identity has never voted. */
+    /** The file may have been renamed without a sync. It is then complete, and its identity has never voted. */
     @Test
-    void anInterruptedFirstOpeningMayBeFoundComplete() throws StoreException {
+    void anInterruptedFirstOpeningMayHaveBeenCompleted() throws StoreException {
         for (int trial = 0; trial < 80; trial++) {
             MemoryFiles disk = new MemoryFiles();
             boolean opened = opensWith(disk, trial % 8);
-            disk.losePower(MemoryFiles.Unsynced.DRAWN, random);
+            disk.losePower(MemoryFiles.Unsynced.RANDOM, random);
             AcceptorStore reopened = AcceptorStore.open(DIRECTORY, disk, DISK_QUOTA_BYTES);
             Assertions.assertFalse(opened && reopened.isNew());
             assertSame(DurableState.fresh(reopened.recovered().identity()), reopened.recovered());
@@ -174,7 +174,7 @@
         try {
             AcceptorStore.open(DIRECTORY, disk, DISK_QUOTA_BYTES);
             return true;
-        } catch (StoreException refused) {
+        } catch (StoreException expected) {
             return false;
         }
     }
@@ -202,40 +202,40 @@
         Assertions.assertThrows(StoreException.class, () -> store.save(state(identity, 2, 100)));
         files.failSyncs(false);
         store.save(state(identity, 3, 100));
-        files.losePower(MemoryFiles.Unsynced.GONE, random);
+        files.losePower(MemoryFiles.Unsynced.LOST, random);
         assertSame(state(identity, 3, 100), open().recovered());
     }
 
     /**
-     * A process that is killed in the middle of a save reads what the operating system still caches. It may answer with
-     * that at once, so that a later power loss must not take it back.
+     * A process that was killed during a save recovers data that the operating system still caches. It may reply with
+     * that data immediately, so a later power loss must not undo it.
      */
     @Test
-    void whatIsRecoveredAfterAKillSurvivesAPowerLoss() throws StoreException {
+    void stateRecoveredAfterAKillSurvivesAPowerLoss() throws StoreException {
         for (int trial = 0; trial < 400; trial++) {
             MemoryFiles disk = new MemoryFiles();
-            SplittableRandom drawn = new SplittableRandom(trial);
+            SplittableRandom trialRandom = new SplittableRandom(trial);
             long quotaBytes = trial % 2 == 0 ? DISK_QUOTA_BYTES : 200_000;
             AcceptorStore store = AcceptorStore.open(DIRECTORY, disk, quotaBytes);
             String identity = store.recovered().identity();
             for (int round = 1; round < 20; round++) {
-                store.save(state(identity, round, drawn.nextInt(6000)));
+                store.save(state(identity, round, trialRandom.nextInt(6000)));
             }
-            failOneSave(store, disk, drawn);
+            failOneSave(store, disk, trialRandom);
             disk.recoverWrites();
             DurableState found = AcceptorStore.open(DIRECTORY, disk, quotaBytes).recovered();
-            disk.losePower(trial % 3 == 0 ? MemoryFiles.Unsynced.GONE : MemoryFiles.Unsynced.DRAWN, drawn);
+            disk.losePower(trial % 3 == 0 ? MemoryFiles.Unsynced.LOST : MemoryFiles.Unsynced.RANDOM, trialRandom);
             assertSame(found, AcceptorStore.open(DIRECTORY, disk, quotaBytes).recovered());
         }
     }
 
-    /** A save that fails at any of its writes or syncs; a second may fail during the rewrite. */
-    private static void failOneSave(AcceptorStore store, MemoryFiles disk, SplittableRandom drawn) {
-        for (int failures = drawn.nextInt(1, 3); failures > 0; failures--) {
-            if (drawn.nextBoolean()) {
+    /** Makes a save fail at any of its writes or syncs; a second save may fail during the rewrite. */
+    private static void failOneSave(AcceptorStore store, MemoryFiles disk, SplittableRandom trialRandom) {
+        for (int failures = trialRandom.nextInt(1, 3); failures > 0; failures--) {
+            if (trialRandom.nextBoolean()) {
                 disk.failSyncs(true);
             } else {
-                disk.failAfterWrites(drawn.nextInt(6));
+                disk.failAfterWrites(trialRandom.nextInt(6));
             }
             Assertions.assertThrows(StoreException.class, () -> {
                 for (int round = 21; round < 30; round++) {
@@ -246,9 +246,9 @@
         }
     }
 
-    /** What a rewrite that failed has left may not even be readable. */
+    /** The file that a failed rewrite leaves behind may be unreadable. */
     @Test
-    void aRewriteIsBegunAnewWhateverTheFailedOneLeft() throws StoreException {
+    void aRewriteStartsOverAfterAFailedOne() throws StoreException {
         AcceptorStore store = open();
         String identity = store.recovered().identity();
         store.save(state(identity, 1, 100));
@@ -263,19 +263,19 @@
     }
 
     @Test
-    void filesStayWithinTheirQuota() throws StoreException {
+    void filesDoNotExceedTheirQuota() throws StoreException {
         long quotaBytes = 8L << 20;
         AcceptorStore store = AcceptorStore.open(DIRECTORY, files, quotaBytes);
         for (int round = 1; round < 400; round++) {
             store.save(state(store.recovered().identity(), round, LARGE_VALUE_BYTES));
         }
-        Assertions.assertTrue(files.maxTotalBytes() < quotaBytes / 2, "took " + files.maxTotalBytes());
+        Assertions.assertTrue(files.maxTotalBytes() < quotaBytes / 2, "used " + files.maxTotalBytes());
         assertSame(state(store.recovered().identity(), 399, LARGE_VALUE_BYTES), open().recovered());
     }
 
-    /** Days of changes on a value as large as that of hundreds of routes, with every fault a disk may have. */
+    /** Days of changes to a value as large as that of hundreds of routes, with all simulated disk faults. */
     @Test
-    void thousandsOfLargeSavesStayWithinTheFileBound() throws StoreException {
+    void thousandsOfLargeSavesDoNotExceedTheFileLimit() throws StoreException {
         AcceptorStore store = open();
         String identity = store.recovered().identity();
         DurableState saved = store.recovered();
@@ -290,7 +290,7 @@
                 failedSaves++;
             }
             if (round % 250 == 0) {
-                endFaults(round);
+                clearFaults(round);
                 store = open();
                 boolean isNext = store.recovered().promisedBallot().equals(next.promisedBallot());
                 assertSame(isNext ? next : saved, store.recovered());
@@ -298,12 +298,12 @@
             }
         }
         Assertions.assertEquals(EXPECTED_FAILED_SAVES, failedSaves);
-        Assertions.assertTrue(files.maxTotalBytes() < MAX_FILES_BYTES, "took " + files.maxTotalBytes());
-        System.out.println(LARGE_SAVES + " saves of " + LARGEST_VALUE_BYTES + " bytes took " + files.maxTotalBytes()
+        Assertions.assertTrue(files.maxTotalBytes() < MAX_FILES_BYTES, "used " + files.maxTotalBytes());
+        System.out.println(LARGE_SAVES + " saves of " + LARGEST_VALUE_BYTES + " bytes used " + files.maxTotalBytes()
                 + " bytes at most");
     }
 
-    /** Full for 20 saves in each 250, and in each second 250 a save torn just before the power goes. */
+    /** The disk is full for 20 of every 250 saves, and the last save of every 500 is torn by a power loss. */
     private void injectFault(int round) {
         int within = round % 250;
         if (within == 100 || within == 120) {
@@ -313,16 +313,16 @@
         }
     }
 
-    private void endFaults(int round) {
+    private void clearFaults(int round) {
         if (round % 500 == 0) {
-            files.losePower(MemoryFiles.Unsynced.DRAWN, random);
+            files.losePower(MemoryFiles.Unsynced.RANDOM, random);
         } else {
             files.recoverWrites();
         }
     }
 
     @Test
-    void reportsAndLeavesADamagedStore() throws StoreException {
+    void reportsADamagedStoreWithoutDeletingIt() throws StoreException {
         AcceptorStore store = open();
         store.save(state(store.recovered().identity(), 1, 100));
         files.truncate(FILE, 100);
--- a/store/src/test/java/dewplank/store/BootstrapSeedsTest.java
+++ b/store/src/test/java/dewplank/store/BootstrapSeedsTest.java
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void storedSeedsWinOverThoseOfLaterSettings() throws StoreException {
+    void storedSeedsTakePrecedenceOverLaterSettings() throws StoreException {
         assertEquals(FIRST, seeds().loadOrStore(FIRST, true));
         assertEquals(FIRST, seeds().loadOrStore(LATER, true));
         assertEquals(FIRST, seeds().loadOrStore(LATER, false));
@@ -29,11 +29,11 @@
     @Test
     void storedSeedsSurviveAPowerLossRightAfterTheWrite() throws StoreException {
         seeds().loadOrStore(FIRST, true);
-        files.losePower(MemoryFiles.Unsynced.GONE, new SplittableRandom(1));
+        files.losePower(MemoryFiles.Unsynced.LOST, new SplittableRandom(1));
         assertEquals(FIRST, seeds().loadOrStore(LATER, false));
     }
 
-    /** An empty disk of a later start: its identity is nobody's among the first acceptors, so any seeds do. */
+    /** The identity of a disk that is empty at a later start is not among the first acceptors, so any seeds will do. */
     @Test
     void aLaterStartStoresNothing() throws StoreException {
         assertEquals(LATER, seeds().loadOrStore(LATER, false));
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void failsWhenTheDiskRefusesTheWrite() {
+    void failsIfTheDiskRejectsTheWrite() {
         files.fill(true);
         assertThrows(StoreException.class, () -> seeds().loadOrStore(FIRST, true));
     }
--- a/store/src/test/java/dewplank/store/ChecksummedFileTest.java
+++ b/store/src/test/java/dewplank/store/ChecksummedFileTest.java
@@ -19,7 +19,7 @@
     private final ChecksummedFile file = new ChecksummedFile(files, Path.of("data"), "f");
 
     @Test
-    void readsWhatWasWrittenLast() throws StoreException {
+    void readsTheContentWrittenLast() throws StoreException {
         assertEquals(Optional.empty(), file.read());
         file.replace(CONTENT);
         assertArrayEquals(CONTENT, file.read().orElseThrow());
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void aDamagedFileCountsAsNone() throws StoreException, IOException {
+    void aDamagedFileIsTreatedAsMissing() throws StoreException, IOException {
         file.replace(CONTENT);
         try (StoreFile damaged = files.open(Path.of("data").resolve("f"))) {
             damaged.write(ByteBuffer.wrap(new byte[] {9}), 9);
@@ -40,9 +40,9 @@
         assertEquals(Optional.empty(), file.read());
     }
 
-    /** A sparse file of 3 GiB, more than an array can have. */
+    /** A sparse file of 3 GiB, which exceeds the maximum size of an array. */
     @Test
-    void aFileThatIsTooLargeCountsAsDamaged(@TempDir Path directory) throws IOException {
+    void aFileThatIsTooLargeIsTreatedAsDamaged(@TempDir Path directory) throws IOException {
         DiskFiles disk = new DiskFiles();
         try (StoreFile large = disk.open(directory.resolve("f"))) {
             large.write(ByteBuffer.wrap(CONTENT), 3L << 30);
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void contentThatIsTooLargeIsRejectedAndTheOldStays() throws StoreException {
+    void rejectsContentThatIsTooLargeWithoutChangingTheFile() throws StoreException {
         file.replace(CONTENT);
         byte[] tooLarge = new byte[(int) ChecksummedFile.MAX_FILE_BYTES];
         StoreException failure = assertThrows(StoreException.class, () -> file.replace(tooLarge));
--- a/store/src/test/java/dewplank/store/FounderIdentitiesTest.java
+++ b/store/src/test/java/dewplank/store/FounderIdentitiesTest.java
@@ -25,30 +25,30 @@
     }
 
     @Test
-    void anEmptyDiskHasNone() {
+    void anEmptyDiskHasNoIdentities() {
         assertEquals(Record.NONE, identities().load());
     }
 
     @Test
-    void whatIsStoredSurvivesAPowerLossRightAfterTheWrite() throws StoreException {
+    void storedIdentitiesSurviveAPowerLossRightAfterTheWrite() throws StoreException {
         identities().store(STORED);
-        files.losePower(MemoryFiles.Unsynced.GONE, new SplittableRandom(1));
+        files.losePower(MemoryFiles.Unsynced.LOST, new SplittableRandom(1));
         assertEquals(STORED, identities().load());
         identities().store(Record.NONE);
         assertEquals(Record.NONE, identities().load());
     }
 
     @Test
-    void aDiskThatRefusesTheWriteLeavesTheOldContent() throws StoreException {
+    void aDiskThatRejectsTheWriteKeepsTheOldContent() throws StoreException {
         identities().store(STORED);
         files.fill(true);
         assertThrows(StoreException.class, () -> identities().store(Record.NONE));
         assertEquals(STORED, identities().load());
     }
 
-    /** The format on disk, which later releases have to read. */
+    /** The format on disk, which later releases must be able to read. */
     @Test
-    void readsWhatThisReleaseWrote() throws IOException {
+    void readsTheFormatOfThisRelease() throws IOException {
         byte[] content = "2\n10.0.0.1:7660 memory:founder@10.0.0.1:7660#1f".getBytes(StandardCharsets.UTF_8);
         CRC32 crc = new CRC32();
         crc.update(content);
--- a/store/src/test/java/dewplank/store/GoldenStoreTest.java
+++ b/store/src/test/java/dewplank/store/GoldenStoreTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Disks as an earlier release left them, read field by field. */
+/** Reads stores that an earlier release wrote, and checks each field. */
 class GoldenStoreTest {
     private static final long DISK_BYTES = 64L << 20;
     private static final String STORE = "acceptor.mv";
@@ -36,7 +36,7 @@
         }
     }
 
-    /** A store writes to its file as soon as it opens it: the stored disk is copied first. */
+    /** Copies the stored file first, since a store writes to its file as soon as it opens it. */
     private AcceptorStore open(String disk) throws IOException, StoreException {
         Files.write(directory.resolve(STORE), resource(disk + "/" + STORE));
         return reopen();
@@ -53,14 +53,14 @@
         assertEquals(proposer, ballot.proposer());
     }
 
-    private static void assertAre(List<String> expected, List<AcceptorId> acceptors) {
+    private static void assertAcceptors(List<String> expected, List<AcceptorId> acceptors) {
         assertEquals(
                 expected,
                 acceptors.stream().map(a -> a.address() + " " + a.identity()).toList());
     }
 
     @Test
-    void aDiskThatNothingHappenedTo() throws IOException, StoreException {
+    void readsANewStore() throws IOException, StoreException {
         try (AcceptorStore store = open("fresh")) {
             DurableState state = store.recovered();
             assertEquals("founder@10.0.0.1:7600", state.identity());
@@ -74,17 +74,17 @@
     }
 
     @Test
-    void aValueThatIsAcceptedAndNotChosenAndHasNoPayload() throws IOException, StoreException {
+    void readsAnAcceptedValueWithoutPayload() throws IOException, StoreException {
         try (AcceptorStore store = open("without-payload")) {
             DurableState state = store.recovered();
             assertEquals("77zzq", state.identity());
             assertIsBallot(3, "10.0.0.1#a", state.promisedBallot());
             assertIsBallot(2, "10.0.0.2#b", state.acceptedBallot());
             assertEquals(0, state.acceptedValue().acceptors().generation());
-            assertAre(
+            assertAcceptors(
                     List.of("10.0.0.1:7600 founder@10.0.0.1:7600", "10.0.0.2:7600 3kq0z", "10.0.0.3:7600 b91xy"),
                     state.acceptedValue().acceptors().members());
-            assertAre(List.of(), state.acceptedValue().acceptors().joining());
+            assertAcceptors(List.of(), state.acceptedValue().acceptors().joining());
             assertEquals(1, state.acceptedValue().revision());
             assertNull(state.acceptedValue().payload());
             assertIsBallot(0, "", state.chosenBallot());
@@ -94,57 +94,57 @@
     }
 
     @Test
-    void aChosenValueWithAPlainPayload() throws IOException, StoreException {
+    void readsAChosenValueWithAnUncompressedPayload() throws IOException, StoreException {
         try (AcceptorStore store = open("plain")) {
             DurableState state = store.recovered();
             assertEquals("3kq0z", state.identity());
             assertIsBallot(300, "3kq0z#a7", state.promisedBallot());
             assertIsBallot(12, "b91xy#05", state.acceptedBallot());
-            assertIsSettledValue(state.acceptedValue());
+            assertIsValueBeforeReconfiguration(state.acceptedValue());
             assertIsBallot(12, "b91xy#05", state.chosenBallot());
-            assertIsSettledValue(state.chosenValue());
+            assertIsValueBeforeReconfiguration(state.chosenValue());
             assertEquals(Map.of("list", 6L), store.fencingTokens());
         }
     }
 
-    private static void assertIsSettledValue(RegisterValue value) throws IOException {
+    private static void assertIsValueBeforeReconfiguration(RegisterValue value) throws IOException {
         assertEquals(6, value.acceptors().generation());
-        assertAre(
+        assertAcceptors(
                 List.of("10.0.0.1:7600 founder@10.0.0.1:7600", "10.0.0.2:7600 3kq0z", "10.0.0.3:7600 b91xy"),
                 value.acceptors().members());
-        assertAre(List.of(), value.acceptors().joining());
+        assertAcceptors(List.of(), value.acceptors().joining());
         assertEquals(40, value.revision());
         assertArrayEquals(resource(PLAIN_PAYLOAD), value.payload());
     }
 
     @Test
-    void acceptorsUnderChangeWithACompressedPayload() throws IOException, StoreException {
+    void readsAcceptorsUnderReconfigurationWithACompressedPayload() throws IOException, StoreException {
         try (AcceptorStore store = open("joint-compressed")) {
-            assertIsUnderChange(store.recovered());
+            assertIsUnderReconfiguration(store.recovered());
             assertEquals(Map.of("list", 9L, "other", 1L << 40), store.fencingTokens());
         }
     }
 
-    private static void assertIsUnderChange(DurableState state) throws IOException {
+    private static void assertIsUnderReconfiguration(DurableState state) throws IOException {
         assertEquals("b91xy", state.identity());
         assertIsBallot(301, "founder@10.0.0.1:7600#ff", state.promisedBallot());
         assertIsBallot(300, "3kq0z#a7", state.acceptedBallot());
         assertEquals(7, state.acceptedValue().acceptors().generation());
-        assertAre(
+        assertAcceptors(
                 List.of("10.0.0.1:7600 founder@10.0.0.1:7600", "10.0.0.2:7600 3kq0z", "10.0.0.3:7600 b91xy"),
                 state.acceptedValue().acceptors().members());
-        assertAre(
+        assertAcceptors(
                 List.of("10.0.0.2:7600 3kq0z", "10.0.0.3:7600 b91xy", "10.0.0.4:7600 77zzq"),
                 state.acceptedValue().acceptors().joining());
         assertEquals(41, state.acceptedValue().revision());
         assertArrayEquals(resource(COMPRESSED_PAYLOAD), state.acceptedValue().payload());
         assertIsBallot(12, "b91xy#05", state.chosenBallot());
-        assertIsSettledValue(state.chosenValue());
+        assertIsValueBeforeReconfiguration(state.chosenValue());
     }
 
-    /** Going on with a disk of an earlier release. */
+    /** A store of an earlier release can be updated. */
     @Test
-    void itIsWrittenOn() throws IOException, StoreException {
+    void writesToAStoreOfAnEarlierRelease() throws IOException, StoreException {
         DurableState next;
         try (AcceptorStore store = open("joint-compressed")) {
             DurableState found = store.recovered();
@@ -175,7 +175,7 @@
     // ---- bytes ----------------------------------------------------------------------------------------
 
     @Test
-    void theBytesOfAValue() throws IOException {
+    void encodesValuesInTheSameFormat() throws IOException {
         RegisterValue value = new RegisterValue(
                 new AcceptorSet(
                         7,
@@ -198,7 +198,7 @@
     }
 
     @Test
-    void theBytesOfBallotsAndKeys() throws IOException {
+    void encodesBallotsAndKeysInTheSameFormat() throws IOException {
         StateCodec.StateHeader header =
                 new StateCodec.StateHeader(new Ballot(3, "p"), new Ballot(2, "q"), 5, new Ballot(1, "r"), 4);
         String expected = "01" // version
@@ -211,9 +211,9 @@
         assertEquals(header, StateCodec.decodeHeader(HexFormat.of().parseHex(expected)));
     }
 
-    /** A checksum of eight bytes, then the addresses, one a line. */
+    /** A checksum of eight bytes, then the addresses, one per line. */
     @Test
-    void theBytesOfTheFirstAcceptors() throws IOException, StoreException {
+    void storesBootstrapSeedsInTheSameFormat() throws IOException, StoreException {
         List<String> addresses = List.of("10.0.0.1:7600", "10.0.0.2:7600");
         byte[] expected = HexFormat.of()
                 .parseHex("000000004f58cc26" + "31302e302e302e313a37363030" + "0a" + "31302e302e302e323a37363030");
--- a/store/src/test/java/dewplank/store/MemoryFiles.java
+++ b/store/src/test/java/dewplank/store/MemoryFiles.java
@@ -15,20 +15,20 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** Files in memory that fail like disks: what is synced survives a power loss, all else may be there, torn or gone. */
+/** Files in memory that fail like disks: synced data survives a power loss, other data may survive, be torn or lost. */
 final class MemoryFiles implements StoreFiles {
-    /** What a loss of power does to a write that was not synced. */
+    /** The effect of a power loss on a write that was not synced. */
     enum Unsynced {
         SURVIVES,
         TORN,
-        GONE,
-        DRAWN
+        LOST,
+        RANDOM
     }
 
-    /** A change of a file's bytes; a truncation to the position where there are none. */
+    /** A write of bytes to a file, or a truncation to the position if there are no bytes. */
     private record Write(byte[] bytes, long position) {}
 
-    /** Bytes that grow without a copy at each write. */
+    /** A byte buffer that grows without a copy at each write. */
     private static final class Bytes {
         private byte[] buffer = new byte[0];
         private int length;
@@ -48,20 +48,20 @@
             length = Math.max(length, end);
         }
 
-        void become(Bytes other) {
+        void copyFrom(Bytes other) {
             buffer = other.buffer.clone();
             length = other.length;
         }
     }
 
-    /** A file, whatever its names are. */
+    /** The content of a file, independent of its names. */
     private static final class Content {
-        private final Bytes now = new Bytes();
+        private final Bytes current = new Bytes();
         private final Bytes synced = new Bytes();
         private final List<Write> unsynced = new ArrayList<>();
 
         void change(Write write) {
-            now.apply(write);
+            current.apply(write);
             unsynced.add(write);
         }
 
@@ -84,13 +84,13 @@
         full = isFull;
     }
 
-    /** Every write beyond this many fails, as does every sync from then on. */
+    /** Makes every write after this many fail, and every sync from then on. */
     void failAfterWrites(int count) {
         writesLeft = count;
     }
 
-    /** The process ends after so many changes, removals and syncs of files and names: none takes place beyond. */
-    void endAfterSteps(int count) {
+    /** Terminates the process after this many changes, deletions and syncs of files and names; later ones fail. */
+    void terminateAfterSteps(int count) {
         stepsLeft = count;
     }
 
@@ -102,57 +102,57 @@
         return syncs;
     }
 
-    /** How many files there are. */
+    /** The number of files. */
     int count() {
         return names.size();
     }
 
-    /** The largest size that all files had together. */
+    /** The maximum total size that the files have had. */
     long maxTotalBytes() {
         return maxTotalBytes;
     }
 
     /** Damages a byte of a file. */
     void corrupt(Path file, int position) {
-        names.get(file).now.buffer[position] ^= 0x55;
+        names.get(file).current.buffer[position] ^= 0x55;
     }
 
-    /** Shortens a file to this length. */
+    /** Truncates a file to this length. */
     void truncate(Path file, int length) {
         names.get(file).change(new Write(null, length));
     }
 
     /**
-     * Loses power. A write that was not synced may survive in part or completely; a name that was made, changed or
-     * removed since the last sync of its directory may be the old or the new one, each by itself.
+     * Simulates a power loss. A write that was not synced may survive in part or completely. A name that was created,
+     * changed or deleted since the last sync of its directory may be the old or the new one, independently of others.
      */
     void losePower(Unsynced unsynced, SplittableRandom random) {
-        Map<Path, Content> left = new TreeMap<>();
+        Map<Path, Content> remaining = new TreeMap<>();
         Set<Path> allNames = new TreeSet<>(syncedNames.keySet());
         allNames.addAll(names.keySet());
         for (Path path : allNames) {
-            boolean isNew = unsynced == Unsynced.SURVIVES || unsynced == Unsynced.DRAWN && random.nextBoolean();
+            boolean isNew = unsynced == Unsynced.SURVIVES || unsynced == Unsynced.RANDOM && random.nextBoolean();
             Content content = isNew ? names.get(path) : syncedNames.get(path);
             if (content != null) {
-                left.put(path, content);
+                remaining.put(path, content);
             }
         }
         names.clear();
-        names.putAll(left);
+        names.putAll(remaining);
         syncedNames = new HashMap<>(names);
-        for (Content content : new LinkedHashSet<>(left.values())) {
+        for (Content content : new LinkedHashSet<>(remaining.values())) {
             List<Write> writes = new ArrayList<>(content.unsynced);
             content.unsynced.clear();
-            content.now.become(content.synced);
+            content.current.copyFrom(content.synced);
             for (Write write : writes) {
-                survive(content, write, unsynced, random);
+                applyAfterPowerLoss(content, write, unsynced, random);
             }
             content.sync();
         }
         recoverWrites();
     }
 
-    /** Writes and syncs work again. */
+    /** Makes writes and syncs succeed again. */
     void recoverWrites() {
         full = false;
         syncFails = false;
@@ -160,11 +160,11 @@
         stepsLeft = Integer.MAX_VALUE;
     }
 
-    private static void survive(Content content, Write write, Unsynced unsynced, SplittableRandom random) {
-        int fate = unsynced == Unsynced.DRAWN ? random.nextInt(3) : unsynced.ordinal();
-        if (fate == Unsynced.SURVIVES.ordinal()) {
+    private static void applyAfterPowerLoss(Content content, Write write, Unsynced unsynced, SplittableRandom random) {
+        int effect = unsynced == Unsynced.RANDOM ? random.nextInt(3) : unsynced.ordinal();
+        if (effect == Unsynced.SURVIVES.ordinal()) {
             content.change(write);
-        } else if (fate == Unsynced.TORN.ordinal() && write.bytes != null) {
+        } else if (effect == Unsynced.TORN.ordinal() && write.bytes != null) {
             int length = random.nextInt(write.bytes.length + 1);
             content.change(new Write(Arrays.copyOf(write.bytes, length), write.position));
         }
@@ -189,7 +189,7 @@
 
     @Override
     public void delete(Path file) throws IOException {
-        failIfEnded();
+        failIfTerminated();
         names.remove(file);
     }
 
@@ -201,15 +201,15 @@
 
     private void failIfFull() throws IOException {
         if (full || writesLeft <= 0) {
-            throw new IOException("no room");
+            throw new IOException("disk full");
         }
-        failIfEnded();
+        failIfTerminated();
         writesLeft--;
     }
 
-    private void failIfEnded() throws IOException {
+    private void failIfTerminated() throws IOException {
         if (stepsLeft <= 0) {
-            throw new IOException("the process has ended");
+            throw new IOException("the process has terminated");
         }
         stepsLeft--;
     }
@@ -218,14 +218,14 @@
         if (syncFails || writesLeft <= 0) {
             throw new IOException("sync failed");
         }
-        failIfEnded();
+        failIfTerminated();
         syncs++;
     }
 
-    private void measure() {
+    private void updateMaxTotalBytes() {
         long sum = 0;
         for (Content content : names.values()) {
-            sum += content.now.length;
+            sum += content.current.length;
         }
         maxTotalBytes = Math.max(maxTotalBytes, sum);
     }
@@ -239,10 +239,10 @@
 
         @Override
         public void read(ByteBuffer target, long position) throws IOException {
-            if (position + target.remaining() > content.now.length) {
+            if (position + target.remaining() > content.current.length) {
                 throw new EOFException();
             }
-            target.put(content.now.buffer, (int) position, target.remaining());
+            target.put(content.current.buffer, (int) position, target.remaining());
         }
 
         @Override
@@ -251,7 +251,7 @@
             byte[] bytes = new byte[source.remaining()];
             source.get(bytes);
             content.change(new Write(bytes, position));
-            measure();
+            updateMaxTotalBytes();
         }
 
         @Override
@@ -268,12 +268,12 @@
 
         @Override
         public long size() {
-            return content.now.length;
+            return content.current.length;
         }
 
         @Override
         public void close() {
-            // Files stay as they are.
+            // The content stays in memory.
         }
     }
 }
--- a/store/src/test/java/dewplank/store/SingleThreadDiskExecutorTest.java
+++ b/store/src/test/java/dewplank/store/SingleThreadDiskExecutorTest.java
@@ -48,9 +48,9 @@
     }
 
     @Test
-    void anUnexpectedErrorFailsItsOwnTaskOnly() throws InterruptedException {
+    void anUnexpectedExceptionFailsOnlyItsOwnTask() throws InterruptedException {
         submit("first", () -> {
-            throw new IllegalStateException("not foreseen");
+            throw new IllegalStateException("unexpected");
         });
         submit("second", () -> {});
         runLoop(2);
@@ -58,32 +58,32 @@
     }
 
     @Test
-    void rejectsTasksBeyondTheQueueAtOnce() throws InterruptedException {
-        CountDownLatch hanging = new CountDownLatch(1);
-        CountDownLatch begun = new CountDownLatch(1);
-        submit("hanging", () -> {
-            begun.countDown();
-            awaitQuietly(hanging);
+    void rejectsTasksImmediatelyIfTheQueueIsFull() throws InterruptedException {
+        CountDownLatch blocked = new CountDownLatch(1);
+        CountDownLatch started = new CountDownLatch(1);
+        submit("blocked", () -> {
+            started.countDown();
+            awaitQuietly(blocked);
         });
-        begun.await();
+        started.await();
         for (int index = 0; index <= SingleThreadDiskExecutor.MAX_QUEUED_TASKS; index++) {
-            submit("waiting", () -> {});
+            submit("queued", () -> {});
         }
         runLoop(1);
-        Assertions.assertEquals(List.of("waiting failed"), results);
-        hanging.countDown();
+        Assertions.assertEquals(List.of("queued failed"), results);
+        blocked.countDown();
         runLoop(1 + SingleThreadDiskExecutor.MAX_QUEUED_TASKS);
-        Assertions.assertEquals("hanging done", results.get(1));
+        Assertions.assertEquals("blocked done", results.get(1));
     }
 
-    /** An interrupt would close the channel under a write, and the write's outcome would be unknown. */
+    /** An interrupt would close the channel during a write, whose outcome would then be unknown. */
     @Test
-    void closingLetsTheTaskInProgressEndAndDropsThoseQueued(@TempDir Path directory) throws Exception {
+    void closingLetsTheCurrentTaskCompleteAndDropsQueuedTasks(@TempDir Path directory) throws Exception {
         CountDownLatch closed = new CountDownLatch(1);
-        CountDownLatch begun = new CountDownLatch(1);
+        CountDownLatch started = new CountDownLatch(1);
         Path file = directory.resolve("written");
         submit("in progress", () -> {
-            begun.countDown();
+            started.countDown();
             awaitQuietly(closed);
             try (StoreFile written = new DiskFiles().open(file)) {
                 written.write(ByteBuffer.wrap(new byte[] {1, 2, 3}), 0);
@@ -93,7 +93,7 @@
             }
         });
         submit("queued", () -> {});
-        begun.await();
+        started.await();
         disk.close();
         closed.countDown();
         runLoop(1);
@@ -107,7 +107,7 @@
     private static void awaitQuietly(CountDownLatch latch) {
         try {
             latch.await();
-        } catch (InterruptedException ended) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
