--- a/settings/src/main/java/dewplank/settings/Addresses.java
+++ b/settings/src/main/java/dewplank/settings/Addresses.java
@@ -4,12 +4,12 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Parses {@code host:port} with a literal IP address as host: there is no DNS beside a proxy. */
+/** Parses {@code host:port}. The host must be a literal IP address, because a proxy has no DNS available. */
 public final class Addresses {
     private Addresses() {}
 
     /**
-     * Parses the address under a key.
+     * Parses the address that is the value of a key.
      *
      * @throws InvalidInputException if it is missing or malformed; the message names the key
      */
@@ -23,7 +23,7 @@
                 return new InetSocketAddress(InetAddress.getByName(host), port);
             }
         } catch (NumberFormatException | UnknownHostException e) {
-            // reported below like any other malformed address
+            // reported below as a malformed address
         }
         throw fields.outOfRange(key, "an address and a port, such as 10.0.0.4:5000");
     }
--- a/settings/src/main/java/dewplank/settings/Fields.java
+++ b/settings/src/main/java/dewplank/settings/Fields.java
@@ -7,27 +7,27 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** Typed access to a JSON object's values by key. A key that is needed and missing, or of another type, is named. */
+/** Typed access to the values of a JSON object by key. Errors name the key that is missing or of the wrong type. */
 public final class Fields {
     private final Map<String, Object> fields;
     private final String path;
 
-    /** {@code path} stands before each key in messages. */
+    /** Creates an accessor; error messages put {@code path} in front of each key. */
     public Fields(Map<String, Object> fields, String path) {
         this.fields = fields;
         this.path = path;
     }
 
-    public InvalidInputException wrongType(String key, String what) {
+    public InvalidInputException wrongType(String key, String expected) {
         if (fields.get(key) == null) {
             return new InvalidInputException(ResultCode.KEY_MISSING, path + key + " is missing");
         }
-        return new InvalidInputException(ResultCode.KEY_OF_WRONG_TYPE, path + key + " should be " + what);
+        return new InvalidInputException(ResultCode.KEY_OF_WRONG_TYPE, path + key + " should be " + expected);
     }
 
-    /** The value is of the right type and yet none that can be used. */
-    public InvalidInputException outOfRange(String key, String what) {
-        return new InvalidInputException(ResultCode.KEY_OUT_OF_RANGE, path + key + " should be " + what);
+    /** Creates the error for a value of the right type that is not allowed. */
+    public InvalidInputException outOfRange(String key, String expected) {
+        return new InvalidInputException(ResultCode.KEY_OUT_OF_RANGE, path + key + " should be " + expected);
     }
 
     public String text(String key) {
@@ -37,8 +37,8 @@
         throw wrongType(key, "text");
     }
 
-    public String text(String key, String otherwise) {
-        return fields.get(key) == null ? otherwise : text(key);
+    public String text(String key, String defaultValue) {
+        return fields.get(key) == null ? defaultValue : text(key);
     }
 
     public double number(String key) {
@@ -48,8 +48,8 @@
         throw wrongType(key, "a number");
     }
 
-    public double number(String key, double otherwise) {
-        return fields.get(key) == null ? otherwise : number(key);
+    public double number(String key, double defaultValue) {
+        return fields.get(key) == null ? defaultValue : number(key);
     }
 
     public double positive(String key) {
@@ -60,20 +60,20 @@
         throw outOfRange(key, "a number above 0");
     }
 
-    /** A number that is not below the least. */
-    public double atLeast(String key, long least) {
+    /** Returns a number that must be at least {@code minimum}. */
+    public double atLeast(String key, long minimum) {
         double value = number(key);
-        if (value >= least) {
+        if (value >= minimum) {
             return value;
         }
-        throw outOfRange(key, "a number not below " + least);
+        throw outOfRange(key, "a number not below " + minimum);
     }
 
-    public double atLeast(String key, long least, double otherwise) {
-        return fields.get(key) == null ? otherwise : atLeast(key, least);
+    public double atLeast(String key, long minimum, double defaultValue) {
+        return fields.get(key) == null ? defaultValue : atLeast(key, minimum);
     }
 
-    /** A whole number; one of more than 64 bits is not whole here. */
+    /** Returns a whole number; numbers of more than 64 bits are rejected. */
     public long integer(String key) {
         if (fields.get(key) instanceof Long n) {
             return n;
@@ -81,7 +81,7 @@
         throw wrongType(key, "a whole number");
     }
 
-    /** The object under the key, which has to be there. */
+    /** Returns the object that is the value of a required key. */
     public Fields requireObject(String key) {
         if (fields.get(key) == null) {
             throw wrongType(key, "an object");
@@ -96,8 +96,8 @@
         throw wrongType(key, "true or false");
     }
 
-    public boolean flag(String key, boolean otherwise) {
-        return fields.get(key) == null ? otherwise : flag(key);
+    public boolean flag(String key, boolean defaultValue) {
+        return fields.get(key) == null ? defaultValue : flag(key);
     }
 
     public <T> T choice(String key, Map<String, T> choices) {
@@ -135,7 +135,7 @@
         return parts;
     }
 
-    /** The array's values as fields of their own, in order: {@code key[0]} and on. */
+    /** Returns the elements of an array, in order, as fields with the keys {@code key[0]}, {@code key[1]} and so on. */
     public Fields elements(String key) {
         if (!(fields.get(key) instanceof List<?> l)) {
             throw wrongType(key, "an array");
--- a/settings/src/main/java/dewplank/settings/FileWatch.java
+++ b/settings/src/main/java/dewplank/settings/FileWatch.java
@@ -7,12 +7,13 @@
 import java.nio.file.attribute.FileTime;
 
 /**
- * Detects by a file's attributes that it has changed, for programs that get no signal when it does.
+ * Detects changes of a file by its attributes, for programs that receive no signal when the file changes.
  *
- * <p>The caller polls at a coarse, even interval; a poll is one system call. A change is reported once two polls in a
- * row saw the same attributes, so that a file being written is not read halfway. Modification time, size and file key
- * are compared for difference, not order: a file that was put back may be older. Links are followed. A missing file, or
- * one that is not regular (a pipe), never counts as changed. Confined to one thread; throws nothing.
+ * <p>The caller polls at a regular, coarse interval; a poll is one system call. A change is reported when two
+ * consecutive polls return the same attributes, so that a partly written file is not read. Modification time, size and
+ * file key are compared for equality, not order, because a restored file may be older. Symbolic links are followed. A
+ * file that is missing or not regular, such as a pipe, is never reported as changed. Confined to one thread; throws no
+ * exceptions.
  */
 public final class FileWatch {
     private record State(FileTime modified, long size, Object key) {}
@@ -22,20 +23,21 @@
     private State polledState;
 
     /**
-     * Takes the file's present state as read. Create the watch before reading the file, or a change between is missed.
+     * Creates a watch that treats the file's current state as read. Create it before reading the file: a change between
+     * the two would otherwise be missed.
      */
     public FileWatch(Path file) {
         this.file = file;
         markRead();
     }
 
-    /** Takes the present state as read, when the file is about to be read for another reason. */
+    /** Treats the current state as read; to be called before the file is read for another reason. */
     public void markRead() {
         readState = currentState();
         polledState = readState;
     }
 
-    /** Whether the file has changed since it was read and is stable; if so it counts as read from now on. */
+    /** Returns whether the file has changed since it was read and is stable; if so, the new state counts as read. */
     public boolean pollChanged() {
         State now = currentState();
         boolean isStable = now != null && now.equals(polledState);
@@ -53,7 +55,7 @@
             return attributes.isRegularFile()
                     ? new State(attributes.lastModifiedTime(), attributes.size(), attributes.fileKey())
                     : null;
-        } catch (IOException e) { // missing or unreachable for now: the last state stays
+        } catch (IOException e) { // missing or temporarily inaccessible: not reported as a change
             return null;
         }
     }
--- a/settings/src/main/java/dewplank/settings/InvalidInputException.java
+++ b/settings/src/main/java/dewplank/settings/InvalidInputException.java
@@ -1,34 +1,34 @@
 package dewplank.settings;
 
-/** Input or configuration that cannot be used. The message is meant for the operator who reads standard error. */
+/** Invalid input or configuration. The message is for operators, who see it on standard error. */
 public final class InvalidInputException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
     private final ResultCode code;
 
-    /** An error without a number. */
+    /** Creates an error without a result code. */
     public InvalidInputException(String message) {
         this(null, message);
     }
 
-    /** An error with a numbered kind, which may be null. */
+    /** Creates an error with a result code, which may be null. */
     public InvalidInputException(ResultCode code, String message) {
         super(message);
         this.code = code;
     }
 
-    /** An error whose message begins with its number. */
+    /** Creates an error whose message starts with the code's number and name. */
     public static InvalidInputException of(ResultCode code, String detail) {
         return new InvalidInputException(code, code.line(detail));
     }
 
-    /** The kind of error; null if it has no number. */
+    /** The result code, or null. */
     public ResultCode code() {
         return code;
     }
 
-    /** The same error with a message that begins with its number, or with the given code's if it has none. */
-    public InvalidInputException numbered(ResultCode otherwise) {
-        return of(code == null ? otherwise : code, getMessage());
+    /** Returns this error with its code, or with {@code defaultCode} if it has none, at the start of the message. */
+    public InvalidInputException withNumber(ResultCode defaultCode) {
+        return of(code == null ? defaultCode : code, getMessage());
     }
 }
--- a/settings/src/main/java/dewplank/settings/Json.java
+++ b/settings/src/main/java/dewplank/settings/Json.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads one JSON text into lists, maps, strings, longs, doubles, booleans and nulls. */
+/** Parses a JSON text into lists, maps, strings, longs, doubles, booleans and nulls. */
 public final class Json {
     private Json() {}
 
@@ -24,18 +24,18 @@
         return read(text, JsonToken.BEGIN_ARRAY, "a JSON array", Json::values);
     }
 
-    private interface Reading<T> {
+    private interface ValueReader<T> {
         T from(JsonReader in) throws IOException;
     }
 
-    private static <T> T read(String text, JsonToken first, String what, Reading<T> reading) {
+    private static <T> T read(String text, JsonToken first, String expected, ValueReader<T> reader) {
         try {
             JsonReader in = new JsonReader(new StringReader(text));
             in.setStrictness(Strictness.STRICT);
             if (in.peek() != first) {
-                throw new InvalidInputException("expected " + what);
+                throw new InvalidInputException("expected " + expected);
             }
-            T value = reading.from(in);
+            T value = reader.from(in);
             if (in.peek() != JsonToken.END_DOCUMENT) {
                 throw new InvalidInputException("text after the message");
             }
@@ -61,13 +61,13 @@
         };
     }
 
-    /** Whole numbers stay exact up to 64 bits: request ids and seeds do not fit a double. */
+    /** Whole numbers of up to 64 bits are exact, because request ids and seeds do not fit into a double. */
     private static Object number(String text) {
         if (text.indexOf('.') < 0 && text.indexOf('e') < 0 && text.indexOf('E') < 0) {
             try {
                 return Long.valueOf(text);
             } catch (NumberFormatException e) {
-                return Double.valueOf(text); // beyond any integer that is asked for
+                return Double.valueOf(text); // more than 64 bits: exceeds the range of all integer fields
             }
         }
         return Double.valueOf(text);
--- a/settings/src/main/java/dewplank/settings/NodeSettings.java
+++ b/settings/src/main/java/dewplank/settings/NodeSettings.java
@@ -10,26 +10,26 @@
 import java.util.Map;
 
 /**
- * The settings file of a process of the router fleet, read and checked in this one place.
+ * The settings of a process of the router fleet, read from its settings file and validated.
  *
- * <p>Unknown fields are ignored. A field that is missing, of the wrong type or out of range is named by its full key in
- * an {@link InvalidInputException} with the error's number. The keys are those of the operators' deploy page; times are
- * converted to milliseconds, sizes to bytes.
+ * <p>Unknown fields are ignored. If a field is missing, of the wrong type or out of range, an {@link
+ * InvalidInputException} reports its full key and the result code. The keys are documented on the operators' deploy
+ * page. Times are converted to milliseconds and sizes to bytes.
  *
  * @param nodeName the machine's name
  * @param address the machine's IPv4 address
  * @param zone the machine's zone
- * @param front where clients connect; null if the role serves none
- * @param readiness where readiness is polled; null if the role serves no clients
- * @param control where operators call; null if the role serves no control plane
- * @param internalPorts the first and the last port free for messages between own processes
- * @param seeds control addresses to begin with
+ * @param front listen address for clients; null if the process accepts none
+ * @param readiness listen address for readiness checks; null if the process accepts no clients
+ * @param control listen address for operators; null if the process is not a control plane
+ * @param internalPorts the first and the last port available for messages between the fleet's processes
+ * @param seeds the initial control addresses
  * @param initialStart whether the fleet starts for the first time, with empty disks
- * @param dataDirectory the folder on the machine's disk; null if it has none
- * @param resources what the process may use
- * @param bounds bounds of the operators' rules
- * @param platform the platform's list of servers
- * @param counted whether the machine's loss is counted
+ * @param lossCounted whether the loss of this machine counts, so that its control plane must store state on a disk
+ * @param dataDirectory the directory on the machine's disk; null if it has none
+ * @param resources resource limits of the process
+ * @param bounds limits that the operators set
+ * @param platform the platform's server list
  */
 public record NodeSettings(
         String nodeName,
@@ -46,13 +46,13 @@
         Resources resources,
         Bounds bounds,
         Platform platform) {
-    /** The variable that holds the file's path. */
+    /** The environment variable that contains the path of the settings file. */
     public static final String VARIABLE = "DEWPLANK_NODE_FILE";
 
-    /** What the process may use. */
+    /** Resource limits of the process. */
     public record Resources(int fileDescriptors, long diskBytes) {}
 
-    /** Bounds of the operators' rules, by the names of the settings file. Times in milliseconds. */
+    /** Limits that the operators set, named after the keys of the settings file. Times are in milliseconds. */
     public record Bounds(
             double drainMs,
             double graceMs,
@@ -68,26 +68,26 @@
             Quota quota) {}
 
     /**
-     * Bounds on the requests of a tenant with a limit.
+     * How far the requests of a tenant may exceed its rate limit.
      *
-     * @param windowMs over which they are counted
-     * @param overshoot by which fraction of the limit they may exceed it
-     * @param slack by how many they may exceed it besides
+     * @param windowMs the window in which requests are counted
+     * @param overshoot the allowed excess as a fraction of the limit
+     * @param slack the additional allowed excess as a number of requests
      */
     public record Quota(double windowMs, double overshoot, double slack) {}
 
     /**
-     * Bounds on the use of access keys that were taken away.
+     * Limits on the use of revoked access keys.
      *
-     * @param closed whether a key is refused where it is not known that it still holds
-     * @param withinMs by when it is refused after the acknowledgement of its revocation
+     * @param closed whether a key is rejected if its validity cannot be confirmed
+     * @param withinMs time after the acknowledgement of its revocation within which a key must be rejected
      */
     public record Revocation(boolean closed, double withinMs) {}
 
-    /** The platform's list of servers. */
-    public record Platform(InetSocketAddress address, double callsPerSecond, double lagMs) {}
+    /** The platform's server list. */
+    public record Platform(InetSocketAddress address, double callsPerSecond, double maxLagMs) {}
 
-    /** Where the file gives no {@code catch_up_s}: the shortest time that any deployment has given so far. */
+    /** Used if the file contains no {@code catch_up_s}: the shortest time configured in any deployment so far. */
     private static final double DEFAULT_CATCH_UP_S = 4;
 
     private static final double DEFAULT_QUOTA_WINDOW_S = 5;
@@ -100,12 +100,12 @@
     private static final int IP_OCTETS = 4;
     private static final int MAX_IP_OCTET = 255;
 
-    /** Reads the file that {@link #VARIABLE} names. */
+    /** Reads the settings file at the path in {@link #VARIABLE}. */
     public static NodeSettings fromEnvironment(Map<String, String> environment) {
         return read(path(environment));
     }
 
-    /** The path of the settings file. */
+    /** Returns the path of the settings file. */
     public static Path path(Map<String, String> environment) {
         String path = environment.get(VARIABLE);
         if (path == null || path.isEmpty()) {
@@ -115,7 +115,7 @@
         return Path.of(path);
     }
 
-    /** Reads a file. */
+    /** Reads a settings file. */
     public static NodeSettings read(Path path) {
         try {
             return parse(Files.readString(path, StandardCharsets.UTF_8));
@@ -128,13 +128,13 @@
     /** Parses the text of a settings file. */
     public static NodeSettings parse(String text) {
         try {
-            return parsed(text);
+            return parseFields(text);
         } catch (InvalidInputException e) {
-            throw e.numbered(ResultCode.NOT_JSON);
+            throw e.withNumber(ResultCode.NOT_JSON);
         }
     }
 
-    private static NodeSettings parsed(String text) {
+    private static NodeSettings parseFields(String text) {
         Fields fields = new Fields(Json.object(text), "");
         Fields listen = fields.requireObject("listen_addresses");
         Fields limits = fields.requireObject("limits");
@@ -156,7 +156,7 @@
                 platform(fields.requireObject("platform_api")));
     }
 
-    /** Checks that the keys are there that a data plane needs. */
+    /** Checks that the keys required by a data plane are present. */
     public NodeSettings requireDataPlaneKeys() {
         require(front, "listen_addresses.front", "clients connect there");
         require(readiness, "listen_addresses.readiness", "the platform asks there whether clients may come");
@@ -164,8 +164,8 @@
     }
 
     /**
-     * Checks that the keys are there that a control plane needs. One without a disk, where the loss is not counted, is
-     * a relay.
+     * Checks that the keys required by a control plane are present. A control plane without a disk, which is allowed if
+     * the machine's loss does not count, is a relay.
      */
     public NodeSettings requireControlPlaneKeys() {
         require(control, "listen_addresses.control", "operators call there");
@@ -181,11 +181,11 @@
         }
     }
 
-    /** The address, checked by hand: other processes dial it as it is, and nothing here may look a name up. */
+    /** Parses the address without a library: other processes connect to it as written, and no name may be resolved. */
     private static String ip(Fields fields) {
         String text = fields.text("ip_address");
         int octets = 1;
-        int value = -1; // of the octet so far; below 0 before its first digit
+        int value = -1; // of the current octet; -1 before its first digit
         boolean isValid = true;
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
--- a/settings/src/main/java/dewplank/settings/ResultCode.java
+++ b/settings/src/main/java/dewplank/settings/ResultCode.java
@@ -1,8 +1,9 @@
 package dewplank.settings;
 
 /**
- * Numbered results that operators see: of calls to the operators' interface (with the HTTP status they come with), of a
- * settings file, of a start, of the operators' client. The table with what to do is docs/result-codes.md.
+ * Numbered results that operators see: of requests to the operators' interface (with the HTTP status of the response),
+ * of reading a settings file, of starting a process, and of the operators' client. docs/result-codes.md lists the codes
+ * and the action to take for each.
  */
 public enum ResultCode {
     OK(100, 200),
@@ -49,17 +50,17 @@
         this.status = status;
     }
 
-    /** The number, which stays with the name for good. */
+    /** The number; the number of a name never changes. */
     public int number() {
         return number;
     }
 
-    /** The HTTP status of an answer with this result; 0 where no answer has it. */
+    /** The HTTP status of a response with this result; 0 if no response has it. */
     public int status() {
         return status;
     }
 
-    /** A line for the person who reads it: number, name, and what it is about. */
+    /** Returns the line that operators see: number, name and detail. */
     public String line(String detail) {
         return number + " " + this + ": " + detail;
     }
--- a/settings/src/main/java/dewplank/settings/package-info.java
+++ b/settings/src/main/java/dewplank/settings/package-info.java
@@ -1,9 +1,9 @@
 /**
- * Settings files and their parts: the settings of a process of the fleet ({@link dewplank.settings.NodeSettings}),
- * typed access to JSON fields that names the field at fault, a watch on a file's attributes, and the numbered {@link
+ * Settings files: the settings of a process of the fleet ({@link dewplank.settings.NodeSettings}), typed access to JSON
+ * fields with errors that name the invalid field, a watch on a file's attributes, and the numbered {@link
  * dewplank.settings.ResultCode results} that operators see.
  *
- * <p>Nothing here opens a socket, starts a thread or knows what a setting is used for. The sidecar's own configuration
- * is read in {@code dewplank.sidecar.config}, on top of this.
+ * <p>This package opens no sockets, starts no threads and does not depend on the use of a setting. The sidecar's own
+ * configuration is read by {@code dewplank.sidecar.config}, which uses this package.
  */
 package dewplank.settings;
--- a/settings/src/test/java/dewplank/settings/FileWatchTest.java
+++ b/settings/src/test/java/dewplank/settings/FileWatchTest.java
@@ -14,9 +14,9 @@
 import org.junit.Test;
 import org.junit.rules.TemporaryFolder;
 
-/** Which changes of a file {@link FileWatch} reports. Times of files are set, so that no test waits. */
+/** Which file changes {@link FileWatch} reports. The tests set modification times, so that none has to wait. */
 public class FileWatchTest {
-    private static final long AT_MS = 1_700_000_000_000L;
+    private static final long MODIFIED_AT_MS = 1_700_000_000_000L;
 
     @Rule
     public final TemporaryFolder folder = new TemporaryFolder();
@@ -27,7 +27,7 @@
     @Before
     public void write() throws IOException {
         file = folder.getRoot().toPath().resolve("settings.json");
-        write(file, "first", AT_MS);
+        write(file, "first", MODIFIED_AT_MS);
         watch = new FileWatch(file);
     }
 
@@ -37,9 +37,9 @@
     }
 
     private void assertReportedOnceAtTheSecondPoll() {
-        assertFalse("at the first poll it may still be written", watch.pollChanged());
+        assertFalse("at the first poll the file may still be in the process of being written", watch.pollChanged());
         assertTrue(watch.pollChanged());
-        assertFalse("reported again", watch.pollChanged());
+        assertFalse("the change is reported again", watch.pollChanged());
     }
 
     @Test
@@ -49,39 +49,39 @@
     }
 
     @Test
-    public void aChangedTimeIsReported() throws IOException {
-        write(file, "other", AT_MS + 5);
+    public void aChangedModificationTimeIsReported() throws IOException {
+        write(file, "other", MODIFIED_AT_MS + 5);
         assertReportedOnceAtTheSecondPoll();
     }
 
     @Test
-    public void anOlderTimeIsReportedToo() throws IOException {
-        write(file, "other", AT_MS - 86_400_000);
+    public void anEarlierModificationTimeIsReported() throws IOException {
+        write(file, "other", MODIFIED_AT_MS - 86_400_000);
         assertReportedOnceAtTheSecondPoll();
     }
 
     @Test
     public void aChangedSizeAtTheSameTimeIsReported() throws IOException {
-        write(file, "longer by some", AT_MS);
+        write(file, "longer by some", MODIFIED_AT_MS);
         assertReportedOnceAtTheSecondPoll();
     }
 
     @Test
-    public void aReplacedFileOfTheSameTimeAndSizeIsReported() throws IOException {
+    public void aReplacementWithTheSameTimeAndSizeIsReported() throws IOException {
         Path next = file.resolveSibling("next");
-        write(next, "other", AT_MS);
+        write(next, "other", MODIFIED_AT_MS);
         Files.move(next, file, StandardCopyOption.REPLACE_EXISTING);
         assertReportedOnceAtTheSecondPoll();
     }
 
     @Test
-    public void aLinkToAnotherFileIsReported() throws IOException {
+    public void aLinkThatIsChangedToAnotherFileIsReported() throws IOException {
         Path link = Files.createSymbolicLink(file.resolveSibling("link"), file);
         watch = new FileWatch(link);
         assertFalse(watch.pollChanged());
         Files.delete(link);
         Path other = file.resolveSibling("other");
-        write(other, "other", AT_MS);
+        write(other, "other", MODIFIED_AT_MS);
         Files.createSymbolicLink(link, other);
         assertReportedOnceAtTheSecondPoll();
     }
@@ -89,15 +89,15 @@
     @Test
     public void aFileIsNotReportedWhileItIsWritten() throws IOException {
         for (int length = 1; length <= 5; length++) {
-            write(file, "x".repeat(length), AT_MS + length);
+            write(file, "x".repeat(length), MODIFIED_AT_MS + length);
             assertFalse(watch.pollChanged());
         }
         assertTrue(watch.pollChanged());
     }
 
     @Test
-    public void aChangeThatWasReadMeanwhileIsNotReported() throws IOException {
-        write(file, "other", AT_MS + 5);
+    public void aChangeMarkedAsReadIsNotReported() throws IOException {
+        write(file, "other", MODIFIED_AT_MS + 5);
         assertFalse(watch.pollChanged());
         watch.markRead();
         assertFalse(watch.pollChanged());
@@ -106,18 +106,18 @@
 
     @Test
     public void aChangeAfterTheReadIsReported() throws IOException {
-        write(file, "other", AT_MS + 5);
+        write(file, "other", MODIFIED_AT_MS + 5);
         watch.markRead();
-        write(file, "third", AT_MS + 6);
+        write(file, "third", MODIFIED_AT_MS + 6);
         assertReportedOnceAtTheSecondPoll();
     }
 
     @Test
-    public void aMissingFileIsNotReportedAndItsReplacementIs() throws IOException {
+    public void aMissingFileIsNotReportedButItsReplacementIs() throws IOException {
         Files.delete(file);
         assertFalse(watch.pollChanged());
         assertFalse(watch.pollChanged());
-        write(file, "other", AT_MS + 5);
+        write(file, "other", MODIFIED_AT_MS + 5);
         assertReportedOnceAtTheSecondPoll();
     }
 
@@ -126,11 +126,11 @@
         Path later = file.resolveSibling("later");
         watch = new FileWatch(later);
         assertFalse(watch.pollChanged());
-        write(later, "first", AT_MS);
+        write(later, "first", MODIFIED_AT_MS);
         assertReportedOnceAtTheSecondPoll();
     }
 
-    /** Reading a pipe would wait for its writer for good. */
+    /** Reading a pipe would block until a writer opens it. */
     @Test
     public void aPipeIsNeverReported() throws Exception {
         Files.delete(file);
--- a/settings/src/test/java/dewplank/settings/NodeSettingsTest.java
+++ b/settings/src/test/java/dewplank/settings/NodeSettingsTest.java
@@ -18,10 +18,10 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Reads a sample file, then that file with one key at a time missing, of another type, or out of range. */
+/** Parses a sample file, and variants of it with one key missing, of the wrong type, or out of range. */
 class NodeSettingsTest {
     private static final Gson GSON = new GsonBuilder().serializeNulls().create();
-    /** Keys that a settings file must have. */
+    /** Required keys. */
     private static final List<String> REQUIRED = List.of(
             "node_name",
             "ip_address",
@@ -43,7 +43,7 @@
             "platform_api",
             "platform_api.address",
             "platform_api.rate_per_s");
-    /** Keys that may be left out. */
+    /** Optional keys. */
     private static final List<String> OPTIONAL = List.of(
             "listen_addresses.front",
             "listen_addresses.readiness",
@@ -150,16 +150,16 @@
     }
 
     private static void assertRejected(String text, ResultCode code, String key) {
-        InvalidInputException fault = assertThrows(InvalidInputException.class, () -> NodeSettings.parse(text), key);
-        assertSame(code, fault.code(), fault.getMessage());
-        String beginning = code.number() + " " + code + ": " + key;
-        assertTrue(fault.getMessage().startsWith(beginning), fault.getMessage());
-        String remainder = fault.getMessage().substring(beginning.length());
-        assertTrue(remainder.startsWith(" ") || remainder.startsWith("["), fault.getMessage());
+        InvalidInputException error = assertThrows(InvalidInputException.class, () -> NodeSettings.parse(text), key);
+        assertSame(code, error.code(), error.getMessage());
+        String prefix = code.number() + " " + code + ": " + key;
+        assertTrue(error.getMessage().startsWith(prefix), error.getMessage());
+        String remainder = error.getMessage().substring(prefix.length());
+        assertTrue(remainder.startsWith(" ") || remainder.startsWith("["), error.getMessage());
     }
 
     @Test
-    void readsTheSample() {
+    void parsesTheSample() {
         NodeSettings settings = NodeSettings.parse(sample());
         assertEquals("node-7", settings.nodeName());
         assertEquals("10.1.0.12", settings.address());
@@ -183,7 +183,7 @@
     }
 
     @Test
-    void acceptsTheAbsenceOfEachOptionalKey() {
+    void acceptsMissingOptionalKeys() {
         for (String key : OPTIONAL) {
             NodeSettings.parse(without(key));
             NodeSettings.parse(with(key, null));
@@ -194,10 +194,13 @@
     void reportsEachKeyOfTheWrongType() {
         for (List<String> keys : List.of(REQUIRED, OPTIONAL)) {
             for (String key : keys) {
-                Object right = Field.of(Json.object(sample()), key).value();
-                assertRejected(with(key, right instanceof String ? 7 : "seven"), ResultCode.KEY_OF_WRONG_TYPE, key);
+                Object validValue = Field.of(Json.object(sample()), key).value();
                 assertRejected(
-                        with(key, right instanceof List ? Map.of() : List.of()), ResultCode.KEY_OF_WRONG_TYPE, key);
+                        with(key, validValue instanceof String ? 7 : "seven"), ResultCode.KEY_OF_WRONG_TYPE, key);
+                assertRejected(
+                        with(key, validValue instanceof List ? Map.of() : List.of()),
+                        ResultCode.KEY_OF_WRONG_TYPE,
+                        key);
             }
         }
     }
@@ -229,42 +232,42 @@
     @Test
     void reportsTextThatIsNotJson() {
         for (String text : List.of("", "{", "[]", sample() + "x", "{\"node_name\": nan}")) {
-            InvalidInputException fault =
+            InvalidInputException error =
                     assertThrows(InvalidInputException.class, () -> NodeSettings.parse(text), text);
-            assertSame(ResultCode.NOT_JSON, fault.code());
-            assertTrue(fault.getMessage().startsWith("603 NOT_JSON: "), fault.getMessage());
+            assertSame(ResultCode.NOT_JSON, error.code());
+            assertTrue(error.getMessage().startsWith("603 NOT_JSON: "), error.getMessage());
         }
     }
 
     @Test
-    void reportsWhyTheFileIsNotFound() {
+    void reportsAnUnsetVariableAndAnUnreadableFile() {
         InvalidInputException unset =
                 assertThrows(InvalidInputException.class, () -> NodeSettings.fromEnvironment(Map.of()));
         assertSame(ResultCode.VARIABLE_NOT_SET, unset.code());
-        InvalidInputException absent = assertThrows(
+        InvalidInputException missing = assertThrows(
                 InvalidInputException.class,
                 () -> NodeSettings.fromEnvironment(Map.of(NodeSettings.VARIABLE, "no/such/file.json")));
-        assertSame(ResultCode.FILE_UNREADABLE, absent.code());
-        assertTrue(absent.getMessage().contains("no/such/file.json"));
+        assertSame(ResultCode.FILE_UNREADABLE, missing.code());
+        assertTrue(missing.getMessage().contains("no/such/file.json"));
     }
 
     @Test
-    void eachProgramRequiresItsOwnKeys() {
+    void eachProcessTypeRequiresItsOwnKeys() {
         for (String key : List.of("listen_addresses.front", "listen_addresses.readiness")) {
             NodeSettings settings = NodeSettings.parse(without(key));
-            InvalidInputException fault = assertThrows(InvalidInputException.class, settings::requireDataPlaneKeys);
-            assertTrue(fault.getMessage().startsWith("604 KEY_MISSING: " + key + " is missing"), fault.getMessage());
+            InvalidInputException error = assertThrows(InvalidInputException.class, settings::requireDataPlaneKeys);
+            assertTrue(error.getMessage().startsWith("604 KEY_MISSING: " + key + " is missing"), error.getMessage());
             settings.requireControlPlaneKeys();
         }
         for (String key : List.of("listen_addresses.control", "data_directory")) {
-            NodeSettings settings = NodeSettings.parse(counted(without(key)));
-            InvalidInputException fault = assertThrows(InvalidInputException.class, settings::requireControlPlaneKeys);
-            assertTrue(fault.getMessage().startsWith("604 KEY_MISSING: " + key + " is missing"), fault.getMessage());
+            NodeSettings settings = NodeSettings.parse(withLossCounted(without(key)));
+            InvalidInputException error = assertThrows(InvalidInputException.class, settings::requireControlPlaneKeys);
+            assertTrue(error.getMessage().startsWith("604 KEY_MISSING: " + key + " is missing"), error.getMessage());
             settings.requireDataPlaneKeys();
         }
     }
 
-    /** Where the machine's loss does not count the control plane may do without a disk: it is a relay then. */
+    /** If the machine's loss does not count, its control plane may have no disk: it is then a relay. */
     @Test
     void aMachineWhoseLossDoesNotCountNeedsNoDisk() {
         assertNull(NodeSettings.parse(without("data_directory"))
@@ -272,16 +275,16 @@
                 .dataDirectory());
     }
 
-    /** The same settings of a machine whose loss counts. */
-    private static String counted(String text) {
-        String counted = text.replaceAll("\"loss_counted\":\\s*false", "\"loss_counted\":true");
-        assertTrue(NodeSettings.parse(counted).lossCounted());
-        return counted;
+    /** Returns the same settings for a machine whose loss counts. */
+    private static String withLossCounted(String text) {
+        String changed = text.replaceAll("\"loss_counted\":\\s*false", "\"loss_counted\":true");
+        assertTrue(NodeSettings.parse(changed).lossCounted());
+        return changed;
     }
 
-    /** The sidecar's messages have no numbers: they stay as its operators know them. */
+    /** The sidecar's messages have no numbers, so that they do not change for its operators. */
     @Test
-    void leavesTheMessagesOfOtherReadersUnnumbered() {
+    void otherMessagesHaveNoNumber() {
         Fields fields = new Fields(Map.of("a", -1L), "configuration key ");
         assertEquals(
                 "configuration key b is missing",
@@ -293,7 +296,7 @@
                         .getMessage());
         assertNull(new InvalidInputException("x").code());
         assertFalse(new InvalidInputException("x")
-                .numbered(ResultCode.NOT_JSON)
+                .withNumber(ResultCode.NOT_JSON)
                 .getMessage()
                 .equals("x"));
     }
--- a/settings/src/test/java/dewplank/settings/ResultCodeTest.java
+++ b/settings/src/test/java/dewplank/settings/ResultCodeTest.java
@@ -14,14 +14,14 @@
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
 
-/** Guards against numbers that operators can't look up, and against rows for results that nothing gives. */
+/** Guards against result codes missing from the operators' page, and against rows for codes that do not exist. */
 class ResultCodeTest {
     private static final Path PAGE = Path.of("..", "docs", "result-codes.md");
-    /** Number, name, status or a dash, meaning, what to do. */
+    /** Number, name, status or a dash, meaning, action. */
     private static final Pattern ROW = Pattern.compile("\\| (\\d+) \\| `([A-Z_]+)` \\| (\\d+|-) \\| (.+) \\| (.+) \\|");
 
     @Test
-    void theTableNamesEachCodeOnceAndInOrder() throws IOException {
+    void theTableContainsEachCodeOnceAndInOrder() throws IOException {
         List<String> rows = new ArrayList<>();
         for (String line : Files.readAllLines(PAGE)) {
             Matcher row = ROW.matcher(line);
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void numbersRiseAndAreTheirOwn() {
+    void numbersAreUniqueAndAscending() {
         Set<Integer> numbers = new HashSet<>();
         int last = 0;
         for (ResultCode code : ResultCode.values()) {
