--- a/transport/src/main/java/dewplank/exchange/ConnectionPool.java
+++ b/transport/src/main/java/dewplank/exchange/ConnectionPool.java
@@ -10,13 +10,13 @@
 import java.util.Iterator;
 
 /**
- * The idle connections to one server, the most recently used first. On the loop's thread only. Connections that the
- * server closes, or that send bytes while idle, leave the pool by themselves.
+ * The idle connections to a server; the most recently used one is reused first. Used on the loop's thread only. A
+ * connection is removed automatically if the server closes it or sends bytes on it while it is idle.
  */
 public final class ConnectionPool {
     /**
-     * How long a connection stays idle before it is reused. Some servers send a second answer to the last request, 1 to
-     * 8 ms after the first (seen in plays); it would be taken for the answer to the next one.
+     * Minimum idle time of a connection before it is reused. Some servers send a second response to the last request, 1
+     * to 8 ms after the first (observed in simulation runs); it would be taken for the response to the next request.
      */
     public static final double REUSE_DELAY_MS = 10;
 
@@ -28,16 +28,14 @@
     private final Deque<Idle> idle = new ArrayDeque<>();
     private boolean closed;
 
-    /** A pool that reuses connections idle for at least {@code reuseDelayMs} and at most {@code maxIdleMs}. */
+    /** Creates a pool that reuses connections idle for at least {@code reuseDelayMs} and at most {@code maxIdleMs}. */
     public ConnectionPool(Scheduler loop, double reuseDelayMs, double maxIdleMs) {
         this.loop = loop;
         this.reuseDelayMs = reuseDelayMs;
         this.maxIdleMs = maxIdleMs;
     }
 
-    /**
-     * Takes an idle connection to that address, or null. Connections to another address, which the server left, close.
-     */
+    /** Removes and returns an idle connection to the address, or null. Closes those to a former address. */
     public Connection take(InetSocketAddress to) {
         closeExpired();
         double reusableIfIdleSince = loop.now() - reuseDelayMs;
@@ -54,7 +52,7 @@
         return null;
     }
 
-    /** Closes connections idle for too long: a request that meets the server's own close ends as a reset. */
+    /** Closes connections idle for too long: a request sent while the server closes one fails with a reset. */
     public void closeExpired() {
         double now = loop.now();
         closeIdleBefore(now - maxIdleMs);
@@ -67,18 +65,18 @@
         }
     }
 
-    /** Closes the pool, as the server left: idle connections close now, others as they are put back. */
+    /** Closes the pool of a removed server: idle connections close now, others when they are returned to the pool. */
     public void close() {
         closed = true;
         closeIdleBefore(Double.MAX_VALUE);
     }
 
-    /** Puts a connection back. */
+    /** Returns a connection to the pool. */
     public void put(Connection connection, InetSocketAddress to) {
         put(connection, to, Double.POSITIVE_INFINITY);
     }
 
-    /** Puts a connection back for at most {@code idleMs} milliseconds, as the server stated that it closes it then. */
+    /** Returns a connection to the pool for at most {@code idleMs} ms, after which the server may close it. */
     public void put(Connection connection, InetSocketAddress to, double idleMs) {
         if (closed) {
             connection.close();
@@ -88,7 +86,7 @@
         idle.addLast(entry);
         connection.setHandler(new Connection.Handler() {
             @Override
-            public void received(ByteBuffer bytes) { // unsolicited: its next answer could not be trusted
+            public void received(ByteBuffer bytes) { // unsolicited: later responses on it would not be reliable
                 bytes.position(bytes.limit());
                 idle.remove(entry);
                 connection.close();
@@ -101,19 +99,19 @@
         });
     }
 
-    /** Idle connections. */
+    /** Number of idle connections. */
     public int size() {
         return idle.size();
     }
 
-    /** Closes those idle since that time or longer. */
+    /** Closes all connections that have been idle since {@code time} or earlier. */
     public void closeIdleBefore(double time) {
         while (!idle.isEmpty() && idle.peekFirst().idleSince() <= time) {
             closeOldest();
         }
     }
 
-    /** Closes the connection that is idle for longest; returns whether there was one. */
+    /** Closes the connection that has been idle for longest; returns false if the pool is empty. */
     public boolean closeOldest() {
         Idle oldest = idle.pollFirst();
         if (oldest != null) {
--- a/transport/src/main/java/dewplank/exchange/HttpCall.java
+++ b/transport/src/main/java/dewplank/exchange/HttpCall.java
@@ -12,48 +12,48 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * One HTTP call: it takes or opens a connection, writes a request and passes the answer on as it comes.
+ * An HTTP call: reuses or opens a connection, writes a request and passes the response to the listener as it arrives.
  *
- * <p>It ends exactly once, by {@link Listener#complete}, {@link Listener#failed} or {@link #cancel}. Errors reach the
- * listener as a {@link Failure}; nothing is thrown. There is no time-out but that of connecting: the user bounds the
- * rest and cancels. On the loop's thread only.
+ * <p>It ends exactly once, with {@link Listener#complete}, {@link Listener#failed} or {@link #cancel}. Errors are
+ * reported to the listener as a {@link Failure}, never thrown. Only connecting has a timeout; the user limits the rest
+ * of the call by cancelling it. Used on the loop's thread only.
  */
 public final class HttpCall implements Connection.Handler {
-    /** How a call failed, which decides whether it may be retried. */
+    /** The kind of failure, which determines whether the call may be retried. */
     public enum Failure {
-        /** No connection came up, in time or at all; nothing was sent. */
+        /** The connection attempt failed or timed out; nothing was sent. */
         NOT_CONNECTED,
-        /** The connection broke before any byte of the request was handed to the system: it cannot have run. */
+        /** The connection broke before the system accepted any byte of the request, so the request cannot have run. */
         NOT_SENT,
-        /** The condition for sending did not hold: nothing was sent, and the server has no part in it. */
+        /** The send condition was false: nothing was sent, and the failure is not the server's. */
         WITHHELD,
         /**
-         * The connection ended or broke after a part of the request was sent: it may have run, as a server may begin on
-         * a request, and answer it, before it has read a long body.
+         * The connection closed or broke after part of the request was sent. The request may have run, as a server may
+         * process a request, and respond to it, before it has read a long body.
          */
         BROKEN,
-        /** The bytes received are no HTTP/1.1 answer. */
+        /** The received bytes are not a valid HTTP/1.1 response. */
         MALFORMED
     }
 
-    /** Receives the answer. Called on the loop's thread. */
+    /** Receives the response. Called on the loop's thread. */
     public interface Listener {
-        /** The head arrived. Returns false if it answers another call: it is skipped and the next one is awaited. */
+        /** The head has arrived. Returns false if the response belongs to another call: it is skipped. */
         boolean head(int status, Headers headers);
 
-        /** The next bytes of the body. */
+        /** The next bytes of the body have arrived. */
         void body(byte[] piece);
 
-        /** The answer is complete. */
+        /** The response is complete. */
         void complete();
 
-        /** The call failed; nothing more is delivered. */
+        /** The call failed; no further method is called. */
         void failed(Failure failure);
     }
 
-    private static final double DEFAULT_IDLE_MS = 1_000; // for servers that state no Keep-Alive timeout
-    private static final double STATED_IDLE_FACTOR =
-            0.8; // of the stated timeout: requests must not meet the server's close
+    private static final double DEFAULT_IDLE_MS = 1_000; // for servers that send no Keep-Alive timeout
+    private static final double KEEP_ALIVE_FRACTION =
+            0.8; // of the server's timeout, to avoid requests during its close
     private static final int UNBOUNDED_BODY_BYTES = Integer.MAX_VALUE;
 
     private final EventLoop loop;
@@ -67,13 +67,13 @@
     private Connection.Connecting connecting;
     private TimerWheel.Timer connectTimeout;
     private boolean headDelivered;
-    private boolean skippingAnswer;
+    private boolean skippingResponse;
     private boolean isReused;
     private boolean isOver;
     private boolean exclusive;
     private BooleanSupplier sendCondition = () -> true;
 
-    /** A call to {@code to}; {@code request} is the encoded message, which the call consumes. */
+    /** Creates a call to {@code to}; {@code request} is the encoded message, which the call consumes. */
     public HttpCall(EventLoop loop, InetSocketAddress to, ConnectionPool pool, ByteBuffer request, Listener listener) {
         this.loop = loop;
         this.to = to;
@@ -84,40 +84,40 @@
     }
 
     /**
-     * Gives the call a connection that carries no other call, before or after: for answers that cannot be told from
-     * those of another call. Before {@link #start} only.
+     * Uses a connection that carries no other call, before or after: for responses that cannot be distinguished from
+     * those to another call. Must be called before {@link #start}.
      */
     public HttpCall exclusive() {
         exclusive = true;
         return this;
     }
 
-    /** Expects the answer to a HEAD, which has no body whatever its fields say. Before {@link #start} only. */
+    /** Expects a response to a HEAD, which has no body regardless of its fields. Called before {@link #start}. */
     public HttpCall expectHead() {
         parser.expectHead();
         return this;
     }
 
-    /** Starts the call on an idle connection, or opens one within {@code connectTimeoutMs}. */
+    /** Starts the call on an idle connection, or on a new one opened within {@code connectTimeoutMs}. */
     public void start(double connectTimeoutMs) {
         Connection idle = exclusive ? null : pool.take(to);
         if (idle != null) {
             isReused = true;
             idle.setHandler(this);
-            up(idle);
+            onConnected(idle);
             return;
         }
         connectTimeout = loop.after(connectTimeoutMs, () -> fail(Failure.NOT_CONNECTED));
-        connecting = Connection.open(loop, to, this, this::up, e -> fail(Failure.NOT_CONNECTED));
+        connecting = Connection.open(loop, to, this, this::onConnected, e -> fail(Failure.NOT_CONNECTED));
     }
 
-    /** Sets a condition that is checked once connected, immediately before the request is written. */
+    /** Sets a condition that is checked after connecting, immediately before the request is written. */
     public HttpCall sendOnlyIf(BooleanSupplier condition) {
         sendCondition = condition;
         return this;
     }
 
-    private void up(Connection established) {
+    private void onConnected(Connection established) {
         connection = established;
         connecting = null;
         if (connectTimeout != null) {
@@ -130,30 +130,30 @@
         established.write(request, () -> {});
     }
 
-    /** Whether the connection carried another call before. */
+    /** Whether the connection has carried an earlier call. */
     public boolean isReused() {
         return isReused;
     }
 
-    /** Whether it is connected: nothing can have been sent before, and the server may read from then on. */
+    /** Whether the call is connected; before that, nothing has been sent. */
     public boolean isConnected() {
         return connection != null;
     }
 
-    /** Whether the system has the request's last byte. */
+    /** Whether the system has accepted the complete request. */
     public boolean isSent() {
         return connection != null && !request.hasRemaining();
     }
 
     /**
-     * Whether the system has any byte of the request. Exact once the connection is closed, as closing waits for a write
-     * in progress.
+     * Whether the system has accepted any byte of the request. Exact when the connection is closed, because closing
+     * waits for a write in progress.
      */
     private boolean hasBegunSending() {
         return request.position() > requestStart;
     }
 
-    /** Whether it completed, failed or was cancelled. */
+    /** Whether the call has completed, failed or been cancelled. */
     public boolean isOver() {
         return isOver;
     }
@@ -166,7 +166,7 @@
                 deliverHead();
                 deliverBody();
                 if (isComplete && !isOver) {
-                    answerComplete(bytes);
+                    finishResponse(bytes);
                 }
             }
         } catch (BadMessageException e) {
@@ -177,23 +177,23 @@
     private void deliverHead() {
         if (!headDelivered && parser.isHeadRead() && !isOver) {
             headDelivered = true;
-            skippingAnswer = !listener.head(parser.status(), parser.headers());
+            skippingResponse = !listener.head(parser.status(), parser.headers());
         }
     }
 
     private void deliverBody() {
         if (headDelivered && !isOver) {
             byte[] piece = parser.takeBody();
-            if (piece.length > 0 && !skippingAnswer) {
+            if (piece.length > 0 && !skippingResponse) {
                 listener.body(piece);
             }
         }
     }
 
-    private void answerComplete(ByteBuffer unread) {
-        if (skippingAnswer) {
+    private void finishResponse(ByteBuffer unread) {
+        if (skippingResponse) {
             headDelivered = false;
-            skippingAnswer = false;
+            skippingResponse = false;
             if (!parser.keepAlive()) {
                 fail(Failure.BROKEN);
                 return;
@@ -206,7 +206,7 @@
 
     private void finish(boolean reusable) {
         isOver = true;
-        cancelTimers();
+        cancelConnectTimeout();
         if (reusable && !exclusive && !request.hasRemaining()) {
             pool.put(connection, to, idleMs());
         } else {
@@ -216,17 +216,17 @@
     }
 
     private double idleMs() {
-        String stated = parser.headers().get("Keep-Alive");
-        int at = stated == null ? -1 : stated.indexOf("timeout=");
+        String keepAlive = parser.headers().get("Keep-Alive");
+        int at = keepAlive == null ? -1 : keepAlive.indexOf("timeout=");
         if (at < 0) {
             return DEFAULT_IDLE_MS;
         }
-        String unread = stated.substring(at + "timeout=".length()).strip();
+        String unread = keepAlive.substring(at + "timeout=".length()).strip();
         int end = 0;
         while (end < unread.length() && end < 6 && Character.isDigit(unread.charAt(end))) {
             end++;
         }
-        return end == 0 ? DEFAULT_IDLE_MS : STATED_IDLE_FACTOR * 1000 * Integer.parseInt(unread.substring(0, end));
+        return end == 0 ? DEFAULT_IDLE_MS : KEEP_ALIVE_FRACTION * 1000 * Integer.parseInt(unread.substring(0, end));
     }
 
     @Override
@@ -234,7 +234,7 @@
         if (isOver) {
             return;
         }
-        if (why == null && headDelivered && !skippingAnswer && parser.endOfInput()) {
+        if (why == null && headDelivered && !skippingResponse && parser.endOfInput()) {
             deliverBody();
             finish(false);
         } else {
@@ -242,7 +242,7 @@
         }
     }
 
-    /** Cancels the call: the listener is not called any more, and the connection closes. */
+    /** Cancels the call: the listener is not called afterwards, and the connection is closed. */
     public void cancel() {
         if (!isOver) {
             isOver = true;
@@ -258,14 +258,14 @@
         }
     }
 
-    private void cancelTimers() {
+    private void cancelConnectTimeout() {
         if (connectTimeout != null) {
             connectTimeout.cancel();
         }
     }
 
     private void release() {
-        cancelTimers();
+        cancelConnectTimeout();
         if (connection != null) {
             connection.close();
         } else if (connecting != null) {
--- a/transport/src/main/java/dewplank/exchange/InboundConnection.java
+++ b/transport/src/main/java/dewplank/exchange/InboundConnection.java
@@ -14,10 +14,11 @@
 import java.util.List;
 
 /**
- * A caller's HTTP connection: requests in, one at a time, and their answers out, complete or as a stream.
+ * A client's HTTP connection: receives requests, handles them one at a time, and sends each response complete or as a
+ * stream.
  *
- * <p>Malformed requests are answered here and end the connection; a handler's exception is logged and answered 500. On
- * the loop's thread only.
+ * <p>Responds to malformed requests itself and then closes the connection; if a handler throws an exception, logs it
+ * and responds with 500. Used on the loop's thread only.
  */
 public final class InboundConnection implements Listener.Accepted, Responder {
     private static final System.Logger LOG = System.getLogger(InboundConnection.class.getName());
@@ -29,26 +30,26 @@
 
     /** Serves the requests of a listener. Called on the loop's thread. */
     public interface Service {
-        /** Handles a request; the answer may be given later. */
+        /** Handles a request; the response may be sent later. */
         void handle(Request request, InboundConnection connection);
 
-        /** The caller closed, or sent malformed bytes: the request handed over is not answered any more. */
+        /** The client disconnected or sent malformed bytes: the request in progress no longer needs a response. */
         void callerGone(InboundConnection connection);
 
-        /** The connection has ended. */
+        /** The connection has closed or takes no further requests. */
         default void connectionEnded(InboundConnection connection) {}
 
-        /** Whether each answer is the last of its connection, as the process is draining. */
+        /** Whether the process is draining, so that each connection closes after its next response. */
         default boolean isClosing() {
             return false;
         }
 
-        /** Bound on a request's body, in bytes. */
+        /** Maximum size of a request's body in bytes. */
         default int maxBodyBytes() {
             return 64 * 1024;
         }
 
-        /** Bound on a request's first line and fields together, in bytes. */
+        /** Maximum total size of a request's start line and fields in bytes. */
         default int maxHeadBytes() {
             return MessageParser.MAX_HEAD_BYTES;
         }
@@ -62,13 +63,13 @@
     private final RequestParser parser;
     private Connection connection;
     private boolean isBusy;
-    private Request pendingRequest; // complete, not handed over yet
-    private boolean handedOver;
+    private Request pendingRequest; // complete, not yet dispatched to the service
+    private boolean dispatched;
     private boolean keepAlive;
-    private boolean headOnly; // the request is a HEAD: a body would be taken for the next answer
+    private boolean headOnly; // the request is a HEAD: a body would be taken for the next response
     private boolean streaming;
-    private boolean answerWithoutBody; // the answer that was begun has no body
-    private boolean hasAnswered;
+    private boolean responseWithoutBody; // the streamed response has no body
+    private boolean hasResponded;
     private double waitingSince;
 
     public InboundConnection(EventLoop loop, Service service) {
@@ -108,19 +109,18 @@
         headOnly = parser.method().equals("HEAD");
         Request request = new Request(parser.method(), parser.target(), parser.headers(), parser.takeBody());
         pendingRequest = request;
-        // The caller's close may lie right behind its request. The next read follows this method, and its result is
-        // queued
-        // by the time the first of these tasks runs; so the second task runs after it.
-        loop.execute(() -> loop.execute(() -> handOver(request)));
+        // The client may have closed right after its request. The next read follows this method, and its result is
+        // queued before the first of these tasks runs; so the second task runs after that result is processed.
+        loop.execute(() -> loop.execute(() -> dispatch(request)));
     }
 
-    @SuppressWarnings("ReferenceEquality") // this request, not an equal one that came later
-    private void handOver(Request request) {
-        if (connection.isClosed() || pendingRequest != request) { // its caller closed, or was answered
+    @SuppressWarnings("ReferenceEquality") // must be the same request, not an equal later one
+    private void dispatch(Request request) {
+        if (connection.isClosed() || pendingRequest != request) { // disconnected, or already rejected
             return;
         }
         pendingRequest = null;
-        handedOver = true;
+        dispatched = true;
         try {
             service.handle(request, this);
         } catch (RuntimeException e) {
@@ -134,7 +134,7 @@
         reject(new BadMessageException(400, "too much was sent ahead of an answer"));
     }
 
-    /** Answers a malformed request and ends the connection, as the next request's start is unknown. */
+    /** Responds to a malformed request and closes the connection, as the start of the next request is unknown. */
     private void reject(BadMessageException e) {
         dropRequest();
         keepAlive = false;
@@ -148,8 +148,8 @@
 
     private void dropRequest() {
         pendingRequest = null;
-        if (handedOver) {
-            handedOver = false;
+        if (dispatched) {
+            dispatched = false;
             service.callerGone(this);
         }
     }
@@ -160,49 +160,49 @@
         service.connectionEnded(this);
     }
 
-    /** Answers the request that was handed over; does nothing once the connection is closed. */
+    /** Sends the response to the request in progress; no effect if the connection is closed. */
     @Override
     public void answer(int status, List<Headers.Field> headers, byte[] body) {
         if (connection.isClosed()) {
             return;
         }
-        boolean last = isLastAnswer();
+        boolean last = isLastResponse();
         MessageWriter head =
                 MessageWriter.response(status).headers(headers).header("Connection", last ? "close" : null);
         connection.write(isWithoutBody(status) ? head.noBody() : head.body(body), () -> {});
-        answerEnded(last);
+        onResponseEnd(last);
     }
 
-    /** Answers with a status alone. */
+    /** Sends a response without fields and body. */
     public void answer(int status) {
         answer(status, List.of(), NO_BODY);
     }
 
-    /** Whether the answer ends with its head (RFC 9112, section 6.3). */
+    /** Whether the response ends with its head (RFC 9112, section 6.3). */
     private boolean isWithoutBody(int status) {
         return headOnly || status == NO_CONTENT || status == NOT_MODIFIED;
     }
 
-    /** Begins an answer whose body follows in parts. */
+    /** Starts a response whose body follows in parts. */
     public void beginAnswer(int status, List<Headers.Field> headers) {
         if (connection.isClosed()) {
             return;
         }
         streaming = true;
-        keepAlive = !isLastAnswer();
-        answerWithoutBody = isWithoutBody(status);
+        keepAlive = !isLastResponse();
+        responseWithoutBody = isWithoutBody(status);
         connection.write(
                 MessageWriter.response(status)
                         .headers(headers)
-                        .header("Transfer-Encoding", answerWithoutBody ? null : "chunked")
+                        .header("Transfer-Encoding", responseWithoutBody ? null : "chunked")
                         .header("Connection", keepAlive ? null : "close")
                         .noBody(),
                 () -> {});
     }
 
-    /** Writes the next part of a body. */
+    /** Writes the next part of the body. */
     public void writePart(byte[] bytes) {
-        if (bytes.length > 0 && !answerWithoutBody && !connection.isClosed()) {
+        if (bytes.length > 0 && !responseWithoutBody && !connection.isClosed()) {
             byte[] size = Integer.toHexString(bytes.length).getBytes(StandardCharsets.US_ASCII);
             connection.write(
                     ByteBuffer.allocate(size.length + bytes.length + 2 * CRLF.length)
@@ -215,32 +215,32 @@
         }
     }
 
-    /** Ends the body. */
+    /** Ends the body of a streamed response. */
     public void endAnswer() {
         if (!connection.isClosed()) {
-            if (!answerWithoutBody) {
+            if (!responseWithoutBody) {
                 connection.write(ByteBuffer.wrap(LAST_CHUNK), () -> {});
             }
-            answerEnded(!keepAlive);
+            onResponseEnd(!keepAlive);
         }
     }
 
-    /** Closes the connection in the middle of an answer, so that the caller sees that it is incomplete. */
+    /** Closes the connection during a response, so that the client detects that it is incomplete. */
     public void abort() {
-        handedOver = false;
+        dispatched = false;
         connection.close();
         service.connectionEnded(this);
     }
 
-    private boolean isLastAnswer() {
+    private boolean isLastResponse() {
         return !keepAlive || service.isClosing();
     }
 
-    private void answerEnded(boolean last) {
-        handedOver = false;
+    private void onResponseEnd(boolean last) {
+        dispatched = false;
         headOnly = false;
         streaming = false;
-        hasAnswered = true;
+        hasResponded = true;
         waitingSince = loop.now();
         parser.reset();
         if (last) {
@@ -257,39 +257,39 @@
         return connection.isClosed();
     }
 
-    /** Whether a request is being answered. */
+    /** Whether a request is in progress. */
     public boolean isBusy() {
         return isBusy;
     }
 
-    /** Whether part of a request has arrived. */
+    /** Whether part of a request has been received, but not all of it. */
     public boolean isHalfRead() {
         return !isBusy && parser.hasBegun();
     }
 
-    /** Whether the head of a request has arrived, and its body is incomplete. */
+    /** Whether the head of a request has been received, but not its complete body. */
     public boolean isHeadRead() {
         return isHalfRead() && parser.isHeadRead();
     }
 
-    /** Whether any request was answered. */
-    public boolean hasAnswered() {
-        return hasAnswered;
+    /** Whether at least one response has been sent. */
+    public boolean hasResponded() {
+        return hasResponded;
     }
 
-    /** Since when a complete request is awaited: its first byte, else the last answer or the start. */
+    /** Start of the wait for a complete request: its first byte, otherwise the last response or the accept. */
     public double waitingSince() {
         return waitingSince;
     }
 
-    /** Times the connection out if a complete request has been awaited for longer than {@code ms}. */
+    /** Times the connection out if it has waited for a complete request for more than {@code ms}. */
     public void timeOutAfter(double ms) {
         if (!isBusy && loop.now() - waitingSince > ms) {
             timeOut();
         }
     }
 
-    /** Times the connection out; a request that has begun is answered 408. */
+    /** Times the connection out; responds with 408 if a request is partly received. */
     public void timeOut() {
         if (parser.hasBegun()) {
             reject(new BadMessageException(408, "the request did not become whole in time"));
@@ -299,9 +299,9 @@
         }
     }
 
-    /** Ends the connection unless a request is being answered or, without {@code unread}, is partly read. */
-    public void endIfIdle(boolean unread) {
-        if (!isBusy && (unread || !parser.hasBegun())) {
+    /** Closes the connection if no request is in progress or, unless {@code includingPartial}, partly received. */
+    public void endIfIdle(boolean includingPartial) {
+        if (!isBusy && (includingPartial || !parser.hasBegun())) {
             isBusy = true;
             connection.closeGracefully();
             service.connectionEnded(this);
--- a/transport/src/main/java/dewplank/exchange/PathRouter.java
+++ b/transport/src/main/java/dewplank/exchange/PathRouter.java
@@ -7,24 +7,24 @@
 import java.util.Set;
 
 /**
- * Finds the handler of a method and path: a trie with a node for each segment. Built once, then only read.
+ * Finds the handler for a method and path: a trie with a node per path segment. Not modified after it is built.
  *
- * @param <H> the type of handlers
+ * @param <H> the handler type
  */
 public final class PathRouter<H> {
     private final Map<String, PathRouter<H>> children = new LinkedHashMap<>();
     private final Map<String, H> methods = new LinkedHashMap<>();
     private PathRouter<H> wildcard;
 
-    /** A result: the handler, null if there is none; the segments matched by {@code *}; the methods of the path. */
+    /** A result: the handler, or null if there is none; the segments matched by {@code *}; the methods of the path. */
     public record Match<H>(H handler, List<String> parameters, Set<String> methods) {
-        /** Whether the path has any method. */
+        /** Whether any method is registered for the path. */
         public boolean pathExists() {
             return !methods.isEmpty();
         }
     }
 
-    /** The child for a segment; {@code *} matches every segment. */
+    /** Returns the child node for a segment, created if needed; {@code *} matches any segment. */
     public PathRouter<H> path(String segment) {
         if (segment.equals("*")) {
             wildcard = wildcard == null ? new PathRouter<>() : wildcard;
@@ -39,7 +39,7 @@
         return this;
     }
 
-    /** Finds the handler; the query of the target is ignored. */
+    /** Finds the handler for a request target; its query is ignored. */
     public Match<H> find(String method, String target) {
         int query = target.indexOf('?');
         String path = query < 0 ? target : target.substring(0, query);
--- a/transport/src/main/java/dewplank/exchange/Responder.java
+++ b/transport/src/main/java/dewplank/exchange/Responder.java
@@ -3,8 +3,8 @@
 import dewplank.http.Headers;
 import java.util.List;
 
-/** Takes the answer to one request. On the loop's thread only. */
+/** Sends the response to a request. Used on the loop's thread only. */
 public interface Responder {
-    /** Answers the request; does nothing if the caller closed. */
+    /** Sends the response; no effect if the client has closed the connection. */
     void answer(int status, List<Headers.Field> headers, byte[] body);
 }
--- a/transport/src/main/java/dewplank/exchange/package-info.java
+++ b/transport/src/main/java/dewplank/exchange/package-info.java
@@ -1,8 +1,8 @@
 /**
- * HTTP exchanges on the event loop: calls to servers with their pools of idle connections, the connections of callers
- * with their requests and answers, and the router that finds the handler of a path.
+ * HTTP exchanges on the event loop: calls to servers with pools of idle connections, inbound connections of clients
+ * with their requests and responses, and the router that finds the handler for a path.
  *
- * <p>Both programs of the fleet and the sidecar use it, on the loop's thread only. It decides nothing about routing,
- * retries or limits.
+ * <p>Used by both programs of the fleet and by the sidecar, on the loop's thread only. It makes no decisions about
+ * routing, retries or limits.
  */
 package dewplank.exchange;
--- a/transport/src/main/java/dewplank/http/BadMessageException.java
+++ b/transport/src/main/java/dewplank/http/BadMessageException.java
@@ -1,6 +1,6 @@
 package dewplank.http;
 
-/** A message that is not HTTP/1.1 as spoken here; {@code status} is the answer to a request of that kind. */
+/** A malformed or unsupported HTTP/1.1 message; {@code status} is the status of the response to such a request. */
 public final class BadMessageException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/transport/src/main/java/dewplank/http/Cookies.java
+++ b/transport/src/main/java/dewplank/http/Cookies.java
@@ -7,8 +7,9 @@
     private Cookies() {}
 
     /**
-     * The value of the cookie with this name as it stands, or null: where there is none, where two of that name
-     * differ, so that neither can be told for the right one, or where it holds what no cookie's value may.
+     * Returns the value of the cookie with this name, unchanged. Returns null if there is none, if two cookies of that
+     * name have different values, since neither is known to be right, or if the value contains a character that is not
+     * allowed in cookie values.
      */
     public static String value(List<Headers.Field> fields, String name) {
         String found = null;
@@ -22,7 +23,7 @@
                     continue;
                 }
                 String value = pair.substring(equals + 1).strip();
-                if (!value.chars().allMatch(Cookies::allowed) || found != null && !found.equals(value)) {
+                if (!value.chars().allMatch(Cookies::isAllowed) || found != null && !found.equals(value)) {
                     return null;
                 }
                 found = value;
@@ -31,10 +32,8 @@
         return found == null || found.isEmpty() ? null : found;
     }
 
-    /**
-     * Visible ASCII but comma, semicolon and backslash; the quotes that may stand round a value are part of it here.
-     */
-    private static boolean allowed(int c) {
+    /** Visible ASCII except comma, semicolon and backslash; quotes around a value are treated as part of it. */
+    private static boolean isAllowed(int c) {
         return c > ' ' && c < 0x7f && c != ',' && c != ';' && c != '\\';
     }
 }
--- a/transport/src/main/java/dewplank/http/Headers.java
+++ b/transport/src/main/java/dewplank/http/Headers.java
@@ -5,9 +5,9 @@
 import java.util.Locale;
 import java.util.Set;
 
-/** Header fields in the order they came; names are looked up whatever their case. */
+/** Header fields in the order received; names are not case-sensitive. */
 public final class Headers {
-    /** Those that speak of one connection, or that each side writes for itself. */
+    /** Fields that apply to a single connection, or that a proxy generates itself. */
     private static final Set<String> HOP_BY_HOP = Set.of(
             "connection",
             "keep-alive",
@@ -22,7 +22,7 @@
             "host",
             "content-length");
 
-    /** One field. */
+    /** A header field. */
     public record Field(String name, String value) {}
 
     private final List<Field> fields = new ArrayList<>();
@@ -31,7 +31,7 @@
         fields.add(new Field(name, value));
     }
 
-    /** The value, or null; the values of a field that comes more than once, with commas between. */
+    /** Returns the value of a field, or null; several values of the same field are joined with commas. */
     public String get(String name) {
         String found = null;
         for (Field f : fields) {
@@ -42,8 +42,8 @@
         return found;
     }
 
-    /** Whether the field lists the token (in lower case), as {@code Connection: close} does. */
-    public boolean lists(String name, String token) {
+    /** Whether the field's list contains the token (in lower case), such as {@code close} in {@code Connection}. */
+    public boolean containsToken(String name, String token) {
         String value = get(name);
         if (value == null) {
             return false;
@@ -56,12 +56,12 @@
         return false;
     }
 
-    /** What is meant for the other end, to be passed on as it came. */
+    /** Returns the end-to-end fields, which are forwarded unchanged. */
     public List<Field> endToEnd() {
         List<Field> endToEnd = new ArrayList<>(fields.size());
         for (Field f : fields) {
             String name = f.name().toLowerCase(Locale.ROOT);
-            if (!HOP_BY_HOP.contains(name) && !lists("Connection", name)) {
+            if (!HOP_BY_HOP.contains(name) && !containsToken("Connection", name)) {
                 endToEnd.add(f);
             }
         }
--- a/transport/src/main/java/dewplank/http/MessageParser.java
+++ b/transport/src/main/java/dewplank/http/MessageParser.java
@@ -6,8 +6,8 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads HTTP/1.1 messages from bytes as they come, one message after another. It takes no byte past the end of
- * a message: those stay in the buffer for the next one.
+ * Incremental parser of HTTP/1.1 messages, one at a time. It consumes no byte after the end of a message; further bytes
+ * stay in the buffer for the next message.
  */
 public abstract class MessageParser {
     public static final int MAX_HEAD_BYTES = 16 * 1024;
@@ -40,7 +40,7 @@
         this.maxBodyBytes = maxBody;
     }
 
-    /** Takes bytes up to the end of the message; whether the message is now complete. */
+    /** Consumes bytes up to the end of the message; returns whether the message is complete. */
     public final boolean feed(ByteBuffer in) throws BadMessageException {
         while (state != State.DONE && in.hasRemaining()) {
             switch (state) {
@@ -51,7 +51,7 @@
         return state == State.DONE;
     }
 
-    /** The peer sends no more; whether that ends the message well. */
+    /** Signals that the peer has closed its output; returns whether the message is complete. */
     public final boolean endOfInput() {
         if (state == State.TO_THE_END) {
             state = State.DONE;
@@ -59,7 +59,7 @@
         return state == State.DONE;
     }
 
-    /** Whether a message has begun and is not complete. */
+    /** Whether part of a message has been read, but not all of it. */
     public final boolean hasBegun() {
         return state != State.DONE && (state != State.START || headBytes > 0);
     }
@@ -68,17 +68,17 @@
         return state != State.START && state != State.FIELDS;
     }
 
-    /** Bodies of the next message may have so many bytes. */
+    /** Sets the maximum body size of the next message. */
     public final void maxBodyBytes(int bytes) {
         maxBodyBytes = bytes;
     }
 
-    /** Heads of the next message may have so many bytes, its first line among them. */
+    /** Sets the maximum head size of the next message, including its start line. */
     public final void maxHeadBytes(int bytes) {
         maxHeadBytes = bytes;
     }
 
-    /** Makes ready for the next message. */
+    /** Prepares the parser for the next message. */
     public void reset() {
         state = State.START;
         headers = new Headers();
@@ -92,14 +92,14 @@
         return headers;
     }
 
-    /** The body so far, which is then forgotten: an endless answer is taken piece by piece. */
+    /** Returns and removes the part of the body that has been read, so that a stream can be read in pieces. */
     public final byte[] takeBody() {
         byte[] taken = body.toByteArray();
         body.reset();
         return taken;
     }
 
-    /** What each start line begins with: noise is detected at its first byte, without waiting for a line end. */
+    /** Prefix of all valid start lines: input that differs is rejected without waiting for a line end. */
     abstract String startLinePrefix();
 
     abstract void startLine(String text) throws BadMessageException;
@@ -109,7 +109,7 @@
     /** Whether the message has no body, whatever its header fields say. */
     abstract boolean isWithoutBody();
 
-    /** Whether what has been read was only an interim answer, to be forgotten. */
+    /** Whether the message is an interim response (1xx), which is discarded. */
     abstract boolean isInterim();
 
     private void takeLine(ByteBuffer in) throws BadMessageException {
@@ -140,7 +140,7 @@
     private void endOfLine(String text) throws BadMessageException {
         switch (state) {
             case START -> {
-                if (text.isEmpty()) { // a stray line end between messages does no harm
+                if (text.isEmpty()) { // an empty line between messages is ignored
                     headBytes = 0;
                     return;
                 }
@@ -172,7 +172,7 @@
     private void field(String text) throws BadMessageException {
         int colon = text.indexOf(':');
         String name = colon < 0 ? "" : text.substring(0, colon);
-        if (!isToken(name)) { // folded lines and names before a blank land here too
+        if (!isToken(name)) { // also rejects folded lines and whitespace before the colon
             throw new BadMessageException(400, "a header field is malformed");
         }
         String value = text.substring(colon + 1).strip();
@@ -198,7 +198,7 @@
     private void endOfHead() throws BadMessageException {
         String length = headers.get("Content-Length");
         String coding = headers.get("Transfer-Encoding");
-        if (length != null && coding != null) { // the two sides could see different ends: request smuggling
+        if (length != null && coding != null) { // ambiguous message end: allows request smuggling
             throw new BadMessageException(400, "both Content-Length and Transfer-Encoding");
         }
         if (isInterim()) {
@@ -218,7 +218,7 @@
         }
     }
 
-    /** Two lengths in one message come as "5, 5" and are no number. */
+    /** Also rejects repeated fields, whose joined value, such as "5, 5", is not a number. */
     private long length(String text) throws BadMessageException {
         if (!LENGTH.matcher(text).matches()) {
             throw new BadMessageException(400, "Content-Length is not one number");
@@ -248,9 +248,9 @@
     private void takeBody(ByteBuffer in) throws BadMessageException {
         int n = state == State.TO_THE_END ? in.remaining() : (int) Math.min(bodyBytesLeft, in.remaining());
         checkBody(body.size() + (long) n);
-        byte[] some = new byte[n];
-        in.get(some);
-        body.writeBytes(some);
+        byte[] piece = new byte[n];
+        in.get(piece);
+        body.writeBytes(piece);
         if (state != State.TO_THE_END) {
             bodyBytesLeft -= n;
             if (bodyBytesLeft == 0) {
--- a/transport/src/main/java/dewplank/http/MessageWriter.java
+++ b/transport/src/main/java/dewplank/http/MessageWriter.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** Builds one message: a start line, header fields in order, and a body. */
+/** Builds a message: a start line, header fields in order, and a body. */
 public final class MessageWriter {
     private final StringBuilder head = new StringBuilder(256);
 
@@ -19,7 +19,7 @@
         return new MessageWriter("HTTP/1.1 " + status + " " + reason(status));
     }
 
-    /** Leaves the field out where the value is null. */
+    /** Adds a field, unless the value is null. */
     public MessageWriter header(String name, String value) {
         if (value != null) {
             head.append(name).append(": ").append(value).append("\r\n");
@@ -32,13 +32,13 @@
         return this;
     }
 
-    /** The complete message, with its Content-Length. */
+    /** Returns the complete message with this body and its Content-Length. */
     public ByteBuffer body(byte[] body) {
         header("Content-Length", Integer.toString(body.length));
         return end(body);
     }
 
-    /** The complete message, which has no body and needs no length. */
+    /** Returns the complete message, without a body and without a Content-Length. */
     public ByteBuffer noBody() {
         return end(new byte[0]);
     }
--- a/transport/src/main/java/dewplank/http/RequestParser.java
+++ b/transport/src/main/java/dewplank/http/RequestParser.java
@@ -1,17 +1,17 @@
 package dewplank.http;
 
-/** Reads requests. */
+/** Parses HTTP requests. */
 public final class RequestParser extends MessageParser {
     private String method = "";
     private String target = "";
-    private boolean oldVersion;
-    private boolean continued;
+    private boolean isHttp10;
+    private boolean continueReported;
 
     public RequestParser() {
         this(MAX_BODY_BYTES);
     }
 
-    /** Takes bodies of up to so many bytes. */
+    /** Creates a parser that accepts bodies of up to {@code maxBody} bytes. */
     public RequestParser(int maxBody) {
         super(maxBody);
     }
@@ -32,10 +32,10 @@
         }
         method = parts[0];
         target = parts[1];
-        oldVersion = parts[2].equals("HTTP/1.0");
+        isHttp10 = parts[2].equals("HTTP/1.0");
     }
 
-    /** Only the path form is taken: it is passed on as it came, and must not hold a line end or a blank. */
+    /** Accepts only the path form. It is forwarded unchanged, so it must not contain line ends or whitespace. */
     private static boolean isTarget(String text) {
         return text.startsWith("/") && text.chars().allMatch(c -> c > ' ' && c < 127);
     }
@@ -44,29 +44,30 @@
         return method;
     }
 
-    /** Path and query. */
+    /** The path and query. */
     public String target() {
         return target;
     }
 
-    /** Whether the connection may carry another request after this one. */
+    /** Whether the connection stays open for another request after this one. */
     public boolean keepAlive() {
-        return oldVersion
-                ? headers().lists("Connection", "keep-alive")
-                : !headers().lists("Connection", "close");
+        return isHttp10
+                ? headers().containsToken("Connection", "keep-alive")
+                : !headers().containsToken("Connection", "close");
     }
 
-    /** Whether the peer waits with its body for a 100 (Continue). True once a request. */
+    /** Whether the peer expects a 100 (Continue) before the body. Returns true at most once per request. */
     public boolean waitsForContinue() {
-        boolean waits = isHeadRead() && hasBegun() && !continued && headers().lists("Expect", "100-continue");
-        continued |= waits;
+        boolean waits =
+                isHeadRead() && hasBegun() && !continueReported && headers().containsToken("Expect", "100-continue");
+        continueReported |= waits;
         return waits;
     }
 
     @Override
     public void reset() {
         super.reset();
-        continued = false;
+        continueReported = false;
     }
 
     @Override
--- a/transport/src/main/java/dewplank/http/ResponseParser.java
+++ b/transport/src/main/java/dewplank/http/ResponseParser.java
@@ -2,21 +2,21 @@
 
 import java.util.regex.Pattern;
 
-/** Reads responses; interim ones (1xx) are passed over. */
+/** Parses HTTP responses; interim responses (1xx) are skipped. */
 public final class ResponseParser extends MessageParser {
     private static final Pattern STATUS_LINE = Pattern.compile("HTTP/1\\.[01] [1-9][0-9]{2}( .*)?");
 
     private int status;
-    private boolean oldVersion;
-    private boolean toHead;
+    private boolean isHttp10;
+    private boolean isHeadRequest;
 
     public ResponseParser(int maxBody) {
         super(maxBody);
     }
 
-    /** The next answer is to a HEAD request: it has no body, whatever its fields say (RFC 9110, 9.3.2). */
+    /** Expects a response to a HEAD request, which has no body regardless of its fields (RFC 9110, 9.3.2). */
     public void expectHead() {
-        toHead = true;
+        isHeadRequest = true;
     }
 
     @Override
@@ -29,7 +29,7 @@
         if (!STATUS_LINE.matcher(text).matches()) {
             throw new BadMessageException(502, "the status line is malformed");
         }
-        oldVersion = text.charAt(7) == '0';
+        isHttp10 = text.charAt(7) == '0';
         status = Integer.parseInt(text.substring(9, 12));
     }
 
@@ -37,12 +37,12 @@
         return status;
     }
 
-    /** Whether the connection may carry another request after this answer. */
+    /** Whether the connection stays open for another request after this response. */
     public boolean keepAlive() {
         boolean framed = isWithoutBody()
                 || headers().get("Content-Length") != null
                 || headers().get("Transfer-Encoding") != null;
-        return framed && !oldVersion && !headers().lists("Connection", "close");
+        return framed && !isHttp10 && !headers().containsToken("Connection", "close");
     }
 
     @Override
@@ -52,7 +52,7 @@
 
     @Override
     boolean isWithoutBody() {
-        return toHead || status == 204 || status == 304;
+        return isHeadRequest || status == 204 || status == 304;
     }
 
     @Override
--- a/transport/src/main/java/dewplank/net/Connection.java
+++ b/transport/src/main/java/dewplank/net/Connection.java
@@ -12,31 +12,32 @@
 /**
  * A TCP connection on an {@link EventLoop}.
  *
- * <p>A read is always pending, so that a peer that closes is noticed at once. One write is pending at a time; further
- * ones wait in a queue. A peer that does not read while more is queued than {@link WriteBudget} allows loses the
- * connection, as if it had broken it. Every method is called, and every callback runs, on the loop's
- * thread. Errors of the socket end the connection and reach the {@link Handler}; no method throws them.
+ * <p>A read is always pending, so that a close by the peer is detected immediately. At most one write is pending;
+ * further writes are queued. If a peer does not read and more bytes are queued for it than {@link WriteBudget} allows,
+ * the connection is closed and reported as broken. All methods must be called on the loop's thread, and all callbacks
+ * run there. Socket errors close the connection and are reported to the {@link Handler}; no method throws them.
  */
 public final class Connection {
     private static final System.Logger LOG = System.getLogger(Connection.class.getName());
     private static final int BUFFER_BYTES = 8 * 1024;
     /**
-     * Bytes that a peer may send before its last request is answered: the longest HTTP head and body, 16 and 64 KiB.
+     * Bytes that a peer may send while its last request is in progress: the longest HTTP head and body, 16 + 64 KiB.
      */
     static final int MAX_READ_AHEAD_BYTES = 80 * 1024;
 
     private static final double LINGER_MS = 1_000;
 
-    /** Receives the bytes and the end of a connection. Called on the loop's thread. */
+    /** Receives the bytes and the close of a connection. Called on the loop's thread. */
     public interface Handler {
-        /** Consumes bytes; those it leaves are offered again with the next ones, or on {@link #resume}. */
+        /** Consumes bytes; unconsumed bytes are passed again together with the next ones, or on {@link #resume}. */
         void received(ByteBuffer bytes);
 
-        /** The peer closed ({@code null}) or broke the connection. Called once, and not after {@link #close}. */
+        /** The peer closed ({@code null}) or broke the connection. Called at most once, never after {@link #close}. */
         void closed(IOException why);
 
         /**
-         * The peer exceeded the read-ahead bound. Nothing more is read, nor its end noticed, until bytes are consumed.
+         * The peer exceeded the read-ahead limit. Until bytes are consumed, nothing more is read and a close by the
+         * peer is not detected.
          */
         default void readAheadExceeded() {}
     }
@@ -44,8 +45,8 @@
     private final EventLoop loop;
     private final AsynchronousSocketChannel channel;
     private ByteBuffer input = ByteBuffer.allocate(BUFFER_BYTES);
-    private int consumedTo; // the handler has consumed the bytes before this index
-    private int filledTo; // the rest belongs to the pending read, which another thread may be filling
+    private int consumedTo; // end of the bytes that the handler has consumed
+    private int filledTo; // end of the bytes received; the pending read may be filling the rest on another thread
     private boolean hasReadAheadBuffer;
     private final WriteQueue writes;
     private Handler handler;
@@ -66,15 +67,15 @@
         channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
     }
 
-    /** A connection attempt under way. */
+    /** A connection attempt in progress. */
     public interface Connecting {
-        /** Abandons the attempt; neither of its callbacks is called any more. */
+        /** Cancels the attempt; none of its callbacks is called afterwards. */
         void cancel();
     }
 
     /**
-     * Opens a connection. Calls exactly one of {@code up} and {@code failed}, never before this returns, and neither
-     * after a cancel. There is no time-out but the system's.
+     * Opens a connection. Calls exactly one of {@code up} and {@code failed}, never before this method returns, and
+     * neither of them after a cancel. The operating system's connect timeout is the only one.
      */
     public static Connecting open(
             EventLoop loop,
@@ -85,7 +86,7 @@
         return open(loop, null, to, handler, up, failed);
     }
 
-    /** The same from a local address; null lets the system choose. */
+    /** Opens a connection from a local address; null lets the operating system choose it. */
     public static Connecting open(
             EventLoop loop,
             InetAddress from,
@@ -100,7 +101,7 @@
             if (from != null) {
                 channel.bind(new InetSocketAddress(from, 0));
             }
-        } catch (IOException e) { // no descriptor left, say
+        } catch (IOException e) { // for example, no file descriptor is available
             loop.execute(() -> {
                 if (!cancelled[0]) {
                     failed.accept(e);
@@ -138,7 +139,7 @@
         };
         try {
             channel.connect(to, null, connected);
-        } catch (RuntimeException e) { // an address of a kind that this machine has none of
+        } catch (RuntimeException e) { // an unresolved address or an address family that this machine does not support
             connected.failed(e, null);
         }
         return () -> {
@@ -151,7 +152,7 @@
         void done(int n, Throwable failure);
     }
 
-    /** No exception leaves a completion handler: it would end the thread's task and with it this connection. */
+    /** Catches all exceptions: one that leaves a completion handler would stop the processing of this connection. */
     private CompletionHandler<Integer, Void> handler(Completion completion) {
         return new CompletionHandler<>() {
             @Override
@@ -177,22 +178,22 @@
         };
     }
 
-    /** Replaces the handler, from the next event on. */
+    /** Replaces the handler, starting with the next event. */
     public void setHandler(Handler next) {
         handler = next;
     }
 
-    /** Sets the task that runs once the connection has closed, whichever side closed it. */
+    /** Sets the task that runs when the connection has closed, regardless of which side closed it. */
     public void onClosed(Runnable task) {
         onClosed = task;
     }
 
-    /** Whether it has closed; writes are dropped from then on. */
+    /** Whether the connection is closed; later writes are discarded. */
     public boolean isClosed() {
         return closed;
     }
 
-    /** Offers the unread bytes again and continues to read. */
+    /** Passes the unconsumed bytes to the handler again and continues to read. */
     public void resume() {
         if (!delivering) {
             deliver();
@@ -205,7 +206,7 @@
             return;
         }
         if (!closingGracefully) {
-            makeCapacity();
+            ensureReadCapacity();
             if (filledTo == input.capacity()) {
                 handler.readAheadExceeded();
                 return;
@@ -219,23 +220,23 @@
     }
 
     /**
-     * Makes capacity for the next read; none is pending. Unread bytes must not stop reading, up to a bound: behind them
-     * a client's close would stay unnoticed, and its request would still be forwarded.
+     * Ensures buffer capacity for the next read; no read is pending. Unconsumed bytes must not stop reading below the
+     * read-ahead limit: otherwise a client's close would not be detected, and its request would still be forwarded.
      */
-    private void makeCapacity() {
-        int unread = filledTo - consumedTo;
-        if (!hasReadAheadBuffer && unread == BUFFER_BYTES && loop.acquireReadAhead()) {
+    private void ensureReadCapacity() {
+        int unconsumed = filledTo - consumedTo;
+        if (!hasReadAheadBuffer && unconsumed == BUFFER_BYTES && loop.acquireReadAhead()) {
             hasReadAheadBuffer = true;
-            moveUnreadTo(ByteBuffer.allocate(MAX_READ_AHEAD_BYTES));
-        } else if (hasReadAheadBuffer && unread < BUFFER_BYTES) {
+            moveUnconsumedTo(ByteBuffer.allocate(MAX_READ_AHEAD_BYTES));
+        } else if (hasReadAheadBuffer && unconsumed < BUFFER_BYTES) {
             releaseReadAhead();
-            moveUnreadTo(ByteBuffer.allocate(BUFFER_BYTES));
+            moveUnconsumedTo(ByteBuffer.allocate(BUFFER_BYTES));
         } else if (consumedTo > 0) {
-            moveUnreadTo(input);
+            moveUnconsumedTo(input);
         }
     }
 
-    private void moveUnreadTo(ByteBuffer to) {
+    private void moveUnconsumedTo(ByteBuffer to) {
         to.put(0, input, consumedTo, filledTo - consumedTo);
         filledTo -= consumedTo;
         consumedTo = 0;
@@ -266,7 +267,7 @@
     }
 
     private void deliver() {
-        if (closed || closingGracefully || consumedTo == filledTo) { // finishing: what still comes is not looked at
+        if (closed || closingGracefully || consumedTo == filledTo) { // input is discarded during a graceful close
             return;
         }
         delivering = true;
@@ -279,7 +280,7 @@
         }
     }
 
-    /** Queues bytes; {@code onWritten} runs once the system has the last one, never after the connection has closed. */
+    /** Queues bytes; {@code onWritten} runs when the system has accepted all of them, never after a close. */
     public void write(ByteBuffer bytes, Runnable onWritten) {
         if (closed) {
             return;
@@ -289,7 +290,7 @@
         }
     }
 
-    /** In a later task: neither the writer nor a handler expects the end of a connection within a write. */
+    /** Closes the connection in a later task: writers and handlers do not expect a close during a write. */
     void closeForOverflow() {
         LOG.log(
                 System.Logger.Level.WARNING,
@@ -306,7 +307,7 @@
             closeAndNotify(asIoException(failure));
             return;
         }
-        Runnable onWritten = writes.taken(n);
+        Runnable onWritten = writes.recordWritten(n);
         if (!writes.isEmpty()) {
             channel.write(writes.nextPiece(), null, onWriteDone);
         }
@@ -317,8 +318,8 @@
     }
 
     /**
-     * Closes the connection once all is written. A plain close with unread bytes sends a reset, which may destroy an
-     * answer on its way; so the output is shut down first and input is discarded for {@link #LINGER_MS}.
+     * Closes the connection when all queued bytes are written. A plain close with unread input sends a reset, which may
+     * destroy a response in transit; so the output is shut down first and input is discarded for {@link #LINGER_MS}.
      */
     public void closeGracefully() {
         if (closed || closingGracefully) {
@@ -350,7 +351,7 @@
         handler.closed(why);
     }
 
-    /** Closes the connection at once; queued writes are dropped and the handler is not called. */
+    /** Closes the connection immediately; queued writes are discarded and the handler is not called. */
     public void close() {
         if (!closed) {
             closed = true;
--- a/transport/src/main/java/dewplank/net/EventLoop.java
+++ b/transport/src/main/java/dewplank/net/EventLoop.java
@@ -10,16 +10,16 @@
  * The single thread that owns the state of a process: completion handlers, timers and submitted tasks run there, one at
  * a time.
  *
- * <p>Its clock counts milliseconds, starts at the Unix time and never goes back. An exception of a task is logged and
- * ends that task only. {@link #execute} and {@link #stop} may be called from any thread, the rest on the loop's thread
- * unless said otherwise.
+ * <p>The clock is in milliseconds, starts at the current Unix time and never goes back. An exception thrown by a task
+ * is logged and ends that task only. {@link #execute} and {@link #stop} may be called from any thread; the other
+ * methods must be called on the loop's thread unless documented otherwise.
  */
 public final class EventLoop implements Scheduler {
     private static final System.Logger LOG = System.getLogger(EventLoop.class.getName());
     private static final long TICK_MS = 5;
     private static final long STOP_TIMEOUT_MS = 1_000;
     private static final int DISCARD_BUFFER_BYTES = 256 * 1024;
-    private static final int MAX_READ_AHEAD_BUFFERS = 50; // 4 MiB together, a sixteenth of the heap
+    private static final int MAX_READ_AHEAD_BUFFERS = 50; // 4 MiB in total, a sixteenth of the heap
 
     private final ScheduledThreadPoolExecutor executor;
     private final AsynchronousChannelGroup group;
@@ -30,9 +30,9 @@
     private final WriteBudget writeBudget;
     private volatile Thread thread;
     private volatile boolean isStopping;
-    private int readAheadBuffers;
+    private int readAheadBuffersInUse;
 
-    /** Starts the thread, with bounds of queued bytes that suit the heap. */
+    /** Starts the thread, with limits on queued bytes that depend on the heap size. */
     public EventLoop() throws IOException {
         this(new WriteBudget());
     }
@@ -41,7 +41,7 @@
         this.writeBudget = writeBudget;
         executor = new ScheduledThreadPoolExecutor(1, task -> {
             thread = new Thread(task, "loop");
-            thread.setDaemon(true); // a program whose main thread fails must end, not linger without it
+            thread.setDaemon(true); // the process must exit if its main thread fails
             return thread;
         });
         group = AsynchronousChannelGroup.withThreadPool(executor);
@@ -52,7 +52,7 @@
         wheel.run(now(), this::runGuarded);
     }
 
-    /** Stops exceptions here: the executor never runs a periodic task again that threw. */
+    /** Catches exceptions, because the executor does not repeat a periodic task that has thrown. */
     private void runGuarded(Runnable task) {
         try {
             if (!isStopping) {
@@ -74,44 +74,45 @@
     }
 
     /**
-     * Runs the task after {@code ms} milliseconds, as exactly as the system's clock allows instead of at a tick. It
-     * cannot be cancelled and costs more than {@link #after}: for load tools and emulators, not for a proxy.
+     * Runs the task after {@code ms} milliseconds, with the precision of the system's clock instead of a tick. The task
+     * cannot be cancelled, and the cost is higher than that of {@link #after}: for load tools and emulators, not for a
+     * proxy.
      */
     public void afterExactly(double ms, Runnable task) {
         executor.schedule(() -> runGuarded(task), (long) (ms * 1e6), TimeUnit.NANOSECONDS);
     }
 
-    /** Runs the task on the loop's thread, soon. Any thread may call it. */
+    /** Queues the task to run on the loop's thread. May be called from any thread. */
     @Override
     public void execute(Runnable task) {
         executor.execute(() -> runGuarded(task));
     }
 
-    /** Whether the caller runs on the loop's thread. Any thread may call it. */
+    /** Whether the current thread is the loop's thread. May be called from any thread. */
     public boolean isLoopThread() {
         return Thread.currentThread() == thread;
     }
 
-    /** Buffer for input that is discarded: large, so that a peer which never stops sending costs few reads. */
+    /** Buffer for discarded input; large, so that a peer that sends continuously causes few reads. */
     ByteBuffer discardBuffer() {
         return discardBuffer.duplicate();
     }
 
-    /** Reserves one of the read-ahead buffers; false when all are in use. */
+    /** Reserves a read-ahead buffer; returns false if all are in use. */
     boolean acquireReadAhead() {
-        if (readAheadBuffers == MAX_READ_AHEAD_BUFFERS) {
+        if (readAheadBuffersInUse == MAX_READ_AHEAD_BUFFERS) {
             return false;
         }
-        readAheadBuffers++;
+        readAheadBuffersInUse++;
         return true;
     }
 
-    /** Returns a reserved read-ahead buffer. */
+    /** Releases a reserved read-ahead buffer. */
     void releaseReadAhead() {
-        readAheadBuffers--;
+        readAheadBuffersInUse--;
     }
 
-    /** Bounds what connections queue for peers that do not read. */
+    /** The limits on bytes that connections queue for peers that do not read. */
     WriteBudget writeBudget() {
         return writeBudget;
     }
@@ -120,9 +121,7 @@
         return group;
     }
 
-    /**
-     * Closes every channel and ends the thread; callbacks caused by the closing are dropped. Any thread may call it.
-     */
+    /** Closes all channels and stops the thread; resulting callbacks are discarded. May be called from any thread. */
     public void stop() {
         isStopping = true;
         try {
--- a/transport/src/main/java/dewplank/net/Listener.java
+++ b/transport/src/main/java/dewplank/net/Listener.java
@@ -10,8 +10,8 @@
 import java.util.function.Supplier;
 
 /**
- * Accepts TCP connections on an {@link EventLoop}, up to a bound on those open at once; further ones wait in the
- * system's backlog. On the loop's thread only. Errors of accepting are logged and retried.
+ * Accepts TCP connections on an {@link EventLoop}, up to a limit of open connections; further ones wait in the system's
+ * backlog. Used on the loop's thread only. After an accept error, which is logged, the listener retries.
  */
 public final class Listener implements ServerEndpoint {
     private static final System.Logger LOG = System.getLogger(Listener.class.getName());
@@ -29,15 +29,15 @@
 
     /** The handler of an accepted connection. */
     public interface Accepted extends Connection.Handler {
-        /** Receives the connection, before any bytes. */
+        /** Receives the connection before any of its bytes. */
         void accepted(Connection connection);
     }
 
     /**
-     * Binds; nothing is accepted before {@link #accept}.
+     * Binds the address; no connection is accepted before {@link #accept}.
      *
-     * @param maxOpen connections open at once
-     * @param handlers gives the handler of each connection
+     * @param maxOpen maximum number of open connections
+     * @param handlers supplies the handler of each connection
      * @throws IOException if the address cannot be bound
      */
     public Listener(EventLoop loop, InetSocketAddress at, int maxOpen, Supplier<? extends Accepted> handlers)
@@ -50,17 +50,17 @@
         channel.bind(at, BACKLOG);
     }
 
-    /** The address it is bound to. */
+    /** The address that the listener is bound to. */
     public SocketAddress address() throws IOException {
         return channel.getLocalAddress();
     }
 
-    /** Whether any accepted connection has not closed yet; one that closes gracefully still counts. */
+    /** Whether any accepted connection is open, including those in a graceful close. */
     public boolean hasOpenConnections() {
         return openCount > 0;
     }
 
-    /** Whether the bound is reached, so that none is accepted until one closes. */
+    /** Whether the limit of open connections is reached: none is accepted until one closes. */
     public boolean isFull() {
         return openCount >= maxOpen;
     }
@@ -86,7 +86,7 @@
             public void failed(Throwable e, Void attachment) {
                 loop.execute(() -> {
                     accepting = false;
-                    if (!closed) { // such as no free descriptor: the backlog is served when one is free
+                    if (!closed) { // for example, no free file descriptor: the backlog is accepted when one is free
                         LOG.log(
                                 acceptFailing ? System.Logger.Level.DEBUG : System.Logger.Level.WARNING,
                                 "accept failed cause={0}",
--- a/transport/src/main/java/dewplank/net/Scheduler.java
+++ b/transport/src/main/java/dewplank/net/Scheduler.java
@@ -1,22 +1,22 @@
 package dewplank.net;
 
 /**
- * The steady clock and the timers of one process, and the thread that owns its state: all tasks run there, one at a
- * time. The event loop is one; virtual time is the other. Times in milliseconds.
+ * The monotonic clock and the timers of a process, and the thread that owns its state: all tasks run there, one at a
+ * time. Implemented by the event loop and by virtual time. Times are in milliseconds.
  */
 public interface Scheduler {
-    /** A task that is scheduled. */
+    /** A scheduled task. */
     interface Timer {
-        /** Cancels the task; does nothing on a timer that has fired. */
+        /** Cancels the task; no effect after the timer has fired. */
         void cancel();
     }
 
-    /** The steady clock, which never goes back. */
+    /** The monotonic clock. */
     double now();
 
-    /** Runs the task after {@code ms} milliseconds or up to a tick later; never earlier. */
+    /** Runs the task after at least {@code ms} milliseconds, at most a tick later. */
     Timer after(double ms, Runnable task);
 
-    /** Runs the task soon, after the current one. */
+    /** Queues the task to run after the current one. */
     void execute(Runnable task);
 }
--- a/transport/src/main/java/dewplank/net/ServerEndpoint.java
+++ b/transport/src/main/java/dewplank/net/ServerEndpoint.java
@@ -1,10 +1,10 @@
 package dewplank.net;
 
-/** A bound listening address. Nothing is accepted before {@link #accept}. On the loop's thread only. */
+/** A bound listening address. No connection is accepted before {@link #accept}. Used on the loop's thread only. */
 public interface ServerEndpoint {
-    /** Begins to accept connections. */
+    /** Starts to accept connections. */
     void accept();
 
-    /** Stops accepting; open connections stay. */
+    /** Stops accepting connections; open connections are not closed. */
     void close();
 }
--- a/transport/src/main/java/dewplank/net/TimerWheel.java
+++ b/transport/src/main/java/dewplank/net/TimerWheel.java
@@ -5,8 +5,8 @@
 import java.util.function.Consumer;
 
 /**
- * Timers in coarse ticks: a hashed timing wheel (Varghese and Lauck, SOSP 1987). A timer fires in the first tick at or
- * past its time, never before it. Confined to one thread.
+ * Timers with a resolution of one tick: a hashed timing wheel (Varghese and Lauck, SOSP 1987). A timer fires at the
+ * first tick at or after its due time. Confined to one thread.
  */
 public final class TimerWheel {
     private static final int SLOTS = 512;
@@ -15,7 +15,7 @@
     private final List<List<Timer>> slots = new ArrayList<>(SLOTS);
     private long current;
 
-    /** One timer of a wheel. */
+    /** A timer of a wheel. */
     public static final class Timer implements Scheduler.Timer {
         private final long tick;
         private Runnable task;
@@ -25,14 +25,14 @@
             this.task = task;
         }
 
-        /** Cancels the task; does nothing on a timer that has fired. */
+        /** Cancels the task; no effect after the timer has fired. */
         @Override
         public void cancel() {
             task = null;
         }
     }
 
-    /** A wheel that begins at {@code now}, both times in milliseconds. */
+    /** Creates a wheel that starts at {@code now}. Both parameters are in milliseconds. */
     public TimerWheel(double now, double tickMs) {
         this.tickMs = tickMs;
         this.current = (long) Math.floor(now / tickMs);
@@ -41,7 +41,7 @@
         }
     }
 
-    /** Adds a task that is due at {@code at}, in milliseconds of the same clock. */
+    /** Adds a task that is due at {@code at}, in milliseconds on the same clock. */
     public Timer add(double at, Runnable task) {
         Timer timer = new Timer(Math.max(current + 1, (long) Math.ceil(at / tickMs)), task);
         slots.get((int) (timer.tick % SLOTS)).add(timer);
@@ -49,8 +49,8 @@
     }
 
     /**
-     * Runs all timers due by {@code now}, in the order of their ticks; after a long pause none is lost. Each is checked
-     * when its turn comes, as an earlier one of the same call may have cancelled it.
+     * Runs all timers due by {@code now}, in the order of their ticks, including those that became due during a pause.
+     * Each is checked immediately before it runs, as a timer that ran earlier in the same call may have cancelled it.
      */
     public void run(double now, Consumer<Runnable> runner) {
         List<Timer> due = new ArrayList<>();
--- a/transport/src/main/java/dewplank/net/WriteBudget.java
+++ b/transport/src/main/java/dewplank/net/WriteBudget.java
@@ -5,31 +5,31 @@
 import java.util.Optional;
 
 /**
- * The bytes that connections of one event loop have queued for peers that do not read, and their bounds: one for each
- * connection and one for all. Beyond a bound a connection is to be closed: of all the one with the most queued bytes,
- * so that a peer which does read is not closed for others' sake.
+ * Counts the bytes that the connections of an event loop have queued, and limits them per connection and in total. If a
+ * connection exceeds its own limit, it is to be closed. If all together exceed the total limit, the connection with the
+ * most queued bytes is to be closed, so that a peer that reads does not lose its connection because of other peers.
  *
- * <p>It also says how much one system call may write. The JVM copies that much into direct memory for as long as the
- * peer does not read, and direct memory is scarce: once many bytes are queued, pieces are small.
+ * <p>It also determines how many bytes one system call may write. The JVM copies these bytes into direct memory until
+ * the peer reads them, and direct memory is scarce: if many bytes are queued, pieces are small.
  *
- * <p>On the loop's thread only. Connections are kept in the order in which they began to queue.
+ * <p>Used on the loop's thread only. Connections are stored in the order in which they started to queue bytes.
  */
 final class WriteBudget {
     /**
-     * Two of the largest messages between processes, of 8 MiB, do not fit; one and its successor's start do. A single
-     * write may be larger: its bytes are in memory anyway.
+     * Enough for one message of 8 MiB, the largest between processes, and the start of the next, but not for two. A
+     * single write may be larger, since its bytes are already in memory.
      */
     static final long MAX_BYTES_PER_CONNECTION = 12L * 1024 * 1024;
 
     /** A quarter of a data plane's heap of 96 MiB. */
     private static final long MIN_TOTAL_BYTES = 24L * 1024 * 1024;
 
-    private static final int HEAP_PARTS = 4;
+    private static final int HEAP_DIVISOR = 4;
     /**
-     * A sixth of the direct memory of a data plane. Below it everything is written in one piece: between two pieces a
-     * write may fail as the peer has answered early and closed, and its answer would be lost.
+     * A sixth of the direct memory of a data plane. Up to this total each write is a single piece: if the peer responds
+     * early and closes, a write between two pieces may fail, and the response would be lost.
      */
-    private static final int MAX_TOTAL_FOR_ONE_PIECE = 4 * 1024 * 1024;
+    private static final int MAX_TOTAL_FOR_SINGLE_PIECE = 4 * 1024 * 1024;
 
     private static final int SMALL_PIECE_BYTES = 4 * 1024;
 
@@ -39,11 +39,11 @@
     private long totalBytes;
     private long overflowCount;
 
-    /** With the bounds for this process's heap. */
+    /** Creates a budget with limits for this process's heap. */
     WriteBudget() {
         this(
                 MAX_BYTES_PER_CONNECTION,
-                Math.max(MIN_TOTAL_BYTES, Runtime.getRuntime().maxMemory() / HEAP_PARTS));
+                Math.max(MIN_TOTAL_BYTES, Runtime.getRuntime().maxMemory() / HEAP_DIVISOR));
     }
 
     WriteBudget(long maxBytesPerConnection, long maxTotalBytes) {
@@ -56,17 +56,17 @@
         return totalBytes;
     }
 
-    /** How many connections were named by {@link #add} to be closed. */
+    /** Number of connections that {@link #add} has returned to be closed. */
     long overflowCount() {
         return overflowCount;
     }
 
-    /** How many bytes the next system call may write. */
+    /** Maximum number of bytes that the next system call may write. */
     int pieceBytes() {
-        return totalBytes > MAX_TOTAL_FOR_ONE_PIECE ? SMALL_PIECE_BYTES : MAX_TOTAL_FOR_ONE_PIECE;
+        return totalBytes > MAX_TOTAL_FOR_SINGLE_PIECE ? SMALL_PIECE_BYTES : MAX_TOTAL_FOR_SINGLE_PIECE;
     }
 
-    /** Counts bytes that a connection queues; returns the connection to be closed for it, if any. */
+    /** Adds bytes queued by a connection; returns the connection to close if a limit is exceeded. */
     Optional<Connection> add(Connection connection, int bytes) {
         long own = queuedBytes.merge(connection, (long) bytes, Long::sum);
         totalBytes += bytes;
@@ -83,13 +83,13 @@
         return Optional.empty();
     }
 
-    /** Bytes were written. */
+    /** Subtracts bytes that a connection has written. */
     void remove(Connection connection, int bytes) {
         totalBytes -= bytes;
         queuedBytes.computeIfPresent(connection, (key, queued) -> queued > bytes ? queued - bytes : null);
     }
 
-    /** The connection has closed. */
+    /** Removes a closed connection with its queued bytes. */
     void removeAll(Connection connection) {
         Long queued = queuedBytes.remove(connection);
         totalBytes -= queued == null ? 0 : queued;
--- a/transport/src/main/java/dewplank/net/WriteQueue.java
+++ b/transport/src/main/java/dewplank/net/WriteQueue.java
@@ -5,8 +5,8 @@
 import java.util.Deque;
 
 /**
- * The writes of one {@link Connection} that the system has not taken completely, in order, and the piece of the first
- * one that it was given last. On the loop's thread only.
+ * The writes of a {@link Connection} that the system has not completely accepted, in order, and the latest piece of the
+ * first write that was passed to the system. Used on the loop's thread only.
  */
 final class WriteQueue {
     private record Write(ByteBuffer bytes, Runnable onWritten) {}
@@ -25,7 +25,7 @@
         return writes.isEmpty();
     }
 
-    /** Queues a write; returns whether it is the only one, so that it is to be begun. */
+    /** Queues a write; returns true if it is the only one, so that the caller must start it. */
     boolean add(ByteBuffer bytes, Runnable onWritten) {
         writes.addLast(new Write(bytes, onWritten));
         budget.add(connection, bytes.remaining()).ifPresent(Connection::closeForOverflow);
@@ -33,10 +33,10 @@
     }
 
     /**
-     * The bytes that the system is to be given next: what is left of the last piece, or the next one; there is some
-     * write. Mostly all of a write at once, in its own buffer: that one's position says at any time what the system has
-     * taken, from which {@code HttpCall} derives whether a request may have run. A smaller piece counts as taken when
-     * it is begun.
+     * Returns the bytes to pass to the system next: the remainder of the last piece, or the next piece. The queue must
+     * not be empty. Usually the piece is the complete write in its own buffer, whose position shows how many bytes the
+     * system has accepted; {@code HttpCall} derives from it whether a request may have run. A smaller piece advances
+     * the position by its full length before it is written.
      */
     ByteBuffer nextPiece() {
         if (piece != null && piece.hasRemaining()) {
@@ -54,11 +54,11 @@
     }
 
     /**
-     * The system took so many bytes of the last piece.
+     * Records that the system has accepted {@code count} bytes of the last piece.
      *
-     * @return the task to run as the first write is complete; null while it is not
+     * @return the task to run if this completes the first write; otherwise null
      */
-    Runnable taken(int count) {
+    Runnable recordWritten(int count) {
         budget.remove(connection, count);
         if (piece.hasRemaining() || writes.peekFirst().bytes().hasRemaining()) {
             return null;
@@ -67,7 +67,7 @@
         return writes.removeFirst().onWritten();
     }
 
-    /** Drops everything; the connection has closed. */
+    /** Discards all writes of a closed connection. */
     void clear() {
         writes.clear();
         budget.removeAll(connection);
--- a/transport/src/test/java/dewplank/exchange/ConnectionPoolTest.java
+++ b/transport/src/test/java/dewplank/exchange/ConnectionPoolTest.java
@@ -23,17 +23,17 @@
     private EventLoop loop;
     private ScriptedServer server;
 
-    /** A connection from both sides. */
+    /** Both ends of a connection. */
     private record ConnectedPair(Connection client, Wire server) {}
 
     @BeforeEach
-    void begin() throws IOException {
+    void setUp() throws IOException {
         loop = new EventLoop();
         server = new ScriptedServer();
     }
 
     @AfterEach
-    void end() throws IOException {
+    void tearDown() throws IOException {
         server.close();
         loop.stop();
     }
@@ -102,20 +102,20 @@
     }
 
     @Test
-    void aConnectionPastItsStatedIdleTimeIsClosedWhateverItsPosition() throws Exception {
+    void aConnectionPastItsIdleTimeIsClosedRegardlessOfItsPosition() throws Exception {
         ConnectionPool pool = new ConnectionPool(clock, 0, LONG_MS);
-        ConnectedPair lasting = connect();
-        ConnectedPair brief = connect();
+        ConnectedPair unlimited = connect();
+        ConnectedPair limited = connect();
         ConnectedPair last = connect();
-        put(pool, lasting);
-        OnLoop.run(loop, () -> pool.put(brief.client(), server.address(), 20));
+        put(pool, unlimited);
+        OnLoop.run(loop, () -> pool.put(limited.client(), server.address(), 20));
         put(pool, last);
         clock.advance(20);
         OnLoop.run(loop, pool::closeExpired);
-        brief.server().awaitEnd();
+        limited.server().awaitEnd();
         assertEquals(2, pool.size());
         assertSame(last.client(), take(pool));
-        assertSame(lasting.client(), take(pool));
+        assertSame(unlimited.client(), take(pool));
     }
 
     @Test
@@ -123,15 +123,15 @@
         ConnectionPool pool = new ConnectionPool(clock, 0, LONG_MS);
         ConnectedPair old = connect();
         put(pool, old);
-        try (ScriptedServer elsewhere = new ScriptedServer()) {
-            assertNull(OnLoop.get(loop, () -> pool.take(elsewhere.address())));
+        try (ScriptedServer otherServer = new ScriptedServer()) {
+            assertNull(OnLoop.get(loop, () -> pool.take(otherServer.address())));
         }
         old.server().awaitEnd();
         assertEquals(0, pool.size());
     }
 
     @Test
-    void aConnectionThatItsServerClosesOrWritesToLeavesThePool() throws Exception {
+    void aConnectionThatItsServerClosesOrWritesToIsRemoved() throws Exception {
         ConnectionPool pool = new ConnectionPool(clock, 0, LONG_MS);
         ConnectedPair ended = connect();
         ConnectedPair writtenTo = connect();
@@ -145,14 +145,14 @@
     }
 
     @Test
-    void aClosedPoolKeepsNoConnection() throws Exception {
+    void aClosedPoolClosesReturnedConnections() throws Exception {
         ConnectionPool pool = new ConnectionPool(clock, 0, LONG_MS);
         ConnectedPair idle = connect();
         ConnectedPair used = connect();
         put(pool, idle);
         OnLoop.run(loop, pool::close);
         idle.server().awaitEnd();
-        put(pool, used); // its call ends after the pool was closed
+        put(pool, used); // its call completes after the pool is closed
         used.server().awaitEnd();
         assertEquals(0, pool.size());
     }
--- a/transport/src/test/java/dewplank/exchange/HttpCallTest.java
+++ b/transport/src/test/java/dewplank/exchange/HttpCallTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Calls to a scripted server: what it sends when, what it never sends, and how the call ends. */
+/** Calls to a scripted server: which events the listener receives, and when connections are reused or closed. */
 class HttpCallTest {
     private static final String REQUEST = "GET /x HTTP/1.1\r\nHost: h\r\n\r\n";
     private static final double CONNECT_TIMEOUT_MS = 5_000;
@@ -32,19 +32,19 @@
     private ConnectionPool pool;
 
     @BeforeEach
-    void begin() throws IOException {
+    void setUp() throws IOException {
         loop = new EventLoop();
         server = new ScriptedServer();
         pool = new ConnectionPool(clock, 0, 60_000);
     }
 
     @AfterEach
-    void end() throws IOException {
+    void tearDown() throws IOException {
         server.close();
         loop.stop();
     }
 
-    /** The events of a call, in order; answers with another id are discarded where one is expected. */
+    /** Records the events of a call, in order; if an id is expected, responses with another id are discarded. */
     private static final class RecordingListener implements HttpCall.Listener {
         private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
         private String expectedId;
@@ -73,7 +73,7 @@
 
         String next() throws InterruptedException {
             String event = events.poll(Wire.PATIENCE_S, TimeUnit.SECONDS);
-            return event == null ? "nothing" : event;
+            return event == null ? "no event" : event;
         }
 
         void expect(String... expected) throws InterruptedException {
@@ -91,7 +91,7 @@
         return call(server, request, listener);
     }
 
-    private HttpCall started(String request, RecordingListener listener) {
+    private HttpCall startCall(String request, RecordingListener listener) {
         HttpCall call = call(request, listener);
         start(call);
         return call;
@@ -101,8 +101,8 @@
         loop.execute(() -> call.start(CONNECT_TIMEOUT_MS));
     }
 
-    /** The server answers with a length, and the listener gets all of the answer. */
-    private static void assertAnswered(Wire wire, RecordingListener listener, String body) throws Exception {
+    /** Sends a response with a Content-Length, and asserts that the listener receives all of it. */
+    private static void assertResponseDelivered(Wire wire, RecordingListener listener, String body) throws Exception {
         wire.answer("200 OK", "", body);
         listener.expect("head 200");
         if (!body.isEmpty()) {
@@ -111,17 +111,17 @@
         listener.expect("complete");
     }
 
-    /** The connection of a call that was answered. */
-    private Wire answeredCall(String body) throws Exception {
+    /** Runs a call to its completion and returns its connection. */
+    private Wire completedCall(String body) throws Exception {
         RecordingListener listener = startCall();
         Wire wire = server.next().wire();
-        assertAnswered(wire, listener, body);
+        assertResponseDelivered(wire, listener, body);
         return wire;
     }
 
     private RecordingListener startCall() {
         RecordingListener listener = new RecordingListener();
-        started(REQUEST, listener);
+        startCall(REQUEST, listener);
         return listener;
     }
 
@@ -162,22 +162,22 @@
     }
 
     @Test
-    void anAnswerWithoutABodyIsCompleteWithItsHead() throws Exception {
+    void aResponseWithoutABodyIsCompleteAfterItsHead() throws Exception {
         RecordingListener listener = startCall();
         server.next().wire().send("HTTP/1.1 204 No Content\r\n\r\n");
         listener.expect("head 204", "complete");
     }
 
     @Test
-    void interimAnswersAreSkipped() throws Exception {
+    void interimResponsesAreSkipped() throws Exception {
         RecordingListener listener = startCall();
         Wire wire = server.next().wire();
         wire.send("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n");
-        assertAnswered(wire, listener, "it");
+        assertResponseDelivered(wire, listener, "it");
     }
 
     @Test
-    void anAnswerWithoutALengthIsCompleteAtEndOfStream() throws Exception {
+    void aResponseWithoutALengthIsCompleteAtEndOfStream() throws Exception {
         RecordingListener listener = startCall();
         Wire wire = server.next().wire();
         wire.send("HTTP/1.1 200 OK\r\n\r\nall of");
@@ -189,7 +189,7 @@
     }
 
     @Test
-    void anAnswerWithoutALengthIsTruncatedAtAReset() throws Exception {
+    void aResetTruncatesAResponseWithoutALength() throws Exception {
         RecordingListener listener = startCall();
         Wire wire = server.next().wire();
         wire.send("HTTP/1.1 200 OK\r\n\r\nall of");
@@ -198,11 +198,11 @@
         listener.expect("failed BROKEN");
     }
 
-    // ---- answers that are none ------------------------------------------------------------------------
+    // ---- invalid responses ----------------------------------------------------------------------------
 
     @Test
-    void aMalformedAnswerFailsTheCall() throws Exception {
-        for (String noise : new String[] {
+    void aMalformedResponseFailsTheCall() throws Exception {
+        for (String malformed : new String[] {
             "what?",
             "HTTP/1.1 OK\r\n\r\n",
             "HTTP/1.1 200 OK\r\nno colon\r\n\r\n",
@@ -211,14 +211,14 @@
         }) {
             RecordingListener listener = startCall();
             Wire wire = server.next().wire();
-            wire.send(noise);
-            assertEquals("failed MALFORMED", listener.next(), noise);
+            wire.send(malformed);
+            assertEquals("failed MALFORMED", listener.next(), malformed);
             wire.awaitEnd();
         }
     }
 
     @Test
-    void aMalformedChunkFailsTheCallWithinItsAnswer() throws Exception {
+    void aMalformedChunkFailsTheCallDuringItsResponse() throws Exception {
         RecordingListener listener = startCall();
         Wire wire = server.next().wire();
         wire.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -231,7 +231,7 @@
     }
 
     @Test
-    void aTruncatedAnswerFailsTheCall() throws Exception {
+    void aTruncatedResponseFailsTheCall() throws Exception {
         for (String part : new String[] {
             "HTTP/1.1 200 O",
             "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n",
@@ -251,51 +251,53 @@
         }
     }
 
-    // ---- a connection's other calls -------------------------------------------------------------------
+    // ---- connection reuse -----------------------------------------------------------------------------
 
     @Test
     void aConnectionIsReusedAfterTheReuseDelay() throws Exception {
         pool = new ConnectionPool(clock, ConnectionPool.REUSE_DELAY_MS, 60_000);
         RecordingListener first = startCall();
         ScriptedServer.Call one = server.next();
-        assertAnswered(one.wire(), first, "1");
+        assertResponseDelivered(one.wire(), first, "1");
         RecordingListener second = new RecordingListener();
-        HttpCall early = started(REQUEST, second); // within the reuse delay: on another connection
+        HttpCall early = startCall(REQUEST, second); // within the reuse delay: uses another connection
         ScriptedServer.Call two = server.next();
         assertNotSame(one.wire(), two.wire());
         assertFalse(early.isReused());
-        assertAnswered(two.wire(), second, "2");
+        assertResponseDelivered(two.wire(), second, "2");
         clock.advance(ConnectionPool.REUSE_DELAY_MS);
         RecordingListener third = new RecordingListener();
-        HttpCall idle = started(REQUEST, third);
+        HttpCall reusing = startCall(REQUEST, third);
         ScriptedServer.Call three = server.next();
-        assertSame(two.wire(), three.wire(), "the one used last is taken first");
-        assertTrue(idle.isReused());
-        assertAnswered(three.wire(), third, "3");
+        assertSame(two.wire(), three.wire(), "the most recently used connection is reused first");
+        assertTrue(reusing.isReused());
+        assertResponseDelivered(three.wire(), third, "3");
     }
 
     @Test
-    void anIdleConnectionIsClosedBeforeItsServersKeepAliveEnds() throws Exception {
-        assertEquals(1, swept(idle("Keep-Alive: timeout=60\r\n")));
-        assertEquals(0, swept(idle("Keep-Alive: timeout=0, max=5\r\n")));
-        assertEquals(1, swept(idle("Keep-Alive: max=5, timeout=never\r\n")));
-        ConnectionPool stated = idle("Keep-Alive: max=5, timeout=60\r\n");
-        ConnectionPool shortly = idle("Keep-Alive: timeout=1\r\n");
-        ConnectionPool unstated = idle("");
+    void anIdleConnectionIsClosedBeforeItsServersKeepAliveExpires() throws Exception {
+        assertEquals(1, sizeAfterClosingExpired(poolWithIdleConnection("Keep-Alive: timeout=60\r\n")));
+        assertEquals(0, sizeAfterClosingExpired(poolWithIdleConnection("Keep-Alive: timeout=0, max=5\r\n")));
+        assertEquals(1, sizeAfterClosingExpired(poolWithIdleConnection("Keep-Alive: max=5, timeout=never\r\n")));
+        ConnectionPool sixtySeconds = poolWithIdleConnection("Keep-Alive: max=5, timeout=60\r\n");
+        ConnectionPool oneSecond = poolWithIdleConnection("Keep-Alive: timeout=1\r\n");
+        ConnectionPool withoutTimeout = poolWithIdleConnection("");
         clock.advance(1_000);
-        assertEquals(1, swept(stated));
-        assertEquals(0, swept(shortly), "a second at the server is less here");
-        assertEquals(0, swept(unstated), "a server that says nothing is not trusted for longer than a second");
+        assertEquals(1, sizeAfterClosingExpired(sixtySeconds));
+        assertEquals(
+                0, sizeAfterClosingExpired(oneSecond), "a timeout of one second at the server is shorter in the pool");
+        assertEquals(
+                0, sizeAfterClosingExpired(withoutTimeout), "without a Keep-Alive timeout the limit is one second");
     }
 
-    private int swept(ConnectionPool from) throws Exception {
+    private int sizeAfterClosingExpired(ConnectionPool from) throws Exception {
         return OnLoop.get(loop, () -> {
             from.closeExpired();
             return from.size();
         });
     }
 
-    private ConnectionPool idle(String fields) throws Exception {
+    private ConnectionPool poolWithIdleConnection(String fields) throws Exception {
         pool = new ConnectionPool(clock, 0, 60_000);
         RecordingListener listener = startCall();
         server.next().wire().answer("200 OK", fields, "");
@@ -304,7 +306,7 @@
     }
 
     @Test
-    void aConnectionThatDoesNotPersistIsNotReused() throws Exception {
+    void aNonPersistentConnectionIsNotReused() throws Exception {
         for (String head : new String[] {"HTTP/1.1 200 OK\r\nConnection: close\r\n", "HTTP/1.0 200 OK\r\n"}) {
             RecordingListener listener = startCall();
             Wire wire = server.next().wire();
@@ -325,26 +327,26 @@
         assertEquals(0, OnLoop.get(loop, pool::size));
     }
 
-    /** The second answer arrives on the idle connection, before the next call could take it for its own. */
+    /** The second response arrives on the idle connection, before the next call could take it for its own. */
     @Test
-    void aSecondAnswerOnAnIdleConnectionClosesIt() throws Exception {
-        Wire wire = answeredCall("hi");
+    void aSecondResponseOnAnIdleConnectionClosesIt() throws Exception {
+        Wire wire = completedCall("hi");
         wire.answer("200 OK", "", "ho");
         wire.awaitEnd();
         assertEquals(0, OnLoop.get(loop, pool::size));
         RecordingListener next = startCall();
         ScriptedServer.Call call = server.next();
         assertNotSame(wire, call.wire());
-        assertAnswered(call.wire(), next, "own");
+        assertResponseDelivered(call.wire(), next, "own");
     }
 
-    /** The other order: the next call is in flight when the late answer to the last one arrives. */
+    /** The next call is in progress when the late response to the previous one arrives. */
     @Test
-    void anAnswerToAnotherCallIsDiscardedByItsId() throws Exception {
-        Wire wire = answeredCall("hi");
+    void aResponseToAnotherCallIsDiscardedByItsId() throws Exception {
+        Wire wire = completedCall("hi");
         RecordingListener listener = new RecordingListener();
         listener.expectedId = "b";
-        started(REQUEST, listener);
+        startCall(REQUEST, listener);
         assertSame(wire, server.next().wire());
         wire.answer("200 OK", "Id: a\r\n", "late");
         listener.expect("discarded 200");
@@ -357,10 +359,10 @@
     }
 
     @Test
-    void twoAnswersInOneSegmentAreDistinguished() throws Exception {
+    void twoResponsesInOneSegmentAreDistinguished() throws Exception {
         RecordingListener listener = new RecordingListener();
         listener.expectedId = "b";
-        started(REQUEST, listener);
+        startCall(REQUEST, listener);
         server.next()
                 .wire()
                 .send("HTTP/1.1 503 Busy\r\nId: a\r\nContent-Length: 4\r\n\r\nlate"
@@ -369,32 +371,32 @@
     }
 
     @Test
-    void anAnswerToAnotherCallThatClosesTheConnectionBreaksTheCall() throws Exception {
+    void aResponseToAnotherCallThatClosesTheConnectionFailsTheCall() throws Exception {
         RecordingListener listener = new RecordingListener();
         listener.expectedId = "b";
-        started(REQUEST, listener);
+        startCall(REQUEST, listener);
         server.next().wire().answer("200 OK", "Id: a\r\nConnection: close\r\n", "late");
         listener.expect("discarded 200", "failed BROKEN");
     }
 
     @Test
-    void anAnswerToAnotherCallWithoutALengthBreaksTheCall() throws Exception {
+    void aResponseToAnotherCallWithoutALengthFailsTheCall() throws Exception {
         RecordingListener listener = new RecordingListener();
         listener.expectedId = "b";
-        started(REQUEST, listener);
+        startCall(REQUEST, listener);
         Wire wire = server.next().wire();
         wire.send("HTTP/1.1 200 OK\r\nId: a\r\n\r\nlate");
         wire.close();
         listener.expect("discarded 200", "failed BROKEN");
     }
 
-    // ---- connections that end -------------------------------------------------------------------------
+    // ---- failed connections ---------------------------------------------------------------------------
 
     @Test
     void aRefusedConnectionFailsAsNotConnected() throws Exception {
-        try (ScriptedServer nobody = ScriptedServer.refusing()) {
+        try (ScriptedServer refusing = ScriptedServer.refusing()) {
             RecordingListener listener = new RecordingListener();
-            HttpCall call = call(nobody, REQUEST, listener);
+            HttpCall call = call(refusing, REQUEST, listener);
             start(call);
             listener.expect("failed NOT_CONNECTED");
             assertFalse(OnLoop.get(loop, call::isConnected));
@@ -416,7 +418,7 @@
     @Test
     void aResetAfterTheLastByteFailsAsBroken() throws Exception {
         RecordingListener listener = new RecordingListener();
-        HttpCall call = started(REQUEST, listener);
+        HttpCall call = startCall(REQUEST, listener);
         Wire wire = server.next().wire();
         assertTrue(OnLoop.get(loop, call::isSent));
         wire.reset();
@@ -430,9 +432,9 @@
         listener.expect("failed BROKEN");
     }
 
-    /** A server may begin on a request before it has read a long body. */
+    /** A server may start to process a request before it has read a long body. */
     @Test
-    void aResetWithinTheRequestFailsAsBroken() throws Exception {
+    void aResetDuringTheRequestFailsAsBroken() throws Exception {
         try (ScriptedServer raw = ScriptedServer.raw()) {
             RecordingListener listener = new RecordingListener();
             HttpCall call = call(raw, longRequest(), listener);
@@ -449,41 +451,41 @@
         return "POST /x HTTP/1.1\r\nContent-Length: " + LONG_BODY_BYTES + "\r\n\r\n" + "x".repeat(LONG_BODY_BYTES);
     }
 
-    /** A connection that is broken before its first write takes no byte: the request cannot have run. */
+    /** A connection that breaks before its first write has sent no bytes: the request cannot have run. */
     @Test
     void aFailureBeforeTheFirstByteFailsAsNotSent() throws Exception {
         RecordingListener listener = new RecordingListener();
         HttpCall call = call(REQUEST, listener);
         OnLoop.run(loop, () -> {
             call.start(CONNECT_TIMEOUT_MS);
-            call.closed(new IOException("broken before it was up"));
+            call.closed(new IOException("broken before it was established"));
         });
         listener.expect("failed NOT_SENT");
     }
 
-    // ---- early answers --------------------------------------------------------------------------------
+    // ---- early responses ------------------------------------------------------------------------------
 
-    /** The rest of the request is still due on its connection; no other request may follow in its place. */
+    /** The rest of the request is not sent yet, so no other request may be sent on its connection. */
     @Test
-    void theConnectionOfAnEarlyAnswerIsNotReused() throws Exception {
+    void aConnectionIsNotReusedAfterAnEarlyResponse() throws Exception {
         try (ScriptedServer raw = ScriptedServer.raw()) {
             RecordingListener listener = new RecordingListener();
             HttpCall call = call(raw, longRequest(), listener);
             start(call);
             Wire wire = raw.nextConnection();
             wire.readHead();
-            assertAnswered(wire, listener, "early");
+            assertResponseDelivered(wire, listener, "early");
             assertEquals(0, OnLoop.get(loop, pool::size));
             String received = wire.readToEnd();
-            assertTrue(received.chars().allMatch(character -> character == 'x'), "other bytes where the body is due");
+            assertTrue(
+                    received.chars().allMatch(character -> character == 'x'),
+                    "other bytes were sent instead of the body");
         }
     }
 
-    /**
-     * All of the request is in the socket buffers: its connection is reused, and the server reads the bytes in order.
-     */
+    /** The complete request is in the socket buffers: its connection is reused, and the server reads both in order. */
     @Test
-    void aServerThatReadsOnAfterAnEarlyAnswerGetsTheBodyAndThenTheNextRequest() throws Exception {
+    void aServerThatContinuesToReadAfterAnEarlyResponseReceivesTheBodyAndTheNextRequest() throws Exception {
         String body = "y".repeat(SOCKET_BUFFER_BYTES);
         try (ScriptedServer raw = ScriptedServer.raw()) {
             RecordingListener listener = new RecordingListener();
@@ -493,36 +495,36 @@
             Wire wire = raw.nextConnection();
             assertEquals("/1", wire.readHead().target());
             OnLoop.await(loop, first::isSent);
-            assertAnswered(wire, listener, "early");
+            assertResponseDelivered(wire, listener, "early");
             RecordingListener next = new RecordingListener();
             HttpCall second = call(raw, "GET /2 HTTP/1.1\r\n\r\n", next);
             start(second);
             assertEquals(body, wire.readBytes(body.length()));
             assertEquals("/2", wire.readHead().target());
             assertTrue(second.isReused());
-            assertAnswered(wire, next, "own");
+            assertResponseDelivered(wire, next, "own");
         }
     }
 
-    // ---- calls that share nothing ---------------------------------------------------------------------
+    // ---- exclusive calls, HEAD and closed connections -------------------------------------------------
 
     @Test
-    void anExclusiveCallNeitherTakesNorLeavesAPooledConnection() throws Exception {
-        Wire wire = answeredCall("");
+    void anExclusiveCallNeitherUsesNorReturnsAPooledConnection() throws Exception {
+        Wire wire = completedCall("");
         OnLoop.await(loop, () -> pool.size() == 1);
         RecordingListener listener = new RecordingListener();
         HttpCall exclusive = call(REQUEST, listener).exclusive();
         start(exclusive);
         Wire own = server.next().wire();
         assertNotSame(wire, own);
-        assertAnswered(own, listener, "");
+        assertResponseDelivered(own, listener, "");
         own.awaitEnd();
-        assertEquals(1, OnLoop.get(loop, pool::size), "the idle one");
+        assertEquals(1, OnLoop.get(loop, pool::size), "the idle connection stays in the pool");
     }
 
-    /** The length of an answer to a HEAD is that of a body that is not sent. */
+    /** The Content-Length in a response to a HEAD is that of a body that is not sent. */
     @Test
-    void theAnswerToAHeadRequestHasNoBody() throws Exception {
+    void theResponseToAHeadRequestHasNoBody() throws Exception {
         RecordingListener listener = new RecordingListener();
         HttpCall call = call("HEAD /x HTTP/1.1\r\nHost: h\r\n\r\n", listener).expectHead();
         start(call);
@@ -531,34 +533,34 @@
         OnLoop.await(loop, () -> pool.size() == 1);
     }
 
-    /** The server's close of an idle connection is noticed before the next call: that opens a new one. */
+    /** The close of an idle connection by its server is detected before the next call, which opens a new one. */
     @Test
     void anIdleConnectionThatItsServerClosedIsNotReused() throws Exception {
-        Wire wire = answeredCall("");
+        Wire wire = completedCall("");
         wire.close();
         OnLoop.await(loop, () -> pool.size() == 0);
         RecordingListener second = startCall();
         ScriptedServer.Call call = server.next();
         assertNotSame(wire, call.wire());
-        assertAnswered(call.wire(), second, "");
+        assertResponseDelivered(call.wire(), second, "");
     }
 
-    /** The other order: the close meets the call, which may have run. */
+    /** A call starts before the server's reset of the idle connection is detected: its request may have run. */
     @Test
-    void anIdleConnectionThatIsResetUnderACallFailsIt() throws Exception {
-        Wire wire = answeredCall("");
+    void aResetOfAReusedConnectionFailsItsCall() throws Exception {
+        Wire wire = completedCall("");
         OnLoop.await(loop, () -> pool.size() == 1);
         RecordingListener second = new RecordingListener();
         OnLoop.run(
                 loop,
-                () -> { // on the loop's thread the reset is not noticed before the call has begun
+                () -> { // in one task of the loop, so that the reset is not detected before the call starts
                     wire.reset();
                     call(REQUEST, second).start(CONNECT_TIMEOUT_MS);
                 });
         assertTrue(second.next().startsWith("failed "));
     }
 
-    // ---- cancel ---------------------------------------------------------------------------------------
+    // ---- cancellation ---------------------------------------------------------------------------------
 
     @Test
     void aCallCancelledBeforeItIsConnectedSendsNothing() throws Exception {
@@ -575,14 +577,14 @@
                 assertEquals("/mark", late.next().message().target());
             }
             OnLoop.pass(loop, 30);
-            assertNull(listener.events.poll(), "a cancelled call reports nothing, also not at its connect time-out");
+            assertNull(listener.events.poll(), "a cancelled call reports no event, not even a connect timeout");
         }
     }
 
     @Test
-    void aCallCancelledBeforeItsAnswerClosesItsConnection() throws Exception {
+    void aCallCancelledBeforeItsResponseClosesItsConnection() throws Exception {
         RecordingListener listener = new RecordingListener();
-        HttpCall call = started(REQUEST, listener);
+        HttpCall call = startCall(REQUEST, listener);
         Wire wire = server.next().wire();
         OnLoop.run(loop, call::cancel);
         wire.awaitEnd();
@@ -591,9 +593,9 @@
     }
 
     @Test
-    void aCallCancelledWithinItsAnswerClosesItsConnection() throws Exception {
+    void aCallCancelledDuringItsResponseClosesItsConnection() throws Exception {
         RecordingListener listener = new RecordingListener();
-        HttpCall call = started(REQUEST, listener);
+        HttpCall call = startCall(REQUEST, listener);
         Wire wire = server.next().wire();
         wire.send("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nab");
         listener.expect("head 200", "body ab");
@@ -603,12 +605,12 @@
     }
 
     @Test
-    void aListenerThatCancelsGetsNoFurtherEvent() throws Exception {
+    void aListenerThatCancelsTheCallReceivesNoFurtherEvents() throws Exception {
         for (String at : new String[] {"head", "body"}) {
             BlockingQueue<String> events = new LinkedBlockingQueue<>();
             HttpCall[] call = new HttpCall[1];
             call[0] = new HttpCall(loop, server.address(), pool, bytes(REQUEST), new HttpCall.Listener() {
-                private void listener(String event) {
+                private void recordEvent(String event) {
                     events.add(event);
                     if (event.equals(at)) {
                         call[0].cancel();
@@ -617,23 +619,23 @@
 
                 @Override
                 public boolean head(int status, Headers headers) {
-                    listener("head");
+                    recordEvent("head");
                     return true;
                 }
 
                 @Override
                 public void body(byte[] piece) {
-                    listener("body");
+                    recordEvent("body");
                 }
 
                 @Override
                 public void complete() {
-                    listener("complete");
+                    recordEvent("complete");
                 }
 
                 @Override
                 public void failed(HttpCall.Failure failure) {
-                    listener("failed");
+                    recordEvent("failed");
                 }
             });
             loop.execute(() -> call[0].start(CONNECT_TIMEOUT_MS));
@@ -647,15 +649,15 @@
     @Test
     void cancellingACompleteCallHasNoEffect() throws Exception {
         RecordingListener listener = new RecordingListener();
-        HttpCall call = started(REQUEST, listener);
+        HttpCall call = startCall(REQUEST, listener);
         Wire wire = server.next().wire();
-        assertAnswered(wire, listener, "");
+        assertResponseDelivered(wire, listener, "");
         OnLoop.run(loop, call::cancel);
         assertEquals(1, OnLoop.get(loop, pool::size));
         assertFalse(wire.isEnded());
     }
 
-    // ---- only if --------------------------------------------------------------------------------------
+    // ---- send condition -------------------------------------------------------------------------------
 
     @Test
     void aCallWhoseConditionFailsIsNotWritten() throws Exception {
@@ -668,21 +670,21 @@
             OnLoop.run(loop, () -> condition[0] = false);
             late.letIn();
             listener.expect("failed WITHHELD");
-            for (int i = 0; i < 3; i++) { // the two that fill the backlog, and the call's
+            for (int i = 0; i < 3; i++) { // two connections fill the backlog; the third is the call's
                 late.nextConnection().awaitEnd();
             }
         }
     }
 
     @Test
-    void theConditionAppliesToReusedConnections() throws Exception {
-        answeredCall("");
+    void theConditionIsCheckedOnReusedConnections() throws Exception {
+        completedCall("");
         RecordingListener second = new RecordingListener();
         HttpCall failing = call(REQUEST, second).sendOnlyIf(() -> false);
         start(failing);
         second.expect("failed WITHHELD");
         assertTrue(OnLoop.get(loop, failing::isOver));
         RecordingListener third = startCall();
-        assertAnswered(server.next().wire(), third, "");
+        assertResponseDelivered(server.next().wire(), third, "");
     }
 }
--- a/transport/src/test/java/dewplank/exchange/InboundConnectionTest.java
+++ b/transport/src/test/java/dewplank/exchange/InboundConnectionTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Inbound connections: the caller is a plain socket, and the test answers the requests. */
+/** Tests inbound connections with a plain socket as client; the tests send the responses. */
 class InboundConnectionTest {
     private static final int MAX_BODY_BYTES = 100;
 
@@ -34,7 +34,7 @@
     private final ScriptedService service = new ScriptedService();
     private final BlockingQueue<InboundConnection> connections = new LinkedBlockingQueue<>();
 
-    /** A request that the service has got, and the connection that its answer goes to. */
+    /** A request that the service has received, and the connection for its response. */
     private record HandledRequest(InboundConnection.Request request, InboundConnection connection) {
         String body() {
             return new String(request.body(), StandardCharsets.ISO_8859_1);
@@ -43,22 +43,22 @@
 
     private static final class ScriptedService implements InboundConnection.Service {
         private final BlockingQueue<HandledRequest> handled = new LinkedBlockingQueue<>();
-        private final BlockingQueue<InboundConnection> disconnected = new LinkedBlockingQueue<>();
+        private final BlockingQueue<InboundConnection> disconnects = new LinkedBlockingQueue<>();
         private final BlockingQueue<InboundConnection> closed = new LinkedBlockingQueue<>();
         private volatile boolean closing;
-        private volatile boolean fails;
+        private volatile boolean throwsException;
 
         @Override
         public void handle(InboundConnection.Request request, InboundConnection connection) {
             handled.add(new HandledRequest(request, connection));
-            if (fails) {
-                throw new IllegalStateException("as scripted");
+            if (throwsException) {
+                throw new IllegalStateException("test failure");
             }
         }
 
         @Override
         public void callerGone(InboundConnection connection) {
-            disconnected.add(connection);
+            disconnects.add(connection);
         }
 
         @Override
@@ -77,7 +77,7 @@
         }
 
         void expectDisconnect(InboundConnection connection) throws InterruptedException {
-            assertEquals(connection, disconnected.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
+            assertEquals(connection, disconnects.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
         }
 
         void expectClose() throws InterruptedException {
@@ -92,7 +92,7 @@
     }
 
     @BeforeEach
-    void begin() throws IOException {
+    void setUp() throws IOException {
         loop = new EventLoop();
         listener = new Listener(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 100, () -> {
             InboundConnection connection = new InboundConnection(loop, service);
@@ -103,25 +103,25 @@
     }
 
     @AfterEach
-    void end() {
+    void tearDown() {
         loop.stop();
     }
 
-    private Wire caller() throws IOException {
+    private Wire client() throws IOException {
         return Wire.to((InetSocketAddress) listener.address());
     }
 
-    /** A caller that has sent a request without a body. */
-    private Wire callerWithRequest() throws IOException {
-        Wire caller = caller();
-        caller.send(request("/", "", ""));
-        return caller;
+    /** Connects a client that sends a request without a body. */
+    private Wire clientWithRequest() throws IOException {
+        Wire client = client();
+        client.send(request("/", "", ""));
+        return client;
     }
 
-    /** A connection of a caller that has sent a part of a request. */
-    private InboundConnection sendPartialRequest(Wire caller) throws Exception {
+    /** Sends part of a request and returns the inbound connection that has received it. */
+    private InboundConnection sendPartialRequest(Wire client) throws Exception {
         InboundConnection connection = accepted();
-        caller.send("POST / HTTP/1.1\r\nContent-Length: 4\r\n\r\nab");
+        client.send("POST / HTTP/1.1\r\nContent-Length: 4\r\n\r\nab");
         OnLoop.await(loop, connection::isHalfRead);
         return connection;
     }
@@ -137,7 +137,7 @@
                 + body;
     }
 
-    private void answer(HandledRequest handled, int status, String body) throws Exception {
+    private void respond(HandledRequest handled, int status, String body) throws Exception {
         OnLoop.run(loop, () -> handled.connection()
                 .answer(status, List.of(new Headers.Field("Own", "x")), body.getBytes(StandardCharsets.ISO_8859_1)));
     }
@@ -146,7 +146,7 @@
         OnLoop.run(loop, () -> step.accept(handled.connection()));
     }
 
-    private void beginAnswer(HandledRequest handled) throws Exception {
+    private void beginResponse(HandledRequest handled) throws Exception {
         onLoop(handled, connection -> connection.beginAnswer(200, List.of()));
     }
 
@@ -158,155 +158,155 @@
         return text.getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    // ---- requests and answers -------------------------------------------------------------------------
+    // ---- requests and responses -----------------------------------------------------------------------
 
     @Test
-    void aCompleteRequestIsHandledAndAnswered() throws Exception {
-        Wire caller = caller();
-        caller.send("PUT /a/b?c=d HTTP/1.1\r\nHost: h\r\nX: 1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n");
-        caller.send("4\r\n two\r\n0\r\n\r\n");
+    void aCompleteRequestIsHandledAndItsResponseSent() throws Exception {
+        Wire client = client();
+        client.send("PUT /a/b?c=d HTTP/1.1\r\nHost: h\r\nX: 1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n");
+        client.send("4\r\n two\r\n0\r\n\r\n");
         HandledRequest handled = service.next();
         assertEquals("PUT", handled.request().method());
         assertEquals("/a/b?c=d", handled.request().target());
         assertEquals("1", handled.request().headers().get("x"));
         assertEquals("one two", handled.body());
         assertTrue(OnLoop.get(loop, handled.connection()::isBusy));
-        answer(handled, 200, "answer");
-        Wire.Message answer = caller.read();
-        assertEquals("HTTP/1.1 200 OK", answer.startLine());
-        assertEquals("x", answer.header("Own"));
-        assertEquals("answer", answer.body());
-        assertNull(answer.header("Connection"));
-        assertTrue(handled.connection().hasAnswered());
+        respond(handled, 200, "response");
+        Wire.Message response = client.read();
+        assertEquals("HTTP/1.1 200 OK", response.startLine());
+        assertEquals("x", response.header("Own"));
+        assertEquals("response", response.body());
+        assertNull(response.header("Connection"));
+        assertTrue(handled.connection().hasResponded());
         assertFalse(handled.connection().isBusy());
     }
 
     @Test
     void pipelinedRequestsAreHandledOneByOne() throws Exception {
-        Wire caller = caller();
-        caller.send(request("/1", "", "a") + request("/2", "", "b") + request("/3", "", "c"));
+        Wire client = client();
+        client.send(request("/1", "", "a") + request("/2", "", "b") + request("/3", "", "c"));
         for (String number : List.of("1", "2", "3")) {
             HandledRequest handled = service.next();
             assertEquals("/" + number, handled.request().target());
             OnLoop.run(loop, () -> {});
-            assertTrue(service.handled.isEmpty(), "the next one waits for this one's answer");
-            answer(handled, 200, number);
-            assertEquals(number, caller.read().body());
+            assertTrue(service.handled.isEmpty(), "the next request waits for the response to this one");
+            respond(handled, 200, number);
+            assertEquals(number, client.read().body());
         }
     }
 
-    /** A caller takes the answer to a HEAD to end with its head: a body would be read as its next answer. */
+    /** For a client, the response to a HEAD ends with its head: a body would be read as the next response. */
     @Test
-    void theAnswerToAHeadRequestHasNoBodyAndTheNextAnswerFollows() throws Exception {
-        Wire caller = caller();
-        caller.send("HEAD /1 HTTP/1.1\r\nHost: h\r\n\r\n" + request("/2", "", ""));
-        answer(service.next(), 200, "not for a HEAD");
-        assertEquals(200, caller.readHead().status());
-        answer(service.next(), 201, "own");
-        Wire.Message next = caller.read();
+    void theResponseToAHeadRequestHasNoBodyAndTheNextResponseFollows() throws Exception {
+        Wire client = client();
+        client.send("HEAD /1 HTTP/1.1\r\nHost: h\r\n\r\n" + request("/2", "", ""));
+        respond(service.next(), 200, "not for a HEAD");
+        assertEquals(200, client.readHead().status());
+        respond(service.next(), 201, "own");
+        Wire.Message next = client.read();
         assertEquals(201, next.status());
         assertEquals("own", next.body());
     }
 
     @Test
-    void aStreamedAnswerToAHeadRequestHasNoBody() throws Exception {
-        Wire caller = caller();
-        caller.send("HEAD /1 HTTP/1.1\r\nHost: h\r\n\r\n" + request("/2", "", ""));
+    void aStreamedResponseToAHeadRequestHasNoBody() throws Exception {
+        Wire client = client();
+        client.send("HEAD /1 HTTP/1.1\r\nHost: h\r\n\r\n" + request("/2", "", ""));
         HandledRequest handled = service.next();
         onLoop(handled, connection -> {
             connection.beginAnswer(200, List.of());
             connection.writePart(bytes("event"));
             connection.endAnswer();
         });
-        Wire.Message head = caller.readHead();
+        Wire.Message head = client.readHead();
         assertEquals(200, head.status());
         assertNull(head.header("Transfer-Encoding"));
-        answer(service.next(), 201, "own");
-        assertEquals(201, caller.read().status());
+        respond(service.next(), 201, "own");
+        assertEquals(201, client.read().status());
     }
 
-    /** RFC 9110, 8.6: such an answer has no length. */
+    /** Such a response has no Content-Length (RFC 9110, section 8.6). */
     @Test
-    void anAnswerWithoutContentEndsWithItsHead() throws Exception {
-        Wire caller = caller();
-        caller.send(request("/1", "", "") + request("/2", "", ""));
-        answer(service.next(), 204, "");
-        Wire.Message empty = caller.read();
+    void aResponseWithStatus204EndsWithItsHead() throws Exception {
+        Wire client = client();
+        client.send(request("/1", "", "") + request("/2", "", ""));
+        respond(service.next(), 204, "");
+        Wire.Message empty = client.read();
         assertEquals(204, empty.status());
         assertNull(empty.header("Content-Length"));
-        answer(service.next(), 200, "own");
-        assertEquals("own", caller.read().body());
+        respond(service.next(), 200, "own");
+        assertEquals("own", client.read().body());
     }
 
     @Test
-    void expect100ContinueIsAnsweredOnce() throws Exception {
-        Wire caller = caller();
-        caller.send("POST / HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n");
-        assertEquals(100, caller.readHead().status());
-        caller.send("ab");
-        caller.send("cd");
+    void expect100ContinueReceivesOneInterimResponse() throws Exception {
+        Wire client = client();
+        client.send("POST / HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n");
+        assertEquals(100, client.readHead().status());
+        client.send("ab");
+        client.send("cd");
         HandledRequest handled = service.next();
         assertEquals("abcd", handled.body());
-        answer(handled, 200, "");
-        assertEquals(200, caller.read().status());
+        respond(handled, 200, "");
+        assertEquals(200, client.read().status());
     }
 
     @Test
     void aRequestWithConnectionCloseIsTheLastOfItsConnection() throws Exception {
         for (String fields : List.of("Connection: close\r\n", "Connection: Close, x\r\n")) {
-            Wire caller = caller();
-            caller.send(request("/", fields, "") + request("/ahead", "", ""));
-            answer(service.next(), 200, "1");
-            Wire.Message answer = caller.read();
-            assertEquals("close", answer.header("Connection"));
-            assertNull(caller.read());
+            Wire client = client();
+            client.send(request("/", fields, "") + request("/ahead", "", ""));
+            respond(service.next(), 200, "1");
+            Wire.Message response = client.read();
+            assertEquals("close", response.header("Connection"));
+            assertNull(client.read());
             service.expectClose();
         }
-        assertTrue(service.handled.isEmpty(), "what follows is not looked at");
+        assertTrue(service.handled.isEmpty(), "the request after it is ignored");
     }
 
     @Test
-    void aClosingServicesAnswerIsTheLastOfItsConnection() throws Exception {
-        Wire caller = callerWithRequest();
+    void aResponseOfAClosingServiceIsTheLastOfItsConnection() throws Exception {
+        Wire client = clientWithRequest();
         HandledRequest handled = service.next();
         service.closing = true;
-        answer(handled, 200, "1");
-        assertEquals("close", caller.read().header("Connection"));
-        assertNull(caller.read());
+        respond(handled, 200, "1");
+        assertEquals("close", client.read().header("Connection"));
+        assertNull(client.read());
     }
 
     @Test
-    void aServiceThatThrowsIsAnswered500() throws Exception {
-        service.fails = true;
-        Wire caller = callerWithRequest();
-        assertEquals(500, caller.read().status());
-        assertNull(caller.read());
-        assertNotNull(service.disconnected.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
+    void anExceptionInTheServiceIsReportedAs500() throws Exception {
+        service.throwsException = true;
+        Wire client = clientWithRequest();
+        assertEquals(500, client.read().status());
+        assertNull(client.read());
+        assertNotNull(service.disconnects.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
     }
 
-    // ---- malformed and too long -----------------------------------------------------------------------
+    // ---- malformed, oversized and timed-out requests --------------------------------------------------
 
     @Test
-    void aBodyOverMaxBodyBytesIsAnswered413AndItsConnectionClosed() throws Exception {
+    void aBodyOverMaxBodyBytesIsRejectedWith413AndItsConnectionClosed() throws Exception {
         String tooLong = "x".repeat(MAX_BODY_BYTES + 1);
         for (String message : List.of(
                 request("/", "", tooLong),
                 request("/", "Expect: 100-continue\r\n", tooLong).replace(tooLong, ""),
                 "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(MAX_BODY_BYTES) + "\r\n"
                         + "x".repeat(MAX_BODY_BYTES) + "\r\n1\r\nx\r\n0\r\n\r\n")) {
-            Wire caller = caller();
-            caller.send(message);
-            assertEquals(413, caller.read().status());
-            assertNull(caller.read());
+            Wire client = client();
+            client.send(message);
+            assertEquals(413, client.read().status());
+            assertNull(client.read());
         }
         assertTrue(service.handled.isEmpty());
-        Wire caller = caller();
-        caller.send(request("/", "", "x".repeat(MAX_BODY_BYTES)));
+        Wire client = client();
+        client.send(request("/", "", "x".repeat(MAX_BODY_BYTES)));
         assertEquals(MAX_BODY_BYTES, service.next().body().length());
     }
 
     @Test
-    void aMalformedRequestIsAnswered400AndItsConnectionClosed() throws Exception {
+    void aMalformedRequestIsRejectedWith400AndItsConnectionClosed() throws Exception {
         for (String message : List.of(
                 "what?\r\n\r\n",
                 "GET http://h/ HTTP/1.1\r\n\r\n",
@@ -314,238 +314,238 @@
                 "POST / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n",
                 "POST / HTTP/1.1\r\nContent-Length: 1, 1\r\n\r\nx",
                 "POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nxy")) {
-            Wire caller = caller();
-            caller.send(message + request("/smuggled", "", ""));
-            assertEquals(400, caller.read().status(), message);
-            assertNull(caller.read());
+            Wire client = client();
+            client.send(message + request("/smuggled", "", ""));
+            assertEquals(400, client.read().status(), message);
+            assertNull(client.read());
         }
-        assertTrue(service.handled.isEmpty(), "nothing is read behind what can't be read");
-        assertTrue(service.disconnected.isEmpty(), "nothing was handed over");
+        assertTrue(service.handled.isEmpty(), "bytes after a malformed request are ignored");
+        assertTrue(service.disconnects.isEmpty(), "no request was passed to the service");
     }
 
-    /** The bytes behind a request are malformed: its answer is sent before, complete. */
+    /** The bytes after a request are malformed: the response to the request is sent completely before the 400. */
     @Test
-    void malformedBytesBehindARequestCloseTheConnectionAfterItsAnswer() throws Exception {
-        Wire caller = caller();
-        caller.send(request("/", "", "") + "what?\r\n\r\n");
-        answer(service.next(), 200, "own");
-        assertEquals("own", caller.read().body());
-        assertEquals(400, caller.read().status());
-        assertNull(caller.read());
-        assertTrue(service.disconnected.isEmpty());
+    void malformedBytesAfterARequestCloseTheConnectionAfterItsResponse() throws Exception {
+        Wire client = client();
+        client.send(request("/", "", "") + "what?\r\n\r\n");
+        respond(service.next(), 200, "own");
+        assertEquals("own", client.read().body());
+        assertEquals(400, client.read().status());
+        assertNull(client.read());
+        assertTrue(service.disconnects.isEmpty());
     }
 
     @Test
-    void aPartialRequestThatTimesOutIsAnswered408() throws Exception {
-        Wire caller = caller();
-        InboundConnection connection = sendPartialRequest(caller);
+    void aPartialRequestThatTimesOutIsRejectedWith408() throws Exception {
+        Wire client = client();
+        InboundConnection connection = sendPartialRequest(client);
         OnLoop.run(loop, connection::timeOut);
-        assertEquals(408, caller.read().status());
-        assertNull(caller.read());
+        assertEquals(408, client.read().status());
+        assertNull(client.read());
         assertTrue(service.handled.isEmpty());
     }
 
     @Test
-    void anIdleConnectionThatTimesOutIsClosedWithoutAnAnswer() throws Exception {
-        Wire caller = caller();
+    void anIdleConnectionThatTimesOutIsClosedWithoutAResponse() throws Exception {
+        Wire client = client();
         InboundConnection connection = accepted();
         OnLoop.run(loop, connection::timeOut);
-        assertNull(caller.read());
+        assertNull(client.read());
         service.expectClose();
     }
 
     @Test
-    void theIdleTimeoutCountsFromTheLastAnswer() throws Exception {
-        Wire caller = caller();
+    void theIdleTimeoutStartsAtTheLastResponse() throws Exception {
+        Wire client = client();
         InboundConnection connection = accepted();
         OnLoop.run(loop, () -> connection.timeOutAfter(60_000));
-        caller.send(request("/", "", ""));
+        client.send(request("/", "", ""));
         HandledRequest handled = service.next();
         OnLoop.pass(loop, 20);
         onLoop(handled, busy -> busy.timeOutAfter(0));
-        answer(handled, 200, "still served");
-        assertEquals("still served", caller.read().body());
+        respond(handled, 200, "still served");
+        assertEquals("still served", client.read().body());
         OnLoop.pass(loop, 20);
         OnLoop.run(loop, () -> connection.timeOutAfter(10));
-        assertNull(caller.read());
+        assertNull(client.read());
         service.expectClose();
     }
 
     // ---- disconnects ---------------------------------------------------------------------------------
 
     @Test
-    void aDisconnectBeforeTheAnswerIsReportedOnce() throws Exception {
-        Wire caller = callerWithRequest();
+    void aDisconnectBeforeTheResponseIsReportedOnce() throws Exception {
+        Wire client = clientWithRequest();
         HandledRequest handled = service.next();
-        caller.close();
+        client.close();
         service.expectDisconnect(handled.connection());
         service.expectClose();
-        answer(handled, 200, "too late"); // harmless
-        beginAnswer(handled);
+        respond(handled, 200, "too late"); // has no effect
+        beginResponse(handled);
         writePart(handled, "too late");
         onLoop(handled, InboundConnection::endAnswer);
-        assertTrue(service.disconnected.isEmpty());
+        assertTrue(service.disconnects.isEmpty());
     }
 
     @Test
-    void aDisconnectWithinTheAnswerIsReported() throws Exception {
-        Wire caller = callerWithRequest();
+    void aDisconnectDuringTheResponseIsReported() throws Exception {
+        Wire client = clientWithRequest();
         HandledRequest handled = service.next();
-        beginAnswer(handled);
+        beginResponse(handled);
         writePart(handled, "one");
-        caller.readHead();
-        assertEquals("one", caller.readChunk());
-        caller.reset();
+        client.readHead();
+        assertEquals("one", client.readChunk());
+        client.reset();
         service.expectDisconnect(handled.connection());
     }
 
-    /** The caller's close is right behind the request: the request is not handled. */
+    /** The client closes immediately after its request. */
     @Test
     void aRequestOfADisconnectedClientIsNotHandled() throws Exception {
-        Wire caller = caller();
+        Wire client = client();
         InboundConnection connection = accepted();
         OnLoop.run(loop, () -> {
-            caller.send(request("/", "", ""));
-            caller.close();
+            client.send(request("/", "", ""));
+            client.close();
         });
         OnLoop.await(loop, connection::isClosed);
         OnLoop.run(loop, () -> {});
         OnLoop.run(loop, () -> {});
         assertTrue(service.handled.isEmpty());
-        assertTrue(service.disconnected.isEmpty());
+        assertTrue(service.disconnects.isEmpty());
         service.expectClose();
     }
 
     @Test
-    void aDisconnectBehindPipelinedRequestsIsReported() throws Exception {
-        Wire caller = caller();
-        caller.send(request("/1", "", "") + request("/2", "", "x".repeat(50)) + request("/3", "", ""));
+    void aDisconnectAfterPipelinedRequestsIsReported() throws Exception {
+        Wire client = client();
+        client.send(request("/1", "", "") + request("/2", "", "x".repeat(50)) + request("/3", "", ""));
         HandledRequest handled = service.next();
-        caller.close();
+        client.close();
         service.expectDisconnect(handled.connection());
         OnLoop.run(loop, () -> {});
         assertTrue(service.handled.isEmpty());
     }
 
     @Test
-    void aDisconnectWithinARequestLeavesNothing() throws Exception {
-        Wire caller = caller();
-        sendPartialRequest(caller);
-        caller.close();
+    void aDisconnectDuringARequestOnlyClosesTheConnection() throws Exception {
+        Wire client = client();
+        sendPartialRequest(client);
+        client.close();
         service.expectClose();
-        assertTrue(service.disconnected.isEmpty());
+        assertTrue(service.disconnects.isEmpty());
         assertTrue(service.handled.isEmpty());
     }
 
     @Test
-    void readAheadOverTheBoundFailsTheRequest() throws Exception {
-        Wire caller = callerWithRequest();
+    void readAheadOverTheLimitFailsTheRequest() throws Exception {
+        Wire client = clientWithRequest();
         HandledRequest handled = service.next();
-        caller.send("x".repeat(80 * 1024));
-        assertEquals(400, caller.read().status());
+        client.send("x".repeat(80 * 1024));
+        assertEquals(400, client.read().status());
         service.expectDisconnect(handled.connection());
     }
 
-    /** The read-ahead bound is exceeded after the request was parsed and before it is handled. */
+    /** The read-ahead limit is exceeded after the request was parsed and before it is handled. */
     @Test
-    void aRequestFailedForReadAheadIsNotHandled() throws Exception {
-        Wire caller = caller();
+    void aRequestRejectedForReadAheadIsNotHandled() throws Exception {
+        Wire client = client();
         InboundConnection connection = accepted();
         OnLoop.run(loop, () -> {
             connection.received(ByteBuffer.wrap(bytes(request("/", "", ""))));
             connection.readAheadExceeded();
         });
-        assertEquals(400, caller.read().status());
+        assertEquals(400, client.read().status());
         OnLoop.run(loop, () -> {});
         OnLoop.run(loop, () -> {});
-        assertTrue(service.handled.isEmpty(), "a request that has its answer must not run");
+        assertTrue(service.handled.isEmpty(), "a request that was rejected must not run");
     }
 
-    // ---- streams --------------------------------------------------------------------------------------
+    // ---- streamed responses ---------------------------------------------------------------------------
 
     @Test
     void aStreamIsFollowedByThePipelinedRequest() throws Exception {
-        Wire caller = caller();
-        caller.send(request("/1", "", "") + request("/2", "", ""));
+        Wire client = client();
+        client.send(request("/1", "", "") + request("/2", "", ""));
         HandledRequest handled = service.next();
         onLoop(handled, connection -> connection.beginAnswer(200, List.of(new Headers.Field("Own", "x"))));
-        Wire.Message head = caller.readHead();
+        Wire.Message head = client.readHead();
         assertEquals("chunked", head.header("Transfer-Encoding"));
         assertNull(head.header("Content-Length"));
         assertEquals("x", head.header("Own"));
         writePart(handled, "one");
-        assertEquals("one", caller.readChunk());
+        assertEquals("one", client.readChunk());
         writePart(handled, ""); // must not be sent as the last chunk
         writePart(handled, "two".repeat(10));
-        assertEquals("two".repeat(10), caller.readChunk());
+        assertEquals("two".repeat(10), client.readChunk());
         assertTrue(service.handled.isEmpty());
         onLoop(handled, InboundConnection::endAnswer);
-        assertEquals("", caller.readChunk());
+        assertEquals("", client.readChunk());
         HandledRequest next = service.next();
         assertEquals("/2", next.request().target());
-        answer(next, 200, "plain");
-        assertEquals("plain", caller.read().body());
+        respond(next, 200, "plain");
+        assertEquals("plain", client.read().body());
     }
 
     @Test
     void aStreamWithConnectionCloseIsTheLastOfItsConnection() throws Exception {
-        Wire caller = caller();
-        caller.send(request("/", "Connection: close\r\n", ""));
+        Wire client = client();
+        client.send(request("/", "Connection: close\r\n", ""));
         HandledRequest handled = service.next();
-        beginAnswer(handled);
-        assertEquals("close", caller.readHead().header("Connection"));
+        beginResponse(handled);
+        assertEquals("close", client.readHead().header("Connection"));
         writePart(handled, "one");
         onLoop(handled, InboundConnection::endAnswer);
-        assertEquals("one", caller.readChunk());
-        assertEquals("", caller.readChunk());
-        assertNull(caller.read());
+        assertEquals("one", client.readChunk());
+        assertEquals("", client.readChunk());
+        assertNull(client.read());
     }
 
-    /** The head states that the connection persists, although the service is closing. */
+    /** The head was sent without Connection: close before the service started to close. */
     @Test
     void aStreamThatBeganBeforeTheServiceClosesKeepsItsConnection() throws Exception {
-        Wire caller = caller();
-        caller.send(request("/1", "", ""));
+        Wire client = client();
+        client.send(request("/1", "", ""));
         HandledRequest handled = service.next();
-        beginAnswer(handled);
-        assertNull(caller.readHead().header("Connection"));
+        beginResponse(handled);
+        assertNull(client.readHead().header("Connection"));
         service.closing = true;
         onLoop(handled, InboundConnection::endAnswer);
-        assertEquals("", caller.readChunk());
-        caller.send(request("/2", "", ""));
-        answer(service.next(), 200, "");
-        assertEquals("close", caller.read().header("Connection"));
+        assertEquals("", client.readChunk());
+        client.send(request("/2", "", ""));
+        respond(service.next(), 200, "");
+        assertEquals("close", client.read().header("Connection"));
     }
 
     @Test
-    void anAbortedAnswerIsNeverComplete() throws Exception {
-        Wire caller = caller();
-        caller.send(request("/1", "", "") + request("/2", "", ""));
+    void anAbortedResponseIsNeverComplete() throws Exception {
+        Wire client = client();
+        client.send(request("/1", "", "") + request("/2", "", ""));
         HandledRequest handled = service.next();
         onLoop(handled, connection -> {
             connection.beginAnswer(200, List.of());
             connection.writePart(bytes("one"));
         });
-        caller.readHead();
-        assertEquals("one", caller.readChunk());
+        client.readHead();
+        assertEquals("one", client.readChunk());
         onLoop(handled, InboundConnection::abort);
-        boolean cut = false;
+        boolean truncated = false;
         try {
-            caller.readChunk();
+            client.readChunk();
         } catch (EOFException | SocketException e) {
-            cut = true;
+            truncated = true;
         }
-        assertTrue(cut);
+        assertTrue(truncated);
         service.expectClose();
         OnLoop.run(loop, () -> {});
-        assertTrue(service.handled.isEmpty(), "a pipelined request is not handled any more");
-        assertTrue(service.disconnected.isEmpty(), "the service has aborted it itself");
+        assertTrue(service.handled.isEmpty(), "a pipelined request is not handled after an abort");
+        assertTrue(service.disconnects.isEmpty(), "the service aborted the response itself");
     }
 
-    /** All in one task: the chunks are unwritten when the connection is aborted. */
+    /** All calls are made in one task: the chunks are not written yet when the connection is aborted. */
     @Test
-    void anAnswerThatIsAbortedAtOnceIsNeverComplete() throws Exception {
-        Wire caller = callerWithRequest();
+    void aResponseAbortedImmediatelyIsNeverComplete() throws Exception {
+        Wire client = clientWithRequest();
         HandledRequest handled = service.next();
         onLoop(handled, connection -> {
             connection.beginAnswer(200, List.of());
@@ -554,17 +554,17 @@
             connection.writePart(bytes("two"));
             connection.endAnswer();
         });
-        assertFalse(caller.readToEnd().endsWith("0\r\n\r\n"));
+        assertFalse(client.readToEnd().endsWith("0\r\n\r\n"));
     }
 
     @Test
-    void readAheadOverTheBoundAbortsAStream() throws Exception {
-        Wire caller = callerWithRequest();
+    void readAheadOverTheLimitAbortsAStream() throws Exception {
+        Wire client = clientWithRequest();
         HandledRequest handled = service.next();
-        beginAnswer(handled);
-        caller.send("x".repeat(80 * 1024));
+        beginResponse(handled);
+        client.send("x".repeat(80 * 1024));
         service.expectDisconnect(handled.connection());
-        String all = caller.readToEnd();
+        String all = client.readToEnd();
         assertFalse(all.endsWith("0\r\n\r\n"));
         assertEquals(all.lastIndexOf("HTTP/1.1 "), all.indexOf("HTTP/1.1 "), "no second status line");
     }
@@ -572,44 +572,44 @@
     // ---- closing -------------------------------------------------------------------------------------
 
     @Test
-    void anIdleConnectionIsClosedWithoutAnAnswer() throws Exception {
-        Wire caller = callerWithRequest();
+    void anIdleConnectionIsClosedWithoutAResponse() throws Exception {
+        Wire client = clientWithRequest();
         HandledRequest handled = service.next();
-        onLoop(handled, connection -> connection.endIfIdle(true)); // busy: it is not closed
-        answer(handled, 200, "");
-        assertEquals(200, caller.read().status());
+        onLoop(handled, connection -> connection.endIfIdle(true)); // not closed, as a request is in progress
+        respond(handled, 200, "");
+        assertEquals(200, client.read().status());
         onLoop(handled, connection -> connection.endIfIdle(false));
-        assertNull(caller.read());
+        assertNull(client.read());
     }
 
-    /** The request is unread when its connection is closed: it is neither handled nor answered by a reset. */
+    /** The request is not read yet when its connection is closed: it is not handled, and no reset is sent. */
     @Test
-    void aRequestThatMeetsItsConnectionsCloseIsNotHandled() throws Exception {
-        Wire caller = caller();
+    void aRequestReceivedWhileItsConnectionClosesIsNotHandled() throws Exception {
+        Wire client = client();
         InboundConnection connection = accepted();
         OnLoop.run(loop, () -> {
-            caller.send(request("/", "", ""));
+            client.send(request("/", "", ""));
             connection.endIfIdle(false);
         });
-        assertNull(caller.read());
+        assertNull(client.read());
         OnLoop.run(loop, () -> {});
         assertTrue(service.handled.isEmpty());
     }
 
     @Test
     void aPartialRequestKeepsItsConnectionUnlessForced() throws Exception {
-        Wire caller = caller();
-        InboundConnection connection = sendPartialRequest(caller);
+        Wire client = client();
+        InboundConnection connection = sendPartialRequest(client);
         OnLoop.run(loop, () -> connection.endIfIdle(false));
         assertFalse(connection.isClosed());
-        caller.send("cd");
-        answer(service.next(), 200, "complete");
-        assertEquals("complete", caller.read().body());
-        caller.send("POST / HTTP/1.1\r\nContent-Length: 4\r\n\r\nab");
+        client.send("cd");
+        respond(service.next(), 200, "complete");
+        assertEquals("complete", client.read().body());
+        client.send("POST / HTTP/1.1\r\nContent-Length: 4\r\n\r\nab");
         OnLoop.await(loop, connection::isHalfRead);
         OnLoop.run(loop, () -> connection.endIfIdle(true));
-        caller.send("cd");
-        assertNull(caller.read());
+        client.send("cd");
+        assertNull(client.read());
         assertTrue(service.handled.isEmpty());
     }
 }
--- a/transport/src/test/java/dewplank/exchange/ManualClock.java
+++ b/transport/src/test/java/dewplank/exchange/ManualClock.java
@@ -2,7 +2,7 @@
 
 import dewplank.net.Scheduler;
 
-/** A clock that moves only when the test moves it. It has neither timers nor a thread. */
+/** A clock that the test advances. It has no timers and no thread. */
 final class ManualClock implements Scheduler {
     private double now = 1_000_000;
 
--- a/transport/src/test/java/dewplank/exchange/OnLoop.java
+++ b/transport/src/test/java/dewplank/exchange/OnLoop.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
-/** Runs steps of a test on the loop's thread, and waits for conditions there. */
+/** Runs steps of a test on the loop's thread, and waits for conditions evaluated there. */
 public final class OnLoop {
     private OnLoop() {}
 
@@ -15,7 +15,7 @@
         void run() throws Exception;
     }
 
-    /** The task's result on the loop's thread. */
+    /** Runs the task on the loop's thread and returns its result. */
     public static <T> T get(EventLoop loop, Callable<T> task) throws Exception {
         CompletableFuture<T> done = new CompletableFuture<>();
         loop.execute(() -> {
@@ -28,7 +28,7 @@
         return done.get(Wire.PATIENCE_S, TimeUnit.SECONDS);
     }
 
-    /** Runs the task on the loop's thread, to its end. */
+    /** Runs the task on the loop's thread and waits until it has completed. */
     public static void run(EventLoop loop, Task task) throws Exception {
         get(loop, () -> {
             task.run();
@@ -36,10 +36,10 @@
         });
     }
 
-    /** Waits until the condition holds; it is evaluated at each tick of the loop. */
-    public static void await(EventLoop loop, Callable<Boolean> reached) throws Exception {
+    /** Waits until the condition is true; it is evaluated at each tick of the loop. */
+    public static void await(EventLoop loop, Callable<Boolean> condition) throws Exception {
         CompletableFuture<Void> done = new CompletableFuture<>();
-        loop.execute(() -> poll(loop, reached, done));
+        loop.execute(() -> poll(loop, condition, done));
         try {
             done.get(Wire.PATIENCE_S, TimeUnit.SECONDS);
         } finally {
@@ -47,24 +47,24 @@
         }
     }
 
-    private static void poll(EventLoop loop, Callable<Boolean> reached, CompletableFuture<Void> done) {
+    private static void poll(EventLoop loop, Callable<Boolean> condition, CompletableFuture<Void> done) {
         try {
-            if (reached.call()) {
+            if (condition.call()) {
                 done.complete(null);
             } else if (!done.isDone()) {
-                loop.after(1, () -> poll(loop, reached, done));
+                loop.after(1, () -> poll(loop, condition, done));
             }
         } catch (Exception | AssertionError e) {
             done.completeExceptionally(e);
         }
     }
 
-    /** Lets so much time pass by the loop's timers: those that were set for sooner have run. */
+    /** Waits for {@code ms} milliseconds of the loop's timers, so that all timers due earlier have run. */
     public static void pass(EventLoop loop, double ms) throws InterruptedException {
         CountDownLatch passed = new CountDownLatch(1);
         loop.execute(() -> loop.after(ms, passed::countDown));
         if (!passed.await((long) ms + Wire.PATIENCE_S * 1000L, TimeUnit.MILLISECONDS)) {
-            throw new AssertionError("the loop's timers stand still");
+            throw new AssertionError("the loop's timers do not run");
         }
     }
 }
--- a/transport/src/test/java/dewplank/exchange/ReservedPort.java
+++ b/transport/src/test/java/dewplank/exchange/ReservedPort.java
@@ -7,11 +7,11 @@
 import java.net.ServerSocket;
 import java.net.Socket;
 
-/** A port of the loopback address that refuses connections, and that nobody else gets as long as this is open. */
+/** A loopback port that refuses connections, and that no other socket can bind while it is reserved. */
 public final class ReservedPort implements Closeable {
     private static final int BACKLOG = 5;
 
-    /** Bound, but neither connected nor listening. */
+    /** Bound, but not connected and not listening. */
     private final Socket socket = new Socket();
 
     public ReservedPort() throws IOException {
@@ -23,12 +23,12 @@
         return (InetSocketAddress) socket.getLocalSocketAddress();
     }
 
-    /** The address as the fleet writes it. */
+    /** The address in the fleet's format. */
     public String addressText() {
         return "127.0.0.1:" + socket.getLocalPort();
     }
 
-    /** From now on connections are taken. */
+    /** Starts to listen on the port and returns the socket. */
     public ServerSocket listen() throws IOException {
         ServerSocket listener = new ServerSocket();
         listener.setReuseAddress(true);
--- a/transport/src/test/java/dewplank/exchange/ScriptedServer.java
+++ b/transport/src/test/java/dewplank/exchange/ScriptedServer.java
@@ -13,39 +13,39 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A server whose answers the test gives: it accepts connections, reads requests from them and queues both. */
+/** A server whose responses the test sends: it accepts connections, reads requests from them and queues both. */
 public final class ScriptedServer implements Closeable {
-    /** Null where connections are refused. */
+    /** Null if connections are refused. */
     private final ServerSocket listener;
 
-    /** Null where connections are accepted. */
+    /** Null if connections are accepted. */
     private final ReservedPort refusing;
 
     private final BlockingQueue<Call> calls;
     private final BlockingQueue<Wire> accepted = new LinkedBlockingQueue<>();
-    private final boolean reads;
+    private final boolean readsRequests;
     private final CountDownLatch open = new CountDownLatch(1);
     private final List<Socket> backlogFillers = new ArrayList<>();
     private final List<Wire> wires = new ArrayList<>();
     private final Thread accepting;
 
-    /** A complete request, the connection that brought it and the server that got it. */
+    /** A complete request, the connection on which it arrived, and the server that received it. */
     public record Call(ScriptedServer server, Wire wire, Wire.Message message) {}
 
-    /** A server with its own queue of calls. */
+    /** Creates a server with its own queue of calls. */
     public ScriptedServer() throws IOException {
         this(new LinkedBlockingQueue<>());
     }
 
-    /** A server that puts its calls into a queue which others may share. */
+    /** Creates a server that adds its calls to a queue that other servers may share. */
     public ScriptedServer(BlockingQueue<Call> calls) throws IOException {
         this(calls, true, 50);
         open.countDown();
     }
 
-    private ScriptedServer(BlockingQueue<Call> calls, boolean reads, int backlog) throws IOException {
+    private ScriptedServer(BlockingQueue<Call> calls, boolean readsRequests, int backlog) throws IOException {
         this.calls = calls;
-        this.reads = reads;
+        this.readsRequests = readsRequests;
         refusing = null;
         listener = new ServerSocket(0, backlog, InetAddress.getLoopbackAddress());
         accepting = background(this::accept);
@@ -53,35 +53,35 @@
 
     private ScriptedServer(ReservedPort refusing) {
         this.calls = new LinkedBlockingQueue<>();
-        this.reads = false;
+        this.readsRequests = false;
         this.refusing = refusing;
         listener = null;
         accepting = null;
     }
 
-    /** A server that refuses connections. */
+    /** Returns a server that refuses connections. */
     public static ScriptedServer refusing() throws IOException {
         return new ScriptedServer(new ReservedPort());
     }
 
-    /** A server that reads nothing: its connections are the test's. */
+    /** Returns a server that reads nothing: the test reads its connections. */
     public static ScriptedServer raw() throws IOException {
         ScriptedServer server = new ScriptedServer(new LinkedBlockingQueue<>(), false, 50);
         server.open.countDown();
         return server;
     }
 
-    /** Connections to it are not established before {@link #letIn}, and then at the system's next retry. */
+    /** Returns a server to which connections are established only after {@link #letIn}, at the next SYN retry. */
     public static ScriptedServer late(BlockingQueue<Call> calls) throws IOException {
         ScriptedServer server = new ScriptedServer(calls, true, 1);
-        for (int i = 0; i < 2; i++) { // the backlog of the system is one more than its argument
+        for (int i = 0; i < 2; i++) { // the system's backlog is the argument plus one
             server.backlogFillers.add(new Socket(
                     InetAddress.getLoopbackAddress(), server.address().getPort()));
         }
         return server;
     }
 
-    /** From now on connections to a late server are established. */
+    /** Allows connections to a server created by {@link #late} to be established. */
     public void letIn() throws IOException {
         for (Socket filler : backlogFillers) {
             filler.close();
@@ -97,7 +97,7 @@
                 wires.add(wire);
             }
             accepted.add(wire);
-            if (reads) {
+            if (readsRequests) {
                 background(() -> serve(wire));
             }
         }
@@ -109,9 +109,9 @@
                 calls.add(new Call(this, wire, message));
             }
         } catch (IOException e) {
-            // an end too
+            // a broken connection counts as closed
         } finally {
-            wire.hasEnded();
+            wire.markEnded();
         }
     }
 
@@ -124,7 +124,7 @@
             try {
                 work.run();
             } catch (IOException | InterruptedException e) {
-                // the test has closed this end
+                // the test has closed the socket
             }
         });
         thread.setDaemon(true);
@@ -136,40 +136,40 @@
         return refusing == null ? (InetSocketAddress) listener.getLocalSocketAddress() : refusing.address();
     }
 
-    /** The address as the fleet writes it. */
+    /** The address in the fleet's format. */
     public String addressText() {
         return "127.0.0.1:" + address().getPort();
     }
 
-    /** The next request. */
+    /** Returns the next request, waiting for it if necessary. */
     public Call next() throws InterruptedException {
         return next(calls);
     }
 
-    /** The next request of that queue. */
+    /** Returns the next request of a queue, waiting for it if necessary. */
     public static Call next(BlockingQueue<Call> calls) throws InterruptedException {
         Call call = calls.poll(Wire.PATIENCE_S, TimeUnit.SECONDS);
         if (call == null) {
-            throw new AssertionError("no request came");
+            throw new AssertionError("no request was received");
         }
         return call;
     }
 
-    /** The next connection, whether or not it brings a request. */
+    /** Returns the next connection, with or without a request on it. */
     public Wire nextConnection() throws InterruptedException {
         Wire wire = accepted.poll(Wire.PATIENCE_S, TimeUnit.SECONDS);
         if (wire == null) {
-            throw new AssertionError("no connection came");
+            throw new AssertionError("no connection was accepted");
         }
         return wire;
     }
 
-    /** Connections that were accepted and not yet taken by {@link #nextConnection}. */
+    /** Number of accepted connections that {@link #nextConnection} has not returned yet. */
     public int connectionsWaiting() {
         return accepted.size();
     }
 
-    /** Ends all connections; from here on new ones are refused. */
+    /** Closes all connections; new ones are refused. */
     @Override
     public void close() throws IOException {
         if (refusing != null) {
--- a/transport/src/test/java/dewplank/exchange/Wire.java
+++ b/transport/src/test/java/dewplank/exchange/Wire.java
@@ -15,18 +15,18 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
-/** A peer's end of a connection, with a plain socket: the test decides what is sent and when. */
+/** A peer's end of a connection, on a plain socket: the test determines what is sent and when. */
 public final class Wire implements Closeable {
-    /** Only a failing test waits so long. */
+    /** Time limit of a failing test. */
     public static final int PATIENCE_S = 5;
 
     private final Socket socket;
     private final InputStream input;
     private final CountDownLatch ended = new CountDownLatch(1);
 
-    /** A message: its first line, its fields and its complete body. */
+    /** A message: its start line, fields and complete body. */
     public record Message(String startLine, List<String> fields, String body) {
-        /** The field's value, or null. */
+        /** Returns the value of a field, or null. */
         public String header(String name) {
             for (String field : fields) {
                 if (field.regionMatches(true, 0, name + ":", 0, name.length() + 1)) {
@@ -36,24 +36,24 @@
             return null;
         }
 
-        /** How many fields have that name. */
+        /** Number of fields with this name. */
         public long count(String name) {
             return fields.stream()
                     .filter(field -> field.regionMatches(true, 0, name + ":", 0, name.length() + 1))
                     .count();
         }
 
-        /** An answer's status. */
+        /** The status of a response. */
         public int status() {
             return Integer.parseInt(startLine.substring(9, 12));
         }
 
-        /** A request's method. */
+        /** The method of a request. */
         public String method() {
             return startLine.substring(0, startLine.indexOf(' '));
         }
 
-        /** A request's path and query. */
+        /** The path and query of a request. */
         public String target() {
             return startLine.split(" ")[1];
         }
@@ -66,32 +66,32 @@
         input = new BufferedInputStream(socket.getInputStream());
     }
 
-    /** A connection to that address. */
+    /** Opens a connection to the address. */
     public static Wire to(InetSocketAddress address) throws IOException {
         return new Wire(new Socket(address.getAddress(), address.getPort()));
     }
 
-    /** Sends the text as it is, one byte for each character. */
+    /** Sends the text unchanged, one byte per character. */
     public void send(String text) throws IOException {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** An answer with its length. */
+    /** Sends a response with a Content-Length. */
     public void answer(String status, String fields, String body) throws IOException {
         send("HTTP/1.1 " + status + "\r\n" + fields + "Content-Length: " + body.length() + "\r\n\r\n" + body);
     }
 
-    /** One chunk of a body. */
+    /** Sends a chunk of a body. */
     public void chunk(String text) throws IOException {
         send(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
     }
 
-    /** The last chunk of a body. */
+    /** Sends the last chunk of a body. */
     public void lastChunk() throws IOException {
         send("0\r\n\r\n");
     }
 
-    /** The next complete message, or null where the other side has ended the connection before its first byte. */
+    /** Reads the next complete message; returns null if the other side closed the connection before its first byte. */
     public Message read() throws IOException {
         Message head = readHead();
         if (head == null) {
@@ -102,7 +102,7 @@
         if (length != null) {
             byte[] bytes = input.readNBytes(Integer.parseInt(length));
             if (bytes.length < Integer.parseInt(length)) {
-                throw new EOFException("the body is cut off");
+                throw new EOFException("the body is truncated");
             }
             body.writeBytes(bytes);
         } else if ("chunked".equalsIgnoreCase(head.header("Transfer-Encoding"))) {
@@ -113,7 +113,7 @@
         return new Message(head.startLine(), head.fields(), body.toString(StandardCharsets.ISO_8859_1));
     }
 
-    /** Start line and fields of the next message; null where the connection has ended. */
+    /** Reads the start line and fields of the next message; returns null if the connection is closed. */
     public Message readHead() throws IOException {
         String start = readLine();
         if (start == null) {
@@ -122,23 +122,23 @@
         List<String> fields = new ArrayList<>();
         for (String line = readLine(); !"".equals(line); line = readLine()) {
             if (line == null) {
-                throw new EOFException("the head is cut off");
+                throw new EOFException("the head is truncated");
             }
             fields.add(line);
         }
         return new Message(start, fields, "");
     }
 
-    /** The next chunk; empty where the body is complete. */
+    /** Reads the next chunk; empty if the body is complete. */
     public String readChunk() throws IOException {
         String size = readLine();
         if (size == null) {
-            throw new EOFException("the body is cut off");
+            throw new EOFException("the body is truncated");
         }
         int length = Integer.parseInt(size, 16);
         byte[] bytes = input.readNBytes(length);
         if (bytes.length < length || !"".equals(readLine())) {
-            throw new EOFException("a chunk is cut off");
+            throw new EOFException("a chunk is truncated");
         }
         return new String(bytes, StandardCharsets.ISO_8859_1);
     }
@@ -148,7 +148,7 @@
         for (int next = input.read(); next != '\n'; next = input.read()) {
             if (next < 0) {
                 if (line.length() > 0) {
-                    throw new EOFException("a line is cut off: " + line);
+                    throw new EOFException("a line is truncated: " + line);
                 }
                 return null;
             }
@@ -159,21 +159,21 @@
         return line.toString();
     }
 
-    /** Whether bytes were received and not read yet. */
+    /** Whether received bytes have not been read yet. */
     public boolean hasBytes() throws IOException {
         return input.available() > 0;
     }
 
-    /** The next so many bytes, whatever they are. */
+    /** Reads the next {@code count} bytes. */
     public String readBytes(int count) throws IOException {
         byte[] bytes = input.readNBytes(count);
         if (bytes.length < count) {
-            throw new EOFException("cut off after " + bytes.length + " bytes");
+            throw new EOFException("truncated after " + bytes.length + " bytes");
         }
         return new String(bytes, StandardCharsets.ISO_8859_1);
     }
 
-    /** All bytes until the other side ends or breaks the connection. */
+    /** Reads all bytes until the other side closes or resets the connection. */
     public String readToEnd() throws IOException {
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         try {
@@ -181,34 +181,34 @@
         } catch (SocketTimeoutException e) {
             throw e;
         } catch (IOException e) {
-            // a reset is an end too
+            // a reset counts as a close
         }
         return all.toString(StandardCharsets.ISO_8859_1);
     }
 
-    /** Records that nothing more arrives; called by the thread that reads the connection in the background. */
-    void hasEnded() {
+    /** Records that the other side has closed the connection; called by the background thread that reads it. */
+    void markEnded() {
         ended.countDown();
     }
 
-    /** Waits until the other side has ended the connection; only for connections that are read in the background. */
+    /** Waits until the other side has closed the connection; only for connections read in the background. */
     public void awaitEnd() throws InterruptedException {
         if (!ended.await(PATIENCE_S, TimeUnit.SECONDS)) {
             throw new AssertionError("the connection is still open");
         }
     }
 
-    /** Whether the other side has ended the connection, as far as is known by now. */
+    /** Whether the background thread has detected that the other side closed the connection. */
     public boolean isEnded() {
         return ended.getCount() == 0;
     }
 
-    /** Ends the output; the input stays open. */
-    public void endOutput() throws IOException {
+    /** Closes the output; the input stays open. */
+    public void closeOutput() throws IOException {
         socket.shutdownOutput();
     }
 
-    /** Breaks the connection. */
+    /** Resets the connection. */
     public void reset() throws IOException {
         socket.setSoLinger(true, 0);
         socket.close();
--- a/transport/src/test/java/dewplank/http/ParserTest.java
+++ b/transport/src/test/java/dewplank/http/ParserTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What the parsers take for a complete message, and what they reject with which status. */
+/** Which messages the parsers accept as complete, and the status with which they reject others. */
 class ParserTest {
     private static final String POST = "POST /api?x=1 HTTP/1.1\r\nHost: a\r\nX-Qos: menu-read\r\n";
 
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void aRequestIsCompleteAtItsLastByteOnly() throws BadMessageException {
+    void aRequestIsCompleteOnlyAfterItsLastByte() throws BadMessageException {
         for (String body : List.of(
                 "Content-Length: 3\r\n\r\nabc",
                 "Transfer-Encoding: chunked\r\n\r\n1\r\na\r\n2;x=y\r\nbc\r\n0\r\nT: 1\r\n\r\n")) {
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void bytesPastTheMessageStayInTheBuffer() throws BadMessageException {
+    void bytesAfterTheMessageStayInTheBuffer() throws BadMessageException {
         RequestParser parser = new RequestParser();
         ByteBuffer two = bytes(POST + "\r\nGET /b HTTP/1.1\r\n\r\n");
         assertTrue(parser.feed(two));
@@ -51,9 +51,9 @@
         assertEquals("/b", parser.target());
     }
 
-    /** Where two ways to find a message's end disagree, one request could hide in another. */
+    /** If two ways to determine the end of a message disagree, a request could be smuggled inside another one. */
     @Test
-    void ambiguousAndMalformedRequestsAreNamedByTheirStatus() {
+    void ambiguousAndMalformedRequestsAreRejectedWithTheirStatus() {
         assertEquals(400, status(POST + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n"));
         assertEquals(400, status(POST + "Content-Length: 3\r\nContent-Length: 3\r\n\r\n"));
         assertEquals(400, status(POST + "Content-Length: -3\r\n\r\n"));
@@ -77,11 +77,11 @@
         assertTrue(parser.endOfInput());
     }
 
-    /** Noise may never bring a line end: waiting for one would use up the request's time. */
+    /** Malformed input may never contain a line end; waiting for one would use up the request's time. */
     @Test
-    void aMalformedResponseIsDetectedAtOnce() throws BadMessageException {
-        for (String noise : new String[] {"x", "HTTP/2", "\u0000\u0001"}) {
-            assertThrows(BadMessageException.class, () -> new ResponseParser(100).feed(bytes(noise)));
+    void aMalformedResponseIsDetectedWithoutWaitingForALineEnd() throws BadMessageException {
+        for (String malformed : new String[] {"x", "HTTP/2", "\u0000\u0001"}) {
+            assertThrows(BadMessageException.class, () -> new ResponseParser(100).feed(bytes(malformed)));
         }
         assertFalse(new ResponseParser(100).feed(bytes("\r\nHTTP/1")));
     }
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void whatIsMeantForOneHopIsNotPassedOn() throws BadMessageException {
+    void hopByHopFieldsAreNotForwarded() throws BadMessageException {
         RequestParser parser = new RequestParser();
         parser.feed(bytes(POST + "Connection: close, X-Local\r\nX-Local: 1\r\nExpect: 100-continue\r\n\r\n"));
         assertEquals(
--- a/transport/src/test/java/dewplank/net/ConnectionTest.java
+++ b/transport/src/test/java/dewplank/net/ConnectionTest.java
@@ -18,16 +18,16 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** What another thread and the peer may do to a connection while the loop is busy with it. */
+/** Concurrent reads of a connection while its handler runs, and failed connection attempts. */
 class ConnectionTest {
-    private static final int PATIENCE_S = 20;
+    private static final int TIMEOUT_S = 20;
 
     /**
-     * The system's poller reads on a separate thread. What it reads while a handler looks at bytes that were left
-     * unread must not fall among them: the handler waits here until that read is done.
+     * The system's poller reads on a separate thread. Bytes that it reads while a handler processes unconsumed bytes
+     * must not overwrite these. The handler of this test waits until such a read has completed.
      */
     @Test
-    void bytesReadDuringAHandlerDoNotMixWithUnreadOnes() throws Exception {
+    void bytesReadWhileAHandlerRunsDoNotOverwriteUnconsumedOnes() throws Exception {
         EventLoop loop = new EventLoop();
         BlockingQueue<String> received = new LinkedBlockingQueue<>();
         try (ServerSocket listener = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
@@ -39,8 +39,8 @@
 
                 @Override
                 public void received(ByteBuffer bytes) {
-                    if (++calls == 1) { // the bytes stay unread, and a read is pending behind them
-                        received.add("left");
+                    if (++calls == 1) { // the bytes are not consumed, and another read is pending
+                        received.add("not consumed");
                         return;
                     }
                     if (calls == 2) {
@@ -66,19 +66,19 @@
             });
             connection.get();
             send(peer, "first");
-            assertEquals("left", received.poll(PATIENCE_S, TimeUnit.SECONDS));
+            assertEquals("not consumed", received.poll(TIMEOUT_S, TimeUnit.SECONDS));
             loop.execute(connection.join()::resume);
-            assertEquals("first", received.poll(PATIENCE_S, TimeUnit.SECONDS));
-            assertEquals("second", received.poll(PATIENCE_S, TimeUnit.SECONDS));
+            assertEquals("first", received.poll(TIMEOUT_S, TimeUnit.SECONDS));
+            assertEquals("second", received.poll(TIMEOUT_S, TimeUnit.SECONDS));
             peer.close();
         } finally {
             loop.stop();
         }
     }
 
-    /** The failure is reported to the callback: an exception would leave the attempt open. */
+    /** The failure must be reported to the callback: after an exception, the attempt would never complete. */
     @Test
-    void anUnresolvedAddressFails() throws Exception {
+    void connectingToAnUnresolvedAddressFails() throws Exception {
         EventLoop loop = new EventLoop();
         try {
             CompletableFuture<IOException> failure = new CompletableFuture<>();
@@ -88,7 +88,7 @@
                     null,
                     established -> {},
                     failure::complete));
-            assertTrue(failure.get(PATIENCE_S, TimeUnit.SECONDS).getMessage().contains("Unresolved"));
+            assertTrue(failure.get(TIMEOUT_S, TimeUnit.SECONDS).getMessage().contains("Unresolved"));
         } finally {
             loop.stop();
         }
@@ -102,10 +102,10 @@
         }
     }
 
-    /** A second read is refused for as long as the first is pending. */
+    /** Waits until no read is pending: a second read is rejected until then. */
     private static void awaitRead(AsynchronousSocketChannel channel) {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
-        while (System.nanoTime() < until) {
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
+        while (System.nanoTime() < deadline) {
             try {
                 channel.read(ByteBuffer.allocate(0));
                 return;
--- a/transport/src/test/java/dewplank/net/EventLoopTest.java
+++ b/transport/src/test/java/dewplank/net/EventLoopTest.java
@@ -16,19 +16,19 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Everything runs on the loop's one thread, without a lock. */
+/** Tasks, timers and callbacks run on the loop's single thread, and a failure of one does not affect the others. */
 class EventLoopTest {
-    /** Only bounds how long a test takes to fail. */
-    private static final int PATIENCE_S = 20;
+    /** Time limit of a failing test. */
+    private static final int TIMEOUT_S = 20;
 
     private final Set<String> threads = ConcurrentHashMap.newKeySet();
-    private final CountDownLatch ends = new CountDownLatch(2);
+    private final CountDownLatch closes = new CountDownLatch(2);
 
     private void recordThread() {
         threads.add(Thread.currentThread().getName());
     }
 
-    /** Echoes what it receives, and closes the connection at the tenth round. */
+    /** Echoes the bytes that it receives, and closes the connection when it has received bytes ten times. */
     private final class Echo implements Listener.Accepted {
         private Connection connection;
         private int rounds;
@@ -45,7 +45,7 @@
             ByteBuffer copy = ByteBuffer.allocate(bytes.remaining()).put(bytes).flip();
             if (++rounds == 10) {
                 connection.close();
-                ends.countDown();
+                closes.countDown();
             } else {
                 connection.write(copy, EventLoopTest.this::recordThread);
             }
@@ -54,14 +54,14 @@
         @Override
         public void closed(IOException cause) {
             recordThread();
-            ends.countDown();
+            closes.countDown();
         }
     }
 
-    /** One path that lacks a class fails alone: what does not need the class is served on. */
+    /** Also covers errors such as a missing class: they must only affect the task that needs the class. */
     @ParameterizedTest
     @MethodSource("failures")
-    void aTaskThatFailsEndsNeitherTheLoopNorItsTimers(Throwable failure) throws Exception {
+    void aFailedTaskStopsNeitherTheLoopNorItsTimers(Throwable failure) throws Exception {
         EventLoop loop = new EventLoop();
         CountDownLatch ran = new CountDownLatch(2);
         loop.execute(() -> {
@@ -70,13 +70,15 @@
             throwUnchecked(failure);
         });
         loop.execute(ran::countDown);
-        assertTrue(ran.await(PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(ran.await(TIMEOUT_S, TimeUnit.SECONDS));
         loop.stop();
     }
 
     static Stream<Throwable> failures() {
         return Stream.of(
-                new IllegalStateException("a fault"), new NoClassDefFoundError("gone"), new StackOverflowError());
+                new IllegalStateException("test failure"),
+                new NoClassDefFoundError("MissingClass"),
+                new StackOverflowError());
     }
 
     private static void throwUnchecked(Throwable failure) {
@@ -87,7 +89,7 @@
     }
 
     @Test
-    void handlersAndTimersRunOnTheLoopsThreadOnly() throws Exception {
+    void handlersAndTimersRunOnlyOnTheLoopsThread() throws Exception {
         EventLoop loop = new EventLoop();
         Listener listener =
                 new Listener(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 10, Echo::new);
@@ -99,23 +101,23 @@
                 open(loop, listener, client);
             });
         });
-        assertTrue(ends.await(PATIENCE_S, TimeUnit.SECONDS), "a connection is still open");
+        assertTrue(closes.await(TIMEOUT_S, TimeUnit.SECONDS), "a connection is still open");
         loop.stop();
         assertEquals(Set.of("loop"), threads);
     }
 
-    /** Guards the ticks: a scheduled task that throws is never run again. */
+    /** The executor does not repeat a periodic task that throws, which would stop all timers. */
     @Test
-    void aTaskThatThrowsEndsNeitherTheLoopNorTheTicks() throws Exception {
+    void aTimerTaskThatThrowsStopsNeitherTheLoopNorTheTicks() throws Exception {
         EventLoop loop = new EventLoop();
         CountDownLatch after = new CountDownLatch(1);
         loop.execute(() -> {
             loop.after(0, () -> {
-                throw new IllegalStateException("on purpose, for the test");
+                throw new IllegalStateException("test failure in a timer");
             });
             loop.after(20, after::countDown);
         });
-        assertTrue(after.await(PATIENCE_S, TimeUnit.SECONDS), "the ticks have ended");
+        assertTrue(after.await(TIMEOUT_S, TimeUnit.SECONDS), "the loop has stopped ticking");
         loop.stop();
     }
 
--- a/transport/src/test/java/dewplank/net/TimerWheelTest.java
+++ b/transport/src/test/java/dewplank/net/TimerWheelTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** When a wheel of 512 slots with ticks of 5 ms runs its tasks. */
+/** When a timer wheel with 512 slots and ticks of 5 ms runs its tasks. */
 class TimerWheelTest {
     private final TimerWheel wheel = new TimerWheel(1_000, 5);
     private final List<String> ran = new ArrayList<>();
@@ -16,7 +16,7 @@
     }
 
     @Test
-    void aTimerFiresInTheFirstTickAtOrPastItsTimeAndOnlyOnce() {
+    void aTimerFiresOnceAtTheFirstTickAtOrAfterItsDueTime() {
         wheel.add(1_012, () -> ran.add("a"));
         runAt(1_014.9);
         assertEquals(List.of(), ran);
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void aTimerBeyondOneTurnOfTheWheelWaits() {
+    void aTimerDueAfterMoreThanOneRevolutionWaits() {
         wheel.add(1_000 + 3 * 512 * 5, () -> ran.add("late"));
         runAt(1_000 + 3 * 512 * 5 - 1);
         assertEquals(List.of(), ran);
@@ -35,17 +35,17 @@
     }
 
     /**
-     * After a pause a call's time-out and its request's last resort are due together;
-     * the first leads to the final answer and cancels the second, which must not answer once more.
+     * After a pause, a call's timeout and its request's deadline are due in the same run. The timeout completes the
+     * request and cancels the deadline timer, which must not respond a second time.
      */
     @Test
     void aTimerCancelledByOneDueInTheSameRunStaysCancelled() {
-        TimerWheel.Timer lastResort = wheel.add(1_020, () -> ran.add("last resort"));
+        TimerWheel.Timer deadline = wheel.add(1_020, () -> ran.add("deadline"));
         wheel.add(1_010, () -> {
-            ran.add("time-out");
-            lastResort.cancel();
+            ran.add("timeout");
+            deadline.cancel();
         });
         runAt(1_100);
-        assertEquals(List.of("time-out"), ran);
+        assertEquals(List.of("timeout"), ran);
     }
 }
--- a/transport/src/test/java/dewplank/net/WriteBudgetTest.java
+++ b/transport/src/test/java/dewplank/net/WriteBudgetTest.java
@@ -24,23 +24,23 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Peers that do not read: what is queued for them is bounded, by connection and in all. */
+/** Limits on the bytes queued for peers that do not read, per connection and in total. */
 class WriteBudgetTest {
-    private static final int PATIENCE_S = 20;
+    private static final int TIMEOUT_S = 20;
     private static final int MAX_BYTES_PER_CONNECTION = 8 * 1024 * 1024;
     private static final int MAX_TOTAL_BYTES = 64 * 1024 * 1024;
-    private static final int SILENT_PEERS = 1_000;
-    private static final int ANSWER_BYTES = 128 * 1024;
-    private static final int MAX_OTHERS = 100;
+    private static final int PEERS_NOT_READING = 1_000;
+    private static final int RESPONSE_BYTES = 128 * 1024;
+    private static final int MAX_OTHER_CONNECTIONS = 100;
     private static final long SEED = 3;
 
     private final WriteBudget budget = new WriteBudget(MAX_BYTES_PER_CONNECTION, MAX_TOTAL_BYTES);
-    private final BlockingQueue<Object> ends = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Object> closes = new LinkedBlockingQueue<>();
     private final List<Socket> peers = new ArrayList<>();
     private EventLoop loop;
     private ServerSocket listener;
 
-    private final class RecordedEnds implements Connection.Handler {
+    private final class CloseRecorder implements Connection.Handler {
         @Override
         public void received(ByteBuffer bytes) {
             bytes.position(bytes.limit());
@@ -48,14 +48,14 @@
 
         @Override
         public void closed(IOException cause) {
-            ends.add(cause == null ? "closed by the peer" : cause.getMessage());
+            closes.add(cause == null ? "closed by the peer" : cause.getMessage());
         }
     }
 
     @BeforeEach
     void listen() throws IOException {
         loop = new EventLoop(budget);
-        listener = new ServerSocket(0, SILENT_PEERS, InetAddress.getLoopbackAddress());
+        listener = new ServerSocket(0, PEERS_NOT_READING, InetAddress.getLoopbackAddress());
     }
 
     @AfterEach
@@ -70,16 +70,16 @@
     private Connection connect() throws Exception {
         CompletableFuture<Connection> connection = new CompletableFuture<>();
         InetSocketAddress to = (InetSocketAddress) listener.getLocalSocketAddress();
-        loop.execute(() ->
-                Connection.open(loop, to, new RecordedEnds(), connection::complete, connection::completeExceptionally));
+        loop.execute(() -> Connection.open(
+                loop, to, new CloseRecorder(), connection::complete, connection::completeExceptionally));
         peers.add(listener.accept());
-        return connection.get(PATIENCE_S, TimeUnit.SECONDS);
+        return connection.get(TIMEOUT_S, TimeUnit.SECONDS);
     }
 
     private <T> T onLoop(Supplier<T> supplier) throws Exception {
         CompletableFuture<T> result = new CompletableFuture<>();
         loop.execute(() -> result.complete(supplier.get()));
-        return result.get(PATIENCE_S, TimeUnit.SECONDS);
+        return result.get(TIMEOUT_S, TimeUnit.SECONDS);
     }
 
     private void write(Connection connection, int bytes) {
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void aPeerThatReadsGetsEveryByteInOrderWhateverThePieces() throws Exception {
+    void aPeerThatReadsReceivesAllBytesInOrderRegardlessOfPieceSizes() throws Exception {
         Connection connection = connect();
         byte[] sent = new byte[5 * 1024 * 1024];
         new Random(SEED).nextBytes(sent);
@@ -97,37 +97,37 @@
             connection.write(ByteBuffer.wrap(sent, 1_000, sent.length - 1_000), () -> written.add("second"));
         });
         assertArrayEquals(sent, peers.get(0).getInputStream().readNBytes(sent.length));
-        assertEquals("first", written.poll(PATIENCE_S, TimeUnit.SECONDS));
-        assertEquals("second", written.poll(PATIENCE_S, TimeUnit.SECONDS));
+        assertEquals("first", written.poll(TIMEOUT_S, TimeUnit.SECONDS));
+        assertEquals("second", written.poll(TIMEOUT_S, TimeUnit.SECONDS));
         assertEquals(0, onLoop(budget::totalBytes));
         assertEquals(0, budget.overflowCount());
     }
 
     @Test
-    void aConnectionBeyondItsBoundIsClosedAndItsHandlerToldWhy() throws Exception {
+    void aConnectionOverItsLimitIsClosedAndItsHandlerReceivesTheCause() throws Exception {
         Connection connection = connect();
         write(connection, MAX_BYTES_PER_CONNECTION);
         assertEquals(false, onLoop(connection::isClosed));
         write(connection, MAX_BYTES_PER_CONNECTION);
-        assertEquals("the peer does not read", ends.poll(PATIENCE_S, TimeUnit.SECONDS));
+        assertEquals("the peer does not read", closes.poll(TIMEOUT_S, TimeUnit.SECONDS));
         assertTrue(onLoop(connection::isClosed));
         assertEquals(0, onLoop(budget::totalBytes));
         assertEquals(1, budget.overflowCount());
     }
 
-    /** The one with the most queued bytes goes, not the one that happens to write. */
+    /** The connection with the most queued bytes is closed, not the one that exceeds the limit with its write. */
     @Test
-    void beyondTheBoundOfAllTheLargestQueueIsClosed() throws Exception {
+    void theConnectionWithTheLargestQueueIsClosedIfTheTotalLimitIsExceeded() throws Exception {
         Connection largest = connect();
         write(largest, 2 * MAX_BYTES_PER_CONNECTION);
         List<Connection> others = new ArrayList<>();
-        while (ends.isEmpty() && others.size() < MAX_OTHERS) { // the system takes some megabytes of each
+        while (closes.isEmpty() && others.size() < MAX_OTHER_CONNECTIONS) { // the system buffers some megabytes of each
             Connection other = connect();
             others.add(other);
             write(other, MAX_BYTES_PER_CONNECTION * 7 / 8);
             onLoop(() -> null);
         }
-        assertEquals("the peer does not read", ends.poll(PATIENCE_S, TimeUnit.SECONDS));
+        assertEquals("the peer does not read", closes.poll(TIMEOUT_S, TimeUnit.SECONDS));
         assertTrue(onLoop(largest::isClosed));
         for (Connection other : others) {
             assertEquals(false, onLoop(other::isClosed));
@@ -135,39 +135,39 @@
         assertTrue(onLoop(budget::totalBytes) <= MAX_TOTAL_BYTES);
     }
 
-    /** A thousand answers nobody reads: within the bounds, and a peer that does read is served beside them. */
+    /** Responses to 1000 peers that do not read stay within the limits, and a peer that reads is still served. */
     @Test
-    void aThousandPeersThatDoNotReadStayWithinTheBoundsAndOthersAreServed() throws Exception {
+    void aThousandPeersThatDoNotReadStayWithinTheLimitsAndOthersAreServed() throws Exception {
         Connection reading = connect();
-        List<Connection> silent = new ArrayList<>();
-        for (int index = 0; index < SILENT_PEERS; index++) {
+        List<Connection> notReading = new ArrayList<>();
+        for (int index = 0; index < PEERS_NOT_READING; index++) {
             Connection connection = connect();
-            silent.add(connection);
-            for (int answer = 0; answer < 4; answer++) {
-                write(connection, ANSWER_BYTES);
+            notReading.add(connection);
+            for (int response = 0; response < 4; response++) {
+                write(connection, RESPONSE_BYTES);
             }
         }
-        assertTrue(onLoop(budget::totalBytes) <= MAX_TOTAL_BYTES + ANSWER_BYTES);
+        assertTrue(onLoop(budget::totalBytes) <= MAX_TOTAL_BYTES + RESPONSE_BYTES);
         byte[] sent = new byte[64 * 1024];
         new Random(SEED).nextBytes(sent);
         loop.execute(() -> reading.write(ByteBuffer.wrap(sent), () -> {}));
         assertArrayEquals(sent, peers.get(0).getInputStream().readNBytes(sent.length));
         assertEquals(false, onLoop(reading::isClosed));
         long closed = 0;
-        for (Connection connection : silent) {
+        for (Connection connection : notReading) {
             closed += onLoop(connection::isClosed) ? 1 : 0;
         }
         assertEquals(budget.overflowCount() > 0, closed > 0);
     }
 
     @Test
-    void aConnectionThatClosesLeavesNothingQueued() throws Exception {
+    void aClosedConnectionHasNoQueuedBytes() throws Exception {
         Connection connection = connect();
         write(connection, MAX_BYTES_PER_CONNECTION);
         assertTrue(onLoop(budget::totalBytes) > 0);
         peers.get(0).close();
-        assertNotNull(ends.poll(PATIENCE_S, TimeUnit.SECONDS));
+        assertNotNull(closes.poll(TIMEOUT_S, TimeUnit.SECONDS));
         assertEquals(0, onLoop(budget::totalBytes));
-        assertNull(ends.poll());
+        assertNull(closes.poll());
     }
 }
