--- a/transport/src/main/java/dewplank/http/MessageParser.java
+++ b/transport/src/main/java/dewplank/http/MessageParser.java
@@ -106,7 +106,7 @@
 
     abstract boolean isRequest();
 
-    /** Whether the message has no body, whatever its header fields say. */
+    /** Whether the message has no body, regardless of its header fields. */
     abstract boolean isWithoutBody();
 
     /** Whether the message is an interim response (1xx), which is discarded. */
