--- a/dataplane/src/main/java/dewplank/dataplane/AccessControl.java
+++ b/dataplane/src/main/java/dewplank/dataplane/AccessControl.java
@@ -10,39 +10,39 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Decides whether a request with an access key, or without one, may be sent to a server now. Where revocation is closed
- * it decides so only while the configuration in force here is known to be recent: a data plane that has lost contact
- * stops serving keys before one that was taken away meanwhile would have to be refused ({@code docs/design-quotas.md}).
- * On the event loop's thread only.
+ * Decides whether a request, with or without an access key, may be sent to a server now. If revocation is closed, keys
+ * are accepted only while the configuration in force is confirmed to be recent: a data plane that loses contact with
+ * the control planes stops accepting keys before the time by which it must reject a key that was revoked meanwhile
+ * ({@code docs/design-quotas.md}). Used on the event loop's thread only.
  */
 final class AccessControl {
     private static final Logger LOG = LoggerFactory.getLogger(AccessControl.class);
 
-    /** By which the clocks of two machines may differ in rate. */
+    /** Maximum difference in rate between the clocks of two machines, as a fraction. */
     private static final double MAX_CLOCK_DRIFT = 0.02;
-    /** A process may be held up for so long between reading its clock and writing to a socket. */
+    /** Maximum pause of a process between reading its clock and writing to a socket. */
     private static final double MAX_STALL_MS = 150;
 
     /**
-     * The settings' bounds on the use of revoked keys.
+     * The settings that limit the use of revoked keys.
      *
-     * @param closed whether a key has to be refused where it is not known that it still holds
-     * @param withinMs by when a key is refused after the acknowledgement of its revocation
+     * @param closed whether all keys are rejected while the configuration in force is not confirmed to be recent
+     * @param withinMs maximum time from the acknowledgement of a revocation until the key is rejected
      */
     record Revocation(boolean closed, double withinMs) {
-        /** Keys hold as the configuration in force here has them. */
+        /** Keys are accepted according to the configuration in force, however old it is. */
         static final Revocation OPEN = new Revocation(false, 0);
     }
 
-    /** What is decided on a request. */
+    /** The decision on a request. */
     sealed interface Decision {
-        /** It may be sent, for the tenant if it has one. */
+        /** The request may be sent, on behalf of the tenant if it has one. */
         record Allowed(Optional<Tenant> tenant) implements Decision {}
 
-        /** No tenant of the configuration in force holds its key. */
+        /** The request has no key, or one that belongs to no tenant of the configuration in force. */
         record UnknownKey() implements Decision {}
 
-        /** The configuration in force may be too old to decide by. */
+        /** The configuration in force may be too old for a decision. */
         record Unconfirmed() implements Decision {}
     }
 
@@ -61,7 +61,7 @@
         this.revocation = revocation;
     }
 
-    /** Decides by the configuration in force; there must be one. */
+    /** Decides according to the configuration in force, which must exist. */
     Decision decide(Route route, Optional<AccessKeyDigest> key) {
         Configuration configuration = fleet.configuration();
         if (!configuration.requiresAccessKeys()) {
@@ -77,19 +77,19 @@
         return tenant.isPresent() ? new Decision.Allowed(tenant) : UNKNOWN_KEY;
     }
 
-    /** Whether the configuration in force has tenants, so that requests need keys but on public routes. */
+    /** Whether the configuration in force has tenants, so that all routes except public ones require a key. */
     boolean isKeyRequired() {
         return fleet.configuration().requiresAccessKeys();
     }
 
-    /** Whether requests with keys can be served: none are needed, or the configuration is recent enough. */
+    /** Whether requests can be served on all routes: no keys are required, or the configuration is recent enough. */
     boolean isServing() {
         return fleet.configuration() != null && (!fleet.configuration().requiresAccessKeys() || isConfirmed());
     }
 
     /**
-     * Whether every revocation that was acknowledged longer ago than its bound is in force here. What was acknowledged
-     * before {@link FleetMetadata#confirmedAtMs} is.
+     * Whether all revocations that were acknowledged longer ago than {@link Revocation#withinMs} are in force here. All
+     * that were acknowledged before {@link FleetMetadata#confirmedAtMs} are.
      */
     private boolean isConfirmed() {
         if (!revocation.closed()) {
--- a/dataplane/src/main/java/dewplank/dataplane/ConfigurationUpdater.java
+++ b/dataplane/src/main/java/dewplank/dataplane/ConfigurationUpdater.java
@@ -8,17 +8,17 @@
 import dewplank.message.FleetUpdate;
 import dewplank.message.MessageCodec;
 
-/** Puts the configurations of control planes' updates in force, complete ones and deltas. */
+/** Applies the configurations, complete or as deltas, that control planes send in updates. */
 final class ConfigurationUpdater {
-    /** What became of the configuration of one update. */
+    /** The result of applying the configuration of an update. */
     sealed interface Result {
-        /** It is in force, or no newer than what is. */
+        /** The configuration is now in force, or is not newer than the one in force. */
         record Applied() implements Result {}
 
-        /** It is a delta to a version that is not in force here. */
+        /** The configuration is a delta to a version that is not in force here. */
         record BaseMismatch() implements Result {}
 
-        /** Its bytes are no configuration, or no delta to the one in force. */
+        /** The bytes are not a valid configuration, or not a valid delta to the one in force. */
         record Corrupt(String reason) implements Result {}
     }
 
@@ -31,17 +31,17 @@
         this.fleet = fleet;
     }
 
-    /** Applies an update that carries a configuration. */
+    /** Applies the configuration of an update; the update must contain one. */
     Result apply(FleetUpdate update) {
         if (update.configurationVersion <= fleet.configurationVersion()) {
             return APPLIED;
         }
         try {
-            byte[] plain = DeflateCodec.inflate(update.configuration, MessageCodec.MAX_BODY_BYTES);
+            byte[] inflated = DeflateCodec.inflate(update.configuration, MessageCodec.MAX_BODY_BYTES);
             if (update.baseVersion == 0) {
-                fleet.updateConfiguration(Configuration.parse(plain));
+                fleet.updateConfiguration(Configuration.parse(inflated));
             } else if (update.baseVersion == fleet.configurationVersion()) {
-                fleet.updateConfiguration(ConfigurationDelta.apply(fleet.configuration(), plain));
+                fleet.updateConfiguration(ConfigurationDelta.apply(fleet.configuration(), inflated));
             } else {
                 return BASE_MISMATCH;
             }
--- a/dataplane/src/main/java/dewplank/dataplane/ControlAddresses.java
+++ b/dataplane/src/main/java/dewplank/dataplane/ControlAddresses.java
@@ -9,14 +9,14 @@
 import java.util.Set;
 
 /**
- * The addresses at which control planes may be found: the settings' seeds, which are retained, and those that control
- * planes vouch for, which are evicted when none has for long. Used by {@link SessionClient} alone; on its thread only.
- * Times in milliseconds of its clock; an address in use is one that a session is opened or open with.
+ * The known addresses of control planes: the seeds from the settings, which are retained, and those that control planes
+ * report, which are evicted if none has reported them for a long time. Used by {@link SessionClient} only, on its
+ * thread. Times are in milliseconds of its clock. An address is in use while a session with it is open or being opened.
  */
 final class ControlAddresses {
-    /** Addresses retained at once. Beyond, the one that nobody vouched for longest is evicted. */
+    /** Maximum number of addresses; beyond it, the least recently reported one is evicted. */
     static final int MAX_ADDRESSES = 64;
-    /** An address that no control plane has vouched for so long is evicted, seeds excepted. */
+    /** An address that no control plane has reported for this time is evicted unless it is a seed or in use. */
     static final double EXPIRY_MS = 60_000;
 
     private static final class Entry {
@@ -27,13 +27,13 @@
     private final Map<String, Entry> entries = new LinkedHashMap<>();
     private Set<String> seeds = Set.of();
 
-    /** Sets the addresses that the settings name; they take the place of earlier ones. */
+    /** Sets the seeds from the settings, which replace the earlier seeds. */
     void setSeeds(double now, Collection<String> newSeeds, Set<String> inUse) {
         seeds = Set.copyOf(newSeeds);
         refresh(now, newSeeds, inUse);
     }
 
-    /** A control plane vouches for these addresses. */
+    /** Records that a control plane reported these addresses. */
     void refresh(double now, Collection<String> addresses, Set<String> inUse) {
         for (String address : addresses) {
             Entry entry = entries.get(address);
@@ -47,7 +47,7 @@
         }
     }
 
-    /** Evicts the address that nobody vouched for longest, where there are too many; false: none may be evicted. */
+    /** Evicts the least recently reported address if the limit is reached; false if no address may be evicted. */
     private boolean ensureCapacity(Set<String> inUse) {
         if (entries.size() < MAX_ADDRESSES) {
             return true;
@@ -63,12 +63,12 @@
         return !seeds.contains(address) && !inUse.contains(address);
     }
 
-    /** Evicts the addresses that no peer has confirmed recently. */
+    /** Evicts the addresses that no control plane has reported recently. */
     void evictExpired(double now, Set<String> inUse) {
         entries.entrySet().removeIf(e -> now - e.getValue().refreshedAt > EXPIRY_MS && isEvictable(e.getKey(), inUse));
     }
 
-    /** Makes the address ineligible until then; an earlier time than before changes nothing. */
+    /** Makes the address ineligible until the given time; no effect if it is ineligible for longer already. */
     void backOff(String address, double until) {
         Entry entry = entries.get(address);
         if (entry != null) {
@@ -76,7 +76,7 @@
         }
     }
 
-    /** The addresses that are neither in use nor backing off, in the order in which they came. */
+    /** The addresses that are neither in use nor in backoff, in the order in which they were added. */
     List<String> eligible(double now, Set<String> inUse) {
         List<String> eligible = new ArrayList<>();
         entries.forEach((address, entry) -> {
--- a/dataplane/src/main/java/dewplank/dataplane/ControlSession.java
+++ b/dataplane/src/main/java/dewplank/dataplane/ControlSession.java
@@ -18,65 +18,65 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One session with one control plane: sends heartbeats with the versions that are in force here, and applies the
- * updates that come back. Updates of a control plane without a quorum are deferred while there is no configuration
- * here. Made by {@link SessionClient}; on the event loop's thread only.
+ * A session with one control plane: sends heartbeats with the versions that are in force here, and applies the updates
+ * that it receives. Updates from a control plane without a quorum are deferred while there is no configuration here.
+ * Created by {@link SessionClient}; used on the event loop's thread only.
  */
 final class ControlSession implements MessageLink.Handler {
     private static final Logger LOG = LoggerFactory.getLogger(ControlSession.class);
 
-    /** What a session needs to know of the others, and reports of itself. */
+    /** Provides a session with the state of all sessions, and receives the session's events. */
     interface Owner {
-        /** The number of the next heartbeat, over all sessions. */
+        /** The sequence number of the next heartbeat; unique across all sessions. */
         long nextSequence();
 
-        /** Whether updates of a control plane without a quorum are deferred for now. */
+        /** Whether updates from a control plane without a quorum are currently deferred. */
         boolean defersUpdatesWithoutQuorum();
 
-        /** Whether some open session's control plane reports a quorum. */
+        /** Whether the control plane of any open session reports a quorum. */
         boolean hasQuorateSession();
 
-        /** Whether a session that lost its quorum can be replaced by one with another control plane. */
+        /** Whether a session without a quorum can be replaced by a session with another control plane. */
         boolean hasReplacement();
 
-        /** The control plane lost its quorum, and its session is about to end. */
+        /** The control plane lost its quorum, and its session is about to be closed. */
         void quorumLost(ControlSession session);
 
-        /** The control plane vouches for these addresses of control planes. */
+        /** The control plane reported these addresses of control planes. */
         void addressesReported(List<String> addresses);
 
-        /** The control plane replied to a request for a tenant's tokens. */
-        void quotaReplied(QuotaReply reply);
+        /** The control plane replied to a quota request. */
+        void quotaReplyReceived(QuotaReply reply);
 
         /** An update was applied. */
         void updateApplied();
 
-        /** The session ended, or its connection did not come up. */
-        void sessionEnded(ControlSession session);
+        /** The session was closed, or its connection could not be established. */
+        void sessionClosed(ControlSession session);
     }
 
-    /** That no configuration newer than the version had been chosen by that time of the loop's clock. */
+    /** States that no configuration newer than the version had been chosen by that time of the loop's clock. */
     private record PendingConfirmation(long version, double atMs) {}
 
     private final Scheduler loop;
     private final Owner owner;
     private final FleetMetadata fleet;
-    private final ConfigurationUpdater configurations;
+    private final ConfigurationUpdater configurationUpdater;
     private final Member self;
     private final SessionParameters parameters;
     private final String address;
     private final PendingHeartbeats pendingHeartbeats;
     private final Deque<FleetUpdate> deferredUpdates = new ArrayDeque<>();
-    /** Null until the connection is being opened. */
+    /** Null before {@link #connect}. */
     private MessageLink link;
 
     private double lastMessageAt;
     private double lastQuorumAt;
     private boolean acknowledged;
     private boolean quorate;
-    /** Confirmed by this control plane of a version that is not in force here yet; null where there is none. */
+    /** This control plane's confirmation of a version that is not in force here yet; null if there is none. */
     private PendingConfirmation pendingConfirmation;
-    /** The membership as this control plane last reported it; null before. */
+    /** The membership that this control plane reported last; null before the first report. */
     private List<Member> members;
 
     ControlSession(
@@ -89,7 +89,7 @@
         this.loop = loop;
         this.owner = owner;
         this.fleet = fleet;
-        this.configurations = new ConfigurationUpdater(fleet);
+        this.configurationUpdater = new ConfigurationUpdater(fleet);
         this.self = self;
         this.parameters = parameters;
         this.address = address;
@@ -105,12 +105,12 @@
         return link.isOpen();
     }
 
-    /** Whether the control plane reported a quorum in its last heartbeat. */
+    /** Whether the control plane reported a quorum in its latest acknowledgement. */
     boolean isQuorate() {
         return quorate;
     }
 
-    /** Whether the control plane has acknowledged a heartbeat, and reported no quorum with the latest one. */
+    /** Whether the control plane has acknowledged a heartbeat and reported no quorum in its latest acknowledgement. */
     boolean reportsNoQuorum() {
         return acknowledged && !quorate;
     }
@@ -140,13 +140,13 @@
                 sequence, fleet.configurationVersion(), fleet.listVersion(), fleet.membersDigest()));
     }
 
-    /** This process did not run for so long: that counts for no time-out. */
+    /** Excludes from the timeouts a time during which this process was paused. */
     void excludeStall(double stalledMs) {
         lastMessageAt += stalledMs;
         lastQuorumAt += stalledMs;
     }
 
-    /** Called at each heartbeat interval: ends the session where it is overdue, else sends the next heartbeat. */
+    /** Called at each heartbeat interval: closes the session if a timeout has passed, else sends the next heartbeat. */
     void tick() {
         if (link == null || !link.isOpen()) {
             return;
@@ -173,14 +173,14 @@
         if (message instanceof HeartbeatAck ack) {
             onAcknowledged(ack);
         } else if (message instanceof QuotaReply reply) {
-            owner.quotaReplied(reply);
+            owner.quotaReplyReceived(reply);
         } else if (message instanceof FleetUpdate update) {
             deferredUpdates.add(update);
             applyDeferredUpdates();
         }
     }
 
-    /** Sends a request for a tenant's tokens; its reply goes to the owner, or is lost with the session. */
+    /** Sends a quota request. The reply is passed to the owner, or lost if the session closes. */
     void send(QuotaRequest request) {
         link.send(request);
     }
@@ -197,7 +197,10 @@
         applyMembership();
     }
 
-    /** The acknowledgement was made after its heartbeat was sent: what it confirms held at that time less its age. */
+    /**
+     * The control plane created the acknowledgement after the heartbeat was sent, so what it confirms is valid at least
+     * for the time of sending minus the age of the confirmation.
+     */
     private void recordConfirmation(HeartbeatAck ack) {
         OptionalDouble sentAt = pendingHeartbeats.sentAt(ack.sequence);
         if (ack.confirmed != null && sentAt.isPresent()) {
@@ -215,8 +218,8 @@
     }
 
     @Override
-    public void closed(MessageLink ended) {
-        owner.sessionEnded(this);
+    public void closed(MessageLink closedLink) {
+        owner.sessionClosed(this);
     }
 
     // ---- updates --------------------------------------------------------------------------------------
@@ -232,7 +235,7 @@
 
     private void apply(FleetUpdate update) {
         if (update.configuration != null && !applyConfiguration(update)) {
-            link.close(); // the next session begins with the version that is in force here
+            link.close(); // the next session starts from the version that is in force here
             return;
         }
         applyConfirmation();
@@ -246,16 +249,19 @@
         owner.updateApplied();
     }
 
-    /** Whether the configuration of the update is in force now, or was no newer. */
+    /** Returns whether the update's configuration is now in force, or is not newer than the one in force. */
     private boolean applyConfiguration(FleetUpdate update) {
-        ConfigurationUpdater.Result result = configurations.apply(update);
+        ConfigurationUpdater.Result result = configurationUpdater.apply(update);
         if (result instanceof ConfigurationUpdater.Result.Corrupt corrupt) {
             LOG.warn("configuration update rejected peer={} reason={}", address, corrupt.reason());
         }
         return result instanceof ConfigurationUpdater.Result.Applied;
     }
 
-    /** One without a quorum does not learn of others' sessions: its report counts only where no other is better. */
+    /**
+     * A control plane without a quorum does not know the sessions of the other control planes. Its report of the
+     * membership is used only if no open session has a quorum.
+     */
     private void applyMembership() {
         if (members != null && (quorate || !owner.hasQuorateSession())) {
             fleet.updateMembers(members);
--- a/dataplane/src/main/java/dewplank/dataplane/Counters.java
+++ b/dataplane/src/main/java/dewplank/dataplane/Counters.java
@@ -6,51 +6,55 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Counters of a data plane since its start, written to the log in one line from time to time where any has changed. On
- * the event loop's thread only.
+ * Counters of a data plane since its start. They are logged in one line at regular intervals if any has changed. Used
+ * on the event loop's thread only.
  */
 final class Counters {
     private static final Logger LOG = LoggerFactory.getLogger(Counters.class);
 
-    /** What is counted. The names are read from the log; those ending in MS are sums of milliseconds. */
+    /** The counters. Their names are read from the log; those that end in MS are sums in milliseconds. */
     enum Count {
         REQUESTS,
         SERVED,
         STREAMS_RESUMED,
         REFUSED,
         FAILED,
+        /** The client disconnected before its request was completed. */
         LEFT,
         NO_ROUTE,
-        /** No tenant holds the request's access key. */
+        /** The request has no access key, or one that belongs to no tenant. */
         UNKNOWN_KEY,
-        /** The configuration was not known to be recent enough to serve keys by. */
+        /** The configuration was not confirmed to be recent enough to accept access keys. */
         ACCESS_UNCONFIRMED,
-        /** The tenant had used up its quota. */
+        /** The quota of the request's tenant was exhausted. */
         QUOTA_EXHAUSTED,
-        /** No control plane could tell whether the tenant had. */
+        /** No control plane could decide on the quota of the request's tenant. */
         QUOTA_UNAVAILABLE,
         NOT_READY,
         RETRIES,
         RETRIES_OVER_BUDGET,
         PREFILLS,
         PREFILL_FAILURES,
+        /** Attempts at decode servers without a KV handle from a prefill server. */
         DIRECT,
         HANDOVER_FAILURES,
         CONNECT_FAILURES,
         TIMEOUTS,
         BROKEN,
+        /** Attempts that a server rejected. */
         TURNED_AWAY,
         SERVER_ERRORS,
+        /** KV handles released at their prefill servers. */
         FREED,
-        /** No server was there, or none was eligible. */
+        /** There was no server, or none was eligible. */
         NO_SERVER,
         /** The route's {@code max_attempts} was reached. */
         ATTEMPTS_SPENT,
         /** Connections opened to servers. */
         CONNECTIONS,
-        /** From the request's arrival until its prompt was prefilled and its KV cache stored at a prefill server. */
+        /** From a request's arrival until its prompt was prefilled and its KV cache stored at a prefill server. */
         PREFILL_MS,
-        /** From there, or from the arrival where no prefill server did it, until the first event. */
+        /** From then, or from the arrival if no prefill server was used, until the first event. */
         DECODE_MS
     }
 
@@ -70,7 +74,7 @@
         return counts.getOrDefault(count, 0L);
     }
 
-    /** Writes all counters in one line, if any has changed since the last one. */
+    /** Logs all counters in one line if any has changed since the last call. */
     void log() {
         if (changed) {
             changed = false;
--- a/dataplane/src/main/java/dewplank/dataplane/Credentials.java
+++ b/dataplane/src/main/java/dewplank/dataplane/Credentials.java
@@ -7,9 +7,9 @@
 import java.util.Optional;
 
 /**
- * What a request may be sent to servers by: its route and the access key that its client sent. Asked anew before each
- * attempt, as a key may be taken away, or passed on to another tenant, while the request waits. On the event loop's
- * thread only.
+ * The route of a request and its client's access key, which determine whether the request may be sent to servers. They
+ * are checked again before each attempt, because a key may be revoked or reassigned to another tenant while the request
+ * waits. Used on the event loop's thread only.
  */
 final class Credentials {
     private static final String SCHEME = "Bearer ";
@@ -24,7 +24,7 @@
         this.key = parse(headers.get(HeaderNames.AUTHORIZATION));
     }
 
-    /** The key of a field's value; empty where that names none. */
+    /** Parses the value of an Authorization field; empty if it has no bearer key. */
     private static Optional<AccessKeyDigest> parse(String value) {
         if (value == null || !value.regionMatches(true, 0, SCHEME, 0, SCHEME.length())) {
             return Optional.empty();
@@ -37,7 +37,7 @@
         return accessControl.decide(route, key);
     }
 
-    /** Whether keys are for this program, which keeps them from servers. */
+    /** Whether access keys are checked by this data plane, which then does not forward them to servers. */
     boolean isKeyRequired() {
         return accessControl.isKeyRequired();
     }
@@ -47,13 +47,13 @@
         return decide() instanceof AccessControl.Decision.Allowed;
     }
 
-    /** Whether the request may be sent now, and is still the request of that tenant, or of none. */
+    /** Whether the request may be sent now and still belongs to the expected tenant, or to none if that is empty. */
     boolean isAllowedFor(Optional<Tenant> expected) {
         return decide() instanceof AccessControl.Decision.Allowed allowed
                 && allowed.tenant().map(Tenant::name).equals(expected.map(Tenant::name));
     }
 
-    /** Whose request it is at the moment; empty where it has no tenant or may not be sent. */
+    /** The tenant to which the request currently belongs; empty if it has none or may not be sent. */
     Optional<Tenant> tenant() {
         return decide() instanceof AccessControl.Decision.Allowed allowed ? allowed.tenant() : Optional.empty();
     }
--- a/dataplane/src/main/java/dewplank/dataplane/DataPlane.java
+++ b/dataplane/src/main/java/dewplank/dataplane/DataPlane.java
@@ -20,16 +20,17 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The data plane's program: takes clients' requests, forwards them by the configuration of its sessions with control
- * planes, and sends servers' answers back. Wires the parts of this package on one event loop. Constructed, started,
- * reloaded and drained by the command line's thread; the methods hand their work to the event loop.
+ * The data plane process: receives clients' requests, forwards them according to the configuration from its sessions
+ * with control planes, and returns the servers' responses. Connects the components of this package on one event loop.
+ * Constructed, started, reloaded and drained by the command line's thread; the methods pass their work to the event
+ * loop.
  */
 public final class DataPlane {
     private static final double COUNTERS_INTERVAL_MS = 5_000;
     private static final double SWEEP_INTERVAL_MS = 250;
-    /** File descriptors that are left for servers' idle connections, sessions, files and the JVM. */
+    /** File descriptors reserved for idle connections to servers, sessions, files and the JVM. */
     private static final int RESERVED_DESCRIPTORS = 300;
-    /** A client's connection and the one to its server. */
+    /** A client's connection and the connection to its server. */
     private static final int DESCRIPTORS_PER_CLIENT = 2;
 
     private static final int MIN_CLIENT_CONNECTIONS = 64;
@@ -48,18 +49,18 @@
     private final GracefulShutdown shutdown;
 
     /**
-     * Binds the listeners; nothing is accepted before {@link #start}.
+     * Binds the listeners; connections are accepted only after {@link #start}.
      *
-     * @throws IOException where an address of the settings cannot be bound
+     * @throws IOException if an address of the settings cannot be bound
      */
     public DataPlane(NodeSettings settings) throws IOException {
         this(settings, Policy.ALL_ENABLED);
     }
 
     /**
-     * For a trial, with some mechanisms off.
+     * Creates a data plane for an experiment in which some mechanisms are disabled.
      *
-     * @throws IOException where an address of the settings cannot be bound
+     * @throws IOException if an address of the settings cannot be bound
      */
     public DataPlane(NodeSettings settings, Policy policy) throws IOException {
         loop = new EventLoop();
@@ -83,7 +84,7 @@
                 random,
                 bounds.contactMs(),
                 forwarder::onFleetChanged);
-        sessions.serve(quotas);
+        sessions.connectQuotaClient(quotas);
         sessions.setSeeds(controlAddresses(settings));
         frontListener = new Listener(loop, settings.front(), maxClientConnections(settings), forwarder::newConnection);
         readinessEndpoint = new ReadinessEndpoint(loop, this::isReady);
@@ -107,14 +108,14 @@
         return new QuotaTerms(quota.windowMs(), quota.overshoot(), quota.slack());
     }
 
-    /** Data planes listen for each other's datagrams on the second internal port. */
+    /** Data planes receive each other's datagrams on the second internal port. */
     private static Member self(NodeSettings settings) {
         String address = settings.address() + ":" + settings.internalPorts()[1];
         long incarnation = System.currentTimeMillis();
         return new Member(settings.nodeName(), Member.DATA, address, settings.zone(), incarnation);
     }
 
-    /** Control planes listen for the system's own messages on the first internal port. */
+    /** Control planes accept connections from other processes of the fleet on the first internal port. */
     private static List<String> controlAddresses(NodeSettings settings) {
         return settings.seeds().stream()
                 .map(InetSocketAddress::getAddress)
@@ -148,7 +149,7 @@
         loop.after(COUNTERS_INTERVAL_MS, this::logCounters);
     }
 
-    /** Ends connections on which no complete request comes, and idle ones to servers. */
+    /** Closes clients' connections that time out without a complete request, and idle connections to servers. */
     private void sweep() {
         double now = loop.now();
         if (fleet.configuration() != null) {
@@ -164,15 +165,15 @@
         loop.after(SWEEP_INTERVAL_MS, this::sweep);
     }
 
-    /** Takes over the seeds of a settings file that has changed; all else waits for the next start. */
+    /** Applies the seeds of a changed settings file; all other settings take effect at the next start. */
     public void reload(NodeSettings next) {
         loop.execute(() -> sessions.setSeeds(controlAddresses(next)));
     }
 
     /**
-     * Drains and stops the data plane, on SIGTERM. Blocks for less than the settings' grace.
+     * Drains and stops the data plane on SIGTERM. Blocks for less than the settings' grace period.
      *
-     * @throws InterruptedException if the calling thread is interrupted; then nothing more is waited for
+     * @throws InterruptedException if the calling thread is interrupted, which ends the wait for open requests
      */
     public void drain() throws InterruptedException {
         shutdown.run();
--- a/dataplane/src/main/java/dewplank/dataplane/DrainSchedule.java
+++ b/dataplane/src/main/java/dewplank/dataplane/DrainSchedule.java
@@ -1,39 +1,42 @@
 package dewplank.dataplane;
 
 /**
- * How the time between SIGTERM and SIGKILL is divided: connections are accepted, then what is open is answered, then
- * the process ends. Times in milliseconds from SIGTERM.
+ * Divides the time between SIGTERM and SIGKILL: first, new connections are still accepted, then open requests are
+ * completed, and finally the process exits. Times are in milliseconds after SIGTERM.
  *
- * @param graceMs the settings' bound {@code grace_ms}
+ * @param graceMs the setting {@code grace_ms}
  */
 record DrainSchedule(double graceMs) {
-    /** The platform checks each second and stops sending after two misses; then its connections have to settle. */
+    /**
+     * The platform checks readiness once a second and stops routing to this process after two failed checks; then the
+     * connections that it has routed need time to settle.
+     */
     private static final double MAX_ACCEPT_MS = 2_600;
-    /** Of a short grace: what was accepted last needs the remainder to be answered. */
+    /** Limit for a short grace period: the requests accepted last need the remaining time to be completed. */
     private static final double ACCEPT_FRACTION = 0.4;
 
     private static final double MAX_KILL_MARGIN_MS = 700;
     private static final double KILL_MARGIN_FRACTION = 0.2;
-    /** Before the end: for the last answers to leave. */
-    private static final double LAST_ANSWERS_MS = 100;
+    /** Reserved before the exit for sending the last responses. */
+    private static final double LAST_RESPONSES_MS = 100;
 
-    /** Until when new connections are accepted. */
+    /** Time until which new connections are accepted. */
     double acceptMs() {
         return Math.min(MAX_ACCEPT_MS, ACCEPT_FRACTION * graceMs);
     }
 
-    /** When what is still open gets the answer that is true by then. */
+    /** Time at which each request that is still open receives the response that matches its state. */
     double terminateMs() {
-        return endMs() - LAST_ANSWERS_MS;
+        return exitMs() - LAST_RESPONSES_MS;
     }
 
-    /** When the process ends at the latest. */
-    double endMs() {
+    /** Latest time at which the process exits. */
+    double exitMs() {
         return graceMs - Math.min(MAX_KILL_MARGIN_MS, KILL_MARGIN_FRACTION * graceMs);
     }
 
-    /** How long the last answers get to leave. */
-    static double lastAnswersMs() {
-        return LAST_ANSWERS_MS;
+    /** Time reserved for sending the last responses. */
+    static double lastResponsesMs() {
+        return LAST_RESPONSES_MS;
     }
 }
--- a/dataplane/src/main/java/dewplank/dataplane/FleetMetadata.java
+++ b/dataplane/src/main/java/dewplank/dataplane/FleetMetadata.java
@@ -20,22 +20,22 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The fleet's state as this data plane last took it over: configuration, endpoint list, membership. Configuration and
- * list only ever get newer, whichever session they come by. Written by {@link SessionClient}, read for each request; on
- * the event loop's thread only.
+ * The state of the fleet as this data plane last received it: configuration, endpoint list and membership. The
+ * configuration and the list are replaced by newer versions only, whichever session delivers them. Updated by the
+ * sessions of {@link SessionClient} and read for each request, on the event loop's thread only.
  */
 final class FleetMetadata {
     private static final Logger LOG = LoggerFactory.getLogger(FleetMetadata.class);
 
     private final Scheduler loop;
-    /** Null before the first. */
+    /** Null before the first configuration. */
     private Configuration configuration;
 
     private RouteTable routes;
     private double confirmedAtMs = Double.NEGATIVE_INFINITY;
     private EndpointListVersion listVersion = EndpointListVersion.NONE;
     private final Map<String, Server> servers = new LinkedHashMap<>();
-    private final Map<String, List<TrackedServer>> byService = new HashMap<>();
+    private final Map<String, List<TrackedServer>> serversByService = new HashMap<>();
     private List<Member> members = List.of();
     private long membersDigest;
     private int dataPlanes;
@@ -44,27 +44,27 @@
         this.loop = loop;
     }
 
-    /** Whether requests can be served: a configuration and an endpoint list are there, the list empty or not. */
+    /** Whether requests can be served: a configuration and an endpoint list, possibly empty, have been received. */
     boolean isComplete() {
         return configuration != null && !listVersion.equals(EndpointListVersion.NONE);
     }
 
-    /** The configuration in force; null before the first. */
+    /** The configuration in force; null before the first one. */
     Configuration configuration() {
         return configuration;
     }
 
-    /** The version in force; 0 before the first. */
+    /** The version of the configuration in force; 0 before the first one. */
     long configurationVersion() {
         return configuration == null ? 0 : configuration.version();
     }
 
-    /** The routes of the configuration in force; null before the first. */
+    /** The routes of the configuration in force; null before the first one. */
     RouteTable routes() {
         return routes;
     }
 
-    /** Puts a newer configuration in force; an older or equal one changes nothing. */
+    /** Applies a newer configuration; an older or equal version has no effect. */
     void updateConfiguration(Configuration newer) {
         if (newer.version() > configurationVersion()) {
             configuration = newer;
@@ -78,9 +78,9 @@
     }
 
     /**
-     * A quorum has confirmed that no configuration newer than that version had been chosen by that time.
+     * Records a quorum's confirmation that no configuration newer than the version had been chosen by the given time.
      *
-     * @return whether that version, or a newer one, is in force here; else nothing is recorded
+     * @return whether that version or a newer one is in force here; otherwise nothing is recorded
      */
     boolean confirmConfiguration(long version, double atMs) {
         if (version > configurationVersion()) {
@@ -91,8 +91,8 @@
     }
 
     /**
-     * Every configuration that was acknowledged before this time, by the loop's clock in milliseconds, is in force here
-     * or replaced by a newer one; negative infinity where that is known of none.
+     * Every configuration that was acknowledged before this time, in milliseconds of the loop's clock, is in force here
+     * or replaced by a newer one; negative infinity before the first confirmation.
      */
     double confirmedAtMs() {
         return confirmedAtMs;
@@ -104,21 +104,21 @@
     }
 
     /**
-     * Puts a newer endpoint list in force; an older or equal one changes nothing. A server that stays keeps its state;
-     * one that is missing or draining gets no new requests, and its idle connections end.
+     * Applies a newer endpoint list; an older or equal version has no effect. A server that remains in the list keeps
+     * its state. A server that is missing or draining receives no new requests, and its idle connections are closed.
      */
     void updateServers(EndpointList list) {
         if (list.version.compareTo(listVersion) <= 0) {
             return;
         }
         listVersion = list.version;
-        Set<String> named = new HashSet<>();
+        Set<String> listedIds = new HashSet<>();
         for (Endpoint entry : list.endpoints) {
-            named.add(entry.instanceId);
+            listedIds.add(entry.instanceId);
             addOrUpdate(entry);
         }
         List<Server> missing = servers.values().stream()
-                .filter(s -> !named.contains(s.state.instanceId()))
+                .filter(s -> !listedIds.contains(s.state.instanceId()))
                 .toList();
         missing.forEach(this::remove);
         indexByService();
@@ -138,7 +138,7 @@
         }
     }
 
-    /** Null is the stage of a service without an engine. */
+    /** Parses the stage of an endpoint, which is null for a service without an engine. */
     private static TrackedServer.Stage stage(String text) {
         if (text == null) {
             return TrackedServer.Stage.PLAIN;
@@ -157,23 +157,23 @@
     }
 
     private void indexByService() {
-        byService.clear();
-        servers.values().forEach(s -> byService
+        serversByService.clear();
+        servers.values().forEach(s -> serversByService
                 .computeIfAbsent(s.state.service(), k -> new ArrayList<>())
                 .add(s.state));
     }
 
-    /** All servers of the service that the list names; empty where it names none. */
+    /** All servers of the service in the endpoint list; empty if there are none. */
     List<TrackedServer> servers(String service) {
-        return byService.getOrDefault(service, List.of());
+        return serversByService.getOrDefault(service, List.of());
     }
 
-    /** Those of one stage. */
+    /** The service's servers in one stage. */
     List<TrackedServer> servers(String service, TrackedServer.Stage stage) {
         return servers(service).stream().filter(s -> s.stage() == stage).toList();
     }
 
-    /** The server with its connections; null once the list names it no more. */
+    /** The server with its connections; null if it is no longer in the endpoint list. */
     Server server(TrackedServer state) {
         return servers.get(state.instanceId());
     }
@@ -182,7 +182,7 @@
         return servers.values();
     }
 
-    /** Takes over the membership; the caller decides whose report counts. */
+    /** Replaces the membership; the caller decides whose report is used. */
     void updateMembers(List<Member> newer) {
         members = List.copyOf(newer);
         membersDigest = SessionTable.digest(members);
@@ -194,12 +194,12 @@
         return members;
     }
 
-    /** How many data planes the membership names, this one among them; 0 before the first report. */
+    /** The number of data planes in the membership, including this one; 0 before the first report. */
     int dataPlanes() {
         return dataPlanes;
     }
 
-    /** Tells control planes which membership is current here; 0 before the first. */
+    /** Identifies the current membership to control planes; 0 before the first report. */
     long membersDigest() {
         return membersDigest;
     }
--- a/dataplane/src/main/java/dewplank/dataplane/GracefulShutdown.java
+++ b/dataplane/src/main/java/dewplank/dataplane/GracefulShutdown.java
@@ -8,14 +8,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Drains a data plane on SIGTERM: serves on until the platform sends nobody new, answers what is open, and ends. {@link
- * #run} is called once, by the thread of the signal; all else happens on the event loop's thread.
+ * Drains a data plane on SIGTERM: continues to serve until the platform routes no new clients to it, completes the open
+ * requests, and closes all connections. {@link #run} is called once, by the thread that handles the signal; all else
+ * runs on the event loop's thread.
  */
 final class GracefulShutdown {
     private static final Logger LOG = LoggerFactory.getLogger(GracefulShutdown.class);
     private static final double POLL_INTERVAL_MS = 20;
-    /** After the end of accepting, for requests that are on their way on connections that are open. */
-    private static final double READ_ON_MS = 400;
+    /** After accepting has stopped, requests in transit on open connections are read for this time. */
+    private static final double FINAL_READ_MS = 400;
 
     private final EventLoop loop;
     private final Forwarder forwarder;
@@ -26,7 +27,7 @@
     private boolean started;
 
     /**
-     * @param closePeerConnections runs once nothing is open any more
+     * @param closePeerConnections runs once no request and no client connection is open
      */
     GracefulShutdown(
             EventLoop loop,
@@ -41,12 +42,12 @@
         this.closePeerConnections = closePeerConnections;
     }
 
-    /** Whether draining has begun. On the event loop's thread only. */
+    /** Whether draining has started. Called on the event loop's thread only. */
     boolean isStarted() {
         return started;
     }
 
-    /** Blocks until everything is answered and closed, or the time is over. */
+    /** Blocks until all requests are completed and all connections closed, or the time has elapsed. */
     void run() throws InterruptedException {
         loop.execute(this::start);
         if (!drained.await((long) schedule.terminateMs(), TimeUnit.MILLISECONDS)) {
@@ -54,7 +55,7 @@
                 LOG.warn("drain timeout openRequests={}", forwarder.openRequests());
                 forwarder.terminateAll();
             });
-            drained.await((long) DrainSchedule.lastAnswersMs(), TimeUnit.MILLISECONDS);
+            drained.await((long) DrainSchedule.lastResponsesMs(), TimeUnit.MILLISECONDS);
         }
     }
 
@@ -67,18 +68,18 @@
     private void stopAccepting() {
         forwarder.close();
         front.close();
-        endWhenIdle(loop.now() + READ_ON_MS);
+        completeDrainWhenIdle(loop.now() + FINAL_READ_MS);
     }
 
-    private void endWhenIdle(double readUntil) {
-        boolean unread = loop.now() >= readUntil;
-        forwarder.connections().forEach(c -> c.endIfIdle(unread));
+    private void completeDrainWhenIdle(double readUntil) {
+        boolean closePartlyRead = loop.now() >= readUntil;
+        forwarder.connections().forEach(c -> c.endIfIdle(closePartlyRead));
         if (forwarder.openConnections() == 0 && forwarder.openRequests() == 0 && !front.hasOpenConnections()) {
             closePeerConnections.run();
             LOG.info("drained");
             loop.after(POLL_INTERVAL_MS, drained::countDown);
         } else {
-            loop.after(POLL_INTERVAL_MS, () -> endWhenIdle(readUntil));
+            loop.after(POLL_INTERVAL_MS, () -> completeDrainWhenIdle(readUntil));
         }
     }
 }
--- a/dataplane/src/main/java/dewplank/dataplane/HealthGossip.java
+++ b/dataplane/src/main/java/dewplank/dataplane/HealthGossip.java
@@ -23,9 +23,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Exchanges summaries of servers' health with other data planes: sends its own once a second, and soon after a server
- * became or ceased to be suspect, to peers drawn at random; records theirs as votes. By datagrams, as one that is lost
- * does no harm. Methods on the event loop's thread only; a daemon thread receives.
+ * Exchanges summaries of servers' health with other data planes. It sends its own summary to randomly selected peers
+ * once a second, and soon after the set of suspected servers changes, and records the peers' summaries as votes. Uses
+ * datagrams, because the loss of a summary does no harm. The methods run on the event loop's thread only; a daemon
+ * thread receives.
  */
 final class HealthGossip {
     private static final Logger LOG = LoggerFactory.getLogger(HealthGossip.class);
@@ -51,7 +52,7 @@
         this.socket = new DatagramSocket(SocketAddresses.parse(self.address));
     }
 
-    /** Starts to receive, and to send at a random time within the first interval. */
+    /** Starts receiving, and starts sending at a random time within the first interval. */
     void start() {
         Thread thread = new Thread(this::receive, "peers");
         thread.setDaemon(true);
@@ -70,7 +71,7 @@
         loop.after(PARAMETERS.changeIntervalMs(), this::sendIfDue);
     }
 
-    /** The suspect servers, as summaries name them. */
+    /** The suspected servers, identified as in summaries. */
     private Set<Integer> suspected(double now) {
         Set<Integer> suspected = new HashSet<>();
         for (Server server : fleet.allServers()) {
@@ -81,7 +82,7 @@
         return suspected;
     }
 
-    /** Ends sending and receiving. */
+    /** Stops sending and receiving. */
     void close() {
         socket.close();
     }
@@ -115,16 +116,16 @@
                 healthy.add(new HealthSummary.Healthy(hash, now - outcomes.lastSuccessAtMs()));
             }
         }
-        healthy.sort(
-                Comparator.comparingDouble(HealthSummary.Healthy::ageMs)); // what does not fit is cut off at the end
+        // The encoding cuts off entries at the end that do not fit, so the latest successes come first.
+        healthy.sort(Comparator.comparingDouble(HealthSummary.Healthy::ageMs));
         return new HealthSummary(self.incarnation, ++sequence, suspected, healthy);
     }
 
-    /** A member with a malformed address, which its own session named, must not keep summaries from the others. */
+    /** A member may report a malformed address in its session; this must not prevent summaries to the others. */
     private void send(byte[] bytes, Member to) {
         try {
             socket.send(new DatagramPacket(bytes, bytes.length, SocketAddresses.parse(to.address)));
-        } catch (IOException | IllegalArgumentException e) { // the next summary may reach it
+        } catch (IOException | IllegalArgumentException e) { // the next summary may reach the peer
             LOG.debug("health summary not sent peer={}", to.address, e);
         }
     }
@@ -136,7 +137,7 @@
             try {
                 socket.receive(packet);
             } catch (IOException e) {
-                continue; // closed, or a peer's refusal of an earlier datagram
+                continue; // the socket is closed, or a peer's host rejected an earlier datagram
             }
             byte[] bytes = Arrays.copyOf(buffer, packet.getLength());
             Optional<HealthSummary> summary = HealthSummary.decode(bytes);
--- a/dataplane/src/main/java/dewplank/dataplane/ParkedRequests.java
+++ b/dataplane/src/main/java/dewplank/dataplane/ParkedRequests.java
@@ -6,23 +6,23 @@
 import java.util.Map;
 
 /**
- * Requests that came before there was a configuration and an endpoint list: what is needed to serve them comes within
- * moments of the start, if at all. On the event loop's thread only.
+ * Requests that arrived before the first configuration and endpoint list. Both are received shortly after the start, if
+ * at all, so the requests wait for them for a limited time. Used on the event loop's thread only.
  */
 final class ParkedRequests {
-    /** From the start of a process to its first configuration takes less. */
+    /** A process receives its first configuration within less time after its start. */
     private static final double TIMEOUT_MS = 900;
 
     private static final int MAX_PARKED = 512;
 
     /**
-     * One request that waits.
+     * A parked request.
      *
-     * @param arrivedAt when its first byte came: its client's time counts from there
+     * @param arrivedAt when its first byte arrived, which is when the request's time limit starts
      */
     private record Parked(InboundConnection.Request request, double arrivedAt) {}
 
-    /** Takes a request that has waited long enough. */
+    /** Handles a released request. */
     interface Handler {
         void handle(InboundConnection.Request request, InboundConnection connection, double arrivedAt);
     }
@@ -47,26 +47,26 @@
     }
 
     /**
-     * Keeps the request until it is released or dropped; not to be called when full.
+     * Stores the request until it is released or dropped. Must not be called when full.
      *
-     * @param timedOut runs when it has waited too long; it is dropped then
+     * @param onTimeout runs if the request is neither released nor dropped in time; it is removed before
      */
-    void park(InboundConnection.Request request, InboundConnection connection, Runnable timedOut) {
+    void park(InboundConnection.Request request, InboundConnection connection, Runnable onTimeout) {
         Parked waiting = new Parked(request, connection.waitingSince());
         parked.put(connection, waiting);
         loop.after(TIMEOUT_MS, () -> {
             if (parked.remove(connection, waiting)) {
-                timedOut.run();
+                onTimeout.run();
             }
         });
     }
 
-    /** The client has disconnected. */
+    /** Drops the request of a client that has disconnected, if there is one. */
     void drop(InboundConnection connection) {
         parked.remove(connection);
     }
 
-    /** Hands all of them on, in the order in which they came. */
+    /** Passes all requests to the handler in the order in which they were parked. */
     void releaseAll(Handler handler) {
         Map<InboundConnection, Parked> released = new LinkedHashMap<>(parked);
         parked.clear();
--- a/dataplane/src/main/java/dewplank/dataplane/PendingHeartbeats.java
+++ b/dataplane/src/main/java/dewplank/dataplane/PendingHeartbeats.java
@@ -5,8 +5,8 @@
 import java.util.OptionalDouble;
 
 /**
- * The heartbeats of one session that were sent and not acknowledged yet, oldest first. An acknowledgement tells of the
- * time of its heartbeat at the earliest, however long it was on its way.
+ * The heartbeats of one session that were sent and not acknowledged yet, oldest first. An acknowledgement may be
+ * delayed for any time, so the state that it reports is dated by the time at which its heartbeat was sent.
  */
 final class PendingHeartbeats {
     private record Pending(long sequence, double sentAt) {}
@@ -15,7 +15,7 @@
     private final Deque<Pending> pending = new ArrayDeque<>();
 
     /**
-     * @param maxPending beyond which the oldest is forgotten
+     * @param maxPending maximum number of heartbeats; beyond it, the oldest is discarded
      */
     PendingHeartbeats(int maxPending) {
         this.maxPending = maxPending;
@@ -28,7 +28,7 @@
         }
     }
 
-    /** When exactly that heartbeat was sent; empty where that is not remembered. */
+    /** When the heartbeat with exactly this sequence number was sent; empty if it is not stored. */
     OptionalDouble sentAt(long sequence) {
         return pending.stream()
                 .filter(heartbeat -> heartbeat.sequence() == sequence)
@@ -37,15 +37,15 @@
     }
 
     /**
-     * Forgets the heartbeats before the acknowledged one, and says when that one was sent, or the next one that is
-     * remembered.
+     * Discards the heartbeats before the acknowledged one. Returns when that one was sent or, if it is not stored, when
+     * the next one that is stored was sent.
      *
-     * @param otherwise the answer where none is remembered
+     * @param defaultValue the result if no heartbeat is stored
      */
-    double acknowledge(long sequence, double otherwise) {
+    double acknowledge(long sequence, double defaultValue) {
         while (!pending.isEmpty() && pending.peek().sequence() < sequence) {
             pending.remove();
         }
-        return pending.isEmpty() ? otherwise : pending.peek().sentAt();
+        return pending.isEmpty() ? defaultValue : pending.peek().sentAt();
     }
 }
--- a/dataplane/src/main/java/dewplank/dataplane/QuotaClient.java
+++ b/dataplane/src/main/java/dewplank/dataplane/QuotaClient.java
@@ -16,38 +16,41 @@
 import java.util.Optional;
 
 /**
- * Acquires a token for each request of a tenant with a limit, from the control planes that this data plane has sessions
- * with ({@code docs/design-quotas.md}). Requests of one tenant wait together for one reply at a time. On the event
- * loop's thread only.
+ * Acquires a token for each request of a tenant with a limit, from the control planes with which this data plane has
+ * sessions ({@code docs/design-quotas.md}). All waiting requests of a tenant share one pending quota request. Used on
+ * the event loop's thread only.
  */
 final class QuotaClient {
-    /** A control plane that has not replied by then is taken to be gone: it asks the others itself meanwhile. */
+    /**
+     * A control plane that has not replied within this time is considered unavailable; the time includes its own
+     * requests to the other control planes.
+     */
     private static final double REPLY_TIMEOUT_MS = 200;
-    /** Control planes that are asked before a request is given up: as many as there are sessions. */
+    /** Maximum number of control planes queried for a tenant's waiting requests: as many as there are sessions. */
     private static final int MAX_ATTEMPTS = 2;
-    /** Requests that wait, of all tenants. */
+    /** Maximum number of waiting requests of all tenants. */
     private static final int MAX_WAITING = 1_024;
 
-    /** What is decided on a request. */
+    /** The decision on a request. */
     sealed interface Decision {
-        /** It may be sent. */
+        /** The request may be sent. */
         record Admitted() implements Decision {}
 
-        /** Its tenant has used up its quota for so many milliseconds. */
+        /** The tenant's quota is exhausted; the next token is available after the given time. */
         record Exhausted(double retryAfterMs) implements Decision {}
 
-        /** No control plane could tell. */
+        /** No control plane could decide. */
         record Unavailable() implements Decision {}
     }
 
-    /** Takes the decision on one request, at once or later. */
+    /** Receives the decision on one request, immediately or later. */
     interface Callback {
-        void decided(Decision decision);
+        void onDecision(Decision decision);
     }
 
-    /** The control planes that can be asked. */
+    /** The control planes to which quota requests can be sent. */
     interface ControlPlanes {
-        /** An open session, with another control plane than the tried one if there is one; empty where none is open. */
+        /** An open session, if possible another one than {@code tried}; empty if none is open. */
         Optional<ControlSession> sessionOtherThan(Optional<ControlSession> tried);
     }
 
@@ -57,67 +60,67 @@
     private final Scheduler loop;
     private final QuotaTerms terms;
     private final Map<String, TenantQueue> queues = new HashMap<>();
-    private final Map<Long, TenantQueue> pending = new HashMap<>();
+    private final Map<Long, TenantQueue> pendingRequests = new HashMap<>();
     private ControlPlanes controlPlanes = tried -> Optional.empty();
     private int waitingRequests;
-    private long lastId;
+    private long lastRequestId;
 
     QuotaClient(Scheduler loop, QuotaTerms terms) {
         this.loop = loop;
         this.terms = terms;
     }
 
-    /** Sets where tokens are asked for; before, no control plane can tell. */
+    /** Sets the control planes; before the first call, none is available. */
     void connect(ControlPlanes next) {
         controlPlanes = next;
     }
 
-    /** Acquires a token of the tenant; one without a limit needs none. */
-    void acquire(Tenant tenant, Callback then) {
+    /** Acquires a token of the tenant; a tenant without a limit needs none. */
+    void acquire(Tenant tenant, Callback callback) {
         if (!tenant.isLimited()) {
-            then.decided(ADMITTED);
+            callback.onDecision(ADMITTED);
             return;
         }
-        queues.computeIfAbsent(tenant.name(), TenantQueue::new).acquire(then);
+        queues.computeIfAbsent(tenant.name(), TenantQueue::new).acquire(callback);
     }
 
-    /** A control plane has replied; a reply that comes too late is ignored, and its tokens lapse. */
-    void replied(QuotaReply reply) {
-        TenantQueue queue = pending.remove(reply.id);
+    /** Handles a control plane's reply. A late reply is ignored, and its tokens expire unused. */
+    void onReply(QuotaReply reply) {
+        TenantQueue queue = pendingRequests.remove(reply.id);
         if (queue != null) {
-            queue.replied(reply);
+            queue.onReply(reply);
         }
     }
 
-    /** The session has ended: what was asked for by it is asked for by another one. */
-    void sessionEnded(ControlSession session) {
-        for (TenantQueue queue : List.copyOf(pending.values())) {
-            if (queue.isAsking(session)) {
-                queue.onUnanswered();
+    /** Repeats the quota requests that were pending in a closed session over another session. */
+    void sessionClosed(ControlSession session) {
+        for (TenantQueue queue : List.copyOf(pendingRequests.values())) {
+            if (queue.isPendingIn(session)) {
+                queue.onNoReply();
             }
         }
     }
 
-    /** A configuration is in force: forgets tenants that it does not have. */
+    /** Removes idle tenants that are not in the configuration in force; called when a configuration takes effect. */
     void retainTenants(TenantDirectory tenants) {
         queues.values()
                 .removeIf(queue ->
                         queue.isIdle() && tenants.findByName(queue.tenant).isEmpty());
     }
 
-    /** One tenant's requests that wait for tokens, and the tokens that wait for requests. */
+    /** One tenant's requests that wait for tokens, and its unused tokens. */
     private final class TenantQueue {
         private final String tenant;
         private final TokenStock stock = new TokenStock(terms.tokenLifetimeMs());
         private final Deque<Callback> waiting = new ArrayDeque<>();
-        private Optional<ControlSession> asked = Optional.empty();
-        /** Null while nothing is asked for. */
+        private Optional<ControlSession> session = Optional.empty();
+        /** Null while no quota request is pending. */
         private Scheduler.Timer timeout;
 
-        private long id;
-        private double askedAt;
-        /** Requests that waited when tokens were asked for: their tokens need no lifetime. */
-        private int waitingWhenAsked;
+        private long requestId;
+        private double requestedAt;
+        /** The number of requests that waited when tokens were requested; the lifetime does not limit their tokens. */
+        private int waitingAtRequest;
 
         private int attempts;
 
@@ -129,99 +132,99 @@
             return waiting.isEmpty() && timeout == null;
         }
 
-        boolean isAsking(ControlSession session) {
-            return timeout != null && asked.isPresent() && asked.get() == session;
+        boolean isPendingIn(ControlSession closed) {
+            return timeout != null && session.isPresent() && session.get() == closed;
         }
 
-        void acquire(Callback then) {
+        void acquire(Callback callback) {
             double now = loop.now();
             stock.recordRequest(now);
             if (waiting.isEmpty() && stock.tryTake(now)) {
-                then.decided(ADMITTED);
+                callback.onDecision(ADMITTED);
             } else if (stock.isRefused(now)) {
-                then.decided(new Decision.Exhausted(stock.refusedUntilMs() - now));
+                callback.onDecision(new Decision.Exhausted(stock.refusedUntilMs() - now));
             } else if (waitingRequests >= MAX_WAITING) {
-                then.decided(UNAVAILABLE);
+                callback.onDecision(UNAVAILABLE);
             } else {
-                waiting.add(then);
+                waiting.add(callback);
                 waitingRequests++;
-                askIfNeeded();
+                requestTokensIfNeeded();
             }
         }
 
-        private void askIfNeeded() {
+        private void requestTokensIfNeeded() {
             if (timeout == null && !waiting.isEmpty()) {
                 attempts = 0;
-                asked = Optional.empty();
-                ask();
+                session = Optional.empty();
+                requestTokens();
             }
         }
 
-        private void ask() {
-            asked = controlPlanes.sessionOtherThan(asked);
-            if (asked.isEmpty() || attempts == MAX_ATTEMPTS) {
-                end(UNAVAILABLE);
+        private void requestTokens() {
+            session = controlPlanes.sessionOtherThan(session);
+            if (session.isEmpty() || attempts == MAX_ATTEMPTS) {
+                decideAll(UNAVAILABLE);
                 return;
             }
             attempts++;
-            askedAt = loop.now();
-            id = ++lastId;
-            pending.put(id, this);
-            timeout = loop.after(REPLY_TIMEOUT_MS, this::onUnanswered);
-            waitingWhenAsked = waiting.size();
-            int tokens = Math.max(waiting.size(), stock.tokensToRequest(askedAt));
-            asked.get().send(new QuotaRequest(id, tenant, tokens, false));
+            requestedAt = loop.now();
+            requestId = ++lastRequestId;
+            pendingRequests.put(requestId, this);
+            timeout = loop.after(REPLY_TIMEOUT_MS, this::onNoReply);
+            waitingAtRequest = waiting.size();
+            int tokens = Math.max(waiting.size(), stock.tokensToRequest(requestedAt));
+            session.get().send(new QuotaRequest(requestId, tenant, tokens, false));
         }
 
-        void onUnanswered() {
-            stopAsking();
-            ask();
+        void onNoReply() {
+            endPendingRequest();
+            requestTokens();
         }
 
-        private void stopAsking() {
-            pending.remove(id);
+        private void endPendingRequest() {
+            pendingRequests.remove(requestId);
             if (timeout != null) {
                 timeout.cancel();
                 timeout = null;
             }
         }
 
-        void replied(QuotaReply reply) {
-            stopAsking();
+        void onReply(QuotaReply reply) {
+            endPendingRequest();
             switch (reply.outcome) {
                 case GRANTED -> onGranted(reply.tokens);
                 case EXHAUSTED -> {
                     stock.recordRefusal(loop.now(), reply.retryAfterMs);
-                    end(new Decision.Exhausted(reply.retryAfterMs));
+                    decideAll(new Decision.Exhausted(reply.retryAfterMs));
                 }
-                default -> ask();
+                default -> requestTokens();
             }
         }
 
         private void onGranted(int tokens) {
             double now = loop.now();
-            int forWaiting = Math.min(tokens, waitingWhenAsked);
-            stock.add(now, tokens - forWaiting, askedAt);
-            for (int token = 0; token < forWaiting; token++) {
+            int tokensForWaiting = Math.min(tokens, waitingAtRequest);
+            stock.add(now, tokens - tokensForWaiting, requestedAt);
+            for (int token = 0; token < tokensForWaiting; token++) {
                 admitNext();
             }
             while (!waiting.isEmpty() && stock.tryTake(now)) {
                 admitNext();
             }
-            askIfNeeded();
+            requestTokensIfNeeded();
         }
 
         private void admitNext() {
             waitingRequests--;
-            waiting.remove().decided(ADMITTED);
+            waiting.remove().onDecision(ADMITTED);
         }
 
-        /** Decides so on all that wait. */
-        private void end(Decision decision) {
-            List<Callback> decided = new ArrayList<>(waiting);
+        /** Passes the decision to all waiting requests. */
+        private void decideAll(Decision decision) {
+            List<Callback> callbacks = new ArrayList<>(waiting);
             waiting.clear();
-            waitingRequests -= decided.size();
-            decided.forEach(callback -> callback.decided(decision));
+            waitingRequests -= callbacks.size();
+            callbacks.forEach(callback -> callback.onDecision(decision));
         }
     }
 }
--- a/dataplane/src/main/java/dewplank/dataplane/ReadinessEndpoint.java
+++ b/dataplane/src/main/java/dewplank/dataplane/ReadinessEndpoint.java
@@ -9,11 +9,11 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Answers the platform's readiness checks: 200 while this data plane takes clients' connections, else 503. On the event
- * loop's thread only.
+ * Responds to the platform's readiness checks with 200 while this data plane is ready for clients' requests, and with
+ * 503 otherwise. Used on the event loop's thread only.
  */
 final class ReadinessEndpoint implements InboundConnection.Service {
-    /** The platform checks each second; a connection that is idle for long would take the place of another one. */
+    /** Idle connections are closed because their number is limited; the platform checks once a second. */
     static final double MAX_IDLE_MS = 30_000;
 
     private final EventLoop loop;
@@ -27,33 +27,33 @@
         router.path("readiness").on("GET", 200);
     }
 
-    /** The handler of a new connection. */
+    /** Creates the handler of a new connection. */
     InboundConnection newConnection() {
         InboundConnection connection = new InboundConnection(loop, this);
         connections.add(connection);
         return connection;
     }
 
-    /** Ends idle connections: behind a network partition the other end's close may never come. */
+    /** Closes idle connections, because the other end's close may never arrive after a network partition. */
     void sweep() {
         List.copyOf(connections).forEach(c -> c.timeOutAfter(MAX_IDLE_MS));
     }
 
     @Override
-    public void connectionEnded(InboundConnection caller) {
-        connections.remove(caller);
+    public void connectionEnded(InboundConnection connection) {
+        connections.remove(connection);
     }
 
     @Override
-    public void handle(InboundConnection.Request request, InboundConnection caller) {
+    public void handle(InboundConnection.Request request, InboundConnection connection) {
         PathRouter.Match<Integer> match = router.find(request.method(), request.target());
         if (match.handler() != null) {
-            caller.answer(ready.getAsBoolean() ? match.handler() : 503);
+            connection.answer(ready.getAsBoolean() ? match.handler() : 503);
         } else {
-            caller.answer(match.pathExists() ? 405 : 404);
+            connection.answer(match.pathExists() ? 405 : 404);
         }
     }
 
     @Override
-    public void callerGone(InboundConnection caller) {}
+    public void callerGone(InboundConnection connection) {}
 }
--- a/dataplane/src/main/java/dewplank/dataplane/RequestAdmission.java
+++ b/dataplane/src/main/java/dewplank/dataplane/RequestAdmission.java
@@ -12,15 +12,15 @@
 import java.util.Optional;
 
 /**
- * Decides whether a client's request is served: whether it has a route, an access key that allows it, and a token of
- * its tenant's quota, for which it may have to wait. One that is not served is answered here. Called by the {@link
- * Forwarder}; on the event loop's thread only.
+ * Decides whether a client's request is served: it needs a route, an access key that allows it, and a token of its
+ * tenant's quota, for which it may have to wait. Sends the response to a request that is not served. Called by the
+ * {@link Forwarder} on the event loop's thread only.
  */
 final class RequestAdmission {
     private static final double MS_PER_SECOND = 1_000;
 
-    /** Takes a request that is served. */
-    interface Next {
+    /** Serves an admitted request. */
+    interface AdmittedHandler {
         void start(
                 InboundConnection.Request request,
                 InboundConnection connection,
@@ -33,22 +33,26 @@
     private final AccessControl accessControl;
     private final QuotaClient quotas;
     private final Counters counters;
-    private final Next next;
+    private final AdmittedHandler admittedHandler;
     private final Map<InboundConnection, Candidate> awaitingQuota = new HashMap<>();
 
     RequestAdmission(
-            FleetMetadata fleet, AccessControl accessControl, QuotaClient quotas, Counters counters, Next next) {
+            FleetMetadata fleet,
+            AccessControl accessControl,
+            QuotaClient quotas,
+            Counters counters,
+            AdmittedHandler admittedHandler) {
         this.fleet = fleet;
         this.accessControl = accessControl;
         this.quotas = quotas;
         this.counters = counters;
-        this.next = next;
+        this.admittedHandler = admittedHandler;
     }
 
     /**
-     * Decides on a request, at once or later; there must be a configuration.
+     * Decides on a request, immediately or later. A configuration must be in force.
      *
-     * @param arrivedAt when its first byte came, by the loop's clock in milliseconds
+     * @param arrivedAt when the request's first byte arrived, in milliseconds of the loop's clock
      */
     void decide(InboundConnection.Request request, InboundConnection connection, double arrivedAt) {
         decide(request, connection, arrivedAt, false);
@@ -67,7 +71,7 @@
         new Candidate(request, connection, route, credentials, arrivedAt, hasToken).authorize();
     }
 
-    /** Rejects a request that has not been sent anywhere, and says when to come back. */
+    /** Rejects a request that has not been sent to a server; the response states when to retry. */
     void reject(InboundConnection connection, double retryAfterMs) {
         counters.add(Count.REFUSED);
         connection.answer(503, List.of(retryAfter(retryAfterMs)), new byte[0]);
@@ -77,24 +81,24 @@
         return new Headers.Field("Retry-After", String.format(Locale.ROOT, "%.3f", ms / MS_PER_SECOND));
     }
 
-    /** The client has disconnected. */
+    /** Drops the waiting request of a client that has disconnected, if there is one. */
     void drop(InboundConnection connection) {
         awaitingQuota.remove(connection);
     }
 
-    /** Requests that wait for a token. */
+    /** The number of requests that wait for a token. */
     int waiting() {
         return awaitingQuota.size();
     }
 
-    /** The process ends: rejects all requests that wait. */
+    /** Rejects all waiting requests at shutdown. */
     void rejectAll() {
         List<InboundConnection> connections = List.copyOf(awaitingQuota.keySet());
         awaitingQuota.clear();
         connections.forEach(connection -> reject(connection, Forwarder.RETRY_AFTER_MS));
     }
 
-    /** A request with a route, on which nothing else is decided yet. */
+    /** A request that has a route and is not authorized yet. */
     private final class Candidate {
         private final InboundConnection.Request request;
         private final InboundConnection connection;
@@ -134,12 +138,13 @@
 
         private void acquireToken(Optional<Tenant> tenant) {
             if (hasToken || tenant.isEmpty()) {
-                next.start(request, connection, route, credentials, arrivedAt);
+                admittedHandler.start(request, connection, route, credentials, arrivedAt);
                 return;
             }
             awaitingQuota.put(connection, this);
             quotas.acquire(tenant.get(), decision -> {
-                if (awaitingQuota.remove(connection, this)) { // else its client is gone, or was answered
+                if (awaitingQuota.remove(
+                        connection, this)) { // otherwise the client has disconnected or received a response
                     onQuotaDecided(decision);
                 }
             });
@@ -153,8 +158,8 @@
                 counters.add(Count.QUOTA_UNAVAILABLE);
                 reject(connection, Forwarder.RETRY_AFTER_MS);
             } else if (fleet.configurationVersion() == configurationVersion) {
-                next.start(request, connection, route, credentials, arrivedAt);
-            } else { // the route may be another one by now
+                admittedHandler.start(request, connection, route, credentials, arrivedAt);
+            } else { // the route may have changed meanwhile
                 decide(request, connection, arrivedAt, true);
             }
         }
--- a/dataplane/src/main/java/dewplank/dataplane/SessionClient.java
+++ b/dataplane/src/main/java/dewplank/dataplane/SessionClient.java
@@ -13,20 +13,21 @@
 import java.util.stream.Collectors;
 
 /**
- * Holds this data plane's sessions with control planes: two at a time, with different ones. A session ends at a
- * heartbeat time-out, or when its control plane has had no quorum for a while and there is another to replace it.
+ * Maintains this data plane's sessions with control planes: two at a time, with different control planes. A session is
+ * closed at a heartbeat timeout, or when its control plane has had no quorum for a while and another can replace it.
  *
- * <p>Updates of a control plane without a quorum may be old. Where there is a configuration already this is harmless,
- * as only newer versions are applied. A data plane without one, after its start, defers such updates until a control
- * plane with a quorum has sent more, or for half of {@code contact_ms}: after a restart of everything there may be
- * no quorum for a while, and by then one that can reach a quorum's side has had the time to find it.
+ * <p>Updates from a control plane without a quorum may be outdated. If there is a configuration this is harmless, since
+ * only newer versions are applied. A data plane that has no configuration after its start defers such updates until it
+ * has received one from a control plane with a quorum, or for half of {@code contact_ms}: after a restart of the whole
+ * fleet there may be no quorum for a while, and a data plane that can reach a control plane with a quorum has had time
+ * to find it by then.
  *
- * <p>Created and started by {@link DataPlane}, and by the simulation; on the scheduler's thread only.
+ * <p>Created and started by {@link DataPlane} and by the simulation; used on the scheduler's thread only.
  */
 final class SessionClient {
-    /** Jitter takes a backoff from this much to this much plus one of its mean. */
+    /** A backoff is its mean times a random factor between this value and this value plus one. */
     private static final double MIN_JITTER_FACTOR = 0.5;
-    /** A look that comes later than this many intervals shows that this process did not run. */
+    /** A tick more than this many heartbeat intervals after the previous one shows that the process was paused. */
     private static final double STALL_INTERVALS = 2;
 
     private final Scheduler loop;
@@ -34,10 +35,10 @@
     private final Member self;
     private final FleetMetadata fleet;
     private final RandomGenerator random;
-    private final Runnable updated;
+    private final Runnable onUpdate;
     private final SessionParameters parameters = SessionParameters.DEFAULTS;
     private final double maxDeferralMs;
-    /** Takes replies about tokens; none before {@link #serve}. */
+    /** Receives quota replies; empty before {@link #connectQuotaClient}. */
     private Optional<QuotaClient> quotas = Optional.empty();
 
     private final ControlAddresses addresses = new ControlAddresses();
@@ -46,12 +47,12 @@
     private double deferralEndsAt = Double.POSITIVE_INFINITY;
     private double lastTickAt = Double.POSITIVE_INFINITY;
     private long sequence;
-    private int nextSession;
+    private int nextSessionIndex;
     private boolean closed;
 
     /**
-     * @param contactMs the settings' bound {@code contact_ms}
-     * @param updated runs after each update that was applied
+     * @param contactMs the setting {@code contact_ms}
+     * @param onUpdate runs after each applied update
      */
     SessionClient(
             Scheduler loop,
@@ -60,23 +61,23 @@
             FleetMetadata fleet,
             RandomGenerator random,
             double contactMs,
-            Runnable updated) {
+            Runnable onUpdate) {
         this.loop = loop;
         this.transport = transport;
         this.self = self;
         this.fleet = fleet;
         this.random = random;
         this.maxDeferralMs = contactMs * parameters.contactFraction();
-        this.updated = updated;
+        this.onUpdate = onUpdate;
     }
 
-    /** Lets the client ask for tokens by the sessions. */
-    void serve(QuotaClient client) {
+    /** Lets the quota client send its requests over the sessions. */
+    void connectQuotaClient(QuotaClient client) {
         quotas = Optional.of(client);
         client.connect(this::sessionOtherThan);
     }
 
-    /** The next one in turn, so that all control planes are asked alike; one with a quorum if there is one. */
+    /** The next session in round-robin order, so that the load is spread evenly; one with a quorum if possible. */
     private Optional<ControlSession> sessionOtherThan(Optional<ControlSession> tried) {
         List<ControlSession> open =
                 new ArrayList<>(sessions.stream().filter(ControlSession::isOpen).toList());
@@ -86,10 +87,12 @@
         if (open.stream().anyMatch(ControlSession::isQuorate)) {
             open.removeIf(session -> !session.isQuorate());
         }
-        return open.isEmpty() ? Optional.empty() : Optional.of(open.get(Math.floorMod(nextSession++, open.size())));
+        return open.isEmpty()
+                ? Optional.empty()
+                : Optional.of(open.get(Math.floorMod(nextSessionIndex++, open.size())));
     }
 
-    /** Sets the addresses of the settings, which are retained however long nobody answers there. */
+    /** Sets the seeds from the settings, which are retained even if no control plane is reachable there. */
     void setSeeds(Collection<String> seeds) {
         addresses.setSeeds(loop.now(), seeds, addressesInUse());
     }
@@ -107,7 +110,7 @@
         tick();
     }
 
-    /** Ends all sessions, and opens none from here on. */
+    /** Closes all sessions, and opens no further ones. */
     void close() {
         closed = true;
         List.copyOf(sessions).forEach(ControlSession::close);
@@ -118,13 +121,13 @@
             return;
         }
         double now = loop.now();
-        double sinceTickMs = now - lastTickAt;
-        if (sinceTickMs > STALL_INTERVALS * parameters.heartbeatIntervalMs()) {
-            sessions.forEach(s -> s.excludeStall(sinceTickMs - parameters.heartbeatIntervalMs()));
+        double sinceLastTickMs = now - lastTickAt;
+        if (sinceLastTickMs > STALL_INTERVALS * parameters.heartbeatIntervalMs()) {
+            sessions.forEach(s -> s.excludeStall(sinceLastTickMs - parameters.heartbeatIntervalMs()));
         }
         lastTickAt = now;
         List.copyOf(sessions).forEach(ControlSession::tick);
-        if (openSessions() > 0) { // else any address may be the last one that leads to the others
+        if (openSessions() > 0) { // otherwise any address may be the only one through which the others can be found
             addresses.evictExpired(loop.now(), addressesInUse());
         }
         closeExtraSessions();
@@ -144,7 +147,7 @@
         }
     }
 
-    /** Without a configuration, a session without a quorum is the last resort, and another is opened beside it. */
+    /** Without a configuration, a session without a quorum is retained as a fallback and another one is opened. */
     private int extraSessions() {
         if (hasConfiguration()) {
             return 0;
@@ -154,7 +157,7 @@
         return (int) Math.min(parameters.maxExtraSessions(), withoutQuorum);
     }
 
-    /** Once there is a configuration the extra sessions end, those without a quorum first. */
+    /** Closes the extra sessions once there is a configuration, those without a quorum first. */
     private void closeExtraSessions() {
         for (boolean quorate : new boolean[] {false, true}) {
             for (ControlSession session : List.copyOf(sessions)) {
@@ -165,7 +168,7 @@
         }
     }
 
-    /** An eligible address, drawn at random; null where there is none. */
+    /** A random eligible address; null if there is none. */
     private String pickAddress() {
         List<String> eligible = addresses.eligible(loop.now(), addressesInUse());
         return eligible.isEmpty() ? null : eligible.get(random.nextInt(eligible.size()));
@@ -179,7 +182,7 @@
         return fleet.configurationVersion() != 0;
     }
 
-    /** What the sessions see of this client. */
+    /** Handles the sessions' events and queries. */
     private final class SessionOwner implements ControlSession.Owner {
         @Override
         public long nextSequence() {
@@ -196,7 +199,7 @@
             return sessions.stream().anyMatch(s -> s.isQuorate() && s.isOpen());
         }
 
-        /** Draws an address like {@link #openMissingSessions}, so that a seed's history plays again exactly. */
+        /** Draws an address as {@link #openMissingSessions} does, so that a seed reproduces its simulation run. */
         @Override
         public boolean hasReplacement() {
             return pickAddress() != null;
@@ -213,20 +216,20 @@
         }
 
         @Override
-        public void quotaReplied(QuotaReply reply) {
-            quotas.ifPresent(client -> client.replied(reply));
+        public void quotaReplyReceived(QuotaReply reply) {
+            quotas.ifPresent(client -> client.onReply(reply));
         }
 
         @Override
         public void updateApplied() {
-            updated.run();
+            onUpdate.run();
         }
 
         @Override
-        public void sessionEnded(ControlSession session) {
+        public void sessionClosed(ControlSession session) {
             sessions.remove(session);
-            quotas.ifPresent(client -> client.sessionEnded(session));
-            double backoffMs = parameters.redialBackoffMs() * (MIN_JITTER_FACTOR + random.nextDouble());
+            quotas.ifPresent(client -> client.sessionClosed(session));
+            double backoffMs = parameters.reconnectBackoffMs() * (MIN_JITTER_FACTOR + random.nextDouble());
             addresses.backOff(session.address(), loop.now() + backoffMs);
             openMissingSessions();
         }
--- a/dataplane/src/main/java/dewplank/dataplane/SocketAddresses.java
+++ b/dataplane/src/main/java/dewplank/dataplane/SocketAddresses.java
@@ -4,14 +4,14 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Parses the addresses of the form IP:PORT by which programs of the fleet name each other. */
+/** Parses addresses of the form IP:PORT, by which processes of the fleet identify each other. */
 final class SocketAddresses {
     private SocketAddresses() {}
 
     /**
-     * The address; never looks a name up, as there is no name service beside a sidecar.
+     * Parses an address. Never resolves a host name, because no name service is available next to a sidecar.
      *
-     * @throws IllegalArgumentException where the text has another form
+     * @throws IllegalArgumentException if the text has another form
      */
     static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
@@ -22,9 +22,9 @@
                 ip[i] = (byte) Integer.parseInt(parts[i]);
             }
             return new InetSocketAddress(InetAddress.getByAddress(ip), Integer.parseInt(text.substring(colon + 1)));
-        } catch (UnknownHostException // no IPv4 or IPv6 length
+        } catch (UnknownHostException // not the length of an IPv4 or IPv6 address
                 | IndexOutOfBoundsException // no colon
-                | IllegalArgumentException e) { // a part that is no number, or a port beyond 65,535
+                | IllegalArgumentException e) { // a part that is not a number, or a port above 65,535
             throw new IllegalArgumentException("not an address of the form IP:PORT: " + text, e);
         }
     }
--- a/dataplane/src/test/java/dewplank/dataplane/AccessKeyTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/AccessKeyTest.java
@@ -29,7 +29,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Which requests need an access key, which keys are served, and what follows when a key is added or taken away. */
+/** Which requests require an access key, which keys are accepted, and the effects of adding and revoking keys. */
 class AccessKeyTest {
     private static final TestRoute[] ROUTES = {
         safeRoute("safe", 3),
@@ -58,7 +58,7 @@
         net.close();
     }
 
-    /** A list of one tenant without a limit, which has these keys. */
+    /** A list of one tenant without a limit and with these keys. */
     private static String tenantWithKeys(String... keys) {
         String list = Arrays.stream(keys).map(key -> "\"" + key + "\"").collect(Collectors.joining(","));
         return "[{\"name\":\"acme\",\"access_keys\":[" + list + "],\"priority\":1,\"rate_per_s\":0,\"burst_size\":0}]";
@@ -72,34 +72,34 @@
         net.tenants(json, ROUTES);
     }
 
-    private void takeAllKeysAway() throws Exception {
+    private void revokeAllKeys() throws Exception {
         changeTenants(tenantWithKeys());
     }
 
-    /** Waits until the client is answered or a server gets a request, whichever is first. */
-    private void awaitAnswerOrCall(Wire client) throws Exception {
+    /** Waits until the client receives a response or a server receives a request, whichever is first. */
+    private void awaitResponseOrCall(Wire client) throws Exception {
         OnLoop.await(net.loop, () -> client.hasBytes() || !net.servers.calls.isEmpty());
     }
 
-    /** The client's answer, before which no server gets a request. */
-    private Wire.Message answerWithoutCall(Wire client) throws Exception {
-        awaitAnswerOrCall(client);
-        assertTrue(net.servers.calls.isEmpty(), "a server got the request");
+    /** The client's response, before which no server receives a request. */
+    private Wire.Message responseWithoutCall(Wire client) throws Exception {
+        awaitResponseOrCall(client);
+        assertTrue(net.servers.calls.isEmpty(), "a server received the request");
         return client.read();
     }
 
     private void assertUnauthorized(String target, String fields) throws Exception {
-        assertEquals(401, answerWithoutCall(net.sendRequest(target, fields)).status());
+        assertEquals(401, responseWithoutCall(net.sendRequest(target, fields)).status());
     }
 
     private void assertAllowed(String target, String fields) throws Exception {
         Wire client = net.sendRequest(target, fields);
-        awaitAnswerOrCall(client);
-        assertFalse(net.servers.calls.isEmpty(), "the request was not passed on");
+        awaitResponseOrCall(client);
+        assertFalse(net.servers.calls.isEmpty(), "the request was not forwarded");
         assertServed(net.nextCall(), client, "served");
     }
 
-    // ---- which keys are served ------------------------------------------------------------------------
+    // ---- accepted keys --------------------------------------------------------------------------------
 
     @Test
     void aRequestWithATenantsKeyIsServed() throws Exception {
@@ -110,7 +110,7 @@
     }
 
     @Test
-    void everyKeyOfATenantIsServed() throws Exception {
+    void everyKeyOfATenantIsAccepted() throws Exception {
         net.servers.plain();
         changeTenants(tenantWithKeys("k-1", "k-2"));
         assertAllowed("/safe/", KEY);
@@ -120,7 +120,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"k-2", "k-", "k-10", "K-1", "k-1 k-1", "k-1,k-1", "\"k-1\"", "acme"})
-    void anUnknownKeyIsAnswered401(String key) throws Exception {
+    void anUnknownKeyIsRejectedWith401(String key) throws Exception {
         net.servers.plain();
         assertUnauthorized("/safe/", bearer(key));
         net.assertQuiet();
@@ -128,7 +128,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"/safe/", "/once/", "/gen/", "/res/"})
-    void aRequestWithoutAKeyIsAnswered401(String target) throws Exception {
+    void aRequestWithoutAKeyIsRejectedWith401(String target) throws Exception {
         net.servers.plain();
         net.servers.prefill();
         net.servers.decode();
@@ -138,7 +138,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"Basic k-1", "k-1", "Bearerk-1", "Bearer", "Bearer ", "Bearer: k-1", ""})
-    void aFieldWithoutABearersKeyIsAnswered401(String value) throws Exception {
+    void anAuthorizationFieldWithoutABearerKeyIsRejectedWith401(String value) throws Exception {
         net.servers.plain();
         assertUnauthorized("/safe/", "Authorization: " + value + "\r\n");
         net.assertQuiet();
@@ -146,16 +146,16 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"Authorization: bearer k-1", "authorization: BEARER k-1", "AUTHORIZATION: Bearer k-1"})
-    void theCaseOfTheSchemeAndOfTheFieldsNameDoesNotMatter(String field) throws Exception {
+    void schemeAndFieldNameAreCaseInsensitive(String field) throws Exception {
         net.servers.plain();
         assertAllowed("/safe/", field + "\r\n");
         net.assertQuiet();
     }
 
-    /** Which of the two a reader takes depends on the reader: such a request has no key. */
+    /** The choice between two fields would depend on the parser, so such a request counts as having no key. */
     @ParameterizedTest
     @ValueSource(strings = {"k-1", "k-2", ""})
-    void aRequestWithTwoAuthorizationFieldsIsAnswered401(String second) throws Exception {
+    void aRequestWithTwoAuthorizationFieldsIsRejectedWith401(String second) throws Exception {
         net.servers.plain();
         assertUnauthorized("/safe/", KEY + bearer(second));
         assertUnauthorized("/safe/", bearer(second) + KEY);
@@ -163,19 +163,19 @@
     }
 
     @Test
-    void aClientWithAnUnknownKeyMayRetryOnItsConnectionWithAnother() throws Exception {
+    void aClientWithAnUnknownKeyMayRetryWithAnotherKeyOnItsConnection() throws Exception {
         net.servers.plain();
         Wire client = net.sendRequest("/safe/", ADDED_KEY);
-        assertEquals(401, answerWithoutCall(client).status());
+        assertEquals(401, responseWithoutCall(client).status());
         client.send(request("/safe/", KEY, "hi"));
         assertServed(net.nextCall(), client, "served");
         net.assertQuiet();
     }
 
-    // ---- where a key is needed ------------------------------------------------------------------------
+    // ---- required keys --------------------------------------------------------------------------------
 
     @Test
-    void aPublicRouteNeedsNoKey() throws Exception {
+    void aPublicRouteRequiresNoKey() throws Exception {
         net.servers.plain();
         assertAllowed("/open/", "");
         assertAllowed("/open/", KEY);
@@ -184,9 +184,9 @@
     }
 
     @Test
-    void aTenantWithoutKeysIsServedNowhereButOnPublicRoutes() throws Exception {
+    void aTenantWithoutKeysIsServedOnPublicRoutesOnly() throws Exception {
         net.servers.plain();
-        takeAllKeysAway();
+        revokeAllKeys();
         assertUnauthorized("/safe/", KEY);
         assertUnauthorized("/safe/", bearer(""));
         assertUnauthorized("/safe/", "");
@@ -194,7 +194,7 @@
         net.assertQuiet();
     }
 
-    /** So the removal of the last tenant opens nothing. */
+    /** The removal of the last tenant must not give access without a key. */
     @Test
     void anEmptyListOfTenantsStillRequiresKeys() throws Exception {
         net.servers.plain();
@@ -206,7 +206,7 @@
     }
 
     @Test
-    void withoutTheFieldTenantsNoKeyIsNeeded() throws Exception {
+    void noKeyIsRequiredWithoutTheTenantsField() throws Exception {
         net.servers.plain();
         changeTenants(WITHOUT_TENANTS);
         assertAllowed("/safe/", "");
@@ -215,7 +215,7 @@
     }
 
     @Test
-    void aRequestThatWaitedForTheFirstConfigurationNeedsAKey() throws Exception {
+    void aRequestThatWaitedForTheFirstConfigurationRequiresAKey() throws Exception {
         try (ForwarderFixture empty = ForwarderFixture.builder().start()) {
             empty.servers.plain();
             Wire client = empty.sendRequest("/safe/");
@@ -223,16 +223,16 @@
             empty.tenants(tenantWithKeys("k-1"), ROUTES);
             OnLoop.run(empty.loop, empty.forwarder::onFleetChanged);
             OnLoop.await(empty.loop, () -> client.hasBytes() || !empty.servers.calls.isEmpty());
-            assertTrue(empty.servers.calls.isEmpty(), "a server got the request");
+            assertTrue(empty.servers.calls.isEmpty(), "a server received the request");
             assertEquals(401, client.read().status());
             empty.assertQuiet();
         }
     }
 
-    // ---- keys that are added and taken away -----------------------------------------------------------
+    // ---- keys that are added and revoked --------------------------------------------------------------
 
     @Test
-    void anAddedKeyIsServedAtOnce() throws Exception {
+    void anAddedKeyIsAcceptedImmediately() throws Exception {
         net.servers.plain();
         assertUnauthorized("/safe/", ADDED_KEY);
         changeTenants(tenantWithKeys("k-1", "k-2"));
@@ -242,74 +242,74 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"/safe/", "/once/", "/gen/", "/res/"})
-    void aNewRequestWithAKeyThatWasTakenAwayIsAnswered401(String target) throws Exception {
+    void aNewRequestWithARevokedKeyIsRejectedWith401(String target) throws Exception {
         net.servers.plain();
         net.servers.prefill();
         net.servers.decode();
-        takeAllKeysAway();
+        revokeAllKeys();
         assertUnauthorized(target, KEY + PROMPT);
         net.assertQuiet();
     }
 
     @Test
-    void aRequestSentAheadIsDecidedWhenItsTurnComes() throws Exception {
+    void aPipelinedRequestIsAuthorizedWhenItIsProcessed() throws Exception {
         net.servers.plain();
         Wire client = net.sendRequest("/safe/", KEY);
         Call first = net.nextCall();
         client.send(request("/safe/ahead", KEY, ""));
-        takeAllKeysAway();
+        revokeAllKeys();
         assertServed(first, client, "served");
-        assertEquals(401, answerWithoutCall(client).status());
+        assertEquals(401, responseWithoutCall(client).status());
         net.assertQuiet();
     }
 
-    /** A request that a server has is answered: no answer is broken off for a change of the configuration. */
+    /** A request that was sent to a server is completed: a change of the configuration aborts no response. */
     @Test
-    void aRequestAtAServerIsServedWhenItsKeyIsTakenAway() throws Exception {
+    void aRequestInFlightIsServedAfterItsKeyIsRevoked() throws Exception {
         net.servers.plain();
         net.servers.decode();
         Wire client = net.sendRequest("/once/", KEY);
         Call call = net.nextCall();
         BegunStream stream = BegunStream.begin(net, "/gen/", KEY + PROMPT);
-        takeAllKeysAway();
+        revokeAllKeys();
         assertServed(call, client, "served");
         stream.assertRelays(2);
         stream.assertEnds();
         net.assertQuiet();
     }
 
-    // ---- requests that would be sent once more ----------------------------------------------------------
+    // ---- requests that would be retried -----------------------------------------------------------------
 
     @SafeAndUnsafeTest
-    void aRejectedAttemptIsNotRetriedWithoutItsKey(String target) throws Exception {
+    void aRejectedAttemptIsNotRetriedAfterItsKeyIsRevoked(String target) throws Exception {
         net.servers.plainServers(2);
         Wire client = net.sendRequest(target, KEY);
         Call rejected = net.nextCall();
-        takeAllKeysAway();
+        revokeAllKeys();
         reject(rejected);
-        assertRejected(answerWithoutCall(client));
+        assertRejected(responseWithoutCall(client));
         net.assertQuiet();
     }
 
     @Test
-    void anAttemptThatMayHaveRunIsNotRetriedWithoutItsKeyAndFails() throws Exception {
+    void anAttemptThatMayHaveRunFailsWithoutARetryAfterItsKeyIsRevoked() throws Exception {
         net.servers.plainServers(2);
         Wire client = net.sendRequest("/safe/", KEY);
         Call broken = net.nextCall();
-        takeAllKeysAway();
+        revokeAllKeys();
         broken.wire().reset();
-        assertEquals(502, answerWithoutCall(client).status(), "it may have run");
+        assertEquals(502, responseWithoutCall(client).status(), "the attempt may have run");
         net.assertQuiet();
     }
 
     @Test
-    void aRequestIsNotSentWhoseKeyIsTakenAwayBeforeItsConnectionIsUp() throws Exception {
+    void aRequestIsNotSentIfItsKeyIsRevokedBeforeTheConnectionIsEstablished() throws Exception {
         ScriptedServer late = net.servers.add(ScriptedServer.late(net.servers.calls), PLAIN, null);
         Wire client = net.sendRequest("/safe/", KEY);
         awaitInFlight(PLAIN, late);
-        takeAllKeysAway();
+        revokeAllKeys();
         late.letIn();
-        assertRejected(answerWithoutCall(client));
+        assertRejected(responseWithoutCall(client));
         net.assertQuiet();
     }
 
@@ -319,72 +319,72 @@
     }
 
     @Test
-    void aPrefilledRequestIsNotDecodedWithoutItsKeyAndItsHandleIsFreed() throws Exception {
+    void aPrefilledRequestIsNotDecodedAfterItsKeyIsRevokedAndItsHandleIsReleased() throws Exception {
         ScriptedServer prefill = net.servers.prefill();
         net.servers.decode();
         Wire client = net.sendRequest("/gen/", KEY + PROMPT);
         Call prefillCall = net.nextCall();
-        takeAllKeysAway();
+        revokeAllKeys();
         handOver(prefillCall, "h1");
         Call next = net.nextCall();
         assertEquals("DELETE /kv-handle/h1 HTTP/1.1", next.message().startLine());
         assertSame(prefill, next.server());
-        assertRejected(answerWithoutCall(client));
+        assertRejected(responseWithoutCall(client));
         net.assertQuiet();
     }
 
     @Test
-    void aRejectedPrefillIsNotRetriedWithoutItsKey() throws Exception {
+    void aRejectedPrefillIsNotRetriedAfterItsKeyIsRevoked() throws Exception {
         net.servers.prefillServers(2);
         net.servers.decode();
         Wire client = net.sendRequest("/gen/", KEY + PROMPT);
         Call rejected = net.nextCall();
-        takeAllKeysAway();
+        revokeAllKeys();
         reject(rejected);
-        assertRejected(answerWithoutCall(client));
+        assertRejected(responseWithoutCall(client));
         net.assertQuiet();
     }
 
     @Test
-    void aRejectedDecodeIsNotRetriedWithoutItsKey() throws Exception {
+    void aRejectedDecodeIsNotRetriedAfterItsKeyIsRevoked() throws Exception {
         net.servers.decodeServers(2);
         Wire client = net.sendRequest("/gen/", KEY + PROMPT);
         Call rejected = net.nextCall();
-        takeAllKeysAway();
+        revokeAllKeys();
         reject(rejected);
-        assertRejected(answerWithoutCall(client));
+        assertRejected(responseWithoutCall(client));
         net.assertQuiet();
     }
 
     @Test
-    void aDecodeIsNotSentWhoseKeyIsTakenAwayBeforeItsConnectionIsUp() throws Exception {
+    void aDecodeIsNotSentIfItsKeyIsRevokedBeforeTheConnectionIsEstablished() throws Exception {
         ScriptedServer late = net.servers.add(ScriptedServer.late(net.servers.calls), MODEL, "decode");
         Wire client = net.sendRequest("/gen/", KEY);
         awaitInFlight(MODEL, late);
-        takeAllKeysAway();
+        revokeAllKeys();
         late.letIn();
-        assertRejected(answerWithoutCall(client));
+        assertRejected(responseWithoutCall(client));
         net.assertQuiet();
     }
 
     @Test
-    void aBrokenStreamIsNotResumedWithoutItsKey() throws Exception {
+    void aBrokenStreamIsNotResumedAfterItsKeyIsRevoked() throws Exception {
         net.servers.decodeServers(2);
         BegunStream stream = BegunStream.begin(net, "/res/", KEY + PROMPT);
-        takeAllKeysAway();
+        revokeAllKeys();
         stream.server().reset();
         OnLoop.await(net.loop, () -> net.forwarder.openRequests() == 0 || !net.servers.calls.isEmpty());
-        assertTrue(net.servers.calls.isEmpty(), "a server got the request");
+        assertTrue(net.servers.calls.isEmpty(), "a server received the request");
         Expectations.assertBrokenOff(stream.client());
         net.assertQuiet();
     }
 
     @Test
-    void aRetryIsSentWhereTheKeyWasPassedOnToAnotherTenant() throws Exception {
+    void aRetryIsSentIfTheKeyWasReassignedToAnotherTenant() throws Exception {
         net.servers.plainServers(2);
         Wire client = net.sendRequest("/once/", KEY);
         Call rejected = net.nextCall();
-        changeTenants(tenantWithKeys("k-1").replace("acme", "heir"));
+        changeTenants(tenantWithKeys("k-1").replace("acme", "birch"));
         reject(rejected);
         assertServed(net.nextCall(), client, "served");
         net.assertQuiet();
--- a/dataplane/src/test/java/dewplank/dataplane/ControlAddressesTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/ControlAddressesTest.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Which addresses of control planes are retained, evicted and eligible. */
+/** Retention, eviction and eligibility of control planes' addresses. */
 class ControlAddressesTest {
     private final ControlAddresses addresses = new ControlAddresses();
 
--- a/dataplane/src/test/java/dewplank/dataplane/FakeControlPlane.java
+++ b/dataplane/src/test/java/dewplank/dataplane/FakeControlPlane.java
@@ -23,23 +23,23 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * A stand-in for a control plane: the test sends the updates and the replies about tokens, it sends the acks of
- * heartbeats. Its waits go by the test's clock.
+ * A fake control plane. The test sends the updates and the quota replies; the fake acknowledges heartbeats by itself.
+ * Waits use the test's clock.
  */
 final class FakeControlPlane implements Closeable {
     private static final int BACKLOG = 50;
     private static final int BUFFER_BYTES = 4_096;
 
-    /** Waits by the test's clock until a condition holds. */
+    /** Advances the test's clock until a condition holds. */
     interface Waiter {
         void await(Callable<Boolean> reached) throws Exception;
     }
 
     private final Waiter waiter;
     private final ServerSocket listener = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
-    /** Those that the test has not taken. */
+    /** The sessions that the test has not taken yet. */
     private final BlockingQueue<Session> sessions = new LinkedBlockingQueue<>();
-    /** All of them, in the order in which they came. */
+    /** All sessions in the order in which they were accepted. */
     private final List<Session> acceptedSessions = new CopyOnWriteArrayList<>();
 
     private volatile boolean sendsAcks = true;
@@ -48,7 +48,7 @@
 
     FakeControlPlane(Waiter waiter) throws IOException {
         this.waiter = waiter;
-        background(this::accept);
+        runInBackground(this::accept);
     }
 
     private void accept() throws IOException {
@@ -56,15 +56,15 @@
             Session session = new Session(listener.accept());
             sessions.add(session);
             acceptedSessions.add(session);
-            background(session::read);
+            runInBackground(session::read);
         }
     }
 
-    /** One session, as the control plane sees it. */
+    /** The control plane's end of a session. */
     final class Session {
         private final Socket socket;
         private final MessageCodec codec = FleetMessages.codec();
-        private final BlockingQueue<SessionOpen> opened = new LinkedBlockingQueue<>();
+        private final BlockingQueue<SessionOpen> opens = new LinkedBlockingQueue<>();
         private final BlockingQueue<SessionHeartbeat> heartbeats = new LinkedBlockingQueue<>();
         private final BlockingQueue<QuotaRequest> quotaRequests = new LinkedBlockingQueue<>();
         private final AtomicLong sentCount = new AtomicLong();
@@ -94,13 +94,13 @@
                 throws IOException, CorruptFrameException {
             for (Object message = reader.decode(piece); message != null; message = reader.decode(piece)) {
                 receive(message);
-                receivedCount.incrementAndGet(); // its ack was counted before it
+                receivedCount.incrementAndGet(); // its acknowledgement has been counted already
             }
         }
 
         private void receive(Object message) throws IOException {
             if (message instanceof SessionOpen open) {
-                opened.add(open);
+                opens.add(open);
             } else if (message instanceof SessionHeartbeat heartbeat) {
                 heartbeats.add(heartbeat);
                 if (sendsAcks) {
@@ -117,40 +117,40 @@
             sentCount.incrementAndGet();
         }
 
-        /** Messages that were sent completely. */
+        /** The number of messages that were sent completely. */
         long sentCount() {
             return sentCount.get();
         }
 
-        /** Messages that were received, and acknowledged where they are heartbeats. */
+        /** The number of messages that were received; any heartbeat among them has been acknowledged. */
         long receivedCount() {
             return receivedCount.get();
         }
 
-        /** The first half of the message's bytes. */
+        /** Sends the first half of the message's bytes. */
         synchronized void sendHalf(Object message) throws IOException {
             ByteBuffer frame = codec.encode(message);
             socket.getOutputStream().write(frame.array(), 0, frame.limit() / 2);
         }
 
-        /** Where the other side may have ended the session just now. */
+        /** Sends the message unless the other end has closed the session. */
         void sendIfOpen(Object message) {
             try {
                 send(message);
-            } catch (IOException ended) {
-                // the reader notices the end
+            } catch (IOException closed) {
+                // the reading thread detects the close
             }
         }
 
         SessionOpen open() throws Exception {
-            return next(opened);
+            return next(opens);
         }
 
         SessionHeartbeat heartbeat() throws Exception {
             return next(heartbeats);
         }
 
-        /** The next heartbeat that reports this version of the configuration as in force. */
+        /** Waits for a heartbeat that reports this version of the configuration as in force. */
         SessionHeartbeat heartbeatWithVersion(long configurationVersion) throws Exception {
             SessionHeartbeat heartbeat = heartbeat();
             while (heartbeat.configurationVersion != configurationVersion) {
@@ -159,7 +159,7 @@
             return heartbeat;
         }
 
-        /** The next request for tokens that the test has not taken; null where there is none. */
+        /** The next quota request that the test has not taken; null if there is none. */
         QuotaRequest takeQuotaRequest() {
             return quotaRequests.poll();
         }
@@ -188,16 +188,16 @@
         return queue.remove();
     }
 
-    private interface Work {
+    private interface IoTask {
         void run() throws IOException;
     }
 
-    private static void background(Work work) {
+    private static void runInBackground(IoTask task) {
         Thread thread = new Thread(() -> {
             try {
-                work.run();
+                task.run();
             } catch (IOException e) {
-                // one of both ends has closed it
+                // one of the two ends has closed the connection
             }
         });
         thread.setDaemon(true);
@@ -212,17 +212,17 @@
         return SocketAddresses.parse(address());
     }
 
-    /** The session that was accepted after so many others; null where there were not so many yet. */
+    /** The session with this index in the order of acceptance; null if it was not accepted yet. */
     Session acceptedSession(int index) {
         return index < acceptedSessions.size() ? acceptedSessions.get(index) : null;
     }
 
-    /** The next session that is opened here. */
+    /** Waits for the next session with this control plane. */
     Session session() throws Exception {
         return next(sessions);
     }
 
-    boolean hasNoFurtherSession() {
+    boolean hasNoNewSession() {
         return sessions.isEmpty();
     }
 
@@ -236,7 +236,7 @@
         return this;
     }
 
-    FakeControlPlane naming(String... addresses) {
+    FakeControlPlane withControlAddresses(String... addresses) {
         controlAddresses = List.of(addresses);
         return this;
     }
--- a/dataplane/src/test/java/dewplank/dataplane/FleetMetadataTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/FleetMetadataTest.java
@@ -32,7 +32,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Updates of the data plane's view of the fleet, also while requests are in flight. */
+/** Updates of the fleet's metadata, also while requests are in flight. */
 class FleetMetadataTest {
     private ForwarderFixture net;
 
@@ -50,29 +50,29 @@
 
     @Test
     void aStaleConfigurationIsDiscarded() throws Exception {
-        FleetMetadata view = net.metadata;
+        FleetMetadata metadata = net.metadata;
         OnLoop.run(net.loop, () -> {
-            view.updateConfiguration(TestConfiguration.of(5, 100, safeRoute("new", 1)));
-            view.updateConfiguration(TestConfiguration.of(4, 100, safeRoute("old", 1)));
-            view.updateConfiguration(TestConfiguration.of(5, 100, safeRoute("twin", 1)));
+            metadata.updateConfiguration(TestConfiguration.of(5, 100, safeRoute("new", 1)));
+            metadata.updateConfiguration(TestConfiguration.of(4, 100, safeRoute("old", 1)));
+            metadata.updateConfiguration(TestConfiguration.of(5, 100, safeRoute("equal", 1)));
         });
-        assertEquals(5, view.configurationVersion());
-        assertEquals("new", view.routes().find(HOST, "/new/").name());
+        assertEquals(5, metadata.configurationVersion());
+        assertEquals("new", metadata.routes().find(HOST, "/new/").name());
         net.servers.plain();
         assertEquals(404, net.sendRequest("/old/").read().status());
-        assertEquals(404, net.sendRequest("/twin/").read().status());
-        OnLoop.run(net.loop, () -> view.updateConfiguration(TestConfiguration.of(9, 100, safeRoute("newer", 1))));
+        assertEquals(404, net.sendRequest("/equal/").read().status());
+        OnLoop.run(net.loop, () -> metadata.updateConfiguration(TestConfiguration.of(9, 100, safeRoute("newer", 1))));
         assertEquals(404, net.sendRequest("/new/").read().status());
     }
 
-    private static EndpointList list(long number, long revision, String... instances) {
+    private static EndpointList list(long fencingToken, long revision, String... instances) {
         List<Endpoint> entries = Arrays.stream(instances)
                 .map(instance -> new Endpoint(instance, PLAIN, "127.0.0.1:9", ScriptedFleet.ZONE, 4, false, 0, null))
                 .toList();
-        return new EndpointList(new EndpointListVersion(number, revision), entries);
+        return new EndpointList(new EndpointListVersion(fencingToken, revision), entries);
     }
 
-    private List<String> listed(EndpointList list) throws Exception {
+    private List<String> listedAfter(EndpointList list) throws Exception {
         return OnLoop.get(net.loop, () -> {
             net.metadata.updateServers(list);
             return net.metadata.servers(PLAIN).stream()
@@ -83,14 +83,16 @@
 
     @Test
     void aStaleEndpointListIsDiscarded() throws Exception {
-        assertEquals(List.of("a"), listed(list(2, 7, "a")));
-        assertEquals(List.of("a"), listed(list(2, 6, "b")));
-        assertEquals(List.of("a"), listed(list(2, 7, "b")));
-        assertEquals(List.of("a"), listed(list(1, 99, "b")), "a higher count under a lower fencing number is older");
+        assertEquals(List.of("a"), listedAfter(list(2, 7, "a")));
+        assertEquals(List.of("a"), listedAfter(list(2, 6, "b")));
+        assertEquals(List.of("a"), listedAfter(list(2, 7, "b")));
+        assertEquals(
+                List.of("a"), listedAfter(list(1, 99, "b")), "a higher revision under a lower fencing token is older");
         assertEquals(new EndpointListVersion(2, 7), net.metadata.listVersion());
-        assertEquals(List.of("b"), listed(list(3, 1, "b")), "a lower count under a higher fencing number is newer");
-        assertEquals(List.of(), listed(list(3, 2)));
-        assertEquals(List.of(), listed(list(3, 1, "b")));
+        assertEquals(
+                List.of("b"), listedAfter(list(3, 1, "b")), "a lower revision under a higher fencing token is newer");
+        assertEquals(List.of(), listedAfter(list(3, 2)));
+        assertEquals(List.of(), listedAfter(list(3, 1, "b")));
     }
 
     @Test
@@ -98,23 +100,23 @@
         assertFalse(net.metadata.isComplete());
         OnLoop.run(net.loop, () -> net.metadata.updateConfiguration(TestConfiguration.of(1, 100, safeRoute("r", 1))));
         assertFalse(net.metadata.isComplete());
-        listed(list(1, 1));
+        listedAfter(list(1, 1));
         assertTrue(net.metadata.isComplete());
     }
 
     @Test
     void aServerKeepsItsStateAcrossEndpointLists() throws Exception {
-        listed(list(1, 1, "a", "b"));
-        TrackedServer kept =
+        listedAfter(list(1, 1, "a", "b"));
+        TrackedServer server =
                 OnLoop.get(net.loop, () -> net.metadata.servers(PLAIN).get(0));
-        listed(list(1, 2, "c", "a"));
-        assertTrue(OnLoop.get(net.loop, () -> net.metadata.servers(PLAIN).contains(kept)));
-        assertTrue(kept.isReady());
-        listed(list(1, 3, "c"));
-        assertFalse(kept.isReady());
-        listed(list(1, 4, "a"));
+        listedAfter(list(1, 2, "c", "a"));
+        assertTrue(OnLoop.get(net.loop, () -> net.metadata.servers(PLAIN).contains(server)));
+        assertTrue(server.isReady());
+        listedAfter(list(1, 3, "c"));
+        assertFalse(server.isReady());
+        listedAfter(list(1, 4, "a"));
         assertNotSame(
-                kept, OnLoop.get(net.loop, () -> net.metadata.servers(PLAIN).get(0)));
+                server, OnLoop.get(net.loop, () -> net.metadata.servers(PLAIN).get(0)));
     }
 
     // ---- draining and removed servers ----------------------------------------------------------------
@@ -170,7 +172,7 @@
         stream.server().awaitEnd();
     }
 
-    /** A server resets a request after it was removed: the retry goes to a server of the new endpoint list. */
+    /** A server that was removed resets a request: the retry is sent to a server of the new endpoint list. */
     @Test
     void aRetryUsesTheNewEndpointList() throws Exception {
         net.routes(safeRoute("safe", 3));
@@ -186,34 +188,35 @@
         net.assertQuiet();
     }
 
-    // ---- changes of configuration ---------------------------------------------------------------------
+    // ---- configuration changes -----------------------------------------------------------------------
 
     @Test
-    void aRequestInFlightKeepsItsConfigurationAndTheNextUsesTheNewOne() throws Exception {
+    void aRequestInFlightKeepsItsConfigurationAndTheNextRequestUsesTheNewOne() throws Exception {
         net.routes(unsafeRoute("r", 1), unsafeRoute("gone", 1));
         ScriptedServer old = net.servers.plain();
         ScriptedServer other = net.servers.server("other", null);
         Wire client = net.sendRequest("/r/");
         Call before = net.nextCall();
-        Wire leaving = net.sendRequest("/gone/");
+        Wire clientOfRemoved = net.sendRequest("/gone/");
         Call removed = net.nextCall();
         assertSame(old, before.server());
         client.send(request("/r/ahead", "", ""));
         net.routes(unsafeRoute("r", 1).toService(OTHER), unsafeRoute("new", 1));
-        assertServed(before, client, "by the old");
+        assertServed(before, client, "by the old service");
         Call after = net.nextCall();
-        assertSame(other, after.server(), "sent ahead, and looked at once the new one is in force");
-        assertServed(after, client, "by the new");
-        assertServed(removed, leaving, "still");
-        leaving.send(request("/gone/", "", ""));
-        assertEquals(404, leaving.read().status());
-        leaving.send(request("/new/", "", ""));
-        assertServed(net.nextCall(), leaving, "added");
+        assertSame(
+                other, after.server(), "a pipelined request is routed when it is processed, by the new configuration");
+        assertServed(after, client, "by the new service");
+        assertServed(removed, clientOfRemoved, "by the removed route");
+        clientOfRemoved.send(request("/gone/", "", ""));
+        assertEquals(404, clientOfRemoved.read().status());
+        clientOfRemoved.send(request("/new/", "", ""));
+        assertServed(net.nextCall(), clientOfRemoved, "added");
         net.assertQuiet();
     }
 
     @Test
-    void aStreamIsResumedUnderTheConfigurationItBeganWith() throws Exception {
+    void aStreamIsResumedUnderTheConfigurationItStartedWith() throws Exception {
         net.routes(streamingRoute("gen", 2).asResumable());
         net.servers.decodeServers(2);
         BegunStream stream = BegunStream.begin(net, "/gen/", PROMPT);
--- a/dataplane/src/test/java/dewplank/dataplane/FleetUpdates.java
+++ b/dataplane/src/test/java/dewplank/dataplane/FleetUpdates.java
@@ -10,7 +10,7 @@
 import dewplank.message.FleetUpdate;
 import java.util.List;
 
-/** Updates as control planes send them. */
+/** Creates updates as control planes send them. */
 final class FleetUpdates {
     private static final int MAX_BODY_BYTES = 1_000;
 
@@ -20,29 +20,29 @@
         return TestConfiguration.of(version, MAX_BODY_BYTES, routes);
     }
 
-    /** The complete configuration, and nothing else. */
+    /** An update with a complete configuration only. */
     static FleetUpdate complete(Configuration configuration) {
         return complete(configuration, null, null);
     }
 
-    /** The complete configuration; endpoints and members are null where the update names none. */
+    /** An update with a complete configuration; endpoints and members are null if it does not contain them. */
     static FleetUpdate complete(Configuration configuration, EndpointList endpoints, List<Member> members) {
         return new FleetUpdate(
                 DeflateCodec.deflate(configuration.json()), configuration.version(), 0, endpoints, members);
     }
 
-    /** What leads from one configuration to the other. */
+    /** An update with only the delta from one configuration to the other. */
     static FleetUpdate delta(Configuration from, Configuration to) {
         return new FleetUpdate(
                 DeflateCodec.deflate(ConfigurationDelta.between(from, to)), to.version(), from.version(), null, null);
     }
 
-    /** No configuration; the members are null where the update names none. */
+    /** An update without a configuration; the members are null if it does not contain them. */
     static FleetUpdate endpoints(EndpointList endpoints, List<Member> members) {
         return new FleetUpdate(null, 0, 0, endpoints, members);
     }
 
-    /** No configuration and no endpoints. */
+    /** An update with members only. */
     static FleetUpdate members(List<Member> members) {
         return new FleetUpdate(null, 0, 0, null, members);
     }
--- a/dataplane/src/test/java/dewplank/dataplane/HealthGossipTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/HealthGossipTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Summaries of servers' health between data planes, which are sockets of the test here. */
+/** The exchange of health summaries between data planes; the peers are sockets of the test. */
 class HealthGossipTest {
     private static final int RECEIVE_TIMEOUT_MS = 20_000;
     private static final long SEED = 5;
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void aMemberWithAMalformedAddressDoesNotStopTheSummariesToOthers() throws Exception {
+    void aMemberWithAMalformedAddressDoesNotPreventSummariesToOthers() throws Exception {
         Member self = member("self", freeAddress());
         try (DatagramSocket peer = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             peer.setSoTimeout(RECEIVE_TIMEOUT_MS);
--- a/dataplane/src/test/java/dewplank/dataplane/ManualScheduler.java
+++ b/dataplane/src/test/java/dewplank/dataplane/ManualScheduler.java
@@ -6,13 +6,13 @@
 import java.util.PriorityQueue;
 
 /**
- * A scheduler whose clock moves only when the test moves it. Its tasks run on the event loop's thread, and so must
- * all calls but that of {@link #now}. Times in milliseconds.
+ * A scheduler whose clock is advanced only by the test. Its tasks run on the event loop's thread, where all methods but
+ * {@link #now} must be called. Times are in milliseconds.
  */
 final class ManualScheduler implements Scheduler {
     private static final double START_MS = 1_000_000;
 
-    /** A task and its time; those of one time run in the order in which they were added. */
+    /** A task and its due time; tasks with the same due time run in the order in which they were added. */
     private record ScheduledTask(double dueAt, long order, Runnable task) {}
 
     private final EventLoop loop;
@@ -42,13 +42,13 @@
         loop.execute(task);
     }
 
-    /** Moves the clock on by so much while no task runs, as for a process that is frozen; they run late. */
-    void standStill(double ms) {
+    /** Advances the clock without running tasks, as in a paused process; the tasks that become due run late. */
+    void pause(double ms) {
         double until = now + ms;
         now = until;
     }
 
-    /** Moves the clock to the next task's time, if that is not past {@code until}, and runs it; else to that time. */
+    /** Advances the clock to the next task's due time and runs it, or to {@code until} if no task is due by then. */
     void advance(double until) {
         ScheduledTask next = tasks.peek();
         if (next == null || next.dueAt() > until) {
--- a/dataplane/src/test/java/dewplank/dataplane/QuotaClientTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/QuotaClientTest.java
@@ -22,15 +22,15 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** How tokens are asked for by two sessions with stand-ins for control planes, over TCP and by the test's clock. */
+/** Quota requests over two sessions with fake control planes, over TCP and with the test's clock. */
 class QuotaClientTest {
     private static final double CONTACT_MS = 120_000;
     private static final double REPLY_TIMEOUT_MS = 200;
-    /** Longer than the window of the load by which tokens are asked for, shorter than the time-out of a reply. */
+    /** Longer than the window in which requests are counted for a quota request, shorter than the reply timeout. */
     private static final double BEYOND_LOAD_WINDOW_MS = 130;
 
     private static final double TOKEN_LIFETIME_MS = SessionFixture.QUOTA_TERMS.tokenLifetimeMs();
-    /** Requests that may wait at once. */
+    /** Maximum number of waiting requests. */
     private static final int MAX_WAITING = 1_024;
 
     private static final Tenant ACME = new Tenant("acme", List.of(), OptionalInt.empty(), 10, 5);
@@ -44,18 +44,18 @@
     private List<Session> sessions;
     private final List<Decision> decisions = new CopyOnWriteArrayList<>();
 
-    /** A request for tokens, and the session by which it came. */
-    private record Question(Session session, QuotaRequest request) {
-        private void grant(int tokens) throws IOException {
-            session.send(QuotaReply.granted(request.id, tokens));
+    /** A quota request and the session over which it was received. */
+    private record ReceivedRequest(Session session, QuotaRequest message) {
+        private void replyGranted(int tokens) throws IOException {
+            session.send(QuotaReply.granted(message.id, tokens));
         }
 
-        private void exhaust(double retryAfterMs) throws IOException {
-            session.send(QuotaReply.exhausted(request.id, retryAfterMs));
+        private void replyExhausted(double retryAfterMs) throws IOException {
+            session.send(QuotaReply.exhausted(message.id, retryAfterMs));
         }
 
-        private void cannotTell() throws IOException {
-            session.send(QuotaReply.unavailable(request.id));
+        private void replyUnavailable() throws IOException {
+            session.send(QuotaReply.unavailable(message.id));
         }
     }
 
@@ -82,18 +82,18 @@
         });
     }
 
-    private boolean isAsked() {
+    private boolean hasRequest() {
         return sessions.stream().anyMatch(Session::hasQuotaRequest);
     }
 
-    private Question nextQuestion() throws Exception {
-        net.await(this::isAsked);
-        Session asked =
+    private ReceivedRequest nextRequest() throws Exception {
+        net.await(this::hasRequest);
+        Session receiver =
                 sessions.stream().filter(Session::hasQuotaRequest).findFirst().orElseThrow();
-        return new Question(asked, asked.takeQuotaRequest());
+        return new ReceivedRequest(receiver, receiver.takeQuotaRequest());
     }
 
-    /** Handles all that was sent: so many decisions there are then, all of them this one. */
+    /** Checks that, once all sent messages are handled, there are {@code count} decisions, all equal to this one. */
     private void assertDecided(Decision decision, int count) throws Exception {
         net.pass(0);
         assertEquals(Collections.nCopies(count, decision), decisions);
@@ -103,9 +103,9 @@
         assertDecided(ADMITTED, 0);
     }
 
-    private void assertNotAsked() throws Exception {
+    private void assertNoRequest() throws Exception {
         net.pass(0);
-        assertFalse(isAsked(), "a control plane was asked");
+        assertFalse(hasRequest(), "a control plane received a quota request");
     }
 
     // ---- tokens ----------------------------------------------------------------------------------------
@@ -114,229 +114,229 @@
     void aTenantWithoutALimitNeedsNoToken() throws Exception {
         acquire(UNLIMITED, 1);
         assertDecided(ADMITTED, 1);
-        assertNotAsked();
+        assertNoRequest();
     }
 
     @Test
     void aRequestWaitsForItsToken() throws Exception {
         acquire(ACME, 1);
-        Question question = nextQuestion();
-        assertEquals(ACME.name(), question.request().tenant);
-        assertEquals(1, question.request().tokens);
-        assertFalse(question.request().forwarded);
+        ReceivedRequest request = nextRequest();
+        assertEquals(ACME.name(), request.message().tenant);
+        assertEquals(1, request.message().tokens);
+        assertFalse(request.message().forwarded);
         assertUndecided();
-        question.grant(1);
+        request.replyGranted(1);
         assertDecided(ADMITTED, 1);
     }
 
     @Test
-    void requestsOfOneTenantWaitForOneReplyAtATime() throws Exception {
+    void requestsOfOneTenantShareOnePendingQuotaRequest() throws Exception {
         acquire(ACME, 1);
-        Question first = nextQuestion();
+        ReceivedRequest first = nextRequest();
         net.pass(BEYOND_LOAD_WINDOW_MS);
         acquire(ACME, 3);
-        assertNotAsked();
-        first.grant(1);
+        assertNoRequest();
+        first.replyGranted(1);
         assertDecided(ADMITTED, 1);
-        Question second = nextQuestion();
-        assertEquals(3, second.request().tokens, "as many as wait");
-        assertNotAsked();
-        second.grant(3);
+        ReceivedRequest second = nextRequest();
+        assertEquals(3, second.message().tokens, "one for each waiting request");
+        assertNoRequest();
+        second.replyGranted(3);
         assertDecided(ADMITTED, 4);
-        assertNotAsked();
+        assertNoRequest();
     }
 
     @Test
-    void theRestIsAskedForAfterFewerTokensThanWait() throws Exception {
+    void missingTokensAreRequestedAfterAPartialGrant() throws Exception {
         acquire(ACME, 4);
-        nextQuestion().grant(1);
-        nextQuestion().grant(2);
+        nextRequest().replyGranted(1);
+        nextRequest().replyGranted(2);
         assertDecided(ADMITTED, 3);
-        nextQuestion().grant(1);
+        nextRequest().replyGranted(1);
         assertDecided(ADMITTED, 4);
     }
 
     @Test
     void tenantsDoNotWaitForEachOther() throws Exception {
         acquire(ACME, 1);
-        Question ofAcme = nextQuestion();
+        ReceivedRequest ofAcme = nextRequest();
         acquire(BIRCH, 1);
-        Question ofBirch = nextQuestion();
-        assertEquals(BIRCH.name(), ofBirch.request().tenant);
-        assertNotEquals(ofAcme.request().id, ofBirch.request().id);
-        ofBirch.grant(1);
+        ReceivedRequest ofBirch = nextRequest();
+        assertEquals(BIRCH.name(), ofBirch.message().tenant);
+        assertNotEquals(ofAcme.message().id, ofBirch.message().id);
+        ofBirch.replyGranted(1);
         assertDecided(ADMITTED, 1);
-        ofAcme.grant(1);
+        ofAcme.replyGranted(1);
         assertDecided(ADMITTED, 2);
     }
 
-    /** Three requests came lately, so three tokens are asked for where two wait. */
+    /** Three requests arrived recently, so three tokens are requested although only two requests wait. */
     @Test
-    void tokensThatAreLeftServeRequestsUntilTheyLapse() throws Exception {
+    void unusedTokensAdmitRequestsUntilTheyExpire() throws Exception {
         acquire(ACME, 3);
-        nextQuestion().grant(1);
-        double askedAt = net.now();
-        Question second = nextQuestion();
-        assertEquals(3, second.request().tokens);
-        second.grant(3);
+        nextRequest().replyGranted(1);
+        double requestedAt = net.now();
+        ReceivedRequest second = nextRequest();
+        assertEquals(3, second.message().tokens);
+        second.replyGranted(3);
         assertDecided(ADMITTED, 3);
-        net.pass(askedAt + TOKEN_LIFETIME_MS - 1 - net.now());
+        net.pass(requestedAt + TOKEN_LIFETIME_MS - 1 - net.now());
         acquire(ACME, 1);
         assertDecided(ADMITTED, 4);
-        assertNotAsked();
+        assertNoRequest();
     }
 
     @Test
-    void tokensLapseALifetimeAfterTheyWereAskedFor() throws Exception {
+    void tokensExpireOneLifetimeAfterTheyWereRequested() throws Exception {
         acquire(ACME, 3);
-        nextQuestion().grant(1);
-        double askedAt = net.now();
-        nextQuestion().grant(3);
-        net.pass(askedAt + TOKEN_LIFETIME_MS - net.now());
+        nextRequest().replyGranted(1);
+        double requestedAt = net.now();
+        nextRequest().replyGranted(3);
+        net.pass(requestedAt + TOKEN_LIFETIME_MS - net.now());
         acquire(ACME, 1);
-        nextQuestion();
+        nextRequest();
         assertDecided(ADMITTED, 3);
     }
 
-    /** A token that was granted after its request came may be used whatever the overshoot. */
+    /** A token that was granted after its request arrived may be used even without any overshoot. */
     @Test
-    void aTokenServesARequestThatWaitedForItWhereTheTermsAllowNoOvershoot() throws Exception {
-        QuotaClient exact = net.serveQuotas(new QuotaTerms(10_000, 0, 0));
+    void aTokenAdmitsAWaitingRequestEvenIfNoOvershootIsAllowed() throws Exception {
+        QuotaClient exact = net.replaceQuotaClient(new QuotaTerms(10_000, 0, 0));
         OnLoop.run(net.loop, () -> exact.acquire(ACME, decisions::add));
-        nextQuestion().grant(1);
+        nextRequest().replyGranted(1);
         assertDecided(ADMITTED, 1);
-        assertNotAsked();
+        assertNoRequest();
     }
 
     // ---- exhaustion ------------------------------------------------------------------------------------
 
     @Test
-    void anExhaustedQuotaDecidesAllThatWait() throws Exception {
+    void anExhaustedQuotaIsReportedToAllWaitingRequests() throws Exception {
         acquire(ACME, 3);
-        nextQuestion().exhaust(300);
+        nextRequest().replyExhausted(300);
         assertDecided(new Decision.Exhausted(300), 3);
-        assertNotAsked();
+        assertNoRequest();
     }
 
     @Test
-    void anExhaustedQuotaDecidesLaterRequestsAtOnceUntilTheTimeNamed() throws Exception {
+    void anExhaustedQuotaIsReportedToLaterRequestsImmediatelyUntilTheRetryTime() throws Exception {
         acquire(ACME, 1);
-        nextQuestion().exhaust(300);
+        nextRequest().replyExhausted(300);
         net.pass(100);
         decisions.clear();
         acquire(ACME, 1);
         assertDecided(new Decision.Exhausted(200), 1);
-        assertNotAsked();
+        assertNoRequest();
         net.pass(200);
         acquire(ACME, 1);
-        nextQuestion().grant(1);
+        nextRequest().replyGranted(1);
         net.pass(0);
         assertEquals(List.of(new Decision.Exhausted(200), ADMITTED), decisions);
     }
 
     @Test
-    void anExhaustedQuotaIsThatOfItsTenantAlone() throws Exception {
+    void anExhaustedQuotaDoesNotAffectOtherTenants() throws Exception {
         acquire(ACME, 1);
-        nextQuestion().exhaust(300);
+        nextRequest().replyExhausted(300);
         net.pass(0);
         decisions.clear();
         acquire(BIRCH, 1);
-        nextQuestion().grant(1);
+        nextRequest().replyGranted(1);
         assertDecided(ADMITTED, 1);
     }
 
     // ---- control planes that do not reply ------------------------------------------------------------------
 
     @Test
-    void theOtherControlPlaneIsAskedWhenOneDoesNotReplyInTime() throws Exception {
+    void theRequestIsSentToTheOtherControlPlaneAfterAReplyTimeout() throws Exception {
         acquire(ACME, 1);
-        Question first = nextQuestion();
+        ReceivedRequest first = nextRequest();
         net.pass(REPLY_TIMEOUT_MS);
-        Question second = nextQuestion();
+        ReceivedRequest second = nextRequest();
         assertNotSame(first.session(), second.session());
         assertUndecided();
-        second.grant(1);
+        second.replyGranted(1);
         assertDecided(ADMITTED, 1);
     }
 
     @Test
-    void nobodyCanTellWhenBothDoNotReplyInTime() throws Exception {
+    void theQuotaIsUnavailableAfterTwoReplyTimeouts() throws Exception {
         acquire(ACME, 2);
-        nextQuestion();
+        nextRequest();
         net.pass(REPLY_TIMEOUT_MS);
-        nextQuestion();
+        nextRequest();
         assertUndecided();
         net.pass(REPLY_TIMEOUT_MS);
         assertDecided(UNAVAILABLE, 2);
-        assertNotAsked();
+        assertNoRequest();
     }
 
     @Test
-    void aLateReplyChangesNothing() throws Exception {
+    void aLateReplyIsIgnored() throws Exception {
         acquire(ACME, 1);
-        Question first = nextQuestion();
+        ReceivedRequest first = nextRequest();
         net.pass(REPLY_TIMEOUT_MS);
-        Question second = nextQuestion();
-        first.grant(1);
+        ReceivedRequest second = nextRequest();
+        first.replyGranted(1);
         assertUndecided();
-        second.exhaust(300);
+        second.replyExhausted(300);
         assertDecided(new Decision.Exhausted(300), 1);
-        first.grant(1);
-        second.grant(1);
+        first.replyGranted(1);
+        second.replyGranted(1);
         acquire(ACME, 1);
         assertDecided(new Decision.Exhausted(300), 2);
     }
 
     @Test
-    void theOtherControlPlaneIsAskedAtOnceWhenASessionEnds() throws Exception {
+    void theRequestIsSentToTheOtherControlPlaneImmediatelyAfterItsSessionCloses() throws Exception {
         acquire(ACME, 1);
-        Question first = nextQuestion();
+        ReceivedRequest first = nextRequest();
         double before = net.now();
         first.session().reset();
-        Question second = nextQuestion();
+        ReceivedRequest second = nextRequest();
         assertEquals(before, net.now());
         assertNotSame(first.session(), second.session());
-        second.grant(1);
+        second.replyGranted(1);
         assertDecided(ADMITTED, 1);
     }
 
     @Test
-    void nobodyCanTellWhenBothSessionsEnd() throws Exception {
+    void theQuotaIsUnavailableAfterBothSessionsClose() throws Exception {
         acquire(ACME, 1);
-        nextQuestion().session().reset();
-        nextQuestion().session().reset();
+        nextRequest().session().reset();
+        nextRequest().session().reset();
         net.await(() -> !decisions.isEmpty());
         assertEquals(List.of(UNAVAILABLE), decisions);
     }
 
     @Test
-    void aSessionThatEndsWithoutAQuestionDecidesNothing() throws Exception {
+    void theCloseOfASessionWithoutAPendingRequestHasNoEffect() throws Exception {
         acquire(ACME, 1);
-        Question question = nextQuestion();
+        ReceivedRequest request = nextRequest();
         List<Session> others = new ArrayList<>(sessions);
-        others.remove(question.session());
+        others.remove(request.session());
         others.get(0).reset();
         others.get(0).awaitEnd();
         assertUndecided();
-        question.grant(1);
+        request.replyGranted(1);
         assertDecided(ADMITTED, 1);
     }
 
     @Test
-    void theOtherControlPlaneIsAskedWhenOneCannotTell() throws Exception {
+    void theRequestIsSentToTheOtherControlPlaneAfterAnUnavailableReply() throws Exception {
         acquire(ACME, 1);
-        Question first = nextQuestion();
-        first.cannotTell();
-        Question second = nextQuestion();
+        ReceivedRequest first = nextRequest();
+        first.replyUnavailable();
+        ReceivedRequest second = nextRequest();
         assertNotSame(first.session(), second.session());
         assertUndecided();
-        second.cannotTell();
+        second.replyUnavailable();
         assertDecided(UNAVAILABLE, 1);
-        assertNotAsked();
+        assertNoRequest();
     }
 
     @Test
-    void nobodyCanTellWithoutASession() throws Exception {
+    void theQuotaIsUnavailableWithoutASession() throws Exception {
         try (SessionFixture alone = new SessionFixture(CONTACT_MS)) {
             OnLoop.run(alone.loop, () -> alone.quotas.acquire(ACME, decisions::add));
         }
@@ -344,30 +344,30 @@
     }
 
     @Test
-    void aTenantIsAskedForAgainAfterNobodyCouldTell() throws Exception {
+    void tokensAreRequestedAgainAfterTheQuotaWasUnavailable() throws Exception {
         acquire(ACME, 1);
-        nextQuestion().cannotTell();
-        nextQuestion().cannotTell();
+        nextRequest().replyUnavailable();
+        nextRequest().replyUnavailable();
         assertDecided(UNAVAILABLE, 1);
         decisions.clear();
         acquire(ACME, 1);
-        nextQuestion().grant(1);
+        nextRequest().replyGranted(1);
         assertDecided(ADMITTED, 1);
     }
 
     // ---- many requests ----------------------------------------------------------------------------------
 
     @Test
-    void aBoundedNumberOfRequestsWaits() throws Exception {
+    void theNumberOfWaitingRequestsIsLimited() throws Exception {
         acquire(ACME, MAX_WAITING - 1);
         acquire(BIRCH, 2);
         assertDecided(UNAVAILABLE, 1);
     }
 
     @Test
-    void requestsMayWaitAgainOnceOthersAreDecided() throws Exception {
+    void requestsMayWaitAgainAfterOthersAreDecided() throws Exception {
         acquire(ACME, MAX_WAITING);
-        nextQuestion().exhaust(300);
+        nextRequest().replyExhausted(300);
         assertDecided(new Decision.Exhausted(300), MAX_WAITING);
         acquire(BIRCH, MAX_WAITING);
         assertDecided(new Decision.Exhausted(300), MAX_WAITING);
--- a/dataplane/src/test/java/dewplank/dataplane/RequestAdmissionTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/RequestAdmissionTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Requests that wait for a token of their tenant's quota: what they are answered, and what happens meanwhile. */
+/** Requests that wait for a token of their tenant's quota: their responses, and events while they wait. */
 class RequestAdmissionTest {
     private static final TestRoute SAFE = safeRoute("safe", 3);
     private static final TestRoute OPEN = safeRoute("open", 3).asPublic();
@@ -57,18 +57,18 @@
         net.close();
     }
 
-    /** A request that waits, and what was asked of the control plane for it. */
-    private record Waiting(Wire client, QuotaRequest asked) {}
+    /** A waiting request's client, and the quota request that the control plane received for it. */
+    private record WaitingRequest(Wire client, QuotaRequest quotaRequest) {}
 
-    private Waiting sendUntilItWaits() throws Exception {
+    private WaitingRequest sendAndAwaitQuotaRequest() throws Exception {
         Wire client = net.sendRequest("/safe/", KEY);
-        QuotaRequest asked = controlPlane.nextRequest();
+        QuotaRequest quotaRequest = controlPlane.nextRequest();
         assertEquals(1, OnLoop.get(net.loop, net.forwarder::openRequests));
-        return new Waiting(client, asked);
+        return new WaitingRequest(client, quotaRequest);
     }
 
-    private void grant(Waiting waiting) throws Exception {
-        controlPlane.reply(QuotaReply.granted(waiting.asked().id, 1));
+    private void grant(WaitingRequest waiting) throws Exception {
+        controlPlane.reply(QuotaReply.granted(waiting.quotaRequest().id, 1));
     }
 
     private void assertServedByOneCall(Wire client) throws Exception {
@@ -76,23 +76,23 @@
         net.assertQuiet();
     }
 
-    private Wire.Message answerWithoutCall(Wire client) throws Exception {
+    private Wire.Message responseWithoutCall(Wire client) throws Exception {
         OnLoop.await(net.loop, client::hasBytes);
         net.assertQuiet();
         return client.read();
     }
 
-    private void assertNotAsked() {
-        assertFalse(controlPlane.isAsked(), "a token was asked for");
+    private void assertNoQuotaRequest() {
+        assertFalse(controlPlane.hasRequest(), "a token was requested");
     }
 
-    // ---- who needs a token -------------------------------------------------------------------------------
+    // ---- requests that need a token ----------------------------------------------------------------------
 
     @Test
-    void aLimitedTenantsRequestWaitsForATokenAndThenRuns() throws Exception {
-        Waiting waiting = sendUntilItWaits();
-        assertEquals(ACME, waiting.asked().tenant);
-        assertTrue(net.servers.calls.isEmpty(), "a server got the request");
+    void aLimitedTenantsRequestIsServedOnceItsTokenIsGranted() throws Exception {
+        WaitingRequest waiting = sendAndAwaitQuotaRequest();
+        assertEquals(ACME, waiting.quotaRequest().tenant);
+        assertTrue(net.servers.calls.isEmpty(), "a server received the request");
         grant(waiting);
         assertServedByOneCall(waiting.client());
     }
@@ -100,59 +100,59 @@
     @Test
     void aRequestOfATenantWithoutALimitNeedsNoToken() throws Exception {
         assertServedByOneCall(net.sendRequest("/safe/", UNLIMITED_KEY));
-        assertNotAsked();
+        assertNoQuotaRequest();
     }
 
     @Test
     void aRequestOnAPublicRouteWithoutAKeyNeedsNoToken() throws Exception {
         assertServedByOneCall(net.sendRequest("/open/", ""));
-        assertNotAsked();
+        assertNoQuotaRequest();
     }
 
     @Test
-    void aRequestWithAnUnknownKeyCostsNoToken() throws Exception {
+    void aRequestWithAnUnknownKeyUsesNoToken() throws Exception {
         Wire client = net.sendRequest("/safe/", "Authorization: Bearer k-9\r\n");
-        assertEquals(401, answerWithoutCall(client).status());
-        assertNotAsked();
+        assertEquals(401, responseWithoutCall(client).status());
+        assertNoQuotaRequest();
     }
 
     @Test
     void aRetryUsesTheTokenOfItsRequest() throws Exception {
-        Waiting waiting = sendUntilItWaits();
+        WaitingRequest waiting = sendAndAwaitQuotaRequest();
         grant(waiting);
         reject(net.nextCall());
         assertServedByOneCall(waiting.client());
-        assertNotAsked();
+        assertNoQuotaRequest();
     }
 
     @Test
     void eachRequestOfAConnectionNeedsItsOwnToken() throws Exception {
-        Waiting first = sendUntilItWaits();
+        WaitingRequest first = sendAndAwaitQuotaRequest();
         grant(first);
         assertServedByOneCall(first.client());
         first.client().send(request("/safe/", KEY, "hi"));
-        QuotaRequest asked = controlPlane.nextRequest();
-        assertTrue(net.servers.calls.isEmpty(), "a server got the request");
-        controlPlane.reply(QuotaReply.granted(asked.id, 1));
+        QuotaRequest quotaRequest = controlPlane.nextRequest();
+        assertTrue(net.servers.calls.isEmpty(), "a server received the request");
+        controlPlane.reply(QuotaReply.granted(quotaRequest.id, 1));
         assertServedByOneCall(first.client());
     }
 
-    // ---- without a token ---------------------------------------------------------------------------------
+    // ---- requests without a token ------------------------------------------------------------------------
 
     @Test
-    void anExhaustedQuotaIsAnswered429WithRetryAfter() throws Exception {
-        Waiting waiting = sendUntilItWaits();
-        controlPlane.reply(QuotaReply.exhausted(waiting.asked().id, 250));
-        Wire.Message answer = answerWithoutCall(waiting.client());
-        assertEquals(429, answer.status());
-        assertEquals("0.250", answer.header("Retry-After"));
+    void aRequestIsRejectedWith429AndRetryAfterIfTheQuotaIsExhausted() throws Exception {
+        WaitingRequest waiting = sendAndAwaitQuotaRequest();
+        controlPlane.reply(QuotaReply.exhausted(waiting.quotaRequest().id, 250));
+        Wire.Message response = responseWithoutCall(waiting.client());
+        assertEquals(429, response.status());
+        assertEquals("0.250", response.header("Retry-After"));
     }
 
     @Test
     void aClientWhoseQuotaWasExhaustedMayRetryOnItsConnection() throws Exception {
-        Waiting waiting = sendUntilItWaits();
-        controlPlane.reply(QuotaReply.exhausted(waiting.asked().id, 250));
-        assertEquals(429, answerWithoutCall(waiting.client()).status());
+        WaitingRequest waiting = sendAndAwaitQuotaRequest();
+        controlPlane.reply(QuotaReply.exhausted(waiting.quotaRequest().id, 250));
+        assertEquals(429, responseWithoutCall(waiting.client()).status());
         OnLoop.run(net.loop, () -> net.quotaTime.advance(net.quotaTime.now() + 250));
         waiting.client().send(request("/safe/", KEY, "hi"));
         controlPlane.reply(QuotaReply.granted(controlPlane.nextRequest().id, 1));
@@ -160,18 +160,18 @@
     }
 
     @Test
-    void whereNobodyCanTellARequestIsAnswered503WithRetryAfter() throws Exception {
-        Waiting waiting = sendUntilItWaits();
-        controlPlane.reply(QuotaReply.unavailable(waiting.asked().id));
+    void aRequestIsRejectedWith503AndRetryAfterIfTheQuotaIsUnavailable() throws Exception {
+        WaitingRequest waiting = sendAndAwaitQuotaRequest();
+        controlPlane.reply(QuotaReply.unavailable(waiting.quotaRequest().id));
         controlPlane.reply(QuotaReply.unavailable(controlPlane.nextRequest().id));
-        assertRejected(answerWithoutCall(waiting.client()));
+        assertRejected(responseWithoutCall(waiting.client()));
     }
 
-    // ---- what happens meanwhile ----------------------------------------------------------------------------
+    // ---- events while a request waits ----------------------------------------------------------------------
 
     @Test
-    void aRequestWhoseClientLeavesWhileItWaitsIsNotSent() throws Exception {
-        Waiting waiting = sendUntilItWaits();
+    void aRequestWhoseClientDisconnectsWhileItWaitsIsNotSent() throws Exception {
+        WaitingRequest waiting = sendAndAwaitQuotaRequest();
         waiting.client().close();
         net.awaitNoOpenRequest();
         grant(waiting);
@@ -179,45 +179,45 @@
     }
 
     @Test
-    void atShutdownARequestThatWaitsIsAnswered503AndNotSentLater() throws Exception {
-        Waiting waiting = sendUntilItWaits();
+    void aWaitingRequestIsRejectedWith503AtShutdownAndNotSentLater() throws Exception {
+        WaitingRequest waiting = sendAndAwaitQuotaRequest();
         OnLoop.run(net.loop, net.forwarder::terminateAll);
-        assertRejected(answerWithoutCall(waiting.client()));
+        assertRejected(responseWithoutCall(waiting.client()));
         grant(waiting);
         net.assertQuiet();
     }
 
     @Test
-    void aRequestWhoseRouteWasRemovedWhileItWaitedIsAnswered404() throws Exception {
-        Waiting waiting = sendUntilItWaits();
+    void aRequestWhoseRouteWasRemovedWhileItWaitedIsRejectedWith404() throws Exception {
+        WaitingRequest waiting = sendAndAwaitQuotaRequest();
         net.tenants(TENANTS, OPEN);
         grant(waiting);
-        assertEquals(404, answerWithoutCall(waiting.client()).status());
+        assertEquals(404, responseWithoutCall(waiting.client()).status());
     }
 
     @Test
-    void aRequestWhoseKeyWasTakenAwayWhileItWaitedIsAnswered401() throws Exception {
-        Waiting waiting = sendUntilItWaits();
+    void aRequestWhoseKeyWasRevokedWhileItWaitedIsRejectedWith401() throws Exception {
+        WaitingRequest waiting = sendAndAwaitQuotaRequest();
         net.tenants("[" + tenant(ACME, "", 10) + "]", ROUTES);
         grant(waiting);
-        assertEquals(401, answerWithoutCall(waiting.client()).status());
+        assertEquals(401, responseWithoutCall(waiting.client()).status());
     }
 
     @Test
     void aRequestWhoseTenantWasRenamedWhileItWaitedNeedsNoSecondToken() throws Exception {
-        Waiting waiting = sendUntilItWaits();
+        WaitingRequest waiting = sendAndAwaitQuotaRequest();
         net.tenants("[" + tenant(BIRCH, "\"k-1\"", 10) + "]", ROUTES);
         grant(waiting);
         Call call = net.nextCall();
         assertEquals(BIRCH, tenantName(call));
         assertServed(call, waiting.client(), "served");
         net.assertQuiet();
-        assertNotAsked();
+        assertNoQuotaRequest();
     }
 
     @Test
-    void aRequestThatWaitedUnderAnotherVersionIsServedByThatInForce() throws Exception {
-        Waiting waiting = sendUntilItWaits();
+    void aRequestThatWaitedIsRoutedByTheConfigurationThenInForce() throws Exception {
+        WaitingRequest waiting = sendAndAwaitQuotaRequest();
         net.tenants(TENANTS, SAFE.toService(TestConfiguration.OTHER), OPEN);
         net.servers.server(TestConfiguration.OTHER, null);
         grant(waiting);
@@ -225,6 +225,6 @@
         assertEquals("i-2", net.servers.id(call.server()), "the server of the other service");
         assertServed(call, waiting.client(), "served");
         net.assertQuiet();
-        assertNotAsked();
+        assertNoQuotaRequest();
     }
 }
--- a/dataplane/src/test/java/dewplank/dataplane/RevocationLeaseTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/RevocationLeaseTest.java
@@ -31,20 +31,20 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * For how long a data plane serves keys after it was last told that its configuration is the newest: over TCP with
- * stand-ins for control planes, and by the test's clock.
+ * How long a data plane accepts keys after the last confirmation that its configuration is the newest, over TCP with
+ * fake control planes and with the test's clock.
  */
 class RevocationLeaseTest {
-    /** No update is deferred until there is a quorum. */
+    /** No update is deferred. */
     private static final double CONTACT_MS = 0;
 
     private static final double REVOKE_MS = 5_000;
-    /** What is left of {@link #REVOKE_MS} after 2 % for the clocks and 150 ms for a stall (docs/design-quotas.md). */
+    /** {@link #REVOKE_MS} minus 2 % for clock drift and 150 ms for a stall (docs/design-quotas.md). */
     private static final double VALIDITY_MS = 4_750;
 
-    /** Longer than any test lasts. */
+    /** Longer than any test takes. */
     private static final double LONG_REVOKE_MS = 60_000;
-    /** A busy machine takes less from a confirmation to a server. */
+    /** Longer than a busy machine takes from a confirmation until the request reaches a server. */
     private static final double SHORT_REVOKE_MS = 2_000;
 
     private static final double HEARTBEAT_INTERVAL_MS = SessionParameters.DEFAULTS.heartbeatIntervalMs();
@@ -79,34 +79,34 @@
         return TestConfiguration.of(version, MAX_BODY_BYTES, tenants, ROUTES);
     }
 
-    private void bring(Session session, long version) throws Exception {
+    private void deliver(Session session, long version) throws Exception {
         session.send(complete(configuration(version, TENANTS)));
         net.awaitVersion(version);
     }
 
-    /** A heartbeat that a control plane has got, and when it was sent. */
+    /** A heartbeat that a control plane has received, and when it was sent. */
     private record SentHeartbeat(long sequence, double atMs) {}
 
-    /** The next heartbeat; exact where the test has taken all that came before. */
+    /** Waits for the next heartbeat; the time is exact if the test has taken all earlier heartbeats. */
     private SentHeartbeat nextHeartbeat(Session session) throws Exception {
         SessionHeartbeat heartbeat = session.heartbeat();
         return new SentHeartbeat(heartbeat.sequence, net.now());
     }
 
-    /** The control plane answers that heartbeat, and the answer is handled; the clock does not move. */
+    /** Acknowledges the heartbeat with a confirmation, which is handled before the clock advances. */
     private void confirm(Session session, SentHeartbeat heartbeat, long version, double ageMs) throws Exception {
         ConfirmedConfiguration confirmed = new ConfirmedConfiguration(version, ageMs);
         session.send(new HeartbeatAck(heartbeat.sequence(), true, List.of(), confirmed));
         net.pass(0);
     }
 
-    /** The control plane answers that heartbeat, and no quorum has confirmed anything to it. */
+    /** Acknowledges the heartbeat without a confirmation, as if no quorum had confirmed a configuration. */
     private void acknowledge(Session session, SentHeartbeat heartbeat) throws Exception {
         session.send(new HeartbeatAck(heartbeat.sequence(), true, List.of()));
         net.pass(0);
     }
 
-    /** Acknowledged heartbeats keep the session open, and confirm nothing. */
+    /** Advances the clock; heartbeats are acknowledged to keep the session open, but without a confirmation. */
     private void passWithoutConfirmation(Session session, double ms) throws Exception {
         double until = net.now() + ms;
         while (net.now() + HEARTBEAT_INTERVAL_MS <= until) {
@@ -138,7 +138,7 @@
         assertTrue(isServing());
     }
 
-    /** A key that is unknown here is no reason for 401: a newer configuration may have given it. */
+    /** An unknown key must not be rejected with 401, because a newer configuration may contain it. */
     private void assertUnconfirmed() throws Exception {
         assertInstanceOf(Decision.Unconfirmed.class, decide("safe", KEY));
         assertInstanceOf(Decision.Unconfirmed.class, decide("safe", UNKNOWN_KEY));
@@ -152,13 +152,13 @@
         assertInstanceOf(Decision.Allowed.class, decide("open", Optional.empty()));
     }
 
-    // ---- from when an acknowledgement counts -----------------------------------------------------------
+    // ---- the time of a confirmation --------------------------------------------------------------------
 
     @Test
-    void beforeTheFirstConfirmationNoKeyIsServed() throws Exception {
+    void noKeyIsAcceptedBeforeTheFirstConfirmation() throws Exception {
         Session session = net.startSession();
         assertFalse(isServing(), "there is no configuration");
-        bring(session, 7);
+        deliver(session, 7);
         assertUnconfirmed();
         assertPublicRouteIsServed();
         passWithoutConfirmation(session, 2 * HEARTBEAT_INTERVAL_MS);
@@ -167,10 +167,10 @@
     }
 
     @Test
-    void anAcknowledgementCountsFromWhenItsHeartbeatWasSent() throws Exception {
+    void aConfirmationCountsFromTheTimeAtWhichItsHeartbeatWasSent() throws Exception {
         Session session = net.startSessionWithoutAcks();
         SentHeartbeat first = nextHeartbeat(session);
-        bring(session, 7);
+        deliver(session, 7);
         nextHeartbeat(session);
         nextHeartbeat(session);
         net.pass(HEARTBEAT_INTERVAL_MS / 2);
@@ -184,20 +184,20 @@
     }
 
     @Test
-    void theAgeOfWhatIsConfirmedIsSubtracted() throws Exception {
+    void theAgeOfAConfirmationIsSubtracted() throws Exception {
         Session session = net.startSessionWithoutAcks();
-        bring(session, 7);
+        deliver(session, 7);
         SentHeartbeat heartbeat = nextHeartbeat(session);
         confirm(session, heartbeat, 7, 1_234.5);
         assertEquals(heartbeat.atMs() - 1_234.5, confirmedAt());
         assertServed();
     }
 
-    /** A control plane that has lost its quorum answers with what was confirmed before. */
+    /** A control plane that has lost its quorum repeats its last confirmation with a growing age. */
     @Test
-    void whatWasConfirmedTooLongAgoServesNothing() throws Exception {
+    void noKeyIsAcceptedByAnExpiredConfirmation() throws Exception {
         Session session = net.startSessionWithoutAcks();
-        bring(session, 7);
+        deliver(session, 7);
         SentHeartbeat heartbeat = nextHeartbeat(session);
         confirm(session, heartbeat, 7, VALIDITY_MS + 1);
         assertUnconfirmed();
@@ -206,12 +206,12 @@
     }
 
     @Test
-    void anAcknowledgementOfAForgottenHeartbeatConfirmsNothing() throws Exception {
+    void anAcknowledgementOfADiscardedHeartbeatConfirmsNothing() throws Exception {
         Session session = net.startSessionWithoutAcks();
-        bring(session, 7);
+        deliver(session, 7);
         SentHeartbeat first = nextHeartbeat(session);
         SentHeartbeat second = nextHeartbeat(session);
-        acknowledge(session, second); // those before it are forgotten
+        acknowledge(session, second); // the heartbeats before it are discarded
         confirm(session, first, 7, 0);
         assertEquals(NEVER, confirmedAt());
         assertUnconfirmed();
@@ -222,7 +222,7 @@
     @Test
     void anAcknowledgementOfAHeartbeatThatWasNeverSentConfirmsNothing() throws Exception {
         Session session = net.startSessionWithoutAcks();
-        bring(session, 7);
+        deliver(session, 7);
         SentHeartbeat heartbeat = nextHeartbeat(session);
         confirm(session, new SentHeartbeat(heartbeat.sequence() + 1_000, net.now()), 7, 0);
         assertEquals(NEVER, confirmedAt());
@@ -235,13 +235,13 @@
         net.start(one, two);
         Session first = one.session();
         Session second = two.session();
-        bring(first, 7);
+        deliver(first, 7);
         confirm(second, nextHeartbeat(first), 7, 0);
         assertEquals(NEVER, confirmedAt());
     }
 
     @Test
-    void onlyTheLatestHeartbeatsAreRemembered() {
+    void onlyTheLatestHeartbeatsAreStored() {
         PendingHeartbeats pending = new PendingHeartbeats(2);
         pending.add(1, 100);
         pending.add(2, 200);
@@ -252,45 +252,45 @@
         assertEquals(OptionalDouble.empty(), pending.sentAt(4));
     }
 
-    // ---- which version is confirmed -------------------------------------------------------------------
+    // ---- confirmed versions ---------------------------------------------------------------------------
 
     @Test
-    void aConfirmationOfANewerVersionCountsOnceThatIsInForce() throws Exception {
+    void aConfirmationOfANewerVersionCountsOnceThatVersionIsInForce() throws Exception {
         Session session = net.startSessionWithoutAcks();
-        bring(session, 7);
+        deliver(session, 7);
         SentHeartbeat heartbeat = nextHeartbeat(session);
         confirm(session, heartbeat, 9, 0);
         assertEquals(NEVER, confirmedAt());
         assertUnconfirmed();
-        bring(session, 8);
+        deliver(session, 8);
         assertEquals(NEVER, confirmedAt());
         assertUnconfirmed();
-        bring(session, 9);
+        deliver(session, 9);
         assertEquals(heartbeat.atMs(), confirmedAt());
         assertServed();
     }
 
     @Test
-    void aConfirmationOfAnOlderVersionThanIsInForceCounts() throws Exception {
+    void aConfirmationOfAVersionOlderThanTheOneInForceCounts() throws Exception {
         Session session = net.startSessionWithoutAcks();
-        bring(session, 7);
+        deliver(session, 7);
         SentHeartbeat heartbeat = nextHeartbeat(session);
         confirm(session, heartbeat, 6, 0);
         assertEquals(heartbeat.atMs(), confirmedAt());
         assertServed();
     }
 
-    /** The newer version came by the other session: the next acknowledgement confirms it at the latest. */
+    /** The other session delivered the newer version; the next acknowledgement confirms it at the latest. */
     @Test
-    void aVersionThatAnotherSessionBroughtIsConfirmed() throws Exception {
+    void aVersionThatAnotherSessionDeliveredIsConfirmed() throws Exception {
         FakeControlPlane one = net.controlPlane().withoutAcks();
         FakeControlPlane two = net.controlPlane().withoutAcks();
         net.start(one, two);
         Session first = one.session();
         Session second = two.session();
-        bring(first, 7);
+        deliver(first, 7);
         confirm(first, nextHeartbeat(first), 9, 0);
-        bring(second, 9);
+        deliver(second, 9);
         SentHeartbeat next = nextHeartbeat(first);
         confirm(first, next, 9, 0);
         assertEquals(next.atMs(), confirmedAt());
@@ -300,13 +300,13 @@
     // ---- delayed and reordered acknowledgements ----------------------------------------------------------
 
     @Test
-    void anAcknowledgementThatIsOvertakenByAnotherSessionsChangesNothing() throws Exception {
+    void aConfirmationOlderThanAnotherSessionsHasNoEffect() throws Exception {
         FakeControlPlane one = net.controlPlane().withoutAcks();
         FakeControlPlane two = net.controlPlane().withoutAcks();
         net.start(one, two);
         Session first = one.session();
         Session second = two.session();
-        bring(first, 7);
+        deliver(first, 7);
         SentHeartbeat early = nextHeartbeat(first);
         nextHeartbeat(second);
         nextHeartbeat(first);
@@ -320,9 +320,9 @@
     }
 
     @Test
-    void acknowledgementsOfOneHeartbeatOverAndOverDoNotProlongTheLease() throws Exception {
+    void repeatedAcknowledgementsOfOneHeartbeatDoNotExtendTheLease() throws Exception {
         Session session = net.startSessionWithoutAcks();
-        bring(session, 7);
+        deliver(session, 7);
         SentHeartbeat first = nextHeartbeat(session);
         while (net.now() <= first.atMs() + VALIDITY_MS) {
             confirm(session, first, 7, 0);
@@ -333,11 +333,11 @@
     }
 
     @Test
-    void aNewSessionsAcknowledgementsDoNotCountForTheLastOnesHeartbeats() throws Exception {
+    void aNewSessionsAcknowledgementsDoNotConfirmHeartbeatsOfTheEarlierSession() throws Exception {
         FakeControlPlane control = net.controlPlane().withoutAcks();
         net.start(control);
         Session broken = control.session();
-        bring(broken, 7);
+        deliver(broken, 7);
         SentHeartbeat old = nextHeartbeat(broken);
         broken.reset();
         Session next = control.session();
@@ -348,9 +348,9 @@
     // ---- loss of contact ------------------------------------------------------------------------------
 
     @Test
-    void afterTheBoundOnlyPublicRoutesAreServed() throws Exception {
+    void onlyPublicRoutesAreServedAfterTheLeaseExpires() throws Exception {
         Session session = net.startSessionWithoutAcks();
-        bring(session, 7);
+        deliver(session, 7);
         confirm(session, nextHeartbeat(session), 7, 0);
         double expiresAt = confirmedAt() + VALIDITY_MS;
         passWithoutConfirmation(session, expiresAt - net.now());
@@ -361,13 +361,13 @@
         assertEquals(
                 Optional.empty(),
                 assertInstanceOf(Decision.Allowed.class, decide("open", KEY)).tenant(),
-                "whose key it is may have changed");
+                "the key may have been reassigned to another tenant");
     }
 
     @Test
-    void theNextConfirmationEndsTheRefusal() throws Exception {
+    void keysAreAcceptedAgainAfterTheNextConfirmation() throws Exception {
         Session session = net.startSessionWithoutAcks();
-        bring(session, 7);
+        deliver(session, 7);
         confirm(session, nextHeartbeat(session), 7, 0);
         passWithoutConfirmation(session, VALIDITY_MS + 1);
         assertUnconfirmed();
@@ -375,29 +375,29 @@
         assertServed();
     }
 
-    /** No timer has run and nothing was received since: the clock alone decides. */
+    /** No timer has run and no message was received since the pause, so the decision depends on the clock only. */
     @Test
-    void aProcessThatStoodStillDecidesByItsClockAfterIt() throws Exception {
+    void aResumedProcessDecidesByItsClock() throws Exception {
         Session session = net.startSessionWithoutAcks();
-        bring(session, 7);
+        deliver(session, 7);
         SentHeartbeat heartbeat = nextHeartbeat(session);
         confirm(session, heartbeat, 7, 0);
-        net.standStill(VALIDITY_MS);
+        net.pause(VALIDITY_MS);
         assertServed();
-        net.standStill(1);
+        net.pause(1);
         assertUnconfirmed();
         confirm(session, heartbeat, 7, 0);
         assertUnconfirmed();
     }
 
-    /** Time-outs leave out the time for which a process stood still; the lease does not. */
+    /** Timeouts exclude the time for which a process was paused; the lease does not. */
     @Test
-    void aStandstillThatTimeOutsExcludeCountsForTheLease() throws Exception {
+    void aPauseThatTimeoutsExcludeCountsForTheLease() throws Exception {
         Session session = net.startSessionWithoutAcks();
-        bring(session, 7);
+        deliver(session, 7);
         SentHeartbeat before = nextHeartbeat(session);
         confirm(session, before, 7, 0);
-        net.standStill(VALIDITY_MS + 1);
+        net.pause(VALIDITY_MS + 1);
         SentHeartbeat after = nextHeartbeat(session);
         assertFalse(session.isEnded());
         assertEquals(before.atMs(), confirmedAt());
@@ -406,20 +406,20 @@
         assertServed();
     }
 
-    // ---- where no confirmation is needed -----------------------------------------------------------------
+    // ---- without required confirmations ------------------------------------------------------------------
 
     @Test
-    void withOpenRevocationKeysAreServedByTheLastConfiguration() throws Exception {
+    void withOpenRevocationKeysAreAcceptedByTheLastConfiguration() throws Exception {
         accessControl = net.accessControl(Revocation.OPEN);
         Session session = net.startSessionWithoutAcks();
-        bring(session, 7);
+        deliver(session, 7);
         assertServed();
-        net.standStill(10 * REVOKE_MS);
+        net.pause(10 * REVOKE_MS);
         assertServed();
     }
 
     @Test
-    void withoutTenantsNothingNeedsAConfirmation() throws Exception {
+    void withoutTenantsNoConfirmationIsRequired() throws Exception {
         Session session = net.startSessionWithoutAcks();
         session.send(complete(configuration(7, WITHOUT_TENANTS)));
         net.awaitVersion(7);
@@ -428,7 +428,7 @@
         assertTrue(isServing());
     }
 
-    // ---- what clients are answered ----------------------------------------------------------------------
+    // ---- responses to clients ---------------------------------------------------------------------------
 
     private static ForwarderFixture.Builder forwarder(double revokeMs) {
         return ForwarderFixture.builder().tenants(TENANTS).routes(ROUTES).closedRevocation(revokeMs);
@@ -463,7 +463,7 @@
     }
 
     @Test
-    void aRequestThatWaitsBeyondTheBoundIsNotSentOnceMore() throws Exception {
+    void aRequestIsNotRetriedAfterTheLeaseExpires() throws Exception {
         try (ForwarderFixture forwarder = forwarder(SHORT_REVOKE_MS).start()) {
             forwarder.servers.plainServers(2);
             forwarder.confirm(0);
--- a/dataplane/src/test/java/dewplank/dataplane/RevocationModel.java
+++ b/dataplane/src/test/java/dewplank/dataplane/RevocationModel.java
@@ -20,26 +20,26 @@
 import java.util.function.Supplier;
 
 /**
- * A data plane with the program's own sessions and access control, in virtual time, and models of the register and of
- * three control planes. Messages are delayed, lost and overtaken by later ones, also within a connection; clocks run at
- * rates of their own; a control plane in a minority answers with what it knows. One thread; times in milliseconds.
+ * A data plane with the production code of sessions and access control in virtual time, and models of the register and
+ * of three control planes. Messages are delayed, lost and reordered, also within a connection; clocks run at different
+ * rates; a control plane in a minority replies with its last known state. Single-threaded; times are in milliseconds.
  */
 final class RevocationModel {
     static final double REVOKE_MS = 5_000;
-    /** A process may be held up for so long between its decision and the first byte (docs/design-quotas.md). */
+    /** Maximum pause of a process between its decision and the first byte sent (docs/design-quotas.md). */
     private static final double MAX_STALL_MS = 150;
-    /** So two clocks run at most 2 % apart. */
+    /** With this error, the rates of two clocks differ by at most 2 %. */
     private static final double MAX_RATE_ERROR = 0.0095;
 
     private static final int CONTROL_PLANES = 3;
     private static final double ROUND_INTERVAL_MS = 400;
     private static final double MAX_ROUND_MS = 250;
-    private static final double CALM_DELAY_MS = 20;
+    private static final double NORMAL_MAX_DELAY_MS = 20;
     private static final int MAX_BODY_BYTES = 1_000;
     private static final TestRoute ROUTE = TestRoute.safeRoute("safe", 1);
     private static final Optional<AccessKeyDigest> KEY = Optional.of(AccessKeyDigest.of("k-1"));
 
-    /** A configuration that was chosen, and acknowledged to its operator at once. */
+    /** A configuration that was chosen and, at the same time, acknowledged to its operator. */
     private record Chosen(Configuration configuration, boolean hasKey, double atMs) {}
 
     private final Random random;
@@ -48,9 +48,9 @@
     private final AccessControl accessControl;
     private final List<Chosen> chosen = new ArrayList<>();
     private final List<ControlPlaneModel> controlPlanes = new ArrayList<>();
-    private double maxDelayMs = CALM_DELAY_MS;
+    private double maxDelayMs = NORMAL_MAX_DELAY_MS;
     private double lossProbability;
-    private int allowed;
+    private int allowedRequests;
 
     RevocationModel(Random random) {
         this.random = random;
@@ -83,13 +83,13 @@
         return controlPlanes.stream().map(control -> control.address).toList();
     }
 
-    // ---- what happens ---------------------------------------------------------------------------------
+    // ---- events and faults ----------------------------------------------------------------------------
 
     void runFor(double ms) {
         time.runUntil(time.now() + ms);
     }
 
-    /** The next configuration is chosen and acknowledged, with the key or without it. */
+    /** Chooses and acknowledges the next configuration, with or without the key. */
     void choose(boolean hasKey) {
         String keys = hasKey ? "\"k-1\"" : "";
         String tenants = "[{\"name\":\"acme\",\"access_keys\":[" + keys + "]}]";
@@ -105,61 +105,61 @@
         return chosen.get(chosen.size() - 1).hasKey();
     }
 
-    void freezeDataPlane(double ms) {
-        time.freezeDataPlane(ms);
+    void pauseDataPlane(double ms) {
+        time.pauseDataPlane(ms);
     }
 
-    /** The control plane is in a minority: no quorum answers its rounds. */
+    /** Places the control plane in a minority: no quorum replies in its rounds. */
     void isolate(int controlPlane, double ms) {
         controlPlanes.get(controlPlane).isolatedUntil = time.now() + ms;
     }
 
-    /** Nothing passes between the control plane and the data plane. */
-    void cut(int controlPlane, double ms) {
-        controlPlanes.get(controlPlane).cutUntil = time.now() + ms;
+    /** Partitions the control plane from the data plane. */
+    void partition(int controlPlane, double ms) {
+        controlPlanes.get(controlPlane).partitionedUntil = time.now() + ms;
     }
 
-    void disturbMessages(double newMaxDelayMs, double newLossProbability) {
+    void setMessageFaults(double newMaxDelayMs, double newLossProbability) {
         maxDelayMs = newMaxDelayMs;
         lossProbability = newLossProbability;
     }
 
     void heal() {
-        disturbMessages(CALM_DELAY_MS, 0);
+        setMessageFaults(NORMAL_MAX_DELAY_MS, 0);
         for (ControlPlaneModel control : controlPlanes) {
             control.isolatedUntil = 0;
-            control.cutUntil = 0;
+            control.partitionedUntil = 0;
         }
     }
 
-    // ---- what is checked ------------------------------------------------------------------------------
+    // ---- checks ---------------------------------------------------------------------------------------
 
-    /** A client's request with the key arrives: decided on by the data plane, or once that is thawed. */
+    /** A client's request with the key arrives; the data plane decides on it now or, if paused, when it resumes. */
     void sendRequest() {
         time.onDataPlaneAt(time.now(), () -> {
-            if (isKeyServed()) {
-                allowed++;
-                if (!mayBeServed()) {
-                    throw new AssertionError(
-                            "served at " + time.now() + " by " + metadata.configurationVersion() + " of " + chosen);
+            if (isKeyAccepted()) {
+                allowedRequests++;
+                if (!mayBeAccepted()) {
+                    throw new AssertionError("key accepted at " + time.now() + " by version "
+                            + metadata.configurationVersion() + " of " + chosen);
                 }
             }
         });
     }
 
-    boolean isKeyServed() {
+    boolean isKeyAccepted() {
         return metadata.configuration() != null
                 && accessControl.decide(metadata.routes().find(ClientRequests.HOST, "/safe/"), KEY)
                         instanceof AccessControl.Decision.Allowed;
     }
 
-    /** Requests that were served. */
-    int allowed() {
-        return allowed;
+    /** The number of requests that were allowed. */
+    int allowedRequests() {
+        return allowedRequests;
     }
 
-    /** Whether a configuration with the key may be acted on: it is the newest of its time, or was until recently. */
-    private boolean mayBeServed() {
+    /** Whether the key may be accepted: the newest configuration has it, or did one that was replaced recently. */
+    private boolean mayBeAccepted() {
         double acknowledgedBefore = time.now() + MAX_STALL_MS - REVOKE_MS;
         for (int index = chosen.size() - 1; index >= 0; index--) {
             if (chosen.get(index).hasKey()) {
@@ -178,11 +178,11 @@
         private final String address;
         private final double rate = clockRate();
         private Chosen newest;
-        /** By its own clock; when the last round that a quorum answered was started. */
+        /** When the last round in which a quorum replied was started, by this control plane's clock. */
         private double currentAt = Double.NEGATIVE_INFINITY;
 
         private double isolatedUntil;
-        private double cutUntil;
+        private double partitionedUntil;
 
         ControlPlaneModel(String address) {
             this.address = address;
@@ -192,32 +192,32 @@
             return time.now() * rate;
         }
 
-        private boolean isCut() {
-            return time.now() < cutUntil;
+        private boolean isPartitioned() {
+            return time.now() < partitionedUntil;
         }
 
         private boolean isIsolated() {
             return time.now() < isolatedUntil;
         }
 
-        /** A quorum answers with the newest configuration of some moment between start and end. */
+        /** Starts a round: a quorum replies with the configuration that is the newest at some time during the round. */
         private void startRound() {
             double startedAt = clock();
-            double answersAt = time.now() + random.nextDouble() * MAX_ROUND_MS;
-            time.at(answersAt, () -> {
+            double repliesAt = time.now() + random.nextDouble() * MAX_ROUND_MS;
+            time.at(repliesAt, () -> {
                 if (!isIsolated()) {
-                    Chosen answered = chosen.get(chosen.size() - 1);
-                    double endsAt = time.now() + random.nextDouble() * MAX_ROUND_MS;
-                    time.at(endsAt, () -> endRound(startedAt, answered));
+                    Chosen reported = chosen.get(chosen.size() - 1);
+                    double completesAt = time.now() + random.nextDouble() * MAX_ROUND_MS;
+                    time.at(completesAt, () -> completeRound(startedAt, reported));
                 }
             });
             time.at(time.now() + ROUND_INTERVAL_MS * (0.75 + 0.5 * random.nextDouble()), this::startRound);
         }
 
-        private void endRound(double startedAt, Chosen answered) {
+        private void completeRound(double startedAt, Chosen reported) {
             currentAt = Math.max(currentAt, startedAt);
-            if (newest == null || answered.atMs() > newest.atMs()) {
-                newest = answered;
+            if (newest == null || reported.atMs() > newest.atMs()) {
+                newest = reported;
             }
         }
 
@@ -252,7 +252,7 @@
                     .orElseThrow();
             ModelLink link = new ModelLink(control, handler);
             double connectsInMs = delayMs();
-            if (connectsInMs > timeoutMs || control.isCut()) {
+            if (connectsInMs > timeoutMs || control.isPartitioned()) {
                 time.onDataPlaneAt(time.now() + timeoutMs, link::close);
             } else {
                 time.onDataPlaneAt(time.now() + connectsInMs, link::establish);
@@ -263,7 +263,7 @@
         @Override
         public ServerEndpoint listen(
                 InetSocketAddress at, int maxConnections, Supplier<? extends MessageLink.Handler> handlers) {
-            throw new UnsupportedOperationException("a data plane listens for nobody");
+            throw new UnsupportedOperationException("a data plane does not listen for messages");
         }
     }
 
@@ -287,7 +287,7 @@
         }
 
         private boolean isLost() {
-            return control.isCut() || random.nextDouble() < lossProbability;
+            return control.isPartitioned() || random.nextDouble() < lossProbability;
         }
 
         @Override
@@ -297,7 +297,7 @@
             }
         }
 
-        /** Sends a message of the control plane. */
+        /** Sends a message from the control plane to the data plane. */
         private void deliver(Object message) {
             if (!isLost()) {
                 time.onDataPlaneAt(time.now() + delayMs(), () -> {
--- a/dataplane/src/test/java/dewplank/dataplane/RevocationPropertyTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/RevocationPropertyTest.java
@@ -11,29 +11,29 @@
 import net.jqwik.api.ShrinkingMode;
 
 /**
- * Over random histories, no request is sent by a key later than its bound after the acknowledgement of its revocation,
- * and the newest configuration decides once all is healed; a failure prints its seed.
+ * Checks that in random histories no request is sent with a revoked key later than the bound after the acknowledgement
+ * of the revocation, and that the newest configuration applies once all faults are healed. A failure prints its seed.
  */
 class RevocationPropertyTest {
     private static final int CONTROL_PLANES = 3;
     private static final int STEPS = 600;
     private static final double MAX_STEP_MS = 60;
-    /** Each fault lasts less, so that some are shorter than the bound and some longer. */
+    /** Faults last at most this long, so that some are shorter than the bound and some longer. */
     private static final double MAX_FAULT_MS = 2 * RevocationModel.REVOKE_MS;
 
     private static final double MAX_MESSAGE_DELAY_MS = 4_000;
     private static final double MAX_LOSS_PROBABILITY = 0.4;
-    /** In which sessions end by their time-outs, backoffs pass and others are opened. */
+    /** Long enough for sessions to time out, backoffs to elapse and new sessions to open. */
     private static final double HEALING_MS = 10_000;
 
     private static void injectFault(RevocationModel model, Random random) {
         double forMs = random.nextDouble() * MAX_FAULT_MS;
         switch (random.nextInt(10)) {
             case 0, 1, 2 -> model.choose(random.nextInt(3) == 0);
-            case 3 -> model.freezeDataPlane(forMs);
+            case 3 -> model.pauseDataPlane(forMs);
             case 4, 5 -> model.isolate(random.nextInt(CONTROL_PLANES), forMs);
-            case 6, 7 -> model.cut(random.nextInt(CONTROL_PLANES), forMs);
-            case 8 -> model.disturbMessages(
+            case 6, 7 -> model.partition(random.nextInt(CONTROL_PLANES), forMs);
+            case 8 -> model.setMessageFaults(
                     random.nextDouble() * MAX_MESSAGE_DELAY_MS, random.nextDouble() * MAX_LOSS_PROBABILITY);
             default -> model.heal();
         }
@@ -45,7 +45,7 @@
     }
 
     @Property(tries = 300, shrinking = ShrinkingMode.OFF)
-    void noKeyIsServedLaterThanItsBoundAfterItsRevocation(@ForAll long seed) {
+    void noKeyIsAcceptedLaterThanTheBoundAfterItsRevocation(@ForAll long seed) {
         Random random = new Random(seed);
         RevocationModel model = new RevocationModel(random);
         for (int step = 0; step < STEPS; step++) {
@@ -56,25 +56,28 @@
         }
         model.heal();
         model.runFor(MAX_FAULT_MS + HEALING_MS);
-        assertEquals(model.newestHasKey(), model.isKeyServed(), "by the newest configuration, once healed");
+        assertEquals(
+                model.newestHasKey(),
+                model.isKeyAccepted(),
+                "the newest configuration applies once all faults are healed");
     }
 
-    /** Else the histories would show nothing. */
+    /** If keys were rejected without faults, the random histories would prove nothing. */
     @Example
-    void inCalmTimesKeysAreServedAllTheTime() {
+    void keysAreAcceptedAllTheTimeWithoutFaults() {
         Random random = new Random(1);
         RevocationModel model = new RevocationModel(random);
         model.runFor(HEALING_MS);
         for (int step = 0; step < STEPS; step++) {
             step(model, random);
         }
-        model.runFor(0); // the last one is decided
-        assertEquals(STEPS, model.allowed());
+        model.runFor(0); // so that the last request is decided
+        assertEquals(STEPS, model.allowedRequests());
     }
 
-    /** All control planes are in minorities: what was confirmed before serves for a while, and then no more. */
+    /** All control planes are in minorities: the last confirmation is sufficient for a while, and then expires. */
     @Example
-    void withoutAQuorumKeysAreServedForAWhile() {
+    void keysAreAcceptedForALimitedTimeWithoutAQuorum() {
         Random random = new Random(1);
         RevocationModel model = new RevocationModel(random);
         model.runFor(HEALING_MS);
@@ -82,8 +85,8 @@
             model.isolate(control, MAX_FAULT_MS);
         }
         model.runFor(RevocationModel.REVOKE_MS / 2);
-        assertTrue(model.isKeyServed());
+        assertTrue(model.isKeyAccepted());
         model.runFor(RevocationModel.REVOKE_MS / 2);
-        assertFalse(model.isKeyServed());
+        assertFalse(model.isKeyAccepted());
     }
 }
--- a/dataplane/src/test/java/dewplank/dataplane/ScriptedControlPlane.java
+++ b/dataplane/src/test/java/dewplank/dataplane/ScriptedControlPlane.java
@@ -13,7 +13,10 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.function.Supplier;
 
-/** The only control plane that a forwarder's data plane can ask for tokens, without a network; the test replies. */
+/**
+ * The only control plane to which a forwarder's data plane sends quota requests, without a network. The test sends the
+ * replies.
+ */
 final class ScriptedControlPlane {
     private static final String ADDRESS = "127.0.0.1:1";
 
@@ -26,7 +29,7 @@
         this.quotas = quotas;
     }
 
-    /** A new one, which the forwarder's data plane asks from now on. */
+    /** Creates a control plane that receives all further quota requests of the forwarder's data plane. */
     static ScriptedControlPlane connect(ForwarderFixture net) throws Exception {
         ScriptedControlPlane controlPlane = new ScriptedControlPlane(net.loop, net.quotas);
         ControlSession session = new ControlSession(
@@ -36,21 +39,21 @@
         return controlPlane;
     }
 
-    /** The next request for tokens, once it has come. */
+    /** Waits for the next quota request. */
     QuotaRequest nextRequest() throws Exception {
-        OnLoop.await(loop, this::isAsked);
+        OnLoop.await(loop, this::hasRequest);
         return requests.remove();
     }
 
-    boolean isAsked() {
+    boolean hasRequest() {
         return !requests.isEmpty();
     }
 
     void reply(QuotaReply reply) throws Exception {
-        OnLoop.run(loop, () -> quotas.replied(reply));
+        OnLoop.run(loop, () -> quotas.onReply(reply));
     }
 
-    /** Opens links that are up from the start, and record what is sent. */
+    /** Opens links that are established from the start and record what is sent. */
     private final class RecordingTransport implements MessageTransport {
         @Override
         public MessageLink open(InetSocketAddress to, double timeoutMs, MessageLink.Handler handler) {
@@ -60,7 +63,7 @@
         @Override
         public ServerEndpoint listen(
                 InetSocketAddress at, int maxConnections, Supplier<? extends MessageLink.Handler> handlers) {
-            throw new UnsupportedOperationException("no server");
+            throw new UnsupportedOperationException("this transport does not listen");
         }
     }
 
