--- a/dataplane/src/test/java/dewplank/dataplane/SessionClientTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/SessionClientTest.java
@@ -39,9 +39,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A data plane's sessions with stand-ins for control planes, over TCP and by the test's clock. */
+/** A data plane's sessions with fake control planes, over TCP and with the test's clock. */
 class SessionClientTest {
-    /** So long that no test meets the end of it by chance; those that want it set it themselves. */
+    /** So long that it does not elapse during a test; tests that need it to elapse set a shorter time. */
     private static final double CONTACT_MS = 120_000;
 
     private static final SessionParameters PARAMETERS = SessionParameters.DEFAULTS;
@@ -91,7 +91,7 @@
     }
 
     @Test
-    void absentSectionsOfAnUpdateChangeNothing() throws Exception {
+    void absentSectionsOfAnUpdateHaveNoEffect() throws Exception {
         Session session = net.startSession();
         session.send(complete(configuration(7, safeRoute("r", 1))));
         session.heartbeatWithVersion(7);
@@ -104,7 +104,7 @@
     }
 
     @Test
-    void aDeltaLeadsToTheNextVersion() throws Exception {
+    void aDeltaIsAppliedToTheVersionInForce() throws Exception {
         Session session = net.startSession();
         Configuration first = configuration(7, safeRoute("a", 1), safeRoute("b", 1));
         Configuration second = configuration(8, safeRoute("b", 1), unsafeRoute("c", 2));
@@ -119,9 +119,12 @@
                 new String(net.metadata.configuration().json(), StandardCharsets.UTF_8));
     }
 
-    /** The delta is from a version that is not in force: the session ends, and the next one brings what is missing. */
+    /**
+     * The delta is based on a version that is not in force: the session is closed, and the next one delivers the
+     * missing configuration.
+     */
     @Test
-    void aDeltaFromAnotherVersionEndsItsSession() throws Exception {
+    void aDeltaFromAnotherVersionClosesItsSession() throws Exception {
         FakeControlPlane control = net.controlPlane();
         net.start(control);
         Session session = control.session();
@@ -142,7 +145,7 @@
     }
 
     @Test
-    void aMalformedUpdateEndsItsSessionAndChangesNothing() throws Exception {
+    void aMalformedUpdateClosesItsSessionAndIsNotApplied() throws Exception {
         FakeControlPlane control = net.controlPlane();
         net.start(control);
         Configuration inForce = configuration(3, safeRoute("a", 1));
@@ -160,7 +163,7 @@
         assertEquals("a", net.metadata.routes().find(HOST, "/a/").name());
     }
 
-    /** Two sessions deliver the same updates, one later than the other: the later one's are no error. */
+    /** Two sessions deliver the same updates at different times: the later delivery is not an error. */
     @Test
     void anUpdateThatAnotherSessionDeliveredFirstIsSkipped() throws Exception {
         FakeControlPlane one = net.controlPlane();
@@ -177,18 +180,18 @@
         slow.send(delta(first, second));
         slow.send(complete(first));
         slow.send(new FleetUpdate(new byte[] {1, 2, 3}, 8, 0, endpointList(FIRST_LIST), null));
-        net.await(net.metadata::isComplete); // so all updates before it were handled
+        net.await(net.metadata::isComplete); // all updates before it have been handled then
         assertEquals(8, net.metadata.configurationVersion());
         assertEquals("b", net.metadata.routes().find(HOST, "/b/").name());
         assertFalse(slow.isEnded());
         assertEquals(2, OnLoop.get(net.loop, net.client::openSessions));
     }
 
-    // ---- which control planes -------------------------------------------------------------------------
+    // ---- selection of control planes ------------------------------------------------------------------
 
     private static long countWithSession(FakeControlPlane... controlPlanes) {
         return Arrays.stream(controlPlanes)
-                .filter(controlPlane -> !controlPlane.hasNoFurtherSession())
+                .filter(controlPlane -> !controlPlane.hasNoNewSession())
                 .count();
     }
 
@@ -204,9 +207,9 @@
     }
 
     @Test
-    void addressesOfFurtherControlPlanesAreLearntFromAcks() throws Exception {
+    void addressesOfFurtherControlPlanesAreTakenFromAcks() throws Exception {
         FakeControlPlane unknown = net.controlPlane();
-        FakeControlPlane seed = net.controlPlane().naming(unknown.address());
+        FakeControlPlane seed = net.controlPlane().withControlAddresses(unknown.address());
         net.start(seed);
         seed.session();
         assertEquals(SELF, unknown.session().open().member);
@@ -214,16 +217,16 @@
     }
 
     @Test
-    void anUnreachableControlPlaneIsSkippedAndRedialled() throws Exception {
-        ReservedPort nobody = new ReservedPort();
+    void anUnreachableControlPlaneIsSkippedAndRetriedLater() throws Exception {
+        ReservedPort unreachable = new ReservedPort();
         FakeControlPlane control = net.controlPlane();
-        OnLoop.run(net.loop, () -> net.client.setSeeds(List.of(nobody.addressText())));
+        OnLoop.run(net.loop, () -> net.client.setSeeds(List.of(unreachable.addressText())));
         net.start(control);
         control.session();
         net.awaitOpenSessions(1);
-        try (nobody;
-                ServerSocket later = nobody.listen()) {
-            net.awaitConnection(nobody.address());
+        try (unreachable;
+                ServerSocket later = unreachable.listen()) {
+            net.awaitConnection(unreachable.address());
             later.setSoTimeout(Wire.PATIENCE_S * 1_000);
             later.accept().close();
         }
@@ -237,7 +240,7 @@
         net.awaitOpenSessions(2);
         net.await(() -> countWithSession(used.toArray(FakeControlPlane[]::new)) == 2);
         FakeControlPlane third = used.stream()
-                .filter(FakeControlPlane::hasNoFurtherSession)
+                .filter(FakeControlPlane::hasNoNewSession)
                 .findFirst()
                 .orElseThrow();
         used.remove(third);
@@ -246,7 +249,7 @@
         assertFalse(used.get(1).session().isEnded());
     }
 
-    /** The time-out was exceeded, and by no more than one heartbeat interval. */
+    /** Checks that the timeout was exceeded, by at most one heartbeat interval. */
     private void assertElapsed(double timeoutMs, double since) {
         double elapsedMs = net.now() - since;
         assertTrue(elapsedMs >= timeoutMs, "too soon: " + elapsedMs);
@@ -254,7 +257,7 @@
     }
 
     @Test
-    void aHeartbeatTimeoutEndsTheSession() throws Exception {
+    void aHeartbeatTimeoutClosesTheSession() throws Exception {
         FakeControlPlane withoutAcks = net.controlPlane().withoutAcks();
         FakeControlPlane withAcks = net.controlPlane();
         net.start(withoutAcks, withAcks);
@@ -262,9 +265,9 @@
         Session remaining = withAcks.session();
         FakeControlPlane third = net.controlPlane();
         net.addSeeds(third);
-        double silentSince = net.now();
+        double waitStartedAt = net.now();
         replaced.awaitEnd();
-        assertElapsed(PARAMETERS.heartbeatTimeoutMs(), silentSince);
+        assertElapsed(PARAMETERS.heartbeatTimeoutMs(), waitStartedAt);
         assertEquals(SELF, third.session().open().member);
         assertFalse(remaining.isEnded());
     }
@@ -278,20 +281,20 @@
         Session replaced = partitioned.session();
         Session remaining = withQuorum.session();
         remaining.send(complete(configuration(3, safeRoute("a", 1))));
-        net.awaitVersion(3); // with a configuration in force there is no need to keep it
+        net.awaitVersion(3); // with a configuration in force, the session without a quorum is no longer needed
         FakeControlPlane third = net.controlPlane();
         net.addSeeds(third);
         replaced.awaitEnd();
         assertElapsed(PARAMETERS.quorumTimeoutMs(), startedAt);
         assertEquals(SELF, third.session().open().member);
         net.pass(700);
-        assertTrue(partitioned.hasNoFurtherSession(), "it is not in backoff");
+        assertTrue(partitioned.hasNoNewSession(), "it is not in backoff");
         assertFalse(remaining.isEnded());
     }
 
-    /** An ack reports the quorum as of its heartbeat, however late it arrives. */
+    /** An ack reports a quorum as of the time of its heartbeat, however late it arrives. */
     @Test
-    void acksOfAnOldHeartbeatDoNotShowAQuorum() throws Exception {
+    void acksOfAnOldHeartbeatDoNotProveAQuorum() throws Exception {
         FakeControlPlane late = net.controlPlane().withoutAcks();
         FakeControlPlane withQuorum = net.controlPlane();
         net.start(late, withQuorum);
@@ -301,14 +304,14 @@
         net.addSeeds(net.controlPlane());
         long first = replaced.heartbeat().sequence;
         for (int acks = 0; !replaced.isEnded(); acks++) {
-            assertTrue(acks < 60, "it is kept open by acks of its first heartbeat");
+            assertTrue(acks < 60, "acks of the first heartbeat keep the session open");
             replaced.sendIfOpen(new HeartbeatAck(first, true, List.of()));
             net.pass(100);
         }
     }
 
     @Test
-    void aControlPlaneWithoutAQuorumIsKeptWithoutAnAlternative() throws Exception {
+    void aSessionWithoutAQuorumIsKeptOpenWithoutAnAlternative() throws Exception {
         useContactTime(800);
         FakeControlPlane one = net.controlPlane().withoutQuorum();
         FakeControlPlane two = net.controlPlane().withoutQuorum();
@@ -319,10 +322,10 @@
         assertFalse(first.isEnded() || second.isEnded());
         Configuration newest = configuration(7, safeRoute("a", 1));
         first.send(complete(newest));
-        net.awaitVersion(7); // a chosen value is true with and without a quorum
+        net.awaitVersion(7); // a chosen value is valid even if its sender has no quorum
     }
 
-    /** After a restart of the whole fleet there may be no quorum: stale state is used after the deferral. */
+    /** After a restart of the whole fleet there may be no quorum: stale updates are applied after the deferral. */
     @Test
     void withoutAConfigurationAStaleUpdateIsDeferred() throws Exception {
         useContactTime(2_000);
@@ -337,7 +340,7 @@
         assertElapsed(1_000, startedAt); // half of the contact time
     }
 
-    /** The partitioned control plane is dialled first and sends first; its updates are never in force here. */
+    /** The partitioned control plane is connected first and sends first; its stale configuration never takes effect. */
     @Test
     void withoutAConfigurationAnUpdateFromAQuorumIsAwaited() throws Exception {
         FakeControlPlane partitioned = net.controlPlane().withoutQuorum();
@@ -362,7 +365,7 @@
         assertEquals("new", net.metadata.routes().find(HOST, "/new/").name());
     }
 
-    /** Both sessions may be with partitioned control planes: extra sessions are opened beside them. */
+    /** Both sessions may be with partitioned control planes, so extra sessions are opened. */
     @Test
     void withoutAConfigurationExtraSessionsBypassPartitionedControlPlanes() throws Exception {
         FakeControlPlane one = net.controlPlane().withoutQuorum();
@@ -380,7 +383,10 @@
         assertFalse(third.isEnded());
     }
 
-    /** A partitioned control plane has no members but its own; the retry budget is divided by the number of members. */
+    /**
+     * A partitioned control plane reports only the members that it can reach, and the retry budget is divided by the
+     * number of members.
+     */
     @Test
     void membersAreTakenFromAControlPlaneWithAQuorum() throws Exception {
         Member other = new Member("n2", Member.DATA, "10.0.0.8:1", "z", 4);
@@ -395,13 +401,13 @@
         partitioned.heartbeat();
         partitioned.heartbeat();
         partitioned.send(endpoints(endpointList(FIRST_LIST), List.of(SELF)));
-        net.await(net.metadata::isComplete); // so its members were handled
+        net.await(net.metadata::isComplete); // its members have been handled then
         assertEquals(2, net.metadata.members().size());
         good.reset();
         net.await(() -> net.metadata.members().size() == 1);
     }
 
-    /** 64 machines that were replaced must not keep a data plane from learning the 65th address. */
+    /** The addresses of 64 machines that were replaced must not prevent the use of a 65th address. */
     @Test
     void seedsBeyondTheBoundEvictOlderAddresses() throws Exception {
         OnLoop.run(net.loop, () -> {
@@ -413,7 +419,7 @@
     }
 
     @Test
-    void aClosedClientEndsItsSessionsAndOpensNone() throws Exception {
+    void aClosedClientClosesItsSessionsAndOpensNone() throws Exception {
         FakeControlPlane one = net.controlPlane();
         FakeControlPlane two = net.controlPlane();
         net.start(one, two);
@@ -424,6 +430,6 @@
         first.awaitEnd();
         second.awaitEnd();
         net.pass(700);
-        assertTrue(one.hasNoFurtherSession() && two.hasNoFurtherSession());
+        assertTrue(one.hasNoNewSession() && two.hasNoNewSession());
     }
 }
--- a/dataplane/src/test/java/dewplank/dataplane/SessionCrossingTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/SessionCrossingTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Messages of an earlier connection, or of an earlier incarnation of a control plane, that meet a session. */
+/** Messages that arrive while a session closes, after a broken connection, or after a control plane's restart. */
 class SessionCrossingTest {
     private static final double CONTACT_MS = 4_000;
 
@@ -43,9 +43,9 @@
         return complete(configuration(version, safeRoute("r" + version, 1)), endpointList(list), null);
     }
 
-    /** The update is received when the session is closed: it is not handled any more. */
+    /** The update arrives while the session is being closed, so it is not handled. */
     @Test
-    void anUpdateThatMeetsTheEndOfItsSessionIsDiscarded() throws Exception {
+    void anUpdateThatArrivesWhileItsSessionClosesIsDiscarded() throws Exception {
         Session session = control.session();
         session.heartbeatWithVersion(0);
         session.send(update(3, new EndpointListVersion(1, 1)));
@@ -60,7 +60,7 @@
         assertEquals(new EndpointListVersion(1, 1), net.metadata.listVersion());
     }
 
-    /** The connection breaks within an update: the next one's bytes are not decoded as the rest of it. */
+    /** The connection breaks within an update: the bytes of the next connection are not decoded as its remainder. */
     @Test
     void aPartialUpdateOfAnEarlierConnectionIsDiscarded() throws Exception {
         Session first = control.session();
@@ -70,13 +70,13 @@
         first.sendHalf(update(9, new EndpointListVersion(1, 9)));
         first.reset();
         Session second = control.session();
-        assertEquals(3, second.heartbeat().configurationVersion, "the session begins with the version in force");
+        assertEquals(3, second.heartbeat().configurationVersion, "the session starts from the version in force");
         second.send(update(4, new EndpointListVersion(1, 2)));
         net.awaitVersion(4);
         assertEquals(new EndpointListVersion(1, 2), OnLoop.get(net.loop, net.metadata::listVersion));
     }
 
-    /** A control plane that restarts with the state of its disk sends older versions: nothing goes back. */
+    /** A control plane that restarts with its stored state sends older versions, which replace no newer ones. */
     @Test
     void staleStateOfALaterIncarnationIsDiscarded() throws Exception {
         Session first = control.session();
@@ -88,14 +88,14 @@
         assertEquals(9, second.heartbeat().configurationVersion);
         second.send(update(3, new EndpointListVersion(1, 8)));
         second.send(update(8, new EndpointListVersion(2, 4)));
-        second.send(members(List.of(SELF))); // handled after them
+        second.send(members(List.of(SELF))); // handled after both updates
         net.await(() -> net.metadata.members().size() == 1);
         assertEquals(9, net.metadata.configurationVersion());
         assertEquals(new EndpointListVersion(2, 5), net.metadata.listVersion());
         assertEquals("r9", net.metadata.routes().find(HOST, "/r9/").name());
     }
 
-    /** Each session opens with the member, whatever message the earlier one broke in. */
+    /** Each session starts with the member, regardless of the message in which the earlier connection broke. */
     @Test
     void aSessionAfterABrokenOneOpensWithItsMember() throws Exception {
         Session first = control.session();
@@ -104,6 +104,6 @@
         first.reset();
         Session second = control.session();
         assertEquals(SELF, second.open().member);
-        assertTrue(second.heartbeat().sequence > sequence, "no two sessions use one sequence number");
+        assertTrue(second.heartbeat().sequence > sequence, "sequence numbers are unique across sessions");
     }
 }
--- a/dataplane/src/test/java/dewplank/dataplane/SessionFixture.java
+++ b/dataplane/src/test/java/dewplank/dataplane/SessionFixture.java
@@ -15,33 +15,33 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * A data plane's sessions over TCP on an event loop, with stand-ins for control planes. The clock is the test's: it
- * moves from one timer to the next while the test waits, and only once all that was sent was handled.
+ * A data plane's sessions over TCP on an event loop, with fake control planes. The test's clock advances from one timer
+ * to the next while the test waits, and only after all sent messages have been handled.
  */
 final class SessionFixture implements Closeable {
     static final Member SELF = new Member("n1", Member.DATA, "10.0.0.9:1", ScriptedFleet.ZONE, 17);
 
-    /** A token may be used for half a second after it was asked for. */
+    /** With these terms, a token may be used for half a second after it was requested. */
     static final QuotaTerms QUOTA_TERMS = new QuotaTerms(10_000, 0.05, 0);
 
     private static final int RANDOM_SEED = 3;
 
-    /** By the test's clock, after which a wait fails. */
+    /** Timeout of a wait, by the test's clock. */
     private static final double MAX_WAIT_MS = Wire.PATIENCE_S * 1_000.0;
 
     final EventLoop loop = new EventLoop();
     final FleetMetadata metadata;
     final SessionClient client;
-    /** Asks for tokens by the client's sessions, by the test's clock. */
+    /** Requests tokens over the client's sessions, with the test's clock. */
     final QuotaClient quotas;
-    /** How often the client has reported a change of the fleet. */
+    /** The number of updates that the client has reported as applied. */
     final AtomicInteger changes = new AtomicInteger();
 
     private final ManualScheduler scheduler = new ManualScheduler(loop);
     private final ObservedTransport transport = new ObservedTransport(loop);
     private final List<FakeControlPlane> controlPlanes = new CopyOnWriteArrayList<>();
 
-    /** A client, not yet started, that takes {@code contactMs} for the time within which a quorum is contacted. */
+    /** Creates a client, not yet started, with {@code contactMs} as the setting {@code contact_ms}. */
     SessionFixture(double contactMs) throws IOException {
         metadata = new FleetMetadata(scheduler);
         client = new SessionClient(
@@ -53,17 +53,17 @@
                 contactMs,
                 changes::incrementAndGet);
         quotas = new QuotaClient(scheduler, QUOTA_TERMS);
-        client.serve(quotas);
+        client.connectQuotaClient(quotas);
     }
 
-    /** A new control plane, which the client does not know yet; it is closed with the fixture. */
+    /** Creates a control plane whose address the client does not have yet; it is closed with the fixture. */
     FakeControlPlane controlPlane() throws IOException {
         FakeControlPlane controlPlane = new FakeControlPlane(this::await);
         controlPlanes.add(controlPlane);
         return controlPlane;
     }
 
-    /** Names further seeds to the client. */
+    /** Adds seeds to the client. */
     void addSeeds(FakeControlPlane... seeds) throws Exception {
         OnLoop.run(loop, () -> setSeeds(seeds));
     }
@@ -76,14 +76,14 @@
         });
     }
 
-    /** Starts the client with one control plane as its seed; the session that it opens there. */
+    /** Starts the client with one control plane as its seed, and waits for the session with it. */
     FakeControlPlane.Session startSession() throws Exception {
         FakeControlPlane seed = controlPlane();
         start(seed);
         return seed.session();
     }
 
-    /** The same, with a control plane that acknowledges nothing by itself. */
+    /** Like {@link #startSession}, with a control plane that does not acknowledge heartbeats by itself. */
     FakeControlPlane.Session startSessionWithoutAcks() throws Exception {
         FakeControlPlane seed = controlPlane().withoutAcks();
         start(seed);
@@ -96,10 +96,10 @@
         }
     }
 
-    /** Another client for tokens under these terms, which takes the place of {@link #quotas}. */
-    QuotaClient serveQuotas(QuotaTerms terms) throws Exception {
+    /** Creates another quota client with these terms, which replaces {@link #quotas}. */
+    QuotaClient replaceQuotaClient(QuotaTerms terms) throws Exception {
         QuotaClient next = new QuotaClient(scheduler, terms);
-        OnLoop.run(loop, () -> client.serve(next));
+        OnLoop.run(loop, () -> client.connectQuotaClient(next));
         return next;
     }
 
@@ -108,17 +108,17 @@
         return scheduler.now();
     }
 
-    /** Decides by what this client learns, and by the test's clock; its methods are for the loop's thread. */
+    /** Access control by this client's metadata and the test's clock; its methods must run on the loop's thread. */
     AccessControl accessControl(AccessControl.Revocation revocation) {
         return new AccessControl(scheduler, metadata, revocation);
     }
 
-    /** Lets so much time pass without anything being done or handled. */
-    void standStill(double ms) throws Exception {
-        OnLoop.run(loop, () -> scheduler.standStill(ms));
+    /** Advances the clock without running timers or handling messages, as in a paused process. */
+    void pause(double ms) throws Exception {
+        OnLoop.run(loop, () -> scheduler.pause(ms));
     }
 
-    /** Moves the clock on by so much: all timers within that time run, and what they send is handled. */
+    /** Advances the clock by this time: all timers within it run, and the messages that they send are handled. */
     void pass(double ms) throws Exception {
         double until = now() + ms;
         settle();
@@ -127,13 +127,13 @@
         }
     }
 
-    /** Moves the clock until the condition holds, which is evaluated on the loop's thread after each timer. */
+    /** Advances the clock until the condition holds; it is evaluated on the loop's thread after each timer. */
     void await(Callable<Boolean> reached) throws Exception {
         double until = now() + MAX_WAIT_MS;
         settle();
         while (!OnLoop.get(loop, reached)) {
             if (now() >= until) {
-                throw new AssertionError("not within " + MAX_WAIT_MS + " ms by the test's clock");
+                throw new AssertionError("condition not met within " + MAX_WAIT_MS + " ms of the test's clock");
             }
             advance(until);
         }
@@ -144,7 +144,7 @@
         settle();
     }
 
-    /** Waits until everything that was sent was handled; the clock does not move. */
+    /** Waits until all sent messages have been handled; the clock does not advance. */
     private void settle() throws Exception {
         OnLoop.await(loop, () -> transport.isSettled(controlPlanes));
     }
@@ -158,7 +158,7 @@
         await(() -> client.openSessions() == count);
     }
 
-    /** Waits until the client has a connection with that address. */
+    /** Waits until the client has a connection to that address. */
     void awaitConnection(InetSocketAddress address) throws Exception {
         await(() -> transport.isOpen(address));
     }
--- a/dataplane/src/test/java/dewplank/dataplane/TenantNameTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/TenantNameTest.java
@@ -29,20 +29,20 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A server gets the name of the tenant that holds the client's key, by the data plane's word alone, and never the key
- * (PROTOCOL, Requests; rule UNASKED).
+ * A server receives the name of the tenant to which the client's key belongs, as set by the data plane only, and never
+ * the key itself (PROTOCOL, Requests; rule UNASKED).
  */
 class TenantNameTest {
     private static final String ACME = "acme";
     private static final String BIRCH = "birch";
-    /** Held by {@link #ACME} until it is passed on to {@link #BIRCH}. */
+    /** Belongs to {@link #ACME} until it is reassigned to {@link #BIRCH}. */
     private static final String KEY = "Authorization: Bearer k-1\r\n";
 
     private static final String BIRCH_KEY = "Authorization: Bearer k-2\r\n";
-    private static final String CLAIMS_BIRCH = "X-Dewplank-Tenant-Name: birch\r\n";
+    private static final String BIRCH_NAME_FIELD = "X-Dewplank-Tenant-Name: birch\r\n";
 
     private static final String TENANTS = "[" + tenant(ACME, "\"k-1\",\"k-3\"") + "," + tenant(BIRCH, "\"k-2\"") + "]";
-    private static final String TENANTS_WITH_KEY_PASSED_ON =
+    private static final String TENANTS_AFTER_REASSIGNMENT =
             "[" + tenant(ACME, "\"k-3\"") + "," + tenant(BIRCH, "\"k-2\",\"k-1\"") + "]";
 
     private static final TestRoute[] ROUTES = {
@@ -73,23 +73,23 @@
         net.close();
     }
 
-    private static void assertBearsTenant(String tenant, Call call) {
+    private static void assertHasTenant(String tenant, Call call) {
         assertEquals(tenant, tenantName(call));
         assertEquals(1, call.message().count(TENANT_NAME));
     }
 
-    /** The rule allows the tenant that held the key when the request was sent, and the one it was passed on to. */
-    private static void assertBearsAHolderOfTheKey(Call call) {
+    /** The rule allows the key's tenant at the time of the request, and the tenant to which it was reassigned. */
+    private static void assertHasAnAllowedTenant(Call call) {
         assertTrue(Set.of(ACME, BIRCH).contains(String.valueOf(tenantName(call))), "tenant " + tenantName(call));
         assertEquals(1, call.message().count(TENANT_NAME));
     }
 
-    private static void assertHidesKey(Call call) {
+    private static void assertOmitsKey(Call call) {
         assertEquals(0, call.message().count(AUTHORIZATION));
         assertTrue(call.message().fields().stream().noneMatch(field -> field.contains("k-1")));
     }
 
-    /** The call by which a request on a plain route was served, and no other came. */
+    /** Serves a request on a plain route and returns its only call to a server. */
     private Call serve(String target, String fields) throws Exception {
         Wire client = net.sendRequest(target, fields);
         Call call = net.nextCall();
@@ -98,17 +98,17 @@
         return call;
     }
 
-    /** The calls by which a generation was served. */
+    /** The calls to servers for one generation request. */
     private record Generation(Call prefill, Call decode) {}
 
-    /** A generation that was served, and no other call came. */
+    /** Serves a generation request; checks that there are no further calls. */
     private Generation serveGeneration(String fields, Change betweenCalls) throws Exception {
         net.servers.prefill();
         net.servers.decode();
         Wire client = net.sendRequest("/gen/", PROMPT + fields);
         Call prefill = net.nextCall();
         assertEquals("prefill", stage(prefill));
-        betweenCalls.make();
+        betweenCalls.apply();
         handOver(prefill, "h");
         Call decode = net.nextCall();
         assertNull(stage(decode));
@@ -117,122 +117,122 @@
         return new Generation(prefill, decode);
     }
 
-    /** What changes while a request is served. */
+    /** A change that is made while a request is served. */
     private interface Change {
-        void make() throws Exception;
+        void apply() throws Exception;
     }
 
-    private void passKeyOn() throws Exception {
-        net.tenants(TENANTS_WITH_KEY_PASSED_ON, ROUTES);
+    private void reassignKey() throws Exception {
+        net.tenants(TENANTS_AFTER_REASSIGNMENT, ROUTES);
     }
 
     // ---- plain routes --------------------------------------------------------------------------------
 
     @Test
-    void aServerGetsTheNameOfTheTenantThatHoldsTheKey() throws Exception {
+    void aServerReceivesTheNameOfTheKeysTenant() throws Exception {
         net.servers.plain();
-        assertBearsTenant(ACME, serve("/safe/", KEY));
-        assertBearsTenant(BIRCH, serve("/safe/", BIRCH_KEY));
+        assertHasTenant(ACME, serve("/safe/", KEY));
+        assertHasTenant(BIRCH, serve("/safe/", BIRCH_KEY));
     }
 
     @ParameterizedTest
     @ValueSource(
             strings = {
-                CLAIMS_BIRCH,
+                BIRCH_NAME_FIELD,
                 "x-dewplank-tenant-name: birch\r\n",
-                CLAIMS_BIRCH + CLAIMS_BIRCH,
-                "X-Dewplank-Tenant-Name: acme\r\n" + CLAIMS_BIRCH,
+                BIRCH_NAME_FIELD + BIRCH_NAME_FIELD,
+                "X-Dewplank-Tenant-Name: acme\r\n" + BIRCH_NAME_FIELD,
                 "X-Dewplank-Tenant-Name:\r\n",
-                CLAIMS_BIRCH + "Connection: X-Dewplank-Tenant-Name\r\n"
+                BIRCH_NAME_FIELD + "Connection: X-Dewplank-Tenant-Name\r\n"
             })
-    void aClientsOwnTenantNameIsReplaced(String fields) throws Exception {
+    void aTenantNameFromTheClientIsReplaced(String fields) throws Exception {
         net.servers.plain();
-        assertBearsTenant(ACME, serve("/safe/", KEY + fields));
+        assertHasTenant(ACME, serve("/safe/", KEY + fields));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {KEY, "authorization: Bearer k-1\r\n", "AUTHORIZATION:   Bearer k-1  \r\n"})
-    void aServerDoesNotGetTheKey(String key) throws Exception {
+    void aServerDoesNotReceiveTheKey(String key) throws Exception {
         net.servers.plain();
-        assertHidesKey(serve("/safe/", key));
+        assertOmitsKey(serve("/safe/", key));
     }
 
     // ---- public routes -------------------------------------------------------------------------------
 
     @Test
-    void onAPublicRouteAClientsOwnTenantNameIsDropped() throws Exception {
+    void aTenantNameFromTheClientIsRemovedOnAPublicRoute() throws Exception {
         net.servers.plain();
-        assertEquals(0, serve("/open/", CLAIMS_BIRCH).message().count(TENANT_NAME));
+        assertEquals(0, serve("/open/", BIRCH_NAME_FIELD).message().count(TENANT_NAME));
     }
 
     @Test
-    void onAPublicRouteAServerDoesNotGetTheKey() throws Exception {
+    void aServerDoesNotReceiveTheKeyOnAPublicRoute() throws Exception {
         net.servers.plain();
-        assertHidesKey(serve("/open/", KEY));
+        assertOmitsKey(serve("/open/", KEY));
     }
 
     @Test
-    void onAPublicRouteAServerDoesNotGetTheNameOfATenantWithoutTheKey() throws Exception {
+    void aServerDoesNotReceiveAnotherTenantsNameOnAPublicRoute() throws Exception {
         net.servers.plain();
-        assertNotEquals(BIRCH, tenantName(serve("/open/", KEY + CLAIMS_BIRCH)));
+        assertNotEquals(BIRCH, tenantName(serve("/open/", KEY + BIRCH_NAME_FIELD)));
     }
 
-    // ---- keys that are passed on ---------------------------------------------------------------------
+    // ---- reassigned keys -----------------------------------------------------------------------------
 
     @Test
-    void aRequestBearsTheTenantToWhichItsKeyWasPassedOn() throws Exception {
+    void aRequestHasTheTenantToWhichItsKeyWasReassigned() throws Exception {
         net.servers.plain();
-        passKeyOn();
-        assertBearsTenant(BIRCH, serve("/safe/", KEY));
+        reassignKey();
+        assertHasTenant(BIRCH, serve("/safe/", KEY));
     }
 
     @Test
-    void aRetryBearsAHolderOfAKeyThatWasPassedOnSinceTheFirstAttempt() throws Exception {
+    void aRetryAfterAReassignmentOfItsKeyHasAnAllowedTenant() throws Exception {
         net.servers.plainServers(2);
         Wire client = net.sendRequest("/safe/", KEY);
-        Call full = net.nextCall();
-        passKeyOn();
-        reject(full);
+        Call rejected = net.nextCall();
+        reassignKey();
+        reject(rejected);
         Call retry = net.nextCall();
         assertServed(retry, client, "");
-        assertBearsAHolderOfTheKey(retry);
-        assertHidesKey(retry);
+        assertHasAnAllowedTenant(retry);
+        assertOmitsKey(retry);
         net.assertQuiet();
     }
 
     @Test
-    void aDecodeBearsAHolderOfAKeyThatWasPassedOnSinceThePrefill() throws Exception {
-        Call decode = serveGeneration(KEY, this::passKeyOn).decode();
-        assertBearsAHolderOfTheKey(decode);
-        assertHidesKey(decode);
+    void aDecodeAfterAReassignmentOfItsKeyHasAnAllowedTenant() throws Exception {
+        Call decode = serveGeneration(KEY, this::reassignKey).decode();
+        assertHasAnAllowedTenant(decode);
+        assertOmitsKey(decode);
     }
 
     // ---- generations ---------------------------------------------------------------------------------
 
     @Test
-    void aPrefillBearsTheTenantAndHidesTheKey() throws Exception {
-        Call prefill = serveGeneration(KEY + CLAIMS_BIRCH, () -> {}).prefill();
-        assertBearsTenant(ACME, prefill);
-        assertHidesKey(prefill);
+    void aPrefillHasTheTenantAndOmitsTheKey() throws Exception {
+        Call prefill = serveGeneration(KEY + BIRCH_NAME_FIELD, () -> {}).prefill();
+        assertHasTenant(ACME, prefill);
+        assertOmitsKey(prefill);
     }
 
     @Test
-    void aDecodeBearsTheTenantAndHidesTheKey() throws Exception {
-        Call decode = serveGeneration(KEY + CLAIMS_BIRCH, () -> {}).decode();
-        assertBearsTenant(ACME, decode);
-        assertHidesKey(decode);
+    void aDecodeHasTheTenantAndOmitsTheKey() throws Exception {
+        Call decode = serveGeneration(KEY + BIRCH_NAME_FIELD, () -> {}).decode();
+        assertHasTenant(ACME, decode);
+        assertOmitsKey(decode);
     }
 
     @Test
-    void aResumedStreamBearsTheTenantAndHidesTheKey() throws Exception {
+    void aResumedStreamHasTheTenantAndOmitsTheKey() throws Exception {
         net.servers.decodeServers(2);
-        BegunStream stream = BegunStream.begin(net, "/res/", KEY + CLAIMS_BIRCH);
+        BegunStream stream = BegunStream.begin(net, "/res/", KEY + BIRCH_NAME_FIELD);
         stream.server().close();
         Call resumption = net.nextCall();
         assertEquals("1", lastEventId(resumption));
         assertResumed(resumption, stream.client(), 2);
-        assertBearsTenant(ACME, resumption);
-        assertHidesKey(resumption);
+        assertHasTenant(ACME, resumption);
+        assertOmitsKey(resumption);
         net.assertQuiet();
     }
 }
--- a/dataplane/src/test/java/dewplank/dataplane/VirtualProcessTime.java
+++ b/dataplane/src/test/java/dewplank/dataplane/VirtualProcessTime.java
@@ -5,8 +5,8 @@
 import java.util.PriorityQueue;
 
 /**
- * True time of a simulation, and the data plane's clock and tasks within it: that clock runs at its own rate, and while
- * the process is frozen its tasks wait. One thread; times in milliseconds.
+ * The true time of a simulation, and the clock and tasks of a data plane in it: the clock runs at a configurable rate,
+ * and the tasks wait while the process is paused. Single-threaded; times are in milliseconds.
  */
 final class VirtualProcessTime {
     private record Event(double at, long order, boolean onDataPlane, Runnable action) {}
@@ -15,10 +15,10 @@
             new PriorityQueue<>(Comparator.comparingDouble(Event::at).thenComparingLong(Event::order));
     private final double dataPlaneRate;
     private double now;
-    private double thawsAt;
+    private double resumesAt;
     private long eventsAdded;
 
-    /** @param dataPlaneRate milliseconds by which the data plane's clock advances in a true one */
+    /** @param dataPlaneRate advance of the data plane's clock per millisecond of true time */
     VirtualProcessTime(double dataPlaneRate) {
         this.dataPlaneRate = dataPlaneRate;
     }
@@ -33,22 +33,22 @@
         events.add(new Event(trueMs, eventsAdded++, false, action));
     }
 
-    /** The same in the data plane's process: once that is thawed. */
+    /** Runs the action in the data plane's process at that true time, or when the process resumes. */
     void onDataPlaneAt(double trueMs, Runnable action) {
         events.add(new Event(trueMs, eventsAdded++, true, action));
     }
 
-    /** The data plane's process stands still for so long. */
-    void freezeDataPlane(double ms) {
-        thawsAt = Math.max(thawsAt, now + ms);
+    /** Pauses the data plane's process for this time. */
+    void pauseDataPlane(double ms) {
+        resumesAt = Math.max(resumesAt, now + ms);
     }
 
-    /** Runs all that is due until then. */
+    /** Runs all events that are due by that true time. */
     void runUntil(double trueMs) {
         while (!events.isEmpty() && events.peek().at() <= trueMs) {
             Event event = events.remove();
-            if (event.onDataPlane() && event.at() < thawsAt) {
-                events.add(new Event(thawsAt, event.order(), true, event.action()));
+            if (event.onDataPlane() && event.at() < resumesAt) {
+                events.add(new Event(resumesAt, event.order(), true, event.action()));
             } else {
                 now = event.at();
                 event.action().run();
