--- a/dataplane/src/test/java/dewplank/dataplane/SessionClientTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/SessionClientTest.java
@@ -384,7 +384,7 @@
     }
 
     /**
-     * A partitioned control plane reports only the members that it can reach, and the retry budget is divided by the
+     * A partitioned control plane reports only the members of its own sessions, and the retry budget is divided by the
      * number of members.
      */
     @Test
