--- a/dataplane/src/main/java/dewplank/dataplane/AttemptAllowance.java
+++ b/dataplane/src/main/java/dewplank/dataplane/AttemptAllowance.java
@@ -3,8 +3,9 @@
 import dewplank.dataplane.Counters.Count;
 
 /**
- * How many more servers one request may be sent to: by its client's access key, by its route's {@code max_attempts},
- * and by the service's budget of retries for each attempt beyond the first. On the event loop's thread only.
+ * Limits the attempts of one request: the client's access key must be valid, the route's {@code max_attempts} must not
+ * be exceeded, and each attempt after the first needs a retry from the service's retry budget. Accessed only on the
+ * event loop's thread.
  */
 final class AttemptAllowance {
     private final RetryBudgets budgets;
@@ -13,9 +14,9 @@
     private final int maxAttempts;
     private final RequestDeadline deadline;
     private final Credentials credentials;
-    /** Attempts, as the route's limit and the budget count them. */
+    /** Attempts that count towards the route's limit and the retry budget. */
     private int attempts;
-    /** Attempts that were taken out of the budget. */
+    /** Attempts that were charged to the retry budget. */
     private int charged;
 
     AttemptAllowance(
@@ -33,17 +34,17 @@
         this.credentials = credentials;
     }
 
-    /** An attempt that counts has begun. */
+    /** Records the start of an attempt that counts. */
     void recordAttempt() {
         attempts++;
     }
 
-    /** An attempt that counted sent nothing: it does not count. */
+    /** Uncounts an attempt that was counted but sent nothing. */
     void revokeAttempt() {
         attempts--;
     }
 
-    /** Whether the client's access key still allows the request to be sent. */
+    /** Whether the client's access key still permits sending the request. */
     boolean isAccessAllowed() {
         return credentials.isAllowed();
     }
@@ -52,17 +53,19 @@
         return attempts == 0;
     }
 
-    /** Whether the route's limit leaves one more attempt; nothing is taken. */
+    /** Whether the route's limit allows one more attempt; the budget is neither checked nor charged. */
     boolean allowsAttempt() {
         return attempts < maxAttempts;
     }
 
-    /** Whether the route's limit leaves a further attempt behind the next one. */
+    /** Whether the route's limit allows another attempt after the next one. */
     boolean allowsAttemptAfterNext() {
         return attempts + 1 < maxAttempts;
     }
 
-    /** Takes the next attempt out of the budget, where it is not the first. False: none may be made now. */
+    /**
+     * Charges the next attempt to the retry budget unless it is the first one. Returns false if no attempt is allowed.
+     */
     boolean tryAcquireAttempt() {
         if (!isAccessAllowed()) {
             return false;
@@ -74,20 +77,22 @@
         return deadline.remainingMs() > 0 && (attempts <= charged || tryAcquireRetry());
     }
 
-    /** Takes one retry out of the budget. False: the budget is used up, or the key no longer allows it. */
+    /**
+     * Charges one retry to the budget. Returns false if the budget is exhausted or the access key is no longer valid.
+     */
     boolean tryAcquireRetry() {
         boolean acquired = isAccessAllowed() && budgets.tryAcquire(service);
         charged += acquired ? 1 : 0;
         return acquired;
     }
 
-    /** An attempt that was begun free of charge turned out to count for the budget, though not for the limit. */
-    void recordRetryChargedLate() {
+    /** Charges an attempt that was started free of charge to the retry budget, but not to the route's limit. */
+    void chargeFreeAttemptToBudget() {
         budgets.recordRetry(service);
     }
 
-    /** An attempt that was begun free of charge turned out to count, for the limit and for the budget. */
-    void recordAttemptChargedLate() {
+    /** Charges an attempt that was started free of charge to the route's limit and the retry budget. */
+    void chargeFreeAttemptToLimitAndBudget() {
         attempts++;
         budgets.recordRetry(service);
         charged++;
--- a/dataplane/src/main/java/dewplank/dataplane/AttemptFactory.java
+++ b/dataplane/src/main/java/dewplank/dataplane/AttemptFactory.java
@@ -15,8 +15,8 @@
 import java.util.Set;
 
 /**
- * Writes one client's request as it is sent to servers, and separates answers to it from others'. Knows which servers
- * have had the request. On the event loop's thread only.
+ * Creates the attempts of one client's request: encodes the request for each server, matches responses to it, and
+ * records the servers that it was sent to. Accessed only on the event loop's thread.
  */
 final class AttemptFactory {
     private final EventLoop loop;
@@ -24,7 +24,7 @@
     private final InboundConnection.Request request;
     private final RequestDeadline deadline;
     private final Credentials credentials;
-    /** Null where the client sent none. */
+    /** Null if the client sent none. */
     private final String attemptId;
 
     private final Set<String> attemptedInstances = new HashSet<>();
@@ -44,12 +44,13 @@
     }
 
     /**
-     * An attempt at a server, not yet started. A server that has had the request before gets it on a dedicated
-     * connection: a second answer to the first attempt bears the same id, and would be taken for the answer to the next
-     * one, as would one to a request without an id.
+     * Creates an attempt at a server without starting it. The attempt uses a dedicated connection if the request was
+     * sent to this server before, as a second response to the earlier attempt has the same attempt id and could be
+     * mistaken for the response to this one. A request without an id also uses a dedicated connection, as its responses
+     * cannot be distinguished from others.
      *
-     * @param prefillTokens tokens of the prompt that the server has to prefill
-     * @param extraFields fields that replace the client's of the same names
+     * @param prefillTokens number of the prompt's tokens that the server has to prefill
+     * @param extraFields fields that replace the client's fields of the same names
      */
     ServerAttempt newAttempt(
             Server server, long prefillTokens, List<Headers.Field> extraFields, HttpCall.Listener listener) {
@@ -71,23 +72,23 @@
         return !attemptedInstances.contains(server.instanceId());
     }
 
-    /** Whether the answers have no body, whatever their fields say. */
+    /** Whether responses have no body even if their fields state a length. */
     boolean isHead() {
         return request.method().equals("HEAD");
     }
 
     /**
-     * Whether the answer belongs to this request. Servers echo the id, so an answer without one is another's, of the
-     * freeing of a handle say; where the request has none its connection carries no other call.
+     * Whether the response belongs to this request. Servers echo the attempt id, so a response without one belongs to
+     * another request, for example one that frees a KV handle. A request without an id has a dedicated connection.
      */
-    boolean isOwnAnswer(Headers headers) {
+    boolean isResponseToThisRequest(Headers headers) {
         return attemptId == null || attemptId.equals(headers.get(HeaderNames.ATTEMPT_ID));
     }
 
     private ByteBuffer encode(Server server, List<Headers.Field> extraFields, Optional<Tenant> tenant) {
         List<Headers.Field> fields = new ArrayList<>();
         for (Headers.Field field : request.headers().endToEnd()) {
-            if (!isWithheld(field.name()) && !names(extraFields, field.name())) {
+            if (!isNotForwarded(field.name()) && !containsName(extraFields, field.name())) {
                 fields.add(field);
             }
         }
@@ -101,13 +102,16 @@
                 .body(request.body());
     }
 
-    /** A client's own field that servers do not get; among them its key, where that is for this program. */
-    private boolean isWithheld(String name) {
+    /**
+     * Whether a client's field is not forwarded. Access keys that the data plane itself checks are not forwarded
+     * either.
+     */
+    private boolean isNotForwarded(String name) {
         return HeaderNames.isSetByDataPlane(name)
                 || name.equalsIgnoreCase(HeaderNames.AUTHORIZATION) && credentials.isKeyRequired();
     }
 
-    private static boolean names(List<Headers.Field> fields, String name) {
+    private static boolean containsName(List<Headers.Field> fields, String name) {
         for (Headers.Field field : fields) {
             if (field.name().equalsIgnoreCase(name)) {
                 return true;
--- a/dataplane/src/main/java/dewplank/dataplane/ClientTimeouts.java
+++ b/dataplane/src/main/java/dewplank/dataplane/ClientTimeouts.java
@@ -4,10 +4,10 @@
 import dewplank.exchange.InboundConnection;
 
 /**
- * How long clients may take, by the limits of the configurations that may be in force. Clients use connections that
- * have been idle for up to four fifths of the idle time-out, and may go by another version than this data plane for as
- * long as a change takes to reach both: a shorter time-out holds only after that, a longer one at once. Times in
- * milliseconds of the loop's clock; on the event loop's thread only.
+ * Timeouts for clients, according to the limits of the configurations that may be in force. Clients use connections
+ * that have been idle for up to four fifths of the idle timeout, and may use another configuration version than this
+ * data plane until a change has reached both. A shorter timeout therefore applies only after that period; a longer one
+ * applies immediately. Times are in milliseconds of the loop's clock. Accessed only on the event loop's thread.
  */
 final class ClientTimeouts {
     private final double maxApplyMs;
@@ -17,13 +17,14 @@
     private double previousValidUntil = Double.NEGATIVE_INFINITY;
 
     /**
-     * @param maxApplyMs a change reaches everybody within so long; the settings' bound {@code config_apply_ms}
+     * @param maxApplyMs time within which a change reaches all clients and data planes; the bound
+     *     {@code config_apply_ms} of the settings
      */
     ClientTimeouts(double maxApplyMs) {
         this.maxApplyMs = maxApplyMs;
     }
 
-    /** The newest configuration has these limits. */
+    /** Applies the limits of the latest configuration. */
     void update(double now, RequestLimits limits) {
         if (limits.equals(current)) {
             return;
@@ -34,12 +35,12 @@
         current = limits;
     }
 
-    /** How long a connection may be idle without a request. */
+    /** How long a connection may be idle between requests. */
     double idleMs(double now) {
         return now < previousValidUntil ? Math.max(previousIdleMs, current.idleTimeoutMs()) : current.idleTimeoutMs();
     }
 
-    /** How long a head may take from its first byte to its last. */
+    /** How long the head of a request may take from its first to its last byte. */
     double headMs(double now) {
         return now < previousValidUntil
                 ? Math.max(previousHeadMs, current.headerTimeoutMs())
@@ -47,14 +48,14 @@
     }
 
     /**
-     * How long a complete request may take. No limit names it: long bodies cross slow links, so that the time-out for
-     * heads does not bind them; and one that is never finished must not be waited for without end.
+     * How long a complete request may take. The configuration has no limit for this. The timeout for heads is too short
+     * for long bodies on slow links, but an unfinished request must not keep its connection open indefinitely.
      */
     double requestMs(double now) {
         return Math.max(headMs(now), idleMs(now));
     }
 
-    /** Whether the connection has waited too long for a request, or for the remainder of one. */
+    /** Whether the connection has waited too long for a request or for the rest of one. */
     boolean isOverdue(double now, InboundConnection connection) {
         return !connection.isBusy() && now - connection.waitingSince() > timeoutMs(now, connection);
     }
--- a/dataplane/src/main/java/dewplank/dataplane/DecodePhase.java
+++ b/dataplane/src/main/java/dewplank/dataplane/DecodePhase.java
@@ -11,9 +11,9 @@
 import java.util.Optional;
 
 /**
- * Has a decode server run a generation, and decides where the request goes when that server rejects it, breaks off or
- * stalls. A stream that has begun is continued at another server where the route allows that and nothing would be
- * repeated. Created by the {@link GenerationRequest}; on the event loop's thread only.
+ * Sends a generation to a decode server, and decides how to proceed if that server rejects it, breaks off or stalls. A
+ * stream that has started is continued at another server if the route allows that and no event would be repeated.
+ * Created by the {@link GenerationRequest}; accessed only on the event loop's thread.
  */
 final class DecodePhase {
     private static final RoutingParameters.Hedging HEDGING = RoutingParameters.DEFAULTS.hedging();
@@ -30,7 +30,7 @@
         this.stallTimer = new StallTimer(request.loop, this::onStalled);
     }
 
-    /** Whether a part of the stream has gone to the client. */
+    /** Whether a part of the stream was sent to the client. */
     boolean isStreamStarted() {
         return relay.isStarted();
     }
@@ -39,7 +39,7 @@
         return relay;
     }
 
-    /** Sends the request to a decode server, or gives it up where none is there or none may be sent to. */
+    /** Sends the request to a decode server; gives up if no server is available or no attempt is allowed. */
     void start() {
         if (request.isOver()) {
             return;
@@ -67,13 +67,13 @@
         }
         relay.lastEventId().ifPresent(id -> extraFields.add(new Headers.Field(HeaderNames.LAST_EVENT_ID, id)));
         long prefillTokens = offered == null ? request.unsharedTokens() : 0;
-        DecodeAnswer answer = new DecodeAnswer(request, this, server, offered != null);
-        attempt = request.attempts.newAttempt(server, prefillTokens, extraFields, answer);
+        DecodeResponseListener listener = new DecodeResponseListener(request, this, server, offered != null);
+        attempt = request.attempts.newAttempt(server, prefillTokens, extraFields, listener);
         attempt.start(request.forwarder.connectTimeoutMs());
         restartStallTimer();
     }
 
-    /** Null where no server may be picked. */
+    /** Returns null if no server is eligible. */
     private Server pickServer() {
         FleetMetadata fleet = request.forwarder.fleet();
         List<TrackedServer> servers = fleet.servers(request.service.name(), TrackedServer.Stage.DECODE);
@@ -92,17 +92,17 @@
         return picked.map(fleet::server).orElse(null);
     }
 
-    /** Whether another server may continue, or begin, the stream. */
+    /** Whether another server may start or continue the stream. */
     private boolean isResumable() {
         return request.isIdempotent() && relay.isResumable();
     }
 
-    /** Whether another server may continue, or begin, the stream, and the route's limit leaves an attempt for that. */
+    /** Whether another server may start or continue the stream and the route's limit allows an attempt for that. */
     boolean allowsResumption() {
         return isResumable() && request.allowance.allowsAttempt();
     }
 
-    /** Something has come: the time without a byte is counted anew. */
+    /** Restarts the stall timeout, when the request is sent and when bytes of the stream arrive. */
     void restartStallTimer() {
         if (isResumable() && request.forwarder.policy().isEnabled(Mechanism.PATIENCE)) {
             double prefillMs = relay.isStarted()
@@ -118,7 +118,9 @@
         stallTimer.cancel();
     }
 
-    /** Continues the stream at another server, if there is one that may have it; else the stream is waited for. */
+    /**
+     * Continues the stream at another server if one is eligible and allowed; otherwise keeps waiting for the stream.
+     */
     private void onStalled() {
         if (request.isOver() || attempt.isOver()) {
             return;
@@ -135,12 +137,12 @@
         sendTo(other);
     }
 
-    /** Whether the request has begun to be sent and is not answered. */
-    boolean hasRunUnderWay() {
+    /** Whether a part of the request may have reached the server and the response is not complete. */
+    boolean mayBeRunning() {
         return attempt != null && !attempt.isOver() && attempt.mayHaveReachedServer();
     }
 
-    /** Continues behind the last complete event at another server. */
+    /** Continues the stream after the last complete event at another server. */
     void resume() {
         prepareResumption();
         start();
@@ -154,7 +156,7 @@
         }
     }
 
-    /** No server will run it, or continue its stream. */
+    /** Ends the request because no server can run it or continue its stream. */
     void giveUp() {
         cancelStallTimer();
         request.kvTransfer.free();
@@ -165,13 +167,13 @@
         }
     }
 
-    /** The first complete event is there: its prompt has been prefilled. */
+    /** Records that the first complete event has arrived, which means that the prompt has been prefilled. */
     void recordFirstEvent() {
         attempt.recordPromptPrefilled();
         request.forwarder.counters().add(Count.DECODE_MS, (long) (request.loop.now() - request.prefilledAt()));
     }
 
-    /** Ends the attempt under way. */
+    /** Cancels the attempt in flight. */
     void cancel() {
         cancelStallTimer();
         if (attempt != null) {
--- a/dataplane/src/main/java/dewplank/dataplane/DecodeAnswer.java
+++ b/dataplane/src/main/java/dewplank/dataplane/DecodeResponseListener.java
@@ -6,37 +6,37 @@
 import java.io.ByteArrayOutputStream;
 
 /**
- * Takes a decode server's answer to one attempt: relays its stream event by event, and reports any other end to the
- * {@link DecodePhase}. On the event loop's thread only.
+ * Handles a decode server's response to one attempt: relays its stream event by event, and reports failures and
+ * rejections to the {@link DecodePhase}. Accessed only on the event loop's thread.
  */
-final class DecodeAnswer implements HttpCall.Listener {
+final class DecodeResponseListener implements HttpCall.Listener {
     private final GenerationRequest request;
     private final DecodePhase phase;
     private final StreamRelay relay;
     private final Server server;
     private final boolean kvOffered;
-    /** The body of an answer that is no stream. */
+    /** The body of a response that is not a stream. */
     private final ByteArrayOutputStream failureBody = new ByteArrayOutputStream();
 
     private int status;
     private Headers headers;
-    /** Null before the head. */
-    private AnswerKind kind;
+    /** Null until the head was received. */
+    private ResponseKind kind;
 
-    /** How a stream ended whose connection or body ended in order. */
+    /** How a stream ended whose connection or body was closed normally. */
     private enum StreamEnd {
         COMPLETE,
         /**
-         * The connection's end, which is the only end of an answer without a length, came in the middle of an event or
-         * before the first: then it is a break.
+         * The stream had no length, so that only the end of the connection marked its end, and the connection ended
+         * within an event or before the first one. The stream counts as broken.
          */
         TRUNCATED
     }
 
     /**
-     * @param kvOffered whether the server got a handle of a KV cache to fetch
+     * @param kvOffered whether the request contained the handle of a KV cache to fetch
      */
-    DecodeAnswer(GenerationRequest request, DecodePhase phase, Server server, boolean kvOffered) {
+    DecodeResponseListener(GenerationRequest request, DecodePhase phase, Server server, boolean kvOffered) {
         this.request = request;
         this.phase = phase;
         this.relay = phase.relay();
@@ -45,22 +45,22 @@
     }
 
     @Override
-    public boolean head(int answerStatus, Headers answerHeaders) {
-        if (!request.attempts.isOwnAnswer(answerHeaders)) {
+    public boolean head(int responseStatus, Headers responseHeaders) {
+        if (!request.attempts.isResponseToThisRequest(responseHeaders)) {
             return false;
         }
-        status = answerStatus;
-        headers = answerHeaders;
-        kind = AnswerKind.of(answerStatus, answerHeaders);
-        if (kind == AnswerKind.SUCCESS) {
-            request.kvTransfer.confirmTaken();
+        status = responseStatus;
+        headers = responseHeaders;
+        kind = ResponseKind.of(responseStatus, responseHeaders);
+        if (kind == ResponseKind.SUCCESS) {
+            request.kvTransfer.confirmFetched();
         }
         return true;
     }
 
     @Override
     public void body(byte[] bytes) {
-        if (kind != AnswerKind.SUCCESS) {
+        if (kind != ResponseKind.SUCCESS) {
             failureBody.writeBytes(bytes);
             return;
         }
@@ -83,13 +83,13 @@
     @Override
     public void complete() {
         phase.cancelStallTimer();
-        if (kind == AnswerKind.NOT_EXECUTED) {
+        if (kind == ResponseKind.NOT_EXECUTED) {
             onRejected();
             return;
         }
         request.recordPossibleRun();
-        if (kind != AnswerKind.SUCCESS) {
-            onFailureAnswer();
+        if (kind != ResponseKind.SUCCESS) {
+            onFailureResponse();
         } else if (streamEnd() == StreamEnd.TRUNCATED) {
             request.recordOutcome(server, false);
             onBroken();
@@ -106,13 +106,13 @@
         return truncated ? StreamEnd.TRUNCATED : StreamEnd.COMPLETE;
     }
 
-    private void onFailureAnswer() {
-        request.recordOutcome(server, AnswerKind.isHealthyFailure(status));
-        if (kind != AnswerKind.FINAL_FAILURE && phase.allowsResumption()) {
+    private void onFailureResponse() {
+        request.recordOutcome(server, ResponseKind.isHealthyFailure(status));
+        if (kind != ResponseKind.FINAL_FAILURE && phase.allowsResumption()) {
             phase.resume();
         } else if (relay.isStarted()) {
             request.breakOff();
-        } else if (kind == AnswerKind.UNUSABLE) {
+        } else if (kind == ResponseKind.UNUSABLE) {
             request.fail(502);
         } else {
             request.relay(status, headers.endToEnd(), failureBody.toByteArray());
@@ -159,7 +159,7 @@
         if (phase.allowsResumption()) {
             phase.resume();
         } else {
-            request.fail(502); // or breaks off what has begun
+            request.fail(502); // or breaks off a response that has started
         }
     }
 }
--- a/dataplane/src/main/java/dewplank/dataplane/DiscardingListener.java
+++ b/dataplane/src/main/java/dewplank/dataplane/DiscardingListener.java
@@ -4,12 +4,12 @@
 import dewplank.http.Headers;
 import dewplank.net.Scheduler;
 
-/** Takes the answer to a call whose outcome changes nothing. On the event loop's thread only. */
+/** Discards the response to a call whose outcome has no effect. Accessed only on the event loop's thread. */
 final class DiscardingListener implements HttpCall.Listener {
     private Scheduler.Timer timeout;
     private boolean isOver;
 
-    /** Cancels the timer as soon as the call is over, so that an answered call is not kept until its time-out. */
+    /** Cancels the timer when the call is over, so that a completed call is not retained until its timeout. */
     void cancelWhenOver(Scheduler.Timer callTimeout) {
         timeout = callTimeout;
         if (isOver) {
@@ -17,7 +17,7 @@
         }
     }
 
-    private void over() {
+    private void onEnd() {
         isOver = true;
         if (timeout != null) {
             timeout.cancel();
@@ -34,11 +34,11 @@
 
     @Override
     public void complete() {
-        over();
+        onEnd();
     }
 
     @Override
     public void failed(HttpCall.Failure failure) {
-        over();
+        onEnd();
     }
 }
--- a/dataplane/src/main/java/dewplank/dataplane/Execution.java
+++ b/dataplane/src/main/java/dewplank/dataplane/Execution.java
@@ -1,9 +1,9 @@
 package dewplank.dataplane;
 
-/** Whether a failed attempt may have run the request at its server. */
+/** Whether the request may have run at the server of a failed attempt. */
 enum Execution {
-    /** No byte of the request left this process: the attempt does not count. */
+    /** No byte of the request was sent, so the attempt does not count. */
     IMPOSSIBLE,
-    /** A part of the request may have been read: only an idempotent request may be sent again. */
+    /** The server may have read a part of the request, so only an idempotent request may be retried. */
     POSSIBLE
 }
--- a/dataplane/src/main/java/dewplank/dataplane/Forwarder.java
+++ b/dataplane/src/main/java/dewplank/dataplane/Forwarder.java
@@ -17,20 +17,20 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Takes clients' requests, finds their routes, and has a {@link ProxiedRequest} carry each of them. Called by the
- * connections of the front listener and by {@link DataPlane}; on the event loop's thread only.
+ * Receives clients' requests, admits them to their routes, and creates a {@link ProxiedRequest} for each. Called by the
+ * connections of the front listener and by {@link DataPlane}; accessed only on the event loop's thread.
  */
 final class Forwarder implements InboundConnection.Service {
     private static final double CONNECT_TIMEOUT_MS = 250;
-    /** Requests open at once, beyond which further ones are rejected. */
+    /** Limit on concurrently open requests; further ones are rejected. */
     private static final int MAX_OPEN_REQUESTS = 4_096;
-    /** Of requests that are rejected before they are sent anywhere. */
+    /** Retry-After of requests that are rejected before they are sent to a server. */
     static final double RETRY_AFTER_MS = 500;
 
-    /** The limit on heads may be meant for the fields alone: the request line gets this much beside them. */
+    /** Allowed for the request line in addition to the limit on heads, which may apply to the header fields alone. */
     private static final int REQUEST_LINE_BYTES = 8 * 1024;
-    /** Before there is a configuration: nothing is rejected that it may allow. */
-    private static final int UNCONFIGURED_HEAD_BYTES = 128 * 1024;
+    /** Limit before the first configuration, high enough to accept any head that the configuration may allow. */
+    private static final int MAX_HEAD_BYTES_BEFORE_CONFIGURATION = 128 * 1024;
 
     private final EventLoop loop;
     private final FleetMetadata fleet;
@@ -62,7 +62,7 @@
     }
 
     /**
-     * @param connectTimeoutMs how long a connection to a server may take to come up
+     * @param connectTimeoutMs timeout for establishing a connection to a server
      */
     Forwarder(
             EventLoop loop,
@@ -89,7 +89,7 @@
         this.admission = new RequestAdmission(fleet, accessControl, quotas, counters, this::start);
     }
 
-    /** The handler of a client's new connection. */
+    /** Creates the handler of a new client connection. */
     InboundConnection newConnection() {
         InboundConnection connection = new InboundConnection(loop, this);
         connections.add(connection);
@@ -121,7 +121,7 @@
         admission.reject(connection, RETRY_AFTER_MS);
     }
 
-    /** Called after each update of the fleet's metadata: parked requests go on once it is complete. */
+    /** Called after each update of the fleet's metadata; releases parked requests once the metadata is complete. */
     void onFleetChanged() {
         retryBudgets.recordMembership(fleet.dataPlanes());
         if (fleet.configuration() != null) {
@@ -156,7 +156,7 @@
         proxied.start();
     }
 
-    /** A request has its final answer. */
+    /** Removes a request that has received its final response. */
     void requestEnded(InboundConnection connection) {
         open.remove(connection);
     }
@@ -191,7 +191,7 @@
 
     @Override
     public int maxHeadBytes() {
-        int fields = fleet.configuration() == null ? UNCONFIGURED_HEAD_BYTES : limits().maxHeaderBytes();
+        int fields = fleet.configuration() == null ? MAX_HEAD_BYTES_BEFORE_CONFIGURATION : limits().maxHeaderBytes();
         return (int) Math.min(Integer.MAX_VALUE, (long) fields + REQUEST_LINE_BYTES);
     }
 
@@ -209,26 +209,26 @@
         return connections.size();
     }
 
-    /** A copy, which may be gone through while connections end. */
+    /** Returns a copy, so that callers can iterate while connections end. */
     List<InboundConnection> connections() {
         return new ArrayList<>(connections);
     }
 
     // ---- shutdown -------------------------------------------------------------------------------------
 
-    /** From here on each answer is the last on its connection. */
+    /** Closes each connection after its next response. */
     void close() {
         closing = true;
     }
 
-    /** The process ends: what is still open gets the answer that is true by now. */
+    /** Ends all open requests when the process terminates. The status depends on whether the request may have run. */
     void terminateAll() {
         parked.releaseAll((request, connection, arrivedAt) -> reject(connection));
         admission.rejectAll();
         List.copyOf(open.values()).forEach(ProxiedRequest::terminate);
     }
 
-    // ---- what requests share --------------------------------------------------------------------------
+    // ---- shared by requests ---------------------------------------------------------------------------
 
     EventLoop loop() {
         return loop;
@@ -242,12 +242,14 @@
         return picker;
     }
 
-    /** Whether requests can be served: the fleet's state is here, and recent enough where keys need that. */
+    /**
+     * Whether requests can be served: the fleet's metadata is complete, and recent enough if access keys require it.
+     */
     boolean isServing() {
         return fleet.isComplete() && accessControl.isServing();
     }
 
-    /** Which mechanisms decide. */
+    /** The policy, which defines the enabled mechanisms. */
     Policy policy() {
         return picker.policy();
     }
--- a/dataplane/src/main/java/dewplank/dataplane/GenerationRequest.java
+++ b/dataplane/src/main/java/dewplank/dataplane/GenerationRequest.java
@@ -12,16 +12,16 @@
 import java.util.OptionalInt;
 
 /**
- * A generation: the prompt is prefilled at one server, its KV cache transferred to another, and the tokens streamed
- * from there. Where no prefill server can take it the decode server prefills the prompt itself. On the event loop's
- * thread only.
+ * A generation request: one server prefills the prompt, its KV cache is transferred to another server, and that server
+ * streams the tokens. If no prefill server is available, the decode server prefills the prompt itself. Accessed only on
+ * the event loop's thread.
  */
 final class GenerationRequest extends ProxiedRequest {
     private static final RoutingParameters.LastResort LAST_RESORT = RoutingParameters.DEFAULTS.lastResort();
 
-    /** The {@link HeaderNames#PRIORITY} field goes from 0, the most urgent, to this. */
+    /** Highest value, and lowest urgency, of the {@link HeaderNames#PRIORITY} field; 0 is the most urgent. */
     private static final int MAX_PRIORITY_RANK = 9;
-    /** What servers take a request for that names none. */
+    /** The priority that servers assume for a request without one. */
     private static final String DEFAULT_PRIORITY = "5";
 
     final PromptPrefix prefix;
@@ -50,32 +50,35 @@
 
     @Override
     void sendFirstAttempt() {
-        if (prefix.tokens() == 0) { // nothing that a prefill server could do
+        if (prefix.tokens() == 0) { // no prompt to prefill
             startDecode();
         } else {
             prefill.start();
         }
     }
 
-    /** The prompt is prefilled, or the decode server is to do it. */
+    /** Starts the decode phase after the prompt was prefilled, or if the decode server is to prefill it. */
     void startDecode() {
         decode.start();
     }
 
-    /** A prefill server has answered with the prompt's handle. */
+    /** Records the KV handle from a prefill server's response. */
     void recordPrefilled(KvHandle handle) {
         prefilledAt = loop.now();
         kvTransfer.retain(handle);
     }
 
-    /** When the prompt was prefilled, in the loop's milliseconds; the arrival where no prefill server did it. */
+    /**
+     * When the prompt was prefilled, in the loop's milliseconds; the arrival time if no prefill server prefilled it.
+     */
     double prefilledAt() {
         return prefilledAt;
     }
 
     /**
-     * Whether a decode server may prefill the prompt without a pause that its other streams would miss their target by.
-     * Half of the pause as the bound was worth less on a busy day with few servers (docs/policy.md, rounds).
+     * Whether a decode server can prefill the prompt without delaying its other streams beyond their target for gaps
+     * between events. Half of that gap as the limit scored worse under high load with few servers (docs/policy.md,
+     * rounds).
      */
     boolean allowsPrefillAtDecodeServer() {
         return route.maxEventGapMs() == 0
@@ -83,8 +86,8 @@
     }
 
     /**
-     * When a decode server has to begin at the latest to prefill the prompt: its first event is to come before the
-     * client gives the stream up, or the deadline.
+     * The latest time for a decode server to start prefilling the prompt so that its first event arrives before the
+     * client abandons the stream and before the deadline.
      */
     double lastResortAt() {
         double clientStallTimeoutMs = Math.max(
@@ -97,12 +100,12 @@
         return Math.min(arrivedAt + clientStallTimeoutMs, deadline.atMs()) - neededMs;
     }
 
-    /** Tokens that are not shared: those before are likely cached where they were prefilled. */
+    /** Number of the prompt's tokens that are not shared with other prompts; the shared ones are probably cached. */
     long unsharedTokens() {
         return prefix.tokens() - prefix.sharedTokens();
     }
 
-    /** The request's rank, 0 being the highest: its tenant's, or else its route's. */
+    /** The request's rank, 0 being the highest: that of its tenant, or of its route if the tenant has none. */
     int rank() {
         return credentials
                 .tenant()
@@ -111,7 +114,7 @@
                 .orElse(route.priority());
     }
 
-    /** The header field with the request's rank for a server; 0 is the most urgent. */
+    /** The header field that states the request's priority to a server; 0 is the most urgent. */
     Headers.Field priority(int rank) {
         if (!forwarder.policy().isEnabled(Mechanism.PRIORITY)) {
             return new Headers.Field(HeaderNames.PRIORITY, DEFAULT_PRIORITY);
@@ -120,14 +123,14 @@
         return new Headers.Field(HeaderNames.PRIORITY, Integer.toString(bounded));
     }
 
-    /** An attempt that only has the prompt prefilled does not run the request. */
+    /** A prefill attempt does not count as running the request. */
     @Override
-    boolean hasRunUnderWay() {
-        return decode.hasRunUnderWay();
+    boolean mayBeRunning() {
+        return decode.mayBeRunning();
     }
 
     @Override
-    boolean isAnswerStarted() {
+    boolean isResponseStarted() {
         return decode.isStreamStarted();
     }
 
--- a/dataplane/src/main/java/dewplank/dataplane/HeaderNames.java
+++ b/dataplane/src/main/java/dewplank/dataplane/HeaderNames.java
@@ -15,7 +15,7 @@
     static final String TENANT = "X-Dewplank-Tenant-Name";
     static final String PRIORITY = "Priority";
 
-    /** Whether servers get the field from the data plane alone: a client's own is dropped. */
+    /** Whether only the data plane sets the field; a client's own field is dropped. */
     static boolean isSetByDataPlane(String name) {
         return name.equalsIgnoreCase(STAGE)
                 || name.equalsIgnoreCase(KV_FROM)
--- a/dataplane/src/main/java/dewplank/dataplane/KvHandle.java
+++ b/dataplane/src/main/java/dewplank/dataplane/KvHandle.java
@@ -5,22 +5,22 @@
 import dewplank.net.EventLoop;
 
 /**
- * Names a KV cache that a prefill server stores for one request, until it is taken, freed, or lapses.
+ * Identifies a KV cache that a prefill server stores for one request until it is fetched, freed or expires.
  *
  * @param id printable ASCII without a slash, as {@link PrefillResponse} has checked
  */
 record KvHandle(Server server, String id) {
-    /** A free that is not answered by then is given up: the handle lapses by itself ({@code context_hold_s}). */
+    /** Timeout for a request that frees the handle; it is not retried, as handles expire ({@code context_hold_s}). */
     private static final double FREE_TIMEOUT_MS = 1_000;
 
-    /** The value of {@link HeaderNames#KV_FROM} that leads a decode server to it. */
+    /** The value of {@link HeaderNames#KV_FROM} that tells a decode server where to fetch the cache. */
     String location() {
         return server.addressText + "/" + id;
     }
 
     /**
-     * Has its server drop it; does no harm where it has been taken or has lapsed. The answer bears no id, so that on a
-     * shared connection nothing would tell it from another request's.
+     * Sends a request to the server to free the cache, which has no effect if it was fetched or has expired. The
+     * response has no attempt id and could be mistaken for another request's, so the connection is not shared.
      */
     void free(Forwarder forwarder) {
         EventLoop loop = forwarder.loop();
--- a/dataplane/src/main/java/dewplank/dataplane/KvTransfer.java
+++ b/dataplane/src/main/java/dewplank/dataplane/KvTransfer.java
@@ -1,17 +1,17 @@
 package dewplank.dataplane;
 
 /**
- * The transfer of one request's KV cache from the prefill server that holds it to a decode server. A handle may be
- * taken a single time, so it is offered once, and freed where no decode server was seen to take it. On the event loop's
- * thread only.
+ * The transfer of one request's KV cache from the prefill server that stores it to a decode server. A cache can be
+ * fetched only once, so its handle is sent to one decode server, and is freed if that server is not known to have
+ * fetched the cache. Accessed only on the event loop's thread.
  */
 final class KvTransfer {
     private enum State {
-        /** No prefill server holds anything for the request, or a decode server has taken it. */
+        /** No prefill server stores a cache for the request, or a decode server has fetched it. */
         EMPTY,
-        /** A prefill server holds the cache, and no decode server has its handle. */
+        /** A prefill server stores the cache, and its handle was not sent to a decode server. */
         RETAINED,
-        /** A decode server has its handle, and may have fetched it. */
+        /** The handle was sent to a decode server, which may have fetched the cache. */
         OFFERED
     }
 
@@ -24,17 +24,17 @@
         this.forwarder = forwarder;
     }
 
-    /** A prefill server has answered with this handle. */
+    /** Stores the handle from a prefill server's response. */
     void retain(KvHandle prefilled) {
         moveTo(State.RETAINED, prefilled);
     }
 
-    /** The zone of the server that holds the cache; null where there is none to offer. */
+    /** The zone of the server that stores the cache; null if there is no handle to offer. */
     String zone() {
         return state == State.RETAINED ? handle.server().state.zone() : null;
     }
 
-    /** The handle for the next decode server; null where there is none. */
+    /** Returns the handle to send to the next decode server; null if there is none. */
     KvHandle offer() {
         if (state != State.RETAINED) {
             moveTo(State.EMPTY, null);
@@ -44,21 +44,21 @@
         return handle;
     }
 
-    /** The decode server has begun to answer: it has the cache. */
-    void confirmTaken() {
+    /** Records that the decode server has started its response, which means that it has fetched the cache. */
+    void confirmFetched() {
         if (state == State.OFFERED) {
             moveTo(State.EMPTY, null);
         }
     }
 
-    /** No byte of the offer left this process: the next decode server may have the handle. */
+    /** Records that no byte of the offer was sent, so that the handle can be offered to the next decode server. */
     void withdrawOffer() {
         if (state == State.OFFERED) {
             state = State.RETAINED;
         }
     }
 
-    /** Has the prefill server drop what nobody will take, or what was offered and not seen to be taken. */
+    /** Frees the cache at the prefill server if it was not offered, or was offered but is not known to be fetched. */
     void free() {
         KvHandle unused = handle;
         moveTo(State.EMPTY, null);
@@ -67,8 +67,8 @@
         }
     }
 
-    private void moveTo(State next, KvHandle held) {
+    private void moveTo(State next, KvHandle nextHandle) {
         state = next;
-        handle = held;
+        handle = nextHandle;
     }
 }
--- a/dataplane/src/main/java/dewplank/dataplane/PrefillPhase.java
+++ b/dataplane/src/main/java/dewplank/dataplane/PrefillPhase.java
@@ -13,9 +13,9 @@
 import java.util.Optional;
 
 /**
- * Has a prefill server prefill the prompt, and ends by starting the decode phase: with the KV cache's handle, or
- * without one where no prefill server can take the prompt. The first attempt that a server takes up is free of charge,
- * further and rejected ones count (PROTOCOL, Prefill and decode). On the event loop's thread only.
+ * Sends the prompt to a prefill server and then starts the decode phase: with the handle of the KV cache, or without
+ * one if no prefill server can prefill the prompt. The first attempt that a server accepts is free of charge; further
+ * and rejected attempts count (PROTOCOL, Prefill and decode). Accessed only on the event loop's thread.
  */
 final class PrefillPhase {
     private static final RoutingParameters.Hedging HEDGING = RoutingParameters.DEFAULTS.hedging();
@@ -25,19 +25,19 @@
     /** The latest attempt; null before the first. */
     private ServerAttempt attempt;
 
-    /** Null before the first attempt was started. */
+    /** Null before the first attempt is started. */
     private TimerWheel.Timer overdueTimer;
 
     /** Attempts that may have reached a server. */
     private int prefills;
-    /** Whether the attempt that was free of charge may have reached a server, and is not known to be taken up there. */
-    private boolean isFreeAttemptUnanswered;
+    /** Whether the free attempt may have reached a server that is not known to have accepted it. */
+    private boolean isFreeAttemptUnconfirmed;
 
     PrefillPhase(GenerationRequest request) {
         this.request = request;
     }
 
-    /** Sends the prompt to a server, or goes on to decode where none is there or none may be sent to. */
+    /** Sends the prompt to a prefill server, or starts decode if none is available or no attempt is allowed. */
     void start() {
         Server server = pickServer();
         boolean freeOfCharge = prefills == 0;
@@ -48,19 +48,20 @@
         sendTo(server, freeOfCharge);
     }
 
-    /** Takes what the attempt costs, so it is asked only where there is a server. */
+    /** Charges the attempt to the retry budget, so it is called only if a server is available. */
     private boolean tryAcquireAttempt(boolean freeOfCharge) {
         return freeOfCharge ? request.allowance.isAccessAllowed() : tryAcquireRetry();
     }
 
     /**
-     * Only an attempt that a server takes up is free. Where one was given up or broke off, the next attempt that is
-     * paid for and taken up makes up for it; where none is, it counts itself, as its server may not have begun it.
+     * Only an attempt that a server accepts is free. If the free attempt was cancelled or its connection broke, a later
+     * attempt that is charged and accepted compensates for it. If there is no such attempt, the free attempt is charged
+     * here, as its server may not have started it.
      */
     private void startDecodeWithoutHandle() {
-        if (isFreeAttemptUnanswered) {
-            isFreeAttemptUnanswered = false;
-            request.allowance.recordRetryChargedLate();
+        if (isFreeAttemptUnconfirmed) {
+            isFreeAttemptUnconfirmed = false;
+            request.allowance.chargeFreeAttemptToBudget();
         }
         request.startDecode();
     }
@@ -68,17 +69,17 @@
     private void sendTo(Server server, boolean freeOfCharge) {
         prefills++;
         if (freeOfCharge) {
-            isFreeAttemptUnanswered = true;
+            isFreeAttemptUnconfirmed = true;
         } else {
             request.allowance.recordAttempt();
         }
         request.forwarder.counters().add(Count.PREFILLS);
         List<Headers.Field> extraFields = List.of(new Headers.Field(HeaderNames.STAGE, "prefill"), priority());
         ServerAttempt started = request.attempts.newAttempt(
-                server, request.unsharedTokens(), extraFields, new HandleCollector(server, freeOfCharge));
+                server, request.unsharedTokens(), extraFields, new PrefillResponseCollector(server, freeOfCharge));
         attempt = started;
         started.start(request.forwarder.connectTimeoutMs());
-        if (started.isOver()) { // withheld at once, and what follows from that has been done
+        if (started.isOver()) { // not sent; its listener has already handled that
             return;
         }
         double expectedMs = PrefillDecodePicker.prefillMs(request.prefix.tokens())
@@ -86,12 +87,12 @@
         overdueTimer = request.loop.after(HEDGING.prefillMs() + HEDGING.prefillFactor() * expectedMs, this::onOverdue);
     }
 
-    /** The last attempt of the route's limit is left for the decode server. */
+    /** Reserves the last attempt of the route's limit for the decode server. */
     private boolean tryAcquireRetry() {
         return request.allowance.allowsAttemptAfterNext() && request.allowance.tryAcquireRetry();
     }
 
-    /** Null where no server may be picked. */
+    /** Returns null if no server is eligible. */
     private Server pickServer() {
         FleetMetadata fleet = request.forwarder.fleet();
         List<TrackedServer> servers = fleet.servers(request.service.name(), TrackedServer.Stage.PREFILL);
@@ -101,7 +102,7 @@
         return picked.map(fleet::server).orElse(null);
     }
 
-    /** Short prompts go first: they wait for little, and long ones hardly notice them. */
+    /** Gives short prompts a higher priority: their delay is short, and they hardly delay long prompts. */
     private Headers.Field priority() {
         return request.priority((int) (request.unsharedTokens() / PREFILL_LOAD.tokensPerPriorityLevel()));
     }
@@ -112,22 +113,22 @@
         }
         Server other = pickServer();
         if (other != null && tryAcquireRetry()) {
-            giveUpAttempt();
+            cancelOverdueAttempt();
             sendTo(other, false);
             return;
         }
         boolean waitsLonger = !request.allowsPrefillAtDecodeServer()
                 && request.forwarder.policy().isEnabled(Mechanism.LONG_WAIT);
         double leftMs = waitsLonger ? request.lastResortAt() - request.loop.now() : 0;
-        if (leftMs > 0) { // at a decode server it would stall the other streams
+        if (leftMs > 0) { // prefill at a decode server would stall its other streams
             overdueTimer = request.loop.after(leftMs, this::onOverdue);
         } else {
-            giveUpAttempt();
+            cancelOverdueAttempt();
             startDecodeWithoutHandle();
         }
     }
 
-    private void giveUpAttempt() {
+    private void cancelOverdueAttempt() {
         request.forwarder.counters().add(Count.TIMEOUTS);
         request.forwarder.counters().add(Count.PREFILL_FAILURES);
         attempt.cancel();
@@ -145,7 +146,7 @@
         }
     }
 
-    /** Ends the attempt under way. */
+    /** Cancels the attempt in flight. */
     void cancel() {
         if (attempt != null) {
             cancelOverdueTimer();
@@ -153,24 +154,24 @@
         }
     }
 
-    /** Collects a prefill server's answer to one attempt. */
-    private final class HandleCollector implements HttpCall.Listener {
+    /** Collects a prefill server's response to one attempt. */
+    private final class PrefillResponseCollector implements HttpCall.Listener {
         private final Server server;
         private final boolean freeOfCharge;
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
         private int status;
         private Headers headers;
 
-        HandleCollector(Server server, boolean freeOfCharge) {
+        PrefillResponseCollector(Server server, boolean freeOfCharge) {
             this.server = server;
             this.freeOfCharge = freeOfCharge;
         }
 
         @Override
-        public boolean head(int answerStatus, Headers answerHeaders) {
-            status = answerStatus;
-            headers = answerHeaders;
-            return request.attempts.isOwnAnswer(answerHeaders);
+        public boolean head(int responseStatus, Headers responseHeaders) {
+            status = responseStatus;
+            headers = responseHeaders;
+            return request.attempts.isResponseToThisRequest(responseHeaders);
         }
 
         @Override
@@ -181,8 +182,8 @@
         @Override
         public void complete() {
             cancelOverdueTimer();
-            isFreeAttemptUnanswered &= !freeOfCharge;
-            if (AnswerKind.of(status, headers) == AnswerKind.NOT_EXECUTED) {
+            isFreeAttemptUnconfirmed &= !freeOfCharge;
+            if (ResponseKind.of(status, headers) == ResponseKind.NOT_EXECUTED) {
                 onRejected();
                 return;
             }
@@ -208,7 +209,7 @@
         private void onRejected() {
             request.forwarder.serverFeedback().recordRejection(server, status);
             if (freeOfCharge) {
-                request.allowance.recordAttemptChargedLate();
+                request.allowance.chargeFreeAttemptToLimitAndBudget();
             }
             retry();
         }
@@ -220,7 +221,7 @@
                     request.forwarder.serverFeedback().recordFailure(server, request.route.name(), failure);
             if (execution == Execution.IMPOSSIBLE) {
                 prefills--;
-                isFreeAttemptUnanswered &= !freeOfCharge;
+                isFreeAttemptUnconfirmed &= !freeOfCharge;
                 if (!freeOfCharge) {
                     request.allowance.revokeAttempt();
                 }
--- a/dataplane/src/main/java/dewplank/dataplane/PrefillResponse.java
+++ b/dataplane/src/main/java/dewplank/dataplane/PrefillResponse.java
@@ -7,13 +7,13 @@
 import java.util.Optional;
 
 /**
- * A prefill server's answer: the handle under which it stores the prompt's KV cache.
+ * A prefill server's response: the handle under which it stores the prompt's KV cache.
  *
  * @param handle printable ASCII without a slash; not empty
- * @param tokens tokens of the prompt
+ * @param tokens number of tokens of the prompt
  */
 record PrefillResponse(String handle, long tokens) {
-    /** Empty where the body is not such an answer. */
+    /** Returns empty if the body is not a valid prefill response. */
     static Optional<PrefillResponse> parse(byte[] body) {
         try {
             Any any = JsonIterator.deserialize(body);
@@ -22,12 +22,12 @@
             return isUsable(handle)
                     ? Optional.of(new PrefillResponse(handle, any.toLong("token_count")))
                     : Optional.empty();
-        } catch (JsonException | ArrayIndexOutOfBoundsException e) { // the parser runs over the end of cut-off bodies
+        } catch (JsonException | ArrayIndexOutOfBoundsException e) { // the parser overruns truncated bodies
             return Optional.empty();
         }
     }
 
-    /** It becomes a part of a path and of a header field. */
+    /** The handle becomes a part of a path and of a header field, which limits its characters. */
     private static boolean isUsable(String handle) {
         return !handle.isEmpty() && handle.chars().allMatch(c -> c > ' ' && c < 127 && c != '/');
     }
--- a/dataplane/src/main/java/dewplank/dataplane/ProxiedRequest.java
+++ b/dataplane/src/main/java/dewplank/dataplane/ProxiedRequest.java
@@ -11,14 +11,15 @@
 import java.util.Locale;
 
 /**
- * A client's request from its arrival to its one final answer. Holds what both kinds of requests share: the deadline,
- * the attempts that are left, and which final answers are true at which time. Subclasses choose servers and take their
- * answers. Created and started by the {@link Forwarder}; on the event loop's thread only.
+ * A client's request from its arrival to its single final response. Contains the logic that both kinds of requests
+ * share: the deadline, the allowance of attempts, and the choice of a final response that is correct whether or not the
+ * request may have run. Subclasses pick servers and handle their responses. Created and started by the
+ * {@link Forwarder}; accessed only on the event loop's thread.
  */
 abstract sealed class ProxiedRequest permits UnaryRequest, GenerationRequest {
-    /** After about this time a rejected client is to retry; the jitter below keeps clients apart. */
+    /** Mean delay after which a rejected client should retry; jitter prevents synchronized retries. */
     private static final double RETRY_AFTER_MS = 100;
-    /** Retry-After is between this much and this much plus one of {@link #RETRY_AFTER_MS}. */
+    /** Retry-After is between this factor and this factor plus 1, times {@link #RETRY_AFTER_MS}. */
     private static final double RETRY_AFTER_MIN_FACTOR = 0.5;
 
     private static final double MS_PER_SECOND = 1_000;
@@ -69,34 +70,34 @@
         sendFirstAttempt();
     }
 
-    /** Whether an attempt that may run the request has begun to be sent and has not been answered yet. */
-    abstract boolean hasRunUnderWay();
+    /** Whether an attempt in flight may have reached a server that may run the request. */
+    abstract boolean mayBeRunning();
 
     abstract void sendFirstAttempt();
 
-    /** Ends whatever is under way at servers. */
+    /** Cancels all attempts in flight. */
     abstract void cancelAttempts();
 
-    /** Whether a part of an answer has gone to the client: then only its end or a break can follow. */
-    boolean isAnswerStarted() {
+    /** Whether a part of a response was sent to the client. It can then only be completed or broken off. */
+    boolean isResponseStarted() {
         return false;
     }
 
     private void onDeadline() {
         if (!over) {
             forwarder.counters().add(Count.TIMEOUTS);
-            mayHaveRun |= hasRunUnderWay();
+            mayHaveRun |= mayBeRunning();
             fail(mayHaveRun ? 504 : 503);
         }
     }
 
-    /** Ends the request with the answer that is true by now, as the process ends. */
+    /** Ends the request because the process terminates: with 502 if it may have run, with 503 otherwise. */
     final void terminate() {
-        mayHaveRun |= hasRunUnderWay();
+        mayHaveRun |= mayBeRunning();
         fail(mayHaveRun ? 502 : 503);
     }
 
-    /** Ends the request without an answer, as its client has disconnected. */
+    /** Ends the request without a response because its client has disconnected. */
     final void abandon() {
         if (!over) {
             end();
@@ -108,7 +109,7 @@
         return over;
     }
 
-    /** Whether the request may have run at a server; then it is never rejected as one that did not. */
+    /** Whether the request may have run at a server, in which case it must not be rejected with 503. */
     final boolean mayHaveRun() {
         return mayHaveRun;
     }
@@ -117,7 +118,7 @@
         mayHaveRun = true;
     }
 
-    /** Records what an attempt that is given up may have done. */
+    /** Records whether the request may have run in an attempt that is being cancelled. */
     final void recordPossibleRunOf(ServerAttempt attempt) {
         mayHaveRun |= attempt.mayHaveReachedServer();
     }
@@ -131,14 +132,14 @@
         forwarder.serverFeedback().recordOutcome(server, route.name(), healthy);
     }
 
-    // ---- the final answer -----------------------------------------------------------------------------
+    // ---- final response -------------------------------------------------------------------------------
 
     private void end() {
         over = true;
         deadline.cancel();
     }
 
-    /** The answer is complete and on its way. */
+    /** Ends the request after its complete response was passed to the client's connection. */
     final void complete() {
         if (!over) {
             end();
@@ -147,7 +148,7 @@
         }
     }
 
-    /** Answers with a server's answer. */
+    /** Relays a server's response to the client. */
     final void relay(int status, List<Headers.Field> headers, byte[] body) {
         if (!over) {
             end();
@@ -157,7 +158,7 @@
         }
     }
 
-    /** Answers that the request has not run and never will, and when to retry; 502 where that would be untrue. */
+    /** Responds that the request has not run and will not run, with the time to retry; with 502 if it may have run. */
     final void reject() {
         if (mayHaveRun) {
             fail(502);
@@ -175,9 +176,9 @@
         }
     }
 
-    /** Answers that the request failed; breaks off an answer that has begun. */
+    /** Responds that the request failed; breaks off a response that has started. */
     final void fail(int status) {
-        if (isAnswerStarted()) {
+        if (isResponseStarted()) {
             breakOff();
             return;
         }
@@ -194,7 +195,7 @@
         }
     }
 
-    /** Ends the client's connection in the middle of its answer. */
+    /** Aborts the client's connection within the response. */
     final void breakOff() {
         if (!over) {
             end();
--- a/dataplane/src/main/java/dewplank/dataplane/RequestDeadline.java
+++ b/dataplane/src/main/java/dewplank/dataplane/RequestDeadline.java
@@ -4,13 +4,14 @@
 import dewplank.net.TimerWheel;
 
 /**
- * By when a request has to be answered: the lesser of what the client says that it waits for and the route's time-out,
- * from the request's first byte. Times in milliseconds of the loop's clock; on the event loop's thread only.
+ * The deadline for the response to a request: the client's remaining time or the route's timeout, if that is shorter,
+ * counted from the first byte of the request. Times are in milliseconds of the loop's clock. Accessed only on the event
+ * loop's thread.
  */
 final class RequestDeadline {
-    /** The answer has to reach the client before it stops waiting. */
-    private static final double ANSWER_MARGIN_MS = 5;
-    /** For requests that name no time. */
+    /** Time for the response to reach the client before its own timeout. */
+    private static final double RESPONSE_MARGIN_MS = 5;
+    /** Assumed for requests that state no remaining time. */
     private static final double DEFAULT_CLIENT_TIMEOUT_MS = 60_000;
 
     private final EventLoop loop;
@@ -18,15 +19,15 @@
     private TimerWheel.Timer timer;
 
     /**
-     * @param remainingTime the client's {@link HeaderNames#REMAINING_TIME}; null where it sent none
-     * @param routeTimeoutMs the route's time-out
+     * @param remainingTime the client's {@link HeaderNames#REMAINING_TIME}; null if it sent none
+     * @param routeTimeoutMs the route's timeout
      */
     RequestDeadline(EventLoop loop, double arrivedAt, String remainingTime, double routeTimeoutMs) {
         this.loop = loop;
-        this.atMs = arrivedAt + Math.min(clientTimeoutMs(remainingTime), routeTimeoutMs) - ANSWER_MARGIN_MS;
+        this.atMs = arrivedAt + Math.min(clientTimeoutMs(remainingTime), routeTimeoutMs) - RESPONSE_MARGIN_MS;
     }
 
-    /** What is no number counts as absent. */
+    /** A value that is not a number counts as absent. */
     private static double clientTimeoutMs(String remainingTime) {
         try {
             double ms = remainingTime == null ? DEFAULT_CLIENT_TIMEOUT_MS : Double.parseDouble(remainingTime);
@@ -40,12 +41,12 @@
         return atMs;
     }
 
-    /** Negative once it has passed. */
+    /** The time until the deadline; negative after it. */
     double remainingMs() {
         return atMs - loop.now();
     }
 
-    /** Runs the task when the deadline passes, unless it is cancelled before. */
+    /** Runs the task at the deadline unless cancelled before. */
     void start(Runnable expired) {
         timer = loop.after(Math.max(1, remainingMs()), expired);
     }
--- a/dataplane/src/main/java/dewplank/dataplane/RetryBudgets.java
+++ b/dataplane/src/main/java/dewplank/dataplane/RetryBudgets.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 
 /**
- * This data plane's part of the fleet's retry budgets, one for each service. How many data planes divide a budget comes
- * from the membership. On the event loop's thread only.
+ * This data plane's share of the fleet's retry budgets, one for each service. The fleet's membership determines how
+ * many data planes share a budget. Accessed only on the event loop's thread.
  */
 final class RetryBudgets {
     private final Scheduler loop;
@@ -19,11 +19,11 @@
     private final Map<String, RetryBudget> byService = new HashMap<>();
 
     /**
-     * The fleet's bounds on retries to a service, from the settings' contract.
+     * The fleet-wide bounds on retries to a service, from the bounds in the settings.
      *
-     * @param ratio retries for each request
-     * @param windowMs the time over which both are counted
-     * @param slack retries that are allowed beyond the ratio
+     * @param ratio allowed retries per request
+     * @param windowMs the window in which requests and retries are counted
+     * @param slack retries allowed in addition to the ratio
      */
     record Limits(double ratio, double windowMs, double slack) {}
 
@@ -34,22 +34,22 @@
         this.fleetSize = new FleetSizeEstimator(limits.windowMs());
     }
 
-    /** The membership names so many data planes. */
+    /** Records the number of data planes in the membership. */
     void recordMembership(int dataPlanes) {
         fleetSize.recordMembership(loop.now(), dataPlanes);
     }
 
-    /** A client's request to the service has come, which adds to the budget. */
+    /** Records a client's request to the service, which increases the budget. */
     void recordRequest(String service) {
         budget(service).recordRequest(loop.now());
     }
 
-    /** Counts a retry that has been made already. */
+    /** Counts a retry that has already been made. */
     void recordRetry(String service) {
         budget(service).recordRetry(loop.now());
     }
 
-    /** Takes one retry to the service out of this data plane's part. False: it is used up. */
+    /** Charges one retry to this data plane's share of the service's budget. Returns false if it is exhausted. */
     boolean tryAcquire(String service) {
         double now = loop.now();
         int dataPlanes = fleetSize.isSettled(now) ? fleetSize.dataPlanes(now) : RetryBudget.NO_SLACK;
--- a/dataplane/src/main/java/dewplank/dataplane/Server.java
+++ b/dataplane/src/main/java/dewplank/dataplane/Server.java
@@ -5,14 +5,14 @@
 import dewplank.routing.TrackedServer;
 import java.net.InetSocketAddress;
 
-/** A server of the endpoint list: its state for picks, its address, and the idle connections to it. */
+/** A server of the endpoint list: its state for load balancing, its address, and its idle connections. */
 final class Server {
-    /** Idle connections are closed after this in any case: they count against the server's bound. */
+    /** Idle connections are closed after this time, as they count towards the server's connection limit. */
     private static final double MAX_IDLE_MS = 10_000;
 
     final TrackedServer state;
     final InetSocketAddress address;
-    /** IP:PORT, as the list names it. */
+    /** IP:PORT, as in the endpoint list. */
     final String addressText;
 
     final ConnectionPool pool;
--- a/dataplane/src/main/java/dewplank/dataplane/ServerAttempt.java
+++ b/dataplane/src/main/java/dewplank/dataplane/ServerAttempt.java
@@ -8,8 +8,8 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * One attempt of a request at a server, which counts as load there from its start to its end, however it ends. Made by
- * an {@link AttemptFactory}; started once; on the event loop's thread only.
+ * One attempt to run a request at a server. It counts towards the server's load from its start until it completes,
+ * fails or is cancelled. Created by an {@link AttemptFactory}; started once; accessed only on the event loop's thread.
  */
 final class ServerAttempt {
     private final Server server;
@@ -17,7 +17,7 @@
     private final EventLoop loop;
     private final Counters counters;
     private final HttpCall call;
-    /** Null before the start and after the end. */
+    /** Null before the attempt starts and after it ends. */
     private TrackedServer.InFlightRequest inFlight;
 
     private double startedAt;
@@ -36,17 +36,17 @@
         this.call = new HttpCall(loop, server.address, server.pool, message, new LoadReleasingListener(listener));
     }
 
-    /** The attempt gets a connection that carries no other call, before or after. */
+    /** Makes the attempt use a connection that carries no other call, neither before nor after it. */
     void useDedicatedConnection() {
         call.exclusive();
     }
 
-    /** Sets a condition that is checked once connected, immediately before the request is written. */
+    /** Sets a condition that is checked once the connection is open, immediately before the request is written. */
     void sendOnlyIf(BooleanSupplier condition) {
         call.sendOnlyIf(condition);
     }
 
-    /** The request is a HEAD. */
+    /** Expects a response without a body, as the request is a HEAD. */
     void expectNoBody() {
         call.expectHead();
     }
@@ -69,21 +69,21 @@
     }
 
     /**
-     * Whether the server may have read of the request, so that it may run: a server may begin before it has read a long
-     * body.
+     * Whether the server may have read a part of the request and may therefore run it: a server may start before it has
+     * read all of a long body.
      */
     boolean mayHaveReachedServer() {
         return call.isConnected();
     }
 
-    /** The prompt has been prefilled: its tokens weigh on the server no more. */
+    /** Records that the prompt was prefilled, so that its tokens no longer count towards the server's load. */
     void recordPromptPrefilled() {
         if (inFlight != null) {
             server.state.promptPrefilled(inFlight);
         }
     }
 
-    /** Milliseconds since the start. */
+    /** Milliseconds since the attempt started. */
     double elapsedMs() {
         return loop.now() - startedAt;
     }
@@ -100,7 +100,7 @@
         }
     }
 
-    /** Takes the attempt off the server's load before its end is handed on. */
+    /** Removes the attempt from the server's load before it forwards the end of the call to the attempt's listener. */
     private final class LoadReleasingListener implements HttpCall.Listener {
         private final HttpCall.Listener listener;
 
--- a/dataplane/src/main/java/dewplank/dataplane/ServerFeedback.java
+++ b/dataplane/src/main/java/dewplank/dataplane/ServerFeedback.java
@@ -7,8 +7,8 @@
 import dewplank.routing.ServerPicker;
 
 /**
- * Turns the outcomes of attempts into what later picks go by: health samples, backoffs and counters. One for all
- * requests of a forwarder; on the event loop's thread only.
+ * Records the outcomes of attempts as health samples and backoffs, which affect later picks, and in the counters.
+ * Shared by all requests of a forwarder; accessed only on the event loop's thread.
  */
 final class ServerFeedback {
     private static final RoutingParameters.Backoff BACKOFF = RoutingParameters.DEFAULTS.backoff();
@@ -23,12 +23,12 @@
         this.counters = counters;
     }
 
-    /** Records whether a server that got a request of this route behaved as a healthy one does. */
+    /** Records whether a server handled a request of this route as a healthy server does. */
     void recordOutcome(Server server, String route, boolean healthy) {
         picker.recordOutcome(loop.now(), server.state, route, healthy);
     }
 
-    /** Records that the server rejected a request, which says nothing of its health. */
+    /** Records that the server rejected a request, which does not affect its health. */
     void recordRejection(Server server, int status) {
         counters.add(Count.TURNED_AWAY);
         if (status != 421) {
@@ -36,7 +36,7 @@
         }
     }
 
-    /** Records a failed attempt, and says whether it may have run the request. */
+    /** Records a failed attempt and returns whether the request may have run in it. */
     Execution recordFailure(Server server, String route, HttpCall.Failure failure) {
         switch (failure) {
             case NOT_CONNECTED -> {
--- a/dataplane/src/main/java/dewplank/dataplane/StallTimer.java
+++ b/dataplane/src/main/java/dewplank/dataplane/StallTimer.java
@@ -3,21 +3,21 @@
 import dewplank.net.EventLoop;
 import dewplank.net.TimerWheel;
 
-/** Runs a task when nothing has come for long; started anew with each piece of a stream. */
+/** Runs a task if no data arrives within a timeout; restarted with each part of a stream. */
 final class StallTimer {
     private final EventLoop loop;
-    private final Runnable stalled;
+    private final Runnable onStall;
     /** Null before the first start. */
     private TimerWheel.Timer timer;
 
-    StallTimer(EventLoop loop, Runnable stalled) {
+    StallTimer(EventLoop loop, Runnable onStall) {
         this.loop = loop;
-        this.stalled = stalled;
+        this.onStall = onStall;
     }
 
     void restart(double timeoutMs) {
         cancel();
-        timer = loop.after(timeoutMs, stalled);
+        timer = loop.after(timeoutMs, onStall);
     }
 
     void cancel() {
--- a/dataplane/src/main/java/dewplank/dataplane/StreamRelay.java
+++ b/dataplane/src/main/java/dewplank/dataplane/StreamRelay.java
@@ -6,8 +6,8 @@
 import java.util.Optional;
 
 /**
- * Passes a generation's stream on to its client by complete events, whichever servers they come from; the head is that
- * of the first server. On the event loop's thread only.
+ * Relays the stream of a generation to its client in complete events. Several servers may contribute to the stream; the
+ * head is from the first response that is relayed. Accessed only on the event loop's thread.
  */
 final class StreamRelay {
     private final InboundConnection client;
@@ -18,42 +18,42 @@
         this.client = client;
     }
 
-    /** Whether a part of the stream has gone to the client. */
+    /** Whether a part of the stream was sent to the client. */
     boolean isStarted() {
         return started;
     }
 
-    /** Whether another server can continue the stream behind the last complete event. */
+    /** Whether another server can continue the stream after the last complete event. */
     boolean isResumable() {
         return events.isResumable();
     }
 
-    /** Whether what came last is a part of an event. */
+    /** Whether the last bytes received are an incomplete event. */
     boolean isMidEvent() {
         return events.isMidEvent();
     }
 
-    /** Where the stream is to be continued; empty before the first event with an id. */
+    /** The id of the event after which the stream can be continued; empty before the first event with an id. */
     Optional<String> lastEventId() {
         return events.lastEventId();
     }
 
-    /** The complete events that the bytes bring; empty where they bring none. */
+    /** Adds received bytes and returns the events that are now complete; empty if there are none. */
     byte[] feed(byte[] bytes) {
         return events.feed(bytes);
     }
 
-    /** What a stream that has ended left behind its last complete event. */
+    /** Returns the bytes that follow the last complete event of a stream that has ended. */
     byte[] drainIncompleteEvent() {
         return events.drainIncompleteEvent();
     }
 
-    /** Another server continues: the part of an event that the last one sent is dropped. */
+    /** Drops an incomplete event of the last server before another server continues the stream. */
     void discardIncompleteEvent() {
         events.discardIncompleteEvent();
     }
 
-    /** Sends the head of the answer. */
+    /** Sends the head of the response. */
     void start(int status, Headers headers) {
         started = true;
         client.beginAnswer(status, headers.endToEnd());
--- a/dataplane/src/main/java/dewplank/dataplane/TrafficSplit.java
+++ b/dataplane/src/main/java/dewplank/dataplane/TrafficSplit.java
@@ -4,11 +4,11 @@
 import java.util.List;
 import java.util.random.RandomGenerator;
 
-/** Draws the service of a request from the weights of its route. */
+/** Chooses the service of a request at random by the weights of its route. */
 final class TrafficSplit {
     private TrafficSplit() {}
 
-    /** The service's name; one random number is drawn, also where there is a single service. */
+    /** Returns the service's name. Draws one random number, even if there is a single service. */
     static String drawService(List<WeightedService> split, RandomGenerator random) {
         double total = split.stream().mapToDouble(WeightedService::weight).sum();
         double remaining = random.nextDouble() * total;
--- a/dataplane/src/main/java/dewplank/dataplane/UnaryRequest.java
+++ b/dataplane/src/main/java/dewplank/dataplane/UnaryRequest.java
@@ -16,8 +16,8 @@
 import java.util.Optional;
 
 /**
- * A request whose answer is collected from one server and passed on once it is complete. An idempotent one is sent to
- * another server when its answer is overdue. On the event loop's thread only.
+ * A request whose response is buffered and relayed once it is complete. An idempotent request is sent to another server
+ * if its response is overdue. Accessed only on the event loop's thread.
  */
 final class UnaryRequest extends ProxiedRequest {
     private static final RoutingParameters.Hedging HEDGING = RoutingParameters.DEFAULTS.hedging();
@@ -25,7 +25,7 @@
     /** The latest attempt; null before the first. */
     private ServerAttempt attempt;
 
-    /** Null where the latest attempt has none. */
+    /** Null if no attempt has had such a timer. */
     private TimerWheel.Timer overdueTimer;
 
     UnaryRequest(
@@ -61,7 +61,7 @@
 
     private void sendTo(Server server) {
         allowance.recordAttempt();
-        ServerAttempt started = attempts.newAttempt(server, 0, List.of(), new AnswerCollector(server));
+        ServerAttempt started = attempts.newAttempt(server, 0, List.of(), new ResponseCollector(server));
         attempt = started;
         started.start(forwarder.connectTimeoutMs());
         if (!started.isOver() && isIdempotent() && forwarder.policy().isEnabled(Mechanism.PATIENCE)) {
@@ -69,14 +69,14 @@
         }
     }
 
-    /** Null where no server may be picked. */
+    /** Returns null if no server is eligible. */
     private Server pickServer() {
         List<TrackedServer> servers = forwarder.fleet().servers(service.name());
         boolean allowsTrial = isIdempotent() && allowance.isUnused();
         Optional<TrackedServer> picked = forwarder
                 .picker()
                 .pick(loop.now(), ServerPicker.PickArguments.byInFlight(servers, attempts::isUnattempted, allowsTrial));
-        if (picked.isEmpty()) { // all that are eligible have had the request: one of them once more
+        if (picked.isEmpty()) { // the request was sent to all eligible servers: reuse one of them
             picked = forwarder
                     .picker()
                     .pick(loop.now(), ServerPicker.PickArguments.byInFlight(servers, s -> true, false));
@@ -84,7 +84,7 @@
         return picked.map(forwarder.fleet()::server).orElse(null);
     }
 
-    /** Sends the request to another server, if there is one that may have it; else the answer is waited for. */
+    /** Sends the request to another server if one is eligible and allowed; otherwise keeps waiting for the response. */
     private void onOverdue() {
         if (isOver() || attempt.isOver()) {
             return;
@@ -107,7 +107,7 @@
     }
 
     @Override
-    boolean hasRunUnderWay() {
+    boolean mayBeRunning() {
         return attempt != null && !attempt.isOver() && attempt.mayHaveReachedServer();
     }
 
@@ -119,22 +119,22 @@
         }
     }
 
-    /** Collects the answer to one attempt. */
-    private final class AnswerCollector implements HttpCall.Listener {
+    /** Collects the response to one attempt. */
+    private final class ResponseCollector implements HttpCall.Listener {
         private final Server server;
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
         private int status;
         private Headers headers;
 
-        AnswerCollector(Server server) {
+        ResponseCollector(Server server) {
             this.server = server;
         }
 
         @Override
-        public boolean head(int answerStatus, Headers answerHeaders) {
-            status = answerStatus;
-            headers = answerHeaders;
-            return attempts.isOwnAnswer(answerHeaders);
+        public boolean head(int responseStatus, Headers responseHeaders) {
+            status = responseStatus;
+            headers = responseHeaders;
+            return attempts.isResponseToThisRequest(responseHeaders);
         }
 
         @Override
@@ -145,26 +145,26 @@
         @Override
         public void complete() {
             cancelOverdueTimer();
-            AnswerKind kind = AnswerKind.of(status, headers);
-            if (kind == AnswerKind.NOT_EXECUTED) {
+            ResponseKind kind = ResponseKind.of(status, headers);
+            if (kind == ResponseKind.NOT_EXECUTED) {
                 forwarder.serverFeedback().recordRejection(server, status);
                 sendToNextServer();
                 return;
             }
             recordPossibleRun();
-            recordOutcome(server, kind == AnswerKind.SUCCESS || AnswerKind.isHealthyFailure(status));
-            if (kind == AnswerKind.SUCCESS || kind == AnswerKind.FINAL_FAILURE) {
-                relayAnswer();
+            recordOutcome(server, kind == ResponseKind.SUCCESS || ResponseKind.isHealthyFailure(status));
+            if (kind == ResponseKind.SUCCESS || kind == ResponseKind.FINAL_FAILURE) {
+                relayResponse();
             } else if (isIdempotent() && allowance.allowsAttempt()) {
                 sendToNextServer();
-            } else if (kind == AnswerKind.SERVER_FAILURE) {
-                relayAnswer();
+            } else if (kind == ResponseKind.SERVER_FAILURE) {
+                relayResponse();
             } else {
                 fail(502);
             }
         }
 
-        private void relayAnswer() {
+        private void relayResponse() {
             relay(status, headers.endToEnd(), body.toByteArray());
         }
 
--- a/dataplane/src/test/java/dewplank/dataplane/BegunStream.java
+++ b/dataplane/src/test/java/dewplank/dataplane/BegunStream.java
@@ -9,18 +9,18 @@
 import java.io.IOException;
 
 /**
- * A stream whose first event, number 1, has reached the client.
+ * A stream whose first event, with id 1, was received by the client.
  *
- * @param head the start of the client's answer
+ * @param head the head of the client's response
  */
 record BegunStream(Wire client, Call decode, Wire.Message head) {
-    /** Sends the request; the first call that comes is the decode server's. */
+    /** Sends the request and starts the stream; the next call received must be the decode server's. */
     static BegunStream begin(ForwarderFixture net, String target, String prompt) throws Exception {
         Wire client = net.sendRequest(target, prompt);
         return begin(net.nextCall(), client);
     }
 
-    /** The decode server begins its stream, and the client gets the first event. */
+    /** The decode server starts its stream, and the client receives the first event. */
     static BegunStream begin(Call decode, Wire client) throws IOException {
         beginStream(decode);
         decode.wire().chunk(event(1));
@@ -35,13 +35,13 @@
         return decode.wire();
     }
 
-    /** The server sends the event, and the client gets it. */
+    /** The server sends the event, and the client receives it. */
     void assertRelays(int eventId) throws IOException {
         server().chunk(event(eventId));
         assertEquals(event(eventId), client.readChunk());
     }
 
-    /** The server ends the stream, and the client gets the end. */
+    /** The server ends the stream, and the client receives the end. */
     void assertEnds() throws IOException {
         server().lastChunk();
         assertEquals("", client.readChunk());
--- a/dataplane/src/test/java/dewplank/dataplane/CallFields.java
+++ b/dataplane/src/test/java/dewplank/dataplane/CallFields.java
@@ -2,11 +2,11 @@
 
 import dewplank.exchange.ScriptedServer.Call;
 
-/** Header fields of the calls that servers get, by the protocol's names; null where a call has none. */
+/** Header fields of the calls that servers receive; null if a call lacks the field. */
 final class CallFields {
-    /** The tenant that holds the client's key, by the data plane's word. */
+    /** The tenant that owns the client's access key, as stated by the data plane. */
     static final String TENANT_NAME = "X-Dewplank-Tenant-Name";
-    /** The client's key, which servers must not get. */
+    /** The client's access key, which must not be forwarded to servers. */
     static final String AUTHORIZATION = "Authorization";
 
     private CallFields() {}
@@ -15,7 +15,7 @@
         return call.message().header("X-Dewplank-Request-Attempt-Id");
     }
 
-    /** The field must be there. */
+    /** Fails if the field is missing. */
     static long remainingTimeMs(Call call) {
         return Long.parseLong(call.message().header("X-Dewplank-Remaining-Time-Ms"));
     }
--- a/dataplane/src/test/java/dewplank/dataplane/ClientTimeoutsTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/ClientTimeoutsTest.java
@@ -17,7 +17,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** What clients may send and how long they may take, by the configuration's limits. */
+/** The limits on the size and duration of clients' requests, according to the configuration. */
 class ClientTimeoutsTest {
     private static final double APPLY_MS = 2_000;
     private static final int KIB = 1024;
@@ -31,7 +31,7 @@
     // ---- changed limits -------------------------------------------------------------------------------
 
     @Test
-    void aLongerTimeoutAppliesAtOnce() {
+    void aLongerTimeoutAppliesImmediately() {
         limits.update(0, limits(3_000, 5_000));
         limits.update(100_000, limits(4_000, 60_000));
         assertEquals(60_000, limits.idleMs(100_000));
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void aShorterTimeoutAppliesOnceTheFleetHasApplied() {
+    void aShorterTimeoutAppliesOnceTheChangeHasReachedTheFleet() {
         limits.update(0, limits(3_000, 60_000));
         limits.update(100_000, limits(1_000, 5_000));
         assertEquals(60_000, limits.idleMs(101_999));
@@ -48,7 +48,7 @@
         assertEquals(1_000, limits.headMs(102_000));
     }
 
-    /** Updates without a change delay nothing; of two changes in quick succession neither is lost. */
+    /** Updates without a change do not extend the delay, and two changes in quick succession both take effect. */
     @Test
     void theLongestOfOverlappingTimeoutsApplies() {
         limits.update(0, limits(3_000, 60_000));
@@ -61,7 +61,7 @@
 
     // ---- connections ----------------------------------------------------------------------------------
 
-    /** The only connection times out after that time, and not before. */
+    /** Asserts that the only connection times out after that time and not earlier. */
     private static void assertOverdueAfter(ForwarderFixture net, double ms) throws Exception {
         OnLoop.run(net.loop, () -> {
             ClientTimeouts limits = new ClientTimeouts(APPLY_MS);
@@ -96,7 +96,7 @@
         }
     }
 
-    /** However long the answer takes, the idle time begins after it. */
+    /** The idle time starts after the response, even if the response takes long. */
     @Test
     void aRequestBeingServedNeverTimesOut() throws Exception {
         try (ForwarderFixture net =
@@ -115,11 +115,11 @@
 
     // ---- heads ----------------------------------------------------------------------------------------
 
-    private static String longHead(int bytes) {
+    private static String requestWithLongHead(int bytes) {
         return request("/once/", "X-Long: " + "x".repeat(bytes) + "\r\n", "");
     }
 
-    private static void bound(ForwarderFixture net, int maxHeaderBytes) throws Exception {
+    private static void applyMaxHeaderBytes(ForwarderFixture net, int maxHeaderBytes) throws Exception {
         String json = new String(net.metadata.configuration().json(), StandardCharsets.UTF_8)
                 .replaceFirst("\"config_version\":[0-9]+", "\"config_version\":99")
                 .replaceFirst("\"max_header_bytes\":[0-9]+", "\"max_header_bytes\":" + maxHeaderBytes);
@@ -128,27 +128,27 @@
     }
 
     @Test
-    void maxHeaderBytesIsThatOfTheConfiguration() throws Exception {
+    void maxHeaderBytesOfTheConfigurationApplies() throws Exception {
         try (ForwarderFixture net =
                 ForwarderFixture.builder().routes(unsafeRoute("once", 1)).start()) {
             net.servers.plain();
-            bound(net, 60 * KIB);
+            applyMaxHeaderBytes(net, 60 * KIB);
             Wire client = net.client();
-            client.send(longHead(59 * KIB));
+            client.send(requestWithLongHead(59 * KIB));
             serve(net.nextCall(), "");
             assertEquals(200, client.read().status());
             Wire tooLong = net.client();
-            tooLong.send(longHead(70 * KIB));
+            tooLong.send(requestWithLongHead(70 * KIB));
             assertEquals(431, tooLong.read().status());
         }
     }
 
-    /** Without a configuration the bound is unknown: a final answer such as 431 could be wrong. */
+    /** Without a configuration the limit is unknown, and a final response such as 431 could be incorrect. */
     @Test
     void aLongHeadIsRejectedWithRetryAfterWithoutAConfiguration() throws Exception {
         try (ForwarderFixture net = ForwarderFixture.builder().start()) {
             Wire client = net.client();
-            client.send(longHead(60 * KIB));
+            client.send(requestWithLongHead(60 * KIB));
             assertEquals(503, client.read().status());
         }
     }
--- a/dataplane/src/test/java/dewplank/dataplane/Expectations.java
+++ b/dataplane/src/test/java/dewplank/dataplane/Expectations.java
@@ -12,37 +12,37 @@
 import dewplank.exchange.Wire;
 import java.io.IOException;
 
-/** What clients must get, in one step with the server's answer where there is one. */
+/** Assertions on clients' responses, some of which send the server's response first. */
 final class Expectations {
     private Expectations() {}
 
-    /** The server answers, and the client gets that answer's body. */
+    /** The server responds, and the client receives the body of that response. */
     static void assertServed(Call call, Wire client, String body) throws IOException {
         serve(call, body);
         assertEquals(body, client.read().body());
     }
 
-    /** The server sends a stream of one event, and the client gets it as the complete body of its answer. */
+    /** The server sends a stream of one event, and the client receives it as the complete body of its response. */
     static void assertStreamed(Call decode, Wire client, int eventId) throws IOException {
         sendStream(decode, eventId);
         assertEquals(event(eventId), client.read().body());
     }
 
-    /** The server sends a stream of one event, and the client gets it as the rest of a body that has begun. */
+    /** The server sends a stream of one event, and the client receives it as the rest of a started body. */
     static void assertResumed(Call decode, Wire client, int eventId) throws IOException {
         sendStream(decode, eventId);
         assertEquals(event(eventId), client.readChunk());
         assertEquals("", client.readChunk());
     }
 
-    /** 503 with Retry-After: the request has not run. */
-    static void assertRejected(Wire.Message answer) {
-        assertEquals(503, answer.status());
-        assertTrue(Double.parseDouble(answer.header("Retry-After")) > 0);
-        assertNull(answer.header("X-Dewplank-Server-Seal"));
+    /** The response is a 503 with Retry-After, which means that the request has not run. */
+    static void assertRejected(Wire.Message response) {
+        assertEquals(503, response.status());
+        assertTrue(Double.parseDouble(response.header("Retry-After")) > 0);
+        assertNull(response.header("X-Dewplank-Server-Seal"));
     }
 
-    /** What comes before the connection ends is no end of the body and no second head. */
+    /** The client's connection ends without an end of the body and without a second head. */
     static void assertBrokenOff(Wire client) throws IOException {
         String received = client.readToEnd();
         assertFalse(received.endsWith("0\r\n\r\n"), received);
--- a/dataplane/src/test/java/dewplank/dataplane/ForwarderFixture.java
+++ b/dataplane/src/test/java/dewplank/dataplane/ForwarderFixture.java
@@ -27,12 +27,12 @@
 
 /** A forwarder on an event loop, between plain-socket clients and the servers of a {@link ScriptedFleet}. */
 final class ForwarderFixture implements Closeable {
-    /** Enough for any test. */
+    /** More retries than any test uses. */
     static final RetryBudgets.Limits AMPLE_RETRIES = new RetryBudgets.Limits(100, 10_000, 1_000);
 
     static final RetryBudgets.Limits NO_RETRIES = new RetryBudgets.Limits(0, 10_000, 0);
 
-    /** Longer than any test lasts: on a busy machine the usual one would pass before the loop handles a connection. */
+    /** Longer than any test. On a busy machine the default could expire before the loop handles a connection. */
     private static final double CONNECT_TIMEOUT_MS = 20_000;
 
     private static final int DEFAULT_MAX_BODY_BYTES = 4 << 20;
@@ -41,15 +41,15 @@
     /** More than {@link dewplank.exchange.ConnectionPool#REUSE_DELAY_MS}. */
     static final double REUSABLE_AFTER_MS = 30;
 
-    /** How often a request is sent anew that a slow machine has kept from where the test needs it. */
+    /** Limit on sending a request again because a slow machine prevented the state that the test needs. */
     static final int MAX_SENDS = 20;
 
     final EventLoop loop = new EventLoop();
     final FleetMetadata metadata = new FleetMetadata(loop);
     final ScriptedFleet servers = new ScriptedFleet(loop, metadata);
-    /** The clock of {@link #quotas}: no reply about tokens is overdue unless the test moves it. */
+    /** The clock of {@link #quotas}: no quota reply becomes overdue unless the test advances it. */
     final ManualScheduler quotaTime = new ManualScheduler(loop);
-    /** Without control planes to ask until the test connects some. */
+    /** Has no control planes to query until the test connects some. */
     final QuotaClient quotas = new QuotaClient(quotaTime, SessionFixture.QUOTA_TERMS);
 
     final Forwarder forwarder;
@@ -78,17 +78,17 @@
                 forwarder::newConnection);
     }
 
-    /** A forwarder with ample retries and all mechanisms, and without a configuration, unless said otherwise. */
+    /** By default, a forwarder with ample retries, all mechanisms enabled and no configuration. */
     static Builder builder() {
         return new Builder();
     }
 
-    /** What a fixture begins with. */
+    /** The initial state of a fixture. */
     static final class Builder {
         private RetryBudgets.Limits retryLimits = AMPLE_RETRIES;
         private Policy policy = Policy.ALL_ENABLED;
         private int maxBodyBytes = DEFAULT_MAX_BODY_BYTES;
-        /** Empty: no configuration is put in force. */
+        /** If empty, there is no configuration. */
         private TestRoute[] routes = {};
 
         private String tenants = "";
@@ -100,8 +100,8 @@
         }
 
         /**
-         * Overdue attempts are waited for: for tests of other things, which a pause of the machine between two steps
-         * must not meet.
+         * Disables retries of overdue attempts, for tests that a pause of the machine between two steps would otherwise
+         * disturb.
          */
         Builder withoutHedging() {
             policy = Policy.without(List.of(Mechanism.PATIENCE));
@@ -118,13 +118,15 @@
             return this;
         }
 
-        /** The configurations have these tenants, a list in JSON. */
+        /** Sets the tenants of the configurations, as a JSON list. */
         Builder tenants(String json) {
             tenants = json;
             return this;
         }
 
-        /** Keys are served for less than so long after the last {@link ForwarderFixture#confirm}. */
+        /**
+         * Requests with access keys are served only within this time after the last {@link ForwarderFixture#confirm}.
+         */
         Builder closedRevocation(double withinMs) {
             revocation = new AccessControl.Revocation(true, withinMs);
             return this;
@@ -141,18 +143,18 @@
         }
     }
 
-    /** The configuration in force is confirmed to have been the newest so long ago. */
+    /** Confirms that the configuration in force was the latest one at that age. */
     void confirm(double ageMs) throws Exception {
         OnLoop.run(loop, () -> metadata.confirmConfiguration(configurationVersion, loop.now() - ageMs));
     }
 
-    /** Puts the next configuration in force, with these tenants, a list in JSON, from now on. */
+    /** Applies the next configuration. It and later ones have these tenants, given as a JSON list. */
     void tenants(String json, TestRoute... routes) throws Exception {
         tenants = json;
         routes(routes);
     }
 
-    /** Puts the next configuration in force. */
+    /** Applies the next configuration. */
     void routes(TestRoute... routes) throws Exception {
         routes(DEFAULT_MAX_BODY_BYTES, routes);
     }
@@ -162,14 +164,14 @@
         OnLoop.run(loop, () -> metadata.updateConfiguration(next));
     }
 
-    /** A client's connection, closed with the fixture. */
+    /** Opens a client's connection, which is closed with the fixture. */
     Wire client() throws IOException {
         Wire client = Wire.to((InetSocketAddress) listener.address());
         clients.add(client);
         return client;
     }
 
-    /** A client that has sent a request. */
+    /** Opens a client's connection and sends a request. */
     Wire sendRequest(String target) throws IOException {
         return sendRequest(target, "");
     }
@@ -184,12 +186,12 @@
         return client;
     }
 
-    /** A client and the call by which its request is at a server. */
+    /** A client and the call that carries its request to a server. */
     record InFlight(Wire client, Call call) {}
 
     /**
-     * A request that is at a server before its deadline. Where the machine was too slow for that, the client must have
-     * been answered accordingly, and the request is sent anew.
+     * Sends a request until one has reached a server before its deadline. If the machine is too slow for that, the
+     * client must have received a 503 or a 504, and the request is sent again.
      */
     InFlight sendUntilAtServer(String target, String fields) throws Exception {
         for (int sends = 0; sends < MAX_SENDS; sends++) {
@@ -200,16 +202,16 @@
             if (hasCallOf(request)) {
                 return new InFlight(client, takeCallOf(request));
             }
-            Wire.Message answer = client.read();
-            if (answer.status() == 503) {
-                assertRejected(answer);
+            Wire.Message response = client.read();
+            if (response.status() == 503) {
+                assertRejected(response);
             } else {
-                assertEquals(504, answer.status());
+                assertEquals(504, response.status());
                 OnLoop.await(loop, () -> hasCallOf(request));
                 takeCallOf(request);
             }
         }
-        throw new AssertionError("no request was at a server before its deadline");
+        throw new AssertionError("no request reached a server before its deadline");
     }
 
     private boolean hasCallOf(String request) {
@@ -218,7 +220,7 @@
 
     private Call takeCallOf(String request) throws InterruptedException {
         Call call = nextCall();
-        while (!isCallOf(call, request)) { // of an earlier one, read late
+        while (!isCallOf(call, request)) { // a call of an earlier request that was read late
             call = nextCall();
         }
         return call;
@@ -229,10 +231,10 @@
     }
 
     /**
-     * Gives each server an idle connection that is reused for the next request: that is written as soon as it is taken,
-     * before any timer of it can fall due.
+     * Opens an idle connection to each server for reuse by the next request, which is then sent immediately, before any
+     * of its timers can expire.
      *
-     * @param target of a route to all servers
+     * @param target a target on a route to all servers
      */
     void openIdleConnections(String target) throws Exception {
         Set<ScriptedServer> reached = new HashSet<>();
@@ -249,23 +251,23 @@
         pass(REUSABLE_AFTER_MS);
     }
 
-    /** The next request, whichever server it reached. */
+    /** The next request received by any server. */
     Call nextCall() throws InterruptedException {
         return servers.next();
     }
 
-    /** The loop's clock, by which requests' times are counted. */
+    /** The time of the loop's clock, which the timeouts of requests use. */
     double now() {
         return loop.now();
     }
 
-    /** Lets so much time pass by the loop's timers. */
+    /** Waits until a timer of the loop with this delay has expired. */
     void pass(double ms) throws InterruptedException {
         OnLoop.pass(loop, ms);
     }
 
-    /** Runs the event with the loop stopped for so long after it: a timer that falls due meets the event. */
-    void runBeforePause(double ms, OnLoop.Task event) throws Exception {
+    /** Runs the event and then blocks the loop for this time, so that a timer that expires races with the event. */
+    void runThenBlockLoop(double ms, OnLoop.Task event) throws Exception {
         OnLoop.run(loop, () -> {
             event.run();
             double until = loop.now() + ms;
@@ -275,16 +277,16 @@
         });
     }
 
-    /** Waits until no client's request is open. */
+    /** Waits until no request of a client is open. */
     void awaitNoOpenRequest() throws Exception {
         OnLoop.await(loop, () -> forwarder.openRequests() == 0);
     }
 
-    /** No request is open or counted at a server, and none came that the test has not taken. */
+    /** No request is open or counted at a server, and servers received none that the test has not taken. */
     void assertQuiet() throws Exception {
         awaitNoOpenRequest();
         OnLoop.run(loop, () -> metadata.allServers().forEach(ForwarderFixture::assertIdle));
-        assertNull(servers.calls.peek(), "a request came that must not");
+        assertNull(servers.calls.peek(), "a server received an unexpected request");
     }
 
     private static void assertIdle(Server server) {
--- a/dataplane/src/test/java/dewplank/dataplane/GenerationTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/GenerationTest.java
@@ -37,9 +37,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Prefill at one server and decode at another: what each is sent, and when KV handles are freed. */
+/** Prefill at one server and decode at another: the requests that each receives, and when KV handles are freed. */
 class GenerationTest {
-    /** One retry for one request: four fifths of the ratio are used. */
+    /** One retry for one request, as 80% of the ratio is used. */
     private static final RetryBudgets.Limits ONE_RETRY = new RetryBudgets.Limits(1.25, 10_000, 0);
 
     private ForwarderFixture net;
@@ -61,13 +61,13 @@
                         streamingRoute("gapped", 3).withGapTarget(150));
     }
 
-    /** Begins anew, with so many retries. */
+    /** Restarts the fixture with these limits on retries. */
     private void limitRetries(RetryBudgets.Limits limits) throws Exception {
         net.close();
         net = fixture().retryLimits(limits).start();
     }
 
-    /** A request whose prompt the next server has prefilled: that server has answered with the handle. */
+    /** Sends a request, and lets the prefill server respond with the handle. */
     private Wire sendPrefilled(String target, String handle) throws Exception {
         Wire client = net.sendRequest(target, PROMPT);
         handOver(net.nextCall(), handle);
@@ -98,7 +98,7 @@
         assertEquals(net.servers.id(at), targetInstance(call));
     }
 
-    /** The decode server streams one event and the end, and the client gets both. */
+    /** The decode server sends one event and the end of the stream, and the client receives both. */
     private static void assertStreamsToEnd(Call decode, Wire client) throws IOException {
         BegunStream.begin(decode, client).assertEnds();
     }
@@ -133,7 +133,7 @@
         net.assertQuiet();
     }
 
-    /** They are set by the data plane alone, whatever a client sent. */
+    /** Only the data plane sets these fields; a client's own are dropped. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -163,7 +163,7 @@
         net.assertQuiet();
     }
 
-    /** At termination: prefill is no run, so that the client may retry. */
+    /** Prefill does not count as running the request, so the client may retry. */
     @Test
     void aRequestInPrefillAtTerminationIsRejected() throws Exception {
         net.servers.prefill();
@@ -197,7 +197,7 @@
         net.assertQuiet();
     }
 
-    /** A late answer to an earlier prefill arrives in place of this one's. */
+    /** A late response to an earlier prefill arrives before the response to this one. */
     @Test
     void aKvHandleForAnotherAttemptIdIsDiscarded() throws Exception {
         ScriptedServer prefill = net.servers.prefill();
@@ -242,7 +242,7 @@
     }
 
     @Test
-    void anUnreachablePrefillServerCostsNoAttempt() throws Exception {
+    void anUnreachablePrefillServerDoesNotCountAsAnAttempt() throws Exception {
         net.servers.refusingPrefill();
         net.servers.decode();
         Wire client = net.sendRequest("/one/", PROMPT);
@@ -252,7 +252,7 @@
         net.assertQuiet();
     }
 
-    /** A reset prefill is not retried before an attempt is spent, and does not count as a run. */
+    /** A prefill that is reset does not count as running the request, so the request can still be rejected with 503. */
     @Test
     void aResetPrefillDoesNotCountAsARun() throws Exception {
         net.servers.prefill();
@@ -262,7 +262,7 @@
         Call decodeCall = net.nextCall();
         assertIsDecode(decodeCall, null);
         reject(decodeCall);
-        assertEquals(503, client.read().status(), "nothing has run");
+        assertEquals(503, client.read().status(), "the request has not run");
         net.assertQuiet();
     }
 
@@ -279,7 +279,7 @@
                 "{\"context_handle\":\"a/b\",\"token_count\":1}",
                 "{\"context_handle\":\"a\\r\\nX: y\",\"token_count\":1}"
             })
-    void anAnswerWithoutAKvHandleLeadsToDecodeWithoutOne(String body) throws Exception {
+    void aResponseWithoutAKvHandleLeadsToDecodeWithoutOne(String body) throws Exception {
         net.servers.decode();
         net.servers.prefill();
         Wire client = net.sendRequest("/gen/", PROMPT);
@@ -293,7 +293,7 @@
     }
 
     @Test
-    void aRejectedPrefillGoesToAnotherServer() throws Exception {
+    void aRejectedPrefillIsRetriedAtAnotherServer() throws Exception {
         net.servers.prefillServers(2);
         net.servers.decode();
         Wire client = net.sendRequest("/gen/", PROMPT);
@@ -310,7 +310,7 @@
         net.assertQuiet();
     }
 
-    /** The first prefill is free of charge unless it is rejected: then no attempt is left for decode. */
+    /** The first prefill is free of charge unless it is rejected; then no attempt is left for decode. */
     @Test
     void aRejectedPrefillCountsAsAnAttempt() throws Exception {
         net.servers.prefill();
@@ -322,12 +322,12 @@
     }
 
     @Test
-    void anOverduePrefillGivesWayToDecode() throws Exception {
+    void anOverduePrefillIsCancelledAndDecodeStarts() throws Exception {
         net.servers.prefill();
         ScriptedServer decode = net.servers.decode();
         Wire client = net.sendRequest("/gen/", SHORT_PROMPT);
         Call prefillCall = net.nextCall();
-        for (int sends = 1; prefillCall.server() == decode; sends++) { // the connection was not up in time
+        for (int sends = 1; prefillCall.server() == decode; sends++) { // the connection was not established in time
             assertTrue(sends < ForwarderFixture.MAX_SENDS, "no request was prefilled");
             assertStreamsToEnd(prefillCall, client);
             client = net.sendRequest("/gen/", SHORT_PROMPT);
@@ -343,19 +343,19 @@
     }
 
     /**
-     * A decode server that prefilled it would stall its other streams for longer than their event gap. So the prefill
-     * is overdue after 0.5 s, and is waited for until 0.5 s before the client stops waiting: after four times the
-     * target of 625 ms.
+     * Prefill at a decode server would stall its other streams for longer than their target for gaps between events.
+     * The prefill is overdue after 0.5 s, but is not cancelled until 0.5 s before the client abandons the stream, which
+     * it does after four times the target latency of 625 ms.
      */
     @Test
-    void anOverdueLongPrefillIsWaitedForUntilTheLastResort() throws Exception {
+    void anOverdueLongPrefillContinuesUntilTheLatestStartOfDecode() throws Exception {
         net.servers.prefill();
         ScriptedServer decode = net.servers.decode();
         double sentAt = net.now();
         Wire client = net.sendRequest("/paced/", prompt("aa:2000,c0:2000"));
         Call prefillCall = net.nextCall();
         Call decodeCall = net.nextCall();
-        assertTrue(net.now() - sentAt >= 1_500, "decoded as soon as it was overdue");
+        assertTrue(net.now() - sentAt >= 1_500, "decode started as soon as the prefill was overdue");
         prefillCall.wire().awaitEnd();
         assertSame(decode, decodeCall.server());
         assertIsDecode(decodeCall, null);
@@ -381,7 +381,7 @@
         net.assertQuiet();
     }
 
-    // ---- handles --------------------------------------------------------------------------------------
+    // ---- KV handles -----------------------------------------------------------------------------------
 
     @Test
     void aKvHandleIsFreedWithoutADecodeServer() throws Exception {
@@ -390,14 +390,14 @@
         Call freed = net.nextCall();
         assertIsFreed(freed, prefill, "h1");
         freed.wire().answer("200 OK", "", "");
-        Wire.Message answer = client.read();
-        assertEquals(503, answer.status());
-        assertTrue(Double.parseDouble(answer.header("Retry-After")) > 0);
+        Wire.Message response = client.read();
+        assertEquals(503, response.status());
+        assertTrue(Double.parseDouble(response.header("Retry-After")) > 0);
         net.assertQuiet();
     }
 
     @Test
-    void aKvHandleIsFreedWhereTheDecodeServerIsUnreachable() throws Exception {
+    void aKvHandleIsFreedIfTheDecodeServerIsUnreachable() throws Exception {
         ScriptedServer prefill = net.servers.prefill();
         net.servers.refusingDecode();
         Wire client = sendPrefilled("/gen/", "h1");
@@ -407,7 +407,7 @@
     }
 
     @Test
-    void anUnsentKvHandleGoesToTheNextDecodeServer() throws Exception {
+    void anUnsentKvHandleIsSentToTheNextDecodeServer() throws Exception {
         ScriptedServer prefill = net.servers.prefill();
         net.servers.refusingDecode();
         ScriptedServer there = net.servers.decode();
@@ -420,7 +420,7 @@
         net.assertQuiet();
     }
 
-    /** A KV handle can be fetched once: the server that rejected the request may have fetched it. */
+    /** A KV cache can be fetched only once, and the server that rejected the request may have fetched it. */
     @Test
     void aKvHandleIsSentToOneDecodeServerOnly() throws Exception {
         ScriptedServer prefill = net.servers.prefill();
@@ -447,7 +447,7 @@
         assertStreamsToEnd(second, client);
     }
 
-    /** Skips requests that free KV handles and further prefills. */
+    /** Responds to requests that free KV handles and to further prefills until a decode arrives. */
     private Call nextDecodeCall() throws Exception {
         Call call = net.nextCall();
         while (call.message().method().equals("DELETE") || "prefill".equals(stage(call))) {
@@ -461,9 +461,9 @@
         return call;
     }
 
-    /** The decode server was full: the KV handle is reserved at the prefill server, and nobody will fetch it. */
+    /** The decode server was full. The prefill server still stores the KV cache, which no server will fetch. */
     @Test
-    void aKvHandleIsFreedWhereItsDecodeServerRejectsTheRequest() throws Exception {
+    void aKvHandleIsFreedIfItsDecodeServerRejectsTheRequest() throws Exception {
         ScriptedServer prefill = net.servers.prefill();
         net.servers.decode();
         Wire client = sendPrefilled("/one/", "h1");
@@ -483,7 +483,7 @@
         net.assertQuiet();
     }
 
-    /** The client disconnects, then the KV handle arrives: on a connection that is closed by then. */
+    /** The KV handle arrives after the client has disconnected, on a connection that is closed by then. */
     @Test
     void aKvHandleThatArrivesAfterItsClientDisconnectedIsNotDecoded() throws Exception {
         net.servers.prefill();
@@ -496,13 +496,13 @@
         });
         net.awaitNoOpenRequest();
         OnLoop.run(net.loop, () -> {});
-        while (!net.servers.calls.isEmpty()) { // the handle was read first
-            assertNotEquals("POST", handleFreed(net.nextCall()), "nothing runs for a client that has left");
+        while (!net.servers.calls.isEmpty()) { // the handle was read before the disconnect
+            assertNotEquals("POST", respondToFree(net.nextCall()), "decode was started for a disconnected client");
         }
         net.assertQuiet();
     }
 
-    private static String handleFreed(Call call) throws IOException {
+    private static String respondToFree(Call call) throws IOException {
         call.wire().answer("200 OK", "", "");
         return call.message().method();
     }
@@ -518,7 +518,7 @@
         net.awaitNoOpenRequest();
     }
 
-    /** The connection to the decode server is not established: the KV handle was sent to nobody. */
+    /** The connection to the decode server is not established, so the KV handle was not sent. */
     @Test
     void anUnsentKvHandleIsFreedWhenTheClientDisconnects() throws Exception {
         ScriptedServer prefill = net.servers.prefill();
@@ -534,15 +534,15 @@
     void anUnsentKvHandleIsFreedAtTheDeadline() throws Exception {
         ScriptedServer prefill = net.servers.prefill();
         net.servers.add(ScriptedServer.late(net.servers.calls), MODEL, "decode");
-        for (int sends = 0; sends < ForwarderFixture.MAX_SENDS && freed() == 0; sends++) {
-            Wire client = net.sendRequest("/brief/", PROMPT); // its 200 ms are over before the connection is up
-            handOver(net.nextCall(), "h1"); // on a busy machine perhaps after the deadline: then once more
-            assertEquals(503, client.read().status(), "nothing can have run");
+        for (int sends = 0; sends < ForwarderFixture.MAX_SENDS && freedHandles() == 0; sends++) {
+            Wire client = net.sendRequest("/brief/", PROMPT); // its timeout is shorter than the connection setup
+            handOver(net.nextCall(), "h1"); // may be after the deadline on a busy machine; then it is repeated
+            assertEquals(503, client.read().status(), "the request cannot have run");
         }
         assertIsFreed(net.nextCall(), prefill, "h1");
     }
 
-    private long freed() throws Exception {
+    private long freedHandles() throws Exception {
         return OnLoop.get(net.loop, () -> net.forwarder.counters().of(Counters.Count.FREED));
     }
 
@@ -557,14 +557,14 @@
         Call second = net.nextCall();
         assertNotSame(first.server(), second.server());
         reject(second);
-        Wire.Message answer = client.read();
-        assertEquals(503, answer.status());
-        assertTrue(Double.parseDouble(answer.header("Retry-After")) > 0);
+        Wire.Message response = client.read();
+        assertEquals(503, response.status());
+        assertTrue(Double.parseDouble(response.header("Retry-After")) > 0);
         net.assertQuiet();
     }
 
     @Test
-    void withoutARetryBudgetARejectedDecodeIsRejected() throws Exception {
+    void withoutARetryBudgetARejectedDecodeIsNotRetried() throws Exception {
         limitRetries(ForwarderFixture.NO_RETRIES);
         net.servers.decodeServers(2);
         Wire client = net.sendRequest("/gen/", PROMPT);
@@ -573,7 +573,7 @@
         net.assertQuiet();
     }
 
-    /** A rejected prefill counts as an attempt, and with the decode there is one beyond the first. */
+    /** A rejected prefill counts as an attempt, so the decode is the only attempt after the first. */
     @Test
     void aDecodeAfterARejectedPrefillIsChargedOnce() throws Exception {
         limitRetries(ONE_RETRY);
@@ -585,9 +585,9 @@
         net.assertQuiet();
     }
 
-    /** Only an attempt that a server takes up is free of charge. */
+    /** Only an attempt that a server accepts is free of charge. */
     @Test
-    void aPrefillThatBreaksOffIsChargedWhereNoOtherServerTakesThePromptUp() throws Exception {
+    void aPrefillThatIsResetIsChargedIfNoOtherServerAcceptsThePrompt() throws Exception {
         limitRetries(ONE_RETRY);
         net.servers.prefill();
         net.servers.decodeServers(2);
@@ -637,9 +637,9 @@
         net.servers.decode();
         Wire client = net.sendRequest("/gen/", PROMPT);
         answer(net.nextCall(), status, SEAL, "its own");
-        Wire.Message answer = client.read();
-        assertEquals(status.substring(0, 3), Integer.toString(answer.status()));
-        assertEquals("its own", answer.body());
+        Wire.Message response = client.read();
+        assertEquals(status.substring(0, 3), Integer.toString(response.status()));
+        assertEquals("its own", response.body());
         net.assertQuiet();
     }
 
@@ -682,7 +682,7 @@
         net.servers.decode();
         ForwarderFixture.InFlight request = net.sendUntilAtServer("/brief/", PROMPT);
         assertIsPrefill(request.call());
-        assertEquals(503, request.client().read().status(), "nothing has run");
+        assertEquals(503, request.client().read().status(), "the request has not run");
         request.call().wire().awaitEnd();
         net.assertQuiet();
     }
--- a/dataplane/src/test/java/dewplank/dataplane/ObservedTransport.java
+++ b/dataplane/src/test/java/dewplank/dataplane/ObservedTransport.java
@@ -14,11 +14,11 @@
 import java.util.function.Supplier;
 
 /**
- * Connections over TCP that are observed, so that a test with a clock of its own can tell when everything that was sent
- * was also handled. On the event loop's thread only.
+ * A transport over TCP that counts the messages of each connection, so that a test with a manual clock can determine
+ * when all sent messages have been handled. Accessed only on the event loop's thread.
  */
 final class ObservedTransport implements MessageTransport {
-    /** Only bounds how long a test takes to fail: the test's clock does not move while a connection is opened. */
+    /** Only limits how long a failing test takes, as the test's clock stands still while a connection is opened. */
     private static final double CONNECT_TIMEOUT_MS = 20_000;
 
     private final TcpTransport transport;
@@ -39,7 +39,7 @@
     @Override
     public ServerEndpoint listen(
             InetSocketAddress at, int maxConnections, Supplier<? extends MessageLink.Handler> handlers) {
-        throw new UnsupportedOperationException("no server");
+        throw new UnsupportedOperationException("observed transports do not accept connections");
     }
 
     /** Whether a connection to that address is open. */
@@ -48,17 +48,17 @@
     }
 
     /**
-     * Whether both sides of each connection have handled all that the other one sent, and have both closed it or
-     * neither; none is being opened.
+     * Whether both sides of each connection have handled all messages that the other side sent, both or neither have
+     * closed it, and no connection is being opened.
      */
     boolean isSettled(List<FakeControlPlane> controlPlanes) {
-        Map<InetSocketAddress, Integer> sessionsSeen = new HashMap<>();
+        Map<InetSocketAddress, Integer> sessionCounts = new HashMap<>();
         for (ObservedLink link : links) {
             if (link.isConnecting()) {
                 return false;
             }
             if (link.opened) {
-                int index = sessionsSeen.merge(link.to, 1, Integer::sum) - 1;
+                int index = sessionCounts.merge(link.to, 1, Integer::sum) - 1;
                 if (!isSettled(link, index, controlPlanes)) {
                     return false;
                 }
@@ -67,7 +67,7 @@
         return true;
     }
 
-    /** There is one connection to an address at a time: the sessions there are in the order of the connections. */
+    /** There is one connection to an address at a time, so its sessions are in the order of the connections. */
     private static boolean isSettled(ObservedLink link, int index, List<FakeControlPlane> controlPlanes) {
         for (FakeControlPlane controlPlane : controlPlanes) {
             if (controlPlane.socketAddress().equals(link.to)) {
@@ -85,7 +85,7 @@
         return session.receivedCount() == link.sentCount && link.receivedCount == session.sentCount();
     }
 
-    /** One connection, and the handler of its events. */
+    /** One connection, which forwards its events to the handler. */
     private static final class ObservedLink implements MessageLink, MessageLink.Handler {
         private final InetSocketAddress to;
         private final Handler handler;
--- a/dataplane/src/test/java/dewplank/dataplane/PlainRouteTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/PlainRouteTest.java
@@ -44,13 +44,13 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Requests of plain routes: what is forwarded, what is retried, and what the client is answered. */
+/** Requests on plain routes: what is forwarded, which requests are retried, and what the client receives. */
 class PlainRouteTest {
     private static final double OVERDUE_TARGET_FACTOR = 2.5;
-    /** The answer has to reach the client before it stops waiting. */
-    private static final int ANSWER_MARGIN_MS = 5;
+    /** Time for the response to reach the client before its own timeout. */
+    private static final int RESPONSE_MARGIN_MS = 5;
 
-    /** So much more than the routes' time-outs that no pause of the machine hides which of them was taken. */
+    /** Much longer than the routes' timeouts, so that a pause of the machine cannot hide which of them was used. */
     private static final String LONG_REMAINING_TIME_MS = "60000";
 
     private static final int LONG_BODY_BYTES = 16 << 20;
@@ -78,7 +78,7 @@
     // ---- forwarding ----------------------------------------------------------------------------------
 
     @Test
-    void aRequestAndItsAnswerAreForwardedUnchanged() throws Exception {
+    void aRequestAndItsResponseAreForwardedUnchanged() throws Exception {
         ScriptedServer server = net.servers.plain();
         Wire client = net.client();
         client.send("PUT /safe/a%20b?c=d&e HTTP/1.1\r\nHost: H.example:80\r\nX-Dewplank-Request-Attempt-Id: q1\r\n"
@@ -98,25 +98,27 @@
         long left = remainingTimeMs(call);
         assertTrue(left > 0 && left <= 5_000, "left " + left);
         answer(call, "201 Created", SEAL + "X-Server: 3\r\nKeep-Alive: timeout=5\r\n", "made");
-        Wire.Message answer = client.read();
-        assertEquals(201, answer.status());
-        assertEquals("made", answer.body());
-        assertEquals("s.1", answer.header("X-Dewplank-Server-Seal"));
-        assertEquals("q1", answer.header("X-Dewplank-Request-Attempt-Id"));
-        assertEquals("3", answer.header("X-Server"));
-        assertNull(answer.header("Keep-Alive"));
+        Wire.Message response = client.read();
+        assertEquals(201, response.status());
+        assertEquals("made", response.body());
+        assertEquals("s.1", response.header("X-Dewplank-Server-Seal"));
+        assertEquals("q1", response.header("X-Dewplank-Request-Attempt-Id"));
+        assertEquals("3", response.header("X-Server"));
+        assertNull(response.header("Keep-Alive"));
         net.assertQuiet();
     }
 
     @Test
-    void remainingTimeIsTheRoutesTimeoutWhereThatIsShorter() throws Exception {
+    void remainingTimeIsTheRoutesTimeoutIfThatIsShorter() throws Exception {
         net.servers.plain();
         double sentAt = net.now();
         net.client().send(request("/safe/", "", LONG_REMAINING_TIME_MS, "hi"));
         long left = remainingTimeMs(net.nextCall());
         double elapsedMs = net.now() - sentAt;
         assertTrue(left <= TestRoute.DEFAULT_TIMEOUT_MS, "left " + left);
-        assertTrue(left > TestRoute.DEFAULT_TIMEOUT_MS - ANSWER_MARGIN_MS - 1 - elapsedMs, left + " left " + elapsedMs);
+        assertTrue(
+                left > TestRoute.DEFAULT_TIMEOUT_MS - RESPONSE_MARGIN_MS - 1 - elapsedMs,
+                left + " left after " + elapsedMs);
         Wire noTime = net.client();
         noTime.send("GET /safe/ HTTP/1.1\r\nHost: " + HOST + "\r\nX-Dewplank-Remaining-Time-Ms: soon\r\n\r\n");
         left = remainingTimeMs(net.nextCall());
@@ -136,10 +138,10 @@
         net.servers.plain();
         Wire client = net.sendRequest("/once/");
         answer(net.nextCall(), status, SEAL + "X-Why: x\r\n", "its own");
-        Wire.Message answer = client.read();
-        assertEquals(status.substring(0, 3), Integer.toString(answer.status()));
-        assertEquals("its own", answer.body());
-        assertEquals("x", answer.header("X-Why"));
+        Wire.Message response = client.read();
+        assertEquals(status.substring(0, 3), Integer.toString(response.status()));
+        assertEquals("its own", response.body());
+        assertEquals("x", response.header("X-Why"));
         net.assertQuiet();
     }
 
@@ -149,22 +151,22 @@
         Wire client = net.sendRequest("/two/");
         answer(net.nextCall(), "500 Internal Server Error", SEAL, "first");
         answer(net.nextCall(), "500 Internal Server Error", SEAL, "second");
-        Wire.Message answer = client.read();
-        assertEquals(500, answer.status());
-        assertEquals("second", answer.body());
+        Wire.Message response = client.read();
+        assertEquals(500, response.status());
+        assertEquals("second", response.body());
         net.assertQuiet();
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"/", "/none/", "/safe", "/safer/x"})
-    void withoutARouteForItsPathARequestIsAnswered404(String target) throws Exception {
+    void withoutARouteForItsPathARequestReceives404(String target) throws Exception {
         net.servers.plain();
         assertEquals(404, net.sendRequest(target).read().status(), target);
         net.assertQuiet();
     }
 
     @Test
-    void withoutARouteForItsHostARequestIsAnswered404() throws Exception {
+    void withoutARouteForItsHostARequestReceives404() throws Exception {
         net.servers.plain();
         Wire client = net.client();
         client.send("GET /safe/ HTTP/1.1\r\nHost: other.example\r\n\r\nGET /safe/ HTTP/1.1\r\n\r\n");
@@ -179,7 +181,7 @@
             assertRejected(empty.sendRequest("/safe/").read());
             empty.routes(safeRoute("safe", 3));
             assertRejected(empty.sendRequest("/safe/").read());
-            empty.servers.publish(); // an empty endpoint list is one
+            empty.servers.publish(); // an empty endpoint list counts as a list
             assertRejected(empty.sendRequest("/safe/").read());
             assertEquals(404, empty.sendRequest("/none/").read().status());
             empty.servers.plain();
@@ -190,7 +192,7 @@
         }
     }
 
-    // ---- answers that are failures -------------------------------------------------------------------
+    // ---- responses that count as failures ------------------------------------------------------------
 
     @ParameterizedTest
     @ValueSource(strings = {"", SEAL + "Content-Encoding: gzip\r\n", SEAL + "Content-Encoding: identity\r\n"})
@@ -217,7 +219,7 @@
     }
 
     @Test
-    void anAnswerToAnotherAttemptIdIsDiscarded() throws Exception {
+    void aResponseToAnotherAttemptIdIsDiscarded() throws Exception {
         net.servers.plain();
         Wire client = net.sendRequest("/once/");
         Call call = net.nextCall();
@@ -227,14 +229,14 @@
         net.assertQuiet();
     }
 
-    /** A second answer arrives on the idle connection: the next request uses another one. */
+    /** A second response arrives on the idle connection, so the next request uses another connection. */
     @Test
-    void aSecondAnswerOnAnIdleConnectionClosesIt() throws Exception {
+    void aSecondResponseOnAnIdleConnectionClosesIt() throws Exception {
         net.servers.plain();
         Wire client = net.sendRequest("/once/");
         Call idle = net.nextCall();
         assertServed(idle, client, "first");
-        serve(idle, "a second answer");
+        serve(idle, "a second response");
         idle.wire().awaitEnd();
         client.send(request("/once/", "", ""));
         Call next = net.nextCall();
@@ -260,7 +262,7 @@
 
     // ---- retries -------------------------------------------------------------------------------------
 
-    /** What a server does with an attempt that is retried. */
+    /** How a server fails an attempt that is then retried. */
     private enum AttemptFault {
         RESET,
         SERVER_FAILURE,
@@ -278,7 +280,7 @@
         }
     }
 
-    /** The retry has the attempt id of the request, and the instance id of its own server. */
+    /** The retry has the attempt id of the request and the instance id of the server that it is sent to. */
     @ParameterizedTest
     @CsvSource({
         "/safe/, RESET",
@@ -324,10 +326,10 @@
     }
 
     @Test
-    void anUnsafeRequestIsNotRetriedAfterAMalformedAnswer() throws Exception {
+    void anUnsafeRequestIsNotRetriedAfterAMalformedResponse() throws Exception {
         net.servers.plainServers(2);
         Wire client = net.sendRequest("/once/");
-        net.nextCall().wire().send("what?\r\n");
+        net.nextCall().wire().send("malformed response\r\n");
         assertEquals(502, client.read().status());
         net.assertQuiet();
     }
@@ -368,7 +370,7 @@
     }
 
     @Test
-    void anUnreachableServerCostsNoAttempt() throws Exception {
+    void anUnreachableServerDoesNotCountAsAnAttempt() throws Exception {
         net.servers.refusingPlain();
         ScriptedServer there = net.servers.plain();
         for (int request = 0; request < 6; request++) {
@@ -381,7 +383,7 @@
     }
 
     @Test
-    void aRequestIsRejectedWhereNoServerIsReachable() throws Exception {
+    void aRequestIsRejectedIfNoServerIsReachable() throws Exception {
         net.servers.refusingPlain();
         net.servers.refusingPlain();
         assertRejected(net.sendRequest("/once/").read());
@@ -410,8 +412,8 @@
         return client;
     }
 
-    /** Counts the connections that brought a request's head, and resets each within the body. */
-    private static AtomicInteger resetWithinBodies(ScriptedServer raw) {
+    /** Resets each connection within the body of a request, and counts the connections on which a head was received. */
+    private static AtomicInteger resetConnectionsWithinBodies(ScriptedServer raw) {
         AtomicInteger broken = new AtomicInteger();
         Thread breaker = new Thread(() -> {
             try {
@@ -430,13 +432,16 @@
         return broken;
     }
 
-    /** A server may run a request before it has read a long body: one that is reset within it may have run. */
+    /**
+     * A server may run a request before it has read all of a long body, so a request that is reset within its body may
+     * have run.
+     */
     @Test
     void anUnsafeRequestThatIsResetWithinItsBodyIsNotRetried() throws Exception {
         try (ScriptedServer raw = ScriptedServer.raw()) {
             net.servers.add(raw, PLAIN, null);
             net.routes(2 * LONG_BODY_BYTES, unsafeRoute("once", 3));
-            AtomicInteger broken = resetWithinBodies(raw);
+            AtomicInteger broken = resetConnectionsWithinBodies(raw);
             assertEquals(502, sendLongRequest(net, "/once/").read().status());
             net.assertQuiet();
             assertEquals(1, broken.get());
@@ -448,7 +453,7 @@
         try (ScriptedServer raw = ScriptedServer.raw()) {
             net.servers.add(raw, PLAIN, null);
             net.routes(2 * LONG_BODY_BYTES, safeRoute("safe", 3));
-            AtomicInteger broken = resetWithinBodies(raw);
+            AtomicInteger broken = resetConnectionsWithinBodies(raw);
             assertEquals(502, sendLongRequest(net, "/safe/").read().status());
             net.assertQuiet();
             assertTrue(broken.get() >= 1 && broken.get() <= 3, broken + " connections");
@@ -474,9 +479,9 @@
         }
     }
 
-    /** A retry that the budget refuses is no reason to cancel the only attempt. */
+    /** If the budget allows no retry, the only attempt is not cancelled. */
     @Test
-    void withoutARetryBudgetAnOverdueAnswerIsWaitedFor() throws Exception {
+    void withoutARetryBudgetAnOverdueAttemptContinues() throws Exception {
         try (ForwarderFixture withoutRetries = ForwarderFixture.builder()
                 .retryLimits(ForwarderFixture.NO_RETRIES)
                 .routes(safeRoute("quick", 3).withTargetLatency(20))
@@ -486,14 +491,16 @@
             Call call = withoutRetries.nextCall();
             withoutRetries.pass(OVERDUE_TARGET_FACTOR * 20 + 30);
             serve(call, "slow");
-            Wire.Message answer = client.read();
-            assertEquals(200, answer.status());
-            assertEquals("slow", answer.body());
+            Wire.Message response = client.read();
+            assertEquals(200, response.status());
+            assertEquals("slow", response.body());
             withoutRetries.assertQuiet();
         }
     }
 
-    /** The ratio of own requests alone: the slack is unused until the number of data planes that share it is stable. */
+    /**
+     * Only the ratio of the data plane's own requests applies: the slack is unused until the fleet's size is stable.
+     */
     @Test
     void retriesAreBoundedByTheRetryBudget() throws Exception {
         try (ForwarderFixture withFewRetries = ForwarderFixture.builder()
@@ -520,7 +527,7 @@
         }
     }
 
-    /** The slack is shared by the fleet: a data plane that has just learnt of others may learn of more in a moment. */
+    /** The fleet shares the slack. A data plane that has just discovered a peer may discover more shortly after. */
     @Test
     void theBudgetsSlackIsUnusedUntilTheFleetsSizeIsStable() throws Exception {
         try (ForwarderFixture alone = ForwarderFixture.builder()
@@ -548,7 +555,7 @@
         OnLoop.await(net.loop, () -> net.forwarder.connections().stream().anyMatch(InboundConnection::isHeadRead));
     }
 
-    /** The client counts from the first byte it sends, and servers get what remains of that. */
+    /** The client counts its timeout from the first byte that it sends, and servers receive the remaining time. */
     @Test
     void theDeadlineCountsFromTheFirstByte() throws Exception {
         net.servers.plain();
@@ -559,14 +566,14 @@
         client.send("hi");
         Call call = net.nextCall();
         long remainingMs = remainingTimeMs(call);
-        assertTrue(remainingMs > 0 && remainingMs <= 3_700, "handed " + remainingMs);
+        assertTrue(remainingMs > 0 && remainingMs <= 3_700, "remaining time " + remainingMs);
         serve(call, "");
         assertEquals(200, client.read().status());
         net.assertQuiet();
     }
 
     @Test
-    void aRequestThatIsCompleteAfterItsDeadlineIsRejectedAtOnce() throws Exception {
+    void aRequestThatIsCompleteAfterItsDeadlineIsRejectedImmediately() throws Exception {
         net.servers.plain();
         Wire client = net.client();
         client.send(headOfTwoByteBody("/brief/", 9_000));
@@ -585,13 +592,13 @@
         client.send(request("/once/", "", remainingTime, "hi"));
         Call call = net.nextCall();
         long remainingMs = remainingTimeMs(call);
-        assertTrue(remainingMs > 0 && remainingMs < 8_000, "handed " + remainingMs);
+        assertTrue(remainingMs > 0 && remainingMs < 8_000, "remaining time " + remainingMs);
         serve(call, "");
         assertEquals(200, client.read().status());
         net.assertQuiet();
     }
 
-    /** Never more than remains; the later attempt has less. */
+    /** The stated time never exceeds the remaining time, so it is shorter for the later attempt. */
     @Test
     void aRetryCarriesTheRemainingTimeOfItsOwnStart() throws Exception {
         net.servers.plainServers(2);
@@ -608,7 +615,7 @@
         net.assertQuiet();
     }
 
-    /** It reached a server and may run there: 503 would say that it never will. */
+    /** The request has reached a server and may run there, but a 503 would state that it never will. */
     @Test
     void anUnsafeRequestInFlightAtItsDeadlineIsNotRejected() throws Exception {
         net.servers.plain();
@@ -649,7 +656,7 @@
     }
 
     @Test
-    void aClientThatDisconnectsWithinAnAnswerCancelsItsAttempt() throws Exception {
+    void aClientThatDisconnectsWithinAResponseCancelsItsAttempt() throws Exception {
         net.servers.plain();
         Wire client = net.sendRequest("/safe/");
         Call call = net.nextCall();
@@ -659,9 +666,9 @@
         net.assertQuiet();
     }
 
-    /** The client's disconnect and the server's reset arrive at once, handled in either order. */
+    /** The client's disconnect and the server's reset arrive at the same time and are handled in either order. */
     @Test
-    void aClientsDisconnectThatMeetsAServersResetLeavesNothingOpen() throws Exception {
+    void aClientsDisconnectThatRacesWithAServersResetLeavesNothingOpen() throws Exception {
         net.servers.plainServers(2);
         Wire client = net.sendRequest("/safe/");
         Call call = net.nextCall();
@@ -692,7 +699,7 @@
     }
 
     @Test
-    void aBodyOverMaxBodyBytesIsAnswered413() throws Exception {
+    void aBodyOverMaxBodyBytesReceives413() throws Exception {
         net.servers.plain();
         net.routes(10, unsafeRoute("once", 1));
         Wire tooLong = net.client();
@@ -705,9 +712,9 @@
         net.assertQuiet();
     }
 
-    /** A persistent connection is not bound by the configuration under which it was opened. */
+    /** The limit of a later configuration applies to a connection that was opened under an earlier one. */
     @Test
-    void maxBodyBytesIsThatOfTheConfigurationInForce() throws Exception {
+    void maxBodyBytesOfTheConfigurationInForceApplies() throws Exception {
         net.servers.plain();
         net.routes(10, unsafeRoute("once", 1));
         Wire client = net.client();
@@ -717,13 +724,13 @@
         net.routes(20, unsafeRoute("once", 1));
         client.send(request("/once/", "", "12345678901234567890"));
         OnLoop.await(net.loop, () -> !net.servers.calls.isEmpty() || net.forwarder.openConnections() == 0);
-        assertFalse(net.servers.calls.isEmpty(), "refused by the old bound");
+        assertFalse(net.servers.calls.isEmpty(), "rejected by the limit of the old configuration");
         serve(net.nextCall(), "");
         assertEquals(200, client.read().status());
         net.assertQuiet();
     }
 
-    /** That the data plane sets these fields itself where they are due is tested in GenerationTest. */
+    /** GenerationTest tests the requests in which the data plane sets these fields. */
     @Test
     void aPlainRequestCarriesNoStageAndNoKvHandle() throws Exception {
         net.servers.plain();
@@ -736,9 +743,9 @@
         net.assertQuiet();
     }
 
-    /** A request that may have run is not rejected; one that was not sent is. */
+    /** A request that may have run fails with 502; a request that was not sent is rejected with 503. */
     @Test
-    void openRequestsAreAnsweredAtTermination() throws Exception {
+    void openRequestsAreEndedAtTermination() throws Exception {
         try (ForwarderFixture unready = ForwarderFixture.builder().start()) {
             Wire queued = unready.sendRequest("/once/");
             OnLoop.await(unready.loop, () -> unready.forwarder.openRequests() == 1);
@@ -756,15 +763,15 @@
     }
 
     @Test
-    void aDrainingForwarderClosesConnectionsAfterTheirAnswers() throws Exception {
+    void aDrainingForwarderClosesConnectionsAfterTheirResponses() throws Exception {
         net.servers.plain();
         Wire client = net.sendRequest("/once/");
         Call call = net.nextCall();
         OnLoop.run(net.loop, net.forwarder::close);
         serve(call, "last");
-        Wire.Message answer = client.read();
-        assertEquals("last", answer.body());
-        assertEquals("close", answer.header("Connection"));
+        Wire.Message response = client.read();
+        assertEquals("last", response.body());
+        assertEquals("close", response.header("Connection"));
         assertNull(client.read());
         OnLoop.await(net.loop, () -> net.forwarder.openConnections() == 0);
         net.assertQuiet();
--- a/dataplane/src/test/java/dewplank/dataplane/PrefillResponseTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/PrefillResponseTest.java
@@ -8,23 +8,23 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What of a prefill server's answer can be used. */
+/** Parsing of prefill servers' responses. */
 class PrefillResponseTest {
     private static Optional<PrefillResponse> parse(String body) {
         return PrefillResponse.parse(body.getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
-    void namesTheHandleAndTheTokens() {
+    void theHandleAndTheTokenCountAreParsed() {
         assertEquals(
                 Optional.of(new PrefillResponse("h-1", 40)),
                 parse("{\"context_handle\":\"h-1\",\"token_count\":40,\"more\":[]}"));
     }
 
-    /** The handle is what counts: the number of tokens is for the counters. */
+    /** Only the handle is required; the number of tokens is only informative. */
     @ParameterizedTest
     @ValueSource(strings = {"{\"context_handle\":\"h-1\"}", "{\"context_handle\":\"h-1\",\"token_count\":null}"})
-    void aMissingNumberOfTokensCountsAsNone(String body) {
+    void aMissingTokenCountIsParsedAsZero(String body) {
         assertEquals(Optional.of(new PrefillResponse("h-1", 0)), parse(body));
     }
 
@@ -41,7 +41,7 @@
                 "{\"context_handle\":\"a/b\",\"token_count\":40}",
                 "{\"context_handle\":\"a b\",\"token_count\":40}",
             })
-    void anAnswerWithoutAUsableHandleIsNone(String body) {
+    void aResponseWithoutAUsableHandleIsNotParsed(String body) {
         assertEquals(Optional.empty(), parse(body));
     }
 }
--- a/dataplane/src/test/java/dewplank/dataplane/CallCrossingTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/RequestRaceTest.java
@@ -33,14 +33,14 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Two events that meet on the connections of plain routes, in either order: each client gets the answer to its own
- * request or none, and an unsafe request is never retried once a server can have read any of it.
+ * Races between two events on connections of plain routes, in either order: each client receives only the response to
+ * its own request, and an unsafe request is never retried once a server may have read a part of it.
  */
-class CallCrossingTest {
+class RequestRaceTest {
     private static final double REUSABLE_AFTER_MS = ForwarderFixture.REUSABLE_AFTER_MS;
     private static final int TIMEOUT_MS = 150;
-    private static final int LONG_TIMEOUT_MS = 2_500; // for a long body to be received
-    private static final int OVERDUE_AFTER_MS = 1_500; // two and a half times the target
+    private static final int LONG_TIMEOUT_MS = 2_500; // long enough to receive a long body
+    private static final int OVERDUE_AFTER_MS = 1_500; // 2.5 times the target latency
     private static final int LONG_BODY_BYTES = 16 << 20; // more than the socket buffers hold
 
     private ForwarderFixture net;
@@ -64,7 +64,7 @@
         net.close();
     }
 
-    /** An idle connection to the server that may be reused, with the client whose request it carried. */
+    /** A reusable idle connection to the server, with the client whose request it carried. */
     private record IdleConnection(Wire client, Call first) {}
 
     private IdleConnection idleConnection(String target) throws Exception {
@@ -82,14 +82,14 @@
         return second;
     }
 
-    private void assertServes(Wire client, String target) throws Exception {
+    private void assertNextRequestIsServed(Wire client, String target) throws Exception {
         client.send(request(target, "", ""));
         Call call = net.nextCall();
         assertServed(call, client, "next");
         net.assertQuiet();
     }
 
-    // ---- two answers where one was due ----------------------------------------------------------------
+    // ---- surplus responses ----------------------------------------------------------------------------
 
     @ParameterizedTest
     @CsvSource({
@@ -100,17 +100,17 @@
         "/once/, 404 Not Found",
         "/once/, 500 Internal Server Error"
     })
-    void aLateAnswerOnAReusedConnectionIsDiscarded(String target, String status) throws Exception {
+    void aLateResponseOnAReusedConnectionIsDiscarded(String target, String status) throws Exception {
         net.servers.plain();
         IdleConnection idle = idleConnection(target);
         Call second = sendOnIdleConnection(idle, target);
-        answer(idle.first(), status, SEAL, "the first one's");
+        answer(idle.first(), status, SEAL, "to the first request");
         answer(second, "200 OK", SEAL, "own");
         assertEquals("own", idle.client().read().body(), target + status);
         net.assertQuiet();
     }
 
-    /** The rejection answers the first request: the second one may run, and is neither rejected nor retried. */
+    /** The rejection belongs to the first request. The second one may run, so it is neither rejected nor retried. */
     @SafeAndUnsafeTest
     void aLateRejectionOnAReusedConnectionIsDiscarded(String target) throws Exception {
         net.servers.plain();
@@ -122,9 +122,11 @@
         net.assertQuiet();
     }
 
-    /** Servers echo the attempt id; an answer without one is to another request, for example that freed a KV handle. */
+    /**
+     * Servers echo the attempt id. A response without one belongs to another request, such as one that frees a handle.
+     */
     @SafeAndUnsafeTest
-    void anAnswerWithoutAnAttemptIdIsDiscarded(String target) throws Exception {
+    void aResponseWithoutAnAttemptIdIsDiscarded(String target) throws Exception {
         net.servers.plain();
         IdleConnection idle = idleConnection(target);
         Call second = sendOnIdleConnection(idle, target);
@@ -136,7 +138,7 @@
     }
 
     @SafeAndUnsafeTest
-    void ofTwoAnswersInOneSegmentTheFirstCountsAndTheConnectionCloses(String target) throws Exception {
+    void theFirstOfTwoResponsesInOneSegmentIsRelayedAndTheConnectionCloses(String target) throws Exception {
         net.servers.plain();
         Wire client = net.sendRequest(target);
         Call call = net.nextCall();
@@ -144,12 +146,12 @@
         call.wire().send(own + "1" + own + "2");
         assertEquals("1", client.read().body());
         call.wire().awaitEnd();
-        assertServes(client, target);
+        assertNextRequestIsServed(client, target);
     }
 
-    /** Bytes behind the first answer are not joined with those of the second one. */
+    /** Bytes after the first response are not joined with those of the second one. */
     @SafeAndUnsafeTest
-    void surplusBytesAreNotParsedAsTheNextAnswer(String target) throws Exception {
+    void surplusBytesAreNotParsedAsTheNextResponse(String target) throws Exception {
         net.servers.plain();
         IdleConnection idle = idleConnection(target);
         Call second = sendOnIdleConnection(idle, target);
@@ -165,8 +167,8 @@
     }
 
     /**
-     * The request is retried at the same server: a second answer to the first attempt has the same attempt id, and must
-     * not be taken for the answer to the next attempt, which may run.
+     * The request is retried at the same server. A second response to the first attempt has the same attempt id and
+     * must not be mistaken for the response to the retry, which may run.
      */
     @Test
     void aRetryAtTheSameServerUsesADedicatedConnection() throws Exception {
@@ -175,14 +177,14 @@
         Call earlier = net.nextCall();
         Wire client = net.sendRequest("/once/");
         Call first = net.nextCall();
-        serve(earlier, ""); // its connection is idle, ready for the next request
+        serve(earlier, ""); // its connection is now idle and reusable
         other.read();
         net.pass(REUSABLE_AFTER_MS);
         answer(first, "421 Misdirected Request", "", "");
         Call retry = net.nextCall();
         assertSame(server, retry.server());
         assertNotSame(first.wire(), retry.wire());
-        assertNotSame(earlier.wire(), retry.wire(), "a connection that has carried another call");
+        assertNotSame(earlier.wire(), retry.wire(), "the connection has carried another call");
         answer(first, "421 Misdirected Request", "", "");
         assertServed(retry, client, "own");
         net.assertQuiet();
@@ -191,7 +193,7 @@
     // ---- resets ---------------------------------------------------------------------------------------
 
     @SafeAndUnsafeTest
-    void aResetOfAnIdleConnectionCostsNoAttempt(String target) throws Exception {
+    void aResetOfAnIdleConnectionDoesNotCountAsAnAttempt(String target) throws Exception {
         net.servers.plain();
         IdleConnection idle = idleConnection(target);
         idle.first().wire().reset();
@@ -212,23 +214,23 @@
         net.nextCall().wire().reset();
         assertEquals(502, idle.client().read().status());
         net.assertQuiet();
-        assertServes(idle.client(), "/once/");
+        assertNextRequestIsServed(idle.client(), "/once/");
     }
 
     /**
-     * The reset and the request arrive at once. If the connection took no byte, the request goes by another one or
-     * is rejected; if it did, the request may have been read, and is neither rejected nor retried.
+     * The reset and the request arrive at the same time. If no byte of the request was sent, it is sent on another
+     * connection or rejected. Otherwise the server may have read it, so it is neither rejected nor retried.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aResetThatMeetsAnUnsafeRequestSendsItAtMostOnce(boolean resetFirst) throws Exception {
+    void anUnsafeRequestThatRacesWithAResetIsSentAtMostOnce(boolean resetFirst) throws Exception {
         net.servers.plain();
         IdleConnection idle = idleConnection("/once/");
         OnLoop.run(net.loop, () -> {
             if (resetFirst) {
                 idle.first().wire().reset();
             }
-            idle.client().send(request("/once/", "", "meets"));
+            idle.client().send(request("/once/", "", "racing"));
             if (!resetFirst) {
                 idle.first().wire().reset();
             }
@@ -242,14 +244,14 @@
             serve(sent, "own");
         }
         Wire.Message response = idle.client().read();
-        boolean rejected = sent == null && response.status() == 503; // true, as no server has read any of it
+        boolean rejected = sent == null && response.status() == 503; // correct, as no server has read any of it
         assertEquals(elsewhere ? 200 : rejected ? 503 : 502, response.status());
         assertEquals(elsewhere ? "own" : "", response.body());
         net.assertQuiet();
     }
 
     @Test
-    void anInterimAnswerDoesNotMeanThatTheRequestDidNotRun() throws Exception {
+    void anInterimResponseDoesNotMeanThatTheRequestDidNotRun() throws Exception {
         net.servers.plainServers(2);
         Wire client = net.sendRequest("/once/");
         Call call = net.nextCall();
@@ -259,9 +261,9 @@
         net.assertQuiet();
     }
 
-    /** Without a length the connection's end ends the answer. */
+    /** A response without a length ends with the connection. */
     @SafeAndUnsafeTest
-    void anAnswerWithoutALengthIsCompleteAtEndOfStream(String target) throws Exception {
+    void aResponseWithoutALengthIsCompleteAtEndOfStream(String target) throws Exception {
         net.servers.plainServers(2);
         Wire client = net.sendRequest(target);
         Call call = net.nextCall();
@@ -272,7 +274,7 @@
     }
 
     @SafeAndUnsafeTest
-    void anAnswerWithoutALengthIsTruncatedAtAReset(String target) throws Exception {
+    void aResponseWithoutALengthIsTruncatedAtAReset(String target) throws Exception {
         net.servers.plainServers(2);
         Wire client = net.sendRequest(target);
         Call call = net.nextCall();
@@ -286,7 +288,7 @@
         net.assertQuiet();
     }
 
-    // ---- early answers --------------------------------------------------------------------------------
+    // ---- early responses ------------------------------------------------------------------------------
 
     private Wire sendLongRequest(String target) throws IOException {
         Wire client = net.client();
@@ -294,33 +296,34 @@
         return client;
     }
 
-    /** A raw server answers the request that bears this id. */
-    private static void answerById(Wire wire, String id, String status, String fields, String body) throws IOException {
+    /** A raw server responds to the request with this attempt id. */
+    private static void respondWithId(Wire wire, String id, String status, String fields, String body)
+            throws IOException {
         wire.answer(status, "X-Dewplank-Request-Attempt-Id: " + id + "\r\n" + fields, body);
     }
 
-    /** The server reads on: nothing but the rest of the body may follow on the connection. */
+    /** The server continues to read: only the rest of the body may be sent on the connection. */
     @SafeAndUnsafeTest
-    void anEarlyAnswerIsRelayedAndItsConnectionIsNotReused(String target) throws Exception {
+    void anEarlyResponseIsRelayedAndItsConnectionIsNotReused(String target) throws Exception {
         try (ScriptedServer raw = ScriptedServer.raw()) {
             net.servers.add(raw, PLAIN, null);
             Wire client = sendLongRequest(target);
             Wire wire = raw.nextConnection();
             String id = wire.readHead().header("X-Dewplank-Request-Attempt-Id");
-            answerById(wire, id, "200 OK", SEAL, "early");
+            respondWithId(wire, id, "200 OK", SEAL, "early");
             assertEquals("early", client.read().body());
             client.send(request(target, "", ""));
             Wire next = raw.nextConnection();
             assertNotSame(wire, next);
-            assertTrue(wire.readToEnd().chars().allMatch(sent -> sent == 'x'), "other bytes where the body is due");
+            assertTrue(wire.readToEnd().chars().allMatch(sent -> sent == 'x'), "bytes other than those of the body");
             id = next.read().header("X-Dewplank-Request-Attempt-Id");
-            answerById(next, id, "200 OK", "Connection: close\r\n" + SEAL, "own");
+            respondWithId(next, id, "200 OK", "Connection: close\r\n" + SEAL, "own");
             assertEquals("own", client.read().body());
             net.assertQuiet();
         }
     }
 
-    /** Long requests are rejected before they are complete: the next server gets all of it, once. */
+    /** A long request is rejected before it was sent completely: the next server receives all of it, once. */
     @SafeAndUnsafeTest
     void aRequestThatIsRejectedEarlyIsRetriedWithItsCompleteBody(String target) throws Exception {
         try (ScriptedServer raw = ScriptedServer.raw()) {
@@ -329,7 +332,7 @@
             Wire wire = raw.nextConnection();
             String id = wire.readHead().header("X-Dewplank-Request-Attempt-Id");
             ScriptedServer other = net.servers.plain();
-            answerById(wire, id, "503 Service Unavailable", NOT_EXECUTED, "");
+            respondWithId(wire, id, "503 Service Unavailable", NOT_EXECUTED, "");
             Call call = net.nextCall();
             assertSame(other, call.server());
             assertEquals(id, attemptId(call));
@@ -339,19 +342,19 @@
         }
     }
 
-    /** Whether a connection was opened rather than an answer received. */
-    private boolean reaches(ScriptedServer raw, Wire client) throws Exception {
+    /** Whether a connection to the server was opened before a response was received. */
+    private boolean isConnectedBeforeResponse(ScriptedServer raw, Wire client) throws Exception {
         OnLoop.await(net.loop, () -> raw.connectionsWaiting() > 0 || client.hasBytes());
         return raw.connectionsWaiting() > 0;
     }
 
-    /** The deadline passes while the body is being written: the server may have begun, so 503 would be untrue. */
+    /** The deadline passes while the body is being sent. The server may have started, so 503 would be incorrect. */
     @Test
     void anUnsafeRequestThatIsPartlySentAtItsDeadlineIsNotRejected() throws Exception {
         try (ScriptedServer raw = ScriptedServer.raw()) {
             net.servers.add(raw, PLAIN, null);
-            Wire client = sendLongRequest("/half/"); // its time counts from its first byte
-            for (int sends = 1; !reaches(raw, client); sends++) { // it was received after its deadline
+            Wire client = sendLongRequest("/half/"); // its timeout counts from its first byte
+            for (int sends = 1; !isConnectedBeforeResponse(raw, client); sends++) { // received after its deadline
                 assertTrue(sends < ForwarderFixture.MAX_SENDS, "no request reached the server");
                 assertRejected(client.read());
                 client = sendLongRequest("/half/");
@@ -362,27 +365,27 @@
         }
     }
 
-    // ---- time-outs ------------------------------------------------------------------------------------
+    // ---- timeouts -------------------------------------------------------------------------------------
 
-    /** In either order: one answer, and the next request of the connection gets its own. */
+    /** In either order there is one response, and the next request on the connection receives its own. */
     @ParameterizedTest
     @ValueSource(strings = {"/brief/", "/briefly/"})
-    void anAnswerThatMeetsTheDeadlineGivesOneAnswer(String target) throws Exception {
+    void aResponseThatRacesWithTheDeadlineLeadsToOneResponse(String target) throws Exception {
         net.servers.plain();
         ForwarderFixture.InFlight request = net.sendUntilAtServer(target, "");
         Wire client = request.client();
         Call call = request.call();
-        net.runBeforePause(2 * TIMEOUT_MS, () -> serve(call, "just in time"));
+        net.runThenBlockLoop(2 * TIMEOUT_MS, () -> serve(call, "just in time"));
         Wire.Message response = client.read();
         assertTrue(
                 response.status() == 200 && response.body().equals("just in time") || response.status() == 504,
                 response.startLine());
-        assertServes(client, "/safe/");
+        assertNextRequestIsServed(client, "/safe/");
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"/brief/", "/briefly/"})
-    void anAnswerAfterTheDeadlineIsDiscarded(String target) throws Exception {
+    void aResponseAfterTheDeadlineIsDiscarded(String target) throws Exception {
         net.servers.plain();
         ForwarderFixture.InFlight request = net.sendUntilAtServer(target, "");
         Wire client = request.client();
@@ -396,27 +399,27 @@
         net.assertQuiet();
     }
 
-    /** A reset at the deadline: a request that may have run is not rejected, in either order. */
+    /** A reset at the deadline: in either order, a request that may have run is not rejected. */
     @Test
-    void aResetThatMeetsTheDeadlineIsNotARejection() throws Exception {
+    void aResetThatRacesWithTheDeadlineIsNotARejection() throws Exception {
         net.servers.plain();
         ForwarderFixture.InFlight request = net.sendUntilAtServer("/brief/", "");
         Wire client = request.client();
         Call call = request.call();
-        net.runBeforePause(2 * TIMEOUT_MS, () -> call.wire().reset());
+        net.runThenBlockLoop(2 * TIMEOUT_MS, () -> call.wire().reset());
         int status = client.read().status();
         assertTrue(status == 502 || status == 504, "status " + status);
         net.assertQuiet();
-        client.send(request("/none/", "", "")); // its connection is usable
+        client.send(request("/none/", "", "")); // the connection is still usable
         assertEquals(404, client.read().status());
         net.assertQuiet();
     }
 
-    // ---- overdue answers and stalls -------------------------------------------------------------------
+    // ---- overdue responses ----------------------------------------------------------------------------
 
-    /** An overdue attempt is cancelled when the request is retried: its connection closes, its answer is discarded. */
+    /** A retry cancels the overdue attempt: its connection is closed and its response is discarded. */
     @Test
-    void theAnswerToACancelledAttemptIsDiscarded() throws Exception {
+    void theResponseToACancelledAttemptIsDiscarded() throws Exception {
         net.servers.plainServers(2);
         net.openIdleConnections("/once/");
         Wire client = net.sendRequest("/quick/");
@@ -425,34 +428,37 @@
         assertEquals(attemptId(first), attemptId(second));
         first.wire().awaitEnd();
         assertServed(second, client, "second");
-        assertServes(client, "/once/");
+        assertNextRequestIsServed(client, "/once/");
     }
 
-    /** The answer is overdue and arrives, at once: one of the two servers' answers, once, and two attempts at most. */
+    /**
+     * The response arrives when it becomes overdue: one of the servers' responses is relayed, after two attempts at
+     * most.
+     */
     @Test
-    void anOverdueTimerThatMeetsTheAnswerGivesOneAnswer() throws Exception {
+    void anOverdueTimerThatRacesWithTheResponseLeadsToOneResponse() throws Exception {
         net.servers.plainServers(2);
         net.openIdleConnections("/once/");
         Wire client = net.sendRequest("/quick/");
         Call first = net.nextCall();
-        net.runBeforePause(OVERDUE_AFTER_MS + REUSABLE_AFTER_MS, () -> serve(first, "first"));
+        net.runThenBlockLoop(OVERDUE_AFTER_MS + REUSABLE_AFTER_MS, () -> serve(first, "first"));
         OnLoop.await(net.loop, () -> !net.servers.calls.isEmpty() || client.hasBytes());
         Call second = net.servers.calls.poll();
         if (second != null) {
             serve(second, "second");
         }
         assertEquals(second == null ? "first" : "second", client.read().body());
-        assertServes(client, "/once/");
+        assertNextRequestIsServed(client, "/once/");
     }
 
-    /** The answer is overdue and the connection is reset, at once: one retry, not two. */
+    /** The connection is reset when the response becomes overdue: there is one retry, not two. */
     @Test
-    void anOverdueTimerThatMeetsAResetGivesOneRetry() throws Exception {
+    void anOverdueTimerThatRacesWithAResetLeadsToOneRetry() throws Exception {
         net.servers.plainServers(3);
         net.openIdleConnections("/once/");
         Wire client = net.sendRequest("/quick/");
         Call first = net.nextCall();
-        net.runBeforePause(
+        net.runThenBlockLoop(
                 OVERDUE_AFTER_MS + REUSABLE_AFTER_MS, () -> first.wire().reset());
         Call second = net.nextCall();
         assertNotSame(first.server(), second.server());
@@ -473,9 +479,9 @@
 
     // ---- disconnects and pipelining -------------------------------------------------------------------
 
-    /** A client disconnects within its answer: the rest of it arrives on a connection that is not reused. */
+    /** A client disconnects within its response: the rest arrives on a connection that is not reused. */
     @SafeAndUnsafeTest
-    void theRestOfADisconnectedClientsAnswerIsDiscarded(String target) throws Exception {
+    void theRestOfADisconnectedClientsResponseIsDiscarded(String target) throws Exception {
         net.servers.plain();
         Wire disconnected = net.sendRequest(target);
         Call call = net.nextCall();
@@ -489,9 +495,9 @@
         net.assertQuiet();
     }
 
-    /** Pipelined requests: the outcome of one does not touch the next one's answer. */
+    /** The outcome of a pipelined request does not affect the response to the next one. */
     @Test
-    void pipelinedRequestsGetTheirOwnAnswersBehindAFailure() throws Exception {
+    void pipelinedRequestsReceiveTheirOwnResponsesAfterAFailure() throws Exception {
         net.servers.plainServers(2);
         Wire client = net.client();
         client.send(request("/once/1", "", "")
@@ -516,9 +522,9 @@
         net.assertQuiet();
     }
 
-    /** The length of an answer to a HEAD is that of a body which does not come. */
+    /** The response to a HEAD request states the length of a body that is not sent. */
     @Test
-    void theAnswerToAHeadRequestHasNoBodyOnEitherSide() throws Exception {
+    void theResponseToAHeadRequestHasNoBodyOnEitherSide() throws Exception {
         net.servers.plain();
         Wire client = net.client();
         client.send("HEAD /safe/ HTTP/1.1\r\nHost: " + HOST + "\r\nX-Dewplank-Request-Attempt-Id: h1\r\n\r\n"
--- a/dataplane/src/test/java/dewplank/dataplane/ResumableAndNotTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/ResumableAndNotTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A test of two cases: a target of a route whose streams are not resumed, and of one whose streams may be. */
+/** A test with two targets: on a route whose streams are not resumable, and on one whose streams are. */
 @Target(ElementType.METHOD)
 @Retention(RetentionPolicy.RUNTIME)
 @ParameterizedTest
--- a/dataplane/src/test/java/dewplank/dataplane/SafeAndUnsafeTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/SafeAndUnsafeTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A test of two cases: a target of a route whose requests may run more than once, and of one where they may not. */
+/** A test with two targets: on a route whose requests may run more than once, and on one whose requests may not. */
 @Target(ElementType.METHOD)
 @Retention(RetentionPolicy.RUNTIME)
 @ParameterizedTest
--- a/dataplane/src/test/java/dewplank/dataplane/ScriptedFleet.java
+++ b/dataplane/src/test/java/dewplank/dataplane/ScriptedFleet.java
@@ -16,13 +16,13 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 
-/** Scripted servers with one queue of calls, and the endpoint list that names them to the data plane. */
+/** Scripted servers with a shared queue of calls, and the endpoint list that publishes them to the data plane. */
 final class ScriptedFleet implements Closeable {
     static final String ZONE = "z";
 
     private static final int CAPACITY = 64;
 
-    /** Requests that servers have got and the test has not taken. */
+    /** Requests that servers have received and the test has not taken. */
     final BlockingQueue<Call> calls = new LinkedBlockingQueue<>();
 
     private final EventLoop loop;
@@ -36,36 +36,36 @@
         this.metadata = metadata;
     }
 
-    /** A new server of the plain service. */
+    /** Adds a server of the plain service. */
     ScriptedServer plain() throws Exception {
         return server(TestConfiguration.PLAIN, null);
     }
 
-    /** A new prefill server. */
+    /** Adds a prefill server. */
     ScriptedServer prefill() throws Exception {
         return server(TestConfiguration.MODEL, "prefill");
     }
 
-    /** A new decode server. */
+    /** Adds a decode server. */
     ScriptedServer decode() throws Exception {
         return server(TestConfiguration.MODEL, "decode");
     }
 
-    /** So many new servers of the plain service. */
+    /** Adds this many servers of the plain service. */
     void plainServers(int count) throws Exception {
         for (int i = 0; i < count; i++) {
             plain();
         }
     }
 
-    /** So many new prefill servers. */
+    /** Adds this many prefill servers. */
     void prefillServers(int count) throws Exception {
         for (int i = 0; i < count; i++) {
             prefill();
         }
     }
 
-    /** So many new decode servers. */
+    /** Adds this many decode servers. */
     void decodeServers(int count) throws Exception {
         for (int i = 0; i < count; i++) {
             decode();
@@ -76,7 +76,7 @@
         return add(new ScriptedServer(calls), service, stage);
     }
 
-    /** Names the server in the next endpoint list. */
+    /** Publishes the next endpoint list with the server added. */
     ScriptedServer add(ScriptedServer server, String service, String stage) throws Exception {
         String id = "i-" + endpoints.size();
         instances.put(server, id);
@@ -89,7 +89,7 @@
         return new Endpoint(id, service, server.addressText(), ZONE, CAPACITY, draining, 0, stage);
     }
 
-    /** The next endpoint list has the server as draining. */
+    /** Publishes the next endpoint list with the server marked as draining. */
     void drain(ScriptedServer server) throws Exception {
         endpoints.replaceAll(endpoint -> endpoint.instanceId.equals(id(server))
                 ? endpoint(server, endpoint.instanceId, endpoint.service, endpoint.stage, true)
@@ -97,44 +97,44 @@
         publish();
     }
 
-    /** The next endpoint list does not have the server. */
+    /** Publishes the next endpoint list without the server. */
     void remove(ScriptedServer server) throws Exception {
         endpoints.removeIf(endpoint -> endpoint.instanceId.equals(id(server)));
         publish();
     }
 
-    /** Brings the next endpoint list to the data plane. */
+    /** Publishes the next endpoint list to the data plane. */
     void publish() throws Exception {
         EndpointList next = new EndpointList(new EndpointListVersion(1, ++revision), new ArrayList<>(endpoints));
         OnLoop.run(loop, () -> metadata.updateServers(next));
     }
 
-    /** Servers that were added, with those that were removed since. */
+    /** The number of servers that were added, including removed ones. */
     int count() {
         return instances.size();
     }
 
-    /** A server of the plain service that refuses connections. */
+    /** Adds a server of the plain service that refuses connections. */
     ScriptedServer refusingPlain() throws Exception {
         return add(ScriptedServer.refusing(), TestConfiguration.PLAIN, null);
     }
 
-    /** A prefill server that refuses connections. */
+    /** Adds a prefill server that refuses connections. */
     ScriptedServer refusingPrefill() throws Exception {
         return add(ScriptedServer.refusing(), TestConfiguration.MODEL, "prefill");
     }
 
-    /** A decode server that refuses connections. */
+    /** Adds a decode server that refuses connections. */
     ScriptedServer refusingDecode() throws Exception {
         return add(ScriptedServer.refusing(), TestConfiguration.MODEL, "decode");
     }
 
-    /** The instance id that the endpoint list gives the server. */
+    /** The server's instance id in the endpoint list. */
     String id(ScriptedServer server) {
         return instances.get(server);
     }
 
-    /** The next request, whichever server it reached. */
+    /** The next request received by any server. */
     Call next() throws InterruptedException {
         return ScriptedServer.next(calls);
     }
--- a/dataplane/src/test/java/dewplank/dataplane/ServerAnswers.java
+++ b/dataplane/src/test/java/dewplank/dataplane/ServerAnswers.java
@@ -3,43 +3,46 @@
 import dewplank.exchange.ScriptedServer.Call;
 import java.io.IOException;
 
-/** What the scripted servers answer. */
+/** The responses of the scripted servers. */
 final class ServerAnswers {
     static final String SEAL = "X-Dewplank-Server-Seal: s.1\r\n";
     static final String NOT_EXECUTED = "X-Dewplank-Not-Executed: 1\r\n";
 
-    /** Without it a connection counts as kept open for a second, which a slow machine may exceed. */
+    /**
+     * Without this field the data plane assumes that connections are kept open for 1 s, which a slow machine can
+     * exceed.
+     */
     private static final String KEEP_ALIVE = "Keep-Alive: timeout=60\r\n";
 
     private ServerAnswers() {}
 
-    /** The server answers with its seal and the request's id. */
+    /** The server responds with its seal and the request's attempt id. */
     static void serve(Call call, String body) throws IOException {
         answer(call, "200 OK", SEAL + KEEP_ALIVE, body);
     }
 
-    /** The server answers with the request's id. */
+    /** The server responds with the request's attempt id. */
     static void answer(Call call, String status, String fields, String body) throws IOException {
         call.wire().answer(status, idOf(call) + fields, body);
     }
 
-    /** The start of an answer with the server's seal and the request's id; the fields are the last ones. */
+    /** The head of a response with the server's seal and the request's attempt id, followed by these fields. */
     static String sealedHead(Call call, String fields) {
         return "HTTP/1.1 200 OK\r\n" + idOf(call) + SEAL + fields + "\r\n";
     }
 
-    /** The field that bears the request's id; empty where the request has none. */
+    /** The header field with the request's attempt id; empty if the request has none. */
     static String idOf(Call call) {
         String id = CallFields.attemptId(call);
         return id == null ? "" : "X-Dewplank-Request-Attempt-Id: " + id + "\r\n";
     }
 
-    /** The server is full. */
+    /** The server rejects the request because it is full. */
     static void reject(Call call) throws IOException {
         answer(call, "503 Service Unavailable", NOT_EXECUTED, "");
     }
 
-    /** A prefill server answers with the handle of its KV cache. */
+    /** A prefill server responds with the handle of its KV cache. */
     static void handOver(Call prefill, String handle) throws IOException {
         answer(
                 prefill,
@@ -48,7 +51,7 @@
                 "{\"context_handle\":\"" + handle + "\",\"token_count\":60,\"config_version\":1}");
     }
 
-    /** A decode server begins its stream. */
+    /** A decode server starts its stream. */
     static void beginStream(Call decode) throws IOException {
         decode.wire()
                 .send(sealedHead(
--- a/dataplane/src/test/java/dewplank/dataplane/StreamCrossingTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/StreamRaceTest.java
@@ -37,13 +37,12 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Two events that meet in a stream or a KV transfer, in either order: no event is duplicated or missing, no stream
- * seems complete that is not, and a KV handle goes to one decode of its own request.
+ * Races between two events in a stream or a KV transfer, in either order: no event of a stream is duplicated or
+ * missing, an incomplete stream never appears complete, and a KV handle is sent to only one decode of its own request.
  */
-class StreamCrossingTest {
+class StreamRaceTest {
     private static final double REUSABLE_AFTER_MS = ForwarderFixture.REUSABLE_AFTER_MS;
-    private static final double PAST_STALL_TIMEOUT_MS =
-            800; // a stalled resumable stream that has begun is resumed after 700 ms
+    private static final double PAST_STALL_TIMEOUT_MS = 800; // a stalled resumable stream is resumed after 700 ms
     private static final double PAST_PREFILL_OVERDUE_MS = 400; // a short prompt is overdue after 300 ms
     private static final int LONG_BODY_BYTES = 16 << 20; // more than the socket buffers hold
 
@@ -60,7 +59,7 @@
                 .routes(streamingRoute("gen", 2), streamingRoute("res", 2).asResumable(), unsafeRoute("plain", 1));
     }
 
-    /** For tests of other things than stalls, which a pause of 700 ms between two steps would meet. */
+    /** For tests that do not test stalls, as a pause of 700 ms between two steps would count as a stall. */
     private void disableHedging() throws Exception {
         net.close();
         net = fixture().withoutHedging().start();
@@ -75,7 +74,7 @@
         return BegunStream.begin(net, target, PROMPT);
     }
 
-    /** What comes before the connection ends is no end of the body and no second head. */
+    /** The connection ends after exactly these bytes. */
     private static void assertBrokenOffAfter(Wire client, String expected) throws IOException {
         String received = client.readToEnd();
         assertEquals(expected, received);
@@ -83,9 +82,9 @@
 
     // ---- the end of a stream --------------------------------------------------------------------------
 
-    /** The end was sent before the reset; whichever is handled, no event is missing or duplicated. */
+    /** The end was sent before the reset. Whichever of them is handled, no event is missing or duplicated. */
     @Test
-    void anEndOfStreamThatMeetsAResetIsCompleteOrResumed() throws Exception {
+    void aStreamWhoseEndRacesWithAResetIsCompletedOrResumed() throws Exception {
         disableHedging();
         net.servers.decodeServers(2);
         BegunStream stream = begin("/res/");
@@ -125,7 +124,7 @@
         net.assertQuiet();
     }
 
-    /** Without a length the connection's end completes a stream, but not within an event. */
+    /** A stream without a length is completed by the end of its connection, except within an event. */
     @ResumableAndNotTest
     void aCloseWithinAnEventIsABreak(String target) throws Exception {
         disableHedging();
@@ -163,9 +162,9 @@
         net.assertQuiet();
     }
 
-    /** Without an event id the position to resume at is unknown: relayed events would be duplicated. */
+    /** Without an event id the position to resume from is unknown, and relayed events would be duplicated. */
     @Test
-    void aStreamIsNotResumedBehindAnEventWithoutAnId() throws Exception {
+    void aStreamIsNotResumedAfterAnEventWithoutAnId() throws Exception {
         net.servers.decodeServers(2);
         Wire client = net.sendRequest("/res/", PROMPT);
         Call decodeCall = net.nextCall();
@@ -179,7 +178,7 @@
     }
 
     @ResumableAndNotTest
-    void aSecondAnswerBehindAStreamIsDiscarded(String target) throws Exception {
+    void aSecondResponseAfterAStreamIsDiscarded(String target) throws Exception {
         net.servers.decode();
         BegunStream stream = begin(target);
         stream.server()
@@ -189,9 +188,11 @@
         net.assertQuiet();
     }
 
-    /** It is retried elsewhere: with a part of its stream relayed, two runs would be in one answer. */
+    /**
+     * The request is retried at another server. Relaying a part of the first stream would mix two runs in one response.
+     */
     @ResumableAndNotTest
-    void anAnswerMarkedNotExecutedIsNotRelayed(String target) throws Exception {
+    void aResponseMarkedNotExecutedIsNotRelayed(String target) throws Exception {
         net.servers.decodeServers(2);
         Wire client = net.sendRequest(target, PROMPT);
         Call first = net.nextCall();
@@ -203,9 +204,9 @@
         net.assertQuiet();
     }
 
-    /** The answer to a HEAD ends with its head, and needs neither a length nor events. */
+    /** The response to a HEAD request ends with its head and needs neither a length nor events. */
     @Test
-    void theAnswerToAHeadRequestIsNotATruncatedStream() throws Exception {
+    void theResponseToAHeadRequestIsNotATruncatedStream() throws Exception {
         net.servers.decode();
         Wire client = net.client();
         client.send("HEAD /gen/ HTTP/1.1\r\nHost: " + HOST + "\r\nX-Dewplank-Request-Attempt-Id: h1\r\n\r\n"
@@ -218,7 +219,7 @@
         net.assertQuiet();
     }
 
-    /** The rest of a disconnected client's stream and the next stream never share a connection. */
+    /** The rest of a disconnected client's stream and the next stream do not share a connection. */
     @ResumableAndNotTest
     void theRestOfADisconnectedClientsStreamIsDiscarded(String target) throws Exception {
         net.servers.decode();
@@ -241,7 +242,7 @@
         Call second = net.nextCall();
         assertSame(first.server(), second.wire());
         beginStream(first.decode());
-        second.wire().chunk("id: 9\ndata: the first one's\n\n");
+        second.wire().chunk("id: 9\ndata: to the first request\n\n");
         second.wire().lastChunk();
         answer(first.decode(), "503 Service Unavailable", NOT_EXECUTED, "");
         second.wire().answer("200 OK", SEAL, "id: 9\ndata: without an id\n\n");
@@ -249,9 +250,9 @@
         net.assertQuiet();
     }
 
-    // ---- overdue answers and stalls -------------------------------------------------------------------
+    // ---- stalls ---------------------------------------------------------------------------------------
 
-    /** The stream is resumed elsewhere and its first server sends on: no event is duplicated. */
+    /** The stream is resumed at another server while the first one could still send; no event is duplicated. */
     @Test
     void eventsOfAStalledServerAreDiscardedAfterResumption() throws Exception {
         net.servers.decodeServers(2);
@@ -263,16 +264,16 @@
         net.assertQuiet();
     }
 
-    /** The stall time-out passes and the event arrives, at once: event 2 is relayed once, from one of the servers. */
+    /** The event arrives when the stall timeout expires: event 2 is relayed once, from one of the servers. */
     @Test
-    void anEventThatMeetsTheStallTimeoutIsRelayedOnce() throws Exception {
+    void anEventThatRacesWithTheStallTimeoutIsRelayedOnce() throws Exception {
         net.servers.decodeServers(2);
         BegunStream stream = BegunStream.begin(net, "/res/", PROMPT);
-        net.runBeforePause(PAST_STALL_TIMEOUT_MS, () -> {
+        net.runThenBlockLoop(PAST_STALL_TIMEOUT_MS, () -> {
             try {
                 stream.server().chunk(event(2));
             } catch (IOException e) {
-                // the stall time-out has passed before, on a slow machine
+                // on a slow machine the stall timeout has expired earlier
             }
         });
         OnLoop.await(
@@ -297,21 +298,21 @@
         return call.message().method().equals("DELETE");
     }
 
-    /** The KV handle arrives and the prefill is overdue, at once: one decode, with the handle or without it. */
+    /** The KV handle arrives when the prefill becomes overdue: there is one decode, with or without the handle. */
     @ResumableAndNotTest
-    void aKvHandleThatMeetsTheOverdueTimerLeadsToOneDecode(String target) throws Exception {
+    void aKvHandleThatRacesWithTheOverdueTimerLeadsToOneDecode(String target) throws Exception {
         ScriptedServer prefill = net.servers.prefill();
         net.servers.decode();
         Wire client = net.sendRequest(target, SHORT_PROMPT);
         Call prefillCall = net.nextCall();
-        for (int sends = 1; prefillCall.server() != prefill; sends++) { // the connection was not up in time
+        for (int sends = 1; prefillCall.server() != prefill; sends++) { // the connection was not established in time
             assertTrue(sends < ForwarderFixture.MAX_SENDS, "no request was prefilled");
             assertStreamed(prefillCall, client, 1);
             client = net.sendRequest(target, SHORT_PROMPT);
             prefillCall = net.nextCall();
         }
         Call reached = prefillCall;
-        net.runBeforePause(PAST_PREFILL_OVERDUE_MS, () -> handOver(reached, "h1"));
+        net.runThenBlockLoop(PAST_PREFILL_OVERDUE_MS, () -> handOver(reached, "h1"));
         Call decodeCall = net.nextCall();
         String from = kvFrom(decodeCall);
         assertTrue(from == null || from.equals(prefill.addressText() + "/h1"), from);
@@ -320,7 +321,7 @@
     }
 
     @ResumableAndNotTest
-    void twoAnswersToOnePrefillLeadToOneDecode(String target) throws Exception {
+    void twoResponsesToOnePrefillLeadToOneDecode(String target) throws Exception {
         ScriptedServer prefill = net.servers.prefill();
         net.servers.decode();
         Wire client = net.sendRequest(target, PROMPT);
@@ -334,7 +335,7 @@
         net.assertQuiet();
     }
 
-    /** A late answer to an earlier prefill, on the connection that carries the next one, in place of its answer. */
+    /** A late response to an earlier prefill arrives on the connection of the next one, before its response. */
     @Test
     void anEarlierRequestsKvHandleOnAReusedConnectionIsDiscarded() throws Exception {
         ScriptedServer prefill = net.servers.prefill();
@@ -346,7 +347,7 @@
             if (earlier != null) {
                 assertSame(earlier.wire(), prefillCall.wire());
                 handOver(earlier, "late");
-                prefillCall.wire().answer("200 OK", "", "{\"context_handle\":\"nobodys\",\"token_count\":60}");
+                prefillCall.wire().answer("200 OK", "", "{\"context_handle\":\"unidentified\",\"token_count\":60}");
             }
             handOver(prefillCall, handle);
             Call decodeCall = net.nextCall();
@@ -358,7 +359,7 @@
         net.assertQuiet();
     }
 
-    /** The stalled decode server may have fetched it: it is freed once and sent to no other. */
+    /** The stalled decode server may have fetched the KV cache, so the handle is freed once and not sent again. */
     @Test
     void theKvHandleOfAStalledDecodeIsFreedOnceAndNotSentAgain() throws Exception {
         ScriptedServer prefill = net.servers.prefill();
@@ -378,12 +379,12 @@
         assertStreamed(decodeCall, client, 1);
         stalled.wire().awaitEnd();
         net.awaitNoOpenRequest();
-        Call late = frees == 0 ? net.nextCall() : null; // the free may arrive after the decode
+        Call late = frees == 0 ? net.nextCall() : null; // the request to free the handle may arrive after the decode
         assertTrue(late == null || isKvHandleFreed(late));
         net.assertQuiet();
     }
 
-    /** A part of the request was sent: the decode server may have fetched the KV handle already. */
+    /** A part of the request was sent, so the decode server may have fetched the KV cache. */
     @Test
     void theKvHandleOfADecodeThatIsResetWithinItsRequestIsNotSentAgain() throws Exception {
         ScriptedServer prefill = net.servers.prefill();
@@ -399,16 +400,16 @@
             Call free = net.nextCall();
             assertTrue(isKvHandleFreed(free));
             assertEquals("/kv-handle/h1", free.message().target());
-            assertEquals(0, raw.connectionsWaiting(), "sent again");
+            assertEquals(0, raw.connectionsWaiting(), "the request was sent again");
             net.assertQuiet();
         }
     }
 
-    /** The answer to a free bears no attempt id: its connection carries nothing else, before or after. */
+    /** The response to a request that frees a handle has no attempt id, so its connection carries no other request. */
     @Test
-    void theAnswerToAFreedKvHandleReachesNoOtherRequest() throws Exception {
+    void theResponseToAFreedKvHandleIsNotRelayedToAnotherRequest() throws Exception {
         net.servers.prefill();
-        Wire client = net.sendRequest("/gen/", PROMPT); // no decode server is there
+        Wire client = net.sendRequest("/gen/", PROMPT); // there is no decode server
         Call prefillCall = net.nextCall();
         handOver(prefillCall, "h1");
         Call free = net.nextCall();
--- a/dataplane/src/test/java/dewplank/dataplane/StreamTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/StreamTest.java
@@ -36,7 +36,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Streams that are relayed, break, stall and are resumed. The decode servers prefill the prompts themselves here. */
+/** Streams that are relayed, break, stall and are resumed. The decode servers prefill the prompts. */
 class StreamTest {
     private static final double PAST_STALL_TIMEOUT_MS = 800; // a stalled resumable stream is resumed after 700 ms
 
@@ -58,7 +58,7 @@
                         streamingRoute("last", 1).asResumable());
     }
 
-    /** For tests of other things than stalls, which a pause of 700 ms between two steps would meet. */
+    /** For tests that do not test stalls, as a pause of 700 ms between two steps would count as a stall. */
     private void disableHedging() throws Exception {
         net.close();
         net = fixture().withoutHedging().start();
@@ -75,7 +75,7 @@
 
     // ---- relaying ------------------------------------------------------------------------------------
 
-    /** The server sends the next event once the client has got the one before. */
+    /** The server sends each event after the client has received the previous one. */
     @Test
     void eachEventIsRelayedAsItArrives() throws Exception {
         net.servers.decode();
@@ -119,9 +119,9 @@
         assertEquals(event(1), next.read().body());
         Wire empty = net.sendRequest("/gen/", PROMPT);
         serve(net.nextCall(), "");
-        Wire.Message answer = empty.read();
-        assertEquals(200, answer.status());
-        assertEquals("", answer.body());
+        Wire.Message response = empty.read();
+        assertEquals(200, response.status());
+        assertEquals("", response.body());
         net.assertQuiet();
     }
 
@@ -145,7 +145,7 @@
                 .wire()
                 .send("HTTP/1.1 200 OK\r\nX-Dewplank-Request-Attempt-Id: another\r\n" + SEAL
                         + "Transfer-Encoding: chunked\r\n\r\n");
-        decodeCall.wire().chunk("id: 7\ndata: another's\n\n");
+        decodeCall.wire().chunk("id: 7\ndata: to another attempt\n\n");
         decodeCall.wire().lastChunk();
         assertStreamed(decodeCall, client, 1);
         net.assertQuiet();
@@ -154,7 +154,7 @@
     // ---- breaks and resumption -----------------------------------------------------------------------
 
     @Test
-    void aBrokenStreamIsResumedBehindItsLastCompleteEvent() throws Exception {
+    void aBrokenStreamIsResumedAfterItsLastCompleteEvent() throws Exception {
         disableHedging();
         net.servers.decodeServers(2);
         BegunStream stream = begin("/res/");
@@ -177,17 +177,17 @@
         net.assertQuiet();
     }
 
-    /** Reset, closed too soon or malformed: each is a break. */
+    /** A stream breaks if it is reset, closed too early or malformed. */
     @ParameterizedTest
-    @ValueSource(strings = {"reset", "end", "noise"})
-    void everyKindOfBreakIsResumed(String how) throws Exception {
+    @ValueSource(strings = {"reset", "close", "malformed chunk"})
+    void aStreamIsResumedAfterEveryKindOfBreak(String how) throws Exception {
         disableHedging();
         net.servers.decodeServers(4);
         BegunStream stream = begin("/res/");
         switch (how) {
             case "reset" -> stream.server().reset();
-            case "end" -> stream.server().close();
-            default -> stream.server().send("noise\r\n");
+            case "close" -> stream.server().close();
+            default -> stream.server().send("malformed chunk\r\n");
         }
         Call next = net.nextCall();
         assertEquals("1", lastEventId(next), how);
@@ -196,7 +196,7 @@
     }
 
     @Test
-    void aStreamThatTheClientResumesIsResumedBehindItsLastEventId() throws Exception {
+    void aStreamThatTheClientResumesIsResumedAfterItsLastEventId() throws Exception {
         net.servers.decodeServers(2);
         Wire client = net.sendRequest("/two/", PROMPT + "Last-Event-Id: 12\r\n");
         Call first = net.nextCall();
@@ -209,7 +209,7 @@
         assertEquals(200, client.readHead().status());
         assertEquals(event(13), client.readChunk());
         second.wire().reset();
-        assertBrokenOff(client); // it may resume behind 13
+        assertBrokenOff(client); // it may resume after event 13
         net.assertQuiet();
     }
 
@@ -284,7 +284,7 @@
         }
     }
 
-    // ---- overdue answers and stalls -------------------------------------------------------------------
+    // ---- stalls ---------------------------------------------------------------------------------------
 
     @Test
     void aStalledStreamIsResumedAtAnotherServer() throws Exception {
@@ -298,25 +298,25 @@
         net.assertQuiet();
     }
 
-    /** The time allowed for prefill ends with the first event. */
+    /** The longer timeout that allows for prefill applies only until the first event. */
     @Test
-    void aStalledStreamOfALongPromptIsResumedAsSoonOnceItHasBegun() throws Exception {
+    void aStartedStreamOfALongPromptIsResumedAfterTheUsualStallTimeout() throws Exception {
         net.servers.decodeServers(2);
         BegunStream stream = begin("/res/");
         net.pass(2 * PAST_STALL_TIMEOUT_MS);
-        assertFalse(isInFlight(net, stream), "still waited for");
+        assertFalse(isInFlight(net, stream), "the stalled attempt was not cancelled");
         stream.server().awaitEnd();
         assertEquals("1", net.nextCall().message().header("Last-Event-Id"));
     }
 
-    /** Whether the forwarder has an attempt open at the stream's server: known at once, unlike the connection's end. */
+    /** Whether the forwarder has an attempt in flight at the stream's server; available before the connection ends. */
     private static boolean isInFlight(ForwarderFixture fixture, BegunStream stream) throws Exception {
         String instance = fixture.servers.id(stream.decode().server());
         return OnLoop.get(fixture.loop, () -> fixture.metadata.servers(MODEL).stream()
                 .anyMatch(server -> server.instanceId().equals(instance) && server.inFlight() > 0));
     }
 
-    private void assertIsWaitedFor(ForwarderFixture fixture, BegunStream stream) throws Exception {
+    private void assertAttemptContinues(ForwarderFixture fixture, BegunStream stream) throws Exception {
         fixture.pass(PAST_STALL_TIMEOUT_MS);
         assertTrue(isInFlight(fixture, stream), "the only attempt that can continue was cancelled");
         assertFalse(stream.server().isEnded(), "the only attempt that can continue was cancelled");
@@ -328,36 +328,36 @@
     }
 
     @Test
-    void aStalledStreamThatIsNotResumableIsWaitedFor() throws Exception {
+    void aStalledStreamThatIsNotResumableContinues() throws Exception {
         net.servers.decodeServers(2);
-        assertIsWaitedFor(net, BegunStream.begin(net, "/gen/", PROMPT));
+        assertAttemptContinues(net, BegunStream.begin(net, "/gen/", PROMPT));
     }
 
     @Test
-    void aStalledStreamAtItsLastAttemptIsWaitedFor() throws Exception {
+    void aStalledStreamAtItsLastAttemptContinues() throws Exception {
         net.servers.decodeServers(2);
-        assertIsWaitedFor(net, BegunStream.begin(net, "/last/", PROMPT));
+        assertAttemptContinues(net, BegunStream.begin(net, "/last/", PROMPT));
     }
 
-    /** A stall is no reason to cancel a decode that no other server can resume. */
+    /** A stalled decode is not cancelled if no other server can resume it. */
     @Test
-    void aStalledStreamThatNoOtherServerCanResumeIsWaitedFor() throws Exception {
+    void aStalledStreamThatNoOtherServerCanResumeContinues() throws Exception {
         net.servers.decode();
-        assertIsWaitedFor(net, BegunStream.begin(net, "/res/", PROMPT));
+        assertAttemptContinues(net, BegunStream.begin(net, "/res/", PROMPT));
     }
 
     @Test
-    void aStalledStreamIsWaitedForWithoutARetryBudget() throws Exception {
+    void aStalledStreamContinuesWithoutARetryBudget() throws Exception {
         try (ForwarderFixture withoutRetries =
                 fixture().retryLimits(ForwarderFixture.NO_RETRIES).start()) {
             withoutRetries.servers.decodeServers(2);
-            assertIsWaitedFor(withoutRetries, BegunStream.begin(withoutRetries, "/res/", PROMPT));
+            assertAttemptContinues(withoutRetries, BegunStream.begin(withoutRetries, "/res/", PROMPT));
         }
     }
 
     // ---- deadlines and disconnects -------------------------------------------------------------------
 
-    /** Where the machine was too slow for an event before the deadline, the request is sent anew. */
+    /** Sends the request again if the machine is too slow to relay an event before the deadline. */
     private BegunStream beginBeforeDeadline(String target) throws Exception {
         for (int sends = 0; sends < ForwarderFixture.MAX_SENDS; sends++) {
             ForwarderFixture.InFlight request = net.sendUntilAtServer(target, PROMPT);
@@ -365,7 +365,7 @@
                 beginStream(request.call());
                 request.call().wire().chunk(event(1));
             } catch (IOException e) {
-                // the deadline has ended the connection
+                // the connection was closed at the deadline
             }
             Wire.Message head = request.client().readHead();
             if (head.status() == 200) {
@@ -374,7 +374,7 @@
             }
             assertEquals(504, head.status());
         }
-        throw new AssertionError("no event came before the deadline");
+        throw new AssertionError("no event was received before the deadline");
     }
 
     @Test
@@ -396,9 +396,9 @@
         net.assertQuiet();
     }
 
-    /** The client's disconnect and the server's reset arrive at once, handled in either order. */
+    /** The client's disconnect and the server's reset arrive at the same time and are handled in either order. */
     @Test
-    void aClientsDisconnectThatMeetsAServersResetLeavesNothingOpen() throws Exception {
+    void aClientsDisconnectThatRacesWithAServersResetLeavesNothingOpen() throws Exception {
         net.servers.decodeServers(2);
         BegunStream stream = begin("/res/");
         OnLoop.run(net.loop, () -> {
--- a/dataplane/src/test/java/dewplank/dataplane/TestConfiguration.java
+++ b/dataplane/src/test/java/dewplank/dataplane/TestConfiguration.java
@@ -6,7 +6,7 @@
 import java.util.Arrays;
 import java.util.stream.Collectors;
 
-/** Configurations with the services that the tests' routes name. */
+/** Configurations with the services that the routes of the tests use. */
 final class TestConfiguration {
     static final String PLAIN = "plain";
     static final String OTHER = "other";
@@ -21,15 +21,15 @@
 
     private TestConfiguration() {}
 
-    /** The configuration of that version with these routes, and without tenants. */
+    /** Creates the configuration of this version with these routes and without tenants. */
     static Configuration of(long version, int maxBodyBytes, TestRoute... routes) throws InvalidConfigurationException {
         return of(version, maxBodyBytes, "", routes);
     }
 
     /**
-     * The configuration of that version with these routes.
+     * Creates the configuration of this version with these routes and tenants.
      *
-     * @param tenants the list of tenants in JSON; empty where the configuration has none
+     * @param tenants the JSON list of tenants; empty if the configuration has none
      */
     static Configuration of(long version, int maxBodyBytes, String tenants, TestRoute... routes)
             throws InvalidConfigurationException {
