--- a/dataplane/src/test/java/dewplank/dataplane/TestRoute.java
+++ b/dataplane/src/test/java/dewplank/dataplane/TestRoute.java
@@ -11,7 +11,7 @@
         int gapTargetMs,
         boolean resumable,
         boolean isPublic) {
-    /** Longer than a test waits for anything, shorter than the remaining time that {@link ClientRequests} state. */
+    /** Longer than any wait of a test, shorter than the remaining time that {@link ClientRequests} state. */
     static final int DEFAULT_TIMEOUT_MS = 8_000;
 
     private static final int DEFAULT_TARGET_LATENCY_MS = 4_000;
@@ -26,7 +26,7 @@
         return of(name, "safe", TestConfiguration.PLAIN, maxAttempts);
     }
 
-    /** A route to {@link TestConfiguration#PLAIN} whose requests may run once. */
+    /** A route to {@link TestConfiguration#PLAIN} whose requests may run only once. */
     static TestRoute unsafeRoute(String name, int maxAttempts) {
         return of(name, "unsafe", TestConfiguration.PLAIN, maxAttempts);
     }
@@ -45,22 +45,22 @@
         return new TestRoute(name, type, service, maxAttempts, ms, targetLatencyMs, gapTargetMs, resumable, isPublic);
     }
 
-    /** An answer is waited for two and a half times as long before a retry. */
+    /** A response is overdue after 2.5 times this target. */
     TestRoute withTargetLatency(int ms) {
         return new TestRoute(name, type, service, maxAttempts, timeoutMs, ms, gapTargetMs, resumable, isPublic);
     }
 
-    /** The longest pause between two events that is aimed at. */
+    /** Sets the target for the longest gap between two events. */
     TestRoute withGapTarget(int ms) {
         return new TestRoute(name, type, service, maxAttempts, timeoutMs, targetLatencyMs, ms, resumable, isPublic);
     }
 
-    /** A stream that breaks may be resumed behind its last event. */
+    /** Allows a broken stream to be resumed after its last event. */
     TestRoute asResumable() {
         return new TestRoute(name, type, service, maxAttempts, timeoutMs, targetLatencyMs, gapTargetMs, true, isPublic);
     }
 
-    /** Its requests need no key, whichever tenants there are. */
+    /** Requests need no access key, even if there are tenants. */
     TestRoute asPublic() {
         return new TestRoute(
                 name, type, service, maxAttempts, timeoutMs, targetLatencyMs, gapTargetMs, resumable, true);
