--- a/dataplane/src/test/java/dewplank/dataplane/PlainRouteTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/PlainRouteTest.java
@@ -223,7 +223,7 @@
         net.servers.plain();
         Wire client = net.sendRequest("/once/");
         Call call = net.nextCall();
-        call.wire().answer("200 OK", "X-Dewplank-Request-Attempt-Id: another\r\n" + SEAL, "another's");
+        call.wire().answer("200 OK", "X-Dewplank-Request-Attempt-Id: another\r\n" + SEAL, "to another attempt");
         call.wire().answer("503 Service Unavailable", "X-Dewplank-Request-Attempt-Id: another\r\n" + NOT_EXECUTED, "");
         assertServed(call, client, "own");
         net.assertQuiet();
@@ -352,7 +352,7 @@
         reject(net.nextCall());
         reject(net.nextCall());
         OnLoop.await(net.loop, () -> client.hasBytes() || !net.servers.calls.isEmpty());
-        if (!net.servers.calls.isEmpty()) { // on a slow machine the first server's backoff of 40 ms is over by now
+        if (!net.servers.calls.isEmpty()) { // on a slow machine the first server's backoff of 40 ms has expired
             reject(net.nextCall());
         }
         assertRejected(client.read());
--- a/dataplane/src/test/java/dewplank/dataplane/RequestRaceTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/RequestRaceTest.java
@@ -130,8 +130,8 @@
         net.servers.plain();
         IdleConnection idle = idleConnection(target);
         Call second = sendOnIdleConnection(idle, target);
-        second.wire().answer("404 Not Found", "", "nobody's");
-        second.wire().answer("200 OK", SEAL, "nobody's");
+        second.wire().answer("404 Not Found", "", "without an id");
+        second.wire().answer("200 OK", SEAL, "without an id");
         second.wire().answer("503 Service Unavailable", NOT_EXECUTED, "");
         assertServed(second, idle.client(), "own");
         net.assertQuiet();
