--- a/dataplane/src/test/java/dewplank/dataplane/ForwarderFixture.java
+++ b/dataplane/src/test/java/dewplank/dataplane/ForwarderFixture.java
@@ -143,7 +143,7 @@
         }
     }
 
-    /** Confirms that the configuration in force was the latest one at that age. */
+    /** Confirms that the configuration in force was the latest one this long ago. */
     void confirm(double ageMs) throws Exception {
         OnLoop.run(loop, () -> metadata.confirmConfiguration(configurationVersion, loop.now() - ageMs));
     }
--- a/dataplane/src/test/java/dewplank/dataplane/GenerationTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/GenerationTest.java
@@ -535,7 +535,7 @@
         ScriptedServer prefill = net.servers.prefill();
         net.servers.add(ScriptedServer.late(net.servers.calls), MODEL, "decode");
         for (int sends = 0; sends < ForwarderFixture.MAX_SENDS && freedHandles() == 0; sends++) {
-            Wire client = net.sendRequest("/brief/", PROMPT); // its timeout is shorter than the connection setup
+            Wire client = net.sendRequest("/brief/", PROMPT); // its 200 ms expire before the connection is set up
             handOver(net.nextCall(), "h1"); // may be after the deadline on a busy machine; then it is repeated
             assertEquals(503, client.read().status(), "the request cannot have run");
         }
--- a/dataplane/src/test/java/dewplank/dataplane/StreamRaceTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/StreamRaceTest.java
@@ -42,7 +42,7 @@
  */
 class StreamRaceTest {
     private static final double REUSABLE_AFTER_MS = ForwarderFixture.REUSABLE_AFTER_MS;
-    private static final double PAST_STALL_TIMEOUT_MS = 800; // a stalled resumable stream is resumed after 700 ms
+    private static final double PAST_STALL_TIMEOUT_MS = 800; // a started resumable stream stalls after 700 ms
     private static final double PAST_PREFILL_OVERDUE_MS = 400; // a short prompt is overdue after 300 ms
     private static final int LONG_BODY_BYTES = 16 << 20; // more than the socket buffers hold
 
