--- a/sidecar/src/main/java/dewplank/discovery/CatalogUpdate.java
+++ b/sidecar/src/main/java/dewplank/discovery/CatalogUpdate.java
@@ -9,28 +9,29 @@
 import java.util.Map;
 
 /**
- * One message of discovery: a complete list of servers, or the changes to one.
+ * An update from discovery: a full list of servers, or the changes to the previous list.
  *
  * @param version discovery's version of the list after this update
- * @param isFull whether servers that are not named have been removed
- * @param members the servers, or the changed ones, in discovery's order
+ * @param isFull whether servers that are missing from {@code members} have been removed
+ * @param members all servers, or the changed ones, in the order of discovery's message
  */
 public record CatalogUpdate(long version, boolean isFull, List<Member> members) {
     private static final Map<String, Availability> STATES =
             Map.of("active", Availability.UP, "leaving", Availability.DRAINING, "left", Availability.REMOVED);
 
     /**
-     * One server.
+     * A server in an update.
      *
-     * @param endpoint what the balancer knows of it
-     * @param address where it listens for this sidecar
+     * @param endpoint the server's description for the balancer
+     * @param address the address to which this sidecar connects
      */
     public record Member(Endpoint endpoint, InetSocketAddress address) {}
 
     /**
-     * Reads discovery's JSON form.
+     * Decodes an update from discovery's JSON.
      *
-     * @throws dewplank.settings.InvalidInputException if a key is missing or of another type; it names the key
+     * @throws dewplank.settings.InvalidInputException if a key is missing or has the wrong type; the message names
+     *     the key
      */
     public static CatalogUpdate of(Fields fields) {
         return new CatalogUpdate(
@@ -52,7 +53,7 @@
         return new Member(endpoint, Addresses.parse(fields, "addr"));
     }
 
-    /** The members as the balancer gets them, in the same order. */
+    /** Returns the endpoints of the members, in the same order. */
     public List<Endpoint> endpoints() {
         return members.stream().map(Member::endpoint).toList();
     }
--- a/sidecar/src/main/java/dewplank/discovery/CatalogWatch.java
+++ b/sidecar/src/main/java/dewplank/discovery/CatalogWatch.java
@@ -15,16 +15,16 @@
 import java.util.function.Consumer;
 
 /**
- * One streaming request to discovery, from the connection to its end.
+ * One streaming request to discovery, from connecting until it ends.
  *
- * <p>{@link DiscoveryClient} creates it. All methods and callbacks run on the event loop's thread. It ends by itself at
- * most once, and gives the reason; after {@link #close} no callback comes.
+ * <p>{@link DiscoveryClient} creates it. All methods and callbacks run on the event loop's thread. The watch reports
+ * its end at most once, with the reason. No callback runs after {@link #close}.
  */
 final class CatalogWatch implements Connection.Handler {
     /**
-     * Discovery writes a line every 2 s. One behind a network partition sends nothing, and its connection stays
-     * open: only the time-out shows it. A second more is for a discovery that is slow. With much more, drains would
-     * be missed past the time at which discovery counts them as delivered.
+     * Discovery writes a line every 2 s. While it is partitioned off, it sends nothing and the connection stays open,
+     * so that only a timeout detects the partition. The additional second allows for a slow discovery. With a much
+     * longer timeout, the sidecar could miss a drain that discovery already counts as delivered.
      */
     static final double IDLE_TIMEOUT_MS = 3_000;
 
@@ -48,11 +48,11 @@
     private boolean isClosed;
 
     /**
-     * @param version the list's version that the watch resumes from
-     * @param idleTimeoutMs after so long without a byte the watch ends
-     * @param onList gets each list as JSON text
-     * @param onKeepalive runs at each empty line: nothing has changed
-     * @param onEnd gets the reason for the log; not called after {@link #close}
+     * @param version the list version from which the watch resumes
+     * @param idleTimeoutMs the time without a received byte after which the watch ends
+     * @param onList called with each list as JSON text
+     * @param onKeepalive called at each empty line, which means that nothing has changed
+     * @param onEnd called with the reason, for the log, when the watch ends; not called after {@link #close}
      */
     CatalogWatch(
             EventLoop loop,
@@ -112,14 +112,14 @@
 
     private void consumeBody(byte[] body) throws BadMessageException {
         for (byte b : body) {
-            if (isClosed) { // the list just delivered may have closed this watch
+            if (isClosed) { // the callback of the last list may have closed this watch
                 return;
             }
             consume(b);
         }
     }
 
-    /** A list may come indented, over many lines: it ends with the brace that opened it. */
+    /** Consumes a byte of the response. A list may span several lines, so it ends at the brace that closes it. */
     private void consume(byte b) throws BadMessageException {
         if (depth == 0 && b != '{') {
             if (b == '\n') {
@@ -161,7 +161,7 @@
         }
     }
 
-    /** Ends the watch without a callback. */
+    /** Closes the watch without calling {@code onEnd}. */
     void close() {
         isClosed = true;
         idleTimer.cancel();
--- a/sidecar/src/main/java/dewplank/discovery/DiscoveryClient.java
+++ b/sidecar/src/main/java/dewplank/discovery/DiscoveryClient.java
@@ -10,20 +10,23 @@
 import java.util.function.Consumer;
 
 /**
- * Keeps the endpoint list up to date by a watch on discovery, and reports each change as an event.
+ * Keeps the endpoint list up to date with a watch on discovery, and reports each change as an event.
  *
- * <p>The balancer's host calls it, on the event loop's thread only. The listener is called on that thread too, from
- * within {@link #start}, {@link #subscribe} or a callback of the watch. Losing discovery is no error: the last list
- * stays in use.
+ * <p>The balancer host calls it on the event loop's thread only. The listener runs on the same thread, within
+ * {@link #start}, {@link #subscribe} or a callback of the watch. While discovery is unreachable, the last list stays in
+ * use.
  */
 public final class DiscoveryClient {
     private static final System.Logger LOG = System.getLogger(DiscoveryClient.class.getName());
     /**
-     * Where lists are pushed, what the agent has counts as delivered whether or not a watch is open: it is opened again
-     * at once, and no more often than this. A drain's grace period is some hundred milliseconds.
+     * The minimum interval between the openings of two watches if lists are pushed. The agent's lists then count as
+     * delivered whether or not a watch is open, so a lost watch is reopened without any other delay. The grace period
+     * of a drain is a few hundred milliseconds.
      */
     private static final double MIN_REOPEN_INTERVAL_MS = 100;
-    /** Where lists are pushed, nothing is sent before the first one, or before this time has passed. */
+    /**
+     * If lists are pushed, no request is sent before the first response of discovery or before this time has passed.
+     */
     private static final double FIRST_LIST_TIMEOUT_MS = 1_000;
 
     private final EventLoop loop;
@@ -34,14 +37,14 @@
     private long version;
     private CatalogWatch watch;
     private boolean isWatchUp;
-    private boolean isUsable;
+    private boolean isListUsable;
     private boolean isClosed;
     private double watchOpenedAtMs = Double.NEGATIVE_INFINITY;
 
     /**
      * @param keepsRemovedServers whether the balancer may still send to a server that is no longer listed
-     * @param listsArePushed whether lists come unprompted, so that the balancer never subscribes
-     * @param listener gets each change of the list
+     * @param listsArePushed whether discovery pushes lists, so that the balancer never subscribes
+     * @param listener called with each change of the list
      */
     public DiscoveryClient(
             EventLoop loop,
@@ -53,20 +56,20 @@
         this.discoveryAddress = discoveryAddress;
         this.endpoints = new EndpointTable(keepsRemovedServers);
         this.listsArePushed = listsArePushed;
-        this.isUsable = !listsArePushed;
+        this.isListUsable = !listsArePushed;
         this.listener = listener;
     }
 
-    /** Starts from the list in the configuration, which may be out of date. Called once. */
+    /** Starts with the list in the configuration, which may be out of date. Called once. */
     public void start(CatalogUpdate cached) {
         apply(cached, UpdateKind.CACHED);
         if (listsArePushed) {
             openWatch();
-            loop.after(FIRST_LIST_TIMEOUT_MS, () -> isUsable = true);
+            loop.after(FIRST_LIST_TIMEOUT_MS, () -> isListUsable = true);
         }
     }
 
-    /** Opens a watch from the current version, unless {@link #moveTo} has opened one meanwhile. */
+    /** Opens a watch from the current version, unless {@link #changeAddress} has already opened one. */
     public void subscribe() {
         if (watch == null) {
             openWatch();
@@ -89,10 +92,10 @@
     }
 
     /**
-     * Discovery listens elsewhere from now on; of no effect once closed. Its watch is moved at once: the old address
-     * takes no new connection, and closes those that it has.
+     * Changes the address of discovery; has no effect after {@link #close}. The watch is reopened at the new address
+     * immediately, because the old address accepts no new connections and closes the existing ones.
      */
-    public void moveTo(InetSocketAddress next) {
+    public void changeAddress(InetSocketAddress next) {
         if (!isClosed && !next.equals(discoveryAddress)) {
             discoveryAddress = next;
             isWatchUp = false;
@@ -103,22 +106,22 @@
         }
     }
 
-    /** The address where the server listens, or null where no list names it. */
+    /** Returns the address of the server, or null if the server is unknown. */
     public InetSocketAddress addressOf(String server) {
         return endpoints.addressOf(server);
     }
 
     /** Whether new requests may be sent to the server: it is listed and not draining. */
     public boolean acceptsRequests(String server) {
-        return isUsable && endpoints.acceptsRequests(server);
+        return isListUsable && endpoints.acceptsRequests(server);
     }
 
     /** Whether the list may be used and names an available server. */
     public boolean hasAvailableServer() {
-        return isUsable && endpoints.hasAvailableServer();
+        return isListUsable && endpoints.hasAvailableServer();
     }
 
-    /** An older list is ignored, also where it comes last: it would bring back draining servers. */
+    /** Applies a list. A list with an older version is ignored, because it could return draining servers to use. */
     private void listReceived(String text) {
         CatalogUpdate update = CatalogUpdate.of(new Fields(Json.object(text), "discovery "));
         watchEstablished(update.version());
@@ -134,7 +137,9 @@
         apply(update, update.isFull() ? UpdateKind.FULL : UpdateKind.INCREMENTAL);
     }
 
-    /** Nothing has changed: that is a response as well, and resets the balancer's backoff. */
+    /**
+     * Reports an unchanged list as an update at the first keepalive of a watch, which resets the balancer's backoff.
+     */
     private void keepaliveReceived() {
         if (!isWatchUp) {
             watchEstablished(version);
@@ -143,7 +148,7 @@
     }
 
     private void watchEstablished(long atVersion) {
-        isUsable = true;
+        isListUsable = true;
         if (!isWatchUp) {
             isWatchUp = true;
             LOG.log(System.Logger.Level.INFO, "discovery watch established version={0}", Long.toString(atVersion));
@@ -164,7 +169,7 @@
                 "discovery watch lost version={0} cause={1}",
                 Long.toString(version),
                 reason);
-        isUsable = true; // there is no newer one to be had
+        isListUsable = true; // no newer list is available
         if (!listsArePushed) {
             listener.accept(new EndpointUpdate(UpdateKind.BROKEN, List.of()));
             return;
@@ -176,7 +181,7 @@
         });
     }
 
-    /** Ends the watch for good. */
+    /** Closes the watch and opens no further one. */
     public void close() {
         isClosed = true;
         if (watch != null) {
--- a/sidecar/src/main/java/dewplank/discovery/EndpointTable.java
+++ b/sidecar/src/main/java/dewplank/discovery/EndpointTable.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 
 /**
- * The servers of the list as last received: where each listens, and whether it is available or draining.
+ * The servers of the last received list: their addresses, and which of them are available or draining.
  *
  * <p>{@link DiscoveryClient} owns it and calls it on the event loop's thread.
  */
@@ -19,12 +19,12 @@
     private final Set<String> availableServers = new HashSet<>();
     private final Set<String> drainingServers = new HashSet<>();
 
-    /** @param keepsRemovedServers whether a server that is no longer listed may still get requests */
+    /** @param keepsRemovedServers whether a server that is no longer listed may still receive requests */
     EndpointTable(boolean keepsRemovedServers) {
         this.keepsRemovedServers = keepsRemovedServers;
     }
 
-    /** Applies a list or its changes. A server that a full or cached list lacks was removed. */
+    /** Applies a list or changes to it. Servers that are missing from a full or cached list have been removed. */
     void apply(CatalogUpdate update, UpdateKind kind) {
         if (kind != UpdateKind.INCREMENTAL) {
             availableServers.clear();
@@ -42,7 +42,7 @@
         String server = member.endpoint().server();
         Availability availability = member.endpoint().availability();
         if (availability == Availability.REMOVED && !keepsRemovedServers) {
-            addressByServer.remove(server); // servers come and go with ever new ids: they must not add up
+            addressByServer.remove(server); // servers are replaced under new ids: stale entries would accumulate
             drainingServers.remove(server);
         } else {
             addressByServer.put(server, member.address());
@@ -58,7 +58,7 @@
         }
     }
 
-    /** The address where the server listens, or null where no list names it. */
+    /** Returns the address of the server, or null if the server is unknown. */
     InetSocketAddress addressOf(String server) {
         return addressByServer.get(server);
     }
--- a/sidecar/src/main/java/dewplank/discovery/package-info.java
+++ b/sidecar/src/main/java/dewplank/discovery/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The sidecar's client of discovery: the endpoint list as last received, and the watch that keeps it up to date.
+ * The sidecar's discovery client: the last received endpoint list, and the watch that keeps it up to date.
  *
- * <p>All of it runs on the event loop's thread. It knows the list's form and the servers' addresses. What follows from
- * a change is the balancer's decision and does not belong here.
+ * <p>All code runs on the event loop's thread. The package decodes the lists and stores the servers' addresses. The
+ * balancer decides how to react to a change; such decisions do not belong here.
  */
 package dewplank.discovery;
--- a/sidecar/src/main/java/dewplank/peers/PeerChannel.java
+++ b/sidecar/src/main/java/dewplank/peers/PeerChannel.java
@@ -19,31 +19,31 @@
 import java.util.function.Predicate;
 
 /**
- * Sends datagrams to the other sidecars and receives theirs; what cannot be used is dropped and counted.
+ * Exchanges datagrams with the other sidecars. Invalid and excess datagrams are dropped and counted.
  *
- * <p>NIO.2 has no asynchronous channel for datagrams. One thread named {@code peers} receives them, checks sender and
- * form, and hands them to the event loop's thread; that thread alone sends.
+ * <p>NIO.2 has no asynchronous channel for datagrams. A thread named {@code peers} receives datagrams, checks their
+ * sender and format, and passes them to the event loop's thread. Only the event loop's thread sends datagrams.
  */
 public final class PeerChannel {
     /** Longer datagrams are neither sent nor accepted. */
     public static final int MAX_DATAGRAM_BYTES = 256;
 
     private static final System.Logger LOG = System.getLogger(PeerChannel.class.getName());
-    /** Datagrams queued for the loop; beyond that the newest are dropped. A peer sends one a second. */
+    /** Maximum number of datagrams queued for the event loop; further ones are dropped. A peer sends one per second. */
     static final int MAX_QUEUED = 256;
-    /** Received in one batch, after which the thread pauses: a flood must not take the core from the requests. */
+    /** Datagrams received before the thread pauses, so that a flood does not take the CPU from request handling. */
     private static final int MAX_BATCH = 64;
 
     private static final long BATCH_PAUSE_MS = 50;
     private static final int SOCKET_BUFFER_BYTES = 64 * 1024;
     private static final double REPORT_INTERVAL_MS = 60_000;
 
-    /** Gets each valid datagram of a known peer, with the peer's index. Called on the event loop's thread. */
+    /** Receives each valid datagram of a known peer, with the peer's index. Called on the event loop's thread. */
     public interface DatagramListener {
         void received(int peer, byte[] bytes);
     }
 
-    /** Datagrams by their fate, since the start. */
+    /** Number of datagrams since the start, by result. */
     public record DatagramCounts(
             long sent, long unsent, long delivered, long unknownSender, long invalid, long overflowed) {}
 
@@ -60,7 +60,7 @@
     private final AtomicLong unknownSender = new AtomicLong();
     private final AtomicLong invalid = new AtomicLong();
     private final AtomicLong overflowed = new AtomicLong();
-    private long sent; // this and what follows belongs to the event loop's thread
+    private long sent; // this and the following fields are written by the event loop's thread only
     private long unsent;
     private long delivered;
     private long reportedDiscards;
@@ -68,10 +68,10 @@
     /**
      * Binds the listening address.
      *
-     * @param ownIndex this sidecar's place among {@code addresses.peers()}
-     * @param isValid whether a datagram has the expected form; called on the receiving thread
+     * @param ownIndex this sidecar's index in {@code addresses.peers()}
+     * @param isValid whether a datagram has the expected format; called on the receiving thread
      * @param listener called on the event loop's thread
-     * @throws InvalidInputException if the address cannot be bound; it names the configuration key
+     * @throws InvalidInputException if the address cannot be bound; the message names the configuration key
      */
     public PeerChannel(
             EventLoop loop,
@@ -111,26 +111,26 @@
         loop.after(REPORT_INTERVAL_MS, this::reportDiscards);
     }
 
-    /** The bound address; its port where the configuration left that to the system. */
+    /** Returns the bound address, with the actual port if the configured one is 0. */
     public InetSocketAddress address() throws IOException {
         return (InetSocketAddress) channel.getLocalAddress();
     }
 
-    /** On the event loop's thread; from another one the loop's own counts may lag. */
+    /** Returns the counts. On other threads than the event loop's, some of them may be out of date. */
     public DatagramCounts counts() {
         return new DatagramCounts(sent, unsent, delivered, unknownSender.get(), invalid.get(), overflowed.get());
     }
 
     /**
-     * Sends to all peers. What the system's buffer cannot take is dropped and counted: the next summary follows within
-     * a second. Called on the event loop's thread.
+     * Sends a datagram to all peers. It is dropped and counted if the system's send buffer is full, because the next
+     * summary follows within a second. Called on the event loop's thread.
      *
-     * @throws IllegalArgumentException above {@link #MAX_DATAGRAM_BYTES}
+     * @throws IllegalArgumentException if the datagram is longer than {@link #MAX_DATAGRAM_BYTES}
      */
     public void broadcast(byte[] bytes) {
         if (bytes.length > MAX_DATAGRAM_BYTES) {
             throw new IllegalArgumentException(
-                    bytes.length + " bytes for peers, of " + MAX_DATAGRAM_BYTES + " at the most");
+                    bytes.length + " bytes exceed the datagram limit of " + MAX_DATAGRAM_BYTES + " bytes");
         }
         if (addresses.broadcast() != null) {
             send(bytes, addresses.broadcast());
@@ -156,7 +156,7 @@
     }
 
     private void receive() {
-        ByteBuffer in = ByteBuffer.allocateDirect(MAX_DATAGRAM_BYTES + 1); // one more shows that it was longer
+        ByteBuffer in = ByteBuffer.allocateDirect(MAX_DATAGRAM_BYTES + 1); // one byte more detects longer datagrams
         try {
             while (selector.isOpen()) {
                 int readCount = MAX_BATCH;
@@ -219,7 +219,7 @@
         loop.after(REPORT_INTERVAL_MS, this::reportDiscards);
     }
 
-    /** Closes the channel and ends the receiving thread. May be called from any thread. */
+    /** Closes the channel and stops the receiving thread. May be called from any thread. */
     public void close() {
         try {
             selector.close();
--- a/sidecar/src/main/java/dewplank/peers/package-info.java
+++ b/sidecar/src/main/java/dewplank/peers/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Datagrams between sidecars, where the settings allow them.
+ * Exchange of datagrams between sidecars, if the settings allow it.
  *
- * <p>This package knows addresses, sizes and bytes. What the bytes mean belongs to the balancer. Where the settings
- * allow no peers, none of its classes is loaded.
+ * <p>The package handles addresses, sizes and bytes. The balancer interprets the content. If the settings do not allow
+ * peer summaries, no class of the package is loaded.
  */
 package dewplank.peers;
--- a/sidecar/src/main/java/dewplank/sidecar/AttemptDispatcher.java
+++ b/sidecar/src/main/java/dewplank/sidecar/AttemptDispatcher.java
@@ -16,13 +16,14 @@
 import java.util.function.Consumer;
 
 /**
- * Executes the balancer's sends, cancellations and health checks as HTTP attempts, and reports each end as an event.
+ * Executes the balancer's sends, cancellations and health checks as HTTP attempts, and reports the end of each as an
+ * event.
  *
  * <p>{@link BalancerHost} calls it on the event loop's thread. An attempt that cannot start is reported as
  * {@link Outcome#NEVER_SENT} before the call returns; the host queues that event.
  */
 final class AttemptDispatcher {
-    /** Header that gives a server the time left for the attempt, in whole milliseconds. */
+    /** Request header with the remaining time of the attempt, in whole milliseconds. */
     static final String EXPIRES_IN_HEADER = "X-Expires-In-Ms";
 
     private static final double HEALTH_CHECK_TIMEOUT_MS = 250;
@@ -34,7 +35,7 @@
     private final ServerConnections connections;
     private final Consumer<Event> events;
 
-    /** @param events takes the attempts' ends; called on the event loop's thread */
+    /** @param events called with an event at the end of each attempt, on the event loop's thread */
     AttemptDispatcher(
             EventLoop loop,
             Settings settings,
@@ -50,10 +51,10 @@
         this.events = events;
     }
 
-    /** @param handledAtMs when the event that led to this was handled; the write window counts from there */
+    /** @param handledAtMs when the balancer handled the event that caused the attempt; the write window starts then */
     void send(Send send, double handledAtMs) {
         PendingRequest request = requests.get(send.request());
-        if (request == null) { // released already, so complete
+        if (request == null) { // already complete and released
             events.accept(new AttemptEnded(send.request(), 0, send.server(), Outcome.NEVER_SENT, 0, true, null));
             return;
         }
@@ -68,8 +69,7 @@
         }
         double timeoutMs = send.timeoutMs() == 0 ? leftMs : Math.min(send.timeoutMs(), leftMs);
         request.attemptsInFlight++;
-        if (!connections
-                .hasCapacity()) { // a lack of this sidecar's own: the balancer must not count it as the server's
+        if (!connections.ensureCapacity()) { // this sidecar's limit: the balancer must not count it against the server
             request.attempts.add(null);
             attemptEnded(
                     request, attempt, send.server(), new HttpAttempt.Result(Outcome.NEVER_SENT, 0, null, null, null));
@@ -90,7 +90,7 @@
         sent.start(timeoutMs, settings.limits().connectTimeoutMs(), handledAtMs + send.writeWithinMs());
     }
 
-    /** Cancels the attempt if it is known and was started; one that has ended stays as it is. */
+    /** Cancels the attempt if it was started; has no effect on an unknown attempt or one that has ended. */
     void cancel(Cancel cancel) {
         PendingRequest request = requests.get(cancel.request());
         if (request != null
@@ -102,8 +102,8 @@
 
     private void attemptEnded(PendingRequest request, int attempt, String server, HttpAttempt.Result result) {
         request.attemptsInFlight--;
-        boolean isFirst = result.outcome() == Outcome.SERVED && !request.isComplete;
-        if (isFirst) {
+        boolean isFinalResponse = result.outcome() == Outcome.SERVED && !request.isComplete;
+        if (isFinalResponse) {
             requests.complete(request);
             request.responses.respondServed(result.body(), result.headers());
         }
@@ -118,21 +118,24 @@
                 LoadReport.parse(result.loadReport(), settings.loadReportFields())));
     }
 
-    /** Asks a server for its health, and for its load report where the settings have it come that way. */
+    /**
+     * Sends a health check to a server. It requests the load report too if the settings state that checks return it.
+     */
     void checkHealth(String server) {
         InetSocketAddress address = discovery.addressOf(server);
-        if (address == null || !connections.hasCapacity()) {
+        if (address == null || !connections.ensureCapacity()) {
             events.accept(new HealthChecked(server, false, 0, null));
             return;
         }
         connections.attemptStarted();
-        boolean wantsLoad = settings.loadReportsComeWithHealthChecks();
-        ByteBuffer request = MessageWriter.request("GET", wantsLoad ? "/_load" : "/ping", hostHeader(address))
+        boolean requestsLoadReport = settings.loadReportsComeWithHealthChecks();
+        ByteBuffer request = MessageWriter.request("GET", requestsLoadReport ? "/_load" : "/ping", hostHeader(address))
                 .noBody();
         new HttpAttempt(loop, address, connections.poolOf(server), request, () -> true, (ended, result) -> {
                     connections.attemptEnded();
-                    boolean inBody = wantsLoad && result.loadReport() == null && result.body() != null;
-                    String report = inBody ? new String(result.body(), StandardCharsets.US_ASCII) : result.loadReport();
+                    boolean isReportInBody = requestsLoadReport && result.loadReport() == null && result.body() != null;
+                    String report =
+                            isReportInBody ? new String(result.body(), StandardCharsets.US_ASCII) : result.loadReport();
                     events.accept(new HealthChecked(
                             server,
                             result.outcome() == Outcome.SERVED,
--- a/sidecar/src/main/java/dewplank/sidecar/BalancerHost.java
+++ b/sidecar/src/main/java/dewplank/sidecar/BalancerHost.java
@@ -33,14 +33,14 @@
 import java.util.List;
 
 /**
- * Runs the balancer on sockets: feeds it events, one at a time, and executes the actions that it returns.
+ * Runs the balancer on sockets: passes events to it, one at a time, and executes the actions that it returns.
  *
- * <p>It never picks a server, retries or rejects by itself. Client connections call it, and {@link Sidecar} does; all
- * on the event loop's thread unless a method says otherwise.
+ * <p>The host itself never selects a server, retries or rejects. Client connections and {@link Sidecar} call it on the
+ * event loop's thread unless a method states otherwise.
  */
 public final class BalancerHost {
     private static final System.Logger LOG = System.getLogger(BalancerHost.class.getName());
-    /** Reserved of a client's time: for the timer's tick, and the response's way to the client. */
+    /** Reserved from a client's time budget for the timer's resolution and for sending the response. */
     private static final double RESPONSE_MARGIN_MS = 10;
 
     private static final double DEADLINE_GUARD_MARGIN_MS = 10;
@@ -50,7 +50,7 @@
     private final Balancer balancer;
     private final DiscoveryClient discovery;
     private final CatalogUpdate initialCatalog;
-    private final PeerChannel peers; // null where the settings allow none
+    private final PeerChannel peers; // null if the settings allow no peer summaries
     private final OpenRequests requests = new OpenRequests();
     private final ServerConnections connections;
     private final AttemptDispatcher attempts;
@@ -83,7 +83,7 @@
         this.attempts = new AttemptDispatcher(loop, settings, discovery, requests, connections, this::deliver);
     }
 
-    /** Starts the peers' channel, discovery and the sweep of idle connections. Called once. */
+    /** Starts the peer channel, discovery and the sweep of idle connections. Called once. */
     public void start() {
         if (peers != null) {
             peers.start();
@@ -92,7 +92,7 @@
         connections.start();
     }
 
-    /** Whether there is a server to send to. */
+    /** Whether a server is available for requests. */
     boolean hasAvailableServer() {
         return discovery.hasAvailableServer();
     }
@@ -102,7 +102,7 @@
         return requests.isIdInUse(id);
     }
 
-    /** The longest that any request may still be open, by the settings. */
+    /** Returns the longest deadline of all request classes. */
     double maxDeadlineMs() {
         return settings.classes().stream()
                 .mapToDouble(RequestClass::deadlineMs)
@@ -110,7 +110,7 @@
                 .orElse(0);
     }
 
-    /** The shortest latency target of any request class. */
+    /** Returns the shortest latency target of all request classes. */
     double minLatencyTargetMs() {
         return settings.classes().stream()
                 .mapToDouble(RequestClass::latencyTargetMs)
@@ -118,7 +118,7 @@
                 .orElse(0);
     }
 
-    /** Caps the time of new requests at this time of the loop's clock, and fails what is still open then. */
+    /** Limits the deadlines of new requests to this time of the event loop, and fails requests still open then. */
     void completeAllBy(double timeMs) {
         completeAllByMs = timeMs;
         loop.after(timeMs - loop.now(), () -> {
@@ -128,8 +128,8 @@
         });
     }
 
-    void moveDiscoveryTo(InetSocketAddress address) {
-        discovery.moveTo(address);
+    void changeDiscoveryAddress(InetSocketAddress address) {
+        discovery.changeAddress(address);
     }
 
     int openRequestCount() {
@@ -153,15 +153,15 @@
     }
 
     /**
-     * Accepts a client's request and hands it to the balancer.
+     * Accepts a client's request and passes it to the balancer.
      *
-     * @param responses gets the final response, exactly once
+     * @param responses receives the final response, exactly once unless the request is abandoned
      */
     PendingRequest accept(ClientRequest decoded, PendingRequest.ResponseSink responses) {
         double budgetMs =
                 Math.max(1, Math.min(decoded.timeBudgetMs(), completeAllByMs - loop.now()) - RESPONSE_MARGIN_MS);
         PendingRequest request = requests.open(decoded.forwarded(), loop.now() + budgetMs, responses);
-        // Should the balancer ever leave a request without a response, the client still gets one in time.
+        // If the balancer does not decide on the request, the client still gets a response in time.
         request.deadlineGuard = loop.after(budgetMs + DEADLINE_GUARD_MARGIN_MS, () -> {
             LOG.log(System.Logger.Level.WARNING, "request deadline passed without a decision");
             abandon(request);
@@ -179,7 +179,7 @@
         return request;
     }
 
-    /** Ends a request without a response: the client has disconnected, or gets its response by other means. */
+    /** Completes a request without a response: the client has disconnected, or the caller sends the response. */
     void abandon(PendingRequest request) {
         if (!request.isComplete) {
             requests.complete(request);
@@ -200,8 +200,8 @@
     }
 
     /**
-     * Queues an event, and handles the queue unless that is being done further up the stack. An action's effect, such
-     * as a connection refused at once, may come before the balancer has finished with the event that led to it.
+     * Queues an event, and processes the queue unless a caller further up the stack already does so. The result of an
+     * action, such as a refused connection, may be reported while the event that caused the action is still handled.
      */
     private void deliver(Event event) {
         events.addLast(event);
@@ -218,13 +218,13 @@
         }
     }
 
-    /** Handles one event. A defect in the balancer or in an action must not end the loop or other requests. */
+    /** Handles one event. An exception from the balancer or an action must not stop the loop or fail other requests. */
     private void handle(Event event) {
         List<Action> actions = new ArrayList<>();
         try {
             handledAtMs = loop.now();
             balancer.handle(handledAtMs, event, actions::add);
-        } catch (RuntimeException e) { // any defect of the balancer costs this event's request only
+        } catch (RuntimeException e) { // a bug in the balancer fails only the request of this event
             LOG.log(
                     System.Logger.Level.ERROR,
                     "balancer failed event=" + event.getClass().getSimpleName(),
@@ -234,7 +234,7 @@
         for (Action action : actions) {
             try {
                 execute(action);
-            } catch (RuntimeException e) { // the other actions of the event are still owed
+            } catch (RuntimeException e) { // the remaining actions of the event are still executed
                 LOG.log(
                         System.Logger.Level.ERROR,
                         "action failed action=" + action.getClass().getSimpleName(),
--- a/sidecar/src/main/java/dewplank/sidecar/ClientConnection.java
+++ b/sidecar/src/main/java/dewplank/sidecar/ClientConnection.java
@@ -17,7 +17,7 @@
 /**
  * A client's HTTP connection: reads requests, one at a time, and writes their final responses.
  *
- * <p>The listener creates it per accepted connection. All of it runs on the event loop's thread.
+ * <p>The listener creates one per accepted connection. All methods run on the event loop's thread.
  */
 final class ClientConnection implements Listener.Accepted, PendingRequest.ResponseSink {
     private static final System.Logger LOG = System.getLogger(ClientConnection.class.getName());
@@ -38,7 +38,7 @@
     private boolean hasResponded;
     private double waitingSinceMs;
 
-    /** @param isReady whether {@code /_health} answers that clients may come */
+    /** @param isReady whether {@code /_health} reports that the sidecar is ready for clients */
     ClientConnection(
             EventLoop loop,
             BalancerHost host,
@@ -76,21 +76,24 @@
             }
         } catch (BadMessageException e) {
             reject(e);
-        } catch (RuntimeException e) { // a defect: the client still gets its one response
+        } catch (RuntimeException e) { // a bug: the client still gets exactly one response
             failInternally(e);
         }
     }
 
-    /** A defect was caught: the client still gets its one response. */
+    /** Responds with status 500 after an unexpected exception, so that the client gets exactly one response. */
     private void failInternally(RuntimeException e) {
         LOG.log(System.Logger.Level.ERROR, "request handling failed", e);
         reject(new BadMessageException(500, "internal error"));
     }
 
-    /** A disconnect could not be seen any more, and a request must not be forwarded without its client. */
+    /**
+     * Rejects the open request: the sidecar could not detect a disconnect any more, and a request must not be forwarded
+     * after its client has disconnected.
+     */
     @Override
     public void readAheadExceeded() {
-        reject(new BadMessageException(400, "too much was sent ahead of an answer"));
+        reject(new BadMessageException(400, "too many bytes were sent before the response"));
     }
 
     private void handleRequest() throws BadMessageException {
@@ -100,8 +103,8 @@
         }
         ClientRequest decoded = decoder.decode(parser);
         queued = decoded;
-        // The client's end may lie right behind its request. The next read comes after this, and what it finds at once
-        // is queued by the time the first of these tasks runs: so the second one is behind it.
+        // The client may have closed the connection directly after its request. The next read follows this method, and
+        // its result, if immediate, is queued before the first of these tasks runs. The second task runs after it.
         loop.execute(() -> loop.execute(() -> forward(decoded)));
     }
 
@@ -111,25 +114,28 @@
                 (ready ? "ok\n" : "not ready: starting, or no servers known\n").getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** Hands a complete request to the host, unless its client has disconnected meanwhile. */
-    @SuppressWarnings("ReferenceEquality") // this request, not an equal one that came later
+    /** Passes a complete request to the host, unless its client has disconnected in the meantime. */
+    @SuppressWarnings("ReferenceEquality") // this request, not an equal one received later
     private void forward(ClientRequest decoded) {
         if (queued != decoded) {
             return;
         }
         queued = null;
-        if (host.isIdInUse(decoded.forwarded().id())) { // a server could not tell it from the other one's retry
-            reject(new BadMessageException(409, "X-Trace-Id is that of an open request"));
+        if (host.isIdInUse(decoded.forwarded().id())) { // a server could take it for a retry of the other one
+            reject(new BadMessageException(409, "X-Trace-Id is already used by an open request"));
             return;
         }
         try {
             request = host.accept(decoded, this);
-        } catch (RuntimeException e) { // a defect: the client still gets its one response
+        } catch (RuntimeException e) { // a bug: the client still gets exactly one response
             failInternally(e);
         }
     }
 
-    /** What follows a malformed request can't be told apart from it, so the connection ends. */
+    /**
+     * Responds with an error and closes the connection, because the start of the next request cannot be determined
+     * after a malformed one.
+     */
     private void reject(BadMessageException e) {
         abandonRequest();
         busy = true;
@@ -138,7 +144,7 @@
     }
 
     @Override
-    public void closed(IOException why) {
+    public void closed(IOException reason) {
         clients.remove(this);
         abandonRequest();
     }
@@ -188,28 +194,29 @@
         return busy;
     }
 
-    /** Whether no byte has come since the connection was accepted. */
-    boolean isSilent() {
+    /** Whether no byte has been received since the connection was accepted. */
+    boolean hasReceivedNothing() {
         return !hasReceived;
     }
 
-    /** Whether it is between requests, after at least one response. */
+    /** Whether the connection is between requests, after at least one response. */
     boolean isIdle() {
         return hasResponded && !parser.hasBegun();
     }
 
     /**
-     * Loop time since which a complete request is due: its first byte, or the accepting of a connection that has had no
-     * response yet. Further bytes do not put it off.
+     * Returns the event loop time from which the wait for a complete request is measured: the acceptance of the
+     * connection; after the first response, the last response or the first byte of the next request. Further bytes do
+     * not restart the wait.
      */
     double waitingSinceMs() {
         return waitingSinceMs;
     }
 
-    /** No request became complete in time. One that has begun gets an error response. */
+    /** Closes the connection because no complete request was received in time. A partial request gets an error. */
     void timeOut() {
         if (parser.hasBegun()) {
-            reject(new BadMessageException(408, "the request did not become whole in time"));
+            reject(new BadMessageException(408, "the request was not received completely in time"));
         } else {
             clients.remove(this);
             connection.close();
@@ -217,10 +224,11 @@
     }
 
     /**
-     * Closes the connection if no request is open on it, nor half read; a half-read one too if {@code includeUnread}.
+     * Closes the connection if it has neither an open request nor a partially read one. With
+     * {@code includePartiallyRead}, a partially read request does not prevent this.
      */
-    void closeIfIdle(boolean includeUnread) {
-        if (!busy && (includeUnread || !parser.hasBegun())) {
+    void closeIfIdle(boolean includePartiallyRead) {
+        if (!busy && (includePartiallyRead || !parser.hasBegun())) {
             clients.remove(this);
             connection.closeGracefully();
         }
--- a/sidecar/src/main/java/dewplank/sidecar/ClientConnections.java
+++ b/sidecar/src/main/java/dewplank/sidecar/ClientConnections.java
@@ -5,19 +5,22 @@
 import java.util.Set;
 
 /**
- * The clients' open connections, and the rules for which of them may stay open.
+ * The open connections of clients, and the rules for closing them.
  *
  * <p>{@link Sidecar}, {@link GracefulShutdown} and the connections themselves call it on the event loop's thread.
  */
 final class ClientConnections {
-    /** Idle connections are kept while clients have no more than this part of the connections that they may have. */
+    /** Idle connections stay open while the number of open connections is at most the limit divided by this. */
     static final int IDLE_CAPACITY_DIVISOR = 3;
     /** How long a connection may wait for a complete request. */
     private static final double MAX_REQUEST_READ_MS = 2_000;
-    /** How long it may wait between requests while there is capacity. */
+    /** How long a connection may be idle between requests while there is idle capacity. */
     private static final double MAX_IDLE_MS = 60_000;
-    /** How long it may send nothing at all while there is none: a client with a request sends it at once. */
-    private static final double MAX_SILENT_WHEN_FULL_MS = 100;
+    /**
+     * How long a connection may wait for its first byte while the listener is at its limit. A client with a request
+     * sends it immediately.
+     */
+    private static final double MAX_FIRST_BYTE_WAIT_WHEN_FULL_MS = 100;
 
     private final int maxConnections;
     private final Set<ClientConnection> open = new HashSet<>();
@@ -32,7 +35,7 @@
         open.add(connection);
     }
 
-    /** Forgets a connection that has ended or begun to close. */
+    /** Removes a connection that is closed or closing. */
     void remove(ClientConnection connection) {
         open.remove(connection);
     }
@@ -41,12 +44,12 @@
         return open.isEmpty();
     }
 
-    /** From here on no connection is closed for want of capacity. */
+    /** From now on, no idle connection is closed to free capacity. */
     void startDraining() {
         isDraining = true;
     }
 
-    /** From here on each response is the last on its connection. */
+    /** From now on, each connection is closed after its next response. */
     void startClosing() {
         isClosing = true;
     }
@@ -61,22 +64,22 @@
     }
 
     /**
-     * Whether another connection may be kept idle. Where not, each response is the last on its connection: clients
-     * that send one request and keep theirs have a bound of their own, and reach it before the idle ones are old
-     * enough to end. A draining sidecar ends none: no new ones come, and the client gives up on the sidecar once all
-     * that it has are busy.
+     * Whether another connection may stay open while idle. If not, each connection is closed after its response:
+     * clients that send one request and keep their connection open have their own connection limit, and reach it before
+     * the idle timeout closes connections. A draining sidecar closes no idle connections: it gets no new ones, and a
+     * client stops using the sidecar once all of its connections are busy.
      */
     private boolean hasIdleCapacity() {
         return isDraining || open.size() <= maxConnections / IDLE_CAPACITY_DIVISOR;
     }
 
     /**
-     * Closes the connections that have waited too long for a complete request. Otherwise clients that forget their
-     * connections, send nothing or stop halfway through a request would use up the bound.
+     * Closes the connections that have waited too long for a complete request. Otherwise clients that abandon their
+     * connections, send nothing or stop in the middle of a request would exhaust the connection limit.
      *
-     * @param isFull whether the listener accepts no more for now
+     * @param isFull whether the listener is at its connection limit
      */
-    void closeOverdue(double nowMs, boolean isFull) {
+    void closeTimedOut(double nowMs, boolean isFull) {
         boolean hasIdleCapacity = hasIdleCapacity();
         for (ClientConnection connection : new ArrayList<>(open)) {
             if (!connection.isBusy()
@@ -90,16 +93,18 @@
         if (connection.isIdle() && hasIdleCapacity) {
             return MAX_IDLE_MS;
         }
-        return connection.isSilent() && isFull ? MAX_SILENT_WHEN_FULL_MS : MAX_REQUEST_READ_MS;
+        return connection.hasReceivedNothing() && isFull ? MAX_FIRST_BYTE_WAIT_WHEN_FULL_MS : MAX_REQUEST_READ_MS;
     }
 
-    /** Closes each connection without an open or half-read request; half-read ones too if {@code includeUnread}. */
-    void closeIdle(boolean includeUnread) {
-        new ArrayList<>(open).forEach(connection -> connection.closeIfIdle(includeUnread));
+    /** Closes connections without an open or, unless {@code includePartiallyRead}, a partially read request. */
+    void closeIdle(boolean includePartiallyRead) {
+        new ArrayList<>(open).forEach(connection -> connection.closeIfIdle(includePartiallyRead));
     }
 
-    /** How many have sent at least one byte. */
+    /** Returns the number of connections on which at least one byte was received. */
     long activeCount() {
-        return open.stream().filter(connection -> !connection.isSilent()).count();
+        return open.stream()
+                .filter(connection -> !connection.hasReceivedNothing())
+                .count();
     }
 }
--- a/sidecar/src/main/java/dewplank/sidecar/ClientRequest.java
+++ b/sidecar/src/main/java/dewplank/sidecar/ClientRequest.java
@@ -1,13 +1,13 @@
 package dewplank.sidecar;
 
 /**
- * A client's request as it was read and checked, ready for the balancer.
+ * A client's request after it has been decoded and validated.
  *
- * @param forwarded what servers get
- * @param attributes what the balancer learns of it beside its class
- * @param requestClass one that the settings name
+ * @param forwarded the request as forwarded to servers
+ * @param attributes the attributes for the balancer, in addition to the class
+ * @param requestClass the name of a request class in the settings
  * @param timeBudgetMs the client's remaining time when the request was read
- * @param isRetry whether the client says that it has sent this request before
+ * @param isRetry whether the client states that it has sent this request before
  */
 record ClientRequest(
         PendingRequest.ForwardedRequest forwarded,
--- a/sidecar/src/main/java/dewplank/sidecar/GracefulShutdown.java
+++ b/sidecar/src/main/java/dewplank/sidecar/GracefulShutdown.java
@@ -6,16 +6,18 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Drains a sidecar: it serves on for a while, then accepts no more, closes idle connections and waits for the rest.
+ * Drains a sidecar: it continues to serve for a limited time, then closes the listener and the idle connections, and
+ * waits for the remaining requests.
  *
- * <p>{@link #run} is called once, on a thread other than the event loop's, and blocks it. All else runs on the loop.
+ * <p>{@link #run} is called once, on a thread other than the event loop's, and blocks that thread. The private methods
+ * run on the event loop's thread.
  */
 final class GracefulShutdown {
     private static final System.Logger LOG = System.getLogger(GracefulShutdown.class.getName());
     private static final double POLL_INTERVAL_MS = 10;
-    /** A request half read when the listener closes gets this long to become complete. */
+    /** How long a request that is partially read when the listener closes may take to become complete. */
     private static final double MAX_READ_AFTER_CLOSE_MS = 500;
-    /** A connection that closes gracefully takes a second at most. */
+    /** A graceful close of a connection takes at most 1 s. */
     private static final double TIMEOUT_MARGIN_MS = 1_500;
 
     private final EventLoop loop;
@@ -32,7 +34,7 @@
         this.listener = listener;
     }
 
-    /** Returns when all is closed, or 1.5 s after {@code completeByMs}, with a warning in the log. */
+    /** Returns when all connections are closed, or 1.5 s after {@code completeByMs} with a warning in the log. */
     void run(DrainSchedule schedule) throws InterruptedException {
         loop.execute(() -> start(schedule));
         double maxWaitMs = schedule.completeByMs() + TIMEOUT_MARGIN_MS;
@@ -57,7 +59,7 @@
         started.countDown();
     }
 
-    /** Serves until then, or until there are no clients left; then accepts no more. */
+    /** Serves until this time or until no client is connected, then closes the listener. */
     private void serveUntil(double untilMs, double maxReadMs) {
         if (loop.now() < untilMs && !clients.isEmpty()) {
             loop.after(POLL_INTERVAL_MS, () -> serveUntil(untilMs, maxReadMs));
@@ -70,11 +72,11 @@
 
     private void closeWhenIdle(double readUntilMs) {
         clients.closeIdle(loop.now() >= readUntilMs);
-        // Connections that still close count too: the program's end would reset one on which bytes have come meanwhile.
+        // Also waits for closing connections: an exit of the process would reset one that has received further bytes.
         if (clients.isEmpty() && host.openRequestCount() == 0 && !listener.hasOpenConnections()) {
             host.close();
             LOG.log(System.Logger.Level.INFO, "drained");
-            loop.after(POLL_INTERVAL_MS, drained::countDown); // the last responses are on their way out
+            loop.after(POLL_INTERVAL_MS, drained::countDown); // leaves time to send the last responses
         } else {
             loop.after(POLL_INTERVAL_MS, () -> closeWhenIdle(readUntilMs));
         }
--- a/sidecar/src/main/java/dewplank/sidecar/HttpAttempt.java
+++ b/sidecar/src/main/java/dewplank/sidecar/HttpAttempt.java
@@ -18,21 +18,21 @@
 /**
  * One HTTP exchange with a server: a connection, a request and its response.
  *
- * <p>{@link AttemptDispatcher} and {@link Rehearsal} create it. All of it runs on the event loop's thread. It ends
- * exactly once, and the listener gets its {@link Result} then.
+ * <p>{@link AttemptDispatcher} and {@link JvmWarmUp} create it. All methods run on the event loop's thread. An attempt
+ * ends exactly once, and passes its {@link Result} to the listener then.
  */
 final class HttpAttempt implements Connection.Handler {
     /**
      * How an attempt ended.
      *
-     * @param elapsedMs since the attempt was created
-     * @param body the response's, or null unless it was served
-     * @param headers the response's end-to-end headers, or null unless it was served
+     * @param elapsedMs the time since the attempt was created
+     * @param body the body of the response, or null unless the outcome is {@code SERVED}
+     * @param headers the end-to-end headers of the response, or null unless the outcome is {@code SERVED}
      * @param loadReport the server's load report, or null
      */
     record Result(Outcome outcome, double elapsedMs, byte[] body, List<Headers.Field> headers, String loadReport) {}
 
-    /** Gets an attempt's end, on the event loop's thread. */
+    /** Notified when an attempt ends, on the event loop's thread. */
     interface CompletionListener {
         void attemptEnded(HttpAttempt attempt, Result result);
     }
@@ -53,7 +53,7 @@
     private double writeDeadlineMs;
     private boolean hasEnded;
 
-    /** @param mayWrite called once the connection is up: whether the request may still be written to it */
+    /** @param mayWrite called when the connection is established; whether the request may still be written to it */
     HttpAttempt(
             EventLoop loop,
             InetSocketAddress server,
@@ -71,7 +71,8 @@
     }
 
     /**
-     * @param writeDeadlineMs loop time by which the request is completely written, or else never sent; may be infinite
+     * @param writeDeadlineMs event loop time by which the request must be completely written; otherwise it counts as
+     *     not sent; may be infinite
      */
     void start(double timeoutMs, double connectTimeoutMs, double writeDeadlineMs) {
         this.writeDeadlineMs = writeDeadlineMs;
@@ -85,7 +86,7 @@
             connected(idle);
             return;
         }
-        if (connectTimeoutMs > 0) { // without one in the settings only the attempt's own time-out applies
+        if (connectTimeoutMs > 0) { // if the settings have none, only the attempt's timeout applies
             connectTimeout = loop.after(connectTimeoutMs, () -> end(Outcome.CONNECT_FAILED));
         }
         connecting = Connection.open(loop, server, this, this::connected, e -> end(Outcome.CONNECT_FAILED));
@@ -93,11 +94,12 @@
 
     private void connected(Connection established) {
         connection = established;
-        connecting = null; // from here on it is the connection that ends: cancelling would close one gone to the pool
+        connecting = null; // a later cancel could close a connection that was returned to the pool
         if (connectTimeout != null) {
             connectTimeout.cancel();
         }
-        if (loop.now() > writeDeadlineMs || !mayWrite.getAsBoolean()) { // too late, or the client or server is gone
+        if (loop.now() > writeDeadlineMs
+                || !mayWrite.getAsBoolean()) { // too late, request complete, or server draining or removed
             end(Outcome.CONNECT_FAILED);
             return;
         }
@@ -122,8 +124,8 @@
     }
 
     @Override
-    public void closed(IOException why) {
-        if (why == null && parser.endOfInput()) {
+    public void closed(IOException reason) {
+        if (reason == null && parser.endOfInput()) {
             responseComplete(false);
         } else {
             end(Outcome.RESET);
@@ -148,7 +150,10 @@
         end(Outcome.CANCELLED);
     }
 
-    /** Closes a connection that did not return to the pool: a late response must not meet its next request. */
+    /**
+     * Ends the attempt. A connection that was not returned to the pool is closed, so that a late response is not taken
+     * for the response to another request.
+     */
     private void end(Outcome outcome) {
         if (hasEnded) {
             return;
@@ -166,12 +171,12 @@
         } else if (connecting != null) {
             connecting.cancel();
         }
-        Outcome provenOutcome = provenOutcome(outcome);
-        boolean served = provenOutcome == Outcome.SERVED;
+        Outcome finalOutcome = adjustForUnwrittenRequest(outcome);
+        boolean served = finalOutcome == Outcome.SERVED;
         listener.attemptEnded(
                 this,
                 new Result(
-                        provenOutcome,
+                        finalOutcome,
                         loop.now() - startedAtMs,
                         served ? parser.takeBody() : null,
                         served ? parser.headers().endToEnd() : null,
@@ -179,12 +184,13 @@
     }
 
     /**
-     * A request whose last byte was never handed to the system has not run, whatever came meanwhile; with it handed
-     * over, nothing is proven. The buffer is what counts, not the write's completion, which may come after the reset's.
-     * Its position is final, and visible here, once the connection is closed: closing waits for a write in progress.
+     * Returns {@code CONNECT_FAILED} if the last byte of the request was never passed to the operating system. Such a
+     * request has not run, even if a response or a reset was received. Otherwise it may have run. The buffer's position
+     * decides, not the completion of the write, which may be reported after the reset. The position is final and
+     * visible to this thread once the connection is closed, because closing waits for a write in progress.
      */
-    private Outcome provenOutcome(Outcome outcome) {
-        boolean unproven = outcome != Outcome.REJECTED && outcome != Outcome.CANCELLED;
-        return unproven && request.hasRemaining() ? Outcome.CONNECT_FAILED : outcome;
+    private Outcome adjustForUnwrittenRequest(Outcome outcome) {
+        boolean isAdjustable = outcome != Outcome.REJECTED && outcome != Outcome.CANCELLED;
+        return isAdjustable && request.hasRemaining() ? Outcome.CONNECT_FAILED : outcome;
     }
 }
--- a/sidecar/src/main/java/dewplank/sidecar/Rehearsal.java
+++ b/sidecar/src/main/java/dewplank/sidecar/JvmWarmUp.java
@@ -24,13 +24,14 @@
 import java.util.stream.IntStream;
 
 /**
- * Runs the code of the common path before clients come.
+ * Warms up the JVM: runs the code of the common path before clients connect.
  *
- * <p>In the first seconds after a start classes are loaded and compiled on part of a core, and requests would time out
- * meanwhile. It sends requests to the sidecar's own {@code /_health}, and drives a balancer that is discarded; nothing
- * goes to any server. {@link Sidecar#rehearse} starts it, and all of it runs on the event loop's thread.
+ * <p>In the first seconds after a start, classes are loaded and compiled on a fraction of a core, and requests would
+ * time out in the meantime. The warm-up sends requests to the sidecar's own {@code /_health} and passes events to a
+ * balancer that is discarded afterwards. It sends nothing to servers. {@link Sidecar#rehearse} starts it, and all
+ * methods run on the event loop's thread.
  */
-final class Rehearsal {
+final class JvmWarmUp {
     private static final int MAX_ROUNDS = 300;
     private static final double MAX_DURATION_MS = 1_000;
     private static final int SERVER_COUNT = 9;
@@ -45,7 +46,7 @@
     private final Balancer balancer;
     private int round;
 
-    Rehearsal(EventLoop loop, InetSocketAddress ownAddress, Settings settings, Runnable whenDone) {
+    JvmWarmUp(EventLoop loop, InetSocketAddress ownAddress, Settings settings, Runnable whenDone) {
         this.loop = loop;
         this.ownAddress = ownAddress;
         this.settings = settings;
@@ -69,7 +70,7 @@
             whenDone.run();
             return;
         }
-        driveBalancer();
+        simulateRequests();
         MessageWriter request = MessageWriter.request("POST", "/_health", "rehearsal")
                 .header("X-Trace-Id", "0")
                 .header("X-Qos", "rehearsal")
@@ -84,8 +85,8 @@
                 .start(MAX_DURATION_MS, MAX_DURATION_MS, Double.POSITIVE_INFINITY);
     }
 
-    /** One request of each class, served at once. */
-    private void driveBalancer() {
+    /** Passes a request of each class to the balancer, and reports each one as served immediately. */
+    private void simulateRequests() {
         long request = (long) round * settings.classes().size();
         for (RequestClass requestClass : settings.classes()) {
             deliver(new RequestArrived(
--- a/sidecar/src/main/java/dewplank/sidecar/LoadReport.java
+++ b/sidecar/src/main/java/dewplank/sidecar/LoadReport.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Parses a server's load report: {@code TEXT inflight=7, queue=2}. */
+/** Parses a server's load report, for example {@code TEXT inflight=7, queue=2}. */
 final class LoadReport {
     private LoadReport() {}
 
@@ -12,9 +12,9 @@
      * Parses the load report of a response.
      *
      * @param header the report, or null
-     * @param fields the names that the settings list
-     * @return the values in the settings' order, NaN for a missing one; null where there is no report, which is what
-     *     {@code AttemptEnded} and {@code HealthChecked} take
+     * @param fields the names of the values in the settings
+     * @return the values in the order of {@code fields}, NaN for a missing one; null if there is no report, as
+     *     {@code AttemptEnded} and {@code HealthChecked} expect
      */
     static double[] parse(String header, List<String> fields) {
         if (header == null || !header.startsWith("TEXT ")) {
@@ -26,11 +26,11 @@
             if (equals > 0) {
                 try {
                     double value = Double.parseDouble(part.substring(equals + 1).strip());
-                    if (value >= 0 && value < Double.POSITIVE_INFINITY) { // what no server can mean counts as missing
+                    if (value >= 0 && value < Double.POSITIVE_INFINITY) { // an impossible value counts as missing
                         values.put(part.substring(0, equals).strip(), value);
                     }
                 } catch (NumberFormatException e) {
-                    // a value that is no number counts as missing
+                    // a value that is not a number counts as missing
                 }
             }
         }
--- a/sidecar/src/main/java/dewplank/sidecar/OpenRequests.java
+++ b/sidecar/src/main/java/dewplank/sidecar/OpenRequests.java
@@ -8,9 +8,10 @@
 import java.util.Set;
 
 /**
- * The clients' requests that have no final response yet, or attempts still in flight.
+ * The requests of clients that have no final response yet or still have attempts in flight.
  *
- * <p>{@link BalancerHost} and {@link AttemptDispatcher} call it on the event loop's thread. It sends nothing itself.
+ * <p>{@link BalancerHost} and {@link AttemptDispatcher} call it on the event loop's thread. The class itself sends
+ * nothing.
  */
 final class OpenRequests {
     private final Map<Long, PendingRequest> byNumber = new HashMap<>();
@@ -26,17 +27,17 @@
         return request;
     }
 
-    /** The request of this number, or null once it is released. */
+    /** Returns the request with this number, or null if it has been released. */
     PendingRequest get(long number) {
         return byNumber.get(number);
     }
 
-    /** Whether a request with this id of the client's has no final response yet. */
+    /** Whether a request with this trace id has no final response yet. */
     boolean isIdInUse(String id) {
         return idsInUse.contains(id);
     }
 
-    /** Marks the request as complete. From here on its attempts' results are only statistics. */
+    /** Marks the request as complete. Later results of its attempts are used for statistics only. */
     void complete(PendingRequest request) {
         request.isComplete = true;
         idsInUse.remove(request.forwarded.id());
@@ -44,19 +45,19 @@
         releaseIfDone(request);
     }
 
-    /** Drops the request once it is complete and its last attempt has ended. */
+    /** Releases the request once it is complete and its last attempt has ended. */
     void releaseIfDone(PendingRequest request) {
         if (request.isComplete && request.attemptsInFlight == 0) {
             byNumber.remove(request.id);
         }
     }
 
-    /** All that are registered now. The caller may complete them while it goes through the list. */
+    /** Returns a copy of the registered requests, so that the caller may complete them while it iterates. */
     List<PendingRequest> snapshot() {
         return new ArrayList<>(byNumber.values());
     }
 
-    /** How many have no final response yet. */
+    /** Returns the number of requests without a final response. */
     int incompleteCount() {
         return (int) byNumber.values().stream()
                 .filter(request -> !request.isComplete)
--- a/sidecar/src/main/java/dewplank/sidecar/PendingRequest.java
+++ b/sidecar/src/main/java/dewplank/sidecar/PendingRequest.java
@@ -6,38 +6,41 @@
 import java.util.List;
 
 /**
- * One request of a client, from its last byte to its final response and the end of its last attempt.
+ * A client's request, from its complete receipt until its final response and the end of its last attempt.
  *
  * <p>Its fields are the state that {@link OpenRequests}, {@link AttemptDispatcher} and {@link BalancerHost} share on
  * the event loop's thread.
  */
 final class PendingRequest {
-    /** Sends the final response in the client's protocol. One method is called, once, on the event loop's thread. */
+    /**
+     * Sends the final response in the client's protocol. At most one method is called, once, on the event loop's
+     * thread.
+     */
     interface ResponseSink {
         /** Responds with a server's body and its end-to-end headers. */
         void respondServed(byte[] body, List<Headers.Field> headers);
 
-        /** Rejects the request; {@code retryAfterMs} says when a retry makes sense, 0 for no advice. */
+        /** Rejects the request; {@code retryAfterMs} is the delay until a retry is useful, or 0 for no advice. */
         void respondRejected(double retryAfterMs);
 
-        /** The request may have run. */
+        /** Responds that the request failed; it may have run. */
         void respondFailed();
     }
 
     /**
-     * What is forwarded to a server, the same on every attempt.
+     * A request as forwarded to a server, identical on every attempt.
      *
-     * @param id the client's trace id, also among the headers
+     * @param id the client's trace id, which is also one of the headers
      */
     record ForwardedRequest(String id, String method, String target, List<Headers.Field> headers, byte[] body) {}
 
     final long id;
     final ForwardedRequest forwarded;
-    /** By the event loop's clock. */
+    /** In event loop time. */
     final double deadlineMs;
 
     final ResponseSink responses;
-    /** By number; null for an attempt that never started. */
+    /** Attempts by number; null for an attempt that was not started. */
     final List<HttpAttempt> attempts = new ArrayList<>();
 
     int attemptsInFlight;
--- a/sidecar/src/main/java/dewplank/sidecar/RequestAttributes.java
+++ b/sidecar/src/main/java/dewplank/sidecar/RequestAttributes.java
@@ -6,21 +6,21 @@
 import java.util.Set;
 
 /**
- * What the balancer learns of a request beside its class, read from the request's headers.
+ * The attributes of a request that the balancer uses in addition to its class, read from the request's headers.
  *
- * <p>The headers are forwarded as they came, whatever is read here.
+ * <p>The headers are forwarded unchanged.
  *
- * @param tenant one that the settings name; null for none, an unknown one, or more than one
- * @param key the affinity key; null for none, an ambiguous one, or one longer than {@link #MAX_KEY_LENGTH}
+ * @param tenant a tenant in the settings; null if the headers name none, an unknown one or several
+ * @param key the affinity key; null if it is missing, ambiguous or longer than {@link #MAX_KEY_LENGTH}
  * @param costMs expected work in milliseconds of a standard core, or null
  */
 record RequestAttributes(String tenant, String key, Double costMs) {
-    static final int MAX_KEY_LENGTH = 128; // characters; the balancer remembers some thousands of keys
+    static final int MAX_KEY_LENGTH = 128; // characters; the balancer stores several thousand keys
     private static final double MAX_COST_MS = 3_600_000;
 
     static RequestAttributes of(Headers headers, Set<String> tenants) {
         List<Headers.Field> fields = headers.endToEnd();
-        String tenant = headers.get("X-Customer"); // two such headers come as one with a comma: unknown
+        String tenant = headers.get("X-Customer"); // repeated headers are joined with a comma, so they name no tenant
         String key = Cookies.value(fields, "k");
         return new RequestAttributes(
                 tenants.contains(tenant) ? tenant : null,
@@ -28,7 +28,7 @@
                 positiveProperty(headers.get("X-Props"), "Work"));
     }
 
-    /** The figure of that name in {@code name=value,name=value}; null where it is missing, doubled or no figure. */
+    /** Returns the number of this name in {@code name=value,name=value}; null if it is missing, repeated or invalid. */
     private static Double positiveProperty(String properties, String name) {
         Double found = null;
         for (String pair : properties == null ? new String[0] : properties.split(",")) {
--- a/sidecar/src/main/java/dewplank/sidecar/RequestDecoder.java
+++ b/sidecar/src/main/java/dewplank/sidecar/RequestDecoder.java
@@ -14,14 +14,15 @@
 import java.util.stream.Collectors;
 
 /**
- * Checks a complete HTTP request against the settings and turns it into a {@link ClientRequest}.
+ * Validates a complete HTTP request against the settings and converts it into a {@link ClientRequest}.
  *
- * <p>Client connections call it on the event loop's thread. It keeps no state between requests.
+ * <p>Client connections call it on the event loop's thread. It has no state between requests.
  */
 final class RequestDecoder {
     private static final Pattern MILLISECONDS = Pattern.compile("[0-9]{1,9}");
     private static final long MAX_TIME_BUDGET_MS = 3_600_000;
-    private static final Pattern TRACE_ID = Pattern.compile("[!-+\\--~]{1,128}"); // visible, no comma
+    private static final Pattern TRACE_ID =
+            Pattern.compile("[!-+\\--~]{1,128}"); // visible characters without the comma
 
     private final Map<String, Idempotency> idempotencyByClass;
     private final Set<String> tenants;
@@ -33,28 +34,28 @@
     }
 
     /**
-     * Takes the request that the parser has read completely, its body with it.
+     * Decodes the request that the parser has read completely, and takes the body from the parser.
      *
-     * @throws BadMessageException with status 400 where a required header is missing or malformed
+     * @throws BadMessageException with status 400 if a required header is missing or malformed
      */
     ClientRequest decode(RequestParser parser) throws BadMessageException {
         Headers headers = parser.headers();
         String requestClass = headers.get("X-Qos");
         Idempotency idempotency = requestClass == null ? null : idempotencyByClass.get(requestClass);
         if (idempotency == null) {
-            throw new BadMessageException(400, "X-Qos names no class of the settings");
+            throw new BadMessageException(400, "X-Qos is missing or names no request class of the settings");
         }
         String id = headers.get("X-Trace-Id");
-        if (id == null || !TRACE_ID.matcher(id).matches()) { // two such headers come as one with a comma: malformed
+        if (id == null || !TRACE_ID.matcher(id).matches()) { // repeated headers are joined with a comma
             throw new BadMessageException(400, "X-Trace-Id is missing or malformed");
         }
-        // Without a key no server could drop a retry of the request.
+        // Without a key, no server could deduplicate a retry of the request.
         if (idempotency == Idempotency.KEYED && headers.get("Idempotency-Key") == null) {
             throw new BadMessageException(400, "Idempotency-Key is missing");
         }
         List<Headers.Field> forwardedHeaders = headers.endToEnd().stream()
                 .filter(field -> !field.name().equalsIgnoreCase(AttemptDispatcher.EXPIRES_IN_HEADER))
-                .toList(); // each attempt has its own time left
+                .toList(); // each attempt has its own remaining time
         PendingRequest.ForwardedRequest forwarded = new PendingRequest.ForwardedRequest(
                 id, parser.method(), parser.target(), forwardedHeaders, parser.takeBody());
         return new ClientRequest(
@@ -68,7 +69,7 @@
     private static double timeBudgetMs(Headers headers) throws BadMessageException {
         String text = headers.get(AttemptDispatcher.EXPIRES_IN_HEADER);
         if (text == null || !MILLISECONDS.matcher(text).matches() || Long.parseLong(text) == 0) {
-            throw new BadMessageException(400, "X-Expires-In-Ms is not a time in whole milliseconds");
+            throw new BadMessageException(400, "X-Expires-In-Ms is missing or not a positive integer in milliseconds");
         }
         return Math.min(MAX_TIME_BUDGET_MS, Long.parseLong(text));
     }
--- a/sidecar/src/main/java/dewplank/sidecar/ServerConnections.java
+++ b/sidecar/src/main/java/dewplank/sidecar/ServerConnections.java
@@ -7,7 +7,7 @@
 import java.util.function.Predicate;
 
 /**
- * The connections to servers: one pool of idle ones per server, and one bound on idle and busy ones together.
+ * The connections to servers: a pool of idle ones per server, and a common limit on idle and busy ones.
  *
  * <p>{@link AttemptDispatcher} and {@link BalancerHost} call it. All methods run on the event loop's thread.
  */
@@ -15,7 +15,10 @@
     private static final System.Logger LOG = System.getLogger(ServerConnections.class.getName());
     private static final double SWEEP_INTERVAL_MS = 1_000;
     private static final double LIMIT_LOG_INTERVAL_MS = 1_000;
-    /** Of the server's idle time-out. A request that crossed the server's close would be reset. */
+    /**
+     * The fraction of the server's idle timeout after which the sidecar closes a connection. A request that is sent
+     * while the server closes the connection would be reset.
+     */
     private static final double IDLE_TIMEOUT_FRACTION = 0.9;
 
     private final EventLoop loop;
@@ -26,8 +29,8 @@
     private double limitLoggedAtMs;
 
     /**
-     * @param serverIdleTimeoutMs after which servers close an idle connection; 0 where they never do
-     * @param maxConnections idle and busy together
+     * @param serverIdleTimeoutMs the time after which servers close an idle connection; 0 if they never do
+     * @param maxConnections the limit on idle and busy connections together
      */
     ServerConnections(EventLoop loop, double serverIdleTimeoutMs, int maxConnections) {
         this.loop = loop;
@@ -36,28 +39,29 @@
         this.maxConnections = maxConnections;
     }
 
-    /** Starts the sweep that closes connections idle for too long. */
+    /** Starts the sweep that closes connections that have been idle for too long. */
     void start() {
         loop.after(SWEEP_INTERVAL_MS, this::sweep);
     }
 
-    /** The pool of this server, created at the first call. */
+    /** Returns the pool of this server, which is created at the first call. */
     ConnectionPool poolOf(String server) {
         return poolByServer.computeIfAbsent(
                 server, id -> new ConnectionPool(loop, ConnectionPool.REUSE_DELAY_MS, maxIdleMs));
     }
 
     /**
-     * Makes sure that one more attempt may open a connection; at the bound the longest idle one is closed for it.
+     * Ensures that one more attempt may open a connection. At the limit, the longest idle connection of a server is
+     * closed.
      *
-     * @return false where all connections are busy; the attempt must not start
+     * @return false if all connections are busy; the attempt must not start then
      */
-    boolean hasCapacity() {
+    boolean ensureCapacity() {
         int idle = poolByServer.values().stream().mapToInt(ConnectionPool::size).sum();
         if (attemptsInFlight + idle < maxConnections) {
             return true;
         }
-        if (loop.now() - limitLoggedAtMs > LIMIT_LOG_INTERVAL_MS) { // a line per attempt would only add to the load
+        if (loop.now() - limitLoggedAtMs > LIMIT_LOG_INTERVAL_MS) { // a log line per attempt would increase the load
             limitLoggedAtMs = loop.now();
             LOG.log(
                     System.Logger.Level.WARNING,
@@ -80,7 +84,7 @@
         return attemptsInFlight > 0;
     }
 
-    /** Drops the pools of servers that were removed. Over a day servers come and go with ever new ids. */
+    /** Closes and removes the pools of removed servers. Servers are replaced under new ids all the time. */
     void closeRemoved(Predicate<String> isRemoved) {
         poolByServer.entrySet().removeIf(entry -> {
             boolean removed = isRemoved.test(entry.getKey());
--- a/sidecar/src/main/java/dewplank/sidecar/Sidecar.java
+++ b/sidecar/src/main/java/dewplank/sidecar/Sidecar.java
@@ -13,10 +13,10 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * One running sidecar: its event loop, listener, clients and balancer host, from the start to a graceful shutdown.
+ * A running sidecar: its event loop, listener, clients and balancer host, from the start to a graceful shutdown.
  *
- * <p>The command {@code serve} calls the public methods, from any thread. What is package-private runs on the event
- * loop's thread unless it says otherwise.
+ * <p>The {@code serve} command calls the public methods, from any thread. Package-private methods run on the event
+ * loop's thread unless they state otherwise.
  */
 public final class Sidecar {
     private static final System.Logger LOG = System.getLogger(Sidecar.class.getName());
@@ -28,8 +28,8 @@
     private final Listener listener;
     private final ClientConnections clients;
     private final GracefulShutdown shutdown;
-    private boolean rehearsing;
-    private SidecarConfig reloaded; // null until it was read again for the first time
+    private boolean isWarmingUp;
+    private SidecarConfig reloaded; // null until the first reload
 
     public Sidecar(SidecarConfig config) throws IOException {
         this(config, new AdaptiveBalancer(config.settings(), new SplittableRandom(config.seed())));
@@ -58,7 +58,7 @@
         }
     }
 
-    /** Accepts clients from here on. Called once. */
+    /** Starts to accept clients. Called once. */
     public void start() {
         loop.execute(() -> {
             host.start();
@@ -68,17 +68,17 @@
     }
 
     /**
-     * Starts to run the common path; until that has ended, {@code /_health} answers 503.
+     * Starts the warm-up of the JVM. Until it has ended, {@code /_health} responds with 503.
      *
-     * @return completed on the event loop's thread
+     * @return a future that is completed on the event loop's thread when the warm-up has ended
      */
     public CompletableFuture<Void> rehearse() throws IOException {
         CompletableFuture<Void> done = new CompletableFuture<>();
         InetSocketAddress self = (InetSocketAddress) listener.address();
         loop.execute(() -> {
-            rehearsing = true;
-            new Rehearsal(loop, self, config.settings(), () -> {
-                        rehearsing = false;
+            isWarmingUp = true;
+            new JvmWarmUp(loop, self, config.settings(), () -> {
+                        isWarmingUp = false;
                         done.complete(null);
                     })
                     .start();
@@ -86,34 +86,34 @@
         return done;
     }
 
-    /** Whether clients may come: the rehearsal has ended, and a server is available. */
+    /** Whether the sidecar is ready for clients: no warm-up is in progress and a server is available. */
     boolean isReady() {
-        return !rehearsing && host.hasAvailableServer();
+        return !isWarmingUp && host.hasAvailableServer();
     }
 
-    /** The address listened on, with its actual port. */
+    /** Returns the listening address, with the actual port. */
     public SocketAddress address() throws IOException {
         return listener.address();
     }
 
     /**
-     * Applies a configuration that was read again. Only discovery's address can change while the sidecar runs; all else
-     * waits for the next start. One equal to the last reload's is skipped.
+     * Applies a reloaded configuration. Only discovery's address can change while the sidecar runs; all other changes
+     * take effect at the next start. A configuration equal to that of the last reload is skipped.
      */
     public void reload(SidecarConfig next) {
-        boolean more = needsRestart(next, config);
+        boolean isRestartRequired = needsRestart(next, config);
         loop.execute(() -> {
             if (reloaded != null && next.discovery().equals(reloaded.discovery()) && !needsRestart(next, reloaded)) {
                 LOG.log(System.Logger.Level.INFO, "configuration reload skipped reason=unchanged");
                 return;
             }
             reloaded = next;
-            host.moveDiscoveryTo(next.discovery());
+            host.changeDiscoveryAddress(next.discovery());
             LOG.log(
                     System.Logger.Level.INFO,
                     "configuration reloaded discovery={0}{1}",
                     next.discovery(),
-                    more ? " restartRequired=limits.sockets,settings" : "");
+                    isRestartRequired ? " restartRequired=limits.sockets,settings" : "");
         });
     }
 
@@ -122,8 +122,9 @@
     }
 
     /**
-     * Drains by the settings' deadlines and latency targets, then stops; blocks until then. Serving on guards clients
-     * that have no other sidecar: one that ended a second after SIGTERM was started again 2.3 s later.
+     * Drains according to the deadlines and latency targets in the settings, then stops; blocks until then. The sidecar
+     * continues to serve in the meantime, because a client may have no other sidecar: one that exited a second after
+     * SIGTERM was restarted 2.3 s later.
      */
     public void drain() throws InterruptedException {
         drain(DrainSchedule.of(host.maxDeadlineMs(), host.minLatencyTargetMs()));
@@ -134,7 +135,7 @@
         stop();
     }
 
-    /** Ends at once, whatever is open. May be called from any thread. */
+    /** Stops immediately, without waiting for open requests. May be called from any thread. */
     public void stop() {
         host.closePeerChannel();
         loop.stop();
@@ -145,12 +146,12 @@
     }
 
     private void sweep() {
-        closeOverdue(loop.now());
+        closeTimedOut(loop.now());
         loop.after(SWEEP_INTERVAL_MS, this::sweep);
     }
 
-    void closeOverdue(double nowMs) {
-        clients.closeOverdue(nowMs, listener.isFull());
+    void closeTimedOut(double nowMs) {
+        clients.closeTimedOut(nowMs, listener.isFull());
     }
 
     ClientConnections clients() {
--- a/sidecar/src/main/java/dewplank/sidecar/config/BalancerSettingsReader.java
+++ b/sidecar/src/main/java/dewplank/sidecar/config/BalancerSettingsReader.java
@@ -13,9 +13,9 @@
 import java.util.Map;
 
 /**
- * Reads the balancer's settings, alike for the sidecar and for the simulator.
+ * Reads the balancer's settings, which have the same format for the sidecar and the simulator.
  *
- * <p>Unknown keys are skipped. Stateless; may be called from any thread.
+ * <p>Unknown keys are ignored. The class has no state and may be used from any thread.
  */
 public final class BalancerSettingsReader {
     private BalancerSettingsReader() {}
@@ -23,7 +23,8 @@
     /**
      * Reads the balancer's settings.
      *
-     * @throws dewplank.settings.InvalidInputException if a required key is missing or out of range; it names the key
+     * @throws dewplank.settings.InvalidInputException if a required key is missing or out of range; the message
+     *     names the key
      */
     public static Settings read(Fields fields) {
         return new Settings(
@@ -120,8 +121,7 @@
 
     private static Goal goal(Fields fields) {
         double tail = fields.number("Tail", 0);
-        double missAllowed =
-                tail > 0 ? fields.number("MissAllowed", 0) : 0; // without a tail weight its figure has no effect
+        double missAllowed = tail > 0 ? fields.number("MissAllowed", 0) : 0; // has no effect without a tail weight
         return new Goal(
                 fields.number("Whole", 1) + fields.number("WorstWindow", 0),
                 fields.number("WorstClass", 0),
--- a/sidecar/src/main/java/dewplank/sidecar/config/PeerAddresses.java
+++ b/sidecar/src/main/java/dewplank/sidecar/config/PeerAddresses.java
@@ -10,9 +10,9 @@
 /**
  * The addresses of the sidecars that exchange health summaries.
  *
- * @param listen where their datagrams arrive, and from where this sidecar sends
- * @param peers by their number ({@code Me} in the settings), this sidecar's own included
- * @param all one address that reaches all of them, or null where there is none
+ * @param listen the address on which this sidecar receives datagrams, and from which it sends them
+ * @param peers the addresses by replica index ({@code Me} in the settings), including this sidecar's own
+ * @param broadcast an address that reaches all peers, or null if there is none
  */
 public record PeerAddresses(InetSocketAddress listen, List<InetSocketAddress> peers, InetSocketAddress broadcast) {
     private static final int MAX_PEERS = 4_096;
@@ -21,12 +21,12 @@
         InetSocketAddress listen = privateAddress(fields, "peer_listen");
         Fields elements = fields.elements("peers");
         if (elements.keys().size() > MAX_PEERS) {
-            throw fields.wrongType("peers", "an array of " + MAX_PEERS + " addresses at the most");
+            throw fields.wrongType("peers", "an array of at most " + MAX_PEERS + " addresses");
         }
         Set<InetSocketAddress> peers = new LinkedHashSet<>();
         for (String key : elements.keys()) {
             if (!peers.add(privateAddress(elements, key))) {
-                throw elements.wrongType(key, "another address than those before it");
+                throw elements.wrongType(key, "an address that differs from the preceding ones");
             }
         }
         return new PeerAddresses(
@@ -36,8 +36,9 @@
     }
 
     /**
-     * The platform's network is a private one (RFC 1918, RFC 6598) or loopback, over IPv4. Guards against what
-     * sidecars tell one another leaving it by a slip of the pen: nothing in a datagram is secret or signed.
+     * Reads an address and checks that it belongs to the platform's network, which is a private one (RFC 1918, RFC
+     * 6598) or loopback, over IPv4. The check prevents a configuration error from sending peer summaries outside this
+     * network. Datagrams contain no secrets and are not signed.
      */
     private static InetSocketAddress privateAddress(Fields fields, String key) {
         InetSocketAddress address = Addresses.parse(fields, key);
--- a/sidecar/src/main/java/dewplank/sidecar/config/SidecarConfig.java
+++ b/sidecar/src/main/java/dewplank/sidecar/config/SidecarConfig.java
@@ -17,16 +17,16 @@
 import java.util.Map;
 
 /**
- * One sidecar's configuration, checked and with its defaults.
+ * A sidecar's configuration, validated and with defaults applied.
  *
- * @param name for the log
- * @param listen where clients connect
- * @param discovery where discovery listens
- * @param seed of the balancer's random draws
- * @param maxSockets how many descriptors the sidecar may use
- * @param initialCatalog discovery's list as last received, still in discovery's form
- * @param settings the balancer's
- * @param peers null where the settings allow no peer summaries
+ * @param name the sidecar's name in the log
+ * @param listen the address to which clients connect
+ * @param discovery the address of discovery
+ * @param seed the seed of the balancer's random number generator
+ * @param maxSockets the maximum number of file descriptors that the sidecar may use
+ * @param initialCatalog the last known list of discovery, in discovery's JSON format
+ * @param settings the balancer's settings
+ * @param peers the addresses of the peers, or null if the settings allow no peer summaries
  */
 public record SidecarConfig(
         String name,
@@ -39,37 +39,40 @@
         PeerAddresses peers) {
     private static final int DEFAULT_MAX_SOCKETS = 1_024;
     private static final int MIN_MAX_SOCKETS = 256;
-    /** For the JVM's own descriptors, the listener and the watch on discovery. */
+    /** Reserved for the JVM's own descriptors, the listener and the watch on discovery. */
     private static final int RESERVED_SOCKETS = 40;
 
-    /** Clients may have half of the descriptors; the rest is for servers. */
+    /** Returns the limit on client connections: half of the descriptors. The rest is for connections to servers. */
     public int maxClientConnections() {
         return maxSockets / 2;
     }
 
-    /** Idle and busy together. */
+    /** Returns the limit on connections to servers, idle and busy ones together. */
     public int maxServerConnections() {
         return maxSockets - maxClientConnections() - RESERVED_SOCKETS;
     }
 
     /**
-     * Reads the file that {@code GW_CONFIG} names; {@code GW_NAME} and the addresses of the environment override it.
+     * Reads the file named by the environment variable {@code GW_CONFIG}. The variables {@code GW_NAME},
+     * {@code GW_LISTEN} and {@code GW_DISCOVERY} override its values.
      *
-     * @throws InvalidInputException if the file cannot be read or a key is missing or invalid; it names the key
+     * @throws InvalidInputException if the file cannot be read, or if a key is missing or invalid; the message names
+     *     the key
      */
     public static SidecarConfig fromEnvironment(Map<String, String> environment) {
         return read(environment, Map.of("GW_NAME", "name", "GW_LISTEN", "listen", "GW_DISCOVERY", "discovery"));
     }
 
     /**
-     * Reads it again for a program that runs: the environment is that of the start, so the file's newer
-     * {@code discovery} counts. Name and listening address can't change while it runs.
+     * Reads the file again while the sidecar runs. The environment still has its values from the start, so
+     * {@code discovery} is taken from the file, which may be newer. The name and the listening address cannot change
+     * while the sidecar runs.
      */
     public static SidecarConfig reread(Map<String, String> environment) {
         return read(environment, Map.of("GW_NAME", "name", "GW_LISTEN", "listen"));
     }
 
-    /** The packaged configuration for the rehearsal at build time, on any free port. */
+    /** Returns the packaged configuration for the {@code rehearse} command at build time; it uses any free port. */
     public static SidecarConfig forRehearsal() {
         try (InputStream in = SidecarConfig.class.getResourceAsStream("/rehearsal.json")) {
             String text = new String(in.readAllBytes(), StandardCharsets.UTF_8);
@@ -88,7 +91,7 @@
         }
     }
 
-    /** The file that {@code GW_CONFIG} names; it need not exist. */
+    /** Returns the path of the file named by {@code GW_CONFIG}. The file need not exist. */
     public static Path file(Map<String, String> environment) {
         String file = environment.get("GW_CONFIG");
         if (file == null || file.isEmpty()) {
@@ -107,7 +110,7 @@
         try {
             object = new LinkedHashMap<>(Json.object(Files.readString(file)));
         } catch (NoSuchFileException e) {
-            throw new InvalidInputException("GW_CONFIG: there is no file " + file);
+            throw new InvalidInputException("GW_CONFIG: file not found: " + file);
         } catch (IOException e) {
             throw new InvalidInputException("GW_CONFIG: cannot read " + file + ": " + e.getMessage());
         } catch (InvalidInputException e) {
@@ -148,7 +151,7 @@
         try {
             return Long.parseUnsignedLong(fields.text("seed"), 16);
         } catch (NumberFormatException e) {
-            throw fields.wrongType("seed", "a hexadecimal number of 64 bits at the most");
+            throw fields.wrongType("seed", "a hexadecimal number of at most 64 bits");
         }
     }
 }
--- a/sidecar/src/main/java/dewplank/sidecar/config/package-info.java
+++ b/sidecar/src/main/java/dewplank/sidecar/config/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The sidecar's configuration: the one place where it is read, checked and given defaults.
+ * The sidecar's configuration. Only this package reads it, validates it and applies the defaults.
  *
- * <p>Its values are immutable and may be used from any thread. Errors name the key at fault. Nothing here opens a
- * socket.
+ * <p>Configuration objects are immutable and may be used from any thread. Error messages name the invalid key. The
+ * package opens no sockets.
  */
 package dewplank.sidecar.config;
--- a/sidecar/src/main/java/dewplank/sidecar/package-info.java
+++ b/sidecar/src/main/java/dewplank/sidecar/package-info.java
@@ -1,9 +1,9 @@
 /**
- * The sidecar on sockets: one proxy beside one application, driven by one balancer.
+ * The sidecar on sockets: an HTTP proxy for one application, controlled by one balancer.
  *
- * <p>A request goes from {@code ClientConnection} through {@code RequestDecoder} to {@code BalancerHost}; the
- * balancer's decision comes back as an action, which {@code AttemptDispatcher} executes as an {@code HttpAttempt}. One
- * event loop thread owns all state here. No decision about servers, retries or rejections belongs here: those are the
- * balancer's.
+ * <p>A request is passed from {@code ClientConnection} through {@code RequestDecoder} to {@code BalancerHost}. The
+ * balancer returns its decision as an action, which {@code AttemptDispatcher} executes as an {@code HttpAttempt}. One
+ * event loop thread owns all state of the package. The balancer makes all decisions about servers, retries and
+ * rejections; they do not belong here.
  */
 package dewplank.sidecar;
--- a/sidecar/src/main/java/dewplank/simhost/ActionEncoder.java
+++ b/sidecar/src/main/java/dewplank/simhost/ActionEncoder.java
@@ -15,9 +15,9 @@
 import java.io.Writer;
 import java.util.Base64;
 
-/** Writes what balancers do as lines of the simulator's wire, each a JSON array that begins with its name. */
+/** Encodes the actions of balancers as lines of the simulator's protocol: JSON arrays that start with a name. */
 final class ActionEncoder {
-    private static final double UNITS_PER_MS = 1_000; // the wire counts microseconds
+    private static final double UNITS_PER_MS = 1_000; // the protocol has a resolution of one microsecond
 
     private final Writer out;
 
@@ -47,7 +47,7 @@
         }
     }
 
-    /** Ends a batch, and brings all that was written to the simulator. */
+    /** Acknowledges a batch and flushes all lines to the simulator. */
     void acknowledge(long batch) throws IOException {
         writeLine("OK", batch);
         out.flush();
@@ -59,7 +59,7 @@
     }
 
     private void writeLine(String name, Object... values) throws IOException {
-        JsonWriter line = new JsonWriter(out); // one value each: a writer takes no second one
+        JsonWriter line = new JsonWriter(out); // one per line: a JsonWriter accepts only one top-level value
         line.setHtmlSafe(false);
         line.beginArray().value(name);
         for (Object value : values) {
--- a/sidecar/src/main/java/dewplank/simhost/EventDecoder.java
+++ b/sidecar/src/main/java/dewplank/simhost/EventDecoder.java
@@ -21,8 +21,8 @@
 import java.util.Map;
 
 /**
- * Reads events from messages of the simulator's wire. It stores the endpoint lists that are sent once, under a slot,
- * and named by the instances' updates afterwards.
+ * Decodes events from the simulator's messages. It stores the endpoint lists, each of which is sent once with a slot
+ * number; the updates of the instances refer to the slot.
  */
 final class EventDecoder {
     private static final int HINT_IS_VALID = 1;
@@ -54,15 +54,15 @@
         }
     }
 
-    /** Takes the list of a {@code SNAPSHOT_ROWS}. */
+    /** Stores the endpoint list of a {@code SNAPSHOT_ROWS} message. */
     void storeEndpoints(WireMessage message) {
         endpointLists.set(slot(message, 1), endpoints(message.array(2)));
     }
 
     /**
-     * The event that the message holds.
+     * Decodes the event in the message.
      *
-     * @throws InvalidInputException if it holds none, or a value is missing or of another type
+     * @throws InvalidInputException if the message is not an event, or a value is missing or has the wrong type
      */
     Event event(WireMessage message) {
         return switch (message.name()) {
@@ -73,7 +73,7 @@
                     message.integer(2),
                     message.nonNegative(3),
                     message.text(4),
-                    word(OUTCOMES, message, 5),
+                    enumValue(OUTCOMES, message, 5),
                     message.number(6),
                     message.flag(7),
                     message.numbersOrNull(8));
@@ -81,7 +81,7 @@
             case "DEADLINE_HIT" -> new TimerFired(message.integer(2));
             case "PROBE_DONE" -> new HealthChecked(
                     message.text(3),
-                    word(OUTCOMES, message, 2) == Outcome.SERVED,
+                    enumValue(OUTCOMES, message, 2) == Outcome.SERVED,
                     message.number(4),
                     message.numbersOrNull(5));
             case "NEIGHBOUR_SAYS" -> new PeerSummaryReceived(message.nonNegative(2), bytes(message, 3));
@@ -90,7 +90,7 @@
     }
 
     private EndpointUpdate endpointUpdate(WireMessage message) {
-        UpdateKind kind = word(UPDATE_KINDS, message, 4);
+        UpdateKind kind = enumValue(UPDATE_KINDS, message, 4);
         List<Endpoint> endpoints = kind == UpdateKind.BROKEN ? List.of() : endpointLists.get(slot(message, 2));
         if (endpoints == null) {
             throw new InvalidInputException("VIEW: no list in slot " + message.nonNegative(2));
@@ -112,16 +112,16 @@
                 hasHint ? (Double) message.number(8) : null);
     }
 
-    /** A server named twice counts once, as its last row says, at the place of its first. */
+    /** Decodes the rows. If a server has several rows, the last one applies, at the position of the first. */
     private static List<Endpoint> endpoints(List<Object> rows) {
         Map<String, Endpoint> endpoints = new LinkedHashMap<>();
         for (Object row : rows) {
             if (!(row instanceof List<?> values)) {
                 throw new InvalidInputException("SNAPSHOT_ROWS: an entry should be an array");
             }
-            List<Object> named = new ArrayList<>(values);
-            named.add(0, "SNAPSHOT_ROWS entry");
-            Endpoint endpoint = endpoint(new WireMessage("SNAPSHOT_ROWS entry", named));
+            List<Object> valuesWithName = new ArrayList<>(values);
+            valuesWithName.add(0, "SNAPSHOT_ROWS entry");
+            Endpoint endpoint = endpoint(new WireMessage("SNAPSHOT_ROWS entry", valuesWithName));
             endpoints.put(endpoint.server(), endpoint);
         }
         return List.copyOf(endpoints.values());
@@ -135,7 +135,7 @@
                 row.text(2),
                 row.has(3) ? row.text(3) : "",
                 row.has(4) ? row.integer(4) : 0,
-                word(AVAILABILITIES, row, 5),
+                enumValue(AVAILABILITIES, row, 5),
                 rating,
                 startedAtMs);
     }
@@ -148,12 +148,12 @@
         return slot;
     }
 
-    private static <T> T word(Map<String, T> meanings, WireMessage message, int position) {
-        T meaning = meanings.get(message.text(position));
-        if (meaning == null) {
-            throw new InvalidInputException(message.name() + ": unknown word " + message.text(position));
+    private static <T> T enumValue(Map<String, T> valueByName, WireMessage message, int position) {
+        T value = valueByName.get(message.text(position));
+        if (value == null) {
+            throw new InvalidInputException(message.name() + ": unknown value " + message.text(position));
         }
-        return meaning;
+        return value;
     }
 
     private static byte[] bytes(WireMessage message, int position) {
--- a/sidecar/src/main/java/dewplank/simhost/SimulatorHost.java
+++ b/sidecar/src/main/java/dewplank/simhost/SimulatorHost.java
@@ -18,10 +18,11 @@
 import java.util.SplittableRandom;
 
 /**
- * Hosts many balancers for the simulator: lines in, events to the instance that they name, its actions out as lines.
+ * Runs many balancers for the simulator. It reads messages as lines, passes each event to the instance that the message
+ * names, and writes the instance's actions as lines.
  *
- * <p>Lines come in batches, each from a {@code TURN}, which states the time, to an {@code END}, which is acknowledged.
- * Used by one thread, which {@link #run} occupies to the end of input.
+ * <p>Lines are grouped into batches. A batch starts with {@code TURN}, which states the time, and ends with
+ * {@code END}, which is acknowledged. The class is used by one thread; {@link #run} blocks it until the end of input.
  */
 public final class SimulatorHost {
     private static final int BUFFER_CHARS = 1 << 16;
@@ -41,9 +42,9 @@
     }
 
     /**
-     * Runs to the end of input.
+     * Processes messages until the end of input.
      *
-     * @throws InvalidInputException naming the line, if the input is not as agreed
+     * @throws InvalidInputException if the input violates the protocol; the message states the line number
      * @throws IOException if a stream fails
      */
     public void run() throws IOException {
@@ -85,7 +86,7 @@
 
     private void beginBatch(WireMessage message) {
         if (message.number(1) < nowMs) {
-            throw new InvalidInputException("TURN: the clock went back");
+            throw new InvalidInputException("TURN: the time is earlier than that of the previous batch");
         }
         nowMs = message.number(1);
         batch = message.integer(2);
--- a/sidecar/src/main/java/dewplank/simhost/WireMessage.java
+++ b/sidecar/src/main/java/dewplank/simhost/WireMessage.java
@@ -5,13 +5,13 @@
 import java.util.List;
 import java.util.Map;
 
-/** Typed access to one message's values, by position. A value missing or of another type is bad input. */
+/** Typed access to the values of a message, by position. A value that is missing or has the wrong type is rejected. */
 record WireMessage(String name, List<Object> values) {
 
     static WireMessage parse(String line) {
         List<Object> values = Json.array(line);
         if (values.isEmpty() || !(values.get(0) instanceof String name)) {
-            throw new InvalidInputException("a message starts with its name");
+            throw new InvalidInputException("a message must start with its name");
         }
         return new WireMessage(name, values);
     }
@@ -20,10 +20,10 @@
         return position < values.size() ? values.get(position) : null;
     }
 
-    private <T> T need(int position, Class<T> type, String what) {
+    private <T> T require(int position, Class<T> type, String expected) {
         Object value = at(position);
         if (!type.isInstance(value)) {
-            throw new InvalidInputException(name + ": value " + position + " should be " + what);
+            throw new InvalidInputException(name + ": value " + position + " should be " + expected);
         }
         return type.cast(value);
     }
@@ -33,11 +33,11 @@
     }
 
     String text(int position) {
-        return need(position, String.class, "text");
+        return require(position, String.class, "text");
     }
 
     long integer(int position) {
-        return need(position, Long.class, "an integer");
+        return require(position, Long.class, "an integer");
     }
 
     int nonNegative(int position) {
@@ -49,21 +49,21 @@
     }
 
     double number(int position) {
-        return need(position, Number.class, "a number").doubleValue();
+        return require(position, Number.class, "a number").doubleValue();
     }
 
     boolean flag(int position) {
-        return need(position, Boolean.class, "true or false");
+        return require(position, Boolean.class, "true or false");
     }
 
     @SuppressWarnings("unchecked")
     List<Object> array(int position) {
-        return need(position, List.class, "an array");
+        return require(position, List.class, "an array");
     }
 
     @SuppressWarnings("unchecked")
     Map<String, Object> object(int position) {
-        return need(position, Map.class, "an object");
+        return require(position, Map.class, "an object");
     }
 
     double[] numbersOrNull(int position) {
@@ -78,7 +78,7 @@
                     if (v instanceof Number n) {
                         return n.doubleValue();
                     }
-                    throw new InvalidInputException(name + ": value " + position + " should hold numbers");
+                    throw new InvalidInputException(name + ": value " + position + " should contain numbers only");
                 })
                 .toArray();
     }
--- a/sidecar/src/main/java/dewplank/simhost/package-info.java
+++ b/sidecar/src/main/java/dewplank/simhost/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Hosts balancers on the simulator's wire: JSON lines on standard input and output, in virtual time. The names of
- * messages and their values are the simulator's.
+ * Runs balancers with the simulator's protocol: JSON lines on standard input and output, in virtual time. The simulator
+ * defines the names of the messages and of their values.
  *
- * <p>No decision belongs here, and no socket: the same balancers run in the sidecar on both.
+ * <p>The package makes no balancing decisions and opens no sockets. The sidecar runs the same balancers on sockets.
  */
 package dewplank.simhost;
--- a/sidecar/src/test/java/dewplank/peers/PeerChannelTest.java
+++ b/sidecar/src/test/java/dewplank/peers/PeerChannelTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Datagrams between a sidecar, two scripted peers and an unknown sender. */
+/** Exchange of datagrams between a sidecar, two scripted peers and an unknown sender. */
 class PeerChannelTest {
     private static final int TIMEOUT_S = 20;
 
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void onlyDatagramsOfPeersAreDelivered() throws Exception {
+    void onlyValidDatagramsOfPeersAreDelivered() throws Exception {
         send(unknownSender, (byte) 1, (byte) 9);
         send(first, (byte) 2, (byte) 9); // invalid
         send(first, new byte[0]);
@@ -115,7 +115,7 @@
     }
 
     @Test
-    void aBroadcastReachesEachPeerButItself() throws Exception {
+    void aBroadcastIsSentToAllOtherPeers() throws Exception {
         loop.execute(() -> peers.broadcast(new byte[] {1, 5}));
         assertArrayEquals(new byte[] {1, 5}, next(first));
         assertArrayEquals(new byte[] {1, 5}, next(second));
@@ -126,9 +126,9 @@
         assertEquals(256, next(unknownSender).length);
     }
 
-    /** A flood from a faulty peer neither fills the memory nor stops the receiving of later datagrams. */
+    /** A flood from a faulty peer neither exhausts the memory nor prevents the receipt of later datagrams. */
     @Test
-    void datagramsBeyondTheBoundAreDropped() throws Exception {
+    void datagramsAboveTheQueueLimitAreDropped() throws Exception {
         CountDownLatch busy = new CountDownLatch(1);
         loop.execute(() -> {
             try {
@@ -137,7 +137,7 @@
                 Thread.currentThread().interrupt();
             }
         });
-        // Each datagram is counted before the next one is validated, so the last but one has overflowed by then.
+        // Each datagram is counted before the next one is validated, so the second to last has overflowed by then.
         for (int sent = 0; sent < PeerChannel.MAX_QUEUED + 2; sent++) {
             send(first, (byte) 1);
             assertTrue(validated.tryAcquire(TIMEOUT_S, TimeUnit.SECONDS), "the datagram was not received");
@@ -157,7 +157,7 @@
     }
 
     @Test
-    void anAddressInUseIsNamed() throws Exception {
+    void theErrorNamesAnAddressInUse() throws Exception {
         PeerAddresses taken = new PeerAddresses(addressOf(first), List.of(), null);
         assertTrue(assertThrows(
                         InvalidInputException.class,
--- a/sidecar/src/test/java/dewplank/sidecar/AttemptWriteTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/AttemptWriteTest.java
@@ -29,11 +29,11 @@
 import java.util.function.UnaryOperator;
 import org.junit.jupiter.api.Test;
 
-/** What may change between the decision to send an attempt and its write, in the order that does harm. */
+/** Changes between the decision to send an attempt and the write of its request, in the harmful order. */
 class AttemptWriteTest {
-    /** Regression: a connect took long, and a retry was written after its deduplication window. */
+    /** Regression: a connect took long, and the retry was written after the deduplication window had ended. */
     @Test
-    void aRetryIsNotWrittenOnceItsWindowIsOver() throws Exception {
+    void aRetryIsNotWrittenAfterItsDeduplicationWindow() throws Exception {
         BalancerEventLatch listed = BalancerEventLatch.forUpdateOf("delayed");
         UnaryOperator<String> keyed = settings -> LoopbackNetwork.NO_CONNECT_TIMEOUT
                 .apply(settings)
@@ -55,14 +55,14 @@
             first.reset(); // it may have run: the retry goes to the other server, whose connection is not
             // established yet
             reset.await();
-            net.callOnLoop(() -> null); // by now the connection is requested
+            net.callOnLoop(() -> null); // the connect has started by now
             delayed.startAccepting();
             assertStatus("503", client.read());
-            assertNothingCame(delayed);
+            assertNoRequestArrived(delayed);
         }
     }
 
-    /** A connect may take longer than the grace period after a drain was announced. */
+    /** A connect may take longer than the grace period that follows the announcement of a drain. */
     @Test
     void aServerThatDrainsWhileConnectingGetsNoRequest() throws Exception {
         try (LoopbackNetwork net = LoopbackNetwork.builder(0)
@@ -79,11 +79,11 @@
             client.awaitHealthStatus("503");
             delayed.startAccepting();
             assertStatus("503", order.read());
-            assertItsConnectionEndsUnused(delayed);
+            assertConnectionsCloseWithoutRequest(delayed);
         }
     }
 
-    /** This holds where nothing may be cancelled, too: what was never written is not an attempt yet. */
+    /** This also applies if attempts may not be cancelled: a request that was never written is not an attempt yet. */
     @Test
     void aClientThatDisconnectsWhileConnectingIsNotForwarded() throws Exception {
         BalancerEventLatch abandoned = new BalancerEventLatch(event -> event instanceof RequestAbandoned);
@@ -103,13 +103,13 @@
             client.socket.close();
             abandoned.await();
             delayed.startAccepting();
-            assertItsConnectionEndsUnused(delayed);
+            assertConnectionsCloseWithoutRequest(delayed);
         }
     }
 
-    /** Nothing was written, so nothing ran: the client may retry, even an order. */
+    /** No request was written, so none has run: the client may retry even an order. */
     @Test
-    void aTimeoutBeforeTheConnectionIsUpIsRejected() throws Exception {
+    void aRequestWhoseAttemptTimesOutDuringTheConnectIsRejected() throws Exception {
         try (LoopbackNetwork net = LoopbackNetwork.builder(0)
                         .settings(LoopbackNetwork.NO_CONNECT_TIMEOUT)
                         .start();
@@ -123,22 +123,23 @@
     }
 
     /**
-     * The system has the complete request when the reset is seen, and only the completion of the write is pending: it
-     * is queued after some twenty completions in one task.
+     * The operating system has the complete request when the reset is handled. Only the completion of the write is
+     * pending, because it is queued behind twenty other completions in one task.
      */
     @Test
-    void aResetSeenBeforeTheWritesCompletionProvesNothing() throws Exception {
+    void aRequestMayHaveRunIfTheResetIsHandledBeforeTheWritesCompletion() throws Exception {
         BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
         EventLoop loop = new EventLoop();
         try (ScriptedPeer server = new ScriptedPeer()) {
             ConnectionPool pool = new ConnectionPool(loop, 0, Double.POSITIVE_INFINITY);
             CompletableFuture<Connection> other = new CompletableFuture<>();
-            loop.execute(() -> Connection.open(loop, server.address(), new Ignored(), other::complete, failure -> {}));
+            loop.execute(() ->
+                    Connection.open(loop, server.address(), new IgnoringHandler(), other::complete, failure -> {}));
             Connection otherConnection = other.get();
             loop.execute(() -> Connection.open(
                     loop,
                     server.address(),
-                    new Ignored(),
+                    new IgnoringHandler(),
                     connection -> {
                         for (int index = 0; index < 20; index++) {
                             otherConnection.write(ByteBuffer.wrap(new byte[] {'x'}), () -> {});
@@ -157,9 +158,9 @@
         }
     }
 
-    /** A server starts a request at its last byte: a response before that belongs to another request. */
+    /** A server runs a request once its last byte has arrived: an earlier response belongs to another request. */
     @Test
-    void aResponseBeforeTheRequestIsWrittenIsNotItsResponse() throws Exception {
+    void aResponseBeforeTheRequestIsWrittenIsIgnored() throws Exception {
         BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
         EventLoop loop = new EventLoop();
         try (ScriptedPeer server = new ScriptedPeer()) {
@@ -178,7 +179,7 @@
         }
     }
 
-    /** Between two sweeps a connection may exceed the idle timeout of the server: it is not reused. */
+    /** Between two sweeps, a connection may exceed the idle timeout of the server. It is not reused then. */
     @Test
     void aConnectionThatTheServerIsAboutToCloseIsNotReused() throws Exception {
         try (LoopbackNetwork net = LoopbackNetwork.builder(1)
@@ -200,14 +201,14 @@
         }
     }
 
-    /** Some servers answer twice, the second time some milliseconds later. */
+    /** Some servers send a response twice, the second time some milliseconds later. */
     @Test
-    void aConnectionIsNotReusedUntilADuplicateResponseWouldHaveCome() throws Exception {
+    void aConnectionIsNotReusedUntilADuplicateResponseWouldHaveArrived() throws Exception {
         EventLoop loop = new EventLoop();
         try (ScriptedPeer server = new ScriptedPeer()) {
             CompletableFuture<Connection> connected = new CompletableFuture<>();
-            loop.execute(
-                    () -> Connection.open(loop, server.address(), new Ignored(), connected::complete, failure -> {}));
+            loop.execute(() ->
+                    Connection.open(loop, server.address(), new IgnoringHandler(), connected::complete, failure -> {}));
             Connection connection = connected.get();
             ConnectionPool reuseDelayed = new ConnectionPool(loop, 60_000, Double.POSITIVE_INFINITY);
             ConnectionPool reusable = new ConnectionPool(loop, 0, Double.POSITIVE_INFINITY);
@@ -247,24 +248,24 @@
         return watch;
     }
 
-    /** The two connections that filled the backlog end, and the sidecar's: none has brought a request. */
-    private static void assertItsConnectionEndsUnused(ScriptedPeer delayed) throws Exception {
+    /** The two connections that filled the backlog and the sidecar's connection close without a request. */
+    private static void assertConnectionsCloseWithoutRequest(ScriptedPeer delayed) throws Exception {
         for (int index = 0; index < 3; index++) {
             assertNull(delayed.next().message());
         }
     }
 
-    /** The connect was cancelled: a request on that connection would come before this marker. */
-    private static void assertNothingCame(ScriptedPeer delayed) throws Exception {
-        try (Socket mark =
+    /** The connect was cancelled: a request on that connection would arrive before this marker. */
+    private static void assertNoRequestArrived(ScriptedPeer delayed) throws Exception {
+        try (Socket marker =
                 new Socket(delayed.address().getAddress(), delayed.address().getPort())) {
-            mark.getOutputStream().write("GET /mark HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+            marker.getOutputStream().write("GET /mark HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
             String first = delayed.nextRequest().message();
             assertTrue(first.startsWith("GET /mark "), first);
         }
     }
 
-    private static final class Ignored implements Connection.Handler {
+    private static final class IgnoringHandler implements Connection.Handler {
         @Override
         public void received(ByteBuffer bytes) {
             bytes.position(bytes.limit());
--- a/sidecar/src/test/java/dewplank/sidecar/BalancerEventLatch.java
+++ b/sidecar/src/test/java/dewplank/sidecar/BalancerEventLatch.java
@@ -8,15 +8,15 @@
 import java.util.function.Predicate;
 import java.util.function.UnaryOperator;
 
-/** A wrapper of the balancer that opens once the balancer has handled an event of some kind. */
+/** A wrapper of the balancer that opens once the balancer has handled a matching event. */
 final class BalancerEventLatch implements UnaryOperator<Balancer> {
     private static final int TIMEOUT_S = 20;
 
-    private final Predicate<Event> kind;
+    private final Predicate<Event> matcher;
     private final CountDownLatch handled = new CountDownLatch(1);
 
-    BalancerEventLatch(Predicate<Event> kind) {
-        this.kind = kind;
+    BalancerEventLatch(Predicate<Event> matcher) {
+        this.matcher = matcher;
     }
 
     /** Opens once the balancer has handled an update whose first endpoint is this server. */
@@ -30,7 +30,7 @@
     public Balancer apply(Balancer balancer) {
         return (now, event, out) -> {
             balancer.handle(now, event, out);
-            if (kind.test(event)) {
+            if (matcher.test(event)) {
                 handled.countDown();
             }
         };
--- a/sidecar/src/test/java/dewplank/sidecar/ClientConnectionsTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/ClientConnectionsTest.java
@@ -11,15 +11,15 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Client connections without a request: which are closed to free capacity, and when they stay open. */
+/** Client connections without a request: when they are closed to free capacity, and when they stay open. */
 class ClientConnectionsTest {
 
     /**
-     * Regression: clients that sent one request and kept their connections took all connections that may be open, and
-     * no others were accepted. Silent connections and half requests did the same.
+     * Regression: clients that sent one request and kept their connections open exhausted the connection limit, and no
+     * others were accepted. Connections that sent nothing and incomplete requests had the same effect.
      */
     @Test
-    void connectionsWithoutRequestsAreClosedForCapacity() throws Exception {
+    void connectionsWithoutRequestsAreClosedToFreeCapacity() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             List<Client> idle = new ArrayList<>();
             for (int index = 0;
@@ -29,15 +29,15 @@
                 idle.get(index).send("GET /_health HTTP/1.1\r\n\r\n");
                 assertStatus("200", idle.get(index).read());
             }
-            Client silent = net.client();
-            Client half = net.client();
-            half.send("GET /half HTTP");
+            Client unused = net.client();
+            Client incomplete = net.client();
+            incomplete.send("GET /half HTTP");
             Client busy = net.client();
             busy.sendRequest("menu-read");
-            ReceivedRequest call = net.servers.get(0).next(); // all are accepted by now
-            net.runOnLoop(() -> net.sidecar.closeOverdue(net.sidecar.loop().now() + 3_000));
-            assertNull(silent.read());
-            assertLastResponse(half, "408");
+            ReceivedRequest call = net.servers.get(0).next(); // all connections are accepted by now
+            net.runOnLoop(() -> net.sidecar.closeTimedOut(net.sidecar.loop().now() + 3_000));
+            assertNull(unused.read());
+            assertLastResponse(incomplete, "408");
             for (Client client : idle) {
                 assertNull(client.read());
             }
@@ -46,9 +46,9 @@
         }
     }
 
-    /** Regression: 128 clients sent one request, kept their connections, and could open no more. */
+    /** Regression: 128 clients sent one request, kept their connections open, and could open no others. */
     @Test
-    void aboveTheIdleCapacityAResponseIsTheLastOnItsConnection() throws Exception {
+    void aboveTheIdleCapacityAConnectionIsClosedAfterItsResponse() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             List<Client> idle = net.openClientsUpToIdleCapacity();
             Client additional = net.client();
@@ -61,30 +61,30 @@
 
     /** An idle connection saves its client a new connect: it stays open while there is capacity. */
     @Test
-    void anIdleClientStaysWhileThereIsCapacity() throws Exception {
+    void anIdleConnectionStaysOpenWhileThereIsCapacity() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = net.client();
             for (int index = 0; index < 2; index++) {
                 client.send("GET /_health HTTP/1.1\r\n\r\n");
                 assertStatus("200", client.read());
-                net.runOnLoop(() -> net.sidecar.closeOverdue(net.sidecar.loop().now() + 3_000));
+                net.runOnLoop(() -> net.sidecar.closeTimedOut(net.sidecar.loop().now() + 3_000));
             }
         }
     }
 
-    /** Silent connections must not keep out a connection with a request until their 2 s are over. */
+    /** Connections that send nothing must not block a connection with a request until their 2 s have passed. */
     @Test
-    void silentConnectionsAtTheBoundAreClosedSoon() throws Exception {
+    void connectionsThatSendNothingAreClosedEarlyAtTheLimit() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
-            List<Client> silent = new ArrayList<>();
+            List<Client> unused = new ArrayList<>();
             for (int index = 0; index < net.config.maxClientConnections(); index++) {
-                silent.add(net.client());
+                unused.add(net.client());
             }
             Client newClient = net.client();
             newClient.sendRequest("menu-read");
             net.servers.get(0).next().respond("200 OK", "");
             assertStatus("200", newClient.read());
-            assertNull(silent.get(0).read());
+            assertNull(unused.get(0).read());
         }
     }
 
--- a/sidecar/src/test/java/dewplank/sidecar/ClientDisconnectTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/ClientDisconnectTest.java
@@ -20,7 +20,7 @@
 
 /** Clients that disconnect, and connections that close while bytes arrive on them. */
 class ClientDisconnectTest {
-    /** The loop is blocked until the request and the close behind it have arrived, so both are read at once. */
+    /** The event loop is blocked until the request and the close after it have arrived, so both are read together. */
     @Test
     void aRequestWhoseClientDisconnectsBeforeItIsReadIsNotForwarded() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
@@ -28,23 +28,23 @@
             before.sendRequest("menu-read");
             net.servers.get(0).next().respond("200 OK", "");
             assertStatus("200", before.read());
-            net.awaitConnectionReusable(); // a connection is free: only reading comes before sending
+            net.awaitConnectionReusable(); // a server connection is free, so a request could be sent once read
             net.callOnLoop(() -> {
                 Client disconnected = net.client();
                 disconnected.sendRequest("menu-read");
                 disconnected.socket.close();
                 return null;
             });
-            Client staying = net.client();
-            staying.send(Client.request("menu-read", "Content-Length: 4\r\n") + "mark");
+            Client connected = net.client();
+            connected.send(Client.request("menu-read", "Content-Length: 4\r\n") + "mark");
             ReceivedRequest first = net.servers.get(0).next();
             assertTrue(first.message().endsWith("\r\n\r\nmark"), first.message());
             first.respond("200 OK", "");
-            assertStatus("200", staying.read());
+            assertStatus("200", connected.read());
         }
     }
 
-    /** The request is queued for lack of a server; the update with a server comes after the client has disconnected. */
+    /** The request is queued because there is no server; one is listed only after the client has disconnected. */
     @Test
     void aClientThatDisconnectsWhileItsRequestIsQueuedIsNotForwarded() throws Exception {
         BalancerEventLatch abandoned = new BalancerEventLatch(event -> event instanceof RequestAbandoned);
@@ -59,50 +59,53 @@
             abandoned.await();
             watch.beginWatch();
             watch.sendLine(LoopbackNetwork.catalogJson(8, false, List.of(server.endpointJson("s0", "active"))));
-            Client staying = net.client();
-            staying.awaitHealthStatus("200");
-            staying.send(Client.request("menu-read", "Content-Length: 4\r\n") + "mark");
+            Client connected = net.client();
+            connected.awaitHealthStatus("200");
+            connected.send(Client.request("menu-read", "Content-Length: 4\r\n") + "mark");
             ReceivedRequest first = server.nextRequest();
             assertTrue(first.message().endsWith("\r\n\r\nmark"), first.message());
             assertTrue(server.hasNoRequest());
         }
     }
 
-    /** More bytes than a buffer holds were sent ahead: the close behind them is noticed nevertheless. */
+    /** The client has sent more bytes than the buffer holds before it disconnects: the close is still detected. */
     @Test
-    void aClientThatDisconnectsBehindUnreadBytesIsNotForwarded() throws Exception {
+    void aClientThatDisconnectsAfterUnreadBytesIsNotForwarded() throws Exception {
         BalancerEventLatch abandoned = new BalancerEventLatch(event -> event instanceof RequestAbandoned);
         try (LoopbackNetwork net = LoopbackNetwork.builder(0)
                         .settings(LoopbackNetwork.NO_CONNECT_TIMEOUT)
                         .balancer(abandoned)
                         .start();
                 ScriptedPeer delayed = ScriptedPeer.withDelayedAccept()) {
-            Client client = waitingAt(net, delayed);
+            Client client = clientWithPendingConnect(net, delayed);
             client.send("POST /ahead HTTP/1.1\r\nContent-Length: 40000\r\n\r\n" + "x".repeat(40_000));
             client.socket.close();
             abandoned.await();
             delayed.startAccepting();
-            assertNoRequestCame(delayed);
+            assertNoRequestArrived(delayed);
         }
     }
 
-    /** The close of a client that sends without end cannot be noticed: it gets an error, and nothing is forwarded. */
+    /** The close of a client that sends endlessly cannot be detected: it gets an error, and nothing is forwarded. */
     @Test
-    void tooManyBytesAheadOfAResponseEndTheirRequest() throws Exception {
+    void tooManyBytesBeforeTheResponseAbandonTheRequest() throws Exception {
         BalancerEventLatch abandoned = new BalancerEventLatch(event -> event instanceof RequestAbandoned);
         try (LoopbackNetwork net = LoopbackNetwork.builder(0)
                         .settings(LoopbackNetwork.NO_CONNECT_TIMEOUT)
                         .balancer(abandoned)
                         .start();
                 ScriptedPeer delayed = ScriptedPeer.withDelayedAccept()) {
-            Client client = waitingAt(net, delayed);
+            Client client = clientWithPendingConnect(net, delayed);
             client.send("x".repeat(400_000));
             abandoned.await();
-            String answer = client.read();
-            assertTrue(answer.startsWith("HTTP/1.1 400") && answer.contains("too much was sent ahead"), answer);
+            String response = client.read();
+            assertTrue(
+                    response.startsWith("HTTP/1.1 400")
+                            && response.contains("too many bytes were sent before the response"),
+                    response);
             assertNull(client.read());
             delayed.startAccepting();
-            assertNoRequestCame(delayed);
+            assertNoRequestArrived(delayed);
         }
     }
 
@@ -115,25 +118,24 @@
                         .balancer(abandoned)
                         .start();
                 ScriptedPeer delayed = ScriptedPeer.withDelayedAccept()) {
-            Client client = waitingAt(net, delayed);
+            Client client = clientWithPendingConnect(net, delayed);
             client.socket.shutdownOutput();
             abandoned.await();
             delayed.startAccepting();
-            assertNoRequestCame(delayed);
+            assertNoRequestArrived(delayed);
             assertNull(client.read());
         }
     }
 
-    /** The end of the process would reset a connection with unread bytes, and lose a response in flight. */
+    /** The exit of the process would reset a connection with unread bytes, and a response in flight would be lost. */
     @Test
-    void aDrainingSidecarEndsNoSoonerThanItsClientsHaveClosed() throws Exception {
+    void aDrainEndsOnlyAfterClientsHaveClosedTheirConnections() throws Exception {
         AtomicBoolean closed = new AtomicBoolean();
         CompletableFuture<Client> clientReady = new CompletableFuture<>();
         CompletableFuture<LoopbackNetwork> networkReady = new CompletableFuture<>();
         UnaryOperator<Balancer> closesClientLater = balancer -> (now, event, out) -> {
             balancer.handle(now, event, out);
-            if (event
-                    instanceof AttemptEnded) { // its answer is written, and the sidecar's side shut; on the same wheel
+            if (event instanceof AttemptEnded) { // its response is written and the output shut down; same timer wheel
                 networkReady.join().sidecar.loop().after(200, () -> {
                     closed.set(true);
                     try {
@@ -160,15 +162,15 @@
                 Thread.onSpinWait();
             }
             call.respond("200 OK", "");
-            String answer = client.read();
-            assertTrue(answer.startsWith("HTTP/1.1 200") && answer.contains("Connection: close"), answer);
+            String response = client.read();
+            assertTrue(response.startsWith("HTTP/1.1 200") && response.contains("Connection: close"), response);
             assertNull(client.read());
             assertTrue(drained.get(20, TimeUnit.SECONDS));
         }
     }
 
     /** A client whose request was accepted and waits for a connect to complete. */
-    private static Client waitingAt(LoopbackNetwork net, ScriptedPeer delayed) throws Exception {
+    private static Client clientWithPendingConnect(LoopbackNetwork net, ScriptedPeer delayed) throws Exception {
         ReceivedRequest watch = net.beginWatch();
         watch.sendLine(LoopbackNetwork.catalogJson(8, false, List.of(delayed.endpointJson("delayed", "active"))));
         net.client().awaitHealthStatus("200");
@@ -178,10 +180,10 @@
         return client;
     }
 
-    /** None of the connections that were pending brings a request before the marker. */
-    private static void assertNoRequestCame(ScriptedPeer delayed) throws Exception {
-        Client mark = new Client(delayed.address().getPort());
-        mark.send("GET /mark HTTP/1.1\r\n\r\n");
+    /** No request arrives on the pending connections before the marker. */
+    private static void assertNoRequestArrived(ScriptedPeer delayed) throws Exception {
+        Client marker = new Client(delayed.address().getPort());
+        marker.send("GET /mark HTTP/1.1\r\n\r\n");
         String first = delayed.nextRequest().message();
         assertTrue(first.startsWith("GET /mark "), first);
     }
--- a/sidecar/src/test/java/dewplank/sidecar/ConnectionCloseTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/ConnectionCloseTest.java
@@ -21,13 +21,13 @@
 import java.util.function.BooleanSupplier;
 import org.junit.jupiter.api.Test;
 
-/** Requests that cross the close of their connection, and attempts with two outcomes at once, in either order. */
+/** Requests that arrive while their connection closes, and attempts with two simultaneous outcomes, in either order. */
 class ConnectionCloseTest {
     private static final int TIMEOUT_S = 20;
 
     /** The request is unread when its idle connection is closed: it is neither reset nor forwarded. */
     @Test
-    void aRequestThatCrossesItsConnectionsCloseIsNotForwarded() throws Exception {
+    void aRequestThatArrivesWhileItsConnectionClosesIsNotForwarded() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = idleClient(net);
             net.callOnLoop(() -> {
@@ -36,12 +36,12 @@
                 return null;
             });
             assertNull(client.read());
-            assertNextIs(net, "mark");
+            assertNextRequestHasBody(net, "mark");
         }
     }
 
     @Test
-    void aRequestThatWasReadBeforeItsConnectionsCloseGetsItsResponse() throws Exception {
+    void aRequestThatIsReadBeforeItsConnectionClosesGetsItsResponse() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = idleClient(net);
             client.sendRequest("menu-read");
@@ -56,10 +56,10 @@
     }
 
     @Test
-    void aHalfReadRequestIsAwaitedAndThenDropped() throws Exception {
+    void aPartiallyReadRequestIsAwaitedAndThenDropped() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
-            Client first = halfRead(net, 1);
-            Client second = halfRead(net, 2);
+            Client first = clientWithPartialRequest(net, 1);
+            Client second = clientWithPartialRequest(net, 2);
             net.callOnLoop(() -> {
                 net.sidecar.clients().closeIdle(false);
                 return null;
@@ -70,18 +70,18 @@
             call.respond("200 OK", "complete");
             assertTrue(first.read().endsWith("\r\n\r\ncomplete"));
             net.callOnLoop(() -> {
-                second.send("cd"); // the remaining bytes cross the close
+                second.send("cd"); // the remaining bytes arrive during the close
                 net.sidecar.clients().closeIdle(true);
                 return null;
             });
             assertNull(second.read());
-            assertNextIs(net, "mark");
+            assertNextRequestHasBody(net, "mark");
         }
     }
 
-    /** The loop is blocked until both have happened: whichever is handled first is the only outcome. */
+    /** The event loop is blocked until both have happened: the one that is handled first is the only outcome. */
     @Test
-    void aTimeoutAndAResponseThatMeetAreOneOutcome() throws Exception {
+    void aSimultaneousTimeoutAndResponseAreOneOutcome() throws Exception {
         BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
         EventLoop loop = new EventLoop();
         try (ScriptedPeer server = new ScriptedPeer()) {
@@ -98,7 +98,7 @@
             BlockingQueue<Integer> pooled = new LinkedBlockingQueue<>();
             loop.execute(() -> {
                 double started = loop.now();
-                answer(call);
+                respond(call);
                 await(() -> loop.now() > started + 60);
                 loop.after(0, () -> loop.execute(() -> pooled.add(pool.size()))); // after both were handled
             });
@@ -115,13 +115,13 @@
 
     /** Without a length only the close of the connection completes a response; a reset does not. */
     @Test
-    void aResponseWithoutALengthIsCompleteAtACloseAndNotAtAReset() throws Exception {
+    void aResponseWithoutALengthIsCompletedByACloseAndNotByAReset() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = net.client();
             client.sendRequest("order-place");
-            ReceivedRequest ends = net.servers.get(0).nextRequest();
-            ends.connection().send("HTTP/1.1 200 OK\r\n\r\ncomplete");
-            ends.connection().socket.close();
+            ReceivedRequest closed = net.servers.get(0).nextRequest();
+            closed.connection().send("HTTP/1.1 200 OK\r\n\r\ncomplete");
+            closed.connection().socket.close();
             assertTrue(client.read().endsWith("\r\n\r\ncomplete"));
             client.sendRequest("order-place");
             ReceivedRequest reset = net.servers.get(0).nextRequest();
@@ -147,9 +147,9 @@
         }
     }
 
-    /** Nothing of a request is retained however it ends: served, failed, rejected, abandoned, malformed, overdue. */
+    /** All state of a request is released when it is served, failed, rejected, abandoned, malformed or timed out. */
     @Test
-    void nothingIsRetainedHoweverARequestEnds() throws Exception {
+    void allStateOfARequestIsReleasedWhenItEnds() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             ScriptedPeer server = net.servers.get(0);
             Client served = net.client();
@@ -167,12 +167,12 @@
             Client malformed = net.client();
             malformed.send("what?\r\n\r\n");
             malformed.read();
-            Client overdue = net.client();
-            overdue.send(Client.request("menu-read", "").replace("5000", "100"));
-            overdue.read();
+            Client timedOut = net.client();
+            timedOut.send(Client.request("menu-read", "").replace("5000", "100"));
+            timedOut.read();
             Client disconnected = net.client();
             disconnected.sendRequest("order-place");
-            for (Client client : new Client[] {served, failed, rejected, malformed, overdue, disconnected}) {
+            for (Client client : new Client[] {served, failed, rejected, malformed, timedOut, disconnected}) {
                 client.socket.close();
             }
             await(() -> onLoop(net, net.sidecar::hasReleasedEverything));
@@ -187,11 +187,11 @@
         }
     }
 
-    private static void await(BooleanSupplier reached) {
+    private static void await(BooleanSupplier condition) {
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
-        while (!reached.getAsBoolean()) {
+        while (!condition.getAsBoolean()) {
             if (System.nanoTime() > until) {
-                throw new AssertionError("the condition was not reached in time");
+                throw new AssertionError("the condition was not met in time");
             }
             Thread.onSpinWait();
         }
@@ -201,7 +201,7 @@
         return ByteBuffer.wrap(text.getBytes(StandardCharsets.US_ASCII));
     }
 
-    private static void answer(ReceivedRequest call) {
+    private static void respond(ReceivedRequest call) {
         try {
             call.respond("200 OK", "");
         } catch (IOException e) {
@@ -218,14 +218,14 @@
         return client;
     }
 
-    private static Client halfRead(LoopbackNetwork net, int activeCount) throws Exception {
+    private static Client clientWithPartialRequest(LoopbackNetwork net, int activeCount) throws Exception {
         Client client = net.client();
         client.send(Client.request("menu-read", "Content-Length: 4\r\n") + "ab");
         await(() -> onLoop(net, () -> net.sidecar.clients().activeCount()) == activeCount);
         return client;
     }
 
-    private static void assertNextIs(LoopbackNetwork net, String body) throws Exception {
+    private static void assertNextRequestHasBody(LoopbackNetwork net, String body) throws Exception {
         Client client = net.client();
         client.send(Client.request("menu-read", "Content-Length: " + body.length() + "\r\n") + body);
         ReceivedRequest next = net.servers.get(0).nextRequest();
--- a/sidecar/src/test/java/dewplank/sidecar/DiscoveryClientTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/DiscoveryClientTest.java
@@ -28,13 +28,15 @@
 import java.util.function.UnaryOperator;
 import org.junit.jupiter.api.Test;
 
-/** Endpoint lists that are late, repeated, out of order, chunked, or from two addresses of discovery at once. */
+/**
+ * Endpoint lists that are late, repeated, out of order, chunked, or from two addresses of discovery at the same time.
+ */
 class DiscoveryClientTest {
     private static final UnaryOperator<String> PUSHED = settings -> settings.replace("\"on_request\"", "\"pushed\"");
 
-    /** Regression: where lists are pushed no watch was opened, so draining servers were not noticed. */
+    /** Regression: if lists were pushed, no watch was opened, so draining servers were not detected. */
     @Test
-    void whereListsArePushedTheWatchIsReopenedAtOnce() throws Exception {
+    void ifListsArePushedTheWatchIsReopenedImmediately() throws Exception {
         try (LoopbackNetwork net = LoopbackNetwork.builder(1).settings(PUSHED).start()) {
             ReceivedRequest watch = net.discovery.next();
             assertTrue(watch.message().startsWith("GET /catalog/members?stream=1&index=7 "), watch.message());
@@ -51,9 +53,12 @@
         }
     }
 
-    /** The agent's updates count as delivered from the start of the process: its initial list may be out of date. */
+    /**
+     * The agent's updates count as delivered from the start of the process, but the process starts with a list that may
+     * be out of date.
+     */
     @Test
-    void whereListsArePushedNothingIsSentBeforeTheFirst() throws Exception {
+    void ifListsArePushedNoRequestIsSentBeforeTheFirstList() throws Exception {
         BlockingQueue<UpdateKind> updates = new LinkedBlockingQueue<>();
         EventLoop loop = new EventLoop();
         try (ScriptedPeer agent = new ScriptedPeer();
@@ -83,9 +88,9 @@
         }
     }
 
-    /** A reload may come in the last moments of a drain. */
+    /** A reload may happen at the end of a drain. */
     @Test
-    void aMoveOnceClosedOpensNoWatch() throws Exception {
+    void anAddressChangeAfterTheCloseOpensNoWatch() throws Exception {
         EventLoop loop = new EventLoop();
         try (ScriptedPeer agent = new ScriptedPeer();
                 ScriptedPeer moved = new ScriptedPeer();
@@ -94,8 +99,8 @@
             DiscoveryClient open = new DiscoveryClient(loop, agent.address(), false, false, update -> {});
             loop.execute(() -> {
                 discovery.close();
-                discovery.moveTo(moved.address());
-                open.moveTo(probe.address());
+                discovery.changeAddress(moved.address());
+                open.changeAddress(probe.address());
             });
             assertNotNull(probe.next());
             assertTrue(moved.hasNoRequest());
@@ -105,7 +110,7 @@
     }
 
     @Test
-    void aListMayComeIndentedAndInChunks() throws Exception {
+    void aListMayBeIndentedAndChunked() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(0)) {
             ReceivedRequest watch = net.beginWatch();
             String list = LoopbackNetwork.catalogJson(
@@ -120,9 +125,9 @@
         }
     }
 
-    /** A delayed list, or one from a replica that lags, would undo the draining of a server. */
+    /** A delayed list, or one from a lagging replica, would return a draining server to use. */
     @Test
-    void anOlderListThatComesLastIsIgnored() throws Exception {
+    void anOlderListThatArrivesLastIsIgnored() throws Exception {
         BalancerEventLatch last = BalancerEventLatch.forUpdateOf("last");
         try (LoopbackNetwork net = LoopbackNetwork.builder(1).balancer(last).start()) {
             ScriptedPeer server = net.servers.get(0);
@@ -137,21 +142,21 @@
         }
     }
 
-    /** Otherwise each break of an idle watch would lengthen the backoff, and draining servers be missed meanwhile. */
+    /** Otherwise each loss of an idle watch would increase the backoff, and draining servers would not be detected. */
     @Test
     void anEmptyLineCountsAsAnUpdate() throws Exception {
-        BalancerEventLatch answered = new BalancerEventLatch(
+        BalancerEventLatch updated = new BalancerEventLatch(
                 event -> event instanceof EndpointUpdate update && update.kind() == UpdateKind.INCREMENTAL);
-        try (LoopbackNetwork net = LoopbackNetwork.builder(1).balancer(answered).start()) {
+        try (LoopbackNetwork net = LoopbackNetwork.builder(1).balancer(updated).start()) {
             ReceivedRequest watch = net.beginWatch();
             watch.sendLine("");
-            answered.await();
+            updated.await();
         }
     }
 
-    /** SIGHUP between a watch's end and the subscribe that follows: that finds a watch open and keeps it. */
+    /** SIGHUP arrives between the end of a watch and the subscribe that follows, which keeps the watch already open. */
     @Test
-    void aSubscribeDueWhenDiscoveryMovedOpensNoSecondWatch() throws Exception {
+    void aSubscribeAfterAnAddressChangeOpensNoSecondWatch() throws Exception {
         BalancerEventLatch broken = new BalancerEventLatch(
                 event -> event instanceof EndpointUpdate update && update.kind() == UpdateKind.BROKEN);
         BlockingQueue<Action> subscribes = new LinkedBlockingQueue<>();
@@ -168,7 +173,7 @@
                 ScriptedPeer moved = new ScriptedPeer()) {
             assertNotNull(subscribes.poll(20, TimeUnit.SECONDS));
             net.discovery.next().reset();
-            broken.await(); // the next call is due in a quarter of a second at the soonest
+            broken.await(); // the next subscribe is due in 250 ms at the earliest
             net.sidecar.reload(net.withDiscovery(moved.address()));
             ReceivedRequest watch = moved.next();
             watch.beginWatch();
@@ -181,9 +186,9 @@
         }
     }
 
-    /** Updates of the old address that are in flight when discovery moves are ignored. */
+    /** Updates from the old address that are in flight when discovery's address changes are ignored. */
     @Test
-    void aListOfTheOldDiscoveryAfterAMoveIsIgnored() throws Exception {
+    void aListFromTheOldAddressIsIgnoredAfterAnAddressChange() throws Exception {
         BalancerEventLatch listed = BalancerEventLatch.forUpdateOf("s1");
         BalancerEventLatch watchOpened = new BalancerEventLatch(
                 event -> event instanceof EndpointUpdate update && update.kind() == UpdateKind.INCREMENTAL);
@@ -194,9 +199,9 @@
             ReceivedRequest old = net.discovery.next();
             old.beginWatch();
             old.sendLine("");
-            watchOpened.await(); // all that came so far is read: what comes now arrives after the move
+            watchOpened.await(); // all earlier bytes are read: later ones arrive after the address change
             net.callOnLoop(
-                    () -> { // the move is queued before what the old one sends now
+                    () -> { // the address change is queued before the list from the old address
                         net.sidecar.reload(net.withDiscovery(moved.address()));
                         old.sendLine(LoopbackNetwork.catalogJson(20, true, List.of()));
                         return null;
@@ -208,11 +213,11 @@
             listed.await();
             Client client = net.client();
             client.send("GET /_health HTTP/1.1\r\n\r\n");
-            String answer = client.read();
-            assertStatus("200", answer);
+            String response = client.read();
+            assertStatus("200", response);
             assertThrows(
                     IOException.class,
-                    () -> { // and its connection is closed
+                    () -> { // the old connection is closed
                         for (int index = 0; index < 100_000; index++) {
                             old.sendLine("");
                         }
--- a/sidecar/src/test/java/dewplank/sidecar/DrainTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/DrainTest.java
@@ -18,7 +18,7 @@
 /** Graceful shutdown: which clients a draining sidecar still serves, how it ends, and its schedule. */
 class DrainTest {
 
-    /** During a planned restart clients still connect for a while. */
+    /** During a planned restart, clients continue to connect for some time. */
     @Test
     void aDrainingSidecarServesNewClients() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
@@ -26,15 +26,18 @@
             serve(net, before, "one");
             drain(net, 60_000, 60_000);
             net.sidecar.awaitDrainStarted();
-            serve(net, before, "two"); // regression: an idle connection was closed with this response
+            serve(net, before, "two"); // regression: an idle connection was closed after this response
             serve(net, before, "three");
             serve(net, net.client(), "four");
         }
     }
 
-    /** Regression: no new connections come while it drains, and the client may have no other sidecar. */
+    /**
+     * Regression: idle connections were closed to free capacity. A draining sidecar gets no new connections, and a
+     * client may have no other sidecar.
+     */
     @Test
-    void aDrainingSidecarClosesNoConnectionForCapacity() throws Exception {
+    void aDrainingSidecarClosesNoConnectionToFreeCapacity() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             List<Client> idle = net.openClientsUpToIdleCapacity();
             Client client = net.client();
@@ -49,7 +52,7 @@
     }
 
     @Test
-    void aDrainingSidecarEndsWhenAllAcceptedRequestsAreComplete() throws Exception {
+    void aDrainEndsWhenAllAcceptedRequestsAreComplete() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = net.client();
             client.sendRequest("menu-read");
@@ -70,7 +73,7 @@
             Client busy = net.client();
             busy.sendRequest("menu-read");
             ReceivedRequest call =
-                    net.servers.get(0).next(); // connections are accepted in order: the idle one was, too
+                    net.servers.get(0).next(); // connections are accepted in order, so the idle one is accepted too
             FutureTask<Void> drain = drain(net, 0, 60_000);
             assertNull(idle.read()); // closed gracefully, not reset
             call.respond("200 OK", "");
@@ -78,16 +81,16 @@
         }
     }
 
-    /** The system resets what is in the backlog when the listener closes; the sidecar never saw that connection. */
+    /** The system resets connections in the backlog when the listener closes; the sidecar never accepted them. */
     @Test
     void aConnectionInTheBacklogOfADrainingSidecarGetsNoResponse() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             for (int index = 1; index < net.config.maxClientConnections(); index++) {
-                net.client().send("POST"); // half a request: a silent connection would be closed at the bound
+                net.client().send("POST"); // incomplete: a connection that sends nothing is closed at the limit
             }
             Client last = net.client();
             last.sendRequest("menu-read");
-            ReceivedRequest call = net.servers.get(0).next(); // accepted in order: the bound is reached
+            ReceivedRequest call = net.servers.get(0).next(); // accepted in order, so the limit is reached
             Client queued = net.client();
             FutureTask<Void> drain = drain(net, 0, 60_000);
             assertNull(queued.readUnlessReset());
@@ -98,8 +101,8 @@
     }
 
     /**
-     * What a client gets that connects while the sidecar stops to accept: null, whether the connection is refused, is
-     * reset in the backlog, or is accepted and closed.
+     * Returns the response to a client that connects while the sidecar stops accepting connections: null if the
+     * connection is refused, reset in the backlog, or accepted and closed.
      */
     private static String responseToNewClient(LoopbackNetwork net) throws IOException {
         try {
@@ -109,7 +112,10 @@
         }
     }
 
-    /** What SIGKILL finds unanswered is lost: an order that may have run fails before that and is never rejected. */
+    /**
+     * Requests that are still open at SIGKILL get no response. An order that may have run therefore fails before that,
+     * and is never rejected.
+     */
     @Test
     void requestsStillOpenBeforeAKillAreFailed() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
@@ -122,10 +128,10 @@
         }
     }
 
-    /** By the figures of the protocol: 0.7 s after the longest deadline, which counts as 3 s at most. */
+    /** SIGKILL follows at least 0.7 s after the longest deadline, which counts as at most 3 s. */
     @ParameterizedTest
     @CsvSource({"2750, 3500, 6000, 750", "1300, 1700, 1200, 400", "600, 1500, 1000, 2000"})
-    void requestsAreAcceptedUntilTheyCouldNotCompleteBeforeAKill(
+    void requestsAreAcceptedWhileTheyCanCompleteBeforeAKill(
             double acceptForMs, double completeByMs, double maxDeadlineMs, double minLatencyTargetMs) {
         assertEquals(new DrainSchedule(acceptForMs, completeByMs), DrainSchedule.of(maxDeadlineMs, minLatencyTargetMs));
     }
--- a/sidecar/src/test/java/dewplank/sidecar/EndpointWatchTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/EndpointWatchTest.java
@@ -15,7 +15,9 @@
 import java.util.function.UnaryOperator;
 import org.junit.jupiter.api.Test;
 
-/** The watch of the endpoint list: its updates, its resumption, a move of discovery, and removed servers. */
+/**
+ * The watch of the endpoint list: its updates, its resumption, a change of discovery's address, and removed servers.
+ */
 class EndpointWatchTest {
 
     @Test
@@ -43,9 +45,9 @@
         }
     }
 
-    /** A reload moves the watch at once: the old address ends its watches soon and sends no updates. */
+    /** A reload reopens the watch immediately: the old address sends no more updates and soon closes its watches. */
     @Test
-    void theWatchFollowsDiscoveryToANewAddress() throws Exception {
+    void theWatchIsReopenedAtDiscoverysNewAddress() throws Exception {
         UnaryOperator<Balancer> neverResubscribes = balancer -> (now, event, out) -> {
             if (!(event instanceof EndpointUpdate update && update.kind() == UpdateKind.BROKEN)) {
                 balancer.handle(now, event, out);
@@ -67,9 +69,9 @@
         }
     }
 
-    /** Over a long day servers with ever new ids are added and removed: the state of a removed one is released. */
+    /** Servers are added and removed under new ids all day, so the state of a removed server must be released. */
     @Test
-    void theConnectionsToAServerCloseWhenItIsRemoved() throws Exception {
+    void connectionsToAServerAreClosedWhenItIsRemoved() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             ReceivedRequest watch = net.discovery.next();
             ScriptedPeer server = net.servers.get(0);
--- a/sidecar/src/test/java/dewplank/sidecar/LoadReportTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/LoadReportTest.java
@@ -17,15 +17,15 @@
         assertArrayEquals(new double[] {7, 2}, LoadReport.parse("TEXT rif=7, q=2", FIELDS));
     }
 
-    /** An impossible value must not reach the balancer as a figure. */
+    /** An impossible value must not be passed to the balancer. */
     @ParameterizedTest
     @ValueSource(strings = {"NaN", "Infinity", "-Infinity", "-1", "1e999", "seven", ""})
-    void aValueThatIsNoLoadCountsAsMissing(String value) {
+    void anInvalidValueCountsAsMissing(String value) {
         assertArrayEquals(new double[] {Double.NaN, 2}, LoadReport.parse("TEXT rif=" + value + ", q=2", FIELDS));
     }
 
     @Test
-    void anotherFormatIsNoReport() {
+    void aReportInAnotherFormatIsIgnored() {
         assertNull(LoadReport.parse("what?", FIELDS));
     }
 }
--- a/sidecar/src/test/java/dewplank/sidecar/LoopbackNetwork.java
+++ b/sidecar/src/test/java/dewplank/sidecar/LoopbackNetwork.java
@@ -34,8 +34,8 @@
 import java.util.function.UnaryOperator;
 
 /**
- * A sidecar between scripted peers, all on loopback: clients, servers and discovery. Tests wait for what arrives, never
- * for a time to pass.
+ * A sidecar with scripted clients, servers and discovery, all on loopback. Tests wait for messages and events instead
+ * of fixed times.
  */
 final class LoopbackNetwork implements Closeable {
     /** Only a failing test waits this long. */
@@ -53,7 +53,7 @@
          "Safety":{"AskWithin":10000,"Cold":22000,"ColdShare":0.12,"FallMultiple":4,"TipAfter":2000},
          "Tick":5.0,"Weights":"none"}""";
 
-    /** Only the timeout of the attempt ends a connect that does not complete. */
+    /** Without a connect timeout, only the timeout of the attempt ends a connect that does not complete. */
     static final UnaryOperator<String> NO_CONNECT_TIMEOUT =
             settings -> settings.replace("\"ConnectTimeout\":2000", "\"ConnectTimeout\":0");
 
@@ -61,9 +61,9 @@
     final ScriptedPeer discovery = new ScriptedPeer();
     final SidecarConfig config;
     final Sidecar sidecar;
-    private final int sidecarPort; // read at the start: a closed listener has none
+    private final int sidecarPort; // read at the start, because a closed listener has none
 
-    /** A network with other settings, or with a wrapper around the balancer. */
+    /** Builds a network with changed settings or with a wrapper around the balancer. */
     static final class Builder {
         private final int serverCount;
         private UnaryOperator<String> settingsChange = UnaryOperator.identity();
@@ -124,7 +124,7 @@
         return "{\"version\":" + version + ",\"full\":" + full + ",\"servers\":[" + String.join(",", entries) + "]}";
     }
 
-    /** The same configuration with its discovery elsewhere. */
+    /** Returns the same configuration with another address of discovery. */
     SidecarConfig withDiscovery(InetSocketAddress discoveryAddress) {
         return new SidecarConfig(
                 config.name(),
@@ -148,22 +148,22 @@
         return new Client(sidecarPort);
     }
 
-    /** Opens as many client connections as may be idle, each with one answered request. */
+    /** Opens as many client connections as may be idle; each has received one response. */
     List<Client> openClientsUpToIdleCapacity() throws IOException {
         int idleCapacity = config.maxClientConnections() / ClientConnections.IDLE_CAPACITY_DIVISOR;
         List<Client> clients = new ArrayList<>();
         while (clients.size() < idleCapacity) {
             Client client = client();
             client.send("GET /_health HTTP/1.1\r\n\r\n");
-            String answer = client.read();
-            ResponseAssertions.assertStatus("200", answer);
-            assertFalse(answer.contains("Connection: close"), answer);
+            String response = client.read();
+            ResponseAssertions.assertStatus("200", response);
+            assertFalse(response.contains("Connection: close"), response);
             clients.add(client);
         }
         return clients;
     }
 
-    /** Runs a task on the sidecar's event loop; returns its result. */
+    /** Runs a task on the sidecar's event loop and returns its result. */
     <T> T callOnLoop(Callable<T> task) throws Exception {
         FutureTask<T> done = new FutureTask<>(task);
         sidecar.loop().execute(done);
@@ -205,13 +205,13 @@
         void run() throws Exception;
     }
 
-    /** Runs a peer's task on a thread of its own, until the test closes what it waits on. */
+    /** Runs a task on a new daemon thread, until the test closes the socket on which the task waits. */
     static Thread background(Task task) {
         Thread thread = new Thread(() -> {
             try {
                 task.run();
             } catch (Exception e) {
-                // the test has closed this end
+                // the test has closed the socket
             }
         });
         thread.setDaemon(true);
@@ -225,7 +225,7 @@
         }
     }
 
-    /** One end of a connection that reads complete messages. */
+    /** One side of a connection, which reads complete messages. */
     static class ScriptedConnection {
         final Socket socket;
         private final InputStream in;
@@ -240,7 +240,7 @@
             socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
         }
 
-        /** Head and body, or null where the other side has ended the connection. */
+        /** Returns the head and body of the next message, or null if the other side has closed the connection. */
         String read() throws IOException {
             StringBuilder head = new StringBuilder();
             while (head.indexOf("\r\n\r\n") < 0) {
@@ -265,7 +265,7 @@
 
         private static final AtomicLong nextId = new AtomicLong();
 
-        /** As {@link #read}, but null also where the system has reset a connection that was never accepted. */
+        /** Like {@link #read}, but also returns null if the system has reset a connection that was never accepted. */
         String readUnlessReset() throws IOException {
             try {
                 return read();
@@ -277,22 +277,22 @@
             }
         }
 
-        /** Asks for the sidecar's health until it answers with this status. */
+        /** Requests the sidecar's health until the response has this status. */
         void awaitHealthStatus(String status) throws IOException {
             long untilNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
-            String answer;
+            String response;
             do {
                 if (System.nanoTime() > untilNanos) {
-                    throw new AssertionError("/_health never answered " + status);
+                    throw new AssertionError("/_health never responded with " + status);
                 }
                 send("GET /_health HTTP/1.1\r\n\r\n");
-                answer = read();
-            } while (!answer.startsWith("HTTP/1.1 " + status));
+                response = read();
+            } while (!response.startsWith("HTTP/1.1 " + status));
         }
 
-        static String request(String requestClass, String moreFields) {
+        static String request(String requestClass, String additionalFields) {
             return "POST /api?q=1 HTTP/1.1\r\nHost: api\r\nX-Trace-Id: t" + nextId.incrementAndGet() + "\r\nX-Qos: "
-                    + requestClass + "\r\nX-Expires-In-Ms: 5000\r\n" + moreFields + "\r\n";
+                    + requestClass + "\r\nX-Expires-In-Ms: 5000\r\n" + additionalFields + "\r\n";
         }
 
         void sendRequest(String requestClass) throws IOException {
@@ -300,13 +300,15 @@
         }
     }
 
-    /** A request that a peer received, and its connection; the message is null once the sidecar has closed that. */
+    /**
+     * A request received by a peer, and its connection. A null message means that the sidecar closed the connection.
+     */
     record ReceivedRequest(ScriptedConnection connection, String message) {
         void respond(String status, String body) throws IOException {
             connection.send("HTTP/1.1 " + status + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
         }
 
-        /** Sends a line of a watch's response, as a chunk. */
+        /** Sends a line of the response to a watch, as a chunk. */
         void sendLine(String text) throws IOException {
             connection.send(Integer.toHexString(text.length() + 1) + "\r\n" + text + "\n\r\n");
         }
@@ -321,7 +323,7 @@
         }
     }
 
-    /** A scripted server or discovery: accepts connections and requests; the test responds. */
+    /** A scripted server or discovery, which accepts connections and requests. The test sends the responses. */
     static final class ScriptedPeer implements Closeable {
         private final ServerSocket listener;
         private final BlockingQueue<ReceivedRequest> requests = new LinkedBlockingQueue<>();
@@ -339,19 +341,21 @@
             accepting = background(() -> {
                 open.await();
                 while (true) {
-                    ScriptedConnection end = new ScriptedConnection(listener.accept());
+                    ScriptedConnection connection = new ScriptedConnection(listener.accept());
                     background(() -> {
                         String message;
                         do {
-                            message = end.read();
-                            requests.add(new ReceivedRequest(end, message));
+                            message = connection.read();
+                            requests.add(new ReceivedRequest(connection, message));
                         } while (message != null);
                     });
                 }
             });
         }
 
-        /** Connects to it complete only after {@link #startAccepting}, at the next retry of the system. */
+        /**
+         * Returns a peer to which connects complete only after {@link #startAccepting}, when the system retries them.
+         */
         static ScriptedPeer withDelayedAccept() throws IOException {
             ScriptedPeer delayed = new ScriptedPeer(1);
             for (int index = 0; index < 2; index++) { // fills the backlog, which holds one more than requested
@@ -378,27 +382,30 @@
                     + "\",\"weight\":1.0,\"started_ms\":0}";
         }
 
-        /** Whether no request or end of a connection is waiting for the test. */
+        /** Whether neither a request nor a closed connection is queued for the test. */
         boolean hasNoRequest() {
             return requests.isEmpty();
         }
 
-        /** The next request, past the ends of connections that brought none. */
+        /** Returns the next request, and skips connections that were closed without one. */
         ReceivedRequest nextRequest() throws InterruptedException {
-            ReceivedRequest exchange = next();
-            while (exchange.message() == null) {
-                exchange = next();
+            ReceivedRequest request = next();
+            while (request.message() == null) {
+                request = next();
             }
-            return exchange;
+            return request;
         }
 
         ReceivedRequest next() throws InterruptedException {
-            ReceivedRequest exchange = requests.poll(TIMEOUT_S, TimeUnit.SECONDS);
-            assertNotNull(exchange, "no request came");
-            return exchange;
+            ReceivedRequest request = requests.poll(TIMEOUT_S, TimeUnit.SECONDS);
+            assertNotNull(request, "no request was received");
+            return request;
         }
 
-        /** Connects are refused from here on: until the accepting thread has ended, the system may still accept one. */
+        /**
+         * Closes the listener. Afterwards connects are refused: it waits for the accepting thread, because the system
+         * may still accept a connection until that thread has ended.
+         */
         @Override
         public void close() throws IOException {
             listener.close();
--- a/sidecar/src/test/java/dewplank/sidecar/RequestAttributesTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/RequestAttributesTest.java
@@ -15,15 +15,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Tenant, key and cost of a request as the balancer gets them from its header fields. */
+/** The tenant, key and cost that the balancer gets for a request, read from its header fields. */
 class RequestAttributesTest {
     private static final String TENANTS = "\"Accounts\":[{\"Name\":\"porto\",\"Share\":0.6,\"AllowancePerS\":9},"
             + "{\"Name\":\"praias\",\"Share\":0.4,\"AllowancePerS\":6}]";
 
     private final BlockingQueue<RequestArrived> arrived = new LinkedBlockingQueue<>();
 
-    /** What the balancer gets of a request with these header fields; the server gets the fields unchanged. */
-    private RequestArrived arrivedWith(String fields) throws Exception {
+    /** Returns the balancer's event for a request with these header fields, which the server gets unchanged. */
+    private RequestArrived arrivalWith(String fields) throws Exception {
         try (LoopbackNetwork net = LoopbackNetwork.builder(1)
                 .settings(settings -> settings.replace("\"Accounts\":[]", TENANTS))
                 .balancer(balancer -> (now, event, out) -> {
@@ -46,8 +46,8 @@
     }
 
     @Test
-    void tenantKeyAndCostReachTheBalancer() throws Exception {
-        RequestArrived arrival = arrivedWith(
+    void tenantKeyAndCostArePassedToTheBalancer() throws Exception {
+        RequestArrived arrival = arrivalWith(
                 "X-Customer: porto\r\nCookie: session=1; k=7f3a=c2; lang=pt\r\nX-Props: Work=12.5,other=3\r\n");
         assertEquals("porto", arrival.tenant());
         assertEquals("7f3a=c2", arrival.key());
@@ -66,14 +66,14 @@
     @ParameterizedTest(name = "case {index}")
     @MethodSource("invalidFields")
     void ambiguousOrInvalidAttributesAreNull(String fields) throws Exception {
-        RequestArrived arrival = arrivedWith(fields);
+        RequestArrived arrival = arrivalWith(fields);
         assertNull(arrival.tenant(), fields);
         assertNull(arrival.key(), fields);
         assertNull(arrival.costMs(), fields);
     }
 
     @Test
-    void aRepeatedEqualKeyIsThatKey() throws Exception {
-        assertEquals("k1", arrivedWith("Cookie: k=k1\r\nCookie: a=b; k=k1\r\n").key());
+    void aKeyThatIsRepeatedWithTheSameValueIsAccepted() throws Exception {
+        assertEquals("k1", arrivalWith("Cookie: k=k1\r\nCookie: a=b; k=k1\r\n").key());
     }
 }
--- a/sidecar/src/test/java/dewplank/sidecar/RequestForwardingTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/RequestForwardingTest.java
@@ -30,12 +30,12 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * One request on its way between a client and a server: connection reuse, outcomes that are forwarded, failed or
+ * Forwarding of a request between a client and a server: connection reuse, outcomes that are forwarded, failed or
  * rejected, malformed requests, and a client that disconnects.
  */
 class RequestForwardingTest {
 
-    /** Regression: every answered call closed its server connection instead of pooling it. */
+    /** Regression: every completed request closed its server connection instead of returning it to the pool. */
     @Test
     void aServerConnectionIsReused() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
@@ -56,9 +56,9 @@
         }
     }
 
-    /** A request written to a connection that the server closes at that moment ends as a reset. */
+    /** A request that is written while the server closes the connection would be reset. */
     @Test
-    void anIdleServerConnectionIsClosedBeforeTheServerDoes() throws Exception {
+    void anIdleServerConnectionIsClosedBeforeTheServerClosesIt() throws Exception {
         try (LoopbackNetwork net = LoopbackNetwork.builder(1)
                 .settings(settings -> settings.replace("\"IdleClose\":60000", "\"IdleClose\":1"))
                 .start()) {
@@ -72,9 +72,9 @@
         }
     }
 
-    /** What may have run is neither retried nor rejected: a rejection tells the client to retry. */
+    /** A request that may have run is neither retried nor rejected: a rejection lets the client retry. */
     @Test
-    void anOrderWhoseServerResetsHasFailed() throws Exception {
+    void anOrderFailsIfItsServerResetsTheConnection() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = net.client();
             client.sendRequest("order-place");
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void aResponseThatIsNotHttpFailsItsRequestOnly() throws Exception {
+    void aResponseThatIsNotHttpFailsOnlyItsRequest() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = net.client();
             client.sendRequest("order-place");
@@ -92,27 +92,27 @@
             assertStatus("502", client.read());
             client.sendRequest("menu-read");
             ReceivedRequest next = net.servers.get(0).next();
-            next = next.message() == null ? net.servers.get(0).next() : next; // the end of the broken connection
+            next = next.message() == null ? net.servers.get(0).next() : next; // the close of the broken connection
             next.respond("200 OK", "fine");
             assertStatus("200", client.read());
         }
     }
 
-    /** Rejected before it ran, with no other server: a retry is safe, and Retry-After says when. */
+    /** The only server rejected the request before running it: a retry is safe, and Retry-After states the delay. */
     @Test
-    void anOrderThatTheServerRejectedIsRejected() throws Exception {
+    void anOrderThatItsServerRejectedIsRejected() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = net.client();
             client.sendRequest("order-place");
             net.servers.get(0).next().respond("503 Busy\r\nX-Never-Ran: 1", "");
-            String answer = client.read();
-            assertStatus("503", answer);
-            assertTrue(answer.contains("\r\nRetry-After: "), answer);
+            String response = client.read();
+            assertStatus("503", response);
+            assertTrue(response.contains("\r\nRetry-After: "), response);
         }
     }
 
     @Test
-    void anOrderThatNeverRanGoesToAnotherServer() throws Exception {
+    void anOrderThatHasNotRunIsRetriedAtAnotherServer() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(2)) {
             net.servers.get(1).close(); // refuses connections
             for (int index = 0; index < 8; index++) {
@@ -148,7 +148,7 @@
         }
     }
 
-    /** A read stays pending on the client's side, and a cancelled call's connection is closed, not pooled. */
+    /** A pending read detects the disconnect; the cancelled attempt's connection is closed instead of pooled. */
     @Test
     void aClientThatDisconnectsCancelsItsAttempt() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
@@ -162,7 +162,7 @@
     }
 
     @Test
-    void aRequestSentAheadWaitsForItsTurn() throws Exception {
+    void aPipelinedRequestWaitsForThePreviousResponse() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = net.client();
             String first = Client.request("menu-read", "Content-Length: 1\r\n");
@@ -188,10 +188,10 @@
                         "GET /api HTTP/1.1\r\nX-Trace-Id: t\r\nX-Qos: menu-read\r\nX-Expires-In-Ms: soon\r\n\r\n"));
     }
 
-    /** A plain close would reset the connection where the body is unread, and the client would lose the answer. */
+    /** An immediate close would reset a connection with an unread body, and the client would lose the response. */
     @ParameterizedTest(name = "case {index}: {0}")
     @MethodSource("malformedRequests")
-    void aMalformedRequestGetsAnErrorAndTheConnectionCloses(String status, String request) throws Exception {
+    void aMalformedRequestGetsAnErrorAndItsConnectionIsClosed(String status, String request) throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = net.client();
             client.send(request);
@@ -201,9 +201,9 @@
         }
     }
 
-    /** If forwarded, the second request could run as a repeat of the first: servers know requests by id only. */
+    /** Servers identify requests only by their id, so they could take the second request for a repeat of the first. */
     @Test
-    void theIdOfAnOpenRequestIsRejected() throws Exception {
+    void aRequestWithTheIdOfAnOpenRequestIsRejected() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             String order = Client.request("order-place", "");
             Client first = net.client();
@@ -214,20 +214,20 @@
             assertLastResponse(second, "409");
             call.respond("200 OK", "");
             assertStatus("200", first.read());
-            first.send(order); // answered, so no longer open
+            first.send(order); // complete, so no longer open
             net.servers.get(0).next().respond("200 OK", "");
             assertStatus("200", first.read());
         }
     }
 
     @Test
-    void aBalancerThatThrowsFailsThatRequestOnly() throws Exception {
+    void anExceptionInTheBalancerFailsOnlyItsRequest() throws Exception {
         try (LoopbackNetwork net = LoopbackNetwork.builder(1)
                 .settings(settings -> settings)
                 .balancer(balancer -> (now, event, out) -> {
                     if (event instanceof RequestArrived arrival
                             && arrival.requestClass().equals("order-place")) {
-                        throw new IllegalStateException("on purpose, for the test");
+                        throw new IllegalStateException("intentional failure of the test");
                     }
                     balancer.handle(now, event, out);
                 })
@@ -241,15 +241,15 @@
         }
     }
 
-    /** Clients connect once the sidecar reports that it is ready, which is not before its code has warmed up. */
+    /** Clients connect once the sidecar reports that it is ready, which it does only after the warm-up. */
     @Test
-    void untilItsRehearsalEndsTheSidecarIsNotReady() throws Exception {
+    void theSidecarIsNotReadyUntilItsWarmUpHasEnded() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             FutureTask<Boolean> ready = new FutureTask<>(net.sidecar::isReady);
-            CompletableFuture<Void> rehearsed = net.sidecar.rehearse();
+            CompletableFuture<Void> warmedUp = net.sidecar.rehearse();
             net.sidecar.loop().execute(ready);
             assertFalse(ready.get());
-            rehearsed.get();
+            warmedUp.get();
             net.runOnLoop(() -> assertTrue(net.sidecar.isReady()));
         }
     }
--- a/sidecar/src/test/java/dewplank/sidecar/ResponseAssertions.java
+++ b/sidecar/src/test/java/dewplank/sidecar/ResponseAssertions.java
@@ -9,25 +9,26 @@
 import dewplank.sidecar.LoopbackNetwork.ReceivedRequest;
 import java.io.IOException;
 
-/** Assertions on responses and on the ends of connections. */
+/** Assertions on responses and on closed connections. */
 final class ResponseAssertions {
     private static final int STATUS_LINE_START = "HTTP/1.1 200".length();
 
     private ResponseAssertions() {}
 
-    static void assertStatus(String status, String answer) {
-        assertEquals("HTTP/1.1 " + status, answer.substring(0, Math.min(STATUS_LINE_START, answer.length())), answer);
+    static void assertStatus(String status, String response) {
+        assertEquals(
+                "HTTP/1.1 " + status, response.substring(0, Math.min(STATUS_LINE_START, response.length())), response);
     }
 
-    /** The next response has this status and announces the close of the connection, which follows. */
+    /** Asserts that the next response has this status and that the connection is closed after it, as announced. */
     static void assertLastResponse(Client client, String status) throws IOException {
-        String answer = client.read();
-        assertStatus(status, answer);
-        assertTrue(answer.contains("Connection: close\r\n"), answer);
+        String response = client.read();
+        assertStatus(status, response);
+        assertTrue(response.contains("Connection: close\r\n"), response);
         assertNull(client.read());
     }
 
-    /** {@code end} is the end of the connection on which the request came. */
+    /** Asserts that {@code end} is the close of the connection on which the request was received. */
     static void assertConnectionEnd(ReceivedRequest request, ReceivedRequest end) {
         assertSame(request.connection(), end.connection());
         assertNull(end.message());
--- a/sidecar/src/test/java/dewplank/sidecar/config/SidecarConfigTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/config/SidecarConfigTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The configuration of a sidecar: which key an invalid one names, its environment, and strict JSON. */
+/** The configuration of a sidecar: error messages that name invalid keys, the environment, and strict JSON. */
 class SidecarConfigTest {
 
     private static String errorMessage(String json) {
@@ -36,9 +36,7 @@
                         "{\"name\":\"n\",\"listen\":\"here\"}",
                         "configuration key listen should be an address and a port, such as 10.0.0.4:5000"),
                 arguments("{\"limits\":{\"sockets\":3}}", "configuration key limits.sockets should be at least 256"),
-                arguments(
-                        start + "\"x\"}",
-                        "configuration key seed should be a hexadecimal number of 64 bits at the most"),
+                arguments(start + "\"x\"}", "configuration key seed should be a hexadecimal number of at most 64 bits"),
                 arguments(
                         start + "\"8c1f30d27a5be964\",\"known\":{},\"settings\":{}}",
                         "configuration key settings.Me is missing"));
@@ -46,35 +44,40 @@
 
     @ParameterizedTest(name = "{1}")
     @MethodSource("invalidConfigurations")
-    void anInvalidKeyIsNamed(String json, String message) {
+    void theErrorNamesAnInvalidKey(String json, String message) {
         assertEquals(message, errorMessage(json));
     }
 
     @Test
-    void settingsOutOfRangeAreNamed() {
+    void theErrorNamesASettingOutOfRange() {
         Fields outOfRange = new Fields(Json.object("{\"Me\":0,\"ReplicasOfMe\":0}"), "setting ");
         assertEquals(
                 "setting ReplicasOfMe should be a number above 0",
                 assertThrows(InvalidInputException.class, () -> BalancerSettingsReader.read(outOfRange))
                         .getMessage());
-        Fields word = new Fields(Json.object("{\"a\":\"x\"}"), "setting ");
+        Fields unknownChoice = new Fields(Json.object("{\"a\":\"x\"}"), "setting ");
         assertEquals(
                 "setting a should be one of left, right",
-                assertThrows(InvalidInputException.class, () -> word.choice("a", Map.of("right", 1, "left", 2)))
+                assertThrows(
+                                InvalidInputException.class,
+                                () -> unknownChoice.choice("a", Map.of("right", 1, "left", 2)))
                         .getMessage());
     }
 
     @Test
-    void anEnvironmentWithoutAFileIsNamed() {
+    void theErrorNamesAMissingEnvironmentVariable() {
         assertEquals(
                 "environment variable GW_CONFIG is missing",
                 assertThrows(InvalidInputException.class, () -> SidecarConfig.fromEnvironment(Map.of()))
                         .getMessage());
     }
 
-    /** The environment is that of the start: if it took precedence on reload, the old address would return. */
+    /**
+     * The environment keeps its values from the start: if it took precedence on reload, it would restore the old
+     * address.
+     */
     @Test
-    void onReloadTheFilesDiscoveryAddressApplies() throws IOException {
+    void onReloadTheDiscoveryAddressInTheFileApplies() throws IOException {
         Path file = Files.createTempFile("config", ".json");
         Files.writeString(
                 file,
@@ -92,9 +95,9 @@
         Files.delete(file);
     }
 
-    /** Request ids and seeds do not fit a double. */
+    /** Request ids and seeds exceed the precision of a double. */
     @Test
-    void integersStayExact() {
+    void integersAreReadExactly() {
         assertEquals(
                 9223372036854775807L, Json.object("{\"a\":9223372036854775807}").get("a"));
         assertEquals(1.5e3, Json.object("{\"a\":1.5e3}").get("a"));
@@ -102,26 +105,26 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"{a:1}", "{\"a\":NaN}", "{\"a\":1}x", "{\"a\":1", "", "[1]"})
-    void whatIsNotStrictJsonIsRejected(String text) {
+    void nonStrictJsonIsRejected(String text) {
         assertThrows(InvalidInputException.class, () -> Json.object(text), text);
     }
 
     @Test
-    void peersThatCannotBeUsedAreNamed() {
+    void theErrorNamesInvalidPeerAddresses() {
         assertEquals("configuration key peer_listen is missing", withPeers(""));
         assertEquals("configuration key peers is missing", withPeers("\"peer_listen\":\"10.0.0.4:7946\","));
         String listen = "\"peer_listen\":\"10.0.0.4:7946\",\"peers\":[\"10.0.0.5:7946\"";
         String address = " should be an address and a port, such as 10.0.0.4:5000";
         assertEquals("configuration key peers[1]" + address, withPeers(listen + ",\"10.0.0.6\"],"));
         assertEquals(
-                "configuration key peers[1] should be another address than those before it",
+                "configuration key peers[1] should be an address that differs from the preceding ones",
                 withPeers(listen + ",\"10.0.0.5:7946\"],"));
         assertEquals("configuration key peers_all" + address, withPeers(listen + "],\"peers_all\":\"all\","));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"8.8.8.8:53", "224.0.0.1:7946", "0.0.0.0:7946", "[::1]:7946", "100.128.0.1:1"})
-    void aPeerOutsideOfPrivateNetworksIsNamed(String address) {
+    void theErrorNamesAPeerOutsideOfPrivateNetworks(String address) {
         assertEquals(
                 "configuration key peers[1] should be an IPv4 address of a private network or of loopback",
                 withPeers("\"peer_listen\":\"10.0.0.4:7946\",\"peers\":[\"10.0.0.5:7946\",\"" + address + "\"],"));
--- a/sidecar/src/test/java/dewplank/simhost/SimulatorHostTest.java
+++ b/sidecar/src/test/java/dewplank/simhost/SimulatorHostTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The adapter to the simulator: a complete transcript, and the error messages on invalid input. */
+/** The adapter to the simulator: the output for a complete transcript, and error messages for invalid input. */
 class SimulatorHostTest {
     private static final String CREATE = "[\"CREATE\",3,99,{\"Accounts\":[],\"Az\":\"z1\",\"Classes\":[{"
             + "\"Deadline\":600.0,\"Idempotency\":\"read_like\",\"KeyScope\":\"all\",\"KeyTtl\":5000.0,"
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void aTranscriptIsAnswered() throws IOException {
+    void aTranscriptProducesTheExpectedOutput() throws IOException {
         String out = run(START + "[\"END\"]\n"
                 + "[\"TURN\",1004.25,2]\n"
                 + "[\"INBOUND\",3,2565059112505796,null,\"user:a\",1,\"look\",540.0,12.0]\n[\"END\"]\n"
@@ -56,12 +56,12 @@
     }
 
     @Test
-    void endOfInputBetweenBatchesIsTheEnd() throws IOException {
+    void inputMayEndBetweenBatches() throws IOException {
         assertEquals("", run(""));
     }
 
     @Test
-    void anExceptionInTheModuleIsABug() throws IOException {
+    void anExceptionInTheBalancerIsReportedAsABug() throws IOException {
         String out = run(START + "[\"INBOUND\",3,5,null,null,1,\"no such class\",540.0,12.0]\n[\"END\"]\n");
         assertTrue(out.contains("[\"BUG\",3,"), out);
     }
@@ -78,11 +78,11 @@
                 "[\"ABANDONED\",3] | line 5: ABANDONED: value 2 should be an integer",
                 "[\"ABANDONED\",3,\"1\"] | line 5: ABANDONED: value 2 should be an integer",
                 "[\"VIEW\",3,7,1,\"whole\"] | line 5: VIEW: no list in slot 7",
-                "[\"VIEW\",3,0,1,\"odd\"] | line 5: VIEW: unknown word odd",
+                "[\"VIEW\",3,0,1,\"odd\"] | line 5: VIEW: unknown value odd",
                 "[\"TURN\",1,2] | line 5: TURN inside a batch",
                 "[\"CREATE\",5,1,{\"Me\":0}] | line 5: setting ReplicasOfMe is missing",
             })
-    void badInputIsNamedWithItsLine(String line, String errorMessage) {
+    void theErrorForInvalidInputStatesTheLineNumber(String line, String errorMessage) {
         assertEquals(errorMessage, errorMessage(START + line + "\n[\"END\"]\n"));
     }
 
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void newSettingsOfTheWrongTypeAreNamed() {
+    void theErrorNamesSettingsOfTheWrongType() {
         String safety = errorMessage(
                 START.replace("\"DrainGrace\"", "\"FullMayHaveRun\":\"yes\",\"DrainGrace\"") + "[\"END\"]\n");
         assertTrue(safety.contains("Safety.FullMayHaveRun should be true or false"), safety);
@@ -104,7 +104,7 @@
     }
 
     @Test
-    void aShareOfMissesWithoutATailIsSkipped() throws IOException {
+    void missAllowedWithoutATailIsIgnored() throws IOException {
         run(START.replace("{\"Whole\":1.0}", "{\"Whole\":0.0,\"MissAllowed\":7}") + "[\"END\"]\n");
     }
 }
