--- a/controlplane/src/main/java/dewplank/controlplane/HttpPlatformClient.java
+++ b/controlplane/src/main/java/dewplank/controlplane/HttpPlatformClient.java
@@ -95,7 +95,7 @@
                     this);
             timeout = loop.after(CALL_TIMEOUT_MS, () -> {
                 call.cancel();
-                callback.failed("no response");
+                callback.failed("no answer");
             });
             call.start(CONNECT_TIMEOUT_MS);
         }
@@ -122,7 +122,7 @@
             try {
                 page = InstancePage.parse(body.toByteArray());
             } catch (UnreadableResponseException e) {
-                callback.failed("unreadable response");
+                callback.failed("an answer that can't be read");
                 return;
             }
             servers.addAll(page.instances());
--- a/sidecar/src/main/java/dewplank/sidecar/ClientConnection.java
+++ b/sidecar/src/main/java/dewplank/sidecar/ClientConnection.java
@@ -93,7 +93,7 @@
      */
     @Override
     public void readAheadExceeded() {
-        reject(new BadMessageException(400, "too many bytes were sent before the response"));
+        reject(new BadMessageException(400, "too much was sent ahead of an answer"));
     }
 
     private void handleRequest() throws BadMessageException {
@@ -122,7 +122,7 @@
         }
         queued = null;
         if (host.isIdInUse(decoded.forwarded().id())) { // a server could take it for a retry of the other one
-            reject(new BadMessageException(409, "X-Trace-Id is already used by an open request"));
+            reject(new BadMessageException(409, "X-Trace-Id is that of an open request"));
             return;
         }
         try {
@@ -216,7 +216,7 @@
     /** Closes the connection because no complete request was received in time. A partial request gets an error. */
     void timeOut() {
         if (parser.hasBegun()) {
-            reject(new BadMessageException(408, "the request was not received completely in time"));
+            reject(new BadMessageException(408, "the request did not become whole in time"));
         } else {
             clients.remove(this);
             connection.close();
--- a/sidecar/src/main/java/dewplank/sidecar/RequestDecoder.java
+++ b/sidecar/src/main/java/dewplank/sidecar/RequestDecoder.java
@@ -43,7 +43,7 @@
         String requestClass = headers.get("X-Qos");
         Idempotency idempotency = requestClass == null ? null : idempotencyByClass.get(requestClass);
         if (idempotency == null) {
-            throw new BadMessageException(400, "X-Qos is missing or names no request class of the settings");
+            throw new BadMessageException(400, "X-Qos names no class of the settings");
         }
         String id = headers.get("X-Trace-Id");
         if (id == null || !TRACE_ID.matcher(id).matches()) { // repeated headers are joined with a comma
@@ -69,7 +69,7 @@
     private static double timeBudgetMs(Headers headers) throws BadMessageException {
         String text = headers.get(AttemptDispatcher.EXPIRES_IN_HEADER);
         if (text == null || !MILLISECONDS.matcher(text).matches() || Long.parseLong(text) == 0) {
-            throw new BadMessageException(400, "X-Expires-In-Ms is missing or not a positive integer in milliseconds");
+            throw new BadMessageException(400, "X-Expires-In-Ms is not a time in whole milliseconds");
         }
         return Math.min(MAX_TIME_BUDGET_MS, Long.parseLong(text));
     }
