--- a/emulator/src/main/java/dewplank/emulator/Arrivals.java
+++ b/emulator/src/main/java/dewplank/emulator/Arrivals.java
@@ -9,15 +9,18 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * The requests of the application beside one sidecar: open arrivals, a Poisson process whose rate follows the load's
- * shape and faults. They wait for nothing.
+ * Generates the requests that one sidecar's application sends. Arrivals form an open system: a Poisson process whose
+ * rate follows the load shape and the injected faults, independent of the completion of earlier requests.
  */
 final class Arrivals {
-    /** The rate is looked at again after so long: exponential gaps have no memory, so a gap may be cut anywhere. */
+    /**
+     * Longest interval between two evaluations of the rate. Exponential gaps are memoryless, so a longer gap can be cut
+     * and drawn again.
+     */
     private static final double MAX_GAP_MS = 100;
-    /** The rate never falls below this fraction of the usual. */
+    /** Lower bound of the rate, as a fraction of the base rate. */
     private static final double MIN_RATE_FACTOR = 0.01;
-    /** Keys of different sidecars differ from this bit on. */
+    /** Position of the sidecar's number in an idempotency key; the bits below hold a sequence number. */
     private static final int SIDECAR_SHIFT = 36;
 
     private final World world;
@@ -31,7 +34,7 @@
     private final UniformRandomProvider subjectRandom;
     private final DoubleSupplier gaps;
     private final DoubleSupplier[] workByClass;
-    private final double usualRatePerMs;
+    private final double baseRatePerMs;
     private final double phase;
     private final double startMs;
     private double burstFactor = 1;
@@ -56,14 +59,14 @@
             workByClass[i] = RandomStreams.around(
                     spec.distribution(), spec.cv(), streams.stream("work " + spec.name(), sidecar));
         }
-        this.usualRatePerMs = world.arrivalsPerMs() / scenario.sidecars();
+        this.baseRatePerMs = world.arrivalsPerMs() / scenario.sidecars();
         this.phase = streams.stream("phase", 0).nextDouble();
         this.startMs = world.now();
     }
 
-    /** Schedules the next arrival, and with it all that follow. */
+    /** Schedules the next arrival; each arrival schedules its successor. */
     void scheduleNext() {
-        double rate = usualRatePerMs
+        double rate = baseRatePerMs
                 * Math.max(MIN_RATE_FACTOR, rateFactor())
                 * world.tenantTraffic().loadFactor();
         double gapMs = gaps.getAsDouble() / rate;
@@ -77,13 +80,13 @@
         }
         world.schedule(gapMs, () -> {
             if (world.now() < endMs) {
-                onArrival.accept(draw());
+                onArrival.accept(drawRequest());
                 scheduleNext();
             }
         });
     }
 
-    /** The present rate, relative to the usual. */
+    /** The current rate, as a multiple of the base rate. */
     private double rateFactor() {
         LoadProfile load = scenario.load();
         double nowMs = world.now() - startMs;
@@ -104,7 +107,7 @@
         return burstFactor;
     }
 
-    private ClientRequest draw() {
+    private ClientRequest drawRequest() {
         int requestClass = mix.requestClass(random.nextDouble());
         List<RequestClassSpec> classes = scenario.classes();
         double work = classes.get(requestClass).work() * workByClass[requestClass].getAsDouble();
--- a/emulator/src/main/java/dewplank/emulator/AttemptIds.java
+++ b/emulator/src/main/java/dewplank/emulator/AttemptIds.java
@@ -1,6 +1,6 @@
 package dewplank.emulator;
 
-/** Numbers the attempts and requests of a run, from 1 on. */
+/** Generates the identifiers of a run's attempts and requests, starting with 1. */
 final class AttemptIds {
     private long last;
 
--- a/emulator/src/main/java/dewplank/emulator/ClientAttempt.java
+++ b/emulator/src/main/java/dewplank/emulator/ClientAttempt.java
@@ -1,6 +1,6 @@
 package dewplank.emulator;
 
-/** One attempt of a client's request. A retry is another attempt, with another identifier and the same key and work. */
+/** One attempt of a client's request. A retry is a new attempt with its own identifier and the same key and work. */
 public final class ClientAttempt {
     private final long id;
     private final int requestClass;
@@ -16,7 +16,7 @@
     private final ClientRequest request;
     private boolean hasEnded;
 
-    /** An attempt of a scenario without tenants and keys; {@code request} may be null where no client retries it. */
+    /** An attempt in a scenario without tenants and keys; {@code request} is null if no client retries the attempt. */
     public ClientAttempt(
             long id,
             int requestClass,
@@ -70,47 +70,47 @@
         return key;
     }
 
-    /** Milliseconds of a standard core, before what the server adds or saves. */
+    /** Work in milliseconds of a standard core, before the server's adjustments (noise, cached keys). */
     public double work() {
         return work;
     }
 
-    /** Number of the sidecar that the client sends it to. */
+    /** Number of the sidecar that the client sends the attempt to. */
     public int sidecar() {
         return sidecar;
     }
 
-    /** Index of the tenant in the scenario, or -1 where it has none. */
+    /** Index of the tenant in the scenario, or -1 if the scenario has no tenants. */
     public int tenant() {
         return tenant;
     }
 
-    /** Number of the key that the request is about, or -1 where the scenario has none. */
+    /** Number of the data key that the request refers to, or -1 if the scenario has no keys. */
     public int subjectKey() {
         return subjectKey;
     }
 
-    /** Whether the client has sent the request before. */
+    /** Whether the client has already sent an earlier attempt of the request. */
     public boolean isRetry() {
         return isRetry;
     }
 
-    /** When the client sent it. */
+    /** Time at which the client sent the attempt. */
     public double sentAtMs() {
         return sentAtMs;
     }
 
-    /** When the client stops waiting. */
+    /** Time at which the client stops waiting for the response. */
     public double deadlineMs() {
         return deadlineMs;
     }
 
-    /** The request that it is an attempt of; null for one that no client retries. */
+    /** The request that this attempt belongs to; null if no client retries it. */
     ClientRequest request() {
         return request;
     }
 
-    /** Whether the client has a response, or waits no more. */
+    /** Whether the client has received a response or has stopped waiting. */
     boolean hasEnded() {
         return hasEnded;
     }
--- a/emulator/src/main/java/dewplank/emulator/ClientRequest.java
+++ b/emulator/src/main/java/dewplank/emulator/ClientRequest.java
@@ -1,6 +1,6 @@
 package dewplank.emulator;
 
-/** A request of a client, over all its attempts. */
+/** A client's request, which may take several attempts. */
 final class ClientRequest {
     final int requestClass;
     /** Idempotency key, the same for all attempts. */
@@ -30,12 +30,12 @@
         this.subjectKey = subjectKey;
     }
 
-    /** Attempts so far. */
+    /** Number of attempts created so far. */
     int attempts() {
         return attempts;
     }
 
-    /** The next attempt; all but the first are retries. */
+    /** Creates the next attempt; every attempt after the first is a retry. */
     ClientAttempt nextAttempt(long id, int sidecar, double nowMs, double deadlineMs) {
         boolean isRetry = attempts > 0;
         attempts++;
--- a/emulator/src/main/java/dewplank/emulator/Clients.java
+++ b/emulator/src/main/java/dewplank/emulator/Clients.java
@@ -8,33 +8,33 @@
 import dewplank.emulator.scenario.Scenario;
 
 /**
- * The applications, one beside each sidecar, with retries as ordinary clients make them. A safe request is retried
- * after any failure, a keyed one within its window, and an unsafe one only after a rejection or where the sidecar
- * could not be reached.
+ * The client applications, one for each sidecar, with a typical client's retry policy. A safe request is retried after
+ * any failure, a keyed one within its deduplication window, and an unsafe one only after a rejection or if the sidecar
+ * was unreachable.
  *
- * <p>All calls are made on the world's thread.
+ * <p>All methods must be called on the scheduler thread.
  */
 public final class Clients {
-    /** How clients reach their sidecars; implemented by the drivers. */
+    /** Sends attempts from clients to their sidecars; implemented by the drivers. */
     public interface SidecarConnector {
-        /** Sends the attempt to its sidecar; {@link Clients#answered} is called with the response. */
+        /** Sends the attempt to its sidecar, and calls {@link Clients#answered} when the attempt has ended. */
         void send(ClientAttempt request);
 
-        /** The client closes the attempt's connection. */
+        /** Closes the attempt's connection because the client has stopped waiting. */
         void abandon(ClientAttempt request);
     }
 
-    /** Gets the end of each request, over all its attempts. */
+    /** Called once for each request, after its last attempt. */
     public interface OutcomeListener {
-        /** {@code tookMs}: from the first attempt to the response that served it, or NaN where none did. */
+        /** {@code tookMs}: time from the first attempt to the successful response, or NaN if there was none. */
         void requestEnded(int requestClass, int tenant, double firstSentAtMs, double tookMs, int attempts, Type last);
     }
 
-    /** What a client waits beyond its deadline for a response on its way, besides the scenario's slack. */
+    /** Time that a client waits after its deadline for a response in transit, in addition to the scenario's slack. */
     private static final double RESPONSE_SLACK_MS = 1;
-    /** Time that a retry must have left before the deadline. */
+    /** Minimum time that must remain before the deadline for a retry to be sent. */
     private static final double MIN_RETRY_MS = 1;
-    /** The part of its time after which an impatient client abandons an attempt. */
+    /** Fraction of the time until the deadline after which an impatient client abandons an attempt. */
     private static final double IMPATIENT_FRACTION = 0.5;
 
     private final World world;
@@ -46,7 +46,7 @@
     private final double endMs;
     private int openRequests;
 
-    /** Requests arrive from now on for the scenario's length, once {@link #start} is called. */
+    /** Requests arrive for the scenario's length, counted from now; {@link #start} starts the arrivals. */
     public Clients(World world, SidecarConnector connector, OutcomeListener listener) {
         this.world = world;
         this.connector = connector;
@@ -56,7 +56,7 @@
         this.endMs = world.now() + scenario.lengthMs();
     }
 
-    /** Starts the arrivals at all sidecars. */
+    /** Starts generating requests for all sidecars. */
     public void start() {
         for (int i = 0; i < scenario.sidecars(); i++) {
             int sidecar = i;
@@ -64,7 +64,7 @@
         }
     }
 
-    /** Requests that have not ended. */
+    /** Number of requests that have not completed. */
     public int openRequests() {
         return openRequests;
     }
@@ -84,7 +84,7 @@
         world.record(Type.SENT, attempt, sidecar, RecordedEvent.NONE, deadlineMs);
         connector.send(attempt);
         boolean isImpatient = behaviour.abandonFraction() > 0
-                && world.randomStreams().unit(-attempt.id()) < behaviour.abandonFraction();
+                && world.randomStreams().uniform(-attempt.id()) < behaviour.abandonFraction();
         double waitMs = (deadlineMs - now) * (isImpatient ? IMPATIENT_FRACTION : 1)
                 + (isImpatient ? 0 : scenario.rules().answerSlackMs() + RESPONSE_SLACK_MS);
         world.schedule(waitMs, () -> {
@@ -96,9 +96,10 @@
     }
 
     /**
-     * The client has the end of an attempt. A second one is recorded for the auditor, and has no other effect.
+     * Handles the end of an attempt at the client. A second call for the same attempt is recorded for the auditor, and
+     * has no other effect.
      *
-     * @param type of the event to record, with its {@code value}
+     * @param type type of the event to record, with its {@code value}
      */
     public void answered(ClientAttempt attempt, Type type, double value) {
         if (attempt.hasEnded()) {
@@ -132,9 +133,9 @@
 
     private double retryDelayMs(ClientAttempt attempt, ClientRequest request, Type type, double retryAfterMs) {
         double backoffMs =
-                scenario.clients().backoffMs() * (0.5 + world.randomStreams().unit(attempt.id()));
+                scenario.clients().backoffMs() * (0.5 + world.randomStreams().uniform(attempt.id()));
         if (type == Type.REFUSED && request.honoursRetryAfter && retryAfterMs > 0) {
-            return Math.max(backoffMs, Math.min(retryAfterMs, scenario.rules().maxAdviceMs()));
+            return Math.max(backoffMs, Math.min(retryAfterMs, scenario.rules().maxRetryAdviceMs()));
         }
         return backoffMs;
     }
@@ -147,7 +148,7 @@
                 || retryAtMs >= request.firstSentAtMs + spec.deadlineMs() - MIN_RETRY_MS) {
             return false;
         }
-        // a keyed request that is sent when its window is over would have a second effect
+        // a keyed request that is sent after its deduplication window would take effect a second time
         return spec.idempotency() != Idempotency.KEYED
                 || type == Type.REFUSED
                 || retryAtMs - request.firstSentAtMs < spec.deduplicationWindowMs();
--- a/emulator/src/main/java/dewplank/emulator/ColdLoadLimit.java
+++ b/emulator/src/main/java/dewplank/emulator/ColdLoadLimit.java
@@ -4,8 +4,8 @@
 import java.util.ArrayDeque;
 
 /**
- * What a cold server can bear: a multiple of its present capacity over a sliding window. Each request counts by the
- * mean work of its class. The rule is the deployment's, see {@link Rules}.
+ * The load limit of a cold server: a multiple of its current capacity, measured over a sliding window. Each request
+ * counts with the mean work of its class. The limit is one of the deployment's {@link Rules}.
  */
 final class ColdLoadLimit {
 
@@ -17,14 +17,14 @@
     private final ArrayDeque<OfferedWork> offered = new ArrayDeque<>();
     private double offeredWorkSum;
 
-    /** {@code fullCapacity}: work per millisecond of the warm server. */
+    /** {@code fullCapacity}: work per millisecond that the warm server completes. */
     ColdLoadLimit(World world, WarmUp warmUp, double fullCapacity) {
         this.world = world;
         this.warmUp = warmUp;
         this.fullCapacity = fullCapacity;
     }
 
-    /** Counts an offered request; answers whether the server breaks down under it. */
+    /** Counts an offered request, and returns whether the offered load now exceeds the limit. */
     boolean isExceededBy(double work) {
         if (warmUp.isWarm()) {
             clear();
@@ -38,10 +38,11 @@
             offeredWorkSum -= offered.removeFirst().work();
         }
         double limit = rules.collapseFactor() * warmUp.speedFactor() * fullCapacity * rules.collapseWindowMs();
-        return offeredWorkSum > World.withChance(limit, world.scenario().meanWork());
+        return offeredWorkSum
+                > World.withStatisticalMargin(limit, world.scenario().meanWork());
     }
 
-    /** Work offered in the present window. */
+    /** Work offered in the current window. */
     double offeredWork() {
         return offeredWorkSum;
     }
--- a/emulator/src/main/java/dewplank/emulator/ConnectionTable.java
+++ b/emulator/src/main/java/dewplank/emulator/ConnectionTable.java
@@ -2,7 +2,7 @@
 
 import dewplank.emulator.scenario.ConnectionModel;
 
-/** The connections that a server's process has open, and what a full table costs it. */
+/** Counts the open connections of a server's process, and computes the slowdown that they cause. */
 final class ConnectionTable {
     private final ConnectionModel model;
     private int open;
@@ -16,7 +16,7 @@
     }
 
     boolean isFull() {
-        return isBounded() && open >= model.maxConnections();
+        return isLimited() && open >= model.maxConnections();
     }
 
     void add() {
@@ -33,12 +33,12 @@
         open = 0;
     }
 
-    /** The part of the speed that the table takes: in proportion to how full it is; 0 where it has no bound. */
+    /** Fraction of the server's speed that is lost, in proportion to the table's fill level; 0 if it has no limit. */
     double slowdownFraction() {
-        return isBounded() ? model.fullTableSlowdown() * Math.min(1, (double) open / model.maxConnections()) : 0;
+        return isLimited() ? model.fullTableSlowdown() * Math.min(1, (double) open / model.maxConnections()) : 0;
     }
 
-    private boolean isBounded() {
+    private boolean isLimited() {
         return model.maxConnections() > 0;
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/EndpointDirectory.java
+++ b/emulator/src/main/java/dewplank/emulator/EndpointDirectory.java
@@ -12,28 +12,28 @@
 import java.util.Set;
 
 /**
- * The directory of endpoints: the list as the directory sees it, and the watches that it updates. It learns of changes
- * late, updates each watch at intervals, and accepts calls one after the other at a bounded rate.
+ * The endpoint directory: its endpoint list and the watches that it sends updates to. It detects changes with a delay,
+ * updates each watch at intervals, and accepts calls one at a time at a limited rate.
  *
- * <p>All calls are made on the world's thread.
+ * <p>All methods must be called on the scheduler thread.
  */
 public final class EndpointDirectory {
-    /** An endpoint that changed at a version. */
+    /** The server whose endpoint changed, and the list version that contains the change. */
     private record Change(long version, int server) {}
 
-    /** Gets the updates of a watch, on the world's thread. */
+    /** Receives the updates of a watch, on the scheduler thread. */
     public interface Watcher {
-        /** {@code full}: all endpoints are named; otherwise those that changed. */
+        /** {@code full}: the update lists all endpoints; otherwise only the changed ones. */
         void updated(long version, boolean full, List<Endpoint> endpoints);
 
-        /** The call failed, or the directory went down. */
+        /** The call failed, or the directory became unavailable. */
         void ended();
     }
 
-    /** A sidecar's watch. */
+    /** A sidecar's watch on the endpoint list. */
     public final class Watch {
         private enum State {
-            /** The call waits for its turn. */
+            /** The call is queued at the directory. */
             PENDING,
             OPEN,
             CLOSED
@@ -54,17 +54,17 @@
             return state == State.CLOSED;
         }
 
-        /** Ends the watch; its watcher is not called any more. */
+        /** Closes the watch; its watcher is not called again. */
         public void close() {
             state = State.CLOSED;
             watches.remove(this);
         }
     }
 
-    /** Changes that an incremental update can go back. */
+    /** Number of changes that are stored for incremental updates. */
     private static final int MAX_HISTORY = 4_096;
-    /** After which a call to a directory that is down fails. */
-    private static final double REFUSAL_MS = 1;
+    /** Time after which a call to an unavailable directory fails. */
+    private static final double REFUSAL_DELAY_MS = 1;
 
     private final World world;
     private final DirectoryModel model;
@@ -99,32 +99,32 @@
                 startedAtMs == Double.NEGATIVE_INFINITY ? null : (Double) startedAtMs);
     }
 
-    /** Version of the list; one higher after each change. */
+    /** Version of the list, incremented with each change. */
     public long version() {
         return version;
     }
 
-    /** Whether it refuses calls. */
+    /** Whether the directory refuses calls. */
     public boolean isDown() {
         return isDown;
     }
 
-    /** Whether it accepts calls and sends no updates. */
+    /** Whether the directory accepts calls but sends no updates. */
     public boolean isStalled() {
         return isStalled;
     }
 
-    /** Calls for watches so far. */
+    /** Number of watch calls so far. */
     public long calls() {
         return calls;
     }
 
-    /** Lines of all updates so far: one an endpoint, and one an update. */
+    /** Number of lines sent so far: one for each update, and one for each endpoint in it. */
     public long linesSent() {
         return linesSent;
     }
 
-    /** The endpoints that are not removed, by the servers' numbers. */
+    /** The endpoints that have not been removed, ordered by server number. */
     public List<Endpoint> endpoints() {
         List<Endpoint> present = new ArrayList<>();
         for (Server server : world.servers()) {
@@ -136,9 +136,9 @@
         return present;
     }
 
-    // ---- what it learns -------------------------------------------------------------------------------
+    // ---- list changes ---------------------------------------------------------------------------------
 
-    /** Changes the list, if the server's endpoint differs from its entry. */
+    /** Updates the server's entry in the list if it has changed. */
     void set(Server server, Availability availability) {
         Endpoint endpoint = endpoint(server, availability);
         if (endpoint.equals(endpointsByServer.get(server.number()))) {
@@ -151,8 +151,8 @@
         }
     }
 
-    /** The server's process ended now: it is removed after a while, unless the next one is up by then. */
-    void noticeLoss(Server server, double afterMs) {
+    /** Schedules the removal of a server whose process has just ended, unless it has restarted by then. */
+    void scheduleRemoval(Server server, double afterMs) {
         int incarnation = server.incarnation();
         world.schedule(afterMs, () -> {
             if (server.incarnation() == incarnation && server.state() != Server.State.UP) {
@@ -161,10 +161,10 @@
         });
     }
 
-    /** The server's process started now: it is added after a while, unless it has ended by then. */
-    void noticeStart(Server server) {
+    /** Schedules the addition of a server whose process has just started, unless it has ended by then. */
+    void scheduleAddition(Server server) {
         int incarnation = server.incarnation();
-        world.schedule(model.startNoticeMs(), () -> {
+        world.schedule(model.startDetectionMs(), () -> {
             if (server.incarnation() == incarnation && server.state() == Server.State.UP) {
                 set(server, Availability.UP);
             }
@@ -174,19 +174,19 @@
     // ---- watches --------------------------------------------------------------------------------------
 
     /**
-     * Calls for a watch of what changed after a version. The call waits for its turn: the first update, or the failure,
-     * comes later.
+     * Opens a watch for the changes after a version. The call is queued; the watcher receives the first update, or the
+     * failure, later.
      */
     public Watch watch(int sidecar, long sinceVersion, Watcher watcher) {
         Watch watch = new Watch(sidecar, sinceVersion, watcher);
         calls++;
         double now = world.now();
-        double turnMs = Math.max(now, nextCallAtMs);
-        if (isDown || turnMs - now > model.callTimeoutMs()) {
-            world.schedule(isDown ? REFUSAL_MS : model.callTimeoutMs(), () -> end(watch));
+        double queuedUntilMs = Math.max(now, nextCallAtMs);
+        if (isDown || queuedUntilMs - now > model.callTimeoutMs()) {
+            world.schedule(isDown ? REFUSAL_DELAY_MS : model.callTimeoutMs(), () -> end(watch));
             return watch;
         }
-        nextCallAtMs = turnMs + 1000 / model.callsPerSecond();
+        nextCallAtMs = queuedUntilMs + 1000 / model.callsPerSecond();
         world.schedule(nextCallAtMs - now, () -> open(watch));
         return watch;
     }
@@ -209,9 +209,9 @@
         }
     }
 
-    /** Each interval is drawn, so that watches don't move in step. */
+    /** Each interval is drawn at random, so that the updates of different watches don't synchronize. */
     private void scheduleUpdate(Watch watch) {
-        world.schedule(world.aroundMs(model.updateIntervalMs()), () -> {
+        world.schedule(world.drawDurationMs(model.updateIntervalMs()), () -> {
             if (!watch.isClosed()) {
                 sendUpdate(watch, false);
                 scheduleUpdate(watch);
@@ -242,7 +242,7 @@
         return changed.stream().sorted().map(endpointsByServer::get).toList();
     }
 
-    /** A full update says of each endpoint that it does not name that it is removed. */
+    /** A full update implies that each endpoint that it doesn't list has been removed. */
     private void recordRemoved(int sidecar) {
         for (Server server : world.servers()) {
             Endpoint endpoint = endpointsByServer.get(server.number());
@@ -258,7 +258,7 @@
             case DRAINING -> world.record(Type.NOTIFIED_DRAINING, null, sidecar, server, 0);
             case REMOVED -> world.record(Type.NOTIFIED_REMOVED, null, sidecar, server, 0);
             default -> {
-                if (endpoint.startedAtMs() != null) { // the rules of slow start bind only those that started in the run
+                if (endpoint.startedAtMs() != null) { // slow start applies only to processes started in the run
                     world.record(Type.NOTIFIED_UP, null, sidecar, server, endpoint.startedAtMs());
                 }
             }
@@ -267,7 +267,7 @@
 
     // ---- injected faults ------------------------------------------------------------------------------
 
-    /** A directory that goes down ends all its watches. */
+    /** A directory that becomes unavailable closes all its watches. */
     void setDown(boolean isDown) {
         this.isDown = isDown;
         if (isDown) {
--- a/emulator/src/main/java/dewplank/emulator/FaultInjector.java
+++ b/emulator/src/main/java/dewplank/emulator/FaultInjector.java
@@ -14,25 +14,25 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Plays a scenario's faults on a world. Which servers a fault affects depends on the seed and on the fault's index in
- * the scenario alone. Runs on the world's thread.
+ * Injects a scenario's faults. The servers that a fault affects depend only on the seed and on the fault's index in the
+ * scenario. Runs on the scheduler thread.
  */
 public final class FaultInjector {
     /** Kills sidecar processes; implemented by the drivers. */
     public interface SidecarKiller {
-        /** Kills the sidecar's process and starts the next one after that time. */
+        /** Kills the sidecar's process and restarts it after the given time. */
         void kill(int sidecar, double restartAfterMs);
     }
 
-    /** How long a server's successor takes to start in a deploy: it is begun while the server drains. */
-    private static final double DEPLOY_START_MS = 200;
-    /** Shortest time between two batches of a deploy. */
-    private static final double MIN_BATCH_MS = 100;
-    /** After a server's draining has ended, so that it ends before the crash of the same moment. */
-    private static final double AFTER_DRAINING_MS = 1;
-    /** No neighbour takes more of a machine: the server goes on, if slowly. */
+    /** Restart time of a server in a deploy; short, because its new process starts up while the old one drains. */
+    private static final double DEPLOY_RESTART_DELAY_MS = 200;
+    /** Minimum interval between two batches of a deploy. */
+    private static final double MIN_BATCH_INTERVAL_MS = 100;
+    /** Delay between the end of a server's drain time and its crash, so that draining ends first. */
+    private static final double STOP_DELAY_AFTER_DRAIN_MS = 1;
+    /** Largest fraction of a machine that a neighbour can use; the server keeps running at reduced speed. */
     private static final double MAX_NEIGHBOUR_FRACTION = 0.95;
-    /** What a fraction of a list may exceed a whole number by, from rounding. */
+    /** Tolerance for floating-point error when a fraction of a list is rounded up. */
     private static final double ROUNDING = 1e-9;
 
     private final World world;
@@ -45,18 +45,18 @@
         this.sidecarKiller = sidecarKiller;
     }
 
-    /** Schedules all faults of the world's scenario, from now on. */
+    /** Schedules all faults of the scenario, with times relative to now. */
     public static void schedule(World world, SidecarKiller sidecarKiller) {
         FaultInjector injector = new FaultInjector(world, sidecarKiller);
         List<Fault> faults = world.scenario().faults();
         for (int i = 0; i < faults.size(); i++) {
             Fault fault = faults.get(i);
             UniformRandomProvider random = world.randomStreams().stream("fault", i);
-            world.schedule(fault.atMs(), () -> injector.begin(fault, random));
+            world.schedule(fault.atMs(), () -> injector.inject(fault, random));
         }
     }
 
-    private void begin(Fault fault, UniformRandomProvider random) {
+    private void inject(Fault fault, UniformRandomProvider random) {
         switch (fault.kind()) {
             case CRASH,
                     VANISH,
@@ -67,13 +67,13 @@
                     CLASS_ERRORS,
                     LOST_ANSWERS,
                     RESETS,
-                    ERRORS -> beginAtServers(fault, random);
+                    ERRORS -> injectIntoServers(fault, random);
             case CUT -> partition(fault, random);
-            case LOSS -> during(fault, world.network()::setLossRate, 0);
-            case POISON -> poison(fault);
-            case LOAD -> during(fault, world::setLoadFactor, 1);
+            case LOSS -> applyTemporarily(fault, world.network()::setLossRate, 0);
+            case POISON -> injectPoison(fault);
+            case LOAD -> applyTemporarily(fault, world::setLoadFactor, 1);
             case TENANT_LOAD -> changeTenantLoad(fault);
-            case ZONE_LOSS -> loseZone(fault, random);
+            case ZONE_LOSS -> failZone(fault, random);
             case DIRECTORY_DOWN -> {
                 world.directory().setDown(true);
                 world.schedule(fault.durationMs(), () -> world.directory().setDown(false));
@@ -87,42 +87,42 @@
         }
     }
 
-    private void beginAtServers(Fault fault, UniformRandomProvider random) {
+    private void injectIntoServers(Fault fault, UniformRandomProvider random) {
         List<Server> affected = drawServers(fault.affectedFraction(), random);
         double magnitude = fault.magnitude();
         double endMs = world.now() + fault.durationMs();
         switch (fault.kind()) {
             case CRASH -> affected.forEach(server -> crash(server, fault.durationMs()));
             case VANISH -> affected.forEach(server -> vanish(server, fault.durationMs()));
-            case SLOW -> during(
+            case SLOW -> applyTemporarily(
                     fault,
                     affected,
                     server -> server.setSlowdown(Math.max(1, magnitude)),
                     server -> server.setSlowdown(1));
             case PAUSE -> pause(fault, affected, endMs);
-            case NEIGHBOUR -> alternateNeighbour(fault, affected, endMs, true);
+            case NEIGHBOUR -> toggleNeighbour(fault, affected, endMs, true);
             case DEPLOY -> deploy(fault, affected, 0);
-            case CLASS_ERRORS -> failClass(fault, affected);
-            case LOST_ANSWERS -> during(
+            case CLASS_ERRORS -> injectClassErrors(fault, affected);
+            case LOST_ANSWERS -> applyTemporarily(
                     fault,
                     affected,
                     server -> server.faultRates().setLostResponseRate(magnitude),
                     server -> server.faultRates().setLostResponseRate(0));
-            case RESETS -> during(
+            case RESETS -> applyTemporarily(
                     fault,
                     affected,
                     server -> server.faultRates().setResetRate(magnitude),
                     server -> server.faultRates().setResetRate(0));
-            case ERRORS -> during(
+            case ERRORS -> applyTemporarily(
                     fault,
                     affected,
                     server -> server.faultRates().setImmediateErrorRate(magnitude),
                     server -> server.faultRates().setImmediateErrorRate(0));
-            default -> throw new IllegalArgumentException(fault.kind() + " is no fault of servers");
+            default -> throw new IllegalArgumentException(fault.kind() + " is not a server fault");
         }
     }
 
-    // ---- who is affected ------------------------------------------------------------------------------
+    // ---- selection of targets -------------------------------------------------------------------------
 
     private List<Server> drawServers(double fraction, UniformRandomProvider random) {
         return drawNumbers(world.servers().size(), fraction, random).stream()
@@ -130,35 +130,35 @@
                 .toList();
     }
 
-    /** Draws a fraction of the numbers below {@code count}, rounded up, in a drawn order. */
+    /** Draws a fraction of the numbers below {@code count}, rounded up, in random order. */
     private static List<Integer> drawNumbers(int count, double fraction, UniformRandomProvider random) {
         List<Integer> numbers =
                 new ArrayList<>(IntStream.range(0, count).boxed().toList());
         Collections.shuffle(numbers, new Random(random.nextLong()));
-        return firstOf(numbers, fraction);
+        return leadingFraction(numbers, fraction);
     }
 
-    /** The first of a list, as many as make up that fraction of it, rounded up. */
-    private static List<Integer> firstOf(List<Integer> numbers, double fraction) {
+    /** The leading elements of a list that make up the given fraction of it, rounded up. */
+    private static List<Integer> leadingFraction(List<Integer> numbers, double fraction) {
         int count = (int) Math.ceil(fraction * numbers.size() - ROUNDING);
         return IntStream.range(0, Math.min(count, numbers.size()))
                 .mapToObj(numbers::get)
                 .toList();
     }
 
-    // ---- faults that last -----------------------------------------------------------------------------
+    // ---- faults with a duration -----------------------------------------------------------------------
 
     private interface Setting {
         void set(double value);
     }
 
-    /** Sets a figure to the fault's magnitude, and back to its usual value when the fault ends. */
-    private void during(Fault fault, Setting setting, double usual) {
+    /** Sets a value to the fault's magnitude, and resets it to its base value when the fault ends. */
+    private void applyTemporarily(Fault fault, Setting setting, double baseValue) {
         setting.set(fault.magnitude());
-        world.schedule(fault.durationMs(), () -> setting.set(usual));
+        world.schedule(fault.durationMs(), () -> setting.set(baseValue));
     }
 
-    private void during(Fault fault, List<Server> affected, Consumer<Server> begin, Consumer<Server> end) {
+    private void applyTemporarily(Fault fault, List<Server> affected, Consumer<Server> begin, Consumer<Server> end) {
         affected.forEach(begin);
         world.schedule(fault.durationMs(), () -> affected.forEach(end));
     }
@@ -170,25 +170,25 @@
         }
     }
 
-    private void alternateNeighbour(Fault fault, List<Server> affected, double endMs, boolean isBusy) {
+    private void toggleNeighbour(Fault fault, List<Server> affected, double endMs, boolean isBusy) {
         boolean isOver = world.now() >= endMs;
         double fraction = isBusy && !isOver ? Math.min(MAX_NEIGHBOUR_FRACTION, fault.magnitude()) : 0;
         affected.forEach(server -> server.setNeighbourFraction(fraction));
         if (!isOver) {
-            world.schedule(fault.intervalMs(), () -> alternateNeighbour(fault, affected, endMs, !isBusy));
+            world.schedule(fault.intervalMs(), () -> toggleNeighbour(fault, affected, endMs, !isBusy));
         }
     }
 
-    private void failClass(Fault fault, List<Server> affected) {
+    private void injectClassErrors(Fault fault, List<Server> affected) {
         int requestClass = classIndex(fault);
-        during(
+        applyTemporarily(
                 fault,
                 affected,
                 server -> server.faultRates().setErrorRate(requestClass, fault.magnitude()),
                 server -> server.faultRates().resetErrorRate(requestClass));
     }
 
-    private void poison(Fault fault) {
+    private void injectPoison(Fault fault) {
         world.setPoison(classIndex(fault), fault.magnitude());
         world.schedule(fault.durationMs(), () -> world.setPoison(RecordedEvent.NONE, 0));
     }
@@ -202,7 +202,7 @@
                 .map(TenantLoad::name)
                 .toList();
         int tenant = names.indexOf(fault.target().orElseThrow());
-        during(fault, factor -> world.tenantTraffic().setFactor(tenant, factor), 1);
+        applyTemporarily(fault, factor -> world.tenantTraffic().setFactor(tenant, factor), 1);
     }
 
     private void partition(Fault fault, UniformRandomProvider random) {
@@ -225,7 +225,7 @@
     private void crash(Server server, double restartAfterMs) {
         if (server.state() == State.UP) {
             server.crash();
-            world.noticeCrash(server);
+            world.scheduleCrashDetection(server);
             world.restart(server, restartAfterMs);
         }
     }
@@ -233,13 +233,13 @@
     private void vanish(Server server, double restartAfterMs) {
         if (server.state() == State.UP) {
             server.vanish();
-            world.noticeVanish(server);
+            world.scheduleVanishDetection(server);
             world.restart(server, restartAfterMs);
         }
     }
 
-    /** The machines of a drawn zone vanish, with a fraction of its sidecars, and come back cold. */
-    private void loseZone(Fault fault, UniformRandomProvider random) {
+    /** Removes the machines of a random zone and kills a fraction of its sidecars; the servers restart cold. */
+    private void failZone(Fault fault, UniformRandomProvider random) {
         List<String> zones = scenario.zones();
         String zone = zones.get(random.nextInt(zones.size()));
         world.servers().stream()
@@ -249,13 +249,13 @@
                 .filter(sidecar -> scenario.zoneOfSidecar(sidecar).equals(zone))
                 .boxed()
                 .toList();
-        firstOf(sidecars, Math.min(1, fault.magnitude()))
+        leadingFraction(sidecars, Math.min(1, fault.magnitude()))
                 .forEach(sidecar -> sidecarKiller.kill(sidecar, fault.durationMs()));
     }
 
     // ---- deploy ---------------------------------------------------------------------------------------
 
-    /** Batch after batch: listed as draining, given time, ended, and started anew and cold. */
+    /** Replaces the servers in batches: each server is drained, stopped and restarted cold. */
     private void deploy(Fault fault, List<Server> order, int from) {
         int batchSize =
                 Math.max(1, (int) Math.round(fault.magnitude() * world.servers().size()));
@@ -263,14 +263,14 @@
         if (batch.isEmpty()) {
             return;
         }
-        batch.forEach(server -> replace(server, fault.intervalMs()));
+        batch.forEach(server -> replaceServer(server, fault.intervalMs()));
         int batches = (order.size() + batchSize - 1) / batchSize;
-        double batchMs = Math.max(MIN_BATCH_MS, fault.durationMs() / batches);
+        double batchMs = Math.max(MIN_BATCH_INTERVAL_MS, fault.durationMs() / batches);
         world.schedule(batchMs, () -> deploy(fault, order, from + batchSize));
     }
 
-    /** The endpoint list says first that the server drains; its process follows once the sidecars are notified. */
-    private void replace(Server server, double drainMs) {
+    /** Lists the server as draining first; its process starts to drain once the sidecars have been notified. */
+    private void replaceServer(Server server, double drainMs) {
         if (server.state() != State.UP) {
             return;
         }
@@ -283,11 +283,11 @@
                 server.drain();
             }
         });
-        world.schedule(drainMs + AFTER_DRAINING_MS, () -> {
+        world.schedule(drainMs + STOP_DELAY_AFTER_DRAIN_MS, () -> {
             if (server.incarnation() == incarnation && server.state() == State.DRAINING) {
                 server.crash();
                 world.directory().set(server, Availability.REMOVED);
-                world.restart(server, DEPLOY_START_MS);
+                world.restart(server, DEPLOY_RESTART_DELAY_MS);
             }
         });
     }
--- a/emulator/src/main/java/dewplank/emulator/FaultRates.java
+++ b/emulator/src/main/java/dewplank/emulator/FaultRates.java
@@ -4,18 +4,18 @@
 import java.util.Arrays;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** How often a server answers with faults: fractions of its requests, changed by {@link FaultInjector}. */
+/** Rates of a server's response faults, as fractions of its requests; set by {@link FaultInjector}. */
 final class FaultRates {
-    /** What becomes of a response on its way out of the server. */
+    /** Whether a response leaves the server. */
     enum Delivery {
         DELIVERED,
-        /** The connection stays open, and nothing comes. */
+        /** The connection stays open, but no response is sent. */
         LOST,
         RESET
     }
 
     private final UniformRandomProvider random;
-    private final double usualErrorRate;
+    private final double baseErrorRate;
     private final double[] errorRateByClass;
     private double immediateErrorRate;
     private double lostResponseRate;
@@ -23,9 +23,9 @@
 
     FaultRates(MachineType machine, int requestClasses, UniformRandomProvider random) {
         this.random = random;
-        this.usualErrorRate = machine.errorRate();
+        this.baseErrorRate = machine.errorRate();
         this.errorRateByClass = new double[requestClasses];
-        Arrays.fill(errorRateByClass, usualErrorRate);
+        Arrays.fill(errorRateByClass, baseErrorRate);
     }
 
     void setErrorRate(int requestClass, double rate) {
@@ -33,30 +33,30 @@
     }
 
     void resetErrorRate(int requestClass) {
-        errorRateByClass[requestClass] = usualErrorRate;
+        errorRateByClass[requestClass] = baseErrorRate;
     }
 
-    /** Requests that are answered with an error at once, without work. */
+    /** Sets the fraction of requests that fail immediately, without any work. */
     void setImmediateErrorRate(double rate) {
         immediateErrorRate = rate;
     }
 
-    /** Responses that are lost after the request took effect. */
+    /** Sets the fraction of responses that are lost after the request took effect. */
     void setLostResponseRate(double rate) {
         lostResponseRate = rate;
     }
 
-    /** Connections that are reset in place of a response. */
+    /** Sets the fraction of requests whose connection is reset instead of a response. */
     void setResetRate(double rate) {
         resetRate = rate;
     }
 
-    /** Draws whether a request fails at once. Draws nothing while the rate is 0. */
+    /** Draws whether a request fails immediately. Uses no random number while the rate is 0. */
     boolean drawImmediateError() {
         return immediateErrorRate > 0 && random.nextDouble() < immediateErrorRate;
     }
 
-    /** Draws whether a request that was worked on ends in an error. */
+    /** Draws whether a request fails after its work is done. */
     boolean drawError(int requestClass) {
         return random.nextDouble() < errorRateByClass[requestClass];
     }
@@ -69,7 +69,7 @@
         return drawn < lostResponseRate + resetRate ? Delivery.RESET : Delivery.DELIVERED;
     }
 
-    /** The process ended. Its immediate errors end with it; the other rates are the machine's. */
+    /** Resets the immediate errors, which belong to the ended process; the other rates belong to the machine. */
     void processEnded() {
         immediateErrorRate = 0;
     }
--- a/emulator/src/main/java/dewplank/emulator/JobScheduler.java
+++ b/emulator/src/main/java/dewplank/emulator/JobScheduler.java
@@ -8,16 +8,16 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * The slots and the queue of a server: jobs in slots share the cores or wait on others, those beyond the slots are
- * queued in the order of arrival.
+ * The slots and the queue of a server. Jobs in slots share the cores or wait on dependencies; when all slots are taken,
+ * jobs are queued in order of arrival.
  */
 final class JobScheduler {
-    /** Called on the world's thread. */
+    /** Called on the scheduler thread. */
     interface Listener {
-        /** A job got a slot. */
+        /** A job was assigned a slot. */
         void onStarted(ServerJob job);
 
-        /** A job left its slot, with its work done. */
+        /** A job completed its work and released its slot. */
         void onFinished(ServerJob job);
     }
 
@@ -30,9 +30,9 @@
     private final ProcessorSharing processors;
     private final OverloadMonitor overload;
     private final ArrayDeque<ServerJob> queue = new ArrayDeque<>();
-    private final Set<ServerJob> waitingOnOthers = new HashSet<>();
+    private final Set<ServerJob> waitingOnDependencies = new HashSet<>();
 
-    /** {@code waitTimes}: durations with mean 1 that jobs wait on others. */
+    /** {@code waitTimes}: samples with mean 1, by which a class's mean wait on dependencies is multiplied. */
     JobScheduler(World world, MachineType machine, DoubleSupplier waitTimes, ServerSpeed speed, Listener listener) {
         this.world = world;
         this.slots = (int) Math.max(1, Math.round(machine.cores() * machine.slotsPerCore()));
@@ -45,7 +45,7 @@
                 world, machine.overloadSlowdown(), machine.cores(), this::size, this::slowdownChanged);
     }
 
-    /** Jobs in slots and in the queue. */
+    /** Number of jobs in slots and in the queue. */
     int size() {
         return slotsTaken() + queue.size();
     }
@@ -54,7 +54,7 @@
         return slotsTaken() >= slots && queue.size() >= maxQueued;
     }
 
-    /** Work that is not done. */
+    /** Remaining work of the running and the queued jobs. */
     double backlog() {
         double sum = processors.remainingWork();
         for (ServerJob job : queue) {
@@ -64,15 +64,15 @@
     }
 
     private int slotsTaken() {
-        return processors.runningJobs() + waitingOnOthers.size();
+        return processors.runningJobs() + waitingOnDependencies.size();
     }
 
-    /** Brings the attained service up to date. */
+    /** Updates the attained service to the current time. */
     void update() {
         processors.update();
     }
 
-    /** Starts a job, or queues it. The attained service must be up to date, and the queue not full. */
+    /** Starts or queues a job. The attained service must be up to date, and the queue must not be full. */
     void add(ServerJob job) {
         if (slotsTaken() < slots) {
             start(job);
@@ -83,12 +83,12 @@
         processors.plan();
     }
 
-    /** Work that is done beside the slots and delays the running jobs. */
+    /** Accounts for work outside the slots, which delays the running jobs. */
     void delayBy(double work) {
         processors.delayBy(work);
     }
 
-    /** The speed has changed from now on. */
+    /** Must be called after each change of the speed. */
     void speedChanged() {
         processors.plan();
     }
@@ -103,7 +103,7 @@
         processors.start(job);
     }
 
-    /** Ends the jobs whose work is done, and starts queued ones in their slots. */
+    /** Completes the jobs whose work is done, and starts queued jobs in their slots. */
     private void advance() {
         processors.update();
         while (processors.hasFinishedJob()) {
@@ -116,7 +116,7 @@
         processors.plan();
     }
 
-    /** The job's work is done; where its class waits on others, it keeps its slot for a while, but no core. */
+    /** Handles a job whose work is done: if its class waits on dependencies, it keeps its slot but uses no core. */
     private void waitOrFinish(ServerJob job) {
         double meanWaitMs =
                 world.scenario().classes().get(job.request.requestClass()).waitMs();
@@ -124,22 +124,22 @@
             listener.onFinished(job);
             return;
         }
-        waitingOnOthers.add(job);
+        waitingOnDependencies.add(job);
         world.schedule(meanWaitMs * waitTimes.getAsDouble(), () -> {
-            if (waitingOnOthers.remove(job)) {
+            if (waitingOnDependencies.remove(job)) {
                 listener.onFinished(job);
                 advance();
             }
         });
     }
 
-    /** The process ended: removes all jobs, in the order in which they would have gone on. */
+    /** Removes all jobs after the process has ended: running ones by completion order, then queued and waiting ones. */
     List<ServerJob> removeAll() {
         List<ServerJob> removed = processors.removeAll();
         removed.addAll(queue);
-        waitingOnOthers.stream().sorted().forEach(removed::add);
+        waitingOnDependencies.stream().sorted().forEach(removed::add);
         queue.clear();
-        waitingOnOthers.clear();
+        waitingOnDependencies.clear();
         overload.processEnded();
         return removed;
     }
--- a/emulator/src/main/java/dewplank/emulator/KeyCache.java
+++ b/emulator/src/main/java/dewplank/emulator/KeyCache.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The keys that a server's process has worked on lately; the least recently used are evicted. */
+/** The keys that a server's process has cached; the least recently used ones are evicted. */
 final class KeyCache {
     private final KeyModel rules;
     private final LinkedHashMap<Integer, Double> usedAtMs;
@@ -22,7 +22,7 @@
         };
     }
 
-    /** Uses a key: answers the part of a request's work that its cache entry saves, and caches it from now on. */
+    /** Looks up a key and caches it; returns the fraction of the request's work that its cache entry saves. */
     double use(int key, double nowMs) {
         if (key < 0) {
             return 0;
--- a/emulator/src/main/java/dewplank/emulator/KeyedRequests.java
+++ b/emulator/src/main/java/dewplank/emulator/KeyedRequests.java
@@ -5,17 +5,17 @@
 import java.util.Map;
 
 /**
- * What the servers of a deduplication scope share about keyed requests. A client's next attempt begins a window of its
- * own: clients retry only while servers remember.
+ * The deduplication state that the servers of a scope share. Each attempt of a client starts a new deduplication
+ * window, since clients retry a keyed request only while servers still deduplicate it.
  */
 final class KeyedRequests {
-    /** The window counts from the sending; a message may take so long. */
+    /** Allowance for the network delay, as the window starts when the client sends the attempt. */
     private static final double WINDOW_SLACK_MS = 10;
-    /** Longer than any server works on a request. */
+    /** Longer than any request is in flight at a server. */
     private static final double ENTRY_LIFETIME_MS = 60_000;
 
     private static final int MAX_ENTRIES = 1_000_000;
-    /** Above the number of any group. */
+    /** Greater than the number of any group. */
     private static final int GROUP_FACTOR = 10_007;
 
     private static final class Entry {
@@ -44,7 +44,7 @@
         this.time = time;
     }
 
-    /** A server received a keyed request: whether it will recognise its key when it takes effect. */
+    /** Registers a keyed request that a server received; returns whether its effect will be deduplicated. */
     boolean isWithinWindow(ClientAttempt request, Server server) {
         double windowMs = scenario.classes().get(request.requestClass()).deduplicationWindowMs() + WINDOW_SLACK_MS;
         Entry entry = entries.computeIfAbsent(scopedKey(request, server), any -> new Entry(time.now()));
@@ -55,7 +55,7 @@
         return time.now() - entry.firstReceivedAtMs <= windowMs;
     }
 
-    /** A keyed request takes effect: whether none of its key has done so before. */
+    /** Registers that a keyed request takes effect; returns whether no request with its key has done so before. */
     boolean isFirstEffect(ClientAttempt request, Server server) {
         Entry entry = entries.get(scopedKey(request, server));
         boolean isFirst = entry == null || !entry.hadEffect;
--- a/emulator/src/main/java/dewplank/emulator/LoadReporter.java
+++ b/emulator/src/main/java/dewplank/emulator/LoadReporter.java
@@ -3,9 +3,9 @@
 import dewplank.emulator.scenario.LoadReports;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** The load that a server reports with its responses: the requests in flight, refreshed at intervals, with noise. */
+/** Produces a server's load reports: the number of requests in flight, refreshed at intervals, with noise. */
 final class LoadReporter {
-    /** In place of a report where there is none. */
+    /** Returned if the server sends no load reports. */
     static final double NO_REPORT = -1;
 
     private final LoadReports rules;
@@ -18,7 +18,7 @@
         this.random = random;
     }
 
-    /** The report to send now, or {@link #NO_REPORT}. */
+    /** The load report to send with a response, or {@link #NO_REPORT}. */
     double report(int requestsInFlight, double nowMs) {
         if (!rules.enabled()) {
             return NO_REPORT;
--- a/emulator/src/main/java/dewplank/emulator/Network.java
+++ b/emulator/src/main/java/dewplank/emulator/Network.java
@@ -8,7 +8,7 @@
 import java.util.function.DoubleSupplier;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** Delays, losses and partitions of messages. */
+/** Message delays, message loss and partitions of the network. */
 final class Network {
     private final Scenario scenario;
     private final DoubleSupplier jitter;
@@ -32,7 +32,7 @@
         return base * (1 + model.jitter() * jitter.getAsDouble());
     }
 
-    /** Draws whether a message is lost. Draws nothing while none is. */
+    /** Draws whether a message is lost. Uses no random number while the loss rate is 0. */
     boolean drawLoss() {
         return lossRate > 0 && lossRandom.nextDouble() < lossRate;
     }
@@ -41,7 +41,7 @@
         lossRate = rate;
     }
 
-    /** Draws the delay of a datagram between two sidecars; negative for one that is lost. */
+    /** Draws the delay of a datagram between two sidecars; negative if it is lost. */
     double drawPeerDelayMs() {
         PeerMessages model = scenario.peerMessages();
         boolean isLost = peerRandom.nextDouble() < model.lossRate();
--- a/emulator/src/main/java/dewplank/emulator/OverloadMonitor.java
+++ b/emulator/src/main/java/dewplank/emulator/OverloadMonitor.java
@@ -5,19 +5,19 @@
 import java.util.function.IntSupplier;
 
 /**
- * Decides when a server that has had too many requests for too long slows down, and when it recovers, by the rules of
- * its {@link OverloadSlowdown}.
+ * Determines when a server slows down after a sustained overload and when it recovers, according to its
+ * {@link OverloadSlowdown}.
  */
 final class OverloadMonitor {
-    /** Timers fire at their time up to rounding. */
+    /** Tolerance for rounding errors in timer times. */
     private static final double ROUNDING_MS = 1e-6;
 
     private enum Phase {
         NORMAL,
-        /** Above the bound, at the usual speed. */
+        /** Above the limit, still at normal speed. */
         OVERLOADED,
         SLOWED_DOWN,
-        /** Slowed down, with few enough requests to recover. */
+        /** Slowed down, with the number of requests low enough to recover. */
         RECOVERING;
 
         private boolean canBecome(Phase next) {
@@ -40,7 +40,7 @@
     private double slowedDownAtMs;
     private int processes;
 
-    /** {@code onSlowdownChanged} is called with true when the slowdown begins, with false when it ends. */
+    /** {@code onSlowdownChanged} is called with true when the slowdown starts, and with false when it ends. */
     OverloadMonitor(
             World world,
             OverloadSlowdown rules,
@@ -58,7 +58,7 @@
         return phase == Phase.SLOWED_DOWN || phase == Phase.RECOVERING;
     }
 
-    /** The number of requests has changed, or a duration of the rules has passed. */
+    /** Must be called when the number of requests has changed; also runs when a duration of the rules has elapsed. */
     void update() {
         if (rules.maxRequestsPerCore() <= 0) {
             return;
@@ -125,7 +125,7 @@
         onSlowdownChanged.accept(false);
     }
 
-    /** The process ended: the next one starts without overload, and a slowdown of this one does not end its own. */
+    /** Resets the phase after the process has ended, and invalidates that process's slowdown timer. */
     void processEnded() {
         processes++;
         phase = Phase.NORMAL;
--- a/emulator/src/main/java/dewplank/emulator/ProcessorSharing.java
+++ b/emulator/src/main/java/dewplank/emulator/ProcessorSharing.java
@@ -7,16 +7,16 @@
 /**
  * The cores of a server, shared equally by its running jobs; no job uses more than one core.
  *
- * <p>Attained service V is the work done for each running job so far; a job that came at V with work w is done at V + w
- * (Kleinrock, Queueing Systems II, 4.4). So one number moves, however many jobs there are.
+ * <p>The attained service V is the work done for each running job so far; a job that starts at V with work w is done at
+ * V + w (Kleinrock, Queueing Systems II, 4.4). A single value therefore tracks the progress of all jobs.
  */
 final class ProcessorSharing {
-    /** The speed of a cold server changes all the time: it is taken as constant for at most so long. */
-    private static final double COLD_STEP_MS = 50;
-    /** Work below which a job counts as done: what rounding leaves. */
+    /** Longest interval over which the continuously changing speed of a cold server is treated as constant. */
+    private static final double COLD_SPEED_INTERVAL_MS = 50;
+    /** Tolerance for rounding errors: a job with this much remaining work is done. */
     private static final double ROUNDING_WORK = 1e-6;
-    /** A paused server with a pause that ends now is looked at again after so long. */
-    private static final double MIN_PAUSE_MS = 0.1;
+    /** Shortest delay until the speed of a paused server is evaluated again. */
+    private static final double MIN_PAUSE_CHECK_MS = 0.1;
 
     private final World world;
     private final int cores;
@@ -29,7 +29,7 @@
     private long arrivals;
     private long planNumber;
 
-    /** {@code onProgress} runs when a job may be done, or the speed has to be looked at again. */
+    /** {@code onProgress} runs when a job may be done or the speed must be evaluated again. */
     ProcessorSharing(World world, int cores, ServerSpeed speed, Runnable onProgress) {
         this.world = world;
         this.cores = cores;
@@ -41,7 +41,7 @@
         return running.size();
     }
 
-    /** Work of the running jobs that is not done at this moment. */
+    /** Remaining work of the running jobs at the current time. */
     double remainingWork() {
         double attained = attainedWork + (world.now() - updatedAtMs) * workPerMs;
         double sum = 0;
@@ -51,7 +51,7 @@
         return sum;
     }
 
-    /** Moves the attained service on to now, at the speed that was planned. */
+    /** Advances the attained service to the current time, at the planned speed. */
     void update() {
         double now = world.now();
         if (!running.isEmpty() && now > updatedAtMs) {
@@ -66,7 +66,7 @@
         running.add(job);
     }
 
-    /** Work that is done beside the running jobs, such as a handshake's, and delays them all. */
+    /** Accounts for work outside the running jobs, such as a handshake, which delays them all. */
     void delayBy(double work) {
         update();
         if (!running.isEmpty()) {
@@ -83,7 +83,7 @@
         return running.poll();
     }
 
-    /** Plans the next progress from the present speed and jobs; the plan before is void. */
+    /** Schedules the next progress from the current speed and jobs, and invalidates the previous schedule. */
     void plan() {
         update();
         long plan = ++planNumber;
@@ -92,16 +92,16 @@
         }
         workPerMs = speed.workPerCoreMs() * Math.min(1, (double) cores / running.size());
         double nextMs = workPerMs <= 0
-                ? Math.max(MIN_PAUSE_MS, speed.pausedUntilMs() - world.now())
+                ? Math.max(MIN_PAUSE_CHECK_MS, speed.pausedUntilMs() - world.now())
                 : running.peek().remainingWork(attainedWork) / workPerMs;
-        world.schedule(speed.isWarm() ? nextMs : Math.min(nextMs, COLD_STEP_MS), () -> {
+        world.schedule(speed.isWarm() ? nextMs : Math.min(nextMs, COLD_SPEED_INTERVAL_MS), () -> {
             if (plan == planNumber) {
                 onProgress.run();
             }
         });
     }
 
-    /** Removes all jobs, in the order in which they would have been done. */
+    /** Removes all jobs, in the order in which they would have completed. */
     List<ServerJob> removeAll() {
         update();
         planNumber++;
--- a/emulator/src/main/java/dewplank/emulator/RandomStreams.java
+++ b/emulator/src/main/java/dewplank/emulator/RandomStreams.java
@@ -9,16 +9,16 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Streams of random numbers by name. Each concern has its own stream, so that a change of one concern, or of the policy
- * under test, leaves the others' numbers as they were: runs with the same seed can be paired.
+ * Named streams of random numbers. Each concern has its own stream, so that a change of one concern, or of the policy
+ * under test, doesn't affect the numbers of the others: runs with the same seed can be compared pairwise.
  */
 public final class RandomStreams {
-    /** Bound of log-normal values, in multiples of the mean: clients and servers end longer work anyway. */
+    /** Upper bound of log-normal values, in multiples of the mean; clients and servers abort longer work anyway. */
     private static final double MAX_LOGNORMAL = 25;
 
     private final long seed;
 
-    /** The streams of the run with that seed. */
+    /** Creates the streams of a run with the given seed. */
     public RandomStreams(long seed) {
         this.seed = seed;
     }
@@ -29,13 +29,13 @@
         return RandomSource.XO_RO_SHI_RO_128_PP.create(new long[] {mixed, mix(mixed + 1)});
     }
 
-    /** A number from 0 to 1 that depends on the run's seed and the given number alone. */
-    public double unit(long number) {
-        return unitOf(mix(seed ^ mix(number)));
+    /** Returns a number from 0 to 1 that depends only on the run's seed and the given number. */
+    public double uniform(long number) {
+        return toUniform(mix(seed ^ mix(number)));
     }
 
     /** Maps 64 random bits to a number from 0 to 1. */
-    static double unitOf(long bits) {
+    static double toUniform(long bits) {
         return (bits >>> 11) * 0x1.0p-53;
     }
 
@@ -47,17 +47,17 @@
         return z ^ z >>> 31;
     }
 
-    /** Exponential with mean 1. */
+    /** Samples of the exponential distribution with mean 1. */
     public static DoubleSupplier exponential(UniformRandomProvider random) {
         return ZigguratSampler.Exponential.of(random)::sample;
     }
 
-    /** A standard normal. */
+    /** Samples of the standard normal distribution. */
     public static DoubleSupplier normal(UniformRandomProvider random) {
         return ZigguratSampler.NormalizedGaussian.of(random)::sample;
     }
 
-    /** Values with mean 1 and the coefficient of variation {@code cv}. */
+    /** Samples with mean 1 and the coefficient of variation {@code cv}. */
     public static DoubleSupplier around(Distribution distribution, double cv, UniformRandomProvider random) {
         if (cv <= 0 || distribution == Distribution.FIXED) {
             return () -> 1;
--- a/emulator/src/main/java/dewplank/emulator/RecordedEvent.java
+++ b/emulator/src/main/java/dewplank/emulator/RecordedEvent.java
@@ -1,64 +1,64 @@
 package dewplank.emulator;
 
 /**
- * What a client, a server or the directory saw, as it recorded it itself. The auditor has nothing else to judge by.
+ * An event that a client, a server or the directory recorded. The auditor checks a run by these events alone.
  *
- * @param atMs milliseconds on the run's clock
+ * @param atMs time of the event, in milliseconds of the run's clock
  * @param request identifier of the attempt, or {@link #NONE}
  * @param requestClass index of the class in the scenario, or {@link #NONE}
  * @param sidecar number of the sidecar, or {@link #NONE}
  * @param server number of the server, or {@link #NONE}
- * @param value as its type says, or 0
+ * @param value defined by the type; otherwise 0
  */
 public record RecordedEvent(
         double atMs, Type type, long request, int requestClass, int sidecar, int server, double value) {
 
-    /** In place of a number that the event does not have. */
+    /** Used for a number that the event does not have. */
     public static final int NONE = -1;
 
-    /** What happened. */
+    /** Type of an event. */
     public enum Type {
-        /** A client wrote an attempt to a sidecar, complete; value: its deadline. */
+        /** A client sent a complete attempt to a sidecar; value: its deadline. */
         SENT,
-        /** A client got a 200; value: identifier of the attempt that the server made the response for. */
+        /** A client received a 200; value: identifier of the attempt that the server's response belongs to. */
         SERVED,
-        /** A client was rejected; value: Retry-After in milliseconds, or 0. */
+        /** A client's attempt was rejected; value: Retry-After in milliseconds, or 0. */
         REFUSED,
-        /** A client got any other final response. */
+        /** A client received any other final response. */
         FAILED,
-        /** The connection to the sidecar ended without a complete response, or was never established. */
+        /** The connection to the sidecar was closed without a complete response, or was never established. */
         UNREACHABLE,
-        /** A client stopped waiting; value 1: before its deadline, by its own choice. */
+        /** A client stopped waiting; value 1: voluntarily, before its deadline. */
         ABANDONED,
-        /** The last byte of a request arrived at a server; value: its work there. */
+        /** A server received a complete request; value: the request's work at this server. */
         RECEIVED,
-        /** The server responded that it did not work on it. */
+        /** The server rejected the request without executing it. */
         REJECTED,
-        /** The server began to work on it. */
+        /** The server started to execute the request. */
         STARTED,
-        /** Its effect took place. */
+        /** The request took effect. */
         EFFECT,
-        /** The repeat of a keyed request was recognised, and had no effect. */
+        /** A repeated keyed request was deduplicated, and had no effect. */
         DEDUPLICATED,
         /** The directory notified a sidecar that a server is draining. */
         NOTIFIED_DRAINING,
-        /** The directory notified a sidecar that a server is removed. */
+        /** The directory notified a sidecar that a server has been removed. */
         NOTIFIED_REMOVED,
-        /** The directory notified a sidecar that a server is up; value: when its process started. */
+        /** The directory notified a sidecar that a server is up; value: start time of its process. */
         NOTIFIED_UP,
-        /** A sidecar was killed, and lost its state. */
+        /** A sidecar process was killed and lost its state. */
         SIDECAR_KILLED,
-        /** A sidecar accepts requests from now on. */
+        /** A sidecar process started, and accepts requests. */
         SIDECAR_UP,
-        /** A server's process started cold; value: its capacity when warm, in work per millisecond. */
+        /** A server's process started cold; value: its capacity once warm, in work per millisecond. */
         SERVER_STARTED,
         /** A server's process ended; value 1: its machine vanished. */
         SERVER_DOWN,
-        /** A cold server collapsed; value: the work that it was offered in the window. */
+        /** A cold server collapsed under overload; value: the work offered to it in the window. */
         SERVER_COLLAPSED
     }
 
-    /** Gets each event at its time, on the world's thread. */
+    /** Receives each event when it occurs, on the scheduler thread. */
     public interface Recorder {
         /** Called once for each event. */
         void record(RecordedEvent event);
--- a/emulator/src/main/java/dewplank/emulator/RequestMix.java
+++ b/emulator/src/main/java/dewplank/emulator/RequestMix.java
@@ -6,7 +6,7 @@
 import java.util.Arrays;
 import java.util.stream.IntStream;
 
-/** How requests are divided among classes and keys: cumulative distributions, read at a number from 0 to 1. */
+/** The distributions of requests over classes and keys, in cumulative form; looked up by a number from 0 to 1. */
 final class RequestMix {
     private final double[] cumulativeClasses;
     private final double[] cumulativeKeys;
@@ -25,7 +25,7 @@
         return indexAt(position, cumulativeClasses);
     }
 
-    /** Negative where the scenario has no keys. */
+    /** The key at this position; negative if the scenario has no keys. */
     int subjectKey(double position) {
         return indexAt(position, cumulativeKeys);
     }
@@ -39,7 +39,7 @@
         return cumulative;
     }
 
-    /** The index whose part of a cumulative distribution contains the position; -1 where the distribution is empty. */
+    /** The index whose interval of a cumulative distribution contains the position; -1 if the distribution is empty. */
     static int indexAt(double position, double[] cumulative) {
         int found = Arrays.binarySearch(cumulative, position);
         return Math.min(cumulative.length - 1, found >= 0 ? found : -found - 1);
--- a/emulator/src/main/java/dewplank/emulator/Scheduler.java
+++ b/emulator/src/main/java/dewplank/emulator/Scheduler.java
@@ -1,10 +1,10 @@
 package dewplank.emulator;
 
-/** The clock and the timers of a run. Tasks run on one thread; those of one moment run in the order of their calls. */
+/** The clock and the timers of a run. Tasks run on one thread; tasks due at the same time run in scheduling order. */
 public interface Scheduler {
-    /** Milliseconds; never goes back. */
+    /** Current time in milliseconds; monotonic. */
     double now();
 
-    /** Runs the task {@code ms} from now, at once where that is not above 0, but never inside this call. */
+    /** Runs the task after {@code ms}, or as soon as possible if that is not above 0, but never within this call. */
     void after(double ms, Runnable task);
 }
--- a/emulator/src/main/java/dewplank/emulator/Server.java
+++ b/emulator/src/main/java/dewplank/emulator/Server.java
@@ -11,35 +11,35 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * An emulated server and its processes, one after the other: requests in slots share its cores, those beyond the slots
- * wait in a queue, and those beyond the queue are rejected.
+ * An emulated server and its successive processes. Requests in slots share the cores. When all slots are taken,
+ * requests are queued; when the queue is full, they are rejected.
  *
- * <p>All calls are made on the world's thread. Work is in milliseconds of a standard core.
+ * <p>All methods must be called on the scheduler thread. Work is in milliseconds of a standard core.
  */
 public final class Server {
-    /** How a request ended at the server. A lost response and a vanished machine call no handler. */
+    /** How a request ended at the server. No handler is called for a lost response or a vanished machine. */
     public enum Reply {
         OK,
         ERROR,
-        /** The server did not work on it. */
+        /** The server did not execute the request. */
         NEVER_RAN,
         RESET
     }
 
-    /** Takes the end of a request, on the world's thread. */
+    /** Called when a request has ended, on the scheduler thread. */
     public interface ResponseHandler {
-        /** {@code loadReport}: the requests in flight that the server reports, or negative where it reports none. */
+        /** {@code loadReport}: the reported number of requests in flight, or negative if there is no load report. */
         void onReply(Reply reply, double loadReport);
     }
 
     /** State of the server's process and machine. */
     public enum State {
         UP,
-        /** It ends what it has and rejects the rest. */
+        /** The process completes its requests and rejects new ones. */
         DRAINING,
-        /** The process ended: connections are reset and new ones refused. */
+        /** The process has ended: its connections are reset and new ones are refused. */
         CRASHED,
-        /** The machine is gone: nothing comes back from it. */
+        /** The machine is lost: it sends nothing, not even a reset. */
         VANISHED;
 
         private boolean canBecome(State next) {
@@ -72,7 +72,7 @@
     private int incarnation;
     private final Set<Integer> vanishedIncarnations = new HashSet<>();
 
-    /** {@code baseSpeed}: work per millisecond of a core when warm. */
+    /** {@code baseSpeed}: work per millisecond that a core completes when warm. */
     Server(World world, int number, MachineType machine, String zone, double baseSpeed) {
         Scenario scenario = world.scenario();
         this.world = world;
@@ -105,87 +105,87 @@
         this.keyCache = new KeyCache(scenario.tenantsAndKeys().keys(), machine.cores());
         this.loadReporter = new LoadReporter(scenario.loadReports(), random);
         this.faultRates = new FaultRates(machine, scenario.classes().size(), random);
-        if (machine.pauseEveryMs() > 0 && machine.pauseMs() > 0) {
+        if (machine.pauseIntervalMs() > 0 && machine.pauseMs() > 0) {
             scheduleNextPause();
         }
     }
 
-    // ---- the true state, for the oracle, the tests and the drivers ------------------------------------
+    // ---- actual state, for the oracle, the tests and the drivers --------------------------------------
 
     /** Index of the server in {@link World#servers()}. */
     public int number() {
         return number;
     }
 
-    /** Identifier in the endpoint list. */
+    /** The server's identifier in the endpoint list. */
     public String id() {
         return id;
     }
 
-    /** Zone of the machine, as in the endpoint list. */
+    /** The machine's zone, as given in the endpoint list. */
     public String zone() {
         return zone;
     }
 
-    /** Number of the failure cell, within which keyed requests may be deduplicated. */
+    /** Number of the server's failure cell; keyed requests may be deduplicated within a cell. */
     public int cell() {
         return cell;
     }
 
-    /** Type of the machine that it runs on. */
+    /** Type of the machine that the server runs on. */
     public MachineType machine() {
         return machine;
     }
 
-    /** State at this moment. */
+    /** Current state. */
     public State state() {
         return state;
     }
 
-    /** Number of the server's process; one higher after each crash and each loss of the machine. */
+    /** Incarnation number of the process; incremented after each crash and each loss of the machine. */
     public int incarnation() {
         return incarnation;
     }
 
-    /** When the process started, in milliseconds; negative infinity for one that ran before the scenario began. */
+    /** Start time of the process in milliseconds; negative infinity if it was started before the scenario. */
     public double startedAtMs() {
         return warmUp.startedAtMs();
     }
 
-    /** Requests in slots, in the queue, and waiting on others. */
+    /** Number of requests in slots, including those that wait on dependencies, and in the queue. */
     public int requestsInFlight() {
         return jobs.size();
     }
 
-    /** Work per millisecond when warm and not slowed down. */
+    /** Work per millisecond that the server completes when warm and not slowed down. */
     public double fullCapacity() {
         return machine.cores() * speed.baseWorkPerCoreMs();
     }
 
-    /** Work per millisecond that it can do now. */
+    /** Work per millisecond that the server currently completes. */
     public double capacity() {
         return isRunning() ? machine.cores() * speed.workPerCoreMs() : 0;
     }
 
-    /** Work of the requests in slots and in the queue that is not done. */
+    /** Remaining work of the requests in slots and in the queue. */
     public double backlog() {
         return jobs.backlog();
     }
 
     /**
-     * Expected duration of a request of that work if it came now, by the true state: the cores are shared with the
-     * requests in flight and with {@code onTheWay} more of mean work, and the backlog comes first. Infinite where the
-     * server takes no requests.
+     * Expected duration of a request with the given work if it arrived now, according to the actual state. The request
+     * shares the cores with the requests in flight and with {@code inTransit} further requests of mean work, and the
+     * backlog is completed first. Infinite if the server accepts no requests.
      */
-    public double expectedMs(double work, int onTheWay) {
+    public double expectedMs(double work, int inTransit) {
         double capacity = capacity();
         if (capacity <= 0 || state != State.UP) {
             return Double.POSITIVE_INFINITY;
         }
-        double sharing = Math.max(1, (double) (requestsInFlight() + onTheWay + 1) / machine.cores());
+        double sharing = Math.max(1, (double) (requestsInFlight() + inTransit + 1) / machine.cores());
         double meanWork = world.scenario().meanWork();
         return Math.max(
-                work * machine.cores() / capacity * sharing, (backlog() + onTheWay * meanWork + work) / capacity);
+                work * machine.cores() / capacity * sharing, (backlog() + inTransit * meanWork + work) / capacity);
     }
 
     boolean isRunning() {
@@ -194,7 +194,7 @@
 
     // ---- connections ----------------------------------------------------------------------------------
 
-    /** Accepts a connection, unless no process runs or the table is full. The handshake delays the running requests. */
+    /** Accepts a connection if a process runs and the table isn't full. The handshake delays the running requests. */
     public boolean connect() {
         if (!isRunning() || connections.isFull()) {
             return false;
@@ -204,21 +204,21 @@
         return true;
     }
 
-    /** Whether the process of that incarnation vanished with its machine, so that its connections still seem open. */
-    public boolean vanishedIn(int ofIncarnation) {
-        return vanishedIncarnations.contains(ofIncarnation);
+    /** Whether the given incarnation vanished with its machine, so that its connections still appear open. */
+    public boolean hasVanished(int processIncarnation) {
+        return vanishedIncarnations.contains(processIncarnation);
     }
 
-    /** A connection to the process of that incarnation was closed. */
-    public void disconnect(int ofIncarnation) {
-        if (ofIncarnation == incarnation) {
+    /** Closes a connection to the given incarnation of the process. */
+    public void disconnect(int processIncarnation) {
+        if (processIncarnation == incarnation) {
             connections.remove();
         }
     }
 
     // ---- requests -------------------------------------------------------------------------------------
 
-    /** The last byte of a request has arrived. */
+    /** Handles a request that has arrived completely. */
     public void offer(ClientAttempt request, int sidecar, ResponseHandler handler) {
         if (state == State.VANISHED) {
             return;
@@ -227,8 +227,8 @@
             handler.onReply(Reply.RESET, LoadReporter.NO_REPORT);
             return;
         }
-        double saved = keyCache.use(request.subjectKey(), world.now());
-        double work = request.work() * World.attemptNoise(request, number) * (1 - saved);
+        double savedFraction = keyCache.use(request.subjectKey(), world.now());
+        double work = request.work() * World.workFactor(request, number) * (1 - savedFraction);
         world.record(Type.RECEIVED, request, sidecar, number, work);
         jobs.update();
         if (coldLoadLimit.isExceededBy(classOf(request).work())) {
@@ -261,7 +261,7 @@
     private void recordStart(ServerJob job) {
         world.record(Type.STARTED, job.request, job.request.sidecar(), number, 0);
         if (world.isPoisonous(job.request)) {
-            world.schedule(0, () -> world.crashByPoison(this));
+            world.schedule(0, () -> world.crashByPoisonRequest(this));
         }
     }
 
@@ -294,21 +294,21 @@
         jobs.speedChanged();
     }
 
-    /** {@code factor} times slower; 1 for the usual speed. */
+    /** Makes the server {@code factor} times slower; 1 restores the base speed. */
     void setSlowdown(double factor) {
         speed.setSlowdown(factor);
         jobs.speedChanged();
     }
 
-    /** A neighbour on the machine takes this part of each core. */
+    /** Sets the fraction of each core that a neighbour on the machine uses. */
     void setNeighbourFraction(double fraction) {
         speed.setNeighbourFraction(fraction);
         jobs.speedChanged();
     }
 
-    /** Pauses such as a garbage collector's: exponential gaps, durations of half to one and a half times the mean. */
+    /** Schedules the next pause, such as a garbage collection: exponential gap, 0.5 to 1.5 times the mean duration. */
     private void scheduleNextPause() {
-        double waitMs = -Math.log(1 - random.nextDouble()) * machine.pauseEveryMs();
+        double waitMs = -Math.log(1 - random.nextDouble()) * machine.pauseIntervalMs();
         world.schedule(waitMs, () -> {
             pause(machine.pauseMs() * (0.5 + random.nextDouble()));
             scheduleNextPause();
@@ -317,52 +317,52 @@
 
     // ---- lifecycle ------------------------------------------------------------------------------------
 
-    /** The process starts, cold. */
+    /** Starts the process, cold. */
     void start() {
-        become(State.UP);
+        transitionTo(State.UP);
         warmUp.processStarted();
         speed.processStarted();
         jobs.update();
         world.record(Type.SERVER_STARTED, null, -1, number, fullCapacity());
     }
 
-    /** The process ends what it has and rejects new requests. */
+    /** Starts draining: the process completes its requests and rejects new ones. */
     void drain() {
-        become(State.DRAINING);
+        transitionTo(State.DRAINING);
     }
 
-    /** The process ends: its connections are reset and new ones refused. */
+    /** Ends the process: its connections are reset and new ones are refused. */
     void crash() {
-        become(State.CRASHED);
+        transitionTo(State.CRASHED);
         world.record(Type.SERVER_DOWN, null, -1, number, 0);
         for (ServerJob job : endProcess()) {
             job.handler.onReply(Reply.RESET, LoadReporter.NO_REPORT);
         }
     }
 
-    /** The machine vanishes: its clients receive nothing more, not even a reset. */
+    /** Simulates the loss of the machine: clients receive nothing more from it, not even a reset. */
     void vanish() {
-        become(State.VANISHED);
+        transitionTo(State.VANISHED);
         vanishedIncarnations.add(incarnation);
         world.record(Type.SERVER_DOWN, null, -1, number, 1);
         endProcess();
     }
 
-    /** A cold process breaks down under its load. */
+    /** Crashes a cold process that exceeded its load limit. */
     private void collapse() {
         world.record(Type.SERVER_COLLAPSED, null, -1, number, coldLoadLimit.offeredWork());
         crash();
-        world.noticeCrash(this);
+        world.scheduleCrashDetection(this);
     }
 
-    private void become(State next) {
+    private void transitionTo(State next) {
         if (!state.canBecome(next)) {
-            throw new IllegalStateException("server " + number + " is " + state + " and cannot become " + next);
+            throw new IllegalStateException("server " + number + " can't change from " + state + " to " + next);
         }
         state = next;
     }
 
-    /** Drops what belongs to the process; answers the requests that it had. */
+    /** Clears the state of the ended process, and returns the requests that it had in flight. */
     private List<ServerJob> endProcess() {
         List<ServerJob> lost = jobs.removeAll();
         connections.clear();
--- a/emulator/src/main/java/dewplank/emulator/ServerJob.java
+++ b/emulator/src/main/java/dewplank/emulator/ServerJob.java
@@ -1,13 +1,13 @@
 package dewplank.emulator;
 
-/** A request at a server. Jobs are ordered by the attained work at which they are done, then by their arrival. */
+/** A request at a server. Jobs are ordered by the attained work at which they complete, then by order of arrival. */
 final class ServerJob implements Comparable<ServerJob> {
     final ClientAttempt request;
-    /** Work that this server does for it, in milliseconds of a standard core. */
+    /** The request's work at this server, in milliseconds of a standard core. */
     final double work;
 
     final Server.ResponseHandler handler;
-    /** Whether its effect is left out where the idempotency key has had one. */
+    /** Whether the request has no effect if an earlier request with the same idempotency key took effect. */
     final boolean isDeduplicated;
 
     private double doneAtWork;
@@ -20,13 +20,13 @@
         this.isDeduplicated = isDeduplicated;
     }
 
-    /** It gets a slot. */
+    /** Called when the job is assigned a slot. */
     void start(double attainedWork, long order) {
         doneAtWork = attainedWork + work;
         arrivalOrder = order;
     }
 
-    /** Work that is left when each running job has attained this much. */
+    /** Remaining work once each running job has attained the given work. */
     double remainingWork(double attainedWork) {
         return doneAtWork - attainedWork;
     }
--- a/emulator/src/main/java/dewplank/emulator/ServerSpeed.java
+++ b/emulator/src/main/java/dewplank/emulator/ServerSpeed.java
@@ -3,9 +3,9 @@
 import dewplank.emulator.scenario.MachineType;
 
 /**
- * How fast a core of a server works now: its base speed, less what warm-up, an injected slowdown, a neighbour on the
- * machine, pauses, a full connection table and the overload slowdown take. Whoever changes one of them has to call
- * {@link ProcessorSharing#plan}.
+ * Current speed of a server's cores: the base speed, reduced by warm-up, an injected slowdown, a neighbour on the
+ * machine, pauses, a full connection table and the overload slowdown. After each change of one of these,
+ * {@link ProcessorSharing#plan} must be called.
  */
 final class ServerSpeed {
     private final World world;
@@ -26,12 +26,12 @@
         this.overloadFactor = machine.overloadSlowdown().factor();
     }
 
-    /** Work per millisecond of a core when the server is warm and nothing slows it down. */
+    /** Work per millisecond that a core completes when the server is warm and not slowed down. */
     double baseWorkPerCoreMs() {
         return baseWorkPerCoreMs;
     }
 
-    /** Work per millisecond of a core now; 0 during a pause. */
+    /** Work per millisecond that a core currently completes; 0 during a pause. */
     double workPerCoreMs() {
         if (world.now() < pausedUntilMs) {
             return 0;
@@ -56,12 +56,12 @@
         pausedUntilMs = Math.max(pausedUntilMs, world.now() + durationMs);
     }
 
-    /** {@code factor} times slower; 1 for the usual speed. */
+    /** Makes the server {@code factor} times slower; 1 restores the base speed. */
     void setSlowdown(double factor) {
         slowdown = factor;
     }
 
-    /** A neighbour on the machine takes this part of each core. */
+    /** Sets the fraction of each core that a neighbour on the machine uses. */
     void setNeighbourFraction(double fraction) {
         neighbourFraction = fraction;
     }
@@ -70,7 +70,7 @@
         isSlowedByOverload = isSlowed;
     }
 
-    /** The process ended: what slowed it down ends with it, but for a pause of the machine. */
+    /** Removes the slowdowns of the ended process; a pause of the machine continues. */
     void processEnded() {
         slowdown = 1;
         neighbourFraction = 0;
--- a/emulator/src/main/java/dewplank/emulator/TenantTraffic.java
+++ b/emulator/src/main/java/dewplank/emulator/TenantTraffic.java
@@ -4,7 +4,7 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** How the load is divided among the tenants, and how it changes with a tenant's load. */
+/** The distribution of the load over the tenants, and the total load as individual tenants change theirs. */
 final class TenantTraffic {
     private final List<TenantLoad> tenants;
     private final double[] factors;
@@ -15,37 +15,37 @@
         this.tenants = tenants;
         this.factors = new double[tenants.size()];
         Arrays.fill(factors, 1);
-        divide();
+        updateFractions();
     }
 
-    /** Fractions of the requests by tenant, added up. Empty where there are no tenants. */
+    /** Cumulative fractions of the requests by tenant. Empty if there are no tenants. */
     double[] cumulativeFractions() {
         return cumulativeFractions;
     }
 
-    /** Load of all tenants together, relative to the usual. */
+    /** Total load of all tenants, as a multiple of the base load. */
     double loadFactor() {
         return loadFactor;
     }
 
-    /** A tenant's load becomes this many times the usual. */
+    /** Sets a tenant's load, as a multiple of its base load. */
     void setFactor(int tenant, double factor) {
         factors[tenant] = factor;
-        divide();
+        updateFractions();
     }
 
-    private void divide() {
+    private void updateFractions() {
         double[] cumulative = new double[tenants.size()];
-        double usual = 0;
-        double present = 0;
+        double baseLoad = 0;
+        double currentLoad = 0;
         for (int i = 0; i < cumulative.length; i++) {
             double load = tenants.get(i).share() * tenants.get(i).usage();
-            usual += load;
-            present += load * factors[i];
-            cumulative[i] = present;
+            baseLoad += load;
+            currentLoad += load * factors[i];
+            cumulative[i] = currentLoad;
         }
-        loadFactor = usual <= 0 ? 1 : present / usual;
-        double sum = present;
+        loadFactor = baseLoad <= 0 ? 1 : currentLoad / baseLoad;
+        double sum = currentLoad;
         cumulativeFractions = Arrays.stream(cumulative)
                 .map(value -> sum <= 0 ? 1 : value / sum)
                 .toArray();
--- a/emulator/src/main/java/dewplank/emulator/VirtualTime.java
+++ b/emulator/src/main/java/dewplank/emulator/VirtualTime.java
@@ -3,8 +3,8 @@
 import java.util.Arrays;
 
 /**
- * Discrete-event time: it jumps from one task to the next. A binary heap over arrays, ordered by time, then by the
- * order of the calls. No object is allocated for a task.
+ * The clock of a discrete-event simulation, which advances to the time of the next task. Tasks are stored in a binary
+ * heap over parallel arrays, ordered by time, then by scheduling order; no object is allocated per task.
  */
 public final class VirtualTime implements Scheduler {
     private static final int INITIAL_CAPACITY = 1024;
@@ -22,7 +22,7 @@
         return now;
     }
 
-    /** Number of tasks that have run: the events of a discrete-event simulation. */
+    /** Number of tasks that have run, that is, of simulated events. */
     public long tasksRun() {
         return tasksRun;
     }
@@ -37,7 +37,7 @@
         siftUp(size++, now + Math.max(0, ms), nextOrder++, task);
     }
 
-    /** Runs tasks until none is left or the next is later than {@code end}; the clock is then at {@code end}. */
+    /** Runs all tasks that are due up to {@code end}, then sets the clock to {@code end}. */
     public void runUntil(double end) {
         while (size > 0 && times[0] <= end) {
             now = times[0];
--- a/emulator/src/main/java/dewplank/emulator/WarmUp.java
+++ b/emulator/src/main/java/dewplank/emulator/WarmUp.java
@@ -2,7 +2,7 @@
 
 import dewplank.emulator.scenario.MachineType;
 
-/** A process starts cold; its speed grows linearly until it is warm. The first processes of a run are warm. */
+/** Warm-up of a process: it starts cold, and its speed increases linearly. The initial processes of a run are warm. */
 final class WarmUp {
     private final World world;
     private final MachineType machine;
@@ -17,12 +17,12 @@
         startedAtMs = world.now();
     }
 
-    /** When the process started; negative infinity for one that ran before the scenario began. */
+    /** Start time of the process; negative infinity if it was started before the scenario. */
     double startedAtMs() {
         return startedAtMs;
     }
 
-    /** From the machine's cold factor to 1. */
+    /** Current fraction of the warm speed, from the machine's cold factor to 1. */
     double speedFactor() {
         double ageMs = world.now() - startedAtMs;
         return machine.warmUpMs() <= 0 || ageMs >= machine.warmUpMs()
--- a/emulator/src/main/java/dewplank/emulator/World.java
+++ b/emulator/src/main/java/dewplank/emulator/World.java
@@ -13,20 +13,20 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Everything around the sidecars in one run: servers, directory, network, and the effects of requests. All calls are
- * made on one thread, that of the {@link Scheduler}.
+ * The environment of the sidecars in one run: servers, directory, network, and the effects of requests. All methods
+ * must be called on the thread of the {@link Scheduler}.
  */
 public final class World {
-    /** A request takes up to so much more or less work than its own, depending on the server. */
-    private static final double SERVER_NOISE = 0.15;
-    /** No server is slower than this fraction of its machine type, whatever the spread. */
+    /** Largest relative deviation of a request's work from server to server. */
+    private static final double MAX_WORK_DEVIATION = 0.15;
+    /** Lower bound of a server's speed, as a fraction of its machine type's speed. */
     private static final double MIN_SPEED_FACTOR = 0.3;
-    /** The golden ratio's fraction: its multiples spread evenly over [0, 1). */
-    private static final double GOLDEN_FRACTION = 0.6180339887498949;
+    /** Fractional part of the golden ratio; its multiples modulo 1 are spread evenly over [0, 1). */
+    private static final double GOLDEN_RATIO_FRACTION = 0.6180339887498949;
 
     private static final double RESTART_AFTER_POISON_MS = 1_000;
     private static final long POISON_SALT = 0x5bd1e995;
-    /** Stands for no work at all, where work divides. */
+    /** Lower bound of work used as a divisor, to avoid a division by zero. */
     private static final double MIN_WORK = 1e-9;
 
     private final Scenario scenario;
@@ -44,7 +44,7 @@
     private double poisonFraction;
     private int poisonClass = RecordedEvent.NONE;
 
-    /** {@code recorder} gets each event at its time, on the scheduler's thread. */
+    /** {@code recorder} receives each event when it occurs, on the scheduler thread. */
     public World(Scenario scenario, long seed, Scheduler time, RecordedEvent.Recorder recorder) {
         this.scenario = scenario;
         this.randomStreams = new RandomStreams(seed);
@@ -71,11 +71,11 @@
         }
     }
 
-    /** Machine types by their weights, spread evenly over the servers' numbers. */
+    /** Assigns machine types in proportion to their weights, spread evenly over the server numbers. */
     private MachineType machineTypeOf(int server) {
         List<MachineType> types = scenario.servers().machines();
         double weights = types.stream().mapToDouble(MachineType::weight).sum();
-        double position = (server * GOLDEN_FRACTION + 0.5) % 1 * weights;
+        double position = (server * GOLDEN_RATIO_FRACTION + 0.5) % 1 * weights;
         for (MachineType type : types) {
             position -= type.weight();
             if (position < 0) {
@@ -85,27 +85,27 @@
         return types.get(types.size() - 1);
     }
 
-    /** What the run plays. */
+    /** The scenario of this run. */
     public Scenario scenario() {
         return scenario;
     }
 
-    /** The run's random numbers. */
+    /** The random streams of this run. */
     public RandomStreams randomStreams() {
         return randomStreams;
     }
 
-    /** All servers, by number; unmodifiable. */
+    /** All servers in order of their numbers; unmodifiable. */
     public List<Server> servers() {
         return Collections.unmodifiableList(servers);
     }
 
-    /** The server of that identifier; empty where there is none. */
+    /** The server with the given identifier; empty if there is none. */
     public Optional<Server> server(String id) {
         return Optional.ofNullable(serversById.get(id));
     }
 
-    /** What the sidecars learn the endpoints from. */
+    /** The directory that notifies the sidecars of endpoints. */
     public EndpointDirectory directory() {
         return directory;
     }
@@ -115,26 +115,26 @@
         return time.now();
     }
 
-    /** Runs a task after a delay on the run's thread; see {@link Scheduler#after}. */
+    /** Runs a task after a delay on the scheduler thread; see {@link Scheduler#after}. */
     public void schedule(double delayMs, Runnable task) {
         time.after(delayMs, task);
     }
 
-    /** Records an event; {@code request} is null for one that is of no request. */
+    /** Records an event; {@code request} is null if the event belongs to no request. */
     public void record(Type type, ClientAttempt request, int sidecar, int server, double value) {
         long id = request == null ? RecordedEvent.NONE : request.id();
         int requestClass = request == null ? RecordedEvent.NONE : request.requestClass();
         recorder.record(new RecordedEvent(time.now(), type, id, requestClass, sidecar, server, value));
     }
 
-    /** Work per millisecond of all servers, warm and not slowed down. */
+    /** Work per millisecond that all servers complete when warm and not slowed down. */
     public double fullCapacity() {
         return servers.stream().mapToDouble(Server::fullCapacity).sum();
     }
 
     // ---- load -----------------------------------------------------------------------------------------
 
-    /** First attempts per millisecond over all sidecars, before the shape of the load and its faults. */
+    /** First attempts per millisecond over all sidecars, before the load shape and load faults are applied. */
     public double arrivalsPerMs() {
         return scenario.load().requestsPerSecond() > 0
                 ? scenario.load().requestsPerSecond() / 1000
@@ -165,88 +165,94 @@
     }
 
     /** One-way delay of a message between a client and its sidecar, in milliseconds. */
-    public double clientDelay() {
+    public double clientDelayMs() {
         return scenario.network().clientMs();
     }
 
-    /** Draws the delay of a datagram between two sidecars, in milliseconds; negative for one that is lost. */
+    /** Draws the delay of a datagram between two sidecars, in milliseconds; negative if it is lost. */
     public double messageDelay() {
         return network.drawPeerDelayMs();
     }
 
-    /** Whether messages between the two are dropped. */
+    /** Whether a partition drops all messages between the sidecar and the server. */
     public boolean isPartitioned(int sidecar, int server) {
         return network.isPartitioned(sidecar, server);
     }
 
-    /** Draws whether a message is lost: its connection stays open, and nothing arrives. */
+    /** Draws whether a message is lost; its connection then stays open, but nothing arrives. */
     public boolean losesMessage() {
         return network.drawLoss();
     }
 
     // ---- requests at servers --------------------------------------------------------------------------
 
-    /** What a request's work is multiplied by at a server; it depends on the request's key, not on the time. */
-    static double attemptNoise(ClientAttempt request, int server) {
-        double fraction = RandomStreams.unitOf(RandomStreams.mix(request.key() * 31 + server));
-        return 1 + SERVER_NOISE * (2 * fraction - 1);
+    /** Factor of a request's work at a server; it depends on the request's key and the server, not on the time. */
+    static double workFactor(ClientAttempt request, int server) {
+        double fraction = RandomStreams.toUniform(RandomStreams.mix(request.key() * 31 + server));
+        return 1 + MAX_WORK_DEVIATION * (2 * fraction - 1);
     }
 
     KeyedRequests keyedRequests() {
         return keyedRequests;
     }
 
-    /** A bound of work, with what the operators' standing test allows for chance: N + 3 sqrt(N) + 3 of mean work. */
-    static double withChance(double work, double mean) {
+    /**
+     * Adds the statistical margin that the operators' standing test allows to a limit of work: for N requests of mean
+     * work, N + 3 sqrt(N) + 3.
+     */
+    static double withStatisticalMargin(double work, double mean) {
         double requests = work / Math.max(MIN_WORK, mean);
         return mean * (requests + 3 * Math.sqrt(requests) + 3);
     }
 
     // ---- faults ---------------------------------------------------------------------------------------
 
-    /** A fraction of the requests of a class, or of all for {@link RecordedEvent#NONE}, crash their server. */
+    /**
+     * Sets the fraction of a class's requests, or of all requests for {@link RecordedEvent#NONE}, that crash their
+     * server.
+     */
     void setPoison(int requestClass, double fraction) {
         poisonClass = requestClass;
         poisonFraction = fraction;
     }
 
-    /** Whether the request crashes its server; the same for all attempts of a request. */
+    /** Whether the request crashes its server; the result is the same for all attempts of a request. */
     boolean isPoisonous(ClientAttempt request) {
         return poisonFraction > 0
                 && (poisonClass < 0 || poisonClass == request.requestClass())
-                && RandomStreams.unitOf(RandomStreams.mix(request.key() ^ POISON_SALT)) < poisonFraction;
+                && RandomStreams.toUniform(RandomStreams.mix(request.key() ^ POISON_SALT)) < poisonFraction;
     }
 
-    void crashByPoison(Server server) {
+    void crashByPoisonRequest(Server server) {
         if (server.isRunning()) {
             server.crash();
-            noticeCrash(server);
+            scheduleCrashDetection(server);
             restart(server, RESTART_AFTER_POISON_MS);
         }
     }
 
-    /** The directory learns of the crash after a while. */
-    void noticeCrash(Server server) {
-        directory.noticeLoss(server, aroundMs(scenario.directory().crashNoticeMs()));
+    /** Schedules the directory's detection of a crash, after a random delay. */
+    void scheduleCrashDetection(Server server) {
+        directory.scheduleRemoval(server, drawDurationMs(scenario.directory().crashDetectionMs()));
     }
 
-    /** The directory learns after a while that the machine vanished. */
-    void noticeVanish(Server server) {
-        directory.noticeLoss(server, aroundMs(scenario.directory().vanishNoticeMs()));
+    /** Schedules the directory's detection that a machine vanished, after a random delay. */
+    void scheduleVanishDetection(Server server) {
+        directory.scheduleRemoval(server, drawDurationMs(scenario.directory().vanishDetectionMs()));
     }
 
-    /** Draws a duration of the directory: from half to one and a half times the mean. */
-    double aroundMs(double meanMs) {
+    /** Draws a duration for the directory: from 0.5 to 1.5 times the mean. */
+    double drawDurationMs(double meanMs) {
         return meanMs * (0.5 + directoryRandom.nextDouble());
     }
 
-    /** Starts the server's next process, unless it has one by then. */
+    /** Starts the server's next process after the delay, unless the server has restarted by then. */
     void restart(Server server, double afterMs) {
         int incarnation = server.incarnation();
         schedule(afterMs, () -> {
             if (server.incarnation() == incarnation) {
                 server.start();
-                directory.noticeStart(server);
+                directory.scheduleAddition(server);
             }
         });
     }
--- a/emulator/src/main/java/dewplank/emulator/scenario/BalancerSettings.java
+++ b/emulator/src/main/java/dewplank/emulator/scenario/BalancerSettings.java
@@ -11,17 +11,17 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The settings that a scenario gives to the balancer of a sidecar. */
+/** Derives the settings of a sidecar's balancer from a scenario. */
 public final class BalancerSettings {
-    private static final List<String> REPORTED_FIGURES = List.of("rif");
-    /** A request that crosses zones costs a little, a handshake nothing. */
+    private static final List<String> LOAD_REPORT_FIELDS = List.of("rif");
+    /** A cross-zone request has a small cost, a handshake none. */
     private static final Prices PRICES = new Prices(0.03, 0);
 
     private static final Goal GOAL = new Goal(0.8, 0.2, 0, 0);
 
     private BalancerSettings() {}
 
-    /** The settings of the sidecar with that number. */
+    /** The balancer settings of the sidecar with the given number. */
     public static Settings of(Scenario scenario, int sidecar) {
         return new Settings(
                 sidecar,
@@ -33,7 +33,7 @@
                 false,
                 scenario.tenantsAndKeys().keys().count() > 0,
                 scenario.tenantsAndKeys().overShareValueFactor(),
-                scenario.loadReports().enabled() ? REPORTED_FIGURES : List.of(),
+                scenario.loadReports().enabled() ? LOAD_REPORT_FIELDS : List.of(),
                 false,
                 scenario.classes().stream().map(BalancerSettings::requestClass).toList(),
                 tenants(scenario),
@@ -59,11 +59,11 @@
 
     private static List<Tenant> tenants(Scenario scenario) {
         List<TenantLoad> loads = scenario.tenantsAndKeys().tenants();
-        double shares = loads.stream().mapToDouble(TenantLoad::share).sum();
+        double totalShare = loads.stream().mapToDouble(TenantLoad::share).sum();
         List<Tenant> tenants = new ArrayList<>();
         for (int i = 0; i < loads.size(); i++) {
             TenantLoad load = loads.get(i);
-            tenants.add(new Tenant(load.name(), load.share() / shares, scenario.allowancePerSecond(i)));
+            tenants.add(new Tenant(load.name(), load.share() / totalShare, scenario.allowancePerSecond(i)));
         }
         return tenants;
     }
@@ -76,8 +76,8 @@
                 true,
                 rules.healthChecks(),
                 scenario.peerMessages().enabled(),
-                rules.retryAdvice(),
-                rules.maxAdviceMs(),
+                rules.allowsRetryAdvice(),
+                rules.maxRetryAdviceMs(),
                 scenario.connections().connectTimeoutMs(),
                 scenario.connections().idleMs(),
                 1);
@@ -85,7 +85,7 @@
 
     private static Safety safety(Rules rules) {
         return new Safety(
-                rules.maxSendDelayMs(),
+                rules.maxSubscribeDelayMs(),
                 rules.warmUpMs(),
                 rules.warmUpInitialFraction(),
                 rules.collapseFactor(),
--- a/emulator/src/main/java/dewplank/emulator/scenario/ClientBehaviour.java
+++ b/emulator/src/main/java/dewplank/emulator/scenario/ClientBehaviour.java
@@ -1,14 +1,14 @@
 package dewplank.emulator.scenario;
 
 /**
- * How clients wait and retry.
+ * How clients wait for responses and retry requests.
  *
- * @param maxRetries of a request
- * @param attemptDeadlineFraction of a class's deadline that an attempt may take
- * @param backoffMs mean time before a retry
- * @param honourRetryAfterFraction of the clients, which follow Retry-After
- * @param abandonFraction of the attempts, which are abandoned half way
- * @param marksRetries whether clients mark retries as such
+ * @param maxRetries maximum number of retries of a request
+ * @param attemptDeadlineFraction deadline of an attempt, as a fraction of the class's deadline
+ * @param backoffMs mean delay before a retry
+ * @param honourRetryAfterFraction fraction of requests whose client honours Retry-After
+ * @param abandonFraction fraction of attempts that are abandoned halfway to their deadline
+ * @param marksRetries whether clients mark retries as retries
  */
 public record ClientBehaviour(
         int maxRetries,
@@ -18,7 +18,7 @@
         double abandonFraction,
         boolean marksRetries) {
 
-    /** The same with another number of retries. */
+    /** Returns a copy with the given maximum number of retries. */
     ClientBehaviour withMaxRetries(int newMaxRetries) {
         return new ClientBehaviour(
                 newMaxRetries,
@@ -29,7 +29,7 @@
                 marksRetries);
     }
 
-    /** The same with another part of the clients following Retry-After. */
+    /** Returns a copy with the given fraction of requests whose client honours Retry-After. */
     ClientBehaviour withHonourRetryAfterFraction(double newFraction) {
         return new ClientBehaviour(
                 maxRetries, attemptDeadlineFraction, backoffMs, newFraction, abandonFraction, marksRetries);
--- a/emulator/src/main/java/dewplank/emulator/scenario/ConnectionModel.java
+++ b/emulator/src/main/java/dewplank/emulator/scenario/ConnectionModel.java
@@ -1,15 +1,15 @@
 package dewplank.emulator.scenario;
 
 /**
- * Connections from sidecars to servers.
+ * Properties of connections from sidecars to servers.
  *
- * @param handshakeMs duration of a handshake, beside the network's delays
+ * @param handshakeMs duration of a handshake, in addition to the network delays
  * @param handshakeWork work of a handshake at the server
- * @param idleMs after which a server closes an idle connection
- * @param closeIsNoticed whether the sidecar learns of that close
- * @param maxConnections of a server; 0 for no bound
- * @param fullTableSlowdown fraction of its speed that a server with a full connection table loses
- * @param connectTimeoutMs 0 for none
+ * @param idleMs time after which a server closes an idle connection
+ * @param closeIsNoticed whether the sidecar detects that the server closed an idle connection
+ * @param maxConnections maximum number of connections of a server; 0 for no limit
+ * @param fullTableSlowdown fraction of its speed that a server loses when its connection table is full
+ * @param connectTimeoutMs timeout of a connection attempt; 0 for none
  */
 public record ConnectionModel(
         double handshakeMs,
--- a/emulator/src/main/java/dewplank/emulator/scenario/DirectoryModel.java
+++ b/emulator/src/main/java/dewplank/emulator/scenario/DirectoryModel.java
@@ -1,19 +1,19 @@
 package dewplank.emulator.scenario;
 
 /**
- * How late the directory learns of changes, and how much it can send.
+ * Detection delays and capacity of the endpoint directory.
  *
- * @param crashNoticeMs mean time until it learns of a crash
- * @param vanishNoticeMs mean time until it learns that a machine vanished
- * @param startNoticeMs until it learns of a start
- * @param updateIntervalMs mean time between two updates of a watch
- * @param callsPerSecond calls that it accepts
- * @param callTimeoutMs after which a call that waits for its turn fails
+ * @param crashDetectionMs mean time until the directory detects a crash
+ * @param vanishDetectionMs mean time until the directory detects that a machine vanished
+ * @param startDetectionMs time until the directory detects the start of a process
+ * @param updateIntervalMs mean interval between two updates of a watch
+ * @param callsPerSecond rate at which the directory accepts calls
+ * @param callTimeoutMs time after which a queued call fails
  */
 public record DirectoryModel(
-        double crashNoticeMs,
-        double vanishNoticeMs,
-        double startNoticeMs,
+        double crashDetectionMs,
+        double vanishDetectionMs,
+        double startDetectionMs,
         double updateIntervalMs,
         double callsPerSecond,
         double callTimeoutMs) {}
--- a/emulator/src/main/java/dewplank/emulator/scenario/Distribution.java
+++ b/emulator/src/main/java/dewplank/emulator/scenario/Distribution.java
@@ -1,6 +1,6 @@
 package dewplank.emulator.scenario;
 
-/** Distributions of drawn times and work. */
+/** Distributions of durations and work. */
 public enum Distribution {
     FIXED,
     /** Exponential. */
--- a/emulator/src/main/java/dewplank/emulator/scenario/Fault.java
+++ b/emulator/src/main/java/dewplank/emulator/scenario/Fault.java
@@ -3,14 +3,15 @@
 import java.util.Optional;
 
 /**
- * A fault, when it happens and what it affects.
+ * An injected fault: its time, duration, targets and magnitude.
  *
- * @param atMs from the start of the run
- * @param durationMs until it ends; until the server is started again, for a crash
- * @param affectedFraction of the servers, or of the sidecars for {@link FaultKind#SIDECAR_KILL}
- * @param magnitude by kind: times slower, fraction taken, times the load, fraction of the requests, milliseconds
- * @param intervalMs of kinds that come and go; for a deploy, how long a server drains
- * @param target class or tenant that it affects, or empty where it affects all
+ * @param atMs time of the fault, counted from the start of the run
+ * @param durationMs duration of the fault; for a crash, the time until the server restarts
+ * @param affectedFraction fraction of the servers that are affected; of the sidecars for {@link FaultKind#SIDECAR_KILL}
+ * @param magnitude depends on the kind: slowdown factor, fraction of cores, load factor, fraction of requests, or
+ *     milliseconds
+ * @param intervalMs interval of faults that recur; for a deploy, the drain time of a server
+ * @param target affected class or tenant; empty if all are affected
  */
 public record Fault(
         FaultKind kind,
@@ -21,12 +22,12 @@
         double intervalMs,
         Optional<String> target) {
 
-    /** The same for another part of the servers. */
+    /** Returns a copy with the given affected fraction. */
     Fault withAffectedFraction(double newFraction) {
         return new Fault(kind, atMs, durationMs, newFraction, magnitude, intervalMs, target);
     }
 
-    /** The same with another magnitude. */
+    /** Returns a copy with the given magnitude. */
     Fault withMagnitude(double newMagnitude) {
         return new Fault(kind, atMs, durationMs, affectedFraction, newMagnitude, intervalMs, target);
     }
--- a/emulator/src/main/java/dewplank/emulator/scenario/FaultKind.java
+++ b/emulator/src/main/java/dewplank/emulator/scenario/FaultKind.java
@@ -1,26 +1,26 @@
 package dewplank.emulator.scenario;
 
-/** Kinds of faults; in scenario files they are written in lower case. */
+/** Kinds of injected faults; scenario files contain their names in lower case. */
 public enum FaultKind {
-    /** Server processes end. */
+    /** Server processes crash. */
     CRASH,
-    /** Server machines vanish: nothing comes back from them, not even a reset. */
+    /** Server machines vanish: they send nothing more, not even a reset. */
     VANISH,
-    /** Servers work more slowly. */
+    /** Servers are slowed down. */
     SLOW,
-    /** A neighbour on the machine takes part of its cores, on and off. */
+    /** A neighbour on the machine intermittently uses part of its cores. */
     NEIGHBOUR,
-    /** Servers pause at intervals. */
+    /** Servers pause repeatedly. */
     PAUSE,
-    /** Servers are drained and replaced, batch after batch. */
+    /** Servers are drained and replaced in batches. */
     DEPLOY,
     /** Requests of one class fail. */
     CLASS_ERRORS,
-    /** Some requests crash the server that works on them. */
+    /** Some requests crash the server that executes them. */
     POISON,
     /** Responses are lost after the request took effect. */
     LOST_ANSWERS,
-    /** Connections are reset in place of a response. */
+    /** Connections are reset instead of a response. */
     RESETS,
     /** Servers are partitioned from sidecars. */
     CUT,
@@ -28,15 +28,15 @@
     LOSS,
     /** The load of all clients changes. */
     LOAD,
-    /** The directory refuses calls and ends its watches. */
+    /** The directory refuses calls and closes its watches. */
     DIRECTORY_DOWN,
-    /** The directory accepts calls and sends no updates. */
+    /** The directory accepts calls but sends no updates. */
     DIRECTORY_SILENT,
     /** Sidecar processes are killed. */
     SIDECAR_KILL,
-    /** A zone's servers vanish, with some of its sidecars. */
+    /** A zone's servers vanish, and some of its sidecars are killed. */
     ZONE_LOSS,
-    /** Requests fail at once, without work. */
+    /** Requests fail immediately, without any work. */
     ERRORS,
     /** The load of one tenant changes. */
     TENANT_LOAD
--- a/emulator/src/main/java/dewplank/emulator/scenario/KeyModel.java
+++ b/emulator/src/main/java/dewplank/emulator/scenario/KeyModel.java
@@ -1,13 +1,13 @@
 package dewplank.emulator.scenario;
 
 /**
- * The keys that requests are about, and what servers save by caching them.
+ * The data keys that requests refer to, and the effect of caching them on servers.
  *
- * @param count 0 for no keys
- * @param zipfExponent of the keys' popularity
- * @param savedWorkFraction of a request's work, where its key is cached
- * @param cacheMs for which a server caches a key after its last use
- * @param maxKeysPerCore keys that a server caches
+ * @param count number of keys; 0 for none
+ * @param zipfExponent exponent of the Zipf distribution of the keys' popularity
+ * @param savedWorkFraction fraction of a request's work that is saved if its key is cached
+ * @param cacheMs time for which a server caches a key after its last use
+ * @param maxKeysPerCore maximum number of keys that a server caches, per core
  */
 public record KeyModel(
         int count, double zipfExponent, double savedWorkFraction, double cacheMs, double maxKeysPerCore) {}
--- a/emulator/src/main/java/dewplank/emulator/scenario/LoadShape.java
+++ b/emulator/src/main/java/dewplank/emulator/scenario/LoadShape.java
@@ -3,8 +3,8 @@
 /** How the load changes over time. */
 public enum LoadShape {
     STEADY,
-    /** A sine. */
+    /** The load follows a sine wave. */
     WAVE,
-    /** Two rates that alternate, each for a drawn time. */
+    /** The load alternates between two rates, at random intervals. */
     BURSTS
 }
--- a/emulator/src/main/java/dewplank/emulator/scenario/MachineType.java
+++ b/emulator/src/main/java/dewplank/emulator/scenario/MachineType.java
@@ -1,18 +1,18 @@
 package dewplank.emulator.scenario;
 
 /**
- * A type of machine that servers run on.
+ * A machine type on which servers run.
  *
- * @param weight of the type among all types, by number of servers
- * @param speed work done by a core in a millisecond
- * @param speedSpread coefficient of variation of the speed from server to server
- * @param slotsPerCore requests that share a core
- * @param queuePerCore requests that wait for a slot, for each core
+ * @param weight weight of the type in the distribution of servers over types
+ * @param speed work that a core completes per millisecond
+ * @param speedSpread coefficient of variation of the speed among servers
+ * @param slotsPerCore number of slots, per core
+ * @param queuePerCore queue capacity, per core
  * @param coldSpeedFactor speed of a process that has just started, as a fraction of the warm speed
- * @param warmUpMs until a process that started is warm
- * @param pauseEveryMs mean time between pauses, such as a garbage collector's; 0 for none
+ * @param warmUpMs time from the start of a process until it is warm
+ * @param pauseIntervalMs mean interval between pauses, such as garbage collections; 0 for none
  * @param pauseMs mean duration of a pause
- * @param errorRate fraction of requests that end in an error
+ * @param errorRate fraction of requests that fail
  */
 public record MachineType(
         String name,
@@ -24,7 +24,7 @@
         double queuePerCore,
         double coldSpeedFactor,
         double warmUpMs,
-        double pauseEveryMs,
+        double pauseIntervalMs,
         double pauseMs,
         double errorRate,
         OverloadSlowdown overloadSlowdown) {}
--- a/emulator/src/main/java/dewplank/emulator/scenario/OverloadSlowdown.java
+++ b/emulator/src/main/java/dewplank/emulator/scenario/OverloadSlowdown.java
@@ -1,14 +1,14 @@
 package dewplank.emulator.scenario;
 
 /**
- * How a server slows down under too many requests.
+ * The slowdown of a server under a sustained overload.
  *
- * @param maxRequestsPerCore requests in flight above which it is overloaded; 0 where nothing slows it down
- * @param triggerMs duration of an overload after which it slows down
- * @param factor how many times slower it gets
- * @param recoveryMs duration of fewer requests after which it recovers
- * @param recoveryFactor fraction of {@code maxRequestsPerCore} up to which it recovers
- * @param maxMs longest duration of the slowdown
+ * @param maxRequestsPerCore requests in flight above which it is overloaded; 0 disables the slowdown
+ * @param triggerMs duration of an overload after which the server slows down
+ * @param factor factor by which the server slows down
+ * @param recoveryMs time below the recovery limit after which the server recovers
+ * @param recoveryFactor recovery limit, as a fraction of {@code maxRequestsPerCore}
+ * @param maxMs maximum duration of the slowdown
  */
 public record OverloadSlowdown(
         double maxRequestsPerCore,
--- a/emulator/src/main/java/dewplank/emulator/scenario/PeerMessages.java
+++ b/emulator/src/main/java/dewplank/emulator/scenario/PeerMessages.java
@@ -1,7 +1,7 @@
 package dewplank.emulator.scenario;
 
 /**
- * Datagrams between sidecars.
+ * Properties of the datagrams between sidecars.
  *
  * @param minDelayMs shortest delay
  * @param maxDelayMs longest delay
@@ -9,7 +9,7 @@
  */
 public record PeerMessages(boolean enabled, double minDelayMs, double maxDelayMs, double lossRate) {
 
-    /** The same with another loss rate. */
+    /** Returns a copy with the given loss rate. */
     PeerMessages withLossRate(double newLossRate) {
         return new PeerMessages(enabled, minDelayMs, maxDelayMs, newLossRate);
     }
--- a/emulator/src/main/java/dewplank/emulator/scenario/Rules.java
+++ b/emulator/src/main/java/dewplank/emulator/scenario/Rules.java
@@ -1,20 +1,20 @@
 package dewplank.emulator.scenario;
 
 /**
- * The rules of the deployment, which the auditor checks and the balancer is configured with.
+ * The deployment's rules, which the auditor checks and which configure the balancer.
  *
- * @param answerSlackMs by which a response may miss the client's deadline
- * @param drainMs after which a draining server must get no new requests
- * @param collapseFactor times its present capacity, which a cold server can bear
- * @param collapseWindowMs over which that load is counted
- * @param warmUpMs of slow start
- * @param warmUpInitialFraction of the usual load, at the beginning of slow start
- * @param maxSendDelayMs after which nothing may be sent for the first time
- * @param maxAttempts of a request at servers
- * @param healthChecks whether they are allowed
+ * @param answerSlackMs time by which a response may exceed the client's deadline
+ * @param drainMs time after which a draining server must not receive new requests
+ * @param collapseFactor load that a cold server can handle, as a multiple of its current capacity
+ * @param collapseWindowMs window over which that load is measured
+ * @param warmUpMs duration of slow start
+ * @param warmUpInitialFraction fraction of the normal load at the beginning of slow start
+ * @param maxSubscribeDelayMs maximum time until a sidecar renews an interrupted subscription to the directory
+ * @param maxAttempts maximum number of attempts that a sidecar sends for a request
+ * @param healthChecks whether health checks are allowed
  * @param hedging whether hedged requests are allowed
- * @param retryAdvice whether rejections may carry Retry-After
- * @param maxAdviceMs longest Retry-After
+ * @param allowsRetryAdvice whether rejections may contain Retry-After
+ * @param maxRetryAdviceMs maximum Retry-After
  */
 public record Rules(
         double answerSlackMs,
@@ -23,14 +23,14 @@
         double collapseWindowMs,
         double warmUpMs,
         double warmUpInitialFraction,
-        double maxSendDelayMs,
+        double maxSubscribeDelayMs,
         int maxAttempts,
         boolean healthChecks,
         boolean hedging,
-        boolean retryAdvice,
-        double maxAdviceMs) {
+        boolean allowsRetryAdvice,
+        double maxRetryAdviceMs) {
 
-    /** The same with another slack. */
+    /** Returns a copy with the given response slack. */
     Rules withAnswerSlackMs(double newAnswerSlackMs) {
         return new Rules(
                 newAnswerSlackMs,
@@ -39,11 +39,11 @@
                 collapseWindowMs,
                 warmUpMs,
                 warmUpInitialFraction,
-                maxSendDelayMs,
+                maxSubscribeDelayMs,
                 maxAttempts,
                 healthChecks,
                 hedging,
-                retryAdvice,
-                maxAdviceMs);
+                allowsRetryAdvice,
+                maxRetryAdviceMs);
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/scenario/Scenario.java
+++ b/emulator/src/main/java/dewplank/emulator/scenario/Scenario.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * A deployment, its load, and the faults that happen to it.
+ * A deployment, its load, and the faults that are injected into it.
  *
- * @param lengthMs for which clients send requests
- * @param tickMs after which a sidecar handles what has come in
- * @param sidecars number of sidecars, each with an application beside it
- * @param zones over which servers and sidecars are spread in turn
- * @param classes of requests; at least one
+ * @param lengthMs time for which clients send requests
+ * @param tickMs interval at which a sidecar handles the events that have arrived
+ * @param sidecars number of sidecars; each has its own client application
+ * @param zones zones to which servers and sidecars are assigned in turn
+ * @param classes request classes; at least one
  */
 public record Scenario(
         String name,
@@ -30,14 +30,15 @@
         PeerMessages peerMessages,
         List<Fault> faults) {
 
-    /** Stands for no work at all, where work divides. */
+    /** Lower bound of work used as a divisor, to avoid a division by zero. */
     private static final double MIN_WORK = 1e-9;
 
     /** Mean work of a request over all classes. */
     public double meanWork() {
-        double weights = classes.stream().mapToDouble(RequestClassSpec::weight).sum();
+        double totalWeight =
+                classes.stream().mapToDouble(RequestClassSpec::weight).sum();
         return classes.stream()
-                .mapToDouble(requestClass -> requestClass.weight() / weights * requestClass.work())
+                .mapToDouble(requestClass -> requestClass.weight() / totalWeight * requestClass.work())
                 .sum();
     }
 
@@ -46,45 +47,45 @@
         return classes.stream().mapToDouble(RequestClassSpec::deadlineMs).max().orElse(0);
     }
 
-    /** Zone of the sidecar with that number. */
+    /** Zone of the sidecar with the given number. */
     public String zoneOfSidecar(int sidecar) {
         return zones.get(sidecar % zones.size());
     }
 
-    /** Names of the classes, in their order. */
+    /** Names of the classes, in order. */
     public List<String> classNames() {
         return classes.stream().map(RequestClassSpec::name).toList();
     }
 
-    /** Requests of a tenant that count with their full value, in a second. */
+    /** Requests per second of a tenant that have their full value. */
     public double allowancePerSecond(int tenant) {
-        double shares =
+        double totalShare =
                 tenantsAndKeys.tenants().stream().mapToDouble(TenantLoad::share).sum();
         double requestsPerSecond = 1000 * tenantsAndKeys.quota() * nominalCapacity() / Math.max(MIN_WORK, meanWork());
-        return requestsPerSecond * tenantsAndKeys.tenants().get(tenant).share() / shares;
+        return requestsPerSecond * tenantsAndKeys.tenants().get(tenant).share() / totalShare;
     }
 
-    /** Work per millisecond of all servers, when warm, without the spread of their speeds. */
+    /** Work per millisecond that all servers complete when warm, ignoring the spread of their speeds. */
     private double nominalCapacity() {
-        double weights =
+        double totalWeight =
                 servers.machines().stream().mapToDouble(MachineType::weight).sum();
         return servers.count()
                 * servers.machines().stream()
-                        .mapToDouble(machine -> machine.weight() / weights * machine.cores() * machine.speed())
+                        .mapToDouble(machine -> machine.weight() / totalWeight * machine.cores() * machine.speed())
                         .sum();
     }
 
     /**
-     * The same scenario with one figure changed.
+     * Returns a copy of the scenario with one value changed.
      *
      * @param path one of {@link ScenarioOverrides#paths()}
-     * @throws IllegalArgumentException if there is no such path
+     * @throws IllegalArgumentException if the path is unknown
      */
     public Scenario with(String path, double value) {
         return ScenarioOverrides.apply(this, path, value);
     }
 
-    /** The same scenario on sockets, where a response may come a little later. */
+    /** Returns a copy with the given response slack; on sockets, responses may be slightly later. */
     public Scenario withAnswerSlack(double answerSlackMs) {
         return new ScenarioBuilder(this)
                 .rules(rules.withAnswerSlackMs(answerSlackMs))
--- a/emulator/src/main/java/dewplank/emulator/scenario/ScenarioBuilder.java
+++ b/emulator/src/main/java/dewplank/emulator/scenario/ScenarioBuilder.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.function.UnaryOperator;
 
-/** Builds a scenario that differs from another one in a few parts. */
+/** Builds a modified copy of a scenario. */
 final class ScenarioBuilder {
     private final Scenario base;
     private double lengthMs;
--- a/emulator/src/main/java/dewplank/emulator/scenario/ScenarioFile.java
+++ b/emulator/src/main/java/dewplank/emulator/scenario/ScenarioFile.java
@@ -21,34 +21,34 @@
 
     private ScenarioFile() {}
 
-    /** The scenarios that come with the laboratory. */
+    /** Names of the scenarios that are included in the laboratory. */
     public static List<String> names() {
-        return shipped("index").lines().filter(line -> !line.isBlank()).toList();
+        return readResource("index").lines().filter(line -> !line.isBlank()).toList();
     }
 
-    /** A file of that name, or one of the scenarios that come with the laboratory. */
+    /** Reads the file with the given name, or an included scenario if there is no such file. */
     public static Scenario named(String name) {
         return of(table(name, 0));
     }
 
-    /** With {@code like = NAME} a file says only what differs from another one. */
+    /** Reads a table; a file with {@code like = NAME} inherits the values that it does not set from that scenario. */
     private static Table table(String name, int depth) {
         Path file = Path.of(name);
         Table table = Files.isRegularFile(file)
                 ? TomlFile.read(file)
-                : TomlFile.read(shipped(name + ".toml"), name + ".toml");
+                : TomlFile.read(readResource(name + ".toml"), name + ".toml");
         String base = table.text("like", "");
         if (depth > MAX_INHERITANCE_DEPTH) {
-            throw table.error("like", "leads in a circle");
+            throw table.error("like", "has a circular reference");
         }
         return base.isEmpty() ? table : table.withDefaults(table(base, depth + 1));
     }
 
-    private static String shipped(String name) {
+    private static String readResource(String name) {
         try (InputStream in = ScenarioFile.class.getResourceAsStream("/scenarios/" + name)) {
             if (in == null) {
                 throw new InvalidInputException(
-                        "there is no scenario file " + name + ", and none of that name comes with the laboratory");
+                        "scenario file " + name + " does not exist, and the laboratory includes none of that name");
             }
             return new String(in.readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException e) {
@@ -56,7 +56,7 @@
         }
     }
 
-    /** The scenario that a file's top table describes; the table must not hold unknown keys. */
+    /** Creates the scenario described by a file's top-level table; the table must not contain unknown keys. */
     public static Scenario of(Table table) {
         double lengthMs = 1000 * table.number("length_s", 1, MAX_DURATION_MS / 1000);
         Scenario scenario = new Scenario(
@@ -100,7 +100,7 @@
                 : scenario.classNames();
         fault.target().filter(name -> !names.contains(name)).ifPresent(name -> {
             throw table.error(
-                    "fault", "names the " + (isOfTenant ? "tenant " : "class ") + name + ", which is not there");
+                    "fault", "names the " + (isOfTenant ? "tenant " : "class ") + name + ", which is not defined");
         });
     }
 
@@ -248,7 +248,7 @@
                 tenants, subjects.number("over_share_worth", 0, 1, 1), subjects.number("quota", 0.01, 10, 0.8), keys);
         subjects.rejectUnknownKeys();
         if (tenants.stream().map(TenantLoad::name).distinct().count() < tenants.size()) {
-            throw table.error("tenant", "has one name twice");
+            throw table.error("tenant", "has a duplicate name");
         }
         return tenantsAndKeys;
     }
@@ -306,10 +306,10 @@
                 1000 * table.number("every_s", 0.01, 3600, kind == FaultKind.DEPLOY ? 4 : 3),
                 target(table, kind == FaultKind.TENANT_LOAD ? "tenant" : "class"));
         if (kind == FaultKind.TENANT_LOAD && fault.target().isEmpty()) {
-            throw table.error("tenant", "is missing: this fault is one tenant's");
+            throw table.error("tenant", "is missing: this kind of fault affects one tenant");
         }
         if (kind == FaultKind.CLASS_ERRORS && fault.target().isEmpty()) {
-            throw table.error("class", "is missing: this fault hits one class");
+            throw table.error("class", "is missing: this kind of fault affects one class");
         }
         table.rejectUnknownKeys();
         return fault;
--- a/emulator/src/main/java/dewplank/emulator/scenario/ScenarioOverrides.java
+++ b/emulator/src/main/java/dewplank/emulator/scenario/ScenarioOverrides.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The figures of a scenario that a command or an experiment may change, by their paths in the scenario file. */
+/** The values of a scenario that a command or an experiment can override, by their paths in the scenario file. */
 public final class ScenarioOverrides {
 
     private interface Override {
@@ -44,12 +44,12 @@
 
     private ScenarioOverrides() {}
 
-    /** The paths that there are, such as {@code load.share}. */
+    /** The supported paths, such as {@code load.share}. */
     public static List<String> paths() {
         return List.copyOf(BY_PATH.keySet());
     }
 
-    /** Throws an {@link IllegalArgumentException} that names the known paths, if there is no such path. */
+    /** Applies an override; throws an {@link IllegalArgumentException} listing the known paths for any other path. */
     static Scenario apply(Scenario scenario, String path, double value) {
         Override override = BY_PATH.get(path);
         if (override == null) {
--- a/emulator/src/main/java/dewplank/emulator/scenario/Servers.java
+++ b/emulator/src/main/java/dewplank/emulator/scenario/Servers.java
@@ -5,12 +5,12 @@
 /**
  * The servers of a scenario.
  *
- * @param cellSize servers that share a failure cell
- * @param machines at least one type
+ * @param cellSize number of servers in a failure cell
+ * @param machines machine types; at least one
  */
 public record Servers(int count, int cellSize, List<MachineType> machines) {
 
-    /** The same with another number of servers. */
+    /** Returns a copy with the given number of servers. */
     Servers withCount(int newCount) {
         return new Servers(newCount, cellSize, machines);
     }
--- a/emulator/src/main/java/dewplank/emulator/scenario/TenantsAndKeys.java
+++ b/emulator/src/main/java/dewplank/emulator/scenario/TenantsAndKeys.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * Who requests are from and what they are about.
+ * The tenants that send requests, and the data keys that requests refer to.
  *
- * @param overShareValueFactor value of a request beyond its tenant's quota share, as a fraction of the class's
- * @param quota of all tenants together, as a fraction of what the servers can do when warm
+ * @param overShareValueFactor value of a request beyond its tenant's quota share, as a fraction of the class's value
+ * @param quota total quota of all tenants, as a fraction of the capacity of all servers when warm
  */
 public record TenantsAndKeys(List<TenantLoad> tenants, double overShareValueFactor, double quota, KeyModel keys) {}
--- a/emulator/src/main/java/dewplank/emulator/scenario/TomlFile.java
+++ b/emulator/src/main/java/dewplank/emulator/scenario/TomlFile.java
@@ -18,8 +18,8 @@
 import org.tomlj.TomlTable;
 
 /**
- * Strict reading of a TOML file: every key must be known, of its type and within its range. A fault is reported with
- * file, line and key before anything runs. Read all that a table may hold, then call {@link Table#rejectUnknownKeys}.
+ * A strict reader of TOML files: every key must be known, have the right type and be within its range. Errors name the
+ * file, line and key. After reading all supported keys of a table, call {@link Table#rejectUnknownKeys}.
  */
 public final class TomlFile {
     private final String file;
@@ -37,7 +37,7 @@
         }
     }
 
-    /** Parses a text; {@code file} is its name in messages. */
+    /** Parses a text; error messages call it {@code file}. */
     public static Table read(String text, String file) {
         TomlParseResult result = Toml.parse(text);
         if (result.hasErrors()) {
@@ -48,9 +48,9 @@
         return new TomlFile(file).new Table(result, "");
     }
 
-    /** One table; keys in messages are full, such as {@code servers.machine[1].cores}. */
+    /** A table; error messages contain full keys, such as {@code servers.machine[1].cores}. */
     public final class Table {
-        /** Below this, each integer is a double. */
+        /** Integers up to this magnitude are represented exactly by a double. */
         private static final double MAX_EXACT_INTEGER = 1e15;
 
         private final TomlTable table;
@@ -68,12 +68,12 @@
             this.base = base;
         }
 
-        /** The same table, with keys that it does not have taken from another one. Arrays are not merged. */
+        /** Returns a table that takes missing keys from {@code other}. Arrays are not merged. */
         public Table withDefaults(Table other) {
             return new Table(table, path, other);
         }
 
-        /** Throws if the table has a key that no call has read. */
+        /** Throws an exception if the table has a key that has not been read. */
         public void rejectUnknownKeys() {
             for (String key : table.keySet()) {
                 if (!readKeys.contains(key)) {
@@ -85,14 +85,14 @@
             }
         }
 
-        /** An error that names file, line and key; {@code what} follows the key. */
-        public InvalidInputException error(String key, String what) {
+        /** Creates an error that names the file, line and key, followed by {@code problem}. */
+        public InvalidInputException error(String key, String problem) {
             TomlPosition at = table.inputPositionOf(List.of(key));
             if (at == null && base != null && base.table.contains(List.of(key))) {
-                return base.error(key, what);
+                return base.error(key, problem);
             }
             return new InvalidInputException(
-                    file + (at == null ? "" : ":" + at.line()) + ": key " + path + key + " " + what);
+                    file + (at == null ? "" : ":" + at.line()) + ": key " + path + key + " " + problem);
         }
 
         private Object value(String key) {
@@ -101,12 +101,12 @@
             return own != null || base == null ? own : base.value(key);
         }
 
-        /** The text under the key, or the default where there is none. */
+        /** The text under the key, or the default if the key is missing. */
         public String text(String key, String defaultValue) {
             return value(key) == null ? defaultValue : text(key);
         }
 
-        /** The text under the key, which must be there. */
+        /** The text under the key, which is required. */
         public String text(String key) {
             Object value = value(key);
             if (value instanceof String text) {
@@ -115,7 +115,7 @@
             throw error(key, value == null ? "is missing" : "should be text");
         }
 
-        /** The number under the key, which must be there and from {@code min} to {@code max}. */
+        /** The number under the key, which is required and must be from {@code min} to {@code max}. */
         public double number(String key, double min, double max) {
             Object value = value(key);
             if (!(value instanceof Number found)) {
@@ -128,26 +128,26 @@
             return number;
         }
 
-        /** The number under the key, or the default where there is none. */
+        /** The number under the key, or the default if the key is missing. */
         public double number(String key, double min, double max, double defaultValue) {
             return value(key) == null ? defaultValue : number(key, min, max);
         }
 
-        /** The integer under the key, or the default where there is none. */
+        /** The integer under the key, or the default if the key is missing. */
         public int integer(String key, int min, int max, int defaultValue) {
             return value(key) == null ? defaultValue : integer(key, min, max);
         }
 
-        /** The integer under the key, which must be there and from {@code min} to {@code max}. */
+        /** The integer under the key, which is required and must be from {@code min} to {@code max}. */
         public int integer(String key, int min, int max) {
             double value = number(key, min, max);
             if (value != Math.rint(value)) {
-                throw error(key, "should be a whole number");
+                throw error(key, "should be an integer");
             }
             return (int) value;
         }
 
-        /** The boolean under the key, or the default where there is none. */
+        /** The boolean under the key, or the default if the key is missing. */
         public boolean flag(String key, boolean defaultValue) {
             Object value = value(key);
             if (value == null || value instanceof Boolean) {
@@ -156,12 +156,12 @@
             throw error(key, "should be true or false");
         }
 
-        /** The constant whose name in lower case is under the key, or the default where there is none. */
+        /** The constant whose lower-case name is under the key, or the default if the key is missing. */
         public <E extends Enum<E>> E enumValue(String key, Class<E> type, E defaultValue) {
             return value(key) == null ? defaultValue : enumValue(key, type);
         }
 
-        /** The constant whose name in lower case is under the key, which must be there. */
+        /** The constant whose lower-case name is under the key, which is required. */
         public <E extends Enum<E>> E enumValue(String key, Class<E> type) {
             String name = text(key);
             for (E e : type.getEnumConstants()) {
@@ -177,13 +177,13 @@
                                     .collect(Collectors.joining(", ")));
         }
 
-        /** The texts under the key, or the default where there are none. */
+        /** The texts under the key, or the default if there are none. */
         public List<String> texts(String key, List<String> defaultValue) {
             List<String> texts = texts(array(key, false), key);
             return texts.isEmpty() ? defaultValue : texts;
         }
 
-        /** The texts under the key, which must be there. */
+        /** The texts under the key, which is required. */
         public List<String> texts(String key) {
             return texts(array(key, true), key);
         }
@@ -192,19 +192,19 @@
             List<String> texts = new ArrayList<>();
             for (Object value : values) {
                 if (!(value instanceof String text)) {
-                    throw error(key, "should hold texts");
+                    throw error(key, "should contain only texts");
                 }
                 texts.add(text);
             }
             return texts;
         }
 
-        /** The numbers under the key, which must be there. */
+        /** The numbers under the key, which is required. */
         public List<Double> numbers(String key) {
             List<Double> numbers = new ArrayList<>();
             for (Object value : array(key, true)) {
                 if (!(value instanceof Number number)) {
-                    throw error(key, "should hold numbers");
+                    throw error(key, "should contain only numbers");
                 }
                 numbers.add(number.doubleValue());
             }
@@ -235,12 +235,12 @@
                     base == null ? null : base.table(key));
         }
 
-        /** The tables of the array under the key; empty where there is none. */
+        /** The tables of the array under the key; empty if the key is missing. */
         public List<Table> tables(String key) {
             List<Table> tables = new ArrayList<>();
             for (Object value : array(key, false)) {
                 if (!(value instanceof TomlTable entry)) {
-                    throw error(key, "should hold tables");
+                    throw error(key, "should contain only tables");
                 }
                 tables.add(new Table(entry, path + key + "[" + tables.size() + "]."));
             }
--- a/emulator/src/main/java/dewplank/emulator/virtualtime/Attempt.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/Attempt.java
@@ -2,9 +2,9 @@
 
 import dewplank.emulator.Server;
 
-/** One attempt of a request at a server: waits for a connection, uses one, ends. On the world's thread. */
+/** One attempt of a request at a server, with its connection state. Confined to the scheduler thread. */
 final class Attempt {
-    /** Where the attempt is on its way: {@link Connecting}, then {@link Connected}, then {@link Ended}. */
+    /** State of the attempt: {@link Connecting}, then {@link Connected}, then {@link Ended}. */
     sealed interface State permits Connecting, Connected, Ended {}
 
     /** No connection to the server is established yet. */
@@ -13,11 +13,11 @@
     /** A connection to the given incarnation of the server's process carries the request. */
     record Connected(int serverIncarnation) implements State {}
 
-    /** The balancer has the outcome, or the sidecar was killed. */
+    /** The outcome was reported to the balancer, or the sidecar was killed. */
     record Ended() implements State {}
 
     final PendingRequest request;
-    /** Counts the request's attempts from 0. */
+    /** Index of the attempt among the request's attempts, from 0. */
     final int index;
 
     final Server server;
@@ -39,23 +39,23 @@
         return state instanceof Ended;
     }
 
-    /** Whether the attempt uses a connection to the process that the server runs now. */
+    /** Whether the attempt uses a connection to the server's current process. */
     boolean isConnectedToCurrentProcess() {
         return state instanceof Connected c && c.serverIncarnation() == server.incarnation();
     }
 
     void connect(int serverIncarnation) {
-        moveTo(new Connected(serverIncarnation));
+        transitionTo(new Connected(serverIncarnation));
     }
 
-    /** Ends the attempt; the state that it ended in. */
+    /** Ends the attempt, and returns its previous state. */
     State end() {
         State last = state;
-        moveTo(new Ended());
+        transitionTo(new Ended());
         return last;
     }
 
-    private void moveTo(State next) {
+    private void transitionTo(State next) {
         boolean isAllowed = next instanceof Connected ? isConnecting() : !hasEnded();
         if (!isAllowed) {
             throw new IllegalStateException("attempt " + index + " of request " + request.client.id()
--- a/emulator/src/main/java/dewplank/emulator/virtualtime/AttemptSender.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/AttemptSender.java
@@ -13,13 +13,13 @@
 import java.util.Optional;
 
 /**
- * Sends a sidecar's attempts to servers: connects or reuses a connection, writes the request, waits for the response or
- * the time-out, and reports each attempt's end to the balancer exactly once. On the world's thread.
+ * Sends a sidecar's attempts to servers: opens or reuses a connection, sends the request, waits for the response or the
+ * timeout, and reports each attempt's end to the balancer exactly once. Confined to the scheduler thread.
  */
 final class AttemptSender {
     private static final double NO_LOAD_REPORT = -1;
 
-    /** Gives clients their final answers. */
+    /** Sends final responses to clients. */
     interface Responder {
         void respond(ClientAttempt client, Type type, double value);
     }
@@ -44,12 +44,12 @@
         this.responder = responder;
     }
 
-    /** Attempts sent so far, without those of which nothing left the sidecar. */
+    /** Number of attempts sent so far, excluding those that never left the sidecar. */
     long sentCount() {
         return sentCount;
     }
 
-    /** Connections that were begun so far. */
+    /** Number of connection attempts so far. */
     long handshakeCount() {
         return handshakeCount;
     }
@@ -141,14 +141,14 @@
         }
     }
 
-    /** {@code isStale}: whether the server has ended the connection without the sidecar's notice. */
+    /** {@code isStale}: whether the server has closed the connection without the sidecar detecting it. */
     private void write(Attempt attempt, boolean isStale) {
         Server server = attempt.server;
         double outboundMs = world.delay(sidecar, server);
         double returnMs = world.delay(sidecar, server);
         world.schedule(outboundMs, () -> {
             if (attempt.hasEnded() || isUnreachable(server)) {
-                return; // cancelled before its last byte arrived, or lost on the way
+                return; // cancelled before it arrived completely, or lost in transit
             }
             if (isStale || !attempt.isConnectedToCurrentProcess() || server.state() == Server.State.CRASHED) {
                 world.schedule(returnMs, () -> end(attempt, Outcome.RESET, NO_LOAD_REPORT));
@@ -180,7 +180,7 @@
         };
     }
 
-    /** Ends an attempt; a second end, of a time-out that crossed a response, is ignored. */
+    /** Ends an attempt; ignored if it has already ended, as when a timeout and a response coincide. */
     private void end(Attempt attempt, Outcome outcome, double load) {
         if (attempt.hasEnded()) {
             return;
@@ -203,7 +203,7 @@
                 load < 0 ? null : new double[] {load}));
     }
 
-    /** A connection whose response is complete is used again; any other is closed. */
+    /** Returns the connection to the pool if its response is complete, and closes it otherwise. */
     private void releaseConnection(Attempt attempt, Outcome outcome) {
         boolean hasResponse = outcome == Outcome.SERVED || outcome == Outcome.ERROR || outcome == Outcome.REJECTED;
         boolean isReusable = hasResponse && attempt.isConnectedToCurrentProcess();
@@ -215,7 +215,7 @@
         }
     }
 
-    /** The sidecar's process has ended: the attempt's connection ends with it, and nothing is reported. */
+    /** Ends an attempt of a killed sidecar process: closes its connection and reports nothing. */
     void abort(Attempt attempt) {
         disconnect(attempt.server, attempt.end());
     }
--- a/emulator/src/main/java/dewplank/emulator/virtualtime/ConnectionPool.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/ConnectionPool.java
@@ -9,9 +9,9 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** A sidecar's idle connections, by server; the last one returned is used first. On the world's thread. */
+/** A sidecar's idle connections by server, used in last-in, first-out order. Confined to the scheduler thread. */
 final class ConnectionPool {
-    /** A connection to one incarnation of a server's process that carries no request. */
+    /** An idle connection to one incarnation of a server's process. */
     record IdleConnection(int serverIncarnation, double sinceMs) {}
 
     private final World world;
@@ -21,12 +21,12 @@
         this.world = world;
     }
 
-    /** Takes an idle connection, and drops those whose end the sidecar has noticed. */
+    /** Takes an idle connection, and discards those whose close the sidecar has detected. */
     Optional<IdleConnection> take(Server server) {
         Deque<IdleConnection> connections = idle.getOrDefault(server.number(), new ArrayDeque<>());
         while (!connections.isEmpty()) {
             IdleConnection last = connections.removeLast();
-            if (!endWasNoticed(last, server)) {
+            if (!closeWasDetected(last, server)) {
                 return Optional.of(last);
             }
             server.disconnect(last.serverIncarnation());
@@ -34,21 +34,21 @@
         return Optional.empty();
     }
 
-    private boolean endWasNoticed(IdleConnection connection, Server server) {
+    private boolean closeWasDetected(IdleConnection connection, Server server) {
         ConnectionModel model = world.scenario().connections();
         boolean processEnded = connection.serverIncarnation() != server.incarnation()
-                && !server.vanishedIn(connection.serverIncarnation());
+                && !server.hasVanished(connection.serverIncarnation());
         return processEnded || model.closeIsNoticed() && world.now() - connection.sinceMs() >= model.idleMs();
     }
 
-    /** Whether the server has ended the connection, noticed or not. */
+    /** Whether the server has closed the connection, detected by the sidecar or not. */
     boolean isStale(IdleConnection connection, Server server) {
         return connection.serverIncarnation() != server.incarnation()
                 || world.now() - connection.sinceMs()
                         >= world.scenario().connections().idleMs();
     }
 
-    /** Returns a connection to the process that the server runs now. */
+    /** Returns a connection to the server's current process. */
     void putBack(Server server) {
         idle.computeIfAbsent(server.number(), any -> new ArrayDeque<>())
                 .addLast(new IdleConnection(server.incarnation(), world.now()));
@@ -69,7 +69,7 @@
         idle.clear();
     }
 
-    /** Idle connections, to all servers. */
+    /** Number of idle connections to all servers. */
     int size() {
         return idle.values().stream().mapToInt(Deque::size).sum();
     }
--- a/emulator/src/main/java/dewplank/emulator/virtualtime/DirectorySubscription.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/DirectorySubscription.java
@@ -9,8 +9,8 @@
 import java.util.Optional;
 
 /**
- * A sidecar's view of the directory: the version of its endpoint list, and the watch that brings updates. On the
- * world's thread.
+ * A sidecar's subscription to the directory: the version of its endpoint list, and the watch that delivers updates.
+ * Confined to the scheduler thread.
  */
 final class DirectorySubscription {
     private final World world;
@@ -25,24 +25,24 @@
         this.inbox = context.inbox();
     }
 
-    /** Starts from a list that was stored before the sidecar's process was started. */
+    /** Loads the endpoint list that was cached before the sidecar's process started. */
     void loadCached(long cachedVersion, List<Endpoint> endpoints) {
         version = cachedVersion;
         inbox.add(new EndpointUpdate(UpdateKind.CACHED, endpoints));
     }
 
-    /** Opens a watch from the present version on, in place of an earlier one. */
+    /** Opens a watch for the changes after the current version, and closes the previous watch. */
     void subscribe() {
         close();
         watch = Optional.of(world.directory().watch(sidecar, version, new Updates(inbox.incarnation())));
     }
 
-    /** Closes the watch, if there is one; a second call does nothing. */
+    /** Closes the watch if there is one. Idempotent. */
     void close() {
         watch.ifPresent(EndpointDirectory.Watch::close);
     }
 
-    /** Delivers updates to the incarnation that opened the watch. */
+    /** Delivers updates to the sidecar's incarnation that opened the watch. */
     private final class Updates implements EndpointDirectory.Watcher {
         private final int incarnation;
 
--- a/emulator/src/main/java/dewplank/emulator/virtualtime/EmulatedSidecar.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/EmulatedSidecar.java
@@ -25,9 +25,9 @@
 import java.util.List;
 
 /**
- * One sidecar in virtual time: a balancer and the host around it. Events wait in the inbox until the sidecar's next
- * tick; the balancer's actions take effect at that tick. {@link VirtualRun} calls all methods on the world's thread,
- * but for {@link #decide}, which runs beside those of other sidecars and uses nothing but this sidecar's state.
+ * A sidecar in virtual time: a balancer and its host. Events are queued in the inbox until the sidecar's next tick; the
+ * balancer's actions take effect at that tick. {@link VirtualRun} calls all methods on the scheduler thread, except
+ * {@link #decide}, which may run in parallel with that of other sidecars and uses only this sidecar's state.
  */
 public class EmulatedSidecar {
     private enum State {
@@ -40,7 +40,7 @@
     private final World world;
     private final VirtualRun run;
     private final Scenario scenario;
-    private final EventInbox inbox = new EventInbox(this::wake);
+    private final EventInbox inbox = new EventInbox(this::scheduleTick);
     private final RequestTable requests = new RequestTable();
     private final ConnectionPool connections;
     private final AttemptSender attempts;
@@ -50,7 +50,7 @@
     private Balancer balancer;
     private State state = State.NOT_STARTED;
 
-    /** {@code number}: counts the run's sidecars from 0. */
+    /** {@code number}: index of the sidecar in the run, from 0. */
     protected EmulatedSidecar(VirtualRun run, int number) {
         this.run = run;
         this.world = run.world();
@@ -63,37 +63,37 @@
         this.healthChecker = new HealthChecker(context);
     }
 
-    private void wake() {
-        run.wake(this);
+    private void scheduleTick() {
+        run.scheduleTick(this);
     }
 
     // ---- the process ----------------------------------------------------------------------------------
 
-    /** Starts the process with a new balancer that has nothing but a stored endpoint list. */
+    /** Starts the process with a new balancer whose only state is a cached endpoint list. */
     void start(List<Endpoint> endpoints, long listVersion) {
-        moveTo(State.RUNNING);
+        transitionTo(State.RUNNING);
         balancer = run.newBalancer(number, inbox.incarnation());
         world.record(Type.SIDECAR_UP, null, number, -1, 0);
         directory.loadCached(listVersion, endpoints);
     }
 
-    /** Kills the process and starts it again later, with the endpoint list of now; ignored while none runs. */
+    /** Kills the process and restarts it later with the current endpoint list; ignored if no process is running. */
     void kill(double restartAfterMs) {
         if (state != State.RUNNING) {
             return;
         }
-        moveTo(State.KILLED);
+        transitionTo(State.KILLED);
         inbox.beginNextIncarnation();
         world.record(Type.SIDECAR_KILLED, null, number, -1, 0);
         directory.close();
-        requests.removeAll().forEach(this::lose);
+        requests.removeAll().forEach(this::failAfterKill);
         connections.closeAll();
         List<Endpoint> endpoints = world.directory().endpoints();
         long listVersion = world.directory().version();
         world.schedule(restartAfterMs, () -> start(endpoints, listVersion));
     }
 
-    private void moveTo(State next) {
+    private void transitionTo(State next) {
         boolean isAllowed = next == State.KILLED ? state == State.RUNNING : state != State.RUNNING;
         if (!isAllowed) {
             throw new IllegalStateException("sidecar " + number + " can't change from " + state + " to " + next);
@@ -101,14 +101,14 @@
         state = next;
     }
 
-    private void lose(PendingRequest request) {
+    private void failAfterKill(PendingRequest request) {
         request.inFlight().forEach(attempts::abort);
         if (request.isOpen()) {
-            world.schedule(world.clientDelay(), () -> run.clients().answered(request.client, Type.UNREACHABLE, 0));
+            world.schedule(world.clientDelayMs(), () -> run.clients().answered(request.client, Type.UNREACHABLE, 0));
         }
     }
 
-    // ---- figures --------------------------------------------------------------------------------------
+    // ---- statistics -----------------------------------------------------------------------------------
 
     long attemptsSent() {
         return attempts.sentCount();
@@ -128,10 +128,10 @@
 
     // ---- clients --------------------------------------------------------------------------------------
 
-    /** A client has sent a request. It fails if the process ends before the request arrives. */
+    /** Handles a request that a client sent. The request fails if the process ends before it arrives. */
     void receive(ClientAttempt client) {
         int incarnation = inbox.incarnation();
-        world.schedule(world.clientDelay(), () -> {
+        world.schedule(world.clientDelayMs(), () -> {
             if (state != State.RUNNING || inbox.incarnation() != incarnation) {
                 run.clients().answered(client, Type.UNREACHABLE, 0);
                 return;
@@ -157,22 +157,23 @@
                 null);
     }
 
-    /** A client has closed its connection. */
+    /** Handles the close of a client's connection. */
     void abandon(ClientAttempt client) {
-        world.schedule(world.clientDelay(), () -> requests.findOpen(client.id()).ifPresent(request -> {
-            requests.finish(request);
-            inbox.add(new RequestAbandoned(client.id()));
-        }));
+        world.schedule(
+                world.clientDelayMs(), () -> requests.findOpen(client.id()).ifPresent(request -> {
+                    requests.finish(request);
+                    inbox.add(new RequestAbandoned(client.id()));
+                }));
     }
 
     /**
-     * Gives a client its final answer. Overridden by sidecars that tests break on purpose.
+     * Sends the final response to a client. Overridden by deliberately faulty sidecars in tests.
      *
      * @param type how the request ended
      * @param value as {@link Type} defines it
      */
     protected void respond(ClientAttempt client, Type type, double value) {
-        world.schedule(world.clientDelay(), () -> run.clients().answered(client, type, value));
+        world.schedule(world.clientDelayMs(), () -> run.clients().answered(client, type, value));
     }
 
     private void finish(long id, Type type, double value) {
@@ -184,27 +185,27 @@
 
     // ---- the balancer ---------------------------------------------------------------------------------
 
-    /** Lets the balancer handle all events since the last tick. */
+    /** Passes all events since the last tick to the balancer. */
     void decide(double nowMs) {
         for (Event event : inbox.drain()) {
             balancer.handle(nowMs, event, actions::add);
         }
     }
 
-    /** Carries out the actions that {@link #decide} collected. */
-    void act() {
+    /** Executes the actions that {@link #decide} collected. */
+    void executeActions() {
         List<Action> decided = List.copyOf(actions);
         actions.clear();
-        decided.forEach(this::perform);
+        decided.forEach(this::execute);
     }
 
-    private void perform(Action action) {
+    private void execute(Action action) {
         if (action instanceof Send send) {
             attempts.send(send);
         } else if (action instanceof Cancel cancel) {
             attempts.cancel(cancel);
         } else if (action instanceof Reject reject) {
-            finish(reject.request(), Type.REFUSED, scenario.rules().retryAdvice() ? reject.retryAfterMs() : 0);
+            finish(reject.request(), Type.REFUSED, scenario.rules().allowsRetryAdvice() ? reject.retryAfterMs() : 0);
         } else if (action instanceof Fail fail) {
             finish(fail.request(), Type.FAILED, 0);
         } else if (action instanceof SetTimer timer) {
@@ -224,13 +225,14 @@
     // ---- peers ----------------------------------------------------------------------------------------
 
     /**
-     * The bytes that go to the peers for the balancer's summary. Overridden by sidecars that tests break on purpose.
+     * Returns the bytes that are sent to peers for the balancer's summary. Overridden by deliberately faulty sidecars
+     * in tests.
      */
     protected byte[] peerSummary(byte[] summary) {
         return summary;
     }
 
-    /** A summary from a peer has arrived; lost while no process runs. */
+    /** Handles a peer's summary; it is lost if no process is running. */
     void receiveSummary(int peer, byte[] summary) {
         if (state == State.RUNNING) {
             inbox.add(new PeerSummaryReceived(peer, summary));
--- a/emulator/src/main/java/dewplank/emulator/virtualtime/EventInbox.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/EventInbox.java
@@ -5,53 +5,53 @@
 import java.util.List;
 
 /**
- * The events that wait for a sidecar's next tick. Each belongs to one incarnation of the sidecar: what reaches a later
- * one is dropped, as a killed process takes its timers and connections with it. On the world's thread, but for
- * {@link #drain}, which the thread calls that lets the sidecar decide.
+ * The events queued for a sidecar's next tick. Each event belongs to one incarnation of the sidecar and is dropped if
+ * that incarnation has ended, because the timers and connections of a killed process end with it. Confined to the
+ * scheduler thread, except {@link #drain}, which the thread that runs the sidecar's balancer calls.
  */
 final class EventInbox {
-    private final Runnable wake;
+    private final Runnable onFirstEvent;
     private List<Event> events = new ArrayList<>();
-    private boolean isScheduled;
+    private boolean isTickScheduled;
     private int incarnation;
 
-    /** {@code wake} is called when the first event since the last tick arrives. */
-    EventInbox(Runnable wake) {
-        this.wake = wake;
+    /** {@code onFirstEvent} is called when the first event since the last tick arrives. */
+    EventInbox(Runnable onFirstEvent) {
+        this.onFirstEvent = onFirstEvent;
     }
 
-    /** The number of the sidecar's incarnation, from 0. */
+    /** Number of the sidecar's current incarnation, from 0. */
     int incarnation() {
         return incarnation;
     }
 
-    /** Ends the incarnation and drops its events. */
+    /** Ends the current incarnation and drops its events. */
     void beginNextIncarnation() {
         incarnation++;
         events.clear();
     }
 
-    /** Adds an event of the present incarnation. */
+    /** Adds an event of the current incarnation. */
     void add(Event event) {
         events.add(event);
-        if (!isScheduled) {
-            isScheduled = true;
-            wake.run();
+        if (!isTickScheduled) {
+            isTickScheduled = true;
+            onFirstEvent.run();
         }
     }
 
-    /** Adds an event that was caused in {@code eventIncarnation}; drops it where that one has ended. */
+    /** Adds an event of {@code eventIncarnation}, or drops it if that incarnation has ended. */
     void add(int eventIncarnation, Event event) {
         if (eventIncarnation == incarnation) {
             add(event);
         }
     }
 
-    /** Takes all events in their order of arrival. */
+    /** Removes and returns all events in order of arrival. */
     List<Event> drain() {
         List<Event> drained = events;
         events = new ArrayList<>();
-        isScheduled = false;
+        isTickScheduled = false;
         return drained;
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/virtualtime/HealthChecker.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/HealthChecker.java
@@ -4,7 +4,7 @@
 import dewplank.emulator.Server;
 import dewplank.emulator.World;
 
-/** Sends a sidecar's health checks, each on a connection that is not modelled. On the world's thread. */
+/** Sends a sidecar's health checks; their connections are not modelled. Confined to the scheduler thread. */
 final class HealthChecker {
     private static final double TIMEOUT_MS = 250;
 
@@ -19,7 +19,7 @@
         this.inbox = context.inbox();
     }
 
-    /** Health checks sent so far. */
+    /** Number of health checks sent so far. */
     long sentCount() {
         return sentCount;
     }
--- a/emulator/src/main/java/dewplank/emulator/virtualtime/PendingRequest.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/PendingRequest.java
@@ -8,14 +8,14 @@
 import java.util.Optional;
 
 /**
- * A client's request at a sidecar, from its arrival until the client has its answer and no attempt is in flight. On the
- * world's thread.
+ * A client's request at a sidecar, from its arrival until the client has its response and no attempt is in flight.
+ * Confined to the scheduler thread.
  */
 final class PendingRequest {
     private enum State {
-        /** The client waits for its answer. */
+        /** The client is waiting for the response. */
         OPEN,
-        /** The client has its answer or has left; attempts may still be in flight. */
+        /** The response was sent or the client has disconnected; attempts may still be in flight. */
         FINISHED
     }
 
@@ -33,15 +33,15 @@
         return state == State.OPEN;
     }
 
-    /** The client gets its answer, or has left. */
+    /** Marks the request as finished: the response is sent, or the client has disconnected. */
     void finish() {
         if (state != State.OPEN) {
-            throw new IllegalStateException("request " + client.id() + " is finished twice");
+            throw new IllegalStateException("request " + client.id() + " is already finished");
         }
         state = State.FINISHED;
     }
 
-    /** Attempts so far, those that were never sent included. */
+    /** Number of attempts so far, including those that were never sent. */
     int attemptCount() {
         return attemptCount;
     }
@@ -50,7 +50,7 @@
         return inFlightCount;
     }
 
-    /** Whether nothing more can happen to the request. */
+    /** Whether the request is finished and has no attempts in flight. */
     boolean isDone() {
         return state == State.FINISHED && inFlightCount == 0;
     }
@@ -62,7 +62,7 @@
         return attempt;
     }
 
-    /** Counts an attempt of which nothing was sent. */
+    /** Counts an attempt that was not sent. */
     void skipAttempt() {
         attemptCount++;
     }
@@ -71,12 +71,12 @@
         inFlightCount--;
     }
 
-    /** The attempt of that index; empty for one that was never sent. */
+    /** The attempt with the given index; empty if it was never sent. */
     Optional<Attempt> attempt(int index) {
         return Optional.ofNullable(attempts.get(index));
     }
 
-    /** The attempts that have not ended, in their order. */
+    /** The attempts that have not ended, in order. */
     List<Attempt> inFlight() {
         return attempts.values().stream().filter(attempt -> !attempt.hasEnded()).toList();
     }
--- a/emulator/src/main/java/dewplank/emulator/virtualtime/RequestTable.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/RequestTable.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The requests of one incarnation of a sidecar, by id. On the world's thread. */
+/** The requests of one incarnation of a sidecar, by id. Confined to the scheduler thread. */
 final class RequestTable {
     private final Map<Long, PendingRequest> requests = new HashMap<>();
 
@@ -16,30 +16,30 @@
         requests.put(client.id(), new PendingRequest(client));
     }
 
-    /** Empty once the request is done. */
+    /** The request with the given id; empty once it is done. */
     Optional<PendingRequest> find(long id) {
         return Optional.ofNullable(requests.get(id));
     }
 
-    /** The request if its client still waits for an answer. */
+    /** The request with the given id if its client is still waiting for the response. */
     Optional<PendingRequest> findOpen(long id) {
         return find(id).filter(PendingRequest::isOpen);
     }
 
-    /** Ends the client's wait, and drops the request unless attempts are in flight. */
+    /** Marks a request as finished, and removes it unless attempts are in flight. */
     void finish(PendingRequest request) {
         request.finish();
         removeIfDone(request);
     }
 
-    /** Drops a request to which nothing more can happen. */
+    /** Removes the request if it is finished and has no attempts in flight. */
     void removeIfDone(PendingRequest request) {
         if (request.isDone()) {
             requests.remove(request.client.id());
         }
     }
 
-    /** Empties the table; what it held, by id. */
+    /** Removes all requests, and returns them ordered by id. */
     List<PendingRequest> removeAll() {
         List<PendingRequest> removed = new ArrayList<>(requests.values());
         removed.sort(Comparator.comparingLong(request -> request.client.id()));
@@ -47,7 +47,7 @@
         return removed;
     }
 
-    /** Attempts in flight, of all requests. */
+    /** Number of attempts in flight over all requests. */
     int attemptsInFlight() {
         return requests.values().stream()
                 .mapToInt(PendingRequest::inFlightCount)
--- a/emulator/src/main/java/dewplank/emulator/virtualtime/SidecarContext.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/SidecarContext.java
@@ -3,10 +3,10 @@
 import dewplank.emulator.World;
 
 /**
- * What the parts of one emulated sidecar have in common.
+ * The objects that the components of one emulated sidecar share.
  *
- * @param world that the sidecar is in
- * @param number counts the run's sidecars from 0
- * @param inbox takes the events for the sidecar's balancer
+ * @param world environment of the sidecar
+ * @param number index of the sidecar in the run, from 0
+ * @param inbox queue of events for the sidecar's balancer
  */
 record SidecarContext(World world, int number, EventInbox inbox) {}
--- a/emulator/src/main/java/dewplank/emulator/virtualtime/VirtualRun.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/VirtualRun.java
@@ -18,42 +18,43 @@
 import java.util.stream.IntStream;
 
 /**
- * One run in virtual time. One thread moves the world. In each tick the balancers of the sidecars that have events
- * decide, in parallel where the run was created so, each on its own state; their actions then take effect in the
- * sidecars' order. The result depends on scenario, seed and policy alone, not on the number of cores.
+ * A simulation run in virtual time. One thread runs the scheduler. In each tick, the sidecars that have events pass
+ * them to their balancers, sequentially or in parallel; each balancer uses only its own state. The resulting actions
+ * take effect in the order of the sidecars. The result depends on scenario, seed and policy only, not on the number
+ * of cores.
  */
 public final class VirtualRun implements Clients.SidecarConnector {
     private static final int MIN_PARALLEL_SIDECARS = 8;
 
     /**
-     * Creates the balancer under test. {@code world} is for a policy that knows the true state; no other may use it.
+     * Creates the balancer under test. Only a policy that may use the actual state of servers may use {@code world}.
      */
     public interface Policy {
         Balancer create(Settings settings, long seed, World world, int sidecar);
     }
 
-    /** How the sidecars of one tick decide; the result is the same. */
+    /** How the balancers are run within a tick; it doesn't affect the result. */
     public enum Execution {
-        /** One after the other, for callers that play many runs at once. */
+        /** Sequentially, for callers that execute many runs concurrently. */
         SEQUENTIAL,
-        /** On all cores, where enough sidecars decide in the tick. */
+        /** On all cores, if enough sidecars have events in the tick. */
         PARALLEL
     }
 
-    /** Creates a sidecar; tests create ones that are broken on purpose. */
+    /** Creates a sidecar; tests create deliberately faulty ones. */
     public interface SidecarFactory {
         EmulatedSidecar create(VirtualRun run, int number);
     }
 
     /**
-     * What a run cost, beside its recorded events and the outcomes of its requests.
+     * Counts of a run's operations, in addition to its recorded events and request outcomes.
      *
-     * @param events tasks that virtual time ran
+     * @param events tasks that were run in virtual time
      * @param sends attempts sent to servers
-     * @param handshakes connections begun to servers
+     * @param handshakes connection attempts to servers
      * @param directoryCalls calls to the directory
      * @param directoryLines lines that the directory sent
-     * @param connectionsAtEnd connections that sidecars still had open
+     * @param connectionsAtEnd connections of sidecars that were open at the end of the run
      */
     public record Cost(
             long events,
@@ -75,7 +76,7 @@
     private List<EmulatedSidecar> scheduled = new ArrayList<>();
     private boolean isTickScheduled;
 
-    /** A run with plain sidecars; short for the {@link #builder}. */
+    /** Creates a run with standard sidecars; a shorthand for {@link #builder}. */
     public VirtualRun(
             Scenario scenario,
             long seed,
@@ -102,17 +103,17 @@
     }
 
     /**
-     * Begins the description of a run.
+     * Returns a builder for a run.
      *
-     * @param seed of all random numbers; the same scenario, seed and policy give the same run
+     * @param seed seed of all random numbers; the same scenario, seed and policy produce the same run
      */
     public static Builder builder(Scenario scenario, long seed, Policy policy) {
         return new Builder(scenario, seed, policy);
     }
 
     /**
-     * Describes a run: by default nothing is recorded, the sidecars decide one after the other, and they are plain
-     * ones. Used by one thread.
+     * Builds a run; by default, nothing is recorded, execution is sequential, and the sidecars are standard ones. Not
+     * thread-safe.
      */
     public static final class Builder {
         private final Scenario scenario;
@@ -130,42 +131,43 @@
             this.policy = policy;
         }
 
-        /** {@code next} gets each event at its time, on the thread that runs the world. */
+        /** Sets the recorder, which receives each event when it occurs, on the scheduler thread. */
         public Builder recorder(RecordedEvent.Recorder next) {
             recorder = next;
             return this;
         }
 
-        /** {@code next} gets the end of each request, on the thread that runs the world. */
+        /** Sets the listener, which receives the outcome of each request, on the scheduler thread. */
         public Builder outcomeListener(Clients.OutcomeListener next) {
             outcomeListener = next;
             return this;
         }
 
-        /** How the sidecars of one tick decide. */
+        /** Sets how the balancers are run within a tick. */
         public Builder execution(Execution next) {
             execution = next;
             return this;
         }
 
-        /** {@code next} creates the sidecars, in the order of their numbers. */
+        /** Sets the factory that creates the sidecars, in order of their numbers. */
         public Builder sidecars(SidecarFactory next) {
             sidecarFactory = next;
             return this;
         }
 
-        /** Creates the world, its clients and its sidecars; nothing runs yet. */
+        /** Creates the run with its environment, clients and sidecars, without starting it. */
         public VirtualRun build() {
             return new VirtualRun(this);
         }
     }
 
-    /** Plays the scenario, and on until each client's request has ended; called once. */
+    /** Runs the scenario, then continues until all client requests have completed; must be called only once. */
     public Cost run() {
         List<Endpoint> endpoints = world.directory().endpoints();
         long version = world.directory().version();
         sidecars.forEach(sidecar -> sidecar.start(endpoints, version));
-        FaultInjector.schedule(world, (n, back) -> sidecars.get(n).kill(back));
+        FaultInjector.schedule(
+                world, (number, restartAfterMs) -> sidecars.get(number).kill(restartAfterMs));
         clients.start();
         double end = scenario.lengthMs();
         time.runUntil(end);
@@ -189,7 +191,7 @@
         return sidecars.stream().mapToLong(figure).sum();
     }
 
-    /** The world of this run. */
+    /** The environment of this run. */
     public World world() {
         return world;
     }
@@ -217,7 +219,7 @@
         sidecars.get(request.sidecar()).abandon(request);
     }
 
-    /** Sends a summary to every other sidecar, delayed or lost. */
+    /** Sends a summary to every other sidecar; each datagram is delayed or lost. */
     void broadcast(int from, byte[] summary) {
         for (EmulatedSidecar to : sidecars) {
             double delay = to.number == from ? -1 : world.messageDelay();
@@ -227,8 +229,8 @@
         }
     }
 
-    /** Lets a sidecar decide at the next tick. */
-    void wake(EmulatedSidecar sidecar) {
+    /** Schedules a sidecar for the next tick. */
+    void scheduleTick(EmulatedSidecar sidecar) {
         scheduled.add(sidecar);
         if (!isTickScheduled) {
             isTickScheduled = true;
@@ -239,16 +241,16 @@
 
     private void tick() {
         isTickScheduled = false;
-        List<EmulatedSidecar> now = scheduled;
+        List<EmulatedSidecar> due = scheduled;
         scheduled = new ArrayList<>();
-        now.sort(Comparator.comparingInt(sidecar -> sidecar.number));
-        double at = time.now();
-        if (execution == Execution.PARALLEL && now.size() >= MIN_PARALLEL_SIDECARS) {
-            IntStream.range(0, now.size()).parallel().forEach(index -> now.get(index)
-                    .decide(at));
+        due.sort(Comparator.comparingInt(sidecar -> sidecar.number));
+        double nowMs = time.now();
+        if (execution == Execution.PARALLEL && due.size() >= MIN_PARALLEL_SIDECARS) {
+            IntStream.range(0, due.size()).parallel().forEach(index -> due.get(index)
+                    .decide(nowMs));
         } else {
-            now.forEach(sidecar -> sidecar.decide(at));
+            due.forEach(sidecar -> sidecar.decide(nowMs));
         }
-        now.forEach(EmulatedSidecar::act);
+        due.forEach(EmulatedSidecar::executeActions);
     }
 }
--- a/emulator/src/test/java/dewplank/emulator/EmulatorGoldenTest.java
+++ b/emulator/src/test/java/dewplank/emulator/EmulatorGoldenTest.java
@@ -24,17 +24,17 @@
 import org.junit.Test;
 
 /**
- * Pins what the emulator records, event by event: the same scenario and seed give the same digest as before. A change
- * of shape or names must leave the digests as they are. A change of the model's behaviour, of the order in which random
- * numbers are drawn among them, changes them and says so in its commit; the recorded events are then in {@code
- * target/golden} to be compared with those of the commit before.
+ * Checks that the emulator records exactly the same events for the same scenario and seed, by comparing digests. A
+ * refactoring or renaming must not change the digests. A change of the model's behaviour, including the order in which
+ * random numbers are drawn, changes them, and its commit must state this; the recorded events are written to {@code
+ * target/golden}, for comparison with those of the previous commit.
  */
 public class EmulatorGoldenTest {
 
-    /** Times and values are rounded to a millionth, beyond what another machine's logarithm and sine may differ by. */
+    /** Times and values are rounded to 1e-6, a coarser step than platform differences of logarithm and sine. */
     private static final String LINE = "%.6f %s %d %d %d %d %.6f";
 
-    private static List<String> play(String name, long seed) throws IOException {
+    private static List<String> recordRun(String name, long seed) throws IOException {
         List<String> lines = new ArrayList<>();
         VirtualRun run = new VirtualRun(
                 scenario(name),
@@ -81,7 +81,7 @@
     }
 
     private static void assertDigest(String expected, String name, long seed) throws IOException {
-        List<String> lines = play(name, seed);
+        List<String> lines = recordRun(name, seed);
         Path file = Path.of("target", "golden", name + "-" + seed + ".txt");
         Files.createDirectories(file.getParent());
         Files.write(file, lines);
@@ -89,29 +89,29 @@
     }
 
     @Test
-    public void everyKindOfFaultRecordsTheSameEvents() throws IOException {
+    public void eventsOfEveryFaultKindAreUnchanged() throws IOException {
         assertDigest("ea8cb7eeaac536d691ec6cda1ad7863806c24bf7978e46c6008f7428c76b4795", "faults", 1);
         assertDigest("93faa3b0c103b093cbf3ee2315efd2f612b98bd613c51b6f3685d99cc032af91", "faults", 2);
     }
 
     @Test
-    public void anOverloadedFleetRecordsTheSameEvents() throws IOException {
+    public void eventsOfAnOverloadedFleetAreUnchanged() throws IOException {
         assertDigest("9cc46b611a5e1f414eb7ddbf30b2fe6eabd6105f56d82ad8462817bcf2dc5edb", "crowded", 1);
         assertDigest("e85c9ee5a6850c61b2ed576b8526e16f59bc26b560240c7d84e5e8aa2dd67cd5", "crowded", 2);
     }
 
     @Test
-    public void collapsingColdServersRecordTheSameEvents() throws IOException {
+    public void eventsOfCollapsingColdServersAreUnchanged() throws IOException {
         assertDigest("dd96da99181fb299004b6959a7559a27134d45558417097218ea6acf8dedfc20", "cold", 1);
         assertDigest("ef8e7470353b62a28b40e92b447f23acfd78d41a961d567f62aa6bbf480962d2", "cold", 2);
     }
 
-    /** The digests are worth something only if the scenarios reach what the emulator can record. */
+    /** The digests cover the emulator only if the scenarios produce every type of event. */
     @Test
-    public void theScenariosReachEveryTypeOfEvent() throws IOException {
+    public void theScenariosProduceEveryEventType() throws IOException {
         Set<Type> missing = EnumSet.allOf(Type.class);
         for (String name : List.of("faults", "crowded", "cold")) {
-            for (String line : play(name, 1)) {
+            for (String line : recordRun(name, 1)) {
                 missing.removeIf(type -> line.contains(" " + type + " "));
             }
         }
--- a/emulator/src/test/java/dewplank/emulator/EndpointDirectoryTest.java
+++ b/emulator/src/test/java/dewplank/emulator/EndpointDirectoryTest.java
@@ -10,16 +10,16 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What sidecars that watch the directory are sent, and when. */
+/** Tests which updates the directory sends to its watches, and when. */
 class EndpointDirectoryTest {
-    private static final int MORE_CHANGES_THAN_THE_HISTORY_HAS = 5_000;
+    private static final int CHANGES_BEYOND_HISTORY_SIZE = 5_000;
     private static final String FREQUENT_UPDATES = "period_ms = 100, calls_per_s = 1000";
 
     private final VirtualTime time = new VirtualTime();
     private final List<RecordedEvent> events = new ArrayList<>();
     private final List<String> updates = new ArrayList<>();
 
-    /** A world of four servers and two sidecars. */
+    /** An environment with four servers and two sidecars. */
     private World world(String directoryKeys) {
         return new WorldBuilder(time, events::add)
                 .directory(directoryKeys)
@@ -42,18 +42,18 @@
     }
 
     @Test
-    void aLossIsNoticedAfterADelayAndAnEarlierRestartIsNoLoss() {
+    void aLostServerIsRemovedAfterADelayUnlessItRestartsEarlier() {
         World world = world("notice_s = 2, add_s = 0.5, " + FREQUENT_UPDATES);
         watch(world, world.directory().version());
         Server restarted = world.servers().get(0);
         Server lost = world.servers().get(1);
         restarted.crash();
-        world.noticeCrash(restarted);
+        world.scheduleCrashDetection(restarted);
         world.restart(restarted, 100);
         lost.crash();
-        world.noticeCrash(lost);
+        world.scheduleCrashDetection(lost);
         time.runUntil(900);
-        assertEquals(List.of("changes 0", "changes 1"), updates); // the new start of the restarted one
+        assertEquals(List.of("changes 0", "changes 1"), updates); // the restarted server's new start time
         time.runUntil(4_000);
         assertEquals(List.of("changes 0", "changes 1", "changes 1"), updates);
         assertEquals(1, removalsOf(lost));
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void callsAreQueuedAndFailAtTheirTimeout() {
+    void queuedCallsFailAtTheirTimeout() {
         World world = world("calls_per_s = 2, timeout_ms = 1000");
         for (int call = 0; call < 5; call++) {
             watch(world, 1);
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void watchesGetNoUpdatesWhileItIsStalledAndEndWhenItGoesDown() {
+    void watchesReceiveNoUpdatesWhileTheDirectoryIsStalledAndCloseWhenItIsDown() {
         World world = world(FREQUENT_UPDATES);
         watch(world, 1);
         time.runUntil(100);
@@ -91,10 +91,10 @@
     }
 
     @Test
-    void aWatchFromBeforeTheHistoryGetsAFullUpdate() {
+    void aWatchWhoseVersionPrecedesTheHistoryReceivesAFullUpdate() {
         World world = world(FREQUENT_UPDATES);
         Server server = world.servers().get(0);
-        for (int change = 0; change < MORE_CHANGES_THAN_THE_HISTORY_HAS; change++) {
+        for (int change = 0; change < CHANGES_BEYOND_HISTORY_SIZE; change++) {
             world.directory().set(server, change % 2 == 0 ? Availability.DRAINING : Availability.UP);
         }
         watch(world, 1);
--- a/emulator/src/test/java/dewplank/emulator/RandomBalancer.java
+++ b/emulator/src/test/java/dewplank/emulator/RandomBalancer.java
@@ -29,13 +29,13 @@
 import java.util.function.Consumer;
 
 /**
- * Sends each request to a random server and, after a rejection, once more. Uses every action that a host offers. It
- * stands in for the real policy where a test pins the emulator, so that a change of the policy changes no such test.
+ * A balancer that sends each request to a random server and retries once after a rejection. It uses every action of the
+ * host. Golden tests of the emulator use it instead of the real policy, so that policy changes don't affect them.
  */
 final class RandomBalancer implements Balancer {
     private static final long RESUBSCRIBE = 1;
-    private static final long ROUTINE = 2;
-    private static final double ROUTINE_MS = 300;
+    private static final long PERIODIC = 2;
+    private static final double PERIOD_MS = 300;
     private static final double ATTEMPT_TIMEOUT_MS = 250;
     private static final double RETRY_AFTER_MS = 40;
 
@@ -63,19 +63,19 @@
                                 : new Action.Fail(ended.request()));
             }
         } else if (event instanceof TimerFired fired) {
-            timer(fired.timer(), actions);
+            handleTimer(fired.timer(), actions);
         } else if (event instanceof HealthChecked checked && !checked.isServing()) {
             actions.accept(new CloseIdleConnections(checked.server()));
         } else if (event instanceof PeerSummaryReceived summary && random.nextInt(4) == 0) {
-            pick().ifPresent(server -> actions.accept(new CheckHealth(server)));
-            random.split(); // a summary moves the generator, so that a lost one shows in all that follows
+            pickServer().ifPresent(server -> actions.accept(new CheckHealth(server)));
+            random.split(); // advances the generator, so that a lost summary changes all subsequent decisions
             random.nextInt(1 + summary.peer());
         }
     }
 
     private void update(EndpointUpdate update, Consumer<Action> actions) {
         if (update.kind() == UpdateKind.BROKEN) {
-            actions.accept(new SetTimer(RESUBSCRIBE, ROUTINE_MS));
+            actions.accept(new SetTimer(RESUBSCRIBE, PERIOD_MS));
             return;
         }
         if (update.kind() != UpdateKind.INCREMENTAL) {
@@ -85,28 +85,29 @@
         if (!isStarted) {
             isStarted = true;
             actions.accept(new Subscribe());
-            actions.accept(new SetTimer(ROUTINE, ROUTINE_MS));
+            actions.accept(new SetTimer(PERIODIC, PERIOD_MS));
         }
     }
 
-    private void timer(long timer, Consumer<Action> actions) {
+    private void handleTimer(long timer, Consumer<Action> actions) {
         if (timer == RESUBSCRIBE) {
             actions.accept(new Subscribe());
             return;
         }
-        pick().ifPresent(server -> actions.accept(new CheckHealth(server)));
+        pickServer().ifPresent(server -> actions.accept(new CheckHealth(server)));
         actions.accept(new BroadcastSummary(new byte[] {1, 2, 3}));
-        actions.accept(new SetTimer(ROUTINE, ROUTINE_MS));
+        actions.accept(new SetTimer(PERIODIC, PERIOD_MS));
     }
 
     private void send(long request, Consumer<Action> actions) {
-        pick().ifPresentOrElse(
+        pickServer()
+                .ifPresentOrElse(
                         server -> actions.accept(
                                 new Send(request, server, random.nextInt(3) == 0 ? ATTEMPT_TIMEOUT_MS : 0)),
                         () -> actions.accept(new Reject(request, RETRY_AFTER_MS)));
     }
 
-    private Optional<String> pick() {
+    private Optional<String> pickServer() {
         List<String> up = new ArrayList<>();
         for (Endpoint endpoint : endpoints.values()) {
             if (endpoint.availability() == Availability.UP) {
