--- a/emulator/src/test/java/dewplank/emulator/ServerTest.java
+++ b/emulator/src/test/java/dewplank/emulator/ServerTest.java
@@ -11,20 +11,20 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-/** The model of one server: how long requests take, when it rejects them, and what its faults do. */
+/** Tests the model of one server: response times, rejections and the effects of faults. */
 class ServerTest {
     private static final double WORK_MS = 100;
     private static final double DEADLINE_MS = 60_000;
     private static final int SLOTS = 1_000;
-    /** A request takes up to so much more or less work, depending on the server. */
-    private static final double SERVER_NOISE = 0.15;
+    /** Largest relative deviation of a request's work, depending on the server. */
+    private static final double MAX_WORK_DEVIATION = 0.15;
 
     private final VirtualTime time = new VirtualTime();
     private final List<RecordedEvent> events = new ArrayList<>();
     private final List<Reply> replies = new ArrayList<>();
     private final List<Double> tookMs = new ArrayList<>();
 
-    /** A world whose one server has one core, many slots and no queue. */
+    /** An environment with one server, which has one core, many slots and no queue. */
     private WorldBuilder world(String machineKeys) {
         String machine = "{ cores = 1, slots_per_core = %d, queue_per_core = 0, %s }".formatted(SLOTS, machineKeys);
         return new WorldBuilder(time, events::add)
@@ -61,7 +61,7 @@
 
         /** The mean response time of M/M/1 under processor sharing is work / (1 - utilization). */
         @Test
-        void theMeanResponseTimeIsThatOfProcessorSharing() {
+        void theMeanResponseTimeMatchesProcessorSharing() {
             World world = world("error_rate = 0").build();
             DoubleSupplier gap = RandomStreams.exponential(world.randomStreams().stream("gap", 0));
             DoubleSupplier work = RandomStreams.exponential(world.randomStreams().stream("work", 0));
@@ -87,9 +87,9 @@
             assertEquals(3, countOf(Type.REJECTED));
         }
 
-        /** Ten that wait on others take no longer than one: they hold slots, and no core once their work is done. */
+        /** Ten requests that wait on dependencies take no longer than one: they hold slots, but no core. */
         @Test
-        void waitingOnOthersHoldsSlotsAndNoCore() {
+        void aRequestThatWaitsOnDependenciesHoldsASlotButNoCore() {
             World world = world("cold_s = 0").requestClass("waits_ms = 1000").build();
             for (int id = 0; id < 10; id++) {
                 offer(world, id, 1);
@@ -109,15 +109,15 @@
             World world = world("cold_s = 0")
                     .topLevel("subjects = { keys = 5, spared = 0.5, fresh_s = 2, per_core = 1 }")
                     .build();
-            double firstMs = tookAloneMs(world, 1, 7);
-            assertEquals(firstMs / 2, tookAloneMs(world, 1, 7), 1e-6);
-            tookAloneMs(world, 1, 8); // takes the only place in the cache
-            assertEquals(firstMs, tookAloneMs(world, 1, 7), 1e-6);
+            double firstMs = measureAloneMs(world, 1, 7);
+            assertEquals(firstMs / 2, measureAloneMs(world, 1, 7), 1e-6);
+            measureAloneMs(world, 1, 8); // evicts key 7: the cache has one entry
+            assertEquals(firstMs, measureAloneMs(world, 1, 7), 1e-6);
             time.runUntil(time.now() + 2_100);
-            assertEquals(firstMs, tookAloneMs(world, 1, 7), 1e-6);
+            assertEquals(firstMs, measureAloneMs(world, 1, 7), 1e-6);
         }
 
-        private double tookAloneMs(World world, long id, int subjectKey) {
+        private double measureAloneMs(World world, long id, int subjectKey) {
             double sentAtMs = world.now();
             double[] tookMs = new double[1];
             ClientAttempt attempt = new ClientAttempt(
@@ -131,7 +131,7 @@
     @Nested
     class Faults {
         @Test
-        void aCrashedProcessResetsItsRequestsAndAVanishedMachineSendsNothing() {
+        void aCrashedProcessResetsItsRequestsButAVanishedMachineSendsNothing() {
             World world = world("cold_s = 0").build();
             offer(world, 1, WORK_MS);
             server(world).crash();
@@ -145,7 +145,7 @@
         }
 
         @Test
-        void aColdServerTakesLongerAndCollapsesUnderTooMuchLoad() {
+        void aColdServerIsSlowerAndCollapsesUnderOverload() {
             World world = world("cold_s = 20, cold_share = 0.25").build();
             Server server = server(world);
             server.crash();
@@ -161,7 +161,7 @@
         }
 
         @Test
-        void anOverloadedServerSlowsDownAndRecoversOnceItHasFewerRequests() {
+        void anOverloadedServerSlowsDownAndRecoversWhenItHasFewerRequests() {
             World world = world("choke = { at = 10, over_s = 1, slower = 4, rest_s = 2, below = 0.5, most_s = 100 }")
                     .build();
             Server server = server(world);
@@ -186,8 +186,8 @@
             time.runUntil(10);
             server(world).pause(pauseMs);
             time.runUntil(1_000);
-            double minMs = pauseMs + WORK_MS * (1 - SERVER_NOISE) / speed;
-            double maxMs = pauseMs + WORK_MS * (1 + SERVER_NOISE) / speed + 1;
+            double minMs = pauseMs + WORK_MS * (1 - MAX_WORK_DEVIATION) / speed;
+            double maxMs = pauseMs + WORK_MS * (1 + MAX_WORK_DEVIATION) / speed + 1;
             assertTrue(tookMs.get(0) >= minMs && tookMs.get(0) <= maxMs, () -> "took " + tookMs);
         }
     }
--- a/emulator/src/test/java/dewplank/emulator/VirtualTimeTest.java
+++ b/emulator/src/test/java/dewplank/emulator/VirtualTimeTest.java
@@ -8,14 +8,14 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** The order in which virtual time runs its tasks. */
+/** Tests the order in which virtual time runs tasks. */
 class VirtualTimeTest {
     private static final int TASKS = 5_000;
 
     private final VirtualTime time = new VirtualTime();
 
     @Test
-    void tasksRunByTimeAndThoseOfOneMomentInTheOrderOfTheirCalls() {
+    void tasksRunInOrderOfTimeThenOfScheduling() {
         Random random = new Random(3);
         List<String> expected = new ArrayList<>();
         List<String> actual = new ArrayList<>();
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void aTaskWithANegativeDelayRunsAtThePresentTimeAfterTheCall() {
+    void aTaskWithANegativeDelayRunsAtTheCurrentTimeAfterTheCallingTask() {
         List<Double> ranAtMs = new ArrayList<>();
         time.after(10, () -> {
             time.after(-5, () -> ranAtMs.add(time.now()));
--- a/emulator/src/test/java/dewplank/emulator/WorldBuilder.java
+++ b/emulator/src/test/java/dewplank/emulator/WorldBuilder.java
@@ -4,8 +4,8 @@
 import dewplank.emulator.scenario.TomlFile;
 
 /**
- * Builds a world with one class of requests for a test of its parts. Keys are those of a scenario file; what a test
- * does not set has the file's defaults.
+ * Builds a {@link World} with one request class for tests of its components. Keys are those of a scenario file; keys
+ * that a test does not set have the scenario file's default values.
  */
 final class WorldBuilder {
     private static final String FILE = "small.toml";
@@ -20,37 +20,37 @@
     private double deadlineMs = 100;
     private long seed = 1;
 
-    /** {@code recorder} gets what the world records. */
+    /** {@code recorder} receives all recorded events. */
     WorldBuilder(VirtualTime time, RecordedEvent.Recorder recorder) {
         this.time = time;
         this.recorder = recorder;
     }
 
-    /** Lines outside all tables. */
+    /** Sets the lines outside all tables. */
     WorldBuilder topLevel(String keys) {
         topLevelKeys = keys;
         return this;
     }
 
-    /** Lines of the table {@code servers}. */
+    /** Sets the lines of the table {@code servers}. */
     WorldBuilder servers(String keys) {
         serverKeys = keys;
         return this;
     }
 
-    /** Keys of the inline table {@code directory}, with commas between. */
+    /** Sets the comma-separated keys of the inline table {@code directory}. */
     WorldBuilder directory(String keys) {
         directoryKeys = keys;
         return this;
     }
 
-    /** More lines of the one class. */
+    /** Sets additional lines of the request class. */
     WorldBuilder requestClass(String keys) {
         classKeys = keys;
         return this;
     }
 
-    /** Mean work of a request, in milliseconds of a standard core, and its client's deadline. */
+    /** Sets the mean work of a request, in milliseconds of a standard core, and the client's deadline. */
     WorldBuilder requests(double meanWorkMs, double clientDeadlineMs) {
         workMs = meanWorkMs;
         deadlineMs = clientDeadlineMs;
--- a/emulator/src/test/java/dewplank/emulator/WorldTest.java
+++ b/emulator/src/test/java/dewplank/emulator/WorldTest.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** How servers are found in a world. */
+/** Tests the lookup of servers by identifier. */
 class WorldTest {
     private final World world = new WorldBuilder(new VirtualTime(), event -> {})
             .servers("count = 3")
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void anUnknownIdentifierHasNoServer() {
+    void noServerIsFoundForAnUnknownIdentifier() {
         assertEquals(Optional.empty(), world.server("s-none"));
     }
 }
--- a/emulator/src/test/java/dewplank/emulator/scenario/ScenarioFileTest.java
+++ b/emulator/src/test/java/dewplank/emulator/scenario/ScenarioFileTest.java
@@ -17,12 +17,12 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Scenario files: what is wrong in one is named with its place, and one may be based on another. */
+/** Tests of scenario files: error messages, included scenarios and inheritance. */
 class ScenarioFileTest {
     private static final String ONE_SERVER = "servers = { count = 1 }\n";
     private static final String TENANT = "{ name = \"a\", share = 1 }";
 
-    /** A scenario without servers; {@code more} begins on its line 5. */
+    /** A scenario without servers; {@code more} starts on line 5. */
     private static String scenario(String more) {
         return """
             name = "x"
@@ -47,7 +47,7 @@
                 .getMessage();
     }
 
-    private static Stream<Arguments> wrongKeys() {
+    private static Stream<Arguments> invalidKeys() {
         return Stream.of(
                 Arguments.of("x.toml:6: key servers.count should be from 1 to 10000", scenario("[servers]\ncount = 0")),
                 Arguments.of("x.toml:6: key servers.count should be a number", scenario("[servers]\ncount = \"many\"")),
@@ -59,7 +59,7 @@
                         scenarioWithFault("what = \"fire\"")));
     }
 
-    private static Stream<Arguments> wrongReferences() {
+    private static Stream<Arguments> invalidReferences() {
         return Stream.of(
                 Arguments.of("names the class zz", scenarioWithFault("what = \"poison\"\nclass = \"zz\"")),
                 Arguments.of(
@@ -68,40 +68,40 @@
                                 + "what = \"tenant_load\"\ntenant = \"zz\"")),
                 Arguments.of("key fault[0].tenant is missing", scenarioWithFault("what = \"tenant_load\"")),
                 Arguments.of(
-                        "key tenant has one name twice",
+                        "key tenant has a duplicate name",
                         scenario(ONE_SERVER + "tenant = [ " + TENANT + ", " + TENANT + " ]")));
     }
 
     @Nested
-    class AnError {
+    class ErrorMessages {
         @ParameterizedTest
-        @MethodSource("dewplank.emulator.scenario.ScenarioFileTest#wrongKeys")
-        void ofAKeyIsNamedWithFileAndLine(String expected, String text) {
+        @MethodSource("dewplank.emulator.scenario.ScenarioFileTest#invalidKeys")
+        void containFileLineAndKey(String expected, String text) {
             assertEquals(expected, errorOf(text));
         }
 
         @ParameterizedTest
-        @MethodSource("dewplank.emulator.scenario.ScenarioFileTest#wrongReferences")
-        void ofAReferenceIsNamed(String expected, String text) {
+        @MethodSource("dewplank.emulator.scenario.ScenarioFileTest#invalidReferences")
+        void nameTheInvalidReference(String expected, String text) {
             String error = errorOf(text);
             assertTrue(error.contains(expected), error);
         }
 
         @Test
-        void ofAnUnknownKeyListsTheKnownOnes() {
+        void listTheKnownKeysForAnUnknownKey() {
             String error = errorOf(scenario("[servers]\ncount = 3\ncoutn = 4"));
             assertTrue(error.startsWith("x.toml:7: key servers.coutn is unknown; known here: "), error);
         }
 
         @Test
-        void ofTheSyntaxIsNamedWithItsLine() {
+        void containTheLineOfASyntaxError() {
             String error = errorOf("name = ");
             assertTrue(error.startsWith("x.toml:1: "), error);
         }
     }
 
     @Test
-    void eachScenarioOfTheLaboratoryCanBeReadByItsName() {
+    void allIncludedScenariosCanBeReadByName() {
         List<String> names = ScenarioFile.names();
         assertTrue(names.size() >= 15, names::toString);
         for (String name : names) {
@@ -110,7 +110,7 @@
     }
 
     @Nested
-    class AFileBasedOnAnother {
+    class Inheritance {
         @TempDir
         private Path folder;
 
@@ -119,7 +119,7 @@
         }
 
         @Test
-        void hasTheOthersValuesWhereItSaysNothing() throws IOException {
+        void takesUnsetValuesFromTheBaseScenario() throws IOException {
             Path file = write("name = \"mine\"\nlike = \"crash\"\n[load]\nshare = 0.1\n");
             Scenario mine = ScenarioFile.named(file.toString());
             assertEquals(0.1, mine.load().utilization());
@@ -128,11 +128,11 @@
         }
 
         @Test
-        void mayNotBeBasedOnItself() throws IOException {
+        void rejectsACircularReference() throws IOException {
             Path file = write("name = \"mine\"\nlike = \"" + folder.resolve("mine.toml") + "\"\n");
             String error = assertThrows(InvalidInputException.class, () -> ScenarioFile.named(file.toString()))
                     .getMessage();
-            assertTrue(error.endsWith("key like leads in a circle"), error);
+            assertTrue(error.endsWith("key like has a circular reference"), error);
         }
     }
 }
--- a/emulator/src/test/java/dewplank/emulator/virtualtime/PendingRequestTest.java
+++ b/emulator/src/test/java/dewplank/emulator/virtualtime/PendingRequestTest.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** The states of a request at a sidecar and of its attempts; no server is reached. */
+/** Tests the state transitions of a request at a sidecar and of its attempts, without servers. */
 class PendingRequestTest {
     private static final int SERVER_INCARNATION = 3;
 
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void isNotDoneWhileItsClientWaits() {
+    void isNotDoneWhileItsClientIsWaiting() {
         attempt().end();
         request.attemptEnded();
         assertTrue(request.isOpen());
@@ -41,13 +41,13 @@
     }
 
     @Test
-    void isFinishedOnce() {
+    void cannotBeFinishedTwice() {
         request.finish();
         assertThrows(IllegalStateException.class, request::finish);
     }
 
     @Test
-    void anAttemptThatWasNeverSentTakesAnIndexAndIsNotFound() {
+    void anAttemptThatWasNeverSentUsesAnIndexButIsNotStored() {
         request.skipAttempt();
         Attempt sent = attempt();
         assertEquals(1, sent.index);
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void anAttemptGivesBackTheStateThatItEndedIn() {
+    void endingAnAttemptReturnsItsPreviousState() {
         Attempt connected = attempt();
         assertTrue(connected.isConnecting());
         connected.connect(SERVER_INCARNATION);
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void aTableForgetsARequestThatIsDone() {
+    void aTableRemovesARequestThatIsDone() {
         RequestTable table = new RequestTable();
         table.add(client);
         PendingRequest added = table.findOpen(client.id()).orElseThrow();
