--- a/emulator/src/main/java/dewplank/emulator/loopback/DirectoryEndpoint.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/DirectoryEndpoint.java
@@ -18,9 +18,9 @@
 import java.util.Optional;
 import java.util.function.BiFunction;
 
-/** The model's directory on sockets, for one sidecar: the full list, and the watch as an endless chunked response. */
+/** Exposes the model's directory on sockets for one sidecar: the full list, and a watch as an open chunked response. */
 final class DirectoryEndpoint {
-    /** After so long without an update a watch gets an empty line. */
+    /** Time without an update after which an empty line is sent to a watch. */
     private static final double KEEP_ALIVE_MS = 2_000;
 
     private static final int MAX_CONNECTIONS = 1_000;
@@ -30,7 +30,7 @@
     private final BiFunction<Integer, Integer, InetSocketAddress> addresses;
     private final Listener listener;
 
-    /** {@code addresses}: where a sidecar reaches a server, by the numbers of both. */
+    /** {@code addresses} returns the address at which a sidecar reaches a server, by the numbers of both. */
     DirectoryEndpoint(
             EventLoop loop, World world, int sidecar, BiFunction<Integer, Integer, InetSocketAddress> addresses)
             throws IOException {
@@ -45,7 +45,7 @@
         return (InetSocketAddress) listener.address();
     }
 
-    /** A list in the form of the discovery protocol; {@code full}: all endpoints, otherwise those that changed. */
+    /** Returns a list in the discovery protocol's format: all endpoints if {@code full}, else the changed ones. */
     JsonObject json(long version, boolean full, List<Endpoint> entries) {
         JsonArray servers = new JsonArray();
         for (Endpoint endpoint : entries) {
@@ -81,7 +81,7 @@
 
     private final class WatchConnection extends HttpEndpoint implements EndpointDirectory.Watcher {
         private Optional<EndpointDirectory.Watch> watch = Optional.empty();
-        private boolean headIsSent;
+        private boolean isHeadSent;
         private double lastWriteAtMs;
 
         @Override
@@ -99,16 +99,16 @@
                                 .toString()
                                 .getBytes(StandardCharsets.UTF_8)));
             } else {
-                watch = Optional.of(
-                        world.directory().watch(sidecar, index(target.substring(indexAt + "index=".length())), this));
+                watch = Optional.of(world.directory()
+                        .watch(sidecar, parseIndex(target.substring(indexAt + "index=".length())), this));
             }
         }
 
-        private long index(String text) {
+        private long parseIndex(String text) {
             try {
                 return Long.parseLong(text.replaceAll("&.*", ""));
             } catch (NumberFormatException e) {
-                return 0; // the watch begins with the full list
+                return 0; // the watch starts with the full list
             }
         }
 
@@ -121,8 +121,8 @@
             if (!open()) {
                 return;
             }
-            if (!headIsSent) {
-                headIsSent = true;
+            if (!isHeadSent) {
+                isHeadSent = true;
                 write(ByteBuffer.wrap(
                         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes(StandardCharsets.US_ASCII)));
                 scheduleKeepAlive();
@@ -154,7 +154,7 @@
         public void ended() {
             watch.ifPresent(EndpointDirectory.Watch::close);
             if (open()) {
-                if (!headIsSent) {
+                if (!isHeadSent) {
                     write(MessageWriter.response(503).body(new byte[0]));
                 }
                 close();
--- a/emulator/src/main/java/dewplank/emulator/loopback/HttpClient.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/HttpClient.java
@@ -15,23 +15,23 @@
 import java.util.Optional;
 
 /**
- * A client of one HTTP/1.1 address: keeps idle connections, opens more up to a bound when all are busy, and queues the
- * calls beyond. A call on a reused connection that closes before any byte of the response is retried once, on a new
- * connection. On the loop's thread only.
+ * An HTTP/1.1 client for one address. It reuses idle connections, opens new ones up to a limit when all are busy, and
+ * queues further calls. If a reused connection closes before the first byte of a response, the call is retried once on
+ * a new connection. Used only on the loop's thread.
  */
 public final class HttpClient {
     /** A complete response; {@code body} is empty for a {@link StreamHandler}. */
     public record Response(ResponseParser head, byte[] body) {}
 
-    /** Takes the end of a call. Called once, on the loop's thread; never after {@link Call#cancel}. */
+    /** Receives the result of a call. Called once, on the loop's thread; never after {@link Call#cancel}. */
     public interface ResponseHandler {
-        /** {@code response}: empty where no connection was established, or it closed before the response's end. */
+        /** {@code response} is empty if the connection failed, or closed before the end of the response. */
         void onEnd(Optional<Response> response);
     }
 
-    /** Takes a response's body as its bytes arrive. */
+    /** Receives the body of a response in parts. */
     public interface StreamHandler extends ResponseHandler {
-        /** The next bytes of the body; never empty. */
+        /** Receives the next bytes of the body; {@code bytes} is never empty. */
         void onBodyPart(ResponseParser head, byte[] bytes);
     }
 
@@ -40,13 +40,13 @@
         QUEUED,
         /** A connection is being established. */
         CONNECTING,
-        /** The request is written; the response is awaited. */
+        /** The request has been sent; the response is pending. */
         CONNECTED,
-        /** The handler was called, or the call cancelled. */
+        /** The handler has been called, or the call has been cancelled. */
         ENDED
     }
 
-    /** One request and its response. */
+    /** A request and its response. */
     public final class Call implements Connection.Handler {
         private final ByteBuffer request;
         private final ResponseHandler handler;
@@ -66,13 +66,13 @@
             }
         }
 
-        /** Gives the call up: its connection closes, and the handler is not called. Nothing after the call's end. */
+        /** Closes the call's connection without calling the handler. Does nothing if the call has ended. */
         public void cancel() {
             State last = state;
             if (last == State.ENDED) {
                 return;
             }
-            moveTo(State.ENDED); // first, as a close may call back
+            moveTo(State.ENDED); // before the close, which may call this handler
             if (last == State.QUEUED) {
                 queue.remove(this);
             } else {
@@ -83,14 +83,14 @@
                 }
                 openCount--;
             }
-            beginNext();
+            startNext();
         }
 
-        private void begin() {
+        private void start() {
             Optional<Connection> idleConnection = takeIdle();
             if (idleConnection.isPresent()) {
                 isReused = true;
-                established(idleConnection.get());
+                onConnected(idleConnection.get());
                 connection.setHandler(this);
                 write();
             } else {
@@ -110,13 +110,13 @@
                     address,
                     this,
                     opened -> {
-                        established(opened);
+                        onConnected(opened);
                         write();
                     },
                     failure -> end(Optional.empty()));
         }
 
-        private void established(Connection usable) {
+        private void onConnected(Connection usable) {
             moveTo(State.CONNECTED);
             connection = usable;
         }
@@ -171,12 +171,12 @@
                 openCount--;
             }
             handler.onEnd(response.map(head -> new Response(head, head.takeBody())));
-            beginNext();
+            startNext();
         }
 
         private void release(boolean isReusable) {
             if (isReusable && !connection.isClosed()) {
-                putBack(connection);
+                addIdle(connection);
             } else {
                 connection.close();
                 openCount--;
@@ -202,12 +202,12 @@
     private int openCount;
     private long openedCount;
 
-    /** A client whose connections come from an address that the system chooses. */
+    /** Creates a client whose source address is chosen by the system. */
     public HttpClient(EventLoop loop, InetSocketAddress address, int maxConnections) {
         this(loop, address, maxConnections, List.of());
     }
 
-    /** {@code sources}: addresses to connect from, in turn; where empty, the system chooses. */
+    /** {@code sources} contains the source addresses, which are used in turn; if empty, the system chooses. */
     public HttpClient(EventLoop loop, InetSocketAddress address, int maxConnections, List<InetAddress> sources) {
         this.loop = loop;
         this.address = address;
@@ -215,34 +215,34 @@
         this.sources = sources;
     }
 
-    /** Drops the bodies of all later responses as they arrive, which may then be of any length. */
+    /** Discards the bodies of all later responses, which may then be of any length. */
     public HttpClient forgetBodies() {
         keepsBodies = false;
         return this;
     }
 
-    /** Sends a request, or queues it. The buffer's position is left as it is; its bytes must not change. */
+    /** Sends or queues a request. Does not change the buffer's position; the bytes must not be modified. */
     public Call call(ByteBuffer request, ResponseHandler handler) {
         Call call = new Call(request, handler);
         if (idle.isEmpty() && openCount >= maxConnections) {
             queue.addLast(call);
         } else {
-            call.begin();
+            call.start();
         }
         return call;
     }
 
-    /** Connections opened so far. */
+    /** The number of connections opened so far. */
     public long opened() {
         return openedCount;
     }
 
-    /** Calls that wait for a connection. */
+    /** The number of calls that wait for a connection. */
     public int waiting() {
         return queue.size();
     }
 
-    /** Closes the idle connections; calls in progress go on. */
+    /** Closes the idle connections; calls in progress continue. */
     public void close() {
         idle.forEach(Connection::close);
         idle.clear();
@@ -265,22 +265,22 @@
         return Optional.empty();
     }
 
-    private void putBack(Connection connection) {
+    private void addIdle(Connection connection) {
         idle.addLast(connection);
         connection.setHandler(new Connection.Handler() {
             @Override
             public void received(ByteBuffer bytes) {
                 bytes.position(bytes.limit());
-                drop();
+                removeIdle();
                 connection.close();
             }
 
             @Override
             public void closed(IOException cause) {
-                drop();
+                removeIdle();
             }
 
-            private void drop() {
+            private void removeIdle() {
                 if (idle.remove(connection)) {
                     openCount--;
                 }
@@ -288,9 +288,9 @@
         });
     }
 
-    private void beginNext() {
+    private void startNext() {
         if (!queue.isEmpty() && (!idle.isEmpty() || openCount < maxConnections)) {
-            queue.removeFirst().begin();
+            queue.removeFirst().start();
         }
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/loopback/HttpEndpoint.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/HttpEndpoint.java
@@ -9,17 +9,17 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** The server's side of one HTTP/1.1 connection, with one request at a time. Called on the loop's thread. */
+/** The server's side of an HTTP/1.1 connection that handles one request at a time. Called on the loop's thread. */
 public abstract class HttpEndpoint implements Listener.Accepted {
-    /** Where the connection is in its exchanges; whether it has closed is the {@link Connection}'s to say. */
+    /** The state of the request handling; {@link Connection} tracks whether the connection has closed. */
     private enum State {
         NOT_ACCEPTED,
-        /** No complete request has arrived since the last response. */
+        /** No complete request has been received since the last response. */
         AWAITING_REQUEST,
-        /** The response to a request is not complete; further bytes are not read. */
+        /** The response to a request is not yet complete; no further bytes are read. */
         RESPONDING;
 
-        private boolean canBecome(State next) {
+        private boolean canChangeTo(State next) {
             return switch (this) {
                 case NOT_ACCEPTED, RESPONDING -> next == AWAITING_REQUEST;
                 case AWAITING_REQUEST -> next == RESPONDING;
@@ -31,36 +31,36 @@
     private Connection connection;
     private State state = State.NOT_ACCEPTED;
 
-    /** A complete request has arrived; {@link #answer} responds to it, at once or later. */
+    /** Handles a complete request; {@link #answer} sends the response, either during this call or later. */
     protected abstract void request(RequestParser request);
 
-    /** The connection was accepted. */
+    /** Called when the connection was accepted. */
     protected void opened() {}
 
-    /** The peer closed the connection, or it broke; not called after {@link #close}. */
+    /** Called when the peer closed the connection or it failed; not called after {@link #close}. */
     protected void ended() {}
 
-    /** Whether received bytes are read; a machine that vanished drops them. */
-    protected boolean listens() {
+    /** Whether received bytes are processed; a vanished machine discards them. */
+    protected boolean isReceiving() {
         return true;
     }
 
     @Override
     public final void accepted(Connection accepted) {
         connection = accepted;
-        become(State.AWAITING_REQUEST);
+        changeState(State.AWAITING_REQUEST);
         opened();
     }
 
     @Override
     public final void received(ByteBuffer bytes) {
-        if (!listens()) {
+        if (!isReceiving()) {
             bytes.position(bytes.limit());
             return;
         }
         try {
             while (state == State.AWAITING_REQUEST && !connection.isClosed() && parser.feed(bytes)) {
-                become(State.RESPONDING);
+                changeState(State.RESPONDING);
                 request(parser);
             }
         } catch (BadMessageException e) {
@@ -74,26 +74,26 @@
     }
 
     @Override
-    public final void closed(IOException why) {
+    public final void closed(IOException cause) {
         ended();
     }
 
     /**
-     * Sends a response, or its last bytes, and reads the next request; does nothing once the connection has closed.
+     * Sends a response, or its last bytes, and reads the next request; does nothing if the connection has closed.
      *
-     * @throws IllegalStateException if no request waits for a response
+     * @throws IllegalStateException if no request is awaiting a response
      */
     protected final void answer(ByteBuffer message) {
         if (connection.isClosed()) {
             return;
         }
-        become(State.AWAITING_REQUEST);
+        changeState(State.AWAITING_REQUEST);
         connection.write(message, () -> {});
         parser.reset();
         connection.resume();
     }
 
-    /** Sends bytes of a response; its last ones go to {@link #answer}. */
+    /** Sends a part of a response; {@link #answer} must send its last part. */
     protected final void write(ByteBuffer part) {
         connection.write(part, () -> {});
     }
@@ -108,8 +108,8 @@
         return state != State.NOT_ACCEPTED && !connection.isClosed();
     }
 
-    private void become(State next) {
-        if (!state.canBecome(next)) {
+    private void changeState(State next) {
+        if (!state.canChangeTo(next)) {
             throw new IllegalStateException("a connection can't change from " + state + " to " + next);
         }
         state = next;
--- a/emulator/src/main/java/dewplank/emulator/loopback/LoopbackRun.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/LoopbackRun.java
@@ -21,8 +21,8 @@
 import java.util.concurrent.TimeoutException;
 
 /**
- * One run in real time: the scenario's world on loopback sockets, and a process for each of its sidecars. The loop's
- * thread owns all state; {@link #run} is called once, and {@link #close} once after it, from another thread.
+ * A run in real time, with the scenario's model on loopback sockets and a process for each sidecar. All state is
+ * confined to the loop's thread. Another thread calls {@link #run} once and then {@link #close} once.
  */
 public final class LoopbackRun implements Closeable {
     private static final System.Logger LOG = System.getLogger(LoopbackRun.class.getName());
@@ -32,23 +32,24 @@
     private static final double RUN_SLACK_MS = 10_000;
     private static final int MAX_CONNECTIONS = 10_000;
 
-    /** Collects the run's figures; called on the loop's thread. */
+    /** Collects the run's events and outcomes; called on the loop's thread. */
     public interface Observer extends RecordedEvent.Recorder {
-        /** The sidecars are ready and the clients start; what is returned gets the outcomes of their requests. */
+        /** Called when the sidecars are ready, before the clients start; returns the listener for request outcomes. */
         Clients.OutcomeListener begin(World world);
     }
 
     /**
-     * What a run cost, beside its recorded events.
+     * The counters and the validity of a run; the recorded events are reported separately.
      *
      * @param sends requests that servers received
      * @param handshakes connections from clients to sidecars
      * @param directoryCalls calls to the directory
      * @param directoryLines lines that the directory sent
-     * @param datagrams summaries between sidecars that were delivered
-     * @param datagramsLost those that were lost
-     * @param maxLatenessMs how late the emulator's own timers were at the most
-     * @param isUnsound whether the emulator ran too late for the figures to describe the sidecars
+     * @param datagrams delivered datagrams with summaries between sidecars
+     * @param datagramsLost lost datagrams with summaries between sidecars
+     * @param maxLatenessMs the maximum delay of the emulator's timers
+     * @param isUnsound whether the run is invalid, as the emulator's delays were too long for the figures to describe
+     *     the sidecars
      */
     public record Outcome(
             long sends,
@@ -66,7 +67,7 @@
     private final RealTime time = new RealTime(loop);
     private final World world;
     private final List<ServerEndpoint> servers = new ArrayList<>();
-    private final List<HttpClient> frontends = new ArrayList<>();
+    private final List<HttpClient> httpClients = new ArrayList<>();
     private final SidecarClients sidecarClients;
     private final SidecarProcesses sidecars;
     private final Optional<PeerRelay> peers;
@@ -76,16 +77,16 @@
     private long receivedCount;
 
     /**
-     * Opens the world's sockets; no sidecar runs yet.
+     * Opens the model's sockets; starts no sidecar.
      *
-     * @param command starts a sidecar that reads the file named by {@code GW_CONFIG}
+     * @param command starts a sidecar, which reads the file whose path is in the variable {@code GW_CONFIG}
      */
     public LoopbackRun(Scenario scenario, long seed, List<String> command, Observer observer) throws IOException {
         this.scenario = scenario;
         this.observer = observer;
         this.folder = Files.createTempDirectory("dewplank-lab");
         this.world = new World(scenario, seed, time, this::record);
-        this.sidecarClients = new SidecarClients(world, frontends, this::onOutcome);
+        this.sidecarClients = new SidecarClients(world, httpClients, this::onOutcome);
         try {
             for (int i = 0; i < world.servers().size(); i++) {
                 servers.add(new ServerEndpoint(loop, world, world.servers().get(i), sidecarClients.attempts()));
@@ -97,30 +98,30 @@
                         loop, world, i, (sidecar, server) -> servers.get(server).address(sidecar)));
                 SidecarProcess process = new SidecarProcess(command, folder, i, Addresses.sidecar(i));
                 processes.add(process);
-                frontends.add(new HttpClient(loop, process.listen(), MAX_CONNECTIONS));
+                httpClients.add(new HttpClient(loop, process.listen(), MAX_CONNECTIONS));
             }
             peers = scenario.peerMessages().enabled()
                     ? Optional.of(new PeerRelay(loop, world, scenario.sidecars()))
                     : Optional.empty();
             sidecars = new SidecarProcesses(
-                    new SidecarProcesses.Surroundings(world, seed, time, directories, peers, this::record, this::fail),
+                    new SidecarProcesses.RunContext(world, seed, time, directories, peers, this::record, this::fail),
                     processes,
-                    frontends);
+                    httpClients);
         } catch (IOException | RuntimeException e) {
             loop.stop();
             throw e;
         }
     }
 
-    /** The folder of the sidecars' logs. */
+    /** The folder with the sidecars' logs. */
     public Path folder() {
         return folder;
     }
 
     /**
-     * Starts the sidecars, plays the scenario, and waits until each client's request has ended.
+     * Starts the sidecars, runs the scenario, and waits until all requests of clients have ended.
      *
-     * @throws IllegalStateException when a sidecar or server does not start, or the run does not end in time
+     * @throws IllegalStateException if a sidecar or server does not start, or the run does not end in time
      */
     public Outcome run() throws IOException, InterruptedException {
         sidecars.startAll();
@@ -128,13 +129,13 @@
         awaitFinish();
         return new Outcome(
                 receivedCount,
-                frontends.stream().mapToLong(HttpClient::opened).sum(),
+                httpClients.stream().mapToLong(HttpClient::opened).sum(),
                 world.directory().calls(),
                 world.directory().linesSent(),
                 peers.map(PeerRelay::delivered).orElse(0L),
                 peers.map(PeerRelay::lost).orElse(0L),
                 time.maxLatenessMs(),
-                time.isUnsound());
+                time.isRunInvalid());
     }
 
     private void awaitFinish() throws InterruptedException {
@@ -159,20 +160,17 @@
         finished.completeExceptionally(new IllegalStateException(message));
     }
 
-    /** Ends the sidecars and the world's sockets. */
+    /** Kills the sidecars and closes the model's sockets. */
     @Override
     public void close() {
         sidecars.killAll();
-        loop.execute(time::end);
+        loop.execute(time::discardTasks);
         loop.stop();
         if (peers.isPresent()) {
             try {
                 peers.get().close();
             } catch (IOException e) {
-                LOG.log(
-                        System.Logger.Level.WARNING,
-                        "the network between sidecars could not be closed: {0}",
-                        e.toString());
+                LOG.log(System.Logger.Level.WARNING, "could not close the network between sidecars: {0}", e.toString());
             }
         }
     }
@@ -189,7 +187,7 @@
     private void awaitEnd(double deadlineMs) {
         if (clients.openRequests() == 0 || time.now() > deadlineMs) {
             double effectDelayMs = Math.min(MAX_EFFECT_DELAY_MS, scenario.longestDeadlineMs());
-            time.after(effectDelayMs, () -> finished.complete(null)); // late effects at servers are recorded too
+            time.after(effectDelayMs, () -> finished.complete(null)); // to record late effects at servers
         } else {
             time.after(POLL_INTERVAL_MS, () -> awaitEnd(deadlineMs));
         }
@@ -199,7 +197,7 @@
         clients.answered(attempt, type, value);
     }
 
-    /** Records an event, and does to a server's sockets what the model says of its process. */
+    /** Records an event, and stops or restarts a server's sockets when the model stops or starts its process. */
     private void record(RecordedEvent event) {
         receivedCount += event.type() == Type.RECEIVED ? 1 : 0;
         observer.record(event);
@@ -214,7 +212,7 @@
         try {
             servers.get(server).restart();
         } catch (IOException e) {
-            fail("server " + server + " can't listen again: " + e.getMessage());
+            fail("server " + server + " can't reopen its listeners: " + e.getMessage());
         }
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/loopback/PeerRelay.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/PeerRelay.java
@@ -10,20 +10,20 @@
 import java.nio.channels.Selector;
 
 /**
- * The network between sidecars. Each sidecar sends to a peer at an address that belongs to the pair; the relay forwards
- * the datagram, delayed, or drops it, and sends it from the address at which the receiver knows the sender. One thread
- * receives datagrams; delay and loss are drawn on the loop's thread.
+ * The network between sidecars. Each sidecar sends datagrams for a peer to an address that belongs to the pair. The
+ * relay drops the datagram or forwards it with a delay, from the address that the receiver associates with the sender.
+ * A separate thread receives datagrams; delay and loss are determined on the loop's thread.
  */
 final class PeerRelay implements AutoCloseable {
-    /** The platform's bound on a datagram. A longer one is cut to one byte more, so that its receiver can reject it. */
+    /** The platform's size limit. Longer datagrams are truncated to one byte more, so that receivers reject them. */
     private static final int MAX_DATAGRAM_BYTES = 256;
-    /** Datagrams in flight; those beyond are lost, as in a full buffer. */
+    /** Maximum number of datagrams in flight; further ones are lost, as with a full buffer. */
     private static final int MAX_IN_FLIGHT = 4_096;
 
     private final EventLoop loop;
     private final World world;
     private final InetSocketAddress[] listen;
-    private final DatagramChannel[][] channels; // [i][j]: where sidecar i reaches sidecar j
+    private final DatagramChannel[][] channels; // [i][j]: receives datagrams from sidecar i to sidecar j
     private final Selector selector;
     private int inFlightCount;
     private long delivered;
@@ -58,22 +58,22 @@
         reader.start();
     }
 
-    /** Where a sidecar receives datagrams. */
+    /** The address at which a sidecar receives datagrams. */
     InetSocketAddress listen(int sidecar) {
         return listen[sidecar];
     }
 
-    /** Where sidecar {@code from} reaches {@code to}; for itself, its own address, which it does not use. */
+    /** The address at which {@code from} reaches {@code to}; for itself, its own address, which it does not use. */
     InetSocketAddress address(int from, int to) throws IOException {
         return from == to ? listen[from] : (InetSocketAddress) channels[from][to].getLocalAddress();
     }
 
-    /** Datagrams delivered so far. */
+    /** The number of datagrams delivered so far. */
     long delivered() {
         return delivered;
     }
 
-    /** Datagrams lost so far. */
+    /** The number of datagrams lost so far. */
     long lost() {
         return lost;
     }
@@ -112,7 +112,7 @@
                 channels[pair.to()][pair.from()].send(ByteBuffer.wrap(datagram), listen[pair.to()]);
                 delivered++;
             } catch (IOException e) {
-                lost++; // the receiver does not run now
+                lost++; // the receiver is not running
             }
         });
     }
--- a/emulator/src/main/java/dewplank/emulator/loopback/ProgramProcess.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/ProgramProcess.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 
-/** A program that runs as a process. It finds its settings file by an environment variable. */
+/** Runs a program as a process. An environment variable contains the path of its settings file. */
 public final class ProgramProcess {
     private static final int EXIT_TIMEOUT_S = 10;
 
@@ -17,7 +17,7 @@
     private final Path folder;
     private volatile Optional<Process> process = Optional.empty();
 
-    /** {@code variable}: names the settings file to the program; {@code folder}: for settings and log. */
+    /** {@code variable} is the variable with the settings file's path; {@code folder} is for settings and log. */
     public ProgramProcess(String name, List<String> command, String variable, Path folder) {
         this.name = name;
         this.command = List.copyOf(command);
@@ -25,12 +25,12 @@
         this.folder = folder;
     }
 
-    /** The file with the output of all its incarnations. */
+    /** The file with the output of all incarnations of the process. */
     public Path log() {
         return folder.resolve(name + ".log");
     }
 
-    /** Writes the settings file and starts the process, without the environment variables named. */
+    /** Writes the settings file and starts the process without the given environment variables. */
     public void start(String settings, List<String> removedVariables) throws IOException {
         Path file = writeSettings(settings);
         ProcessBuilder builder = new ProcessBuilder(command)
@@ -46,17 +46,17 @@
         return Files.writeString(folder.resolve(name + ".json"), settings);
     }
 
-    /** Whether the process was started and has not ended. */
+    /** Whether the process was started and has not exited. */
     public boolean isAlive() {
         return process.filter(Process::isAlive).isPresent();
     }
 
-    /** Sends SIGKILL; nothing where the process was not started. */
+    /** Sends SIGKILL; does nothing if the process was not started. */
     public void kill() {
         process.ifPresent(Process::destroyForcibly);
     }
 
-    /** Sends a signal by its name, such as TERM. */
+    /** Sends the signal with the given name, such as TERM. */
     public void signal(String signal) throws IOException, InterruptedException {
         int exitStatus = new ProcessBuilder(
                         "kill",
@@ -65,18 +65,18 @@
                 .start()
                 .waitFor();
         if (exitStatus != 0) {
-            throw new IOException("signal " + signal + " did not reach " + name);
+            throw new IOException("could not send signal " + signal + " to " + name);
         }
     }
 
-    /** Waits for the end of a process that was killed; throws where it does not come. */
+    /** Waits until a killed process has exited; throws if it does not exit in time. */
     public void awaitEnd() throws InterruptedException {
         if (!awaitEnd(EXIT_TIMEOUT_S)) {
-            throw new IllegalStateException(name + " did not end when killed");
+            throw new IllegalStateException(name + " did not exit after SIGKILL");
         }
     }
 
-    /** Waits for the end; whether it came within so many seconds, or the process never ran. */
+    /** Waits until the process exits; returns false if it is still running after the given seconds. */
     public boolean awaitEnd(int seconds) throws InterruptedException {
         return process.isEmpty() || process.get().waitFor(seconds, TimeUnit.SECONDS);
     }
--- a/emulator/src/main/java/dewplank/emulator/loopback/RealTime.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/RealTime.java
@@ -3,7 +3,7 @@
 import dewplank.emulator.Scheduler;
 import dewplank.net.EventLoop;
 
-/** The loop's clock, in Unix milliseconds. Measures how late its own tasks run. On the loop's thread. */
+/** The event loop's clock, in Unix milliseconds. Measures the delays of its tasks. Used only on the loop's thread. */
 final class RealTime implements Scheduler {
     private static final double SAMPLE_INTERVAL_MS = 20;
     private static final double LATE_THRESHOLD_MS = 25;
@@ -15,7 +15,7 @@
     private long sampleCount;
     private long lateCount;
     private double maxLatenessMs;
-    private boolean hasEnded;
+    private boolean discardsTasks;
 
     RealTime(EventLoop loop) {
         this.loop = loop;
@@ -28,24 +28,24 @@
 
     @Override
     public void after(double ms, Runnable task) {
-        Runnable unlessEnded = () -> {
-            if (!hasEnded) {
+        Runnable unlessDiscarded = () -> {
+            if (!discardsTasks) {
                 task.run();
             }
         };
         if (ms < MIN_TIMER_MS) {
-            loop.execute(unlessEnded);
+            loop.execute(unlessDiscarded);
         } else {
-            loop.afterExactly(ms, unlessEnded);
+            loop.afterExactly(ms, unlessDiscarded);
         }
     }
 
-    /** Drops all tasks, scheduled and future ones. */
-    void end() {
-        hasEnded = true;
+    /** Discards all scheduled and future tasks. */
+    void discardTasks() {
+        discardsTasks = true;
     }
 
-    /** Starts to measure lateness; called once. */
+    /** Starts the measurement of delays; called once. */
     void monitorLateness() {
         double dueAtMs = now() + SAMPLE_INTERVAL_MS;
         after(SAMPLE_INTERVAL_MS, () -> {
@@ -61,8 +61,8 @@
         return maxLatenessMs;
     }
 
-    /** Whether the emulator ran so late, or late so often, that the figures do not describe the sidecars. */
-    boolean isUnsound() {
+    /** Whether the emulator's delays were so long or so frequent that the figures do not describe the sidecars. */
+    boolean isRunInvalid() {
         return maxLatenessMs > MAX_LATENESS_MS || lateCount > MAX_LATE_SHARE * Math.max(100, sampleCount);
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/loopback/ServerEndpoint.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/ServerEndpoint.java
@@ -18,10 +18,10 @@
 import java.util.Set;
 
 /**
- * One server of the model on sockets, with an address for each sidecar. It refuses connections while the server's
- * process has crashed, and does not respond while its machine has vanished. The operating system still accepts
- * connections to a vanished one, which a user program can't prevent: a sidecar sees a time-out of the response there,
- * where a real network would give a time-out of the connection. On the loop's thread.
+ * Exposes one server of the model on sockets, with an address for each sidecar. It refuses connections while the
+ * server's process is down after a crash, and does not respond while its machine has vanished. The operating system
+ * still accepts connections to a vanished machine, which a user program can't prevent: the sidecar's wait for the
+ * response times out, whereas in a real network the connection attempt would. Used only on the loop's thread.
  */
 final class ServerEndpoint {
     private static final int MAX_CONNECTIONS = 20_000;
@@ -60,31 +60,32 @@
         }
     }
 
-    /** The process has ended: closes its connections and refuses new ones. */
+    /** Handles the exit of the server's process: closes its connections and refuses new ones. */
     void stop() {
         listeners.forEach(Listener::close);
         listeners.clear();
-        new ArrayList<>(connections).forEach(ServerConnection::end);
+        new ArrayList<>(connections).forEach(ServerConnection::closeConnection);
     }
 
-    /** The process has started again: accepts connections. */
+    /** Handles the restart of the server's process: accepts connections. */
     void restart() throws IOException {
-        new ArrayList<>(connections).forEach(ServerConnection::end); // left over from a machine that vanished
+        new ArrayList<>(connections)
+                .forEach(ServerConnection::closeConnection); // those that were open when the machine vanished
         if (listeners.isEmpty()) {
             listen();
         }
     }
 
-    /** What a connection is to the model's server; whether it has closed is the {@link HttpEndpoint}'s to say. */
+    /** The state of a connection in the model's server; {@link HttpEndpoint} tracks whether it has closed. */
     private enum ConnectionState {
-        /** The operating system accepted it; the server has no process, or no place left in its connection table. */
+        /** Accepted by the operating system, but the server is not running or its connection table is full. */
         UNCOUNTED,
-        /** It has a place in the server's connection table. */
+        /** Has an entry in the server's connection table. */
         COUNTED,
-        /** The server closed it when it was idle, and the sidecar had no notice; it still has its place. */
+        /** Closed by the server after an idle period, without notice to the sidecar; still has its table entry. */
         STALE;
 
-        private boolean canBecome(ConnectionState next) {
+        private boolean canChangeTo(ConnectionState next) {
             return switch (this) {
                 case UNCOUNTED -> next == COUNTED;
                 case COUNTED -> next == STALE;
@@ -113,28 +114,28 @@
                 return;
             }
             if (server.connect()) {
-                become(ConnectionState.COUNTED);
-                idle();
+                changeState(ConnectionState.COUNTED);
+                startIdlePeriod();
             } else {
-                end();
+                closeConnection();
             }
         }
 
         @Override
         protected void ended() {
-            boolean isFirstEnd = connections.remove(this); // a reset reply may end what the sidecar has closed
+            boolean isFirstEnd = connections.remove(this); // a reset may follow a close by the sidecar
             if (isFirstEnd && state != ConnectionState.UNCOUNTED) {
                 server.disconnect(incarnation);
             }
         }
 
-        private void end() {
+        private void closeConnection() {
             close();
             ended();
         }
 
         @Override
-        protected boolean listens() {
+        protected boolean isReceiving() {
             return server.state() != Server.State.VANISHED
                     && incarnation == server.incarnation()
                     && !world.isPartitioned(sidecar, server.number());
@@ -149,22 +150,24 @@
                 boolean isUp = server.state() == Server.State.UP;
                 world.schedule(
                         outboundMs + returnMs,
-                        () -> reply(MessageWriter.response(isUp ? 200 : 503).body(new byte[0])));
+                        () -> sendResponse(
+                                MessageWriter.response(isUp ? 200 : 503).body(new byte[0])));
                 return;
             }
-            ClientAttempt attempt = attempts.get(id(request.headers().get("X-Trace-Id")));
+            ClientAttempt attempt = attempts.get(parseId(request.headers().get("X-Trace-Id")));
             request.takeBody();
             if (attempt == null) {
-                reply(MessageWriter.response(400).body("no client sent this\n".getBytes(StandardCharsets.US_ASCII)));
+                sendResponse(
+                        MessageWriter.response(400).body("no client sent this\n".getBytes(StandardCharsets.US_ASCII)));
                 return;
             }
             if (state == ConnectionState.STALE) {
-                end();
+                closeConnection();
                 return;
             }
             requestsInProgress++;
             world.schedule(outboundMs, () -> {
-                if (listens() && open() && !world.losesMessage()) {
+                if (isReceiving() && open() && !world.losesMessage()) {
                     server.offer(
                             attempt,
                             sidecar,
@@ -173,25 +176,25 @@
             });
         }
 
-        /** Starts an idle period; when it exceeds the limit, the connection closes, or becomes stale without notice. */
-        private void idle() {
+        /** Starts an idle period. If it exceeds the limit, the connection closes, or becomes stale without notice. */
+        private void startIdlePeriod() {
             double idleTimeoutMs = world.scenario().connections().idleMs();
             int period = ++idlePeriods;
             if (idleTimeoutMs > 0) {
                 world.schedule(idleTimeoutMs, () -> {
                     if (period == idlePeriods && requestsInProgress == 0 && open()) {
                         if (world.scenario().connections().closeIsNoticed()) {
-                            end();
+                            closeConnection();
                         } else {
-                            become(ConnectionState.STALE);
+                            changeState(ConnectionState.STALE);
                         }
                     }
                 });
             }
         }
 
-        private void become(ConnectionState next) {
-            if (!state.canBecome(next)) {
+        private void changeState(ConnectionState next) {
+            if (!state.canChangeTo(next)) {
                 throw new IllegalStateException("a connection of sidecar " + sidecar + " to server " + server.number()
                         + " can't change from " + state + " to " + next);
             }
@@ -200,12 +203,12 @@
 
         private void finish(ClientAttempt attempt, Server.Reply reply, double inFlight) {
             requestsInProgress--;
-            idle();
+            startIdlePeriod();
             if (world.losesMessage()) {
                 return;
             }
             if (reply == Server.Reply.RESET) {
-                end();
+                closeConnection();
                 return;
             }
             MessageWriter head =
@@ -215,17 +218,17 @@
                         default -> MessageWriter.response(503).header("X-Never-Ran", "1");
                     };
             head.header("Endpoint-Load-Metrics", inFlight < 0 ? null : "TEXT rif=" + (long) inFlight);
-            reply(head.body(("made for " + attempt.id()).getBytes(StandardCharsets.US_ASCII)));
+            sendResponse(head.body(("made for " + attempt.id()).getBytes(StandardCharsets.US_ASCII)));
         }
 
-        private void reply(ByteBuffer message) {
-            if (listens()) {
+        private void sendResponse(ByteBuffer message) {
+            if (isReceiving()) {
                 answer(message);
             }
         }
     }
 
-    private static long id(String text) {
+    private static long parseId(String text) {
         try {
             return text == null ? -1 : Long.parseUnsignedLong(text, 16);
         } catch (NumberFormatException e) {
--- a/emulator/src/main/java/dewplank/emulator/loopback/SidecarClients.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/SidecarClients.java
@@ -16,36 +16,36 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The clients' side of the sidecars: attempts as HTTP requests, responses as outcomes. On the loop's thread. */
+/** Sends clients' attempts to sidecars as HTTP requests and reports the outcomes. Used only on the loop's thread. */
 final class SidecarClients implements Clients.SidecarConnector {
-    /** How long a server may still look up an attempt; longer than any deadline. */
+    /** Time for which a server can look up an attempt; longer than any deadline. */
     private static final double ATTEMPT_RETENTION_MS = 10_000;
 
     private static final String RETRY_HEADER = "X-Second-Try";
     private static final String RESPONSE_PREFIX = "made for ";
     private static final byte[] BODY = "{\"lines\":[]}".getBytes(StandardCharsets.US_ASCII);
 
-    /** Takes the outcome of an attempt; {@code value} is as {@link Type} defines it. */
+    /** Receives the outcome of an attempt; {@link Type} defines the meaning of {@code value}. */
     interface OutcomeSink {
-        void ended(ClientAttempt attempt, Type type, double value);
+        void onOutcome(ClientAttempt attempt, Type type, double value);
     }
 
     private final Scenario scenario;
     private final World world;
-    private final List<HttpClient> frontends;
+    private final List<HttpClient> httpClients;
     private final OutcomeSink outcomes;
     private final Map<Long, ClientAttempt> attempts = new HashMap<>();
     private final Map<Long, HttpClient.Call> calls = new HashMap<>();
 
-    /** {@code frontends}: the client of each sidecar, by the sidecar's number. */
-    SidecarClients(World world, List<HttpClient> frontends, OutcomeSink outcomes) {
+    /** {@code httpClients} contains an HTTP client for each sidecar, indexed by the sidecar's number. */
+    SidecarClients(World world, List<HttpClient> httpClients, OutcomeSink outcomes) {
         this.scenario = world.scenario();
         this.world = world;
-        this.frontends = frontends;
+        this.httpClients = httpClients;
         this.outcomes = outcomes;
     }
 
-    /** The attempts that servers may receive, by id. */
+    /** The attempts that servers may still receive, by id. */
     Map<Long, ClientAttempt> attempts() {
         return attempts;
     }
@@ -55,7 +55,7 @@
         attempts.put(attempt.id(), attempt);
         world.schedule(ATTEMPT_RETENTION_MS, () -> attempts.remove(attempt.id()));
         boolean[] hasEnded = new boolean[1]; // a call may fail before it returns
-        HttpClient.Call call = frontends.get(attempt.sidecar()).call(message(scenario, attempt), response -> {
+        HttpClient.Call call = httpClients.get(attempt.sidecar()).call(message(scenario, attempt), response -> {
             hasEnded[0] = true;
             calls.remove(attempt.id());
             onEnd(attempt, response);
@@ -65,7 +65,7 @@
         }
     }
 
-    /** The HTTP request of an attempt, with the header fields that {@code sidecar.RequestDecoder} reads. */
+    /** Encodes an attempt as an HTTP request with the header fields that {@code sidecar.RequestDecoder} reads. */
     static ByteBuffer message(Scenario scenario, ClientAttempt attempt) {
         RequestClassSpec kind = scenario.classes().get(attempt.requestClass());
         boolean isSafe = kind.idempotency() == Idempotency.SAFE;
@@ -93,26 +93,28 @@
 
     private void onEnd(ClientAttempt attempt, Optional<HttpClient.Response> response) {
         if (response.isEmpty()) {
-            outcomes.ended(attempt, Type.UNREACHABLE, 0);
+            outcomes.onOutcome(attempt, Type.UNREACHABLE, 0);
             return;
         }
         ResponseParser head = response.get().head();
         if (head.status() == 200) {
-            outcomes.ended(attempt, Type.SERVED, servedAttemptId(response.get().body()));
+            outcomes.onOutcome(
+                    attempt, Type.SERVED, servedAttemptId(response.get().body()));
         } else if (head.status() == 429 || head.status() == 503) {
-            outcomes.ended(attempt, Type.REFUSED, 1000 * number(head.headers().get("Retry-After")));
+            outcomes.onOutcome(
+                    attempt, Type.REFUSED, 1000 * parseNumber(head.headers().get("Retry-After")));
         } else {
-            outcomes.ended(attempt, Type.FAILED, head.status());
+            outcomes.onOutcome(attempt, Type.FAILED, head.status());
         }
     }
 
-    /** The id of the attempt that the server names in its response; -1 where it names none. */
+    /** Returns the id of the attempt that the server names in its response; -1 if it names none. */
     private static double servedAttemptId(byte[] body) {
         String text = new String(body, StandardCharsets.US_ASCII);
-        return text.startsWith(RESPONSE_PREFIX) ? number(text.substring(RESPONSE_PREFIX.length())) : -1;
+        return text.startsWith(RESPONSE_PREFIX) ? parseNumber(text.substring(RESPONSE_PREFIX.length())) : -1;
     }
 
-    private static double number(String text) {
+    private static double parseNumber(String text) {
         try {
             return text == null ? 0 : Double.parseDouble(text);
         } catch (NumberFormatException e) {
--- a/emulator/src/main/java/dewplank/emulator/loopback/SidecarFile.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/SidecarFile.java
@@ -7,7 +7,7 @@
 import dewplank.balancer.Settings.RequestClass;
 import dewplank.balancer.Settings.Safety;
 
-/** A balancer's settings in the form of a sidecar's configuration file. */
+/** Converts a balancer's settings to the format of a sidecar's configuration file. */
 final class SidecarFile {
     private SidecarFile() {}
 
--- a/emulator/src/main/java/dewplank/emulator/loopback/SidecarProcess.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/SidecarProcess.java
@@ -5,7 +5,7 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** One sidecar that runs as a process, with nothing but a configuration file. */
+/** A sidecar process that is configured by a file only. */
 final class SidecarProcess {
     private static final List<String> REMOVED_VARIABLES = List.of("GW_NAME", "GW_LISTEN", "GW_DISCOVERY");
 
@@ -21,7 +21,7 @@
         return listen;
     }
 
-    /** The file with the output of all its incarnations. */
+    /** The file with the output of all incarnations of the process. */
     Path log() {
         return process.log();
     }
--- a/emulator/src/main/java/dewplank/emulator/loopback/SidecarProcesses.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/SidecarProcesses.java
@@ -15,11 +15,11 @@
 import java.util.function.Consumer;
 
 /**
- * The sidecars' processes: each starts from a configuration file, reports by its health check that it is ready, and is
- * killed and started again where a fault says so. On the loop's thread, but for {@link #startAll}.
+ * Manages the sidecars' processes. Each starts with a configuration file, is ready when its health check succeeds, and
+ * is killed and restarted by faults. Used only on the loop's thread, except for {@link #startAll}.
  */
 final class SidecarProcesses {
-    /** How long a process may take until its health check succeeds. */
+    /** Time within which the health check of a started process must succeed. */
     static final double MAX_STARTUP_MS = 30_000;
 
     private static final double POLL_INTERVAL_MS = 20;
@@ -27,8 +27,8 @@
     private static final int FIRST_INCARNATION = 0;
     private static final int RESTARTED_INCARNATION = 1;
 
-    /** What the processes use of the run. */
-    record Surroundings(
+    /** The components of the run that the processes need. */
+    record RunContext(
             World world,
             long seed,
             RealTime time,
@@ -37,28 +37,28 @@
             RecordedEvent.Recorder recorder,
             Consumer<String> failureHandler) {}
 
-    private final Surroundings surroundings;
+    private final RunContext context;
     private final RealTime time;
     private final List<SidecarProcess> processes;
-    private final List<HttpClient> frontends;
+    private final List<HttpClient> httpClients;
     private int readyCount;
 
-    /** {@code frontends}: a client of each process, in their order. */
-    SidecarProcesses(Surroundings surroundings, List<SidecarProcess> processes, List<HttpClient> frontends) {
-        this.surroundings = surroundings;
-        this.time = surroundings.time();
+    /** {@code httpClients} contains an HTTP client for each process, in the same order. */
+    SidecarProcesses(RunContext context, List<SidecarProcess> processes, List<HttpClient> httpClients) {
+        this.context = context;
+        this.time = context.time();
         this.processes = List.copyOf(processes);
-        this.frontends = List.copyOf(frontends);
+        this.httpClients = List.copyOf(httpClients);
     }
 
-    /** Starts all processes; called once, from any thread. */
+    /** Starts all processes. Called once; may be called from any thread. */
     void startAll() throws IOException {
         for (int i = 0; i < processes.size(); i++) {
             start(i, FIRST_INCARNATION);
         }
     }
 
-    /** Calls {@code whenReady} once all processes are ready. */
+    /** Calls {@code whenReady} as soon as all processes are ready. */
     void awaitAllReady(Runnable whenReady) {
         double startedAtMs = time.now();
         for (int i = 0; i < processes.size(); i++) {
@@ -70,7 +70,7 @@
         }
     }
 
-    /** Kills a process and starts it again. */
+    /** Kills a process and restarts it after a delay. */
     void kill(int sidecar, double restartAfterMs) {
         record(Type.SIDECAR_KILLED, sidecar);
         processes.get(sidecar).kill();
@@ -79,12 +79,12 @@
                 start(sidecar, RESTARTED_INCARNATION);
                 awaitReady(sidecar, time.now(), () -> {});
             } catch (IOException e) {
-                surroundings.failureHandler().accept("sidecar " + sidecar + " did not start again: " + e.getMessage());
+                context.failureHandler().accept("sidecar " + sidecar + " could not be restarted: " + e.getMessage());
             }
         });
     }
 
-    /** Ends all processes. */
+    /** Kills all processes. */
     void killAll() {
         processes.forEach(SidecarProcess::kill);
     }
@@ -94,21 +94,21 @@
     }
 
     private JsonObject configuration(int sidecar, int incarnation) throws IOException {
-        World world = surroundings.world();
-        DirectoryEndpoint directory = surroundings.directories().get(sidecar);
+        World world = context.world();
+        DirectoryEndpoint directory = context.directories().get(sidecar);
         JsonObject config = new JsonObject();
         config.addProperty("name", "n" + sidecar);
         config.addProperty("listen", Addresses.format(processes.get(sidecar).listen()));
         config.addProperty("discovery", Addresses.format(directory.address()));
-        long seed = RandomStreams.mix(surroundings.seed() + 31L * sidecar + incarnation);
+        long seed = RandomStreams.mix(context.seed() + 31L * sidecar + incarnation);
         config.addProperty("seed", Long.toHexString(seed));
         config.add(
                 "known",
                 directory.json(
                         world.directory().version(), true, world.directory().endpoints()));
         config.add("settings", SidecarFile.settings(BalancerSettings.of(world.scenario(), sidecar)));
-        if (surroundings.peers().isPresent()) {
-            PeerRelay peers = surroundings.peers().get();
+        if (context.peers().isPresent()) {
+            PeerRelay peers = context.peers().get();
             config.addProperty("peer_listen", Addresses.format(peers.listen(sidecar)));
             JsonArray others = new JsonArray();
             for (int i = 0; i < processes.size(); i++) {
@@ -122,13 +122,13 @@
     private void awaitReady(int sidecar, double startedAtMs, Runnable whenReady) {
         ByteBuffer healthCheck =
                 MessageWriter.request("GET", "/_health", "sidecar").noBody();
-        frontends.get(sidecar).call(healthCheck, response -> {
+        httpClients.get(sidecar).call(healthCheck, response -> {
             if (response.filter(answer -> answer.head().status() == 200).isPresent()) {
                 record(Type.SIDECAR_UP, sidecar);
                 whenReady.run();
             } else if (time.now() - startedAtMs > MAX_STARTUP_MS
                     || !processes.get(sidecar).isAlive()) {
-                surroundings.failureHandler().accept("sidecar " + sidecar + " did not become ready");
+                context.failureHandler().accept("sidecar " + sidecar + " did not become ready");
             } else {
                 time.after(POLL_INTERVAL_MS, () -> awaitReady(sidecar, startedAtMs, whenReady));
             }
@@ -136,6 +136,6 @@
     }
 
     private void record(Type type, int sidecar) {
-        surroundings.recorder().record(new RecordedEvent(time.now(), type, -1, -1, sidecar, -1, 0));
+        context.recorder().record(new RecordedEvent(time.now(), type, -1, -1, sidecar, -1, 0));
     }
 }
--- a/emulator/src/test/java/dewplank/emulator/loopback/HttpEndpointTest.java
+++ b/emulator/src/test/java/dewplank/emulator/loopback/HttpEndpointTest.java
@@ -18,12 +18,12 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** The states of the server's side of a connection. */
+/** Tests the states of the server's side of a connection. */
 class HttpEndpointTest {
     private static final int MAX_WAIT_S = 20;
 
     private final EventLoop loop;
-    private final BlockingQueue<Optional<RuntimeException>> secondAnswers = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Optional<RuntimeException>> secondResponses = new LinkedBlockingQueue<>();
     private final BlockingQueue<Integer> statuses = new LinkedBlockingQueue<>();
 
     HttpEndpointTest() throws Exception {
@@ -39,24 +39,24 @@
         return MessageWriter.response(200).body(new byte[0]);
     }
 
-    /** Answers each request, and then once more. */
-    private final class AnswersTwice extends HttpEndpoint {
+    /** Responds to each request twice. */
+    private final class RespondsTwice extends HttpEndpoint {
         @Override
         protected void request(RequestParser request) {
             answer(response());
             try {
                 answer(response());
-                secondAnswers.add(Optional.empty());
+                secondResponses.add(Optional.empty());
             } catch (IllegalStateException e) {
-                secondAnswers.add(Optional.of(e));
+                secondResponses.add(Optional.of(e));
             }
         }
     }
 
     @Test
-    void aSecondAnswerToARequestIsRefusedAndTheConnectionGoesOn() throws Exception {
+    void aSecondResponseToARequestIsRejectedAndTheConnectionStaysOpen() throws Exception {
         Listener listener =
-                new Listener(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 1, AnswersTwice::new);
+                new Listener(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 1, RespondsTwice::new);
         loop.execute(listener::accept);
         HttpClient client = new HttpClient(loop, (InetSocketAddress) listener.address(), 1);
         for (int call = 0; call < 2; call++) {
@@ -65,17 +65,17 @@
                     received -> statuses.add(
                             received.map(answer -> answer.head().status()).orElse(0))));
             assertEquals(200, statuses.poll(MAX_WAIT_S, TimeUnit.SECONDS));
-            Optional<RuntimeException> refusal = secondAnswers.poll(MAX_WAIT_S, TimeUnit.SECONDS);
-            assertTrue(refusal.isPresent());
+            Optional<RuntimeException> rejection = secondResponses.poll(MAX_WAIT_S, TimeUnit.SECONDS);
+            assertTrue(rejection.isPresent());
             assertEquals(
                     "a connection can't change from AWAITING_REQUEST to AWAITING_REQUEST",
-                    refusal.get().getMessage());
+                    rejection.get().getMessage());
         }
         assertEquals(1, client.opened());
     }
 
     @Test
-    void anEndpointThatWasNotAcceptedIsNotOpen() {
-        assertFalse(new AnswersTwice().open());
+    void anEndpointWithoutAnAcceptedConnectionIsNotOpen() {
+        assertFalse(new RespondsTwice().open());
     }
 }
--- a/emulator/src/test/java/dewplank/emulator/loopback/LoopbackTest.java
+++ b/emulator/src/test/java/dewplank/emulator/loopback/LoopbackTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-/** The emulator's own sockets and its watch over its own lateness; no sidecar runs. */
+/** Tests the emulator's sockets and the measurement of its delays, without a running sidecar. */
 class LoopbackTest {
     private static final int MAX_WAIT_S = 20;
     private static final int MAX_CONNECTIONS = 100;
@@ -48,29 +48,29 @@
         assertTrue(latch.await(MAX_WAIT_S, TimeUnit.SECONDS));
     }
 
-    /** An emulator that is late itself must report it: its figures are not the sidecar's. */
+    /** If the emulator itself is delayed, the run must be invalid, because its figures do not describe the sidecar. */
     @Test
-    void aStalledLoopMarksTheRunUnsound() throws Exception {
+    void aStalledLoopMakesTheRunInvalid() throws Exception {
         RealTime time = new RealTime(loop);
-        CountDownLatch stallIsOver = new CountDownLatch(1);
+        CountDownLatch stallEnded = new CountDownLatch(1);
         loop.execute(() -> {
             time.monitorLateness();
             time.after(50, () -> {
                 try {
-                    Thread.sleep(500); // this delay is what is tested
+                    Thread.sleep(500); // the stall that must be detected
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
-                time.after(30, stallIsOver::countDown);
+                time.after(30, stallEnded::countDown);
             });
         });
-        assertFalse(time.isUnsound());
-        await(stallIsOver);
-        assertTrue(time.isUnsound(), () -> "latest " + time.maxLatenessMs());
+        assertFalse(time.isRunInvalid());
+        await(stallEnded);
+        assertTrue(time.isRunInvalid(), () -> "maximum delay in ms: " + time.maxLatenessMs());
     }
 
     @Nested
-    class TheClient {
+    class HttpClientTests {
         private final BlockingQueue<String> responses = new LinkedBlockingQueue<>();
 
         private HttpClient clientOf(Supplier<HttpEndpoint> endpoints, int maxConnections) throws Exception {
@@ -96,9 +96,9 @@
             return responses.poll(MAX_WAIT_S, TimeUnit.SECONDS);
         }
 
-        /** A close that crosses a request which was not read does no harm: it is sent again on a new connection. */
+        /** If the server closes a connection before it reads a request, the client resends it on a new connection. */
         @Test
-        void resendsARequestOnceWhoseReusedConnectionWasClosed() throws Exception {
+        void resendsARequestOnceIfItsReusedConnectionWasClosed() throws Exception {
             int[] requests = new int[1];
             HttpClient client = clientOf(
                     () -> new HttpEndpoint() {
@@ -108,7 +108,7 @@
                         protected void request(RequestParser request) {
                             requests[0]++;
                             if (++requestsHere == 2) {
-                                close(); // each connection answers once and ends under its second request
+                                close(); // responds to the first request, closes on the second
                             } else {
                                 answer(MessageWriter.response(200).body(NO_BODY));
                             }
@@ -124,15 +124,15 @@
         }
 
         @Test
-        void queuesCallsBeyondItsBoundUntilACancelledOneMakesRoom() throws Exception {
-            List<Runnable> pendingAnswers = new CopyOnWriteArrayList<>();
+        void queuesCallsBeyondItsLimitUntilACallIsCancelled() throws Exception {
+            List<Runnable> pendingResponses = new CopyOnWriteArrayList<>();
             CountDownLatch first = new CountDownLatch(1);
             CountDownLatch second = new CountDownLatch(2);
             HttpClient client = clientOf(
                     () -> new HttpEndpoint() {
                         @Override
                         protected void request(RequestParser request) {
-                            pendingAnswers.add(
+                            pendingResponses.add(
                                     () -> answer(MessageWriter.response(200).body(NO_BODY)));
                             first.countDown();
                             second.countDown();
@@ -140,7 +140,8 @@
                     },
                     1);
             HttpClient.Call[] calls = new HttpClient.Call[1];
-            loop.execute(() -> calls[0] = client.call(request(), response -> responses.add("the cancelled one")));
+            loop.execute(() ->
+                    calls[0] = client.call(request(), response -> responses.add("response to the cancelled call")));
             await(first);
             call(client);
             int[] waiting = new int[1];
@@ -153,17 +154,17 @@
             await(cancelled);
             assertEquals(1, waiting[0]);
             await(second);
-            loop.execute(() -> pendingAnswers.get(1).run());
+            loop.execute(() -> pendingResponses.get(1).run());
             assertEquals("200", nextResponse());
         }
     }
 
     @Test
-    void aSidecarThatDoesNotStartEndsTheRunWithItsLogNamed() throws Exception {
+    void aSidecarThatDoesNotStartFailsTheRunWithAMessageThatNamesTheLogFolder() throws Exception {
         LoopbackRun.Observer observer = new LoopbackRun.Observer() {
             @Override
             public Clients.OutcomeListener begin(World world) {
-                throw new AssertionError("it must not begin");
+                throw new AssertionError("the run must not begin");
             }
 
             @Override
@@ -176,7 +177,7 @@
     }
 
     @Test
-    void eachPairOfASidecarAndAServerHasAnAddressOfItsOwn() {
+    void eachPairOfSidecarAndServerHasASeparateAddress() {
         assertEquals("127.64.0.1:0", Addresses.format(Addresses.server(0, 0, 9)));
         assertEquals("127.64.0.10:0", Addresses.format(Addresses.server(1, 0, 9)));
         assertEquals("127.65.0.1:0", Addresses.format(Addresses.server(62_500, 0, 1)));
--- a/emulator/src/test/java/dewplank/emulator/loopback/SidecarClientsTest.java
+++ b/emulator/src/test/java/dewplank/emulator/loopback/SidecarClientsTest.java
@@ -10,7 +10,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** The header fields of clients' attempts are those that a sidecar reads. */
+/** Tests that clients' attempts have the header fields that a sidecar reads. */
 class SidecarClientsTest {
     private final Scenario scenario = ScenarioFile.named("try");
 
