--- a/emulator/src/main/java/dewplank/emulator/fleet/AttemptLog.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/AttemptLog.java
@@ -12,7 +12,7 @@
 import java.util.Optional;
 import java.util.stream.Collectors;
 
-/** A history's events by the attempts that they belong to. */
+/** Groups the events of a history by attempt. */
 final class AttemptLog {
     private final Map<String, AttemptSent> sent = new LinkedHashMap<>();
     private final Map<String, AttemptEnded> ended = new HashMap<>();
@@ -20,22 +20,23 @@
     private final Map<String, List<Arrived>> arrivals;
 
     AttemptLog(List<FleetEvent> events) {
-        FleetEvent.only(events, AttemptSent.class).forEach(event -> sent.put(event.attemptId(), event));
-        FleetEvent.only(events, AttemptEnded.class).forEach(event -> ended.put(event.attemptId(), event));
-        runs = FleetEvent.only(events, RunStarted.class).stream().collect(Collectors.groupingBy(RunStarted::attemptId));
-        arrivals = FleetEvent.only(events, Arrived.class).stream().collect(Collectors.groupingBy(Arrived::attemptId));
+        FleetEvent.ofType(events, AttemptSent.class).forEach(event -> sent.put(event.attemptId(), event));
+        FleetEvent.ofType(events, AttemptEnded.class).forEach(event -> ended.put(event.attemptId(), event));
+        runs = FleetEvent.ofType(events, RunStarted.class).stream()
+                .collect(Collectors.groupingBy(RunStarted::attemptId));
+        arrivals = FleetEvent.ofType(events, Arrived.class).stream().collect(Collectors.groupingBy(Arrived::attemptId));
     }
 
     Collection<AttemptSent> all() {
         return sent.values();
     }
 
-    /** Empty where no client sent it. */
+    /** Returns the start of an attempt; empty if no client sent it. */
     Optional<AttemptSent> sent(String attemptId) {
         return Optional.ofNullable(sent.get(attemptId));
     }
 
-    /** Empty where the history ends before the attempt. */
+    /** Returns the end of an attempt; empty if the attempt was still open when the history ended. */
     Optional<AttemptEnded> ended(String attemptId) {
         return Optional.ofNullable(ended.get(attemptId));
     }
--- a/emulator/src/main/java/dewplank/emulator/fleet/Chunks.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/Chunks.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** Chunks of a body whose length is not known (RFC 9112, section 7.1). */
+/** Encodes the chunks of a body of unknown length (RFC 9112, section 7.1). */
 final class Chunks {
     private Chunks() {}
 
--- a/emulator/src/main/java/dewplank/emulator/fleet/ClientAttempt.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/ClientAttempt.java
@@ -3,19 +3,19 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
-/** An attempt that a client has sent. */
+/** An attempt that a client sends. */
 public final class ClientAttempt {
     /**
-     * How an attempt ended.
+     * The outcome of an attempt.
      *
-     * @param status 0 where no head of a response came
-     * @param seal names the server's response; empty where the response has none
-     * @param retryAfter the header's value; empty where the response has none
-     * @param complete whether the response's end came
+     * @param status 0 if no response head was received
+     * @param seal identifies the server's response; empty if the response has none
+     * @param retryAfter the value of the header; empty if the response has none
+     * @param complete whether the end of the response was received
      */
     public record Outcome(
             int status, Optional<String> seal, Optional<String> retryAfter, String body, boolean complete) {
-        /** Whether a complete response with status 200 came. */
+        /** Whether a complete response with status 200 was received. */
         public boolean served() {
             return status == 200 && complete;
         }
@@ -30,17 +30,17 @@
         this.abandonAction = abandonAction;
     }
 
-    /** The id that the request carries. */
+    /** The id in the request's header. */
     public String id() {
         return id;
     }
 
-    /** The end of the attempt; completed on the loop's thread. */
+    /** Completes with the outcome of the attempt, on the loop's thread. */
     public CompletableFuture<Outcome> ended() {
         return ended;
     }
 
-    /** Closes the client's connection; from any thread. Nothing once the attempt has ended. */
+    /** Closes the client's connection; does nothing if the attempt has ended. May be called from any thread. */
     public void abandon() {
         abandonAction.run();
     }
--- a/emulator/src/main/java/dewplank/emulator/fleet/ClientRequest.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/ClientRequest.java
@@ -5,10 +5,10 @@
 /**
  * A request that a client sends in one or more attempts.
  *
- * @param events the number of events of a stream; 0 for a plain request
- * @param prompt the parts of a generation's prompt with their token counts; empty where none are named
- * @param timeoutMs how long the client waits for the response's end
- * @param accessKey the key of the client's tenant; empty where it sends none
+ * @param events the number of events in a stream; 0 for a plain request
+ * @param prompt the parts of a generation's prompt with their token counts; empty if the request names none
+ * @param timeoutMs how long the client waits for the end of the response
+ * @param accessKey the access key of the client's tenant; empty if the client sends none
  */
 public record ClientRequest(
         RouteSpec route,
@@ -21,7 +21,7 @@
         Optional<String> accessKey) {
     private static final int TIMEOUT_MS = 8_000;
 
-    /** A request whose response is not a stream. */
+    /** Creates a request whose response is not a stream. */
     public static ClientRequest plain(RouteSpec route, String name) {
         return new ClientRequest(
                 route,
@@ -34,7 +34,7 @@
                 Optional.empty());
     }
 
-    /** A generation that names the parts of its prompt, so that a prefill server reads it first. */
+    /** Creates a generation that names the parts of its prompt, so that a prefill server processes the prompt first. */
     public static ClientRequest split(RouteSpec route, String name, int events) {
         return new ClientRequest(
                 route,
@@ -47,7 +47,7 @@
                 Optional.empty());
     }
 
-    /** A generation that names no parts, so that the decode server reads its prompt. */
+    /** Creates a generation without named parts of its prompt, so that the decode server processes the prompt. */
     public static ClientRequest direct(RouteSpec route, String name, int events) {
         return new ClientRequest(
                 route,
@@ -60,12 +60,12 @@
                 Optional.empty());
     }
 
-    /** The same request with another time-out. */
+    /** Returns a copy with another time-out. */
     public ClientRequest withTimeout(int nextTimeoutMs) {
         return new ClientRequest(route, method, target, body, events, prompt, nextTimeoutMs, accessKey);
     }
 
-    /** The same request by a client that sends this access key. */
+    /** Returns a copy with the given access key. */
     public ClientRequest withAccessKey(String key) {
         return new ClientRequest(route, method, target, body, events, prompt, timeoutMs, Optional.of(key));
     }
--- a/emulator/src/main/java/dewplank/emulator/fleet/ConfigurationRules.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/ConfigurationRules.java
@@ -17,89 +17,89 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Rules for configurations: which are acknowledged, read back and in force. */
+/** Checks which configurations are acknowledged, read back and applied. */
 final class ConfigurationRules {
     private static final int OK = 200;
     private static final int NOT_FOUND = 404;
 
     private final List<FleetEvent> events;
     private final AttemptLog attempts;
-    private final List<ChangeSent> sent; // without those that were refused, which are never in force
+    private final List<ChangeSent> sentChanges; // without rejected changes, which are never applied
     private final List<ChangeAnswered> acknowledged;
     private final List<ProcessFaulted> faults;
-    private final List<Violation> found = new ArrayList<>();
+    private final List<Violation> violations = new ArrayList<>();
 
     ConfigurationRules(List<FleetEvent> events, AttemptLog attempts) {
         this.events = events;
         this.attempts = attempts;
-        List<ChangeAnswered> answers = FleetEvent.only(events, ChangeAnswered.class);
-        this.sent = FleetEvent.only(events, ChangeSent.class).stream()
-                .filter(change -> answers.stream().noneMatch(answer -> wasRefused(answer, change)))
+        List<ChangeAnswered> responses = FleetEvent.ofType(events, ChangeAnswered.class);
+        this.sentChanges = FleetEvent.ofType(events, ChangeSent.class).stream()
+                .filter(change -> responses.stream().noneMatch(response -> wasRejected(response, change)))
                 .toList();
         this.acknowledged =
-                answers.stream().filter(answer -> answer.status() == OK).toList();
-        this.faults = FleetEvent.only(events, ProcessFaulted.class).stream()
-                .filter(fault -> fault.fault() != ProcessFault.RELOADED) // it ends no contact
+                responses.stream().filter(response -> response.status() == OK).toList();
+        this.faults = FleetEvent.ofType(events, ProcessFaulted.class).stream()
+                .filter(fault -> fault.fault() != ProcessFault.RELOADED) // a reload does not interrupt connections
                 .toList();
     }
 
-    private static boolean wasRefused(ChangeAnswered answer, ChangeSent change) {
-        return answer.status() != 0
-                && answer.status() != OK
-                && answer.base() == change.base()
-                && answer.text().equals(change.text());
+    private static boolean wasRejected(ChangeAnswered response, ChangeSent change) {
+        return response.status() != 0
+                && response.status() != OK
+                && response.base() == change.base()
+                && response.text().equals(change.text());
     }
 
     List<Violation> check() {
         checkAcknowledgements();
-        FleetEvent.only(events, ReadBack.class).forEach(this::checkReadBack);
+        FleetEvent.ofType(events, ReadBack.class).forEach(this::checkReadBack);
         for (AttemptSent attempt : attempts.all()) {
             attempts.runs(attempt.attemptId()).forEach(run -> checkRoute(attempt, run));
             checkCurrent(attempt);
         }
-        return found;
+        return violations;
     }
 
     private void report(Rule rule, String detail) {
-        found.add(new Violation(rule, detail));
+        violations.add(new Violation(rule, detail));
     }
 
     private void checkAcknowledgements() {
-        Map<Long, Set<String>> onBase = new HashMap<>();
-        for (ChangeAnswered answer : acknowledged) {
-            if (answer.document().isEmpty()) {
-                report(Rule.CONFIG, "an invalid configuration was acknowledged: " + answer.text());
+        Map<Long, Set<String>> textsByBase = new HashMap<>();
+        for (ChangeAnswered response : acknowledged) {
+            if (response.document().isEmpty()) {
+                report(Rule.CONFIG, "an invalid configuration was acknowledged: " + response.text());
             }
-            onBase.computeIfAbsent(answer.base(), any -> new HashSet<>()).add(answer.text());
+            textsByBase.computeIfAbsent(response.base(), any -> new HashSet<>()).add(response.text());
         }
-        onBase.forEach((base, texts) -> {
+        textsByBase.forEach((base, texts) -> {
             if (texts.size() > 1) {
-                report(Rule.CONFIG, "on version " + base + " were acknowledged " + texts);
+                report(Rule.CONFIG, "several changes of version " + base + " were acknowledged: " + texts);
             }
         });
     }
 
     private void checkReadBack(ReadBack read) {
         long newest = acknowledged.stream()
-                .filter(answer -> answer.atMs() <= read.sentAtMs())
-                .flatMap(answer -> answer.document().stream())
+                .filter(response -> response.atMs() <= read.sentAtMs())
+                .flatMap(response -> response.document().stream())
                 .mapToLong(FleetConfiguration::version)
                 .max()
                 .orElse(0);
         long version = FleetConfiguration.versionOf(read.text());
         if (version < newest) {
-            report(Rule.CONFIG, "read back was " + version + ", acknowledged " + newest);
+            report(Rule.CONFIG, "read version " + version + " after the acknowledgement of version " + newest);
         }
-        boolean asSent = sent.stream()
+        boolean wasSent = sentChanges.stream()
                 .flatMap(change -> change.document().stream())
-                .anyMatch(document -> document.sameAs(read.text()));
-        if (version > 0 && !asSent) {
-            report(Rule.CONFIG, "read back was what nobody sent: " + read.text());
+                .anyMatch(document -> document.hasSameContentAs(read.text()));
+        if (version > 0 && !wasSent) {
+            report(Rule.CONFIG, "read a configuration that the operator did not send: " + read.text());
         }
     }
 
     private void checkRoute(AttemptSent attempt, RunStarted run) {
-        if (sent.stream()
+        if (sentChanges.stream()
                 .flatMap(change -> change.document().stream())
                 .noneMatch(document -> allows(document, attempt, run))) {
             report(
@@ -109,19 +109,19 @@
     }
 
     private static boolean allows(FleetConfiguration document, AttemptSent attempt, RunStarted run) {
-        return document.allows(
+        return document.allowedServices(
                         attempt.request().route().host(), attempt.request().target())
                 .contains(run.server().service());
     }
 
-    /** A request sent long after an acknowledgement is handled by that version or a later one. */
+    /** Checks that a request sent long after an acknowledgement is handled by that version or a later one. */
     private void checkCurrent(AttemptSent attempt) {
         long requiredVersion = requiredVersion(attempt);
         Optional<AttemptEnded> ended = attempts.ended(attempt.attemptId());
         if (requiredVersion == 0 || ended.isEmpty()) {
             return;
         }
-        List<FleetConfiguration> valid = sent.stream()
+        List<FleetConfiguration> valid = sentChanges.stream()
                 .flatMap(change -> change.document().stream())
                 .filter(document -> document.version() >= requiredVersion)
                 .toList();
@@ -133,25 +133,25 @@
                                 + requiredVersion);
             }
         }
-        boolean missing = valid.stream().anyMatch(document -> document.allows(
+        boolean missing = valid.stream().anyMatch(document -> document.allowedServices(
                         attempt.request().route().host(), attempt.request().target())
                 .isEmpty());
         if (ended.get().status() == NOT_FOUND && !missing) {
-            report(Rule.STALE, attempt.attemptId() + " got 404 long after version " + requiredVersion);
+            report(Rule.STALE, attempt.attemptId() + " received 404 long after version " + requiredVersion);
         }
     }
 
     private long requiredVersion(AttemptSent attempt) {
         return acknowledged.stream()
-                .filter(answer -> attempt.atMs() > answer.atMs() + FleetBounds.CONFIG_APPLY_MS
-                        && hadNoFaults(answer.atMs(), attempt.atMs()))
-                .flatMap(answer -> answer.document().stream())
+                .filter(response -> attempt.atMs() > response.atMs() + FleetBounds.CONFIG_APPLY_MS
+                        && hadNoFaults(response.atMs(), attempt.atMs()))
+                .flatMap(response -> response.document().stream())
                 .mapToLong(FleetConfiguration::version)
                 .max()
                 .orElse(0);
     }
 
-    /** Whether no process had a fault from shortly before the acknowledgement until the request. */
+    /** Whether no process had a fault between the contact time before the acknowledgement and the request. */
     private boolean hadNoFaults(double from, double to) {
         return faults.stream().noneMatch(fault -> fault.atMs() > from - FleetBounds.CONTACT_MS && fault.atMs() < to);
     }
--- a/emulator/src/main/java/dewplank/emulator/fleet/ContextHandles.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/ContextHandles.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The KV caches that prefill servers keep for decode servers, by handle; on the loop's thread only. */
+/** The KV caches that prefill servers store for decode servers, by handle. Used only on the loop's thread. */
 final class ContextHandles {
     private final History history;
     private final Map<String, String> owners = new HashMap<>();
@@ -13,7 +13,7 @@
         this.history = history;
     }
 
-    /** Keeps a cache for an attempt; its handle. */
+    /** Stores a cache for an attempt and returns its handle. */
     String create(double now, ServerIdentity server, String attemptId) {
         String handle = "h" + ++createdCount;
         owners.put(server.address() + "/" + handle, attemptId);
@@ -21,7 +21,7 @@
         return handle;
     }
 
-    /** Fetches and removes the cache of {@code IP:PORT/HANDLE}; whether there was one. */
+    /** Fetches and removes the cache at {@code IP:PORT/HANDLE}; returns false if there is none. */
     boolean fetch(double now, String from, String byAttemptId) {
         if (owners.remove(from) == null) {
             return false;
@@ -30,7 +30,7 @@
         return true;
     }
 
-    /** Drops a cache; nothing where it was fetched or freed before. */
+    /** Drops a cache; does nothing if it was fetched or freed before. */
     void free(double now, ServerIdentity server, String handle) {
         if (owners.remove(server.address() + "/" + handle) != null) {
             history.add(new FleetEvent.HandleFreed(now, handle));
--- a/emulator/src/main/java/dewplank/emulator/fleet/FleetAuditor.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/FleetAuditor.java
@@ -3,20 +3,20 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Checks a history once the run is over. */
+/** Checks a history after the run has ended. */
 public final class FleetAuditor {
     private FleetAuditor() {}
 
-    /** The rules that the history breaks, with where; empty where it keeps all. */
+    /** Returns the violations in the history; empty if there is none. */
     public static List<Violation> audit(List<FleetEvent> events) {
-        List<Violation> found = new ArrayList<>();
+        List<Violation> violations = new ArrayList<>();
         AttemptLog attempts = new AttemptLog(events);
-        found.addAll(new RequestRules(events, attempts).check());
-        found.addAll(new LostRequestRules(events, attempts).check());
-        found.addAll(new StreamRules(events, attempts).check());
-        found.addAll(new HandleRules(events).check());
-        found.addAll(new ConfigurationRules(events, attempts).check());
-        found.addAll(new PlatformRules(events).check());
-        return found;
+        violations.addAll(new RequestRules(events, attempts).check());
+        violations.addAll(new LostRequestRules(events, attempts).check());
+        violations.addAll(new StreamRules(events, attempts).check());
+        violations.addAll(new HandleRules(events).check());
+        violations.addAll(new ConfigurationRules(events, attempts).check());
+        violations.addAll(new PlatformRules(events).check());
+        return violations;
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/fleet/FleetClient.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/FleetClient.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Stands in for clients: sends each attempt on a new connection and records it in the history. */
+/** Simulates clients: sends each attempt on a new connection and records it in the history. */
 public final class FleetClient {
     private final EventLoop loop;
     private final History history;
@@ -21,19 +21,19 @@
         this.history = history;
     }
 
-    /** Sends an attempt to a data plane; from any thread. */
+    /** Sends an attempt to a data plane; may be called from any thread. */
     public ClientAttempt send(FleetMachine to, ClientRequest request) {
         Exchange exchange = new Exchange(nextAttemptId(), request);
         loop.execute(() -> exchange.start(to));
         return exchange.attempt;
     }
 
-    /** An id that no other attempt has; from any thread. */
+    /** Returns a unique id for an attempt; may be called from any thread. */
     String nextAttemptId() {
         return String.format("%016x", attemptCount.incrementAndGet());
     }
 
-    /** The bytes of an attempt. */
+    /** Encodes an attempt as an HTTP request. */
     static ByteBuffer message(String id, ClientRequest request) {
         MessageWriter message = MessageWriter.request(
                         request.method(), request.target(), request.route().host())
@@ -57,7 +57,7 @@
         private Optional<ResponseParser> head = Optional.empty();
         private HttpClient client;
         private HttpClient.Call call;
-        private boolean isOver;
+        private boolean isDone;
         private boolean isComplete;
 
         Exchange(String id, ClientRequest request) {
@@ -72,9 +72,9 @@
             loop.after(request.timeoutMs(), () -> cancel(false));
         }
 
-        /** {@code isAbandoned}: the client closed the connection; otherwise its time-out expired. */
+        /** {@code isAbandoned} is true if the client closes the connection, and false if its time-out has expired. */
         private void cancel(boolean isAbandoned) {
-            if (!isOver) {
+            if (!isDone) {
                 call.cancel();
                 end(isAbandoned);
             }
@@ -104,7 +104,7 @@
         }
 
         private void end(boolean isAbandoned) {
-            isOver = true;
+            isDone = true;
             int status = head.map(ResponseParser::status).orElse(0);
             Optional<String> seal = header(WireFields.SEAL);
             String text = body.toString(StandardCharsets.UTF_8);
--- a/emulator/src/main/java/dewplank/emulator/fleet/FleetConfiguration.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/FleetConfiguration.java
@@ -14,32 +14,31 @@
 import java.util.stream.Collectors;
 
 /**
- * A configuration that the operator sends; immutable. Routes, services and tenants are unique by name.
+ * A configuration that the operator sends. Immutable; the names of routes, services and tenants are unique.
  *
- * @param tenants empty: the configuration has no list of them, so no request needs an access key
+ * @param tenants if empty, the document has no list of tenants, and no request needs an access key
  */
 public record FleetConfiguration(
         long version, List<RouteSpec> routes, List<ServiceSpec> services, List<TenantSpec> tenants) {
     private static final List<String> LISTS = List.of("routes", "services", "tenants");
 
-    /** Copies the lists. */
     public FleetConfiguration {
         routes = List.copyOf(routes);
         services = List.copyOf(services);
         tenants = List.copyOf(tenants);
     }
 
-    /** A configuration without tenants. */
+    /** Creates a configuration without tenants. */
     public FleetConfiguration(long version, List<RouteSpec> routes, List<ServiceSpec> services) {
         this(version, routes, services, List.of());
     }
 
-    /** The same with another version and these tenants. */
+    /** Returns a copy with another version and other tenants. */
     public FleetConfiguration withTenants(long nextVersion, TenantSpec... nextTenants) {
         return new FleetConfiguration(nextVersion, routes, services, List.of(nextTenants));
     }
 
-    /** The same with another version and a route added, or replaced by its name. */
+    /** Returns a copy with another version and the route added; it replaces a route with the same name. */
     public FleetConfiguration with(long nextVersion, RouteSpec route) {
         List<RouteSpec> next = new ArrayList<>(routes);
         next.removeIf(present -> present.name().equals(route.name()));
@@ -47,19 +46,19 @@
         return new FleetConfiguration(nextVersion, next, services, tenants);
     }
 
-    /** The same with another version and without a route. */
+    /** Returns a copy with another version and without the named route. */
     public FleetConfiguration without(long nextVersion, String route) {
         List<RouteSpec> next =
                 routes.stream().filter(present -> !present.name().equals(route)).toList();
         return new FleetConfiguration(nextVersion, next, services, tenants);
     }
 
-    /** The same with another version. */
+    /** Returns a copy with another version. */
     public FleetConfiguration withVersion(long nextVersion) {
         return new FleetConfiguration(nextVersion, routes, services, tenants);
     }
 
-    /** The route of that name; throws where there is none. */
+    /** Returns the route with the given name; throws if there is none. */
     public RouteSpec route(String name) {
         return routes.stream()
                 .filter(route -> route.name().equals(name))
@@ -67,8 +66,8 @@
                 .orElseThrow();
     }
 
-    /** The services that a request may be sent to; empty where no route matches. */
-    Set<String> allows(String host, String target) {
+    /** Returns the services to which a request may be sent; empty if no route matches. */
+    Set<String> allowedServices(String host, String target) {
         return routes.stream()
                 .filter(route -> route.host().equals(host) && target.startsWith(route.prefix()))
                 .max(Comparator.comparingInt(route -> route.prefix().length()))
@@ -79,7 +78,7 @@
                 .orElse(Set.of());
     }
 
-    /** The document as the operator's interface takes it. */
+    /** Returns the document in the format of the operator's interface. */
     public JsonObject json() {
         JsonObject document = new JsonObject();
         document.addProperty("config_version", version);
@@ -92,7 +91,7 @@
         return document;
     }
 
-    /** The patch that turns {@code base} into this configuration. */
+    /** Returns the patch that turns {@code base} into this configuration. */
     JsonObject patchFrom(FleetConfiguration base) {
         JsonObject patch = new JsonObject();
         patch.addProperty("config_version", version);
@@ -139,16 +138,17 @@
         return limits;
     }
 
-    /** Whether a text that was read back is this configuration, in any order of named items. */
-    boolean sameAs(String text) {
+    /** Whether a text is this configuration, irrespective of the order of its named items. */
+    boolean hasSameContentAs(String text) {
         try {
-            return byNames(JsonParser.parseString(text).getAsJsonObject()).equals(byNames(json()));
+            return withItemsByName(JsonParser.parseString(text).getAsJsonObject())
+                    .equals(withItemsByName(json()));
         } catch (JsonParseException | IllegalStateException e) {
             return false;
         }
     }
 
-    private static Map<String, Object> byNames(JsonObject document) {
+    private static Map<String, Object> withItemsByName(JsonObject document) {
         Map<String, Object> all = new HashMap<>(document.asMap());
         for (String list : LISTS) {
             Map<String, JsonElement> items = new HashMap<>();
@@ -161,14 +161,14 @@
         return all;
     }
 
-    /** The version that a text names; -1 where it is no configuration. */
+    /** Returns the version of the configuration in a text; -1 if the text is not a configuration. */
     static long versionOf(String text) {
         try {
             return JsonParser.parseString(text)
                     .getAsJsonObject()
                     .get("config_version")
                     .getAsLong();
-        } catch (RuntimeException notOne) {
+        } catch (RuntimeException e) {
             return -1;
         }
     }
--- a/emulator/src/main/java/dewplank/emulator/fleet/FleetEvent.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/FleetEvent.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** An event that a stand-in observed or caused; {@code atMs} is the time of the stand-ins' loop. */
+/** An event that a stand-in observed or caused; {@code atMs} is the time on the clock of the stand-ins' event loop. */
 public sealed interface FleetEvent {
     double atMs();
 
@@ -14,7 +14,7 @@
         CRASHED
     }
 
-    /** What the test does to a process. */
+    /** A fault or control operation that the test applies to a process. */
     enum ProcessFault {
         STARTED,
         KILLED,
@@ -22,7 +22,7 @@
         FROZEN,
         THAWED,
         WIPED,
-        /** SIGHUP, with another settings file than before. */
+        /** SIGHUP after a change to the settings file. */
         RELOADED
     }
 
@@ -31,18 +31,19 @@
     /** A client sent an attempt. */
     record AttemptSent(double atMs, String node, String attemptId, ClientRequest request) implements FleetEvent {}
 
-    /** The attempt was sent on a connection on which a response had come before. */
+    /** The attempt was sent on a connection that had already carried a response. */
     record ConnectionReused(double atMs, String attemptId) implements FleetEvent {}
 
-    /** Bytes came on a connection on which no request waited. */
+    /** A client received bytes on a connection without a pending request. */
     record UnexpectedBytes(double atMs, String node, String text) implements FleetEvent {}
 
-    /** Bytes of a stream reached the client. {@code seal}: empty where the response has none. */
+    /** A client received bytes of a stream. {@code seal} is empty if the response has none. */
     record StreamBytes(double atMs, String attemptId, int status, Optional<String> seal, String text)
             implements FleetEvent {}
 
     /**
-     * An attempt ended; {@code status} 0: no head of a response came. {@code seal}: empty where the response has none.
+     * An attempt ended. {@code status} is 0 if no response head was received; {@code seal} is empty if the response has
+     * none.
      */
     record AttemptEnded(
             double atMs,
@@ -53,7 +54,7 @@
             boolean complete,
             boolean abandoned)
             implements FleetEvent {
-        /** Whether a complete response with a status from 200 to 299 came. */
+        /** Whether a complete response with a status from 200 to 299 was received. */
         boolean isSuccess() {
             return complete && status / 100 == 2;
         }
@@ -61,7 +62,7 @@
 
     // ---- servers --------------------------------------------------------------------------------------
 
-    /** A request reached a server, whatever becomes of it. {@code tenant}: empty where it names none. */
+    /** A server received a request, before it runs or rejects it. {@code tenant} is empty if the request names none. */
     record Arrived(
             double atMs,
             ServerIdentity server,
@@ -72,7 +73,7 @@
             String body,
             Optional<String> tenant)
             implements FleetEvent {
-        /** One that names no tenant. */
+        /** Creates an event for a request that names no tenant. */
         Arrived(
                 double atMs,
                 ServerIdentity server,
@@ -85,28 +86,28 @@
         }
     }
 
-    /** A server began to work on a request. */
+    /** A server started to run a request. */
     record RunStarted(double atMs, ServerIdentity server, String attemptId) implements FleetEvent {}
 
     /** A server rejected a request without running it. */
     record RunRejected(double atMs, ServerIdentity server, String attemptId, int status) implements FleetEvent {}
 
-    /** A server sent a response that is not a stream. {@code seal}: empty for one without. */
-    record Answered(
+    /** A server sent a response that is not a stream. {@code seal} is empty if the response has none. */
+    record ResponseSent(
             double atMs, ServerIdentity server, String attemptId, int status, Optional<String> seal, String body)
             implements FleetEvent {}
 
     /** A server sent the head of a stream. */
-    record StreamBegun(double atMs, ServerIdentity server, String attemptId, String seal) implements FleetEvent {}
+    record StreamStarted(double atMs, ServerIdentity server, String attemptId, String seal) implements FleetEvent {}
 
     /** A server sent an event of a stream. */
     record StreamEventSent(double atMs, ServerIdentity server, String attemptId, int id, String text)
             implements FleetEvent {}
 
-    /** A run at a server ended. */
+    /** A server's run of a request ended. */
     record RunEnded(double atMs, ServerIdentity server, String attemptId, RunEnd how) implements FleetEvent {}
 
-    /** A prefill server keeps a KV cache for an attempt. */
+    /** A prefill server stored a KV cache for an attempt. */
     record HandleCreated(double atMs, ServerIdentity server, String handle, String attemptId) implements FleetEvent {}
 
     /** A decode server fetched a KV cache from a prefill server. */
@@ -117,26 +118,26 @@
 
     // ---- platform -------------------------------------------------------------------------------------
 
-    /** A process requested a page of the endpoint list; {@code status} 0: the platform did not respond. */
+    /** A process requested a page of the endpoint list; {@code status} is 0 if the platform did not respond. */
     record EndpointListRequested(double atMs, String node, int status) implements FleetEvent {}
 
-    /** The endpoint list shows the server as draining from now on. */
+    /** The endpoint list starts to show the server as draining. */
     record ListedDraining(double atMs, ServerIdentity server) implements FleetEvent {}
 
     // ---- operator -------------------------------------------------------------------------------------
 
-    /** The operator began to send a change; {@code document}: the result of the change, empty where it is invalid. */
+    /** The operator sent a change; {@code document} is the resulting configuration, empty for an invalid change. */
     record ChangeSent(double atMs, long base, Optional<FleetConfiguration> document, String text)
             implements FleetEvent {}
 
-    /** One control plane's response to a change; {@code status} 0: none came. */
+    /** One control plane responded to a change; {@code status} is 0 if no response was received. */
     record ChangeAttempted(double atMs, String node, String text, int status) implements FleetEvent {}
 
-    /** The operator has the final response to a change; {@code status} 0: no control plane gave one. */
+    /** The operator received the final response to a change; {@code status} is 0 if no control plane sent one. */
     record ChangeAnswered(double atMs, long base, Optional<FleetConfiguration> document, String text, int status)
             implements FleetEvent {}
 
-    /** A configuration was read back; {@code text} is empty where none was served. */
+    /** The operator read the configuration; {@code text} is empty if no control plane returned one. */
     record ReadBack(double atMs, double sentAtMs, String node, String text) implements FleetEvent {}
 
     // ---- processes ------------------------------------------------------------------------------------
@@ -147,16 +148,16 @@
 
     // ---- stand-ins ------------------------------------------------------------------------------------
 
-    /** The stand-ins' loop did nothing from {@code fromMs} until now. */
+    /** The stand-ins' event loop was stalled from {@code fromMs} to {@code atMs}. */
     record StandInsStalled(double atMs, double fromMs) implements FleetEvent {
-        /** For how much of a span, in milliseconds. */
+        /** Returns the length of the stall within a time span, in milliseconds. */
         double overlapMs(double spanFromMs, double spanToMs) {
             return Math.max(0, Math.min(atMs, spanToMs) - Math.max(fromMs, spanFromMs));
         }
     }
 
-    /** The events of one kind. */
-    static <T extends FleetEvent> List<T> only(List<FleetEvent> events, Class<T> kind) {
+    /** Returns the events of one type. */
+    static <T extends FleetEvent> List<T> ofType(List<FleetEvent> events, Class<T> kind) {
         return events.stream().filter(kind::isInstance).map(kind::cast).toList();
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/fleet/FleetNetwork.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/FleetNetwork.java
@@ -7,8 +7,8 @@
 import java.net.ServerSocket;
 
 /**
- * The addresses of a fleet's machines in 127.0.0.0/8: one for each machine, with the same ports on all. A network is
- * reserved until {@link #close}, by a socket on its first address.
+ * Assigns addresses in 127.0.0.0/8 to a fleet's machines: one for each machine, with the same ports on all. A socket on
+ * the network's first address reserves the network until {@link #close}.
  */
 public final class FleetNetwork implements AutoCloseable {
     static final int FRONT_PORT = 18_144;
@@ -18,55 +18,56 @@
     static final int LAST_INTERNAL_PORT = 17_675;
     private static final int PLATFORM_PORT = 18_142;
     private static final int SERVER_PORT = 18_080;
-    private static final int GUARD_PORT = 18_139;
-    private static final int GUARD = 0;
-    private static final int FIRST_CONTROL = 10;
-    private static final int FIRST_DATA = 40;
+    private static final int RESERVATION_PORT = 18_139;
+    private static final int RESERVATION_MACHINE = 0;
+    private static final int FIRST_CONTROL_MACHINE = 10;
+    private static final int FIRST_DATA_MACHINE = 40;
     private static final int PLATFORM_OFFSET =
-            60; // from the number of a control machine to that of its platform address
-    private static final int FIRST_SERVER = 150;
+            60; // the number of a control machine plus this is the number of its platform address
+    private static final int FIRST_SERVER_MACHINE = 150;
 
     private final int number;
-    private final ServerSocket guard;
+    private final ServerSocket reservation;
 
-    private FleetNetwork(int number, ServerSocket guard) {
+    private FleetNetwork(int number, ServerSocket reservation) {
         this.number = number;
-        this.guard = guard;
+        this.reservation = reservation;
     }
 
-    /** Reserves a network that no other process on this machine uses. */
+    /** Reserves a network that no other process on this host uses. */
     public static FleetNetwork reserve() throws IOException {
         IOException last = null;
         for (int i = 0; i < Addresses.MAX_FLEETS; i++) {
             try {
-                return new FleetNetwork(i, new ServerSocket(GUARD_PORT, 1, Addresses.machine(i, GUARD)));
-            } catch (IOException taken) {
-                last = taken;
+                return new FleetNetwork(
+                        i, new ServerSocket(RESERVATION_PORT, 1, Addresses.machine(i, RESERVATION_MACHINE)));
+            } catch (IOException e) {
+                last = e;
             }
         }
-        throw new IOException("no network is free", last);
+        throw new IOException("all networks are in use", last);
     }
 
     InetAddress control(int machine) {
-        return Addresses.machine(number, FIRST_CONTROL + machine);
+        return Addresses.machine(number, FIRST_CONTROL_MACHINE + machine);
     }
 
     InetAddress data(int machine) {
-        return Addresses.machine(number, FIRST_DATA + machine);
+        return Addresses.machine(number, FIRST_DATA_MACHINE + machine);
     }
 
-    /** Where a control machine reaches the platform; one address each, so that the platform knows its caller. */
+    /** The platform's address for one control machine; a separate one each, which identifies the caller. */
     InetSocketAddress platform(int controlMachine) {
         return new InetSocketAddress(
-                Addresses.machine(number, FIRST_CONTROL + PLATFORM_OFFSET + controlMachine), PLATFORM_PORT);
+                Addresses.machine(number, FIRST_CONTROL_MACHINE + PLATFORM_OFFSET + controlMachine), PLATFORM_PORT);
     }
 
     InetSocketAddress server(int machine) {
-        return new InetSocketAddress(Addresses.machine(number, FIRST_SERVER + machine), SERVER_PORT);
+        return new InetSocketAddress(Addresses.machine(number, FIRST_SERVER_MACHINE + machine), SERVER_PORT);
     }
 
     @Override
     public void close() throws IOException {
-        guard.close();
+        reservation.close();
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/fleet/FleetProcess.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/FleetProcess.java
@@ -13,7 +13,7 @@
 import java.util.Optional;
 import java.util.stream.Stream;
 
-/** One process of the fleet. Whatever the test does to it is recorded in the history. Not thread-safe. */
+/** A process of the fleet. The history records each fault that the test causes in it. Not thread-safe. */
 public final class FleetProcess {
     private final EventLoop loop;
     private final History history;
@@ -44,17 +44,17 @@
         return machine;
     }
 
-    /** The file with the output of all its incarnations. */
+    /** The file with the output of all incarnations of the process. */
     public Path log() {
         return process.log();
     }
 
-    /** Starts the process as part of a fleet that starts for the first time. */
+    /** Starts the process for the first time, together with its fleet. */
     public void startFirst() throws IOException {
         start(true);
     }
 
-    /** Starts the process again, with the present content of its disk. */
+    /** Restarts the process with the current content of its disk. */
     public void restart() throws IOException {
         start(false);
     }
@@ -67,13 +67,13 @@
         process.start(SettingsFile.of(machine, seeds, initialStart, disk), List.of());
     }
 
-    /** Writes a settings file with these of the fleet's seeds, by their index, and sends SIGHUP. */
+    /** Writes a settings file that lists only the seeds with the given indexes, and sends SIGHUP. */
     public void reload(List<Integer> seedIndexes) throws IOException, InterruptedException {
         List<InetSocketAddress> chosen = seedIndexes.stream().map(seeds::get).toList();
         reload(SettingsFile.of(machine, chosen, false, disk));
     }
 
-    /** Writes a settings file that can't be read and sends SIGHUP. */
+    /** Writes a truncated settings file, which can't be parsed, and sends SIGHUP. */
     public void reloadUnreadable() throws IOException, InterruptedException {
         String text = SettingsFile.of(machine, seeds, false, disk);
         reload(text.substring(0, text.length() / 2));
@@ -85,24 +85,24 @@
         process.signal("HUP");
     }
 
-    /** How many seeds the settings files name. */
+    /** The number of seeds in the settings files. */
     public int seedCount() {
         return seeds.size();
     }
 
-    /** Whether the process runs, frozen or not. */
+    /** Whether the process is running or paused. */
     public boolean isAlive() {
         return process.isAlive();
     }
 
-    /** Sends SIGKILL and waits for the end. */
+    /** Sends SIGKILL and waits until the process has exited. */
     public void kill() throws InterruptedException {
         record(ProcessFault.KILLED);
         process.kill();
         process.awaitEnd();
     }
 
-    /** Sends SIGKILL at the end of the test; not recorded. */
+    /** Sends SIGKILL at the end of the test, without a record in the history. */
     void destroy() {
         process.kill();
     }
@@ -113,7 +113,7 @@
         process.signal("TERM");
     }
 
-    /** Waits for the end; whether it came within so many seconds. */
+    /** Waits until the process exits; returns false if it is still running after the given seconds. */
     public boolean awaitEnd(int seconds) throws InterruptedException {
         return process.awaitEnd(seconds);
     }
@@ -130,7 +130,7 @@
         process.signal("CONT");
     }
 
-    /** Deletes the disk of a control plane; its process must not run. */
+    /** Deletes the data directory of a control plane, whose process must not be running. */
     public void loseDisk() throws IOException {
         record(ProcessFault.WIPED);
         List<Path> all;
--- a/emulator/src/main/java/dewplank/emulator/fleet/Futures.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/Futures.java
@@ -5,16 +5,16 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 
-/** Waits for what the stand-ins complete on their loop. */
+/** Waits for futures that the stand-ins complete on their event loop. */
 public final class Futures {
     private static final long TIMEOUT_S = 30;
 
     private Futures() {}
 
     /**
-     * Waits for a result; not on the loop's thread.
+     * Waits for a result; must not be called on the loop's thread.
      *
-     * @throws IllegalStateException when there is none within 30 s, when it failed, or when the thread is interrupted
+     * @throws IllegalStateException if there is no result within 30 s, the future fails, or the thread is interrupted
      */
     public static <T> T await(CompletableFuture<T> future) {
         try {
@@ -23,7 +23,7 @@
             Thread.currentThread().interrupt();
             throw new IllegalStateException(e);
         } catch (ExecutionException | TimeoutException e) {
-            throw new IllegalStateException("no end came", e);
+            throw new IllegalStateException("the operation failed or timed out", e);
         }
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/fleet/HandleRules.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/HandleRules.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-/** Rules for handles: each is fetched at most once, and for the request that it was created for. */
+/** Checks that each KV handle is fetched at most once, and for the request that it was created for. */
 final class HandleRules {
     private final List<FleetEvent> events;
 
@@ -19,19 +19,21 @@
     }
 
     List<Violation> check() {
-        List<Violation> found = new ArrayList<>();
-        Map<String, String> owners = FleetEvent.only(events, HandleCreated.class).stream()
+        List<Violation> violations = new ArrayList<>();
+        Map<String, String> owners = FleetEvent.ofType(events, HandleCreated.class).stream()
                 .collect(Collectors.toMap(HandleCreated::handle, HandleCreated::attemptId));
         Set<String> fetched = new HashSet<>();
-        for (HandleFetched t : FleetEvent.only(events, HandleFetched.class)) {
-            if (!fetched.add(t.handle())) {
-                found.add(new Violation(Rule.HANDLE, t.handle() + " was taken twice"));
+        for (HandleFetched fetch : FleetEvent.ofType(events, HandleFetched.class)) {
+            if (!fetched.add(fetch.handle())) {
+                violations.add(new Violation(Rule.HANDLE, fetch.handle() + " was fetched twice"));
             }
-            if (!t.byAttemptId().equals(owners.get(t.handle()))) {
-                found.add(new Violation(
-                        Rule.HANDLE, t.handle() + " of " + owners.get(t.handle()) + " taken for " + t.byAttemptId()));
+            if (!fetch.byAttemptId().equals(owners.get(fetch.handle()))) {
+                violations.add(new Violation(
+                        Rule.HANDLE,
+                        fetch.handle() + " of " + owners.get(fetch.handle()) + " was fetched for "
+                                + fetch.byAttemptId()));
             }
         }
-        return found;
+        return violations;
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/fleet/History.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/History.java
@@ -7,7 +7,7 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Predicate;
 
-/** The events of all stand-ins, in order. Tests wait here for events and states; thread-safe. */
+/** Records the events of all stand-ins in order, and lets tests wait for events and states. Thread-safe. */
 public final class History {
     private static final long AWAIT_TIMEOUT_S = 20;
     private static final long MAX_POLL_INTERVAL_MS = 100;
@@ -23,73 +23,73 @@
         notifyAll();
     }
 
-    /** All events so far. */
+    /** Returns all events recorded so far. */
     public synchronized List<FleetEvent> events() {
         return List.copyOf(events);
     }
 
-    /** The events of one kind so far. */
-    public <T extends FleetEvent> List<T> events(Class<T> kind) {
-        return FleetEvent.only(events(), kind);
+    /** Returns the events of one type recorded so far. */
+    public <T extends FleetEvent> List<T> events(Class<T> type) {
+        return FleetEvent.ofType(events(), type);
     }
 
     /**
-     * Waits for an event, past or future.
+     * Waits until the history contains an event that matches; it may have been recorded before the call.
      *
-     * @param what names the event in the message of the exception
-     * @throws TimeoutException when there is none within 20 s
+     * @param description describes the event in the exception message
+     * @throws TimeoutException if there is none within 20 s
      */
-    public <T extends FleetEvent> T await(String what, Class<T> kind, Predicate<T> wanted)
+    public <T extends FleetEvent> T await(String description, Class<T> type, Predicate<T> condition)
             throws InterruptedException, TimeoutException {
         long deadlineNanos = deadlineFromNow();
         int next = 0;
         while (true) {
-            List<FleetEvent> more = after(next, deadlineNanos, what);
+            List<FleetEvent> more = awaitEventsAfter(next, deadlineNanos, description);
             next += more.size();
             for (FleetEvent event : more) {
-                if (kind.isInstance(event) && wanted.test(kind.cast(event))) {
-                    return kind.cast(event);
+                if (type.isInstance(event) && condition.test(type.cast(event))) {
+                    return type.cast(event);
                 }
             }
         }
     }
 
-    private synchronized List<FleetEvent> after(int seen, long deadlineNanos, String what)
+    private synchronized List<FleetEvent> awaitEventsAfter(int knownCount, long deadlineNanos, String description)
             throws InterruptedException, TimeoutException {
-        while (events.size() == seen) {
-            waitUntil(deadlineNanos, what, Long.MAX_VALUE);
+        while (events.size() == knownCount) {
+            waitUntil(deadlineNanos, description, Long.MAX_VALUE);
         }
-        return List.copyOf(events.subList(seen, events.size()));
+        return List.copyOf(events.subList(knownCount, events.size()));
     }
 
     /**
-     * Waits until a state is reached. Checks it after each call to the platform, as the fleet's state changes with
-     * those, and at least every 100 ms.
+     * Waits until a state is reached. Checks the state after each call to the platform, because the fleet's state
+     * changes with these calls, and at least every 100 ms.
      *
-     * @throws TimeoutException when it is not reached within 20 s
+     * @throws TimeoutException if the state is not reached within 20 s
      */
-    public void awaitState(String what, BooleanSupplier state) throws InterruptedException, TimeoutException {
+    public void awaitState(String description, BooleanSupplier state) throws InterruptedException, TimeoutException {
         long deadlineNanos = deadlineFromNow();
         while (!state.getAsBoolean()) {
-            awaitListCall(deadlineNanos, what);
+            awaitListCall(deadlineNanos, description);
         }
     }
 
-    private synchronized void awaitListCall(long deadlineNanos, String what)
+    private synchronized void awaitListCall(long deadlineNanos, String description)
             throws InterruptedException, TimeoutException {
         long before = listCallCount;
         long pollUntilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MAX_POLL_INTERVAL_MS);
         while (listCallCount == before && System.nanoTime() < pollUntilNanos) {
-            waitUntil(deadlineNanos, what, pollUntilNanos);
+            waitUntil(deadlineNanos, description, pollUntilNanos);
         }
     }
 
-    @SuppressWarnings("WaitNotInLoop") // the callers loop
-    private void waitUntil(long deadlineNanos, String what, long untilNanos)
+    @SuppressWarnings("WaitNotInLoop") // the callers wait in a loop
+    private void waitUntil(long deadlineNanos, String description, long untilNanos)
             throws InterruptedException, TimeoutException {
         long remainingNanos = deadlineNanos - System.nanoTime();
         if (remainingNanos <= 0) {
-            throw new TimeoutException("did not come about within " + AWAIT_TIMEOUT_S + " s: " + what);
+            throw new TimeoutException("condition not met within " + AWAIT_TIMEOUT_S + " s: " + description);
         }
         long maxWaitNanos = untilNanos == Long.MAX_VALUE
                 ? remainingNanos
--- a/emulator/src/main/java/dewplank/emulator/fleet/KeepAliveLoad.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/KeepAliveLoad.java
@@ -18,9 +18,9 @@
 import java.util.concurrent.TimeoutException;
 
 /**
- * Clients that each keep one connection to a data plane and send one request after another on it, until the connection
- * ends; then they open the next. No request is sent again by itself. State belongs to the loop's thread; the public
- * methods may be called from any thread.
+ * Runs clients that each use one persistent connection to a data plane and send one request after another on it. When
+ * the connection ends, the client opens another one. Requests are not retried. The state is confined to the loop's
+ * thread; the public methods may be called from any thread.
  */
 public final class KeepAliveLoad {
     private static final double PAUSE_MS = 5;
@@ -45,7 +45,7 @@
         this.client = client;
         for (FleetMachine machine : machines) {
             for (ClientRequest request : requests) {
-                KeptConnection connection = new KeptConnection(machine, request);
+                PersistentClient connection = new PersistentClient(machine, request);
                 ends.add(connection.end);
                 loop.execute(connection::connect);
             }
@@ -58,8 +58,8 @@
         CompletableFuture.allOf(ends.toArray(new CompletableFuture<?>[0])).get(STOP_TIMEOUT_S, TimeUnit.SECONDS);
     }
 
-    /** One client: its connections, one after another, and the attempt under way. */
-    private final class KeptConnection implements Connection.Handler {
+    /** A client with its current connection and the attempt in progress. */
+    private final class PersistentClient implements Connection.Handler {
         private final FleetMachine machine;
         private final ClientRequest request;
         private final CompletableFuture<Void> end = new CompletableFuture<>();
@@ -69,7 +69,7 @@
         private Optional<String> attemptId = Optional.empty();
         private boolean isReused;
 
-        KeptConnection(FleetMachine machine, ClientRequest request) {
+        PersistentClient(FleetMachine machine, ClientRequest request) {
             this.machine = machine;
             this.request = request;
         }
@@ -94,7 +94,7 @@
 
         private void send() {
             if (connection.isClosed()) {
-                return; // its end was handled
+                return; // the close has been handled already
             }
             if (isStopping) {
                 connection.close();
@@ -132,7 +132,7 @@
             }
             try {
                 boolean isComplete = parser.feed(bytes);
-                takeBody();
+                recordBody();
                 if (isComplete) {
                     responseEnded();
                 }
@@ -143,7 +143,7 @@
             }
         }
 
-        private void takeBody() {
+        private void recordBody() {
             byte[] part = parser.takeBody();
             body.writeBytes(part);
             if (part.length > 0 && request.route().kind().streaming()) {
--- a/emulator/src/main/java/dewplank/emulator/fleet/LostRequestRules.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/LostRequestRules.java
@@ -19,21 +19,22 @@
 import java.util.stream.Collectors;
 
 /**
- * Rules for requests whose connection ends without a complete response. Around planned work (SIGTERM, SIGHUP) no
- * request may end so that was passed on to a server, or that was sent on a connection in use and ended later than the
- * slack. In calm times a data plane may end a few so. Trouble counts where it is on the data plane's own machine.
+ * Checks requests whose connection ends without a complete response. Around a planned operation (SIGTERM, SIGHUP) this
+ * must not happen to a request that was forwarded to a server, nor to one that was sent on a reused connection and
+ * ended later than the slack. Without any fault, a data plane may interrupt a few forwarded requests. Only faults of
+ * the data plane's own process are considered.
  */
 final class LostRequestRules {
     private static final int MS_PER_S = 1_000;
     private static final double GRACE_MS = FleetBounds.GRACE_S * MS_PER_S;
-    private static final double PLANNED_END_MS = GRACE_MS + MS_PER_S; // after SIGTERM
-    private static final double LAST_SIXTH_MS = GRACE_MS * 5 / 6; // after SIGTERM: the rest of the grace
-    private static final double SENT_BY_MS = 3_000; // after SIGTERM
-    private static final int MAX_IN_CALM_TIMES = 3;
-    private static final Set<ProcessFault> TROUBLE =
+    private static final double EXIT_WINDOW_MS = GRACE_MS + MS_PER_S; // from SIGTERM
+    private static final double LAST_SIXTH_START_MS = GRACE_MS * 5 / 6; // from SIGTERM
+    private static final double MAX_SENT_AFTER_MS = 3_000; // from SIGTERM
+    private static final int MAX_INTERRUPTED_WITHOUT_FAULT = 3;
+    private static final Set<ProcessFault> UNPLANNED_FAULTS =
             Set.of(ProcessFault.KILLED, ProcessFault.FROZEN, ProcessFault.THAWED, ProcessFault.WIPED);
-    /** What ends contact with a machine. A SIGHUP doesn't. */
-    private static final Set<ProcessFault> OUT_OF_TOUCH = Set.of(
+    /** Faults that interrupt the connections of a process. A SIGHUP does not. */
+    private static final Set<ProcessFault> DISCONNECTING_FAULTS = Set.of(
             ProcessFault.STARTED,
             ProcessFault.KILLED,
             ProcessFault.TERMINATED,
@@ -46,38 +47,39 @@
     private final Map<String, List<RunEnded>> runEnds;
     private final Map<String, List<ProcessFaulted>> faults;
     private final List<StandInsStalled> stalls;
-    private final Map<String, List<String>> endedInCalmTimes = new HashMap<>();
-    private final List<Violation> found = new ArrayList<>();
+    private final Map<String, List<String>> interruptedWithoutFault = new HashMap<>();
+    private final List<Violation> violations = new ArrayList<>();
 
     LostRequestRules(List<FleetEvent> events, AttemptLog attempts) {
         this.attempts = attempts;
-        FleetEvent.only(events, ConnectionReused.class).forEach(event -> onReusedConnection.add(event.attemptId()));
-        runEnds = FleetEvent.only(events, RunEnded.class).stream().collect(Collectors.groupingBy(RunEnded::attemptId));
-        faults = FleetEvent.only(events, ProcessFaulted.class).stream()
+        FleetEvent.ofType(events, ConnectionReused.class).forEach(event -> onReusedConnection.add(event.attemptId()));
+        runEnds =
+                FleetEvent.ofType(events, RunEnded.class).stream().collect(Collectors.groupingBy(RunEnded::attemptId));
+        faults = FleetEvent.ofType(events, ProcessFaulted.class).stream()
                 .collect(Collectors.groupingBy(ProcessFaulted::node));
-        stalls = FleetEvent.only(events, StandInsStalled.class);
+        stalls = FleetEvent.ofType(events, StandInsStalled.class);
     }
 
     List<Violation> check() {
         for (AttemptSent sent : attempts.all()) {
             attempts.ended(sent.attemptId())
-                    .filter(ended -> isCutOff(sent, ended))
+                    .filter(ended -> isInterrupted(sent, ended))
                     .ifPresent(ended -> check(sent, ended));
         }
-        endedInCalmTimes.forEach((node, ids) -> {
-            if (ids.size() > MAX_IN_CALM_TIMES) {
-                report(node + " passed on and ended without a response, in calm times, " + ids);
+        interruptedWithoutFault.forEach((node, ids) -> {
+            if (ids.size() > MAX_INTERRUPTED_WITHOUT_FAULT) {
+                report(node + " interrupted forwarded requests, without a fault: " + ids);
             }
         });
-        return found;
+        return violations;
     }
 
     private void report(String detail) {
-        found.add(new Violation(Rule.LOST, detail));
+        violations.add(new Violation(Rule.LOST, detail));
     }
 
-    /** Whether the data plane's side ended the connection, before the response's end and before its time was up. */
-    private boolean isCutOff(AttemptSent sent, AttemptEnded ended) {
+    /** Whether the data plane closed the connection before the response was complete or the request had timed out. */
+    private boolean isInterrupted(AttemptSent sent, AttemptEnded ended) {
         int timeoutMs =
                 Math.min(sent.request().timeoutMs(), sent.request().route().timeoutMs());
         return !ended.complete()
@@ -87,40 +89,41 @@
     }
 
     private void check(AttemptSent sent, AttemptEnded ended) {
-        boolean isPassedOn = !attempts.arrivals(sent.attemptId()).isEmpty();
+        boolean isForwarded = !attempts.arrivals(sent.attemptId()).isEmpty();
         boolean isLate = onReusedConnection.contains(sent.attemptId())
                 && ended.atMs() - sent.atMs() - stalledMs(sent.atMs(), ended.atMs()) > FleetBounds.LOSS_SLACK_MS;
-        if ((isPassedOn || isLate) && !hadFault(TROUBLE, sent, ended)) {
+        if ((isForwarded || isLate) && !hadFault(UNPLANNED_FAULTS, sent, ended)) {
             faults(sent).stream()
-                    .filter(work -> isAround(work, sent, ended))
+                    .filter(operation -> coincides(operation, sent, ended))
                     .reduce((earlier, later) -> later)
-                    .ifPresent(work -> report(description(sent, ended, isPassedOn, work)));
+                    .ifPresent(operation -> report(description(sent, ended, isForwarded, operation)));
         }
-        if (isPassedOn && !hadFault(OUT_OF_TOUCH, sent, ended)) {
-            endedInCalmTimes
+        if (isForwarded && !hadFault(DISCONNECTING_FAULTS, sent, ended)) {
+            interruptedWithoutFault
                     .computeIfAbsent(sent.node(), any -> new ArrayList<>())
                     .add(sent.attemptId());
         }
     }
 
-    /** How long the stand-ins were held up in that span, which is not the data plane's time. */
+    /** How long the stand-ins were stalled in the time span; the data plane did not cause this delay. */
     private double stalledMs(double fromMs, double toMs) {
         return stalls.stream()
                 .mapToDouble(stall -> stall.overlapMs(fromMs, toMs))
                 .sum();
     }
 
-    private static String description(AttemptSent sent, AttemptEnded ended, boolean isPassedOn, ProcessFaulted work) {
+    private static String description(
+            AttemptSent sent, AttemptEnded ended, boolean isForwarded, ProcessFaulted operation) {
         return String.format(
                 "%s on %s at %s, ended at %s, sent %.0f ms and ended %.0f ms after %s, %s, status %d",
                 sent.attemptId(),
                 sent.request().route().name(),
                 sent.node(),
                 Instant.ofEpochMilli((long) ended.atMs()),
-                sent.atMs() - work.atMs(),
-                ended.atMs() - work.atMs(),
-                work.fault(),
-                isPassedOn ? "was passed on" : "was not passed on",
+                sent.atMs() - operation.atMs(),
+                ended.atMs() - operation.atMs(),
+                operation.fault(),
+                isForwarded ? "was forwarded" : "was not forwarded",
                 ended.status());
     }
 
@@ -139,23 +142,23 @@
                         && fault.atMs() <= ended.atMs());
     }
 
-    private boolean isAround(ProcessFaulted work, AttemptSent sent, AttemptEnded ended) {
-        double endedAfterMs = ended.atMs() - work.atMs();
-        double sentAfterMs = sent.atMs() - work.atMs();
-        return switch (work.fault()) {
+    private boolean coincides(ProcessFaulted operation, AttemptSent sent, AttemptEnded ended) {
+        double endedAfterMs = ended.atMs() - operation.atMs();
+        double sentAfterMs = sent.atMs() - operation.atMs();
+        return switch (operation.fault()) {
             case TERMINATED -> endedAfterMs >= 0
-                    && endedAfterMs <= PLANNED_END_MS
-                    && !isLongRunning(work, sent, sentAfterMs);
+                    && endedAfterMs <= EXIT_WINDOW_MS
+                    && !isLongRunning(operation, sent, sentAfterMs);
             case RELOADED -> endedAfterMs >= 0 && sentAfterMs <= FleetBounds.CONFIG_APPLY_MS;
             default -> false;
         };
     }
 
-    /** Whether a server was still at work in the last sixth of the grace on a request that was sent early enough. */
+    /** Whether the request was sent early enough and still ran at a server in the last sixth of the grace period. */
     private boolean isLongRunning(ProcessFaulted termination, AttemptSent sent, double sentAfterMs) {
-        return sentAfterMs <= SENT_BY_MS
+        return sentAfterMs <= MAX_SENT_AFTER_MS
                 && runEnds(sent).stream()
-                        .anyMatch(run ->
-                                run.how() == RunEnd.CALLER_LEFT && run.atMs() >= termination.atMs() + LAST_SIXTH_MS);
+                        .anyMatch(run -> run.how() == RunEnd.CALLER_LEFT
+                                && run.atMs() >= termination.atMs() + LAST_SIXTH_START_MS);
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/fleet/MachineClass.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/MachineClass.java
@@ -1,6 +1,6 @@
 package dewplank.emulator.fleet;
 
-/** What a machine of the fleet runs, by the names of the settings file. */
+/** The program that a machine of the fleet runs, with its name in the settings file. */
 public enum MachineClass {
     /** A control plane. */
     CORE("core"),
--- a/emulator/src/main/java/dewplank/emulator/fleet/ModelServer.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/ModelServer.java
@@ -6,10 +6,10 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** A model server of one stage, prefill or decode. Tests can pause its streams behind an event and resume them. */
+/** A model server of one stage, prefill or decode. Tests can pause its streams after an event and resume them. */
 public final class ModelServer extends StandInServer {
-    /** What becomes of the fetch of a KV cache from a prefill server. */
-    private enum HandleFetches {
+    /** The outcome of fetches of KV caches from prefill servers. */
+    private enum FetchBehaviour {
         SUCCEED,
         FAIL,
         STALL
@@ -22,7 +22,7 @@
 
     private final ContextHandles handles;
     private final Deque<Runnable> pausedStreams = new ArrayDeque<>();
-    private volatile HandleFetches handleFetches = HandleFetches.SUCCEED;
+    private volatile FetchBehaviour fetchBehaviour = FetchBehaviour.SUCCEED;
     private volatile int pauseStreamsAfter = NO_PAUSE;
     private int streams;
 
@@ -33,22 +33,22 @@
         this.handles = handles;
     }
 
-    /** Fetches of handles fail from now on. */
+    /** Makes later fetches of KV caches fail. */
     public void rejectHandles() {
-        handleFetches = HandleFetches.FAIL;
+        fetchBehaviour = FetchBehaviour.FAIL;
     }
 
-    /** Fetches of handles do not end from now on. */
+    /** Makes later fetches of KV caches hang. */
     public void stallHandleFetches() {
-        handleFetches = HandleFetches.STALL;
+        fetchBehaviour = FetchBehaviour.STALL;
     }
 
-    /** Pauses streams behind the event of this id until {@link #resumeStreams}. */
+    /** Pauses streams after the event with the given id until {@link #resumeStreams} is called. */
     public void pauseStreamsAfter(int id) {
         pauseStreamsAfter = id;
     }
 
-    /** Resumes the paused streams; later ones are not paused. */
+    /** Resumes the paused streams and no longer pauses others. */
     public void resumeStreams() {
         pauseStreamsAfter = NO_PAUSE;
         loop.execute(() -> {
@@ -63,7 +63,7 @@
         boolean isPrefill = ServerStage.PREFILL.isNamedBy(arrival.header(WireFields.STAGE));
         if (arrival.method.equals("DELETE") && arrival.target.startsWith(HANDLE_PATH)) {
             handles.free(loop.now(), identity(), arrival.target.substring(HANDLE_PATH.length()));
-            arrival.answer(200, "");
+            arrival.respond(200, "");
         } else if (isPrefill != (identity().stage() == ServerStage.PREFILL)) {
             arrival.reject(421);
         } else if (isPrefill) {
@@ -78,9 +78,9 @@
             return;
         }
         loop.after(PREFILL_MS, () -> {
-            if (arrival.open()) {
+            if (arrival.isOpen()) {
                 String handle = handles.create(loop.now(), identity(), arrival.attemptId);
-                arrival.answer(
+                arrival.respond(
                         200, "{\"context_handle\":\"" + handle + "\",\"token_count\":1050,\"config_version\":1}");
             }
         });
@@ -88,21 +88,22 @@
 
     private void decode(Arrival arrival) {
         String from = arrival.header(WireFields.KV_FROM);
-        HandleFetches fetches = handleFetches;
-        if (from != null && fetches == HandleFetches.STALL) {
+        FetchBehaviour currentBehaviour = fetchBehaviour;
+        if (from != null && currentBehaviour == FetchBehaviour.STALL) {
             return;
         }
-        if (from != null && (fetches == HandleFetches.FAIL || !handles.fetch(loop.now(), from, arrival.attemptId))) {
+        if (from != null
+                && (currentBehaviour == FetchBehaviour.FAIL || !handles.fetch(loop.now(), from, arrival.attemptId))) {
             arrival.reject(503);
             return;
         }
-        arrival.run();
+        arrival.startRun();
         if (behaviour != Behaviour.UNRESPONSIVE) {
             new Stream(arrival).begin();
         }
     }
 
-    /** The events of one run. */
+    /** Sends the events of one run. */
     private final class Stream {
         private final Arrival arrival;
         private final int lastId;
@@ -118,12 +119,12 @@
         }
 
         void begin() {
-            arrival.beginStream(identity().instanceId() + "." + ++streams);
+            arrival.startStream(identity().instanceId() + "." + ++streams);
             loop.after(EVENT_INTERVAL_MS, this::next);
         }
 
         private void next() {
-            if (!arrival.open()) {
+            if (!arrival.isOpen()) {
                 return;
             }
             if (lastSentId >= lastId) {
@@ -131,7 +132,7 @@
                 return;
             }
             lastSentId++;
-            arrival.event(lastSentId, StreamEvents.text(arrival.attemptId, lastSentId));
+            arrival.sendEvent(lastSentId, StreamEvents.text(arrival.attemptId, lastSentId));
             if (lastSentId == pauseStreamsAfter) {
                 pausedStreams.addLast(this::next);
             } else {
--- a/emulator/src/main/java/dewplank/emulator/fleet/PlainServer.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/PlainServer.java
@@ -4,7 +4,7 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 
-/** A server that runs complete requests; its responses name the attempt and the request that they are for. */
+/** A server that runs complete requests; each response contains the attempt's id and the request. */
 public final class PlainServer extends StandInServer {
     private static final double WORK_MS = 3;
     private int responseCount;
@@ -16,13 +16,13 @@
 
     @Override
     void handle(Arrival arrival) {
-        arrival.run();
+        arrival.startRun();
         if (behaviour == Behaviour.UNRESPONSIVE) {
             return;
         }
         loop.after(WORK_MS, () -> {
-            if (arrival.open()) {
-                arrival.answer(
+            if (arrival.isOpen()) {
+                arrival.respond(
                         200,
                         identity().instanceId() + "." + ++responseCount,
                         arrival.attemptId + " by " + identity().instanceId() + ": " + arrival.method + " "
--- a/emulator/src/main/java/dewplank/emulator/fleet/PlatformRules.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/PlatformRules.java
@@ -11,25 +11,25 @@
 import java.util.Optional;
 
 /**
- * Rules for calls to the platform: one process, the lease holder, makes them at a time. A former holder may still call
- * within the hand-over time, or shortly after it was thawed. A later call of a former holder within the length of a
- * lease means that two processes call in turn.
+ * Checks that only one process at a time, the lease holder, calls the platform. A former holder may still call within
+ * the hand-over time, or shortly after it was resumed from a pause. If a former holder calls later than that and within
+ * the duration of a lease since its previous call, two processes are calling alternately.
  */
 final class PlatformRules {
     private static final double MAX_HAND_OVER_MS = 500;
 
     private final List<EndpointListRequested> calls;
-    private final List<ProcessFaulted> thaws;
+    private final List<ProcessFaulted> resumes;
 
     PlatformRules(List<FleetEvent> events) {
-        this.calls = FleetEvent.only(events, EndpointListRequested.class);
-        this.thaws = FleetEvent.only(events, ProcessFaulted.class).stream()
+        this.calls = FleetEvent.ofType(events, EndpointListRequested.class);
+        this.resumes = FleetEvent.ofType(events, ProcessFaulted.class).stream()
                 .filter(fault -> fault.fault() == ProcessFault.THAWED)
                 .toList();
     }
 
     List<Violation> check() {
-        List<Violation> found = new ArrayList<>();
+        List<Violation> violations = new ArrayList<>();
         Optional<String> caller = Optional.empty();
         double callerSinceMs = Double.NEGATIVE_INFINITY;
         Map<String, Double> lastCall = new HashMap<>();
@@ -37,12 +37,14 @@
             boolean isCaller = caller.filter(call.node()::equals).isPresent();
             boolean isFormerCaller = !isCaller && lastCall.containsKey(call.node());
             boolean isWithinLease = isFormerCaller && call.atMs() - lastCall.get(call.node()) < FleetBounds.LEASE_MS;
-            if (isWithinLease && call.atMs() - callerSinceMs < MAX_HAND_OVER_MS || isFormerCaller && justThawed(call)) {
-                continue; // still part of the hand-over
+            if (isWithinLease && call.atMs() - callerSinceMs < MAX_HAND_OVER_MS
+                    || isFormerCaller && wasJustResumed(call)) {
+                continue; // allowed for a former holder
             }
             if (isWithinLease) {
-                found.add(new Violation(
-                        Rule.ONE, call.node() + " and " + caller.orElseThrow() + " took turns at " + call.atMs()));
+                violations.add(new Violation(
+                        Rule.ONE,
+                        call.node() + " and " + caller.orElseThrow() + " called alternately at " + call.atMs()));
             }
             if (!isCaller) {
                 caller = Optional.of(call.node());
@@ -50,13 +52,13 @@
             }
             lastCall.put(call.node(), call.atMs());
         }
-        return found;
+        return violations;
     }
 
-    private boolean justThawed(EndpointListRequested call) {
-        return thaws.stream()
-                .anyMatch(thaw -> thaw.node().equals(call.node())
-                        && call.atMs() >= thaw.atMs()
-                        && call.atMs() - thaw.atMs() <= FleetBounds.THAW_SLACK_MS);
+    private boolean wasJustResumed(EndpointListRequested call) {
+        return resumes.stream()
+                .anyMatch(resume -> resume.node().equals(call.node())
+                        && call.atMs() >= resume.atMs()
+                        && call.atMs() - resume.atMs() <= FleetBounds.THAW_SLACK_MS);
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/fleet/RequestRules.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/RequestRules.java
@@ -1,10 +1,10 @@
 package dewplank.emulator.fleet;
 
-import dewplank.emulator.fleet.FleetEvent.Answered;
 import dewplank.emulator.fleet.FleetEvent.Arrived;
 import dewplank.emulator.fleet.FleetEvent.AttemptEnded;
 import dewplank.emulator.fleet.FleetEvent.AttemptSent;
 import dewplank.emulator.fleet.FleetEvent.ListedDraining;
+import dewplank.emulator.fleet.FleetEvent.ResponseSent;
 import dewplank.emulator.fleet.FleetEvent.RunRejected;
 import dewplank.emulator.fleet.FleetEvent.RunStarted;
 import dewplank.emulator.fleet.FleetEvent.UnexpectedBytes;
@@ -16,21 +16,21 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Rules for each request: where it may arrive, how often it may run, and what its response may be. */
+/** Checks for each request where it arrived, how often it was run, and which response the client received. */
 final class RequestRules {
     private static final Set<Integer> NOT_EXECUTED_STATUSES = Set.of(408, 421, 429, 503);
     private static final String HANDLE_PATH = "/kv-handle/";
 
     private final List<FleetEvent> events;
     private final AttemptLog attempts;
-    private final Map<String, Answered> bySeal = new HashMap<>();
-    private final List<Violation> found = new ArrayList<>();
+    private final Map<String, ResponseSent> responsesBySeal = new HashMap<>();
+    private final List<Violation> violations = new ArrayList<>();
 
     RequestRules(List<FleetEvent> events, AttemptLog attempts) {
         this.events = events;
         this.attempts = attempts;
-        FleetEvent.only(events, Answered.class)
-                .forEach(answer -> answer.seal().ifPresent(seal -> bySeal.put(seal, answer)));
+        FleetEvent.ofType(events, ResponseSent.class)
+                .forEach(response -> response.seal().ifPresent(seal -> responsesBySeal.put(seal, response)));
     }
 
     List<Violation> check() {
@@ -42,44 +42,45 @@
                         .ifPresent(ended -> checkSuccess(sent, ended));
             }
         }
-        FleetEvent.only(events, UnexpectedBytes.class)
+        FleetEvent.ofType(events, UnexpectedBytes.class)
                 .forEach(bytes ->
-                        report(Rule.MIXED, "no request waited for what " + bytes.node() + " sent: " + bytes.text()));
-        FleetEvent.only(events, Arrived.class).forEach(this::checkArrival);
-        FleetEvent.only(events, ListedDraining.class).forEach(this::checkDrained);
-        return found;
+                        report(Rule.MIXED, "no request was pending when " + bytes.node() + " sent: " + bytes.text()));
+        FleetEvent.ofType(events, Arrived.class).forEach(this::checkArrival);
+        FleetEvent.ofType(events, ListedDraining.class).forEach(this::checkDraining);
+        return violations;
     }
 
     private void report(Rule rule, String detail) {
-        found.add(new Violation(rule, detail));
+        violations.add(new Violation(rule, detail));
     }
 
     private void checkRuns(AttemptSent sent) {
         List<RunStarted> runs = attempts.runs(sent.attemptId());
         boolean idempotent = sent.request().route().kind().idempotent();
         if (!idempotent && runs.size() > 1) {
-            report(Rule.TWICE, sent.attemptId() + " ran at " + runs);
+            report(Rule.TWICE, sent.attemptId() + " was run more than once: " + runs);
         }
         if (!idempotent && !runs.isEmpty()) {
             attempts.ended(sent.attemptId())
                     .filter(ended -> NOT_EXECUTED_STATUSES.contains(ended.status()))
-                    .ifPresent(ended ->
-                            report(Rule.REFUSED, sent.attemptId() + " got " + ended.status() + " and ran at " + runs));
+                    .ifPresent(ended -> report(
+                            Rule.REFUSED,
+                            sent.attemptId() + " received status " + ended.status() + " but was run: " + runs));
         }
     }
 
     private void checkSuccess(AttemptSent sent, AttemptEnded ended) {
-        Optional<Answered> answer = ended.seal().map(bySeal::get);
-        if (answer.filter(own -> isReceived(own, sent, ended)).isEmpty()) {
-            report(Rule.MIXED, sent.attemptId() + " got " + ended + " where the server gave " + answer);
+        Optional<ResponseSent> response = ended.seal().map(responsesBySeal::get);
+        if (response.filter(candidate -> isReceived(candidate, sent, ended)).isEmpty()) {
+            report(Rule.MIXED, sent.attemptId() + " received " + ended + ", but the server sent " + response);
         }
     }
 
-    /** Whether the client's attempt ended with this answer, and the answer is to that attempt. */
-    private static boolean isReceived(Answered answer, AttemptSent sent, AttemptEnded ended) {
-        return answer.attemptId().equals(sent.attemptId())
-                && answer.status() == ended.status()
-                && answer.body().equals(ended.body());
+    /** Whether the client received this response, and the server sent it to the client's attempt. */
+    private static boolean isReceived(ResponseSent response, AttemptSent sent, AttemptEnded ended) {
+        return response.attemptId().equals(sent.attemptId())
+                && response.status() == ended.status()
+                && response.body().equals(ended.body());
     }
 
     private void checkArrival(Arrived arrived) {
@@ -93,27 +94,27 @@
                         && request.body().equals(arrived.body()))
                 .isPresent();
         if (!isUnchanged) {
-            report(Rule.UNASKED, "a server got " + arrived + ", sent was " + sent);
+            report(Rule.UNASKED, "a server received " + arrived + ", but the client sent " + sent);
         }
     }
 
-    private void checkDrained(ListedDraining drained) {
+    private void checkDraining(ListedDraining drained) {
         double deadlineMs = drained.atMs() + FleetBounds.DRAIN_MS;
-        for (Arrived arrival : FleetEvent.only(events, Arrived.class)) {
+        for (Arrived arrival : FleetEvent.ofType(events, Arrived.class)) {
             boolean isLate = arrival.server().equals(drained.server())
                     && arrival.atMs() > deadlineMs
                     && !arrival.target().startsWith(HANDLE_PATH);
-            if (isLate && !wasForAnotherInstance(arrival)) {
+            if (isLate && !namesAnotherInstance(arrival)) {
                 report(
                         Rule.DRAIN,
                         arrival.attemptId() + " reached " + arrival.server().instanceId() + " "
-                                + (arrival.atMs() - drained.atMs()) + " ms after it was shown as draining");
+                                + (arrival.atMs() - drained.atMs()) + " ms after it was listed as draining");
             }
         }
     }
 
-    private boolean wasForAnotherInstance(Arrived arrival) {
-        return FleetEvent.only(events, RunRejected.class).stream()
+    private boolean namesAnotherInstance(Arrived arrival) {
+        return FleetEvent.ofType(events, RunRejected.class).stream()
                 .anyMatch(rejected -> rejected.status() == 421
                         && rejected.attemptId().equals(arrival.attemptId())
                         && rejected.server().equals(arrival.server()));
--- a/emulator/src/main/java/dewplank/emulator/fleet/RouteSpec.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/RouteSpec.java
@@ -7,8 +7,8 @@
 /**
  * A route of a configuration that the operator sends.
  *
- * @param timeoutMs the time that a request has
- * @param isPublic whether its requests need no access key
+ * @param timeoutMs the maximum duration of a request
+ * @param isPublic whether requests are admitted without an access key
  */
 public record RouteSpec(
         String name,
@@ -19,7 +19,7 @@
         int maxAttempts,
         int timeoutMs,
         boolean isPublic) {
-    /** The type of a route, by what may be retried. */
+    /** The type of a route, which determines what may be retried. */
     public enum Kind {
         SAFE("safe", false),
         UNSAFE("unsafe", false),
@@ -45,17 +45,16 @@
         }
     }
 
-    private static final int ATTEMPTS = 3;
+    private static final int MAX_ATTEMPTS = 3;
     private static final int TIMEOUT_MS = 8_000;
     private static final int TARGET_LATENCY_MS = 1_000;
     private static final int TARGET_GAP_MS = 250;
 
-    /** Copies the split. */
     public RouteSpec {
         split = List.copyOf(split);
     }
 
-    /** A route to one service, with a prefix after its name. */
+    /** Creates a route to one service, with a path prefix that is derived from the route's name. */
     public static RouteSpec to(String service, String name, Kind kind) {
         return new RouteSpec(
                 name,
@@ -63,17 +62,17 @@
                 "/" + name + "/",
                 kind,
                 List.of(new WeightedService(service, 1)),
-                ATTEMPTS,
+                MAX_ATTEMPTS,
                 TIMEOUT_MS,
                 false);
     }
 
-    /** The same route, whose requests need no access key. */
+    /** Returns a copy whose requests need no access key. */
     public RouteSpec asPublic() {
         return new RouteSpec(name, host, prefix, kind, split, maxAttempts, timeoutMs, true);
     }
 
-    /** The same route to another service. */
+    /** Returns a copy that routes to another service. */
     public RouteSpec movedTo(String service) {
         return new RouteSpec(
                 name, host, prefix, kind, List.of(new WeightedService(service, 1)), maxAttempts, timeoutMs, isPublic);
--- a/emulator/src/main/java/dewplank/emulator/fleet/ServerStage.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/ServerStage.java
@@ -1,12 +1,12 @@
 package dewplank.emulator.fleet;
 
-/** The part of a generation that a server runs, as the platform's list and the requests' header name it. */
+/** The stage of generations that a server runs, with its name in the platform's list and in the request header. */
 public enum ServerStage {
-    /** Runs complete requests; the platform's list names no stage for it. */
+    /** Runs complete requests; the platform's list contains no stage for the server. */
     NONE(""),
-    /** Reads prompts and keeps their KV cache. */
+    /** Processes prompts and stores their KV caches. */
     PREFILL("prefill"),
-    /** Produces the events of streams. */
+    /** Generates the events of streams. */
     DECODE("decode");
 
     private final String wireName;
@@ -20,7 +20,7 @@
         return wireName;
     }
 
-    /** Whether a request's header names this stage; {@code header}: null where the request has none. */
+    /** Whether a request's header names this stage; {@code header} is null if the request has no such header. */
     boolean isNamedBy(String header) {
         return wireName.equals(header);
     }
--- a/emulator/src/main/java/dewplank/emulator/fleet/ServiceSpec.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/ServiceSpec.java
@@ -5,11 +5,11 @@
 
 /** A service of a configuration that the operator sends. */
 public record ServiceSpec(String name, Kind kind) {
-    /** What the service's servers run. */
+    /** The kind of work that the service's servers run. */
     public enum Kind {
         /** Complete requests. */
         PLAIN,
-        /** Prefill and decode. */
+        /** The stages prefill and decode. */
         MODEL
     }
 
@@ -19,12 +19,12 @@
     private static final int KV_TOKEN_BYTES = 163_840;
     private static final double LINK_MBPS = 1_300_000;
 
-    /** A service whose servers run complete requests. */
+    /** Creates a service whose servers run complete requests. */
     public static ServiceSpec plain(String name) {
         return new ServiceSpec(name, Kind.PLAIN);
     }
 
-    /** A service whose servers prefill and decode. */
+    /** Creates a service whose servers run the stages prefill and decode. */
     public static ServiceSpec model(String name) {
         return new ServiceSpec(name, Kind.MODEL);
     }
--- a/emulator/src/main/java/dewplank/emulator/fleet/SettingsFile.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/SettingsFile.java
@@ -11,15 +11,15 @@
 import java.util.List;
 import java.util.Optional;
 
-/** The settings file of a control plane or data plane. */
+/** Creates the settings file of a control plane or data plane. */
 final class SettingsFile {
     private static final int MEMORY_MB = 430;
-    private static final int DESCRIPTORS = 4_100;
+    private static final int MAX_FILE_DESCRIPTORS = 4_100;
     private static final int DISK_MB = 256;
 
     private SettingsFile() {}
 
-    /** The file's text; {@code data}: the directory of a machine that has a disk. */
+    /** Returns the file's text; {@code data} is the data directory, empty for a machine without a disk. */
     static String of(FleetMachine machine, List<InetSocketAddress> seeds, boolean initialStart, Optional<Path> data) {
         JsonObject settings = new JsonObject();
         settings.addProperty("node_name", machine.node());
@@ -47,8 +47,8 @@
         settings.add("bounds", bounds());
         JsonObject platform = new JsonObject();
         platform.addProperty("address", Addresses.format(machine.platform()));
-        platform.addProperty("rate_per_s", FleetBounds.LIST_RATE_PER_S);
-        platform.addProperty("max_lag_ms", FleetBounds.MAX_LAG_MS);
+        platform.addProperty("rate_per_s", FleetBounds.MAX_LIST_REQUESTS_PER_S);
+        platform.addProperty("max_lag_ms", FleetBounds.MAX_LIST_AGE_MS);
         settings.add("platform_api", platform);
         return settings.toString();
     }
@@ -75,7 +75,7 @@
         limits.addProperty("cpu_share", 1.0);
         limits.addProperty("core_count", 1);
         limits.addProperty("memory_mb", MEMORY_MB);
-        limits.addProperty("max_file_descriptors", DESCRIPTORS);
+        limits.addProperty("max_file_descriptors", MAX_FILE_DESCRIPTORS);
         limits.addProperty("disk_mb", DISK_MB);
         return limits;
     }
@@ -87,9 +87,9 @@
         bounds.addProperty("contact_ms", FleetBounds.CONTACT_MS);
         bounds.addProperty("ack_ms", FleetBounds.ACK_MS);
         bounds.addProperty("config_apply_ms", FleetBounds.CONFIG_APPLY_MS);
-        bounds.addProperty("retry_budget_ratio", FleetBounds.RETRY_RATIO);
+        bounds.addProperty("retry_budget_ratio", FleetBounds.RETRY_BUDGET_RATIO);
         bounds.addProperty("budget_window_s", FleetBounds.BUDGET_WINDOW_S);
-        bounds.addProperty("retry_budget_slack", FleetBounds.RETRY_SLACK);
+        bounds.addProperty("retry_budget_slack", FleetBounds.RETRY_BUDGET_SLACK);
         bounds.addProperty("lease_ms", FleetBounds.LEASE_MS);
         bounds.addProperty("thaw_slack_ms", FleetBounds.THAW_SLACK_MS);
         bounds.addProperty("revocation_closed", true);
--- a/emulator/src/main/java/dewplank/emulator/fleet/StallRecorder.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/StallRecorder.java
@@ -3,12 +3,12 @@
 import dewplank.net.EventLoop;
 
 /**
- * Records when the stand-ins' own loop was held up, as on a machine without a free processor: what a rule measures from
- * one event to the next is then longer than it was. On the loop's thread.
+ * Records stalls of the stand-ins' event loop, such as on a host without a free processor: a duration that a rule
+ * measures between two events then exceeds the actual one. Used only on the loop's thread.
  */
 final class StallRecorder {
     private static final double INTERVAL_MS = 20;
-    /** The timers' tick, and what an event's handling takes. */
+    /** Allows for the tick of the timers and the time that the handling of an event takes. */
     private static final double MIN_STALL_MS = 20;
 
     private final EventLoop loop;
@@ -19,18 +19,18 @@
         this.history = history;
     }
 
-    /** Begins to measure; from any thread. */
+    /** Starts the measurement; may be called from any thread. */
     void start() {
-        loop.execute(this::await);
+        loop.execute(this::scheduleCheck);
     }
 
-    private void await() {
+    private void scheduleCheck() {
         double dueMs = loop.now() + INTERVAL_MS;
         loop.after(INTERVAL_MS, () -> {
             if (loop.now() - dueMs > MIN_STALL_MS) {
                 history.add(new FleetEvent.StandInsStalled(loop.now(), dueMs));
             }
-            await();
+            scheduleCheck();
         });
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/fleet/StandInFleet.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/StandInFleet.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Function;
 
-/** A fleet of processes on loopback with stand-ins for its platform, servers, operator and clients. */
+/** Runs a fleet of processes on loopback with stand-ins for the platform, the servers, the operator and the clients. */
 public final class StandInFleet implements AutoCloseable {
     private static final int MAX_SEEDS = 3;
     private static final List<String> ZONES = List.of("ost", "vest", "sor");
@@ -31,9 +31,9 @@
     private final List<FleetProcess> data = new ArrayList<>();
     private final StandInOperator operator;
     private final Thread shutdownHook = new Thread(this::killAll, "fleet");
-    private int servers;
+    private int serverCount;
 
-    /** Opens the sockets of the stand-ins; no process runs yet. {@code folder}: for settings, logs and disks. */
+    /** Opens the stand-ins' sockets and starts no process. {@code folder} stores settings, logs and the disks' data. */
     public StandInFleet(Commands commands, Path folder, int controlMachines, int dataMachines) throws IOException {
         List<InetSocketAddress> seeds = new ArrayList<>();
         List<FleetMachine> core = machines(controlMachines, this::controlMachine);
@@ -47,7 +47,7 @@
         }
         operator = new StandInOperator(loop, history, core);
         new StallRecorder(loop, history).start();
-        Runtime.getRuntime().addShutdownHook(shutdownHook); // no process may outlive an aborted test
+        Runtime.getRuntime().addShutdownHook(shutdownHook); // kills the processes if the test is aborted
     }
 
     private static List<FleetMachine> machines(int count, Function<Integer, FleetMachine> machine) {
@@ -85,22 +85,22 @@
         return processes;
     }
 
-    /** The processes of control planes. */
+    /** The processes of all control planes. */
     public List<FleetProcess> control() {
         return control;
     }
 
-    /** The process of one control plane, from 0. */
+    /** The process of one control plane; the index starts at 0. */
     public FleetProcess control(int index) {
         return control.get(index);
     }
 
-    /** The processes of data planes. */
+    /** The processes of all data planes. */
     public List<FleetProcess> data() {
         return data;
     }
 
-    /** The machine of one data plane, from 0. */
+    /** The machine of one data plane; the index starts at 0. */
     public FleetMachine edge(int index) {
         return data.get(index).machine();
     }
@@ -125,17 +125,17 @@
         return client;
     }
 
-    /** The loop's time in milliseconds, as events have it. */
+    /** The loop's time in milliseconds, which is also the time of events. */
     public double now() {
         return loop.now();
     }
 
-    /** Starts clients at every data plane, which send these requests in turn. */
+    /** Starts one client for each data plane, which sends the given requests in turn. */
     public SteadyLoad load(List<ClientRequest> requests) {
         return new SteadyLoad(loop, client, dataMachines(), requests);
     }
 
-    /** Starts clients at every data plane that keep their connections, one for each of these requests. */
+    /** Starts one client with a persistent connection for each data plane and each of the given requests. */
     public KeepAliveLoad keepAliveLoad(List<ClientRequest> requests) {
         return new KeepAliveLoad(loop, history, client, dataMachines(), requests);
     }
@@ -146,7 +146,7 @@
 
     /** Starts a plain server and adds it to the endpoint list. */
     public PlainServer plainServer(String service) throws IOException {
-        InetSocketAddress at = network.server(servers);
+        InetSocketAddress at = network.server(serverCount);
         PlainServer server = new PlainServer(loop, history, identity(service, ServerStage.NONE, at), at);
         platform.add(server.identity());
         return server;
@@ -154,25 +154,25 @@
 
     /** Starts a model server and adds it to the endpoint list. */
     public ModelServer modelServer(String service, ServerStage stage) throws IOException {
-        InetSocketAddress at = network.server(servers);
+        InetSocketAddress at = network.server(serverCount);
         ModelServer server = new ModelServer(loop, history, identity(service, stage, at), at, handles);
         platform.add(server.identity());
         return server;
     }
 
-    /** Crashes a server and starts one of another service at its address; the endpoint list stays as it is. */
-    public PlainServer reuseAddress(StandInServer of, String service) throws IOException {
-        of.crash();
-        InetSocketAddress at = of.address();
+    /** Crashes a server and starts one of another service at its address, without a change to the endpoint list. */
+    public PlainServer reuseAddress(StandInServer server, String service) throws IOException {
+        server.crash();
+        InetSocketAddress at = server.address();
         return new PlainServer(loop, history, identity(service, ServerStage.NONE, at), at);
     }
 
     private ServerIdentity identity(String service, ServerStage stage, InetSocketAddress at) {
-        int number = servers++;
+        int number = serverCount++;
         return StandInServer.identity("i-" + service + "-" + number, service, zone(number), stage, at);
     }
 
-    /** The status of a data plane's readiness check; 0 where it does not respond. */
+    /** Returns the status of a data plane's readiness check; 0 if it does not respond. */
     public int readiness(FleetMachine machine) {
         CompletableFuture<Integer> status = new CompletableFuture<>();
         loop.execute(() -> {
@@ -196,7 +196,7 @@
         processes().forEach(FleetProcess::destroy);
     }
 
-    /** Kills all processes and closes the stand-ins. */
+    /** Kills all processes and stops the stand-ins. */
     @Override
     public void close() throws IOException, InterruptedException {
         killAll();
--- a/emulator/src/main/java/dewplank/emulator/fleet/StandInOperator.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/StandInOperator.java
@@ -13,9 +13,9 @@
 import java.util.function.Consumer;
 
 /**
- * Stands in for the operator: sends a change, unchanged, to one control plane after another until one gives a final
- * response. Follows at most two redirects, and goes to the next control plane after a failure, a retryable status, or a
- * time-out of one second. Its methods may be called from any thread.
+ * Simulates the operator: sends the same change to one control plane after another until one sends a final response.
+ * Follows at most two redirects, and switches to the next control plane after a failure, a retryable status, or a
+ * time-out of one second. The methods may be called from any thread.
  */
 public final class StandInOperator {
     private static final double RESPONSE_TIMEOUT_MS = 1_000;
@@ -28,14 +28,14 @@
     private static final int MAX_REDIRECTS = 2;
 
     /**
-     * A response; {@code status} 0: none came. {@code location}: the target of a redirect, empty where there is none.
+     * A response; its status is 0 if none was received. {@code location} is the target of a redirect, or empty.
      */
-    private record Answer(int status, String body, String location) {
-        private static final Answer NONE = new Answer(0, "", "");
+    private record Response(int status, String body, String location) {
+        private static final Response NONE = new Response(0, "", "");
 
-        private static Answer of(HttpClient.Response response) {
+        private static Response of(HttpClient.Response response) {
             String location = response.head().headers().get("Location");
-            return new Answer(
+            return new Response(
                     response.head().status(),
                     new String(response.body(), StandardCharsets.UTF_8),
                     location == null ? "" : location);
@@ -52,105 +52,110 @@
         this.machines = List.copyOf(machines);
     }
 
-    /** Sends a complete configuration, first to the machine of that index; the final status, 0 where none came. */
-    public CompletableFuture<Integer> put(FleetConfiguration next, long base, int first) {
-        return change("PUT", next.json().toString(), base, Optional.of(next), first);
+    /**
+     * Sends a complete configuration, first to the machine at the given index. Returns the final response's status, or
+     * 0 if there is none.
+     */
+    public CompletableFuture<Integer> put(FleetConfiguration next, long base, int firstMachine) {
+        return sendChange("PUT", next.json().toString(), base, Optional.of(next), firstMachine);
     }
 
-    /** Sends the patch that turns {@code base} into {@code next}; the result is that of {@link #put}. */
-    public CompletableFuture<Integer> patch(FleetConfiguration next, FleetConfiguration base, int first) {
-        return change("PATCH", next.patchFrom(base).toString(), base.version(), Optional.of(next), first);
+    /** Sends the patch that turns {@code base} into {@code next}; returns the same as {@link #put}. */
+    public CompletableFuture<Integer> patch(FleetConfiguration next, FleetConfiguration base, int firstMachine) {
+        return sendChange("PATCH", next.patchFrom(base).toString(), base.version(), Optional.of(next), firstMachine);
     }
 
-    /** Sends a text that is no valid configuration; the result is that of {@link #put}. */
-    public CompletableFuture<Integer> putInvalid(String text, long base, int first) {
-        return change("PUT", text, base, Optional.empty(), first);
+    /** Sends a text that is not a valid configuration; returns the same as {@link #put}. */
+    public CompletableFuture<Integer> putInvalid(String text, long base, int firstMachine) {
+        return sendChange("PUT", text, base, Optional.empty(), firstMachine);
     }
 
-    /** Sends a patch that is not valid; the result is that of {@link #put}. */
-    public CompletableFuture<Integer> patchInvalid(String text, long base, int first) {
-        return change("PATCH", text, base, Optional.empty(), first);
+    /** Sends an invalid patch; returns the same as {@link #put}. */
+    public CompletableFuture<Integer> patchInvalid(String text, long base, int firstMachine) {
+        return sendChange("PATCH", text, base, Optional.empty(), firstMachine);
     }
 
-    private CompletableFuture<Integer> change(
-            String method, String text, long base, Optional<FleetConfiguration> document, int first) {
+    private CompletableFuture<Integer> sendChange(
+            String method, String text, long base, Optional<FleetConfiguration> document, int firstMachine) {
         history.add(new FleetEvent.ChangeSent(loop.now(), base, document, text));
         CompletableFuture<Integer> status = new CompletableFuture<>();
         byte[] body = text.getBytes(StandardCharsets.UTF_8);
-        Message message = machine -> MessageWriter.request(method, PATH, machine.node())
+        MessageFactory message = machine -> MessageWriter.request(method, PATH, machine.node())
                 .header("If-Match", Long.toString(base))
                 .header("Content-Type", "application/json")
                 .body(body);
-        ResponseListener finalListener = (machine, answer) -> {
-            history.add(new FleetEvent.ChangeAnswered(loop.now(), base, document, text, answer.status()));
-            status.complete(answer.status());
+        ResponseListener finalListener = (machine, response) -> {
+            history.add(new FleetEvent.ChangeAnswered(loop.now(), base, document, text, response.status()));
+            status.complete(response.status());
         };
         new ConfigurationCall(
                         message,
-                        first,
+                        firstMachine,
                         finalListener,
-                        (machine, answer) -> history.add(
-                                new FleetEvent.ChangeAttempted(loop.now(), machine.node(), text, answer.status())))
-                .begin();
+                        (machine, response) -> history.add(
+                                new FleetEvent.ChangeAttempted(loop.now(), machine.node(), text, response.status())))
+                .start();
         return status;
     }
 
-    /** Reads the configuration back, first from the machine of that index; its version, -1 where none was served. */
-    public CompletableFuture<Long> read(int first) {
+    /** Reads the configuration, first from the machine at the given index; returns its version, or -1 if none. */
+    public CompletableFuture<Long> read(int firstMachine) {
         CompletableFuture<Long> version = new CompletableFuture<>();
         double sentAtMs = loop.now();
-        Message message =
+        MessageFactory message =
                 machine -> MessageWriter.request("GET", PATH, machine.node()).noBody();
         new ConfigurationCall(
                         message,
-                        first,
-                        (machine, answer) -> {
-                            String text = answer.status() == 200 ? answer.body() : "";
+                        firstMachine,
+                        (machine, response) -> {
+                            String text = response.status() == 200 ? response.body() : "";
                             history.add(new FleetEvent.ReadBack(loop.now(), sentAtMs, machine.node(), text));
                             version.complete(FleetConfiguration.versionOf(text));
                         },
-                        (machine, answer) -> {})
-                .begin();
+                        (machine, response) -> {})
+                .start();
         return version;
     }
 
-    /** One control plane's view at a path; an empty object where it does not respond with 200. */
+    /** Reads a path from one control plane; returns an empty object unless the status is 200. */
     public JsonObject view(FleetMachine machine, String path) {
-        CompletableFuture<Answer> got = new CompletableFuture<>();
+        CompletableFuture<Response> future = new CompletableFuture<>();
         loop.execute(() -> request(
-                machine, MessageWriter.request("GET", path, machine.node()).noBody(), got::complete));
-        Answer answer = Futures.await(got);
-        return answer.status() == 200 ? JsonParser.parseString(answer.body()).getAsJsonObject() : new JsonObject();
+                machine, MessageWriter.request("GET", path, machine.node()).noBody(), future::complete));
+        Response response = Futures.await(future);
+        return response.status() == 200
+                ? JsonParser.parseString(response.body()).getAsJsonObject()
+                : new JsonObject();
     }
 
-    private void request(FleetMachine machine, ByteBuffer message, Consumer<Answer> then) {
+    private void request(FleetMachine machine, ByteBuffer message, Consumer<Response> callback) {
         HttpClient client = new HttpClient(loop, machine.control(), 1);
-        boolean[] isOver = new boolean[1];
+        boolean[] isDone = new boolean[1];
         HttpClient.Call call = client.call(message, response -> {
-            isOver[0] = true;
+            isDone[0] = true;
             client.close();
-            then.accept(response.map(Answer::of).orElse(Answer.NONE));
+            callback.accept(response.map(Response::of).orElse(Response.NONE));
         });
         loop.after(RESPONSE_TIMEOUT_MS, () -> {
-            if (!isOver[0]) {
-                isOver[0] = true;
+            if (!isDone[0]) {
+                isDone[0] = true;
                 call.cancel();
-                then.accept(Answer.NONE);
+                callback.accept(Response.NONE);
             }
         });
     }
 
-    private interface Message {
-        ByteBuffer to(FleetMachine machine);
+    private interface MessageFactory {
+        ByteBuffer createFor(FleetMachine machine);
     }
 
     private interface ResponseListener {
-        void answered(FleetMachine machine, Answer answer);
+        void onResponse(FleetMachine machine, Response response);
     }
 
-    /** One call, sent to one control plane after another until the response is final. */
+    /** A call that is sent to one control plane after another until a response is final. */
     private final class ConfigurationCall {
-        private final Message message;
+        private final MessageFactory message;
         private final ResponseListener finalListener;
         private final ResponseListener attemptListener;
         private int nextMachine;
@@ -159,14 +164,17 @@
         private int redirects;
 
         ConfigurationCall(
-                Message message, int first, ResponseListener finalListener, ResponseListener attemptListener) {
+                MessageFactory message,
+                int firstMachine,
+                ResponseListener finalListener,
+                ResponseListener attemptListener) {
             this.message = message;
-            this.nextMachine = first;
+            this.nextMachine = firstMachine;
             this.finalListener = finalListener;
             this.attemptListener = attemptListener;
         }
 
-        void begin() {
+        void start() {
             loop.execute(() -> {
                 deadlineMs = loop.now() + CALL_TIMEOUT_MS;
                 send();
@@ -179,22 +187,22 @@
         }
 
         private void send(FleetMachine machine) {
-            request(machine, message.to(machine), answer -> answered(machine, answer));
+            request(machine, message.createFor(machine), response -> handleResponse(machine, response));
         }
 
-        private void answered(FleetMachine machine, Answer answer) {
-            attemptListener.answered(machine, answer);
-            int status = answer.status();
-            Optional<FleetMachine> redirect = status == REDIRECT ? machineAt(answer.location()) : Optional.empty();
+        private void handleResponse(FleetMachine machine, Response response) {
+            attemptListener.onResponse(machine, response);
+            int status = response.status();
+            Optional<FleetMachine> redirect = status == REDIRECT ? machineAt(response.location()) : Optional.empty();
             if (redirect.isPresent() && redirects++ < MAX_REDIRECTS) {
                 send(redirect.get());
                 return;
             }
             boolean isRetryable = status == 0 || status == REDIRECT || status >= 500 || status == 408 || status == 429;
             if (!isRetryable) {
-                finalListener.answered(machine, answer);
+                finalListener.onResponse(machine, response);
             } else if (loop.now() >= deadlineMs) {
-                finalListener.answered(machine, Answer.NONE);
+                finalListener.onResponse(machine, Response.NONE);
             } else {
                 loop.after(backoffMs, this::send);
                 backoffMs = Math.min(MAX_BACKOFF_MS, 2 * backoffMs);
--- a/emulator/src/main/java/dewplank/emulator/fleet/StandInPlatform.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/StandInPlatform.java
@@ -15,9 +15,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** Stands in for the platform: serves the endpoint list page by page. Its public methods are thread-safe. */
+/** Simulates the platform: serves the endpoint list in pages. The public methods are thread-safe. */
 public final class StandInPlatform {
-    /** What the platform does with calls. */
+    /** How the platform handles calls. */
     public enum Behaviour {
         ANSWERS,
         UNRESPONSIVE,
@@ -41,7 +41,7 @@
         this.history = history;
     }
 
-    /** Listens at the address at which one machine calls. */
+    /** Listens at the address that one machine calls. */
     void listenFor(FleetMachine machine) throws IOException {
         Listener listener =
                 new Listener(loop, machine.platform(), MAX_CONNECTIONS, () -> new PlatformConnection(machine.node()));
@@ -49,23 +49,23 @@
         loop.execute(listener::accept);
     }
 
-    /** Changes what is done with calls from now on. */
+    /** Changes how later calls are handled. */
     public void behaviour(Behaviour next) {
         behaviour = next;
     }
 
-    /** Adds a server to the list, from the next call on. */
+    /** Adds a server to the list; takes effect with the next call. */
     public synchronized void add(ServerIdentity server) {
         servers.put(server.instanceId(), server);
     }
 
-    /** Shows a server as draining, from the next call on. */
+    /** Marks a server as draining; takes effect with the next call. */
     public synchronized void drain(ServerIdentity server) {
         draining.add(server.instanceId());
         history.add(new FleetEvent.ListedDraining(loop.now(), server));
     }
 
-    /** Removes a server from the list, from the next call on. */
+    /** Removes a server from the list; takes effect with the next call. */
     public synchronized void remove(ServerIdentity server) {
         servers.remove(server.instanceId());
     }
@@ -123,7 +123,7 @@
                     answer(MessageWriter.response(429).body(new byte[0]));
                 }
                 case UNRESPONSIVE -> record(0);
-                default -> throw new IllegalStateException("no such behaviour: " + behaviour);
+                default -> throw new IllegalStateException("unknown behaviour: " + behaviour);
             }
         }
 
--- a/emulator/src/main/java/dewplank/emulator/fleet/StandInServer.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/StandInServer.java
@@ -18,16 +18,16 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Stands in for a server: runs the requests that name its instance, and records what it did in the history. State
- * belongs to the loop's thread; the public methods may be called from any thread.
+ * Simulates a server: runs the requests for its instance and records its actions in the history. The state is confined
+ * to the loop's thread; the public methods may be called from any thread.
  */
 public abstract class StandInServer {
     private static final String REPORT_PATH = "/report";
 
-    /** What the server does with requests. */
+    /** How the server handles requests. */
     public enum Behaviour {
         WORKS,
-        /** Rejects requests for lack of capacity. */
+        /** Rejects requests because it has no capacity. */
         FULL,
         /** Accepts requests and does not respond. */
         UNRESPONSIVE
@@ -58,12 +58,12 @@
         return new ServerIdentity(instanceId, service, zone, stage, Addresses.format(at));
     }
 
-    /** The server as the endpoint list names it. */
+    /** The server's entry in the endpoint list. */
     public ServerIdentity identity() {
         return identity;
     }
 
-    /** Changes what is done with requests from now on. */
+    /** Changes how later requests are handled. */
     public void behaviour(Behaviour next) {
         behaviour = next;
     }
@@ -72,29 +72,29 @@
         return address;
     }
 
-    /** Ends the server and its connections; returns when that is done. */
+    /** Closes the listener and all connections, and waits until that is done. */
     public void crash() {
-        CompletableFuture<Void> down = new CompletableFuture<>();
+        CompletableFuture<Void> done = new CompletableFuture<>();
         loop.execute(() -> {
-            down();
-            down.complete(null);
+            shutDown();
+            done.complete(null);
         });
-        Futures.await(down);
+        Futures.await(done);
     }
 
-    private void down() {
+    private void shutDown() {
         listener.close();
         List.copyOf(connections).forEach(ServerConnection::crash);
     }
 
-    /** Runs or rejects a request that names this instance, or none. */
+    /** Runs or rejects a request that names this instance or no instance. */
     abstract void handle(Arrival arrival);
 
     final void record(FleetEvent event) {
         history.add(event);
     }
 
-    /** A request that has arrived, with the means to respond. */
+    /** A received request and the methods to respond to it. */
     final class Arrival {
         final String attemptId;
         final String method;
@@ -102,7 +102,7 @@
         final String body;
         private final RequestParser request;
         private final ServerConnection connection;
-        private boolean running;
+        private boolean isRunning;
 
         private Arrival(RequestParser request, ServerConnection connection) {
             this.request = request;
@@ -117,20 +117,20 @@
             return request.headers().get(name);
         }
 
-        boolean open() {
+        boolean isOpen() {
             return connection.isOpen();
         }
 
         /** Records the start of the run. */
-        void run() {
-            running = true;
+        void startRun() {
+            isRunning = true;
             record(new FleetEvent.RunStarted(loop.now(), identity, attemptId));
         }
 
-        /** Records the end of the run, once. */
-        void ended(RunEnd end) {
-            if (running) {
-                running = false;
+        /** Records the end of the run; does nothing if no run is in progress. */
+        void endRun(RunEnd end) {
+            if (isRunning) {
+                isRunning = false;
                 record(new FleetEvent.RunEnded(loop.now(), identity, attemptId, end));
             }
         }
@@ -138,46 +138,46 @@
         /** Rejects the request without running it. */
         void reject(int status) {
             record(new FleetEvent.RunRejected(loop.now(), identity, attemptId, status));
-            connection.reply(head(status).header(WireFields.NOT_EXECUTED, "1"), "");
+            connection.sendResponse(head(status).header(WireFields.NOT_EXECUTED, "1"), "");
         }
 
         /** Sends a complete response without a seal. */
-        void answer(int status, String text) {
-            answer(status, Optional.empty(), text);
+        void respond(int status, String text) {
+            respond(status, Optional.empty(), text);
         }
 
-        /** Sends a complete response; {@code seal}: names it in the history. */
-        void answer(int status, String seal, String text) {
-            answer(status, Optional.of(seal), text);
+        /** Sends a complete response; the seal identifies it in the history. */
+        void respond(int status, String seal, String text) {
+            respond(status, Optional.of(seal), text);
         }
 
-        private void answer(int status, Optional<String> seal, String text) {
-            ended(RunEnd.COMPLETED);
-            record(new FleetEvent.Answered(loop.now(), identity, attemptId, status, seal, text));
-            connection.reply(head(status).header(WireFields.SEAL, seal.orElse(null)), text);
+        private void respond(int status, Optional<String> seal, String text) {
+            endRun(RunEnd.COMPLETED);
+            record(new FleetEvent.ResponseSent(loop.now(), identity, attemptId, status, seal, text));
+            connection.sendResponse(head(status).header(WireFields.SEAL, seal.orElse(null)), text);
         }
 
         private MessageWriter head(int status) {
             return MessageWriter.response(status).header(WireFields.ATTEMPT_ID, attemptId);
         }
 
-        void beginStream(String seal) {
-            record(new FleetEvent.StreamBegun(loop.now(), identity, attemptId, seal));
-            connection.part(head(200)
+        void startStream(String seal) {
+            record(new FleetEvent.StreamStarted(loop.now(), identity, attemptId, seal));
+            connection.sendPart(head(200)
                     .header(WireFields.SEAL, seal)
                     .header("Content-Type", "text/event-stream")
                     .header("Transfer-Encoding", "chunked")
                     .noBody());
         }
 
-        void event(int id, String text) {
+        void sendEvent(int id, String text) {
             record(new FleetEvent.StreamEventSent(loop.now(), identity, attemptId, id, text));
-            connection.part(Chunks.of(text));
+            connection.sendPart(Chunks.of(text));
         }
 
         void endStream() {
-            ended(RunEnd.COMPLETED);
-            connection.last();
+            endRun(RunEnd.COMPLETED);
+            connection.sendLastChunk();
         }
     }
 
@@ -193,14 +193,14 @@
         protected void ended() {
             connections.remove(this);
             if (arrival != null) {
-                arrival.ended(RunEnd.CALLER_LEFT);
+                arrival.endRun(RunEnd.CALLER_LEFT);
             }
         }
 
         void crash() {
             connections.remove(this);
             if (arrival != null) {
-                arrival.ended(RunEnd.CRASHED);
+                arrival.endRun(RunEnd.CRASHED);
             }
             close();
         }
@@ -212,7 +212,7 @@
         @Override
         protected void request(RequestParser request) {
             if (request.target().equals(REPORT_PATH)) {
-                reply(MessageWriter.response(200), report());
+                sendResponse(MessageWriter.response(200), report());
                 return;
             }
             Arrival arrival = new Arrival(request, this);
@@ -236,7 +236,7 @@
             }
         }
 
-        /** Always busy with another lease holder's order, so that only the tests change stages. */
+        /** Reports that an order of another lease holder is in progress, so that only the tests change stages. */
         private String report() {
             String stage = identity.stage() == ServerStage.NONE
                     ? "null"
@@ -245,15 +245,15 @@
                     + "\"queued\":0,\"active\":0,\"kv_used\":0,\"kv_capacity\":1,\"context_handles\":0}";
         }
 
-        void reply(MessageWriter head, String text) {
+        void sendResponse(MessageWriter head, String text) {
             answer(head.body(text.getBytes(StandardCharsets.UTF_8)));
         }
 
-        void part(ByteBuffer bytes) {
+        void sendPart(ByteBuffer bytes) {
             write(bytes);
         }
 
-        void last() {
+        void sendLastChunk() {
             answer(Chunks.last());
         }
     }
--- a/emulator/src/main/java/dewplank/emulator/fleet/SteadyLoad.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/SteadyLoad.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeoutException;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Clients that send one request after another to each data plane until they are stopped. */
+/** Runs one client for each data plane, which sends one request after another until it is stopped. */
 public final class SteadyLoad {
     private static final double PAUSE_MS = 15;
     private static final long STOP_TIMEOUT_S = 20;
@@ -33,23 +33,25 @@
         }
     }
 
-    private void next(FleetMachine machine, int turn, CompletableFuture<Void> end) {
+    private void next(FleetMachine machine, int requestIndex, CompletableFuture<Void> end) {
         if (isStopping) {
             end.complete(null);
             return;
         }
-        client.send(machine, requests.get(turn % requests.size())).ended().thenAccept(outcome -> {
-            (outcome.served() ? served : notServed).incrementAndGet();
-            loop.execute(() -> loop.after(PAUSE_MS, () -> next(machine, turn + 1, end)));
-        });
+        client.send(machine, requests.get(requestIndex % requests.size()))
+                .ended()
+                .thenAccept(outcome -> {
+                    (outcome.served() ? served : notServed).incrementAndGet();
+                    loop.execute(() -> loop.after(PAUSE_MS, () -> next(machine, requestIndex + 1, end)));
+                });
     }
 
-    /** Attempts that ended with a complete response of status 200. */
+    /** The number of attempts that ended with a complete response of status 200. */
     public int served() {
         return served.get();
     }
 
-    /** Attempts that ended without a complete response of status 200. */
+    /** The number of attempts that ended without a complete response of status 200. */
     public int notServed() {
         return notServed.get();
     }
--- a/emulator/src/main/java/dewplank/emulator/fleet/StreamEvents.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/StreamEvents.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The texts of a stream's events: each follows from the attempt and its id, whichever server sends it. */
+/** The texts of a stream's events. Each depends on the ids of attempt and event only, not on the server. */
 final class StreamEvents {
     private static final String END = "\n\n";
 
@@ -13,7 +13,7 @@
         return "id: " + id + "\ndata: token " + id + " of " + attemptId + END;
     }
 
-    /** The text of a complete stream. */
+    /** Returns the text of a complete stream. */
     static String stream(String attemptId, int events) {
         StringBuilder stream = new StringBuilder();
         for (int id = 1; id <= events; id++) {
@@ -22,7 +22,7 @@
         return stream.toString();
     }
 
-    /** The complete events in the received part of a stream. */
+    /** Returns the complete events in the received part of a stream. */
     static List<String> complete(String text) {
         List<String> events = new ArrayList<>();
         int start = 0;
--- a/emulator/src/main/java/dewplank/emulator/fleet/StreamRules.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/StreamRules.java
@@ -2,9 +2,9 @@
 
 import dewplank.emulator.fleet.FleetEvent.AttemptEnded;
 import dewplank.emulator.fleet.FleetEvent.AttemptSent;
-import dewplank.emulator.fleet.FleetEvent.StreamBegun;
 import dewplank.emulator.fleet.FleetEvent.StreamBytes;
 import dewplank.emulator.fleet.FleetEvent.StreamEventSent;
+import dewplank.emulator.fleet.FleetEvent.StreamStarted;
 import dewplank.emulator.fleet.Violation.Rule;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -15,20 +15,20 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-/** Rules for streams: consecutive ids, one head, and an end only behind the last event. */
+/** Checks that streams have consecutive event ids and one head, and that they end only after the last event. */
 final class StreamRules {
     private final AttemptLog attempts;
-    private final Map<String, StreamBegun> bySeal = new HashMap<>();
+    private final Map<String, StreamStarted> streamsBySeal = new HashMap<>();
     private final Map<String, List<StreamEventSent>> sentEvents;
     private final Map<String, List<StreamBytes>> receivedParts;
-    private final List<Violation> found = new ArrayList<>();
+    private final List<Violation> violations = new ArrayList<>();
 
     StreamRules(List<FleetEvent> events, AttemptLog attempts) {
         this.attempts = attempts;
-        FleetEvent.only(events, StreamBegun.class).forEach(begun -> bySeal.put(begun.seal(), begun));
-        sentEvents = FleetEvent.only(events, StreamEventSent.class).stream()
+        FleetEvent.ofType(events, StreamStarted.class).forEach(started -> streamsBySeal.put(started.seal(), started));
+        sentEvents = FleetEvent.ofType(events, StreamEventSent.class).stream()
                 .collect(Collectors.groupingBy(StreamEventSent::attemptId));
-        receivedParts = FleetEvent.only(events, StreamBytes.class).stream()
+        receivedParts = FleetEvent.ofType(events, StreamBytes.class).stream()
                 .collect(Collectors.groupingBy(StreamBytes::attemptId));
     }
 
@@ -36,11 +36,11 @@
         attempts.all().stream()
                 .filter(attempt -> attempt.request().route().kind().streaming())
                 .forEach(this::check);
-        return found;
+        return violations;
     }
 
     private void report(Rule rule, String detail) {
-        found.add(new Violation(rule, detail));
+        violations.add(new Violation(rule, detail));
     }
 
     private void check(AttemptSent sent) {
@@ -50,16 +50,16 @@
     }
 
     private void check(AttemptSent sent, AttemptEnded ended) {
-        Optional<StreamBegun> head = ended.seal().map(bySeal::get);
-        if (head.filter(begun -> begun.attemptId().equals(sent.attemptId())).isEmpty()) {
-            report(Rule.MIXED, sent.attemptId() + " got the head of " + head + " in " + ended);
+        Optional<StreamStarted> head = ended.seal().map(streamsBySeal::get);
+        if (head.filter(started -> started.attemptId().equals(sent.attemptId())).isEmpty()) {
+            report(Rule.MIXED, sent.attemptId() + " received the head of " + head + " in " + ended);
         }
         checkEvents(sent, ended);
         if (ended.complete()
                 && !ended.body()
                         .equals(StreamEvents.stream(
                                 sent.attemptId(), sent.request().events()))) {
-            report(Rule.ORDER, sent.attemptId() + " ended as whole with " + ended.body());
+            report(Rule.ORDER, sent.attemptId() + " ended as complete with " + ended.body());
         }
     }
 
@@ -68,19 +68,19 @@
         String expected = StreamEvents.stream(
                 sent.attemptId(), StreamEvents.complete(ended.body()).size());
         if (!complete.equals(expected)) {
-            report(Rule.ORDER, sent.attemptId() + " got events " + ended.body());
+            report(Rule.ORDER, sent.attemptId() + " received the events " + ended.body());
         }
         Set<Optional<String>> seals = new HashSet<>();
         receivedParts.getOrDefault(sent.attemptId(), List.of()).forEach(part -> seals.add(part.seal()));
         if (seals.size() > 1) {
-            report(Rule.ORDER, sent.attemptId() + " got the heads " + seals);
+            report(Rule.ORDER, sent.attemptId() + " received several heads, with seals " + seals);
         }
         int sentCount = sentEvents.getOrDefault(sent.attemptId(), List.of()).stream()
                 .mapToInt(StreamEventSent::id)
                 .max()
                 .orElse(0);
         if (StreamEvents.complete(ended.body()).size() > sentCount) {
-            report(Rule.ORDER, sent.attemptId() + " got more events than the " + sentCount + " that servers sent");
+            report(Rule.ORDER, sent.attemptId() + " received more events than the " + sentCount + " that servers sent");
         }
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/fleet/TenantSpec.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/TenantSpec.java
@@ -7,27 +7,26 @@
 /**
  * A tenant of a configuration that the operator sends. Immutable.
  *
- * @param accessKeys none where all were taken away
- * @param ratePerSecond requests that the fleet admits in a second; 0 where they are not limited
- * @param burstSize requests that the fleet admits beyond the rate
+ * @param accessKeys empty if all keys were revoked
+ * @param ratePerSecond requests that the fleet admits per second; 0 if there is no limit
+ * @param burstSize requests that the fleet admits in a burst beyond the rate
  */
 public record TenantSpec(String name, List<String> accessKeys, int ratePerSecond, int burstSize) {
-    /** Copies the keys. */
     public TenantSpec {
         accessKeys = List.copyOf(accessKeys);
     }
 
-    /** A tenant with one key and without a limit. */
+    /** Creates a tenant with one key and without a limit. */
     public static TenantSpec unlimited(String name, String accessKey) {
         return new TenantSpec(name, List.of(accessKey), 0, 0);
     }
 
-    /** The same tenant with this limit. */
+    /** Returns a copy with the given limit. */
     public TenantSpec limitedTo(int requestsPerSecond, int burst) {
         return new TenantSpec(name, accessKeys, requestsPerSecond, burst);
     }
 
-    /** The same tenant, which holds no key any more. */
+    /** Returns a copy without access keys. */
     public TenantSpec withoutKeys() {
         return new TenantSpec(name, List.of(), ratePerSecond, burstSize);
     }
--- a/emulator/src/main/java/dewplank/emulator/fleet/Violation.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/Violation.java
@@ -1,30 +1,30 @@
 package dewplank.emulator.fleet;
 
-/** A rule that a history breaks, and where. The rules have the names of the bench. */
+/** A violation of a rule in a history. The rules have the names that the bench uses. */
 public record Violation(Rule rule, String detail) {
     /** The rules that histories are checked for. */
     public enum Rule {
-        /** An attempt that may run at most once ran again. */
+        /** A server ran an attempt a second time that may run at most once. */
         TWICE,
-        /** An attempt whose response promises that it did not run has run. */
+        /** A server ran an attempt whose response states that it was not executed. */
         REFUSED,
-        /** A success without the server's seal, or with another body than the server's. */
+        /** A successful response has no server seal, or its body differs from the body that the server sent. */
         MIXED,
-        /** A request arrived at a server that no client sent, or that was changed. */
+        /** A server received a request that no client sent, or that was modified. */
         UNASKED,
-        /** A stream with an event missing or repeated, with two heads, or that ended too early. */
+        /** A stream has missing or repeated events or two heads, or ended too early. */
         ORDER,
-        /** A handle was fetched twice, or for another request. */
+        /** A KV handle was fetched twice, or for another request. */
         HANDLE,
-        /** A connection ended without the response to a request that had been read. */
+        /** A connection ended without a response to a request that the data plane had read. */
         LOST,
-        /** A request ran at a service that no configuration allowed. */
+        /** A request ran at a service that no configuration allows for it. */
         ROUTE,
-        /** A request arrived at a draining server too late. */
+        /** A request reached a server too long after the server was listed as draining. */
         DRAIN,
-        /** An acknowledged configuration was lost, two on one base were acknowledged, or an invalid one was. */
+        /** An acknowledged configuration was lost, or an invalid one or two with the same base were acknowledged. */
         CONFIG,
-        /** A request was handled by a configuration that had been replaced long before. */
+        /** A request was handled according to a configuration that had been replaced long before. */
         STALE,
         /** Two processes called the platform at the same time. */
         ONE
--- a/emulator/src/test/java/dewplank/emulator/fleet/FleetAuditorTest.java
+++ b/emulator/src/test/java/dewplank/emulator/fleet/FleetAuditorTest.java
@@ -2,7 +2,6 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import dewplank.emulator.fleet.FleetEvent.Answered;
 import dewplank.emulator.fleet.FleetEvent.Arrived;
 import dewplank.emulator.fleet.FleetEvent.AttemptEnded;
 import dewplank.emulator.fleet.FleetEvent.AttemptSent;
@@ -16,14 +15,15 @@
 import dewplank.emulator.fleet.FleetEvent.ProcessFault;
 import dewplank.emulator.fleet.FleetEvent.ProcessFaulted;
 import dewplank.emulator.fleet.FleetEvent.ReadBack;
+import dewplank.emulator.fleet.FleetEvent.ResponseSent;
 import dewplank.emulator.fleet.FleetEvent.RunEnd;
 import dewplank.emulator.fleet.FleetEvent.RunEnded;
 import dewplank.emulator.fleet.FleetEvent.RunRejected;
 import dewplank.emulator.fleet.FleetEvent.RunStarted;
 import dewplank.emulator.fleet.FleetEvent.StandInsStalled;
-import dewplank.emulator.fleet.FleetEvent.StreamBegun;
 import dewplank.emulator.fleet.FleetEvent.StreamBytes;
 import dewplank.emulator.fleet.FleetEvent.StreamEventSent;
+import dewplank.emulator.fleet.FleetEvent.StreamStarted;
 import dewplank.emulator.fleet.FleetEvent.UnexpectedBytes;
 import dewplank.emulator.fleet.Violation.Rule;
 import java.util.ArrayList;
@@ -33,7 +33,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Histories written by hand: some that keep the rules, and each rule broken. */
+/** Checks hand-written histories: some without a violation, and some with a violation of each rule. */
 class FleetAuditorTest {
     private static final RouteSpec WRITE = RouteSpec.to("plain", "write", RouteSpec.Kind.UNSAFE);
     private static final RouteSpec READ = RouteSpec.to("plain", "read", RouteSpec.Kind.SAFE);
@@ -48,7 +48,7 @@
             new ServerIdentity("i-2", "other", "ost", ServerStage.NONE, "127.0.0.1:2");
     private static final ServerIdentity MODEL =
             new ServerIdentity("i-3", "model", "ost", ServerStage.DECODE, "127.0.0.1:3");
-    /** Long after all that happens at the start of a history must be in effect. */
+    /** A time by which everything that happens at the start of a history must be in effect. */
     private static final double LATE_MS = 9_000;
 
     private static final double START_MS = 1;
@@ -59,18 +59,18 @@
         acknowledged(FIRST, 0, 0);
     }
 
-    /** The operator sent a configuration, and it was acknowledged at once. */
+    /** The operator sent a configuration that was acknowledged immediately. */
     private void acknowledged(FleetConfiguration document, long base, double atMs) {
         String text = document.json().toString();
         events.add(new ChangeSent(atMs, base, Optional.of(document), text));
         events.add(new ChangeAnswered(atMs, base, Optional.of(document), text, 200));
     }
 
-    private void assertKept() {
-        assertBroken();
+    private void assertNoViolation() {
+        assertViolations();
     }
 
-    private void assertBroken(Rule... rules) {
+    private void assertViolations(Rule... rules) {
         List<Rule> found = FleetAuditor.audit(events).stream()
                 .map(Violation::rule)
                 .distinct()
@@ -88,23 +88,23 @@
     }
 
     /** A server sent {@code body} with a success, and the client received {@code received}. */
-    private void answered(double atMs, String id, String seal, String body, String received) {
-        events.add(new Answered(atMs, SERVER, id, 200, Optional.of(seal), body));
+    private void responded(double atMs, String id, String seal, String body, String received) {
+        events.add(new ResponseSent(atMs, SERVER, id, 200, Optional.of(seal), body));
         events.add(new AttemptEnded(atMs, id, 200, Optional.of(seal), received, true, false));
     }
 
     private void served(double atMs, ServerIdentity server, String id, ClientRequest request) {
         sent(atMs, id, request);
         ran(atMs, server, id, request);
-        answered(atMs, id, "seal-" + id, "body", "body");
+        responded(atMs, id, "seal-" + id, "body", "body");
     }
 
-    /** A server sent so many events, and the client received {@code received} under each of the seals. */
+    /** A server sent the given number of events, and the client received {@code received} with each of the seals. */
     private void stream(String id, int emitted, String received, boolean isComplete, String... seals) {
         ClientRequest request = ClientRequest.direct(CHAT, "s", 3);
         sent(START_MS, id, request);
         ran(START_MS, MODEL, id, request);
-        events.add(new StreamBegun(START_MS, MODEL, id, "seal"));
+        events.add(new StreamStarted(START_MS, MODEL, id, "seal"));
         for (int event = 1; event <= emitted; event++) {
             events.add(new StreamEventSent(START_MS, MODEL, id, event, StreamEvents.text(id, event)));
         }
@@ -115,7 +115,7 @@
     }
 
     @Test
-    void aHistoryThatKeepsTheRulesHasNoViolation() {
+    void aHistoryThatFollowsTheRulesHasNoViolation() {
         served(START_MS, SERVER, "a", ClientRequest.plain(WRITE, "x"));
         stream("b", 3, StreamEvents.stream("b", 3), true, "seal", "seal");
         events.add(new ReadBack(5, 4, "core", FIRST.json().toString()));
@@ -123,7 +123,7 @@
         events.add(new EndpointListRequested(2, "core-1", 200));
         events.add(new EndpointListRequested(100, "core-0", 200));
         events.add(new EndpointListRequested(900, "core-1", 200));
-        assertKept();
+        assertNoViolation();
     }
 
     @Test
@@ -131,11 +131,11 @@
         ClientRequest read = ClientRequest.plain(READ, "x");
         served(START_MS, SERVER, "a", read);
         ran(2, SERVER, "a", read);
-        assertKept();
+        assertNoViolation();
         ClientRequest write = ClientRequest.plain(WRITE, "x");
         served(START_MS, SERVER, "b", write);
         ran(2, SERVER, "b", write);
-        assertBroken(Rule.TWICE);
+        assertViolations(Rule.TWICE);
     }
 
     @Test
@@ -143,88 +143,88 @@
         ClientRequest write = ClientRequest.plain(WRITE, "x");
         sent(START_MS, "a", write);
         events.add(new AttemptEnded(2, "a", 503, Optional.empty(), "", true, false));
-        assertKept();
+        assertNoViolation();
         ran(3, SERVER, "a", write);
-        assertBroken(Rule.REFUSED);
+        assertViolations(Rule.REFUSED);
     }
 
     @Test
-    void aSuccessWithAnotherBodyThanTheServersIsFound() {
+    void aSuccessWithABodyThatTheServerDidNotSendIsFound() {
         ClientRequest write = ClientRequest.plain(WRITE, "x");
         sent(START_MS, "a", write);
         ran(START_MS, SERVER, "a", write);
-        answered(START_MS, "a", "seal", "body", "bod");
-        assertBroken(Rule.MIXED);
+        responded(START_MS, "a", "seal", "body", "bod");
+        assertViolations(Rule.MIXED);
     }
 
     @Test
-    void aSuccessWithoutSealIsFound() {
+    void aSuccessWithoutASealIsFound() {
         sent(START_MS, "a", ClientRequest.plain(WRITE, "x"));
         events.add(new AttemptEnded(2, "a", 200, Optional.empty(), "body", true, false));
-        assertBroken(Rule.MIXED);
+        assertViolations(Rule.MIXED);
     }
 
     @Test
-    void aStreamWithoutSealIsFound() {
+    void aStreamWithoutASealIsFound() {
         ClientRequest request = ClientRequest.direct(CHAT, "s", 0);
         sent(START_MS, "a", request);
         ran(START_MS, MODEL, "a", request);
-        events.add(new StreamBegun(START_MS, MODEL, "a", "seal"));
+        events.add(new StreamStarted(START_MS, MODEL, "a", "seal"));
         events.add(new AttemptEnded(2, "a", 200, Optional.empty(), "", false, false));
-        assertBroken(Rule.MIXED);
+        assertViolations(Rule.MIXED);
     }
 
     @Test
     void aRequestThatNoClientSentIsFound() {
         sent(START_MS, "a", ClientRequest.plain(WRITE, "x"));
         events.add(new Arrived(START_MS, SERVER, "a", false, "POST", "/write/x", "another body"));
-        assertBroken(Rule.UNASKED);
+        assertViolations(Rule.UNASKED);
     }
 
     @Test
     void anInterruptedStreamMayEndWithinAnEvent() {
         stream("a", 2, StreamEvents.stream("a", 1) + "id: 2", false, "seal");
-        assertKept();
+        assertNoViolation();
     }
 
     @Test
     void aCompleteStreamWithoutItsLastEventIsFound() {
         stream("a", 3, StreamEvents.stream("a", 2), true, "seal");
-        assertBroken(Rule.ORDER);
+        assertViolations(Rule.ORDER);
     }
 
     @Test
     void aGapInAStreamIsFound() {
         stream("a", 3, StreamEvents.text("a", 1) + StreamEvents.text("a", 3), false, "seal");
-        assertBroken(Rule.ORDER);
+        assertViolations(Rule.ORDER);
     }
 
     @Test
     void aSecondHeadOfAStreamIsFound() {
         stream("a", 3, StreamEvents.stream("a", 3), true, "seal", "another");
-        assertBroken(Rule.ORDER);
+        assertViolations(Rule.ORDER);
     }
 
     @Test
     void aHandleThatIsFetchedTwiceIsFound() {
         events.add(new HandleCreated(START_MS, MODEL, "h", "a"));
         events.add(new HandleFetched(2, "h", "a"));
-        assertKept();
+        assertNoViolation();
         events.add(new HandleFetched(3, "h", "a"));
-        assertBroken(Rule.HANDLE);
+        assertViolations(Rule.HANDLE);
     }
 
     @Test
     void aHandleThatIsFetchedForAnotherRequestIsFound() {
         events.add(new HandleCreated(START_MS, MODEL, "h", "a"));
         events.add(new HandleFetched(2, "h", "b"));
-        assertBroken(Rule.HANDLE);
+        assertViolations(Rule.HANDLE);
     }
 
     @Test
-    void aRunAtAServiceOfNoConfigurationIsFound() {
+    void aRunAtAServiceThatNoConfigurationAllowsIsFound() {
         served(START_MS, OTHER, "a", ClientRequest.plain(WRITE, "x"));
-        assertBroken(Rule.ROUTE);
+        assertViolations(Rule.ROUTE);
     }
 
     @Test
@@ -233,10 +233,10 @@
         events.add(new ChangeSent(
                 START_MS, 3, Optional.of(rejected), rejected.json().toString()));
         served(START_MS, OTHER, "a", ClientRequest.plain(WRITE, "x"));
-        assertKept();
+        assertNoViolation();
         events.add(
                 new ChangeAnswered(2, 3, Optional.of(rejected), rejected.json().toString(), 412));
-        assertBroken(Rule.ROUTE);
+        assertViolations(Rule.ROUTE);
     }
 
     @Test
@@ -248,55 +248,55 @@
         events.add(new Arrived(
                 LATE_MS, SERVER, "b", false, "POST", forAnotherInstance.target(), forAnotherInstance.body()));
         events.add(new RunRejected(LATE_MS, SERVER, "b", 421));
-        assertKept();
+        assertNoViolation();
         served(2 + FleetBounds.DRAIN_MS, SERVER, "c", ClientRequest.plain(WRITE, "x"));
-        assertBroken(Rule.DRAIN);
+        assertViolations(Rule.DRAIN);
     }
 
     @Test
     void aLostConfigurationIsFound() {
         acknowledged(FIRST.withVersion(5), 3, 1);
         events.add(new ReadBack(3, 2, "core", FIRST.json().toString()));
-        assertBroken(Rule.CONFIG);
+        assertViolations(Rule.CONFIG);
     }
 
     @Test
     void aConfigurationThatNoOperatorSentIsFound() {
         events.add(new ReadBack(3, 2, "core", FIRST.without(3, "read").json().toString()));
-        assertBroken(Rule.CONFIG);
+        assertViolations(Rule.CONFIG);
     }
 
     @Test
     void twoAcknowledgementsOnOneBaseAreFound() {
         acknowledged(FIRST.withVersion(5), 3, 1);
         acknowledged(FIRST.withVersion(5), 3, 1);
-        assertKept();
+        assertNoViolation();
         acknowledged(FIRST.withVersion(6), 3, 1);
-        assertBroken(Rule.CONFIG);
+        assertViolations(Rule.CONFIG);
     }
 
     @Test
     void anAcknowledgedInvalidConfigurationIsFound() {
         events.add(new ChangeAnswered(START_MS, 3, Optional.empty(), "{", 200));
-        assertBroken(Rule.CONFIG);
+        assertViolations(Rule.CONFIG);
     }
 
     @Test
     void aRequestHandledByAReplacedConfigurationIsFoundUnlessAProcessHadAFault() {
         acknowledged(FIRST.with(5, WRITE.movedTo("other")), 3, 1);
         served(FleetBounds.CONFIG_APPLY_MS, SERVER, "a", ClientRequest.plain(WRITE, "x"));
-        assertKept();
+        assertNoViolation();
         served(LATE_MS, SERVER, "b", ClientRequest.plain(WRITE, "x"));
-        assertBroken(Rule.STALE);
+        assertViolations(Rule.STALE);
         events.add(new ProcessFaulted(2, "core-0", MachineClass.CORE, ProcessFault.KILLED));
-        assertKept();
+        assertNoViolation();
     }
 
     @Test
-    void aRouteThatIsNotFoundLongAfterItWasAddedIsFound() {
+    void aRouteThatIsMissingLongAfterItWasAddedIsFound() {
         sent(LATE_MS, "a", ClientRequest.plain(READ, "x"));
         events.add(new AttemptEnded(LATE_MS, "a", 404, Optional.empty(), "", true, false));
-        assertBroken(Rule.STALE);
+        assertViolations(Rule.STALE);
     }
 
     @Test
@@ -304,25 +304,25 @@
         events.add(new EndpointListRequested(START_MS, "core-0", 200));
         events.add(new EndpointListRequested(2, "core-1", 200));
         events.add(new EndpointListRequested(900, "core-0", 200));
-        assertBroken(Rule.ONE);
+        assertViolations(Rule.ONE);
     }
 
     @Test
-    void aProcessThatWasJustThawedIsNoSecondCaller() {
+    void aProcessThatWasJustResumedIsNotASecondCaller() {
         events.add(new EndpointListRequested(START_MS, "core-0", 200));
         events.add(new EndpointListRequested(1_500, "core-1", 200));
         events.add(new ProcessFaulted(2_400, "core-0", MachineClass.CORE, ProcessFault.THAWED));
         events.add(new EndpointListRequested(2_450, "core-0", 200));
         events.add(new EndpointListRequested(2_500, "core-1", 200));
-        assertKept();
+        assertNoViolation();
     }
 
     private void faulted(double atMs, ProcessFault fault) {
         events.add(new ProcessFaulted(atMs, "edge", MachineClass.EDGE, fault));
     }
 
-    /** The client got no response to an attempt that was passed on. */
-    private void cutOff(double sentAtMs, double endedAtMs, String id) {
+    /** The client received no response to an attempt that was forwarded. */
+    private void interrupted(double sentAtMs, double endedAtMs, String id) {
         ClientRequest request = ClientRequest.plain(READ, "x");
         sent(sentAtMs, id, request);
         ran(sentAtMs, SERVER, id, request);
@@ -337,78 +337,78 @@
     @EnumSource(
             value = ProcessFault.class,
             names = {"TERMINATED", "RELOADED"})
-    void aRequestThatIsPassedOnAndCutOffAroundPlannedWorkIsFound(ProcessFault work) {
-        faulted(LATE_MS, work);
-        cutOff(START_MS, LATE_MS - 1, "before");
-        assertKept();
-        cutOff(LATE_MS - 1, LATE_MS + 1, "around");
-        assertBroken(Rule.LOST);
+    void aForwardedRequestInterruptedAroundAPlannedOperationIsFound(ProcessFault operation) {
+        faulted(LATE_MS, operation);
+        interrupted(START_MS, LATE_MS - 1, "before");
+        assertNoViolation();
+        interrupted(LATE_MS - 1, LATE_MS + 1, "around");
+        assertViolations(Rule.LOST);
     }
 
     @Test
-    void aRequestThatIsCutOffBesideAKillOrAfterAFreezeIsNotLost() {
+    void aRequestInterruptedAroundAKillIsNotLost() {
         faulted(LATE_MS, ProcessFault.TERMINATED);
         faulted(LATE_MS + 1, ProcessFault.KILLED);
-        cutOff(LATE_MS, LATE_MS + 2, "killed");
-        assertKept();
+        interrupted(LATE_MS, LATE_MS + 2, "killed");
+        assertNoViolation();
     }
 
     @Test
-    void aRequestThatEndsUnservedOnAReusedConnectionLaterThanTheSlackIsLost() {
+    void aRequestThatEndsWithoutResponseOnAReusedConnectionLaterThanTheSlackIsLost() {
         faulted(LATE_MS, ProcessFault.TERMINATED);
         sent(LATE_MS, "a", ClientRequest.plain(WRITE, "x"));
         events.add(new ConnectionReused(LATE_MS, "a"));
         endedWithoutResponse(LATE_MS + FleetBounds.LOSS_SLACK_MS, "a");
-        assertKept();
+        assertNoViolation();
         sent(LATE_MS, "b", ClientRequest.plain(WRITE, "x"));
         events.add(new ConnectionReused(LATE_MS, "b"));
         endedWithoutResponse(LATE_MS + FleetBounds.LOSS_SLACK_MS + 1, "b");
-        assertBroken(Rule.LOST);
+        assertViolations(Rule.LOST);
     }
 
     @Test
-    void aStallOfTheStandInsIsNotCountedAsTimeOfTheDataPlane() {
+    void aStallOfTheStandInsIsNotAttributedToTheDataPlane() {
         faulted(LATE_MS, ProcessFault.TERMINATED);
         sent(LATE_MS, "a", ClientRequest.plain(WRITE, "x"));
         events.add(new ConnectionReused(LATE_MS, "a"));
         endedWithoutResponse(LATE_MS + FleetBounds.LOSS_SLACK_MS + 1, "a");
-        assertBroken(Rule.LOST);
+        assertViolations(Rule.LOST);
         events.add(new StandInsStalled(LATE_MS + 1, LATE_MS));
-        assertKept();
+        assertNoViolation();
     }
 
     @Test
-    void aRequestThatItsServerStillRunsLateInTheGraceIsNotLost() {
+    void aRequestThatIsStillRunningLateInTheGracePeriodIsNotLost() {
         double lateInGraceMs = FleetBounds.GRACE_S * 900;
         faulted(START_MS, ProcessFault.TERMINATED);
-        cutOff(START_MS, START_MS + lateInGraceMs, "a");
+        interrupted(START_MS, START_MS + lateInGraceMs, "a");
         events.add(new RunEnded(START_MS + lateInGraceMs, SERVER, "a", RunEnd.CALLER_LEFT));
-        assertKept();
-        cutOff(START_MS, START_MS + lateInGraceMs, "b");
-        assertBroken(Rule.LOST);
+        assertNoViolation();
+        interrupted(START_MS, START_MS + lateInGraceMs, "b");
+        assertViolations(Rule.LOST);
     }
 
     @Test
     void aRequestWhoseServerCrashesIsNotLost() {
         faulted(START_MS, ProcessFault.TERMINATED);
-        cutOff(START_MS, 2, "a");
+        interrupted(START_MS, 2, "a");
         events.add(new RunEnded(2, SERVER, "a", RunEnd.CRASHED));
-        assertKept();
+        assertNoViolation();
     }
 
     @Test
-    void moreThanThreeRequestsThatAreCutOffInCalmTimesAreFound() {
+    void moreThanThreeInterruptedRequestsWithoutAFaultAreFound() {
         for (String id : List.of("a", "b", "c")) {
-            cutOff(START_MS, 2, id);
+            interrupted(START_MS, 2, id);
         }
-        assertKept();
-        cutOff(START_MS, 2, "d");
-        assertBroken(Rule.LOST);
+        assertNoViolation();
+        interrupted(START_MS, 2, "d");
+        assertViolations(Rule.LOST);
     }
 
     @Test
-    void bytesThatNoRequestWaitsForAreFound() {
+    void bytesWithoutAPendingRequestAreFound() {
         events.add(new UnexpectedBytes(START_MS, "edge", "HTTP/1.1 200 OK"));
-        assertBroken(Rule.MIXED);
+        assertViolations(Rule.MIXED);
     }
 }
