--- a/client/src/main/java/dewplank/client/Change.java
+++ b/client/src/main/java/dewplank/client/Change.java
@@ -7,18 +7,18 @@
 /**
  * One difference between two configurations.
  *
- * @param path   where it is, such as {@code routes[r-1].timeout_ms}
- * @param before the value before; null for what was added
- * @param after  the value after; null for what was removed
+ * @param path   the location of the value, such as {@code routes[r-1].timeout_ms}
+ * @param before the previous value; null for an added value
+ * @param after  the new value; null for a removed value
  */
 public record Change(Kind kind, String path, Object before, Object after) {
-    /** What happened to a value. */
+    /** The kind of a difference. */
     public enum Kind {
-        /** It was not there before. */
+        /** The value is only in the new configuration. */
         ADDED("+"),
-        /** It is not there any more. */
+        /** The value is only in the previous configuration. */
         REMOVED("-"),
-        /** It is another one. */
+        /** The two values differ. */
         CHANGED("~");
 
         private final String sign;
@@ -28,7 +28,7 @@
         }
     }
 
-    /** Returns its parts by name, for JSON. */
+    /** Returns the components by name, to be written as JSON. */
     public Map<String, Object> fields() {
         Map<String, Object> fields = new LinkedHashMap<>();
         fields.put("change", kind.name().toLowerCase(Locale.ROOT));
@@ -38,7 +38,7 @@
         return fields;
     }
 
-    /** Returns it as one line of text. */
+    /** Returns the difference as one line of text. */
     public String line() {
         String values =
                 switch (kind) {
--- a/client/src/main/java/dewplank/client/ConfigurationChanges.java
+++ b/client/src/main/java/dewplank/client/ConfigurationChanges.java
@@ -12,7 +12,7 @@
 public final class ConfigurationChanges {
     private final ControlClient client;
 
-    /** Creates one that calls through this client. */
+    /** Creates an instance that uses this client for its calls. */
     public ConfigurationChanges(ControlClient client) {
         this.client = client;
     }
@@ -22,13 +22,13 @@
         return client.call(ControlCall.configuration()).requireSuccess();
     }
 
-    /** Returns the current configuration; null before the first. */
+    /** Returns the current configuration; null if none has been applied yet. */
     public Configuration current() throws NoResponseException, InterruptedException {
-        ControlResponse answer = client.call(ControlCall.configuration());
-        if (answer.hasResult(ResultCode.NO_CONFIGURATION)) {
+        ControlResponse response = client.call(ControlCall.configuration());
+        if (response.hasResult(ResultCode.NO_CONFIGURATION)) {
             return null;
         }
-        return parse(answer.requireSuccess());
+        return parse(response.requireSuccess());
     }
 
     private long currentVersion() throws NoResponseException, InterruptedException {
@@ -36,19 +36,19 @@
         return current == null ? 0 : current.version();
     }
 
-    /** Replaces the configuration of this version by a complete one; null means the current version. */
+    /** Replaces the configuration with the expected version by a complete one; null expects the current version. */
     public ControlResponse put(byte[] configuration, Long expectedVersion)
             throws NoResponseException, InterruptedException {
         return change(ControlCall.put(expectedVersion == null ? currentVersion() : expectedVersion, configuration));
     }
 
-    /** Applies a patch of items to this version; null means the current version. */
+    /** Applies a patch to the configuration with the expected version; null expects the current version. */
     public ControlResponse patch(byte[] patch, Long expectedVersion) throws NoResponseException, InterruptedException {
         return change(ControlCall.patch(expectedVersion == null ? currentVersion() : expectedVersion, patch));
     }
 
     private ControlResponse change(ControlCall call) throws NoResponseException, InterruptedException {
-        RedactedFiles.requireWholeKeys(call.body());
+        RedactedFiles.requireNoFingerprints(call.body());
         try {
             return client.call(call);
         } catch (NoResponseException e) {
@@ -57,23 +57,24 @@
     }
 
     /** Parses the configuration that a control plane sent. */
-    public static Configuration parse(ControlResponse answer) {
+    public static Configuration parse(ControlResponse response) {
         try {
-            return Configuration.parse(answer.body());
+            return Configuration.parse(response.body());
         } catch (InvalidConfigurationException e) {
             throw InvalidInputException.of(
-                    ResultCode.ANSWER_UNREADABLE, "the configuration of " + answer.address() + ": " + e.getMessage());
+                    ResultCode.ANSWER_UNREADABLE,
+                    "the configuration from " + response.address() + ": " + e.getMessage());
         }
     }
 
     /**
-     * Returns the configuration that a file would lead to: the file itself, or the current one with the file's patch if
-     * it has {@code upsert} or {@code remove}.
+     * Returns the configuration that results from applying a file: the current configuration with the file's patch if
+     * the file has {@code upsert} or {@code remove}, and the file itself otherwise.
      *
-     * @throws InvalidInputException if it leads to none, or holds fingerprints in the place of access keys
+     * @throws InvalidInputException if the result is not valid, or the file has fingerprints instead of access keys
      */
     public static Configuration apply(Configuration current, byte[] file) {
-        RedactedFiles.requireWholeKeys(file);
+        RedactedFiles.requireNoFingerprints(file);
         try {
             if (!isPatch(file)) {
                 return Configuration.parse(file);
@@ -92,7 +93,7 @@
             Map<String, Object> fields = Json.object(new String(file, StandardCharsets.UTF_8));
             return fields.containsKey("upsert") || fields.containsKey("remove");
         } catch (InvalidInputException unreadable) {
-            return false; // The configuration's own reader reports what is wrong.
+            return false; // Parsing it as a configuration reports the error.
         }
     }
 }
--- a/client/src/main/java/dewplank/client/ConfigurationDifference.java
+++ b/client/src/main/java/dewplank/client/ConfigurationDifference.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 
 /**
- * Compares two configurations key by key. Items of lists are identified by their names; their order does not matter.
+ * Compares two configurations key by key. List items are identified by their names, and their order is ignored.
  */
 public final class ConfigurationDifference {
     private final List<Change> changes = new ArrayList<>();
@@ -16,8 +16,8 @@
     private ConfigurationDifference() {}
 
     /**
-     * Returns the changes from one configuration to the other; null counts as one without fields. Access keys are
-     * compared, and found in the changes, as they are to be shown.
+     * Returns the changes from one configuration to the other; null is treated as a configuration without fields.
+     * Access keys are compared and returned in the given representation.
      */
     public static List<Change> between(Configuration before, Configuration after, KeyDisplay keys) {
         return between(fields(before, keys), fields(after, keys));
@@ -81,7 +81,7 @@
         }
     }
 
-    /** Returns a list's items by {@code [name]}; null if the value is no list of items with distinct names. */
+    /** Returns the items of a list by {@code [name]}; null if the value is not a list of items with distinct names. */
     private static Map<String, Object> itemsByName(Object value) {
         if (!(value instanceof List<?> list)) {
             return null;
--- a/client/src/main/java/dewplank/client/ConfigurationText.java
+++ b/client/src/main/java/dewplank/client/ConfigurationText.java
@@ -16,7 +16,7 @@
 public final class ConfigurationText {
     private ConfigurationText() {}
 
-    /** Formats version, routes, services, tenants with their access keys, and limits. */
+    /** Formats the version, routes, services, tenants with their access keys, and limits. */
     public static String of(Configuration configuration, KeyDisplay keys) {
         return "configuration " + configuration.version() + "\n\n" + routes(configuration) + "\n"
                 + services(configuration) + "\n" + tenants(configuration, keys) + limits(configuration.limits()) + "\n";
@@ -48,7 +48,7 @@
         return services;
     }
 
-    /** Empty where the configuration has no tenants. */
+    /** Returns an empty text if the configuration has no tenants. */
     private static String tenants(Configuration configuration, KeyDisplay keys) {
         if (!configuration.requiresAccessKeys()) {
             return "";
@@ -61,7 +61,7 @@
         return tenants + "\n";
     }
 
-    /** Formats a number, without the fraction if it is integral. */
+    /** Formats a number; an integral number has no decimal places. */
     static String number(double value) {
         return value == Math.rint(value) && Math.abs(value) < Long.MAX_VALUE
                 ? Long.toString((long) value)
--- a/client/src/main/java/dewplank/client/ControlClient.java
+++ b/client/src/main/java/dewplank/client/ControlClient.java
@@ -18,19 +18,20 @@
 /**
  * Calls the operators' API of a fleet's control planes, with failover and retries.
  *
- * <p>An inconclusive response (a timeout, a broken connection, a 5xx, 408 or 429) sends the same call to the next
- * address. After the last address a round is over, and the next one begins after a backoff that doubles. This is safe
- * for changes too, since they are idempotent: a control plane accepts one once, however often it arrives.
+ * <p>After an inconclusive attempt (a timeout, a broken connection, or a response with status 5xx, 408 or 429) the
+ * client sends the same call to the next address. A round ends with the last address; the next round starts after a
+ * backoff that doubles each time. Retrying changes is safe because they are idempotent: control planes apply a change
+ * once even if they receive it several times.
  *
  * <p>Calls block the calling thread. Instances are not thread-safe.
  */
 public final class ControlClient {
     private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(1);
-    /** The timeout of a large request body is so many times as long. */
+    /** Multiplies the response timeout of a call with a large request body. */
     private static final int LARGE_BODY_TIMEOUT_FACTOR = 2;
 
     private static final int LARGE_BODY_BYTES = 64 * 1024;
-    /** A response whose head came in time may take so many times as long until it is complete. */
+    /** Multiplies the response timeout for receiving the complete response, including its body. */
     private static final int COMPLETE_RESPONSE_TIMEOUT_FACTOR = 5;
 
     private static final int MAX_REDIRECTS = 2;
@@ -38,15 +39,15 @@
     private static final long MAX_BACKOFF_MS = 1_600;
     private static final int TEMPORARY_REDIRECT = 307;
     private static final int MIN_SERVER_ERROR = 500;
-    /** Request Timeout and Too Many Requests: a retry, or another control plane, may succeed. */
+    /** Request Timeout and Too Many Requests: a retry or a call to another control plane may succeed. */
     private static final Set<Integer> RETRYABLE_STATUSES = Set.of(408, 429);
 
-    /** Waits between rounds; a test replaces it. */
+    /** Waits between rounds; replaced in tests. */
     interface Sleeper {
         void sleep(long ms) throws InterruptedException;
     }
 
-    /** An attempt whose outcome is unknown, or which may succeed elsewhere. */
+    /** An attempt whose outcome is unknown, or which may succeed at another address. */
     private static final class InconclusiveException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -61,7 +62,7 @@
     private final Sleeper sleeper;
     private final HttpClient http;
 
-    /** Creates a client that calls all addresses up to so many rounds. */
+    /** Creates a client that calls all addresses in at most the given number of rounds. */
     public ControlClient(OperatorApiAddresses addresses, int maxRounds) {
         this(addresses, maxRounds, RESPONSE_TIMEOUT, Thread::sleep);
     }
@@ -79,9 +80,9 @@
     }
 
     /**
-     * Returns the first conclusive response, whether it is a success or not.
+     * Returns the first conclusive response, successful or not.
      *
-     * @throws NoResponseException if no round gave one; a change may have been accepted all the same
+     * @throws NoResponseException if no round gave a conclusive response; a change may still have been applied
      */
     public ControlResponse call(ControlCall call) throws NoResponseException, InterruptedException {
         Map<String, String> lastErrors = new LinkedHashMap<>();
@@ -103,9 +104,9 @@
     }
 
     /**
-     * Calls each address once and returns the conclusive responses by address, in the order of addresses.
+     * Calls each address once and returns the conclusive responses by address, in the order of the addresses.
      *
-     * @throws NoResponseException if there is none
+     * @throws NoResponseException if there is no conclusive response
      */
     public Map<String, ControlResponse> callEach(ControlCall call) throws NoResponseException, InterruptedException {
         Map<String, ControlResponse> responses = new LinkedHashMap<>();
@@ -157,7 +158,7 @@
                 return to;
             }
         } catch (IllegalArgumentException e) {
-            // reported below
+            // Reported below.
         }
         throw new InconclusiveException("a redirect to '" + location + "'");
     }
@@ -191,7 +192,7 @@
                     TimeUnit.MILLISECONDS);
         } catch (TimeoutException e) {
             response.cancel(true);
-            throw new InconclusiveException("the answer did not become whole in time");
+            throw new InconclusiveException("the response was not complete in time");
         } catch (ExecutionException e) {
             throw new InconclusiveException(describe(e.getCause()));
         }
@@ -199,7 +200,7 @@
 
     private static String describe(Throwable cause) {
         if (cause instanceof java.net.http.HttpTimeoutException) {
-            return "no answer in time";
+            return "no response in time";
         }
         if (cause instanceof java.net.ConnectException) {
             return "no connection";
--- a/client/src/main/java/dewplank/client/ControlResponse.java
+++ b/client/src/main/java/dewplank/client/ControlResponse.java
@@ -9,9 +9,9 @@
 /**
  * A control plane's HTTP response to a {@link ControlCall}.
  *
- * @param address the control plane that responded, which is another than the one called after a redirect
+ * @param address the control plane that responded; after a redirect it differs from the one called first
  * @param status the HTTP status
- * @param body the bytes as they came; results are JSON objects with a numbered code
+ * @param body the unchanged bytes of the response body; results are JSON objects with a numbered code
  */
 public record ControlResponse(String address, int status, byte[] body) {
     private static final int MIN_SUCCESS = 200;
@@ -30,18 +30,19 @@
     /**
      * Returns the fields of the body.
      *
-     * @throws InvalidInputException if it is no JSON object
+     * @throws InvalidInputException if it is not a JSON object
      */
     public Map<String, Object> fields() {
         try {
             return Json.object(text());
         } catch (InvalidInputException e) {
             throw InvalidInputException.of(
-                    ResultCode.ANSWER_UNREADABLE, "the answer of " + address + " can't be read: " + e.getMessage());
+                    ResultCode.ANSWER_UNREADABLE,
+                    "the response from " + address + " can't be parsed: " + e.getMessage());
         }
     }
 
-    /** Whether the body carries this result code. */
+    /** Whether the body contains this result code. */
     public boolean hasResult(ResultCode code) {
         try {
             return Long.valueOf(code.number()).equals(fields().get("code"));
@@ -50,7 +51,7 @@
         }
     }
 
-    /** Returns number, name and detail of the result; the status if the body has none. */
+    /** Returns the number, name and detail of the result, or the status if the body has no result. */
     public String result() {
         try {
             Map<String, Object> fields = fields();
@@ -58,7 +59,7 @@
                 return number + " " + name + (fields.get("detail") instanceof String detail ? ": " + detail : "");
             }
         } catch (InvalidInputException noResult) {
-            // The status says all there is.
+            // Without a result the status is returned.
         }
         return "status " + status;
     }
@@ -66,7 +67,7 @@
     /**
      * Returns this response if it is a success.
      *
-     * @throws InvalidInputException with its result otherwise
+     * @throws InvalidInputException with the result as its message, if it is not a success
      */
     public ControlResponse requireSuccess() {
         if (!isSuccess()) {
--- a/client/src/main/java/dewplank/client/DataPlaneStatus.java
+++ b/client/src/main/java/dewplank/client/DataPlaneStatus.java
@@ -6,16 +6,16 @@
 import java.util.TreeMap;
 
 /**
- * Which configuration a data plane acts on, put together from what the control planes heard of it.
+ * The configuration version that a data plane uses, combined from the reports of the control planes.
  *
  * @param node the name of its node
- * @param address where other processes of the fleet reach it, as IP:PORT
- * @param zone its zone; empty where it has none
- * @param incarnation differs from process to process at the node
- * @param configurationVersion the version that it reported last; 0 where it has none
- * @param sinceMs for how long it has been known to act on that version, in milliseconds
- * @param heartbeatAgeMs how long ago it was heard last, in milliseconds
- * @param hasSession whether it has a session with any of the control planes that answered
+ * @param address its address for other processes of the fleet, as IP:PORT
+ * @param zone its zone; empty if it has none
+ * @param incarnation differs between the successive processes of a node
+ * @param configurationVersion the version that it reported last; 0 if it has no configuration
+ * @param sinceMs how long it has been reporting that version, in milliseconds
+ * @param heartbeatAgeMs the time since its last heartbeat, in milliseconds
+ * @param hasSession whether it has a session with any of the control planes that responded
  */
 record DataPlaneStatus(
         String node,
@@ -26,12 +26,12 @@
         long sinceMs,
         long heartbeatAgeMs,
         boolean hasSession) {
-    /** What one control plane's answer says. */
-    static List<DataPlaneStatus> reportedBy(Fields answer) {
-        return answer.list("data_planes").stream().map(DataPlaneStatus::of).toList();
+    /** Returns the data planes that the response of one control plane reports. */
+    static List<DataPlaneStatus> reportedBy(Fields response) {
+        return response.list("data_planes").stream().map(DataPlaneStatus::of).toList();
     }
 
-    /** One for each data plane, by the name of the node, out of what all control planes said. */
+    /** Combines the reports of all control planes into one status for each data plane, sorted by node name. */
     static List<DataPlaneStatus> combined(List<DataPlaneStatus> reports) {
         Map<String, DataPlaneStatus> byNode = new TreeMap<>();
         reports.forEach(report -> byNode.merge(report.node, report, DataPlaneStatus::combined));
@@ -50,7 +50,10 @@
                 report.flag("session"));
     }
 
-    /** The one heard last counts; an earlier session of that process may have seen the version before. */
+    /**
+     * The report with the latest heartbeat takes precedence. Of reports about the same process and version the longer
+     * duration is used, as an earlier session of that process may have received the version before.
+     */
     private static DataPlaneStatus combined(DataPlaneStatus one, DataPlaneStatus other) {
         DataPlaneStatus newer = one.heartbeatAgeMs <= other.heartbeatAgeMs ? one : other;
         boolean isSame = one.configurationVersion == other.configurationVersion && one.incarnation == other.incarnation;
@@ -65,7 +68,7 @@
                 one.hasSession || other.hasSession);
     }
 
-    /** What an operator has to know of it, next to the newest version that any control plane has. */
+    /** Returns the state shown to operators, compared with the newest version that any control plane has. */
     String state(long newestVersion) {
         if (!hasSession) {
             return "not heard";
--- a/client/src/main/java/dewplank/client/FleetText.java
+++ b/client/src/main/java/dewplank/client/FleetText.java
@@ -10,39 +10,39 @@
 import java.util.function.Function;
 import java.util.stream.Collectors;
 
-/** Formats responses of control planes as text for operators. Column headings and phrases are part of the commands. */
+/** Formats responses of control planes as text for operators. Headings and phrases belong to the command interface. */
 public final class FleetText {
     private static final double MS_PER_SECOND = 1_000;
     private static final String NO_RESPONSE = "no clear answer";
 
     private FleetText() {}
 
-    /** What an answer says; an answer that can't be read is reported with its address. */
-    private static <T> T format(ControlResponse answer, Function<Fields, T> reader) {
+    /** Formats a response; an error in reading it is reported with the address of the control plane. */
+    private static <T> T format(ControlResponse response, Function<Fields, T> reader) {
         try {
-            return reader.apply(new Fields(answer.fields(), ""));
+            return reader.apply(new Fields(response.fields(), ""));
         } catch (InvalidInputException e) {
             throw InvalidInputException.of(
-                    ResultCode.ANSWER_UNREADABLE, "the answer of " + answer.address() + ": " + e.getMessage());
+                    ResultCode.ANSWER_UNREADABLE, "the response from " + response.address() + ": " + e.getMessage());
         }
     }
 
-    /** Formats the membership as the responding control plane knows it. */
-    public static String members(ControlResponse answer) {
-        return format(answer, fields -> {
+    /** Formats the members that the responding control plane lists. */
+    public static String members(ControlResponse response) {
+        return format(response, fields -> {
             TextTable table = new TextTable("KIND", "NODE", "ADDRESS", "ZONE");
             for (String kind : List.of("data", "control")) {
                 for (Fields member : fields.list(kind)) {
                     table.row(kind, member.text("node"), member.text("address"), member.text("zone"));
                 }
             }
-            return "as known to " + fields.text("answered_by", answer.address()) + ", itself not listed\n" + table;
+            return "as known to " + fields.text("answered_by", response.address()) + ", itself not listed\n" + table;
         });
     }
 
-    /** Formats the endpoint list; only the endpoints of one service unless it is null. */
-    public static String servers(ControlResponse answer, String service) {
-        return format(answer, fields -> {
+    /** Formats the endpoint list, restricted to one service unless the service is null. */
+    public static String servers(ControlResponse response, String service) {
+        return format(response, fields -> {
             List<Fields> servers = fields.list("servers").stream()
                     .filter(s -> service == null || service.equals(s.text("service")))
                     .toList();
@@ -51,8 +51,8 @@
     }
 
     /** Formats one endpoint. */
-    public static String server(ControlResponse answer) {
-        return format(answer, fields -> table(List.of(fields)).toString());
+    public static String server(ControlResponse response) {
+        return format(response, fields -> table(List.of(fields)).toString());
     }
 
     private static TextTable table(List<Fields> servers) {
@@ -70,12 +70,12 @@
         return table;
     }
 
-    /** Formats the lease holder of the singleton role that polls the platform, as each control plane sees it. */
-    public static String duties(List<String> addresses, Map<String, ControlResponse> answers) {
+    /** Formats whether each control plane reports that it holds the lease of the role that polls the platform. */
+    public static String duties(List<String> addresses, Map<String, ControlResponse> responses) {
         TextTable table = new TextTable("ASKED", "NODE", "DUTY", "HELD THERE", "FENCING NUMBER");
         for (String address : addresses) {
-            if (answers.containsKey(address)) {
-                format(answers.get(address).requireSuccess(), fields -> {
+            if (responses.containsKey(address)) {
+                format(responses.get(address).requireSuccess(), fields -> {
                     Fields list = fields.requireObject("list");
                     table.row(
                             address,
@@ -92,12 +92,12 @@
         return table.toString();
     }
 
-    /** Formats quorum, version and acceptors as each control plane sees them. */
-    public static String status(List<String> addresses, Map<String, ControlResponse> answers) {
+    /** Formats the quorum, version and acceptors that each control plane reports. */
+    public static String status(List<String> addresses, Map<String, ControlResponse> responses) {
         TextTable table = new TextTable("ASKED", "NODE", "QUORUM", "CONFIGURATION", "ACCEPTORS");
         for (String address : addresses) {
-            if (answers.containsKey(address)) {
-                format(answers.get(address).requireSuccess(), fields -> {
+            if (responses.containsKey(address)) {
+                format(responses.get(address).requireSuccess(), fields -> {
                     String acceptors = fields.list("acceptors").stream()
                             .map(a -> a.text("address"))
                             .collect(Collectors.joining(" "));
@@ -113,18 +113,18 @@
     }
 
     /**
-     * Formats which configuration each data plane acts on, since when, and who lags or is not heard.
+     * Formats the configuration version that each data plane uses, since when, and whether it lags or has no session.
      *
-     * @param answers of the control planes to {@code /data-planes}; those of earlier versions, which have no such path,
-     *     are left out
+     * @param responses of the control planes to {@code /data-planes}; unsuccessful responses are skipped, as control
+     *     planes of earlier versions don't have this path
      */
-    public static String dataPlanes(Map<String, ControlResponse> answers) {
+    public static String dataPlanes(Map<String, ControlResponse> responses) {
         List<DataPlaneStatus> reports = new ArrayList<>();
         long newest = 0;
-        for (ControlResponse answer : answers.values()) {
-            if (answer.isSuccess()) {
-                reports.addAll(format(answer, DataPlaneStatus::reportedBy));
-                newest = Math.max(newest, format(answer, fields -> fields.integer("config_version")));
+        for (ControlResponse response : responses.values()) {
+            if (response.isSuccess()) {
+                reports.addAll(format(response, DataPlaneStatus::reportedBy));
+                newest = Math.max(newest, format(response, fields -> fields.integer("config_version")));
             }
         }
         TextTable table =
@@ -146,29 +146,30 @@
         return String.format(Locale.ROOT, "%.1f", ms / MS_PER_SECOND);
     }
 
-    /** Formats the answers to {@code /status}, each with what the same control plane says of data planes. */
+    /** Formats the responses to {@code /status}, each with the data planes that the same control plane reports. */
     public static String statusJson(
-            List<String> addresses, Map<String, ControlResponse> answers, Map<String, ControlResponse> dataPlanes) {
+            List<String> addresses, Map<String, ControlResponse> responses, Map<String, ControlResponse> dataPlanes) {
         List<String> statuses = new ArrayList<>();
         for (String address : addresses) {
-            statuses.add(JsonValues.toJson(address) + ":" + statusJson(answers.get(address), dataPlanes.get(address)));
+            statuses.add(
+                    JsonValues.toJson(address) + ":" + statusJson(responses.get(address), dataPlanes.get(address)));
         }
         return "{" + String.join(",", statuses) + "}";
     }
 
-    private static String statusJson(ControlResponse answer, ControlResponse dataPlanes) {
-        if (answer == null) {
+    private static String statusJson(ControlResponse response, ControlResponse dataPlanes) {
+        if (response == null) {
             return "null";
         }
-        String status = answer.text().strip();
-        if (!answer.isSuccess() || dataPlanes == null || !dataPlanes.isSuccess()) {
+        String status = response.text().strip();
+        if (!response.isSuccess() || dataPlanes == null || !dataPlanes.isSuccess()) {
             return status;
         }
         String reports = JsonValues.toJson(dataPlanes.fields().get("data_planes"));
         return status.substring(0, status.lastIndexOf('}')) + ",\"data_planes\":" + reports + "}";
     }
 
-    /** A control plane that reaches a quorum but lags its configuration is behind. */
+    /** Returns "behind" for a control plane that reaches a quorum but doesn't have the current configuration. */
     private static String quorum(Fields status) {
         if (!status.flag("quorate")) {
             return "no";
@@ -177,10 +178,10 @@
     }
 
     /** Formats the responses as one JSON object by address, with null for an address without a response. */
-    public static String json(List<String> addresses, Map<String, ControlResponse> answers) {
+    public static String json(List<String> addresses, Map<String, ControlResponse> responses) {
         return addresses.stream()
                 .map(a -> JsonValues.toJson(a) + ":"
-                        + (answers.containsKey(a) ? answers.get(a).text().strip() : "null"))
+                        + (responses.containsKey(a) ? responses.get(a).text().strip() : "null"))
                 .collect(Collectors.joining(",", "{", "}"));
     }
 }
--- a/client/src/main/java/dewplank/client/JsonValues.java
+++ b/client/src/main/java/dewplank/client/JsonValues.java
@@ -5,19 +5,19 @@
 import java.util.List;
 import java.util.Map;
 
-/** Writes and compares JSON values as the settings' reader returns them: maps, lists, strings, numbers, booleans. */
+/** Writes and compares JSON values as {@code Json} parses them: maps, lists, strings, numbers and booleans. */
 public final class JsonValues {
     private static final Gson GSON =
             new GsonBuilder().serializeNulls().disableHtmlEscaping().create();
 
     private JsonValues() {}
 
-    /** Returns the value as JSON in one line. */
+    /** Returns the value as one line of JSON. */
     public static String toJson(Object value) {
         return GSON.toJson(withoutFraction(value));
     }
 
-    /** Integral doubles are written without a fraction. */
+    /** Converts integral doubles so that they are written without decimal places. */
     private static Object withoutFraction(Object value) {
         if (value instanceof Double d && d == Math.rint(d) && Math.abs(d) <= Long.MAX_VALUE >> 10) {
             return d.longValue();
@@ -25,7 +25,7 @@
         return value;
     }
 
-    /** Whether the values are equal; 1 and 1.0 are. */
+    /** Whether the values are equal; 1 and 1.0 count as equal. */
     static boolean areEqual(Object one, Object other) {
         if (one instanceof Number a && other instanceof Number b) {
             return a.equals(b) || a.doubleValue() == b.doubleValue() && !(a instanceof Long && b instanceof Long);
--- a/client/src/main/java/dewplank/client/KeyDisplay.java
+++ b/client/src/main/java/dewplank/client/KeyDisplay.java
@@ -5,12 +5,12 @@
 
 /** How commands show the access keys of a configuration's tenants. */
 public enum KeyDisplay {
-    /** By their fingerprints, so that no terminal, file or ticket gets to hold a key by the way. */
+    /** As fingerprints, so that keys don't leak into terminals, files or tickets. */
     FINGERPRINTS,
-    /** As they are, for who asked for it. */
+    /** In full, when the operator requests it. */
     WHOLE;
 
-    /** The configuration as JSON without spaces, its keys shown in this way. */
+    /** Returns the configuration as JSON without spaces, with the keys in this representation. */
     public String json(Configuration configuration) {
         byte[] json = this == WHOLE ? configuration.json() : configuration.redactedJson();
         return new String(json, StandardCharsets.UTF_8);
--- a/client/src/main/java/dewplank/client/NoResponseException.java
+++ b/client/src/main/java/dewplank/client/NoResponseException.java
@@ -5,11 +5,11 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 
-/** No control plane gave a conclusive response. A change may have been accepted all the same. */
+/** No control plane gave a conclusive response. A change may still have been applied. */
 public final class NoResponseException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    /** Reports the last error of each address. */
+    /** Creates an exception that reports the last error of each address. */
     NoResponseException(Map<String, String> lastErrors) {
         this(lastErrors.entrySet().stream()
                 .map(e -> e.getKey() + ": " + e.getValue())
@@ -20,12 +20,12 @@
         super(ResultCode.NO_ANSWER.line(detail));
     }
 
-    /** Returns the same for a change, with the way to retry it. */
+    /** Returns the same exception for a change, with instructions for the retry. */
     NoResponseException forChange(long expectedVersion) {
-        NoResponseException named = new NoResponseException(
+        NoResponseException forChange = new NoResponseException(
                 getMessage().substring(ResultCode.NO_ANSWER.line("").length())
-                        + "; the change may have been taken: send it again unchanged with --on " + expectedVersion);
-        named.initCause(this);
-        return named;
+                        + "; the change may have been applied: retry it unchanged with --on " + expectedVersion);
+        forChange.initCause(this);
+        return forChange;
     }
 }
--- a/client/src/main/java/dewplank/client/OperatorApiAddresses.java
+++ b/client/src/main/java/dewplank/client/OperatorApiAddresses.java
@@ -7,9 +7,9 @@
 import java.util.List;
 
 /**
- * The addresses at which control planes serve the operators' API; at least one, without duplicates.
+ * The addresses at which control planes serve the operators' API: at least one, without duplicates.
  *
- * @param all each as HOST:PORT, in the order of calls
+ * @param all the addresses as HOST:PORT, in the order in which they are called
  */
 public record OperatorApiAddresses(List<String> all) {
     private static final int MAX_PORT = 65_535;
@@ -22,7 +22,7 @@
     public OperatorApiAddresses {
         all = all.stream().distinct().toList();
         if (all.isEmpty()) {
-            throw new IllegalArgumentException("there is no address of a control sidecar");
+            throw new IllegalArgumentException("no control plane address is given");
         }
     }
 
@@ -54,7 +54,7 @@
                 return text;
             }
         } catch (URISyntaxException e) {
-            // Reported below, as any other malformed address.
+            // Reported below like any other malformed address.
         }
         throw new IllegalArgumentException("'" + text + "' should be HOST:PORT, such as 10.0.0.4:8146");
     }
--- a/client/src/main/java/dewplank/client/RedactedFiles.java
+++ b/client/src/main/java/dewplank/client/RedactedFiles.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 
 /**
- * Guards against sending back what {@code fleet get} printed with fingerprints in the place of access keys: control
- * planes would take these for the tenants' keys, and all clients' keys would be revoked. Pure.
+ * Rejects files that {@code fleet get} printed with fingerprints instead of access keys. Control planes would use the
+ * fingerprints as the tenants' keys, which would revoke the keys of all clients. Stateless.
  */
 final class RedactedFiles {
     private static final String TENANTS = "tenants";
@@ -21,17 +21,17 @@
     /**
      * Checks a complete configuration or a patch.
      *
-     * @throws InvalidInputException if it holds a fingerprint as an access key
+     * @throws InvalidInputException if it contains a fingerprint as an access key
      */
-    static void requireWholeKeys(byte[] file) {
+    static void requireNoFingerprints(byte[] file) {
         Map<String, Object> fields = fields(file);
-        requireWholeKeys(fields.get(TENANTS));
+        requireNoFingerprints(fields.get(TENANTS));
         if (fields.get("upsert") instanceof Map<?, ?> items) {
-            requireWholeKeys(items.get(TENANTS));
+            requireNoFingerprints(items.get(TENANTS));
         }
     }
 
-    /** None where it can't be read, which the configuration's own reader reports. */
+    /** Returns no fields if the file can't be parsed; parsing it as a configuration reports the error. */
     private static Map<String, Object> fields(byte[] file) {
         try {
             return Json.object(new String(file, StandardCharsets.UTF_8));
@@ -40,21 +40,21 @@
         }
     }
 
-    private static void requireWholeKeys(Object tenants) {
+    private static void requireNoFingerprints(Object tenants) {
         if (!(tenants instanceof List<?> list)) {
             return;
         }
         for (Object tenant : list) {
-            if (tenant instanceof Map<?, ?> fields && holdsFingerprint(fields.get(ACCESS_KEYS))) {
+            if (tenant instanceof Map<?, ?> fields && containsFingerprint(fields.get(ACCESS_KEYS))) {
                 throw InvalidInputException.of(
                         ResultCode.INVALID_CONFIGURATION,
                         TENANTS + "[" + fields.get("name") + "]." + ACCESS_KEYS
-                                + ": holds a fingerprint instead of a key; fleet get --json --show-keys prints keys");
+                                + ": has a fingerprint instead of a key; fleet get --json --show-keys prints keys");
             }
         }
     }
 
-    private static boolean holdsFingerprint(Object keys) {
+    private static boolean containsFingerprint(Object keys) {
         return keys instanceof List<?> list
                 && list.stream().anyMatch(key -> key instanceof String text && AccessKeyDigest.isFingerprint(text));
     }
--- a/client/src/main/java/dewplank/client/RouteExplanation.java
+++ b/client/src/main/java/dewplank/client/RouteExplanation.java
@@ -14,8 +14,8 @@
 import java.util.Map;
 
 /**
- * Explains where requests of a host and path go: the route, whether it needs an access key, its split, its limits and
- * its endpoints.
+ * Explains how requests for a host and path are routed: the route, whether it requires an access key, its traffic
+ * split, its limits and its endpoints.
  */
 public final class RouteExplanation {
     private static final int PERCENT = 100;
@@ -32,7 +32,7 @@
     }
 
     /**
-     * Finds the route.
+     * Finds the route for a host and path.
      *
      * @param servers the response with the endpoint list
      * @throws InvalidInputException if no route matches
--- a/client/src/main/java/dewplank/client/SettingsCheck.java
+++ b/client/src/main/java/dewplank/client/SettingsCheck.java
@@ -7,12 +7,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Checks which programs a settings file is for, and that it has the keys that each of them requires. */
+/** Determines which programs a settings file configures and checks that it has the keys that each of them requires. */
 public final class SettingsCheck {
     private SettingsCheck() {}
 
     /**
-     * Returns one line about valid settings.
+     * Returns a one-line summary of valid settings.
      *
      * @throws InvalidInputException if a key is missing or no program is configured
      */
--- a/client/src/main/java/dewplank/client/TenantText.java
+++ b/client/src/main/java/dewplank/client/TenantText.java
@@ -10,7 +10,7 @@
 public final class TenantText {
     private TenantText() {}
 
-    /** Formats them as a table. */
+    /** Formats the tenants as a table. */
     public static String of(Configuration configuration) {
         String version = "configuration " + configuration.version();
         if (!configuration.requiresAccessKeys()) {
@@ -35,12 +35,12 @@
                 : "its route's";
     }
 
-    /** Keys that differ: one that is listed twice is one key. */
+    /** Returns the number of distinct keys. */
     private static long keyCount(Tenant tenant) {
         return tenant.keys().stream().distinct().count();
     }
 
-    /** Formats them as JSON. */
+    /** Formats the tenants as JSON. */
     public static String json(Configuration configuration) {
         List<Map<String, Object>> tenants =
                 configuration.tenants().stream().map(TenantText::fields).toList();
--- a/client/src/main/java/dewplank/client/TextTable.java
+++ b/client/src/main/java/dewplank/client/TextTable.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A table of text in columns as wide as their widest cell. */
+/** A text table; each column is as wide as its widest cell. */
 final class TextTable {
     private static final String GAP = "  ";
 
@@ -14,7 +14,7 @@
         row((Object[]) headings);
     }
 
-    /** Adds a row of as many cells as there are headings; null is an empty cell. */
+    /** Adds a row with one cell for each heading; null is an empty cell. */
     TextTable row(Object... cells) {
         List<String> row = new ArrayList<>();
         for (Object cell : cells) {
--- a/client/src/main/java/dewplank/client/package-info.java
+++ b/client/src/main/java/dewplank/client/package-info.java
@@ -1,9 +1,9 @@
 /**
- * The operators' client: what the commands of the command line need of a fleet.
+ * The operators' client, which the fleet commands of the command line use.
  *
- * <p>Here live calls to the operators' API of control planes with failover, the text views of their responses, the
- * comparison of configurations, and the explanation of routes. No program of the fleet may use this package, so that
- * what they load does not grow with it; nor may it use their event loop. Arguments, flags and exit codes live in
+ * <p>It calls the operators' API of control planes with failover, formats the responses as text, compares
+ * configurations and explains routes. The programs of the fleet must not use this package, so that they load none of
+ * its classes, and this package must not use their event loop. Arguments, flags and exit codes are handled in
  * {@code cli}.
  */
 package dewplank.client;
--- a/client/src/test/java/dewplank/client/ConfigurationDifferenceTest.java
+++ b/client/src/test/java/dewplank/client/ConfigurationDifferenceTest.java
@@ -25,23 +25,23 @@
 class ConfigurationDifferenceTest {
     private static final List<Object> VALUES = List.of(1L, 1.5, "x", true, List.of(1L, "y"), Map.of("a", 1L));
 
-    private static Object pick(Random random) {
+    private static Object randomValue(Random random) {
         return VALUES.get(random.nextInt(VALUES.size()));
     }
 
-    private static Map<String, Object> object(Random random, int depth) {
+    private static Map<String, Object> randomObject(Random random, int depth) {
         Map<String, Object> object = new LinkedHashMap<>();
         for (int i = random.nextInt(4); i > 0; i--) {
-            object.put("k" + random.nextInt(5), depth == 0 ? pick(random) : object(random, depth - 1));
+            object.put("k" + random.nextInt(5), depth == 0 ? randomValue(random) : randomObject(random, depth - 1));
         }
         return object;
     }
 
-    private static List<Object> items(Random random) {
+    private static List<Object> randomItems(Random random) {
         List<Object> items = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             if (random.nextBoolean()) {
-                Map<String, Object> item = object(random, random.nextInt(2));
+                Map<String, Object> item = randomObject(random, random.nextInt(2));
                 item.put("name", "n" + i);
                 items.add(item);
             }
@@ -49,37 +49,37 @@
         return items;
     }
 
-    private static Map<String, Object> complete(Random random) {
-        Map<String, Object> complete = object(random, random.nextInt(3));
-        complete.put("routes", items(random));
+    private static Map<String, Object> randomConfiguration(Random random) {
+        Map<String, Object> complete = randomObject(random, random.nextInt(3));
+        complete.put("routes", randomItems(random));
         if (random.nextBoolean()) {
-            complete.put("services", items(random));
+            complete.put("services", randomItems(random));
         }
         return complete;
     }
 
     @Property(tries = 300)
-    void equalConfigurationsHaveNoChangesWhateverTheOrder(@ForAll long seed) {
-        Map<String, Object> one = complete(new Random(seed));
-        Map<String, Object> other = complete(new Random(seed));
+    void equalConfigurationsHaveNoChangesInAnyItemOrder(@ForAll long seed) {
+        Map<String, Object> one = randomConfiguration(new Random(seed));
+        Map<String, Object> other = randomConfiguration(new Random(seed));
         Collections.shuffle((List<?>) other.get("routes"), new Random(seed));
         assertEquals(List.of(), ConfigurationDifference.between(one, other));
     }
 
     @Property(tries = 300)
-    void theReverseComparisonRevertsEachChange(@ForAll long seed) {
+    void theReverseComparisonHasTheInverseChanges(@ForAll long seed) {
         Random random = new Random(seed);
-        Map<String, Object> one = complete(random);
-        Map<String, Object> other = complete(random);
-        Set<Change> there = Set.copyOf(ConfigurationDifference.between(one, other));
-        Set<Change> back = ConfigurationDifference.between(other, one).stream()
-                .map(change -> new Change(turned(change.kind()), change.path(), change.after(), change.before()))
+        Map<String, Object> one = randomConfiguration(random);
+        Map<String, Object> other = randomConfiguration(random);
+        Set<Change> forward = Set.copyOf(ConfigurationDifference.between(one, other));
+        Set<Change> backward = ConfigurationDifference.between(other, one).stream()
+                .map(change -> new Change(inverse(change.kind()), change.path(), change.after(), change.before()))
                 .collect(Collectors.toSet());
-        assertEquals(there, back);
-        assertEquals(there.isEmpty(), JsonValues.areEqual(one, other));
+        assertEquals(forward, backward);
+        assertEquals(forward.isEmpty(), JsonValues.areEqual(one, other));
     }
 
-    private static Change.Kind turned(Change.Kind kind) {
+    private static Change.Kind inverse(Change.Kind kind) {
         return switch (kind) {
             case ADDED -> Change.Kind.REMOVED;
             case REMOVED -> Change.Kind.ADDED;
@@ -118,7 +118,7 @@
     }
 
     @Test
-    void aFileIsACompleteConfigurationOrAPatch() {
+    void appliesACompleteConfigurationOrAPatch() {
         byte[] complete = bytes("{\"config_version\":5,\"routes\":[],\"services\":[{\"name\":\"s\"}]}");
         Configuration five = ConfigurationChanges.apply(null, complete);
         assertEquals(
@@ -135,7 +135,7 @@
     }
 
     @Test
-    void aRejectedFileIsReportedAsTheApiDoes() {
+    void aRejectedFileIsReportedWithTheResultCodesOfTheApi() {
         Map<ResultCode, String> files = Map.of(
                 ResultCode.NO_CONFIGURATION,
                 "{\"config_version\":6,\"upsert\":{}}",
--- a/client/src/test/java/dewplank/client/ControlClientTest.java
+++ b/client/src/test/java/dewplank/client/ControlClientTest.java
@@ -21,9 +21,9 @@
 
 /** Calls over loopback to control planes with scripted responses. */
 class ControlClientTest {
-    private static final Duration LONG_TIMEOUT = Duration.ofSeconds(20); // only a failing test waits so long
+    private static final Duration LONG_TIMEOUT = Duration.ofSeconds(20); // only reached when the test fails
     private static final Duration SHORT_TIMEOUT = Duration.ofMillis(100);
-    private static final int MANY_ROUNDS = 200; // a machine under load may miss a short time
+    private static final int MANY_ROUNDS = 200; // under load a short timeout may expire at the second address too
     private static final String NO_QUORUM = "{\"code\":301,\"result\":\"NO_QUORUM\",\"detail\":\"silence\"}";
     private static final String OK = "{\"code\":100,\"result\":\"OK\",\"detail\":\"\"}";
     private static final String NONE_YET = "{\"code\":206,\"result\":\"NO_CONFIGURATION\",\"detail\":\"none\"}";
@@ -71,14 +71,14 @@
 
     @Test
     void failsOverWhenTheConnectionIsRefused() throws Exception {
-        String nobody;
+        String unusedAddress;
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            nobody = "127.0.0.1:" + socket.getLocalPort();
+            unusedAddress = "127.0.0.1:" + socket.getLocalPort();
         }
         two.then(200, OK);
         assertEquals(
                 two.address(),
-                client(1, nobody, two.address())
+                client(1, unusedAddress, two.address())
                         .call(ControlCall.get("/status"))
                         .address());
     }
@@ -86,7 +86,7 @@
     @Test
     void failsOverAfterATimeout() throws Exception {
         for (int i = 0; i < MANY_ROUNDS; i++) {
-            two.then(200, OK); // the first has no script, and never responds
+            two.then(200, OK); // the first control plane has no scripted response and never responds
         }
         ControlResponse response =
                 client(SHORT_TIMEOUT, MANY_ROUNDS, one.address(), two.address()).call(ControlCall.put(7, FILE));
@@ -123,7 +123,7 @@
     }
 
     @Test
-    void doublesTheBackoffUpToAMaximum() {
+    void doublesTheBackoffUpToTheMaximum() {
         for (int i = 0; i < 8; i++) {
             one.then(503, NO_QUORUM);
         }
@@ -144,16 +144,18 @@
     }
 
     @Test
-    void followsNoThirdRedirectAndNoInvalidOne() {
+    void rejectsAThirdRedirectAndInvalidRedirects() {
         for (int i = 0; i < 3; i++) {
             one.thenRedirect("/again");
         }
         assertThrows(NoResponseException.class, () -> client(1, one.address()).call(ControlCall.get("/x")));
         assertEquals(3, one.calls().size());
-        for (String nowhere : List.of("", "ftp://127.0.0.1/x", "http://%zz", "http:///x")) {
-            two.thenRedirect(nowhere);
+        for (String invalidTarget : List.of("", "ftp://127.0.0.1/x", "http://%zz", "http:///x")) {
+            two.thenRedirect(invalidTarget);
             assertThrows(
-                    NoResponseException.class, () -> client(1, two.address()).call(ControlCall.get("/x")), nowhere);
+                    NoResponseException.class,
+                    () -> client(1, two.address()).call(ControlCall.get("/x")),
+                    invalidTarget);
         }
     }
 
@@ -185,7 +187,7 @@
     }
 
     @Test
-    void aChangeWithAnExplicitVersionReadsNothingFirst() throws Exception {
+    void aChangeWithAnExplicitVersionDoesNotReadTheCurrentVersion() throws Exception {
         one.then(412, MISMATCH);
         ControlResponse response = new ConfigurationChanges(both(1)).patch(FILE, 7L);
         assertFalse(response.isSuccess());
@@ -194,7 +196,7 @@
     }
 
     @Test
-    void aChangeWithoutResponseSaysHowToRetryIt() {
+    void aChangeWithoutAResponseReportsHowToRetryIt() {
         one.then(503, NO_QUORUM);
         NoResponseException failure = assertThrows(
                 NoResponseException.class, () -> new ConfigurationChanges(client(1, one.address())).put(FILE, 7L));
--- a/client/src/test/java/dewplank/client/FakeControlPlane.java
+++ b/client/src/test/java/dewplank/client/FakeControlPlane.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 
-/** A control plane on loopback that records calls and sends scripted responses, then stops responding. */
+/** A control plane on loopback that records calls and sends scripted responses; after the last it stops responding. */
 final class FakeControlPlane implements AutoCloseable {
     /** A received call. */
     record Call(String method, String path, String ifMatch, String body) {}
@@ -38,13 +38,13 @@
         return "127.0.0.1:" + server.getAddress().getPort();
     }
 
-    /** Adds the next response. */
+    /** Adds a response to the script. */
     synchronized FakeControlPlane then(int status, String body) {
         script.add(new Scripted(status, body, null));
         return this;
     }
 
-    /** Redirects the next call. */
+    /** Adds a redirect to the script. */
     synchronized FakeControlPlane thenRedirect(String location) {
         script.add(new Scripted(307, "", location));
         return this;
@@ -62,7 +62,7 @@
                 exchange.getRequestURI().toString(),
                 exchange.getRequestHeaders().getFirst("If-Match"),
                 body));
-        if (response == null) { // the script is over: no response
+        if (response == null) { // the script has ended, so the call gets no response
             awaitClose();
             return;
         }
--- a/client/src/test/java/dewplank/client/FleetTextTest.java
+++ b/client/src/test/java/dewplank/client/FleetTextTest.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What operators read of data planes, put together from several control planes. */
+/** Tests the status of data planes as combined from the reports of several control planes. */
 class FleetTextTest {
     private static final String ONE = "10.0.0.1:1";
     private static final String OTHER = "10.0.0.2:1";
@@ -37,7 +37,7 @@
                 .formatted(node, incarnation, version, sinceMs, heartbeatAgeMs, session);
     }
 
-    private void reported(String address, long newest, String... reports) {
+    private void addReports(String address, long newest, String... reports) {
         String body = "{\"answered_by\":\"core\",\"config_version\":" + newest + ",\"data_planes\":["
                 + String.join(",", reports) + "]}\n";
         dataPlanes.put(address, response(200, body));
@@ -49,9 +49,9 @@
     }
 
     @Test
-    void tellsWhoIsCurrentWhoLagsAndWhoIsNotHeard() {
-        reported(ONE, 7, report("edge-1", 7, 61_000, 240, true), report("edge-2", 6, 3_000, 100, true));
-        reported(OTHER, 6, report("edge-3", 7, 90_000, 80_500, false));
+    void showsCurrentLaggingAndDisconnectedDataPlanes() {
+        addReports(ONE, 7, report("edge-1", 7, 61_000, 240, true), report("edge-2", 6, 3_000, 100, true));
+        addReports(OTHER, 6, report("edge-3", 7, 90_000, 80_500, false));
         assertEquals("DATA PLANE|ADDRESS|ZONE|CONFIGURATION|SINCE S|HEARD S|STATE", state(0));
         assertEquals("edge-1|10.1.0.1:2|z|7|61.0|0.2|current", state(1));
         assertEquals("edge-2|10.1.0.1:2|z|6|3.0|0.1|behind", state(2));
@@ -59,32 +59,33 @@
     }
 
     @Test
-    void ofTwoReportsTheOneHeardLastCounts() {
-        reported(ONE, 7, report("edge-1", 6, 50_000, 9_000, false), report("edge-2", 7, 70_000, 4_000, false));
-        reported(OTHER, 7, report("edge-1", 7, 2_000, 100, true), report("edge-2", 7, 3_000, 200, true));
+    void theReportWithTheLatestHeartbeatTakesPrecedence() {
+        addReports(ONE, 7, report("edge-1", 6, 50_000, 9_000, false), report("edge-2", 7, 70_000, 4_000, false));
+        addReports(OTHER, 7, report("edge-1", 7, 2_000, 100, true), report("edge-2", 7, 3_000, 200, true));
         assertEquals("edge-1|10.1.0.1:2|z|7|2.0|0.1|current", state(1));
         assertEquals("edge-2|10.1.0.1:2|z|7|70.0|0.2|current", state(2));
     }
 
-    /** Its earlier process acted on the version for longer, and lost its power: that session is still open. */
+    /** The session of its earlier process, which lost power after using the version for longer, is still open. */
     @Test
-    void aRestartedDataPlaneHasTheVersionOnlySinceItsRestart() {
-        reported(ONE, 7, report("edge-1", 1, 7, 70_000, 900, true));
-        reported(OTHER, 7, report("edge-1", 2, 7, 400, 100, true));
+    void aRestartedDataPlaneUsesTheVersionOnlySinceItsRestart() {
+        addReports(ONE, 7, report("edge-1", 1, 7, 70_000, 900, true));
+        addReports(OTHER, 7, report("edge-1", 2, 7, 400, 100, true));
         assertEquals("edge-1|10.1.0.1:2|z|7|0.4|0.1|current", state(1));
     }
 
     @Test
-    void anAnswerThatCannotBeReadIsNamed() {
+    void anUnreadableResponseIsReportedWithItsAddress() {
         dataPlanes.put(ONE, response(200, "{\"config_version\":7,\"data_planes\":[{\"node\":1}]}"));
         InvalidInputException failure =
                 assertThrows(InvalidInputException.class, () -> FleetText.dataPlanes(dataPlanes));
         assertTrue(
-                failure.getMessage().startsWith("802 ANSWER_UNREADABLE: the answer of " + ONE), failure.getMessage());
+                failure.getMessage().startsWith("802 ANSWER_UNREADABLE: the response from " + ONE),
+                failure.getMessage());
     }
 
     @Test
-    void aControlPlaneOfAnEarlierVersionSaysNothingOfDataPlanes() {
+    void aControlPlaneOfAnEarlierVersionReportsNoDataPlanes() {
         dataPlanes.put(EARLIER_VERSION, response(404, "{\"code\":201,\"result\":\"NO_SUCH_PATH\"}"));
         assertEquals(1, FleetText.dataPlanes(dataPlanes).lines().count());
         statuses.put(EARLIER_VERSION, response(200, "{\"node\":\"core\"}\n"));
@@ -94,9 +95,9 @@
     }
 
     @Test
-    void asJsonEachStatusContainsTheReportsOfItsControlPlane() {
+    void theJsonStatusContainsTheReportsOfEachControlPlane() {
         statuses.put(ONE, response(200, "{\"node\":\"core\"}\n"));
-        reported(ONE, 7, report("edge-1", 7, 61_000, 240, true));
+        addReports(ONE, 7, report("edge-1", 7, 61_000, 240, true));
         assertEquals(
                 "{\"10.0.0.1:1\":{\"node\":\"core\",\"data_planes\":[" + report("edge-1", 7, 61_000, 240, true)
                         + "]},\"10.0.0.2:1\":null}",
--- a/client/src/test/java/dewplank/client/OperatorApiAddressesTest.java
+++ b/client/src/test/java/dewplank/client/OperatorApiAddressesTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void rejectsWhatIsNoAddress() {
+    void rejectsMalformedAddresses() {
         for (String text : List.of(
                 "",
                 "10.0.0.4",
--- a/client/src/test/java/dewplank/client/RouteExplanationTest.java
+++ b/client/src/test/java/dewplank/client/RouteExplanationTest.java
@@ -23,7 +23,7 @@
           "weighted_split":[{"service":"s","weight":2},{"service":"t","weight":1}]},
          {"name":"r-2","host_name":"a.example","path_prefix":"/","route_type":"safe","timeout_ms":900,"service":"t"}],
          "services":[{"name":"s"},{"name":"t","engine":{"slot_count":4,"kv_tokens":9,"models":[{"name":"m"}]}}]}""";
-    private static final ControlResponse SERVERS = answer(
+    private static final ControlResponse SERVERS = response(
             """
         {"version":"3.9","servers":[
          {"instance_id":"i-1","service":"s","address":"10.0.0.1:80","zone":"z","stage":"decode","draining":false,
@@ -31,12 +31,12 @@
          {"instance_id":"i-2","service":"s","address":"10.0.0.2:80","zone":"z","stage":null,"draining":true,
           "slot_count":4}]}""");
 
-    private static ControlResponse answer(String body) {
+    private static ControlResponse response(String body) {
         return new ControlResponse("10.0.0.9:1", 200, body.getBytes(StandardCharsets.UTF_8));
     }
 
     private static Configuration configuration() {
-        return ConfigurationChanges.parse(answer(CONFIGURATION));
+        return ConfigurationChanges.parse(response(CONFIGURATION));
     }
 
     private static RouteExplanation explain(String host, String path) {
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void explainsTheSameAsJson() {
+    void explainsARouteAsJson() {
         Map<String, Object> json = Json.object(explain("a.example", "/other").json());
         assertEquals(7L, json.get("config_version"));
         assertTrue(json.toString().contains("name=r-2"), json.toString());
@@ -71,22 +71,22 @@
     }
 
     @Test
-    void tellsWhetherARequestNeedsAnAccessKey() {
-        Configuration withTenants = ConfigurationChanges.parse(answer(CONFIGURATION
+    void showsWhetherARequestNeedsAnAccessKey() {
+        Configuration withTenants = ConfigurationChanges.parse(response(CONFIGURATION
                 .replace("\"services\"", "\"tenants\":[],\"services\"")
                 .replace("\"route_type\":\"safe\"", "\"route_type\":\"safe\",\"public\":true")));
-        RouteExplanation keyed = RouteExplanation.of(withTenants, SERVERS, "a.example", "/chat/");
-        assertTrue(keyed.text().contains("\n  needs the access key of a tenant\n"), keyed.text());
-        assertTrue(keyed.json().contains("\"public\":false,\"key_required\":true"), keyed.json());
-        RouteExplanation open = RouteExplanation.of(withTenants, SERVERS, "a.example", "/other");
-        assertTrue(open.text().contains("\n  needs no access key: the route is public\n"), open.text());
-        assertTrue(open.text().contains("\n  safe, public, priority"), open.text());
-        assertTrue(open.json().contains("\"public\":true,\"key_required\":false"), open.json());
+        RouteExplanation protectedRoute = RouteExplanation.of(withTenants, SERVERS, "a.example", "/chat/");
+        assertTrue(protectedRoute.text().contains("\n  needs the access key of a tenant\n"), protectedRoute.text());
+        assertTrue(protectedRoute.json().contains("\"public\":false,\"key_required\":true"), protectedRoute.json());
+        RouteExplanation publicRoute = RouteExplanation.of(withTenants, SERVERS, "a.example", "/other");
+        assertTrue(publicRoute.text().contains("\n  needs no access key: the route is public\n"), publicRoute.text());
+        assertTrue(publicRoute.text().contains("\n  safe, public, priority"), publicRoute.text());
+        assertTrue(publicRoute.json().contains("\"public\":true,\"key_required\":false"), publicRoute.json());
         assertTrue(explain("a.example", "/chat/").json().contains("\"public\":false,\"key_required\":false"));
     }
 
     @Test
-    void reportsThatThereIsNoRoute() {
+    void reportsAMissingRoute() {
         InvalidInputException fault = assertThrows(InvalidInputException.class, () -> explain("b.example", "/chat/"));
         assertSame(ResultCode.NO_SUCH_ROUTE, fault.code());
     }
@@ -108,8 +108,8 @@
     }
 
     @Test
-    void formatsTheMembership() {
-        ControlResponse members = answer(
+    void formatsTheMembers() {
+        ControlResponse members = response(
                 """
             {"answered_by":"core-1","data":[{"node":"edge-1","address":"10.0.0.1:9","zone":"z","incarnation":4}],
              "control":[]}""");
@@ -123,8 +123,8 @@
     }
 
     @Test
-    void formatsAddressesWithAndWithoutResponse() {
-        ControlResponse status = answer("{\"node\":\"core-1\",\"quorate\":true,\"config_version\":7,\"acceptors\":"
+    void formatsAddressesWithAndWithoutAResponse() {
+        ControlResponse status = response("{\"node\":\"core-1\",\"quorate\":true,\"config_version\":7,\"acceptors\":"
                 + "[{\"address\":\"10.0.0.9:2\",\"identity\":\"x\"}]}");
         List<String> addresses = List.of("10.0.0.9:1", "10.0.0.8:1");
         assertEquals(
@@ -134,26 +134,26 @@
             10.0.0.8:1  no clear answer
             """,
                 FleetText.status(addresses, Map.of("10.0.0.9:1", status)));
-        ControlResponse behind = answer(
+        ControlResponse behind = response(
                 "{\"node\":\"core-2\",\"quorate\":true,\"current\":false,\"config_version\":5," + "\"acceptors\":[]}");
-        ControlResponse cutOff = answer(
+        ControlResponse partitioned = response(
                 "{\"node\":\"core-3\",\"quorate\":false,\"current\":false,\"config_version\":5," + "\"acceptors\":[]}");
-        String both = FleetText.status(addresses, Map.of("10.0.0.9:1", behind, "10.0.0.8:1", cutOff));
+        String both = FleetText.status(addresses, Map.of("10.0.0.9:1", behind, "10.0.0.8:1", partitioned));
         assertTrue(both.contains("core-2  behind  5"), both);
         assertTrue(both.contains("core-3  no      5"), both);
         ControlResponse duties =
-                answer("{\"answered_by\":\"core-1\",\"list\":{\"held_here\":true,\"fencing_number\":3}}");
+                response("{\"answered_by\":\"core-1\",\"list\":{\"held_here\":true,\"fencing_number\":3}}");
         assertTrue(FleetText.duties(addresses, Map.of("10.0.0.9:1", duties))
                 .contains("core-1           list  yes         3"));
         assertEquals(
                 "{\"10.0.0.9:1\":{},\"10.0.0.8:1\":null}",
-                FleetText.json(addresses, Map.of("10.0.0.9:1", answer("{}\n"))));
+                FleetText.json(addresses, Map.of("10.0.0.9:1", response("{}\n"))));
     }
 
     @Test
-    void reportsAResponseOfAnotherShape() {
+    void reportsAResponseWithAMissingField() {
         InvalidInputException fault =
-                assertThrows(InvalidInputException.class, () -> FleetText.members(answer("{\"data\":[]}")));
-        assertEquals("802 ANSWER_UNREADABLE: the answer of 10.0.0.9:1: control is missing", fault.getMessage());
+                assertThrows(InvalidInputException.class, () -> FleetText.members(response("{\"data\":[]}")));
+        assertEquals("802 ANSWER_UNREADABLE: the response from 10.0.0.9:1: control is missing", fault.getMessage());
     }
 }
--- a/client/src/test/java/dewplank/client/TenantTextTest.java
+++ b/client/src/test/java/dewplank/client/TenantTextTest.java
@@ -15,7 +15,7 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** What operators see of tenants and their access keys. */
+/** Tests how tenants and their access keys are shown to operators. */
 class TenantTextTest {
     private static final String KEY = "key-of-nobody-else";
     private static final String NEW_KEY = "new-key-of-nobody-else";
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void anEmptyListIsToldFromNone() {
+    void distinguishesAnEmptyTenantListFromNoTenantList() {
         Configuration none = parse(configuration(""));
         assertEquals("configuration 7 has no tenants: no request needs an access key\n", TenantText.of(none));
         assertEquals("{\"config_version\":7,\"keys_required\":false,\"tenants\":[]}", TenantText.json(none));
@@ -75,13 +75,13 @@
     }
 
     @Test
-    void aConfigurationIsShownWithFingerprintsUnlessKeysAreAskedFor() {
+    void aConfigurationShowsFingerprintsUnlessKeysAreRequested() {
         String shown = ConfigurationText.of(withTenants(), KeyDisplay.FINGERPRINTS);
         assertTrue(shown.contains("small   " + fingerprint(KEY) + "\n"), shown);
         assertFalse(shown.contains(KEY), shown);
         assertFalse(KeyDisplay.FINGERPRINTS.json(withTenants()).contains(KEY));
-        String whole = ConfigurationText.of(withTenants(), KeyDisplay.WHOLE);
-        assertTrue(whole.contains("small   " + KEY + "\nlarge   l-1 l-2 l-1\n"), whole);
+        String withKeys = ConfigurationText.of(withTenants(), KeyDisplay.WHOLE);
+        assertTrue(withKeys.contains("small   " + KEY + "\nlarge   l-1 l-2 l-1\n"), withKeys);
         assertTrue(KeyDisplay.WHOLE.json(withTenants()).contains("[\"" + KEY + "\"]"));
     }
 
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void aDifferenceNamesFingerprintsUnlessKeysAreAskedFor() {
+    void aDifferenceShowsFingerprintsUnlessKeysAreRequested() {
         String old = fingerprint(KEY);
         assertEquals(
                 "~ config_version 7 -> 8\n~ tenants[small].access_keys [\"" + old + "\"] -> [\"" + old + "\",\""
@@ -103,21 +103,21 @@
         assertTrue(difference(KeyDisplay.WHOLE).endsWith("[\"" + KEY + "\"] -> [\"" + KEY + "\",\"" + NEW_KEY + "\"]"));
     }
 
-    /** Sent back, the fingerprints would be the tenants' keys from then on, and all clients' keys revoked. */
+    /** Applying the file would replace the tenants' keys by fingerprints and so revoke the keys of all clients. */
     @Test
-    void aFileWithFingerprintsIsNotSent() {
+    void aFileWithFingerprintsIsRejected() {
         String shown = KeyDisplay.FINGERPRINTS.json(withTenants());
         String patch = ROTATION.replace(KEY, fingerprint(KEY));
-        ConfigurationChanges changes = new ConfigurationChanges(null); // refused before any call
+        ConfigurationChanges changes = new ConfigurationChanges(null); // rejected before any call
         for (String file : List.of(shown, patch)) {
-            for (InvalidInputException refused : List.of(
+            for (InvalidInputException rejection : List.of(
                     assertThrows(InvalidInputException.class, () -> changes.put(bytes(file), 7L)),
                     assertThrows(InvalidInputException.class, () -> changes.patch(bytes(file), 7L)),
                     assertThrows(
                             InvalidInputException.class,
                             () -> ConfigurationChanges.apply(withTenants(), bytes(file))))) {
-                assertSame(ResultCode.INVALID_CONFIGURATION, refused.code());
-                assertTrue(refused.getMessage().contains("tenants[small].access_keys"), refused.getMessage());
+                assertSame(ResultCode.INVALID_CONFIGURATION, rejection.code());
+                assertTrue(rejection.getMessage().contains("tenants[small].access_keys"), rejection.getMessage());
             }
         }
     }
