--- a/cli/src/main/java/dewplank/Help.java
+++ b/cli/src/main/java/dewplank/Help.java
@@ -128,7 +128,8 @@
     }
 
     private static String overview(Map<String, Class<?>> commands) {
-        StringBuilder out = new StringBuilder("usage: java -jar dewplank.jar COMMAND ...; COMMAND --help says more\n");
+        StringBuilder out =
+                new StringBuilder("usage: java -jar dewplank.jar COMMAND ...; COMMAND --help describes a command\n");
         Map<String, String> texts = texts();
         for (String command : commands.keySet()) {
             String summary =
--- a/cli/src/main/java/dewplank/Main.java
+++ b/cli/src/main/java/dewplank/Main.java
@@ -13,7 +13,7 @@
             + " | check-config | rehearse | version\n"
             + "       for operators of the router fleet: fleet | check-settings\n"
             + "       for the laboratory: try | load | stand-in | lab\n"
-            + "       COMMAND --help says what a command does";
+            + "       COMMAND --help describes a command";
     /** Commands that {@link LabMain} runs; its classes are not loaded for other commands. */
     private static final Set<String> LAB_COMMANDS = Set.of("lab", "try", "load", "stand-in");
     /** Commands that {@link OperatorMain} runs; its classes are not loaded for other commands. */
