--- a/cli/src/test/java/dewplank/fleet/OperatorTest.java
+++ b/cli/src/test/java/dewplank/fleet/OperatorTest.java
@@ -67,7 +67,7 @@
         invalid.put(
                 "unknown service",
                 editedConfiguration((document, route) -> route.add(
-                        "weighted_split", JsonParser.parseString("[{\"service\":\"nobody\",\"weight\":1}]"))));
+                        "weighted_split", JsonParser.parseString("[{\"service\":\"unknown\",\"weight\":1}]"))));
         invalid.put(
                 "duplicate host and prefix",
                 editedConfiguration((document, route) -> route.addProperty("path_prefix", READ.prefix())));
@@ -101,7 +101,7 @@
         invalid.put(
                 "unknown service",
                 "{\"config_version\":5,\"upsert\":{\"routes\":["
-                        + route.replace("\"service\":\"plain\"", "\"service\":\"nobody\"") + "]}}");
+                        + route.replace("\"service\":\"plain\"", "\"service\":\"unknown\"") + "]}}");
         return invalid;
     }
 
--- a/cli/src/test/java/dewplank/fleet/TenantTest.java
+++ b/cli/src/test/java/dewplank/fleet/TenantTest.java
@@ -44,12 +44,12 @@
     private static final FleetConfiguration KEYED =
             INITIAL.with(INITIAL.version() + 1, OPEN).withTenants(INITIAL.version() + 1, ACME, BIRCH);
 
-    private static final ClientRequest WITHOUT_KEY = ClientRequest.plain(READ, "nobody");
+    private static final ClientRequest WITHOUT_KEY = ClientRequest.plain(READ, "no-key");
     private static final ClientRequest OF_ACME =
             ClientRequest.plain(READ, "acme").withAccessKey("k-acme");
     private static final ClientRequest OF_BIRCH =
             ClientRequest.plain(READ, "birch").withAccessKey("k-birch");
-    private static final ClientRequest PUBLIC = ClientRequest.plain(OPEN, "anybody");
+    private static final ClientRequest PUBLIC = ClientRequest.plain(OPEN, "public");
 
     private static void putTenants(FleetHarness harness, FleetConfiguration next) throws Exception {
         harness.putConfiguration(next, INITIAL.version(), 0);
