--- a/lab/src/main/java/dewplank/lab/audit/Auditor.java
+++ b/lab/src/main/java/dewplank/lab/audit/Auditor.java
@@ -15,15 +15,16 @@
 import java.util.stream.Collectors;
 
 /**
- * Checks the four rules from what clients, servers and the directory recorded. Knows nothing of the decision module and
- * nothing of a sidecar.
+ * Checks the four rules against the events that clients, servers and the directory recorded. Does not depend on the
+ * decision module or on a sidecar.
  *
- * <p>Events come in the order of their times, on the thread that runs the world; results are read there or after the
- * run. An attempt is forgotten some time after its deadline, so a run may be of any length.
+ * <p>Events arrive in the order of their times, on the thread that runs the emulated world. Results are read on that
+ * thread or after the run. Attempts are discarded some time after their deadline, so memory does not limit the length
+ * of a run.
  */
 public final class Auditor implements RecordedEvent.Recorder {
     private static final int MAX_RETAINED_VIOLATIONS = 50;
-    /** How long an attempt is remembered after the longest deadline, for events that come late. */
+    /** How long an attempt is stored after the longest deadline, for late events. */
     private static final double RETENTION_MS = 3_000;
 
     private final Scenario scenario;
@@ -35,9 +36,9 @@
     private long requestsSent;
 
     /**
-     * An auditor of one run.
+     * Creates an auditor for one run.
      *
-     * @param messageSlackMs how much later than its cause an event may be recorded, by the way that messages take
+     * @param messageSlackMs maximum delay between the cause of an event and its record, due to message transfer
      */
     public Auditor(Scenario scenario, double messageSlackMs) {
         Rules rules = scenario.rules();
@@ -45,7 +46,7 @@
         this.checks = List.of(
                 new ColdServerCheck(rules, messageSlackMs, this::report),
                 new DrainCheck(rules.drainMs() + messageSlackMs, this::report),
-                new AnswerCheck(rules.answerSlackMs(), messageSlackMs, this::report),
+                new ResponseCheck(rules.answerSlackMs(), messageSlackMs, this::report),
                 new RepetitionCheck(scenario, messageSlackMs, this::report));
     }
 
@@ -79,9 +80,10 @@
     }
 
     /**
-     * Ends the run: whoever still waits past its deadline was not answered. Called once, after the last event.
+     * Ends the run and reports the requests that are past their deadline without a response. Called once, after the
+     * last event.
      *
-     * @param nowMs on the run's clock
+     * @param nowMs current time on the run's clock
      */
     public void end(double nowMs) {
         for (ObservedAttempt attempt : attemptsByAge) {
@@ -100,37 +102,37 @@
         }
     }
 
-    /** Attempts that clients sent. */
+    /** The number of attempts that clients sent. */
     public long requestsSent() {
         return requestsSent;
     }
 
-    /** How many violations were found, of all rules together. */
+    /** The number of violations of all rules. */
     public int violations() {
         return counts.values().stream().mapToInt(Integer::intValue).sum();
     }
 
-    /** How many violations of each rule were found; rules that were kept are not in it. */
+    /** The number of violations of each rule; rules without violations are omitted. */
     public Map<Rule, Integer> counts() {
         return Collections.unmodifiableMap(counts);
     }
 
-    /** The first violations, {@value #MAX_RETAINED_VIOLATIONS} at most, in the order of their finding. */
+    /** The first violations, {@value #MAX_RETAINED_VIOLATIONS} at most, in the order of detection. */
     public List<Violation> retainedViolations() {
         return Collections.unmodifiableList(retainedViolations);
     }
 
-    /** One line for a terminal. */
+    /** A one-line summary for a terminal. */
     public String verdict() {
         if (counts.isEmpty()) {
             return "kept all rules (" + requestsSent + " requests)";
         }
         return counts.entrySet().stream()
-                .map(entry -> words(entry.getKey()) + ": " + entry.getValue())
+                .map(entry -> displayName(entry.getKey()) + ": " + entry.getValue())
                 .collect(Collectors.joining(", ", "broken: ", ""));
     }
 
-    private static String words(Rule rule) {
+    private static String displayName(Rule rule) {
         return rule.printedName().toLowerCase(Locale.ROOT).replace('_', ' ');
     }
 }
--- a/lab/src/main/java/dewplank/lab/audit/ColdServerCheck.java
+++ b/lab/src/main/java/dewplank/lab/audit/ColdServerCheck.java
@@ -7,16 +7,17 @@
 import java.util.Map;
 
 /**
- * No cold server collapses under work from sidecars that were notified of its start. The collapse itself is the model
- * server's record; it is the sidecars' fault if at least {@link #MIN_NOTIFIED_FRACTION} of the work came from those.
+ * Checks that no cold server collapses under work from sidecars that were notified of its start. The emulated
+ * server records the collapse; it is a violation if at least {@link #MIN_NOTIFIED_FRACTION} of the work came from
+ * notified sidecars.
  */
 final class ColdServerCheck implements RuleCheck {
     private static final double MIN_NOTIFIED_FRACTION = 2.0 / 3;
 
-    /** Work that a server received, in milliseconds of a standard core. */
+    /** A request that a server received; its work is in milliseconds of a standard core. */
     private record OfferedWork(double atMs, double work, boolean senderNotified) {}
 
-    /** A server that started during the run, with what it received in the last window before its collapse or warmth. */
+    /** A server that started during the run, and the work that it received in the latest window while cold. */
     private static final class StartedServer {
         final double startedAtMs;
         final ArrayDeque<OfferedWork> offered = new ArrayDeque<>();
@@ -33,7 +34,7 @@
     private final Map<SidecarServer, Double> notifiedStartMs = new HashMap<>();
     private final Map<Integer, StartedServer> startedServers = new HashMap<>();
 
-    /** {@code messageSlackMs}: how much later than its cause an event may be recorded, in milliseconds. */
+    /** {@code messageSlackMs}: maximum delay between the cause of an event and its record, in milliseconds. */
     ColdServerCheck(Rules rules, double messageSlackMs, ViolationReporter reporter) {
         this.rules = rules;
         this.messageSlackMs = messageSlackMs;
@@ -45,7 +46,7 @@
         switch (event.type()) {
             case SERVER_STARTED -> startedServers.put(event.server(), new StartedServer(event.atMs()));
             case NOTIFIED_UP -> notifiedStartMs.put(SidecarServer.of(event), event.value());
-                // A new process starts from its cached endpoint list and is notified anew.
+                // A new process starts with its cached endpoint list and receives all notifications again.
             case SIDECAR_UP -> notifiedStartMs.keySet().removeIf(pair -> pair.sidecar() == event.sidecar());
             case RECEIVED -> received(event);
             case SERVER_COLLAPSED -> collapsed(event);
@@ -75,18 +76,22 @@
         if (server == null) {
             return;
         }
-        double all = 0;
-        double notified = 0;
+        double totalWork = 0;
+        double notifiedWork = 0;
         for (OfferedWork offered : server.offered) {
-            all += offered.work();
-            notified += offered.senderNotified() ? offered.work() : 0;
+            totalWork += offered.work();
+            notifiedWork += offered.senderNotified() ? offered.work() : 0;
         }
-        if (all > 0 && notified >= MIN_NOTIFIED_FRACTION * all) {
+        if (totalWork > 0 && notifiedWork >= MIN_NOTIFIED_FRACTION * totalWork) {
             reporter.report(
                     Rule.COLD_SERVER_OVERLOADED,
                     event,
                     "server %d received %.0f ms of work in %.1f s, %.0f %% of it from notified sidecars"
-                            .formatted(event.server(), all, rules.collapseWindowMs() / 1000, 100 * notified / all));
+                            .formatted(
+                                    event.server(),
+                                    totalWork,
+                                    rules.collapseWindowMs() / 1000,
+                                    100 * notifiedWork / totalWork));
         }
     }
 }
--- a/lab/src/main/java/dewplank/lab/audit/ObservedAttempt.java
+++ b/lab/src/main/java/dewplank/lab/audit/ObservedAttempt.java
@@ -7,7 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A client's attempt at its sidecar, as the client and the servers recorded it. */
+/** An attempt of a client at its sidecar, reconstructed from the events that the client and the servers recorded. */
 final class ObservedAttempt {
     private static final int NO_SERVER = -1;
 
@@ -19,8 +19,8 @@
     private int unrejectedReceptions;
     private boolean wasReceived;
     private boolean hadEffect;
-    private boolean isOver;
-    private boolean hasCompleteAnswer;
+    private boolean hasEnded;
+    private boolean hasCompleteResponse;
     private boolean wasRefused;
 
     ObservedAttempt(RecordedEvent sent, RequestClassSpec requestClass) {
@@ -29,23 +29,23 @@
         timeline.add(sent);
     }
 
-    /** Appends an event to the timeline; its effect on the state is {@link #apply}'s. */
+    /** Appends an event to the timeline without changing the state; see {@link #apply}. */
     void append(RecordedEvent event) {
         timeline.add(event);
     }
 
-    /** Takes an event into the state, after the checks have seen it. */
+    /** Updates the state with an event, after the checks have observed it. */
     void apply(RecordedEvent event) {
         switch (event.type()) {
             case RECEIVED -> received(event);
             case REJECTED -> rejected();
             case EFFECT -> hadEffect = true;
-            case SERVED, FAILED -> over(true);
+            case SERVED, FAILED -> end(true);
             case REFUSED -> {
-                wasRefused |= !isOver;
-                over(true);
+                wasRefused |= !hasEnded;
+                end(true);
             }
-            case UNREACHABLE, ABANDONED -> over(false);
+            case UNREACHABLE, ABANDONED -> end(false);
             default -> {}
         }
     }
@@ -67,12 +67,12 @@
         }
     }
 
-    private void over(boolean withCompleteAnswer) {
-        isOver = true;
-        hasCompleteAnswer |= withCompleteAnswer;
+    private void end(boolean withCompleteResponse) {
+        hasEnded = true;
+        hasCompleteResponse |= withCompleteResponse;
     }
 
-    /** The event with which it began; its value is the client's deadline in milliseconds. */
+    /** The first event of the attempt; its value is the client's deadline in milliseconds. */
     RecordedEvent sent() {
         return sent;
     }
@@ -89,36 +89,36 @@
         return timeline;
     }
 
-    /** Whether the client has an answer, lost its connection or stopped waiting. */
-    boolean isOver() {
-        return isOver;
+    /** Whether the client has a response, lost its connection or stopped waiting. */
+    boolean hasEnded() {
+        return hasEnded;
     }
 
-    boolean hasCompleteAnswer() {
-        return hasCompleteAnswer;
+    boolean hasCompleteResponse() {
+        return hasCompleteResponse;
     }
 
-    /** Whether the first that the client heard was a refusal, which says that the request never ran. */
+    /** Whether the client's first response was a rejection, which states that the request never ran. */
     boolean wasRefused() {
         return wasRefused;
     }
 
-    /** Whether any server received it, rejections included. */
+    /** Whether any server received the attempt, including servers that rejected it. */
     boolean wasReceived() {
         return wasReceived;
     }
 
-    /** Whether a server received it and did not reject it. */
+    /** Whether a server received the attempt and did not reject it. */
     boolean mayHaveRun() {
         return unrejectedReceptions > 0;
     }
 
-    /** The server that received it first and did not reject it; only where it may have run. */
+    /** The first server that received the attempt and did not reject it; valid only if it may have run. */
     int firstServer() {
         return firstServer;
     }
 
-    /** When that server received it, in milliseconds; only where it may have run. */
+    /** When {@link #firstServer} received the attempt, in milliseconds; valid only if it may have run. */
     double firstReceivedAtMs() {
         return firstReceivedAtMs;
     }
@@ -127,8 +127,8 @@
         return hadEffect;
     }
 
-    /** Whether a refusal does no harm though it ran: its client may repeat it without a second effect. */
-    boolean isRefusableAfterRun() {
+    /** Whether a rejection after execution is harmless, because the client can retry without a second effect. */
+    boolean mayBeRefusedAfterRun() {
         return requestClass.idempotency() == Idempotency.SAFE
                 || requestClass.idempotency() == Idempotency.KEYED
                         && requestClass.deduplicationScope() == DeduplicationScope.ALL;
--- a/lab/src/main/java/dewplank/lab/audit/RepetitionCheck.java
+++ b/lab/src/main/java/dewplank/lab/audit/RepetitionCheck.java
@@ -6,15 +6,16 @@
 import dewplank.emulator.scenario.Scenario;
 
 /**
- * No request takes effect twice, and none is sent where it could: an unsafe request that may have run is not sent
- * again, a keyed one only within its deduplication window and scope, and a client that was refused has not been served.
+ * Checks that no request takes effect twice or is sent in a way that risks it. An unsafe request that may have run must
+ * not be sent again, a keyed one only within its deduplication window and scope, and a request whose client was
+ * rejected must not have run unless a retry is harmless.
  */
 final class RepetitionCheck implements RuleCheck {
     private final Scenario scenario;
     private final double messageSlackMs;
     private final ViolationReporter reporter;
 
-    /** {@code messageSlackMs}: how much later than its cause an event may be recorded, in milliseconds. */
+    /** {@code messageSlackMs}: maximum delay between the cause of an event and its record, in milliseconds. */
     RepetitionCheck(Scenario scenario, double messageSlackMs, ViolationReporter reporter) {
         this.scenario = scenario;
         this.messageSlackMs = messageSlackMs;
@@ -37,32 +38,37 @@
                 case UNSAFE -> reporter.report(
                         Rule.SENT_TWICE,
                         event,
-                        "server " + attempt.firstServer() + " had received it, and it may have run");
-                case KEYED -> repeatedByKey(event, attempt);
+                        "server " + attempt.firstServer() + " had received the request, and it may have run");
+                case KEYED -> checkKeyedRepetition(event, attempt);
                 case SAFE -> {}
             }
         }
-        if (attempt.wasRefused() && !attempt.isRefusableAfterRun()) {
-            reporter.report(Rule.REFUSED_AFTER_RUN, event, "its client had been refused, which says that it never ran");
+        if (attempt.wasRefused() && !attempt.mayBeRefusedAfterRun()) {
+            reporter.report(
+                    Rule.REFUSED_AFTER_RUN,
+                    event,
+                    "the client had been rejected, which states that the request never ran");
         }
     }
 
-    private void repeatedByKey(RecordedEvent event, ObservedAttempt attempt) {
+    private void checkKeyedRepetition(RecordedEvent event, ObservedAttempt attempt) {
         RequestClassSpec requestClass = attempt.requestClass();
         double sinceFirstMs = event.atMs() - attempt.firstReceivedAtMs();
         if (sinceFirstMs > requestClass.deduplicationWindowMs() + messageSlackMs) {
             reporter.report(
-                    Rule.KEYED_AFTER_WINDOW, event, "%.0f ms after it was first received".formatted(sinceFirstMs));
+                    Rule.KEYED_AFTER_WINDOW,
+                    event,
+                    "%.0f ms after the request was first received".formatted(sinceFirstMs));
         }
         if (group(requestClass, event.server()) != group(requestClass, attempt.firstServer())) {
             reporter.report(
                     Rule.KEYED_OUTSIDE_SCOPE,
                     event,
-                    "server " + attempt.firstServer() + " of another group had received it");
+                    "server " + attempt.firstServer() + " of another group had received the request");
         }
     }
 
-    /** The number of the server's group within the scope in which a key is recognised. */
+    /** The number of the server's group, within which a deduplication key is recognized. */
     private int group(RequestClassSpec requestClass, int server) {
         return switch (requestClass.deduplicationScope()) {
             case ALL -> 0;
@@ -73,13 +79,14 @@
 
     private void effect(RecordedEvent event, ObservedAttempt attempt) {
         if (attempt.hadEffect() && attempt.requestClass().idempotency() != Idempotency.SAFE) {
-            reporter.report(Rule.EFFECT_TWICE, event, "it had taken effect before");
+            reporter.report(Rule.EFFECT_TWICE, event, "the request had already taken effect");
         }
     }
 
     private void refused(RecordedEvent event, ObservedAttempt attempt) {
-        if (!attempt.isOver() && attempt.mayHaveRun() && !attempt.isRefusableAfterRun()) {
-            reporter.report(Rule.REFUSED_AFTER_RUN, event, "server " + attempt.firstServer() + " had received it");
+        if (!attempt.hasEnded() && attempt.mayHaveRun() && !attempt.mayBeRefusedAfterRun()) {
+            reporter.report(
+                    Rule.REFUSED_AFTER_RUN, event, "server " + attempt.firstServer() + " had received the request");
         }
     }
 }
--- a/lab/src/main/java/dewplank/lab/audit/AnswerCheck.java
+++ b/lab/src/main/java/dewplank/lab/audit/ResponseCheck.java
@@ -6,25 +6,26 @@
 import java.util.Map;
 
 /**
- * Each request gets one final answer, its own, in time. A sidecar that was down in between is excused for what it lost.
+ * Checks that each request gets exactly one final response, made for this request and in time. Requests that were lost
+ * while their sidecar was down are no violation.
  */
-final class AnswerCheck implements RuleCheck {
-    private static final String NEVER_ENDED = "no end of it was recorded";
+final class ResponseCheck implements RuleCheck {
+    private static final String NO_END_RECORDED = "the end of the request was not recorded";
 
-    private final double answerSlackMs;
+    private final double responseSlackMs;
     private final double messageSlackMs;
     private final ViolationReporter reporter;
     private final Map<Integer, Double> sidecarDownAtMs = new HashMap<>();
     private final Map<Integer, Double> sidecarUpAtMs = new HashMap<>();
 
     /**
-     * Both slacks in milliseconds.
+     * Both slacks are in milliseconds.
      *
-     * @param answerSlackMs how much later than the deadline an answer may come, by the rules
-     * @param messageSlackMs how much later than its cause an event may be recorded
+     * @param responseSlackMs how long after the deadline the rules allow a response to arrive
+     * @param messageSlackMs maximum delay between the cause of an event and its record
      */
-    AnswerCheck(double answerSlackMs, double messageSlackMs, ViolationReporter reporter) {
-        this.answerSlackMs = answerSlackMs;
+    ResponseCheck(double responseSlackMs, double messageSlackMs, ViolationReporter reporter) {
+        this.responseSlackMs = responseSlackMs;
         this.messageSlackMs = messageSlackMs;
         this.reporter = reporter;
     }
@@ -41,52 +42,52 @@
     @Override
     public void observe(RecordedEvent event, ObservedAttempt attempt) {
         boolean isComplete = event.type() == Type.SERVED || event.type() == Type.REFUSED || event.type() == Type.FAILED;
-        if (isComplete && attempt.hasCompleteAnswer()) {
-            reporter.report(Rule.ANSWERED_TWICE, event, "it had a complete answer already");
+        if (isComplete && attempt.hasCompleteResponse()) {
+            reporter.report(Rule.ANSWERED_TWICE, event, "the client already had a complete response");
         }
-        if (attempt.isOver()) {
-            return; // an answer that was in flight when the client left
+        if (attempt.hasEnded()) {
+            return; // a response that was in flight when the client abandoned the request
         }
         switch (event.type()) {
             case SERVED -> {
-                checkTime(event, attempt);
+                checkDeadline(event, attempt);
                 checkOrigin(event, attempt);
             }
-            case REFUSED, FAILED -> checkTime(event, attempt);
-            case UNREACHABLE -> checkLoss(event, attempt);
-            case ABANDONED -> checkPatience(event);
+            case REFUSED, FAILED -> checkDeadline(event, attempt);
+            case UNREACHABLE -> checkLostConnection(event, attempt);
+            case ABANDONED -> checkAbandonment(event);
             default -> {}
         }
     }
 
     @Override
     public void attemptExpired(ObservedAttempt attempt) {
-        if (!attempt.isOver()) {
-            reporter.report(Rule.NOT_ANSWERED, attempt.sent(), NEVER_ENDED);
+        if (!attempt.hasEnded()) {
+            reporter.report(Rule.NOT_ANSWERED, attempt.sent(), NO_END_RECORDED);
         }
     }
 
-    private void checkTime(RecordedEvent event, ObservedAttempt attempt) {
-        double latestAtMs = attempt.deadlineMs() + answerSlackMs + messageSlackMs;
+    private void checkDeadline(RecordedEvent event, ObservedAttempt attempt) {
+        double latestAtMs = attempt.deadlineMs() + responseSlackMs + messageSlackMs;
         if (event.atMs() > latestAtMs) {
             reporter.report(
                     Rule.ANSWERED_AFTER_DEADLINE,
                     event,
-                    "%.0f ms after its deadline".formatted(event.atMs() - attempt.deadlineMs()));
+                    "response %.0f ms after the deadline".formatted(event.atMs() - attempt.deadlineMs()));
         }
     }
 
     private void checkOrigin(RecordedEvent event, ObservedAttempt attempt) {
         if (!attempt.wasReceived()) {
-            reporter.report(Rule.WRONG_ANSWER, event, "no server received it");
+            reporter.report(Rule.WRONG_ANSWER, event, "no server received the request");
         } else if (event.value() != event.request()) {
-            reporter.report(Rule.WRONG_ANSWER, event, "the answer was made for another request");
+            reporter.report(Rule.WRONG_ANSWER, event, "the response was made for another request");
         }
     }
 
-    private void checkLoss(RecordedEvent event, ObservedAttempt attempt) {
+    private void checkLostConnection(RecordedEvent event, ObservedAttempt attempt) {
         if (!wasDownBetween(event.sidecar(), attempt.sent().atMs() - messageSlackMs, event.atMs())) {
-            reporter.report(Rule.LOST, event, "its sidecar ran the whole time");
+            reporter.report(Rule.LOST, event, "the sidecar ran the whole time");
         }
     }
 
@@ -99,9 +100,9 @@
         return downAtMs != null && downAtMs <= toMs && (upAtMs < downAtMs || upAtMs + messageSlackMs >= fromMs);
     }
 
-    private void checkPatience(RecordedEvent event) {
-        boolean leftByChoice = event.value() != 0;
-        if (!leftByChoice) {
+    private void checkAbandonment(RecordedEvent event) {
+        boolean abandonedByChoice = event.value() != 0;
+        if (!abandonedByChoice) {
             reporter.report(Rule.NOT_ANSWERED, event, "the client waited until its deadline");
         }
     }
--- a/lab/src/main/java/dewplank/lab/audit/Rule.java
+++ b/lab/src/main/java/dewplank/lab/audit/Rule.java
@@ -1,30 +1,30 @@
 package dewplank.lab.audit;
 
-/** A rule that a run may break, as the {@link Auditor} checks it. */
+/** A violation that the {@link Auditor} detects. */
 public enum Rule {
-    /** A client got a second complete answer. */
+    /** A client received a second complete response. */
     ANSWERED_TWICE,
-    /** A client got no answer before it stopped waiting, and never one after. */
+    /** A client received no response by its deadline, or the end of its request was never recorded. */
     NOT_ANSWERED,
-    /** A client's answer came after the deadline and its slack. */
+    /** A client received its response after the deadline plus the slack. */
     ANSWERED_AFTER_DEADLINE("ANSWERED_LATE"),
-    /** A client's connection ended without an answer though its sidecar ran all the time. */
+    /** A client's connection closed without a response although its sidecar ran the whole time. */
     LOST,
-    /** A client got the answer to another request, or to one that no server received. */
+    /** A client received the response to another request, or to a request that no server received. */
     WRONG_ANSWER,
-    /** An unsafe request was sent again though it may have run. */
+    /** An unsafe request was sent again although it may have run. */
     SENT_TWICE,
     /** A request that is not safe took effect twice. */
     EFFECT_TWICE,
-    /** A client was refused, which says that its request never ran, though it may have run. */
+    /** A client was rejected, which states that its request never ran, although it may have run. */
     REFUSED_AFTER_RUN,
     /** A keyed request was sent again after its deduplication window. */
     KEYED_AFTER_WINDOW("KEYED_TOO_LATE"),
-    /** A keyed request was sent again to a server that does not share the first one's keys. */
+    /** A keyed request was sent again to a server outside the deduplication scope of the first one. */
     KEYED_OUTSIDE_SCOPE("KEYED_ELSEWHERE"),
-    /** A request was sent to a server after its sidecar was notified that it drains or is removed. */
+    /** A request was sent to a server after the sidecar was notified that the server is draining or removed. */
     SENT_TO_DRAINED,
-    /** A cold server collapsed under work that came from sidecars notified of its start. */
+    /** A cold server collapsed under work from sidecars that had been notified of its start. */
     COLD_SERVER_OVERLOADED("COLD_PUSHED_OVER");
 
     private final String printedName;
@@ -37,7 +37,7 @@
         this.printedName = printedName;
     }
 
-    /** The name in commands' output. Scripts read it, so it stays when the constant is renamed. */
+    /** The name in the output of commands. Scripts parse it, so it must not change with the constant's name. */
     public String printedName() {
         return printedName;
     }
--- a/lab/src/main/java/dewplank/lab/audit/RuleCheck.java
+++ b/lab/src/main/java/dewplank/lab/audit/RuleCheck.java
@@ -3,18 +3,18 @@
 import dewplank.emulator.RecordedEvent;
 
 /**
- * Watches a run for breaches of one group of rules and reports them to its {@link ViolationReporter}. Called by the
- * {@link Auditor} for each event, in the order of time, on the thread that runs the world.
+ * Checks a run for violations of one group of rules and reports them to a {@link ViolationReporter}. The
+ * {@link Auditor} calls it for each event, in time order, on the thread that runs the emulated world.
  */
 interface RuleCheck {
-    /** Takes in an event of no remembered attempt: of a server, a sidecar, the directory, an old attempt. */
+    /** Observes an event of a server, a sidecar or the directory, or of an attempt that is no longer stored. */
     default void observe(RecordedEvent event) {}
 
-    /** Takes in an event of an attempt, whose state does not include it yet. */
+    /** Observes an event of an attempt. The attempt's state does not include the event yet. */
     default void observe(RecordedEvent event, ObservedAttempt attempt) {
         observe(event);
     }
 
-    /** Judges an attempt of which nothing more can come in time. */
+    /** Checks an attempt for which no further event can arrive in time. */
     default void attemptExpired(ObservedAttempt attempt) {}
 }
--- a/lab/src/main/java/dewplank/lab/audit/SidecarServer.java
+++ b/lab/src/main/java/dewplank/lab/audit/SidecarServer.java
@@ -2,7 +2,9 @@
 
 import dewplank.emulator.RecordedEvent;
 
-/** A sidecar and a server, by their numbers: what the directory notifies of is known by the one about the other. */
+/**
+ * The numbers of a sidecar and a server, as a key for the directory's notifications to the sidecar about the server.
+ */
 record SidecarServer(int sidecar, int server) {
     static SidecarServer of(RecordedEvent event) {
         return new SidecarServer(event.sidecar(), event.server());
--- a/lab/src/main/java/dewplank/lab/audit/ViolationReporter.java
+++ b/lab/src/main/java/dewplank/lab/audit/ViolationReporter.java
@@ -2,14 +2,14 @@
 
 import dewplank.emulator.RecordedEvent;
 
-/** Where a {@link RuleCheck} reports what it found. */
+/** Receives the violations that a {@link RuleCheck} detects. */
 @FunctionalInterface
 interface ViolationReporter {
     /**
-     * Reports a broken rule.
+     * Reports a violation.
      *
-     * @param event at which it showed; its request's timeline is kept with the violation
-     * @param description what was wrong, for people
+     * @param event the event at which the violation was detected; the timeline of its request is stored with it
+     * @param description a human-readable description
      */
     void report(Rule rule, RecordedEvent event, String description);
 }
--- a/lab/src/main/java/dewplank/lab/audit/package-info.java
+++ b/lab/src/main/java/dewplank/lab/audit/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The auditor of the four rules that every sidecar keeps: one final answer in time, no double effect, nothing sent to a
- * server that drains, no cold server overloaded. It judges by what clients, servers and the endpoint directory
- * recorded, and knows neither the decision module nor a sidecar. A group of rules is one {@code RuleCheck}.
+ * The auditor of the four rules for every sidecar: exactly one final response in time, no double effect, no requests to
+ * draining servers, no overload of cold servers. It checks the events that clients, servers and the endpoint directory
+ * recorded, and does not depend on the decision module or on a sidecar. Each group of rules is one {@code RuleCheck}.
  */
 package dewplank.lab.audit;
--- a/lab/src/main/java/dewplank/lab/load/Arrivals.java
+++ b/lab/src/main/java/dewplank/lab/load/Arrivals.java
@@ -1,11 +1,11 @@
 package dewplank.lab.load;
 
-/** When the requests of one worker are to start. One of each, read by one thread. */
+/** The intended start times of one worker's requests. Each worker has its own instance and reads it on one thread. */
 @FunctionalInterface
 public interface Arrivals {
-    /** Comes after the last start, any number of times. */
+    /** Returned by every call after the last start. */
     double END = Double.POSITIVE_INFINITY;
 
-    /** The next intended start in milliseconds from the beginning, never before the one given last; or {@link #END}. */
+    /** The next intended start in milliseconds since the start of the run, never decreasing; or {@link #END}. */
     double nextMs();
 }
--- a/lab/src/main/java/dewplank/lab/load/ClassOutcome.java
+++ b/lab/src/main/java/dewplank/lab/load/ClassOutcome.java
@@ -2,9 +2,9 @@
 
 import org.HdrHistogram.Histogram;
 
-/** What became of the requests of one class. Counted on its worker's thread; read after the run. */
+/** Counts the outcomes of one class's requests. Updated on the worker's thread; read after the run. */
 public final class ClassOutcome {
-    /** Longer latencies count as this one: ten minutes, the longest time-out that the command takes. */
+    /** Longer latencies are recorded as this value: ten minutes, the longest timeout that the command accepts. */
     static final long MAX_LATENCY_US = 600_000_000L;
 
     static final int SIGNIFICANT_DIGITS = 3;
@@ -17,7 +17,7 @@
     private long ok;
     private long refused;
     private long otherStatus;
-    private long broken;
+    private long connectionFailures;
     private long timedOut;
 
     ClassOutcome(String name) {
@@ -28,7 +28,7 @@
         sent++;
     }
 
-    void countAnswer(int status, long tookUs) {
+    void countResponse(int status, long elapsedUs) {
         if (status / 100 == 2) {
             ok++;
         } else if (status == TOO_MANY_REQUESTS || status == SERVICE_UNAVAILABLE) {
@@ -36,16 +36,16 @@
         } else {
             otherStatus++;
         }
-        latencyUs.recordValue(tookUs);
+        latencyUs.recordValue(elapsedUs);
     }
 
-    void countBroken() {
-        broken++;
+    void countConnectionFailure() {
+        connectionFailures++;
     }
 
-    void countTimeout(long tookUs) {
+    void countTimeout(long elapsedUs) {
         timedOut++;
-        latencyUs.recordValue(tookUs);
+        latencyUs.recordValue(elapsedUs);
     }
 
     void add(ClassOutcome other) {
@@ -54,7 +54,7 @@
         ok += other.ok;
         refused += other.refused;
         otherStatus += other.otherStatus;
-        broken += other.broken;
+        connectionFailures += other.connectionFailures;
         timedOut += other.timedOut;
     }
 
@@ -63,8 +63,8 @@
     }
 
     /**
-     * Latencies in microseconds, from the intended start to the answer's last byte or the time-out; those of broken
-     * connections are not in it.
+     * Latencies in microseconds, from the intended start to the last byte of the response or the timeout. Requests
+     * whose connection failed are not included.
      */
     public Histogram latencyUs() {
         return latencyUs;
@@ -74,32 +74,32 @@
         return sent;
     }
 
-    /** Answers with a status of 2xx. */
+    /** Responses with a 2xx status. */
     public long ok() {
         return ok;
     }
 
-    /** Answers with 429 or 503. */
+    /** Responses with 429 or 503. */
     public long refused() {
         return refused;
     }
 
-    /** Answers with any other status. */
+    /** Responses with any other status. */
     public long otherStatus() {
         return otherStatus;
     }
 
-    /** Requests whose connection did not come up, or ended before the answer did. */
-    public long broken() {
-        return broken;
+    /** Requests whose connection was not established, or closed before the response was complete. */
+    public long connectionFailures() {
+        return connectionFailures;
     }
 
     public long timedOut() {
         return timedOut;
     }
 
-    /** Answers of any status. */
-    public long answered() {
+    /** Responses of any status. */
+    public long responses() {
         return ok + refused + otherStatus;
     }
 }
--- a/lab/src/main/java/dewplank/lab/load/LoadClock.java
+++ b/lab/src/main/java/dewplank/lab/load/LoadClock.java
@@ -3,20 +3,20 @@
 import dewplank.net.EventLoop;
 
 /**
- * The clock and the timers of a load worker or a stand-in target, bound to one event loop: tasks run on its thread.
- * Times in milliseconds. Tests bring one that they move themselves.
+ * The clock and timers of a load worker or a stub server, bound to one event loop, on whose thread tasks run. Times are
+ * in milliseconds. Tests use an implementation that they advance themselves.
  */
 interface LoadClock {
-    /** Never goes back. Any thread may call it. */
+    /** The current time; never decreases. Any thread may call it. */
     double nowMs();
 
-    /** Runs the task after {@code delayMs}, as exactly as the clock allows. Any thread may call it. */
+    /** Runs the task after {@code delayMs}, as precisely as the clock allows. Any thread may call it. */
     void schedule(double delayMs, Runnable task);
 
-    /** Runs the task after {@code delayMs} or up to a tick later, which is cheaper. On the loop's thread only. */
+    /** Runs the task after {@code delayMs} or up to one tick later, which costs less. On the loop's thread only. */
     void scheduleTimeout(double delayMs, Runnable task);
 
-    /** The loop's own clock. */
+    /** The clock of the loop itself. */
     static LoadClock of(EventLoop loop) {
         return new LoadClock() {
             @Override
--- a/lab/src/main/java/dewplank/lab/load/LoadListener.java
+++ b/lab/src/main/java/dewplank/lab/load/LoadListener.java
@@ -1,17 +1,17 @@
 package dewplank.lab.load;
 
-/** Watches a load run's requests. Called on the workers' threads, so by several at once. */
+/** Observes the requests of a load run. Called on the workers' threads, possibly concurrently. */
 interface LoadListener {
-    /** Watches nothing. */
+    /** A listener that does nothing. */
     LoadListener NONE = new LoadListener() {};
 
-    /** A request is about to be handed to its connection, or queued for one. */
+    /** Called before a request is written to a connection or queued for one. */
     default void requestSent() {}
 
     /**
-     * A request was answered, broke or timed out, and is counted.
+     * Called after a request got its response, lost its connection or timed out, and was counted.
      *
-     * @param intendedMs when it was to start, on its worker's clock
+     * @param intendedMs the intended start on the worker's clock
      */
     default void requestEnded(double intendedMs) {}
 }
--- a/lab/src/main/java/dewplank/lab/load/LoadPlan.java
+++ b/lab/src/main/java/dewplank/lab/load/LoadPlan.java
@@ -9,17 +9,18 @@
 import java.util.List;
 
 /**
- * What a load run is to do.
+ * The configuration of a load run.
  *
- * @param targets asked in turn
- * @param schedule when requests are to start
+ * @param targets receive the requests in turn
+ * @param schedule the intended starts of the requests
  * @param warmUpRatePerSecond the rate of {@link #warmUp}
- * @param classes of requests, drawn by their weights
- * @param headers of each request, as {@code NAME: VALUE}, with {@code {id}} and {@code {class}} to be filled in
- * @param connections open at the same time at the most, over all workers and targets; one for each of both at least
- * @param threads workers, each with a loop
- * @param timeoutMs from a request's sending
- * @param sourceAddresses loopback addresses for each worker to connect from; 0: the system chooses
+ * @param classes of requests, drawn at random by weight
+ * @param headers of each request, as {@code NAME: VALUE}; {@code {id}} and {@code {class}} are replaced
+ * @param connections maximum open at the same time over all workers and targets; each worker may open at least one
+ *     per target
+ * @param threads number of workers, each with an event loop
+ * @param timeoutMs time from sending a request to its timeout
+ * @param sourceAddresses number of loopback addresses that each worker connects from; 0: the system chooses
  */
 public record LoadPlan(
         List<Target> targets,
@@ -33,7 +34,7 @@
         int sourceAddresses,
         long seed) {
 
-    /** The same for so long at one rate, with another seed, to warm up code and connections. */
+    /** A plan with a constant rate and another seed that warms up code and connections before this one. */
     public LoadPlan warmUp(double durationMs) {
         return new LoadPlan(
                 targets,
@@ -49,24 +50,24 @@
     }
 
     /**
-     * One address, and the path to ask for there.
+     * An address and the path to request there.
      *
-     * @param host for the header {@code Host}
-     * @param path with its query
+     * @param host value of the {@code Host} header
+     * @param path including the query
      */
     public record Target(InetSocketAddress address, String host, String path) {
         private static final int DEFAULT_PORT = 80;
 
         /**
-         * Reads {@code http://host:port/path}. The name is looked up once, here.
+         * Parses {@code http://host:port/path}. The host name is resolved only once, by this call.
          *
-         * @throws InvalidInputException if it is none, or its host is not known
+         * @throws InvalidInputException if the URL is malformed or its host cannot be resolved
          */
         public static Target parse(String url) {
             try {
                 URI uri = new URI(url);
                 if (!"http".equals(uri.getScheme()) || uri.getHost() == null) {
-                    throw new InvalidInputException("target " + url + ": only http://host:port/path is known");
+                    throw new InvalidInputException("target " + url + ": expected http://host:port/path");
                 }
                 int port = uri.getPort() < 0 ? DEFAULT_PORT : uri.getPort();
                 String path = uri.getRawPath() == null || uri.getRawPath().isEmpty() ? "/" : uri.getRawPath();
@@ -83,12 +84,12 @@
         }
     }
 
-    /** A class of requests. {@code weight}: above 0, any scale. */
+    /** A class of requests. {@code weight}: above 0, relative to the other classes. */
     public record RequestClass(String name, double weight, String method, int bodyBytes) {
         /**
-         * Reads {@code NAME:WEIGHT[:METHOD[:BODY_BYTES]]}; the method's default is POST with a body and GET without.
+         * Parses {@code NAME:WEIGHT[:METHOD[:BODY_BYTES]]}; the default method is POST with a body and GET without.
          *
-         * @throws InvalidInputException if it is not of that form, or the weight is not above 0
+         * @throws InvalidInputException if the text does not have that form or the weight is not above 0
          */
         public static RequestClass parse(String text) {
             String[] parts = text.split(":", -1);
@@ -103,13 +104,13 @@
                     }
                 }
             } catch (NumberFormatException e) {
-                // falls through to the message for all that is malformed
+                // reported below, like other malformed texts
             }
             throw new InvalidInputException(
-                    "class " + text + ": should be NAME:WEIGHT[:METHOD[:BODY_BYTES]], with a weight above 0");
+                    "class " + text + ": expected NAME:WEIGHT[:METHOD[:BODY_BYTES]] with a weight above 0");
         }
 
-        /** Whether a request without a body says nothing of one, as usual for its method. */
+        /** Whether the request is sent without a Content-Length header: it has no body, and its method needs none. */
         boolean mayOmitBody() {
             return bodyBytes == 0 && (method.equals("GET") || method.equals("HEAD"));
         }
--- a/lab/src/main/java/dewplank/lab/load/LoadReport.java
+++ b/lab/src/main/java/dewplank/lab/load/LoadReport.java
@@ -7,13 +7,13 @@
 import java.util.Locale;
 import org.HdrHistogram.Histogram;
 
-/** A load run's figures as a table for a terminal and as JSON, both with fixed names, which scripts read. */
+/** Formats a load run's figures as a terminal table and as JSON. Scripts read both, so all names are fixed. */
 public final class LoadReport {
     private static final List<Double> PERCENTILES = List.of(50.0, 75.0, 90.0, 95.0, 99.0, 99.9, 99.99, 100.0);
 
     private LoadReport() {}
 
-    /** A table for a terminal, with a warning where the run was not sound. */
+    /** A table for a terminal, with a warning if the run is invalid. */
     public static String table(LoadOutcome outcome) {
         StringBuilder text = new StringBuilder(String.format(
                 Locale.ROOT,
@@ -37,13 +37,13 @@
                         Locale.ROOT,
                         "%.0f answered a second over %.1f s, %d connections opened, own lag p99 %.2f ms, "
                                 + "own loops busy %.2f%n",
-                        outcome.all().answered() / outcome.elapsedS(),
+                        outcome.all().responses() / outcome.elapsedS(),
                         outcome.elapsedS(),
                         outcome.connectionsOpened(),
                         outcome.lagUs().getValueAtPercentile(99) / 1000.0,
                         outcome.busyFraction()))
                 .append(
-                        outcome.sound()
+                        outcome.isValid()
                                 ? ""
                                 : "UNSOUND: the tool itself was late or had no time left; "
                                         + "give it more threads or less load\n")
@@ -59,7 +59,7 @@
                 requestClass.ok(),
                 requestClass.refused(),
                 requestClass.otherStatus(),
-                requestClass.broken(),
+                requestClass.connectionFailures(),
                 requestClass.timedOut(),
                 percentileMs(requestClass.latencyUs(), 50),
                 percentileMs(requestClass.latencyUs(), 99),
@@ -67,18 +67,18 @@
                 percentileMs(requestClass.latencyUs(), 100)));
     }
 
-    /** The percentile in milliseconds of values in microseconds. */
+    /** A percentile in milliseconds, of values in microseconds. */
     static double percentileMs(Histogram valuesUs, double percentile) {
         return valuesUs.getValueAtPercentile(percentile) / 1000.0;
     }
 
-    /** A JSON object on several lines; times in milliseconds, but where the name says otherwise. */
+    /** A pretty-printed JSON object. Times are in milliseconds unless the name has another unit. */
     public static String json(LoadOutcome outcome) {
         JsonObject all = new JsonObject();
         all.addProperty("seconds", outcome.elapsedS());
-        all.addProperty("answered_per_s", outcome.all().answered() / outcome.elapsedS());
+        all.addProperty("answered_per_s", outcome.all().responses() / outcome.elapsedS());
         all.addProperty("connections_opened", outcome.connectionsOpened());
-        all.addProperty("sound", outcome.sound());
+        all.addProperty("sound", outcome.isValid());
         all.addProperty("own_loops_busy", outcome.busyFraction());
         all.add("own_lag_ms", percentiles(outcome.lagUs()));
         JsonArray classes = new JsonArray();
@@ -89,7 +89,7 @@
             entry.addProperty("ok", requestClass.ok());
             entry.addProperty("refused", requestClass.refused());
             entry.addProperty("other_status", requestClass.otherStatus());
-            entry.addProperty("broken", requestClass.broken());
+            entry.addProperty("broken", requestClass.connectionFailures());
             entry.addProperty("timed_out", requestClass.timedOut());
             entry.add("latency_ms", percentiles(requestClass.latencyUs()));
             classes.add(entry);
--- a/lab/src/main/java/dewplank/lab/load/LoadRun.java
+++ b/lab/src/main/java/dewplank/lab/load/LoadRun.java
@@ -9,19 +9,19 @@
 import java.util.function.Function;
 import org.HdrHistogram.Histogram;
 
-/** Plays a plan over some workers, which share nothing. Used once. */
+/** Executes a plan on several workers, which share no state. An instance can be run only once. */
 public final class LoadRun {
     private final LoadPlan plan;
     private final Consumer<String> progress;
     private final Function<EventLoop, LoadClock> clocks;
     private final LoadListener listener;
 
-    /** {@code progress}: gets a line each second, on the thread that calls {@link #run}. */
+    /** {@code progress}: receives a line each second, on the thread that calls {@link #run}. */
     public LoadRun(LoadPlan plan, Consumer<String> progress) {
         this(plan, progress, LoadClock::of, LoadListener.NONE);
     }
 
-    /** {@code clocks}: gives each worker's loop its clock. */
+    /** {@code clocks}: provides the clock for each worker's loop. */
     LoadRun(LoadPlan plan, Consumer<String> progress, Function<EventLoop, LoadClock> clocks, LoadListener listener) {
         this.plan = plan;
         this.progress = progress;
@@ -30,9 +30,9 @@
     }
 
     /**
-     * Runs to the end of the plan, and until all is answered or timed out.
+     * Runs the whole plan and waits until each request has its response, has failed or has timed out.
      *
-     * @throws IOException if a loop or a source address is not to be had
+     * @throws IOException if an event loop cannot be created or a source address is invalid
      */
     public LoadOutcome run() throws IOException, InterruptedException {
         List<LoadWorker> workers = new ArrayList<>();
--- a/lab/src/main/java/dewplank/lab/load/LoadWorker.java
+++ b/lab/src/main/java/dewplank/lab/load/LoadWorker.java
@@ -18,15 +18,15 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * One loop of a load run, with its part of the requests and of the connections. Its state belongs to the loop's thread
- * from {@link #begin} until {@link #await} says that it is done.
+ * One event loop of a load run, which sends its part of the requests over its own connections. Its state is confined to
+ * the loop's thread from {@link #begin} until {@link #await} returns true.
  */
 final class LoadWorker {
-    /** Requests due within so long of each other are sent in one wake-up. */
+    /** The shortest sleep: requests that are due within this time are sent in one wake-up. */
     private static final double MIN_SLEEP_MS = 0.2;
-    /** From {@link #begin} to the first intended start, so that all workers are ready by then. */
+    /** Delay from {@link #begin} to the first intended start, so that all workers are ready by then. */
     static final double START_DELAY_MS = 50;
-    /** How long after the last request's time-out a run ends in any case. */
+    /** Time after the last request's timeout at which the run ends even if requests are still in flight. */
     private static final double DRAIN_TIMEOUT_MS = 2_000;
 
     private static final double DRAIN_POLL_MS = 5;
@@ -47,7 +47,7 @@
     private final Histogram lagUs = new Histogram(ClassOutcome.MAX_LATENCY_US, ClassOutcome.SIGNIFICANT_DIGITS);
     private final SingleWriterRecorder intervalLatencyUs =
             new SingleWriterRecorder(ClassOutcome.MAX_LATENCY_US, ClassOutcome.SIGNIFICANT_DIGITS);
-    private final CountDownLatch done = new CountDownLatch(1);
+    private final CountDownLatch finished = new CountDownLatch(1);
     private double startMs;
     private double nextStartMs;
     private double wakeUpMs;
@@ -77,7 +77,9 @@
         }
     }
 
-    /** Addresses to connect from: thousands of connections to one address would use up its ports. */
+    /**
+     * Source addresses: with a single one, thousands of connections to one target would exhaust the ephemeral ports.
+     */
     private List<InetAddress> sourceAddresses() throws IOException {
         List<InetAddress> addresses = new ArrayList<>();
         for (int i = 0; i < plan.sourceAddresses(); i++) {
@@ -87,7 +89,7 @@
         return addresses;
     }
 
-    /** Begins to send, after {@link #START_DELAY_MS}. Called once, by the thread that made it. */
+    /** Starts sending after {@link #START_DELAY_MS}. Called once, by the thread that created the worker. */
     void begin() {
         startMs = clock.nowMs() + START_DELAY_MS;
         nextStartMs = startMs + arrivals.nextMs();
@@ -96,9 +98,9 @@
         clock.schedule(START_DELAY_MS, this::sendDue);
     }
 
-    /** Whether it was done within that time. */
+    /** Waits at most this long; returns whether the worker has finished. */
     boolean await(long timeout, TimeUnit unit) throws InterruptedException {
-        return done.await(timeout, unit);
+        return finished.await(timeout, unit);
     }
 
     /** Any thread may call it. */
@@ -106,31 +108,31 @@
         loop.stop();
     }
 
-    /** Sends all that is due, and sleeps until the next is. */
+    /** Sends all requests that are due and sleeps until the next one is. */
     private void sendDue() {
         double nowMs = clock.nowMs();
-        lagUs.recordValue(toMicros(nowMs - wakeUpMs)); // a loop that can't keep up comes late to this
+        lagUs.recordValue(toMicros(nowMs - wakeUpMs)); // grows when the loop can't keep up
         while (nextStartMs <= nowMs) {
             send(nextStartMs);
             nextStartMs = startMs + arrivals.nextMs();
         }
         if (nextStartMs == Arrivals.END) {
-            awaitAnswers(clock.nowMs() + plan.timeoutMs() + DRAIN_TIMEOUT_MS);
+            awaitResponses(clock.nowMs() + plan.timeoutMs() + DRAIN_TIMEOUT_MS);
         } else {
             wakeUpMs = Math.max(clock.nowMs() + MIN_SLEEP_MS, nextStartMs);
             clock.schedule(wakeUpMs - clock.nowMs(), this::sendDue);
         }
     }
 
-    private void awaitAnswers(double deadlineMs) {
+    private void awaitResponses(double deadlineMs) {
         if (inFlight > 0 && clock.nowMs() <= deadlineMs) {
-            clock.schedule(DRAIN_POLL_MS, () -> awaitAnswers(deadlineMs));
+            clock.schedule(DRAIN_POLL_MS, () -> awaitResponses(deadlineMs));
             return;
         }
         clients.forEach(HttpClient::close);
         double cpuMs = (THREADS.getCurrentThreadCpuTime() - cpuAtStartNs) / 1e6;
         busyFraction = cpuMs / Math.max(1, clock.nowMs() - startMs);
-        done.countDown();
+        finished.countDown();
     }
 
     private void send(double intendedMs) {
@@ -143,7 +145,7 @@
         long id = ((long) number << 48) + ++lastId + (plan.seed() << 20);
         PendingRequest request = new PendingRequest(classes.get(requestClass), intendedMs);
         request.call = client.call(templates.request(target, requestClass, id), request);
-        if (!request.isOver) {
+        if (!request.hasEnded) {
             clock.scheduleTimeout(plan.timeoutMs(), request::timeOut);
         }
     }
@@ -161,12 +163,12 @@
         return Math.max(0, Math.min(ClassOutcome.MAX_LATENCY_US, Math.round(ms * 1000)));
     }
 
-    /** A request that was sent, until it is answered, breaks or times out, whichever comes first. */
+    /** A request in flight, until its response, the loss of its connection or its timeout. */
     private final class PendingRequest implements HttpClient.ResponseHandler {
         private final ClassOutcome outcome;
         private final double intendedMs;
         private HttpClient.Call call;
-        private boolean isOver;
+        private boolean hasEnded;
 
         PendingRequest(ClassOutcome outcome, double intendedMs) {
             this.outcome = outcome;
@@ -178,32 +180,32 @@
 
         @Override
         public void onEnd(Optional<HttpClient.Response> response) {
-            if (isOver) {
+            if (hasEnded) {
                 return;
             }
-            isOver = true;
+            hasEnded = true;
             if (response.isEmpty()) {
-                outcome.countBroken();
+                outcome.countConnectionFailure();
             } else {
-                outcome.countAnswer(response.get().head().status(), recordLatency());
+                outcome.countResponse(response.get().head().status(), recordLatency());
             }
             end();
         }
 
         void timeOut() {
-            if (isOver) {
+            if (hasEnded) {
                 return;
             }
-            isOver = true;
+            hasEnded = true;
             call.cancel();
             outcome.countTimeout(recordLatency());
             end();
         }
 
         private long recordLatency() {
-            long tookUs = toMicros(clock.nowMs() - intendedMs);
-            intervalLatencyUs.recordValue(tookUs);
-            return tookUs;
+            long elapsedUs = toMicros(clock.nowMs() - intendedMs);
+            intervalLatencyUs.recordValue(elapsedUs);
+            return elapsedUs;
         }
 
         private void end() {
@@ -212,27 +214,27 @@
         }
     }
 
-    /** One for each class of the plan, in its order; only when done. */
+    /** One for each class, in the order of the plan; valid only after the worker has finished. */
     List<ClassOutcome> classes() {
         return classes;
     }
 
-    /** Only when done. */
+    /** Valid only after the worker has finished. */
     Histogram lagUs() {
         return lagUs;
     }
 
-    /** The part of a core that it used; only when done. */
+    /** The fraction of a core that the worker used; valid only after it has finished. */
     double busyFraction() {
         return busyFraction;
     }
 
-    /** Only when done. */
+    /** Valid only after the worker has finished. */
     long connectionsOpened() {
         return clients.stream().mapToLong(HttpClient::opened).sum();
     }
 
-    /** Latencies in microseconds since the last call. Any one thread may call it, also during the run. */
+    /** Latencies in microseconds since the previous call. May be called during the run, by one thread at a time. */
     Histogram takeIntervalLatencyUs() {
         return intervalLatencyUs.getIntervalHistogram();
     }
--- a/lab/src/main/java/dewplank/lab/load/RequestTemplates.java
+++ b/lab/src/main/java/dewplank/lab/load/RequestTemplates.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The bytes of a plan's requests: built once where no header asks for an id, else for each request. */
+/** The encoded requests of a plan: built once if no header contains an id, otherwise for each request. */
 final class RequestTemplates {
     private static final String ID = "{id}";
     private static final String CLASS = "{class}";
@@ -13,24 +13,24 @@
 
     private final LoadPlan plan;
     private final boolean areConstant;
-    private final List<List<ByteBuffer>> constants = new ArrayList<>(); // by target and class
+    private final List<List<ByteBuffer>> constantRequests = new ArrayList<>(); // indexed by target, then class
 
     RequestTemplates(LoadPlan plan) {
         this.plan = plan;
         this.areConstant = plan.headers().stream().noneMatch(header -> header.contains(ID));
         if (areConstant) {
             for (LoadPlan.Target target : plan.targets()) {
-                constants.add(plan.classes().stream()
+                constantRequests.add(plan.classes().stream()
                         .map(requestClass -> build(target, requestClass, NO_ID))
                         .toList());
             }
         }
     }
 
-    /** A request's bytes, which the caller must not change. */
+    /** The encoded request, which the caller must not modify. */
     ByteBuffer request(int target, int requestClass, long id) {
         return areConstant
-                ? constants.get(target).get(requestClass)
+                ? constantRequests.get(target).get(requestClass)
                 : build(plan.targets().get(target), plan.classes().get(requestClass), Long.toHexString(id));
     }
 
--- a/lab/src/main/java/dewplank/lab/load/Schedule.java
+++ b/lab/src/main/java/dewplank/lab/load/Schedule.java
@@ -1,12 +1,12 @@
 package dewplank.lab.load;
 
-/** When a plan's requests are to start: by a shape, or as recorded. */
+/** The intended starts of a plan's requests, generated from a rate shape or read from a trace. */
 public sealed interface Schedule permits ShapedSchedule, TraceSchedule {
     /**
-     * One of equal parts of the requests.
+     * The starts of one of several equal parts of the requests.
      *
-     * @param part from 0 on
-     * @param parts how many there are; all parts are drawn with the same seed
+     * @param part index of the part, from 0
+     * @param parts number of parts; all of them use the same seed
      */
     Arrivals arrivals(int part, int parts, long seed);
 }
--- a/lab/src/main/java/dewplank/lab/load/ShapedSchedule.java
+++ b/lab/src/main/java/dewplank/lab/load/ShapedSchedule.java
@@ -6,13 +6,14 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Starts at a rate that follows a shape over time.
+ * Generates starts at a rate that follows a shape over time.
  *
- * @param ratePerSecond at the beginning, where the rate changes
- * @param finalRatePerSecond at the end of a ramp
- * @param stepRatesPerSecond rates of equally long steps
- * @param swing of bursts: what is added to the rate in one half of a period and taken off in the other, as a part of it
- * @param periodMs of bursts
+ * @param ratePerSecond the rate; for a ramp the initial rate, for bursts the base rate
+ * @param finalRatePerSecond rate at the end of a ramp
+ * @param stepRatesPerSecond rates of the steps, which have equal lengths
+ * @param swing of bursts: fraction of the rate that is added in the first half of each period and subtracted in the
+ *     second
+ * @param periodMs period of bursts
  */
 public record ShapedSchedule(
         Shape shape,
@@ -24,26 +25,26 @@
         double durationMs)
         implements Schedule {
 
-    /** How the rate goes on over time; the names in lower case are those that the command takes. */
+    /** How the rate changes over time. The command accepts the names in lower case. */
     public enum Shape {
-        /** One rate, with exponential gaps. */
+        /** A constant rate with exponentially distributed gaps. */
         POISSON,
-        /** One rate, with equal gaps. */
+        /** A constant rate with equal gaps. */
         UNIFORM,
-        /** Above and below one rate in turn. */
+        /** A rate that alternates between a value above the base rate and one below it. */
         BURSTS,
-        /** From one rate to another, linearly. */
+        /** A rate that changes linearly from one value to another. */
         RAMP,
-        /** One rate after the other, each for equally long. */
+        /** Several rates in sequence, each for the same time. */
         STEPS
     }
 
-    /** Exponential gaps at one rate. */
+    /** A constant rate with exponentially distributed gaps. */
     public static ShapedSchedule poisson(double ratePerSecond, double durationMs) {
         return new ShapedSchedule(Shape.POISSON, ratePerSecond, 0, List.of(), 0, 1, durationMs);
     }
 
-    /** Equal gaps at one rate. */
+    /** A constant rate with equal gaps. */
     static ShapedSchedule uniform(double ratePerSecond, double durationMs) {
         return new ShapedSchedule(Shape.UNIFORM, ratePerSecond, 0, List.of(), 0, 1, durationMs);
     }
@@ -53,18 +54,20 @@
         return new ThinnedArrivals(this, part, parts, seed);
     }
 
-    private double ratePerMs(double atMs) {
+    private double ratePerMs(double timeMs) {
         return switch (shape) {
             case POISSON, UNIFORM -> ratePerSecond / 1000;
-            case BURSTS -> ratePerSecond / 1000 * (atMs % periodMs < periodMs / 2 ? 1 + swing : Math.max(0, 1 - swing));
-            case RAMP -> (ratePerSecond + (finalRatePerSecond - ratePerSecond) * atMs / durationMs) / 1000;
-            case STEPS -> stepRatesPerSecond.get(stepAt(atMs)) / 1000;
+            case BURSTS -> ratePerSecond
+                    / 1000
+                    * (timeMs % periodMs < periodMs / 2 ? 1 + swing : Math.max(0, 1 - swing));
+            case RAMP -> (ratePerSecond + (finalRatePerSecond - ratePerSecond) * timeMs / durationMs) / 1000;
+            case STEPS -> stepRatesPerSecond.get(stepAt(timeMs)) / 1000;
         };
     }
 
-    private int stepAt(double atMs) {
+    private int stepAt(double timeMs) {
         int count = stepRatesPerSecond.size();
-        return (int) Math.min(count - 1, atMs / durationMs * count);
+        return (int) Math.min(count - 1, timeMs / durationMs * count);
     }
 
     private double maxRatePerMs() {
@@ -81,13 +84,13 @@
     }
 
     /**
-     * Draws starts at the highest rate and drops each with the chance that the rate of its moment leaves (Lewis and
-     * Shedler, "Simulation of nonhomogeneous Poisson processes by thinning", 1979).
+     * Draws starts at the maximum rate and keeps each with the probability of the current rate over the maximum (Lewis
+     * and Shedler, "Simulation of nonhomogeneous Poisson processes by thinning", 1979).
      */
     private static final class ThinnedArrivals implements Arrivals {
         private final ShapedSchedule schedule;
         private final UniformRandomProvider thinning;
-        private final DoubleSupplier gaps; // of mean 1
+        private final DoubleSupplier gaps; // with mean 1
         private final double maxRatePerMs;
         private final double maxPartRatePerMs;
         private double lastMs;
@@ -97,7 +100,7 @@
             this.thinning = new RandomStreams(seed).stream("thinning", part);
             this.maxRatePerMs = schedule.maxRatePerMs();
             this.maxPartRatePerMs = maxRatePerMs / parts;
-            if (schedule.shape == Shape.UNIFORM) { // parts take turns: the first start of each is one gap of all apart
+            if (schedule.shape == Shape.UNIFORM) { // the starts of the parts are interleaved, one overall gap apart
                 this.gaps = () -> 1;
                 this.lastMs = part / maxRatePerMs - 1 / maxPartRatePerMs;
             } else {
@@ -116,8 +119,8 @@
             return lastMs < schedule.durationMs ? lastMs : END;
         }
 
-        private boolean isDropped(double atMs) {
-            return thinning.nextDouble() * maxRatePerMs >= schedule.ratePerMs(atMs);
+        private boolean isDropped(double timeMs) {
+            return thinning.nextDouble() * maxRatePerMs >= schedule.ratePerMs(timeMs);
         }
     }
 }
--- a/lab/src/main/java/dewplank/lab/load/StandIn.java
+++ b/lab/src/main/java/dewplank/lab/load/StandIn.java
@@ -18,21 +18,21 @@
 import java.util.function.IntFunction;
 
 /**
- * A target that does no work: it answers each request at once, or after a drawn time. One loop an address. Any thread
- * may call it.
+ * A stub server that does no work: it responds to each request immediately or after a random delay. Each address has
+ * its own event loop. Any thread may call the methods.
  */
 public final class StandIn implements Closeable {
     private static final int MAX_CONNECTIONS = 100_000;
-    private static final ByteBuffer ANSWER = MessageWriter.response(200).body(new byte[] {'o', 'k'});
+    private static final ByteBuffer RESPONSE = MessageWriter.response(200).body(new byte[] {'o', 'k'});
 
     private final List<EventLoop> loops = new ArrayList<>();
     private final List<InetSocketAddress> addresses = new ArrayList<>();
 
     /**
-     * Begins to answer.
+     * Starts the server.
      *
-     * @param meanMs of the time that an answer takes; 0: none
-     * @param cv the distribution's coefficient of variation
+     * @param meanMs mean response delay; 0: no delay
+     * @param cv coefficient of variation of the distribution
      * @throws IOException if an address cannot be bound
      */
     public StandIn(List<InetSocketAddress> bindTo, Distribution distribution, double meanMs, double cv, long seed)
@@ -48,34 +48,36 @@
     }
 
     /**
-     * Begins to answer.
+     * Starts the server.
      *
-     * @param answerTimesMs for each address, by its index: how long the next answer takes, asked on the address's loop
-     * @param clocks gives each address's loop its clock
+     * @param responseDelaysMs for each address, by index: supplies the delay of the next response, on the address's
+     *     loop
+     * @param clocks provides the clock for each address's loop
      * @throws IOException if an address cannot be bound
      */
     StandIn(
             List<InetSocketAddress> bindTo,
-            IntFunction<DoubleSupplier> answerTimesMs,
+            IntFunction<DoubleSupplier> responseDelaysMs,
             Function<EventLoop, LoadClock> clocks)
             throws IOException {
         for (InetSocketAddress address : bindTo) {
             EventLoop loop = new EventLoop();
-            DoubleSupplier answerTimeMs = answerTimesMs.apply(loops.size());
+            DoubleSupplier responseDelayMs = responseDelaysMs.apply(loops.size());
             loops.add(loop);
             LoadClock clock = clocks.apply(loop);
-            Listener listener = new Listener(loop, address, MAX_CONNECTIONS, () -> new Endpoint(clock, answerTimeMs));
+            Listener listener =
+                    new Listener(loop, address, MAX_CONNECTIONS, () -> new Endpoint(clock, responseDelayMs));
             addresses.add((InetSocketAddress) listener.address());
             loop.execute(listener::accept);
         }
     }
 
-    /** Where it listens, in the order given, with the ports that the system chose. */
+    /** The addresses that the server listens on, in the order given, with the ports that the system chose. */
     public List<InetSocketAddress> addresses() {
         return addresses;
     }
 
-    /** Blocks all loops for so long, as a long garbage collection would. */
+    /** Blocks all loops for this time, as a long garbage collection would. */
     public void stall(long durationMs) {
         for (EventLoop loop : loops) {
             loop.execute(() -> {
@@ -95,21 +97,21 @@
 
     private static final class Endpoint extends HttpEndpoint {
         private final LoadClock clock;
-        private final DoubleSupplier answerTimeMs;
+        private final DoubleSupplier responseDelayMs;
 
-        Endpoint(LoadClock clock, DoubleSupplier answerTimeMs) {
+        Endpoint(LoadClock clock, DoubleSupplier responseDelayMs) {
             this.clock = clock;
-            this.answerTimeMs = answerTimeMs;
+            this.responseDelayMs = responseDelayMs;
         }
 
         @Override
         protected void request(RequestParser request) {
             request.takeBody();
-            double delayMs = answerTimeMs.getAsDouble();
+            double delayMs = responseDelayMs.getAsDouble();
             if (delayMs <= 0) {
-                answer(ANSWER.duplicate());
+                answer(RESPONSE.duplicate());
             } else {
-                clock.schedule(delayMs, () -> answer(ANSWER.duplicate()));
+                clock.schedule(delayMs, () -> answer(RESPONSE.duplicate()));
             }
         }
     }
--- a/lab/src/main/java/dewplank/lab/load/TraceSchedule.java
+++ b/lab/src/main/java/dewplank/lab/load/TraceSchedule.java
@@ -7,7 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Recorded starts, dealt out over the parts in turn. */
+/** Recorded starts, distributed over the parts in turn. */
 public final class TraceSchedule implements Schedule {
     private final double[] startsMs; // ascending
 
@@ -16,10 +16,10 @@
     }
 
     /**
-     * Reads start times in milliseconds, one a line, in any order; further values on a line are skipped, and so are
-     * lines that are blank or begin with {@code #}.
+     * Reads start times in milliseconds, one per line, in any order. Further comma-separated values on a line, blank
+     * lines and lines that start with {@code #} are ignored.
      *
-     * @throws InvalidInputException if the file cannot be read, or a line does not begin with a number
+     * @throws InvalidInputException if the file cannot be read or a line does not start with a number
      */
     public static TraceSchedule read(Path file) {
         List<Double> starts = new ArrayList<>();
@@ -34,7 +34,7 @@
         } catch (IOException e) {
             throw new InvalidInputException(file + ": cannot be read: " + e.getMessage());
         } catch (NumberFormatException e) {
-            throw new InvalidInputException(file + ":" + lineNumber + ": should begin with a time in milliseconds");
+            throw new InvalidInputException(file + ":" + lineNumber + ": expected a time in milliseconds first");
         }
         return new TraceSchedule(
                 starts.stream().mapToDouble(start -> start).sorted().toArray());
--- a/lab/src/main/java/dewplank/lab/policies/LeastOutstandingPolicy.java
+++ b/lab/src/main/java/dewplank/lab/policies/LeastOutstandingPolicy.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** The server with the fewest of this sidecar's own requests in flight; of several, any. */
+/** Picks the server with the fewest requests in flight from this sidecar; ties are broken at random. */
 final class LeastOutstandingPolicy extends TextbookPolicy {
     LeastOutstandingPolicy(Settings settings, long seed) {
         super(settings, seed);
--- a/lab/src/main/java/dewplank/lab/policies/OpenRequest.java
+++ b/lab/src/main/java/dewplank/lab/policies/OpenRequest.java
@@ -8,15 +8,15 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** A request that has no answer yet, with its attempts. */
+/** A request that has no response yet, and its attempts so far. */
 final class OpenRequest {
-    /** No retry is begun with less time left. */
+    /** Minimum time before the deadline for a retry to start. */
     private static final double MIN_ATTEMPT_MS = 1;
 
     private final long id;
     private final RequestClass requestClass;
     private final double deadlineMs;
-    private final Set<String> triedServers = new HashSet<>(4);
+    private final Set<String> attemptedServers = new HashSet<>(4);
     private int attempts;
     private boolean mayHaveRun;
     private double firstSentAtMs = Double.NaN;
@@ -29,7 +29,7 @@
 
     void attemptStarted(String server, double nowMs) {
         attempts++;
-        triedServers.add(server);
+        attemptedServers.add(server);
         if (Double.isNaN(firstSentAtMs)) {
             firstSentAtMs = nowMs;
         }
@@ -41,7 +41,7 @@
         mayHaveRun |= !neverRan;
     }
 
-    /** Whether a further attempt can have no second effect. */
+    /** Whether a further attempt cannot cause a second effect. */
     boolean mayRetry(double nowMs) {
         if (!mayHaveRun || requestClass.idempotency() == Idempotency.SAFE) {
             return true;
@@ -51,17 +51,17 @@
                 && nowMs - firstSentAtMs < requestClass.deduplicationWindowMs();
     }
 
-    /** Whether it may be rejected, which tells the client that it never ran or may be repeated. */
+    /** Whether the request may be rejected, which informs the client that it never ran or may be retried. */
     boolean mayReject() {
         return !mayHaveRun || requestClass.idempotency() == Idempotency.SAFE;
     }
 
-    boolean hasTried(String server) {
-        return triedServers.contains(server);
+    boolean hasAttempted(String server) {
+        return attemptedServers.contains(server);
     }
 
-    boolean hasTriedAny() {
-        return !triedServers.isEmpty();
+    boolean hasAnyAttempt() {
+        return !attemptedServers.isEmpty();
     }
 
     long id() {
@@ -80,7 +80,7 @@
         return nowMs < deadlineMs - MIN_ATTEMPT_MS;
     }
 
-    double leftMs(double nowMs) {
+    double remainingMs(double nowMs) {
         return deadlineMs - nowMs;
     }
 }
--- a/lab/src/main/java/dewplank/lab/policies/OraclePolicy.java
+++ b/lab/src/main/java/dewplank/lab/policies/OraclePolicy.java
@@ -14,36 +14,37 @@
 import java.util.WeakHashMap;
 
 /**
- * Sees every server's true state at this moment: its work, its capacity, whether it is up. Sends where the work would
- * be done first and rejects at once what would not be done in time. No real policy can.
+ * Has access to the true current state of every server: its work, its capacity and whether it is up. Sends each request
+ * to the server that would complete it first, and immediately rejects requests that would miss their target. No real
+ * policy has this information.
  *
- * <p>The instances of one world see each other's requests in transit, so they may not decide in parallel.
+ * <p>The instances of one emulated world share the requests in transit, so they must not decide in parallel.
  */
 final class OraclePolicy extends TextbookPolicy {
-    /** Longer than a message takes within a zone or across: what was sent before has come. */
+    /** An upper bound of the network delay within and across zones; requests sent earlier have arrived. */
     private static final double MAX_IN_TRANSIT_MS = 3;
-    /** A request whose value by its work is 0 is rejected if it would take longer than this part of its target. */
-    private static final double MIN_ACCEPTED_PART = 0.6;
-    /** What is added to that part for the class with the highest value by its work. */
-    private static final double ACCEPTED_PART_BY_VALUE = 0.6;
+    /** A request with a value of 0 per work is rejected if it would take longer than this fraction of its target. */
+    private static final double MIN_ACCEPTED_FRACTION = 0.6;
+    /** Added to that fraction for the class with the highest value per work, and proportionally for the others. */
+    private static final double ACCEPTED_FRACTION_BY_VALUE = 0.6;
 
-    /** When requests were sent that are in transit to a server, in milliseconds. */
+    /** The send times of the requests in transit to each server, in milliseconds. */
     private static final Map<World, Map<Server, ArrayDeque<Double>>> IN_TRANSIT_BY_WORLD =
             Collections.synchronizedMap(new WeakHashMap<>());
 
     private final World world;
     private final Map<Server, ArrayDeque<Double>> inTransit;
     private final Map<String, Double> workByClass = new LinkedHashMap<>();
-    private double pickedMs;
+    private double pickedDurationMs;
 
     OraclePolicy(Settings settings, long seed, World world) {
         super(settings, seed);
         this.world = world;
         this.inTransit = IN_TRANSIT_BY_WORLD.computeIfAbsent(world, any -> new HashMap<>());
-        world.scenario().classes().forEach(kind -> workByClass.put(kind.name(), kind.work()));
+        world.scenario().classes().forEach(requestClass -> workByClass.put(requestClass.name(), requestClass.work()));
     }
 
-    /** Each server's capacity is known, so none needs a slow start. */
+    /** The true capacity of each server is known, so no server needs slow start. */
     @Override
     boolean passesSlowStart(ServerState server) {
         return true;
@@ -52,18 +53,18 @@
     @Override
     Optional<ServerState> pick(List<ServerState> candidates) {
         Optional<ServerState> best = Optional.empty();
-        pickedMs = Double.POSITIVE_INFINITY;
+        pickedDurationMs = Double.POSITIVE_INFINITY;
         for (ServerState server : candidates) {
             double expectedMs = expectedMs(server);
-            if (expectedMs < pickedMs) {
-                pickedMs = expectedMs;
+            if (expectedMs < pickedDurationMs) {
+                pickedDurationMs = expectedMs;
                 best = Optional.of(server);
             }
         }
         return best;
     }
 
-    /** How long a request of mean work would take there, from now. */
+    /** The expected duration of a request of mean work that is sent to this server now. */
     private double expectedMs(ServerState state) {
         Server server = serverOf(state);
         return server.expectedMs(
@@ -87,19 +88,20 @@
         inTransitTo(serverOf(server)).addLast(nowMs());
     }
 
-    /** Where not all can be served, value by work decides. */
+    /** If the capacity does not suffice for all requests, those with the highest value per work are accepted. */
     @Override
-    boolean rejects(RequestClass requestClass, double leftMs) {
-        double targetMs = Math.min(leftMs, requestClass.latencyTargetMs());
-        double maxValueByWork = settings().classes().stream()
-                .mapToDouble(this::valueByWork)
+    boolean rejects(RequestClass requestClass, double remainingMs) {
+        double targetMs = Math.min(remainingMs, requestClass.latencyTargetMs());
+        double maxValuePerWork = settings().classes().stream()
+                .mapToDouble(this::valuePerWork)
                 .max()
                 .orElse(1);
-        double acceptedPart = MIN_ACCEPTED_PART + ACCEPTED_PART_BY_VALUE * valueByWork(requestClass) / maxValueByWork;
-        return pickedMs > targetMs * acceptedPart;
+        double acceptedFraction =
+                MIN_ACCEPTED_FRACTION + ACCEPTED_FRACTION_BY_VALUE * valuePerWork(requestClass) / maxValuePerWork;
+        return pickedDurationMs > targetMs * acceptedFraction;
     }
 
-    private double valueByWork(RequestClass requestClass) {
+    private double valuePerWork(RequestClass requestClass) {
         return requestClass.value() / workByClass.get(requestClass.name());
     }
 }
--- a/lab/src/main/java/dewplank/lab/policies/Policies.java
+++ b/lab/src/main/java/dewplank/lab/policies/Policies.java
@@ -8,14 +8,14 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 
-/** The policies that trials can be played with, by the names that commands and experiment files take. */
+/** The policies available for simulation runs, by the names that commands and experiment files accept. */
 public final class Policies {
     private static final Map<String, Policy> BY_NAME = byName();
 
     private Policies() {}
 
     private static Map<String, Policy> byName() {
-        Map<String, Policy> policies = new LinkedHashMap<>(); // in the order in which they are listed
+        Map<String, Policy> policies = new LinkedHashMap<>(); // listed in this order
         policies.put(
                 "choice",
                 (settings, seed, world, sidecar) -> new AdaptiveBalancer(settings, new SplittableRandom(seed)));
@@ -28,15 +28,15 @@
         return policies;
     }
 
-    /** All names. */
+    /** The names of all policies. */
     public static List<String> names() {
         return List.copyOf(BY_NAME.keySet());
     }
 
     /**
-     * The policy of that name.
+     * Returns the policy with this name.
      *
-     * @throws InvalidInputException if there is none
+     * @throws InvalidInputException if there is no such policy
      */
     public static Policy named(String name) {
         Policy policy = BY_NAME.get(name);
--- a/lab/src/main/java/dewplank/lab/policies/RandomPolicy.java
+++ b/lab/src/main/java/dewplank/lab/policies/RandomPolicy.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Any server, all alike. */
+/** Picks a server at random with equal probabilities. */
 final class RandomPolicy extends TextbookPolicy {
     RandomPolicy(Settings settings, long seed) {
         super(settings, seed);
--- a/lab/src/main/java/dewplank/lab/policies/RoundRobinPolicy.java
+++ b/lab/src/main/java/dewplank/lab/policies/RoundRobinPolicy.java
@@ -4,19 +4,19 @@
 import java.util.List;
 import java.util.Optional;
 
-/** One server after the other, beginning anywhere. */
+/** Picks the servers in turn, starting at a random one. */
 final class RoundRobinPolicy extends TextbookPolicy {
-    private static final int MAX_BEGINNING = 1 << 20;
+    private static final int MAX_FIRST_INDEX = 1 << 20;
 
-    private int next;
+    private int nextIndex;
 
     RoundRobinPolicy(Settings settings, long seed) {
         super(settings, seed);
-        next = random().nextInt(MAX_BEGINNING);
+        nextIndex = random().nextInt(MAX_FIRST_INDEX);
     }
 
     @Override
     Optional<ServerState> pick(List<ServerState> candidates) {
-        return Optional.of(candidates.get(next++ % candidates.size()));
+        return Optional.of(candidates.get(nextIndex++ % candidates.size()));
     }
 }
--- a/lab/src/main/java/dewplank/lab/policies/ServerState.java
+++ b/lab/src/main/java/dewplank/lab/policies/ServerState.java
@@ -2,11 +2,11 @@
 
 import dewplank.balancer.Endpoint;
 
-/** One server as a sidecar sees it: what the directory says of it, and its own attempts there. */
+/** A sidecar's view of one server: its entry in the endpoint list, and the state of this sidecar's attempts. */
 final class ServerState {
     Endpoint endpoint;
     int outstanding;
-    int failuresInARow;
+    int consecutiveFailures;
     double ejectedUntilMs;
     int ejections;
 
--- a/lab/src/main/java/dewplank/lab/policies/ServerTable.java
+++ b/lab/src/main/java/dewplank/lab/policies/ServerTable.java
@@ -13,13 +13,13 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** The servers of the endpoint list, in its order. */
+/** The servers of the endpoint list, in the order of the list. */
 final class ServerTable {
     private final Map<String, ServerState> servers = new LinkedHashMap<>();
     private final List<ServerState> available = new ArrayList<>();
     private boolean anyHasStartTime;
 
-    /** Takes in an update that is not {@link UpdateKind#BROKEN}. */
+    /** Applies an update of any kind except {@link UpdateKind#BROKEN}. */
     void update(EndpointUpdate update) {
         if (update.kind() != UpdateKind.INCREMENTAL) {
             Set<String> listed = new HashSet<>();
@@ -47,12 +47,12 @@
         return Optional.ofNullable(servers.get(id));
     }
 
-    /** Those that are up. */
+    /** The servers that are up. */
     List<ServerState> available() {
         return Collections.unmodifiableList(available);
     }
 
-    /** Whether the start of any available server is known, so that it may still be warming up. */
+    /** Whether any available server has a known start time, so that it may still be warming up. */
     boolean mayAnyBeCold() {
         return anyHasStartTime;
     }
--- a/lab/src/main/java/dewplank/lab/policies/TextbookPolicy.java
+++ b/lab/src/main/java/dewplank/lab/policies/TextbookPolicy.java
@@ -26,14 +26,15 @@
 import java.util.function.Consumer;
 
 /**
- * What all textbook policies share: the endpoint list, retries as the rules allow, slow start for cold servers. The
- * pick is the subclass's. No admission: each request is tried while its attempts and its time last.
+ * The common part of all textbook policies: the endpoint list, retries within the rules, and slow start for cold
+ * servers. Subclasses pick the server. There is no admission control: each request is attempted until it runs out of
+ * attempts or time.
  */
 abstract class TextbookPolicy implements Balancer {
     private static final double RESUBSCRIBE_DELAY_MS = 1_000;
     private static final long RESUBSCRIBE_TIMER = 1;
-    private static final double NO_ADVICE_MS = 0;
-    private static final double NO_HEDGE_MS = 0;
+    private static final double NO_RETRY_AFTER_MS = 0;
+    private static final double NO_ATTEMPT_TIMEOUT_MS = 0;
 
     private final Settings settings;
     private final SplittableRandom random;
@@ -50,17 +51,17 @@
         settings.classes().forEach(requestClass -> classes.put(requestClass.name(), requestClass));
     }
 
-    /** Picks one of these, of which there is at least one; empty if none will do. */
+    /** Picks one of the candidates, a list that is never empty. Returns empty if none is suitable. */
     abstract Optional<ServerState> pick(List<ServerState> candidates);
 
-    /** Takes in what became of an attempt at that server. */
+    /** Called when an attempt at this server has ended. */
     void attemptEnded(ServerState server, Outcome outcome) {}
 
-    /** Takes in that an attempt goes there now. */
+    /** Called when an attempt is sent to this server. */
     void attemptStarted(ServerState server) {}
 
-    /** Whether to reject a request before its first attempt, which would go to the server picked last. */
-    boolean rejects(RequestClass requestClass, double leftMs) {
+    /** Whether to reject a request before its first attempt, which would be sent to the most recently picked server. */
+    boolean rejects(RequestClass requestClass, double remainingMs) {
         return false;
     }
 
@@ -72,7 +73,7 @@
         return random;
     }
 
-    /** The time of the event that is handled, in milliseconds. */
+    /** The time of the event that is being handled, in milliseconds. */
     final double nowMs() {
         return nowMs;
     }
@@ -108,40 +109,40 @@
         }
     }
 
-    /** Slow start: a cold server is a candidate as often as it is surely warm. */
+    /** Slow start: a cold server is a candidate with the probability that its warm-up has reached. */
     boolean passesSlowStart(ServerState server) {
         Double startedAtMs = server.endpoint.startedAtMs();
         double slowStartMs = settings.safety().slowStartMs();
         if (startedAtMs == null || slowStartMs <= 0 || nowMs - startedAtMs >= slowStartMs) {
             return true;
         }
-        double initialPart = settings.safety().slowStartInitialShare();
-        double warmPart = initialPart + (1 - initialPart) * Math.max(0, nowMs - startedAtMs) / slowStartMs;
-        return random.nextDouble() < warmPart;
+        double initialFraction = settings.safety().slowStartInitialShare();
+        double warmFraction = initialFraction + (1 - initialFraction) * Math.max(0, nowMs - startedAtMs) / slowStartMs;
+        return random.nextDouble() < warmFraction;
     }
 
     private void attempt(OpenRequest request) {
         List<ServerState> candidates = candidates(request);
         Optional<ServerState> picked = candidates.isEmpty() ? Optional.empty() : pick(candidates);
         boolean isFirst = request.attempts() == 0;
-        if (picked.isEmpty() || isFirst && rejects(request.requestClass(), request.leftMs(nowMs))) {
-            giveUp(request);
+        if (picked.isEmpty() || isFirst && rejects(request.requestClass(), request.remainingMs(nowMs))) {
+            rejectOrFail(request);
             return;
         }
         ServerState server = picked.get();
         request.attemptStarted(server.id(), nowMs);
         server.outstanding++;
         attemptStarted(server);
-        actions.accept(new Send(request.id(), server.id(), NO_HEDGE_MS));
+        actions.accept(new Send(request.id(), server.id(), NO_ATTEMPT_TIMEOUT_MS));
     }
 
     private List<ServerState> candidates(OpenRequest request) {
-        if (!servers.mayAnyBeCold() && !request.hasTriedAny()) {
+        if (!servers.mayAnyBeCold() && !request.hasAnyAttempt()) {
             return servers.available();
         }
         List<ServerState> candidates = new ArrayList<>();
         for (ServerState server : servers.available()) {
-            if (!request.hasTried(server.id()) && passesSlowStart(server)) {
+            if (!request.hasAttempted(server.id()) && passesSlowStart(server)) {
                 candidates.add(server);
             }
         }
@@ -166,12 +167,12 @@
         if (request.mayRetry(nowMs) && attemptsLeft && request.hasTimeForAttempt(nowMs)) {
             attempt(request);
         } else {
-            giveUp(request);
+            rejectOrFail(request);
         }
     }
 
-    private void giveUp(OpenRequest request) {
+    private void rejectOrFail(OpenRequest request) {
         open.remove(request.id());
-        actions.accept(request.mayReject() ? new Reject(request.id(), NO_ADVICE_MS) : new Fail(request.id()));
+        actions.accept(request.mayReject() ? new Reject(request.id(), NO_RETRY_AFTER_MS) : new Fail(request.id()));
     }
 }
--- a/lab/src/main/java/dewplank/lab/policies/TwoChoicesPolicy.java
+++ b/lab/src/main/java/dewplank/lab/policies/TwoChoicesPolicy.java
@@ -6,9 +6,9 @@
 import java.util.Optional;
 
 /**
- * The better of two drawn servers (Mitzenmacher, "The power of two choices", 2001), with outlier ejection as common
- * proxies have it: five failures in a row eject for ten seconds times the number of ejections, half of the servers at
- * most.
+ * Picks the less loaded of two random servers (Mitzenmacher, "The power of two choices", 2001), with the outlier
+ * ejection of common proxies: five consecutive failures eject a server for ten seconds times the number of its
+ * ejections. Ejections are ignored while more than half of the candidates are ejected.
  */
 final class TwoChoicesPolicy extends TextbookPolicy {
     private static final int EJECT_AFTER_FAILURES = 5;
@@ -32,16 +32,16 @@
     @Override
     void attemptEnded(ServerState server, Outcome outcome) {
         switch (outcome) {
-            case SERVED -> server.failuresInARow = 0;
+            case SERVED -> server.consecutiveFailures = 0;
             case ERROR, TIMED_OUT, CONNECT_FAILED, RESET -> failed(server);
             default -> {}
         }
     }
 
     private void failed(ServerState server) {
-        server.failuresInARow++;
-        if (server.failuresInARow == EJECT_AFTER_FAILURES) {
-            server.failuresInARow = 0;
+        server.consecutiveFailures++;
+        if (server.consecutiveFailures == EJECT_AFTER_FAILURES) {
+            server.consecutiveFailures = 0;
             server.ejections++;
             server.ejectedUntilMs = nowMs() + EJECTION_MS * server.ejections;
         }
--- a/lab/src/main/java/dewplank/lab/policies/package-info.java
+++ b/lab/src/main/java/dewplank/lab/policies/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Reference policies to compare the decision module with: what a sidecar with an ordinary balancer does, and an oracle
- * that sees the servers' true state. They decide as {@code Balancer}s and keep the four rules. Only the oracle may look
- * at the emulator's world.
+ * Reference policies that the decision module is compared with: ordinary balancers, and an oracle that has access to
+ * the true state of the servers. All implement {@code Balancer} and comply with the four rules. Only the oracle may
+ * access the emulator's world.
  */
 package dewplank.lab.policies;
--- a/lab/src/test/java/dewplank/lab/load/ExchangeLog.java
+++ b/lab/src/test/java/dewplank/lab/load/ExchangeLog.java
@@ -6,27 +6,27 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Counts what a load run and its target did, so that a test can wait until no message is in flight between them. Any
- * thread may call it.
+ * Counts the messages between a load run and its target, so that a test can wait until none is in flight. Any thread
+ * may call the methods.
  */
 final class ExchangeLog implements LoadListener {
     private static final long MAX_WAIT_S = 60;
 
-    private final List<Double> drawnMs = new ArrayList<>();
-    private final List<Double> observedMs = new ArrayList<>();
+    private final List<Double> drawnDelaysMs = new ArrayList<>();
+    private final List<Double> observedLatenciesMs = new ArrayList<>();
     private int sent;
-    private int answersSent;
+    private int responsesSent;
     private int ended;
 
-    /** The target received a request and has scheduled its answer. */
-    synchronized void received(double answerTimeMs) {
-        drawnMs.add(answerTimeMs);
+    /** Called when the target has received a request and scheduled its response. */
+    synchronized void received(double delayMs) {
+        drawnDelaysMs.add(delayMs);
         notifyAll();
     }
 
-    /** The target wrote an answer. */
-    synchronized void answerSent() {
-        answersSent++;
+    /** Called when the target has written a response. */
+    synchronized void responseSent() {
+        responsesSent++;
         notifyAll();
     }
 
@@ -38,7 +38,7 @@
 
     @Override
     public synchronized void requestEnded(double intendedMs) {
-        observedMs.add(unixMs() - intendedMs);
+        observedLatenciesMs.add(unixMs() - intendedMs);
         ended++;
         notifyAll();
     }
@@ -48,32 +48,32 @@
         return now.getEpochSecond() * 1e3 + now.getNano() / 1e6;
     }
 
-    /** Waits until each request sent was received, and each answer sent has ended its request. */
-    synchronized void awaitSettled() throws InterruptedException {
+    /** Waits until each sent request was received and each sent response has ended its request. */
+    synchronized void awaitIdle() throws InterruptedException {
         long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(MAX_WAIT_S);
-        while (sent != drawnMs.size() || answersSent != ended) {
-            long leftMs = TimeUnit.NANOSECONDS.toMillis(deadlineNs - System.nanoTime());
-            if (leftMs <= 0) {
-                throw new AssertionError("sent " + sent + ", received " + drawnMs.size() + ", answers sent "
-                        + answersSent + ", ended " + ended);
+        while (sent != drawnDelaysMs.size() || responsesSent != ended) {
+            long remainingMs = TimeUnit.NANOSECONDS.toMillis(deadlineNs - System.nanoTime());
+            if (remainingMs <= 0) {
+                throw new AssertionError("sent " + sent + ", received " + drawnDelaysMs.size() + ", responses sent "
+                        + responsesSent + ", ended " + ended);
             }
-            wait(leftMs);
+            wait(remainingMs);
         }
     }
 
     synchronized void clear() {
-        drawnMs.clear();
-        observedMs.clear();
+        drawnDelaysMs.clear();
+        observedLatenciesMs.clear();
     }
 
-    /** The times that the target drew, ascending. */
-    synchronized double[] drawnMs() {
-        return sorted(drawnMs);
+    /** The response delays that the target drew, ascending. */
+    synchronized double[] drawnDelaysMs() {
+        return sorted(drawnDelaysMs);
     }
 
-    /** From each request's intended start to its end, by the system's own clock, ascending. */
-    synchronized double[] observedMs() {
-        return sorted(observedMs);
+    /** The time from the intended start to the end of each request by the system clock, ascending. */
+    synchronized double[] observedLatenciesMs() {
+        return sorted(observedLatenciesMs);
     }
 
     private static double[] sorted(List<Double> values) {
--- a/lab/src/test/java/dewplank/lab/load/LoadRunTest.java
+++ b/lab/src/test/java/dewplank/lab/load/LoadRunTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The load tool against targets on loopback sockets: what it counts and which latencies it reports. */
+/** Runs the load tool against targets on loopback sockets and checks its counts and the latencies that it reports. */
 class LoadRunTest {
     private static final InetSocketAddress ANY_PORT = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
 
@@ -63,37 +63,39 @@
         return sorted[(int) Math.ceil(percentile / 100 * sorted.length) - 1];
     }
 
-    /** Against a target that draws each answer's time from a known distribution and logs it. */
+    /** The target draws each response delay from a known distribution and logs it. */
     @Nested
     class Percentiles {
         private static final double[] PERCENTILES = {50, 90, 99};
 
         private final ExchangeLog log = new ExchangeLog();
 
-        private IntFunction<DoubleSupplier> drawnTimes() {
+        private IntFunction<DoubleSupplier> drawnDelays() {
             DoubleSupplier factor =
                     RandomStreams.around(Distribution.LOGNORMAL, 0.5, new RandomStreams(5).stream("times", 0));
             return index -> () -> 250 * factor.getAsDouble();
         }
 
-        /** Only the target's times pass by this clock, so the machine's speed has no part in the figures. */
+        /**
+         * On the manual clock only scheduled delays take time, so the figures don't depend on the machine's speed.
+         */
         @Test
-        void areThoseOfTheTargetByAClockThatTheTestOwns() throws Exception {
+        void matchTheDelaysOfTheTargetOnAManualClock() throws Exception {
             ManualClock clock = new ManualClock();
-            try (StandIn target = new StandIn(List.of(ANY_PORT), drawnTimes(), loop -> logged(clock.of(loop)))) {
+            try (StandIn target = new StandIn(List.of(ANY_PORT), drawnDelays(), loop -> logged(clock.of(loop)))) {
                 LoadPlan plan = plan(target, ShapedSchedule.poisson(600, 5_000), 800);
-                LoadOutcome outcome = runByClock(plan, clock);
-                double[] drawnMs = log.drawnMs();
-                assertEquals(drawnMs.length, outcome.all().ok());
+                LoadOutcome outcome = runWithClock(plan, clock);
+                double[] drawnDelaysMs = log.drawnDelaysMs();
+                assertEquals(drawnDelaysMs.length, outcome.all().ok());
                 for (double percentile : PERCENTILES) {
-                    double expectedMs = percentile(drawnMs, percentile);
+                    double expectedMs = percentile(drawnDelaysMs, percentile);
                     assertEquals(expectedMs, percentileMs(outcome, percentile), 0.005 * expectedMs, "p" + percentile);
                 }
-                assertEquals(0, outcome.lagUs().getValueAtPercentile(50), "no wake-up is late by this clock");
+                assertEquals(0, outcome.lagUs().getValueAtPercentile(50), "no wake-up is late on the manual clock");
             }
         }
 
-        /** The target's clock: what it schedules are its answers. */
+        /** The target's clock; the only tasks that the target schedules are its responses. */
         private LoadClock logged(LoadClock clock) {
             return new LoadClock() {
                 @Override
@@ -102,10 +104,10 @@
                 }
 
                 @Override
-                public void schedule(double delayMs, Runnable answer) {
+                public void schedule(double delayMs, Runnable response) {
                     clock.schedule(delayMs, () -> {
-                        answer.run();
-                        log.answerSent();
+                        response.run();
+                        log.responseSent();
                     });
                     log.received(delayMs);
                 }
@@ -117,7 +119,7 @@
             };
         }
 
-        private LoadOutcome runByClock(LoadPlan plan, ManualClock clock)
+        private LoadOutcome runWithClock(LoadPlan plan, ManualClock clock)
                 throws InterruptedException, ExecutionException {
             FutureTask<LoadOutcome> outcome = new FutureTask<>(new LoadRun(plan, line -> {}, clock::of, log)::run);
             Thread runner = new Thread(outcome, "load run");
@@ -125,35 +127,35 @@
             clock.awaitScheduled(plan.threads());
             while (runner.isAlive()) {
                 clock.runNext(runner);
-                log.awaitSettled();
+                log.awaitIdle();
             }
             return outcome.get();
         }
 
-        /** Never less than the target took, and as long as the log has it until each answer had arrived. */
+        /** No latency is below the target's delay, and all match the times that the test measured to each response. */
         @Test
-        void areThoseOfTheTimeThatPassedByTheSystemsClock() throws Exception {
-            try (StandIn target = new StandIn(List.of(ANY_PORT), drawnTimes(), loop -> logged(LoadClock.of(loop)))) {
-                run(plan(target, ShapedSchedule.poisson(600, 2_000), 800)); // lets the JIT compile
+        void matchTheLatenciesMeasuredOnTheSystemClock() throws Exception {
+            try (StandIn target = new StandIn(List.of(ANY_PORT), drawnDelays(), loop -> logged(LoadClock.of(loop)))) {
+                run(plan(target, ShapedSchedule.poisson(600, 2_000), 800)); // warms up the JIT compiler
                 log.clear();
                 LoadPlan plan = plan(target, ShapedSchedule.poisson(600, 5_000), 800);
                 LoadOutcome outcome = new LoadRun(plan, line -> {}, LoadClock::of, log).run();
-                double[] drawnMs = log.drawnMs();
-                assertEquals(drawnMs.length, outcome.all().ok());
+                double[] drawnDelaysMs = log.drawnDelaysMs();
+                assertEquals(drawnDelaysMs.length, outcome.all().ok());
                 for (double percentile : PERCENTILES) {
-                    double passedMs = percentile(log.observedMs(), percentile);
-                    assertEquals(passedMs, percentileMs(outcome, percentile), 0.02 * passedMs, "p" + percentile);
+                    double measuredMs = percentile(log.observedLatenciesMs(), percentile);
+                    assertEquals(measuredMs, percentileMs(outcome, percentile), 0.02 * measuredMs, "p" + percentile);
                     assertTrue(
-                            percentileMs(outcome, percentile) >= 0.999 * percentile(drawnMs, percentile),
+                            percentileMs(outcome, percentile) >= 0.999 * percentile(drawnDelaysMs, percentile),
                             "p" + percentile);
                 }
             }
         }
     }
 
-    /** A closed loop would send nothing during the stall, and report one slow answer. */
+    /** A closed loop would send nothing during the stall and report only one slow response. */
     @Test
-    void aStallOfOneSecondShowsInTheHighPercentiles() throws Exception {
+    void aStallOfOneSecondIsVisibleInTheHighPercentiles() throws Exception {
         try (StandIn target = new StandIn(List.of(ANY_PORT), Distribution.FIXED, 0, 0, 1)) {
             int[] seconds = new int[1];
             LoadOutcome outcome = new LoadRun(plan(target, ShapedSchedule.uniform(400, 5_000), 40), line -> {
@@ -169,7 +171,7 @@
     }
 
     @Test
-    void requestsWithoutAnAnswerAreCountedAndTimedAsTimeouts() throws Exception {
+    void requestsWithoutAResponseAreCountedAndMeasuredAsTimeouts() throws Exception {
         try (StandIn target = new StandIn(List.of(ANY_PORT), Distribution.FIXED, 60_000, 0, 1)) {
             LoadOutcome outcome = run(plan(target, ShapedSchedule.uniform(50, 1_000), 100, 300));
             assertEquals(50, outcome.all().timedOut());
@@ -180,17 +182,17 @@
     }
 
     @Test
-    void requestsToAClosedTargetAreCountedAsBroken() throws Exception {
+    void requestsToAClosedTargetAreCountedAsConnectionFailures() throws Exception {
         StandIn closed = new StandIn(List.of(ANY_PORT), Distribution.FIXED, 0, 0, 1);
         closed.close();
         assertEquals(
                 50,
-                run(plan(closed, ShapedSchedule.uniform(50, 1_000), 10)).all().broken());
+                run(plan(closed, ShapedSchedule.uniform(50, 1_000), 10)).all().connectionFailures());
     }
 
-    /** A long body, a response to HEAD that announces a body and has none, and a status that is an error. */
+    /** A long body, a response to HEAD with a Content-Length but no body, and an error status. */
     @Test
-    void longBodiesAnswersToHeadAndErrorsAreCounted() throws Exception {
+    void longBodiesResponsesToHeadAndErrorsAreCounted() throws Exception {
         EventLoop loop = new EventLoop();
         try {
             Listener listener = new Listener(loop, ANY_PORT, 100, LongBodies::new);
@@ -212,7 +214,7 @@
                     2));
             ClassOutcome head = outcome.classes().get(1);
             ClassOutcome bad = outcome.classes().get(2);
-            assertEquals(100, outcome.all().answered());
+            assertEquals(100, outcome.all().responses());
             assertEquals(bad.sent(), bad.otherStatus());
             assertEquals(head.sent(), head.ok());
             assertTrue(outcome.connectionsOpened() <= 10);
@@ -221,7 +223,7 @@
         }
     }
 
-    /** Answers with 300 kB; to HEAD with the head alone, to PUT with an error. */
+    /** Responds with 300 kB; to HEAD without the body, to PUT with an error status. */
     private static final class LongBodies extends HttpEndpoint {
         @Override
         protected void request(RequestParser request) {
@@ -234,18 +236,18 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"x:0", "x", ":1", "x:one", "x:1:PUT:-1", "x:1:PUT:1:1"})
-    void aMalformedClassIsNamed(String text) {
+    void aMalformedClassIsRejected(String text) {
         assertEquals(
-                "class " + text + ": should be NAME:WEIGHT[:METHOD[:BODY_BYTES]], with a weight above 0",
+                "class " + text + ": expected NAME:WEIGHT[:METHOD[:BODY_BYTES]] with a weight above 0",
                 assertThrows(InvalidInputException.class, () -> LoadPlan.RequestClass.parse(text))
                         .getMessage());
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"ftp://h/", "h:80", "http:/path"})
-    void aMalformedTargetIsNamed(String url) {
+    void aMalformedTargetIsRejected(String url) {
         assertEquals(
-                "target " + url + ": only http://host:port/path is known",
+                "target " + url + ": expected http://host:port/path",
                 assertThrows(InvalidInputException.class, () -> LoadPlan.Target.parse(url))
                         .getMessage());
     }
--- a/lab/src/test/java/dewplank/lab/load/ManualClock.java
+++ b/lab/src/test/java/dewplank/lab/load/ManualClock.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A clock that the test advances from one scheduled task to the next, shared by several loops. Work on sockets takes no
- * time by this clock, however slow the machine. Any thread may call it.
+ * A clock that the test advances from one scheduled task to the next, shared by several loops. Socket I/O takes no
+ * time on this clock, however slow the machine is. Any thread may call the methods.
  */
 final class ManualClock {
     private static final long POLL_INTERVAL_MS = 10;
@@ -18,10 +18,10 @@
 
     private final PriorityQueue<Task> tasks =
             new PriorityQueue<>(Comparator.comparingDouble(Task::atMs).thenComparingLong(Task::order));
-    private double nowMs = 1_000_000; // not 0, which a real clock never shows
+    private double nowMs = 1_000_000; // not 0, because a real clock never returns 0
     private long scheduled;
 
-    /** The view of one loop. */
+    /** A clock for one loop. */
     LoadClock of(EventLoop loop) {
         return new LoadClock() {
             @Override
@@ -46,7 +46,7 @@
         };
     }
 
-    /** Waits until so many tasks are scheduled. */
+    /** Waits until at least this many tasks are scheduled. */
     synchronized void awaitScheduled(int count) throws InterruptedException {
         while (tasks.size() < count) {
             wait();
@@ -54,15 +54,16 @@
     }
 
     /**
-     * Moves to the next task and runs it on its loop; returns when it has run, or when the run has ended without one.
+     * Advances to the next task and runs it on its loop. Returns after the task has run, or if the run ends without
+     * one.
      *
-     * @param loops the thread that stops the loops: once it has ended a task may not run any more
+     * @param runner the thread that stops the loops; after it has ended, a task may no longer run
      */
-    void runNext(Thread loops) throws InterruptedException {
+    void runNext(Thread runner) throws InterruptedException {
         Task next;
         synchronized (this) {
-            while (tasks.isEmpty() && loops.isAlive()) {
-                wait(POLL_INTERVAL_MS); // the last task has run, and the run is about to end
+            while (tasks.isEmpty() && runner.isAlive()) {
+                wait(POLL_INTERVAL_MS); // after the last task no further one is scheduled, and the run ends
             }
             if (tasks.isEmpty()) {
                 return;
@@ -80,9 +81,9 @@
                 }
             });
         } catch (RejectedExecutionException e) {
-            return; // its loop has stopped: the run is over
+            return; // the loop has stopped, so the run has ended
         }
-        while (!hasRun.await(POLL_INTERVAL_MS, TimeUnit.MILLISECONDS) && loops.isAlive()) {
+        while (!hasRun.await(POLL_INTERVAL_MS, TimeUnit.MILLISECONDS) && runner.isAlive()) {
             Thread.onSpinWait();
         }
     }
--- a/lab/src/test/java/dewplank/lab/load/ShapedScheduleTest.java
+++ b/lab/src/test/java/dewplank/lab/load/ShapedScheduleTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** How many requests each shape starts, over three parts together. */
+/** Checks the number of requests that each shape starts, in total over three parts. */
 class ShapedScheduleTest {
     private static final int PARTS = 3;
     private static final long SEED = 9;
@@ -15,20 +15,20 @@
         int count = 0;
         for (int part = 0; part < PARTS; part++) {
             Arrivals arrivals = schedule.arrivals(part, PARTS, SEED);
-            for (double atMs = arrivals.nextMs(); atMs < Arrivals.END; atMs = arrivals.nextMs()) {
-                count += atMs >= fromMs && atMs < toMs ? 1 : 0;
+            for (double timeMs = arrivals.nextMs(); timeMs < Arrivals.END; timeMs = arrivals.nextMs()) {
+                count += timeMs >= fromMs && timeMs < toMs ? 1 : 0;
             }
         }
         return count;
     }
 
     @Test
-    void poissonStartsAtItsRate() {
+    void poissonSchedulesStartRequestsAtTheirRate() {
         assertEquals(5_000, startsBetween(ShapedSchedule.poisson(500, 10_000), 0, 10_000), 250);
     }
 
     @Test
-    void uniformStartsAtItsRate() {
+    void uniformSchedulesStartRequestsAtTheirRate() {
         assertEquals(5_000, startsBetween(ShapedSchedule.uniform(500, 10_000), 0, 10_000), 2);
     }
 
