--- a/lab/src/main/java/dewplank/lab/ClassService.java
+++ b/lab/src/main/java/dewplank/lab/ClassMetrics.java
@@ -4,8 +4,8 @@
 import dewplank.emulator.scenario.RequestClassSpec;
 import org.HdrHistogram.Histogram;
 
-/** What clients got for one class of requests, warm-up left out. Counts are of requests, retries included in each. */
-public final class ClassService {
+/** The service metrics of one class of requests, without the warm-up. A client's retries belong to the same request. */
+public final class ClassMetrics {
     static final long MAX_LATENCY_US = 600_000_000L;
     static final int SIGNIFICANT_DIGITS = 3;
 
@@ -17,22 +17,22 @@
     private long failed;
     private long attempts;
 
-    ClassService(RequestClassSpec requestClass) {
+    ClassMetrics(RequestClassSpec requestClass) {
         this.requestClass = requestClass;
     }
 
     /**
      * Counts a request.
      *
-     * @param tookMs from the first attempt to the answer that served; NaN where none did
-     * @param lastType what its last attempt ended with
+     * @param latencyMs time from the first attempt to the successful response; NaN if there was none
+     * @param lastType the event that ended its last attempt
      */
-    void count(double tookMs, int requestAttempts, Type lastType) {
+    void count(double latencyMs, int requestAttempts, Type lastType) {
         requests++;
         attempts += requestAttempts;
-        withinTarget += isWithinTarget(tookMs) ? 1 : 0;
-        if (!Double.isNaN(tookMs)) {
-            latencyUs.recordValue(Math.min(MAX_LATENCY_US, Math.round(tookMs * 1000)));
+        withinTarget += isWithinTarget(latencyMs) ? 1 : 0;
+        if (!Double.isNaN(latencyMs)) {
+            latencyUs.recordValue(Math.min(MAX_LATENCY_US, Math.round(latencyMs * 1000)));
         } else if (lastType == Type.REFUSED) {
             refused++;
         } else {
@@ -40,21 +40,21 @@
         }
     }
 
-    /** Whether a request that took so long met the class's latency target; NaN did not. */
-    boolean isWithinTarget(double tookMs) {
-        return tookMs <= requestClass.targetLatencyMs();
+    /** Whether a request with this latency met the class's latency target; false for NaN. */
+    boolean isWithinTarget(double latencyMs) {
+        return latencyMs <= requestClass.targetLatencyMs();
     }
 
     public String name() {
         return requestClass.name();
     }
 
-    /** Of those served, in microseconds from the first attempt on. */
+    /** Latencies of the served requests in microseconds, from the first attempt. */
     public Histogram latencyUs() {
         return latencyUs;
     }
 
-    /** The part of the requests that were served within the target, by count; 1 where there were none. */
+    /** The fraction of the requests that were served within the target, by count; 1 if there were no requests. */
     public double withinTargetRatio() {
         return requests == 0 ? 1 : (double) withinTarget / requests;
     }
@@ -76,12 +76,12 @@
         return withinTarget * requestClass.value();
     }
 
-    /** Requests whose last attempt was refused. */
+    /** Requests whose last attempt was rejected. */
     long refused() {
         return refused;
     }
 
-    /** Requests whose last attempt ended neither served nor refused. */
+    /** Requests whose last attempt was neither served nor rejected. */
     long failed() {
         return failed;
     }
--- a/lab/src/main/java/dewplank/lab/Comparison.java
+++ b/lab/src/main/java/dewplank/lab/Comparison.java
@@ -9,11 +9,11 @@
 import java.util.Set;
 
 /**
- * Two sets of runs over the same worlds, paired by scenario, parameters and seed: the difference is taken run by run,
- * so that what the seeds alone do to a figure cancels.
+ * Compares two sets of simulation runs, paired by scenario, parameters and seed. Differences are computed per pair, so
+ * that the influence of the seeds on a figure cancels out.
  */
 public final class Comparison {
-    /** One cell of an experiment. {@code difference}: what the second has more than the first, pair by pair. */
+    /** One cell of an experiment. {@code difference}: second minus first, over all pairs. */
     public record Row(
             String cell,
             String firstPolicy,
@@ -22,7 +22,7 @@
             Statistics firstFigures,
             Statistics secondFigures) {}
 
-    /** One figure of two runs in the same world. */
+    /** One figure of two runs with the same scenario, parameters and seed. */
     private record Pair(double first, double second) {
         double difference() {
             return second - first;
@@ -31,7 +31,7 @@
 
     private Comparison() {}
 
-    /** Pairs runs of the same policy in two folders. */
+    /** Pairs the runs of the same policy in two folders. */
     public static List<Row> ofFolders(List<Result> firstRuns, List<Result> secondRuns, Figure figure) {
         List<Row> rows = new ArrayList<>();
         for (String policy : policies(firstRuns)) {
@@ -42,7 +42,7 @@
         return rows;
     }
 
-    /** Pairs each policy with the baseline, within one folder. */
+    /** Pairs each policy with the baseline within one folder. */
     public static List<Row> withBaseline(List<Result> all, String baseline, Figure figure) {
         List<Row> rows = new ArrayList<>();
         for (String policy : policies(all)) {
@@ -53,7 +53,7 @@
         return rows;
     }
 
-    /** The policies' names, in the order of their first runs. */
+    /** The names of the policies, in the order of their first runs. */
     static Set<String> policies(List<Result> results) {
         Set<String> names = new LinkedHashSet<>();
         results.forEach(result -> names.add(result.policy()));
@@ -64,13 +64,13 @@
         return all.stream().filter(result -> result.policy().equals(policy)).toList();
     }
 
-    /** One row a cell, of two sets of runs that are each of one policy. */
+    /** One row per cell, from two sets of runs, each of a single policy. */
     private static List<Row> rows(List<Result> firstRuns, List<Result> secondRuns, Figure figure) {
-        Map<String, Result> firstByWorld = new LinkedHashMap<>();
-        firstRuns.forEach(result -> firstByWorld.put(result.worldName(), result));
+        Map<String, Result> firstByPairingKey = new LinkedHashMap<>();
+        firstRuns.forEach(result -> firstByPairingKey.put(result.pairingKey(), result));
         Map<String, List<Pair>> pairsByCell = new LinkedHashMap<>();
         for (Result second : secondRuns) {
-            Result first = firstByWorld.get(second.worldName());
+            Result first = firstByPairingKey.get(second.pairingKey());
             if (first != null) {
                 pairsByCell
                         .computeIfAbsent(second.cellName(), cell -> new ArrayList<>())
@@ -88,7 +88,7 @@
         return rows;
     }
 
-    /** A table for a terminal; a star marks differences that are more than chance. */
+    /** A table for a terminal; an asterisk marks statistically significant differences. */
     public static String table(List<Row> rows, Figure figure) {
         StringBuilder text = new StringBuilder(String.format(
                 Locale.ROOT,
--- a/lab/src/main/java/dewplank/lab/Experiment.java
+++ b/lab/src/main/java/dewplank/lab/Experiment.java
@@ -5,11 +5,11 @@
 import java.util.List;
 
 /**
- * What is to be run: every cell with every policy and every seed.
+ * An experiment, which runs every cell with every policy and every seed.
  *
- * @param about what it is about, for people; may be empty
+ * @param about a human-readable description; may be empty
  * @param policies names of {@link dewplank.lab.policies.Policies}
- * @param baseline the one of the policies that the others are compared with
+ * @param baseline the policy that the others are compared with
  */
 public record Experiment(
         String name, String about, List<Cell> cells, List<String> policies, List<Long> seeds, String baseline) {
@@ -19,13 +19,13 @@
         seeds = List.copyOf(seeds);
     }
 
-    /** One world without its seed. {@code parameters}: what was varied, as {@link Result} has it. */
+    /** A scenario with fixed parameters, without a seed. {@code parameters}: the same text as in {@link Result}. */
     public record Cell(String scenarioName, String parameters, Scenario scenario) {}
 
-    /** One run. */
+    /** One simulation run. */
     public record Job(Cell cell, String policy, long seed) {}
 
-    /** All runs, those of one world side by side. */
+    /** All runs; those with the same cell and seed are adjacent. */
     public List<Job> jobs() {
         List<Job> jobs = new ArrayList<>();
         for (Cell cell : cells) {
--- a/lab/src/main/java/dewplank/lab/ExperimentFile.java
+++ b/lab/src/main/java/dewplank/lab/ExperimentFile.java
@@ -15,20 +15,20 @@
 import java.util.Map;
 import java.util.stream.LongStream;
 
-/** Reads experiment files. All of a file is read and checked before anything runs. */
+/** Reads experiment files. A file is read and validated completely before any run starts. */
 public final class ExperimentFile {
     private static final int MAX_SEEDS = 10_000;
     private static final int DEFAULT_SEEDS = 5;
     private static final int MAX_FIRST_SEED = 1_000_000_000;
     private static final double MAX_LENGTH_S = 3_600;
-    private static final double LENGTH_OF_SCENARIO = 0;
+    private static final double USE_SCENARIO_LENGTH = 0;
 
     private ExperimentFile() {}
 
     /**
      * Reads a file.
      *
-     * @throws InvalidInputException with the line and the key of what is wrong
+     * @throws InvalidInputException with the line and the key of the error
      */
     public static Experiment read(Path file) {
         return parse(TomlFile.read(file));
@@ -43,9 +43,9 @@
         int firstSeed = table.integer("first_seed", 0, MAX_FIRST_SEED, 1);
         String baseline = table.text("baseline", policies.get(0));
         if (!policies.contains(baseline)) {
-            throw table.error("baseline", "is none of the policies");
+            throw table.error("baseline", "is not one of the policies");
         }
-        double lengthS = table.number("length_s", 0, MAX_LENGTH_S, LENGTH_OF_SCENARIO);
+        double lengthS = table.number("length_s", 0, MAX_LENGTH_S, USE_SCENARIO_LENGTH);
         Map<String, List<Double>> variations = variations(table);
         String about = table.text("about", "");
         table.rejectUnknownKeys();
@@ -62,11 +62,11 @@
         try {
             Policies.named(policy);
         } catch (InvalidInputException e) {
-            throw table.error("policies", "is wrong: " + e.getMessage());
+            throw table.error("policies", "is invalid: " + e.getMessage());
         }
     }
 
-    /** The values of each parameter that is varied. */
+    /** The values of each varied parameter. */
     private static Map<String, List<Double>> variations(Table table) {
         Map<String, List<Double>> variations = new LinkedHashMap<>();
         for (Table variation : table.tables("vary")) {
@@ -80,8 +80,9 @@
             List<String> scenarios, double lengthS, Map<String, List<Double>> variations, Table table) {
         List<Cell> cells = new ArrayList<>();
         for (String name : scenarios) {
-            Scenario asNamed = ScenarioFile.named(name);
-            Scenario scenario = lengthS == LENGTH_OF_SCENARIO ? asNamed : asNamed.with("length_s", lengthS);
+            Scenario namedScenario = ScenarioFile.named(name);
+            Scenario scenario =
+                    lengthS == USE_SCENARIO_LENGTH ? namedScenario : namedScenario.with("length_s", lengthS);
             try {
                 cells.addAll(expand(new Cell(scenario.name(), "", scenario), variations));
             } catch (IllegalArgumentException e) {
@@ -91,7 +92,7 @@
         return cells;
     }
 
-    /** The cell with each combination of values, the last parameter's changing fastest. */
+    /** One cell for each combination of values; the last parameter varies fastest. */
     private static List<Cell> expand(Cell cell, Map<String, List<Double>> variations) {
         List<Cell> cells = List.of(cell);
         for (Map.Entry<String, List<Double>> variation : variations.entrySet()) {
--- a/lab/src/main/java/dewplank/lab/Figure.java
+++ b/lab/src/main/java/dewplank/lab/Figure.java
@@ -5,38 +5,38 @@
 import java.util.Optional;
 import java.util.stream.Collectors;
 
-/** A figure of a run, in the order of the columns of {@code runs.csv}. Ratios are from 0 to 1. */
+/** The figures of a simulation run, in the order of the columns of {@code runs.csv}. Ratios are from 0 to 1. */
 public enum Figure {
     /** Value served within the latency target over the value requested. */
     SERVICE("service"),
-    /** The same of the class served worst, by count. */
+    /** The fraction of requests served within the target, by count, of the class where it is lowest. */
     WORST_CLASS("worst_class"),
-    /** The service of the worst ten seconds. */
+    /** The lowest service over any ten seconds. */
     WORST_WINDOW("worst_spell"),
-    /** The part of the requests whose last attempt was refused. */
+    /** The fraction of the requests whose last attempt was rejected. */
     REFUSED("refused"),
-    /** The part of the requests whose last attempt failed. */
+    /** The fraction of the requests whose last attempt failed. */
     FAILED("failed"),
-    /** Clients' attempts for a request. */
+    /** Mean number of client attempts per request. */
     ATTEMPTS_PER_REQUEST("tries_each"),
-    /** Attempts at servers for an attempt of a client. */
+    /** Mean number of attempts at servers per client attempt. */
     SENDS_PER_ATTEMPT("sends_each"),
-    /** Median latency of requests served, milliseconds. */
+    /** Median latency of the served requests in milliseconds. */
     P50_MS("p50_ms"),
     P90_MS("p90_ms"),
     P99_MS("p99_ms"),
     REQUESTS("requests"),
-    /** The auditor's findings. */
+    /** The number of violations that the auditor found. */
     VIOLATIONS("violations"),
     HEALTH_CHECKS("probes"),
     HANDSHAKES("handshakes"),
     DIRECTORY_CALLS("directory_calls"),
     DIRECTORY_LINES("directory_lines"),
-    /** Tasks of virtual time. */
+    /** The number of tasks run in virtual time. */
     EVENTS("events"),
-    /** 1 if the emulator itself ran late, on sockets; else 0. */
+    /** 1 if the run is invalid because the emulator itself ran late, which can happen only on sockets; otherwise 0. */
     UNSOUND("unsound"),
-    /** The service of the tenant served worst, within its quota share; 1 without tenants. */
+    /** The lowest service of any tenant within its quota share; 1 if there are no tenants. */
     WORST_TENANT("worst_tenant");
 
     private final String column;
@@ -45,24 +45,24 @@
         this.column = column;
     }
 
-    /** The name in tables, files and commands, which scripts read: it stays when the constant is renamed. */
+    /** The name in tables, files and commands. Scripts parse it, so it must not change with the constant's name. */
     public String column() {
         return column;
     }
 
-    /** The figure of that column; empty if there is none. */
+    /** The figure with this column name; empty if there is none. */
     public static Optional<Figure> ofColumn(String column) {
         return Arrays.stream(values())
                 .filter(figure -> figure.column.equals(column))
                 .findFirst();
     }
 
-    /** All columns, in order. */
+    /** All column names, in order. */
     public static List<String> columns() {
         return Arrays.stream(values()).map(Figure::column).toList();
     }
 
-    /** All columns, in order, with commas between. */
+    /** All column names, in order, separated by commas. */
     public static String columnList() {
         return Arrays.stream(values()).map(Figure::column).collect(Collectors.joining(", "));
     }
--- a/lab/src/main/java/dewplank/lab/Html.java
+++ b/lab/src/main/java/dewplank/lab/Html.java
@@ -2,11 +2,11 @@
 
 import java.util.Locale;
 
-/** How texts and numbers stand in a report's HTML. */
+/** Formats texts and numbers for the HTML of a report. */
 final class Html {
     private Html() {}
 
-    /** With the fewest decimals that tell runs apart; empty for NaN. */
+    /** Formats a number with the fewest decimals that distinguish runs; empty for NaN. */
     static String number(double value) {
         if (Double.isNaN(value)) {
             return "";
@@ -16,7 +16,7 @@
         return String.format(Locale.ROOT, format, value);
     }
 
-    /** The same, with a plus where it is above 0. */
+    /** The same as {@link #number}, with a plus sign for positive values. */
     static String signed(double value) {
         return (value > 0 ? "+" : "") + number(value);
     }
--- a/lab/src/main/java/dewplank/lab/LiveTable.java
+++ b/lab/src/main/java/dewplank/lab/LiveTable.java
@@ -7,10 +7,12 @@
 import java.util.Locale;
 import java.util.function.Consumer;
 
-/** Prints a run while it goes on: a row each second, and servers and sidecars that come and go. On the run's thread. */
+/**
+ * Prints the progress of a run: a row each second, and starts and stops of servers and sidecars. On the run's thread.
+ */
 final class LiveTable implements RecordedEvent.Recorder {
     private static final double INTERVAL_MS = 1_000;
-    private static final double VANISHED = 1;
+    private static final double MACHINE_VANISHED = 1;
 
     private final Scenario scenario;
     private final World world;
@@ -23,7 +25,7 @@
     private long sends;
     private int rows;
 
-    /** Begins to print, from now on. */
+    /** Starts printing. */
     LiveTable(Scenario scenario, World world, Consumer<String> output) {
         this.scenario = scenario;
         this.world = world;
@@ -41,10 +43,10 @@
             case REFUSED -> refused++;
             case FAILED, UNREACHABLE, ABANDONED -> failed++;
             case RECEIVED -> sends++;
-            case SERVER_DOWN -> print(
-                    "server " + event.server() + (event.value() == VANISHED ? " went silent" : " died"));
-            case SERVER_COLLAPSED -> print("server " + event.server() + " broke down, cold, under too much work");
-            case SERVER_STARTED -> print("server " + event.server() + " came back, cold");
+            case SERVER_DOWN -> print("server " + event.server()
+                    + (event.value() == MACHINE_VANISHED ? " vanished with its machine" : " stopped"));
+            case SERVER_COLLAPSED -> print("server " + event.server() + " collapsed: too much work while cold");
+            case SERVER_STARTED -> print("server " + event.server() + " started cold");
             case SIDECAR_KILLED -> print("sidecar " + event.sidecar() + " was killed");
             default -> {}
         }
--- a/lab/src/main/java/dewplank/lab/LiveTrial.java
+++ b/lab/src/main/java/dewplank/lab/LiveTrial.java
@@ -12,19 +12,19 @@
 import java.util.function.Consumer;
 
 /**
- * One run on loopback sockets, against sidecars that are separate processes, judged as one in virtual time is. The
- * run's thread calls it; results are read when the run has ended.
+ * One run on loopback sockets, with sidecars in separate processes, evaluated in the same way as a run in virtual time.
+ * Called on the run's thread; the results are read after the run.
  */
 public final class LiveTrial implements LoopbackRun.Observer {
-    /** On sockets each time limit is longer by so much, as the platform's protocol has it. */
+    /** Added to each time limit for runs on sockets, as the platform's protocol specifies. */
     private static final double MESSAGE_SLACK_MS = 50;
-    /** Of what costs only virtual time counts. */
+    /** For costs that are counted only in virtual time. */
     private static final long NOT_COUNTED = 0;
 
     private final Scenario scenario;
     private final Auditor auditor;
     private final Consumer<String> output;
-    private RecordedEvent.Recorder table = event -> {}; // until the world is there
+    private RecordedEvent.Recorder table = event -> {}; // until the run starts
     private Service service;
     private World world;
 
@@ -35,30 +35,30 @@
     }
 
     /**
-     * Plays a run.
+     * Executes a run.
      *
-     * @param command starts a sidecar; its configuration is appended
-     * @param output gets the lines of a live table, one each second
-     * @throws IllegalStateException if a sidecar does not start, or the run does not end
+     * @param command the command that starts a sidecar; its configuration is appended
+     * @param output receives the lines of the live table, one each second
+     * @throws IllegalStateException if a sidecar does not start or the run does not end
      */
     public static Trial play(Scenario scenario, long seed, List<String> command, Consumer<String> output)
             throws IOException, InterruptedException {
-        Scenario onSockets = scenario.withAnswerSlack(scenario.rules().answerSlackMs() + MESSAGE_SLACK_MS);
-        LiveTrial trial = new LiveTrial(onSockets, output);
-        try (LoopbackRun run = new LoopbackRun(onSockets, seed, command, trial)) {
-            return trial.judge(run.run());
+        Scenario scenarioOnSockets = scenario.withAnswerSlack(scenario.rules().answerSlackMs() + MESSAGE_SLACK_MS);
+        LiveTrial trial = new LiveTrial(scenarioOnSockets, output);
+        try (LoopbackRun run = new LoopbackRun(scenarioOnSockets, seed, command, trial)) {
+            return trial.evaluate(run.run());
         }
     }
 
-    private Trial judge(LoopbackRun.Outcome outcome) {
+    private Trial evaluate(LoopbackRun.Outcome outcome) {
         auditor.end(world.now());
         if (outcome.isUnsound()) {
-            output.accept("UNSOUND: the emulator itself ran late, by %.0f ms at the most; run it on quieter cores"
+            output.accept("UNSOUND: the emulator itself ran up to %.0f ms late; repeat the run on less busy cores"
                     .formatted(outcome.maxLatenessMs()));
         }
         if (scenario.peerMessages().enabled()) {
-            output.accept(outcome.datagrams() + " datagrams between sidecars, " + outcome.datagramsLost()
-                    + " more were lost");
+            output.accept(
+                    outcome.datagrams() + " datagrams between sidecars, " + outcome.datagramsLost() + " more lost");
         }
         Cost cost = new Cost(
                 NOT_COUNTED,
@@ -72,10 +72,10 @@
     }
 
     @Override
-    public Clients.OutcomeListener begin(World playing) {
-        world = playing;
-        service = new Service(scenario, playing.now());
-        table = new LiveTable(scenario, playing, output);
+    public Clients.OutcomeListener begin(World startedWorld) {
+        world = startedWorld;
+        service = new Service(scenario, startedWorld.now());
+        table = new LiveTable(scenario, startedWorld, output);
         return service;
     }
 
--- a/lab/src/main/java/dewplank/lab/LossSplit.java
+++ b/lab/src/main/java/dewplank/lab/LossBreakdown.java
@@ -10,32 +10,32 @@
 import java.util.Map;
 
 /**
- * Splits the value that a run lost by what became of each request in the end. A refusal is compared with the servers'
- * true state at its moment: it lost value needlessly if some server would have met the latency target.
+ * Splits the value that a run lost by the final outcome of each request. Each rejection is compared with the true state
+ * of the servers at its time: it lost value needlessly if some server would have met the latency target.
  *
- * <p>Sits between the run and its recorder and outcome listener, which get all that comes. On the thread that runs the
- * world.
+ * <p>Forwards all events and outcomes to the recorder and the outcome listener that it wraps. On the thread that runs
+ * the emulated world.
  */
-public final class LossSplit implements RecordedEvent.Recorder, Clients.OutcomeListener {
-    /** Why value was lost, in the order of the table. */
+public final class LossBreakdown implements RecordedEvent.Recorder, Clients.OutcomeListener {
+    /** The causes of lost value, in the order of the table. */
     public enum Cause {
-        /** Refused without an attempt, though some server had capacity by its true state. */
+        /** Rejected without an attempt, although the true state of some server left enough capacity. */
         REFUSED_DESPITE_CAPACITY("refused needlessly"),
-        /** Refused without an attempt, and no server would have met the target. */
+        /** Rejected without an attempt, when no server would have met the target. */
         REFUSED_WITHOUT_CAPACITY("refused no room"),
-        /** Refused after servers had rejected it, or after other attempts in vain. */
+        /** Rejected after at least one attempt had reached a server, which rejected or failed it. */
         REFUSED_AFTER_ATTEMPTS("refused after attempts"),
-        /** Served by the client's first attempt, past its target. */
+        /** Served by the client's first attempt, after the target. */
         SLOW_FIRST_ATTEMPT("late first"),
-        /** Served by a retry of the client, past its target. */
+        /** Served by a retry of the client, after the target. */
         SLOW_RETRY("late retried"),
-        /** Failed, and no attempt had come to a server. */
+        /** Failed, and no attempt had reached a server. */
         FAILED_UNSENT("failed unsent"),
-        /** Failed after a server had it: an error, a reset, a time-out. */
+        /** Failed after an attempt had reached a server: an error, a reset or a timeout. */
         FAILED_SENT("failed sent"),
-        /** The client stopped waiting, at its deadline or before. */
+        /** The client stopped waiting, at its deadline or earlier. */
         ABANDONED("left"),
-        /** Its sidecar was down. */
+        /** The connection to the sidecar failed. */
         UNREACHABLE("unreachable");
 
         private final String printedName;
@@ -44,18 +44,18 @@
             this.printedName = printedName;
         }
 
-        /** The name in the table, which scripts read: it stays when the constant is renamed. */
+        /** The name in the table. Scripts parse it, so it must not change with the constant's name. */
         String printedName() {
             return printedName;
         }
     }
 
-    /** A client's attempt that is not over. */
+    /** A client's attempt that has not ended yet. */
     private static final class OpenAttempt {
         int receptions;
     }
 
-    /** How the attempt that ended last did. */
+    /** The end of the latest attempt that ended. */
     private record EndedAttempt(Type type, int receptions, boolean hadCapacity) {}
 
     private final Scenario scenario;
@@ -66,17 +66,17 @@
     private World world;
     private EndedAttempt lastEnded;
 
-    /** What it gets goes on to {@code recorder} and {@code outcomeListener}. */
-    public LossSplit(Scenario scenario, RecordedEvent.Recorder recorder, Clients.OutcomeListener outcomeListener) {
+    /** Forwards events to {@code recorder} and outcomes to {@code outcomeListener}. */
+    public LossBreakdown(Scenario scenario, RecordedEvent.Recorder recorder, Clients.OutcomeListener outcomeListener) {
         this.scenario = scenario;
         this.recorder = recorder;
         this.outcomeListener = outcomeListener;
         this.table = new LossTable(scenario);
     }
 
-    /** Gives it the servers whose true state it compares refusals with. Called once, before the run begins. */
-    public void attach(World truth) {
-        world = truth;
+    /** Sets the world whose true server state rejections are compared with. Called once, before the run starts. */
+    public void attach(World emulatedWorld) {
+        world = emulatedWorld;
     }
 
     @Override
@@ -104,22 +104,22 @@
         lastEnded = new EndedAttempt(event.type(), receptions, hadCapacity);
     }
 
-    /** Whether a first attempt begun now would likely meet its class's target at some server. */
+    /** Whether some server would be expected to meet the target of this class for a first attempt that starts now. */
     private boolean hasCapacity(int requestClass) {
-        RequestClassSpec kind = scenario.classes().get(requestClass);
-        return world.servers().stream().anyMatch(server -> server.expectedMs(kind.work(), 0) <= kind.targetLatencyMs());
+        RequestClassSpec spec = scenario.classes().get(requestClass);
+        return world.servers().stream().anyMatch(server -> server.expectedMs(spec.work(), 0) <= spec.targetLatencyMs());
     }
 
-    /** Called right after the event that ended the request's last attempt was recorded. */
+    /** Called immediately after the event that ended the request's last attempt. */
     @Override
     public void requestEnded(
-            int requestClass, int tenant, double firstSentAtMs, double tookMs, int attempts, Type lastType) {
-        outcomeListener.requestEnded(requestClass, tenant, firstSentAtMs, tookMs, attempts, lastType);
-        RequestClassSpec kind = scenario.classes().get(requestClass);
-        table.addRequested(kind.value());
-        boolean isWithinTarget = tookMs <= kind.targetLatencyMs(); // not for NaN: not served
+            int requestClass, int tenant, double firstSentAtMs, double latencyMs, int attempts, Type lastType) {
+        outcomeListener.requestEnded(requestClass, tenant, firstSentAtMs, latencyMs, attempts, lastType);
+        RequestClassSpec spec = scenario.classes().get(requestClass);
+        table.addRequested(spec.value());
+        boolean isWithinTarget = latencyMs <= spec.targetLatencyMs(); // false for NaN, which means not served
         if (!isWithinTarget) {
-            table.addLost(cause(lastEnded, attempts), requestClass, kind.value());
+            table.addLost(cause(lastEnded, attempts), requestClass, spec.value());
         }
     }
 
@@ -140,12 +140,12 @@
         return last.hadCapacity() ? Cause.REFUSED_DESPITE_CAPACITY : Cause.REFUSED_WITHOUT_CAPACITY;
     }
 
-    /** The value lost by each cause, as a part of all value requested; causes that lost nothing are left out. */
+    /** The value lost by each cause as a fraction of all requested value; causes without a loss are omitted. */
     public Map<Cause, Double> lostFractions() {
         return table.lostFractions();
     }
 
-    /** A table for a terminal: causes by classes, percent of all value requested. */
+    /** A table for a terminal: causes by class, in percent of all requested value. */
     public String table() {
         return table.text();
     }
--- a/lab/src/main/java/dewplank/lab/LossTable.java
+++ b/lab/src/main/java/dewplank/lab/LossTable.java
@@ -1,14 +1,14 @@
 package dewplank.lab;
 
 import dewplank.emulator.scenario.Scenario;
-import dewplank.lab.LossSplit.Cause;
+import dewplank.lab.LossBreakdown.Cause;
 import java.util.Arrays;
 import java.util.EnumMap;
 import java.util.LinkedHashMap;
 import java.util.Locale;
 import java.util.Map;
 
-/** Value lost by cause and class of requests, over the value requested. Confined to one thread. */
+/** The lost value by cause and request class, relative to the requested value. Confined to one thread. */
 final class LossTable {
     private final Scenario scenario;
     private final Map<Cause, double[]> lostByClass = new EnumMap<>(Cause.class);
@@ -26,7 +26,9 @@
         lostByClass.computeIfAbsent(cause, any -> new double[scenario.classes().size()])[requestClass] += value;
     }
 
-    /** Of all value requested, by cause, in the causes' order; causes that lost nothing are left out. */
+    /**
+     * The lost fraction of all requested value by cause, in the order of the causes; causes without a loss are omitted.
+     */
     Map<Cause, Double> lostFractions() {
         Map<Cause, Double> fractions = new LinkedHashMap<>();
         lostByClass.forEach(
@@ -34,7 +36,7 @@
         return fractions;
     }
 
-    /** For a terminal: causes by classes, percent of all value requested. */
+    /** A table for a terminal: causes by class, in percent of all requested value. */
     String text() {
         StringBuilder text = new StringBuilder(String.format(Locale.ROOT, "%-24s %8s", "lost, % of worth", "all"));
         scenario.classNames().forEach(name -> text.append(String.format(Locale.ROOT, " %10s", name)));
--- a/lab/src/main/java/dewplank/lab/Report.java
+++ b/lab/src/main/java/dewplank/lab/Report.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** A report that is one HTML file: tables, and charts as SVG inside it. Nothing is loaded from elsewhere. */
+/** Writes a report as a single, self-contained HTML file with tables and inline SVG charts. */
 public final class Report {
     private static final String ORACLE = "oracle";
     private static final String STYLE = "body{font:15px/1.5 sans-serif;max-width:60em;margin:2em auto;"
@@ -43,7 +43,7 @@
     /**
      * Writes the report of an experiment.
      *
-     * @param about what it is about, for people; may be empty
+     * @param about a human-readable description of the experiment; may be empty
      * @param baseline the policy that the others are compared with
      * @throws IOException if the file cannot be written
      */
--- a/lab/src/main/java/dewplank/lab/ReportCharts.java
+++ b/lab/src/main/java/dewplank/lab/ReportCharts.java
@@ -21,12 +21,12 @@
 import org.knowm.xchart.style.Styler.LegendLayout;
 import org.knowm.xchart.style.Styler.LegendPosition;
 
-/** The charts of a report, as SVG to stand inside HTML. */
+/** Creates the charts of a report as SVG that can be embedded in HTML. */
 final class ReportCharts {
     private static final int WIDTH_PX = 900;
     private static final int HEIGHT_PX = 420;
 
-    /** Means over seeds with the half widths of their intervals, in the order of the x axis; 0 where there is none. */
+    /** Means over seeds and half widths of their intervals, in the order of the x axis; half width 0 if undefined. */
     private static final class Series {
         final List<Double> means = new ArrayList<>();
         final List<Double> halfWidths = new ArrayList<>();
@@ -39,7 +39,9 @@
 
     private ReportCharts() {}
 
-    /** Lines over the parameter, a chart for each scenario, where one number was varied; else bars by cell. */
+    /**
+     * A line chart over the parameter for each scenario if a single number was varied; otherwise a bar chart by cell.
+     */
     static String svg(List<Result> results) throws IOException {
         if (!variesOneNumber(results)) {
             return svg(bars(results));
@@ -128,6 +130,6 @@
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         VectorGraphicsEncoder.saveVectorGraphic(chart, out, VectorGraphicsFormat.SVG);
         String svg = out.toString(StandardCharsets.UTF_8);
-        return svg.substring(svg.indexOf("<svg")); // inside HTML there is no XML declaration
+        return svg.substring(svg.indexOf("<svg")); // HTML must not contain the XML declaration
     }
 }
--- a/lab/src/main/java/dewplank/lab/Result.java
+++ b/lab/src/main/java/dewplank/lab/Result.java
@@ -9,15 +9,15 @@
 import java.util.Map;
 
 /**
- * One run's place in an experiment, and its figures.
+ * The identity of one simulation run in an experiment, and its figures.
  *
- * @param parameters what was varied, as {@code load.share=0.7}, with blanks between several; or empty
- * @param figures all of them; NaN for one that the file read does not have
+ * @param parameters the varied parameters, such as {@code load.share=0.7}, separated by blanks; may be empty
+ * @param figures all figures; NaN for a figure that the file does not contain
  */
 public record Result(String scenario, String parameters, String policy, long seed, Map<Figure, Double> figures) {
     private static final String KEYS = "scenario,parameters,policy,seed,";
     private static final int KEY_COLUMNS = 4;
-    /** Whole numbers below this are written without decimals. */
+    /** Integers below this limit are written without decimals. */
     private static final double MAX_PLAIN_INTEGER = 1e12;
 
     public Result {
@@ -28,12 +28,12 @@
         return figures.get(figure);
     }
 
-    /** What a run of another policy in the same world has in common. */
-    public String worldName() {
+    /** The scenario, parameters and seed, by which runs of different policies are paired. */
+    public String pairingKey() {
         return scenario + " " + parameters + " " + seed;
     }
 
-    /** The scenario and what was varied, for people. */
+    /** A human-readable name of the scenario and its varied parameters. */
     public String cellName() {
         return parameters.isEmpty() ? scenario : scenario + " " + parameters;
     }
@@ -56,15 +56,15 @@
     }
 
     /**
-     * Reads a table that {@link #csvHeader} and {@link #csvLine} gave. Columns that are none of today's figures are
-     * skipped.
+     * Parses a table written with {@link #csvHeader} and {@link #csvLine}. Columns that are not current figures are
+     * ignored.
      *
-     * @param file its name, for messages
-     * @throws InvalidInputException if it is no such table, or a line is damaged
+     * @param file name of the file, for error messages
+     * @throws InvalidInputException if the lines are not such a table or a line is malformed
      */
     static List<Result> parseTable(List<String> lines, String file) {
         if (lines.isEmpty() || !lines.get(0).startsWith(KEYS)) {
-            throw new InvalidInputException(file + ": not a table of runs");
+            throw new InvalidInputException(file + ": not a table of simulation runs");
         }
         List<String> columns = List.of(lines.get(0).split(","));
         List<Result> results = new ArrayList<>();
@@ -80,7 +80,7 @@
         String[] values = line.split(",", -1);
         if (values.length != columns.size()) {
             throw new InvalidInputException(
-                    location + ": " + values.length + " values where the header has " + columns.size());
+                    location + ": " + values.length + " values, but the header has " + columns.size());
         }
         Map<Figure, Double> figures = new EnumMap<>(Figure.class);
         for (Figure figure : Figure.values()) {
--- a/lab/src/main/java/dewplank/lab/Runner.java
+++ b/lab/src/main/java/dewplank/lab/Runner.java
@@ -17,9 +17,10 @@
 import java.util.function.Consumer;
 
 /**
- * Plays an experiment's runs over some threads, one run a thread. Each result is on disk as soon as it is there, in a
- * file beside the table; the table itself is replaced in one step, in the jobs' order, so that the same experiment
- * gives the same bytes on any number of threads. What was finished when a run was interrupted stays readable.
+ * Executes the runs of an experiment on several threads, each run on one thread. Each result is appended to a partial
+ * table as soon as its run finishes, so that the finished runs stay readable after an interruption. The final table is
+ * written atomically and in the order of the jobs, so the same experiment gives the same bytes on any number of
+ * threads.
  */
 public final class Runner {
     static final String TABLE = "runs.csv";
@@ -30,10 +31,10 @@
     private final Consumer<String> progress;
 
     /**
-     * A runner of one experiment.
+     * Creates a runner for one experiment.
      *
-     * @param folder for the results; is made if it is not there
-     * @param progress gets a line for each finished run, on the thread that calls {@link #run}
+     * @param folder the folder for the results; created if it does not exist
+     * @param progress receives a line for each finished run, on the thread that calls {@link #run}
      */
     public Runner(Path folder, int threads, Consumer<String> progress) {
         this.folder = folder;
@@ -42,9 +43,9 @@
     }
 
     /**
-     * Plays all runs and returns their results in the jobs' order.
+     * Executes all runs and returns their results in the order of the jobs.
      *
-     * @throws IllegalStateException if a run breaks, with its seed named; the others are ended
+     * @throws IllegalStateException if a run fails, with its scenario, policy and seed; the other runs are stopped
      */
     public List<Result> run(Experiment experiment) throws IOException, InterruptedException {
         Files.createDirectories(folder);
@@ -70,7 +71,7 @@
             partialTable.write(Result.csvHeader() + "\n");
             ExecutorCompletionService<Result> completions = new ExecutorCompletionService<>(executor);
             List<Future<Result>> runs = jobs.stream()
-                    .map(job -> completions.submit(() -> play(job)))
+                    .map(job -> completions.submit(() -> execute(job)))
                     .toList();
             for (int finished = 1; finished <= runs.size(); finished++) {
                 Result result = resultOf(completions.take());
@@ -98,12 +99,12 @@
                         result.figure(Figure.VIOLATIONS) > 0 ? ", RULES BROKEN" : "");
     }
 
-    private static Result play(Job job) {
+    private static Result execute(Job job) {
         Experiment.Cell cell = job.cell();
         try {
             return Trial.play(cell.scenario(), job.policy(), job.seed(), false)
                     .result(cell.scenarioName(), cell.parameters(), job.policy(), job.seed());
-        } catch (RuntimeException e) { // of any kind: only here is it known which run it was
+        } catch (RuntimeException e) { // of any type, to add which run failed
             throw new IllegalStateException(
                     "scenario " + cell.scenarioName() + " " + cell.parameters() + ", policy " + job.policy() + ", seed "
                             + job.seed() + ": " + e,
@@ -128,9 +129,9 @@
     }
 
     /**
-     * Reads the results in a folder, of an experiment that ended or of one that was interrupted.
+     * Reads the results of a finished or interrupted experiment from a folder.
      *
-     * @throws InvalidInputException if there are none, or they are damaged
+     * @throws InvalidInputException if there are no results or they are malformed
      */
     public static List<Result> read(Path folder) {
         Path table = folder.resolve(TABLE);
@@ -139,7 +140,7 @@
             return Result.parseTable(Files.readAllLines(file), file.toString());
         } catch (IOException e) {
             throw new InvalidInputException(
-                    folder + " holds no results: neither " + TABLE + " nor " + PARTIAL_TABLE + " can be read");
+                    folder + " contains no results: neither " + TABLE + " nor " + PARTIAL_TABLE + " can be read");
         }
     }
 }
--- a/lab/src/main/java/dewplank/lab/Service.java
+++ b/lab/src/main/java/dewplank/lab/Service.java
@@ -10,9 +10,9 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What clients got: the value served within its class's latency target over the value requested, from the first second
- * on. A client's retries belong to its first attempt and count towards its time. On the thread that runs the world;
- * read there or after the run.
+ * Measures the service of the clients: the value served within the latency target of its class over the requested
+ * value, without the first second. A client's retries belong to its first attempt and count towards its latency.
+ * Updated on the thread that runs the emulated world; read on that thread or after the run.
  */
 public final class Service implements Clients.OutcomeListener {
     private static final double WARM_UP_MS = 1_000;
@@ -21,30 +21,30 @@
 
     private final Scenario scenario;
     private final double startedAtMs;
-    private final List<ClassService> classes;
-    private final List<ValueTally> seconds = new ArrayList<>(); // by the second of the first attempt
-    private final List<List<ValueTally>> tenantSeconds = new ArrayList<>(); // by that second and by tenant
+    private final List<ClassMetrics> classes;
+    private final List<ValueTally> seconds = new ArrayList<>(); // indexed by the second of the first attempt
+    private final List<List<ValueTally>> tenantSeconds = new ArrayList<>(); // indexed by that second, then tenant
 
-    /** {@code startedAtMs}: when the run began, on its clock. */
+    /** {@code startedAtMs}: the start of the run on its clock. */
     public Service(Scenario scenario, double startedAtMs) {
         this.scenario = scenario;
         this.startedAtMs = startedAtMs;
-        this.classes = scenario.classes().stream().map(ClassService::new).toList();
+        this.classes = scenario.classes().stream().map(ClassMetrics::new).toList();
     }
 
     @Override
     public void requestEnded(
-            int requestClass, int tenant, double firstSentAtMs, double tookMs, int attempts, Type lastType) {
+            int requestClass, int tenant, double firstSentAtMs, double latencyMs, int attempts, Type lastType) {
         double sinceStartMs = firstSentAtMs - startedAtMs;
         int second = (int) Math.max(0, sinceStartMs / 1000);
-        ClassService service = classes.get(requestClass);
-        boolean isWithinTarget = service.isWithinTarget(tookMs);
+        ClassMetrics service = classes.get(requestClass);
+        boolean isWithinTarget = service.isWithinTarget(latencyMs);
         tallyOf(second).add(service.value(), isWithinTarget);
         if (tenant >= 0) {
             tenantTallyOf(second, tenant).add(service.value(), isWithinTarget);
         }
         if (sinceStartMs >= WARM_UP_MS) {
-            service.count(tookMs, attempts, lastType);
+            service.count(latencyMs, attempts, lastType);
         }
     }
 
@@ -64,36 +64,36 @@
         return tenantSeconds.get(second).get(tenant);
     }
 
-    /** In the scenario's order. */
-    public List<ClassService> classes() {
+    /** The metrics of each class, in the order of the scenario. */
+    public List<ClassMetrics> classes() {
         return classes;
     }
 
-    /** The value of each second of the run, the warm-up included, by the second of the first attempt. */
+    /** The value of each second of the run, including the warm-up, by the second of the first attempt. */
     public List<ValueTally> seconds() {
         return Collections.unmodifiableList(seconds);
     }
 
-    /** The value served within its target over the value requested, from 0 to 1; 1 where nothing was requested. */
+    /** The value served within its target over the requested value, from 0 to 1; 1 if nothing was requested. */
     public double valueRatio() {
         double requested =
-                classes.stream().mapToDouble(ClassService::requestedValue).sum();
+                classes.stream().mapToDouble(ClassMetrics::requestedValue).sum();
         double withinTarget =
-                classes.stream().mapToDouble(ClassService::valueWithinTarget).sum();
+                classes.stream().mapToDouble(ClassMetrics::valueWithinTarget).sum();
         return requested == 0 ? 1 : withinTarget / requested;
     }
 
-    /** The part within its target of the class served worst, by count. */
+    /** The lowest fraction of requests served within the target of any class, by count. */
     public double worstClass() {
         return classes.stream()
-                .mapToDouble(ClassService::withinTargetRatio)
+                .mapToDouble(ClassMetrics::withinTargetRatio)
                 .min()
                 .orElse(1);
     }
 
     /**
-     * The service of the tenant served worst, within its quota share: what it requests beyond its allowance in a second
-     * counts only by the factor that the scenario gives such value. 1 without tenants.
+     * The lowest service of any tenant within its quota share: value that a tenant requests beyond its allowance in a
+     * second is multiplied by the scenario's factor for such value. 1 if there are no tenants.
      */
     public double worstTenant() {
         double worst = 1;
@@ -109,11 +109,12 @@
         double served = 0;
         for (List<ValueTally> second : afterWarmUp(tenantSeconds)) {
             ValueTally tally = second.get(tenant);
-            double allowedPart = tally.isEmpty() ? 0 : Math.min(1, allowedPerSecond / tally.requested());
-            double excessPart = (1 - allowedPart) * scenario.tenantsAndKeys().overShareValueFactor();
-            double counted = tally.requested() * (allowedPart + excessPart);
-            requested += counted;
-            served += Math.min(counted, tally.withinTarget()); // what is served counts as what is allowed first
+            double allowedFraction = tally.isEmpty() ? 0 : Math.min(1, allowedPerSecond / tally.requested());
+            double weightedExcessFraction =
+                    (1 - allowedFraction) * scenario.tenantsAndKeys().overShareValueFactor();
+            double countedValue = tally.requested() * (allowedFraction + weightedExcessFraction);
+            requested += countedValue;
+            served += Math.min(countedValue, tally.withinTarget()); // served value counts towards the allowance first
         }
         return requested > 0 ? served / requested : 1;
     }
@@ -121,10 +122,10 @@
     private double meanValue() {
         return requests() == 0
                 ? 1
-                : classes.stream().mapToDouble(ClassService::requestedValue).sum() / requests();
+                : classes.stream().mapToDouble(ClassMetrics::requestedValue).sum() / requests();
     }
 
-    /** The service of the worst ten seconds. */
+    /** The lowest service over any ten seconds after the warm-up. */
     public double worstWindow() {
         double worst = 1;
         for (int from = WARM_UP_S; from + WORST_WINDOW_S <= seconds.size(); from++) {
@@ -139,32 +140,32 @@
         return bySecond.subList(Math.min(WARM_UP_S, bySecond.size()), bySecond.size());
     }
 
-    /** Requests after the warm-up, retries not counted. */
+    /** The number of requests after the warm-up, not counting retries. */
     public long requests() {
-        return classes.stream().mapToLong(ClassService::requests).sum();
+        return classes.stream().mapToLong(ClassMetrics::requests).sum();
     }
 
-    private double perRequest(ToLongFunction<ClassService> figure) {
+    private double perRequest(ToLongFunction<ClassMetrics> figure) {
         return requests() == 0 ? 0 : (double) classes.stream().mapToLong(figure).sum() / requests();
     }
 
-    /** The part of the requests whose last attempt was refused. */
+    /** The fraction of the requests whose last attempt was rejected. */
     public double refusedRatio() {
-        return perRequest(ClassService::refused);
+        return perRequest(ClassMetrics::refused);
     }
 
-    /** The part of the requests whose last attempt ended neither served nor refused. */
+    /** The fraction of the requests whose last attempt was neither served nor rejected. */
     public double failedRatio() {
-        return perRequest(ClassService::failed);
+        return perRequest(ClassMetrics::failed);
     }
 
     public double attemptsPerRequest() {
-        return perRequest(ClassService::attempts);
+        return perRequest(ClassMetrics::attempts);
     }
 
     /** Latencies of all classes, in microseconds. */
     public Histogram latencyUs() {
-        Histogram all = new Histogram(ClassService.MAX_LATENCY_US, ClassService.SIGNIFICANT_DIGITS);
+        Histogram all = new Histogram(ClassMetrics.MAX_LATENCY_US, ClassMetrics.SIGNIFICANT_DIGITS);
         classes.forEach(service -> all.add(service.latencyUs()));
         return all;
     }
--- a/lab/src/main/java/dewplank/lab/Statistics.java
+++ b/lab/src/main/java/dewplank/lab/Statistics.java
@@ -5,13 +5,13 @@
 import org.apache.commons.math3.stat.descriptive.SummaryStatistics;
 
 /**
- * A mean with its 95 % interval by Student's t.
+ * A mean with its 95 % confidence interval by Student's t-distribution.
  *
- * @param count how many values; of none, all figures are NaN
- * @param halfWidth of the interval; NaN for fewer than two values
+ * @param count number of values; all figures are NaN if it is 0
+ * @param halfWidth half width of the interval; NaN for fewer than two values
  */
 public record Statistics(int count, double mean, double halfWidth, double min, double max) {
-    /** Of the two-sided interval of 95 %. */
+    /** The upper quantile of the two-sided 95 % interval. */
     private static final double UPPER_QUANTILE = 0.975;
 
     public static Statistics of(List<Double> values) {
@@ -21,7 +21,7 @@
         return new Statistics(count, summary.getMean(), halfWidth(summary), summary.getMin(), summary.getMax());
     }
 
-    /** Of one figure of one policy's runs. */
+    /** The statistics of one figure over the runs of one policy. */
     static Statistics of(List<Result> runs, String policy, Figure figure) {
         return of(runs.stream()
                 .filter(run -> run.policy().equals(policy))
@@ -38,7 +38,7 @@
         return quantile * summary.getStandardDeviation() / Math.sqrt(count);
     }
 
-    /** Whether 0 lies outside the interval: a difference that is more than chance. */
+    /** Whether 0 is outside the interval, so that a difference is statistically significant. */
     public boolean differs() {
         return !Double.isNaN(halfWidth) && Math.abs(mean) > halfWidth;
     }
--- a/lab/src/main/java/dewplank/lab/Trial.java
+++ b/lab/src/main/java/dewplank/lab/Trial.java
@@ -10,24 +10,26 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * One run, judged.
+ * The evaluation of one simulation run.
  *
- * @param service what clients got
- * @param auditor with its findings
- * @param unsound whether the emulator itself ran late, so that the run says nothing of the sidecars; only on sockets
+ * @param service the service that the clients got
+ * @param auditor the auditor with the violations that it found
+ * @param unsound whether the run is invalid, because the emulator itself ran too late for the figures to describe the
+ *     sidecars; only on sockets
  */
 public record Trial(Service service, Auditor auditor, Cost cost, boolean unsound) {
-    /** Messages take a few milliseconds at most in virtual time, a handshake included. */
+    /** In virtual time a message takes at most a few milliseconds, including a handshake. */
     private static final double MESSAGE_SLACK_MS = 50;
 
-    /** A trial, and what became of the value that it lost. */
-    public record WithLosses(Trial trial, LossSplit losses) {}
+    /** A trial and the breakdown of the value that it lost. */
+    public record WithLosses(Trial trial, LossBreakdown losses) {}
 
     /**
-     * Plays a run in virtual time. The same arguments give the same trial.
+     * Executes a run in virtual time. The same arguments give the same result.
      *
-     * @param policy a name of {@link Policies}
-     * @param decideInParallel whether the sidecars of one tick decide on all cores; the trial is the same
+     * @param policy a policy name from {@link Policies}
+     * @param decideInParallel whether the sidecars decide in parallel on all cores within a tick; this does not change
+     *     the result
      * @throws dewplank.settings.InvalidInputException if there is no such policy
      */
     public static Trial play(Scenario scenario, String policy, long seed, boolean decideInParallel) {
@@ -44,12 +46,13 @@
     }
 
     /**
-     * The same, with the losses split by cause; slower, since each refusal is compared with every server's true state.
+     * Executes a run and splits its losses by cause. This is slower, because each rejection is compared with the true
+     * state of every server.
      */
     public static WithLosses playSplittingLosses(Scenario scenario, String policy, long seed) {
         Auditor auditor = new Auditor(scenario, MESSAGE_SLACK_MS);
         Service service = new Service(scenario, 0);
-        LossSplit losses = new LossSplit(scenario, auditor, service);
+        LossBreakdown losses = new LossBreakdown(scenario, auditor, service);
         VirtualRun run = VirtualRun.builder(scenario, seed, Policies.named(policy))
                 .recorder(losses)
                 .outcomeListener(losses)
@@ -64,7 +67,7 @@
         return new Trial(service, auditor, cost, false);
     }
 
-    /** The trial as a line of an experiment, whose keys are given. */
+    /** The trial as a result of an experiment with the given keys. */
     public Result result(String scenario, String parameters, String policy, long seed) {
         return new Result(scenario, parameters, policy, seed, figures());
     }
--- a/lab/src/main/java/dewplank/lab/ValueTally.java
+++ b/lab/src/main/java/dewplank/lab/ValueTally.java
@@ -1,6 +1,6 @@
 package dewplank.lab;
 
-/** Value that clients requested, and what of it was served within the latency target. Confined to one thread. */
+/** The value that clients requested and the part of it served within the latency target. Confined to one thread. */
 public final class ValueTally {
     private double requested;
     private double withinTarget;
@@ -28,7 +28,7 @@
         return requested <= 0;
     }
 
-    /** The part within the target, from 0 to 1; 1 where nothing was requested. */
+    /** The fraction of the value served within the target, from 0 to 1; 1 if nothing was requested. */
     public double ratio() {
         return isEmpty() ? 1 : withinTarget / requested;
     }
--- a/lab/src/main/java/dewplank/lab/bench/DecisionBench.java
+++ b/lab/src/main/java/dewplank/lab/bench/DecisionBench.java
@@ -41,9 +41,9 @@
 import org.openjdk.jmh.runner.options.TimeValue;
 
 /**
- * What the decision module costs, without sockets and without a world: one request from its arrival to its served end,
- * with some in flight, and one change of the endpoint list followed by a request, by the number of servers listed. JMH
- * makes one for each thread and calls it there.
+ * Measures the cost of the decision module without sockets or emulation, by the number of listed servers: one request
+ * from its arrival to its successful end while others are in flight, and an endpoint list update followed by a request.
+ * JMH creates one instance for each thread and calls it on that thread.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -53,23 +53,24 @@
     private static final double GAP_MS = 0.06;
     private static final double SERVED_MS = 1;
 
-    /** A timer that the balancer set. */
-    private record Due(double atMs, long timer) {}
+    /** A timer of the balancer. */
+    private record PendingTimer(double atMs, long timer) {}
 
-    /** Servers listed. */
+    /** Number of servers in the endpoint list. */
     @Param({"6", "60", "200", "2000"})
     public int servers;
 
     private final List<Endpoint> endpoints = new ArrayList<>();
     private final Queue<Send> inFlight = new ArrayDeque<>();
-    private final PriorityQueue<Due> timers = new PriorityQueue<>(Comparator.comparingDouble(Due::atMs));
+    private final PriorityQueue<PendingTimer> timers =
+            new PriorityQueue<>(Comparator.comparingDouble(PendingTimer::atMs));
     private List<String> classes;
     private Balancer balancer;
     private double nowMs;
     private long request;
     private int changedServer;
 
-    /** Starts a balancer with its endpoint list. */
+    /** Creates a balancer and sends it the endpoint list. */
     @Setup
     public void setUp() {
         Scenario scenario = ScenarioFile.named("fleet").with("sidecars", 1);
@@ -92,12 +93,12 @@
             if (action instanceof Send send) {
                 inFlight.add(send);
             } else if (action instanceof SetTimer setTimer) {
-                timers.add(new Due(nowMs + setTimer.delayMs(), setTimer.timer()));
+                timers.add(new PendingTimer(nowMs + setTimer.delayMs(), setTimer.timer()));
             }
         });
     }
 
-    /** One request arrives, and one that is in flight is served. */
+    /** A request arrives, and an earlier one in flight is served. */
     @Benchmark
     public void request() {
         nowMs += GAP_MS;
@@ -113,7 +114,7 @@
         }
     }
 
-    /** The same after one server's rating has changed. */
+    /** The same after the rating of one server has changed. The method name is printed, so scripts may match it. */
     @Benchmark
     public void requestAfterAChangeOfTheList() {
         changedServer = (changedServer + 1) % servers;
@@ -122,10 +123,10 @@
     }
 
     /**
-     * Runs both and returns a table: servers, microseconds, half width of the 99.9 % interval.
+     * Runs both benchmarks and returns a table: servers, microseconds, half width of the 99.9 % interval.
      *
-     * @param forks JVMs, one after the other
-     * @param seconds of each of eight iterations
+     * @param forks number of JVMs, run sequentially
+     * @param seconds duration of each of the eight iterations
      */
     public static String table(int forks, int seconds) throws RunnerException {
         Options options = new OptionsBuilder()
--- a/lab/src/main/java/dewplank/lab/bench/package-info.java
+++ b/lab/src/main/java/dewplank/lab/bench/package-info.java
@@ -1,2 +1,2 @@
-/** Microbenchmarks on JMH, run by the command {@code lab bench}. None runs in the tests. */
+/** JMH microbenchmarks, run by the command {@code lab bench} and not by the tests. */
 package dewplank.lab.bench;
--- a/lab/src/main/java/dewplank/lab/load/LoadOutcome.java
+++ b/lab/src/main/java/dewplank/lab/load/LoadOutcome.java
@@ -24,7 +24,7 @@
         return all;
     }
 
-    /** Whether the tool was punctual enough for its figures to describe the target. */
+    /** Whether the tool's lag and load were low enough for its figures to describe the target. */
     public boolean isValid() {
         return lagUs.getValueAtPercentile(99) <= MAX_VALID_LAG_US && busyFraction <= MAX_VALID_BUSY_FRACTION;
     }
--- a/lab/src/main/java/dewplank/lab/package-info.java
+++ b/lab/src/main/java/dewplank/lab/package-info.java
@@ -1,9 +1,9 @@
 /**
- * The laboratory: trials of scenarios in virtual time and on sockets, the service that clients got in them, experiments
- * over scenarios, policies, parameters and seeds, and their reports.
+ * The laboratory: simulation runs of scenarios in virtual time and on sockets, metrics of the service that clients get,
+ * experiments over scenarios, policies, parameters and seeds, and reports.
  *
- * <p>The auditor, the reference policies, the load tool and the benchmarks are packages below this one. Nothing here is
- * loaded by {@code serve}, and nothing here decides for a sidecar. What is printed or written to files keeps its names
- * when identifiers change, as scripts read it.
+ * <p>The auditor, the reference policies, the load tool and the benchmarks are in subpackages. The {@code serve}
+ * command loads none of this code, and no sidecar uses it for decisions. Names in printed output and in files must not
+ * change with identifiers, because scripts parse them.
  */
 package dewplank.lab;
--- a/lab/src/main/java/dewplank/lab/policies/Policies.java
+++ b/lab/src/main/java/dewplank/lab/policies/Policies.java
@@ -42,7 +42,7 @@
         Policy policy = BY_NAME.get(name);
         if (policy == null) {
             throw new InvalidInputException(
-                    "there is no policy " + name + "; known: " + String.join(", ", BY_NAME.keySet()));
+                    "unknown policy " + name + "; available: " + String.join(", ", BY_NAME.keySet()));
         }
         return policy;
     }
--- a/lab/src/test/java/dewplank/lab/BuoysTest.java
+++ b/lab/src/test/java/dewplank/lab/BuoysScenariosTest.java
@@ -16,8 +16,8 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Bounds on the service in the difficult cases of the buoys' fleet, over several seeds; the auditor checks each. */
-class BuoysTest {
+/** Bounds on the service in the fault scenarios of the buoys fleet, over several seeds. The auditor checks each run. */
+class BuoysScenariosTest {
     private static final int SEEDS = 6;
     private static final double MESSAGE_SLACK_MS = 50;
 
@@ -25,7 +25,7 @@
         return ScenarioFile.named(name).with("length_s", 30);
     }
 
-    /** The mean of a figure over the seeds; the module must break no rule on any of them. */
+    /** The mean of a figure over the seeds. Runs of the decision module must have no violations. */
     private static double mean(Scenario scenario, String policy, ToDoubleFunction<Trial> figure) {
         return IntStream.rangeClosed(1, SEEDS)
                 .parallel()
@@ -48,29 +48,29 @@
     }
 
     @Test
-    void aFleetWithoutFaultsServesNearlyAllAndRefusesHardlyAny() {
+    void aFleetWithoutFaultsServesNearlyAllRequestsAndRejectsFew() {
         assertTrue(service("buoys") > 0.97);
         assertTrue(mean(scenario("buoys"), "choice", trial -> trial.service().refusedRatio()) < 0.005);
     }
 
-    /** Three of twelve servers and a quarter of the sidecars stop for 12 s: their requests in flight are lost. */
+    /** Three of twelve servers and a quarter of the sidecars stop for 12 s, and their requests in flight are lost. */
     @Test
     void theLossOfABuildingCostsLittleMoreThanWithTheOracle() {
         double oracle = mean(
                 scenario("buoys-building"), "oracle", trial -> trial.service().valueRatio());
         double service = service("buoys-building");
-        assertTrue(service > oracle - 0.04, service + " of the oracle's " + oracle);
+        assertTrue(service > oracle - 0.04, service + ", oracle " + oracle);
     }
 
     @Test
-    void aSixthOfTheServersVanishingWithoutAResetCostsLittle() {
+    void theSilentLossOfASixthOfTheServersCostsLittle() {
         double service = service("buoys-silent");
         assertTrue(service > 0.92, "service " + service);
     }
 
-    /** A fast failure must not count as a fast response, as it does for a policy that sees only latencies and loads. */
+    /** Fast failures must not count as fast responses, as they do for a policy that uses only latencies and loads. */
     @Test
-    void serversThatFailQuicklyCauseLessThanHalfTheFailuresThatTwoChoicesHas() {
+    void fastFailingServersCauseLessThanHalfTheFailuresOfTwoChoices() {
         double withTwoChoices = mean(scenario("buoys-errors"), "two-choices", trial -> trial.service()
                 .failedRatio());
         double failed = mean(
@@ -85,14 +85,14 @@
     }
 
     @Test
-    void aDeployOfNineInTenWithinTwentyTwoSecondsOverloadsNoColdServer() {
+    void aDeploymentToNinetyPercentOfTheServersIn22SecondsOverloadsNoColdServer() {
         double service = service("buoys-deploy");
         assertTrue(service > 0.82, "service " + service);
     }
 
-    /** There is little spare capacity, so some tenant must lose value: the one that exceeds its quota. */
+    /** With little spare capacity some tenant must lose value, and that must be the tenant that exceeds its quota. */
     @Test
-    void aTenantAtTenTimesItsQuotaDoesNotTakeTheOthersQuotas() {
+    void aTenantAtTenTimesItsQuotaDoesNotReduceTheQuotasOfOthers() {
         Scenario flood = scenario("buoys-flood").with("load.share", 0.8);
         double worst = mean(flood, "choice", trial -> trial.service().worstTenant());
         double withTwoChoices =
@@ -102,8 +102,8 @@
                 "worst tenant " + worst + ", with two choices " + withTwoChoices);
     }
 
-    /** The mean service where the first of five sidecars is created by {@code first}, and the others are plain. */
-    private static double serviceWith(VirtualRun.SidecarFactory first, Scenario scenario) {
+    /** The mean service if {@code first} creates the first of five sidecars and the others are plain. */
+    private static double serviceWithFirstSidecar(VirtualRun.SidecarFactory first, Scenario scenario) {
         return IntStream.rangeClosed(1, SEEDS)
                 .parallel()
                 .mapToDouble(seed -> {
@@ -130,7 +130,7 @@
         }
     }
 
-    /** Reports a third of the servers as unhealthy to its peers, whatever it has seen. */
+    /** Always reports a third of the servers as unhealthy to its peers. */
     private static final class FalselyReportingSidecar extends PlainSidecar {
         private final World world;
 
@@ -150,21 +150,21 @@
     }
 
     @Test
-    void aPeerThatReportsAThirdOfTheServersUnhealthyIsOutvoted() {
+    void falseReportsOfOnePeerAboutAThirdOfTheServersAreOutvoted() {
         Scenario busy = scenario("buoys").with("load.share", 0.75);
-        double withTrueReports = serviceWith(PlainSidecar::new, busy);
-        double withFalseReports = serviceWith(FalselyReportingSidecar::new, busy);
+        double withTrueReports = serviceWithFirstSidecar(PlainSidecar::new, busy);
+        double withFalseReports = serviceWithFirstSidecar(FalselyReportingSidecar::new, busy);
         assertTrue(
                 withFalseReports > withTrueReports - 0.03,
                 withFalseReports + " with false reports, " + withTrueReports + " without");
     }
 
     @Test
-    void sidecarsWithoutPeerSummariesServeNearlyAsMuchByTheirOwnAttempts() {
+    void sidecarsWithoutPeerSummariesServeNearlyAsMuch() {
         Scenario errors = scenario("buoys-errors");
         double withPeers = mean(errors, "choice", trial -> trial.service().valueRatio());
-        double alone = mean(errors.with("messages.lost", 1), "choice", trial -> trial.service()
+        double withoutPeers = mean(errors.with("messages.lost", 1), "choice", trial -> trial.service()
                 .valueRatio());
-        assertTrue(alone > withPeers - 0.04, alone + " alone, " + withPeers + " with peers");
+        assertTrue(withoutPeers > withPeers - 0.04, withoutPeers + " without peers, " + withPeers + " with peers");
     }
 }
--- a/lab/src/test/java/dewplank/lab/ExperimentFileTest.java
+++ b/lab/src/test/java/dewplank/lab/ExperimentFileTest.java
@@ -8,7 +8,7 @@
 import dewplank.settings.InvalidInputException;
 import org.junit.jupiter.api.Test;
 
-/** What is wrong in an experiment file is named before anything runs. */
+/** Errors in an experiment file are reported before any run starts. */
 class ExperimentFileTest {
     private static String messageOf(String text) {
         return assertThrows(InvalidInputException.class, () -> ExperimentFile.parse(TomlFile.read(text, "x.toml")))
@@ -16,20 +16,20 @@
     }
 
     @Test
-    void anUnknownPolicyIsNamedWithItsLineAndTheKnownOnes() {
+    void anUnknownPolicyIsReportedWithItsLineAndTheAvailablePolicies() {
         assertEquals(
-                "x.toml:3: key policies is wrong: there is no policy best; known: choice, random, round-robin, "
+                "x.toml:3: key policies is invalid: unknown policy best; available: choice, random, round-robin, "
                         + "least-outstanding, two-choices, oracle",
                 messageOf("name = \"x\"\nscenarios = [\"crash\"]\npolicies = [\"best\"]"));
     }
 
     @Test
-    void anUnknownScenarioIsNamed() {
+    void anUnknownScenarioIsReported() {
         assertTrue(messageOf("name = \"x\"\nscenarios = [\"nowhere\"]").contains("there is no scenario file nowhere"));
     }
 
     @Test
-    void anUnknownParameterIsNamed() {
+    void anUnknownParameterIsReported() {
         assertTrue(messageOf("name = \"x\"\nscenarios = [\"crash\"]\n[[vary]]\nparameter = \"moon\"\nvalues = [1]")
                 .contains("no such parameter: moon"));
     }
--- a/lab/src/test/java/dewplank/lab/RunnerTest.java
+++ b/lab/src/test/java/dewplank/lab/RunnerTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** An experiment's runs: the same bytes on any number of threads, and readable after an interruption. */
+/** Results have the same bytes on any number of threads and are readable after an interruption. */
 class RunnerTest {
     private static final int RUNS = 24; // 2 scenarios, 3 policies, 2 loads, 2 seeds
 
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void sidecarsThatDecideInParallelDecideTheSame() {
+    void parallelDecisionsGiveTheSameResultAsSequentialOnes() {
         Scenario scenario = ScenarioFile.named("deploy").with("sidecars", 40).with("length_s", 10);
         Result sequential = Trial.play(scenario, "choice", 3, false).result("s", "", "choice", 3);
         Result parallel = Trial.play(scenario, "choice", 3, true).result("s", "", "choice", 3);
@@ -68,7 +68,7 @@
             try {
                 new Runner(folder, 2, line -> Thread.currentThread().interrupt()).run(experiment());
             } catch (Exception e) {
-                // interrupted on purpose, after the first result
+                // interrupted deliberately after the first result
             }
         });
         runner.start();
--- a/lab/src/test/java/dewplank/lab/audit/AuditorTest.java
+++ b/lab/src/test/java/dewplank/lab/audit/AuditorTest.java
@@ -9,7 +9,7 @@
 import dewplank.emulator.virtualtime.VirtualRun;
 import dewplank.lab.Service;
 import dewplank.lab.Trial;
-import dewplank.lab.audit.BrokenBalancer.Way;
+import dewplank.lab.audit.BrokenBalancer.Defect;
 import dewplank.lab.policies.Policies;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -22,31 +22,31 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** The auditor finds each of eight ways to break a rule, and nothing where the decision module plays the same day. */
+/** The auditor finds each of eight defects, and no violation of the decision module under the same faults. */
 class AuditorTest {
     private static final double MESSAGE_SLACK_MS = 50;
     private static final long SEED = 11;
-    private static final String KEPT = "kept all rules";
+    private static final String NO_VIOLATIONS = "kept all rules";
 
     private static Stream<Arguments> brokenBalancers() {
         return Stream.of(
-                Arguments.of(Way.NEVER_ANSWERS, Set.of(Rule.NOT_ANSWERED)),
-                Arguments.of(Way.RESENDS_ORDERS, Set.of(Rule.SENT_TWICE, Rule.EFFECT_TWICE)),
-                Arguments.of(Way.REFUSES_AFTER_RUN, Set.of(Rule.REFUSED_AFTER_RUN)),
-                Arguments.of(Way.KEYED_PAST_WINDOW, Set.of(Rule.KEYED_AFTER_WINDOW, Rule.EFFECT_TWICE)),
-                Arguments.of(Way.SENDS_TO_DRAINED, Set.of(Rule.SENT_TO_DRAINED)),
-                Arguments.of(Way.FLOODS_COLD, Set.of(Rule.COLD_SERVER_OVERLOADED)));
+                Arguments.of(Defect.NEVER_RESPONDS, Set.of(Rule.NOT_ANSWERED)),
+                Arguments.of(Defect.RESENDS_UNSAFE, Set.of(Rule.SENT_TWICE, Rule.EFFECT_TWICE)),
+                Arguments.of(Defect.REJECTS_AFTER_RUN, Set.of(Rule.REFUSED_AFTER_RUN)),
+                Arguments.of(Defect.RETRIES_KEYED_AFTER_WINDOW, Set.of(Rule.KEYED_AFTER_WINDOW, Rule.EFFECT_TWICE)),
+                Arguments.of(Defect.SENDS_TO_DRAINING, Set.of(Rule.SENT_TO_DRAINED)),
+                Arguments.of(Defect.OVERLOADS_COLD, Set.of(Rule.COLD_SERVER_OVERLOADED)));
     }
 
-    /** Every scenario that comes with the laboratory, on two seeds. */
+    /** Every scenario of the laboratory with two seeds. */
     private static Stream<Arguments> scenariosAndSeeds() {
         return ScenarioFile.names().stream().flatMap(name -> Stream.of(Arguments.of(name, 1L), Arguments.of(name, 2L)));
     }
 
-    /** A scenario with faults that give each way of breaking a rule its occasion. */
+    /** A scenario with the faults that trigger each defect. */
     private static Scenario scenarioWithFaults() {
         try {
-            Path file = Files.createTempFile("day", ".toml");
+            Path file = Files.createTempFile("scenario", ".toml");
             Files.writeString(
                     file,
                     """
@@ -89,7 +89,7 @@
         }
     }
 
-    private static Auditor play(VirtualRun.Policy policy, VirtualRun.SidecarFactory sidecars) {
+    private static Auditor runAndAudit(VirtualRun.Policy policy, VirtualRun.SidecarFactory sidecars) {
         Scenario scenario = scenarioWithFaults();
         Auditor auditor = new Auditor(scenario, MESSAGE_SLACK_MS);
         VirtualRun run = VirtualRun.builder(scenario, SEED, policy)
@@ -106,38 +106,38 @@
         return (run, number) -> new EmulatedSidecar(run, number) {};
     }
 
-    private static VirtualRun.Policy brokenBalancer(Way way) {
-        return (settings, seed, world, sidecar) -> new BrokenBalancer(settings, seed, way);
+    private static VirtualRun.Policy brokenBalancer(Defect defect) {
+        return (settings, seed, world, sidecar) -> new BrokenBalancer(settings, seed, defect);
     }
 
-    private static Auditor play(Way way) {
-        return play(brokenBalancer(way), plainSidecars());
+    private static Auditor runAndAudit(Defect defect) {
+        return runAndAudit(brokenBalancer(defect), plainSidecars());
     }
 
     @Nested
-    class BrokenRules {
+    class DetectedViolations {
         @ParameterizedTest
         @MethodSource("dewplank.lab.audit.AuditorTest#brokenBalancers")
-        void ofABalancerAreFoundAndNoOthers(Way way, Set<Rule> rules) {
-            Auditor auditor = play(way);
-            assertEquals(rules, auditor.counts().keySet(), way + ": " + auditor.verdict());
+        void areExactlyThoseOfTheBalancersDefect(Defect defect, Set<Rule> rules) {
+            Auditor auditor = runAndAudit(defect);
+            assertEquals(rules, auditor.counts().keySet(), defect + ": " + auditor.verdict());
         }
 
         @Test
-        void ofASidecarThatAnswersTwiceAreFoundAndNoOthers() {
-            Auditor auditor = play(brokenBalancer(Way.NONE), BrokenSidecars.AnswersTwice::new);
+        void areExactlyThoseOfASidecarThatRespondsTwice() {
+            Auditor auditor = runAndAudit(brokenBalancer(Defect.NONE), BrokenSidecars.RespondsTwice::new);
             assertEquals(Set.of(Rule.ANSWERED_TWICE), auditor.counts().keySet());
         }
 
         @Test
-        void ofASidecarThatMixesUpAnswersAreFoundAndNoOthers() {
-            Auditor auditor = play(brokenBalancer(Way.NONE), BrokenSidecars.MixesUp::new);
+        void areExactlyThoseOfASidecarThatMixesUpResponses() {
+            Auditor auditor = runAndAudit(brokenBalancer(Defect.NONE), BrokenSidecars.MixesUpResponses::new);
             assertEquals(Set.of(Rule.WRONG_ANSWER), auditor.counts().keySet());
         }
 
         @Test
-        void areReportedWithTheRequestsTimeline() {
-            Violation violation = play(Way.RESENDS_ORDERS).retainedViolations().stream()
+        void includeTheTimelineOfTheRequest() {
+            Violation violation = runAndAudit(Defect.RESENDS_UNSAFE).retainedViolations().stream()
                     .filter(found -> found.rule() == Rule.SENT_TWICE)
                     .findFirst()
                     .orElseThrow();
@@ -147,29 +147,31 @@
     }
 
     @Nested
-    class NoRuleIsBroken {
+    class NoViolations {
         @Test
-        void byTheDecisionModuleUnderTheSameFaults() {
+        void areFoundForTheDecisionModuleUnderTheSameFaults() {
             assertEquals(
-                    KEPT,
-                    play(Policies.named("choice"), plainSidecars()).verdict().substring(0, KEPT.length()));
+                    NO_VIOLATIONS,
+                    runAndAudit(Policies.named("choice"), plainSidecars())
+                            .verdict()
+                            .substring(0, NO_VIOLATIONS.length()));
         }
 
         @Test
-        void byAPlainBalancerUnderTheSameFaults() {
-            assertEquals(KEPT, play(Way.NONE).verdict().substring(0, KEPT.length()));
+        void areFoundForABalancerWithoutDefectUnderTheSameFaults() {
+            assertEquals(NO_VIOLATIONS, runAndAudit(Defect.NONE).verdict().substring(0, NO_VIOLATIONS.length()));
         }
 
         @ParameterizedTest
         @MethodSource("dewplank.lab.audit.AuditorTest#scenariosAndSeeds")
-        void byTheDecisionModuleUnderEachFaultOfTheLaboratory(String name, long seed) {
+        void areFoundForTheDecisionModuleInAnyScenarioOfTheLaboratory(String name, long seed) {
             Auditor auditor = Trial.play(ScenarioFile.named(name).with("length_s", 25), "choice", seed, true)
                     .auditor();
             assertEquals(0, auditor.violations(), auditor.verdict() + auditor.retainedViolations());
         }
 
         @Test
-        void byTheLossOfAKilledSidecarsRequestsInFlight() {
+        void areFoundForRequestsLostWithAKilledSidecar() {
             Scenario scenario = ScenarioFile.named("sidecar-kill").with("length_s", 20);
             Trial trial = Trial.play(scenario, "choice", 4, false);
             assertEquals(0, trial.auditor().violations());
--- a/lab/src/test/java/dewplank/lab/audit/BrokenBalancer.java
+++ b/lab/src/test/java/dewplank/lab/audit/BrokenBalancer.java
@@ -25,24 +25,24 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 
-/** A random balancer that breaks the rules in one way and keeps them otherwise. */
+/** A random balancer that complies with the rules except for one defect. */
 final class BrokenBalancer implements Balancer {
-    /** How it breaks a rule. */
-    enum Way {
+    /** The defects; each violates a rule. */
+    enum Defect {
         NONE,
-        NEVER_ANSWERS,
-        RESENDS_ORDERS,
-        REFUSES_AFTER_RUN,
-        KEYED_PAST_WINDOW,
-        SENDS_TO_DRAINED,
-        FLOODS_COLD
+        NEVER_RESPONDS,
+        RESENDS_UNSAFE,
+        REJECTS_AFTER_RUN,
+        RETRIES_KEYED_AFTER_WINDOW,
+        SENDS_TO_DRAINING,
+        OVERLOADS_COLD
     }
 
     private static final int MAX_ATTEMPTS = 3;
-    private static final int UNANSWERED_EVERY = 50;
+    private static final int OMITTED_RESPONSE_INTERVAL = 50;
 
     private final Settings settings;
-    private final Way way;
+    private final Defect defect;
     private final SplittableRandom random;
     private final Map<String, Endpoint> endpoints = new HashMap<>();
     private final Map<Long, RequestArrived> open = new HashMap<>();
@@ -52,9 +52,9 @@
     private int arrivals;
     private boolean hasSubscribed;
 
-    BrokenBalancer(Settings settings, long seed, Way way) {
+    BrokenBalancer(Settings settings, long seed, Defect defect) {
         this.settings = settings;
-        this.way = way;
+        this.defect = defect;
         this.random = new SplittableRandom(seed);
     }
 
@@ -69,7 +69,7 @@
                 actions.accept(new Subscribe());
             }
         } else if (event instanceof RequestArrived request) {
-            if (way != Way.NEVER_ANSWERS || ++arrivals % UNANSWERED_EVERY != 0) {
+            if (defect != Defect.NEVER_RESPONDS || ++arrivals % OMITTED_RESPONSE_INTERVAL != 0) {
                 open.put(request.request(), request);
                 send(request);
             }
@@ -98,10 +98,10 @@
                 .sorted(Comparator.comparing(Endpoint::server))
                 .toList()) {
             boolean isEligible = endpoint.availability() == Availability.UP
-                    || way == Way.SENDS_TO_DRAINED && endpoint.availability() == Availability.DRAINING;
+                    || defect == Defect.SENDS_TO_DRAINING && endpoint.availability() == Availability.DRAINING;
             boolean isCold = endpoint.startedAtMs() != null
                     && nowMs - endpoint.startedAtMs() < settings.safety().slowStartMs();
-            if (way == Way.FLOODS_COLD && isCold && isEligible) {
+            if (defect == Defect.OVERLOADS_COLD && isCold && isEligible) {
                 return List.of(endpoint);
             }
             if (isEligible && !isCold) {
@@ -126,7 +126,9 @@
         boolean neverRan = attemptsSoFar == 1
                 && (ended.outcome() == Outcome.REJECTED || ended.outcome() == Outcome.CONNECT_FAILED);
         actions.accept(
-                way == Way.REFUSES_AFTER_RUN || neverRan ? new Reject(ended.request(), 0) : new Fail(ended.request()));
+                defect == Defect.REJECTS_AFTER_RUN || neverRan
+                        ? new Reject(ended.request(), 0)
+                        : new Fail(ended.request()));
     }
 
     private boolean mayRetry(RequestArrived request, Outcome outcome, int attemptsSoFar) {
@@ -137,7 +139,7 @@
                 .orElseThrow();
         return idempotency == Idempotency.SAFE
                 || outcome == Outcome.REJECTED && attemptsSoFar == 1
-                || way == Way.RESENDS_ORDERS && idempotency == Idempotency.UNSAFE && outcome == Outcome.RESET
-                || way == Way.KEYED_PAST_WINDOW && idempotency == Idempotency.KEYED;
+                || defect == Defect.RESENDS_UNSAFE && idempotency == Idempotency.UNSAFE && outcome == Outcome.RESET
+                || defect == Defect.RETRIES_KEYED_AFTER_WINDOW && idempotency == Idempotency.KEYED;
     }
 }
--- a/lab/src/test/java/dewplank/lab/audit/BrokenSidecars.java
+++ b/lab/src/test/java/dewplank/lab/audit/BrokenSidecars.java
@@ -5,40 +5,40 @@
 import dewplank.emulator.virtualtime.EmulatedSidecar;
 import dewplank.emulator.virtualtime.VirtualRun;
 
-/** Sidecars that each break one rule on purpose, at one attempt in a hundred. */
+/** Sidecars that deliberately violate one rule in every hundredth attempt. */
 final class BrokenSidecars {
-    private static final int EVERY = 100;
+    private static final int DEFECT_INTERVAL = 100;
 
     private BrokenSidecars() {}
 
-    /** Gives the client its answer a second time. */
-    static final class AnswersTwice extends EmulatedSidecar {
-        AnswersTwice(VirtualRun run, int number) {
+    /** Sends the client a second response. */
+    static final class RespondsTwice extends EmulatedSidecar {
+        RespondsTwice(VirtualRun run, int number) {
             super(run, number);
         }
 
         @Override
         protected void respond(ClientAttempt attempt, Type type, double value) {
             super.respond(attempt, type, value);
-            if (attempt.id() % EVERY == 0) {
+            if (attempt.id() % DEFECT_INTERVAL == 0) {
                 super.respond(attempt, Type.FAILED, 0);
             }
         }
     }
 
-    /** Gives a client what was made for another one. */
-    static final class MixesUp extends EmulatedSidecar {
+    /** Sends a client the response to another request. */
+    static final class MixesUpResponses extends EmulatedSidecar {
         private static final long NONE = -1;
 
         private long lastServed = NONE;
 
-        MixesUp(VirtualRun run, int number) {
+        MixesUpResponses(VirtualRun run, int number) {
             super(run, number);
         }
 
         @Override
         protected void respond(ClientAttempt attempt, Type type, double value) {
-            boolean mixesUp = type == Type.SERVED && attempt.id() % EVERY == 0 && lastServed != NONE;
+            boolean mixesUp = type == Type.SERVED && attempt.id() % DEFECT_INTERVAL == 0 && lastServed != NONE;
             super.respond(attempt, type, mixesUp ? lastServed : value);
             lastServed = type == Type.SERVED ? attempt.id() : lastServed;
         }
--- a/lab/src/test/java/dewplank/lab/audit/ViolationTest.java
+++ b/lab/src/test/java/dewplank/lab/audit/ViolationTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** How a violation reads in a terminal and in a failed test. */
+/** The text of violations in a terminal and in failed tests. */
 class ViolationTest {
     private static final int NONE = RecordedEvent.NONE;
 
@@ -15,7 +15,7 @@
     private final RecordedEvent received = new RecordedEvent(20.25, Type.RECEIVED, 7, 0, 1, 3, 0);
 
     @Test
-    void ofARequestIsDescribedByItsRuleItsPartiesAndItsTimeline() {
+    void aViolationByARequestIsDescribedWithItsTimeline() {
         Violation violation = new Violation(Rule.SENT_TWICE, received, "it may have run", List.of(sent, received));
         assertEquals(
                 """
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void ofNoRequestIsDescribedByTheServer() {
+    void aViolationWithoutARequestIsDescribedWithItsServer() {
         RecordedEvent collapsed = new RecordedEvent(5, Type.SERVER_COLLAPSED, NONE, NONE, NONE, 4, 0);
         Violation violation =
                 new Violation(Rule.COLD_SERVER_OVERLOADED, collapsed, "too much work", List.of(collapsed));
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void theTimelineForATerminalHasAnEventALine() {
+    void theTimelineTextHasOneLinePerEvent() {
         Violation violation = new Violation(Rule.SENT_TWICE, received, "it may have run", List.of(sent, received));
         assertEquals(
                 "      12.500  sent          request 7 sidecar 1 (900.000)\n"
