--- a/lab/src/main/java/dewplank/lab/Comparison.java
+++ b/lab/src/main/java/dewplank/lab/Comparison.java
@@ -112,7 +112,7 @@
                     row.difference().mean(),
                     row.difference().halfWidth(),
                     row.difference().count(),
-                    row.difference().differs() ? " *" : ""));
+                    row.difference().isSignificant() ? " *" : ""));
         }
         return text.toString();
     }
--- a/lab/src/main/java/dewplank/lab/Report.java
+++ b/lab/src/main/java/dewplank/lab/Report.java
@@ -127,7 +127,7 @@
                     .append("</td><td>")
                     .append(number(row.secondFigures().mean()))
                     .append("</td><td class=\"")
-                    .append(row.difference().differs() ? "best" : "")
+                    .append(row.difference().isSignificant() ? "best" : "")
                     .append("\">")
                     .append(signed(row.difference().mean()))
                     .append("</td><td>")
--- a/lab/src/main/java/dewplank/lab/Statistics.java
+++ b/lab/src/main/java/dewplank/lab/Statistics.java
@@ -39,7 +39,7 @@
     }
 
     /** Whether 0 is outside the interval, so that a difference is statistically significant. */
-    public boolean differs() {
+    public boolean isSignificant() {
         return !Double.isNaN(halfWidth) && Math.abs(mean) > halfWidth;
     }
 }
