--- a/cli/src/main/java/dewplank/SettingsReloader.java
+++ b/cli/src/main/java/dewplank/SettingsReloader.java
@@ -42,7 +42,7 @@
 
     /** Returns the log message for a program that ignores the signal. */
     static String warning() {
-        return "SIGHUP does not reach this program: it was started with the signal ignored, as nohup does; a "
-                + "changed configuration is detected by polling its file";
+        return "SIGHUP does not reach this program: it was started with the signal ignored, as by nohup; a new "
+                + "configuration is seen by its file's time";
     }
 }
--- a/sidecar/src/test/java/dewplank/sidecar/ClientDisconnectTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/ClientDisconnectTest.java
@@ -99,10 +99,7 @@
             client.send("x".repeat(400_000));
             abandoned.await();
             String response = client.read();
-            assertTrue(
-                    response.startsWith("HTTP/1.1 400")
-                            && response.contains("too much was sent ahead"),
-                    response);
+            assertTrue(response.startsWith("HTTP/1.1 400") && response.contains("too much was sent ahead"), response);
             assertNull(client.read());
             delayed.startAccepting();
             assertNoRequestArrived(delayed);
