--- a/cli/src/test/java/dewplank/fleet/FleetHarness.java
+++ b/cli/src/test/java/dewplank/fleet/FleetHarness.java
@@ -71,9 +71,9 @@
     final List<ModelServer> prefillServers = new ArrayList<>();
     final List<ModelServer> decodeServers = new ArrayList<>();
 
-    private FleetHarness(int control, int data) throws IOException {
+    private FleetHarness(StandInFleet.Commands commands, int control, int data) throws IOException {
         folder = Files.createTempDirectory("fleet");
-        fleet = new StandInFleet(Programs.commands(), folder, control, data);
+        fleet = new StandInFleet(commands, folder, control, data);
     }
 
     /** The steps of a test with a running fleet. */
@@ -86,7 +86,12 @@
      * scenario and checks the history for violations of all rules. On a failure it prints the processes' logs.
      */
     public static void run(int control, int data, Scenario scenario) throws Exception {
-        try (FleetHarness harness = new FleetHarness(control, data)) {
+        run(Programs.commands(), control, data, scenario);
+    }
+
+    /** Runs the scenario as {@link #run(int, int, Scenario)} does, with processes started by these commands. */
+    static void run(StandInFleet.Commands commands, int control, int data, Scenario scenario) throws Exception {
+        try (FleetHarness harness = new FleetHarness(commands, control, data)) {
             try {
                 harness.start();
                 scenario.run(harness);
--- a/cli/src/test/java/dewplank/fleet/Programs.java
+++ b/cli/src/test/java/dewplank/fleet/Programs.java
@@ -26,10 +26,16 @@
     }
 
     private static List<String> command(String program) {
+        List<String> command = new ArrayList<>(java());
+        command.addAll(List.of("-cp", System.getProperty("java.class.path"), "dewplank.Main", program));
+        return command;
+    }
+
+    /** The path and the options of the JVM, without a class path. */
+    static List<String> java() {
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         command.addAll(OPTIONS);
-        command.addAll(List.of("-cp", System.getProperty("java.class.path"), "dewplank.Main", program));
         return command;
     }
 }
