--- a/routing/src/main/java/dewplank/quota/HeldShare.java
+++ b/routing/src/main/java/dewplank/quota/HeldShare.java
@@ -1,9 +1,9 @@
 package dewplank.quota;
 
 /**
- * The share of all tenants' limits that one control plane has under a lease. The lease holder of the role {@code list}
- * grants it ({@link ShareAssigner}). The lease starts when the acknowledged heartbeat was sent, so it expires here
- * before the assigner regards it as expired.
+ * The share of all tenants' limits that one control plane has under a lease. The control plane that holds the
+ * lease of the role {@code list} grants it ({@link ShareAssigner}). The lease starts when the acknowledged heartbeat
+ * was sent, so it expires here before the assigner regards it as expired.
  *
  * <p>Not thread-safe; the control plane calls it on its event loop. No I/O; the caller passes the time with each call,
  * in milliseconds of the loop's clock.
--- a/routing/src/main/java/dewplank/quota/QuotaTerms.java
+++ b/routing/src/main/java/dewplank/quota/QuotaTerms.java
@@ -11,9 +11,15 @@
  */
 public record QuotaTerms(double windowMs, double overshoot, double slack) {
     private static final double DRIFT = ShareLease.MAX_CLOCK_DRIFT;
-    /** Covers a round trip to a control plane and one between control planes; below it most tokens arrive too late. */
+    /**
+     * Minimum lifetime of a token. It covers a round trip to a control plane and one between control planes; with a
+     * shorter lifetime most tokens would have expired on arrival.
+     */
     private static final double MIN_TOKEN_LIFETIME_MS = 100;
-    /** The other half of the slack is a reserve for what the proof of the bound does not cover. */
+    /**
+     * Fraction of the slack that is added to the capacity of the buckets. The rest is a reserve for what the proof of
+     * the bound does not cover.
+     */
     private static final double SLACK_FRACTION = 1.0 / 2;
 
     /**
--- a/routing/src/main/java/dewplank/quota/ShareAssigner.java
+++ b/routing/src/main/java/dewplank/quota/ShareAssigner.java
@@ -6,8 +6,8 @@
 
 /**
  * Assigns shares of all tenants' limits to the control planes. The shares in force never add up to more than 1, and all
- * live control planes converge to equal shares. Only the lease holder of the role {@code list} assigns shares. It sends
- * the grants in the acknowledgements of heartbeats, also to its own process.
+ * live control planes converge to equal shares. Only the control plane that holds the lease of the role {@code list}
+ * assigns shares. It sends the grants in the acknowledgements of heartbeats, also to its own process.
  *
  * <p>A new assigner does not know which shares its predecessor assigned. Until those shares have expired it only renews
  * the shares that control planes report; after that it has granted every share in force itself. When a control plane's
@@ -74,7 +74,7 @@
         return new ShareGrant(fraction, fencingToken, lastGrantNumber, renewalOnly);
     }
 
-    /** An equal part of the whole, or the remainder while the shares of other control planes leave less than that. */
+    /** An equal share for each live control plane, or what the shares of the others leave if that is less. */
     private double assignment(double nowMs, OutstandingShare share) {
         double assignedToOthers = 0;
         int live = 0;
--- a/routing/src/main/java/dewplank/quota/ShareLease.java
+++ b/routing/src/main/java/dewplank/quota/ShareLease.java
@@ -4,7 +4,10 @@
 final class ShareLease {
     /** The largest deviation of a monotonic clock's rate from real time, as a fraction. */
     static final double MAX_CLOCK_DRIFT = 0.02;
-    /** Longer than vacancies of the assigner's role; the share of a lost control plane is available again after it. */
+    /**
+     * Duration of the lease. It is longer than the time for which the assigner's role is vacant when its holder
+     * changes. The share of a control plane that has failed can be reassigned after this time.
+     */
     static final double DURATION_MS = 4_000;
     /**
      * How long a control plane uses a share after it sent the heartbeat; within the lease even if its clock is slow.
--- a/routing/src/main/java/dewplank/quota/TakeResult.java
+++ b/routing/src/main/java/dewplank/quota/TakeResult.java
@@ -23,7 +23,8 @@
     record UnknownTenant() implements TakeResult {}
 
     /**
-     * This control plane currently has no share of the limits, so it does not know whether tokens are left elsewhere.
+     * This control plane currently has no share of the limits, so it does not know whether other control planes have
+     * tokens left.
      */
     record NoShare() implements TakeResult {}
 }
--- a/routing/src/main/java/dewplank/quota/TokenStock.java
+++ b/routing/src/main/java/dewplank/quota/TokenStock.java
@@ -14,9 +14,15 @@
  * milliseconds of the loop's clock.
  */
 public final class TokenStock {
-    /** Limits what one data plane takes at once from a bucket that all share, regardless of the tenant's rate. */
+    /**
+     * Maximum number of tokens to request at once. It limits how many tokens one data plane takes from a bucket that
+     * all data planes share, regardless of the tenant's rate.
+     */
     static final int MAX_TOKENS_PER_REQUEST = 64;
-    /** The longest time for which a refusal counts, in milliseconds, as limits and shares may have grown since. */
+    /**
+     * Maximum time, in milliseconds, for which the reply that no token is left is used, because limits and shares may
+     * increase meanwhile.
+     */
     static final double MAX_REFUSAL_MS = 1_000;
     /** Fraction of a token's lifetime over which load is measured; tokens for this load are used before they expire. */
     private static final double LOAD_WINDOW_FRACTION = 1.0 / 4;
@@ -39,7 +45,7 @@
     private double refusedUntilMs = Double.NEGATIVE_INFINITY;
 
     /**
-     * Creates an empty stock.
+     * Creates an instance without tokens.
      *
      * @param lifetimeMs how long a token may be used after it was requested ({@link QuotaTerms#tokenLifetimeMs})
      */
@@ -77,7 +83,7 @@
     }
 
     /**
-     * Adds tokens that a control plane granted; this ends a refusal.
+     * Adds tokens that a control plane granted. An earlier reply that no token is left no longer applies.
      *
      * @param nowMs the current time on the loop's clock
      * @param tokens the number of tokens granted
@@ -123,7 +129,10 @@
         return nowMs < refusedUntilMs;
     }
 
-    /** When the last refusal ends, on the loop's clock; negative infinity if there was none since the last grant. */
+    /**
+     * Until when the last reply that no token is left is used, on the loop's clock; negative infinity if there was none
+     * since the last grant.
+     */
     public double refusedUntilMs() {
         return refusedUntilMs;
     }
--- a/routing/src/main/java/dewplank/routing/EventSplitter.java
+++ b/routing/src/main/java/dewplank/routing/EventSplitter.java
@@ -10,9 +10,9 @@
  * instance, which is called on the event loop. No I/O.
  */
 public final class EventSplitter {
-    /** An incomplete event that exceeds this size is forwarded as it is, to limit the use of memory. */
+    /** Maximum size of a stored incomplete event. A larger one is forwarded incomplete, to limit the use of memory. */
     static final int MAX_INCOMPLETE_BYTES = 256 * 1024;
-    /** The part of a line in which the field name and an id are searched for. */
+    /** Maximum length of the stored start of a line, in which the field name and an id are searched for. */
     private static final int MAX_FIELD_CHARS = 64;
 
     private final ByteArrayOutputStream incomplete = new ByteArrayOutputStream();
--- a/routing/src/main/java/dewplank/routing/HealthSummary.java
+++ b/routing/src/main/java/dewplank/routing/HealthSummary.java
@@ -14,7 +14,8 @@
  * number (4), number of suspected servers (1); for each suspected server the hash of its id (4), failures (1), age (1);
  * then for as many healthy servers as fit, hash (4) and age (1). Ages are in tenths of a second, 25.5 s at most.
  *
- * @param incarnation of the sending process; derived from its start time, so that later incarnations are larger
+ * @param incarnation the incarnation of the sending process, derived from its start time so that later incarnations are
+ *     larger
  * @param sequence the number of this summary within the incarnation
  * @param suspected servers whose requests failed
  * @param healthy servers that served requests, the most recent first
--- a/routing/src/main/java/dewplank/routing/HealthVotes.java
+++ b/routing/src/main/java/dewplank/routing/HealthVotes.java
@@ -19,18 +19,18 @@
     private static final RoutingParameters.HealthGossip GOSSIP = RoutingParameters.DEFAULTS.healthGossip();
 
     /** The failures of a server that one peer reported, with the time on this data plane's clock. */
-    private record Suspicion(int failures, double lastFailureAtMs) {}
+    private record PeerFailures(int failures, double lastFailureAtMs) {}
 
     /** A peer's newest summary by hash of the server's id, with ages converted to times on this data plane's clock. */
     private record PeerReport(
             double receivedAtMs,
             HealthSummary summary,
-            Map<Integer, Suspicion> suspected,
+            Map<Integer, PeerFailures> suspected,
             Map<Integer, Double> servedAtMs) {
         static PeerReport of(double nowMs, HealthSummary summary) {
-            Map<Integer, Suspicion> suspected = new HashMap<>();
+            Map<Integer, PeerFailures> suspected = new HashMap<>();
             for (HealthSummary.Suspected server : summary.suspected()) {
-                suspected.put(server.server(), new Suspicion(server.failures(), nowMs - server.ageMs()));
+                suspected.put(server.server(), new PeerFailures(server.failures(), nowMs - server.ageMs()));
             }
             Map<Integer, Double> servedAtMs = new HashMap<>();
             for (HealthSummary.Healthy server : summary.healthy()) {
@@ -62,15 +62,15 @@
         }
 
         void add(PeerReport report, Integer serverHash) {
-            Suspicion suspicion = report.suspected().get(serverHash);
-            if (suspicion == null) {
+            PeerFailures peerFailures = report.suspected().get(serverHash);
+            if (peerFailures == null) {
                 voters += report.servedAtMs().containsKey(serverHash) ? 1 : 0;
                 return;
             }
             voters++;
-            if (suspicion.failures() >= minFailuresPerVoter
-                    && suspicion.lastFailureAtMs() >= servedAtMs - EJECTION.outdatedAfterMs()) {
-                failures += suspicion.failures();
+            if (peerFailures.failures() >= minFailuresPerVoter
+                    && peerFailures.lastFailureAtMs() >= servedAtMs - EJECTION.outdatedAfterMs()) {
+                failures += peerFailures.failures();
                 votesForEjection++;
             }
         }
--- a/routing/src/main/java/dewplank/routing/Mechanism.java
+++ b/routing/src/main/java/dewplank/routing/Mechanism.java
@@ -15,12 +15,13 @@
     /** The failures required for an ejection are counted over the fleet; otherwise each data plane counts its own. */
     POOLED_FAILURES,
     /**
-     * The rate of trials of an ejected server is limited over the fleet; otherwise each data plane sends one a second.
+     * The rate of trials of an ejected server is limited over the fleet; otherwise each data plane sends one per
+     * second.
      */
     FLEET_TRIALS,
     /** A server with failures has a lower weight in random draws. */
     WEIGHTS,
-    /** Of two drawn servers the one with the lower load is picked; otherwise the first one. */
+    /** The server with the lower load of two drawn servers is picked; otherwise the first drawn server. */
     TWO_CHOICES,
     /** Servers in the data plane's zone, or in the zone where the prompt was prefilled, are preferred. */
     ZONE,
@@ -32,7 +33,7 @@
     STUCK,
     /** Recent queue delays of prompts at a prefill server count as its load. */
     QUEUE_MEMORY,
-    /** Of two decode servers with equal load the one with an idle connection is preferred. */
+    /** A decode server without an idle connection counts as more loaded, by the cost of a new connection. */
     REUSE,
     /** A server that rejected a request or a connection gets no requests during a backoff. */
     RESTING,
--- a/routing/src/main/java/dewplank/routing/PrefillDecodePicker.java
+++ b/routing/src/main/java/dewplank/routing/PrefillDecodePicker.java
@@ -5,17 +5,17 @@
 import java.util.function.Predicate;
 
 /**
- * Picks the prefill server and the decode server of a generation. Shared parts of the prompt are likely to be cached
- * where they were prefilled before, so the prompt goes to the owner of its prefix unless another server is expected to
- * be sooner by more than the cache saves.
+ * Picks the prefill server and the decode server of a generation. The server that prefilled the shared parts of the
+ * prompt before is likely to have them cached, so the prompt goes to the owner of its prefix unless the expected wait
+ * at another server is shorter by more than the time that the cache saves.
  *
  * <p>Called by generations for each attempt, on the event loop. No I/O; the caller passes the time with each call, in
  * milliseconds of the loop's clock. The {@link ServerPicker} makes all random draws.
  *
  * <p>Decode servers don't prefill short prompts, because this interrupts their streams. When they always prefilled
- * prompts of up to 250, 800 or 2,500 uncached tokens, the longer streams reached 0.88, 0.76 or 0.37 of their value,
- * compared with 0.91 when they never did. When they did so only while prefill servers were overloaded, the value was
- * 0.60 instead of 0.99 in a run at high load.
+ * prompts of up to 250, 800 or 2,500 uncached tokens, the score of the longer streams was 0.88, 0.76 or 0.37,
+ * respectively, compared with 0.91 when they never did. When they did so only while prefill servers were overloaded,
+ * the score of a run at high load was 0.60 instead of 0.99. {@link RoutingParameters} defines the score.
  */
 public final class PrefillDecodePicker {
     private static final RoutingParameters.PrefillLoad PREFILL = RoutingParameters.DEFAULTS.prefillLoad();
@@ -28,7 +28,7 @@
      * @param prompt the request's prompt
      * @param prefillZone the zone in which the prompt was prefilled; empty if the decode server has to prefill it
      * @param connected whether there is an idle connection to a server, so that none has to be opened
-     * @param allowed which of the servers the request may go to
+     * @param allowed to which of these servers the request may be sent
      * @param allowsTrial whether the request may be a trial of an ejected server
      */
     public record DecodeArguments(
@@ -56,19 +56,19 @@
      * Picks the prefill server; empty if no server is available.
      *
      * @param servers all prefill servers of the service
-     * @param allowed which of them the request may go to
+     * @param allowed to which of these servers the request may be sent
      */
     public Optional<TrackedServer> pickPrefillServer(
             double nowMs, List<TrackedServer> servers, PromptPrefix prompt, Predicate<TrackedServer> allowed) {
         boolean splitsByLength = picker.policy().isEnabled(Mechanism.LANES);
-        List<TrackedServer> queue = splitsByLength ? queues.serversFor(servers, prompt.tokens()) : servers;
+        List<TrackedServer> candidates = splitsByLength ? queues.serversFor(servers, prompt.tokens()) : servers;
         return picker.pick(
                 nowMs,
                 new ServerPicker.PickArguments(
-                        queue,
+                        candidates,
                         allowed,
                         server -> estimatedPrefillWaitMs(nowMs, server),
-                        prefixOwner(nowMs, queue, prompt),
+                        prefixOwner(nowMs, candidates, prompt),
                         PREFILL.cachedPrefixCredit() * prompt.sharedTokens() / PREFILL.tokensPerMs(),
                         true));
     }
@@ -103,12 +103,12 @@
                 nowMs,
                 arguments
                         .prefillZone()
-                        .map(zone -> byZoneAndConnection(nowMs, arguments, zone))
-                        .orElseGet(() -> byPrefixOwner(nowMs, arguments)));
+                        .map(zone -> argumentsAfterTransfer(nowMs, arguments, zone))
+                        .orElseGet(() -> argumentsForOwnPrefill(nowMs, arguments)));
     }
 
-    /** For a KV cache that is transferred from another server: compares load, zone and connection. */
-    private ServerPicker.PickArguments byZoneAndConnection(
+    /** The arguments for a KV cache that is transferred from another server; compares load, zone and connection. */
+    private ServerPicker.PickArguments argumentsAfterTransfer(
             double nowMs, DecodeArguments arguments, String prefillZone) {
         return new ServerPicker.PickArguments(
                 arguments.servers(),
@@ -121,8 +121,8 @@
                 arguments.allowsTrial());
     }
 
-    /** For a prompt that the decode server prefills itself: prefers the server that has the prefix cached. */
-    private ServerPicker.PickArguments byPrefixOwner(double nowMs, DecodeArguments arguments) {
+    /** The arguments for a prompt that the decode server prefills itself; prefers the owner of the prefix. */
+    private ServerPicker.PickArguments argumentsForOwnPrefill(double nowMs, DecodeArguments arguments) {
         return new ServerPicker.PickArguments(
                 arguments.servers(),
                 arguments.allowed(),
--- a/routing/src/main/java/dewplank/routing/PrefillQueues.java
+++ b/routing/src/main/java/dewplank/routing/PrefillQueues.java
@@ -6,8 +6,8 @@
 
 /**
  * Splits the prefill servers between short and long prompts if there are enough servers, so that short prompts don't
- * wait behind long ones: size interval task assignment (Crovella, Harchol-Balter and Murta, 1998). Owned and called by
- * {@link PrefillDecodePicker}, on the event loop. Its only state is the estimate of prompt lengths.
+ * wait behind long ones. This is size interval task assignment (Crovella, Harchol-Balter and Murta, 1998). Owned and
+ * called by {@link PrefillDecodePicker}, on the event loop. Its only state is the estimate of prompt lengths.
  */
 public final class PrefillQueues {
     private static final RoutingParameters.PromptSplit SPLIT = RoutingParameters.DEFAULTS.promptSplit();
@@ -28,12 +28,12 @@
     public List<TrackedServer> serversFor(List<TrackedServer> servers, long tokens) {
         List<TrackedServer> ready = new ArrayList<>(servers);
         ready.removeIf(server -> !server.isReady());
-        int reserved = (int) Math.round(SPLIT.shortHeadroom() * lengths.shortTokenFraction() * ready.size());
+        int reserved = (int) Math.round(SPLIT.shortServerRatio() * lengths.shortTokenFraction() * ready.size());
         if (reserved < SPLIT.minServers() || ready.size() - reserved < SPLIT.minServers()) {
             return servers;
         }
         ready.sort(
-                Comparator.comparingLong(PrefillQueues::rank)); // the same order at all data planes, and a stable one
+                Comparator.comparingLong(PrefillQueues::rank)); // the order is stable and the same at all data planes
         return lengths.isShort(tokens) ? ready.subList(0, reserved) : ready.subList(reserved, ready.size());
     }
 
--- a/routing/src/main/java/dewplank/routing/PromptPrefix.java
+++ b/routing/src/main/java/dewplank/routing/PromptPrefix.java
@@ -11,7 +11,7 @@
  * @param segments empty if the request has no such header
  */
 public record PromptPrefix(List<Segment> segments) {
-    /** Further segments are ignored, because they hardly affect the pick. */
+    /** Maximum number of parsed segments. Further segments are ignored, because they hardly affect the pick. */
     private static final int MAX_SEGMENTS = 64;
 
     /**
--- a/routing/src/main/java/dewplank/routing/RoutingParameters.java
+++ b/routing/src/main/java/dewplank/routing/RoutingParameters.java
@@ -2,12 +2,16 @@
 
 /**
  * The parameters of routing, grouped by the decision that uses them. {@link Mechanism} states which decisions can be
- * disabled; this record defines their figures. Immutable; each group is read by one class, on the event loop.
+ * disabled; this record defines their values. Immutable; each group is read by one class, on the event loop.
  *
- * <p>The comment on a parameter states its unit, its source, and the results with half and double the value where these
+ * <p>The comment on a parameter states its unit, its source, and the results with half and double its value where these
  * were measured. Half and double were not measured where the comment does not mention them, and a parameter without a
- * source was set by the reasoning in its comment. {@code docs/policy.md} describes the runs. Most values come from the
- * first two sites; they were neither adjusted to other sites nor shown to be irrelevant there (section 5).
+ * source was set by the reasoning in its comment.
+ *
+ * <p>A site is a deployment on which the parameters were tried; {@code docs/policy.md} describes the runs. The score of
+ * a run, from 0 to 1, is the value of its served requests as a fraction of the best possible value; the score of a
+ * group of requests is the same fraction of their value. Most parameters come from the first two sites; they were
+ * neither adjusted to other sites nor shown to be irrelevant there (section 5).
  *
  * @param prefillLoad how the load of a prefill server is estimated
  * @param decodeLoad how the load of a decode server is estimated
@@ -20,7 +24,7 @@
  * @param fleetSize how the number of data planes is estimated
  * @param backoff how long a server gets no requests after a rejection
  * @param hedging when an overdue request is sent to another server
- * @param lastResort until when a decode server may start to prefill a prompt
+ * @param lastResort the deadline until which a decode server may start to prefill a prompt
  * @param stagePlanning how many model servers prefill and how many decode
  */
 public record RoutingParameters(
@@ -41,18 +45,18 @@
     /**
      * Load of a prefill server, as the time in milliseconds until it starts on a prompt.
      *
-     * @param tokensPerMs number of prompt tokens that a prefill server reads per millisecond. Source: the first sites;
-     *     32.4 on the third (policy.md, section 5)
+     * @param tokensPerMs number of prompt tokens that a prefill server reads per millisecond. Source: the first two
+     *     sites; it was 32.4 on the third site (policy.md, section 5)
      * @param cachedPrefixCredit factor on the time that a cached prefix saves. It is above 1 because prefilling the
-     *     prefix elsewhere also evicts cached prefixes of other prompts there. Source: a run at high load without
-     *     faults on the first site, in which 2 reached a value of 1.00, half of it 0.96 and a fifth 0.92. Double: not
-     *     measured
+     *     prefix at another server also evicts cached prefixes of other prompts there. Source: a run at high load
+     *     without faults on the first site, whose score was 1.00 with 2, 0.96 with half of that and 0.92 with a fifth.
+     *     Double was not measured
      * @param stalledAfterMs excess of the oldest request's wait over the expected wait beyond which a server counts as
      *     stalled. Source: the first site, not tuned
      * @param stalledPenaltyMs increase of the load of a stalled server. Source: the first site, not tuned
      * @param tokensPerPriorityLevel number of uncached prompt tokens by which the urgency of a prefill decreases by one
-     *     level. Source: runs at low load on the first site, in which short prompts reached 0.91 of their value with
-     *     priority by length, 0.86 without priority, and 0.76 to 0.83 with priority by route
+     *     level. Source: runs at low load on the first site, in which the score of short prompts was 0.91 with priority
+     *     by length, 0.86 without priority, and 0.76 to 0.83 with priority by route
      */
     public record PrefillLoad(
             double tokensPerMs,
@@ -70,10 +74,10 @@
      * @param requestTokens load of a request in flight; one step of a batch takes 5 ms or more. Source: estimate on the
      *     first site
      * @param connectionTokens load of a new connection, which costs a handshake and a round trip of 1 to 3 ms. Source:
-     *     estimate. Without it (mechanism {@code reuse} disabled) the value on the first site was 0.576 instead of
-     *     0.630 and 0.640
-     * @param crossZoneTokens load of a server in another zone than that of the prefill. Source: estimate on the first
-     *     site
+     *     estimate. With the mechanism {@code reuse} disabled, the score on the first site was 0.576, compared with
+     *     0.630 and 0.640 with the mechanism enabled
+     * @param crossZoneTokens load that is added if the server's zone is not the zone of the prefill. Source: estimate
+     *     on the first site
      */
     public record DecodeLoad(
             double prefillSlowdown, double requestTokens, double connectionTokens, double crossZoneTokens) {}
@@ -84,8 +88,8 @@
      * @param sampleWeight weight of a new delay, from 0 to 1; the state of a queue changes within a few delays. Source:
      *     the first site, not tuned
      * @param decayMs time in which the average decreases to 1/e while no delay is observed; queues of prompts change
-     *     within 0.3 s. Source: the first site. Without the average (mechanism {@code queue-memory} disabled) the value
-     *     was 0.642 instead of 0.630 and 0.640, which is within the noise
+     *     within 0.3 s. Source: the first site. With the mechanism {@code queue-memory} disabled, the score was 0.642,
+     *     compared with 0.630 and 0.640 with the mechanism enabled; the difference is within the measurement noise
      */
     public record QueueDelay(double sampleWeight, double decayMs) {}
 
@@ -94,11 +98,11 @@
      *
      * @param minServers minimum number of servers on either side; with fewer servers the fluctuations of their load
      *     cost more than short prompts gain
-     * @param shortHeadroom ratio of the short prompts' fraction of servers to their fraction of tokens; above 1 because
-     *     short prompts are the urgent ones. Measured on the third site only, and only together with two other changes
-     *     (policy.md, section 3)
-     * @param sampleWeight weight of a new prompt in the averages, from 0 to 1; about thirty prompts count, which one
-     *     data plane receives in ten seconds
+     * @param shortServerRatio ratio of the short prompts' fraction of servers to their fraction of tokens; above 1
+     *     because short prompts are more urgent. Measured on the third site only, and only together with two other
+     *     changes (policy.md, section 3)
+     * @param sampleWeight weight of a new prompt in the averages, from 0 to 1. The averages cover about thirty prompts,
+     *     the number that one data plane receives in ten seconds
      * @param minPrompts number of prompts to observe before short prompts are distinguished
      * @param shortLengthFraction fraction of the token-weighted mean length up to which a prompt is short
      * @param fractionStep step to which the short prompts' fraction of tokens is rounded, so that data planes mostly
@@ -106,7 +110,7 @@
      */
     public record PromptSplit(
             int minServers,
-            double shortHeadroom,
+            double shortServerRatio,
             double sampleWeight,
             int minPrompts,
             double shortLengthFraction,
@@ -116,7 +120,7 @@
      * Weights of random draws.
      *
      * @param crossZoneWeight weight of a server in another zone; a server in the data plane's zone has 1. Source: the
-     *     first sites
+     *     first two sites
      */
     public record Draw(double crossZoneWeight) {}
 
@@ -124,14 +128,15 @@
      * Outlier ejection, and the trial requests that end an ejection.
      *
      * @param minFailures number of failures within the window, summed over all data planes that vote, that is required
-     *     to eject a server. Source: the design of one sidecar
-     * @param outcomeWindowMs how long an outcome counts. Source: the design of one sidecar
-     * @param outdatedAfterMs a failure does not count as a vote if the newest success is later by more than this, which
-     *     covers the rounding of ages and reordered datagrams
+     *     to eject a server. Source: the design of the sidecar's balancer
+     * @param outcomeWindowMs how long an outcome counts. Source: the design of the sidecar's balancer
+     * @param outdatedAfterMs time by which the newest success must be later than a failure so that the failure no
+     *     longer counts as a vote; covers the rounding of ages and reordered datagrams
      * @param decisionValidMs how long a decision on ejection is cached
      * @param trialsPerSecond rate of trials at an ejected server from all data planes together; with ninety data planes
      *     one trial per second from each would be more than the requests of a healthy server
-     * @param minTrialIntervalMs minimum interval between trials of one data plane. Source: the design of one sidecar
+     * @param minTrialIntervalMs minimum interval between trials of one data plane. Source: the design of the sidecar's
+     *     balancer
      */
     public record Ejection(
             int minFailures,
@@ -144,12 +149,12 @@
     /**
      * Health summaries between data planes.
      *
-     * @param intervalMs interval between summaries while nothing changes. Source: the design of one sidecar
-     * @param changeIntervalMs interval between checks for changes, which are sent immediately
+     * @param intervalMs interval between summaries while nothing changes. Source: the design of the sidecar's balancer
+     * @param changeIntervalMs interval between checks for changes; a change that is found is sent immediately
      * @param successValidMs how long this data plane votes for a server after it served a request
      * @param maxPeersPerRound number of peers chosen at random for each summary, which limits the datagrams in a large
      *     fleet
-     * @param summaryValidMs how long a peer's summary counts, on the receiver's clock. Source: three intervals
+     * @param summaryValidMs how long a peer's summary is valid, on the receiver's clock. Source: three intervals
      * @param maxPeers maximum number of peers with a stored summary; further peers are ignored. Source: a limit on the
      *     use of memory
      */
@@ -162,12 +167,13 @@
             int maxPeers) {}
 
     /**
-     * The fractions of its retry budget that a data plane uses. They leave a margin because windows slide and because
-     * requests are also counted elsewhere.
+     * The fractions of its retry budget that a data plane uses. They leave a margin because each data plane counts its
+     * own requests only and the sliding windows of different data planes are not aligned.
      *
-     * @param slackFraction fraction of its part of the slack, because a restarted data plane has lost the count of its
-     *     retries
-     * @param ratioFraction fraction of the ratio, because requests are also counted elsewhere
+     * @param slackFraction the fraction of its part of the slack that a data plane uses; the rest is a margin because a
+     *     restarted data plane has lost the count of its retries
+     * @param ratioFraction the fraction of the ratio that a data plane uses; the rest is a margin because each data
+     *     plane counts its own requests only, in its own window
      * @param windowFactor how long a retry counts, as a multiple of the window
      */
     public record RetryBudgetMargins(double slackFraction, double ratioFraction, double windowFactor) {}
@@ -176,34 +182,35 @@
      * The estimate of the number of data planes that share a retry budget.
      *
      * @param settleFraction fraction of the budget's window after the first membership update during which no slack is
-     *     used. Sessions that were lost together are open again after a connect timeout, a backoff and a heartbeat,
-     *     1.5 s of a window of 10 s. Source: this sum, doubled
-     * @param retainedWindows number of windows for which the largest number of data planes counts after it was last
-     *     current. One window is enough for retries; the others cover partitions and restarts during which data planes
-     *     that are missing from the membership continue to send
+     *     used. Sessions that were lost together are open again after a connect timeout, a backoff and a heartbeat.
+     *     These take 1.5 s in total, of a window of 10 s. Source: twice this sum
+     * @param retainedWindows number of windows for which the largest number of data planes is retained after it was
+     *     last the current number. One window is enough for retries; the others cover partitions and restarts during
+     *     which data planes that are missing from the membership continue to send requests
      */
     public record FleetSizing(double settleFraction, double retainedWindows) {}
 
     /**
      * Exponential backoff from servers, doubled with each consecutive rejection.
      *
-     * @param rejectedMs first backoff after a server rejected a request. Source: the first sites
-     * @param unreachableMs first backoff after a connection failed. Source: the first sites
-     * @param maxMs maximum backoff. Source: the first sites
+     * @param rejectedMs first backoff after a server rejected a request. Source: the first two sites
+     * @param unreachableMs first backoff after a connection failed. Source: the first two sites
+     * @param maxMs maximum backoff. Source: the first two sites
      */
     public record Backoff(double rejectedMs, double unreachableMs, double maxMs) {}
 
     /**
-     * When a request is overdue, so that it is sent to another server if route and budget allow that. Without hedging
-     * (mechanism {@code patience} disabled) the value of a run without unreachable servers was 0.632 instead of 0.630
-     * and 0.640.
+     * When a request is overdue. An overdue request is sent to another server if route and budget allow that. With
+     * hedging disabled (mechanism {@code patience}), the score of a run without unreachable servers was 0.632, compared
+     * with 0.630 and 0.640 with hedging.
      *
-     * @param plainTargetFactor multiple of the route's latency target, for a plain request. Source: the first sites
-     * @param prefillMs constant part for a prefill, added to the multiple of its expected time. Source: the first sites
-     * @param prefillFactor multiple of the expected time of a prefill. Source: the first sites
-     * @param streamMs time without an event of a stream. Source: the first sites
+     * @param plainTargetFactor multiple of the route's latency target, for a plain request. Source: the first two sites
+     * @param prefillMs constant part for a prefill, added to the multiple of its expected time. Source: the first two
+     *     sites
+     * @param prefillFactor multiple of the expected time of a prefill. Source: the first two sites
+     * @param streamMs time without an event after which a stream is overdue. Source: the first two sites
      * @param firstEventFactor multiple of the expected time of the prefill, added before a stream's first event.
-     *     Source: the first sites
+     *     Source: the first two sites
      */
     public record Hedging(
             double plainTargetFactor,
@@ -215,8 +222,8 @@
     /**
      * The latest moment at which a decode server prefills a prompt that no prefill server has prefilled. Clients
      * abandon a stream, also before its first event, after the longest of three times without an event, which the
-     * protocol defines. When half of the remaining time was used instead, routes with a short latency target gave up on
-     * prefill servers too late.
+     * protocol defines. With half of the remaining time as the limit instead, requests of routes with a short latency
+     * target stopped waiting for prefill servers too late.
      *
      * @param minClientTimeoutMs the first of the three times. Source: the protocol
      * @param clientTimeoutTargetFactor the second, as a multiple of the route's latency target. Source: the protocol
@@ -237,18 +244,19 @@
      * The split of model servers between prefill and decode.
      *
      * @param minDecodeFraction minimum fraction of decode servers, so that streams need not wait if one crashes.
-     *     Source: the first sites; two decode servers instead of three reduced the value from 1.00 to 0.55 in a run at
-     *     high load
+     *     Source: the first two sites; two decode servers instead of three reduced the score from 1.00 to 0.55 in a run
+     *     at high load
      * @param maxSlotFraction fraction of the decode servers' slots in use above which another decode server is needed.
-     *     Source: the first sites
-     * @param maxMemoryFraction the same limit for the use of their KV cache. Source: the first sites
-     * @param idleSlotFraction fraction of the remaining slots in use up to which one decode server fewer is enough;
-     *     lower than the other limit, so that servers do not change back and forth. Source: the first sites
+     *     Source: the first two sites
+     * @param maxMemoryFraction the same limit for the use of their KV cache. Source: the first two sites
+     * @param idleSlotFraction fraction of slots in use, counted without one of the decode servers, up to which one
+     *     decode server fewer is enough; lower than {@code maxSlotFraction}, so that servers do not change back and
+     *     forth. Source: the first two sites
      * @param maxChangingFraction fraction of the servers that may change their stage at once while requests run; a
      *     changing server is unavailable until its requests have completed and the switch is done. Source: the third
-     *     site, where changing 63 servers one at a time took longer than the load stayed the same
-     * @param toleratedAbsent number of decode servers that may be missing for a while, because most servers that crash
-     *     are restarted and a change costs prefill time. Source: the first sites
+     *     site, where changing 63 servers one at a time took longer than the time for which the load stayed constant
+     * @param maxMissingDecodeServers number of decode servers that may be missing without a change, because most
+     *     servers that crash are restarted and a change costs prefill time. Source: the first two sites
      */
     public record StagePlanning(
             double minDecodeFraction,
@@ -256,7 +264,7 @@
             double maxMemoryFraction,
             double idleSlotFraction,
             double maxChangingFraction,
-            int toleratedAbsent) {}
+            int maxMissingDecodeServers) {}
 
     /** The values that all programs use. */
     public static final RoutingParameters DEFAULTS = new RoutingParameters(
--- a/routing/src/main/java/dewplank/routing/ServerPicker.java
+++ b/routing/src/main/java/dewplank/routing/ServerPicker.java
@@ -27,7 +27,7 @@
      * The arguments of one pick.
      *
      * @param servers the service's servers, ready or not
-     * @param allowed which of them the request may go to
+     * @param allowed to which of these servers the request may be sent
      * @param load the load to compare, in a unit chosen by the caller
      * @param preferred the server that replaces the first draw if it is available; empty for none
      * @param preferredCredit the amount subtracted from the load of the preferred server
@@ -49,7 +49,7 @@
 
     /** The ready servers, and the ready servers that are not ejected, in the order of the endpoint list. */
     private record Candidates(List<TrackedServer> ready, List<TrackedServer> notEjected) {
-        /** Whether ejections apply. If more than half of the servers are ejected, the fault is probably elsewhere. */
+        /** Whether ejections apply. If more than half are ejected, the servers are probably not the cause. */
         boolean appliesEjections() {
             return 2 * notEjected.size() >= ready.size();
         }
@@ -144,7 +144,7 @@
         return pickOfTwo(nowMs, candidates.eligible(), arguments);
     }
 
-    /** The servers that draws choose from at this time. */
+    /** The servers among which a random draw currently chooses. */
     public List<TrackedServer> eligibleServers(double nowMs, List<TrackedServer> servers) {
         return candidates(nowMs, servers).eligible();
     }
--- a/routing/src/main/java/dewplank/routing/StagePlanner.java
+++ b/routing/src/main/java/dewplank/routing/StagePlanner.java
@@ -9,9 +9,8 @@
 
 /**
  * Plans which model servers of a service change between prefill and decode. Long prompts wait for prefill servers,
- * whereas one decode server runs many streams at once; so only as many servers decode as the streams need. Pure
- * function: the control plane that is the lease holder of the stage role calls it on its event loop with the newest
- * reports.
+ * whereas one decode server runs many streams at once, so no more servers decode than the streams need. Pure function:
+ * the control plane that holds the lease of the role {@code list} calls it on its event loop with the newest reports.
  */
 public final class StagePlanner {
     private static final RoutingParameters.StagePlanning PLANNING = RoutingParameters.DEFAULTS.stagePlanning();
@@ -72,7 +71,8 @@
      * Returns the changes that may start now; none if the split already matches the target. While no request is queued
      * or running, a server that is changing is not needed, so all changes may start at once.
      *
-     * @param servers the ready servers of one service that have reported; servers that are changing have the new stage
+     * @param servers the ready servers of one service that have reported; servers that are changing are passed with the
+     *     new stage
      * @return the changes, in the order in which to order them
      */
     public static List<StageChange> planChanges(List<ModelServer> servers) {
@@ -106,7 +106,7 @@
         List<ModelServer> prefill =
                 servers.stream().filter(ModelServer::isPrefill).toList();
         int target = targetDecodeCount(servers, decode);
-        boolean needsDecode = isOverloaded(decode) || decode.size() + PLANNING.toleratedAbsent() < target;
+        boolean needsDecode = isOverloaded(decode) || decode.size() + PLANNING.maxMissingDecodeServers() < target;
         if (decode.size() < target && needsDecode) {
             return prefill.stream()
                     .filter(server -> !server.isChanging())
@@ -155,7 +155,7 @@
                 : decode.stream().mapToLong(ModelServer::memoryUsed).sum() / capacity;
     }
 
-    /** The decode server with the lowest load in the zone with most decode servers; empty if all are changing. */
+    /** The decode server with the lowest load in the zone with the most decode servers; empty if all are changing. */
     private static Optional<ModelServer> leastLoadedOfLargestZone(List<ModelServer> decode) {
         Map<String, Integer> countByZone = new HashMap<>();
         decode.forEach(server -> countByZone.merge(server.zone(), 1, Integer::sum));
--- a/routing/src/main/java/dewplank/routing/TrackedServer.java
+++ b/routing/src/main/java/dewplank/routing/TrackedServer.java
@@ -137,7 +137,7 @@
         tokensInFlight -= request.tokensToPrefill;
         request.tokensToPrefill = 0;
         inFlight.remove(request);
-        inFlight.add(request); // after the waiting requests, as a prefilled one does not indicate a stalled server
+        inFlight.add(request); // moved behind waiting requests, as its age does not indicate a stalled server
         prefilled.add(request);
         prefilled.retainAll(inFlight);
     }
@@ -162,7 +162,8 @@
     /**
      * Records the queue delay of a prompt that the server has prefilled.
      *
-     * @param delayMs the time beyond the prefill of its tokens, spent behind other prompts; negative values count as 0
+     * @param delayMs the time that the prompt waited before its own prefill: the time until its prefill was complete,
+     *     minus the expected duration of the prefill; negative values count as 0
      */
     public void recordQueueDelay(double nowMs, double delayMs) {
         queueDelayMs = estimatedQueueDelayMs(nowMs)
--- a/routing/src/main/java/dewplank/routing/package-info.java
+++ b/routing/src/main/java/dewplank/routing/package-info.java
@@ -1,9 +1,9 @@
 /**
- * The routing decisions of the router fleet: which server a request goes to
+ * The routing decisions of data planes and control planes: to which server a request is sent
  * ({@link dewplank.routing.ServerPicker}, {@link dewplank.routing.PrefillDecodePicker}), which servers are ejected as
  * unhealthy ({@link dewplank.routing.HealthVotes}), how often requests are retried
  * ({@link dewplank.routing.RetryBudget}), where a stream may be resumed ({@link dewplank.routing.EventSplitter}), and
- * which stage each model server works in ({@link dewplank.routing.StagePlanner}).
+ * in which stage each model server works ({@link dewplank.routing.StagePlanner}).
  * {@link dewplank.routing.RoutingParameters} defines the parameters of these decisions, and
  * {@link dewplank.routing.Mechanism} the mechanisms that can be disabled for measurements.
  *
--- a/routing/src/test/java/dewplank/quota/ShareSuccessionTest.java
+++ b/routing/src/test/java/dewplank/quota/AssignerChangeTest.java
@@ -4,8 +4,11 @@
 
 import org.junit.jupiter.api.Test;
 
-/** A report is delayed during a change of the assigner, and the share in it is assigned to another control plane. */
-class ShareSuccessionTest {
+/**
+ * Checks a report that is delayed during a change of the assigner: it must not restore or raise a share that has been
+ * assigned to another control plane in the meantime.
+ */
+class AssignerChangeTest {
     private static final double RENEWAL_ONLY_UNTIL_MS = ShareLease.IN_FORCE_MS;
 
     private final ShareAssigner predecessor = new ShareAssigner();
--- a/routing/src/test/java/dewplank/quota/QuotaPropertyTest.java
+++ b/routing/src/test/java/dewplank/quota/QuotaPropertyTest.java
@@ -20,7 +20,10 @@
     private static final double DRIFT = ShareLease.MAX_CLOCK_DRIFT;
     private static final double FAULTS_MS = 40_000;
     private static final double STEADY_MS = 10_000;
-    /** Two leases on the slowest clock, and five heartbeats to assign the shares that became available last. */
+    /**
+     * Time after which all shares are equal: two leases on the slowest clock, and five heartbeats to assign the shares
+     * that became available last.
+     */
     private static final double SETTLE_MS = 2 * ShareLease.IN_FORCE_MS / (1 - DRIFT) + 5 * QuotaSimulation.HEARTBEAT_MS;
 
     private static final double ROUNDING = 1e-9;
@@ -62,19 +65,19 @@
     }
 
     private static void injectFault(QuotaSimulation simulation, Random random) {
-        SimulatedControlPlane victim = pick(random, simulation.controlPlanes());
+        SimulatedControlPlane faulty = pick(random, simulation.controlPlanes());
         SimulatedControlPlane other = pick(random, simulation.controlPlanes());
         switch (random.nextInt(12)) {
             case 0, 1 -> {
-                victim.crash();
-                simulation.after(random.nextDouble() * 6_000, victim::start);
+                faulty.crash();
+                simulation.after(random.nextDouble() * 6_000, faulty::start);
             }
-            case 2, 3 -> victim.pause(random.nextDouble() * 6_000);
+            case 2, 3 -> faulty.pause(random.nextDouble() * 6_000);
             case 4, 5, 6 -> simulation.endRoleLease(random.nextBoolean() ? 50 : random.nextDouble() * 2_000);
             case 7 -> simulation.injectMessageFaults(random.nextDouble() * 0.4, random.nextDouble() * 0.3);
             case 8, 9 -> {
-                victim.blockMessagesTo(other);
-                other.blockMessagesTo(victim);
+                faulty.blockMessagesTo(other);
+                other.blockMessagesTo(faulty);
             }
             case 10 -> simulation.changeLimits(randomLimits(random));
             default -> simulation.clearFaults();
--- a/routing/src/test/java/dewplank/quota/QuotaSimulation.java
+++ b/routing/src/test/java/dewplank/quota/QuotaSimulation.java
@@ -324,7 +324,7 @@
         }
     }
 
-    /** One data plane's stock of a tenant's tokens; the tenant sends requests at a constant average rate. */
+    /** One data plane's tokens of one tenant. The tenant sends requests at a constant average rate. */
     final class SimulatedDataPlane {
         private final String tenant;
         private final double intervalMs;
--- a/routing/src/test/java/dewplank/quota/QuotaTermsTest.java
+++ b/routing/src/test/java/dewplank/quota/QuotaTermsTest.java
@@ -25,11 +25,12 @@
     }
 
     /**
-     * With the worst clocks, what buckets fill in a window plus a token's lifetime stays within the rate's overshoot.
+     * With the largest clock drift, the tokens that buckets receive within a window plus a token's lifetime stay within
+     * the rate plus its overshoot.
      */
     @ParameterizedTest
     @ValueSource(doubles = {0, 0.01, 0.02, 0.04, 0.1, 0.5, 2})
-    void theRateStaysWithinItsBoundOnTheWorstClocks(double overshoot) {
+    void theRateStaysWithinItsBoundWithTheLargestClockDrift(double overshoot) {
         QuotaTerms terms = new QuotaTerms(WINDOW_MS, overshoot, 0);
         double drift = ShareLease.MAX_CLOCK_DRIFT;
         double spanMs = WINDOW_MS + terms.tokenLifetimeMs() / (1 - drift);
--- a/routing/src/test/java/dewplank/quota/TokenStockTest.java
+++ b/routing/src/test/java/dewplank/quota/TokenStockTest.java
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void aRefusalLastsForTheReportedTime() {
+    void anExhaustedReplyIsUsedForTheReportedTime() {
         assertFalse(stock.isRefused(0));
         stock.recordRefusal(100, 250);
         assertTrue(stock.isRefused(349));
@@ -71,14 +71,14 @@
     }
 
     @Test
-    void aRefusalEndsAfterItsMaximumTime() {
+    void anExhaustedReplyIsUsedForALimitedTime() {
         stock.recordRefusal(0, Double.POSITIVE_INFINITY);
         assertTrue(stock.isRefused(TokenStock.MAX_REFUSAL_MS - 1));
         assertFalse(stock.isRefused(TokenStock.MAX_REFUSAL_MS));
     }
 
     @Test
-    void tokensEndARefusal() {
+    void grantedTokensOverrideAnExhaustedReply() {
         stock.recordRefusal(0, 900);
         stock.add(10, 1, 5);
         assertFalse(stock.isRefused(10));
--- a/routing/src/test/java/dewplank/routing/EventSplitterTest.java
+++ b/routing/src/test/java/dewplank/routing/EventSplitterTest.java
@@ -95,7 +95,7 @@
         assertTrue(events.isResumable());
     }
 
-    /** The output has the same bytes in the same order, no matter how the stream is split into chunks. */
+    /** The output has the same bytes in the same order, regardless of how the stream is split into chunks. */
     @Property(tries = 300)
     void noByteIsLostOrReorderedForAnyChunkLengths(
             @ForAll @Size(max = 12) java.util.List<@IntRange(min = 1, max = 40) Integer> chunkLengths) {
--- a/routing/src/test/java/dewplank/routing/FleetSizeEstimatorTest.java
+++ b/routing/src/test/java/dewplank/routing/FleetSizeEstimatorTest.java
@@ -26,7 +26,7 @@
 
     /** A restarted control plane sends a membership with only the few sessions that have been opened by then. */
     @Test
-    void anIncompleteMembershipDoesNotReduceTheNumber() {
+    void anIncompleteMembershipDoesNotReduceTheCount() {
         estimator.recordMembership(0, 8);
         estimator.recordMembership(500_000, 2);
         assertEquals(8, estimator.dataPlanes(500_000));
@@ -34,9 +34,9 @@
         assertEquals(8, estimator.dataPlanes(501_000));
     }
 
-    /** The retention of a number starts when it was last current, even if it was received long before. */
+    /** The retention time of a count starts when it was last current, even if it was received long before. */
     @Test
-    void aLargerNumberIsDroppedAfterItsRetention() {
+    void aLargerEarlierCountIsDiscardedAfterTheRetentionTime() {
         estimator.recordMembership(0, 8);
         estimator.recordMembership(500_000, 5);
         assertEquals(8, estimator.dataPlanes(560_000));
--- a/routing/src/test/java/dewplank/routing/GoldenHealthSummaryTest.java
+++ b/routing/src/test/java/dewplank/routing/GoldenHealthSummaryTest.java
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void suspectedAndHealthyServers() {
+    void aSummaryWithSuspectedAndHealthyServersHasTheGoldenBytes() {
         HealthSummary sent = new HealthSummary(
                 1_700_000_000_123L,
                 77,
@@ -49,14 +49,14 @@
     }
 
     @Test
-    void noServers() {
+    void aSummaryWithoutServersHasTheGoldenBytes() {
         HealthSummary summary = new HealthSummary(-1, 1, List.of(), List.of());
         assertEquals(EMPTY, encoded(summary));
         assertEquals(summary, decoded(EMPTY));
     }
 
     @Test
-    void anotherVersionIsNotRead() {
+    void aSummaryOfAnotherFormatVersionIsNotDecoded() {
         assertNull(decoded("01" + FULL.substring(2)));
         assertNull(decoded("03" + FULL.substring(2)));
     }
--- a/routing/src/test/java/dewplank/routing/PolicyTest.java
+++ b/routing/src/test/java/dewplank/routing/PolicyTest.java
@@ -131,20 +131,20 @@
         TrackedServer owner = withAffinity
                 .pickPrefillServer(0, servers, prompt, server -> true)
                 .orElseThrow();
-        int elsewhere = 0;
+        int atOtherServers = 0;
         for (int i = 0; i < 100; i++) {
             assertEquals(
                     owner,
                     withAffinity
                             .pickPrefillServer(0, servers, prompt, server -> true)
                             .orElseThrow());
-            elsewhere += withoutAffinity
+            atOtherServers += withoutAffinity
                                     .pickPrefillServer(0, servers, prompt, server -> true)
                                     .orElseThrow()
                             == owner
                     ? 0
                     : 1;
         }
-        assertTrue(elsewhere > 50);
+        assertTrue(atOtherServers > 50);
     }
 }
--- a/routing/src/test/java/dewplank/routing/PrefillQueuesTest.java
+++ b/routing/src/test/java/dewplank/routing/PrefillQueuesTest.java
@@ -52,12 +52,13 @@
         Set<TrackedServer> inAny = new HashSet<>();
         Set<TrackedServer> inAll = new HashSet<>(servers);
         for (long seed = 0; seed < 90; seed++) {
-            List<TrackedServer> queue = queuesAfterPrompts(seed, 60).serversFor(servers, SHORT);
-            inAny.addAll(queue);
-            inAll.retainAll(queue);
+            List<TrackedServer> forShort = queuesAfterPrompts(seed, 60).serversFor(servers, SHORT);
+            inAny.addAll(forShort);
+            inAll.retainAll(forShort);
         }
         assertTrue(
-                inAny.size() <= 16 && inAll.size() >= 4, inAll.size() + " in all queues, " + inAny.size() + " in any");
+                inAny.size() <= 16 && inAll.size() >= 4,
+                inAll.size() + " reserved by all data planes, " + inAny.size() + " by any");
     }
 
     @Test
@@ -73,7 +74,7 @@
     }
 
     @Test
-    void aServerThatIsNotReadyIsInNeitherQueue() {
+    void aServerThatIsNotReadyIsOnNeitherSideOfTheSplit() {
         List<TrackedServer> servers = servers(47);
         PrefillQueues queues = queuesAfterPrompts(1, 200);
         TrackedServer draining = queues.serversFor(servers, SHORT).get(0);
--- a/routing/src/test/java/dewplank/routing/RoutingParametersTest.java
+++ b/routing/src/test/java/dewplank/routing/RoutingParametersTest.java
@@ -9,7 +9,7 @@
     private static final RoutingParameters DEFAULTS = RoutingParameters.DEFAULTS;
 
     @Test
-    void parametersOfServerLoad() {
+    void serverLoadParametersHaveTheDocumentedValues() {
         assertEquals(38, DEFAULTS.prefillLoad().tokensPerMs());
         assertEquals(2, DEFAULTS.prefillLoad().cachedPrefixCredit());
         assertEquals(150, DEFAULTS.prefillLoad().stalledAfterMs());
@@ -25,9 +25,9 @@
     }
 
     @Test
-    void parametersOfThePromptSplit() {
+    void promptSplitParametersHaveTheDocumentedValues() {
         assertEquals(4, DEFAULTS.promptSplit().minServers());
-        assertEquals(1.25, DEFAULTS.promptSplit().shortHeadroom());
+        assertEquals(1.25, DEFAULTS.promptSplit().shortServerRatio());
         assertEquals(0.03125, DEFAULTS.promptSplit().sampleWeight());
         assertEquals(8, DEFAULTS.promptSplit().minPrompts());
         assertEquals(0.5, DEFAULTS.promptSplit().shortLengthFraction());
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void parametersOfEjectionAndHealthGossip() {
+    void ejectionAndHealthGossipParametersHaveTheDocumentedValues() {
         assertEquals(3, DEFAULTS.ejection().minFailures());
         assertEquals(10_000, DEFAULTS.ejection().outcomeWindowMs());
         assertEquals(500, DEFAULTS.ejection().outdatedAfterMs());
@@ -51,17 +51,17 @@
     }
 
     @Test
-    void parametersOfStagePlanning() {
+    void stagePlanningParametersHaveTheDocumentedValues() {
         assertEquals(0.25, DEFAULTS.stagePlanning().minDecodeFraction());
         assertEquals(0.5, DEFAULTS.stagePlanning().maxSlotFraction());
         assertEquals(0.8, DEFAULTS.stagePlanning().maxMemoryFraction());
         assertEquals(0.25, DEFAULTS.stagePlanning().idleSlotFraction());
         assertEquals(0.1, DEFAULTS.stagePlanning().maxChangingFraction());
-        assertEquals(1, DEFAULTS.stagePlanning().toleratedAbsent());
+        assertEquals(1, DEFAULTS.stagePlanning().maxMissingDecodeServers());
     }
 
     @Test
-    void parametersOfRetriesBackoffAndHedging() {
+    void retryBackoffAndHedgingParametersHaveTheDocumentedValues() {
         assertEquals(0.6, DEFAULTS.retryBudget().slackFraction());
         assertEquals(0.8, DEFAULTS.retryBudget().ratioFraction());
         assertEquals(1.1, DEFAULTS.retryBudget().windowFactor());
--- a/routing/src/test/java/dewplank/routing/ServerPickerTest.java
+++ b/routing/src/test/java/dewplank/routing/ServerPickerTest.java
@@ -24,7 +24,7 @@
         return servers;
     }
 
-    private static HealthSummary suspicionOfFirstServer() {
+    private static HealthSummary summaryWithFirstServerSuspected() {
         return new HealthSummary(1, 1, List.of(new HealthSummary.Suspected("i-0".hashCode(), 3, 0)), List.of());
     }
 
@@ -92,7 +92,7 @@
         List<TrackedServer> servers = servers(3);
         picker.recordOutcome(0, servers.get(0), "class", true);
         for (String peer : List.of("a", "b", "c")) {
-            votes.recordSummary(1, peer, suspicionOfFirstServer());
+            votes.recordSummary(1, peer, summaryWithFirstServerSuspected());
         }
         assertTrue(picker.isEjected(200, servers.get(0)));
         assertTrue(!picker.isEjected(4_000, servers.get(0)), "the summaries have expired");
@@ -104,8 +104,8 @@
         for (int i = 0; i < 20; i++) {
             votes.recordSummary(1, "silent" + i, new HealthSummary(1, 1, List.of(), List.of()));
         }
-        votes.recordSummary(1, "a", suspicionOfFirstServer());
-        votes.recordSummary(1, "b", suspicionOfFirstServer());
+        votes.recordSummary(1, "a", summaryWithFirstServerSuspected());
+        votes.recordSummary(1, "b", summaryWithFirstServerSuspected());
         assertTrue(picker.isEjected(200, servers.get(0)), "two of three votes");
         votes.recordSummary(
                 1, "c", new HealthSummary(1, 1, List.of(), List.of(new HealthSummary.Healthy("i-0".hashCode(), 0))));
@@ -113,7 +113,7 @@
     }
 
     @Test
-    void drainingServersAndThoseInBackoffAreNotPicked() {
+    void drainingServersAndServersInBackoffAreNotPicked() {
         List<TrackedServer> servers = servers(2);
         servers.get(0).updateListing(false, TrackedServer.Stage.PLAIN);
         servers.get(1).backOff(0, 40, 2_000);
