--- a/controlplane/src/main/java/dewplank/controlplane/AcceptorReconfigurer.java
+++ b/controlplane/src/main/java/dewplank/controlplane/AcceptorReconfigurer.java
@@ -15,8 +15,8 @@
  * replaces lost acceptors, and grows the set as machines with a disk appear.
  *
  * <p>Only the lease holder changes the set, one change at a time. Every control plane runs the computation
- * nevertheless, so that a new lease holder already knows how long a machine has been missing. Runs on the loop's thread
- * only. A change that fails is computed again at a later check.
+ * nevertheless, so that a new lease holder already has the time since which each machine has been missing. A change
+ * that fails is computed again at a later check. Must be used on the loop's thread only.
  */
 final class AcceptorReconfigurer {
     private static final Logger LOG = LoggerFactory.getLogger(AcceptorReconfigurer.class);
--- a/controlplane/src/main/java/dewplank/controlplane/Bootstrap.java
+++ b/controlplane/src/main/java/dewplank/controlplane/Bootstrap.java
@@ -37,7 +37,7 @@
         try {
             return new OpenedStorage(openDiskStorage(settings, environment, codec, address), Optional.empty());
         } catch (StoreException failure) {
-            // Does not use the founder's identity: that vote belongs to the disk, which may have cast it already.
+            // Uses another identity than the one on the disk, under which this process may already have voted.
             Storage withoutVote = newMemoryStorage(NON_VOTER_PREFIX + address, settings, environment);
             return new OpenedStorage(withoutVote, Optional.of(failure));
         }
@@ -58,7 +58,7 @@
 
     private static Storage newMemoryStorage(String name, NodeSettings settings, ControlEnvironment environment) {
         String identity = AcceptorId.volatileIdentity(name, environment.newIdentity());
-        FleetBootstrap bootstrap = new FleetBootstrap(seeds(settings), true); // no vote was cast under this identity
+        FleetBootstrap bootstrap = new FleetBootstrap(seeds(settings), true); // a new identity has never voted
         return new MemoryStorage(environment.scheduler(), identity, bootstrap);
     }
 
--- a/controlplane/src/main/java/dewplank/controlplane/ConfigurationHistory.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ConfigurationHistory.java
@@ -10,10 +10,11 @@
 /**
  * The most recent configurations that the register has chosen, and the encoded updates from each of them to the newest.
  *
- * <p>Each update is encoded once, regardless of the number of data planes that need it. Used on the loop's thread only.
+ * <p>Each update is encoded once, regardless of the number of data planes that need it. Must be used on the loop's
+ * thread only.
  */
 final class ConfigurationHistory {
-    /** Versions from which a delta can be computed; data planes with older ones receive the full configuration. */
+    /** Maximum number of stored versions. A data plane with an older version receives the full configuration. */
     private static final int MAX_VERSIONS = 8;
 
     /**
--- a/controlplane/src/main/java/dewplank/controlplane/ConfigurationCalls.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ConfigurationRequests.java
@@ -11,22 +11,29 @@
 import java.util.function.Consumer;
 
 /**
- * Handles operators' calls that read or change the configuration: converts a call to a request to the register, and the
- * outcome of the request to a numbered result. Called by {@link OperatorApi} on the loop's thread only.
+ * Handles operators' requests that read or change the configuration: converts an HTTP request to a request to the
+ * register, and the outcome of that request to a response with a result code. {@link OperatorApi} calls it on the
+ * loop's thread only.
  */
-final class ConfigurationCalls {
-    /** Below one second, after which a caller without a response calls another control plane. */
+final class ConfigurationRequests {
+    /**
+     * Timeout of a change. It is less than one second, because a client without a response after one second sends the
+     * request to another control plane.
+     */
     private static final double CHANGE_TIMEOUT_MS = 850;
 
     private static final double READ_TIMEOUT_MS = 850;
-    /** Longer, because a large configuration takes more time to send, to parse and to store. */
+    /**
+     * Timeout of a change whose body is larger than {@link #LARGE_CHANGE_BYTES}, which takes more time to send, to
+     * parse and to store.
+     */
     private static final double LARGE_CHANGE_TIMEOUT_MS = 1_500;
 
     private static final int LARGE_CHANGE_BYTES = 64 * 1024;
 
     private final OperatorApi.Configurations configurations;
 
-    ConfigurationCalls(OperatorApi.Configurations configurations) {
+    ConfigurationRequests(OperatorApi.Configurations configurations) {
         this.configurations = configurations;
     }
 
@@ -39,10 +46,10 @@
      * Changes the configuration.
      *
      * @param patch whether the body is a patch; otherwise it is a complete configuration
-     * @throws RejectedCallException if the {@code If-Match} header is missing or is not a version
+     * @throws RejectedRequestException if the {@code If-Match} header is missing or is not a version
      */
     void change(InboundConnection.Request request, boolean patch, Consumer<OperatorResponse> respond)
-            throws RejectedCallException {
+            throws RejectedRequestException {
         long baseVersion = baseVersion(request.headers().get("If-Match"));
         ChangeRequest change = new ChangeRequest(patch, baseVersion, request.body());
         double timeoutMs = request.body().length > LARGE_CHANGE_BYTES ? LARGE_CHANGE_TIMEOUT_MS : CHANGE_TIMEOUT_MS;
@@ -50,9 +57,9 @@
     }
 
     /** Parses the version in the {@code If-Match} header, with or without quotes. */
-    private static long baseVersion(String ifMatch) throws RejectedCallException {
+    private static long baseVersion(String ifMatch) throws RejectedRequestException {
         if (ifMatch == null) {
-            throw new RejectedCallException(
+            throw new RejectedRequestException(
                     ResultCode.IF_MATCH_MISSING, "If-Match has to give the version that the change builds on");
         }
         long version;
@@ -62,7 +69,7 @@
             version = -1;
         }
         if (version < 0) {
-            throw new RejectedCallException(
+            throw new RejectedRequestException(
                     ResultCode.IF_MATCH_MALFORMED, "If-Match should be a version, a whole number");
         }
         return version;
--- a/controlplane/src/main/java/dewplank/controlplane/ConfigurationStore.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ConfigurationStore.java
@@ -28,20 +28,23 @@
  * Stores the configuration in the replicated register. Supplies {@link Register}, which does no I/O itself, with
  * messages, disk writes and timer ticks.
  *
- * <p>Used on the loop's thread only. Each request completes with exactly one {@link Outcome}, at its deadline at the
- * latest, and none throws.
+ * <p>Must be used on the loop's thread only. Each request completes with exactly one {@link Outcome}, at its deadline
+ * at the latest, and none throws.
  */
 final class ConfigurationStore
         implements Register.Effects<ChangeResult>, OperatorApi.Configurations, SingletonRoles.Voters {
     private static final Logger LOG = LoggerFactory.getLogger(ConfigurationStore.class);
     private static final double TICK_INTERVAL_MS = 25;
-    /** A round consists of two round trips and two synced writes, which take a few milliseconds on an idle machine. */
+    /**
+     * Timeout of a round of the register's protocol. A round consists of two round trips and two synced writes, which
+     * take a few milliseconds on an idle machine.
+     */
     private static final double ROUND_TIMEOUT_MS = 250;
     /** Bounds of the random backoff before a round is retried. */
     private static final double RETRY_MIN_MS = 10;
 
     private static final double RETRY_MAX_MS = 120;
-    /** How often peers compare the values that they know to be chosen. */
+    /** Interval at which control planes compare the newest values that are chosen according to their state. */
     private static final double ANTI_ENTROPY_INTERVAL_MS = 400;
 
     /** Stores the acceptor's state. */
@@ -59,7 +62,7 @@
         void send(String address, RegisterMessage message);
 
         /** A newer configuration has been chosen. */
-        void chosen(Configuration configuration);
+        void onConfigurationChosen(Configuration configuration);
     }
 
     private final Scheduler loop;
@@ -136,7 +139,7 @@
         Configuration configuration =
                 ConfigurationDocument.decode(value.payload()).configuration();
         if (configuration != null) {
-            environment.chosen(configuration);
+            environment.onConfigurationChosen(configuration);
         }
     }
 
@@ -233,7 +236,10 @@
         return register.chosenValue() != null;
     }
 
-    /** Whether no value is known to be chosen and the initial acceptors, all without a disk, have ended. */
+    /**
+     * Whether no value is known to be chosen and the processes of the initial acceptors, all without a disk, have
+     * terminated.
+     */
     boolean areInitialAcceptorsEnded() {
         return register.areInitialAcceptorsEnded();
     }
--- a/controlplane/src/main/java/dewplank/controlplane/ControlComponents.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ControlComponents.java
@@ -31,12 +31,12 @@
  * them.
  *
  * <p>The components are created in a fixed order, because some draw random numbers when they are created and a
- * simulation has to be able to replay them. After construction, used on the loop's thread only.
+ * simulation has to be able to replay them. After construction, must be used on the loop's thread only.
  */
 final class ControlComponents {
     private static final Logger LOG = LoggerFactory.getLogger(ControlComponents.class);
 
-    /** A data plane stops being a member when no heartbeat has arrived for this time. */
+    /** A data plane is no longer a member when no heartbeat has arrived from it for this time. */
     private static final double SESSION_LEASE_MS = 2_000;
 
     private final Scheduler loop;
@@ -179,7 +179,7 @@
 
     private final class MeshHandler implements ControlMesh.Handler {
         @Override
-        public ControlHeartbeat heartbeat(long sequence) {
+        public ControlHeartbeat createHeartbeat(long sequence) {
             stallDetector.check();
             return new ControlHeartbeat(
                     sequence,
@@ -190,12 +190,12 @@
         }
 
         @Override
-        public void received(String from, Object message) {
+        public void onMessage(String from, Object message) {
             dispatcher.dispatch(from, message);
         }
 
         @Override
-        public void linkUp(String to) {
+        public void onLinkUp(String to) {
             if (!poller.newest().version.equals(EndpointListVersion.NONE)) {
                 mesh.send(to, poller.newest());
             }
@@ -219,7 +219,7 @@
         }
 
         @Override
-        public void chosen(Configuration newer) {
+        public void onConfigurationChosen(Configuration newer) {
             if (history.add(newer)) {
                 stallDetector.check();
                 LOG.info("configuration chosen version={}", newer.version());
@@ -259,7 +259,7 @@
         return address;
     }
 
-    /** Whether this process uses a disk; a process that does not is a relay. */
+    /** Whether this process uses a disk. */
     boolean isDurable() {
         return durable;
     }
--- a/controlplane/src/main/java/dewplank/controlplane/ControlEnvironment.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ControlEnvironment.java
@@ -9,8 +9,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The external dependencies of a control plane: clock, random numbers, links, disk, platform, model servers and
- * operators' calls. {@link SystemEnvironment} implements it for a real machine; simulations have another
+ * The external dependencies of a control plane: clock, random numbers, links, disk, platform, model servers and the
+ * listener for operators. {@link SystemEnvironment} implements it for a real machine; simulations have another
  * implementation.
  */
 interface ControlEnvironment {
@@ -36,7 +36,8 @@
     ModelServerClient modelServers();
 
     /**
-     * Binds the address for operators' calls, which are accepted after {@link ServerEndpoint#accept} has been called.
+     * Binds the address of the operators' interface. Connections are accepted once {@link ServerEndpoint#accept} has
+     * been called.
      *
      * @throws IOException if the process can't listen on the address
      */
--- a/controlplane/src/main/java/dewplank/controlplane/ControlMesh.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ControlMesh.java
@@ -17,13 +17,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The full mesh of links between control planes: each control plane connects to all others that it knows. It sends
- * messages on the links that it has opened, and receives the others' messages on the links that they have opened.
+ * The full mesh of links between control planes: each control plane connects to all others whose addresses it has. It
+ * sends messages on the links that it has opened, and receives the others' messages on the links that they have opened.
  *
  * <p>A heartbeat on each link carries the sessions of data planes and detects a dead peer, because a network partition
- * does not close connections. {@link ControlComponents} creates the mesh; all methods run on the loop's thread only and
- * none throws. Links and peers are iterated in the order in which they were added, so that a simulation can be
- * replayed.
+ * does not close connections. {@link ControlComponents} creates the mesh; its methods must be called on the loop's
+ * thread only, and none throws. Links and peers are iterated in the order in which they were added, so that a
+ * simulation can be replayed.
  */
 final class ControlMesh {
     private static final Logger LOG = LoggerFactory.getLogger(ControlMesh.class);
@@ -31,7 +31,9 @@
     private static final double HEARTBEAT_INTERVAL_MS = 300;
     /** Maximum number of links. A further link evicts the one that has been down for longest. */
     static final int MAX_PEERS = 64;
-    /** A replaced machine never responds again: its address is evicted after this time, unless it is retained. */
+    /**
+     * An address whose link has been down for this time is evicted, unless it is retained: its machine was replaced.
+     */
     static final double DEAD_PEER_RETENTION_MS = 60_000;
     /** A peer's report that it reaches a quorum is valid for three heartbeat intervals. */
     private static final double QUORUM_REPORT_VALIDITY_MS = 1_000;
@@ -41,7 +43,7 @@
      *
      * @param member its node name, address, zone and incarnation
      * @param identity the identity of its disk, or of its process if it has no disk
-     * @param durable whether it has a disk; a control plane without a disk is a relay
+     * @param durable whether it uses a disk
      * @param lastReceivedAt when its last message arrived, on the loop's clock in milliseconds
      * @param firstReceivedAt when its first message under this identity arrived
      */
@@ -50,13 +52,13 @@
     /** Supplies the heartbeats for peers and receives their messages. Called on the loop's thread. */
     interface Handler {
         /** Creates the heartbeat that is sent to all peers now. */
-        ControlHeartbeat heartbeat(long sequence);
+        ControlHeartbeat createHeartbeat(long sequence);
 
-        /** A message has arrived: from this process to itself, or a peer's reply on the link to that peer. */
-        void received(String address, Object message);
+        /** Handles a message from this process to itself, or a peer's reply on the link to that peer. */
+        void onMessage(String address, Object message);
 
-        /** A link to the peer has come up. Sends the state that the peer may lack. */
-        void linkUp(String address);
+        /** The link to the peer is up. Sends the state that the peer may not have yet. */
+        void onLinkUp(String address);
 
         /** Whether the address is never evicted, because it belongs to a seed or an acceptor. */
         boolean isRetained(String address);
@@ -152,31 +154,33 @@
         return link != null && link.isUp();
     }
 
-    /** Whether the links to all known control planes, except relays, are up. */
+    /** Whether the links to all other control planes with a disk are up. */
     boolean areAllControlPlanesUp() {
-        return links.values().stream().allMatch(link -> link.isUp() || isRelay(link.address()));
+        return links.values().stream().allMatch(link -> link.isUp() || isDiskless(link.address()));
     }
 
-    /** The addresses of this process and of the links that are up, excluding relays. */
+    /** The addresses of this process and of the links that are up, except those of control planes without a disk. */
     List<String> liveAddresses() {
         List<String> live = new ArrayList<>();
         if (hello.durable) {
             live.add(hello.member.address);
         }
-        links.values().stream().filter(l -> l.isUp() && !isRelay(l.address())).forEach(l -> live.add(l.address()));
+        links.values().stream()
+                .filter(l -> l.isUp() && !isDiskless(l.address()))
+                .forEach(l -> live.add(l.address()));
         return live;
     }
 
     /** Whether the peer at the address has reported that it has no disk. */
-    private boolean isRelay(String address) {
+    private boolean isDiskless(String address) {
         Peer peer = peers.get(address);
         return peer != null && !peer.durable();
     }
 
-    /** All addresses except those of relays, live ones first, for use when it is not certain which ones are alive. */
+    /** All addresses except those of control planes without a disk; those whose links are up are the first ones. */
     List<String> addressesLiveFirst() {
         Set<String> all = new LinkedHashSet<>(liveAddresses());
-        links.keySet().stream().filter(a -> !isRelay(a)).forEach(all::add);
+        links.keySet().stream().filter(a -> !isDiskless(a)).forEach(all::add);
         return new ArrayList<>(all);
     }
 
@@ -201,7 +205,7 @@
      */
     void send(String address, Object message) {
         if (address.equals(hello.member.address)) {
-            loop.execute(() -> handler.received(address, message));
+            loop.execute(() -> handler.onMessage(address, message));
             return;
         }
         PeerLink link = links.get(address);
@@ -210,19 +214,19 @@
         }
     }
 
-    /** Sends a message on all links that are up, except those to relays. */
+    /** Sends a message on all links that are up, except those to control planes without a disk. */
     void broadcast(Object message) {
         for (PeerLink link : links.values()) {
-            if (!isRelay(link.address())) {
+            if (!isDiskless(link.address())) {
                 link.send(message);
             }
         }
     }
 
-    /** A control plane has connected to this one and sent its hello. */
-    void helloReceived(ControlHello from) {
+    /** Handles the hello of a control plane that has connected to this one. */
+    void onHello(ControlHello from) {
         recordReceived(from);
-        if (from.durable) { // a relay only sends requests and never receives any
+        if (from.durable) { // nothing is ever sent to a control plane without a disk
             addAddresses(List.of(from.member.address));
         }
         PeerLink link = links.get(from.member.address);
@@ -247,7 +251,7 @@
 
     private void sendHeartbeats() {
         sequence++;
-        ControlHeartbeat heartbeat = handler.heartbeat(sequence);
+        ControlHeartbeat heartbeat = handler.createHeartbeat(sequence);
         links.values().forEach(l -> l.sendHeartbeat(heartbeat));
         evictDeadPeers();
         loop.after(HEARTBEAT_INTERVAL_MS, this::sendHeartbeats);
@@ -255,17 +259,17 @@
 
     private final class LinkListener implements PeerLink.Listener {
         @Override
-        public void linkUp(String address) {
-            handler.linkUp(address);
+        public void onLinkUp(String address) {
+            handler.onLinkUp(address);
         }
 
         @Override
-        public void received(String address, Object message) {
-            handler.received(address, message);
+        public void onMessage(String address, Object message) {
+            handler.onMessage(address, message);
         }
 
         @Override
-        public void addressesReported(List<String> addresses) {
+        public void onAddressesReported(List<String> addresses) {
             addAddresses(addresses);
         }
     }
--- a/controlplane/src/main/java/dewplank/controlplane/ControlPlane.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ControlPlane.java
@@ -22,21 +22,21 @@
 /**
  * The program of the control plane: start, reload of the settings, and graceful shutdown.
  *
- * <p>On a machine without a disk the control plane is a relay: it reports the addresses of control planes with a disk
- * to operators and data planes, holds no lease and no session, and is an acceptor only until the initial set, which
- * consists of the seeds, has been moved to machines with a disk. It is also a relay if the disk can't be used at the
- * start, but then it is not an acceptor.
+ * <p>On a machine without a disk, the control plane only reports the addresses of control planes with a disk to
+ * operators and data planes. It acquires no lease, sends no updates to data planes, and is an acceptor only until the
+ * initial set, which consists of the seeds, has been moved to machines with a disk. A control plane whose disk can't be
+ * used at the start runs in the same way, but is never an acceptor.
  *
  * <p>The public methods may be called from any thread; the work is done on the event loop's thread.
  */
 public final class ControlPlane {
     private static final Logger LOG = LoggerFactory.getLogger(ControlPlane.class);
 
-    /** How often the members are checked for changes that have to be sent to data planes. */
+    /** Interval at which the members are checked for changes, which are sent to data planes. */
     private static final double MEMBERS_CHECK_INTERVAL_MS = 250;
 
     private static final double DRAIN_CHECK_INTERVAL_MS = 20;
-    /** Operators' calls that are still in flight after this time get the result {@code ENDING}. */
+    /** Operators' requests that are still in flight after this time get the result {@code ENDING}. */
     private static final double MAX_DRAIN_MS = 1_500;
     /** The limit for each of the two listening addresses. */
     static final int MAX_CONNECTIONS = 1_024;
@@ -45,8 +45,8 @@
     private final ControlEnvironment environment;
     private final Scheduler loop;
     private final ControlComponents components;
-    private final ServerEndpoint operatorEndpoint;
-    private final ServerEndpoint internalEndpoint;
+    private final ServerEndpoint operatorListener;
+    private final ServerEndpoint internalListener;
     private long pushedMembersDigest;
 
     /**
@@ -79,10 +79,10 @@
         this.environment = environment;
         loop = environment.scheduler();
         components = new ControlComponents(settings, environment, codec, policy, onDiskUsable);
-        operatorEndpoint = environment.operators(components.operatorApi());
-        internalEndpoint = environment
+        operatorListener = environment.operators(components.operatorApi());
+        internalListener = environment
                 .transport()
-                .listen(SocketAddresses.socketAddress(components.address()), MAX_CONNECTIONS, components::inboundLink);
+                .listen(SocketAddresses.parse(components.address()), MAX_CONNECTIONS, components::inboundLink);
     }
 
     /** Starts to listen, to connect to the others, and to take part in the fleet. Returns immediately. */
@@ -91,8 +91,8 @@
     }
 
     private void startOnLoop() {
-        internalEndpoint.accept();
-        operatorEndpoint.accept();
+        internalListener.accept();
+        operatorListener.accept();
         components.updateSeeds(settings);
         components.storage().savedList().ifPresent(components.poller()::receive);
         boolean durable = components.isDurable();
@@ -144,7 +144,7 @@
     }
 
     /**
-     * Shuts down gracefully, on SIGTERM: releases the lease, completes the calls in flight, closes links and disk.
+     * Shuts down gracefully, on SIGTERM: releases the lease, completes the requests in flight, closes links and disk.
      * Blocks until that is done, for 3 s at most.
      */
     public void drain() throws InterruptedException {
@@ -161,7 +161,7 @@
         loop.execute(() -> {
             LOG.info("draining");
             components.roles().releaseAll();
-            operatorEndpoint.close();
+            operatorListener.close();
             completeDrainWhenIdle(loop.now() + MAX_DRAIN_MS, callback);
         });
     }
@@ -169,7 +169,7 @@
     private void completeDrainWhenIdle(double deadline, Runnable callback) {
         OperatorApi operatorApi = components.operatorApi();
         if (operatorApi.close() || loop.now() >= deadline) {
-            operatorApi.abortCallsInFlight();
+            operatorApi.abortRequestsInFlight();
             loop.after(DRAIN_CHECK_INTERVAL_MS, callback);
         } else {
             loop.after(DRAIN_CHECK_INTERVAL_MS, () -> completeDrainWhenIdle(deadline, callback));
--- a/controlplane/src/main/java/dewplank/controlplane/ControlPlaneRunner.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ControlPlaneRunner.java
@@ -8,8 +8,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Runs a control plane until it is drained. If the disk can't be used at the start, the control plane serves without a
- * vote, and is replaced by a new one in the same process once the disk can be used.
+ * Runs a control plane until it is drained. If the disk can't be used at the start, the control plane runs without its
+ * disk and does not vote. Once the disk can be used, a new control plane replaces it in the same process.
  *
  * <p>The methods may be called from any thread; those that drain block until the control plane is drained.
  */
--- a/controlplane/src/main/java/dewplank/controlplane/DataPlaneReports.java
+++ b/controlplane/src/main/java/dewplank/controlplane/DataPlaneReports.java
@@ -11,12 +11,14 @@
 /**
  * Stores which configuration each data plane last reported, and since when. Operators query all control planes and
  * compare the reports. The report of a data plane whose session has ended is retained for a day, unless it is evicted
- * because {@link #MAX_REPORTS} is reached. Times are in milliseconds of the loop's clock; on its thread only.
+ * because {@link #MAX_REPORTS} is reached. Times are in milliseconds of the loop's clock. Must be used on the loop's
+ * thread only.
  */
 final class DataPlaneReports {
-    /** Equals the maximum number of sessions. */
+    /** Maximum number of reports, equal to the maximum number of sessions. */
     static final int MAX_REPORTS = SessionTable.MAX_SESSIONS;
 
+    /** Retention time of the report of a data plane without a session: one day. */
     static final double RETENTION_MS = 24 * 3_600_000.0;
 
     /**
@@ -46,8 +48,8 @@
         reportsByNode.put(member.node, new Report(member, configurationVersion, sinceMs, nowMs, true));
     }
 
-    /** Marks the report as without a session, unless a newer process has reported for the same node since. */
-    void sessionEnded(Member member) {
+    /** A session has closed: marks the report accordingly, unless a newer process has reported for the same node. */
+    void onSessionClosed(Member member) {
         reportsByNode.computeIfPresent(
                 member.node,
                 (node, last) -> last.member().equals(member)
--- a/controlplane/src/main/java/dewplank/controlplane/DataPlaneSessions.java
+++ b/controlplane/src/main/java/dewplank/controlplane/DataPlaneSessions.java
@@ -20,13 +20,13 @@
  * The sessions of data planes with this control plane. Each heartbeat renews the session's lease and is acknowledged;
  * state that is newer than the data plane's versions is sent as soon as it is available.
  *
- * <p>{@link ControlPlane} passes in connections and messages, on the loop's thread only. A session ends when its
- * connection closes; no method throws.
+ * <p>{@link InboundLink} passes in connections and messages, on the loop's thread only. A session ends when its
+ * connection closes. No method throws.
  */
 final class DataPlaneSessions {
     private static final Logger LOG = LoggerFactory.getLogger(DataPlaneSessions.class);
 
-    /** The fleet state that is sent to data planes. On the loop's thread. */
+    /** Supplies the fleet state that is sent to data planes. Called on the loop's thread. */
     interface UpdateSource {
         /** The part of the fleet state that is newer than these versions; empty if there is none. */
         Optional<FleetUpdate> newerThan(DataPlaneVersions versions);
@@ -74,7 +74,7 @@
         List.copyOf(sessions).forEach(Session::sendUpdateOrClose);
     }
 
-    /** The event loop stalled for this time and could not read heartbeats, so the leases are extended by it. */
+    /** Extends the leases by the time for which the event loop stalled, because it read no heartbeats meanwhile. */
     void stalled(double stalledMs) {
         sessions.forEach(s -> s.lastHeartbeatAt += stalledMs);
         table.extendLeases(stalledMs);
@@ -84,7 +84,7 @@
         return sessions.size();
     }
 
-    /** The configuration that each data plane acts on, as reported to this control plane. */
+    /** The configuration that each data plane uses, according to its reports to this control plane. */
     List<DataPlaneReports.Report> reports() {
         return reports.reports(loop.now());
     }
@@ -103,7 +103,7 @@
         }
 
         /** Renews the lease, acknowledges the heartbeat, and sends state newer than the data plane's versions. */
-        void heartbeat(SessionHeartbeat heartbeat) {
+        void onHeartbeat(SessionHeartbeat heartbeat) {
             lastHeartbeatAt = loop.now();
             table.renew(lastHeartbeatAt, member);
             versions.onHeartbeat(heartbeat);
@@ -139,11 +139,11 @@
             connection.send(update);
         }
 
-        /** The connection has closed. */
-        void closed() {
+        /** Removes the session after its connection has closed. */
+        void onClosed() {
             sessions.remove(this);
             table.close(member);
-            reports.sessionEnded(member);
+            reports.onSessionClosed(member);
             LOG.info("session closed node={}", member.node);
         }
     }
--- a/controlplane/src/main/java/dewplank/controlplane/DataPlaneVersions.java
+++ b/controlplane/src/main/java/dewplank/controlplane/DataPlaneVersions.java
@@ -7,8 +7,8 @@
 
 /**
  * The versions of the fleet state that a data plane has: those that it reported in its first heartbeat, replaced by
- * those of updates sent to it since. Links deliver in order, so an update that was sent counts as received. One
- * instance per session; on the loop's thread only.
+ * those of updates sent to it since. Links deliver in order, so an update that was sent counts as received. There is
+ * one instance per session. Must be used on the loop's thread only.
  */
 final class DataPlaneVersions {
     private long configurationVersion;
--- a/controlplane/src/main/java/dewplank/controlplane/DiskRecovery.java
+++ b/controlplane/src/main/java/dewplank/controlplane/DiskRecovery.java
@@ -9,13 +9,16 @@
 
 /**
  * Probes a disk that could not be used when the process started. Until the disk can be used, the process serves as a
- * relay and has no vote, because the disk may contain votes that the process does not know. Then the control plane is
- * started again with the disk, exactly as after a restart of the process. Runs on the loop's thread only, except for
- * the probe.
+ * control plane without a disk and does not vote, because the disk may contain votes that the process can't read. Then
+ * the control plane is started again with the disk, exactly as after a restart of the process. Must be used on the
+ * loop's thread only; the disk executor runs the probe.
  */
 final class DiskRecovery {
     private static final Logger LOG = LoggerFactory.getLogger(DiskRecovery.class);
-    /** A disk that hangs or is full stays so for seconds; opening its files takes a few synced writes at most. */
+    /**
+     * Interval between two probes. A disk that hangs or is full remains so for seconds, and a probe takes a few synced
+     * writes at most.
+     */
     static final double PROBE_INTERVAL_MS = 1_000;
 
     private final Scheduler loop;
--- a/controlplane/src/main/java/dewplank/controlplane/EndpointPoller.java
+++ b/controlplane/src/main/java/dewplank/controlplane/EndpointPoller.java
@@ -13,31 +13,32 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The endpoint list of the fleet: the lease holder polls the platform and publishes changes; every other control plane
- * accepts the newest list that it receives.
+ * Maintains the endpoint list of the fleet. On the lease holder it polls the platform and publishes a list that has
+ * changed; on every other control plane it stores the newest list that was received.
  *
  * <p>A list is published only under the fencing token under which the platform was polled, so a list of a former lease
- * holder can't be taken for a newer one. On the loop's thread only. A failed poll leaves the last list in place.
+ * holder can't be taken for a newer one. If a poll fails, the last list remains in use. Must be used on the loop's
+ * thread only.
  */
 final class EndpointPoller {
     private static final Logger LOG = LoggerFactory.getLogger(EndpointPoller.class);
 
     private static final double POLL_INTERVAL_MS = 400;
-    /** How soon a new lease holder starts to poll. */
+    /** Interval at which the lease is checked; a new lease holder starts to poll within it. */
     private static final double CHECK_INTERVAL_MS = 50;
     /**
-     * The lease is released when polls have failed for this fraction of {@code drain_ms}. The remaining half is for a
-     * successor to acquire the lease, which takes a few round trips after a release, and for its first poll.
+     * The lease is released when polls have failed for this fraction of {@code drain_ms}. In the remaining half, a
+     * successor acquires the lease, which takes a few round trips after a release, and completes its first poll.
      */
     private static final double MAX_FAILING_FRACTION_OF_DRAIN = 0.5;
     /**
-     * While the platform responds to no control plane, the lease passes to another one at increasing intervals: after
-     * 1.5 s, 3 s, and so on up to 24 s.
+     * Limit of the factor by which the time until a release grows. While the platform responds to no control plane,
+     * each release doubles this time: with a {@code drain_ms} of 3,000 it is 1.5 s, 3 s, and so on up to 24 s.
      */
     private static final double MAX_BACKOFF_FACTOR = 16;
     /**
-     * Time without a candidacy after a release. It is long enough for another process to acquire the lease, which takes
-     * at most one lease duration if all processes are up.
+     * After a release, this process does not become a candidate for this fraction of {@code drain_ms}. This is long
+     * enough for another process to acquire the lease, which takes at most one lease duration if all processes are up.
      */
     private static final double STEP_DOWN_FRACTION_OF_DRAIN = 1;
 
@@ -100,7 +101,7 @@
         stageOverrides.put(instanceId, new StageOverride(stage, loop.now() + validMs));
     }
 
-    /** Removes all overrides because they belong to a lease that has ended. */
+    /** Removes all overrides, when the lease under which they were set has been lost. */
     void clearStageOverrides() {
         stageOverrides.clear();
     }
--- a/controlplane/src/main/java/dewplank/controlplane/FleetUpdateSource.java
+++ b/controlplane/src/main/java/dewplank/controlplane/FleetUpdateSource.java
@@ -12,7 +12,7 @@
 /**
  * Creates the updates for data planes. An update contains the configuration and the endpoint list if they are newer
  * than the data plane's versions, and the members if they differ. A control plane without a disk sends no updates, only
- * the addresses of other control planes. On the loop's thread only.
+ * the addresses of other control planes. Must be used on the loop's thread only.
  */
 final class FleetUpdateSource implements DataPlaneSessions.UpdateSource {
     private final Scheduler loop;
--- a/controlplane/src/main/java/dewplank/controlplane/FounderTracker.java
+++ b/controlplane/src/main/java/dewplank/controlplane/FounderTracker.java
@@ -23,12 +23,12 @@
  * not an acceptor. If no founder has a disk, the control planes first agree on the identities: they exchange the stored
  * identities in heartbeats, and count votes once these have been the same everywhere for {@link #AGREEMENT_MS}.
  *
- * <p>If all founders have ended before a value was chosen, or if the identities differ, it is impossible to determine
- * what was decided. The bootstrap is then restarted with the founders' successors, once every known control plane with
- * a disk has been reachable for {@link #restartAfterMs} and none has a chosen value. Until then operators get {@link
- * ResultCode#FOUNDERS_LOST}. Invariant 13 in {@code docs/register.md} explains why this is safe.
+ * <p>If the processes of all founders terminate before a value is chosen, or if the identities differ, it is impossible
+ * to determine what was decided. The bootstrap is then restarted with the founders' successors, once every known
+ * control plane with a disk has been reachable for {@link #restartAfterMs} and none has a chosen value. Until then
+ * operators get {@link ResultCode#FOUNDERS_LOST}. Invariant 13 in {@code docs/register.md} explains why this is safe.
  *
- * <p>Runs on the loop's thread only, and stops as soon as a value is chosen.
+ * <p>Must be used on the loop's thread only. The checks end as soon as a value is chosen.
  */
 final class FounderTracker {
     private static final Logger LOG = LoggerFactory.getLogger(FounderTracker.class);
@@ -45,7 +45,7 @@
     /** Only peers whose last message arrived within this time have to agree. */
     private static final double PEER_VALIDITY_MS = 1_000;
 
-    /** Delay before a failed write is retried: a disk that is full or hangs stays so for seconds. */
+    /** Delay before a failed write is retried: a disk that is full or hangs remains so for seconds. */
     private static final double SAVE_RETRY_MS = 1_000;
 
     /** Stores the identities. */
@@ -66,7 +66,7 @@
     private final Map<String, FounderIdentities.Record> recordsOfPeers = new LinkedHashMap<>();
     private FounderIdentities.Record stored;
     private double storedAtMs;
-    private boolean isActive;
+    private boolean areIdentitiesInForce;
     private boolean hasConflict;
     private boolean isSavePending;
     private double saveRetryAtMs = Double.NEGATIVE_INFINITY;
@@ -103,24 +103,24 @@
         }
     }
 
-    /** Whether no value is known to be chosen and the decisions of the founders, which had no disk, are lost. */
+    /** Whether the decisions of the founders, which had no disk, are lost and no value is known to be chosen. */
     boolean areFoundersLost() {
         boolean isBootstrapping = !founders.isEmpty() && !configuration.hasChosenValue();
         return isBootstrapping && (hasConflict || configuration.areInitialAcceptorsEnded());
     }
 
-    /** The content of heartbeats to the others: the stored identities until a value is chosen, then nothing. */
+    /** The founders in heartbeats: the encoded stored identities until a value is chosen, afterwards an empty list. */
     List<String> report() {
         boolean isBootstrapping = !founders.isEmpty() && !configuration.hasChosenValue();
         return isBootstrapping ? List.of(stored.encode()) : List.of();
     }
 
-    /** Handles the identities in a control plane's heartbeat; anything other than one valid record is ignored. */
-    void reported(String from, List<String> texts) {
-        if (texts.size() != 1 || founders.isEmpty() || configuration.hasChosenValue()) {
+    /** Handles the encoded identities in a control plane's heartbeat. Ignores them unless they are one valid record. */
+    void reported(String from, List<String> encodedRecords) {
+        if (encodedRecords.size() != 1 || founders.isEmpty() || configuration.hasChosenValue()) {
             return;
         }
-        FounderIdentities.Record.decode(texts.get(0)).ifPresent(record -> {
+        FounderIdentities.Record.decode(encodedRecords.get(0)).ifPresent(record -> {
             recordsOfPeers.put(from, record);
             merge(record);
         });
@@ -135,7 +135,7 @@
             checkRestart();
         } else {
             recordNewFounders();
-            activateOnceAgreed();
+            applyOnceAgreed();
         }
         loop.after(CHECK_INTERVAL_MS, this::check);
     }
@@ -158,7 +158,7 @@
     private void merge(FounderIdentities.Record other) {
         if (other.bootstrapRound() > stored.bootstrapRound()) {
             save(other);
-        } else if (other.bootstrapRound() == stored.bootstrapRound() && !isActive) {
+        } else if (other.bootstrapRound() == stored.bootstrapRound() && !areIdentitiesInForce) {
             Map<String, String> identities = new LinkedHashMap<>(other.byAddress());
             identities.putAll(stored.byAddress());
             hasConflict |= other.byAddress().entrySet().stream()
@@ -177,15 +177,15 @@
         return founders.stream().allMatch(founder -> stored.byAddress().containsKey(founder.address()));
     }
 
-    private void activateOnceAgreed() {
+    private void applyOnceAgreed() {
         boolean isStable = loop.now() - storedAtMs >= AGREEMENT_MS && !isSavePending;
-        if (!isActive && areAllFoundersVolatile() && isStable && isAgreed()) {
-            isActive = true;
+        if (!areIdentitiesInForce && areAllFoundersVolatile() && isStable && isAgreed()) {
+            areIdentitiesInForce = true;
             updateInitialAcceptors();
         }
     }
 
-    /** Whether no active control plane with a disk has reported other identities. */
+    /** Whether every record reported by a peer whose last message arrived recently equals the stored one. */
     private boolean isAgreed() {
         return mesh.peers(PEER_VALIDITY_MS).stream()
                 .map(peer -> recordsOfPeers.get(peer.member().address))
@@ -256,7 +256,7 @@
         storedAtMs = loop.now();
         if (isNewRound) {
             hasConflict = false;
-            isActive = false;
+            areIdentitiesInForce = false;
             isLossLogged = false;
         }
         updateInitialAcceptors();
@@ -269,11 +269,13 @@
     }
 
     /**
-     * The founder as it is counted in the initial set. While no founder has a disk and their identities are not agreed
-     * on, it has the identity of a disk: a founder without a disk does not reply to that, so its votes are not counted.
+     * The acceptor id of a founder in the initial set. While no founder has a disk and their identities are not agreed
+     * on yet, this is the id that the founder would have with a disk. No process has that id, so no vote is counted.
      */
     private AcceptorId initialAcceptor(AcceptorId founder) {
         String identity = stored.byAddress().getOrDefault(founder.address(), founder.identity());
-        return areAllFoundersVolatile() && !isActive ? founder : new AcceptorId(founder.address(), identity);
+        return areAllFoundersVolatile() && !areIdentitiesInForce
+                ? founder
+                : new AcceptorId(founder.address(), identity);
     }
 }
--- a/controlplane/src/main/java/dewplank/controlplane/HttpModelServerClient.java
+++ b/controlplane/src/main/java/dewplank/controlplane/HttpModelServerClient.java
@@ -15,13 +15,13 @@
 import java.util.Map;
 import java.util.function.BooleanSupplier;
 
-/** Sends requests to model servers over HTTP, on pooled connections. On the loop's thread only. */
+/** Sends requests to model servers over HTTP, on pooled connections. Must be used on the loop's thread only. */
 final class HttpModelServerClient implements ModelServerClient {
     private static final double CALL_TIMEOUT_MS = 600;
     private static final double CONNECT_TIMEOUT_MS = 300;
     /**
-     * Header with the instance that a request is meant for. If another instance has the address by now, it responds
-     * with 421 and neither sends a report nor executes the order.
+     * Name of the header that contains the instance id of the target server. If another instance has the address
+     * meanwhile, it responds with 421, and neither sends a report nor executes the order.
      */
     private static final String TARGET_INSTANCE = "X-Dewplank-Target-Instance";
 
@@ -63,7 +63,7 @@
     private record Call(HttpCall http, ResponseCollector response) {}
 
     private Call call(Endpoint server, ByteBuffer message, BooleanSupplier onlyIf, ResponseHandler handler) {
-        InetSocketAddress to = SocketAddresses.socketAddress(server.address);
+        InetSocketAddress to = SocketAddresses.parse(server.address);
         ConnectionPool pool = pools.computeIfAbsent(server.address, a -> new ConnectionPool(loop, 0, MAX_IDLE_MS));
         ResponseCollector response = new ResponseCollector(handler);
         return new Call(new HttpCall(loop, to, pool, message, response).sendOnlyIf(onlyIf), response);
--- a/controlplane/src/main/java/dewplank/controlplane/HttpPlatformClient.java
+++ b/controlplane/src/main/java/dewplank/controlplane/HttpPlatformClient.java
@@ -14,8 +14,8 @@
 import java.util.List;
 
 /**
- * Fetches the platform's list of servers over HTTP, page by page, within its rate limit. On the loop's thread only; any
- * failure ends the fetch.
+ * Fetches the platform's list of servers over HTTP, page by page, within its rate limit. A failed request fails the
+ * whole fetch. Must be used on the loop's thread only.
  */
 final class HttpPlatformClient implements PlatformClient {
     private static final double CALL_TIMEOUT_MS = 1_000;
--- a/controlplane/src/main/java/dewplank/controlplane/InboundLink.java
+++ b/controlplane/src/main/java/dewplank/controlplane/InboundLink.java
@@ -11,7 +11,8 @@
 
 /**
  * A connection that another process has opened. Its first message determines whether it is a control plane's link or a
- * data plane's session. An unexpected message closes the connection. On the loop's thread only.
+ * data plane's session. An unexpected message closes the connection. Must be used on the loop's thread
+ * only.
  */
 final class InboundLink implements MessageLink.Handler {
     private final boolean durable;
@@ -45,14 +46,14 @@
     @Override
     public void received(MessageLink connection, Object message) {
         if (peer != null) {
-            receivedFromPeer(connection, message);
+            onPeerMessage(connection, message);
         } else if (message instanceof ControlHello hello && session == null) {
             peer = hello;
-            mesh.helloReceived(hello);
+            mesh.onHello(hello);
         } else if (message instanceof SessionOpen opening && session == null) {
             session = sessions.open(connection, opening).orElse(null);
         } else if (message instanceof SessionHeartbeat heartbeat && session != null) {
-            session.heartbeat(heartbeat);
+            session.onHeartbeat(heartbeat);
         } else if (message instanceof QuotaRequest request && session != null) {
             quotaTokens.onRequest(request, connection::send);
         } else {
@@ -60,7 +61,7 @@
         }
     }
 
-    private void receivedFromPeer(MessageLink connection, Object message) {
+    private void onPeerMessage(MessageLink connection, Object message) {
         mesh.recordReceived(peer);
         if (message instanceof ControlHeartbeat heartbeat) {
             connection.send(new HeartbeatAck(
@@ -76,7 +77,7 @@
 
     /**
      * Addresses to report in an acknowledgement: none if both processes have a disk, because these receive each other's
-     * addresses in heartbeats. An acknowledgement from or to a relay (a control plane without a disk) contains them.
+     * addresses in heartbeats. An acknowledgement from or to a control plane without a disk contains them.
      */
     private List<String> addressesFor(ControlHello other) {
         return durable && other.durable ? List.of() : mesh.liveAddresses();
@@ -85,7 +86,7 @@
     @Override
     public void closed(MessageLink connection) {
         if (session != null) {
-            session.closed();
+            session.onClosed();
         }
     }
 }
--- a/controlplane/src/main/java/dewplank/controlplane/InstancePage.java
+++ b/controlplane/src/main/java/dewplank/controlplane/InstancePage.java
@@ -30,7 +30,7 @@
             return new InstancePage(
                     instances,
                     token.valueType() == ValueType.STRING ? Optional.of(token.toString()) : Optional.empty());
-        } catch (JsonException | ArrayIndexOutOfBoundsException e) { // the latter: jsoniter on truncated text
+        } catch (JsonException | ArrayIndexOutOfBoundsException e) { // jsoniter throws the latter on truncated text
             throw new UnreadableResponseException(e);
         }
     }
--- a/controlplane/src/main/java/dewplank/controlplane/MemoryStorage.java
+++ b/controlplane/src/main/java/dewplank/controlplane/MemoryStorage.java
@@ -10,9 +10,9 @@
 import java.util.function.Consumer;
 
 /**
- * The storage of a process without a disk, which is lost when the process ends. Such a process is an acceptor only
- * during the bootstrap of the fleet, if its address is among the seeds, until a process with a disk replaces it. Its
- * identity is volatile: it differs in each incarnation.
+ * The storage of a process without a disk, which is lost when the process terminates. Such a process is an acceptor
+ * only during the bootstrap of the fleet, if its address is among the seeds, until a process with a disk replaces it.
+ * Its identity is volatile: it differs in each incarnation.
  */
 final class MemoryStorage implements Storage {
     private final Scheduler loop;
@@ -71,7 +71,7 @@
     }
 
     @Override
-    public void saveList(EndpointList list) {} // nothing is preserved beyond the end of the process
+    public void saveList(EndpointList list) {} // nothing outlives the process
 
     @Override
     public void close() {}
--- a/controlplane/src/main/java/dewplank/controlplane/ModelServerClient.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ModelServerClient.java
@@ -4,9 +4,9 @@
 import java.util.Collection;
 import java.util.function.BooleanSupplier;
 
-/** Sends requests to the interface of model servers. Called by {@link StageController}, on the loop's thread only. */
+/** Sends requests to the interface of model servers. Called by {@link StageController}, on the loop's thread. */
 interface ModelServerClient {
-    /** Receives a complete response, on the loop's thread. Failed calls are not reported. */
+    /** Receives a complete response, on the loop's thread. A failed request is not reported. */
     interface ResponseHandler {
         void responded(int status, byte[] body);
     }
--- a/controlplane/src/main/java/dewplank/controlplane/ModelServerReport.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ModelServerReport.java
@@ -9,15 +9,15 @@
 /**
  * The state that a model server reported: the body of {@code GET /report}.
  *
- * @param engine the reported state, as input of the planner
+ * @param state the reported state, as input of the planner
  * @param receivedAt when the report arrived, on the loop's clock in milliseconds
  */
-record ModelServerReport(StagePlanner.ModelServer engine, double receivedAt) {
+record ModelServerReport(StagePlanner.ModelServer state, double receivedAt) {
     /** Parses a report of that server; a missing field is an error. */
     static ModelServerReport parse(Endpoint server, byte[] body, double receivedAt) throws UnreadableResponseException {
         try {
             Any report = JsonIterator.deserialize(body);
-            StagePlanner.ModelServer engine = new StagePlanner.ModelServer(
+            StagePlanner.ModelServer state = new StagePlanner.ModelServer(
                     server.instanceId,
                     server.zone,
                     "prefill".equals(report.toString("stage")),
@@ -27,8 +27,8 @@
                     server.slotCount,
                     report.toLong("kv_used"),
                     report.toLong("kv_capacity"));
-            return new ModelServerReport(engine, receivedAt);
-        } catch (JsonException | ArrayIndexOutOfBoundsException e) { // the latter: jsoniter on truncated text
+            return new ModelServerReport(state, receivedAt);
+        } catch (JsonException | ArrayIndexOutOfBoundsException e) { // jsoniter throws the latter on truncated text
             throw new UnreadableResponseException(e);
         }
     }
--- a/controlplane/src/main/java/dewplank/controlplane/OperatorApi.java
+++ b/controlplane/src/main/java/dewplank/controlplane/OperatorApi.java
@@ -15,24 +15,27 @@
 import java.util.function.Consumer;
 
 /**
- * The operators' HTTP interface: routes calls by path, redirects them to a control plane with a quorum, and tracks the
- * calls in flight.
+ * The operators' HTTP interface: routes requests by path, redirects them to a control plane with a quorum, and tracks
+ * the requests in flight.
  *
- * <p>Connections call it on the loop's thread only. Each call gets at most one response, and none if its caller has
+ * <p>Connections use it on the loop's thread only. Each request gets at most one response, and none if its client has
  * closed the connection or sent malformed bytes.
  */
 final class OperatorApi implements InboundConnection.Service {
-    /** Long enough to receive a body of 4 MiB over a slow link. */
+    /** Time after which an idle connection is closed: long enough to receive a body of 4 MiB over a slow link. */
     static final double MAX_IDLE_MS = 60_000;
 
-    /** Above the limit for configurations, so that a slightly larger body gets the result for an invalid one. */
+    /**
+     * Maximum size of a request's body. It exceeds the limit for configurations, so that the response to a slightly
+     * larger configuration states that the configuration is invalid.
+     */
     private static final int MAX_BODY_BYTES = 4 * 1024 * 1024 + 64 * 1024;
 
-    private interface CallHandler {
-        void run(InboundConnection.Request request, Responder caller, List<String> parameters);
+    private interface RequestHandler {
+        void run(InboundConnection.Request request, Responder client, List<String> parameters);
     }
 
-    /** Read-only views of the state of this control plane, as JSON. */
+    /** The state of this control plane as JSON documents. */
     interface Views {
         String members();
 
@@ -45,7 +48,7 @@
 
         String status();
 
-        /** The configuration version that each data plane uses, as far as this control plane knows. */
+        /** The configuration version that each data plane has reported to this control plane. */
         String dataPlanes();
     }
 
@@ -58,52 +61,52 @@
         void read(double timeoutMs, Consumer<Outcome<ChangeResult>> callback);
     }
 
-    /** Whether this control plane can serve calls for the fleet, and which others an operator can call instead. */
+    /** Whether this control plane can process operators' requests, and which other control planes may process them. */
     interface Redirects {
-        /** Whether a quorum of acceptors was reached recently, so that a call may succeed. */
+        /** Whether a quorum of acceptors replied recently, so that a request may succeed. */
         boolean hasQuorum();
 
-        /** Whether the initial acceptors, all without a disk, ended before this process knew of a chosen value. */
+        /** Whether the decisions of the initial acceptors, which had no disk, are lost; see {@link FounderTracker}. */
         boolean areFoundersLost();
 
-        /** The operators' endpoint of a control plane with a recent quorum, as IP:PORT; empty if none is known. */
-        Optional<String> quorateEndpoint();
+        /** The operators' address of a control plane with a recent quorum, as IP:PORT; empty if there is none. */
+        Optional<String> quorateOperatorAddress();
 
-        /** The operators' endpoints of all known control planes, those whose links are up first. */
-        List<String> knownEndpoints();
+        /** The operators' addresses of all other control planes; those whose links are up are the first ones. */
+        List<String> otherOperatorAddresses();
     }
 
-    private final ConfigurationCalls configurationCalls;
+    private final ConfigurationRequests configurationRequests;
     private final Redirects redirects;
     private final Views views;
-    private final PathRouter<CallHandler> router = new PathRouter<>();
+    private final PathRouter<RequestHandler> router = new PathRouter<>();
     private final Set<InboundConnection> connections = new HashSet<>();
-    private final Set<Responder> callsInFlight = new HashSet<>();
+    private final Set<Responder> requestsInFlight = new HashSet<>();
     private boolean closing;
 
     OperatorApi(Configurations configuration, Redirects redirects, Views views) {
-        this.configurationCalls = new ConfigurationCalls(configuration);
+        this.configurationRequests = new ConfigurationRequests(configuration);
         this.redirects = redirects;
         this.views = views;
         router.path("configuration")
-                .on("GET", (request, caller, parameters) -> runIfQuorate(request, caller, () -> read(caller)))
+                .on("GET", (request, client, parameters) -> runIfQuorate(request, client, () -> read(client)))
                 .on(
                         "PUT",
-                        (request, caller, parameters) ->
-                                runIfQuorate(request, caller, () -> change(request, caller, false)))
+                        (request, client, parameters) ->
+                                runIfQuorate(request, client, () -> change(request, client, false)))
                 .on(
                         "PATCH",
-                        (request, caller, parameters) ->
-                                runIfQuorate(request, caller, () -> change(request, caller, true)));
-        router.path("members").on("GET", (request, caller, parameters) -> respondWithDocument(caller, views.members()));
-        router.path("duties").on("GET", (request, caller, parameters) -> respondWithDocument(caller, views.duties()));
+                        (request, client, parameters) ->
+                                runIfQuorate(request, client, () -> change(request, client, true)));
+        router.path("members").on("GET", (request, client, parameters) -> respondWithDocument(client, views.members()));
+        router.path("duties").on("GET", (request, client, parameters) -> respondWithDocument(client, views.duties()));
         router.path("servers")
-                .on("GET", (request, caller, parameters) -> respondWithDocument(caller, views.servers()))
+                .on("GET", (request, client, parameters) -> respondWithDocument(client, views.servers()))
                 .path("*")
-                .on("GET", (request, caller, parameters) -> respondWithServer(caller, parameters.get(0)));
-        router.path("status").on("GET", (request, caller, parameters) -> respondWithDocument(caller, views.status()));
+                .on("GET", (request, client, parameters) -> respondWithServer(client, parameters.get(0)));
+        router.path("status").on("GET", (request, client, parameters) -> respondWithDocument(client, views.status()));
         router.path("data-planes")
-                .on("GET", (request, caller, parameters) -> respondWithDocument(caller, views.dataPlanes()));
+                .on("GET", (request, client, parameters) -> respondWithDocument(client, views.dataPlanes()));
     }
 
     InboundConnection connection(EventLoop loop) {
@@ -123,67 +126,68 @@
     }
 
     @Override
-    public void callerGone(InboundConnection caller) {
-        callsInFlight.remove(caller);
+    public void callerGone(InboundConnection client) {
+        requestsInFlight.remove(client);
     }
 
     @Override
-    public void connectionEnded(InboundConnection caller) {
-        connections.remove(caller);
+    public void connectionEnded(InboundConnection client) {
+        connections.remove(client);
     }
 
     @Override
-    public void handle(InboundConnection.Request request, InboundConnection caller) {
-        handle(request, (Responder) caller);
+    public void handle(InboundConnection.Request request, InboundConnection client) {
+        handle(request, (Responder) client);
     }
 
-    /** Handles one call. */
-    void handle(InboundConnection.Request request, Responder caller) {
-        callsInFlight.add(caller);
-        PathRouter.Match<CallHandler> match = router.find(request.method(), request.target());
+    /** Handles one request. */
+    void handle(InboundConnection.Request request, Responder client) {
+        requestsInFlight.add(client);
+        PathRouter.Match<RequestHandler> match = router.find(request.method(), request.target());
         if (match.handler() != null) {
-            match.handler().run(request, caller, match.parameters());
+            match.handler().run(request, client, match.parameters());
         } else {
-            respondNoHandler(request, caller, match.methods());
+            respondNoHandler(request, client, match.methods());
         }
     }
 
-    private void respondNoHandler(InboundConnection.Request request, Responder caller, Set<String> methods) {
+    private void respondNoHandler(InboundConnection.Request request, Responder client, Set<String> methods) {
         if (methods.isEmpty()) {
             String detail = request.target() + " is none of this interface's paths";
-            respond(caller, OperatorResponse.result(ResultCode.NO_SUCH_PATH, detail));
+            respond(client, OperatorResponse.result(ResultCode.NO_SUCH_PATH, detail));
             return;
         }
         String allowed = String.join(", ", methods);
         String detail = request.method() + " is not among " + allowed;
-        respond(caller, OperatorResponse.resultWithHeader(ResultCode.NO_SUCH_METHOD, detail, "Allow", allowed));
+        respond(client, OperatorResponse.resultWithHeader(ResultCode.NO_SUCH_METHOD, detail, "Allow", allowed));
     }
 
-    private void respondWithServer(Responder caller, String instanceId) {
+    private void respondWithServer(Responder client, String instanceId) {
         Optional<String> server = views.server(instanceId);
         if (server.isPresent()) {
-            respondWithDocument(caller, server.get());
+            respondWithDocument(client, server.get());
         } else {
             String detail = "the list of servers has no instance " + instanceId;
-            respond(caller, OperatorResponse.result(ResultCode.NO_SUCH_SERVER, detail));
+            respond(client, OperatorResponse.result(ResultCode.NO_SUCH_SERVER, detail));
         }
     }
 
     /**
-     * Runs the call if a quorum was reached recently. Otherwise the call could only wait until its caller times out, so
-     * the response is sent immediately: it neither confirms nor rejects the call, and names other control planes. A
-     * redirect leads to a control plane whose link is up and that recently had a quorum itself. If none is known there
-     * is no redirect, because it might lead to a machine that no longer exists.
+     * Runs the action for a request if a quorum replied recently. Otherwise the request could only wait until its
+     * client times out, so the response is sent immediately: it neither confirms nor rejects the request, and contains
+     * the addresses of other control planes. A redirect leads to a control plane whose link is up and that recently
+     * reported a quorum. If there is none, the response is not a redirect, because a redirect might lead to a machine
+     * that no longer exists.
      */
-    private void runIfQuorate(InboundConnection.Request request, Responder caller, Runnable call) {
+    private void runIfQuorate(InboundConnection.Request request, Responder client, Runnable action) {
         if (redirects.hasQuorum()) {
-            call.run();
+            action.run();
             return;
         }
-        Optional<String> quorate = redirects.quorateEndpoint();
+        Optional<String> quorate = redirects.quorateOperatorAddress();
         if (quorate.isPresent() && request.target().startsWith("/")) {
             respond(
-                    caller,
+                    client,
                     OperatorResponse.resultWithHeader(
                             ResultCode.ELSEWHERE,
                             "no majority of acceptors was reached lately from here",
@@ -191,11 +195,12 @@
                             "http://" + quorate.get() + request.target()));
             return;
         }
-        List<String> others =
-                redirects.knownEndpoints().stream().map(JsonText::quoted).toList();
+        List<String> others = redirects.otherOperatorAddresses().stream()
+                .map(JsonText::quoted)
+                .toList();
         boolean foundersLost = redirects.areFoundersLost();
         respond(
-                caller,
+                client,
                 OperatorResponse.result(
                         foundersLost ? ResultCode.FOUNDERS_LOST : ResultCode.NOT_CURRENT,
                         foundersLost
@@ -204,44 +209,44 @@
                         JsonText.plain("elsewhere", JsonText.array(others))));
     }
 
-    private void read(Responder caller) {
-        configurationCalls.read(response -> respond(caller, response));
+    private void read(Responder client) {
+        configurationRequests.read(response -> respond(client, response));
     }
 
-    private void change(InboundConnection.Request request, Responder caller, boolean patch) {
+    private void change(InboundConnection.Request request, Responder client, boolean patch) {
         try {
-            configurationCalls.change(request, patch, response -> respond(caller, response));
-        } catch (RejectedCallException e) {
-            respond(caller, e.response());
+            configurationRequests.change(request, patch, response -> respond(client, response));
+        } catch (RejectedRequestException e) {
+            respond(client, e.response());
         }
     }
 
-    private void respondWithDocument(Responder caller, String json) {
-        respond(caller, OperatorResponse.document(json));
+    private void respondWithDocument(Responder client, String json) {
+        respond(client, OperatorResponse.document(json));
     }
 
-    private void respond(Responder caller, OperatorResponse response) {
-        if (callsInFlight.remove(caller)) {
-            caller.answer(response.status(), response.headers(), response.body());
+    private void respond(Responder client, OperatorResponse response) {
+        if (requestsInFlight.remove(client)) {
+            client.answer(response.status(), response.headers(), response.body());
         }
     }
 
-    /** Closes connections after a long idle time: behind a network partition the caller's close may never arrive. */
+    /** Closes connections after a long idle time, because in a network partition the client's close may not arrive. */
     void closeIdleConnections() {
         List.copyOf(connections).forEach(c -> c.timeOutAfter(MAX_IDLE_MS));
     }
 
-    /** Stops accepting calls and closes idle connections; returns whether no call is in flight. */
+    /** Stops accepting requests and closes idle connections; returns whether no request is in flight. */
     boolean close() {
         closing = true;
         List.copyOf(connections).forEach(c -> c.endIfIdle(true));
-        return callsInFlight.isEmpty();
+        return requestsInFlight.isEmpty();
     }
 
-    /** Responds to all calls in flight with {@link ResultCode#ENDING} before the process exits. */
-    void abortCallsInFlight() {
-        for (Responder caller : List.copyOf(callsInFlight)) {
-            respond(caller, OperatorResponse.result(ResultCode.ENDING, "this control sidecar ends"));
+    /** Responds to all requests in flight with {@link ResultCode#ENDING} before the process exits. */
+    void abortRequestsInFlight() {
+        for (Responder client : List.copyOf(requestsInFlight)) {
+            respond(client, OperatorResponse.result(ResultCode.ENDING, "this control sidecar ends"));
         }
     }
 }
--- a/controlplane/src/main/java/dewplank/controlplane/OperatorResponse.java
+++ b/controlplane/src/main/java/dewplank/controlplane/OperatorResponse.java
@@ -27,7 +27,7 @@
     }
 
     /**
-     * A numbered result, with the HTTP status of that result.
+     * A response with a result code and its HTTP status.
      *
      * @param detail an explanation for operators
      * @param fields further fields of the body, as formatted by {@link JsonText}
@@ -36,7 +36,7 @@
         return new OperatorResponse(code.status(), List.of(JSON), body(code, detail, fields));
     }
 
-    /** A numbered result, with the HTTP status of that result and one additional header. */
+    /** A response with a result code, its HTTP status and one additional header. */
     static OperatorResponse resultWithHeader(ResultCode code, String detail, String headerName, String headerValue) {
         return new OperatorResponse(
                 code.status(), List.of(JSON, new Headers.Field(headerName, headerValue)), body(code, detail));
--- a/controlplane/src/main/java/dewplank/controlplane/OperatorViews.java
+++ b/controlplane/src/main/java/dewplank/controlplane/OperatorViews.java
@@ -7,8 +7,8 @@
 import java.util.Optional;
 
 /**
- * The state that this control plane knows, as JSON for the operators' client. The documentation specifies the field
- * names. Used on the loop's thread only.
+ * The state of the fleet according to this control plane, as JSON for the operators' client. The documentation
+ * specifies the field names. Must be used on the loop's thread only.
  */
 final class OperatorViews implements OperatorApi.Views {
     private final ControlComponents components;
--- a/controlplane/src/main/java/dewplank/controlplane/PeerLink.java
+++ b/controlplane/src/main/java/dewplank/controlplane/PeerLink.java
@@ -22,7 +22,7 @@
 final class PeerLink implements MessageLink.Handler {
     private static final Logger LOG = LoggerFactory.getLogger(PeerLink.class);
 
-    /** A connection without an acknowledgement for this time, four heartbeat intervals, is considered dead. */
+    /** A connection is closed if no acknowledgement has arrived on it for this time, four heartbeat intervals. */
     private static final double HEARTBEAT_TIMEOUT_MS = 1_200;
 
     private static final double CONNECT_TIMEOUT_MS = 700;
@@ -31,13 +31,13 @@
     /** Receives the link's events. */
     interface Listener {
         /** A connection is open, and the hello was sent on it. */
-        void linkUp(String address);
+        void onLinkUp(String address);
 
         /** The peer replied to a request, or acknowledged a heartbeat. */
-        void received(String address, Object message);
+        void onMessage(String address, Object message);
 
         /** The peer reported addresses of control planes. */
-        void addressesReported(List<String> addresses);
+        void onAddressesReported(List<String> addresses);
     }
 
     private final Scheduler loop;
@@ -60,7 +60,7 @@
         this.listener = listener;
         this.address = address;
         this.lastUpAt = loop.now();
-        this.socketAddress = SocketAddresses.socketAddress(address);
+        this.socketAddress = SocketAddresses.parse(address);
     }
 
     String address() {
@@ -76,7 +76,7 @@
         return lastUpAt;
     }
 
-    /** Whether the peer has reported since then that it reaches a quorum. */
+    /** Whether the peer has reported since the given time that it reaches a quorum. */
     boolean hasReportedQuorumSince(double since) {
         return quorumReportedAt >= since;
     }
@@ -93,14 +93,14 @@
         }
     }
 
-    /** The peer has connected to this process, so it is running: skips the backoff before the next attempt. */
+    /** Skips the backoff before the next connection attempt, because the peer has connected and so is running. */
     void skipBackoff() {
         if (connection == null) {
             reconnectAt = loop.now();
         }
     }
 
-    /** The event loop stalled for this time and could not read acknowledgements, so the timeout is extended by it. */
+    /** Extends the timeout by the time for which the event loop stalled, because it read no acknowledgements then. */
     void extendTimeout(double stalledMs) {
         lastAckAt += stalledMs;
     }
@@ -139,7 +139,7 @@
         lastUpAt = lastAckAt;
         opened.send(hello);
         LOG.info("peer link up peer={}", address);
-        listener.linkUp(address);
+        listener.onLinkUp(address);
     }
 
     @Override
@@ -148,10 +148,10 @@
             lastAckAt = loop.now();
             lastUpAt = lastAckAt;
             quorumReportedAt = ack.quorate ? lastAckAt : Double.NEGATIVE_INFINITY;
-            listener.addressesReported(ack.controlAddresses);
-            listener.received(address, ack);
+            listener.onAddressesReported(ack.controlAddresses);
+            listener.onMessage(address, ack);
         } else if (message instanceof QuotaReply && from == connection) {
-            listener.received(address, message);
+            listener.onMessage(address, message);
         }
     }
 
--- a/controlplane/src/main/java/dewplank/controlplane/PeerMessageDispatcher.java
+++ b/controlplane/src/main/java/dewplank/controlplane/PeerMessageDispatcher.java
@@ -14,8 +14,8 @@
  * Passes each message from a control plane to the component that handles it: register, sessions, endpoint list,
  * election or quotas.
  *
- * <p>Called for messages from peers and for those that this process sends to itself, on the loop's thread only. A
- * message of any other type is ignored.
+ * <p>Handles messages from peers and those that this process sends to itself; ignores a message of any other type. Must
+ * be used on the loop's thread only.
  */
 final class PeerMessageDispatcher {
     private final Scheduler loop;
@@ -64,11 +64,11 @@
             mesh.addAddresses(heartbeat.controlAddresses);
             founderTracker.reported(from, heartbeat.founders);
         } else if (message instanceof EndpointList list) {
-            endpointListReceived(list);
+            onEndpointList(list);
         } else if (message instanceof VoteRequest request) {
-            roles.voteRequested(from, request);
+            roles.onVoteRequest(from, request);
         } else if (message instanceof VoteReply reply) {
-            roles.voteReplied(reply);
+            roles.onVoteReply(reply);
         } else if (message instanceof HeartbeatAck ack) {
             quotaShares.onAcknowledged(ack);
         } else if (message instanceof QuotaReply reply) {
@@ -76,7 +76,7 @@
         }
     }
 
-    private void endpointListReceived(EndpointList list) {
+    private void onEndpointList(EndpointList list) {
         if (poller.receive(list)) {
             storage.saveList(list);
             sessions.pushUpdates();
--- a/controlplane/src/main/java/dewplank/controlplane/PendingStageOrders.java
+++ b/controlplane/src/main/java/dewplank/controlplane/PendingStageOrders.java
@@ -6,11 +6,13 @@
 import java.util.Map;
 
 /**
- * Stage orders that belong to the current lease and that no report has confirmed yet. Used by {@link StageController},
- * on the loop's thread only.
+ * Stage orders that were sent under the current lease and that no report has confirmed yet. {@link StageController}
+ * uses them on the loop's thread only.
  */
 final class PendingStageOrders {
-    /** If no report confirms an order within this time, the server did not execute it or no longer exists. */
+    /**
+     * Time after which an unconfirmed order is removed. By then the server has not executed it or no longer exists.
+     */
     static final double ORDER_TIMEOUT_MS = 10_000;
 
     /** The progress of an order according to a report. */
@@ -25,7 +27,7 @@
         TIMED_OUT
     }
 
-    /** @param sentAt on the loop's clock in milliseconds */
+    /** @param sentAt when the order was added, on the loop's clock in milliseconds */
     private record PendingOrder(boolean toPrefill, double sentAt) {}
 
     private final Map<String, PendingOrder> orders = new HashMap<>();
@@ -58,14 +60,14 @@
 
     /** Compares a server's last report with the order to it; removes an order that is confirmed or has timed out. */
     Progress update(ModelServerReport report, double now) {
-        StagePlanner.ModelServer engine = report.engine();
-        String instanceId = engine.instanceId();
+        StagePlanner.ModelServer server = report.state();
+        String instanceId = server.instanceId();
         PendingOrder order = orders.get(instanceId);
         if (order == null) {
             return Progress.NONE;
         }
         boolean confirmed =
-                !engine.isChanging() && engine.isPrefill() == order.toPrefill() && report.receivedAt() > order.sentAt();
+                !server.isChanging() && server.isPrefill() == order.toPrefill() && report.receivedAt() > order.sentAt();
         boolean timedOut = now - order.sentAt() > ORDER_TIMEOUT_MS;
         if (!confirmed && !timedOut) {
             return Progress.PENDING;
--- a/controlplane/src/main/java/dewplank/controlplane/PlatformClient.java
+++ b/controlplane/src/main/java/dewplank/controlplane/PlatformClient.java
@@ -14,6 +14,6 @@
         void failed(String reason);
     }
 
-    /** Fetches the complete list. The caller waits for the result of one fetch before it starts the next. */
+    /** Fetches the complete list. Must not be called again before the result of the previous fetch. */
     void fetchInstances(Callback callback);
 }
--- a/controlplane/src/main/java/dewplank/controlplane/QuorumConfirmation.java
+++ b/controlplane/src/main/java/dewplank/controlplane/QuorumConfirmation.java
@@ -5,17 +5,17 @@
 import java.util.Optional;
 
 /**
- * Determines whether this control plane can confirm operators' calls, which requires a quorum, and that all acceptors
- * have a disk.
+ * Determines whether this control plane can confirm operators' requests. This requires that a quorum is reachable and
+ * that all acceptors have a disk.
  *
- * <p>Evaluated at each operator's call and at each heartbeat of a peer, on the loop's thread only.
+ * <p>Evaluated at each operator's request and at each heartbeat of a peer. Must be used on the loop's thread only.
  */
 final class QuorumConfirmation {
     /**
      * A quorum that replied within this time is assumed to be reachable. Covers more than three anti-entropy rounds.
      */
     static final double QUORUM_VALIDITY_MS = 1_500;
-    /** Within this time, every control plane that was started together with this one has sent its hello. */
+    /** Time after the start within which the hellos of control planes that were started at the same time arrive. */
     private static final double PEER_HELLO_TIMEOUT_MS = 5_000;
 
     private final Scheduler loop;
@@ -51,9 +51,9 @@
     }
 
     /**
-     * Whether all acceptors have a disk, as far as is known. Before the first configuration, each acceptor has to have
-     * stated this in its hello, until all control planes that were started together have had time for it. Later the set
-     * contains no acceptor without a disk, so an unreachable acceptor counts as durable.
+     * Whether all acceptors have a disk. Before the first configuration is chosen, and until {@link
+     * #PEER_HELLO_TIMEOUT_MS} has passed since the start, an acceptor whose hello has not arrived counts as not
+     * durable. Afterwards it counts as durable, because the set then contains no acceptor without a disk.
      */
     private boolean acceptorsAreDurable() {
         boolean helloRequired = history.version() == 0 && loop.now() - startedAt < PEER_HELLO_TIMEOUT_MS;
--- a/controlplane/src/main/java/dewplank/controlplane/QuorumLog.java
+++ b/controlplane/src/main/java/dewplank/controlplane/QuorumLog.java
@@ -7,9 +7,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Logs when this control plane loses and regains its quorum, one line for each. The line for a loss contains the
- * numbered result that operators get until the quorum is regained. A loss that is shorter than the time for which calls
- * rely on the last quorum is not logged. Used on the loop's thread only.
+ * Logs when this control plane loses and regains its quorum, one line for each. The line for a loss contains the result
+ * code that operators get until the quorum is regained. A loss is not logged if it is shorter than the time for which a
+ * quorum that replied is assumed to be reachable. Must be used on the loop's thread only.
  */
 final class QuorumLog {
     private static final Logger LOG = LoggerFactory.getLogger(QuorumLog.class);
@@ -26,7 +26,7 @@
     private boolean wasQuorate;
     private double lastQuorateAtMs;
 
-    /** @param quorate whether a quorum was reached within the time for which calls rely on it */
+    /** @param quorate whether a quorum replied so recently that it is assumed to be reachable */
     QuorumLog(Scheduler loop, BooleanSupplier quorate) {
         this.loop = loop;
         this.quorate = quorate;
--- a/controlplane/src/main/java/dewplank/controlplane/QuorumRedirects.java
+++ b/controlplane/src/main/java/dewplank/controlplane/QuorumRedirects.java
@@ -5,8 +5,8 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Finds other control planes that operators can call instead of this one, from the state of the mesh. Used on the
- * loop's thread only.
+ * Determines from the state of the mesh the other control planes to which operators can send their requests instead.
+ * Must be used on the loop's thread only.
  */
 final class QuorumRedirects implements OperatorApi.Redirects {
     private final int controlPort;
@@ -18,7 +18,7 @@
     /**
      * Assumes that the ports are the same on all machines.
      *
-     * @param controlPort the port for operators' calls, on this machine and on others
+     * @param controlPort the port of the operators' interface, on this machine and on others
      * @param self the address of this process on the links between control planes
      * @param quorate whether a quorum was reached recently
      * @param foundersLost whether the initial acceptors are known to be lost permanently
@@ -43,19 +43,19 @@
     }
 
     @Override
-    public Optional<String> quorateEndpoint() {
-        return mesh.quorateAddress().map(this::operatorEndpoint);
+    public Optional<String> quorateOperatorAddress() {
+        return mesh.quorateAddress().map(this::operatorAddress);
     }
 
     @Override
-    public List<String> knownEndpoints() {
+    public List<String> otherOperatorAddresses() {
         return mesh.addressesLiveFirst().stream()
                 .filter(a -> !a.equals(self))
-                .map(this::operatorEndpoint)
+                .map(this::operatorAddress)
                 .toList();
     }
 
-    private String operatorEndpoint(String linkAddress) {
+    private String operatorAddress(String linkAddress) {
         return linkAddress.substring(0, linkAddress.lastIndexOf(':') + 1) + controlPort;
     }
 }
--- a/controlplane/src/main/java/dewplank/controlplane/QuotaShares.java
+++ b/controlplane/src/main/java/dewplank/controlplane/QuotaShares.java
@@ -18,21 +18,21 @@
 /**
  * This control plane's share of all tenants' quotas, and the assignment of shares while it holds the lease of the role
  * {@code list}. Control planes report and request shares in their heartbeats; the lease holder grants them in the
- * acknowledgements ({@code docs/design-quotas.md}). On the loop's thread only.
+ * acknowledgements ({@code docs/design-quotas.md}). Must be used on the loop's thread only.
  */
 final class QuotaShares {
     private static final Logger LOG = LoggerFactory.getLogger(QuotaShares.class);
 
     /**
-     * More heartbeats than are sent during a share's lease. An acknowledgement of an older heartbeat has no effect
-     * because its grant would have expired.
+     * Number of sent heartbeats whose send times are stored: more than are sent during a share's lease. An
+     * acknowledgement of an older heartbeat is ignored, because its grant would have expired.
      */
     private static final int MAX_SENT_HEARTBEATS = 16;
 
-    /** Receives this process's share after each grant that is applied. On the loop's thread. */
+    /** Receives this process's share after each grant that is applied. Called on the loop's thread. */
     interface Listener {
         /**
-         * This process holds the given share from now on.
+         * The share of this process has been set.
          *
          * @param fraction of all quotas, from 0 to 1
          * @param endsAtMs when the share expires unless it is renewed, on the loop's clock
@@ -49,7 +49,7 @@
     private final ShareAssigner assigner = new ShareAssigner();
     private final HeldShare heldShare = new HeldShare();
     private final Deque<SentHeartbeat> sentHeartbeats = new ArrayDeque<>();
-    /** Fencing token of the lease under which the assigner began; 0 while it is not assigning. */
+    /** Fencing token of the lease under which this process assigns shares; 0 while it does not. */
     private long assigningToken;
 
     private double loggedFraction;
@@ -102,7 +102,7 @@
     }
 
     private Optional<ShareGrant> assign(String senderAddress, ShareReport report) {
-        double now = loop.now(); // before the check, so that a grant never starts after it
+        double now = loop.now(); // read before the lease is checked, so that no grant starts after the check
         updateRole();
         return assigningToken == 0 ? Optional.empty() : assigner.onReport(now, senderAddress, report);
     }
@@ -118,7 +118,7 @@
         }
     }
 
-    /** A peer has acknowledged a heartbeat of this process: applies the grant in the acknowledgement. */
+    /** Applies the grant in a peer's acknowledgement of a heartbeat of this process. */
     void onAcknowledged(HeartbeatAck ack) {
         if (ack.quotaShare == null) {
             return;
--- a/controlplane/src/main/java/dewplank/controlplane/QuotaTokens.java
+++ b/controlplane/src/main/java/dewplank/controlplane/QuotaTokens.java
@@ -22,19 +22,24 @@
 
 /**
  * Grants tokens of tenants' quotas from this control plane's share. If that is exhausted, forwards the request to the
- * other control planes, one after the other ({@code docs/design-quotas.md}). On the loop's thread only; each request
- * receives exactly one reply.
+ * other control planes, one after the other ({@code docs/design-quotas.md}). Each request receives exactly one reply.
+ * Must be used on the loop's thread only.
  */
 final class QuotaTokens {
-    /** A peer is at most in another zone and replies immediately, so one without a reply by then is skipped. */
+    /**
+     * Timeout for the reply of a peer. Peers reply immediately and are no farther away than in another zone, so a peer
+     * that has not replied within this time is skipped.
+     */
     private static final double PEER_TIMEOUT_MS = 50;
     /**
-     * Maximum number of requests that are forwarded to peers at a time. The reply to further requests depends on this
-     * process's share only.
+     * Maximum number of concurrent requests that are forwarded to peers. The reply to a request beyond it depends on
+     * this process's share only.
      */
     private static final int MAX_FORWARDED = 1_024;
 
+    /** Bounds of the retry time in replies for an exhausted quota. */
     private static final double MIN_RETRY_AFTER_MS = 50;
+
     private static final double MAX_RETRY_AFTER_MS = 1_000;
 
     /** The other control planes. */
@@ -65,7 +70,7 @@
         this.random = random;
     }
 
-    /** A newer configuration has been chosen: applies its limits. */
+    /** Applies the limits of a newer configuration that has been chosen. */
     void configurationChosen(Configuration configuration) {
         List<TenantLimit> limits = new ArrayList<>();
         for (Tenant tenant : configuration.tenants()) {
@@ -75,12 +80,12 @@
         exhaustedUntil.clear();
     }
 
-    /** This process holds the given share of all quotas until {@code endsAtMs}. */
+    /** Sets this process's share of all quotas, which expires at {@code endsAtMs}. */
     void shareHeld(double nowMs, double fraction, double endsAtMs) {
         buckets.updateShare(nowMs, fraction, endsAtMs);
     }
 
-    /** A data plane or a peer requests tokens. */
+    /** Handles a request for tokens from a data plane or from a peer. */
     void onRequest(QuotaRequest request, Consumer<QuotaReply> replyTo) {
         double now = loop.now();
         TakeResult taken = buckets.take(now, request.tenant, request.tokens);
@@ -123,7 +128,7 @@
         return QuotaReply.exhausted(request.id, retryAfterMs);
     }
 
-    /** A peer has replied; a reply after the timeout is ignored, and the tokens that it grants are lost. */
+    /** Handles a peer's reply. A reply after the timeout is ignored, and the tokens that it grants are lost. */
     void onReply(QuotaReply reply) {
         ForwardedRequest request = forwarded.get(reply.id);
         if (request != null) {
@@ -137,8 +142,8 @@
         private final Consumer<QuotaReply> replyTo;
         private final Deque<String> remainingPeers;
         /**
-         * Shortest time until a control plane's next token, of those queried so far; infinity as long as none of them
-         * has a share.
+         * Shortest time until the next token of any control plane that was queried so far; infinity while none of
+         * them has a share.
          */
         private double nextTokenAfterMs;
 
--- a/controlplane/src/main/java/dewplank/controlplane/RejectedCallException.java
+++ b/controlplane/src/main/java/dewplank/controlplane/RejectedRequestException.java
@@ -2,12 +2,12 @@
 
 import dewplank.settings.ResultCode;
 
-/** Thrown if an operator's call is invalid; the caller gets the numbered result. */
-final class RejectedCallException extends Exception {
+/** Thrown if an operator's request is invalid; the response contains the result code. */
+final class RejectedRequestException extends Exception {
     private final ResultCode code;
 
     /** @param detail an explanation for operators */
-    RejectedCallException(ResultCode code, String detail) {
+    RejectedRequestException(ResultCode code, String detail) {
         super(detail);
         this.code = code;
     }
--- a/controlplane/src/main/java/dewplank/controlplane/SingletonRole.java
+++ b/controlplane/src/main/java/dewplank/controlplane/SingletonRole.java
@@ -4,7 +4,7 @@
  * This process's view of one singleton role of the fleet: whether it holds the lease, and under which fencing token.
  *
  * <p>Used by the classes that act for the whole fleet ({@link EndpointPoller}, {@link StageController}, {@link
- * AcceptorReconfigurer}), on the loop's thread only.
+ * AcceptorReconfigurer}, {@link QuotaShares}). Must be used on the loop's thread only.
  */
 interface SingletonRole {
     /** Whether this process holds the lease now. */
--- a/controlplane/src/main/java/dewplank/controlplane/SingletonRoles.java
+++ b/controlplane/src/main/java/dewplank/controlplane/SingletonRoles.java
@@ -14,23 +14,23 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * This control plane's votes and candidacy for the fleet's singleton roles. The voters are the register's
- * acceptors.
+ * This control plane's votes and candidacy for the fleet's singleton roles. The voters are the register's acceptors.
  *
- * <p>Drives {@link LeaseVoter} and {@link Candidate} with messages, time and the disk, on the loop's thread only. If
- * a token can't be saved, the vote is not granted; nothing else is affected.
+ * <p>Supplies {@link LeaseVoter} and {@link Candidate}, which do no I/O themselves, with messages, time and the disk.
+ * If a token can't be saved, the vote is not granted; nothing else is affected. Must be used on the loop's thread only.
  */
 final class SingletonRoles {
     private static final Logger LOG = LoggerFactory.getLogger(SingletonRoles.class);
     private static final double TICK_INTERVAL_MS = 20;
-    private static final String ENDPOINT_LIST_ROLE = "list";
+    /** Name of the fleet's only singleton role in messages and on disk. */
+    private static final String LEADER_ROLE = "list";
 
     /** Sends messages to control planes; a message to this process itself arrives in a later task. */
     interface MessageSender {
         void send(String address, Object message);
     }
 
-    /** The acceptor sets that are known to this control plane. */
+    /** The newest acceptor sets according to this control plane. */
     interface Voters {
         /** The newest set known to be chosen. */
         AcceptorSet acceptors();
@@ -65,7 +65,7 @@
         voter = new LeaseVoter(
                 self.identity(), leaseMs, storage.firstStart() ? 0 : now + leaseMs, storage.fencingTokens());
         candidate = new Candidate(
-                ENDPOINT_LIST_ROLE,
+                LEADER_ROLE,
                 self.address() + "#" + Long.toHexString(random.nextLong()),
                 LeaseTiming.ofLease(leaseMs),
                 random::nextDouble,
@@ -91,23 +91,26 @@
         candidate.updateVoterSet(loop.now(), voters.acceptors(), voters.endedAcceptors());
     }
 
-    /** A candidate requests a vote; the candidate may belong to this process. */
-    void voteRequested(String from, VoteRequest request) {
+    /** Handles a candidate's request for a vote; the candidate may belong to this process. */
+    void onVoteRequest(String from, VoteRequest request) {
         updateVoters();
         voter.onVoteRequest(loop.now(), request, new VoterActions(from));
     }
 
-    /** A voter has replied to this process's candidate. */
-    void voteReplied(VoteReply reply) {
+    /** Handles a voter's reply to this process's candidate. */
+    void onVoteReply(VoteReply reply) {
         candidate.onVoteReply(loop.now(), reply, new CandidateActions());
     }
 
-    /** The process is draining: releases the lease and does not become a candidate again. */
+    /** Releases the lease when the process drains; the process does not become a candidate again. */
     void releaseAll() {
         candidate.shutDown(loop.now(), new CandidateActions());
     }
 
-    /** The role whose lease holder polls the platform, orders stage changes and changes the acceptors. */
+    /**
+     * The role whose lease holder polls the platform, orders stage changes, changes the acceptors and assigns quota
+     * shares.
+     */
     SingletonRole endpointList() {
         return new SingletonRole() {
             @Override
@@ -134,13 +137,13 @@
         }
 
         @Override
-        public void leaseAcquired(String duty, long fencingToken) {
-            LOG.info("lease acquired duty={} token={}", duty, fencingToken);
+        public void leaseAcquired(String role, long fencingToken) {
+            LOG.info("lease acquired duty={} token={}", role, fencingToken);
         }
 
         @Override
-        public void leaseLost(String duty, long fencingToken) {
-            LOG.info("lease lost duty={} token={}", duty, fencingToken);
+        public void leaseLost(String role, long fencingToken) {
+            LOG.info("lease lost duty={} token={}", role, fencingToken);
         }
     }
 
@@ -169,7 +172,7 @@
         }
 
         @Override
-        public void leaseReleased(String duty) {
+        public void leaseReleased(String role) {
             candidate.onLeaseReleased(loop.now());
         }
     }
--- a/controlplane/src/main/java/dewplank/controlplane/SocketAddresses.java
+++ b/controlplane/src/main/java/dewplank/controlplane/SocketAddresses.java
@@ -9,7 +9,7 @@
     private SocketAddresses() {}
 
     /** Parses an address of the form IP:PORT, without name resolution. */
-    static InetSocketAddress socketAddress(String text) {
+    static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
         String[] parts = text.substring(0, colon).split("\\.");
         byte[] ip = new byte[parts.length];
--- a/controlplane/src/main/java/dewplank/controlplane/StageController.java
+++ b/controlplane/src/main/java/dewplank/controlplane/StageController.java
@@ -20,17 +20,20 @@
  *
  * <p>Only the lease holder polls reports and sends orders. For each service it reads the reports ({@link #snapshot}),
  * decides ({@link ServiceSnapshot}), limits the rate of orders, announces a change to data planes, and then sends the
- * order. A new lease holder waits until no order of its predecessor can arrive any more. On the loop's thread only;
- * after a failed call, the next order requires a new report.
+ * order. A new lease holder waits until no order of its predecessor can arrive any more. After a rejected order, the
+ * next order to the server requires a new report. Must be used on the loop's thread only.
  */
 final class StageController {
     private static final Logger LOG = LoggerFactory.getLogger(StageController.class);
 
     private static final double CHECK_INTERVAL_MS = 250;
     private static final double POLL_INTERVAL_MS = 1_200;
-    /** Report requests are charged and take time, so the servers of a larger fleet are polled in rotation. */
+    /**
+     * Maximum number of report requests per poll. Requests are charged and take time, so the servers of a larger fleet
+     * are polled in rotation.
+     */
     private static final int MAX_REPORTS_PER_POLL = 32;
-    /** Two polls may fail before a report is too old to base a decision on. */
+    /** Maximum age of a report on which a decision is based. A report is still valid after two failed polls. */
     private static final double REPORT_VALIDITY_MS = 3_000;
     /**
      * Time between the announcement of a change to data planes and the order. The server rejects requests that have not
@@ -40,8 +43,8 @@
     private static final double ANNOUNCEMENT_LEAD_MS = 500;
     /**
      * Time that a new lease holder waits in addition to the lease. Its predecessor wrote the last order before its own
-     * lease expired, so before this process acquired the lease. The call of that order times out after 600 ms, whether
-     * or not the order was delivered.
+     * lease expired, so before this process acquired the lease. The request with that order times out after 600 ms,
+     * whether or not the order was delivered.
      */
     private static final double LEASE_MARGIN_MS = 700;
 
@@ -117,7 +120,7 @@
             pollReports();
         }
         if (now - leaseAcquiredAt >= leaseMs + LEASE_MARGIN_MS && policy.isEnabled(Mechanism.STAGE_ORDERS)) {
-            stagedServersByService().forEach(this::controlService);
+            stagedServersByService().forEach(this::orderChanges);
         }
     }
 
@@ -169,38 +172,38 @@
 
     /** Evaluates the reports of a service's servers; removes orders that they confirm or that have timed out. */
     private ServiceSnapshot snapshot(List<Endpoint> servers, double now) {
-        List<StagePlanner.ModelServer> engines = new ArrayList<>();
+        List<StagePlanner.ModelServer> states = new ArrayList<>();
         boolean unknownOrderInProgress = false;
         for (Endpoint server : servers) {
             ModelServerReport report = reports.get(server.instanceId);
             if (report != null && now - report.receivedAt() <= REPORT_VALIDITY_MS) {
-                StagePlanner.ModelServer engine = expectedEngine(report);
-                engines.add(engine);
-                unknownOrderInProgress |= engine.isChanging() && !pendingOrders.contains(server.instanceId);
+                StagePlanner.ModelServer state = expectedState(report);
+                states.add(state);
+                unknownOrderInProgress |= state.isChanging() && !pendingOrders.contains(server.instanceId);
             }
         }
-        return new ServiceSnapshot(engines, servers.size(), unknownOrderInProgress);
+        return new ServiceSnapshot(states, servers.size(), unknownOrderInProgress);
     }
 
     /** The state that the server reported; for a server with a pending order, the state while it changes. */
-    private StagePlanner.ModelServer expectedEngine(ModelServerReport report) {
-        StagePlanner.ModelServer engine = report.engine();
+    private StagePlanner.ModelServer expectedState(ModelServerReport report) {
+        StagePlanner.ModelServer state = report.state();
         switch (pendingOrders.update(report, loop.now())) {
             case PENDING:
-                return engine.whileChanging(pendingOrders.isToPrefill(engine.instanceId()));
+                return state.whileChanging(pendingOrders.isToPrefill(state.instanceId()));
             case CONFIRMED:
                 poller.overrideStage(
-                        engine.instanceId(), stageName(engine.isPrefill()), PendingStageOrders.ORDER_TIMEOUT_MS);
+                        state.instanceId(), stageName(state.isPrefill()), PendingStageOrders.ORDER_TIMEOUT_MS);
                 poller.publishStageOverrides(role.fencingToken());
-                return engine;
+                return state;
             default:
-                return engine;
+                return state;
         }
     }
 
     // ---- orders ---------------------------------------------------------------------------------------
 
-    private void controlService(String service, List<Endpoint> servers) {
+    private void orderChanges(String service, List<Endpoint> servers) {
         double now = loop.now();
         ServiceSnapshot snapshot = snapshot(servers, now);
         if (!snapshot.allowsOrders() || isThrottled(service, snapshot.orderIntervalMs(), now)) {
@@ -209,7 +212,7 @@
         List<StagePlanner.StageChange> changes = snapshot.nextChanges(policy.isEnabled(Mechanism.SEVERAL_ORDERS));
         if (!changes.isEmpty()) {
             lastOrderAt.put(service, now);
-            announce(servers, changes, snapshot.isIdle());
+            announceAndSendOrders(servers, changes, snapshot.isIdle());
         }
     }
 
@@ -218,7 +221,7 @@
     }
 
     /** Notifies data planes before it sends the orders, unless no request is running that could be rejected. */
-    private void announce(List<Endpoint> servers, List<StagePlanner.StageChange> changes, boolean idle) {
+    private void announceAndSendOrders(List<Endpoint> servers, List<StagePlanner.StageChange> changes, boolean idle) {
         long fencingToken = role.fencingToken();
         for (StagePlanner.StageChange change : changes) {
             pendingOrders.add(change, loop.now());
@@ -227,12 +230,12 @@
         poller.publishStageOverrides(fencingToken);
         loop.after(idle ? 0 : ANNOUNCEMENT_LEAD_MS, () -> {
             if (role.isLeaseHolder(fencingToken)) {
-                changes.forEach(c -> sendOrder(serverOf(servers, c), c, fencingToken));
+                changes.forEach(c -> sendOrder(findServer(servers, c), c, fencingToken));
             }
         });
     }
 
-    private static Endpoint serverOf(List<Endpoint> servers, StagePlanner.StageChange change) {
+    private static Endpoint findServer(List<Endpoint> servers, StagePlanner.StageChange change) {
         return servers.stream()
                 .filter(s -> s.instanceId.equals(change.instanceId()))
                 .findFirst()
--- a/controlplane/src/main/java/dewplank/controlplane/StallDetector.java
+++ b/controlplane/src/main/java/dewplank/controlplane/StallDetector.java
@@ -4,15 +4,18 @@
 import java.util.function.DoubleConsumer;
 
 /**
- * Detects stalls of the event loop: the process did not run, or was busy with a single task. Messages from other
- * processes are not read during a stall, so the timeouts for them are extended by its duration. On a slow machine,
- * parsing a configuration with two thousand routes takes longer than the heartbeat timeout of a peer.
+ * Detects stalls of the event loop, during which the process did not run or executed a single long task. Messages from
+ * other processes are not read during a stall, so the timeouts for them are extended by its duration. On a slow
+ * machine, parsing a configuration with two thousand routes takes longer than the heartbeat timeout of a peer.
  *
- * <p>Used on the loop's thread only.
+ * <p>Must be used on the loop's thread only.
  */
 final class StallDetector {
     private static final double CHECK_INTERVAL_MS = 50;
-    /** Below the heartbeat interval of 300 ms: a shorter delay does not make any peer time out. */
+    /**
+     * Minimum delay of a check that counts as a stall. It is less than the heartbeat interval of 300 ms, because a
+     * shorter delay does not make any peer time out.
+     */
     private static final double STALL_THRESHOLD_MS = 250;
 
     private final Scheduler loop;
--- a/controlplane/src/main/java/dewplank/controlplane/Storage.java
+++ b/controlplane/src/main/java/dewplank/controlplane/Storage.java
@@ -12,7 +12,7 @@
  * The stored state of a control plane: the state of its acceptor, the fencing tokens that it has voted for, and the
  * last endpoint list.
  *
- * <p>Called on the loop's thread only. Writes are asynchronous: their results arrive in a later task of the loop.
+ * <p>Must be used on the loop's thread only. Writes are asynchronous: their results arrive in a later task of the loop.
  */
 interface Storage extends ConfigurationStore.Disk, FounderTracker.Store {
     /** Whether saved state is preserved when the process ends, so that the process may vote. */
@@ -29,12 +29,12 @@
     /** The recorded bootstrap of the fleet. */
     FleetBootstrap bootstrap();
 
-    /** {@link FleetBootstrap#founders}. */
+    /** Addresses of the acceptors with which the fleet was bootstrapped, as IP:PORT. */
     default List<String> founders() {
         return bootstrap().founders();
     }
 
-    /** {@link FleetBootstrap#firstStart}. */
+    /** Whether no vote or promise of this process can exist yet, see {@link FleetBootstrap#firstStart}. */
     default boolean firstStart() {
         return bootstrap().firstStart();
     }
--- a/controlplane/src/main/java/dewplank/controlplane/SystemEnvironment.java
+++ b/controlplane/src/main/java/dewplank/controlplane/SystemEnvironment.java
@@ -23,6 +23,7 @@
 
 /** The environment of a real process: the clock, sockets and disk of the machine. */
 final class SystemEnvironment implements ControlEnvironment {
+    /** Interval at which operators' idle connections are checked. */
     private static final double IDLE_CHECK_INTERVAL_MS = 1_000;
 
     private final NodeSettings settings;
--- a/controlplane/src/test/java/dewplank/controlplane/ControlMeshTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/ControlMeshTest.java
@@ -47,17 +47,17 @@
                 new ControlHello(SELF, "disk-0", true),
                 new ControlMesh.Handler() {
                     @Override
-                    public ControlHeartbeat heartbeat(long sequence) {
+                    public ControlHeartbeat createHeartbeat(long sequence) {
                         return new ControlHeartbeat(sequence, List.of(SELF), mesh.liveAddresses());
                     }
 
                     @Override
-                    public void received(String address, Object message) {
+                    public void onMessage(String address, Object message) {
                         messagesToSelf.add(message);
                     }
 
                     @Override
-                    public void linkUp(String address) {
+                    public void onLinkUp(String address) {
                         linkUps.add(address);
                     }
 
@@ -166,18 +166,17 @@
         FramedPeer other = newPeer().acknowledging();
         start();
         Member member = new Member("c1", Member.CONTROL, other.address(), "z", 5);
-        OnLoop.run(loop, () -> mesh.helloReceived(new ControlHello(member, "disk-1", true)));
+        OnLoop.run(loop, () -> mesh.onHello(new ControlHello(member, "disk-1", true)));
         assertEquals(other.address(), nextLinkUp());
         ControlMesh.Peer peer = OnLoop.get(loop, () -> mesh.peers(5_000)).get(0);
         assertEquals(member, peer.member());
         assertEquals("disk-1", peer.identity());
         OnLoop.pass(loop, 20);
-        OnLoop.run(loop, () -> mesh.helloReceived(new ControlHello(member, "disk-1", true)));
+        OnLoop.run(loop, () -> mesh.onHello(new ControlHello(member, "disk-1", true)));
         ControlMesh.Peer later = OnLoop.get(loop, () -> mesh.peers(5_000)).get(0);
         assertEquals(peer.firstReceivedAt(), later.firstReceivedAt());
         assertTrue(later.lastReceivedAt() > peer.lastReceivedAt());
-        OnLoop.run(
-                loop, () -> mesh.helloReceived(new ControlHello(member, "disk-2", true))); // restarted without its disk
+        OnLoop.run(loop, () -> mesh.onHello(new ControlHello(member, "disk-2", true))); // restarted without its disk
         ControlMesh.Peer changed = OnLoop.get(loop, () -> mesh.peers(5_000)).get(0);
         assertEquals("disk-2", changed.identity());
         assertTrue(changed.firstReceivedAt() > peer.firstReceivedAt());
--- a/controlplane/src/test/java/dewplank/controlplane/DataPlaneReportsTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/DataPlaneReportsTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The configurations that data planes report in heartbeats, and since when they have reported them. */
+/** Tests the stored reports of the configuration versions that data planes report in heartbeats. */
 class DataPlaneReportsTest {
     private static final double DAY_MS = DataPlaneReports.RETENTION_MS;
 
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void sinceIsTheFirstHeartbeatWithTheVersion() {
+    void sinceMsIsTheTimeOfTheFirstHeartbeatWithTheVersion() {
         reports.onHeartbeat(100, member("edge", 1), 0);
         reports.onHeartbeat(400, member("edge", 1), 7);
         reports.onHeartbeat(700, member("edge", 1), 7);
@@ -39,7 +39,7 @@
     @Test
     void aReopenedSessionContinuesTheReport() {
         reports.onHeartbeat(100, member("edge", 1), 7);
-        reports.sessionEnded(member("edge", 1));
+        reports.onSessionClosed(member("edge", 1));
         assertFalse(onlyReport(150).hasSession());
         reports.onHeartbeat(900, member("edge", 1), 7);
         assertEquals(100, onlyReport(1_000).sinceMs());
@@ -49,7 +49,7 @@
     void aNewIncarnationStartsANewReportThatTheEndOfTheOldSessionDoesNotChange() {
         reports.onHeartbeat(100, member("edge", 1), 7);
         reports.onHeartbeat(900, member("edge", 2), 7);
-        reports.sessionEnded(member("edge", 1));
+        reports.onSessionClosed(member("edge", 1));
         assertEquals(900, onlyReport(1_000).sinceMs());
         assertTrue(onlyReport(1_000).hasSession());
     }
@@ -58,7 +58,7 @@
     void theReportOfADataPlaneWithoutASessionIsRemovedAfterADay() {
         reports.onHeartbeat(100, member("edge", 1), 7);
         assertEquals(1, reports.reports(100 + 2 * DAY_MS).size());
-        reports.sessionEnded(member("edge", 1));
+        reports.onSessionClosed(member("edge", 1));
         assertEquals(1, reports.reports(100 + DAY_MS).size());
         assertEquals(0, reports.reports(101 + DAY_MS).size());
     }
--- a/controlplane/src/test/java/dewplank/controlplane/DataPlaneSessionsTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/DataPlaneSessionsTest.java
@@ -31,9 +31,11 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Acknowledgements and updates that a data plane receives in its session, and which versions it is assumed to have. */
+/**
+ * Tests the acknowledgements and updates that a session sends, and the versions that its data plane counts as having.
+ */
 class DataPlaneSessionsTest {
-    /** Longer than any test runs. */
+    /** Lease of a session; no test runs as long. */
     private static final double LEASE_MS = 60_000;
 
     private static final Member DATA = new Member("n1", Member.DATA, "10.0.0.9:1", "z", 17);
@@ -111,14 +113,14 @@
             if (message instanceof SessionOpen open) {
                 session = sessions.open(connection, open).orElse(null);
             } else if (message instanceof SessionHeartbeat heartbeat && session != null) {
-                session.heartbeat(heartbeat);
+                session.onHeartbeat(heartbeat);
             }
         }
 
         @Override
         public void closed(MessageLink connection) {
             if (session != null) {
-                session.closed();
+                session.onClosed();
             }
         }
     }
--- a/controlplane/src/test/java/dewplank/controlplane/EndpointPollerTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/EndpointPollerTest.java
@@ -14,10 +14,13 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The lease under which lists are published, in virtual time. The test determines when the platform responds. */
+/** Tests, in virtual time, under which lease lists are published. The tests determine when the platform responds. */
 class EndpointPollerTest {
     private static final double DRAIN_MS = 3_000;
-    /** Delay of the first poll under a token and of the last failed poll: each waits 400 ms and for the next check. */
+    /**
+     * Maximum total delay of two polls, the first under a token and the last that fails: each is delayed by at most the
+     * interval of polls (400 ms) and that of checks (50 ms).
+     */
     private static final double POLLING_MS = 2 * (400 + 50);
 
     private static final class TestRole implements SingletonRole {
@@ -114,7 +117,7 @@
         assertEquals(2, published.size());
     }
 
-    private static List<Endpoint> engines(String... stages) {
+    private static List<Endpoint> serversInStages(String... stages) {
         List<Endpoint> servers = new ArrayList<>();
         for (int i = 0; i < stages.length; i++) {
             servers.add(new Endpoint("i-" + i, "s", "10.0.0.1:" + i, "z", 8, false, 0, stages[i]));
@@ -126,45 +129,45 @@
         return poller.newest().endpoints.stream().map(s -> s.stage).toList();
     }
 
-    /** The platform's list lags, so an ordered stage is published immediately, and until the list agrees. */
+    /** The platform's list is updated late, so an ordered stage is published immediately and until the list agrees. */
     @Test
     void aStageOverrideIsPublishedUntilThePlatformAgrees() {
-        polls.remove().completed(engines("decode", "decode"));
+        polls.remove().completed(serversInStages("decode", "decode"));
         poller.overrideStage("i-1", Endpoint.CHANGING, 10_000);
         poller.publishStageOverrides(7);
         assertEquals(List.of("decode", Endpoint.CHANGING), stages());
         assertEquals(2, published.size());
         time.run(400);
-        polls.remove().completed(engines("decode", "decode"));
+        polls.remove().completed(serversInStages("decode", "decode"));
         assertEquals(2, published.size(), "no list without a change");
         poller.overrideStage("i-1", "prefill", 10_000);
         poller.publishStageOverrides(7);
         assertEquals(List.of("decode", "prefill"), stages());
         time.run(400);
-        polls.remove().completed(engines("decode", "decode"));
+        polls.remove().completed(serversInStages("decode", "decode"));
         assertEquals(List.of("decode", "prefill"), stages(), "the platform's list lags");
         time.run(400);
-        polls.remove().completed(engines("decode", "prefill"));
+        polls.remove().completed(serversInStages("decode", "prefill"));
         time.run(400);
-        polls.remove().completed(engines("decode", "decode"));
+        polls.remove().completed(serversInStages("decode", "decode"));
         assertEquals(List.of("decode", "decode"), stages(), "the override ended when the platform's list agreed");
     }
 
     @Test
     void aStageOverrideRequiresTheCurrentTokenAndExpires() {
-        polls.remove().completed(engines("decode"));
+        polls.remove().completed(serversInStages("decode"));
         role.reacquire();
         poller.overrideStage("i-0", Endpoint.CHANGING, 1_000);
         poller.publishStageOverrides(7);
         poller.publishStageOverrides(8);
         assertEquals(List.of("decode"), stages());
         time.run(400);
-        polls.remove().completed(engines("decode"));
+        polls.remove().completed(serversInStages("decode"));
         assertEquals(List.of(Endpoint.CHANGING), stages());
         time.run(400);
-        polls.remove().completed(engines("decode"));
+        polls.remove().completed(serversInStages("decode"));
         time.run(400);
-        polls.remove().completed(engines("decode"));
+        polls.remove().completed(serversInStages("decode"));
         assertEquals(List.of("decode"), stages(), "the override has expired");
     }
 
@@ -198,7 +201,7 @@
         assertEquals(List.of(DRAIN_MS), role.stepDownDurationsMs);
     }
 
-    /** While no control plane reaches the platform, the lease moves at increasing intervals; a response resets them. */
+    /** While the platform is unreachable, the lease is released at increasing intervals; a response resets them. */
     @Test
     void theLeaseIsReleasedAtIncreasingIntervalsWhileThePlatformIsDown() {
         double[] backoffFactors = {1, 2, 4, 8, 16, 16};
--- a/controlplane/src/test/java/dewplank/controlplane/HttpPlatformClientTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/HttpPlatformClientTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Fetches the platform's list page by page, within the platform's rate limit. */
+/** Tests that the platform's list is fetched page by page, within the platform's rate limit. */
 class HttpPlatformClientTest {
     private static final double RATE_LIMIT_PER_S = 4; // the client uses half of it
     private static final double SECOND_MS = 1_000;
@@ -70,7 +70,7 @@
                                 + (next == null ? "null" : "\"" + next + "\"") + "}");
     }
 
-    /** Five pages at two requests a second: the third is sent no sooner than one second after the first, and so on. */
+    /** At two requests a second, each page is requested at least one second after the last page but one before it. */
     @Test
     void pagesAreRequestedWithinTheRateLimit() throws Exception {
         double startedAt = loop.now();
--- a/controlplane/src/test/java/dewplank/controlplane/InboundLinkTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/InboundLinkTest.java
@@ -20,7 +20,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** The first message of a connection determines its purpose, which later messages can't change. */
+/** Tests that the first message of a connection determines its purpose, and that later messages can't change it. */
 class InboundLinkTest {
     private static final Member DATA = new Member("d", Member.DATA, "10.0.0.9:1", "z", 1);
     private static final Member CONTROL = new Member("c", Member.CONTROL, "10.0.0.8:1", "z", 1);
@@ -89,15 +89,15 @@
 
     private static final class NoPeers implements ControlMesh.Handler {
         @Override
-        public ControlHeartbeat heartbeat(long sequence) {
+        public ControlHeartbeat createHeartbeat(long sequence) {
             return new ControlHeartbeat(sequence, List.of(), List.of());
         }
 
         @Override
-        public void received(String address, Object message) {}
+        public void onMessage(String address, Object message) {}
 
         @Override
-        public void linkUp(String address) {}
+        public void onLinkUp(String address) {}
 
         @Override
         public boolean isRetained(String address) {
--- a/controlplane/src/test/java/dewplank/controlplane/JsonTextTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/JsonTextTest.java
@@ -9,7 +9,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** A client can parse the response whatever characters its fields contain. */
+/** Tests that the JSON can be parsed again, regardless of the characters that its fields contain. */
 class JsonTextTest {
     @Property(tries = 300)
     void anyTextRoundTrips(@ForAll String name, @ForAll String text) {
--- a/controlplane/src/test/java/dewplank/controlplane/OperatorApiTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/OperatorApiTest.java
@@ -54,10 +54,10 @@
         loop.stop();
     }
 
-    /** Redirects with a quorum and other control planes that the test sets. */
+    /** The quorum of this control plane and the addresses of others, as set by the test. */
     private static final class FakeRedirects implements OperatorApi.Redirects {
         private volatile boolean hasQuorum = true;
-        private volatile String quorateEndpoint;
+        private volatile String quorateOperatorAddress;
         private volatile boolean foundersLost;
 
         @Override
@@ -71,12 +71,12 @@
         }
 
         @Override
-        public Optional<String> quorateEndpoint() {
-            return Optional.ofNullable(quorateEndpoint);
+        public Optional<String> quorateOperatorAddress() {
+            return Optional.ofNullable(quorateOperatorAddress);
         }
 
         @Override
-        public List<String> knownEndpoints() {
+        public List<String> otherOperatorAddresses() {
             return List.of("10.0.0.4:8080", "10.0.0.5:8080");
         }
     }
@@ -220,7 +220,7 @@
 
     /** Operators' programs read the configuration back, so the response is complete and includes the keys. */
     @Test
-    void theInterfaceReturnsKeysAsTheyWereSent() {
+    void theResponseContainsAccessKeysAsTheyWereSent() {
         String tenants = "\"tenants\":[{\"name\":\"a\",\"access_keys\":[\"k-1\"]}],\"services\"";
         String withTenants = configuration(3).replace("\"services\"", tenants);
         result(ResultCode.OK, call("PUT", "/configuration", "0", withTenants));
@@ -228,7 +228,7 @@
     }
 
     @Test
-    void aChangeNeedsIfMatch() {
+    void aChangeWithoutIfMatchIsRejected() {
         result(ResultCode.IF_MATCH_MISSING, call("PUT", "/configuration", null, configuration(3)));
         for (String ifMatch : List.of("", "*", "W/3", "-1", "3.5", "99999999999999999999")) {
             result(ResultCode.IF_MATCH_MALFORMED, call("PATCH", "/configuration", ifMatch, configuration(3)));
@@ -243,9 +243,12 @@
         result(ResultCode.NO_QUORUM, get("/configuration"));
     }
 
-    /** Without a quorum the call is neither confirmed nor rejected, even if it is invalid, and sends no request. */
+    /**
+     * Without a quorum the request is neither confirmed nor rejected, even if it is invalid, and the register is not
+     * used.
+     */
     @Test
-    void withoutAQuorumItReturnsOtherEndpointsImmediately() {
+    void withoutAQuorumTheAddressesOfOthersAreReturnedImmediately() {
         redirects.hasQuorum = false;
         String[] bodies = {configuration(3), "{", ""};
         for (String body : bodies) {
@@ -266,7 +269,7 @@
         Map<String, Object> fields = result(ResultCode.FOUNDERS_LOST, get("/configuration"));
         assertEquals(List.of("10.0.0.4:8080", "10.0.0.5:8080"), fields.get("elsewhere"));
         result(ResultCode.FOUNDERS_LOST, call("PUT", "/configuration", "0", configuration(3)));
-        redirects.quorateEndpoint = "10.0.0.4:8080";
+        redirects.quorateOperatorAddress = "10.0.0.4:8080";
         result(ResultCode.ELSEWHERE, get("/configuration"));
         assertEquals(List.of(), register.timeouts());
     }
@@ -274,7 +277,7 @@
     @Test
     void redirectsToAControlPlaneWithARecentQuorum() {
         redirects.hasQuorum = false;
-        redirects.quorateEndpoint = "10.0.0.4:8080";
+        redirects.quorateOperatorAddress = "10.0.0.4:8080";
         HttpResponse<String> response = call("PATCH", "/configuration", "7", "{}");
         result(ResultCode.ELSEWHERE, response);
         assertEquals(
@@ -284,7 +287,7 @@
     }
 
     @Test
-    void respondsBeforeCallersTimeOut() {
+    void respondsBeforeClientsTimeOut() {
         call("PUT", "/configuration", "0", configuration(3));
         call("PUT", "/configuration", "0", configuration(3) + " ".repeat(100_000));
         get("/configuration");
@@ -294,7 +297,7 @@
     }
 
     @Test
-    void servesItsViews() {
+    void returnsTheStateOfTheControlPlaneAsJson() {
         for (String path : List.of(
                 "/members", "/duties", "/servers", "/status", "/data-planes", "/status?pretty=1", "/servers/?zone=x")) {
             HttpResponse<String> response = get(path);
@@ -333,22 +336,22 @@
     }
 
     @Test
-    void callsInFlightGetAResponseWhenDraining() throws Exception {
+    void requestsInFlightReceiveAResponseWhenDraining() throws Exception {
         register.stopResponding();
         CompletableFuture<HttpResponse<String>> response =
                 client.sendAsync(request("GET", "/configuration", null, ""), HttpResponse.BodyHandlers.ofString());
-        closeOnceCalled();
+        closeOnceARequestIsInFlight();
         result(ResultCode.ENDING, response.get(MAX_WAIT_S, TimeUnit.SECONDS));
     }
 
-    /** Closes the interface as soon as a call is in flight. */
-    private void closeOnceCalled() {
+    /** Closes the interface as soon as a request is in flight. */
+    private void closeOnceARequestIsInFlight() {
         loop.execute(() -> {
             if (register.timeouts().isEmpty()) {
-                closeOnceCalled();
+                closeOnceARequestIsInFlight();
             } else {
                 api.close();
-                api.abortCallsInFlight();
+                api.abortRequestsInFlight();
             }
         });
     }
--- a/controlplane/src/test/java/dewplank/controlplane/OperatorRequestsTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/OperatorRequestsTest.java
@@ -74,12 +74,12 @@
         }
 
         @Override
-        public Optional<String> quorateEndpoint() {
+        public Optional<String> quorateOperatorAddress() {
             return Optional.empty();
         }
 
         @Override
-        public List<String> knownEndpoints() {
+        public List<String> otherOperatorAddresses() {
             return List.of();
         }
     }
@@ -102,15 +102,15 @@
         return "{\"config_version\":" + version + ",\"routes\":[" + ROUTE + "],\"services\":[{\"name\":\"s\"}]}";
     }
 
-    private Wire caller() throws IOException {
+    private Wire client() throws IOException {
         return Wire.to((InetSocketAddress) listener.address());
     }
 
     private int status(String method, String ifMatch, String body) throws IOException {
-        try (Wire caller = caller()) {
-            caller.send(method + " /configuration HTTP/1.1\r\nHost: c\r\nIf-Match: " + ifMatch + "\r\nContent-Length: "
+        try (Wire client = client()) {
+            client.send(method + " /configuration HTTP/1.1\r\nHost: c\r\nIf-Match: " + ifMatch + "\r\nContent-Length: "
                     + body.length() + "\r\n\r\n" + body);
-            return caller.read().status();
+            return client.read().status();
         }
     }
 
@@ -118,7 +118,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"3", "\"3\"", " 3 ", "03"})
-    void ifMatchMayBeQuoted(String ifMatch) throws IOException {
+    void ifMatchIsAcceptedWithAndWithoutQuotes(String ifMatch) throws IOException {
         assertEquals(200, status("PUT", "0", configuration(3)));
         assertEquals(200, status("PUT", ifMatch, configuration(4)));
     }
@@ -145,9 +145,9 @@
         assertEquals(200, status("PUT", "8", configuration(9)));
     }
 
-    /** A different body with the same version, and the same body with another base version or another method. */
+    /** Tests a different body with the same version, and the same body with another base version or another method. */
     @Test
-    void aDifferentChangeIsNotTakenForARepeatedOne() throws IOException {
+    void aDifferentChangeIsNotARepetition() throws IOException {
         assertEquals(200, status("PUT", "0", configuration(3)));
         assertEquals(412, status("PUT", "0", configuration(3) + " "));
         assertEquals(412, status("PUT", "2", configuration(3)));
@@ -189,25 +189,25 @@
                         configuration(3) + " ".repeat(4 * MIB - configuration(3).length() + 1)));
     }
 
-    /** The request is rejected after its head, so that the caller does not have to send the body. */
+    /** The request is rejected after its head, so that the client does not have to send the body. */
     @Test
     void aBodyAboveTheBodyLimitIsNotRead() throws IOException {
-        try (Wire caller = caller()) {
-            caller.send(head("Content-Length: " + 5 * MIB + "\r\n"));
-            assertEquals(413, caller.read().status());
-            assertNull(caller.read());
+        try (Wire client = client()) {
+            client.send(head("Content-Length: " + 5 * MIB + "\r\n"));
+            assertEquals(413, client.read().status());
+            assertNull(client.read());
         }
         assertEquals(200, status("PUT", "0", configuration(3)));
     }
 
     @Test
     void acceptsAChunkedBody() throws IOException {
-        try (Wire caller = caller()) {
-            caller.send(head("Transfer-Encoding: chunked\r\n"));
-            caller.chunk(configuration(3).substring(0, 20));
-            caller.chunk(configuration(3).substring(20));
-            caller.lastChunk();
-            assertEquals(200, caller.read().status());
+        try (Wire client = client()) {
+            client.send(head("Transfer-Encoding: chunked\r\n"));
+            client.chunk(configuration(3).substring(0, 20));
+            client.chunk(configuration(3).substring(20));
+            client.lastChunk();
+            assertEquals(200, client.read().status());
         }
     }
 
@@ -225,12 +225,12 @@
                 "GET /configuration",
                 "G@T /configuration HTTP/1.1",
                 "\u0000\u0001\u0002")) {
-            try (Wire caller = caller()) {
-                caller.send(first + "\r\nHost: c\r\n\r\n");
-                Wire.Message response = caller.read();
+            try (Wire client = client()) {
+                client.send(first + "\r\nHost: c\r\n\r\n");
+                Wire.Message response = client.read();
                 assertEquals(400, response.status(), first);
                 assertEquals("close", response.header("Connection"), first);
-                assertNull(caller.read(), first);
+                assertNull(client.read(), first);
             }
         }
         assertEquals(200, status("PUT", "0", configuration(3)));
@@ -239,9 +239,9 @@
     @Test
     void anUnknownPathOrMethodIsReported() throws IOException {
         for (String target : List.of("/", "//", "/configuration/1", "/?x=/configuration")) {
-            try (Wire caller = caller()) {
-                caller.send("GET " + target + " HTTP/1.1\r\nHost: c\r\n\r\n");
-                Wire.Message response = caller.read();
+            try (Wire client = client()) {
+                client.send("GET " + target + " HTTP/1.1\r\nHost: c\r\n\r\n");
+                Wire.Message response = client.read();
                 assertEquals(404, response.status(), target);
                 assertTrue(response.body().contains("NO_SUCH_PATH"), response.body());
             }
--- a/controlplane/src/test/java/dewplank/controlplane/QuotaSharesTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/QuotaSharesTest.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Quota shares that control planes request in heartbeats, and that the role's lease holder grants. */
+/** Tests the quota shares that control planes request in heartbeats and that the lease holder grants. */
 class QuotaSharesTest {
     private static final double HEARTBEAT_INTERVAL_MS = 300;
     /** The lease of a share as its assigner counts it. */
@@ -21,7 +21,7 @@
     /** The lease of a share as its user counts it. */
     private static final double USER_LEASE_MS = 3_920;
     /** Rounds of heartbeats in which all grants of an earlier assigner expire and reductions are reported. */
-    private static final int SETTLING_ROUNDS = 20;
+    private static final int REASSIGNMENT_ROUNDS = 20;
     /** More heartbeats than {@link QuotaShares} stores. */
     private static final int MANY_HEARTBEATS = 20;
 
@@ -113,17 +113,17 @@
         }
     }
 
-    /** The first control plane holds the role, and both have half of all limits. */
-    private void settle() {
+    /** Makes the first control plane the lease holder, and runs rounds until both have half of all limits. */
+    private void assignEqualShares() {
         first.acquireRole();
-        exchangeHeartbeats(SETTLING_ROUNDS);
+        exchangeHeartbeats(REASSIGNMENT_ROUNDS);
     }
 
     // ---- assignment ------------------------------------------------------------------------------------
 
     @Test
     void theLeaseHolderAssignsAnEqualShareToItselfAndToItsPeer() {
-        settle();
+        assignEqualShares();
         assertEquals(0.5, first.fraction(), ROUNDING_ERROR);
         assertEquals(0.5, second.fraction(), ROUNDING_ERROR);
     }
@@ -143,10 +143,10 @@
 
     @Test
     void sharesAreRenewedWithoutInterruptionWhenTheLeaseHolderChanges() {
-        settle();
+        assignEqualShares();
         first.loseRole();
         second.acquireRole();
-        for (int round = 0; round < 2 * SETTLING_ROUNDS; round++) {
+        for (int round = 0; round < 2 * REASSIGNMENT_ROUNDS; round++) {
             time.run(HEARTBEAT_INTERVAL_MS);
             exchangeHeartbeats();
             assertEquals(0.5, first.fraction(), ROUNDING_ERROR);
@@ -156,7 +156,7 @@
 
     @Test
     void aControlPlaneWithoutTheRoleGrantsNoShares() {
-        exchangeHeartbeats(SETTLING_ROUNDS);
+        exchangeHeartbeats(REASSIGNMENT_ROUNDS);
         assertNull(first.acknowledge(second, second.beginHeartbeat()).quotaShare);
         assertEquals(List.of(), first.shareUpdates);
         assertEquals(List.of(), second.shareUpdates);
@@ -164,7 +164,7 @@
 
     @Test
     void aControlPlaneGrantsNoSharesAfterItLosesTheRole() {
-        settle();
+        assignEqualShares();
         first.loseRole();
         assertNull(first.acknowledge(second, second.beginHeartbeat()).quotaShare);
         first.shareUpdates.clear();
@@ -174,7 +174,7 @@
 
     @Test
     void sharesExpireOneLeaseAfterTheRoleBecomesVacant() {
-        settle();
+        assignEqualShares();
         first.loseRole();
         time.run(USER_LEASE_MS - 1);
         assertEquals(0.5, second.fraction(), ROUNDING_ERROR);
@@ -187,7 +187,7 @@
     /** Between two heartbeats, another control plane may have held the role and assigned shares. */
     @Test
     void aReacquiredRoleStartsWithRenewals() {
-        settle();
+        assignEqualShares();
         first.acquireRole();
         QuotaShareGrant grant = first.acknowledge(second, second.beginHeartbeat()).quotaShare;
         assertEquals(lastToken, grant.fencingToken);
@@ -195,19 +195,19 @@
         assertEquals(0.5, grant.fraction, ROUNDING_ERROR);
     }
 
-    /** Such a peer is a relay or a process of an earlier release. */
+    /** Such a peer has no disk or runs an earlier release. */
     @Test
     void aPeerThatReportsNoShareReceivesNoGrant() {
-        settle();
+        assignEqualShares();
         assertNull(first.shares.grantFor("10.0.0.3:1", new ControlHeartbeat(1, List.of(), List.of())));
-        exchangeHeartbeats(SETTLING_ROUNDS);
+        exchangeHeartbeats(REASSIGNMENT_ROUNDS);
         assertEquals(0.5, first.fraction(), ROUNDING_ERROR);
     }
 
     @Test
     void theShareOfAPeerWithoutHeartbeatsIsReassigned() {
-        settle();
-        for (int round = 0; round < SETTLING_ROUNDS; round++) {
+        assignEqualShares();
+        for (int round = 0; round < REASSIGNMENT_ROUNDS; round++) {
             time.run(HEARTBEAT_INTERVAL_MS);
             first.beginHeartbeat();
             assertTrue(first.fraction() + second.fraction() <= 1 + ROUNDING_ERROR);
@@ -219,7 +219,7 @@
 
     @Test
     void theLeaseOfAGrantStartsWhenItsHeartbeatWasSent() {
-        settle();
+        assignEqualShares();
         ControlHeartbeat delayed = second.beginHeartbeat();
         double sentAt = time.now();
         time.run(HEARTBEAT_INTERVAL_MS);
@@ -233,7 +233,7 @@
 
     @Test
     void anAcknowledgementOfADiscardedHeartbeatIsIgnored() {
-        settle();
+        assignEqualShares();
         ControlHeartbeat discarded = second.beginHeartbeat();
         HeartbeatAck ack = first.acknowledge(second, discarded);
         assertNotNull(ack.quotaShare);
@@ -248,7 +248,7 @@
     /** The heartbeat was sent by an earlier incarnation at the same address. */
     @Test
     void anAcknowledgementOfAHeartbeatThatWasNotSentIsIgnored() {
-        settle();
+        assignEqualShares();
         second.shareUpdates.clear();
         QuotaShareGrant grant = new QuotaShareGrant(1, lastToken, Long.MAX_VALUE, false);
         second.shares.onAcknowledged(new HeartbeatAck(second.sequence + 1, true, List.of(), grant));
@@ -257,7 +257,7 @@
 
     @Test
     void anOlderGrantThatArrivesLateIsIgnored() {
-        settle();
+        assignEqualShares();
         HeartbeatAck late = first.acknowledge(second, second.beginHeartbeat());
         time.run(HEARTBEAT_INTERVAL_MS);
         exchangeHeartbeats();
@@ -268,7 +268,7 @@
 
     @Test
     void anAcknowledgementWithoutAGrantIsIgnored() {
-        settle();
+        assignEqualShares();
         second.shareUpdates.clear();
         second.shares.onAcknowledged(new HeartbeatAck(second.sequence, true, List.of()));
         assertEquals(List.of(), second.shareUpdates);
--- a/controlplane/src/test/java/dewplank/controlplane/QuotaTokensTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/QuotaTokensTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Token requests that are granted from this process's share or forwarded to peers, and the replies to them. */
+/** Tests how requests for tokens are granted from this process's share or forwarded to peers. */
 class QuotaTokensTest {
     private static final String TENANT = "acme";
     private static final double RATE_PER_S = 10;
@@ -162,14 +162,14 @@
     // ---- tokens of this control plane ------------------------------------------------------------------
 
     @Test
-    void ownTokensAreGrantedWithoutQueryingPeers() {
+    void tokensOfThisControlPlaneAreGrantedWithoutQueryingPeers() {
         setShareAndFillBucket(5);
         assertRepliedOnce(request(3), Outcome.GRANTED, 3);
         assertNoPeerQueried();
     }
 
     @Test
-    void aRequestIsGrantedTheRemainingOwnTokensWithoutQueryingPeers() {
+    void aRequestIsGrantedTheRemainingTokensOfThisControlPlaneWithoutQueryingPeers() {
         setShareAndFillBucket(5);
         assertRepliedOnce(request(9), Outcome.GRANTED, 5);
         assertNoPeerQueried();
@@ -192,7 +192,7 @@
     // ---- requests from peers ---------------------------------------------------------------------------
 
     @Test
-    void aPeersRequestIsGrantedOwnTokens() {
+    void aPeersRequestIsGrantedTokensOfThisControlPlane() {
         setShareAndFillBucket(5);
         assertRepliedOnce(request(TENANT, 2, true), Outcome.GRANTED, 2);
         assertNoPeerQueried();
@@ -350,7 +350,7 @@
     }
 
     @Test
-    void ownTokensAreGrantedAfterAllWereExhausted() {
+    void tokensOfThisControlPlaneAreGrantedAfterAllWereExhausted() {
         setShare();
         request(1);
         replyExhaustedByAll(1_000);
--- a/controlplane/src/test/java/dewplank/controlplane/StageControllerTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/StageControllerTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Report requests and orders that model servers receive. */
+/** Tests the report requests and orders that model servers receive. */
 class StageControllerTest {
     private static final String TARGET_INSTANCE = "X-Dewplank-Target-Instance";
     private static final long FENCING_TOKEN = 41;
@@ -90,8 +90,8 @@
     }
 
     /**
-     * Responds to report requests until another request arrives. Checks that each request names the instance that it is
-     * meant for.
+     * Responds to report requests until another request arrives. Checks that each request contains the instance id of
+     * the server that receives it.
      */
     private Call respondToReports() throws Exception {
         while (true) {
@@ -145,7 +145,7 @@
 
     /** An order of the previous lease holder may still be in flight. */
     @Test
-    void aNewLeaseHolderWaitsForTheLeaseAndAMargin() throws Exception {
+    void aNewLeaseHolderSendsNoOrderForALeaseAndAMargin() throws Exception {
         startController(700);
         Call order = respondToReports();
         double orderedAt = loop.now();
--- a/controlplane/src/test/java/dewplank/controlplane/StallDetectorTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/StallDetectorTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 class StallDetectorTest {
-    /** A scheduler whose clock is set and whose tasks are run by the test. */
+    /** A scheduler whose clock the test sets and whose tasks the test runs. */
     private static final class ManualScheduler implements Scheduler {
         private double now;
         private final List<Runnable> tasks = new ArrayList<>();
--- a/controlplane/src/test/java/dewplank/controlplane/VirtualTime.java
+++ b/controlplane/src/test/java/dewplank/controlplane/VirtualTime.java
@@ -4,7 +4,7 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** A clock with timers, in milliseconds. It starts at 0 and advances only when the test advances it, on its thread. */
+/** A clock with timers, in milliseconds. It starts at 0, and only the test advances it, on the test's thread. */
 final class VirtualTime implements Scheduler {
     /** A task and its due time; tasks with the same due time run in the order in which they were added. */
     private record Task(double at, long order, Runnable action) {}
