--- a/controlplane/src/main/java/dewplank/controlplane/SingletonRoles.java
+++ b/controlplane/src/main/java/dewplank/controlplane/SingletonRoles.java
@@ -23,7 +23,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(SingletonRoles.class);
     private static final double TICK_INTERVAL_MS = 20;
     /** Name of the fleet's only singleton role in messages and on disk. */
-    private static final String LEADER_ROLE = "list";
+    private static final String SINGLETON_ROLE = "list";
 
     /** Sends messages to control planes; a message to this process itself arrives in a later task. */
     interface MessageSender {
@@ -65,7 +65,7 @@
         voter = new LeaseVoter(
                 self.identity(), leaseMs, storage.firstStart() ? 0 : now + leaseMs, storage.fencingTokens());
         candidate = new Candidate(
-                LEADER_ROLE,
+                SINGLETON_ROLE,
                 self.address() + "#" + Long.toHexString(random.nextLong()),
                 LeaseTiming.ofLease(leaseMs),
                 random::nextDouble,
