--- a/dataplane/src/main/java/dewplank/dataplane/AccessControl.java
+++ b/dataplane/src/main/java/dewplank/dataplane/AccessControl.java
@@ -10,10 +10,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Decides whether a request, with or without an access key, may be sent to a server now. If revocation is closed, keys
- * are accepted only while the configuration in force is confirmed to be recent: a data plane that loses contact with
- * the control planes stops accepting keys before the time by which it must reject a key that was revoked meanwhile
- * ({@code docs/design-quotas.md}). Used on the event loop's thread only.
+ * Decides whether a request, with or without an access key, may be sent to a server now. If the setting {@code
+ * revocation_closed} is true, revocation fails closed: keys are accepted only while the configuration in force is
+ * confirmed to be recent. A data plane that loses contact with the control planes stops accepting keys before the time
+ * by which it must reject a key that was revoked meanwhile ({@code docs/design-quotas.md}). Not thread-safe; must be
+ * used on the event loop's thread only.
  */
 final class AccessControl {
     private static final Logger LOG = LoggerFactory.getLogger(AccessControl.class);
@@ -21,16 +22,17 @@
     /** Maximum difference in rate between the clocks of two machines, as a fraction. */
     private static final double MAX_CLOCK_DRIFT = 0.02;
     /** Maximum pause of a process between reading its clock and writing to a socket. */
-    private static final double MAX_STALL_MS = 150;
+    private static final double MAX_PAUSE_MS = 150;
 
     /**
-     * The settings that limit the use of revoked keys.
+     * The settings that limit the use of revoked keys: {@code revocation_closed} and {@code revoke_ms}.
      *
-     * @param closed whether all keys are rejected while the configuration in force is not confirmed to be recent
+     * @param closed whether revocation fails closed: all keys are rejected while the configuration in force is not
+     *     confirmed to be recent
      * @param withinMs maximum time from the acknowledgement of a revocation until the key is rejected
      */
     record Revocation(boolean closed, double withinMs) {
-        /** Keys are accepted according to the configuration in force, however old it is. */
+        /** Revocation fails open: keys are accepted according to the configuration in force, however old it is. */
         static final Revocation OPEN = new Revocation(false, 0);
     }
 
@@ -89,13 +91,13 @@
 
     /**
      * Whether all revocations that were acknowledged longer ago than {@link Revocation#withinMs} are in force here. All
-     * that were acknowledged before {@link FleetMetadata#confirmedAtMs} are.
+     * revocations that were acknowledged before {@link FleetMetadata#confirmedAtMs} are.
      */
     private boolean isConfirmed() {
         if (!revocation.closed()) {
             return true;
         }
-        double validityMs = revocation.withinMs() * (1 - MAX_CLOCK_DRIFT) - MAX_STALL_MS;
+        double validityMs = revocation.withinMs() * (1 - MAX_CLOCK_DRIFT) - MAX_PAUSE_MS;
         double ageMs = loop.now() - fleet.confirmedAtMs();
         boolean confirmed = ageMs <= validityMs;
         if (confirmed != wasConfirmed) {
--- a/dataplane/src/main/java/dewplank/dataplane/AttemptAllowance.java
+++ b/dataplane/src/main/java/dewplank/dataplane/AttemptAllowance.java
@@ -4,8 +4,8 @@
 
 /**
  * Limits the attempts of one request: the client's access key must be valid, the route's {@code max_attempts} must not
- * be exceeded, and each attempt after the first needs a retry from the service's retry budget. Accessed only on the
- * event loop's thread.
+ * be exceeded, and each attempt after the first needs a retry from the service's retry budget. Not thread-safe; must be
+ * used on the event loop's thread only.
  */
 final class AttemptAllowance {
     private final RetryBudgets budgets;
@@ -39,8 +39,8 @@
         attempts++;
     }
 
-    /** Uncounts an attempt that was counted but sent nothing. */
-    void revokeAttempt() {
+    /** Undoes {@link #recordAttempt} for an attempt that sent nothing. */
+    void undoAttempt() {
         attempts--;
     }
 
@@ -86,13 +86,13 @@
         return acquired;
     }
 
-    /** Charges an attempt that was started free of charge to the retry budget, but not to the route's limit. */
-    void chargeFreeAttemptToBudget() {
+    /** Counts a formerly exempt attempt in the retry budget, but not towards the route's limit. */
+    void countExemptAttemptInBudget() {
         budgets.recordRetry(service);
     }
 
-    /** Charges an attempt that was started free of charge to the route's limit and the retry budget. */
-    void chargeFreeAttemptToLimitAndBudget() {
+    /** Counts a formerly exempt attempt towards the route's limit and in the retry budget. */
+    void countExemptAttempt() {
         attempts++;
         budgets.recordRetry(service);
         charged++;
--- a/dataplane/src/main/java/dewplank/dataplane/AttemptFactory.java
+++ b/dataplane/src/main/java/dewplank/dataplane/AttemptFactory.java
@@ -16,7 +16,7 @@
 
 /**
  * Creates the attempts of one client's request: encodes the request for each server, matches responses to it, and
- * records the servers that it was sent to. Accessed only on the event loop's thread.
+ * records the servers that it was sent to. Not thread-safe; must be used on the event loop's thread only.
  */
 final class AttemptFactory {
     private final EventLoop loop;
@@ -24,7 +24,7 @@
     private final InboundConnection.Request request;
     private final RequestDeadline deadline;
     private final Credentials credentials;
-    /** Null if the client sent none. */
+    /** The request's attempt id; null if the client sent none. */
     private final String attemptId;
 
     private final Set<String> attemptedInstances = new HashSet<>();
@@ -45,9 +45,9 @@
 
     /**
      * Creates an attempt at a server without starting it. The attempt uses a dedicated connection if the request was
-     * sent to this server before, as a second response to the earlier attempt has the same attempt id and could be
-     * mistaken for the response to this one. A request without an id also uses a dedicated connection, as its responses
-     * cannot be distinguished from others.
+     * sent to this server before, because a second response to the earlier attempt would have the same attempt id and
+     * could be mistaken for the response to this one. A request without an id also uses a dedicated connection, because
+     * its responses cannot be distinguished from others.
      *
      * @param prefillTokens number of the prompt's tokens that the server has to prefill
      * @param extraFields fields that replace the client's fields of the same names
@@ -103,8 +103,8 @@
     }
 
     /**
-     * Whether a client's field is not forwarded. Access keys that the data plane itself checks are not forwarded
-     * either.
+     * Whether a client's field is not forwarded. The field with the access key is not forwarded either if the data
+     * plane checks access keys.
      */
     private boolean isNotForwarded(String name) {
         return HeaderNames.isSetByDataPlane(name)
--- a/dataplane/src/main/java/dewplank/dataplane/ClientTimeouts.java
+++ b/dataplane/src/main/java/dewplank/dataplane/ClientTimeouts.java
@@ -7,7 +7,8 @@
  * Timeouts for clients, according to the limits of the configurations that may be in force. Clients use connections
  * that have been idle for up to four fifths of the idle timeout, and may use another configuration version than this
  * data plane until a change has reached both. A shorter timeout therefore applies only after that period; a longer one
- * applies immediately. Times are in milliseconds of the loop's clock. Accessed only on the event loop's thread.
+ * applies immediately. Times are in milliseconds of the loop's clock. Not thread-safe; must be used on the event loop's
+ * thread only.
  */
 final class ClientTimeouts {
     private final double maxApplyMs;
@@ -55,8 +56,8 @@
         return Math.max(headMs(now), idleMs(now));
     }
 
-    /** Whether the connection has waited too long for a request or for the rest of one. */
-    boolean isOverdue(double now, InboundConnection connection) {
+    /** Whether the time limit for the next request on the connection, or for the rest of a request, has passed. */
+    boolean isTimedOut(double now, InboundConnection connection) {
         return !connection.isBusy() && now - connection.waitingSince() > timeoutMs(now, connection);
     }
 
--- a/dataplane/src/main/java/dewplank/dataplane/ControlAddresses.java
+++ b/dataplane/src/main/java/dewplank/dataplane/ControlAddresses.java
@@ -9,9 +9,10 @@
 import java.util.Set;
 
 /**
- * The known addresses of control planes: the seeds from the settings, which are retained, and those that control planes
- * report, which are evicted if none has reported them for a long time. Used by {@link SessionClient} only, on its
- * thread. Times are in milliseconds of its clock. An address is in use while a session with it is open or being opened.
+ * The addresses of control planes: the seeds from the settings, which are retained, and those that control planes
+ * report, which are evicted if no control plane has reported them for {@link #EXPIRY_MS}. Used by {@link SessionClient}
+ * only, and must be called on its thread. Times are in milliseconds of its clock. An address is in use while a session
+ * with it is open or being opened.
  */
 final class ControlAddresses {
     /** Maximum number of addresses; beyond it, the least recently reported one is evicted. */
--- a/dataplane/src/main/java/dewplank/dataplane/ControlSession.java
+++ b/dataplane/src/main/java/dewplank/dataplane/ControlSession.java
@@ -20,7 +20,7 @@
 /**
  * A session with one control plane: sends heartbeats with the versions that are in force here, and applies the updates
  * that it receives. Updates from a control plane without a quorum are deferred while there is no configuration here.
- * Created by {@link SessionClient}; used on the event loop's thread only.
+ * Created by {@link SessionClient}; must be used on the event loop's thread only.
  */
 final class ControlSession implements MessageLink.Handler {
     private static final Logger LOG = LoggerFactory.getLogger(ControlSession.class);
@@ -40,19 +40,19 @@
         boolean hasReplacement();
 
         /** The control plane lost its quorum, and its session is about to be closed. */
-        void quorumLost(ControlSession session);
+        void onQuorumLost(ControlSession session);
 
         /** The control plane reported these addresses of control planes. */
-        void addressesReported(List<String> addresses);
+        void onAddressesReported(List<String> addresses);
 
         /** The control plane replied to a quota request. */
-        void quotaReplyReceived(QuotaReply reply);
+        void onQuotaReply(QuotaReply reply);
 
         /** An update was applied. */
-        void updateApplied();
+        void onUpdateApplied();
 
         /** The session was closed, or its connection could not be established. */
-        void sessionClosed(ControlSession session);
+        void onSessionClosed(ControlSession session);
     }
 
     /** States that no configuration newer than the version had been chosen by that time of the loop's clock. */
@@ -140,10 +140,10 @@
                 sequence, fleet.configurationVersion(), fleet.listVersion(), fleet.membersDigest()));
     }
 
-    /** Excludes from the timeouts a time during which this process was paused. */
-    void excludeStall(double stalledMs) {
-        lastMessageAt += stalledMs;
-        lastQuorumAt += stalledMs;
+    /** Extends the timeouts by a time during which this process was paused. */
+    void excludePause(double pausedMs) {
+        lastMessageAt += pausedMs;
+        lastQuorumAt += pausedMs;
     }
 
     /** Called at each heartbeat interval: closes the session if a timeout has passed, else sends the next heartbeat. */
@@ -159,7 +159,7 @@
                 && now - lastQuorumAt > parameters.quorumTimeoutMs()
                 && owner.hasReplacement()) {
             LOG.info("lost quorum peer={} elapsedMs={}", address, Math.round(now - lastQuorumAt));
-            owner.quorumLost(this);
+            owner.onQuorumLost(this);
             link.close();
         } else {
             applyDeferredUpdates();
@@ -173,7 +173,7 @@
         if (message instanceof HeartbeatAck ack) {
             onAcknowledged(ack);
         } else if (message instanceof QuotaReply reply) {
-            owner.quotaReplyReceived(reply);
+            owner.onQuotaReply(reply);
         } else if (message instanceof FleetUpdate update) {
             deferredUpdates.add(update);
             applyDeferredUpdates();
@@ -192,14 +192,14 @@
         if (ack.quorate) {
             lastQuorumAt = Math.max(lastQuorumAt, pendingHeartbeats.acknowledge(ack.sequence, lastQuorumAt));
         }
-        owner.addressesReported(ack.controlAddresses);
+        owner.onAddressesReported(ack.controlAddresses);
         applyDeferredUpdates();
         applyMembership();
     }
 
     /**
-     * The control plane created the acknowledgement after the heartbeat was sent, so what it confirms is valid at least
-     * for the time of sending minus the age of the confirmation.
+     * The control plane created the acknowledgement after the heartbeat was sent, so its confirmation applies at least
+     * to the time of sending minus the age of the confirmation.
      */
     private void recordConfirmation(HeartbeatAck ack) {
         OptionalDouble sentAt = pendingHeartbeats.sentAt(ack.sequence);
@@ -219,7 +219,7 @@
 
     @Override
     public void closed(MessageLink closedLink) {
-        owner.sessionClosed(this);
+        owner.onSessionClosed(this);
     }
 
     // ---- updates --------------------------------------------------------------------------------------
@@ -246,7 +246,7 @@
             members = update.members;
         }
         applyMembership();
-        owner.updateApplied();
+        owner.onUpdateApplied();
     }
 
     /** Returns whether the update's configuration is now in force, or is not newer than the one in force. */
@@ -259,8 +259,8 @@
     }
 
     /**
-     * A control plane without a quorum does not know the sessions of the other control planes. Its report of the
-     * membership is used only if no open session has a quorum.
+     * A control plane without a quorum has no information about the sessions of the other control planes. Its report of
+     * the membership is used only if no open session has a quorum.
      */
     private void applyMembership() {
         if (members != null && (quorate || !owner.hasQuorateSession())) {
--- a/dataplane/src/main/java/dewplank/dataplane/Counters.java
+++ b/dataplane/src/main/java/dewplank/dataplane/Counters.java
@@ -6,8 +6,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Counters of a data plane since its start. They are logged in one line at regular intervals if any has changed. Used
- * on the event loop's thread only.
+ * Counters of a data plane since its start. They are logged in one line at regular intervals if any has changed. Not
+ * thread-safe; must be used on the event loop's thread only.
  */
 final class Counters {
     private static final Logger LOG = LoggerFactory.getLogger(Counters.class);
@@ -40,6 +40,7 @@
         HANDOVER_FAILURES,
         CONNECT_FAILURES,
         TIMEOUTS,
+        /** Attempts that failed after a part of the request was sent, and responses to clients that were aborted. */
         BROKEN,
         /** Attempts that a server rejected. */
         TURNED_AWAY,
--- a/dataplane/src/main/java/dewplank/dataplane/Credentials.java
+++ b/dataplane/src/main/java/dewplank/dataplane/Credentials.java
@@ -9,7 +9,7 @@
 /**
  * The route of a request and its client's access key, which determine whether the request may be sent to servers. They
  * are checked again before each attempt, because a key may be revoked or reassigned to another tenant while the request
- * waits. Used on the event loop's thread only.
+ * waits. Not thread-safe; must be used on the event loop's thread only.
  */
 final class Credentials {
     private static final String SCHEME = "Bearer ";
--- a/dataplane/src/main/java/dewplank/dataplane/DataPlane.java
+++ b/dataplane/src/main/java/dewplank/dataplane/DataPlane.java
@@ -30,7 +30,7 @@
     private static final double SWEEP_INTERVAL_MS = 250;
     /** File descriptors reserved for idle connections to servers, sessions, files and the JVM. */
     private static final int RESERVED_DESCRIPTORS = 300;
-    /** A client's connection and the connection to its server. */
+    /** File descriptors per client: one for its connection, and one for the connection to a server. */
     private static final int DESCRIPTORS_PER_CLIENT = 2;
 
     private static final int MIN_CLIENT_CONNECTIONS = 64;
@@ -58,7 +58,7 @@
     }
 
     /**
-     * Creates a data plane for an experiment in which some mechanisms are disabled.
+     * Creates a data plane for an experiment in which the policy disables some mechanisms.
      *
      * @throws IOException if an address of the settings cannot be bound
      */
@@ -156,7 +156,7 @@
             clientTimeouts.update(now, fleet.configuration().limits());
         }
         for (InboundConnection connection : forwarder.connections()) {
-            if (clientTimeouts.isOverdue(now, connection)) {
+            if (clientTimeouts.isTimedOut(now, connection)) {
                 connection.timeOut();
             }
         }
--- a/dataplane/src/main/java/dewplank/dataplane/DecodePhase.java
+++ b/dataplane/src/main/java/dewplank/dataplane/DecodePhase.java
@@ -11,9 +11,9 @@
 import java.util.Optional;
 
 /**
- * Sends a generation to a decode server, and decides how to proceed if that server rejects it, breaks off or stalls. A
- * stream that has started is continued at another server if the route allows that and no event would be repeated.
- * Created by the {@link GenerationRequest}; accessed only on the event loop's thread.
+ * Sends a generation to a decode server, and decides how to proceed if that server rejects it, aborts its response or
+ * sends no data for too long. A stream that has started is continued at another server if the route allows that and no
+ * event would be repeated. Created by the {@link GenerationRequest}; must be used on the event loop's thread only.
  */
 final class DecodePhase {
     private static final RoutingParameters.Hedging HEDGING = RoutingParameters.DEFAULTS.hedging();
@@ -58,7 +58,7 @@
     private void sendTo(Server server) {
         request.allowance.recordAttempt();
         List<Headers.Field> extraFields = new ArrayList<>();
-        extraFields.add(request.priority(request.rank()));
+        extraFields.add(request.priorityField(request.priorityLevel()));
         KvHandle offered = request.kvTransfer.offer();
         if (offered != null) {
             extraFields.add(new Headers.Field(HeaderNames.KV_FROM, offered.location()));
@@ -161,7 +161,7 @@
         cancelStallTimer();
         request.kvTransfer.free();
         if (relay.isStarted()) {
-            request.breakOff();
+            request.abortResponse();
         } else {
             request.reject();
         }
--- a/dataplane/src/main/java/dewplank/dataplane/DecodeResponseListener.java
+++ b/dataplane/src/main/java/dewplank/dataplane/DecodeResponseListener.java
@@ -7,7 +7,7 @@
 
 /**
  * Handles a decode server's response to one attempt: relays its stream event by event, and reports failures and
- * rejections to the {@link DecodePhase}. Accessed only on the event loop's thread.
+ * rejections to the {@link DecodePhase}. Not thread-safe; must be used on the event loop's thread only.
  */
 final class DecodeResponseListener implements HttpCall.Listener {
     private final GenerationRequest request;
@@ -111,7 +111,7 @@
         if (kind != ResponseKind.FINAL_FAILURE && phase.allowsResumption()) {
             phase.resume();
         } else if (relay.isStarted()) {
-            request.breakOff();
+            request.abortResponse();
         } else if (kind == ResponseKind.UNUSABLE) {
             request.fail(502);
         } else {
@@ -146,7 +146,7 @@
         phase.cancelStallTimer();
         Execution execution = request.forwarder.serverFeedback().recordFailure(server, request.route.name(), failure);
         if (execution == Execution.IMPOSSIBLE) {
-            request.allowance.revokeAttempt();
+            request.allowance.undoAttempt();
             request.kvTransfer.withdrawOffer();
             phase.start();
             return;
@@ -159,7 +159,7 @@
         if (phase.allowsResumption()) {
             phase.resume();
         } else {
-            request.fail(502); // or breaks off a response that has started
+            request.fail(502); // aborts the response instead if it has started
         }
     }
 }
--- a/dataplane/src/main/java/dewplank/dataplane/DiscardingListener.java
+++ b/dataplane/src/main/java/dewplank/dataplane/DiscardingListener.java
@@ -4,7 +4,10 @@
 import dewplank.http.Headers;
 import dewplank.net.Scheduler;
 
-/** Discards the response to a call whose outcome has no effect. Accessed only on the event loop's thread. */
+/**
+ * Discards the response to a call whose outcome has no effect. Not thread-safe; must be used on the event loop's thread
+ * only.
+ */
 final class DiscardingListener implements HttpCall.Listener {
     private Scheduler.Timer timeout;
     private boolean isOver;
--- a/dataplane/src/main/java/dewplank/dataplane/DrainSchedule.java
+++ b/dataplane/src/main/java/dewplank/dataplane/DrainSchedule.java
@@ -4,20 +4,23 @@
  * Divides the time between SIGTERM and SIGKILL: first, new connections are still accepted, then open requests are
  * completed, and finally the process exits. Times are in milliseconds after SIGTERM.
  *
- * @param graceMs the setting {@code grace_ms}
+ * @param graceMs the setting {@code grace_s}, in milliseconds
  */
 record DrainSchedule(double graceMs) {
     /**
-     * The platform checks readiness once a second and stops routing to this process after two failed checks; then the
-     * connections that it has routed need time to settle.
+     * Maximum time for which new connections are accepted. The platform checks readiness once a second and stops
+     * routing to this process after two failed checks; the connections that it has routed by then need time to settle.
      */
     private static final double MAX_ACCEPT_MS = 2_600;
-    /** Limit for a short grace period: the requests accepted last need the remaining time to be completed. */
+    /**
+     * Maximum fraction of the grace period for which new connections are accepted. It applies to a short grace period,
+     * because the requests accepted last need the remaining time to be completed.
+     */
     private static final double ACCEPT_FRACTION = 0.4;
 
     private static final double MAX_KILL_MARGIN_MS = 700;
     private static final double KILL_MARGIN_FRACTION = 0.2;
-    /** Reserved before the exit for sending the last responses. */
+    /** Time reserved before the exit for sending the last responses. */
     private static final double LAST_RESPONSES_MS = 100;
 
     /** Time until which new connections are accepted. */
--- a/dataplane/src/main/java/dewplank/dataplane/FleetMetadata.java
+++ b/dataplane/src/main/java/dewplank/dataplane/FleetMetadata.java
@@ -22,7 +22,8 @@
 /**
  * The state of the fleet as this data plane last received it: configuration, endpoint list and membership. The
  * configuration and the list are replaced by newer versions only, whichever session delivers them. Updated by the
- * sessions of {@link SessionClient} and read for each request, on the event loop's thread only.
+ * sessions of {@link SessionClient} and read for each request. Not thread-safe; must be used on the event loop's thread
+ * only.
  */
 final class FleetMetadata {
     private static final Logger LOG = LoggerFactory.getLogger(FleetMetadata.class);
--- a/dataplane/src/main/java/dewplank/dataplane/Forwarder.java
+++ b/dataplane/src/main/java/dewplank/dataplane/Forwarder.java
@@ -18,7 +18,7 @@
 
 /**
  * Receives clients' requests, admits them to their routes, and creates a {@link ProxiedRequest} for each. Called by the
- * connections of the front listener and by {@link DataPlane}; accessed only on the event loop's thread.
+ * connections of the front listener and by {@link DataPlane}; must be used on the event loop's thread only.
  */
 final class Forwarder implements InboundConnection.Service {
     private static final double CONNECT_TIMEOUT_MS = 250;
@@ -27,9 +27,11 @@
     /** Retry-After of requests that are rejected before they are sent to a server. */
     static final double RETRY_AFTER_MS = 500;
 
-    /** Allowed for the request line in addition to the limit on heads, which may apply to the header fields alone. */
+    /**
+     * Size allowed for the request line in addition to the limit on heads, which may apply to the header fields alone.
+     */
     private static final int REQUEST_LINE_BYTES = 8 * 1024;
-    /** Limit before the first configuration, high enough to accept any head that the configuration may allow. */
+    /** Limit on heads before the first configuration, high enough to accept any head that a configuration may allow. */
     private static final int MAX_HEAD_BYTES_BEFORE_CONFIGURATION = 128 * 1024;
 
     private final EventLoop loop;
@@ -44,7 +46,7 @@
     private final AccessControl accessControl;
     private final RequestAdmission admission;
     private final Map<InboundConnection, ProxiedRequest> open = new HashMap<>();
-    private final ParkedRequests parked;
+    private final RequestsAwaitingMetadata awaitingMetadata;
     private final QuotaClient quotas;
     private final Set<InboundConnection> connections = new HashSet<>();
     private boolean closing;
@@ -82,7 +84,7 @@
         this.counters = counters;
         this.retryBudgets = new RetryBudgets(loop, counters, limits);
         this.serverFeedback = new ServerFeedback(loop, picker, counters);
-        this.parked = new ParkedRequests(loop);
+        this.awaitingMetadata = new RequestsAwaitingMetadata(loop);
         this.connectTimeoutMs = connectTimeoutMs;
         this.quotas = quotas;
         this.accessControl = new AccessControl(loop, fleet, revocation);
@@ -102,33 +104,36 @@
     public void handle(InboundConnection.Request request, InboundConnection connection) {
         counters.add(Counters.Count.REQUESTS);
         if (!fleet.isComplete()) {
-            park(request, connection);
+            awaitMetadata(request, connection);
             return;
         }
         admit(request, connection, connection.waitingSince());
     }
 
-    private void park(InboundConnection.Request request, InboundConnection connection) {
+    private void awaitMetadata(InboundConnection.Request request, InboundConnection connection) {
         counters.add(Counters.Count.NOT_READY);
-        if (parked.isFull()) {
+        if (awaitingMetadata.isFull()) {
             reject(connection);
             return;
         }
-        parked.park(request, connection, () -> reject(connection));
+        awaitingMetadata.add(request, connection, () -> reject(connection));
     }
 
     private void reject(InboundConnection connection) {
         admission.reject(connection, RETRY_AFTER_MS);
     }
 
-    /** Called after each update of the fleet's metadata; releases parked requests once the metadata is complete. */
+    /**
+     * Called after each update of the fleet's metadata; handles the requests that wait for the metadata once it is
+     * complete.
+     */
     void onFleetChanged() {
         retryBudgets.recordMembership(fleet.dataPlanes());
         if (fleet.configuration() != null) {
             quotas.retainTenants(fleet.configuration().tenantDirectory());
         }
-        if (fleet.isComplete() && !parked.isEmpty()) {
-            parked.releaseAll(this::admit);
+        if (fleet.isComplete() && !awaitingMetadata.isEmpty()) {
+            awaitingMetadata.releaseAll(this::admit);
         }
     }
 
@@ -157,7 +162,7 @@
     }
 
     /** Removes a request that has received its final response. */
-    void requestEnded(InboundConnection connection) {
+    void onRequestEnded(InboundConnection connection) {
         open.remove(connection);
     }
 
@@ -165,7 +170,7 @@
 
     @Override
     public void callerGone(InboundConnection connection) {
-        parked.drop(connection);
+        awaitingMetadata.drop(connection);
         admission.drop(connection);
         ProxiedRequest request = open.remove(connection);
         if (request != null) {
@@ -202,7 +207,7 @@
     }
 
     int openRequests() {
-        return open.size() + parked.size() + admission.waiting();
+        return open.size() + awaitingMetadata.size() + admission.waiting();
     }
 
     int openConnections() {
@@ -221,9 +226,12 @@
         closing = true;
     }
 
-    /** Ends all open requests when the process terminates. The status depends on whether the request may have run. */
+    /**
+     * Ends all open requests when the process terminates. The status of each response depends on whether the request
+     * may have run.
+     */
     void terminateAll() {
-        parked.releaseAll((request, connection, arrivedAt) -> reject(connection));
+        awaitingMetadata.releaseAll((request, connection, arrivedAt) -> reject(connection));
         admission.rejectAll();
         List.copyOf(open.values()).forEach(ProxiedRequest::terminate);
     }
--- a/dataplane/src/main/java/dewplank/dataplane/GenerationRequest.java
+++ b/dataplane/src/main/java/dewplank/dataplane/GenerationRequest.java
@@ -13,15 +13,18 @@
 
 /**
  * A generation request: one server prefills the prompt, its KV cache is transferred to another server, and that server
- * streams the tokens. If no prefill server is available, the decode server prefills the prompt itself. Accessed only on
- * the event loop's thread.
+ * streams the tokens. If no prefill server is available, the decode server prefills the prompt itself. Not thread-safe;
+ * must be used on the event loop's thread only.
  */
 final class GenerationRequest extends ProxiedRequest {
-    private static final RoutingParameters.LastResort LAST_RESORT = RoutingParameters.DEFAULTS.lastResort();
+    private static final RoutingParameters.LastResort DECODE_PREFILL_DEADLINE = RoutingParameters.DEFAULTS.lastResort();
 
     /** Highest value, and lowest urgency, of the {@link HeaderNames#PRIORITY} field; 0 is the most urgent. */
-    private static final int MAX_PRIORITY_RANK = 9;
-    /** The priority that servers assume for a request without one. */
+    private static final int MAX_PRIORITY_LEVEL = 9;
+    /**
+     * Value of the field for every request if priorities are disabled: servers assume it for a request without the
+     * field.
+     */
     private static final String DEFAULT_PRIORITY = "5";
 
     final PromptPrefix prefix;
@@ -77,8 +80,8 @@
 
     /**
      * Whether a decode server can prefill the prompt without delaying its other streams beyond their target for gaps
-     * between events. Half of that gap as the limit scored worse under high load with few servers (docs/policy.md,
-     * rounds).
+     * between events. With half of that gap as the limit, runs at high load with few servers had a lower value, that is
+     * a lower score from 0 to 1 ({@code docs/policy.md}).
      */
     boolean allowsPrefillAtDecodeServer() {
         return route.maxEventGapMs() == 0
@@ -89,14 +92,15 @@
      * The latest time for a decode server to start prefilling the prompt so that its first event arrives before the
      * client abandons the stream and before the deadline.
      */
-    double lastResortAt() {
+    double latestDecodePrefillStart() {
         double clientStallTimeoutMs = Math.max(
-                LAST_RESORT.minClientTimeoutMs(),
+                DECODE_PREFILL_DEADLINE.minClientTimeoutMs(),
                 Math.max(
-                        LAST_RESORT.clientTimeoutTargetFactor() * route.targetLatencyMs(),
-                        LAST_RESORT.clientTimeoutGapFactor() * route.maxEventGapMs()));
-        double neededMs = LAST_RESORT.prefillFactor() * PrefillDecodePicker.prefillAtDecodeServerMs(prefix.tokens())
-                + LAST_RESORT.firstEventMs();
+                        DECODE_PREFILL_DEADLINE.clientTimeoutTargetFactor() * route.targetLatencyMs(),
+                        DECODE_PREFILL_DEADLINE.clientTimeoutGapFactor() * route.maxEventGapMs()));
+        double neededMs =
+                DECODE_PREFILL_DEADLINE.prefillFactor() * PrefillDecodePicker.prefillAtDecodeServerMs(prefix.tokens())
+                        + DECODE_PREFILL_DEADLINE.firstEventMs();
         return Math.min(arrivedAt + clientStallTimeoutMs, deadline.atMs()) - neededMs;
     }
 
@@ -105,8 +109,11 @@
         return prefix.tokens() - prefix.sharedTokens();
     }
 
-    /** The request's rank, 0 being the highest: that of its tenant, or of its route if the tenant has none. */
-    int rank() {
+    /**
+     * The request's priority level, 0 being the most urgent: the level of its tenant, or of its route if the tenant has
+     * none.
+     */
+    int priorityLevel() {
         return credentials
                 .tenant()
                 .map(Tenant::priority)
@@ -114,12 +121,12 @@
                 .orElse(route.priority());
     }
 
-    /** The header field that states the request's priority to a server; 0 is the most urgent. */
-    Headers.Field priority(int rank) {
+    /** The header field that states the priority level to a server, limited to {@link #MAX_PRIORITY_LEVEL}. */
+    Headers.Field priorityField(int level) {
         if (!forwarder.policy().isEnabled(Mechanism.PRIORITY)) {
             return new Headers.Field(HeaderNames.PRIORITY, DEFAULT_PRIORITY);
         }
-        int bounded = Math.max(0, Math.min(MAX_PRIORITY_RANK, rank));
+        int bounded = Math.max(0, Math.min(MAX_PRIORITY_LEVEL, level));
         return new Headers.Field(HeaderNames.PRIORITY, Integer.toString(bounded));
     }
 
--- a/dataplane/src/main/java/dewplank/dataplane/GracefulShutdown.java
+++ b/dataplane/src/main/java/dewplank/dataplane/GracefulShutdown.java
@@ -9,8 +9,8 @@
 
 /**
  * Drains a data plane on SIGTERM: continues to serve until the platform routes no new clients to it, completes the open
- * requests, and closes all connections. {@link #run} is called once, by the thread that handles the signal; all else
- * runs on the event loop's thread.
+ * requests, and closes all connections. {@link #run} is called once, by the thread that handles the signal; all other
+ * methods run on the event loop's thread.
  */
 final class GracefulShutdown {
     private static final Logger LOG = LoggerFactory.getLogger(GracefulShutdown.class);
@@ -42,7 +42,7 @@
         this.closePeerConnections = closePeerConnections;
     }
 
-    /** Whether draining has started. Called on the event loop's thread only. */
+    /** Whether draining has started. Must be called on the event loop's thread only. */
     boolean isStarted() {
         return started;
     }
--- a/dataplane/src/main/java/dewplank/dataplane/HeaderNames.java
+++ b/dataplane/src/main/java/dewplank/dataplane/HeaderNames.java
@@ -1,6 +1,6 @@
 package dewplank.dataplane;
 
-/** Header fields of the operators' protocol (PROTOCOL, Requests; Servers; Prefill and decode). */
+/** Header fields of the operators' protocol, from its sections "Requests", "Servers" and "Prefill and decode". */
 final class HeaderNames {
     static final String ATTEMPT_ID = "X-Dewplank-Request-Attempt-Id";
     static final String REMAINING_TIME = "X-Dewplank-Remaining-Time-Ms";
--- a/dataplane/src/main/java/dewplank/dataplane/HealthGossip.java
+++ b/dataplane/src/main/java/dewplank/dataplane/HealthGossip.java
@@ -25,8 +25,8 @@
 /**
  * Exchanges summaries of servers' health with other data planes. It sends its own summary to randomly selected peers
  * once a second, and soon after the set of suspected servers changes, and records the peers' summaries as votes. Uses
- * datagrams, because the loss of a summary does no harm. The methods run on the event loop's thread only; a daemon
- * thread receives.
+ * datagrams, because the next summary replaces a lost one. The methods must be called on the event loop's thread only;
+ * a daemon thread receives the summaries.
  */
 final class HealthGossip {
     private static final Logger LOG = LoggerFactory.getLogger(HealthGossip.class);
--- a/dataplane/src/main/java/dewplank/dataplane/KvHandle.java
+++ b/dataplane/src/main/java/dewplank/dataplane/KvHandle.java
@@ -10,10 +10,12 @@
  * @param id printable ASCII without a slash, as {@link PrefillResponse} has checked
  */
 record KvHandle(Server server, String id) {
-    /** Timeout for a request that frees the handle; it is not retried, as handles expire ({@code context_hold_s}). */
+    /**
+     * Timeout for a request that frees the handle; it is not retried, because handles expire ({@code context_hold_s}).
+     */
     private static final double FREE_TIMEOUT_MS = 1_000;
 
-    /** The value of {@link HeaderNames#KV_FROM} that tells a decode server where to fetch the cache. */
+    /** The value of {@link HeaderNames#KV_FROM}: the location from which a decode server can fetch the cache. */
     String location() {
         return server.addressText + "/" + id;
     }
--- a/dataplane/src/main/java/dewplank/dataplane/KvTransfer.java
+++ b/dataplane/src/main/java/dewplank/dataplane/KvTransfer.java
@@ -2,8 +2,8 @@
 
 /**
  * The transfer of one request's KV cache from the prefill server that stores it to a decode server. A cache can be
- * fetched only once, so its handle is sent to one decode server, and is freed if that server is not known to have
- * fetched the cache. Accessed only on the event loop's thread.
+ * fetched only once, so its handle is sent to one decode server, and is freed unless a response shows that the server
+ * has fetched the cache. Not thread-safe; must be used on the event loop's thread only.
  */
 final class KvTransfer {
     private enum State {
@@ -58,7 +58,7 @@
         }
     }
 
-    /** Frees the cache at the prefill server if it was not offered, or was offered but is not known to be fetched. */
+    /** Frees the cache at the prefill server unless a decode server has confirmed fetching it. */
     void free() {
         KvHandle unused = handle;
         moveTo(State.EMPTY, null);
--- a/dataplane/src/main/java/dewplank/dataplane/PendingHeartbeats.java
+++ b/dataplane/src/main/java/dewplank/dataplane/PendingHeartbeats.java
@@ -6,7 +6,7 @@
 
 /**
  * The heartbeats of one session that were sent and not acknowledged yet, oldest first. An acknowledgement may be
- * delayed for any time, so the state that it reports is dated by the time at which its heartbeat was sent.
+ * delayed arbitrarily, so the state that it reports is valid as of the time at which its heartbeat was sent.
  */
 final class PendingHeartbeats {
     private record Pending(long sequence, double sentAt) {}
--- a/dataplane/src/main/java/dewplank/dataplane/PrefillPhase.java
+++ b/dataplane/src/main/java/dewplank/dataplane/PrefillPhase.java
@@ -14,8 +14,9 @@
 
 /**
  * Sends the prompt to a prefill server and then starts the decode phase: with the handle of the KV cache, or without
- * one if no prefill server can prefill the prompt. The first attempt that a server accepts is free of charge; further
- * and rejected attempts count (PROTOCOL, Prefill and decode). Accessed only on the event loop's thread.
+ * one if no prefill server can prefill the prompt. The first attempt that a server accepts is exempt from the route's
+ * limit and the retry budget; further and rejected attempts count, as the section "Prefill and decode" of the
+ * operators' protocol defines it. Not thread-safe; must be used on the event loop's thread only.
  */
 final class PrefillPhase {
     private static final RoutingParameters.Hedging HEDGING = RoutingParameters.DEFAULTS.hedging();
@@ -30,8 +31,8 @@
 
     /** Attempts that may have reached a server. */
     private int prefills;
-    /** Whether the free attempt may have reached a server that is not known to have accepted it. */
-    private boolean isFreeAttemptUnconfirmed;
+    /** Whether the exempt attempt may have reached a server and it is unknown whether the server accepted it. */
+    private boolean isExemptAttemptUnconfirmed;
 
     PrefillPhase(GenerationRequest request) {
         this.request = request;
@@ -40,46 +41,50 @@
     /** Sends the prompt to a prefill server, or starts decode if none is available or no attempt is allowed. */
     void start() {
         Server server = pickServer();
-        boolean freeOfCharge = prefills == 0;
-        if (server == null || !tryAcquireAttempt(freeOfCharge)) {
+        boolean isExempt = prefills == 0;
+        if (server == null || !tryAcquireAttempt(isExempt)) {
             startDecodeWithoutHandle();
             return;
         }
-        sendTo(server, freeOfCharge);
+        sendTo(server, isExempt);
     }
 
-    /** Charges the attempt to the retry budget, so it is called only if a server is available. */
-    private boolean tryAcquireAttempt(boolean freeOfCharge) {
-        return freeOfCharge ? request.allowance.isAccessAllowed() : tryAcquireRetry();
+    /**
+     * Must be called only if a server is available, because it charges the attempt to the retry budget unless it is
+     * exempt.
+     */
+    private boolean tryAcquireAttempt(boolean isExempt) {
+        return isExempt ? request.allowance.isAccessAllowed() : tryAcquireRetry();
     }
 
     /**
-     * Only an attempt that a server accepts is free. If the free attempt was cancelled or its connection broke, a later
-     * attempt that is charged and accepted compensates for it. If there is no such attempt, the free attempt is charged
-     * here, as its server may not have started it.
+     * Only an attempt that a server accepts is exempt. If the exempt attempt was cancelled or its connection broke, its
+     * server may not have accepted it. A later attempt, which is charged, takes its place if a server accepts it and
+     * returns a handle. If there is no such attempt, the exempt attempt is counted in the retry budget here.
      */
     private void startDecodeWithoutHandle() {
-        if (isFreeAttemptUnconfirmed) {
-            isFreeAttemptUnconfirmed = false;
-            request.allowance.chargeFreeAttemptToBudget();
+        if (isExemptAttemptUnconfirmed) {
+            isExemptAttemptUnconfirmed = false;
+            request.allowance.countExemptAttemptInBudget();
         }
         request.startDecode();
     }
 
-    private void sendTo(Server server, boolean freeOfCharge) {
+    private void sendTo(Server server, boolean isExempt) {
         prefills++;
-        if (freeOfCharge) {
-            isFreeAttemptUnconfirmed = true;
+        if (isExempt) {
+            isExemptAttemptUnconfirmed = true;
         } else {
             request.allowance.recordAttempt();
         }
         request.forwarder.counters().add(Count.PREFILLS);
-        List<Headers.Field> extraFields = List.of(new Headers.Field(HeaderNames.STAGE, "prefill"), priority());
+        List<Headers.Field> extraFields =
+                List.of(new Headers.Field(HeaderNames.STAGE, "prefill"), prefillPriorityField());
         ServerAttempt started = request.attempts.newAttempt(
-                server, request.unsharedTokens(), extraFields, new PrefillResponseCollector(server, freeOfCharge));
+                server, request.unsharedTokens(), extraFields, new PrefillResponseCollector(server, isExempt));
         attempt = started;
         started.start(request.forwarder.connectTimeoutMs());
-        if (started.isOver()) { // not sent; its listener has already handled that
+        if (started.isOver()) { // the attempt was not sent, and its listener has handled that
             return;
         }
         double expectedMs = PrefillDecodePicker.prefillMs(request.prefix.tokens())
@@ -102,9 +107,9 @@
         return picked.map(fleet::server).orElse(null);
     }
 
-    /** Gives short prompts a higher priority: their delay is short, and they hardly delay long prompts. */
-    private Headers.Field priority() {
-        return request.priority((int) (request.unsharedTokens() / PREFILL_LOAD.tokensPerPriorityLevel()));
+    /** Gives short prompts a higher priority, because they take little time and hardly delay long prompts. */
+    private Headers.Field prefillPriorityField() {
+        return request.priorityField((int) (request.unsharedTokens() / PREFILL_LOAD.tokensPerPriorityLevel()));
     }
 
     private void onOverdue() {
@@ -119,7 +124,7 @@
         }
         boolean waitsLonger = !request.allowsPrefillAtDecodeServer()
                 && request.forwarder.policy().isEnabled(Mechanism.LONG_WAIT);
-        double leftMs = waitsLonger ? request.lastResortAt() - request.loop.now() : 0;
+        double leftMs = waitsLonger ? request.latestDecodePrefillStart() - request.loop.now() : 0;
         if (leftMs > 0) { // prefill at a decode server would stall its other streams
             overdueTimer = request.loop.after(leftMs, this::onOverdue);
         } else {
@@ -157,14 +162,14 @@
     /** Collects a prefill server's response to one attempt. */
     private final class PrefillResponseCollector implements HttpCall.Listener {
         private final Server server;
-        private final boolean freeOfCharge;
+        private final boolean isExempt;
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
         private int status;
         private Headers headers;
 
-        PrefillResponseCollector(Server server, boolean freeOfCharge) {
+        PrefillResponseCollector(Server server, boolean isExempt) {
             this.server = server;
-            this.freeOfCharge = freeOfCharge;
+            this.isExempt = isExempt;
         }
 
         @Override
@@ -182,7 +187,7 @@
         @Override
         public void complete() {
             cancelOverdueTimer();
-            isFreeAttemptUnconfirmed &= !freeOfCharge;
+            isExemptAttemptUnconfirmed &= !isExempt;
             if (ResponseKind.of(status, headers) == ResponseKind.NOT_EXECUTED) {
                 onRejected();
                 return;
@@ -208,8 +213,8 @@
 
         private void onRejected() {
             request.forwarder.serverFeedback().recordRejection(server, status);
-            if (freeOfCharge) {
-                request.allowance.chargeFreeAttemptToLimitAndBudget();
+            if (isExempt) {
+                request.allowance.countExemptAttempt();
             }
             retry();
         }
@@ -221,9 +226,9 @@
                     request.forwarder.serverFeedback().recordFailure(server, request.route.name(), failure);
             if (execution == Execution.IMPOSSIBLE) {
                 prefills--;
-                isFreeAttemptUnconfirmed &= !freeOfCharge;
-                if (!freeOfCharge) {
-                    request.allowance.revokeAttempt();
+                isExemptAttemptUnconfirmed &= !isExempt;
+                if (!isExempt) {
+                    request.allowance.undoAttempt();
                 }
             }
             retry();
--- a/dataplane/src/main/java/dewplank/dataplane/PrefillResponse.java
+++ b/dataplane/src/main/java/dewplank/dataplane/PrefillResponse.java
@@ -22,7 +22,7 @@
             return isUsable(handle)
                     ? Optional.of(new PrefillResponse(handle, any.toLong("token_count")))
                     : Optional.empty();
-        } catch (JsonException | ArrayIndexOutOfBoundsException e) { // the parser overruns truncated bodies
+        } catch (JsonException | ArrayIndexOutOfBoundsException e) { // jsoniter throws the second one on truncated JSON
             return Optional.empty();
         }
     }
--- a/dataplane/src/main/java/dewplank/dataplane/ProxiedRequest.java
+++ b/dataplane/src/main/java/dewplank/dataplane/ProxiedRequest.java
@@ -13,13 +13,15 @@
 /**
  * A client's request from its arrival to its single final response. Contains the logic that both kinds of requests
  * share: the deadline, the allowance of attempts, and the choice of a final response that is correct whether or not the
- * request may have run. Subclasses pick servers and handle their responses. Created and started by the
- * {@link Forwarder}; accessed only on the event loop's thread.
+ * request may have run. Subclasses pick servers and handle their responses. Created and started by the {@link
+ * Forwarder}; must be used on the event loop's thread only.
  */
 abstract sealed class ProxiedRequest permits UnaryRequest, GenerationRequest {
     /** Mean delay after which a rejected client should retry; jitter prevents synchronized retries. */
     private static final double RETRY_AFTER_MS = 100;
-    /** Retry-After is between this factor and this factor plus 1, times {@link #RETRY_AFTER_MS}. */
+    /**
+     * Minimum jitter factor of {@link #RETRY_AFTER_MS}; the factor is uniform between this value and this value plus 1.
+     */
     private static final double RETRY_AFTER_MIN_FACTOR = 0.5;
 
     private static final double MS_PER_SECOND = 1_000;
@@ -78,7 +80,7 @@
     /** Cancels all attempts in flight. */
     abstract void cancelAttempts();
 
-    /** Whether a part of a response was sent to the client. It can then only be completed or broken off. */
+    /** Whether a part of a response was sent to the client. The response can then only be completed or aborted. */
     boolean isResponseStarted() {
         return false;
     }
@@ -91,7 +93,10 @@
         }
     }
 
-    /** Ends the request because the process terminates: with 502 if it may have run, with 503 otherwise. */
+    /**
+     * Ends the request because the process terminates. The status is 502 if the request may have run, and 503
+     * otherwise.
+     */
     final void terminate() {
         mayHaveRun |= mayBeRunning();
         fail(mayHaveRun ? 502 : 503);
@@ -144,7 +149,7 @@
         if (!over) {
             end();
             forwarder.counters().add(Count.SERVED);
-            forwarder.requestEnded(client);
+            forwarder.onRequestEnded(client);
         }
     }
 
@@ -153,12 +158,15 @@
         if (!over) {
             end();
             forwarder.counters().add(status < 300 ? Count.SERVED : Count.SERVER_ERRORS);
-            forwarder.requestEnded(client);
+            forwarder.onRequestEnded(client);
             client.answer(status, headers, body);
         }
     }
 
-    /** Responds that the request has not run and will not run, with the time to retry; with 502 if it may have run. */
+    /**
+     * Responds with 503, which states that the request has not run and will not run, and with the time to retry.
+     * Responds with 502 instead if the request may have run.
+     */
     final void reject() {
         if (mayHaveRun) {
             fail(502);
@@ -168,7 +176,7 @@
             end();
             cancelAttempts();
             forwarder.counters().add(Count.REFUSED);
-            forwarder.requestEnded(client);
+            forwarder.onRequestEnded(client);
             double waitMs = RETRY_AFTER_MS
                     * (RETRY_AFTER_MIN_FACTOR + forwarder.random().nextDouble());
             String seconds = String.format(Locale.ROOT, "%.3f", waitMs / MS_PER_SECOND);
@@ -176,10 +184,10 @@
         }
     }
 
-    /** Responds that the request failed; breaks off a response that has started. */
+    /** Responds that the request failed, or aborts a response that has started. */
     final void fail(int status) {
         if (isResponseStarted()) {
-            breakOff();
+            abortResponse();
             return;
         }
         if (status == 503 && !mayHaveRun) {
@@ -190,18 +198,18 @@
             end();
             cancelAttempts();
             forwarder.counters().add(Count.FAILED);
-            forwarder.requestEnded(client);
+            forwarder.onRequestEnded(client);
             client.answer(status == 503 ? 502 : status);
         }
     }
 
     /** Aborts the client's connection within the response. */
-    final void breakOff() {
+    final void abortResponse() {
         if (!over) {
             end();
             cancelAttempts();
             forwarder.counters().add(Count.BROKEN);
-            forwarder.requestEnded(client);
+            forwarder.onRequestEnded(client);
             client.abort();
         }
     }
--- a/dataplane/src/main/java/dewplank/dataplane/QuotaClient.java
+++ b/dataplane/src/main/java/dewplank/dataplane/QuotaClient.java
@@ -17,13 +17,13 @@
 
 /**
  * Acquires a token for each request of a tenant with a limit, from the control planes with which this data plane has
- * sessions ({@code docs/design-quotas.md}). All waiting requests of a tenant share one pending quota request. Used on
- * the event loop's thread only.
+ * sessions ({@code docs/design-quotas.md}). All waiting requests of a tenant share one pending quota request. Not
+ * thread-safe; must be used on the event loop's thread only.
  */
 final class QuotaClient {
     /**
-     * A control plane that has not replied within this time is considered unavailable; the time includes its own
-     * requests to the other control planes.
+     * Timeout for a control plane's reply, after which another control plane is queried. It includes the control
+     * plane's own requests to the other control planes.
      */
     private static final double REPLY_TIMEOUT_MS = 200;
     /** Maximum number of control planes queried for a tenant's waiting requests: as many as there are sessions. */
@@ -93,7 +93,7 @@
     }
 
     /** Repeats the quota requests that were pending in a closed session over another session. */
-    void sessionClosed(ControlSession session) {
+    void onSessionClosed(ControlSession session) {
         for (TenantQueue queue : List.copyOf(pendingRequests.values())) {
             if (queue.isPendingIn(session)) {
                 queue.onNoReply();
@@ -119,7 +119,10 @@
 
         private long requestId;
         private double requestedAt;
-        /** The number of requests that waited when tokens were requested; the lifetime does not limit their tokens. */
+        /**
+         * The number of requests that waited when tokens were requested. The tokens granted for them are used when the
+         * grant arrives, even if the lifetime of tokens has passed.
+         */
         private int waitingAtRequest;
 
         private int attempts;
--- a/dataplane/src/main/java/dewplank/dataplane/ReadinessEndpoint.java
+++ b/dataplane/src/main/java/dewplank/dataplane/ReadinessEndpoint.java
@@ -10,10 +10,13 @@
 
 /**
  * Responds to the platform's readiness checks with 200 while this data plane is ready for clients' requests, and with
- * 503 otherwise. Used on the event loop's thread only.
+ * 503 otherwise. Not thread-safe; must be used on the event loop's thread only.
  */
 final class ReadinessEndpoint implements InboundConnection.Service {
-    /** Idle connections are closed because their number is limited; the platform checks once a second. */
+    /**
+     * Idle connections are closed after this time because the number of connections is limited. The platform checks
+     * readiness once a second.
+     */
     static final double MAX_IDLE_MS = 30_000;
 
     private final EventLoop loop;
--- a/dataplane/src/main/java/dewplank/dataplane/RequestAdmission.java
+++ b/dataplane/src/main/java/dewplank/dataplane/RequestAdmission.java
@@ -34,7 +34,7 @@
     private final QuotaClient quotas;
     private final Counters counters;
     private final AdmittedHandler admittedHandler;
-    private final Map<InboundConnection, Candidate> awaitingQuota = new HashMap<>();
+    private final Map<InboundConnection, PendingAdmission> awaitingQuota = new HashMap<>();
 
     RequestAdmission(
             FleetMetadata fleet,
@@ -68,7 +68,7 @@
             return;
         }
         Credentials credentials = new Credentials(accessControl, route, request.headers());
-        new Candidate(request, connection, route, credentials, arrivedAt, hasToken).authorize();
+        new PendingAdmission(request, connection, route, credentials, arrivedAt, hasToken).authorize();
     }
 
     /** Rejects a request that has not been sent to a server; the response states when to retry. */
@@ -99,7 +99,7 @@
     }
 
     /** A request that has a route and is not authorized yet. */
-    private final class Candidate {
+    private final class PendingAdmission {
         private final InboundConnection.Request request;
         private final InboundConnection connection;
         private final Route route;
@@ -108,7 +108,7 @@
         private final boolean hasToken;
         private final long configurationVersion = fleet.configurationVersion();
 
-        Candidate(
+        PendingAdmission(
                 InboundConnection.Request request,
                 InboundConnection connection,
                 Route route,
@@ -144,7 +144,7 @@
             awaitingQuota.put(connection, this);
             quotas.acquire(tenant.get(), decision -> {
                 if (awaitingQuota.remove(
-                        connection, this)) { // otherwise the client has disconnected or received a response
+                        connection, this)) { // otherwise the client has disconnected or has received a response
                     onQuotaDecided(decision);
                 }
             });
--- a/dataplane/src/main/java/dewplank/dataplane/RequestDeadline.java
+++ b/dataplane/src/main/java/dewplank/dataplane/RequestDeadline.java
@@ -5,13 +5,13 @@
 
 /**
  * The deadline for the response to a request: the client's remaining time or the route's timeout, if that is shorter,
- * counted from the first byte of the request. Times are in milliseconds of the loop's clock. Accessed only on the event
- * loop's thread.
+ * counted from the first byte of the request. Times are in milliseconds of the loop's clock. Not thread-safe; must be
+ * used on the event loop's thread only.
  */
 final class RequestDeadline {
-    /** Time for the response to reach the client before its own timeout. */
+    /** Time reserved for the response to reach the client before the client's own timeout. */
     private static final double RESPONSE_MARGIN_MS = 5;
-    /** Assumed for requests that state no remaining time. */
+    /** Remaining time that is assumed for requests that state none. */
     private static final double DEFAULT_CLIENT_TIMEOUT_MS = 60_000;
 
     private final EventLoop loop;
--- a/dataplane/src/main/java/dewplank/dataplane/ResponseKind.java
+++ b/dataplane/src/main/java/dewplank/dataplane/ResponseKind.java
@@ -3,8 +3,8 @@
 import dewplank.http.Headers;
 
 /**
- * What a server's response to an attempt means for the request, as the operators' protocol defines it (PROTOCOL,
- * Servers).
+ * What a server's response to an attempt means for the request, as the section "Servers" of the operators' protocol
+ * defines it.
  */
 enum ResponseKind {
     /** The server states that it did not run the request, so the request may be sent to another server. */
--- a/dataplane/src/main/java/dewplank/dataplane/RetryBudgets.java
+++ b/dataplane/src/main/java/dewplank/dataplane/RetryBudgets.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 
 /**
- * This data plane's share of the fleet's retry budgets, one for each service. The fleet's membership determines how
- * many data planes share a budget. Accessed only on the event loop's thread.
+ * This data plane's parts of the fleet's retry budgets, one for each service. The fleet's membership determines into
+ * how many parts the slack of a budget is divided. Not thread-safe; must be used on the event loop's thread only.
  */
 final class RetryBudgets {
     private final Scheduler loop;
@@ -49,7 +49,7 @@
         budget(service).recordRetry(loop.now());
     }
 
-    /** Charges one retry to this data plane's share of the service's budget. Returns false if it is exhausted. */
+    /** Charges one retry to this data plane's part of the service's budget. Returns false if it is exhausted. */
     boolean tryAcquire(String service) {
         double now = loop.now();
         int dataPlanes = fleetSize.isSettled(now) ? fleetSize.dataPlanes(now) : RetryBudget.NO_SLACK;
--- a/dataplane/src/main/java/dewplank/dataplane/Server.java
+++ b/dataplane/src/main/java/dewplank/dataplane/Server.java
@@ -7,7 +7,7 @@
 
 /** A server of the endpoint list: its state for load balancing, its address, and its idle connections. */
 final class Server {
-    /** Idle connections are closed after this time, as they count towards the server's connection limit. */
+    /** Idle connections are closed after this time, because they count towards the server's connection limit. */
     private static final double MAX_IDLE_MS = 10_000;
 
     final TrackedServer state;
--- a/dataplane/src/main/java/dewplank/dataplane/ServerAttempt.java
+++ b/dataplane/src/main/java/dewplank/dataplane/ServerAttempt.java
@@ -9,7 +9,8 @@
 
 /**
  * One attempt to run a request at a server. It counts towards the server's load from its start until it completes,
- * fails or is cancelled. Created by an {@link AttemptFactory}; started once; accessed only on the event loop's thread.
+ * fails or is cancelled. Created by an {@link AttemptFactory}; started once; must be used on the event loop's thread
+ * only.
  */
 final class ServerAttempt {
     private final Server server;
--- a/dataplane/src/main/java/dewplank/dataplane/ServerFeedback.java
+++ b/dataplane/src/main/java/dewplank/dataplane/ServerFeedback.java
@@ -8,7 +8,7 @@
 
 /**
  * Records the outcomes of attempts as health samples and backoffs, which affect later picks, and in the counters.
- * Shared by all requests of a forwarder; accessed only on the event loop's thread.
+ * Shared by all requests of a forwarder; must be used on the event loop's thread only.
  */
 final class ServerFeedback {
     private static final RoutingParameters.Backoff BACKOFF = RoutingParameters.DEFAULTS.backoff();
@@ -23,7 +23,7 @@
         this.counters = counters;
     }
 
-    /** Records whether a server handled a request of this route as a healthy server does. */
+    /** Records whether a server handled a request of this route as a healthy server would. */
     void recordOutcome(Server server, String route, boolean healthy) {
         picker.recordOutcome(loop.now(), server.state, route, healthy);
     }
--- a/dataplane/src/main/java/dewplank/dataplane/SessionClient.java
+++ b/dataplane/src/main/java/dewplank/dataplane/SessionClient.java
@@ -16,19 +16,19 @@
  * Maintains this data plane's sessions with control planes: two at a time, with different control planes. A session is
  * closed at a heartbeat timeout, or when its control plane has had no quorum for a while and another can replace it.
  *
- * <p>Updates from a control plane without a quorum may be outdated. If there is a configuration this is harmless, since
- * only newer versions are applied. A data plane that has no configuration after its start defers such updates until it
- * has received one from a control plane with a quorum, or for half of {@code contact_ms}: after a restart of the whole
- * fleet there may be no quorum for a while, and a data plane that can reach a control plane with a quorum has had time
- * to find it by then.
+ * <p>Updates from a control plane without a quorum may be outdated. If there is a configuration, this is harmless
+ * because only newer versions are applied. A data plane that has no configuration after its start defers such updates
+ * until it has received one from a control plane with a quorum, or for half of {@code contact_ms}: after a restart of
+ * the whole fleet there may be no quorum for a while, and a data plane that can reach a control plane with a quorum has
+ * had time to find it by then.
  *
- * <p>Created and started by {@link DataPlane} and by the simulation; used on the scheduler's thread only.
+ * <p>Created and started by {@link DataPlane} and by the simulation; must be called on the scheduler's thread only.
  */
 final class SessionClient {
-    /** A backoff is its mean times a random factor between this value and this value plus one. */
+    /** Minimum jitter factor of a backoff; the factor is uniform between this value and this value plus 1. */
     private static final double MIN_JITTER_FACTOR = 0.5;
     /** A tick more than this many heartbeat intervals after the previous one shows that the process was paused. */
-    private static final double STALL_INTERVALS = 2;
+    private static final double PAUSE_INTERVALS = 2;
 
     private final Scheduler loop;
     private final MessageTransport transport;
@@ -122,8 +122,8 @@
         }
         double now = loop.now();
         double sinceLastTickMs = now - lastTickAt;
-        if (sinceLastTickMs > STALL_INTERVALS * parameters.heartbeatIntervalMs()) {
-            sessions.forEach(s -> s.excludeStall(sinceLastTickMs - parameters.heartbeatIntervalMs()));
+        if (sinceLastTickMs > PAUSE_INTERVALS * parameters.heartbeatIntervalMs()) {
+            sessions.forEach(s -> s.excludePause(sinceLastTickMs - parameters.heartbeatIntervalMs()));
         }
         lastTickAt = now;
         List.copyOf(sessions).forEach(ControlSession::tick);
@@ -206,29 +206,29 @@
         }
 
         @Override
-        public void quorumLost(ControlSession session) {
+        public void onQuorumLost(ControlSession session) {
             addresses.backOff(session.address(), loop.now() + parameters.noQuorumBackoffMs());
         }
 
         @Override
-        public void addressesReported(List<String> reported) {
+        public void onAddressesReported(List<String> reported) {
             addresses.refresh(loop.now(), reported, addressesInUse());
         }
 
         @Override
-        public void quotaReplyReceived(QuotaReply reply) {
+        public void onQuotaReply(QuotaReply reply) {
             quotas.ifPresent(client -> client.onReply(reply));
         }
 
         @Override
-        public void updateApplied() {
+        public void onUpdateApplied() {
             onUpdate.run();
         }
 
         @Override
-        public void sessionClosed(ControlSession session) {
+        public void onSessionClosed(ControlSession session) {
             sessions.remove(session);
-            quotas.ifPresent(client -> client.sessionClosed(session));
+            quotas.ifPresent(client -> client.onSessionClosed(session));
             double backoffMs = parameters.reconnectBackoffMs() * (MIN_JITTER_FACTOR + random.nextDouble());
             addresses.backOff(session.address(), loop.now() + backoffMs);
             openMissingSessions();
--- a/dataplane/src/main/java/dewplank/dataplane/SocketAddresses.java
+++ b/dataplane/src/main/java/dewplank/dataplane/SocketAddresses.java
@@ -9,7 +9,7 @@
     private SocketAddresses() {}
 
     /**
-     * Parses an address. Never resolves a host name, because no name service is available next to a sidecar.
+     * Parses an address. Never resolves a host name, because no DNS resolver is available to the process.
      *
      * @throws IllegalArgumentException if the text has another form
      */
--- a/dataplane/src/main/java/dewplank/dataplane/StallTimer.java
+++ b/dataplane/src/main/java/dewplank/dataplane/StallTimer.java
@@ -3,7 +3,7 @@
 import dewplank.net.EventLoop;
 import dewplank.net.TimerWheel;
 
-/** Runs a task if no data arrives within a timeout; restarted with each part of a stream. */
+/** Runs a task if no data arrives within a timeout; it is restarted with each part of a stream. */
 final class StallTimer {
     private final EventLoop loop;
     private final Runnable onStall;
--- a/dataplane/src/main/java/dewplank/dataplane/StreamRelay.java
+++ b/dataplane/src/main/java/dewplank/dataplane/StreamRelay.java
@@ -7,7 +7,7 @@
 
 /**
  * Relays the stream of a generation to its client in complete events. Several servers may contribute to the stream; the
- * head is from the first response that is relayed. Accessed only on the event loop's thread.
+ * head is from the first response that is relayed. Not thread-safe; must be used on the event loop's thread only.
  */
 final class StreamRelay {
     private final InboundConnection client;
--- a/dataplane/src/main/java/dewplank/dataplane/TrafficSplit.java
+++ b/dataplane/src/main/java/dewplank/dataplane/TrafficSplit.java
@@ -18,6 +18,7 @@
                 return weighted.service();
             }
         }
-        return split.get(split.size() - 1).service(); // the sum and the differences are rounded
+        return split.get(split.size() - 1)
+                .service(); // reached only if rounding errors leave a remainder after the last weight
     }
 }
--- a/dataplane/src/main/java/dewplank/dataplane/UnaryRequest.java
+++ b/dataplane/src/main/java/dewplank/dataplane/UnaryRequest.java
@@ -17,7 +17,7 @@
 
 /**
  * A request whose response is buffered and relayed once it is complete. An idempotent request is sent to another server
- * if its response is overdue. Accessed only on the event loop's thread.
+ * if its response is overdue. Not thread-safe; must be used on the event loop's thread only.
  */
 final class UnaryRequest extends ProxiedRequest {
     private static final RoutingParameters.Hedging HEDGING = RoutingParameters.DEFAULTS.hedging();
@@ -173,7 +173,7 @@
             cancelOverdueTimer();
             Execution execution = forwarder.serverFeedback().recordFailure(server, route.name(), failure);
             if (execution == Execution.IMPOSSIBLE) {
-                allowance.revokeAttempt();
+                allowance.undoAttempt();
                 sendToNextServer();
                 return;
             }
--- a/dataplane/src/test/java/dewplank/dataplane/AccessKeyTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/AccessKeyTest.java
@@ -43,19 +43,19 @@
     private static final String KEY = bearer("k-1");
     private static final String ADDED_KEY = bearer("k-2");
 
-    private ForwarderFixture net;
+    private ForwarderFixture fixture;
 
     @BeforeEach
-    void begin() throws Exception {
-        net = ForwarderFixture.builder()
+    void setUp() throws Exception {
+        fixture = ForwarderFixture.builder()
                 .tenants(tenantWithKeys("k-1"))
                 .routes(ROUTES)
                 .start();
     }
 
     @AfterEach
-    void end() throws IOException {
-        net.close();
+    void tearDown() throws IOException {
+        fixture.close();
     }
 
     /** A list of one tenant without a limit and with these keys. */
@@ -69,7 +69,7 @@
     }
 
     private void changeTenants(String json) throws Exception {
-        net.tenants(json, ROUTES);
+        fixture.tenants(json, ROUTES);
     }
 
     private void revokeAllKeys() throws Exception {
@@ -78,140 +78,141 @@
 
     /** Waits until the client receives a response or a server receives a request, whichever is first. */
     private void awaitResponseOrCall(Wire client) throws Exception {
-        OnLoop.await(net.loop, () -> client.hasBytes() || !net.servers.calls.isEmpty());
+        OnLoop.await(fixture.loop, () -> client.hasBytes() || !fixture.servers.calls.isEmpty());
     }
 
     /** The client's response, before which no server receives a request. */
     private Wire.Message responseWithoutCall(Wire client) throws Exception {
         awaitResponseOrCall(client);
-        assertTrue(net.servers.calls.isEmpty(), "a server received the request");
+        assertTrue(fixture.servers.calls.isEmpty(), "a server received the request");
         return client.read();
     }
 
     private void assertUnauthorized(String target, String fields) throws Exception {
-        assertEquals(401, responseWithoutCall(net.sendRequest(target, fields)).status());
+        assertEquals(
+                401, responseWithoutCall(fixture.sendRequest(target, fields)).status());
     }
 
     private void assertAllowed(String target, String fields) throws Exception {
-        Wire client = net.sendRequest(target, fields);
+        Wire client = fixture.sendRequest(target, fields);
         awaitResponseOrCall(client);
-        assertFalse(net.servers.calls.isEmpty(), "the request was not forwarded");
-        assertServed(net.nextCall(), client, "served");
+        assertFalse(fixture.servers.calls.isEmpty(), "the request was not forwarded");
+        assertServed(fixture.nextCall(), client, "served");
     }
 
     // ---- accepted keys --------------------------------------------------------------------------------
 
     @Test
     void aRequestWithATenantsKeyIsServed() throws Exception {
-        net.servers.plain();
+        fixture.servers.plain();
         assertAllowed("/safe/", KEY);
         assertAllowed("/once/", KEY);
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void everyKeyOfATenantIsAccepted() throws Exception {
-        net.servers.plain();
+        fixture.servers.plain();
         changeTenants(tenantWithKeys("k-1", "k-2"));
         assertAllowed("/safe/", KEY);
         assertAllowed("/safe/", ADDED_KEY);
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"k-2", "k-", "k-10", "K-1", "k-1 k-1", "k-1,k-1", "\"k-1\"", "acme"})
     void anUnknownKeyIsRejectedWith401(String key) throws Exception {
-        net.servers.plain();
+        fixture.servers.plain();
         assertUnauthorized("/safe/", bearer(key));
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"/safe/", "/once/", "/gen/", "/res/"})
     void aRequestWithoutAKeyIsRejectedWith401(String target) throws Exception {
-        net.servers.plain();
-        net.servers.prefill();
-        net.servers.decode();
+        fixture.servers.plain();
+        fixture.servers.prefill();
+        fixture.servers.decode();
         assertUnauthorized(target, PROMPT);
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"Basic k-1", "k-1", "Bearerk-1", "Bearer", "Bearer ", "Bearer: k-1", ""})
     void anAuthorizationFieldWithoutABearerKeyIsRejectedWith401(String value) throws Exception {
-        net.servers.plain();
+        fixture.servers.plain();
         assertUnauthorized("/safe/", "Authorization: " + value + "\r\n");
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"Authorization: bearer k-1", "authorization: BEARER k-1", "AUTHORIZATION: Bearer k-1"})
     void schemeAndFieldNameAreCaseInsensitive(String field) throws Exception {
-        net.servers.plain();
+        fixture.servers.plain();
         assertAllowed("/safe/", field + "\r\n");
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     /** The choice between two fields would depend on the parser, so such a request counts as having no key. */
     @ParameterizedTest
     @ValueSource(strings = {"k-1", "k-2", ""})
     void aRequestWithTwoAuthorizationFieldsIsRejectedWith401(String second) throws Exception {
-        net.servers.plain();
+        fixture.servers.plain();
         assertUnauthorized("/safe/", KEY + bearer(second));
         assertUnauthorized("/safe/", bearer(second) + KEY);
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void aClientWithAnUnknownKeyMayRetryWithAnotherKeyOnItsConnection() throws Exception {
-        net.servers.plain();
-        Wire client = net.sendRequest("/safe/", ADDED_KEY);
+        fixture.servers.plain();
+        Wire client = fixture.sendRequest("/safe/", ADDED_KEY);
         assertEquals(401, responseWithoutCall(client).status());
         client.send(request("/safe/", KEY, "hi"));
-        assertServed(net.nextCall(), client, "served");
-        net.assertQuiet();
+        assertServed(fixture.nextCall(), client, "served");
+        fixture.assertQuiet();
     }
 
     // ---- required keys --------------------------------------------------------------------------------
 
     @Test
     void aPublicRouteRequiresNoKey() throws Exception {
-        net.servers.plain();
+        fixture.servers.plain();
         assertAllowed("/open/", "");
         assertAllowed("/open/", KEY);
         assertAllowed("/open/", bearer("unknown"));
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void aTenantWithoutKeysIsServedOnPublicRoutesOnly() throws Exception {
-        net.servers.plain();
+        fixture.servers.plain();
         revokeAllKeys();
         assertUnauthorized("/safe/", KEY);
         assertUnauthorized("/safe/", bearer(""));
         assertUnauthorized("/safe/", "");
         assertAllowed("/open/", "");
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     /** The removal of the last tenant must not give access without a key. */
     @Test
     void anEmptyListOfTenantsStillRequiresKeys() throws Exception {
-        net.servers.plain();
+        fixture.servers.plain();
         changeTenants("[]");
         assertUnauthorized("/safe/", KEY);
         assertUnauthorized("/safe/", "");
         assertAllowed("/open/", "");
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void noKeyIsRequiredWithoutTheTenantsField() throws Exception {
-        net.servers.plain();
+        fixture.servers.plain();
         changeTenants(WITHOUT_TENANTS);
         assertAllowed("/safe/", "");
         assertAllowed("/safe/", bearer("unknown"));
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
@@ -233,160 +234,160 @@
 
     @Test
     void anAddedKeyIsAcceptedImmediately() throws Exception {
-        net.servers.plain();
+        fixture.servers.plain();
         assertUnauthorized("/safe/", ADDED_KEY);
         changeTenants(tenantWithKeys("k-1", "k-2"));
         assertAllowed("/safe/", ADDED_KEY);
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"/safe/", "/once/", "/gen/", "/res/"})
     void aNewRequestWithARevokedKeyIsRejectedWith401(String target) throws Exception {
-        net.servers.plain();
-        net.servers.prefill();
-        net.servers.decode();
+        fixture.servers.plain();
+        fixture.servers.prefill();
+        fixture.servers.decode();
         revokeAllKeys();
         assertUnauthorized(target, KEY + PROMPT);
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void aPipelinedRequestIsAuthorizedWhenItIsProcessed() throws Exception {
-        net.servers.plain();
-        Wire client = net.sendRequest("/safe/", KEY);
-        Call first = net.nextCall();
+        fixture.servers.plain();
+        Wire client = fixture.sendRequest("/safe/", KEY);
+        Call first = fixture.nextCall();
         client.send(request("/safe/ahead", KEY, ""));
         revokeAllKeys();
         assertServed(first, client, "served");
         assertEquals(401, responseWithoutCall(client).status());
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     /** A request that was sent to a server is completed: a change of the configuration aborts no response. */
     @Test
     void aRequestInFlightIsServedAfterItsKeyIsRevoked() throws Exception {
-        net.servers.plain();
-        net.servers.decode();
-        Wire client = net.sendRequest("/once/", KEY);
-        Call call = net.nextCall();
-        BegunStream stream = BegunStream.begin(net, "/gen/", KEY + PROMPT);
+        fixture.servers.plain();
+        fixture.servers.decode();
+        Wire client = fixture.sendRequest("/once/", KEY);
+        Call call = fixture.nextCall();
+        BegunStream stream = BegunStream.begin(fixture, "/gen/", KEY + PROMPT);
         revokeAllKeys();
         assertServed(call, client, "served");
         stream.assertRelays(2);
         stream.assertEnds();
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     // ---- requests that would be retried -----------------------------------------------------------------
 
-    @SafeAndUnsafeTest
+    @TestOnSafeAndUnsafeRoutes
     void aRejectedAttemptIsNotRetriedAfterItsKeyIsRevoked(String target) throws Exception {
-        net.servers.plainServers(2);
-        Wire client = net.sendRequest(target, KEY);
-        Call rejected = net.nextCall();
+        fixture.servers.plainServers(2);
+        Wire client = fixture.sendRequest(target, KEY);
+        Call rejected = fixture.nextCall();
         revokeAllKeys();
         reject(rejected);
         assertRejected(responseWithoutCall(client));
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void anAttemptThatMayHaveRunFailsWithoutARetryAfterItsKeyIsRevoked() throws Exception {
-        net.servers.plainServers(2);
-        Wire client = net.sendRequest("/safe/", KEY);
-        Call broken = net.nextCall();
+        fixture.servers.plainServers(2);
+        Wire client = fixture.sendRequest("/safe/", KEY);
+        Call broken = fixture.nextCall();
         revokeAllKeys();
         broken.wire().reset();
         assertEquals(502, responseWithoutCall(client).status(), "the attempt may have run");
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void aRequestIsNotSentIfItsKeyIsRevokedBeforeTheConnectionIsEstablished() throws Exception {
-        ScriptedServer late = net.servers.add(ScriptedServer.late(net.servers.calls), PLAIN, null);
-        Wire client = net.sendRequest("/safe/", KEY);
+        ScriptedServer late = fixture.servers.add(ScriptedServer.late(fixture.servers.calls), PLAIN, null);
+        Wire client = fixture.sendRequest("/safe/", KEY);
         awaitInFlight(PLAIN, late);
         revokeAllKeys();
         late.letIn();
         assertRejected(responseWithoutCall(client));
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     private void awaitInFlight(String service, ScriptedServer server) throws Exception {
-        OnLoop.await(net.loop, () -> net.metadata.servers(service).stream()
-                .anyMatch(s -> s.instanceId().equals(net.servers.id(server)) && s.inFlight() == 1));
+        OnLoop.await(fixture.loop, () -> fixture.metadata.servers(service).stream()
+                .anyMatch(s -> s.instanceId().equals(fixture.servers.id(server)) && s.inFlight() == 1));
     }
 
     @Test
     void aPrefilledRequestIsNotDecodedAfterItsKeyIsRevokedAndItsHandleIsReleased() throws Exception {
-        ScriptedServer prefill = net.servers.prefill();
-        net.servers.decode();
-        Wire client = net.sendRequest("/gen/", KEY + PROMPT);
-        Call prefillCall = net.nextCall();
+        ScriptedServer prefill = fixture.servers.prefill();
+        fixture.servers.decode();
+        Wire client = fixture.sendRequest("/gen/", KEY + PROMPT);
+        Call prefillCall = fixture.nextCall();
         revokeAllKeys();
         handOver(prefillCall, "h1");
-        Call next = net.nextCall();
+        Call next = fixture.nextCall();
         assertEquals("DELETE /kv-handle/h1 HTTP/1.1", next.message().startLine());
         assertSame(prefill, next.server());
         assertRejected(responseWithoutCall(client));
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void aRejectedPrefillIsNotRetriedAfterItsKeyIsRevoked() throws Exception {
-        net.servers.prefillServers(2);
-        net.servers.decode();
-        Wire client = net.sendRequest("/gen/", KEY + PROMPT);
-        Call rejected = net.nextCall();
+        fixture.servers.prefillServers(2);
+        fixture.servers.decode();
+        Wire client = fixture.sendRequest("/gen/", KEY + PROMPT);
+        Call rejected = fixture.nextCall();
         revokeAllKeys();
         reject(rejected);
         assertRejected(responseWithoutCall(client));
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void aRejectedDecodeIsNotRetriedAfterItsKeyIsRevoked() throws Exception {
-        net.servers.decodeServers(2);
-        Wire client = net.sendRequest("/gen/", KEY + PROMPT);
-        Call rejected = net.nextCall();
+        fixture.servers.decodeServers(2);
+        Wire client = fixture.sendRequest("/gen/", KEY + PROMPT);
+        Call rejected = fixture.nextCall();
         revokeAllKeys();
         reject(rejected);
         assertRejected(responseWithoutCall(client));
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void aDecodeIsNotSentIfItsKeyIsRevokedBeforeTheConnectionIsEstablished() throws Exception {
-        ScriptedServer late = net.servers.add(ScriptedServer.late(net.servers.calls), MODEL, "decode");
-        Wire client = net.sendRequest("/gen/", KEY);
+        ScriptedServer late = fixture.servers.add(ScriptedServer.late(fixture.servers.calls), MODEL, "decode");
+        Wire client = fixture.sendRequest("/gen/", KEY);
         awaitInFlight(MODEL, late);
         revokeAllKeys();
         late.letIn();
         assertRejected(responseWithoutCall(client));
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void aBrokenStreamIsNotResumedAfterItsKeyIsRevoked() throws Exception {
-        net.servers.decodeServers(2);
-        BegunStream stream = BegunStream.begin(net, "/res/", KEY + PROMPT);
+        fixture.servers.decodeServers(2);
+        BegunStream stream = BegunStream.begin(fixture, "/res/", KEY + PROMPT);
         revokeAllKeys();
         stream.server().reset();
-        OnLoop.await(net.loop, () -> net.forwarder.openRequests() == 0 || !net.servers.calls.isEmpty());
-        assertTrue(net.servers.calls.isEmpty(), "a server received the request");
-        Expectations.assertBrokenOff(stream.client());
-        net.assertQuiet();
+        OnLoop.await(fixture.loop, () -> fixture.forwarder.openRequests() == 0 || !fixture.servers.calls.isEmpty());
+        assertTrue(fixture.servers.calls.isEmpty(), "a server received the request");
+        Expectations.assertAborted(stream.client());
+        fixture.assertQuiet();
     }
 
     @Test
     void aRetryIsSentIfTheKeyWasReassignedToAnotherTenant() throws Exception {
-        net.servers.plainServers(2);
-        Wire client = net.sendRequest("/once/", KEY);
-        Call rejected = net.nextCall();
+        fixture.servers.plainServers(2);
+        Wire client = fixture.sendRequest("/once/", KEY);
+        Call rejected = fixture.nextCall();
         changeTenants(tenantWithKeys("k-1").replace("acme", "birch"));
         reject(rejected);
-        assertServed(net.nextCall(), client, "served");
-        net.assertQuiet();
+        assertServed(fixture.nextCall(), client, "served");
+        fixture.assertQuiet();
     }
 }
--- a/dataplane/src/test/java/dewplank/dataplane/BegunStream.java
+++ b/dataplane/src/test/java/dewplank/dataplane/BegunStream.java
@@ -15,9 +15,9 @@
  */
 record BegunStream(Wire client, Call decode, Wire.Message head) {
     /** Sends the request and starts the stream; the next call received must be the decode server's. */
-    static BegunStream begin(ForwarderFixture net, String target, String prompt) throws Exception {
-        Wire client = net.sendRequest(target, prompt);
-        return begin(net.nextCall(), client);
+    static BegunStream begin(ForwarderFixture fixture, String target, String prompt) throws Exception {
+        Wire client = fixture.sendRequest(target, prompt);
+        return begin(fixture.nextCall(), client);
     }
 
     /** The decode server starts its stream, and the client receives the first event. */
--- a/dataplane/src/test/java/dewplank/dataplane/ClientTimeoutsTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/ClientTimeoutsTest.java
@@ -62,52 +62,55 @@
     // ---- connections ----------------------------------------------------------------------------------
 
     /** Asserts that the only connection times out after that time and not earlier. */
-    private static void assertOverdueAfter(ForwarderFixture net, double ms) throws Exception {
-        OnLoop.run(net.loop, () -> {
+    private static void assertTimesOutAfter(ForwarderFixture fixture, double ms) throws Exception {
+        OnLoop.run(fixture.loop, () -> {
             ClientTimeouts limits = new ClientTimeouts(APPLY_MS);
-            limits.update(0, net.metadata.configuration().limits());
-            InboundConnection connection = net.forwarder.connections().get(0);
+            limits.update(0, fixture.metadata.configuration().limits());
+            InboundConnection connection = fixture.forwarder.connections().get(0);
             double since = connection.waitingSince();
-            assertFalse(limits.isOverdue(since + 0.8 * ms, connection));
-            assertFalse(limits.isOverdue(since + ms, connection));
-            assertTrue(limits.isOverdue(since + ms + 1, connection));
+            assertFalse(limits.isTimedOut(since + 0.8 * ms, connection));
+            assertFalse(limits.isTimedOut(since + ms, connection));
+            assertTrue(limits.isTimedOut(since + ms + 1, connection));
         });
     }
 
     @Test
     void headBodyAndIdleTimeoutsAreSeparate() throws Exception {
-        try (ForwarderFixture net =
+        try (ForwarderFixture fixture =
                 ForwarderFixture.builder().routes(unsafeRoute("once", 1)).start()) {
-            net.servers.plain();
-            Wire client = net.client();
-            OnLoop.await(net.loop, () -> net.forwarder.openConnections() == 1);
-            assertOverdueAfter(net, 15_000);
+            fixture.servers.plain();
+            Wire client = fixture.client();
+            OnLoop.await(fixture.loop, () -> fixture.forwarder.openConnections() == 1);
+            assertTimesOutAfter(fixture, 15_000);
             client.send("POST /once/ HTTP/1.1\r\nHost: " + HOST + "\r\n");
-            OnLoop.await(net.loop, () -> net.forwarder.connections().get(0).isHalfRead());
-            assertOverdueAfter(net, 3_000);
+            OnLoop.await(
+                    fixture.loop, () -> fixture.forwarder.connections().get(0).isHalfRead());
+            assertTimesOutAfter(fixture, 3_000);
             client.send("Content-Length: 4\r\n\r\nab");
-            OnLoop.await(net.loop, () -> net.forwarder.connections().get(0).isHeadRead());
-            assertOverdueAfter(net, 15_000);
+            OnLoop.await(
+                    fixture.loop, () -> fixture.forwarder.connections().get(0).isHeadRead());
+            assertTimesOutAfter(fixture, 15_000);
             client.send("cd");
-            serve(net.nextCall(), "");
+            serve(fixture.nextCall(), "");
             assertEquals(200, client.read().status());
-            OnLoop.await(net.loop, () -> !net.forwarder.connections().get(0).isBusy());
-            assertOverdueAfter(net, 15_000);
+            OnLoop.await(
+                    fixture.loop, () -> !fixture.forwarder.connections().get(0).isBusy());
+            assertTimesOutAfter(fixture, 15_000);
         }
     }
 
     /** The idle time starts after the response, even if the response takes long. */
     @Test
     void aRequestBeingServedNeverTimesOut() throws Exception {
-        try (ForwarderFixture net =
+        try (ForwarderFixture fixture =
                 ForwarderFixture.builder().routes(unsafeRoute("once", 1)).start()) {
-            net.servers.plain();
-            Wire client = net.sendRequest("/once/");
-            Call call = net.nextCall();
+            fixture.servers.plain();
+            Wire client = fixture.sendRequest("/once/");
+            Call call = fixture.nextCall();
             OnLoop.run(
-                    net.loop,
-                    () -> assertFalse(limits.isOverdue(
-                            Double.MAX_VALUE, net.forwarder.connections().get(0))));
+                    fixture.loop,
+                    () -> assertFalse(limits.isTimedOut(
+                            Double.MAX_VALUE, fixture.forwarder.connections().get(0))));
             serve(call, "");
             assertEquals(200, client.read().status());
         }
@@ -119,25 +122,25 @@
         return request("/once/", "X-Long: " + "x".repeat(bytes) + "\r\n", "");
     }
 
-    private static void applyMaxHeaderBytes(ForwarderFixture net, int maxHeaderBytes) throws Exception {
-        String json = new String(net.metadata.configuration().json(), StandardCharsets.UTF_8)
+    private static void applyMaxHeaderBytes(ForwarderFixture fixture, int maxHeaderBytes) throws Exception {
+        String json = new String(fixture.metadata.configuration().json(), StandardCharsets.UTF_8)
                 .replaceFirst("\"config_version\":[0-9]+", "\"config_version\":99")
                 .replaceFirst("\"max_header_bytes\":[0-9]+", "\"max_header_bytes\":" + maxHeaderBytes);
         Configuration next = Configuration.parse(json.getBytes(StandardCharsets.UTF_8));
-        OnLoop.run(net.loop, () -> net.metadata.updateConfiguration(next));
+        OnLoop.run(fixture.loop, () -> fixture.metadata.updateConfiguration(next));
     }
 
     @Test
     void maxHeaderBytesOfTheConfigurationApplies() throws Exception {
-        try (ForwarderFixture net =
+        try (ForwarderFixture fixture =
                 ForwarderFixture.builder().routes(unsafeRoute("once", 1)).start()) {
-            net.servers.plain();
-            applyMaxHeaderBytes(net, 60 * KIB);
-            Wire client = net.client();
+            fixture.servers.plain();
+            applyMaxHeaderBytes(fixture, 60 * KIB);
+            Wire client = fixture.client();
             client.send(requestWithLongHead(59 * KIB));
-            serve(net.nextCall(), "");
+            serve(fixture.nextCall(), "");
             assertEquals(200, client.read().status());
-            Wire tooLong = net.client();
+            Wire tooLong = fixture.client();
             tooLong.send(requestWithLongHead(70 * KIB));
             assertEquals(431, tooLong.read().status());
         }
@@ -146,8 +149,8 @@
     /** Without a configuration the limit is unknown, and a final response such as 431 could be incorrect. */
     @Test
     void aLongHeadIsRejectedWithRetryAfterWithoutAConfiguration() throws Exception {
-        try (ForwarderFixture net = ForwarderFixture.builder().start()) {
-            Wire client = net.client();
+        try (ForwarderFixture fixture = ForwarderFixture.builder().start()) {
+            Wire client = fixture.client();
             client.send(requestWithLongHead(60 * KIB));
             assertEquals(503, client.read().status());
         }
--- a/dataplane/src/test/java/dewplank/dataplane/RevocationLeaseTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/ConfigurationConfirmationTest.java
@@ -34,12 +34,12 @@
  * How long a data plane accepts keys after the last confirmation that its configuration is the newest, over TCP with
  * fake control planes and with the test's clock.
  */
-class RevocationLeaseTest {
+class ConfigurationConfirmationTest {
     /** No update is deferred. */
     private static final double CONTACT_MS = 0;
 
     private static final double REVOKE_MS = 5_000;
-    /** {@link #REVOKE_MS} minus 2 % for clock drift and 150 ms for a stall (docs/design-quotas.md). */
+    /** {@link #REVOKE_MS} minus 2 % for clock drift and 150 ms for a pause of the process (docs/design-quotas.md). */
     private static final double VALIDITY_MS = 4_750;
 
     /** Longer than any test takes. */
@@ -59,18 +59,18 @@
     private static final Optional<AccessKeyDigest> KEY = Optional.of(AccessKeyDigest.of("k-1"));
     private static final Optional<AccessKeyDigest> UNKNOWN_KEY = Optional.of(AccessKeyDigest.of("k-2"));
 
-    private SessionFixture net;
+    private SessionFixture fixture;
     private AccessControl accessControl;
 
     @BeforeEach
-    void begin() throws IOException {
-        net = new SessionFixture(CONTACT_MS);
-        accessControl = net.accessControl(new Revocation(true, REVOKE_MS));
+    void setUp() throws IOException {
+        fixture = new SessionFixture(CONTACT_MS);
+        accessControl = fixture.accessControl(new Revocation(true, REVOKE_MS));
     }
 
     @AfterEach
-    void end() throws IOException {
-        net.close();
+    void tearDown() throws IOException {
+        fixture.close();
     }
 
     // ---- steps ----------------------------------------------------------------------------------------
@@ -81,7 +81,7 @@
 
     private void deliver(Session session, long version) throws Exception {
         session.send(complete(configuration(version, TENANTS)));
-        net.awaitVersion(version);
+        fixture.awaitVersion(version);
     }
 
     /** A heartbeat that a control plane has received, and when it was sent. */
@@ -90,42 +90,42 @@
     /** Waits for the next heartbeat; the time is exact if the test has taken all earlier heartbeats. */
     private SentHeartbeat nextHeartbeat(Session session) throws Exception {
         SessionHeartbeat heartbeat = session.heartbeat();
-        return new SentHeartbeat(heartbeat.sequence, net.now());
+        return new SentHeartbeat(heartbeat.sequence, fixture.now());
     }
 
     /** Acknowledges the heartbeat with a confirmation, which is handled before the clock advances. */
     private void confirm(Session session, SentHeartbeat heartbeat, long version, double ageMs) throws Exception {
         ConfirmedConfiguration confirmed = new ConfirmedConfiguration(version, ageMs);
         session.send(new HeartbeatAck(heartbeat.sequence(), true, List.of(), confirmed));
-        net.pass(0);
+        fixture.advanceClock(0);
     }
 
     /** Acknowledges the heartbeat without a confirmation, as if no quorum had confirmed a configuration. */
     private void acknowledge(Session session, SentHeartbeat heartbeat) throws Exception {
         session.send(new HeartbeatAck(heartbeat.sequence(), true, List.of()));
-        net.pass(0);
+        fixture.advanceClock(0);
     }
 
     /** Advances the clock; heartbeats are acknowledged to keep the session open, but without a confirmation. */
-    private void passWithoutConfirmation(Session session, double ms) throws Exception {
-        double until = net.now() + ms;
-        while (net.now() + HEARTBEAT_INTERVAL_MS <= until) {
+    private void advanceWithoutConfirmation(Session session, double ms) throws Exception {
+        double until = fixture.now() + ms;
+        while (fixture.now() + HEARTBEAT_INTERVAL_MS <= until) {
             acknowledge(session, nextHeartbeat(session));
         }
-        net.pass(until - net.now());
+        fixture.advanceClock(until - fixture.now());
     }
 
     private double confirmedAt() throws Exception {
-        return OnLoop.get(net.loop, net.metadata::confirmedAtMs);
+        return OnLoop.get(fixture.loop, fixture.metadata::confirmedAtMs);
     }
 
     private Decision decide(String route, Optional<AccessKeyDigest> key) throws Exception {
-        Route matched = net.metadata.routes().find(ClientRequests.HOST, "/" + route + "/");
-        return OnLoop.get(net.loop, () -> accessControl.decide(matched, key));
+        Route matched = fixture.metadata.routes().find(ClientRequests.HOST, "/" + route + "/");
+        return OnLoop.get(fixture.loop, () -> accessControl.decide(matched, key));
     }
 
     private boolean isServing() throws Exception {
-        return OnLoop.get(net.loop, accessControl::isServing);
+        return OnLoop.get(fixture.loop, accessControl::isServing);
     }
 
     private void assertServed() throws Exception {
@@ -156,36 +156,36 @@
 
     @Test
     void noKeyIsAcceptedBeforeTheFirstConfirmation() throws Exception {
-        Session session = net.startSession();
+        Session session = fixture.startSession();
         assertFalse(isServing(), "there is no configuration");
         deliver(session, 7);
         assertUnconfirmed();
         assertPublicRouteIsServed();
-        passWithoutConfirmation(session, 2 * HEARTBEAT_INTERVAL_MS);
+        advanceWithoutConfirmation(session, 2 * HEARTBEAT_INTERVAL_MS);
         assertUnconfirmed();
         assertPublicRouteIsServed();
     }
 
     @Test
     void aConfirmationCountsFromTheTimeAtWhichItsHeartbeatWasSent() throws Exception {
-        Session session = net.startSessionWithoutAcks();
+        Session session = fixture.startSessionWithoutAcks();
         SentHeartbeat first = nextHeartbeat(session);
         deliver(session, 7);
         nextHeartbeat(session);
         nextHeartbeat(session);
-        net.pass(HEARTBEAT_INTERVAL_MS / 2);
+        fixture.advanceClock(HEARTBEAT_INTERVAL_MS / 2);
         confirm(session, first, 7, 0);
         assertEquals(first.atMs(), confirmedAt());
         assertServed();
-        net.pass(first.atMs() + VALIDITY_MS - net.now());
+        fixture.advanceClock(first.atMs() + VALIDITY_MS - fixture.now());
         assertServed();
-        net.pass(1);
+        fixture.advanceClock(1);
         assertUnconfirmed();
     }
 
     @Test
     void theAgeOfAConfirmationIsSubtracted() throws Exception {
-        Session session = net.startSessionWithoutAcks();
+        Session session = fixture.startSessionWithoutAcks();
         deliver(session, 7);
         SentHeartbeat heartbeat = nextHeartbeat(session);
         confirm(session, heartbeat, 7, 1_234.5);
@@ -196,7 +196,7 @@
     /** A control plane that has lost its quorum repeats its last confirmation with a growing age. */
     @Test
     void noKeyIsAcceptedByAnExpiredConfirmation() throws Exception {
-        Session session = net.startSessionWithoutAcks();
+        Session session = fixture.startSessionWithoutAcks();
         deliver(session, 7);
         SentHeartbeat heartbeat = nextHeartbeat(session);
         confirm(session, heartbeat, 7, VALIDITY_MS + 1);
@@ -207,7 +207,7 @@
 
     @Test
     void anAcknowledgementOfADiscardedHeartbeatConfirmsNothing() throws Exception {
-        Session session = net.startSessionWithoutAcks();
+        Session session = fixture.startSessionWithoutAcks();
         deliver(session, 7);
         SentHeartbeat first = nextHeartbeat(session);
         SentHeartbeat second = nextHeartbeat(session);
@@ -221,18 +221,18 @@
 
     @Test
     void anAcknowledgementOfAHeartbeatThatWasNeverSentConfirmsNothing() throws Exception {
-        Session session = net.startSessionWithoutAcks();
+        Session session = fixture.startSessionWithoutAcks();
         deliver(session, 7);
         SentHeartbeat heartbeat = nextHeartbeat(session);
-        confirm(session, new SentHeartbeat(heartbeat.sequence() + 1_000, net.now()), 7, 0);
+        confirm(session, new SentHeartbeat(heartbeat.sequence() + 1_000, fixture.now()), 7, 0);
         assertEquals(NEVER, confirmedAt());
     }
 
     @Test
     void anAcknowledgementOfAnotherSessionsHeartbeatConfirmsNothing() throws Exception {
-        FakeControlPlane one = net.controlPlane().withoutAcks();
-        FakeControlPlane two = net.controlPlane().withoutAcks();
-        net.start(one, two);
+        FakeControlPlane one = fixture.controlPlane().withoutAcks();
+        FakeControlPlane two = fixture.controlPlane().withoutAcks();
+        fixture.start(one, two);
         Session first = one.session();
         Session second = two.session();
         deliver(first, 7);
@@ -256,7 +256,7 @@
 
     @Test
     void aConfirmationOfANewerVersionCountsOnceThatVersionIsInForce() throws Exception {
-        Session session = net.startSessionWithoutAcks();
+        Session session = fixture.startSessionWithoutAcks();
         deliver(session, 7);
         SentHeartbeat heartbeat = nextHeartbeat(session);
         confirm(session, heartbeat, 9, 0);
@@ -272,7 +272,7 @@
 
     @Test
     void aConfirmationOfAVersionOlderThanTheOneInForceCounts() throws Exception {
-        Session session = net.startSessionWithoutAcks();
+        Session session = fixture.startSessionWithoutAcks();
         deliver(session, 7);
         SentHeartbeat heartbeat = nextHeartbeat(session);
         confirm(session, heartbeat, 6, 0);
@@ -283,9 +283,9 @@
     /** The other session delivered the newer version; the next acknowledgement confirms it at the latest. */
     @Test
     void aVersionThatAnotherSessionDeliveredIsConfirmed() throws Exception {
-        FakeControlPlane one = net.controlPlane().withoutAcks();
-        FakeControlPlane two = net.controlPlane().withoutAcks();
-        net.start(one, two);
+        FakeControlPlane one = fixture.controlPlane().withoutAcks();
+        FakeControlPlane two = fixture.controlPlane().withoutAcks();
+        fixture.start(one, two);
         Session first = one.session();
         Session second = two.session();
         deliver(first, 7);
@@ -301,9 +301,9 @@
 
     @Test
     void aConfirmationOlderThanAnotherSessionsHasNoEffect() throws Exception {
-        FakeControlPlane one = net.controlPlane().withoutAcks();
-        FakeControlPlane two = net.controlPlane().withoutAcks();
-        net.start(one, two);
+        FakeControlPlane one = fixture.controlPlane().withoutAcks();
+        FakeControlPlane two = fixture.controlPlane().withoutAcks();
+        fixture.start(one, two);
         Session first = one.session();
         Session second = two.session();
         deliver(first, 7);
@@ -320,11 +320,11 @@
     }
 
     @Test
-    void repeatedAcknowledgementsOfOneHeartbeatDoNotExtendTheLease() throws Exception {
-        Session session = net.startSessionWithoutAcks();
+    void repeatedAcknowledgementsOfOneHeartbeatDoNotExtendAConfirmation() throws Exception {
+        Session session = fixture.startSessionWithoutAcks();
         deliver(session, 7);
         SentHeartbeat first = nextHeartbeat(session);
-        while (net.now() <= first.atMs() + VALIDITY_MS) {
+        while (fixture.now() <= first.atMs() + VALIDITY_MS) {
             confirm(session, first, 7, 0);
             assertEquals(first.atMs(), confirmedAt());
             nextHeartbeat(session);
@@ -334,8 +334,8 @@
 
     @Test
     void aNewSessionsAcknowledgementsDoNotConfirmHeartbeatsOfTheEarlierSession() throws Exception {
-        FakeControlPlane control = net.controlPlane().withoutAcks();
-        net.start(control);
+        FakeControlPlane control = fixture.controlPlane().withoutAcks();
+        fixture.start(control);
         Session broken = control.session();
         deliver(broken, 7);
         SentHeartbeat old = nextHeartbeat(broken);
@@ -348,14 +348,14 @@
     // ---- loss of contact ------------------------------------------------------------------------------
 
     @Test
-    void onlyPublicRoutesAreServedAfterTheLeaseExpires() throws Exception {
-        Session session = net.startSessionWithoutAcks();
+    void onlyPublicRoutesAreServedAfterTheConfirmationExpires() throws Exception {
+        Session session = fixture.startSessionWithoutAcks();
         deliver(session, 7);
         confirm(session, nextHeartbeat(session), 7, 0);
         double expiresAt = confirmedAt() + VALIDITY_MS;
-        passWithoutConfirmation(session, expiresAt - net.now());
+        advanceWithoutConfirmation(session, expiresAt - fixture.now());
         assertServed();
-        passWithoutConfirmation(session, 1);
+        advanceWithoutConfirmation(session, 1);
         assertUnconfirmed();
         assertPublicRouteIsServed();
         assertEquals(
@@ -366,10 +366,10 @@
 
     @Test
     void keysAreAcceptedAgainAfterTheNextConfirmation() throws Exception {
-        Session session = net.startSessionWithoutAcks();
+        Session session = fixture.startSessionWithoutAcks();
         deliver(session, 7);
         confirm(session, nextHeartbeat(session), 7, 0);
-        passWithoutConfirmation(session, VALIDITY_MS + 1);
+        advanceWithoutConfirmation(session, VALIDITY_MS + 1);
         assertUnconfirmed();
         confirm(session, nextHeartbeat(session), 7, 0);
         assertServed();
@@ -377,27 +377,27 @@
 
     /** No timer has run and no message was received since the pause, so the decision depends on the clock only. */
     @Test
-    void aResumedProcessDecidesByItsClock() throws Exception {
-        Session session = net.startSessionWithoutAcks();
+    void aPausedProcessDecidesByItsClockWhenItContinues() throws Exception {
+        Session session = fixture.startSessionWithoutAcks();
         deliver(session, 7);
         SentHeartbeat heartbeat = nextHeartbeat(session);
         confirm(session, heartbeat, 7, 0);
-        net.pause(VALIDITY_MS);
+        fixture.pause(VALIDITY_MS);
         assertServed();
-        net.pause(1);
+        fixture.pause(1);
         assertUnconfirmed();
         confirm(session, heartbeat, 7, 0);
         assertUnconfirmed();
     }
 
-    /** Timeouts exclude the time for which a process was paused; the lease does not. */
+    /** Session timeouts exclude the time for which the process was paused; the age of the confirmation includes it. */
     @Test
-    void aPauseThatTimeoutsExcludeCountsForTheLease() throws Exception {
-        Session session = net.startSessionWithoutAcks();
+    void aPauseThatTimeoutsExcludeCountsForTheAgeOfAConfirmation() throws Exception {
+        Session session = fixture.startSessionWithoutAcks();
         deliver(session, 7);
         SentHeartbeat before = nextHeartbeat(session);
         confirm(session, before, 7, 0);
-        net.pause(VALIDITY_MS + 1);
+        fixture.pause(VALIDITY_MS + 1);
         SentHeartbeat after = nextHeartbeat(session);
         assertFalse(session.isEnded());
         assertEquals(before.atMs(), confirmedAt());
@@ -409,20 +409,20 @@
     // ---- without required confirmations ------------------------------------------------------------------
 
     @Test
-    void withOpenRevocationKeysAreAcceptedByTheLastConfiguration() throws Exception {
-        accessControl = net.accessControl(Revocation.OPEN);
-        Session session = net.startSessionWithoutAcks();
+    void withRevocationThatFailsOpenKeysAreAcceptedByTheLastConfiguration() throws Exception {
+        accessControl = fixture.accessControl(Revocation.OPEN);
+        Session session = fixture.startSessionWithoutAcks();
         deliver(session, 7);
         assertServed();
-        net.pause(10 * REVOKE_MS);
+        fixture.pause(10 * REVOKE_MS);
         assertServed();
     }
 
     @Test
     void withoutTenantsNoConfirmationIsRequired() throws Exception {
-        Session session = net.startSessionWithoutAcks();
+        Session session = fixture.startSessionWithoutAcks();
         session.send(complete(configuration(7, WITHOUT_TENANTS)));
-        net.awaitVersion(7);
+        fixture.awaitVersion(7);
         assertInstanceOf(Decision.Allowed.class, decide("safe", Optional.empty()));
         assertInstanceOf(Decision.Allowed.class, decide("safe", UNKNOWN_KEY));
         assertTrue(isServing());
@@ -431,7 +431,7 @@
     // ---- responses to clients ---------------------------------------------------------------------------
 
     private static ForwarderFixture.Builder forwarder(double revokeMs) {
-        return ForwarderFixture.builder().tenants(TENANTS).routes(ROUTES).closedRevocation(revokeMs);
+        return ForwarderFixture.builder().tenants(TENANTS).routes(ROUTES).withRevocationThatFailsClosed(revokeMs);
     }
 
     private static void assertServed(ForwarderFixture forwarder, String target) throws Exception {
@@ -463,7 +463,7 @@
     }
 
     @Test
-    void aRequestIsNotRetriedAfterTheLeaseExpires() throws Exception {
+    void aRequestIsNotRetriedAfterTheConfirmationExpires() throws Exception {
         try (ForwarderFixture forwarder = forwarder(SHORT_REVOKE_MS).start()) {
             forwarder.servers.plainServers(2);
             forwarder.confirm(0);
--- a/dataplane/src/test/java/dewplank/dataplane/Expectations.java
+++ b/dataplane/src/test/java/dewplank/dataplane/Expectations.java
@@ -42,8 +42,8 @@
         assertNull(response.header("X-Dewplank-Server-Seal"));
     }
 
-    /** The client's connection ends without an end of the body and without a second head. */
-    static void assertBrokenOff(Wire client) throws IOException {
+    /** The client's connection is closed without an end of the body and without a second head. */
+    static void assertAborted(Wire client) throws IOException {
         String received = client.readToEnd();
         assertFalse(received.endsWith("0\r\n\r\n"), received);
         assertFalse(received.contains("HTTP/1.1"), received);
--- a/dataplane/src/test/java/dewplank/dataplane/FleetMetadataTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/FleetMetadataTest.java
@@ -34,35 +34,36 @@
 
 /** Updates of the fleet's metadata, also while requests are in flight. */
 class FleetMetadataTest {
-    private ForwarderFixture net;
+    private ForwarderFixture fixture;
 
     @BeforeEach
-    void begin() throws Exception {
-        net = ForwarderFixture.builder().start();
+    void setUp() throws Exception {
+        fixture = ForwarderFixture.builder().start();
     }
 
     @AfterEach
-    void end() throws IOException {
-        net.close();
+    void tearDown() throws IOException {
+        fixture.close();
     }
 
     // ---- stale updates -------------------------------------------------------------------------------
 
     @Test
     void aStaleConfigurationIsDiscarded() throws Exception {
-        FleetMetadata metadata = net.metadata;
-        OnLoop.run(net.loop, () -> {
+        FleetMetadata metadata = fixture.metadata;
+        OnLoop.run(fixture.loop, () -> {
             metadata.updateConfiguration(TestConfiguration.of(5, 100, safeRoute("new", 1)));
             metadata.updateConfiguration(TestConfiguration.of(4, 100, safeRoute("old", 1)));
             metadata.updateConfiguration(TestConfiguration.of(5, 100, safeRoute("equal", 1)));
         });
         assertEquals(5, metadata.configurationVersion());
         assertEquals("new", metadata.routes().find(HOST, "/new/").name());
-        net.servers.plain();
-        assertEquals(404, net.sendRequest("/old/").read().status());
-        assertEquals(404, net.sendRequest("/equal/").read().status());
-        OnLoop.run(net.loop, () -> metadata.updateConfiguration(TestConfiguration.of(9, 100, safeRoute("newer", 1))));
-        assertEquals(404, net.sendRequest("/new/").read().status());
+        fixture.servers.plain();
+        assertEquals(404, fixture.sendRequest("/old/").read().status());
+        assertEquals(404, fixture.sendRequest("/equal/").read().status());
+        OnLoop.run(
+                fixture.loop, () -> metadata.updateConfiguration(TestConfiguration.of(9, 100, safeRoute("newer", 1))));
+        assertEquals(404, fixture.sendRequest("/new/").read().status());
     }
 
     private static EndpointList list(long fencingToken, long revision, String... instances) {
@@ -73,9 +74,9 @@
     }
 
     private List<String> listedAfter(EndpointList list) throws Exception {
-        return OnLoop.get(net.loop, () -> {
-            net.metadata.updateServers(list);
-            return net.metadata.servers(PLAIN).stream()
+        return OnLoop.get(fixture.loop, () -> {
+            fixture.metadata.updateServers(list);
+            return fixture.metadata.servers(PLAIN).stream()
                     .map(TrackedServer::instanceId)
                     .toList();
         });
@@ -88,7 +89,7 @@
         assertEquals(List.of("a"), listedAfter(list(2, 7, "b")));
         assertEquals(
                 List.of("a"), listedAfter(list(1, 99, "b")), "a higher revision under a lower fencing token is older");
-        assertEquals(new EndpointListVersion(2, 7), net.metadata.listVersion());
+        assertEquals(new EndpointListVersion(2, 7), fixture.metadata.listVersion());
         assertEquals(
                 List.of("b"), listedAfter(list(3, 1, "b")), "a lower revision under a higher fencing token is newer");
         assertEquals(List.of(), listedAfter(list(3, 2)));
@@ -97,76 +98,80 @@
 
     @Test
     void anEmptyEndpointListCompletesTheMetadata() throws Exception {
-        assertFalse(net.metadata.isComplete());
-        OnLoop.run(net.loop, () -> net.metadata.updateConfiguration(TestConfiguration.of(1, 100, safeRoute("r", 1))));
-        assertFalse(net.metadata.isComplete());
+        assertFalse(fixture.metadata.isComplete());
+        OnLoop.run(
+                fixture.loop,
+                () -> fixture.metadata.updateConfiguration(TestConfiguration.of(1, 100, safeRoute("r", 1))));
+        assertFalse(fixture.metadata.isComplete());
         listedAfter(list(1, 1));
-        assertTrue(net.metadata.isComplete());
+        assertTrue(fixture.metadata.isComplete());
     }
 
     @Test
     void aServerKeepsItsStateAcrossEndpointLists() throws Exception {
         listedAfter(list(1, 1, "a", "b"));
         TrackedServer server =
-                OnLoop.get(net.loop, () -> net.metadata.servers(PLAIN).get(0));
+                OnLoop.get(fixture.loop, () -> fixture.metadata.servers(PLAIN).get(0));
         listedAfter(list(1, 2, "c", "a"));
-        assertTrue(OnLoop.get(net.loop, () -> net.metadata.servers(PLAIN).contains(server)));
+        assertTrue(
+                OnLoop.get(fixture.loop, () -> fixture.metadata.servers(PLAIN).contains(server)));
         assertTrue(server.isReady());
         listedAfter(list(1, 3, "c"));
         assertFalse(server.isReady());
         listedAfter(list(1, 4, "a"));
         assertNotSame(
-                server, OnLoop.get(net.loop, () -> net.metadata.servers(PLAIN).get(0)));
+                server,
+                OnLoop.get(fixture.loop, () -> fixture.metadata.servers(PLAIN).get(0)));
     }
 
     // ---- draining and removed servers ----------------------------------------------------------------
 
     @Test
     void idleConnectionsToADrainingServerAreClosed() throws Exception {
-        net.routes(unsafeRoute("once", 1));
-        ScriptedServer server = net.servers.plain();
-        Wire client = net.sendRequest("/once/");
-        Call call = net.nextCall();
+        fixture.routes(unsafeRoute("once", 1));
+        ScriptedServer server = fixture.servers.plain();
+        Wire client = fixture.sendRequest("/once/");
+        Call call = fixture.nextCall();
         serve(call, "");
         client.read();
         assertFalse(call.wire().isEnded());
-        net.servers.drain(server);
+        fixture.servers.drain(server);
         call.wire().awaitEnd();
-        assertEquals(503, net.sendRequest("/once/").read().status());
-        assertEquals(0, net.servers.calls.size());
+        assertEquals(503, fixture.sendRequest("/once/").read().status());
+        assertEquals(0, fixture.servers.calls.size());
     }
 
     @Test
     void aRequestInFlightAtADrainingServerIsServedAndItsConnectionClosed() throws Exception {
-        net.routes(unsafeRoute("once", 1));
-        ScriptedServer server = net.servers.plain();
-        Wire drained = net.sendRequest("/once/");
-        Call atDrain = net.nextCall();
-        net.servers.drain(server);
+        fixture.routes(unsafeRoute("once", 1));
+        ScriptedServer server = fixture.servers.plain();
+        Wire drained = fixture.sendRequest("/once/");
+        Call atDrain = fixture.nextCall();
+        fixture.servers.drain(server);
         assertServed(atDrain, drained, "drained");
         atDrain.wire().awaitEnd();
     }
 
     @Test
     void aRequestInFlightAtARemovedServerIsServedAndItsConnectionClosed() throws Exception {
-        net.routes(unsafeRoute("once", 1));
-        ScriptedServer server = net.servers.plain();
-        Wire client = net.sendRequest("/once/");
-        Call call = net.nextCall();
-        net.servers.remove(server);
+        fixture.routes(unsafeRoute("once", 1));
+        ScriptedServer server = fixture.servers.plain();
+        Wire client = fixture.sendRequest("/once/");
+        Call call = fixture.nextCall();
+        fixture.servers.remove(server);
         assertServed(call, client, "gone");
         call.wire().awaitEnd();
-        assertEquals(503, net.sendRequest("/once/").read().status());
+        assertEquals(503, fixture.sendRequest("/once/").read().status());
     }
 
     @Test
     void aStreamInFlightAtADrainingServerContinues() throws Exception {
-        net.routes(streamingRoute("gen", 1));
-        ScriptedServer server = net.servers.decode();
-        BegunStream stream = BegunStream.begin(net, "/gen/", PROMPT);
-        net.servers.drain(server);
+        fixture.routes(streamingRoute("gen", 1));
+        ScriptedServer server = fixture.servers.decode();
+        BegunStream stream = BegunStream.begin(fixture, "/gen/", PROMPT);
+        fixture.servers.drain(server);
         stream.assertRelays(2);
-        net.servers.remove(server);
+        fixture.servers.remove(server);
         stream.assertRelays(3);
         stream.assertEnds();
         stream.server().awaitEnd();
@@ -175,35 +180,35 @@
     /** A server that was removed resets a request: the retry is sent to a server of the new endpoint list. */
     @Test
     void aRetryUsesTheNewEndpointList() throws Exception {
-        net.routes(safeRoute("safe", 3));
-        ScriptedServer old = net.servers.plain();
-        Wire client = net.sendRequest("/safe/");
-        Call call = net.nextCall();
-        ScriptedServer next = net.servers.plain();
-        net.servers.remove(old);
+        fixture.routes(safeRoute("safe", 3));
+        ScriptedServer old = fixture.servers.plain();
+        Wire client = fixture.sendRequest("/safe/");
+        Call call = fixture.nextCall();
+        ScriptedServer next = fixture.servers.plain();
+        fixture.servers.remove(old);
         call.wire().reset();
-        Call retry = net.nextCall();
+        Call retry = fixture.nextCall();
         assertSame(next, retry.server());
         assertServed(retry, client, "served");
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     // ---- configuration changes -----------------------------------------------------------------------
 
     @Test
     void aRequestInFlightKeepsItsConfigurationAndTheNextRequestUsesTheNewOne() throws Exception {
-        net.routes(unsafeRoute("r", 1), unsafeRoute("gone", 1));
-        ScriptedServer old = net.servers.plain();
-        ScriptedServer other = net.servers.server("other", null);
-        Wire client = net.sendRequest("/r/");
-        Call before = net.nextCall();
-        Wire clientOfRemoved = net.sendRequest("/gone/");
-        Call removed = net.nextCall();
+        fixture.routes(unsafeRoute("r", 1), unsafeRoute("gone", 1));
+        ScriptedServer old = fixture.servers.plain();
+        ScriptedServer other = fixture.servers.server("other", null);
+        Wire client = fixture.sendRequest("/r/");
+        Call before = fixture.nextCall();
+        Wire clientOfRemoved = fixture.sendRequest("/gone/");
+        Call removed = fixture.nextCall();
         assertSame(old, before.server());
         client.send(request("/r/ahead", "", ""));
-        net.routes(unsafeRoute("r", 1).toService(OTHER), unsafeRoute("new", 1));
+        fixture.routes(unsafeRoute("r", 1).toService(OTHER), unsafeRoute("new", 1));
         assertServed(before, client, "by the old service");
-        Call after = net.nextCall();
+        Call after = fixture.nextCall();
         assertSame(
                 other, after.server(), "a pipelined request is routed when it is processed, by the new configuration");
         assertServed(after, client, "by the new service");
@@ -211,17 +216,17 @@
         clientOfRemoved.send(request("/gone/", "", ""));
         assertEquals(404, clientOfRemoved.read().status());
         clientOfRemoved.send(request("/new/", "", ""));
-        assertServed(net.nextCall(), clientOfRemoved, "added");
-        net.assertQuiet();
+        assertServed(fixture.nextCall(), clientOfRemoved, "added");
+        fixture.assertQuiet();
     }
 
     @Test
     void aStreamIsResumedUnderTheConfigurationItStartedWith() throws Exception {
-        net.routes(streamingRoute("gen", 2).asResumable());
-        net.servers.decodeServers(2);
-        BegunStream stream = BegunStream.begin(net, "/gen/", PROMPT);
-        net.routes(streamingRoute("gen", 1));
+        fixture.routes(streamingRoute("gen", 2).asResumable());
+        fixture.servers.decodeServers(2);
+        BegunStream stream = BegunStream.begin(fixture, "/gen/", PROMPT);
+        fixture.routes(streamingRoute("gen", 1));
         stream.server().reset();
-        assertResumed(net.nextCall(), stream.client(), 2);
+        assertResumed(fixture.nextCall(), stream.client(), 2);
     }
 }
--- a/dataplane/src/test/java/dewplank/dataplane/ForwarderFixture.java
+++ b/dataplane/src/test/java/dewplank/dataplane/ForwarderFixture.java
@@ -27,18 +27,21 @@
 
 /** A forwarder on an event loop, between plain-socket clients and the servers of a {@link ScriptedFleet}. */
 final class ForwarderFixture implements Closeable {
-    /** More retries than any test uses. */
+    /** Limits that allow more retries than any test uses. */
     static final RetryBudgets.Limits AMPLE_RETRIES = new RetryBudgets.Limits(100, 10_000, 1_000);
 
     static final RetryBudgets.Limits NO_RETRIES = new RetryBudgets.Limits(0, 10_000, 0);
 
-    /** Longer than any test. On a busy machine the default could expire before the loop handles a connection. */
+    /**
+     * Connect timeout that is longer than any test. On a busy machine the default could expire before the loop handles
+     * a connection.
+     */
     private static final double CONNECT_TIMEOUT_MS = 20_000;
 
     private static final int DEFAULT_MAX_BODY_BYTES = 4 << 20;
     private static final int MAX_CONNECTIONS = 100;
     private static final int RANDOM_SEED = 7;
-    /** More than {@link dewplank.exchange.ConnectionPool#REUSE_DELAY_MS}. */
+    /** Waiting time of more than {@link dewplank.exchange.ConnectionPool#REUSE_DELAY_MS}. */
     static final double REUSABLE_AFTER_MS = 30;
 
     /** Limit on sending a request again because a slow machine prevented the state that the test needs. */
@@ -127,7 +130,7 @@
         /**
          * Requests with access keys are served only within this time after the last {@link ForwarderFixture#confirm}.
          */
-        Builder closedRevocation(double withinMs) {
+        Builder withRevocationThatFailsClosed(double withinMs) {
             revocation = new AccessControl.Revocation(true, withinMs);
             return this;
         }
@@ -143,7 +146,7 @@
         }
     }
 
-    /** Confirms that the configuration in force was the latest one this long ago. */
+    /** Confirms that the configuration in force was the latest one {@code ageMs} ago. */
     void confirm(double ageMs) throws Exception {
         OnLoop.run(loop, () -> metadata.confirmConfiguration(configurationVersion, loop.now() - ageMs));
     }
--- a/dataplane/src/test/java/dewplank/dataplane/GenerationTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/GenerationTest.java
@@ -39,17 +39,17 @@
 
 /** Prefill at one server and decode at another: the requests that each receives, and when KV handles are freed. */
 class GenerationTest {
-    /** One retry for one request, as 80% of the ratio is used. */
+    /** Limits that allow one retry for one request, because 80% of the ratio is used. */
     private static final RetryBudgets.Limits ONE_RETRY = new RetryBudgets.Limits(1.25, 10_000, 0);
 
-    private ForwarderFixture net;
+    private ForwarderFixture fixture;
 
     @BeforeEach
-    void begin() throws Exception {
-        net = fixture().start();
+    void setUp() throws Exception {
+        fixture = fixtureBuilder().start();
     }
 
-    private static ForwarderFixture.Builder fixture() {
+    private static ForwarderFixture.Builder fixtureBuilder() {
         return ForwarderFixture.builder()
                 .routes(
                         streamingRoute("gen", 3),
@@ -63,20 +63,20 @@
 
     /** Restarts the fixture with these limits on retries. */
     private void limitRetries(RetryBudgets.Limits limits) throws Exception {
-        net.close();
-        net = fixture().retryLimits(limits).start();
+        fixture.close();
+        fixture = fixtureBuilder().retryLimits(limits).start();
     }
 
     /** Sends a request, and lets the prefill server respond with the handle. */
     private Wire sendPrefilled(String target, String handle) throws Exception {
-        Wire client = net.sendRequest(target, PROMPT);
-        handOver(net.nextCall(), handle);
+        Wire client = fixture.sendRequest(target, PROMPT);
+        handOver(fixture.nextCall(), handle);
         return client;
     }
 
     @AfterEach
-    void end() throws IOException {
-        net.close();
+    void tearDown() throws IOException {
+        fixture.close();
     }
 
     private static void assertIsPrefill(Call call) {
@@ -93,9 +93,9 @@
     private void assertIsFreed(Call call, ScriptedServer at, String handle) {
         assertEquals("DELETE", call.message().method());
         assertEquals("/kv-handle/" + handle, call.message().target());
-        assertEquals(net.servers.id(at), targetInstance(call));
+        assertEquals(fixture.servers.id(at), targetInstance(call));
         assertSame(at, call.server());
-        assertEquals(net.servers.id(at), targetInstance(call));
+        assertEquals(fixture.servers.id(at), targetInstance(call));
     }
 
     /** The decode server sends one event and the end of the stream, and the client receives both. */
@@ -107,30 +107,30 @@
 
     @Test
     void aPromptIsPrefilledAtOneServerAndDecodedAtAnother() throws Exception {
-        ScriptedServer prefill = net.servers.prefill();
-        ScriptedServer decode = net.servers.decode();
-        Wire client = net.sendRequest("/gen/x?y", PROMPT);
-        Call prefillCall = net.nextCall();
+        ScriptedServer prefill = fixture.servers.prefill();
+        ScriptedServer decode = fixture.servers.decode();
+        Wire client = fixture.sendRequest("/gen/x?y", PROMPT);
+        Call prefillCall = fixture.nextCall();
         assertSame(prefill, prefillCall.server());
         assertIsPrefill(prefillCall);
         assertEquals("POST /gen/x?y HTTP/1.1", prefillCall.message().startLine());
         assertEquals("hi", prefillCall.message().body());
-        assertEquals(net.servers.id(prefill), targetInstance(prefillCall));
+        assertEquals(fixture.servers.id(prefill), targetInstance(prefillCall));
         long left = remainingTimeMs(prefillCall);
         assertTrue(left > 0 && left <= 8_000);
         handOver(prefillCall, "3fa0");
-        Call decodeCall = net.nextCall();
+        Call decodeCall = fixture.nextCall();
         assertSame(decode, decodeCall.server());
         assertIsDecode(decodeCall, prefill.addressText() + "/3fa0");
         assertEquals("POST /gen/x?y HTTP/1.1", decodeCall.message().startLine());
         assertEquals("hi", decodeCall.message().body());
-        assertEquals(net.servers.id(decode), targetInstance(decodeCall));
+        assertEquals(fixture.servers.id(decode), targetInstance(decodeCall));
         assertTrue(remainingTimeMs(decodeCall) <= left);
         assertEquals(attemptId(prefillCall), attemptId(decodeCall));
         assertEquals("aa:30000,bb:20000,c0:30000", decodeCall.message().header("X-Dewplank-Prompt-Prefix"));
         assertNull(lastEventId(decodeCall));
         assertStreamsToEnd(decodeCall, client);
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     /** Only the data plane sets these fields; a client's own are dropped. */
@@ -142,68 +142,68 @@
                 "X-Dewplank-Processing-Stage: prefill\r\nkv-from: 127.0.0.1:9/another\r\n"
             })
     void aClientsStageKvHandleAndInstanceAreNotForwarded(String fields) throws Exception {
-        ScriptedServer prefill = net.servers.prefill();
-        net.servers.decode();
-        Wire client = net.sendRequest("/gen/", PROMPT + fields);
-        Call prefillCall = net.nextCall();
+        ScriptedServer prefill = fixture.servers.prefill();
+        fixture.servers.decode();
+        Wire client = fixture.sendRequest("/gen/", PROMPT + fields);
+        Call prefillCall = fixture.nextCall();
         assertIsPrefill(prefillCall);
         assertEquals(1, prefillCall.message().count("X-Dewplank-Processing-Stage"));
         assertEquals(1, prefillCall.message().count("X-Dewplank-Target-Instance"));
         assertEquals(0, prefillCall.message().count("Kv-From"));
         handOver(prefillCall, "own");
-        Call decodeCall = net.nextCall();
+        Call decodeCall = fixture.nextCall();
         assertIsDecode(decodeCall, prefill.addressText() + "/own");
         assertEquals(0, decodeCall.message().count("X-Dewplank-Processing-Stage"));
         assertEquals(1, decodeCall.message().count("Kv-From"));
         assertStreamsToEnd(decodeCall, client);
-        Wire direct = net.sendRequest("/gen/", fields);
-        Call alone = net.nextCall();
+        Wire direct = fixture.sendRequest("/gen/", fields);
+        Call alone = fixture.nextCall();
         assertIsDecode(alone, null);
         assertStreamsToEnd(alone, direct);
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     /** Prefill does not count as running the request, so the client may retry. */
     @Test
     void aRequestInPrefillAtTerminationIsRejected() throws Exception {
-        net.servers.prefill();
-        net.servers.decode();
-        Wire client = net.sendRequest("/gen/", PROMPT);
-        Call prefillCall = net.nextCall();
-        OnLoop.run(net.loop, net.forwarder::terminateAll);
+        fixture.servers.prefill();
+        fixture.servers.decode();
+        Wire client = fixture.sendRequest("/gen/", PROMPT);
+        Call prefillCall = fixture.nextCall();
+        OnLoop.run(fixture.loop, fixture.forwarder::terminateAll);
         assertEquals(503, client.read().status());
         prefillCall.wire().awaitEnd();
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void eachRequestIsDecodedFromItsOwnKvHandle() throws Exception {
-        ScriptedServer prefill = net.servers.prefill();
-        net.servers.decode();
-        Wire first = net.sendRequest("/gen/1", PROMPT);
-        Call firstPrefill = net.nextCall();
-        Wire second = net.sendRequest("/gen/2", PROMPT);
-        Call secondPrefill = net.nextCall();
+        ScriptedServer prefill = fixture.servers.prefill();
+        fixture.servers.decode();
+        Wire first = fixture.sendRequest("/gen/1", PROMPT);
+        Call firstPrefill = fixture.nextCall();
+        Wire second = fixture.sendRequest("/gen/2", PROMPT);
+        Call secondPrefill = fixture.nextCall();
         handOver(secondPrefill, "h2");
-        Call secondDecode = net.nextCall();
+        Call secondDecode = fixture.nextCall();
         assertEquals("/gen/2", secondDecode.message().target());
         assertIsDecode(secondDecode, prefill.addressText() + "/h2");
         handOver(firstPrefill, "h1");
-        Call firstDecode = net.nextCall();
+        Call firstDecode = fixture.nextCall();
         assertEquals("/gen/1", firstDecode.message().target());
         assertIsDecode(firstDecode, prefill.addressText() + "/h1");
         assertStreamsToEnd(firstDecode, first);
         assertStreamsToEnd(secondDecode, second);
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     /** A late response to an earlier prefill arrives before the response to this one. */
     @Test
     void aKvHandleForAnotherAttemptIdIsDiscarded() throws Exception {
-        ScriptedServer prefill = net.servers.prefill();
-        net.servers.decode();
-        Wire client = net.sendRequest("/gen/", PROMPT);
-        Call prefillCall = net.nextCall();
+        ScriptedServer prefill = fixture.servers.prefill();
+        fixture.servers.decode();
+        Wire client = fixture.sendRequest("/gen/", PROMPT);
+        Call prefillCall = fixture.nextCall();
         prefillCall
                 .wire()
                 .answer(
@@ -211,59 +211,59 @@
                         "X-Dewplank-Request-Attempt-Id: another\r\n",
                         "{\"context_handle\":\"wrong\",\"token_count\":60,\"config_version\":1}");
         handOver(prefillCall, "own");
-        Call decodeCall = net.nextCall();
+        Call decodeCall = fixture.nextCall();
         assertIsDecode(decodeCall, prefill.addressText() + "/own");
         assertStreamsToEnd(decodeCall, client);
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     // ---- no prefill -----------------------------------------------------------------------------------
 
     @Test
     void withoutAPrefillServerTheDecodeServerPrefills() throws Exception {
-        net.servers.decode();
-        Wire client = net.sendRequest("/gen/", PROMPT);
-        Call decodeCall = net.nextCall();
+        fixture.servers.decode();
+        Wire client = fixture.sendRequest("/gen/", PROMPT);
+        Call decodeCall = fixture.nextCall();
         assertIsDecode(decodeCall, null);
         assertStreamsToEnd(decodeCall, client);
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void withoutAPromptPrefillIsSkipped() throws Exception {
-        net.servers.prefill();
-        ScriptedServer decode = net.servers.decode();
-        Wire client = net.sendRequest("/gen/");
-        Call decodeCall = net.nextCall();
+        fixture.servers.prefill();
+        ScriptedServer decode = fixture.servers.decode();
+        Wire client = fixture.sendRequest("/gen/");
+        Call decodeCall = fixture.nextCall();
         assertSame(decode, decodeCall.server());
         assertIsDecode(decodeCall, null);
         assertStreamsToEnd(decodeCall, client);
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void anUnreachablePrefillServerDoesNotCountAsAnAttempt() throws Exception {
-        net.servers.refusingPrefill();
-        net.servers.decode();
-        Wire client = net.sendRequest("/one/", PROMPT);
-        Call decodeCall = net.nextCall();
+        fixture.servers.refusingPrefill();
+        fixture.servers.decode();
+        Wire client = fixture.sendRequest("/one/", PROMPT);
+        Call decodeCall = fixture.nextCall();
         assertIsDecode(decodeCall, null);
         assertStreamsToEnd(decodeCall, client);
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     /** A prefill that is reset does not count as running the request, so the request can still be rejected with 503. */
     @Test
     void aResetPrefillDoesNotCountAsARun() throws Exception {
-        net.servers.prefill();
-        net.servers.decode();
-        Wire client = net.sendRequest("/gen/", PROMPT);
-        net.nextCall().wire().reset();
-        Call decodeCall = net.nextCall();
+        fixture.servers.prefill();
+        fixture.servers.decode();
+        Wire client = fixture.sendRequest("/gen/", PROMPT);
+        fixture.nextCall().wire().reset();
+        Call decodeCall = fixture.nextCall();
         assertIsDecode(decodeCall, null);
         reject(decodeCall);
         assertEquals(503, client.read().status(), "the request has not run");
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @ParameterizedTest
@@ -280,66 +280,69 @@
                 "{\"context_handle\":\"a\\r\\nX: y\",\"token_count\":1}"
             })
     void aResponseWithoutAKvHandleLeadsToDecodeWithoutOne(String body) throws Exception {
-        net.servers.decode();
-        net.servers.prefill();
-        Wire client = net.sendRequest("/gen/", PROMPT);
-        Call prefillCall = net.nextCall();
+        fixture.servers.decode();
+        fixture.servers.prefill();
+        Wire client = fixture.sendRequest("/gen/", PROMPT);
+        Call prefillCall = fixture.nextCall();
         assertIsPrefill(prefillCall);
         answer(prefillCall, "200 OK", "", body);
-        Call decodeCall = net.nextCall();
+        Call decodeCall = fixture.nextCall();
         assertIsDecode(decodeCall, null);
         assertStreamsToEnd(decodeCall, client);
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void aRejectedPrefillIsRetriedAtAnotherServer() throws Exception {
-        net.servers.prefillServers(2);
-        net.servers.decode();
-        Wire client = net.sendRequest("/gen/", PROMPT);
-        Call full = net.nextCall();
+        fixture.servers.prefillServers(2);
+        fixture.servers.decode();
+        Wire client = fixture.sendRequest("/gen/", PROMPT);
+        Call full = fixture.nextCall();
         assertIsPrefill(full);
         reject(full);
-        Call retry = net.nextCall();
+        Call retry = fixture.nextCall();
         assertIsPrefill(retry);
         assertNotSame(full.server(), retry.server());
         handOver(retry, "h");
-        Call decodeCall = net.nextCall();
+        Call decodeCall = fixture.nextCall();
         assertIsDecode(decodeCall, retry.server().addressText() + "/h");
         assertStreamsToEnd(decodeCall, client);
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
-    /** The first prefill is free of charge unless it is rejected; then no attempt is left for decode. */
+    /**
+     * The first prefill is exempt from the limit unless it is rejected; after a rejection no attempt is left for
+     * decode.
+     */
     @Test
     void aRejectedPrefillCountsAsAnAttempt() throws Exception {
-        net.servers.prefill();
-        net.servers.decode();
-        Wire client = net.sendRequest("/one/", PROMPT);
-        reject(net.nextCall());
+        fixture.servers.prefill();
+        fixture.servers.decode();
+        Wire client = fixture.sendRequest("/one/", PROMPT);
+        reject(fixture.nextCall());
         assertEquals(503, client.read().status());
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void anOverduePrefillIsCancelledAndDecodeStarts() throws Exception {
-        net.servers.prefill();
-        ScriptedServer decode = net.servers.decode();
-        Wire client = net.sendRequest("/gen/", SHORT_PROMPT);
-        Call prefillCall = net.nextCall();
+        fixture.servers.prefill();
+        ScriptedServer decode = fixture.servers.decode();
+        Wire client = fixture.sendRequest("/gen/", SHORT_PROMPT);
+        Call prefillCall = fixture.nextCall();
         for (int sends = 1; prefillCall.server() == decode; sends++) { // the connection was not established in time
             assertTrue(sends < ForwarderFixture.MAX_SENDS, "no request was prefilled");
             assertStreamsToEnd(prefillCall, client);
-            client = net.sendRequest("/gen/", SHORT_PROMPT);
-            prefillCall = net.nextCall();
+            client = fixture.sendRequest("/gen/", SHORT_PROMPT);
+            prefillCall = fixture.nextCall();
         }
         assertIsPrefill(prefillCall);
-        Call decodeCall = net.nextCall();
+        Call decodeCall = fixture.nextCall();
         prefillCall.wire().awaitEnd();
         assertSame(decode, decodeCall.server());
         assertIsDecode(decodeCall, null);
         assertStreamsToEnd(decodeCall, client);
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     /**
@@ -349,84 +352,84 @@
      */
     @Test
     void anOverdueLongPrefillContinuesUntilTheLatestStartOfDecode() throws Exception {
-        net.servers.prefill();
-        ScriptedServer decode = net.servers.decode();
-        double sentAt = net.now();
-        Wire client = net.sendRequest("/paced/", prompt("aa:2000,c0:2000"));
-        Call prefillCall = net.nextCall();
-        Call decodeCall = net.nextCall();
-        assertTrue(net.now() - sentAt >= 1_500, "decode started as soon as the prefill was overdue");
+        fixture.servers.prefill();
+        ScriptedServer decode = fixture.servers.decode();
+        double sentAt = fixture.now();
+        Wire client = fixture.sendRequest("/paced/", prompt("aa:2000,c0:2000"));
+        Call prefillCall = fixture.nextCall();
+        Call decodeCall = fixture.nextCall();
+        assertTrue(fixture.now() - sentAt >= 1_500, "decode started as soon as the prefill was overdue");
         prefillCall.wire().awaitEnd();
         assertSame(decode, decodeCall.server());
         assertIsDecode(decodeCall, null);
         assertStreamsToEnd(decodeCall, client);
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void anOverdueLongPrefillIsRetriedAtAnotherPrefillServer() throws Exception {
-        ScriptedServer one = net.servers.prefill();
-        ScriptedServer two = net.servers.prefill();
-        net.servers.decode();
-        Wire client = net.sendRequest("/gapped/", MEDIUM_PROMPT);
-        Call first = net.nextCall();
-        Call second = net.nextCall();
+        ScriptedServer one = fixture.servers.prefill();
+        ScriptedServer two = fixture.servers.prefill();
+        fixture.servers.decode();
+        Wire client = fixture.sendRequest("/gapped/", MEDIUM_PROMPT);
+        Call first = fixture.nextCall();
+        Call second = fixture.nextCall();
         first.wire().awaitEnd();
         assertIsPrefill(second);
         assertSame(first.server() == one ? two : one, second.server());
         handOver(second, "h2");
-        Call decodeCall = net.nextCall();
+        Call decodeCall = fixture.nextCall();
         assertIsDecode(decodeCall, second.server().addressText() + "/h2");
         assertStreamsToEnd(decodeCall, client);
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     // ---- KV handles -----------------------------------------------------------------------------------
 
     @Test
     void aKvHandleIsFreedWithoutADecodeServer() throws Exception {
-        ScriptedServer prefill = net.servers.prefill();
+        ScriptedServer prefill = fixture.servers.prefill();
         Wire client = sendPrefilled("/gen/", "h1");
-        Call freed = net.nextCall();
+        Call freed = fixture.nextCall();
         assertIsFreed(freed, prefill, "h1");
         freed.wire().answer("200 OK", "", "");
         Wire.Message response = client.read();
         assertEquals(503, response.status());
         assertTrue(Double.parseDouble(response.header("Retry-After")) > 0);
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void aKvHandleIsFreedIfTheDecodeServerIsUnreachable() throws Exception {
-        ScriptedServer prefill = net.servers.prefill();
-        net.servers.refusingDecode();
+        ScriptedServer prefill = fixture.servers.prefill();
+        fixture.servers.refusingDecode();
         Wire client = sendPrefilled("/gen/", "h1");
-        assertIsFreed(net.nextCall(), prefill, "h1");
+        assertIsFreed(fixture.nextCall(), prefill, "h1");
         assertEquals(503, client.read().status());
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void anUnsentKvHandleIsSentToTheNextDecodeServer() throws Exception {
-        ScriptedServer prefill = net.servers.prefill();
-        net.servers.refusingDecode();
-        ScriptedServer there = net.servers.decode();
-        net.servers.refusingDecode();
+        ScriptedServer prefill = fixture.servers.prefill();
+        fixture.servers.refusingDecode();
+        ScriptedServer there = fixture.servers.decode();
+        fixture.servers.refusingDecode();
         Wire client = sendPrefilled("/one/", "h1");
-        Call decodeCall = net.nextCall();
+        Call decodeCall = fixture.nextCall();
         assertSame(there, decodeCall.server());
         assertIsDecode(decodeCall, prefill.addressText() + "/h1");
         assertStreamsToEnd(decodeCall, client);
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     /** A KV cache can be fetched only once, and the server that rejected the request may have fetched it. */
     @Test
     void aKvHandleIsSentToOneDecodeServerOnly() throws Exception {
-        ScriptedServer prefill = net.servers.prefill();
-        net.servers.decodeServers(2);
+        ScriptedServer prefill = fixture.servers.prefill();
+        fixture.servers.decodeServers(2);
         Wire client = sendPrefilled("/gen/", "h1");
-        Call first = net.nextCall();
+        Call first = fixture.nextCall();
         assertIsDecode(first, prefill.addressText() + "/h1");
         reject(first);
         Call second = nextDecodeCall();
@@ -437,10 +440,10 @@
 
     @Test
     void aResumedStreamDoesNotSendItsKvHandleAgain() throws Exception {
-        ScriptedServer prefill = net.servers.prefill();
-        net.servers.decodeServers(2);
+        ScriptedServer prefill = fixture.servers.prefill();
+        fixture.servers.decodeServers(2);
         Wire client = sendPrefilled("/res/", "h1");
-        Call first = net.nextCall();
+        Call first = fixture.nextCall();
         first.wire().reset();
         Call second = nextDecodeCall();
         assertNotEquals(prefill.addressText() + "/h1", kvFrom(second));
@@ -449,14 +452,14 @@
 
     /** Responds to requests that free KV handles and to further prefills until a decode arrives. */
     private Call nextDecodeCall() throws Exception {
-        Call call = net.nextCall();
+        Call call = fixture.nextCall();
         while (call.message().method().equals("DELETE") || "prefill".equals(stage(call))) {
             if (call.message().method().equals("DELETE")) {
                 call.wire().answer("200 OK", "", "");
             } else {
                 handOver(call, "again");
             }
-            call = net.nextCall();
+            call = fixture.nextCall();
         }
         return call;
     }
@@ -464,42 +467,42 @@
     /** The decode server was full. The prefill server still stores the KV cache, which no server will fetch. */
     @Test
     void aKvHandleIsFreedIfItsDecodeServerRejectsTheRequest() throws Exception {
-        ScriptedServer prefill = net.servers.prefill();
-        net.servers.decode();
+        ScriptedServer prefill = fixture.servers.prefill();
+        fixture.servers.decode();
         Wire client = sendPrefilled("/one/", "h1");
-        reject(net.nextCall());
+        reject(fixture.nextCall());
         assertEquals(503, client.read().status());
-        assertIsFreed(net.nextCall(), prefill, "h1");
+        assertIsFreed(fixture.nextCall(), prefill, "h1");
     }
 
     @Test
     void aClientThatDisconnectsDuringPrefillCancelsIt() throws Exception {
-        net.servers.prefill();
-        net.servers.decode();
-        Wire client = net.sendRequest("/gen/", PROMPT);
-        Call prefillCall = net.nextCall();
+        fixture.servers.prefill();
+        fixture.servers.decode();
+        Wire client = fixture.sendRequest("/gen/", PROMPT);
+        Call prefillCall = fixture.nextCall();
         client.close();
         prefillCall.wire().awaitEnd();
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     /** The KV handle arrives after the client has disconnected, on a connection that is closed by then. */
     @Test
     void aKvHandleThatArrivesAfterItsClientDisconnectedIsNotDecoded() throws Exception {
-        net.servers.prefill();
-        net.servers.decode();
-        Wire client = net.sendRequest("/gen/", PROMPT);
-        Call prefillCall = net.nextCall();
-        OnLoop.run(net.loop, () -> {
+        fixture.servers.prefill();
+        fixture.servers.decode();
+        Wire client = fixture.sendRequest("/gen/", PROMPT);
+        Call prefillCall = fixture.nextCall();
+        OnLoop.run(fixture.loop, () -> {
             client.close();
             handOver(prefillCall, "h1");
         });
-        net.awaitNoOpenRequest();
-        OnLoop.run(net.loop, () -> {});
-        while (!net.servers.calls.isEmpty()) { // the handle was read before the disconnect
-            assertNotEquals("POST", respondToFree(net.nextCall()), "decode was started for a disconnected client");
+        fixture.awaitNoOpenRequest();
+        OnLoop.run(fixture.loop, () -> {});
+        while (!fixture.servers.calls.isEmpty()) { // the handle was read before the disconnect
+            assertNotEquals("POST", respondToFree(fixture.nextCall()), "decode was started for a disconnected client");
         }
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     private static String respondToFree(Call call) throws IOException {
@@ -509,196 +512,196 @@
 
     @Test
     void aClientThatDisconnectsBeforeItsStreamCancelsDecode() throws Exception {
-        net.servers.prefill();
-        net.servers.decode();
+        fixture.servers.prefill();
+        fixture.servers.decode();
         Wire client = sendPrefilled("/gen/", "h1");
-        Call decodeCall = net.nextCall();
+        Call decodeCall = fixture.nextCall();
         client.close();
         decodeCall.wire().awaitEnd();
-        net.awaitNoOpenRequest();
+        fixture.awaitNoOpenRequest();
     }
 
     /** The connection to the decode server is not established, so the KV handle was not sent. */
     @Test
     void anUnsentKvHandleIsFreedWhenTheClientDisconnects() throws Exception {
-        ScriptedServer prefill = net.servers.prefill();
-        ScriptedServer late = net.servers.add(ScriptedServer.late(net.servers.calls), MODEL, "decode");
+        ScriptedServer prefill = fixture.servers.prefill();
+        ScriptedServer late = fixture.servers.add(ScriptedServer.late(fixture.servers.calls), MODEL, "decode");
         Wire client = sendPrefilled("/gen/", "h1");
-        OnLoop.await(net.loop, () -> net.metadata.servers(MODEL).stream()
-                .anyMatch(server -> server.instanceId().equals(net.servers.id(late)) && server.inFlight() == 1));
+        OnLoop.await(fixture.loop, () -> fixture.metadata.servers(MODEL).stream()
+                .anyMatch(server -> server.instanceId().equals(fixture.servers.id(late)) && server.inFlight() == 1));
         client.close();
-        assertIsFreed(net.nextCall(), prefill, "h1");
+        assertIsFreed(fixture.nextCall(), prefill, "h1");
     }
 
     @Test
     void anUnsentKvHandleIsFreedAtTheDeadline() throws Exception {
-        ScriptedServer prefill = net.servers.prefill();
-        net.servers.add(ScriptedServer.late(net.servers.calls), MODEL, "decode");
+        ScriptedServer prefill = fixture.servers.prefill();
+        fixture.servers.add(ScriptedServer.late(fixture.servers.calls), MODEL, "decode");
         for (int sends = 0; sends < ForwarderFixture.MAX_SENDS && freedHandles() == 0; sends++) {
-            Wire client = net.sendRequest("/brief/", PROMPT); // its 200 ms expire before the connection is set up
-            handOver(net.nextCall(), "h1"); // may be after the deadline on a busy machine; then it is repeated
+            Wire client = fixture.sendRequest("/brief/", PROMPT); // its 200 ms expire before the connection is set up
+            handOver(fixture.nextCall(), "h1"); // on a busy machine after the deadline; the request is then sent again
             assertEquals(503, client.read().status(), "the request cannot have run");
         }
-        assertIsFreed(net.nextCall(), prefill, "h1");
+        assertIsFreed(fixture.nextCall(), prefill, "h1");
     }
 
     private long freedHandles() throws Exception {
-        return OnLoop.get(net.loop, () -> net.forwarder.counters().of(Counters.Count.FREED));
+        return OnLoop.get(fixture.loop, () -> fixture.forwarder.counters().of(Counters.Count.FREED));
     }
 
     // ---- rejected and failed decodes -----------------------------------------------------------------
 
     @Test
     void aRejectedDecodeIsRetriedWithinMaxAttempts() throws Exception {
-        net.servers.decodeServers(3);
-        Wire client = net.sendRequest("/two/", PROMPT);
-        Call first = net.nextCall();
+        fixture.servers.decodeServers(3);
+        Wire client = fixture.sendRequest("/two/", PROMPT);
+        Call first = fixture.nextCall();
         reject(first);
-        Call second = net.nextCall();
+        Call second = fixture.nextCall();
         assertNotSame(first.server(), second.server());
         reject(second);
         Wire.Message response = client.read();
         assertEquals(503, response.status());
         assertTrue(Double.parseDouble(response.header("Retry-After")) > 0);
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void withoutARetryBudgetARejectedDecodeIsNotRetried() throws Exception {
         limitRetries(ForwarderFixture.NO_RETRIES);
-        net.servers.decodeServers(2);
-        Wire client = net.sendRequest("/gen/", PROMPT);
-        reject(net.nextCall());
+        fixture.servers.decodeServers(2);
+        Wire client = fixture.sendRequest("/gen/", PROMPT);
+        reject(fixture.nextCall());
         assertEquals(503, client.read().status());
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     /** A rejected prefill counts as an attempt, so the decode is the only attempt after the first. */
     @Test
     void aDecodeAfterARejectedPrefillIsChargedOnce() throws Exception {
         limitRetries(ONE_RETRY);
-        net.servers.prefill();
-        net.servers.decode();
-        Wire client = net.sendRequest("/gen/", PROMPT);
-        reject(net.nextCall());
-        assertStreamsToEnd(net.nextCall(), client);
-        net.assertQuiet();
+        fixture.servers.prefill();
+        fixture.servers.decode();
+        Wire client = fixture.sendRequest("/gen/", PROMPT);
+        reject(fixture.nextCall());
+        assertStreamsToEnd(fixture.nextCall(), client);
+        fixture.assertQuiet();
     }
 
-    /** Only an attempt that a server accepts is free of charge. */
+    /** Only an attempt that a server accepts is exempt from the retry budget. */
     @Test
     void aPrefillThatIsResetIsChargedIfNoOtherServerAcceptsThePrompt() throws Exception {
         limitRetries(ONE_RETRY);
-        net.servers.prefill();
-        net.servers.decodeServers(2);
-        Wire client = net.sendRequest("/gen/", PROMPT);
-        net.nextCall().wire().reset();
-        reject(net.nextCall());
+        fixture.servers.prefill();
+        fixture.servers.decodeServers(2);
+        Wire client = fixture.sendRequest("/gen/", PROMPT);
+        fixture.nextCall().wire().reset();
+        reject(fixture.nextCall());
         assertEquals(503, client.read().status());
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void withoutARetryBudgetThePromptIsStillPrefilled() throws Exception {
         limitRetries(ForwarderFixture.NO_RETRIES);
-        ScriptedServer prefill = net.servers.prefill();
-        net.servers.decode();
+        ScriptedServer prefill = fixture.servers.prefill();
+        fixture.servers.decode();
         Wire client = sendPrefilled("/gen/", "h1");
-        Call decodeCall = net.nextCall();
+        Call decodeCall = fixture.nextCall();
         assertIsDecode(decodeCall, prefill.addressText() + "/h1");
         assertStreamsToEnd(decodeCall, client);
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void aMisdirectedDecodeIsRetriedAtAnotherServer() throws Exception {
-        net.servers.decodeServers(2);
-        Wire client = net.sendRequest("/gen/", PROMPT);
-        Call first = net.nextCall();
+        fixture.servers.decodeServers(2);
+        Wire client = fixture.sendRequest("/gen/", PROMPT);
+        Call first = fixture.nextCall();
         answer(first, "421 Misdirected Request", "", "");
-        Call second = net.nextCall();
+        Call second = fixture.nextCall();
         assertNotSame(first.server(), second.server());
         assertStreamsToEnd(second, client);
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void aDecodeThatIsResetBeforeItsStreamIsNotRetried() throws Exception {
-        net.servers.decodeServers(2);
-        Wire client = net.sendRequest("/gen/", PROMPT);
-        net.nextCall().wire().reset();
+        fixture.servers.decodeServers(2);
+        Wire client = fixture.sendRequest("/gen/", PROMPT);
+        fixture.nextCall().wire().reset();
         assertEquals(502, client.read().status());
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"500 Internal Server Error", "504 Gateway Timeout", "400 Bad Request"})
     void aFinalFailureIsRelayed(String status) throws Exception {
-        net.servers.decode();
-        Wire client = net.sendRequest("/gen/", PROMPT);
-        answer(net.nextCall(), status, SEAL, "its own");
+        fixture.servers.decode();
+        Wire client = fixture.sendRequest("/gen/", PROMPT);
+        answer(fixture.nextCall(), status, SEAL, "its own");
         Wire.Message response = client.read();
         assertEquals(status.substring(0, 3), Integer.toString(response.status()));
         assertEquals("its own", response.body());
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"503 Service Unavailable", "429 Too Many Requests"})
     void a503Or429WithoutTheNotExecutedMarkIsNotRelayed(String status) throws Exception {
-        net.servers.decode();
-        Wire client = net.sendRequest("/gen/", PROMPT);
-        answer(net.nextCall(), status, "", "");
+        fixture.servers.decode();
+        Wire client = fixture.sendRequest("/gen/", PROMPT);
+        answer(fixture.nextCall(), status, "", "");
         assertEquals(502, client.read().status());
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void aStreamWithoutASealIsAFailure() throws Exception {
-        net.servers.decode();
-        Wire client = net.sendRequest("/gen/", PROMPT);
-        Call decodeCall = net.nextCall();
+        fixture.servers.decode();
+        Wire client = fixture.sendRequest("/gen/", PROMPT);
+        Call decodeCall = fixture.nextCall();
         decodeCall.wire().send("HTTP/1.1 200 OK\r\n" + idOf(decodeCall) + "Transfer-Encoding: chunked\r\n\r\n");
         decodeCall.wire().chunk(event(1));
         decodeCall.wire().lastChunk();
         assertEquals(502, client.read().status());
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     // ---- deadline before the stream -------------------------------------------------------------------
 
     @Test
     void aDecodeInFlightAtItsDeadlineIsNotRejected() throws Exception {
-        net.servers.decode();
-        ForwarderFixture.InFlight request = net.sendUntilAtServer("/brief/", PROMPT);
+        fixture.servers.decode();
+        ForwarderFixture.InFlight request = fixture.sendUntilAtServer("/brief/", PROMPT);
         assertEquals(504, request.client().read().status());
         request.call().wire().awaitEnd();
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void aPrefillInFlightAtItsDeadlineIsRejected() throws Exception {
-        net.servers.prefill();
-        net.servers.decode();
-        ForwarderFixture.InFlight request = net.sendUntilAtServer("/brief/", PROMPT);
+        fixture.servers.prefill();
+        fixture.servers.decode();
+        ForwarderFixture.InFlight request = fixture.sendUntilAtServer("/brief/", PROMPT);
         assertIsPrefill(request.call());
         assertEquals(503, request.client().read().status(), "the request has not run");
         request.call().wire().awaitEnd();
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void aDrainingServerGetsNoNewRequest() throws Exception {
-        ScriptedServer draining = net.servers.decode();
-        net.servers.drain(draining);
-        Wire rejected = net.sendRequest("/gen/", PROMPT);
+        ScriptedServer draining = fixture.servers.decode();
+        fixture.servers.drain(draining);
+        Wire rejected = fixture.sendRequest("/gen/", PROMPT);
         assertEquals(503, rejected.read().status());
-        ScriptedServer ready = net.servers.decode();
-        Wire client = net.sendRequest("/gen/", PROMPT);
-        Call decodeCall = net.nextCall();
+        ScriptedServer ready = fixture.servers.decode();
+        Wire client = fixture.sendRequest("/gen/", PROMPT);
+        Call decodeCall = fixture.nextCall();
         assertSame(ready, decodeCall.server());
         assertStreamsToEnd(decodeCall, client);
-        net.assertQuiet();
+        fixture.assertQuiet();
         assertFalse(draining.connectionsWaiting() > 0);
     }
 }
--- a/dataplane/src/test/java/dewplank/dataplane/HealthGossipTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/HealthGossipTest.java
@@ -21,18 +21,18 @@
     private static final int RECEIVE_TIMEOUT_MS = 20_000;
     private static final long SEED = 5;
 
-    private ForwarderFixture net;
+    private ForwarderFixture fixture;
     private HealthGossip gossip;
 
     @BeforeEach
-    void begin() throws Exception {
-        net = ForwarderFixture.builder().start();
+    void setUp() throws Exception {
+        fixture = ForwarderFixture.builder().start();
     }
 
     @AfterEach
-    void end() throws Exception {
+    void tearDown() throws Exception {
         gossip.close();
-        net.close();
+        fixture.close();
     }
 
     private static Member member(String node, String address) {
@@ -52,8 +52,8 @@
             peer.setSoTimeout(RECEIVE_TIMEOUT_MS);
             Member good = member("good", "127.0.0.1:" + peer.getLocalPort());
             List<Member> members = List.of(member("bad", "no address"), good, member("worse", "1.2.3:x"), self);
-            OnLoop.run(net.loop, () -> net.metadata.updateMembers(members));
-            gossip = new HealthGossip(net.loop, net.metadata, new HealthVotes(), self, new Random(SEED));
+            OnLoop.run(fixture.loop, () -> fixture.metadata.updateMembers(members));
+            gossip = new HealthGossip(fixture.loop, fixture.metadata, new HealthVotes(), self, new Random(SEED));
             gossip.start();
             byte[] buffer = new byte[HealthSummary.MAX_BYTES];
             for (int round = 0; round < 2; round++) {
--- a/dataplane/src/test/java/dewplank/dataplane/ObservedTransport.java
+++ b/dataplane/src/test/java/dewplank/dataplane/ObservedTransport.java
@@ -15,7 +15,7 @@
 
 /**
  * A transport over TCP that counts the messages of each connection, so that a test with a manual clock can determine
- * when all sent messages have been handled. Accessed only on the event loop's thread.
+ * when all sent messages have been handled. Not thread-safe; must be used on the event loop's thread only.
  */
 final class ObservedTransport implements MessageTransport {
     /** Only limits how long a failing test takes, as the test's clock stands still while a connection is opened. */
--- a/dataplane/src/test/java/dewplank/dataplane/PlainRouteTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/PlainRouteTest.java
@@ -55,11 +55,11 @@
 
     private static final int LONG_BODY_BYTES = 16 << 20;
 
-    private ForwarderFixture net;
+    private ForwarderFixture fixture;
 
     @BeforeEach
-    void begin() throws Exception {
-        net = ForwarderFixture.builder()
+    void setUp() throws Exception {
+        fixture = ForwarderFixture.builder()
                 .routes(
                         safeRoute("safe", 3),
                         unsafeRoute("once", 3),
@@ -71,28 +71,28 @@
     }
 
     @AfterEach
-    void end() throws IOException {
-        net.close();
+    void tearDown() throws IOException {
+        fixture.close();
     }
 
     // ---- forwarding ----------------------------------------------------------------------------------
 
     @Test
     void aRequestAndItsResponseAreForwardedUnchanged() throws Exception {
-        ScriptedServer server = net.servers.plain();
-        Wire client = net.client();
+        ScriptedServer server = fixture.servers.plain();
+        Wire client = fixture.client();
         client.send("PUT /safe/a%20b?c=d&e HTTP/1.1\r\nHost: H.example:80\r\nX-Dewplank-Request-Attempt-Id: q1\r\n"
                 + "X-Dewplank-Remaining-Time-Ms: 5000\r\nX-Own: 1\r\nConnection: X-Hop\r\nX-Hop: 2\r\n"
                 + "X-Dewplank-Target-Instance: i-77\r\nTransfer-Encoding: chunked\r\n\r\n"
                 + "2\r\nhi\r\n3\r\n yo\r\n0\r\n\r\n");
-        Call call = net.nextCall();
+        Call call = fixture.nextCall();
         assertEquals("PUT /safe/a%20b?c=d&e HTTP/1.1", call.message().startLine());
         assertEquals("hi yo", call.message().body());
         assertEquals("H.example:80", call.message().header("Host"));
         assertEquals("q1", attemptId(call));
         assertEquals("1", call.message().header("X-Own"));
         assertNull(call.message().header("X-Hop"));
-        assertEquals(net.servers.id(server), targetInstance(call));
+        assertEquals(fixture.servers.id(server), targetInstance(call));
         assertEquals(1, call.message().count("X-Dewplank-Target-Instance"));
         assertEquals(1, call.message().count("X-Dewplank-Remaining-Time-Ms"));
         long left = remainingTimeMs(call);
@@ -105,23 +105,23 @@
         assertEquals("q1", response.header("X-Dewplank-Request-Attempt-Id"));
         assertEquals("3", response.header("X-Server"));
         assertNull(response.header("Keep-Alive"));
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void remainingTimeIsTheRoutesTimeoutIfThatIsShorter() throws Exception {
-        net.servers.plain();
-        double sentAt = net.now();
-        net.client().send(request("/safe/", "", LONG_REMAINING_TIME_MS, "hi"));
-        long left = remainingTimeMs(net.nextCall());
-        double elapsedMs = net.now() - sentAt;
+        fixture.servers.plain();
+        double sentAt = fixture.now();
+        fixture.client().send(request("/safe/", "", LONG_REMAINING_TIME_MS, "hi"));
+        long left = remainingTimeMs(fixture.nextCall());
+        double elapsedMs = fixture.now() - sentAt;
         assertTrue(left <= TestRoute.DEFAULT_TIMEOUT_MS, "left " + left);
         assertTrue(
                 left > TestRoute.DEFAULT_TIMEOUT_MS - RESPONSE_MARGIN_MS - 1 - elapsedMs,
                 left + " left after " + elapsedMs);
-        Wire noTime = net.client();
+        Wire noTime = fixture.client();
         noTime.send("GET /safe/ HTTP/1.1\r\nHost: " + HOST + "\r\nX-Dewplank-Remaining-Time-Ms: soon\r\n\r\n");
-        left = remainingTimeMs(net.nextCall());
+        left = remainingTimeMs(fixture.nextCall());
         assertTrue(left > 150 && left <= TestRoute.DEFAULT_TIMEOUT_MS, "left " + left);
     }
 
@@ -135,44 +135,44 @@
                 "504 Gateway Timeout"
             })
     void aFinalFailureIsRelayed(String status) throws Exception {
-        net.servers.plain();
-        Wire client = net.sendRequest("/once/");
-        answer(net.nextCall(), status, SEAL + "X-Why: x\r\n", "its own");
+        fixture.servers.plain();
+        Wire client = fixture.sendRequest("/once/");
+        answer(fixture.nextCall(), status, SEAL + "X-Why: x\r\n", "its own");
         Wire.Message response = client.read();
         assertEquals(status.substring(0, 3), Integer.toString(response.status()));
         assertEquals("its own", response.body());
         assertEquals("x", response.header("X-Why"));
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void theLastAttemptsFailureIsRelayed() throws Exception {
-        net.servers.plainServers(2);
-        Wire client = net.sendRequest("/two/");
-        answer(net.nextCall(), "500 Internal Server Error", SEAL, "first");
-        answer(net.nextCall(), "500 Internal Server Error", SEAL, "second");
+        fixture.servers.plainServers(2);
+        Wire client = fixture.sendRequest("/two/");
+        answer(fixture.nextCall(), "500 Internal Server Error", SEAL, "first");
+        answer(fixture.nextCall(), "500 Internal Server Error", SEAL, "second");
         Wire.Message response = client.read();
         assertEquals(500, response.status());
         assertEquals("second", response.body());
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"/", "/none/", "/safe", "/safer/x"})
     void withoutARouteForItsPathARequestReceives404(String target) throws Exception {
-        net.servers.plain();
-        assertEquals(404, net.sendRequest(target).read().status(), target);
-        net.assertQuiet();
+        fixture.servers.plain();
+        assertEquals(404, fixture.sendRequest(target).read().status(), target);
+        fixture.assertQuiet();
     }
 
     @Test
     void withoutARouteForItsHostARequestReceives404() throws Exception {
-        net.servers.plain();
-        Wire client = net.client();
+        fixture.servers.plain();
+        Wire client = fixture.client();
         client.send("GET /safe/ HTTP/1.1\r\nHost: other.example\r\n\r\nGET /safe/ HTTP/1.1\r\n\r\n");
         assertEquals(404, client.read().status());
         assertEquals(404, client.read().status());
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
@@ -197,67 +197,67 @@
     @ParameterizedTest
     @ValueSource(strings = {"", SEAL + "Content-Encoding: gzip\r\n", SEAL + "Content-Encoding: identity\r\n"})
     void aSuccessWithoutASealOrWithAContentEncodingIsAFailure(String fields) throws Exception {
-        net.servers.plainServers(2);
-        Wire client = net.sendRequest("/safe/");
-        answer(net.nextCall(), "200 OK", fields, "not the server's");
-        assertServed(net.nextCall(), client, "own");
-        Wire unsafe = net.sendRequest("/once/");
-        answer(net.nextCall(), "200 OK", fields, "not the server's");
+        fixture.servers.plainServers(2);
+        Wire client = fixture.sendRequest("/safe/");
+        answer(fixture.nextCall(), "200 OK", fields, "not the server's");
+        assertServed(fixture.nextCall(), client, "own");
+        Wire unsafe = fixture.sendRequest("/once/");
+        answer(fixture.nextCall(), "200 OK", fields, "not the server's");
         assertEquals(502, unsafe.read().status());
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void aTruncatedSuccessIsAFailure() throws Exception {
-        net.servers.plain();
-        Wire client = net.sendRequest("/once/");
-        Call call = net.nextCall();
+        fixture.servers.plain();
+        Wire client = fixture.sendRequest("/once/");
+        Call call = fixture.nextCall();
         call.wire().send(sealedHead(call, "Content-Length: 9\r\n") + "12345678");
         call.wire().close();
         assertEquals(502, client.read().status());
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void aResponseToAnotherAttemptIdIsDiscarded() throws Exception {
-        net.servers.plain();
-        Wire client = net.sendRequest("/once/");
-        Call call = net.nextCall();
+        fixture.servers.plain();
+        Wire client = fixture.sendRequest("/once/");
+        Call call = fixture.nextCall();
         call.wire().answer("200 OK", "X-Dewplank-Request-Attempt-Id: another\r\n" + SEAL, "to another attempt");
         call.wire().answer("503 Service Unavailable", "X-Dewplank-Request-Attempt-Id: another\r\n" + NOT_EXECUTED, "");
         assertServed(call, client, "own");
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     /** A second response arrives on the idle connection, so the next request uses another connection. */
     @Test
     void aSecondResponseOnAnIdleConnectionClosesIt() throws Exception {
-        net.servers.plain();
-        Wire client = net.sendRequest("/once/");
-        Call idle = net.nextCall();
+        fixture.servers.plain();
+        Wire client = fixture.sendRequest("/once/");
+        Call idle = fixture.nextCall();
         assertServed(idle, client, "first");
         serve(idle, "a second response");
         idle.wire().awaitEnd();
         client.send(request("/once/", "", ""));
-        Call next = net.nextCall();
+        Call next = fixture.nextCall();
         assertNotSame(idle.wire(), next.wire());
         assertServed(next, client, "second");
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void anIdleConnectionIsReusedAfterTheReuseDelay() throws Exception {
-        net.servers.plain();
-        Wire client = net.sendRequest("/once/");
-        Call idle = net.nextCall();
+        fixture.servers.plain();
+        Wire client = fixture.sendRequest("/once/");
+        Call idle = fixture.nextCall();
         serve(idle, "first");
         client.read();
-        net.pass(30);
+        fixture.pass(30);
         client.send(request("/once/", "", ""));
-        Call next = net.nextCall();
+        Call next = fixture.nextCall();
         assertSame(idle.wire(), next.wire());
         assertServed(next, client, "second");
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     // ---- retries -------------------------------------------------------------------------------------
@@ -291,123 +291,123 @@
         "/once/, MISDIRECTED"
     })
     void aRequestIsRetriedAtAnotherServer(String target, AttemptFault fault) throws Exception {
-        net.servers.plainServers(2);
-        Wire client = net.sendRequest(target);
-        Call first = net.nextCall();
+        fixture.servers.plainServers(2);
+        Wire client = fixture.sendRequest(target);
+        Call first = fixture.nextCall();
         fault.inject(first);
-        Call second = net.nextCall();
+        Call second = fixture.nextCall();
         assertNotSame(first.server(), second.server());
         assertEquals(attemptId(first), attemptId(second));
-        assertEquals(net.servers.id(second.server()), targetInstance(second));
+        assertEquals(fixture.servers.id(second.server()), targetInstance(second));
         assertServed(second, client, "served");
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void aSafeRequestIsRetriedWhenItsAnswerIsOverdue() throws Exception {
-        net.servers.plainServers(2);
-        net.openIdleConnections("/once/");
-        Wire client = net.sendRequest("/quick/");
-        Call first = net.nextCall();
-        Call second = net.nextCall();
+        fixture.servers.plainServers(2);
+        fixture.openIdleConnections("/once/");
+        Wire client = fixture.sendRequest("/quick/");
+        Call first = fixture.nextCall();
+        Call second = fixture.nextCall();
         assertNotSame(first.server(), second.server());
         first.wire().awaitEnd();
         assertServed(second, client, "served");
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void anUnsafeRequestIsNotRetriedAfterAReset() throws Exception {
-        net.servers.plainServers(2);
-        Wire client = net.sendRequest("/once/");
-        net.nextCall().wire().reset();
+        fixture.servers.plainServers(2);
+        Wire client = fixture.sendRequest("/once/");
+        fixture.nextCall().wire().reset();
         assertEquals(502, client.read().status());
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void anUnsafeRequestIsNotRetriedAfterAMalformedResponse() throws Exception {
-        net.servers.plainServers(2);
-        Wire client = net.sendRequest("/once/");
-        net.nextCall().wire().send("malformed response\r\n");
+        fixture.servers.plainServers(2);
+        Wire client = fixture.sendRequest("/once/");
+        fixture.nextCall().wire().send("malformed response\r\n");
         assertEquals(502, client.read().status());
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @ParameterizedTest
     @ValueSource(
             strings = {"503 Service Unavailable", "429 Too Many Requests", "502 Bad Gateway", "408 Request Timeout"})
     void anUnsafeRequestIsNotRetriedAfterAFailureWithoutTheNotExecutedMark(String status) throws Exception {
-        net.servers.plainServers(2);
-        Wire client = net.sendRequest("/once/");
-        answer(net.nextCall(), status, "", "");
+        fixture.servers.plainServers(2);
+        Wire client = fixture.sendRequest("/once/");
+        answer(fixture.nextCall(), status, "", "");
         assertEquals(502, client.read().status(), status);
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void anUnsafeRequestThatEveryServerRejectsIsRejected() throws Exception {
-        net.servers.plainServers(2);
-        Wire client = net.sendRequest("/once/");
-        reject(net.nextCall());
-        reject(net.nextCall());
-        OnLoop.await(net.loop, () -> client.hasBytes() || !net.servers.calls.isEmpty());
-        if (!net.servers.calls.isEmpty()) { // on a slow machine the first server's backoff of 40 ms has expired
-            reject(net.nextCall());
+        fixture.servers.plainServers(2);
+        Wire client = fixture.sendRequest("/once/");
+        reject(fixture.nextCall());
+        reject(fixture.nextCall());
+        OnLoop.await(fixture.loop, () -> client.hasBytes() || !fixture.servers.calls.isEmpty());
+        if (!fixture.servers.calls.isEmpty()) { // on a slow machine the first server's backoff of 40 ms has expired
+            reject(fixture.nextCall());
         }
         assertRejected(client.read());
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void anUnsafeRequestThatMayHaveRunIsNeverRejected() throws Exception {
-        net.servers.plainServers(2);
-        Wire client = net.sendRequest("/once/");
-        reject(net.nextCall());
-        net.nextCall().wire().reset();
+        fixture.servers.plainServers(2);
+        Wire client = fixture.sendRequest("/once/");
+        reject(fixture.nextCall());
+        fixture.nextCall().wire().reset();
         assertEquals(502, client.read().status());
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void anUnreachableServerDoesNotCountAsAnAttempt() throws Exception {
-        net.servers.refusingPlain();
-        ScriptedServer there = net.servers.plain();
+        fixture.servers.refusingPlain();
+        ScriptedServer there = fixture.servers.plain();
         for (int request = 0; request < 6; request++) {
-            Wire client = net.sendRequest("/once/");
-            Call call = net.nextCall();
+            Wire client = fixture.sendRequest("/once/");
+            Call call = fixture.nextCall();
             assertSame(there, call.server());
             assertServed(call, client, "served");
         }
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void aRequestIsRejectedIfNoServerIsReachable() throws Exception {
-        net.servers.refusingPlain();
-        net.servers.refusingPlain();
-        assertRejected(net.sendRequest("/once/").read());
-        assertRejected(net.sendRequest("/safe/").read());
-        net.assertQuiet();
+        fixture.servers.refusingPlain();
+        fixture.servers.refusingPlain();
+        assertRejected(fixture.sendRequest("/once/").read());
+        assertRejected(fixture.sendRequest("/safe/").read());
+        fixture.assertQuiet();
     }
 
     @Test
     void attemptsAreBoundedByTheRoutesMaxAttempts() throws Exception {
-        net.servers.plainServers(3);
-        Wire client = net.sendRequest("/two/");
-        net.nextCall().wire().reset();
-        net.nextCall().wire().reset();
+        fixture.servers.plainServers(3);
+        Wire client = fixture.sendRequest("/two/");
+        fixture.nextCall().wire().reset();
+        fixture.nextCall().wire().reset();
         assertEquals(502, client.read().status());
-        net.assertQuiet();
-        Wire rejected = net.sendRequest("/two/");
-        reject(net.nextCall());
-        reject(net.nextCall());
+        fixture.assertQuiet();
+        Wire rejected = fixture.sendRequest("/two/");
+        reject(fixture.nextCall());
+        reject(fixture.nextCall());
         assertRejected(rejected.read());
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
-    private static Wire sendLongRequest(ForwarderFixture net, String target) throws IOException {
-        Wire client = net.client();
+    private static Wire sendLongRequest(ForwarderFixture fixture, String target) throws IOException {
+        Wire client = fixture.client();
         client.send(request(target, "", "x".repeat(LONG_BODY_BYTES)));
         return client;
     }
@@ -439,11 +439,11 @@
     @Test
     void anUnsafeRequestThatIsResetWithinItsBodyIsNotRetried() throws Exception {
         try (ScriptedServer raw = ScriptedServer.raw()) {
-            net.servers.add(raw, PLAIN, null);
-            net.routes(2 * LONG_BODY_BYTES, unsafeRoute("once", 3));
+            fixture.servers.add(raw, PLAIN, null);
+            fixture.routes(2 * LONG_BODY_BYTES, unsafeRoute("once", 3));
             AtomicInteger broken = resetConnectionsWithinBodies(raw);
-            assertEquals(502, sendLongRequest(net, "/once/").read().status());
-            net.assertQuiet();
+            assertEquals(502, sendLongRequest(fixture, "/once/").read().status());
+            fixture.assertQuiet();
             assertEquals(1, broken.get());
         }
     }
@@ -451,11 +451,11 @@
     @Test
     void aSafeRequestThatIsResetWithinItsBodyIsRetriedWithinMaxAttempts() throws Exception {
         try (ScriptedServer raw = ScriptedServer.raw()) {
-            net.servers.add(raw, PLAIN, null);
-            net.routes(2 * LONG_BODY_BYTES, safeRoute("safe", 3));
+            fixture.servers.add(raw, PLAIN, null);
+            fixture.routes(2 * LONG_BODY_BYTES, safeRoute("safe", 3));
             AtomicInteger broken = resetConnectionsWithinBodies(raw);
-            assertEquals(502, sendLongRequest(net, "/safe/").read().status());
-            net.assertQuiet();
+            assertEquals(502, sendLongRequest(fixture, "/safe/").read().status());
+            fixture.assertQuiet();
             assertTrue(broken.get() >= 1 && broken.get() <= 3, broken + " connections");
         }
     }
@@ -552,195 +552,197 @@
     // ---- deadlines ------------------------------------------------------------------------------------
 
     private void awaitHalfRead() throws Exception {
-        OnLoop.await(net.loop, () -> net.forwarder.connections().stream().anyMatch(InboundConnection::isHeadRead));
+        OnLoop.await(
+                fixture.loop, () -> fixture.forwarder.connections().stream().anyMatch(InboundConnection::isHeadRead));
     }
 
     /** The client counts its timeout from the first byte that it sends, and servers receive the remaining time. */
     @Test
     void theDeadlineCountsFromTheFirstByte() throws Exception {
-        net.servers.plain();
-        Wire client = net.client();
+        fixture.servers.plain();
+        Wire client = fixture.client();
         client.send(headOfTwoByteBody("/once/", 4_000));
         awaitHalfRead();
-        net.pass(300);
+        fixture.pass(300);
         client.send("hi");
-        Call call = net.nextCall();
+        Call call = fixture.nextCall();
         long remainingMs = remainingTimeMs(call);
         assertTrue(remainingMs > 0 && remainingMs <= 3_700, "remaining time " + remainingMs);
         serve(call, "");
         assertEquals(200, client.read().status());
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void aRequestThatIsCompleteAfterItsDeadlineIsRejectedImmediately() throws Exception {
-        net.servers.plain();
-        Wire client = net.client();
+        fixture.servers.plain();
+        Wire client = fixture.client();
         client.send(headOfTwoByteBody("/brief/", 9_000));
         awaitHalfRead();
-        net.pass(160);
+        fixture.pass(160);
         client.send("hi");
         assertRejected(client.read());
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"NaN", "soon", ""})
     void aMalformedRemainingTimeCountsAsAbsent(String remainingTime) throws Exception {
-        net.servers.plain();
-        Wire client = net.client();
+        fixture.servers.plain();
+        Wire client = fixture.client();
         client.send(request("/once/", "", remainingTime, "hi"));
-        Call call = net.nextCall();
+        Call call = fixture.nextCall();
         long remainingMs = remainingTimeMs(call);
         assertTrue(remainingMs > 0 && remainingMs < 8_000, "remaining time " + remainingMs);
         serve(call, "");
         assertEquals(200, client.read().status());
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     /** The stated time never exceeds the remaining time, so it is shorter for the later attempt. */
     @Test
     void aRetryCarriesTheRemainingTimeOfItsOwnStart() throws Exception {
-        net.servers.plainServers(2);
-        Wire client = net.sendRequest("/safe/");
-        Call first = net.nextCall();
-        net.pass(200);
+        fixture.servers.plainServers(2);
+        Wire client = fixture.sendRequest("/safe/");
+        Call first = fixture.nextCall();
+        fixture.pass(200);
         answer(first, "500 Internal Server Error", SEAL, "");
-        Call second = net.nextCall();
+        Call second = fixture.nextCall();
         long before = remainingTimeMs(first);
         long after = remainingTimeMs(second);
         assertTrue(before < 8_000 && after <= before - 200, before + ", then " + after);
         serve(second, "");
         assertEquals(200, client.read().status());
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     /** The request has reached a server and may run there, but a 503 would state that it never will. */
     @Test
     void anUnsafeRequestInFlightAtItsDeadlineIsNotRejected() throws Exception {
-        net.servers.plain();
-        ForwarderFixture.InFlight request = net.sendUntilAtServer("/brief/", "");
+        fixture.servers.plain();
+        ForwarderFixture.InFlight request = fixture.sendUntilAtServer("/brief/", "");
         assertEquals(504, request.client().read().status());
         request.call().wire().awaitEnd();
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void aSafeRequestInFlightAtItsDeadlineFails() throws Exception {
-        net.servers.plain();
-        ForwarderFixture.InFlight request = net.sendUntilAtServer("/briefly/", "");
+        fixture.servers.plain();
+        ForwarderFixture.InFlight request = fixture.sendUntilAtServer("/briefly/", "");
         assertEquals(504, request.client().read().status());
         request.call().wire().awaitEnd();
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void aRequestThatIsUnsentAtItsDeadlineIsRejected() throws Exception {
         try (ScriptedServer late = ScriptedServer.late(new LinkedBlockingQueue<>())) {
-            net.servers.add(late, PLAIN, null);
-            assertRejected(net.sendRequest("/brief/").read());
-            net.assertQuiet();
+            fixture.servers.add(late, PLAIN, null);
+            assertRejected(fixture.sendRequest("/brief/").read());
+            fixture.assertQuiet();
         }
     }
 
     // ---- clients --------------------------------------------------------------------------------------
 
-    @SafeAndUnsafeTest
+    @TestOnSafeAndUnsafeRoutes
     void aDisconnectedClientsAttemptIsCancelled(String target) throws Exception {
-        net.servers.plain();
-        Wire client = net.sendRequest(target);
-        Call call = net.nextCall();
+        fixture.servers.plain();
+        Wire client = fixture.sendRequest(target);
+        Call call = fixture.nextCall();
         client.close();
         call.wire().awaitEnd();
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void aClientThatDisconnectsWithinAResponseCancelsItsAttempt() throws Exception {
-        net.servers.plain();
-        Wire client = net.sendRequest("/safe/");
-        Call call = net.nextCall();
+        fixture.servers.plain();
+        Wire client = fixture.sendRequest("/safe/");
+        Call call = fixture.nextCall();
         call.wire().send(sealedHead(call, "Content-Length: 9\r\n") + "1234");
         client.close();
         call.wire().awaitEnd();
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     /** The client's disconnect and the server's reset arrive at the same time and are handled in either order. */
     @Test
     void aClientsDisconnectThatRacesWithAServersResetLeavesNothingOpen() throws Exception {
-        net.servers.plainServers(2);
-        Wire client = net.sendRequest("/safe/");
-        Call call = net.nextCall();
-        OnLoop.run(net.loop, () -> {
+        fixture.servers.plainServers(2);
+        Wire client = fixture.sendRequest("/safe/");
+        Call call = fixture.nextCall();
+        OnLoop.run(fixture.loop, () -> {
             client.close();
             call.wire().reset();
         });
-        net.awaitNoOpenRequest();
-        while (!net.servers.calls.isEmpty()) {
-            net.nextCall().wire().awaitEnd();
+        fixture.awaitNoOpenRequest();
+        while (!fixture.servers.calls.isEmpty()) {
+            fixture.nextCall().wire().awaitEnd();
         }
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void pipelinedRequestsAreServedInOrder() throws Exception {
-        net.servers.plain();
-        Wire client = net.client();
+        fixture.servers.plain();
+        Wire client = fixture.client();
         client.send(request("/once/1", "", "") + request("/once/2", "", ""));
-        Call first = net.nextCall();
+        Call first = fixture.nextCall();
         assertEquals("/once/1", first.message().target());
-        assertTrue(net.servers.calls.isEmpty());
+        assertTrue(fixture.servers.calls.isEmpty());
         assertServed(first, client, "1");
-        Call second = net.nextCall();
+        Call second = fixture.nextCall();
         assertEquals("/once/2", second.message().target());
         assertServed(second, client, "2");
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void aBodyOverMaxBodyBytesReceives413() throws Exception {
-        net.servers.plain();
-        net.routes(10, unsafeRoute("once", 1));
-        Wire tooLong = net.client();
+        fixture.servers.plain();
+        fixture.routes(10, unsafeRoute("once", 1));
+        Wire tooLong = fixture.client();
         tooLong.send(request("/once/", "", "12345678901"));
         assertEquals(413, tooLong.read().status());
-        Wire fits = net.client();
+        Wire fits = fixture.client();
         fits.send(request("/once/", "", "1234567890"));
-        serve(net.nextCall(), "");
+        serve(fixture.nextCall(), "");
         assertEquals(200, fits.read().status());
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     /** The limit of a later configuration applies to a connection that was opened under an earlier one. */
     @Test
     void maxBodyBytesOfTheConfigurationInForceApplies() throws Exception {
-        net.servers.plain();
-        net.routes(10, unsafeRoute("once", 1));
-        Wire client = net.client();
+        fixture.servers.plain();
+        fixture.routes(10, unsafeRoute("once", 1));
+        Wire client = fixture.client();
         client.send(request("/once/", "", "1234567890"));
-        serve(net.nextCall(), "");
+        serve(fixture.nextCall(), "");
         assertEquals(200, client.read().status());
-        net.routes(20, unsafeRoute("once", 1));
+        fixture.routes(20, unsafeRoute("once", 1));
         client.send(request("/once/", "", "12345678901234567890"));
-        OnLoop.await(net.loop, () -> !net.servers.calls.isEmpty() || net.forwarder.openConnections() == 0);
-        assertFalse(net.servers.calls.isEmpty(), "rejected by the limit of the old configuration");
-        serve(net.nextCall(), "");
+        OnLoop.await(fixture.loop, () -> !fixture.servers.calls.isEmpty() || fixture.forwarder.openConnections() == 0);
+        assertFalse(fixture.servers.calls.isEmpty(), "rejected by the limit of the old configuration");
+        serve(fixture.nextCall(), "");
         assertEquals(200, client.read().status());
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     /** GenerationTest tests the requests in which the data plane sets these fields. */
     @Test
     void aPlainRequestCarriesNoStageAndNoKvHandle() throws Exception {
-        net.servers.plain();
-        Wire client = net.sendRequest("/once/", "X-Dewplank-Processing-Stage: prefill\r\nKv-From: 10.0.0.1:80/h\r\n");
-        Call call = net.nextCall();
+        fixture.servers.plain();
+        Wire client =
+                fixture.sendRequest("/once/", "X-Dewplank-Processing-Stage: prefill\r\nKv-From: 10.0.0.1:80/h\r\n");
+        Call call = fixture.nextCall();
         assertNull(stage(call));
         assertNull(kvFrom(call));
         serve(call, "");
         assertEquals(200, client.read().status());
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     /** A request that may have run fails with 502; a request that was not sent is rejected with 503. */
@@ -753,27 +755,27 @@
             assertEquals(503, queued.read().status());
             unready.assertQuiet();
         }
-        net.servers.plain();
-        Wire client = net.sendRequest("/once/");
-        Call call = net.nextCall();
-        OnLoop.run(net.loop, net.forwarder::terminateAll);
+        fixture.servers.plain();
+        Wire client = fixture.sendRequest("/once/");
+        Call call = fixture.nextCall();
+        OnLoop.run(fixture.loop, fixture.forwarder::terminateAll);
         assertEquals(502, client.read().status());
         call.wire().awaitEnd();
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void aDrainingForwarderClosesConnectionsAfterTheirResponses() throws Exception {
-        net.servers.plain();
-        Wire client = net.sendRequest("/once/");
-        Call call = net.nextCall();
-        OnLoop.run(net.loop, net.forwarder::close);
+        fixture.servers.plain();
+        Wire client = fixture.sendRequest("/once/");
+        Call call = fixture.nextCall();
+        OnLoop.run(fixture.loop, fixture.forwarder::close);
         serve(call, "last");
         Wire.Message response = client.read();
         assertEquals("last", response.body());
         assertEquals("close", response.header("Connection"));
         assertNull(client.read());
-        OnLoop.await(net.loop, () -> net.forwarder.openConnections() == 0);
-        net.assertQuiet();
+        OnLoop.await(fixture.loop, () -> fixture.forwarder.openConnections() == 0);
+        fixture.assertQuiet();
     }
 }
