--- a/dataplane/src/test/java/dewplank/dataplane/QuotaClientTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/QuotaClientTest.java
@@ -40,7 +40,7 @@
     private static final Decision ADMITTED = new Decision.Admitted();
     private static final Decision UNAVAILABLE = new Decision.Unavailable();
 
-    private SessionFixture net;
+    private SessionFixture fixture;
     private List<Session> sessions;
     private final List<Decision> decisions = new CopyOnWriteArrayList<>();
 
@@ -60,24 +60,24 @@
     }
 
     @BeforeEach
-    void begin() throws Exception {
-        net = new SessionFixture(CONTACT_MS);
-        FakeControlPlane first = net.controlPlane();
-        FakeControlPlane second = net.controlPlane();
-        net.start(first, second);
-        net.awaitOpenSessions(2);
+    void setUp() throws Exception {
+        fixture = new SessionFixture(CONTACT_MS);
+        FakeControlPlane first = fixture.controlPlane();
+        FakeControlPlane second = fixture.controlPlane();
+        fixture.start(first, second);
+        fixture.awaitOpenSessions(2);
         sessions = List.of(first.session(), second.session());
     }
 
     @AfterEach
-    void end() throws IOException {
-        net.close();
+    void tearDown() throws IOException {
+        fixture.close();
     }
 
     private void acquire(Tenant tenant, int count) throws Exception {
-        OnLoop.run(net.loop, () -> {
+        OnLoop.run(fixture.loop, () -> {
             for (int i = 0; i < count; i++) {
-                net.quotas.acquire(tenant, decisions::add);
+                fixture.quotas.acquire(tenant, decisions::add);
             }
         });
     }
@@ -87,7 +87,7 @@
     }
 
     private ReceivedRequest nextRequest() throws Exception {
-        net.await(this::hasRequest);
+        fixture.await(this::hasRequest);
         Session receiver =
                 sessions.stream().filter(Session::hasQuotaRequest).findFirst().orElseThrow();
         return new ReceivedRequest(receiver, receiver.takeQuotaRequest());
@@ -95,7 +95,7 @@
 
     /** Checks that, once all sent messages are handled, there are {@code count} decisions, all equal to this one. */
     private void assertDecided(Decision decision, int count) throws Exception {
-        net.pass(0);
+        fixture.advanceClock(0);
         assertEquals(Collections.nCopies(count, decision), decisions);
     }
 
@@ -104,7 +104,7 @@
     }
 
     private void assertNoRequest() throws Exception {
-        net.pass(0);
+        fixture.advanceClock(0);
         assertFalse(hasRequest(), "a control plane received a quota request");
     }
 
@@ -133,7 +133,7 @@
     void requestsOfOneTenantShareOnePendingQuotaRequest() throws Exception {
         acquire(ACME, 1);
         ReceivedRequest first = nextRequest();
-        net.pass(BEYOND_LOAD_WINDOW_MS);
+        fixture.advanceClock(BEYOND_LOAD_WINDOW_MS);
         acquire(ACME, 3);
         assertNoRequest();
         first.replyGranted(1);
@@ -175,12 +175,12 @@
     void unusedTokensAdmitRequestsUntilTheyExpire() throws Exception {
         acquire(ACME, 3);
         nextRequest().replyGranted(1);
-        double requestedAt = net.now();
+        double requestedAt = fixture.now();
         ReceivedRequest second = nextRequest();
         assertEquals(3, second.message().tokens);
         second.replyGranted(3);
         assertDecided(ADMITTED, 3);
-        net.pass(requestedAt + TOKEN_LIFETIME_MS - 1 - net.now());
+        fixture.advanceClock(requestedAt + TOKEN_LIFETIME_MS - 1 - fixture.now());
         acquire(ACME, 1);
         assertDecided(ADMITTED, 4);
         assertNoRequest();
@@ -190,9 +190,9 @@
     void tokensExpireOneLifetimeAfterTheyWereRequested() throws Exception {
         acquire(ACME, 3);
         nextRequest().replyGranted(1);
-        double requestedAt = net.now();
+        double requestedAt = fixture.now();
         nextRequest().replyGranted(3);
-        net.pass(requestedAt + TOKEN_LIFETIME_MS - net.now());
+        fixture.advanceClock(requestedAt + TOKEN_LIFETIME_MS - fixture.now());
         acquire(ACME, 1);
         nextRequest();
         assertDecided(ADMITTED, 3);
@@ -201,8 +201,8 @@
     /** A token that was granted after its request arrived may be used even without any overshoot. */
     @Test
     void aTokenAdmitsAWaitingRequestEvenIfNoOvershootIsAllowed() throws Exception {
-        QuotaClient exact = net.replaceQuotaClient(new QuotaTerms(10_000, 0, 0));
-        OnLoop.run(net.loop, () -> exact.acquire(ACME, decisions::add));
+        QuotaClient exact = fixture.replaceQuotaClient(new QuotaTerms(10_000, 0, 0));
+        OnLoop.run(fixture.loop, () -> exact.acquire(ACME, decisions::add));
         nextRequest().replyGranted(1);
         assertDecided(ADMITTED, 1);
         assertNoRequest();
@@ -222,15 +222,15 @@
     void anExhaustedQuotaIsReportedToLaterRequestsImmediatelyUntilTheRetryTime() throws Exception {
         acquire(ACME, 1);
         nextRequest().replyExhausted(300);
-        net.pass(100);
+        fixture.advanceClock(100);
         decisions.clear();
         acquire(ACME, 1);
         assertDecided(new Decision.Exhausted(200), 1);
         assertNoRequest();
-        net.pass(200);
+        fixture.advanceClock(200);
         acquire(ACME, 1);
         nextRequest().replyGranted(1);
-        net.pass(0);
+        fixture.advanceClock(0);
         assertEquals(List.of(new Decision.Exhausted(200), ADMITTED), decisions);
     }
 
@@ -238,7 +238,7 @@
     void anExhaustedQuotaDoesNotAffectOtherTenants() throws Exception {
         acquire(ACME, 1);
         nextRequest().replyExhausted(300);
-        net.pass(0);
+        fixture.advanceClock(0);
         decisions.clear();
         acquire(BIRCH, 1);
         nextRequest().replyGranted(1);
@@ -251,7 +251,7 @@
     void theRequestIsSentToTheOtherControlPlaneAfterAReplyTimeout() throws Exception {
         acquire(ACME, 1);
         ReceivedRequest first = nextRequest();
-        net.pass(REPLY_TIMEOUT_MS);
+        fixture.advanceClock(REPLY_TIMEOUT_MS);
         ReceivedRequest second = nextRequest();
         assertNotSame(first.session(), second.session());
         assertUndecided();
@@ -263,10 +263,10 @@
     void theQuotaIsUnavailableAfterTwoReplyTimeouts() throws Exception {
         acquire(ACME, 2);
         nextRequest();
-        net.pass(REPLY_TIMEOUT_MS);
+        fixture.advanceClock(REPLY_TIMEOUT_MS);
         nextRequest();
         assertUndecided();
-        net.pass(REPLY_TIMEOUT_MS);
+        fixture.advanceClock(REPLY_TIMEOUT_MS);
         assertDecided(UNAVAILABLE, 2);
         assertNoRequest();
     }
@@ -275,7 +275,7 @@
     void aLateReplyIsIgnored() throws Exception {
         acquire(ACME, 1);
         ReceivedRequest first = nextRequest();
-        net.pass(REPLY_TIMEOUT_MS);
+        fixture.advanceClock(REPLY_TIMEOUT_MS);
         ReceivedRequest second = nextRequest();
         first.replyGranted(1);
         assertUndecided();
@@ -291,10 +291,10 @@
     void theRequestIsSentToTheOtherControlPlaneImmediatelyAfterItsSessionCloses() throws Exception {
         acquire(ACME, 1);
         ReceivedRequest first = nextRequest();
-        double before = net.now();
+        double before = fixture.now();
         first.session().reset();
         ReceivedRequest second = nextRequest();
-        assertEquals(before, net.now());
+        assertEquals(before, fixture.now());
         assertNotSame(first.session(), second.session());
         second.replyGranted(1);
         assertDecided(ADMITTED, 1);
@@ -305,7 +305,7 @@
         acquire(ACME, 1);
         nextRequest().session().reset();
         nextRequest().session().reset();
-        net.await(() -> !decisions.isEmpty());
+        fixture.await(() -> !decisions.isEmpty());
         assertEquals(List.of(UNAVAILABLE), decisions);
     }
 
--- a/dataplane/src/test/java/dewplank/dataplane/RequestAdmissionTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/RequestAdmissionTest.java
@@ -33,7 +33,7 @@
     private static final String UNLIMITED_TENANT = tenant("cedar", "\"k-2\"", 0);
     private static final String TENANTS = "[" + tenant(ACME, "\"k-1\"", 10) + "," + UNLIMITED_TENANT + "]";
 
-    private ForwarderFixture net;
+    private ForwarderFixture fixture;
     private ScriptedControlPlane controlPlane;
 
     private static String tenant(String name, String keys, int ratePerSecond) {
@@ -42,28 +42,28 @@
     }
 
     @BeforeEach
-    void begin() throws Exception {
-        net = ForwarderFixture.builder()
+    void setUp() throws Exception {
+        fixture = ForwarderFixture.builder()
                 .withoutHedging()
                 .tenants(TENANTS)
                 .routes(ROUTES)
                 .start();
-        net.servers.plainServers(2);
-        controlPlane = ScriptedControlPlane.connect(net);
+        fixture.servers.plainServers(2);
+        controlPlane = ScriptedControlPlane.connect(fixture);
     }
 
     @AfterEach
-    void end() throws IOException {
-        net.close();
+    void tearDown() throws IOException {
+        fixture.close();
     }
 
     /** A waiting request's client, and the quota request that the control plane received for it. */
     private record WaitingRequest(Wire client, QuotaRequest quotaRequest) {}
 
     private WaitingRequest sendAndAwaitQuotaRequest() throws Exception {
-        Wire client = net.sendRequest("/safe/", KEY);
+        Wire client = fixture.sendRequest("/safe/", KEY);
         QuotaRequest quotaRequest = controlPlane.nextRequest();
-        assertEquals(1, OnLoop.get(net.loop, net.forwarder::openRequests));
+        assertEquals(1, OnLoop.get(fixture.loop, fixture.forwarder::openRequests));
         return new WaitingRequest(client, quotaRequest);
     }
 
@@ -72,13 +72,13 @@
     }
 
     private void assertServedByOneCall(Wire client) throws Exception {
-        assertServed(net.nextCall(), client, "served");
-        net.assertQuiet();
+        assertServed(fixture.nextCall(), client, "served");
+        fixture.assertQuiet();
     }
 
     private Wire.Message responseWithoutCall(Wire client) throws Exception {
-        OnLoop.await(net.loop, client::hasBytes);
-        net.assertQuiet();
+        OnLoop.await(fixture.loop, client::hasBytes);
+        fixture.assertQuiet();
         return client.read();
     }
 
@@ -92,26 +92,26 @@
     void aLimitedTenantsRequestIsServedOnceItsTokenIsGranted() throws Exception {
         WaitingRequest waiting = sendAndAwaitQuotaRequest();
         assertEquals(ACME, waiting.quotaRequest().tenant);
-        assertTrue(net.servers.calls.isEmpty(), "a server received the request");
+        assertTrue(fixture.servers.calls.isEmpty(), "a server received the request");
         grant(waiting);
         assertServedByOneCall(waiting.client());
     }
 
     @Test
     void aRequestOfATenantWithoutALimitNeedsNoToken() throws Exception {
-        assertServedByOneCall(net.sendRequest("/safe/", UNLIMITED_KEY));
+        assertServedByOneCall(fixture.sendRequest("/safe/", UNLIMITED_KEY));
         assertNoQuotaRequest();
     }
 
     @Test
     void aRequestOnAPublicRouteWithoutAKeyNeedsNoToken() throws Exception {
-        assertServedByOneCall(net.sendRequest("/open/", ""));
+        assertServedByOneCall(fixture.sendRequest("/open/", ""));
         assertNoQuotaRequest();
     }
 
     @Test
     void aRequestWithAnUnknownKeyUsesNoToken() throws Exception {
-        Wire client = net.sendRequest("/safe/", "Authorization: Bearer k-9\r\n");
+        Wire client = fixture.sendRequest("/safe/", "Authorization: Bearer k-9\r\n");
         assertEquals(401, responseWithoutCall(client).status());
         assertNoQuotaRequest();
     }
@@ -120,7 +120,7 @@
     void aRetryUsesTheTokenOfItsRequest() throws Exception {
         WaitingRequest waiting = sendAndAwaitQuotaRequest();
         grant(waiting);
-        reject(net.nextCall());
+        reject(fixture.nextCall());
         assertServedByOneCall(waiting.client());
         assertNoQuotaRequest();
     }
@@ -132,7 +132,7 @@
         assertServedByOneCall(first.client());
         first.client().send(request("/safe/", KEY, "hi"));
         QuotaRequest quotaRequest = controlPlane.nextRequest();
-        assertTrue(net.servers.calls.isEmpty(), "a server received the request");
+        assertTrue(fixture.servers.calls.isEmpty(), "a server received the request");
         controlPlane.reply(QuotaReply.granted(quotaRequest.id, 1));
         assertServedByOneCall(first.client());
     }
@@ -153,7 +153,7 @@
         WaitingRequest waiting = sendAndAwaitQuotaRequest();
         controlPlane.reply(QuotaReply.exhausted(waiting.quotaRequest().id, 250));
         assertEquals(429, responseWithoutCall(waiting.client()).status());
-        OnLoop.run(net.loop, () -> net.quotaTime.advance(net.quotaTime.now() + 250));
+        OnLoop.run(fixture.loop, () -> fixture.quotaTime.advance(fixture.quotaTime.now() + 250));
         waiting.client().send(request("/safe/", KEY, "hi"));
         controlPlane.reply(QuotaReply.granted(controlPlane.nextRequest().id, 1));
         assertServedByOneCall(waiting.client());
@@ -173,24 +173,24 @@
     void aRequestWhoseClientDisconnectsWhileItWaitsIsNotSent() throws Exception {
         WaitingRequest waiting = sendAndAwaitQuotaRequest();
         waiting.client().close();
-        net.awaitNoOpenRequest();
+        fixture.awaitNoOpenRequest();
         grant(waiting);
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void aWaitingRequestIsRejectedWith503AtShutdownAndNotSentLater() throws Exception {
         WaitingRequest waiting = sendAndAwaitQuotaRequest();
-        OnLoop.run(net.loop, net.forwarder::terminateAll);
+        OnLoop.run(fixture.loop, fixture.forwarder::terminateAll);
         assertRejected(responseWithoutCall(waiting.client()));
         grant(waiting);
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void aRequestWhoseRouteWasRemovedWhileItWaitedIsRejectedWith404() throws Exception {
         WaitingRequest waiting = sendAndAwaitQuotaRequest();
-        net.tenants(TENANTS, OPEN);
+        fixture.tenants(TENANTS, OPEN);
         grant(waiting);
         assertEquals(404, responseWithoutCall(waiting.client()).status());
     }
@@ -198,7 +198,7 @@
     @Test
     void aRequestWhoseKeyWasRevokedWhileItWaitedIsRejectedWith401() throws Exception {
         WaitingRequest waiting = sendAndAwaitQuotaRequest();
-        net.tenants("[" + tenant(ACME, "", 10) + "]", ROUTES);
+        fixture.tenants("[" + tenant(ACME, "", 10) + "]", ROUTES);
         grant(waiting);
         assertEquals(401, responseWithoutCall(waiting.client()).status());
     }
@@ -206,25 +206,25 @@
     @Test
     void aRequestWhoseTenantWasRenamedWhileItWaitedNeedsNoSecondToken() throws Exception {
         WaitingRequest waiting = sendAndAwaitQuotaRequest();
-        net.tenants("[" + tenant(BIRCH, "\"k-1\"", 10) + "]", ROUTES);
+        fixture.tenants("[" + tenant(BIRCH, "\"k-1\"", 10) + "]", ROUTES);
         grant(waiting);
-        Call call = net.nextCall();
+        Call call = fixture.nextCall();
         assertEquals(BIRCH, tenantName(call));
         assertServed(call, waiting.client(), "served");
-        net.assertQuiet();
+        fixture.assertQuiet();
         assertNoQuotaRequest();
     }
 
     @Test
     void aRequestThatWaitedIsRoutedByTheConfigurationThenInForce() throws Exception {
         WaitingRequest waiting = sendAndAwaitQuotaRequest();
-        net.tenants(TENANTS, SAFE.toService(TestConfiguration.OTHER), OPEN);
-        net.servers.server(TestConfiguration.OTHER, null);
+        fixture.tenants(TENANTS, SAFE.toService(TestConfiguration.OTHER), OPEN);
+        fixture.servers.server(TestConfiguration.OTHER, null);
         grant(waiting);
-        Call call = net.nextCall();
-        assertEquals("i-2", net.servers.id(call.server()), "the server of the other service");
+        Call call = fixture.nextCall();
+        assertEquals("i-2", fixture.servers.id(call.server()), "the server of the other service");
         assertServed(call, waiting.client(), "served");
-        net.assertQuiet();
+        fixture.assertQuiet();
         assertNoQuotaRequest();
     }
 }
--- a/dataplane/src/test/java/dewplank/dataplane/RequestRaceTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/RequestRaceTest.java
@@ -43,11 +43,11 @@
     private static final int OVERDUE_AFTER_MS = 1_500; // 2.5 times the target latency
     private static final int LONG_BODY_BYTES = 16 << 20; // more than the socket buffers hold
 
-    private ForwarderFixture net;
+    private ForwarderFixture fixture;
 
     @BeforeEach
-    void begin() throws Exception {
-        net = ForwarderFixture.builder()
+    void setUp() throws Exception {
+        fixture = ForwarderFixture.builder()
                 .maxBodyBytes(4 * LONG_BODY_BYTES)
                 .routes(
                         safeRoute("safe", 3),
@@ -60,33 +60,33 @@
     }
 
     @AfterEach
-    void end() throws IOException {
-        net.close();
+    void tearDown() throws IOException {
+        fixture.close();
     }
 
     /** A reusable idle connection to the server, with the client whose request it carried. */
     private record IdleConnection(Wire client, Call first) {}
 
     private IdleConnection idleConnection(String target) throws Exception {
-        Wire client = net.sendRequest(target);
-        Call first = net.nextCall();
+        Wire client = fixture.sendRequest(target);
+        Call first = fixture.nextCall();
         assertServed(first, client, "first");
-        net.pass(REUSABLE_AFTER_MS);
+        fixture.pass(REUSABLE_AFTER_MS);
         return new IdleConnection(client, first);
     }
 
     private Call sendOnIdleConnection(IdleConnection idle, String target) throws Exception {
         idle.client().send(request(target, "", "second"));
-        Call second = net.nextCall();
+        Call second = fixture.nextCall();
         assertSame(idle.first().wire(), second.wire());
         return second;
     }
 
     private void assertNextRequestIsServed(Wire client, String target) throws Exception {
         client.send(request(target, "", ""));
-        Call call = net.nextCall();
+        Call call = fixture.nextCall();
         assertServed(call, client, "next");
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     // ---- surplus responses ----------------------------------------------------------------------------
@@ -101,47 +101,47 @@
         "/once/, 500 Internal Server Error"
     })
     void aLateResponseOnAReusedConnectionIsDiscarded(String target, String status) throws Exception {
-        net.servers.plain();
+        fixture.servers.plain();
         IdleConnection idle = idleConnection(target);
         Call second = sendOnIdleConnection(idle, target);
         answer(idle.first(), status, SEAL, "to the first request");
         answer(second, "200 OK", SEAL, "own");
         assertEquals("own", idle.client().read().body(), target + status);
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     /** The rejection belongs to the first request. The second one may run, so it is neither rejected nor retried. */
-    @SafeAndUnsafeTest
+    @TestOnSafeAndUnsafeRoutes
     void aLateRejectionOnAReusedConnectionIsDiscarded(String target) throws Exception {
-        net.servers.plain();
+        fixture.servers.plain();
         IdleConnection idle = idleConnection(target);
         Call second = sendOnIdleConnection(idle, target);
         answer(idle.first(), "503 Service Unavailable", NOT_EXECUTED, "");
         answer(idle.first(), "421 Misdirected Request", "", "");
         assertServed(second, idle.client(), "own");
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     /**
      * Servers echo the attempt id. A response without one belongs to another request, such as one that frees a handle.
      */
-    @SafeAndUnsafeTest
+    @TestOnSafeAndUnsafeRoutes
     void aResponseWithoutAnAttemptIdIsDiscarded(String target) throws Exception {
-        net.servers.plain();
+        fixture.servers.plain();
         IdleConnection idle = idleConnection(target);
         Call second = sendOnIdleConnection(idle, target);
         second.wire().answer("404 Not Found", "", "without an id");
         second.wire().answer("200 OK", SEAL, "without an id");
         second.wire().answer("503 Service Unavailable", NOT_EXECUTED, "");
         assertServed(second, idle.client(), "own");
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
-    @SafeAndUnsafeTest
+    @TestOnSafeAndUnsafeRoutes
     void theFirstOfTwoResponsesInOneSegmentIsRelayedAndTheConnectionCloses(String target) throws Exception {
-        net.servers.plain();
-        Wire client = net.sendRequest(target);
-        Call call = net.nextCall();
+        fixture.servers.plain();
+        Wire client = fixture.sendRequest(target);
+        Call call = fixture.nextCall();
         String own = sealedHead(call, "Content-Length: 1\r\n");
         call.wire().send(own + "1" + own + "2");
         assertEquals("1", client.read().body());
@@ -150,20 +150,20 @@
     }
 
     /** Bytes after the first response are not joined with those of the second one. */
-    @SafeAndUnsafeTest
+    @TestOnSafeAndUnsafeRoutes
     void surplusBytesAreNotParsedAsTheNextResponse(String target) throws Exception {
-        net.servers.plain();
+        fixture.servers.plain();
         IdleConnection idle = idleConnection(target);
         Call second = sendOnIdleConnection(idle, target);
         second.wire().send("surplus\r\n");
         if (target.equals("/once/")) {
             assertEquals(502, idle.client().read().status());
         } else {
-            Call third = net.nextCall();
+            Call third = fixture.nextCall();
             assertNotSame(second.wire(), third.wire());
             assertServed(third, idle.client(), "own");
         }
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     /**
@@ -172,48 +172,49 @@
      */
     @Test
     void aRetryAtTheSameServerUsesADedicatedConnection() throws Exception {
-        ScriptedServer server = net.servers.plain();
-        Wire other = net.sendRequest("/once/");
-        Call earlier = net.nextCall();
-        Wire client = net.sendRequest("/once/");
-        Call first = net.nextCall();
+        ScriptedServer server = fixture.servers.plain();
+        Wire other = fixture.sendRequest("/once/");
+        Call earlier = fixture.nextCall();
+        Wire client = fixture.sendRequest("/once/");
+        Call first = fixture.nextCall();
         serve(earlier, ""); // its connection is now idle and reusable
         other.read();
-        net.pass(REUSABLE_AFTER_MS);
+        fixture.pass(REUSABLE_AFTER_MS);
         answer(first, "421 Misdirected Request", "", "");
-        Call retry = net.nextCall();
+        Call retry = fixture.nextCall();
         assertSame(server, retry.server());
         assertNotSame(first.wire(), retry.wire());
         assertNotSame(earlier.wire(), retry.wire(), "the connection has carried another call");
         answer(first, "421 Misdirected Request", "", "");
         assertServed(retry, client, "own");
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     // ---- resets ---------------------------------------------------------------------------------------
 
-    @SafeAndUnsafeTest
+    @TestOnSafeAndUnsafeRoutes
     void aResetOfAnIdleConnectionDoesNotCountAsAnAttempt(String target) throws Exception {
-        net.servers.plain();
+        fixture.servers.plain();
         IdleConnection idle = idleConnection(target);
         idle.first().wire().reset();
         OnLoop.await(
-                net.loop, () -> net.metadata.allServers().iterator().next().pool.size() == 0);
+                fixture.loop,
+                () -> fixture.metadata.allServers().iterator().next().pool.size() == 0);
         idle.client().send(request(target, "", ""));
-        Call second = net.nextCall();
+        Call second = fixture.nextCall();
         assertNotSame(idle.first().wire(), second.wire());
         assertServed(second, idle.client(), "own");
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void aResetAfterTheRequestWasReadFailsAnUnsafeRequest() throws Exception {
-        net.servers.plainServers(2);
+        fixture.servers.plainServers(2);
         IdleConnection idle = idleConnection("/once/");
         idle.client().send(request("/once/", "", ""));
-        net.nextCall().wire().reset();
+        fixture.nextCall().wire().reset();
         assertEquals(502, idle.client().read().status());
-        net.assertQuiet();
+        fixture.assertQuiet();
         assertNextRequestIsServed(idle.client(), "/once/");
     }
 
@@ -224,9 +225,9 @@
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void anUnsafeRequestThatRacesWithAResetIsSentAtMostOnce(boolean resetFirst) throws Exception {
-        net.servers.plain();
+        fixture.servers.plain();
         IdleConnection idle = idleConnection("/once/");
-        OnLoop.run(net.loop, () -> {
+        OnLoop.run(fixture.loop, () -> {
             if (resetFirst) {
                 idle.first().wire().reset();
             }
@@ -236,8 +237,9 @@
             }
         });
         OnLoop.await(
-                net.loop, () -> !net.servers.calls.isEmpty() || idle.client().hasBytes());
-        Call sent = net.servers.calls.poll();
+                fixture.loop,
+                () -> !fixture.servers.calls.isEmpty() || idle.client().hasBytes());
+        Call sent = fixture.servers.calls.poll();
         boolean read = sent != null && sent.wire() == idle.first().wire();
         boolean elsewhere = sent != null && !read;
         if (elsewhere) {
@@ -247,51 +249,51 @@
         boolean rejected = sent == null && response.status() == 503; // correct, as no server has read any of it
         assertEquals(elsewhere ? 200 : rejected ? 503 : 502, response.status());
         assertEquals(elsewhere ? "own" : "", response.body());
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void anInterimResponseDoesNotMeanThatTheRequestDidNotRun() throws Exception {
-        net.servers.plainServers(2);
-        Wire client = net.sendRequest("/once/");
-        Call call = net.nextCall();
+        fixture.servers.plainServers(2);
+        Wire client = fixture.sendRequest("/once/");
+        Call call = fixture.nextCall();
         call.wire().send("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 102 Processing\r\n" + idOf(call) + "\r\n");
         call.wire().reset();
         assertEquals(502, client.read().status());
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     /** A response without a length ends with the connection. */
-    @SafeAndUnsafeTest
+    @TestOnSafeAndUnsafeRoutes
     void aResponseWithoutALengthIsCompleteAtEndOfStream(String target) throws Exception {
-        net.servers.plainServers(2);
-        Wire client = net.sendRequest(target);
-        Call call = net.nextCall();
+        fixture.servers.plainServers(2);
+        Wire client = fixture.sendRequest(target);
+        Call call = fixture.nextCall();
         call.wire().send(sealedHead(call, "") + "half");
         call.wire().close();
         assertEquals("half", client.read().body());
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
-    @SafeAndUnsafeTest
+    @TestOnSafeAndUnsafeRoutes
     void aResponseWithoutALengthIsTruncatedAtAReset(String target) throws Exception {
-        net.servers.plainServers(2);
-        Wire client = net.sendRequest(target);
-        Call call = net.nextCall();
+        fixture.servers.plainServers(2);
+        Wire client = fixture.sendRequest(target);
+        Call call = fixture.nextCall();
         call.wire().send(sealedHead(call, "") + "half");
         call.wire().reset();
         if (target.equals("/safe/")) {
-            assertServed(net.nextCall(), client, "own");
+            assertServed(fixture.nextCall(), client, "own");
         } else {
             assertEquals(502, client.read().status());
         }
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     // ---- early responses ------------------------------------------------------------------------------
 
     private Wire sendLongRequest(String target) throws IOException {
-        Wire client = net.client();
+        Wire client = fixture.client();
         client.send(request(target, "", "x".repeat(LONG_BODY_BYTES)));
         return client;
     }
@@ -303,10 +305,10 @@
     }
 
     /** The server continues to read: only the rest of the body may be sent on the connection. */
-    @SafeAndUnsafeTest
+    @TestOnSafeAndUnsafeRoutes
     void anEarlyResponseIsRelayedAndItsConnectionIsNotReused(String target) throws Exception {
         try (ScriptedServer raw = ScriptedServer.raw()) {
-            net.servers.add(raw, PLAIN, null);
+            fixture.servers.add(raw, PLAIN, null);
             Wire client = sendLongRequest(target);
             Wire wire = raw.nextConnection();
             String id = wire.readHead().header("X-Dewplank-Request-Attempt-Id");
@@ -319,32 +321,32 @@
             id = next.read().header("X-Dewplank-Request-Attempt-Id");
             respondWithId(next, id, "200 OK", "Connection: close\r\n" + SEAL, "own");
             assertEquals("own", client.read().body());
-            net.assertQuiet();
+            fixture.assertQuiet();
         }
     }
 
     /** A long request is rejected before it was sent completely: the next server receives all of it, once. */
-    @SafeAndUnsafeTest
+    @TestOnSafeAndUnsafeRoutes
     void aRequestThatIsRejectedEarlyIsRetriedWithItsCompleteBody(String target) throws Exception {
         try (ScriptedServer raw = ScriptedServer.raw()) {
-            net.servers.add(raw, PLAIN, null);
+            fixture.servers.add(raw, PLAIN, null);
             Wire client = sendLongRequest(target);
             Wire wire = raw.nextConnection();
             String id = wire.readHead().header("X-Dewplank-Request-Attempt-Id");
-            ScriptedServer other = net.servers.plain();
+            ScriptedServer other = fixture.servers.plain();
             respondWithId(wire, id, "503 Service Unavailable", NOT_EXECUTED, "");
-            Call call = net.nextCall();
+            Call call = fixture.nextCall();
             assertSame(other, call.server());
             assertEquals(id, attemptId(call));
             assertEquals(LONG_BODY_BYTES, call.message().body().length());
             assertServed(call, client, "own");
-            net.assertQuiet();
+            fixture.assertQuiet();
         }
     }
 
     /** Whether a connection to the server was opened before a response was received. */
     private boolean isConnectedBeforeResponse(ScriptedServer raw, Wire client) throws Exception {
-        OnLoop.await(net.loop, () -> raw.connectionsWaiting() > 0 || client.hasBytes());
+        OnLoop.await(fixture.loop, () -> raw.connectionsWaiting() > 0 || client.hasBytes());
         return raw.connectionsWaiting() > 0;
     }
 
@@ -352,7 +354,7 @@
     @Test
     void anUnsafeRequestThatIsPartlySentAtItsDeadlineIsNotRejected() throws Exception {
         try (ScriptedServer raw = ScriptedServer.raw()) {
-            net.servers.add(raw, PLAIN, null);
+            fixture.servers.add(raw, PLAIN, null);
             Wire client = sendLongRequest("/half/"); // its timeout counts from its first byte
             for (int sends = 1; !isConnectedBeforeResponse(raw, client); sends++) { // received after its deadline
                 assertTrue(sends < ForwarderFixture.MAX_SENDS, "no request reached the server");
@@ -361,21 +363,24 @@
             }
             raw.nextConnection().readHead();
             assertEquals(504, client.read().status());
-            net.assertQuiet();
+            fixture.assertQuiet();
         }
     }
 
     // ---- timeouts -------------------------------------------------------------------------------------
 
-    /** In either order there is one response, and the next request on the connection receives its own. */
+    /**
+     * In either order the request receives one response, and the next request on the connection receives its own
+     * response.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"/brief/", "/briefly/"})
     void aResponseThatRacesWithTheDeadlineLeadsToOneResponse(String target) throws Exception {
-        net.servers.plain();
-        ForwarderFixture.InFlight request = net.sendUntilAtServer(target, "");
+        fixture.servers.plain();
+        ForwarderFixture.InFlight request = fixture.sendUntilAtServer(target, "");
         Wire client = request.client();
         Call call = request.call();
-        net.runThenBlockLoop(2 * TIMEOUT_MS, () -> serve(call, "just in time"));
+        fixture.runThenBlockLoop(2 * TIMEOUT_MS, () -> serve(call, "just in time"));
         Wire.Message response = client.read();
         assertTrue(
                 response.status() == 200 && response.body().equals("just in time") || response.status() == 504,
@@ -386,33 +391,33 @@
     @ParameterizedTest
     @ValueSource(strings = {"/brief/", "/briefly/"})
     void aResponseAfterTheDeadlineIsDiscarded(String target) throws Exception {
-        net.servers.plain();
-        ForwarderFixture.InFlight request = net.sendUntilAtServer(target, "");
+        fixture.servers.plain();
+        ForwarderFixture.InFlight request = fixture.sendUntilAtServer(target, "");
         Wire client = request.client();
         Call call = request.call();
         assertEquals(504, client.read().status());
         call.wire().awaitEnd();
         client.send(request("/safe/", "", ""));
-        Call next = net.nextCall();
+        Call next = fixture.nextCall();
         assertNotSame(call.wire(), next.wire());
         assertServed(next, client, "own");
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     /** A reset at the deadline: in either order, a request that may have run is not rejected. */
     @Test
     void aResetThatRacesWithTheDeadlineIsNotARejection() throws Exception {
-        net.servers.plain();
-        ForwarderFixture.InFlight request = net.sendUntilAtServer("/brief/", "");
+        fixture.servers.plain();
+        ForwarderFixture.InFlight request = fixture.sendUntilAtServer("/brief/", "");
         Wire client = request.client();
         Call call = request.call();
-        net.runThenBlockLoop(2 * TIMEOUT_MS, () -> call.wire().reset());
+        fixture.runThenBlockLoop(2 * TIMEOUT_MS, () -> call.wire().reset());
         int status = client.read().status();
         assertTrue(status == 502 || status == 504, "status " + status);
-        net.assertQuiet();
+        fixture.assertQuiet();
         client.send(request("/none/", "", "")); // the connection is still usable
         assertEquals(404, client.read().status());
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     // ---- overdue responses ----------------------------------------------------------------------------
@@ -420,11 +425,11 @@
     /** A retry cancels the overdue attempt: its connection is closed and its response is discarded. */
     @Test
     void theResponseToACancelledAttemptIsDiscarded() throws Exception {
-        net.servers.plainServers(2);
-        net.openIdleConnections("/once/");
-        Wire client = net.sendRequest("/quick/");
-        Call first = net.nextCall();
-        Call second = net.nextCall();
+        fixture.servers.plainServers(2);
+        fixture.openIdleConnections("/once/");
+        Wire client = fixture.sendRequest("/quick/");
+        Call first = fixture.nextCall();
+        Call second = fixture.nextCall();
         assertEquals(attemptId(first), attemptId(second));
         first.wire().awaitEnd();
         assertServed(second, client, "second");
@@ -437,13 +442,13 @@
      */
     @Test
     void anOverdueTimerThatRacesWithTheResponseLeadsToOneResponse() throws Exception {
-        net.servers.plainServers(2);
-        net.openIdleConnections("/once/");
-        Wire client = net.sendRequest("/quick/");
-        Call first = net.nextCall();
-        net.runThenBlockLoop(OVERDUE_AFTER_MS + REUSABLE_AFTER_MS, () -> serve(first, "first"));
-        OnLoop.await(net.loop, () -> !net.servers.calls.isEmpty() || client.hasBytes());
-        Call second = net.servers.calls.poll();
+        fixture.servers.plainServers(2);
+        fixture.openIdleConnections("/once/");
+        Wire client = fixture.sendRequest("/quick/");
+        Call first = fixture.nextCall();
+        fixture.runThenBlockLoop(OVERDUE_AFTER_MS + REUSABLE_AFTER_MS, () -> serve(first, "first"));
+        OnLoop.await(fixture.loop, () -> !fixture.servers.calls.isEmpty() || client.hasBytes());
+        Call second = fixture.servers.calls.poll();
         if (second != null) {
             serve(second, "second");
         }
@@ -454,89 +459,89 @@
     /** The connection is reset when the response becomes overdue: there is one retry, not two. */
     @Test
     void anOverdueTimerThatRacesWithAResetLeadsToOneRetry() throws Exception {
-        net.servers.plainServers(3);
-        net.openIdleConnections("/once/");
-        Wire client = net.sendRequest("/quick/");
-        Call first = net.nextCall();
-        net.runThenBlockLoop(
+        fixture.servers.plainServers(3);
+        fixture.openIdleConnections("/once/");
+        Wire client = fixture.sendRequest("/quick/");
+        Call first = fixture.nextCall();
+        fixture.runThenBlockLoop(
                 OVERDUE_AFTER_MS + REUSABLE_AFTER_MS, () -> first.wire().reset());
-        Call second = net.nextCall();
+        Call second = fixture.nextCall();
         assertNotSame(first.server(), second.server());
         assertServed(second, client, "own");
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void anUnsafeRequestIsNotRetriedAfterADelayedClose() throws Exception {
-        net.servers.plainServers(2);
-        Wire client = net.sendRequest("/once/");
-        Call call = net.nextCall();
-        net.pass(REUSABLE_AFTER_MS);
+        fixture.servers.plainServers(2);
+        Wire client = fixture.sendRequest("/once/");
+        Call call = fixture.nextCall();
+        fixture.pass(REUSABLE_AFTER_MS);
         call.wire().close();
         assertEquals(502, client.read().status());
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     // ---- disconnects and pipelining -------------------------------------------------------------------
 
     /** A client disconnects within its response: the rest arrives on a connection that is not reused. */
-    @SafeAndUnsafeTest
+    @TestOnSafeAndUnsafeRoutes
     void theRestOfADisconnectedClientsResponseIsDiscarded(String target) throws Exception {
-        net.servers.plain();
-        Wire disconnected = net.sendRequest(target);
-        Call call = net.nextCall();
+        fixture.servers.plain();
+        Wire disconnected = fixture.sendRequest(target);
+        Call call = fixture.nextCall();
         call.wire().send(sealedHead(call, "Content-Length: 8\r\n") + "half");
         disconnected.close();
         call.wire().awaitEnd();
-        Wire client = net.sendRequest(target);
-        Call next = net.nextCall();
+        Wire client = fixture.sendRequest(target);
+        Call next = fixture.nextCall();
         assertNotSame(call.wire(), next.wire());
         assertServed(next, client, "own");
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     /** The outcome of a pipelined request does not affect the response to the next one. */
     @Test
     void pipelinedRequestsReceiveTheirOwnResponsesAfterAFailure() throws Exception {
-        net.servers.plainServers(2);
-        Wire client = net.client();
+        fixture.servers.plainServers(2);
+        Wire client = fixture.client();
         client.send(request("/once/1", "", "")
                 + request("/safe/2", "", "")
                 + request("/none/3", "", "")
                 + request("/once/4", "", ""));
-        Call first = net.nextCall();
+        Call first = fixture.nextCall();
         assertEquals("/once/1", first.message().target());
         first.wire().reset();
         assertEquals(502, client.read().status());
-        Call second = net.nextCall();
+        Call second = fixture.nextCall();
         assertEquals("/safe/2", second.message().target());
         second.wire().reset();
-        Call retry = net.nextCall();
+        Call retry = fixture.nextCall();
         assertEquals("/safe/2", retry.message().target());
         assertServed(retry, client, "2");
         assertEquals(404, client.read().status());
-        Call fourth = net.nextCall();
+        Call fourth = fixture.nextCall();
         assertEquals("/once/4", fourth.message().target());
         assertNotEquals(attemptId(retry), attemptId(fourth));
         assertServed(fourth, client, "4");
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     /** The response to a HEAD request states the length of a body that is not sent. */
     @Test
     void theResponseToAHeadRequestHasNoBodyOnEitherSide() throws Exception {
-        net.servers.plain();
-        Wire client = net.client();
+        fixture.servers.plain();
+        Wire client = fixture.client();
         client.send("HEAD /safe/ HTTP/1.1\r\nHost: " + HOST + "\r\nX-Dewplank-Request-Attempt-Id: h1\r\n\r\n"
                 + request("/once/", "", ""));
-        Call head = net.nextCall();
+        Call head = fixture.nextCall();
         assertEquals("HEAD", head.message().method());
         head.wire().send(sealedHead(head, "Content-Length: 5\r\n"));
         Wire.Message response = client.readHead();
         assertEquals(200, response.status());
         assertEquals("h1", response.header("X-Dewplank-Request-Attempt-Id"));
-        Call next = net.nextCall();
+        Call next = fixture.nextCall();
         assertServed(next, client, "own");
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 }
--- a/dataplane/src/test/java/dewplank/dataplane/RevocationModel.java
+++ b/dataplane/src/test/java/dewplank/dataplane/RevocationModel.java
@@ -22,12 +22,13 @@
 /**
  * A data plane with the production code of sessions and access control in virtual time, and models of the register and
  * of three control planes. Messages are delayed, lost and reordered, also within a connection; clocks run at different
- * rates; a control plane in a minority replies with its last known state. Single-threaded; times are in milliseconds.
+ * rates; a control plane in a minority replies with the last state that it has. Single-threaded; times are in
+ * milliseconds.
  */
 final class RevocationModel {
     static final double REVOKE_MS = 5_000;
     /** Maximum pause of a process between its decision and the first byte sent (docs/design-quotas.md). */
-    private static final double MAX_STALL_MS = 150;
+    private static final double MAX_PAUSE_MS = 150;
     /** With this error, the rates of two clocks differ by at most 2 %. */
     private static final double MAX_RATE_ERROR = 0.0095;
 
@@ -160,7 +161,7 @@
 
     /** Whether the key may be accepted: the newest configuration has it, or did one that was replaced recently. */
     private boolean mayBeAccepted() {
-        double acknowledgedBefore = time.now() + MAX_STALL_MS - REVOKE_MS;
+        double acknowledgedBefore = time.now() + MAX_PAUSE_MS - REVOKE_MS;
         for (int index = chosen.size() - 1; index >= 0; index--) {
             if (chosen.get(index).hasKey()) {
                 return true;
--- a/dataplane/src/test/java/dewplank/dataplane/RevocationPropertyTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/RevocationPropertyTest.java
@@ -11,14 +11,17 @@
 import net.jqwik.api.ShrinkingMode;
 
 /**
- * Checks that in random histories no request is sent with a revoked key later than the bound after the acknowledgement
- * of the revocation, and that the newest configuration applies once all faults are healed. A failure prints its seed.
+ * Checks that in random histories no request with a revoked key is sent later than {@link RevocationModel#REVOKE_MS}
+ * after the acknowledgement of the revocation, and that the newest configuration applies once all faults are healed. A
+ * failure prints its seed.
  */
 class RevocationPropertyTest {
     private static final int CONTROL_PLANES = 3;
     private static final int STEPS = 600;
     private static final double MAX_STEP_MS = 60;
-    /** Faults last at most this long, so that some are shorter than the bound and some longer. */
+    /**
+     * Faults last at most this long, so that some are shorter than {@link RevocationModel#REVOKE_MS} and some longer.
+     */
     private static final double MAX_FAULT_MS = 2 * RevocationModel.REVOKE_MS;
 
     private static final double MAX_MESSAGE_DELAY_MS = 4_000;
@@ -45,7 +48,7 @@
     }
 
     @Property(tries = 300, shrinking = ShrinkingMode.OFF)
-    void noKeyIsAcceptedLaterThanTheBoundAfterItsRevocation(@ForAll long seed) {
+    void noKeyIsAcceptedLaterThanTheTimeLimitAfterItsRevocation(@ForAll long seed) {
         Random random = new Random(seed);
         RevocationModel model = new RevocationModel(random);
         for (int step = 0; step < STEPS; step++) {
@@ -62,7 +65,7 @@
                 "the newest configuration applies once all faults are healed");
     }
 
-    /** If keys were rejected without faults, the random histories would prove nothing. */
+    /** If keys were rejected without faults, the test with random histories would pass without checking anything. */
     @Example
     void keysAreAcceptedAllTheTimeWithoutFaults() {
         Random random = new Random(1);
--- a/dataplane/src/test/java/dewplank/dataplane/ScriptedControlPlane.java
+++ b/dataplane/src/test/java/dewplank/dataplane/ScriptedControlPlane.java
@@ -30,12 +30,12 @@
     }
 
     /** Creates a control plane that receives all further quota requests of the forwarder's data plane. */
-    static ScriptedControlPlane connect(ForwarderFixture net) throws Exception {
-        ScriptedControlPlane controlPlane = new ScriptedControlPlane(net.loop, net.quotas);
+    static ScriptedControlPlane connect(ForwarderFixture fixture) throws Exception {
+        ScriptedControlPlane controlPlane = new ScriptedControlPlane(fixture.loop, fixture.quotas);
         ControlSession session = new ControlSession(
-                net.loop, null, net.metadata, SessionFixture.SELF, SessionParameters.DEFAULTS, ADDRESS);
+                fixture.loop, null, fixture.metadata, SessionFixture.SELF, SessionParameters.DEFAULTS, ADDRESS);
         session.connect(controlPlane.new RecordingTransport());
-        OnLoop.run(net.loop, () -> net.quotas.connect(tried -> Optional.of(session)));
+        OnLoop.run(fixture.loop, () -> fixture.quotas.connect(tried -> Optional.of(session)));
         return controlPlane;
     }
 
--- a/dataplane/src/test/java/dewplank/dataplane/SessionClientTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/SessionClientTest.java
@@ -41,35 +41,35 @@
 
 /** A data plane's sessions with fake control planes, over TCP and with the test's clock. */
 class SessionClientTest {
-    /** So long that it does not elapse during a test; tests that need it to elapse set a shorter time. */
+    /** Contact time that does not elapse during a test; tests that need it to elapse set a shorter one. */
     private static final double CONTACT_MS = 120_000;
 
     private static final SessionParameters PARAMETERS = SessionParameters.DEFAULTS;
 
     private static final EndpointListVersion FIRST_LIST = new EndpointListVersion(1, 1);
 
-    private SessionFixture net;
+    private SessionFixture fixture;
 
     @BeforeEach
-    void begin() throws IOException {
-        net = new SessionFixture(CONTACT_MS);
+    void setUp() throws IOException {
+        fixture = new SessionFixture(CONTACT_MS);
     }
 
     private void useContactTime(double contactMs) throws IOException {
-        net.close();
-        net = new SessionFixture(contactMs);
+        fixture.close();
+        fixture = new SessionFixture(contactMs);
     }
 
     @AfterEach
-    void end() throws IOException {
-        net.close();
+    void tearDown() throws IOException {
+        fixture.close();
     }
 
     // ---- heartbeats and updates ----------------------------------------------------------------------
 
     @Test
     void aSessionOpensWithItsMemberAndHeartbeatsCarryTheVersionsInForce() throws Exception {
-        Session session = net.startSession();
+        Session session = fixture.startSession();
         assertEquals(SELF, session.open().member);
         SessionHeartbeat first = session.heartbeat();
         assertEquals(0, first.configurationVersion);
@@ -83,40 +83,42 @@
         assertTrue(next.sequence > first.sequence);
         assertEquals(new EndpointListVersion(2, 5), next.listVersion);
         assertEquals(SessionTable.digest(members), next.membersDigest);
-        assertEquals("r", net.metadata.routes().find(HOST, "/r/").name());
-        assertEquals(1, OnLoop.get(net.loop, () -> net.metadata.servers(PLAIN).size()));
-        assertEquals(members, net.metadata.members());
-        assertTrue(net.metadata.isComplete());
-        assertEquals(1, net.changes.get());
+        assertEquals("r", fixture.metadata.routes().find(HOST, "/r/").name());
+        assertEquals(
+                1,
+                OnLoop.get(fixture.loop, () -> fixture.metadata.servers(PLAIN).size()));
+        assertEquals(members, fixture.metadata.members());
+        assertTrue(fixture.metadata.isComplete());
+        assertEquals(1, fixture.changes.get());
     }
 
     @Test
     void absentSectionsOfAnUpdateHaveNoEffect() throws Exception {
-        Session session = net.startSession();
+        Session session = fixture.startSession();
         session.send(complete(configuration(7, safeRoute("r", 1))));
         session.heartbeatWithVersion(7);
         session.send(endpoints(endpointList(FIRST_LIST), null));
-        net.await(net.metadata::isComplete);
+        fixture.await(fixture.metadata::isComplete);
         session.send(members(List.of(SELF)));
-        net.await(() -> net.metadata.members().size() == 1);
-        assertEquals(7, net.metadata.configurationVersion());
-        assertEquals(FIRST_LIST, net.metadata.listVersion());
+        fixture.await(() -> fixture.metadata.members().size() == 1);
+        assertEquals(7, fixture.metadata.configurationVersion());
+        assertEquals(FIRST_LIST, fixture.metadata.listVersion());
     }
 
     @Test
     void aDeltaIsAppliedToTheVersionInForce() throws Exception {
-        Session session = net.startSession();
+        Session session = fixture.startSession();
         Configuration first = configuration(7, safeRoute("a", 1), safeRoute("b", 1));
         Configuration second = configuration(8, safeRoute("b", 1), unsafeRoute("c", 2));
         session.send(complete(first));
         session.heartbeatWithVersion(7);
         session.send(delta(first, second));
         session.heartbeatWithVersion(8);
-        assertNull(net.metadata.routes().find(HOST, "/a/"));
-        assertEquals("c", net.metadata.routes().find(HOST, "/c/").name());
+        assertNull(fixture.metadata.routes().find(HOST, "/a/"));
+        assertEquals("c", fixture.metadata.routes().find(HOST, "/c/").name());
         assertEquals(
                 new String(second.json(), StandardCharsets.UTF_8),
-                new String(net.metadata.configuration().json(), StandardCharsets.UTF_8));
+                new String(fixture.metadata.configuration().json(), StandardCharsets.UTF_8));
     }
 
     /**
@@ -125,8 +127,8 @@
      */
     @Test
     void aDeltaFromAnotherVersionClosesItsSession() throws Exception {
-        FakeControlPlane control = net.controlPlane();
-        net.start(control);
+        FakeControlPlane control = fixture.controlPlane();
+        fixture.start(control);
         Session session = control.session();
         Configuration inForce = configuration(3, safeRoute("a", 1));
         Configuration other = configuration(7, safeRoute("b", 1));
@@ -135,19 +137,19 @@
         session.heartbeatWithVersion(3);
         session.send(delta(other, newest));
         session.awaitEnd();
-        assertEquals(3, net.metadata.configurationVersion());
+        assertEquals(3, fixture.metadata.configurationVersion());
         Session next = control.session();
         assertEquals(SELF, next.open().member);
         assertEquals(3, next.heartbeat().configurationVersion);
         next.send(complete(newest));
-        net.awaitVersion(8);
+        fixture.awaitVersion(8);
         assertFalse(next.isEnded());
     }
 
     @Test
     void aMalformedUpdateClosesItsSessionAndIsNotApplied() throws Exception {
-        FakeControlPlane control = net.controlPlane();
-        net.start(control);
+        FakeControlPlane control = fixture.controlPlane();
+        fixture.start(control);
         Configuration inForce = configuration(3, safeRoute("a", 1));
         Session session = control.session();
         session.send(complete(inForce));
@@ -160,31 +162,31 @@
         }
         session.send(new FleetUpdate(DeflateCodec.deflate(new byte[] {1, 2, 3}), 9, 3, null, null));
         session.awaitEnd();
-        assertEquals("a", net.metadata.routes().find(HOST, "/a/").name());
+        assertEquals("a", fixture.metadata.routes().find(HOST, "/a/").name());
     }
 
     /** Two sessions deliver the same updates at different times: the later delivery is not an error. */
     @Test
     void anUpdateThatAnotherSessionDeliveredFirstIsSkipped() throws Exception {
-        FakeControlPlane one = net.controlPlane();
-        FakeControlPlane two = net.controlPlane();
-        net.start(one, two);
+        FakeControlPlane one = fixture.controlPlane();
+        FakeControlPlane two = fixture.controlPlane();
+        fixture.start(one, two);
         Session fast = one.session();
         Session slow = two.session();
         Configuration first = configuration(7, safeRoute("a", 1));
         Configuration second = configuration(8, safeRoute("b", 1));
         fast.send(complete(first));
-        net.awaitVersion(7);
+        fixture.awaitVersion(7);
         fast.send(delta(first, second));
-        net.awaitVersion(8);
+        fixture.awaitVersion(8);
         slow.send(delta(first, second));
         slow.send(complete(first));
         slow.send(new FleetUpdate(new byte[] {1, 2, 3}, 8, 0, endpointList(FIRST_LIST), null));
-        net.await(net.metadata::isComplete); // all updates before it have been handled then
-        assertEquals(8, net.metadata.configurationVersion());
-        assertEquals("b", net.metadata.routes().find(HOST, "/b/").name());
+        fixture.await(fixture.metadata::isComplete); // all updates before it have been handled then
+        assertEquals(8, fixture.metadata.configurationVersion());
+        assertEquals("b", fixture.metadata.routes().find(HOST, "/b/").name());
         assertFalse(slow.isEnded());
-        assertEquals(2, OnLoop.get(net.loop, net.client::openSessions));
+        assertEquals(2, OnLoop.get(fixture.loop, fixture.client::openSessions));
     }
 
     // ---- selection of control planes ------------------------------------------------------------------
@@ -197,36 +199,36 @@
 
     @Test
     void twoSessionsAreKeptOpenWithDifferentControlPlanes() throws Exception {
-        FakeControlPlane[] three = {net.controlPlane(), net.controlPlane(), net.controlPlane()};
-        net.start(three);
-        net.awaitOpenSessions(2);
-        net.await(() -> countWithSession(three) == 2);
-        net.pass(400); // more than a heartbeat interval
-        assertEquals(2, OnLoop.get(net.loop, net.client::openSessions));
+        FakeControlPlane[] three = {fixture.controlPlane(), fixture.controlPlane(), fixture.controlPlane()};
+        fixture.start(three);
+        fixture.awaitOpenSessions(2);
+        fixture.await(() -> countWithSession(three) == 2);
+        fixture.advanceClock(400); // more than a heartbeat interval
+        assertEquals(2, OnLoop.get(fixture.loop, fixture.client::openSessions));
         assertEquals(2, countWithSession(three), "with different control planes");
     }
 
     @Test
-    void addressesOfFurtherControlPlanesAreTakenFromAcks() throws Exception {
-        FakeControlPlane unknown = net.controlPlane();
-        FakeControlPlane seed = net.controlPlane().withControlAddresses(unknown.address());
-        net.start(seed);
+    void addressesOfFurtherControlPlanesAreTakenFromAcknowledgements() throws Exception {
+        FakeControlPlane unknown = fixture.controlPlane();
+        FakeControlPlane seed = fixture.controlPlane().withControlAddresses(unknown.address());
+        fixture.start(seed);
         seed.session();
         assertEquals(SELF, unknown.session().open().member);
-        net.awaitOpenSessions(2);
+        fixture.awaitOpenSessions(2);
     }
 
     @Test
     void anUnreachableControlPlaneIsSkippedAndRetriedLater() throws Exception {
         ReservedPort unreachable = new ReservedPort();
-        FakeControlPlane control = net.controlPlane();
-        OnLoop.run(net.loop, () -> net.client.setSeeds(List.of(unreachable.addressText())));
-        net.start(control);
+        FakeControlPlane control = fixture.controlPlane();
+        OnLoop.run(fixture.loop, () -> fixture.client.setSeeds(List.of(unreachable.addressText())));
+        fixture.start(control);
         control.session();
-        net.awaitOpenSessions(1);
+        fixture.awaitOpenSessions(1);
         try (unreachable;
                 ServerSocket later = unreachable.listen()) {
-            net.awaitConnection(unreachable.address());
+            fixture.awaitConnection(unreachable.address());
             later.setSoTimeout(Wire.PATIENCE_S * 1_000);
             later.accept().close();
         }
@@ -235,10 +237,10 @@
     @Test
     void aBrokenSessionIsReplacedByOneWithAnotherControlPlane() throws Exception {
         List<FakeControlPlane> used =
-                new ArrayList<>(List.of(net.controlPlane(), net.controlPlane(), net.controlPlane()));
-        net.start(used.toArray(FakeControlPlane[]::new));
-        net.awaitOpenSessions(2);
-        net.await(() -> countWithSession(used.toArray(FakeControlPlane[]::new)) == 2);
+                new ArrayList<>(List.of(fixture.controlPlane(), fixture.controlPlane(), fixture.controlPlane()));
+        fixture.start(used.toArray(FakeControlPlane[]::new));
+        fixture.awaitOpenSessions(2);
+        fixture.await(() -> countWithSession(used.toArray(FakeControlPlane[]::new)) == 2);
         FakeControlPlane third = used.stream()
                 .filter(FakeControlPlane::hasNoNewSession)
                 .findFirst()
@@ -249,23 +251,23 @@
         assertFalse(used.get(1).session().isEnded());
     }
 
-    /** Checks that the timeout was exceeded, by at most one heartbeat interval. */
+    /** Checks that the timeout has passed, by one heartbeat interval at most. */
     private void assertElapsed(double timeoutMs, double since) {
-        double elapsedMs = net.now() - since;
+        double elapsedMs = fixture.now() - since;
         assertTrue(elapsedMs >= timeoutMs, "too soon: " + elapsedMs);
         assertTrue(elapsedMs <= timeoutMs + PARAMETERS.heartbeatIntervalMs(), "too late: " + elapsedMs);
     }
 
     @Test
     void aHeartbeatTimeoutClosesTheSession() throws Exception {
-        FakeControlPlane withoutAcks = net.controlPlane().withoutAcks();
-        FakeControlPlane withAcks = net.controlPlane();
-        net.start(withoutAcks, withAcks);
+        FakeControlPlane withoutAcks = fixture.controlPlane().withoutAcks();
+        FakeControlPlane withAcks = fixture.controlPlane();
+        fixture.start(withoutAcks, withAcks);
         Session replaced = withoutAcks.session();
         Session remaining = withAcks.session();
-        FakeControlPlane third = net.controlPlane();
-        net.addSeeds(third);
-        double waitStartedAt = net.now();
+        FakeControlPlane third = fixture.controlPlane();
+        fixture.addSeeds(third);
+        double waitStartedAt = fixture.now();
         replaced.awaitEnd();
         assertElapsed(PARAMETERS.heartbeatTimeoutMs(), waitStartedAt);
         assertEquals(SELF, third.session().open().member);
@@ -274,77 +276,77 @@
 
     @Test
     void aControlPlaneWithoutAQuorumIsReplaced() throws Exception {
-        FakeControlPlane partitioned = net.controlPlane().withoutQuorum();
-        FakeControlPlane withQuorum = net.controlPlane();
-        double startedAt = net.now();
-        net.start(partitioned, withQuorum);
+        FakeControlPlane partitioned = fixture.controlPlane().withoutQuorum();
+        FakeControlPlane withQuorum = fixture.controlPlane();
+        double startedAt = fixture.now();
+        fixture.start(partitioned, withQuorum);
         Session replaced = partitioned.session();
         Session remaining = withQuorum.session();
         remaining.send(complete(configuration(3, safeRoute("a", 1))));
-        net.awaitVersion(3); // with a configuration in force, the session without a quorum is no longer needed
-        FakeControlPlane third = net.controlPlane();
-        net.addSeeds(third);
+        fixture.awaitVersion(3); // with a configuration in force, the session without a quorum is no longer needed
+        FakeControlPlane third = fixture.controlPlane();
+        fixture.addSeeds(third);
         replaced.awaitEnd();
         assertElapsed(PARAMETERS.quorumTimeoutMs(), startedAt);
         assertEquals(SELF, third.session().open().member);
-        net.pass(700);
+        fixture.advanceClock(700);
         assertTrue(partitioned.hasNoNewSession(), "it is not in backoff");
         assertFalse(remaining.isEnded());
     }
 
-    /** An ack reports a quorum as of the time of its heartbeat, however late it arrives. */
+    /** An acknowledgement reports a quorum as of the time of its heartbeat, however late it arrives. */
     @Test
-    void acksOfAnOldHeartbeatDoNotProveAQuorum() throws Exception {
-        FakeControlPlane late = net.controlPlane().withoutAcks();
-        FakeControlPlane withQuorum = net.controlPlane();
-        net.start(late, withQuorum);
+    void acknowledgementsOfAnOldHeartbeatDoNotProveAQuorum() throws Exception {
+        FakeControlPlane late = fixture.controlPlane().withoutAcks();
+        FakeControlPlane withQuorum = fixture.controlPlane();
+        fixture.start(late, withQuorum);
         Session replaced = late.session();
         withQuorum.session().send(complete(configuration(3, safeRoute("a", 1))));
-        net.awaitVersion(3);
-        net.addSeeds(net.controlPlane());
+        fixture.awaitVersion(3);
+        fixture.addSeeds(fixture.controlPlane());
         long first = replaced.heartbeat().sequence;
         for (int acks = 0; !replaced.isEnded(); acks++) {
-            assertTrue(acks < 60, "acks of the first heartbeat keep the session open");
+            assertTrue(acks < 60, "acknowledgements of the first heartbeat keep the session open");
             replaced.sendIfOpen(new HeartbeatAck(first, true, List.of()));
-            net.pass(100);
+            fixture.advanceClock(100);
         }
     }
 
     @Test
     void aSessionWithoutAQuorumIsKeptOpenWithoutAnAlternative() throws Exception {
         useContactTime(800);
-        FakeControlPlane one = net.controlPlane().withoutQuorum();
-        FakeControlPlane two = net.controlPlane().withoutQuorum();
-        net.start(one, two);
+        FakeControlPlane one = fixture.controlPlane().withoutQuorum();
+        FakeControlPlane two = fixture.controlPlane().withoutQuorum();
+        fixture.start(one, two);
         Session first = one.session();
         Session second = two.session();
-        net.pass(2_200);
+        fixture.advanceClock(2_200);
         assertFalse(first.isEnded() || second.isEnded());
         Configuration newest = configuration(7, safeRoute("a", 1));
         first.send(complete(newest));
-        net.awaitVersion(7); // a chosen value is valid even if its sender has no quorum
+        fixture.awaitVersion(7); // a chosen value is valid even if its sender has no quorum
     }
 
     /** After a restart of the whole fleet there may be no quorum: stale updates are applied after the deferral. */
     @Test
     void withoutAConfigurationAStaleUpdateIsDeferred() throws Exception {
         useContactTime(2_000);
-        FakeControlPlane partitioned = net.controlPlane().withoutQuorum();
-        double startedAt = net.now();
-        net.start(partitioned);
+        FakeControlPlane partitioned = fixture.controlPlane().withoutQuorum();
+        double startedAt = fixture.now();
+        fixture.start(partitioned);
         Session session = partitioned.session();
         session.heartbeat();
-        session.heartbeat(); // the first ack has reported that there is no quorum
+        session.heartbeat(); // the first acknowledgement has reported that there is no quorum
         session.send(complete(configuration(7, safeRoute("a", 1))));
-        net.awaitVersion(7);
+        fixture.awaitVersion(7);
         assertElapsed(1_000, startedAt); // half of the contact time
     }
 
     /** The partitioned control plane is connected first and sends first; its stale configuration never takes effect. */
     @Test
     void withoutAConfigurationAnUpdateFromAQuorumIsAwaited() throws Exception {
-        FakeControlPlane partitioned = net.controlPlane().withoutQuorum();
-        net.start(partitioned);
+        FakeControlPlane partitioned = fixture.controlPlane().withoutQuorum();
+        fixture.start(partitioned);
         Session first = partitioned.session();
         first.heartbeat();
         first.heartbeat();
@@ -353,33 +355,33 @@
         first.send(endpoints(endpointList(FIRST_LIST), List.of(SELF)));
         first.heartbeat();
         first.heartbeat();
-        assertEquals(0, OnLoop.get(net.loop, net.metadata::configurationVersion));
-        assertFalse(OnLoop.get(net.loop, net.metadata::isComplete));
-        FakeControlPlane fresh = net.controlPlane();
-        net.addSeeds(fresh);
+        assertEquals(0, OnLoop.get(fixture.loop, fixture.metadata::configurationVersion));
+        assertFalse(OnLoop.get(fixture.loop, fixture.metadata::isComplete));
+        FakeControlPlane fresh = fixture.controlPlane();
+        fixture.addSeeds(fresh);
         Session session = fresh.session();
         session.send(complete(configuration(7, safeRoute("new", 1))));
-        net.awaitVersion(7);
-        net.await(() -> net.metadata.listVersion().equals(FIRST_LIST)); // the deferred updates follow
-        assertEquals(7, net.metadata.configurationVersion());
-        assertEquals("new", net.metadata.routes().find(HOST, "/new/").name());
+        fixture.awaitVersion(7);
+        fixture.await(() -> fixture.metadata.listVersion().equals(FIRST_LIST)); // the deferred updates follow
+        assertEquals(7, fixture.metadata.configurationVersion());
+        assertEquals("new", fixture.metadata.routes().find(HOST, "/new/").name());
     }
 
     /** Both sessions may be with partitioned control planes, so extra sessions are opened. */
     @Test
     void withoutAConfigurationExtraSessionsBypassPartitionedControlPlanes() throws Exception {
-        FakeControlPlane one = net.controlPlane().withoutQuorum();
-        FakeControlPlane two = net.controlPlane().withoutQuorum();
-        net.start(one, two);
+        FakeControlPlane one = fixture.controlPlane().withoutQuorum();
+        FakeControlPlane two = fixture.controlPlane().withoutQuorum();
+        fixture.start(one, two);
         Session first = one.session();
         Session second = two.session();
-        FakeControlPlane fresh = net.controlPlane();
-        net.addSeeds(fresh);
+        FakeControlPlane fresh = fixture.controlPlane();
+        fixture.addSeeds(fresh);
         Session third = fresh.session();
         assertFalse(first.isEnded() || second.isEnded());
         third.send(complete(configuration(7, safeRoute("new", 1))));
-        net.awaitVersion(7);
-        net.awaitOpenSessions(2);
+        fixture.awaitVersion(7);
+        fixture.awaitOpenSessions(2);
         assertFalse(third.isEnded());
     }
 
@@ -390,46 +392,46 @@
     @Test
     void membersAreTakenFromAControlPlaneWithAQuorum() throws Exception {
         Member other = new Member("n2", Member.DATA, "10.0.0.8:1", "z", 4);
-        FakeControlPlane withQuorum = net.controlPlane();
-        FakeControlPlane alone = net.controlPlane().withoutQuorum();
-        net.start(withQuorum, alone);
+        FakeControlPlane withQuorum = fixture.controlPlane();
+        FakeControlPlane alone = fixture.controlPlane().withoutQuorum();
+        fixture.start(withQuorum, alone);
         Session good = withQuorum.session();
         Session partitioned = alone.session();
         good.send(complete(configuration(7, safeRoute("a", 1))));
         good.send(members(List.of(SELF, other)));
-        net.await(() -> net.metadata.members().size() == 2);
+        fixture.await(() -> fixture.metadata.members().size() == 2);
         partitioned.heartbeat();
         partitioned.heartbeat();
         partitioned.send(endpoints(endpointList(FIRST_LIST), List.of(SELF)));
-        net.await(net.metadata::isComplete); // its members have been handled then
-        assertEquals(2, net.metadata.members().size());
+        fixture.await(fixture.metadata::isComplete); // its members have been handled then
+        assertEquals(2, fixture.metadata.members().size());
         good.reset();
-        net.await(() -> net.metadata.members().size() == 1);
+        fixture.await(() -> fixture.metadata.members().size() == 1);
     }
 
     /** The addresses of 64 machines that were replaced must not prevent the use of a 65th address. */
     @Test
-    void seedsBeyondTheBoundEvictOlderAddresses() throws Exception {
-        OnLoop.run(net.loop, () -> {
+    void seedsBeyondMaxAddressesEvictOlderAddresses() throws Exception {
+        OnLoop.run(fixture.loop, () -> {
             for (int machine = 0; machine < 80; machine++) {
-                net.client.setSeeds(List.of("127.0.1." + machine + ":1"));
+                fixture.client.setSeeds(List.of("127.0.1." + machine + ":1"));
             }
-            assertEquals(64, net.client.addressCount());
+            assertEquals(64, fixture.client.addressCount());
         });
     }
 
     @Test
     void aClosedClientClosesItsSessionsAndOpensNone() throws Exception {
-        FakeControlPlane one = net.controlPlane();
-        FakeControlPlane two = net.controlPlane();
-        net.start(one, two);
+        FakeControlPlane one = fixture.controlPlane();
+        FakeControlPlane two = fixture.controlPlane();
+        fixture.start(one, two);
         Session first = one.session();
         Session second = two.session();
-        net.awaitOpenSessions(2);
-        OnLoop.run(net.loop, net.client::close);
+        fixture.awaitOpenSessions(2);
+        OnLoop.run(fixture.loop, fixture.client::close);
         first.awaitEnd();
         second.awaitEnd();
-        net.pass(700);
+        fixture.advanceClock(700);
         assertTrue(one.hasNoNewSession() && two.hasNoNewSession());
     }
 }
--- a/dataplane/src/test/java/dewplank/dataplane/SessionCrossingTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/SessionCrossingTest.java
@@ -24,19 +24,19 @@
 class SessionCrossingTest {
     private static final double CONTACT_MS = 4_000;
 
-    private SessionFixture net;
+    private SessionFixture fixture;
     private FakeControlPlane control;
 
     @BeforeEach
-    void begin() throws Exception {
-        net = new SessionFixture(CONTACT_MS);
-        control = net.controlPlane();
-        net.start(control);
+    void setUp() throws Exception {
+        fixture = new SessionFixture(CONTACT_MS);
+        control = fixture.controlPlane();
+        fixture.start(control);
     }
 
     @AfterEach
-    void end() throws IOException {
-        net.close();
+    void tearDown() throws IOException {
+        fixture.close();
     }
 
     private static FleetUpdate update(long version, EndpointListVersion list) throws Exception {
@@ -49,15 +49,15 @@
         Session session = control.session();
         session.heartbeatWithVersion(0);
         session.send(update(3, new EndpointListVersion(1, 1)));
-        net.awaitVersion(3);
-        OnLoop.run(net.loop, () -> {
+        fixture.awaitVersion(3);
+        OnLoop.run(fixture.loop, () -> {
             session.send(update(9, new EndpointListVersion(1, 9)));
-            net.client.close();
+            fixture.client.close();
         });
         session.awaitEnd();
-        OnLoop.run(net.loop, () -> {});
-        assertEquals(3, net.metadata.configurationVersion());
-        assertEquals(new EndpointListVersion(1, 1), net.metadata.listVersion());
+        OnLoop.run(fixture.loop, () -> {});
+        assertEquals(3, fixture.metadata.configurationVersion());
+        assertEquals(new EndpointListVersion(1, 1), fixture.metadata.listVersion());
     }
 
     /** The connection breaks within an update: the bytes of the next connection are not decoded as its remainder. */
@@ -66,14 +66,14 @@
         Session first = control.session();
         first.heartbeatWithVersion(0);
         first.send(update(3, new EndpointListVersion(1, 1)));
-        net.awaitVersion(3);
+        fixture.awaitVersion(3);
         first.sendHalf(update(9, new EndpointListVersion(1, 9)));
         first.reset();
         Session second = control.session();
         assertEquals(3, second.heartbeat().configurationVersion, "the session starts from the version in force");
         second.send(update(4, new EndpointListVersion(1, 2)));
-        net.awaitVersion(4);
-        assertEquals(new EndpointListVersion(1, 2), OnLoop.get(net.loop, net.metadata::listVersion));
+        fixture.awaitVersion(4);
+        assertEquals(new EndpointListVersion(1, 2), OnLoop.get(fixture.loop, fixture.metadata::listVersion));
     }
 
     /** A control plane that restarts with its stored state sends older versions, which replace no newer ones. */
@@ -82,17 +82,17 @@
         Session first = control.session();
         first.heartbeatWithVersion(0);
         first.send(update(9, new EndpointListVersion(2, 5)));
-        net.awaitVersion(9);
+        fixture.awaitVersion(9);
         first.reset();
         Session second = control.session();
         assertEquals(9, second.heartbeat().configurationVersion);
         second.send(update(3, new EndpointListVersion(1, 8)));
         second.send(update(8, new EndpointListVersion(2, 4)));
         second.send(members(List.of(SELF))); // handled after both updates
-        net.await(() -> net.metadata.members().size() == 1);
-        assertEquals(9, net.metadata.configurationVersion());
-        assertEquals(new EndpointListVersion(2, 5), net.metadata.listVersion());
-        assertEquals("r9", net.metadata.routes().find(HOST, "/r9/").name());
+        fixture.await(() -> fixture.metadata.members().size() == 1);
+        assertEquals(9, fixture.metadata.configurationVersion());
+        assertEquals(new EndpointListVersion(2, 5), fixture.metadata.listVersion());
+        assertEquals("r9", fixture.metadata.routes().find(HOST, "/r9/").name());
     }
 
     /** Each session starts with the member, regardless of the message in which the earlier connection broke. */
--- a/dataplane/src/test/java/dewplank/dataplane/SessionFixture.java
+++ b/dataplane/src/test/java/dewplank/dataplane/SessionFixture.java
@@ -119,7 +119,7 @@
     }
 
     /** Advances the clock by this time: all timers within it run, and the messages that they send are handled. */
-    void pass(double ms) throws Exception {
+    void advanceClock(double ms) throws Exception {
         double until = now() + ms;
         settle();
         while (now() < until) {
--- a/dataplane/src/test/java/dewplank/dataplane/StreamRaceTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/StreamRaceTest.java
@@ -46,36 +46,36 @@
     private static final double PAST_PREFILL_OVERDUE_MS = 400; // a short prompt is overdue after 300 ms
     private static final int LONG_BODY_BYTES = 16 << 20; // more than the socket buffers hold
 
-    private ForwarderFixture net;
+    private ForwarderFixture fixture;
 
     @BeforeEach
-    void begin() throws Exception {
-        net = fixture().start();
+    void setUp() throws Exception {
+        fixture = fixtureBuilder().start();
     }
 
-    private static ForwarderFixture.Builder fixture() {
+    private static ForwarderFixture.Builder fixtureBuilder() {
         return ForwarderFixture.builder()
                 .maxBodyBytes(4 * LONG_BODY_BYTES)
                 .routes(streamingRoute("gen", 2), streamingRoute("res", 2).asResumable(), unsafeRoute("plain", 1));
     }
 
-    /** For tests that do not test stalls, as a pause of 700 ms between two steps would count as a stall. */
+    /** For tests that do not test stalls, because a pause of 700 ms between two steps would count as a stall. */
     private void disableHedging() throws Exception {
-        net.close();
-        net = fixture().withoutHedging().start();
+        fixture.close();
+        fixture = fixtureBuilder().withoutHedging().start();
     }
 
     @AfterEach
-    void end() throws IOException {
-        net.close();
+    void tearDown() throws IOException {
+        fixture.close();
     }
 
     private BegunStream begin(String target) throws Exception {
-        return BegunStream.begin(net, target, PROMPT);
+        return BegunStream.begin(fixture, target, PROMPT);
     }
 
     /** The connection ends after exactly these bytes. */
-    private static void assertBrokenOffAfter(Wire client, String expected) throws IOException {
+    private static void assertAbortedAfter(Wire client, String expected) throws IOException {
         String received = client.readToEnd();
         assertEquals(expected, received);
     }
@@ -86,15 +86,15 @@
     @Test
     void aStreamWhoseEndRacesWithAResetIsCompletedOrResumed() throws Exception {
         disableHedging();
-        net.servers.decodeServers(2);
+        fixture.servers.decodeServers(2);
         BegunStream stream = begin("/res/");
-        OnLoop.run(net.loop, () -> {
+        OnLoop.run(fixture.loop, () -> {
             stream.server().chunk(event(2));
             stream.server().lastChunk();
             stream.server().reset();
         });
-        OnLoop.await(net.loop, () -> !net.servers.calls.isEmpty() || net.forwarder.openRequests() == 0);
-        Call next = net.servers.calls.poll();
+        OnLoop.await(fixture.loop, () -> !fixture.servers.calls.isEmpty() || fixture.forwarder.openRequests() == 0);
+        Call next = fixture.servers.calls.poll();
         if (next == null) {
             assertEquals(event(2), stream.client().readChunk());
             assertEquals("", stream.client().readChunk());
@@ -111,135 +111,135 @@
             next.wire().lastChunk();
             assertEquals("", stream.client().readChunk());
         }
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
-    @ResumableAndNotTest
+    @TestOnResumableAndNonResumableRoutes
     void aResetAfterACompleteStreamHasNoEffect(String target) throws Exception {
         disableHedging();
-        net.servers.decodeServers(2);
+        fixture.servers.decodeServers(2);
         BegunStream stream = begin(target);
         stream.assertEnds();
         stream.server().reset();
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
-    /** A stream without a length is completed by the end of its connection, except within an event. */
-    @ResumableAndNotTest
-    void aCloseWithinAnEventIsABreak(String target) throws Exception {
+    /** The end of its connection completes a stream without a length, except within an event. */
+    @TestOnResumableAndNonResumableRoutes
+    void aCloseWithinAnEventTruncatesTheStream(String target) throws Exception {
         disableHedging();
-        net.servers.decodeServers(2);
-        Wire client = net.sendRequest(target, PROMPT);
-        Call decodeCall = net.nextCall();
+        fixture.servers.decodeServers(2);
+        Wire client = fixture.sendRequest(target, PROMPT);
+        Call decodeCall = fixture.nextCall();
         decodeCall.wire().send(sealedHead(decodeCall, "") + event(1) + "id: 2\ndata: half");
         assertEquals(200, client.readHead().status());
         assertEquals(event(1), client.readChunk());
         decodeCall.wire().close();
         if (target.equals("/res/")) {
-            Call next = net.nextCall();
+            Call next = fixture.nextCall();
             assertEquals("1", lastEventId(next));
             assertResumed(next, client, 2);
         } else {
-            assertBrokenOffAfter(client, "");
+            assertAbortedAfter(client, "");
         }
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
-    @ResumableAndNotTest
-    void aCloseBeforeTheFirstEventIsABreak(String target) throws Exception {
-        net.servers.decodeServers(2);
-        Wire client = net.sendRequest(target, PROMPT);
-        Call decodeCall = net.nextCall();
+    @TestOnResumableAndNonResumableRoutes
+    void aCloseBeforeTheFirstEventTruncatesTheStream(String target) throws Exception {
+        fixture.servers.decodeServers(2);
+        Wire client = fixture.sendRequest(target, PROMPT);
+        Call decodeCall = fixture.nextCall();
         decodeCall.wire().send(sealedHead(decodeCall, ""));
         decodeCall.wire().close();
         if (target.equals("/res/")) {
-            Call next = net.nextCall();
+            Call next = fixture.nextCall();
             assertNull(lastEventId(next));
             assertStreamed(next, client, 1);
         } else {
             assertEquals(502, client.read().status());
         }
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     /** Without an event id the position to resume from is unknown, and relayed events would be duplicated. */
     @Test
     void aStreamIsNotResumedAfterAnEventWithoutAnId() throws Exception {
-        net.servers.decodeServers(2);
-        Wire client = net.sendRequest("/res/", PROMPT);
-        Call decodeCall = net.nextCall();
+        fixture.servers.decodeServers(2);
+        Wire client = fixture.sendRequest("/res/", PROMPT);
+        Call decodeCall = fixture.nextCall();
         beginStream(decodeCall);
         decodeCall.wire().chunk(event(1) + "data: nameless\n\n");
         assertEquals(200, client.readHead().status());
         assertEquals(event(1) + "data: nameless\n\n", client.readChunk());
         decodeCall.wire().reset();
-        assertBrokenOffAfter(client, "");
-        net.assertQuiet();
+        assertAbortedAfter(client, "");
+        fixture.assertQuiet();
     }
 
-    @ResumableAndNotTest
+    @TestOnResumableAndNonResumableRoutes
     void aSecondResponseAfterAStreamIsDiscarded(String target) throws Exception {
-        net.servers.decode();
+        fixture.servers.decode();
         BegunStream stream = begin(target);
         stream.server()
                 .send("0\r\n\r\nHTTP/1.1 200 OK\r\n" + idOf(stream.decode()) + SEAL + "Content-Length: 2\r\n\r\nho");
         assertEquals("", stream.client().readChunk());
         stream.server().awaitEnd();
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     /**
      * The request is retried at another server. Relaying a part of the first stream would mix two runs in one response.
      */
-    @ResumableAndNotTest
+    @TestOnResumableAndNonResumableRoutes
     void aResponseMarkedNotExecutedIsNotRelayed(String target) throws Exception {
-        net.servers.decodeServers(2);
-        Wire client = net.sendRequest(target, PROMPT);
-        Call first = net.nextCall();
+        fixture.servers.decodeServers(2);
+        Wire client = fixture.sendRequest(target, PROMPT);
+        Call first = fixture.nextCall();
         answer(first, "200 OK", SEAL + NOT_EXECUTED, "id: 7\ndata: not run\n\n");
-        Call second = net.nextCall();
+        Call second = fixture.nextCall();
         assertNotSame(first.server(), second.server());
         assertNull(lastEventId(second));
         assertStreamed(second, client, 1);
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     /** The response to a HEAD request ends with its head and needs neither a length nor events. */
     @Test
     void theResponseToAHeadRequestIsNotATruncatedStream() throws Exception {
-        net.servers.decode();
-        Wire client = net.client();
+        fixture.servers.decode();
+        Wire client = fixture.client();
         client.send("HEAD /gen/ HTTP/1.1\r\nHost: " + HOST + "\r\nX-Dewplank-Request-Attempt-Id: h1\r\n\r\n"
                 + request("/gen/", PROMPT, ""));
-        Call head = net.nextCall();
+        Call head = fixture.nextCall();
         head.wire().send(sealedHead(head, ""));
         assertEquals("h1", client.readHead().header("X-Dewplank-Request-Attempt-Id"));
-        Call next = net.nextCall();
+        Call next = fixture.nextCall();
         assertStreamed(next, client, 1);
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     /** The rest of a disconnected client's stream and the next stream do not share a connection. */
-    @ResumableAndNotTest
+    @TestOnResumableAndNonResumableRoutes
     void theRestOfADisconnectedClientsStreamIsDiscarded(String target) throws Exception {
-        net.servers.decode();
+        fixture.servers.decode();
         BegunStream disconnected = begin(target);
         disconnected.client().close();
         disconnected.server().awaitEnd();
         BegunStream next = begin(target);
         assertNotSame(disconnected.server(), next.server());
         next.assertEnds();
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
-    @ResumableAndNotTest
+    @TestOnResumableAndNonResumableRoutes
     void aLateStreamOnAReusedConnectionIsDiscarded(String target) throws Exception {
-        net.servers.decode();
+        fixture.servers.decode();
         BegunStream first = begin(target);
         first.assertEnds();
-        net.pass(REUSABLE_AFTER_MS);
+        fixture.pass(REUSABLE_AFTER_MS);
         first.client().send(request(target, PROMPT, ""));
-        Call second = net.nextCall();
+        Call second = fixture.nextCall();
         assertSame(first.server(), second.wire());
         beginStream(first.decode());
         second.wire().chunk("id: 9\ndata: to the first request\n\n");
@@ -247,7 +247,7 @@
         answer(first.decode(), "503 Service Unavailable", NOT_EXECUTED, "");
         second.wire().answer("200 OK", SEAL, "id: 9\ndata: without an id\n\n");
         assertStreamed(second, first.client(), 1);
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     // ---- stalls ---------------------------------------------------------------------------------------
@@ -255,21 +255,21 @@
     /** The stream is resumed at another server while the first one could still send; no event is duplicated. */
     @Test
     void eventsOfAStalledServerAreDiscardedAfterResumption() throws Exception {
-        net.servers.decodeServers(2);
-        BegunStream stream = BegunStream.begin(net, "/res/", PROMPT);
-        Call next = net.nextCall();
+        fixture.servers.decodeServers(2);
+        BegunStream stream = BegunStream.begin(fixture, "/res/", PROMPT);
+        Call next = fixture.nextCall();
         stream.server().awaitEnd();
         assertEquals("1", lastEventId(next));
         assertResumed(next, stream.client(), 2);
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     /** The event arrives when the stall timeout expires: event 2 is relayed once, from one of the servers. */
     @Test
     void anEventThatRacesWithTheStallTimeoutIsRelayedOnce() throws Exception {
-        net.servers.decodeServers(2);
-        BegunStream stream = BegunStream.begin(net, "/res/", PROMPT);
-        net.runThenBlockLoop(PAST_STALL_TIMEOUT_MS, () -> {
+        fixture.servers.decodeServers(2);
+        BegunStream stream = BegunStream.begin(fixture, "/res/", PROMPT);
+        fixture.runThenBlockLoop(PAST_STALL_TIMEOUT_MS, () -> {
             try {
                 stream.server().chunk(event(2));
             } catch (IOException e) {
@@ -277,8 +277,9 @@
             }
         });
         OnLoop.await(
-                net.loop, () -> !net.servers.calls.isEmpty() || stream.client().hasBytes());
-        Call next = net.servers.calls.poll();
+                fixture.loop,
+                () -> !fixture.servers.calls.isEmpty() || stream.client().hasBytes());
+        Call next = fixture.servers.calls.poll();
         if (next == null) {
             assertEquals(event(2), stream.client().readChunk());
             stream.assertEnds();
@@ -289,7 +290,7 @@
             }
             assertResumed(next, stream.client(), last.equals("2") ? 3 : 2);
         }
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     // ---- KV transfer ---------------------------------------------------------------------------------
@@ -299,78 +300,78 @@
     }
 
     /** The KV handle arrives when the prefill becomes overdue: there is one decode, with or without the handle. */
-    @ResumableAndNotTest
+    @TestOnResumableAndNonResumableRoutes
     void aKvHandleThatRacesWithTheOverdueTimerLeadsToOneDecode(String target) throws Exception {
-        ScriptedServer prefill = net.servers.prefill();
-        net.servers.decode();
-        Wire client = net.sendRequest(target, SHORT_PROMPT);
-        Call prefillCall = net.nextCall();
+        ScriptedServer prefill = fixture.servers.prefill();
+        fixture.servers.decode();
+        Wire client = fixture.sendRequest(target, SHORT_PROMPT);
+        Call prefillCall = fixture.nextCall();
         for (int sends = 1; prefillCall.server() != prefill; sends++) { // the connection was not established in time
             assertTrue(sends < ForwarderFixture.MAX_SENDS, "no request was prefilled");
             assertStreamed(prefillCall, client, 1);
-            client = net.sendRequest(target, SHORT_PROMPT);
-            prefillCall = net.nextCall();
+            client = fixture.sendRequest(target, SHORT_PROMPT);
+            prefillCall = fixture.nextCall();
         }
         Call reached = prefillCall;
-        net.runThenBlockLoop(PAST_PREFILL_OVERDUE_MS, () -> handOver(reached, "h1"));
-        Call decodeCall = net.nextCall();
+        fixture.runThenBlockLoop(PAST_PREFILL_OVERDUE_MS, () -> handOver(reached, "h1"));
+        Call decodeCall = fixture.nextCall();
         String from = kvFrom(decodeCall);
         assertTrue(from == null || from.equals(prefill.addressText() + "/h1"), from);
         assertStreamed(decodeCall, client, 1);
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
-    @ResumableAndNotTest
+    @TestOnResumableAndNonResumableRoutes
     void twoResponsesToOnePrefillLeadToOneDecode(String target) throws Exception {
-        ScriptedServer prefill = net.servers.prefill();
-        net.servers.decode();
-        Wire client = net.sendRequest(target, PROMPT);
-        Call prefillCall = net.nextCall();
+        ScriptedServer prefill = fixture.servers.prefill();
+        fixture.servers.decode();
+        Wire client = fixture.sendRequest(target, PROMPT);
+        Call prefillCall = fixture.nextCall();
         handOver(prefillCall, "h1");
-        Call decodeCall = net.nextCall();
+        Call decodeCall = fixture.nextCall();
         assertEquals(prefill.addressText() + "/h1", kvFrom(decodeCall));
         handOver(prefillCall, "h2");
         prefillCall.wire().awaitEnd();
         assertStreamed(decodeCall, client, 1);
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     /** A late response to an earlier prefill arrives on the connection of the next one, before its response. */
     @Test
     void anEarlierRequestsKvHandleOnAReusedConnectionIsDiscarded() throws Exception {
-        ScriptedServer prefill = net.servers.prefill();
-        net.servers.decode();
+        ScriptedServer prefill = fixture.servers.prefill();
+        fixture.servers.decode();
         Call earlier = null;
         for (String handle : new String[] {"h1", "h2"}) {
-            Wire client = net.sendRequest("/gen/", PROMPT);
-            Call prefillCall = net.nextCall();
+            Wire client = fixture.sendRequest("/gen/", PROMPT);
+            Call prefillCall = fixture.nextCall();
             if (earlier != null) {
                 assertSame(earlier.wire(), prefillCall.wire());
                 handOver(earlier, "late");
                 prefillCall.wire().answer("200 OK", "", "{\"context_handle\":\"unidentified\",\"token_count\":60}");
             }
             handOver(prefillCall, handle);
-            Call decodeCall = net.nextCall();
+            Call decodeCall = fixture.nextCall();
             assertEquals(prefill.addressText() + "/" + handle, kvFrom(decodeCall));
             assertStreamed(decodeCall, client, 1);
             earlier = prefillCall;
-            net.pass(REUSABLE_AFTER_MS);
+            fixture.pass(REUSABLE_AFTER_MS);
         }
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     /** The stalled decode server may have fetched the KV cache, so the handle is freed once and not sent again. */
     @Test
     void theKvHandleOfAStalledDecodeIsFreedOnceAndNotSentAgain() throws Exception {
-        ScriptedServer prefill = net.servers.prefill();
-        net.servers.decodeServers(2);
-        Wire client = net.sendRequest("/res/", MEDIUM_PROMPT);
-        handOver(net.nextCall(), "h1");
-        Call stalled = net.nextCall();
+        ScriptedServer prefill = fixture.servers.prefill();
+        fixture.servers.decodeServers(2);
+        Wire client = fixture.sendRequest("/res/", MEDIUM_PROMPT);
+        handOver(fixture.nextCall(), "h1");
+        Call stalled = fixture.nextCall();
         assertEquals(prefill.addressText() + "/h1", kvFrom(stalled));
         int frees = 0;
-        Call decodeCall = net.nextCall();
-        for (; isKvHandleFreed(decodeCall); decodeCall = net.nextCall()) {
+        Call decodeCall = fixture.nextCall();
+        for (; isKvHandleFreed(decodeCall); decodeCall = fixture.nextCall()) {
             assertEquals("/kv-handle/h1", decodeCall.message().target());
             decodeCall.wire().answer("200 OK", "", "");
             frees++;
@@ -378,54 +379,55 @@
         assertNull(kvFrom(decodeCall));
         assertStreamed(decodeCall, client, 1);
         stalled.wire().awaitEnd();
-        net.awaitNoOpenRequest();
-        Call late = frees == 0 ? net.nextCall() : null; // the request to free the handle may arrive after the decode
+        fixture.awaitNoOpenRequest();
+        Call late =
+                frees == 0 ? fixture.nextCall() : null; // the request to free the handle may arrive after the decode
         assertTrue(late == null || isKvHandleFreed(late));
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     /** A part of the request was sent, so the decode server may have fetched the KV cache. */
     @Test
     void theKvHandleOfADecodeThatIsResetWithinItsRequestIsNotSentAgain() throws Exception {
-        ScriptedServer prefill = net.servers.prefill();
+        ScriptedServer prefill = fixture.servers.prefill();
         try (ScriptedServer raw = ScriptedServer.raw()) {
-            net.servers.add(raw, MODEL, "decode");
-            Wire client = net.client();
+            fixture.servers.add(raw, MODEL, "decode");
+            Wire client = fixture.client();
             client.send(request("/gen/", PROMPT, "x".repeat(LONG_BODY_BYTES)));
-            handOver(net.nextCall(), "h1");
+            handOver(fixture.nextCall(), "h1");
             Wire wire = raw.nextConnection();
             assertEquals(prefill.addressText() + "/h1", wire.readHead().header("Kv-From"));
             wire.reset();
             assertEquals(502, client.read().status());
-            Call free = net.nextCall();
+            Call free = fixture.nextCall();
             assertTrue(isKvHandleFreed(free));
             assertEquals("/kv-handle/h1", free.message().target());
             assertEquals(0, raw.connectionsWaiting(), "the request was sent again");
-            net.assertQuiet();
+            fixture.assertQuiet();
         }
     }
 
     /** The response to a request that frees a handle has no attempt id, so its connection carries no other request. */
     @Test
     void theResponseToAFreedKvHandleIsNotRelayedToAnotherRequest() throws Exception {
-        net.servers.prefill();
-        Wire client = net.sendRequest("/gen/", PROMPT); // there is no decode server
-        Call prefillCall = net.nextCall();
+        fixture.servers.prefill();
+        Wire client = fixture.sendRequest("/gen/", PROMPT); // there is no decode server
+        Call prefillCall = fixture.nextCall();
         handOver(prefillCall, "h1");
-        Call free = net.nextCall();
+        Call free = fixture.nextCall();
         assertTrue(isKvHandleFreed(free));
         assertNotSame(prefillCall.wire(), free.wire());
         assertEquals(503, client.read().status());
         free.wire().answer("404 Not Found", "", "gone");
         free.wire().awaitEnd();
-        net.pass(REUSABLE_AFTER_MS);
-        Wire next = net.sendRequest("/gen/", PROMPT);
-        Call nextPrefill = net.nextCall();
+        fixture.pass(REUSABLE_AFTER_MS);
+        Wire next = fixture.sendRequest("/gen/", PROMPT);
+        Call nextPrefill = fixture.nextCall();
         assertNotSame(free.wire(), nextPrefill.wire());
         handOver(nextPrefill, "h2");
-        assertTrue(isKvHandleFreed(net.nextCall()));
+        assertTrue(isKvHandleFreed(fixture.nextCall()));
         assertEquals(503, next.read().status());
         assertFalse(next.hasBytes());
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 }
--- a/dataplane/src/test/java/dewplank/dataplane/StreamTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/StreamTest.java
@@ -5,7 +5,7 @@
 import static dewplank.dataplane.CallFields.targetInstance;
 import static dewplank.dataplane.ClientRequests.PROMPT;
 import static dewplank.dataplane.ClientRequests.request;
-import static dewplank.dataplane.Expectations.assertBrokenOff;
+import static dewplank.dataplane.Expectations.assertAborted;
 import static dewplank.dataplane.Expectations.assertResumed;
 import static dewplank.dataplane.Expectations.assertServed;
 import static dewplank.dataplane.Expectations.assertStreamed;
@@ -40,14 +40,14 @@
 class StreamTest {
     private static final double PAST_STALL_TIMEOUT_MS = 800; // a stalled resumable stream is resumed after 700 ms
 
-    private ForwarderFixture net;
+    private ForwarderFixture fixture;
 
     @BeforeEach
-    void begin() throws Exception {
-        net = fixture().start();
+    void setUp() throws Exception {
+        fixture = fixtureBuilder().start();
     }
 
-    private static ForwarderFixture.Builder fixture() {
+    private static ForwarderFixture.Builder fixtureBuilder() {
         return ForwarderFixture.builder()
                 .routes(
                         streamingRoute("gen", 3),
@@ -58,19 +58,19 @@
                         streamingRoute("last", 1).asResumable());
     }
 
-    /** For tests that do not test stalls, as a pause of 700 ms between two steps would count as a stall. */
+    /** For tests that do not test stalls, because a pause of 700 ms between two steps would count as a stall. */
     private void disableHedging() throws Exception {
-        net.close();
-        net = fixture().withoutHedging().start();
+        fixture.close();
+        fixture = fixtureBuilder().withoutHedging().start();
     }
 
     @AfterEach
-    void end() throws IOException {
-        net.close();
+    void tearDown() throws IOException {
+        fixture.close();
     }
 
     private BegunStream begin(String target) throws Exception {
-        return BegunStream.begin(net, target, PROMPT);
+        return BegunStream.begin(fixture, target, PROMPT);
     }
 
     // ---- relaying ------------------------------------------------------------------------------------
@@ -78,7 +78,7 @@
     /** The server sends each event after the client has received the previous one. */
     @Test
     void eachEventIsRelayedAsItArrives() throws Exception {
-        net.servers.decode();
+        fixture.servers.decode();
         BegunStream stream = begin("/gen/");
         assertEquals("s.1", stream.head().header("X-Dewplank-Server-Seal"));
         assertEquals("text/event-stream", stream.head().header("Content-Type"));
@@ -89,12 +89,12 @@
             stream.assertRelays(id);
         }
         stream.assertEnds();
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void fragmentedEventsAreRelayedComplete() throws Exception {
-        net.servers.decode();
+        fixture.servers.decode();
         BegunStream stream = begin("/gen/");
         Wire server = stream.server();
         server.chunk("id: 2\nda");
@@ -108,39 +108,39 @@
 
     @Test
     void aStreamIsRelayedWithAndWithoutAContentLength() throws Exception {
-        net.servers.decode();
-        Wire client = net.sendRequest("/gen/", PROMPT);
-        serve(net.nextCall(), event(1) + event(2));
+        fixture.servers.decode();
+        Wire client = fixture.sendRequest("/gen/", PROMPT);
+        serve(fixture.nextCall(), event(1) + event(2));
         assertEquals(event(1) + event(2), client.read().body());
-        Wire next = net.sendRequest("/gen/", PROMPT);
-        Call decodeCall = net.nextCall();
+        Wire next = fixture.sendRequest("/gen/", PROMPT);
+        Call decodeCall = fixture.nextCall();
         decodeCall.wire().send(sealedHead(decodeCall, "") + event(1));
         decodeCall.wire().close();
         assertEquals(event(1), next.read().body());
-        Wire empty = net.sendRequest("/gen/", PROMPT);
-        serve(net.nextCall(), "");
+        Wire empty = fixture.sendRequest("/gen/", PROMPT);
+        serve(fixture.nextCall(), "");
         Wire.Message response = empty.read();
         assertEquals(200, response.status());
         assertEquals("", response.body());
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void aStreamIsFollowedByThePipelinedRequest() throws Exception {
-        net.servers.decode();
-        net.servers.plain();
+        fixture.servers.decode();
+        fixture.servers.plain();
         BegunStream stream = begin("/gen/");
         stream.client().send(request("/plain/", "", ""));
         stream.assertEnds();
-        assertServed(net.nextCall(), stream.client(), "plain");
-        net.assertQuiet();
+        assertServed(fixture.nextCall(), stream.client(), "plain");
+        fixture.assertQuiet();
     }
 
     @Test
     void aStreamForAnotherAttemptIdIsDiscarded() throws Exception {
-        net.servers.decode();
-        Wire client = net.sendRequest("/gen/", PROMPT);
-        Call decodeCall = net.nextCall();
+        fixture.servers.decode();
+        Wire client = fixture.sendRequest("/gen/", PROMPT);
+        Call decodeCall = fixture.nextCall();
         decodeCall
                 .wire()
                 .send("HTTP/1.1 200 OK\r\nX-Dewplank-Request-Attempt-Id: another\r\n" + SEAL
@@ -148,7 +148,7 @@
         decodeCall.wire().chunk("id: 7\ndata: to another attempt\n\n");
         decodeCall.wire().lastChunk();
         assertStreamed(decodeCall, client, 1);
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     // ---- breaks and resumption -----------------------------------------------------------------------
@@ -156,16 +156,16 @@
     @Test
     void aBrokenStreamIsResumedAfterItsLastCompleteEvent() throws Exception {
         disableHedging();
-        net.servers.decodeServers(2);
+        fixture.servers.decodeServers(2);
         BegunStream stream = begin("/res/");
         stream.server().chunk(event(2) + "id: 3\ndata: half");
         assertEquals(event(2), stream.client().readChunk());
         stream.server().reset();
-        Call next = net.nextCall();
+        Call next = fixture.nextCall();
         assertNotSame(stream.decode().server(), next.server());
         assertEquals("2", lastEventId(next));
         assertEquals(1, next.message().count("Last-Event-Id"));
-        assertEquals(net.servers.id(next.server()), targetInstance(next));
+        assertEquals(fixture.servers.id(next.server()), targetInstance(next));
         assertNull(kvFrom(next));
         beginStream(next);
         next.wire().chunk(event(3));
@@ -174,112 +174,112 @@
         next.wire().lastChunk();
         assertEquals(event(4), stream.client().readChunk());
         assertEquals("", stream.client().readChunk());
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
-    /** A stream breaks if it is reset, closed too early or malformed. */
+    /** A stream is broken if it is reset, closed too early or malformed. */
     @ParameterizedTest
     @ValueSource(strings = {"reset", "close", "malformed chunk"})
     void aStreamIsResumedAfterEveryKindOfBreak(String how) throws Exception {
         disableHedging();
-        net.servers.decodeServers(4);
+        fixture.servers.decodeServers(4);
         BegunStream stream = begin("/res/");
         switch (how) {
             case "reset" -> stream.server().reset();
             case "close" -> stream.server().close();
             default -> stream.server().send("malformed chunk\r\n");
         }
-        Call next = net.nextCall();
+        Call next = fixture.nextCall();
         assertEquals("1", lastEventId(next), how);
         assertResumed(next, stream.client(), 2);
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void aStreamThatTheClientResumesIsResumedAfterItsLastEventId() throws Exception {
-        net.servers.decodeServers(2);
-        Wire client = net.sendRequest("/two/", PROMPT + "Last-Event-Id: 12\r\n");
-        Call first = net.nextCall();
+        fixture.servers.decodeServers(2);
+        Wire client = fixture.sendRequest("/two/", PROMPT + "Last-Event-Id: 12\r\n");
+        Call first = fixture.nextCall();
         assertEquals("12", lastEventId(first));
         first.wire().reset();
-        Call second = net.nextCall();
+        Call second = fixture.nextCall();
         assertEquals("12", lastEventId(second));
         beginStream(second);
         second.wire().chunk(event(13));
         assertEquals(200, client.readHead().status());
         assertEquals(event(13), client.readChunk());
         second.wire().reset();
-        assertBrokenOff(client); // it may resume after event 13
-        net.assertQuiet();
+        assertAborted(client); // it may resume after event 13
+        fixture.assertQuiet();
     }
 
     @Test
-    void aBrokenStreamThatIsNotResumableIsBrokenOff() throws Exception {
-        net.servers.decodeServers(2);
+    void aBrokenStreamThatIsNotResumableIsAborted() throws Exception {
+        fixture.servers.decodeServers(2);
         BegunStream stream = begin("/gen/");
         stream.server().chunk("id: 2\ndata: half");
         stream.server().reset();
-        assertBrokenOff(stream.client());
-        net.assertQuiet();
+        assertAborted(stream.client());
+        fixture.assertQuiet();
     }
 
     @Test
     void aStreamThatBreaksBeforeItsFirstEventIsRetriedOnlyIfResumable() throws Exception {
-        net.servers.decodeServers(2);
-        Wire resumable = net.sendRequest("/res/", PROMPT);
-        Call first = net.nextCall();
+        fixture.servers.decodeServers(2);
+        Wire resumable = fixture.sendRequest("/res/", PROMPT);
+        Call first = fixture.nextCall();
         beginStream(first);
         first.wire().chunk("id: 1\nda");
         first.wire().reset();
-        Call second = net.nextCall();
+        Call second = fixture.nextCall();
         assertNull(lastEventId(second));
         assertStreamed(second, resumable, 1);
-        Wire once = net.sendRequest("/gen/", PROMPT);
-        Call decodeCall = net.nextCall();
+        Wire once = fixture.sendRequest("/gen/", PROMPT);
+        Call decodeCall = fixture.nextCall();
         beginStream(decodeCall);
         decodeCall.wire().chunk("id: 1\nda");
         decodeCall.wire().reset();
         assertEquals(502, once.read().status());
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void aStreamIsResumedOnlyWithinMaxAttempts() throws Exception {
-        net.servers.decodeServers(3);
+        fixture.servers.decodeServers(3);
         BegunStream stream = begin("/two/");
         stream.server().reset();
-        Call next = net.nextCall();
+        Call next = fixture.nextCall();
         beginStream(next);
         next.wire().chunk(event(2));
         assertEquals(event(2), stream.client().readChunk());
         next.wire().reset();
-        assertBrokenOff(stream.client());
-        net.assertQuiet();
+        assertAborted(stream.client());
+        fixture.assertQuiet();
     }
 
     @Test
-    void aRejectedResumptionIsRetriedAndAFailedOneIsBrokenOff() throws Exception {
+    void aRejectedResumptionIsRetriedAndAFailedOneIsAborted() throws Exception {
         disableHedging();
-        net.servers.decodeServers(3);
+        fixture.servers.decodeServers(3);
         BegunStream stream = begin("/res/");
         stream.server().reset();
-        Call second = net.nextCall();
+        Call second = fixture.nextCall();
         reject(second);
-        Call third = net.nextCall();
+        Call third = fixture.nextCall();
         assertEquals("1", lastEventId(third));
         answer(third, "500 Internal Server Error", SEAL, "broken");
-        assertBrokenOff(stream.client());
-        net.assertQuiet();
+        assertAborted(stream.client());
+        fixture.assertQuiet();
     }
 
     @Test
-    void withoutARetryBudgetABrokenStreamIsBrokenOff() throws Exception {
+    void withoutARetryBudgetABrokenStreamIsAborted() throws Exception {
         try (ForwarderFixture withoutRetries =
-                fixture().retryLimits(ForwarderFixture.NO_RETRIES).start()) {
+                fixtureBuilder().retryLimits(ForwarderFixture.NO_RETRIES).start()) {
             withoutRetries.servers.decodeServers(2);
             BegunStream stream = BegunStream.begin(withoutRetries, "/res/", PROMPT);
             stream.server().reset();
-            assertBrokenOff(stream.client());
+            assertAborted(stream.client());
             withoutRetries.assertQuiet();
         }
     }
@@ -288,25 +288,25 @@
 
     @Test
     void aStalledStreamIsResumedAtAnotherServer() throws Exception {
-        net.servers.decodeServers(2);
-        BegunStream stream = BegunStream.begin(net, "/res/", PROMPT);
-        Call next = net.nextCall();
+        fixture.servers.decodeServers(2);
+        BegunStream stream = BegunStream.begin(fixture, "/res/", PROMPT);
+        Call next = fixture.nextCall();
         stream.server().awaitEnd();
         assertNotSame(stream.decode().server(), next.server());
         assertEquals("1", lastEventId(next));
         assertResumed(next, stream.client(), 2);
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     /** The longer timeout that allows for prefill applies only until the first event. */
     @Test
     void aStartedStreamOfALongPromptIsResumedAfterTheUsualStallTimeout() throws Exception {
-        net.servers.decodeServers(2);
+        fixture.servers.decodeServers(2);
         BegunStream stream = begin("/res/");
-        net.pass(2 * PAST_STALL_TIMEOUT_MS);
-        assertFalse(isInFlight(net, stream), "the stalled attempt was not cancelled");
+        fixture.pass(2 * PAST_STALL_TIMEOUT_MS);
+        assertFalse(isInFlight(fixture, stream), "the stalled attempt was not cancelled");
         stream.server().awaitEnd();
-        assertEquals("1", net.nextCall().message().header("Last-Event-Id"));
+        assertEquals("1", fixture.nextCall().message().header("Last-Event-Id"));
     }
 
     /** Whether the forwarder has an attempt in flight at the stream's server; available before the connection ends. */
@@ -329,27 +329,27 @@
 
     @Test
     void aStalledStreamThatIsNotResumableContinues() throws Exception {
-        net.servers.decodeServers(2);
-        assertAttemptContinues(net, BegunStream.begin(net, "/gen/", PROMPT));
+        fixture.servers.decodeServers(2);
+        assertAttemptContinues(fixture, BegunStream.begin(fixture, "/gen/", PROMPT));
     }
 
     @Test
     void aStalledStreamAtItsLastAttemptContinues() throws Exception {
-        net.servers.decodeServers(2);
-        assertAttemptContinues(net, BegunStream.begin(net, "/last/", PROMPT));
+        fixture.servers.decodeServers(2);
+        assertAttemptContinues(fixture, BegunStream.begin(fixture, "/last/", PROMPT));
     }
 
     /** A stalled decode is not cancelled if no other server can resume it. */
     @Test
     void aStalledStreamThatNoOtherServerCanResumeContinues() throws Exception {
-        net.servers.decode();
-        assertAttemptContinues(net, BegunStream.begin(net, "/res/", PROMPT));
+        fixture.servers.decode();
+        assertAttemptContinues(fixture, BegunStream.begin(fixture, "/res/", PROMPT));
     }
 
     @Test
     void aStalledStreamContinuesWithoutARetryBudget() throws Exception {
         try (ForwarderFixture withoutRetries =
-                fixture().retryLimits(ForwarderFixture.NO_RETRIES).start()) {
+                fixtureBuilder().retryLimits(ForwarderFixture.NO_RETRIES).start()) {
             withoutRetries.servers.decodeServers(2);
             assertAttemptContinues(withoutRetries, BegunStream.begin(withoutRetries, "/res/", PROMPT));
         }
@@ -360,7 +360,7 @@
     /** Sends the request again if the machine is too slow to relay an event before the deadline. */
     private BegunStream beginBeforeDeadline(String target) throws Exception {
         for (int sends = 0; sends < ForwarderFixture.MAX_SENDS; sends++) {
-            ForwarderFixture.InFlight request = net.sendUntilAtServer(target, PROMPT);
+            ForwarderFixture.InFlight request = fixture.sendUntilAtServer(target, PROMPT);
             try {
                 beginStream(request.call());
                 request.call().wire().chunk(event(1));
@@ -378,59 +378,59 @@
     }
 
     @Test
-    void aStreamAtItsDeadlineIsBrokenOffWithoutASecondHead() throws Exception {
-        net.servers.decodeServers(2);
+    void aStreamAtItsDeadlineIsAbortedWithoutASecondHead() throws Exception {
+        fixture.servers.decodeServers(2);
         BegunStream stream = beginBeforeDeadline("/brief/");
-        assertBrokenOff(stream.client());
+        assertAborted(stream.client());
         stream.server().awaitEnd();
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
-    @ResumableAndNotTest
+    @TestOnResumableAndNonResumableRoutes
     void aClientThatDisconnectsWithinItsStreamCancelsIt(String target) throws Exception {
         disableHedging();
-        net.servers.decodeServers(2);
+        fixture.servers.decodeServers(2);
         BegunStream stream = begin(target);
         stream.client().close();
         stream.server().awaitEnd();
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     /** The client's disconnect and the server's reset arrive at the same time and are handled in either order. */
     @Test
     void aClientsDisconnectThatRacesWithAServersResetLeavesNothingOpen() throws Exception {
-        net.servers.decodeServers(2);
+        fixture.servers.decodeServers(2);
         BegunStream stream = begin("/res/");
-        OnLoop.run(net.loop, () -> {
+        OnLoop.run(fixture.loop, () -> {
             stream.client().reset();
             stream.server().reset();
         });
-        net.awaitNoOpenRequest();
-        while (!net.servers.calls.isEmpty()) {
-            net.nextCall().wire().awaitEnd();
+        fixture.awaitNoOpenRequest();
+        while (!fixture.servers.calls.isEmpty()) {
+            fixture.nextCall().wire().awaitEnd();
         }
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void aClientThatDisconnectsDuringResumptionCancelsIt() throws Exception {
-        net.servers.decodeServers(2);
+        fixture.servers.decodeServers(2);
         BegunStream stream = begin("/res/");
         stream.server().reset();
-        Call next = net.nextCall();
+        Call next = fixture.nextCall();
         stream.client().close();
         next.wire().awaitEnd();
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
     void theConnectionOfACompleteStreamIsReused() throws Exception {
-        net.servers.decode();
+        fixture.servers.decode();
         BegunStream stream = begin("/gen/");
         stream.assertEnds();
-        net.pass(30);
+        fixture.pass(30);
         stream.client().send(request("/gen/", PROMPT, ""));
-        Call next = net.nextCall();
+        Call next = fixture.nextCall();
         assertSame(stream.server(), next.wire());
     }
 }
--- a/dataplane/src/test/java/dewplank/dataplane/TenantNameTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/TenantNameTest.java
@@ -30,7 +30,7 @@
 
 /**
  * A server receives the name of the tenant to which the client's key belongs, as set by the data plane only, and never
- * the key itself (PROTOCOL, Requests; rule UNASKED).
+ * the key itself (section "Requests" of the operators' protocol; the emulator checks it as rule UNASKED).
  */
 class TenantNameTest {
     private static final String ACME = "acme";
@@ -52,7 +52,7 @@
         streamingRoute("res", 3).asResumable()
     };
 
-    private ForwarderFixture net;
+    private ForwarderFixture fixture;
 
     private static String tenant(String name, String keys) {
         return "{\"name\":\"" + name + "\",\"access_keys\":[" + keys
@@ -60,8 +60,8 @@
     }
 
     @BeforeEach
-    void begin() throws Exception {
-        net = ForwarderFixture.builder()
+    void setUp() throws Exception {
+        fixture = ForwarderFixture.builder()
                 .withoutHedging()
                 .tenants(TENANTS)
                 .routes(ROUTES)
@@ -69,8 +69,8 @@
     }
 
     @AfterEach
-    void end() throws IOException {
-        net.close();
+    void tearDown() throws IOException {
+        fixture.close();
     }
 
     private static void assertHasTenant(String tenant, Call call) {
@@ -91,10 +91,10 @@
 
     /** Serves a request on a plain route and returns its only call to a server. */
     private Call serve(String target, String fields) throws Exception {
-        Wire client = net.sendRequest(target, fields);
-        Call call = net.nextCall();
+        Wire client = fixture.sendRequest(target, fields);
+        Call call = fixture.nextCall();
         assertServed(call, client, "");
-        net.assertQuiet();
+        fixture.assertQuiet();
         return call;
     }
 
@@ -103,17 +103,17 @@
 
     /** Serves a generation request; checks that there are no further calls. */
     private Generation serveGeneration(String fields, Change betweenCalls) throws Exception {
-        net.servers.prefill();
-        net.servers.decode();
-        Wire client = net.sendRequest("/gen/", PROMPT + fields);
-        Call prefill = net.nextCall();
+        fixture.servers.prefill();
+        fixture.servers.decode();
+        Wire client = fixture.sendRequest("/gen/", PROMPT + fields);
+        Call prefill = fixture.nextCall();
         assertEquals("prefill", stage(prefill));
         betweenCalls.apply();
         handOver(prefill, "h");
-        Call decode = net.nextCall();
+        Call decode = fixture.nextCall();
         assertNull(stage(decode));
         assertStreamed(decode, client, 1);
-        net.assertQuiet();
+        fixture.assertQuiet();
         return new Generation(prefill, decode);
     }
 
@@ -123,14 +123,14 @@
     }
 
     private void reassignKey() throws Exception {
-        net.tenants(TENANTS_AFTER_REASSIGNMENT, ROUTES);
+        fixture.tenants(TENANTS_AFTER_REASSIGNMENT, ROUTES);
     }
 
     // ---- plain routes --------------------------------------------------------------------------------
 
     @Test
     void aServerReceivesTheNameOfTheKeysTenant() throws Exception {
-        net.servers.plain();
+        fixture.servers.plain();
         assertHasTenant(ACME, serve("/safe/", KEY));
         assertHasTenant(BIRCH, serve("/safe/", BIRCH_KEY));
     }
@@ -146,14 +146,14 @@
                 BIRCH_NAME_FIELD + "Connection: X-Dewplank-Tenant-Name\r\n"
             })
     void aTenantNameFromTheClientIsReplaced(String fields) throws Exception {
-        net.servers.plain();
+        fixture.servers.plain();
         assertHasTenant(ACME, serve("/safe/", KEY + fields));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {KEY, "authorization: Bearer k-1\r\n", "AUTHORIZATION:   Bearer k-1  \r\n"})
     void aServerDoesNotReceiveTheKey(String key) throws Exception {
-        net.servers.plain();
+        fixture.servers.plain();
         assertOmitsKey(serve("/safe/", key));
     }
 
@@ -161,19 +161,19 @@
 
     @Test
     void aTenantNameFromTheClientIsRemovedOnAPublicRoute() throws Exception {
-        net.servers.plain();
+        fixture.servers.plain();
         assertEquals(0, serve("/open/", BIRCH_NAME_FIELD).message().count(TENANT_NAME));
     }
 
     @Test
     void aServerDoesNotReceiveTheKeyOnAPublicRoute() throws Exception {
-        net.servers.plain();
+        fixture.servers.plain();
         assertOmitsKey(serve("/open/", KEY));
     }
 
     @Test
     void aServerDoesNotReceiveAnotherTenantsNameOnAPublicRoute() throws Exception {
-        net.servers.plain();
+        fixture.servers.plain();
         assertNotEquals(BIRCH, tenantName(serve("/open/", KEY + BIRCH_NAME_FIELD)));
     }
 
@@ -181,23 +181,23 @@
 
     @Test
     void aRequestHasTheTenantToWhichItsKeyWasReassigned() throws Exception {
-        net.servers.plain();
+        fixture.servers.plain();
         reassignKey();
         assertHasTenant(BIRCH, serve("/safe/", KEY));
     }
 
     @Test
     void aRetryAfterAReassignmentOfItsKeyHasAnAllowedTenant() throws Exception {
-        net.servers.plainServers(2);
-        Wire client = net.sendRequest("/safe/", KEY);
-        Call rejected = net.nextCall();
+        fixture.servers.plainServers(2);
+        Wire client = fixture.sendRequest("/safe/", KEY);
+        Call rejected = fixture.nextCall();
         reassignKey();
         reject(rejected);
-        Call retry = net.nextCall();
+        Call retry = fixture.nextCall();
         assertServed(retry, client, "");
         assertHasAnAllowedTenant(retry);
         assertOmitsKey(retry);
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 
     @Test
@@ -225,14 +225,14 @@
 
     @Test
     void aResumedStreamHasTheTenantAndOmitsTheKey() throws Exception {
-        net.servers.decodeServers(2);
-        BegunStream stream = BegunStream.begin(net, "/res/", KEY + BIRCH_NAME_FIELD);
+        fixture.servers.decodeServers(2);
+        BegunStream stream = BegunStream.begin(fixture, "/res/", KEY + BIRCH_NAME_FIELD);
         stream.server().close();
-        Call resumption = net.nextCall();
+        Call resumption = fixture.nextCall();
         assertEquals("1", lastEventId(resumption));
         assertResumed(resumption, stream.client(), 2);
         assertHasTenant(ACME, resumption);
         assertOmitsKey(resumption);
-        net.assertQuiet();
+        fixture.assertQuiet();
     }
 }
--- a/dataplane/src/test/java/dewplank/dataplane/ResumableAndNotTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/TestOnResumableAndNonResumableRoutes.java
@@ -12,4 +12,4 @@
 @Retention(RetentionPolicy.RUNTIME)
 @ParameterizedTest
 @ValueSource(strings = {"/gen/", "/res/"})
-@interface ResumableAndNotTest {}
+@interface TestOnResumableAndNonResumableRoutes {}
--- a/dataplane/src/test/java/dewplank/dataplane/SafeAndUnsafeTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/TestOnSafeAndUnsafeRoutes.java
@@ -12,4 +12,4 @@
 @Retention(RetentionPolicy.RUNTIME)
 @ParameterizedTest
 @ValueSource(strings = {"/safe/", "/once/"})
-@interface SafeAndUnsafeTest {}
+@interface TestOnSafeAndUnsafeRoutes {}
--- a/dataplane/src/test/java/dewplank/dataplane/TestRoute.java
+++ b/dataplane/src/test/java/dewplank/dataplane/TestRoute.java
@@ -11,7 +11,10 @@
         int gapTargetMs,
         boolean resumable,
         boolean isPublic) {
-    /** Longer than any wait of a test, shorter than the remaining time that {@link ClientRequests} state. */
+    /**
+     * Timeout of routes: longer than any wait of a test, and shorter than the remaining time that {@link
+     * ClientRequests} state.
+     */
     static final int DEFAULT_TIMEOUT_MS = 8_000;
 
     private static final int DEFAULT_TARGET_LATENCY_MS = 4_000;
