--- a/simulation/src/test/java/dewplank/controlplane/ControlProcess.java
+++ b/simulation/src/test/java/dewplank/controlplane/ControlProcess.java
@@ -3,8 +3,8 @@
 import dewplank.configuration.Configuration;
 import dewplank.exchange.InboundConnection;
 import dewplank.exchange.Responder;
-import dewplank.http.CallHeaders;
 import dewplank.http.Headers;
+import dewplank.http.SimulatedRequestHeaders;
 import dewplank.membership.Member;
 import dewplank.message.Endpoint;
 import dewplank.message.MessageCodec;
@@ -23,10 +23,10 @@
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 
-/** The control plane as it ships, its wiring included, on simulated time, links and disk. */
+/** The production control plane, including its wiring, on simulated time, links and disk. */
 public final class ControlProcess {
-    /** What the simulation gives it. */
-    public interface Surroundings {
+    /** The external dependencies that the simulation provides. */
+    public interface Dependencies {
         Scheduler scheduler();
 
         long wallClockMs();
@@ -41,51 +41,51 @@
 
         DiskExecutor disk();
 
-        /** Asks the platform under a fencing number; null says that it could not be read. */
-        void list(Consumer<List<Endpoint>> then);
+        /** Requests the list of instances from the platform; {@code callback} receives null if the request failed. */
+        void fetchInstances(Consumer<List<Endpoint>> callback);
     }
 
-    /** An answer to an operator. */
-    public record Answer(int status, String location, byte[] body) {}
+    /** A response to an operator. */
+    public record Response(int status, String location, byte[] body) {}
 
     private final ControlPlane plane;
-    private OperatorApi operators;
-    private boolean takesCalls;
+    private OperatorApi operatorApi;
+    private boolean acceptsRequests;
 
-    /** @param diskUsable told when a disk that can't be used now can be */
-    public ControlProcess(NodeSettings settings, Surroundings surroundings, MessageCodec codec, Runnable diskUsable)
+    /** @param diskUsable run when a disk that was unusable at the start becomes usable */
+    public ControlProcess(NodeSettings settings, Dependencies dependencies, MessageCodec codec, Runnable diskUsable)
             throws IOException {
-        plane = new ControlPlane(settings, new Environment(surroundings), codec, Policy.ALL_ENABLED, diskUsable);
+        plane = new ControlPlane(settings, new Environment(dependencies), codec, Policy.ALL_ENABLED, diskUsable);
     }
 
-    /** Begins as the program does. */
+    /** Starts the control plane in the same way as the program. */
     public void start() {
         plane.start();
     }
 
-    /** SIGHUP. */
+    /** Reloads the settings, as on SIGHUP. */
     public void reload(NodeSettings next) {
         plane.reload(next);
     }
 
-    /** SIGTERM. */
+    /** Drains the control plane, as on SIGTERM, then runs {@code ended}. */
     public void drain(Runnable ended) {
         plane.drain(ended);
     }
 
-    /** Whether it listens for operators. */
-    public boolean takesCalls() {
-        return takesCalls;
+    /** Whether the control plane accepts operators' requests. */
+    public boolean acceptsRequests() {
+        return acceptsRequests;
     }
 
-    /** An operator's call. */
-    public void call(String method, String target, String ifMatch, byte[] body, Consumer<Answer> then) {
-        operators.handle(
-                new InboundConnection.Request(method, target, CallHeaders.of("If-Match", ifMatch), body),
-                new Caller(then));
+    /** Handles a request from an operator. */
+    public void handleRequest(String method, String target, String ifMatch, byte[] body, Consumer<Response> callback) {
+        operatorApi.handle(
+                new InboundConnection.Request(method, target, SimulatedRequestHeaders.of("If-Match", ifMatch), body),
+                new CallbackResponder(callback));
     }
 
-    /** The newest configuration known to be chosen; null before the first. */
+    /** The newest configuration that this control plane knows to be chosen; null before the first. */
     public Configuration configuration() {
         return plane.components().history().newest();
     }
@@ -94,7 +94,7 @@
         return plane.components().history().version();
     }
 
-    public boolean holdsList() {
+    public boolean isListLeaseHolder() {
         return plane.components().roles().endpointList().isLeaseHolder();
     }
 
@@ -106,43 +106,43 @@
         return plane.components().configuration().acceptors();
     }
 
-    /** Whether it knows of a chosen value, so that {@link #acceptors} is a chosen set. */
+    /** Whether this control plane has a chosen value, so that {@link #acceptors} is a chosen set. */
     public boolean hasChosenValue() {
         return plane.components().configuration().hasChosenValue();
     }
 
-    /** Whether it reports that all founders, without a disk, have ended too early. */
+    /** Whether this control plane reports that all founders, which have no disk, stopped too early. */
     public boolean areFoundersLost() {
         return plane.components().founderTracker().areFoundersLost();
     }
 
-    /** Whether it serves without a vote, as its disk could not be used when it started. */
+    /** Whether this control plane serves without a vote because its disk was unusable when it started. */
     public boolean isDiskRefused() {
         return plane.components().diskFailure().isPresent();
     }
 
-    /** The data planes that it knows as members. */
+    /** The data planes that this control plane lists as members. */
     public List<Member> members() {
         return plane.components()
                 .sessionTable()
                 .members(plane.components().loop().now());
     }
 
-    /** What it tells operators of itself. */
+    /** The status document for operators. */
     public String status() {
         return new OperatorViews(plane.components()).status();
     }
 
-    /** The identity of its disk. */
+    /** The identity of this control plane's disk. */
     public String identity() {
         return plane.components().storage().identity();
     }
 
-    private static final class Caller implements Responder {
-        private final Consumer<Answer> then;
+    private static final class CallbackResponder implements Responder {
+        private final Consumer<Response> callback;
 
-        Caller(Consumer<Answer> then) {
-            this.then = then;
+        CallbackResponder(Consumer<Response> callback) {
+            this.callback = callback;
         }
 
         @Override
@@ -152,12 +152,12 @@
                     .map(Headers.Field::value)
                     .findFirst()
                     .orElse(null);
-            then.accept(new Answer(status, location, body));
+            callback.accept(new Response(status, location, body));
         }
 
         @Override
         public int hashCode() {
-            return 1; // the same in each run: sets of callers are gone through
+            return 1; // constant, so that sets of responders have the same iteration order in each run
         }
 
         @Override
@@ -167,52 +167,52 @@
     }
 
     private final class Environment implements ControlEnvironment {
-        private final Surroundings given;
+        private final Dependencies dependencies;
 
-        Environment(Surroundings given) {
-            this.given = given;
+        Environment(Dependencies dependencies) {
+            this.dependencies = dependencies;
         }
 
         @Override
         public Scheduler scheduler() {
-            return given.scheduler();
+            return dependencies.scheduler();
         }
 
         @Override
         public long wallClockMs() {
-            return given.wallClockMs();
+            return dependencies.wallClockMs();
         }
 
         @Override
         public RandomGenerator random() {
-            return given.random();
+            return dependencies.random();
         }
 
         @Override
         public String newIdentity() {
-            return given.newIdentity();
+            return dependencies.newIdentity();
         }
 
         @Override
         public MessageTransport transport() {
-            return given.transport();
+            return dependencies.transport();
         }
 
         @Override
         public StoreFiles files() {
-            return given.files();
+            return dependencies.files();
         }
 
         @Override
         public DiskExecutor disk() {
-            return given.disk();
+            return dependencies.disk();
         }
 
         @Override
         public PlatformClient platform() {
-            return callback -> given.list(servers -> {
+            return callback -> dependencies.fetchInstances(servers -> {
                 if (servers == null) {
-                    callback.failed("no answer");
+                    callback.failed("no response");
                 } else {
                     callback.completed(servers);
                 }
@@ -221,46 +221,46 @@
 
         @Override
         public ModelServerClient modelServers() {
-            return new NoModelServers();
+            return new UnresponsiveModelServers();
         }
 
         @Override
         public ServerEndpoint operators(OperatorApi api) {
-            operators = api;
+            operatorApi = api;
             return new ServerEndpoint() {
                 @Override
                 public void accept() {
-                    takesCalls = true;
+                    acceptsRequests = true;
                 }
 
                 @Override
                 public void close() {
-                    takesCalls = false;
+                    acceptsRequests = false;
                 }
             };
         }
 
         @Override
         public void stop() {
-            // The simulation ends the life itself.
+            // The simulation terminates the process itself.
         }
     }
 
-    /** Model servers that never answer. */
-    private static final class NoModelServers implements ModelServerClient {
+    /** Model servers that never respond. */
+    private static final class UnresponsiveModelServers implements ModelServerClient {
         @Override
         public void requestReport(Endpoint server, BooleanSupplier onlyIf, ResponseHandler handler) {
-            // Nothing comes back.
+            // No response arrives.
         }
 
         @Override
         public void sendOrder(Endpoint server, byte[] body, BooleanSupplier onlyIf, ResponseHandler handler) {
-            // Nothing comes back.
+            // No response arrives.
         }
 
         @Override
         public void retainOnly(Collection<String> addresses) {
-            // Nothing is kept.
+            // There are no connections to drop.
         }
     }
 }
--- a/simulation/src/test/java/dewplank/dataplane/DataProcess.java
+++ b/simulation/src/test/java/dewplank/dataplane/DataProcess.java
@@ -9,7 +9,7 @@
 import java.util.TreeSet;
 import java.util.random.RandomGenerator;
 
-/** What a data plane knows of the fleet, by its sessions: the parts that ship, on simulated time and links. */
+/** The production session client and fleet metadata of a data plane, on simulated time and links. */
 public final class DataProcess {
     private final FleetMetadata fleet;
     private final SessionClient sessions;
@@ -26,12 +26,12 @@
         sessions.setSeeds(controlAddresses);
     }
 
-    /** Begins to open sessions. */
+    /** Starts to open sessions. */
     public void start() {
         sessions.start();
     }
 
-    /** The settings file has changed. */
+    /** Applies a changed settings file. */
     public void reload(List<String> controlAddresses) {
         sessions.setSeeds(controlAddresses);
     }
@@ -49,20 +49,20 @@
         return fleet.listVersion().toString();
     }
 
-    /** Fencing number and count of the list in force. */
-    public long[] listOrder() {
+    /** The fencing token and the revision of the endpoint list in force. */
+    public long[] listVersionNumbers() {
         return new long[] {fleet.listVersion().fencingToken, fleet.listVersion().revision};
     }
 
-    /** The instances of the list in force. */
+    /** The instance IDs of the endpoint list in force. */
     public Set<String> instances() {
         Set<String> ids = new TreeSet<>();
         fleet.allServers().forEach(s -> ids.add(s.state.instanceId()));
         return ids;
     }
 
-    /** Whether requests could be served. */
-    public boolean complete() {
+    /** Whether the metadata is complete, so that requests could be served. */
+    public boolean isComplete() {
         return fleet.isComplete();
     }
 }
--- a/simulation/src/test/java/dewplank/simulation/ContactTracker.java
+++ b/simulation/src/test/java/dewplank/simulation/ContactTracker.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Which data planes are in touch, as the operators' rules define it, and whether the core is stable. */
+/** Determines which data planes are in contact, as the operators' rules define it, and whether the core is stable. */
 final class ContactTracker {
     private final SimulatedFleet fleet;
     private final Map<Machine, Double> lastFaultAt = new HashMap<>();
@@ -12,54 +12,54 @@
     private double linksFaultAt;
     private double lastCheckAt;
     private boolean beyondTolerance;
-    private double disturbedUntilMs;
-    private final Map<ControlMachine, Double> servedMs = new HashMap<>();
+    private double noContactUntilMs;
+    private final Map<ControlMachine, Double> connectedMs = new HashMap<>();
 
     ContactTracker(SimulatedFleet fleet) {
         this.fleet = fleet;
     }
 
     /**
-     * Losses may come closer than the tolerance has them: a machine that started with an empty disk then counts as lost
-     * until it has had catch_up_s beside a majority of others.
+     * Permits faults at shorter intervals than the fault tolerance. A machine that started with an empty disk then
+     * counts as lost until it has been connected for catch_up_s to a machine that reaches a majority.
      */
     void beyondTolerance() {
         beyondTolerance = true;
     }
 
-    /** A core machine starts with an empty disk while the system runs. */
-    void startedEmpty(ControlMachine machine) {
-        servedMs.put(machine, 0.0);
+    /** Records that a core machine starts with an empty disk while the fleet is running. */
+    void startedWithEmptyDisk(ControlMachine machine) {
+        connectedMs.put(machine, 0.0);
     }
 
-    /** A fault begins or ends at a machine. */
-    void disturbed(Machine machine) {
+    /** Records that a fault begins or ends at a machine. */
+    void recordFault(Machine machine) {
         lastFaultAt.put(machine, fleet.time().now());
         if (machine instanceof ControlMachine) {
             coreFaultAt = fleet.time().now();
         }
     }
 
-    /** A core machine is cut off from others of the core, or joined to them. */
-    void coreDisturbed() {
+    /** Records that a core machine is partitioned from other core machines, or that the partition heals. */
+    void recordCoreFault() {
         coreFaultAt = fleet.time().now();
     }
 
-    /** No data plane counts as in touch before, as no majority of the core's machines holds the acceptors. */
-    void disturbedUntil(double atMs) {
-        disturbedUntilMs = atMs;
+    /** Until that time no data plane counts as in contact, as the acceptors are not a majority of the core. */
+    void suppressContactUntil(double atMs) {
+        noContactUntilMs = atMs;
     }
 
-    /** Evaluates the fleet as it is now. */
+    /** Evaluates the current state of the fleet. */
     void check() {
         double now = fleet.time().now();
         List<ControlMachine> core = fleet.core();
         for (ControlMachine control : core) {
-            if (lacksTime(control)
+            if (isCatchingUp(control)
                     && core.stream()
                             .anyMatch(other ->
-                                    other != control && reachesMajority(other, core) && joined(other, control))) {
-                servedMs.merge(control, now - lastCheckAt, Double::sum);
+                                    other != control && reachesMajority(other, core) && isConnected(other, control))) {
+                connectedMs.merge(control, now - lastCheckAt, Double::sum);
             }
         }
         lastCheckAt = now;
@@ -72,39 +72,39 @@
             linksFaultAt = now;
         }
         for (DataMachine data : fleet.edge()) {
-            if (!data.runs() || connected.stream().anyMatch(control -> !joined(data, control))) {
+            if (!data.isRunning() || connected.stream().anyMatch(control -> !isConnected(data, control))) {
                 lastFaultAt.put(data, now);
             }
         }
     }
 
     private boolean reachesMajority(ControlMachine from, List<ControlMachine> core) {
-        return from.runs()
+        return from.isRunning()
                 && 2
                                 * core.stream()
-                                        .filter(control -> control.runs()
-                                                && joined(from, control)
-                                                && !(beyondTolerance && lacksTime(control)))
+                                        .filter(control -> control.isRunning()
+                                                && isConnected(from, control)
+                                                && !(beyondTolerance && isCatchingUp(control)))
                                         .count()
                         > core.size();
     }
 
-    private boolean lacksTime(ControlMachine machine) {
-        return machine.runs()
-                && servedMs.getOrDefault(machine, SimulatedFleet.CATCH_UP_MS) < SimulatedFleet.CATCH_UP_MS;
+    private boolean isCatchingUp(ControlMachine machine) {
+        return machine.isRunning()
+                && connectedMs.getOrDefault(machine, SimulatedFleet.CATCH_UP_MS) < SimulatedFleet.CATCH_UP_MS;
     }
 
-    private boolean joined(Machine one, Machine other) {
+    private boolean isConnected(Machine one, Machine other) {
         return fleet.network().reaches(one, other) && fleet.network().reaches(other, one);
     }
 
-    boolean isInTouch(DataMachine data) {
-        double calmSince = Math.max(disturbedUntilMs, Math.max(coreFaultAt, lastFaultAt.getOrDefault(data, 0.0)));
-        return fleet.time().now() - calmSince > SimulatedFleet.CONTACT_MS;
+    boolean isInContact(DataMachine data) {
+        double faultFreeSince = Math.max(noContactUntilMs, Math.max(coreFaultAt, lastFaultAt.getOrDefault(data, 0.0)));
+        return fleet.time().now() - faultFreeSince > SimulatedFleet.CONTACT_MS;
     }
 
-    /** Since when the core was stable and no link had a fault. */
-    double calmSince() {
+    /** The time since which the core has been stable and no link has had a fault. */
+    double faultFreeSince() {
         return Math.max(coreFaultAt + SimulatedFleet.CONTACT_MS, linksFaultAt);
     }
 }
--- a/simulation/src/test/java/dewplank/simulation/ControlMachine.java
+++ b/simulation/src/test/java/dewplank/simulation/ControlMachine.java
@@ -14,7 +14,7 @@
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 
-/** A core machine: the control plane and its disk; or a machine without a disk that runs the same program. */
+/** A core machine with a control plane and its disk, or a machine without a disk that runs the same program. */
 final class ControlMachine extends Machine {
     private static final String NO_DISK = "\"data_directory\":null";
 
@@ -38,7 +38,7 @@
         this(fleet, name, ip, seeds, initialStart, true, random);
     }
 
-    /** A machine without a disk, at the first start of the whole. */
+    /** Creates a machine without a disk for the initial start of the fleet. */
     static ControlMachine relay(
             SimulatedFleet fleet, String name, String ip, List<String> seeds, SplittableRandom random) {
         return new ControlMachine(fleet, name, ip, seeds, true, false, random);
@@ -71,24 +71,24 @@
         return diskFaults;
     }
 
-    /** The settings file is written anew; the process reads it now or at its next start. */
-    void seeds(List<String> next) {
+    /** Replaces the settings file; a running process reloads it, another one reads it at its next start. */
+    void changeSeeds(List<String> next) {
         seeds = next;
         if (process != null) {
             process.reload(settings());
         }
     }
 
-    /** Its settings say {@code initial_start} also when it starts again. */
+    /** Keeps {@code initial_start} set in the settings when the process restarts. */
     void keepInitialSettings() {
         settingsStayInitial = true;
     }
 
-    /** The disk is lost while the machine is down. */
+    /** Replaces the disk with an empty one while the machine is down. */
     void wipe() {
         fleet().log(name() + " loses its disk");
         disk.wipe();
-        disk.fill(false);
+        disk.setFull(false);
     }
 
     NodeSettings settings() {
@@ -97,11 +97,15 @@
     }
 
     @Override
-    boolean begin(ProcessIncarnation begun) {
-        executor = new SimulatedDiskExecutor(fleet().time(), begun, disk, diskFaults, random().split());
+    boolean startProcess(ProcessIncarnation newIncarnation) {
+        executor = new SimulatedDiskExecutor(fleet().time(), newIncarnation, disk, diskFaults, random().split());
         incarnationName = name() + "#" + incarnationCount();
         try {
-            process = new ControlProcess(settings(), new Given(begun), FleetMessages.codec(), () -> diskUsable(begun));
+            process = new ControlProcess(
+                    settings(),
+                    new ProcessDependencies(newIncarnation),
+                    FleetMessages.codec(),
+                    () -> restartWithDisk(newIncarnation));
         } catch (IOException e) {
             fleet().log(name() + ": " + e.getMessage());
             return false;
@@ -111,8 +115,8 @@
         return true;
     }
 
-    /** The process ends itself and begins anew with the same settings. */
-    private void diskUsable(ProcessIncarnation withoutDisk) {
+    /** Restarts the process with the same settings, as the program does when its disk becomes usable. */
+    private void restartWithDisk(ProcessIncarnation withoutDisk) {
         fleet().time().after(0, () -> {
             if (incarnation() == withoutDisk) {
                 kill();
@@ -122,8 +126,8 @@
     }
 
     @Override
-    void ended(boolean powerLost) {
-        executor.die();
+    void onProcessEnded(boolean powerLost) {
+        executor.abort();
         process = null;
         if (powerLost) {
             disk.losePower();
@@ -137,30 +141,30 @@
         }
     }
 
-    /** SIGTERM: ends in order and is started again after a while. */
-    void terminate(double pause) {
+    /** Drains the process, as on SIGTERM, and restarts it after a delay. */
+    void terminate(double delayMs) {
         ProcessIncarnation ending = incarnation();
-        fleet().log(name() + " is told to end");
+        fleet().log(name() + " receives SIGTERM");
         process.drain(() -> fleet().time().after(0, () -> {
             if (incarnation() == ending) {
                 kill();
-                fleet().time().after(pause, this::start);
+                fleet().time().after(delayMs, this::start);
             }
         }));
     }
 
-    private final class Given implements ControlProcess.Surroundings {
-        private final ProcessIncarnation begun;
+    private final class ProcessDependencies implements ControlProcess.Dependencies {
+        private final ProcessIncarnation incarnation;
         private final MessageTransport transport;
 
-        Given(ProcessIncarnation begun) {
-            this.begun = begun;
-            this.transport = fleet().network().transport(ControlMachine.this, begun);
+        ProcessDependencies(ProcessIncarnation incarnation) {
+            this.incarnation = incarnation;
+            this.transport = fleet().network().transport(ControlMachine.this, incarnation);
         }
 
         @Override
         public Scheduler scheduler() {
-            return begun;
+            return incarnation;
         }
 
         @Override
@@ -194,8 +198,8 @@
         }
 
         @Override
-        public void list(Consumer<List<Endpoint>> then) {
-            fleet().platform().fetchInstances(ControlMachine.this, begun, then);
+        public void fetchInstances(Consumer<List<Endpoint>> callback) {
+            fleet().platform().fetchInstances(ControlMachine.this, incarnation, callback);
         }
     }
 }
--- a/simulation/src/test/java/dewplank/simulation/ControlPlaneHistoriesTest.java
+++ b/simulation/src/test/java/dewplank/simulation/ControlPlaneHistoriesTest.java
@@ -12,49 +12,50 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Whole control planes, data planes' sessions, operators, the platform and disks in virtual time, under every fault
- * that a deployment knows. {@code -Dhistories=N -Dseed=S} plays N histories from seed S on; a seed plays again exactly.
+ * Complete control planes, data planes' sessions, operators, the platform and disks in virtual time, under every kind
+ * of fault of a deployment. {@code -Dhistories=N -Dseed=S} executes N simulation runs with the seeds from S on; runs
+ * with the same seed are identical.
  */
 class ControlPlaneHistoriesTest {
     private static final int DEFAULT_HISTORIES = 2_000;
-    private static final int SHOWN = 12;
+    private static final int MAX_SHOWN_FAILURES = 12;
 
     @Test
-    void everyHistoryKeepsTheRules() {
+    void everySimulationRunKeepsTheInvariants() {
         long first = Long.getLong("seed", 0);
         int histories = Integer.getInteger("histories", System.getProperty("seed") == null ? DEFAULT_HISTORIES : 1);
         Map<Long, Throwable> failures = new ConcurrentSkipListMap<>();
-        AtomicLong answers = new AtomicLong();
+        AtomicLong responses = new AtomicLong();
         long began = System.nanoTime();
         LongStream.range(first, first + histories).parallel().forEach(seed -> {
             History history = new History(seed);
             try {
-                history.play();
+                history.run();
             } catch (AssertionError | RuntimeException failure) {
                 failures.put(seed, failure);
             }
-            answers.addAndGet(history.fleet().invariants().answers());
+            responses.addAndGet(history.fleet().invariants().responses());
         });
         System.out.printf(
-                "histories: %d from seed %d, %d answers to operators, %d broken, %.1f s%n",
-                histories, first, answers.get(), failures.size(), (System.nanoTime() - began) / 1e9);
+                "histories: %d from seed %d, %d responses to operators, %d failed, %.1f s%n",
+                histories, first, responses.get(), failures.size(), (System.nanoTime() - began) / 1e9);
         Map<Long, String> shown = new TreeMap<>();
         failures.forEach((seed, failure) -> {
-            if (shown.size() < SHOWN) {
+            if (shown.size() < MAX_SHOWN_FAILURES) {
                 shown.put(seed, failure.toString());
             }
         });
         if (!failures.isEmpty()) {
             throw new AssertionError(
-                    failures.size() + " histories break a rule: " + shown,
+                    failures.size() + " histories violate an invariant: " + shown,
                     failures.values().iterator().next());
         }
-        assertTrue(answers.get() > 5L * histories, "hardly anything was answered");
+        assertTrue(responses.get() > 5L * histories, "too few requests got a response");
     }
 
-    /** Nothing that a history does depends on more than its seed. */
+    /** A simulation run depends on its seed alone. */
     @Test
-    void aSeedReplaysExactly() {
+    void runsOfTheSameSeedAreIdentical() {
         for (long seed : List.of(1L, 2L, 3L, 4L, 5L)) {
             assertEquals(digest(seed), digest(seed), "seed " + seed);
         }
@@ -63,8 +64,8 @@
     private static long digest(long seed) {
         History history = new History(seed);
         try {
-            history.play();
-        } catch (AssertionError broken) {
+            history.run();
+        } catch (AssertionError failure) {
             return history.fleet().invariants().digest();
         }
         return history.fleet().invariants().digest();
--- a/simulation/src/test/java/dewplank/simulation/DataMachine.java
+++ b/simulation/src/test/java/dewplank/simulation/DataMachine.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** An edge machine: what the data plane knows, without its traffic. */
+/** An edge machine with a data plane's session client and fleet metadata, without request traffic. */
 final class DataMachine extends Machine {
     private List<String> seeds;
     private DataProcess process;
@@ -20,12 +20,12 @@
         return process;
     }
 
-    /** The incarnation that the process names itself by. */
+    /** The incarnation number that the process reports: the wall-clock time of its start. */
     long incarnationAtStart() {
         return incarnationAtStart;
     }
 
-    void seeds(List<String> next) {
+    void changeSeeds(List<String> next) {
         seeds = next;
         if (process != null) {
             process.reload(addresses());
@@ -39,24 +39,24 @@
     }
 
     @Override
-    boolean begin(ProcessIncarnation begun) {
+    boolean startProcess(ProcessIncarnation newIncarnation) {
         incarnationAtStart = wallClockMs();
         Member self = new Member(name(), Member.DATA, ip() + ":" + (INTERNAL_PORT + 1), "z", incarnationAtStart);
         process = new DataProcess(
-                begun,
-                fleet().network().transport(this, begun),
+                newIncarnation,
+                fleet().network().transport(this, newIncarnation),
                 self,
                 random().split(),
                 SimulatedFleet.CONTACT_MS,
                 addresses());
-        begun.execute(process::start);
+        newIncarnation.execute(process::start);
         return true;
     }
 
     @Override
-    void ended(boolean powerLost) {
+    void onProcessEnded(boolean powerLost) {
         process = null;
-        fleet().invariants().ended(this);
+        fleet().invariants().onProcessEnded(this);
     }
 
     @Override
--- a/simulation/src/test/java/dewplank/simulation/FaultInjector.java
+++ b/simulation/src/test/java/dewplank/simulation/FaultInjector.java
@@ -4,13 +4,14 @@
 import java.util.SplittableRandom;
 
 /**
- * Injects faults: within the tolerance, one counted machine at a time, the next one exactly catch_up_s after the last
- * is back or its successor has started; or without it, any number at once, with disks kept.
+ * Injects faults. Within the fault tolerance, only one machine that counts towards the tolerance has a fault at a time,
+ * and the next fault begins catch_up_s or more after that machine recovered or its successor started. Beyond the
+ * tolerance, any number of machines have faults at the same time, and at most one disk is lost.
  */
 final class FaultInjector {
-    private static final double MEAN_PAUSE_MS = 900;
-    private static final double MAX_LOSS_MS = 3_500;
-    private static final double SHORT_LOSS_MS = 700;
+    private static final double MEAN_INTERVAL_MS = 900;
+    private static final double MAX_FAULT_MS = 3_500;
+    private static final double SHORT_FAULT_MS = 700;
     private static final double MAX_CLOCK_STEP_MS = 8_000;
 
     private final SimulatedFleet fleet;
@@ -24,257 +25,258 @@
         this.random = random;
     }
 
-    /** Whether no counted machine has a fault. */
-    boolean isOver() {
+    /** Whether no machine that counts towards the fault tolerance has a fault. */
+    boolean hasNoActiveFaults() {
         return activeFaults == 0;
     }
 
     // ---- within the tolerance --------------------------------------------------------------------------------
 
-    /** Loses one counted machine after the other; the last is back before the end. */
-    void tolerated(double from, double end) {
+    /** Injects faults into one counted machine after the other; no fault begins after {@code end}. */
+    void injectTolerated(double from, double end) {
         endMs = end;
-        fleet.time().at(from, this::loseNext);
-        fleet.time().at(from + random.nextDouble() * MEAN_PAUSE_MS, this::uncounted);
+        fleet.time().at(from, this::injectNextFault);
+        fleet.time().at(from + random.nextDouble() * MEAN_INTERVAL_MS, this::injectUncounted);
     }
 
-    private void loseNext() {
+    private void injectNextFault() {
         if (fleet.time().now() >= endMs) {
             return;
         }
         List<ControlMachine> core = fleet.core();
-        lose(core.get(random.nextInt(core.size())), random.nextInt(9), this::scheduleNextLoss);
+        injectFault(core.get(random.nextInt(core.size())), random.nextInt(9), this::scheduleNextFault);
     }
 
-    private void scheduleNextLoss() {
-        double spare = random.nextBoolean() ? 0 : random.nextDouble() * 2_000;
-        fleet.time().after(SimulatedFleet.CATCH_UP_MS + spare, this::loseNext);
+    private void scheduleNextFault() {
+        double extraMs = random.nextBoolean() ? 0 : random.nextDouble() * 2_000;
+        fleet.time().after(SimulatedFleet.CATCH_UP_MS + extraMs, this::injectNextFault);
     }
 
-    /** Brings a loss of that kind; the last argument is told when the machine is back or its successor starts. */
-    void lose(ControlMachine machine, int kind, Runnable back) {
-        double length = random.nextInt(3) == 0 ? SHORT_LOSS_MS : random.nextDouble() * MAX_LOSS_MS;
+    /** Injects a fault of the given kind; {@code recovered} runs when the machine recovers or its successor starts. */
+    void injectFault(ControlMachine machine, int kind, Runnable recovered) {
+        double durationMs = random.nextInt(3) == 0 ? SHORT_FAULT_MS : random.nextDouble() * MAX_FAULT_MS;
         activeFaults++;
-        Runnable over = () -> {
+        Runnable onRecovered = () -> {
             activeFaults--;
-            back.run();
+            recovered.run();
         };
         switch (kind) {
-            case 0 -> kill(machine, length, over);
-            case 1 -> freeze(machine, length, over);
-            case 2 -> cutOff(machine, length, true, true, over);
-            case 3 -> cutOff(machine, length, random.nextBoolean(), false, over);
-            case 4 -> powerLoss(machine, length, over);
-            case 5 -> wipe(machine, length, over);
-            case 6 -> replace(machine, random.nextDouble() * 2_000, over);
-            case 7 -> disk(machine, length, over);
-            default -> terminate(machine, over);
+            case 0 -> kill(machine, durationMs, onRecovered);
+            case 1 -> pause(machine, durationMs, onRecovered);
+            case 2 -> isolate(machine, durationMs, true, true, onRecovered);
+            case 3 -> isolate(machine, durationMs, random.nextBoolean(), false, onRecovered);
+            case 4 -> powerLoss(machine, durationMs, onRecovered);
+            case 5 -> wipe(machine, durationMs, onRecovered);
+            case 6 -> replace(machine, random.nextDouble() * 2_000, onRecovered);
+            case 7 -> degradeDisk(machine, durationMs, onRecovered);
+            default -> terminate(machine, onRecovered);
         }
     }
 
-    private void restartAfter(Machine machine, double length, Runnable back) {
-        fleet.time().after(length, () -> {
+    private void restartAfter(Machine machine, double durationMs, Runnable recovered) {
+        fleet.time().after(durationMs, () -> {
             machine.start();
-            fleet.contact().disturbed(machine);
-            back.run();
+            fleet.contact().recordFault(machine);
+            recovered.run();
         });
     }
 
-    void kill(Machine machine, double length, Runnable back) {
-        fleet.contact().disturbed(machine);
+    void kill(Machine machine, double durationMs, Runnable recovered) {
+        fleet.contact().recordFault(machine);
         machine.kill();
-        restartAfter(machine, length, back);
+        restartAfter(machine, durationMs, recovered);
     }
 
-    void powerLoss(Machine machine, double length, Runnable back) {
-        fleet.contact().disturbed(machine);
+    void powerLoss(Machine machine, double durationMs, Runnable recovered) {
+        fleet.contact().recordFault(machine);
         machine.losePower();
-        restartAfter(machine, length, back);
+        restartAfter(machine, durationMs, recovered);
     }
 
-    void wipe(ControlMachine machine, double length, Runnable back) {
-        fleet.contact().disturbed(machine);
+    void wipe(ControlMachine machine, double durationMs, Runnable recovered) {
+        fleet.contact().recordFault(machine);
         if (random.nextBoolean()) {
             machine.kill();
         } else {
             machine.losePower();
         }
         machine.wipe();
-        fleet.contact().startedEmpty(machine);
-        restartAfter(machine, length, back);
+        fleet.contact().startedWithEmptyDisk(machine);
+        restartAfter(machine, durationMs, recovered);
     }
 
-    void terminate(ControlMachine machine, Runnable back) {
-        if (!machine.runs()) {
-            back.run();
+    void terminate(ControlMachine machine, Runnable recovered) {
+        if (!machine.isRunning()) {
+            recovered.run();
             return;
         }
-        fleet.contact().disturbed(machine);
-        machine.terminate(SHORT_LOSS_MS);
-        awaitBack(machine, machine.incarnationCount(), back);
+        fleet.contact().recordFault(machine);
+        machine.terminate(SHORT_FAULT_MS);
+        awaitRestart(machine, machine.incarnationCount(), recovered);
     }
 
-    private void awaitBack(ControlMachine machine, int incarnationCount, Runnable back) {
-        fleet.contact().disturbed(machine);
-        if (machine.isRemoved() || machine.isUp() && machine.incarnationCount() > incarnationCount) {
-            back.run();
+    private void awaitRestart(ControlMachine machine, int incarnationCount, Runnable recovered) {
+        fleet.contact().recordFault(machine);
+        if (machine.isRemoved() || machine.hasProcess() && machine.incarnationCount() > incarnationCount) {
+            recovered.run();
         } else {
-            fleet.time().after(10, () -> awaitBack(machine, incarnationCount, back));
+            fleet.time().after(10, () -> awaitRestart(machine, incarnationCount, recovered));
         }
     }
 
-    void replace(ControlMachine machine, double pause, Runnable back) {
-        fleet.contact().disturbed(machine);
-        List<String> seeds = random.nextBoolean() ? fleet.seedsNow(random) : fleet.firstSeeds();
-        fleet.log(machine.name() + " is taken away");
+    void replace(ControlMachine machine, double delayMs, Runnable recovered) {
+        fleet.contact().recordFault(machine);
+        List<String> seeds = random.nextBoolean() ? fleet.currentSeeds(random) : fleet.firstSeeds();
+        fleet.log(machine.name() + " is removed");
         machine.remove();
-        fleet.time().after(pause, () -> {
-            ControlMachine successor = fleet.newControl(seeds, false);
-            fleet.contact().disturbed(successor);
-            fleet.contact().startedEmpty(successor);
+        fleet.time().after(delayMs, () -> {
+            ControlMachine successor = fleet.addControlMachine(seeds, false);
+            fleet.contact().recordFault(successor);
+            fleet.contact().startedWithEmptyDisk(successor);
             successor.start();
-            back.run();
+            recovered.run();
         });
     }
 
-    void freeze(Machine machine, double length, Runnable back) {
-        fleet.contact().disturbed(machine);
-        machine.freeze();
-        fleet.time().after(length, () -> {
-            fleet.contact().disturbed(machine);
-            machine.thaw();
-            back.run();
+    void pause(Machine machine, double durationMs, Runnable recovered) {
+        fleet.contact().recordFault(machine);
+        machine.pause();
+        fleet.time().after(durationMs, () -> {
+            fleet.contact().recordFault(machine);
+            machine.resume();
+            recovered.run();
         });
     }
 
-    /** A processor with a quota: the process runs for a while and stands still for a while, again and again. */
-    void quota(Machine machine, double runMs, double standMs, double untilMs) {
+    /** Simulates a processor quota: the process is repeatedly paused and resumed. */
+    void limitProcessor(Machine machine, double runMs, double pauseMs, double untilMs) {
         if (fleet.time().now() >= untilMs) {
             return;
         }
-        ProcessIncarnation standing = machine.incarnation();
-        if (standing != null) {
-            standing.freeze();
+        ProcessIncarnation pausedIncarnation = machine.incarnation();
+        if (pausedIncarnation != null) {
+            pausedIncarnation.pause();
         }
-        fleet.time().after(standMs, () -> {
-            if (standing != null && !standing.isOver()) {
-                standing.thaw(random.nextBoolean());
+        fleet.time().after(pauseMs, () -> {
+            if (pausedIncarnation != null && !pausedIncarnation.hasEnded()) {
+                pausedIncarnation.resume(random.nextBoolean());
             }
-            fleet.time().after(runMs, () -> quota(machine, runMs, standMs, untilMs));
+            fleet.time().after(runMs, () -> limitProcessor(machine, runMs, pauseMs, untilMs));
         });
     }
 
-    /** Cuts a core machine off from the core, one way or both, and perhaps from all else too. */
-    void cutOff(ControlMachine machine, double length, boolean all, boolean bothWays, Runnable back) {
-        boolean out = bothWays || random.nextBoolean();
-        List<Machine> others = List.copyOf(all ? fleet.machines() : fleet.core());
-        fleet.log(machine.name() + " is cut off" + (all ? "" : " from the core")
-                + (bothWays ? "" : out ? ", outwards" : ", inwards"));
-        fleet.contact().disturbed(machine);
+    /** Partitions a core machine from the core or from all machines, in one direction or both. */
+    void isolate(
+            ControlMachine machine, double durationMs, boolean everyMachine, boolean bothWays, Runnable recovered) {
+        boolean outbound = bothWays || random.nextBoolean();
+        List<Machine> others = List.copyOf(everyMachine ? fleet.machines() : fleet.core());
+        fleet.log(machine.name() + " is partitioned" + (everyMachine ? "" : " from the core")
+                + (bothWays ? "" : outbound ? ", outbound" : ", inbound"));
+        fleet.contact().recordFault(machine);
         for (Machine other : others) {
             if (other != machine) {
-                cut(machine.ip(), other.ip(), out, bothWays || !out, true);
+                setPartitioned(machine.ip(), other.ip(), outbound, bothWays || !outbound, true);
             }
         }
-        if (all) {
-            cut(machine.ip(), SimulatedPlatform.IP, out, bothWays || !out, true);
+        if (everyMachine) {
+            setPartitioned(machine.ip(), SimulatedPlatform.IP, outbound, bothWays || !outbound, true);
         }
-        fleet.time().after(length, () -> {
-            fleet.log(machine.name() + " is joined again");
-            fleet.contact().disturbed(machine);
+        fleet.time().after(durationMs, () -> {
+            fleet.log(machine.name() + " is connected again");
+            fleet.contact().recordFault(machine);
             for (Machine other : others) {
                 if (other != machine) {
-                    cut(machine.ip(), other.ip(), out, bothWays || !out, false);
+                    setPartitioned(machine.ip(), other.ip(), outbound, bothWays || !outbound, false);
                 }
             }
-            if (all) {
-                cut(machine.ip(), SimulatedPlatform.IP, out, bothWays || !out, false);
+            if (everyMachine) {
+                setPartitioned(machine.ip(), SimulatedPlatform.IP, outbound, bothWays || !outbound, false);
             }
-            back.run();
+            recovered.run();
         });
     }
 
-    private void cut(String ip, String other, boolean out, boolean in, boolean begins) {
-        if (out) {
-            toggle(ip, other, begins);
+    private void setPartitioned(String ip, String other, boolean outbound, boolean inbound, boolean partitioned) {
+        if (outbound) {
+            setDirectionPartitioned(ip, other, partitioned);
         }
-        if (in) {
-            toggle(other, ip, begins);
+        if (inbound) {
+            setDirectionPartitioned(other, ip, partitioned);
         }
     }
 
-    private void toggle(String from, String to, boolean begins) {
-        if (begins) {
-            fleet.network().cut(from, to);
+    private void setDirectionPartitioned(String from, String to, boolean partitioned) {
+        if (partitioned) {
+            fleet.network().partition(from, to);
         } else {
             fleet.network().heal(from, to);
         }
     }
 
-    private void disk(ControlMachine machine, double length, Runnable back) {
-        fleet.contact().disturbed(machine);
+    private void degradeDisk(ControlMachine machine, double durationMs, Runnable recovered) {
+        fleet.contact().recordFault(machine);
         int kind = random.nextInt(3);
         fleet.log("the disk of " + machine.name() + " is " + (kind == 0 ? "full" : kind == 1 ? "stalled" : "slow"));
         if (kind == 0) {
-            machine.disk().fill(true);
+            machine.disk().setFull(true);
         } else if (kind == 1) {
-            machine.diskFaults().stalledUntil = fleet.time().now() + length;
+            machine.diskFaults().stalledUntilMs = fleet.time().now() + durationMs;
         } else {
-            machine.diskFaults().slowerBy = 30 + random.nextInt(200);
+            machine.diskFaults().extraLatencyMs = 30 + random.nextInt(200);
         }
-        fleet.time().after(length, () -> {
-            machine.disk().fill(false);
-            machine.diskFaults().slowerBy = 0;
-            fleet.contact().disturbed(machine);
-            fleet.log("the disk of " + machine.name() + " is well");
-            back.run();
+        fleet.time().after(durationMs, () -> {
+            machine.disk().setFull(false);
+            machine.diskFaults().extraLatencyMs = 0;
+            fleet.contact().recordFault(machine);
+            fleet.log("the disk of " + machine.name() + " is healthy");
+            recovered.run();
         });
     }
 
-    /** What is not counted: data planes, clocks, seeds, the platform. */
-    private void uncounted() {
+    /** Injects faults that do not count towards the tolerance: in data planes, clocks, seeds and the platform. */
+    private void injectUncounted() {
         if (fleet.time().now() >= endMs) {
             return;
         }
         DataMachine data = fleet.edge().get(random.nextInt(fleet.edge().size()));
         List<ControlMachine> core = fleet.core();
         ControlMachine control = core.get(random.nextInt(core.size()));
-        double length = random.nextDouble() * MAX_LOSS_MS / 2;
+        double durationMs = random.nextDouble() * MAX_FAULT_MS / 2;
         switch (random.nextInt(6)) {
-            case 0 -> kill(data, SHORT_LOSS_MS, () -> {});
-            case 1 -> freeze(data, length, () -> {});
-            case 2 -> cutDataPlane(data, control, length);
-            case 3 -> fleet.platform().breakDown(length);
+            case 0 -> kill(data, SHORT_FAULT_MS, () -> {});
+            case 1 -> pause(data, durationMs, () -> {});
+            case 2 -> partitionDataPlane(data, control, durationMs);
+            case 3 -> fleet.platform().failFor(durationMs);
             case 4 -> {
                 control.stepClock((random.nextDouble() - 0.5) * MAX_CLOCK_STEP_MS);
-                fleet.contact().disturbed(control);
+                fleet.contact().recordFault(control);
             }
             default -> {
-                data.seeds(fleet.seedsNow(random));
-                control.seeds(fleet.seedsNow(random));
+                data.changeSeeds(fleet.currentSeeds(random));
+                control.changeSeeds(fleet.currentSeeds(random));
             }
         }
-        fleet.time().after(random.nextDouble() * 2 * MEAN_PAUSE_MS, this::uncounted);
+        fleet.time().after(random.nextDouble() * 2 * MEAN_INTERVAL_MS, this::injectUncounted);
     }
 
-    private void cutDataPlane(DataMachine data, ControlMachine control, double length) {
-        boolean out = random.nextBoolean();
-        boolean in = !out || random.nextBoolean();
-        cut(data.ip(), control.ip(), out, in, true);
-        fleet.time().after(length, () -> cut(data.ip(), control.ip(), out, in, false));
+    private void partitionDataPlane(DataMachine data, ControlMachine control, double durationMs) {
+        boolean outbound = random.nextBoolean();
+        boolean inbound = !outbound || random.nextBoolean();
+        setPartitioned(data.ip(), control.ip(), outbound, inbound, true);
+        fleet.time().after(durationMs, () -> setPartitioned(data.ip(), control.ip(), outbound, inbound, false));
     }
 
-    // ---- without tolerance -----------------------------------------------------------------------------------
+    // ---- beyond the tolerance --------------------------------------------------------------------------------
 
-    /** Any number of troubles at once. Disks last, but for one machine's at the most. */
-    void unbounded(double from, double end) {
+    /** Injects any number of faults at the same time; at most one machine loses its disk. */
+    void injectUnbounded(double from, double end) {
         endMs = end;
         fleet.contact().beyondTolerance();
-        fleet.time().at(from, this::any);
-        fleet.time().at(from + random.nextDouble() * MEAN_PAUSE_MS, this::uncounted);
+        fleet.time().at(from, this::injectAnyFault);
+        fleet.time().at(from + random.nextDouble() * MEAN_INTERVAL_MS, this::injectUncounted);
     }
 
-    private void any() {
+    private void injectAnyFault() {
         if (fleet.time().now() >= endMs) {
             return;
         }
@@ -286,21 +288,21 @@
         }
         wiped |= kind == 5 || kind == 6;
         if (kind == 9) {
-            all(random.nextBoolean(), random.nextInt(3) == 0);
+            failAll(random.nextBoolean(), random.nextInt(3) == 0);
         } else {
-            lose(machine, kind, () -> {});
+            injectFault(machine, kind, () -> {});
         }
-        fleet.time().after(random.nextDouble() * 2 * MEAN_PAUSE_MS, this::any);
+        fleet.time().after(random.nextDouble() * 2 * MEAN_INTERVAL_MS, this::injectAnyFault);
     }
 
-    /** All processes are killed, or lose power; the core's alone, or all. */
-    void all(boolean powerLost, boolean edgeToo) {
-        for (Machine machine : edgeToo ? fleet.machines() : fleet.core()) {
-            double length = random.nextDouble() * 1_000;
+    /** Kills all processes or cuts the power of all machines, either of the core alone or of the whole fleet. */
+    void failAll(boolean powerLost, boolean includesEdge) {
+        for (Machine machine : includesEdge ? fleet.machines() : fleet.core()) {
+            double durationMs = random.nextDouble() * 1_000;
             if (powerLost) {
-                powerLoss(machine, length, () -> {});
+                powerLoss(machine, durationMs, () -> {});
             } else {
-                kill(machine, length, () -> {});
+                kill(machine, durationMs, () -> {});
             }
         }
     }
--- a/simulation/src/test/java/dewplank/simulation/InvariantChecker.java
+++ b/simulation/src/test/java/dewplank/simulation/InvariantChecker.java
@@ -11,29 +11,29 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** What was seen of one history from outside and of what its processes know, and whether the rules allow it. */
+/** Records the responses and the process states of one simulation run and checks them against the invariants. */
 final class InvariantChecker {
     private static final double CHECK_INTERVAL_MS = 50;
 
-    private record Seen(Set<Integer> markers, byte[] json) {}
+    private record RecordedConfiguration(Set<Integer> markers, byte[] json) {}
 
-    private record Lists(long version, long[] order) {}
+    private record AppliedVersions(long version, long[] listVersion) {}
 
     private final SimulatedFleet fleet;
     private final ContactTracker contact;
-    private final TreeMap<Long, Seen> versions = new TreeMap<>();
-    private final Map<Long, Integer> confirmedOn = new HashMap<>();
-    private final Set<Integer> confirmed = new TreeSet<>();
-    private final Set<Integer> rejected = new TreeSet<>();
-    private final TreeMap<Double, Long> acknowledged = new TreeMap<>();
-    private final Map<Long, String> holders = new HashMap<>();
-    private final Map<String, Long> learned = new HashMap<>();
-    private final Map<Machine, Lists> lastListsOf = new HashMap<>();
-    private final Map<ControlMachine, String> leaseHolders = new HashMap<>();
-    private final Map<Long, AcceptorSet> setByGeneration = new HashMap<>();
-    private long floor;
+    private final TreeMap<Long, RecordedConfiguration> configurationsByVersion = new TreeMap<>();
+    private final Map<Long, Integer> confirmedByBase = new HashMap<>();
+    private final Set<Integer> confirmedIds = new TreeSet<>();
+    private final Set<Integer> rejectedIds = new TreeSet<>();
+    private final TreeMap<Double, Long> acknowledgedVersions = new TreeMap<>();
+    private final Map<Long, String> holderByToken = new HashMap<>();
+    private final Map<String, Long> versionByIncarnation = new HashMap<>();
+    private final Map<Machine, AppliedVersions> lastAppliedByMachine = new HashMap<>();
+    private final Map<ControlMachine, String> currentHolders = new HashMap<>();
+    private final Map<Long, AcceptorSet> acceptorSetByGeneration = new HashMap<>();
+    private long versionFloor;
     private long digest = 1;
-    private long answers;
+    private long responses;
 
     InvariantChecker(SimulatedFleet fleet) {
         this.fleet = fleet;
@@ -47,8 +47,8 @@
         }
     }
 
-    /** Goes into the digest by which two plays of one seed are compared. */
-    void mark(String line) {
+    /** Adds a line to the digest by which two runs of one seed are compared. */
+    void addToDigest(String line) {
         digest = digest * 31 + line.hashCode();
         digest = digest * 31 + Double.hashCode(fleet.time().now());
     }
@@ -57,217 +57,223 @@
         return digest;
     }
 
-    long answers() {
-        return answers;
+    long responses() {
+        return responses;
     }
 
     ContactTracker contact() {
         return contact;
     }
 
-    /** Looks now and then at what holds at all times. */
-    void watch() {
+    /** Checks the time-based invariants at regular intervals. */
+    void checkPeriodically() {
         contact.check();
-        inForce();
-        fleet.time().after(CHECK_INTERVAL_MS, this::watch);
+        checkAppliedInTime();
+        fleet.time().after(CHECK_INTERVAL_MS, this::checkPeriodically);
     }
 
-    // ---- what processes know ------------------------------------------------------------------------------
+    // ---- process states -----------------------------------------------------------------------------------
 
-    /** A control plane has done a step. */
+    /** Checks the state of a control plane after each of its tasks. */
     void observe(ControlMachine control, String incarnation) {
         long version = control.process().version();
-        long before = learned.getOrDefault(incarnation, 0L);
+        long before = versionByIncarnation.getOrDefault(incarnation, 0L);
         if (version != before) {
-            check(version > before, incarnation + " went back from " + before + " to " + version);
-            learned.put(incarnation, version);
-            observed(control.process().configuration());
-            mark(incarnation + " learns " + version);
+            check(version > before, incarnation + " went back from version " + before + " to " + version);
+            versionByIncarnation.put(incarnation, version);
+            recordConfiguration(control.process().configuration());
+            addToDigest(incarnation + " has version " + version);
         }
         if (control.process().hasChosenValue()) {
-            chosen(control.process().acceptors(), incarnation);
+            checkAcceptorSet(control.process().acceptors(), incarnation);
         }
-        if (control.process().holdsList()) {
-            holds(control, incarnation);
+        if (control.process().isListLeaseHolder()) {
+            checkLease(control, incarnation);
         } else {
-            leaseHolders.remove(control);
+            currentHolders.remove(control);
         }
     }
 
-    /** Of each generation one acceptor set is chosen: two would decide apart from each other. */
-    private void chosen(AcceptorSet acceptors, String incarnation) {
-        AcceptorSet other = setByGeneration.putIfAbsent(acceptors.generation(), acceptors);
+    /** Only one acceptor set may be chosen per generation: two sets could choose different values independently. */
+    private void checkAcceptorSet(AcceptorSet acceptors, String incarnation) {
+        AcceptorSet other = acceptorSetByGeneration.putIfAbsent(acceptors.generation(), acceptors);
         check(
                 other == null || other.equals(acceptors),
-                incarnation + " has " + acceptors + " where " + other + " was chosen");
+                incarnation + " has " + acceptors + " but " + other + " was chosen");
     }
 
-    private void holds(ControlMachine control, String incarnation) {
-        long number = control.process().fencingToken();
-        String other = holders.putIfAbsent(number, incarnation);
+    private void checkLease(ControlMachine control, String incarnation) {
+        long token = control.process().fencingToken();
+        String other = holderByToken.putIfAbsent(token, incarnation);
         check(
                 other == null || other.equals(incarnation),
-                "number " + number + " was won by " + other + " and by " + incarnation);
-        leaseHolders.put(control, incarnation);
-        for (Map.Entry<ControlMachine, String> entry : leaseHolders.entrySet()) {
+                "fencing token " + token + " was granted to " + other + " and to " + incarnation);
+        currentHolders.put(control, incarnation);
+        for (Map.Entry<ControlMachine, String> entry : currentHolders.entrySet()) {
             ControlMachine otherControl = entry.getKey();
             if (otherControl != control
-                    && otherControl.isUp()
-                    && otherControl.incarnation().isOver()) {
+                    && otherControl.hasProcess()
+                    && otherControl.incarnation().hasEnded()) {
                 continue;
             }
-            boolean both = otherControl != control
-                    && otherControl.runs()
-                    && otherControl.process().holdsList();
-            check(!both, entry.getValue() + " and " + incarnation + " hold the duty at once");
+            boolean bothHold = otherControl != control
+                    && otherControl.isRunning()
+                    && otherControl.process().isListLeaseHolder();
+            check(!bothHold, entry.getValue() + " and " + incarnation + " have the lease at the same time");
         }
     }
 
-    /** The platform is asked for the list: only by the holder of the duty. */
-    void platformPolled(ControlMachine control) {
-        check(control.process().holdsList(), control.name() + " asks the platform and does not hold the duty");
+    /** Checks that only the lease holder of the list duty queries the platform. */
+    void checkPlatformPoll(ControlMachine control) {
+        check(control.process().isListLeaseHolder(), control.name() + " queries the platform without the lease");
     }
 
-    /** A data plane has done a step. */
+    /** Checks the state of a data plane after each of its tasks. */
     void observe(DataMachine data) {
         long version = data.process().version();
-        long[] order = data.process().listOrder();
-        Lists before = lastListsOf.get(data);
-        if (before != null && before.version == version && Arrays.equals(before.order, order)) {
+        long[] listVersion = data.process().listVersionNumbers();
+        AppliedVersions before = lastAppliedByMachine.get(data);
+        if (before != null && before.version == version && Arrays.equals(before.listVersion, listVersion)) {
             return;
         }
         if (before != null) {
-            check(version >= before.version, data.name() + " went back from " + before.version + " to " + version);
-            check(Arrays.compare(order, before.order) >= 0, data.name() + " went back to an older list");
+            check(
+                    version >= before.version,
+                    data.name() + " went back from version " + before.version + " to " + version);
+            check(Arrays.compare(listVersion, before.listVersion) >= 0, data.name() + " went back to an older list");
         }
         if (version != 0 && (before == null || before.version != version)) {
-            observed(data.process().configuration());
+            recordConfiguration(data.process().configuration());
         }
-        lastListsOf.put(data, new Lists(version, order));
-        mark(data.name() + " holds " + version + " and " + Arrays.toString(order));
+        lastAppliedByMachine.put(data, new AppliedVersions(version, listVersion));
+        addToDigest(data.name() + " has version " + version + " and list " + Arrays.toString(listVersion));
     }
 
-    /** A data plane's life is over: the next one begins with nothing. */
-    void ended(DataMachine data) {
-        lastListsOf.remove(data);
+    /** Discards the recorded state of a terminated data plane: its next incarnation starts without any. */
+    void onProcessEnded(DataMachine data) {
+        lastAppliedByMachine.remove(data);
     }
 
-    private void observed(Configuration configuration) {
-        Seen earlier = versions.get(configuration.version());
+    private void recordConfiguration(Configuration configuration) {
+        RecordedConfiguration earlier = configurationsByVersion.get(configuration.version());
         if (earlier != null) {
             check(
                     Arrays.equals(earlier.json, configuration.json()),
-                    "two configurations under " + configuration.version());
+                    "two different configurations of version " + configuration.version());
             return;
         }
         Set<Integer> markers = new TreeSet<>();
         for (Route route : configuration.routes()) {
             markers.add(Integer.parseInt(route.name().substring(2)));
         }
-        observed(configuration.version(), markers, configuration.json());
+        recordConfiguration(configuration.version(), markers, configuration.json());
     }
 
-    private void observed(long version, Set<Integer> markers, byte[] json) {
-        versions.put(version, new Seen(markers, json));
-        for (int id : rejected) {
-            check(!markers.contains(id), "change " + id + " was refused and is in force in " + version);
+    private void recordConfiguration(long version, Set<Integer> markers, byte[] json) {
+        configurationsByVersion.put(version, new RecordedConfiguration(markers, json));
+        for (int id : rejectedIds) {
+            check(!markers.contains(id), "change " + id + " was rejected but is in version " + version);
         }
-        Map.Entry<Long, Seen> below = versions.lowerEntry(version);
-        Map.Entry<Long, Seen> above = versions.higherEntry(version);
+        Map.Entry<Long, RecordedConfiguration> below = configurationsByVersion.lowerEntry(version);
+        Map.Entry<Long, RecordedConfiguration> above = configurationsByVersion.higherEntry(version);
         check(
                 below == null || markers.containsAll(below.getValue().markers),
-                "changes of " + (below == null ? 0 : below.getKey()) + " are missing in " + version);
+                "changes in version " + (below == null ? 0 : below.getKey()) + " are missing in version " + version);
         check(
                 above == null || above.getValue().markers.containsAll(markers),
-                "changes of " + version + " are missing in " + (above == null ? 0 : above.getKey()));
+                "changes in version " + version + " are missing in version " + (above == null ? 0 : above.getKey()));
     }
 
-    // ---- what operators are answered -------------------------------------------------------------------------
+    // ---- responses to operators ------------------------------------------------------------------------------
 
-    /** The version that whatever is answered from now on must not be below. */
-    long floor() {
-        return floor;
+    /** The lowest configuration version that later responses may contain. */
+    long versionFloor() {
+        return versionFloor;
     }
 
-    void confirmed(OperatorChange order) {
-        answers++;
-        mark(order + " is confirmed");
-        check(order.valid, order + " is invalid and was confirmed");
-        check(!rejected.contains(order.id), order + " was refused and then confirmed");
-        Integer other = confirmedOn.putIfAbsent(order.base, order.id);
-        check(other == null || other == order.id, order + " and change " + other + " were both confirmed");
-        confirmed.add(order.id);
-        acknowledged.merge(fleet.time().now(), order.version, Math::max);
-        floor = Math.max(floor, order.version);
+    void recordConfirmation(OperatorChange change) {
+        responses++;
+        addToDigest(change + " is confirmed");
+        check(change.valid, change + " is invalid and was confirmed");
+        check(!rejectedIds.contains(change.id), change + " was rejected and then confirmed");
+        Integer other = confirmedByBase.putIfAbsent(change.base, change.id);
+        check(other == null || other == change.id, change + " and change " + other + " were both confirmed");
+        confirmedIds.add(change.id);
+        acknowledgedVersions.merge(fleet.time().now(), change.version, Math::max);
+        versionFloor = Math.max(versionFloor, change.version);
     }
 
-    void rejected(OperatorChange order, int status) {
-        answers++;
-        mark(order + " is refused by " + status);
-        check(!confirmed.contains(order.id), order + " was confirmed and then refused by " + status);
-        rejected.add(order.id);
-        for (Map.Entry<Long, Seen> entry : versions.entrySet()) {
+    void recordRejection(OperatorChange change, int status) {
+        responses++;
+        addToDigest(change + " is rejected with " + status);
+        check(!confirmedIds.contains(change.id), change + " was confirmed and then rejected with " + status);
+        rejectedIds.add(change.id);
+        for (Map.Entry<Long, RecordedConfiguration> entry : configurationsByVersion.entrySet()) {
             check(
-                    !entry.getValue().markers.contains(order.id),
-                    order + " was refused by " + status + " and is in force in " + entry.getKey());
+                    !entry.getValue().markers.contains(change.id),
+                    change + " was rejected with " + status + " but is in version " + entry.getKey());
         }
     }
 
-    /** A reading was answered that began when the floor was that. */
-    void read(long version, Set<Integer> markers, long floorAtStart) {
-        answers++;
-        check(version >= floorAtStart, "read " + version + " after " + floorAtStart);
-        Seen earlier = versions.get(version);
-        check(earlier == null || earlier.markers.equals(markers), "read another configuration under " + version);
+    /** Checks the response to a read; {@code floorAtStart} is the version floor when the read was sent. */
+    void checkRead(long version, Set<Integer> markers, long floorAtStart) {
+        responses++;
+        check(version >= floorAtStart, "read version " + version + " after version " + floorAtStart);
+        RecordedConfiguration earlier = configurationsByVersion.get(version);
+        check(
+                earlier == null || earlier.markers.equals(markers),
+                "read a different configuration of version " + version);
         if (earlier == null) {
-            observed(version, markers, null);
-            versions.remove(version); // its bytes have yet to be seen
+            recordConfiguration(version, markers, null);
+            configurationsByVersion.remove(version); // the JSON bytes of this version have not been recorded yet
         }
-        floor = Math.max(floor, version);
+        versionFloor = Math.max(versionFloor, version);
     }
 
-    // ---- what holds at all times -----------------------------------------------------------------------------
+    // ---- time-based invariants -------------------------------------------------------------------------------
 
-    /** What was acknowledged is in force in time at those in touch; so is a server's leaving. */
-    private void inForce() {
+    /** Data planes in contact must apply acknowledged changes and the removal of servers in time. */
+    private void checkAppliedInTime() {
         double now = fleet.time().now();
-        Map.Entry<Double, Long> due = acknowledged.floorEntry(now - SimulatedFleet.APPLY_MS);
-        Set<String> gone = fleet.platform().goneBefore(now - SimulatedFleet.DRAIN_MS);
+        Map.Entry<Double, Long> due = acknowledgedVersions.floorEntry(now - SimulatedFleet.APPLY_MS);
+        Set<String> removed = fleet.platform().removedBefore(now - SimulatedFleet.DRAIN_MS);
         for (DataMachine data : fleet.edge()) {
-            if (!contact.isInTouch(data)) {
+            if (!contact.isInContact(data)) {
                 continue;
             }
-            long needed = due == null ? 0 : newestUntil(due.getKey());
+            long needed = due == null ? 0 : newestVersionUntil(due.getKey());
             check(
                     data.process().version() >= needed,
-                    data.name() + " is in touch and holds " + data.process().version() + ", " + needed
-                            + " was acknowledged long ago");
-            if (!gone.isEmpty()) {
+                    data.name() + " is in contact and has version "
+                            + data.process().version() + ", " + needed + " was acknowledged too long ago");
+            if (!removed.isEmpty()) {
                 Set<String> listed = data.process().instances();
-                Set<String> stillListed = new HashSet<>(gone);
+                Set<String> stillListed = new HashSet<>(removed);
                 stillListed.retainAll(listed);
-                check(stillListed.isEmpty(), data.name() + " is in touch and still has " + stillListed);
+                check(stillListed.isEmpty(), data.name() + " is in contact and still lists " + stillListed);
             }
         }
     }
 
-    private long newestUntil(double time) {
-        return acknowledged.headMap(time, true).values().stream()
+    private long newestVersionUntil(double time) {
+        return acknowledgedVersions.headMap(time, true).values().stream()
                 .mapToLong(Long::longValue)
                 .max()
                 .orElse(0);
     }
 
-    /** When all is over and one configuration is everywhere. */
-    void checkEnd(Configuration last) {
+    /** Checks the final configuration, which all processes have at the end of a run. */
+    void checkFinalConfiguration(Configuration last) {
         Set<Integer> markers = new TreeSet<>();
         last.routes().forEach(route -> markers.add(Integer.parseInt(route.name().substring(2))));
-        for (int id : confirmed) {
-            check(markers.contains(id), "change " + id + " was confirmed and is lost");
+        for (int id : confirmedIds) {
+            check(markers.contains(id), "change " + id + " was confirmed but is lost");
         }
-        for (int id : rejected) {
-            check(!markers.contains(id), "change " + id + " was refused and is in force");
+        for (int id : rejectedIds) {
+            check(!markers.contains(id), "change " + id + " was rejected but is in force");
         }
-        check(last.version() >= floor, "the last configuration is " + last.version() + ", " + floor + " was seen");
+        check(
+                last.version() >= versionFloor,
+                "the last configuration is " + last.version() + ", " + versionFloor + " was confirmed or read");
     }
 }
--- a/simulation/src/test/java/dewplank/simulation/Machine.java
+++ b/simulation/src/test/java/dewplank/simulation/Machine.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 
-/** A machine with one process on it, which is killed, frozen, without power, or runs. */
+/** A machine with one process, which runs, is paused or has been killed. The machine may be without power. */
 abstract class Machine {
     static final int INTERNAL_PORT = 7660;
     static final int CONTROL_PORT = 8146;
@@ -14,9 +14,9 @@
     private final String name;
     private final String ip;
     private final SplittableRandom random;
-    private final Map<InetSocketAddress, SimulatedNetwork.Listening> listening = new HashMap<>();
+    private final Map<InetSocketAddress, SimulatedNetwork.Listener> listeners = new HashMap<>();
     private ProcessIncarnation incarnation;
-    private boolean power = true;
+    private boolean powered = true;
     private boolean removed;
     private int incarnationCount;
     private double clockStepMs;
@@ -29,13 +29,13 @@
         this.random = random;
     }
 
-    /** Makes the process of a life and starts it; false where it ends at once. */
-    abstract boolean begin(ProcessIncarnation begun);
+    /** Creates and starts the process of a new incarnation; returns false if it fails to start. */
+    abstract boolean startProcess(ProcessIncarnation newIncarnation);
 
-    /** The process is no more. */
-    abstract void ended(boolean powerLost);
+    /** Called when the process has terminated. */
+    abstract void onProcessEnded(boolean powerLost);
 
-    /** Looks at what the process knows, after each of its steps. */
+    /** Checks the state of the process after each of its tasks. */
     abstract void observe();
 
     SimulatedFleet fleet() {
@@ -59,15 +59,15 @@
     }
 
     boolean hasPower() {
-        return power;
+        return powered;
     }
 
-    boolean isUp() {
+    boolean hasProcess() {
         return incarnation != null;
     }
 
-    boolean runs() {
-        return incarnation != null && !incarnation.isFrozen();
+    boolean isRunning() {
+        return incarnation != null && !incarnation.isPaused();
     }
 
     boolean isRemoved() {
@@ -82,15 +82,15 @@
         return startedAt;
     }
 
-    SimulatedNetwork.Listening listening(InetSocketAddress at) {
-        return listening.get(at);
+    SimulatedNetwork.Listener listener(InetSocketAddress at) {
+        return listeners.get(at);
     }
 
-    void listens(InetSocketAddress at, SimulatedNetwork.Listening where) {
-        if (where == null) {
-            listening.remove(at);
+    void setListener(InetSocketAddress at, SimulatedNetwork.Listener listener) {
+        if (listener == null) {
+            listeners.remove(at);
         } else {
-            listening.put(at, where);
+            listeners.put(at, listener);
         }
     }
 
@@ -98,7 +98,7 @@
         clockStepMs += ms;
     }
 
-    /** The time of day here, near the true one unless it was made to jump. */
+    /** The machine's wall-clock time; the true time plus the steps made by {@link #stepClock}. */
     long wallClockMs() {
         return (long) (1_700_000_000_000L + fleet.time().now() + clockStepMs);
     }
@@ -107,14 +107,14 @@
         if (incarnation != null || removed) {
             return;
         }
-        power = true;
+        powered = true;
         incarnationCount++;
-        ProcessIncarnation begun =
+        ProcessIncarnation newIncarnation =
                 new ProcessIncarnation(fleet.time(), name + "#" + incarnationCount, random.split(), this::observe);
-        incarnation = begun;
+        incarnation = newIncarnation;
         startedAt = fleet.time().now();
         fleet.log(name + " starts");
-        if (!begin(begun)) {
+        if (!startProcess(newIncarnation)) {
             fleet.log(name + " cannot start");
             kill();
             fleet.time().after(1_000, this::start);
@@ -122,43 +122,43 @@
     }
 
     void kill() {
-        end(false);
+        endProcess(false);
     }
 
     void losePower() {
-        power = false;
-        end(true);
+        powered = false;
+        endProcess(true);
     }
 
-    private void end(boolean powerLost) {
+    private void endProcess(boolean powerLost) {
         if (incarnation != null) {
             ProcessIncarnation ending = incarnation;
             fleet.log(name + (powerLost ? " loses power" : " is killed"));
             incarnation = null;
             ending.end();
-            listening.clear();
-            fleet.network().ended(ending, powerLost);
-            ended(powerLost);
+            listeners.clear();
+            fleet.network().closeLinks(ending, powerLost);
+            onProcessEnded(powerLost);
         }
     }
 
-    /** Taken away for good. */
+    /** Removes the machine permanently. */
     void remove() {
         removed = true;
         losePower();
     }
 
-    void freeze() {
+    void pause() {
         if (incarnation != null) {
-            fleet.log(name + " freezes");
-            incarnation.freeze();
+            fleet.log(name + " is paused");
+            incarnation.pause();
         }
     }
 
-    void thaw() {
-        if (incarnation != null && incarnation.isFrozen()) {
-            fleet.log(name + " thaws");
-            incarnation.thaw(random.nextBoolean());
+    void resume() {
+        if (incarnation != null && incarnation.isPaused()) {
+            fleet.log(name + " resumes");
+            incarnation.resume(random.nextBoolean());
         }
     }
 }
--- a/simulation/src/test/java/dewplank/simulation/MachineScheduleTest.java
+++ b/simulation/src/test/java/dewplank/simulation/MachineScheduleTest.java
@@ -11,62 +11,62 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What happens to machines at chosen moments: power, processors, clocks and disks, each as a schedule of its own. */
+/** Faults of power, processors, clocks and disks at chosen moments; each test is a separate schedule. */
 class MachineScheduleTest {
     private static final double QUOTA_RUN_MS = 30;
-    private static final double QUOTA_STAND_MS = 70;
+    private static final double QUOTA_PAUSE_MS = 70;
     private static final double QUOTA_MS = 20_000;
-    /** A session's lease (2 s), a heartbeat between control planes and a data plane's next attempt to connect. */
+    /** Covers a session's lease (2 s), a heartbeat between control planes and a data plane's next connect attempt. */
     private static final double SESSION_MS = 3_500;
-    /** A quarter of {@code disk_mb}, beyond which the store is rewritten. */
-    private static final long STORE_BOUND_BYTES = (2L << 20) / 4;
-    /** More than any lease, session or agreement lasts. */
+    /** A quarter of {@code disk_mb}; a larger store is rewritten. */
+    private static final long STORE_LIMIT_BYTES = (2L << 20) / 4;
+    /** Longer than any lease, session or agreement. */
     private static final double CLOCK_STEP_MS = 60_000;
 
     static LongStream seeds() {
         return LongStream.rangeClosed(1, 20);
     }
 
-    /** Disks are kept file by file, each as its last sync left it. */
+    /** After a power loss each file of a disk has at least the state of its last sync. */
     @ParameterizedTest
     @MethodSource("seeds")
-    void whatIsAcknowledgedLastsWhenAllLosePowerAtOnce(long seed) {
+    void acknowledgedChangesSurviveASimultaneousPowerLoss(long seed) {
         Schedule schedule = new Schedule(seed, 3 + (int) (seed % 3));
         for (int turn = 0; turn < 4; turn++) {
-            schedule.change();
+            schedule.makeChange();
             loseAllPower(schedule);
         }
-        schedule.change();
+        schedule.makeChange();
         schedule.awaitAllCaughtUp(SimulatedFleet.CATCH_UP_MS);
     }
 
-    /** Two machines are added and the set of acceptors grows, or one is replaced; power goes at any moment of that. */
+    /** Power is lost at a random moment while the acceptor set grows by two machines or while a machine is replaced. */
     @ParameterizedTest
     @MethodSource("seeds")
-    void whatIsAcknowledgedLastsWhenAllLosePowerDuringAChangeOfAcceptors(long seed) {
+    void acknowledgedChangesSurviveAPowerLossDuringAnAcceptorChange(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         for (boolean grows : new boolean[] {true, false}) {
             Schedule schedule = new Schedule(seed, 3);
             schedule.fleet.contact().beyondTolerance();
-            schedule.changes(3);
+            schedule.makeChanges(3);
             if (grows) {
-                start(schedule);
-                start(schedule);
+                addAndStart(schedule);
+                addAndStart(schedule);
             } else {
                 schedule.core(random.nextInt(3)).remove();
-                start(schedule);
+                addAndStart(schedule);
             }
-            schedule.play(random.nextDouble() * SimulatedFleet.CATCH_UP_MS);
+            schedule.run(random.nextDouble() * SimulatedFleet.CATCH_UP_MS);
             loseAllPower(schedule);
-            schedule.changes(2);
+            schedule.makeChanges(2);
             schedule.awaitAllCaughtUp(SimulatedFleet.RECOVERY_MS);
-            schedule.until(SimulatedFleet.RECOVERY_MS, "the set is complete", () -> isSetComplete(schedule));
+            schedule.runUntil(SimulatedFleet.RECOVERY_MS, "the set is complete", () -> isSetComplete(schedule));
         }
     }
 
-    private static void start(Schedule schedule) {
-        ControlMachine started = schedule.fleet.newControl(schedule.fleet.firstSeeds(), false);
-        schedule.fleet.contact().startedEmpty(started);
+    private static void addAndStart(Schedule schedule) {
+        ControlMachine started = schedule.fleet.addControlMachine(schedule.fleet.firstSeeds(), false);
+        schedule.fleet.contact().startedWithEmptyDisk(started);
         started.start();
     }
 
@@ -80,26 +80,29 @@
                 == schedule.fleet.core().size();
     }
 
-    /** All come back within half a second. */
+    /** All machines lose power and restart within half a second. */
     private static void loseAllPower(Schedule schedule) {
         SplittableRandom random =
                 new SplittableRandom((long) schedule.fleet.time().now());
         schedule.fleet.machines().forEach(machine -> {
-            schedule.fleet.contact().disturbed(machine);
+            schedule.fleet.contact().recordFault(machine);
             schedule.faults.powerLoss(machine, random.nextDouble() * 500, () -> {});
         });
-        schedule.play(600);
-        schedule.until(SimulatedFleet.RECOVERY_MS, "a data plane has all again", () -> schedule.fleet.edge().stream()
-                .allMatch(data -> data.process().complete()));
+        schedule.run(600);
+        schedule.runUntil(
+                SimulatedFleet.RECOVERY_MS,
+                "all data planes have complete metadata",
+                () -> schedule.fleet.edge().stream()
+                        .allMatch(data -> data.process().isComplete()));
     }
 
     /**
-     * A processor as a quota: of each 100 ms a process runs for 30 and stands for 70, on some machines or on all. No
-     * lease and no session is lost to that, and changes are confirmed in time.
+     * Under a processor quota a process runs for 30 ms of each 100 ms and is paused for 70 ms, on some machines or on
+     * all. This costs no lease and no session, and changes are confirmed in time.
      */
     @ParameterizedTest
     @ValueSource(ints = {1, 3, 6})
-    void aQuotaOfTheProcessorCostsNoLease(int machines) {
+    void noLeaseIsLostUnderAProcessorQuota(int machines) {
         for (long seed = 1; seed <= 5; seed++) {
             Schedule schedule = new Schedule(seed, 3);
             ControlMachine holder = holder(schedule);
@@ -111,32 +114,33 @@
                         .time()
                         .after(
                                 random.nextDouble() * 100,
-                                () -> schedule.faults.quota(machine, QUOTA_RUN_MS, QUOTA_STAND_MS, untilMs));
+                                () -> schedule.faults.limitProcessor(machine, QUOTA_RUN_MS, QUOTA_PAUSE_MS, untilMs));
             }
             while (schedule.fleet.time().now() < untilMs) {
-                schedule.change();
-                schedule.play(100);
+                schedule.makeChange();
+                schedule.run(100);
             }
-            schedule.play(200);
-            assertTrue(holder.process().holdsList());
+            schedule.run(200);
+            assertTrue(holder.process().isListLeaseHolder());
             assertEquals(token, holder.process().fencingToken());
             schedule.awaitAllCaughtUp(SimulatedFleet.CATCH_UP_MS);
         }
     }
 
     private static ControlMachine holder(Schedule schedule) {
-        schedule.until(SimulatedFleet.CONTACT_MS, "the role is held", () -> schedule.fleet.core().stream()
-                .anyMatch(control -> control.process().holdsList()));
+        schedule.runUntil(
+                SimulatedFleet.CONTACT_MS, "a control plane has the lease", () -> schedule.fleet.core().stream()
+                        .anyMatch(control -> control.process().isListLeaseHolder()));
         return schedule.fleet.core().stream()
-                .filter(control -> control.process().holdsList())
+                .filter(control -> control.process().isListLeaseHolder())
                 .findFirst()
                 .orElseThrow();
     }
 
-    /** Clocks are set back by a minute while processes restart: nobody is taken for an earlier incarnation. */
+    /** Clocks are set back by a minute while processes restart: no process is treated as an earlier incarnation. */
     @ParameterizedTest
     @MethodSource("seeds")
-    void clocksThatAreSetBackUnderRestartsChangeNothing(long seed) {
+    void restartsWithClocksSetBackLoseNoChange(long seed) {
         Schedule schedule = new Schedule(seed, 3);
         SplittableRandom random = new SplittableRandom(seed);
         for (int turn = 0; turn < 4; turn++) {
@@ -146,21 +150,22 @@
             data.stepClock(-CLOCK_STEP_MS);
             schedule.faults.kill(control, random.nextDouble() * 500, () -> {});
             schedule.faults.powerLoss(data, random.nextDouble() * 500, () -> {});
-            schedule.change();
-            schedule.play(SimulatedFleet.CATCH_UP_MS);
+            schedule.makeChange();
+            schedule.run(SimulatedFleet.CATCH_UP_MS);
         }
         schedule.awaitAllCaughtUp(SimulatedFleet.CATCH_UP_MS);
     }
 
     /**
-     * A restarted data plane whose clock is behind its earlier incarnation's: the earlier one is named until its
-     * session ends, at the same address, so peers reach the present one all the same; it is named once all the time.
+     * A data plane restarts with a clock behind that of its earlier incarnation. The earlier incarnation is listed
+     * until its session ends; it has the same address, so peers reach the current one anyway. The data plane is always
+     * listed exactly once.
      */
     @ParameterizedTest
     @MethodSource("seeds")
-    void aRestartedDataPlaneWhoseClockWasSetBackStaysTheOneMemberThatItIs(long seed) {
+    void aRestartedDataPlaneWhoseClockWasSetBackIsListedOnce(long seed) {
         Schedule schedule = new Schedule(seed, 3);
-        schedule.play(SESSION_MS);
+        schedule.run(SESSION_MS);
         DataMachine restarted = schedule.fleet.edge().get((int) (seed % 3));
         restarted.stepClock(-CLOCK_STEP_MS);
         boolean powerLost = seed % 2 == 0;
@@ -170,39 +175,39 @@
         } else {
             schedule.faults.kill(restarted, downMs, () -> {});
         }
-        schedule.play(downMs + SESSION_MS);
+        schedule.run(downMs + SESSION_MS);
         long present = restarted.incarnationAtStart();
         for (ControlMachine control : schedule.fleet.core()) {
             List<Member> members = control.process().members();
             assertEquals(3, members.size());
-            Member named = members.stream()
+            Member listed = members.stream()
                     .filter(member -> member.node.equals(restarted.name()))
                     .findFirst()
                     .orElseThrow();
-            assertEquals(present, named.incarnation);
+            assertEquals(present, listed.incarnation);
         }
     }
 
-    /** The store has grown to its bound, and the disk is full: the file can't be rewritten, and lasts as it is. */
+    /** The store has reached its size limit and the disk is full: the file can't be rewritten and stays unchanged. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void aStoreAtItsBoundOnAFullDiskKeepsWhatItHas(long seed) {
+    void aStoreAtItsLimitOnAFullDiskKeepsItsData(long seed) {
         Schedule schedule = new Schedule(seed, 3);
         ControlMachine full = schedule.core((int) (seed % 3));
-        schedule.changes(40);
-        assertTrue(full.disk().maxTotalBytes() > STORE_BOUND_BYTES, full.disk().maxTotalBytes() + " bytes");
-        schedule.fleet.contact().disturbed(full);
-        full.disk().fill(true);
-        schedule.changes(40);
+        schedule.makeChanges(40);
+        assertTrue(full.disk().maxTotalBytes() > STORE_LIMIT_BYTES, full.disk().maxTotalBytes() + " bytes");
+        schedule.fleet.contact().recordFault(full);
+        full.disk().setFull(true);
+        schedule.makeChanges(40);
         full.kill();
         full.start();
-        schedule.changes(5);
+        schedule.makeChanges(5);
         schedule.awaitAllCaughtUp(SimulatedFleet.CATCH_UP_MS);
-        full.disk().fill(false);
-        schedule.changes(40);
-        schedule.play(SimulatedFleet.CATCH_UP_MS);
+        full.disk().setFull(false);
+        schedule.makeChanges(40);
+        schedule.run(SimulatedFleet.CATCH_UP_MS);
         schedule.core((int) ((seed + 1) % 3)).kill();
-        schedule.changes(5);
+        schedule.makeChanges(5);
         schedule.awaitAllCaughtUp(SimulatedFleet.CATCH_UP_MS);
     }
 }
--- a/simulation/src/test/java/dewplank/simulation/OperatorChange.java
+++ b/simulation/src/test/java/dewplank/simulation/OperatorChange.java
@@ -4,7 +4,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** One change that an operator asks for: the same bytes each time that it is sent. It leaves a route of its name. */
+/** A change that an operator requests; each attempt sends the same bytes. It adds a route named after its ID. */
 final class OperatorChange {
     enum State {
         OPEN,
@@ -22,11 +22,11 @@
     final boolean valid;
     final byte[] body;
     final double startedAt;
-    /** What the configuration holds with the change in it; null where the base was not known. */
+    /** IDs of the changes in the resulting configuration; null if the base configuration was unknown. */
     final Set<Integer> markers;
 
     State state = State.OPEN;
-    int sent;
+    int attempts;
     double endedAt = Double.POSITIVE_INFINITY;
 
     private OperatorChange(
@@ -48,7 +48,7 @@
         this.markers = markers;
     }
 
-    static OperatorChange complete(int id, long base, long version, Set<Integer> baseMarkers, double now) {
+    static OperatorChange fullConfiguration(int id, long base, long version, Set<Integer> baseMarkers, double now) {
         Set<Integer> markers = new TreeSet<>(baseMarkers);
         markers.add(id);
         StringBuilder routes = new StringBuilder();
--- a/simulation/src/test/java/dewplank/simulation/Operators.java
+++ b/simulation/src/test/java/dewplank/simulation/Operators.java
@@ -16,13 +16,14 @@
 import java.util.regex.Pattern;
 
 /**
- * Operators: up to eight changes under way at once, each sent again with the same bytes to any control sidecar until it
- * has a clear answer, with a second of silence and a growing pause between; readings in between.
+ * Simulated operators. Up to eight changes are open at the same time. Each is sent with the same bytes to any control
+ * plane and retried until a definite response arrives, with a timeout of one second and an increasing backoff. Reads
+ * are sent in between.
  */
 final class Operators {
     static final String IP = "10.250.0.1";
-    static final int MAX_AT_ONCE = 8;
-    private static final double CALL_TIMEOUT_MS = 1_000;
+    static final int MAX_OPEN_CHANGES = 8;
+    private static final double REQUEST_TIMEOUT_MS = 1_000;
     private static final double MIN_BACKOFF_MS = 30;
     private static final double MAX_BACKOFF_MS = 400;
     private static final int MAX_REDIRECTS = 2;
@@ -33,9 +34,9 @@
     private final SplittableRandom random;
     private final TreeMap<Long, Set<Integer>> markersByVersion = new TreeMap<>();
     private final List<OperatorChange> open = new ArrayList<>();
-    private final List<ControlMachine> everListed = new ArrayList<>();
+    private final List<ControlMachine> listedMachines = new ArrayList<>();
     private int lastId;
-    private int lostAnswerOneIn = 20; // one answer in so many
+    private int lostResponseOneIn = 20; // one response in this many is lost
     private int reads;
 
     Operators(SimulatedFleet fleet, SplittableRandom random) {
@@ -44,65 +45,65 @@
         markersByVersion.put(0L, Set.of());
     }
 
-    /** From now on no answer is lost on its way. */
-    void loseNoAnswers() {
-        lostAnswerOneIn = 0;
+    /** Stops the random loss of responses. */
+    void loseNoResponses() {
+        lostResponseOneIn = 0;
     }
 
-    /** Sends changes and readings until that time. */
-    void begin(double until, double meanPauseMs) {
-        fleet.time().after(random.nextDouble() * 2 * meanPauseMs, () -> {
+    /** Sends changes and reads at random intervals until the given time. */
+    void start(double until, double meanIntervalMs) {
+        fleet.time().after(random.nextDouble() * 2 * meanIntervalMs, () -> {
             if (fleet.time().now() < until) {
                 if (random.nextInt(4) == 0) {
-                    read(anyControl(), answer -> {});
+                    read(randomControl(), response -> {});
                 } else {
-                    change();
+                    sendChanges();
                 }
-                begin(until, meanPauseMs);
+                start(until, meanIntervalMs);
             }
         });
     }
 
-    private void change() {
-        int atOnce = random.nextInt(5) == 0 ? 2 : 1; // two operators on one base, mostly under one number
-        long base = random.nextInt(15) == 0 ? any(markersByVersion.keySet()) : markersByVersion.lastKey();
+    private void sendChanges() {
+        int count = random.nextInt(5) == 0 ? 2 : 1; // two operators on the same base, mostly with the same new version
+        long base = random.nextInt(15) == 0 ? randomVersion(markersByVersion.keySet()) : markersByVersion.lastKey();
         long version = base + 1 + random.nextInt(3);
-        for (int index = 0; index < atOnce && open.size() < MAX_AT_ONCE; index++) {
-            send(order(base, random.nextInt(4) == 0 ? version + index : version), then -> {});
+        for (int index = 0; index < count && open.size() < MAX_OPEN_CHANGES; index++) {
+            send(randomChange(base, random.nextInt(4) == 0 ? version + index : version), done -> {});
         }
     }
 
-    private long any(Set<Long> from) {
+    private long randomVersion(Set<Long> from) {
         int skipped = random.nextInt(from.size());
         return from.stream().skip(skipped).findFirst().orElse(0L);
     }
 
-    private OperatorChange order(long base, long version) {
+    private OperatorChange randomChange(long base, long version) {
         double now = fleet.time().now();
         lastId++;
         if (base == 0 || random.nextInt(4) == 0) {
-            return OperatorChange.complete(lastId, base, version, markersByVersion.get(base), now);
+            return OperatorChange.fullConfiguration(lastId, base, version, markersByVersion.get(base), now);
         }
         return OperatorChange.patch(lastId, base, version, random.nextInt(12) != 0, now);
     }
 
-    /** A valid change on top of the newest version that is known here. */
-    OperatorChange next() {
+    /** Creates a valid change of the newest version that the operators know. */
+    OperatorChange newChange() {
         long base = markersByVersion.lastKey();
         if (base == 0) {
             lastId++;
-            return OperatorChange.complete(
+            return OperatorChange.fullConfiguration(
                     lastId,
                     base,
                     base + 1,
                     markersByVersion.get(base),
                     fleet.time().now());
         }
-        return nextPatch();
+        return newPatch();
     }
 
-    /** A patch, which is small whatever is in place. */
-    OperatorChange nextPatch() {
+    /** Creates a valid patch, whose size does not depend on the current configuration. */
+    OperatorChange newPatch() {
         lastId++;
         return OperatorChange.patch(
                 lastId,
@@ -112,8 +113,8 @@
                 fleet.time().now());
     }
 
-    /** A patch of a route that is there already: many of them leave the configuration as small as it is. */
-    OperatorChange nextSmall() {
+    /** Creates a patch of an existing route, which does not increase the size of the configuration. */
+    OperatorChange newSmallPatch() {
         return OperatorChange.patch(
                 1,
                 markersByVersion.lastKey(),
@@ -122,10 +123,10 @@
                 fleet.time().now());
     }
 
-    /** Sends a change until it has a clear answer. */
-    void send(OperatorChange order, Consumer<OperatorChange> then) {
-        open.add(order);
-        attempt(order, then);
+    /** Sends a change and retries it until a definite response arrives. */
+    void send(OperatorChange change, Consumer<OperatorChange> callback) {
+        open.add(change);
+        attempt(change, callback);
     }
 
     List<OperatorChange> open() {
@@ -136,64 +137,63 @@
         return reads;
     }
 
-    private void attempt(OperatorChange order, Consumer<OperatorChange> then) {
-        order.sent++;
-        ControlMachine to = anyControl();
-        call(to, order.patch ? "PATCH" : "PUT", order, MAX_REDIRECTS, answer -> {
-            if (answer == null || !answered(order, answer.status())) {
-                double pause = Math.min(MAX_BACKOFF_MS, MIN_BACKOFF_MS * (1 << Math.min(order.sent, 10)));
-                fleet.time().after(pause * (0.5 + random.nextDouble()), () -> attempt(order, then));
+    private void attempt(OperatorChange change, Consumer<OperatorChange> callback) {
+        change.attempts++;
+        ControlMachine to = randomControl();
+        sendRequest(to, change.patch ? "PATCH" : "PUT", change, MAX_REDIRECTS, response -> {
+            if (response == null || !recordResponse(change, response.status())) {
+                double backoffMs = Math.min(MAX_BACKOFF_MS, MIN_BACKOFF_MS * (1 << Math.min(change.attempts, 10)));
+                fleet.time().after(backoffMs * (0.5 + random.nextDouble()), () -> attempt(change, callback));
             } else {
-                open.remove(order);
-                order.endedAt = fleet.time().now();
-                then.accept(order);
+                open.remove(change);
+                change.endedAt = fleet.time().now();
+                callback.accept(change);
             }
         });
     }
 
-    /** One try of a change at one machine; null where nothing came back. */
-    void call(ControlMachine to, OperatorChange order, Consumer<ControlProcess.Answer> then) {
-        call(to, order.patch ? "PATCH" : "PUT", order, 0, then);
+    /** Sends a change to one machine once; the callback receives null if no response arrives. */
+    void sendRequest(ControlMachine to, OperatorChange change, Consumer<ControlProcess.Response> callback) {
+        sendRequest(to, change.patch ? "PATCH" : "PUT", change, 0, callback);
     }
 
-    /** Takes an answer to a change; whether it was a clear one. */
-    boolean answered(OperatorChange order, int status) {
+    /** Records a response to a change; returns whether the response is definite. */
+    boolean recordResponse(OperatorChange change, int status) {
         if (status == 200) {
-            order.state = OperatorChange.State.CONFIRMED;
-            fleet.invariants().confirmed(order);
-            Set<Integer> base = markersByVersion.get(order.base);
-            if (order.markers != null || base != null) {
-                Set<Integer> markers = new TreeSet<>(order.markers != null ? order.markers : base);
-                markers.add(order.id);
-                markersByVersion.put(order.version, markers);
+            change.state = OperatorChange.State.CONFIRMED;
+            fleet.invariants().recordConfirmation(change);
+            Set<Integer> base = markersByVersion.get(change.base);
+            if (change.markers != null || base != null) {
+                Set<Integer> markers = new TreeSet<>(change.markers != null ? change.markers : base);
+                markers.add(change.id);
+                markersByVersion.put(change.version, markers);
             }
             return true;
         }
         if (status == 400 || status == 409 || status == 412 || status == 413 || status == 422) {
-            order.state = OperatorChange.State.REJECTED;
-            fleet.invariants().rejected(order, status);
+            change.state = OperatorChange.State.REJECTED;
+            fleet.invariants().recordRejection(change, status);
             return true;
         }
         return false;
     }
 
-    /** Reads the configuration from a machine; null where no clear answer came. */
-    void read(ControlMachine from, Consumer<Long> then) {
-        long floor = fleet.invariants().floor();
-        call(from, "GET", null, MAX_REDIRECTS, answer -> {
-            if (answer != null && answer.status() == 200) {
-                then.accept(taken(answer.body(), floor));
+    /** Reads the configuration from a machine; the callback receives null without a definite response. */
+    void read(ControlMachine from, Consumer<Long> callback) {
+        long floor = fleet.invariants().versionFloor();
+        sendRequest(from, "GET", null, MAX_REDIRECTS, response -> {
+            if (response != null && response.status() == 200) {
+                callback.accept(recordRead(response.body(), floor));
             } else {
-                if (answer != null && answer.status() == 404) {
-                    fleet.invariants()
-                            .check(floor == 0, "no configuration is known at " + from.name() + " after " + floor);
+                if (response != null && response.status() == 404) {
+                    fleet.invariants().check(floor == 0, "no configuration at " + from.name() + " after " + floor);
                 }
-                then.accept(null);
+                callback.accept(null);
             }
         });
     }
 
-    private long taken(byte[] body, long floor) {
+    private long recordRead(byte[] body, long floor) {
         String text = new String(body, StandardCharsets.UTF_8);
         Matcher version = VERSION.matcher(text);
         fleet.invariants().check(version.find(), "a configuration without a version");
@@ -203,104 +203,106 @@
             markers.add(Integer.parseInt(marker.group(1)));
         }
         long read = Long.parseLong(version.group(1));
-        fleet.invariants().read(read, markers, floor);
+        fleet.invariants().checkRead(read, markers, floor);
         markersByVersion.put(read, markers);
         reads++;
         return read;
     }
 
-    /** From a list that lags: machines that have been taken away stand there too. */
-    private ControlMachine anyControl() {
+    /** Returns a random control plane, sometimes from an outdated list that includes removed machines. */
+    private ControlMachine randomControl() {
         for (ControlMachine control : fleet.core()) {
-            if (!everListed.contains(control)) {
-                everListed.add(control);
+            if (!listedMachines.contains(control)) {
+                listedMachines.add(control);
             }
         }
-        List<ControlMachine> from = random.nextInt(10) == 0 ? everListed : fleet.core();
+        List<ControlMachine> from = random.nextInt(10) == 0 ? listedMachines : fleet.core();
         return from.get(random.nextInt(from.size()));
     }
 
-    private void call(
+    private void sendRequest(
             ControlMachine to,
             String method,
-            OperatorChange order,
+            OperatorChange change,
             int redirects,
-            Consumer<ControlProcess.Answer> then) {
-        Call call = new Call(then);
-        fleet.time().after(CALL_TIMEOUT_MS, () -> call.ends(null));
-        fleet.time().after(fleet.network().delay(), () -> arrive(to, method, order, redirects, call));
+            Consumer<ControlProcess.Response> callback) {
+        PendingRequest request = new PendingRequest(callback);
+        fleet.time().after(REQUEST_TIMEOUT_MS, () -> request.complete(null));
+        fleet.time()
+                .after(fleet.network().randomDelayMs(), () -> deliverRequest(to, method, change, redirects, request));
     }
 
-    private void arrive(ControlMachine to, String method, OperatorChange order, int redirects, Call call) {
+    private void deliverRequest(
+            ControlMachine to, String method, OperatorChange change, int redirects, PendingRequest request) {
         if (!to.hasPower() || !fleet.network().reaches(IP, to.ip())) {
             return;
         }
-        if (to.process() == null || !to.process().takesCalls()) {
-            fleet.time().after(fleet.network().delay(), () -> call.ends(null));
+        if (to.process() == null || !to.process().acceptsRequests()) {
+            fleet.time().after(fleet.network().randomDelayMs(), () -> request.complete(null));
             return;
         }
-        boolean handlesAbandonedCall = random.nextBoolean();
+        boolean handlesAbandonedRequest = random.nextBoolean();
         ProcessIncarnation incarnation = to.incarnation();
-        incarnation.run(() -> {
-            if (call.over && !handlesAbandonedCall) {
-                return; // it has read of the caller's leaving, too
+        incarnation.deliver(() -> {
+            if (request.completed && !handlesAbandonedRequest) {
+                return; // the server has detected that the client disconnected
             }
             to.process()
-                    .call(
+                    .handleRequest(
                             method,
                             "/configuration",
-                            order == null ? null : Long.toString(order.base),
-                            order == null ? new byte[0] : order.body,
-                            answer -> back(to, method, order, redirects, call, answer));
+                            change == null ? null : Long.toString(change.base),
+                            change == null ? new byte[0] : change.body,
+                            response -> deliverResponse(to, method, change, redirects, request, response));
         });
     }
 
-    private void back(
+    private void deliverResponse(
             ControlMachine from,
             String method,
-            OperatorChange order,
+            OperatorChange change,
             int redirects,
-            Call call,
-            ControlProcess.Answer answer) {
-        fleet.time().after(fleet.network().delay(), () -> {
-            if (call.over
+            PendingRequest request,
+            ControlProcess.Response response) {
+        fleet.time().after(fleet.network().randomDelayMs(), () -> {
+            if (request.completed
                     || !fleet.network().reaches(from.ip(), IP)
-                    || lostAnswerOneIn > 0 && random.nextInt(lostAnswerOneIn) == 0) {
+                    || lostResponseOneIn > 0 && random.nextInt(lostResponseOneIn) == 0) {
                 return;
             }
-            ControlMachine next = answer.status() == 307 && redirects > 0 ? machine(answer.location()) : null;
+            ControlMachine next = response.status() == 307 && redirects > 0 ? machineAt(response.location()) : null;
             if (next != null) {
-                call.over = true;
-                call(next, method, order, redirects - 1, call.then);
+                request.completed = true;
+                sendRequest(next, method, change, redirects - 1, request.callback);
             } else {
-                call.ends(answer);
+                request.complete(response);
             }
         });
     }
 
-    private ControlMachine machine(String location) {
+    private ControlMachine machineAt(String location) {
         String host = location.replaceFirst("^http://", "").replaceFirst("[:/].*", "");
         try {
             InetAddress address = InetAddress.getByName(host);
-            Machine found = fleet.network().at(new InetSocketAddress(address, Machine.CONTROL_PORT));
+            Machine found = fleet.network().machineAt(new InetSocketAddress(address, Machine.CONTROL_PORT));
             return found instanceof ControlMachine control ? control : null;
         } catch (UnknownHostException e) {
             throw new AssertionError("not an address: " + location, e);
         }
     }
 
-    private static final class Call {
-        private final Consumer<ControlProcess.Answer> then;
-        private boolean over;
+    private static final class PendingRequest {
+        private final Consumer<ControlProcess.Response> callback;
+        private boolean completed;
 
-        Call(Consumer<ControlProcess.Answer> then) {
-            this.then = then;
+        PendingRequest(Consumer<ControlProcess.Response> callback) {
+            this.callback = callback;
         }
 
-        void ends(ControlProcess.Answer answer) {
-            if (!over) {
-                over = true;
-                then.accept(answer);
+        void complete(ControlProcess.Response response) {
+            if (!completed) {
+                completed = true;
+                callback.accept(response);
             }
         }
     }
--- a/simulation/src/test/java/dewplank/simulation/PartitionScheduleTest.java
+++ b/simulation/src/test/java/dewplank/simulation/PartitionScheduleTest.java
@@ -18,23 +18,23 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Partitions at chosen moments and along chosen lines, each as a schedule of its own. */
+/** Partitions that begin at chosen messages or separate chosen groups of machines; each test is a separate schedule. */
 class PartitionScheduleTest {
     private static final double PARTITION_MS = 6_000;
-    private static final double MEAN_PAUSE_MS = 250;
+    private static final double MEAN_INTERVAL_MS = 250;
     private static final Set<Integer> DEFINITE = Set.of(200, 400, 404, 409, 412);
 
     static LongStream seeds() {
         return LongStream.rangeClosed(1, 12);
     }
 
-    /** Whom a partition takes at the moment of a message. */
+    /** The message at which a partition begins, and the machines that it isolates. */
     enum Moment {
-        /** The proposer, between the rounds: it has its promises, and none of its requests to accept arrives. */
+        /** Isolates the proposer between the two phases: it has promises, but no accept message arrives. */
         BEFORE_ACCEPT,
-        /** Each acceptor, between its synced write and its answer. */
+        /** Isolates each acceptor between its synced write and its reply. */
         BEFORE_ACCEPTED,
-        /** One acceptor, at the same moment. */
+        /** Isolates one acceptor between its synced write and its reply. */
         BEFORE_FIRST_ACCEPTED
     }
 
@@ -42,138 +42,138 @@
         return Stream.of(Moment.values()).flatMap(moment -> seeds().mapToObj(seed -> Arguments.of(moment, seed)));
     }
 
-    /** What was held up arrives when the partition heals, after other changes. */
+    /** The delayed messages arrive when the partition heals, after other changes. */
     @ParameterizedTest
     @MethodSource("moments")
-    void aChangeIsTakenOnceThoughAPartitionBeginsWithinItsRounds(Moment moment, long seed) {
+    void aChangeIsAppliedOnceWhenAPartitionBeginsDuringItsPhases(Moment moment, long seed) {
         Schedule schedule = new Schedule(seed, 3 + (int) (seed % 3));
         schedule.fleet.contact().beyondTolerance();
-        Set<Machine> cutOff = new HashSet<>();
-        schedule.fleet.network().onSending((link, message) -> {
-            if (isAt(moment, message, cutOff) && cutOff.add(link.from())) {
-                schedule.cut(link.from(), schedule.fleet.machines(), true);
+        Set<Machine> isolated = new HashSet<>();
+        schedule.fleet.network().setSendObserver((link, message) -> {
+            if (isAt(moment, message, isolated) && isolated.add(link.from())) {
+                schedule.setPartitioned(link.from(), schedule.fleet.machines(), true);
             }
         });
-        schedule.operators.begin(schedule.fleet.time().now() + PARTITION_MS, MEAN_PAUSE_MS);
-        schedule.play(PARTITION_MS);
-        assertFalse(cutOff.isEmpty());
-        schedule.fleet.network().onSending((link, message) -> {});
-        cutOff.forEach(machine -> schedule.cut(machine, schedule.fleet.machines(), false));
+        schedule.operators.start(schedule.fleet.time().now() + PARTITION_MS, MEAN_INTERVAL_MS);
+        schedule.run(PARTITION_MS);
+        assertFalse(isolated.isEmpty());
+        schedule.fleet.network().setSendObserver((link, message) -> {});
+        isolated.forEach(machine -> schedule.setPartitioned(machine, schedule.fleet.machines(), false));
         settle(schedule);
     }
 
-    private static boolean isAt(Moment moment, Object message, Set<Machine> cutOff) {
+    private static boolean isAt(Moment moment, Object message, Set<Machine> isolated) {
         return switch (moment) {
-            case BEFORE_ACCEPT -> message instanceof Accept && cutOff.isEmpty();
+            case BEFORE_ACCEPT -> message instanceof Accept && isolated.isEmpty();
             case BEFORE_ACCEPTED -> message instanceof Accepted;
-            case BEFORE_FIRST_ACCEPTED -> message instanceof Accepted && cutOff.isEmpty();
+            case BEFORE_FIRST_ACCEPTED -> message instanceof Accepted && isolated.isEmpty();
         };
     }
 
     /**
-     * A successor and a data plane start with seeds that name one control plane, which is cut off from the others. The
-     * successor confirms nothing, and both belong to the fleet once the partition has healed.
+     * A successor and a data plane start with a single seed, a control plane that is partitioned from the others. The
+     * successor confirms nothing, and both join the fleet once the partition has healed.
      */
     @ParameterizedTest
     @MethodSource("seeds")
-    void processesWhoseSeedsNameOnlyAPartitionedControlPlaneWaitForTheOthers(long seed) {
+    void processesSeededOnlyWithAPartitionedControlPlaneJoinOnceItHeals(long seed) {
         Schedule schedule = new Schedule(seed, 4);
         ControlMachine partitioned = schedule.core((int) (seed % 4));
         List<ControlMachine> others = new ArrayList<>(schedule.fleet.core());
         others.remove(partitioned);
-        schedule.cut(partitioned, others, true);
-        schedule.play(SimulatedFleet.CONTACT_MS);
-        schedule.changes(3);
+        schedule.setPartitioned(partitioned, others, true);
+        schedule.run(SimulatedFleet.CONTACT_MS);
+        schedule.makeChanges(3);
         List<String> seeds = List.of(partitioned.ip() + ":" + Machine.CONTROL_PORT);
-        ControlMachine newcomer = schedule.fleet.newControl(seeds, false);
+        ControlMachine newcomer = schedule.fleet.addControlMachine(seeds, false);
         DataMachine data = schedule.fleet.edge().get(0);
-        data.seeds(seeds);
-        schedule.fleet.contact().startedEmpty(newcomer);
+        data.changeSeeds(seeds);
+        schedule.fleet.contact().startedWithEmptyDisk(newcomer);
         newcomer.start();
         schedule.faults.kill(data, 200, () -> {});
-        schedule.play(PARTITION_MS);
-        int status = schedule.attemptAt(newcomer, schedule.operators.nextPatch());
-        assertFalse(DEFINITE.contains(status), "answered " + status);
-        assertFalse(newcomer.process().holdsList());
-        schedule.changes(3);
-        schedule.cut(partitioned, others, false);
+        schedule.run(PARTITION_MS);
+        int status = schedule.sendOnce(newcomer, schedule.operators.newPatch());
+        assertFalse(DEFINITE.contains(status), "responded with " + status);
+        assertFalse(newcomer.process().isListLeaseHolder());
+        schedule.makeChanges(3);
+        schedule.setPartitioned(partitioned, others, false);
         settle(schedule);
-        assertTrue(data.process().complete());
+        assertTrue(data.process().isComplete());
     }
 
-    /** {@code core_cut} with {@code split}: neither half may do what the other does, and all others reach both. */
+    /** {@code core_cut} with {@code split}: the halves must not both confirm changes; other machines reach both. */
     @ParameterizedTest
     @MethodSource("seeds")
-    void halvesOfTheCorePartAndHealByTurns(long seed) {
+    void changesAreConsistentWhenTheCoreIsRepeatedlySplit(long seed) {
         Schedule schedule = new Schedule(seed, 3 + (int) (seed % 4));
         schedule.fleet.contact().beyondTolerance();
         SplittableRandom random = new SplittableRandom(seed);
-        schedule.operators.begin(schedule.fleet.time().now() + 3 * PARTITION_MS, MEAN_PAUSE_MS);
+        schedule.operators.start(schedule.fleet.time().now() + 3 * PARTITION_MS, MEAN_INTERVAL_MS);
         for (int turn = 0; turn < 3; turn++) {
             List<ControlMachine> one = new ArrayList<>(schedule.fleet.core());
             List<ControlMachine> other = new ArrayList<>();
             while (other.size() < one.size()) {
                 other.add(one.remove(random.nextInt(one.size())));
             }
-            schedule.cutAll(one, other, true);
-            schedule.play(random.nextDouble() * PARTITION_MS);
-            schedule.cutAll(one, other, false);
-            schedule.play(random.nextDouble() * SimulatedFleet.CATCH_UP_MS);
+            schedule.setAllPartitioned(one, other, true);
+            schedule.run(random.nextDouble() * PARTITION_MS);
+            schedule.setAllPartitioned(one, other, false);
+            schedule.run(random.nextDouble() * SimulatedFleet.CATCH_UP_MS);
         }
         settle(schedule);
     }
 
     /**
      * {@code core_cut} with {@code behind}: a minority misses changes; then one of the others loses its disk, the rest
-     * are dark, and the partition heals. The minority and the empty disk are no majority: what was confirmed is not
-     * overwritten, and is there once the rest are back.
+     * lose power, and the partition heals. The minority and the machine with the empty disk are no majority: confirmed
+     * changes are not overwritten, and are available once the rest are running again.
      */
     @ParameterizedTest
     @MethodSource("seeds")
-    void aMinorityThatMissedChangesAndAnEmptyDiskDecideNothing(long seed) {
+    void aMinorityThatMissedChangesConfirmsNothingWithAnEmptyDisk(long seed) {
         Schedule schedule = new Schedule(seed, 3 + 2 * (int) (seed % 2));
         schedule.fleet.contact().beyondTolerance();
         List<ControlMachine> core = schedule.fleet.core();
         int minority = (core.size() - 1) / 2;
         List<ControlMachine> behind = core.subList(0, minority);
         List<ControlMachine> ahead = core.subList(minority, core.size());
-        schedule.cutAll(behind, ahead, true);
-        schedule.play(500);
-        schedule.changes(3);
-        long confirmed = schedule.fleet.invariants().floor();
+        schedule.setAllPartitioned(behind, ahead, true);
+        schedule.run(500);
+        schedule.makeChanges(3);
+        long confirmed = schedule.fleet.invariants().versionFloor();
         schedule.faults.wipe(ahead.get(0), 300, () -> {});
         ahead.subList(1, ahead.size()).forEach(machine -> schedule.faults.powerLoss(machine, PARTITION_MS, () -> {}));
-        schedule.play(200);
-        schedule.cutAll(behind, ahead, false);
-        OperatorChange change = schedule.operators.nextPatch();
-        schedule.operators.send(change, then -> {});
-        schedule.play(PARTITION_MS - 1_000);
+        schedule.run(200);
+        schedule.setAllPartitioned(behind, ahead, false);
+        OperatorChange change = schedule.operators.newPatch();
+        schedule.operators.send(change, done -> {});
+        schedule.run(PARTITION_MS - 1_000);
         assertEquals(OperatorChange.State.OPEN, change.state);
-        assertEquals(confirmed, schedule.fleet.invariants().floor());
+        assertEquals(confirmed, schedule.fleet.invariants().versionFloor());
         settle(schedule);
     }
 
-    /** Zones part from each other; one is lost while a machine of another is being replaced. */
+    /** Zones are partitioned from each other; after healing, one zone is lost while a machine is being replaced. */
     @ParameterizedTest
     @ValueSource(ints = {2, 3, 4, 5, 6})
-    void zonesPartAndOneIsLostDuringAReplacement(int zones) {
+    void changesSurviveZonePartitionsAndAZoneLossDuringAReplacement(int zones) {
         for (long seed = 1; seed <= 6; seed++) {
             Schedule schedule = new Schedule(seed * 100 + zones, 6);
             schedule.fleet.contact().beyondTolerance();
             SplittableRandom random = new SplittableRandom(seed);
-            schedule.operators.begin(schedule.fleet.time().now() + 2 * PARTITION_MS, MEAN_PAUSE_MS);
+            schedule.operators.start(schedule.fleet.time().now() + 2 * PARTITION_MS, MEAN_INTERVAL_MS);
             List<ControlMachine> lostZone = zone(schedule, 0, zones);
             for (int zone = 1; zone < zones; zone++) {
-                cutZone(schedule, zone, zones, true);
+                setZonePartitioned(schedule, zone, zones, true);
             }
-            schedule.play(random.nextDouble() * PARTITION_MS);
+            schedule.run(random.nextDouble() * PARTITION_MS);
             for (int zone = 1; zone < zones; zone++) {
-                cutZone(schedule, zone, zones, false);
+                setZonePartitioned(schedule, zone, zones, false);
             }
             schedule.faults.replace(schedule.core(1), random.nextDouble() * 1_000, () -> {});
-            schedule.play(random.nextDouble() * 2_000);
+            schedule.run(random.nextDouble() * 2_000);
             lostZone.forEach(machine -> schedule.faults.powerLoss(machine, PARTITION_MS, () -> {}));
-            schedule.play(PARTITION_MS);
+            schedule.run(PARTITION_MS);
             settle(schedule);
         }
     }
@@ -186,22 +186,25 @@
         return machines;
     }
 
-    /** Between this zone and those before it. */
-    private static void cutZone(Schedule schedule, int zone, int zones, boolean begins) {
+    /** Partitions this zone from the zones with lower numbers, or heals that partition. */
+    private static void setZonePartitioned(Schedule schedule, int zone, int zones, boolean partitioned) {
         for (int before = 0; before < zone; before++) {
-            schedule.cutAll(zone(schedule, zone, zones), zone(schedule, before, zones), begins);
+            schedule.setAllPartitioned(zone(schedule, zone, zones), zone(schedule, before, zones), partitioned);
         }
     }
 
-    /** Nothing is disturbed any more: every change is answered, and everyone has what was confirmed. */
+    /** After the last fault, every change gets a definite response and every process has all confirmed changes. */
     private static void settle(Schedule schedule) {
-        schedule.until(SimulatedFleet.RECOVERY_MS, "all is answered", () -> schedule.operators
+        schedule.runUntil(SimulatedFleet.RECOVERY_MS, "all changes have a response", () -> schedule.operators
                 .open()
                 .isEmpty());
-        schedule.until(SimulatedFleet.RECOVERY_MS, "all run", () -> schedule.fleet.machines().stream()
-                .allMatch(Machine::runs));
-        schedule.change();
+        schedule.runUntil(
+                SimulatedFleet.RECOVERY_MS, "all machines are running", () -> schedule.fleet.machines().stream()
+                        .allMatch(Machine::isRunning));
+        schedule.makeChange();
         schedule.awaitAllCaughtUp(SimulatedFleet.RECOVERY_MS);
-        schedule.fleet.invariants().checkEnd(schedule.core(0).process().configuration());
+        schedule.fleet
+                .invariants()
+                .checkFinalConfiguration(schedule.core(0).process().configuration());
     }
 }
--- a/simulation/src/test/java/dewplank/simulation/ProcessIncarnation.java
+++ b/simulation/src/test/java/dewplank/simulation/ProcessIncarnation.java
@@ -9,19 +9,20 @@
 import org.slf4j.MDC;
 
 /**
- * One incarnation of a process: its one thread, its steady clock and its timers. Frozen, it runs nothing while its
- * clock goes on; what became due meanwhile is run when it thaws, timers before or behind what came over links.
+ * One incarnation of a process, with its single thread, its monotonic clock and its timers. A paused process runs no
+ * tasks while its clock advances. When it resumes, it runs the tasks that became due, the timers either before or after
+ * the events from outside.
  */
 public final class ProcessIncarnation implements Scheduler {
-    /** As the event loop's wheel: a timer fires at the first tick past its time. */
+    /** As with the event loop's timer wheel, a timer fires at the first tick at or after its due time. */
     private static final double TICK_MS = 5;
 
-    private static final boolean LOGS = System.getProperty("simulation.log") != null;
+    private static final boolean LOG_ENABLED = System.getProperty("simulation.log") != null;
 
-    private static final class Waiting implements Timer {
+    private static final class PendingTimer implements Timer {
         private Runnable task;
 
-        Waiting(Runnable task) {
+        PendingTimer(Runnable task) {
             this.task = task;
         }
 
@@ -34,19 +35,19 @@
     private final VirtualTime time;
     private final String name;
     private final double clockOffset;
-    private final double phase;
-    private final Runnable afterEachStep;
+    private final double tickPhaseMs;
+    private final Runnable afterEachTask;
     private final Deque<Runnable> pendingTimers = new ArrayDeque<>();
     private final Deque<Runnable> pendingEvents = new ArrayDeque<>();
-    private boolean frozen;
-    private boolean over;
+    private boolean paused;
+    private boolean ended;
 
-    ProcessIncarnation(VirtualTime time, String name, SplittableRandom random, Runnable afterEachStep) {
+    ProcessIncarnation(VirtualTime time, String name, SplittableRandom random, Runnable afterEachTask) {
         this.time = time;
         this.name = name;
-        this.clockOffset = 1_000 + random.nextInt(1_000_000); // each incarnation's clock begins anywhere
-        this.phase = random.nextDouble() * TICK_MS;
-        this.afterEachStep = afterEachStep;
+        this.clockOffset = 1_000 + random.nextInt(1_000_000); // each incarnation has a random clock origin
+        this.tickPhaseMs = random.nextDouble() * TICK_MS;
+        this.afterEachTask = afterEachTask;
     }
 
     @Override
@@ -56,75 +57,75 @@
 
     @Override
     public Timer after(double ms, Runnable task) {
-        Waiting timer = new Waiting(task);
-        double ticks = Math.ceil((time.now() + Math.max(0, ms) - phase) / TICK_MS);
-        time.at(Math.max(phase + ticks * TICK_MS, time.now() + TICK_MS / 2), () -> due(timer));
+        PendingTimer timer = new PendingTimer(task);
+        double ticks = Math.ceil((time.now() + Math.max(0, ms) - tickPhaseMs) / TICK_MS);
+        time.at(Math.max(tickPhaseMs + ticks * TICK_MS, time.now() + TICK_MS / 2), () -> fire(timer));
         return timer;
     }
 
-    private void due(Waiting timer) {
-        if (frozen && !over) {
-            pendingTimers.add(() -> due(timer));
+    private void fire(PendingTimer timer) {
+        if (paused && !ended) {
+            pendingTimers.add(() -> fire(timer));
             return;
         }
         Runnable task = timer.task;
         timer.task = null;
         if (task != null) {
-            step(task);
+            runTask(task);
         }
     }
 
     @Override
     public void execute(Runnable task) {
-        time.after(0, () -> run(task));
+        time.after(0, () -> deliver(task));
     }
 
-    /** Something has come from outside: the task runs now, or when the process thaws. */
-    public void run(Runnable task) {
-        if (frozen && !over) {
+    /** Runs a task for an event from outside, either now or when the process resumes. */
+    public void deliver(Runnable task) {
+        if (paused && !ended) {
             pendingEvents.add(task);
         } else {
-            step(task);
+            runTask(task);
         }
     }
 
-    private void step(Runnable task) {
-        if (over) {
+    private void runTask(Runnable task) {
+        if (ended) {
             return;
         }
-        if (LOGS) {
+        if (LOG_ENABLED) {
             MDC.put("host", name);
             MDC.put("at", String.format("%.1f", time.now()));
         }
         task.run();
-        afterEachStep.run();
+        afterEachTask.run();
     }
 
-    void freeze() {
-        frozen = true;
+    void pause() {
+        paused = true;
     }
 
-    void thaw(boolean timersFirst) {
-        frozen = false;
-        List<Runnable> due = new ArrayList<>(timersFirst ? pendingTimers : pendingEvents);
-        due.addAll(timersFirst ? pendingEvents : pendingTimers);
+    void resume(boolean timersFirst) {
+        paused = false;
+        List<Runnable> tasks = new ArrayList<>(timersFirst ? pendingTimers : pendingEvents);
+        tasks.addAll(timersFirst ? pendingEvents : pendingTimers);
         pendingTimers.clear();
         pendingEvents.clear();
-        due.forEach(this::run);
+        tasks.forEach(this::deliver);
     }
 
-    /** Nothing runs any more. */
+    /** Terminates the incarnation: no task runs after this. */
     void end() {
-        over = true;
+        ended = true;
         pendingTimers.clear();
         pendingEvents.clear();
     }
 
-    boolean isOver() {
-        return over;
+    boolean hasEnded() {
+        return ended;
     }
 
-    boolean isFrozen() {
-        return frozen;
+    boolean isPaused() {
+        return paused;
     }
 }
--- a/simulation/src/test/java/dewplank/simulation/RefusedDiskTest.java
+++ b/simulation/src/test/java/dewplank/simulation/RefusedDiskTest.java
@@ -14,61 +14,63 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Control planes whose disk can't be used when they start. They serve without a vote, say so, confirm and reject
- * nothing, and take up the vote that their disk has when it can be used. {@link InvariantChecker} holds meanwhile.
+ * Control planes whose disk is unusable when they start. They serve without a vote, report that in their status,
+ * confirm and reject nothing, and resume the vote stored on their disk when it becomes usable. {@link InvariantChecker}
+ * checks the invariants meanwhile.
  */
 class RefusedDiskTest {
     private static final double CHANGES_UNTIL_MS = 8_000;
-    private static final double MEAN_PAUSE_MS = 250;
+    private static final double MEAN_INTERVAL_MS = 250;
     private static final double STEP_MS = 50;
-    private static final double MAX_REFUSED_MS = 6_000;
+    private static final double MAX_UNUSABLE_MS = 6_000;
     private static final Set<Integer> DEFINITE = Set.of(200, 400, 404, 409, 412);
 
-    /** A machine with an empty disk that refuses everything takes a lost one's place. */
+    /** A lost machine is replaced by one with an empty disk that rejects all writes. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void aSuccessorWithAFullDiskServesWithoutAVoteUntilItCanWrite(long seed) {
         Schedule schedule = new Schedule(seed, 3);
         schedule.fleet.contact().beyondTolerance();
         schedule.core((int) (seed % 3)).remove();
-        ControlMachine successor = schedule.fleet.newControl(schedule.fleet.firstSeeds(), false);
-        schedule.fleet.contact().startedEmpty(successor);
-        successor.disk().fill(true);
+        ControlMachine successor = schedule.fleet.addControlMachine(schedule.fleet.firstSeeds(), false);
+        schedule.fleet.contact().startedWithEmptyDisk(successor);
+        successor.disk().setFull(true);
         successor.start();
-        schedule.play(2 * SimulatedFleet.CATCH_UP_MS);
+        schedule.run(2 * SimulatedFleet.CATCH_UP_MS);
         assertServesWithoutAVote(schedule, successor);
-        schedule.changes(3);
-        successor.disk().fill(false);
-        schedule.until(SimulatedFleet.CATCH_UP_MS, "it votes", () -> isAcceptor(schedule.core(0), successor));
+        schedule.makeChanges(3);
+        successor.disk().setFull(false);
+        schedule.runUntil(
+                SimulatedFleet.CATCH_UP_MS, "the successor votes", () -> isAcceptor(schedule.core(0), successor));
         assertFalse(successor.process().isDiskRefused());
-        schedule.play(SimulatedFleet.CATCH_UP_MS);
+        schedule.run(SimulatedFleet.CATCH_UP_MS);
         schedule.core(0).remove();
-        schedule.changes(3);
+        schedule.makeChanges(3);
         schedule.awaitAllCaughtUp(SimulatedFleet.CATCH_UP_MS);
     }
 
-    /** An acceptor restarts, and its disk refuses the first sync: it comes back as the acceptor that it was. */
+    /** An acceptor restarts and the first sync of its disk fails: it later resumes with the same identity. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    void anAcceptorWhoseFirstSyncIsRefusedTakesUpItsOwnVoteLater(long seed) {
+    void anAcceptorWhoseFirstSyncFailsResumesItsVoteLater(long seed) {
         Schedule schedule = new Schedule(seed, 3);
         schedule.fleet.contact().beyondTolerance();
-        schedule.changes(3);
+        schedule.makeChanges(3);
         ControlMachine restarted = schedule.core((int) (seed % 3));
         String identity = restarted.process().identity();
         restarted.kill();
-        restarted.disk().failSync(true);
+        restarted.disk().setSyncFailing(true);
         restarted.start();
-        schedule.changes(3);
+        schedule.makeChanges(3);
         assertServesWithoutAVote(schedule, restarted);
-        restarted.disk().failSync(false);
-        schedule.until(
+        restarted.disk().setSyncFailing(false);
+        schedule.runUntil(
                 SimulatedFleet.CATCH_UP_MS,
-                "it votes",
-                () -> restarted.runs() && restarted.process().identity().equals(identity));
-        schedule.play(SimulatedFleet.CATCH_UP_MS);
+                "the acceptor votes again",
+                () -> restarted.isRunning() && restarted.process().identity().equals(identity));
+        schedule.run(SimulatedFleet.CATCH_UP_MS);
         schedule.core((int) ((seed + 1) % 3)).kill();
-        schedule.changes(3);
+        schedule.makeChanges(3);
         schedule.awaitAllCaughtUp(SimulatedFleet.CATCH_UP_MS);
     }
 
@@ -77,43 +79,43 @@
     }
 
     /**
-     * Disks of founders refuse all for some seconds from the first start on, and processes restart meanwhile: one
-     * fleet is founded, and its set of acceptors is complete in the end.
+     * Disks of founders reject all writes for some seconds from the first start on, and processes restart meanwhile.
+     * One fleet is founded, and its acceptor set is complete in the end.
      */
     @ParameterizedTest
     @MethodSource("seeds")
-    void aFleetIsFoundedOnceThoughDisksOfFoundersAreRefused(long seed) {
+    void aFleetIsFoundedOnceWhileDisksOfFoundersAreUnusable(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         SimulatedFleet fleet = new SimulatedFleet(3 + random.nextInt(3), 0, 3, random.split());
         fleet.contact().beyondTolerance();
         fleet.core().forEach(ControlMachine::keepInitialSettings);
         FaultInjector faults = new FaultInjector(fleet, random.split());
-        int refused = 1 + random.nextInt(3);
-        for (ControlMachine founder : fleet.core().subList(0, refused)) {
-            founder.disk().fill(true);
-            fleet.time().after(random.nextDouble() * MAX_REFUSED_MS, () -> founder.disk()
-                    .fill(false));
+        int unusableCount = 1 + random.nextInt(3);
+        for (ControlMachine founder : fleet.core().subList(0, unusableCount)) {
+            founder.disk().setFull(true);
+            fleet.time().after(random.nextDouble() * MAX_UNUSABLE_MS, () -> founder.disk()
+                    .setFull(false));
         }
         for (ControlMachine control : fleet.core()) {
             if (random.nextBoolean()) {
-                double killAtMs = random.nextDouble() * MAX_REFUSED_MS;
+                double killAtMs = random.nextDouble() * MAX_UNUSABLE_MS;
                 fleet.time().after(killAtMs, () -> faults.kill(control, random.nextDouble() * 500, () -> {}));
             }
         }
         Operators operators = new Operators(fleet, random.split());
         fleet.start();
-        operators.begin(CHANGES_UNTIL_MS, MEAN_PAUSE_MS);
-        fleet.time().playUntil(CHANGES_UNTIL_MS);
-        until(fleet, () -> operators.open().isEmpty() && isComplete(fleet));
-        fleet.invariants().checkEnd(fleet.core().get(0).process().configuration());
+        operators.start(CHANGES_UNTIL_MS, MEAN_INTERVAL_MS);
+        fleet.time().runUntil(CHANGES_UNTIL_MS);
+        runUntil(fleet, () -> operators.open().isEmpty() && isComplete(fleet));
+        fleet.invariants().checkFinalConfiguration(fleet.core().get(0).process().configuration());
     }
 
-    /** All have what was confirmed last; three or more of them, which use their disks, are the acceptors. */
+    /** Whether all have the last confirmed change, and the acceptors are three or more machines with a usable disk. */
     private static boolean isComplete(SimulatedFleet fleet) {
         ControlMachine first = fleet.core().get(0);
-        long newest = fleet.invariants().floor();
+        long newest = fleet.invariants().versionFloor();
         if (!fleet.core().stream()
-                .allMatch(control -> control.runs() && control.process().version() >= newest)) {
+                .allMatch(control -> control.isRunning() && control.process().version() >= newest)) {
             return false;
         }
         AcceptorSet acceptors = first.process().acceptors();
@@ -124,16 +126,16 @@
         return !acceptors.isJoint() && live >= 3 && live == acceptors.members().size();
     }
 
-    private static void until(SimulatedFleet fleet, BooleanSupplier condition) {
+    private static void runUntil(SimulatedFleet fleet, BooleanSupplier condition) {
         double endMs = fleet.time().now() + SimulatedFleet.RECOVERY_MS;
         while (!condition.getAsBoolean()) {
             fleet.invariants().check(fleet.time().now() < endMs, "the acceptors are not complete in time");
-            fleet.time().playUntil(fleet.time().now() + STEP_MS);
+            fleet.time().runUntil(fleet.time().now() + STEP_MS);
         }
     }
 
-    private static boolean isAcceptor(ControlMachine asked, ControlMachine control) {
-        return asked.process().acceptors().members().stream().anyMatch(acceptor -> acceptor.identity()
+    private static boolean isAcceptor(ControlMachine queried, ControlMachine control) {
+        return queried.process().acceptors().members().stream().anyMatch(acceptor -> acceptor.identity()
                 .equals(control.process().identity()));
     }
 
@@ -142,10 +144,10 @@
         assertTrue(
                 control.process().status().contains("\"disk_refused\":true"),
                 control.process().status());
-        assertFalse(control.process().holdsList());
+        assertFalse(control.process().isListLeaseHolder());
         assertFalse(isAcceptor(schedule.fleet.core().get(0), control));
-        int status = schedule.attemptAt(control, schedule.operators.nextPatch());
-        assertFalse(DEFINITE.contains(status), "answered " + status);
+        int status = schedule.sendOnce(control, schedule.operators.newPatch());
+        assertFalse(DEFINITE.contains(status), "responded with " + status);
         assertEquals(
                 0,
                 schedule.fleet.core().stream()
--- a/simulation/src/test/java/dewplank/simulation/Schedule.java
+++ b/simulation/src/test/java/dewplank/simulation/Schedule.java
@@ -5,7 +5,7 @@
 import java.util.SplittableRandom;
 import java.util.function.BooleanSupplier;
 
-/** A named course of events: a calm fleet in which a test brings about one thing after the other. */
+/** A fleet without random faults, in which a test causes a scripted sequence of events. */
 final class Schedule {
     private static final double STARTED_MS = 2_500;
     private static final double STEP_MS = 20;
@@ -14,61 +14,61 @@
     final Operators operators;
     final FaultInjector faults;
 
-    /** As many control planes and three data planes, started, with a first configuration in force. */
+    /** Starts the given number of control planes and three data planes and applies a first configuration. */
     Schedule(long seed, int controls) {
         this(seed, controls, 0);
     }
 
-    /** The same with control processes without a disk, which the first seeds name. */
+    /** Also starts control planes without a disk, which come first in the list of seeds. */
     Schedule(long seed, int controls, int relays) {
         SplittableRandom random = new SplittableRandom(seed);
         fleet = new SimulatedFleet(controls, relays, 3, random.split());
         operators = new Operators(fleet, random.split());
         faults = new FaultInjector(fleet, random.split());
-        operators.loseNoAnswers();
+        operators.loseNoResponses();
         fleet.start();
-        play(STARTED_MS);
-        change();
+        run(STARTED_MS);
+        makeChange();
     }
 
-    void play(double ms) {
-        fleet.time().playUntil(fleet.time().now() + ms);
+    void run(double ms) {
+        fleet.time().runUntil(fleet.time().now() + ms);
     }
 
-    /** Plays until it is so; fails after that long. */
-    void until(double within, String what, BooleanSupplier condition) {
-        double end = fleet.time().now() + within;
+    /** Runs the fleet until the condition holds; fails if it does not hold within the given time. */
+    void runUntil(double withinMs, String description, BooleanSupplier condition) {
+        double endMs = fleet.time().now() + withinMs;
         while (!condition.getAsBoolean()) {
-            fleet.invariants().check(fleet.time().now() < end, "not within " + within + " ms: " + what);
-            play(STEP_MS);
+            fleet.invariants().check(fleet.time().now() < endMs, "not within " + withinMs + " ms: " + description);
+            run(STEP_MS);
         }
     }
 
-    /** One change that is confirmed in time. */
-    OperatorChange change() {
-        return confirmed(operators.next());
+    /** Sends one change and waits until it is confirmed in time. */
+    OperatorChange makeChange() {
+        return sendAndAwaitConfirmation(operators.newChange());
     }
 
-    private OperatorChange confirmed(OperatorChange order) {
-        operators.send(order, then -> {});
-        until(SimulatedFleet.ACK_MS, order + " is answered", () -> order.state != OperatorChange.State.OPEN);
-        fleet.invariants().check(order.state == OperatorChange.State.CONFIRMED, order + " is confirmed");
-        return order;
+    private OperatorChange sendAndAwaitConfirmation(OperatorChange change) {
+        operators.send(change, done -> {});
+        runUntil(SimulatedFleet.ACK_MS, change + " has a response", () -> change.state != OperatorChange.State.OPEN);
+        fleet.invariants().check(change.state == OperatorChange.State.CONFIRMED, change + " is not confirmed");
+        return change;
     }
 
-    /** So many changes, one after the other. */
-    List<OperatorChange> changes(int count) {
+    /** Makes the given number of changes one after the other. */
+    List<OperatorChange> makeChanges(int count) {
         List<OperatorChange> made = new ArrayList<>();
         for (int index = 0; index < count; index++) {
-            made.add(change());
+            made.add(makeChange());
         }
         return made;
     }
 
-    /** So many changes that leave the configuration as small as it is. */
-    void smallChanges(int count) {
+    /** Makes the given number of changes, which do not increase the size of the configuration. */
+    void makeSmallChanges(int count) {
         for (int index = 0; index < count; index++) {
-            confirmed(operators.nextSmall());
+            sendAndAwaitConfirmation(operators.newSmallPatch());
         }
     }
 
@@ -76,39 +76,40 @@
         return fleet.core().get(index);
     }
 
-    /** The status of one try at one machine; 0 where nothing came within the caller's second. */
-    int attemptAt(ControlMachine at, OperatorChange order) {
+    /** Returns the status of one attempt at one machine; 0 if no response arrived within the timeout of 1 s. */
+    int sendOnce(ControlMachine at, OperatorChange change) {
         int[] status = {-1};
-        operators.call(at, order, answer -> status[0] = answer == null ? 0 : answer.status());
-        until(SimulatedFleet.ACK_MS, "a try ends", () -> status[0] >= 0);
+        operators.sendRequest(at, change, response -> status[0] = response == null ? 0 : response.status());
+        runUntil(SimulatedFleet.ACK_MS, "the attempt is complete", () -> status[0] >= 0);
         return status[0];
     }
 
-    /** Everyone that runs has what was confirmed last. */
-    void awaitAllCaughtUp(double within) {
-        long newest = fleet.invariants().floor();
-        until(
-                within,
-                "all have " + newest,
+    /** Waits until all running processes have the last confirmed change. */
+    void awaitAllCaughtUp(double withinMs) {
+        long newest = fleet.invariants().versionFloor();
+        runUntil(
+                withinMs,
+                "all running processes have version " + newest,
                 () -> fleet.core().stream()
-                                .allMatch(control ->
-                                        !control.runs() || control.process().version() >= newest)
+                                .allMatch(control -> !control.isRunning()
+                                        || control.process().version() >= newest)
                         && fleet.edge().stream()
-                                .allMatch(data -> !data.runs() || data.process().version() >= newest));
+                                .allMatch(data ->
+                                        !data.isRunning() || data.process().version() >= newest));
     }
 
-    /** Cuts each of some machines off from each of the others, both ways, or joins them again. */
-    void cutAll(List<? extends Machine> some, List<? extends Machine> others, boolean begins) {
-        some.forEach(machine -> cut(machine, others, begins));
+    /** Partitions each of some machines from each of the others in both directions, or heals that partition. */
+    void setAllPartitioned(List<? extends Machine> some, List<? extends Machine> others, boolean partitioned) {
+        some.forEach(machine -> setPartitioned(machine, others, partitioned));
     }
 
-    /** Cuts a machine off from these, both ways, or joins it again. */
-    void cut(Machine machine, List<? extends Machine> others, boolean begins) {
-        fleet.contact().disturbed(machine);
+    /** Partitions a machine from others in both directions, or heals that partition. */
+    void setPartitioned(Machine machine, List<? extends Machine> others, boolean partitioned) {
+        fleet.contact().recordFault(machine);
         for (Machine other : others) {
-            if (other != machine && begins) {
-                fleet.network().cut(machine.ip(), other.ip());
-                fleet.network().cut(other.ip(), machine.ip());
+            if (other != machine && partitioned) {
+                fleet.network().partition(machine.ip(), other.ip());
+                fleet.network().partition(other.ip(), machine.ip());
             } else if (other != machine) {
                 fleet.network().heal(machine.ip(), other.ip());
                 fleet.network().heal(other.ip(), machine.ip());
--- a/simulation/src/test/java/dewplank/simulation/SimulatedDisk.java
+++ b/simulation/src/test/java/dewplank/simulation/SimulatedDisk.java
@@ -13,22 +13,22 @@
 import java.util.TreeMap;
 
 /**
- * A disk in memory with the facts of the fleet's disks. After a loss of power a file keeps what its last sync covered,
- * and each later write is there, torn or missing by itself; so is each name that was made, renamed or removed without a
- * sync of the folder.
+ * A disk in memory with the guarantees of the fleet's disks. After a power loss a file has the content of its last
+ * sync, and each later write is independently present, torn or missing. Likewise each file creation, renaming or
+ * removal without a sync of the directory is independently present or missing.
  */
 final class SimulatedDisk implements StoreFiles {
     private record Write(byte[] bytes, long position) {}
 
-    /** A file, whatever its names are. */
+    /** The content of a file, independent of its names. */
     private static final class Content {
-        private byte[] now = new byte[0];
+        private byte[] current = new byte[0];
         private byte[] synced = new byte[0];
         private final List<Write> unsynced = new ArrayList<>();
-        private final Path createdAs;
+        private final Path originalName;
 
-        Content(Path createdAs) {
-            this.createdAs = createdAs;
+        Content(Path originalName) {
+            this.originalName = originalName;
         }
     }
 
@@ -39,47 +39,47 @@
     private boolean syncFails;
     private int writesLeft = Integer.MAX_VALUE;
     private long maxTotalBytes;
-    private long written;
+    private long bytesWritten;
 
     SimulatedDisk(SplittableRandom random) {
         this.random = random;
     }
 
-    /** Refuses every write while full. */
-    void fill(boolean isFull) {
+    /** Makes the disk full or not full; a full disk rejects every write. */
+    void setFull(boolean isFull) {
         full = isFull;
     }
 
-    /** Refuses every sync from now on, or no more; reads and writes go on. */
-    void failSync(boolean fails) {
+    /** Makes every sync fail, or succeed again; reads and writes are not affected. */
+    void setSyncFailing(boolean fails) {
         syncFails = fails;
     }
 
-    /** The process dies in the middle of its work: what it does beyond so many writes doesn't happen. */
-    void dieAfterWrites(int count) {
+    /** Simulates termination of the process during a task: all operations after the given number of writes fail. */
+    void failAfterWrites(int count) {
         writesLeft = count;
     }
 
-    /** The process that died is started again. */
-    void reopen() {
+    /** Removes the limit of {@link #failAfterWrites}, as the process restarts. */
+    void allowWrites() {
         writesLeft = Integer.MAX_VALUE;
     }
 
-    /** The most bytes that all files ever had together. */
+    /** The highest total size that all files have had. */
     long maxTotalBytes() {
         return maxTotalBytes;
     }
 
-    /** All bytes ever written. */
-    long written() {
-        return written;
+    /** The total number of bytes written. */
+    long bytesWritten() {
+        return bytesWritten;
     }
 
     boolean isEmpty() {
         return names.isEmpty();
     }
 
-    /** An empty disk takes this one's place. */
+    /** Replaces the disk with an empty one. */
     void wipe() {
         names.clear();
         syncedNames.clear();
@@ -88,19 +88,19 @@
     void losePower() {
         List<Path> all = new ArrayList<>(names.keySet());
         syncedNames.keySet().stream().filter(path -> !names.containsKey(path)).forEach(all::add);
-        boolean nothingLater = random.nextInt(4) == 0; // at some losses every later write is gone
+        boolean losesAllUnsynced = random.nextInt(4) == 0; // some power losses discard all writes since the last sync
         for (Path name : all) {
-            Content after = random.nextBoolean() && !nothingLater ? names.get(name) : syncedNames.get(name);
+            Content after = random.nextBoolean() && !losesAllUnsynced ? names.get(name) : syncedNames.get(name);
             set(names, name, after);
             set(syncedNames, name, after);
         }
         for (Content content : names.values()) {
-            content.now = content.synced;
+            content.current = content.synced;
             for (Write write : content.unsynced) {
-                survive(content, write, nothingLater ? 2 : random.nextInt(3));
+                applyAfterPowerLoss(content, write, losesAllUnsynced ? 2 : random.nextInt(3));
             }
             content.unsynced.clear();
-            content.synced = content.now;
+            content.synced = content.current;
         }
     }
 
@@ -112,10 +112,10 @@
         }
     }
 
-    private void survive(Content content, Write write, int fate) {
-        if (fate < 2) {
-            int length = fate == 0 ? write.bytes.length : random.nextInt(write.bytes.length + 1);
-            content.now = overwritten(content.now, Arrays.copyOf(write.bytes, length), write.position);
+    private void applyAfterPowerLoss(Content content, Write write, int outcome) {
+        if (outcome < 2) {
+            int length = outcome == 0 ? write.bytes.length : random.nextInt(write.bytes.length + 1);
+            content.current = overwritten(content.current, Arrays.copyOf(write.bytes, length), write.position);
         }
     }
 
@@ -133,7 +133,7 @@
     @Override
     public StoreFile open(Path file) throws IOException {
         if (!names.containsKey(file)) {
-            refuse();
+            checkWritable();
             names.put(file, new Content(file));
         }
         return new SimulatedFile(file, names.get(file));
@@ -141,7 +141,7 @@
 
     @Override
     public void rename(Path from, Path to) throws IOException {
-        refuse();
+        checkWritable();
         names.put(to, names.remove(from));
     }
 
@@ -154,36 +154,36 @@
 
     @Override
     public void syncDirectory(Path directory) throws IOException {
-        refuseSync();
+        checkSyncable();
         syncedNames.clear();
         syncedNames.putAll(names);
     }
 
-    private void refuse() throws IOException {
-        refuseDead();
+    private void checkWritable() throws IOException {
+        checkProcessAlive();
         if (full) {
-            throw new IOException("no room");
+            throw new IOException("no space left");
         }
         writesLeft--;
     }
 
-    private void refuseSync() throws IOException {
-        refuseDead();
+    private void checkSyncable() throws IOException {
+        checkProcessAlive();
         if (syncFails) {
-            throw new IOException("not synced");
+            throw new IOException("sync failed");
         }
     }
 
-    private void refuseDead() throws IOException {
+    private void checkProcessAlive() throws IOException {
         if (writesLeft <= 0) {
-            throw new IOException("the process has died");
+            throw new IOException("the process has terminated");
         }
     }
 
-    private void measure() {
+    private void updateMaxTotalBytes() {
         long sum = 0;
         for (Content content : names.values()) {
-            sum += content.now.length;
+            sum += content.current.length;
         }
         maxTotalBytes = Math.max(maxTotalBytes, sum);
     }
@@ -199,47 +199,47 @@
 
         @Override
         public void read(ByteBuffer target, long position) throws IOException {
-            if (position + target.remaining() > content.now.length) {
-                throw new EOFException("the file ends at " + content.now.length);
+            if (position + target.remaining() > content.current.length) {
+                throw new EOFException("the file ends at " + content.current.length);
             }
-            target.put(content.now, (int) position, target.remaining());
+            target.put(content.current, (int) position, target.remaining());
         }
 
         @Override
         public void write(ByteBuffer source, long position) throws IOException {
-            refuse();
+            checkWritable();
             byte[] bytes = new byte[source.remaining()];
             source.get(bytes);
-            content.now = overwritten(content.now, bytes, position);
+            content.current = overwritten(content.current, bytes, position);
             content.unsynced.add(new Write(bytes, position));
-            written += bytes.length;
-            measure();
+            bytesWritten += bytes.length;
+            updateMaxTotalBytes();
         }
 
         @Override
         public void truncate(long size) throws IOException {
-            refuse();
-            content.now = Arrays.copyOf(content.now, (int) Math.min(size, content.now.length));
+            checkWritable();
+            content.current = Arrays.copyOf(content.current, (int) Math.min(size, content.current.length));
         }
 
         @Override
         public void sync() throws IOException {
-            refuseSync();
-            content.synced = content.now;
+            checkSyncable();
+            content.synced = content.current;
             content.unsynced.clear();
-            if (name.equals(content.createdAs) && names.get(name) == content) {
-                syncedNames.put(name, content); // a new file lasts once it is synced itself
+            if (name.equals(content.originalName) && names.get(name) == content) {
+                syncedNames.put(name, content); // syncing a new file also persists its directory entry
             }
         }
 
         @Override
         public long size() {
-            return content.now.length;
+            return content.current.length;
         }
 
         @Override
         public void close() {
-            // Files stay as they are.
+            // Closing does not change the file.
         }
     }
 }
--- a/simulation/src/test/java/dewplank/simulation/SimulatedDiskExecutor.java
+++ b/simulation/src/test/java/dewplank/simulation/SimulatedDiskExecutor.java
@@ -9,11 +9,11 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 
-/** A process's work on its disk: one piece after the other, each as slow as the disk is. */
+/** Runs the disk tasks of a process one after the other, with the latency of the disk. */
 final class SimulatedDiskExecutor implements DiskExecutor {
-    private static final double SYNC_MS = 1;
-    private static final double MAX_EXTRA_MS = 2;
-    private static final int MAX_WRITES_DONE = 6;
+    private static final double MIN_LATENCY_MS = 1;
+    private static final double MAX_EXTRA_LATENCY_MS = 2;
+    private static final int MAX_WRITES_BEFORE_ABORT = 6;
 
     private record Submission(Task task, Consumer<DiskResult> completion) {}
 
@@ -26,12 +26,12 @@
     private Submission active;
     private boolean closed;
 
-    /** How slow a machine's disk is. */
+    /** The current faults of a machine's disk. */
     static final class DiskFaults {
-        double slowerBy;
-        double stalledUntil;
-        /** Tasks that failed. */
-        int failed;
+        double extraLatencyMs;
+        double stalledUntilMs;
+        /** The number of failed tasks. */
+        int failedTasks;
     }
 
     SimulatedDiskExecutor(
@@ -54,38 +54,40 @@
             return;
         }
         waiting.add(new Submission(task, completion));
-        next();
+        startNext();
     }
 
-    private void next() {
+    private void startNext() {
         if (active != null || waiting.isEmpty()) {
             return;
         }
         active = waiting.poll();
-        time.after(SYNC_MS + random.nextDouble() * MAX_EXTRA_MS + faults.slowerBy, this::perform);
+        time.after(
+                MIN_LATENCY_MS + random.nextDouble() * MAX_EXTRA_LATENCY_MS + faults.extraLatencyMs,
+                this::runUnlessStalled);
     }
 
-    private void perform() {
-        if (incarnation.isOver()) {
+    private void runUnlessStalled() {
+        if (incarnation.hasEnded()) {
             return;
         }
-        if (faults.stalledUntil > time.now()) {
-            time.at(faults.stalledUntil, this::perform);
+        if (faults.stalledUntilMs > time.now()) {
+            time.at(faults.stalledUntilMs, this::runUnlessStalled);
         } else {
-            incarnation.run(this::work);
+            incarnation.deliver(this::runActive);
         }
     }
 
-    private void work() {
+    private void runActive() {
         Submission finished = active;
         active = null;
-        DiskResult result = perform(finished.task);
-        faults.failed += result.isSuccess() ? 0 : 1;
+        DiskResult result = execute(finished.task);
+        faults.failedTasks += result.isSuccess() ? 0 : 1;
         incarnation.execute(() -> finished.completion.accept(result));
-        next();
+        startNext();
     }
 
-    private static DiskResult perform(Task task) {
+    private static DiskResult execute(Task task) {
         try {
             task.run();
             return DiskResult.Succeeded.INSTANCE;
@@ -94,17 +96,17 @@
         }
     }
 
-    /** The process dies: the work under way is not begun, or done in part, or done and never told of. */
-    void die() {
+    /** Terminates the process: the active task is not started, partly done, or done without a reported result. */
+    void abort() {
         if (active != null && random.nextBoolean()) {
-            disk.dieAfterWrites(1 + random.nextInt(MAX_WRITES_DONE));
+            disk.failAfterWrites(1 + random.nextInt(MAX_WRITES_BEFORE_ABORT));
             try {
                 active.task.run();
-            } catch (StoreException cutShort) {
-                // As far as it came.
+            } catch (StoreException expected) {
+                // The writes before the failure remain.
             }
         }
-        disk.reopen();
+        disk.allowWrites();
         active = null;
         waiting.clear();
         closed = true;
--- a/simulation/src/test/java/dewplank/simulation/SimulatedFleet.java
+++ b/simulation/src/test/java/dewplank/simulation/SimulatedFleet.java
@@ -5,7 +5,7 @@
 import java.util.Locale;
 import java.util.SplittableRandom;
 
-/** All machines of one history, in one virtual time. */
+/** All machines of one simulation run, which share one virtual time. */
 final class SimulatedFleet {
     static final double CONTACT_MS = 3_000;
     static final double ACK_MS = 4_000;
@@ -13,9 +13,9 @@
     static final double APPLY_MS = 2_000;
     static final double DRAIN_MS = 3_000;
     static final double RECOVERY_MS = 12_000;
-    private static final double STARTED_WITHIN_MS = 300;
+    private static final double MAX_START_DELAY_MS = 300;
     private static final int MAX_SEEDS = 3;
-    private static final boolean PRINTS = System.getProperty("simulation.log") != null;
+    private static final boolean LOG_ENABLED = System.getProperty("simulation.log") != null;
 
     private final VirtualTime time = new VirtualTime();
     private final SplittableRandom random;
@@ -26,13 +26,13 @@
     private final List<ControlMachine> relays = new ArrayList<>();
     private final List<DataMachine> edge = new ArrayList<>();
     private final List<String> firstSeeds = new ArrayList<>();
-    private int named;
+    private int coreCount;
 
     SimulatedFleet(int controls, int dataPlanes, SplittableRandom random) {
         this(controls, 0, dataPlanes, random);
     }
 
-    /** With control processes on machines without a disk, which are the first to be named as seeds. */
+    /** Also creates control planes on machines without a disk, which come first in the list of seeds. */
     SimulatedFleet(int controls, int relayCount, int dataPlanes, SplittableRandom random) {
         this.random = random;
         network = new SimulatedNetwork(time, random.split());
@@ -45,7 +45,7 @@
             firstSeeds.add(coreIp(index + 1) + ":" + Machine.CONTROL_PORT);
         }
         for (int index = 0; index < controls; index++) {
-            newControl(firstSeeds, true);
+            addControlMachine(firstSeeds, true);
         }
         for (int index = 1; index <= relayCount; index++) {
             ControlMachine relay =
@@ -69,22 +69,22 @@
         return "10.3.0." + number;
     }
 
-    /** A core machine that has not been there before. */
-    ControlMachine newControl(List<String> seeds, boolean initialStart) {
-        named++;
+    /** Creates a new core machine and adds it to the fleet. */
+    ControlMachine addControlMachine(List<String> seeds, boolean initialStart) {
+        coreCount++;
         ControlMachine control =
-                new ControlMachine(this, "core-" + named, coreIp(named), seeds, initialStart, random.split());
+                new ControlMachine(this, "core-" + coreCount, coreIp(coreCount), seeds, initialStart, random.split());
         core.add(control);
         network.add(control);
         return control;
     }
 
-    /** Starts all machines within 0.3 s of each other, in any order. */
+    /** Starts all machines within 0.3 s in random order. */
     void start() {
         for (Machine machine : machines()) {
-            time.after(random.nextDouble() * STARTED_WITHIN_MS, machine::start);
+            time.after(random.nextDouble() * MAX_START_DELAY_MS, machine::start);
         }
-        invariants.watch();
+        invariants.checkPeriodically();
     }
 
     VirtualTime time() {
@@ -107,12 +107,12 @@
         return platform;
     }
 
-    /** The core machines that have not been taken away. */
+    /** The core machines that have not been removed. */
     List<ControlMachine> core() {
         return core.stream().filter(control -> !control.isRemoved()).toList();
     }
 
-    /** Control processes on machines without a disk. */
+    /** The control planes on machines without a disk. */
     List<ControlMachine> relays() {
         return relays;
     }
@@ -132,26 +132,26 @@
         return firstSeeds;
     }
 
-    /** Control addresses of up to three machines that run now, as an operator's list would have them. */
-    List<String> seedsNow(SplittableRandom drawn) {
+    /** Control addresses of up to three current core machines, as in an operator's list of seeds. */
+    List<String> currentSeeds(SplittableRandom generator) {
         List<String> seeds = new ArrayList<>();
         for (ControlMachine control : core()) {
             seeds.add(control.ip() + ":" + Machine.CONTROL_PORT);
         }
         while (seeds.size() > 3) {
-            seeds.remove(drawn.nextInt(seeds.size()));
+            seeds.remove(generator.nextInt(seeds.size()));
         }
         return seeds;
     }
 
     void log(String line) {
-        invariants.mark(line);
-        if (PRINTS) {
+        invariants.addToDigest(line);
+        if (LOG_ENABLED) {
             System.out.printf(Locale.ROOT, "%.1f == %s%n", time.now(), line);
         }
     }
 
-    /** A settings file. */
+    /** Returns the text of a settings file. */
     static String settings(String node, String ip, List<String> seeds, boolean initialStart, boolean control) {
         return "{\"node_name\":\"" + node + "\",\"ip_address\":\"" + ip + "\",\"zone\":\"z\",\"listen_addresses\":{"
                 + "\"control\":\"" + ip + ":" + Machine.CONTROL_PORT + "\"},\"internal_port_range\":["
--- a/simulation/src/test/java/dewplank/simulation/SimulatedLink.java
+++ b/simulation/src/test/java/dewplank/simulation/SimulatedLink.java
@@ -7,22 +7,22 @@
 
 /** One end of a connection. */
 final class SimulatedLink implements MessageLink {
-    private static final Object END = new Object();
+    private static final Object CLOSE_MARKER = new Object();
 
     private final SimulatedNetwork network;
     private final Machine from;
     private final Machine to;
     private final ProcessIncarnation incarnation;
-    private final Deque<Object> flight = new ArrayDeque<>();
+    private final Deque<Object> inFlight = new ArrayDeque<>();
     private Handler handler;
     private SimulatedLink peer;
-    private double lastArrival;
-    /** Messages wait, as the way to the peer is partitioned. */
+    private double lastArrivalMs;
+    /** Messages are delayed because a partition separates the sender from the peer. */
     private boolean partitioned;
 
     private boolean established;
-    private boolean over;
-    /** The sender has lost power: neither data nor a close is sent any more. */
+    private boolean closed;
+    /** The sender has lost power and sends neither data nor a close. */
     private boolean senderLostPower;
 
     SimulatedLink(SimulatedNetwork network, Machine from, Machine to, ProcessIncarnation incarnation, Handler handler) {
@@ -33,18 +33,18 @@
         this.handler = handler;
     }
 
-    /** The caller is connected at once; the other side accepts a little later. */
-    void establish(Machine there, ProcessIncarnation peerIncarnation, Supplier<? extends Handler> handlers) {
-        SimulatedLink accepted = new SimulatedLink(network, there, from, peerIncarnation, null);
+    /** Connects the caller immediately; the other side accepts after a network delay. */
+    void establish(Machine remote, ProcessIncarnation peerIncarnation, Supplier<? extends Handler> handlers) {
+        SimulatedLink accepted = new SimulatedLink(network, remote, from, peerIncarnation, null);
         accepted.peer = this;
         peer = accepted;
         established = true;
-        network.opened(this);
-        network.opened(accepted);
+        network.addLink(this);
+        network.addLink(accepted);
         Runnable accept = () -> accepted.accept(handlers.get());
         transmit(accept);
-        incarnation.run(() -> {
-            if (!over) {
+        incarnation.deliver(() -> {
+            if (!closed) {
                 handler.opened(this);
             }
         });
@@ -59,126 +59,126 @@
     @Override
     public void send(Object message) {
         if (isOpen()) {
-            network.sending(this, message);
+            network.notifySendObserver(this, message);
             transmit(message);
         }
     }
 
     private void transmit(Object message) {
-        flight.add(message);
-        schedule(network.delay());
+        inFlight.add(message);
+        schedule(network.randomDelayMs());
     }
 
-    private void schedule(double delay) {
+    private void schedule(double delayMs) {
         if (!partitioned) {
-            lastArrival = Math.max(lastArrival, network.time().now() + delay);
-            network.time().at(lastArrival, this::arrive);
+            lastArrivalMs = Math.max(lastArrivalMs, network.time().now() + delayMs);
+            network.time().at(lastArrivalMs, this::arrive);
         }
     }
 
     private void arrive() {
-        if (partitioned || flight.isEmpty()) {
+        if (partitioned || inFlight.isEmpty()) {
             return;
         }
         if (!network.reaches(from, to)) {
-            partitioned = !senderLostPower; // a sender without power sends nothing again
+            partitioned = !senderLostPower; // a sender without power does not retransmit
             if (senderLostPower) {
-                flight.clear();
+                inFlight.clear();
             }
             return;
         }
-        deliver(flight.poll());
+        deliver(inFlight.poll());
     }
 
     private void deliver(Object message) {
-        if (peer.incarnation.isOver() || peer.over) {
-            if (to.hasPower() && message != END) {
-                network.time().after(network.delay(), this::reset);
+        if (peer.incarnation.hasEnded() || peer.closed) {
+            if (to.hasPower() && message != CLOSE_MARKER) {
+                network.time().after(network.randomDelayMs(), this::reset);
             }
             return;
         }
-        if (message == END) {
-            peer.incarnation.run(peer::close);
+        if (message == CLOSE_MARKER) {
+            peer.incarnation.deliver(peer::close);
         } else if (message instanceof Runnable accept) {
-            peer.incarnation.run(accept);
+            peer.incarnation.deliver(accept);
         } else {
-            peer.incarnation.run(() -> peer.received(message));
+            peer.incarnation.deliver(() -> peer.receive(message));
         }
     }
 
-    private void received(Object message) {
-        if (!over && handler != null) {
+    private void receive(Object message) {
+        if (!closed && handler != null) {
             handler.received(this, message);
         }
     }
 
     private void reset() {
         if (network.reaches(to, from)) {
-            incarnation.run(this::close);
+            incarnation.deliver(this::close);
         }
     }
 
-    /** A partition has healed: what waited is sent again after a while. */
-    void resend(double delay) {
+    /** Resends the delayed messages after the given delay when a partition has healed. */
+    void resend(double delayMs) {
         if (partitioned) {
             partitioned = false;
-            lastArrival = network.time().now() + delay;
-            for (int resent = 0; resent < flight.size(); resent++) {
-                network.time().at(lastArrival, this::arrive);
+            lastArrivalMs = network.time().now() + delayMs;
+            for (int resent = 0; resent < inFlight.size(); resent++) {
+                network.time().at(lastArrivalMs, this::arrive);
             }
         }
     }
 
     @Override
     public boolean isOpen() {
-        return established && !over;
+        return established && !closed;
     }
 
     @Override
     public boolean isClosed() {
-        return over;
+        return closed;
     }
 
     @Override
     public void close() {
-        if (over) {
+        if (closed) {
             return;
         }
-        over = true;
+        closed = true;
         if (peer != null) {
-            transmit(END);
+            transmit(CLOSE_MARKER);
         }
         if (handler != null) {
             handler.closed(this);
         }
     }
 
-    /** The process has ended: the kernel closes the connection, or resets it, or has no power to send anything. */
-    void vanish(boolean powerLost, boolean reset) {
-        if (over) {
+    /** Ends the connection of a terminated process: the kernel closes or resets it, or sends nothing without power. */
+    void endWithProcess(boolean powerLost, boolean reset) {
+        if (closed) {
             senderLostPower = powerLost;
             return;
         }
-        over = true;
+        closed = true;
         senderLostPower = powerLost;
         if (peer == null) {
             return;
         }
         if (partitioned && (powerLost || reset)) {
-            flight.clear();
+            inFlight.clear();
             partitioned = false;
         }
         if (!powerLost) {
             if (reset) {
-                flight.clear();
+                inFlight.clear();
             }
-            transmit(END);
+            transmit(CLOSE_MARKER);
         }
     }
 
-    /** Whether nothing can arrive by it any more. */
-    boolean isForgotten() {
-        return over && flight.isEmpty() || senderLostPower && !partitioned && peer != null && peer.over;
+    /** Whether no more messages can arrive over this link. */
+    boolean isFinished() {
+        return closed && inFlight.isEmpty() || senderLostPower && !partitioned && peer != null && peer.closed;
     }
 
     Machine from() {
--- a/simulation/src/test/java/dewplank/simulation/SimulatedNetwork.java
+++ b/simulation/src/test/java/dewplank/simulation/SimulatedNetwork.java
@@ -13,20 +13,21 @@
 import java.util.function.Supplier;
 
 /**
- * Connections as TCP gives them: in order, silent when cut, reset by a process that is gone. What a cut holds up comes
- * when it is mended, also after what a later connection brought.
+ * Connections with the properties of TCP: messages arrive in order, a partition stops them without an error, and a
+ * terminated process resets its connections. Messages delayed by a partition arrive when it heals, possibly after those
+ * of a later connection.
  */
 final class SimulatedNetwork {
-    private static final double MIN_MS = 0.8;
-    private static final double TYPICAL_EXTRA_MS = 1.5;
-    private static final double SLOW_EXTRA_MS = 60;
+    private static final double MIN_DELAY_MS = 0.8;
+    private static final double MAX_TYPICAL_EXTRA_MS = 1.5;
+    private static final double MAX_SLOW_EXTRA_MS = 60;
     private static final int DELAYED_ONE_IN = 40;
-    private static final double RESENT_AFTER_MS = 400;
+    private static final double MAX_RESEND_DELAY_MS = 400;
 
     private final VirtualTime time;
     private final SplittableRandom random;
     private final Map<String, Machine> machines = new HashMap<>();
-    private final Map<String, Integer> cuts = new HashMap<>();
+    private final Map<String, Integer> partitions = new HashMap<>();
     private final List<SimulatedLink> links = new ArrayList<>();
     private BiConsumer<SimulatedLink, Object> observer = (link, message) -> {};
 
@@ -39,7 +40,7 @@
         machines.put(machine.ip(), machine);
     }
 
-    Machine at(InetSocketAddress address) {
+    Machine machineAt(InetSocketAddress address) {
         return machines.get(address.getAddress().getHostAddress());
     }
 
@@ -47,66 +48,66 @@
         return time;
     }
 
-    double delay() {
-        double maxExtraMs = random.nextInt(DELAYED_ONE_IN) == 0 ? SLOW_EXTRA_MS : TYPICAL_EXTRA_MS;
-        return MIN_MS + random.nextDouble() * maxExtraMs;
+    double randomDelayMs() {
+        double maxExtraMs = random.nextInt(DELAYED_ONE_IN) == 0 ? MAX_SLOW_EXTRA_MS : MAX_TYPICAL_EXTRA_MS;
+        return MIN_DELAY_MS + random.nextDouble() * maxExtraMs;
     }
 
     boolean reaches(String from, String to) {
-        return from.equals(to) || cuts.isEmpty() || !cuts.containsKey(from + ">" + to);
+        return from.equals(to) || partitions.isEmpty() || !partitions.containsKey(from + ">" + to);
     }
 
     boolean reaches(Machine from, Machine to) {
         return reaches(from.ip(), to.ip());
     }
 
-    void cut(String from, String to) {
-        cuts.merge(from + ">" + to, 1, Integer::sum);
+    void partition(String from, String to) {
+        partitions.merge(from + ">" + to, 1, Integer::sum);
     }
 
     void heal(String from, String to) {
-        cuts.computeIfPresent(from + ">" + to, (k, n) -> n == 1 ? null : n - 1);
+        partitions.computeIfPresent(from + ">" + to, (k, n) -> n == 1 ? null : n - 1);
         if (reaches(from, to)) {
-            links.removeIf(SimulatedLink::isForgotten);
+            links.removeIf(SimulatedLink::isFinished);
             for (SimulatedLink link : List.copyOf(links)) {
                 if (link.from().ip().equals(from) && link.to().ip().equals(to)) {
-                    link.resend(random.nextDouble() * RESENT_AFTER_MS);
+                    link.resend(random.nextDouble() * MAX_RESEND_DELAY_MS);
                 }
             }
         }
     }
 
     boolean isFullyConnected() {
-        return cuts.isEmpty();
+        return partitions.isEmpty();
     }
 
-    /** Told of each message that is sent, before it is on its way. */
-    void onSending(BiConsumer<SimulatedLink, Object> next) {
+    /** Sets the observer that receives each message before it is transmitted. */
+    void setSendObserver(BiConsumer<SimulatedLink, Object> next) {
         observer = next;
     }
 
-    void sending(SimulatedLink link, Object message) {
+    void notifySendObserver(SimulatedLink link, Object message) {
         observer.accept(link, message);
     }
 
-    void opened(SimulatedLink link) {
+    void addLink(SimulatedLink link) {
         links.add(link);
         if (links.size() % 256 == 0) {
-            links.removeIf(SimulatedLink::isForgotten);
+            links.removeIf(SimulatedLink::isFinished);
         }
     }
 
-    /** All links of a process whose life ends. */
-    void ended(ProcessIncarnation incarnation, boolean powerLost) {
-        links.removeIf(SimulatedLink::isForgotten);
+    /** Ends all links of a process that terminates. */
+    void closeLinks(ProcessIncarnation incarnation, boolean powerLost) {
+        links.removeIf(SimulatedLink::isFinished);
         for (SimulatedLink link : List.copyOf(links)) {
             if (link.incarnation() == incarnation) {
-                link.vanish(powerLost, random.nextBoolean());
+                link.endWithProcess(powerLost, random.nextBoolean());
             }
         }
     }
 
-    /** The sockets of one life of a process. */
+    /** Returns the message transport of one incarnation of a process. */
     MessageTransport transport(Machine machine, ProcessIncarnation incarnation) {
         return new Transport(machine, incarnation);
     }
@@ -122,8 +123,8 @@
 
         @Override
         public MessageLink open(InetSocketAddress to, double timeoutMs, MessageLink.Handler handler) {
-            SimulatedLink link = new SimulatedLink(SimulatedNetwork.this, machine, at(to), incarnation, handler);
-            time.after(delay(), () -> arriveAt(to, link));
+            SimulatedLink link = new SimulatedLink(SimulatedNetwork.this, machine, machineAt(to), incarnation, handler);
+            time.after(randomDelayMs(), () -> connect(to, link));
             incarnation.after(timeoutMs, () -> {
                 if (!link.isOpen()) {
                     link.close();
@@ -132,20 +133,20 @@
             return link;
         }
 
-        private void arriveAt(InetSocketAddress to, SimulatedLink link) {
-            Machine there = at(to);
-            if (there == null || !there.hasPower() || !reaches(machine, there)) {
-                return; // silence, until the dialler gives up
+        private void connect(InetSocketAddress to, SimulatedLink link) {
+            Machine remote = machineAt(to);
+            if (remote == null || !remote.hasPower() || !reaches(machine, remote)) {
+                return; // no reply: the caller's connection attempt times out
             }
-            Listening listening = there.listening(to);
-            time.after(delay(), () -> {
-                if (!reaches(there, machine)) {
+            Listener listener = remote.listener(to);
+            time.after(randomDelayMs(), () -> {
+                if (!reaches(remote, machine)) {
                     return;
                 }
-                if (listening == null || listening.incarnation.isOver()) {
-                    incarnation.run(link::close);
-                } else if (!link.isClosed() && !incarnation.isOver()) {
-                    link.establish(there, listening.incarnation, listening.handlers);
+                if (listener == null || listener.incarnation.hasEnded()) {
+                    incarnation.deliver(link::close);
+                } else if (!link.isClosed() && !incarnation.hasEnded()) {
+                    link.establish(remote, listener.incarnation, listener.handlers);
                 }
             });
         }
@@ -153,18 +154,18 @@
         @Override
         public ServerEndpoint listen(
                 InetSocketAddress at, int maxConnections, Supplier<? extends MessageLink.Handler> handlers) {
-            return new Listening(machine, incarnation, at, handlers);
+            return new Listener(machine, incarnation, at, handlers);
         }
     }
 
-    /** Where a process takes connections. */
-    static final class Listening implements ServerEndpoint {
+    /** An address at which a process accepts connections. */
+    static final class Listener implements ServerEndpoint {
         private final Machine machine;
         private final ProcessIncarnation incarnation;
         private final InetSocketAddress at;
         private final Supplier<? extends MessageLink.Handler> handlers;
 
-        Listening(
+        Listener(
                 Machine machine,
                 ProcessIncarnation incarnation,
                 InetSocketAddress at,
@@ -177,12 +178,12 @@
 
         @Override
         public void accept() {
-            machine.listens(at, this);
+            machine.setListener(at, this);
         }
 
         @Override
         public void close() {
-            machine.listens(at, null);
+            machine.setListener(at, null);
         }
     }
 }
--- a/simulation/src/test/java/dewplank/simulation/VirtualTime.java
+++ b/simulation/src/test/java/dewplank/simulation/VirtualTime.java
@@ -2,9 +2,9 @@
 
 import java.util.PriorityQueue;
 
-/** Virtual time in milliseconds: steps in the order of their time, those of one time in the order they were added. */
+/** Virtual time in milliseconds. Events run in order of their time, events of the same time in order of insertion. */
 public final class VirtualTime {
-    private record Event(double at, long number, Runnable step) implements Comparable<Event> {
+    private record Event(double at, long number, Runnable task) implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
             int byTime = Double.compare(at, other.at);
@@ -14,37 +14,37 @@
 
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private double now;
-    private long added;
-    private long played;
+    private long addedCount;
+    private long executedCount;
 
     public double now() {
         return now;
     }
 
-    /** Steps played so far. */
-    public long played() {
-        return played;
+    /** The number of events that have run. */
+    public long executedCount() {
+        return executedCount;
     }
 
-    /** Plays the step after so long. */
-    public void after(double delay, Runnable step) {
-        at(now + delay, step);
+    /** Schedules a task to run after the given delay. */
+    public void after(double delayMs, Runnable task) {
+        at(now + delayMs, task);
     }
 
-    /** Plays the step at that time, or at once where it is past. */
-    public void at(double time, Runnable step) {
-        added++;
-        events.add(new Event(Math.max(now, time), added, step));
+    /** Schedules a task to run at the given time, or at the current time if that is later. */
+    public void at(double time, Runnable task) {
+        addedCount++;
+        events.add(new Event(Math.max(now, time), addedCount, task));
     }
 
-    /** Plays all that is due before the end. */
-    public void playUntil(double end) {
+    /** Runs all events that are due before {@code end} and advances the time to it. */
+    public void runUntil(double end) {
         Event next = events.peek();
         while (next != null && next.at < end) {
             events.poll();
             now = next.at;
-            played++;
-            next.step.run();
+            executedCount++;
+            next.task.run();
             next = events.peek();
         }
         now = Math.max(now, end);
