--- a/emulator/src/main/java/dewplank/emulator/Clients.java
+++ b/emulator/src/main/java/dewplank/emulator/Clients.java
@@ -46,7 +46,7 @@
     private final double endMs;
     private int openRequests;
 
-    /** Requests arrive for the scenario's length, counted from now; {@link #start} starts the arrivals. */
+    /** Requests onArrival for the scenario's length, counted from now; {@link #start} starts the arrivals. */
     public Clients(World world, SidecarConnector connector, OutcomeListener listener) {
         this.world = world;
         this.connector = connector;
@@ -60,7 +60,7 @@
     public void start() {
         for (int i = 0; i < scenario.sidecars(); i++) {
             int sidecar = i;
-            new Arrivals(world, sidecar, mix, ids, endMs, request -> arrive(request, sidecar)).scheduleNext();
+            new Arrivals(world, sidecar, mix, ids, endMs, request -> onArrival(request, sidecar)).scheduleNext();
         }
     }
 
@@ -69,7 +69,7 @@
         return openRequests;
     }
 
-    private void arrive(ClientRequest request, int sidecar) {
+    private void onArrival(ClientRequest request, int sidecar) {
         openRequests++;
         sendAttempt(request, sidecar);
     }
@@ -90,7 +90,7 @@
         world.schedule(waitMs, () -> {
             if (!attempt.hasEnded()) {
                 connector.abandon(attempt);
-                end(attempt, Type.ABANDONED, isImpatient ? 1 : 0);
+                endAttempt(attempt, Type.ABANDONED, isImpatient ? 1 : 0);
             }
         });
     }
@@ -106,10 +106,10 @@
             world.record(type, attempt, attempt.sidecar(), RecordedEvent.NONE, value);
             return;
         }
-        end(attempt, type, value);
+        endAttempt(attempt, type, value);
     }
 
-    private void end(ClientAttempt attempt, Type type, double value) {
+    private void endAttempt(ClientAttempt attempt, Type type, double value) {
         attempt.end();
         world.record(type, attempt, attempt.sidecar(), RecordedEvent.NONE, value);
         ClientRequest request = attempt.request();
--- a/emulator/src/main/java/dewplank/emulator/EndpointDirectory.java
+++ b/emulator/src/main/java/dewplank/emulator/EndpointDirectory.java
@@ -126,14 +126,14 @@
 
     /** The endpoints that have not been removed, ordered by server number. */
     public List<Endpoint> endpoints() {
-        List<Endpoint> present = new ArrayList<>();
+        List<Endpoint> listed = new ArrayList<>();
         for (Server server : world.servers()) {
             Endpoint endpoint = endpointsByServer.get(server.number());
             if (endpoint.availability() != Availability.REMOVED) {
-                present.add(endpoint);
+                listed.add(endpoint);
             }
         }
-        return present;
+        return listed;
     }
 
     // ---- list changes ---------------------------------------------------------------------------------
--- a/emulator/src/main/java/dewplank/emulator/FaultInjector.java
+++ b/emulator/src/main/java/dewplank/emulator/FaultInjector.java
@@ -171,10 +171,10 @@
     }
 
     private void toggleNeighbour(Fault fault, List<Server> affected, double endMs, boolean isBusy) {
-        boolean isOver = world.now() >= endMs;
-        double fraction = isBusy && !isOver ? Math.min(MAX_NEIGHBOUR_FRACTION, fault.magnitude()) : 0;
+        boolean hasEnded = world.now() >= endMs;
+        double fraction = isBusy && !hasEnded ? Math.min(MAX_NEIGHBOUR_FRACTION, fault.magnitude()) : 0;
         affected.forEach(server -> server.setNeighbourFraction(fraction));
-        if (!isOver) {
+        if (!hasEnded) {
             world.schedule(fault.intervalMs(), () -> toggleNeighbour(fault, affected, endMs, !isBusy));
         }
     }
@@ -265,8 +265,8 @@
         }
         batch.forEach(server -> replaceServer(server, fault.intervalMs()));
         int batches = (order.size() + batchSize - 1) / batchSize;
-        double batchMs = Math.max(MIN_BATCH_INTERVAL_MS, fault.durationMs() / batches);
-        world.schedule(batchMs, () -> deploy(fault, order, from + batchSize));
+        double batchIntervalMs = Math.max(MIN_BATCH_INTERVAL_MS, fault.durationMs() / batches);
+        world.schedule(batchIntervalMs, () -> deploy(fault, order, from + batchSize));
     }
 
     /** Lists the server as draining first; its process starts to drain once the sidecars have been notified. */
@@ -276,9 +276,9 @@
         }
         int incarnation = server.incarnation();
         world.directory().set(server, Availability.DRAINING);
-        double notifiedMs =
+        double notificationMs =
                 scenario.directory().updateIntervalMs() * 2 + scenario.rules().drainMs();
-        world.schedule(Math.min(notifiedMs, drainMs), () -> {
+        world.schedule(Math.min(notificationMs, drainMs), () -> {
             if (server.incarnation() == incarnation) {
                 server.drain();
             }
--- a/emulator/src/main/java/dewplank/emulator/FaultRates.java
+++ b/emulator/src/main/java/dewplank/emulator/FaultRates.java
@@ -62,15 +62,15 @@
     }
 
     Delivery drawDelivery() {
-        double drawn = random.nextDouble();
-        if (drawn < lostResponseRate) {
+        double sample = random.nextDouble();
+        if (sample < lostResponseRate) {
             return Delivery.LOST;
         }
-        return drawn < lostResponseRate + resetRate ? Delivery.RESET : Delivery.DELIVERED;
+        return sample < lostResponseRate + resetRate ? Delivery.RESET : Delivery.DELIVERED;
     }
 
     /** Resets the immediate errors, which belong to the ended process; the other rates belong to the machine. */
-    void processEnded() {
+    void onProcessEnded() {
         immediateErrorRate = 0;
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/JobScheduler.java
+++ b/emulator/src/main/java/dewplank/emulator/JobScheduler.java
@@ -42,7 +42,7 @@
         this.listener = listener;
         this.processors = new ProcessorSharing(world, machine.cores(), speed, this::advance);
         this.overload = new OverloadMonitor(
-                world, machine.overloadSlowdown(), machine.cores(), this::size, this::slowdownChanged);
+                world, machine.overloadSlowdown(), machine.cores(), this::size, this::onSlowdownChanged);
     }
 
     /** Number of jobs in slots and in the queue. */
@@ -89,11 +89,11 @@
     }
 
     /** Must be called after each change of the speed. */
-    void speedChanged() {
+    void onSpeedChanged() {
         processors.plan();
     }
 
-    private void slowdownChanged(boolean isSlowed) {
+    private void onSlowdownChanged(boolean isSlowed) {
         speed.setSlowedByOverload(isSlowed);
         processors.plan();
     }
@@ -140,7 +140,7 @@
         waitingOnDependencies.stream().sorted().forEach(removed::add);
         queue.clear();
         waitingOnDependencies.clear();
-        overload.processEnded();
+        overload.onProcessEnded();
         return removed;
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/KeyedRequests.java
+++ b/emulator/src/main/java/dewplank/emulator/KeyedRequests.java
@@ -9,13 +9,13 @@
  * window, since clients retry a keyed request only while servers still deduplicate it.
  */
 final class KeyedRequests {
-    /** Allowance for the network delay, as the window starts when the client sends the attempt. */
+    /** Added to a deduplication window for the network delay, because the window starts when the client sends. */
     private static final double WINDOW_SLACK_MS = 10;
-    /** Longer than any request is in flight at a server. */
+    /** Time for which an entry is stored; longer than any request is in flight at a server. */
     private static final double ENTRY_LIFETIME_MS = 60_000;
 
     private static final int MAX_ENTRIES = 1_000_000;
-    /** Greater than the number of any group. */
+    /** Factor of the request key in a scoped key; greater than the number of any group of servers. */
     private static final int GROUP_FACTOR = 10_007;
 
     private static final class Entry {
--- a/emulator/src/main/java/dewplank/emulator/OverloadMonitor.java
+++ b/emulator/src/main/java/dewplank/emulator/OverloadMonitor.java
@@ -126,7 +126,7 @@
     }
 
     /** Resets the phase after the process has ended, and invalidates that process's slowdown timer. */
-    void processEnded() {
+    void onProcessEnded() {
         processes++;
         phase = Phase.NORMAL;
     }
--- a/emulator/src/main/java/dewplank/emulator/Server.java
+++ b/emulator/src/main/java/dewplank/emulator/Server.java
@@ -291,19 +291,19 @@
 
     void pause(double durationMs) {
         speed.pause(durationMs);
-        jobs.speedChanged();
+        jobs.onSpeedChanged();
     }
 
     /** Makes the server {@code factor} times slower; 1 restores the base speed. */
     void setSlowdown(double factor) {
         speed.setSlowdown(factor);
-        jobs.speedChanged();
+        jobs.onSpeedChanged();
     }
 
     /** Sets the fraction of each core that a neighbour on the machine uses. */
     void setNeighbourFraction(double fraction) {
         speed.setNeighbourFraction(fraction);
-        jobs.speedChanged();
+        jobs.onSpeedChanged();
     }
 
     /** Schedules the next pause, such as a garbage collection: exponential gap, 0.5 to 1.5 times the mean duration. */
@@ -320,8 +320,8 @@
     /** Starts the process, cold. */
     void start() {
         transitionTo(State.UP);
-        warmUp.processStarted();
-        speed.processStarted();
+        warmUp.onProcessStarted();
+        speed.onProcessStarted();
         jobs.update();
         world.record(Type.SERVER_STARTED, null, -1, number, fullCapacity());
     }
@@ -368,8 +368,8 @@
         connections.clear();
         keyCache.clear();
         coldLoadLimit.clear();
-        faultRates.processEnded();
-        speed.processEnded();
+        faultRates.onProcessEnded();
+        speed.onProcessEnded();
         incarnation++;
         return lost;
     }
--- a/emulator/src/main/java/dewplank/emulator/ServerSpeed.java
+++ b/emulator/src/main/java/dewplank/emulator/ServerSpeed.java
@@ -71,13 +71,13 @@
     }
 
     /** Removes the slowdowns of the ended process; a pause of the machine continues. */
-    void processEnded() {
+    void onProcessEnded() {
         slowdown = 1;
         neighbourFraction = 0;
         isSlowedByOverload = false;
     }
 
-    void processStarted() {
+    void onProcessStarted() {
         pausedUntilMs = 0;
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/TenantTraffic.java
+++ b/emulator/src/main/java/dewplank/emulator/TenantTraffic.java
@@ -4,7 +4,7 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** The distribution of the load over the tenants, and the total load as individual tenants change theirs. */
+/** The distribution of the load over the tenants, and the total load, which changes with the load of each tenant. */
 final class TenantTraffic {
     private final List<TenantLoad> tenants;
     private final double[] factors;
--- a/emulator/src/main/java/dewplank/emulator/WarmUp.java
+++ b/emulator/src/main/java/dewplank/emulator/WarmUp.java
@@ -13,7 +13,7 @@
         this.machine = machine;
     }
 
-    void processStarted() {
+    void onProcessStarted() {
         startedAtMs = world.now();
     }
 
--- a/emulator/src/main/java/dewplank/emulator/fleet/ClientRequest.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/ClientRequest.java
@@ -60,7 +60,7 @@
                 Optional.empty());
     }
 
-    /** Returns a copy with another time-out. */
+    /** Returns a copy with another timeout. */
     public ClientRequest withTimeout(int nextTimeoutMs) {
         return new ClientRequest(route, method, target, body, events, prompt, nextTimeoutMs, accessKey);
     }
--- a/emulator/src/main/java/dewplank/emulator/fleet/ConfigurationRules.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/ConfigurationRules.java
@@ -55,7 +55,7 @@
         FleetEvent.ofType(events, ReadBack.class).forEach(this::checkReadBack);
         for (AttemptSent attempt : attempts.all()) {
             attempts.runs(attempt.attemptId()).forEach(run -> checkRoute(attempt, run));
-            checkCurrent(attempt);
+            checkStaleness(attempt);
         }
         return violations;
     }
@@ -115,7 +115,7 @@
     }
 
     /** Checks that a request sent long after an acknowledgement is handled by that version or a later one. */
-    private void checkCurrent(AttemptSent attempt) {
+    private void checkStaleness(AttemptSent attempt) {
         long requiredVersion = requiredVersion(attempt);
         Optional<AttemptEnded> ended = attempts.ended(attempt.attemptId());
         if (requiredVersion == 0 || ended.isEmpty()) {
@@ -133,10 +133,10 @@
                                 + requiredVersion);
             }
         }
-        boolean missing = valid.stream().anyMatch(document -> document.allowedServices(
+        boolean mayLackRoute = valid.stream().anyMatch(document -> document.allowedServices(
                         attempt.request().route().host(), attempt.request().target())
                 .isEmpty());
-        if (ended.get().status() == NOT_FOUND && !missing) {
+        if (ended.get().status() == NOT_FOUND && !mayLackRoute) {
             report(Rule.STALE, attempt.attemptId() + " received 404 long after version " + requiredVersion);
         }
     }
@@ -151,7 +151,7 @@
                 .orElse(0);
     }
 
-    /** Whether no process had a fault between the contact time before the acknowledgement and the request. */
+    /** Whether no process had a fault from {@link FleetBounds#CONTACT_MS} before {@code from} until {@code to}. */
     private boolean hadNoFaults(double from, double to) {
         return faults.stream().noneMatch(fault -> fault.atMs() > from - FleetBounds.CONTACT_MS && fault.atMs() < to);
     }
--- a/emulator/src/main/java/dewplank/emulator/fleet/FleetBounds.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/FleetBounds.java
@@ -6,7 +6,7 @@
     public static final int DRAIN_MS = 3_000;
     /** Time within which a process exits after SIGTERM. */
     public static final int GRACE_S = 8;
-    /** Rules with a time bound apply to a machine once it has been connected to the majority for this long. */
+    /** Time for which a machine must have been connected to the majority before time bounds apply to it. */
     public static final int CONTACT_MS = 3_000;
     /** Time within which all machines apply an acknowledged configuration. */
     public static final int CONFIG_APPLY_MS = 2_000;
--- a/emulator/src/main/java/dewplank/emulator/fleet/FleetClient.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/FleetClient.java
@@ -72,7 +72,7 @@
             loop.after(request.timeoutMs(), () -> cancel(false));
         }
 
-        /** {@code isAbandoned} is true if the client closes the connection, and false if its time-out has expired. */
+        /** {@code isAbandoned} is true if the client closes the connection, and false if its timeout has expired. */
         private void cancel(boolean isAbandoned) {
             if (!isDone) {
                 call.cancel();
--- a/emulator/src/main/java/dewplank/emulator/fleet/FleetConfiguration.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/FleetConfiguration.java
@@ -41,15 +41,16 @@
     /** Returns a copy with another version and the route added; it replaces a route with the same name. */
     public FleetConfiguration with(long nextVersion, RouteSpec route) {
         List<RouteSpec> next = new ArrayList<>(routes);
-        next.removeIf(present -> present.name().equals(route.name()));
+        next.removeIf(existing -> existing.name().equals(route.name()));
         next.add(route);
         return new FleetConfiguration(nextVersion, next, services, tenants);
     }
 
     /** Returns a copy with another version and without the named route. */
     public FleetConfiguration without(long nextVersion, String route) {
-        List<RouteSpec> next =
-                routes.stream().filter(present -> !present.name().equals(route)).toList();
+        List<RouteSpec> next = routes.stream()
+                .filter(existing -> !existing.name().equals(route))
+                .toList();
         return new FleetConfiguration(nextVersion, next, services, tenants);
     }
 
--- a/emulator/src/main/java/dewplank/emulator/fleet/FleetNetwork.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/FleetNetwork.java
@@ -22,8 +22,9 @@
     private static final int RESERVATION_MACHINE = 0;
     private static final int FIRST_CONTROL_MACHINE = 10;
     private static final int FIRST_DATA_MACHINE = 40;
-    private static final int PLATFORM_OFFSET =
-            60; // the number of a control machine plus this is the number of its platform address
+    /** Difference between the machine number of a control machine and that of its platform address. */
+    private static final int PLATFORM_OFFSET = 60;
+
     private static final int FIRST_SERVER_MACHINE = 150;
 
     private final int number;
@@ -56,7 +57,7 @@
         return Addresses.machine(number, FIRST_DATA_MACHINE + machine);
     }
 
-    /** The platform's address for one control machine; a separate one each, which identifies the caller. */
+    /** The platform's address for one control machine. Each machine has a separate one, which identifies the caller. */
     InetSocketAddress platform(int controlMachine) {
         return new InetSocketAddress(
                 Addresses.machine(number, FIRST_CONTROL_MACHINE + PLATFORM_OFFSET + controlMachine), PLATFORM_PORT);
--- a/emulator/src/main/java/dewplank/emulator/fleet/FleetProcess.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/FleetProcess.java
@@ -13,7 +13,7 @@
 import java.util.Optional;
 import java.util.stream.Stream;
 
-/** A process of the fleet. The history records each fault that the test causes in it. Not thread-safe. */
+/** A process of the fleet. The history records the faults that the test causes in the process. Not thread-safe. */
 public final class FleetProcess {
     private final EventLoop loop;
     private final History history;
--- a/emulator/src/main/java/dewplank/emulator/fleet/History.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/History.java
@@ -54,12 +54,12 @@
         }
     }
 
-    private synchronized List<FleetEvent> awaitEventsAfter(int knownCount, long deadlineNanos, String description)
+    private synchronized List<FleetEvent> awaitEventsAfter(int checkedCount, long deadlineNanos, String description)
             throws InterruptedException, TimeoutException {
-        while (events.size() == knownCount) {
+        while (events.size() == checkedCount) {
             waitUntil(deadlineNanos, description, Long.MAX_VALUE);
         }
-        return List.copyOf(events.subList(knownCount, events.size()));
+        return List.copyOf(events.subList(checkedCount, events.size()));
     }
 
     /**
--- a/emulator/src/main/java/dewplank/emulator/fleet/KeepAliveLoad.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/KeepAliveLoad.java
@@ -80,10 +80,10 @@
                 return;
             }
             isReused = false;
-            Connection.open(loop, null, machine.front(), this, this::opened, failure -> reconnect());
+            Connection.open(loop, null, machine.front(), this, this::onConnected, failure -> reconnect());
         }
 
-        private void opened(Connection open) {
+        private void onConnected(Connection open) {
             connection = open;
             send();
         }
@@ -116,7 +116,7 @@
         private void timeOut(String id) {
             if (attemptId.filter(id::equals).isPresent()) {
                 connection.close();
-                attemptEnded(false, true);
+                endAttempt(false, true);
                 reconnect();
             }
         }
@@ -134,11 +134,11 @@
                 boolean isComplete = parser.feed(bytes);
                 recordBody();
                 if (isComplete) {
-                    responseEnded();
+                    onResponseEnded();
                 }
             } catch (BadMessageException e) {
                 connection.close();
-                attemptEnded(false, false);
+                endAttempt(false, false);
                 reconnect();
             }
         }
@@ -156,8 +156,8 @@
             }
         }
 
-        private void responseEnded() {
-            attemptEnded(true, false);
+        private void onResponseEnded() {
+            endAttempt(true, false);
             if (parser.keepAlive()) {
                 isReused = true;
                 loop.after(PAUSE_MS, this::send);
@@ -170,12 +170,12 @@
         @Override
         public void closed(IOException cause) {
             if (attemptId.isPresent()) {
-                attemptEnded(cause == null && parser.endOfInput(), false);
+                endAttempt(cause == null && parser.endOfInput(), false);
             }
             reconnect();
         }
 
-        private void attemptEnded(boolean isComplete, boolean isAbandoned) {
+        private void endAttempt(boolean isComplete, boolean isAbandoned) {
             history.add(new FleetEvent.AttemptEnded(
                     loop.now(),
                     attemptId.orElseThrow(),
--- a/emulator/src/main/java/dewplank/emulator/fleet/LostRequestRules.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/LostRequestRules.java
@@ -27,9 +27,13 @@
 final class LostRequestRules {
     private static final int MS_PER_S = 1_000;
     private static final double GRACE_MS = FleetBounds.GRACE_S * MS_PER_S;
-    private static final double EXIT_WINDOW_MS = GRACE_MS + MS_PER_S; // from SIGTERM
-    private static final double LAST_SIXTH_START_MS = GRACE_MS * 5 / 6; // from SIGTERM
-    private static final double MAX_SENT_AFTER_MS = 3_000; // from SIGTERM
+    /** Time after SIGTERM within which an interruption is attributed to the termination. */
+    private static final double EXIT_WINDOW_MS = GRACE_MS + MS_PER_S;
+    /** Time from SIGTERM to the start of the last sixth of the grace period. */
+    private static final double LAST_SIXTH_START_MS = GRACE_MS * 5 / 6;
+    /** Latest time after SIGTERM at which a request that may be interrupted as long-running is sent. */
+    private static final double MAX_SENT_AFTER_MS = 3_000;
+
     private static final int MAX_INTERRUPTED_WITHOUT_FAULT = 3;
     private static final Set<ProcessFault> UNPLANNED_FAULTS =
             Set.of(ProcessFault.KILLED, ProcessFault.FROZEN, ProcessFault.THAWED, ProcessFault.WIPED);
@@ -154,7 +158,7 @@
         };
     }
 
-    /** Whether the request was sent early enough and still ran at a server in the last sixth of the grace period. */
+    /** Whether the request was sent early enough and was still running in the last sixth of the grace period. */
     private boolean isLongRunning(ProcessFaulted termination, AttemptSent sent, double sentAfterMs) {
         return sentAfterMs <= MAX_SENT_AFTER_MS
                 && runEnds(sent).stream()
--- a/emulator/src/main/java/dewplank/emulator/fleet/ModelServer.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/ModelServer.java
@@ -114,16 +114,16 @@
             String counts = arrival.header(WireFields.TOKEN_COUNTS);
             this.lastId =
                     Integer.parseInt(counts.substring(counts.indexOf(',') + 1).strip());
-            String resumed = arrival.header(WireFields.LAST_EVENT_ID);
-            this.lastSentId = resumed == null ? 0 : Integer.parseInt(resumed);
+            String lastEventId = arrival.header(WireFields.LAST_EVENT_ID);
+            this.lastSentId = lastEventId == null ? 0 : Integer.parseInt(lastEventId);
         }
 
         void begin() {
             arrival.startStream(identity().instanceId() + "." + ++streams);
-            loop.after(EVENT_INTERVAL_MS, this::next);
+            loop.after(EVENT_INTERVAL_MS, this::sendNext);
         }
 
-        private void next() {
+        private void sendNext() {
             if (!arrival.isOpen()) {
                 return;
             }
@@ -134,9 +134,9 @@
             lastSentId++;
             arrival.sendEvent(lastSentId, StreamEvents.text(arrival.attemptId, lastSentId));
             if (lastSentId == pauseStreamsAfter) {
-                pausedStreams.addLast(this::next);
+                pausedStreams.addLast(this::sendNext);
             } else {
-                loop.after(EVENT_INTERVAL_MS, this::next);
+                loop.after(EVENT_INTERVAL_MS, this::sendNext);
             }
         }
     }
--- a/emulator/src/main/java/dewplank/emulator/fleet/PlainServer.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/PlainServer.java
@@ -4,7 +4,7 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 
-/** A server that runs complete requests; each response contains the attempt's id and the request. */
+/** A server for requests without stages; each response contains the attempt's id and the request. */
 public final class PlainServer extends StandInServer {
     private static final double WORK_MS = 3;
     private int responseCount;
--- a/emulator/src/main/java/dewplank/emulator/fleet/ServerStage.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/ServerStage.java
@@ -2,7 +2,7 @@
 
 /** The stage of generations that a server runs, with its name in the platform's list and in the request header. */
 public enum ServerStage {
-    /** Runs complete requests; the platform's list contains no stage for the server. */
+    /** Runs requests that are not divided into stages; the platform's list contains no stage for the server. */
     NONE(""),
     /** Processes prompts and stores their KV caches. */
     PREFILL("prefill"),
--- a/emulator/src/main/java/dewplank/emulator/fleet/ServiceSpec.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/ServiceSpec.java
@@ -7,9 +7,9 @@
 public record ServiceSpec(String name, Kind kind) {
     /** The kind of work that the service's servers run. */
     public enum Kind {
-        /** Complete requests. */
+        /** Requests that are not divided into stages. */
         PLAIN,
-        /** The stages prefill and decode. */
+        /** Generations, which are divided into the stages prefill and decode. */
         MODEL
     }
 
@@ -19,7 +19,7 @@
     private static final int KV_TOKEN_BYTES = 163_840;
     private static final double LINK_MBPS = 1_300_000;
 
-    /** Creates a service whose servers run complete requests. */
+    /** Creates a service whose servers run requests that are not divided into stages. */
     public static ServiceSpec plain(String name) {
         return new ServiceSpec(name, Kind.PLAIN);
     }
--- a/emulator/src/main/java/dewplank/emulator/fleet/StallRecorder.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/StallRecorder.java
@@ -3,12 +3,12 @@
 import dewplank.net.EventLoop;
 
 /**
- * Records stalls of the stand-ins' event loop, such as on a host without a free processor: a duration that a rule
- * measures between two events then exceeds the actual one. Used only on the loop's thread.
+ * Records stalls of the stand-ins' event loop, which occur for example on a host without a free processor. A
+ * duration between two events that a rule measures then exceeds the actual duration. Used only on the loop's thread.
  */
 final class StallRecorder {
     private static final double INTERVAL_MS = 20;
-    /** Allows for the tick of the timers and the time that the handling of an event takes. */
+    /** Shorter delays are not recorded; they can result from the timers' tick and the handling of other events. */
     private static final double MIN_STALL_MS = 20;
 
     private final EventLoop loop;
--- a/emulator/src/main/java/dewplank/emulator/fleet/StandInFleet.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/StandInFleet.java
@@ -180,8 +180,8 @@
             HttpClient.Call call = http.call(
                     MessageWriter.request("GET", "/readiness", machine.node()).noBody(), response -> {
                         http.close();
-                        status.complete(
-                                response.map(answer -> answer.head().status()).orElse(0));
+                        status.complete(response.map(complete -> complete.head().status())
+                                .orElse(0));
                     });
             loop.after(READINESS_TIMEOUT_MS, () -> {
                 if (status.complete(0)) {
--- a/emulator/src/main/java/dewplank/emulator/fleet/StandInOperator.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/StandInOperator.java
@@ -15,7 +15,7 @@
 /**
  * Simulates the operator: sends the same change to one control plane after another until one sends a final response.
  * Follows at most two redirects, and switches to the next control plane after a failure, a retryable status, or a
- * time-out of one second. The methods may be called from any thread.
+ * timeout of one second. The methods may be called from any thread.
  */
 public final class StandInOperator {
     private static final double RESPONSE_TIMEOUT_MS = 1_000;
--- a/emulator/src/main/java/dewplank/emulator/fleet/SteadyLoad.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/SteadyLoad.java
@@ -29,11 +29,11 @@
         for (FleetMachine machine : machines) {
             CompletableFuture<Void> end = new CompletableFuture<>();
             ends.add(end);
-            loop.execute(() -> next(machine, 0, end));
+            loop.execute(() -> sendNext(machine, 0, end));
         }
     }
 
-    private void next(FleetMachine machine, int requestIndex, CompletableFuture<Void> end) {
+    private void sendNext(FleetMachine machine, int requestIndex, CompletableFuture<Void> end) {
         if (isStopping) {
             end.complete(null);
             return;
@@ -42,7 +42,7 @@
                 .ended()
                 .thenAccept(outcome -> {
                     (outcome.served() ? served : notServed).incrementAndGet();
-                    loop.execute(() -> loop.after(PAUSE_MS, () -> next(machine, requestIndex + 1, end)));
+                    loop.execute(() -> loop.after(PAUSE_MS, () -> sendNext(machine, requestIndex + 1, end)));
                 });
     }
 
--- a/emulator/src/main/java/dewplank/emulator/fleet/StreamEvents.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/StreamEvents.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The texts of a stream's events. Each depends on the ids of attempt and event only, not on the server. */
+/** The texts of a stream's events. Each depends only on the ids of the attempt and the event, not on the server. */
 final class StreamEvents {
     private static final String END = "\n\n";
 
--- a/emulator/src/main/java/dewplank/emulator/fleet/Violation.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/Violation.java
@@ -4,7 +4,7 @@
 public record Violation(Rule rule, String detail) {
     /** The rules that histories are checked for. */
     public enum Rule {
-        /** A server ran an attempt a second time that may run at most once. */
+        /** A server ran an attempt more than once although it may run at most once. */
         TWICE,
         /** A server ran an attempt whose response states that it was not executed. */
         REFUSED,
--- a/emulator/src/main/java/dewplank/emulator/loopback/DirectoryEndpoint.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/DirectoryEndpoint.java
@@ -108,7 +108,7 @@
             try {
                 return Long.parseLong(text.replaceAll("&.*", ""));
             } catch (NumberFormatException e) {
-                return 0; // the watch starts with the full list
+                return 0; // an invalid index is treated as version 0, for which the watch starts with the full list
             }
         }
 
--- a/emulator/src/main/java/dewplank/emulator/loopback/RealTime.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/RealTime.java
@@ -8,7 +8,7 @@
     private static final double SAMPLE_INTERVAL_MS = 20;
     private static final double LATE_THRESHOLD_MS = 25;
     private static final double MAX_LATENESS_MS = 300;
-    private static final double MAX_LATE_SHARE = 0.01;
+    private static final double MAX_LATE_FRACTION = 0.01;
     private static final double MIN_TIMER_MS = 0.02;
 
     private final EventLoop loop;
@@ -63,6 +63,6 @@
 
     /** Whether the emulator's delays were so long or so frequent that the figures do not describe the sidecars. */
     boolean isRunInvalid() {
-        return maxLatenessMs > MAX_LATENESS_MS || lateCount > MAX_LATE_SHARE * Math.max(100, sampleCount);
+        return maxLatenessMs > MAX_LATENESS_MS || lateCount > MAX_LATE_FRACTION * Math.max(100, sampleCount);
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/loopback/SidecarProcesses.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/SidecarProcesses.java
@@ -123,7 +123,7 @@
         ByteBuffer healthCheck =
                 MessageWriter.request("GET", "/_health", "sidecar").noBody();
         httpClients.get(sidecar).call(healthCheck, response -> {
-            if (response.filter(answer -> answer.head().status() == 200).isPresent()) {
+            if (response.filter(complete -> complete.head().status() == 200).isPresent()) {
                 record(Type.SIDECAR_UP, sidecar);
                 whenReady.run();
             } else if (time.now() - startedAtMs > MAX_STARTUP_MS
--- a/emulator/src/main/java/dewplank/emulator/scenario/BalancerSettings.java
+++ b/emulator/src/main/java/dewplank/emulator/scenario/BalancerSettings.java
@@ -14,7 +14,7 @@
 /** Derives the settings of a sidecar's balancer from a scenario. */
 public final class BalancerSettings {
     private static final List<String> LOAD_REPORT_FIELDS = List.of("rif");
-    /** A cross-zone request has a small cost, a handshake none. */
+    /** Deductions from the result: a small one for a cross-zone request, none for a handshake. */
     private static final Prices PRICES = new Prices(0.03, 0);
 
     private static final Goal GOAL = new Goal(0.8, 0.2, 0, 0);
--- a/emulator/src/main/java/dewplank/emulator/scenario/TomlFile.java
+++ b/emulator/src/main/java/dewplank/emulator/scenario/TomlFile.java
@@ -97,8 +97,8 @@
 
         private Object value(String key) {
             readKeys.add(key);
-            Object own = table.get(List.of(key));
-            return own != null || base == null ? own : base.value(key);
+            Object value = table.get(List.of(key));
+            return value != null || base == null ? value : base.value(key);
         }
 
         /** The text under the key, or the default if the key is missing. */
@@ -225,12 +225,12 @@
         /** The table under the key, or an empty one. */
         public Table table(String key) {
             readKeys.add(key);
-            Object own = table.get(List.of(key));
-            if (own != null && !(own instanceof TomlTable)) {
+            Object value = table.get(List.of(key));
+            if (value != null && !(value instanceof TomlTable)) {
                 throw error(key, "should be a table");
             }
             return new Table(
-                    own == null ? Toml.parse("") : (TomlTable) own,
+                    value == null ? Toml.parse("") : (TomlTable) value,
                     path + key + ".",
                     base == null ? null : base.table(key));
         }
--- a/emulator/src/main/java/dewplank/emulator/virtualtime/AttemptSender.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/AttemptSender.java
@@ -94,9 +94,9 @@
     private void reportNeverSent(Send action, Optional<PendingRequest> request) {
         int index = request.map(PendingRequest::attemptCount).orElse(0);
         request.ifPresent(PendingRequest::skipAttempt);
-        boolean requestIsOver = request.isEmpty() || !request.get().isOpen();
-        inbox.add(
-                new AttemptEnded(action.request(), index, action.server(), Outcome.NEVER_SENT, 0, requestIsOver, null));
+        boolean isRequestFinished = request.isEmpty() || !request.get().isOpen();
+        inbox.add(new AttemptEnded(
+                action.request(), index, action.server(), Outcome.NEVER_SENT, 0, isRequestFinished, null));
     }
 
     void cancel(Cancel action) {
@@ -187,7 +187,7 @@
         }
         releaseConnection(attempt, outcome);
         PendingRequest request = attempt.request;
-        request.attemptEnded();
+        request.onAttemptEnded();
         if (outcome == Outcome.SERVED && request.isOpen()) {
             request.finish();
             responder.respond(request.client, Type.SERVED, (double) request.client.id());
--- a/emulator/src/main/java/dewplank/emulator/virtualtime/PendingRequest.java
+++ b/emulator/src/main/java/dewplank/emulator/virtualtime/PendingRequest.java
@@ -67,7 +67,7 @@
         attemptCount++;
     }
 
-    void attemptEnded() {
+    void onAttemptEnded() {
         inFlightCount--;
     }
 
--- a/emulator/src/test/java/dewplank/emulator/ServerTest.java
+++ b/emulator/src/test/java/dewplank/emulator/ServerTest.java
@@ -22,7 +22,7 @@
     private final VirtualTime time = new VirtualTime();
     private final List<RecordedEvent> events = new ArrayList<>();
     private final List<Reply> replies = new ArrayList<>();
-    private final List<Double> tookMs = new ArrayList<>();
+    private final List<Double> responseTimesMs = new ArrayList<>();
 
     /** An environment with one server, which has one core, many slots and no queue. */
     private WorldBuilder world(String machineKeys) {
@@ -42,7 +42,7 @@
         ClientAttempt attempt = new ClientAttempt(id, 0, id, work, 0, false, sentAtMs, sentAtMs + DEADLINE_MS, null);
         server(world).offer(attempt, 0, (reply, load) -> {
             replies.add(reply);
-            tookMs.add(world.now() - sentAtMs);
+            responseTimesMs.add(world.now() - sentAtMs);
         });
     }
 
@@ -50,8 +50,8 @@
         return events.stream().filter(event -> event.type() == type).count();
     }
 
-    private double meanTookMs() {
-        return tookMs.stream().mapToDouble(value -> value).average().orElse(0);
+    private double meanResponseTimeMs() {
+        return responseTimesMs.stream().mapToDouble(value -> value).average().orElse(0);
     }
 
     @Nested
@@ -73,8 +73,8 @@
                 time.after(atMs, () -> offer(world, id, drawnWork));
             }
             time.runUntil(atMs + DEADLINE_MS);
-            assertEquals(REQUESTS, tookMs.size());
-            assertEquals(WORK_MS / (1 - UTILIZATION), meanTookMs(), 15);
+            assertEquals(REQUESTS, responseTimesMs.size());
+            assertEquals(WORK_MS / (1 - UTILIZATION), meanResponseTimeMs(), 15);
         }
 
         @Test
@@ -101,7 +101,7 @@
             assertEquals(0, server(world).backlog(), 1e-6);
             time.runUntil(DEADLINE_MS);
             assertEquals(11, replies.size());
-            assertTrue(meanTookMs() > 300, () -> "took " + tookMs);
+            assertTrue(meanResponseTimeMs() > 300, () -> "took " + responseTimesMs);
         }
 
         @Test
@@ -109,22 +109,22 @@
             World world = world("cold_s = 0")
                     .topLevel("subjects = { keys = 5, spared = 0.5, fresh_s = 2, per_core = 1 }")
                     .build();
-            double firstMs = measureAloneMs(world, 1, 7);
-            assertEquals(firstMs / 2, measureAloneMs(world, 1, 7), 1e-6);
-            measureAloneMs(world, 1, 8); // evicts key 7: the cache has one entry
-            assertEquals(firstMs, measureAloneMs(world, 1, 7), 1e-6);
+            double firstMs = measureResponseTimeMs(world, 1, 7);
+            assertEquals(firstMs / 2, measureResponseTimeMs(world, 1, 7), 1e-6);
+            measureResponseTimeMs(world, 1, 8); // evicts key 7: the cache has one entry
+            assertEquals(firstMs, measureResponseTimeMs(world, 1, 7), 1e-6);
             time.runUntil(time.now() + 2_100);
-            assertEquals(firstMs, measureAloneMs(world, 1, 7), 1e-6);
+            assertEquals(firstMs, measureResponseTimeMs(world, 1, 7), 1e-6);
         }
 
-        private double measureAloneMs(World world, long id, int subjectKey) {
+        private double measureResponseTimeMs(World world, long id, int subjectKey) {
             double sentAtMs = world.now();
-            double[] tookMs = new double[1];
+            double[] responseTimeMs = new double[1];
             ClientAttempt attempt = new ClientAttempt(
                     id, 0, id, WORK_MS, 0, false, sentAtMs, sentAtMs + DEADLINE_MS, null, -1, subjectKey);
-            server(world).offer(attempt, 0, (reply, load) -> tookMs[0] = world.now() - sentAtMs);
+            server(world).offer(attempt, 0, (reply, load) -> responseTimeMs[0] = world.now() - sentAtMs);
             time.runUntil(sentAtMs + 1_000);
-            return tookMs[0];
+            return responseTimeMs[0];
         }
     }
 
@@ -152,7 +152,9 @@
             server.start();
             offer(world, 1, WORK_MS);
             time.runUntil(5_000);
-            assertTrue(tookMs.get(0) > 350 && tookMs.get(0) < 480, () -> "took " + tookMs.get(0));
+            assertTrue(
+                    responseTimesMs.get(0) > 350 && responseTimesMs.get(0) < 480,
+                    () -> "took " + responseTimesMs.get(0));
             for (int id = 2; id < 2_000 && server.state() == Server.State.UP; id++) {
                 offer(world, id, WORK_MS);
             }
@@ -188,7 +190,9 @@
             time.runUntil(1_000);
             double minMs = pauseMs + WORK_MS * (1 - MAX_WORK_DEVIATION) / speed;
             double maxMs = pauseMs + WORK_MS * (1 + MAX_WORK_DEVIATION) / speed + 1;
-            assertTrue(tookMs.get(0) >= minMs && tookMs.get(0) <= maxMs, () -> "took " + tookMs);
+            assertTrue(
+                    responseTimesMs.get(0) >= minMs && responseTimesMs.get(0) <= maxMs,
+                    () -> "took " + responseTimesMs);
         }
     }
 }
--- a/emulator/src/test/java/dewplank/emulator/fleet/FleetAuditorTest.java
+++ b/emulator/src/test/java/dewplank/emulator/fleet/FleetAuditorTest.java
@@ -48,7 +48,7 @@
             new ServerIdentity("i-2", "other", "ost", ServerStage.NONE, "127.0.0.1:2");
     private static final ServerIdentity MODEL =
             new ServerIdentity("i-3", "model", "ost", ServerStage.DECODE, "127.0.0.1:3");
-    /** A time by which everything that happens at the start of a history must be in effect. */
+    /** A time by which every change at the start of a history must have taken effect. */
     private static final double LATE_MS = 9_000;
 
     private static final double START_MS = 1;
@@ -56,11 +56,11 @@
     private final List<FleetEvent> events = new ArrayList<>();
 
     FleetAuditorTest() {
-        acknowledged(FIRST, 0, 0);
+        addAcknowledgedChange(FIRST, 0, 0);
     }
 
-    /** The operator sent a configuration that was acknowledged immediately. */
-    private void acknowledged(FleetConfiguration document, long base, double atMs) {
+    /** Adds a change that the operator sent and that was acknowledged immediately. */
+    private void addAcknowledgedChange(FleetConfiguration document, long base, double atMs) {
         String text = document.json().toString();
         events.add(new ChangeSent(atMs, base, Optional.of(document), text));
         events.add(new ChangeAnswered(atMs, base, Optional.of(document), text, 200));
@@ -78,34 +78,34 @@
         assertEquals(List.of(rules), found, () -> FleetAuditor.audit(events).toString());
     }
 
-    private void sent(double atMs, String id, ClientRequest request) {
+    private void addAttempt(double atMs, String id, ClientRequest request) {
         events.add(new AttemptSent(atMs, "edge", id, request));
     }
 
-    private void ran(double atMs, ServerIdentity server, String id, ClientRequest request) {
+    private void addRun(double atMs, ServerIdentity server, String id, ClientRequest request) {
         events.add(new Arrived(atMs, server, id, false, request.method(), request.target(), request.body()));
         events.add(new RunStarted(atMs, server, id));
     }
 
-    /** A server sent {@code body} with a success, and the client received {@code received}. */
-    private void responded(double atMs, String id, String seal, String body, String received) {
+    /** Adds a success that a server sent with {@code body} and the client received with {@code received}. */
+    private void addResponse(double atMs, String id, String seal, String body, String received) {
         events.add(new ResponseSent(atMs, SERVER, id, 200, Optional.of(seal), body));
         events.add(new AttemptEnded(atMs, id, 200, Optional.of(seal), received, true, false));
     }
 
-    private void served(double atMs, ServerIdentity server, String id, ClientRequest request) {
-        sent(atMs, id, request);
-        ran(atMs, server, id, request);
-        responded(atMs, id, "seal-" + id, "body", "body");
+    private void addServedRequest(double atMs, ServerIdentity server, String id, ClientRequest request) {
+        addAttempt(atMs, id, request);
+        addRun(atMs, server, id, request);
+        addResponse(atMs, id, "seal-" + id, "body", "body");
     }
 
-    /** A server sent the given number of events, and the client received {@code received} with each of the seals. */
-    private void stream(String id, int emitted, String received, boolean isComplete, String... seals) {
+    /** Adds a stream: a server sent {@code eventCount} events, the client received the text with each of the seals. */
+    private void addStream(String id, int eventCount, String received, boolean isComplete, String... seals) {
         ClientRequest request = ClientRequest.direct(CHAT, "s", 3);
-        sent(START_MS, id, request);
-        ran(START_MS, MODEL, id, request);
+        addAttempt(START_MS, id, request);
+        addRun(START_MS, MODEL, id, request);
         events.add(new StreamStarted(START_MS, MODEL, id, "seal"));
-        for (int event = 1; event <= emitted; event++) {
+        for (int event = 1; event <= eventCount; event++) {
             events.add(new StreamEventSent(START_MS, MODEL, id, event, StreamEvents.text(id, event)));
         }
         for (String seal : seals) {
@@ -116,8 +116,8 @@
 
     @Test
     void aHistoryThatFollowsTheRulesHasNoViolation() {
-        served(START_MS, SERVER, "a", ClientRequest.plain(WRITE, "x"));
-        stream("b", 3, StreamEvents.stream("b", 3), true, "seal", "seal");
+        addServedRequest(START_MS, SERVER, "a", ClientRequest.plain(WRITE, "x"));
+        addStream("b", 3, StreamEvents.stream("b", 3), true, "seal", "seal");
         events.add(new ReadBack(5, 4, "core", FIRST.json().toString()));
         events.add(new EndpointListRequested(START_MS, "core-0", 200));
         events.add(new EndpointListRequested(2, "core-1", 200));
@@ -129,37 +129,37 @@
     @Test
     void aSecondRunIsFoundUnlessTheRequestIsIdempotent() {
         ClientRequest read = ClientRequest.plain(READ, "x");
-        served(START_MS, SERVER, "a", read);
-        ran(2, SERVER, "a", read);
+        addServedRequest(START_MS, SERVER, "a", read);
+        addRun(2, SERVER, "a", read);
         assertNoViolation();
         ClientRequest write = ClientRequest.plain(WRITE, "x");
-        served(START_MS, SERVER, "b", write);
-        ran(2, SERVER, "b", write);
+        addServedRequest(START_MS, SERVER, "b", write);
+        addRun(2, SERVER, "b", write);
         assertViolations(Rule.TWICE);
     }
 
     @Test
     void aRunOfARejectedRequestIsFound() {
         ClientRequest write = ClientRequest.plain(WRITE, "x");
-        sent(START_MS, "a", write);
+        addAttempt(START_MS, "a", write);
         events.add(new AttemptEnded(2, "a", 503, Optional.empty(), "", true, false));
         assertNoViolation();
-        ran(3, SERVER, "a", write);
+        addRun(3, SERVER, "a", write);
         assertViolations(Rule.REFUSED);
     }
 
     @Test
     void aSuccessWithABodyThatTheServerDidNotSendIsFound() {
         ClientRequest write = ClientRequest.plain(WRITE, "x");
-        sent(START_MS, "a", write);
-        ran(START_MS, SERVER, "a", write);
-        responded(START_MS, "a", "seal", "body", "bod");
+        addAttempt(START_MS, "a", write);
+        addRun(START_MS, SERVER, "a", write);
+        addResponse(START_MS, "a", "seal", "body", "bod");
         assertViolations(Rule.MIXED);
     }
 
     @Test
     void aSuccessWithoutASealIsFound() {
-        sent(START_MS, "a", ClientRequest.plain(WRITE, "x"));
+        addAttempt(START_MS, "a", ClientRequest.plain(WRITE, "x"));
         events.add(new AttemptEnded(2, "a", 200, Optional.empty(), "body", true, false));
         assertViolations(Rule.MIXED);
     }
@@ -167,8 +167,8 @@
     @Test
     void aStreamWithoutASealIsFound() {
         ClientRequest request = ClientRequest.direct(CHAT, "s", 0);
-        sent(START_MS, "a", request);
-        ran(START_MS, MODEL, "a", request);
+        addAttempt(START_MS, "a", request);
+        addRun(START_MS, MODEL, "a", request);
         events.add(new StreamStarted(START_MS, MODEL, "a", "seal"));
         events.add(new AttemptEnded(2, "a", 200, Optional.empty(), "", false, false));
         assertViolations(Rule.MIXED);
@@ -176,32 +176,32 @@
 
     @Test
     void aRequestThatNoClientSentIsFound() {
-        sent(START_MS, "a", ClientRequest.plain(WRITE, "x"));
+        addAttempt(START_MS, "a", ClientRequest.plain(WRITE, "x"));
         events.add(new Arrived(START_MS, SERVER, "a", false, "POST", "/write/x", "another body"));
         assertViolations(Rule.UNASKED);
     }
 
     @Test
     void anInterruptedStreamMayEndWithinAnEvent() {
-        stream("a", 2, StreamEvents.stream("a", 1) + "id: 2", false, "seal");
+        addStream("a", 2, StreamEvents.stream("a", 1) + "id: 2", false, "seal");
         assertNoViolation();
     }
 
     @Test
     void aCompleteStreamWithoutItsLastEventIsFound() {
-        stream("a", 3, StreamEvents.stream("a", 2), true, "seal");
+        addStream("a", 3, StreamEvents.stream("a", 2), true, "seal");
         assertViolations(Rule.ORDER);
     }
 
     @Test
     void aGapInAStreamIsFound() {
-        stream("a", 3, StreamEvents.text("a", 1) + StreamEvents.text("a", 3), false, "seal");
+        addStream("a", 3, StreamEvents.text("a", 1) + StreamEvents.text("a", 3), false, "seal");
         assertViolations(Rule.ORDER);
     }
 
     @Test
     void aSecondHeadOfAStreamIsFound() {
-        stream("a", 3, StreamEvents.stream("a", 3), true, "seal", "another");
+        addStream("a", 3, StreamEvents.stream("a", 3), true, "seal", "another");
         assertViolations(Rule.ORDER);
     }
 
@@ -223,16 +223,16 @@
 
     @Test
     void aRunAtAServiceThatNoConfigurationAllowsIsFound() {
-        served(START_MS, OTHER, "a", ClientRequest.plain(WRITE, "x"));
+        addServedRequest(START_MS, OTHER, "a", ClientRequest.plain(WRITE, "x"));
         assertViolations(Rule.ROUTE);
     }
 
     @Test
-    void aRunByARejectedConfigurationIsFound() {
+    void aRunThatOnlyARejectedConfigurationAllowsIsFound() {
         FleetConfiguration rejected = FIRST.with(5, WRITE.movedTo("other"));
         events.add(new ChangeSent(
                 START_MS, 3, Optional.of(rejected), rejected.json().toString()));
-        served(START_MS, OTHER, "a", ClientRequest.plain(WRITE, "x"));
+        addServedRequest(START_MS, OTHER, "a", ClientRequest.plain(WRITE, "x"));
         assertNoViolation();
         events.add(
                 new ChangeAnswered(2, 3, Optional.of(rejected), rejected.json().toString(), 412));
@@ -242,20 +242,20 @@
     @Test
     void aRequestThatReachesADrainingServerLateIsFound() {
         events.add(new ListedDraining(START_MS, SERVER));
-        served(1 + FleetBounds.DRAIN_MS, SERVER, "a", ClientRequest.plain(WRITE, "x"));
+        addServedRequest(1 + FleetBounds.DRAIN_MS, SERVER, "a", ClientRequest.plain(WRITE, "x"));
         ClientRequest forAnotherInstance = ClientRequest.plain(WRITE, "y");
-        sent(LATE_MS, "b", forAnotherInstance);
+        addAttempt(LATE_MS, "b", forAnotherInstance);
         events.add(new Arrived(
                 LATE_MS, SERVER, "b", false, "POST", forAnotherInstance.target(), forAnotherInstance.body()));
         events.add(new RunRejected(LATE_MS, SERVER, "b", 421));
         assertNoViolation();
-        served(2 + FleetBounds.DRAIN_MS, SERVER, "c", ClientRequest.plain(WRITE, "x"));
+        addServedRequest(2 + FleetBounds.DRAIN_MS, SERVER, "c", ClientRequest.plain(WRITE, "x"));
         assertViolations(Rule.DRAIN);
     }
 
     @Test
     void aLostConfigurationIsFound() {
-        acknowledged(FIRST.withVersion(5), 3, 1);
+        addAcknowledgedChange(FIRST.withVersion(5), 3, 1);
         events.add(new ReadBack(3, 2, "core", FIRST.json().toString()));
         assertViolations(Rule.CONFIG);
     }
@@ -267,11 +267,11 @@
     }
 
     @Test
-    void twoAcknowledgementsOnOneBaseAreFound() {
-        acknowledged(FIRST.withVersion(5), 3, 1);
-        acknowledged(FIRST.withVersion(5), 3, 1);
+    void twoDifferentAcknowledgedChangesOfOneVersionAreFound() {
+        addAcknowledgedChange(FIRST.withVersion(5), 3, 1);
+        addAcknowledgedChange(FIRST.withVersion(5), 3, 1);
         assertNoViolation();
-        acknowledged(FIRST.withVersion(6), 3, 1);
+        addAcknowledgedChange(FIRST.withVersion(6), 3, 1);
         assertViolations(Rule.CONFIG);
     }
 
@@ -283,10 +283,10 @@
 
     @Test
     void aRequestHandledByAReplacedConfigurationIsFoundUnlessAProcessHadAFault() {
-        acknowledged(FIRST.with(5, WRITE.movedTo("other")), 3, 1);
-        served(FleetBounds.CONFIG_APPLY_MS, SERVER, "a", ClientRequest.plain(WRITE, "x"));
+        addAcknowledgedChange(FIRST.with(5, WRITE.movedTo("other")), 3, 1);
+        addServedRequest(FleetBounds.CONFIG_APPLY_MS, SERVER, "a", ClientRequest.plain(WRITE, "x"));
         assertNoViolation();
-        served(LATE_MS, SERVER, "b", ClientRequest.plain(WRITE, "x"));
+        addServedRequest(LATE_MS, SERVER, "b", ClientRequest.plain(WRITE, "x"));
         assertViolations(Rule.STALE);
         events.add(new ProcessFaulted(2, "core-0", MachineClass.CORE, ProcessFault.KILLED));
         assertNoViolation();
@@ -294,13 +294,13 @@
 
     @Test
     void aRouteThatIsMissingLongAfterItWasAddedIsFound() {
-        sent(LATE_MS, "a", ClientRequest.plain(READ, "x"));
+        addAttempt(LATE_MS, "a", ClientRequest.plain(READ, "x"));
         events.add(new AttemptEnded(LATE_MS, "a", 404, Optional.empty(), "", true, false));
         assertViolations(Rule.STALE);
     }
 
     @Test
-    void twoProcessesThatAlternateAtThePlatformAreFound() {
+    void twoProcessesThatCallThePlatformAlternatelyAreFound() {
         events.add(new EndpointListRequested(START_MS, "core-0", 200));
         events.add(new EndpointListRequested(2, "core-1", 200));
         events.add(new EndpointListRequested(900, "core-0", 200));
@@ -317,19 +317,19 @@
         assertNoViolation();
     }
 
-    private void faulted(double atMs, ProcessFault fault) {
+    private void addFault(double atMs, ProcessFault fault) {
         events.add(new ProcessFaulted(atMs, "edge", MachineClass.EDGE, fault));
     }
 
-    /** The client received no response to an attempt that was forwarded. */
-    private void interrupted(double sentAtMs, double endedAtMs, String id) {
+    /** Adds an attempt that was forwarded, and to which the client received no response. */
+    private void addInterruptedRequest(double sentAtMs, double endedAtMs, String id) {
         ClientRequest request = ClientRequest.plain(READ, "x");
-        sent(sentAtMs, id, request);
-        ran(sentAtMs, SERVER, id, request);
-        endedWithoutResponse(endedAtMs, id);
+        addAttempt(sentAtMs, id, request);
+        addRun(sentAtMs, SERVER, id, request);
+        addEndWithoutResponse(endedAtMs, id);
     }
 
-    private void endedWithoutResponse(double atMs, String id) {
+    private void addEndWithoutResponse(double atMs, String id) {
         events.add(new AttemptEnded(atMs, id, 0, Optional.empty(), "", false, false));
     }
 
@@ -338,40 +338,40 @@
             value = ProcessFault.class,
             names = {"TERMINATED", "RELOADED"})
     void aForwardedRequestInterruptedAroundAPlannedOperationIsFound(ProcessFault operation) {
-        faulted(LATE_MS, operation);
-        interrupted(START_MS, LATE_MS - 1, "before");
+        addFault(LATE_MS, operation);
+        addInterruptedRequest(START_MS, LATE_MS - 1, "before");
         assertNoViolation();
-        interrupted(LATE_MS - 1, LATE_MS + 1, "around");
+        addInterruptedRequest(LATE_MS - 1, LATE_MS + 1, "around");
         assertViolations(Rule.LOST);
     }
 
     @Test
     void aRequestInterruptedAroundAKillIsNotLost() {
-        faulted(LATE_MS, ProcessFault.TERMINATED);
-        faulted(LATE_MS + 1, ProcessFault.KILLED);
-        interrupted(LATE_MS, LATE_MS + 2, "killed");
+        addFault(LATE_MS, ProcessFault.TERMINATED);
+        addFault(LATE_MS + 1, ProcessFault.KILLED);
+        addInterruptedRequest(LATE_MS, LATE_MS + 2, "killed");
         assertNoViolation();
     }
 
     @Test
     void aRequestThatEndsWithoutResponseOnAReusedConnectionLaterThanTheSlackIsLost() {
-        faulted(LATE_MS, ProcessFault.TERMINATED);
-        sent(LATE_MS, "a", ClientRequest.plain(WRITE, "x"));
+        addFault(LATE_MS, ProcessFault.TERMINATED);
+        addAttempt(LATE_MS, "a", ClientRequest.plain(WRITE, "x"));
         events.add(new ConnectionReused(LATE_MS, "a"));
-        endedWithoutResponse(LATE_MS + FleetBounds.LOSS_SLACK_MS, "a");
+        addEndWithoutResponse(LATE_MS + FleetBounds.LOSS_SLACK_MS, "a");
         assertNoViolation();
-        sent(LATE_MS, "b", ClientRequest.plain(WRITE, "x"));
+        addAttempt(LATE_MS, "b", ClientRequest.plain(WRITE, "x"));
         events.add(new ConnectionReused(LATE_MS, "b"));
-        endedWithoutResponse(LATE_MS + FleetBounds.LOSS_SLACK_MS + 1, "b");
+        addEndWithoutResponse(LATE_MS + FleetBounds.LOSS_SLACK_MS + 1, "b");
         assertViolations(Rule.LOST);
     }
 
     @Test
     void aStallOfTheStandInsIsNotAttributedToTheDataPlane() {
-        faulted(LATE_MS, ProcessFault.TERMINATED);
-        sent(LATE_MS, "a", ClientRequest.plain(WRITE, "x"));
+        addFault(LATE_MS, ProcessFault.TERMINATED);
+        addAttempt(LATE_MS, "a", ClientRequest.plain(WRITE, "x"));
         events.add(new ConnectionReused(LATE_MS, "a"));
-        endedWithoutResponse(LATE_MS + FleetBounds.LOSS_SLACK_MS + 1, "a");
+        addEndWithoutResponse(LATE_MS + FleetBounds.LOSS_SLACK_MS + 1, "a");
         assertViolations(Rule.LOST);
         events.add(new StandInsStalled(LATE_MS + 1, LATE_MS));
         assertNoViolation();
@@ -380,18 +380,18 @@
     @Test
     void aRequestThatIsStillRunningLateInTheGracePeriodIsNotLost() {
         double lateInGraceMs = FleetBounds.GRACE_S * 900;
-        faulted(START_MS, ProcessFault.TERMINATED);
-        interrupted(START_MS, START_MS + lateInGraceMs, "a");
+        addFault(START_MS, ProcessFault.TERMINATED);
+        addInterruptedRequest(START_MS, START_MS + lateInGraceMs, "a");
         events.add(new RunEnded(START_MS + lateInGraceMs, SERVER, "a", RunEnd.CALLER_LEFT));
         assertNoViolation();
-        interrupted(START_MS, START_MS + lateInGraceMs, "b");
+        addInterruptedRequest(START_MS, START_MS + lateInGraceMs, "b");
         assertViolations(Rule.LOST);
     }
 
     @Test
     void aRequestWhoseServerCrashesIsNotLost() {
-        faulted(START_MS, ProcessFault.TERMINATED);
-        interrupted(START_MS, 2, "a");
+        addFault(START_MS, ProcessFault.TERMINATED);
+        addInterruptedRequest(START_MS, 2, "a");
         events.add(new RunEnded(2, SERVER, "a", RunEnd.CRASHED));
         assertNoViolation();
     }
@@ -399,10 +399,10 @@
     @Test
     void moreThanThreeInterruptedRequestsWithoutAFaultAreFound() {
         for (String id : List.of("a", "b", "c")) {
-            interrupted(START_MS, 2, id);
+            addInterruptedRequest(START_MS, 2, id);
         }
         assertNoViolation();
-        interrupted(START_MS, 2, "d");
+        addInterruptedRequest(START_MS, 2, "d");
         assertViolations(Rule.LOST);
     }
 
--- a/emulator/src/test/java/dewplank/emulator/loopback/HttpEndpointTest.java
+++ b/emulator/src/test/java/dewplank/emulator/loopback/HttpEndpointTest.java
@@ -63,7 +63,7 @@
             loop.execute(() -> client.call(
                     MessageWriter.request("GET", "/", "x").noBody(),
                     received -> statuses.add(
-                            received.map(answer -> answer.head().status()).orElse(0))));
+                            received.map(complete -> complete.head().status()).orElse(0))));
             assertEquals(200, statuses.poll(MAX_WAIT_S, TimeUnit.SECONDS));
             Optional<RuntimeException> rejection = secondResponses.poll(MAX_WAIT_S, TimeUnit.SECONDS);
             assertTrue(rejection.isPresent());
--- a/emulator/src/test/java/dewplank/emulator/loopback/LoopbackTest.java
+++ b/emulator/src/test/java/dewplank/emulator/loopback/LoopbackTest.java
@@ -88,7 +88,7 @@
             loop.execute(() -> client.call(
                     request(),
                     response -> responses.add(response.map(
-                                    answer -> Integer.toString(answer.head().status()))
+                                    complete -> Integer.toString(complete.head().status()))
                             .orElse("broken"))));
         }
 
--- a/emulator/src/test/java/dewplank/emulator/scenario/ScenarioFileTest.java
+++ b/emulator/src/test/java/dewplank/emulator/scenario/ScenarioFileTest.java
@@ -121,10 +121,10 @@
         @Test
         void takesUnsetValuesFromTheBaseScenario() throws IOException {
             Path file = write("name = \"mine\"\nlike = \"crash\"\n[load]\nshare = 0.1\n");
-            Scenario mine = ScenarioFile.named(file.toString());
-            assertEquals(0.1, mine.load().utilization());
-            assertEquals(LoadShape.WAVE, mine.load().shape());
-            assertEquals(1, mine.faults().size());
+            Scenario inheriting = ScenarioFile.named(file.toString());
+            assertEquals(0.1, inheriting.load().utilization());
+            assertEquals(LoadShape.WAVE, inheriting.load().shape());
+            assertEquals(1, inheriting.faults().size());
         }
 
         @Test
--- a/emulator/src/test/java/dewplank/emulator/virtualtime/PendingRequestTest.java
+++ b/emulator/src/test/java/dewplank/emulator/virtualtime/PendingRequestTest.java
@@ -28,14 +28,14 @@
         assertFalse(request.isOpen());
         assertFalse(request.isDone());
         attempt.end();
-        request.attemptEnded();
+        request.onAttemptEnded();
         assertTrue(request.isDone());
     }
 
     @Test
     void isNotDoneWhileItsClientIsWaiting() {
         attempt().end();
-        request.attemptEnded();
+        request.onAttemptEnded();
         assertTrue(request.isOpen());
         assertFalse(request.isDone());
     }
@@ -90,7 +90,7 @@
         assertEquals(Optional.of(added), table.find(client.id()));
         assertEquals(1, table.attemptsInFlight());
         attempt.end();
-        added.attemptEnded();
+        added.onAttemptEnded();
         table.removeIfDone(added);
         assertEquals(Optional.empty(), table.find(client.id()));
     }
