--- a/consensus/src/main/java/dewplank/membership/AcceptorPlacement.java
+++ b/consensus/src/main/java/dewplank/membership/AcceptorPlacement.java
@@ -22,7 +22,10 @@
  * method throws, and none takes or returns null.
  */
 public final class AcceptorPlacement {
-    /** No deployment requires more acceptors to tolerate its faults, and each change would wait for more disks. */
+    /**
+     * Maximum number of acceptors. No deployment requires more to tolerate its faults, and with more acceptors each
+     * change would wait for more disks.
+     */
     public static final int MAX_ACCEPTORS = 9;
 
     /**
@@ -35,12 +38,16 @@
      */
     public record Timing(
             double heartbeatTimeoutMs, double minUptimeMs, double replaceAfterMs, double bootstrapGraceMs) {
-        /** Machines start within 0.3 s of each other; on a slow one a process takes up to 2 s before it connects. */
+        /**
+         * Covers a simultaneous start of all processes: machines start within 0.3 s of each other, and on a slow
+         * machine a process takes up to 2 s before it connects.
+         */
         private static final double BOOTSTRAP_GRACE_MS = 5_000;
 
         private static final double HEARTBEAT_TIMEOUT_MS = 1_000; // three intervals of 300 ms and transmission
         /**
-         * Longer than a heartbeat interval and transmission, so late messages of an earlier incarnation have arrived.
+         * The uptime after which an identity is eligible. It is longer than a heartbeat interval and transmission, so
+         * late messages of an earlier incarnation have arrived by then.
          */
         private static final double MIN_UPTIME_MS = 400;
 
@@ -180,7 +187,8 @@
     }
 
     /**
-     * Adds spares up to the largest odd number; not used while an acceptor is missing, which a spare has to replace.
+     * Adds spares up to the largest possible odd number of acceptors. Not called while an acceptor is missing, because
+     * the spares have to replace it.
      */
     private static List<AcceptorId> expand(List<AcceptorId> members, List<AcceptorId> spares) {
         int size = Math.min(MAX_ACCEPTORS, members.size() + spares.size());
--- a/consensus/src/main/java/dewplank/membership/SessionTable.java
+++ b/consensus/src/main/java/dewplank/membership/SessionTable.java
@@ -17,7 +17,7 @@
  * No method throws, and none takes or returns null.
  */
 public final class SessionTable {
-    /** Limits the open local sessions, to bound the memory use on a small machine. */
+    /** Maximum number of open local sessions; bounds the memory use on a small machine. */
     public static final int MAX_SESSIONS = 4_096;
 
     /** The result of a request to open or renew a session. */
--- a/consensus/src/main/java/dewplank/register/Acceptor.java
+++ b/consensus/src/main/java/dewplank/register/Acceptor.java
@@ -10,8 +10,8 @@
  */
 final class Acceptor {
     /**
-     * Limits the replies that wait for the disk, to bound memory use while the disk stalls. Further replies are dropped
-     * as if they were lost.
+     * Maximum number of replies that wait for one store; bounds the memory use while the disk stalls. Further replies
+     * are dropped, as if the network had lost them.
      */
     static final int MAX_PENDING_REPLIES = 256;
 
--- a/consensus/src/main/java/dewplank/register/AcceptorSet.java
+++ b/consensus/src/main/java/dewplank/register/AcceptorSet.java
@@ -7,10 +7,10 @@
 
 /**
  * The acceptors that decide on the next value. A quorum of a list of acceptors is either a majority of the list whose
- * votes are on disks, or all acceptors of the list except the volatile ones that are known to have ended, but at least
- * one: invariant 13 in {@code docs/register.md}. While the set is joint, both a quorum of the members and a quorum of
- * the joining acceptors are needed. Immutable. Source: joint consensus, Ongaro and Ousterhout, "In Search of an
- * Understandable Consensus Algorithm", 2014, section 6.
+ * votes are on disks, or all acceptors of the list except the volatile ones known to have ended (their process has
+ * exited), but at least one: invariant 13 in {@code docs/register.md}. While the set is joint, both a quorum of the
+ * members and a quorum of the joining acceptors are needed. Immutable. Source: joint consensus, Ongaro and Ousterhout,
+ * "In Search of an Understandable Consensus Algorithm", 2014, section 6.
  */
 public final class AcceptorSet {
     private final long generation;
--- a/consensus/src/main/java/dewplank/register/AntiEntropy.java
+++ b/consensus/src/main/java/dewplank/register/AntiEntropy.java
@@ -58,7 +58,8 @@
 
     /**
      * The start time of the last run to which a quorum replied, if no ballot reported in it is newer than the newest
-     * one known here to be chosen; otherwise negative infinity. Invariant 8 in {@code docs/register.md}.
+     * ballot that this process knows to be chosen; otherwise negative infinity. Invariant 8 in {@code
+     * docs/register.md}.
      */
     double lastCurrentAtMs() {
         return newestReportedByQuorum.isAfter(learner.chosenBallot()) ? Double.NEGATIVE_INFINITY : lastQuorumAtMs;
--- a/consensus/src/main/java/dewplank/register/DurableState.java
+++ b/consensus/src/main/java/dewplank/register/DurableState.java
@@ -4,8 +4,8 @@
 
 /**
  * The state that an acceptor stores on disk: its identity, the highest promised ballot, the last accepted value and the
- * newest value that is known to be chosen. Immutable. A ballot that does not exist yet is {@link Ballot#NONE}, and its
- * value is null.
+ * newest value that is known to be chosen. Immutable. Before the first promised, accepted or chosen ballot, the
+ * respective ballot is {@link Ballot#NONE} and its value is null.
  */
 public final class DurableState {
     private final String identity;
@@ -71,7 +71,7 @@
         return new DurableState(identity, ballot, acceptedBallot, acceptedValue, chosenBallot, chosenValue);
     }
 
-    /** Returns this state with the given accepted value; a higher promised ballot is kept. */
+    /** Returns this state with the given accepted value; a higher promised ballot is retained. */
     DurableState accepting(Ballot ballot, RegisterValue value) {
         Ballot highest = ballot.isAfter(promisedBallot) ? ballot : promisedBallot;
         return new DurableState(identity, highest, ballot, value, chosenBallot, chosenValue);
--- a/consensus/src/main/java/dewplank/register/Learner.java
+++ b/consensus/src/main/java/dewplank/register/Learner.java
@@ -5,10 +5,9 @@
 import java.util.Set;
 
 /**
- * The learner of one process. It tracks the newest value known to be chosen and the newest accepted ballot beyond it,
- * and fetches values that are announced but missing here. {@link Register} calls it on its own thread. Ballot,
- * revision, generation and configuration version increase together along the chosen values: invariant 1 in {@code
- * docs/register.md}.
+ * The learner of one process. It tracks the newest value known to be chosen and any newer accepted ballot, and fetches
+ * announced values that this process lacks. {@link Register} calls it on its own thread. Ballot, revision, generation
+ * and configuration version increase together along the chosen values: invariant 1 in {@code docs/register.md}.
  */
 final class Learner {
     private final Register.Settings settings;
@@ -71,7 +70,7 @@
         endedAcceptors.add(acceptor);
     }
 
-    /** The newest ballot that was seen accepted and is not known to be chosen, or {@link Ballot#NONE}. */
+    /** The newest ballot that an acceptor has accepted and that is not known to be chosen, or {@link Ballot#NONE}. */
     Ballot unconfirmedBallot() {
         return newestAccepted.isAfter(chosenBallot) ? newestAccepted : Ballot.NONE;
     }
@@ -91,7 +90,7 @@
     }
 
     /**
-     * Records that a ballot was seen accepted.
+     * Records that an acceptor has accepted a ballot.
      *
      * @param acceptors the acceptors of its value; null if the message omitted them
      */
@@ -118,7 +117,10 @@
         }
     }
 
-    /** Handles an announcement that a ballot is chosen: fetches its value from the sender unless accepted here. */
+    /**
+     * Handles an announcement that a ballot is chosen: fetches the value from the sender unless this process has
+     * accepted it.
+     */
     void handleAnnouncement(double nowMs, String announcer, Ballot ballot, Register.Effects<?> effects) {
         observeRound(ballot);
         if (!ballot.isAfter(chosenBallot)) {
--- a/consensus/src/main/java/dewplank/register/Outcome.java
+++ b/consensus/src/main/java/dewplank/register/Outcome.java
@@ -1,7 +1,7 @@
 package dewplank.register;
 
 /**
- * How a request to the register ended.
+ * The outcome of a request to the register.
  *
  * @param <A> the result of the callers' changes
  */
--- a/consensus/src/main/java/dewplank/register/Proposer.java
+++ b/consensus/src/main/java/dewplank/register/Proposer.java
@@ -18,15 +18,18 @@
  */
 final class Proposer<A> {
     /**
-     * Limits the growth of the round timeout with each attempt, as a multiple of the first timeout. It grows to allow
-     * for slow disks.
+     * Maximum round timeout as a multiple of the first one. The timeout grows with each attempt, to allow for slow
+     * disks.
      */
     static final int MAX_ROUND_TIMEOUT_FACTOR = 4;
 
-    /** Limits the doublings of the minimum backoff; beyond them the maximum backoff applies anyway. */
+    /** Maximum number of doublings of the minimum backoff; beyond it the maximum backoff applies anyway. */
     private static final int MAX_BACKOFF_DOUBLINGS = 10;
 
-    /** Limits the backoff of a repair to four times the minimum, so that it soon retries while requests back off. */
+    /**
+     * Maximum number of doublings for a repair, which it thus retries after at most four times the minimum backoff,
+     * while requests back off for longer.
+     */
     private static final int MAX_REPAIR_BACKOFF_DOUBLINGS = 2;
 
     private final Register.Settings settings;
--- a/consensus/src/main/java/dewplank/register/Reader.java
+++ b/consensus/src/main/java/dewplank/register/Reader.java
@@ -7,9 +7,10 @@
 import java.util.Set;
 
 /**
- * Linearizable reads in one message round trip. The result is the newest value known here to be chosen, if a quorum
- * that is queried after the start of the read has accepted nothing newer. Otherwise a full ballot completes the ballot
- * in progress. Invariant 7 in {@code docs/register.md}. {@link Register} calls it on its own thread.
+ * Linearizable reads in one message round trip. The result is the newest value that this process knows to be chosen, if
+ * a quorum that is queried after the start of the read has accepted nothing newer. Otherwise the read runs a full
+ * ballot, which completes the ballot in progress. Invariant 7 in {@code docs/register.md}. {@link Register} calls it on
+ * its own thread.
  *
  * @param <A> the result of the callers' changes
  */
@@ -73,7 +74,7 @@
             Read read = iterator.next();
             if (read.queryId == report.queryId()) {
                 iterator.remove();
-                advance(nowMs, read, report, effects);
+                countReport(nowMs, read, report, effects);
                 return;
             }
         }
@@ -93,7 +94,7 @@
         }
     }
 
-    private void advance(double nowMs, Read read, StatusReport report, Register.Effects<A> effects) {
+    private void countReport(double nowMs, Read read, StatusReport report, Register.Effects<A> effects) {
         if (report.acceptedBallot().isAfter(learner.chosenBallot())) {
             readByBallot(nowMs, read, effects);
             return;
--- a/consensus/src/main/java/dewplank/register/Register.java
+++ b/consensus/src/main/java/dewplank/register/Register.java
@@ -18,10 +18,16 @@
  * @param <A> the result of the callers' changes
  */
 public final class Register<A> {
-    /** Limits the pending changes and reads of a process; further ones end immediately as {@link Outcome.Unknown}. */
+    /**
+     * Maximum number of pending changes and reads of a process. Further ones immediately end as {@link
+     * Outcome.Unknown}.
+     */
     public static final int MAX_PENDING_REQUESTS = 64;
 
-    /** Limits the pending reconfigurations, which are counted separately. A lease holder requests one at a time. */
+    /**
+     * Maximum number of pending repairs (reconfigurations and completions of abandoned work), which are counted
+     * separately from changes and reads. A lease holder requests one reconfiguration at a time.
+     */
     static final int MAX_PENDING_REPAIRS = 4;
 
     /**
--- a/consensus/src/main/java/dewplank/register/Round.java
+++ b/consensus/src/main/java/dewplank/register/Round.java
@@ -25,7 +25,8 @@
     /**
      * Creates a round; to be called before any of its requests is sent.
      *
-     * @param ended volatile acceptors known to have ended; later knowledge does not affect the round, see invariant 13
+     * @param ended volatile acceptors known to have ended; those found to have ended later remain required in
+     *     this round, see invariant 13
      */
     Round(Ballot ballot, Ballot readBallot, RegisterValue read, Set<AcceptorId> ended, double nowMs) {
         this.ballot = ballot;
@@ -101,7 +102,7 @@
         accepted.add(acceptor);
     }
 
-    /** Whether the proposal is chosen, which the acceptors of the value read decide. */
+    /** Whether a quorum of the acceptors of the value read has accepted the proposal, so that it is chosen. */
     boolean isAcceptedByQuorum() {
         return read.acceptors().isQuorum(accepted, endedAtStart);
     }
--- a/consensus/src/main/java/dewplank/register/RoundCompleter.java
+++ b/consensus/src/main/java/dewplank/register/RoundCompleter.java
@@ -10,23 +10,23 @@
  */
 final class RoundCompleter<A> {
     /** The unfinished work; two instances are equal if they denote the same work. */
-    private sealed interface Unfinished permits Nothing, JointSet, UnconfirmedBallot {}
+    private sealed interface UnfinishedWork permits Nothing, JointSet, UnconfirmedBallot {}
 
-    private enum Nothing implements Unfinished {
+    private enum Nothing implements UnfinishedWork {
         NOTHING
     }
 
     /** A joint set, identified by its generation, which does not change while the set decides on requests. */
-    private record JointSet(long generation) implements Unfinished {}
+    private record JointSet(long generation) implements UnfinishedWork {}
 
     /** A ballot that is accepted but not known to be chosen. */
-    private record UnconfirmedBallot(Ballot ballot) implements Unfinished {}
+    private record UnconfirmedBallot(Ballot ballot) implements UnfinishedWork {}
 
     private final Register.Settings settings;
     private final Learner learner;
     private final Proposer<A> proposer;
     private final RandomGenerator random;
-    private Unfinished watched = Nothing.NOTHING;
+    private UnfinishedWork watched = Nothing.NOTHING;
     private double completeAtMs;
 
     RoundCompleter(Register.Settings settings, Learner learner, Proposer<A> proposer, RandomGenerator random) {
@@ -37,7 +37,7 @@
     }
 
     void tick(double nowMs, Register.Effects<A> effects) {
-        Unfinished unfinished = unfinished();
+        UnfinishedWork unfinished = unfinished();
         if (unfinished == Nothing.NOTHING || !unfinished.equals(watched)) {
             watch(nowMs, unfinished);
         } else if (nowMs >= completeAtMs && !isBeingCompleted()) {
@@ -47,7 +47,7 @@
         }
     }
 
-    private Unfinished unfinished() {
+    private UnfinishedWork unfinished() {
         if (learner.acceptors().isJoint()) {
             return new JointSet(learner.acceptors().generation());
         }
@@ -60,11 +60,11 @@
      * joint set.
      */
     private boolean isBeingCompleted() {
-        boolean isByRequest = !learner.acceptors().isJoint() && proposer.pendingRequests() > 0;
-        return proposer.pendingRepairs() > 0 || isByRequest;
+        boolean isCompletedByRequest = !learner.acceptors().isJoint() && proposer.pendingRequests() > 0;
+        return proposer.pendingRepairs() > 0 || isCompletedByRequest;
     }
 
-    private void watch(double nowMs, Unfinished unfinished) {
+    private void watch(double nowMs, UnfinishedWork unfinished) {
         watched = unfinished;
         double jitterMs = random.nextDouble() * (settings.roundTimeoutMs() + settings.retryBackoffMaxMs());
         completeAtMs = nowMs + settings.roundTimeoutMs() + jitterMs;
--- a/consensus/src/main/java/dewplank/singleton/Candidate.java
+++ b/consensus/src/main/java/dewplank/singleton/Candidate.java
@@ -48,7 +48,7 @@
         void leaseLost(String duty, long fencingToken);
     }
 
-    /** Fencing tokens of each voter set generation: enough for three days with an election every 250 ms. */
+    /** Number of fencing tokens per voter set generation: enough for three days with an election every 250 ms. */
     private static final long TOKENS_PER_GENERATION = 1 << 20;
 
     private final String duty;
@@ -108,7 +108,7 @@
     }
 
     /**
-     * Starts an election or a renewal that is due, and handles time-outs. To be called at {@link #nextTickAtMs}; an
+     * Starts an election or a renewal that is due, and handles timeouts. To be called at {@link #nextTickAtMs}; an
      * earlier call does nothing.
      *
      * @param nowMs the time by the candidate's monotonic clock
@@ -288,7 +288,7 @@
 
     /**
      * Delays the next election until a majority of the voters may be free. If a majority may be free already, for
-     * example after a time-out without replies, the probe counts as a failed election. Shortly after a release of the
+     * example after a timeout without replies, the probe counts as a failed election. Shortly after a release of the
      * lease the voters count as free, because a voter may have rejected the probe just before it received the release.
      */
     private void failProbe(double nowMs, VoteRound round) {
@@ -340,8 +340,8 @@
     }
 
     /**
-     * Sends the release after an expiry too: the renewals of a holder that receives no replies may still have bound
-     * voters.
+     * Ends the lease and sends its release. The release is also sent after an expiry, because renewals whose replies
+     * were lost may still bind voters.
      */
     private void endLease(CandidateState next, Effects effects) {
         transitionTo(next);
--- a/consensus/src/main/java/dewplank/singleton/LeaseHolderState.java
+++ b/consensus/src/main/java/dewplank/singleton/LeaseHolderState.java
@@ -3,7 +3,9 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** The candidate won an election and has the lease until it expires by its own clock; it renews the lease before. */
+/**
+ * The candidate won an election and has the lease until it expires by its own clock. It renews the lease before that.
+ */
 final class LeaseHolderState implements CandidateState {
     private final LeaseTiming timing;
     private final Deque<VoteRound> renewals = new ArrayDeque<>();
@@ -49,7 +51,7 @@
     }
 
     /**
-     * A renewal by a newer voter set extends the lease only if it was sent at least one vote time-out before the lease
+     * A renewal by a newer voter set extends the lease only if it was sent at least one vote timeout before the lease
      * granted by the older set expires (invariant 9).
      */
     private boolean mayExtendBy(VoteRound renewal) {
--- a/consensus/src/main/java/dewplank/singleton/LeaseVoter.java
+++ b/consensus/src/main/java/dewplank/singleton/LeaseVoter.java
@@ -62,8 +62,8 @@
     }
 
     /**
-     * Fraction of a lease for which, after a failed write, no token that must be persisted is granted. The disk may
-     * recover in the meantime.
+     * The backoff after a failed write, as a fraction of the lease. During the backoff the voter grants no token that
+     * must be persisted, and the disk may recover.
      */
     private static final double PERSIST_BACKOFF_FRACTION = 1.0 / 4;
 
@@ -100,8 +100,8 @@
     /**
      * Sets the generations of the voter sets that this process knows to be chosen or has accepted (invariant 8). To be
      * called before the process sends its acceptance of a newer set, because from then on the voter rejects candidates
-     * that count by an older set. An accepted set may be replaced by one of an older generation; in this case it was
-     * never chosen.
+     * that count votes by an older set. An accepted set may be replaced by one of an older generation; in this case it
+     * was never chosen.
      *
      * @param nowMs the time by the voter's monotonic clock
      * @param chosen the generation of the newest voter set that is known to be chosen
@@ -133,7 +133,7 @@
             rejectForWrongIdentity(nowMs, request, vote, effects);
             return;
         }
-        updateVoterSet(nowMs, request.voterSetGeneration(), acceptedGeneration); // candidates count by chosen sets only
+        updateVoterSet(nowMs, request.voterSetGeneration(), acceptedGeneration); // candidates use chosen sets only
         switch (request.kind()) {
             case PROBE -> reply(nowMs, request, vote, verdictOnProbe(nowMs, request, vote), effects);
             case REQUEST_VOTE -> grantOrReply(nowMs, request, vote, verdictOnVote(nowMs, request, vote), effects);
@@ -155,7 +155,7 @@
 
     /**
      * To be called when the token could not be persisted. The vote is not granted, and the voter replies so that the
-     * candidate need not wait for the time-out. The token is not granted to another candidate either, because the
+     * candidate need not wait for the timeout. The token is not granted to another candidate either, because the
      * failed write may have reached the disk.
      *
      * @param nowMs the time by the voter's monotonic clock
@@ -171,7 +171,10 @@
         reply(nowMs, request, vote, Verdict.ABSTAINED, effects);
     }
 
-    /** A disk that is not in the voter set must not vote, but replies so that the candidate need not wait. */
+    /**
+     * Replies to a request for the vote of another disk. This disk must not grant it, but without a reply the candidate
+     * would wait until the timeout.
+     */
     private void rejectForWrongIdentity(double nowMs, VoteRequest request, Vote vote, Effects effects) {
         switch (request.kind()) {
             case PROBE, REQUEST_VOTE, RENEW -> reply(nowMs, request, vote, Verdict.WRONG_IDENTITY, effects);
--- a/consensus/src/main/java/dewplank/singleton/ProbingState.java
+++ b/consensus/src/main/java/dewplank/singleton/ProbingState.java
@@ -1,6 +1,9 @@
 package dewplank.singleton;
 
-/** The candidate sent a probe to check whether a majority is free; it binds no voter, like the pre-vote of Raft. */
+/**
+ * The candidate has sent a probe to check whether a majority of the voters is free to vote. Like the pre-vote of Raft,
+ * a probe binds no voter.
+ */
 final class ProbingState implements CandidateState {
     private final VoteRound round;
     private final double timeoutAtMs;
--- a/consensus/src/main/java/dewplank/singleton/RequestingVotesState.java
+++ b/consensus/src/main/java/dewplank/singleton/RequestingVotesState.java
@@ -1,6 +1,6 @@
 package dewplank.singleton;
 
-/** The candidate requested votes under a new fencing token; granted votes bind their voters until withdrawn. */
+/** The candidate has requested votes under a new fencing token. Granted votes bind their voters until withdrawn. */
 final class RequestingVotesState implements CandidateState {
     private final VoteRound round;
     private final double timeoutAtMs;
--- a/consensus/src/main/java/dewplank/singleton/VoteRound.java
+++ b/consensus/src/main/java/dewplank/singleton/VoteRound.java
@@ -96,7 +96,9 @@
         return reply != null && !reply.isGranted();
     }
 
-    /** Milliseconds until a quorum may be free, according to the replies; voters without a reply count as free. */
+    /**
+     * Milliseconds until a quorum may be free to vote, according to the replies; voters without a reply count as free.
+     */
     double quorumFreeInMs() {
         double[] freeInMs =
                 voters.all().stream().mapToDouble(this::freeInMs).sorted().toArray();
--- a/consensus/src/test/java/dewplank/register/CatchUpTest.java
+++ b/consensus/src/test/java/dewplank/register/CatchUpTest.java
@@ -26,15 +26,16 @@
     private static final double CHANGE_INTERVAL_MS = 200;
 
     /**
-     * The longest anti-entropy interval, three message delays, the transfer of one value, and two ticks.
+     * The maximum catch-up time: the longest anti-entropy interval, three message delays, the transfer of one value,
+     * and two ticks.
      */
     private static final double MAX_CATCH_UP_MS =
             ANTI_ENTROPY_PERIOD_MS * 1.25 + 3 * LINK_DELAY_MS + VALUE_BYTES / BYTES_PER_MS + 2 * TICK_MS;
 
     /**
-     * Values sent per change to a process that cannot accept the change because its disk is full or because the accept
-     * request is addressed to its lost disk: one by the accept request and one by a fetch. In addition, one fetch may
-     * be in flight at the start of the two seconds.
+     * The maximum number of values sent per change to a process that cannot accept the change because its disk is full
+     * or because the accept request is addressed to its lost disk: one by the accept request and one by a fetch. In
+     * addition, one fetch may be in flight at the start of the two seconds.
      */
     private static final double MAX_VALUES_BY_ACCEPT_AND_FETCH = 2.11; // ten changes: 2 + 1 / 10
 
--- a/consensus/src/test/java/dewplank/register/CurrentRulesTest.java
+++ b/consensus/src/test/java/dewplank/register/CurrentRulesTest.java
@@ -108,7 +108,7 @@
     }
 
     @Test
-    void currentFromTheStartOfItsOwnAcceptPhase() {
+    void currentFromTheStartOfTheAcceptPhaseThatChoseAValue() {
         register.change(
                 QUERIED_AT_MS,
                 1,
--- a/consensus/src/test/java/dewplank/register/EarlierIncarnationsTest.java
+++ b/consensus/src/test/java/dewplank/register/EarlierIncarnationsTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** Delayed replies to requests of an earlier incarnation of a process are not counted. */
+/** Tests that delayed replies to requests of an earlier incarnation of a process are not counted. */
 class EarlierIncarnationsTest {
     private static final AcceptorId B = RegisterBuilder.B;
     private static final AcceptorId C = RegisterBuilder.C;
--- a/consensus/src/test/java/dewplank/register/EndedAcceptorsTest.java
+++ b/consensus/src/test/java/dewplank/register/EndedAcceptorsTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Founders without a disk that end: tests which acceptors are known to have ended, and which rounds exclude them.
- * Process A has a disk and is not a member of the first set, which consists of X and Y.
+ * Tests which volatile acceptors are known to have ended, and which rounds exclude them. Process A has a disk and is
+ * not a member of the first set, which consists of X and Y.
  */
 class EndedAcceptorsTest {
     private static final AcceptorId A = RegisterBuilder.A;
@@ -99,7 +99,8 @@
     }
 
     /**
-     * If a round used later knowledge when it counts votes, two rounds could each exclude the only voter of the other.
+     * If a round excluded acceptors that are found to have ended after its start, two rounds could each exclude the
+     * only voter of the other.
      */
     @Test
     void roundInProgressStillNeedsEndedAcceptors() {
--- a/consensus/src/test/java/dewplank/register/OperatorLoad.java
+++ b/consensus/src/test/java/dewplank/register/OperatorLoad.java
@@ -2,7 +2,7 @@
 
 import java.util.SplittableRandom;
 
-/** Operators that send changes and reads to random processes, and resend changes whose outcome is unknown. */
+/** Simulates operators who send changes and reads to random processes, and resend changes with unknown outcome. */
 final class OperatorLoad {
     private static final double MEAN_INTERVAL_MS = 90;
     private static final double TIMEOUT_MS = 900;
--- a/consensus/src/test/java/dewplank/register/ReconfigurationRulesTest.java
+++ b/consensus/src/test/java/dewplank/register/ReconfigurationRulesTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** A reconfiguration takes effect only if the acceptor set on which it was decided is still current. */
+/** Tests that a reconfiguration takes effect only if the acceptor set that it is based on is still current. */
 class ReconfigurationRulesTest {
     private static final double TIMEOUT_MS = 3000;
     private static final double RECONFIGURED_MS = 1500;
@@ -42,7 +42,7 @@
         fleet.events().runUntil(RECONFIGURED_MS);
         reconfigure(1, 0, fleet.acceptors(0, 1, 3));
         fleet.events().runUntil(2 * RECONFIGURED_MS);
-        // This was decided on generation 0, in which 2 was a member: it would restore 2 and remove 3.
+        // This request is based on generation 0, in which 2 was a member: it would restore 2 and remove 3.
         reconfigure(0, 0, fleet.acceptors(0, 4, 2));
         fleet.events().runUntil(3 * RECONFIGURED_MS);
         Assertions.assertEquals(Reconfiguration.APPLIED, result(0));
--- a/consensus/src/test/java/dewplank/register/RegisterSnapshot.java
+++ b/consensus/src/test/java/dewplank/register/RegisterSnapshot.java
@@ -45,7 +45,7 @@
             "Acceptor.storeId",
             "ChangeTask.change");
 
-    /** Superclasses of the platform, whose fields are ignored. */
+    /** Superclasses from the JDK, whose fields are ignored. */
     private static final Set<Class<?>> ROOTS = Set.of(Object.class, Record.class, Enum.class);
 
     private static final Map<Class<?>, List<Field>> FIELDS = new HashMap<>();
--- a/consensus/src/test/java/dewplank/register/SimulatedProcess.java
+++ b/consensus/src/test/java/dewplank/register/SimulatedProcess.java
@@ -100,7 +100,10 @@
         stalledUntilMs = untilMs;
     }
 
-    /** Runs a step of an incarnation: deferred while the process is paused, not at all if the incarnation has ended. */
+    /**
+     * Runs a step of an incarnation. The step is deferred while the process is paused, and dropped if the incarnation
+     * has ended.
+     */
     void run(int inIncarnation, Runnable step) {
         if (register == null || incarnation != inIncarnation) {
             return;
--- a/consensus/src/test/java/dewplank/singleton/CandidateTest.java
+++ b/consensus/src/test/java/dewplank/singleton/CandidateTest.java
@@ -106,7 +106,7 @@
     }
 
     @Test
-    void itsLeaseStartsAtTheRequestForVotes() {
+    void theLeaseStartsWhenVotesAreRequested() {
         acquireLease();
         assertTrue(candidate.isLeaseHolder(160));
         assertTrue(candidate.isLeaseHolder(150 + 2_849));
--- a/consensus/src/test/java/dewplank/singleton/LeasePropertyTest.java
+++ b/consensus/src/test/java/dewplank/singleton/LeasePropertyTest.java
@@ -20,7 +20,8 @@
 class LeasePropertyTest {
     private static final double LEASE_MS = LeaseSimulation.LEASE_MS;
     /**
-     * Votes bind, and restarted voters abstain, for one lease duration; the election delay and the vote rounds follow.
+     * The maximum time until a lease holder is elected after all faults are repaired. Votes bind, and restarted voters
+     * abstain, for one lease duration; the election delay and the vote rounds follow.
      */
     private static final double HEALED_BOUND_MS = 2.5 * LEASE_MS;
 
--- a/consensus/src/test/java/dewplank/singleton/LeaseSimulation.java
+++ b/consensus/src/test/java/dewplank/singleton/LeaseSimulation.java
@@ -31,7 +31,7 @@
     /** The duration of a lease, and the maximum durations of a message and of a synced write. */
     record Times(double leaseMs, double maxDelayMs, double maxSyncMs) {}
 
-    /** Far slower than on the sites' machines, relative to the lease, so that many messages are reordered. */
+    /** Delays far above those of the sites' machines, relative to the lease, so that many messages are reordered. */
     static final Times SLOW = new Times(LEASE_MS, 41, 10);
 
     /** An action that is scheduled for a time. */
@@ -90,10 +90,10 @@
     }
 
     /** Sets the fractions of messages that are lost, that are delayed by seconds, and that arrive twice. */
-    void injectMessageFaults(double lost, double late, double twice) {
+    void injectMessageFaults(double lost, double late, double duplicated) {
         lossRate = lost;
         lateRate = late;
-        duplicateRate = twice;
+        duplicateRate = duplicated;
     }
 
     int leasesAcquired() {
@@ -152,9 +152,9 @@
     }
 
     /** Starts the replacement of one member, for example by the current identity at its address after a wipe. */
-    void replace(AcceptorId member, AcceptorId by) {
+    void replace(AcceptorId member, AcceptorId successor) {
         List<AcceptorId> target = new ArrayList<>(chosen.members());
-        target.set(target.indexOf(member), by);
+        target.set(target.indexOf(member), successor);
         change(target);
     }
 
@@ -207,11 +207,11 @@
         at(nowMs + PROPOSE_RETRY_INTERVAL_MS, () -> retryProposal(number));
     }
 
-    private void accepted(long number, AcceptorId by, SimulatedNode proposer) {
+    private void accepted(long number, AcceptorId acceptor, SimulatedNode proposer) {
         if (number != proposal || proposed == null) {
             return;
         }
-        acceptedBy.add(by);
+        acceptedBy.add(acceptor);
         if (proposed.isQuorum(acceptedBy)) {
             chosen = proposed;
             proposed = null;
@@ -375,12 +375,12 @@
         }
 
         /** Persists the acceptance before it is sent. */
-        private void accept(long number, AcceptorId as, SimulatedNode proposer) {
+        private void accept(long number, AcceptorId acceptor, SimulatedNode proposer) {
             run(incarnation, () -> {
-                if (number == proposal && proposed != null && as.equals(self())) {
+                if (number == proposal && proposed != null && acceptor.equals(self())) {
                     acceptedGeneration = proposed.generation();
                     updateVoterSets();
-                    deliver(name, proposer.name, () -> accepted(number, as, proposer));
+                    deliver(name, proposer.name, () -> accepted(number, acceptor, proposer));
                 }
             });
         }
@@ -431,7 +431,10 @@
             run(incarnation, () -> candidate.shutDown(clock(), new CandidateEffects()));
         }
 
-        /** Runs an action of one incarnation of this node; deferred while it is paused, dropped once it has ended. */
+        /**
+         * Runs an action of one incarnation of this node. It is deferred while the node is paused, and dropped once the
+         * incarnation has ended.
+         */
         private void run(String ofIncarnation, Runnable action) {
             if (!isRunning() || !incarnation.equals(ofIncarnation)) {
                 return;
--- a/consensus/src/test/java/dewplank/singleton/LeaseSuccessionTest.java
+++ b/consensus/src/test/java/dewplank/singleton/LeaseSuccessionTest.java
@@ -16,7 +16,10 @@
 /** Tests how long a singleton role stays vacant while links and disks are healthy. */
 class LeaseSuccessionTest {
     private static final double LEASE_MS = LeaseSimulation.LEASE_MS;
-    /** An election delay, a probe and a vote round. In the worst of 3,000 runs, votes were split for half a lease. */
+    /**
+     * The maximum time for an election delay, a probe and a vote round. In the worst of 3,000 runs, votes were split
+     * for half a lease.
+     */
     private static final double ELECTION_MS = LEASE_MS;
 
     private static LeaseSimulation withHolder(long seed) {
--- a/consensus/src/test/java/dewplank/singleton/LeaseTimingTest.java
+++ b/consensus/src/test/java/dewplank/singleton/LeaseTimingTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Tests the lease duration that follows from the operators' bounds, and the election delay. */
+/** Tests the lease duration that is derived from the operators' bounds, and the election delay. */
 class LeaseTimingTest {
     @ParameterizedTest
     @CsvSource({
@@ -15,7 +15,8 @@
         "6000, 3500, 4000, 1400", // two fifths of contact_ms
         "1000, 3000, 3000, 600", // the minimum
     })
-    void theLeaseFollowsTheShortestBound(double catchUpMs, double contactMs, double drainMs, double leaseMs) {
+    void theLeaseDurationIsDerivedFromTheShortestBound(
+            double catchUpMs, double contactMs, double drainMs, double leaseMs) {
         assertEquals(leaseMs, LeaseTiming.leaseMs(catchUpMs, contactMs, drainMs), 1e-9);
     }
 
--- a/consensus/src/test/java/dewplank/singleton/LeaseVacancyTest.java
+++ b/consensus/src/test/java/dewplank/singleton/LeaseVacancyTest.java
@@ -17,7 +17,7 @@
 
 /**
  * Measures how long a singleton role stays vacant, from the loss of the lease holder until another control plane has
- * the lease. Uses the lease duration that follows from the operators' bounds, and delays like those of the sites.
+ * the lease. Uses the lease duration that is derived from the operators' bounds, and delays like those of the sites.
  * Prints the results.
  */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void theLeaseFollowsFromTheOperatorsBounds() {
+    void theLeaseDurationIsDerivedFromTheOperatorsBounds() {
         assertEquals(1_200, LeaseTiming.leaseMs(4_000, 3_000, 3_000));
         assertEquals(1_200, LeaseTiming.leaseMs(6_000, 3_000, 3_000));
         assertEquals(900, LeaseTiming.leaseMs(3_000, 3_000, 3_000));
