--- a/balancer/src/main/java/dewplank/balancer/Action.java
+++ b/balancer/src/main/java/dewplank/balancer/Action.java
@@ -11,7 +11,7 @@
      *     request's deadline
      * @param writeWithinMs the time within which the attempt must be written completely; otherwise it is
      *     not sent and ends as {@code CONNECT_FAILED}, because the deduplication window for a repeat may
-     *     close while a connection is being opened; infinite without such a limit
+     *     close while a connection is being opened; infinite if there is no limit
      */
     record Send(long request, String server, double timeoutMs, double writeWithinMs) implements Action {
         public Send(long request, String server, double timeoutMs) {
--- a/balancer/src/main/java/dewplank/balancer/Event.java
+++ b/balancer/src/main/java/dewplank/balancer/Event.java
@@ -46,7 +46,7 @@
     /**
      * An attempt has ended. Each {@link Action.Send} is followed by exactly one such event.
      *
-     * @param requestIsOver whether the request has its final response, from this outcome or an earlier one
+     * @param requestIsOver whether the request has its final response, from this attempt or an earlier one
      * @param loadReport the values of the load report fields in the settings, or null
      */
     record AttemptEnded(
--- a/balancer/src/main/java/dewplank/balancer/Settings.java
+++ b/balancer/src/main/java/dewplank/balancer/Settings.java
@@ -8,7 +8,7 @@
  *
  * @param replicaIndex this instance's index among its replicas, from 0
  * @param replicaCount the number of instances that share the servers
- * @param zone this instance's own zone; requests within it have no cross-zone cost
+ * @param zone this instance's zone; requests to servers in it have no cross-zone cost
  * @param tickMs the host's timer resolution; subtracted as a margin from limits that must be met exactly
  * @param endpointListIsPushed whether the host keeps the list current; otherwise the balancer subscribes to
  *     it
@@ -39,8 +39,8 @@
         Goal goal) {
 
     /**
-     * The effect of a repeated request (RFC 9110, section 9.2): none, none if the key is the same, or a
-     * second effect.
+     * Whether repeating a request may have a second effect (RFC 9110, section 9.2): no for safe ones,
+     * not with the same key for keyed ones, yes for unsafe ones.
      */
     public enum Idempotency {
         SAFE,
@@ -88,7 +88,7 @@
     /**
      * The limits and features of the host.
      *
-     * @param maxAttempts the maximum number of attempts of one request, the first one included
+     * @param maxAttempts the maximum number of attempts of one request, including the first
      * @param allowsHedging whether a request may have several attempts in flight
      * @param allowsCancellation whether an attempt in flight may be cancelled
      * @param allowsHealthChecks whether the balancer may send health checks to servers
@@ -134,8 +134,8 @@
             boolean rejectedMayHaveRun) {}
 
     /**
-     * Deductions from the result, each for one cross-zone request or one connection handshake per first
-     * attempt.
+     * Deductions from the result: the price of one cross-zone request and that of one connection handshake
+     * per first attempt.
      */
     public record Prices(double crossZone, double handshake) {}
 
--- a/balancer/src/main/java/dewplank/balancer/adaptive/AdaptiveBalancer.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/AdaptiveBalancer.java
@@ -18,10 +18,10 @@
 
 /**
  * The production balancer: it estimates the performance of servers from the outcomes of its own requests,
- * and adapts to it. This class creates the decision classes, connects them, and passes each event to the
- * class that handles it.
+ * and adapts its decisions to it. This class creates the decision classes, connects them, and passes each
+ * event to the class that handles it.
  *
- * <p>As for every {@link Balancer}, all calls come from the host's one thread. The decision classes share
+ * <p>As for every {@link Balancer}, all calls come from the host's single thread. The decision classes share
  * their state ({@link ServerState}, {@link PendingRequest}, {@link FleetStats}) within the package.
  */
 public final class AdaptiveBalancer implements Balancer {
--- a/balancer/src/main/java/dewplank/balancer/adaptive/ArrivalRecorder.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/ArrivalRecorder.java
@@ -3,9 +3,9 @@
 import dewplank.balancer.Event.RequestArrived;
 
 /**
- * Records each request that arrives: evaluates it, refills the budgets of retries and trials, and updates
- * the request rate that determines the size of the working set. Called by {@link Admission}, once per
- * request.
+ * Records each request that arrives: computes its value, refills the budgets of retries and trials, and
+ * updates the request rate that determines the size of the working set. Called by {@link Admission}, once
+ * per request.
  */
 final class ArrivalRecorder {
     private final RequestTable requests;
@@ -27,7 +27,7 @@
         this.workingSet = workingSet;
     }
 
-    /** Returns the request, which is pending from now on. */
+    /** Adds the request to the pending requests and returns it. */
     PendingRequest record(RequestArrived event) {
         PendingRequest request = values.evaluate(event);
         retries.recordArrival();
--- a/balancer/src/main/java/dewplank/balancer/adaptive/AttemptRules.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/AttemptRules.java
@@ -22,8 +22,9 @@
     }
 
     /**
-     * Whether the request may be sent to the server now: checks membership, the number of attempts,
-     * hedging, and that no second effect is possible.
+     * Whether the request may be sent to the server now: checks that the server is listed, that the request
+     * has attempts left, that it is hedged only if hedging is allowed, and that no second effect is
+     * possible.
      */
     boolean allowsAttempt(PendingRequest request, ServerState server) {
         if (request.isComplete
@@ -62,8 +63,8 @@
     /**
      * The time within which an attempt must be written, which includes waiting for a connection: servers
      * drop a repeat only within the deduplication window of the first attempt that may have run. The limit
-     * applies to every keyed attempt, because an attempt sent later may be written before it. Infinite
-     * without such a limit.
+     * applies to every keyed attempt, also to the first, because a later attempt may be written before it.
+     * Infinite if there is no limit.
      */
     double writeWithinMs(PendingRequest request) {
         RequestClass requestClass = request.requestClass();
--- a/balancer/src/main/java/dewplank/balancer/adaptive/AttemptScheduler.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/AttemptScheduler.java
@@ -59,7 +59,7 @@
     /**
      * Whether the attempt times out as soon as it is overdue. This replaces cancellation and hedging if
      * neither is allowed, but only for requests that may be repeated, and only at a suspect server:
-     * elsewhere the request may just take long.
+     * at other servers, the request may simply take long.
      */
     private boolean timesOutWhenOverdue(PendingRequest request, ServerState server) {
         return !settings.limits().allowsCancellation()
--- a/balancer/src/main/java/dewplank/balancer/adaptive/EjectionTrials.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/EjectionTrials.java
@@ -12,7 +12,9 @@
 final class EjectionTrials {
     private static final double TRIAL_INTERVAL_MS = 1_000;
     private static final double FAILED_CHECK_DELAY_MS = 5_000;
-    private static final double TRIALS_PER_REQUEST = 0.1; // limits the fraction of requests sent as trials
+    /** Tokens added per arriving request; limits the fraction of requests sent as trials. */
+    private static final double TRIALS_PER_REQUEST = 0.1;
+
     private static final double MAX_TOKENS = 1;
 
     private final Settings settings;
--- a/balancer/src/main/java/dewplank/balancer/adaptive/EndpointTable.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/EndpointTable.java
@@ -11,6 +11,7 @@
 
 /** The servers of the endpoint list, in the order in which they were first listed. */
 final class EndpointTable {
+    /** 2 to the power of 64, divided by the golden ratio. */
     private static final long GOLDEN_RATIO = 0x9E3779B97F4A7C15L;
 
     private final Settings settings;
--- a/balancer/src/main/java/dewplank/balancer/adaptive/FleetStats.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/FleetStats.java
@@ -6,7 +6,7 @@
 /** Statistics of the whole fleet of servers. */
 final class FleetStats {
     final Map<String, ZoneStats> zones = new HashMap<>();
-    /** The average ratio of a response's time to the typical time for its work. */
+    /** The average ratio of the response time to the typical time for the request's work. */
     double slowdown = 1;
 
     double slowdownDeviation = 0.5;
--- a/balancer/src/main/java/dewplank/balancer/adaptive/HedgingPolicy.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/HedgingPolicy.java
@@ -37,8 +37,8 @@
     }
 
     /**
-     * Records an overdue attempt as an unhealthy observation of its server, before any timeout, and hedges
-     * or cancels it.
+     * Records an overdue attempt as an unhealthy observation of its server, before any timeout, and may
+     * hedge or cancel it.
      */
     void onOverdue(Attempt attempt) {
         PendingRequest request = attempt.request;
--- a/balancer/src/main/java/dewplank/balancer/adaptive/LatencyEstimates.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/LatencyEstimates.java
@@ -18,20 +18,34 @@
     /** Time constant of the fleet's recent slowdown over its idle time, if samples are sparse. */
     static final double FLEET_TIME_CONSTANT_MS = 1_000;
 
-    private static final int MAX_SUSPICION_LOAD = 5;
-    private static final double SUSPICION_TIMEOUT_MS = 1_000; // only ejection lasts longer
+    private static final int MAX_SUSPICION_LOAD = 5; // upper bound of the load that suspicions add
+
+    /** Time after which a suspicion expires; only an ejection lasts longer. */
+    private static final double SUSPICION_TIMEOUT_MS = 1_000;
+
     private static final double OVERDUE_DEVIATIONS = 4; // mean deviations above the fleet's slowdown
     private static final double MIN_OVERDUE_FACTOR = 2.5; // multiple of the typical time
     private static final double MAX_OVERDUE_TARGET_FRACTION = 0.5; // of the latency target
-    private static final double RECENT_ALPHA = 0.3;
-    private static final double LONG_TERM_ALPHA = 0.05;
-    private static final double TYPICAL_ALPHA = 0.005; // small, so that a change is not counted twice
+    private static final double RECENT_ALPHA = 0.3; // smoothing factor of a server's recent averages
+    private static final double LONG_TERM_ALPHA = 0.05; // smoothing factor of its long-term average
+
+    /** Smoothing factor of the typical time; small, so that a change is not counted twice. */
+    private static final double TYPICAL_ALPHA = 0.005;
+
     private static final double LONG_TERM_DECAY_MS = 5_000;
-    private static final double IDLE_ALPHA = 0.01; // for the mean whose minimum is the idle time
-    private static final int MIN_IDLE_SAMPLES = 20; // before the initial estimate is replaced
-    private static final double MAX_IDLE_FRACTION = 0.8; // bound on idle time over latency target
-    private static final double IDLE_TIME_CONSTANT_MS = 60_000; // with which the idle time rises to the mean
-    private static final double CACHED_KEY_FACTOR = 0.6; // a cached key saves a server 26 to 68 % of the work
+
+    /** Smoothing factor of a class's mean response time, whose minimum is its idle time. */
+    private static final double IDLE_ALPHA = 0.01;
+
+    /** Number of samples after which their mean replaces the initial estimate of the idle time. */
+    private static final int MIN_IDLE_SAMPLES = 20;
+
+    private static final double MAX_IDLE_FRACTION = 0.8; // upper bound of idle time over latency target
+    private static final double IDLE_TIME_CONSTANT_MS = 60_000; // of the idle time's rise to the mean
+
+    /** Factor on the predicted time if the key is cached, which saves a server 26 to 68 % of the work. */
+    private static final double CACHED_KEY_FACTOR = 0.6;
+
     private static final double MAX_LATENESS = 2;
     private static final double MIN_MS = 1e-3; // avoids division by zero
 
@@ -54,7 +68,7 @@
         fleet.lastResponseAtMs = step.nowMs();
         PendingRequest request = attempt.request;
         ServerState server = attempt.server;
-        if (attempt.opensConnection) { // the time to connect does not count as the server's
+        if (attempt.opensConnection) { // the connection time does not count as response time
             double expectedMs = slowdown(server) / slowStart.expectedCapacity(server) * typicalMs(request);
             double extraMs = Math.max(0, elapsedMs - expectedMs);
             fleet.connectMs += (extraMs - fleet.connectMs) * CONNECT_ALPHA;
@@ -112,8 +126,8 @@
 
     /**
      * Records that a server did not respond within the elapsed time, as a lower bound of its response time.
-     * Guards against a server that responds only after its callers' timeouts: judged by its responses
-     * alone, it looks as fast as the few that arrived in time, to each of many instances.
+     * Guards against a server that responds to most requests only after the timeout: from its responses
+     * alone, each of many instances would estimate it to be as fast as the few that arrive in time.
      */
     void recordTimeout(Attempt attempt, double elapsedMs) {
         ServerState server = attempt.server;
@@ -145,7 +159,8 @@
     // ---- predictions for the next request ----
 
     /**
-     * The typical time of such a request in this fleet: a fixed part, and a part proportional to its work.
+     * The typical response time of such a request in this fleet: a fixed part, and a part proportional to
+     * its work.
      */
     double typicalMs(PendingRequest request) {
         if (request.costMs == null || fleet.elapsed.count == 0) {
@@ -158,7 +173,7 @@
     }
 
     /**
-     * The ratio of the server's time to the typical time. It decays from the recent to the long-term
+     * The ratio of the server's response time to the typical time. It decays from the recent to the long-term
      * average, and from that to 1.
      */
     private double slowdown(ServerState server) {
@@ -190,7 +205,7 @@
         return step.nowMs() - server.lastSampleAtMs < RECENT_TIME_CONSTANT_MS;
     }
 
-    /** The number of own requests in flight, plus those that may still be hung at the server. */
+    /** This instance's requests in flight at the server, plus those that may still hang there. */
     int load(ServerState server) {
         int hung = isSuspect(server) ? Math.min(server.suspicions, MAX_SUSPICION_LOAD) : 0;
         return server.inFlight.size() + hung;
@@ -207,8 +222,8 @@
     }
 
     /**
-     * The predicted time of the request at the server, from its measured speed, its own load and its
-     * overdue attempts.
+     * The predicted response time of the request at the server, from the server's measured speed, its load
+     * and the age of its attempts in flight.
      */
     double predictedMs(ServerState server, PendingRequest request) {
         double keyFactor = server == request.cachingServer ? CACHED_KEY_FACTOR : 1;
@@ -218,7 +233,9 @@
                 * keyFactor
                 * (2 + load(server))
                 / (2 + server.typicalLoad);
-        for (Attempt attempt : server.inFlight) { // the oldest attempt counts, unless only that one hangs
+        // The request takes at least as long as the oldest attempt in flight, not counting attempts that hang
+        // while the server serves later ones.
+        for (Attempt attempt : server.inFlight) {
             boolean isOvertaken = attempt.isOverdue && attempt.overdueAtMs <= server.lastServedSentAtMs;
             if (!isOvertaken) {
                 timeMs = Math.max(timeMs, step.nowMs() - attempt.sentAtMs);
@@ -230,14 +247,14 @@
     }
 
     /**
-     * The network latency to the server's zone beyond that within the own zone, from recent minimum
+     * The network latency to the server's zone in excess of that within the local zone, from recent minimum
      * response times. Prevents a slow link from being mistaken for a queue: rejections do not make a link
      * faster.
      */
     double extraNetworkMs(ServerState server) {
-        ZoneStats own = fleet.zones.get(settings.zone());
-        boolean isUnknown = own == null || own.minElapsedMs == 0;
-        return server.isLocal || isUnknown ? 0 : Math.max(0, server.zone.minElapsedMs - own.minElapsedMs);
+        ZoneStats local = fleet.zones.get(settings.zone());
+        boolean isUnknown = local == null || local.minElapsedMs == 0;
+        return server.isLocal || isUnknown ? 0 : Math.max(0, server.zone.minElapsedMs - local.minElapsedMs);
     }
 
     /**
--- a/balancer/src/main/java/dewplank/balancer/adaptive/LoadShedder.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/LoadShedder.java
@@ -10,26 +10,34 @@
  */
 final class LoadShedder {
     // The fraction to reject rises linearly from 0 at the low threshold to 1 at the high one.
-    private static final double LOW_LATENESS = 0.4; // predicted time over target
+    private static final double LOW_LATENESS = 0.4; // predicted time as a fraction of the target
     private static final double HIGH_LATENESS = 0.9;
-    // A server takes twice its idle time once as many requests wait as run. Sending it more does not increase
-    // its throughput, only latency, and keeps it overloaded for long. A fleet that slow sheds load early,
-    // according to its average lateness.
+    // A server's response time is twice its idle time once as many requests wait as run. Sending it more
+    // requests increases only its latency, not its throughput, and keeps it overloaded for long. A fleet
+    // that is this slow sheds load early, according to its average lateness.
     private static final double LOW_SLOWDOWN = 1; // ratio of the fleet's time to its idle time
     private static final double HIGH_SLOWDOWN = 2;
     private static final double LOW_QUEUE_FRACTION = 0.06; // mean fraction of the target spent in queues
     private static final double HIGH_QUEUE_FRACTION = 0.35; // at which one response in ten is late
     private static final double QUEUE_ALPHA = 0.05; // smoothing factor: averages over 20 requests
-    private static final double MAX_SAMPLE = 2;
-    private static final double OVERLOAD_QUEUE_FRACTION = 0.09; // counts as overload; 0.12 performs worse
+    private static final double MAX_SAMPLE = 2; // upper bound of a queue fraction in the mean
+
+    /** Mean queue fraction above which the fleet is overloaded; 0.12 performs worse. */
+    private static final double OVERLOAD_QUEUE_FRACTION = 0.09;
+
     private static final double OVERLOAD_TIME_CONSTANT_MS = 1_000;
     private static final double MAX_SAMPLE_GAP_MS = 100; // longer gaps between requests count as this
-    private static final double MAX_OVERLOAD_FRACTION = 0.7; // also bounds early rejections
+
+    /** Upper bound of the fraction rejected for sustained overload, and of the fraction rejected early. */
+    private static final double MAX_OVERLOAD_FRACTION = 0.7;
 
     private final Step step;
     private final FleetStats fleet;
     private final LatencyEstimates latency;
-    /** Below 1 if the goal has a tail weight: then an early rejection is better than a late response. */
+    /**
+     * Factor on the lateness thresholds; below 1 if the goal has a tail weight, because an early rejection
+     * is then better than a late response.
+     */
     private final double lateTolerance;
 
     private double meanQueueFraction;
@@ -45,9 +53,10 @@
     }
 
     /**
-     * The fraction of the least valuable traffic to reject, judged by this server. While the whole fleet is
-     * slower than when idle, rejections start earlier: otherwise each of many instances would wait for its
-     * own late responses. A negative value offsets the fraction for sustained overload.
+     * The fraction of traffic to reject, least valuable first, given the predicted latency of this server.
+     * While the fleet is slower than when idle, rejections start earlier: otherwise each of many instances
+     * would wait until its own responses are late. A negative value offsets the fraction for sustained
+     * overload.
      */
     double rejectionFraction(PendingRequest request, ServerState server) {
         double lateness = latency.predictedLateness(server, request) / lateTolerance;
--- a/balancer/src/main/java/dewplank/balancer/adaptive/OverloadCheck.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/OverloadCheck.java
@@ -16,13 +16,13 @@
     }
 
     /**
-     * The server to which the request is sent unless it is rejected, and by which the rejection is decided:
-     * the drawn server, or the candidate with the lowest cost if the drawn one is overloaded, because a bad
-     * draw is no reason to reject.
+     * The server whose load decides whether the request is rejected; otherwise the request is sent to it.
+     * This is the drawn server or, if that is overloaded, the candidate with the lowest cost, because an
+     * unlucky draw is no reason to reject a request.
      */
     ServerState serverFor(PendingRequest request, ServerState drawn, double rank) {
-        boolean isBadDraw = shedder.rejectionFraction(request, drawn) > rank;
-        return isBadDraw ? picker.cheapestCandidate(request) : drawn;
+        boolean isOverloaded = shedder.rejectionFraction(request, drawn) > rank;
+        return isOverloaded ? picker.cheapestCandidate(request) : drawn;
     }
 
     /** Whether to reject the request; also records the current queues. */
--- a/balancer/src/main/java/dewplank/balancer/adaptive/RecentRanking.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/RecentRanking.java
@@ -3,7 +3,7 @@
 /** A window of recent values, which gives the quantile of each new value. */
 final class RecentRanking {
     private static final int MAX_VALUES = 256;
-    private static final double RELATIVE_TOLERANCE = 0.001; // up to which values count as equal
+    private static final double RELATIVE_TOLERANCE = 0.001; // values that differ by less count as equal
 
     private final double[] recent = new double[MAX_VALUES];
     private int count;
--- a/balancer/src/main/java/dewplank/balancer/adaptive/RetryBudget.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/RetryBudget.java
@@ -10,7 +10,7 @@
 final class RetryBudget {
     private static final double TOKENS_PER_REQUEST = 0.2;
     private static final double MAX_TOKENS = 10;
-    /** Maximum attempts that may have run, so that a request that crashes servers reaches only a few. */
+    /** Maximum number of a request's attempts that may have run; limits how many servers it can crash. */
     private static final int MAX_RISKY_ATTEMPTS = 2;
 
     private final Settings settings;
--- a/balancer/src/main/java/dewplank/balancer/adaptive/ServerBackoff.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/ServerBackoff.java
@@ -4,11 +4,15 @@
 
 /**
  * Excludes a server that rejected an attempt or refused a connection from draws for a time: exponential
- * backoff with jitter, up to several seconds, because a server that only rejects is of no use.
+ * backoff with jitter, up to several seconds, because sending to a server that rejects everything is useless.
  */
 final class ServerBackoff {
+    /** Minimum backoff after a rejection, before jitter. */
     static final double AFTER_REJECTION_MS = 40;
+
+    /** Minimum backoff after a connection failure, before jitter. */
     static final double AFTER_CONNECT_FAILURE_MS = 250;
+
     private static final double MULTIPLIER = 4;
     private static final double MAX_BACKOFF_MS = 4_000;
 
--- a/balancer/src/main/java/dewplank/balancer/adaptive/ServerPicker.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/ServerPicker.java
@@ -7,8 +7,8 @@
 import java.util.function.Predicate;
 
 /**
- * Picks the server for an attempt: an ejected server that is due for a trial; otherwise the better of two
- * drawn by weight in the local zone or in the other zones, whichever has the lower cost.
+ * Picks the server for an attempt: an ejected server that is due for a trial. If there is none, it draws two
+ * servers by weight in the local zone and two in the other zones, and compares the better ones by cost.
  */
 final class ServerPicker {
     private static final long KEY_HASH_MULTIPLIER = 31;
--- a/balancer/src/main/java/dewplank/balancer/adaptive/SlowStartBudget.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/SlowStartBudget.java
@@ -51,10 +51,10 @@
 
     /**
      * Whether the request may be sent to the server: always once the server is warm, otherwise while this
-     * instance's part of the budget lasts. The budget accumulates, in work, since the server was first
-     * considered; trials and hedges count against it. An instance starts with a random debt of up to one
-     * request. Otherwise hundreds of instances, each with a part of less than one request, would all send
-     * one at the same time and exceed the total budget.
+     * instance's part of the budget lasts. The budget accumulates, in milliseconds of work, since the
+     * server was first considered; trials and hedges count against it. An instance starts with a random
+     * debt of up to one request. Otherwise hundreds of instances, each with a part of less than one
+     * request, would all send one at the same time and exceed the total budget.
      */
     boolean allows(ServerState server, PendingRequest request) {
         double capacity = guaranteedCapacity(server);
--- a/balancer/src/main/java/dewplank/balancer/adaptive/ValueModel.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/ValueModel.java
@@ -8,9 +8,11 @@
 import java.util.Map;
 import java.util.random.RandomGenerator;
 
-/** The value of a request for the goal, from its class, its tenant's use of its share, and its work. */
+/** Computes a request's value for the goal from its class, its work, and its tenant's use of its share. */
 final class ValueModel {
-    private static final double INITIAL_TARGET_FRACTION = 0.15; // initial estimate of a class's time
+    /** Initial estimate of a class's work and idle time, as a fraction of its latency target. */
+    private static final double INITIAL_TARGET_FRACTION = 0.15;
+
     private static final double TENANT_TIME_CONSTANT_MS = 5_000;
     private static final double MILLIS_PER_SECOND = 1_000;
     private static final double MIN_WORK_MS = 1e-3;
@@ -91,22 +93,22 @@
 
     /** The factor on the value of a tenant's requests: below 1 while the tenant exceeds its share. */
     private double tenantValueFactor(String tenant) {
-        TenantUsage own = tenant == null ? null : tenants.get(tenant);
-        if (own == null && !tenants.isEmpty()) { // a tenant that is not in the settings has no share
+        TenantUsage usage = tenant == null ? null : tenants.get(tenant);
+        if (usage == null && !tenants.isEmpty()) { // a tenant that is not in the settings has no share
             return settings.overShareValueFactor();
         }
-        if (own == null || own.tenant().allowancePerSecond() <= 0) {
+        if (usage == null || usage.tenant().allowancePerSecond() <= 0) {
             return 1;
         }
-        own.requestsPerSecond().add(step.nowMs(), MILLIS_PER_SECOND / TENANT_TIME_CONSTANT_MS);
+        usage.requestsPerSecond().add(step.nowMs(), MILLIS_PER_SECOND / TENANT_TIME_CONSTANT_MS);
         double rates = 0;
         double allowances = 0;
         for (Tenant other : settings.tenants()) {
             rates += tenants.get(other.name()).requestsPerSecond().valueAt(step.nowMs());
             allowances += other.allowancePerSecond();
         }
-        double fairRate = rates * own.tenant().allowancePerSecond() / allowances;
-        double fractionWithinShare = Math.min(1, fairRate / own.requestsPerSecond().value);
+        double fairRate = rates * usage.tenant().allowancePerSecond() / allowances;
+        double fractionWithinShare = Math.min(1, fairRate / usage.requestsPerSecond().value);
         return fractionWithinShare + (1 - fractionWithinShare) * settings.overShareValueFactor();
     }
 }
--- a/balancer/src/main/java/dewplank/balancer/adaptive/WaitingRequests.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/WaitingRequests.java
@@ -1,8 +1,8 @@
 package dewplank.balancer.adaptive;
 
 /**
- * Queues requests for which no server is available. Each waits only while a server may become available: by
- * an endpoint list, the end of a backoff, or a refill of a slow start budget.
+ * Queues requests for which no server is available. Each waits only while a server may become available:
+ * after an update of the endpoint list, the end of a backoff, or a refill of a slow start budget.
  */
 final class WaitingRequests {
     private static final double POLL_INTERVAL_MS = 20;
--- a/balancer/src/main/java/dewplank/balancer/adaptive/WorkingSet.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/WorkingSet.java
@@ -18,9 +18,12 @@
  */
 final class WorkingSet {
     private static final double REVIEW_INTERVAL_MS = 250;
-    private static final double MIN_LOCAL_SERVERS = 2; // half as many in other zones
-    private static final double CONNECTIONS_PER_SERVER = 20; // from all instances; an easy load
-    private static final double SERVER_REQUEST_INTERVAL_MS = 300; // between own requests to each added server
+    private static final double MIN_LOCAL_SERVERS = 2; // half as many in each other zone
+    private static final double CONNECTIONS_PER_SERVER = 20; // from all instances; servers handle it easily
+
+    /** Mean interval between this instance's requests to each server that is added as its traffic grows. */
+    private static final double SERVER_REQUEST_INTERVAL_MS = 300;
+
     private static final double CLOSE_UNUSED_AFTER_MS = 5_000;
     private static final double RATE_TIME_CONSTANT_MS = 5_000;
 
@@ -28,7 +31,7 @@
     private final Step step;
     private final EndpointTable endpoints;
     private final PeerExchange peers;
-    private final DecayingSum ownRate = new DecayingSum(RATE_TIME_CONSTANT_MS);
+    private final DecayingSum requestRate = new DecayingSum(RATE_TIME_CONSTANT_MS);
     private final List<ServerState> listed = new ArrayList<>();
     private final List<ServerState> healthy = new ArrayList<>();
     private final List<ServerState> ejected = new ArrayList<>();
@@ -67,7 +70,7 @@
     }
 
     void recordArrival() {
-        ownRate.add(step.nowMs(), 1 / RATE_TIME_CONSTANT_MS);
+        requestRate.add(step.nowMs(), 1 / RATE_TIME_CONSTANT_MS);
     }
 
     /** Makes the next {@link #review} due now, because the list or a server's health has changed. */
@@ -124,7 +127,7 @@
             zones.add(server.endpoint.zone());
         }
         double size = CONNECTIONS_PER_SERVER * listed.size() / Math.max(1, settings.replicaCount())
-                + ownRate.valueAt(step.nowMs()) * SERVER_REQUEST_INTERVAL_MS;
+                + requestRate.valueAt(step.nowMs()) * SERVER_REQUEST_INTERVAL_MS;
         return Math.max(MIN_LOCAL_SERVERS, 2 * size / (zones.size() + 1));
     }
 
--- a/balancer/src/main/java/dewplank/balancer/health/PeerVotes.java
+++ b/balancer/src/main/java/dewplank/balancer/health/PeerVotes.java
@@ -34,8 +34,8 @@
     }
 
     /**
-     * Whether a simple majority of votes finds the server unhealthy. In a tie the own vote decides: a peer
-     * that sent no requests to the server must not outvote the only other one.
+     * Whether a simple majority of votes finds the server unhealthy. In a tie, the vote of this process
+     * decides: a peer that sent no requests to the server must not outvote the only other one.
      *
      * @param ownVote whether this process finds the server unhealthy
      */
--- a/balancer/src/main/java/dewplank/balancer/health/ServerHealth.java
+++ b/balancer/src/main/java/dewplank/balancer/health/ServerHealth.java
@@ -7,9 +7,9 @@
  * The observations that one process has made of one server: recent outcomes by context, the resulting vote,
  * and the server's weight in draws.
  *
- * <p>After "Capturing and Enhancing In Situ System Observability for Failure Detection" (Huang et al., OSDI
- * '18). Times are in milliseconds of one monotonic clock. Not thread-safe: all calls come from the owner's
- * thread.
+ * <p>Based on "Capturing and Enhancing In Situ System Observability for Failure Detection" (Huang et al.,
+ * OSDI '18). Times are in milliseconds of one monotonic clock. Not thread-safe: all calls come from the
+ * owner's thread.
  */
 public final class ServerHealth {
     /**
@@ -18,9 +18,11 @@
      */
     public static final double WEIGHT_FLOOR = 0.05;
 
-    private static final double WINDOW_MS = 10_000; // age up to which observations count
+    private static final double WINDOW_MS = 10_000; // older observations do not count
     private static final double WEIGHT_STEP = 0.05; // added to the weight by each success
-    private static final int MIN_UNHEALTHY = 3; // outcomes in the window; fewer are no evidence
+
+    /** Minimum number of unhealthy outcomes in the window; fewer are not enough evidence. */
+    private static final int MIN_UNHEALTHY = 3;
 
     private final Map<String, ObservationWindow> contexts = new HashMap<>();
     private double weight = 1;
@@ -55,14 +57,14 @@
     }
 
     /**
-     * This process's vote: the server is unhealthy if in any context the latest or at least half of the
-     * outcomes are unhealthy.
+     * This process's vote: the server is unhealthy if any context has at least {@code MIN_UNHEALTHY}
+     * unhealthy outcomes, and they include the latest outcome or are at least half of all outcomes.
      */
     public boolean isUnhealthy(double nowMs) {
         boolean vote = false;
         for (ObservationWindow window : contexts.values()) {
             window.removeBefore(nowMs - WINDOW_MS);
-            // A later success in any context counts as the latest status: some contexts send no trials.
+            // A later success in another context counts too, because some contexts send no trials.
             boolean latestIsUnhealthy = window.latestIsUnhealthy() && window.latestAtMs() > lastSuccessAtMs;
             boolean isMajority = 2 * window.unhealthyCount() >= window.size();
             vote |= window.unhealthyCount() >= MIN_UNHEALTHY && (latestIsUnhealthy || isMajority);
--- a/balancer/src/test/java/dewplank/balancer/WeightedDrawTest.java
+++ b/balancer/src/test/java/dewplank/balancer/WeightedDrawTest.java
@@ -17,7 +17,7 @@
 
     private final SplittableRandom random = new SplittableRandom(3);
 
-    private Map<String, Integer> draws(List<String> from, String excluded) {
+    private Map<String, Integer> countDraws(List<String> from, String excluded) {
         Map<String, Integer> drawn = new HashMap<>();
         for (int index = 0; index < DRAWS; index++) {
             drawn.merge(WeightedDraw.draw(from, excluded, WEIGHTS::get, random), 1, Integer::sum);
@@ -27,7 +27,7 @@
 
     @Test
     void drawsAreProportionalToTheWeights() {
-        Map<String, Integer> drawn = draws(ALL, null);
+        Map<String, Integer> drawn = countDraws(ALL, null);
         assertEquals(0.5, drawn.get("a") / (double) DRAWS, 0.02);
         assertEquals(0.25, drawn.get("b") / (double) DRAWS, 0.02);
         assertEquals(0.125, drawn.get("c") / (double) DRAWS, 0.02);
@@ -37,11 +37,11 @@
 
     @Test
     void theExcludedCandidateIsNeverDrawnAndTheOthersAreDrawnByWeight() {
-        Map<String, Integer> drawn = draws(ALL, "a");
+        Map<String, Integer> drawn = countDraws(ALL, "a");
         assertNull(drawn.get("a"));
         assertEquals(0.5, drawn.get("b") / (double) DRAWS, 0.02);
         assertEquals(0.25, drawn.get("c") / (double) DRAWS, 0.02);
-        drawn = draws(List.of("b", "c"), "c");
+        drawn = countDraws(List.of("b", "c"), "c");
         assertEquals(Map.of("b", DRAWS), drawn, "the excluded candidate is last in the list");
     }
 
--- a/balancer/src/test/java/dewplank/balancer/adaptive/AdmissionTest.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/AdmissionTest.java
@@ -32,7 +32,7 @@
      *
      * @return the number of reads and the number of acts that were rejected
      */
-    private static int[] load(BalancerFixture fixture, int rounds, double elapsedMs) {
+    private static int[] sendBothClasses(BalancerFixture fixture, int rounds, double elapsedMs) {
         int[] rejected = new int[2];
         for (int round = 0; round < rounds; round++) {
             for (String requestClass : List.of("read", "act")) {
@@ -50,12 +50,12 @@
     }
 
     @Test
-    void anOverloadedFleetRejectsTheLeastValuableFirst() {
+    void anOverloadedFleetRejectsTheLeastValuableRequestsFirst() {
         BalancerFixture fixture = BalancerFixture.withServers(4);
-        load(fixture, 100, 20);
-        load(fixture, 100, 60);
+        sendBothClasses(fixture, 100, 20);
+        sendBothClasses(fixture, 100, 60);
         // At every server, responses take a fifth of the latency target, three times the idle time.
-        int[] rejected = load(fixture, 200, 60);
+        int[] rejected = sendBothClasses(fixture, 200, 60);
         assertTrue(rejected[0] > 10, rejected[0] + " reads rejected");
         assertTrue(rejected[1] < rejected[0] / 4, rejected[1] + " acts rejected");
     }
@@ -64,15 +64,15 @@
     @Test
     void aFleetAtItsIdleServiceTimeRejectsNoRequests() {
         BalancerFixture fixture = BalancerFixture.withServers(4);
-        load(fixture, 30_000, 80);
-        int[] rejected = load(fixture, 200, 80);
+        sendBothClasses(fixture, 30_000, 80);
+        int[] rejected = sendBothClasses(fixture, 200, 80);
         assertEquals(0, rejected[0] + rejected[1]);
     }
 
     @Test
     void aFastFleetRejectsNoRequests() {
         BalancerFixture fixture = BalancerFixture.withServers(4);
-        int[] rejected = load(fixture, 300, 30);
+        int[] rejected = sendBothClasses(fixture, 300, 30);
         assertEquals(0, rejected[0] + rejected[1]);
     }
 
@@ -83,15 +83,15 @@
     @Test
     void sustainedLatenessIncreasesRejectionsUntilQueuesAreShort() {
         BalancerFixture fixture = BalancerFixture.withServers(4);
-        load(fixture, 50, 20);
-        int[] first = load(fixture, 60, 170);
-        load(fixture, 200, 170);
-        int[] later = load(fixture, 60, 170);
+        sendBothClasses(fixture, 50, 20);
+        int[] first = sendBothClasses(fixture, 60, 170);
+        sendBothClasses(fixture, 200, 170);
+        int[] later = sendBothClasses(fixture, 60, 170);
         assertTrue(
                 later[0] + later[1] > first[0] + first[1] + 10,
                 "increased from " + (first[0] + first[1]) + " to " + (later[0] + later[1]));
-        load(fixture, 600, 20);
-        int[] after = load(fixture, 60, 20);
+        sendBothClasses(fixture, 600, 20);
+        int[] after = sendBothClasses(fixture, 60, 20);
         assertEquals(0, after[0] + after[1]);
     }
 
@@ -99,8 +99,8 @@
     @Test
     void anIdleInstanceDoesNotRejectBecauseOfOldSamples() {
         BalancerFixture fixture = BalancerFixture.withServers(4);
-        load(fixture, 100, 20);
-        load(fixture, 200, 150);
+        sendBothClasses(fixture, 100, 20);
+        sendBothClasses(fixture, 200, 150);
         int rejected = 0;
         for (int request = 0; request < 20; request++) {
             fixture.nowMs += 5_000;
@@ -117,13 +117,13 @@
     /** If the goal has a tail weight, a late response costs more than a rejection: load shedding starts earlier. */
     @Test
     void aTailWeightInTheGoalIncreasesRejections() {
-        int without = rejectedReads(settings());
-        int with = rejectedReads(settings().tail(0.3, 0.01));
+        int without = countRejectedReads(settings());
+        int with = countRejectedReads(settings().tail(0.3, 0.01));
         assertTrue(with > without, without + " without, " + with + " with");
     }
 
     /** The number of 600 reads that are rejected at four servers that slow down from 20 ms to 60 ms. */
-    private static int rejectedReads(SettingsBuilder settings) {
+    private static int countRejectedReads(SettingsBuilder settings) {
         BalancerFixture fixture = BalancerFixture.withServers(settings, 4);
         for (int request = 0; request < 600; request++) {
             Send send = firstSend(fixture.arrive("read"));
@@ -138,7 +138,7 @@
     /** A tenant at ten times its share, or one without a share, does not displace a tenant within its share. */
     @ParameterizedTest(name = "{0} within its share, {1} above its share")
     @CsvSource({"small, big", "small,"})
-    void theTenantFarOverItsShareIsRejectedFirst(String within, String over) {
+    void aTenantFarOverItsShareIsRejectedFirst(String within, String over) {
         BalancerFixture fixture = BalancerFixture.withServers(
                 settings().tenants(new Tenant("big", 0.5, 50), new Tenant("small", 0.5, 50)), 4);
         int[] rejected = new int[2];
@@ -157,10 +157,10 @@
     }
 
     @Test
-    void rejectionsCarryAdviceWithinTheClientsLimit() {
+    void rejectionsStateARetryDelayWithinTheLimit() {
         BalancerFixture fixture = BalancerFixture.withServers(4);
-        load(fixture, 100, 20);
-        load(fixture, 300, 250);
+        sendBothClasses(fixture, 100, 20);
+        sendBothClasses(fixture, 300, 250);
         List<Reject> rejections = actionsOf(fixture.actions, Reject.class);
         assertTrue(rejections.size() > 10);
         for (Reject rejection : rejections) {
@@ -176,7 +176,7 @@
     }
 
     /** The number of 10,000 reads that are rejected: ten seeds, eight servers, one read every 10 ms. */
-    private static int rejected(ServiceTime serviceTime) {
+    private static int countRejected(ServiceTime serviceTime) {
         int rejected = 0;
         for (int seed = 1; seed <= 10; seed++) {
             RandomGenerator random = new SplittableRandom(seed);
@@ -200,14 +200,14 @@
     @Test
     void anIdleFleetWithServiceTimesOfAQuarterOfTheTargetRejectsAlmostNoRequests() {
         // Log-normal: mean and standard deviation are a quarter of the latency target.
-        int rejected = rejected((request, send, random) -> 75 * Math.exp(0.83 * random.nextGaussian() - 0.35));
+        int rejected = countRejected((request, send, random) -> 75 * Math.exp(0.83 * random.nextGaussian() - 0.35));
         assertTrue(rejected <= 50, rejected + " of 10,000 rejected");
     }
 
     /** Regression: the lateness of slow servers caused rejections although other servers had capacity. */
     @Test
     void slowServersWithHeavyTailedServiceTimesCauseAlmostNoRejections() {
-        int rejected = rejected((request, send, random) -> random.nextExponential()
+        int rejected = countRejected((request, send, random) -> random.nextExponential()
                 * (request >= 300 && !List.of("s0", "s1", "s2").contains(send.server()) ? 240 : 40));
         assertTrue(rejected <= 50, rejected + " of 10,000 rejected");
     }
@@ -235,9 +235,9 @@
     void aClassOfValueZeroIsServedByAnIdleFleetAndRejectedFirst() {
         SettingsBuilder zeroValue = settings().classes(requestClass("read", 0), requestClass("act", 5));
         BalancerFixture fixture = BalancerFixture.withServers(zeroValue, 4);
-        assertArrayEquals(new int[] {0, 0}, load(fixture, 100, 20));
-        load(fixture, 100, 60);
-        int[] rejected = load(fixture, 200, 60);
+        assertArrayEquals(new int[] {0, 0}, sendBothClasses(fixture, 100, 20));
+        sendBothClasses(fixture, 100, 60);
+        int[] rejected = sendBothClasses(fixture, 200, 60);
         assertTrue(rejected[0] > 10, rejected[0] + " reads rejected");
         assertTrue(rejected[1] < rejected[0] / 4, rejected[1] + " acts rejected");
     }
--- a/balancer/src/test/java/dewplank/balancer/adaptive/LatencyEstimatesTest.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/LatencyEstimatesTest.java
@@ -24,9 +24,9 @@
 /** The predicted latency of a server: the effect of slow connects, network latency, errors and hung requests. */
 class LatencyEstimatesTest {
 
-    /** Connecting becomes slower, but servers respond as before on open connections. None is ejected. */
+    /** Connecting becomes slower, but servers respond as before on open connections: no server is ejected. */
     @Test
-    void aSlowConnectDoesNotMakeItsServerLookSlow() {
+    void aSlowConnectDoesNotRaiseItsServersPredictedLatency() {
         BalancerFixture fixture = BalancerFixture.withServers(4);
         fixture.serveOnePerSecond(100);
         fixture.nowMs += 60_000; // all connections are closed as idle
@@ -98,9 +98,12 @@
         assertEquals(1, actionsOf(costly, Send.class).size());
     }
 
-    /** Regression: a server looked slower the older its error was, and received no request that could correct this. */
+    /**
+     * Regression: a server's predicted latency rose with the age of its error, and it received no request that could
+     * correct this.
+     */
     @Test
-    void anErrorDoesNotMakeItsServerLookSlowerWithTime() {
+    void anErrorDoesNotRaiseItsServersPredictedLatencyOverTime() {
         BalancerFixture fixture = BalancerFixture.withServers(settings().actIdempotency(Idempotency.UNSAFE), 1);
         fixture.runReads(20, 5);
         Send send = firstSend(fixture.arrive("act"));
--- a/balancer/src/test/java/dewplank/balancer/adaptive/PeerExchangeTest.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/PeerExchangeTest.java
@@ -25,7 +25,7 @@
         return fixture;
     }
 
-    private static byte[] summaryAgainst(double sentAtMs, String... servers) {
+    private static byte[] encodedSummary(double sentAtMs, String... servers) {
         return new PeerSummary(
                         sentAtMs, Stream.of(servers).map(String::hashCode).toList())
                 .encode();
@@ -34,8 +34,8 @@
     @Test
     void aMajorityOfVotesDecidesIfPeersExchangeSummaries() {
         BalancerFixture fixture = withPeerSummaries();
-        fixture.handle(new PeerSummaryReceived(1, summaryAgainst(fixture.nowMs, "s0")));
-        fixture.handle(new PeerSummaryReceived(2, summaryAgainst(fixture.nowMs, "s0")));
+        fixture.handle(new PeerSummaryReceived(1, encodedSummary(fixture.nowMs, "s0")));
+        fixture.handle(new PeerSummaryReceived(2, encodedSummary(fixture.nowMs, "s0")));
         assertTrue(fixture.runReads(100, 1).getOrDefault("s0", 0) <= 1, "two of three votes eject");
         fixture.nowMs += 4_000;
         assertTrue(fixture.runReads(100, 5).getOrDefault("s0", 0) > 5, "old votes expire");
@@ -43,10 +43,10 @@
 
     /** Regression: a failing server stayed in use, because the only peer had sent it no requests. */
     @Test
-    void aPeerWithoutTrafficDoesNotOutvoteTheOwnVote() {
+    void aPeerWithoutTrafficDoesNotOutvoteThisInstance() {
         BalancerFixture fixture = withPeerSummaries();
         fixture.runReads(1_200, 5, "s0");
-        fixture.handle(new PeerSummaryReceived(1, summaryAgainst(fixture.nowMs)));
+        fixture.handle(new PeerSummaryReceived(1, encodedSummary(fixture.nowMs)));
         fixture.nowMs += 300;
         fixture.arrive("read");
         assertTrue(fixture.balancer.isEjected("s0"), "one of two votes, the own vote");
@@ -55,9 +55,9 @@
     @Test
     void aSinglePeerThatFindsAllServersUnhealthyEjectsNone() {
         BalancerFixture fixture = withPeerSummaries();
-        fixture.handle(new PeerSummaryReceived(1, summaryAgainst(fixture.nowMs, "s0", "s1", "s2", "s3")));
+        fixture.handle(new PeerSummaryReceived(1, encodedSummary(fixture.nowMs, "s0", "s1", "s2", "s3")));
         assertEquals(4, fixture.runReads(100, 1).size(), "one of two votes is no majority");
-        fixture.handle(new PeerSummaryReceived(2, summaryAgainst(fixture.nowMs, "s0", "s1", "s2", "s3")));
+        fixture.handle(new PeerSummaryReceived(2, encodedSummary(fixture.nowMs, "s0", "s1", "s2", "s3")));
         assertEquals(4, fixture.runReads(100, 1).size(), "if all are ejected, all are picked");
     }
 
@@ -65,16 +65,16 @@
     @Test
     void invalidDatagramsAreIgnored() {
         BalancerFixture fixture = withPeerSummaries();
-        byte[] valid = summaryAgainst(fixture.nowMs, "s0");
-        fixture.handle(new PeerSummaryReceived(1, summaryAgainst(fixture.nowMs + 1)));
-        fixture.handle(new PeerSummaryReceived(2, summaryAgainst(fixture.nowMs + 1)));
+        byte[] valid = encodedSummary(fixture.nowMs, "s0");
+        fixture.handle(new PeerSummaryReceived(1, encodedSummary(fixture.nowMs + 1)));
+        fixture.handle(new PeerSummaryReceived(2, encodedSummary(fixture.nowMs + 1)));
         fixture.handle(new PeerSummaryReceived(1, valid)); // a newer summary was received before
         fixture.handle(new PeerSummaryReceived(2, valid));
         fixture.handle(new PeerSummaryReceived(4, valid)); // peers are numbered 0 to 3
         fixture.handle(new PeerSummaryReceived(-1, valid));
         for (double invalidMs :
                 new double[] {fixture.nowMs - 3_001, fixture.nowMs + 3_500, Double.NaN, Double.POSITIVE_INFINITY}) {
-            fixture.handle(new PeerSummaryReceived(3, summaryAgainst(invalidMs, "s0")));
+            fixture.handle(new PeerSummaryReceived(3, encodedSummary(invalidMs, "s0")));
         }
         byte[] truncated = Arrays.copyOf(valid, valid.length - 1);
         byte[] otherVersion = valid.clone();
--- a/balancer/src/test/java/dewplank/balancer/adaptive/PlacementCostTest.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/PlacementCostTest.java
@@ -16,7 +16,7 @@
 class PlacementCostTest {
 
     /** One server in the local zone, one in another. */
-    private static BalancerFixture localAndRemote(double crossZonePrice) {
+    private static BalancerFixture withLocalAndRemoteServer(double crossZonePrice) {
         BalancerFixture fixture = BalancerFixture.withoutEndpoints(settings().prices(crossZonePrice, 0));
         fixture.updateEndpoints(UpdateKind.CACHED, endpoint("local", Availability.UP), endpointIn("z2", 1, "a"));
         return fixture;
@@ -24,7 +24,7 @@
 
     @Test
     void requestsStayInTheLocalZoneUntilItIsOverloaded() {
-        BalancerFixture fixture = localAndRemote(0.2);
+        BalancerFixture fixture = withLocalAndRemoteServer(0.2);
         for (int request = 0; request < 100; request++) {
             assertEquals("local", fixture.serve("read", 20));
         }
@@ -44,7 +44,7 @@
     /** Regression: with a cross-zone price of almost zero, local latency rose to a quarter of the target. */
     @Test
     void aLowCrossZonePriceSpreadsLoadBeforeTheLocalZoneIsLate() {
-        BalancerFixture fixture = localAndRemote(0.01);
+        BalancerFixture fixture = withLocalAndRemoteServer(0.01);
         int remote = 0;
         for (int request = 0; request < 200; request++) {
             Send send = firstSend(fixture.arrive("read"));
--- a/balancer/src/test/java/dewplank/balancer/adaptive/RecordedWorkload.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/RecordedWorkload.java
@@ -8,15 +8,17 @@
 
 /** The settings and loads for which decisions are recorded; a {@link WorkloadSimulation} runs one of them. */
 enum RecordedWorkload {
-    DEFAULT(base().classes(read(0.5), act(Idempotency.KEYED, DeduplicationScope.ZONE), pay(), stream())),
+    DEFAULT(baseSettings().classes(read(0.5), act(Idempotency.KEYED, DeduplicationScope.ZONE), pay(), stream())),
 
     /** The endpoint list is polled, a connection carries one request, and removed servers may still be used. */
-    POLLED(base().endpointListIsPushed(false)
+    POLLED(baseSettings()
+            .endpointListIsPushed(false)
             .serversAreRated(true)
             .maxStreamsPerConnection(1)
             .onlyDrainingIsBinding(true)),
 
-    HEDGING(base().classes(read(0), act(Idempotency.KEYED, DeduplicationScope.ALL), pay(), stream())
+    HEDGING(baseSettings()
+            .classes(read(0), act(Idempotency.KEYED, DeduplicationScope.ALL), pay(), stream())
             .allowsHedging(true)
             .allowsCancellation(false)
             .serversCacheKeys(true)
@@ -24,7 +26,8 @@
             .prices(0, 0.02)),
 
     /** Few attempts, without hedging, cancellation, retry advice or slow start. */
-    MINIMAL(base().maxAttempts(2)
+    MINIMAL(baseSettings()
+            .maxAttempts(2)
             .allowsCancellation(false)
             .allowsHealthChecks(true)
             .allowsRetryAdvice(false)
@@ -32,23 +35,26 @@
             .tail(0.4, 0.01)),
 
     OVERLOADED(
-            base().classes(read(0), act(Idempotency.UNSAFE, DeduplicationScope.ZONE), pay(), stream())
+            baseSettings()
+                    .classes(read(0), act(Idempotency.UNSAFE, DeduplicationScope.ZONE), pay(), stream())
                     .serversAreRated(true)
                     .tail(0.4, 0.01),
             4,
             4),
 
-    TENANTS(base().valueIsPerWork(true).serversCacheKeys(true).tenants(agreedTenants())),
+    TENANTS(baseSettings().valueIsPerWork(true).serversCacheKeys(true).tenants(agreedTenants())),
 
     /** Replicas exchange summaries of the servers that they find unhealthy. */
-    PEERS(base().classes(read(0), act(Idempotency.KEYED, DeduplicationScope.CELL), pay(), stream())
+    PEERS(baseSettings()
+            .classes(read(0), act(Idempotency.KEYED, DeduplicationScope.CELL), pay(), stream())
             .allowsHealthChecks(true)
             .exchangesPeerSummaries(true)
             .tenants(agreedTenants())),
 
     /** Many replicas and servers, with little traffic per replica. */
     LARGE(
-            base().replica(1, 200)
+            baseSettings()
+                    .replica(1, 200)
                     .valueIsPerWork(true)
                     .allowsHedging(true)
                     .allowsCancellation(false)
@@ -92,7 +98,7 @@
         return requestIntervalMs;
     }
 
-    private static SettingsBuilder base() {
+    private static SettingsBuilder baseSettings() {
         return SettingsBuilder.settings()
                 .replica(1, 4)
                 .classes(read(0), act(Idempotency.KEYED, DeduplicationScope.ZONE), pay(), stream())
--- a/balancer/src/test/java/dewplank/balancer/adaptive/RequestCompletionTest.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/RequestCompletionTest.java
@@ -24,7 +24,7 @@
 class RequestCompletionTest {
 
     @Test
-    void aTimeoutAtTheDeadlineFailsTheRequestImmediatelyAndOnce() {
+    void aTimeoutAtTheDeadlineFailsTheRequestImmediatelyAndOnlyOnce() {
         BalancerFixture fixture = BalancerFixture.withServers(settings().actIdempotency(Idempotency.UNSAFE), 3);
         Send send = firstSend(fixture.arrive("act"));
         fixture.nowMs += DEADLINE_MS;
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void aRequestThatCrashesServersReachesAtMostTwo() {
+    void aRequestThatCrashesServersReachesAtMostTwoServers() {
         BalancerFixture fixture = BalancerFixture.withServers(8);
         Send send = firstSend(fixture.arrive("read"));
         Set<String> reached = new HashSet<>();
--- a/balancer/src/test/java/dewplank/balancer/adaptive/ServerEjectionTest.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/ServerEjectionTest.java
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void whileMoreThanHalfAreEjectedAllArePicked() {
+    void allServersArePickedWhileMoreThanHalfAreEjected() {
         BalancerFixture fixture = BalancerFixture.withServers(4);
         fixture.runReads(400, 5, "s0", "s1", "s2");
         fixture.nowMs += 1_100; // the suspicions expire, the ejections remain
--- a/balancer/src/test/java/dewplank/balancer/adaptive/SlowStartTest.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/SlowStartTest.java
@@ -12,7 +12,7 @@
 import java.util.random.RandomGenerator;
 import org.junit.jupiter.api.Test;
 
-/** The work that a server receives while it warms up, from one instance and from all instances together. */
+/** The limit on the work that a server receives while it warms up, from one instance and from all together. */
 class SlowStartTest {
 
     @Test
@@ -39,7 +39,7 @@
     void newServersReceiveTheirShareOfABusyFleetsRequests() {
         int sendsToNew = 0;
         int sends = 0;
-        for (int seed = 1; seed <= 20; seed++) { // one run is not enough, as service times are heavy-tailed
+        for (int seed = 1; seed <= 20; seed++) { // one simulation is not enough, as service times are heavy-tailed
             BalancerFixture fixture = BalancerFixture.withServers(4);
             RandomGenerator random = new SplittableRandom(seed);
             // One request at a time; the load of the old servers comes from other instances.
--- a/balancer/src/test/java/dewplank/balancer/adaptive/WorkingSetTest.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/WorkingSetTest.java
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void withFewInstancesEachUsesTheCompleteFleet() {
+    void withFewInstancesEachUsesAllServers() {
         assertEquals(10, instance(0, 4, 10).serveOnePerSecond(400).size());
     }
 
--- a/balancer/src/test/java/dewplank/balancer/health/GoldenPeerSummaryTest.java
+++ b/balancer/src/test/java/dewplank/balancer/health/GoldenPeerSummaryTest.java
@@ -19,33 +19,33 @@
             + "fffffffe";
     private static final String NO_SERVERS = "01" + "0000000000000000";
 
-    private static String encoded(PeerSummary summary) {
+    private static String encodeToHex(PeerSummary summary) {
         return HexFormat.of().formatHex(summary.encode());
     }
 
-    private static PeerSummary decoded(String hex) {
+    private static PeerSummary decodeFromHex(String hex) {
         return PeerSummary.decode(HexFormat.of().parseHex(hex));
     }
 
     @Test
     void writesAndReadsUnhealthyServers() {
         PeerSummary summary = new PeerSummary(1_700_000_000_123.5, List.of("i-1".hashCode(), -2));
-        assertEquals(TWO_SERVERS, encoded(summary));
-        assertEquals(summary, decoded(TWO_SERVERS));
+        assertEquals(TWO_SERVERS, encodeToHex(summary));
+        assertEquals(summary, decodeFromHex(TWO_SERVERS));
     }
 
     @Test
     void writesAndReadsAnEmptySummary() {
         PeerSummary summary = new PeerSummary(0, List.of());
-        assertEquals(NO_SERVERS, encoded(summary));
-        assertEquals(summary, decoded(NO_SERVERS));
+        assertEquals(NO_SERVERS, encodeToHex(summary));
+        assertEquals(summary, decodeFromHex(NO_SERVERS));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"02", "00"})
     void rejectsAnotherVersion(String version) {
-        assertNotNull(decoded(TWO_SERVERS), "version 1 is accepted");
-        assertNull(decoded(version + TWO_SERVERS.substring(2)));
+        assertNotNull(decodeFromHex(TWO_SERVERS), "version 1 is accepted");
+        assertNull(decodeFromHex(version + TWO_SERVERS.substring(2)));
     }
 
     /** 61 of the 70 servers fit into 256 bytes. */
@@ -57,6 +57,6 @@
             servers.add(index);
             expected.append(index < 61 ? "000000" + HexFormat.of().toHexDigits((byte) index) : "");
         }
-        assertEquals(expected.toString(), encoded(new PeerSummary(5, servers)));
+        assertEquals(expected.toString(), encodeToHex(new PeerSummary(5, servers)));
     }
 }
--- a/balancer/src/test/java/dewplank/balancer/health/PeerVotesTest.java
+++ b/balancer/src/test/java/dewplank/balancer/health/PeerVotesTest.java
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void withoutPeersTheOwnVoteDecides() {
+    void withoutPeersTheVoteOfThisProcessDecides() {
         assertTrue(votes.isUnhealthy(NOW_MS, "s", true));
         assertFalse(votes.isUnhealthy(NOW_MS, "s", false));
     }
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void theOwnVoteDecidesATie() {
+    void theVoteOfThisProcessDecidesATie() {
         receive("a", NOW_MS, "s");
         assertFalse(votes.isUnhealthy(NOW_MS, "s", false));
         assertTrue(votes.isUnhealthy(NOW_MS, "t", true));
