--- a/sidecar/src/main/java/dewplank/discovery/CatalogWatch.java
+++ b/sidecar/src/main/java/dewplank/discovery/CatalogWatch.java
@@ -22,9 +22,10 @@
  */
 final class CatalogWatch implements Connection.Handler {
     /**
-     * Discovery writes a line every 2 s. While it is partitioned off, it sends nothing and the connection stays open,
-     * so that only a timeout detects the partition. The additional second allows for a slow discovery. With a much
-     * longer timeout, the sidecar could miss a drain that discovery already counts as delivered.
+     * The time without a received byte after which a watch ends. Discovery writes a line every 2 s; the additional
+     * second allows for a slow discovery. During a network partition the connection stays open without receiving
+     * anything, so that only this timeout detects the partition. With a much longer timeout, the sidecar could miss a
+     * drain that discovery already counts as delivered.
      */
     static final double IDLE_TIMEOUT_MS = 3_000;
 
@@ -38,7 +39,7 @@
     private final Runnable onKeepalive;
     private final Consumer<String> onEnd;
     private final ResponseParser parser = new ResponseParser(MAX_LIST_BYTES);
-    private final ByteArrayOutputStream partial = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream partialList = new ByteArrayOutputStream();
     private Connection.Connecting connecting;
     private Connection connection;
     private TimerWheel.Timer idleTimer;
@@ -129,7 +130,7 @@
             }
             return;
         }
-        partial.write(b);
+        partialList.write(b);
         if (inString) {
             inString = escaped || b != '"';
             escaped = !escaped && b == '\\';
@@ -141,10 +142,10 @@
             depth--;
         }
         if (depth == 0) {
-            String list = partial.toString(StandardCharsets.UTF_8);
-            partial.reset();
+            String list = partialList.toString(StandardCharsets.UTF_8);
+            partialList.reset();
             onList.accept(list);
-        } else if (partial.size() > MAX_LIST_BYTES) {
+        } else if (partialList.size() > MAX_LIST_BYTES) {
             throw new BadMessageException(502, "list too long");
         }
     }
--- a/sidecar/src/main/java/dewplank/discovery/DiscoveryClient.java
+++ b/sidecar/src/main/java/dewplank/discovery/DiscoveryClient.java
@@ -19,13 +19,14 @@
 public final class DiscoveryClient {
     private static final System.Logger LOG = System.getLogger(DiscoveryClient.class.getName());
     /**
-     * The minimum interval between the openings of two watches if lists are pushed. The agent's lists then count as
-     * delivered whether or not a watch is open, so a lost watch is reopened without any other delay. The grace period
-     * of a drain is a few hundred milliseconds.
+     * The minimum interval between the openings of two watches if lists are pushed. Discovery then counts its
+     * lists as delivered whether or not a watch is open, so a lost watch is reopened without any other delay. The grace
+     * period of a drain is a few hundred milliseconds.
      */
     private static final double MIN_REOPEN_INTERVAL_MS = 100;
     /**
-     * If lists are pushed, no request is sent before the first response of discovery or before this time has passed.
+     * If lists are pushed, requests are sent only after the first response of discovery, the end of the first watch, or
+     * this time, whichever comes first.
      */
     private static final double FIRST_LIST_TIMEOUT_MS = 1_000;
 
@@ -121,7 +122,7 @@
         return isListUsable && endpoints.hasAvailableServer();
     }
 
-    /** Applies a list. A list with an older version is ignored, because it could return draining servers to use. */
+    /** Applies a list. A list with an older version is ignored, because it could list draining servers as active. */
     private void listReceived(String text) {
         CatalogUpdate update = CatalogUpdate.of(new Fields(Json.object(text), "discovery "));
         watchEstablished(update.version());
--- a/sidecar/src/main/java/dewplank/sidecar/AttemptDispatcher.java
+++ b/sidecar/src/main/java/dewplank/sidecar/AttemptDispatcher.java
@@ -60,14 +60,14 @@
         }
         int attempt = request.attempts.size();
         InetSocketAddress server = discovery.addressOf(send.server());
-        double leftMs = request.deadlineMs - loop.now();
-        if (request.isComplete || server == null || leftMs <= 0 || send.timeoutMs() < 0) {
+        double remainingMs = request.deadlineMs - loop.now();
+        if (request.isComplete || server == null || remainingMs <= 0 || send.timeoutMs() < 0) {
             request.attempts.add(null);
             events.accept(new AttemptEnded(
                     send.request(), attempt, send.server(), Outcome.NEVER_SENT, 0, request.isComplete, null));
             return;
         }
-        double timeoutMs = send.timeoutMs() == 0 ? leftMs : Math.min(send.timeoutMs(), leftMs);
+        double timeoutMs = send.timeoutMs() == 0 ? remainingMs : Math.min(send.timeoutMs(), remainingMs);
         request.attemptsInFlight++;
         if (!connections.ensureCapacity()) { // this sidecar's limit: the balancer must not count it against the server
             request.attempts.add(null);
@@ -109,7 +109,7 @@
         }
         requests.releaseIfDone(request);
         events.accept(new AttemptEnded(
-                request.id,
+                request.number,
                 attempt,
                 server,
                 result.outcome(),
--- a/sidecar/src/main/java/dewplank/sidecar/BalancerHost.java
+++ b/sidecar/src/main/java/dewplank/sidecar/BalancerHost.java
@@ -43,7 +43,7 @@
     /** Reserved from a client's time budget for the timer's resolution and for sending the response. */
     private static final double RESPONSE_MARGIN_MS = 10;
 
-    private static final double DEADLINE_GUARD_MARGIN_MS = 10;
+    private static final double DEADLINE_TIMER_MARGIN_MS = 10;
 
     private final EventLoop loop;
     private final Settings settings;
@@ -97,9 +97,9 @@
         return discovery.hasAvailableServer();
     }
 
-    /** Whether a client's request with this id has no final response yet. */
-    boolean isIdInUse(String id) {
-        return requests.isIdInUse(id);
+    /** Whether a client's request with this trace id has no final response yet. */
+    boolean isTraceIdInUse(String traceId) {
+        return requests.isTraceIdInUse(traceId);
     }
 
     /** Returns the longest deadline of all request classes. */
@@ -162,14 +162,14 @@
                 Math.max(1, Math.min(decoded.timeBudgetMs(), completeAllByMs - loop.now()) - RESPONSE_MARGIN_MS);
         PendingRequest request = requests.open(decoded.forwarded(), loop.now() + budgetMs, responses);
         // If the balancer does not decide on the request, the client still gets a response in time.
-        request.deadlineGuard = loop.after(budgetMs + DEADLINE_GUARD_MARGIN_MS, () -> {
+        request.deadlineTimer = loop.after(budgetMs + DEADLINE_TIMER_MARGIN_MS, () -> {
             LOG.log(System.Logger.Level.WARNING, "request deadline passed without a decision");
             abandon(request);
             responses.respondFailed();
         });
         RequestAttributes attributes = decoded.attributes();
         deliver(new RequestArrived(
-                request.id,
+                request.number,
                 attributes.tenant(),
                 attributes.key(),
                 decoded.isRetry(),
@@ -183,7 +183,7 @@
     void abandon(PendingRequest request) {
         if (!request.isComplete) {
             requests.complete(request);
-            deliver(new RequestAbandoned(request.id));
+            deliver(new RequestAbandoned(request.number));
         }
     }
 
--- a/sidecar/src/main/java/dewplank/sidecar/ClientConnection.java
+++ b/sidecar/src/main/java/dewplank/sidecar/ClientConnection.java
@@ -121,7 +121,8 @@
             return;
         }
         queued = null;
-        if (host.isIdInUse(decoded.forwarded().id())) { // a server could take it for a retry of the other one
+        if (host.isTraceIdInUse(
+                decoded.forwarded().traceId())) { // a server could treat it as a retry of the open request
             reject(new BadMessageException(409, "X-Trace-Id is that of an open request"));
             return;
         }
@@ -176,11 +177,11 @@
     private void respond(MessageWriter head, byte[] body) {
         waitingSinceMs = loop.now();
         hasResponded = true;
-        boolean last = !keepAlive || !clients.mayKeepAlive();
-        connection.write(head.header("Connection", last ? "close" : null).body(body), () -> {});
+        boolean isLast = !keepAlive || !clients.mayKeepAlive();
+        connection.write(head.header("Connection", isLast ? "close" : null).body(body), () -> {});
         request = null;
         parser.reset();
-        if (last) {
+        if (isLast) {
             clients.remove(this);
             connection.closeGracefully();
         } else {
--- a/sidecar/src/main/java/dewplank/sidecar/ClientConnections.java
+++ b/sidecar/src/main/java/dewplank/sidecar/ClientConnections.java
@@ -65,9 +65,9 @@
 
     /**
      * Whether another connection may stay open while idle. If not, each connection is closed after its response:
-     * clients that send one request and keep their connection open have their own connection limit, and reach it before
-     * the idle timeout closes connections. A draining sidecar closes no idle connections: it gets no new ones, and a
-     * client stops using the sidecar once all of its connections are busy.
+     * clients limit their number of connections, too. Those that send one request per connection and keep it open would
+     * reach that limit before the idle timeout closes connections. A draining sidecar closes no idle connections: it
+     * gets no new ones, and a client stops using the sidecar once all of its connections are busy.
      */
     private boolean hasIdleCapacity() {
         return isDraining || open.size() <= maxConnections / IDLE_CAPACITY_DIVISOR;
--- a/sidecar/src/main/java/dewplank/sidecar/DrainSchedule.java
+++ b/sidecar/src/main/java/dewplank/sidecar/DrainSchedule.java
@@ -10,14 +10,14 @@
  * @param completeByMs when requests that are still open fail
  */
 record DrainSchedule(double acceptForMs, double completeByMs) {
-    /** Clients open new connections for up to 0.4 s after SIGTERM. */
+    /** Minimum time for which requests are accepted. Clients open new connections for up to 0.4 s after SIGTERM. */
     static final double MIN_ACCEPT_AFTER_TERM_MS = 600;
 
     /** SIGKILL follows SIGTERM after at least the longest deadline plus this time. */
     private static final double KILL_DELAY_MS = 700;
-    /** A longer deadline counts as this one. */
+    /** Upper bound of the longest deadline in this rule: a longer one counts as this. */
     private static final double MAX_KILL_DEADLINE_MS = 3_000;
-    /** Time for sending the last responses on a core that is shared with other processes. */
+    /** Time before SIGKILL for sending the last responses, on a core that is shared with other processes. */
     private static final double KILL_MARGIN_MS = 200;
 
     /** Computes the schedule from the longest deadline and the shortest latency target of all request classes. */
--- a/sidecar/src/main/java/dewplank/sidecar/GracefulShutdown.java
+++ b/sidecar/src/main/java/dewplank/sidecar/GracefulShutdown.java
@@ -17,7 +17,7 @@
     private static final double POLL_INTERVAL_MS = 10;
     /** How long a request that is partially read when the listener closes may take to become complete. */
     private static final double MAX_READ_AFTER_CLOSE_MS = 500;
-    /** A graceful close of a connection takes at most 1 s. */
+    /** Time after {@code completeByMs} at which the shutdown stops waiting. A graceful close takes at most 1 s. */
     private static final double TIMEOUT_MARGIN_MS = 1_500;
 
     private final EventLoop loop;
--- a/sidecar/src/main/java/dewplank/sidecar/HttpAttempt.java
+++ b/sidecar/src/main/java/dewplank/sidecar/HttpAttempt.java
@@ -151,8 +151,8 @@
     }
 
     /**
-     * Ends the attempt. A connection that was not returned to the pool is closed, so that a late response is not taken
-     * for the response to another request.
+     * Ends the attempt. A connection that was not returned to the pool is closed, so that a late response is not
+     * mistaken for the response to another request.
      */
     private void end(Outcome outcome) {
         if (hasEnded) {
--- a/sidecar/src/main/java/dewplank/sidecar/OpenRequests.java
+++ b/sidecar/src/main/java/dewplank/sidecar/OpenRequests.java
@@ -15,15 +15,15 @@
  */
 final class OpenRequests {
     private final Map<Long, PendingRequest> byNumber = new HashMap<>();
-    private final Set<String> idsInUse = new HashSet<>();
+    private final Set<String> traceIdsInUse = new HashSet<>();
     private long nextNumber = 1;
 
-    /** Registers a request under the next number. The caller sets its deadline guard. */
+    /** Registers a request under the next number. The caller sets its deadline timer. */
     PendingRequest open(
             PendingRequest.ForwardedRequest forwarded, double deadlineMs, PendingRequest.ResponseSink sink) {
         PendingRequest request = new PendingRequest(nextNumber++, forwarded, deadlineMs, sink);
-        byNumber.put(request.id, request);
-        idsInUse.add(forwarded.id());
+        byNumber.put(request.number, request);
+        traceIdsInUse.add(forwarded.traceId());
         return request;
     }
 
@@ -33,22 +33,22 @@
     }
 
     /** Whether a request with this trace id has no final response yet. */
-    boolean isIdInUse(String id) {
-        return idsInUse.contains(id);
+    boolean isTraceIdInUse(String traceId) {
+        return traceIdsInUse.contains(traceId);
     }
 
     /** Marks the request as complete. Later results of its attempts are used for statistics only. */
     void complete(PendingRequest request) {
         request.isComplete = true;
-        idsInUse.remove(request.forwarded.id());
-        request.deadlineGuard.cancel();
+        traceIdsInUse.remove(request.forwarded.traceId());
+        request.deadlineTimer.cancel();
         releaseIfDone(request);
     }
 
     /** Releases the request once it is complete and its last attempt has ended. */
     void releaseIfDone(PendingRequest request) {
         if (request.isComplete && request.attemptsInFlight == 0) {
-            byNumber.remove(request.id);
+            byNumber.remove(request.number);
         }
     }
 
@@ -65,6 +65,6 @@
     }
 
     boolean isEmpty() {
-        return byNumber.isEmpty() && idsInUse.isEmpty();
+        return byNumber.isEmpty() && traceIdsInUse.isEmpty();
     }
 }
--- a/sidecar/src/main/java/dewplank/sidecar/PendingRequest.java
+++ b/sidecar/src/main/java/dewplank/sidecar/PendingRequest.java
@@ -20,7 +20,7 @@
         /** Responds with a server's body and its end-to-end headers. */
         void respondServed(byte[] body, List<Headers.Field> headers);
 
-        /** Rejects the request; {@code retryAfterMs} is the delay until a retry is useful, or 0 for no advice. */
+        /** Rejects the request. {@code retryAfterMs} is the delay to suggest for a retry, or 0 for none. */
         void respondRejected(double retryAfterMs);
 
         /** Responds that the request failed; it may have run. */
@@ -30,11 +30,11 @@
     /**
      * A request as forwarded to a server, identical on every attempt.
      *
-     * @param id the client's trace id, which is also one of the headers
+     * @param traceId the client's trace id, which is also one of the headers
      */
-    record ForwardedRequest(String id, String method, String target, List<Headers.Field> headers, byte[] body) {}
+    record ForwardedRequest(String traceId, String method, String target, List<Headers.Field> headers, byte[] body) {}
 
-    final long id;
+    final long number;
     final ForwardedRequest forwarded;
     /** In event loop time. */
     final double deadlineMs;
@@ -45,10 +45,10 @@
 
     int attemptsInFlight;
     boolean isComplete;
-    TimerWheel.Timer deadlineGuard;
+    TimerWheel.Timer deadlineTimer;
 
-    PendingRequest(long id, ForwardedRequest forwarded, double deadlineMs, ResponseSink responses) {
-        this.id = id;
+    PendingRequest(long number, ForwardedRequest forwarded, double deadlineMs, ResponseSink responses) {
+        this.number = number;
         this.forwarded = forwarded;
         this.deadlineMs = deadlineMs;
         this.responses = responses;
--- a/sidecar/src/main/java/dewplank/sidecar/ServerConnections.java
+++ b/sidecar/src/main/java/dewplank/sidecar/ServerConnections.java
@@ -51,8 +51,8 @@
     }
 
     /**
-     * Ensures that one more attempt may open a connection. At the limit, the longest idle connection of a server is
-     * closed.
+     * Ensures that one more attempt may open a connection. At the limit, closes the longest idle connection in one of
+     * the pools.
      *
      * @return false if all connections are busy; the attempt must not start then
      */
@@ -84,7 +84,7 @@
         return attemptsInFlight > 0;
     }
 
-    /** Closes and removes the pools of removed servers. Servers are replaced under new ids all the time. */
+    /** Closes and removes the pools of removed servers. Servers are often replaced under new ids. */
     void closeRemoved(Predicate<String> isRemoved) {
         poolByServer.entrySet().removeIf(entry -> {
             boolean removed = isRemoved.test(entry.getKey());
--- a/sidecar/src/main/java/dewplank/sidecar/Sidecar.java
+++ b/sidecar/src/main/java/dewplank/sidecar/Sidecar.java
@@ -29,7 +29,7 @@
     private final ClientConnections clients;
     private final GracefulShutdown shutdown;
     private boolean isWarmingUp;
-    private SidecarConfig reloaded; // null until the first reload
+    private SidecarConfig lastReloaded; // null until the first reload
 
     public Sidecar(SidecarConfig config) throws IOException {
         this(config, new AdaptiveBalancer(config.settings(), new SplittableRandom(config.seed())));
@@ -74,10 +74,10 @@
      */
     public CompletableFuture<Void> rehearse() throws IOException {
         CompletableFuture<Void> done = new CompletableFuture<>();
-        InetSocketAddress self = (InetSocketAddress) listener.address();
+        InetSocketAddress ownAddress = (InetSocketAddress) listener.address();
         loop.execute(() -> {
             isWarmingUp = true;
-            new JvmWarmUp(loop, self, config.settings(), () -> {
+            new JvmWarmUp(loop, ownAddress, config.settings(), () -> {
                         isWarmingUp = false;
                         done.complete(null);
                     })
@@ -103,11 +103,13 @@
     public void reload(SidecarConfig next) {
         boolean isRestartRequired = needsRestart(next, config);
         loop.execute(() -> {
-            if (reloaded != null && next.discovery().equals(reloaded.discovery()) && !needsRestart(next, reloaded)) {
+            if (lastReloaded != null
+                    && next.discovery().equals(lastReloaded.discovery())
+                    && !needsRestart(next, lastReloaded)) {
                 LOG.log(System.Logger.Level.INFO, "configuration reload skipped reason=unchanged");
                 return;
             }
-            reloaded = next;
+            lastReloaded = next;
             host.changeDiscoveryAddress(next.discovery());
             LOG.log(
                     System.Logger.Level.INFO,
@@ -123,8 +125,8 @@
 
     /**
      * Drains according to the deadlines and latency targets in the settings, then stops; blocks until then. The sidecar
-     * continues to serve in the meantime, because a client may have no other sidecar: one that exited a second after
-     * SIGTERM was restarted 2.3 s later.
+     * continues to serve in the meantime, because a client may have no other sidecar. A sidecar that exited one second
+     * after SIGTERM was restarted only 2.3 s later.
      */
     public void drain() throws InterruptedException {
         drain(DrainSchedule.of(host.maxDeadlineMs(), host.minLatencyTargetMs()));
--- a/sidecar/src/main/java/dewplank/simhost/EventDecoder.java
+++ b/sidecar/src/main/java/dewplank/simhost/EventDecoder.java
@@ -25,8 +25,8 @@
  * number; the updates of the instances refer to the slot.
  */
 final class EventDecoder {
-    private static final int HINT_IS_VALID = 1;
-    private static final int IS_REPEAT = 2;
+    private static final int COST_VALID_BIT = 1;
+    private static final int RETRY_BIT = 2;
     private static final int SLOTS = 16;
 
     private static final Map<String, UpdateKind> UPDATE_KINDS = Map.of(
@@ -100,16 +100,16 @@
 
     private static RequestArrived requestArrived(WireMessage message) {
         int bits = message.nonNegative(5);
-        boolean hasHint = (bits & HINT_IS_VALID) != 0 && message.has(8);
+        boolean hasCost = (bits & COST_VALID_BIT) != 0 && message.has(8);
         boolean hasTenant = message.has(3) && message.values().get(3) instanceof String;
         return new RequestArrived(
                 message.integer(2),
                 hasTenant ? message.text(3) : null,
                 message.has(4) ? message.text(4) : null,
-                (bits & IS_REPEAT) != 0,
+                (bits & RETRY_BIT) != 0,
                 message.text(6),
                 message.number(7),
-                hasHint ? (Double) message.number(8) : null);
+                hasCost ? (Double) message.number(8) : null);
     }
 
     /** Decodes the rows. If a server has several rows, the last one applies, at the position of the first. */
@@ -129,14 +129,14 @@
 
     private static Endpoint endpoint(WireMessage row) {
         Double startedAtMs = row.has(7) && row.number(7) > 0 ? (Double) row.number(7) : null;
-        double rating = row.has(6) ? row.number(6) : 1;
+        double weight = row.has(6) ? row.number(6) : 1;
         return new Endpoint(
                 row.text(1),
                 row.text(2),
                 row.has(3) ? row.text(3) : "",
                 row.has(4) ? row.integer(4) : 0,
                 enumValue(AVAILABILITIES, row, 5),
-                rating,
+                weight,
                 startedAtMs);
     }
 
--- a/sidecar/src/test/java/dewplank/sidecar/AttemptWriteTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/AttemptWriteTest.java
@@ -29,7 +29,7 @@
 import java.util.function.UnaryOperator;
 import org.junit.jupiter.api.Test;
 
-/** Changes between the decision to send an attempt and the write of its request, in the harmful order. */
+/** Events between the balancer's decision to send an attempt and the complete write of its request. */
 class AttemptWriteTest {
     /** Regression: a connect took long, and the retry was written after the deduplication window had ended. */
     @Test
@@ -52,7 +52,7 @@
             ReceivedRequest first = net.servers.get(0).next();
             watch.sendLine(LoopbackNetwork.catalogJson(8, false, List.of(delayed.endpointJson("delayed", "active"))));
             listed.await();
-            first.reset(); // it may have run: the retry goes to the other server, whose connection is not
+            first.reset(); // the request may have run: its retry is sent to the other server, whose connection is not
             // established yet
             reset.await();
             net.callOnLoop(() -> null); // the connect has started by now
@@ -64,7 +64,7 @@
 
     /** A connect may take longer than the grace period that follows the announcement of a drain. */
     @Test
-    void aServerThatDrainsWhileConnectingGetsNoRequest() throws Exception {
+    void aServerThatStartsToDrainDuringTheConnectGetsNoRequest() throws Exception {
         try (LoopbackNetwork net = LoopbackNetwork.builder(0)
                         .settings(LoopbackNetwork.NO_CONNECT_TIMEOUT)
                         .start();
@@ -83,15 +83,15 @@
         }
     }
 
-    /** This also applies if attempts may not be cancelled: a request that was never written is not an attempt yet. */
+    /** The request must not be written even if attempts may not be cancelled: no attempt has been sent yet. */
     @Test
-    void aClientThatDisconnectsWhileConnectingIsNotForwarded() throws Exception {
+    void aRequestWhoseClientDisconnectsDuringTheConnectIsNotForwarded() throws Exception {
         BalancerEventLatch abandoned = new BalancerEventLatch(event -> event instanceof RequestAbandoned);
-        UnaryOperator<String> fixed = settings -> LoopbackNetwork.NO_CONNECT_TIMEOUT
+        UnaryOperator<String> withoutCancelling = settings -> LoopbackNetwork.NO_CONNECT_TIMEOUT
                 .apply(settings)
                 .replace("\"Cancelling\":true", "\"Cancelling\":false");
         try (LoopbackNetwork net = LoopbackNetwork.builder(0)
-                        .settings(fixed)
+                        .settings(withoutCancelling)
                         .balancer(abandoned)
                         .start();
                 ScriptedPeer delayed = ScriptedPeer.withDelayedAccept()) {
@@ -127,7 +127,7 @@
      * pending, because it is queued behind twenty other completions in one task.
      */
     @Test
-    void aRequestMayHaveRunIfTheResetIsHandledBeforeTheWritesCompletion() throws Exception {
+    void aRequestMayHaveRunIfItsResetIsHandledBeforeTheCompletionOfItsWrite() throws Exception {
         BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
         EventLoop loop = new EventLoop();
         try (ScriptedPeer server = new ScriptedPeer()) {
--- a/sidecar/src/test/java/dewplank/sidecar/ClientDisconnectTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/ClientDisconnectTest.java
@@ -46,7 +46,7 @@
 
     /** The request is queued because there is no server; one is listed only after the client has disconnected. */
     @Test
-    void aClientThatDisconnectsWhileItsRequestIsQueuedIsNotForwarded() throws Exception {
+    void aRequestWhoseClientDisconnectsWhileItIsQueuedIsNotForwarded() throws Exception {
         BalancerEventLatch abandoned = new BalancerEventLatch(event -> event instanceof RequestAbandoned);
         try (LoopbackNetwork net =
                         LoopbackNetwork.builder(0).balancer(abandoned).start();
@@ -70,7 +70,7 @@
 
     /** The client has sent more bytes than the buffer holds before it disconnects: the close is still detected. */
     @Test
-    void aClientThatDisconnectsAfterUnreadBytesIsNotForwarded() throws Exception {
+    void aRequestWhoseClientDisconnectsAfterUnreadBytesIsNotForwarded() throws Exception {
         BalancerEventLatch abandoned = new BalancerEventLatch(event -> event instanceof RequestAbandoned);
         try (LoopbackNetwork net = LoopbackNetwork.builder(0)
                         .settings(LoopbackNetwork.NO_CONNECT_TIMEOUT)
--- a/sidecar/src/test/java/dewplank/sidecar/ConnectionCloseTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/ConnectionCloseTest.java
@@ -79,9 +79,9 @@
         }
     }
 
-    /** The event loop is blocked until both have happened: the one that is handled first is the only outcome. */
+    /** The event loop is blocked until both have happened: the event handled first determines the only outcome. */
     @Test
-    void aSimultaneousTimeoutAndResponseAreOneOutcome() throws Exception {
+    void aSimultaneousTimeoutAndResponseProduceOneOutcome() throws Exception {
         BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
         EventLoop loop = new EventLoop();
         try (ScriptedPeer server = new ScriptedPeer()) {
@@ -132,7 +132,7 @@
     }
 
     @Test
-    void aResponseThatNeverEndsFailsItsAttemptAndItsConnection() throws Exception {
+    void aResponseThatNeverEndsFailsItsAttemptAndClosesItsConnection() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             Client client = net.client();
             client.sendRequest("order-place");
--- a/sidecar/src/test/java/dewplank/sidecar/DiscoveryClientTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/DiscoveryClientTest.java
@@ -54,17 +54,17 @@
     }
 
     /**
-     * The agent's updates count as delivered from the start of the process, but the process starts with a list that may
-     * be out of date.
+     * Discovery counts its updates as delivered from the start of the process, but the process starts with a list that
+     * may be out of date.
      */
     @Test
     void ifListsArePushedNoRequestIsSentBeforeTheFirstList() throws Exception {
         BlockingQueue<UpdateKind> updates = new LinkedBlockingQueue<>();
         EventLoop loop = new EventLoop();
-        try (ScriptedPeer agent = new ScriptedPeer();
+        try (ScriptedPeer discoveryServer = new ScriptedPeer();
                 ScriptedPeer server = new ScriptedPeer()) {
-            DiscoveryClient discovery =
-                    new DiscoveryClient(loop, agent.address(), false, true, update -> updates.add(update.kind()));
+            DiscoveryClient discovery = new DiscoveryClient(
+                    loop, discoveryServer.address(), false, true, update -> updates.add(update.kind()));
             CatalogUpdate initialCatalog = CatalogUpdate.of(new Fields(
                     Json.object(LoopbackNetwork.catalogJson(7, true, List.of(server.endpointJson("s0", "active")))),
                     "known "));
@@ -74,7 +74,7 @@
             });
             loop.execute(beforeUpdates);
             assertFalse(beforeUpdates.get());
-            ReceivedRequest watch = agent.next();
+            ReceivedRequest watch = discoveryServer.next();
             watch.beginWatch();
             watch.sendLine(LoopbackNetwork.catalogJson(8, false, List.of(server.endpointJson("s1", "active"))));
             assertNotNull(updates.poll(20, TimeUnit.SECONDS));
@@ -92,18 +92,19 @@
     @Test
     void anAddressChangeAfterTheCloseOpensNoWatch() throws Exception {
         EventLoop loop = new EventLoop();
-        try (ScriptedPeer agent = new ScriptedPeer();
-                ScriptedPeer moved = new ScriptedPeer();
+        try (ScriptedPeer discoveryServer = new ScriptedPeer();
+                ScriptedPeer newDiscovery = new ScriptedPeer();
                 ScriptedPeer probe = new ScriptedPeer()) {
-            DiscoveryClient discovery = new DiscoveryClient(loop, agent.address(), false, false, update -> {});
-            DiscoveryClient open = new DiscoveryClient(loop, agent.address(), false, false, update -> {});
+            DiscoveryClient discovery =
+                    new DiscoveryClient(loop, discoveryServer.address(), false, false, update -> {});
+            DiscoveryClient open = new DiscoveryClient(loop, discoveryServer.address(), false, false, update -> {});
             loop.execute(() -> {
                 discovery.close();
-                discovery.changeAddress(moved.address());
+                discovery.changeAddress(newDiscovery.address());
                 open.changeAddress(probe.address());
             });
             assertNotNull(probe.next());
-            assertTrue(moved.hasNoRequest());
+            assertTrue(newDiscovery.hasNoRequest());
         } finally {
             loop.stop();
         }
@@ -125,7 +126,7 @@
         }
     }
 
-    /** A delayed list, or one from a lagging replica, would return a draining server to use. */
+    /** A delayed list, or one from a lagging replica, would list a draining server as active again. */
     @Test
     void anOlderListThatArrivesLastIsIgnored() throws Exception {
         BalancerEventLatch last = BalancerEventLatch.forUpdateOf("last");
@@ -170,19 +171,19 @@
         try (LoopbackNetwork net = LoopbackNetwork.builder(1)
                         .balancer(balancer -> recordsSubscribes.apply(broken.apply(balancer)))
                         .start();
-                ScriptedPeer moved = new ScriptedPeer()) {
+                ScriptedPeer newDiscovery = new ScriptedPeer()) {
             assertNotNull(subscribes.poll(20, TimeUnit.SECONDS));
             net.discovery.next().reset();
             broken.await(); // the next subscribe is due in 250 ms at the earliest
-            net.sidecar.reload(net.withDiscovery(moved.address()));
-            ReceivedRequest watch = moved.next();
+            net.sidecar.reload(net.withDiscovery(newDiscovery.address()));
+            ReceivedRequest watch = newDiscovery.next();
             watch.beginWatch();
             assertNotNull(subscribes.poll(20, TimeUnit.SECONDS));
             net.callOnLoop(() -> null);
             watch.sendLine(LoopbackNetwork.catalogJson(
                     8, false, List.of(net.servers.get(0).endpointJson("s0", "leaving"))));
             net.client().awaitHealthStatus("503");
-            assertTrue(moved.hasNoRequest());
+            assertTrue(newDiscovery.hasNoRequest());
         }
     }
 
@@ -195,18 +196,18 @@
         try (LoopbackNetwork net = LoopbackNetwork.builder(1)
                         .balancer(balancer -> listed.apply(watchOpened.apply(balancer)))
                         .start();
-                ScriptedPeer moved = new ScriptedPeer()) {
+                ScriptedPeer newDiscovery = new ScriptedPeer()) {
             ReceivedRequest old = net.discovery.next();
             old.beginWatch();
             old.sendLine("");
             watchOpened.await(); // all earlier bytes are read: later ones arrive after the address change
             net.callOnLoop(
                     () -> { // the address change is queued before the list from the old address
-                        net.sidecar.reload(net.withDiscovery(moved.address()));
+                        net.sidecar.reload(net.withDiscovery(newDiscovery.address()));
                         old.sendLine(LoopbackNetwork.catalogJson(20, true, List.of()));
                         return null;
                     });
-            ReceivedRequest watch = moved.next();
+            ReceivedRequest watch = newDiscovery.next();
             watch.beginWatch();
             watch.sendLine(LoopbackNetwork.catalogJson(
                     8, false, List.of(net.servers.get(0).endpointJson("s1", "leaving"))));
--- a/sidecar/src/test/java/dewplank/sidecar/EndpointWatchTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/EndpointWatchTest.java
@@ -55,11 +55,11 @@
         };
         try (LoopbackNetwork net =
                         LoopbackNetwork.builder(1).balancer(neverResubscribes).start();
-                ScriptedPeer moved = new ScriptedPeer()) {
+                ScriptedPeer newDiscovery = new ScriptedPeer()) {
             ReceivedRequest old = net.discovery.next();
             old.beginWatch();
-            net.sidecar.reload(net.withDiscovery(moved.address()));
-            ReceivedRequest watch = moved.next();
+            net.sidecar.reload(net.withDiscovery(newDiscovery.address()));
+            ReceivedRequest watch = newDiscovery.next();
             assertTrue(watch.message().startsWith("GET /catalog/members?stream=1&index=7 "), watch.message());
             assertNull(net.discovery.next().message());
             watch.beginWatch();
@@ -69,7 +69,7 @@
         }
     }
 
-    /** Servers are added and removed under new ids all day, so the state of a removed server must be released. */
+    /** Servers are often replaced under new ids, so the state of a removed server must be released. */
     @Test
     void connectionsToAServerAreClosedWhenItIsRemoved() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
--- a/sidecar/src/test/java/dewplank/sidecar/LoopbackNetwork.java
+++ b/sidecar/src/test/java/dewplank/sidecar/LoopbackNetwork.java
@@ -403,8 +403,8 @@
         }
 
         /**
-         * Closes the listener. Afterwards connects are refused: it waits for the accepting thread, because the system
-         * may still accept a connection until that thread has ended.
+         * Closes the listener. Afterwards connects are refused: the method waits for the accepting thread, because the
+         * system may still accept a connection until that thread has ended.
          */
         @Override
         public void close() throws IOException {
--- a/sidecar/src/test/java/dewplank/sidecar/RequestForwardingTest.java
+++ b/sidecar/src/test/java/dewplank/sidecar/RequestForwardingTest.java
@@ -126,7 +126,7 @@
 
     /** Regression: all servers were put into backoff because this sidecar had no free connection. */
     @Test
-    void anAttemptWithoutAFreeConnectionIsNeverSent() throws Exception {
+    void anAttemptIsNotSentAtTheConnectionLimit() throws Exception {
         List<Outcome> outcomes = new CopyOnWriteArrayList<>();
         UnaryOperator<Balancer> sendsAll = balancer -> (now, event, out) -> {
             if (event instanceof RequestArrived arrival) {
@@ -201,9 +201,9 @@
         }
     }
 
-    /** Servers identify requests only by their id, so they could take the second request for a repeat of the first. */
+    /** Servers identify requests only by their trace id, so they could treat the second one as a retry of the first. */
     @Test
-    void aRequestWithTheIdOfAnOpenRequestIsRejected() throws Exception {
+    void aRequestWithTheTraceIdOfAnOpenRequestIsRejected() throws Exception {
         try (LoopbackNetwork net = new LoopbackNetwork(1)) {
             String order = Client.request("order-place", "");
             Client first = net.client();
--- a/transport/src/main/java/dewplank/exchange/ConnectionPool.java
+++ b/transport/src/main/java/dewplank/exchange/ConnectionPool.java
@@ -16,7 +16,7 @@
 public final class ConnectionPool {
     /**
      * Minimum idle time of a connection before it is reused. Some servers send a second response to the last request, 1
-     * to 8 ms after the first (observed in simulation runs); it would be taken for the response to the next request.
+     * to 8 ms after the first (observed in simulation runs); it could be mistaken for the response to the next request.
      */
     public static final double REUSE_DELAY_MS = 10;
 
@@ -35,7 +35,7 @@
         this.maxIdleMs = maxIdleMs;
     }
 
-    /** Removes and returns an idle connection to the address, or null. Closes those to a former address. */
+    /** Removes and returns an idle connection to the address, or null. Closes connections to an earlier address. */
     public Connection take(InetSocketAddress to) {
         closeExpired();
         double reusableIfIdleSince = loop.now() - reuseDelayMs;
@@ -86,14 +86,17 @@
         idle.addLast(entry);
         connection.setHandler(new Connection.Handler() {
             @Override
-            public void received(ByteBuffer bytes) { // unsolicited: later responses on it would not be reliable
+            public void received(
+                    ByteBuffer
+                            bytes) { // unsolicited bytes: a later response on this connection might belong to another
+                // request
                 bytes.position(bytes.limit());
                 idle.remove(entry);
                 connection.close();
             }
 
             @Override
-            public void closed(IOException why) {
+            public void closed(IOException cause) {
                 idle.remove(entry);
             }
         });
--- a/transport/src/main/java/dewplank/exchange/HttpCall.java
+++ b/transport/src/main/java/dewplank/exchange/HttpCall.java
@@ -15,8 +15,8 @@
  * An HTTP call: reuses or opens a connection, writes a request and passes the response to the listener as it arrives.
  *
  * <p>It ends exactly once, with {@link Listener#complete}, {@link Listener#failed} or {@link #cancel}. Errors are
- * reported to the listener as a {@link Failure}, never thrown. Only connecting has a timeout; the user limits the rest
- * of the call by cancelling it. Used on the loop's thread only.
+ * reported to the listener as a {@link Failure}, never thrown. Only connecting has a timeout; the caller limits the
+ * rest of the call by cancelling it. Used on the loop's thread only.
  */
 public final class HttpCall implements Connection.Handler {
     /** The kind of failure, which determines whether the call may be retried. */
@@ -25,7 +25,7 @@
         NOT_CONNECTED,
         /** The connection broke before the system accepted any byte of the request, so the request cannot have run. */
         NOT_SENT,
-        /** The send condition was false: nothing was sent, and the failure is not the server's. */
+        /** The send condition was false, so nothing was sent. The server has not failed. */
         WITHHELD,
         /**
          * The connection closed or broke after part of the request was sent. The request may have run, as a server may
@@ -52,8 +52,12 @@
     }
 
     private static final double DEFAULT_IDLE_MS = 1_000; // for servers that send no Keep-Alive timeout
-    private static final double KEEP_ALIVE_FRACTION =
-            0.8; // of the server's timeout, to avoid requests during its close
+    /**
+     * Fraction of the server's Keep-Alive timeout after which an idle connection is not reused: a request that is sent
+     * while the server closes the connection would fail.
+     */
+    private static final double KEEP_ALIVE_FRACTION = 0.8;
+
     private static final int UNBOUNDED_BODY_BYTES = Integer.MAX_VALUE;
 
     private final EventLoop loop;
@@ -84,7 +88,7 @@
     }
 
     /**
-     * Uses a connection that carries no other call, before or after: for responses that cannot be distinguished from
+     * Uses a new connection for this call and closes it afterwards: for responses that cannot be distinguished from
      * those to another call. Must be called before {@link #start}.
      */
     public HttpCall exclusive() {
@@ -149,7 +153,7 @@
      * Whether the system has accepted any byte of the request. Exact when the connection is closed, because closing
      * waits for a write in progress.
      */
-    private boolean hasBegunSending() {
+    private boolean hasStartedSending() {
         return request.position() > requestStart;
     }
 
@@ -217,28 +221,28 @@
 
     private double idleMs() {
         String keepAlive = parser.headers().get("Keep-Alive");
-        int at = keepAlive == null ? -1 : keepAlive.indexOf("timeout=");
-        if (at < 0) {
+        int index = keepAlive == null ? -1 : keepAlive.indexOf("timeout=");
+        if (index < 0) {
             return DEFAULT_IDLE_MS;
         }
-        String unread = keepAlive.substring(at + "timeout=".length()).strip();
+        String timeout = keepAlive.substring(index + "timeout=".length()).strip();
         int end = 0;
-        while (end < unread.length() && end < 6 && Character.isDigit(unread.charAt(end))) {
+        while (end < timeout.length() && end < 6 && Character.isDigit(timeout.charAt(end))) {
             end++;
         }
-        return end == 0 ? DEFAULT_IDLE_MS : KEEP_ALIVE_FRACTION * 1000 * Integer.parseInt(unread.substring(0, end));
+        return end == 0 ? DEFAULT_IDLE_MS : KEEP_ALIVE_FRACTION * 1000 * Integer.parseInt(timeout.substring(0, end));
     }
 
     @Override
-    public void closed(IOException why) {
+    public void closed(IOException cause) {
         if (isOver) {
             return;
         }
-        if (why == null && headDelivered && !skippingResponse && parser.endOfInput()) {
+        if (cause == null && headDelivered && !skippingResponse && parser.endOfInput()) {
             deliverBody();
             finish(false);
         } else {
-            fail(hasBegunSending() ? Failure.BROKEN : Failure.NOT_SENT);
+            fail(hasStartedSending() ? Failure.BROKEN : Failure.NOT_SENT);
         }
     }
 
--- a/transport/src/main/java/dewplank/exchange/InboundConnection.java
+++ b/transport/src/main/java/dewplank/exchange/InboundConnection.java
@@ -66,7 +66,7 @@
     private Request pendingRequest; // complete, not yet dispatched to the service
     private boolean dispatched;
     private boolean keepAlive;
-    private boolean headOnly; // the request is a HEAD: a body would be taken for the next response
+    private boolean headOnly; // the request is a HEAD: the client would read a body as the next response
     private boolean streaming;
     private boolean responseWithoutBody; // the streamed response has no body
     private boolean hasResponded;
@@ -109,8 +109,8 @@
         headOnly = parser.method().equals("HEAD");
         Request request = new Request(parser.method(), parser.target(), parser.headers(), parser.takeBody());
         pendingRequest = request;
-        // The client may have closed right after its request. The next read follows this method, and its result is
-        // queued before the first of these tasks runs; so the second task runs after that result is processed.
+        // The client may have closed the connection directly after its request. The next read follows this method, and
+        // its result, if immediate, is queued before the first of these tasks runs. The second task runs after it.
         loop.execute(() -> loop.execute(() -> dispatch(request)));
     }
 
@@ -155,7 +155,7 @@
     }
 
     @Override
-    public void closed(IOException why) {
+    public void closed(IOException cause) {
         dropRequest();
         service.connectionEnded(this);
     }
@@ -166,11 +166,11 @@
         if (connection.isClosed()) {
             return;
         }
-        boolean last = isLastResponse();
+        boolean isLast = isLastResponse();
         MessageWriter head =
-                MessageWriter.response(status).headers(headers).header("Connection", last ? "close" : null);
+                MessageWriter.response(status).headers(headers).header("Connection", isLast ? "close" : null);
         connection.write(isWithoutBody(status) ? head.noBody() : head.body(body), () -> {});
-        onResponseEnd(last);
+        onResponseEnd(isLast);
     }
 
     /** Sends a response without fields and body. */
@@ -236,14 +236,14 @@
         return !keepAlive || service.isClosing();
     }
 
-    private void onResponseEnd(boolean last) {
+    private void onResponseEnd(boolean isLast) {
         dispatched = false;
         headOnly = false;
         streaming = false;
         hasResponded = true;
         waitingSince = loop.now();
         parser.reset();
-        if (last) {
+        if (isLast) {
             connection.closeGracefully();
             service.connectionEnded(this);
         } else {
@@ -277,7 +277,10 @@
         return hasResponded;
     }
 
-    /** Start of the wait for a complete request: its first byte, otherwise the last response or the accept. */
+    /**
+     * Time from which the wait for a complete request is measured: the receipt of its first byte; until then, the last
+     * response or the accept of the connection.
+     */
     public double waitingSince() {
         return waitingSince;
     }
--- a/transport/src/main/java/dewplank/http/Headers.java
+++ b/transport/src/main/java/dewplank/http/Headers.java
@@ -31,7 +31,7 @@
         fields.add(new Field(name, value));
     }
 
-    /** Returns the value of a field, or null; several values of the same field are joined with commas. */
+    /** Returns the value of a field, or null; the values of repeated fields are joined with commas. */
     public String get(String name) {
         String found = null;
         for (Field f : fields) {
--- a/transport/src/main/java/dewplank/http/MessageParser.java
+++ b/transport/src/main/java/dewplank/http/MessageParser.java
@@ -44,8 +44,8 @@
     public final boolean feed(ByteBuffer in) throws BadMessageException {
         while (state != State.DONE && in.hasRemaining()) {
             switch (state) {
-                case FIXED, CHUNK, TO_THE_END -> takeBody(in);
-                default -> takeLine(in);
+                case FIXED, CHUNK, TO_THE_END -> readBody(in);
+                default -> readLine(in);
             }
         }
         return state == State.DONE;
@@ -102,7 +102,7 @@
     /** Prefix of all valid start lines: input that differs is rejected without waiting for a line end. */
     abstract String startLinePrefix();
 
-    abstract void startLine(String text) throws BadMessageException;
+    abstract void parseStartLine(String text) throws BadMessageException;
 
     abstract boolean isRequest();
 
@@ -112,7 +112,7 @@
     /** Whether the message is an interim response (1xx), which is discarded. */
     abstract boolean isInterim();
 
-    private void takeLine(ByteBuffer in) throws BadMessageException {
+    private void readLine(ByteBuffer in) throws BadMessageException {
         boolean inChunks = state == State.CHUNK_SIZE || state == State.CHUNK_END;
         while (in.hasRemaining()) {
             byte b = in.get();
@@ -132,30 +132,30 @@
             }
             String text = line.toString(StandardCharsets.ISO_8859_1);
             line.reset();
-            endOfLine(text.endsWith("\r") ? text.substring(0, text.length() - 1) : text);
+            handleLine(text.endsWith("\r") ? text.substring(0, text.length() - 1) : text);
             return;
         }
     }
 
-    private void endOfLine(String text) throws BadMessageException {
+    private void handleLine(String text) throws BadMessageException {
         switch (state) {
             case START -> {
                 if (text.isEmpty()) { // an empty line between messages is ignored
                     headBytes = 0;
                     return;
                 }
-                startLine(text);
+                parseStartLine(text);
                 state = State.FIELDS;
             }
             case FIELDS -> {
                 if (text.isEmpty()) {
-                    endOfHead();
+                    handleEndOfHead();
                 } else {
-                    field(text);
+                    addField(text);
                 }
             }
             case CHUNK_SIZE -> {
-                bodyBytesLeft = chunkSize(text);
+                bodyBytesLeft = parseChunkSize(text);
                 state = bodyBytesLeft == 0 ? State.TRAILERS : State.CHUNK;
             }
             case CHUNK_END -> {
@@ -169,7 +169,7 @@
         }
     }
 
-    private void field(String text) throws BadMessageException {
+    private void addField(String text) throws BadMessageException {
         int colon = text.indexOf(':');
         String name = colon < 0 ? "" : text.substring(0, colon);
         if (!isToken(name)) { // also rejects folded lines and whitespace before the colon
@@ -195,10 +195,10 @@
         return !text.isEmpty();
     }
 
-    private void endOfHead() throws BadMessageException {
+    private void handleEndOfHead() throws BadMessageException {
         String length = headers.get("Content-Length");
         String coding = headers.get("Transfer-Encoding");
-        if (length != null && coding != null) { // ambiguous message end: allows request smuggling
+        if (length != null && coding != null) { // the end of the message is ambiguous, which allows request smuggling
             throw new BadMessageException(400, "both Content-Length and Transfer-Encoding");
         }
         if (isInterim()) {
@@ -211,7 +211,7 @@
             }
             state = State.CHUNK_SIZE;
         } else if (length != null) {
-            bodyBytesLeft = length(length);
+            bodyBytesLeft = parseLength(length);
             state = bodyBytesLeft == 0 ? State.DONE : State.FIXED;
         } else {
             state = isRequest() ? State.DONE : State.TO_THE_END;
@@ -219,35 +219,35 @@
     }
 
     /** Also rejects repeated fields, whose joined value, such as "5, 5", is not a number. */
-    private long length(String text) throws BadMessageException {
+    private long parseLength(String text) throws BadMessageException {
         if (!LENGTH.matcher(text).matches()) {
             throw new BadMessageException(400, "Content-Length is not one number");
         }
         long length = Long.parseLong(text);
-        checkBody(length);
+        checkBodySize(length);
         return length;
     }
 
-    private long chunkSize(String text) throws BadMessageException {
+    private long parseChunkSize(String text) throws BadMessageException {
         int end = text.indexOf(';');
         String digits = (end < 0 ? text : text.substring(0, end)).strip();
         if (!digits.matches("[0-9a-fA-F]{1,8}")) {
             throw new BadMessageException(400, "a chunk's size is malformed");
         }
         long size = Long.parseLong(digits, 16);
-        checkBody(body.size() + size);
+        checkBodySize(body.size() + size);
         return size;
     }
 
-    private void checkBody(long size) throws BadMessageException {
+    private void checkBodySize(long size) throws BadMessageException {
         if (size > maxBodyBytes) {
             throw new BadMessageException(413, "the body is too long");
         }
     }
 
-    private void takeBody(ByteBuffer in) throws BadMessageException {
+    private void readBody(ByteBuffer in) throws BadMessageException {
         int n = state == State.TO_THE_END ? in.remaining() : (int) Math.min(bodyBytesLeft, in.remaining());
-        checkBody(body.size() + (long) n);
+        checkBodySize(body.size() + (long) n);
         byte[] piece = new byte[n];
         in.get(piece);
         body.writeBytes(piece);
--- a/transport/src/main/java/dewplank/http/RequestParser.java
+++ b/transport/src/main/java/dewplank/http/RequestParser.java
@@ -22,7 +22,7 @@
     }
 
     @Override
-    void startLine(String text) throws BadMessageException {
+    void parseStartLine(String text) throws BadMessageException {
         String[] parts = text.split(" ", -1);
         if (parts.length != 3 || !isToken(parts[0]) || !isTarget(parts[1])) {
             throw new BadMessageException(400, "the request line is malformed");
@@ -35,7 +35,7 @@
         isHttp10 = parts[2].equals("HTTP/1.0");
     }
 
-    /** Accepts only the path form. It is forwarded unchanged, so it must not contain line ends or whitespace. */
+    /** Accepts only the path form. It is forwarded unchanged, so line ends and whitespace are not allowed in it. */
     private static boolean isTarget(String text) {
         return text.startsWith("/") && text.chars().allMatch(c -> c > ' ' && c < 127);
     }
--- a/transport/src/main/java/dewplank/http/ResponseParser.java
+++ b/transport/src/main/java/dewplank/http/ResponseParser.java
@@ -25,7 +25,7 @@
     }
 
     @Override
-    void startLine(String text) throws BadMessageException {
+    void parseStartLine(String text) throws BadMessageException {
         if (!STATUS_LINE.matcher(text).matches()) {
             throw new BadMessageException(502, "the status line is malformed");
         }
--- a/transport/src/main/java/dewplank/net/Connection.java
+++ b/transport/src/main/java/dewplank/net/Connection.java
@@ -21,7 +21,8 @@
     private static final System.Logger LOG = System.getLogger(Connection.class.getName());
     private static final int BUFFER_BYTES = 8 * 1024;
     /**
-     * Bytes that a peer may send while its last request is in progress: the longest HTTP head and body, 16 + 64 KiB.
+     * Maximum number of bytes that are read ahead while a peer's last request is in progress: the longest HTTP head and
+     * body, 16 + 64 KiB.
      */
     static final int MAX_READ_AHEAD_BYTES = 80 * 1024;
 
@@ -32,8 +33,11 @@
         /** Consumes bytes; unconsumed bytes are passed again together with the next ones, or on {@link #resume}. */
         void received(ByteBuffer bytes);
 
-        /** The peer closed ({@code null}) or broke the connection. Called at most once, never after {@link #close}. */
-        void closed(IOException why);
+        /**
+         * The peer closed the connection ({@code cause} is null), or the connection broke. Called at most once, never
+         * after {@link #close}.
+         */
+        void closed(IOException cause);
 
         /**
          * The peer exceeded the read-ahead limit. Until bytes are consumed, nothing more is read and a close by the
@@ -74,16 +78,16 @@
     }
 
     /**
-     * Opens a connection. Calls exactly one of {@code up} and {@code failed}, never before this method returns, and
+     * Opens a connection. Calls either {@code onConnected} or {@code onFailed}, never before this method returns, and
      * neither of them after a cancel. The operating system's connect timeout is the only one.
      */
     public static Connecting open(
             EventLoop loop,
             InetSocketAddress to,
             Handler handler,
-            Consumer<Connection> up,
-            Consumer<IOException> failed) {
-        return open(loop, null, to, handler, up, failed);
+            Consumer<Connection> onConnected,
+            Consumer<IOException> onFailed) {
+        return open(loop, null, to, handler, onConnected, onFailed);
     }
 
     /** Opens a connection from a local address; null lets the operating system choose it. */
@@ -92,8 +96,8 @@
             InetAddress from,
             InetSocketAddress to,
             Handler handler,
-            Consumer<Connection> up,
-            Consumer<IOException> failed) {
+            Consumer<Connection> onConnected,
+            Consumer<IOException> onFailed) {
         boolean[] cancelled = new boolean[1];
         AsynchronousSocketChannel channel;
         try {
@@ -104,7 +108,7 @@
         } catch (IOException e) { // for example, no file descriptor is available
             loop.execute(() -> {
                 if (!cancelled[0]) {
-                    failed.accept(e);
+                    onFailed.accept(e);
                 }
             });
             return () -> cancelled[0] = true;
@@ -118,11 +122,11 @@
                     }
                     try {
                         Connection connection = new Connection(loop, channel, handler);
-                        up.accept(connection);
+                        onConnected.accept(connection);
                         connection.read();
                     } catch (IOException e) {
                         closeQuietly(channel);
-                        failed.accept(e);
+                        onFailed.accept(e);
                     }
                 });
             }
@@ -132,7 +136,7 @@
                 loop.execute(() -> {
                     closeQuietly(channel);
                     if (!cancelled[0]) {
-                        failed.accept(asIoException(e));
+                        onFailed.accept(asIoException(e));
                     }
                 });
             }
@@ -343,12 +347,12 @@
         }
     }
 
-    private void closeAndNotify(IOException why) {
+    private void closeAndNotify(IOException cause) {
         if (closed) {
             return;
         }
         close();
-        handler.closed(why);
+        handler.closed(cause);
     }
 
     /** Closes the connection immediately; queued writes are discarded and the handler is not called. */
--- a/transport/src/main/java/dewplank/net/EventLoop.java
+++ b/transport/src/main/java/dewplank/net/EventLoop.java
@@ -10,9 +10,9 @@
  * The single thread that owns the state of a process: completion handlers, timers and submitted tasks run there, one at
  * a time.
  *
- * <p>The clock is in milliseconds, starts at the current Unix time and never goes back. An exception thrown by a task
- * is logged and ends that task only. {@link #execute} and {@link #stop} may be called from any thread; the other
- * methods must be called on the loop's thread unless documented otherwise.
+ * <p>The clock is in milliseconds, starts at the current Unix time and never goes back. If a task throws an exception,
+ * the exception is logged and only that task ends. {@link #execute} and {@link #stop} may be called from any thread;
+ * the other methods must be called on the loop's thread unless documented otherwise.
  */
 public final class EventLoop implements Scheduler {
     private static final System.Logger LOG = System.getLogger(EventLoop.class.getName());
--- a/transport/src/main/java/dewplank/net/Listener.java
+++ b/transport/src/main/java/dewplank/net/Listener.java
@@ -16,7 +16,7 @@
 public final class Listener implements ServerEndpoint {
     private static final System.Logger LOG = System.getLogger(Listener.class.getName());
     private static final int BACKLOG = 512;
-    private static final double RETRY_MS = 20;
+    private static final double RETRY_DELAY_MS = 20;
 
     private final EventLoop loop;
     private final AsynchronousServerSocketChannel channel;
@@ -86,13 +86,13 @@
             public void failed(Throwable e, Void attachment) {
                 loop.execute(() -> {
                     accepting = false;
-                    if (!closed) { // for example, no free file descriptor: the backlog is accepted when one is free
+                    if (!closed) { // for example, no file descriptor is free; the retry accepts the backlog
                         LOG.log(
                                 acceptFailing ? System.Logger.Level.DEBUG : System.Logger.Level.WARNING,
                                 "accept failed cause={0}",
                                 e.toString());
                         acceptFailing = true;
-                        loop.after(RETRY_MS, Listener.this::accept);
+                        loop.after(RETRY_DELAY_MS, Listener.this::accept);
                     }
                 });
             }
--- a/transport/src/main/java/dewplank/net/TimerWheel.java
+++ b/transport/src/main/java/dewplank/net/TimerWheel.java
@@ -13,7 +13,7 @@
 
     private final double tickMs;
     private final List<List<Timer>> slots = new ArrayList<>(SLOTS);
-    private long current;
+    private long currentTick;
 
     /** A timer of a wheel. */
     public static final class Timer implements Scheduler.Timer {
@@ -35,7 +35,7 @@
     /** Creates a wheel that starts at {@code now}. Both parameters are in milliseconds. */
     public TimerWheel(double now, double tickMs) {
         this.tickMs = tickMs;
-        this.current = (long) Math.floor(now / tickMs);
+        this.currentTick = (long) Math.floor(now / tickMs);
         for (int i = 0; i < SLOTS; i++) {
             slots.add(new ArrayList<>());
         }
@@ -43,7 +43,7 @@
 
     /** Adds a task that is due at {@code at}, in milliseconds on the same clock. */
     public Timer add(double at, Runnable task) {
-        Timer timer = new Timer(Math.max(current + 1, (long) Math.ceil(at / tickMs)), task);
+        Timer timer = new Timer(Math.max(currentTick + 1, (long) Math.ceil(at / tickMs)), task);
         slots.get((int) (timer.tick % SLOTS)).add(timer);
         return timer;
     }
@@ -54,14 +54,14 @@
      */
     public void run(double now, Consumer<Runnable> runner) {
         List<Timer> due = new ArrayList<>();
-        long target = (long) Math.floor(now / tickMs);
-        while (current < target) {
-            current++;
-            slots.get((int) (current % SLOTS)).removeIf(t -> {
-                if (t.task != null && t.tick <= current) {
+        long targetTick = (long) Math.floor(now / tickMs);
+        while (currentTick < targetTick) {
+            currentTick++;
+            slots.get((int) (currentTick % SLOTS)).removeIf(t -> {
+                if (t.task != null && t.tick <= currentTick) {
                     due.add(t);
                 }
-                return t.task == null || t.tick <= current;
+                return t.task == null || t.tick <= currentTick;
             });
         }
         for (Timer t : due) {
--- a/transport/src/main/java/dewplank/net/WriteBudget.java
+++ b/transport/src/main/java/dewplank/net/WriteBudget.java
@@ -5,29 +5,33 @@
 import java.util.Optional;
 
 /**
- * Counts the bytes that the connections of an event loop have queued, and limits them per connection and in total. If a
- * connection exceeds its own limit, it is to be closed. If all together exceed the total limit, the connection with the
- * most queued bytes is to be closed, so that a peer that reads does not lose its connection because of other peers.
+ * Counts the bytes that the connections of an event loop have queued, and limits them per connection and in total. A
+ * connection that exceeds its limit must be closed. If all connections together exceed the total limit, the one with
+ * the most queued bytes must be closed, so that a peer that reads does not lose its connection because of other peers.
  *
- * <p>It also determines how many bytes one system call may write. The JVM copies these bytes into direct memory until
- * the peer reads them, and direct memory is scarce: if many bytes are queued, pieces are small.
+ * <p>The budget also determines how many bytes one system call may write, a piece. The JVM copies a piece into direct
+ * memory and keeps it there until the peer reads it. Direct memory is scarce, so pieces are small if many bytes are
+ * queued.
  *
- * <p>Used on the loop's thread only. Connections are stored in the order in which they started to queue bytes.
+ * <p>Used on the loop's thread only. The map's order is that in which the connections started to queue bytes.
  */
 final class WriteBudget {
     /**
-     * Enough for one message of 8 MiB, the largest between processes, and the start of the next, but not for two. A
-     * single write may be larger, since its bytes are already in memory.
+     * Maximum number of bytes queued for one connection. It allows one message of 8 MiB, the largest between processes,
+     * and the start of the next, but not two such messages. A single write may be larger, since its bytes are already
+     * in memory.
      */
     static final long MAX_BYTES_PER_CONNECTION = 12L * 1024 * 1024;
 
-    /** A quarter of a data plane's heap of 96 MiB. */
+    /** Lower bound of the total limit: a quarter of a data plane's heap of 96 MiB. */
     private static final long MIN_TOTAL_BYTES = 24L * 1024 * 1024;
 
+    /** The total limit is the maximum heap size divided by this, if that exceeds the lower bound. */
     private static final int HEAP_DIVISOR = 4;
     /**
-     * A sixth of the direct memory of a data plane. Up to this total each write is a single piece: if the peer responds
-     * early and closes, a write between two pieces may fail, and the response would be lost.
+     * Total of queued bytes up to which each write is a single piece: a sixth of the direct memory of a data plane. If
+     * a peer responded early and closed the connection between two pieces, the write of the second could fail, and the
+     * response would be lost.
      */
     private static final int MAX_TOTAL_FOR_SINGLE_PIECE = 4 * 1024 * 1024;
 
@@ -56,21 +60,21 @@
         return totalBytes;
     }
 
-    /** Number of connections that {@link #add} has returned to be closed. */
+    /** Number of times that {@link #add} has returned a connection to close. */
     long overflowCount() {
         return overflowCount;
     }
 
     /** Maximum number of bytes that the next system call may write. */
-    int pieceBytes() {
+    int maxPieceBytes() {
         return totalBytes > MAX_TOTAL_FOR_SINGLE_PIECE ? SMALL_PIECE_BYTES : MAX_TOTAL_FOR_SINGLE_PIECE;
     }
 
     /** Adds bytes queued by a connection; returns the connection to close if a limit is exceeded. */
     Optional<Connection> add(Connection connection, int bytes) {
-        long own = queuedBytes.merge(connection, (long) bytes, Long::sum);
+        long connectionBytes = queuedBytes.merge(connection, (long) bytes, Long::sum);
         totalBytes += bytes;
-        if (own > maxBytesPerConnection && own > bytes) {
+        if (connectionBytes > maxBytesPerConnection && connectionBytes > bytes) {
             overflowCount++;
             return Optional.of(connection);
         }
--- a/transport/src/main/java/dewplank/net/WriteQueue.java
+++ b/transport/src/main/java/dewplank/net/WriteQueue.java
@@ -25,7 +25,7 @@
         return writes.isEmpty();
     }
 
-    /** Queues a write; returns true if it is the only one, so that the caller must start it. */
+    /** Queues a write; returns true if no other write is queued: the caller must then start it. */
     boolean add(ByteBuffer bytes, Runnable onWritten) {
         writes.addLast(new Write(bytes, onWritten));
         budget.add(connection, bytes.remaining()).ifPresent(Connection::closeForOverflow);
@@ -43,7 +43,7 @@
             return piece;
         }
         ByteBuffer bytes = writes.peekFirst().bytes();
-        int length = Math.min(bytes.remaining(), budget.pieceBytes());
+        int length = Math.min(bytes.remaining(), budget.maxPieceBytes());
         if (length == bytes.remaining()) {
             piece = bytes;
         } else {
--- a/transport/src/test/java/dewplank/exchange/ConnectionPoolTest.java
+++ b/transport/src/test/java/dewplank/exchange/ConnectionPoolTest.java
@@ -17,7 +17,7 @@
 
 /** Which idle connection is reused, and when idle connections are closed. */
 class ConnectionPoolTest {
-    private static final double LONG_MS = 60_000;
+    private static final double MAX_IDLE_MS = 60_000;
 
     private final ManualClock clock = new ManualClock();
     private EventLoop loop;
@@ -39,7 +39,7 @@
     }
 
     private ConnectedPair connect() throws Exception {
-        CompletableFuture<Connection> up = new CompletableFuture<>();
+        CompletableFuture<Connection> connected = new CompletableFuture<>();
         loop.execute(() -> Connection.open(
                 loop,
                 server.address(),
@@ -50,11 +50,11 @@
                     }
 
                     @Override
-                    public void closed(IOException why) {}
+                    public void closed(IOException cause) {}
                 },
-                up::complete,
-                up::completeExceptionally));
-        return new ConnectedPair(up.get(Wire.PATIENCE_S, TimeUnit.SECONDS), server.nextConnection());
+                connected::complete,
+                connected::completeExceptionally));
+        return new ConnectedPair(connected.get(Wire.PATIENCE_S, TimeUnit.SECONDS), server.nextConnection());
     }
 
     private void put(ConnectionPool pool, ConnectedPair... pairs) throws Exception {
@@ -69,7 +69,7 @@
 
     @Test
     void theMostRecentlyUsedConnectionIsTakenFirst() throws Exception {
-        ConnectionPool pool = new ConnectionPool(clock, 0, LONG_MS);
+        ConnectionPool pool = new ConnectionPool(clock, 0, MAX_IDLE_MS);
         ConnectedPair first = connect();
         ConnectedPair second = connect();
         put(pool, first, second);
@@ -80,7 +80,7 @@
 
     @Test
     void aConnectionWithinItsReuseDelayIsSkipped() throws Exception {
-        ConnectionPool pool = new ConnectionPool(clock, 200, LONG_MS);
+        ConnectionPool pool = new ConnectionPool(clock, 200, MAX_IDLE_MS);
         ConnectedPair reusable = connect();
         put(pool, reusable);
         clock.advance(200);
@@ -103,7 +103,7 @@
 
     @Test
     void aConnectionPastItsIdleTimeIsClosedRegardlessOfItsPosition() throws Exception {
-        ConnectionPool pool = new ConnectionPool(clock, 0, LONG_MS);
+        ConnectionPool pool = new ConnectionPool(clock, 0, MAX_IDLE_MS);
         ConnectedPair unlimited = connect();
         ConnectedPair limited = connect();
         ConnectedPair last = connect();
@@ -119,8 +119,8 @@
     }
 
     @Test
-    void aConnectionToAFormerAddressIsClosed() throws Exception {
-        ConnectionPool pool = new ConnectionPool(clock, 0, LONG_MS);
+    void aConnectionToAnEarlierAddressIsClosed() throws Exception {
+        ConnectionPool pool = new ConnectionPool(clock, 0, MAX_IDLE_MS);
         ConnectedPair old = connect();
         put(pool, old);
         try (ScriptedServer otherServer = new ScriptedServer()) {
@@ -132,7 +132,7 @@
 
     @Test
     void aConnectionThatItsServerClosesOrWritesToIsRemoved() throws Exception {
-        ConnectionPool pool = new ConnectionPool(clock, 0, LONG_MS);
+        ConnectionPool pool = new ConnectionPool(clock, 0, MAX_IDLE_MS);
         ConnectedPair ended = connect();
         ConnectedPair writtenTo = connect();
         put(pool, ended, writtenTo);
@@ -146,7 +146,7 @@
 
     @Test
     void aClosedPoolClosesReturnedConnections() throws Exception {
-        ConnectionPool pool = new ConnectionPool(clock, 0, LONG_MS);
+        ConnectionPool pool = new ConnectionPool(clock, 0, MAX_IDLE_MS);
         ConnectedPair idle = connect();
         ConnectedPair used = connect();
         put(pool, idle);
@@ -159,7 +159,7 @@
 
     @Test
     void theOldestConnectionIsClosedFirst() throws Exception {
-        ConnectionPool pool = new ConnectionPool(clock, 0, LONG_MS);
+        ConnectionPool pool = new ConnectionPool(clock, 0, MAX_IDLE_MS);
         ConnectedPair first = connect();
         ConnectedPair second = connect();
         put(pool, first, second);
--- a/transport/src/test/java/dewplank/exchange/HttpCallTest.java
+++ b/transport/src/test/java/dewplank/exchange/HttpCallTest.java
@@ -327,7 +327,7 @@
         assertEquals(0, OnLoop.get(loop, pool::size));
     }
 
-    /** The second response arrives on the idle connection, before the next call could take it for its own. */
+    /** The second response arrives on the idle connection, before the next call could mistake it for its response. */
     @Test
     void aSecondResponseOnAnIdleConnectionClosesIt() throws Exception {
         Wire wire = completedCall("hi");
@@ -660,7 +660,7 @@
     // ---- send condition -------------------------------------------------------------------------------
 
     @Test
-    void aCallWhoseConditionFailsIsNotWritten() throws Exception {
+    void aCallWhoseSendConditionIsFalseIsNotWritten() throws Exception {
         try (ScriptedServer late = ScriptedServer.late(new LinkedBlockingQueue<>())) {
             RecordingListener listener = new RecordingListener();
             boolean[] condition = {true};
@@ -677,7 +677,7 @@
     }
 
     @Test
-    void theConditionIsCheckedOnReusedConnections() throws Exception {
+    void theSendConditionIsCheckedOnReusedConnections() throws Exception {
         completedCall("");
         RecordingListener second = new RecordingListener();
         HttpCall failing = call(REQUEST, second).sendOnlyIf(() -> false);
--- a/transport/src/test/java/dewplank/exchange/InboundConnectionTest.java
+++ b/transport/src/test/java/dewplank/exchange/InboundConnectionTest.java
@@ -597,7 +597,7 @@
     }
 
     @Test
-    void aPartialRequestKeepsItsConnectionUnlessForced() throws Exception {
+    void aConnectionWithAPartialRequestIsClosedOnlyIfPartialRequestsAreIncluded() throws Exception {
         Wire client = client();
         InboundConnection connection = sendPartialRequest(client);
         OnLoop.run(loop, () -> connection.endIfIdle(false));
--- a/transport/src/test/java/dewplank/exchange/ScriptedServer.java
+++ b/transport/src/test/java/dewplank/exchange/ScriptedServer.java
@@ -111,7 +111,7 @@
         } catch (IOException e) {
             // a broken connection counts as closed
         } finally {
-            wire.markEnded();
+            wire.markClosedByPeer();
         }
     }
 
--- a/transport/src/test/java/dewplank/exchange/Wire.java
+++ b/transport/src/test/java/dewplank/exchange/Wire.java
@@ -187,7 +187,7 @@
     }
 
     /** Records that the other side has closed the connection; called by the background thread that reads it. */
-    void markEnded() {
+    void markClosedByPeer() {
         ended.countDown();
     }
 
